--- a/crates/benchlink/src/lib.rs
+++ b/crates/benchlink/src/lib.rs
@@ -33,13 +33,13 @@
 
 struct Host {
     scheduler: Scheduler,
-    xfers: Names,
+    requests: Names,
     nodes: Names,
     volumes: Names,
     keys: Names,
     armed: Option<Instant>,
     token: u64,
-    waiting_at: Option<usize>, // where a load report holds the number of waiting transfers
+    waiting_at: Option<usize>, // where a load report holds the number of waiting requests
     tells: bool,               // whether answers tell of service through other hosts
 }
 
@@ -114,7 +114,7 @@
         let settings = Settings::read(env)?;
         Ok(Host {
             scheduler: settings.scheduler(now, seed),
-            xfers: Names::default(),
+            requests: Names::default(),
             nodes: Names::default(),
             volumes: Names::default(),
             keys: Names::default(),
@@ -128,14 +128,14 @@
     fn event(&mut self, now: Instant, name: &str, v: Fields) -> Result<(), String> {
         match name {
             "Req" => {
-                let id = XferId(self.xfers.number(text(v.get(1), "tid")?));
+                let id = RequestId(self.requests.number(text(v.get(1), "tid")?));
                 let key = v.get(4).and_then(Value::as_str).map(|k| KeyId(self.keys.number(k)));
                 let shard = integer(v.get(8), "lies_in")?;
                 let (stream, plan) = (index(v.get(2), "service")?, index(v.get(3), "qos_class")?);
                 if !self.scheduler.knows(StreamId(stream), PlanId(plan)) {
                     return Err(format!("service {stream} or qos_class {plan} is not among the settings"));
                 }
-                self.scheduler.transfer_arrived(
+                self.scheduler.request_arrived(
                     now,
                     id,
                     StreamId(stream),
@@ -168,21 +168,21 @@
                     let node = NodeId(self.nodes.number(text(v.get(3), "brick")?));
                     self.scheduler.load_reported(now, node, waiting);
                 }
-                if let Some(id) = self.xfers.known(text(v.get(1), "tid")?) {
+                if let Some(id) = self.requests.known(text(v.get(1), "tid")?) {
                     let elsewhere = v.get(8).and_then(Value::as_f64).unwrap_or(0.0);
                     let done = outcome == Outcome::Done;
-                    self.scheduler.service_reported(now, XferId(id), done, self.tells, elsewhere);
-                    self.scheduler.leg_ended(now, XferId(id), leg, outcome, elapsed, ended);
+                    self.scheduler.service_reported(now, RequestId(id), done, self.tells, elsewhere);
+                    self.scheduler.leg_ended(now, RequestId(id), leg, outcome, elapsed, ended);
                 }
             }
             "Vanished" => {
-                if let Some(id) = self.xfers.known(text(v.get(1), "tid")?) {
-                    self.scheduler.transfer_gone(now, XferId(id));
+                if let Some(id) = self.requests.known(text(v.get(1), "tid")?) {
+                    self.scheduler.request_cancelled(now, RequestId(id));
                 }
             }
             "UnderWay" => {
-                if let Some(id) = self.xfers.known(text(v.get(1), "tid")?) {
-                    self.scheduler.answer_started(now, XferId(id));
+                if let Some(id) = self.requests.known(text(v.get(1), "tid")?) {
+                    self.scheduler.answer_started(now, RequestId(id));
                 }
             }
             "Fleet" => {
@@ -230,14 +230,14 @@
         while let Some(d) = self.scheduler.next_decision(now) {
             orders.push(match d {
                 // What leaves here has begun.
-                Decision::Send { xfer, node, timeout, begin_by: _ } => {
-                    let (tid, brick) = (self.xfer(xfer), &self.nodes.texts[node.0 as usize]);
+                Decision::Send { request, node, timeout, begin_by: _ } => {
+                    let (tid, brick) = (self.request(request), &self.nodes.texts[node.0 as usize]);
                     json!(["Transmit", number, tid, brick, timeout.map_or(0.0, Span::secs)])
                 }
-                Decision::Defer { xfer, come_back } => {
-                    json!(["TurnAway", number, self.xfer(xfer), come_back.map_or(0.0, Span::secs)])
+                Decision::Defer { request, come_back } => {
+                    json!(["TurnAway", number, self.request(request), come_back.map_or(0.0, Span::secs)])
                 }
-                Decision::Abandon { xfer } => json!(["ReportFailure", number, self.xfer(xfer)]),
+                Decision::Abandon { request } => json!(["ReportFailure", number, self.request(request)]),
                 Decision::FollowList => json!(["Follow", number, true]),
                 Decision::Log(line) => json!(["SayLog", number, line]),
             });
@@ -249,7 +249,7 @@
         }
     }
 
-    fn xfer(&self, id: XferId) -> &str {
-        &self.xfers.texts[id.0 as usize]
+    fn request(&self, id: RequestId) -> &str {
+        &self.requests.texts[id.0 as usize]
     }
 }
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -100,7 +100,7 @@
         #[arg(long, value_name = "DIR")]
         save: Option<std::path::PathBuf>,
     },
-    /// Plays fleets of hosts that know of each other, without transfers: time to know and to miss each other, bytes, false
+    /// Plays fleets of hosts that know of each other, without requests: time to know and to miss each other, bytes, false
     /// suspicions, and how views and orders meet after a partition.
     Fleet {
         /// Hosts; given several times, a line each.
--- a/crates/cli/src/stand.rs
+++ b/crates/cli/src/stand.rs
@@ -27,7 +27,7 @@
     /// Milliseconds of one core's work in a unit, at speed 1.
     #[arg(long, default_value_t = 1.0)]
     unit_ms: f64,
-    /// Transfers that may wait.
+    /// Requests that may wait.
     #[arg(long, default_value_t = 256)]
     queue: usize,
     /// Starts cold: at a fifth of its capacity, warm after five seconds.
--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/days.rs
@@ -31,7 +31,7 @@
 
 days! {
     the_first_day = "first",
-    a_drain_with_transfers_queued_and_on_the_wire = "drain",
+    a_drain_with_requests_queued_and_on_the_wire = "drain",
     second_legs_never_overlap_nor_repeat_an_effect = "second-leg",
     hosts_killed_and_restarted_under_load = "host-kill",
     all_nodes_restart_while_the_list_is_stale = "mass-restart",
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -30,7 +30,7 @@
     Newest,
     /// Version of the NBD additions; iSCSI keys have none, each is agreed on by itself.
     Version(u16),
-    /// Nothing but the public protocol, in its oldest form: a deferral can't be told from an abandoned transfer there.
+    /// Nothing but the public protocol, in its oldest form: a deferral can't be told from an abandoned request there.
     Public,
 }
 
--- a/crates/config/src/host.rs
+++ b/crates/config/src/host.rs
@@ -53,8 +53,9 @@
     pub sessions: usize,
     /// Commands open in one session.
     pub window: u32,
-    /// Transfers and bytes open at the host.
-    pub transfers: usize,
+    /// Requests and bytes open at the host.
+    #[serde(rename = "transfers")]
+    pub requests: usize,
     pub bytes: usize,
     /// Bytes of one command, of immediate data, of one data unit, and of one solicited sequence.
     pub command_bytes: u32,
@@ -75,7 +76,7 @@
     pub link_silence_ms: u64,
     /// Time a client may take to log in.
     pub login_ms: u64,
-    /// Time that open transfers have when the host is asked to end.
+    /// Time that open requests have when the host is asked to end.
     pub drain_ms: u64,
 }
 
@@ -84,7 +85,7 @@
         Bounds {
             sessions: 4096,
             window: 128,
-            transfers: 65_536,
+            requests: 65_536,
             bytes: 1 << 30,
             command_bytes: 1 << 20,
             first_burst: 65_536,
@@ -219,15 +220,15 @@
     1000.0
 }
 
-/// `units { ... }`: how a transfer's size counts.
+/// `units { ... }`: how a request's size counts.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Units {
-    /// Bytes in a unit; a transfer counts at least one.
+    /// Bytes in a unit; a request counts at least one.
     pub bytes: u32,
-    /// Units of the largest transfer; a longer command counts that many.
+    /// Units of the largest request; a longer command counts that many.
     pub most: f64,
-    /// Units of a transfer in the mean.
+    /// Units of a request in the mean.
     pub mean: f64,
 }
 
@@ -258,7 +259,7 @@
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Legs of one transfer.
+    /// Legs of one request.
     pub most_legs: u32,
     /// Longest time a client can be asked to stay away; 0: it can't be asked.
     pub longest_wait_s: f64,
@@ -383,7 +384,7 @@
     pub extent_blocks: u64,
     /// The shard of extent `n` is entry `n` modulo their number.
     pub shards: Vec<u32>,
-    /// Hosts through which its transfers come.
+    /// Hosts through which its requests come.
     pub hosts: u32,
     /// Their numbers, where told; only then do they lend each other parts of its limit.
     pub through: Vec<u32>,
@@ -473,7 +474,7 @@
         for (name, value, low, high) in [
             ("sessions", bounds.sessions as u64, 1, 60_000),
             ("window", u64::from(bounds.window), 1, 65_536),
-            ("transfers", bounds.transfers as u64, 1, 1 << 24),
+            ("transfers", bounds.requests as u64, 1, 1 << 24),
             ("bytes", bounds.bytes as u64, 1 << 16, 1 << 40),
             ("command_bytes", u64::from(bounds.command_bytes), 512, 8 << 20),
             ("first_burst", u64::from(bounds.first_burst), 512, 8 << 20),
--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -87,7 +87,7 @@
     pub counters: Counters,
     pub sessions: usize,
     pub commands: usize,
-    pub transfers: usize,
+    pub requests: usize,
     pub legs: usize,
     pub nodes: Vec<(String, NodeState)>,
     /// Seconds that the core's thread has spent in the core, and in the decision module's part of it.
@@ -241,13 +241,13 @@
                 }
             }
             Event::Status(to) => {
-                let (commands, transfers, legs) = self.core.open();
+                let (commands, requests, legs) = self.core.open();
                 let nodes = self.core.nodes().entries().map(|(a, e)| (a.to_owned(), e.state)).collect();
                 let status = Status {
                     counters: self.core.counters,
                     sessions: self.sessions.len(),
                     commands,
-                    transfers,
+                    requests,
                     legs,
                     nodes,
                     core_seconds: self.busy.as_secs_f64(),
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -190,7 +190,7 @@
         from.recv_timeout(Duration::from_secs(5)).ok()
     }
 
-    /// Ends in order: no new sessions, nothing new taken, and each open transfer gets its one answer, by `patience` at
+    /// Ends in order: no new sessions, nothing new taken, and each open request gets its one answer, by `patience` at
     /// the latest. True: all had it before.
     pub fn drain(self, patience: Duration) -> bool {
         self.stopping.store(true, Ordering::Release);
--- a/crates/host/src/links.rs
+++ b/crates/host/src/links.rs
@@ -249,7 +249,7 @@
         let left = (leg.until - now).secs().max(0.0);
         Frame::Send(node::SendLeg {
             leg: leg.leg.0,
-            xfer: leg.xfer,
+            request: leg.request,
             leg_no: leg.leg_no,
             origin: Origin { session: leg.from.session, command: leg.from.command, part: leg.part },
             sent_us: self.clock.unix_us(now),
--- a/crates/hostcore/src/admission.rs
+++ b/crates/hostcore/src/admission.rs
@@ -13,24 +13,24 @@
 const SESSION_TIMES: f64 = 4.0;
 const VOLUME_TIMES: f64 = 8.0;
 
-/// Transfers and bytes, of the host or a part of it.
+/// Requests and bytes, of the host or a part of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Held {
-    pub transfers: usize,
+    pub requests: usize,
     pub bytes: usize,
 }
 
 impl Held {
     fn plus(self, other: Held) -> Held {
-        Held { transfers: self.transfers + other.transfers, bytes: self.bytes + other.bytes }
+        Held { requests: self.requests + other.requests, bytes: self.bytes + other.bytes }
     }
     fn less(self, other: Held) -> Held {
-        let (transfers, bytes) =
-            (self.transfers.saturating_sub(other.transfers), self.bytes.saturating_sub(other.bytes));
-        Held { transfers, bytes }
+        let (requests, bytes) =
+            (self.requests.saturating_sub(other.requests), self.bytes.saturating_sub(other.bytes));
+        Held { requests, bytes }
     }
     fn within(self, bound: Held, times: f64) -> bool {
-        self.transfers as f64 <= times * bound.transfers as f64
+        self.requests as f64 <= times * bound.requests as f64
             && self.bytes as f64 <= times * bound.bytes as f64
     }
 }
@@ -47,9 +47,9 @@
 }
 
 impl Admission {
-    pub fn new(now: Instant, transfers: usize, bytes: usize, longest_wait: Span) -> Self {
+    pub fn new(now: Instant, requests: usize, bytes: usize, longest_wait: Span) -> Self {
         Admission {
-            most: Held { transfers, bytes },
+            most: Held { requests, bytes },
             longest_wait,
             held: Held::default(),
             sessions: HashMap::new(),
@@ -83,14 +83,14 @@
         }
         self.fade(now);
         let rate = self.ended / RATE_MEMORY;
-        let cleared = CLEARED * self.most.transfers as f64 + wanted.transfers as f64;
+        let cleared = CLEARED * self.most.requests as f64 + wanted.requests as f64;
         let wait = if rate > 0.0 { cleared / rate } else { f64::MAX };
         Err(Span::from_secs(wait.clamp(LEAST_WAIT, self.longest_wait.secs().max(LEAST_WAIT))))
     }
 
     pub fn leave(&mut self, now: Instant, session: u32, volume: usize, held: Held) {
         self.fade(now);
-        self.ended += held.transfers as f64;
+        self.ended += held.requests as f64;
         self.held = self.held.less(held);
         let less = |h: &mut Held| {
             *h = h.less(held);
@@ -110,10 +110,10 @@
     use super::*;
 
     fn one(bytes: usize) -> Held {
-        Held { transfers: 1, bytes }
+        Held { requests: 1, bytes }
     }
 
-    /// How many of one transfer each get in, of those that ask one after the other: session, volume.
+    /// How many of one request each get in, of those that ask one after the other: session, volume.
     fn fill(a: &mut Admission, asks: &[(u32, usize)], rounds: usize) -> Vec<usize> {
         let mut got = vec![0; asks.len()];
         for _ in 0..rounds {
@@ -127,7 +127,7 @@
     #[test]
     fn a_full_table_names_a_time_that_follows_its_pace() {
         let at = Instant::from_secs;
-        // Sessions that fill it, transfers ended over the last second, bytes asked; least and most wait, 0 fits.
+        // Sessions that fill it, requests ended over the last second, bytes asked; least and most wait, 0 fits.
         for (name, sessions, ended, bytes, low, high) in [
             ("room", 0, 0, 10, 0.0, 0.0),
             ("full and stuck", 50, 0, 10, 2.0, 2.0),
--- a/crates/hostcore/src/combine.rs
+++ b/crates/hostcore/src/combine.rs
@@ -1,4 +1,4 @@
-//! One answer for a command of several parts. Parts are transfers of their own to the decision module; their
+//! One answer for a command of several parts. Parts are requests of their own to the decision module; their
 //! client is owed one final answer, as early as it is certain.
 
 use tackmast::interface::{Effect, Group, Span};
--- a/crates/hostcore/src/core.rs
+++ b/crates/hostcore/src/core.rs
@@ -70,7 +70,7 @@
     Request(Request),
 }
 
-/// What every leg of a transfer says.
+/// What every leg of a request says.
 struct LegText {
     key: u64,
     volume: u32,
@@ -106,8 +106,8 @@
 pub struct SendLeg {
     pub node: NodeId,
     pub leg: LegId,
-    /// The transfer's number in this life of the host, the leg's within the transfer.
-    pub xfer: u64,
+    /// The request's number in this life of the host, the leg's within the request.
+    pub request: u64,
     pub leg_no: u8,
     pub from: CommandRef,
     pub part: u16,
@@ -200,7 +200,7 @@
 pub struct LegBack {
     pub leg: LegId,
     pub outcome: Outcome,
-    /// Transfers waiting at the node, and units it served for the volume through other hosts, where it told.
+    /// Requests waiting at the node, and units it served for the volume through other hosts, where it told.
     pub waiting: Option<u32>,
     pub elsewhere: Option<f64>,
     pub data: Bytes,
@@ -232,7 +232,7 @@
     ticket: Ticket,
 }
 
-struct Xfer {
+struct PendingRequest {
     serial: u64,
     from: CommandRef,
     part: u16,
@@ -248,7 +248,7 @@
     answered: bool,
 }
 
-impl Xfer {
+impl PendingRequest {
     fn new(
         serial: u64,
         (from, part): (CommandRef, u16),
@@ -257,7 +257,7 @@
         expiry: Instant,
         place: Option<Place>,
     ) -> Self {
-        Xfer {
+        PendingRequest {
             serial,
             from,
             part,
@@ -278,7 +278,7 @@
 }
 
 struct Command {
-    parts: Vec<(XferId, Option<PartEnd>, Bytes)>,
+    parts: Vec<(RequestId, Option<PartEnd>, Bytes)>,
     stream: usize,
     volume: usize,
     marked: bool,
@@ -300,10 +300,10 @@
     sharing: Sharing,
     commands: HashMap<CommandRef, Command>,
     sessions: HashMap<u32, BTreeSet<u32>>, // open commands
-    xfers: HashMap<XferId, Xfer>,
+    requests: HashMap<RequestId, PendingRequest>,
     serial: u64,
-    at_node: BTreeMap<NodeId, BTreeSet<(XferId, u32)>>, // legs out
-    until: BTreeSet<(Instant, XferId, u32)>,            // the same, by the end of their time
+    at_node: BTreeMap<NodeId, BTreeSet<(RequestId, u32)>>, // legs out
+    until: BTreeSet<(Instant, RequestId, u32)>,            // the same, by the end of their time
     grace: Span,
     cuts: BTreeSet<(Instant, NodeId)>, // when what is still being written to a node that drains is cut off
     list_version: u64,
@@ -348,7 +348,7 @@
             tells: s.load.tells_others,
             longest_wait: longest,
             grace: Span::from_secs(s.load.drain_grace_ms / 1e3),
-            transfers: s.bounds.transfers,
+            requests: s.bounds.requests,
             bytes: s.bounds.bytes,
             nodes: s.bounds.nodes,
             volumes: 0,
@@ -361,7 +361,7 @@
         }
     }
 
-    /// A host whose transfers arrive already placed, round a module that has its settings.
+    /// A host whose requests arrive already placed, round a module that has its settings.
     pub fn placed(now: Instant, scheduler: Scheduler, s: PlacedSettings, life: u64) -> Self {
         Core {
             scheduler,
@@ -373,11 +373,11 @@
             longest_wait: s.longest_wait,
             life,
             nodes: Nodes::new(s.nodes),
-            admission: Admission::new(now, s.transfers, s.bytes, s.longest_wait),
+            admission: Admission::new(now, s.requests, s.bytes, s.longest_wait),
             sharing: Sharing::default(),
             commands: HashMap::new(),
             sessions: HashMap::new(),
-            xfers: HashMap::new(),
+            requests: HashMap::new(),
             serial: 0,
             at_node: BTreeMap::new(),
             until: BTreeSet::new(),
@@ -425,9 +425,9 @@
         self.scheduler.keys_in_order()
     }
 
-    /// Commands without an answer, transfers that are kept, and legs out.
+    /// Commands without an answer, requests that are kept, and legs out.
     pub fn open(&self) -> (usize, usize, usize) {
-        (self.commands.len(), self.xfers.len(), self.until.len())
+        (self.commands.len(), self.requests.len(), self.until.len())
     }
 }
 
@@ -456,7 +456,7 @@
             self.cuts.pop_first();
             let stopped = self.is_stopped(now, node);
             for (id, no) in self.at_node.get(&node).cloned().unwrap_or_default() {
-                let leg = self.xfers.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
+                let leg = self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
                 if stopped && leg.is_some_and(|o| o.ticket.is_stuck()) {
                     self.counters.cut += 1;
                     self.outputs.push_back(Output::Cut { node, leg: leg_id(id, no) });
@@ -464,7 +464,7 @@
             }
         }
         while let Some((_, id, no)) = self.until.first().copied().filter(|(t, _, _)| *t <= now) {
-            let leg = self.xfers.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
+            let leg = self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
             let Some((node, unsent, stuck)) = leg.map(|o| (o.node, o.ticket.withdraw(), o.ticket.is_stuck()))
             else {
                 self.until.pop_first();
@@ -483,7 +483,7 @@
     }
 }
 
-fn leg_id(id: XferId, no: u32) -> LegId {
+fn leg_id(id: RequestId, no: u32) -> LegId {
     LegId(u64::from(id.0) << 8 | u64::from(no & 0xff))
 }
 
@@ -517,7 +517,7 @@
     Some(NodeFacts { address: address.parse().ok()?, zone: e.zone.0, shard: e.shard.0, listed: e.state })
 }
 
-fn joined(parts: &[(XferId, Option<PartEnd>, Bytes)], bytes: usize) -> Bytes {
+fn joined(parts: &[(RequestId, Option<PartEnd>, Bytes)], bytes: usize) -> Bytes {
     if let [(_, _, only)] = parts {
         return only.clone();
     }
--- a/crates/hostcore/src/core/commands.rs
+++ b/crates/hostcore/src/core/commands.rs
@@ -40,7 +40,7 @@
         }
         let bytes = blocks as usize * block_bytes;
         // A full table answers at once with when to come back; nothing is dropped in silence.
-        let held = Held { transfers: parts.len(), bytes };
+        let held = Held { requests: parts.len(), bytes };
         if let Err(wait) = self.admission.enter(now, from.session, volume, held) {
             self.counters.over_bound += 1;
             return self.refuse(from, Some(wait));
@@ -49,7 +49,7 @@
             Work::Write { data } => Some(data),
             Work::Read { .. } => None,
         };
-        let ids: Vec<XferId> = parts.iter().map(|_| self.new_id()).collect();
+        let ids: Vec<RequestId> = parts.iter().map(|_| self.new_id()).collect();
         let open = ids.iter().map(|id| (*id, None, Bytes::new())).collect();
         let command = Command { parts: open, stream, volume, marked: mark.is_some(), bytes, write };
         self.commands.insert(from, command);
@@ -77,8 +77,11 @@
                     None => LegWork::Read { length: spec.blocks * v.block_bytes },
                 },
             };
-            self.xfers.insert(*id, Xfer::new(serial, (from, i as u16), text, stream, expiry, Some(place)));
-            self.scheduler.transfer_arrived(
+            self.requests.insert(
+                *id,
+                PendingRequest::new(serial, (from, i as u16), text, stream, expiry, Some(place)),
+            );
+            self.scheduler.request_arrived(
                 now,
                 *id,
                 StreamId(stream as u32),
@@ -90,11 +93,11 @@
                 Some(spec.shard),
                 hosts,
             );
-            self.scheduler.transfer_tagged(*id, tag);
+            self.scheduler.request_tagged(*id, tag);
         }
     }
 
-    /// A transfer that its client has placed already, owed one answer. Volumes, keys and shards are the client's words.
+    /// A request that its client has placed already, owed one answer. Volumes, keys and shards are the client's words.
     pub fn submit_placed(&mut self, now: Instant, from: CommandRef, p: Placed) {
         self.counters.taken += 1;
         if self.draining {
@@ -110,7 +113,7 @@
             return self.refuse(from, Some(self.longest_wait));
         };
         let bytes = p.request.bytes();
-        if let Err(wait) = self.admission.enter(now, from.session, volume, Held { transfers: 1, bytes }) {
+        if let Err(wait) = self.admission.enter(now, from.session, volume, Held { requests: 1, bytes }) {
             self.counters.over_bound += 1;
             return self.refuse(from, Some(wait));
         }
@@ -121,18 +124,19 @@
         self.sessions.entry(from.session).or_default().insert(from.command);
         let work = LegWork::Request(p.request);
         let text = LegText { key: 0, volume: volume as u32, offset: 0, units: p.units, work };
-        self.xfers.insert(id, Xfer::new(self.serial, (from, 0), text, stream, now + p.left, None));
+        self.requests
+            .insert(id, PendingRequest::new(self.serial, (from, 0), text, stream, now + p.left, None));
         let (volume, key) = (VolumeId(volume as u32), Some(key_id(p.key)));
         self.scheduler
-            .transfer_arrived(now, id, p.stream, p.plan, key, p.left, volume, p.units, p.shard, p.hosts);
+            .request_arrived(now, id, p.stream, p.plan, key, p.left, volume, p.units, p.shard, p.hosts);
     }
 
-    /// The next number that no open transfer has. Answered ones keep theirs until their last leg is back.
-    pub(super) fn new_id(&mut self) -> XferId {
+    /// The next number that no open request has. Answered ones keep theirs until their last leg is back.
+    pub(super) fn new_id(&mut self) -> RequestId {
         loop {
             self.serial += 1;
-            let id = XferId(self.serial as u32);
-            if !self.xfers.contains_key(&id) {
+            let id = RequestId(self.serial as u32);
+            if !self.requests.contains_key(&id) {
                 return id;
             }
         }
@@ -183,26 +187,27 @@
         self.sharing.gone(session);
     }
 
-    /// The transfer of one part has its end.
-    pub(super) fn part_over(&mut self, now: Instant, id: XferId, mut end: PartEnd, data: Bytes) {
-        let Some((from, part)) = self.xfers.get(&id).filter(|x| !x.answered).map(|x| (x.from, x.part)) else {
+    /// The request of one part has its end.
+    pub(super) fn part_over(&mut self, now: Instant, id: RequestId, mut end: PartEnd, data: Bytes) {
+        let Some((from, part)) = self.requests.get(&id).filter(|x| !x.answered).map(|x| (x.from, x.part))
+        else {
             return;
         };
         // An undone part settles the whole command. What is still unsent of it is taken back before it is
         // judged whether any of it may have run: a leg that left in between would make the judgement false.
-        let ids: Vec<XferId> = match (end, self.commands.get(&from)) {
+        let ids: Vec<RequestId> = match (end, self.commands.get(&from)) {
             (PartEnd::Done, _) | (_, None) => vec![id],
             (_, Some(c)) => c.parts.iter().map(|(id, _, _)| *id).collect(),
         };
         for id in ids {
             self.withdraw_legs(now, id);
         }
-        if let Some(x) = self.xfers.get(&id) {
+        if let Some(x) = self.requests.get(&id) {
             if let PartEnd::Deferred { ran, .. } | PartEnd::Abandoned { ran } = &mut end {
                 *ran = x.may_have_run();
             }
         }
-        if let Some(x) = self.xfers.get_mut(&id) {
+        if let Some(x) = self.requests.get_mut(&id) {
             x.answered = true;
             if let Some(place) = x.place.take() {
                 self.sharing.left(place);
@@ -214,7 +219,7 @@
         if let Some(slot) = c.parts.get_mut(usize::from(part)) {
             (slot.1, slot.2) = (Some(end), data);
         }
-        let open = |id: &XferId| self.xfers.get(id).is_some_and(Xfer::may_have_run);
+        let open = |id: &RequestId| self.requests.get(id).is_some_and(PendingRequest::may_have_run);
         let ends: Vec<PartEnd> =
             c.parts.iter().map(|(id, end, _)| end.unwrap_or(PartEnd::Open { ran: open(id) })).collect();
         let Some(combined) = combine(self.streams[c.stream].effect, c.marked, &ends) else { return };
@@ -241,7 +246,7 @@
     }
 
     pub(super) fn forget_command(&mut self, now: Instant, from: CommandRef, c: &Command) {
-        let held = Held { transfers: c.parts.len(), bytes: c.bytes };
+        let held = Held { requests: c.parts.len(), bytes: c.bytes };
         self.admission.leave(now, from.session, c.volume, held);
         if let Some(open) = self.sessions.get_mut(&from.session) {
             open.remove(&from.command);
--- a/crates/hostcore/src/core/legs.rs
+++ b/crates/hostcore/src/core/legs.rs
@@ -5,14 +5,14 @@
 impl Core {
     /// Whether a leg has not had its end yet.
     pub fn is_out(&self, leg: LegId) -> bool {
-        let (id, no) = (XferId((leg.0 >> 8) as u32), (leg.0 & 0xff) as u32);
-        self.xfers.get(&id).is_some_and(|x| x.out.iter().any(|o| o.no == no))
+        let (id, no) = (RequestId((leg.0 >> 8) as u32), (leg.0 & 0xff) as u32);
+        self.requests.get(&id).is_some_and(|x| x.out.iter().any(|o| o.no == no))
     }
 
     /// A leg came back from its link. One that is not known any more had its end before.
     pub fn leg_back(&mut self, now: Instant, back: LegBack) {
-        let (id, no) = (XferId((back.leg.0 >> 8) as u32), (back.leg.0 & 0xff) as u32);
-        let known = self.xfers.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
+        let (id, no) = (RequestId((back.leg.0 >> 8) as u32), (back.leg.0 & 0xff) as u32);
+        let known = self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
         let Some(node) = known.map(|o| o.node) else {
             self.counters.strays += 1;
             return;
@@ -25,13 +25,15 @@
 
     pub(super) fn carry_out(&mut self, now: Instant, decision: Decision) {
         match decision {
-            Decision::Send { xfer, node, timeout, begin_by } => self.send(now, xfer, node, timeout, begin_by),
-            Decision::Defer { xfer, come_back } => {
+            Decision::Send { request, node, timeout, begin_by } => {
+                self.send(now, request, node, timeout, begin_by)
+            }
+            Decision::Defer { request, come_back } => {
                 let end = PartEnd::Deferred { ran: true, come_back };
-                self.part_over(now, xfer, end, Bytes::new());
+                self.part_over(now, request, end, Bytes::new());
             }
-            Decision::Abandon { xfer } => {
-                self.part_over(now, xfer, PartEnd::Abandoned { ran: true }, Bytes::new());
+            Decision::Abandon { request } => {
+                self.part_over(now, request, PartEnd::Abandoned { ran: true }, Bytes::new());
             }
             Decision::FollowList => self.outputs.push_back(Output::FollowList { since: self.list_version }),
             Decision::Log(line) => {
@@ -46,12 +48,12 @@
     pub(super) fn send(
         &mut self,
         now: Instant,
-        id: XferId,
+        id: RequestId,
         node: NodeId,
         timeout: Option<Span>,
         begin_by: Option<Instant>,
     ) {
-        let Some(x) = self.xfers.get_mut(&id) else { return };
+        let Some(x) = self.requests.get_mut(&id) else { return };
         let until = timeout.map_or(x.expiry, |t| x.expiry.min(now + t));
         let (no, st) = (x.legs, &self.streams[x.stream]);
         x.legs += 1;
@@ -68,7 +70,7 @@
         let leg = SendLeg {
             node,
             leg: leg_id(id, no),
-            xfer: x.serial,
+            request: x.serial,
             leg_no: no.min(255) as u8,
             from: x.from,
             part: x.part,
@@ -89,13 +91,13 @@
     pub(super) fn leg_over(
         &mut self,
         now: Instant,
-        id: XferId,
+        id: RequestId,
         no: u32,
         o: Outcome,
         elsewhere: Option<f64>,
         data: Bytes,
     ) {
-        let Some(x) = self.xfers.get_mut(&id) else { return };
+        let Some(x) = self.requests.get_mut(&id) else { return };
         let Some(i) = x.out.iter().position(|l| l.no == no) else { return };
         let out = x.out.swap_remove(i);
         self.until.remove(&(out.until, id, no));
@@ -123,29 +125,29 @@
         self.forget(id);
     }
 
-    /// A transfer that was answered and has no leg out leaves the table.
-    pub(super) fn forget(&mut self, id: XferId) {
-        if self.xfers.get(&id).is_some_and(|x| x.answered && x.out.is_empty()) {
-            self.xfers.remove(&id);
+    /// A request that was answered and has no leg out leaves the table.
+    pub(super) fn forget(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(|x| x.answered && x.out.is_empty()) {
+            self.requests.remove(&id);
         }
     }
 
     /// The command is over before this part of it: nothing new is sent for it, and its legs are called back.
-    pub(super) fn let_go(&mut self, now: Instant, id: XferId) {
-        let Some(x) = self.xfers.get_mut(&id).filter(|x| !x.answered) else { return };
+    pub(super) fn let_go(&mut self, now: Instant, id: RequestId) {
+        let Some(x) = self.requests.get_mut(&id).filter(|x| !x.answered) else { return };
         x.answered = true;
         if let Some(place) = x.place.take() {
             self.sharing.left(place);
         }
-        self.scheduler.transfer_gone(now, id);
+        self.scheduler.request_cancelled(now, id);
         self.withdraw_legs(now, id);
         self.call_back(id);
         self.forget(id);
     }
 
     /// Legs of which no byte has left never will: they provably did not run.
-    pub(super) fn withdraw_legs(&mut self, now: Instant, id: XferId) {
-        let out = self.xfers.get(&id).map_or(&[][..], |x| &x.out);
+    pub(super) fn withdraw_legs(&mut self, now: Instant, id: RequestId) {
+        let out = self.requests.get(&id).map_or(&[][..], |x| &x.out);
         let unsent: Vec<u32> = out.iter().filter(|o| o.ticket.withdraw()).map(|o| o.no).collect();
         // No word on its node, which never saw it.
         for no in unsent {
@@ -155,8 +157,8 @@
     }
 
     /// Nobody waits for the legs that are out: their nodes need not go on.
-    pub(super) fn call_back(&mut self, id: XferId) {
-        let out = self.xfers.get(&id).map_or(&[][..], |x| &x.out);
+    pub(super) fn call_back(&mut self, id: RequestId) {
+        let out = self.requests.get(&id).map_or(&[][..], |x| &x.out);
         let legs: Vec<_> = out.iter().map(|o| (o.node, leg_id(id, o.no), o.ticket.is_stuck())).collect();
         for (node, leg, stuck) in legs {
             self.push_cancel(node, leg, stuck);
@@ -171,7 +173,7 @@
     pub(super) fn withdraw_at(&mut self, now: Instant, node: NodeId) {
         for (id, no) in self.at_node.get(&node).cloned().unwrap_or_default() {
             let ticket =
-                self.xfers.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no)).map(|o| &o.ticket);
+                self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no)).map(|o| &o.ticket);
             if ticket.is_some_and(Ticket::withdraw) {
                 self.counters.withdrawn += 1;
                 self.leg_over(now, id, no, Outcome::Refused, None, Bytes::new());
--- a/crates/hostcore/src/layout.rs
+++ b/crates/hostcore/src/layout.rs
@@ -10,7 +10,7 @@
     pub block: u64,
     pub blocks: u32,
     pub shard: ShardId,
-    /// What is read or written, for the order of transfers; never 0.
+    /// What is read or written, for the order of requests; never 0.
     pub key: u64,
     pub units: f64,
 }
@@ -99,7 +99,7 @@
             }
             let until = until.min(end);
             let blocks = (until - at) as u32;
-            // Ordered transfers share a key within a granule; others are known by where they begin.
+            // Ordered requests share a key within a granule; others are known by where they begin.
             let first = granule.map_or(at, |g| extent * v.extent_blocks + in_extent / g * g);
             let bytes = f64::from(blocks) * f64::from(v.block_bytes);
             parts.push(Part {
--- a/crates/hostcore/src/lib.rs
+++ b/crates/hostcore/src/lib.rs
@@ -1,6 +1,6 @@
 //! One host without sockets, threads or clocks. Inputs tell it of client commands, legs, the node list and the
-//! time; outputs are pulled one by one. Which transfer leaves when, for which node, and what its client is told
-//! is decided by `tackmast::policy` alone; this package keeps what ties clients, transfers and legs together,
+//! time; outputs are pulled one by one. Which request leaves when, for which node, and what its client is told
+//! is decided by `tackmast::policy` alone; this package keeps what ties clients, requests and legs together,
 //! and answers for commands of several parts. docs/host.md describes it.
 
 mod admission;
--- a/crates/hostcore/src/placed.rs
+++ b/crates/hostcore/src/placed.rs
@@ -1,4 +1,4 @@
-//! Transfers that arrive already placed: their client names volume, plan, stream type, shard and key, and the host only
+//! Requests that arrive already placed: their client names volume, plan, stream type, shard and key, and the host only
 //! decides when and whether they leave. What they ask of the node is opaque here.
 
 use bytes::Bytes;
@@ -28,7 +28,7 @@
     pub shard: Option<ShardId>,
     pub key: u64,
     pub units: f64,
-    /// Through how many hosts the volume's transfers come.
+    /// Through how many hosts the volume's requests come.
     pub hosts: u32,
     pub left: Span,
     pub request: Request,
@@ -42,7 +42,7 @@
     pub longest_wait: Span,
     /// Of a node that drains.
     pub grace: Span,
-    pub transfers: usize,
+    pub requests: usize,
     pub bytes: usize,
     pub nodes: usize,
     pub volumes: usize,
--- a/crates/hostcore/src/sharing.rs
+++ b/crates/hostcore/src/sharing.rs
@@ -1,8 +1,8 @@
-//! How the sessions of one volume share it: a tag for each transfer, by which the decision module orders those that wait
+//! How the sessions of one volume share it: a tag for each request, by which the decision module orders those that wait
 //! for the same volume, stream type and shard.
 //!
-//! Start-time fair queueing: a transfer's tag is the virtual time at which its session's work before it would end, and
-//! no earlier than the tag that left last. So one session with thousands of transfers waiting stands behind the first
+//! Start-time fair queueing: a request's tag is the virtual time at which its session's work before it would end, and
+//! no earlier than the tag that left last. So one session with thousands of requests waiting stands behind the first
 //! of each other session, and what nobody else wants is its own. Nothing is saved up while idle.
 
 use std::collections::{BTreeMap, HashMap};
@@ -18,7 +18,7 @@
     pub stream: u32,
 }
 
-/// A transfer's place in its line, to be given back once: by `sent` or by `left`.
+/// A request's place in its line, to be given back once: by `sent` or by `left`.
 #[derive(Debug, PartialEq)]
 #[must_use]
 pub struct Place {
@@ -33,7 +33,7 @@
     /// Virtual time, in units.
     now: f64,
     waiting: usize,
-    /// Where each session's work so far ends, and how many of its transfers wait.
+    /// Where each session's work so far ends, and how many of its requests wait.
     sessions: HashMap<u32, (f64, usize)>,
     forget_at: usize,
 }
@@ -81,7 +81,7 @@
         self.over(&place, 0.0);
     }
 
-    /// It ended without a leg. What was never served isn't charged: else a session whose transfers were all given up
+    /// It ended without a leg. What was never served isn't charged: else a session whose requests were all given up
     /// would stand behind the others for as long as it would have taken to serve them.
     pub fn left(&mut self, place: Place) {
         self.over(&place, place.units);
@@ -142,7 +142,7 @@
 
     #[test]
     fn sessions_share_by_units_whatever_they_ask() {
-        // Transfers and units each of sessions 0, 1, ...; units served; least and most units each got of them.
+        // Requests and units each of sessions 0, 1, ...; units served; least and most units each got of them.
         type Case = (&'static str, Vec<(usize, f64)>, f64, Vec<(f64, f64)>);
         let cases: Vec<Case> = vec![
             ("alone", vec![(1000, 1.0)], 100.0, vec![(100.0, 100.0)]),
@@ -209,7 +209,7 @@
         #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..Default::default() })]
 
         /// Two sessions that always have something waiting: what they were served never differs by more than a
-        /// transfer of each.
+        /// request of each.
         #[test]
         fn nobody_falls_behind(steps in prop::collection::vec((0u32..2, 1u32..9, any::<bool>()), 1..300)) {
             let mut s = Sharing::default();
--- a/crates/hostcore/src/ticket.rs
+++ b/crates/hostcore/src/ticket.rs
@@ -1,6 +1,6 @@
 //! Whether a leg has begun to leave the host. The link claims it just before the first byte is written; the core
 //! withdraws it when the leg is over. Only one of the two can succeed, so a withdrawn leg provably never ran:
-//! a leg that waits behind a node which takes no bytes must not go out after its transfer was answered, nor
+//! a leg that waits behind a node which takes no bytes must not go out after its request was answered, nor
 //! after the grace of a drain.
 
 use std::sync::atomic::{AtomicU8, Ordering};
--- a/crates/hostcore/tests/placed.rs
+++ b/crates/hostcore/tests/placed.rs
@@ -1,4 +1,4 @@
-//! Transfers that arrive already placed, in virtual time: one path with block commands.
+//! Requests that arrive already placed, in virtual time: one path with block commands.
 
 use bytes::Bytes;
 use tackmast::interface::*;
@@ -25,7 +25,7 @@
     [Effect::Repeatable, Effect::Unrepeatable, Effect::Keyed { group: Group::Shard, window: Span::ZERO }];
 
 impl Rig {
-    fn new(transfers: usize, nodes: usize, volumes: usize) -> Rig {
+    fn new(requests: usize, nodes: usize, volumes: usize) -> Rig {
         let now = at(10.0);
         let mut scheduler = Scheduler::new(now, 1, 1, span(0.002), 2.0);
         scheduler.plan(0.0, 0.0, 0.0, 0.0, 1.0);
@@ -40,7 +40,7 @@
         scheduler.leg_limits(3, span(0.5), Span::ZERO);
         let (tells, longest_wait, grace) = (true, span(0.5), span(1.0));
         let settings =
-            PlacedSettings { streams, tells, longest_wait, grace, transfers, bytes: 1 << 20, nodes, volumes };
+            PlacedSettings { streams, tells, longest_wait, grace, requests, bytes: 1 << 20, nodes, volumes };
         let mut rig = Rig {
             core: Core::placed(now, scheduler, settings, 1),
             sent: vec![],
--- a/crates/httphost/src/pool.rs
+++ b/crates/httphost/src/pool.rs
@@ -11,7 +11,7 @@
 const CLIENTS_PART: f64 = 0.6;
 /// Of the memory, what may stand in buffers. The rest is the program, its tables, and what the allocator keeps.
 const BYTES_PART: f64 = 0.25;
-/// A transfer's tables, roughly; so many fit into the same part again.
+/// A request's tables, roughly; so many fit into the same part again.
 const TRANSFER_BYTES: usize = 4096;
 
 /// What the host may hold, from the platform's limits.
@@ -20,7 +20,7 @@
     pub clients: usize,
     pub links: usize,
     pub bytes: usize,
-    pub transfers: usize,
+    pub requests: usize,
 }
 
 impl Split {
@@ -28,9 +28,9 @@
         let free = limits.sockets.saturating_sub(OWN_SOCKETS);
         let clients = (free as f64 * CLIENTS_PART) as usize;
         let bytes = (limits.memory_bytes as f64 * BYTES_PART) as usize;
-        // A client has one request open; the table of transfers has room for all that fit.
-        let transfers = (bytes / TRANSFER_BYTES).min(clients * 2);
-        Split { clients, links: free - clients, bytes, transfers }
+        // A client has one request open; the table of requests has room for all that fit.
+        let requests = (bytes / TRANSFER_BYTES).min(clients * 2);
+        Split { clients, links: free - clients, bytes, requests }
     }
 }
 
--- a/crates/httphost/src/pool/tests.rs
+++ b/crates/httphost/src/pool/tests.rs
@@ -14,7 +14,7 @@
         let s = Split::of(&Limits { cores: 0.3, memory_bytes: mb * MB, sockets });
         assert!(s.clients + s.links + OWN_SOCKETS <= sockets, "{s:?}");
         assert!(s.clients >= clients && s.links >= links, "{sockets}: {s:?}");
-        assert!(s.bytes + s.transfers * TRANSFER_BYTES <= mb * MB / 2, "{s:?}");
+        assert!(s.bytes + s.requests * TRANSFER_BYTES <= mb * MB / 2, "{s:?}");
     }
 }
 
--- a/crates/httphost/src/serve.rs
+++ b/crates/httphost/src/serve.rs
@@ -139,7 +139,7 @@
             tells: s.tells,
             longest_wait: s.longest_wait,
             grace: s.drain_grace,
-            transfers: split.transfers,
+            requests: split.requests,
             bytes: split.bytes,
             nodes: NODES,
             volumes: VOLUMES,
--- a/crates/httphost/tests/clients.rs
+++ b/crates/httphost/tests/clients.rs
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_transfer_back() {
+fn a_client_that_leaves_takes_its_request_back() {
     let mut rig = Rig::new();
     rig.nodes[0].set(NodeFault::Silent, 1);
     let mut client = rig.client();
--- a/crates/httphost/tests/nodes.rs
+++ b/crates/httphost/tests/nodes.rs
@@ -7,7 +7,7 @@
 use tackmast_standins::http::NodeFault;
 
 #[test]
-fn what_a_node_answers_decides_how_the_transfer_goes_on() {
+fn what_a_node_answers_decides_how_the_request_goes_on() {
     use NodeFault::*;
     // The first answer; whether one that must not run twice is done all the same; connections the node then had with the
     // two requests and the good one behind them.
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// One transfer of a script's traffic.
+/// One request of a script's traffic.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ask {
     /// Microseconds from when the traffic begins.
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Hosts that know of each other, without transfers: how long until all know all, until a loss is known, what it costs,
+//! Hosts that know of each other, without requests: how long until all know all, until a loss is known, what it costs,
 //! and how views and orders meet again after a partition. Models in virtual time; the very `Member` that hosts run.
 
 use crate::sim::peer_address;
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -45,7 +45,7 @@
     Found { seed: world.seed, report: judge(&run.trace), run }
 }
 
-/// Plays seeds one after the other until one breaks a rule, leaves a transfer stuck, or the count is reached.
+/// Plays seeds one after the other until one breaks a rule, leaves a request stuck, or the count is reached.
 pub fn hunt(first: u64, count: u64, hosts: u32, mutant: Option<Mutant>) -> Option<Found> {
     (first..first + count).map(|seed| play(&World::draw(seed, hosts), mutant)).find(Found::is_bad)
 }
--- a/crates/lab/src/plain.rs
+++ b/crates/lab/src/plain.rs
@@ -40,7 +40,7 @@
     /// Tokens of each volume, and when they were counted.
     tokens: HashMap<usize, (f64, Instant)>,
     commands: HashMap<CommandRef, Vec<u64>>,
-    xfers: HashMap<u64, Xfer>,
+    requests: HashMap<u64, PendingRequest>,
     until: BTreeSet<(Instant, u64)>,
     serial: u64,
     outputs: VecDeque<Output>,
@@ -48,7 +48,7 @@
     listed: bool,
 }
 
-struct Xfer {
+struct PendingRequest {
     from: CommandRef,
     part: u16,
     spec: Part,
@@ -72,7 +72,7 @@
             out: BTreeMap::new(),
             tokens: HashMap::new(),
             commands: HashMap::new(),
-            xfers: HashMap::new(),
+            requests: HashMap::new(),
             until: BTreeSet::new(),
             serial: 0,
             outputs: VecDeque::new(),
@@ -111,8 +111,10 @@
             let (part, node, done) = (i as u16, None, None);
             self.queues.entry(spec.shard).or_default().push_back(self.serial);
             self.until.insert((expiry, self.serial));
-            self.xfers
-                .insert(self.serial, Xfer { from, part, spec, volume, stream, data, expiry, node, done });
+            self.requests.insert(
+                self.serial,
+                PendingRequest { from, part, spec, volume, stream, data, expiry, node, done },
+            );
             ids.push(self.serial);
         }
         match ids.is_empty() {
@@ -125,10 +127,10 @@
         self.outputs.push_back(Output::Answer { to, verdict });
     }
 
-    fn forget(&mut self, from: CommandRef) -> Vec<Xfer> {
+    fn forget(&mut self, from: CommandRef) -> Vec<PendingRequest> {
         let mut gone = Vec::new();
         for id in self.commands.remove(&from).unwrap_or_default() {
-            let Some(x) = self.xfers.remove(&id) else { continue };
+            let Some(x) = self.requests.remove(&id) else { continue };
             self.until.remove(&(x.expiry, id));
             if let Some(node) = x.node.filter(|_| x.done.is_none()) {
                 *self.out.entry(x.spec.shard).or_default() -= 1;
@@ -141,7 +143,7 @@
 
     fn back(&mut self, b: LegBack) {
         let id = b.leg.0 >> 8;
-        let Some(x) = self.xfers.get_mut(&id).filter(|x| x.node.is_some() && x.done.is_none()) else {
+        let Some(x) = self.requests.get_mut(&id).filter(|x| x.node.is_some() && x.done.is_none()) else {
             return;
         };
         let from = x.from;
@@ -159,7 +161,7 @@
         let shard = x.spec.shard;
         *self.out.entry(shard).or_default() -= 1;
         let all =
-            self.commands.get(&from).is_some_and(|ids| ids.iter().all(|i| self.xfers[i].done.is_some()));
+            self.commands.get(&from).is_some_and(|ids| ids.iter().all(|i| self.requests[i].done.is_some()));
         if all {
             let mut data = BytesMut::new();
             self.forget(from).into_iter().filter_map(|x| x.done).for_each(|d| data.extend_from_slice(&d));
@@ -186,13 +188,13 @@
     fn tick(&mut self, now: Instant) {
         while let Some((_, id)) = self.until.first().copied().filter(|(t, _)| *t <= now) {
             self.until.pop_first();
-            let Some(from) = self.xfers.get(&id).map(|x| x.from) else { continue };
+            let Some(from) = self.requests.get(&id).map(|x| x.from) else { continue };
             let ran = self.forget(from).iter().any(|x| x.node.is_some());
             self.answer(from, if ran { Verdict::Abandoned } else { Verdict::Deferred { come_back: None } });
         }
     }
 
-    /// Tokens for the transfer are there, and taken.
+    /// Tokens for the request are there, and taken.
     fn draws(&mut self, now: Instant, volume: usize, units: f64) -> bool {
         let v = self.layout.volume(volume);
         let plan = &self.settings.plans[v.plan as usize];
@@ -223,7 +225,7 @@
                 continue;
             }
             while let Some(id) = self.queues.get(&shard).and_then(|q| q.front().copied()) {
-                let Some((volume, units)) = self.xfers.get(&id).map(|x| (x.volume, x.spec.units)) else {
+                let Some((volume, units)) = self.requests.get(&id).map(|x| (x.volume, x.spec.units)) else {
                     self.queues.entry(shard).or_default().pop_front();
                     continue;
                 };
@@ -241,7 +243,7 @@
     }
 
     fn send(&mut self, id: u64, shard: ShardId, node: NodeId) -> Option<Output> {
-        let x = self.xfers.get_mut(&id)?;
+        let x = self.requests.get_mut(&id)?;
         x.node = Some(node);
         *self.out.entry(shard).or_default() += 1;
         let v = self.layout.volume(x.volume);
@@ -252,7 +254,7 @@
         Some(Output::Send(Box::new(SendLeg {
             node,
             leg: LegId(id << 8),
-            xfer: id,
+            request: id,
             leg_no: 0,
             from: x.from,
             part: x.part,
@@ -310,7 +312,7 @@
     pub fn open(&self) -> (usize, usize, usize) {
         match self {
             Heart::Core(c) => c.open(),
-            Heart::Plain(p) => (p.commands.len(), p.xfers.len(), p.out.values().sum()),
+            Heart::Plain(p) => (p.commands.len(), p.requests.len(), p.out.values().sum()),
         }
     }
 
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -75,7 +75,7 @@
                 Event::Leg { node, name, left_us, volume, units, .. } => {
                     legs.insert(*name, (l.t, node.clone(), l.t + left_us));
                     let drawn = limited.as_ref().filter(|v| v.volume == *volume);
-                    if let Some(v) = drawn.filter(|_| drew.insert((name.host, name.life, name.xfer))) {
+                    if let Some(v) = drawn.filter(|_| drew.insert((name.host, name.life, name.request))) {
                         let gone = (l.t - level_at) as f64 / 1e6;
                         level = (level - v.limit * gone).max(0.0) + units;
                         level_at = l.t;
@@ -335,7 +335,7 @@
         assert_eq!(sum(&s.deferred), found.run.deferred as f64);
         assert_eq!(s.out.len(), s.nodes.len());
         assert!(!s.nodes.is_empty() && s.out.iter().flatten().any(|x| *x > 0.0));
-        // The limit's rule held, so the store never passed its brim by more than one transfer.
+        // The limit's rule held, so the store never passed its brim by more than one request.
         assert!(s.store.iter().all(|x| *x < 1.5), "{:?}", s.store);
         for (name, points) in curves(&found.run) {
             assert!(points.windows(2).all(|p| p[0].1 <= p[1].1), "{name}: {points:?}");
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -113,7 +113,7 @@
     pub firsts: BTreeMap<String, Class>,
     /// Nodes that fell over while cold.
     pub fallen: usize,
-    /// Units of all legs that left, and of those whose transfer was not done by them in time for its client.
+    /// Units of all legs that left, and of those whose request was not done by them in time for its client.
     pub sent_units: f64,
     pub wasted_units: f64,
     /// Units a second of the limited volume over its limit.
@@ -135,7 +135,7 @@
     /// Changes of plans that were acknowledged, and how many of them all hosts went by within the settings' time.
     pub plans: (u64, u64),
     pub events: u64,
-    /// The most commands, transfers and legs that one host had open.
+    /// The most commands, requests and legs that one host had open.
     pub most_open: (usize, usize, usize),
 }
 
@@ -260,7 +260,7 @@
     model: Model,
     zone: u32,
     shard: u32,
-    /// What it last told of the transfers that wait there, and when; told anew after so long.
+    /// What it last told of the requests that wait there, and when; told anew after so long.
     told: (Us, u32),
     report_us: Us,
     address: String,
@@ -565,8 +565,8 @@
         self.in_force();
         self.note(Seen::Trouble { what: "end".into(), on: false });
         for h in self.hosts.iter().filter(|h| h.up) {
-            let (commands, xfers, legs) = h.core.open();
-            self.run.stuck += commands + xfers + legs + h.core.keys_in_order();
+            let (commands, requests, legs) = h.core.open();
+            self.run.stuck += commands + requests + legs + h.core.keys_in_order();
         }
         self.run.stuck += self.clients.iter().map(|c| c.core.open()).sum::<usize>();
         self.run.fallen = self.nodes.iter().filter(|n| n.model.is_fallen()).count();
--- a/crates/lab/src/sim/links.rs
+++ b/crates/lab/src/sim/links.rs
@@ -31,11 +31,11 @@
             Begin::TooLate => return self.push(self.now, Event::Refused(h, life, leg.leg.0)),
         }
         leg.ticket.written();
-        let name = LegName { host: h, life, xfer: leg.xfer, leg: leg.leg_no };
+        let name = LegName { host: h, life, request: leg.request, leg: leg.leg_no };
         let frame = |leg_no: u8| {
             Frame::Send(node::SendLeg {
                 leg: leg.leg.0,
-                xfer: leg.xfer,
+                request: leg.request,
                 leg_no,
                 origin: Origin { session: leg.from.session, command: leg.from.command, part: leg.part },
                 sent_us: us(now),
--- a/crates/lab/src/sim/nodes.rs
+++ b/crates/lab/src/sim/nodes.rs
@@ -40,7 +40,7 @@
 
     pub(super) fn leg_arrives(&mut self, h: u32, n: u32, link: u64, leg: node::SendLeg) {
         let life = self.hosts[h as usize].life;
-        let name = LegName { host: h, life, xfer: leg.xfer, leg: leg.leg_no };
+        let name = LegName { host: h, life, request: leg.request, leg: leg.leg_no };
         let (write, bytes) = match &leg.work {
             node::Work::Read { length } => (false, u64::from(*length)),
             node::Work::Write { data } => (true, data.len() as u64),
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -20,7 +20,7 @@
     #[serde(skip)]
     pub name: String,
     pub volume: String,
-    /// Transfers a second over all hosts, outside surges.
+    /// Requests a second over all hosts, outside surges.
     pub rate: f64,
     /// Part of them that writes.
     #[serde(default)]
--- a/crates/measure/src/core_cost.rs
+++ b/crates/measure/src/core_cost.rs
@@ -1,4 +1,4 @@
-//! What a transfer costs in the host core, and in the decision module alone, on one thread without any I/O.
+//! What a request costs in the host core, and in the decision module alone, on one thread without any I/O.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -12,32 +12,33 @@
 
 #[derive(Clone, Debug, Serialize)]
 pub struct CoreCost {
-    pub transfers: u64,
+    #[serde(rename = "transfers")]
+    pub requests: u64,
     pub core_us: f64,
     pub module_us: f64,
 }
 
 const NODES: u32 = 4;
-const OPEN: usize = 64; // transfers at a time
+const OPEN: usize = 64; // requests at a time
 
 fn seconds(i: u64) -> Instant {
     Instant::from_secs(100.0 + i as f64 * 1e-5)
 }
 
-/// Transfers that are sent and answered at once, `OPEN` at a time, for so many in all.
-pub fn core_cost(transfers: u64) -> Result<CoreCost, String> {
+/// Requests that are sent and answered at once, `OPEN` at a time, for so many in all.
+pub fn core_cost(requests: u64) -> Result<CoreCost, String> {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
     let text = crate::settings(NODES as usize, nowhere, nowhere);
     let settings = HostSettings::parse("measure", &text).map_err(|e| e.to_string())?;
     Ok(CoreCost {
-        transfers,
-        core_us: core(&settings, transfers, None),
-        module_us: module(&settings, transfers),
+        requests,
+        core_us: core(&settings, requests, None),
+        module_us: module(&settings, requests),
     })
 }
 
-/// Microseconds of a transfer in the host core with no overrides, and with so many standing over its nodes.
-pub fn core_cost_with_orders(transfers: u64, orders: u32) -> Result<(f64, f64), String> {
+/// Microseconds of a request in the host core with no overrides, and with so many standing over its nodes.
+pub fn core_cost_with_orders(requests: u64, orders: u32) -> Result<(f64, f64), String> {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
     let text = crate::settings(NODES as usize, nowhere, nowhere);
     let settings = HostSettings::parse("measure", &text).map_err(|e| e.to_string())?;
@@ -56,11 +57,11 @@
         Overrides::new(seconds(0), 0, limits, (0..n).map(record).collect(), 1).0
     };
     // One after the other, twice, and the better of each: the first to run warms the machine for the second.
-    let best = |n: u32| (0..2).map(|_| core(&settings, transfers, Some(set(n)))).fold(f64::MAX, f64::min);
+    let best = |n: u32| (0..2).map(|_| core(&settings, requests, Some(set(n)))).fold(f64::MAX, f64::min);
     Ok((best(0), best(orders)))
 }
 
-fn core(settings: &HostSettings, transfers: u64, orders: Option<Overrides>) -> f64 {
+fn core(settings: &HostSettings, requests: u64, orders: Option<Overrides>) -> f64 {
     let mut core = Core::new(seconds(0), settings, 1, 1);
     if let Some(o) = orders {
         core.with_overrides(seconds(0), o, Keep::default());
@@ -79,9 +80,9 @@
     let (mut sent, mut done) = (0u64, 0u64);
     let mut legs = Vec::new();
     let mut open = 0;
-    while done < transfers {
+    while done < requests {
         let now = seconds(done);
-        while open < OPEN && sent < transfers {
+        while open < OPEN && sent < requests {
             let from = CommandRef { session: 1, command: sent as u32 };
             core.submit(now, from, 0, sent * 8 % 1_000_000, Work::Read { blocks: 8 }, now, None, None);
             sent += 1;
@@ -114,10 +115,10 @@
             core.tick(later);
         }
     }
-    started.elapsed().as_secs_f64() * 1e6 / transfers as f64
+    started.elapsed().as_secs_f64() * 1e6 / requests as f64
 }
 
-fn module(settings: &HostSettings, transfers: u64) -> f64 {
+fn module(settings: &HostSettings, requests: u64) -> f64 {
     let mut s = Scheduler::new(seconds(0), 1, 1, Span::from_secs(0.002), settings.units.mean);
     for st in &settings.streams {
         s.stream(st.slo, st.effect, st.in_order);
@@ -137,18 +138,18 @@
     let started = Wall::now();
     let (mut sent, mut done) = (0u64, 0u64);
     let mut out = Vec::new();
-    while done < transfers {
+    while done < requests {
         let now = seconds(done);
-        while sent - done < OPEN as u64 && sent < transfers {
-            let (id, shard) = (XferId(sent as u32), ShardId((sent % u64::from(NODES)) as u32));
+        while sent - done < OPEN as u64 && sent < requests {
+            let (id, shard) = (RequestId(sent as u32), ShardId((sent % u64::from(NODES)) as u32));
             let key = Some(KeyId(sent as u32 % 100_000));
             let left = Span::from_secs(5.0);
-            s.transfer_arrived(now, id, StreamId(0), PlanId(0), key, left, VolumeId(0), 1.0, Some(shard), 1);
+            s.request_arrived(now, id, StreamId(0), PlanId(0), key, left, VolumeId(0), 1.0, Some(shard), 1);
             sent += 1;
         }
         while let Some(d) = s.next_decision(now) {
-            if let Decision::Send { xfer, .. } = d {
-                out.push(xfer);
+            if let Decision::Send { request, .. } = d {
+                out.push(request);
             }
         }
         let later = seconds(done + 1);
@@ -158,5 +159,5 @@
             done += 1;
         }
     }
-    started.elapsed().as_secs_f64() * 1e6 / transfers as f64
+    started.elapsed().as_secs_f64() * 1e6 / requests as f64
 }
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -38,7 +38,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Settings of a host over `nodes` shards, with nothing that holds transfers back but the module's caps.
+/// Settings of a host over `nodes` shards, with nothing that holds requests back but the module's caps.
 pub fn settings(nodes: usize, listen: SocketAddr, list: SocketAddr) -> String {
     let shards: Vec<String> = (0..nodes).map(|n| n.to_string()).collect();
     format!(
--- a/crates/measure/src/load.rs
+++ b/crates/measure/src/load.rs
@@ -165,7 +165,7 @@
                 sent.insert(leg, now);
                 Frame::Send(SendLeg {
                     leg,
-                    xfer: leg,
+                    request: leg,
                     leg_no: 0,
                     origin: Origin { session: 0, command: leg as u32, part: 0 },
                     sent_us: now,
--- a/crates/measure/src/orders.rs
+++ b/crates/measure/src/orders.rs
@@ -1,4 +1,4 @@
-//! What overrides cost: the timing wheel beside a plain heap, and the host core's way of a transfer with none and with
+//! What overrides cost: the timing wheel beside a plain heap, and the host core's way of a request with none and with
 //! many set.
 
 use serde::Serialize;
--- a/crates/measure/src/truth.rs
+++ b/crates/measure/src/truth.rs
@@ -19,7 +19,7 @@
 /// Threads that ask at the same time for one host; a later arrival than all of them can take waits, and its wait counts.
 const ASKERS: usize = 48;
 
-/// One flow's figures; times in milliseconds, from when a transfer was due.
+/// One flow's figures; times in milliseconds, from when a request was due.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
     pub asked: u64,
--- a/crates/membership/src/loans.rs
+++ b/crates/membership/src/loans.rs
@@ -20,7 +20,7 @@
 
 /// How often needs are looked at: so many times a term.
 const BEATS: f64 = 4.0;
-/// Own part that is never lent while the host stays, so that a first transfer finds something.
+/// Own part that is never lent while the host stays, so that a first request finds something.
 const KEEP: f64 = 0.15;
 /// Times what was asked lately that a host counts as its need.
 const NEED: f64 = 1.25;
--- a/crates/planner/src/curve.rs
+++ b/crates/planner/src/curve.rs
@@ -19,7 +19,7 @@
 const LEAST: f64 = 1.02;
 
 impl Curve {
-    /// Of arrivals, in order of time: seconds and units. Rates go from just above the mean to where the burst is one transfer,
+    /// Of arrivals, in order of time: seconds and units. Rates go from just above the mean to where the burst is one request,
     /// or to `most`.
     pub fn of(arrivals: &[(f64, f64)], seconds: f64, most: f64) -> Curve {
         let whole: f64 = arrivals.iter().map(|a| a.1).sum();
--- a/crates/planner/src/fit.rs
+++ b/crates/planner/src/fit.rs
@@ -8,7 +8,7 @@
 pub struct Load {
     pub name: String,
     pub slo_s: f64,
-    /// Units of its largest transfer.
+    /// Units of its largest request.
     pub largest: f64,
     pub curve: Curve,
 }
@@ -17,7 +17,7 @@
 pub struct Node {
     /// Units a second.
     pub capacity: f64,
-    /// Seconds that a unit takes at one core: a transfer's own work is not spread over cores.
+    /// Seconds that a unit takes at one core: a request's own work is not spread over cores.
     pub unit_s: f64,
     /// Units that may be out at the node of looser loads when a tighter one comes: caps of all hosts together. The paper's
     /// priorities are kept at the queue itself; here a node serves in order of arrival, so these go first.
--- a/crates/planner/tests/planner.rs
+++ b/crates/planner/tests/planner.rs
@@ -88,7 +88,7 @@
                 (0..waiting.len()).min_by(|a, b| key(&waiting[*a]).partial_cmp(&key(&waiting[*b])).unwrap());
             let (t, units, i) = waiting.swap_remove(best.unwrap());
             now += units / NODE.capacity;
-            // One that was begun before a tighter one came ends first: the largest transfer of another.
+            // One that was begun before a tighter one came ends first: the largest request of another.
             let most = loads[i].slo_s + 4.0 / NODE.capacity;
             assert!(now - t <= most, "{n} loads of {rate}: {} took {} of {most}", loads[i].name, now - t);
         }
--- a/crates/plans/src/catalogue.rs
+++ b/crates/plans/src/catalogue.rs
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Fleet {
     pub hosts: u32,
-    /// Units of the largest transfer.
+    /// Units of the largest request.
     pub most_units: f64,
     /// Units a second that each shard's node is told to bear.
     pub bears: BTreeMap<u32, f64>,
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -7,7 +7,7 @@
 use tackmast::interface::{Outcome, Span};
 use tackmast_http::Answer;
 
-/// The rest of a leg's head, after what its transfer says: which node, and how long the host will wait.
+/// The rest of a leg's head, after what its request says: which node, and how long the host will wait.
 pub fn leg_head(node: SocketAddr, left: Span) -> String {
     let ms = (left.secs() * 1e3).floor().max(0.0) as u64;
     format!("Host: {node}\r\nX-Budget-Ms: {ms}\r\n\r\n")
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Came {
     pub outcome: Outcome,
-    /// Transfers that wait at the node, where it told.
+    /// Requests that wait at the node, where it told.
     pub waiting: Option<u32>,
     /// Units served for the volume through other hosts.
     pub elsewhere: Option<f64>,
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -36,7 +36,7 @@
     pub peers: bool,
     pub tick: Span,
     pub mean_units: f64,
-    /// Of one transfer, at most; 0: not told.
+    /// Of one request, at most; 0: not told.
     pub most_units: f64,
     pub streams: Vec<StreamType>,
     pub plans: Vec<Plan>,
@@ -139,7 +139,7 @@
         !self.asks_list
     }
 
-    /// Where a load report holds the number of transfers that wait.
+    /// Where a load report holds the number of requests that wait.
     pub fn waiting_at(&self) -> Option<usize> {
         self.report.iter().position(|f| f == "q")
     }
--- a/crates/rulecheck/src/index.rs
+++ b/crates/rulecheck/src/index.rs
@@ -1,4 +1,4 @@
-//! The trace put in order: commands with their answers, transfers with their legs, what each host was told.
+//! The trace put in order: commands with their answers, requests with their legs, what each host was told.
 
 use std::collections::{BTreeMap, HashMap};
 use tackmast_trace::{AnswerKind, Event, Facts, LegEndKind, LegName, Line, ListedState, Side, StreamFacts};
@@ -10,7 +10,7 @@
     pub name: CommandName,
     pub t: u64,
     pub stream: u32,
-    /// Transfers that it is: one for each extent it touches, where the extents are told.
+    /// Requests that it is: one for each extent it touches, where the extents are told.
     pub parts: Option<u64>,
     pub expiry_us: u64,
     pub answers: Vec<(u64, AnswerKind)>,
@@ -102,8 +102,8 @@
     pub commands: Vec<Command>,
     /// By arrival at their nodes.
     pub legs: Vec<Leg>,
-    /// Indices of each transfer's legs, by arrival.
-    pub xfers: BTreeMap<(u32, u64, u64), Vec<usize>>,
+    /// Indices of each request's legs, by arrival.
+    pub requests: BTreeMap<(u32, u64, u64), Vec<usize>>,
     pub told: HashMap<(u32, String), Vec<Told>>,
     /// By host and node: from when on operators have it out of service, and from when on no longer.
     pub ordered: HashMap<(u32, String), Vec<(u64, bool)>>,
@@ -134,7 +134,7 @@
             facts,
             commands: Vec::new(),
             legs: Vec::new(),
-            xfers: BTreeMap::new(),
+            requests: BTreeMap::new(),
             told: HashMap::new(),
             ordered: HashMap::new(),
             lives: Vec::new(),
@@ -251,7 +251,7 @@
                     let place = told.map(|v| ((u64::from(*volume) + 1) << 48) | (offset / v.extent_bytes));
                     let key = &place.unwrap_or(*key);
                     legs_of.insert((node.clone(), *name), at);
-                    x.xfers.entry((name.host, name.life, name.xfer)).or_default().push(at);
+                    x.requests.entry((name.host, name.life, name.request)).or_default().push(at);
                     x.legs.push(Leg {
                         t,
                         node: node.clone(),
@@ -392,14 +392,17 @@
                 format!("{host}/{session}/{command} part {} leg {}", leg.part, leg.name.leg)
             }
             None => {
-                format!("{}/{:x} number {} leg {}", leg.name.host, leg.name.life, leg.name.xfer, leg.name.leg)
+                format!(
+                    "{}/{:x} number {} leg {}",
+                    leg.name.host, leg.name.life, leg.name.request, leg.name.leg
+                )
             }
         }
     }
 }
 
 impl Index {
-    /// Transfers that a host took in a span: of each command as many as it touches extents or, where these are not
+    /// Requests that a host took in a span: of each command as many as it touches extents or, where these are not
     /// told, one and one more for each further part seen.
     pub fn most_parts(&self, host: u32, from: u64, to: u64, commands: usize) -> f64 {
         let within = self.commands.iter().filter(|c| c.name.0 == host && (from..=to).contains(&c.t));
@@ -407,7 +410,7 @@
         if let Some(parts) = told {
             return parts as f64;
         }
-        let further = self.xfers.values().map(|legs| &self.legs[legs[0]]);
+        let further = self.requests.values().map(|legs| &self.legs[legs[0]]);
         let further = further.filter(|l| l.part > 0 && l.name.host == host);
         let seen = further.filter(|l| l.command.is_some_and(|c| (from..=to).contains(&self.commands[c].t)));
         (commands + seen.count()) as f64
--- a/crates/rulecheck/src/lib.rs
+++ b/crates/rulecheck/src/lib.rs
@@ -17,8 +17,9 @@
     pub rule: u8,
     /// Microseconds of Unix time.
     pub t: u64,
-    /// The transfer, as its host, session and command, or as host, life and number where no client is known.
-    pub transfer: String,
+    /// The request, as its host, session and command, or as host, life and number where no client is known.
+    #[serde(rename = "transfer")]
+    pub request: String,
     pub node: String,
     pub what: String,
 }
@@ -66,7 +67,7 @@
             writeln!(f, "rule {} {:<18} {verdict}", r.rule, r.name)?;
             for b in r.breaks.iter().take(5) {
                 let node = if b.node.is_empty() { String::new() } else { format!(" at node {}", b.node) };
-                writeln!(f, "    at {:.6} transfer {}{node}: {}", b.t as f64 / 1e6, b.transfer, b.what)?;
+                writeln!(f, "    at {:.6} transfer {}{node}: {}", b.t as f64 / 1e6, b.request, b.what)?;
             }
             if r.breaks.len() > 5 {
                 writeln!(f, "    and {} more", r.breaks.len() - 5)?;
--- a/crates/rulecheck/src/rules.rs
+++ b/crates/rulecheck/src/rules.rs
@@ -21,7 +21,7 @@
 }
 
 fn broken(x: &Index, rule: u8, leg: &Leg, what: String) -> Break {
-    Break { rule, t: leg.t, transfer: x.title(leg), node: leg.node.clone(), what }
+    Break { rule, t: leg.t, request: x.title(leg), node: leg.node.clone(), what }
 }
 
 fn ms(us: u64) -> f64 {
@@ -37,8 +37,8 @@
         let (host, session, command) = c.name;
         let due = x.due(c);
         let mut add = |t, what| {
-            let transfer = format!("{host}/{session}/{command}");
-            breaks.push(Break { rule: 1, t, transfer, node: String::new(), what });
+            let request = format!("{host}/{session}/{command}");
+            breaks.push(Break { rule: 1, t, request, node: String::new(), what });
         };
         match c.answers.as_slice() {
             [] => {
@@ -75,13 +75,13 @@
     report(1, "one answer", "answers due", checked, breaks)
 }
 
-/// 2: no double effect, and never two legs of a transfer out at once.
+/// 2: no double effect, and never two legs of a request out at once.
 pub fn double_effects(x: &Index) -> RuleReport {
     let mut breaks = Vec::new();
     let mut checked = 0;
     let skew = x.facts.skew_us;
     let mut by_command: HashMap<usize, Vec<usize>> = HashMap::new();
-    for legs in x.xfers.values() {
+    for legs in x.requests.values() {
         let Some(stream) = x.stream(x.legs[legs[0]].command) else { continue };
         for (i, b) in legs.iter().enumerate() {
             let b = &x.legs[*b];
@@ -135,11 +135,11 @@
         let deferred = command.answers.iter().find(|(_, k)| *k == AnswerKind::Deferred);
         if let Some((t, _)) = deferred {
             checked += 1;
-            // The client's next try is a new transfer with a mark of its own, so any run counts.
+            // The client's next try is a new request with a mark of its own, so any run counts.
             for leg in legs.iter().filter(|l| l.t <= *t && !l.never_ran()) {
                 let what = format!("deferred, and leg {} at {} may have run", leg.name.leg, leg.node);
-                let transfer = x.title(leg);
-                breaks.push(Break { rule: 2, t: *t, transfer, node: leg.node.clone(), what });
+                let request = x.title(leg);
+                breaks.push(Break { rule: 2, t: *t, request, node: leg.node.clone(), what });
             }
         }
         let mut ran: BTreeMap<u16, u32> = BTreeMap::new();
@@ -232,7 +232,7 @@
     report(4, "cold nodes", "legs to cold nodes", checked, breaks)
 }
 
-/// 5: transfers of one key run one at a time, in the order their host took them.
+/// 5: requests of one key run one at a time, in the order their host took them.
 pub fn order(x: &Index) -> RuleReport {
     let mut breaks = Vec::new();
     let mut checked = 0;
@@ -247,28 +247,29 @@
         for (i, b) in legs.iter().enumerate() {
             let b = &x.legs[*b];
             let mut seen = false;
-            for a in legs[..i].iter().map(|a| &x.legs[*a]).filter(|a| a.name.xfer != b.name.xfer) {
+            for a in legs[..i].iter().map(|a| &x.legs[*a]).filter(|a| a.name.request != b.name.request) {
                 seen = true;
                 let (over, unknown) = a.over();
                 let free = if unknown { over.saturating_add(x.facts.settle_us) } else { over };
                 if free > b.t + skew {
                     let why = if unknown { "is still settling" } else { "is still out" };
-                    let what = format!("arrived while number {} of its key {why} at {}", a.name.xfer, a.node);
+                    let what =
+                        format!("arrived while number {} of its key {why} at {}", a.name.request, a.node);
                     breaks.push(broken(x, 5, b, what));
                 }
             }
             checked += usize::from(seen);
             // The one taken first goes first: by the host's numbers, and within a session by the client's.
-            for a in legs[i + 1..].iter().map(|a| &x.legs[*a]).filter(|a| a.name.xfer != b.name.xfer) {
+            for a in legs[i + 1..].iter().map(|a| &x.legs[*a]).filter(|a| a.name.request != b.name.request) {
                 let by_client = match (a.command, b.command) {
                     (Some(p), Some(q)) if x.commands[p].name.1 == x.commands[q].name.1 => {
                         Some(x.commands[p].name.2 < x.commands[q].name.2)
                     }
                     _ => None,
                 };
-                let earlier = by_client.unwrap_or(a.name.xfer < b.name.xfer);
+                let earlier = by_client.unwrap_or(a.name.request < b.name.request);
                 if earlier && a.part == b.part {
-                    let what = format!("overtook number {}, which its host had taken before", a.name.xfer);
+                    let what = format!("overtook number {}, which its host had taken before", a.name.request);
                     breaks.push(broken(x, 5, b, what));
                     break;
                 }
@@ -299,7 +300,7 @@
             let sent = legs[..=i].iter().filter(|l| l.t > from + skew).count();
             let taken = taken.partition_point(|t| *t <= leg.t)
                 - taken.partition_point(|t| *t < from.saturating_sub(skew));
-            // A command may count as several transfers, one for each extent it touches.
+            // A command may count as several requests, one for each extent it touches.
             let parts = x.most_parts(host, from.saturating_sub(skew), leg.t, taken);
             let allowed = free + share * parts;
             if sent as f64 > allowed + ROUNDING {
@@ -330,7 +331,7 @@
     let mut checked = 0;
     let limited = |(_, figures): &(&u32, &Vec<Figures>)| figures.iter().any(|f| f.limit > 0.0);
     for (volume, figures) in x.figures.iter().filter(limited) {
-        let mut firsts: Vec<&Leg> = x.xfers.values().map(|legs| &x.legs[legs[0]]).collect();
+        let mut firsts: Vec<&Leg> = x.requests.values().map(|legs| &x.legs[legs[0]]).collect();
         firsts.retain(|l| l.volume == *volume);
         firsts.sort_by_key(|l| l.t);
         let mut edges: Vec<u64> = figures.iter().flat_map(|f| [f.from, f.until]).collect();
--- a/crates/rulecheck/src/spread.rs
+++ b/crates/rulecheck/src/spread.rs
@@ -68,7 +68,7 @@
     }
 
     fn leg(t: u64, host: u32) -> Line {
-        let name = LegName { host, life: 1, xfer: t, leg: 1 };
+        let name = LegName { host, life: 1, request: t, leg: 1 };
         let (session, command, part, volume, write) = (1, 1, 0, 1, false);
         let (offset, bytes, units, key, mark, left_us) = (0, 512, 1.0, 0, String::new(), 0);
         let node = "a".into();
--- a/crates/rulecheck/tests/doctored.rs
+++ b/crates/rulecheck/tests/doctored.rs
@@ -1,4 +1,4 @@
-//! Clean traces pass; a trace with one break is told its rule, transfer and node.
+//! Clean traces pass; a trace with one break is told its rule, request and node.
 
 use tackmast_rulecheck::judge;
 use tackmast_trace::*;
@@ -105,7 +105,7 @@
         let ran = kind == LegEndKind::Done;
         self.at(t, Event::LegEnd { node: node.into(), name: name(command, leg), kind, ran })
     }
-    /// A whole transfer that is served at once.
+    /// A whole request that is served at once.
     fn served(&mut self, t: u64, node: &str, command: u32, stream: u32) -> &mut Self {
         self.submit(t, command, stream).leg(t + 1, node, command, 0);
         self.end(t + 5, node, command, 0, LegEndKind::Done).answer(t + 6, command, AnswerKind::Done)
@@ -115,7 +115,7 @@
         let in_force_us = in_force * 1000;
         self.at(t, Event::PlanMoved { volume: 1, limit, burst, slack: 4.0, in_force_us })
     }
-    /// So many transfers of eight units of volume 1, numbered from the first.
+    /// So many requests of eight units of volume 1, numbered from the first.
     fn drawn(&mut self, t: u64, first: u32, n: u32) -> &mut Self {
         for c in first..first + n {
             self.submit(t, c, 0).leg_of(t + 1, "a", c, 0, 1, 4096 * 8, 0);
@@ -131,7 +131,7 @@
 }
 
 fn name(command: u32, leg: u8) -> LegName {
-    LegName { host: 0, life: 77, xfer: u64::from(command), leg }
+    LegName { host: 0, life: 77, request: u64::from(command), leg }
 }
 
 fn up(node: &str, zone: u32, shard: u32, cold_from: f64) -> Event {
--- a/crates/standins/src/model.rs
+++ b/crates/standins/src/model.rs
@@ -13,7 +13,7 @@
     /// Seconds of one core's work in a unit, at speed 1.
     pub unit_s: f64,
     pub speed: f64,
-    /// Transfers that may wait; beyond that they are turned away unseen.
+    /// Requests that may wait; beyond that they are turned away unseen.
     pub queue: usize,
     /// It starts at this part of its capacity and is warm after that time.
     pub cold_from: f64,
@@ -27,7 +27,7 @@
     /// Stands still for so long every so often.
     pub pause_s: f64,
     pub pause_every_s: f64,
-    /// Work saved for a transfer whose key is among the last few taken.
+    /// Work saved for a request whose key is among the last few taken.
     pub saved: f64,
     pub remembers: usize,
     /// Whether waiting work is dropped when it is cancelled or its time is up.
@@ -63,9 +63,9 @@
     pub slow: f64,
     /// Part of the machine that another program takes.
     pub neighbour: f64,
-    /// Part of transfers that fail at once.
+    /// Part of requests that fail at once.
     pub errors: f64,
-    /// Part of transfers that cost that many times the work.
+    /// Part of requests that cost that many times the work.
     pub heavy: (f64, f64),
 }
 
--- a/crates/standins/src/node.rs
+++ b/crates/standins/src/node.rs
@@ -612,7 +612,7 @@
                 else {
                     return false;
                 };
-                let name = LegName { host, life, xfer: leg.xfer, leg: leg.leg_no };
+                let name = LegName { host, life, request: leg.request, leg: leg.leg_no };
                 let offset = s.conns.get_mut(&conn).map_or(0, |c| {
                     c.offset = c.offset.min(now as i64 - leg.sent_us as i64);
                     c.offset
@@ -759,10 +759,10 @@
             let origin = Origin { session: 1, command: 1, part: 0 };
             let work = Work::Read { length: 512 };
             let (sent_us, left_us) = (now_us(), 400_000);
-            let (xfer, leg_no, mark, key, volume, offset, units) = (leg, 0, 0, 0, 0, 0, 1.0);
+            let (request, leg_no, mark, key, volume, offset, units) = (leg, 0, 0, 0, 0, 0, 1.0);
             let leg = SendLeg {
                 leg,
-                xfer,
+                request,
                 leg_no,
                 origin,
                 sent_us,
--- a/crates/target/src/nbd.rs
+++ b/crates/target/src/nbd.rs
@@ -314,8 +314,8 @@
     }
 
     /// The host's final answer. A client that agreed on the additions is told a deferral apart from an abandoned
-    /// transfer; to any other both are an I/O error, which promises nothing about the effect: a deferral may be taken
-    /// for less than it is, never an abandoned transfer for more.
+    /// request; to any other both are an I/O error, which promises nothing about the effect: a deferral may be taken
+    /// for less than it is, never an abandoned request for more.
     pub fn answer(&mut self, number: u32, verdict: Verdict) -> bool {
         let Some(Open { cookie, offset, write }) = self.open.remove(&number) else { return false };
         self.cookies.remove(&cookie);
--- a/crates/target/src/session.rs
+++ b/crates/target/src/session.rs
@@ -14,7 +14,7 @@
 /// What the session wants from the host core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A transfer that is owed one answer. `command` names it within the session.
+    /// A request that is owed one answer. `command` names it within the session.
     Submit { command: u32, lun: u32, block: u64, work: Work, expiry_ms: Option<u32> },
     /// The first bytes of a write are here; the rest was asked for. Its expiry runs from now.
     Begun { command: u32 },
@@ -38,7 +38,7 @@
     LoginRefused,
 }
 
-/// The one final answer of a transfer.
+/// The one final answer of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Done { data: Bytes },
@@ -420,10 +420,10 @@
             (Ok(Command::ReadCapacity16 { most }), Some(u)) => Ok((scsi::capacity16(u), most)),
             (Ok(Command::ModeSense { long, most }), Some(_)) => Ok((scsi::mode_sense(long), most)),
             (Ok(Command::Read { block, blocks }), Some(u)) => {
-                return self.transfer(command, task, u, block, blocks, None)
+                return self.request(command, task, u, block, blocks, None)
             }
             (Ok(Command::Write { block, blocks }), Some(u)) => {
-                return self.transfer(command, task, u, block, blocks, Some(pdu.data))
+                return self.request(command, task, u, block, blocks, Some(pdu.data))
             }
         };
         match simple {
@@ -436,7 +436,7 @@
         Ok(())
     }
 
-    fn transfer(
+    fn request(
         &mut self,
         command: u32,
         mut task: Task,
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -38,7 +38,7 @@
     pub limit: f64,
     pub burst: f64,
     pub slack: f64,
-    /// Bytes of an extent: a command is as many transfers as it touches extents. 0: not told.
+    /// Bytes of an extent: a command is as many requests as it touches extents. 0: not told.
     #[serde(default)]
     pub extent_bytes: u64,
 }
@@ -100,12 +100,13 @@
     List,
 }
 
-/// A leg as its node sees it: host, life of the host, transfer within that life, and number of the leg.
+/// A leg as its node sees it: host, life of the host, request within that life, and number of the leg.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LegName {
     pub host: u32,
     pub life: u64,
-    pub xfer: u64,
+    #[serde(rename = "xfer")]
+    pub request: u64,
     pub leg: u8,
 }
 
--- a/crates/wire/src/node.rs
+++ b/crates/wire/src/node.rs
@@ -9,7 +9,7 @@
 /// Bytes of a frame beside its data, at most.
 pub const OVERHEAD: usize = 128;
 
-/// Where a leg's transfer came from, as its client can name it too: target session, command number within it,
+/// Where a leg's request came from, as its client can name it too: target session, command number within it,
 /// and the part, where a command touches several extents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Origin {
@@ -28,8 +28,8 @@
 pub struct SendLeg {
     /// Number of this leg on this link.
     pub leg: u64,
-    /// Number of the transfer within this life of the host, and of the leg within the transfer.
-    pub xfer: u64,
+    /// Number of the request within this life of the host, and of the leg within the request.
+    pub request: u64,
     pub leg_no: u8,
     pub origin: Origin,
     /// When it was written, on the host's own clock, and microseconds from then until nobody waits for the
@@ -39,7 +39,7 @@
     pub left_us: u32,
     /// A repeat of the same mark within the node's window must not run again; 0: none.
     pub mark: u128,
-    /// Order key of the transfer; 0: none.
+    /// Order key of the request; 0: none.
     pub key: u64,
     pub volume: u32,
     /// Bytes from the volume's start.
@@ -64,7 +64,7 @@
 pub struct Answer {
     pub leg: u64,
     pub outcome: NodeOutcome,
-    /// Transfers that wait at the node, as last looked at.
+    /// Requests that wait at the node, as last looked at.
     pub waiting: u32,
     /// Units served for the volume through other hosts since the node's last answer to this one about it.
     pub elsewhere: f32,
@@ -127,7 +127,7 @@
             Frame::Send(s) => {
                 out.put_u8(3);
                 out.put_u64(s.leg);
-                out.put_u64(s.xfer);
+                out.put_u64(s.request);
                 out.put_u8(s.leg_no);
                 out.put_u32(s.origin.session);
                 out.put_u32(s.origin.command);
@@ -207,7 +207,7 @@
             },
             3 => Frame::Send(SendLeg {
                 leg: f.u64("leg")?,
-                xfer: f.u64("transfer")?,
+                request: f.u64("transfer")?,
                 leg_no: f.u8("leg number")?,
                 origin: Origin {
                     session: f.u32("session")?,
--- a/crates/wire/src/scsi.rs
+++ b/crates/wire/src/scsi.rs
@@ -33,7 +33,7 @@
     pub const INVALID_FIELD: Sense = Sense(0x05, 0x24, 0x00);
     pub const OUT_OF_RANGE: Sense = Sense(0x05, 0x21, 0x00);
     pub const NO_SUCH_UNIT: Sense = Sense(0x05, 0x25, 0x00);
-    /// The transfer was abandoned: logical unit communication time-out, no promise about its effect.
+    /// The request was abandoned: logical unit communication time-out, no promise about its effect.
     pub const ABANDONED: Sense = Sense(0x0b, 0x08, 0x01);
     pub const SHORT_DATA: Sense = Sense(0x0b, 0x0c, 0x0d);
 
@@ -133,7 +133,7 @@
     pub name: String,
     pub blocks: u64,
     pub block_bytes: u32,
-    /// Blocks in one transfer, at most.
+    /// Blocks in one request, at most.
     pub most_blocks: u32,
 }
 
--- a/crates/wire/tests/codecs.rs
+++ b/crates/wire/tests/codecs.rs
@@ -28,10 +28,10 @@
     let first = (any::<u64>(), any::<u64>(), any::<u8>(), origin, any::<u64>(), any::<u32>());
     let second = (any::<u128>(), any::<u64>(), any::<u32>(), any::<u64>(), 0f32..1e9, work);
     (first, second).prop_map(
-        |((leg, xfer, leg_no, origin, sent_us, left_us), (mark, key, volume, offset, units, work))| {
+        |((leg, request, leg_no, origin, sent_us, left_us), (mark, key, volume, offset, units, work))| {
             Frame::Send(SendLeg {
                 leg,
-                xfer,
+                request,
                 leg_no,
                 origin,
                 sent_us,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -67,8 +67,8 @@
 }
 
 ids! {
-    /// One client transfer; a client's next try is a new one.
-    XferId,
+    /// One client request; a client's next try is a new one.
+    RequestId,
     NodeId,
     VolumeId,
     PlanId,
@@ -78,11 +78,11 @@
     /// The part of the data that one node holds.
     ShardId,
     ZoneId,
-    /// The number of a leg within its transfer, from 0.
+    /// The number of a leg within its request, from 0.
     LegNo,
 }
 
-/// Which nodes discard repeats of a keyed transfer.
+/// Which nodes discard repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     All,
@@ -90,7 +90,7 @@
     Shard,
 }
 
-/// What running a transfer again may do.
+/// What running a request again may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Repeatable,
@@ -110,7 +110,7 @@
     Refused,
     Reset,
     Cancelled,
-    /// Never sent: the transfer was over, or the node does not hold its shard.
+    /// Never sent: the request was over, or the node does not hold its shard.
     Skipped,
 }
 
@@ -172,19 +172,19 @@
     /// Send a leg; no time-out means until the client gives up. One whose first byte has not left at `begin_by` must not
     /// leave any more: the nodes may have forgotten the first that ran.
     Send {
-        xfer: XferId,
+        request: RequestId,
         node: NodeId,
         timeout: Option<Span>,
         begin_by: Option<Instant>,
     },
     /// Final answer: not done, and a retry is safe; come back after the span, where one is given.
     Defer {
-        xfer: XferId,
+        request: RequestId,
         come_back: Option<Span>,
     },
     /// Final answer: not done, and no promise about its effect.
     Abandon {
-        xfer: XferId,
+        request: RequestId,
     },
     /// Subscribe to changes of the node list.
     FollowList,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! tackmast: each host decides alone which of its transfers goes to which storage node, and when.
+//! tackmast: each host decides alone which of its requests goes to which storage node, and when.
 //!
 //! `policy` holds every decision; `interface` the types it is called with; `histogram` the
 //! mechanics of its measurements. Nothing here knows of a wire, a clock or a thread.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,9 +1,9 @@
 //! Every decision of tackmast. How it is called: the host makes one `Scheduler`, tells it the settings part
-//! by part, and then reports what happens through the inputs (`transfer_arrived`, `leg_ended`,
+//! by part, and then reports what happens through the inputs (`request_arrived`, `leg_ended`,
 //! `nodes_changed`, ...), which only update what is known. After each report it pulls `next_decision(now)`
 //! until there is none and asks `next_wake` when to come back. The types are in `src/interface.rs`.
 //!
-//! The ordinary path of a transfer: it waits at its shard; its volume's limit bucket must have room; within
+//! The ordinary path of a request: it waits at its shard; its volume's limit bucket must have room; within
 //! a priority, units inside the reservation leave first, the rest by plan weight; the node's caps bound what
 //! is out. docs/design.md says where this comes from and what was added.
 
@@ -13,8 +13,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
 
-const CAP_START: f64 = 8.0; // transfers out at one node, and mean sizes out
-const FEW: f64 = 4.0; // hosts: up to these each may keep a transfer out at a node, beyond them they share
+const CAP_START: f64 = 8.0; // requests out at one node, and mean sizes out
+const FEW: f64 = 4.0; // hosts: up to these each may keep a request out at a node, beyond them they share
 const CAP_MOST: f64 = 24.0;
 const CAP_RISE: f64 = 0.5; // by this much for each window of good answers
 const REST_MOST: f64 = 2.0; // seconds, at few hosts
@@ -23,7 +23,7 @@
 const CAP_TARGET: f64 = 0.5; // answers slower than this part of the SLO time shrink the cap
 const EXCESS_PART: f64 = 0.7; // of the cap, for units past the reservation
 const LOWER_PART: f64 = 0.5; // of the cap, for lower priorities while a higher one is out, and for late ones
-const WAITING: f64 = 8.0; // transfers a node may report to wait before they divide the cap
+const WAITING: f64 = 8.0; // requests a node may report to wait before they divide the cap
 const WAITING_EXCESS: f64 = 2.0; // and before they divide it for units past the reservation
 const TIGHT: f64 = 2.0; // streams within this multiple of the tightest SLO time judge the node
 const SLACK_AT_START: f64 = 0.5; // of the limit's slack, given by all hosts together when they start
@@ -32,7 +32,7 @@
 const SPLIT_IDLE: f64 = 1.5; // seconds without an answer after which the share falls away
 const SPLIT_LEAST: f64 = 4.0; // mean sizes served at a node before it is looked at alone
 const UNDONE_MEMORY: f64 = 10.0; // seconds for which a later try is known by its first
-const AT_REST: f64 = 30.0; // seconds, longer than any transfer waits, after which what is unused is forgotten
+const AT_REST: f64 = 30.0; // seconds, longer than any request waits, after which what is unused is forgotten
 const VOLUMES_KEPT: usize = 512;
 const RESERVE_BURST: f64 = 1.0; // seconds of the reservation that its bucket holds
 const CREDIT_START: f64 = 2.0;
@@ -50,7 +50,7 @@
 const TIMEOUT_LEAST: f64 = 0.4; // of the SLO time
 const TIMEOUT_SEEN: f64 = 8.0; // answers
 const PAUSE: f64 = 0.02; // seconds before a further leg
-const BLOCKED_CHECK: f64 = 0.05; // seconds until a transfer that a guard holds is looked at again
+const BLOCKED_CHECK: f64 = 0.05; // seconds until a request that a guard holds is looked at again
 const COLD_CHANCE: f64 = 0.8; // of what goes for chance where all hosts together send to a cold node
 const COLD_OUT: f64 = 0.3; // of the sum that they may send: of the always-safe units, those out at once,
 const COLD_DRAIN: f64 = 0.1; // those that time alone frees each window, and
@@ -63,7 +63,7 @@
 const SAFE_EDGE: f64 = 0.02; // seconds kept from the edge of any stated window
 const LATENCY_FIRST: f64 = 0.002; // seconds, the lowest bin of answer times
 const LATENCY_HALVE: f64 = 64.0;
-const QUEUE_LOOK: usize = 16; // waiting transfers searched for one that no guard of its own holds
+const QUEUE_LOOK: usize = 16; // waiting requests searched for one that no guard of its own holds
 
 #[derive(Default)]
 pub struct Scheduler {
@@ -88,13 +88,13 @@
     nodes: BTreeMap<NodeId, Node>,
     shards: BTreeMap<ShardId, Shard>,
     turns: HashMap<KeyId, Turn>,
-    xfers: HashMap<XferId, Xfer>,
+    requests: HashMap<RequestId, Request>,
     alarms: BinaryHeap<Reverse<(Instant, Alarm)>>,
     lost: Losses,
     everywhere: Vec<Histogram>, // times at all nodes, for each stream type
     undone: Undones,
     due: BTreeSet<ShardId>,
-    homeless: Vec<XferId>, // new objects for which no node was to be had
+    homeless: Vec<RequestId>, // new objects for which no node was to be had
     decided: VecDeque<Decision>,
 }
 
@@ -159,10 +159,10 @@
 /// Inputs: they only update what is known.
 impl Scheduler {
     #[allow(clippy::too_many_arguments)] // one decoded field, one argument
-    pub fn transfer_arrived(
+    pub fn request_arrived(
         &mut self,
         now: Instant,
-        id: XferId,
+        id: RequestId,
         stream: StreamId,
         plan: PlanId,
         key: Option<KeyId>,
@@ -190,13 +190,13 @@
         let ask = (volume, stream, key, shard, units.to_bits());
         let slo_at = self.undone.again(now, ask, left).unwrap_or(now + st.slo);
         let expiry = now + left - self.margin;
-        let mut x = Xfer::new(now, (volume, plan, stream), key, shard, units, slo_at, expiry);
+        let mut x = Request::new(now, (volume, plan, stream), key, shard, units, slo_at, expiry);
         x.turn = key.filter(|_| st.in_order);
         if let Some(k) = x.turn {
             self.turns.entry(k).or_default().line.push_back(id);
         }
         self.alarms.push(Reverse((x.expiry, Alarm::Expiry(id))));
-        self.xfers.insert(id, x);
+        self.requests.insert(id, x);
         if let Some(window) = self.budget.window {
             self.budget.prune(now, window + window);
             self.budget.taken.push_back(now);
@@ -204,22 +204,23 @@
         self.enqueue(id, false);
     }
 
-    /// The place of the transfer that arrived last among those of its volume, stream type and shard: before
+    /// The place of the request that arrived last among those of its volume, stream type and shard: before
     /// all of later tags. So a host's sessions share a volume; without tags the order of arrival holds.
-    pub fn transfer_tagged(&mut self, id: XferId, tag: f64) {
-        let Some(x) = self.xfers.get(&id).filter(|x| x.waiting) else { return };
+    pub fn request_tagged(&mut self, id: RequestId, tag: f64) {
+        let Some(x) = self.requests.get(&id).filter(|x| x.waiting) else { return };
         // Not before an earlier one of its key: it would wait for one far behind, and others for it.
         let line = x.turn.and_then(|k| self.turns.get(&k)).map(|t| &t.line);
-        let earlier = line.and_then(|l| l.iter().rev().find(|o| **o != id)).and_then(|o| self.xfers.get(o));
+        let earlier =
+            line.and_then(|l| l.iter().rev().find(|o| **o != id)).and_then(|o| self.requests.get(o));
         let tag = earlier.map_or(tag, |e| tag.max(e.tag));
         let sh = x.shard.and_then(|s| self.shards.get_mut(&s));
         if let Some(queue) = sh.and_then(|sh| sh.queues.get_mut(&(x.volume, x.stream))) {
             if queue.pop_back_if(|last| *last == id).is_some() {
-                let before = |q: &XferId| self.xfers.get(q).is_none_or(|x| x.tag <= tag);
+                let before = |q: &RequestId| self.requests.get(q).is_none_or(|x| x.tag <= tag);
                 queue.insert(queue.partition_point(before), id);
             }
         }
-        self.xfers.entry(id).and_modify(|x| x.tag = tag);
+        self.requests.entry(id).and_modify(|x| x.tag = tag);
     }
 
     /// Whether the settings named this stream type and plan.
@@ -228,15 +229,15 @@
     }
 
     /// A streamed answer has begun: its client has it, and nothing is owed by a set time any more.
-    pub fn answer_started(&mut self, now: Instant, id: XferId) {
+    pub fn answer_started(&mut self, now: Instant, id: RequestId) {
         self.now = now;
-        self.xfers.entry(id).and_modify(|x| x.started = true);
+        self.requests.entry(id).and_modify(|x| x.started = true);
     }
 
     /// What an answer told of the volume's service at this node: units for this host, and those through other
     /// hosts since the node's last answer to this one. `known` is false where nodes don't tell.
-    pub fn service_reported(&mut self, now: Instant, id: XferId, done: bool, known: bool, elsewhere: f64) {
-        let Some((x, shard)) = self.xfers.get(&id).and_then(|x| Some((x, x.shard?))) else { return };
+    pub fn service_reported(&mut self, now: Instant, id: RequestId, done: bool, known: bool, elsewhere: f64) {
+        let Some((x, shard)) = self.requests.get(&id).and_then(|x| Some((x, x.shard?))) else { return };
         let Some(v) = self.volumes.get_mut(&x.volume).filter(|_| known) else { return };
         let own = if done { x.units } else { 0.0 };
         v.split.tick(now, Span::from_secs(SPLIT_RISE), Span::from_secs(SPLIT_IDLE));
@@ -257,7 +258,7 @@
         self.shards.iter().map(|(id, s)| (*id, rate(s))).collect()
     }
 
-    /// How many transfers a node says wait there; reports lag.
+    /// How many requests a node says wait there; reports lag.
     pub fn load_reported(&mut self, now: Instant, node: NodeId, waiting: f64) {
         self.now = now;
         self.nodes.entry(node).and_modify(|n| n.waiting = waiting);
@@ -320,7 +321,7 @@
         let Some(v) = self.volumes.get_mut(&volume).filter(|v| v.plan != plan) else { return };
         let old = std::mem::replace(&mut v.plan, plan);
         Self::refigure(v, now, &self.plans[old.0 as usize], &self.plans[plan.0 as usize]);
-        let of_it = self.xfers.values_mut().filter(|x| x.volume == volume);
+        let of_it = self.requests.values_mut().filter(|x| x.volume == volume);
         of_it.for_each(|x| x.plan = plan);
         self.due.extend(self.shards.keys());
     }
@@ -333,9 +334,17 @@
         self.nodes.values_mut().for_each(|n| (n.least, n.cap) = (least, n.cap.max(least)));
     }
 
-    pub fn leg_ended(&mut self, now: Instant, id: XferId, leg: LegNo, o: Outcome, took: Span, ended: bool) {
+    pub fn leg_ended(
+        &mut self,
+        now: Instant,
+        id: RequestId,
+        leg: LegNo,
+        o: Outcome,
+        took: Span,
+        ended: bool,
+    ) {
         self.now = now;
-        let Some(x) = self.xfers.get_mut(&id) else { return };
+        let Some(x) = self.requests.get_mut(&id) else { return };
         let Some(i) = x.out.iter().position(|l| l.no == leg.0) else { return };
         let Leg { no, node, passed, seen, held } = x.out.remove(i);
         if x.ran.is_some_and(|r| r.0 == no) && !o.may_have_run() {
@@ -381,10 +390,10 @@
         self.loss(lost, done);
         if ended || done {
             self.finish(id);
-        } else if self.xfers.get(&id).is_some_and(|x| !x.ended && x.out.is_empty()) {
+        } else if self.requests.get(&id).is_some_and(|x| !x.ended && x.out.is_empty()) {
             self.go_on(id);
         }
-        forget(&mut self.xfers, &mut self.turns, id, self.now);
+        forget(&mut self.requests, &mut self.turns, id, self.now);
     }
 
     /// Whether legs get lost, by how many were against those answered.
@@ -399,8 +408,8 @@
         self.decided.push_back(Decision::Log(line));
     }
 
-    /// The client has left, or the transfer was ended for us.
-    pub fn transfer_gone(&mut self, now: Instant, id: XferId) {
+    /// The client has left, or the request was ended for us.
+    pub fn request_cancelled(&mut self, now: Instant, id: RequestId) {
         self.now = now;
         self.finish(id);
     }
@@ -500,7 +509,7 @@
     }
 
     /// Whether a place is free for this; if not, when, unless only an answer can free one. Hosts that each
-    /// keep one out can still fill a node: a cap below one rests between transfers.
+    /// keep one out can still fill a node: a cap below one rests between requests.
     fn room(
         &self,
         now: Instant,
@@ -541,7 +550,9 @@
         while self.alarms.peek().is_some_and(|Reverse((t, _))| *t <= now) {
             let Some(Reverse((_, alarm))) = self.alarms.pop() else { break };
             match alarm {
-                Alarm::Expiry(id) if self.xfers.get(&id).is_some_and(|x| !x.started) => self.answer(id, None),
+                Alarm::Expiry(id) if self.requests.get(&id).is_some_and(|x| !x.started) => {
+                    self.answer(id, None)
+                }
                 Alarm::Look(s) => _ = self.due.insert(s),
                 Alarm::Rested(k) if self.turns.get(&k).is_some_and(|t| t.is_idle(now)) => {
                     self.turns.remove(&k);
@@ -565,7 +576,7 @@
         }
     }
 
-    /// Order keys that are remembered: those with a transfer that is not over, or at rest.
+    /// Order keys that are remembered: those with a request that is not over, or at rest.
     pub fn keys_in_order(&self) -> usize {
         self.turns.len()
     }
@@ -579,25 +590,25 @@
         self.alarms.peek().map(|Reverse((t, _))| *t)
     }
 
-    /// The transfer that leaves next for this shard, if any may leave now.
-    fn pick(&mut self, shard: ShardId) -> Option<(XferId, NodeId, bool)> {
+    /// The request that leaves next for this shard, if any may leave now.
+    fn pick(&mut self, shard: ShardId) -> Option<(RequestId, NodeId, bool)> {
         let now = self.now;
         let sh = self.shards.get(&shard)?;
         let node = sh.nodes.iter().rev().find(|n| self.nodes[n].state == NodeState::Ready).copied();
         let mut look: Option<Instant> = None;
-        let mut best: Option<((usize, bool, f64), XferId, bool)> = None;
+        let mut best: Option<((usize, bool, f64), RequestId, bool)> = None;
         let names: Vec<Queue> = sh.queues.keys().copied().collect();
         for name in names {
             let Some(head) = self.first_in_time(shard, name, node) else { continue };
             let Some(node) = node else { continue };
-            let x = &self.xfers[&head];
+            let x = &self.requests[&head];
             let plan = &self.plans[x.plan.0 as usize];
             let conforming = self.volumes.get_mut(&x.volume).is_some_and(|v| {
                 let part = plan.reserve * Self::part(v, now);
                 plan.reserve > 0.0
                     && v.reserve.wait(now, part, part * RESERVE_BURST + x.units, x.units) == Span::ZERO
             });
-            // A conforming transfer whose SLO time draws near is by then as tight as the tightest.
+            // A conforming request whose SLO time draws near is by then as tight as the tightest.
             let urgent = conforming && x.slo_at - now <= self.tightest;
             let st = &self.streams[x.stream.0 as usize];
             let (rank, tight) = if urgent { (0, 1.0) } else { (st.rank, st.tight) };
@@ -622,10 +633,10 @@
     }
 
     /// First of a queue that can still be in time; those that can't are set aside on the way.
-    fn first_in_time(&mut self, shard: ShardId, name: Queue, node: Option<NodeId>) -> Option<XferId> {
+    fn first_in_time(&mut self, shard: ShardId, name: Queue, node: Option<NodeId>) -> Option<RequestId> {
         loop {
-            let id = self.shards.get_mut(&shard)?.head(name, |id| waits_at(&self.xfers, id, shard))?;
-            let x = &self.xfers[&id];
+            let id = self.shards.get_mut(&shard)?.head(name, |id| waits_at(&self.requests, id, shard))?;
+            let x = &self.requests[&id];
             let never = !self.rerun_safe(x, None) || self.is_over_part(x);
             let queue = self.shards.get_mut(&shard)?.queues.get_mut(&name)?;
             // A new object that waits for a node which can't take it finds another.
@@ -639,8 +650,8 @@
             if self.now + usual < x.slo_at.min(x.expiry) && !never {
                 // What a guard of its own holds (a pause, its key's turn) must not hold those behind it.
                 let queue = self.shards.get(&shard)?.queues.get(&name)?;
-                let open = |q: &&XferId| {
-                    let x = self.xfers.get(q).filter(|x| x.waiting && x.hold <= self.now);
+                let open = |q: &&RequestId| {
+                    let x = self.requests.get(q).filter(|x| x.waiting && x.hold <= self.now);
                     x.is_some_and(|x| self.turn_wait(**q, x).is_none())
                 };
                 let best = queue.iter().take(QUEUE_LOOK).find(open);
@@ -661,28 +672,28 @@
         }
     }
 
-    /// A late transfer earns little: it leaves only when nothing in time can.
-    fn late_one(&mut self, shard: ShardId, node: Option<NodeId>) -> Option<XferId> {
+    /// A late request earns little: it leaves only when nothing in time can.
+    fn late_one(&mut self, shard: ShardId, node: Option<NodeId>) -> Option<RequestId> {
         let n = node?;
         let sh = self.shards.get_mut(&shard)?;
-        while sh.late.pop_front_if(|id| !waits_at(&self.xfers, *id, shard)).is_some() {}
+        while sh.late.pop_front_if(|id| !waits_at(&self.requests, *id, shard)).is_some() {}
         let id = *sh.late.front()?;
         let none_in_time = sh.queues.is_empty();
-        let rank = self.streams[self.xfers[&id].stream.0 as usize].rank;
+        let rank = self.streams[self.requests[&id].stream.0 as usize].rank;
         let room = self.nodes[&n].room(self.now, (rank, LOWER_PART), false, self.mean_units);
         let idle = none_in_time && room.is_ok();
         Some(id).filter(|_| idle && self.may_leave(id, n).is_ok())
     }
 
-    /// Whether the guards let this transfer leave for this node now; if not, when to look again.
-    fn may_leave(&mut self, id: XferId, node: NodeId) -> Result<(), Instant> {
+    /// Whether the guards let this request leave for this node now; if not, when to look again.
+    fn may_leave(&mut self, id: RequestId, node: NodeId) -> Result<(), Instant> {
         let now = self.now;
         let later = now + Span::from_secs(BLOCKED_CHECK);
-        let (x, n) = (&self.xfers[&id], &self.nodes[&node]);
+        let (x, n) = (&self.requests[&id], &self.nodes[&node]);
         if x.hold > now {
             return Err(x.hold);
         }
-        // Rule 2: a keyed transfer that may have run stays in its group and window.
+        // Rule 2: a keyed request that may have run stays in its group and window.
         if !self.rerun_safe(x, Some(node)) {
             return Err(x.expiry);
         }
@@ -711,7 +722,7 @@
                 }
             }
         }
-        self.cold_room(node, self.xfers[&id].units)
+        self.cold_room(node, self.requests[&id].units)
     }
 
     /// Rule 7: this host's part of a volume's rates. An even slice until answers tell of the volume's service
@@ -726,7 +737,7 @@
     }
 
     /// More than its host's part of the burst must not pass: every host would overdraw the one store.
-    fn is_over_part(&self, x: &Xfer) -> bool {
+    fn is_over_part(&self, x: &Request) -> bool {
         let (p, v) = (&self.plans[x.plan.0 as usize], self.volumes.get(&x.volume));
         p.limit > 0.0 && !x.drew && v.is_some_and(|v| x.units > p.burst / v.hosts)
     }
@@ -743,8 +754,8 @@
         v.limit.level = if old.limit > 0.0 { level.clamp(0.0, most) } else { most };
     }
 
-    /// Rule 5: until when, at least, another transfer or an unknown outcome keeps the key from this one.
-    fn turn_wait(&self, id: XferId, x: &Xfer) -> Option<Instant> {
+    /// Rule 5: until when, at least, another request or an unknown outcome keeps the key from this one.
+    fn turn_wait(&self, id: RequestId, x: &Request) -> Option<Instant> {
         self.turns.get(&x.turn?)?.wait(id, self.now)
     }
 
@@ -755,7 +766,7 @@
         further + 1.0 <= self.budget.free + self.budget.share * taken
     }
 
-    /// Rule 4. Units not answered stay under this host's part of the always-safe figure, or one transfer.
+    /// Rule 4. Units not answered stay under this host's part of the always-safe figure, or one request.
     /// Time frees them at a rate that rises with the slowest warming. What hosts saw a shard do for them sums
     /// to no more than its node can do, so the same part of it at each host needs no agreement.
     fn cold_room(&mut self, node: NodeId, units: f64) -> Result<(), Instant> {
@@ -775,11 +786,11 @@
         }
     }
 
-    fn send(&mut self, shard: ShardId, id: XferId, node: NodeId, conforming: bool) -> Decision {
+    fn send(&mut self, shard: ShardId, id: RequestId, node: NodeId, conforming: bool) -> Decision {
         let now = self.now;
-        let begin_by = self.xfers.get(&id).and_then(|x| self.known_until(x));
-        let (Some(x), Some(n)) = (self.xfers.get_mut(&id), self.nodes.get_mut(&node)) else {
-            return Decision::Abandon { xfer: id };
+        let begin_by = self.requests.get(&id).and_then(|x| self.known_until(x));
+        let (Some(x), Some(n)) = (self.requests.get_mut(&id), self.nodes.get_mut(&node)) else {
+            return Decision::Abandon { request: id };
         };
         let st = &self.streams[x.stream.0 as usize];
         if let Some(v) = self.volumes.get_mut(&x.volume) {
@@ -809,7 +820,7 @@
             t.out += 1;
         }
         // Where legs get lost, one out far longer than usual is given up: it must not fill the caps. Against
-        // bad links; hurts where cheap transfers overtake costly ones. At a crowded node one is given up at
+        // bad links; hurts where cheap requests overtake costly ones. At a crowded node one is given up at
         // its SLO time, so the queue can drop what is late: against drowned nodes; costs what late ones earn.
         let here = &n.latency[x.stream.0 as usize];
         let seen = if here.count() >= TIMEOUT_SEEN { here } else { &self.everywhere[x.stream.0 as usize] };
@@ -819,11 +830,11 @@
         let timeout =
             if again { Some(far.max(Span::from_secs(st.slo.secs() * TIMEOUT_LEAST))) } else { crowded };
         let timeout = timeout.filter(|t| st.effect != Effect::Unrepeatable && now + *t < x.expiry);
-        Decision::Send { xfer: id, node, timeout, begin_by }
+        Decision::Send { request: id, node, timeout, begin_by }
     }
 
-    /// Until when a repeat of this keyed transfer is known for one: its attempt must have begun by then.
-    fn known_until(&self, x: &Xfer) -> Option<Instant> {
+    /// Until when a repeat of this keyed request is known for one: its attempt must have begun by then.
+    fn known_until(&self, x: &Request) -> Option<Instant> {
         match self.streams[x.stream.0 as usize].effect {
             Effect::Keyed { window, .. } => Some(x.ran?.1 + window - Span::from_secs(SAFE_EDGE)),
             _ => None,
@@ -831,7 +842,7 @@
     }
 
     /// Whether a further leg at `node` (or at any, if none is named) can do no harm.
-    fn rerun_safe(&self, x: &Xfer, node: Option<NodeId>) -> bool {
+    fn rerun_safe(&self, x: &Request, node: Option<NodeId>) -> bool {
         let Some((_, _, first)) = x.ran else { return true };
         match self.streams[x.stream.0 as usize].effect {
             Effect::Repeatable => true,
@@ -844,12 +855,12 @@
     }
 
     /// A leg ended without success: another where the rules and time allow, else the final answer at once.
-    fn go_on(&mut self, id: XferId) {
-        let Some(x) = self.xfers.get(&id) else { return };
+    fn go_on(&mut self, id: RequestId) {
+        let Some(x) = self.requests.get(&id) else { return };
         if x.legs >= self.most_legs || x.slo_at <= self.now || !self.rerun_safe(x, None) {
             return self.answer(id, Some(Span::from_secs(PAUSE)));
         }
-        if let Some(x) = self.xfers.get_mut(&id) {
+        if let Some(x) = self.requests.get_mut(&id) {
             x.hold = self.now + Span::from_secs(PAUSE);
             x.waiting = true;
         }
@@ -857,16 +868,16 @@
     }
 
     /// The final answer: deferred where a retry is safe, abandoned otherwise.
-    fn answer(&mut self, id: XferId, come_back: Option<Span>) {
-        let Some(x) = self.xfers.get(&id).filter(|x| !x.ended) else { return };
+    fn answer(&mut self, id: RequestId, come_back: Option<Span>) {
+        let Some(x) = self.requests.get(&id).filter(|x| !x.ended) else { return };
         let safe = match self.streams[x.stream.0 as usize].effect {
             Effect::Repeatable | Effect::Keyed { group: Group::All, .. } => true,
             _ => x.ran.is_none(),
         };
         let wait = come_back.map(|w| w.min(self.longest_wait)).filter(|w| *w > Span::ZERO);
         self.decided.push_back(match safe {
-            true => Decision::Defer { xfer: id, come_back: wait },
-            false => Decision::Abandon { xfer: id },
+            true => Decision::Defer { request: id, come_back: wait },
+            false => Decision::Abandon { request: id },
         });
         let ask = (x.volume, x.stream, x.key, x.shard.filter(|_| !x.any_node), x.units.to_bits());
         let keep = self.now + Span::from_secs(UNDONE_MEMORY);
@@ -874,22 +885,22 @@
         self.finish(id);
     }
 
-    fn finish(&mut self, id: XferId) {
-        self.due.extend(end(&mut self.xfers, &mut self.turns, id, self.now));
+    fn finish(&mut self, id: RequestId) {
+        self.due.extend(end(&mut self.requests, &mut self.turns, id, self.now));
     }
 
-    fn enqueue(&mut self, id: XferId, first: bool) {
-        let Some(x) = self.xfers.get(&id).filter(|x| x.waiting) else { return };
+    fn enqueue(&mut self, id: RequestId, first: bool) {
+        let Some(x) = self.requests.get(&id).filter(|x| x.waiting) else { return };
         let bound = if x.any_node && x.ran.is_none() { None } else { x.shard };
         let Some(shard) = bound.or_else(|| self.rotate()) else { return self.homeless.push(id) };
-        let Some(x) = self.xfers.get_mut(&id) else { return };
+        let Some(x) = self.requests.get_mut(&id) else { return };
         x.shard = Some(shard);
         self.alarms.push(Reverse((x.slo_at.max(self.now), Alarm::Look(shard))));
         let queue = self.shards.entry(shard).or_default().queues.entry((x.volume, x.stream)).or_default();
         match first {
             true => {
-                let ahead = queue.front().and_then(|f| self.xfers.get(f)).map_or(f64::MAX, |f| f.tag);
-                self.xfers.entry(id).and_modify(|x| x.tag = x.tag.min(ahead));
+                let ahead = queue.front().and_then(|f| self.requests.get(f)).map_or(f64::MAX, |f| f.tag);
+                self.requests.entry(id).and_modify(|x| x.tag = x.tag.min(ahead));
                 queue.push_front(id);
             }
             false => queue.push_back(id),
--- a/src/state.rs
+++ b/src/state.rs
@@ -37,7 +37,7 @@
 }
 
 pub struct Volume {
-    pub seen: Instant, // when a transfer of it last came
+    pub seen: Instant, // when a request of it last came
     pub plan: PlanId,
     pub hosts: f64,
     pub limit: Bucket,
@@ -46,10 +46,10 @@
     pub moved: (f64, f64, Instant), // shares of the limit left to other hosts, and by them to this one until then
 }
 
-/// What a transfer asks for: its client's later try asks for the same.
+/// What a request asks for: its client's later try asks for the same.
 pub type Ask = (VolumeId, StreamId, Option<KeyId>, Option<ShardId>, u64);
 
-/// A transfer that was answered without being done.
+/// A request that was answered without being done.
 pub struct Undone {
     pub slo_at: Instant,
     pub left: Span, // to its client when it came
@@ -160,7 +160,7 @@
     }
 }
 
-pub struct Xfer {
+pub struct Request {
     pub volume: VolumeId,
     pub plan: PlanId,
     pub stream: StreamId,
@@ -184,7 +184,7 @@
     pub ran: Option<(u32, Instant, NodeId)>, // the first leg that may have had an effect
 }
 
-impl Xfer {
+impl Request {
     pub fn send(&mut self, now: Instant, node: NodeId, (seen, out): (u64, u64), held: bool) {
         self.ran = self.ran.or(Some((self.legs, now, node)));
         self.drew = true;
@@ -202,7 +202,7 @@
         slo_at: Instant,
         expiry: Instant,
     ) -> Self {
-        Xfer {
+        Request {
             volume,
             plan,
             stream,
@@ -233,7 +233,7 @@
     pub node: NodeId,
     pub passed: u64, // once the node has answered more than this, later legs have overtaken it
     pub seen: u64,   // what the node had answered when it went out
-    pub held: bool,  // went out while the caps were what held transfers back
+    pub held: bool,  // went out while the caps were what held requests back
 }
 
 pub struct Node {
@@ -248,7 +248,7 @@
     pub cap: f64,
     pub least: f64, // of the cap
     pub cut_at: Instant,
-    pub waiting: f64, // transfers, as it last reported
+    pub waiting: f64, // requests, as it last reported
     pub took: f64,    // seconds, the last answer
     pub credit: f64,
     pub good: f64,
@@ -268,8 +268,8 @@
 
 #[derive(Default)]
 pub struct Shard {
-    pub queues: BTreeMap<Queue, VecDeque<XferId>>,
-    pub late: VecDeque<XferId>,
+    pub queues: BTreeMap<Queue, VecDeque<RequestId>>,
+    pub late: VecDeque<RequestId>,
     pub nodes: BTreeSet<NodeId>,
     pub tags: BTreeMap<VolumeId, f64>,
     pub vtime: f64,
@@ -284,7 +284,7 @@
     }
 
     /// First of a queue, past those that no longer wait here.
-    pub fn head(&mut self, name: Queue, waits: impl Fn(XferId) -> bool) -> Option<XferId> {
+    pub fn head(&mut self, name: Queue, waits: impl Fn(RequestId) -> bool) -> Option<RequestId> {
         let queue = self.queues.get_mut(&name)?;
         while queue.pop_front_if(|id| !waits(*id)).is_some() {}
         let first = queue.front().copied();
@@ -312,7 +312,7 @@
     }
 }
 
-/// Further legs, as a free few plus a share of the transfers taken, over any window.
+/// Further legs, as a free few plus a share of the requests taken, over any window.
 #[derive(Default)]
 pub struct Budget {
     pub free: f64,
@@ -332,7 +332,7 @@
         }
     }
 
-    /// Further legs sent in the last `window + edge`, and transfers taken in the last `window - edge`.
+    /// Further legs sent in the last `window + edge`, and requests taken in the last `window - edge`.
     pub fn count(&self, now: Instant, window: Span, edge: Span) -> (f64, f64) {
         let further = self.further.iter().rev().take_while(|t| now - **t <= window + edge).count();
         let taken = self.taken.iter().rev().take_while(|t| now - **t + edge <= window).count();
@@ -340,11 +340,11 @@
     }
 }
 
-/// Rule 5: transfers on one key, in the order taken.
+/// Rule 5: requests on one key, in the order taken.
 #[derive(Default)]
 pub struct Turn {
-    pub line: VecDeque<XferId>,
-    pub holder: Option<XferId>,
+    pub line: VecDeque<RequestId>,
+    pub holder: Option<RequestId>,
     pub out: usize,
     pub free_at: Instant,
 }
@@ -429,8 +429,8 @@
         self.free_at = self.free_at.max(rest_until.unwrap_or_default());
     }
 
-    /// When the key is free at the earliest, if this transfer may not leave now.
-    pub fn wait(&self, id: XferId, now: Instant) -> Option<Instant> {
+    /// When the key is free at the earliest, if this request may not leave now.
+    pub fn wait(&self, id: RequestId, now: Instant) -> Option<Instant> {
         let free = self.holder == Some(id) || (self.out == 0 && self.free_at <= now);
         (self.line.front() != Some(&id) || !free).then_some(self.free_at)
     }
@@ -439,8 +439,8 @@
         self.line.is_empty() && self.out == 0 && self.free_at <= now
     }
 
-    /// A transfer is over; gives the next in line.
-    pub fn leave(&mut self, id: XferId) -> Option<XferId> {
+    /// A request is over; gives the next in line.
+    pub fn leave(&mut self, id: RequestId) -> Option<RequestId> {
         self.line.retain(|q| *q != id);
         self.holder = self.holder.filter(|h| *h != id);
         self.line.front().copied()
@@ -490,7 +490,7 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Alarm {
-    Expiry(XferId),
+    Expiry(RequestId),
     Look(ShardId),
     Rested(KeyId),
     List,
@@ -559,24 +559,31 @@
     tightest
 }
 
-/// Marks a transfer as over; gives the shard of the one whose turn on its key comes next.
+/// Marks a request as over; gives the shard of the one whose turn on its key comes next.
 pub fn end(
-    xfers: &mut HashMap<XferId, Xfer>,
+    requests: &mut HashMap<RequestId, Request>,
     turns: &mut HashMap<KeyId, Turn>,
-    id: XferId,
+    id: RequestId,
     now: Instant,
 ) -> Option<ShardId> {
-    let x = xfers.get_mut(&id)?;
+    let x = requests.get_mut(&id)?;
     (x.ended, x.waiting) = (true, false);
     let next = x.turn.and_then(|k| turns.get_mut(&k)).and_then(|t| t.leave(id));
-    forget(xfers, turns, id, now);
-    next.and_then(|q| xfers.get(&q)).and_then(|x| x.shard)
+    forget(requests, turns, id, now);
+    next.and_then(|q| requests.get(&q)).and_then(|x| x.shard)
 }
 
-/// Drops a transfer that is over and has no leg out, and its key where nothing is left to order.
-pub fn forget(xfers: &mut HashMap<XferId, Xfer>, turns: &mut HashMap<KeyId, Turn>, id: XferId, now: Instant) {
-    let Some(turn) = xfers.get(&id).filter(|x| x.ended && x.out.is_empty()).map(|x| x.turn) else { return };
-    xfers.remove(&id);
+/// Drops a request that is over and has no leg out, and its key where nothing is left to order.
+pub fn forget(
+    requests: &mut HashMap<RequestId, Request>,
+    turns: &mut HashMap<KeyId, Turn>,
+    id: RequestId,
+    now: Instant,
+) {
+    let Some(turn) = requests.get(&id).filter(|x| x.ended && x.out.is_empty()).map(|x| x.turn) else {
+        return;
+    };
+    requests.remove(&id);
     if let Some(k) = turn.filter(|k| turns.get(k).is_some_and(|t| t.is_idle(now))) {
         turns.remove(&k);
     }
@@ -621,6 +628,6 @@
     shards.values_mut().for_each(|s| s.tags.retain(|v, _| volumes.contains_key(v)));
 }
 
-pub fn waits_at(xfers: &HashMap<XferId, Xfer>, id: XferId, shard: ShardId) -> bool {
-    xfers.get(&id).is_some_and(|x| x.waiting && x.shard == Some(shard))
+pub fn waits_at(requests: &HashMap<RequestId, Request>, id: RequestId, shard: ShardId) -> bool {
+    requests.get(&id).is_some_and(|x| x.waiting && x.shard == Some(shard))
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -57,17 +57,25 @@
         self.list(ListKind::Complete, &all);
     }
 
-    pub fn take(&mut self, stream: u32, plan: u32, volume: u32, units: f64, shard: i32, key: u32) -> XferId {
-        let id = XferId(self.next);
+    pub fn take(
+        &mut self,
+        stream: u32,
+        plan: u32,
+        volume: u32,
+        units: f64,
+        shard: i32,
+        key: u32,
+    ) -> RequestId {
+        let id = RequestId(self.next);
         self.next += 1;
         let (at, left) = (self.at(), secs(self.left));
         let shard = u32::try_from(shard).ok().map(ShardId);
         let (st, pl, vol) = (StreamId(stream), PlanId(plan), VolumeId(volume));
-        self.s.transfer_arrived(at, id, st, pl, Some(KeyId(key)), left, vol, units, shard, self.told);
+        self.s.request_arrived(at, id, st, pl, Some(KeyId(key)), left, vol, units, shard, self.told);
         id
     }
 
-    pub fn end(&mut self, id: XferId, leg: u32, outcome: Outcome, took: f64) {
+    pub fn end(&mut self, id: RequestId, leg: u32, outcome: Outcome, took: f64) {
         self.s.leg_ended(self.at(), id, LegNo(leg), outcome, secs(took), outcome == Outcome::Done);
     }
 
@@ -93,9 +101,9 @@
     }
 }
 
-pub fn sent(d: &Decision) -> Option<(XferId, NodeId)> {
+pub fn sent(d: &Decision) -> Option<(RequestId, NodeId)> {
     match d {
-        Decision::Send { xfer, node, .. } => Some((*xfer, *node)),
+        Decision::Send { request, node, .. } => Some((*request, *node)),
         _ => None,
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -43,7 +43,7 @@
 }
 
 /// An attempt at the node: whose, its number, its units, and until when its host waits.
-type Out = (usize, XferId, u32, f64, f64);
+type Out = (usize, RequestId, u32, f64, f64);
 
 struct Fleet {
     desks: Vec<Desk>,
@@ -53,7 +53,7 @@
     started: Option<f64>,
     queue: VecDeque<Out>,
     done: f64,
-    legs: HashMap<(usize, XferId), (u32, f64)>,
+    legs: HashMap<(usize, RequestId), (u32, f64)>,
     sent: Vec<f64>,
     now: f64,
 }
@@ -98,10 +98,10 @@
                 self.legs.insert((i, x), (0, units));
             }
             for decision in d.pull() {
-                let Decision::Send { xfer, timeout, .. } = decision else { continue };
-                let (legs, units) = self.legs.get_mut(&(i, xfer)).expect("taken");
+                let Decision::Send { request, timeout, .. } = decision else { continue };
+                let (legs, units) = self.legs.get_mut(&(i, request)).expect("taken");
                 let until = self.now + timeout.map_or(d.left, |t| t.secs().min(d.left));
-                self.queue.push_back((i, xfer, *legs, *units, until));
+                self.queue.push_back((i, request, *legs, *units, until));
                 *legs += 1;
                 self.sent.push(self.now);
             }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -12,7 +12,7 @@
 }
 
 /// Fills the node's caps, so that what is taken next has to wait for an answer.
-fn fill(d: &mut Desk, stream: u32) -> Vec<XferId> {
+fn fill(d: &mut Desk, stream: u32) -> Vec<RequestId> {
     for i in 0..40 {
         d.take(stream, 2, 90, 1.0, 0, 1000 + i);
     }
@@ -78,7 +78,7 @@
         d.now += 0.05;
         out.iter().for_each(|x| d.end(*x, 0, Outcome::Done, 0.05));
         let next: Vec<_> = d.pull().iter().filter_map(sent).map(|s| s.0).collect();
-        let place = |id: &XferId| next.iter().position(|n| n == id).unwrap_or(usize::MAX);
+        let place = |id: &RequestId| next.iter().position(|n| n == id).unwrap_or(usize::MAX);
         assert!(ids.iter().all(|i| place(i) >= place(&ids[expected])), "{why}: {next:?}");
     }
 }
@@ -92,7 +92,7 @@
         let mut d = desk(1);
         let (mut served, mut owner, mut out) = ([0.0; 2], std::collections::HashMap::new(), Vec::new());
         for step in 0..4000 {
-            // The second volume's transfers come as often in units as the first one's.
+            // The second volume's requests come as often in units as the first one's.
             for v in 0..2usize {
                 let each = (4.0 / units[v]) as u32;
                 (0..each).for_each(|_| _ = owner.insert(d.take(0, plans[v], v as u32, units[v], 0, step), v));
@@ -176,11 +176,11 @@
 
 #[test]
 fn a_node_that_fails_by_chance_is_asked_again_in_time() {
-    // How many of ten legs fail, and how long that takes; transfers of 100 done within the SLO time, at least and most.
+    // How many of ten legs fail, and how long that takes; requests of 100 done within the SLO time, at least and most.
     for (failing, took, least, most) in [(5, 0.005, 85, 100), (7, 0.005, 60, 100), (5, 0.3, 30, 70)] {
         let mut d = desk(1);
-        let (mut legs, mut done, mut out) = (0u32, 0, Vec::<(f64, XferId, u32)>::new());
-        let mut tries = std::collections::HashMap::<XferId, u32>::new();
+        let (mut legs, mut done, mut out) = (0u32, 0, Vec::<(f64, RequestId, u32)>::new());
+        let mut tries = std::collections::HashMap::<RequestId, u32>::new();
         for step in 0..2000 {
             if step % 20 == 0 {
                 d.take(0, 2, step % 7, 1.0, 0, step);
@@ -193,7 +193,7 @@
             }
             while let Some(i) = out.iter().position(|o| o.0 <= end) {
                 let (_, x, no) = out.remove(i);
-                // Spread evenly, and in no step with the legs of a transfer.
+                // Spread evenly, and in no step with the legs of a request.
                 let fails = legs * 7 % 10 < failing;
                 legs += 1;
                 done += u32::from(!fails);
@@ -216,13 +216,13 @@
         for step in 0..1200u32 {
             d.take(0, 2, step % 9, 1.0, (step % 3) as i32, step);
             for x in d.pull() {
-                let Decision::Send { xfer, timeout, .. } = x else { continue };
+                let Decision::Send { request, timeout, .. } = x else { continue };
                 timed += u32::from(step > 1000 && timeout.is_some());
-                legs[xfer.0 as usize] += 1;
+                legs[request.0 as usize] += 1;
                 let until = d.now + timeout.map_or(2.9, Span::secs);
-                match lossy && xfer.0 % 7 == 0 {
-                    true => silent.push((xfer, legs[xfer.0 as usize] - 1, until)),
-                    false => d.end(xfer, 0, Outcome::Done, took),
+                match lossy && request.0 % 7 == 0 {
+                    true => silent.push((request, legs[request.0 as usize] - 1, until)),
+                    false => d.end(request, 0, Outcome::Done, took),
                 }
             }
             for (x, leg, _) in silent.extract_if(.., |s| s.2 <= d.now) {
@@ -244,16 +244,19 @@
         let mut d = Desk::new(100, Effect::Repeatable, false);
         d.ready(1);
         d.left = left;
-        let mut out = std::collections::BTreeMap::<XferId, (f64, bool)>::new();
+        let mut out = std::collections::BTreeMap::<RequestId, (f64, bool)>::new();
         let (mut legs, mut timed) = (0, 0);
         for step in 0..1200 {
             d.take(0, 2, step % 5, 1.0, 0, step);
             let end = d.now + 0.1;
             for (t, x) in d.until(end) {
-                let Decision::Send { xfer, timeout, .. } = x else { continue };
+                let Decision::Send { request, timeout, .. } = x else { continue };
                 let silent = legs % 10 < lost;
                 (legs, timed) = (legs + 1, timed + u32::from(timeout == Some(secs(0.5))));
-                out.insert(xfer, (t + if silent { timeout.map_or(left, Span::secs) } else { 0.05 }, silent));
+                out.insert(
+                    request,
+                    (t + if silent { timeout.map_or(left, Span::secs) } else { 0.05 }, silent),
+                );
             }
             while let Some((x, silent)) = out.iter().find(|o| o.1 .0 <= end).map(|o| (*o.0, o.1 .1)) {
                 out.remove(&x);
@@ -384,13 +387,13 @@
         // One is out and holds the node's only place.
         d.s.node_ordered(d.at(), NodeId(0), 0.1, false);
         d.take(0, 2, 1, 2.0, 0, 99);
-        let mut out: Vec<XferId> = d.pull().iter().filter_map(sent).map(|s| s.0).collect();
+        let mut out: Vec<RequestId> = d.pull().iter().filter_map(sent).map(|s| s.0).collect();
         assert_eq!(out.len(), 1, "{why}");
-        let ids: Vec<XferId> = asks
+        let ids: Vec<RequestId> = asks
             .iter()
             .map(|(tag, key)| {
                 let id = d.take(0, 2, 1, 2.0, 0, *key);
-                d.s.transfer_tagged(id, *tag);
+                d.s.request_tagged(id, *tag);
                 id
             })
             .collect();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn one_final_answer_before_expiry_whatever_happens() {
-    // What each transfer meets: no node at all; a silent node; an answer with an error each time.
+    // What each request meets: no node at all; a silent node; an answer with an error each time.
     for case in ["no node", "silent", "errors"] {
         let mut d = Desk::new(1, Effect::Repeatable, false);
         if case != "no node" {
@@ -22,16 +22,16 @@
         while d.now < end {
             for (t, dec) in d.until(d.now + 0.01) {
                 match dec {
-                    Decision::Send { xfer, .. } => {
-                        assert_eq!(answers[xfer.0 as usize], 0, "{case}: sent after its answer");
-                        legs[xfer.0 as usize] += 1;
+                    Decision::Send { request, .. } => {
+                        assert_eq!(answers[request.0 as usize], 0, "{case}: sent after its answer");
+                        legs[request.0 as usize] += 1;
                         if case == "errors" {
-                            d.end(xfer, legs[xfer.0 as usize] - 1, Outcome::Error, 0.01);
+                            d.end(request, legs[request.0 as usize] - 1, Outcome::Error, 0.01);
                         }
                     }
-                    Decision::Defer { xfer, .. } | Decision::Abandon { xfer } => {
+                    Decision::Defer { request, .. } | Decision::Abandon { request } => {
                         assert!(t < 103.0, "{case}: answered after expiry");
-                        answers[xfer.0 as usize] += 1;
+                        answers[request.0 as usize] += 1;
                     }
                     _ => {}
                 }
@@ -255,7 +255,7 @@
 #[test]
 fn all_hosts_together_keep_the_limit() {
     // Whether one of the two hosts is killed and starts again midway; whether answers tell of service through
-    // the other; transfers in 10 that come to the first host before and after the lead changes.
+    // the other; requests in 10 that come to the first host before and after the lead changes.
     let table = [
         (false, false, 5, 5),
         (true, false, 5, 5),
@@ -468,7 +468,7 @@
             all = d.until(end).into_iter().map(|(_, x)| x).collect();
         }
         let answer = all.iter().find(
-            |x| matches!(x, Decision::Defer { xfer, .. } | Decision::Abandon { xfer } if *xfer == first),
+            |x| matches!(x, Decision::Defer { request, .. } | Decision::Abandon { request } if *request == first),
         );
         match answer {
             Some(Decision::Defer { come_back, .. }) => assert!(over && *come_back == Some(secs(1.0))),
