--- a/crates/benchlink/src/lib.rs
+++ b/crates/benchlink/src/lib.rs
@@ -160,7 +160,7 @@
                     "skipped" => Outcome::Skipped,
                     other => return Err(format!("outcome {other}; expected one of the wire's eight")),
                 };
-                let leg = LegNo(index(v.get(2), "try")?);
+                let attempt = AttemptNumber(index(v.get(2), "try")?);
                 let elapsed = Span::from_secs(number(v.get(5), "elapsed")?);
                 let ended = v.get(6).and_then(Value::as_bool).ok_or("ended: expected true or false")?;
                 let load = v.get(9).and_then(Value::as_array);
@@ -172,7 +172,7 @@
                     let elsewhere = v.get(8).and_then(Value::as_f64).unwrap_or(0.0);
                     let done = outcome == Outcome::Done;
                     self.scheduler.service_reported(now, RequestId(id), done, self.tells, elsewhere);
-                    self.scheduler.leg_ended(now, RequestId(id), leg, outcome, elapsed, ended);
+                    self.scheduler.attempt_ended(now, RequestId(id), attempt, outcome, elapsed, ended);
                 }
             }
             "Vanished" => {
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -24,7 +24,7 @@
         /// Commands a second at each host, in place of those drawn.
         #[arg(long)]
         rate: Option<f64>,
-        /// A page with pictures of the run: service, stores, percentiles, legs by node.
+        /// A page with pictures of the run: service, stores, percentiles, attempts by node.
         #[arg(long)]
         report: Option<std::path::PathBuf>,
         /// The trace, line by line as JSON, for `tackmast rules` and for reading.
--- a/crates/cli/src/orders.rs
+++ b/crates/cli/src/orders.rs
@@ -198,7 +198,7 @@
         Reply::Status(s) => {
             println!(
                 "host {}: {} commands open, {} legs out; taken {}, done {}, deferred {}, abandoned {}",
-                s.host, s.commands, s.legs, s.taken, s.done, s.deferred, s.abandoned
+                s.host, s.commands, s.attempts, s.taken, s.done, s.deferred, s.abandoned
             );
             println!(
                 "overrides: {} stand, version {}, {} nodes on their way back",
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -46,8 +46,8 @@
             done = c.done,
             deferred = c.deferred,
             abandoned = c.abandoned,
-            legs = c.legs,
-            further_legs = c.further_legs,
+            attempts = c.attempts,
+            retries = c.retries,
             core_seconds = s.core_seconds,
             "host ends"
         );
--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/days.rs
@@ -32,7 +32,7 @@
 days! {
     the_first_day = "first",
     a_drain_with_requests_queued_and_on_the_wire = "drain",
-    second_legs_never_overlap_nor_repeat_an_effect = "second-leg",
+    hedged_requests_never_overlap_nor_repeat_an_effect = "second-leg",
     hosts_killed_and_restarted_under_load = "host-kill",
     all_nodes_restart_while_the_list_is_stale = "mass-restart",
     clients_that_leave_and_break_the_protocol = "bad-clients",
--- a/crates/client/tests/resumed.rs
+++ b/crates/client/tests/resumed.rs
@@ -8,7 +8,7 @@
 use tackmast_standins::tap::Cut;
 use tackmast_trace::Event;
 
-/// Commands that the host was given for this place, and legs of them that a node ran.
+/// Commands that the host was given for this place, and attempts of them that a node ran.
 fn tries(seen: &[tackmast_trace::Line], lun: u32, place: u64) -> (usize, usize) {
     let mut asked = 0;
     let mut names = Vec::new();
@@ -18,10 +18,12 @@
             Event::Submit { volume, offset, write: true, .. } if (*volume, *offset) == (lun, place) => {
                 asked += 1
             }
-            Event::Leg { volume, offset, write: true, name, .. } if (*volume, *offset) == (lun, place) => {
+            Event::Attempt { volume, offset, write: true, name, .. }
+                if (*volume, *offset) == (lun, place) =>
+            {
                 names.push(*name);
             }
-            Event::LegEnd { name, ran: true, .. } if names.contains(name) => ran += 1,
+            Event::AttemptEnd { name, ran: true, .. } if names.contains(name) => ran += 1,
             _ => {}
         }
     }
--- a/crates/config/src/host.rs
+++ b/crates/config/src/host.rs
@@ -65,7 +65,7 @@
     /// Parts of one command, where it touches several extents.
     pub parts: usize,
     pub nodes: usize,
-    /// Connections to one node, and legs waiting to be written on each.
+    /// Connections to one node, and attempts waiting to be written on each.
     pub links: usize,
     pub link_queue: usize,
     /// Bytes that one connection to a node may hold on their way: what has left can't be taken back.
@@ -235,7 +235,7 @@
 /// `further_legs { ... }`: rule 6.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct FurtherLegs {
+pub struct RetryBudget {
     pub free: f64,
     pub share: f64,
     pub window_s: f64,
@@ -259,11 +259,12 @@
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Legs of one request.
-    pub most_legs: u32,
+    /// Attempts of one request.
+    #[serde(rename = "most_legs")]
+    pub max_attempts: u32,
     /// Longest time a client can be asked to stay away; 0: it can't be asked.
     pub longest_wait_s: f64,
-    /// Rest of an order key after a leg that may still be running.
+    /// Rest of an order key after an attempt that may still be running.
     pub settle_s: f64,
     /// Time after word of a drain within which what was on its way may still reach the node.
     pub drain_grace_ms: f64,
@@ -273,7 +274,13 @@
 
 impl Default for Load {
     fn default() -> Self {
-        Load { most_legs: 4, longest_wait_s: 2.0, settle_s: 1.0, drain_grace_ms: 250.0, tells_others: true }
+        Load {
+            max_attempts: 4,
+            longest_wait_s: 2.0,
+            settle_s: 1.0,
+            drain_grace_ms: 250.0,
+            tells_others: true,
+        }
     }
 }
 
@@ -401,7 +408,7 @@
     pub bounds: Bounds,
     pub units: Units,
     pub load: Load,
-    pub further_legs: Option<FurtherLegs>,
+    pub retry_budget: Option<RetryBudget>,
     pub cold: Option<ColdNodes>,
     pub overrides: Option<OverridesBlock>,
     pub membership: Option<MembershipBlock>,
@@ -449,7 +456,7 @@
         let bounds: Bounds = doc.block_or("bounds")?;
         let units: Units = doc.block("units")?;
         let load: Load = doc.block_or("load")?;
-        let further_legs: Option<FurtherLegs> = doc.blocks("further_legs", false)?.pop().map(|f| f.value);
+        let retry_budget: Option<RetryBudget> = doc.blocks("further_legs", false)?.pop().map(|f| f.value);
         let cold: Option<ColdNodes> = doc.blocks("cold_nodes", false)?.pop().map(|f| f.value);
 
         let overrides: Option<OverridesBlock> = doc.blocks("overrides", false)?.pop().map(|f| f.value);
@@ -500,7 +507,7 @@
         whole("units", "bytes", u64::from(units.bytes), 1, 8 << 20)?;
         within("units", "", "most", units.most, 1.0, 1e9)?;
         within("units", "", "mean", units.mean, 1e-3, units.most)?;
-        whole("load", "most_legs", u64::from(load.most_legs), 1, 200)?;
+        whole("load", "most_legs", u64::from(load.max_attempts), 1, 200)?;
         within("load", "", "longest_wait_s", load.longest_wait_s, 0.0, DAY_S)?;
         within("load", "", "settle_s", load.settle_s, 0.0, DAY_S)?;
         within("load", "", "drain_grace_ms", load.drain_grace_ms, 1.0, DAY_S * 1e3)?;
@@ -570,7 +577,7 @@
                 }
             }
         }
-        if let Some(f) = &further_legs {
+        if let Some(f) = &retry_budget {
             within("further_legs", "", "free", f.free, 0.0, 1e9)?;
             within("further_legs", "", "share", f.share, 0.0, 1e3)?;
             within("further_legs", "", "window_s", f.window_s, 0.05, DAY_S)?;
@@ -744,7 +751,7 @@
             bounds,
             units,
             load,
-            further_legs,
+            retry_budget,
             cold,
             overrides,
             membership,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -6,6 +6,6 @@
 
 pub use document::{ConfigError, Document, Place};
 pub use host::{
-    AgreementBlock, Bounds, ColdNodes, FurtherLegs, HostSettings, Identity, Load, MembershipBlock,
-    OverridesBlock, Plan, PlansBlock, Stream, Units, Volume,
+    AgreementBlock, Bounds, ColdNodes, HostSettings, Identity, Load, MembershipBlock, OverridesBlock, Plan,
+    PlansBlock, RetryBudget, Stream, Units, Volume,
 };
--- a/crates/day/src/play.rs
+++ b/crates/day/src/play.rs
@@ -81,7 +81,7 @@
         cold_window_us: cold.map_or(0, |c| us(c.window_s)),
         cold_safe_units: cold.map_or(f64::MAX, |c| c.safe_units),
         settle_us: us(s.load.settle_s),
-        further: s.further_legs.as_ref().map(|f| (f.free, f.share, us(f.window_s))),
+        further: s.retry_budget.as_ref().map(|f| (f.free, f.share, us(f.window_s))),
         skew_us: us(skew_s),
     }
 }
--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -16,7 +16,7 @@
 use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, Span};
 use tackmast_admin::Answer;
 use tackmast_config::HostSettings;
-use tackmast_hostcore::{Age, Ask, CommandRef, Core, Counters, LegBack, ListEntry, Output, Work};
+use tackmast_hostcore::{Age, Ask, AttemptResult, CommandRef, Core, Counters, ListEntry, Output, Work};
 
 /// Events taken before the outputs they caused are carried out.
 const BATCH: usize = 256;
@@ -42,7 +42,7 @@
     SessionGone {
         session: u32,
     },
-    LegBack(LegBack),
+    AttemptResult(AttemptResult),
     NodeUp {
         node: NodeId,
         up: Span,
@@ -88,7 +88,7 @@
     pub sessions: usize,
     pub commands: usize,
     pub requests: usize,
-    pub legs: usize,
+    pub attempts: usize,
     pub nodes: Vec<(String, NodeState)>,
     /// Seconds that the core's thread has spent in the core, and in the decision module's part of it.
     pub core_seconds: f64,
@@ -211,7 +211,7 @@
                 self.sessions.remove(&session);
                 self.core.session_gone(now, session);
             }
-            Event::LegBack(back) => self.core.leg_back(now, back),
+            Event::AttemptResult(back) => self.core.attempt_finished(now, back),
             Event::NodeUp { node, up, heard } => {
                 self.core.node_said_up(now, node, up);
                 _ = heard.try_send(());
@@ -220,7 +220,7 @@
                 self.core.list_came(at.max(now), kind, from, to, &entries);
                 let gone = |core: &Core, n: NodeId| {
                     let state = core.nodes().entries().find(|(_, e)| e.node == n).map(|(_, e)| e.state);
-                    state == Some(NodeState::Gone) && !core.has_legs_at(n)
+                    state == Some(NodeState::Gone) && !core.has_attempts_at(n)
                 };
                 let core = &self.core;
                 self.links.drop_where(|n| gone(core, n));
@@ -241,14 +241,14 @@
                 }
             }
             Event::Status(to) => {
-                let (commands, requests, legs) = self.core.open();
+                let (commands, requests, attempts) = self.core.open();
                 let nodes = self.core.nodes().entries().map(|(a, e)| (a.to_owned(), e.state)).collect();
                 let status = Status {
                     counters: self.core.counters,
                     sessions: self.sessions.len(),
                     commands,
                     requests,
-                    legs,
+                    attempts,
                     nodes,
                     core_seconds: self.busy.as_secs_f64(),
                 };
@@ -285,19 +285,25 @@
         let now = self.last;
         while let Some(o) = self.core.next_output(now) {
             match o {
-                Output::Send(leg) => {
-                    let (node, id) = (leg.node, leg.leg);
+                Output::Send(attempt) => {
+                    let (node, id) = (attempt.node, attempt.attempt);
                     let address = self.core.nodes().address(node).map(str::to_owned);
-                    let sent = address.is_some_and(|a| self.links.send(node, &a, leg));
+                    let sent = address.is_some_and(|a| self.links.send(node, &a, attempt));
                     if !sent {
-                        // The link's queue is full: the leg never left.
+                        // The link's queue is full: the attempt never left.
                         let (waiting, elsewhere, data) = (None, None, Bytes::new());
-                        let back = LegBack { leg: id, outcome: Outcome::Refused, waiting, elsewhere, data };
-                        self.core.leg_back(now, back);
+                        let back = AttemptResult {
+                            attempt: id,
+                            outcome: Outcome::Refused,
+                            waiting,
+                            elsewhere,
+                            data,
+                        };
+                        self.core.attempt_finished(now, back);
                     }
                 }
-                Output::Cancel { node, leg } => self.links.cancel(node, leg),
-                Output::Cut { node, leg } => self.links.cut(node, leg),
+                Output::Cancel { node, attempt } => self.links.cancel(node, attempt),
+                Output::Cut { node, attempt } => self.links.cut(node, attempt),
                 Output::Answer { to, verdict } => {
                     let Some((sender, close)) = self.sessions.get(&to.session) else { continue };
                     let full = sender.try_send(ToSession::Answer { command: to.command, verdict });
--- a/crates/host/src/links.rs
+++ b/crates/host/src/links.rs
@@ -1,4 +1,4 @@
-//! Links to nodes: a bounded number of connections each, opened when a leg needs one, several legs on each.
+//! Links to nodes: a bounded number of connections each, opened when an attempt needs one, several attempts on each.
 
 use crate::core_thread::Event;
 use crate::Clock;
@@ -11,15 +11,15 @@
 use std::time::{Duration, Instant as Wall};
 use tackmast::interface::{NodeId, Outcome, Span};
 use tackmast_config::HostSettings;
-use tackmast_hostcore::{Begin, LegBack, LegId, LegWork, Request, SendLeg, Ticket};
+use tackmast_hostcore::{AttemptId, AttemptResult, AttemptWork, Begin, Request, SendAttempt, Ticket};
 use tackmast_wire::node::{self, Frame, NodeOutcome, Origin};
 
 /// Bytes gathered for one write. What is gathered has been claimed and will leave, so it is little.
 const GATHER: usize = 16 << 10;
 
 enum ToLink {
-    Send(Box<SendLeg>),
-    Cancel(LegId),
+    Send(Box<SendAttempt>),
+    Cancel(AttemptId),
 }
 
 /// The connection a link has at the moment, for those who must end it while its thread writes.
@@ -43,31 +43,31 @@
         Links { settings, clock, events, life, nodes: HashMap::new() }
     }
 
-    fn slot(&self, leg: LegId) -> usize {
-        (leg.0 >> 8) as usize % self.settings.bounds.links
+    fn slot(&self, attempt: AttemptId) -> usize {
+        (attempt.0 >> 8) as usize % self.settings.bounds.links
     }
 
-    /// Hands the leg to a link of its node; false: the link's queue is full, or it could not be opened.
-    pub fn send(&mut self, node: NodeId, address: &str, leg: Box<SendLeg>) -> bool {
-        let slot = self.slot(leg.leg);
+    /// Hands the attempt to a link of its node; false: the link's queue is full, or it could not be opened.
+    pub fn send(&mut self, node: NodeId, address: &str, attempt: Box<SendAttempt>) -> bool {
+        let slot = self.slot(attempt.attempt);
         if !self.nodes.contains_key(&node) {
             let Some(links) = self.open(node, address) else { return false };
             self.nodes.insert(node, links);
         }
-        self.nodes.get(&node).is_some_and(|links| links[slot].to.try_send(ToLink::Send(leg)).is_ok())
+        self.nodes.get(&node).is_some_and(|links| links[slot].to.try_send(ToLink::Send(attempt)).is_ok())
     }
 
-    pub fn cancel(&mut self, node: NodeId, leg: LegId) {
-        let slot = self.slot(leg);
+    pub fn cancel(&mut self, node: NodeId, attempt: AttemptId) {
+        let slot = self.slot(attempt);
         if let Some(links) = self.nodes.get(&node) {
-            // Without room the node works on in vain; the leg has had its end here.
-            _ = links[slot].to.try_send(ToLink::Cancel(leg));
+            // Without room the node works on in vain; the attempt has had its end here.
+            _ = links[slot].to.try_send(ToLink::Cancel(attempt));
         }
     }
 
-    /// Ends the connection that carries this leg; bytes that have not left never will.
-    pub fn cut(&mut self, node: NodeId, leg: LegId) {
-        let slot = self.slot(leg);
+    /// Ends the connection that carries this attempt; bytes that have not left never will.
+    pub fn cut(&mut self, node: NodeId, attempt: AttemptId) {
+        let slot = self.slot(attempt);
         if let Some(stream) = self.nodes.get(&node).and_then(|links| lock(&links[slot].current).take()) {
             reset(&stream);
         }
@@ -109,8 +109,8 @@
     }
 }
 
-/// Legs that were claimed and have no answer yet; none once the connection is broken.
-type Outstanding = Arc<Mutex<Option<HashSet<LegId>>>>;
+/// Attempts that were claimed and have no answer yet; none once the connection is broken.
+type Outstanding = Arc<Mutex<Option<HashSet<AttemptId>>>>;
 
 fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
     m.lock().unwrap_or_else(PoisonError::into_inner)
@@ -131,14 +131,14 @@
     /// By this the reader asks for a ping, or says that the connection is broken.
     ping: (Sender<()>, Receiver<()>),
     current: Current,
-    /// Legs whose bytes are gathered or being written.
+    /// Attempts whose bytes are gathered or being written.
     writing: Vec<Ticket>,
     up: Option<Up>,
 }
 
-fn back(events: &Sender<Event>, leg: LegId, outcome: Outcome) {
-    let back = LegBack { leg, outcome, waiting: None, elsewhere: None, data: Bytes::new() };
-    _ = events.send(Event::LegBack(back));
+fn back(events: &Sender<Event>, attempt: AttemptId, outcome: Outcome) {
+    let back = AttemptResult { attempt, outcome, waiting: None, elsewhere: None, data: Bytes::new() };
+    _ = events.send(Event::AttemptResult(back));
 }
 
 /// Ends a connection, and drops what the socket has not sent: a plain shutdown would still deliver it.
@@ -150,9 +150,9 @@
 /// The connection is of no use any more: all that was claimed may have run.
 fn break_off(stream: &TcpStream, out: &Outstanding, events: &Sender<Event>) {
     reset(stream);
-    let legs = lock(out).take();
-    for leg in legs.into_iter().flatten() {
-        back(events, leg, Outcome::Reset);
+    let attempts = lock(out).take();
+    for attempt in attempts.into_iter().flatten() {
+        back(events, attempt, Outcome::Reset);
     }
 }
 
@@ -203,7 +203,7 @@
 
     fn gather(&mut self, message: ToLink, bytes: &mut BytesMut) {
         match message {
-            ToLink::Send(leg) => {
+            ToLink::Send(attempt) => {
                 if self.up.as_ref().is_some_and(|up| lock(&up.out).is_none()) {
                     self.down();
                     bytes.clear();
@@ -214,54 +214,59 @@
                         Err(e) => {
                             tracing::debug!(node = %self.address, "link: {e}");
                             // It provably never ran, unless the core has given it up before.
-                            if leg.ticket.withdraw() {
-                                back(&self.events, leg.leg, Outcome::Refused);
+                            if attempt.ticket.withdraw() {
+                                back(&self.events, attempt.attempt, Outcome::Refused);
                             }
                             return;
                         }
                     }
                 }
                 let Some(up) = &self.up else { return };
-                match leg.begin(self.clock.now()) {
+                match attempt.begin(self.clock.now()) {
                     Begin::Now => {}
                     Begin::Withdrawn => return,
-                    Begin::TooLate => return back(&self.events, leg.leg, Outcome::Refused),
+                    Begin::TooLate => return back(&self.events, attempt.attempt, Outcome::Refused),
                 }
                 match lock(&up.out).as_mut() {
-                    Some(out) => _ = out.insert(leg.leg),
+                    Some(out) => _ = out.insert(attempt.attempt),
                     // Broken since it was looked at: claimed, but no byte of it has left.
-                    None => return back(&self.events, leg.leg, Outcome::Refused),
+                    None => return back(&self.events, attempt.attempt, Outcome::Refused),
                 }
-                self.writing.push(leg.ticket.clone());
-                self.frame(*leg).encode(bytes);
+                self.writing.push(attempt.ticket.clone());
+                self.frame(*attempt).encode(bytes);
             }
-            ToLink::Cancel(leg) => {
-                let known = self.up.as_ref().and_then(|up| lock(&up.out).as_mut().map(|o| o.contains(&leg)));
+            ToLink::Cancel(attempt) => {
+                let known =
+                    self.up.as_ref().and_then(|up| lock(&up.out).as_mut().map(|o| o.contains(&attempt)));
                 if known == Some(true) {
-                    Frame::Cancel { leg: leg.0 }.encode(bytes);
+                    Frame::Cancel { attempt: attempt.0 }.encode(bytes);
                 }
             }
         }
     }
 
-    fn frame(&self, leg: SendLeg) -> Frame {
+    fn frame(&self, attempt: SendAttempt) -> Frame {
         let now = self.clock.now();
-        let left = (leg.until - now).secs().max(0.0);
-        Frame::Send(node::SendLeg {
-            leg: leg.leg.0,
-            request: leg.request,
-            leg_no: leg.leg_no,
-            origin: Origin { session: leg.from.session, command: leg.from.command, part: leg.part },
+        let left = (attempt.until - now).secs().max(0.0);
+        Frame::Send(node::SendAttempt {
+            attempt: attempt.attempt.0,
+            request: attempt.request,
+            attempt_number: attempt.attempt_number,
+            origin: Origin {
+                session: attempt.from.session,
+                command: attempt.from.command,
+                part: attempt.part,
+            },
             sent_us: self.clock.unix_us(now),
             left_us: (left * 1e6).min(f64::from(u32::MAX)) as u32,
-            mark: leg.mark,
-            key: leg.key,
-            volume: leg.volume,
-            offset: leg.offset,
-            units: leg.units as f32,
-            work: match leg.work {
-                LegWork::Read { length } => node::Work::Read { length },
-                LegWork::Write { data } | LegWork::Request(Request { body: data, .. }) => {
+            mark: attempt.mark,
+            key: attempt.key,
+            volume: attempt.volume,
+            offset: attempt.offset,
+            units: attempt.units as f32,
+            work: match attempt.work {
+                AttemptWork::Read { length } => node::Work::Read { length },
+                AttemptWork::Write { data } | AttemptWork::Request(Request { body: data, .. }) => {
                     node::Work::Write { data }
                 }
             },
@@ -376,9 +381,9 @@
                     break 'link;
                 }
             };
-            let leg = LegId(answer.leg);
-            if !lock(out).as_mut().is_some_and(|o| o.remove(&leg)) {
-                tracing::debug!(leg = leg.0, "link: an answer to no leg that is out");
+            let attempt = AttemptId(answer.attempt);
+            if !lock(out).as_mut().is_some_and(|o| o.remove(&attempt)) {
+                tracing::debug!(attempt = attempt.0, "link: an answer to no leg that is out");
                 continue;
             }
             let outcome = match answer.outcome {
@@ -388,8 +393,8 @@
                 NodeOutcome::NotHere => Outcome::Skipped,
             };
             let (waiting, elsewhere) = (Some(answer.waiting), Some(f64::from(answer.elsewhere)));
-            let back = LegBack { leg, outcome, waiting, elsewhere, data: answer.data };
-            if events.send(Event::LegBack(back)).is_err() {
+            let back = AttemptResult { attempt, outcome, waiting, elsewhere, data: answer.data };
+            if events.send(Event::AttemptResult(back)).is_err() {
                 break 'link;
             }
         }
--- a/crates/host/tests/path.rs
+++ b/crates/host/tests/path.rs
@@ -28,7 +28,7 @@
         client.initiator.logout();
     }
     let s = pool.host.status().unwrap();
-    assert_eq!((s.commands, s.requests, s.legs), (0, 0, 0), "nothing is kept when nothing is open");
+    assert_eq!((s.commands, s.requests, s.attempts), (0, 0, 0), "nothing is kept when nothing is open");
     pool.end();
 }
 
--- a/crates/host/tests/rough.rs
+++ b/crates/host/tests/rough.rs
@@ -74,7 +74,7 @@
     std::thread::sleep(Duration::from_millis(50));
     assert_eq!(client.read(1, 0, 64), done(old), "not a byte of the uploads is there");
     let s = pool.host.status().unwrap();
-    assert_eq!((s.commands, s.requests, s.legs), (0, 0, 0));
+    assert_eq!((s.commands, s.requests, s.attempts), (0, 0, 0));
     pool.end();
 }
 
--- a/crates/hostcore/src/combine.rs
+++ b/crates/hostcore/src/combine.rs
@@ -3,7 +3,7 @@
 
 use tackmast::interface::{Effect, Group, Span};
 
-/// How far one part has come. `ran` tells whether a leg of it may have had an effect.
+/// How far one part has come. `ran` tells whether an attempt of it may have had an effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PartEnd {
     Open {
@@ -14,7 +14,7 @@
         ran: bool,
         come_back: Option<Span>,
     },
-    /// The module gave it up with a leg out that may have run. Where the links have proof that none of it ever
+    /// The module gave it up with an attempt out that may have run. Where the links have proof that none of it ever
     /// left, it is as good as deferred.
     Abandoned {
         ran: bool,
--- a/crates/hostcore/src/core.rs
+++ b/crates/hostcore/src/core.rs
@@ -1,9 +1,9 @@
 //! The state machine: inputs, the tables, and the outputs.
 
 mod agreed;
+mod attempts;
 mod commands;
 mod fellows;
-mod legs;
 mod listed;
 mod orders;
 mod stops;
@@ -57,9 +57,9 @@
     Write { data: Bytes },
 }
 
-/// What a leg asks of its node; lengths in bytes.
+/// What an attempt asks of its node; lengths in bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LegWork {
+pub enum AttemptWork {
     Read {
         length: u32,
     },
@@ -70,22 +70,22 @@
     Request(Request),
 }
 
-/// What every leg of a request says.
-struct LegText {
+/// What every attempt of a request says.
+struct AttemptText {
     key: u64,
     volume: u32,
     offset: u64,
     units: f64,
-    work: LegWork,
+    work: AttemptWork,
 }
 
-impl LegText {
+impl AttemptText {
     /// How many bytes an answer must bring; none: only its node knows.
     fn wanted(&self) -> Option<usize> {
         match &self.work {
-            LegWork::Read { length } => Some(*length as usize),
-            LegWork::Write { .. } => Some(0),
-            LegWork::Request(_) => None,
+            AttemptWork::Read { length } => Some(*length as usize),
+            AttemptWork::Write { .. } => Some(0),
+            AttemptWork::Request(_) => None,
         }
     }
 }
@@ -98,17 +98,17 @@
     Abandoned,
 }
 
-/// A leg among all that this host has out.
+/// An attempt among all that this host has out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct LegId(pub u64);
+pub struct AttemptId(pub u64);
 
 #[derive(Clone, Debug)]
-pub struct SendLeg {
+pub struct SendAttempt {
     pub node: NodeId,
-    pub leg: LegId,
-    /// The request's number in this life of the host, the leg's within the request.
+    pub attempt: AttemptId,
+    /// The request's number in this life of the host, the attempt's within the request.
     pub request: u64,
-    pub leg_no: u8,
+    pub attempt_number: u8,
     pub from: CommandRef,
     pub part: u16,
     /// When nobody waits for its answer any more.
@@ -122,11 +122,11 @@
     /// Bytes from the volume's start.
     pub offset: u64,
     pub units: f64,
-    pub work: LegWork,
+    pub work: AttemptWork,
     pub ticket: Ticket,
 }
 
-/// Whether a leg's first byte may leave.
+/// Whether an attempt's first byte may leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Begin {
     /// It leaves now: claimed.
@@ -137,8 +137,8 @@
     TooLate,
 }
 
-impl SendLeg {
-    /// Asked by its link once it could write, which may be long after the leg was decided: against a connection that comes
+impl SendAttempt {
+    /// Asked by its link once it could write, which may be long after the attempt was decided: against a connection that comes
     /// up when nobody waits any more, and against a repeat that nodes no longer know for one.
     pub fn begin(&self, now: Instant) -> Begin {
         let over = self.until <= now || self.begin_by.is_some_and(|t| t <= now);
@@ -152,17 +152,17 @@
 
 #[derive(Clone, Debug)]
 pub enum Output {
-    Send(Box<SendLeg>),
-    /// Nobody waits for this leg any more.
+    Send(Box<SendAttempt>),
+    /// Nobody waits for this attempt any more.
     Cancel {
         node: NodeId,
-        leg: LegId,
+        attempt: AttemptId,
     },
     /// The same, and its link is still writing it to a node that takes no bytes: what has not left by now must
     /// not leave later, so the connection ends here.
     Cut {
         node: NodeId,
-        leg: LegId,
+        attempt: AttemptId,
     },
     Answer {
         to: CommandRef,
@@ -195,10 +195,10 @@
     },
 }
 
-/// What came back for a leg.
+/// What came back for an attempt.
 #[derive(Clone, Debug)]
-pub struct LegBack {
-    pub leg: LegId,
+pub struct AttemptResult {
+    pub attempt: AttemptId,
     pub outcome: Outcome,
     /// Requests waiting at the node, and units it served for the volume through other hosts, where it told.
     pub waiting: Option<u32>,
@@ -214,8 +214,8 @@
     pub deferred: u64,
     pub abandoned: u64,
     pub left: u64,
-    pub legs: u64,
-    pub further_legs: u64,
+    pub attempts: u64,
+    pub retries: u64,
     pub timed_out: u64,
     pub withdrawn: u64,
     pub cut: u64,
@@ -236,14 +236,14 @@
     serial: u64,
     from: CommandRef,
     part: u16,
-    text: LegText,
+    text: AttemptText,
     stream: usize,
     expiry: Instant,
-    legs: u32,
+    attempts: u32,
     out: Vec<Out>,
-    /// In its session's turn, until its first leg leaves.
+    /// In its session's turn, until its first attempt leaves.
     place: Option<Place>,
-    /// Whether a leg may have had an effect; those that are out count by their ticket.
+    /// Whether an attempt may have had an effect; those that are out count by their ticket.
     ran: bool,
     answered: bool,
 }
@@ -252,7 +252,7 @@
     fn new(
         serial: u64,
         (from, part): (CommandRef, u16),
-        text: LegText,
+        text: AttemptText,
         stream: usize,
         expiry: Instant,
         place: Option<Place>,
@@ -264,7 +264,7 @@
             text,
             stream,
             expiry,
-            legs: 0,
+            attempts: 0,
             out: Vec::new(),
             place,
             ran: false,
@@ -302,7 +302,7 @@
     sessions: HashMap<u32, BTreeSet<u32>>, // open commands
     requests: HashMap<RequestId, PendingRequest>,
     serial: u64,
-    at_node: BTreeMap<NodeId, BTreeSet<(RequestId, u32)>>, // legs out
+    at_node: BTreeMap<NodeId, BTreeSet<(RequestId, u32)>>, // attempts out
     until: BTreeSet<(Instant, RequestId, u32)>,            // the same, by the end of their time
     grace: Span,
     cuts: BTreeSet<(Instant, NodeId)>, // when what is still being written to a node that drains is cut off
@@ -332,9 +332,9 @@
         for p in &s.plans {
             scheduler.plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
         }
-        scheduler.leg_limits(s.load.most_legs, longest, Span::from_secs(s.load.settle_s));
-        if let Some(f) = &s.further_legs {
-            scheduler.further_leg_budget(f.free, f.share, Span::from_secs(f.window_s));
+        scheduler.attempt_limits(s.load.max_attempts, longest, Span::from_secs(s.load.settle_s));
+        if let Some(f) = &s.retry_budget {
+            scheduler.retry_budget(f.free, f.share, Span::from_secs(f.window_s));
         }
         if let Some(c) = &s.cold {
             let (warm, window) = (Span::from_secs(c.warm_s), Span::from_secs(c.window_s));
@@ -410,8 +410,8 @@
         self.list_version
     }
 
-    /// Whether this host has a leg out at the node.
-    pub fn has_legs_at(&self, node: NodeId) -> bool {
+    /// Whether this host has an attempt out at the node.
+    pub fn has_attempts_at(&self, node: NodeId) -> bool {
         self.at_node.contains_key(&node)
     }
 
@@ -425,7 +425,7 @@
         self.scheduler.keys_in_order()
     }
 
-    /// Commands without an answer, requests that are kept, and legs out.
+    /// Commands without an answer, requests that are kept, and attempts out.
     pub fn open(&self) -> (usize, usize, usize) {
         (self.commands.len(), self.requests.len(), self.until.len())
     }
@@ -442,7 +442,7 @@
         self.scheduler.pace_known(now, shard, rate);
     }
 
-    /// Time has passed: legs whose time is up end.
+    /// Time has passed: attempts whose time is up end.
     pub fn tick(&mut self, now: Instant) {
         self.tick_orders(now);
         self.tick_agreed(now);
@@ -456,16 +456,17 @@
             self.cuts.pop_first();
             let stopped = self.is_stopped(now, node);
             for (id, no) in self.at_node.get(&node).cloned().unwrap_or_default() {
-                let leg = self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
-                if stopped && leg.is_some_and(|o| o.ticket.is_stuck()) {
+                let attempt = self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
+                if stopped && attempt.is_some_and(|o| o.ticket.is_stuck()) {
                     self.counters.cut += 1;
-                    self.outputs.push_back(Output::Cut { node, leg: leg_id(id, no) });
+                    self.outputs.push_back(Output::Cut { node, attempt: attempt_id(id, no) });
                 }
             }
         }
         while let Some((_, id, no)) = self.until.first().copied().filter(|(t, _, _)| *t <= now) {
-            let leg = self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
-            let Some((node, unsent, stuck)) = leg.map(|o| (o.node, o.ticket.withdraw(), o.ticket.is_stuck()))
+            let attempt = self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
+            let Some((node, unsent, stuck)) =
+                attempt.map(|o| (o.node, o.ticket.withdraw(), o.ticket.is_stuck()))
             else {
                 self.until.pop_first();
                 continue;
@@ -475,16 +476,16 @@
                 true => self.counters.withdrawn += 1,
                 false => {
                     self.counters.timed_out += 1;
-                    self.push_cancel(node, leg_id(id, no), stuck);
+                    self.push_cancel(node, attempt_id(id, no), stuck);
                 }
             }
-            self.leg_over(now, id, no, outcome, None, Bytes::new());
+            self.attempt_over(now, id, no, outcome, None, Bytes::new());
         }
     }
 }
 
-fn leg_id(id: RequestId, no: u32) -> LegId {
-    LegId(u64::from(id.0) << 8 | u64::from(no & 0xff))
+fn attempt_id(id: RequestId, no: u32) -> AttemptId {
+    AttemptId(u64::from(id.0) << 8 | u64::from(no & 0xff))
 }
 
 /// Outputs.
@@ -504,12 +505,12 @@
 
     /// When to come back if nothing else happens before.
     pub fn next_wake(&self, now: Instant) -> Option<Instant> {
-        let leg = self.until.first().map(|(t, _, _)| *t);
+        let attempt = self.until.first().map(|(t, _, _)| *t);
         let cut = self.cuts.first().map(|(t, _)| *t);
         let ends = self.orders.as_ref().and_then(|o| o.next(now));
         let fellows = self.fellows.as_ref().map(|f| f.member.next_wake());
         let agreed = self.agreed.as_ref().map(|a| a.next_wake(now));
-        [leg, cut, ends, fellows, agreed, self.scheduler.next_wake()].into_iter().flatten().min()
+        [attempt, cut, ends, fellows, agreed, self.scheduler.next_wake()].into_iter().flatten().min()
     }
 }
 
--- a/crates/hostcore/src/core/legs.rs
+++ b/crates/hostcore/src/core/attempts.rs
@@ -1,17 +1,17 @@
-//! Legs: sent, back, withdrawn.
+//! Attempts: sent, back, withdrawn.
 
 use super::*;
 
 impl Core {
-    /// Whether a leg has not had its end yet.
-    pub fn is_out(&self, leg: LegId) -> bool {
-        let (id, no) = (RequestId((leg.0 >> 8) as u32), (leg.0 & 0xff) as u32);
+    /// Whether an attempt has not had its end yet.
+    pub fn is_out(&self, attempt: AttemptId) -> bool {
+        let (id, no) = (RequestId((attempt.0 >> 8) as u32), (attempt.0 & 0xff) as u32);
         self.requests.get(&id).is_some_and(|x| x.out.iter().any(|o| o.no == no))
     }
 
-    /// A leg came back from its link. One that is not known any more had its end before.
-    pub fn leg_back(&mut self, now: Instant, back: LegBack) {
-        let (id, no) = (RequestId((back.leg.0 >> 8) as u32), (back.leg.0 & 0xff) as u32);
+    /// An attempt came back from its link. One that is not known any more had its end before.
+    pub fn attempt_finished(&mut self, now: Instant, back: AttemptResult) {
+        let (id, no) = (RequestId((back.attempt.0 >> 8) as u32), (back.attempt.0 & 0xff) as u32);
         let known = self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
         let Some(node) = known.map(|o| o.node) else {
             self.counters.strays += 1;
@@ -20,7 +20,7 @@
         if let Some(waiting) = back.waiting {
             self.scheduler.load_reported(now, node, f64::from(waiting));
         }
-        self.leg_over(now, id, no, back.outcome, back.elsewhere, back.data);
+        self.attempt_over(now, id, no, back.outcome, back.elsewhere, back.data);
     }
 
     pub(super) fn carry_out(&mut self, now: Instant, decision: Decision) {
@@ -55,23 +55,23 @@
     ) {
         let Some(x) = self.requests.get_mut(&id) else { return };
         let until = timeout.map_or(x.expiry, |t| x.expiry.min(now + t));
-        let (no, st) = (x.legs, &self.streams[x.stream]);
-        x.legs += 1;
+        let (no, st) = (x.attempts, &self.streams[x.stream]);
+        x.attempts += 1;
         if let Some(place) = x.place.take() {
             self.sharing.sent(place);
         }
         let ticket = Ticket::default();
         x.out.push(Out { no, node, sent: now, until, ticket: ticket.clone() });
-        self.counters.legs += 1;
-        self.counters.further_legs += u64::from(no > 0);
+        self.counters.attempts += 1;
+        self.counters.retries += u64::from(no > 0);
         self.until.insert((until, id, no));
         self.at_node.entry(node).or_default().insert((id, no));
         let keyed = matches!(st.effect, Effect::Keyed { .. });
-        let leg = SendLeg {
+        let attempt = SendAttempt {
             node,
-            leg: leg_id(id, no),
+            attempt: attempt_id(id, no),
             request: x.serial,
-            leg_no: no.min(255) as u8,
+            attempt_number: no.min(255) as u8,
             from: x.from,
             part: x.part,
             until,
@@ -84,11 +84,11 @@
             work: x.text.work.clone(),
             ticket,
         };
-        self.outputs.push_back(Output::Send(Box::new(leg)));
+        self.outputs.push_back(Output::Send(Box::new(attempt)));
     }
 
-    /// Every leg has one end: its answer, its link's end, its time, or its withdrawal, whichever is first.
-    pub(super) fn leg_over(
+    /// Every attempt has one end: its answer, its link's end, its time, or its withdrawal, whichever is first.
+    pub(super) fn attempt_over(
         &mut self,
         now: Instant,
         id: RequestId,
@@ -101,9 +101,9 @@
         let Some(i) = x.out.iter().position(|l| l.no == no) else { return };
         let out = x.out.swap_remove(i);
         self.until.remove(&(out.until, id, no));
-        if let Some(legs) = self.at_node.get_mut(&out.node) {
-            legs.remove(&(id, no));
-            if legs.is_empty() {
+        if let Some(attempts) = self.at_node.get_mut(&out.node) {
+            attempts.remove(&(id, no));
+            if attempts.is_empty() {
                 self.at_node.remove(&out.node);
             }
         }
@@ -117,22 +117,22 @@
         let (done, answered) = (outcome == Outcome::Done, x.answered);
         let known = self.tells && elsewhere.is_some();
         self.scheduler.service_reported(now, id, done, known, elsewhere.unwrap_or(0.0));
-        let (leg, took) = (LegNo(no), now - out.sent);
-        self.scheduler.leg_ended(now, id, leg, outcome, took, answered || done);
+        let (attempt, took) = (AttemptNumber(no), now - out.sent);
+        self.scheduler.attempt_ended(now, id, attempt, outcome, took, answered || done);
         if done && !answered {
             self.part_over(now, id, PartEnd::Done, data);
         }
         self.forget(id);
     }
 
-    /// A request that was answered and has no leg out leaves the table.
+    /// A request that was answered and has no attempt out leaves the table.
     pub(super) fn forget(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|x| x.answered && x.out.is_empty()) {
             self.requests.remove(&id);
         }
     }
 
-    /// The command is over before this part of it: nothing new is sent for it, and its legs are called back.
+    /// The command is over before this part of it: nothing new is sent for it, and its attempts are called back.
     pub(super) fn let_go(&mut self, now: Instant, id: RequestId) {
         let Some(x) = self.requests.get_mut(&id).filter(|x| !x.answered) else { return };
         x.answered = true;
@@ -140,34 +140,39 @@
             self.sharing.left(place);
         }
         self.scheduler.request_cancelled(now, id);
-        self.withdraw_legs(now, id);
+        self.cancel_attempts(now, id);
         self.call_back(id);
         self.forget(id);
     }
 
-    /// Legs of which no byte has left never will: they provably did not run.
-    pub(super) fn withdraw_legs(&mut self, now: Instant, id: RequestId) {
+    /// Attempts of which no byte has left never will: they provably did not run.
+    pub(super) fn cancel_attempts(&mut self, now: Instant, id: RequestId) {
         let out = self.requests.get(&id).map_or(&[][..], |x| &x.out);
         let unsent: Vec<u32> = out.iter().filter(|o| o.ticket.withdraw()).map(|o| o.no).collect();
         // No word on its node, which never saw it.
         for no in unsent {
             self.counters.withdrawn += 1;
-            self.leg_over(now, id, no, Outcome::Skipped, None, Bytes::new());
+            self.attempt_over(now, id, no, Outcome::Skipped, None, Bytes::new());
         }
     }
 
-    /// Nobody waits for the legs that are out: their nodes need not go on.
+    /// Nobody waits for the attempts that are out: their nodes need not go on.
     pub(super) fn call_back(&mut self, id: RequestId) {
         let out = self.requests.get(&id).map_or(&[][..], |x| &x.out);
-        let legs: Vec<_> = out.iter().map(|o| (o.node, leg_id(id, o.no), o.ticket.is_stuck())).collect();
-        for (node, leg, stuck) in legs {
-            self.push_cancel(node, leg, stuck);
+        let attempts: Vec<_> =
+            out.iter().map(|o| (o.node, attempt_id(id, o.no), o.ticket.is_stuck())).collect();
+        for (node, attempt, stuck) in attempts {
+            self.push_cancel(node, attempt, stuck);
         }
     }
 
-    pub(super) fn push_cancel(&mut self, node: NodeId, leg: LegId, stuck: bool) {
+    pub(super) fn push_cancel(&mut self, node: NodeId, attempt: AttemptId, stuck: bool) {
         self.counters.cut += u64::from(stuck);
-        self.outputs.push_back(if stuck { Output::Cut { node, leg } } else { Output::Cancel { node, leg } });
+        self.outputs.push_back(if stuck {
+            Output::Cut { node, attempt }
+        } else {
+            Output::Cancel { node, attempt }
+        });
     }
 
     pub(super) fn withdraw_at(&mut self, now: Instant, node: NodeId) {
@@ -176,7 +181,7 @@
                 self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no)).map(|o| &o.ticket);
             if ticket.is_some_and(Ticket::withdraw) {
                 self.counters.withdrawn += 1;
-                self.leg_over(now, id, no, Outcome::Refused, None, Bytes::new());
+                self.attempt_over(now, id, no, Outcome::Refused, None, Bytes::new());
             }
         }
     }
--- a/crates/hostcore/src/core/commands.rs
+++ b/crates/hostcore/src/core/commands.rs
@@ -67,14 +67,14 @@
             }
             let tag = place.tag;
             let v = self.layout.volume(volume);
-            let text = LegText {
+            let text = AttemptText {
                 key: if self.streams[stream].in_order { spec.key } else { 0 },
                 volume: v.lun,
                 offset: spec.block * u64::from(v.block_bytes),
                 units: spec.units,
                 work: match part_data {
-                    Some(data) => LegWork::Write { data },
-                    None => LegWork::Read { length: spec.blocks * v.block_bytes },
+                    Some(data) => AttemptWork::Write { data },
+                    None => AttemptWork::Read { length: spec.blocks * v.block_bytes },
                 },
             };
             self.requests.insert(
@@ -122,8 +122,8 @@
         // The client's own mark stands in the request: it is the same at each of its tries.
         self.commands.insert(from, Command { parts, stream, volume, marked: true, bytes, write: false });
         self.sessions.entry(from.session).or_default().insert(from.command);
-        let work = LegWork::Request(p.request);
-        let text = LegText { key: 0, volume: volume as u32, offset: 0, units: p.units, work };
+        let work = AttemptWork::Request(p.request);
+        let text = AttemptText { key: 0, volume: volume as u32, offset: 0, units: p.units, work };
         self.requests
             .insert(id, PendingRequest::new(self.serial, (from, 0), text, stream, now + p.left, None));
         let (volume, key) = (VolumeId(volume as u32), Some(key_id(p.key)));
@@ -131,7 +131,7 @@
             .request_arrived(now, id, p.stream, p.plan, key, p.left, volume, p.units, p.shard, p.hosts);
     }
 
-    /// The next number that no open request has. Answered ones keep theirs until their last leg is back.
+    /// The next number that no open request has. Answered ones keep theirs until their last attempt is back.
     pub(super) fn new_id(&mut self) -> RequestId {
         loop {
             self.serial += 1;
@@ -194,13 +194,13 @@
             return;
         };
         // An undone part settles the whole command. What is still unsent of it is taken back before it is
-        // judged whether any of it may have run: a leg that left in between would make the judgement false.
+        // judged whether any of it may have run: an attempt that left in between would make the judgement false.
         let ids: Vec<RequestId> = match (end, self.commands.get(&from)) {
             (PartEnd::Done, _) | (_, None) => vec![id],
             (_, Some(c)) => c.parts.iter().map(|(id, _, _)| *id).collect(),
         };
         for id in ids {
-            self.withdraw_legs(now, id);
+            self.cancel_attempts(now, id);
         }
         if let Some(x) = self.requests.get(&id) {
             if let PartEnd::Deferred { ran, .. } | PartEnd::Abandoned { ran } = &mut end {
--- a/crates/hostcore/src/core/orders.rs
+++ b/crates/hostcore/src/core/orders.rs
@@ -111,7 +111,7 @@
             returning: orders.map_or(0, |o| o.overrides.returning().0),
             there: self.fellows.as_ref().map_or(0, |f| f.member.alive()),
             commands: self.commands.len(),
-            legs: self.until.len(),
+            attempts: self.until.len(),
             taken: c.taken,
             done: c.done,
             deferred: c.deferred,
--- a/crates/hostcore/src/lib.rs
+++ b/crates/hostcore/src/lib.rs
@@ -1,6 +1,6 @@
-//! One host without sockets, threads or clocks. Inputs tell it of client commands, legs, the node list and the
+//! One host without sockets, threads or clocks. Inputs tell it of client commands, attempts, the node list and the
 //! time; outputs are pulled one by one. Which request leaves when, for which node, and what its client is told
-//! is decided by `tackmast::policy` alone; this package keeps what ties clients, requests and legs together,
+//! is decided by `tackmast::policy` alone; this package keeps what ties clients, requests and attempts together,
 //! and answers for commands of several parts. docs/host.md describes it.
 
 mod admission;
@@ -17,7 +17,8 @@
 mod ticket;
 
 pub use crate::core::{
-    Begin, CommandRef, Core, Counters, LegBack, LegId, LegWork, Output, SendLeg, Verdict, Work,
+    AttemptId, AttemptResult, AttemptWork, Begin, CommandRef, Core, Counters, Output, SendAttempt, Verdict,
+    Work,
 };
 pub use agreed::{agreement_settings, Agreed, AgreedStart, AgreementAsk, AgreementReply, AgreementStatus};
 pub use combine::{combine, Combined, PartEnd};
--- a/crates/hostcore/src/orders.rs
+++ b/crates/hostcore/src/orders.rs
@@ -68,7 +68,8 @@
     #[serde(default)]
     pub there: u32,
     pub commands: usize,
-    pub legs: usize,
+    #[serde(rename = "legs")]
+    pub attempts: usize,
     pub taken: u64,
     pub done: u64,
     pub deferred: u64,
--- a/crates/hostcore/src/placed.rs
+++ b/crates/hostcore/src/placed.rs
@@ -6,7 +6,7 @@
 use tackmast::interface::{Instant, PlanId, ShardId, Span, StreamId};
 use tackmast_config::Stream;
 
-/// What is written to a node: the protocol's own, but for the time left, which each leg adds.
+/// What is written to a node: the protocol's own, but for the time left, which each attempt adds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Request {
     pub head: Bytes,
--- a/crates/hostcore/src/sharing.rs
+++ b/crates/hostcore/src/sharing.rs
@@ -73,7 +73,7 @@
         Place { line: name, session, units, tag }
     }
 
-    /// Its first leg left: virtual time is there.
+    /// Its first attempt left: virtual time is there.
     pub fn sent(&mut self, place: Place) {
         if let Some(line) = self.lines.get_mut(&place.line) {
             line.now = line.now.max(place.tag);
@@ -81,7 +81,7 @@
         self.over(&place, 0.0);
     }
 
-    /// It ended without a leg. What was never served isn't charged: else a session whose requests were all given up
+    /// It ended without an attempt. What was never served isn't charged: else a session whose requests were all given up
     /// would stand behind the others for as long as it would have taken to serve them.
     pub fn left(&mut self, place: Place) {
         self.over(&place, place.units);
--- a/crates/hostcore/src/ticket.rs
+++ b/crates/hostcore/src/ticket.rs
@@ -1,6 +1,6 @@
-//! Whether a leg has begun to leave the host. The link claims it just before the first byte is written; the core
-//! withdraws it when the leg is over. Only one of the two can succeed, so a withdrawn leg provably never ran:
-//! a leg that waits behind a node which takes no bytes must not go out after its request was answered, nor
+//! Whether an attempt has begun to leave the host. The link claims it just before the first byte is written; the core
+//! withdraws it when the attempt is over. Only one of the two can succeed, so a withdrawn attempt provably never ran:
+//! an attempt that waits behind a node which takes no bytes must not go out after its request was answered, nor
 //! after the grace of a drain.
 
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -18,15 +18,15 @@
     fn swap(&self, from: u8, to: u8) -> bool {
         self.0.compare_exchange(from, to, Ordering::AcqRel, Ordering::Acquire).is_ok()
     }
-    /// The link may write the leg now; false: it was withdrawn, or claimed before.
+    /// The link may write the attempt now; false: it was withdrawn, or claimed before.
     pub fn claim(&self) -> bool {
         self.swap(QUEUED, CLAIMED)
     }
-    /// True: no byte of the leg has left, and none will.
+    /// True: no byte of the attempt has left, and none will.
     pub fn withdraw(&self) -> bool {
         self.swap(QUEUED, WITHDRAWN)
     }
-    /// The link has handed all bytes of the leg over.
+    /// The link has handed all bytes of the attempt over.
     pub fn written(&self) {
         self.swap(CLAIMED, WRITTEN);
     }
--- a/crates/hostcore/tests/agreed.rs
+++ b/crates/hostcore/tests/agreed.rs
@@ -101,7 +101,7 @@
     away: Vec<u32>,
     replies: Vec<(u32, u64, Reply)>,
     answers: Vec<(u32, Verdict)>,
-    legs: Vec<(u32, SendLeg)>,
+    attempts: Vec<(u32, SendAttempt)>,
     /// Hosts that asked their list service for all of it.
     fetches: Vec<u32>,
     floor: &'static str,
@@ -115,7 +115,7 @@
             away: Vec::new(),
             replies: Vec::new(),
             answers: Vec::new(),
-            legs: Vec::new(),
+            attempts: Vec::new(),
             fetches: Vec::new(),
             floor,
         };
@@ -167,7 +167,7 @@
                         Output::Datagram { to, bytes } => letters.push((h, to, bytes)),
                         Output::Reply { request, reply } => self.replies.push((h, request, reply)),
                         Output::Answer { verdict, .. } => self.answers.push((h, verdict)),
-                        Output::Send(leg) => self.legs.push((h, *leg)),
+                        Output::Send(attempt) => self.attempts.push((h, *attempt)),
                         Output::FetchList => self.fetches.push(h),
                         _ => {}
                     }
@@ -200,18 +200,19 @@
         self.cores[host as usize].as_mut().unwrap()
     }
 
-    /// One read of a volume at a host; whether a leg left, or its answer.
+    /// One read of a volume at a host; whether an attempt left, or its answer.
     fn read(&mut self, host: u32, lun: u32) -> Result<(), Verdict> {
-        self.legs.clear();
+        self.attempts.clear();
         self.answers.clear();
         let (now, from) = (self.now, CommandRef { session: 1, command: self.now.secs().to_bits() as u32 });
         self.core(host).submit(now, from, lun, 0, Work::Read { blocks: 8 }, now, None, None);
         self.pull();
-        let leg = self.legs.iter().find(|(h, _)| *h == host).map(|(_, l)| l.leg);
-        if let Some(leg) = leg {
+        let attempt = self.attempts.iter().find(|(h, _)| *h == host).map(|(_, l)| l.attempt);
+        if let Some(attempt) = attempt {
             let data = Bytes::from(vec![0; 4096]);
-            let back = LegBack { leg, outcome: Outcome::Done, waiting: None, elsewhere: None, data };
-            self.core(host).leg_back(now, back);
+            let back =
+                AttemptResult { attempt, outcome: Outcome::Done, waiting: None, elsewhere: None, data };
+            self.core(host).attempt_finished(now, back);
             self.pull();
             return Ok(());
         }
--- a/crates/hostcore/tests/core.rs
+++ b/crates/hostcore/tests/core.rs
@@ -52,7 +52,7 @@
 struct Rig {
     core: Core,
     now: Instant,
-    sent: Vec<SendLeg>,
+    sent: Vec<SendAttempt>,
     answers: Vec<(u32, Verdict)>,
     other: Vec<Output>,
 }
@@ -90,7 +90,7 @@
         self.core.tick(self.now);
         while let Some(o) = self.core.next_output(self.now) {
             match o {
-                Output::Send(leg) => self.sent.push(*leg),
+                Output::Send(attempt) => self.sent.push(*attempt),
                 Output::Answer { to, verdict } => self.answers.push((to.command, verdict)),
                 other => self.other.push(other),
             }
@@ -116,17 +116,20 @@
         self.pull();
     }
 
-    fn back(&mut self, leg: LegId, outcome: Outcome, bytes: usize) {
+    fn back(&mut self, attempt: AttemptId, outcome: Outcome, bytes: usize) {
         let data = Bytes::from(vec![1; bytes]);
-        self.core.leg_back(self.now, LegBack { leg, outcome, waiting: Some(0), elsewhere: Some(0.0), data });
+        self.core.attempt_finished(
+            self.now,
+            AttemptResult { attempt, outcome, waiting: Some(0), elsewhere: Some(0.0), data },
+        );
         self.pull();
     }
 
     /// The link writes all that it was given.
-    fn write(&mut self) -> Vec<LegId> {
-        let legs = std::mem::take(&mut self.sent);
-        let claimed = legs.into_iter().filter(|l| l.ticket.claim());
-        claimed.inspect(|l| l.ticket.written()).map(|l| l.leg).collect()
+    fn write(&mut self) -> Vec<AttemptId> {
+        let attempts = std::mem::take(&mut self.sent);
+        let claimed = attempts.into_iter().filter(|l| l.ticket.claim());
+        claimed.inspect(|l| l.ticket.written()).map(|l| l.attempt).collect()
     }
 
     fn list(&mut self, from: u64, to: u64, entries: &[ListEntry]) {
@@ -147,13 +150,14 @@
 fn a_command_over_three_extents_is_one_answer_in_order() {
     let mut r = Rig::new();
     r.ask(1, 5, 20, false);
-    let legs: Vec<(u64, LegWork, u16)> = r.sent.iter().map(|l| (l.offset, l.work.clone(), l.part)).collect();
-    let read = |blocks: u32| LegWork::Read { length: blocks * 512 };
-    assert_eq!(legs.len(), 3);
+    let attempts: Vec<(u64, AttemptWork, u16)> =
+        r.sent.iter().map(|l| (l.offset, l.work.clone(), l.part)).collect();
+    let read = |blocks: u32| AttemptWork::Read { length: blocks * 512 };
+    assert_eq!(attempts.len(), 3);
     assert!(
-        legs.contains(&(2560, read(5), 0))
-            && legs.contains(&(5120, read(10), 1))
-            && legs.contains(&(10240, read(5), 2))
+        attempts.contains(&(2560, read(5), 0))
+            && attempts.contains(&(5120, read(10), 1))
+            && attempts.contains(&(10240, read(5), 2))
     );
     let mut out = r.sent.clone();
     out.sort_by_key(|l| std::cmp::Reverse(l.part));
@@ -161,8 +165,14 @@
     for (i, l) in out.iter().enumerate() {
         assert!(r.answers.is_empty(), "not before the last part");
         let data = Bytes::from(vec![l.part as u8; if l.part == 1 { 5120 } else { 2560 }]);
-        let back = LegBack { leg: l.leg, outcome: Outcome::Done, waiting: None, elsewhere: None, data };
-        r.core.leg_back(r.now, back);
+        let back = AttemptResult {
+            attempt: l.attempt,
+            outcome: Outcome::Done,
+            waiting: None,
+            elsewhere: None,
+            data,
+        };
+        r.core.attempt_finished(r.now, back);
         r.pull();
         assert_eq!(r.answers.len(), usize::from(i == 2));
     }
@@ -188,7 +198,7 @@
 
 #[test]
 fn what_was_never_written_never_ran() {
-    // An unrepeatable write whose leg waits behind a node that takes no bytes, against one that was written.
+    // An unrepeatable write whose attempt waits behind a node that takes no bytes, against one that was written.
     for written in [false, true] {
         let mut r = Rig::new();
         r.ask(1, 0, 1, true);
@@ -213,17 +223,17 @@
     let tickets: Vec<Ticket> = r.sent.iter().map(|l| l.ticket.clone()).collect();
     assert!(tickets[0].claim() && tickets[1].claim());
     tickets[0].written();
-    let stuck = r.sent[1].leg;
+    let stuck = r.sent[1].attempt;
     r.sent.clear();
     r.list(5, 6, &[entry("a", 0, NodeState::Draining)]);
     assert!(!tickets[2].claim(), "taken back at once");
     assert!(r.other.is_empty(), "the others have the grace");
     r.pass(0.2);
-    let cuts: Vec<LegId> = r
+    let cuts: Vec<AttemptId> = r
         .other
         .iter()
         .filter_map(|o| match o {
-            Output::Cut { leg, .. } => Some(*leg),
+            Output::Cut { attempt, .. } => Some(*attempt),
             _ => None,
         })
         .collect();
@@ -235,21 +245,21 @@
 }
 
 #[test]
-fn a_client_that_left_is_owed_nothing_and_its_leg_is_called_back() {
+fn a_client_that_left_is_owed_nothing_and_its_attempt_is_called_back() {
     let mut r = Rig::new();
     r.ask(1, 0, 1, false);
     r.ask(2, 0, 1, false);
-    let legs = r.write();
+    let attempts = r.write();
     r.core.abort(r.now, CommandRef { session: 1, command: 1 });
     r.pull();
-    assert!(matches!(r.other.as_slice(), [Output::Cancel { leg, .. }] if *leg == legs[0]));
+    assert!(matches!(r.other.as_slice(), [Output::Cancel { attempt, .. }] if *attempt == attempts[0]));
     r.core.session_gone(r.now, 1);
     r.pull();
     assert_eq!((r.other.len(), r.core.counters.left), (2, 2));
-    // The legs still count until they are back.
+    // The attempts still count until they are back.
     assert_eq!(r.core.open(), (0, 2, 2));
-    r.back(legs[0], Outcome::Done, 512);
-    r.back(legs[1], Outcome::Full, 0);
+    r.back(attempts[0], Outcome::Done, 512);
+    r.back(attempts[1], Outcome::Full, 0);
     assert!(r.is_empty() && r.answers.is_empty());
 }
 
@@ -257,11 +267,11 @@
 fn an_answer_that_is_too_short_or_comes_again_is_not_taken() {
     let mut r = Rig::new();
     r.ask(1, 0, 2, false);
-    let legs = r.write();
-    r.back(legs[0], Outcome::Done, 512);
+    let attempts = r.write();
+    r.back(attempts[0], Outcome::Done, 512);
     assert!(r.answers.is_empty(), "1024 bytes were asked for");
     assert_eq!(r.core.counters.short_answers, 1);
-    r.back(legs[0], Outcome::Done, 1024);
+    r.back(attempts[0], Outcome::Done, 1024);
     assert_eq!((r.answers.len(), r.core.counters.strays), (0, 1));
     r.pass(0.1);
     let again = r.write();
@@ -280,8 +290,8 @@
         r.ask(1, 8, 4, true);
         assert_eq!(r.sent.len(), 1, "the part at b waits");
         if first_done {
-            let legs = r.write();
-            r.back(legs[0], Outcome::Done, 0);
+            let attempts = r.write();
+            r.back(attempts[0], Outcome::Done, 0);
         }
         r.pass(1.5);
         let [(1, verdict)] = r.answers.as_slice() else { panic!("{:?}", r.answers) };
@@ -325,12 +335,12 @@
     // A read and two unrepeatable writes are open: one written, one that waits on its link.
     r.ask(1, 0, 1, false);
     r.ask(2, 20, 1, true);
-    let legs = r.write();
+    let attempts = r.write();
     r.ask(3, 40, 1, true);
     r.core.drain();
     r.ask(4, 60, 1, false);
     assert!(matches!(r.answers.as_slice(), [(4, Verdict::Deferred { come_back: Some(_) })]));
-    r.back(legs[0], Outcome::Done, 512);
+    r.back(attempts[0], Outcome::Done, 512);
     assert!(matches!(r.answers[1], (1, Verdict::Done { .. })), "what is open goes on");
     r.core.settle(r.now);
     r.pull();
@@ -359,15 +369,18 @@
     for _ in 0..30 {
         let mut out = Vec::new();
         while let Some(o) = core.next_output(t) {
-            if let Output::Send(leg) = o {
-                order.push(leg.from.session);
-                out.push(leg.leg);
+            if let Output::Send(attempt) = o {
+                order.push(attempt.from.session);
+                out.push(attempt.attempt);
             }
         }
         t = t + s(0.001);
-        for leg in out {
+        for attempt in out {
             let (outcome, data) = (Outcome::Done, Bytes::from(vec![0; 512]));
-            core.leg_back(t, LegBack { leg, outcome, waiting: Some(0), elsewhere: Some(0.0), data });
+            core.attempt_finished(
+                t,
+                AttemptResult { attempt, outcome, waiting: Some(0), elsewhere: Some(0.0), data },
+            );
         }
     }
     let last_other = order.iter().rposition(|s| *s != 1).unwrap();
--- a/crates/hostcore/tests/placed.rs
+++ b/crates/hostcore/tests/placed.rs
@@ -16,9 +16,9 @@
 
 struct Rig {
     core: Core,
-    sent: Vec<SendLeg>,
+    sent: Vec<SendAttempt>,
     answers: Vec<(u32, Verdict)>,
-    cancelled: Vec<LegId>,
+    cancelled: Vec<AttemptId>,
 }
 
 const EFFECTS: [Effect; 3] =
@@ -37,7 +37,7 @@
                 Stream { name, slo, expiry, effect: *effect, in_order: false, order_blocks: None }
             })
             .collect();
-        scheduler.leg_limits(3, span(0.5), Span::ZERO);
+        scheduler.attempt_limits(3, span(0.5), Span::ZERO);
         let (tells, longest_wait, grace) = (true, span(0.5), span(1.0));
         let settings =
             PlacedSettings { streams, tells, longest_wait, grace, requests, bytes: 1 << 20, nodes, volumes };
@@ -86,9 +86,9 @@
         self.core.tick(now);
         while let Some(o) = self.core.next_output(now) {
             match o {
-                Output::Send(leg) => self.sent.push(*leg),
+                Output::Send(attempt) => self.sent.push(*attempt),
                 Output::Answer { to, verdict } => self.answers.push((to.command, verdict)),
-                Output::Cancel { leg, .. } | Output::Cut { leg, .. } => self.cancelled.push(leg),
+                Output::Cancel { attempt, .. } | Output::Cut { attempt, .. } => self.cancelled.push(attempt),
                 _ => {}
             }
         }
@@ -103,16 +103,19 @@
         end
     }
 
-    fn write(&mut self) -> LegId {
-        let leg = self.sent.pop().expect("a leg is out");
-        assert!(leg.ticket.claim());
-        leg.ticket.written();
-        leg.leg
+    fn write(&mut self) -> AttemptId {
+        let attempt = self.sent.pop().expect("a leg is out");
+        assert!(attempt.ticket.claim());
+        attempt.ticket.written();
+        attempt.attempt
     }
 
-    fn back(&mut self, now: Instant, leg: LegId, outcome: Outcome, data: &'static [u8]) {
+    fn back(&mut self, now: Instant, attempt: AttemptId, outcome: Outcome, data: &'static [u8]) {
         let data = Bytes::from_static(data);
-        self.core.leg_back(now, LegBack { leg, outcome, waiting: Some(1), elsewhere: Some(0.0), data });
+        self.core.attempt_finished(
+            now,
+            AttemptResult { attempt, outcome, waiting: Some(1), elsewhere: Some(0.0), data },
+        );
         self.pull(now);
     }
 }
@@ -121,18 +124,18 @@
 fn a_request_goes_out_as_it_came_and_its_answer_comes_back_whole() {
     let mut r = Rig::new(8, 8, 8);
     r.ask(at(10.0), 1, 1, 77);
-    let LegWork::Request(request) = &r.sent[0].work else { panic!("{:?}", r.sent[0].work) };
+    let AttemptWork::Request(request) = &r.sent[0].work else { panic!("{:?}", r.sent[0].work) };
     assert_eq!((&request.head[..], &request.body[..]), (&b"head"[..], &b"body"[..]));
     assert_eq!(r.sent[0].until, at(11.0));
-    let leg = r.write();
-    r.back(at(10.1), leg, Outcome::Done, b"any length");
+    let attempt = r.write();
+    r.back(at(10.1), attempt, Outcome::Done, b"any length");
     assert_eq!(r.answers, [(1, Verdict::Done { data: Bytes::from_static(b"any length") })]);
     assert_eq!(r.core.open(), (0, 0, 0));
 }
 
 #[test]
 fn what_may_have_run_decides_the_answer() {
-    // The outcome of the first leg, and for each effect: sent again, or answered how.
+    // The outcome of the first attempt, and for each effect: sent again, or answered how.
     let cases = [
         (Outcome::Error, ["again", "abandoned", "abandoned"]),
         (Outcome::Reset, ["again", "abandoned", "abandoned"]),
@@ -143,8 +146,8 @@
         for (stream, expected) in expected.into_iter().enumerate() {
             let mut r = Rig::new(8, 8, 8);
             r.ask(at(10.0), 1, stream as u32, 77);
-            let leg = r.write();
-            r.back(at(10.01), leg, outcome, b"");
+            let attempt = r.write();
+            r.back(at(10.01), attempt, outcome, b"");
             r.pass(at(10.01), 0.1);
             let found = match (&r.answers[..], r.sent.len()) {
                 ([], 1) => "again",
@@ -171,7 +174,7 @@
         .iter()
         .all(|(_, v)| matches!(v, Verdict::Deferred { come_back: Some(w) } if *w > Span::ZERO));
     assert!(told, "{:?}", r.answers);
-    // A node that never answers: what is open ends with its client's time, and its legs are called back.
+    // A node that never answers: what is open ends with its client's time, and its attempts are called back.
     let out = r.sent.drain(..).filter(|l| l.ticket.claim()).count();
     now = r.pass(now, 1.2);
     let mut ids: Vec<u32> = r.answers.iter().map(|(c, _)| *c).collect();
--- a/crates/httphost/src/links.rs
+++ b/crates/httphost/src/links.rs
@@ -7,9 +7,9 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::{SocketAddr, TcpStream};
 use tackmast::interface::{Instant, NodeId, Outcome, Span};
-use tackmast_hostcore::{Begin, LegBack, LegId, LegWork, SendLeg};
+use tackmast_hostcore::{AttemptId, AttemptResult, AttemptWork, Begin, SendAttempt};
 use tackmast_http::{AnswerReader, Bounds};
-use tackmast_platform::{leg_head, Reports};
+use tackmast_platform::{attempt_head, Reports};
 
 /// Of the time after which nodes close idle connections, the part after which the host does: a request must not cross.
 const IDLE_PART: f64 = 0.8;
@@ -19,8 +19,8 @@
 const REST: f64 = 0.01; // seconds
 
 enum State {
-    Connecting { until: Instant, attempt: Box<SendLeg> },
-    Busy { attempt: Box<SendLeg>, out: BytesMut, answer: Box<AnswerReader> },
+    Connecting { until: Instant, attempt: Box<SendAttempt> },
+    Busy { attempt: Box<SendAttempt>, out: BytesMut, answer: Box<AnswerReader> },
     Idle,
 }
 
@@ -50,11 +50,11 @@
 pub struct Links {
     links: BTreeMap<u32, Link>,
     idle: Idle,
-    by_attempt: HashMap<LegId, u32>,
+    by_attempt: HashMap<AttemptId, u32>,
     /// Attempts without a connection, as all are in use.
-    waiting: VecDeque<SendLeg>,
+    waiting: VecDeque<SendAttempt>,
     /// Attempts that wait until a connection to their node has rested, and until when.
-    resting: Vec<(Instant, SendLeg)>,
+    resting: Vec<(Instant, SendAttempt)>,
     next: u32,
     most: usize,
     connect: Span,
@@ -93,10 +93,10 @@
         now: Instant,
         poller: &Poller,
         to: Option<SocketAddr>,
-        (attempt, has_waited): (SendLeg, bool),
-        back: &mut Vec<LegBack>,
+        (attempt, has_waited): (SendAttempt, bool),
+        back: &mut Vec<AttemptResult>,
     ) {
-        let Some(to) = to else { return back.push(ended(attempt.leg, Outcome::Refused)) };
+        let Some(to) = to else { return back.push(ended(attempt.attempt, Outcome::Refused)) };
         while let Some(id) = self.idle.take(attempt.node, now, Span::from_secs(REST)) {
             let good = self.links.get(&id).is_some_and(|l| l.address == to && wire::is_quiet(&l.stream));
             if good {
@@ -126,12 +126,12 @@
             Ok(s) if poller.add(&s, Token::Link(id), WRITE).is_ok() => s,
             _ => {
                 self.counters.no_connection += 1;
-                return back.push(ended(attempt.leg, Outcome::Refused));
+                return back.push(ended(attempt.attempt, Outcome::Refused));
             }
         };
         self.next = self.next.wrapping_add(1);
         self.counters.opened += 1;
-        self.by_attempt.insert(attempt.leg, id);
+        self.by_attempt.insert(attempt.attempt, id);
         let state = State::Connecting { until: now + self.connect, attempt: Box::new(attempt) };
         let node = match &state {
             State::Connecting { attempt, .. } => attempt.node,
@@ -141,33 +141,40 @@
     }
 
     /// The connection stands: the attempt's bytes leave, unless it was taken back.
-    fn begin(&mut self, now: Instant, poller: &Poller, id: u32, attempt: SendLeg, back: &mut Vec<LegBack>) {
+    fn begin(
+        &mut self,
+        now: Instant,
+        poller: &Poller,
+        id: u32,
+        attempt: SendAttempt,
+        back: &mut Vec<AttemptResult>,
+    ) {
         let Some(link) = self.links.get_mut(&id) else { return };
         let begin = attempt.begin(now);
         if begin != Begin::Now {
-            self.by_attempt.remove(&attempt.leg);
+            self.by_attempt.remove(&attempt.attempt);
             if begin == Begin::TooLate {
                 self.counters.too_late += 1;
-                back.push(ended(attempt.leg, Outcome::Refused));
+                back.push(ended(attempt.attempt, Outcome::Refused));
             }
             link.state = State::Idle;
             poller.change(&link.stream, Token::Link(id), READ);
             return self.idle.put(now, link.node, id);
         }
-        let rest = leg_head(link.address, attempt.until - now);
+        let rest = attempt_head(link.address, attempt.until - now);
         let (head, body): (&[u8], &[u8]) = match &attempt.work {
-            LegWork::Request(r) => (&r.head, &r.body),
-            LegWork::Write { .. } | LegWork::Read { .. } => (&[], &[]),
+            AttemptWork::Request(r) => (&r.head, &r.body),
+            AttemptWork::Write { .. } | AttemptWork::Read { .. } => (&[], &[]),
         };
         let mut out = BytesMut::with_capacity(head.len() + rest.len() + body.len());
         [head, rest.as_bytes(), body].iter().for_each(|part| out.extend_from_slice(part));
-        self.by_attempt.insert(attempt.leg, id);
+        self.by_attempt.insert(attempt.attempt, id);
         let answer = Box::new(AnswerReader::new(Bounds::default()));
         link.state = State::Busy { attempt: Box::new(attempt), out, answer };
         self.write(poller, id, back);
     }
 
-    fn write(&mut self, poller: &Poller, id: u32, back: &mut Vec<LegBack>) {
+    fn write(&mut self, poller: &Poller, id: u32, back: &mut Vec<AttemptResult>) {
         let Some(link) = self.links.get_mut(&id) else { return };
         let State::Busy { attempt, out, .. } = &mut link.state else { return };
         match wire::write(&link.stream, out) {
@@ -181,7 +188,7 @@
         }
     }
 
-    pub fn ready(&mut self, now: Instant, poller: &Poller, id: u32, r: Ready, back: &mut Vec<LegBack>) {
+    pub fn ready(&mut self, now: Instant, poller: &Poller, id: u32, r: Ready, back: &mut Vec<AttemptResult>) {
         let Some(link) = self.links.get_mut(&id) else { return };
         match &mut link.state {
             State::Idle => {
@@ -215,7 +222,7 @@
         }
     }
 
-    fn read(&mut self, now: Instant, id: u32, back: &mut Vec<LegBack>) {
+    fn read(&mut self, now: Instant, id: u32, back: &mut Vec<AttemptResult>) {
         let Some(link) = self.links.get_mut(&id) else { return };
         let State::Busy { attempt, out, answer } = &mut link.state else { return };
         let mut piece = [0; wire::PIECE];
@@ -241,11 +248,11 @@
                 if unsent && came.outcome == Outcome::Done {
                     came.outcome = Outcome::Error; // it can't have been made for this request
                 }
-                let (number, node) = (attempt.leg, link.node);
+                let (number, node) = (attempt.attempt, link.node);
                 let (outcome, waiting) = (came.outcome, came.waiting);
                 // A node that says nothing of other hosts says that there was nothing.
                 let elsewhere = Some(came.elsewhere.unwrap_or(0.0));
-                back.push(LegBack { leg: number, outcome, waiting, elsewhere, data: came.body });
+                back.push(AttemptResult { attempt: number, outcome, waiting, elsewhere, data: came.body });
                 self.by_attempt.remove(&number);
                 if closes || more || unsent {
                     self.links.remove(&id);
@@ -263,12 +270,12 @@
     }
 
     /// The attempt has its end, and its connection with it.
-    fn end(&mut self, id: u32, outcome: Outcome, back: &mut Vec<LegBack>) {
+    fn end(&mut self, id: u32, outcome: Outcome, back: &mut Vec<AttemptResult>) {
         let Some(link) = self.links.remove(&id) else { return };
         if let State::Busy { attempt, .. } | State::Connecting { attempt, .. } = link.state {
-            self.by_attempt.remove(&attempt.leg);
+            self.by_attempt.remove(&attempt.attempt);
             if !attempt.ticket.is_withdrawn() {
-                back.push(ended(attempt.leg, outcome));
+                back.push(ended(attempt.attempt, outcome));
             }
         }
     }
@@ -279,22 +286,22 @@
     }
 
     /// Nobody waits for this attempt any more. Its connection closes: nothing that left can be called back otherwise.
-    pub fn give_up(&mut self, attempt: LegId) {
+    pub fn give_up(&mut self, attempt: AttemptId) {
         match self.by_attempt.remove(&attempt) {
             Some(id) => {
                 self.counters.given_up += 1;
                 self.links.remove(&id);
             }
             None => {
-                self.waiting.retain(|l| l.leg != attempt);
-                self.resting.retain(|(_, l)| l.leg != attempt);
+                self.waiting.retain(|l| l.attempt != attempt);
+                self.resting.retain(|(_, l)| l.attempt != attempt);
             }
         }
     }
 
     /// Nodes that want nothing new, or have moved, keep no connection that no request has begun on; what waits for one that
     /// comes up would be written to whoever is there now.
-    pub fn keep_where(&mut self, good: impl Fn(NodeId, SocketAddr) -> bool, back: &mut Vec<LegBack>) {
+    pub fn keep_where(&mut self, good: impl Fn(NodeId, SocketAddr) -> bool, back: &mut Vec<AttemptResult>) {
         let unused = |l: &Link| !matches!(l.state, State::Busy { .. }) && !good(l.node, l.address);
         let old: Vec<u32> = self.links.iter().filter(|(_, l)| unused(l)).map(|(id, _)| *id).collect();
         for id in old {
@@ -314,7 +321,7 @@
     }
 
     /// Time has passed: connections that did not come up, and old idle ones.
-    pub fn tick(&mut self, now: Instant, back: &mut Vec<LegBack>) {
+    pub fn tick(&mut self, now: Instant, back: &mut Vec<AttemptResult>) {
         let late = |l: &Link| matches!(&l.state, State::Connecting { until, .. } if *until <= now);
         let late: Vec<u32> = self.links.iter().filter(|(_, l)| late(l)).map(|(id, _)| *id).collect();
         for id in late {
@@ -332,13 +339,13 @@
     }
 
     /// An attempt whose connection has rested by now.
-    pub fn rested(&mut self, now: Instant) -> Option<SendLeg> {
+    pub fn rested(&mut self, now: Instant) -> Option<SendAttempt> {
         let at = self.resting.iter().position(|(until, _)| *until <= now)?;
         Some(self.resting.remove(at).1)
     }
 
     /// The attempt that has waited longest for a connection, if there is room for it now.
-    pub fn next_waiting(&mut self) -> Option<SendLeg> {
+    pub fn next_waiting(&mut self) -> Option<SendAttempt> {
         let room = self.links.len() < self.most || !self.idle.is_empty();
         if room {
             self.waiting.pop_front()
@@ -348,6 +355,6 @@
     }
 }
 
-fn ended(leg: LegId, outcome: Outcome) -> LegBack {
-    LegBack { leg, outcome, waiting: None, elsewhere: Some(0.0), data: Bytes::new() }
+fn ended(attempt: AttemptId, outcome: Outcome) -> AttemptResult {
+    AttemptResult { attempt, outcome, waiting: None, elsewhere: Some(0.0), data: Bytes::new() }
 }
--- a/crates/httphost/src/pool.rs
+++ b/crates/httphost/src/pool.rs
@@ -7,7 +7,7 @@
 /// Descriptors that are not connections of clients or nodes: the standard three, epoll, signals, listener, datagrams, node list old
 /// and new, the configuration file, and a few to accept with.
 const OWN_SOCKETS: usize = 25;
-/// Of the others, clients get this part: silent ones come by the hundred, while legs out are capped by the module.
+/// Of the others, clients get this part: silent ones come by the hundred, while attempts out are capped by the module.
 const CLIENTS_PART: f64 = 0.6;
 /// Of the memory, what may stand in buffers. The rest is the program, its tables, and what the allocator keeps.
 const BYTES_PART: f64 = 0.25;
--- a/crates/httphost/src/serve.rs
+++ b/crates/httphost/src/serve.rs
@@ -21,9 +21,9 @@
 use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, Span};
 use tackmast_config::Stream;
 use tackmast_hostcore::{
-    Age, CommandRef, Core, Counters, LegBack, ListEntry, Output, Placed, PlacedSettings,
+    Age, AttemptResult, CommandRef, Core, Counters, ListEntry, Output, Placed, PlacedSettings,
 };
-use tackmast_hostcore::{Request as Opaque, SendLeg, Start, Verdict};
+use tackmast_hostcore::{Request as Opaque, SendAttempt, Start, Verdict};
 use tackmast_http::Request;
 use tackmast_platform::{Call, Configuration, List, Reports, Settings};
 
@@ -104,7 +104,7 @@
     refused: u64,
     /// Connections whose next request may be there already.
     again: Vec<u32>,
-    back: Vec<LegBack>,
+    back: Vec<AttemptResult>,
     swept: Instant,
     /// Since when it is told to end, by which steps, and how far it is.
     ending: Option<Instant>,
--- a/crates/httphost/src/serve/attempts.rs
+++ b/crates/httphost/src/serve/attempts.rs
@@ -5,7 +5,7 @@
 impl Host {
     pub(super) fn take_back(&mut self, now: Instant) {
         for back in std::mem::take(&mut self.back) {
-            self.core.leg_back(now, back);
+            self.core.attempt_finished(now, back);
         }
     }
 
@@ -29,7 +29,7 @@
     }
 
     /// An attempt leaves for its node, unless it is not wanted any more.
-    fn begin(&mut self, now: Instant, (attempt, has_waited): (SendLeg, bool)) {
+    fn begin(&mut self, now: Instant, (attempt, has_waited): (SendAttempt, bool)) {
         self.look_for(now, attempt.from.session);
         if !attempt.ticket.is_withdrawn() {
             let to = self.node_address(attempt.node);
@@ -53,14 +53,14 @@
     fn output(&mut self, now: Instant, output: Output) {
         match output {
             Output::Send(attempt) => self.begin(now, (*attempt, false)),
-            Output::Cancel { leg: attempt, .. } | Output::Cut { leg: attempt, .. } => {
+            Output::Cancel { attempt, .. } | Output::Cut { attempt, .. } => {
                 self.links.give_up(attempt);
                 // Its connection is closed: nothing more comes of it, and it must not count as out until its time is up.
                 if self.core.is_out(attempt) {
                     let (outcome, data) = (Outcome::Cancelled, Bytes::new());
-                    self.core.leg_back(
+                    self.core.attempt_finished(
                         now,
-                        LegBack { leg: attempt, outcome, waiting: None, elsewhere: None, data },
+                        AttemptResult { attempt, outcome, waiting: None, elsewhere: None, data },
                     );
                 }
             }
--- a/crates/httphost/tests/crossings.rs
+++ b/crates/httphost/tests/crossings.rs
@@ -74,7 +74,7 @@
     drop(client);
     h.until("it is let go", |h| h.status().client_connections == 0);
     h.until("its attempt is called back", |h| h.status().links.given_up == 1);
-    assert_eq!((node.asked(), h.status().core.legs), (1, 1));
+    assert_eq!((node.asked(), h.status().core.attempts), (1, 1));
 }
 
 #[test]
@@ -131,13 +131,13 @@
     client.say(&text);
     h.until("the first is at its node", |_| node.asked() == 1);
     node.wires[0].say(b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
-    let legs = h.status().core.legs;
+    let attempts = h.status().core.attempts;
     h.until("it has failed", |h| h.status().open.2 == 0);
     drop(client);
     // Past the pause before anything is looked at: its end and the client's come in one turn.
     std::thread::sleep(Duration::from_millis(60));
     h.turns_for(0.1);
-    assert_eq!((node.asked(), h.status().core.legs, h.status().core.left), (1, legs, 1));
+    assert_eq!((node.asked(), h.status().core.attempts, h.status().core.left), (1, attempts, 1));
 }
 
 #[test]
--- a/crates/httphost/tests/nodes.rs
+++ b/crates/httphost/tests/nodes.rs
@@ -91,7 +91,7 @@
     rig.nodes[0].idle(Duration::from_secs(30));
     assert_eq!(rig.ask("once", 0).status, 200);
     let status = rig.ended();
-    assert_eq!((status.links.reset, status.core.further_legs), (0, 0), "{status:?}");
+    assert_eq!((status.links.reset, status.core.retries), (0, 0), "{status:?}");
 }
 
 #[test]
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_leg_given_up_closes_its_connection_before_another_leaves() {
+fn an_attempt_given_up_closes_its_connection_before_another_leaves() {
     let mut rig = Rig::new();
     rig.nodes[0].set(NodeFault::Silent, 1);
     assert_ne!(rig.ask("read", 0).status, 200);
--- a/crates/lab/src/plain.rs
+++ b/crates/lab/src/plain.rs
@@ -6,11 +6,11 @@
 use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, ShardId, Span};
 use tackmast_config::HostSettings;
 use tackmast_hostcore::{
-    CommandRef, Core, Layout, LegBack, LegId, LegWork, ListEntry, Nodes, Output, Part, SendLeg, Ticket,
-    Verdict, Work,
+    AttemptId, AttemptResult, AttemptWork, CommandRef, Core, Layout, ListEntry, Nodes, Output, Part,
+    SendAttempt, Ticket, Verdict, Work,
 };
 
-/// Legs that `Caps` keeps out at a node, at most.
+/// Attempts that `Caps` keeps out at a node, at most.
 const CAP: usize = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -134,21 +134,21 @@
             self.until.remove(&(x.expiry, id));
             if let Some(node) = x.node.filter(|_| x.done.is_none()) {
                 *self.out.entry(x.spec.shard).or_default() -= 1;
-                self.outputs.push_back(Output::Cancel { node, leg: LegId(id << 8) });
+                self.outputs.push_back(Output::Cancel { node, attempt: AttemptId(id << 8) });
             }
             gone.push(x);
         }
         gone
     }
 
-    fn back(&mut self, b: LegBack) {
-        let id = b.leg.0 >> 8;
+    fn back(&mut self, b: AttemptResult) {
+        let id = b.attempt.0 >> 8;
         let Some(x) = self.requests.get_mut(&id).filter(|x| x.node.is_some() && x.done.is_none()) else {
             return;
         };
         let from = x.from;
         if b.outcome != Outcome::Done {
-            // No second leg: the client is told what is known.
+            // No second attempt: the client is told what is known.
             let never = !b.outcome.may_have_run();
             let alone = self.commands.get(&from).is_some_and(|ids| ids.len() == 1);
             let safe = never && alone
@@ -248,14 +248,14 @@
         *self.out.entry(shard).or_default() += 1;
         let v = self.layout.volume(x.volume);
         let work = match &x.data {
-            Some(data) => LegWork::Write { data: data.clone() },
-            None => LegWork::Read { length: x.spec.blocks * v.block_bytes },
+            Some(data) => AttemptWork::Write { data: data.clone() },
+            None => AttemptWork::Read { length: x.spec.blocks * v.block_bytes },
         };
-        Some(Output::Send(Box::new(SendLeg {
+        Some(Output::Send(Box::new(SendAttempt {
             node,
-            leg: LegId(id << 8),
+            attempt: AttemptId(id << 8),
             request: id,
-            leg_no: 0,
+            attempt_number: 0,
             from: x.from,
             part: x.part,
             until: x.expiry,
@@ -351,9 +351,9 @@
         }
     }
 
-    pub fn leg_back(&mut self, now: Instant, back: LegBack) {
+    pub fn attempt_finished(&mut self, now: Instant, back: AttemptResult) {
         match self {
-            Heart::Core(c) => c.leg_back(now, back),
+            Heart::Core(c) => c.attempt_finished(now, back),
             Heart::Plain(p) => p.back(back),
         }
     }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! One page a run: service over time with the troubles marked, legs out by node, the limited volume's store, and answer
+//! One page a run: service over time with the troubles marked, attempts out by node, the limited volume's store, and answer
 //! times as percentile curves. Pictures are drawn by plotters as SVG within the page.
 
 use crate::draw::{Kind, World};
@@ -6,7 +6,7 @@
 use crate::Found;
 use plotters::prelude::*;
 use std::collections::BTreeMap;
-use tackmast_trace::{AnswerKind, Event, LegName};
+use tackmast_trace::{AnswerKind, AttemptName, Event};
 
 /// Buckets of time across a picture.
 const BUCKETS: usize = 120;
@@ -27,7 +27,7 @@
     pub asked: Vec<f64>,
     pub in_time: Vec<f64>,
     pub deferred: Vec<f64>,
-    /// By node's place in order of address: mean legs out.
+    /// By node's place in order of address: mean attempts out.
     pub out: Vec<Vec<f64>>,
     pub nodes: Vec<String>,
     /// Most units in the limited volume's store, as the rule draws it, over its burst and slack.
@@ -57,7 +57,7 @@
             store: vec![0.0; BUCKETS],
         };
         let mut open = BTreeMap::new();
-        let mut legs: BTreeMap<LegName, (u64, String, u64)> = BTreeMap::new();
+        let mut attempts: BTreeMap<AttemptName, (u64, String, u64)> = BTreeMap::new();
         let mut spans: Vec<(String, u64, u64)> = Vec::new();
         let (mut level, mut level_at, mut drew) = (0.0f64, first, std::collections::BTreeSet::new());
         for l in &run.trace {
@@ -72,8 +72,8 @@
                     s.in_time[place(t)] += f64::from(u8::from(*kind == AnswerKind::Done && l.t - t <= slo));
                     s.deferred[place(t)] += f64::from(u8::from(*kind == AnswerKind::Deferred));
                 }
-                Event::Leg { node, name, left_us, volume, units, .. } => {
-                    legs.insert(*name, (l.t, node.clone(), l.t + left_us));
+                Event::Attempt { node, name, left_us, volume, units, .. } => {
+                    attempts.insert(*name, (l.t, node.clone(), l.t + left_us));
                     let drawn = limited.as_ref().filter(|v| v.volume == *volume);
                     if let Some(v) = drawn.filter(|_| drew.insert((name.host, name.life, name.request))) {
                         let gone = (l.t - level_at) as f64 / 1e6;
@@ -83,14 +83,14 @@
                         s.store[place(l.t)] = s.store[place(l.t)].max(part);
                     }
                 }
-                Event::LegEnd { name, .. } => {
-                    if let Some((t, node, _)) = legs.remove(name) {
+                Event::AttemptEnd { name, .. } => {
+                    if let Some((t, node, _)) = attempts.remove(name) {
                         spans.push((node, t, l.t));
                     }
                 }
-                Event::LinkDown { legs: down, .. } => {
+                Event::LinkDown { attempts: down, .. } => {
                     for name in down {
-                        if let Some((t, node, _)) = legs.remove(name) {
+                        if let Some((t, node, _)) = attempts.remove(name) {
                             spans.push((node, t, l.t));
                         }
                     }
@@ -98,7 +98,7 @@
                 _ => {}
             }
         }
-        spans.extend(legs.into_values().map(|(t, node, until)| (node, t, until.min(last))));
+        spans.extend(attempts.into_values().map(|(t, node, until)| (node, t, until.min(last))));
         let mut nodes: Vec<String> = spans.iter().map(|x| x.0.clone()).collect();
         // By address as numbers: 10.0.0.9 stands before 10.0.0.10.
         let order = |n: &String| n.parse::<std::net::SocketAddr>().map_err(|_| n.clone());
@@ -107,7 +107,7 @@
         s.out = vec![vec![0.0; BUCKETS]; nodes.len()];
         for (node, from, to) in spans {
             let Ok(n) = nodes.binary_search_by_key(&order(&node), order) else { continue };
-            // Each bucket gets the part of it for which the leg was out.
+            // Each bucket gets the part of it for which the attempt was out.
             for (i, out) in s.out[n].iter_mut().enumerate().take(place(to) + 1).skip(place(from)) {
                 let (low, high) = (i as f64 * step, (i + 1) as f64 * step);
                 let from = ((from - first) as f64 / 1e6).max(low);
@@ -195,7 +195,7 @@
     Ok(text)
 }
 
-/// Legs out by node, dark where many are: one row a node, so that hundreds of hosts and dozens of nodes stay legible.
+/// Attempts out by node, dark where many are: one row a node, so that hundreds of hosts and dozens of nodes stay legible.
 fn by_node(s: &Series) -> Result<String, String> {
     let mut text = String::new();
     let most = s.out.iter().flatten().copied().fold(0.0, f64::max).max(1e-9);
@@ -224,7 +224,7 @@
             .map_err(failed)?;
         for (n, row) in s.out.iter().enumerate() {
             let cells = row.iter().enumerate().filter(|(_, x)| **x > 0.0).map(|(i, x)| {
-                // By the root, so that a few legs beside a flood can still be seen.
+                // By the root, so that a few attempts beside a flood can still be seen.
                 let colour = RGBColor(20, 60, 140).mix((x / most).sqrt()).filled();
                 let (from, to) = (i as f64 * s.step, (i + 1) as f64 * s.step);
                 Rectangle::new([(from, n as f64), (to, n as f64 + 0.9)], colour)
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -23,8 +23,8 @@
 use tackmast_clientcore::{Op, Outcome as CallOutcome, Output as ClientOutput, Place};
 use tackmast_config::HostSettings;
 use tackmast_hostcore::{
-    member_settings, Age, Ask, Begin, CommandRef, Core, Fellows, Keep, LegBack, LegId, LegWork, ListEntry,
-    Output, PlanAsk, PlanReply, Plans, Reply, Request, SendLeg, Start, Verdict, Work,
+    member_settings, Age, Ask, AttemptId, AttemptResult, AttemptWork, Begin, CommandRef, Core, Fellows, Keep,
+    ListEntry, Output, PlanAsk, PlanReply, Plans, Reply, Request, SendAttempt, Start, Verdict, Work,
 };
 use tackmast_overrides::{Kind as OrderKind, Order, Override, OverrideId, Overrides, Target};
 use tackmast_standins::model::{How, Ills, Job, Model, Nature};
@@ -60,8 +60,8 @@
 pub enum Mutant {
     /// Drains and ends told by the list never reach the core.
     GraceIgnored,
-    /// Every hundredth leg leaves twice.
-    SecondLegEarly,
+    /// Every hundredth attempt leaves twice.
+    HedgeTooEarly,
     /// Every fiftieth answer is lost, or given again.
     AnswerLost,
     AnswerTwice,
@@ -113,7 +113,7 @@
     pub firsts: BTreeMap<String, Class>,
     /// Nodes that fell over while cold.
     pub fallen: usize,
-    /// Units of all legs that left, and of those whose request was not done by them in time for its client.
+    /// Units of all attempts that left, and of those whose request was not done by them in time for its client.
     pub sent_units: f64,
     pub wasted_units: f64,
     /// Units a second of the limited volume over its limit.
@@ -124,7 +124,7 @@
     pub in_time: u64,
     pub deferred: u64,
     pub abandoned: u64,
-    /// Commands, legs or calls left in the tables of hosts and clients after all is over.
+    /// Commands, attempts or calls left in the tables of hosts and clients after all is over.
     pub stuck: usize,
     /// Calls of clients that speak a protocol, those done, and those answered after their deadline.
     pub calls: u64,
@@ -135,7 +135,7 @@
     /// Changes of plans that were acknowledged, and how many of them all hosts went by within the settings' time.
     pub plans: (u64, u64),
     pub events: u64,
-    /// The most commands, requests and legs that one host had open.
+    /// The most commands, requests and attempts that one host had open.
     pub most_open: (usize, usize, usize),
 }
 
@@ -203,9 +203,9 @@
     last: [Us; 2],
     /// The least difference the node has seen between its clock and the host's, in microseconds.
     offset: i64,
-    /// Legs that wait for the node's hello; none once it has come.
-    waiting: Option<Vec<SendLeg>>,
-    legs: BTreeMap<u64, LegName>,
+    /// Attempts that wait for the node's hello; none once it has come.
+    waiting: Option<Vec<SendAttempt>>,
+    attempts: BTreeMap<u64, AttemptName>,
 }
 
 /// How a host's clocks go wrong: its steady one starts elsewhere and drifts, its wall clock is off.
@@ -248,8 +248,8 @@
     host: u32,
     life: u64,
     link: u64,
-    leg: u64,
-    name: LegName,
+    attempt: u64,
+    name: AttemptName,
     volume: u32,
     units: f64,
     read: u32,
@@ -565,8 +565,8 @@
         self.in_force();
         self.note(Seen::Trouble { what: "end".into(), on: false });
         for h in self.hosts.iter().filter(|h| h.up) {
-            let (commands, requests, legs) = h.core.open();
-            self.run.stuck += commands + requests + legs + h.core.keys_in_order();
+            let (commands, requests, attempts) = h.core.open();
+            self.run.stuck += commands + requests + attempts + h.core.keys_in_order();
         }
         self.run.stuck += self.clients.iter().map(|c| c.core.open()).sum::<usize>();
         self.run.fallen = self.nodes.iter().filter(|n| n.model.is_fallen()).count();
--- a/crates/lab/src/sim/account.rs
+++ b/crates/lab/src/sim/account.rs
@@ -9,7 +9,7 @@
         let mut open: BTreeMap<(u32, u32, u32), (Us, usize)> = BTreeMap::new();
         let mut served: BTreeMap<(u32, u32, u32), f64> = BTreeMap::new();
         let (mut limited, mut classes) = (0.0, BTreeMap::<usize, Class>::new());
-        let mut legs: BTreeMap<LegName, (f64, u32)> = BTreeMap::new();
+        let mut attempts: BTreeMap<AttemptName, (f64, u32)> = BTreeMap::new();
         let s = &self.settings[0];
         let streams = s.streams.len();
         let limit_of = |lun: u32| {
@@ -24,13 +24,14 @@
                     classes.entry(class).or_default().asked += 1;
                     open.insert((*host, *session, *command), (l.t, class));
                 }
-                Seen::Leg { name, session, command, units, volume, .. } => {
+                Seen::Attempt { name, session, command, units, volume, .. } => {
                     self.run.sent_units += units;
-                    legs.insert(*name, (*units, *volume));
+                    attempts.insert(*name, (*units, *volume));
                     *served.entry((name.host, *session, *command)).or_default() += units;
                 }
-                Seen::LegEnd { name, kind: LegEndKind::Done, .. } => {
-                    limited += legs.get(name).filter(|(_, v)| limit_of(*v) > 0.0).map_or(0.0, |(u, _)| *u);
+                Seen::AttemptEnd { name, kind: AttemptEndKind::Done, .. } => {
+                    limited +=
+                        attempts.get(name).filter(|(_, v)| limit_of(*v) > 0.0).map_or(0.0, |(u, _)| *u);
                 }
                 Seen::Answer { host, session, command, kind, .. } if *kind != AnswerKind::Done => {
                     if let Some((_, class)) = open.remove(&(*host, *session, *command)) {
--- a/crates/lab/src/sim/events.rs
+++ b/crates/lab/src/sim/events.rs
@@ -24,9 +24,9 @@
             Event::Again(number) => self.ask(number),
             Event::ToNode(h, n, life, bytes) => self.node_gets(h, n, life, &bytes),
             Event::ToHost(h, n, life, bytes) => self.host_gets(h, n, life, &bytes),
-            Event::Refused(h, life, leg) => {
+            Event::Refused(h, life, attempt) => {
                 if self.hosts[h as usize].life == life {
-                    self.back(h, leg, Outcome::Refused);
+                    self.back(h, attempt, Outcome::Refused);
                     self.pull(h);
                 }
             }
--- a/crates/lab/src/sim/hosts.rs
+++ b/crates/lab/src/sim/hosts.rs
@@ -55,9 +55,9 @@
         self.hosts[h as usize].core.tick(now);
         while let Some(o) = self.hosts[h as usize].core.next_output(now) {
             match o {
-                Output::Send(leg) => self.send(h, *leg),
-                Output::Cancel { node, leg } | Output::Cut { node, leg } => {
-                    let cancel = Frame::Cancel { leg: leg.0 }.to_bytes();
+                Output::Send(attempt) => self.send(h, *attempt),
+                Output::Cancel { node, attempt } | Output::Cut { node, attempt } => {
+                    let cancel = Frame::Cancel { attempt: attempt.0 }.to_bytes();
                     self.pass_on(h, node.0, &cancel, true);
                 }
                 Output::Answer { to, verdict } => self.answer(h, to, verdict),
@@ -161,8 +161,8 @@
         let (life, links) = (host.life, std::mem::take(&mut host.links));
         for (n, l) in links {
             let node = self.nodes[n as usize].address.clone();
-            let legs = l.legs.values().copied().collect();
-            self.note(tackmast_trace::Event::LinkDown { node, host: h, life, legs });
+            let attempts = l.attempts.values().copied().collect();
+            self.note(tackmast_trace::Event::LinkDown { node, host: h, life, attempts });
         }
         self.note(tackmast_trace::Event::HostDown { host: h });
         for (c, slot, slot_life) in sessions.into_values() {
--- a/crates/lab/src/sim/links.rs
+++ b/crates/lab/src/sim/links.rs
@@ -1,92 +1,96 @@
-//! Links between hosts and nodes, and the legs on them.
+//! Links between hosts and nodes, and the attempts on them.
 
 use super::*;
 
 impl Sim<'_> {
-    pub(super) fn send(&mut self, h: u32, leg: SendLeg) {
+    pub(super) fn send(&mut self, h: u32, attempt: SendAttempt) {
         self.sends += 1;
-        let n = self.node_of(h, leg.node.0);
+        let n = self.node_of(h, attempt.node.0);
         let life = self.hosts[h as usize].life;
         let Some(n) = n.filter(|n| self.nodes[*n as usize].up) else {
             // Nobody listens: the host hears so after a round trip.
             let t = self.now + 2 * self.w.delay_us;
-            leg.ticket.withdraw();
-            return self.push(t, Event::Refused(h, life, leg.leg.0));
+            attempt.ticket.withdraw();
+            return self.push(t, Event::Refused(h, life, attempt.attempt.0));
         };
         self.open_link(h, n);
         if let Some(waiting) = self.hosts[h as usize].links.get_mut(&n).and_then(|l| l.waiting.as_mut()) {
-            return waiting.push(leg);
+            return waiting.push(attempt);
         }
-        self.transmit(h, n, &leg);
+        self.transmit(h, n, &attempt);
     }
 
-    /// A leg leaves its host, unless it was taken back.
-    pub(super) fn transmit(&mut self, h: u32, n: u32, leg: &SendLeg) {
+    /// An attempt leaves its host, unless it was taken back.
+    pub(super) fn transmit(&mut self, h: u32, n: u32, attempt: &SendAttempt) {
         let life = self.hosts[h as usize].life;
         let now = self.time(h);
-        let left = ((leg.until - now).secs() * 1e6).max(0.0) as Us;
-        match leg.begin(now) {
+        let left = ((attempt.until - now).secs() * 1e6).max(0.0) as Us;
+        match attempt.begin(now) {
             Begin::Now => {}
             Begin::Withdrawn => return,
-            Begin::TooLate => return self.push(self.now, Event::Refused(h, life, leg.leg.0)),
-        }
-        leg.ticket.written();
-        let name = LegName { host: h, life, request: leg.request, leg: leg.leg_no };
-        let frame = |leg_no: u8| {
-            Frame::Send(node::SendLeg {
-                leg: leg.leg.0,
-                request: leg.request,
-                leg_no,
-                origin: Origin { session: leg.from.session, command: leg.from.command, part: leg.part },
+            Begin::TooLate => return self.push(self.now, Event::Refused(h, life, attempt.attempt.0)),
+        }
+        attempt.ticket.written();
+        let name = AttemptName { host: h, life, request: attempt.request, attempt: attempt.attempt_number };
+        let frame = |attempt_number: u8| {
+            Frame::Send(node::SendAttempt {
+                attempt: attempt.attempt.0,
+                request: attempt.request,
+                attempt_number,
+                origin: Origin {
+                    session: attempt.from.session,
+                    command: attempt.from.command,
+                    part: attempt.part,
+                },
                 sent_us: us(now),
                 left_us: left as u32,
-                mark: leg.mark,
-                key: leg.key,
-                volume: leg.volume,
-                offset: leg.offset,
-                units: leg.units as f32,
-                work: match &leg.work {
-                    LegWork::Read { length } => node::Work::Read { length: *length },
-                    LegWork::Write { data } | LegWork::Request(Request { body: data, .. }) => {
+                mark: attempt.mark,
+                key: attempt.key,
+                volume: attempt.volume,
+                offset: attempt.offset,
+                units: attempt.units as f32,
+                work: match &attempt.work {
+                    AttemptWork::Read { length } => node::Work::Read { length: *length },
+                    AttemptWork::Write { data } | AttemptWork::Request(Request { body: data, .. }) => {
                         node::Work::Write { data: data.clone() }
                     }
                 },
             })
             .to_bytes()
         };
-        // A leg counts from when its host sends it: what the network holds back after that is no fault of its.
-        let (write, length) = match &leg.work {
-            LegWork::Read { length } => (false, u64::from(*length)),
-            LegWork::Write { data } | LegWork::Request(Request { body: data, .. }) => {
+        // An attempt counts from when its host sends it: what the network holds back after that is no fault of its.
+        let (write, length) = match &attempt.work {
+            AttemptWork::Read { length } => (false, u64::from(*length)),
+            AttemptWork::Write { data } | AttemptWork::Request(Request { body: data, .. }) => {
                 (true, data.len() as u64)
             }
         };
         let address = self.nodes[n as usize].address.clone();
-        let seen = |leg_no: u8| tackmast_trace::Event::Leg {
+        let seen = |attempt_number: u8| tackmast_trace::Event::Attempt {
             node: address.clone(),
-            name: LegName { leg: leg_no, ..name },
-            session: leg.from.session,
-            command: leg.from.command,
-            part: leg.part,
-            volume: leg.volume,
+            name: AttemptName { attempt: attempt_number, ..name },
+            session: attempt.from.session,
+            command: attempt.from.command,
+            part: attempt.part,
+            volume: attempt.volume,
             write,
-            offset: leg.offset,
+            offset: attempt.offset,
             bytes: length,
-            units: leg.units,
-            key: leg.key,
-            mark: format!("{:x}", leg.mark),
+            units: attempt.units,
+            key: attempt.key,
+            mark: format!("{:x}", attempt.mark),
             left_us: left,
         };
-        let (first, second) = (seen(leg.leg_no), seen(leg.leg_no + 1));
-        let bytes = frame(leg.leg_no);
-        let twice = (self.mutant == Some(Mutant::SecondLegEarly) && self.sends.is_multiple_of(100))
-            .then(|| frame(leg.leg_no + 1));
+        let (first, second) = (seen(attempt.attempt_number), seen(attempt.attempt_number + 1));
+        let bytes = frame(attempt.attempt_number);
+        let twice = (self.mutant == Some(Mutant::HedgeTooEarly) && self.sends.is_multiple_of(100))
+            .then(|| frame(attempt.attempt_number + 1));
         self.note(first);
         if twice.is_some() {
             self.note(second);
         }
         if let Some(l) = self.hosts[h as usize].links.get_mut(&n) {
-            l.legs.insert(leg.leg.0, name);
+            l.attempts.insert(attempt.attempt.0, name);
         }
         self.pass(h, n, &bytes, true);
         if let Some(again) = twice {
@@ -121,7 +125,7 @@
             last: [0; 2],
             offset,
             waiting: Some(Vec::new()),
-            legs: BTreeMap::new(),
+            attempts: BTreeMap::new(),
         };
         let links = &mut self.hosts[h as usize].links;
         if let std::collections::btree_map::Entry::Vacant(place) = links.entry(n) {
@@ -166,7 +170,7 @@
         let mut backs = Vec::new();
         while let Ok(Some(f)) = node::next(&mut l.to_host) {
             if let Frame::Answer(a) = f {
-                if l.legs.remove(&a.leg).is_some() {
+                if l.attempts.remove(&a.attempt).is_some() {
                     backs.push(a);
                 }
             }
@@ -180,19 +184,26 @@
                 NodeOutcome::NotHere => Outcome::Skipped,
             };
             let (waiting, elsewhere) = (Some(a.waiting), Some(f64::from(a.elsewhere)));
-            let back = LegBack { leg: LegId(a.leg), outcome, waiting, elsewhere, data: a.data };
-            self.hosts[h as usize].core.leg_back(now, back);
+            let back =
+                AttemptResult { attempt: AttemptId(a.attempt), outcome, waiting, elsewhere, data: a.data };
+            self.hosts[h as usize].core.attempt_finished(now, back);
         }
         self.pull(h);
     }
 
-    pub(super) fn back(&mut self, h: u32, leg: u64, outcome: Outcome) {
-        let back = LegBack { leg: LegId(leg), outcome, waiting: None, elsewhere: None, data: Bytes::new() };
+    pub(super) fn back(&mut self, h: u32, attempt: u64, outcome: Outcome) {
+        let back = AttemptResult {
+            attempt: AttemptId(attempt),
+            outcome,
+            waiting: None,
+            elsewhere: None,
+            data: Bytes::new(),
+        };
         let now = self.time(h);
-        self.hosts[h as usize].core.leg_back(now, back);
+        self.hosts[h as usize].core.attempt_finished(now, back);
     }
 
-    /// A link ends for both sides: its legs may have run.
+    /// A link ends for both sides: its attempts may have run.
     pub(super) fn link_down(&mut self, h: u32, n: u32, life: u64) {
         let host = &mut self.hosts[h as usize];
         if host.links.get(&n).is_none_or(|l| l.life != life) {
@@ -200,13 +211,13 @@
         }
         let Some(l) = host.links.remove(&n) else { return };
         let (node, life) = (self.nodes[n as usize].address.clone(), host.life);
-        let legs: Vec<LegName> = l.legs.values().copied().collect();
-        self.note(tackmast_trace::Event::LinkDown { node, host: h, life, legs });
-        for leg in l.legs.keys() {
-            self.back(h, *leg, Outcome::Reset);
+        let attempts: Vec<AttemptName> = l.attempts.values().copied().collect();
+        self.note(tackmast_trace::Event::LinkDown { node, host: h, life, attempts });
+        for attempt in l.attempts.keys() {
+            self.back(h, *attempt, Outcome::Reset);
         }
-        for leg in l.waiting.into_iter().flatten().filter(|leg| leg.ticket.withdraw()) {
-            self.back(h, leg.leg.0, Outcome::Refused);
+        for attempt in l.waiting.into_iter().flatten().filter(|attempt| attempt.ticket.withdraw()) {
+            self.back(h, attempt.attempt.0, Outcome::Refused);
         }
         self.pull(h);
     }
@@ -234,6 +245,6 @@
         self.pull(h);
         // What the core has not taken back now leaves.
         let waiting = self.hosts[h as usize].links.get_mut(&n).and_then(|l| l.waiting.take());
-        waiting.into_iter().flatten().for_each(|leg| self.transmit(h, n, &leg));
+        waiting.into_iter().flatten().for_each(|attempt| self.transmit(h, n, &attempt));
     }
 }
--- a/crates/lab/src/sim/nodes.rs
+++ b/crates/lab/src/sim/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes, the legs they hold, and the list of them.
+//! Nodes, the attempts they hold, and the list of them.
 
 use super::*;
 
@@ -20,10 +20,10 @@
         }
         for f in frames {
             match f {
-                Frame::Send(leg) => self.leg_arrives(h, n, life, leg),
-                Frame::Cancel { leg } => {
+                Frame::Send(attempt) => self.attempt_arrives(h, n, life, attempt),
+                Frame::Cancel { attempt } => {
                     let node = &mut self.nodes[n as usize];
-                    let found = node.held.iter().find(|(_, x)| x.link == life && x.leg == leg);
+                    let found = node.held.iter().find(|(_, x)| x.link == life && x.attempt == attempt);
                     if let Some((id, name)) = found.map(|(id, x)| (*id, x.name)) {
                         let address = node.address.clone();
                         if !node.silent {
@@ -38,10 +38,10 @@
         }
     }
 
-    pub(super) fn leg_arrives(&mut self, h: u32, n: u32, link: u64, leg: node::SendLeg) {
+    pub(super) fn attempt_arrives(&mut self, h: u32, n: u32, link: u64, attempt: node::SendAttempt) {
         let life = self.hosts[h as usize].life;
-        let name = LegName { host: h, life, request: leg.request, leg: leg.leg_no };
-        let (write, bytes) = match &leg.work {
+        let name = AttemptName { host: h, life, request: attempt.request, attempt: attempt.attempt_number };
+        let (write, bytes) = match &attempt.work {
             node::Work::Read { length } => (false, u64::from(*length)),
             node::Work::Write { data } => (true, data.len() as u64),
         };
@@ -53,21 +53,30 @@
         node.next += 1;
         let id = node.next;
         let read = if write { 0 } else { bytes as u32 };
-        let units = f64::from(leg.units);
-        let held =
-            Held { host: h, life, link, leg: leg.leg, name, volume: leg.volume, units, read, mark: leg.mark };
+        let units = f64::from(attempt.units);
+        let held = Held {
+            host: h,
+            life,
+            link,
+            attempt: attempt.attempt,
+            name,
+            volume: attempt.volume,
+            units,
+            read,
+            mark: attempt.mark,
+        };
         if !node.silent {
             node.held.insert(id, held);
             let link = self.hosts[h as usize].links.get_mut(&n);
             let offset = link.map_or(0, |l| {
-                l.offset = l.offset.min(now as i64 - leg.sent_us as i64);
+                l.offset = l.offset.min(now as i64 - attempt.sent_us as i64);
                 l.offset
             });
-            let until = (leg.sent_us as i64 + offset).max(0) as Us + u64::from(leg.left_us);
+            let until = (attempt.sent_us as i64 + offset).max(0) as Us + u64::from(attempt.left_us);
             let node = &mut self.nodes[n as usize];
             // The piece of data, as the stand-in nodes on loopback tell it.
-            let key = leg.key ^ leg.offset << 8;
-            let job = Job { id, units, write, key, further: leg.leg_no > 0, until };
+            let key = attempt.key ^ attempt.offset << 8;
+            let job = Job { id, units, write, key, further: attempt.attempt_number > 0, until };
             node.model.arrive(now, job);
         }
         self.settle(n);
@@ -86,9 +95,9 @@
             let node = &mut self.nodes[n as usize];
             let Some(x) = node.held.remove(&id) else { continue };
             let (outcome, kind) = match how {
-                How::Done => (NodeOutcome::Done, LegEndKind::Done),
-                How::Error => (NodeOutcome::Error, LegEndKind::Error),
-                How::NeverRan => (NodeOutcome::Full, LegEndKind::NeverRan),
+                How::Done => (NodeOutcome::Done, AttemptEndKind::Done),
+                How::Error => (NodeOutcome::Error, AttemptEndKind::Error),
+                How::NeverRan => (NodeOutcome::Full, AttemptEndKind::NeverRan),
             };
             let own = node.served.entry((x.volume, x.host)).or_default();
             if how == How::Done {
@@ -104,8 +113,9 @@
             }
             let (waiting, address, zone) = (node.told.1, node.address.clone(), node.zone);
             let ran = how == How::Done && self.first_run(zone, x.mark);
-            self.note(tackmast_trace::Event::LegEnd { node: address, name: x.name, kind, ran });
-            let answer = Frame::Answer(Answer { leg: x.leg, outcome, waiting, elsewhere, data }).to_bytes();
+            self.note(tackmast_trace::Event::AttemptEnd { node: address, name: x.name, kind, ran });
+            let answer =
+                Frame::Answer(Answer { attempt: x.attempt, outcome, waiting, elsewhere, data }).to_bytes();
             let host = &self.hosts[x.host as usize];
             if host.life == x.life && host.links.get(&n).is_some_and(|l| l.life == x.link) {
                 self.pass(x.host, n, &answer, false);
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -44,7 +44,7 @@
     // The fault, hosts, and the seeds within which it must be found.
     for (mutant, hosts, within) in [
         (Mutant::GraceIgnored, 6, 40),
-        (Mutant::SecondLegEarly, 6, 3),
+        (Mutant::HedgeTooEarly, 6, 3),
         (Mutant::AnswerLost, 6, 3),
         (Mutant::AnswerTwice, 6, 3),
         (Mutant::AnswerLate, 6, 3),
@@ -157,15 +157,15 @@
         play(&w, None)
     };
     let plain = of(Change::default());
-    // Without a share of further legs there are fewer; a longer SLO time is met more often; a node out of service gets none.
-    let legs = |f: &tackmast_lab::Found| f.report.rule(6).checked;
+    // Without a share of retries there are fewer; a longer SLO time is met more often; a node out of service gets none.
+    let attempts = |f: &tackmast_lab::Found| f.report.rule(6).checked;
     let none = of(Change { set: [("share".into(), 0.0), ("free".into(), 0.0)].into(), ..Change::default() });
-    assert!(legs(&plain) > 0 && legs(&none) == 0, "{} and {}", legs(&plain), legs(&none));
+    assert!(attempts(&plain) > 0 && attempts(&none) == 0, "{} and {}", attempts(&plain), attempts(&none));
     let slow = of(Change { set: [("slo_ms".into(), 900.0)].into(), ..Change::default() });
     assert!(slow.run.in_time > plain.run.in_time);
     let out = of(Change { out: 0.34, no_troubles: true, ..Change::default() });
     let at_first = |f: &tackmast_lab::Found| {
-        let first = |l: &&tackmast_trace::Line| matches!(&l.event, tackmast_trace::Event::Leg { node, .. } if node == "10.0.0.0:9000");
+        let first = |l: &&tackmast_trace::Line| matches!(&l.event, tackmast_trace::Event::Attempt { node, .. } if node == "10.0.0.0:9000");
         f.run.trace.iter().filter(first).count()
     };
     assert!(out.run.orders.0 >= 6 && !out.is_bad(), "{}", out.report);
--- a/crates/measure/src/core_cost.rs
+++ b/crates/measure/src/core_cost.rs
@@ -7,7 +7,7 @@
 use tackmast::interface::*;
 use tackmast::policy::Scheduler;
 use tackmast_config::HostSettings;
-use tackmast_hostcore::{CommandRef, Core, Keep, LegBack, ListEntry, Output, Work};
+use tackmast_hostcore::{AttemptResult, CommandRef, Core, Keep, ListEntry, Output, Work};
 use tackmast_overrides::{Kind, OverrideId, Overrides, Target};
 
 #[derive(Clone, Debug, Serialize)]
@@ -78,7 +78,7 @@
     core.list_came(seconds(0), ListKind::Complete, 0, 1, &list);
     let started = Wall::now();
     let (mut sent, mut done) = (0u64, 0u64);
-    let mut legs = Vec::new();
+    let mut attempts = Vec::new();
     let mut open = 0;
     while done < requests {
         let now = seconds(done);
@@ -92,10 +92,10 @@
         let before = done;
         while let Some(o) = core.next_output(now) {
             match o {
-                Output::Send(leg) => {
-                    leg.ticket.claim();
-                    leg.ticket.written();
-                    legs.push(leg.leg);
+                Output::Send(attempt) => {
+                    attempt.ticket.claim();
+                    attempt.ticket.written();
+                    attempts.push(attempt.attempt);
                 }
                 Output::Answer { .. } => {
                     done += 1;
@@ -105,10 +105,16 @@
             }
         }
         let later = seconds(done + 1);
-        for leg in legs.drain(..) {
+        for attempt in attempts.drain(..) {
             let data = Bytes::from_static(&[0; 4096]);
-            let back = LegBack { leg, outcome: Outcome::Done, waiting: Some(0), elsewhere: Some(0.0), data };
-            core.leg_back(later, back);
+            let back = AttemptResult {
+                attempt,
+                outcome: Outcome::Done,
+                waiting: Some(0),
+                elsewhere: Some(0.0),
+                data,
+            };
+            core.attempt_finished(later, back);
         }
         // What neither is sent nor answered at this moment needs time to pass.
         if done == before && open == OPEN {
@@ -155,7 +161,7 @@
         let later = seconds(done + 1);
         for id in out.drain(..) {
             s.service_reported(later, id, true, true, 0.0);
-            s.leg_ended(later, id, LegNo(0), Outcome::Done, later - now, true);
+            s.attempt_ended(later, id, AttemptNumber(0), Outcome::Done, later - now, true);
             done += 1;
         }
     }
--- a/crates/measure/src/load.rs
+++ b/crates/measure/src/load.rs
@@ -10,7 +10,7 @@
 use tackmast_standins::initiator::{Ask, AskWork, Initiator, Login, Reply};
 use tackmast_trace::{now_us, Recorder};
 use tackmast_wire::iscsi::Digests;
-use tackmast_wire::node::{self, Frame, NodeOutcome, Origin, SendLeg, Work};
+use tackmast_wire::node::{self, Frame, NodeOutcome, Origin, SendAttempt, Work};
 
 #[derive(Clone, Debug)]
 pub enum Route {
@@ -154,20 +154,20 @@
         let mut buffer = vec![0; 64 << 10];
         let mut c = count();
         let mut sent: HashMap<u64, u64> = HashMap::new();
-        let (mut leg, mut open) = (0, 0);
+        let (mut attempt, mut open) = (0, 0);
         let until = Instant::now() + Duration::from_secs_f64(self.seconds);
         let mut chance = oorandom(seed);
         while Instant::now() < until || open > 0 {
             let mut bytes = BytesMut::new();
             while open < self.depth && Instant::now() < until {
-                leg += 1;
+                attempt += 1;
                 let now = now_us();
-                sent.insert(leg, now);
-                Frame::Send(SendLeg {
-                    leg,
-                    request: leg,
-                    leg_no: 0,
-                    origin: Origin { session: 0, command: leg as u32, part: 0 },
+                sent.insert(attempt, now);
+                Frame::Send(SendAttempt {
+                    attempt,
+                    request: attempt,
+                    attempt_number: 0,
+                    origin: Origin { session: 0, command: attempt as u32, part: 0 },
                     sent_us: now,
                     left_us: 5_000_000,
                     mark: 0,
@@ -192,7 +192,7 @@
             while let Some(frame) = node::next(&mut frames).map_err(|e| e.to_string())? {
                 let Frame::Answer(a) = frame else { continue };
                 open -= 1;
-                let took = now_us() - sent.remove(&a.leg).unwrap_or_default();
+                let took = now_us() - sent.remove(&a.attempt).unwrap_or_default();
                 if a.outcome == NodeOutcome::Done {
                     c.done += 1;
                     _ = c.times.record(took.max(1));
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -17,7 +17,7 @@
     pub units: f64,
     pub shard: Option<ShardId>,
     pub hosts: u32,
-    /// What every leg says, up to the header fields that are its own.
+    /// What every attempt says, up to the header fields that are its own.
     pub head: Bytes,
     pub body: Bytes,
 }
@@ -110,7 +110,7 @@
     }
 }
 
-/// What every leg says. Only what was understood goes on, written from its value.
+/// What every attempt says. Only what was understood goes on, written from its value.
 fn head(r: &Request, id: &str, mark: Option<&str>) -> Bytes {
     let mut text = format!("{} {} HTTP/1.1\r\nX-Call-Id: {id}\r\n", r.method, r.target);
     if let Some(mark) = mark {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -11,5 +11,5 @@
 pub use call::{Call, Refusal};
 pub use configuration::{Configuration, Limits};
 pub use list::{List, Member};
-pub use outcome::{answer_head, leg_head, Came, Reports};
+pub use outcome::{answer_head, attempt_head, Came, Reports};
 pub use settings::{Plan, Settings, StreamType};
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What goes to a node with each leg, and what its answer means.
+//! What goes to a node with each attempt, and what its answer means.
 
 use crate::settings::Settings;
 use bytes::Bytes;
@@ -7,8 +7,8 @@
 use tackmast::interface::{Outcome, Span};
 use tackmast_http::Answer;
 
-/// The rest of a leg's head, after what its request says: which node, and how long the host will wait.
-pub fn leg_head(node: SocketAddr, left: Span) -> String {
+/// The rest of an attempt's head, after what its request says: which node, and how long the host will wait.
+pub fn attempt_head(node: SocketAddr, left: Span) -> String {
     let ms = (left.secs() * 1e3).floor().max(0.0) as u64;
     format!("Host: {node}\r\nX-Budget-Ms: {ms}\r\n\r\n")
 }
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -40,11 +40,11 @@
     pub most_units: f64,
     pub streams: Vec<StreamType>,
     pub plans: Vec<Plan>,
-    pub most_legs: u32,
+    pub max_attempts: u32,
     /// The longest that clients can be asked to stay away; zero: they can't be asked.
     pub longest_wait: Span,
     pub settle: Span,
-    further_legs: Option<(f64, f64, Span)>,
+    retry_budget: Option<(f64, f64, Span)>,
     cold: (f64, f64, Span, Span, f64),
     asks_list: bool,
     /// What load reports hold, in their order.
@@ -76,7 +76,7 @@
             all.map(|v| v.as_str().unwrap_or_default().to_owned()).collect()
         };
         let asks_clients = limits.get("retry_after").and_then(Value::as_bool).unwrap_or(false);
-        let further_legs = match rules.contains_key("look_back") {
+        let retry_budget = match rules.contains_key("look_back") {
             true => {
                 let (free, share) = (or(&rules, "extra_floor", 0.0)?, or(&rules, "further_ratio", 0.0)?);
                 Some((free, share, span(&rules, "look_back")?))
@@ -92,10 +92,10 @@
             most_units: or(&domain, "largest", 0.0)?,
             streams,
             plans,
-            most_legs: or(&limits, "max_attempts", f64::from(u32::MAX))? as u32,
+            max_attempts: or(&limits, "max_attempts", f64::from(u32::MAX))? as u32,
             longest_wait: if asks_clients { span(&limits, "max_retry_after")? } else { Span::ZERO },
             settle: span(&rules, "order_settle")?,
-            further_legs,
+            retry_budget,
             cold: (
                 or(&domain, "cold_bears", 0.0)?,
                 or(&rules, "cold_from", 1.0)?,
@@ -122,9 +122,9 @@
         for p in &self.plans {
             s.plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
         }
-        s.leg_limits(self.most_legs, self.longest_wait, self.settle);
-        if let Some((free, share, window)) = self.further_legs {
-            s.further_leg_budget(free, share, window);
+        s.attempt_limits(self.max_attempts, self.longest_wait, self.settle);
+        if let Some((free, share, window)) = self.retry_budget {
+            s.retry_budget(free, share, window);
         }
         let (safe, from, warm, window, multiple) = self.cold;
         s.cold_nodes(safe, from, warm, window, multiple);
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -4,7 +4,7 @@
 use serde_json::{json, Value};
 use tackmast::interface::*;
 use tackmast_http::{AnswerReader, Bounds, Request, RequestReader};
-use tackmast_platform::{answer_head, leg_head, Call, Configuration, List, Reports, Settings};
+use tackmast_platform::{answer_head, attempt_head, Call, Configuration, List, Reports, Settings};
 
 fn settings() -> Value {
     json!({
@@ -178,14 +178,17 @@
     assert_eq!((c.stream, c.plan, c.left), (StreamId(0), PlanId(0), Span::from_secs(0.48)));
     assert_eq!((c.units, c.shard, c.hosts, &c.body[..]), (2.0, Some(ShardId(5)), 3, &b"bytes"[..]));
     let text =
-        String::from_utf8(c.head.to_vec()).unwrap() + &leg_head("127.0.0.1:9".parse().unwrap(), c.left);
+        String::from_utf8(c.head.to_vec()).unwrap() + &attempt_head("127.0.0.1:9".parse().unwrap(), c.left);
     let mut reader = RequestReader::new(Bounds::default());
     reader.push(text.as_bytes());
     reader.push(&c.body);
-    let leg = reader.next_request().unwrap().unwrap();
-    assert_eq!((leg.method.as_str(), leg.target.as_str(), &leg.body[..]), ("PUT", PATH, &b"bytes"[..]));
-    assert_eq!(leg.headers.first("x-call-id"), Some("9b1f03aa5c7e2d41"));
-    assert_eq!((leg.headers.first("x-budget-ms"), leg.headers.first("x-odd")), (Some("480"), None));
+    let attempt = reader.next_request().unwrap().unwrap();
+    assert_eq!(
+        (attempt.method.as_str(), attempt.target.as_str(), &attempt.body[..]),
+        ("PUT", PATH, &b"bytes"[..])
+    );
+    assert_eq!(attempt.headers.first("x-call-id"), Some("9b1f03aa5c7e2d41"));
+    assert_eq!((attempt.headers.first("x-budget-ms"), attempt.headers.first("x-odd")), (Some("480"), None));
     let keyed = changed(&[("X-Call-Class", Some("save")), ("Idempotency-Key", Some("k-1"))]);
     let c = Call::of(request("PUT", PATH, &keyed, ""), &read()).unwrap();
     assert!(String::from_utf8(c.head.to_vec()).unwrap().contains("Idempotency-Key: k-1\r\n"));
--- a/crates/rulecheck/src/index.rs
+++ b/crates/rulecheck/src/index.rs
@@ -1,7 +1,9 @@
-//! The trace put in order: commands with their answers, requests with their legs, what each host was told.
+//! The trace put in order: commands with their answers, requests with their attempts, what each host was told.
 
 use std::collections::{BTreeMap, HashMap};
-use tackmast_trace::{AnswerKind, Event, Facts, LegEndKind, LegName, Line, ListedState, Side, StreamFacts};
+use tackmast_trace::{
+    AnswerKind, AttemptEndKind, AttemptName, Event, Facts, Line, ListedState, Side, StreamFacts,
+};
 
 pub type CommandName = (u32, u32, u32); // host, session, command
 
@@ -22,26 +24,26 @@
 }
 
 #[derive(Debug)]
-pub struct Leg {
+pub struct Attempt {
     pub t: u64,
     pub node: String,
-    pub name: LegName,
+    pub name: AttemptName,
     pub part: u16,
     pub volume: u32,
     pub units: f64,
     pub told_units: f64,
     pub key: u64,
     pub left_us: u64,
-    pub end: Option<(u64, LegEndKind, bool)>,
+    pub end: Option<(u64, AttemptEndKind, bool)>,
     pub link_down: Option<u64>,
     /// The command it belongs to, among `commands`.
     pub command: Option<usize>,
 }
 
-impl Leg {
+impl Attempt {
     /// When its host has had the end of it, and whether the work may go on after that.
     pub fn over(&self) -> (u64, bool) {
-        // A cancel ends nothing: its host still waits for the node's word, until the leg's time is up.
+        // A cancel ends nothing: its host still waits for the node's word, until the attempt's time is up.
         let unknown = [Some(self.t + self.left_us), self.link_down];
         let unknown = unknown.into_iter().flatten().min().unwrap_or(u64::MAX);
         match self.end {
@@ -51,7 +53,7 @@
     }
 
     pub fn never_ran(&self) -> bool {
-        matches!(self.end, Some((_, LegEndKind::NeverRan, _)))
+        matches!(self.end, Some((_, AttemptEndKind::NeverRan, _)))
     }
 
     pub fn group(&self, index: &Index, zone: bool) -> Option<u32> {
@@ -101,8 +103,8 @@
     pub facts: Facts,
     pub commands: Vec<Command>,
     /// By arrival at their nodes.
-    pub legs: Vec<Leg>,
-    /// Indices of each request's legs, by arrival.
+    pub attempts: Vec<Attempt>,
+    /// Indices of each request's attempts, by arrival.
     pub requests: BTreeMap<(u32, u64, u64), Vec<usize>>,
     pub told: HashMap<(u32, String), Vec<Told>>,
     /// By host and node: from when on operators have it out of service, and from when on no longer.
@@ -133,7 +135,7 @@
             figures: told.collect(),
             facts,
             commands: Vec::new(),
-            legs: Vec::new(),
+            attempts: Vec::new(),
             requests: BTreeMap::new(),
             told: HashMap::new(),
             ordered: HashMap::new(),
@@ -145,7 +147,7 @@
             unfit: None,
         };
         let mut by_name: HashMap<CommandName, Vec<usize>> = HashMap::new();
-        let mut legs_of: HashMap<(String, LegName), usize> = HashMap::new();
+        let mut attempts_of: HashMap<(String, AttemptName), usize> = HashMap::new();
         let mut last = 0;
         let mut down: HashMap<u32, u64> = HashMap::new();
         let mut sessions: HashMap<&str, (u32, u32)> = HashMap::new();
@@ -162,8 +164,8 @@
             match &line.event {
                 Event::Facts(_) | Event::Trouble { .. } | Event::Cancel { .. } => {}
                 Event::NodeDown { node } => {
-                    let open = |l: &&mut Leg| l.node == *node && l.end.is_none();
-                    x.legs.iter_mut().filter(open).for_each(|l| l.link_down = l.link_down.or(Some(t)));
+                    let open = |l: &&mut Attempt| l.node == *node && l.end.is_none();
+                    x.attempts.iter_mut().filter(open).for_each(|l| l.link_down = l.link_down.or(Some(t)));
                 }
                 Event::Truncated => x.unfit = Some("events were lost when it was recorded".into()),
                 Event::Submit {
@@ -225,7 +227,7 @@
                     cold_from: *cold_from,
                     warm_us: *warm_us,
                 }),
-                Event::Leg {
+                Event::Attempt {
                     node,
                     name,
                     session,
@@ -239,7 +241,7 @@
                     left_us,
                     ..
                 } => {
-                    let at = x.legs.len();
+                    let at = x.attempts.len();
                     let belongs =
                         by_name.get(&(name.host, *session, *command)).and_then(|v| v.last()).copied();
                     let counted = (*bytes as f64 / f64::from(x.facts.unit_bytes.max(1)))
@@ -250,9 +252,9 @@
                     let told = x.facts.volumes.iter().find(|v| v.volume == *volume && v.extent_bytes > 0);
                     let place = told.map(|v| ((u64::from(*volume) + 1) << 48) | (offset / v.extent_bytes));
                     let key = &place.unwrap_or(*key);
-                    legs_of.insert((node.clone(), *name), at);
+                    attempts_of.insert((node.clone(), *name), at);
                     x.requests.entry((name.host, name.life, name.request)).or_default().push(at);
-                    x.legs.push(Leg {
+                    x.attempts.push(Attempt {
                         t,
                         node: node.clone(),
                         name: *name,
@@ -267,15 +269,15 @@
                         command: belongs,
                     });
                 }
-                Event::LegEnd { node, name, kind, ran } => {
-                    if let Some(l) = legs_of.get(&(node.clone(), *name)) {
-                        x.legs[*l].end = x.legs[*l].end.or(Some((t, *kind, *ran)));
+                Event::AttemptEnd { node, name, kind, ran } => {
+                    if let Some(l) = attempts_of.get(&(node.clone(), *name)) {
+                        x.attempts[*l].end = x.attempts[*l].end.or(Some((t, *kind, *ran)));
                     }
                 }
-                Event::LinkDown { node, legs, .. } => {
-                    for name in legs {
-                        if let Some(l) = legs_of.get(&(node.clone(), *name)) {
-                            x.legs[*l].link_down = x.legs[*l].link_down.or(Some(t));
+                Event::LinkDown { node, attempts, .. } => {
+                    for name in attempts {
+                        if let Some(l) = attempts_of.get(&(node.clone(), *name)) {
+                            x.attempts[*l].link_down = x.attempts[*l].link_down.or(Some(t));
                         }
                     }
                 }
@@ -386,15 +388,15 @@
         self.lives.iter().rev().find(|l| l.node == node && l.t <= t)
     }
 
-    pub fn title(&self, leg: &Leg) -> String {
-        match leg.command.map(|c| self.commands[c].name) {
+    pub fn title(&self, attempt: &Attempt) -> String {
+        match attempt.command.map(|c| self.commands[c].name) {
             Some((host, session, command)) => {
-                format!("{host}/{session}/{command} part {} leg {}", leg.part, leg.name.leg)
+                format!("{host}/{session}/{command} part {} leg {}", attempt.part, attempt.name.attempt)
             }
             None => {
                 format!(
                     "{}/{:x} number {} leg {}",
-                    leg.name.host, leg.name.life, leg.name.request, leg.name.leg
+                    attempt.name.host, attempt.name.life, attempt.name.request, attempt.name.attempt
                 )
             }
         }
@@ -410,7 +412,7 @@
         if let Some(parts) = told {
             return parts as f64;
         }
-        let further = self.requests.values().map(|legs| &self.legs[legs[0]]);
+        let further = self.requests.values().map(|attempts| &self.attempts[attempts[0]]);
         let further = further.filter(|l| l.part > 0 && l.name.host == host);
         let seen = further.filter(|l| l.command.is_some_and(|c| (from..=to).contains(&self.commands[c].t)));
         (commands + seen.count()) as f64
--- a/crates/rulecheck/src/rules.rs
+++ b/crates/rulecheck/src/rules.rs
@@ -1,6 +1,6 @@
 //! The rules, one function each. `skew` is how far two ends of a socket may see the same thing apart.
 
-use crate::index::{Figures, Index, Leg};
+use crate::index::{Attempt, Figures, Index};
 use crate::{Break, RuleReport};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use tackmast_trace::{AnswerKind, EffectKind, ListedState};
@@ -20,8 +20,8 @@
     RuleReport { rule, name, checked, cases, breaks }
 }
 
-fn broken(x: &Index, rule: u8, leg: &Leg, what: String) -> Break {
-    Break { rule, t: leg.t, request: x.title(leg), node: leg.node.clone(), what }
+fn broken(x: &Index, rule: u8, attempt: &Attempt, what: String) -> Break {
+    Break { rule, t: attempt.t, request: x.title(attempt), node: attempt.node.clone(), what }
 }
 
 fn ms(us: u64) -> f64 {
@@ -60,40 +60,42 @@
             }
         }
     }
-    for leg in &x.legs {
-        let Some(c) = leg.command.map(|c| &x.commands[c]) else {
-            breaks.push(broken(x, 1, leg, "a leg for no command of any client".into()));
+    for attempt in &x.attempts {
+        let Some(c) = attempt.command.map(|c| &x.commands[c]) else {
+            breaks.push(broken(x, 1, attempt, "a leg for no command of any client".into()));
             continue;
         };
         let gone = c.left.or(c.lost).map(|t| x.knows(c.name.0, t));
         let over = c.answers.first().map(|(t, _)| *t).or(gone);
-        if let Some(t) = over.filter(|t| leg.t > t.saturating_add(f.skew_us)) {
-            let what = format!("a leg arrived {} ms after its transfer was over", ms(leg.t - t));
-            breaks.push(broken(x, 1, leg, what));
+        if let Some(t) = over.filter(|t| attempt.t > t.saturating_add(f.skew_us)) {
+            let what = format!("a leg arrived {} ms after its transfer was over", ms(attempt.t - t));
+            breaks.push(broken(x, 1, attempt, what));
         }
     }
     report(1, "one answer", "answers due", checked, breaks)
 }
 
-/// 2: no double effect, and never two legs of a request out at once.
+/// 2: no double effect, and never two attempts of a request out at once.
 pub fn double_effects(x: &Index) -> RuleReport {
     let mut breaks = Vec::new();
     let mut checked = 0;
     let skew = x.facts.skew_us;
     let mut by_command: HashMap<usize, Vec<usize>> = HashMap::new();
-    for legs in x.requests.values() {
-        let Some(stream) = x.stream(x.legs[legs[0]].command) else { continue };
-        for (i, b) in legs.iter().enumerate() {
-            let b = &x.legs[*b];
+    for attempts in x.requests.values() {
+        let Some(stream) = x.stream(x.attempts[attempts[0]].command) else { continue };
+        for (i, b) in attempts.iter().enumerate() {
+            let b = &x.attempts[*b];
             if let Some(c) = b.command {
-                by_command.entry(c).or_default().push(legs[i]);
+                by_command.entry(c).or_default().push(attempts[i]);
             }
-            for a in legs[..i].iter().map(|a| &x.legs[*a]) {
+            for a in attempts[..i].iter().map(|a| &x.attempts[*a]) {
                 checked += 1;
                 let (over, _) = a.over();
                 if over > b.t + skew {
-                    let what =
-                        format!("leg {} arrived while leg {} was out at {}", b.name.leg, a.name.leg, a.node);
+                    let what = format!(
+                        "leg {} arrived while leg {} was out at {}",
+                        b.name.attempt, a.name.attempt, a.node
+                    );
                     breaks.push(broken(x, 2, b, what));
                 }
                 if a.never_ran() {
@@ -106,7 +108,7 @@
                             x,
                             2,
                             b,
-                            format!("unrepeatable, and leg {} may have run", a.name.leg),
+                            format!("unrepeatable, and leg {} may have run", a.name.attempt),
                         ));
                         continue;
                     }
@@ -115,12 +117,19 @@
                     EffectKind::KeyedShard => a.group(x, false) == b.group(x, false),
                 };
                 if !same {
-                    breaks.push(broken(x, 2, b, format!("outside the discard group of leg {}", a.name.leg)));
+                    breaks.push(broken(
+                        x,
+                        2,
+                        b,
+                        format!("outside the discard group of leg {}", a.name.attempt),
+                    ));
                 } else if b.t.saturating_sub(a.t) > stream.window_us + skew {
-                    let what =
-                        format!("{} ms after leg {}; nodes know marks for {}", ms(b.t - a.t), a.name.leg, {
-                            ms(stream.window_us)
-                        });
+                    let what = format!(
+                        "{} ms after leg {}; nodes know marks for {}",
+                        ms(b.t - a.t),
+                        a.name.attempt,
+                        { ms(stream.window_us) }
+                    );
                     breaks.push(broken(x, 2, b, what));
                 }
             }
@@ -131,23 +140,25 @@
         if stream.effect == EffectKind::Repeatable {
             continue;
         }
-        let legs: Vec<&Leg> = by_command.get(&c).into_iter().flatten().map(|l| &x.legs[*l]).collect();
+        let attempts: Vec<&Attempt> =
+            by_command.get(&c).into_iter().flatten().map(|l| &x.attempts[*l]).collect();
         let deferred = command.answers.iter().find(|(_, k)| *k == AnswerKind::Deferred);
         if let Some((t, _)) = deferred {
             checked += 1;
             // The client's next try is a new request with a mark of its own, so any run counts.
-            for leg in legs.iter().filter(|l| l.t <= *t && !l.never_ran()) {
-                let what = format!("deferred, and leg {} at {} may have run", leg.name.leg, leg.node);
-                let request = x.title(leg);
-                breaks.push(Break { rule: 2, t: *t, request, node: leg.node.clone(), what });
+            for attempt in attempts.iter().filter(|l| l.t <= *t && !l.never_ran()) {
+                let what =
+                    format!("deferred, and leg {} at {} may have run", attempt.name.attempt, attempt.node);
+                let request = x.title(attempt);
+                breaks.push(Break { rule: 2, t: *t, request, node: attempt.node.clone(), what });
             }
         }
         let mut ran: BTreeMap<u16, u32> = BTreeMap::new();
-        for leg in &legs {
-            if let Some((_, _, true)) = leg.end {
-                *ran.entry(leg.part).or_default() += 1;
-                if ran[&leg.part] > 1 {
-                    breaks.push(broken(x, 2, leg, "its effect was had twice".into()));
+        for attempt in &attempts {
+            if let Some((_, _, true)) = attempt.end {
+                *ran.entry(attempt.part).or_default() += 1;
+                if ran[&attempt.part] > 1 {
+                    breaks.push(broken(x, 2, attempt, "its effect was had twice".into()));
                 }
             }
         }
@@ -159,8 +170,8 @@
 pub fn drains(x: &Index) -> RuleReport {
     let mut breaks = Vec::new();
     let mut used: HashMap<(u32, &str), u64> = HashMap::new();
-    for leg in &x.legs {
-        used.entry((leg.name.host, leg.node.as_str())).or_insert(leg.t);
+    for attempt in &x.attempts {
+        used.entry((attempt.name.host, attempt.node.as_str())).or_insert(attempt.t);
     }
     let mut checked = 0;
     for ((host, node), told) in &x.told {
@@ -168,14 +179,14 @@
         checked +=
             told.iter().filter(|t| t.state != ListedState::Ready && first.is_some_and(|f| *f <= t.t)).count();
     }
-    for leg in &x.legs {
-        let Some(told) = x.told.get(&(leg.name.host, leg.node.clone())) else { continue };
-        let Some(last) = told.iter().rposition(|t| t.t <= leg.t) else { continue };
+    for attempt in &x.attempts {
+        let Some(told) = x.told.get(&(attempt.name.host, attempt.node.clone())) else { continue };
+        let Some(last) = told.iter().rposition(|t| t.t <= attempt.t) else { continue };
         // It counts from the first word of the stretch in which the node was not ready.
         let since = told[..=last].iter().rev().take_while(|t| t.state != ListedState::Ready).last();
-        if let Some(s) = since.filter(|s| leg.t > s.t + x.facts.grace_us + x.facts.skew_us) {
-            let what = format!("{} ms after its host was told {:?}", ms(leg.t - s.t), s.state);
-            breaks.push(broken(x, 3, leg, what));
+        if let Some(s) = since.filter(|s| attempt.t > s.t + x.facts.grace_us + x.facts.skew_us) {
+            let what = format!("{} ms after its host was told {:?}", ms(attempt.t - s.t), s.state);
+            breaks.push(broken(x, 3, attempt, what));
         }
     }
     // An operator's order counts as told from the moment it was acknowledged.
@@ -185,12 +196,12 @@
             .filter(|(t, out)| *out && used.get(&(*host, node.as_str())).is_some_and(|f| f <= t))
             .count();
     }
-    for leg in &x.legs {
-        let Some(orders) = x.ordered.get(&(leg.name.host, leg.node.clone())) else { continue };
-        let Some((t, out)) = orders.iter().rev().find(|(t, _)| *t <= leg.t) else { continue };
-        if *out && leg.t > t + x.facts.grace_us + x.facts.skew_us {
-            let what = format!("{} ms after its host had it out of service", ms(leg.t - t));
-            breaks.push(broken(x, 3, leg, what));
+    for attempt in &x.attempts {
+        let Some(orders) = x.ordered.get(&(attempt.name.host, attempt.node.clone())) else { continue };
+        let Some((t, out)) = orders.iter().rev().find(|(t, _)| *t <= attempt.t) else { continue };
+        if *out && attempt.t > t + x.facts.grace_us + x.facts.skew_us {
+            let what = format!("{} ms after its host had it out of service", ms(attempt.t - t));
+            breaks.push(broken(x, 3, attempt, what));
         }
     }
     report(3, "drains", "times a host was told to stop", checked, breaks)
@@ -205,19 +216,19 @@
         let next = x.lives.iter().filter(|l| l.node == life.node && l.t > life.t).map(|l| l.t).min();
         let until = (life.t + life.warm_us).min(next.unwrap_or(u64::MAX));
         let mut window: VecDeque<(u64, f64, bool)> = VecDeque::new();
-        for leg in x.legs.iter().filter(|l| l.node == life.node && l.t >= life.t && l.t < until) {
+        for attempt in x.attempts.iter().filter(|l| l.node == life.node && l.t >= life.t && l.t < until) {
             checked += 1;
-            let told = x.told.get(&(leg.name.host, leg.node.clone()));
+            let told = x.told.get(&(attempt.name.host, attempt.node.clone()));
             let knew = told.is_some_and(|t| {
-                t.iter().any(|t| t.t <= leg.t && t.started_us + f.skew_us >= life.t && t.started_us > 0)
+                t.iter().any(|t| t.t <= attempt.t && t.started_us + f.skew_us >= life.t && t.started_us > 0)
             });
-            window.push_back((leg.t, leg.units, knew));
-            while window.front().is_some_and(|(t, _, _)| t + f.cold_window_us < leg.t) {
+            window.push_back((attempt.t, attempt.units, knew));
+            while window.front().is_some_and(|(t, _, _)| t + f.cold_window_us < attempt.t) {
                 window.pop_front();
             }
             let sent: f64 = window.iter().map(|(_, u, _)| u).sum();
             let by_told: f64 = window.iter().filter(|(_, _, k)| *k).map(|(_, u, _)| u).sum();
-            let part = (leg.t - life.t) as f64 / life.warm_us as f64;
+            let part = (attempt.t - life.t) as f64 / life.warm_us as f64;
             let warmth = life.cold_from + (1.0 - life.cold_from) * part;
             let window_s = f.cold_window_us as f64 / 1e6;
             let bears = (f.cold_multiple * life.capacity * warmth * window_s).max(f.cold_safe_units);
@@ -225,7 +236,7 @@
                 let what = format!(
                     "{sent:.1} units in {window_s} s, by hosts that knew of its start; it bears {bears:.1}"
                 );
-                breaks.push(broken(x, 4, leg, what));
+                breaks.push(broken(x, 4, attempt, what));
             }
         }
     }
@@ -238,16 +249,18 @@
     let mut checked = 0;
     let skew = x.facts.skew_us;
     let mut keys: BTreeMap<(u32, u64, u64), Vec<usize>> = BTreeMap::new();
-    for (i, leg) in x.legs.iter().enumerate().filter(|(_, l)| l.key != 0) {
-        if x.stream(leg.command).is_some_and(|s| s.in_order) {
-            keys.entry((leg.name.host, leg.name.life, leg.key)).or_default().push(i);
+    for (i, attempt) in x.attempts.iter().enumerate().filter(|(_, l)| l.key != 0) {
+        if x.stream(attempt.command).is_some_and(|s| s.in_order) {
+            keys.entry((attempt.name.host, attempt.name.life, attempt.key)).or_default().push(i);
         }
     }
-    for legs in keys.values() {
-        for (i, b) in legs.iter().enumerate() {
-            let b = &x.legs[*b];
+    for attempts in keys.values() {
+        for (i, b) in attempts.iter().enumerate() {
+            let b = &x.attempts[*b];
             let mut seen = false;
-            for a in legs[..i].iter().map(|a| &x.legs[*a]).filter(|a| a.name.request != b.name.request) {
+            for a in
+                attempts[..i].iter().map(|a| &x.attempts[*a]).filter(|a| a.name.request != b.name.request)
+            {
                 seen = true;
                 let (over, unknown) = a.over();
                 let free = if unknown { over.saturating_add(x.facts.settle_us) } else { over };
@@ -260,7 +273,9 @@
             }
             checked += usize::from(seen);
             // The one taken first goes first: by the host's numbers, and within a session by the client's.
-            for a in legs[i + 1..].iter().map(|a| &x.legs[*a]).filter(|a| a.name.request != b.name.request) {
+            for a in
+                attempts[i + 1..].iter().map(|a| &x.attempts[*a]).filter(|a| a.name.request != b.name.request)
+            {
                 let by_client = match (a.command, b.command) {
                     (Some(p), Some(q)) if x.commands[p].name.1 == x.commands[q].name.1 => {
                         Some(x.commands[p].name.2 < x.commands[q].name.2)
@@ -279,7 +294,7 @@
     report(5, "order", "legs behind another of their key", checked, breaks)
 }
 
-/// 6: further legs stay within the budget over any window.
+/// 6: retries stay within the budget over any window.
 pub fn budget(x: &Index) -> RuleReport {
     let cases = "further legs";
     let Some((free, share, window)) = x.facts.further else {
@@ -288,24 +303,24 @@
     let skew = x.facts.skew_us;
     let mut breaks = Vec::new();
     let mut checked = 0;
-    let mut lives: BTreeMap<(u32, u64), Vec<&Leg>> = BTreeMap::new();
-    for leg in x.legs.iter().filter(|l| l.name.leg > 0) {
-        lives.entry((leg.name.host, leg.name.life)).or_default().push(leg);
+    let mut lives: BTreeMap<(u32, u64), Vec<&Attempt>> = BTreeMap::new();
+    for attempt in x.attempts.iter().filter(|l| l.name.attempt > 0) {
+        lives.entry((attempt.name.host, attempt.name.life)).or_default().push(attempt);
     }
-    for ((host, _), legs) in lives {
+    for ((host, _), attempts) in lives {
         let taken: Vec<u64> = x.commands.iter().filter(|c| c.name.0 == host).map(|c| c.t).collect();
-        for (i, leg) in legs.iter().enumerate() {
+        for (i, attempt) in attempts.iter().enumerate() {
             checked += 1;
-            let from = leg.t.saturating_sub(window);
-            let sent = legs[..=i].iter().filter(|l| l.t > from + skew).count();
-            let taken = taken.partition_point(|t| *t <= leg.t)
+            let from = attempt.t.saturating_sub(window);
+            let sent = attempts[..=i].iter().filter(|l| l.t > from + skew).count();
+            let taken = taken.partition_point(|t| *t <= attempt.t)
                 - taken.partition_point(|t| *t < from.saturating_sub(skew));
             // A command may count as several requests, one for each extent it touches.
-            let parts = x.most_parts(host, from.saturating_sub(skew), leg.t, taken);
+            let parts = x.most_parts(host, from.saturating_sub(skew), attempt.t, taken);
             let allowed = free + share * parts;
             if sent as f64 > allowed + ROUNDING {
                 let what = format!("{sent} further legs in {} ms; {allowed:.1} are allowed", ms(window));
-                breaks.push(broken(x, 6, leg, what));
+                breaks.push(broken(x, 6, attempt, what));
             }
         }
     }
@@ -331,7 +346,8 @@
     let mut checked = 0;
     let limited = |(_, figures): &(&u32, &Vec<Figures>)| figures.iter().any(|f| f.limit > 0.0);
     for (volume, figures) in x.figures.iter().filter(limited) {
-        let mut firsts: Vec<&Leg> = x.requests.values().map(|legs| &x.legs[legs[0]]).collect();
+        let mut firsts: Vec<&Attempt> =
+            x.requests.values().map(|attempts| &x.attempts[attempts[0]]).collect();
         firsts.retain(|l| l.volume == *volume);
         firsts.sort_by_key(|l| l.t);
         let mut edges: Vec<u64> = figures.iter().flat_map(|f| [f.from, f.until]).collect();
@@ -343,25 +359,25 @@
             let added = if to > from { (to - from) as f64 / 1e6 * now.limit } else { 0.0 };
             (room + added).min(now.burst)
         };
-        for leg in firsts {
-            for edge in edges.iter().filter(|e| **e > last && **e <= leg.t).copied().collect::<Vec<_>>() {
+        for attempt in firsts {
+            for edge in edges.iter().filter(|e| **e > last && **e <= attempt.t).copied().collect::<Vec<_>>() {
                 room = fill(room, last, edge);
                 last = edge;
             }
-            room = fill(room, last, leg.t);
-            last = leg.t;
-            let now = counting(figures, leg.t);
+            room = fill(room, last, attempt.t);
+            last = attempt.t;
+            let now = counting(figures, attempt.t);
             if now.limit.is_infinite() {
                 continue;
             }
             checked += 1;
             // A host that counts fewer units than the bytes make draws more than it says.
-            room -= leg.units.max(leg.told_units);
+            room -= attempt.units.max(attempt.told_units);
             let floor = -(now.slack + now.limit * x.facts.skew_us as f64 / 1e6);
             if room < floor - ROUNDING {
                 let what =
                     format!("volume {volume} is {:.1} units past its limit; slack {}", -room, now.slack);
-                breaks.push(broken(x, 7, leg, what));
+                breaks.push(broken(x, 7, attempt, what));
             }
         }
     }
--- a/crates/rulecheck/src/spread.rs
+++ b/crates/rulecheck/src/spread.rs
@@ -1,15 +1,15 @@
 //! Whether what one host was told of the node list holds for all that are connected: from so long after any host heard that a
-//! node drains or is gone, until any hears that it is ready again, no host's leg begins its way there. For days whose hosts are
+//! node drains or is gone, until any hears that it is ready again, no host's attempt begins its way there. For days whose hosts are
 //! connected among each other; it knows nothing of how they tell each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 use tackmast_trace::{Event, Line, ListedState, Side};
 
-/// What was found: nodes that were taken away while some host did not hear its list, legs that left for them, and breaks.
+/// What was found: nodes that were taken away while some host did not hear its list, attempts that left for them, and breaks.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Spread {
     pub stops: usize,
-    pub legs: usize,
+    pub attempts: usize,
     pub breaks: Vec<String>,
 }
 
@@ -35,9 +35,9 @@
                     stopped.entry(node).or_insert(line.t);
                 }
             },
-            Event::Leg { node, name, left_us, .. } => {
+            Event::Attempt { node, name, left_us, .. } => {
                 let Some(since) = stopped.get(node.as_str()) else { continue };
-                found.legs += 1;
+                found.attempts += 1;
                 // When it left its host counts, where that is known.
                 let left = if *left_us > 0 { line.t.min(*left_us) } else { line.t };
                 if left > since + within_us {
@@ -57,7 +57,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use tackmast_trace::LegName;
+    use tackmast_trace::AttemptName;
 
     fn told(t: u64, host: u32, state: ListedState) -> Line {
         Line { t, event: Event::Told { host, node: "a".into(), state, started_us: 0 } }
@@ -67,12 +67,12 @@
         Line { t, event: Event::Cut { host, side: Side::List, on } }
     }
 
-    fn leg(t: u64, host: u32) -> Line {
-        let name = LegName { host, life: 1, request: t, leg: 1 };
+    fn attempt(t: u64, host: u32) -> Line {
+        let name = AttemptName { host, life: 1, request: t, attempt: 1 };
         let (session, command, part, volume, write) = (1, 1, 0, 1, false);
         let (offset, bytes, units, key, mark, left_us) = (0, 512, 1.0, 0, String::new(), 0);
         let node = "a".into();
-        let event = Event::Leg {
+        let event = Event::Attempt {
             node,
             name,
             session,
@@ -91,35 +91,39 @@
     }
 
     #[test]
-    fn which_legs_are_too_late() {
+    fn which_attempts_are_too_late() {
         use ListedState::{Draining, Ready};
         let ms = 1_000;
-        // What happens, and how many legs are found, and how many of them are breaks, within 300 ms.
+        // What happens, and how many attempts are found, and how many of them are breaks, within 300 ms.
         type Case<'a> = (&'a str, Vec<Line>, (usize, usize, usize));
         let cases: Vec<Case> = vec![
-            ("a ready node", vec![told(0, 0, Ready), leg(900 * ms, 1)], (0, 0, 0)),
-            ("soon enough", vec![told(0, 0, Draining), leg(200 * ms, 1)], (0, 1, 0)),
-            ("one that was told itself", vec![told(0, 0, Draining), leg(900 * ms, 0)], (0, 1, 1)),
+            ("a ready node", vec![told(0, 0, Ready), attempt(900 * ms, 1)], (0, 0, 0)),
+            ("soon enough", vec![told(0, 0, Draining), attempt(200 * ms, 1)], (0, 1, 0)),
+            ("one that was told itself", vec![told(0, 0, Draining), attempt(900 * ms, 0)], (0, 1, 1)),
             (
                 "one that does not hear the list",
-                vec![cut(0, 1, true), told(1, 0, Draining), leg(900 * ms, 1)],
+                vec![cut(0, 1, true), told(1, 0, Draining), attempt(900 * ms, 1)],
                 (1, 1, 1),
             ),
             (
                 "ready again",
-                vec![told(0, 0, Draining), told(500 * ms, 0, Ready), leg(900 * ms, 1)],
+                vec![told(0, 0, Draining), told(500 * ms, 0, Ready), attempt(900 * ms, 1)],
+                (0, 0, 0),
+            ),
+            (
+                "told over a cut way",
+                vec![cut(0, 1, true), told(1, 1, Draining), attempt(900 * ms, 0)],
                 (0, 0, 0),
             ),
-            ("told over a cut way", vec![cut(0, 1, true), told(1, 1, Draining), leg(900 * ms, 0)], (0, 0, 0)),
             (
                 "whole again",
-                vec![cut(0, 1, true), cut(1, 1, false), told(2, 1, Draining), leg(900 * ms, 0)],
+                vec![cut(0, 1, true), cut(1, 1, false), told(2, 1, Draining), attempt(900 * ms, 0)],
                 (0, 1, 1),
             ),
         ];
         for (name, trace, expected) in cases {
             let found = judge(&trace, 300 * ms);
-            assert_eq!((found.stops, found.legs, found.breaks.len()), expected, "{name}: {found:?}");
+            assert_eq!((found.stops, found.attempts, found.breaks.len()), expected, "{name}: {found:?}");
         }
     }
 }
--- a/crates/rulecheck/tests/doctored.rs
+++ b/crates/rulecheck/tests/doctored.rs
@@ -67,16 +67,16 @@
     fn answer(&mut self, t: u64, command: u32, kind: AnswerKind) -> &mut Self {
         self.at(t, Event::Answer { host: 0, session: 1, command, kind, come_back_us: 0 })
     }
-    fn leg(&mut self, t: u64, node: &str, command: u32, leg: u8) -> &mut Self {
-        self.leg_of(t, node, command, leg, 2, 4096, 0)
+    fn attempt(&mut self, t: u64, node: &str, command: u32, attempt: u8) -> &mut Self {
+        self.attempt_of(t, node, command, attempt, 2, 4096, 0)
     }
     #[allow(clippy::too_many_arguments)]
-    fn leg_of(
+    fn attempt_of(
         &mut self,
         t: u64,
         node: &str,
         command: u32,
-        leg: u8,
+        attempt: u8,
         volume: u32,
         bytes: u64,
         key: u64,
@@ -84,9 +84,9 @@
         let units = (bytes as f64 / 4096.0).ceil();
         self.at(
             t,
-            Event::Leg {
+            Event::Attempt {
                 node: node.into(),
-                name: name(command, leg),
+                name: name(command, attempt),
                 session: 1,
                 command,
                 part: 0,
@@ -101,14 +101,14 @@
             },
         )
     }
-    fn end(&mut self, t: u64, node: &str, command: u32, leg: u8, kind: LegEndKind) -> &mut Self {
-        let ran = kind == LegEndKind::Done;
-        self.at(t, Event::LegEnd { node: node.into(), name: name(command, leg), kind, ran })
+    fn end(&mut self, t: u64, node: &str, command: u32, attempt: u8, kind: AttemptEndKind) -> &mut Self {
+        let ran = kind == AttemptEndKind::Done;
+        self.at(t, Event::AttemptEnd { node: node.into(), name: name(command, attempt), kind, ran })
     }
     /// A whole request that is served at once.
     fn served(&mut self, t: u64, node: &str, command: u32, stream: u32) -> &mut Self {
-        self.submit(t, command, stream).leg(t + 1, node, command, 0);
-        self.end(t + 5, node, command, 0, LegEndKind::Done).answer(t + 6, command, AnswerKind::Done)
+        self.submit(t, command, stream).attempt(t + 1, node, command, 0);
+        self.end(t + 5, node, command, 0, AttemptEndKind::Done).answer(t + 6, command, AnswerKind::Done)
     }
     /// Volume 1 has other figures, in force at the last time.
     fn moved(&mut self, t: u64, limit: f64, burst: f64, in_force: u64) -> &mut Self {
@@ -118,8 +118,8 @@
     /// So many requests of eight units of volume 1, numbered from the first.
     fn drawn(&mut self, t: u64, first: u32, n: u32) -> &mut Self {
         for c in first..first + n {
-            self.submit(t, c, 0).leg_of(t + 1, "a", c, 0, 1, 4096 * 8, 0);
-            self.end(t + 20, "a", c, 0, LegEndKind::Done).answer(t + 21, c, AnswerKind::Done);
+            self.submit(t, c, 0).attempt_of(t + 1, "a", c, 0, 1, 4096 * 8, 0);
+            self.end(t + 20, "a", c, 0, AttemptEndKind::Done).answer(t + 21, c, AnswerKind::Done);
         }
         self
     }
@@ -130,8 +130,8 @@
     }
 }
 
-fn name(command: u32, leg: u8) -> LegName {
-    LegName { host: 0, life: 77, request: u64::from(command), leg }
+fn name(command: u32, attempt: u8) -> AttemptName {
+    AttemptName { host: 0, life: 77, request: u64::from(command), attempt }
 }
 
 fn up(node: &str, zone: u32, shard: u32, cold_from: f64) -> Event {
@@ -142,21 +142,25 @@
 #[test]
 fn each_rule_is_judged_by_the_sockets_alone() {
     use AnswerKind::{Abandoned, Deferred, Done};
-    use LegEndKind::{Error, NeverRan};
+    use AttemptEndKind::{Error, NeverRan};
     use ListedState::{Draining, Gone, Ready};
     type Play = fn(&mut Script);
     // What happens, which rule it breaks, or 0 for none.
     let cases: &[(&str, u8, Play)] = &[
         ("served", 0, |s| _ = s.served(100, "a", 1, 0)),
-        ("answered late", 1, |s| _ = s.submit(100, 1, 0).leg(101, "a", 1, 0).answer(1200, 1, Done)),
+        ("answered late", 1, |s| _ = s.submit(100, 1, 0).attempt(101, "a", 1, 0).answer(1200, 1, Done)),
         ("never answered", 1, |s| _ = s.submit(100, 1, 0)),
         ("answered twice", 1, |s| _ = s.served(100, "a", 1, 0).answer(200, 1, Abandoned)),
-        ("leg after the answer", 1, |s| _ = s.served(100, "a", 1, 0).leg(200, "a", 1, 1)),
+        ("leg after the answer", 1, |s| _ = s.served(100, "a", 1, 0).attempt(200, "a", 1, 1)),
         ("leg after its client left", 1, |s| {
-            s.submit(100, 1, 0).at(150, Event::Left { host: 0, session: 1, command: 1 }).leg(200, "a", 1, 0);
+            s.submit(100, 1, 0)
+                .at(150, Event::Left { host: 0, session: 1, command: 1 })
+                .attempt(200, "a", 1, 0);
         }),
         ("its client left", 0, |s| {
-            s.submit(100, 1, 0).leg(101, "a", 1, 0).at(150, Event::Left { host: 0, session: 1, command: 1 });
+            s.submit(100, 1, 0)
+                .attempt(101, "a", 1, 0)
+                .at(150, Event::Left { host: 0, session: 1, command: 1 });
         }),
         ("its host died", 0, |s| _ = s.submit(100, 1, 0).at(150, Event::HostDown { host: 0 })),
         ("its host was dead before", 0, |s| _ = s.at(50, Event::HostDown { host: 0 }).submit(100, 1, 0)),
@@ -164,41 +168,41 @@
             s.at(50, Event::HostDown { host: 0 }).at(60, Event::HostUp { host: 0 }).submit(100, 1, 0);
         }),
         ("two legs at once", 2, |s| {
-            s.submit(100, 1, 0).leg(101, "a", 1, 0).leg(150, "a", 1, 1);
-            s.end(200, "a", 1, 1, LegEndKind::Done).answer(201, 1, Done);
+            s.submit(100, 1, 0).attempt(101, "a", 1, 0).attempt(150, "a", 1, 1);
+            s.end(200, "a", 1, 1, AttemptEndKind::Done).answer(201, 1, Done);
         }),
         ("a second leg after an error", 0, |s| {
-            s.submit(100, 1, 0).leg(101, "a", 1, 0).end(110, "a", 1, 0, Error).leg(150, "a", 1, 1);
-            s.end(200, "a", 1, 1, LegEndKind::Done).answer(201, 1, Done);
+            s.submit(100, 1, 0).attempt(101, "a", 1, 0).end(110, "a", 1, 0, Error).attempt(150, "a", 1, 1);
+            s.end(200, "a", 1, 1, AttemptEndKind::Done).answer(201, 1, Done);
         }),
         ("unrepeatable, again after an error", 2, |s| {
-            s.submit(100, 1, 1).leg(101, "a", 1, 0).end(110, "a", 1, 0, Error).leg(150, "a", 1, 1);
-            s.end(200, "a", 1, 1, LegEndKind::Done).answer(201, 1, Done);
+            s.submit(100, 1, 1).attempt(101, "a", 1, 0).end(110, "a", 1, 0, Error).attempt(150, "a", 1, 1);
+            s.end(200, "a", 1, 1, AttemptEndKind::Done).answer(201, 1, Done);
         }),
         ("unrepeatable, again after a full queue", 0, |s| {
-            s.submit(100, 1, 1).leg(101, "a", 1, 0).end(110, "a", 1, 0, NeverRan).leg(150, "a", 1, 1);
-            s.end(200, "a", 1, 1, LegEndKind::Done).answer(201, 1, Done);
+            s.submit(100, 1, 1).attempt(101, "a", 1, 0).end(110, "a", 1, 0, NeverRan).attempt(150, "a", 1, 1);
+            s.end(200, "a", 1, 1, AttemptEndKind::Done).answer(201, 1, Done);
         }),
         ("unrepeatable, deferred after an error", 2, |s| {
-            s.submit(100, 1, 1).leg(101, "a", 1, 0).end(110, "a", 1, 0, Error).answer(111, 1, Deferred);
+            s.submit(100, 1, 1).attempt(101, "a", 1, 0).end(110, "a", 1, 0, Error).answer(111, 1, Deferred);
         }),
         ("unrepeatable, abandoned after an error", 0, |s| {
-            s.submit(100, 1, 1).leg(101, "a", 1, 0).end(110, "a", 1, 0, Error).answer(111, 1, Abandoned);
+            s.submit(100, 1, 1).attempt(101, "a", 1, 0).end(110, "a", 1, 0, Error).answer(111, 1, Abandoned);
         }),
         ("keyed, deferred after an error", 2, |s| {
-            s.submit(100, 1, 4).leg(101, "a", 1, 0).end(110, "a", 1, 0, Error).answer(111, 1, Deferred);
+            s.submit(100, 1, 4).attempt(101, "a", 1, 0).end(110, "a", 1, 0, Error).answer(111, 1, Deferred);
         }),
         ("keyed in a zone, to another", 2, |s| {
-            s.submit(100, 1, 2).leg(101, "a", 1, 0).end(110, "a", 1, 0, Error).leg(150, "b", 1, 1);
-            s.end(200, "b", 1, 1, LegEndKind::Done).answer(201, 1, Done);
+            s.submit(100, 1, 2).attempt(101, "a", 1, 0).end(110, "a", 1, 0, Error).attempt(150, "b", 1, 1);
+            s.end(200, "b", 1, 1, AttemptEndKind::Done).answer(201, 1, Done);
         }),
         ("keyed in a zone, within it", 0, |s| {
-            s.submit(100, 1, 2).leg(101, "a", 1, 0).end(110, "a", 1, 0, Error).leg(150, "c", 1, 1);
-            s.end(200, "c", 1, 1, LegEndKind::Done).answer(201, 1, Done);
+            s.submit(100, 1, 2).attempt(101, "a", 1, 0).end(110, "a", 1, 0, Error).attempt(150, "c", 1, 1);
+            s.end(200, "c", 1, 1, AttemptEndKind::Done).answer(201, 1, Done);
         }),
         ("keyed in a shard, to another", 2, |s| {
-            s.submit(100, 1, 3).leg(101, "a", 1, 0).end(110, "a", 1, 0, Error).leg(150, "c", 1, 1);
-            s.end(200, "c", 1, 1, LegEndKind::Done).answer(201, 1, Done);
+            s.submit(100, 1, 3).attempt(101, "a", 1, 0).end(110, "a", 1, 0, Error).attempt(150, "c", 1, 1);
+            s.end(200, "c", 1, 1, AttemptEndKind::Done).answer(201, 1, Done);
         }),
         ("told to drain", 3, |s| {
             _ = s.served(50, "a", 1, 0).told(100, 0, "a", Draining, 0).served(400, "a", 2, 0)
@@ -232,7 +236,7 @@
         }),
         ("a cold node, large ones", 4, |s| {
             s.at(1000, up("a", 0, 0, 0.2)).told(1001, 0, "a", Ready, 1000).submit(1010, 1, 0);
-            s.leg_of(1011, "a", 1, 0, 2, 4096 * 8, 0).answer(1030, 1, Done);
+            s.attempt_of(1011, "a", 1, 0, 2, 4096 * 8, 0).answer(1030, 1, Done);
         }),
         ("nobody was told that it is cold", 0, |s| {
             s.at(1000, up("a", 0, 0, 0.2));
@@ -245,75 +249,95 @@
         ("two of a key at once", 5, |s| {
             s.submit(100, 1, 1)
                 .submit(100, 2, 1)
-                .leg_of(101, "a", 1, 0, 2, 1, 9)
-                .leg_of(150, "a", 2, 0, 2, 1, 9);
-            s.end(200, "a", 1, 0, LegEndKind::Done).answer(201, 1, Done);
-            s.end(210, "a", 2, 0, LegEndKind::Done).answer(211, 2, Done);
+                .attempt_of(101, "a", 1, 0, 2, 1, 9)
+                .attempt_of(150, "a", 2, 0, 2, 1, 9);
+            s.end(200, "a", 1, 0, AttemptEndKind::Done).answer(201, 1, Done);
+            s.end(210, "a", 2, 0, AttemptEndKind::Done).answer(211, 2, Done);
         }),
         ("no rest after a time-out", 5, |s| {
-            s.submit(100, 1, 1).submit(100, 2, 1).leg_of(101, "a", 1, 0, 2, 1, 9);
+            s.submit(100, 1, 1).submit(100, 2, 1).attempt_of(101, "a", 1, 0, 2, 1, 9);
             s.answer(201, 1, Abandoned).submit(1000, 3, 0).answer(1010, 3, Done);
-            s.leg_of(900, "a", 2, 0, 2, 1, 9).end(910, "a", 2, 0, LegEndKind::Done).answer(911, 2, Done);
+            s.attempt_of(900, "a", 2, 0, 2, 1, 9)
+                .end(910, "a", 2, 0, AttemptEndKind::Done)
+                .answer(911, 2, Done);
         }),
         ("no rest after a lost link", 5, |s| {
-            s.submit(100, 1, 1).submit(100, 2, 1).leg_of(101, "a", 1, 0, 2, 1, 9).answer(201, 1, Abandoned);
-            s.at(200, Event::LinkDown { node: "a".into(), host: 0, life: 77, legs: vec![name(1, 0)] });
-            s.leg_of(600, "a", 2, 0, 2, 1, 9).end(610, "a", 2, 0, LegEndKind::Done).answer(611, 2, Done);
+            s.submit(100, 1, 1)
+                .submit(100, 2, 1)
+                .attempt_of(101, "a", 1, 0, 2, 1, 9)
+                .answer(201, 1, Abandoned);
+            s.at(200, Event::LinkDown { node: "a".into(), host: 0, life: 77, attempts: vec![name(1, 0)] });
+            s.attempt_of(600, "a", 2, 0, 2, 1, 9)
+                .end(610, "a", 2, 0, AttemptEndKind::Done)
+                .answer(611, 2, Done);
         }),
         ("no rest after its node died", 5, |s| {
-            s.submit(100, 1, 1).submit(100, 2, 1).leg_of(101, "a", 1, 0, 2, 1, 9).answer(201, 1, Abandoned);
+            s.submit(100, 1, 1)
+                .submit(100, 2, 1)
+                .attempt_of(101, "a", 1, 0, 2, 1, 9)
+                .answer(201, 1, Abandoned);
             s.at(200, Event::NodeDown { node: "a".into() });
-            s.leg_of(600, "a", 2, 0, 2, 1, 9).end(610, "a", 2, 0, LegEndKind::Done).answer(611, 2, Done);
+            s.attempt_of(600, "a", 2, 0, 2, 1, 9)
+                .end(610, "a", 2, 0, AttemptEndKind::Done)
+                .answer(611, 2, Done);
         }),
         ("overtaken", 5, |s| {
-            s.submit(100, 1, 1).submit(100, 2, 1).leg_of(101, "a", 2, 0, 2, 1, 9);
-            s.end(110, "a", 2, 0, LegEndKind::Done).answer(111, 2, Done);
-            s.leg_of(150, "a", 1, 0, 2, 1, 9).end(200, "a", 1, 0, LegEndKind::Done).answer(201, 1, Done);
+            s.submit(100, 1, 1).submit(100, 2, 1).attempt_of(101, "a", 2, 0, 2, 1, 9);
+            s.end(110, "a", 2, 0, AttemptEndKind::Done).answer(111, 2, Done);
+            s.attempt_of(150, "a", 1, 0, 2, 1, 9)
+                .end(200, "a", 1, 0, AttemptEndKind::Done)
+                .answer(201, 1, Done);
         }),
         ("in turn, after the rest", 0, |s| {
-            s.submit(100, 1, 1).submit(150, 2, 1).leg_of(101, "a", 1, 0, 2, 1, 9);
-            s.at(200, Event::LinkDown { node: "a".into(), host: 0, life: 77, legs: vec![name(1, 0)] });
+            s.submit(100, 1, 1).submit(150, 2, 1).attempt_of(101, "a", 1, 0, 2, 1, 9);
+            s.at(200, Event::LinkDown { node: "a".into(), host: 0, life: 77, attempts: vec![name(1, 0)] });
             s.answer(201, 1, Abandoned)
-                .leg_of(710, "a", 2, 0, 2, 1, 9)
-                .end(715, "a", 2, 0, LegEndKind::Done)
+                .attempt_of(710, "a", 2, 0, 2, 1, 9)
+                .end(715, "a", 2, 0, AttemptEndKind::Done)
                 .answer(716, 2, Done);
         }),
         ("too many further legs", 6, |s| {
             for c in 1..=3 {
-                s.submit(100, c, 0).leg(101, "a", c, 0).end(110, "a", c, 0, Error).leg(150, "a", c, 1);
-                s.end(200, "a", c, 1, LegEndKind::Done).answer(201, c, Done);
+                s.submit(100, c, 0)
+                    .attempt(101, "a", c, 0)
+                    .end(110, "a", c, 0, Error)
+                    .attempt(150, "a", c, 1);
+                s.end(200, "a", c, 1, AttemptEndKind::Done).answer(201, c, Done);
             }
         }),
         ("three further legs of one", 6, |s| {
-            s.submit(100, 1, 0).leg(101, "a", 1, 0);
-            for leg in 1..=3u8 {
-                let t = 100 + u64::from(leg) * 50;
-                s.end(t, "a", 1, leg - 1, Error).leg(t + 30, "a", 1, leg);
+            s.submit(100, 1, 0).attempt(101, "a", 1, 0);
+            for attempt in 1..=3u8 {
+                let t = 100 + u64::from(attempt) * 50;
+                s.end(t, "a", 1, attempt - 1, Error).attempt(t + 30, "a", 1, attempt);
             }
-            s.end(300, "a", 1, 3, LegEndKind::Done).answer(301, 1, Done);
+            s.end(300, "a", 1, 3, AttemptEndKind::Done).answer(301, 1, Done);
         }),
         ("few further legs", 0, |s| {
             for c in 1..=2 {
-                s.submit(100, c, 0).leg(101, "a", c, 0).end(110, "a", c, 0, Error).leg(150, "a", c, 1);
-                s.end(200, "a", c, 1, LegEndKind::Done).answer(201, c, Done);
+                s.submit(100, c, 0)
+                    .attempt(101, "a", c, 0)
+                    .end(110, "a", c, 0, Error)
+                    .attempt(150, "a", c, 1);
+                s.end(200, "a", c, 1, AttemptEndKind::Done).answer(201, c, Done);
             }
         }),
         ("past the limit at once", 7, |s| {
             for c in 1..=4 {
-                s.submit(100, c, 0).leg_of(101, "a", c, 0, 1, 4096 * 8, 0).answer(150, c, Done);
-                s.end(149, "a", c, 0, LegEndKind::Done);
+                s.submit(100, c, 0).attempt_of(101, "a", c, 0, 1, 4096 * 8, 0).answer(150, c, Done);
+                s.end(149, "a", c, 0, AttemptEndKind::Done);
             }
         }),
         ("past the limit in the long run", 7, |s| {
             for c in 1..=40 {
                 let t = 100 + u64::from(c) * 50;
-                s.submit(t, c, 0).leg_of(t + 1, "a", c, 0, 1, 4096, 0);
-                s.end(t + 2, "a", c, 0, LegEndKind::Done).answer(t + 3, c, Done);
+                s.submit(t, c, 0).attempt_of(t + 1, "a", c, 0, 1, 4096, 0);
+                s.end(t + 2, "a", c, 0, AttemptEndKind::Done).answer(t + 3, c, Done);
             }
             for c in 41..=80 {
                 let t = 100 + u64::from(c) * 50;
-                s.submit(t, c, 0).leg_of(t + 1, "a", c, 0, 1, 4096 * 2, 0);
-                s.end(t + 2, "a", c, 0, LegEndKind::Done).answer(t + 3, c, Done);
+                s.submit(t, c, 0).attempt_of(t + 1, "a", c, 0, 1, 4096 * 2, 0);
+                s.end(t + 2, "a", c, 0, AttemptEndKind::Done).answer(t + 3, c, Done);
             }
         }),
         ("by the old burst while hosts learn of the new one", 0, |s| {
@@ -342,8 +366,8 @@
         }),
         ("up to the limit and its slack", 0, |s| {
             for c in 1..=3 {
-                s.submit(100, c, 0).leg_of(101, "a", c, 0, 1, 4096 * 8, 0).answer(150, c, Done);
-                s.end(149, "a", c, 0, LegEndKind::Done);
+                s.submit(100, c, 0).attempt_of(101, "a", c, 0, 1, 4096 * 8, 0).answer(150, c, Done);
+                s.end(149, "a", c, 0, AttemptEndKind::Done);
             }
         }),
     ];
@@ -420,11 +444,11 @@
         }),
         ("a leg for who left while it stood still", 0, |s| {
             s.submit(100, 1, 0).at(300, Event::Left { host: 0, session: 1, command: 1 });
-            stop(s, 0, 200, 3000).leg(3001, "a", 1, 0);
+            stop(s, 0, 200, 3000).attempt(3001, "a", 1, 0);
         }),
         ("a leg long after it knew", 1, |s| {
             s.submit(100, 1, 0).at(300, Event::Left { host: 0, session: 1, command: 1 });
-            stop(s, 0, 200, 3000).leg(3100, "a", 1, 0);
+            stop(s, 0, 200, 3000).attempt(3100, "a", 1, 0);
         }),
         ("told to drain while it stood still", 0, |s| {
             stop(s, 0, 100, 3000).told(200, 0, "a", Draining, 0).served(3200, "a", 1, 0);
--- a/crates/standins/src/node.rs
+++ b/crates/standins/src/node.rs
@@ -12,8 +12,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use tackmast_trace::{now_us, Event, LegEndKind, LegName, Recorder};
-use tackmast_wire::node::{self as wire, Answer, Frame, NodeOutcome, SendLeg, Work};
+use tackmast_trace::{now_us, AttemptEndKind, AttemptName, Event, Recorder};
+use tackmast_wire::node::{self as wire, Answer, Frame, NodeOutcome, SendAttempt, Work};
 
 const SMALL_STACK: usize = 128 << 10;
 /// Answers that may wait on one connection; a host that takes none is cut off.
@@ -46,7 +46,7 @@
     pub zone: u32,
     pub nature: Nature,
     pub seed: u64,
-    /// Bytes of one leg, at most.
+    /// Bytes of one attempt, at most.
     pub most_data: usize,
     /// How often the load that answers tell of is looked at.
     pub report_every: Duration,
@@ -145,8 +145,8 @@
 
 struct Held {
     conn: u64,
-    leg: SendLeg,
-    name: LegName,
+    attempt: SendAttempt,
+    name: AttemptName,
 }
 
 struct Conn {
@@ -384,7 +384,7 @@
         for id in s.model.held() {
             if s.chance.rand_float() < 0.5 {
                 if let Some(held) = s.held.get(&id) {
-                    self.apply(&held.leg);
+                    self.apply(&held.attempt);
                 }
             }
         }
@@ -462,25 +462,32 @@
             let mut data = Bytes::new();
             let (outcome, kind) = match how {
                 How::Done => {
-                    let ran = self.apply(&held.leg);
-                    if let Work::Read { length } = held.leg.work {
-                        data = lock(&self.settings.store).read(held.leg.volume, held.leg.offset, length);
+                    let ran = self.apply(&held.attempt);
+                    if let Work::Read { length } = held.attempt.work {
+                        data =
+                            lock(&self.settings.store).read(held.attempt.volume, held.attempt.offset, length);
                     }
-                    (NodeOutcome::Done, (LegEndKind::Done, ran))
+                    (NodeOutcome::Done, (AttemptEndKind::Done, ran))
                 }
-                How::Error => (NodeOutcome::Error, (LegEndKind::Error, false)),
-                How::NeverRan => (NodeOutcome::Full, (LegEndKind::NeverRan, false)),
+                How::Error => (NodeOutcome::Error, (AttemptEndKind::Error, false)),
+                How::NeverRan => (NodeOutcome::Full, (AttemptEndKind::NeverRan, false)),
             };
             let elsewhere = self.tell(s, &held, how == How::Done);
             let (kind, ran) = kind;
             if self.settings.recorder.is_on() {
-                self.settings.recorder.note(Event::LegEnd { node: self.name(), name: held.name, kind, ran });
+                self.settings.recorder.note(Event::AttemptEnd {
+                    node: self.name(),
+                    name: held.name,
+                    kind,
+                    ran,
+                });
             }
             let now = now_us();
             if now.saturating_sub(s.waiting.0) >= self.settings.report_every.as_micros() as u64 {
                 s.waiting = (now, s.model.waiting() as u32);
             }
-            let answer = Answer { leg: held.leg.leg, outcome, waiting: s.waiting.1, elsewhere, data };
+            let answer =
+                Answer { attempt: held.attempt.attempt, outcome, waiting: s.waiting.1, elsewhere, data };
             if let Some(c) = s.conns.get(&held.conn) {
                 if c.to.try_send(Frame::Answer(answer).to_bytes()).is_err() {
                     reset(&c.stream);
@@ -489,25 +496,25 @@
         }
     }
 
-    /// The effect of a leg; false: it was a repeat, and dropped.
-    fn apply(&self, leg: &SendLeg) -> bool {
+    /// The effect of an attempt; false: it was a repeat, and dropped.
+    fn apply(&self, attempt: &SendAttempt) -> bool {
         let window = (self.settings.window_s * 1e6) as u64;
-        if leg.mark != 0 && !self.settings.marks.first(now_us(), leg.mark, window) {
+        if attempt.mark != 0 && !self.settings.marks.first(now_us(), attempt.mark, window) {
             return false;
         }
-        if let Work::Write { data } = &leg.work {
-            lock(&self.settings.store).write(leg.volume, leg.offset, data);
+        if let Work::Write { data } = &attempt.work {
+            lock(&self.settings.store).write(attempt.volume, attempt.offset, data);
         }
         true
     }
 
     /// Units served for the volume through other hosts since this one was last told.
     fn tell(&self, s: &mut State, held: &Held, done: bool) -> f32 {
-        let served = s.served.entry(held.leg.volume).or_default();
+        let served = s.served.entry(held.attempt.volume).or_default();
         let own = served.hosts.entry(held.name.host).or_default();
         if done {
-            served.total += f64::from(held.leg.units);
-            own.0 += f64::from(held.leg.units);
+            served.total += f64::from(held.attempt.units);
+            own.0 += f64::from(held.attempt.units);
         }
         let others = served.total - own.0;
         let news = (others - own.1).max(0.0);
@@ -581,8 +588,8 @@
 
     fn note_link_down(&self, s: &State, number: u64, t: Us) {
         if let Some(c) = s.conns.get(&number) {
-            let legs = s.held.values().filter(|h| h.conn == number).map(|h| h.name).collect();
-            let event = Event::LinkDown { node: self.name(), host: c.host, life: c.life, legs };
+            let attempts = s.held.values().filter(|h| h.conn == number).map(|h| h.name).collect();
+            let event = Event::LinkDown { node: self.name(), host: c.host, life: c.life, attempts };
             self.settings.recorder.note_at(t, event);
         }
     }
@@ -607,43 +614,44 @@
                 let hello = Frame::NodeHello { version, shard, zone, started_us: s.started, up_us };
                 silent || to.try_send(hello.to_bytes()).is_ok()
             }
-            Frame::Send(leg) => {
+            Frame::Send(attempt) => {
                 let Some((host, life)) = s.conns.get(&conn).filter(|c| !c.quiet).map(|c| (c.host, c.life))
                 else {
                     return false;
                 };
-                let name = LegName { host, life, request: leg.request, leg: leg.leg_no };
+                let name =
+                    AttemptName { host, life, request: attempt.request, attempt: attempt.attempt_number };
                 let offset = s.conns.get_mut(&conn).map_or(0, |c| {
-                    c.offset = c.offset.min(now as i64 - leg.sent_us as i64);
+                    c.offset = c.offset.min(now as i64 - attempt.sent_us as i64);
                     c.offset
                 });
-                let until = (leg.sent_us as i64 + offset).max(0) as u64 + u64::from(leg.left_us);
-                let (write, bytes) = match &leg.work {
+                let until = (attempt.sent_us as i64 + offset).max(0) as u64 + u64::from(attempt.left_us);
+                let (write, bytes) = match &attempt.work {
                     Work::Read { length } => (false, u64::from(*length)),
                     Work::Write { data } => (true, data.len() as u64),
                 };
-                let leg_event = || Event::Leg {
+                let attempt_event = || Event::Attempt {
                     node: self.name(),
                     name,
-                    session: leg.origin.session,
-                    command: leg.origin.command,
-                    part: leg.origin.part,
-                    volume: leg.volume,
+                    session: attempt.origin.session,
+                    command: attempt.origin.command,
+                    part: attempt.origin.part,
+                    volume: attempt.volume,
                     write,
-                    offset: leg.offset,
+                    offset: attempt.offset,
                     bytes,
-                    units: f64::from(leg.units),
-                    key: leg.key,
-                    mark: format!("{:x}", leg.mark),
+                    units: f64::from(attempt.units),
+                    key: attempt.key,
+                    mark: format!("{:x}", attempt.mark),
                     // Its time ends when its host ends it, however long its bytes were on the way: told by the time
                     // it had when it was sent, it would seem to be out longer, and its key's next one too early.
                     left_us: until.saturating_sub(came),
                 };
                 if self.settings.recorder.is_on() {
-                    self.settings.recorder.note_at(came, leg_event());
+                    self.settings.recorder.note_at(came, attempt_event());
                     if let Some(t) = ended {
                         // Read only after its host had closed the link, and so had the end of it.
-                        let event = Event::LinkDown { node: self.name(), host, life, legs: vec![name] };
+                        let event = Event::LinkDown { node: self.name(), host, life, attempts: vec![name] };
                         self.settings.recorder.note_at(t.max(came), event);
                     }
                 }
@@ -654,13 +662,13 @@
                 let id = s.next;
                 let job = Job {
                     id,
-                    units: f64::from(leg.units),
+                    units: f64::from(attempt.units),
                     write,
-                    key: leg.key ^ leg.offset << 8,
-                    further: leg.leg_no > 0,
+                    key: attempt.key ^ attempt.offset << 8,
+                    further: attempt.attempt_number > 0,
                     until,
                 };
-                s.held.insert(id, Held { conn, leg, name });
+                s.held.insert(id, Held { conn, attempt, name });
                 s.model.arrive(now, job);
                 self.settle(&mut s);
                 let pending = !s.held.is_empty();
@@ -670,8 +678,8 @@
                 }
                 true
             }
-            Frame::Cancel { leg } => {
-                let found = s.held.iter().find(|(_, h)| h.conn == conn && h.leg.leg == leg);
+            Frame::Cancel { attempt } => {
+                let found = s.held.iter().find(|(_, h)| h.conn == conn && h.attempt.attempt == attempt);
                 let found = found.map(|(id, h)| (*id, h.name));
                 if let Some((id, name)) = found {
                     self.settings.recorder.note(Event::Cancel { node: self.name(), name });
@@ -730,10 +738,10 @@
 mod tests {
     use super::*;
     use std::time::Duration;
-    use tackmast_wire::node::{Origin, SendLeg};
+    use tackmast_wire::node::{Origin, SendAttempt};
 
     #[test]
-    fn a_leg_that_was_long_on_the_way_has_that_much_less_time() {
+    fn an_attempt_that_was_long_on_the_way_has_that_much_less_time() {
         let recorder = Recorder::default();
         let node = Node::start(NodeSettings {
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
@@ -755,15 +763,15 @@
         let mut link = TcpStream::connect(node.address()).unwrap();
         let hello = Frame::HostHello { version: wire::VERSION, host: 0, life: 1, sent_us: now_us() };
         link.write_all(&hello.to_bytes()).unwrap();
-        let leg = |leg| {
+        let attempt = |attempt| {
             let origin = Origin { session: 1, command: 1, part: 0 };
             let work = Work::Read { length: 512 };
             let (sent_us, left_us) = (now_us(), 400_000);
-            let (request, leg_no, mark, key, volume, offset, units) = (leg, 0, 0, 0, 0, 0, 1.0);
-            let leg = SendLeg {
-                leg,
+            let (request, attempt_number, mark, key, volume, offset, units) = (attempt, 0, 0, 0, 0, 0, 1.0);
+            let attempt = SendAttempt {
+                attempt,
                 request,
-                leg_no,
+                attempt_number,
                 origin,
                 sent_us,
                 left_us,
@@ -774,11 +782,11 @@
                 units,
                 work,
             };
-            Frame::Send(leg).to_bytes()
+            Frame::Send(attempt).to_bytes()
         };
         // The second one's last byte comes late.
-        link.write_all(&leg(1)).unwrap();
-        let bytes = leg(2);
+        link.write_all(&attempt(1)).unwrap();
+        let bytes = attempt(2);
         link.write_all(&bytes[..bytes.len() - 1]).unwrap();
         std::thread::sleep(Duration::from_millis(150));
         link.write_all(&bytes[bytes.len() - 1..]).unwrap();
@@ -786,7 +794,7 @@
         while left.len() < 2 && std::time::Instant::now() < until {
             std::thread::sleep(Duration::from_millis(5));
             left.extend(recorder.take().into_iter().filter_map(|l| match l.event {
-                Event::Leg { left_us, .. } => Some(left_us),
+                Event::Attempt { left_us, .. } => Some(left_us),
                 _ => None,
             }));
         }
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -59,7 +59,7 @@
     pub cold_safe_units: f64,
     /// Rule 5.
     pub settle_us: u64,
-    /// Rule 6, where there is one: free legs, share of what was taken, window.
+    /// Rule 6, where there is one: free attempts, share of what was taken, window.
     pub further: Option<(f64, f64, u64)>,
     /// How far two ends of a socket may see the same thing apart.
     pub skew_us: u64,
@@ -85,7 +85,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LegEndKind {
+pub enum AttemptEndKind {
     Done,
     Error,
     /// Told that it never ran: the queue was full, or it was cancelled or out of time before it began.
@@ -100,14 +100,15 @@
     List,
 }
 
-/// A leg as its node sees it: host, life of the host, request within that life, and number of the leg.
+/// An attempt as its node sees it: host, life of the host, request within that life, and number of the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct LegName {
+pub struct AttemptName {
     pub host: u32,
     pub life: u64,
     #[serde(rename = "xfer")]
     pub request: u64,
-    pub leg: u8,
+    #[serde(rename = "leg")]
+    pub attempt: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -180,9 +181,10 @@
     NodeDown {
         node: String,
     },
-    Leg {
+    #[serde(rename = "leg")]
+    Attempt {
         node: String,
-        name: LegName,
+        name: AttemptName,
         session: u32,
         command: u32,
         part: u16,
@@ -195,24 +197,26 @@
         mark: String,
         left_us: u64,
     },
-    LegEnd {
+    #[serde(rename = "leg_end")]
+    AttemptEnd {
         node: String,
-        name: LegName,
-        kind: LegEndKind,
+        name: AttemptName,
+        kind: AttemptEndKind,
         /// Whether the work had its effect.
         ran: bool,
     },
-    /// The host called the leg back.
+    /// The host called the attempt back.
     Cancel {
         node: String,
-        name: LegName,
+        name: AttemptName,
     },
-    /// A connection of the host ended; its legs get no answer.
+    /// A connection of the host ended; its attempts get no answer.
     LinkDown {
         node: String,
         host: u32,
         life: u64,
-        legs: Vec<LegName>,
+        #[serde(rename = "legs")]
+        attempts: Vec<AttemptName>,
     },
     /// List side: the host was sent this line.
     Told {
