--- a/crates/wire/src/node.rs
+++ b/crates/wire/src/node.rs
@@ -9,7 +9,7 @@
 /// Bytes of a frame beside its data, at most.
 pub const OVERHEAD: usize = 128;
 
-/// Where a leg's request came from, as its client can name it too: target session, command number within it,
+/// Where an attempt's request came from, as its client can name it too: target session, command number within it,
 /// and the part, where a command touches several extents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Origin {
@@ -25,16 +25,16 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct SendLeg {
-    /// Number of this leg on this link.
-    pub leg: u64,
-    /// Number of the request within this life of the host, and of the leg within the request.
+pub struct SendAttempt {
+    /// Number of this attempt on this link.
+    pub attempt: u64,
+    /// Number of the request within this life of the host, and of the attempt within the request.
     pub request: u64,
-    pub leg_no: u8,
+    pub attempt_number: u8,
     pub origin: Origin,
     /// When it was written, on the host's own clock, and microseconds from then until nobody waits for the
     /// answer. The node takes the least difference it has seen between its clock and the host's as their offset,
-    /// so that a leg which waited in a socket is known to be old, without clocks that agree.
+    /// so that an attempt which waited in a socket is known to be old, without clocks that agree.
     pub sent_us: u64,
     pub left_us: u32,
     /// A repeat of the same mark within the node's window must not run again; 0: none.
@@ -48,7 +48,7 @@
     pub work: Work,
 }
 
-/// How the node ended a leg.
+/// How the node ended an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeOutcome {
     Done,
@@ -62,7 +62,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
-    pub leg: u64,
+    pub attempt: u64,
     pub outcome: NodeOutcome,
     /// Requests that wait at the node, as last looked at.
     pub waiting: u32,
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
     /// First frame of a host: its number, and a number of its own for each life.
-    /// `sent_us` as in a leg.
+    /// `sent_us` as in an attempt.
     HostHello {
         version: u16,
         host: u32,
@@ -90,11 +90,11 @@
         started_us: u64,
         up_us: u64,
     },
-    Send(SendLeg),
+    Send(SendAttempt),
     Answer(Answer),
-    /// Nobody waits for this leg any more.
+    /// Nobody waits for this attempt any more.
     Cancel {
-        leg: u64,
+        attempt: u64,
     },
     Ping {
         number: u64,
@@ -126,9 +126,9 @@
             }
             Frame::Send(s) => {
                 out.put_u8(3);
-                out.put_u64(s.leg);
+                out.put_u64(s.attempt);
                 out.put_u64(s.request);
-                out.put_u8(s.leg_no);
+                out.put_u8(s.attempt_number);
                 out.put_u32(s.origin.session);
                 out.put_u32(s.origin.command);
                 out.put_u16(s.origin.part);
@@ -153,7 +153,7 @@
             }
             Frame::Answer(a) => {
                 out.put_u8(4);
-                out.put_u64(a.leg);
+                out.put_u64(a.attempt);
                 out.put_u8(match a.outcome {
                     NodeOutcome::Done => 0,
                     NodeOutcome::Error => 1,
@@ -165,9 +165,9 @@
                 out.put_u32(a.data.len() as u32);
                 out.put_slice(&a.data);
             }
-            Frame::Cancel { leg } => {
+            Frame::Cancel { attempt } => {
                 out.put_u8(5);
-                out.put_u64(*leg);
+                out.put_u64(*attempt);
             }
             Frame::Ping { number } => {
                 out.put_u8(6);
@@ -205,10 +205,10 @@
                 started_us: f.u64("start")?,
                 up_us: f.u64("time up")?,
             },
-            3 => Frame::Send(SendLeg {
-                leg: f.u64("leg")?,
+            3 => Frame::Send(SendAttempt {
+                attempt: f.u64("leg")?,
                 request: f.u64("transfer")?,
-                leg_no: f.u8("leg number")?,
+                attempt_number: f.u8("leg number")?,
                 origin: Origin {
                     session: f.u32("session")?,
                     command: f.u32("command")?,
@@ -231,7 +231,7 @@
                 },
             }),
             4 => Frame::Answer(Answer {
-                leg: f.u64("leg")?,
+                attempt: f.u64("leg")?,
                 outcome: match f.u8("outcome")? {
                     0 => NodeOutcome::Done,
                     1 => NodeOutcome::Error,
@@ -246,7 +246,7 @@
                     f.bytes("data", n)?
                 },
             }),
-            5 => Frame::Cancel { leg: f.u64("leg")? },
+            5 => Frame::Cancel { attempt: f.u64("leg")? },
             6 => Frame::Ping { number: f.u64("number")? },
             7 => Frame::Pong { number: f.u64("number")? },
             other => return Err(unknown("kind", other, "a frame kind from 1 to 7")),
@@ -272,7 +272,7 @@
     }
 }
 
-/// Frames of a link whose data may hold `most_data` bytes a leg.
+/// Frames of a link whose data may hold `most_data` bytes an attempt.
 pub fn frames(most_data: usize) -> Frames {
     Frames::new(most_data + OVERHEAD)
 }
--- a/crates/wire/tests/codecs.rs
+++ b/crates/wire/tests/codecs.rs
@@ -6,7 +6,7 @@
 use tackmast_wire::iscsi::{self, Digests, Pdu, Units};
 use tackmast_wire::list::{self, Entry, State};
 use tackmast_wire::nbd;
-use tackmast_wire::node::{self, Answer, Frame, NodeOutcome, Origin, SendLeg, Work};
+use tackmast_wire::node::{self, Answer, Frame, NodeOutcome, Origin, SendAttempt, Work};
 use tackmast_wire::scsi::{Command, Sense};
 
 const MOST: usize = 4096;
@@ -15,7 +15,7 @@
     proptest::collection::vec(any::<u8>(), 0..MOST).prop_map(Bytes::from)
 }
 
-fn leg() -> impl Strategy<Value = Frame> {
+fn attempt() -> impl Strategy<Value = Frame> {
     let work = prop_oneof![
         any::<u32>().prop_map(|length| Work::Read { length }),
         data().prop_map(|data| Work::Write { data })
@@ -28,11 +28,14 @@
     let first = (any::<u64>(), any::<u64>(), any::<u8>(), origin, any::<u64>(), any::<u32>());
     let second = (any::<u128>(), any::<u64>(), any::<u32>(), any::<u64>(), 0f32..1e9, work);
     (first, second).prop_map(
-        |((leg, request, leg_no, origin, sent_us, left_us), (mark, key, volume, offset, units, work))| {
-            Frame::Send(SendLeg {
-                leg,
+        |(
+            (attempt, request, attempt_number, origin, sent_us, left_us),
+            (mark, key, volume, offset, units, work),
+        )| {
+            Frame::Send(SendAttempt {
+                attempt,
                 request,
-                leg_no,
+                attempt_number,
                 origin,
                 sent_us,
                 left_us,
@@ -56,9 +59,9 @@
     ];
     let answer = (any::<u64>(), outcome, any::<u32>(), 0f32..1e9, data());
     prop_oneof![
-        leg(),
-        answer.prop_map(|(leg, outcome, waiting, elsewhere, data)| {
-            Frame::Answer(Answer { leg, outcome, waiting, elsewhere, data })
+        attempt(),
+        answer.prop_map(|(attempt, outcome, waiting, elsewhere, data)| {
+            Frame::Answer(Answer { attempt, outcome, waiting, elsewhere, data })
         }),
         (any::<u16>(), any::<u32>(), any::<u64>(), any::<u64>())
             .prop_map(|(version, host, life, sent_us)| Frame::HostHello { version, host, life, sent_us }),
@@ -67,7 +70,7 @@
                 Frame::NodeHello { version, shard, zone, started_us, up_us }
             }
         ),
-        any::<u64>().prop_map(|leg| Frame::Cancel { leg }),
+        any::<u64>().prop_map(|attempt| Frame::Cancel { attempt }),
         any::<u64>().prop_map(|number| Frame::Ping { number }),
         any::<u64>().prop_map(|number| Frame::Pong { number }),
     ]
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -78,8 +78,8 @@
     /// The part of the data that one node holds.
     ShardId,
     ZoneId,
-    /// The number of a leg within its request, from 0.
-    LegNo,
+    /// The number of an attempt within its request, from 0.
+    AttemptNumber,
 }
 
 /// Which nodes discard repeats of a keyed request.
@@ -98,7 +98,7 @@
     Unrepeatable,
 }
 
-/// How a leg ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Done,
@@ -115,7 +115,7 @@
 }
 
 impl Outcome {
-    /// Whether this outcome leaves it possible that the leg had an effect.
+    /// Whether this outcome leaves it possible that the attempt had an effect.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Outcome::Full | Outcome::Refused | Outcome::Skipped)
     }
@@ -169,7 +169,7 @@
 /// What the host is to do next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Send a leg; no time-out means until the client gives up. One whose first byte has not left at `begin_by` must not
+    /// Send an attempt; no time-out means until the client gives up. One whose first byte has not left at `begin_by` must not
     /// leave any more: the nodes may have forgotten the first that ran.
     Send {
         request: RequestId,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,5 +1,5 @@
 //! Every decision of tackmast. How it is called: the host makes one `Scheduler`, tells it the settings part
-//! by part, and then reports what happens through the inputs (`request_arrived`, `leg_ended`,
+//! by part, and then reports what happens through the inputs (`request_arrived`, `attempt_ended`,
 //! `nodes_changed`, ...), which only update what is known. After each report it pulls `next_decision(now)`
 //! until there is none and asks `next_wake` when to come back. The types are in `src/interface.rs`.
 //!
@@ -41,7 +41,7 @@
 const HEALTH_HALVE: f64 = 16.0;
 const SICK_AFTER: f64 = 6.0; // bad answers
 const SICK_BELOW: f64 = 0.05; // part of answers that are good
-const TRICKLE: f64 = 0.1; // seconds between legs to a sick node
+const TRICKLE: f64 = 0.1; // seconds between attempts to a sick node
 const LOST_LEAST: f64 = 2.0;
 const LOST_PART: f64 = 0.02;
 const LOST_HALVE: f64 = 128.0;
@@ -49,7 +49,7 @@
 const TIMEOUT_TIMES: f64 = 3.0;
 const TIMEOUT_LEAST: f64 = 0.4; // of the SLO time
 const TIMEOUT_SEEN: f64 = 8.0; // answers
-const PAUSE: f64 = 0.02; // seconds before a further leg
+const PAUSE: f64 = 0.02; // seconds before a retry
 const BLOCKED_CHECK: f64 = 0.05; // seconds until a request that a guard holds is looked at again
 const COLD_CHANCE: f64 = 0.8; // of what goes for chance where all hosts together send to a cold node
 const COLD_OUT: f64 = 0.3; // of the sum that they may send: of the always-safe units, those out at once,
@@ -76,7 +76,7 @@
     streams: Vec<Stream>,
     tightest: Span, // SLO time
     mean_units: f64,
-    most_legs: u32,
+    max_attempts: u32,
     longest_wait: Span,
     settle: Span,
     budget: Budget,
@@ -109,7 +109,7 @@
             there: f64::from(hosts.max(1)),
             margin: tick + tick + Span::from_secs(0.001),
             mean_units: mean_units.max(1e-6),
-            most_legs: u32::MAX,
+            max_attempts: u32::MAX,
             again: 1.0,
             ..Scheduler::default()
         }
@@ -128,12 +128,12 @@
     }
 
     /// `longest_wait` is the longest that a client can be asked to stay away; zero: it can't be asked.
-    /// `settle` is how long a key rests after a leg that may still be running.
-    pub fn leg_limits(&mut self, most_legs: u32, longest_wait: Span, settle: Span) {
-        (self.most_legs, self.longest_wait, self.settle) = (most_legs, longest_wait, settle);
+    /// `settle` is how long a key rests after an attempt that may still be running.
+    pub fn attempt_limits(&mut self, max_attempts: u32, longest_wait: Span, settle: Span) {
+        (self.max_attempts, self.longest_wait, self.settle) = (max_attempts, longest_wait, settle);
     }
 
-    pub fn further_leg_budget(&mut self, free: f64, share: f64, window: Span) {
+    pub fn retry_budget(&mut self, free: f64, share: f64, window: Span) {
         self.budget = Budget { free, share, window: Some(window), ..Budget::default() };
     }
 
@@ -334,19 +334,19 @@
         self.nodes.values_mut().for_each(|n| (n.least, n.cap) = (least, n.cap.max(least)));
     }
 
-    pub fn leg_ended(
+    pub fn attempt_ended(
         &mut self,
         now: Instant,
         id: RequestId,
-        leg: LegNo,
+        attempt: AttemptNumber,
         o: Outcome,
         took: Span,
         ended: bool,
     ) {
         self.now = now;
         let Some(x) = self.requests.get_mut(&id) else { return };
-        let Some(i) = x.out.iter().position(|l| l.no == leg.0) else { return };
-        let Leg { no, node, passed, seen, held } = x.out.remove(i);
+        let Some(i) = x.out.iter().position(|l| l.no == attempt.0) else { return };
+        let Attempt { no, node, passed, seen, held } = x.out.remove(i);
         if x.ran.is_some_and(|r| r.0 == no) && !o.may_have_run() {
             x.ran = None;
         }
@@ -356,7 +356,7 @@
         let able = if x.repeats { self.again * units } else { units };
         let st = &self.streams[stream.0 as usize];
         if let Some(t) = turn.and_then(|k| self.turns.get_mut(&k)) {
-            t.leg_back(o.may_be_running().then_some(now + self.settle));
+            t.attempt_finished(o.may_be_running().then_some(now + self.settle));
             // Against a memory of keys that grows with each unknown end: a rested key is looked at once more.
             if let Some(k) = turn.filter(|_| o.may_be_running()) {
                 self.alarms.push(Reverse((now + self.settle, Alarm::Rested(k))));
@@ -364,9 +364,9 @@
         }
         let (done, mut lost) = (o == Outcome::Done, false);
         if let Some(n) = self.nodes.get_mut(&node) {
-            n.leg_back(st.rank, units);
+            n.attempt_finished(st.rank, units);
             self.due.insert(n.shard);
-            // A timed-out leg got lost if a later one was answered meanwhile, or else if the next is fast.
+            // A timed-out attempt got lost if a later one was answered meanwhile, or else if the next is fast.
             let (out, fast) = (o == Outcome::TimedOut, took.secs() < CAP_TARGET * st.slo.secs());
             lost = if out { n.done > passed } else { done && fast && n.suspect };
             n.suspect = if out { n.done <= passed } else { n.suspect && !done };
@@ -396,7 +396,7 @@
         forget(&mut self.requests, &mut self.turns, id, self.now);
     }
 
-    /// Whether legs get lost, by how many were against those answered.
+    /// Whether attempts get lost, by how many were against those answered.
     fn loss(&mut self, lost: bool, done: bool) {
         if let Some(losing) = self.lost.note(lost, done, LOST_HALVE, LOST_LEAST, LOST_PART) {
             let (l, mode) = (&self.lost, if losing { "get lost" } else { "arrive" });
@@ -462,8 +462,8 @@
 impl Node {
     /// Cap, credit and health follow each answer. The cap rises while answers come well within the SLO time
     /// and is cut when they don't: against any slowness (queue, pauses, costly work), whatever its cause.
-    fn answered(&mut self, now: Instant, o: Outcome, took: f64, slo: f64, judges: bool, leg: [bool; 3]) {
-        let [held, hurried, silent] = leg;
+    fn answered(&mut self, now: Instant, o: Outcome, took: f64, slo: f64, judges: bool, attempt: [bool; 3]) {
+        let [held, hurried, silent] = attempt;
         self.took = took;
         match o {
             Outcome::Done => {
@@ -479,7 +479,7 @@
             Outcome::TimedOut => {
                 self.bad += 1.0;
                 // Its client's time was up before the SLO time, or nothing at all was answered meanwhile: too
-                // slow, or drowned. Against hurried clients, and against many hosts that each send one leg a
+                // slow, or drowned. Against hurried clients, and against many hosts that each send one attempt a
                 // time-out and so keep a full queue full. Else it may have got lost, and others arrive.
                 let too_slow = if took < slo { hurried } else { silent };
                 if too_slow {
@@ -637,7 +637,7 @@
         loop {
             let id = self.shards.get_mut(&shard)?.head(name, |id| waits_at(&self.requests, id, shard))?;
             let x = &self.requests[&id];
-            let never = !self.rerun_safe(x, None) || self.is_over_part(x);
+            let never = !self.is_retry_safe(x, None) || self.is_over_part(x);
             let queue = self.shards.get_mut(&shard)?.queues.get_mut(&name)?;
             // A new object that waits for a node which can't take it finds another.
             if node.is_none() && x.any_node && x.ran.is_none() && self.now < x.slo_at {
@@ -694,7 +694,7 @@
             return Err(x.hold);
         }
         // Rule 2: a keyed request that may have run stays in its group and window.
-        if !self.rerun_safe(x, Some(node)) {
+        if !self.is_retry_safe(x, Some(node)) {
             return Err(x.expiry);
         }
         // A sick node (errors, silence, refusals alike) gets a trickle, which finds its recovery.
@@ -702,8 +702,8 @@
         if n.held_sick() && trickle > now {
             return Err(trickle);
         }
-        // Rule 6, and the house's credit: further legs must be earned by the node's answers.
-        if x.legs > 0 && (n.credit < 1.0 || !self.budget_allows(now)) {
+        // Rule 6, and the house's credit: retries must be earned by the node's answers.
+        if x.attempts > 0 && (n.credit < 1.0 || !self.budget_allows(now)) {
             return Err(later);
         }
         if let Some(t) = self.turn_wait(id, x) {
@@ -805,7 +805,7 @@
             let cost = x.units / self.plans[x.plan.0 as usize].weight;
             self.shards.entry(shard).or_default().charge(x.volume, cost);
         }
-        if x.legs > 0 {
+        if x.attempts > 0 {
             n.credit -= 1.0;
             self.budget.further.push_back(now);
         }
@@ -814,18 +814,18 @@
         }
         let held = (n.out + 1) as f64 >= n.cap * EXCESS_PART;
         x.send(now, node, (n.done, n.out as u64), held);
-        n.leg_out(now, st.rank, x.units);
+        n.attempt_started(now, st.rank, x.units);
         if let Some(t) = x.turn.and_then(|k| self.turns.get_mut(&k)) {
             t.holder = Some(id);
             t.out += 1;
         }
-        // Where legs get lost, one out far longer than usual is given up: it must not fill the caps. Against
+        // Where attempts get lost, one out far longer than usual is given up: it must not fill the caps. Against
         // bad links; hurts where cheap requests overtake costly ones. At a crowded node one is given up at
         // its SLO time, so the queue can drop what is late: against drowned nodes; costs what late ones earn.
         let here = &n.latency[x.stream.0 as usize];
         let seen = if here.count() >= TIMEOUT_SEEN { here } else { &self.everywhere[x.stream.0 as usize] };
         let far = Span::from_secs(seen.at(TIMEOUT_AT).unwrap_or(0.0) * TIMEOUT_TIMES);
-        let again = self.lost.losing && x.legs < self.most_legs && seen.count() >= TIMEOUT_SEEN;
+        let again = self.lost.losing && x.attempts < self.max_attempts && seen.count() >= TIMEOUT_SEEN;
         let crowded = (n.cap < 1.0).then_some(st.slo);
         let timeout =
             if again { Some(far.max(Span::from_secs(st.slo.secs() * TIMEOUT_LEAST))) } else { crowded };
@@ -841,8 +841,8 @@
         }
     }
 
-    /// Whether a further leg at `node` (or at any, if none is named) can do no harm.
-    fn rerun_safe(&self, x: &Request, node: Option<NodeId>) -> bool {
+    /// Whether a retry at `node` (or at any, if none is named) can do no harm.
+    fn is_retry_safe(&self, x: &Request, node: Option<NodeId>) -> bool {
         let Some((_, _, first)) = x.ran else { return true };
         match self.streams[x.stream.0 as usize].effect {
             Effect::Repeatable => true,
@@ -854,10 +854,10 @@
         }
     }
 
-    /// A leg ended without success: another where the rules and time allow, else the final answer at once.
+    /// An attempt ended without success: another where the rules and time allow, else the final answer at once.
     fn go_on(&mut self, id: RequestId) {
         let Some(x) = self.requests.get(&id) else { return };
-        if x.legs >= self.most_legs || x.slo_at <= self.now || !self.rerun_safe(x, None) {
+        if x.attempts >= self.max_attempts || x.slo_at <= self.now || !self.is_retry_safe(x, None) {
             return self.answer(id, Some(Span::from_secs(PAUSE)));
         }
         if let Some(x) = self.requests.get_mut(&id) {
--- a/src/state.rs
+++ b/src/state.rs
@@ -172,25 +172,25 @@
     pub arrived: Instant,
     pub slo_at: Instant,
     pub expiry: Instant,
-    pub hold: Instant, // no leg before this
+    pub hold: Instant, // no attempt before this
     pub tag: f64,      // its place among its volume's others of its stream type
     pub drew: bool,
     pub repeats: bool, // asks for a piece of data that this host lately sent for at its shard
     pub waiting: bool,
     pub ended: bool,
     pub started: bool,
-    pub legs: u32,
-    pub out: Vec<Leg>,
-    pub ran: Option<(u32, Instant, NodeId)>, // the first leg that may have had an effect
+    pub attempts: u32,
+    pub out: Vec<Attempt>,
+    pub ran: Option<(u32, Instant, NodeId)>, // the first attempt that may have had an effect
 }
 
 impl Request {
     pub fn send(&mut self, now: Instant, node: NodeId, (seen, out): (u64, u64), held: bool) {
-        self.ran = self.ran.or(Some((self.legs, now, node)));
+        self.ran = self.ran.or(Some((self.attempts, now, node)));
         self.drew = true;
         self.waiting = false;
-        self.out.push(Leg { no: self.legs, node, passed: seen + out, seen, held });
-        self.legs += 1;
+        self.out.push(Attempt { no: self.attempts, node, passed: seen + out, seen, held });
+        self.attempts += 1;
     }
 
     pub fn new(
@@ -221,17 +221,17 @@
             waiting: true,
             ended: false,
             started: false,
-            legs: 0,
+            attempts: 0,
             out: Vec::new(),
             ran: None,
         }
     }
 }
 
-pub struct Leg {
+pub struct Attempt {
     pub no: u32,
     pub node: NodeId,
-    pub passed: u64, // once the node has answered more than this, later legs have overtaken it
+    pub passed: u64, // once the node has answered more than this, later attempts have overtaken it
     pub seen: u64,   // what the node had answered when it went out
     pub held: bool,  // went out while the caps were what held requests back
 }
@@ -254,7 +254,7 @@
     pub good: f64,
     pub bad: f64,
     pub sick: bool,
-    pub suspect: bool, // a leg timed out and none was answered since
+    pub suspect: bool, // an attempt timed out and none was answered since
     pub sent_at: Instant,
     pub cold: Bucket,
     pub latency: Vec<Histogram>,
@@ -312,7 +312,7 @@
     }
 }
 
-/// Further legs, as a free few plus a share of the requests taken, over any window.
+/// Retries, as a free few plus a share of the requests taken, over any window.
 #[derive(Default)]
 pub struct Budget {
     pub free: f64,
@@ -332,7 +332,7 @@
         }
     }
 
-    /// Further legs sent in the last `window + edge`, and requests taken in the last `window - edge`.
+    /// Retries sent in the last `window + edge`, and requests taken in the last `window - edge`.
     pub fn count(&self, now: Instant, window: Span, edge: Span) -> (f64, f64) {
         let further = self.further.iter().rev().take_while(|t| now - **t <= window + edge).count();
         let taken = self.taken.iter().rev().take_while(|t| now - **t + edge <= window).count();
@@ -350,7 +350,7 @@
 }
 
 impl Node {
-    pub fn leg_out(&mut self, now: Instant, rank: usize, units: f64) {
+    pub fn attempt_started(&mut self, now: Instant, rank: usize, units: f64) {
         self.out += 1;
         self.out_units += units;
         self.out_rank[rank] += 1;
@@ -358,7 +358,7 @@
         self.sent_at = now;
     }
 
-    pub fn leg_back(&mut self, rank: usize, units: f64) {
+    pub fn attempt_finished(&mut self, rank: usize, units: f64) {
         self.out -= 1;
         self.out_units -= units;
         self.out_rank[rank] -= 1;
@@ -424,7 +424,7 @@
 }
 
 impl Turn {
-    pub fn leg_back(&mut self, rest_until: Option<Instant>) {
+    pub fn attempt_finished(&mut self, rest_until: Option<Instant>) {
         self.out -= 1;
         self.free_at = self.free_at.max(rest_until.unwrap_or_default());
     }
@@ -525,7 +525,7 @@
     }
 }
 
-/// Legs that got lost, against those answered, halved now and then.
+/// Attempts that got lost, against those answered, halved now and then.
 #[derive(Default)]
 pub struct Losses {
     pub lost: f64,
@@ -534,7 +534,7 @@
 }
 
 impl Losses {
-    /// Gives the new mode where it changes: legs get lost from `least` on, if they are more than `part`.
+    /// Gives the new mode where it changes: attempts get lost from `least` on, if they are more than `part`.
     pub fn note(&mut self, lost: bool, kept: bool, halve_at: f64, least: f64, part: f64) -> Option<bool> {
         self.lost += f64::from(u8::from(lost));
         self.kept += f64::from(u8::from(kept));
@@ -573,7 +573,7 @@
     next.and_then(|q| requests.get(&q)).and_then(|x| x.shard)
 }
 
-/// Drops a request that is over and has no leg out, and its key where nothing is left to order.
+/// Drops a request that is over and has no attempt out, and its key where nothing is left to order.
 pub fn forget(
     requests: &mut HashMap<RequestId, Request>,
     turns: &mut HashMap<KeyId, Turn>,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -31,7 +31,7 @@
         s.plan(0.0, 0.0, 0.0, 4.0, 1.0);
         s.plan(0.0, 0.0, 0.0, 0.0, 3.0);
         s.plan(0.0, 0.0, 0.0, 0.0, 1.0);
-        s.leg_limits(4, secs(1.0), secs(0.3));
+        s.attempt_limits(4, secs(1.0), secs(0.3));
         Desk { s, now: 100.0, left: 3.0, told: 2, next: 0 }
     }
 
@@ -75,8 +75,15 @@
         id
     }
 
-    pub fn end(&mut self, id: RequestId, leg: u32, outcome: Outcome, took: f64) {
-        self.s.leg_ended(self.at(), id, LegNo(leg), outcome, secs(took), outcome == Outcome::Done);
+    pub fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome, took: f64) {
+        self.s.attempt_ended(
+            self.at(),
+            id,
+            AttemptNumber(attempt),
+            outcome,
+            secs(took),
+            outcome == Outcome::Done,
+        );
     }
 
     /// What is decided now, without log lines.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -53,7 +53,7 @@
     started: Option<f64>,
     queue: VecDeque<Out>,
     done: f64,
-    legs: HashMap<(usize, RequestId), (u32, f64)>,
+    attempts: HashMap<(usize, RequestId), (u32, f64)>,
     sent: Vec<f64>,
     now: f64,
 }
@@ -73,7 +73,7 @@
             started: None,
             queue: VecDeque::new(),
             done: 0.0,
-            legs: HashMap::new(),
+            attempts: HashMap::new(),
             sent: Vec::new(),
             now: 100.0,
         }
@@ -95,35 +95,36 @@
             if self.rng.rand_float() < load * self.able / MEAN * STEP * weight(i) / all {
                 let units = 1.0 + (self.rng.rand_float() * 3.0).floor();
                 let x = d.take(0, 2, 0, units, 0, (self.rng.rand_float() * 1e6) as u32);
-                self.legs.insert((i, x), (0, units));
+                self.attempts.insert((i, x), (0, units));
             }
             for decision in d.pull() {
                 let Decision::Send { request, timeout, .. } = decision else { continue };
-                let (legs, units) = self.legs.get_mut(&(i, request)).expect("taken");
+                let (attempts, units) = self.attempts.get_mut(&(i, request)).expect("taken");
                 let until = self.now + timeout.map_or(d.left, |t| t.secs().min(d.left));
-                self.queue.push_back((i, request, *legs, *units, until));
-                *legs += 1;
+                self.queue.push_back((i, request, *attempts, *units, until));
+                *attempts += 1;
                 self.sent.push(self.now);
             }
         }
         let (over, now) = (|o: &Out, now| o.4 <= now, self.now);
         let late: Vec<Out> = self.queue.iter().filter(|o| over(o, now)).copied().collect();
         self.queue.retain(|o| !over(o, now));
-        late.into_iter().for_each(|(i, x, leg, _, _)| self.desks[i].end(x, leg, Outcome::TimedOut, 3.0));
+        late.into_iter()
+            .for_each(|(i, x, attempt, _, _)| self.desks[i].end(x, attempt, Outcome::TimedOut, 3.0));
         let node = if self.started.is_some() { c.node } else { Node::Serves };
         match node {
             Node::Hangs => {}
             Node::Errors => {
-                while let Some((i, x, leg, _, _)) = self.queue.pop_front() {
-                    self.desks[i].end(x, leg, Outcome::Error, 0.002);
+                while let Some((i, x, attempt, _, _)) = self.queue.pop_front() {
+                    self.desks[i].end(x, attempt, Outcome::Error, 0.002);
                 }
             }
             Node::Serves => {
                 self.done += self.able * self.warmth() * STEP;
                 while self.queue.front().is_some_and(|(_, _, _, units, _)| *units <= self.done) {
-                    let Some((i, x, leg, units, _)) = self.queue.pop_front() else { break };
+                    let Some((i, x, attempt, units, _)) = self.queue.pop_front() else { break };
                     self.done -= units;
-                    self.desks[i].end(x, leg, Outcome::Done, 0.1);
+                    self.desks[i].end(x, attempt, Outcome::Done, 0.1);
                 }
                 if self.queue.is_empty() {
                     self.done = 0.0;
@@ -135,8 +136,8 @@
     /// The node starts anew, and each host is told.
     fn start(&mut self, c: Case) {
         self.started = Some(self.now);
-        for (i, x, leg, _, _) in std::mem::take(&mut self.queue) {
-            self.desks[i].end(x, leg, Outcome::Reset, 0.1);
+        for (i, x, attempt, _, _) in std::mem::take(&mut self.queue) {
+            self.desks[i].end(x, attempt, Outcome::Reset, 0.1);
         }
         self.sent.clear();
         for i in 0..self.desks.len() {
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -6,13 +6,13 @@
 use std::collections::{HashMap, VecDeque};
 use tackmast::interface::{Effect, ListKind, NodeId, NodeState, Outcome};
 
-/// Legs in 10 s at one node with plenty waiting, each answered after 50 ms as told.
-fn legs(weight: f64, pinned: bool, answer: Outcome, node: (NodeState, Option<f64>)) -> usize {
+/// Attempts in 10 s at one node with plenty waiting, each answered after 50 ms as told.
+fn attempts(weight: f64, pinned: bool, answer: Outcome, node: (NodeState, Option<f64>)) -> usize {
     let mut d = Desk::new(1, Effect::Repeatable, false);
     d.s.cold_nodes(4.0, 0.2, secs(20.0), secs(1.0), 2.0);
     d.list(ListKind::Complete, &[(0, node.0, node.1)]);
     d.s.node_ordered(d.at(), NodeId(0), weight, pinned);
-    let (mut out, mut legs, mut tries) = (VecDeque::new(), 0, HashMap::new());
+    let (mut out, mut attempts, mut tries) = (VecDeque::new(), 0, HashMap::new());
     for step in 0..1000 {
         d.take(0, 2, step % 5, 1.0, 0, step);
         let end = d.now + 0.01;
@@ -20,23 +20,23 @@
             let no = tries.entry(x).or_insert(0);
             out.push_back((t, x, *no));
             *no += 1;
-            legs += 1;
+            attempts += 1;
         }
         while let Some((_, x, no)) = out.pop_front_if(|o| o.0 + 0.05 <= end) {
             d.end(x, no, answer, 0.05);
         }
     }
-    legs
+    attempts
 }
 
 #[test]
 fn weights_and_pins_reach_the_node_and_pass_no_guard() {
     let ready = (NodeState::Ready, None);
     let cold = (NodeState::Ready, Some(99.0));
-    let all = legs(1.0, false, Outcome::Done, ready);
-    let sick = legs(1.0, false, Outcome::Error, ready);
-    let held = legs(1.0, false, Outcome::Done, cold);
-    // Weight, pinned, answers, node; the least and most legs.
+    let all = attempts(1.0, false, Outcome::Done, ready);
+    let sick = attempts(1.0, false, Outcome::Error, ready);
+    let held = attempts(1.0, false, Outcome::Done, cold);
+    // Weight, pinned, answers, node; the least and most attempts.
     for (name, weight, pinned, answer, node, least, most) in [
         ("half", 0.5, false, Outcome::Done, ready, all / 4, all * 3 / 4),
         ("a tenth", 0.1, false, Outcome::Done, ready, 1, all / 3),
@@ -46,7 +46,7 @@
         ("pinned and sick", 1.0, true, Outcome::Error, ready, sick * 2, usize::MAX),
         ("pinned and cold", 1.0, true, Outcome::Done, cold, 1, held),
     ] {
-        let found = legs(weight, pinned, answer, node);
+        let found = attempts(weight, pinned, answer, node);
         assert!((least..=most).contains(&found), "{name}: {found} of {all}, sick {sick}, cold {held}");
     }
 }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -31,7 +31,7 @@
 
 #[test]
 fn caps_shrink_the_more_hosts_share_the_node() {
-    // Hosts, stream type, how long answers take, what the node says waits there; the least and most legs of one
+    // Hosts, stream type, how long answers take, what the node says waits there; the least and most attempts of one
     // host with plenty waiting in 10 s. Many must not fill a node where each keeps only one out, and looser
     // streams must leave it to the tight ones of hosts they don't see.
     for (hosts, stream, took, waiting, least, most) in [
@@ -44,20 +44,20 @@
     ] {
         let mut d = Desk::new(hosts, Effect::Repeatable, false);
         d.ready(1);
-        let (mut out, mut legs) = (std::collections::VecDeque::new(), 0);
+        let (mut out, mut attempts) = (std::collections::VecDeque::new(), 0);
         for step in 0..1000 {
             d.take(stream, 2, step % 5, 1.0, 0, step);
             let end = d.now + 0.01;
             for (t, x) in d.until(end).into_iter().filter_map(|(t, x)| Some((t, sent(&x)?.0))) {
                 out.push_back((t, x));
-                legs += 1;
+                attempts += 1;
             }
             while let Some((_, x)) = out.pop_front_if(|o| o.0 + took <= end) {
                 d.s.load_reported(d.at(), NodeId(0), waiting);
                 d.end(x, 0, Outcome::Done, took);
             }
         }
-        assert!((least..=most).contains(&legs), "{hosts} {stream} {took} {waiting}: {legs}");
+        assert!((least..=most).contains(&attempts), "{hosts} {stream} {took} {waiting}: {attempts}");
     }
 }
 
@@ -121,7 +121,7 @@
             let end = d.now + 0.02;
             for (_, x) in d.until(end) {
                 let Some((x, _)) = sent(&x) else { continue };
-                (0..4).for_each(|leg| d.end(x, leg, o, 0.01));
+                (0..4).for_each(|attempt| d.end(x, attempt, o, 0.01));
                 match step {
                     100..=199 => sick += 1,
                     300.. => well += 1,
@@ -176,10 +176,10 @@
 
 #[test]
 fn a_node_that_fails_by_chance_is_asked_again_in_time() {
-    // How many of ten legs fail, and how long that takes; requests of 100 done within the SLO time, at least and most.
+    // How many of ten attempts fail, and how long that takes; requests of 100 done within the SLO time, at least and most.
     for (failing, took, least, most) in [(5, 0.005, 85, 100), (7, 0.005, 60, 100), (5, 0.3, 30, 70)] {
         let mut d = desk(1);
-        let (mut legs, mut done, mut out) = (0u32, 0, Vec::<(f64, RequestId, u32)>::new());
+        let (mut attempts, mut done, mut out) = (0u32, 0, Vec::<(f64, RequestId, u32)>::new());
         let mut tries = std::collections::HashMap::<RequestId, u32>::new();
         for step in 0..2000 {
             if step % 20 == 0 {
@@ -193,40 +193,40 @@
             }
             while let Some(i) = out.iter().position(|o| o.0 <= end) {
                 let (_, x, no) = out.remove(i);
-                // Spread evenly, and in no step with the legs of a request.
-                let fails = legs * 7 % 10 < failing;
-                legs += 1;
+                // Spread evenly, and in no step with the attempts of a request.
+                let fails = attempts * 7 % 10 < failing;
+                attempts += 1;
                 done += u32::from(!fails);
                 d.end(x, no, if fails { Outcome::Error } else { Outcome::Done }, took);
             }
         }
         assert!(
             (least..=most).contains(&done),
-            "{failing} of ten fail in {took} s: {done} done, {legs} legs"
+            "{failing} of ten fail in {took} s: {done} done, {attempts} legs"
         );
     }
 }
 
 #[test]
-fn lost_legs_are_sent_again_in_time_and_slow_ones_are_not() {
-    // Whether every seventh leg is lost, or all come back slowly; whether time-outs are set in the end.
+fn lost_attempts_are_sent_again_in_time_and_slow_ones_are_not() {
+    // Whether every seventh attempt is lost, or all come back slowly; whether time-outs are set in the end.
     for (lossy, took, expected) in [(true, 0.02, true), (false, 0.02, false), (false, 0.3, false)] {
         let mut d = desk(3);
-        let (mut silent, mut timed, mut legs) = (Vec::new(), 0, vec![0; 1200]);
+        let (mut silent, mut timed, mut attempts) = (Vec::new(), 0, vec![0; 1200]);
         for step in 0..1200u32 {
             d.take(0, 2, step % 9, 1.0, (step % 3) as i32, step);
             for x in d.pull() {
                 let Decision::Send { request, timeout, .. } = x else { continue };
                 timed += u32::from(step > 1000 && timeout.is_some());
-                legs[request.0 as usize] += 1;
+                attempts[request.0 as usize] += 1;
                 let until = d.now + timeout.map_or(2.9, Span::secs);
                 match lossy && request.0 % 7 == 0 {
-                    true => silent.push((request, legs[request.0 as usize] - 1, until)),
+                    true => silent.push((request, attempts[request.0 as usize] - 1, until)),
                     false => d.end(request, 0, Outcome::Done, took),
                 }
             }
-            for (x, leg, _) in silent.extract_if(.., |s| s.2 <= d.now) {
-                d.s.leg_ended(d.at(), x, LegNo(leg), Outcome::TimedOut, secs(1.0), false);
+            for (x, attempt, _) in silent.extract_if(.., |s| s.2 <= d.now) {
+                d.s.attempt_ended(d.at(), x, AttemptNumber(attempt), Outcome::TimedOut, secs(1.0), false);
             }
             d.now += 0.005;
         }
@@ -236,8 +236,8 @@
 
 #[test]
 fn a_node_that_serves_nothing_gets_less_and_a_lossy_link_does_not() {
-    // How long clients wait, how many of ten legs in a row are not answered in that time; the least and most
-    // legs in 120 s at 100 hosts. A drowned node, or one too slow for hurried clients, never answers slowly.
+    // How long clients wait, how many of ten attempts in a row are not answered in that time; the least and most
+    // attempts in 120 s at 100 hosts. A drowned node, or one too slow for hurried clients, never answers slowly.
     for (left, lost, least, most) in
         [(3.0, 0, 300, 4000), (3.0, 1, 80, 4000), (3.0, 10, 5, 30), (0.08, 10, 5, 80)]
     {
@@ -245,14 +245,14 @@
         d.ready(1);
         d.left = left;
         let mut out = std::collections::BTreeMap::<RequestId, (f64, bool)>::new();
-        let (mut legs, mut timed) = (0, 0);
+        let (mut attempts, mut timed) = (0, 0);
         for step in 0..1200 {
             d.take(0, 2, step % 5, 1.0, 0, step);
             let end = d.now + 0.1;
             for (t, x) in d.until(end) {
                 let Decision::Send { request, timeout, .. } = x else { continue };
-                let silent = legs % 10 < lost;
-                (legs, timed) = (legs + 1, timed + u32::from(timeout == Some(secs(0.5))));
+                let silent = attempts % 10 < lost;
+                (attempts, timed) = (attempts + 1, timed + u32::from(timeout == Some(secs(0.5))));
                 out.insert(
                     request,
                     (t + if silent { timeout.map_or(left, Span::secs) } else { 0.05 }, silent),
@@ -261,10 +261,10 @@
             while let Some((x, silent)) = out.iter().find(|o| o.1 .0 <= end).map(|o| (*o.0, o.1 .1)) {
                 out.remove(&x);
                 let o = if silent { Outcome::TimedOut } else { Outcome::Done };
-                (0..4).for_each(|leg| d.end(x, leg, o, if silent { left } else { 0.05 }));
+                (0..4).for_each(|attempt| d.end(x, attempt, o, if silent { left } else { 0.05 }));
             }
         }
-        assert!((least..=most).contains(&legs), "{left} s, {lost} of 10 lost: {legs} legs");
+        assert!((least..=most).contains(&attempts), "{left} s, {lost} of 10 lost: {attempts} legs");
         assert_eq!(timed > 5, lost == 10 && left > 0.5, "time-outs that let a queue drop: {timed}");
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -17,16 +17,16 @@
             d.ready(1);
         }
         let ids: Vec<_> = (0..30).map(|i| d.take(i % 2, 2, i, 1.0, 0, i)).collect();
-        let (mut answers, mut legs) = (vec![0; 30], vec![0; 30]);
+        let (mut answers, mut attempts) = (vec![0; 30], vec![0; 30]);
         let end = d.now + 4.0;
         while d.now < end {
             for (t, dec) in d.until(d.now + 0.01) {
                 match dec {
                     Decision::Send { request, .. } => {
                         assert_eq!(answers[request.0 as usize], 0, "{case}: sent after its answer");
-                        legs[request.0 as usize] += 1;
+                        attempts[request.0 as usize] += 1;
                         if case == "errors" {
-                            d.end(request, legs[request.0 as usize] - 1, Outcome::Error, 0.01);
+                            d.end(request, attempts[request.0 as usize] - 1, Outcome::Error, 0.01);
                         }
                     }
                     Decision::Defer { request, .. } | Decision::Abandon { request } => {
@@ -38,13 +38,13 @@
             }
         }
         assert!(ids.iter().all(|i| answers[i.0 as usize] == 1), "{case}: {answers:?}");
-        assert!(legs.iter().all(|n| *n <= 4), "{case}: {legs:?}");
+        assert!(attempts.iter().all(|n| *n <= 4), "{case}: {attempts:?}");
     }
 }
 
 #[test]
 fn no_double_effect() {
-    // Effect, first outcome, how long it took; whether another leg follows, and whether a deferral may.
+    // Effect, first outcome, how long it took; whether another attempt follows, and whether a deferral may.
     let table = [
         (Effect::Repeatable, Outcome::Error, 0.01, true, true),
         (Effect::Unrepeatable, Outcome::Error, 0.01, false, false),
@@ -65,13 +65,13 @@
         d.end(id, 0, outcome, took);
         let until = d.now + 0.2;
         let after = d.until(until);
-        let legs = after.iter().filter(|(_, x)| sent(x).is_some()).count();
-        assert_eq!(legs > 0, again, "{effect:?} {outcome:?}");
+        let attempts = after.iter().filter(|(_, x)| sent(x).is_some()).count();
+        assert_eq!(attempts > 0, again, "{effect:?} {outcome:?}");
         let after: Vec<_> = after.into_iter().chain(d.until(104.0)).collect();
         let deferred = after.iter().any(|(_, x)| matches!(x, Decision::Defer { .. }));
         let abandoned = after.iter().any(|(_, x)| matches!(x, Decision::Abandon { .. }));
-        // A second leg that is still out may have run in its turn.
-        let defer = defer && (legs == 0 || effect == Effect::Repeatable);
+        // A second attempt that is still out may have run in its turn.
+        let defer = defer && (attempts == 0 || effect == Effect::Repeatable);
         assert_eq!((deferred, abandoned), (defer, !defer), "{effect:?} {outcome:?}");
     }
 }
@@ -222,23 +222,23 @@
 }
 
 #[test]
-fn further_legs_stay_in_budget_over_any_window() {
+fn retries_stay_in_budget_over_any_window() {
     for (free, share) in [(3.0, 0.25), (0.0, 0.1), (1.0, 0.0)] {
         let mut d = Desk::new(1, Effect::Repeatable, false);
-        d.s.further_leg_budget(free, share, secs(5.0));
+        d.s.retry_budget(free, share, secs(5.0));
         d.ready(1);
-        let (mut taken, mut further, mut legs) = (vec![], vec![], vec![0; 2000]);
+        let (mut taken, mut further, mut attempts) = (vec![], vec![], vec![0; 2000]);
         for i in 0..1000 {
             d.take(0, 2, i % 5, 1.0, 0, i);
             taken.push(d.now);
             for (t, x) in d.until(d.now + 0.02) {
                 let Some((x, _)) = sent(&x) else { continue };
-                legs[x.0 as usize] += 1;
-                if legs[x.0 as usize] > 1 {
+                attempts[x.0 as usize] += 1;
+                if attempts[x.0 as usize] > 1 {
                     further.push(t);
                 }
                 let ok = x.0 % 2 == 0;
-                d.end(x, legs[x.0 as usize] - 1, if ok { Outcome::Done } else { Outcome::Error }, 0.01);
+                d.end(x, attempts[x.0 as usize] - 1, if ok { Outcome::Done } else { Outcome::Error }, 0.01);
             }
         }
         for end in &further {
@@ -282,8 +282,8 @@
                 if (step % 10 < first) == (h == 0) || !tells {
                     (0..2).for_each(|_| _ = d.take(0, 0, 0, 2.0, (step / 7 % 4) as i32, step));
                 }
-                let legs = d.pull().iter().filter_map(sent).collect::<Vec<_>>();
-                for (x, nd) in legs {
+                let attempts = d.pull().iter().filter_map(sent).collect::<Vec<_>>();
+                for (x, nd) in attempts {
                     let shard = nd.0 as usize;
                     store = (store + 10.0 * (now - at)).min(40.0) - 2.0;
                     (at, drawn) = (now, drawn + 2.0);
@@ -459,7 +459,7 @@
         let mut all = d.pull();
         if !over {
             assert_eq!(all.iter().filter_map(sent).map(|s| s.0).collect::<Vec<_>>(), [first, second]);
-            // Its error comes when the mark is nearly forgotten; the pause before a further leg outlasts it.
+            // Its error comes when the mark is nearly forgotten; the pause before a retry outlasts it.
             d.now += 0.17;
             d.end(first, 0, Outcome::Error, 0.17);
             given_up = d.now + 0.03;
