--- a/crates/benchlink/src/lib.rs
+++ b/crates/benchlink/src/lib.rs
@@ -234,10 +234,10 @@
                     let (tid, brick) = (self.request(request), &self.nodes.texts[node.0 as usize]);
                     json!(["Transmit", number, tid, brick, timeout.map_or(0.0, Span::secs)])
                 }
-                Decision::Defer { request, come_back } => {
-                    json!(["TurnAway", number, self.request(request), come_back.map_or(0.0, Span::secs)])
+                Decision::Reject { request, retry_after } => {
+                    json!(["TurnAway", number, self.request(request), retry_after.map_or(0.0, Span::secs)])
                 }
-                Decision::Abandon { request } => json!(["ReportFailure", number, self.request(request)]),
+                Decision::Fail { request } => json!(["ReportFailure", number, self.request(request)]),
                 Decision::FollowList => json!(["Follow", number, true]),
                 Decision::Log(line) => json!(["SayLog", number, line]),
             });
--- a/crates/cli/src/io.rs
+++ b/crates/cli/src/io.rs
@@ -110,12 +110,12 @@
 fn done(o: Outcome, what: impl Fn() -> String) -> Result<bytes::Bytes, String> {
     match o {
         Outcome::Done(data) => Ok(data),
-        Outcome::Deferred { come_back } => {
-            let when = come_back.map_or(String::new(), |w| format!(", come back in {:.3} s", w.secs()));
-            Err(format!("{}: deferred, it did not run{when}", what()))
+        Outcome::Rejected { retry_after } => {
+            let when = retry_after.map_or(String::new(), |w| format!(", retry after {:.3} s", w.secs()));
+            Err(format!("{}: rejected, it did not run{when}", what()))
         }
-        Outcome::Abandoned => Err(format!("{}: abandoned, whether it ran is unknown", what())),
-        Outcome::Rejected(why) => Err(format!("{}: {why}", what())),
+        Outcome::Failed => Err(format!("{}: failed, whether it ran is unknown", what())),
+        Outcome::InvalidRequest(why) => Err(format!("{}: {why}", what())),
     }
 }
 
@@ -236,7 +236,7 @@
     let places = (v.bytes - u64::from(bytes)) / u64::from(v.block_bytes) + 1;
     let mut chance = oorandom::Rand64::new(u128::from(seed));
     let mut times = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
-    let mut counts = [0u64; 4]; // done, deferred, abandoned, rejected
+    let mut counts = [0u64; 4]; // done, rejected, failed, invalid
     let mut open: Vec<(Instant, tackmast_client::Pending)> = Vec::new();
     let start = Instant::now();
     let until = start + Duration::from_secs_f64(seconds);
@@ -259,9 +259,9 @@
             Some(outcome) => {
                 let i = match outcome {
                     Outcome::Done(_) => 0,
-                    Outcome::Deferred { .. } => 1,
-                    Outcome::Abandoned => 2,
-                    Outcome::Rejected(_) => 3,
+                    Outcome::Rejected { .. } => 1,
+                    Outcome::Failed => 2,
+                    Outcome::InvalidRequest(_) => 3,
                 };
                 counts[i] += 1;
                 if i == 0 {
@@ -272,10 +272,10 @@
         });
         if shown.elapsed() > Duration::from_millis(500) && live {
             shown = Instant::now();
-            let [done, deferred, abandoned, rejected] = counts;
+            let [done, rejected, failed, invalid] = counts;
             let per_s = done as f64 / start.elapsed().as_secs_f64();
             eprint!(
-                "\r{:5.1} s  {per_s:8.0} done/s  {} open  {deferred} deferred  {abandoned} abandoned  {rejected} rejected  ",
+                "\r{:5.1} s  {per_s:8.0} done/s  {} open  {rejected} rejected  {failed} failed  {invalid} invalid  ",
                 start.elapsed().as_secs_f64(),
                 open.len()
             );
@@ -285,8 +285,8 @@
     if live {
         eprintln!();
     }
-    let [done, deferred, abandoned, rejected] = counts;
-    println!("{done} done, {deferred} deferred, {abandoned} abandoned, {rejected} rejected in {seconds} s");
+    let [done, rejected, failed, invalid] = counts;
+    println!("{done} done, {rejected} rejected, {failed} failed, {invalid} invalid in {seconds} s");
     let at = |q| times.value_at_quantile(q) as f64 / 1e3;
     println!(
         "answered after {:.2} ms at the median, {:.2} ms at p99, {:.2} ms at most",
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -185,7 +185,7 @@
             println!("{hosts} hosts, {nodes} nodes; models in virtual time, and stand-ins on loopback");
             println!(
                 "{:<12} {:<9} {:>7} {:>8} {:>9} {:>8} {:>9} {:>9}",
-                "flow", "where", "asked", "in time", "deferred", "abandon.", "p50 ms", "p99 ms"
+                "flow", "where", "asked", "in time", "rejected", "failed", "p50 ms", "p99 ms"
             );
             for b in tackmast_measure::held_against_loopback(&load, hosts, nodes, unit_ms)? {
                 for (place, f) in [("lab", &b.lab), ("loopback", &b.loopback)] {
@@ -195,8 +195,8 @@
                         b.flow,
                         f.asked,
                         part(f.in_time),
-                        part(f.deferred),
-                        part(f.abandoned),
+                        part(f.rejected),
+                        part(f.failed),
                         f.p50_ms,
                         f.p99_ms
                     );
@@ -343,12 +343,12 @@
     let r = &found.run;
     _ = writeln!(
         out,
-        "{} asked, {:.3} in time, {} done, {} deferred, {} abandoned; {} events; {} left in tables at the end",
+        "{} asked, {:.3} in time, {} done, {} rejected, {} failed; {} events; {} left in tables at the end",
         r.asked,
         r.in_time as f64 / r.asked.max(1) as f64,
         r.done,
-        r.deferred,
-        r.abandoned,
+        r.rejected,
+        r.failed,
         r.events,
         r.stuck
     );
@@ -379,7 +379,7 @@
     );
     _ = writeln!(
         out,
-        "most open at one host: {} commands, {} transfers, {} legs",
+        "most open at one host: {} commands, {} requests, {} attempts",
         r.most_open.0, r.most_open.1, r.most_open.2
     );
     _ = write!(out, "{}", found.report);
--- a/crates/cli/src/measure.rs
+++ b/crates/cli/src/measure.rs
@@ -70,7 +70,7 @@
     }
     let (none, many) = core_cost_with_orders(200_000, 10_000)?;
     println!(
-        "host core: {none:.2} us a transfer with no overrides, {many:.2} us with 10,000 ({:.2})",
+        "host core: {none:.2} us a request with no overrides, {many:.2} us with 10,000 ({:.2})",
         many / none
     );
     Ok(ExitCode::SUCCESS)
@@ -145,7 +145,7 @@
     _ = std::fs::remove_dir_all(&dir);
     let cost = core_cost(200_000)?;
     println!(
-        "without I/O, one thread: host core {:.2} us a transfer, of which the module {:.2} us ({:.0}%)",
+        "without I/O, one thread: host core {:.2} us a request, of which the module {:.2} us ({:.0}%)",
         cost.core_us,
         cost.module_us,
         100.0 * cost.module_us / cost.core_us
--- a/crates/cli/src/orders.rs
+++ b/crates/cli/src/orders.rs
@@ -197,8 +197,8 @@
         Reply::Agreement(a) => println!("{a:?}"),
         Reply::Status(s) => {
             println!(
-                "host {}: {} commands open, {} legs out; taken {}, done {}, deferred {}, abandoned {}",
-                s.host, s.commands, s.attempts, s.taken, s.done, s.deferred, s.abandoned
+                "host {}: {} commands open, {} attempts out; taken {}, done {}, rejected {}, failed {}",
+                s.host, s.commands, s.attempts, s.taken, s.done, s.rejected, s.failed
             );
             println!(
                 "overrides: {} stand, version {}, {} nodes on their way back",
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -44,8 +44,8 @@
     tracing::info!(
         taken = s.core.taken,
         done = s.core.done,
-        deferred = s.core.deferred,
-        abandoned = s.core.abandoned,
+        rejected = s.core.rejected,
+        failed = s.core.failed,
         left = s.core.left,
         attempts = s.core.attempts,
         retries = s.core.retries,
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -30,7 +30,7 @@
     Newest,
     /// Version of the NBD additions; iSCSI keys have none, each is agreed on by itself.
     Version(u16),
-    /// Nothing but the public protocol, in its oldest form: a deferral can't be told from an abandoned request there.
+    /// Nothing but the public protocol, in its oldest form: a rejection can't be told from a failed request there.
     Public,
 }
 
@@ -42,7 +42,7 @@
     /// Time for a call that names none.
     pub expiry: Duration,
     pub sessions: usize,
-    /// Calls and bytes of calls that may be open; more are deferred at once.
+    /// Calls and bytes of calls that may be open; more are rejected at once.
     pub calls: usize,
     pub bytes: usize,
     pub policy: Policy,
@@ -103,7 +103,7 @@
     /// Waits for the answer, which comes by the call's expiry.
     pub fn wait(self) -> Outcome {
         // The library answers at the expiry by itself; a little more is for its own way.
-        self.answer.recv_timeout(self.longest).unwrap_or(Outcome::Abandoned)
+        self.answer.recv_timeout(self.longest).unwrap_or(Outcome::Failed)
     }
 
     /// The answer, if it is there.
--- a/crates/client/tests/histories.rs
+++ b/crates/client/tests/histories.rs
@@ -43,12 +43,12 @@
                 (*last, registers.lock().unwrap().write(start, block, blocks, *last))
             };
             let outcome = client.write(block * 512, data);
-            // The volume's writes are unrepeatable, so a deferral promises that nothing of it ran.
+            // The volume's writes are unrepeatable, so a rejection promises that nothing of it ran.
             let ran = match &outcome {
                 Outcome::Done(_) => Some(true),
-                Outcome::Deferred { .. } => Some(false),
-                Outcome::Abandoned => None,
-                Outcome::Rejected(why) => panic!("{why}"),
+                Outcome::Rejected { .. } => Some(false),
+                Outcome::Failed => None,
+                Outcome::InvalidRequest(why) => panic!("{why}"),
             };
             registers.lock().unwrap().wrote(now_us(), block, blocks, version, ran);
             counts[2] += u64::from(ran.is_none());
@@ -131,7 +131,7 @@
         let write = client.submit(Op::Write { offset: 4096, data: vec![1; 512].into() }, Some(expiry));
         std::thread::sleep(Duration::from_millis(100));
         pool.host.stop();
-        assert_eq!(write.wait(), Outcome::Abandoned, "{protocol:?}: it was out when its host ended");
+        assert_eq!(write.wait(), Outcome::Failed, "{protocol:?}: it was out when its host ended");
         assert!(!matches!(read.wait(), Outcome::Done(_)));
         assert!(started.elapsed() < expiry + Duration::from_millis(200), "{:?}", started.elapsed());
         pool.list.stop();
--- a/crates/client/tests/resumed.rs
+++ b/crates/client/tests/resumed.rs
@@ -41,7 +41,7 @@
             let client = Client::open(pool.options(protocol, "listening"), PATIENCE).unwrap();
             place += 4096;
             pool.cutter.order(cut);
-            assert_eq!(client.write(place, vec![9; 512]), Outcome::Abandoned, "{name}: nobody knows");
+            assert_eq!(client.write(place, vec![9; 512]), Outcome::Failed, "{name}: nobody knows");
             // The same client goes on; the write is there once its answer was given, or not at all.
             let Outcome::Done(found) = client.read(place, 512) else { panic!("{name}: not resumed") };
             match cut {
--- a/crates/client/tests/suite.rs
+++ b/crates/client/tests/suite.rs
@@ -34,10 +34,10 @@
             let sum = data.iter().fold(0u64, |s, b| s.wrapping_mul(31).wrapping_add(u64::from(*b)));
             format!("done {} bytes {sum:x}", data.len())
         }
-        Outcome::Deferred { .. } => "deferred".into(),
-        Outcome::Abandoned => "abandoned".into(),
+        Outcome::Rejected { .. } => "rejected".into(),
+        Outcome::Failed => "failed".into(),
         // The protocols word it differently; that it was wrong and never ran is the same.
-        Outcome::Rejected(_) => "rejected".into(),
+        Outcome::InvalidRequest(_) => "invalid".into(),
     }
 }
 
@@ -72,7 +72,7 @@
                     |i: u32| client.submit(Op::Read { offset: u64::from(i % 64) * 4096, length: 4096 }, None);
                 let all: Vec<_> = (0..*n).map(read).collect();
                 // How many are done in time depends on the machine; that each has its answer does not.
-                let answered = all.into_iter().map(|p| p.wait()).filter(|o| *o != Outcome::Abandoned).count();
+                let answered = all.into_iter().map(|p| p.wait()).filter(|o| *o != Outcome::Failed).count();
                 lines.push(format!("many: {answered} of {n} answered"));
             }
             Fault(node, fault) => nodes[*node].set(fault),
@@ -104,7 +104,7 @@
             "wrong places",
             "museum",
             vec![Read(16_384, 1), Read(16_383, 2), Write(16_384, 1, 0), Read(0, 4096), Read(16_383, 1)],
-            vec!["read 16383+2: rejected", "read 16383+1: done"],
+            vec!["read 16383+2: invalid", "read 16383+1: done"],
         ),
         (
             "one fault of many, a read again",
@@ -116,13 +116,13 @@
             "an unrepeatable write fails",
             "listening",
             vec![Fault(0, F::Errors(1.0)), Write(0, 1, 5), Fault(0, F::Well), Write(1, 1, 6), Read(1, 1)],
-            vec!["write 0+1: abandoned", "write 1+1: done"],
+            vec!["write 0+1: failed", "write 1+1: done"],
         ),
         (
             "an unrepeatable write is silent",
             "listening",
             vec![Fault(0, F::Silent(true)), Write(0, 1, 5), Fault(0, F::Silent(false)), Wait(ms(300))],
-            vec!["write 0+1: abandoned"],
+            vec!["write 0+1: failed"],
         ),
         (
             "an unrepeatable write finds nobody",
@@ -135,7 +135,7 @@
                 Write(2, 1, 7),
                 Read(2, 1),
             ],
-            vec!["write 2+1: deferred", "write 2+1: done"],
+            vec!["write 2+1: rejected", "write 2+1: done"],
         ),
         (
             "answers reset half-way",
@@ -204,7 +204,7 @@
     }
     assert_eq!(iscsi.len(), nbd.len());
     // A transport that bends one answer must not pass.
-    let skewed: Vec<String> = nbd.iter().map(|l| l.replace("abandoned", "deferred")).collect();
+    let skewed: Vec<String> = nbd.iter().map(|l| l.replace("failed", "rejected")).collect();
     assert_ne!(iscsi, skewed, "the suite sees the difference");
     pool.end();
 }
@@ -221,7 +221,7 @@
             let data = vec![7; 2048];
             assert_eq!(client.write(4096, data.clone()), Outcome::Done(vec![].into()), "{name}");
             assert_eq!(client.read(4096, 2048), Outcome::Done(data.into()), "{name}");
-            // Nobody serves the first shard: a write there is deferred, and surely did not run.
+            // Nobody serves the first shard: a write there is rejected, and surely did not run.
             pool.nodes[0].set(&Fault::Restart(1.3));
             std::thread::sleep(ms(50));
             let found = client.write(0, vec![1; 512]);
@@ -231,8 +231,8 @@
                 Protocol::Nbd => matches!(speaks, Speaks::Newest | Speaks::Version(2)),
             };
             match (&found, told) {
-                (Outcome::Deferred { .. }, true) | (Outcome::Abandoned, false) => {}
-                _ => panic!("{name}: {found:?}; a deferral is told only where it can be"),
+                (Outcome::Rejected { .. }, true) | (Outcome::Failed, false) => {}
+                _ => panic!("{name}: {found:?}; a rejection is told only where it can be"),
             }
             std::thread::sleep(ms(1500));
             client.close();
--- a/crates/clientcore/src/core.rs
+++ b/crates/clientcore/src/core.rs
@@ -105,7 +105,7 @@
 
     /// A call, under a number of the caller's. It has one answer, at `deadline` at the latest.
     pub fn call(&mut self, now: Instant, number: u64, op: Op, deadline: Instant) {
-        let reject = |text: String| Output::Answer { call: number, outcome: Outcome::Rejected(text) };
+        let reject = |text: String| Output::Answer { call: number, outcome: Outcome::InvalidRequest(text) };
         if let Some(v) = self.volume {
             let (offset, length) = match &op {
                 Op::Read { offset, length } => (*offset, u64::from(*length)),
@@ -127,7 +127,7 @@
             }
         }
         if self.calls.len() >= self.bounds.calls || self.bytes + op.bytes() > self.bounds.bytes {
-            let outcome = Outcome::Deferred { come_back: None };
+            let outcome = Outcome::Rejected { retry_after: None };
             return self.outputs.push_back(Output::Answer { call: number, outcome });
         }
         if self.slots.iter().all(|s| matches!(s, Slot::Refused)) {
@@ -224,8 +224,8 @@
                 out.remove(&number);
             }
             match outcome {
-                Outcome::Deferred { come_back } => self.ended(now, number, End::Deferred { come_back }),
-                Outcome::Abandoned => self.ended(now, number, End::Abandoned),
+                Outcome::Rejected { retry_after } => self.ended(now, number, End::Rejected { retry_after }),
+                Outcome::Failed => self.ended(now, number, End::Failed),
                 done => self.answer(number, done),
             }
         }
@@ -237,7 +237,7 @@
                 self.outputs.push_back(Output::Refused(text));
                 if self.slots.iter().all(|s| matches!(s, Slot::Refused)) {
                     let all: Vec<u64> = self.calls.keys().copied().collect();
-                    let none = || Outcome::Rejected("no session: the gateway refused them all".into());
+                    let none = || Outcome::InvalidRequest("no session: the gateway refused them all".into());
                     all.into_iter().for_each(|n| self.answer(n, none()));
                 }
             }
@@ -252,7 +252,7 @@
     fn ended(&mut self, now: Instant, number: u64, end: End) {
         let Some(c) = self.calls.get_mut(&number) else { return };
         c.slot = None;
-        c.ran |= matches!(end, End::Abandoned | End::Lost);
+        c.ran |= matches!(end, End::Failed | End::Lost);
         let (write, tries, took, deadline) = (c.op.is_write(), c.tries, now - c.sent, c.deadline);
         match self.budget.next(now, end, write, tries, took, deadline) {
             Next::Again(at) => {
@@ -261,8 +261,8 @@
                     self.waiting.insert((at, number), ());
                 }
             }
-            Next::Deferred(come_back) => self.answer(number, Outcome::Deferred { come_back }),
-            Next::Abandoned => self.answer(number, Outcome::Abandoned),
+            Next::Rejected(retry_after) => self.answer(number, Outcome::Rejected { retry_after }),
+            Next::Failed => self.answer(number, Outcome::Failed),
         }
     }
 
@@ -275,7 +275,7 @@
             };
             // Out at its expiry, or tried before with an unknown end: no promise. Else it never ran.
             let unknown = c.slot.is_some() || c.ran;
-            let outcome = if unknown { Outcome::Abandoned } else { Outcome::Deferred { come_back: None } };
+            let outcome = if unknown { Outcome::Failed } else { Outcome::Rejected { retry_after: None } };
             if let Some(c) = self.forget(number) {
                 self.call_back(number, &c);
             }
@@ -350,8 +350,8 @@
         let all: Vec<u64> = self.calls.keys().copied().collect();
         for number in all {
             let sent = self.calls.get(&number).is_some_and(|c| c.slot.is_some() || c.ran);
-            let none = Outcome::Deferred { come_back: None };
-            self.answer(number, if sent { Outcome::Abandoned } else { none });
+            let none = Outcome::Rejected { retry_after: None };
+            self.answer(number, if sent { Outcome::Failed } else { none });
         }
     }
 
--- a/crates/clientcore/src/iscsi.rs
+++ b/crates/clientcore/src/iscsi.rs
@@ -224,18 +224,18 @@
         let outcome = match code {
             status::GOOD if data.len() == p.read => Outcome::Done(data),
             // Fewer bytes than were asked for are not the answer.
-            status::GOOD => Outcome::Abandoned,
+            status::GOOD => Outcome::Failed,
             status::BUSY => {
                 let exact = pdu.data.get(2..6).map(|b| u32::from_be_bytes([b[0], b[1], b[2], b[3]]));
                 let us = exact.map_or(u64::from(pdu.u16(8) & 0x3fff) * 100_000, u64::from);
-                let come_back = (us > 0).then(|| Span::from_secs(us as f64 / 1e6));
-                Outcome::Deferred { come_back }
+                let retry_after = (us > 0).then(|| Span::from_secs(us as f64 / 1e6));
+                Outcome::Rejected { retry_after }
             }
             _ => match Sense::from_segment(&pdu.data) {
                 Some(Sense(0x05, code, qualifier)) => {
-                    Outcome::Rejected(format!("illegal request, {code:02x}h/{qualifier:02x}h"))
+                    Outcome::InvalidRequest(format!("illegal request, {code:02x}h/{qualifier:02x}h"))
                 }
-                _ => Outcome::Abandoned,
+                _ => Outcome::Failed,
             },
         };
         self.events.push_back(SessionEvent::Answer { tag: p.tag, outcome });
--- a/crates/clientcore/src/nbd.rs
+++ b/crates/clientcore/src/nbd.rs
@@ -148,9 +148,9 @@
     fn failed(code: u32, text: &Bytes) -> Outcome {
         match code {
             error::INVAL | error::NOSPC | error::OVERFLOW | error::NOTSUP | error::PERM => {
-                Outcome::Rejected(format!("error {code}: {}", String::from_utf8_lossy(text)))
+                Outcome::InvalidRequest(format!("error {code}: {}", String::from_utf8_lossy(text)))
             }
-            _ => Outcome::Abandoned,
+            _ => Outcome::Failed,
         }
     }
 
@@ -187,11 +187,11 @@
                         p.data[at..end].copy_from_slice(&data);
                         p.have += data.len();
                     }
-                    chunk::DEFERRED => {
+                    chunk::REJECTED => {
                         let (_, mut text) = nbd::read_error(&data).map_err(|e| e.to_string())?;
                         let us = if text.len() >= 8 { text.get_u64() } else { 0 };
-                        let come_back = (us > 0).then(|| Span::from_secs(us as f64 / 1e6));
-                        p.failed = Some(Outcome::Deferred { come_back });
+                        let retry_after = (us > 0).then(|| Span::from_secs(us as f64 / 1e6));
+                        p.failed = Some(Outcome::Rejected { retry_after });
                     }
                     // All chunk types with the highest bit are errors, known or not.
                     k if k & 0x8000 != 0 => {
@@ -213,7 +213,7 @@
                 Some(o) => o,
                 None if p.have == p.read => Outcome::Done(p.data.freeze()),
                 // Fewer bytes than were asked for are not the answer.
-                None => Outcome::Abandoned,
+                None => Outcome::Failed,
             };
             self.events.push_back(SessionEvent::Answer { tag, outcome });
         }
--- a/crates/clientcore/src/op.rs
+++ b/crates/clientcore/src/op.rs
@@ -36,13 +36,13 @@
 pub enum Outcome {
     Done(Bytes),
     /// Not done, and a retry is safe; come back after the span, where one is given.
-    Deferred {
-        come_back: Option<Span>,
+    Rejected {
+        retry_after: Option<Span>,
     },
     /// Not done as far as is known, and no promise about its effect.
-    Abandoned,
+    Failed,
     /// The call itself was wrong, and never ran.
-    Rejected(String),
+    InvalidRequest(String),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/clientcore/src/retry.rs
+++ b/crates/clientcore/src/retry.rs
@@ -8,10 +8,10 @@
 pub enum End {
     /// It never left: there was no session, or the window was shut.
     NotSent,
-    Deferred {
-        come_back: Option<Span>,
+    Rejected {
+        retry_after: Option<Span>,
     },
-    Abandoned,
+    Failed,
     /// Its session ended while it was out.
     Lost,
 }
@@ -20,9 +20,9 @@
 pub enum Next {
     /// Try again at this time.
     Again(Instant),
-    /// Tell the caller: deferred, with how long to stay away.
-    Deferred(Option<Span>),
-    Abandoned,
+    /// Tell the caller: rejected, with how long to stay away.
+    Rejected(Option<Span>),
+    Failed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -81,14 +81,14 @@
         deadline: Instant,
     ) -> Next {
         let advice = match end {
-            End::Deferred { come_back } => come_back,
+            End::Rejected { retry_after } => retry_after,
             _ => None,
         };
-        // What is said where no further try is made. A write that may have run is never called deferred.
+        // What is said where no further try is made. A write that may have run is never called rejected.
         let answer = match end {
-            End::Abandoned | End::Lost if write => return Next::Abandoned,
-            End::Abandoned | End::Lost => Next::Abandoned,
-            End::NotSent | End::Deferred { .. } => Next::Deferred(advice),
+            End::Failed | End::Lost if write => return Next::Failed,
+            End::Failed | End::Lost => Next::Failed,
+            End::NotSent | End::Rejected { .. } => Next::Rejected(advice),
         };
         let wait = self.jittered(advice.unwrap_or(self.policy.least_wait).max(self.policy.least_wait));
         let at = now + wait;
@@ -118,22 +118,22 @@
     #[test]
     fn tries_follow_only_where_that_is_safe_and_in_time() {
         let s = Span::from_secs;
-        let deferred = |w: Option<f64>| End::Deferred { come_back: w.map(s) };
-        let told = |w: Option<f64>| Some(Next::Deferred(w.map(s)));
-        let abandoned = Some(Next::Abandoned);
+        let rejected = |w: Option<f64>| End::Rejected { retry_after: w.map(s) };
+        let told = |w: Option<f64>| Some(Next::Rejected(w.map(s)));
+        let failed = Some(Next::Failed);
         // End, write, tries, budget left, seconds left; the answer, or none for a further try.
         type Case<'a> = (&'a str, End, bool, u32, f64, f64, Option<Next>);
         let cases: &[Case] = &[
-            ("a deferred write", deferred(Some(0.1)), true, 1, 5.0, 1.0, None),
-            ("a deferred read", deferred(None), false, 1, 5.0, 1.0, None),
-            ("no time for it", deferred(Some(2.0)), true, 1, 5.0, 1.0, told(Some(2.0))),
-            ("no time for as long as the last", deferred(None), true, 1, 5.0, 0.2, told(None)),
-            ("no budget for it", deferred(Some(0.1)), true, 1, 0.5, 1.0, told(Some(0.1))),
-            ("tries enough", deferred(None), true, 8, 5.0, 1.0, told(None)),
-            ("an abandoned write", End::Abandoned, true, 1, 5.0, 1.0, abandoned),
-            ("an abandoned read", End::Abandoned, false, 1, 5.0, 1.0, None),
-            ("an abandoned read, no budget", End::Abandoned, false, 1, 0.0, 1.0, abandoned),
-            ("a lost write", End::Lost, true, 1, 5.0, 1.0, abandoned),
+            ("a rejected write", rejected(Some(0.1)), true, 1, 5.0, 1.0, None),
+            ("a rejected read", rejected(None), false, 1, 5.0, 1.0, None),
+            ("no time for it", rejected(Some(2.0)), true, 1, 5.0, 1.0, told(Some(2.0))),
+            ("no time for as long as the last", rejected(None), true, 1, 5.0, 0.2, told(None)),
+            ("no budget for it", rejected(Some(0.1)), true, 1, 0.5, 1.0, told(Some(0.1))),
+            ("tries enough", rejected(None), true, 8, 5.0, 1.0, told(None)),
+            ("a failed write", End::Failed, true, 1, 5.0, 1.0, failed),
+            ("a failed read", End::Failed, false, 1, 5.0, 1.0, None),
+            ("a failed read, no budget", End::Failed, false, 1, 0.0, 1.0, failed),
+            ("a lost write", End::Lost, true, 1, 5.0, 1.0, failed),
             ("a lost read", End::Lost, false, 1, 5.0, 1.0, None),
             ("a write that never left, no budget", End::NotSent, true, 1, 0.0, 1.0, None),
             ("a write that never left, no time", End::NotSent, true, 1, 5.0, 0.001, told(None)),
@@ -159,7 +159,7 @@
             b.first_try();
             let next = b.next(
                 now,
-                End::Deferred { come_back: None },
+                End::Rejected { retry_after: None },
                 false,
                 1,
                 Span::ZERO,
--- a/crates/config/src/host.rs
+++ b/crates/config/src/host.rs
@@ -46,7 +46,7 @@
     1.0
 }
 
-/// `bounds { ... }`: what each table and queue may hold. What is over a bound is deferred.
+/// `bounds { ... }`: what each table and queue may hold. What is over a bound is rejected.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
--- a/crates/day/src/import.rs
+++ b/crates/day/src/import.rs
@@ -100,7 +100,8 @@
 }
 #[derive(Deserialize)]
 struct Family {
-    defer: f64,
+    #[serde(rename = "defer")]
+    reject: f64,
     flush: f64,
     mean_units: f64,
     most_units: f64,
@@ -271,7 +272,7 @@
             s(k.cold),
             d.fall_multiple,
             s(d.fall_for),
-            d.fam.defer,
+            d.fam.reject,
             s(d.fam.flush),
             k.pause / 1e3,
             s(k.pause_every),
--- a/crates/day/src/script.rs
+++ b/crates/day/src/script.rs
@@ -181,7 +181,7 @@
     #[serde(default)]
     pub from_s: f64,
     pub for_s: Option<f64>,
-    /// Further tries after a deferral, and whether it waits as told.
+    /// Further tries after a rejection, and whether it waits as told.
     #[serde(default)]
     pub retries: u32,
     #[serde(default = "yes")]
--- a/crates/day/src/traffic.rs
+++ b/crates/day/src/traffic.rs
@@ -28,10 +28,10 @@
     pub in_time: u64,
     pub done: u64,
     /// Answers of all tries.
-    pub deferred: u64,
-    pub abandoned: u64,
-    pub lost: u64,
     pub rejected: u64,
+    pub failed: u64,
+    pub lost: u64,
+    pub invalid: u64,
     /// Tries that found no session, or a shut window.
     pub unreached: u64,
     pub shut: u64,
@@ -41,19 +41,19 @@
 impl Tally {
     pub fn new() -> Tally {
         let times = Histogram::new_with_bounds(1, LONGEST, 3).unwrap_or_else(|_| unreachable_histogram());
-        let (asked, in_time, done, deferred, abandoned) = (0, 0, 0, 0, 0);
-        let (lost, rejected, unreached, shut) = (0, 0, 0, 0);
-        Tally { asked, in_time, done, deferred, abandoned, lost, rejected, unreached, shut, times }
+        let (asked, in_time, done, rejected, failed) = (0, 0, 0, 0, 0);
+        let (lost, invalid, unreached, shut) = (0, 0, 0, 0);
+        Tally { asked, in_time, done, rejected, failed, lost, invalid, unreached, shut, times }
     }
 
     pub fn add(&mut self, other: &Tally) {
         self.asked += other.asked;
         self.in_time += other.in_time;
         self.done += other.done;
-        self.deferred += other.deferred;
-        self.abandoned += other.abandoned;
-        self.lost += other.lost;
         self.rejected += other.rejected;
+        self.failed += other.failed;
+        self.lost += other.lost;
+        self.invalid += other.invalid;
         self.unreached += other.unreached;
         self.shut += other.shut;
         _ = self.times.add(&other.times);
@@ -453,10 +453,10 @@
                     }
                     Some(true)
                 }
-                Reply::Deferred { come_back_us } => {
-                    s.tallies[stream].deferred += 1;
+                Reply::Rejected { retry_after_us } => {
+                    s.tallies[stream].rejected += 1;
                     if t.tries < self.block.retries {
-                        let wait = if self.block.waits { *come_back_us } else { 0 };
+                        let wait = if self.block.waits { *retry_after_us } else { 0 };
                         let again = Again {
                             at: now + wait,
                             first_at: t.first_at,
@@ -468,23 +468,23 @@
                         };
                         _ = self.again.0.send(again);
                     }
-                    // For what bears no second run, a deferral promises that it did not run at all.
+                    // For what bears no second run, a rejection promises that it did not run at all.
                     if effect == Effect::Repeatable {
                         None
                     } else {
                         Some(false)
                     }
                 }
-                Reply::Abandoned => {
-                    s.tallies[stream].abandoned += 1;
+                Reply::Failed => {
+                    s.tallies[stream].failed += 1;
                     None
                 }
                 Reply::Lost => {
                     s.tallies[stream].lost += 1;
                     None
                 }
-                Reply::Rejected(sense) => {
-                    s.tallies[stream].rejected += 1;
+                Reply::InvalidRequest(sense) => {
+                    s.tallies[stream].invalid += 1;
                     let (name, blocks, block) = (&self.name, t.blocks, t.block);
                     let what = format!("traffic {name}: {blocks} blocks at {block} rejected with {sense:?}");
                     s.wrong.push(what);
--- a/crates/host/src/links.rs
+++ b/crates/host/src/links.rs
@@ -355,7 +355,7 @@
                 // ping in the same time again is cut off.
                 let owes = lock(out).as_ref().is_some_and(|o| !o.is_empty());
                 if owes && asked {
-                    tracing::debug!("link: silent while legs are out; broken off");
+                    tracing::debug!("link: silent while attempts are out; broken off");
                     break;
                 }
                 asked = owes && pings.try_send(()).is_ok();
@@ -383,7 +383,7 @@
             };
             let attempt = AttemptId(answer.attempt);
             if !lock(out).as_mut().is_some_and(|o| o.remove(&attempt)) {
-                tracing::debug!(attempt = attempt.0, "link: an answer to no leg that is out");
+                tracing::debug!(attempt = attempt.0, "link: an answer to no attempt that is out");
                 continue;
             }
             let outcome = match answer.outcome {
--- a/crates/host/src/sessions.rs
+++ b/crates/host/src/sessions.rs
@@ -301,10 +301,10 @@
                     ToSession::Answer { command, verdict } => {
                         let verdict = match verdict {
                             Verdict::Done { data } => target::Verdict::Done { data },
-                            Verdict::Deferred { come_back } => target::Verdict::Deferred {
-                                come_back_us: come_back.map_or(0, |w| (w.secs() * 1e6) as u64),
+                            Verdict::Rejected { retry_after } => target::Verdict::Rejected {
+                                retry_after_us: retry_after.map_or(0, |w| (w.secs() * 1e6) as u64),
                             },
-                            Verdict::Abandoned => target::Verdict::Abandoned,
+                            Verdict::Failed => target::Verdict::Failed,
                         };
                         s.answer(command, verdict);
                     }
--- a/crates/host/tests/path.rs
+++ b/crates/host/tests/path.rs
@@ -51,11 +51,15 @@
     assert_eq!((luns[3], luns[8..10].to_vec(), luns[16..18].to_vec()), (16, vec![0, 1], vec![0x41, 0x2c]));
     let capacity = first(ask(1, Command::ReadCapacity16 { most: 32 }, 32), 12);
     assert_eq!(capacity, [0, 0, 0, 0, 0, 0, 0xff, 0xff, 0, 0, 2, 0]);
-    let rejected = |command, sense| assert_eq!(ask(1, command, 512), Reply::Rejected(sense), "{command:?}");
-    rejected(Command::Read { block: 65_536, blocks: 1 }, Sense::OUT_OF_RANGE);
-    rejected(Command::Read { block: u64::MAX, blocks: 2 }, Sense::OUT_OF_RANGE);
-    rejected(Command::Read { block: 0, blocks: 60_000 }, Sense::INVALID_FIELD);
-    assert_eq!(ask(9, Command::Read { block: 0, blocks: 1 }, 512), Reply::Rejected(Sense::NO_SUCH_UNIT));
+    let invalid =
+        |command, sense| assert_eq!(ask(1, command, 512), Reply::InvalidRequest(sense), "{command:?}");
+    invalid(Command::Read { block: 65_536, blocks: 1 }, Sense::OUT_OF_RANGE);
+    invalid(Command::Read { block: u64::MAX, blocks: 2 }, Sense::OUT_OF_RANGE);
+    invalid(Command::Read { block: 0, blocks: 60_000 }, Sense::INVALID_FIELD);
+    assert_eq!(
+        ask(9, Command::Read { block: 0, blocks: 1 }, 512),
+        Reply::InvalidRequest(Sense::NO_SUCH_UNIT)
+    );
     assert_eq!(client.read(1, 0, 1), done(vec![0; 512]), "the session goes on");
     pool.end();
 }
--- a/crates/host/tests/rough.rs
+++ b/crates/host/tests/rough.rs
@@ -86,7 +86,7 @@
     let mut greedy = nbd_open(&pool, "museum");
     greedy.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
     let started = Instant::now();
-    let (mut sent, mut asks, mut deferred) = (0u64, 0, 0);
+    let (mut sent, mut asks, mut rejected) = (0u64, 0, 0);
     while started.elapsed() < Duration::from_secs(2) {
         if greedy.write_all(&request(nbd::command::READ, sent, 0, 256 * 512)).is_err() {
             break;
@@ -97,16 +97,16 @@
             asks += 1;
             // On a machine busy with other tests an answer may be late for its SLO time; it is told so at once.
             match client.read(1, 5000, 1) {
-                Reply::Deferred { come_back_us } => {
-                    assert!(come_back_us > 0);
-                    deferred += 1;
+                Reply::Rejected { retry_after_us } => {
+                    assert!(retry_after_us > 0);
+                    rejected += 1;
                 }
                 answer => assert_eq!(answer, done(vec![0; 512])),
             }
             assert!(asked.elapsed() < Duration::from_millis(800), "after {sent}: {:?}", asked.elapsed());
         }
     }
-    assert!(asks > 0 && deferred * 4 <= asks, "{deferred} of {asks} deferred");
+    assert!(asks > 0 && rejected * 4 <= asks, "{rejected} of {asks} rejected");
     let s = pool.host.status().unwrap();
     assert!(s.commands <= 200, "{} commands are open", s.commands);
     drop(greedy);
--- a/crates/hostcore/src/combine.rs
+++ b/crates/hostcore/src/combine.rs
@@ -10,13 +10,13 @@
         ran: bool,
     },
     Done,
-    Deferred {
+    Rejected {
         ran: bool,
-        come_back: Option<Span>,
+        retry_after: Option<Span>,
     },
     /// The module gave it up with an attempt out that may have run. Where the links have proof that none of it ever
-    /// left, it is as good as deferred.
-    Abandoned {
+    /// left, it is as good as rejected.
+    Failed {
         ran: bool,
     },
 }
@@ -24,8 +24,8 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Combined {
     Done,
-    Deferred { come_back: Option<Span> },
-    Abandoned,
+    Rejected { retry_after: Option<Span> },
+    Failed,
 }
 
 /// Whether running a command again after a part of it ran does no harm. A keyed one is safe in all its nodes
@@ -40,18 +40,18 @@
 }
 
 /// The command's answer, if it is certain by now. An undone part settles it at once: a client that is told
-/// early can come back early. Deferred promises that a retry is safe, so one part that may have run makes it
-/// abandoned where the effect does not bear a second run.
+/// early can come back early. Rejected promises that a retry is safe, so one part that may have run makes it
+/// failed where the effect does not bear a second run.
 pub fn combine(effect: Effect, client_marks: bool, parts: &[PartEnd]) -> Option<Combined> {
     let mut undone = false;
-    let mut come_back: Option<Span> = None;
+    let mut retry_after: Option<Span> = None;
     for part in parts {
         match part {
-            PartEnd::Abandoned { ran: true } => return Some(Combined::Abandoned),
-            PartEnd::Abandoned { ran: false } => undone = true,
-            PartEnd::Deferred { come_back: wait, .. } => {
+            PartEnd::Failed { ran: true } => return Some(Combined::Failed),
+            PartEnd::Failed { ran: false } => undone = true,
+            PartEnd::Rejected { retry_after: wait, .. } => {
                 undone = true;
-                come_back = come_back.max(*wait);
+                retry_after = retry_after.max(*wait);
             }
             PartEnd::Open { .. } | PartEnd::Done => {}
         }
@@ -60,12 +60,12 @@
         return parts.iter().all(|p| *p == PartEnd::Done).then_some(Combined::Done);
     }
     let ran = parts.iter().any(|p| match p {
-        PartEnd::Open { ran } | PartEnd::Deferred { ran, .. } | PartEnd::Abandoned { ran } => *ran,
+        PartEnd::Open { ran } | PartEnd::Rejected { ran, .. } | PartEnd::Failed { ran } => *ran,
         PartEnd::Done => true,
     });
     Some(match again_is_safe(effect, client_marks) || !ran {
-        true => Combined::Deferred { come_back },
-        false => Combined::Abandoned,
+        true => Combined::Rejected { retry_after },
+        false => Combined::Failed,
     })
 }
 
@@ -79,57 +79,45 @@
         let keyed = |group| Effect::Keyed { group, window: s(3.0) };
         let (re, un) = (Effect::Repeatable, Effect::Unrepeatable);
         let (open, out) = (PartEnd::Open { ran: false }, PartEnd::Open { ran: true });
-        let late = |ran, wait: Option<f64>| PartEnd::Deferred { ran, come_back: wait.map(s) };
-        let deferred = |wait: Option<f64>| Some(Combined::Deferred { come_back: wait.map(s) });
-        let (done, abandoned) = (Some(Combined::Done), Some(Combined::Abandoned));
+        let late = |ran, wait: Option<f64>| PartEnd::Rejected { ran, retry_after: wait.map(s) };
+        let rejected = |wait: Option<f64>| Some(Combined::Rejected { retry_after: wait.map(s) });
+        let (done, failed) = (Some(Combined::Done), Some(Combined::Failed));
         type Case<'a> = (&'a str, Effect, bool, &'a [PartEnd], Option<Combined>);
         let cases: &[Case] = &[
             ("all done", un, false, &[PartEnd::Done, PartEnd::Done], done),
             ("one to come", re, false, &[PartEnd::Done, open], None),
-            ("one deferred settles it", re, false, &[open, late(false, Some(0.2))], deferred(Some(0.2))),
+            ("one rejected settles it", re, false, &[open, late(false, Some(0.2))], rejected(Some(0.2))),
             (
                 "the longest wait counts",
                 re,
                 false,
                 &[late(true, Some(0.2)), late(true, Some(0.5))],
-                deferred(Some(0.5)),
-            ),
-            ("no advice", re, false, &[late(true, None)], deferred(None)),
-            (
-                "abandoned beats deferred",
-                re,
-                false,
-                &[late(false, None), PartEnd::Abandoned { ran: true }],
-                abandoned,
-            ),
-            ("repeatable, one part done", re, false, &[PartEnd::Done, late(false, None)], deferred(None)),
-            ("unrepeatable, nothing ran", un, false, &[open, late(false, None)], deferred(None)),
-            ("unrepeatable, a leg is out", un, false, &[out, late(false, None)], abandoned),
-            ("unrepeatable, one part done", un, false, &[PartEnd::Done, late(false, None)], abandoned),
-            (
-                "given up, but nothing ever left",
-                un,
-                false,
-                &[PartEnd::Abandoned { ran: false }],
-                deferred(None),
+                rejected(Some(0.5)),
             ),
+            ("no advice", re, false, &[late(true, None)], rejected(None)),
+            ("failed beats rejected", re, false, &[late(false, None), PartEnd::Failed { ran: true }], failed),
+            ("repeatable, one part done", re, false, &[PartEnd::Done, late(false, None)], rejected(None)),
+            ("unrepeatable, nothing ran", un, false, &[open, late(false, None)], rejected(None)),
+            ("unrepeatable, an attempt is out", un, false, &[out, late(false, None)], failed),
+            ("unrepeatable, one part done", un, false, &[PartEnd::Done, late(false, None)], failed),
+            ("given up, but nothing ever left", un, false, &[PartEnd::Failed { ran: false }], rejected(None)),
             (
                 "given up, and another part ran",
                 un,
                 false,
-                &[PartEnd::Abandoned { ran: false }, PartEnd::Done],
-                abandoned,
+                &[PartEnd::Failed { ran: false }, PartEnd::Done],
+                failed,
             ),
-            ("keyed, the client marks", keyed(Group::All), true, &[late(true, None)], deferred(None)),
-            ("keyed, only the host marks", keyed(Group::All), false, &[late(true, None)], abandoned),
+            ("keyed, the client marks", keyed(Group::All), true, &[late(true, None)], rejected(None)),
+            ("keyed, only the host marks", keyed(Group::All), false, &[late(true, None)], failed),
             (
                 "keyed, only the host marks, unseen",
                 keyed(Group::All),
                 false,
                 &[late(false, None)],
-                deferred(None),
+                rejected(None),
             ),
-            ("keyed in a zone", keyed(Group::Zone), true, &[PartEnd::Done, late(false, None)], abandoned),
+            ("keyed in a zone", keyed(Group::Zone), true, &[PartEnd::Done, late(false, None)], failed),
         ];
         for (name, effect, marks, parts, expected) in cases {
             assert_eq!(combine(*effect, *marks, parts), *expected, "{name}");
--- a/crates/hostcore/src/core.rs
+++ b/crates/hostcore/src/core.rs
@@ -94,8 +94,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     Done { data: Bytes },
-    Deferred { come_back: Option<Span> },
-    Abandoned,
+    Rejected { retry_after: Option<Span> },
+    Failed,
 }
 
 /// An attempt among all that this host has out.
@@ -211,8 +211,8 @@
     pub taken: u64,
     pub over_bound: u64,
     pub done: u64,
-    pub deferred: u64,
-    pub abandoned: u64,
+    pub rejected: u64,
+    pub failed: u64,
     pub left: u64,
     pub attempts: u64,
     pub retries: u64,
--- a/crates/hostcore/src/core/attempts.rs
+++ b/crates/hostcore/src/core/attempts.rs
@@ -28,12 +28,12 @@
             Decision::Send { request, node, timeout, begin_by } => {
                 self.send(now, request, node, timeout, begin_by)
             }
-            Decision::Defer { request, come_back } => {
-                let end = PartEnd::Deferred { ran: true, come_back };
+            Decision::Reject { request, retry_after } => {
+                let end = PartEnd::Rejected { ran: true, retry_after };
                 self.part_over(now, request, end, Bytes::new());
             }
-            Decision::Abandon { request } => {
-                self.part_over(now, request, PartEnd::Abandoned { ran: true }, Bytes::new());
+            Decision::Fail { request } => {
+                self.part_over(now, request, PartEnd::Failed { ran: true }, Bytes::new());
             }
             Decision::FollowList => self.outputs.push_back(Output::FollowList { since: self.list_version }),
             Decision::Log(line) => {
--- a/crates/hostcore/src/core/commands.rs
+++ b/crates/hostcore/src/core/commands.rs
@@ -142,18 +142,18 @@
         }
     }
 
-    pub(super) fn refuse(&mut self, to: CommandRef, come_back: Option<Span>) {
-        self.counters.deferred += 1;
-        self.outputs.push_back(Output::Answer { to, verdict: Verdict::Deferred { come_back } });
+    pub(super) fn refuse(&mut self, to: CommandRef, retry_after: Option<Span>) {
+        self.counters.rejected += 1;
+        self.outputs.push_back(Output::Answer { to, verdict: Verdict::Rejected { retry_after } });
     }
 
-    /// The host will end: what comes from now on is deferred, what is open goes on.
+    /// The host will end: what comes from now on is rejected, what is open goes on.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// The host ends now: each command still open has its answer at once. Deferred where nothing of it can have run,
-    /// abandoned otherwise.
+    /// The host ends now: each command still open has its answer at once. Rejected where nothing of it can have run,
+    /// failed otherwise.
     pub fn settle(&mut self, now: Instant) {
         self.draining = true;
         let mut open: Vec<CommandRef> = self.commands.keys().copied().collect();
@@ -163,9 +163,9 @@
             else {
                 continue;
             };
-            let (id, come_back) = (first.0, Some(self.longest_wait));
-            // As if the module had deferred it: the parts together tell whether that can be said.
-            self.part_over(now, id, PartEnd::Deferred { ran: true, come_back }, Bytes::new());
+            let (id, retry_after) = (first.0, Some(self.longest_wait));
+            // As if the module had rejected it: the parts together tell whether that can be said.
+            self.part_over(now, id, PartEnd::Rejected { ran: true, retry_after }, Bytes::new());
         }
     }
 
@@ -203,7 +203,7 @@
             self.cancel_attempts(now, id);
         }
         if let Some(x) = self.requests.get(&id) {
-            if let PartEnd::Deferred { ran, .. } | PartEnd::Abandoned { ran } = &mut end {
+            if let PartEnd::Rejected { ran, .. } | PartEnd::Failed { ran } = &mut end {
                 *ran = x.may_have_run();
             }
         }
@@ -230,13 +230,13 @@
                 self.counters.done += 1;
                 Verdict::Done { data: if c.write { Bytes::new() } else { joined(&c.parts, c.bytes) } }
             }
-            Combined::Deferred { come_back } => {
-                self.counters.deferred += 1;
-                Verdict::Deferred { come_back }
+            Combined::Rejected { retry_after } => {
+                self.counters.rejected += 1;
+                Verdict::Rejected { retry_after }
             }
-            Combined::Abandoned => {
-                self.counters.abandoned += 1;
-                Verdict::Abandoned
+            Combined::Failed => {
+                self.counters.failed += 1;
+                Verdict::Failed
             }
         };
         self.outputs.push_back(Output::Answer { to: from, verdict });
--- a/crates/hostcore/src/core/orders.rs
+++ b/crates/hostcore/src/core/orders.rs
@@ -114,8 +114,8 @@
             attempts: self.until.len(),
             taken: c.taken,
             done: c.done,
-            deferred: c.deferred,
-            abandoned: c.abandoned,
+            rejected: c.rejected,
+            failed: c.failed,
             nodes: self.nodes.entries().filter_map(node).collect(),
         }
     }
--- a/crates/hostcore/src/orders.rs
+++ b/crates/hostcore/src/orders.rs
@@ -72,8 +72,10 @@
     pub attempts: usize,
     pub taken: u64,
     pub done: u64,
-    pub deferred: u64,
-    pub abandoned: u64,
+    #[serde(rename = "deferred")]
+    pub rejected: u64,
+    #[serde(rename = "abandoned")]
+    pub failed: u64,
     /// Address, what the list says, what it is given.
     pub nodes: Vec<(SocketAddr, String, String)>,
 }
--- a/crates/hostcore/tests/agreed.rs
+++ b/crates/hostcore/tests/agreed.rs
@@ -217,7 +217,7 @@
             return Ok(());
         }
         let answer = self.answers.iter().find(|(h, _)| *h == host).map(|(_, v)| v.clone());
-        Err(answer.unwrap_or(Verdict::Abandoned))
+        Err(answer.unwrap_or(Verdict::Failed))
     }
 
     fn ask(&mut self, host: u32, ask: Ask) -> Reply {
@@ -277,7 +277,7 @@
         match f.read(3, 1) {
             Ok(()) => assert!(sends),
             // At once, with when to come back.
-            Err(v) => assert!(!sends && matches!(v, Verdict::Deferred { come_back: Some(_) }), "{v:?}"),
+            Err(v) => assert!(!sends && matches!(v, Verdict::Rejected { retry_after: Some(_) }), "{v:?}"),
         }
         assert_eq!(f.read(3, 2), Ok(()));
         f.away.clear();
--- a/crates/hostcore/tests/core.rs
+++ b/crates/hostcore/tests/core.rs
@@ -142,8 +142,8 @@
     }
 }
 
-fn deferred(v: &Verdict) -> bool {
-    matches!(v, Verdict::Deferred { .. })
+fn rejected(v: &Verdict) -> bool {
+    matches!(v, Verdict::Rejected { .. })
 }
 
 #[test]
@@ -189,7 +189,7 @@
     let over: Vec<u32> = r.answers.iter().map(|(c, _)| *c).collect();
     assert_eq!(over, [9, 10, 11, 12, 13, 14]);
     for (_, v) in &r.answers {
-        assert!(matches!(v, Verdict::Deferred { come_back: Some(w) } if *w > Span::ZERO), "{v:?}");
+        assert!(matches!(v, Verdict::Rejected { retry_after: Some(w) } if *w > Span::ZERO), "{v:?}");
     }
     r.pass(1.5);
     assert_eq!((r.answers.len(), r.core.counters.over_bound), (15, 6), "each gets one answer");
@@ -208,7 +208,7 @@
         }
         r.pass(1.5);
         let [(1, verdict)] = r.answers.as_slice() else { panic!("{:?}", r.answers) };
-        assert_eq!(deferred(verdict), !written, "written {written}: {verdict:?}");
+        assert_eq!(rejected(verdict), !written, "written {written}: {verdict:?}");
         assert!(written || !ticket.claim(), "and it can't leave any more");
         assert!(r.is_empty(), "written {written}");
     }
@@ -275,14 +275,14 @@
     assert_eq!((r.answers.len(), r.core.counters.strays), (0, 1));
     r.pass(0.1);
     let again = r.write();
-    assert_eq!(again.len(), 1, "a repeatable read gets a further leg");
+    assert_eq!(again.len(), 1, "a repeatable read gets a retry");
     r.back(again[0], Outcome::Done, 1024);
     assert!(matches!(r.answers.as_slice(), [(1, Verdict::Done { .. })]));
     assert!(r.is_empty());
 }
 
 #[test]
-fn an_undone_part_settles_the_whole_command() {
+fn a_rejected_part_settles_the_whole_command() {
     // An unrepeatable write of two parts: the second is turned away after the first was done, or was never sent.
     for first_done in [true, false] {
         let mut r = Rig::new();
@@ -295,7 +295,7 @@
         }
         r.pass(1.5);
         let [(1, verdict)] = r.answers.as_slice() else { panic!("{:?}", r.answers) };
-        assert_eq!(deferred(verdict), !first_done, "{verdict:?}");
+        assert_eq!(rejected(verdict), !first_done, "{verdict:?}");
         assert!(r.is_empty());
     }
 }
@@ -330,7 +330,7 @@
 }
 
 #[test]
-fn a_host_that_ends_defers_what_comes_and_settles_what_is_open() {
+fn a_host_that_ends_rejects_what_comes_and_settles_what_is_open() {
     let mut r = Rig::new();
     // A read and two unrepeatable writes are open: one written, one that waits on its link.
     r.ask(1, 0, 1, false);
@@ -339,13 +339,13 @@
     r.ask(3, 40, 1, true);
     r.core.drain();
     r.ask(4, 60, 1, false);
-    assert!(matches!(r.answers.as_slice(), [(4, Verdict::Deferred { come_back: Some(_) })]));
+    assert!(matches!(r.answers.as_slice(), [(4, Verdict::Rejected { retry_after: Some(_) })]));
     r.back(attempts[0], Outcome::Done, 512);
     assert!(matches!(r.answers[1], (1, Verdict::Done { .. })), "what is open goes on");
     r.core.settle(r.now);
     r.pull();
-    assert_eq!(r.answers[2], (2, Verdict::Abandoned));
-    assert!(matches!(r.answers[3], (3, Verdict::Deferred { .. })), "it never left");
+    assert_eq!(r.answers[2], (2, Verdict::Failed));
+    assert!(matches!(r.answers[3], (3, Verdict::Rejected { .. })), "it never left");
     assert_eq!(r.core.open().0, 0);
     r.pass(1.5);
     assert!(r.is_empty() && r.answers.len() == 4);
--- a/crates/hostcore/tests/placed.rs
+++ b/crates/hostcore/tests/placed.rs
@@ -104,7 +104,7 @@
     }
 
     fn write(&mut self) -> AttemptId {
-        let attempt = self.sent.pop().expect("a leg is out");
+        let attempt = self.sent.pop().expect("an attempt is out");
         assert!(attempt.ticket.claim());
         attempt.ticket.written();
         attempt.attempt
@@ -137,8 +137,8 @@
 fn what_may_have_run_decides_the_answer() {
     // The outcome of the first attempt, and for each effect: sent again, or answered how.
     let cases = [
-        (Outcome::Error, ["again", "abandoned", "abandoned"]),
-        (Outcome::Reset, ["again", "abandoned", "abandoned"]),
+        (Outcome::Error, ["again", "failed", "failed"]),
+        (Outcome::Reset, ["again", "failed", "failed"]),
         (Outcome::Refused, ["again", "again", "again"]),
         (Outcome::Full, ["again", "again", "again"]),
     ];
@@ -151,8 +151,8 @@
             r.pass(at(10.01), 0.1);
             let found = match (&r.answers[..], r.sent.len()) {
                 ([], 1) => "again",
-                ([(1, Verdict::Abandoned)], 0) => "abandoned",
-                ([(1, Verdict::Deferred { .. })], 0) => "deferred",
+                ([(1, Verdict::Failed)], 0) => "failed",
+                ([(1, Verdict::Rejected { .. })], 0) => "rejected",
                 other => panic!("{outcome:?} {stream}: {other:?}"),
             };
             assert_eq!(found, expected, "{outcome:?}, effect {stream}");
@@ -172,7 +172,7 @@
     let told = r
         .answers
         .iter()
-        .all(|(_, v)| matches!(v, Verdict::Deferred { come_back: Some(w) } if *w > Span::ZERO));
+        .all(|(_, v)| matches!(v, Verdict::Rejected { retry_after: Some(w) } if *w > Span::ZERO));
     assert!(told, "{:?}", r.answers);
     // A node that never answers: what is open ends with its client's time, and its attempts are called back.
     let out = r.sent.drain(..).filter(|l| l.ticket.claim()).count();
--- a/crates/httphost/src/clients.rs
+++ b/crates/httphost/src/clients.rs
@@ -126,15 +126,15 @@
     spare: usize,
     bytes: usize,
     held: usize,
-    come_back: Span,
+    retry_after: Span,
     /// The host is ending: each answer says so.
     pub ending: bool,
     pub counters: ClientCounters,
 }
 
 impl Clients {
-    /// `most` connections that together hold so many `bytes`; one that finds no room is told to `come_back`.
-    pub fn new(most: usize, bytes: usize, come_back: Span) -> Self {
+    /// `most` connections that together hold so many `bytes`; one that finds no room is told to `retry_after`.
+    pub fn new(most: usize, bytes: usize, retry_after: Span) -> Self {
         let spare = (most / TURNED_AWAY_PART).min(TURNED_AWAY_MOST);
         Clients {
             clients: BTreeMap::new(),
@@ -143,7 +143,7 @@
             spare,
             bytes,
             held: 0,
-            come_back,
+            retry_after,
             ending: false,
             counters: ClientCounters::default(),
         }
@@ -329,8 +329,8 @@
         if let Some(c) = self.clients.get_mut(&id) {
             c.closes = true;
         }
-        let come_back = (status == 503 && self.come_back > Span::ZERO).then_some(self.come_back);
-        self.answer(now, poller, id, status, why.as_bytes(), come_back)
+        let retry_after = (status == 503 && self.retry_after > Span::ZERO).then_some(self.retry_after);
+        self.answer(now, poller, id, status, why.as_bytes(), retry_after)
     }
 
     /// The answer to the request that is open on a connection, or was just read on it.
@@ -341,12 +341,12 @@
         id: u32,
         status: u16,
         body: &[u8],
-        come_back: Option<Span>,
+        retry_after: Option<Span>,
     ) -> Option<Said> {
         let ending = self.ending;
         let c = self.clients.get_mut(&id).filter(|c| !c.is_over())?;
         let last = c.closes || ending;
-        c.out.extend_from_slice(answer_head(status, body.len(), come_back, last).as_bytes());
+        c.out.extend_from_slice(answer_head(status, body.len(), retry_after, last).as_bytes());
         c.out.extend_from_slice(body);
         c.proven |= status == 200;
         (c.life, c.since) = (if last { Life::Parting } else { Life::Reading }, now);
--- a/crates/httphost/src/serve/attempts.rs
+++ b/crates/httphost/src/serve/attempts.rs
@@ -67,12 +67,12 @@
             Output::Answer { to, verdict } => {
                 let id = to.session;
                 self.forget(now, id);
-                let (status, body, come_back) = match &verdict {
+                let (status, body, retry_after) = match &verdict {
                     Verdict::Done { data } => (200, &data[..], None),
-                    Verdict::Deferred { come_back } => (503, &b"deferred"[..], *come_back),
-                    Verdict::Abandoned => (502, &b"abandoned"[..], None),
+                    Verdict::Rejected { retry_after } => (503, &b"deferred"[..], *retry_after),
+                    Verdict::Failed => (502, &b"abandoned"[..], None),
                 };
-                let said = self.clients.answer(now, &self.poller, id, status, body, come_back);
+                let said = self.clients.answer(now, &self.poller, id, status, body, retry_after);
                 self.said(now, id, said);
                 self.may_have_more(id);
             }
--- a/crates/httphost/tests/clients.rs
+++ b/crates/httphost/tests/clients.rs
@@ -178,9 +178,9 @@
     let mut client = rig.client();
     let text = rig.get(0);
     client.say(&text);
-    until("its leg is out", || rig.given() == 1);
+    until("its attempt is out", || rig.given() == 1);
     drop(client);
-    until("its leg's connection closes", || rig.nodes[0].connections().1 == 0);
+    until("its attempt's connection closes", || rig.nodes[0].connections().1 == 0);
     // The next one is not held up by it.
     assert_eq!(rig.ask("read", 0).status, 200);
     let status = rig.ended();
--- a/crates/httphost/tests/service.rs
+++ b/crates/httphost/tests/service.rs
@@ -19,7 +19,7 @@
         assert_eq!(rig.ask("read", 0).status, 200);
     }
     let grace = told + Duration::from_millis(300);
-    assert!(rig.nodes[0].seen().iter().all(|s| s.at < grace), "a leg went to a draining node");
+    assert!(rig.nodes[0].seen().iter().all(|s| s.at < grace), "an attempt went to a draining node");
     assert!(!rig.nodes[2].seen().is_empty());
     rig.list.put(line("s-0", &rig.nodes[0], 0, "Gone"));
     until("idle connections to it are closed", || rig.nodes[0].connections().1 == 0);
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -102,8 +102,8 @@
     let mut put = |name: &str, x: f64| _ = all.insert(name.to_owned(), x);
     put("in time", r.in_time as f64 / asked);
     put("done", r.done as f64 / asked);
-    put("deferred", r.deferred as f64 / asked);
-    put("abandoned", r.abandoned as f64 / asked);
+    put("deferred", r.rejected as f64 / asked);
+    put("abandoned", r.failed as f64 / asked);
     put("rules broken", f.report.rules.iter().filter(|r| !r.breaks.is_empty()).count() as f64);
     for (name, c) in &r.classes {
         put(&format!("in time, {name}"), c.in_time as f64 / c.asked.max(1) as f64);
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -44,7 +44,7 @@
     pub write: bool,
     pub block: u64,
     pub blocks: u32,
-    /// Further tries after a deferral, and whether they wait as told.
+    /// Further tries after a rejection, and whether they wait as told.
     pub retries: u32,
     pub waits: bool,
 }
--- a/crates/lab/src/plain.rs
+++ b/crates/lab/src/plain.rs
@@ -118,7 +118,7 @@
             ids.push(self.serial);
         }
         match ids.is_empty() {
-            true => self.answer(from, Verdict::Deferred { come_back: None }),
+            true => self.answer(from, Verdict::Rejected { retry_after: None }),
             false => _ = self.commands.insert(from, ids),
         }
     }
@@ -155,7 +155,7 @@
                 || self.settings.streams[x.stream].effect == tackmast::interface::Effect::Repeatable;
             self.forget(from);
             return self
-                .answer(from, if safe { Verdict::Deferred { come_back: None } } else { Verdict::Abandoned });
+                .answer(from, if safe { Verdict::Rejected { retry_after: None } } else { Verdict::Failed });
         }
         x.done = Some(b.data);
         let shard = x.spec.shard;
@@ -190,7 +190,7 @@
             self.until.pop_first();
             let Some(from) = self.requests.get(&id).map(|x| x.from) else { continue };
             let ran = self.forget(from).iter().any(|x| x.node.is_some());
-            self.answer(from, if ran { Verdict::Abandoned } else { Verdict::Deferred { come_back: None } });
+            self.answer(from, if ran { Verdict::Failed } else { Verdict::Rejected { retry_after: None } });
         }
     }
 
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -26,7 +26,7 @@
     pub step: f64,
     pub asked: Vec<f64>,
     pub in_time: Vec<f64>,
-    pub deferred: Vec<f64>,
+    pub rejected: Vec<f64>,
     /// By node's place in order of address: mean attempts out.
     pub out: Vec<Vec<f64>>,
     pub nodes: Vec<String>,
@@ -51,7 +51,7 @@
             step,
             asked: vec![0.0; BUCKETS],
             in_time: vec![0.0; BUCKETS],
-            deferred: vec![0.0; BUCKETS],
+            rejected: vec![0.0; BUCKETS],
             out: Vec::new(),
             nodes: Vec::new(),
             store: vec![0.0; BUCKETS],
@@ -70,7 +70,7 @@
                     let Some((t, stream)) = open.remove(&(*host, *session, *command)) else { continue };
                     let slo = facts.streams.get(stream).map_or(u64::MAX, |s| s.slo_us);
                     s.in_time[place(t)] += f64::from(u8::from(*kind == AnswerKind::Done && l.t - t <= slo));
-                    s.deferred[place(t)] += f64::from(u8::from(*kind == AnswerKind::Deferred));
+                    s.rejected[place(t)] += f64::from(u8::from(*kind == AnswerKind::Rejected));
                 }
                 Event::Attempt { node, name, left_us, volume, units, .. } => {
                     attempts.insert(*name, (l.t, node.clone(), l.t + left_us));
@@ -206,7 +206,7 @@
         area.fill(&WHITE).map_err(failed)?;
         let long = s.step * BUCKETS as f64;
         let mut chart = ChartBuilder::on(&area)
-            .caption(format!("legs out by node (darkest: {most:.1})"), ("sans-serif", 16))
+            .caption(format!("attempts out by node (darkest: {most:.1})"), ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(120)
@@ -295,9 +295,9 @@
 pub fn page(w: &World, found: &Found, text: &str) -> Result<String, String> {
     let s = Series::of(&found.run);
     let rate = |v: &[f64]| v.iter().map(|x| x / s.step).collect::<Vec<f64>>();
-    let lines = [("asked", rate(&s.asked)), ("in time", rate(&s.in_time)), ("deferred", rate(&s.deferred))];
+    let lines = [("asked", rate(&s.asked)), ("in time", rate(&s.in_time)), ("rejected", rate(&s.rejected))];
     let pictures = [
-        over_time("transfers a second, by when they were asked; troubles behind", w, &lines, s.step)?,
+        over_time("requests a second, by when they were asked; troubles behind", w, &lines, s.step)?,
         over_time(
             "the limited volume's store over its burst and slack",
             w,
@@ -332,7 +332,7 @@
         let s = Series::of(&found.run);
         let sum = |v: &[f64]| v.iter().sum::<f64>();
         assert_eq!(sum(&s.asked), found.run.asked as f64);
-        assert_eq!(sum(&s.deferred), found.run.deferred as f64);
+        assert_eq!(sum(&s.rejected), found.run.rejected as f64);
         assert_eq!(s.out.len(), s.nodes.len());
         assert!(!s.nodes.is_empty() && s.out.iter().flatten().any(|x| *x > 0.0));
         // The limit's rule held, so the store never passed its brim by more than one request.
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -67,8 +67,8 @@
     AnswerTwice,
     /// Answers leave half a second late.
     AnswerLate,
-    /// What is abandoned is called deferred.
-    DeferredLie,
+    /// What is failed is called rejected.
+    FalseRejection,
     /// Starts of nodes never reach the core, and cold nodes have no guard. The caps alone keep cold nodes up in the
     /// worlds drawn here, so no seed finds this one.
     ColdIgnored,
@@ -86,8 +86,8 @@
     pub asked: u64,
     pub done: u64,
     pub in_time: u64,
-    pub deferred: u64,
-    pub abandoned: u64,
+    pub rejected: u64,
+    pub failed: u64,
     /// Microseconds until done.
     pub times: hdrhistogram::Histogram<u64>,
 }
@@ -99,8 +99,8 @@
             asked: 0,
             done: 0,
             in_time: 0,
-            deferred: 0,
-            abandoned: 0,
+            rejected: 0,
+            failed: 0,
             times: times.expect("the library takes these constants"),
         }
     }
@@ -122,8 +122,8 @@
     pub asked: u64,
     pub done: u64,
     pub in_time: u64,
-    pub deferred: u64,
-    pub abandoned: u64,
+    pub rejected: u64,
+    pub failed: u64,
     /// Commands, attempts or calls left in the tables of hosts and clients after all is over.
     pub stuck: usize,
     /// Calls of clients that speak a protocol, those done, and those answered after their deadline.
@@ -462,8 +462,8 @@
             asked: 0,
             done: 0,
             in_time: 0,
-            deferred: 0,
-            abandoned: 0,
+            rejected: 0,
+            failed: 0,
             stuck: 0,
             calls: 0,
             calls_done: 0,
--- a/crates/lab/src/sim/account.rs
+++ b/crates/lab/src/sim/account.rs
@@ -37,8 +37,8 @@
                     if let Some((_, class)) = open.remove(&(*host, *session, *command)) {
                         let c = classes.entry(class).or_default();
                         match kind {
-                            AnswerKind::Deferred => c.deferred += 1,
-                            _ => c.abandoned += 1,
+                            AnswerKind::Rejected => c.rejected += 1,
+                            _ => c.failed += 1,
                         }
                     }
                 }
--- a/crates/lab/src/sim/arrivals.rs
+++ b/crates/lab/src/sim/arrivals.rs
@@ -56,12 +56,12 @@
     }
 
     /// What a try's answer makes of it.
-    pub(super) fn tried(&mut self, number: u64, kind: AnswerKind, come_back_us: Us) {
+    pub(super) fn tried(&mut self, number: u64, kind: AnswerKind, retry_after_us: Us) {
         let Some(t) = self.tries.get_mut(&number) else { return };
-        let (again, first) = (kind == AnswerKind::Deferred && t.tries < t.ask.retries, t.first);
+        let (again, first) = (kind == AnswerKind::Rejected && t.tries < t.ask.retries, t.first);
         if again {
             t.tries += 1;
-            let wait = if t.ask.waits { come_back_us } else { 0 };
+            let wait = if t.ask.waits { retry_after_us } else { 0 };
             return self.push(self.now + wait, Event::Again(number));
         }
         let Some(t) = self.tries.remove(&number) else { return };
@@ -75,8 +75,8 @@
                 c.in_time += u64::from(took <= (slo.secs() * 1e6) as Us);
                 _ = c.times.record(took.max(1));
             }
-            AnswerKind::Deferred => c.deferred += 1,
-            _ => c.abandoned += 1,
+            AnswerKind::Rejected => c.rejected += 1,
+            _ => c.failed += 1,
         }
     }
 
@@ -170,11 +170,11 @@
 
     pub(super) fn answer(&mut self, h: u32, to: CommandRef, verdict: Verdict) {
         self.answers += 1;
-        let (kind, come_back_us) = match &verdict {
+        let (kind, retry_after_us) = match &verdict {
             Verdict::Done { .. } => (0, 0),
-            Verdict::Deferred { come_back } => (1, come_back.map_or(0, |w| (w.secs() * 1e6) as u64)),
-            Verdict::Abandoned if self.mutant == Some(Mutant::DeferredLie) => (1, 0),
-            Verdict::Abandoned => (2, 0),
+            Verdict::Rejected { retry_after } => (1, retry_after.map_or(0, |w| (w.secs() * 1e6) as u64)),
+            Verdict::Failed if self.mutant == Some(Mutant::FalseRejection) => (1, 0),
+            Verdict::Failed => (2, 0),
         };
         let life = self.hosts[h as usize].life;
         let now = self.now;
@@ -183,7 +183,7 @@
         match self.mutant {
             Some(Mutant::AnswerLost) if odd => return,
             Some(Mutant::AnswerLate) if odd => {
-                let late = Event::Answer(h, life, (session, command), kind, come_back_us);
+                let late = Event::Answer(h, life, (session, command), kind, retry_after_us);
                 return self.push(now + 1_200_000, late);
             }
             Some(Mutant::AnswerTwice) if odd => {
@@ -191,14 +191,14 @@
                     host: h,
                     session,
                     command,
-                    kind: AnswerKind::Deferred,
-                    come_back_us: 0,
+                    kind: AnswerKind::Rejected,
+                    retry_after_us: 0,
                 });
             }
             _ => {}
         }
         // Commands without a protocol come from beside the host: what their way costs is no part of this model.
-        self.answered(h, life, (session, command), kind, come_back_us);
+        self.answered(h, life, (session, command), kind, retry_after_us);
         let Some((c, slot, slot_life)) = self.hosts[h as usize].sessions.get(&session).copied() else {
             return;
         };
@@ -207,8 +207,8 @@
             command,
             match verdict {
                 Verdict::Done { data } => target::Verdict::Done { data },
-                Verdict::Deferred { .. } => target::Verdict::Deferred { come_back_us },
-                Verdict::Abandoned => target::Verdict::Abandoned,
+                Verdict::Rejected { .. } => target::Verdict::Rejected { retry_after_us },
+                Verdict::Failed => target::Verdict::Failed,
             },
         );
         // What had to wait for this answer is read on from here.
@@ -218,25 +218,25 @@
         self.flush(c, slot, slot_life);
     }
 
-    pub(super) fn answered(&mut self, h: u32, life: u64, of: CommandOrd, kind: u8, come_back_us: u64) {
+    pub(super) fn answered(&mut self, h: u32, life: u64, of: CommandOrd, kind: u8, retry_after_us: u64) {
         let host = &mut self.hosts[h as usize];
         if host.life != life {
             return;
         }
         let Some((began, slo)) = host.submitted.remove(&of) else { return };
-        let kind = [AnswerKind::Done, AnswerKind::Deferred, AnswerKind::Abandoned][usize::from(kind)];
+        let kind = [AnswerKind::Done, AnswerKind::Rejected, AnswerKind::Failed][usize::from(kind)];
         match kind {
             AnswerKind::Done => {
                 self.run.done += 1;
                 self.run.in_time += u64::from(self.now - began <= slo);
             }
-            AnswerKind::Deferred => self.run.deferred += 1,
-            _ => self.run.abandoned += 1,
+            AnswerKind::Rejected => self.run.rejected += 1,
+            _ => self.run.failed += 1,
         }
         let (session, command) = of;
-        self.note(tackmast_trace::Event::Answer { host: h, session, command, kind, come_back_us });
+        self.note(tackmast_trace::Event::Answer { host: h, session, command, kind, retry_after_us });
         if let Some(number) = self.hosts[h as usize].asked.remove(&of) {
-            self.tried(number, kind, come_back_us);
+            self.tried(number, kind, retry_after_us);
         }
     }
 }
--- a/crates/lab/src/sim/events.rs
+++ b/crates/lab/src/sim/events.rs
@@ -66,8 +66,8 @@
                     self.pull(h);
                 }
             }
-            Event::Answer(h, life, command, kind, come_back_us) => {
-                self.answered(h, life, command, kind, come_back_us)
+            Event::Answer(h, life, command, kind, retry_after_us) => {
+                self.answered(h, life, command, kind, retry_after_us)
             }
             Event::Connected(c, slot, life) => self.connected(c, slot, life),
             Event::Closed(c, slot, life) => self.closed(c, slot, life),
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -48,7 +48,7 @@
         (Mutant::AnswerLost, 6, 3),
         (Mutant::AnswerTwice, 6, 3),
         (Mutant::AnswerLate, 6, 3),
-        (Mutant::DeferredLie, 6, 10),
+        (Mutant::FalseRejection, 6, 10),
         (Mutant::LimitAlone, 6, 40),
         (Mutant::OrderIgnored, 6, 10),
         (Mutant::BudgetIgnored, 12, 40),
@@ -187,7 +187,7 @@
             checked += found.report.rule(7).checked;
         }
     }
-    assert!(acknowledged > 50 && checked > 1000, "{acknowledged} changes, {checked} legs under a limit");
+    assert!(acknowledged > 50 && checked > 1000, "{acknowledged} changes, {checked} attempts under a limit");
     // Others are cut off, killed or stopped for longer than a change may take.
     assert!(soon * 2 > acknowledged, "{soon} of {acknowledged} changes were gone by in time");
 }
--- a/crates/measure/src/truth.rs
+++ b/crates/measure/src/truth.rs
@@ -24,8 +24,8 @@
 pub struct Figures {
     pub asked: u64,
     pub done: u64,
-    pub deferred: u64,
-    pub abandoned: u64,
+    pub rejected: u64,
+    pub failed: u64,
     pub in_time: u64,
     pub p50_ms: f64,
     pub p99_ms: f64,
@@ -72,8 +72,8 @@
             all.asked += c.asked;
             all.done += c.done;
             all.in_time += c.in_time;
-            all.deferred += c.deferred;
-            all.abandoned += c.abandoned;
+            all.rejected += c.rejected;
+            all.failed += c.failed;
             _ = times.add(&c.times);
         }
         with_times(all, &times)
@@ -175,8 +175,8 @@
                                 f.0.in_time += u64::from(took <= slo);
                                 _ = f.1.record(took.as_micros().max(1) as u64);
                             }
-                            Outcome::Deferred { .. } => f.0.deferred += 1,
-                            _ => f.0.abandoned += 1,
+                            Outcome::Rejected { .. } => f.0.rejected += 1,
+                            _ => f.0.failed += 1,
                         }
                     }
                 });
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -70,10 +70,10 @@
 }
 
 /// The head of an answer to a client.
-pub fn answer_head(status: u16, length: usize, come_back: Option<Span>, closes: bool) -> String {
+pub fn answer_head(status: u16, length: usize, retry_after: Option<Span>, closes: bool) -> String {
     let mut text =
         format!("HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n", tackmast_http::reason(status));
-    if let Some(wait) = come_back {
+    if let Some(wait) = retry_after {
         _ = write!(text, "Retry-After: {:.3}\r\n", wait.secs());
     }
     if closes {
--- a/crates/rulecheck/src/index.rs
+++ b/crates/rulecheck/src/index.rs
@@ -391,11 +391,11 @@
     pub fn title(&self, attempt: &Attempt) -> String {
         match attempt.command.map(|c| self.commands[c].name) {
             Some((host, session, command)) => {
-                format!("{host}/{session}/{command} part {} leg {}", attempt.part, attempt.name.attempt)
+                format!("{host}/{session}/{command} part {} attempt {}", attempt.part, attempt.name.attempt)
             }
             None => {
                 format!(
-                    "{}/{:x} number {} leg {}",
+                    "{}/{:x} number {} attempt {}",
                     attempt.name.host, attempt.name.life, attempt.name.request, attempt.name.attempt
                 )
             }
--- a/crates/rulecheck/src/lib.rs
+++ b/crates/rulecheck/src/lib.rs
@@ -67,7 +67,7 @@
             writeln!(f, "rule {} {:<18} {verdict}", r.rule, r.name)?;
             for b in r.breaks.iter().take(5) {
                 let node = if b.node.is_empty() { String::new() } else { format!(" at node {}", b.node) };
-                writeln!(f, "    at {:.6} transfer {}{node}: {}", b.t as f64 / 1e6, b.request, b.what)?;
+                writeln!(f, "    at {:.6} request {}{node}: {}", b.t as f64 / 1e6, b.request, b.what)?;
             }
             if r.breaks.len() > 5 {
                 writeln!(f, "    and {} more", r.breaks.len() - 5)?;
--- a/crates/rulecheck/src/rules.rs
+++ b/crates/rulecheck/src/rules.rs
@@ -62,13 +62,13 @@
     }
     for attempt in &x.attempts {
         let Some(c) = attempt.command.map(|c| &x.commands[c]) else {
-            breaks.push(broken(x, 1, attempt, "a leg for no command of any client".into()));
+            breaks.push(broken(x, 1, attempt, "an attempt for no command of any client".into()));
             continue;
         };
         let gone = c.left.or(c.lost).map(|t| x.knows(c.name.0, t));
         let over = c.answers.first().map(|(t, _)| *t).or(gone);
         if let Some(t) = over.filter(|t| attempt.t > t.saturating_add(f.skew_us)) {
-            let what = format!("a leg arrived {} ms after its transfer was over", ms(attempt.t - t));
+            let what = format!("an attempt arrived {} ms after its request was over", ms(attempt.t - t));
             breaks.push(broken(x, 1, attempt, what));
         }
     }
@@ -93,7 +93,7 @@
                 let (over, _) = a.over();
                 if over > b.t + skew {
                     let what = format!(
-                        "leg {} arrived while leg {} was out at {}",
+                        "attempt {} arrived while attempt {} was out at {}",
                         b.name.attempt, a.name.attempt, a.node
                     );
                     breaks.push(broken(x, 2, b, what));
@@ -108,7 +108,7 @@
                             x,
                             2,
                             b,
-                            format!("unrepeatable, and leg {} may have run", a.name.attempt),
+                            format!("unrepeatable, and attempt {} may have run", a.name.attempt),
                         ));
                         continue;
                     }
@@ -121,11 +121,11 @@
                         x,
                         2,
                         b,
-                        format!("outside the discard group of leg {}", a.name.attempt),
+                        format!("outside the discard group of attempt {}", a.name.attempt),
                     ));
                 } else if b.t.saturating_sub(a.t) > stream.window_us + skew {
                     let what = format!(
-                        "{} ms after leg {}; nodes know marks for {}",
+                        "{} ms after attempt {}; nodes know marks for {}",
                         ms(b.t - a.t),
                         a.name.attempt,
                         { ms(stream.window_us) }
@@ -142,13 +142,15 @@
         }
         let attempts: Vec<&Attempt> =
             by_command.get(&c).into_iter().flatten().map(|l| &x.attempts[*l]).collect();
-        let deferred = command.answers.iter().find(|(_, k)| *k == AnswerKind::Deferred);
-        if let Some((t, _)) = deferred {
+        let rejected = command.answers.iter().find(|(_, k)| *k == AnswerKind::Rejected);
+        if let Some((t, _)) = rejected {
             checked += 1;
             // The client's next try is a new request with a mark of its own, so any run counts.
             for attempt in attempts.iter().filter(|l| l.t <= *t && !l.never_ran()) {
-                let what =
-                    format!("deferred, and leg {} at {} may have run", attempt.name.attempt, attempt.node);
+                let what = format!(
+                    "rejected, and attempt {} at {} may have run",
+                    attempt.name.attempt, attempt.node
+                );
                 let request = x.title(attempt);
                 breaks.push(Break { rule: 2, t: *t, request, node: attempt.node.clone(), what });
             }
@@ -163,7 +165,7 @@
             }
         }
     }
-    report(2, "no double effect", "further legs and deferrals", checked, breaks)
+    report(2, "no double effect", "retries and rejections", checked, breaks)
 }
 
 /// 3: nothing new to a node that drains or is gone, after the grace.
@@ -240,7 +242,7 @@
             }
         }
     }
-    report(4, "cold nodes", "legs to cold nodes", checked, breaks)
+    report(4, "cold nodes", "attempts to cold nodes", checked, breaks)
 }
 
 /// 5: requests of one key run one at a time, in the order their host took them.
@@ -291,12 +293,12 @@
             }
         }
     }
-    report(5, "order", "legs behind another of their key", checked, breaks)
+    report(5, "order", "attempts behind another of their key", checked, breaks)
 }
 
 /// 6: retries stay within the budget over any window.
 pub fn budget(x: &Index) -> RuleReport {
-    let cases = "further legs";
+    let cases = "retries";
     let Some((free, share, window)) = x.facts.further else {
         return report(6, "budget", cases, 0, Vec::new());
     };
@@ -319,7 +321,7 @@
             let parts = x.most_parts(host, from.saturating_sub(skew), attempt.t, taken);
             let allowed = free + share * parts;
             if sent as f64 > allowed + ROUNDING {
-                let what = format!("{sent} further legs in {} ms; {allowed:.1} are allowed", ms(window));
+                let what = format!("{sent} retries in {} ms; {allowed:.1} are allowed", ms(window));
                 breaks.push(broken(x, 6, attempt, what));
             }
         }
@@ -381,5 +383,5 @@
             }
         }
     }
-    report(7, "limits", "first legs under a limit", checked, breaks)
+    report(7, "limits", "first attempts under a limit", checked, breaks)
 }
--- a/crates/rulecheck/tests/doctored.rs
+++ b/crates/rulecheck/tests/doctored.rs
@@ -65,7 +65,7 @@
         self.at(t, Event::Submit { host, session, command, volume, stream, write, offset, bytes, expiry_us })
     }
     fn answer(&mut self, t: u64, command: u32, kind: AnswerKind) -> &mut Self {
-        self.at(t, Event::Answer { host: 0, session: 1, command, kind, come_back_us: 0 })
+        self.at(t, Event::Answer { host: 0, session: 1, command, kind, retry_after_us: 0 })
     }
     fn attempt(&mut self, t: u64, node: &str, command: u32, attempt: u8) -> &mut Self {
         self.attempt_of(t, node, command, attempt, 2, 4096, 0)
@@ -141,7 +141,7 @@
 
 #[test]
 fn each_rule_is_judged_by_the_sockets_alone() {
-    use AnswerKind::{Abandoned, Deferred, Done};
+    use AnswerKind::{Done, Failed, Rejected};
     use AttemptEndKind::{Error, NeverRan};
     use ListedState::{Draining, Gone, Ready};
     type Play = fn(&mut Script);
@@ -150,9 +150,9 @@
         ("served", 0, |s| _ = s.served(100, "a", 1, 0)),
         ("answered late", 1, |s| _ = s.submit(100, 1, 0).attempt(101, "a", 1, 0).answer(1200, 1, Done)),
         ("never answered", 1, |s| _ = s.submit(100, 1, 0)),
-        ("answered twice", 1, |s| _ = s.served(100, "a", 1, 0).answer(200, 1, Abandoned)),
-        ("leg after the answer", 1, |s| _ = s.served(100, "a", 1, 0).attempt(200, "a", 1, 1)),
-        ("leg after its client left", 1, |s| {
+        ("answered twice", 1, |s| _ = s.served(100, "a", 1, 0).answer(200, 1, Failed)),
+        ("attempt after the answer", 1, |s| _ = s.served(100, "a", 1, 0).attempt(200, "a", 1, 1)),
+        ("attempt after its client left", 1, |s| {
             s.submit(100, 1, 0)
                 .at(150, Event::Left { host: 0, session: 1, command: 1 })
                 .attempt(200, "a", 1, 0);
@@ -167,11 +167,11 @@
         ("its host was back", 1, |s| {
             s.at(50, Event::HostDown { host: 0 }).at(60, Event::HostUp { host: 0 }).submit(100, 1, 0);
         }),
-        ("two legs at once", 2, |s| {
+        ("two attempts at once", 2, |s| {
             s.submit(100, 1, 0).attempt(101, "a", 1, 0).attempt(150, "a", 1, 1);
             s.end(200, "a", 1, 1, AttemptEndKind::Done).answer(201, 1, Done);
         }),
-        ("a second leg after an error", 0, |s| {
+        ("a second attempt after an error", 0, |s| {
             s.submit(100, 1, 0).attempt(101, "a", 1, 0).end(110, "a", 1, 0, Error).attempt(150, "a", 1, 1);
             s.end(200, "a", 1, 1, AttemptEndKind::Done).answer(201, 1, Done);
         }),
@@ -183,14 +183,14 @@
             s.submit(100, 1, 1).attempt(101, "a", 1, 0).end(110, "a", 1, 0, NeverRan).attempt(150, "a", 1, 1);
             s.end(200, "a", 1, 1, AttemptEndKind::Done).answer(201, 1, Done);
         }),
-        ("unrepeatable, deferred after an error", 2, |s| {
-            s.submit(100, 1, 1).attempt(101, "a", 1, 0).end(110, "a", 1, 0, Error).answer(111, 1, Deferred);
+        ("unrepeatable, rejected after an error", 2, |s| {
+            s.submit(100, 1, 1).attempt(101, "a", 1, 0).end(110, "a", 1, 0, Error).answer(111, 1, Rejected);
         }),
-        ("unrepeatable, abandoned after an error", 0, |s| {
-            s.submit(100, 1, 1).attempt(101, "a", 1, 0).end(110, "a", 1, 0, Error).answer(111, 1, Abandoned);
+        ("unrepeatable, failed after an error", 0, |s| {
+            s.submit(100, 1, 1).attempt(101, "a", 1, 0).end(110, "a", 1, 0, Error).answer(111, 1, Failed);
         }),
-        ("keyed, deferred after an error", 2, |s| {
-            s.submit(100, 1, 4).attempt(101, "a", 1, 0).end(110, "a", 1, 0, Error).answer(111, 1, Deferred);
+        ("keyed, rejected after an error", 2, |s| {
+            s.submit(100, 1, 4).attempt(101, "a", 1, 0).end(110, "a", 1, 0, Error).answer(111, 1, Rejected);
         }),
         ("keyed in a zone, to another", 2, |s| {
             s.submit(100, 1, 2).attempt(101, "a", 1, 0).end(110, "a", 1, 0, Error).attempt(150, "b", 1, 1);
@@ -256,26 +256,20 @@
         }),
         ("no rest after a time-out", 5, |s| {
             s.submit(100, 1, 1).submit(100, 2, 1).attempt_of(101, "a", 1, 0, 2, 1, 9);
-            s.answer(201, 1, Abandoned).submit(1000, 3, 0).answer(1010, 3, Done);
+            s.answer(201, 1, Failed).submit(1000, 3, 0).answer(1010, 3, Done);
             s.attempt_of(900, "a", 2, 0, 2, 1, 9)
                 .end(910, "a", 2, 0, AttemptEndKind::Done)
                 .answer(911, 2, Done);
         }),
         ("no rest after a lost link", 5, |s| {
-            s.submit(100, 1, 1)
-                .submit(100, 2, 1)
-                .attempt_of(101, "a", 1, 0, 2, 1, 9)
-                .answer(201, 1, Abandoned);
+            s.submit(100, 1, 1).submit(100, 2, 1).attempt_of(101, "a", 1, 0, 2, 1, 9).answer(201, 1, Failed);
             s.at(200, Event::LinkDown { node: "a".into(), host: 0, life: 77, attempts: vec![name(1, 0)] });
             s.attempt_of(600, "a", 2, 0, 2, 1, 9)
                 .end(610, "a", 2, 0, AttemptEndKind::Done)
                 .answer(611, 2, Done);
         }),
         ("no rest after its node died", 5, |s| {
-            s.submit(100, 1, 1)
-                .submit(100, 2, 1)
-                .attempt_of(101, "a", 1, 0, 2, 1, 9)
-                .answer(201, 1, Abandoned);
+            s.submit(100, 1, 1).submit(100, 2, 1).attempt_of(101, "a", 1, 0, 2, 1, 9).answer(201, 1, Failed);
             s.at(200, Event::NodeDown { node: "a".into() });
             s.attempt_of(600, "a", 2, 0, 2, 1, 9)
                 .end(610, "a", 2, 0, AttemptEndKind::Done)
@@ -291,12 +285,12 @@
         ("in turn, after the rest", 0, |s| {
             s.submit(100, 1, 1).submit(150, 2, 1).attempt_of(101, "a", 1, 0, 2, 1, 9);
             s.at(200, Event::LinkDown { node: "a".into(), host: 0, life: 77, attempts: vec![name(1, 0)] });
-            s.answer(201, 1, Abandoned)
+            s.answer(201, 1, Failed)
                 .attempt_of(710, "a", 2, 0, 2, 1, 9)
                 .end(715, "a", 2, 0, AttemptEndKind::Done)
                 .answer(716, 2, Done);
         }),
-        ("too many further legs", 6, |s| {
+        ("too many retries", 6, |s| {
             for c in 1..=3 {
                 s.submit(100, c, 0)
                     .attempt(101, "a", c, 0)
@@ -305,7 +299,7 @@
                 s.end(200, "a", c, 1, AttemptEndKind::Done).answer(201, c, Done);
             }
         }),
-        ("three further legs of one", 6, |s| {
+        ("three retries of one request", 6, |s| {
             s.submit(100, 1, 0).attempt(101, "a", 1, 0);
             for attempt in 1..=3u8 {
                 let t = 100 + u64::from(attempt) * 50;
@@ -313,7 +307,7 @@
             }
             s.end(300, "a", 1, 3, AttemptEndKind::Done).answer(301, 1, Done);
         }),
-        ("few further legs", 0, |s| {
+        ("few retries", 0, |s| {
             for c in 1..=2 {
                 s.submit(100, c, 0)
                     .attempt(101, "a", c, 0)
@@ -442,11 +436,11 @@
         ("two answers, whatever stood still", 1, |s| {
             stop(s, 0, 200, 3000).submit(300, 1, 0).answer(3005, 1, Done).answer(3006, 1, Done);
         }),
-        ("a leg for who left while it stood still", 0, |s| {
+        ("an attempt for who left while it stood still", 0, |s| {
             s.submit(100, 1, 0).at(300, Event::Left { host: 0, session: 1, command: 1 });
             stop(s, 0, 200, 3000).attempt(3001, "a", 1, 0);
         }),
-        ("a leg long after it knew", 1, |s| {
+        ("an attempt long after it knew", 1, |s| {
             s.submit(100, 1, 0).at(300, Event::Left { host: 0, session: 1, command: 1 });
             stop(s, 0, 200, 3000).attempt(3100, "a", 1, 0);
         }),
--- a/crates/standins/src/initiator.rs
+++ b/crates/standins/src/initiator.rs
@@ -29,12 +29,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     Done(Bytes),
-    Deferred {
-        come_back_us: u64,
+    Rejected {
+        retry_after_us: u64,
     },
-    Abandoned,
+    Failed,
     /// The command itself was wrong.
-    Rejected(Sense),
+    InvalidRequest(Sense),
     /// The session ended before an answer.
     Lost,
 }
@@ -456,17 +456,18 @@
             status::BUSY => {
                 let exact =
                     pdu.data.get(2..6).map(|b| u64::from(u32::from_be_bytes([b[0], b[1], b[2], b[3]])));
-                let come_back_us = exact.unwrap_or(u64::from(pdu.u16(8) & 0x3fff) * 100_000);
-                (AnswerKind::Deferred, Reply::Deferred { come_back_us })
+                let retry_after_us = exact.unwrap_or(u64::from(pdu.u16(8) & 0x3fff) * 100_000);
+                (AnswerKind::Rejected, Reply::Rejected { retry_after_us })
             }
             _ => match Sense::from_segment(&pdu.data) {
-                Some(Sense::ABANDONED) => (AnswerKind::Abandoned, Reply::Abandoned),
-                sense => (AnswerKind::Rejected, Reply::Rejected(sense.unwrap_or(Sense(0, 0, 0)))),
+                Some(Sense::FAILED) => (AnswerKind::Failed, Reply::Failed),
+                sense => (AnswerKind::InvalidRequest, Reply::InvalidRequest(sense.unwrap_or(Sense(0, 0, 0)))),
             },
         };
         if p.recorded {
-            let come_back_us = if let Reply::Deferred { come_back_us } = reply { come_back_us } else { 0 };
-            self.recorder.note(Event::Answer { host: self.host, session, command, kind, come_back_us });
+            let retry_after_us =
+                if let Reply::Rejected { retry_after_us } = reply { retry_after_us } else { 0 };
+            self.recorder.note(Event::Answer { host: self.host, session, command, kind, retry_after_us });
         }
         _ = self.replies.send((p.label, reply));
     }
--- a/crates/standins/src/tap.rs
+++ b/crates/standins/src/tap.rs
@@ -205,7 +205,13 @@
 
     fn answer(&self, s: &mut Seen, id: u64, kind: AnswerKind) {
         if let (Some(session), Some((command, _))) = (s.session, s.open.remove(&id)) {
-            self.recorder.note(Event::Answer { host: self.number, session, command, kind, come_back_us: 0 });
+            self.recorder.note(Event::Answer {
+                host: self.number,
+                session,
+                command,
+                kind,
+                retry_after_us: 0,
+            });
         }
     }
 
@@ -299,9 +305,9 @@
             op::RESPONSE => {
                 let kind = match pdu.head[3] {
                     status::GOOD => AnswerKind::Done,
-                    status::BUSY => AnswerKind::Deferred,
-                    _ if Sense::from_segment(&pdu.data) == Some(Sense::ABANDONED) => AnswerKind::Abandoned,
-                    _ => AnswerKind::Rejected,
+                    status::BUSY => AnswerKind::Rejected,
+                    _ if Sense::from_segment(&pdu.data) == Some(Sense::FAILED) => AnswerKind::Failed,
+                    _ => AnswerKind::InvalidRequest,
                 };
                 self.answer(s, id, kind);
             }
@@ -323,16 +329,16 @@
             }
             ServerUnit::OptionReply { .. } => {}
             ServerUnit::Reply(Reply::Simple { cookie, error, .. }) => {
-                let kind = if error == 0 { AnswerKind::Done } else { AnswerKind::Abandoned };
+                let kind = if error == 0 { AnswerKind::Done } else { AnswerKind::Failed };
                 self.answer(s, cookie, kind);
             }
             ServerUnit::Reply(Reply::Chunk { cookie, flags, kind, data }) => {
                 let kind = match kind {
-                    chunk::DEFERRED => AnswerKind::Deferred,
+                    chunk::REJECTED => AnswerKind::Rejected,
                     chunk::ERROR if nbd::read_error(&data).is_ok_and(|(code, _)| code != nbd::error::IO) => {
-                        AnswerKind::Rejected
+                        AnswerKind::InvalidRequest
                     }
-                    k if k & 0x8000 != 0 => AnswerKind::Abandoned,
+                    k if k & 0x8000 != 0 => AnswerKind::Failed,
                     _ => AnswerKind::Done,
                 };
                 if flags & nbd::DONE != 0 {
--- a/crates/target/src/nbd.rs
+++ b/crates/target/src/nbd.rs
@@ -313,21 +313,21 @@
         answer.encode(&mut self.output);
     }
 
-    /// The host's final answer. A client that agreed on the additions is told a deferral apart from an abandoned
-    /// request; to any other both are an I/O error, which promises nothing about the effect: a deferral may be taken
-    /// for less than it is, never an abandoned request for more.
+    /// The host's final answer. A client that agreed on the additions is told a rejection apart from a failed
+    /// request; to any other both are an I/O error, which promises nothing about the effect: a rejection may be taken
+    /// for less than it is, never a failed request for more.
     pub fn answer(&mut self, number: u32, verdict: Verdict) -> bool {
         let Some(Open { cookie, offset, write }) = self.open.remove(&number) else { return false };
         self.cookies.remove(&cookie);
         match verdict {
             Verdict::Done { data } => self.done(cookie, offset, !write, data),
-            Verdict::Deferred { come_back_us } if self.additions > 0 => {
-                let data = nbd::write_error(error::IO, &come_back_us.to_be_bytes());
-                Reply::Chunk { cookie, flags: nbd::DONE, kind: chunk::DEFERRED, data }
+            Verdict::Rejected { retry_after_us } if self.additions > 0 => {
+                let data = nbd::write_error(error::IO, &retry_after_us.to_be_bytes());
+                Reply::Chunk { cookie, flags: nbd::DONE, kind: chunk::REJECTED, data }
                     .encode(&mut self.output);
             }
-            Verdict::Deferred { .. } => self.fail(cookie, error::IO, "deferred"),
-            Verdict::Abandoned => self.fail(cookie, error::IO, "abandoned"),
+            Verdict::Rejected { .. } => self.fail(cookie, error::IO, "deferred"),
+            Verdict::Failed => self.fail(cookie, error::IO, "abandoned"),
         }
         true
     }
--- a/crates/target/src/negotiate.rs
+++ b/crates/target/src/negotiate.rs
@@ -6,7 +6,7 @@
 
 /// Vendor key (section 6.2): milliseconds until the client gives a command up.
 pub const EXPIRY_KEY: &str = "X-org.tackmast.ExpiryMs";
-/// Vendor key: whether a deferral tells its time to come back in microseconds, in the response data.
+/// Vendor key: whether a rejection tells its time to come back in microseconds, in the response data.
 pub const DELAY_KEY: &str = "X-org.tackmast.ExactDelay";
 
 /// Vendor key: whether commands may tell an expiry of their own, in a further header.
--- a/crates/target/src/session.rs
+++ b/crates/target/src/session.rs
@@ -42,8 +42,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Done { data: Bytes },
-    Deferred { come_back_us: u64 },
-    Abandoned,
+    Rejected { retry_after_us: u64 },
+    Failed,
 }
 
 /// Why a session can't go on.
@@ -559,17 +559,17 @@
         match verdict {
             Verdict::Done { data } if data.is_empty() => self.respond(&task, status::GOOD, 0, Bytes::new()),
             Verdict::Done { data } => self.data_in(&task, data),
-            Verdict::Deferred { come_back_us } => {
+            Verdict::Rejected { retry_after_us } => {
                 // With the vendor key, the time stands to the microsecond in the response data, behind an
                 // empty sense length (RFC 7143, section 11.4.7); the qualifier counts in steps of 100 ms.
                 let mut exact = BytesMut::new();
                 if self.agreed.exact_delay {
                     exact.extend_from_slice(&[0, 0]);
-                    exact.extend_from_slice(&u32::try_from(come_back_us).unwrap_or(u32::MAX).to_be_bytes());
+                    exact.extend_from_slice(&u32::try_from(retry_after_us).unwrap_or(u32::MAX).to_be_bytes());
                 }
-                self.respond(&task, status::BUSY, scsi::retry_delay(come_back_us), exact.freeze())
+                self.respond(&task, status::BUSY, scsi::retry_delay(retry_after_us), exact.freeze())
             }
-            Verdict::Abandoned => self.check(&task, Sense::ABANDONED),
+            Verdict::Failed => self.check(&task, Sense::FAILED),
         }
         true
     }
--- a/crates/target/tests/damaged.rs
+++ b/crates/target/tests/damaged.rs
@@ -94,7 +94,7 @@
                     }
                 };
                 s.answer(*command, Verdict::Done { data });
-                assert!(!s.answer(*command, Verdict::Abandoned), "answered twice");
+                assert!(!s.answer(*command, Verdict::Failed), "answered twice");
             }
             events.push(e);
         }
--- a/crates/target/tests/session.rs
+++ b/crates/target/tests/session.rs
@@ -182,7 +182,7 @@
     let work = Work::Write { data: Bytes::from(data) };
     assert_eq!(c.events(), [Event::Submit { command: n, lun: 3, block: 5, work, expiry_ms: None }]);
     assert!(c.session.answer(n, Verdict::Done { data: Bytes::new() }));
-    assert!(!c.session.answer(n, Verdict::Abandoned), "one answer, and no second");
+    assert!(!c.session.answer(n, Verdict::Failed), "one answer, and no second");
     let reply = c.received();
     assert_eq!((reply.len(), reply[0].opcode(), reply[0].head[3]), (1, op::RESPONSE, status::GOOD));
 }
@@ -224,9 +224,9 @@
     let n = c.command(read, 1024, &[]).unwrap();
     c.session.answer(n, Verdict::Done { data: Bytes::from(vec![7; 1024]) });
     let n = c.command(read, 1024, &[]).unwrap();
-    c.session.answer(n, Verdict::Deferred { come_back_us: 250_001 });
+    c.session.answer(n, Verdict::Rejected { retry_after_us: 250_001 });
     let n = c.command(read, 1024, &[]).unwrap();
-    c.session.answer(n, Verdict::Abandoned);
+    c.session.answer(n, Verdict::Failed);
     let got = c.received();
     assert_eq!((got[0].opcode(), got[0].head[3], got[0].data.len()), (op::DATA_IN, status::GOOD, 1024));
     assert!(got[0].has(iscsi::STATUS_HERE));
@@ -235,14 +235,14 @@
     assert_eq!(got[1].data[..], [&[0, 0][..], &250_001u32.to_be_bytes()].concat());
     assert_eq!(
         (got[2].head[3], Sense::from_segment(&got[2].data)),
-        (status::CHECK_CONDITION, Some(Sense::ABANDONED))
+        (status::CHECK_CONDITION, Some(Sense::FAILED))
     );
     let numbers: Vec<u32> = got.iter().map(|p| p.u32(24)).collect();
     assert_eq!(numbers, [numbers[0], numbers[0] + 1, numbers[0] + 2], "a status number each");
     // A client that negotiated neither still sees a plain busy.
     let mut c = Client::logged_in(&[]);
     let n = c.command(read, 1024, &[]).unwrap();
-    c.session.answer(n, Verdict::Deferred { come_back_us: 250_001 });
+    c.session.answer(n, Verdict::Rejected { retry_after_us: 250_001 });
     let got = c.received();
     assert_eq!((got[0].head[3], got[0].u16(8), got[0].data.len()), (status::BUSY, 0, 0));
 }
@@ -256,7 +256,7 @@
     c.command(read, 512, &[]).unwrap();
     assert!(matches!(c.events().as_slice(), [Event::Note(line)] if line.contains("outside the window")));
     assert_eq!(c.session.open(), WINDOW as usize, "the others are unharmed");
-    c.session.answer(open[0], Verdict::Abandoned);
+    c.session.answer(open[0], Verdict::Failed);
     let reply = c.received();
     assert_eq!(reply[0].u32(32), reply[0].u32(28), "room for one more");
     c.next -= 1;
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -69,10 +69,13 @@
 #[serde(rename_all = "snake_case")]
 pub enum AnswerKind {
     Done,
-    Deferred,
-    Abandoned,
-    /// The command itself was wrong; the host never took it.
+    #[serde(rename = "deferred")]
     Rejected,
+    #[serde(rename = "abandoned")]
+    Failed,
+    /// The command itself was wrong; the host never took it.
+    #[serde(rename = "rejected")]
+    InvalidRequest,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -132,7 +135,8 @@
         session: u32,
         command: u32,
         kind: AnswerKind,
-        come_back_us: u64,
+        #[serde(rename = "come_back_us")]
+        retry_after_us: u64,
     },
     /// The client gave this one up, or its session ended from its side.
     Left {
--- a/crates/wire/src/nbd.rs
+++ b/crates/wire/src/nbd.rs
@@ -60,8 +60,8 @@
     flag: u16 { FUA = 1, EXPIRY = 0x4000 }
 }
 numbers! {
-    /// Chunk types of structured replies. `DEFERRED` is this project's, an error chunk by its highest bits.
-    chunk: u16 { NONE = 0, OFFSET_DATA = 1, ERROR = 0x8001, DEFERRED = 0xf463 }
+    /// Chunk types of structured replies. `REJECTED` is this project's, an error chunk by its highest bits.
+    chunk: u16 { NONE = 0, OFFSET_DATA = 1, ERROR = 0x8001, REJECTED = 0xf463 }
 }
 numbers! {
     /// Error values.
@@ -376,7 +376,7 @@
     f.u32("session").ok()
 }
 
-/// An error chunk's data: the value, and a text for people. A deferral has the time to come back in microseconds there
+/// An error chunk's data: the value, and a text for people. A rejection has the time to come back in microseconds there
 /// instead.
 pub fn write_error(value: u32, text: &[u8]) -> Bytes {
     let mut out = BytesMut::new();
--- a/crates/wire/src/node.rs
+++ b/crates/wire/src/node.rs
@@ -206,9 +206,9 @@
                 up_us: f.u64("time up")?,
             },
             3 => Frame::Send(SendAttempt {
-                attempt: f.u64("leg")?,
-                request: f.u64("transfer")?,
-                attempt_number: f.u8("leg number")?,
+                attempt: f.u64("attempt")?,
+                request: f.u64("request")?,
+                attempt_number: f.u8("attempt number")?,
                 origin: Origin {
                     session: f.u32("session")?,
                     command: f.u32("command")?,
@@ -231,7 +231,7 @@
                 },
             }),
             4 => Frame::Answer(Answer {
-                attempt: f.u64("leg")?,
+                attempt: f.u64("attempt")?,
                 outcome: match f.u8("outcome")? {
                     0 => NodeOutcome::Done,
                     1 => NodeOutcome::Error,
@@ -246,7 +246,7 @@
                     f.bytes("data", n)?
                 },
             }),
-            5 => Frame::Cancel { attempt: f.u64("leg")? },
+            5 => Frame::Cancel { attempt: f.u64("attempt")? },
             6 => Frame::Ping { number: f.u64("number")? },
             7 => Frame::Pong { number: f.u64("number")? },
             other => return Err(unknown("kind", other, "a frame kind from 1 to 7")),
--- a/crates/wire/src/scsi.rs
+++ b/crates/wire/src/scsi.rs
@@ -33,8 +33,8 @@
     pub const INVALID_FIELD: Sense = Sense(0x05, 0x24, 0x00);
     pub const OUT_OF_RANGE: Sense = Sense(0x05, 0x21, 0x00);
     pub const NO_SUCH_UNIT: Sense = Sense(0x05, 0x25, 0x00);
-    /// The request was abandoned: logical unit communication time-out, no promise about its effect.
-    pub const ABANDONED: Sense = Sense(0x0b, 0x08, 0x01);
+    /// The request was failed: logical unit communication time-out, no promise about its effect.
+    pub const FAILED: Sense = Sense(0x0b, 0x08, 0x01);
     pub const SHORT_DATA: Sense = Sense(0x0b, 0x0c, 0x0d);
 
     /// Fixed format (SPC-4, section 4.5.3) behind its two-byte length, as RFC 7143 section 11.4.7.2 wants it.
--- a/fuzz/targets/sessions.rs
+++ b/fuzz/targets/sessions.rs
@@ -38,7 +38,7 @@
                     }
                 };
                 session.answer(command, Verdict::Done { data });
-                assert!(!session.answer(command, Verdict::Abandoned), "answered twice");
+                assert!(!session.answer(command, Verdict::Failed), "answered twice");
             }
         }
         _ = session.output();
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -178,12 +178,12 @@
         begin_by: Option<Instant>,
     },
     /// Final answer: not done, and a retry is safe; come back after the span, where one is given.
-    Defer {
+    Reject {
         request: RequestId,
-        come_back: Option<Span>,
+        retry_after: Option<Span>,
     },
     /// Final answer: not done, and no promise about its effect.
-    Abandon {
+    Fail {
         request: RequestId,
     },
     /// Subscribe to changes of the node list.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -31,7 +31,7 @@
 const SPLIT_RISE: f64 = 4.0; // seconds for which the least share seen holds, at least
 const SPLIT_IDLE: f64 = 1.5; // seconds without an answer after which the share falls away
 const SPLIT_LEAST: f64 = 4.0; // mean sizes served at a node before it is looked at alone
-const UNDONE_MEMORY: f64 = 10.0; // seconds for which a later try is known by its first
+const REJECTED_MEMORY: f64 = 10.0; // seconds for which a later try is known by its first
 const AT_REST: f64 = 30.0; // seconds, longer than any request waits, after which what is unused is forgotten
 const VOLUMES_KEPT: usize = 512;
 const RESERVE_BURST: f64 = 1.0; // seconds of the reservation that its bucket holds
@@ -92,7 +92,7 @@
     alarms: BinaryHeap<Reverse<(Instant, Alarm)>>,
     lost: Losses,
     everywhere: Vec<Histogram>, // times at all nodes, for each stream type
-    undone: Undones,
+    rejected_requests: RejectedRequests,
     due: BTreeSet<ShardId>,
     homeless: Vec<RequestId>, // new objects for which no node was to be had
     decided: VecDeque<Decision>,
@@ -188,7 +188,7 @@
         // A client's later try began its SLO time with its first: it asks for the same as one answered
         // undone, with less time left. Little time left alone proves nothing: some clients are in a hurry.
         let ask = (volume, stream, key, shard, units.to_bits());
-        let slo_at = self.undone.again(now, ask, left).unwrap_or(now + st.slo);
+        let slo_at = self.rejected_requests.again(now, ask, left).unwrap_or(now + st.slo);
         let expiry = now + left - self.margin;
         let mut x = Request::new(now, (volume, plan, stream), key, shard, units, slo_at, expiry);
         x.turn = key.filter(|_| st.in_order);
@@ -400,7 +400,7 @@
     fn loss(&mut self, lost: bool, done: bool) {
         if let Some(losing) = self.lost.note(lost, done, LOST_HALVE, LOST_LEAST, LOST_PART) {
             let (l, mode) = (&self.lost, if losing { "get lost" } else { "arrive" });
-            self.log(format!("legs {mode}: {:.1} lost {:.1} answered", l.lost, l.kept));
+            self.log(format!("attempts {mode}: {:.1} lost {:.1} answered", l.lost, l.kept));
         }
     }
 
@@ -790,7 +790,7 @@
         let now = self.now;
         let begin_by = self.requests.get(&id).and_then(|x| self.known_until(x));
         let (Some(x), Some(n)) = (self.requests.get_mut(&id), self.nodes.get_mut(&node)) else {
-            return Decision::Abandon { request: id };
+            return Decision::Fail { request: id };
         };
         let st = &self.streams[x.stream.0 as usize];
         if let Some(v) = self.volumes.get_mut(&x.volume) {
@@ -867,21 +867,22 @@
         self.enqueue(id, true);
     }
 
-    /// The final answer: deferred where a retry is safe, abandoned otherwise.
-    fn answer(&mut self, id: RequestId, come_back: Option<Span>) {
+    /// The final answer: rejected where a retry is safe, failed otherwise.
+    fn answer(&mut self, id: RequestId, retry_after: Option<Span>) {
         let Some(x) = self.requests.get(&id).filter(|x| !x.ended) else { return };
         let safe = match self.streams[x.stream.0 as usize].effect {
             Effect::Repeatable | Effect::Keyed { group: Group::All, .. } => true,
             _ => x.ran.is_none(),
         };
-        let wait = come_back.map(|w| w.min(self.longest_wait)).filter(|w| *w > Span::ZERO);
+        let wait = retry_after.map(|w| w.min(self.longest_wait)).filter(|w| *w > Span::ZERO);
         self.decided.push_back(match safe {
-            true => Decision::Defer { request: id, come_back: wait },
-            false => Decision::Abandon { request: id },
+            true => Decision::Reject { request: id, retry_after: wait },
+            false => Decision::Fail { request: id },
         });
         let ask = (x.volume, x.stream, x.key, x.shard.filter(|_| !x.any_node), x.units.to_bits());
-        let keep = self.now + Span::from_secs(UNDONE_MEMORY);
-        self.undone.note(ask, Undone { slo_at: x.slo_at, left: x.expiry + self.margin - x.arrived, keep });
+        let keep = self.now + Span::from_secs(REJECTED_MEMORY);
+        self.rejected_requests
+            .note(ask, RejectedRequest { slo_at: x.slo_at, left: x.expiry + self.margin - x.arrived, keep });
         self.finish(id);
     }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -50,22 +50,22 @@
 pub type Ask = (VolumeId, StreamId, Option<KeyId>, Option<ShardId>, u64);
 
 /// A request that was answered without being done.
-pub struct Undone {
+pub struct RejectedRequest {
     pub slo_at: Instant,
     pub left: Span, // to its client when it came
     pub keep: Instant,
 }
 
 #[derive(Default)]
-pub struct Undones {
-    by_ask: HashMap<Ask, VecDeque<Undone>>,
+pub struct RejectedRequests {
+    by_ask: HashMap<Ask, VecDeque<RejectedRequest>>,
     order: VecDeque<(Instant, Ask)>,
 }
 
-impl Undones {
-    pub fn note(&mut self, ask: Ask, undone: Undone) {
-        self.order.push_back((undone.keep, ask));
-        self.by_ask.entry(ask).or_default().push_back(undone);
+impl RejectedRequests {
+    pub fn note(&mut self, ask: Ask, rejected_requests: RejectedRequest) {
+        self.order.push_back((rejected_requests.keep, ask));
+        self.by_ask.entry(ask).or_default().push_back(rejected_requests);
     }
 
     /// When the SLO time ends that began with an earlier try, if this is a later one.
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -202,7 +202,7 @@
         }
         assert!(
             (least..=most).contains(&done),
-            "{failing} of ten fail in {took} s: {done} done, {attempts} legs"
+            "{failing} of ten fail in {took} s: {done} done, {attempts} attempts"
         );
     }
 }
@@ -264,18 +264,18 @@
                 (0..4).for_each(|attempt| d.end(x, attempt, o, if silent { left } else { 0.05 }));
             }
         }
-        assert!((least..=most).contains(&attempts), "{left} s, {lost} of 10 lost: {attempts} legs");
+        assert!((least..=most).contains(&attempts), "{left} s, {lost} of 10 lost: {attempts} attempts");
         assert_eq!(timed > 5, lost == 10 && left > 0.5, "time-outs that let a queue drop: {timed}");
     }
 }
 
 #[test]
 fn a_later_try_keeps_its_first_ones_slo_time() {
-    // Key and time left of what comes after one on key 1 with 3 s left was deferred; whether it is in time.
+    // Key and time left of what comes after one on key 1 with 3 s left was rejected; whether it is in time.
     for (key, left, in_time) in [(1, 2.4, false), (2, 2.4, true), (1, 3.0, true), (2, 0.3, true)] {
         let mut d = Desk::new(1, Effect::Repeatable, false);
         d.take(0, 0, 0, 1.0, 0, 1);
-        assert!(d.until(100.6).iter().any(|(_, x)| matches!(x, Decision::Defer { .. })));
+        assert!(d.until(100.6).iter().any(|(_, x)| matches!(x, Decision::Reject { .. })));
         d.ready(1);
         d.left = left;
         let x = d.take(0, 0, 0, 1.0, 0, key);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -29,7 +29,7 @@
                             d.end(request, attempts[request.0 as usize] - 1, Outcome::Error, 0.01);
                         }
                     }
-                    Decision::Defer { request, .. } | Decision::Abandon { request } => {
+                    Decision::Reject { request, .. } | Decision::Fail { request } => {
                         assert!(t < 103.0, "{case}: answered after expiry");
                         answers[request.0 as usize] += 1;
                     }
@@ -44,7 +44,7 @@
 
 #[test]
 fn no_double_effect() {
-    // Effect, first outcome, how long it took; whether another attempt follows, and whether a deferral may.
+    // Effect, first outcome, how long it took; whether another attempt follows, and whether a rejection may.
     let table = [
         (Effect::Repeatable, Outcome::Error, 0.01, true, true),
         (Effect::Unrepeatable, Outcome::Error, 0.01, false, false),
@@ -56,7 +56,7 @@
         (keyed(0.1), Outcome::TimedOut, 0.2, false, false),
         (keyed(0.1), Outcome::Full, 0.2, true, true),
     ];
-    for (effect, outcome, took, again, defer) in table {
+    for (effect, outcome, took, again, reject) in table {
         let mut d = Desk::new(1, effect, false);
         d.ready(1);
         let id = d.take(0, 2, 0, 1.0, 0, 0);
@@ -68,11 +68,11 @@
         let attempts = after.iter().filter(|(_, x)| sent(x).is_some()).count();
         assert_eq!(attempts > 0, again, "{effect:?} {outcome:?}");
         let after: Vec<_> = after.into_iter().chain(d.until(104.0)).collect();
-        let deferred = after.iter().any(|(_, x)| matches!(x, Decision::Defer { .. }));
-        let abandoned = after.iter().any(|(_, x)| matches!(x, Decision::Abandon { .. }));
+        let rejected = after.iter().any(|(_, x)| matches!(x, Decision::Reject { .. }));
+        let failed = after.iter().any(|(_, x)| matches!(x, Decision::Fail { .. }));
         // A second attempt that is still out may have run in its turn.
-        let defer = defer && (attempts == 0 || effect == Effect::Repeatable);
-        assert_eq!((deferred, abandoned), (defer, !defer), "{effect:?} {outcome:?}");
+        let reject = reject && (attempts == 0 || effect == Effect::Repeatable);
+        assert_eq!((rejected, failed), (reject, !reject), "{effect:?} {outcome:?}");
     }
 }
 
@@ -248,7 +248,7 @@
                 "budget {free} + {share} passed at {end}"
             );
         }
-        assert!(!further.is_empty(), "some further legs are affordable");
+        assert!(!further.is_empty(), "some retries are affordable");
     }
 }
 
@@ -468,11 +468,11 @@
             all = d.until(end).into_iter().map(|(_, x)| x).collect();
         }
         let answer = all.iter().find(
-            |x| matches!(x, Decision::Defer { request, .. } | Decision::Abandon { request } if *request == first),
+            |x| matches!(x, Decision::Reject { request, .. } | Decision::Fail { request } if *request == first),
         );
         match answer {
-            Some(Decision::Defer { come_back, .. }) => assert!(over && *come_back == Some(secs(1.0))),
-            Some(Decision::Abandon { .. }) => assert!(!over),
+            Some(Decision::Reject { retry_after, .. }) => assert!(over && *retry_after == Some(secs(1.0))),
+            Some(Decision::Fail { .. }) => assert!(!over),
             _ => panic!("{over}: no answer by {} in {all:?}", given_up + 0.02),
         }
         let end = d.now + 0.3;
