--- a/crates/cli/src/io.rs
+++ b/crates/cli/src/io.rs
@@ -39,8 +39,8 @@
     #[arg(long, default_value_t = 2)]
     sessions: usize,
     /// Time for one call.
-    #[arg(long, default_value = "3s")]
-    expiry: humantime::Duration,
+    #[arg(long, alias = "expiry", default_value = "3s")]
+    timeout: humantime::Duration,
 }
 
 #[derive(clap::Subcommand)]
@@ -102,7 +102,7 @@
     let mut options = Options::new(protocol, v.address, &v.volume, v.lun);
     options.place.target.clone_from(&v.target);
     options.sessions = v.sessions.clamp(1, 64);
-    options.expiry = v.expiry.into();
+    options.timeout = v.timeout.into();
     Client::open(options, Duration::from_secs(5)).map_err(|e| e.to_string())
 }
 
--- a/crates/cli/src/planner.rs
+++ b/crates/cli/src/planner.rs
@@ -57,7 +57,12 @@
         let name = format!("{} {}", s.volumes[volume].name, st.name);
         let largest = all.iter().map(|a| a.1).fold(0.0, f64::max);
         let curve = Curve::of(&all, l.seconds, most_rate);
-        Asked { volume, stream, shard, load: Load { name, slo_s: st.slo.secs(), largest, curve } }
+        Asked {
+            volume,
+            stream,
+            shard,
+            load: Load { name, latency_objective_s: st.latency_objective.secs(), largest, curve },
+        }
     };
     arrivals.into_iter().map(one).collect()
 }
@@ -98,7 +103,7 @@
     shards
 }
 
-/// Rates and bursts of a node's loads under which all SLO times hold or, where there are none, the least bursts that leave the
+/// Rates and bursts of a node's loads under which all latency objectives hold or, where there are none, the least bursts that leave the
 /// node some room; and whether they hold.
 fn points(node: &Node, all: &[&Load]) -> (bool, Vec<Point>) {
     if let Some(points) = fit(node, all) {
@@ -144,7 +149,7 @@
     }
 }
 
-/// By shard: whether all SLO times can hold, the bound of each load, and reservations beside what the node bears.
+/// By shard: whether all latency objectives can hold, the bound of each load, and reservations beside what the node bears.
 pub fn check(f: &Figures) -> Result<ExitCode, String> {
     let (s, load, node) = f.read()?;
     let all = asked(&s, &load, node.capacity);
@@ -159,7 +164,7 @@
         let over = if reserved > node.capacity { ", more than it bears" } else { "" };
         println!(
             "shard {shard}: {}, {rates:.0} of {:.0} units a second, {reserved:.0} reserved{over}",
-            if holds { "all SLO times hold" } else { "no rates and bursts hold" },
+            if holds { "all latency objectives hold" } else { "no rates and bursts hold" },
             node.capacity
         );
         if !over.is_empty() {
@@ -167,14 +172,14 @@
         }
         for ((a, bound), p) in there.iter().zip(bounds(&node, &loads, &points)).zip(&points) {
             let (l, bound) = (&a.load, bound + waits.get(&a.volume).copied().unwrap_or(0.0));
-            let risk = bound > l.slo_s;
+            let risk = bound > l.latency_objective_s;
             println!(
                 "  {:<24} {:>8.1} units/s {:>8.1} at once, within {:>8.0} ms of {:.0}{}",
                 l.name,
                 p.rate,
                 p.burst,
                 bound * 1e3,
-                l.slo_s * 1e3,
+                l.latency_objective_s * 1e3,
                 if risk { ", at risk" } else { "" }
             );
             if risk || !holds {
@@ -185,7 +190,7 @@
     risks.sort();
     risks.dedup();
     match risks.is_empty() {
-        true => println!("all SLO times hold by the bound"),
+        true => println!("all latency objectives hold by the bound"),
         false => println!("at risk by the bound: {}", risks.join(", ")),
     }
     Ok(ExitCode::from(u8::from(!risks.is_empty())))
@@ -206,7 +211,7 @@
     }
     println!("# where data lies now");
     for (volume, (rate, burst, holds)) in sums {
-        let note = if holds { "" } else { ", and some SLO time is at risk all the same" };
+        let note = if holds { "" } else { ", and some latency objective is at risk all the same" };
         println!(
             "volume {:<16} limit {rate:.0} units/s, burst {burst:.0} units{note}",
             s.volumes[volume].name
@@ -244,7 +249,7 @@
     println!("models in virtual time; milliseconds. A bound that no rates hold is by the least bursts at nine tenths of the node");
     println!(
         "{:<14} {:<18} {:>6} {:>8} {:>8} {:>8} {:>8} {:>8} {:>9}  holds",
-        "load", "class", "SLO", "bound", "p50", "p99", "p99.9", "most", "in time"
+        "load", "class", "objective", "bound", "p50", "p99", "p99.9", "most", "in time"
     );
     for file in files {
         let load = tackmast_load::Load::read(file).map_err(|e| e.to_string())?;
@@ -268,25 +273,25 @@
                 let plan = &s.plans[s.volumes[a.volume].plan as usize].name;
                 let bound = bound + waits.get(&a.volume).copied().unwrap_or(0.0);
                 let class = format!("{plan} {}", s.streams[a.stream].name);
-                let x = worst.entry(class).or_insert((a.load.slo_s, 0.0, true));
+                let x = worst.entry(class).or_insert((a.load.latency_objective_s, 0.0, true));
                 *x = (x.0, x.1.max(bound), x.2 && holds);
             }
         }
         let run = tackmast_lab::play(&w, None).run;
-        for (class, (slo, bound, holds)) in worst {
+        for (class, (latency_objective, bound, holds)) in worst {
             let Some(c) = run.classes.get(&class) else { continue };
             let at = |p: f64| c.times.value_at_percentile(p) as f64 / 1e3;
             println!(
                 "{:<14} {class:<18} {:>6.0} {:>8.0} {:>8.1} {:>8.1} {:>8.1} {:>8.1} {:>9.4}  {}",
                 name(file),
-                slo * 1e3,
+                latency_objective * 1e3,
                 bound * 1e3,
                 at(50.0),
                 at(99.0),
                 at(99.9),
                 c.times.max() as f64 / 1e3,
                 c.in_time as f64 / c.asked.max(1) as f64,
-                if holds && bound <= slo { "yes" } else { "no" }
+                if holds && bound <= latency_objective { "yes" } else { "no" }
             );
         }
     }
--- a/crates/cli/src/plans.rs
+++ b/crates/cli/src/plans.rs
@@ -74,7 +74,7 @@
         #[command(flatten)]
         home: Home,
     },
-    /// Tells whether the SLO times of a recorded load can hold where its data lies, and which are at risk, by the paper's
+    /// Tells whether the latency objectives of a recorded load can hold where its data lies, and which are at risk, by the paper's
     /// bound. Nothing is asked of any host.
     Check(crate::planner::Figures),
     /// Proposes limits and bursts for a recorded load, and a placement on so many nodes.
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -72,8 +72,11 @@
         println!("plan {}: {limit}, reserve {}, weight {}", p.name, p.reserve, p.weight);
     }
     for st in &s.streams {
-        let (slo, expiry) = (st.slo.secs() * 1e3, st.expiry.secs() * 1e3);
-        println!("stream {}: SLO time {slo} ms, expiry {expiry} ms, {:?}", st.name, st.effect);
+        let (latency_objective, deadline) = (st.latency_objective.secs() * 1e3, st.deadline.secs() * 1e3);
+        println!(
+            "traffic class {}: latency objective {latency_objective} ms, deadline {deadline} ms, {:?}",
+            st.name, st.effect
+        );
     }
     for v in &s.volumes {
         let plan = &s.plans[v.plan as usize].name;
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,5 +1,5 @@
 //! Client library of the gateway: open a volume, read, write, flush and cancel, over an iSCSI-style or an NBD transport
-//! with the same results. A call has one answer, by its expiry at the latest; it is tried again only where that is safe
+//! with the same results. A call has one answer, by its deadline at the latest; it is tried again only where that is safe
 //! and within a budget. docs/client.md has examples.
 
 mod shell;
@@ -40,7 +40,7 @@
     pub address: SocketAddr,
     pub place: Place,
     /// Time for a call that names none.
-    pub expiry: Duration,
+    pub timeout: Duration,
     pub sessions: usize,
     /// Calls and bytes of calls that may be open; more are rejected at once.
     pub calls: usize,
@@ -59,7 +59,7 @@
             protocol,
             address,
             place,
-            expiry: Duration::from_secs(3),
+            timeout: Duration::from_secs(3),
             sessions: 2,
             calls: 1024,
             bytes: 256 << 20,
@@ -87,7 +87,7 @@
     events: Sender<Event>,
     next: Arc<AtomicU64>,
     clock: Clock,
-    expiry: Duration,
+    timeout: Duration,
     volume: Volume,
 }
 
@@ -100,9 +100,9 @@
 }
 
 impl Pending {
-    /// Waits for the answer, which comes by the call's expiry.
+    /// Waits for the answer, which comes by the call's deadline.
     pub fn wait(self) -> Outcome {
-        // The library answers at the expiry by itself; a little more is for its own way.
+        // The library answers at the deadline by itself; a little more is for its own way.
         self.answer.recv_timeout(self.longest).unwrap_or(Outcome::Failed)
     }
 
@@ -121,10 +121,10 @@
     /// Opens the volume; waits for a first session for as long as `patience`.
     pub fn open(options: Options, patience: Duration) -> Result<Client, OpenError> {
         let clock = Clock::new();
-        let (address, expiry) = (options.address, options.expiry);
+        let (address, timeout) = (options.address, options.timeout);
         let bounds = Bounds { sessions: options.sessions, calls: options.calls, bytes: options.bytes };
         let (place, digests, speaks) = (options.place.clone(), options.digests, options.speaks);
-        let session_expiry = Span::from_secs(expiry.as_secs_f64());
+        let session_deadline = Span::from_secs(timeout.as_secs_f64());
         let new = move || -> Box<dyn Transport> {
             let plain = speaks == Speaks::Public;
             let version = match speaks {
@@ -133,7 +133,9 @@
                 Speaks::Public => 0,
             };
             match options.protocol {
-                Protocol::Iscsi => Box::new(IscsiClient::new(place.clone(), digests, session_expiry, plain)),
+                Protocol::Iscsi => {
+                    Box::new(IscsiClient::new(place.clone(), digests, session_deadline, plain))
+                }
                 Protocol::Nbd => Box::new(NbdClient::new(place.clone(), version, plain)),
             }
         };
@@ -141,7 +143,9 @@
             shell::start(clock, address, bounds, options.policy, options.seed, Box::new(new))
                 .map_err(OpenError::Thread)?;
         match ready.recv_timeout(patience) {
-            Ok(Ok(volume)) => Ok(Client { events, next: Arc::new(AtomicU64::new(1)), clock, expiry, volume }),
+            Ok(Ok(volume)) => {
+                Ok(Client { events, next: Arc::new(AtomicU64::new(1)), clock, timeout, volume })
+            }
             Ok(Err(why)) => {
                 _ = events.send(Event::End);
                 Err(OpenError::Refused { address, why })
@@ -157,15 +161,15 @@
         self.volume
     }
 
-    /// Begins a call; `expiry` is from now, and the client's own where none is given.
-    pub fn submit(&self, op: Op, expiry: Option<Duration>) -> Pending {
+    /// Begins a call; `deadline` is from now, and the client's own where none is given.
+    pub fn submit(&self, op: Op, timeout: Option<Duration>) -> Pending {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let expiry = expiry.unwrap_or(self.expiry);
-        let deadline = self.clock.now() + Span::from_secs(expiry.as_secs_f64());
+        let timeout = timeout.unwrap_or(self.timeout);
+        let deadline = self.clock.now() + Span::from_secs(timeout.as_secs_f64());
         let (to, answer) = crossbeam_channel::bounded(1);
         // A client that has ended drops the sender, and the wait ends at once.
         _ = self.events.send(Event::Call { number, op, deadline, to });
-        Pending { number, answer, events: self.events.clone(), longest: expiry + Duration::from_millis(500) }
+        Pending { number, answer, events: self.events.clone(), longest: timeout + Duration::from_millis(500) }
     }
 
     pub fn read(&self, offset: u64, length: u32) -> Outcome {
--- a/crates/client/tests/common/mod.rs
+++ b/crates/client/tests/common/mod.rs
@@ -146,7 +146,7 @@
             tap::start(tapped, host, 0, volumes, self.recorder.clone(), self.cutter.clone()).unwrap();
         let lun = u32::from(volume == "listening");
         Options {
-            expiry: Duration::from_millis(900),
+            timeout: Duration::from_millis(900),
             seed: 5,
             ..Options::new(protocol, address, volume, lun)
         }
@@ -183,7 +183,7 @@
 fn facts() -> Facts {
     let stream = |name: &str, effect| StreamFacts {
         name: name.into(),
-        slo_us: 300_000,
+        latency_objective_us: 300_000,
         effect,
         window_us: 0,
         in_order: false,
--- a/crates/client/tests/histories.rs
+++ b/crates/client/tests/histories.rs
@@ -119,21 +119,21 @@
 }
 
 #[test]
-fn a_call_never_hangs_past_its_expiry_whatever_becomes_of_the_host() {
+fn a_call_never_hangs_past_its_deadline_whatever_becomes_of_the_host() {
     let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
     for protocol in [Protocol::Iscsi, Protocol::Nbd] {
         let pool = Pool::start();
         let client = Client::open(pool.options(protocol, "museum"), PATIENCE).unwrap();
         pool.nodes.iter().for_each(|n| n.set(&Fault::Silent(true)));
         let started = Instant::now();
-        let expiry = Duration::from_millis(600);
-        let read = client.submit(Op::Read { offset: 0, length: 512 }, Some(expiry));
-        let write = client.submit(Op::Write { offset: 4096, data: vec![1; 512].into() }, Some(expiry));
+        let deadline = Duration::from_millis(600);
+        let read = client.submit(Op::Read { offset: 0, length: 512 }, Some(deadline));
+        let write = client.submit(Op::Write { offset: 4096, data: vec![1; 512].into() }, Some(deadline));
         std::thread::sleep(Duration::from_millis(100));
         pool.host.stop();
         assert_eq!(write.wait(), Outcome::Failed, "{protocol:?}: it was out when its host ended");
         assert!(!matches!(read.wait(), Outcome::Done(_)));
-        assert!(started.elapsed() < expiry + Duration::from_millis(200), "{:?}", started.elapsed());
+        assert!(started.elapsed() < deadline + Duration::from_millis(200), "{:?}", started.elapsed());
         pool.list.stop();
         pool.nodes.iter().for_each(|n| n.stop());
     }
--- a/crates/client/tests/suite.rs
+++ b/crates/client/tests/suite.rs
@@ -15,7 +15,7 @@
     Write(u64, u32, u8),
     Read(u64, u32),
     Flush,
-    /// Begun with this expiry and answered by it.
+    /// Begun with this deadline and answered by it.
     Within(Duration, u64, u32),
     /// Begun and taken back at once.
     Cancelled(u64, u32),
@@ -56,12 +56,12 @@
                 ));
             }
             Flush => lines.push(format!("flush: {}", line(&client.flush()))),
-            Within(expiry, block, blocks) => {
+            Within(deadline, block, blocks) => {
                 let started = Instant::now();
                 let op = Op::Read { offset: block * 512, length: blocks * 512 };
-                let outcome = client.submit(op, Some(*expiry)).wait();
-                let late = started.elapsed() > *expiry + Duration::from_millis(150);
-                lines.push(format!("within {expiry:?}: {} late {late}", line(&outcome)));
+                let outcome = client.submit(op, Some(*deadline)).wait();
+                let late = started.elapsed() > *deadline + Duration::from_millis(150);
+                lines.push(format!("within {deadline:?}: {} late {late}", line(&outcome)));
             }
             Cancelled(block, blocks) => {
                 client.submit(Op::Read { offset: block * 512, length: blocks * 512 }, None).cancel();
@@ -156,7 +156,7 @@
             vec!["read 300+1: done"],
         ),
         (
-            "answered by its expiry",
+            "answered by its deadline",
             "museum",
             vec![
                 Fault(0, F::Silent(true)),
--- a/crates/clientcore/src/core.rs
+++ b/crates/clientcore/src/core.rs
@@ -1,5 +1,5 @@
 //! Calls over a pool of sessions: which session takes a call, when it is tried again, and its one final answer by its
-//! expiry at the latest.
+//! deadline at the latest.
 
 use crate::op::{Op, Outcome, SessionEvent, Transport, Volume};
 use crate::retry::{Budget, End, Next, Policy};
@@ -273,7 +273,7 @@
                 self.deadlines.pop_first();
                 continue;
             };
-            // Out at its expiry, or tried before with an unknown end: no promise. Else it never ran.
+            // Out at its deadline, or tried before with an unknown end: no promise. Else it never ran.
             let unknown = c.slot.is_some() || c.ran;
             let outcome = if unknown { Outcome::Failed } else { Outcome::Rejected { retry_after: None } };
             if let Some(c) = self.forget(number) {
--- a/crates/clientcore/src/iscsi.rs
+++ b/crates/clientcore/src/iscsi.rs
@@ -38,7 +38,7 @@
     first_burst: usize,
     segment: usize,
     immediate: bool,
-    /// Whether a command may tell its own expiry.
+    /// Whether a command may tell its own deadline.
     expiries: bool,
     next: u32,
     window_end: u32,
@@ -49,7 +49,7 @@
 
 impl IscsiClient {
     /// `plain` leaves out every key of the gateway's own, as a library that knows none of them does.
-    pub fn new(place: Place, digests: Digests, expiry: Span, plain: bool) -> Self {
+    pub fn new(place: Place, digests: Digests, deadline: Span, plain: bool) -> Self {
         let mut c = IscsiClient {
             input: Units::new(MOST_DATA),
             output: BytesMut::new(),
@@ -69,7 +69,7 @@
             place,
         };
         let digest = |on| if on { "CRC32C" } else { "None" };
-        let expiry_ms = format!("{}", (expiry.secs() * 1e3).ceil().max(1.0) as u64);
+        let deadline_ms = format!("{}", (deadline.secs() * 1e3).ceil().max(1.0) as u64);
         let target = c.place.target.clone();
         let mut keys = vec![
             ("InitiatorName", "iqn.2026-12.org.tackmast:client"),
@@ -87,7 +87,7 @@
             keys.push(("iSCSIProtocolLevel", "2"));
             keys.push(("X-org.tackmast.ExactDelay", "Yes"));
             keys.push(("X-org.tackmast.CommandExpiry", "Yes"));
-            keys.push(("X-org.tackmast.ExpiryMs", &expiry_ms));
+            keys.push(("X-org.tackmast.ExpiryMs", &deadline_ms));
         }
         let mut pdu = Pdu::new(op::LOGIN | 0x40, FINAL | 1 << 2 | 3);
         pdu.head[8..14].copy_from_slice(&[0x80, 0, 0, 0, 0, 1]);
@@ -114,7 +114,7 @@
         pdu.set32(28, self.exp_stat);
         pdu.head[32..].copy_from_slice(&command.to_cdb());
         if let Some((_, left)) = tag.filter(|_| self.expiries) {
-            pdu.set_expiry((left.secs() * 1e6).max(1.0) as u64);
+            pdu.set_deadline((left.secs() * 1e6).max(1.0) as u64);
         }
         let tag = tag.map(|(t, _)| t);
         if self.immediate {
--- a/crates/clientcore/src/nbd.rs
+++ b/crates/clientcore/src/nbd.rs
@@ -222,8 +222,8 @@
 
     fn request(&mut self, tag: u64, kind: u16, offset: u64, length: u32, left: Option<Span>) -> u64 {
         self.next += 1;
-        let expiry_us = left.filter(|_| self.additions > 0).map(|l| (l.secs() * 1e6).max(1.0) as u64);
-        Request { flags: 0, kind, cookie: self.next, offset, length, expiry_us }.encode(&mut self.output);
+        let deadline_us = left.filter(|_| self.additions > 0).map(|l| (l.secs() * 1e6).max(1.0) as u64);
+        Request { flags: 0, kind, cookie: self.next, offset, length, deadline_us }.encode(&mut self.output);
         let read = if kind == command::READ { length as usize } else { 0 };
         let p = Pending { read, offset, data: BytesMut::new(), have: 0, failed: None, wanted: true };
         self.pending.insert(self.next, (tag, p));
@@ -286,7 +286,7 @@
     }
 
     fn end(&mut self) {
-        Request { flags: 0, kind: command::DISCONNECT, cookie: 0, offset: 0, length: 0, expiry_us: None }
+        Request { flags: 0, kind: command::DISCONNECT, cookie: 0, offset: 0, length: 0, deadline_us: None }
             .encode(&mut self.output);
         self.phase = Phase::Over;
     }
--- a/crates/clientcore/src/retry.rs
+++ b/crates/clientcore/src/retry.rs
@@ -1,5 +1,5 @@
 //! When a call is tried again. Only where the answer says that it is safe, or the call is a read; within a budget, so
-//! that retries never become a load of their own; and never past the call's expiry.
+//! that retries never become a load of their own; and never past the call's deadline.
 
 use tackmast::interface::{Instant, Span};
 
@@ -94,7 +94,7 @@
         let at = now + wait;
         // One that never left has cost nothing: it needs no budget, only time.
         let costs = if end == End::NotSent { 0.0 } else { 1.0 };
-        // A try that can't be expected to end in time would be out at the expiry, and turn what is known not to have
+        // A try that can't be expected to end in time would be out at the deadline, and turn what is known not to have
         // run into what nobody knows.
         if at + took >= deadline || tries >= self.policy.most_tries || self.left < costs {
             return answer;
--- a/crates/config/src/host.rs
+++ b/crates/config/src/host.rs
@@ -22,7 +22,7 @@
     /// How coarse the host's clock is taken to be.
     #[serde(default = "two")]
     pub tick_ms: f64,
-    /// Time kept for an answer's way back to its client: it leaves the host that much before the expiry.
+    /// Time kept for an answer's way back to its client: it leaves the host that much before the deadline.
     #[serde(default = "twenty")]
     pub answer_lead_ms: f64,
     /// Seed of chance; without one it is drawn at the start.
@@ -304,8 +304,10 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct StreamBlock {
-    slo_ms: f64,
-    expiry_ms: f64,
+    #[serde(rename = "slo_ms")]
+    latency_objective_ms: f64,
+    #[serde(rename = "expiry_ms")]
+    deadline_ms: f64,
     effect: EffectName,
     #[serde(default)]
     group: GroupName,
@@ -319,9 +321,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Stream {
     pub name: String,
-    pub slo: Span,
+    pub latency_objective: Span,
     /// Time to answer in, where the client negotiates none.
-    pub expiry: Span,
+    pub deadline: Span,
     pub effect: Effect,
     pub in_order: bool,
     /// Blocks that share one order key; none: an extent.
@@ -594,8 +596,8 @@
         let mut streams = Vec::new();
         for f in doc.blocks::<StreamBlock>("stream", true)? {
             let (s, name) = (f.value, f.label);
-            within("stream", &name, "slo_ms", s.slo_ms, 0.1, DAY_S * 1e3)?;
-            within("stream", &name, "expiry_ms", s.expiry_ms, host.answer_lead_ms + 10.0, DAY_S * 1e3)?;
+            within("stream", &name, "slo_ms", s.latency_objective_ms, 0.1, DAY_S * 1e3)?;
+            within("stream", &name, "expiry_ms", s.deadline_ms, host.answer_lead_ms + 10.0, DAY_S * 1e3)?;
             let window = within("stream", &name, "window_s", s.window_s.unwrap_or(0.0), 0.0, DAY_S)?;
             let effect = match (s.effect, s.window_s) {
                 (EffectName::Repeatable, _) => Effect::Repeatable,
@@ -618,8 +620,8 @@
                 return Err(doc.wrong(&at, 0, "1 block or more"));
             }
             streams.push(Stream {
-                slo: Span::from_secs(s.slo_ms / 1e3),
-                expiry: Span::from_secs(s.expiry_ms / 1e3),
+                latency_objective: Span::from_secs(s.latency_objective_ms / 1e3),
+                deadline: Span::from_secs(s.deadline_ms / 1e3),
                 effect,
                 in_order: s.in_order,
                 order_blocks: s.order_blocks,
--- a/crates/day/src/import.rs
+++ b/crates/day/src/import.rs
@@ -210,10 +210,10 @@
                 format!("effect = \"keyed\"\n  group = \"{group}\"\n  window_s = {}", s(c.window))
             }
         };
-        let (slo, expiry) = (c.aim / 1e3, c.deadline / 1e3);
+        let (latency_objective, deadline) = (c.aim / 1e3, c.deadline / 1e3);
         p(writeln!(
             o,
-            "stream \"{}\" {{\n  slo_ms = {slo}\n  expiry_ms = {expiry}\n  {effect}\n}}\n",
+            "stream \"{}\" {{\n  slo_ms = {latency_objective}\n  expiry_ms = {deadline}\n  {effect}\n}}\n",
             c.name
         ))?;
     }
--- a/crates/day/src/play.rs
+++ b/crates/day/src/play.rs
@@ -57,7 +57,7 @@
         };
         StreamFacts {
             name: st.name.clone(),
-            slo_us: us(st.slo.secs()),
+            latency_objective_us: us(st.latency_objective.secs()),
             effect,
             window_us: us(window),
             in_order: st.in_order,
@@ -529,7 +529,7 @@
 
     fn end(mut self, seed: u64) -> Played {
         self.wait_for_view();
-        let longest = self.script.settings.streams.iter().map(|s| s.expiry.secs()).fold(0.0, f64::max);
+        let longest = self.script.settings.streams.iter().map(|s| s.deadline.secs()).fold(0.0, f64::max);
         let slack = self.script.day.answer_slack_ms / 1e3;
         let until = Instant::now() + Duration::from_secs_f64(longest + slack + 0.2);
         while Instant::now() < until && self.flows.iter().any(|f| f.open() > 0) {
@@ -685,7 +685,7 @@
         target,
         name: "iqn.2026-12.org.tackmast:misuse".into(),
         digests: Digests::default(),
-        expiry_ms: None,
+        deadline_ms: None,
         patience,
     };
     let (to, replies) = crossbeam_channel::unbounded();
--- a/crates/day/src/script.rs
+++ b/crates/day/src/script.rs
@@ -188,7 +188,8 @@
     pub waits: bool,
     #[serde(default)]
     pub digests: bool,
-    pub expiry_ms: Option<u32>,
+    #[serde(rename = "expiry_ms")]
+    pub deadline_ms: Option<u32>,
     /// Surges of its own: times the rate, how long, and how often in the mean, in seconds.
     pub surges: Option<(f64, f64, f64)>,
     /// How often the lead passes to another host, in the mean, in seconds.
--- a/crates/day/src/traffic.rs
+++ b/crates/day/src/traffic.rs
@@ -23,7 +23,7 @@
 /// What became of first tries and their retries.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    /// First tries, and those of them done within their SLO time, done at all.
+    /// First tries, and those of them done within their latency objective, done at all.
     pub asked: u64,
     pub in_time: u64,
     pub done: u64,
@@ -68,7 +68,7 @@
 struct Try {
     first_at: u64,
     sent: u64,
-    slo_us: u64,
+    latency_objective_us: u64,
     stream: usize,
     block: u64,
     blocks: u32,
@@ -246,7 +246,7 @@
             target: self.settings.host.target.clone(),
             name: format!("iqn.2026-12.org.tackmast:client-{}", self.name),
             digests: Digests { header: self.block.digests, data: self.block.digests },
-            expiry_ms: self.block.expiry_ms,
+            deadline_ms: self.block.deadline_ms,
             patience: Duration::from_secs(2),
         };
         Initiator::login(&login, host, self.replies.0.clone(), self.recorder.clone()).ok()
@@ -368,20 +368,20 @@
             true => AskWork::Write { data: Bytes::from(s.registers.write(now, block, blocks, version)) },
             false => AskWork::Read { blocks },
         };
-        let expiry = self.block.expiry_ms.map_or(st.expiry.secs(), |ms| f64::from(ms) / 1e3);
+        let deadline = self.block.deadline_ms.map_or(st.deadline.secs(), |ms| f64::from(ms) / 1e3);
         let ask = Ask {
             lun: self.volume.lun,
             stream: a.stream as u32,
             block,
             block_bytes: self.volume.block_bytes,
             work,
-            expiry_us: (expiry * 1e6) as u64,
+            deadline_us: (deadline * 1e6) as u64,
         };
-        let slo_us = (st.slo.secs() * 1e6) as u64;
+        let latency_objective_us = (st.latency_objective.secs() * 1e6) as u64;
         let new = Try {
             first_at: a.first_at,
             sent: now,
-            slo_us,
+            latency_objective_us,
             stream: a.stream,
             block,
             blocks,
@@ -439,7 +439,7 @@
                     let tally = &mut s.tallies[stream];
                     tally.done += 1;
                     let took = now.saturating_sub(t.first_at);
-                    tally.in_time += u64::from(took <= t.slo_us);
+                    tally.in_time += u64::from(took <= t.latency_objective_us);
                     _ = tally.times.record(took.clamp(1, LONGEST));
                     if !write {
                         let wanted = t.blocks as usize * self.volume.block_bytes as usize;
--- a/crates/host/src/sessions.rs
+++ b/crates/host/src/sessions.rs
@@ -219,7 +219,7 @@
                             began.insert(command, at);
                             continue;
                         }
-                        target::Event::Submit { command, lun, block, work, expiry_ms } => Event::Submit {
+                        target::Event::Submit { command, lun, block, work, deadline_ms } => Event::Submit {
                             from: CommandRef { session, command },
                             lun,
                             block,
@@ -228,7 +228,7 @@
                                 target::Work::Write { data } => Work::Write { data },
                             },
                             began: began.remove(&command).unwrap_or(at),
-                            asked: expiry_ms.map(|ms| Span::from_secs(f64::from(ms) / 1e3)),
+                            asked: deadline_ms.map(|ms| Span::from_secs(f64::from(ms) / 1e3)),
                         },
                         target::Event::Abort { command } => {
                             began.remove(&command);
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -135,13 +135,13 @@
 }
 
 impl Pool {
-    pub fn client(&self, digests: Digests, expiry_ms: Option<u32>) -> Client {
+    pub fn client(&self, digests: Digests, deadline_ms: Option<u32>) -> Client {
         let login = Login {
             address: self.host.address,
             target: "iqn.2026-12.org.tackmast:pool".into(),
             name: "iqn.2026-12.org.tackmast:test".into(),
             digests,
-            expiry_ms,
+            deadline_ms,
             patience: PATIENCE,
         };
         let (to, replies) = crossbeam_channel::unbounded();
@@ -162,7 +162,7 @@
 
 impl Client {
     pub fn ask(&self, label: u64, lun: u32, block: u64, work: AskWork) -> Option<u32> {
-        let ask = Ask { lun, stream: 0, block, block_bytes: 512, work, expiry_us: 1_500_000 };
+        let ask = Ask { lun, stream: 0, block, block_bytes: 512, work, deadline_us: 1_500_000 };
         self.initiator.ask(label, &ask, PATIENCE)
     }
     pub fn reply(&self) -> (u64, Reply) {
--- a/crates/host/tests/rough.rs
+++ b/crates/host/tests/rough.rs
@@ -33,7 +33,7 @@
 
 fn request(kind: u16, cookie: u64, offset: u64, length: u32) -> BytesMut {
     let mut out = BytesMut::new();
-    nbd::Request { flags: 0, kind, cookie, offset, length, expiry_us: None }.encode(&mut out);
+    nbd::Request { flags: 0, kind, cookie, offset, length, deadline_us: None }.encode(&mut out);
     out
 }
 
@@ -95,7 +95,7 @@
         if sent.is_multiple_of(100) {
             let asked = Instant::now();
             asks += 1;
-            // On a machine busy with other tests an answer may be late for its SLO time; it is told so at once.
+            // On a machine busy with other tests an answer may be late for its latency objective; it is told so at once.
             match client.read(1, 5000, 1) {
                 Reply::Rejected { retry_after_us } => {
                     assert!(retry_after_us > 0);
--- a/crates/hostcore/src/core.rs
+++ b/crates/hostcore/src/core.rs
@@ -238,7 +238,7 @@
     part: u16,
     text: AttemptText,
     stream: usize,
-    expiry: Instant,
+    deadline: Instant,
     attempts: u32,
     out: Vec<Out>,
     /// In its session's turn, until its first attempt leaves.
@@ -254,7 +254,7 @@
         (from, part): (CommandRef, u16),
         text: AttemptText,
         stream: usize,
-        expiry: Instant,
+        deadline: Instant,
         place: Option<Place>,
     ) -> Self {
         PendingRequest {
@@ -263,7 +263,7 @@
             part,
             text,
             stream,
-            expiry,
+            deadline,
             attempts: 0,
             out: Vec::new(),
             place,
@@ -327,7 +327,7 @@
         let longest = Span::from_secs(s.load.longest_wait_s);
         let mut scheduler = Scheduler::new(now, seed, s.host.hosts, tick, s.units.mean);
         for st in &s.streams {
-            scheduler.stream(st.slo, st.effect, st.in_order);
+            scheduler.stream(st.latency_objective, st.effect, st.in_order);
         }
         for p in &s.plans {
             scheduler.plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
--- a/crates/hostcore/src/core/attempts.rs
+++ b/crates/hostcore/src/core/attempts.rs
@@ -54,7 +54,7 @@
         begin_by: Option<Instant>,
     ) {
         let Some(x) = self.requests.get_mut(&id) else { return };
-        let until = timeout.map_or(x.expiry, |t| x.expiry.min(now + t));
+        let until = timeout.map_or(x.deadline, |t| x.deadline.min(now + t));
         let (no, st) = (x.attempts, &self.streams[x.stream]);
         x.attempts += 1;
         if let Some(place) = x.place.take() {
--- a/crates/hostcore/src/core/commands.rs
+++ b/crates/hostcore/src/core/commands.rs
@@ -30,12 +30,12 @@
         };
         let (plan, hosts, name) = (PlanId(v.plan), v.hosts, VolumeId(volume as u32));
         let stream = self.layout.stream(volume, write, blocks);
-        let expiry = began + asked.unwrap_or(self.streams[stream].expiry) - self.lead;
+        let deadline = began + asked.unwrap_or(self.streams[stream].deadline) - self.lead;
         let parts = self.layout.parts(volume, stream, block, blocks);
         if self.draining || self.clients_wait(now) {
             return self.refuse(from, Some(self.longest_wait));
         }
-        if expiry <= now || parts.is_empty() || self.commands.contains_key(&from) {
+        if deadline <= now || parts.is_empty() || self.commands.contains_key(&from) {
             return self.refuse(from, None);
         }
         let bytes = blocks as usize * block_bytes;
@@ -79,7 +79,7 @@
             };
             self.requests.insert(
                 *id,
-                PendingRequest::new(serial, (from, i as u16), text, stream, expiry, Some(place)),
+                PendingRequest::new(serial, (from, i as u16), text, stream, deadline, Some(place)),
             );
             self.scheduler.request_arrived(
                 now,
@@ -87,7 +87,7 @@
                 StreamId(stream as u32),
                 plan,
                 Some(key_id(spec.key)),
-                expiry - now,
+                deadline - now,
                 name,
                 spec.units,
                 Some(spec.shard),
--- a/crates/hostcore/src/plans.rs
+++ b/crates/hostcore/src/plans.rs
@@ -135,8 +135,9 @@
         c.plans.insert(p.name.clone(), Plan { limit, burst, slack, reserve, weight, floor: p.floor });
     }
     for st in &s.streams {
-        let (slo_ms, expiry_ms) = (st.slo.secs() * 1e3, st.expiry.secs() * 1e3);
-        c.streams.insert(st.name.clone(), StreamType { slo_ms, expiry_ms });
+        let (latency_objective_ms, deadline_ms) =
+            (st.latency_objective.secs() * 1e3, st.deadline.secs() * 1e3);
+        c.streams.insert(st.name.clone(), StreamType { latency_objective_ms, deadline_ms });
     }
     for v in &s.volumes {
         let stream = |i: u32| s.streams[i as usize].name.clone();
--- a/crates/hostcore/tests/placed.rs
+++ b/crates/hostcore/tests/placed.rs
@@ -33,8 +33,15 @@
             .iter()
             .map(|effect| {
                 scheduler.stream(span(0.3), *effect, false);
-                let (name, slo, expiry) = (String::new(), span(0.3), span(1.0));
-                Stream { name, slo, expiry, effect: *effect, in_order: false, order_blocks: None }
+                let (name, latency_objective, deadline) = (String::new(), span(0.3), span(1.0));
+                Stream {
+                    name,
+                    latency_objective,
+                    deadline,
+                    effect: *effect,
+                    in_order: false,
+                    order_blocks: None,
+                }
             })
             .collect();
         scheduler.attempt_limits(3, span(0.5), Span::ZERO);
--- a/crates/httphost/src/serve.rs
+++ b/crates/httphost/src/serve.rs
@@ -128,8 +128,8 @@
         ready.map_err(|e| format!("listen: {}: {e}", c.listen))?;
         let streams = s.streams.iter().map(|st| Stream {
             name: st.name.clone(),
-            slo: st.slo,
-            expiry: st.expiry,
+            latency_objective: st.latency_objective,
+            deadline: st.deadline,
             effect: st.effect,
             in_order: st.in_order,
             order_blocks: None,
@@ -184,7 +184,7 @@
             back: Vec::new(),
             swept: now,
             ending: None,
-            ends: Ending::new(s.streams.iter().map(|st| st.expiry).max().unwrap_or(Span::ZERO)),
+            ends: Ending::new(s.streams.iter().map(|st| st.deadline).max().unwrap_or(Span::ZERO)),
             step: Step::Serves,
             peers,
             known_again: 0,
--- a/crates/lab/src/plain.rs
+++ b/crates/lab/src/plain.rs
@@ -55,7 +55,7 @@
     volume: usize,
     stream: usize,
     data: Option<Bytes>,
-    expiry: Instant,
+    deadline: Instant,
     node: Option<NodeId>,
     done: Option<Bytes>,
 }
@@ -97,7 +97,7 @@
             Work::Write { data } => (true, (data.len() / size) as u32),
         };
         let stream = self.layout.stream(volume, write, blocks);
-        let expiry = now + asked.unwrap_or(self.settings.streams[stream].expiry);
+        let deadline = now + asked.unwrap_or(self.settings.streams[stream].deadline);
         let mut ids = Vec::new();
         let mut taken = 0;
         for (i, spec) in self.layout.parts(volume, stream, block, blocks).into_iter().enumerate() {
@@ -110,10 +110,10 @@
             taken += bytes;
             let (part, node, done) = (i as u16, None, None);
             self.queues.entry(spec.shard).or_default().push_back(self.serial);
-            self.until.insert((expiry, self.serial));
+            self.until.insert((deadline, self.serial));
             self.requests.insert(
                 self.serial,
-                PendingRequest { from, part, spec, volume, stream, data, expiry, node, done },
+                PendingRequest { from, part, spec, volume, stream, data, deadline, node, done },
             );
             ids.push(self.serial);
         }
@@ -131,7 +131,7 @@
         let mut gone = Vec::new();
         for id in self.commands.remove(&from).unwrap_or_default() {
             let Some(x) = self.requests.remove(&id) else { continue };
-            self.until.remove(&(x.expiry, id));
+            self.until.remove(&(x.deadline, id));
             if let Some(node) = x.node.filter(|_| x.done.is_none()) {
                 *self.out.entry(x.spec.shard).or_default() -= 1;
                 self.outputs.push_back(Output::Cancel { node, attempt: AttemptId(id << 8) });
@@ -258,7 +258,7 @@
             attempt_number: 0,
             from: x.from,
             part: x.part,
-            until: x.expiry,
+            until: x.deadline,
             begin_by: None,
             mark: 0,
             key: if self.settings.streams[x.stream].in_order { x.spec.key } else { 0 },
@@ -271,11 +271,11 @@
     }
 
     fn wake(&self, now: Instant) -> Option<Instant> {
-        let expiry = self.until.first().map(|(t, _)| *t);
+        let deadline = self.until.first().map(|(t, _)| *t);
         // Tokens come with time.
         let tokens =
             (self.how == Plain::Buckets && !self.queues.is_empty()).then(|| now + Span::from_secs(0.005));
-        [expiry, tokens].into_iter().flatten().min()
+        [deadline, tokens].into_iter().flatten().min()
     }
 }
 
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -35,7 +35,7 @@
 }
 
 impl Series {
-    /// From the trace alone. In time is by the SLO times of the streams, as the facts tell them.
+    /// From the trace alone. In time is by the latency objectives of the streams, as the facts tell them.
     pub fn of(run: &Run) -> Series {
         let (first, last) = (run.trace.first().map_or(0, |l| l.t), run.trace.last().map_or(1, |l| l.t));
         let long = (last - first).max(1) as f64 / 1e6;
@@ -68,8 +68,10 @@
                 }
                 Event::Answer { host, session, command, kind, .. } => {
                     let Some((t, stream)) = open.remove(&(*host, *session, *command)) else { continue };
-                    let slo = facts.streams.get(stream).map_or(u64::MAX, |s| s.slo_us);
-                    s.in_time[place(t)] += f64::from(u8::from(*kind == AnswerKind::Done && l.t - t <= slo));
+                    let latency_objective =
+                        facts.streams.get(stream).map_or(u64::MAX, |s| s.latency_objective_us);
+                    s.in_time[place(t)] +=
+                        f64::from(u8::from(*kind == AnswerKind::Done && l.t - t <= latency_objective));
                     s.rejected[place(t)] += f64::from(u8::from(*kind == AnswerKind::Rejected));
                 }
                 Event::Attempt { node, name, left_us, volume, units, .. } => {
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -238,7 +238,7 @@
     links: BTreeMap<u32, Link>,
     following: bool,
     next: u32,
-    submitted: BTreeMap<(u32, u32), (Us, Us)>, // session and command: when, SLO time
+    submitted: BTreeMap<(u32, u32), (Us, Us)>, // session and command: when, latency objective
     asked: BTreeMap<(u32, u32), u64>,          // the same, of a script's traffic: its number
     sessions: BTreeMap<u32, (u32, usize, u64)>, // client, slot, its life
     numbers: u16,
@@ -550,7 +550,7 @@
             self.push(start + t.at_us, Event::Trouble(i, true));
             self.push(start + t.at_us + t.for_us, Event::Trouble(i, false));
         }
-        let longest = self.settings[0].streams.iter().map(|s| s.expiry.secs()).fold(0.0, f64::max);
+        let longest = self.settings[0].streams.iter().map(|s| s.deadline.secs()).fold(0.0, f64::max);
         let after = AFTER.max((longest * 1e6) as Us + 1_300_000);
         let end = start + (self.w.seconds * 1e6) as Us + after;
         while let Some(Reverse((t, _, e))) = self.queue.pop() {
--- a/crates/lab/src/sim/account.rs
+++ b/crates/lab/src/sim/account.rs
@@ -46,7 +46,8 @@
                     if let Some((t, class)) = open.remove(&(*host, *session, *command)) {
                         let c = classes.entry(class).or_default();
                         c.done += 1;
-                        let in_time = l.t - t <= (s.streams[class % streams].slo.secs() * 1e6) as Us;
+                        let in_time =
+                            l.t - t <= (s.streams[class % streams].latency_objective.secs() * 1e6) as Us;
                         c.in_time += u64::from(in_time);
                         _ = c.times.record((l.t - t).max(1));
                         if in_time {
--- a/crates/lab/src/sim/arrivals.rs
+++ b/crates/lab/src/sim/arrivals.rs
@@ -67,12 +67,13 @@
         let Some(t) = self.tries.remove(&number) else { return };
         let (stream, _) = self.stream_of(t.ask.lun, t.ask.write, t.ask.blocks);
         let name = self.class_of(t.ask.lun, t.ask.write, t.ask.blocks);
-        let (slo, took) = (self.settings[0].streams[stream].slo, self.now - first);
+        let (latency_objective, took) =
+            (self.settings[0].streams[stream].latency_objective, self.now - first);
         let c = self.run.firsts.entry(name).or_default();
         match kind {
             AnswerKind::Done => {
                 c.done += 1;
-                c.in_time += u64::from(took <= (slo.secs() * 1e6) as Us);
+                c.in_time += u64::from(took <= (latency_objective.secs() * 1e6) as Us);
                 _ = c.times.record(took.max(1));
             }
             AnswerKind::Rejected => c.rejected += 1,
@@ -147,11 +148,12 @@
         };
         let (stream, _) = self.stream_of(lun, write, (bytes / 512) as u32);
         let st = &self.settings[0].streams[stream];
-        let (slo, expiry) = ((st.slo.secs() * 1e6) as Us, (st.expiry.secs() * 1e6) as Us);
+        let (latency_objective, deadline) =
+            ((st.latency_objective.secs() * 1e6) as Us, (st.deadline.secs() * 1e6) as Us);
         self.run.asked += 1;
         let (session, command) = (from.session, from.command);
         let host = &mut self.hosts[h as usize];
-        host.submitted.insert((session, command), (began, slo));
+        host.submitted.insert((session, command), (began, latency_objective));
         self.note(tackmast_trace::Event::Submit {
             host: h,
             session,
@@ -161,7 +163,7 @@
             write,
             offset: block * 512,
             bytes,
-            expiry_us: asked.unwrap_or(expiry).saturating_sub(self.now - began),
+            deadline_us: asked.unwrap_or(deadline).saturating_sub(self.now - began),
         });
         let (now, began) = (self.time(h), self.time_at(h, began));
         let asked = asked.map(|us| Span::from_secs(us as f64 / 1e6));
@@ -223,12 +225,12 @@
         if host.life != life {
             return;
         }
-        let Some((began, slo)) = host.submitted.remove(&of) else { return };
+        let Some((began, latency_objective)) = host.submitted.remove(&of) else { return };
         let kind = [AnswerKind::Done, AnswerKind::Rejected, AnswerKind::Failed][usize::from(kind)];
         match kind {
             AnswerKind::Done => {
                 self.run.done += 1;
-                self.run.in_time += u64::from(self.now - began <= slo);
+                self.run.in_time += u64::from(self.now - began <= latency_objective);
             }
             AnswerKind::Rejected => self.run.rejected += 1,
             _ => self.run.failed += 1,
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -161,14 +161,14 @@
                         pipe.began.insert(command, now);
                     }
                 }
-                target::Event::Submit { command, lun, block, work, expiry_ms } => {
+                target::Event::Submit { command, lun, block, work, deadline_ms } => {
                     let pipe = self.clients[c as usize].pipe_of(slot, life);
                     let began = pipe.and_then(|p| p.began.remove(&command)).unwrap_or(now);
                     let work = match work {
                         target::Work::Read { blocks } => Work::Read { blocks },
                         target::Work::Write { data } => Work::Write { data },
                     };
-                    let asked = expiry_ms.map(|ms| u64::from(ms) * 1000);
+                    let asked = deadline_ms.map(|ms| u64::from(ms) * 1000);
                     self.submit(h, CommandRef { session, command }, lun, block, work, began, asked);
                 }
                 target::Event::Abort { command } => {
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -157,7 +157,7 @@
         play(&w, None)
     };
     let plain = of(Change::default());
-    // Without a share of retries there are fewer; a longer SLO time is met more often; a node out of service gets none.
+    // Without a share of retries there are fewer; a longer latency objective is met more often; a node out of service gets none.
     let attempts = |f: &tackmast_lab::Found| f.report.rule(6).checked;
     let none = of(Change { set: [("share".into(), 0.0), ("free".into(), 0.0)].into(), ..Change::default() });
     assert!(attempts(&plain) > 0 && attempts(&none) == 0, "{} and {}", attempts(&plain), attempts(&none));
--- a/crates/measure/src/core_cost.rs
+++ b/crates/measure/src/core_cost.rs
@@ -127,7 +127,7 @@
 fn module(settings: &HostSettings, requests: u64) -> f64 {
     let mut s = Scheduler::new(seconds(0), 1, 1, Span::from_secs(0.002), settings.units.mean);
     for st in &settings.streams {
-        s.stream(st.slo, st.effect, st.in_order);
+        s.stream(st.latency_objective, st.effect, st.in_order);
     }
     for p in &settings.plans {
         s.plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
--- a/crates/measure/src/load.rs
+++ b/crates/measure/src/load.rs
@@ -86,7 +86,7 @@
             target: "iqn.2026-12.org.tackmast:pool".into(),
             name: "iqn.2026-12.org.tackmast:measure".into(),
             digests: Digests::default(),
-            expiry_ms: None,
+            deadline_ms: None,
             patience: Duration::from_secs(10),
         };
         let (to, replies) = crossbeam_channel::unbounded();
@@ -100,7 +100,7 @@
             sent.insert(label, now_us());
             let work = AskWork::Read { blocks: self.blocks };
             let block = draw % 100_000 * 8;
-            let ask = Ask { lun: 0, stream: 0, block, block_bytes: 512, work, expiry_us: 0 };
+            let ask = Ask { lun: 0, stream: 0, block, block_bytes: 512, work, deadline_us: 0 };
             client.ask(label, &ask, Duration::from_secs(1))
         };
         let mut open = 0;
--- a/crates/measure/src/truth.rs
+++ b/crates/measure/src/truth.rs
@@ -171,8 +171,9 @@
                         match outcome {
                             Outcome::Done(_) => {
                                 f.0.done += 1;
-                                let slo = Duration::from_millis(if a.write { 250 } else { 200 });
-                                f.0.in_time += u64::from(took <= slo);
+                                let latency_objective =
+                                    Duration::from_millis(if a.write { 250 } else { 200 });
+                                f.0.in_time += u64::from(took <= latency_objective);
                                 _ = f.1.record(took.as_micros().max(1) as u64);
                             }
                             Outcome::Rejected { .. } => f.0.rejected += 1,
--- a/crates/planner/examples/fleet.rs
+++ b/crates/planner/examples/fleet.rs
@@ -18,9 +18,9 @@
                 }
                 a.push((t, 1.0 + c.rand_range(0..8) as f64));
             }
-            let slo_s = [0.1, 0.25, 0.8][i as usize % 3];
+            let latency_objective_s = [0.1, 0.25, 0.8][i as usize % 3];
             let curve = Curve::of(&a, 60.0, node.capacity / 4.0);
-            Load { name: format!("volume {i}"), slo_s, largest: 8.0, curve }
+            Load { name: format!("volume {i}"), latency_objective_s, largest: 8.0, curve }
         })
         .collect();
     let means: f64 = loads.iter().filter_map(|l| l.curve.least()).map(|p| p.rate).sum();
@@ -47,7 +47,7 @@
         };
         let taken = started.elapsed().as_secs_f64();
         println!(
-            "{times} of the mean: {taken:.3} s, {} nodes used, {} loads left; SLO times hold by the bound at {} of them",
+            "{times} of the mean: {taken:.3} s, {} nodes used, {} loads left; latency objectives hold by the bound at {} of them",
             p.used(),
             p.left.len(),
             p.nodes.iter().filter(|n| !n.is_empty()).filter(holds).count()
--- a/crates/planner/src/fit.rs
+++ b/crates/planner/src/fit.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
     pub name: String,
-    pub slo_s: f64,
+    pub latency_objective_s: f64,
     /// Units of its largest request.
     pub largest: f64,
     pub curve: Curve,
@@ -27,20 +27,20 @@
 }
 
 impl Node {
-    /// Seconds that a load may wait behind others, for its SLO time to hold.
+    /// Seconds that a load may wait behind others, for its latency objective to hold.
     fn slack(&self, l: &Load, looser: bool) -> f64 {
         let ahead = if looser { self.ahead / self.capacity } else { 0.0 };
-        l.slo_s - self.way_s - l.largest * self.unit_s - ahead
+        l.latency_objective_s - self.way_s - l.largest * self.unit_s - ahead
     }
 }
 
-/// Loads by tightness of SLO time: the groups of equal ones, tightest first.
+/// Loads by tightness of latency objective: the groups of equal ones, tightest first.
 fn groups(loads: &[&Load]) -> Vec<Vec<usize>> {
     let mut order: Vec<usize> = (0..loads.len()).collect();
-    order.sort_by(|a, b| loads[*a].slo_s.total_cmp(&loads[*b].slo_s));
+    order.sort_by(|a, b| loads[*a].latency_objective_s.total_cmp(&loads[*b].latency_objective_s));
     let mut groups: Vec<Vec<usize>> = Vec::new();
     for i in order {
-        match groups.last_mut().filter(|g| loads[g[0]].slo_s == loads[i].slo_s) {
+        match groups.last_mut().filter(|g| loads[g[0]].latency_objective_s == loads[i].latency_objective_s) {
             Some(g) => g.push(i),
             None => groups.push(vec![i]),
         }
@@ -60,7 +60,7 @@
         for i in group {
             if free > 0.0 && whole <= node.capacity {
                 let wait = bursts / free;
-                all[*i] = loads[*i].slo_s - node.slack(loads[*i], g + 1 < groups.len()) + wait;
+                all[*i] = loads[*i].latency_objective_s - node.slack(loads[*i], g + 1 < groups.len()) + wait;
             }
         }
         rates += group.iter().map(|i| points[*i].rate).sum::<f64>();
@@ -68,7 +68,7 @@
     all
 }
 
-/// Rates and bursts on or above each load's curve with which every SLO time holds, the sum of rates being least; none where
+/// Rates and bursts on or above each load's curve with which every latency objective holds, the sum of rates being least; none where
 /// there are none. Equations 3 and 4 as a linear program.
 pub fn fit(node: &Node, loads: &[&Load]) -> Option<Vec<Point>> {
     if loads.iter().any(|l| l.curve.points.is_empty()) || loads.is_empty() {
--- a/crates/planner/src/place.rs
+++ b/crates/planner/src/place.rs
@@ -67,7 +67,7 @@
         if let Some(last) = points.last_mut() {
             *last = *point;
         }
-        if bounds(node, &all, &points).iter().zip(&all).all(|(b, l)| *b <= l.slo_s) {
+        if bounds(node, &all, &points).iter().zip(&all).all(|(b, l)| *b <= l.latency_objective_s) {
             p.at_once += 1;
             return Some(names.into_iter().zip(points).collect());
         }
--- a/crates/planner/tests/planner.rs
+++ b/crates/planner/tests/planner.rs
@@ -18,10 +18,10 @@
     }
 }
 
-fn load(seed: u64, rate: f64, surge: f64, slo_s: f64) -> (Load, Vec<(f64, f64)>) {
+fn load(seed: u64, rate: f64, surge: f64, latency_objective_s: f64) -> (Load, Vec<(f64, f64)>) {
     let a = arrivals(seed, rate, surge, 60.0);
     let curve = Curve::of(&a, 60.0, NODE.capacity);
-    (Load { name: format!("load {seed}"), slo_s, largest: 4.0, curve }, a)
+    (Load { name: format!("load {seed}"), latency_objective_s, largest: 4.0, curve }, a)
 }
 
 #[test]
@@ -49,7 +49,7 @@
 
 #[test]
 fn what_fits_holds_when_it_is_played() {
-    // A queue with priorities by SLO time that serves one at a time: the paper's server. How many loads, and their pace.
+    // A queue with priorities by latency objective that serves one at a time: the paper's server. How many loads, and their pace.
     let mut held = 0;
     let sets = [
         (3, 4.0, 2.0),
@@ -66,7 +66,7 @@
         let Some(points) = fit(&NODE, &loads) else { continue };
         held += 1;
         for (b, l) in bounds(&NODE, &loads, &points).iter().zip(&loads) {
-            assert!(*b <= l.slo_s + 1e-6, "{b} of {}", l.slo_s);
+            assert!(*b <= l.latency_objective_s + 1e-6, "{b} of {}", l.latency_objective_s);
         }
         for (p, l) in points.iter().zip(&loads) {
             assert!(p.burst >= l.curve.burst(p.rate).unwrap() - 1e-6, "{p:?} is under its curve");
@@ -83,13 +83,13 @@
                 waiting.push(all[next]);
                 next += 1;
             }
-            let key = |w: &(f64, f64, usize)| (loads[w.2].slo_s, w.0);
+            let key = |w: &(f64, f64, usize)| (loads[w.2].latency_objective_s, w.0);
             let best =
                 (0..waiting.len()).min_by(|a, b| key(&waiting[*a]).partial_cmp(&key(&waiting[*b])).unwrap());
             let (t, units, i) = waiting.swap_remove(best.unwrap());
             now += units / NODE.capacity;
             // One that was begun before a tighter one came ends first: the largest request of another.
-            let most = loads[i].slo_s + 4.0 / NODE.capacity;
+            let most = loads[i].latency_objective_s + 4.0 / NODE.capacity;
             assert!(now - t <= most, "{n} loads of {rate}: {} took {} of {most}", loads[i].name, now - t);
         }
     }
@@ -107,11 +107,14 @@
         for there in &p.nodes {
             let all: Vec<&Load> = there.iter().map(|(l, _)| &loads[*l]).collect();
             let points: Vec<Point> = there.iter().map(|(_, p)| *p).collect();
-            let held = bounds(&NODE, &all, &points).iter().zip(&all).all(|(b, l)| *b <= l.slo_s + 1e-6);
+            let held = bounds(&NODE, &all, &points)
+                .iter()
+                .zip(&all)
+                .all(|(b, l)| *b <= l.latency_objective_s + 1e-6);
             assert!(held, "{there:?}");
         }
     }
-    // By the mean alone more goes onto a node than its SLO times bear.
+    // By the mean alone more goes onto a node than its latency objectives bear.
     let plain = by_mean_rate(&NODE, 20, &loads, 1.5);
     let fits = |there: &Vec<(usize, Point)>| {
         let all: Vec<&Load> = there.iter().map(|(l, _)| &loads[*l]).collect();
--- a/crates/plans/src/catalogue.rs
+++ b/crates/plans/src/catalogue.rs
@@ -51,8 +51,10 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StreamType {
-    pub slo_ms: f64,
-    pub expiry_ms: f64,
+    #[serde(rename = "slo_ms")]
+    pub latency_objective_ms: f64,
+    #[serde(rename = "expiry_ms")]
+    pub deadline_ms: f64,
 }
 
 /// One thing set anew or taken away; none: it is not to be there.
@@ -253,12 +255,16 @@
             }
         }
         for (name, s) in &self.streams {
-            if !(s.slo_ms > 0.0 && s.slo_ms <= s.expiry_ms && s.expiry_ms.is_finite()) {
-                let found = format!("SLO time {} ms, expiry {} ms", s.slo_ms, s.expiry_ms);
+            if !(s.latency_objective_ms > 0.0
+                && s.latency_objective_ms <= s.deadline_ms
+                && s.deadline_ms.is_finite())
+            {
+                let found =
+                    format!("latency objective {} ms, deadline {} ms", s.latency_objective_ms, s.deadline_ms);
                 return Err(wrong(
                     format!("stream {name}"),
                     found,
-                    "an SLO time above 0 and up to the expiry",
+                    "a latency objective above 0 and up to the deadline",
                 ));
             }
         }
--- a/crates/plans/tests/plans.rs
+++ b/crates/plans/tests/plans.rs
@@ -29,7 +29,10 @@
 }
 
 fn stream(name: &str) -> Step {
-    Step::Stream { name: name.into(), to: Some(StreamType { slo_ms: 100.0, expiry_ms: 1000.0 }) }
+    Step::Stream {
+        name: name.into(),
+        to: Some(StreamType { latency_objective_ms: 100.0, deadline_ms: 1000.0 }),
+    }
 }
 
 fn change(base: u64, steps: Vec<Step>) -> Change {
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -8,8 +8,8 @@
 #[derive(Clone, Debug)]
 pub struct StreamType {
     pub name: String,
-    pub slo: Span,
-    pub expiry: Span,
+    pub latency_objective: Span,
+    pub deadline: Span,
     pub effect: Effect,
     pub in_order: bool,
     /// Whether it writes, where that is told.
@@ -117,7 +117,7 @@
     pub fn scheduler(&self, now: Instant, seed: u64) -> Scheduler {
         let mut s = Scheduler::new(now, seed, self.hosts, self.tick, self.mean_units);
         for st in &self.streams {
-            s.stream(st.slo, st.effect, st.in_order);
+            s.stream(st.latency_objective, st.effect, st.in_order);
         }
         for p in &self.plans {
             s.plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
@@ -167,8 +167,8 @@
     };
     Ok(StreamType {
         name: name(class),
-        slo: span(class, "target")?,
-        expiry: span(class, "give_up")?,
+        latency_objective: span(class, "target")?,
+        deadline: span(class, "give_up")?,
         effect,
         in_order: class.get("in_order").and_then(Value::as_bool).unwrap_or(false),
         writes,
--- a/crates/rulecheck/src/index.rs
+++ b/crates/rulecheck/src/index.rs
@@ -14,7 +14,7 @@
     pub stream: u32,
     /// Requests that it is: one for each extent it touches, where the extents are told.
     pub parts: Option<u64>,
-    pub expiry_us: u64,
+    pub deadline_us: u64,
     pub answers: Vec<(u64, AnswerKind)>,
     pub left: Option<u64>,
     /// The way of its session was cut, and its connection reset for that: no answer can come any more.
@@ -169,7 +169,7 @@
                 }
                 Event::Truncated => x.unfit = Some("events were lost when it was recorded".into()),
                 Event::Submit {
-                    host, session, command, stream, expiry_us, volume, offset, bytes, ..
+                    host, session, command, stream, deadline_us, volume, offset, bytes, ..
                 } => {
                     let told = x.facts.volumes.iter().find(|v| v.volume == *volume && v.extent_bytes > 0);
                     let parts = told.map(|v| {
@@ -183,7 +183,7 @@
                         t,
                         stream: *stream,
                         parts,
-                        expiry_us: *expiry_us,
+                        deadline_us: *deadline_us,
                         answers: Vec::new(),
                         left: None,
                         lost: None,
@@ -362,7 +362,7 @@
         let of = |all: &HashMap<u32, Vec<(u64, u64)>>| all.get(&host).cloned().unwrap_or_default();
         let stops = of(&self.stops);
         let unread = stops.iter().find(|(from, to)| *from <= c.t + f.skew_us && c.t < *to).map(|(_, to)| *to);
-        let own = unread.unwrap_or(c.t).saturating_add(c.expiry_us + f.answer_slack_us);
+        let own = unread.unwrap_or(c.t).saturating_add(c.deadline_us + f.answer_slack_us);
         let mut away: Vec<(u64, u64)> = stops.into_iter().chain(of(&self.client_cuts)).collect();
         away.sort_unstable();
         away.into_iter().fold(own, |due, (from, to)| match from <= due && to > c.t {
--- a/crates/rulecheck/src/rules.rs
+++ b/crates/rulecheck/src/rules.rs
@@ -45,13 +45,13 @@
                 let excused = [c.left, c.lost, c.host_down].into_iter().flatten().any(|t| t <= due);
                 if !excused && due <= x.end {
                     checked += 1;
-                    add(due, format!("no answer within {} ms", ms(c.expiry_us)));
+                    add(due, format!("no answer within {} ms", ms(c.deadline_us)));
                 }
             }
             [(t, _)] => {
                 checked += 1;
                 if *t > due {
-                    add(*t, format!("answered after {} ms of {}", ms(t - c.t), ms(c.expiry_us)));
+                    add(*t, format!("answered after {} ms of {}", ms(t - c.t), ms(c.deadline_us)));
                 }
             }
             [_, (t, _), ..] => {
--- a/crates/rulecheck/tests/doctored.rs
+++ b/crates/rulecheck/tests/doctored.rs
@@ -9,7 +9,7 @@
 fn facts() -> Facts {
     let stream = |name: &str, effect, in_order| StreamFacts {
         name: name.into(),
-        slo_us: 100_000,
+        latency_objective_us: 100_000,
         effect,
         window_us: 1_000_000,
         in_order,
@@ -61,8 +61,11 @@
     }
     fn submit(&mut self, t: u64, command: u32, stream: u32) -> &mut Self {
         let (host, session, volume, bytes) = (0, 1, 2, 4096);
-        let (write, offset, expiry_us) = (stream > 0, 0, 1_000_000);
-        self.at(t, Event::Submit { host, session, command, volume, stream, write, offset, bytes, expiry_us })
+        let (write, offset, deadline_us) = (stream > 0, 0, 1_000_000);
+        self.at(
+            t,
+            Event::Submit { host, session, command, volume, stream, write, offset, bytes, deadline_us },
+        )
     }
     fn answer(&mut self, t: u64, command: u32, kind: AnswerKind) -> &mut Self {
         self.at(t, Event::Answer { host: 0, session: 1, command, kind, retry_after_us: 0 })
--- a/crates/standins/src/initiator.rs
+++ b/crates/standins/src/initiator.rs
@@ -22,7 +22,7 @@
     pub name: String,
     pub digests: Digests,
     /// Milliseconds in which it wants its answers; none: the host's own.
-    pub expiry_ms: Option<u32>,
+    pub deadline_ms: Option<u32>,
     pub patience: Duration,
 }
 
@@ -47,7 +47,7 @@
     pub block: u64,
     pub block_bytes: u32,
     pub work: AskWork,
-    pub expiry_us: u64,
+    pub deadline_us: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -114,7 +114,7 @@
         stream.set_read_timeout(Some(to.patience))?;
         stream.set_write_timeout(Some(Duration::from_secs(10)))?;
         let digest = |on| if on { "CRC32C" } else { "None" };
-        let expiry = to.expiry_ms.map(|ms| ms.to_string());
+        let deadline = to.deadline_ms.map(|ms| ms.to_string());
         let mut keys = vec![
             ("InitiatorName", to.name.as_str()),
             ("TargetName", to.target.as_str()),
@@ -129,7 +129,7 @@
             ("iSCSIProtocolLevel", "2"),
             ("X-org.tackmast.ExactDelay", "Yes"),
         ];
-        if let Some(ms) = &expiry {
+        if let Some(ms) = &deadline {
             keys.push(("X-org.tackmast.ExpiryMs", ms));
         }
         let mut pdu = Pdu::new(op::LOGIN | 0x40, FINAL | 1 << 2 | 3);
@@ -225,7 +225,7 @@
                 write,
                 offset: ask.block * u64::from(ask.block_bytes),
                 bytes,
-                expiry_us: ask.expiry_us,
+                deadline_us: ask.deadline_us,
             })
         })
     }
--- a/crates/standins/src/tap.rs
+++ b/crates/standins/src/tap.rs
@@ -73,7 +73,7 @@
 struct Seen {
     session: Option<u32>,
     volume: Option<usize>,
-    expiry_us: Option<u64>,
+    deadline_us: Option<u64>,
     digests: Digests,
     in_full: bool,
     /// Commands without an answer, by the protocol's own number of them.
@@ -199,7 +199,7 @@
             write,
             offset,
             bytes,
-            expiry_us: own.or(s.expiry_us).unwrap_or(default),
+            deadline_us: own.or(s.deadline_us).unwrap_or(default),
         });
     }
 
@@ -228,7 +228,7 @@
                 if let Some(v) = volume {
                     let unit = u64::from(v.block_bytes);
                     let (id, bytes) = (u64::from(pdu.tag()), u64::from(blocks) * unit);
-                    self.submit(s, id, pdu.u32(24), &v, write, block * unit, bytes, pdu.expiry());
+                    self.submit(s, id, pdu.u32(24), &v, write, block * unit, bytes, pdu.deadline());
                 }
             }
             op::TASK => self.leave(s, u64::from(pdu.u32(20))),
@@ -243,7 +243,7 @@
                 let Some(v) = s.volume.and_then(|v| self.volumes.get(v)).cloned() else { return };
                 let write = r.kind == command::WRITE;
                 let (number, bytes) = (s.next, u64::from(r.length));
-                self.submit(s, r.cookie, number, &v, write, r.offset, bytes, r.expiry_us);
+                self.submit(s, r.cookie, number, &v, write, r.offset, bytes, r.deadline_us);
             }
             command::CANCEL => self.leave(s, r.offset),
             _ => {}
@@ -294,7 +294,7 @@
                         "HeaderDigest" => s.digests.header = value == "CRC32C",
                         "DataDigest" => s.digests.data = value == "CRC32C",
                         "X-org.tackmast.ExpiryMs" => {
-                            s.expiry_us = value.parse::<u64>().ok().map(|ms| ms * 1000)
+                            s.deadline_us = value.parse::<u64>().ok().map(|ms| ms * 1000)
                         }
                         _ => {}
                     }
--- a/crates/target/src/lib.rs
+++ b/crates/target/src/lib.rs
@@ -8,5 +8,5 @@
 
 pub use any::AnySession;
 pub use nbd::{NbdSession, ADDITIONS};
-pub use negotiate::{units, Agreed, Offer, COMMAND_KEY, DELAY_KEY, EXPIRY_KEY};
+pub use negotiate::{units, Agreed, Offer, COMMAND_KEY, DEADLINE_KEY, DELAY_KEY};
 pub use session::{Ending, Event, Session, SessionError, Verdict, Work};
--- a/crates/target/src/nbd.rs
+++ b/crates/target/src/nbd.rs
@@ -270,9 +270,11 @@
         let number = self.next;
         self.open.insert(number, Open { cookie: r.cookie, offset: r.offset, write });
         self.cookies.insert(r.cookie, number);
-        let expiry =
-            r.expiry_us.filter(|_| self.additions > 0).map(|us| (us / 1000).min(u64::from(u32::MAX)) as u32);
-        let (least, most) = self.offer.expiry_ms;
+        let deadline = r
+            .deadline_us
+            .filter(|_| self.additions > 0)
+            .map(|us| (us / 1000).min(u64::from(u32::MAX)) as u32);
+        let (least, most) = self.offer.deadline_ms;
         self.events.push_back(Event::Submit {
             command: number,
             lun: unit.lun,
@@ -281,7 +283,7 @@
                 true => Work::Write { data },
                 false => Work::Read { blocks: (length / block_bytes) as u32 },
             },
-            expiry_ms: expiry.map(|ms| ms.clamp(least, most.max(least))),
+            deadline_ms: deadline.map(|ms| ms.clamp(least, most.max(least))),
         });
     }
 
--- a/crates/target/src/negotiate.rs
+++ b/crates/target/src/negotiate.rs
@@ -5,11 +5,11 @@
 use tackmast_wire::scsi::Unit;
 
 /// Vendor key (section 6.2): milliseconds until the client gives a command up.
-pub const EXPIRY_KEY: &str = "X-org.tackmast.ExpiryMs";
+pub const DEADLINE_KEY: &str = "X-org.tackmast.ExpiryMs";
 /// Vendor key: whether a rejection tells its time to come back in microseconds, in the response data.
 pub const DELAY_KEY: &str = "X-org.tackmast.ExactDelay";
 
-/// Vendor key: whether commands may tell an expiry of their own, in a further header.
+/// Vendor key: whether commands may tell a deadline of their own, in a further header.
 pub const COMMAND_KEY: &str = "X-org.tackmast.CommandExpiry";
 
 /// What the target takes, from the configuration.
@@ -24,15 +24,15 @@
     pub window: u32,
     /// Bytes of one command.
     pub most_command: u32,
-    /// Longest and shortest expiry a client may ask for.
-    pub expiry_ms: (u32, u32),
+    /// Longest and shortest deadline a client may ask for.
+    pub deadline_ms: (u32, u32),
 }
 
 impl Offer {
     /// What a host of these settings offers.
     pub fn of(s: &HostSettings) -> Offer {
         let b = &s.bounds;
-        let longest = s.streams.iter().map(|s| s.expiry.secs()).fold(1.0, f64::max);
+        let longest = s.streams.iter().map(|s| s.deadline.secs()).fold(1.0, f64::max);
         Offer {
             target_name: s.host.target.clone(),
             most_segment: b.segment,
@@ -40,7 +40,7 @@
             most_burst: b.burst,
             window: b.window,
             most_command: b.command_bytes,
-            expiry_ms: (s.host.answer_lead_ms as u32 + 10, (longest * 1e4) as u32),
+            deadline_ms: (s.host.answer_lead_ms as u32 + 10, (longest * 1e4) as u32),
         }
     }
 }
@@ -66,9 +66,9 @@
     pub immediate: bool,
     pub first_burst: u32,
     pub most_burst: u32,
-    pub expiry_ms: Option<u32>,
+    pub deadline_ms: Option<u32>,
     pub exact_delay: bool,
-    pub command_expiry: bool,
+    pub command_deadline: bool,
     /// Protocol level of RFC 7144; from 2 on responses carry status qualifiers.
     pub level: u32,
     pub initiator: Option<String>,
@@ -85,9 +85,9 @@
             immediate: true,
             first_burst: offer.first_burst.min(65536),
             most_burst: offer.most_burst.min(262_144),
-            expiry_ms: None,
+            deadline_ms: None,
             exact_delay: false,
-            command_expiry: false,
+            command_deadline: false,
             level: 1,
             initiator: None,
             target: None,
@@ -174,16 +174,16 @@
                     let on = value == "Yes";
                     match key {
                         DELAY_KEY => self.exact_delay = on,
-                        _ => self.command_expiry = on,
+                        _ => self.command_deadline = on,
                     }
                     Some(value.to_owned())
                 }
                 _ => reject(),
             },
-            EXPIRY_KEY => match number().filter(|n| *n > 0) {
+            DEADLINE_KEY => match number().filter(|n| *n > 0) {
                 Some(n) => {
-                    let ms = n.clamp(offer.expiry_ms.0, offer.expiry_ms.1.max(offer.expiry_ms.0));
-                    self.expiry_ms = Some(ms);
+                    let ms = n.clamp(offer.deadline_ms.0, offer.deadline_ms.1.max(offer.deadline_ms.0));
+                    self.deadline_ms = Some(ms);
                     Some(ms.to_string())
                 }
                 None => reject(),
--- a/crates/target/src/session.rs
+++ b/crates/target/src/session.rs
@@ -15,8 +15,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A request that is owed one answer. `command` names it within the session.
-    Submit { command: u32, lun: u32, block: u64, work: Work, expiry_ms: Option<u32> },
-    /// The first bytes of a write are here; the rest was asked for. Its expiry runs from now.
+    Submit { command: u32, lun: u32, block: u64, work: Work, deadline_ms: Option<u32> },
+    /// The first bytes of a write are here; the rest was asked for. Its deadline runs from now.
     Begun { command: u32 },
     /// The client no longer wants this one.
     Abort { command: u32 },
@@ -89,7 +89,7 @@
     tag: u32,
     lun: u32,
     expected: u32,
-    expiry_ms: Option<u32>,
+    deadline_ms: Option<u32>,
     upload: Option<Upload>,
 }
 
@@ -400,12 +400,12 @@
         let expected = pdu.u32(20);
         let lun = pdu.lun();
         let unit = lun.and_then(|l| self.units.iter().find(|u| u.lun == l)).cloned();
-        // A command's own expiry, within what the target takes; else the session's.
-        let (least, most) = self.offer.expiry_ms;
-        let own = pdu.expiry().filter(|_| self.agreed.command_expiry);
+        // A command's own deadline, within what the target takes; else the session's.
+        let (least, most) = self.offer.deadline_ms;
+        let own = pdu.deadline().filter(|_| self.agreed.command_deadline);
         let own = own.map(|us| ((us / 1000).min(u64::from(u32::MAX)) as u32).clamp(least, most.max(least)));
-        let expiry_ms = own.or(self.agreed.expiry_ms);
-        let task = Task { tag, lun: lun.unwrap_or(0), expected, expiry_ms, upload: None };
+        let deadline_ms = own.or(self.agreed.deadline_ms);
+        let task = Task { tag, lun: lun.unwrap_or(0), expected, deadline_ms, upload: None };
         let parsed = Command::parse(&pdu.cdb());
         let simple = match (parsed, &unit) {
             (Err(sense), _) => Err(sense),
@@ -463,7 +463,7 @@
             self.respond(&task, status::GOOD, 0, Bytes::new());
             return Ok(());
         }
-        let (expiry_ms, lun) = (task.expiry_ms, task.lun);
+        let (deadline_ms, lun) = (task.deadline_ms, task.lun);
         let Some(first) = upload else {
             self.tasks.insert(command, task);
             self.events.push_back(Event::Submit {
@@ -471,7 +471,7 @@
                 lun,
                 block,
                 work: Work::Read { blocks },
-                expiry_ms,
+                deadline_ms,
             });
             return Ok(());
         };
@@ -486,7 +486,7 @@
                 lun,
                 block,
                 work: Work::Write { data: first },
-                expiry_ms,
+                deadline_ms,
             });
             return Ok(());
         }
@@ -545,8 +545,8 @@
         }
         let (block, data, lun) = (up.block, up.data.split().freeze(), task.lun);
         task.upload = None;
-        let (work, expiry_ms) = (Work::Write { data }, task.expiry_ms);
-        self.events.push_back(Event::Submit { command, lun, block, work, expiry_ms });
+        let (work, deadline_ms) = (Work::Write { data }, task.deadline_ms);
+        self.events.push_back(Event::Submit { command, lun, block, work, deadline_ms });
         Ok(())
     }
 
--- a/crates/target/tests/damaged.rs
+++ b/crates/target/tests/damaged.rs
@@ -18,7 +18,7 @@
         most_burst: 8192,
         window: 8,
         most_command: 32 << 10,
-        expiry_ms: (50, 5000),
+        deadline_ms: (50, 5000),
     });
     let unit = Unit { lun: 0, name: "museum".into(), blocks: 1000, block_bytes: 512, most_blocks: 32 };
     let units = Arc::new(vec![unit]);
--- a/crates/target/tests/session.rs
+++ b/crates/target/tests/session.rs
@@ -23,7 +23,7 @@
         most_burst: 2048,
         window: WINDOW,
         most_command: 64 << 10,
-        expiry_ms: (50, 5000),
+        deadline_ms: (50, 5000),
     }
 }
 
@@ -180,7 +180,7 @@
         have += length;
     }
     let work = Work::Write { data: Bytes::from(data) };
-    assert_eq!(c.events(), [Event::Submit { command: n, lun: 3, block: 5, work, expiry_ms: None }]);
+    assert_eq!(c.events(), [Event::Submit { command: n, lun: 3, block: 5, work, deadline_ms: None }]);
     assert!(c.session.answer(n, Verdict::Done { data: Bytes::new() }));
     assert!(!c.session.answer(n, Verdict::Failed), "one answer, and no second");
     let reply = c.received();
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -23,7 +23,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StreamFacts {
     pub name: String,
-    pub slo_us: u64,
+    #[serde(rename = "slo_us")]
+    pub latency_objective_us: u64,
     pub effect: EffectKind,
     /// For keyed ones: how long nodes know a mark.
     pub window_us: u64,
@@ -49,7 +50,7 @@
     pub volumes: Vec<VolumeFacts>,
     pub unit_bytes: u32,
     pub most_units: f64,
-    /// Rule 1: time after the expiry within which an answer still counts.
+    /// Rule 1: time after the deadline within which an answer still counts.
     pub answer_slack_us: u64,
     /// Rule 3.
     pub grace_us: u64,
@@ -128,7 +129,8 @@
         write: bool,
         offset: u64,
         bytes: u64,
-        expiry_us: u64,
+        #[serde(rename = "expiry_us")]
+        deadline_us: u64,
     },
     Answer {
         host: u32,
--- a/crates/wire/src/iscsi.rs
+++ b/crates/wire/src/iscsi.rs
@@ -38,8 +38,8 @@
     pub data: Bytes,
 }
 
-/// Type of the further header in which a client that has agreed on it tells a command's expiry.
-const EXPIRY_HEADER: u8 = 0x3f;
+/// Type of the further header in which a client that has agreed on it tells a command's deadline.
+const DEADLINE_HEADER: u8 = 0x3f;
 
 impl Pdu {
     pub fn new(opcode: u8, flags: u8) -> Self {
@@ -90,20 +90,20 @@
     }
     /// Microseconds in which the command's client wants its answer, in a further header of our own: its length, 9, its
     /// type, a reserved byte, and the number.
-    pub fn set_expiry(&mut self, us: u64) -> &mut Self {
+    pub fn set_deadline(&mut self, us: u64) -> &mut Self {
         let mut out = BytesMut::with_capacity(12);
         out.put_u16(9);
-        out.put_u8(EXPIRY_HEADER);
+        out.put_u8(DEADLINE_HEADER);
         out.put_u8(0);
         out.put_u64(us);
         self.further = out.freeze();
         self
     }
-    pub fn expiry(&self) -> Option<u64> {
+    pub fn deadline(&self) -> Option<u64> {
         let mut rest = self.further.clone();
         while rest.len() >= 4 {
             let (length, kind) = (usize::from(rest.get_u16()), rest.get_u8());
-            if kind == EXPIRY_HEADER && length == 9 && rest.len() >= 9 {
+            if kind == DEADLINE_HEADER && length == 9 && rest.len() >= 9 {
                 rest.advance(1);
                 return Some(rest.get_u64());
             }
--- a/crates/wire/src/nbd.rs
+++ b/crates/wire/src/nbd.rs
@@ -57,7 +57,7 @@
 numbers! {
     /// Flags of a command. The last is this project's: eight bytes stand behind the header, the time in microseconds
     /// in which the client wants its answer.
-    flag: u16 { FUA = 1, EXPIRY = 0x4000 }
+    flag: u16 { FUA = 1, DEADLINE = 0x4000 }
 }
 numbers! {
     /// Chunk types of structured replies. `REJECTED` is this project's, an error chunk by its highest bits.
@@ -79,18 +79,18 @@
     pub offset: u64,
     pub length: u32,
     /// With the flag for it: microseconds in which an answer is wanted.
-    pub expiry_us: Option<u64>,
+    pub deadline_us: Option<u64>,
 }
 
 impl Request {
     pub fn encode(&self, out: &mut BytesMut) {
         out.put_u32(REQUEST);
-        out.put_u16(self.flags | if self.expiry_us.is_some() { flag::EXPIRY } else { 0 });
+        out.put_u16(self.flags | if self.deadline_us.is_some() { flag::DEADLINE } else { 0 });
         out.put_u16(self.kind);
         out.put_u64(self.cookie);
         out.put_u64(self.offset);
         out.put_u32(self.length);
-        if let Some(us) = self.expiry_us {
+        if let Some(us) = self.deadline_us {
             out.put_u64(us);
         }
     }
@@ -197,16 +197,16 @@
                 }
                 let (flags, kind) = (f.u16("flags")?, f.u16("command")?);
                 let (cookie, offset, length) = (f.u64("cookie")?, f.u64("offset")?, f.u32("length")?);
-                let further = if flags & flag::EXPIRY != 0 { 8 } else { 0 };
+                let further = if flags & flag::DEADLINE != 0 { 8 } else { 0 };
                 let data =
                     if kind == command::WRITE { bounded("write", length, self.most_write)? } else { 0 };
                 if self.held.len() < 28 + further + data {
                     return Ok(None);
                 }
                 self.held.advance(28);
-                let expiry_us = (further > 0).then(|| self.held.get_u64());
+                let deadline_us = (further > 0).then(|| self.held.get_u64());
                 let request =
-                    Request { flags: flags & !flag::EXPIRY, kind, cookie, offset, length, expiry_us };
+                    Request { flags: flags & !flag::DEADLINE, kind, cookie, offset, length, deadline_us };
                 Ok(Some(ClientUnit::Request { request, data: self.held.split_to(data).freeze() }))
             }
         }
--- a/crates/wire/tests/codecs.rs
+++ b/crates/wire/tests/codecs.rs
@@ -204,7 +204,7 @@
         units.push(&bytes);
         while let Ok(Some(u)) = units.next_unit() {
             prop_assert!(u.data.len() <= MOST);
-            _ = u.expiry();
+            _ = u.deadline();
         }
         if let Some(cdb) = bytes.first_chunk::<16>() {
             _ = Command::parse(cdb);
@@ -214,20 +214,20 @@
     #[test]
     fn expiries_stand_among_other_headers(us in any::<u64>(), other in proptest::collection::vec(any::<u8>(), 0..30)) {
         let mut pdu = Pdu::new(1, 0);
-        pdu.set_expiry(us);
-        prop_assert_eq!(pdu.expiry(), Some(us));
+        pdu.set_deadline(us);
+        prop_assert_eq!(pdu.deadline(), Some(us));
         // Behind a header of another type, padded as the specification says.
         let mut further = vec![0, other.len() as u8 + 1, 1, 0];
         further.extend_from_slice(&other);
         further.resize(further.len().next_multiple_of(4), 0);
         further.extend_from_slice(&pdu.further);
         pdu.further = Bytes::from(further);
-        prop_assert_eq!(pdu.expiry(), Some(us));
+        prop_assert_eq!(pdu.deadline(), Some(us));
     }
 
     #[test]
-    fn nbd_units_come_back(flags in any::<u16>(), cookie in any::<u64>(), offset in any::<u64>(), expiry in any::<Option<u64>>(), data in data(), cuts in proptest::collection::vec(1usize..300, 1..8)) {
-        let request = nbd::Request { flags: flags & !nbd::flag::EXPIRY, kind: nbd::command::WRITE, cookie, offset, length: data.len() as u32, expiry_us: expiry };
+    fn nbd_units_come_back(flags in any::<u16>(), cookie in any::<u64>(), offset in any::<u64>(), deadline in any::<Option<u64>>(), data in data(), cuts in proptest::collection::vec(1usize..300, 1..8)) {
+        let request = nbd::Request { flags: flags & !nbd::flag::DEADLINE, kind: nbd::command::WRITE, cookie, offset, length: data.len() as u32, deadline_us: deadline };
         let mut bytes = BytesMut::new();
         nbd::option(nbd::option::GO, &nbd::write_go("v", &[3]), &mut bytes);
         let options = bytes.len();
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -20,12 +20,12 @@
 const REST_MOST: f64 = 2.0; // seconds, at few hosts
 const CAP_CUT: f64 = 0.5; // at most to this part at once, the more the slower the answer
 const CAP_CUT_LEAST: f64 = 0.9;
-const CAP_TARGET: f64 = 0.5; // answers slower than this part of the SLO time shrink the cap
+const CAP_TARGET: f64 = 0.5; // answers slower than this part of the latency objective shrink the cap
 const EXCESS_PART: f64 = 0.7; // of the cap, for units past the reservation
 const LOWER_PART: f64 = 0.5; // of the cap, for lower priorities while a higher one is out, and for late ones
 const WAITING: f64 = 8.0; // requests a node may report to wait before they divide the cap
 const WAITING_EXCESS: f64 = 2.0; // and before they divide it for units past the reservation
-const TIGHT: f64 = 2.0; // streams within this multiple of the tightest SLO time judge the node
+const TIGHT: f64 = 2.0; // streams within this multiple of the tightest latency objective judge the node
 const SLACK_AT_START: f64 = 0.5; // of the limit's slack, given by all hosts together when they start
 pub const SPLIT_FLOOR: f64 = 0.9; // of the even slice, whatever the share
 const SPLIT_RISE: f64 = 4.0; // seconds for which the least share seen holds, at least
@@ -37,7 +37,7 @@
 const RESERVE_BURST: f64 = 1.0; // seconds of the reservation that its bucket holds
 const CREDIT_START: f64 = 2.0;
 const CREDIT_MOST: f64 = 8.0;
-const CREDIT_ERROR: f64 = 1.0; // for an error that came well within the SLO time
+const CREDIT_ERROR: f64 = 1.0; // for an error that came well within the latency objective
 const HEALTH_HALVE: f64 = 16.0;
 const SICK_AFTER: f64 = 6.0; // bad answers
 const SICK_BELOW: f64 = 0.05; // part of answers that are good
@@ -47,7 +47,7 @@
 const LOST_HALVE: f64 = 128.0;
 const TIMEOUT_AT: f64 = 0.9; // part of the answers seen that are faster
 const TIMEOUT_TIMES: f64 = 3.0;
-const TIMEOUT_LEAST: f64 = 0.4; // of the SLO time
+const TIMEOUT_LEAST: f64 = 0.4; // of the latency objective
 const TIMEOUT_SEEN: f64 = 8.0; // answers
 const PAUSE: f64 = 0.02; // seconds before a retry
 const BLOCKED_CHECK: f64 = 0.05; // seconds until a request that a guard holds is looked at again
@@ -74,7 +74,7 @@
     margin: Span,
     plans: Vec<Plan>,
     streams: Vec<Stream>,
-    tightest: Span, // SLO time
+    tightest: Span, // latency objective
     mean_units: f64,
     max_attempts: u32,
     longest_wait: Span,
@@ -121,9 +121,9 @@
     }
 
     /// Stream types are numbered in the order given.
-    pub fn stream(&mut self, slo: Span, effect: Effect, in_order: bool) {
-        self.streams.push(Stream { slo, rank: 0, tight: 1.0, effect, in_order });
-        self.tightest = rank_by_slo(&mut self.streams);
+    pub fn stream(&mut self, latency_objective: Span, effect: Effect, in_order: bool) {
+        self.streams.push(Stream { latency_objective, rank: 0, tight: 1.0, effect, in_order });
+        self.tightest = rank_by_latency_objective(&mut self.streams);
         self.everywhere.push(Histogram::new(LATENCY_FIRST, LATENCY_HALVE));
     }
 
@@ -185,17 +185,17 @@
         }
         let v = self.volumes.entry(volume).or_insert_with(|| Volume::new(now, plan, told, full));
         (v.hosts, v.seen) = (v.hosts.max(told), now);
-        // A client's later try began its SLO time with its first: it asks for the same as one answered
+        // A client's later try began its latency objective with its first: it asks for the same as one answered
         // undone, with less time left. Little time left alone proves nothing: some clients are in a hurry.
         let ask = (volume, stream, key, shard, units.to_bits());
-        let slo_at = self.rejected_requests.again(now, ask, left).unwrap_or(now + st.slo);
-        let expiry = now + left - self.margin;
-        let mut x = Request::new(now, (volume, plan, stream), key, shard, units, slo_at, expiry);
+        let objective_at = self.rejected_requests.again(now, ask, left).unwrap_or(now + st.latency_objective);
+        let deadline = now + left - self.margin;
+        let mut x = Request::new(now, (volume, plan, stream), key, shard, units, objective_at, deadline);
         x.turn = key.filter(|_| st.in_order);
         if let Some(k) = x.turn {
             self.turns.entry(k).or_default().line.push_back(id);
         }
-        self.alarms.push(Reverse((x.expiry, Alarm::Expiry(id))));
+        self.alarms.push(Reverse((x.deadline, Alarm::Deadline(id))));
         self.requests.insert(id, x);
         if let Some(window) = self.budget.window {
             self.budget.prune(now, window + window);
@@ -367,11 +367,19 @@
             n.attempt_finished(st.rank, units);
             self.due.insert(n.shard);
             // A timed-out attempt got lost if a later one was answered meanwhile, or else if the next is fast.
-            let (out, fast) = (o == Outcome::TimedOut, took.secs() < CAP_TARGET * st.slo.secs());
+            let (out, fast) =
+                (o == Outcome::TimedOut, took.secs() < CAP_TARGET * st.latency_objective.secs());
             lost = if out { n.done > passed } else { done && fast && n.suspect };
             n.suspect = if out { n.done <= passed } else { n.suspect && !done };
-            let judges = st.slo.secs() <= TIGHT * self.tightest.secs();
-            n.answered(now, o, took.secs(), st.slo.secs(), judges, [held, hurried, n.done == seen]);
+            let judges = st.latency_objective.secs() <= TIGHT * self.tightest.secs();
+            n.answered(
+                now,
+                o,
+                took.secs(),
+                st.latency_objective.secs(),
+                judges,
+                [held, hurried, n.done == seen],
+            );
             if done {
                 n.done += 1;
                 n.latency[stream.0 as usize].add(took.secs());
@@ -460,28 +468,36 @@
 }
 
 impl Node {
-    /// Cap, credit and health follow each answer. The cap rises while answers come well within the SLO time
+    /// Cap, credit and health follow each answer. The cap rises while answers come well within the latency objective
     /// and is cut when they don't: against any slowness (queue, pauses, costly work), whatever its cause.
-    fn answered(&mut self, now: Instant, o: Outcome, took: f64, slo: f64, judges: bool, attempt: [bool; 3]) {
+    fn answered(
+        &mut self,
+        now: Instant,
+        o: Outcome,
+        took: f64,
+        latency_objective: f64,
+        judges: bool,
+        attempt: [bool; 3],
+    ) {
         let [held, hurried, silent] = attempt;
         self.took = took;
         match o {
             Outcome::Done => {
                 self.good += 1.0;
                 self.credit = (self.credit + 1.0).min(CREDIT_MOST);
-                let fast = took < CAP_TARGET * slo;
+                let fast = took < CAP_TARGET * latency_objective;
                 if judges && fast && held {
                     self.cap = (self.cap + CAP_RISE * self.cap.min(1.0 / self.cap)).min(CAP_MOST);
                 } else if judges && !fast {
-                    self.cut(now, took, CAP_TARGET * slo / took);
+                    self.cut(now, took, CAP_TARGET * latency_objective / took);
                 }
             }
             Outcome::TimedOut => {
                 self.bad += 1.0;
-                // Its client's time was up before the SLO time, or nothing at all was answered meanwhile: too
+                // Its client's time was up before the latency objective, or nothing at all was answered meanwhile: too
                 // slow, or drowned. Against hurried clients, and against many hosts that each send one attempt a
                 // time-out and so keep a full queue full. Else it may have got lost, and others arrive.
-                let too_slow = if took < slo { hurried } else { silent };
+                let too_slow = if took < latency_objective { hurried } else { silent };
                 if too_slow {
                     self.cut(now, took, CAP_CUT);
                 }
@@ -490,7 +506,7 @@
                 self.bad += 1.0;
                 // A quick error shows that the node has room for another try, as an answer does: against
                 // nodes that fail by chance. Hurts where errors are quick because a node is overrun.
-                if o == Outcome::Error && took < CAP_TARGET * slo {
+                if o == Outcome::Error && took < CAP_TARGET * latency_objective {
                     self.credit = (self.credit + CREDIT_ERROR).min(CREDIT_MOST);
                 }
             }
@@ -550,7 +566,7 @@
         while self.alarms.peek().is_some_and(|Reverse((t, _))| *t <= now) {
             let Some(Reverse((_, alarm))) = self.alarms.pop() else { break };
             match alarm {
-                Alarm::Expiry(id) if self.requests.get(&id).is_some_and(|x| !x.started) => {
+                Alarm::Deadline(id) if self.requests.get(&id).is_some_and(|x| !x.started) => {
                     self.answer(id, None)
                 }
                 Alarm::Look(s) => _ = self.due.insert(s),
@@ -561,7 +577,7 @@
                     self.asked = true;
                     self.decided.push_back(Decision::FollowList);
                 }
-                Alarm::Expiry(_) | Alarm::Rested(_) | Alarm::List => {}
+                Alarm::Deadline(_) | Alarm::Rested(_) | Alarm::List => {}
             }
         }
         loop {
@@ -608,8 +624,8 @@
                 plan.reserve > 0.0
                     && v.reserve.wait(now, part, part * RESERVE_BURST + x.units, x.units) == Span::ZERO
             });
-            // A conforming request whose SLO time draws near is by then as tight as the tightest.
-            let urgent = conforming && x.slo_at - now <= self.tightest;
+            // A conforming request whose latency objective draws near is by then as tight as the tightest.
+            let urgent = conforming && x.objective_at - now <= self.tightest;
             let st = &self.streams[x.stream.0 as usize];
             let (rank, tight) = if urgent { (0, 1.0) } else { (st.rank, st.tight) };
             let volume = x.volume;
@@ -640,14 +656,14 @@
             let never = !self.is_retry_safe(x, None) || self.is_over_part(x);
             let queue = self.shards.get_mut(&shard)?.queues.get_mut(&name)?;
             // A new object that waits for a node which can't take it finds another.
-            if node.is_none() && x.any_node && x.ran.is_none() && self.now < x.slo_at {
+            if node.is_none() && x.any_node && x.ran.is_none() && self.now < x.objective_at {
                 queue.pop_front();
                 self.enqueue(id, true);
                 continue;
             }
             let nd = node.and_then(|n| self.nodes.get(&n));
             let usual = nd.map_or(Span::ZERO, |n| n.usual(name.1));
-            if self.now + usual < x.slo_at.min(x.expiry) && !never {
+            if self.now + usual < x.objective_at.min(x.deadline) && !never {
                 // What a guard of its own holds (a pause, its key's turn) must not hold those behind it.
                 let queue = self.shards.get(&shard)?.queues.get(&name)?;
                 let open = |q: &&RequestId| {
@@ -695,7 +711,7 @@
         }
         // Rule 2: a keyed request that may have run stays in its group and window.
         if !self.is_retry_safe(x, Some(node)) {
-            return Err(x.expiry);
+            return Err(x.deadline);
         }
         // A sick node (errors, silence, refusals alike) gets a trickle, which finds its recovery.
         let trickle = n.sent_at + Span::from_secs(TRICKLE);
@@ -710,7 +726,7 @@
             return Err(t.max(later));
         }
         if self.is_over_part(x) {
-            return Err(x.expiry);
+            return Err(x.deadline);
         }
         let plan = &self.plans[x.plan.0 as usize];
         if plan.limit > 0.0 && !x.drew {
@@ -821,15 +837,18 @@
         }
         // Where attempts get lost, one out far longer than usual is given up: it must not fill the caps. Against
         // bad links; hurts where cheap requests overtake costly ones. At a crowded node one is given up at
-        // its SLO time, so the queue can drop what is late: against drowned nodes; costs what late ones earn.
+        // its latency objective, so the queue can drop what is late: against drowned nodes; costs what late ones earn.
         let here = &n.latency[x.stream.0 as usize];
         let seen = if here.count() >= TIMEOUT_SEEN { here } else { &self.everywhere[x.stream.0 as usize] };
         let far = Span::from_secs(seen.at(TIMEOUT_AT).unwrap_or(0.0) * TIMEOUT_TIMES);
         let again = self.lost.losing && x.attempts < self.max_attempts && seen.count() >= TIMEOUT_SEEN;
-        let crowded = (n.cap < 1.0).then_some(st.slo);
-        let timeout =
-            if again { Some(far.max(Span::from_secs(st.slo.secs() * TIMEOUT_LEAST))) } else { crowded };
-        let timeout = timeout.filter(|t| st.effect != Effect::Unrepeatable && now + *t < x.expiry);
+        let crowded = (n.cap < 1.0).then_some(st.latency_objective);
+        let timeout = if again {
+            Some(far.max(Span::from_secs(st.latency_objective.secs() * TIMEOUT_LEAST)))
+        } else {
+            crowded
+        };
+        let timeout = timeout.filter(|t| st.effect != Effect::Unrepeatable && now + *t < x.deadline);
         Decision::Send { request: id, node, timeout, begin_by }
     }
 
@@ -857,7 +876,7 @@
     /// An attempt ended without success: another where the rules and time allow, else the final answer at once.
     fn go_on(&mut self, id: RequestId) {
         let Some(x) = self.requests.get(&id) else { return };
-        if x.attempts >= self.max_attempts || x.slo_at <= self.now || !self.is_retry_safe(x, None) {
+        if x.attempts >= self.max_attempts || x.objective_at <= self.now || !self.is_retry_safe(x, None) {
             return self.answer(id, Some(Span::from_secs(PAUSE)));
         }
         if let Some(x) = self.requests.get_mut(&id) {
@@ -881,8 +900,14 @@
         });
         let ask = (x.volume, x.stream, x.key, x.shard.filter(|_| !x.any_node), x.units.to_bits());
         let keep = self.now + Span::from_secs(REJECTED_MEMORY);
-        self.rejected_requests
-            .note(ask, RejectedRequest { slo_at: x.slo_at, left: x.expiry + self.margin - x.arrived, keep });
+        self.rejected_requests.note(
+            ask,
+            RejectedRequest {
+                objective_at: x.objective_at,
+                left: x.deadline + self.margin - x.arrived,
+                keep,
+            },
+        );
         self.finish(id);
     }
 
@@ -896,7 +921,7 @@
         let Some(shard) = bound.or_else(|| self.rotate()) else { return self.homeless.push(id) };
         let Some(x) = self.requests.get_mut(&id) else { return };
         x.shard = Some(shard);
-        self.alarms.push(Reverse((x.slo_at.max(self.now), Alarm::Look(shard))));
+        self.alarms.push(Reverse((x.objective_at.max(self.now), Alarm::Look(shard))));
         let queue = self.shards.entry(shard).or_default().queues.entry((x.volume, x.stream)).or_default();
         match first {
             true => {
--- a/src/state.rs
+++ b/src/state.rs
@@ -29,9 +29,9 @@
 }
 
 pub struct Stream {
-    pub slo: Span,
+    pub latency_objective: Span,
     pub rank: usize,
-    pub tight: f64, // the tightest SLO time over this one
+    pub tight: f64, // the tightest latency objective over this one
     pub effect: Effect,
     pub in_order: bool,
 }
@@ -51,7 +51,7 @@
 
 /// A request that was answered without being done.
 pub struct RejectedRequest {
-    pub slo_at: Instant,
+    pub objective_at: Instant,
     pub left: Span, // to its client when it came
     pub keep: Instant,
 }
@@ -68,7 +68,7 @@
         self.by_ask.entry(ask).or_default().push_back(rejected_requests);
     }
 
-    /// When the SLO time ends that began with an earlier try, if this is a later one.
+    /// When the latency objective ends that began with an earlier try, if this is a later one.
     pub fn again(&mut self, now: Instant, ask: Ask, left: Span) -> Option<Instant> {
         while let Some((_, old)) = self.order.pop_front_if(|o| o.0 <= now) {
             let Some(list) = self.by_ask.get_mut(&old) else { continue };
@@ -79,7 +79,7 @@
         }
         let list = self.by_ask.get_mut(&ask)?;
         let i = list.iter().position(|u| left < u.left)?;
-        list.remove(i).map(|u| u.slo_at)
+        list.remove(i).map(|u| u.objective_at)
     }
 }
 
@@ -170,8 +170,8 @@
     pub any_node: bool,
     pub units: f64,
     pub arrived: Instant,
-    pub slo_at: Instant,
-    pub expiry: Instant,
+    pub objective_at: Instant,
+    pub deadline: Instant,
     pub hold: Instant, // no attempt before this
     pub tag: f64,      // its place among its volume's others of its stream type
     pub drew: bool,
@@ -199,8 +199,8 @@
         key: Option<KeyId>,
         shard: Option<ShardId>,
         units: f64,
-        slo_at: Instant,
-        expiry: Instant,
+        objective_at: Instant,
+        deadline: Instant,
     ) -> Self {
         Request {
             volume,
@@ -212,8 +212,8 @@
             any_node: shard.is_none(),
             units,
             arrived: now,
-            slo_at,
-            expiry,
+            objective_at,
+            deadline,
             hold: now,
             tag: 0.0,
             drew: false,
@@ -490,7 +490,7 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Alarm {
-    Expiry(RequestId),
+    Deadline(RequestId),
     Look(ShardId),
     Rested(KeyId),
     List,
@@ -546,15 +546,15 @@
     }
 }
 
-/// Ranks stream types by SLO time, the tighter first; gives the tightest.
-pub fn rank_by_slo(streams: &mut [Stream]) -> Span {
-    let mut slos: Vec<Span> = streams.iter().map(|s| s.slo).collect();
-    slos.sort();
-    slos.dedup();
-    let tightest = slos.first().copied().unwrap_or_default();
+/// Ranks stream types by latency objective, the tighter first; gives the tightest.
+pub fn rank_by_latency_objective(streams: &mut [Stream]) -> Span {
+    let mut latency_objectives: Vec<Span> = streams.iter().map(|s| s.latency_objective).collect();
+    latency_objectives.sort();
+    latency_objectives.dedup();
+    let tightest = latency_objectives.first().copied().unwrap_or_default();
     for s in streams {
-        s.rank = slos.iter().position(|x| *x == s.slo).unwrap_or(0);
-        s.tight = tightest.secs() / s.slo.secs().max(1e-6);
+        s.rank = latency_objectives.iter().position(|x| *x == s.latency_objective).unwrap_or(0);
+        s.tight = tightest.secs() / s.latency_objective.secs().max(1e-6);
     }
     tightest
 }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -65,7 +65,7 @@
 fn who_leaves_first_when_a_place_is_free() {
     // What waits (stream, plan) in order of arrival; which one leaves.
     let table = [
-        (vec![(1, 2), (0, 2)], 1, "the tighter SLO time"),
+        (vec![(1, 2), (0, 2)], 1, "the tighter latency objective"),
         (vec![(0, 2), (0, 1)], 1, "inside the reservation first"),
         (vec![(1, 1), (0, 2)], 1, "priority comes before the reservation"),
         (vec![(0, 1), (0, 1)], 0, "order of arrival else"),
@@ -176,7 +176,7 @@
 
 #[test]
 fn a_node_that_fails_by_chance_is_asked_again_in_time() {
-    // How many of ten attempts fail, and how long that takes; requests of 100 done within the SLO time, at least and most.
+    // How many of ten attempts fail, and how long that takes; requests of 100 done within the latency objective, at least and most.
     for (failing, took, least, most) in [(5, 0.005, 85, 100), (7, 0.005, 60, 100), (5, 0.3, 30, 70)] {
         let mut d = desk(1);
         let (mut attempts, mut done, mut out) = (0u32, 0, Vec::<(f64, RequestId, u32)>::new());
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn a_later_try_keeps_its_first_ones_slo_time() {
+fn a_retry_by_the_client_keeps_its_first_latency_objective() {
     // Key and time left of what comes after one on key 1 with 3 s left was rejected; whether it is in time.
     for (key, left, in_time) in [(1, 2.4, false), (2, 2.4, true), (1, 3.0, true), (2, 0.3, true)] {
         let mut d = Desk::new(1, Effect::Repeatable, false);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn one_final_answer_before_expiry_whatever_happens() {
+fn one_final_answer_before_deadline_whatever_happens() {
     // What each request meets: no node at all; a silent node; an answer with an error each time.
     for case in ["no node", "silent", "errors"] {
         let mut d = Desk::new(1, Effect::Repeatable, false);
@@ -30,7 +30,7 @@
                         }
                     }
                     Decision::Reject { request, .. } | Decision::Fail { request } => {
-                        assert!(t < 103.0, "{case}: answered after expiry");
+                        assert!(t < 103.0, "{case}: answered after deadline");
                         answers[request.0 as usize] += 1;
                     }
                     _ => {}
