--- /dev/null
+++ b/crates/agreement/tests/decision_hash.rs
@@ -0,0 +1,656 @@
+//! Guards the decisions of the consensus state machine: a seeded simulation of a small group of replicas, whose
+//! datagrams are lost, duplicated and reordered and whose hosts are isolated and restart from what they persisted. Every
+//! output is folded into a SHA-256 hash, which stands here as a constant. The hash covers encoded bytes and numbers
+//! only, so that renaming a type or rewording a log line leaves it as it is, while any other decision moves it.
+
+use bytes::{Bytes, BytesMut};
+use sha2::{Digest, Sha256};
+use std::collections::{BTreeMap, VecDeque};
+use std::net::SocketAddr;
+use tackmast::interface::{Instant, Span};
+use tackmast_agreement::*;
+use tackmast_wire::agree::put_entry;
+use tackmast_wire::peer::{Body, Datagram, Health, News};
+
+/// Length of a step in virtual seconds, and steps of a run.
+const STEP: f64 = 0.01;
+const STEPS: u64 = 6_000;
+/// Bytes of the replicated state: more than one datagram holds, so that a snapshot goes in chunks.
+const STATE_BYTES: usize = 3_000;
+
+/// Folds outputs into a hash, by their values alone.
+#[derive(Default)]
+struct OutputHash(Sha256);
+
+impl OutputHash {
+    fn number(&mut self, number: u64) {
+        self.0.update(number.to_be_bytes());
+    }
+
+    fn optional(&mut self, number: Option<u64>) {
+        self.number(u64::from(number.is_some()));
+        self.number(number.unwrap_or(0));
+    }
+
+    fn time(&mut self, time: Instant) {
+        self.number(time.secs().to_bits());
+    }
+
+    fn bytes(&mut self, bytes: &[u8]) {
+        self.number(bytes.len() as u64);
+        self.0.update(bytes);
+    }
+
+    /// Of a line for people only its digits: its words may change.
+    fn log_line(&mut self, line: &str) {
+        let digits: Vec<u8> = line.bytes().filter(u8::is_ascii_digit).collect();
+        self.bytes(&digits);
+    }
+
+    fn voters(&mut self, voters: &Voters) {
+        self.number(voters.len() as u64);
+        for (host, disk) in voters {
+            self.number(u64::from(*host));
+            self.number(*disk);
+        }
+    }
+
+    fn write(&mut self, write: &Write) {
+        self.number(write.receipt);
+        self.optional(write.hard.map(|hard| hard.term));
+        self.optional(write.hard.and_then(|hard| hard.vote).map(u64::from));
+        if let Some(base) = &write.base {
+            self.number(base.id);
+            self.number(base.last.term);
+            self.number(base.last.index);
+            self.voters(&base.voters);
+            self.bytes(&base.state);
+        }
+        if let Some((first, entries)) = &write.entries {
+            self.number(*first);
+            let mut encoded = BytesMut::new();
+            entries.iter().for_each(|entry| put_entry(&mut encoded, entry));
+            self.bytes(&encoded);
+        }
+        if let Some(sealed) = &write.sealed {
+            self.voters(sealed);
+        }
+        for (host, of) in write.known.iter().flatten() {
+            [u64::from(*host), of.disk, u64::from(of.boot), of.life]
+                .into_iter()
+                .for_each(|number| self.number(number));
+        }
+        self.optional(write.disk);
+    }
+
+    fn to_hex(&self) -> String {
+        self.0.clone().finalize().iter().map(|byte| format!("{byte:02x}")).collect()
+    }
+}
+
+/// What a host persisted, and the writes under way with the time at which each is done.
+#[derive(Default)]
+struct Disk {
+    mark: u64,
+    boot: u32,
+    held: Held,
+    pending: VecDeque<(f64, Write)>,
+}
+
+impl Disk {
+    /// Takes all of one write at once, as the store does.
+    fn persist(&mut self, write: Write) {
+        let held = &mut self.held;
+        if let Some(hard) = write.hard {
+            held.hard = hard;
+        }
+        if let Some(base) = write.base {
+            held.base = base;
+            held.entries.clear();
+        }
+        if let Some((first, entries)) = write.entries {
+            let kept = first.saturating_sub(held.base.last.index + 1) as usize;
+            held.entries.truncate(kept);
+            held.entries.extend(entries);
+        }
+        held.sealed = write.sealed.or(held.sealed.take());
+        if let Some(known) = write.known {
+            held.known = known;
+        }
+        self.mark = write.disk.unwrap_or(self.mark);
+    }
+}
+
+struct Host {
+    seat: Option<Seat>,
+    chunks: Parcels,
+    disk: Disk,
+    state: Vec<u8>,
+    snapshots_due: VecDeque<(f64, u64, Vec<u8>)>,
+    starts_at: f64,
+    isolated_until: f64,
+    reads: Vec<u32>,
+}
+
+struct InFlight {
+    due: f64,
+    number: u64,
+    to: u32,
+    bytes: Bytes,
+}
+
+/// What a run has seen, so that a trivial run fails.
+#[derive(Debug, Default)]
+struct Totals {
+    inputs: u64,
+    restarts: u64,
+    chunks: u64,
+    own_changes: u64,
+    gave_up: u64,
+    reads: u64,
+    voter_changes: u64,
+    leases_held: u64,
+    counters: VoterTotals,
+}
+
+#[derive(Debug, Default)]
+struct VoterTotals {
+    elections: u64,
+    led: u64,
+    commits: u64,
+    granted: u64,
+    restores: u64,
+    folds: u64,
+}
+
+/// How a group is made up and disturbed.
+#[derive(Clone, Copy)]
+struct Group {
+    voters: u32,
+    followers: u32,
+    consensus: Settings,
+    loss: f64,
+    duplication: f64,
+    max_delay: f64,
+}
+
+struct Simulation {
+    group: Group,
+    hosts: Vec<Host>,
+    in_flight: Vec<InFlight>,
+    sent: u64,
+    now: f64,
+    incarnations: u64,
+    random: oorandom::Rand64,
+    hash: OutputHash,
+    committed: BTreeMap<u64, Bytes>,
+    totals: Totals,
+}
+
+fn address(host: u32) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, host as u8], 7000))
+}
+
+fn chunk_settings() -> ParcelsSettings {
+    ParcelsSettings { again: Span::from_secs(0.1) }
+}
+
+impl Simulation {
+    fn new(group: Group, seed: u64) -> Simulation {
+        let host = |number: u32| Host {
+            seat: None,
+            chunks: Parcels::new(chunk_settings(), 0),
+            disk: Disk { mark: 100 + u64::from(number), ..Disk::default() },
+            state: vec![0; STATE_BYTES],
+            snapshots_due: VecDeque::new(),
+            starts_at: 0.0,
+            isolated_until: 0.0,
+            reads: Vec::new(),
+        };
+        Simulation {
+            group,
+            hosts: (0..group.voters + group.followers).map(host).collect(),
+            in_flight: Vec::new(),
+            sent: 0,
+            now: 0.0,
+            incarnations: 0,
+            random: oorandom::Rand64::new(u128::from(seed)),
+            hash: OutputHash::default(),
+            committed: BTreeMap::new(),
+            totals: Totals::default(),
+        }
+    }
+
+    fn chance(&mut self, probability: f64) -> bool {
+        self.random.rand_float() < probability
+    }
+
+    fn random_host(&mut self) -> u32 {
+        self.random.rand_range(0..self.hosts.len() as u64) as u32
+    }
+
+    /// The host's own clock: each starts elsewhere and runs a little apart.
+    fn clock(&self, host: u32) -> Instant {
+        Instant::from_secs(100.0 * f64::from(host + 1) + self.now * (1.0 + 0.001 * f64::from(host)))
+    }
+
+    fn host(&mut self, host: u32) -> &mut Host {
+        &mut self.hosts[host as usize]
+    }
+
+    /// One input to a host's state machine, and what follows from it.
+    fn input<T>(&mut self, host: u32, apply: impl FnOnce(&mut Seat, Instant) -> T) -> Option<T> {
+        let now = self.clock(host);
+        let result = self.host(host).seat.as_mut().map(|seat| apply(seat, now))?;
+        self.totals.inputs += 1;
+        self.drain(host);
+        Some(result)
+    }
+
+    fn drain(&mut self, host: u32) {
+        while let Some(output) = self.host(host).seat.as_mut().and_then(|seat| seat.next_output()) {
+            self.hash.number(u64::from(host));
+            self.on_output(host, output);
+        }
+        self.send_chunks(host);
+    }
+
+    fn on_output(&mut self, host: u32, output: SeatOutput) {
+        match output {
+            SeatOutput::Send { to, word } => {
+                self.hash.number(1);
+                self.hash.number(u64::from(to));
+                self.host(host).chunks.send(address(to), word.to_bytes());
+            }
+            SeatOutput::Write(write) => {
+                self.hash.number(2);
+                self.hash.write(&write);
+                let done = self.now + self.random.rand_float() * 0.02;
+                self.host(host).disk.pending.push_back((done, write));
+            }
+            SeatOutput::Holds { index, data, mine } => {
+                self.hash.number(3);
+                self.hash.number(index);
+                self.hash.bytes(&data);
+                self.hash.optional(mine.map(u64::from));
+                self.totals.own_changes += u64::from(mine.is_some());
+                let first = self.committed.entry(index).or_insert_with(|| data.clone());
+                assert_eq!(*first, data, "two replicas committed different entries at {index}");
+                self.apply_change(host, index, &data);
+            }
+            SeatOutput::Restore { index, state } => {
+                self.hash.number(4);
+                self.hash.number(index);
+                self.hash.bytes(&state);
+                if state.len() == STATE_BYTES {
+                    self.host(host).state = state.to_vec();
+                }
+            }
+            SeatOutput::Fold { index } => {
+                self.hash.number(5);
+                self.hash.number(index);
+                let due = self.now + 0.03;
+                let state = self.host(host).state.clone();
+                self.host(host).snapshots_due.push_back((due, index, state));
+            }
+            SeatOutput::GaveUp { number } => {
+                self.hash.number(6);
+                self.hash.number(u64::from(number));
+                self.totals.gave_up += 1;
+            }
+            SeatOutput::Mode(line) => {
+                self.hash.number(7);
+                self.hash.log_line(&line);
+            }
+        }
+    }
+
+    /// The replicated state machine: each change is mixed into a few bytes of the state.
+    fn apply_change(&mut self, host: u32, index: u64, data: &[u8]) {
+        let state = &mut self.host(host).state;
+        for (offset, byte) in data.iter().enumerate() {
+            let place = (index as usize * 131 + offset) % STATE_BYTES;
+            state[place] = state[place].wrapping_mul(31).wrapping_add(*byte);
+        }
+    }
+
+    fn send_chunks(&mut self, host: u32) {
+        while let Some((to, body)) = self.host(host).chunks.next_say() {
+            let me = News {
+                slot: host,
+                life: 1,
+                incarnation: 0,
+                health: Health::Alive,
+                address: address(host),
+                site: None,
+                by: None,
+            };
+            let bytes = Datagram { fleet: "f".into(), me, body, news: Vec::new() }.to_bytes();
+            self.hash.bytes(&bytes);
+            self.transmit(host, to, bytes);
+        }
+    }
+
+    fn transmit(&mut self, from: u32, to: SocketAddr, bytes: Bytes) {
+        let to = (0..self.hosts.len() as u32).find(|host| address(*host) == to).expect("a host's address");
+        let isolated = |host: u32| self.hosts[host as usize].isolated_until > self.now;
+        if isolated(from) || isolated(to) || self.chance(self.group.loss) {
+            return;
+        }
+        let copies = 1 + u64::from(self.chance(self.group.duplication));
+        for _ in 0..copies {
+            let due = self.now + self.random.rand_float() * self.group.max_delay;
+            self.sent += 1;
+            self.in_flight.push(InFlight { due, number: self.sent, to, bytes: bytes.clone() });
+        }
+    }
+
+    fn deliver_due(&mut self) {
+        let now = self.now;
+        let (mut due, later): (Vec<InFlight>, Vec<InFlight>) =
+            std::mem::take(&mut self.in_flight).into_iter().partition(|datagram| datagram.due <= now);
+        self.in_flight = later;
+        due.sort_by(|a, b| a.due.total_cmp(&b.due).then(a.number.cmp(&b.number)));
+        for datagram in due {
+            self.receive(datagram.to, datagram.bytes);
+        }
+    }
+
+    fn receive(&mut self, host: u32, bytes: Bytes) {
+        if self.host(host).seat.is_none() {
+            return;
+        }
+        let datagram = Datagram::decode(bytes).expect("a datagram of this group");
+        let from = datagram.me.slot;
+        let now = self.clock(host);
+        let message = match datagram.body {
+            Body::Agree { bytes } => Some(bytes),
+            Body::Parcel { number, pieces, piece, bytes } => {
+                self.totals.chunks += 1;
+                self.host(host).chunks.came(now, address(from), number, pieces, piece, bytes)
+            }
+            Body::ParcelWant { number, piece } => {
+                self.host(host).chunks.wanted(address(from), number, piece);
+                None
+            }
+            _ => unreachable!("consensus traffic alone"),
+        };
+        if let Some(message) = message {
+            let message = Word::decode(message).expect("a message of this group");
+            self.input(host, |seat, now| seat.heard(now, from, message));
+        }
+        self.send_chunks(host);
+    }
+
+    fn start(&mut self, number: u32) {
+        let now = self.clock(number);
+        self.incarnations += 1;
+        let incarnation = self.incarnations;
+        let group = self.group;
+        let host = self.host(number);
+        host.disk.boot += 1;
+        let of = Origin { disk: host.disk.mark, boot: host.disk.boot, life: incarnation };
+        let held = host.disk.held.clone();
+        let founders = (0..group.voters).collect();
+        let settings =
+            SeatSettings { me: number, of, agree: group.consensus, founders, held, seed: incarnation };
+        host.seat = Some(Seat::new(now, settings));
+        host.chunks = Parcels::new(chunk_settings(), incarnation as u32 * 1_000);
+        host.state = vec![0; STATE_BYTES];
+        self.drain(number);
+    }
+
+    /// The process ends: what is not on disk yet is lost.
+    fn stop(&mut self, number: u32) {
+        let Some(seat) = self.host(number).seat.take() else { return };
+        self.count(&seat);
+        self.totals.restarts += 1;
+        let pause = 0.1 + self.random.rand_float() * 2.0;
+        let starts_at = self.now + pause;
+        let host = self.host(number);
+        host.starts_at = starts_at;
+        host.disk.pending.clear();
+        host.snapshots_due.clear();
+        host.reads.clear();
+    }
+
+    fn count(&mut self, seat: &Seat) {
+        let counters = seat.voter.counters;
+        let totals = &mut self.totals.counters;
+        totals.elections += counters.elections;
+        totals.led += counters.led;
+        totals.commits += counters.commits;
+        totals.granted += counters.granted;
+        totals.restores += counters.restores;
+        totals.folds += counters.folds;
+        self.hash.number(counters.wrong_disks);
+        self.hash.number(counters.lost_full);
+    }
+
+    fn leader(&self) -> Option<u32> {
+        let leads = |host: &Host| host.seat.as_ref().is_some_and(|seat| seat.voter.leads());
+        self.hosts.iter().position(leads).map(|host| host as u32)
+    }
+
+    /// Restarts and isolations, the leader's more often than others'.
+    fn disturb(&mut self) {
+        if self.now < 2.0 {
+            return;
+        }
+        if self.chance(0.004) {
+            let host = self.disturbed_host();
+            self.stop(host);
+        }
+        if self.chance(0.004) {
+            let host = self.disturbed_host();
+            let until = self.now + 0.2 + self.random.rand_float();
+            self.host(host).isolated_until = until;
+        }
+    }
+
+    fn disturbed_host(&mut self) -> u32 {
+        let any = self.random_host();
+        let leader = self.leader().unwrap_or(any);
+        if self.chance(0.4) {
+            leader
+        } else {
+            any
+        }
+    }
+
+    fn run_disks(&mut self) {
+        for host in 0..self.hosts.len() as u32 {
+            let now = self.now;
+            while let Some((_, write)) = self.host(host).disk.pending.pop_front_if(|(done, _)| *done <= now) {
+                let receipt = write.receipt;
+                self.host(host).disk.persist(write);
+                self.input(host, |seat, now| seat.written(now, receipt, true));
+            }
+            while let Some((_, index, state)) =
+                self.host(host).snapshots_due.pop_front_if(|(due, ..)| *due <= now)
+            {
+                self.input(host, |seat, now| seat.folded(now, index, &state));
+            }
+        }
+    }
+
+    fn run_timers(&mut self) {
+        for host in 0..self.hosts.len() as u32 {
+            let now = self.clock(host);
+            let Some(seat) = &self.host(host).seat else {
+                if self.host(host).starts_at <= self.now {
+                    self.start(host);
+                }
+                continue;
+            };
+            if seat.next_wake(now) <= now {
+                self.input(host, |seat, now| seat.tick(now));
+            }
+            self.host(host).chunks.tick(now);
+            self.send_chunks(host);
+        }
+    }
+
+    /// Clients change and read; an operator moves votes between hosts.
+    fn run_clients(&mut self) {
+        if self.chance(0.2) {
+            let host = self.random_host();
+            let length = 1 + self.random.rand_range(0..300) as usize;
+            let fill = self.random.rand_range(0..256) as u8;
+            let result = self.input(host, |seat, now| seat.change(now, Bytes::from(vec![fill; length])));
+            let number = result.and_then(|change| change.ok());
+            self.hash.optional(number.map(u64::from));
+        }
+        if self.chance(0.03) {
+            let host = self.random_host();
+            let read = self.input(host, |seat, now| seat.ask_newest(now));
+            self.host(host).reads.extend(read);
+        }
+        if self.chance(0.01) {
+            self.move_vote();
+        }
+    }
+
+    fn move_vote(&mut self) {
+        let (host, votes) = (self.random_host(), self.chance(0.5));
+        let Some(leader) = self.leader() else { return };
+        let changed = self.input(leader, |seat, now| seat.voter.change_voters(now, host, votes));
+        let index = changed.and_then(|change| change.ok());
+        self.totals.voter_changes += u64::from(index.is_some());
+        self.hash.optional(index);
+    }
+
+    fn fold_status(&mut self) {
+        for number in 0..self.hosts.len() as u32 {
+            let now = self.clock(number);
+            let host = &mut self.hosts[number as usize];
+            let Some(seat) = &host.seat else { continue };
+            let status = seat.status(now);
+            let hash = &mut self.hash;
+            hash.optional(status.leader.map(u64::from));
+            [status.term, status.last, status.commit, status.folded]
+                .into_iter()
+                .for_each(|figure| hash.number(figure));
+            [status.votes, status.founded, seat.voter.leads()]
+                .into_iter()
+                .for_each(|flag| hash.number(u64::from(flag)));
+            hash.voters(&status.voters);
+            hash.number(seat.in_force(now));
+            hash.time(seat.in_force_at(now));
+            hash.time(seat.next_wake(now));
+            match seat.standing(now) {
+                Standing::Never => hash.number(0),
+                Standing::Holds { until } => hash.time(until),
+                Standing::Past { since } => hash.time(since),
+            }
+            self.totals.leases_held += u64::from(seat.standing(now).holds());
+            let before = host.reads.len();
+            host.reads.retain(|read| !seat.read(*read));
+            let answered = (before - host.reads.len()) as u64;
+            hash.number(answered);
+            self.totals.reads += answered;
+        }
+    }
+
+    fn run(mut self) -> (String, Totals) {
+        for _ in 0..STEPS {
+            self.now += STEP;
+            self.disturb();
+            self.deliver_due();
+            self.run_disks();
+            self.run_timers();
+            self.run_clients();
+            self.fold_status();
+        }
+        for host in 0..self.hosts.len() as u32 {
+            self.stop(host);
+        }
+        let VoterTotals { elections, led, commits, granted, restores, folds } = self.totals.counters;
+        [elections, led, commits, granted, restores, folds]
+            .into_iter()
+            .for_each(|total| self.hash.number(total));
+        (self.hash.to_hex(), self.totals)
+    }
+}
+
+fn three_voters() -> Group {
+    let seconds = Span::from_secs;
+    let consensus = Settings {
+        beat: seconds(0.05),
+        patience: seconds(0.3),
+        lease: seconds(1.0),
+        drift: 0.01,
+        hosts: 5,
+        fold_entries: 15,
+        fold_bytes: 1 << 20,
+    };
+    Group { voters: 3, followers: 2, consensus, loss: 0.03, duplication: 0.03, max_delay: 0.03 }
+}
+
+fn five_voters() -> Group {
+    let seconds = Span::from_secs;
+    let consensus = Settings {
+        beat: seconds(0.08),
+        patience: seconds(0.5),
+        lease: seconds(2.0),
+        drift: 0.02,
+        hosts: 7,
+        fold_entries: 1_000,
+        fold_bytes: 4_000,
+    };
+    Group { voters: 5, followers: 2, consensus, loss: 0.08, duplication: 0.05, max_delay: 0.06 }
+}
+
+fn assert_not_trivial(totals: &Totals) {
+    let counters = &totals.counters;
+    assert!(totals.inputs >= 10_000, "{totals:?}");
+    assert!(counters.elections >= 10 && counters.led >= 5, "{totals:?}");
+    assert!(counters.commits >= 500 && totals.own_changes >= 100, "{totals:?}");
+    assert!(counters.restores >= 5 && counters.folds >= 20 && totals.chunks >= 50, "{totals:?}");
+    assert!(totals.restarts >= 10 && totals.voter_changes >= 2, "{totals:?}");
+    assert!(counters.granted >= 100 && totals.leases_held >= 1_000 && totals.reads >= 20, "{totals:?}");
+}
+
+/// Compares the hashes of all seeds, and names all that differ.
+fn compare(group: Group, expected: &[(u64, &str)]) {
+    let mut differences = Vec::new();
+    for (seed, expected) in expected {
+        let (hash, totals) = Simulation::new(group, *seed).run();
+        println!("seed {seed}: {totals:?}");
+        assert_not_trivial(&totals);
+        if hash != *expected {
+            differences.push(format!("seed {seed}: {hash}"));
+        }
+    }
+    assert!(differences.is_empty(), "decisions changed:\n{}", differences.join("\n"));
+}
+
+#[test]
+fn three_voters_and_two_followers_decide_as_before() {
+    compare(
+        three_voters(),
+        &[
+            (1, "18b456603ca8b7412357ff16b87fd4d255b099345fd66f8db1d6f7af6ae4304a"),
+            (2, "06b9a616a818186d5129eae428ea8c9ba5af66154ff32a15e399f0b46f200ff7"),
+            (3, "56fb74dfa5ab0ffce4179eb08f596f67819b06a564cc075371b3005e649f56ad"),
+        ],
+    );
+}
+
+#[test]
+fn five_voters_and_two_followers_decide_as_before() {
+    compare(
+        five_voters(),
+        &[
+            (4, "6e788bc0ada1ff7ef102bc9353141b3e85558106888c454e59802bdef89d8930"),
+            (5, "81634886eed80c227759aa6c00c0d47f67da274660d51a4b49b8cac7c2a4b291"),
+            (6, "4563dfba1aff612df8c8f9fda9b051103699038b718cf5137d79a750f9618b4f"),
+        ],
+    );
+}
+
+#[test]
+fn the_same_seed_gives_the_same_hash() {
+    let hash = || Simulation::new(three_voters(), 7).run().0;
+    assert_eq!(hash(), hash());
+}
