--- /dev/null
+++ b/crates/keep/tests/stored_format.rs
@@ -0,0 +1,304 @@
+//! Guards the stored form of a host's store: a file that an earlier build wrote must open and hold exactly what was
+//! written, down to the bytes of each row.
+//!
+//! `fixtures/store.runs` is such a file, in hex with runs of equal rows counted. It was written by the test
+//! `write_fixture`, which does nothing unless the environment variable of `WRITE_FIXTURE` is set. Write it anew only where a
+//! new `FORMAT` is meant, and then beside the old one: stores of this form are on hosts' disks.
+
+use redb::{ReadableTable, TableDefinition};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use tackmast_agreement::{
+    Base, Entry, Hard, Held as HeldLog, Mark, Origin as DiskOrigin, Voters, What, Write,
+};
+use tackmast_hostcore::{AgreedStart, Keep, Remembered};
+use tackmast_keep::{Held, Store};
+use tackmast_overrides::{Audit, AuditKind, Kind, Origin, Override, OverrideId, Target};
+
+const WRITE_FIXTURE: &str = "TACKMAST_WRITE_FIXTURE";
+/// Bytes of a row of the encoded file.
+const ROW_BYTES: usize = 32;
+const CHANGE_LOG: [&str; 3] = ["{\"number\":0}\n", "{\"number\":1}\n", "{\"number\":2}\n"];
+const SET_US: u64 = 1_700_000_000_000_000;
+const HOUR_US: u64 = 3_600_000_000;
+
+fn fixture_path() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/store.runs")
+}
+
+/// The rows of the fixture as text, so that a change of them can be read in a review.
+fn rows_path() -> PathBuf {
+    fixture_path().with_file_name("store_rows.txt")
+}
+
+/// Run-length encoding, since most of the file is rows of 00 or ff: lines of `COUNT HEX` for so many of one row of bytes.
+fn encode_runs(bytes: &[u8]) -> String {
+    let rows: Vec<&[u8]> = bytes.chunks(ROW_BYTES).collect();
+    let line = |run: &[&[u8]]| {
+        let hex: String = run[0].iter().map(|b| format!("{b:02x}")).collect();
+        format!("{} {hex}\n", run.len())
+    };
+    rows.chunk_by(|a, b| a == b).map(line).collect()
+}
+
+fn decode_runs(text: &str) -> Vec<u8> {
+    let byte = |digits: &[u8]| u8::from_str_radix(std::str::from_utf8(digits).unwrap(), 16).unwrap();
+    let run = |line: &str| {
+        let (count, hex) = line.split_once(' ').unwrap();
+        let row: Vec<u8> = hex.as_bytes().chunks(2).map(byte).collect();
+        row.repeat(count.parse().unwrap())
+    };
+    text.lines().flat_map(run).collect()
+}
+
+fn address(text: &str) -> SocketAddr {
+    text.parse().unwrap()
+}
+
+fn override_record(id: u64, target: &str, kind: Kind, origin: Option<Origin>) -> Override {
+    let target: Target = target.parse().unwrap();
+    let (reason, who) = ("disk \"smokes\"".to_owned(), "ann".to_owned());
+    Override {
+        id: OverrideId(id),
+        target,
+        kind,
+        reason,
+        who,
+        set_us: SET_US,
+        ends_us: SET_US + HOUR_US,
+        origin,
+    }
+}
+
+fn all_overrides() -> Vec<Override> {
+    let origin = Origin { slot: 2, life: 77, number: 9 };
+    vec![
+        override_record(1, "10.0.0.1:9000", Kind::OutOfService, None),
+        override_record(2, "10.1.0.0/16", Kind::Weight(0.25), Some(origin)),
+        override_record(3, "shard:4", Kind::Pinned, None),
+        override_record(4, "zone:0", Kind::OutOfService, None),
+        override_record(5, "[::1]:9003", Kind::Weight(1.0), None),
+    ]
+}
+
+fn data(term: u64, text: &'static [u8]) -> Entry {
+    Entry { term, what: What::Data(text.into()) }
+}
+
+fn voters(disks: &[(u32, u64)]) -> Voters {
+    disks.iter().copied().collect()
+}
+
+fn snapshot() -> Base {
+    Base {
+        id: 0xfeed_beef,
+        last: Mark { term: 3, index: 40 },
+        voters: voters(&[(0, 11), (1, 22), (4, 33)]),
+        state: b"state of 40".as_slice().into(),
+    }
+}
+
+fn known_disks() -> BTreeMap<u32, DiskOrigin> {
+    [
+        (1, DiskOrigin { disk: 22, boot: 6, life: 1_000_001 }),
+        (4, DiskOrigin { disk: 33, boot: 1, life: 1_000_002 }),
+    ]
+    .into()
+}
+
+fn peers() -> Vec<(u32, u64, SocketAddr)> {
+    vec![(1, 1_000_001, address("10.9.0.1:7000")), (4, 1_000_002, address("[fd00::4]:7000"))]
+}
+
+/// Writes a store step by step, as a host does: rows of each table, some of them removed or overwritten later.
+fn write_store(path: &Path) {
+    let (store, _) = Store::open(path).unwrap();
+    let overrides = all_overrides();
+    for record in &overrides {
+        let audits = vec![Audit::set(record, record.id.0 == 4)];
+        store.keep(&Keep { put: vec![record.clone()], audits, ..Keep::default() }).unwrap();
+    }
+    let audits = vec![
+        Audit::cleared(SET_US + 1, &overrides[3], "bob"),
+        Audit {
+            at_us: SET_US + 2,
+            kind: AuditKind::Forced,
+            id: None,
+            who: "eve".into(),
+            what: "alone".into(),
+        },
+    ];
+    store.keep(&Keep { remove: vec![OverrideId(4), OverrideId(5)], audits, ..Keep::default() }).unwrap();
+    let changes = (0..).zip(CHANGE_LOG).map(|(number, line)| (number, line.as_bytes().to_vec())).collect();
+    store.keep(&Keep { changes, ..Keep::default() }).unwrap();
+    let members = Some(Remembered { life: 5_000_000, hosts: peers() });
+    store.keep(&Keep { members, ..Keep::default() }).unwrap();
+
+    store.open_agreed(0xabc0, 5_000_000).unwrap();
+    let first = Write {
+        hard: Some(Hard { term: 2, vote: None }),
+        entries: Some((1, vec![Entry { term: 1, what: What::Nothing }, data(1, b"folded")])),
+        sealed: Some(voters(&[(0, 11), (1, 22)])),
+        ..Write::default()
+    };
+    let compacted = Write {
+        hard: Some(Hard { term: 4, vote: Some(1) }),
+        base: Some(snapshot()),
+        entries: Some((41, vec![data(3, b"kept"), data(3, b"cut"), data(3, b"cut")])),
+        known: Some(known_disks()),
+        ..Write::default()
+    };
+    let replaced = Write {
+        entries: Some((42, vec![Entry { term: 4, what: What::Nothing }, data(4, b"new"), voters_entry()])),
+        ..Write::default()
+    };
+    for write in [first, compacted, replaced] {
+        store.keep(&Keep { agreed: Some(Box::new(write)), ..Keep::default() }).unwrap();
+    }
+}
+
+fn voters_entry() -> Entry {
+    Entry { term: 4, what: What::Voters(voters(&[(0, 11), (4, 33)])) }
+}
+
+#[test]
+fn write_fixture() {
+    if std::env::var_os(WRITE_FIXTURE).is_none() {
+        return;
+    }
+    let folder = tempfile::tempdir().unwrap();
+    let path = folder.path().join("store.redb");
+    write_store(&path);
+    let mut database = redb::Database::open(&path).unwrap();
+    database.compact().unwrap();
+    drop(database);
+    std::fs::write(fixture_path(), encode_runs(&std::fs::read(&path).unwrap())).unwrap();
+    std::fs::write(rows_path(), dump(&path).join("\n") + "\n").unwrap();
+}
+
+/// A copy of the fixture, to be opened; the folder is removed with its handle.
+fn copy_of_fixture() -> (tempfile::TempDir, PathBuf) {
+    let folder = tempfile::tempdir().unwrap();
+    let path = folder.path().join("store.redb");
+    let text = std::fs::read_to_string(fixture_path()).unwrap();
+    std::fs::write(&path, decode_runs(&text)).unwrap();
+    (folder, path)
+}
+
+fn expected_log(boot: u32, life: u64) -> AgreedStart {
+    let entries =
+        vec![data(3, b"kept"), Entry { term: 4, what: What::Nothing }, data(4, b"new"), voters_entry()];
+    AgreedStart {
+        of: DiskOrigin { disk: 0xabc1, boot, life },
+        held: HeldLog {
+            hard: Hard { term: 4, vote: Some(1) },
+            base: snapshot(),
+            entries,
+            sealed: Some(voters(&[(0, 11), (1, 22)])),
+            known: known_disks(),
+        },
+    }
+}
+
+#[test]
+fn a_store_of_an_earlier_build_holds_what_was_written() {
+    let (_folder, path) = copy_of_fixture();
+    let (_store, held) = Store::open(&path).unwrap();
+    let expected = Held {
+        overrides: all_overrides()[..3].to_vec(),
+        next: 6,
+        trail: CHANGE_LOG.concat().into_bytes(),
+        agreed: Some(expected_log(1, 0)),
+        members: Remembered { life: 5_000_000, hosts: peers() },
+    };
+    assert_eq!(held, expected);
+}
+
+#[test]
+fn an_audit_log_of_an_earlier_build_reads_as_it_was_written() {
+    let (_folder, path) = copy_of_fixture();
+    let (store, _) = Store::open(&path).unwrap();
+    let line = |at_us, kind, id: Option<u64>, who: &str, what: &str| Audit {
+        at_us,
+        kind,
+        id: id.map(OverrideId),
+        who: who.into(),
+        what: what.into(),
+    };
+    let set = |id, what| line(SET_US, AuditKind::Set, Some(id), "ann", what);
+    let expected = vec![
+        set(1, "10.0.0.1:9000 out of service: disk \"smokes\" (set by ann)"),
+        set(2, "10.1.0.0/16 weight 0.25: disk \"smokes\" (set by ann)"),
+        set(3, "shard:4 pinned in service: disk \"smokes\" (set by ann)"),
+        set(4, "zone:0 out of service: disk \"smokes\" (set by ann), forced"),
+        set(5, "[::1]:9003 weight 1: disk \"smokes\" (set by ann)"),
+        line(
+            SET_US + 1,
+            AuditKind::Cleared,
+            Some(4),
+            "bob",
+            "zone:0 out of service: disk \"smokes\" (set by ann)",
+        ),
+        line(SET_US + 2, AuditKind::Forced, None, "eve", "alone"),
+    ];
+    assert_eq!(store.audit(100).unwrap(), expected);
+}
+
+#[test]
+fn a_store_of_an_earlier_build_is_opened_and_written_further() {
+    let (_folder, path) = copy_of_fixture();
+    let (store, _) = Store::open(&path).unwrap();
+    assert_eq!(store.open_agreed(0xdead, 6_000_000).unwrap(), expected_log(2, 6_000_000));
+    let added = override_record(6, "zone:9", Kind::Pinned, None);
+    let audits = vec![Audit::set(&added, false)];
+    store.keep(&Keep { put: vec![added.clone()], audits, ..Keep::default() }).unwrap();
+    assert_eq!(store.audit(100).unwrap().len(), 8);
+    drop(store);
+    let (_store, held) = Store::open(&path).unwrap();
+    assert_eq!((held.overrides.last(), held.next), (Some(&added), 7));
+    assert_eq!(held.agreed, Some(expected_log(2, 0)));
+}
+
+/// All rows of all tables as text: `TABLE KEY: VALUE`, with values that are not text in hex.
+fn dump(path: &Path) -> Vec<String> {
+    let numbers = TableDefinition::<&str, u64>::new("tackmast");
+    let named = TableDefinition::<&str, &[u8]>::new("agreed");
+    let value_text = |bytes: &[u8]| match std::str::from_utf8(bytes) {
+        Ok(text) if text.starts_with('{') => text.trim_end().to_owned(),
+        _ => bytes.iter().map(|b| format!("{b:02x}")).collect(),
+    };
+    let database = redb::Database::open(path).unwrap();
+    let read = database.begin_read().unwrap();
+    let mut rows = Vec::new();
+    for row in read.open_table(numbers).unwrap().iter().unwrap() {
+        let (key, value) = row.unwrap();
+        rows.push(format!("tackmast {}: {}", key.value(), value.value()));
+    }
+    for row in read.open_table(named).unwrap().iter().unwrap() {
+        let (key, value) = row.unwrap();
+        rows.push(format!("agreed {}: {}", key.value(), value_text(value.value())));
+    }
+    for name in ["agreed entries", "overrides", "audit", "changes of plans", "members"] {
+        let table = TableDefinition::<u64, &[u8]>::new(name);
+        for row in read.open_table(table).unwrap().iter().unwrap() {
+            let (key, value) = row.unwrap();
+            rows.push(format!("{name} {}: {}", key.value(), value_text(value.value())));
+        }
+    }
+    let mut tables: Vec<String> =
+        read.list_tables().unwrap().map(|t| redb::TableHandle::name(&t).to_owned()).collect();
+    tables.sort_unstable();
+    rows.push(format!("tables: {}", tables.join(", ")));
+    rows
+}
+
+#[test]
+fn a_store_written_today_has_the_rows_of_an_earlier_build() {
+    let (folder, earlier) = copy_of_fixture();
+    let today = folder.path().join("today.redb");
+    write_store(&today);
+    assert_eq!(dump(&today), dump(&earlier));
+    let expected = std::fs::read_to_string(rows_path()).unwrap();
+    assert_eq!(dump(&earlier), expected.lines().collect::<Vec<_>>());
+}
