--- /dev/null
+++ b/crates/trace/tests/json_forms.rs
@@ -0,0 +1,226 @@
+//! Guards the JSON lines of a trace: recorded traces are kept and judged again by later builds.
+
+use serde::{de::DeserializeOwned, Serialize};
+use std::fmt::Debug;
+use tackmast_trace::{
+    read, write, AnswerKind, EffectKind, Event, Facts, LegEndKind, LegName, Line, ListedState, Side,
+    StreamFacts, VolumeFacts,
+};
+
+/// The value is written as the literal text, and the literal is read back as the value.
+#[track_caller]
+fn assert_form<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
+    assert_eq!(serde_json::to_string(value).unwrap(), text);
+    assert_eq!(&serde_json::from_str::<T>(text).unwrap(), value);
+}
+
+#[track_caller]
+fn assert_event(event: Event, text: &str) {
+    assert_form(&Line { t: 1_700_000_000_000_000, event }, text);
+}
+
+fn name() -> LegName {
+    LegName { host: 1, life: 77, xfer: 12, leg: 2 }
+}
+
+fn node() -> String {
+    "127.0.0.1:9000".into()
+}
+
+#[test]
+fn facts_of_a_deployment() {
+    let volume = VolumeFacts {
+        volume: 3,
+        plan: "basic".into(),
+        limit: 40.0,
+        burst: 64.0,
+        slack: 8.0,
+        extent_bytes: 32_768,
+    };
+    let stream = StreamFacts {
+        name: "read".into(),
+        slo_us: 200_000,
+        effect: EffectKind::KeyedZone,
+        window_us: 5_000_000,
+        in_order: true,
+    };
+    let facts = Facts {
+        streams: vec![stream],
+        volumes: vec![volume.clone()],
+        unit_bytes: 4096,
+        most_units: 8.0,
+        answer_slack_us: 1,
+        grace_us: 2,
+        cold_multiple: 1.5,
+        cold_window_us: 3,
+        cold_safe_units: 4.5,
+        settle_us: 5,
+        further: Some((10.0, 0.2, 6)),
+        skew_us: 7,
+    };
+    assert_event(
+        Event::Facts(facts),
+        r#"{"t":1700000000000000,"e":"facts","streams":[{"name":"read","slo_us":200000,"effect":"keyed_zone","window_us":5000000,"in_order":true}],"volumes":[{"volume":3,"plan":"basic","limit":40.0,"burst":64.0,"slack":8.0,"extent_bytes":32768}],"unit_bytes":4096,"most_units":8.0,"answer_slack_us":1,"grace_us":2,"cold_multiple":1.5,"cold_window_us":3,"cold_safe_units":4.5,"settle_us":5,"further":[10.0,0.2,6],"skew_us":7}"#,
+    );
+    assert_event(
+        Event::Facts(Facts::default()),
+        r#"{"t":1700000000000000,"e":"facts","streams":[],"volumes":[],"unit_bytes":0,"most_units":0.0,"answer_slack_us":0,"grace_us":0,"cold_multiple":0.0,"cold_window_us":0,"cold_safe_units":0.0,"settle_us":0,"further":null,"skew_us":0}"#,
+    );
+    // A line of before this field was there.
+    let text = serde_json::to_string(&volume).unwrap().replace(",\"extent_bytes\":32768", "");
+    assert_eq!(
+        serde_json::from_str::<VolumeFacts>(&text).unwrap(),
+        VolumeFacts { extent_bytes: 0, ..volume }
+    );
+}
+
+#[test]
+fn kinds() {
+    let effects = [
+        EffectKind::Repeatable,
+        EffectKind::KeyedAll,
+        EffectKind::KeyedZone,
+        EffectKind::KeyedShard,
+        EffectKind::Unrepeatable,
+    ];
+    assert_form(&effects, r#"["repeatable","keyed_all","keyed_zone","keyed_shard","unrepeatable"]"#);
+    let answers = [AnswerKind::Done, AnswerKind::Deferred, AnswerKind::Abandoned, AnswerKind::Rejected];
+    assert_form(&answers, r#"["done","deferred","abandoned","rejected"]"#);
+    assert_form(
+        &[ListedState::Ready, ListedState::Draining, ListedState::Gone],
+        r#"["ready","draining","gone"]"#,
+    );
+    assert_form(
+        &[LegEndKind::Done, LegEndKind::Error, LegEndKind::NeverRan],
+        r#"["done","error","never_ran"]"#,
+    );
+    assert_form(&[Side::Clients, Side::List], r#"["clients","list"]"#);
+    assert_form(&name(), r#"{"host":1,"life":77,"xfer":12,"leg":2}"#);
+}
+
+#[test]
+fn events_of_clients() {
+    let submit = Event::Submit {
+        host: 1,
+        session: 2,
+        command: 3,
+        volume: 4,
+        stream: 5,
+        write: true,
+        offset: 6,
+        bytes: 7,
+        expiry_us: 8,
+    };
+    assert_event(
+        submit,
+        r#"{"t":1700000000000000,"e":"submit","host":1,"session":2,"command":3,"volume":4,"stream":5,"write":true,"offset":6,"bytes":7,"expiry_us":8}"#,
+    );
+    let answer =
+        Event::Answer { host: 1, session: 2, command: 3, kind: AnswerKind::Deferred, come_back_us: 9 };
+    assert_event(
+        answer,
+        r#"{"t":1700000000000000,"e":"answer","host":1,"session":2,"command":3,"kind":"deferred","come_back_us":9}"#,
+    );
+    assert_event(
+        Event::Left { host: 1, session: 2, command: 3 },
+        r#"{"t":1700000000000000,"e":"left","host":1,"session":2,"command":3}"#,
+    );
+    assert_event(
+        Event::Session { host: 1, session: 2, client: "127.0.0.1:50000".into() },
+        r#"{"t":1700000000000000,"e":"session","host":1,"session":2,"client":"127.0.0.1:50000"}"#,
+    );
+    assert_event(
+        Event::ConnectionLost { client: "127.0.0.1:50000".into() },
+        r#"{"t":1700000000000000,"e":"connection_lost","client":"127.0.0.1:50000"}"#,
+    );
+}
+
+#[test]
+fn events_of_hosts_and_operators() {
+    assert_event(Event::HostUp { host: 1 }, r#"{"t":1700000000000000,"e":"host_up","host":1}"#);
+    assert_event(Event::HostDown { host: 1 }, r#"{"t":1700000000000000,"e":"host_down","host":1}"#);
+    assert_event(Event::HostStops { host: 1 }, r#"{"t":1700000000000000,"e":"host_stops","host":1}"#);
+    assert_event(Event::HostGoes { host: 1 }, r#"{"t":1700000000000000,"e":"host_goes","host":1}"#);
+    assert_event(
+        Event::Cut { host: 1, side: Side::Clients, on: true },
+        r#"{"t":1700000000000000,"e":"cut","host":1,"side":"clients","on":true}"#,
+    );
+    assert_event(
+        Event::Cut { host: 1, side: Side::List, on: false },
+        r#"{"t":1700000000000000,"e":"cut","host":1,"side":"list","on":false}"#,
+    );
+    let told = Event::Told { host: 1, node: node(), state: ListedState::Draining, started_us: 4 };
+    assert_event(
+        told,
+        r#"{"t":1700000000000000,"e":"told","host":1,"node":"127.0.0.1:9000","state":"draining","started_us":4}"#,
+    );
+    assert_event(
+        Event::Ordered { host: 1, node: node(), out: true },
+        r#"{"t":1700000000000000,"e":"ordered","host":1,"node":"127.0.0.1:9000","out":true}"#,
+    );
+    let moved = Event::PlanMoved { volume: 3, limit: 40.0, burst: 64.0, slack: 8.0, in_force_us: 5 };
+    assert_event(
+        moved,
+        r#"{"t":1700000000000000,"e":"plan_moved","volume":3,"limit":40.0,"burst":64.0,"slack":8.0,"in_force_us":5}"#,
+    );
+    assert_event(
+        Event::Trouble { what: "node slow".into(), on: true },
+        r#"{"t":1700000000000000,"e":"trouble","what":"node slow","on":true}"#,
+    );
+    assert_event(Event::Truncated, r#"{"t":1700000000000000,"e":"truncated"}"#);
+}
+
+#[test]
+fn events_of_nodes() {
+    let up = Event::NodeUp { node: node(), zone: 1, shard: 2, capacity: 500.5, cold_from: 0.1, warm_us: 3 };
+    assert_event(
+        up,
+        r#"{"t":1700000000000000,"e":"node_up","node":"127.0.0.1:9000","zone":1,"shard":2,"capacity":500.5,"cold_from":0.1,"warm_us":3}"#,
+    );
+    assert_event(
+        Event::NodeDown { node: node() },
+        r#"{"t":1700000000000000,"e":"node_down","node":"127.0.0.1:9000"}"#,
+    );
+    let begun = Event::Leg {
+        node: node(),
+        name: name(),
+        session: 2,
+        command: 3,
+        part: 1,
+        volume: 4,
+        write: false,
+        offset: 6,
+        bytes: 7,
+        units: 1.5,
+        key: u64::MAX,
+        mark: "a0b1".into(),
+        left_us: 8,
+    };
+    assert_event(
+        begun,
+        r#"{"t":1700000000000000,"e":"leg","node":"127.0.0.1:9000","name":{"host":1,"life":77,"xfer":12,"leg":2},"session":2,"command":3,"part":1,"volume":4,"write":false,"offset":6,"bytes":7,"units":1.5,"key":18446744073709551615,"mark":"a0b1","left_us":8}"#,
+    );
+    let ended = Event::LegEnd { node: node(), name: name(), kind: LegEndKind::NeverRan, ran: false };
+    assert_event(
+        ended,
+        r#"{"t":1700000000000000,"e":"leg_end","node":"127.0.0.1:9000","name":{"host":1,"life":77,"xfer":12,"leg":2},"kind":"never_ran","ran":false}"#,
+    );
+    assert_event(
+        Event::Cancel { node: node(), name: name() },
+        r#"{"t":1700000000000000,"e":"cancel","node":"127.0.0.1:9000","name":{"host":1,"life":77,"xfer":12,"leg":2}}"#,
+    );
+    assert_event(
+        Event::LinkDown { node: node(), host: 1, life: 77, legs: vec![name()] },
+        r#"{"t":1700000000000000,"e":"link_down","node":"127.0.0.1:9000","host":1,"life":77,"legs":[{"host":1,"life":77,"xfer":12,"leg":2}]}"#,
+    );
+}
+
+#[test]
+fn a_trace_is_written_a_line_an_event_and_read_back() {
+    let lines = [Line { t: 1, event: Event::HostUp { host: 0 } }, Line { t: 2, event: Event::Truncated }];
+    let text = "{\"t\":1,\"e\":\"host_up\",\"host\":0}\n{\"t\":2,\"e\":\"truncated\"}\n";
+    let mut written = Vec::new();
+    write(&lines, &mut written).unwrap();
+    assert_eq!(String::from_utf8(written).unwrap(), text);
+    assert_eq!(read(text.as_bytes()).unwrap(), lines);
+}
