--- /dev/null
+++ b/tests/decision_hash.rs
@@ -0,0 +1,549 @@
+//! Guards the scheduler's behaviour as a whole against refactorings that must not change it, above all large
+//! renamings. Seeded runs feed some 10,000 inputs of every kind into a `Scheduler`; every decision and every
+//! wake-up time is folded into a SHA-256 hash which is compared with a constant. Only numbers are folded, never
+//! `Debug` output, so new names of types and fields move nothing. Log lines count, their wording does not.
+//!
+//! A change that is meant to alter decisions updates the constants and says why in its commit.
+
+use oorandom::Rand32;
+use sha2::{Digest, Sha256};
+use std::collections::{BTreeMap, BTreeSet};
+use tackmast::interface::*;
+use tackmast::policy::Scheduler;
+
+const INPUTS: u32 = 10_000;
+const SEEDS: [u64; 4] = [1, 2, 3, 4];
+const SHARDS: u32 = 4;
+const NODES_PER_SHARD: u32 = 2;
+const VOLUMES: u32 = 12;
+const KEYS: u32 = 40;
+const ZONES: u32 = 2;
+const MAX_STEP_US: u32 = 8000;
+const NEVER_ENDS_PERMILLE: u32 = 4;
+/// A node that answers nothing but errors for a while.
+const FAILING_NODE: NodeId = NodeId(1);
+const FAILING_FROM: f64 = 12.0;
+const FAILING_UNTIL: f64 = 18.0;
+
+/// What differs between the runs.
+struct Setting {
+    hosts: u32,
+    retries_free: f64,
+    retries_share: f64,
+    longest_wait: f64,
+    max_attempts: u32,
+}
+
+const FEW_HOSTS: Setting =
+    Setting { hosts: 2, retries_free: 20.0, retries_share: 0.2, longest_wait: 1.0, max_attempts: 4 };
+const MANY_HOSTS: Setting =
+    Setting { hosts: 24, retries_free: 20.0, retries_share: 0.2, longest_wait: 1.0, max_attempts: 4 };
+const TIGHT_RETRIES: Setting =
+    Setting { hosts: 4, retries_free: 2.0, retries_share: 0.01, longest_wait: 0.0, max_attempts: 2 };
+
+/// The fold of all decisions.
+#[derive(Default)]
+struct DecisionHasher(Sha256);
+
+impl DecisionHasher {
+    fn kind(&mut self, kind: u8) {
+        self.0.update([kind]);
+    }
+
+    fn number(&mut self, number: i64) {
+        self.0.update(number.to_le_bytes());
+    }
+
+    fn seconds(&mut self, seconds: f64) {
+        self.number((seconds * 1e6).round() as i64);
+    }
+
+    fn optional_seconds(&mut self, seconds: Option<f64>) {
+        self.kind(u8::from(seconds.is_some()));
+        self.seconds(seconds.unwrap_or(0.0));
+    }
+
+    fn decision(&mut self, decision: &Decision) {
+        match decision {
+            Decision::Send { xfer, node, timeout, begin_by } => {
+                self.kind(1);
+                self.number(i64::from(xfer.0));
+                self.number(i64::from(node.0));
+                self.optional_seconds(timeout.map(Span::secs));
+                self.optional_seconds(begin_by.map(Instant::secs));
+            }
+            Decision::Defer { xfer, come_back } => {
+                self.kind(2);
+                self.number(i64::from(xfer.0));
+                self.optional_seconds(come_back.map(Span::secs));
+            }
+            Decision::Abandon { xfer } => {
+                self.kind(3);
+                self.number(i64::from(xfer.0));
+            }
+            Decision::FollowList => self.kind(4),
+            Decision::Log(_) => self.kind(5),
+        }
+    }
+
+    fn hex(self) -> String {
+        self.0.finalize().iter().map(|byte| format!("{byte:02x}")).collect()
+    }
+}
+
+/// How often each thing happened, so that a run that has become trivial is noticed.
+#[derive(Debug, Default)]
+struct Counts {
+    arrivals: u32,
+    sends: u32,
+    retries: u32,
+    rejected: u32,
+    rejected_with_time: u32,
+    failed: u32,
+    timeouts: u32,
+    sends_with_timeout: u32,
+    sends_with_begin_by: u32,
+    list_calls: u32,
+    log_lines: u32,
+    never_ended: u32,
+}
+
+/// An attempt that will end at its time.
+#[derive(Clone, Copy)]
+struct PendingAttempt {
+    request: XferId,
+    number: LegNo,
+    outcome: Outcome,
+    sent: Instant,
+}
+
+struct Run {
+    scheduler: Scheduler,
+    setting: &'static Setting,
+    random: Rand32,
+    now: Instant,
+    hasher: DecisionHasher,
+    counts: Counts,
+    inputs: u32,
+    requests: u32,
+    open: BTreeSet<u32>,
+    attempts: BTreeMap<u32, u32>,
+    /// By end time in microseconds, then by order of sending.
+    pending: BTreeMap<(i64, u32), PendingAttempt>,
+    states: Vec<NodeState>,
+    up_since: Vec<Option<Instant>>,
+    plans: u32,
+}
+
+fn seconds(seconds: f64) -> Span {
+    Span::from_secs(seconds)
+}
+
+fn micros(time: Instant) -> i64 {
+    (time.secs() * 1e6).round() as i64
+}
+
+fn configured_scheduler(setting: &Setting, now: Instant, seed: u64) -> Scheduler {
+    let mut scheduler = Scheduler::new(now, seed, setting.hosts, seconds(0.001), 2.0);
+    scheduler.plan(0.0, 0.0, 0.0, 0.0, 1.0);
+    scheduler.plan(600.0, 120.0, 16.0, 0.0, 1.0);
+    scheduler.plan(900.0, 300.0, 30.0, 300.0, 2.0);
+    scheduler.plan(0.0, 0.0, 0.0, 200.0, 3.0);
+    let keyed = |group, window| Effect::Keyed { group, window: seconds(window) };
+    scheduler.stream(seconds(0.1), Effect::Repeatable, false);
+    scheduler.stream(seconds(0.2), keyed(Group::All, 0.3), false);
+    scheduler.stream(seconds(0.3), keyed(Group::Zone, 0.2), true);
+    scheduler.stream(seconds(0.5), keyed(Group::Shard, 0.4), true);
+    scheduler.stream(seconds(0.2), Effect::Unrepeatable, true);
+    scheduler.stream(seconds(1.0), Effect::Repeatable, false);
+    scheduler.leg_limits(setting.max_attempts, seconds(setting.longest_wait), seconds(0.15));
+    scheduler.further_leg_budget(setting.retries_free, setting.retries_share, seconds(1.0));
+    scheduler.cold_nodes(200.0, 0.2, seconds(1.5), seconds(0.5), 2.0);
+    scheduler.work_saved(0.5);
+    scheduler.list_must_be_asked();
+    scheduler
+}
+
+impl Run {
+    fn new(setting: &'static Setting, seed: u64) -> Run {
+        let now = Instant::from_secs(10.0);
+        let nodes = (SHARDS * NODES_PER_SHARD) as usize;
+        let mut run = Run {
+            scheduler: configured_scheduler(setting, now, seed),
+            setting,
+            random: Rand32::new(seed),
+            now,
+            hasher: DecisionHasher::default(),
+            counts: Counts::default(),
+            inputs: 0,
+            requests: 0,
+            open: BTreeSet::new(),
+            attempts: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            states: vec![NodeState::Ready; nodes],
+            up_since: vec![None; nodes],
+            plans: 4,
+        };
+        run.scheduler.pace_known(now, ShardId(0), 50.0);
+        run.pull();
+        run.send_list(ListKind::Complete, 0..SHARDS * NODES_PER_SHARD);
+        run.pull();
+        run
+    }
+
+    fn below(&mut self, bound: u32) -> u32 {
+        self.random.rand_range(0..bound)
+    }
+
+    fn fraction(&mut self) -> f64 {
+        f64::from(self.random.rand_float())
+    }
+
+    /// Runs until enough inputs were given, and to the end of what is pending.
+    fn finish(mut self) -> (String, Counts) {
+        while self.inputs < INPUTS {
+            let step = f64::from(self.below(MAX_STEP_US)) * 1e-6;
+            self.pass(seconds(step));
+            self.input();
+            self.pull();
+        }
+        self.pass(seconds(5.0));
+        for (shard, rate) in self.scheduler.paces(self.now) {
+            self.hasher.number(i64::from(shard.0));
+            self.hasher.seconds(rate);
+        }
+        let (nodes, volumes) = self.scheduler.known();
+        let remembered = [nodes, volumes, self.scheduler.keys_in_order()];
+        remembered.iter().for_each(|count| self.hasher.number(*count as i64));
+        (self.hasher.hex(), self.counts)
+    }
+
+    /// Lets time pass, with the ends of attempts and the wake-ups that fall into it.
+    fn pass(&mut self, time: Span) {
+        let until = self.now + time;
+        loop {
+            let end = self.pending.keys().next().map(|(at, _)| Instant::from_secs(*at as f64 / 1e6));
+            let wake = self.scheduler.next_wake();
+            let Some(next) = end.into_iter().chain(wake).min().filter(|next| *next <= until) else { break };
+            self.now = self.now.max(next);
+            if end.is_some_and(|end| end <= self.now) {
+                self.end_attempt();
+            }
+            self.pull();
+        }
+        self.now = until;
+        self.pull();
+    }
+
+    fn end_attempt(&mut self) {
+        let Some((_, attempt)) = self.pending.pop_first() else { return };
+        let took = self.now - attempt.sent;
+        let done = attempt.outcome == Outcome::Done;
+        let (is_known, elsewhere) = (self.below(3) > 0, 4.0 * self.fraction());
+        self.scheduler.service_reported(self.now, attempt.request, done, is_known, elsewhere);
+        let is_over = self.below(100) == 0;
+        self.scheduler.leg_ended(self.now, attempt.request, attempt.number, attempt.outcome, took, is_over);
+        if done || is_over {
+            self.open.remove(&attempt.request.0);
+        }
+        self.counts.timeouts += u32::from(attempt.outcome == Outcome::TimedOut);
+        self.inputs += 1;
+    }
+
+    fn pull(&mut self) {
+        while let Some(decision) = self.scheduler.next_decision(self.now) {
+            self.hasher.decision(&decision);
+            self.on_decision(decision);
+        }
+        let wake = self.scheduler.next_wake();
+        self.hasher.optional_seconds(wake.map(Instant::secs));
+    }
+
+    fn on_decision(&mut self, decision: Decision) {
+        match decision {
+            Decision::Send { xfer, node, timeout, begin_by } => {
+                self.counts.sends_with_timeout += u32::from(timeout.is_some());
+                self.counts.sends_with_begin_by += u32::from(begin_by.is_some());
+                self.start_attempt(xfer, node, timeout);
+            }
+            Decision::Defer { xfer, come_back } => {
+                self.open.remove(&xfer.0);
+                self.counts.rejected += 1;
+                self.counts.rejected_with_time += u32::from(come_back.is_some());
+            }
+            Decision::Abandon { xfer } => {
+                self.open.remove(&xfer.0);
+                self.counts.failed += 1;
+            }
+            Decision::FollowList => self.counts.list_calls += 1,
+            Decision::Log(_) => self.counts.log_lines += 1,
+        }
+    }
+
+    fn start_attempt(&mut self, request: XferId, node: NodeId, timeout: Option<Span>) {
+        let number = self.attempts.entry(request.0).or_insert(0);
+        let attempt_number = LegNo(*number);
+        *number += 1;
+        self.counts.sends += 1;
+        self.counts.retries += u32::from(attempt_number.0 > 0);
+        if self.below(1000) < NEVER_ENDS_PERMILLE {
+            self.counts.never_ended += 1;
+            return;
+        }
+        let mut outcome = self.outcome();
+        if node == FAILING_NODE && (FAILING_FROM..FAILING_UNTIL).contains(&self.now.secs()) {
+            outcome = Outcome::Error;
+        }
+        let mut took = match self.below(40) {
+            0 => 0.3 + 1.5 * self.fraction(),
+            1..=2 => 0.05 + 0.2 * self.fraction(),
+            _ => 0.002 + 0.02 * self.fraction(),
+        };
+        if let Some(timeout) = timeout.filter(|timeout| timeout.secs() < took) {
+            (outcome, took) = (Outcome::TimedOut, timeout.secs());
+        }
+        let end = micros(self.now + seconds(took));
+        let attempt = PendingAttempt { request, number: attempt_number, outcome, sent: self.now };
+        self.pending.insert((end, self.counts.sends), attempt);
+    }
+
+    fn outcome(&mut self) -> Outcome {
+        match self.below(100) {
+            0..=3 => Outcome::Error,
+            4 => Outcome::Full,
+            5 => Outcome::TimedOut,
+            6..=7 => Outcome::Refused,
+            8..=9 => Outcome::Reset,
+            10..=11 => Outcome::Cancelled,
+            12..=13 => Outcome::Skipped,
+            _ => Outcome::Done,
+        }
+    }
+
+    fn input(&mut self) {
+        self.inputs += 1;
+        match self.below(100) {
+            0..=74 => self.arrive(),
+            75..=79 => self.report_load(),
+            80..=82 => self.change_node(),
+            83..=84 => self.move_limit(),
+            85 => self.change_plan(),
+            86..=87 => self.move_volume(),
+            88..=89 => self.order_node(),
+            90 => self.send_other_list(),
+            91 => self.report_request_rate(),
+            92 => self.change_hosts(),
+            93..=95 => self.start_answer(),
+            _ => self.leave(),
+        }
+    }
+
+    fn arrive(&mut self) {
+        let id = XferId(self.requests);
+        self.requests += 1;
+        self.counts.arrivals += 1;
+        let stream = StreamId(self.below(6));
+        let volume = self.below(VOLUMES);
+        let plan = PlanId(volume % self.plans);
+        let key = (self.below(4) > 0).then_some(KeyId(self.below(KEYS)));
+        let left = seconds(if self.below(8) == 0 { 0.05 } else { 0.3 + 1.5 * self.fraction() });
+        let units = f64::from(1 + self.below(4));
+        let shard = (self.below(10) > 0).then_some(ShardId(self.below(SHARDS)));
+        let hosts = self.setting.hosts;
+        let volume = VolumeId(volume);
+        self.scheduler.transfer_arrived(self.now, id, stream, plan, key, left, volume, units, shard, hosts);
+        self.open.insert(id.0);
+        if self.below(2) == 0 {
+            let tag = f64::from(self.below(20));
+            self.scheduler.transfer_tagged(id, tag);
+        }
+    }
+
+    fn report_load(&mut self) {
+        let node = NodeId(self.below(SHARDS * NODES_PER_SHARD));
+        let waiting = f64::from(self.below(8));
+        self.scheduler.load_reported(self.now, node, waiting);
+    }
+
+    fn entry(&self, node: u32) -> NodeEntry {
+        NodeEntry {
+            node: NodeId(node),
+            state: self.states[node as usize],
+            zone: ZoneId(node % ZONES),
+            shard: ShardId(node / NODES_PER_SHARD),
+            up_since: self.up_since[node as usize],
+        }
+    }
+
+    fn send_list(&mut self, kind: ListKind, nodes: impl Iterator<Item = u32>) {
+        let entries: Vec<NodeEntry> = nodes.map(|node| self.entry(node)).collect();
+        self.scheduler.nodes_changed(self.now, kind, &entries);
+    }
+
+    /// A node comes, drains, goes or has restarted.
+    fn change_node(&mut self) {
+        let node = self.below(SHARDS * NODES_PER_SHARD);
+        let state = match self.below(8) {
+            0 => NodeState::Draining,
+            1 => NodeState::Gone,
+            _ => NodeState::Ready,
+        };
+        self.states[node as usize] = state;
+        if self.below(12) == 0 {
+            self.up_since[node as usize] = Some(self.now - seconds(2.0 * self.fraction()));
+        }
+        self.send_list(ListKind::Changes, std::iter::once(node));
+    }
+
+    fn send_other_list(&mut self) {
+        let all = 0..SHARDS * NODES_PER_SHARD;
+        match self.below(4) {
+            0 => self.send_list(ListKind::Failed, 0..0),
+            1 => self.send_list(ListKind::Saved, all),
+            2 => self.send_list(ListKind::Complete, all.skip(1)),
+            _ => self.send_list(ListKind::Complete, all),
+        }
+    }
+
+    fn move_limit(&mut self) {
+        let volume = self.below(VOLUMES);
+        let plan = PlanId(volume % self.plans);
+        let even_share = 1.0 / f64::from(self.setting.hosts);
+        let (lent, borrowed) = (even_share * self.fraction() * 0.5, even_share * self.fraction());
+        let until = self.now + seconds(self.fraction());
+        let hosts = self.setting.hosts;
+        self.scheduler.limit_moved(self.now, VolumeId(volume), plan, hosts, lent, borrowed, until);
+    }
+
+    fn change_plan(&mut self) {
+        let is_new = self.plans < 8 && self.below(6) == 0;
+        let plan = if is_new { self.plans } else { 1 + self.below(self.plans - 1) };
+        self.plans += u32::from(is_new);
+        let figures = Plan {
+            limit: if self.below(4) == 0 { 0.0 } else { 400.0 + 600.0 * self.fraction() },
+            burst: 120.0 + 200.0 * self.fraction(),
+            slack: 10.0,
+            reserve: if self.below(2) == 0 { 0.0 } else { 200.0 },
+            weight: 1.0 + self.fraction(),
+        };
+        self.scheduler.plan_changed(self.now, PlanId(plan), figures);
+    }
+
+    fn move_volume(&mut self) {
+        let (volume, plan) = (VolumeId(self.below(VOLUMES)), PlanId(self.below(self.plans)));
+        self.scheduler.volume_moved(self.now, volume, plan);
+    }
+
+    fn order_node(&mut self) {
+        let node = NodeId(self.below(SHARDS * NODES_PER_SHARD));
+        let weight = if self.below(2) == 0 { 1.0 } else { self.fraction() };
+        let is_pinned = self.below(3) == 0;
+        self.scheduler.node_ordered(self.now, node, weight, is_pinned);
+    }
+
+    fn report_request_rate(&mut self) {
+        let (shard, rate) = (ShardId(self.below(SHARDS)), 100.0 * self.fraction());
+        self.scheduler.pace_known(self.now, shard, rate);
+    }
+
+    fn change_hosts(&mut self) {
+        let hosts = 1 + self.below(self.setting.hosts);
+        self.scheduler.hosts_there(hosts);
+    }
+
+    fn any_open(&mut self) -> Option<XferId> {
+        let count = self.open.len() as u32;
+        let chosen = if count == 0 { return None } else { self.below(count) };
+        self.open.iter().nth(chosen as usize).map(|id| XferId(*id))
+    }
+
+    fn start_answer(&mut self) {
+        if let Some(id) = self.any_open() {
+            self.scheduler.answer_started(self.now, id);
+        }
+    }
+
+    fn leave(&mut self) {
+        if let Some(id) = self.any_open() {
+            self.scheduler.transfer_gone(self.now, id);
+            self.open.remove(&id.0);
+        }
+    }
+}
+
+/// What a run must at least have held.
+fn assert_not_trivial(counts: &Counts) {
+    let held = [
+        ("arrivals", counts.arrivals, 5000),
+        ("sends", counts.sends, 1000),
+        ("retries", counts.retries, 70),
+        ("rejected", counts.rejected, 2000),
+        ("failed", counts.failed, 30),
+        ("timeouts", counts.timeouts, 10),
+        ("sends with a timeout", counts.sends_with_timeout, 20),
+        ("sends with a latest start", counts.sends_with_begin_by, 20),
+        ("calls for the node list", counts.list_calls, 8),
+        ("log lines", counts.log_lines, 40),
+        ("attempts that never end", counts.never_ended, 5),
+    ];
+    for (what, count, min) in held {
+        assert!(count >= min, "{what}: {count}, fewer than {min}: {counts:?}");
+    }
+}
+
+fn check(setting: &'static Setting, expected: [&str; SEEDS.len()]) {
+    let mut hashes = Vec::new();
+    for seed in SEEDS {
+        let (hash, counts) = Run::new(setting, seed).finish();
+        assert_not_trivial(&counts);
+        assert_eq!(counts.rejected_with_time > 0, setting.longest_wait > 0.0);
+        hashes.push(hash);
+    }
+    assert_eq!(hashes, expected);
+}
+
+#[test]
+fn few_hosts_decide_as_before() {
+    check(
+        &FEW_HOSTS,
+        [
+            "ead2e63f2c01634cfb263a6c3c5bf06a9fba00a3b75449d2f97e94077416adf4",
+            "eba1294d3412034f0f17130a7544f954affbd0c10721cf35dea7df44ca39eb15",
+            "0619f3c82f75b271c880c203c9245fafb45550d7268cf6609263e8671387c512",
+            "c292d12c60455e4bdf40f6164058ace72947d694a0c6799d72dde1fdf6a0305a",
+        ],
+    );
+}
+
+#[test]
+fn many_hosts_decide_as_before() {
+    check(
+        &MANY_HOSTS,
+        [
+            "bce8a9d708d470beec3d6ed55ccb367cfd71e78544962b7ea5bf021fff2e0313",
+            "26265e0f6757e2001a350530b00b713d059a24a0fa560ae2767f906129b7c948",
+            "19a4901c9f6340a64f1fb75549ca150c9f4af54dc2c6747b5a9ea083643774f5",
+            "dfd4753bbc596013673cd80f51d4c80f1f11c5a392d1b0bdf06123879811e927",
+        ],
+    );
+}
+
+#[test]
+fn tight_retry_budget_decides_as_before() {
+    check(
+        &TIGHT_RETRIES,
+        [
+            "0c85a424ff85fa1583ba06925de4e9e5581c394d48bbafd91bf3eab9da5e8881",
+            "caab1dc91e549902dcf6bb849bccb7e7939f49ff82cc763eb5edeb72572ef9bd",
+            "43566a6c14998d5da7a02315f790c392ca3e43b949084051ee6d25ae036c9ff1",
+            "7cf6d353546f818eac777472dce70ba186a60e3b9ff429bb67af56dd6442c69e",
+        ],
+    );
+}
+
+#[test]
+fn the_same_seed_gives_the_same_hash_twice() {
+    let hash = |seed| Run::new(&FEW_HOSTS, seed).finish().0;
+    assert_eq!(hash(SEEDS[0]), hash(SEEDS[0]));
+    assert_ne!(hash(SEEDS[0]), hash(SEEDS[1]));
+}
