--- /dev/null
+++ b/crates/hostcore/tests/decision_hash.rs
@@ -0,0 +1,1023 @@
+//! Guards the host core's behaviour as a whole against refactorings that must not change it, above all large
+//! renamings. Seeded runs feed some 10,000 inputs into a `Core`: commands of several sessions, ends of attempts,
+//! node lists, orders of administrators, plan changes, datagrams, time, and the host's shutdown. Every output and
+//! every wake-up time is folded into a SHA-256 hash which is compared with a constant. Only numbers and stable
+//! bytes are folded, never `Debug` output, so new names of types and fields move nothing. Lines for the log
+//! count, their wording does not.
+//!
+//! A change that is meant to alter outputs updates the constants and says why in its commit.
+
+use bytes::Bytes;
+use oorandom::Rand32;
+use sha2::{Digest, Sha256};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use tackmast::interface::*;
+use tackmast_config::HostSettings;
+use tackmast_hostcore::*;
+use tackmast_overrides::{Kind, Order, OverrideId, Overrides, Settings, Target};
+use tackmast_plans::{Change, Plan as CatalogPlan, Step};
+
+const INPUTS: u32 = 10_000;
+const SEEDS: [u64; 4] = [1, 2, 3, 4];
+const SHARDS: u32 = 3;
+const NODES: u32 = 5;
+const SESSIONS: u32 = 6;
+const MAX_STEP_US: u32 = 8000;
+const STALLS_PERMILLE: u32 = 30;
+const DATAGRAMS_LOST_PERCENT: u32 = 3;
+/// Hosts that run; the settings may tell of more.
+const HOSTS_RUN: usize = 2;
+const UNKNOWN_OVERRIDE: OverrideId = OverrideId(u64::MAX);
+const WALL_OFFSET_US: u64 = 1_000_000_000;
+
+/// What differs between the runs.
+struct Setting {
+    hosts: u32,
+    max_requests: u32,
+    longest_wait_s: f64,
+    max_attempts: u32,
+    retries_free: u32,
+    retries_share: f64,
+}
+
+const FEW_HOSTS: Setting = Setting {
+    hosts: 2,
+    max_requests: 200,
+    longest_wait_s: 1.0,
+    max_attempts: 4,
+    retries_free: 20,
+    retries_share: 0.2,
+};
+const MANY_HOSTS: Setting = Setting {
+    hosts: 16,
+    max_requests: 200,
+    longest_wait_s: 1.0,
+    max_attempts: 4,
+    retries_free: 20,
+    retries_share: 0.2,
+};
+const TIGHT_BOUNDS: Setting = Setting {
+    hosts: 2,
+    max_requests: 16,
+    longest_wait_s: 0.0,
+    max_attempts: 2,
+    retries_free: 2,
+    retries_share: 0.02,
+};
+
+const SETTINGS: &str = r#"
+host {
+  number = <number>
+  hosts = <hosts>
+  listen = "127.0.0.1:0"
+  node_list = "127.0.0.1:1"
+  answer_lead_ms = 2
+}
+bounds {
+  transfers = <max_requests>
+  nodes = 6
+}
+load {
+  most_legs = <max_attempts>
+  longest_wait_s = <longest_wait_s>
+  settle_s = 0.15
+  drain_grace_ms = 60
+}
+further_legs {
+  free = <retries_free>
+  share = <retries_share>
+  window_s = 1
+}
+cold_nodes {
+  safe_units = 200
+  from = 0.2
+  warm_s = 1.5
+  window_s = 0.5
+  multiple = 2
+  saved = 0.5
+}
+units {
+  bytes = 4096
+  most = 8
+  mean = 2
+}
+plan "free" {}
+plan "limited" {
+  limit = 200
+  burst = 100
+  slack = 8
+}
+plan "reserved" {
+  limit = 600
+  burst = 200
+  slack = 16
+  reserve = 150
+  weight = 2
+}
+stream "read" {
+  slo_ms = 100
+  expiry_ms = 600
+  effect = "repeatable"
+}
+stream "scan" {
+  slo_ms = 500
+  expiry_ms = 2000
+  effect = "repeatable"
+}
+stream "write" {
+  slo_ms = 200
+  expiry_ms = 1000
+  effect = "keyed"
+  group = "all"
+  window_s = 0.5
+  in_order = true
+}
+stream "zone_write" {
+  slo_ms = 200
+  expiry_ms = 1000
+  effect = "keyed"
+  group = "zone"
+  window_s = 0.4
+  in_order = true
+  order_blocks = 4
+}
+stream "once" {
+  slo_ms = 200
+  expiry_ms = 1000
+  effect = "unrepeatable"
+}
+volume "shared" {
+  lun = 1
+  plan = "limited"
+  blocks = 1000
+  extent_blocks = 10
+  shards = [0, 1, 2]
+  hosts = 2
+  through = [0, 1]
+  reads = "read"
+  writes = "write"
+  large_reads = "scan"
+  large_from_blocks = 12
+}
+volume "reserved" {
+  lun = 2
+  plan = "reserved"
+  blocks = 1000
+  extent_blocks = 16
+  shards = [1, 2]
+  hosts = 2
+  through = [0, 1]
+  reads = "read"
+  writes = "zone_write"
+}
+volume "free" {
+  lun = 3
+  plan = "free"
+  blocks = 1000
+  extent_blocks = 32
+  shards = [0, 2]
+  hosts = 2
+  through = [0, 1]
+  reads = "scan"
+  writes = "once"
+}
+overrides {
+  store = "store"
+  admin = "admin"
+}
+plans {
+  node_units = 2000
+}
+membership {
+  listen = "<address>"
+  fleet = "test"
+  seeds = ["<seed_address>"]
+  admit = ["10.0.0.0/8"]
+  period_ms = 100
+}
+"#;
+
+fn settings(setting: &Setting, host: usize) -> HostSettings {
+    let text = SETTINGS
+        .replace("<number>", &host.to_string())
+        .replace("<hosts>", &setting.hosts.to_string())
+        .replace("<max_requests>", &setting.max_requests.to_string())
+        .replace("<longest_wait_s>", &setting.longest_wait_s.to_string())
+        .replace("<max_attempts>", &setting.max_attempts.to_string())
+        .replace("<retries_free>", &setting.retries_free.to_string())
+        .replace("<retries_share>", &setting.retries_share.to_string())
+        .replace("<address>", &host_address(host).to_string())
+        .replace("<seed_address>", &host_address(0).to_string());
+    HostSettings::parse("test", &text).expect("valid settings")
+}
+
+/// The fold of all outputs.
+#[derive(Default)]
+struct OutputHasher(Sha256);
+
+impl OutputHasher {
+    fn kind(&mut self, kind: u8) {
+        self.0.update([kind]);
+    }
+
+    fn number(&mut self, number: u64) {
+        self.0.update(number.to_le_bytes());
+    }
+
+    fn bytes(&mut self, bytes: &[u8]) {
+        self.number(bytes.len() as u64);
+        self.0.update(bytes);
+    }
+
+    fn seconds(&mut self, seconds: f64) {
+        self.number((seconds * 1e6).round() as i64 as u64);
+    }
+
+    fn optional_seconds(&mut self, seconds: Option<f64>) {
+        self.kind(u8::from(seconds.is_some()));
+        self.seconds(seconds.unwrap_or(0.0));
+    }
+
+    fn command(&mut self, command: CommandRef) {
+        self.number(u64::from(command.session));
+        self.number(u64::from(command.command));
+    }
+
+    fn attempt(&mut self, node: NodeId, attempt: LegId) {
+        self.number(u64::from(node.0));
+        self.number(attempt.0);
+    }
+
+    fn output(&mut self, output: &Output) {
+        match output {
+            Output::Send(attempt) => {
+                self.kind(1);
+                self.send(attempt);
+            }
+            Output::Cancel { node, leg } => {
+                self.kind(2);
+                self.attempt(*node, *leg);
+            }
+            Output::Cut { node, leg } => {
+                self.kind(3);
+                self.attempt(*node, *leg);
+            }
+            Output::Answer { to, verdict } => {
+                self.kind(4);
+                self.command(*to);
+                self.verdict(verdict);
+            }
+            Output::FollowList { since } => {
+                self.kind(5);
+                self.number(*since);
+            }
+            Output::FetchList => self.kind(6),
+            Output::Keep { request, keep } => {
+                self.kind(7);
+                self.number(*request);
+                self.keep(keep);
+            }
+            Output::Reply { request, reply } => {
+                self.kind(8);
+                self.number(*request);
+                self.reply(reply);
+            }
+            Output::Datagram { to, bytes } => {
+                self.kind(9);
+                self.bytes(to.to_string().as_bytes());
+                self.bytes(bytes);
+            }
+            Output::Mode { node, .. } => {
+                self.kind(10);
+                self.number(node.map_or(u64::MAX, |node| u64::from(node.0)));
+            }
+        }
+    }
+
+    fn send(&mut self, attempt: &SendLeg) {
+        self.attempt(attempt.node, attempt.leg);
+        self.number(attempt.xfer);
+        self.kind(attempt.leg_no);
+        self.command(attempt.from);
+        self.number(u64::from(attempt.part));
+        self.seconds(attempt.until.secs());
+        self.optional_seconds(attempt.begin_by.map(Instant::secs));
+        self.0.update(attempt.mark.to_le_bytes());
+        self.number(attempt.key);
+        self.number(u64::from(attempt.volume));
+        self.number(attempt.offset);
+        self.number(attempt.units.to_bits());
+        match &attempt.work {
+            LegWork::Read { length } => {
+                self.kind(1);
+                self.number(u64::from(*length));
+            }
+            LegWork::Write { data } => {
+                self.kind(2);
+                self.bytes(data);
+            }
+            LegWork::Request(_) => self.kind(3),
+        }
+    }
+
+    fn verdict(&mut self, verdict: &Verdict) {
+        match verdict {
+            Verdict::Done { data } => {
+                self.kind(1);
+                self.bytes(data);
+            }
+            Verdict::Deferred { come_back } => {
+                self.kind(2);
+                self.optional_seconds(come_back.map(Span::secs));
+            }
+            Verdict::Abandoned => self.kind(3),
+        }
+    }
+
+    fn keep(&mut self, keep: &Keep) {
+        let counts = [keep.put.len(), keep.remove.len(), keep.audits.len(), keep.changes.len()];
+        counts.iter().for_each(|count| self.number(*count as u64));
+        for record in &keep.put {
+            self.number(record.id.0);
+        }
+        for id in &keep.remove {
+            self.number(id.0);
+        }
+        for (number, line) in &keep.changes {
+            self.number(*number);
+            self.bytes(line);
+        }
+        self.kind(u8::from(keep.members.is_some()));
+        self.kind(u8::from(keep.agreed.is_some()));
+    }
+
+    fn reply(&mut self, reply: &Reply) {
+        match reply {
+            Reply::Set { record, dry_run, .. } => {
+                self.kind(1);
+                self.number(record.id.0);
+                self.kind(u8::from(*dry_run));
+            }
+            Reply::Cleared { id } => {
+                self.kind(2);
+                self.number(id.0);
+            }
+            Reply::List { version, standing, returning, returning_within_s } => {
+                self.kind(3);
+                self.number(*version);
+                for (record, left) in standing {
+                    self.number(record.id.0);
+                    self.seconds(*left);
+                }
+                self.number(*returning as u64);
+                self.seconds(*returning_within_s);
+            }
+            Reply::Explain(_) => self.kind(4),
+            Reply::Status(status) => {
+                self.kind(5);
+                let counts = [status.overrides, status.returning, status.commands];
+                counts.iter().for_each(|count| self.number(*count as u64));
+                self.number(status.version);
+            }
+            Reply::Members(_) => self.kind(6),
+            Reply::Plan(reply) => self.plan_reply(reply),
+            Reply::Agreement(_) => self.kind(8),
+            Reply::Refused(_) => self.kind(9),
+            Reply::NotKept { .. } => self.kind(10),
+        }
+    }
+
+    fn plan_reply(&mut self, reply: &PlanReply) {
+        match reply {
+            PlanReply::Shown(status) => {
+                self.kind(20);
+                self.number(status.number);
+                self.number(status.catalogue.version);
+                self.seconds(status.in_force_s);
+                self.seconds(status.settle_s);
+                self.kind(u8::from(status.waits));
+            }
+            PlanReply::Applied { number, version, in_force_s, dry_run, .. } => {
+                self.kind(21);
+                self.number(*number);
+                self.number(*version);
+                self.seconds(*in_force_s);
+                self.kind(u8::from(*dry_run));
+            }
+            PlanReply::Refused { .. } => self.kind(22),
+            PlanReply::Log { .. } => self.kind(23),
+        }
+    }
+
+    fn hex(self) -> String {
+        self.0.finalize().iter().map(|byte| format!("{byte:02x}")).collect()
+    }
+}
+
+/// How often each thing happened, so that a run that has become trivial is noticed.
+#[derive(Debug, Default)]
+struct Counts {
+    sends: u32,
+    retries: u64,
+    timeouts: u64,
+    done: u32,
+    rejected: u32,
+    failed: u32,
+    cancels: u32,
+    cuts: u32,
+    list_calls: u32,
+    writes_to_store: u32,
+    overrides_set: u32,
+    overrides_cleared: u32,
+    plans_applied: u32,
+    refused: u32,
+    datagrams: u32,
+    log_lines: u32,
+}
+
+/// An attempt that its link has not ended yet, with what will come of it.
+struct PendingAttempt {
+    attempt: SendLeg,
+    outcome: Outcome,
+    answer_bytes: usize,
+}
+
+/// One host of the run, and what its surroundings hold for it.
+struct Host {
+    core: Core,
+    /// By time in microseconds, then by number of the attempt.
+    pending: BTreeMap<(i64, u64), PendingAttempt>,
+    /// Writes to the store that are not acknowledged yet.
+    unacknowledged: Vec<u64>,
+    open: BTreeSet<CommandRef>,
+    list_version: u64,
+    override_ids: Vec<OverrideId>,
+}
+
+struct Run {
+    hosts: Vec<Host>,
+    random: Rand32,
+    now: Instant,
+    hasher: OutputHasher,
+    counts: Counts,
+    inputs: u32,
+    next_command: u32,
+    states: Vec<NodeState>,
+    starts: Vec<Option<Instant>>,
+    admin_requests: u64,
+}
+
+fn seconds(seconds: f64) -> Span {
+    Span::from_secs(seconds)
+}
+
+fn micros(time: Instant) -> i64 {
+    (time.secs() * 1e6).round() as i64
+}
+
+fn node_address(node: u32) -> SocketAddr {
+    SocketAddr::from(([10, 0, 1, node as u8], 9003))
+}
+
+fn host_address(host: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, host as u8 + 1], 7000))
+}
+
+fn configured_core(setting: &Setting, host: usize, now: Instant, seed: u64) -> Core {
+    let settings = settings(setting, host);
+    let incarnation = 100 + host as u64;
+    let mut core = Core::new(now, &settings, seed, incarnation);
+    let override_settings = Settings { most: 20, zone_part: 1.0 };
+    let wall_us = micros(now) as u64 + WALL_OFFSET_US;
+    let (overrides, _) = Overrides::new(now, wall_us, override_settings, Vec::new(), 1);
+    core.with_overrides(now, overrides, Keep::default());
+    core.wall_seen(now, wall_us);
+    let plans_block = settings.plans_live.as_ref().expect("a plans block");
+    let plans = Plans::new(now, &settings, plans_block, &[]).expect("plans of the settings");
+    core.with_plans(now, plans, true);
+    let membership = settings.membership.as_ref().expect("a membership block");
+    let address = host_address(host);
+    let members = member_settings(&settings, membership, address, incarnation, false, seed, vec![]);
+    core.with_fellows(now, Fellows::new(now, members));
+    core
+}
+
+impl Run {
+    fn new(setting: &Setting, seed: u64) -> Run {
+        let now = Instant::from_secs(10.0);
+        let host = |host| Host {
+            core: configured_core(setting, host, now, seed),
+            pending: BTreeMap::new(),
+            unacknowledged: Vec::new(),
+            open: BTreeSet::new(),
+            list_version: 5,
+            override_ids: Vec::new(),
+        };
+        let mut run = Run {
+            hosts: (0..HOSTS_RUN).map(host).collect(),
+            random: Rand32::new(seed),
+            now,
+            hasher: OutputHasher::default(),
+            counts: Counts::default(),
+            inputs: 0,
+            next_command: 0,
+            states: vec![NodeState::Ready; NODES as usize],
+            starts: vec![None; NODES as usize],
+            admin_requests: 0,
+        };
+        for host in 0..HOSTS_RUN {
+            run.hosts[host].core.pace_known(now, ShardId(0), 50.0);
+            run.send_list(host, ListKind::Complete, 0..NODES);
+        }
+        run.pull();
+        run
+    }
+
+    fn below(&mut self, bound: u32) -> u32 {
+        self.random.rand_range(0..bound)
+    }
+
+    fn fraction(&mut self) -> f64 {
+        f64::from(self.random.rand_float())
+    }
+
+    fn any_host(&mut self) -> usize {
+        self.below(HOSTS_RUN as u32) as usize
+    }
+
+    /// Runs until enough inputs were given, then shuts the hosts down.
+    fn finish(mut self) -> (String, Counts) {
+        while self.inputs < INPUTS {
+            let step = f64::from(self.below(MAX_STEP_US)) * 1e-6;
+            self.pass(seconds(step));
+            self.input();
+            self.pull();
+        }
+        for host in 0..HOSTS_RUN {
+            self.shut_down(host);
+        }
+        self.pass(seconds(3.0));
+        for host in 0..HOSTS_RUN {
+            self.fold_end(host);
+        }
+        (self.hasher.hex(), self.counts)
+    }
+
+    fn shut_down(&mut self, host: usize) {
+        self.hosts[host].core.drain();
+        self.hosts[host].core.leave(self.now);
+        (0..20).for_each(|_| self.submit(host));
+        self.pass(seconds(0.05));
+        self.hosts[host].core.settle(self.now);
+        self.pull();
+        self.hosts[host].core.left(self.now);
+        self.pull();
+    }
+
+    /// What the core counted and still holds.
+    fn fold_end(&mut self, host: usize) {
+        let core = &self.hosts[host].core;
+        let counters = core.counters;
+        let numbers = [
+            counters.taken,
+            counters.over_bound,
+            counters.done,
+            counters.deferred,
+            counters.abandoned,
+            counters.left,
+            counters.legs,
+            counters.further_legs,
+            counters.timed_out,
+            counters.withdrawn,
+            counters.cut,
+            counters.strays,
+            counters.short_answers,
+            counters.nodes_over_bound,
+        ];
+        numbers.iter().for_each(|number| self.hasher.number(*number));
+        self.counts.retries += counters.further_legs;
+        self.counts.timeouts += counters.timed_out;
+        let (commands, requests, attempts) = core.open();
+        assert_eq!((commands, requests, attempts), (0, 0, 0), "nothing stays open after the shutdown");
+        self.hasher.number(core.keys_in_order() as u64);
+        for (shard, rate) in core.paces(self.now) {
+            self.hasher.number(u64::from(shard.0));
+            self.hasher.seconds(rate);
+        }
+    }
+
+    /// Lets time pass, with the ends of attempts and the wake-ups that fall into it.
+    fn pass(&mut self, time: Span) {
+        let until = self.now + time;
+        loop {
+            let ends = self.hosts.iter().filter_map(|host| host.pending.keys().next());
+            let end = ends.map(|(at, _)| Instant::from_secs(*at as f64 / 1e6)).min();
+            let wake = self.hosts.iter().filter_map(|host| host.core.next_wake(self.now)).min();
+            let Some(next) = end.into_iter().chain(wake).min().filter(|next| *next <= until) else { break };
+            self.now = next.max(self.now + Span::from_secs(1e-6));
+            for host in 0..HOSTS_RUN {
+                self.end_attempts(host);
+            }
+            self.pull();
+        }
+        self.now = until.max(self.now);
+        self.pull();
+    }
+
+    fn end_attempts(&mut self, host: usize) {
+        let now = micros(self.now);
+        while self.hosts[host].pending.first_key_value().is_some_and(|((at, _), _)| *at <= now) {
+            let Some((_, pending)) = self.hosts[host].pending.pop_first() else { return };
+            self.end_attempt(host, pending);
+        }
+    }
+
+    fn end_attempt(&mut self, host: usize, pending: PendingAttempt) {
+        self.inputs += 1;
+        let ticket = &pending.attempt.ticket;
+        if ticket.is_claimed() {
+            ticket.written();
+        }
+        let waiting = (self.below(3) > 0).then_some(self.below(8));
+        let elsewhere = (self.below(3) > 0).then_some(4.0 * self.fraction());
+        let data = Bytes::from(vec![pending.attempt.leg.0 as u8; pending.answer_bytes]);
+        let (leg, outcome) = (pending.attempt.leg, pending.outcome);
+        self.hosts[host].core.leg_back(self.now, LegBack { leg, outcome, waiting, elsewhere, data });
+    }
+
+    /// Pulls all outputs of all hosts, until their datagrams lead to no more.
+    fn pull(&mut self) {
+        let mut datagrams = Vec::new();
+        loop {
+            for host in 0..HOSTS_RUN {
+                self.hosts[host].core.tick(self.now);
+                while let Some(output) = self.hosts[host].core.next_output(self.now) {
+                    self.hasher.output(&output);
+                    self.on_output(host, output, &mut datagrams);
+                }
+                let wake = self.hosts[host].core.next_wake(self.now);
+                self.hasher.optional_seconds(wake.map(Instant::secs));
+            }
+            if datagrams.is_empty() {
+                return;
+            }
+            for (from, to, bytes) in std::mem::take(&mut datagrams) {
+                let receiver = (0..HOSTS_RUN).find(|host| host_address(*host) == to);
+                let is_lost = self.below(100) < DATAGRAMS_LOST_PERCENT;
+                if let Some(receiver) = receiver.filter(|_| !is_lost) {
+                    self.hosts[receiver].core.datagram(self.now, host_address(from), bytes);
+                }
+            }
+        }
+    }
+
+    fn on_output(&mut self, host: usize, output: Output, datagrams: &mut Vec<(usize, SocketAddr, Bytes)>) {
+        match output {
+            Output::Send(attempt) => self.start_attempt(host, *attempt),
+            Output::Cancel { .. } => self.counts.cancels += 1,
+            Output::Cut { .. } => self.counts.cuts += 1,
+            Output::Answer { to, verdict } => {
+                self.hosts[host].open.remove(&to);
+                match verdict {
+                    Verdict::Done { .. } => self.counts.done += 1,
+                    Verdict::Deferred { .. } => self.counts.rejected += 1,
+                    Verdict::Abandoned => self.counts.failed += 1,
+                }
+            }
+            Output::FollowList { .. } | Output::FetchList => self.counts.list_calls += 1,
+            Output::Keep { request, .. } => {
+                self.counts.writes_to_store += 1;
+                self.hosts[host].unacknowledged.push(request);
+            }
+            Output::Reply { reply, .. } => self.on_reply(host, &reply),
+            Output::Datagram { to, bytes } => {
+                self.counts.datagrams += 1;
+                datagrams.push((host, to, bytes));
+            }
+            Output::Mode { .. } => self.counts.log_lines += 1,
+        }
+    }
+
+    fn on_reply(&mut self, host: usize, reply: &Reply) {
+        match reply {
+            Reply::Set { record, dry_run: false, .. } => {
+                self.counts.overrides_set += 1;
+                self.hosts[host].override_ids.push(record.id);
+            }
+            Reply::Cleared { .. } => self.counts.overrides_cleared += 1,
+            Reply::Plan(PlanReply::Applied { dry_run: false, .. }) => self.counts.plans_applied += 1,
+            Reply::Plan(PlanReply::Refused { .. }) | Reply::Refused(_) => self.counts.refused += 1,
+            _ => {}
+        }
+    }
+
+    fn start_attempt(&mut self, host: usize, attempt: SendLeg) {
+        self.counts.sends += 1;
+        // A link that takes no bytes leaves the attempt unsent, or half written.
+        let is_stalled = self.below(1000) < STALLS_PERMILLE;
+        let is_claimed = !is_stalled || self.below(2) == 0;
+        if is_claimed && attempt.begin(self.now) != Begin::Now {
+            return;
+        }
+        if is_stalled {
+            return;
+        }
+        let outcome = self.outcome();
+        let took = match self.below(40) {
+            0 => 0.3 + 1.5 * self.fraction(),
+            1..=2 => 0.05 + 0.2 * self.fraction(),
+            _ => 0.002 + 0.02 * self.fraction(),
+        };
+        if self.below(4) > 0 {
+            attempt.ticket.written();
+        }
+        let wanted_bytes = match &attempt.work {
+            LegWork::Read { length } => *length as usize,
+            _ => 0,
+        };
+        let is_short = self.below(100) == 0;
+        let answer_bytes = match outcome {
+            Outcome::Done if is_short => wanted_bytes / 2,
+            Outcome::Done => wanted_bytes,
+            _ => 0,
+        };
+        let key = (micros(self.now + seconds(took)), attempt.leg.0);
+        self.hosts[host].pending.insert(key, PendingAttempt { attempt, outcome, answer_bytes });
+    }
+
+    fn outcome(&mut self) -> Outcome {
+        match self.below(100) {
+            0..=3 => Outcome::Error,
+            4 => Outcome::Full,
+            5..=6 => Outcome::Refused,
+            7..=8 => Outcome::Reset,
+            9 => Outcome::Skipped,
+            _ => Outcome::Done,
+        }
+    }
+
+    fn input(&mut self) {
+        self.inputs += 1;
+        let host = self.any_host();
+        match self.below(100) {
+            0..=79 => self.submit(host),
+            80..=83 => self.abort(host),
+            84 => self.end_session(host),
+            85..=87 => self.change_node(),
+            88 => self.send_other_list(host),
+            89 => self.report_node_start(host),
+            90..=91 => self.ask_for_override(host),
+            92..=93 => self.clear_override(host),
+            94..=95 => self.apply_plan(host),
+            96 => self.ask_for_status(host),
+            97 => self.step_wall_clock(host),
+            _ => self.acknowledge(host),
+        }
+    }
+
+    fn submit(&mut self, host: usize) {
+        let from = CommandRef { session: self.below(SESSIONS), command: self.next_command };
+        self.next_command += 1;
+        let lun = 1 + self.below(3);
+        let block = u64::from(self.below(980));
+        let blocks = 1 + self.below(20);
+        let work = if self.below(3) == 0 {
+            Work::Write { data: Bytes::from(vec![from.command as u8; blocks as usize * 512]) }
+        } else {
+            Work::Read { blocks }
+        };
+        let began = self.now - seconds(0.01 * self.fraction());
+        let asked = (self.below(4) == 0).then_some(seconds(0.05 + self.fraction()));
+        let mark = (self.below(3) == 0).then_some(u128::from(from.command) << 64 | 7);
+        self.hosts[host].open.insert(from);
+        self.hosts[host].core.submit(self.now, from, lun, block, work, began, asked, mark);
+    }
+
+    fn abort(&mut self, host: usize) {
+        let count = self.hosts[host].open.len() as u32;
+        if count == 0 {
+            return;
+        }
+        let chosen = self.below(count) as usize;
+        if let Some(command) = self.hosts[host].open.iter().nth(chosen).copied() {
+            self.hosts[host].open.remove(&command);
+            self.hosts[host].core.abort(self.now, command);
+        }
+    }
+
+    fn end_session(&mut self, host: usize) {
+        let session = self.below(SESSIONS);
+        self.hosts[host].open.retain(|command| command.session != session);
+        self.hosts[host].core.session_gone(self.now, session);
+    }
+
+    fn entry(&self, node: u32) -> ListEntry {
+        let start = self.starts[node as usize];
+        ListEntry {
+            id: format!("node-{node}"),
+            address: node_address(node).to_string(),
+            state: self.states[node as usize],
+            zone: ZoneId(node % 2),
+            shard: ShardId(node % SHARDS),
+            start: start.map(|at| Start { name: micros(at) as u64, age: Age::Told(self.now - at) }),
+        }
+    }
+
+    fn send_list(&mut self, host: usize, kind: ListKind, nodes: impl Iterator<Item = u32>) {
+        let entries: Vec<ListEntry> = nodes.map(|node| self.entry(node)).collect();
+        let from = self.hosts[host].list_version;
+        let to = from + 1;
+        self.hosts[host].list_version = to;
+        self.hosts[host].core.list_came(self.now, kind, from, to, &entries);
+    }
+
+    /// A node comes, drains, goes or has restarted; sometimes a host misses the change.
+    fn change_node(&mut self) {
+        let node = self.below(NODES);
+        self.states[node as usize] = match self.below(8) {
+            0 => NodeState::Draining,
+            1 => NodeState::Gone,
+            _ => NodeState::Ready,
+        };
+        if self.below(8) == 0 {
+            self.starts[node as usize] = Some(self.now - seconds(2.0 * self.fraction()));
+        }
+        for host in 0..HOSTS_RUN {
+            if self.below(10) == 0 {
+                self.hosts[host].list_version += 1;
+            } else {
+                self.send_list(host, ListKind::Changes, std::iter::once(node));
+            }
+        }
+    }
+
+    fn send_other_list(&mut self, host: usize) {
+        match self.below(4) {
+            0 => self.send_list(host, ListKind::Failed, 0..0),
+            1 => self.send_list(host, ListKind::Saved, 0..NODES),
+            2 => self.send_list(host, ListKind::Complete, 1..NODES),
+            _ => self.send_list(host, ListKind::Complete, 0..NODES),
+        }
+    }
+
+    fn report_node_start(&mut self, host: usize) {
+        let name = format!("node-{}", self.below(NODES));
+        let up = seconds(20.0 * self.fraction());
+        if let Some(node) = self.hosts[host].core.nodes().number(&name) {
+            self.hosts[host].core.node_said_up(self.now, node, up);
+        }
+    }
+
+    fn ask(&mut self, host: usize, ask: Ask) {
+        self.admin_requests += 1;
+        self.hosts[host].core.ask(self.now, self.admin_requests, ask);
+    }
+
+    fn ask_for_override(&mut self, host: usize) {
+        let target = match self.below(4) {
+            0 => Target::Zone(self.below(2)),
+            1 => Target::Shard(self.below(SHARDS)),
+            _ => Target::Node(node_address(self.below(NODES))),
+        };
+        let kind = match self.below(4) {
+            0 => Kind::OutOfService,
+            1 => Kind::Pinned,
+            _ => Kind::Weight(0.1 + 0.9 * self.fraction()),
+        };
+        let order = Order {
+            target,
+            kind,
+            reason: "maintenance".into(),
+            who: "operator".into(),
+            seconds: 0.5 + 2.0 * self.fraction(),
+            origin: None,
+        };
+        let (force, dry_run) = (self.below(3) == 0, self.below(8) == 0);
+        self.ask(host, Ask::Set { order, force, dry_run, if_version: None });
+    }
+
+    fn clear_override(&mut self, host: usize) {
+        let known = self.hosts[host].override_ids.len();
+        let newest = known.saturating_sub(1 + self.below(3) as usize);
+        let id = self.hosts[host].override_ids.get(newest).copied().unwrap_or(UNKNOWN_OVERRIDE);
+        self.ask(host, Ask::Clear { id, who: "operator".into() });
+    }
+
+    fn apply_plan(&mut self, host: usize) {
+        let Some(plans) = self.hosts[host].core.plans() else { return };
+        let base = plans.status(self.now).catalogue.version;
+        let limit = 150.0 + 100.0 * self.fraction();
+        let plan = CatalogPlan { limit, burst: 100.0, slack: 8.0, reserve: 0.0, weight: 1.0, floor: None };
+        let steps = vec![Step::Plan { name: "limited".into(), to: Some(plan) }];
+        let change = Change { base, steps, who: "operator".into(), why: "demand".into() };
+        let dry_run = self.below(8) == 0;
+        self.ask(host, Ask::Plan(PlanAsk::Apply { change, dry_run }));
+    }
+
+    fn ask_for_status(&mut self, host: usize) {
+        let address = node_address(self.below(NODES));
+        match self.below(5) {
+            0 => self.ask(host, Ask::List),
+            1 => self.ask(host, Ask::Status),
+            2 => self.ask(host, Ask::Explain { address }),
+            3 => self.ask(host, Ask::Members),
+            _ => self.ask(host, Ask::Plan(PlanAsk::Show)),
+        }
+    }
+
+    fn step_wall_clock(&mut self, host: usize) {
+        let step_us = if self.below(4) == 0 { u64::from(self.below(10_000_000)) } else { 0 };
+        let wall_us = micros(self.now) as u64 + WALL_OFFSET_US + step_us;
+        self.hosts[host].core.wall_seen(self.now, wall_us);
+    }
+
+    /// The store is done with what it was given, or has failed.
+    fn acknowledge(&mut self, host: usize) {
+        for request in std::mem::take(&mut self.hosts[host].unacknowledged) {
+            let result = if self.below(12) == 0 { Err("no space left".to_owned()) } else { Ok(()) };
+            self.hosts[host].core.kept(self.now, request, result);
+        }
+    }
+}
+
+/// What a run must at least have held.
+fn assert_not_trivial(counts: &Counts) {
+    let held = [
+        ("sends", u64::from(counts.sends), 2500),
+        ("retries", counts.retries, 100),
+        ("timeouts", counts.timeouts, 100),
+        ("done", u64::from(counts.done), 1000),
+        ("rejected", u64::from(counts.rejected), 1500),
+        ("failed", u64::from(counts.failed), 100),
+        ("cancels", u64::from(counts.cancels), 100),
+        ("cuts", u64::from(counts.cuts), 80),
+        ("calls for the node list", u64::from(counts.list_calls), 100),
+        ("writes to the store", u64::from(counts.writes_to_store), 200),
+        ("overrides set", u64::from(counts.overrides_set), 50),
+        ("overrides cleared", u64::from(counts.overrides_cleared), 10),
+        ("plans applied", u64::from(counts.plans_applied), 15),
+        ("refused", u64::from(counts.refused), 50),
+        ("datagrams", u64::from(counts.datagrams), 2500),
+        ("log lines", u64::from(counts.log_lines), 250),
+    ];
+    for (what, count, min) in held {
+        assert!(count >= min, "{what}: {count}, fewer than {min}: {counts:?}");
+    }
+}
+
+fn check(setting: &Setting, expected: [&str; SEEDS.len()]) {
+    let mut hashes = Vec::new();
+    for seed in SEEDS {
+        let (hash, counts) = Run::new(setting, seed).finish();
+        assert_not_trivial(&counts);
+        hashes.push(hash);
+    }
+    assert_eq!(hashes, expected);
+}
+
+#[test]
+fn few_hosts_act_as_before() {
+    check(
+        &FEW_HOSTS,
+        [
+            "a260745c7d647efced082bf5d300b5ae9c91e44df4bdda86d7fde910f3d92dbd",
+            "6832e554a3c06fed767e48849fbb9aaf4b35d59d806c51299f807a15415cca35",
+            "3d408c0c5f4dd0a36ddb720b766762448d87216a8393e6b940c8efc3730bda01",
+            "4ffa5a26bde05e50e99f34c7dae096962d516c560fc76cca7d617dc4bfab67e0",
+        ],
+    );
+}
+
+#[test]
+fn many_hosts_act_as_before() {
+    check(
+        &MANY_HOSTS,
+        [
+            "34143e9c8e0b8154fa947b1ed1401292a147254d52a9e2b2239ea07273edc3ce",
+            "5602cc3b581e87d81928f31bd156bbf7c498095be1e35602287bcf4a1ccc142b",
+            "8708e25454d286441b4003618b9af0587f85e9eef2fc712c79e18fb1390c58ac",
+            "47d697379591d4c7bed46068d01ed9ec478efcbbe32ebb753f10ff47f093ad08",
+        ],
+    );
+}
+
+#[test]
+fn tight_bounds_act_as_before() {
+    check(
+        &TIGHT_BOUNDS,
+        [
+            "74a7a0bdec5b546188553f5fb2c96cba12ace31047c1c96ef874f361bca50d01",
+            "1004bc43c8412eb68fc6028bfa419edc441d8db4b28c2e67a4893e9916fd5925",
+            "239cf022049fb14e8ebb09e7d702bd9b6eaef88df729530475d81dc72f93fc47",
+            "55c9238b68742798e3d13c1b7791b484ea2517a5aa5e0da890431e235eb6b67e",
+        ],
+    );
+}
+
+#[test]
+fn the_same_seed_gives_the_same_hash_twice() {
+    let hash = |seed| Run::new(&FEW_HOSTS, seed).finish().0;
+    assert_eq!(hash(SEEDS[0]), hash(SEEDS[0]));
+    assert_ne!(hash(SEEDS[0]), hash(SEEDS[1]));
+}
