--- a/crates/admin/tests/json_forms.rs
+++ b/crates/admin/tests/json_forms.rs
@@ -55,7 +55,7 @@
         reads: "read".into(),
         writes: "read".into(),
     };
-    let stream = StreamType { slo_ms: 100.0, expiry_ms: 1000.0 };
+    let stream = StreamType { latency_objective_ms: 100.0, deadline_ms: 1000.0 };
     let steps = vec![
         Step::Plan { name: "basic".into(), to: Some(plan) },
         Step::Stream { name: "read".into(), to: Some(stream) },
@@ -192,11 +192,11 @@
         returning: 4,
         there: 5,
         commands: 6,
-        legs: 7,
+        attempts: 7,
         taken: 8,
         done: 9,
-        deferred: 10,
-        abandoned: 11,
+        rejected: 10,
+        failed: 11,
         nodes: vec![(node(), "ready".into(), "out of service".into())],
     };
     assert_reply(
--- a/crates/hostcore/tests/decision_hash.rs
+++ b/crates/hostcore/tests/decision_hash.rs
@@ -244,7 +244,7 @@
         self.number(u64::from(command.command));
     }
 
-    fn attempt(&mut self, node: NodeId, attempt: LegId) {
+    fn attempt(&mut self, node: NodeId, attempt: AttemptId) {
         self.number(u64::from(node.0));
         self.number(attempt.0);
     }
@@ -255,13 +255,13 @@
                 self.kind(1);
                 self.send(attempt);
             }
-            Output::Cancel { node, leg } => {
+            Output::Cancel { node, attempt } => {
                 self.kind(2);
-                self.attempt(*node, *leg);
+                self.attempt(*node, *attempt);
             }
-            Output::Cut { node, leg } => {
+            Output::Cut { node, attempt } => {
                 self.kind(3);
-                self.attempt(*node, *leg);
+                self.attempt(*node, *attempt);
             }
             Output::Answer { to, verdict } => {
                 self.kind(4);
@@ -295,10 +295,10 @@
         }
     }
 
-    fn send(&mut self, attempt: &SendLeg) {
-        self.attempt(attempt.node, attempt.leg);
-        self.number(attempt.xfer);
-        self.kind(attempt.leg_no);
+    fn send(&mut self, attempt: &SendAttempt) {
+        self.attempt(attempt.node, attempt.attempt);
+        self.number(attempt.request);
+        self.kind(attempt.attempt_number);
         self.command(attempt.from);
         self.number(u64::from(attempt.part));
         self.seconds(attempt.until.secs());
@@ -309,15 +309,15 @@
         self.number(attempt.offset);
         self.number(attempt.units.to_bits());
         match &attempt.work {
-            LegWork::Read { length } => {
+            AttemptWork::Read { length } => {
                 self.kind(1);
                 self.number(u64::from(*length));
             }
-            LegWork::Write { data } => {
+            AttemptWork::Write { data } => {
                 self.kind(2);
                 self.bytes(data);
             }
-            LegWork::Request(_) => self.kind(3),
+            AttemptWork::Request(_) => self.kind(3),
         }
     }
 
@@ -327,11 +327,11 @@
                 self.kind(1);
                 self.bytes(data);
             }
-            Verdict::Deferred { come_back } => {
+            Verdict::Rejected { retry_after } => {
                 self.kind(2);
-                self.optional_seconds(come_back.map(Span::secs));
+                self.optional_seconds(retry_after.map(Span::secs));
             }
-            Verdict::Abandoned => self.kind(3),
+            Verdict::Failed => self.kind(3),
         }
     }
 
@@ -438,7 +438,7 @@
 
 /// An attempt that its link has not ended yet, with what will come of it.
 struct PendingAttempt {
-    attempt: SendLeg,
+    attempt: SendAttempt,
     outcome: Outcome,
     answer_bytes: usize,
 }
@@ -583,11 +583,11 @@
             counters.taken,
             counters.over_bound,
             counters.done,
-            counters.deferred,
-            counters.abandoned,
+            counters.rejected,
+            counters.failed,
             counters.left,
-            counters.legs,
-            counters.further_legs,
+            counters.attempts,
+            counters.retries,
             counters.timed_out,
             counters.withdrawn,
             counters.cut,
@@ -596,7 +596,7 @@
             counters.nodes_over_bound,
         ];
         numbers.iter().for_each(|number| self.hasher.number(*number));
-        self.counts.retries += counters.further_legs;
+        self.counts.retries += counters.retries;
         self.counts.timeouts += counters.timed_out;
         let (commands, requests, attempts) = core.open();
         assert_eq!((commands, requests, attempts), (0, 0, 0), "nothing stays open after the shutdown");
@@ -641,9 +641,11 @@
         }
         let waiting = (self.below(3) > 0).then_some(self.below(8));
         let elsewhere = (self.below(3) > 0).then_some(4.0 * self.fraction());
-        let data = Bytes::from(vec![pending.attempt.leg.0 as u8; pending.answer_bytes]);
-        let (leg, outcome) = (pending.attempt.leg, pending.outcome);
-        self.hosts[host].core.leg_back(self.now, LegBack { leg, outcome, waiting, elsewhere, data });
+        let data = Bytes::from(vec![pending.attempt.attempt.0 as u8; pending.answer_bytes]);
+        let (attempt, outcome) = (pending.attempt.attempt, pending.outcome);
+        self.hosts[host]
+            .core
+            .attempt_finished(self.now, AttemptResult { attempt, outcome, waiting, elsewhere, data });
     }
 
     /// Pulls all outputs of all hosts, until their datagrams lead to no more.
@@ -681,8 +683,8 @@
                 self.hosts[host].open.remove(&to);
                 match verdict {
                     Verdict::Done { .. } => self.counts.done += 1,
-                    Verdict::Deferred { .. } => self.counts.rejected += 1,
-                    Verdict::Abandoned => self.counts.failed += 1,
+                    Verdict::Rejected { .. } => self.counts.rejected += 1,
+                    Verdict::Failed => self.counts.failed += 1,
                 }
             }
             Output::FollowList { .. } | Output::FetchList => self.counts.list_calls += 1,
@@ -712,7 +714,7 @@
         }
     }
 
-    fn start_attempt(&mut self, host: usize, attempt: SendLeg) {
+    fn start_attempt(&mut self, host: usize, attempt: SendAttempt) {
         self.counts.sends += 1;
         // A link that takes no bytes leaves the attempt unsent, or half written.
         let is_stalled = self.below(1000) < STALLS_PERMILLE;
@@ -733,7 +735,7 @@
             attempt.ticket.written();
         }
         let wanted_bytes = match &attempt.work {
-            LegWork::Read { length } => *length as usize,
+            AttemptWork::Read { length } => *length as usize,
             _ => 0,
         };
         let is_short = self.below(100) == 0;
@@ -742,7 +744,7 @@
             Outcome::Done => wanted_bytes,
             _ => 0,
         };
-        let key = (micros(self.now + seconds(took)), attempt.leg.0);
+        let key = (micros(self.now + seconds(took)), attempt.attempt.0);
         self.hosts[host].pending.insert(key, PendingAttempt { attempt, outcome, answer_bytes });
     }
 
--- a/crates/plans/tests/stored_format.rs
+++ b/crates/plans/tests/stored_format.rs
@@ -48,7 +48,10 @@
 }
 
 fn stream(name: &str) -> Step {
-    Step::Stream { name: name.into(), to: Some(StreamType { slo_ms: 100.0, expiry_ms: 1000.0 }) }
+    Step::Stream {
+        name: name.into(),
+        to: Some(StreamType { latency_objective_ms: 100.0, deadline_ms: 1000.0 }),
+    }
 }
 
 fn change(base: u64, steps: Vec<Step>, why: &str) -> Change {
--- a/crates/rulecheck/tests/json_forms.rs
+++ b/crates/rulecheck/tests/json_forms.rs
@@ -9,7 +9,7 @@
     let found = Break {
         rule: 2,
         t: 1_700_000_000_000_000,
-        transfer: "host 1 session 2 command 3".into(),
+        request: "host 1 session 2 command 3".into(),
         node: "127.0.0.1:9000".into(),
         what: "ran twice".into(),
     };
--- a/crates/trace/tests/json_forms.rs
+++ b/crates/trace/tests/json_forms.rs
@@ -3,7 +3,7 @@
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 use tackmast_trace::{
-    read, write, AnswerKind, EffectKind, Event, Facts, LegEndKind, LegName, Line, ListedState, Side,
+    read, write, AnswerKind, AttemptEndKind, AttemptName, EffectKind, Event, Facts, Line, ListedState, Side,
     StreamFacts, VolumeFacts,
 };
 
@@ -19,8 +19,8 @@
     assert_form(&Line { t: 1_700_000_000_000_000, event }, text);
 }
 
-fn name() -> LegName {
-    LegName { host: 1, life: 77, xfer: 12, leg: 2 }
+fn name() -> AttemptName {
+    AttemptName { host: 1, life: 77, request: 12, attempt: 2 }
 }
 
 fn node() -> String {
@@ -39,7 +39,7 @@
     };
     let stream = StreamFacts {
         name: "read".into(),
-        slo_us: 200_000,
+        latency_objective_us: 200_000,
         effect: EffectKind::KeyedZone,
         window_us: 5_000_000,
         in_order: true,
@@ -84,14 +84,14 @@
         EffectKind::Unrepeatable,
     ];
     assert_form(&effects, r#"["repeatable","keyed_all","keyed_zone","keyed_shard","unrepeatable"]"#);
-    let answers = [AnswerKind::Done, AnswerKind::Deferred, AnswerKind::Abandoned, AnswerKind::Rejected];
+    let answers = [AnswerKind::Done, AnswerKind::Rejected, AnswerKind::Failed, AnswerKind::InvalidRequest];
     assert_form(&answers, r#"["done","deferred","abandoned","rejected"]"#);
     assert_form(
         &[ListedState::Ready, ListedState::Draining, ListedState::Gone],
         r#"["ready","draining","gone"]"#,
     );
     assert_form(
-        &[LegEndKind::Done, LegEndKind::Error, LegEndKind::NeverRan],
+        &[AttemptEndKind::Done, AttemptEndKind::Error, AttemptEndKind::NeverRan],
         r#"["done","error","never_ran"]"#,
     );
     assert_form(&[Side::Clients, Side::List], r#"["clients","list"]"#);
@@ -109,14 +109,14 @@
         write: true,
         offset: 6,
         bytes: 7,
-        expiry_us: 8,
+        deadline_us: 8,
     };
     assert_event(
         submit,
         r#"{"t":1700000000000000,"e":"submit","host":1,"session":2,"command":3,"volume":4,"stream":5,"write":true,"offset":6,"bytes":7,"expiry_us":8}"#,
     );
     let answer =
-        Event::Answer { host: 1, session: 2, command: 3, kind: AnswerKind::Deferred, come_back_us: 9 };
+        Event::Answer { host: 1, session: 2, command: 3, kind: AnswerKind::Rejected, retry_after_us: 9 };
     assert_event(
         answer,
         r#"{"t":1700000000000000,"e":"answer","host":1,"session":2,"command":3,"kind":"deferred","come_back_us":9}"#,
@@ -181,7 +181,7 @@
         Event::NodeDown { node: node() },
         r#"{"t":1700000000000000,"e":"node_down","node":"127.0.0.1:9000"}"#,
     );
-    let begun = Event::Leg {
+    let begun = Event::Attempt {
         node: node(),
         name: name(),
         session: 2,
@@ -200,7 +200,7 @@
         begun,
         r#"{"t":1700000000000000,"e":"leg","node":"127.0.0.1:9000","name":{"host":1,"life":77,"xfer":12,"leg":2},"session":2,"command":3,"part":1,"volume":4,"write":false,"offset":6,"bytes":7,"units":1.5,"key":18446744073709551615,"mark":"a0b1","left_us":8}"#,
     );
-    let ended = Event::LegEnd { node: node(), name: name(), kind: LegEndKind::NeverRan, ran: false };
+    let ended = Event::AttemptEnd { node: node(), name: name(), kind: AttemptEndKind::NeverRan, ran: false };
     assert_event(
         ended,
         r#"{"t":1700000000000000,"e":"leg_end","node":"127.0.0.1:9000","name":{"host":1,"life":77,"xfer":12,"leg":2},"kind":"never_ran","ran":false}"#,
@@ -210,7 +210,7 @@
         r#"{"t":1700000000000000,"e":"cancel","node":"127.0.0.1:9000","name":{"host":1,"life":77,"xfer":12,"leg":2}}"#,
     );
     assert_event(
-        Event::LinkDown { node: node(), host: 1, life: 77, legs: vec![name()] },
+        Event::LinkDown { node: node(), host: 1, life: 77, attempts: vec![name()] },
         r#"{"t":1700000000000000,"e":"link_down","node":"127.0.0.1:9000","host":1,"life":77,"legs":[{"host":1,"life":77,"xfer":12,"leg":2}]}"#,
     );
 }
--- a/crates/wire/tests/golden_bytes.rs
+++ b/crates/wire/tests/golden_bytes.rs
@@ -410,10 +410,10 @@
 }
 
 fn node_request(work: node::Work) -> node::Frame {
-    node::Frame::Send(node::SendLeg {
-        leg: 1,
-        xfer: 2,
-        leg_no: 3,
+    node::Frame::Send(node::SendAttempt {
+        attempt: 1,
+        request: 2,
+        attempt_number: 3,
         origin: node::Origin { session: 4, command: 5, part: 6 },
         sent_us: 7,
         left_us: 8,
@@ -428,7 +428,7 @@
 
 fn node_response(outcome: node::NodeOutcome) -> node::Frame {
     let data = Bytes::from_static(b"data");
-    node::Frame::Answer(node::Answer { leg: 1, outcome, waiting: 2, elsewhere: 0.5, data })
+    node::Frame::Answer(node::Answer { attempt: 1, outcome, waiting: 2, elsewhere: 0.5, data })
 }
 
 #[test]
@@ -481,7 +481,7 @@
             node_response(NodeOutcome::NotHere),
             "0000001a04000000000000000103000000023f0000000000000464617461",
         ),
-        ("cancel", Frame::Cancel { leg: 6 }, "00000009050000000000000006"),
+        ("cancel", Frame::Cancel { attempt: 6 }, "00000009050000000000000006"),
         ("node ping", Frame::Ping { number: 7 }, "00000009060000000000000007"),
         ("node pong", Frame::Pong { number: 8 }, "00000009070000000000000008"),
     ];
@@ -553,9 +553,9 @@
     differences.assert_none();
 }
 
-fn nbd_request(expiry_us: Option<u64>) -> nbd::Request {
+fn nbd_request(deadline_us: Option<u64>) -> nbd::Request {
     let (flags, kind) = (nbd::flag::FUA, nbd::command::READ);
-    nbd::Request { flags, kind, cookie: 0x0102_0304_0506_0708, offset: 4096, length: 512, expiry_us }
+    nbd::Request { flags, kind, cookie: 0x0102_0304_0506_0708, offset: 4096, length: 512, deadline_us }
 }
 
 #[test]
@@ -574,7 +574,7 @@
     };
     let option_unit = |option| ClientUnit::Option { option, data: data(option) };
     let request_unit =
-        |expiry_us| ClientUnit::Request { request: nbd_request(expiry_us), data: Bytes::new() };
+        |deadline_us| ClientUnit::Request { request: nbd_request(deadline_us), data: Bytes::new() };
     let cases: Vec<(&str, BytesMut, Stage, ClientUnit, &str)> = vec![
         (
             "nbd go",
@@ -635,7 +635,7 @@
     let chunk = |kind, data| Reply::Chunk { cookie, flags: nbd::DONE, kind, data };
     let structured = chunk(nbd::chunk::OFFSET_DATA, data);
     let error_data = nbd::write_error(nbd::error::SHUTDOWN, b"busy");
-    let deferred = chunk(nbd::chunk::DEFERRED, error_data.clone());
+    let rejected = chunk(nbd::chunk::REJECTED, error_data.clone());
     assert_eq!(nbd::read_error(&error_data), Ok((nbd::error::SHUTDOWN, Bytes::from_static(b"busy"))));
     let reply = |reply: &Reply| {
         let mut out = BytesMut::new();
@@ -681,9 +681,9 @@
         ),
         (
             "nbd retry-after reply",
-            reply(&deferred),
+            reply(&rejected),
             transmission,
-            ServerUnit::Reply(deferred),
+            ServerUnit::Reply(rejected),
             "668e33ef0001f46301020304050607080000000a0000006c000462757379",
         ),
     ];
@@ -702,10 +702,10 @@
 fn iscsi_units() {
     use iscsi::{op, Digests, Pdu, Units};
     let mut command = Pdu::new(op::COMMAND, iscsi::FINAL | iscsi::READS);
-    command.set_lun(300).set32(16, 0x0a0b_0c0d).set16(20, 7).set_expiry(250_000);
+    command.set_lun(300).set32(16, 0x0a0b_0c0d).set16(20, 7).set_deadline(250_000);
     command.head[32..48].copy_from_slice(&scsi::Command::Read { block: 8, blocks: 2 }.to_cdb());
     assert_eq!((command.lun(), command.tag()), (Some(300), 0x0a0b_0c0d));
-    assert_eq!(command.expiry(), Some(250_000));
+    assert_eq!(command.deadline(), Some(250_000));
     let mut login = Pdu::new(op::LOGIN | 0x40, iscsi::FINAL);
     let pairs = [("InitiatorName", "iqn.2026-01.example:client"), ("SessionType", "Normal")];
     login.data = iscsi::write_keys(pairs);
@@ -854,14 +854,14 @@
         ),
         ("mode header 6", scsi::mode_sense(false), "03000000"),
         ("mode header 10", scsi::mode_sense(true), "0006000000000000"),
-        ("sense", scsi::Sense::ABANDONED.to_segment(), "001270000b000000000a00000000080100000000"),
+        ("sense", scsi::Sense::FAILED.to_segment(), "001270000b000000000a00000000080100000000"),
     ];
     let mut differences = Differences::default();
     for (kind, encoded, expected) in cases {
         differences.compare(kind, &encoded, expected);
     }
     differences.assert_none();
-    let sense = scsi::Sense::ABANDONED;
+    let sense = scsi::Sense::FAILED;
     assert_eq!(scsi::Sense::from_segment(&sense.to_segment()), Some(sense));
     assert_eq!(scsi::retry_delay(250_000), 3);
 }
--- a/tests/decision_hash.rs
+++ b/tests/decision_hash.rs
@@ -65,21 +65,21 @@
 
     fn decision(&mut self, decision: &Decision) {
         match decision {
-            Decision::Send { xfer, node, timeout, begin_by } => {
+            Decision::Send { request, node, timeout, begin_by } => {
                 self.kind(1);
-                self.number(i64::from(xfer.0));
+                self.number(i64::from(request.0));
                 self.number(i64::from(node.0));
                 self.optional_seconds(timeout.map(Span::secs));
                 self.optional_seconds(begin_by.map(Instant::secs));
             }
-            Decision::Defer { xfer, come_back } => {
+            Decision::Reject { request, retry_after } => {
                 self.kind(2);
-                self.number(i64::from(xfer.0));
-                self.optional_seconds(come_back.map(Span::secs));
+                self.number(i64::from(request.0));
+                self.optional_seconds(retry_after.map(Span::secs));
             }
-            Decision::Abandon { xfer } => {
+            Decision::Fail { request } => {
                 self.kind(3);
-                self.number(i64::from(xfer.0));
+                self.number(i64::from(request.0));
             }
             Decision::FollowList => self.kind(4),
             Decision::Log(_) => self.kind(5),
@@ -111,8 +111,8 @@
 /// An attempt that will end at its time.
 #[derive(Clone, Copy)]
 struct PendingAttempt {
-    request: XferId,
-    number: LegNo,
+    request: RequestId,
+    number: AttemptNumber,
     outcome: Outcome,
     sent: Instant,
 }
@@ -156,8 +156,8 @@
     scheduler.stream(seconds(0.5), keyed(Group::Shard, 0.4), true);
     scheduler.stream(seconds(0.2), Effect::Unrepeatable, true);
     scheduler.stream(seconds(1.0), Effect::Repeatable, false);
-    scheduler.leg_limits(setting.max_attempts, seconds(setting.longest_wait), seconds(0.15));
-    scheduler.further_leg_budget(setting.retries_free, setting.retries_share, seconds(1.0));
+    scheduler.attempt_limits(setting.max_attempts, seconds(setting.longest_wait), seconds(0.15));
+    scheduler.retry_budget(setting.retries_free, setting.retries_share, seconds(1.0));
     scheduler.cold_nodes(200.0, 0.2, seconds(1.5), seconds(0.5), 2.0);
     scheduler.work_saved(0.5);
     scheduler.list_must_be_asked();
@@ -242,7 +242,14 @@
         let (is_known, elsewhere) = (self.below(3) > 0, 4.0 * self.fraction());
         self.scheduler.service_reported(self.now, attempt.request, done, is_known, elsewhere);
         let is_over = self.below(100) == 0;
-        self.scheduler.leg_ended(self.now, attempt.request, attempt.number, attempt.outcome, took, is_over);
+        self.scheduler.attempt_ended(
+            self.now,
+            attempt.request,
+            attempt.number,
+            attempt.outcome,
+            took,
+            is_over,
+        );
         if done || is_over {
             self.open.remove(&attempt.request.0);
         }
@@ -261,18 +268,18 @@
 
     fn on_decision(&mut self, decision: Decision) {
         match decision {
-            Decision::Send { xfer, node, timeout, begin_by } => {
+            Decision::Send { request, node, timeout, begin_by } => {
                 self.counts.sends_with_timeout += u32::from(timeout.is_some());
                 self.counts.sends_with_begin_by += u32::from(begin_by.is_some());
-                self.start_attempt(xfer, node, timeout);
+                self.start_attempt(request, node, timeout);
             }
-            Decision::Defer { xfer, come_back } => {
-                self.open.remove(&xfer.0);
+            Decision::Reject { request, retry_after } => {
+                self.open.remove(&request.0);
                 self.counts.rejected += 1;
-                self.counts.rejected_with_time += u32::from(come_back.is_some());
+                self.counts.rejected_with_time += u32::from(retry_after.is_some());
             }
-            Decision::Abandon { xfer } => {
-                self.open.remove(&xfer.0);
+            Decision::Fail { request } => {
+                self.open.remove(&request.0);
                 self.counts.failed += 1;
             }
             Decision::FollowList => self.counts.list_calls += 1,
@@ -280,9 +287,9 @@
         }
     }
 
-    fn start_attempt(&mut self, request: XferId, node: NodeId, timeout: Option<Span>) {
+    fn start_attempt(&mut self, request: RequestId, node: NodeId, timeout: Option<Span>) {
         let number = self.attempts.entry(request.0).or_insert(0);
-        let attempt_number = LegNo(*number);
+        let attempt_number = AttemptNumber(*number);
         *number += 1;
         self.counts.sends += 1;
         self.counts.retries += u32::from(attempt_number.0 > 0);
@@ -339,7 +346,7 @@
     }
 
     fn arrive(&mut self) {
-        let id = XferId(self.requests);
+        let id = RequestId(self.requests);
         self.requests += 1;
         self.counts.arrivals += 1;
         let stream = StreamId(self.below(6));
@@ -351,11 +358,11 @@
         let shard = (self.below(10) > 0).then_some(ShardId(self.below(SHARDS)));
         let hosts = self.setting.hosts;
         let volume = VolumeId(volume);
-        self.scheduler.transfer_arrived(self.now, id, stream, plan, key, left, volume, units, shard, hosts);
+        self.scheduler.request_arrived(self.now, id, stream, plan, key, left, volume, units, shard, hosts);
         self.open.insert(id.0);
         if self.below(2) == 0 {
             let tag = f64::from(self.below(20));
-            self.scheduler.transfer_tagged(id, tag);
+            self.scheduler.request_tagged(id, tag);
         }
     }
 
@@ -451,10 +458,10 @@
         self.scheduler.hosts_there(hosts);
     }
 
-    fn any_open(&mut self) -> Option<XferId> {
+    fn any_open(&mut self) -> Option<RequestId> {
         let count = self.open.len() as u32;
         let chosen = if count == 0 { return None } else { self.below(count) };
-        self.open.iter().nth(chosen as usize).map(|id| XferId(*id))
+        self.open.iter().nth(chosen as usize).map(|id| RequestId(*id))
     }
 
     fn start_answer(&mut self) {
@@ -465,7 +472,7 @@
 
     fn leave(&mut self) {
         if let Some(id) = self.any_open() {
-            self.scheduler.transfer_gone(self.now, id);
+            self.scheduler.request_cancelled(self.now, id);
             self.open.remove(&id.0);
         }
     }
