--- a/crates/admin/tests/json_forms.rs
+++ b/crates/admin/tests/json_forms.rs
@@ -12,7 +12,7 @@
     Audit, AuditKind, Beaten, Explanation, Kind, Order, Origin, Override, OverrideId, Preview, Refusal,
     Service, Standing,
 };
-use tackmast_plans::{Catalogue, Change, Fleet, Plan, Step, StreamType, Volume};
+use tackmast_plans::{Catalogue, Change, Fleet, Plan, Step, TrafficClass, Volume};
 
 /// The value is written as the literal text, and the literal is read back as the value.
 #[track_caller]
@@ -55,10 +55,10 @@
         reads: "read".into(),
         writes: "read".into(),
     };
-    let stream = StreamType { latency_objective_ms: 100.0, deadline_ms: 1000.0 };
+    let stream = TrafficClass { latency_objective_ms: 100.0, deadline_ms: 1000.0 };
     let steps = vec![
         Step::Plan { name: "basic".into(), to: Some(plan) },
-        Step::Stream { name: "read".into(), to: Some(stream) },
+        Step::TrafficClass { name: "read".into(), to: Some(stream) },
         Step::Volume { name: "school".into(), to: Some(volume) },
     ];
     Change { base: 0, steps, who: "ann".into(), why: "begin".into() }
--- a/crates/benchlink/src/lib.rs
+++ b/crates/benchlink/src/lib.rs
@@ -131,14 +131,16 @@
                 let id = RequestId(self.requests.number(text(v.get(1), "tid")?));
                 let key = v.get(4).and_then(Value::as_str).map(|k| KeyId(self.keys.number(k)));
                 let shard = integer(v.get(8), "lies_in")?;
-                let (stream, plan) = (index(v.get(2), "service")?, index(v.get(3), "qos_class")?);
-                if !self.scheduler.knows(StreamId(stream), PlanId(plan)) {
-                    return Err(format!("service {stream} or qos_class {plan} is not among the settings"));
+                let (traffic_class, plan) = (index(v.get(2), "service")?, index(v.get(3), "qos_class")?);
+                if !self.scheduler.knows(TrafficClassId(traffic_class), PlanId(plan)) {
+                    return Err(format!(
+                        "service {traffic_class} or qos_class {plan} is not among the settings"
+                    ));
                 }
                 self.scheduler.request_arrived(
                     now,
                     id,
-                    StreamId(stream),
+                    TrafficClassId(traffic_class),
                     PlanId(plan),
                     key,
                     Span::from_secs(number(v.get(5), "budget")?),
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -50,7 +50,7 @@
         nodes: u32,
         #[arg(long, default_value_t = 5)]
         seed: u64,
-        /// Units of looser stream types out at a node when a tighter one comes.
+        /// Units of looser traffic classes out at a node when a tighter one comes.
         #[arg(long, default_value_t = 16.0)]
         ahead: f64,
     },
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -88,7 +88,7 @@
     Members(members::MembersArguments),
     /// Plays a scripted day on loopback: hosts, stand-ins, traffic and troubles.
     ///
-    /// Prints the seed, service by plan and stream type, and each of the seven rules with what was checked. Exits
+    /// Prints the seed, service by plan and traffic class, and each of the seven rules with what was checked. Exits
     /// with 0 only if every rule held, every byte read was right, and the script's own expectations were met.
     Day(day::DayArguments),
     /// Writes a day of the bench as a script for loopback, on standard output.
--- a/crates/cli/src/planner.rs
+++ b/crates/cli/src/planner.rs
@@ -12,7 +12,7 @@
 
 #[derive(clap::Args)]
 pub struct Figures {
-    /// Settings of a host, in HCL: volumes, stream types, shards.
+    /// Settings of a host, in HCL: volumes, traffic classes, shards.
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
     /// Arrivals, as `tackmast lab play --load` takes them.
@@ -27,39 +27,39 @@
     /// Milliseconds of the way to a node and back.
     #[arg(long, default_value_t = 2.0)]
     way_ms: f64,
-    /// Units of looser stream types that all hosts together may have out at a node when a tighter one comes.
+    /// Units of looser traffic classes that all hosts together may have out at a node when a tighter one comes.
     #[arg(long, default_value_t = 16.0)]
     ahead: f64,
 }
 
-/// What a recorded load asks of one volume, stream type and shard.
+/// What a recorded load asks of one volume, traffic class and shard.
 struct Asked {
     volume: usize,
-    stream: usize,
+    traffic_class: usize,
     shard: u32,
     load: Load,
 }
 
-/// What a load asks, by volume, stream type and shard.
+/// What a load asks, by volume, traffic class and shard.
 fn asked(s: &HostSettings, l: &tackmast_load::Load, most_rate: f64) -> Vec<Asked> {
     let layout = Layout::new(s);
     let mut arrivals: BTreeMap<(usize, usize, u32), Vec<(f64, f64)>> = BTreeMap::new();
     for a in l.arrivals(s.host.hosts) {
         let Some(volume) = layout.volume_named(&l.flows[a.flow].volume) else { continue };
-        let stream = layout.stream(volume, a.write, a.blocks);
-        for part in layout.parts(volume, stream, a.block, a.blocks) {
-            let of = arrivals.entry((volume, stream, part.shard.0)).or_default();
+        let traffic_class = layout.traffic_class(volume, a.write, a.blocks);
+        for part in layout.parts(volume, traffic_class, a.block, a.blocks) {
+            let of = arrivals.entry((volume, traffic_class, part.shard.0)).or_default();
             of.push((a.at_us as f64 / 1e6, part.units));
         }
     }
-    let one = |((volume, stream, shard), all): ((usize, usize, u32), Vec<(f64, f64)>)| {
-        let st = &s.streams[stream];
+    let one = |((volume, traffic_class, shard), all): ((usize, usize, u32), Vec<(f64, f64)>)| {
+        let st = &s.traffic_classes[traffic_class];
         let name = format!("{} {}", s.volumes[volume].name, st.name);
         let largest = all.iter().map(|a| a.1).fold(0.0, f64::max);
         let curve = Curve::of(&all, l.seconds, most_rate);
         Asked {
             volume,
-            stream,
+            traffic_class,
             shard,
             load: Load { name, latency_objective_s: st.latency_objective.secs(), largest, curve },
         }
@@ -75,8 +75,8 @@
     for a in l.arrivals(s.host.hosts) {
         let Some(volume) = layout.volume_named(&l.flows[a.flow].volume) else { continue };
         let v = &s.volumes[volume];
-        let stream = layout.stream(volume, a.write, a.blocks);
-        let units: f64 = layout.parts(volume, stream, a.block, a.blocks).iter().map(|p| p.units).sum();
+        let traffic_class = layout.traffic_class(volume, a.write, a.blocks);
+        let units: f64 = layout.parts(volume, traffic_class, a.block, a.blocks).iter().map(|p| p.units).sum();
         let host = a.host % v.hosts.max(1);
         arrivals.entry((volume, host)).or_default().push((a.at_us as f64 / 1e6, units));
     }
@@ -229,7 +229,7 @@
     for (n, there) in p.nodes.iter().enumerate().filter(|(_, t)| !t.is_empty()) {
         let name = |(l, p): &(usize, Point)| {
             let a = &all[*l];
-            let (v, st) = (&s.volumes[a.volume].name, &s.streams[a.stream].name);
+            let (v, st) = (&s.volumes[a.volume].name, &s.traffic_classes[a.traffic_class].name);
             format!("{v} {st} of shard {} ({:.0} units/s, {:.0} at once)", a.shard, p.rate, p.burst)
         };
         println!("node {n}: {}", there.iter().map(name).collect::<Vec<_>>().join("; "));
@@ -272,7 +272,7 @@
             for (a, bound) in there.iter().zip(bounds(&node, &loads, &points)) {
                 let plan = &s.plans[s.volumes[a.volume].plan as usize].name;
                 let bound = bound + waits.get(&a.volume).copied().unwrap_or(0.0);
-                let class = format!("{plan} {}", s.streams[a.stream].name);
+                let class = format!("{plan} {}", s.traffic_classes[a.traffic_class].name);
                 let x = worst.entry(class).or_insert((a.load.latency_objective_s, 0.0, true));
                 *x = (x.0, x.1.max(bound), x.2 && holds);
             }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -71,7 +71,7 @@
             if p.limit > 0.0 { format!("limit {} burst {}", p.limit, p.burst) } else { "no limit".into() };
         println!("plan {}: {limit}, reserve {}, weight {}", p.name, p.reserve, p.weight);
     }
-    for st in &s.streams {
+    for st in &s.traffic_classes {
         let (latency_objective, deadline) = (st.latency_objective.secs() * 1e3, st.deadline.secs() * 1e3);
         println!(
             "traffic class {}: latency objective {latency_objective} ms, deadline {deadline} ms, {:?}",
--- a/crates/client/tests/common/mod.rs
+++ b/crates/client/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use tackmast_standins::model::Nature;
 use tackmast_standins::node::{Marks, Node, NodeSettings};
 use tackmast_standins::tap;
-use tackmast_trace::{EffectKind, Event, Facts, Recorder, StreamFacts};
+use tackmast_trace::{EffectKind, Event, Facts, Recorder, TrafficClassFacts};
 use tackmast_wire::list::{Entry, State};
 
 pub const PATIENCE: Duration = Duration::from_secs(5);
@@ -181,7 +181,7 @@
 
 /// What holds of the settings above.
 fn facts() -> Facts {
-    let stream = |name: &str, effect| StreamFacts {
+    let traffic_class = |name: &str, effect| TrafficClassFacts {
         name: name.into(),
         latency_objective_us: 300_000,
         effect,
@@ -189,10 +189,10 @@
         in_order: false,
     };
     Facts {
-        streams: vec![
-            stream("read", EffectKind::Repeatable),
-            stream("write", EffectKind::Repeatable),
-            stream("log", EffectKind::Unrepeatable),
+        traffic_classes: vec![
+            traffic_class("read", EffectKind::Repeatable),
+            traffic_class("write", EffectKind::Repeatable),
+            traffic_class("log", EffectKind::Unrepeatable),
         ],
         volumes: vec![],
         unit_bytes: 4096,
--- a/crates/config/src/host.rs
+++ b/crates/config/src/host.rs
@@ -303,7 +303,7 @@
 
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct StreamBlock {
+struct TrafficClassBlock {
     #[serde(rename = "slo_ms")]
     latency_objective_ms: f64,
     #[serde(rename = "expiry_ms")]
@@ -319,7 +319,7 @@
 
 /// `stream "name" { ... }`
 #[derive(Debug, Clone, PartialEq)]
-pub struct Stream {
+pub struct TrafficClass {
     pub name: String,
     pub latency_objective: Span,
     /// Time to answer in, where the client negotiates none.
@@ -399,7 +399,7 @@
     pub through: Vec<u32>,
     pub reads: u32,
     pub writes: u32,
-    /// Reads of so many blocks or more are of this stream type.
+    /// Reads of so many blocks or more are of this traffic class.
     pub large: Option<(u32, u32)>,
 }
 
@@ -416,7 +416,7 @@
     pub membership: Option<MembershipBlock>,
     pub plans_live: Option<PlansBlock>,
     pub agreement: Option<AgreementBlock>,
-    pub streams: Vec<Stream>,
+    pub traffic_classes: Vec<TrafficClass>,
     pub plans: Vec<Plan>,
     pub volumes: Vec<Volume>,
 }
@@ -593,8 +593,8 @@
             within("cold_nodes", "", "saved", c.saved, 0.0, 1.0)?;
         }
 
-        let mut streams = Vec::new();
-        for f in doc.blocks::<StreamBlock>("stream", true)? {
+        let mut traffic_classes = Vec::new();
+        for f in doc.blocks::<TrafficClassBlock>("stream", true)? {
             let (s, name) = (f.value, f.label);
             within("stream", &name, "slo_ms", s.latency_objective_ms, 0.1, DAY_S * 1e3)?;
             within("stream", &name, "expiry_ms", s.deadline_ms, host.answer_lead_ms + 10.0, DAY_S * 1e3)?;
@@ -619,7 +619,7 @@
                 let at = Place { kind: "stream", label: &name, name: "order_blocks" };
                 return Err(doc.wrong(&at, 0, "1 block or more"));
             }
-            streams.push(Stream {
+            traffic_classes.push(TrafficClass {
                 latency_objective: Span::from_secs(s.latency_objective_ms / 1e3),
                 deadline: Span::from_secs(s.deadline_ms / 1e3),
                 effect,
@@ -661,8 +661,8 @@
             let wrong = |key: &'static str, found: String, expected: &str| {
                 doc.wrong(&Place { kind: "volume", label: &name, name: key }, found, expected)
             };
-            let stream = |key: &'static str, wanted: &str| {
-                let at = streams.iter().position(|s| s.name == wanted);
+            let traffic_class = |key: &'static str, wanted: &str| {
+                let at = traffic_classes.iter().position(|s| s.name == wanted);
                 at.map(|i| i as u32)
                     .ok_or_else(|| wrong(key, format!("\"{wanted}\""), "the name of a stream block"))
             };
@@ -713,7 +713,7 @@
             }
             let large = match (&v.large_reads, v.large_from_blocks) {
                 (None, None) => None,
-                (Some(name), Some(from)) => Some((from, stream("large_reads", name)?)),
+                (Some(name), Some(from)) => Some((from, traffic_class("large_reads", name)?)),
                 _ => {
                     return Err(wrong(
                         "large_reads",
@@ -731,15 +731,17 @@
                 shards: v.shards,
                 hosts: v.hosts,
                 through: v.through,
-                reads: stream("reads", &v.reads)?,
-                writes: stream("writes", &v.writes)?,
+                reads: traffic_class("reads", &v.reads)?,
+                writes: traffic_class("writes", &v.writes)?,
                 large,
                 name,
             });
         }
-        for (kind, none) in
-            [("stream", streams.is_empty()), ("plan", plans.is_empty()), ("volume", volumes.is_empty())]
-        {
+        for (kind, none) in [
+            ("stream", traffic_classes.is_empty()),
+            ("plan", plans.is_empty()),
+            ("volume", volumes.is_empty()),
+        ] {
             if none {
                 return Err(doc.wrong(
                     &Place { kind, label: "", name: "" },
@@ -759,7 +761,7 @@
             membership,
             plans_live,
             agreement,
-            streams,
+            traffic_classes,
             plans,
             volumes,
         })
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -7,5 +7,5 @@
 pub use document::{ConfigError, Document, Place};
 pub use host::{
     AgreementBlock, Bounds, ColdNodes, HostSettings, Identity, Load, MembershipBlock, OverridesBlock, Plan,
-    PlansBlock, RetryBudget, Stream, Units, Volume,
+    PlansBlock, RetryBudget, TrafficClass, Units, Volume,
 };
--- a/crates/day/src/import.rs
+++ b/crates/day/src/import.rs
@@ -1,4 +1,4 @@
-//! A day of the bench as a script for loopback: the same nodes, volumes, plans, stream types and kinds of trouble, as
+//! A day of the bench as a script for loopback: the same nodes, volumes, plans, traffic classes and kinds of trouble, as
 //! far as both sides know them. What is not carried over stands as comments in the script.
 
 use serde::Deserialize;
--- a/crates/day/src/play.rs
+++ b/crates/day/src/play.rs
@@ -23,7 +23,7 @@
 use tackmast_standins::list::{ListFault, NodeList};
 use tackmast_standins::node::Fault;
 use tackmast_standins::ways::{Party, What};
-use tackmast_trace::{now_us, EffectKind, Event, Facts, Line, Recorder, StreamFacts, VolumeFacts};
+use tackmast_trace::{now_us, EffectKind, Event, Facts, Line, Recorder, TrafficClassFacts, VolumeFacts};
 use tackmast_wire::iscsi::{op, Digests, Pdu, FINAL, READS};
 use tackmast_wire::list::State;
 use tackmast_wire::scsi::Command;
@@ -47,7 +47,7 @@
 /// of a drain, and how far two ends of a socket may differ.
 pub fn facts(s: &HostSettings, answer_slack_s: f64, grace_s: f64, skew_s: f64) -> Facts {
     let us = |seconds: f64| (seconds * 1e6) as u64;
-    let stream = |st: &tackmast_config::Stream| {
+    let traffic_class = |st: &tackmast_config::TrafficClass| {
         let (effect, window) = match st.effect {
             Effect::Repeatable => (EffectKind::Repeatable, 0.0),
             Effect::Unrepeatable => (EffectKind::Unrepeatable, 0.0),
@@ -55,7 +55,7 @@
             Effect::Keyed { group: Group::Zone, window } => (EffectKind::KeyedZone, window.secs()),
             Effect::Keyed { group: Group::Shard, window } => (EffectKind::KeyedShard, window.secs()),
         };
-        StreamFacts {
+        TrafficClassFacts {
             name: st.name.clone(),
             latency_objective_us: us(st.latency_objective.secs()),
             effect,
@@ -71,7 +71,7 @@
     };
     let cold = s.cold.as_ref();
     Facts {
-        streams: s.streams.iter().map(stream).collect(),
+        traffic_classes: s.traffic_classes.iter().map(traffic_class).collect(),
         volumes: s.volumes.iter().map(volume).collect(),
         unit_bytes: s.units.bytes,
         most_units: s.units.most,
@@ -529,7 +529,8 @@
 
     fn end(mut self, seed: u64) -> Played {
         self.wait_for_view();
-        let longest = self.script.settings.streams.iter().map(|s| s.deadline.secs()).fold(0.0, f64::max);
+        let longest =
+            self.script.settings.traffic_classes.iter().map(|s| s.deadline.secs()).fold(0.0, f64::max);
         let slack = self.script.day.answer_slack_ms / 1e3;
         let until = Instant::now() + Duration::from_secs_f64(longest + slack + 0.2);
         while Instant::now() < until && self.flows.iter().any(|f| f.open() > 0) {
@@ -607,10 +608,10 @@
         let mut tallies: BTreeMap<(usize, usize), Tally> = BTreeMap::new();
         let (mut failures, mut checked) = (std::mem::take(&mut self.failures), 0);
         for f in &self.flows {
-            let (streams, wrong, blocks) = f.result();
+            let (traffic_classes, wrong, blocks) = f.result();
             checked += blocks;
             failures.extend(wrong);
-            for (i, t) in streams.iter().enumerate().filter(|(_, t)| t.asked > 0) {
+            for (i, t) in traffic_classes.iter().enumerate().filter(|(_, t)| t.asked > 0) {
                 tallies.entry((f.plan(), i)).or_insert_with(Tally::new).add(t);
             }
         }
@@ -639,8 +640,9 @@
                 failures.push(format!("{found} false deaths; the script takes {}", day.false_deaths));
             }
         }
-        let served =
-            tallies.iter().map(|((p, st), t)| Served::new(&s.plans[*p].name, &s.streams[*st].name, t));
+        let served = tallies
+            .iter()
+            .map(|((p, st), t)| Served::new(&s.plans[*p].name, &s.traffic_classes[*st].name, t));
         Report {
             seed,
             served: served.collect(),
--- a/crates/day/src/report.rs
+++ b/crates/day/src/report.rs
@@ -4,11 +4,12 @@
 use crate::traffic::Tally;
 use serde::Serialize;
 
-/// Service of one plan and stream type.
+/// Service of one plan and traffic class.
 #[derive(Clone, Debug, Serialize)]
 pub struct Served {
     pub plan: String,
-    pub stream: String,
+    #[serde(rename = "stream")]
+    pub traffic_class: String,
     pub asked: u64,
     pub in_time: f64,
     pub done: u64,
@@ -24,11 +25,11 @@
 }
 
 impl Served {
-    pub fn new(plan: &str, stream: &str, t: &Tally) -> Served {
+    pub fn new(plan: &str, traffic_class: &str, t: &Tally) -> Served {
         let at = |q| t.times.value_at_quantile(q) as f64 / 1e3;
         Served {
             plan: plan.to_owned(),
-            stream: stream.to_owned(),
+            traffic_class: traffic_class.to_owned(),
             asked: t.asked,
             in_time: t.in_time as f64 / t.asked.max(1) as f64,
             done: t.done,
@@ -87,7 +88,7 @@
                 f,
                 "{:<12} {:<14} {:>7} {:>8.3} {:>7} {:>8} {:>9} {:>5} {:>9} {:>5} {:>9.2} {:>9.2}",
                 s.plan,
-                s.stream,
+                s.traffic_class,
                 s.asked,
                 s.in_time,
                 s.done,
--- a/crates/day/src/traffic.rs
+++ b/crates/day/src/traffic.rs
@@ -69,7 +69,7 @@
     first_at: u64,
     sent: u64,
     latency_objective_us: u64,
-    stream: usize,
+    traffic_class: usize,
     block: u64,
     blocks: u32,
     version: u64, // 0: a read
@@ -88,7 +88,7 @@
 struct Again {
     at: u64,
     first_at: u64,
-    stream: usize,
+    traffic_class: usize,
     block: u64,
     blocks: u32,
     write: bool,
@@ -165,7 +165,7 @@
             tries: HashMap::new(),
             next: 0,
             chance: oorandom::Rand64::new(u128::from(seed)),
-            tallies: settings.streams.iter().map(|_| Tally::new()).collect(),
+            tallies: settings.traffic_classes.iter().map(|_| Tally::new()).collect(),
             wrong: Vec::new(),
         };
         let seats = |h: &u32| (*h, (0..block.sessions).map(|_| RwLock::new(None)).collect());
@@ -335,17 +335,22 @@
         let blocks = s.chance.rand_range(u64::from(least)..u64::from(most) + 1) as u32;
         let block = self.base + s.chance.rand_range(0..self.block.span_blocks - u64::from(blocks) + 1);
         let write = s.chance.rand_float() >= self.block.reads;
-        let large = self.volume.large.filter(|(from, _)| blocks >= *from && !write).map(|(_, stream)| stream);
-        let stream = large.unwrap_or(if write { self.volume.writes } else { self.volume.reads }) as usize;
-        Again { at, first_at: at, stream, block, blocks, write, tries: 0 }
+        let large = self
+            .volume
+            .large
+            .filter(|(from, _)| blocks >= *from && !write)
+            .map(|(_, traffic_class)| traffic_class);
+        let traffic_class =
+            large.unwrap_or(if write { self.volume.writes } else { self.volume.reads }) as usize;
+        Again { at, first_at: at, traffic_class, block, blocks, write, tries: 0 }
     }
 
     fn send(&self, a: Again) {
         let mut s = lock(&self.state);
         let now = now_us();
-        let st = &self.settings.streams[a.stream];
+        let st = &self.settings.traffic_classes[a.traffic_class];
         if a.tries == 0 {
-            s.tallies[a.stream].asked += 1;
+            s.tallies[a.traffic_class].asked += 1;
         }
         let lead = self.lead.load(Ordering::Relaxed) % self.seats.len();
         let (host, seat) = (s.chance.rand_float(), s.chance.rand_u64() as usize);
@@ -357,7 +362,7 @@
         let seats = &self.seats[host].1;
         let session = seats[seat / 7 % seats.len()].read().unwrap_or_else(PoisonError::into_inner).clone();
         let Some(session) = session.filter(Initiator::is_open) else {
-            s.tallies[a.stream].unreached += 1;
+            s.tallies[a.traffic_class].unreached += 1;
             return;
         };
         s.next += 1;
@@ -371,7 +376,7 @@
         let deadline = self.block.deadline_ms.map_or(st.deadline.secs(), |ms| f64::from(ms) / 1e3);
         let ask = Ask {
             lun: self.volume.lun,
-            stream: a.stream as u32,
+            traffic_class: a.traffic_class as u32,
             block,
             block_bytes: self.volume.block_bytes,
             work,
@@ -382,7 +387,7 @@
             first_at: a.first_at,
             sent: now,
             latency_objective_us,
-            stream: a.stream,
+            traffic_class: a.traffic_class,
             block,
             blocks,
             version,
@@ -395,7 +400,7 @@
         match session.ask(label, &ask, Duration::ZERO) {
             None => {
                 let mut s = lock(&self.state);
-                s.tallies[a.stream].shut += 1;
+                s.tallies[a.traffic_class].shut += 1;
                 s.tries.remove(&label);
                 if a.write {
                     s.registers.wrote(now, block, blocks, version, Some(false));
@@ -406,7 +411,7 @@
                 // No answer is owed any more: what became of it is unknown.
                 let mut s = lock(&self.state);
                 if s.tries.remove(&label).is_some() {
-                    s.tallies[a.stream].lost += 1;
+                    s.tallies[a.traffic_class].lost += 1;
                     s.registers.wrote(now, block, blocks, version, None);
                 }
             }
@@ -432,11 +437,11 @@
                 pruned = now;
             }
             let Some(t) = s.tries.remove(&label) else { continue };
-            let effect = self.settings.streams[t.stream].effect;
-            let (stream, write) = (t.stream, t.version > 0);
+            let effect = self.settings.traffic_classes[t.traffic_class].effect;
+            let (traffic_class, write) = (t.traffic_class, t.version > 0);
             let ran = match &reply {
                 Reply::Done(data) => {
-                    let tally = &mut s.tallies[stream];
+                    let tally = &mut s.tallies[traffic_class];
                     tally.done += 1;
                     let took = now.saturating_sub(t.first_at);
                     tally.in_time += u64::from(took <= t.latency_objective_us);
@@ -454,13 +459,13 @@
                     Some(true)
                 }
                 Reply::Rejected { retry_after_us } => {
-                    s.tallies[stream].rejected += 1;
+                    s.tallies[traffic_class].rejected += 1;
                     if t.tries < self.block.retries {
                         let wait = if self.block.waits { *retry_after_us } else { 0 };
                         let again = Again {
                             at: now + wait,
                             first_at: t.first_at,
-                            stream,
+                            traffic_class,
                             block: t.block,
                             blocks: t.blocks,
                             write,
@@ -476,15 +481,15 @@
                     }
                 }
                 Reply::Failed => {
-                    s.tallies[stream].failed += 1;
+                    s.tallies[traffic_class].failed += 1;
                     None
                 }
                 Reply::Lost => {
-                    s.tallies[stream].lost += 1;
+                    s.tallies[traffic_class].lost += 1;
                     None
                 }
                 Reply::InvalidRequest(sense) => {
-                    s.tallies[stream].invalid += 1;
+                    s.tallies[traffic_class].invalid += 1;
                     let (name, blocks, block) = (&self.name, t.blocks, t.block);
                     let what = format!("traffic {name}: {blocks} blocks at {block} rejected with {sense:?}");
                     s.wrong.push(what);
--- a/crates/day/tests/json_forms.rs
+++ b/crates/day/tests/json_forms.rs
@@ -5,7 +5,7 @@
 fn full_report() -> Report {
     let served = Served {
         plan: "basic".into(),
-        stream: "read".into(),
+        traffic_class: "read".into(),
         asked: 1,
         in_time: 0.5,
         done: 2,
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -162,7 +162,7 @@
 
 impl Client {
     pub fn ask(&self, label: u64, lun: u32, block: u64, work: AskWork) -> Option<u32> {
-        let ask = Ask { lun, stream: 0, block, block_bytes: 512, work, deadline_us: 1_500_000 };
+        let ask = Ask { lun, traffic_class: 0, block, block_bytes: 512, work, deadline_us: 1_500_000 };
         self.initiator.ask(label, &ask, PATIENCE)
     }
     pub fn reply(&self) -> (u64, Reply) {
--- a/crates/hostcore/src/core.rs
+++ b/crates/hostcore/src/core.rs
@@ -23,7 +23,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use tackmast::interface::*;
 use tackmast::policy::Scheduler;
-use tackmast_config::{HostSettings, Stream};
+use tackmast_config::{HostSettings, TrafficClass};
 use tackmast_overrides::{Effective, NodeFacts, Overrides};
 
 /// Parts of the stated figures of cold nodes that the module is told. Within one window its guard lets out its part of
@@ -116,7 +116,7 @@
     /// When a repeat may no longer be known for one: no first byte leaves from then on.
     pub begin_by: Option<Instant>,
     pub mark: u128,
-    /// Order key; 0 where the stream type asks for no order.
+    /// Order key; 0 where the traffic class asks for no order.
     pub key: u64,
     pub volume: u32,
     /// Bytes from the volume's start.
@@ -237,7 +237,7 @@
     from: CommandRef,
     part: u16,
     text: AttemptText,
-    stream: usize,
+    traffic_class: usize,
     deadline: Instant,
     attempts: u32,
     out: Vec<Out>,
@@ -253,7 +253,7 @@
         serial: u64,
         (from, part): (CommandRef, u16),
         text: AttemptText,
-        stream: usize,
+        traffic_class: usize,
         deadline: Instant,
         place: Option<Place>,
     ) -> Self {
@@ -262,7 +262,7 @@
             from,
             part,
             text,
-            stream,
+            traffic_class,
             deadline,
             attempts: 0,
             out: Vec::new(),
@@ -279,7 +279,7 @@
 
 struct Command {
     parts: Vec<(RequestId, Option<PartEnd>, Bytes)>,
-    stream: usize,
+    traffic_class: usize,
     volume: usize,
     marked: bool,
     bytes: usize,
@@ -290,7 +290,7 @@
     scheduler: Scheduler,
     layout: Layout,
     volume_names: VolumeNames,
-    streams: Vec<Stream>,
+    traffic_classes: Vec<TrafficClass>,
     tells: bool,
     lead: Span,
     longest_wait: Span,
@@ -326,8 +326,8 @@
         let tick = Span::from_secs(s.host.tick_ms / 1e3);
         let longest = Span::from_secs(s.load.longest_wait_s);
         let mut scheduler = Scheduler::new(now, seed, s.host.hosts, tick, s.units.mean);
-        for st in &s.streams {
-            scheduler.stream(st.latency_objective, st.effect, st.in_order);
+        for st in &s.traffic_classes {
+            scheduler.traffic_class(st.latency_objective, st.effect, st.in_order);
         }
         for p in &s.plans {
             scheduler.plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
@@ -344,7 +344,7 @@
         }
         scheduler.list_must_be_asked();
         let placed = PlacedSettings {
-            streams: s.streams.clone(),
+            traffic_classes: s.traffic_classes.clone(),
             tells: s.load.tells_others,
             longest_wait: longest,
             grace: Span::from_secs(s.load.drain_grace_ms / 1e3),
@@ -367,7 +367,7 @@
             scheduler,
             layout: Layout::default(),
             volume_names: VolumeNames::new(s.volumes),
-            streams: s.streams,
+            traffic_classes: s.traffic_classes,
             tells: s.tells,
             lead: Span::ZERO,
             longest_wait: s.longest_wait,
--- a/crates/hostcore/src/core/attempts.rs
+++ b/crates/hostcore/src/core/attempts.rs
@@ -55,7 +55,7 @@
     ) {
         let Some(x) = self.requests.get_mut(&id) else { return };
         let until = timeout.map_or(x.deadline, |t| x.deadline.min(now + t));
-        let (no, st) = (x.attempts, &self.streams[x.stream]);
+        let (no, st) = (x.attempts, &self.traffic_classes[x.traffic_class]);
         x.attempts += 1;
         if let Some(place) = x.place.take() {
             self.sharing.sent(place);
--- a/crates/hostcore/src/core/commands.rs
+++ b/crates/hostcore/src/core/commands.rs
@@ -29,9 +29,9 @@
             Work::Write { data } => (true, (data.len() / block_bytes) as u32),
         };
         let (plan, hosts, name) = (PlanId(v.plan), v.hosts, VolumeId(volume as u32));
-        let stream = self.layout.stream(volume, write, blocks);
-        let deadline = began + asked.unwrap_or(self.streams[stream].deadline) - self.lead;
-        let parts = self.layout.parts(volume, stream, block, blocks);
+        let traffic_class = self.layout.traffic_class(volume, write, blocks);
+        let deadline = began + asked.unwrap_or(self.traffic_classes[traffic_class].deadline) - self.lead;
+        let parts = self.layout.parts(volume, traffic_class, block, blocks);
         if self.draining || self.clients_wait(now) {
             return self.refuse(from, Some(self.longest_wait));
         }
@@ -51,7 +51,7 @@
         };
         let ids: Vec<RequestId> = parts.iter().map(|_| self.new_id()).collect();
         let open = ids.iter().map(|id| (*id, None, Bytes::new())).collect();
-        let command = Command { parts: open, stream, volume, marked: mark.is_some(), bytes, write };
+        let command = Command { parts: open, traffic_class, volume, marked: mark.is_some(), bytes, write };
         self.commands.insert(from, command);
         self.sessions.entry(from.session).or_default().insert(from.command);
         let mut taken = 0;
@@ -60,7 +60,7 @@
             let part_data = data.as_ref().map(|d| d.slice(taken..taken + n));
             taken += n;
             let serial = self.serial - (ids.len() - 1 - i) as u64;
-            let line = LineName { shard: spec.shard.0, volume: name.0, stream: stream as u32 };
+            let line = LineName { shard: spec.shard.0, volume: name.0, traffic_class: traffic_class as u32 };
             let place = self.sharing.arrived(line, from.session, spec.units);
             if let Some(f) = &mut self.fellows {
                 f.member.asked(now, lun, spec.units);
@@ -68,7 +68,7 @@
             let tag = place.tag;
             let v = self.layout.volume(volume);
             let text = AttemptText {
-                key: if self.streams[stream].in_order { spec.key } else { 0 },
+                key: if self.traffic_classes[traffic_class].in_order { spec.key } else { 0 },
                 volume: v.lun,
                 offset: spec.block * u64::from(v.block_bytes),
                 units: spec.units,
@@ -79,12 +79,12 @@
             };
             self.requests.insert(
                 *id,
-                PendingRequest::new(serial, (from, i as u16), text, stream, deadline, Some(place)),
+                PendingRequest::new(serial, (from, i as u16), text, traffic_class, deadline, Some(place)),
             );
             self.scheduler.request_arrived(
                 now,
                 *id,
-                StreamId(stream as u32),
+                TrafficClassId(traffic_class as u32),
                 plan,
                 Some(key_id(spec.key)),
                 deadline - now,
@@ -103,7 +103,7 @@
         if self.draining {
             return self.refuse(from, Some(self.longest_wait));
         }
-        let known = self.scheduler.knows(p.stream, p.plan);
+        let known = self.scheduler.knows(p.traffic_class, p.plan);
         if !known || p.left <= Span::ZERO || self.commands.contains_key(&from) {
             return self.refuse(from, None);
         }
@@ -117,18 +117,29 @@
             self.counters.over_bound += 1;
             return self.refuse(from, Some(wait));
         }
-        let (id, stream) = (self.new_id(), p.stream.0 as usize);
+        let (id, traffic_class) = (self.new_id(), p.traffic_class.0 as usize);
         let parts = vec![(id, None, Bytes::new())];
         // The client's own mark stands in the request: it is the same at each of its tries.
-        self.commands.insert(from, Command { parts, stream, volume, marked: true, bytes, write: false });
+        self.commands
+            .insert(from, Command { parts, traffic_class, volume, marked: true, bytes, write: false });
         self.sessions.entry(from.session).or_default().insert(from.command);
         let work = AttemptWork::Request(p.request);
         let text = AttemptText { key: 0, volume: volume as u32, offset: 0, units: p.units, work };
         self.requests
-            .insert(id, PendingRequest::new(self.serial, (from, 0), text, stream, now + p.left, None));
+            .insert(id, PendingRequest::new(self.serial, (from, 0), text, traffic_class, now + p.left, None));
         let (volume, key) = (VolumeId(volume as u32), Some(key_id(p.key)));
-        self.scheduler
-            .request_arrived(now, id, p.stream, p.plan, key, p.left, volume, p.units, p.shard, p.hosts);
+        self.scheduler.request_arrived(
+            now,
+            id,
+            p.traffic_class,
+            p.plan,
+            key,
+            p.left,
+            volume,
+            p.units,
+            p.shard,
+            p.hosts,
+        );
     }
 
     /// The next number that no open request has. Answered ones keep theirs until their last attempt is back.
@@ -222,7 +233,9 @@
         let open = |id: &RequestId| self.requests.get(id).is_some_and(PendingRequest::may_have_run);
         let ends: Vec<PartEnd> =
             c.parts.iter().map(|(id, end, _)| end.unwrap_or(PartEnd::Open { ran: open(id) })).collect();
-        let Some(combined) = combine(self.streams[c.stream].effect, c.marked, &ends) else { return };
+        let Some(combined) = combine(self.traffic_classes[c.traffic_class].effect, c.marked, &ends) else {
+            return;
+        };
         let Some(c) = self.commands.remove(&from) else { return };
         self.forget_command(now, from, &c);
         let verdict = match combined {
--- a/crates/hostcore/src/layout.rs
+++ b/crates/hostcore/src/layout.rs
@@ -1,4 +1,4 @@
-//! Where a command's blocks lie: which extents it touches, the shard and the order key of each, its stream type
+//! Where a command's blocks lie: which extents it touches, the shard and the order key of each, its traffic class
 //! and its units.
 
 use tackmast::interface::{KeyId, ShardId};
@@ -28,10 +28,10 @@
 impl Layout {
     pub fn new(s: &HostSettings) -> Self {
         let granules = s.volumes.iter().map(|v| {
-            let order = |st: &tackmast_config::Stream| {
+            let order = |st: &tackmast_config::TrafficClass| {
                 st.in_order.then(|| st.order_blocks.unwrap_or(v.extent_blocks).min(v.extent_blocks))
             };
-            s.streams.iter().map(order).collect()
+            s.traffic_classes.iter().map(order).collect()
         });
         Layout {
             granules: granules.collect(),
@@ -64,9 +64,10 @@
         &self.volumes[volume]
     }
 
-    pub fn stream(&self, volume: usize, write: bool, blocks: u32) -> usize {
+    pub fn traffic_class(&self, volume: usize, write: bool, blocks: u32) -> usize {
         let v = &self.volumes[volume];
-        let read = v.large.filter(|(from, _)| blocks >= *from).map_or(v.reads, |(_, stream)| stream);
+        let read =
+            v.large.filter(|(from, _)| blocks >= *from).map_or(v.reads, |(_, traffic_class)| traffic_class);
         if write {
             v.writes as usize
         } else {
@@ -85,9 +86,9 @@
     }
 
     /// The parts of a command, in the order of its blocks.
-    pub fn parts(&self, volume: usize, stream: usize, block: u64, blocks: u32) -> Vec<Part> {
+    pub fn parts(&self, volume: usize, traffic_class: usize, block: u64, blocks: u32) -> Vec<Part> {
         let v = &self.volumes[volume];
-        let granule = self.granules[volume][stream];
+        let granule = self.granules[volume][traffic_class];
         let mut parts = Vec::new();
         let (mut at, end) = (block, block + u64::from(blocks));
         while at < end {
@@ -177,14 +178,17 @@
             (1, 38, 4, &[(38, 2, 5, 1.0), (40, 2, 5, 1.0)]),
             (1, 70, 40, &[(70, 10, 5, 2.0), (80, 20, 5, 3.0), (100, 10, 7, 2.0)]),
         ];
-        for (stream, block, blocks, expected) in cases {
-            let parts = l.parts(0, *stream, *block, *blocks);
+        for (traffic_class, block, blocks, expected) in cases {
+            let parts = l.parts(0, *traffic_class, *block, *blocks);
             let found: Vec<_> = parts.iter().map(|p| (p.block, p.blocks, p.shard.0, p.units)).collect();
-            assert_eq!(&found, expected, "stream {stream} at {block} for {blocks}");
+            assert_eq!(&found, expected, "stream {traffic_class} at {block} for {blocks}");
         }
         assert_eq!(l.parts(0, 1, 41, 1)[0].key, l.parts(0, 1, 79, 1)[0].key, "one granule, one key");
         assert_ne!(l.parts(0, 1, 39, 1)[0].key, l.parts(0, 1, 40, 1)[0].key);
         assert_eq!(l.most_blocks(0), 120, "three whole granules of 40 and two cut ones are four parts");
-        assert_eq!((l.stream(0, true, 64), l.stream(0, false, 63), l.stream(0, false, 64)), (1, 0, 1));
+        assert_eq!(
+            (l.traffic_class(0, true, 64), l.traffic_class(0, false, 63), l.traffic_class(0, false, 64)),
+            (1, 0, 1)
+        );
     }
 }
--- a/crates/hostcore/src/placed.rs
+++ b/crates/hostcore/src/placed.rs
@@ -1,10 +1,10 @@
-//! Requests that arrive already placed: their client names volume, plan, stream type, shard and key, and the host only
+//! Requests that arrive already placed: their client names volume, plan, traffic class, shard and key, and the host only
 //! decides when and whether they leave. What they ask of the node is opaque here.
 
 use bytes::Bytes;
 use std::collections::HashMap;
-use tackmast::interface::{Instant, PlanId, ShardId, Span, StreamId};
-use tackmast_config::Stream;
+use tackmast::interface::{Instant, PlanId, ShardId, Span, TrafficClassId};
+use tackmast_config::TrafficClass;
 
 /// What is written to a node: the protocol's own, but for the time left, which each attempt adds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 pub struct Placed {
     pub volume: u64,
     pub plan: PlanId,
-    pub stream: StreamId,
+    pub traffic_class: TrafficClassId,
     /// None: a new object, for any node.
     pub shard: Option<ShardId>,
     pub key: u64,
@@ -37,7 +37,7 @@
 /// What a core is told that has no volumes of its own.
 #[derive(Clone, Debug)]
 pub struct PlacedSettings {
-    pub streams: Vec<Stream>,
+    pub traffic_classes: Vec<TrafficClass>,
     pub tells: bool,
     pub longest_wait: Span,
     /// Of a node that drains.
--- a/crates/hostcore/src/plans.rs
+++ b/crates/hostcore/src/plans.rs
@@ -8,7 +8,7 @@
 use tackmast_config::{HostSettings, PlansBlock};
 use tackmast_membership::{MOST_BYTES, MOST_PAPERS};
 use tackmast_plans::{
-    Agreed, Catalogue, Change, Command, Entry, Fleet, Plan, Step, StreamType, Trail, TrailError, Volume,
+    Agreed, Catalogue, Change, Command, Entry, Fleet, Plan, Step, TrafficClass, Trail, TrailError, Volume,
 };
 
 /// Asks that may wait for the one before them to be kept.
@@ -134,13 +134,13 @@
         let (limit, burst, slack, reserve, weight) = (p.limit, p.burst, p.slack, p.reserve, p.weight);
         c.plans.insert(p.name.clone(), Plan { limit, burst, slack, reserve, weight, floor: p.floor });
     }
-    for st in &s.streams {
+    for st in &s.traffic_classes {
         let (latency_objective_ms, deadline_ms) =
             (st.latency_objective.secs() * 1e3, st.deadline.secs() * 1e3);
-        c.streams.insert(st.name.clone(), StreamType { latency_objective_ms, deadline_ms });
+        c.traffic_classes.insert(st.name.clone(), TrafficClass { latency_objective_ms, deadline_ms });
     }
     for v in &s.volumes {
-        let stream = |i: u32| s.streams[i as usize].name.clone();
+        let traffic_class = |i: u32| s.traffic_classes[i as usize].name.clone();
         let volume = Volume {
             lun: v.lun,
             plan: s.plans[v.plan as usize].name.clone(),
@@ -148,8 +148,8 @@
             extent_blocks: v.extent_blocks,
             shards: v.shards.clone(),
             through: v.through.clone(),
-            reads: stream(v.reads),
-            writes: stream(v.writes),
+            reads: traffic_class(v.reads),
+            writes: traffic_class(v.writes),
         };
         c.volumes.insert(v.name.clone(), volume);
     }
--- a/crates/hostcore/src/sharing.rs
+++ b/crates/hostcore/src/sharing.rs
@@ -1,5 +1,5 @@
 //! How the sessions of one volume share it: a tag for each request, by which the decision module orders those that wait
-//! for the same volume, stream type and shard.
+//! for the same volume, traffic class and shard.
 //!
 //! Start-time fair queueing: a request's tag is the virtual time at which its session's work before it would end, and
 //! no earlier than the tag that left last. So one session with thousands of requests waiting stands behind the first
@@ -10,12 +10,12 @@
 /// The least number of sessions remembered by a line before those that count no more are looked for.
 const FORGET_AT: usize = 64;
 
-/// What waits for the same shard, volume and stream type.
+/// What waits for the same shard, volume and traffic class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LineName {
     pub shard: u32,
     pub volume: u32,
-    pub stream: u32,
+    pub traffic_class: u32,
 }
 
 /// A request's place in its line, to be given back once: by `sent` or by `left`.
@@ -124,7 +124,7 @@
     use super::*;
     use proptest::prelude::*;
 
-    const LINE: LineName = LineName { shard: 1, volume: 2, stream: 3 };
+    const LINE: LineName = LineName { shard: 1, volume: 2, traffic_class: 3 };
 
     /// Serves what waits by tag, ties by arrival, until so many units went; units served of each session.
     fn serve(s: &mut Sharing, waiting: &mut Vec<Place>, units: f64) -> BTreeMap<u32, f64> {
--- a/crates/hostcore/tests/placed.rs
+++ b/crates/hostcore/tests/placed.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use tackmast::interface::*;
 use tackmast::policy::Scheduler;
-use tackmast_config::Stream;
+use tackmast_config::TrafficClass;
 use tackmast_hostcore::*;
 
 fn at(s: f64) -> Instant {
@@ -29,12 +29,12 @@
         let now = at(10.0);
         let mut scheduler = Scheduler::new(now, 1, 1, span(0.002), 2.0);
         scheduler.plan(0.0, 0.0, 0.0, 0.0, 1.0);
-        let streams: Vec<Stream> = EFFECTS
+        let traffic_classes: Vec<TrafficClass> = EFFECTS
             .iter()
             .map(|effect| {
-                scheduler.stream(span(0.3), *effect, false);
+                scheduler.traffic_class(span(0.3), *effect, false);
                 let (name, latency_objective, deadline) = (String::new(), span(0.3), span(1.0));
-                Stream {
+                TrafficClass {
                     name,
                     latency_objective,
                     deadline,
@@ -46,8 +46,16 @@
             .collect();
         scheduler.attempt_limits(3, span(0.5), Span::ZERO);
         let (tells, longest_wait, grace) = (true, span(0.5), span(1.0));
-        let settings =
-            PlacedSettings { streams, tells, longest_wait, grace, requests, bytes: 1 << 20, nodes, volumes };
+        let settings = PlacedSettings {
+            traffic_classes,
+            tells,
+            longest_wait,
+            grace,
+            requests,
+            bytes: 1 << 20,
+            nodes,
+            volumes,
+        };
         let mut rig = Rig {
             core: Core::placed(now, scheduler, settings, 1),
             sent: vec![],
@@ -73,11 +81,11 @@
         self.pull(now);
     }
 
-    fn ask(&mut self, now: Instant, command: u32, stream: u32, volume: u64) {
+    fn ask(&mut self, now: Instant, command: u32, traffic_class: u32, volume: u64) {
         let placed = Placed {
             volume,
             plan: PlanId(0),
-            stream: StreamId(stream),
+            traffic_class: TrafficClassId(traffic_class),
             shard: Some(ShardId(0)),
             key: u64::from(command),
             units: 1.0,
@@ -150,9 +158,9 @@
         (Outcome::Full, ["again", "again", "again"]),
     ];
     for (outcome, expected) in cases {
-        for (stream, expected) in expected.into_iter().enumerate() {
+        for (traffic_class, expected) in expected.into_iter().enumerate() {
             let mut r = Rig::new(8, 8, 8);
-            r.ask(at(10.0), 1, stream as u32, 77);
+            r.ask(at(10.0), 1, traffic_class as u32, 77);
             let attempt = r.write();
             r.back(at(10.01), attempt, outcome, b"");
             r.pass(at(10.01), 0.1);
@@ -160,9 +168,9 @@
                 ([], 1) => "again",
                 ([(1, Verdict::Failed)], 0) => "failed",
                 ([(1, Verdict::Rejected { .. })], 0) => "rejected",
-                other => panic!("{outcome:?} {stream}: {other:?}"),
+                other => panic!("{outcome:?} {traffic_class}: {other:?}"),
             };
-            assert_eq!(found, expected, "{outcome:?}, effect {stream}");
+            assert_eq!(found, expected, "{outcome:?}, effect {traffic_class}");
         }
     }
 }
--- a/crates/httphost/src/serve.rs
+++ b/crates/httphost/src/serve.rs
@@ -19,7 +19,7 @@
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, Span};
-use tackmast_config::Stream;
+use tackmast_config::TrafficClass;
 use tackmast_hostcore::{
     Age, AttemptResult, CommandRef, Core, Counters, ListEntry, Output, Placed, PlacedSettings,
 };
@@ -126,7 +126,7 @@
         let ready =
             listener.set_nonblocking(true).and_then(|()| poller.add(&listener, Token::Listener, READ));
         ready.map_err(|e| format!("listen: {}: {e}", c.listen))?;
-        let streams = s.streams.iter().map(|st| Stream {
+        let traffic_classes = s.traffic_classes.iter().map(|st| TrafficClass {
             name: st.name.clone(),
             latency_objective: st.latency_objective,
             deadline: st.deadline,
@@ -135,7 +135,7 @@
             order_blocks: None,
         });
         let placed = PlacedSettings {
-            streams: streams.collect(),
+            traffic_classes: traffic_classes.collect(),
             tells: s.tells,
             longest_wait: s.longest_wait,
             grace: s.drain_grace,
@@ -184,7 +184,7 @@
             back: Vec::new(),
             swept: now,
             ending: None,
-            ends: Ending::new(s.streams.iter().map(|st| st.deadline).max().unwrap_or(Span::ZERO)),
+            ends: Ending::new(s.traffic_classes.iter().map(|st| st.deadline).max().unwrap_or(Span::ZERO)),
             step: Step::Serves,
             peers,
             known_again: 0,
--- a/crates/httphost/src/serve/requests.rs
+++ b/crates/httphost/src/serve/requests.rs
@@ -7,7 +7,7 @@
         for _ in 0..ACCEPTS {
             let Some(listener) = &self.listener else { return };
             match listener.accept() {
-                Ok((stream, _)) => self.clients.accepted(now, &self.poller, stream),
+                Ok((traffic_class, _)) => self.clients.accepted(now, &self.poller, traffic_class),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(_) => {
@@ -85,7 +85,7 @@
         let placed = Placed {
             volume: call.volume,
             plan: call.plan,
-            stream: call.stream,
+            traffic_class: call.traffic_class,
             shard: call.shard,
             key: call.key,
             units: call.units,
--- a/crates/lab/src/plain.rs
+++ b/crates/lab/src/plain.rs
@@ -53,7 +53,7 @@
     part: u16,
     spec: Part,
     volume: usize,
-    stream: usize,
+    traffic_class: usize,
     data: Option<Bytes>,
     deadline: Instant,
     node: Option<NodeId>,
@@ -96,11 +96,11 @@
             Work::Read { blocks } => (false, *blocks),
             Work::Write { data } => (true, (data.len() / size) as u32),
         };
-        let stream = self.layout.stream(volume, write, blocks);
-        let deadline = now + asked.unwrap_or(self.settings.streams[stream].deadline);
+        let traffic_class = self.layout.traffic_class(volume, write, blocks);
+        let deadline = now + asked.unwrap_or(self.settings.traffic_classes[traffic_class].deadline);
         let mut ids = Vec::new();
         let mut taken = 0;
-        for (i, spec) in self.layout.parts(volume, stream, block, blocks).into_iter().enumerate() {
+        for (i, spec) in self.layout.parts(volume, traffic_class, block, blocks).into_iter().enumerate() {
             self.serial += 1;
             let bytes = spec.blocks as usize * size;
             let data = match work {
@@ -113,7 +113,7 @@
             self.until.insert((deadline, self.serial));
             self.requests.insert(
                 self.serial,
-                PendingRequest { from, part, spec, volume, stream, data, deadline, node, done },
+                PendingRequest { from, part, spec, volume, traffic_class, data, deadline, node, done },
             );
             ids.push(self.serial);
         }
@@ -152,7 +152,8 @@
             let never = !b.outcome.may_have_run();
             let alone = self.commands.get(&from).is_some_and(|ids| ids.len() == 1);
             let safe = never && alone
-                || self.settings.streams[x.stream].effect == tackmast::interface::Effect::Repeatable;
+                || self.settings.traffic_classes[x.traffic_class].effect
+                    == tackmast::interface::Effect::Repeatable;
             self.forget(from);
             return self
                 .answer(from, if safe { Verdict::Rejected { retry_after: None } } else { Verdict::Failed });
@@ -261,7 +262,7 @@
             until: x.deadline,
             begin_by: None,
             mark: 0,
-            key: if self.settings.streams[x.stream].in_order { x.spec.key } else { 0 },
+            key: if self.settings.traffic_classes[x.traffic_class].in_order { x.spec.key } else { 0 },
             volume: v.lun,
             offset: x.spec.block * u64::from(v.block_bytes),
             units: x.spec.units,
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -62,14 +62,16 @@
         let (mut level, mut level_at, mut drew) = (0.0f64, first, std::collections::BTreeSet::new());
         for l in &run.trace {
             match &l.event {
-                Event::Submit { host, session, command, stream, .. } => {
+                Event::Submit { host, session, command, traffic_class, .. } => {
                     s.asked[place(l.t)] += 1.0;
-                    open.insert((*host, *session, *command), (l.t, *stream as usize));
+                    open.insert((*host, *session, *command), (l.t, *traffic_class as usize));
                 }
                 Event::Answer { host, session, command, kind, .. } => {
-                    let Some((t, stream)) = open.remove(&(*host, *session, *command)) else { continue };
+                    let Some((t, traffic_class)) = open.remove(&(*host, *session, *command)) else {
+                        continue;
+                    };
                     let latency_objective =
-                        facts.streams.get(stream).map_or(u64::MAX, |s| s.latency_objective_us);
+                        facts.traffic_classes.get(traffic_class).map_or(u64::MAX, |s| s.latency_objective_us);
                     s.in_time[place(t)] +=
                         f64::from(u8::from(*kind == AnswerKind::Done && l.t - t <= latency_objective));
                     s.rejected[place(t)] += f64::from(u8::from(*kind == AnswerKind::Rejected));
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -80,7 +80,7 @@
     PlanIgnored,
 }
 
-/// Answers of one plan and stream type.
+/// Answers of one plan and traffic class.
 #[derive(Clone, Debug)]
 pub struct Class {
     pub asked: u64,
@@ -107,7 +107,7 @@
 }
 
 pub struct Run {
-    /// By plan and stream type.
+    /// By plan and traffic class.
     pub classes: BTreeMap<String, Class>,
     /// The same for first tries of a script's traffic, with what later tries made of them.
     pub firsts: BTreeMap<String, Class>,
@@ -474,7 +474,7 @@
             most_open: (0, 0, 0),
         },
     };
-    let windows = sim.settings[0].streams.iter().filter_map(|s| match s.effect {
+    let windows = sim.settings[0].traffic_classes.iter().filter_map(|s| match s.effect {
         tackmast::interface::Effect::Keyed { window, .. } => Some((window.secs() * 1e6) as Us),
         _ => None,
     });
@@ -550,7 +550,7 @@
             self.push(start + t.at_us, Event::Trouble(i, true));
             self.push(start + t.at_us + t.for_us, Event::Trouble(i, false));
         }
-        let longest = self.settings[0].streams.iter().map(|s| s.deadline.secs()).fold(0.0, f64::max);
+        let longest = self.settings[0].traffic_classes.iter().map(|s| s.deadline.secs()).fold(0.0, f64::max);
         let after = AFTER.max((longest * 1e6) as Us + 1_300_000);
         let end = start + (self.w.seconds * 1e6) as Us + after;
         while let Some(Reverse((t, _, e))) = self.queue.pop() {
--- a/crates/lab/src/sim/account.rs
+++ b/crates/lab/src/sim/account.rs
@@ -11,16 +11,16 @@
         let (mut limited, mut classes) = (0.0, BTreeMap::<usize, Class>::new());
         let mut attempts: BTreeMap<AttemptName, (f64, u32)> = BTreeMap::new();
         let s = &self.settings[0];
-        let streams = s.streams.len();
+        let traffic_classes = s.traffic_classes.len();
         let limit_of = |lun: u32| {
             let v = s.volumes.iter().find(|v| v.lun == lun);
             v.map_or(0.0, |v| s.plans[v.plan as usize].limit)
         };
         for l in &self.run.trace {
             match &l.event {
-                Seen::Submit { host, session, command, volume, stream, .. } => {
+                Seen::Submit { host, session, command, volume, traffic_class, .. } => {
                     let plan = s.volumes.iter().find(|v| v.lun == *volume).map_or(0, |v| v.plan);
-                    let class = plan as usize * streams + *stream as usize;
+                    let class = plan as usize * traffic_classes + *traffic_class as usize;
                     classes.entry(class).or_default().asked += 1;
                     open.insert((*host, *session, *command), (l.t, class));
                 }
@@ -46,8 +46,9 @@
                     if let Some((t, class)) = open.remove(&(*host, *session, *command)) {
                         let c = classes.entry(class).or_default();
                         c.done += 1;
-                        let in_time =
-                            l.t - t <= (s.streams[class % streams].latency_objective.secs() * 1e6) as Us;
+                        let in_time = l.t - t
+                            <= (s.traffic_classes[class % traffic_classes].latency_objective.secs() * 1e6)
+                                as Us;
                         c.in_time += u64::from(in_time);
                         _ = c.times.record((l.t - t).max(1));
                         if in_time {
@@ -61,7 +62,9 @@
         self.run.wasted_units = served.values().sum();
         let limit: f64 = s.volumes.iter().map(|v| limit_of(v.lun)).sum();
         self.run.limit_used = limited / (limit * self.w.seconds).max(1e-9);
-        let name = |c: usize| format!("{} {}", s.plans[c / streams].name, s.streams[c % streams].name);
+        let name = |c: usize| {
+            format!("{} {}", s.plans[c / traffic_classes].name, s.traffic_classes[c % traffic_classes].name)
+        };
         self.run.classes = classes.into_iter().map(|(c, x)| (name(c), x)).collect();
     }
 
--- a/crates/lab/src/sim/arrivals.rs
+++ b/crates/lab/src/sim/arrivals.rs
@@ -39,19 +39,20 @@
         self.beside(h, lun, write, block, blocks);
     }
 
-    /// Plan and stream type, by name.
+    /// Plan and traffic class, by name.
     pub(super) fn class_of(&self, lun: u32, write: bool, blocks: u32) -> String {
         let s = &self.settings[0];
-        let (stream, volume) = self.stream_of(lun, write, blocks);
-        format!("{} {}", s.plans[s.volumes[volume].plan as usize].name, s.streams[stream].name)
+        let (traffic_class, volume) = self.traffic_class_of(lun, write, blocks);
+        format!("{} {}", s.plans[s.volumes[volume].plan as usize].name, s.traffic_classes[traffic_class].name)
     }
 
-    /// The stream type of a command, and its volume's place.
-    pub(super) fn stream_of(&self, lun: u32, write: bool, blocks: u32) -> (usize, usize) {
+    /// The traffic class of a command, and its volume's place.
+    pub(super) fn traffic_class_of(&self, lun: u32, write: bool, blocks: u32) -> (usize, usize) {
         let s = &self.settings[0];
         let volume = s.volumes.iter().position(|v| v.lun == lun).unwrap_or(0);
         let v = &s.volumes[volume];
-        let large = v.large.filter(|(from, _)| blocks >= *from && !write).map(|(_, stream)| stream);
+        let large =
+            v.large.filter(|(from, _)| blocks >= *from && !write).map(|(_, traffic_class)| traffic_class);
         (large.unwrap_or(if write { v.writes } else { v.reads }) as usize, volume)
     }
 
@@ -65,10 +66,10 @@
             return self.push(self.now + wait, Event::Again(number));
         }
         let Some(t) = self.tries.remove(&number) else { return };
-        let (stream, _) = self.stream_of(t.ask.lun, t.ask.write, t.ask.blocks);
+        let (traffic_class, _) = self.traffic_class_of(t.ask.lun, t.ask.write, t.ask.blocks);
         let name = self.class_of(t.ask.lun, t.ask.write, t.ask.blocks);
         let (latency_objective, took) =
-            (self.settings[0].streams[stream].latency_objective, self.now - first);
+            (self.settings[0].traffic_classes[traffic_class].latency_objective, self.now - first);
         let c = self.run.firsts.entry(name).or_default();
         match kind {
             AnswerKind::Done => {
@@ -146,8 +147,8 @@
             Work::Read { blocks } => (false, u64::from(*blocks) * 512),
             Work::Write { data } => (true, data.len() as u64),
         };
-        let (stream, _) = self.stream_of(lun, write, (bytes / 512) as u32);
-        let st = &self.settings[0].streams[stream];
+        let (traffic_class, _) = self.traffic_class_of(lun, write, (bytes / 512) as u32);
+        let st = &self.settings[0].traffic_classes[traffic_class];
         let (latency_objective, deadline) =
             ((st.latency_objective.secs() * 1e6) as Us, (st.deadline.secs() * 1e6) as Us);
         self.run.asked += 1;
@@ -159,7 +160,7 @@
             session,
             command,
             volume: lun,
-            stream: stream as u32,
+            traffic_class: traffic_class as u32,
             write,
             offset: block * 512,
             bytes,
--- a/crates/measure/src/core_cost.rs
+++ b/crates/measure/src/core_cost.rs
@@ -126,8 +126,8 @@
 
 fn module(settings: &HostSettings, requests: u64) -> f64 {
     let mut s = Scheduler::new(seconds(0), 1, 1, Span::from_secs(0.002), settings.units.mean);
-    for st in &settings.streams {
-        s.stream(st.latency_objective, st.effect, st.in_order);
+    for st in &settings.traffic_classes {
+        s.traffic_class(st.latency_objective, st.effect, st.in_order);
     }
     for p in &settings.plans {
         s.plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
@@ -150,7 +150,18 @@
             let (id, shard) = (RequestId(sent as u32), ShardId((sent % u64::from(NODES)) as u32));
             let key = Some(KeyId(sent as u32 % 100_000));
             let left = Span::from_secs(5.0);
-            s.request_arrived(now, id, StreamId(0), PlanId(0), key, left, VolumeId(0), 1.0, Some(shard), 1);
+            s.request_arrived(
+                now,
+                id,
+                TrafficClassId(0),
+                PlanId(0),
+                key,
+                left,
+                VolumeId(0),
+                1.0,
+                Some(shard),
+                1,
+            );
             sent += 1;
         }
         while let Some(d) = s.next_decision(now) {
--- a/crates/measure/src/load.rs
+++ b/crates/measure/src/load.rs
@@ -100,7 +100,7 @@
             sent.insert(label, now_us());
             let work = AskWork::Read { blocks: self.blocks };
             let block = draw % 100_000 * 8;
-            let ask = Ask { lun: 0, stream: 0, block, block_bytes: 512, work, deadline_us: 0 };
+            let ask = Ask { lun: 0, traffic_class: 0, block, block_bytes: 512, work, deadline_us: 0 };
             client.ask(label, &ask, Duration::from_secs(1))
         };
         let mut open = 0;
--- a/crates/planner/src/fit.rs
+++ b/crates/planner/src/fit.rs
@@ -3,7 +3,7 @@
 use crate::curve::{Curve, Point};
 use microlp::{ComparisonOp, OptimizationDirection, Problem, SolveOutcome};
 
-/// What a volume asks of one stream type at one shard.
+/// What a volume asks of one traffic class at one shard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
     pub name: String,
--- a/crates/plans/src/catalogue.rs
+++ b/crates/plans/src/catalogue.rs
@@ -50,7 +50,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct StreamType {
+pub struct TrafficClass {
     #[serde(rename = "slo_ms")]
     pub latency_objective_ms: f64,
     #[serde(rename = "expiry_ms")]
@@ -61,9 +61,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Step {
-    Plan { name: String, to: Option<Plan> },
-    Volume { name: String, to: Option<Volume> },
-    Stream { name: String, to: Option<StreamType> },
+    Plan {
+        name: String,
+        to: Option<Plan>,
+    },
+    Volume {
+        name: String,
+        to: Option<Volume>,
+    },
+    #[serde(rename = "stream")]
+    TrafficClass {
+        name: String,
+        to: Option<TrafficClass>,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -115,7 +125,8 @@
     pub version: u64,
     pub plans: BTreeMap<String, Plan>,
     pub volumes: BTreeMap<String, Volume>,
-    pub streams: BTreeMap<String, StreamType>,
+    #[serde(rename = "streams")]
+    pub traffic_classes: BTreeMap<String, TrafficClass>,
     /// The version at which each thing was last set or taken away.
     moved: BTreeMap<String, u64>,
 }
@@ -137,13 +148,13 @@
         match self {
             Step::Plan { name, .. } => format!("plan {name}"),
             Step::Volume { name, .. } => format!("volume {name}"),
-            Step::Stream { name, .. } => format!("stream {name}"),
+            Step::TrafficClass { name, .. } => format!("stream {name}"),
         }
     }
 
     fn name(&self) -> &str {
         match self {
-            Step::Plan { name, .. } | Step::Volume { name, .. } | Step::Stream { name, .. } => name,
+            Step::Plan { name, .. } | Step::Volume { name, .. } | Step::TrafficClass { name, .. } => name,
         }
     }
 
@@ -207,8 +218,8 @@
             Step::Volume { name, to } => {
                 Step::Volume { name: name.clone(), to: put(&mut self.volumes, name, to) }
             }
-            Step::Stream { name, to } => {
-                Step::Stream { name: name.clone(), to: put(&mut self.streams, name, to) }
+            Step::TrafficClass { name, to } => {
+                Step::TrafficClass { name: name.clone(), to: put(&mut self.traffic_classes, name, to) }
             }
         }
     }
@@ -254,7 +265,7 @@
                 return Err(wrong(at("reserve"), p.reserve, &format!("at most the limit, {}", p.limit)));
             }
         }
-        for (name, s) in &self.streams {
+        for (name, s) in &self.traffic_classes {
             if !(s.latency_objective_ms > 0.0
                 && s.latency_objective_ms <= s.deadline_ms
                 && s.deadline_ms.is_finite())
@@ -278,9 +289,9 @@
             let Some(p) = self.plans.get(&v.plan) else {
                 return Err(wrong(at("plan"), format!("{:?}", v.plan), "the name of a plan"));
             };
-            for (field, stream) in [("reads", &v.reads), ("writes", &v.writes)] {
-                if !self.streams.contains_key(stream) {
-                    return Err(wrong(at(field), format!("{stream:?}"), "the name of a stream type"));
+            for (field, traffic_class) in [("reads", &v.reads), ("writes", &v.writes)] {
+                if !self.traffic_classes.contains_key(traffic_class) {
+                    return Err(wrong(at(field), format!("{traffic_class:?}"), "the name of a stream type"));
                 }
             }
             if v.blocks == 0 || v.extent_blocks == 0 || v.shards.is_empty() {
@@ -334,7 +345,7 @@
         if let Some(name) = to.volumes.keys().find(|n| !self.volumes.contains_key(*n)) {
             return Err(wrong(format!("volume {name}"), "added", expected));
         }
-        if self.streams != to.streams {
+        if self.traffic_classes != to.traffic_classes {
             return Err(wrong("streams".into(), "moved", expected));
         }
         Ok(())
@@ -358,7 +369,7 @@
             names.into_iter().filter_map(line).collect()
         }
         let mut all = lines("plan", &self.plans, &to.plans);
-        all.extend(lines("stream", &self.streams, &to.streams));
+        all.extend(lines("stream", &self.traffic_classes, &to.traffic_classes));
         all.extend(lines("volume", &self.volumes, &to.volumes));
         all
     }
--- a/crates/plans/tests/plans.rs
+++ b/crates/plans/tests/plans.rs
@@ -28,10 +28,10 @@
     Step::Volume { name: name.into(), to }
 }
 
-fn stream(name: &str) -> Step {
-    Step::Stream {
+fn traffic_class(name: &str) -> Step {
+    Step::TrafficClass {
         name: name.into(),
-        to: Some(StreamType { latency_objective_ms: 100.0, deadline_ms: 1000.0 }),
+        to: Some(TrafficClass { latency_objective_ms: 100.0, deadline_ms: 1000.0 }),
     }
 }
 
@@ -52,8 +52,8 @@
 fn begun() -> Trail {
     let mut t = Trail::default();
     let steps = vec![
-        stream("read"),
-        stream("write"),
+        traffic_class("read"),
+        traffic_class("write"),
         set_plan("basic", Some(plan(20.0))),
         set_plan("premium", Some(plan(0.0))),
         set_volume("school", Some(volume(1, "basic"))),
--- a/crates/plans/tests/stored_format.rs
+++ b/crates/plans/tests/stored_format.rs
@@ -8,7 +8,7 @@
 use std::fmt::Debug;
 use std::path::{Path, PathBuf};
 use tackmast_plans::{
-    Agreed, Anchor, Catalogue, Change, Command, Fleet, Plan, Step, StreamType, Trail, Volume,
+    Agreed, Anchor, Catalogue, Change, Command, Fleet, Plan, Step, TrafficClass, Trail, Volume,
 };
 
 const WRITE_FIXTURES: &str = "TACKMAST_WRITE_FIXTURE";
@@ -47,10 +47,10 @@
     }
 }
 
-fn stream(name: &str) -> Step {
-    Step::Stream {
+fn traffic_class(name: &str) -> Step {
+    Step::TrafficClass {
         name: name.into(),
-        to: Some(StreamType { latency_objective_ms: 100.0, deadline_ms: 1000.0 }),
+        to: Some(TrafficClass { latency_objective_ms: 100.0, deadline_ms: 1000.0 }),
     }
 }
 
@@ -69,8 +69,8 @@
 /// Changes of every kind of step: set, set anew, taken away.
 fn changes() -> Vec<Change> {
     let first = vec![
-        stream("read"),
-        stream("write"),
+        traffic_class("read"),
+        traffic_class("write"),
         set_plan("basic", Some(plan(20.0, None))),
         set_plan("premium", Some(plan(0.0, Some(12.5)))),
         set_volume("school", Some(volume(1, "basic"))),
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn plans_volumes_streams_and_fleets() {
+fn plans_volumes_traffic_classes_and_fleets() {
     assert_form(&plan(20.0, None), r#"{"limit":20.0,"burst":60.0,"slack":8.5,"reserve":5.0,"weight":1.0}"#);
     assert_form(
         &plan(20.0, Some(4.5)),
@@ -224,7 +224,10 @@
         &volume(1, "basic"),
         r#"{"lun":1,"plan":"basic","blocks":100,"extent_blocks":10,"shards":[0,1],"through":[0,1],"reads":"read","writes":"write"}"#,
     );
-    assert_form(&stream("read"), r#"{"stream":{"name":"read","to":{"slo_ms":100.0,"expiry_ms":1000.0}}}"#);
+    assert_form(
+        &traffic_class("read"),
+        r#"{"stream":{"name":"read","to":{"slo_ms":100.0,"expiry_ms":1000.0}}}"#,
+    );
     assert_form(&set_plan("spare", None), r#"{"plan":{"name":"spare","to":null}}"#);
     assert_form(&set_volume("school", None), r#"{"volume":{"name":"school","to":null}}"#);
     assert_form(&fleet(), r#"{"hosts":4,"most_units":8.0,"bears":{"0":100.0,"1":100.5}}"#);
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::Settings;
 use bytes::Bytes;
-use tackmast::interface::{Effect, PlanId, ShardId, Span, StreamId};
+use tackmast::interface::{Effect, PlanId, ShardId, Span, TrafficClassId};
 use tackmast_http::Request;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -11,7 +11,7 @@
     pub id: String,
     pub volume: u64,
     pub key: u64,
-    pub stream: StreamId,
+    pub traffic_class: TrafficClassId,
     pub plan: PlanId,
     pub left: Span,
     pub units: f64,
@@ -68,10 +68,10 @@
             )));
         }
         let class = one("x-call-class")?;
-        let stream = s.streams.iter().position(|st| st.name == class);
-        let stream = stream
+        let traffic_class = s.traffic_classes.iter().position(|st| st.name == class);
+        let traffic_class = traffic_class
             .ok_or_else(|| bad(format!("x-call-class {}: expected one of the settings", cut(class))))?;
-        if s.streams[stream].writes.is_some_and(|writes| writes != (r.method == "PUT")) {
+        if s.traffic_classes[traffic_class].writes.is_some_and(|writes| writes != (r.method == "PUT")) {
             return Err(bad(format!("method {}: expected PUT where the class writes, else GET", r.method)));
         }
         let plan = one("x-storage-class")?;
@@ -88,7 +88,7 @@
         let mut marks = r.headers.all("idempotency-key");
         let (mark, more) = (marks.next(), marks.next().is_some());
         let good = mark.is_none_or(|m| !m.is_empty() && m.len() <= LONGEST_MARK && visible(m));
-        let needed = matches!(s.streams[stream].effect, Effect::Keyed { .. });
+        let needed = matches!(s.traffic_classes[traffic_class].effect, Effect::Keyed { .. });
         if more || !good || (needed && mark.is_none()) {
             return Err(bad(
                 "idempotency-key: expected one, of visible characters, where the class is keyed".into(),
@@ -98,7 +98,7 @@
             id: id.to_owned(),
             volume,
             key,
-            stream: StreamId(stream as u32),
+            traffic_class: TrafficClassId(traffic_class as u32),
             plan: PlanId(plan as u32),
             left: Span::from_secs(left as f64 / 1e3),
             units,
--- a/crates/platform/src/configuration.rs
+++ b/crates/platform/src/configuration.rs
@@ -51,7 +51,7 @@
         };
         let settings = Settings::read(object(all.get("settings"), "settings")?);
         let settings = settings.map_err(|e| format!("settings.{e}"))?;
-        if settings.streams.is_empty() || settings.plans.is_empty() {
+        if settings.traffic_classes.is_empty() || settings.plans.is_empty() {
             return Err("settings: no request_classes or no grades; expected at least one of each".to_owned());
         }
         let known = match all.get("known") {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -12,4 +12,4 @@
 pub use configuration::{Configuration, Limits};
 pub use list::{List, Member};
 pub use outcome::{answer_head, attempt_head, Came, Reports};
-pub use settings::{Plan, Settings, StreamType};
+pub use settings::{Plan, Settings, TrafficClass};
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -6,7 +6,7 @@
 use tackmast::policy::Scheduler;
 
 #[derive(Clone, Debug)]
-pub struct StreamType {
+pub struct TrafficClass {
     pub name: String,
     pub latency_objective: Span,
     pub deadline: Span,
@@ -38,7 +38,7 @@
     pub mean_units: f64,
     /// Of one request, at most; 0: not told.
     pub most_units: f64,
-    pub streams: Vec<StreamType>,
+    pub traffic_classes: Vec<TrafficClass>,
     pub plans: Vec<Plan>,
     pub max_attempts: u32,
     /// The longest that clients can be asked to stay away; zero: they can't be asked.
@@ -65,8 +65,8 @@
         let list = |name: &str| env.get(name).and_then(Value::as_array).into_iter().flatten().enumerate();
         let writes = domain.get("class_writes").and_then(Value::as_array).cloned().unwrap_or_default();
         let writes = |i: usize| writes.get(i).and_then(Value::as_bool);
-        let streams = list("request_classes")
-            .map(|(i, v)| stream(v, writes(i)).map_err(|e| format!("request_classes[{i}].{e}")))
+        let traffic_classes = list("request_classes")
+            .map(|(i, v)| traffic_class(v, writes(i)).map_err(|e| format!("request_classes[{i}].{e}")))
             .collect::<Result<_, _>>()?;
         let plans = list("grades")
             .map(|(i, v)| plan(v).map_err(|e| format!("grades[{i}].{e}")))
@@ -90,7 +90,7 @@
             tick: span(env, "granularity")?,
             mean_units: or(&domain, "unit_mean", 1.0)?,
             most_units: or(&domain, "largest", 0.0)?,
-            streams,
+            traffic_classes,
             plans,
             max_attempts: or(&limits, "max_attempts", f64::from(u32::MAX))? as u32,
             longest_wait: if asks_clients { span(&limits, "max_retry_after")? } else { Span::ZERO },
@@ -116,8 +116,8 @@
     /// A module that has been told all of it.
     pub fn scheduler(&self, now: Instant, seed: u64) -> Scheduler {
         let mut s = Scheduler::new(now, seed, self.hosts, self.tick, self.mean_units);
-        for st in &self.streams {
-            s.stream(st.latency_objective, st.effect, st.in_order);
+        for st in &self.traffic_classes {
+            s.traffic_class(st.latency_objective, st.effect, st.in_order);
         }
         for p in &self.plans {
             s.plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
@@ -149,7 +149,7 @@
     }
 }
 
-fn stream(v: &Value, writes: Option<bool>) -> Result<StreamType, String> {
+fn traffic_class(v: &Value, writes: Option<bool>) -> Result<TrafficClass, String> {
     let class = object(Some(v), "")?;
     let effect = match text(class.get("effect"), "effect")? {
         "repeatable" => Effect::Repeatable,
@@ -165,7 +165,7 @@
         },
         other => return Err(format!("effect: {other}; expected repeatable, by_key or once")),
     };
-    Ok(StreamType {
+    Ok(TrafficClass {
         name: name(class),
         latency_objective: span(class, "target")?,
         deadline: span(class, "give_up")?,
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -175,7 +175,7 @@
 fn a_good_request_passes_as_it_came() {
     let c = Call::of(request("PUT", PATH, &GOOD, "bytes"), &read()).unwrap();
     assert_eq!((c.volume, c.key), (0x3b4d60021, 0x7f3a9c21e0b4d655));
-    assert_eq!((c.stream, c.plan, c.left), (StreamId(0), PlanId(0), Span::from_secs(0.48)));
+    assert_eq!((c.traffic_class, c.plan, c.left), (TrafficClassId(0), PlanId(0), Span::from_secs(0.48)));
     assert_eq!((c.units, c.shard, c.hosts, &c.body[..]), (2.0, Some(ShardId(5)), 3, &b"bytes"[..]));
     let text =
         String::from_utf8(c.head.to_vec()).unwrap() + &attempt_head("127.0.0.1:9".parse().unwrap(), c.left);
--- a/crates/rulecheck/src/index.rs
+++ b/crates/rulecheck/src/index.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 use tackmast_trace::{
-    AnswerKind, AttemptEndKind, AttemptName, Event, Facts, Line, ListedState, Side, StreamFacts,
+    AnswerKind, AttemptEndKind, AttemptName, Event, Facts, Line, ListedState, Side, TrafficClassFacts,
 };
 
 pub type CommandName = (u32, u32, u32); // host, session, command
@@ -11,7 +11,7 @@
 pub struct Command {
     pub name: CommandName,
     pub t: u64,
-    pub stream: u32,
+    pub traffic_class: u32,
     /// Requests that it is: one for each extent it touches, where the extents are told.
     pub parts: Option<u64>,
     pub deadline_us: u64,
@@ -169,7 +169,15 @@
                 }
                 Event::Truncated => x.unfit = Some("events were lost when it was recorded".into()),
                 Event::Submit {
-                    host, session, command, stream, deadline_us, volume, offset, bytes, ..
+                    host,
+                    session,
+                    command,
+                    traffic_class,
+                    deadline_us,
+                    volume,
+                    offset,
+                    bytes,
+                    ..
                 } => {
                     let told = x.facts.volumes.iter().find(|v| v.volume == *volume && v.extent_bytes > 0);
                     let parts = told.map(|v| {
@@ -181,7 +189,7 @@
                     x.commands.push(Command {
                         name,
                         t,
-                        stream: *stream,
+                        traffic_class: *traffic_class,
                         parts,
                         deadline_us: *deadline_us,
                         answers: Vec::new(),
@@ -380,8 +388,8 @@
         of(&self.stops).max(of(&self.client_cuts))
     }
 
-    pub fn stream(&self, command: Option<usize>) -> Option<&StreamFacts> {
-        self.facts.streams.get(self.commands[command?].stream as usize)
+    pub fn traffic_class(&self, command: Option<usize>) -> Option<&TrafficClassFacts> {
+        self.facts.traffic_classes.get(self.commands[command?].traffic_class as usize)
     }
 
     pub fn node_life(&self, node: &str, t: u64) -> Option<&NodeLife> {
--- a/crates/rulecheck/src/rules.rs
+++ b/crates/rulecheck/src/rules.rs
@@ -82,7 +82,7 @@
     let skew = x.facts.skew_us;
     let mut by_command: HashMap<usize, Vec<usize>> = HashMap::new();
     for attempts in x.requests.values() {
-        let Some(stream) = x.stream(x.attempts[attempts[0]].command) else { continue };
+        let Some(traffic_class) = x.traffic_class(x.attempts[attempts[0]].command) else { continue };
         for (i, b) in attempts.iter().enumerate() {
             let b = &x.attempts[*b];
             if let Some(c) = b.command {
@@ -101,7 +101,7 @@
                 if a.never_ran() {
                     continue;
                 }
-                let same = match stream.effect {
+                let same = match traffic_class.effect {
                     EffectKind::Repeatable => continue,
                     EffectKind::Unrepeatable => {
                         breaks.push(broken(
@@ -123,12 +123,12 @@
                         b,
                         format!("outside the discard group of attempt {}", a.name.attempt),
                     ));
-                } else if b.t.saturating_sub(a.t) > stream.window_us + skew {
+                } else if b.t.saturating_sub(a.t) > traffic_class.window_us + skew {
                     let what = format!(
                         "{} ms after attempt {}; nodes know marks for {}",
                         ms(b.t - a.t),
                         a.name.attempt,
-                        { ms(stream.window_us) }
+                        { ms(traffic_class.window_us) }
                     );
                     breaks.push(broken(x, 2, b, what));
                 }
@@ -136,8 +136,10 @@
         }
     }
     for (c, command) in x.commands.iter().enumerate() {
-        let Some(stream) = x.facts.streams.get(command.stream as usize) else { continue };
-        if stream.effect == EffectKind::Repeatable {
+        let Some(traffic_class) = x.facts.traffic_classes.get(command.traffic_class as usize) else {
+            continue;
+        };
+        if traffic_class.effect == EffectKind::Repeatable {
             continue;
         }
         let attempts: Vec<&Attempt> =
@@ -252,7 +254,7 @@
     let skew = x.facts.skew_us;
     let mut keys: BTreeMap<(u32, u64, u64), Vec<usize>> = BTreeMap::new();
     for (i, attempt) in x.attempts.iter().enumerate().filter(|(_, l)| l.key != 0) {
-        if x.stream(attempt.command).is_some_and(|s| s.in_order) {
+        if x.traffic_class(attempt.command).is_some_and(|s| s.in_order) {
             keys.entry((attempt.name.host, attempt.name.life, attempt.key)).or_default().push(i);
         }
     }
--- a/crates/rulecheck/tests/doctored.rs
+++ b/crates/rulecheck/tests/doctored.rs
@@ -7,7 +7,7 @@
 struct Script(Vec<Line>);
 
 fn facts() -> Facts {
-    let stream = |name: &str, effect, in_order| StreamFacts {
+    let traffic_class = |name: &str, effect, in_order| TrafficClassFacts {
         name: name.into(),
         latency_objective_us: 100_000,
         effect,
@@ -15,12 +15,12 @@
         in_order,
     };
     Facts {
-        streams: vec![
-            stream("read", EffectKind::Repeatable, false),
-            stream("once", EffectKind::Unrepeatable, true),
-            stream("zone", EffectKind::KeyedZone, false),
-            stream("shard", EffectKind::KeyedShard, false),
-            stream("keyed", EffectKind::KeyedAll, false),
+        traffic_classes: vec![
+            traffic_class("read", EffectKind::Repeatable, false),
+            traffic_class("once", EffectKind::Unrepeatable, true),
+            traffic_class("zone", EffectKind::KeyedZone, false),
+            traffic_class("shard", EffectKind::KeyedShard, false),
+            traffic_class("keyed", EffectKind::KeyedAll, false),
         ],
         volumes: vec![VolumeFacts {
             volume: 1,
@@ -59,12 +59,22 @@
     fn told(&mut self, t: u64, host: u32, node: &str, state: ListedState, started_ms: u64) -> &mut Self {
         self.at(t, Event::Told { host, node: node.into(), state, started_us: started_ms * 1000 })
     }
-    fn submit(&mut self, t: u64, command: u32, stream: u32) -> &mut Self {
+    fn submit(&mut self, t: u64, command: u32, traffic_class: u32) -> &mut Self {
         let (host, session, volume, bytes) = (0, 1, 2, 4096);
-        let (write, offset, deadline_us) = (stream > 0, 0, 1_000_000);
+        let (write, offset, deadline_us) = (traffic_class > 0, 0, 1_000_000);
         self.at(
             t,
-            Event::Submit { host, session, command, volume, stream, write, offset, bytes, deadline_us },
+            Event::Submit {
+                host,
+                session,
+                command,
+                volume,
+                traffic_class,
+                write,
+                offset,
+                bytes,
+                deadline_us,
+            },
         )
     }
     fn answer(&mut self, t: u64, command: u32, kind: AnswerKind) -> &mut Self {
@@ -109,8 +119,8 @@
         self.at(t, Event::AttemptEnd { node: node.into(), name: name(command, attempt), kind, ran })
     }
     /// A whole request that is served at once.
-    fn served(&mut self, t: u64, node: &str, command: u32, stream: u32) -> &mut Self {
-        self.submit(t, command, stream).attempt(t + 1, node, command, 0);
+    fn served(&mut self, t: u64, node: &str, command: u32, traffic_class: u32) -> &mut Self {
+        self.submit(t, command, traffic_class).attempt(t + 1, node, command, 0);
         self.end(t + 5, node, command, 0, AttemptEndKind::Done).answer(t + 6, command, AnswerKind::Done)
     }
     /// Volume 1 has other figures, in force at the last time.
--- a/crates/standins/src/initiator.rs
+++ b/crates/standins/src/initiator.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug)]
 pub struct Ask {
     pub lun: u32,
-    pub stream: u32,
+    pub traffic_class: u32,
     pub block: u64,
     pub block_bytes: u32,
     pub work: AskWork,
@@ -221,7 +221,7 @@
                 session,
                 command: number,
                 volume: ask.lun,
-                stream: ask.stream,
+                traffic_class: ask.traffic_class,
                 write,
                 offset: ask.block * u64::from(ask.block_bytes),
                 bytes,
--- a/crates/standins/src/tap.rs
+++ b/crates/standins/src/tap.rs
@@ -31,7 +31,7 @@
     pub block_bytes: u32,
     pub reads: u32,
     pub writes: u32,
-    /// The stream types' own expiries.
+    /// The traffic classes' own expiries.
     pub reads_us: u64,
     pub writes_us: u64,
 }
@@ -195,7 +195,7 @@
             session,
             command,
             volume: v.lun,
-            stream: if write { v.writes } else { v.reads },
+            traffic_class: if write { v.writes } else { v.reads },
             write,
             offset,
             bytes,
--- a/crates/target/src/negotiate.rs
+++ b/crates/target/src/negotiate.rs
@@ -32,7 +32,7 @@
     /// What a host of these settings offers.
     pub fn of(s: &HostSettings) -> Offer {
         let b = &s.bounds;
-        let longest = s.streams.iter().map(|s| s.deadline.secs()).fold(1.0, f64::max);
+        let longest = s.traffic_classes.iter().map(|s| s.deadline.secs()).fold(1.0, f64::max);
         Offer {
             target_name: s.host.target.clone(),
             most_segment: b.segment,
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -21,7 +21,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct StreamFacts {
+pub struct TrafficClassFacts {
     pub name: String,
     #[serde(rename = "slo_us")]
     pub latency_objective_us: u64,
@@ -46,7 +46,8 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Facts {
-    pub streams: Vec<StreamFacts>,
+    #[serde(rename = "streams")]
+    pub traffic_classes: Vec<TrafficClassFacts>,
     pub volumes: Vec<VolumeFacts>,
     pub unit_bytes: u32,
     pub most_units: f64,
@@ -125,7 +126,8 @@
         session: u32,
         command: u32,
         volume: u32,
-        stream: u32,
+        #[serde(rename = "stream")]
+        traffic_class: u32,
         write: bool,
         offset: u64,
         bytes: u64,
--- a/crates/trace/tests/json_forms.rs
+++ b/crates/trace/tests/json_forms.rs
@@ -4,7 +4,7 @@
 use std::fmt::Debug;
 use tackmast_trace::{
     read, write, AnswerKind, AttemptEndKind, AttemptName, EffectKind, Event, Facts, Line, ListedState, Side,
-    StreamFacts, VolumeFacts,
+    TrafficClassFacts, VolumeFacts,
 };
 
 /// The value is written as the literal text, and the literal is read back as the value.
@@ -37,7 +37,7 @@
         slack: 8.0,
         extent_bytes: 32_768,
     };
-    let stream = StreamFacts {
+    let traffic_class = TrafficClassFacts {
         name: "read".into(),
         latency_objective_us: 200_000,
         effect: EffectKind::KeyedZone,
@@ -45,7 +45,7 @@
         in_order: true,
     };
     let facts = Facts {
-        streams: vec![stream],
+        traffic_classes: vec![traffic_class],
         volumes: vec![volume.clone()],
         unit_bytes: 4096,
         most_units: 8.0,
@@ -105,7 +105,7 @@
         session: 2,
         command: 3,
         volume: 4,
-        stream: 5,
+        traffic_class: 5,
         write: true,
         offset: 6,
         bytes: 7,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -72,7 +72,7 @@
     NodeId,
     VolumeId,
     PlanId,
-    StreamId,
+    TrafficClassId,
     /// A piece of data that is read or written.
     KeyId,
     /// The part of the data that one node holds.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -73,7 +73,7 @@
     there: f64, // of them, as far as is known; only caps follow it
     margin: Span,
     plans: Vec<Plan>,
-    streams: Vec<Stream>,
+    classes: Vec<TrafficClass>,
     tightest: Span, // latency objective
     mean_units: f64,
     max_attempts: u32,
@@ -91,7 +91,7 @@
     requests: HashMap<RequestId, Request>,
     alarms: BinaryHeap<Reverse<(Instant, Alarm)>>,
     lost: Losses,
-    everywhere: Vec<Histogram>, // times at all nodes, for each stream type
+    everywhere: Vec<Histogram>, // times at all nodes, for each traffic class
     rejected_requests: RejectedRequests,
     due: BTreeSet<ShardId>,
     homeless: Vec<RequestId>, // new objects for which no node was to be had
@@ -120,10 +120,10 @@
         self.plans.push(Plan { limit, burst, slack, reserve, weight: weight.max(1e-6) });
     }
 
-    /// Stream types are numbered in the order given.
-    pub fn stream(&mut self, latency_objective: Span, effect: Effect, in_order: bool) {
-        self.streams.push(Stream { latency_objective, rank: 0, tight: 1.0, effect, in_order });
-        self.tightest = rank_by_latency_objective(&mut self.streams);
+    /// Traffic classes are numbered in the order given.
+    pub fn traffic_class(&mut self, latency_objective: Span, effect: Effect, in_order: bool) {
+        self.classes.push(TrafficClass { latency_objective, rank: 0, tight: 1.0, effect, in_order });
+        self.tightest = rank_by_latency_objective(&mut self.classes);
         self.everywhere.push(Histogram::new(LATENCY_FIRST, LATENCY_HALVE));
     }
 
@@ -163,7 +163,7 @@
         &mut self,
         now: Instant,
         id: RequestId,
-        stream: StreamId,
+        class: TrafficClassId,
         plan: PlanId,
         key: Option<KeyId>,
         left: Span,
@@ -174,7 +174,7 @@
     ) {
         self.now = now;
         self.volume_moved(now, volume, plan);
-        let st = &self.streams[stream.0 as usize];
+        let st = &self.classes[class.0 as usize];
         let (p, told) = (&self.plans[plan.0 as usize], f64::from(hosts.max(1)));
         // A new life of a host can't know what an earlier one drew: its limit bucket starts full, but for
         // part of what the rule lets pass. A restart must not hand itself a second burst.
@@ -187,10 +187,10 @@
         (v.hosts, v.seen) = (v.hosts.max(told), now);
         // A client's later try began its latency objective with its first: it asks for the same as one answered
         // undone, with less time left. Little time left alone proves nothing: some clients are in a hurry.
-        let ask = (volume, stream, key, shard, units.to_bits());
+        let ask = (volume, class, key, shard, units.to_bits());
         let objective_at = self.rejected_requests.again(now, ask, left).unwrap_or(now + st.latency_objective);
         let deadline = now + left - self.margin;
-        let mut x = Request::new(now, (volume, plan, stream), key, shard, units, objective_at, deadline);
+        let mut x = Request::new(now, (volume, plan, class), key, shard, units, objective_at, deadline);
         x.turn = key.filter(|_| st.in_order);
         if let Some(k) = x.turn {
             self.turns.entry(k).or_default().line.push_back(id);
@@ -204,7 +204,7 @@
         self.enqueue(id, false);
     }
 
-    /// The place of the request that arrived last among those of its volume, stream type and shard: before
+    /// The place of the request that arrived last among those of its volume, traffic class and shard: before
     /// all of later tags. So a host's sessions share a volume; without tags the order of arrival holds.
     pub fn request_tagged(&mut self, id: RequestId, tag: f64) {
         let Some(x) = self.requests.get(&id).filter(|x| x.waiting) else { return };
@@ -214,7 +214,7 @@
             line.and_then(|l| l.iter().rev().find(|o| **o != id)).and_then(|o| self.requests.get(o));
         let tag = earlier.map_or(tag, |e| tag.max(e.tag));
         let sh = x.shard.and_then(|s| self.shards.get_mut(&s));
-        if let Some(queue) = sh.and_then(|sh| sh.queues.get_mut(&(x.volume, x.stream))) {
+        if let Some(queue) = sh.and_then(|sh| sh.queues.get_mut(&(x.volume, x.class))) {
             if queue.pop_back_if(|last| *last == id).is_some() {
                 let before = |q: &RequestId| self.requests.get(q).is_none_or(|x| x.tag <= tag);
                 queue.insert(queue.partition_point(before), id);
@@ -223,9 +223,9 @@
         self.requests.entry(id).and_modify(|x| x.tag = tag);
     }
 
-    /// Whether the settings named this stream type and plan.
-    pub fn knows(&self, stream: StreamId, plan: PlanId) -> bool {
-        (stream.0 as usize) < self.streams.len() && (plan.0 as usize) < self.plans.len()
+    /// Whether the settings named this traffic class and plan.
+    pub fn knows(&self, class: TrafficClassId, plan: PlanId) -> bool {
+        (class.0 as usize) < self.classes.len() && (plan.0 as usize) < self.plans.len()
     }
 
     /// A streamed answer has begun: its client has it, and nothing is owed by a set time any more.
@@ -350,11 +350,11 @@
         if x.ran.is_some_and(|r| r.0 == no) && !o.may_have_run() {
             x.ran = None;
         }
-        let (units, stream, turn, hurried) = (x.units, x.stream, x.turn, x.ended);
+        let (units, class, turn, hurried) = (x.units, x.class, x.turn, x.ended);
         // Against nodes that are quick with what they have at hand: it is no sign of what they can do, and a
         // cold one would be given several times what it bears. Hurts where most asks for few pieces.
         let able = if x.repeats { self.again * units } else { units };
-        let st = &self.streams[stream.0 as usize];
+        let st = &self.classes[class.0 as usize];
         if let Some(t) = turn.and_then(|k| self.turns.get_mut(&k)) {
             t.attempt_finished(o.may_be_running().then_some(now + self.settle));
             // Against a memory of keys that grows with each unknown end: a rested key is looked at once more.
@@ -382,8 +382,8 @@
             );
             if done {
                 n.done += 1;
-                n.latency[stream.0 as usize].add(took.secs());
-                self.everywhere[stream.0 as usize].add(took.secs());
+                n.latency[class.0 as usize].add(took.secs());
+                self.everywhere[class.0 as usize].add(took.secs());
                 n.cold.level = (n.cold.level - able).max(0.0);
                 let shard = self.shards.entry(n.shard).or_default();
                 shard.pace.add(now, able, COLD_MEMORY);
@@ -439,8 +439,8 @@
         if kind != ListKind::Changes {
             unlisted_are_gone(&mut self.nodes, entries);
         }
-        let ranks = self.streams.iter().map(|s| s.rank + 1).max().unwrap_or(1);
-        let fresh = vec![Histogram::new(LATENCY_FIRST, LATENCY_HALVE); self.streams.len()];
+        let ranks = self.classes.iter().map(|s| s.rank + 1).max().unwrap_or(1);
+        let fresh = vec![Histogram::new(LATENCY_FIRST, LATENCY_HALVE); self.classes.len()];
         let few = (FEW / self.there).min(1.0);
         let caps = (CAP_START * few.sqrt(), few);
         for e in entries {
@@ -554,8 +554,8 @@
         self.sick && !self.pinned
     }
 
-    fn usual(&self, stream: StreamId) -> Span {
-        Span::from_secs(self.latency[stream.0 as usize].at(0.5).unwrap_or(0.0).min(self.took))
+    fn usual(&self, class: TrafficClassId) -> Span {
+        Span::from_secs(self.latency[class.0 as usize].at(0.5).unwrap_or(0.0).min(self.took))
     }
 }
 
@@ -626,7 +626,7 @@
             });
             // A conforming request whose latency objective draws near is by then as tight as the tightest.
             let urgent = conforming && x.objective_at - now <= self.tightest;
-            let st = &self.streams[x.stream.0 as usize];
+            let st = &self.classes[x.class.0 as usize];
             let (rank, tight) = if urgent { (0, 1.0) } else { (st.rank, st.tight) };
             let volume = x.volume;
             let room = self.nodes[&node].room(now, (rank, tight), conforming, self.mean_units);
@@ -695,7 +695,7 @@
         while sh.late.pop_front_if(|id| !waits_at(&self.requests, *id, shard)).is_some() {}
         let id = *sh.late.front()?;
         let none_in_time = sh.queues.is_empty();
-        let rank = self.streams[self.requests[&id].stream.0 as usize].rank;
+        let rank = self.classes[self.requests[&id].class.0 as usize].rank;
         let room = self.nodes[&n].room(self.now, (rank, LOWER_PART), false, self.mean_units);
         let idle = none_in_time && room.is_ok();
         Some(id).filter(|_| idle && self.may_leave(id, n).is_ok())
@@ -808,7 +808,7 @@
         let (Some(x), Some(n)) = (self.requests.get_mut(&id), self.nodes.get_mut(&node)) else {
             return Decision::Fail { request: id };
         };
-        let st = &self.streams[x.stream.0 as usize];
+        let st = &self.classes[x.class.0 as usize];
         if let Some(v) = self.volumes.get_mut(&x.volume) {
             if !x.drew {
                 v.limit.level += x.units;
@@ -838,8 +838,8 @@
         // Where attempts get lost, one out far longer than usual is given up: it must not fill the caps. Against
         // bad links; hurts where cheap requests overtake costly ones. At a crowded node one is given up at
         // its latency objective, so the queue can drop what is late: against drowned nodes; costs what late ones earn.
-        let here = &n.latency[x.stream.0 as usize];
-        let seen = if here.count() >= TIMEOUT_SEEN { here } else { &self.everywhere[x.stream.0 as usize] };
+        let here = &n.latency[x.class.0 as usize];
+        let seen = if here.count() >= TIMEOUT_SEEN { here } else { &self.everywhere[x.class.0 as usize] };
         let far = Span::from_secs(seen.at(TIMEOUT_AT).unwrap_or(0.0) * TIMEOUT_TIMES);
         let again = self.lost.losing && x.attempts < self.max_attempts && seen.count() >= TIMEOUT_SEEN;
         let crowded = (n.cap < 1.0).then_some(st.latency_objective);
@@ -854,7 +854,7 @@
 
     /// Until when a repeat of this keyed request is known for one: its attempt must have begun by then.
     fn known_until(&self, x: &Request) -> Option<Instant> {
-        match self.streams[x.stream.0 as usize].effect {
+        match self.classes[x.class.0 as usize].effect {
             Effect::Keyed { window, .. } => Some(x.ran?.1 + window - Span::from_secs(SAFE_EDGE)),
             _ => None,
         }
@@ -863,7 +863,7 @@
     /// Whether a retry at `node` (or at any, if none is named) can do no harm.
     fn is_retry_safe(&self, x: &Request, node: Option<NodeId>) -> bool {
         let Some((_, _, first)) = x.ran else { return true };
-        match self.streams[x.stream.0 as usize].effect {
+        match self.classes[x.class.0 as usize].effect {
             Effect::Repeatable => true,
             Effect::Unrepeatable => false,
             Effect::Keyed { group, .. } => {
@@ -889,7 +889,7 @@
     /// The final answer: rejected where a retry is safe, failed otherwise.
     fn answer(&mut self, id: RequestId, retry_after: Option<Span>) {
         let Some(x) = self.requests.get(&id).filter(|x| !x.ended) else { return };
-        let safe = match self.streams[x.stream.0 as usize].effect {
+        let safe = match self.classes[x.class.0 as usize].effect {
             Effect::Repeatable | Effect::Keyed { group: Group::All, .. } => true,
             _ => x.ran.is_none(),
         };
@@ -898,7 +898,7 @@
             true => Decision::Reject { request: id, retry_after: wait },
             false => Decision::Fail { request: id },
         });
-        let ask = (x.volume, x.stream, x.key, x.shard.filter(|_| !x.any_node), x.units.to_bits());
+        let ask = (x.volume, x.class, x.key, x.shard.filter(|_| !x.any_node), x.units.to_bits());
         let keep = self.now + Span::from_secs(REJECTED_MEMORY);
         self.rejected_requests.note(
             ask,
@@ -922,7 +922,7 @@
         let Some(x) = self.requests.get_mut(&id) else { return };
         x.shard = Some(shard);
         self.alarms.push(Reverse((x.objective_at.max(self.now), Alarm::Look(shard))));
-        let queue = self.shards.entry(shard).or_default().queues.entry((x.volume, x.stream)).or_default();
+        let queue = self.shards.entry(shard).or_default().queues.entry((x.volume, x.class)).or_default();
         match first {
             true => {
                 let ahead = queue.front().and_then(|f| self.requests.get(f)).map_or(f64::MAX, |f| f.tag);
--- a/src/state.rs
+++ b/src/state.rs
@@ -28,7 +28,7 @@
     }
 }
 
-pub struct Stream {
+pub struct TrafficClass {
     pub latency_objective: Span,
     pub rank: usize,
     pub tight: f64, // the tightest latency objective over this one
@@ -47,7 +47,7 @@
 }
 
 /// What a request asks for: its client's later try asks for the same.
-pub type Ask = (VolumeId, StreamId, Option<KeyId>, Option<ShardId>, u64);
+pub type Ask = (VolumeId, TrafficClassId, Option<KeyId>, Option<ShardId>, u64);
 
 /// A request that was answered without being done.
 pub struct RejectedRequest {
@@ -163,9 +163,9 @@
 pub struct Request {
     pub volume: VolumeId,
     pub plan: PlanId,
-    pub stream: StreamId,
+    pub class: TrafficClassId,
     pub key: Option<KeyId>,
-    pub turn: Option<KeyId>, // its key, where its stream type keeps order
+    pub turn: Option<KeyId>, // its key, where its traffic class keeps order
     pub shard: Option<ShardId>,
     pub any_node: bool,
     pub units: f64,
@@ -173,7 +173,7 @@
     pub objective_at: Instant,
     pub deadline: Instant,
     pub hold: Instant, // no attempt before this
-    pub tag: f64,      // its place among its volume's others of its stream type
+    pub tag: f64,      // its place among its volume's others of its traffic class
     pub drew: bool,
     pub repeats: bool, // asks for a piece of data that this host lately sent for at its shard
     pub waiting: bool,
@@ -195,7 +195,7 @@
 
     pub fn new(
         now: Instant,
-        (volume, plan, stream): (VolumeId, PlanId, StreamId),
+        (volume, plan, class): (VolumeId, PlanId, TrafficClassId),
         key: Option<KeyId>,
         shard: Option<ShardId>,
         units: f64,
@@ -205,7 +205,7 @@
         Request {
             volume,
             plan,
-            stream,
+            class,
             key,
             turn: None,
             shard,
@@ -263,8 +263,8 @@
     pub pinned: bool,
 }
 
-/// What waits at a shard waits by volume and stream type.
-pub type Queue = (VolumeId, StreamId);
+/// What waits at a shard waits by volume and traffic class.
+pub type Queue = (VolumeId, TrafficClassId);
 
 #[derive(Default)]
 pub struct Shard {
@@ -364,7 +364,7 @@
         self.out_rank[rank] -= 1;
     }
 
-    /// The mean over stream types of the median time, in seconds.
+    /// The mean over traffic classes of the median time, in seconds.
     pub fn mean_time(&self) -> Option<f64> {
         let seen = self.latency.iter().filter_map(|h| h.at(0.5));
         seen.clone().next().map(|_| mean(seen))
@@ -546,13 +546,13 @@
     }
 }
 
-/// Ranks stream types by latency objective, the tighter first; gives the tightest.
-pub fn rank_by_latency_objective(streams: &mut [Stream]) -> Span {
-    let mut latency_objectives: Vec<Span> = streams.iter().map(|s| s.latency_objective).collect();
+/// Ranks traffic classes by latency objective, the tighter first; gives the tightest.
+pub fn rank_by_latency_objective(classes: &mut [TrafficClass]) -> Span {
+    let mut latency_objectives: Vec<Span> = classes.iter().map(|s| s.latency_objective).collect();
     latency_objectives.sort();
     latency_objectives.dedup();
     let tightest = latency_objectives.first().copied().unwrap_or_default();
-    for s in streams {
+    for s in classes {
         s.rank = latency_objectives.iter().position(|x| *x == s.latency_objective).unwrap_or(0);
         s.tight = tightest.secs() / s.latency_objective.secs().max(1e-6);
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -25,8 +25,8 @@
 
     pub fn of(seed: u64, hosts: u32, effect: Effect, in_order: bool) -> Self {
         let mut s = Scheduler::new(Instant::from_secs(100.0), seed, hosts, secs(0.002), 2.0);
-        s.stream(secs(0.5), effect, in_order);
-        s.stream(secs(2.0), effect, in_order);
+        s.traffic_class(secs(0.5), effect, in_order);
+        s.traffic_class(secs(2.0), effect, in_order);
         s.plan(10.0, 40.0, 4.0, 0.0, 1.0);
         s.plan(0.0, 0.0, 0.0, 4.0, 1.0);
         s.plan(0.0, 0.0, 0.0, 0.0, 3.0);
@@ -59,7 +59,7 @@
 
     pub fn take(
         &mut self,
-        stream: u32,
+        traffic_class: u32,
         plan: u32,
         volume: u32,
         units: f64,
@@ -70,7 +70,7 @@
         self.next += 1;
         let (at, left) = (self.at(), secs(self.left));
         let shard = u32::try_from(shard).ok().map(ShardId);
-        let (st, pl, vol) = (StreamId(stream), PlanId(plan), VolumeId(volume));
+        let (st, pl, vol) = (TrafficClassId(traffic_class), PlanId(plan), VolumeId(volume));
         self.s.request_arrived(at, id, st, pl, Some(KeyId(key)), left, vol, units, shard, self.told);
         id
     }
--- a/tests/decision_hash.rs
+++ b/tests/decision_hash.rs
@@ -150,12 +150,12 @@
     scheduler.plan(900.0, 300.0, 30.0, 300.0, 2.0);
     scheduler.plan(0.0, 0.0, 0.0, 200.0, 3.0);
     let keyed = |group, window| Effect::Keyed { group, window: seconds(window) };
-    scheduler.stream(seconds(0.1), Effect::Repeatable, false);
-    scheduler.stream(seconds(0.2), keyed(Group::All, 0.3), false);
-    scheduler.stream(seconds(0.3), keyed(Group::Zone, 0.2), true);
-    scheduler.stream(seconds(0.5), keyed(Group::Shard, 0.4), true);
-    scheduler.stream(seconds(0.2), Effect::Unrepeatable, true);
-    scheduler.stream(seconds(1.0), Effect::Repeatable, false);
+    scheduler.traffic_class(seconds(0.1), Effect::Repeatable, false);
+    scheduler.traffic_class(seconds(0.2), keyed(Group::All, 0.3), false);
+    scheduler.traffic_class(seconds(0.3), keyed(Group::Zone, 0.2), true);
+    scheduler.traffic_class(seconds(0.5), keyed(Group::Shard, 0.4), true);
+    scheduler.traffic_class(seconds(0.2), Effect::Unrepeatable, true);
+    scheduler.traffic_class(seconds(1.0), Effect::Repeatable, false);
     scheduler.attempt_limits(setting.max_attempts, seconds(setting.longest_wait), seconds(0.15));
     scheduler.retry_budget(setting.retries_free, setting.retries_share, seconds(1.0));
     scheduler.cold_nodes(200.0, 0.2, seconds(1.5), seconds(0.5), 2.0);
@@ -349,7 +349,7 @@
         let id = RequestId(self.requests);
         self.requests += 1;
         self.counts.arrivals += 1;
-        let stream = StreamId(self.below(6));
+        let traffic_class = TrafficClassId(self.below(6));
         let volume = self.below(VOLUMES);
         let plan = PlanId(volume % self.plans);
         let key = (self.below(4) > 0).then_some(KeyId(self.below(KEYS)));
@@ -358,7 +358,18 @@
         let shard = (self.below(10) > 0).then_some(ShardId(self.below(SHARDS)));
         let hosts = self.setting.hosts;
         let volume = VolumeId(volume);
-        self.scheduler.request_arrived(self.now, id, stream, plan, key, left, volume, units, shard, hosts);
+        self.scheduler.request_arrived(
+            self.now,
+            id,
+            traffic_class,
+            plan,
+            key,
+            left,
+            volume,
+            units,
+            shard,
+            hosts,
+        );
         self.open.insert(id.0);
         if self.below(2) == 0 {
             let tag = f64::from(self.below(20));
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -12,9 +12,9 @@
 }
 
 /// Fills the node's caps, so that what is taken next has to wait for an answer.
-fn fill(d: &mut Desk, stream: u32) -> Vec<RequestId> {
+fn fill(d: &mut Desk, traffic_class: u32) -> Vec<RequestId> {
     for i in 0..40 {
-        d.take(stream, 2, 90, 1.0, 0, 1000 + i);
+        d.take(traffic_class, 2, 90, 1.0, 0, 1000 + i);
     }
     d.pull().iter().filter_map(sent).map(|s| s.0).collect()
 }
@@ -31,10 +31,10 @@
 
 #[test]
 fn caps_shrink_the_more_hosts_share_the_node() {
-    // Hosts, stream type, how long answers take, what the node says waits there; the least and most attempts of one
+    // Hosts, traffic class, how long answers take, what the node says waits there; the least and most attempts of one
     // host with plenty waiting in 10 s. Many must not fill a node where each keeps only one out, and looser
     // streams must leave it to the tight ones of hosts they don't see.
-    for (hosts, stream, took, waiting, least, most) in [
+    for (hosts, traffic_class, took, waiting, least, most) in [
         (1, 0, 0.05, 0.0, 400, 4000),
         (4, 0, 0.4, 0.0, 10, 120),
         (250, 0, 0.05, 0.0, 100, 4000),
@@ -46,7 +46,7 @@
         d.ready(1);
         let (mut out, mut attempts) = (std::collections::VecDeque::new(), 0);
         for step in 0..1000 {
-            d.take(stream, 2, step % 5, 1.0, 0, step);
+            d.take(traffic_class, 2, step % 5, 1.0, 0, step);
             let end = d.now + 0.01;
             for (t, x) in d.until(end).into_iter().filter_map(|(t, x)| Some((t, sent(&x)?.0))) {
                 out.push_back((t, x));
@@ -57,7 +57,7 @@
                 d.end(x, 0, Outcome::Done, took);
             }
         }
-        assert!((least..=most).contains(&attempts), "{hosts} {stream} {took} {waiting}: {attempts}");
+        assert!((least..=most).contains(&attempts), "{hosts} {traffic_class} {took} {waiting}: {attempts}");
     }
 }
 
