--- a/crates/client/tests/common/mod.rs
+++ b/crates/client/tests/common/mod.rs
@@ -190,9 +190,9 @@
     };
     Facts {
         traffic_classes: vec![
-            traffic_class("read", EffectKind::Repeatable),
-            traffic_class("write", EffectKind::Repeatable),
-            traffic_class("log", EffectKind::Unrepeatable),
+            traffic_class("read", EffectKind::Idempotent),
+            traffic_class("write", EffectKind::Idempotent),
+            traffic_class("log", EffectKind::NonIdempotent),
         ],
         volumes: vec![],
         unit_bytes: 4096,
--- a/crates/client/tests/histories.rs
+++ b/crates/client/tests/histories.rs
@@ -43,7 +43,7 @@
                 (*last, registers.lock().unwrap().write(start, block, blocks, *last))
             };
             let outcome = client.write(block * 512, data);
-            // The volume's writes are unrepeatable, so a rejection promises that nothing of it ran.
+            // The volume's writes are non-idempotent, so a rejection promises that nothing of it ran.
             let ran = match &outcome {
                 Outcome::Done(_) => Some(true),
                 Outcome::Rejected { .. } => Some(false),
--- a/crates/config/src/host.rs
+++ b/crates/config/src/host.rs
@@ -287,9 +287,12 @@
 #[derive(Debug, Clone, Copy, Deserialize, PartialEq)]
 #[serde(rename_all = "lowercase")]
 enum EffectName {
-    Repeatable,
-    Keyed,
-    Unrepeatable,
+    #[serde(rename = "repeatable")]
+    Idempotent,
+    #[serde(rename = "keyed")]
+    IdempotentByKey,
+    #[serde(rename = "unrepeatable")]
+    NonIdempotent,
 }
 
 #[derive(Debug, Clone, Copy, Deserialize, PartialEq, Default)]
@@ -600,17 +603,17 @@
             within("stream", &name, "expiry_ms", s.deadline_ms, host.answer_lead_ms + 10.0, DAY_S * 1e3)?;
             let window = within("stream", &name, "window_s", s.window_s.unwrap_or(0.0), 0.0, DAY_S)?;
             let effect = match (s.effect, s.window_s) {
-                (EffectName::Repeatable, _) => Effect::Repeatable,
-                (EffectName::Unrepeatable, _) => Effect::Unrepeatable,
-                (EffectName::Keyed, Some(_)) => {
+                (EffectName::Idempotent, _) => Effect::Idempotent,
+                (EffectName::NonIdempotent, _) => Effect::NonIdempotent,
+                (EffectName::IdempotentByKey, Some(_)) => {
                     let group = match s.group {
                         GroupName::All => Group::All,
                         GroupName::Zone => Group::Zone,
                         GroupName::Shard => Group::Shard,
                     };
-                    Effect::Keyed { group, window: Span::from_secs(window) }
+                    Effect::IdempotentByKey { group, window: Span::from_secs(window) }
                 }
-                (EffectName::Keyed, None) => {
+                (EffectName::IdempotentByKey, None) => {
                     let at = Place { kind: "stream", label: &name, name: "window_s" };
                     return Err(doc.wrong(&at, "missing", "the seconds for which nodes know a mark"));
                 }
--- a/crates/day/src/fleet.rs
+++ b/crates/day/src/fleet.rs
@@ -210,7 +210,7 @@
     pub fn start(script: &Script, rig: &Rig, recorder: &Recorder) -> Result<Nodes, String> {
         // Nodes of one discard group share their marks. A day has one kind of group: the widest named.
         let groups = script.settings.traffic_classes.iter().filter_map(|s| match s.effect {
-            Effect::Keyed { group, window } => Some((group, window.secs())),
+            Effect::IdempotentByKey { group, window } => Some((group, window.secs())),
             _ => None,
         });
         let groups: Vec<(Group, f64)> = groups.collect();
--- a/crates/day/src/play.rs
+++ b/crates/day/src/play.rs
@@ -49,11 +49,17 @@
     let us = |seconds: f64| (seconds * 1e6) as u64;
     let traffic_class = |st: &tackmast_config::TrafficClass| {
         let (effect, window) = match st.effect {
-            Effect::Repeatable => (EffectKind::Repeatable, 0.0),
-            Effect::Unrepeatable => (EffectKind::Unrepeatable, 0.0),
-            Effect::Keyed { group: Group::All, window } => (EffectKind::KeyedAll, window.secs()),
-            Effect::Keyed { group: Group::Zone, window } => (EffectKind::KeyedZone, window.secs()),
-            Effect::Keyed { group: Group::Shard, window } => (EffectKind::KeyedShard, window.secs()),
+            Effect::Idempotent => (EffectKind::Idempotent, 0.0),
+            Effect::NonIdempotent => (EffectKind::NonIdempotent, 0.0),
+            Effect::IdempotentByKey { group: Group::All, window } => {
+                (EffectKind::IdempotentByKeyAll, window.secs())
+            }
+            Effect::IdempotentByKey { group: Group::Zone, window } => {
+                (EffectKind::IdempotentByKeyZone, window.secs())
+            }
+            Effect::IdempotentByKey { group: Group::Shard, window } => {
+                (EffectKind::IdempotentByKeyShard, window.secs())
+            }
         };
         TrafficClassFacts {
             name: st.name.clone(),
--- a/crates/day/src/traffic.rs
+++ b/crates/day/src/traffic.rs
@@ -474,7 +474,7 @@
                         _ = self.again.0.send(again);
                     }
                     // For what bears no second run, a rejection promises that it did not run at all.
-                    if effect == Effect::Repeatable {
+                    if effect == Effect::Idempotent {
                         None
                     } else {
                         Some(false)
--- a/crates/hostcore/src/combine.rs
+++ b/crates/hostcore/src/combine.rs
@@ -28,14 +28,14 @@
     Failed,
 }
 
-/// Whether running a command again after a part of it ran does no harm. A keyed one is safe in all its nodes
+/// Whether running a command again after a part of it ran does no harm. A idempotent by key one is safe in all its nodes
 /// only where the client itself carries the mark: marks of this host differ between a client's tries, so its
 /// next try would run a second time.
 fn again_is_safe(effect: Effect, client_marks: bool) -> bool {
     match effect {
-        Effect::Repeatable => true,
-        Effect::Keyed { group: Group::All, .. } => client_marks,
-        Effect::Keyed { .. } | Effect::Unrepeatable => false,
+        Effect::Idempotent => true,
+        Effect::IdempotentByKey { group: Group::All, .. } => client_marks,
+        Effect::IdempotentByKey { .. } | Effect::NonIdempotent => false,
     }
 }
 
@@ -76,8 +76,8 @@
     #[test]
     fn parts_make_one_answer() {
         let s = Span::from_secs;
-        let keyed = |group| Effect::Keyed { group, window: s(3.0) };
-        let (re, un) = (Effect::Repeatable, Effect::Unrepeatable);
+        let idempotent_by_key = |group| Effect::IdempotentByKey { group, window: s(3.0) };
+        let (re, un) = (Effect::Idempotent, Effect::NonIdempotent);
         let (open, out) = (PartEnd::Open { ran: false }, PartEnd::Open { ran: true });
         let late = |ran, wait: Option<f64>| PartEnd::Rejected { ran, retry_after: wait.map(s) };
         let rejected = |wait: Option<f64>| Some(Combined::Rejected { retry_after: wait.map(s) });
@@ -108,16 +108,28 @@
                 &[PartEnd::Failed { ran: false }, PartEnd::Done],
                 failed,
             ),
-            ("keyed, the client marks", keyed(Group::All), true, &[late(true, None)], rejected(None)),
-            ("keyed, only the host marks", keyed(Group::All), false, &[late(true, None)], failed),
+            (
+                "keyed, the client marks",
+                idempotent_by_key(Group::All),
+                true,
+                &[late(true, None)],
+                rejected(None),
+            ),
+            ("keyed, only the host marks", idempotent_by_key(Group::All), false, &[late(true, None)], failed),
             (
                 "keyed, only the host marks, unseen",
-                keyed(Group::All),
+                idempotent_by_key(Group::All),
                 false,
                 &[late(false, None)],
                 rejected(None),
             ),
-            ("keyed in a zone", keyed(Group::Zone), true, &[PartEnd::Done, late(false, None)], failed),
+            (
+                "keyed in a zone",
+                idempotent_by_key(Group::Zone),
+                true,
+                &[PartEnd::Done, late(false, None)],
+                failed,
+            ),
         ];
         for (name, effect, marks, parts, expected) in cases {
             assert_eq!(combine(*effect, *marks, parts), *expected, "{name}");
--- a/crates/hostcore/src/core/attempts.rs
+++ b/crates/hostcore/src/core/attempts.rs
@@ -66,7 +66,7 @@
         self.counters.retries += u64::from(no > 0);
         self.until.insert((until, id, no));
         self.at_node.entry(node).or_default().insert((id, no));
-        let keyed = matches!(st.effect, Effect::Keyed { .. });
+        let idempotent_by_key = matches!(st.effect, Effect::IdempotentByKey { .. });
         let attempt = SendAttempt {
             node,
             attempt: attempt_id(id, no),
@@ -76,7 +76,7 @@
             part: x.part,
             until,
             begin_by,
-            mark: if keyed { u128::from(self.life) << 64 | u128::from(x.serial) } else { 0 },
+            mark: if idempotent_by_key { u128::from(self.life) << 64 | u128::from(x.serial) } else { 0 },
             key: x.text.key,
             volume: x.text.volume,
             offset: x.text.offset,
--- a/crates/hostcore/tests/core.rs
+++ b/crates/hostcore/tests/core.rs
@@ -198,7 +198,7 @@
 
 #[test]
 fn what_was_never_written_never_ran() {
-    // An unrepeatable write whose attempt waits behind a node that takes no bytes, against one that was written.
+    // An non-idempotent write whose attempt waits behind a node that takes no bytes, against one that was written.
     for written in [false, true] {
         let mut r = Rig::new();
         r.ask(1, 0, 1, true);
@@ -283,7 +283,7 @@
 
 #[test]
 fn a_rejected_part_settles_the_whole_command() {
-    // An unrepeatable write of two parts: the second is turned away after the first was done, or was never sent.
+    // An non-idempotent write of two parts: the second is turned away after the first was done, or was never sent.
     for first_done in [true, false] {
         let mut r = Rig::new();
         r.list(5, 6, &[entry("b", 1, NodeState::Draining)]);
@@ -332,7 +332,7 @@
 #[test]
 fn a_host_that_ends_rejects_what_comes_and_settles_what_is_open() {
     let mut r = Rig::new();
-    // A read and two unrepeatable writes are open: one written, one that waits on its link.
+    // A read and two non-idempotent writes are open: one written, one that waits on its link.
     r.ask(1, 0, 1, false);
     r.ask(2, 20, 1, true);
     let attempts = r.write();
--- a/crates/hostcore/tests/placed.rs
+++ b/crates/hostcore/tests/placed.rs
@@ -21,8 +21,11 @@
     cancelled: Vec<AttemptId>,
 }
 
-const EFFECTS: [Effect; 3] =
-    [Effect::Repeatable, Effect::Unrepeatable, Effect::Keyed { group: Group::Shard, window: Span::ZERO }];
+const EFFECTS: [Effect; 3] = [
+    Effect::Idempotent,
+    Effect::NonIdempotent,
+    Effect::IdempotentByKey { group: Group::Shard, window: Span::ZERO },
+];
 
 impl Rig {
     fn new(requests: usize, nodes: usize, volumes: usize) -> Rig {
--- a/crates/lab/src/plain.rs
+++ b/crates/lab/src/plain.rs
@@ -153,7 +153,7 @@
             let alone = self.commands.get(&from).is_some_and(|ids| ids.len() == 1);
             let safe = never && alone
                 || self.settings.traffic_classes[x.traffic_class].effect
-                    == tackmast::interface::Effect::Repeatable;
+                    == tackmast::interface::Effect::Idempotent;
             self.forget(from);
             return self
                 .answer(from, if safe { Verdict::Rejected { retry_after: None } } else { Verdict::Failed });
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -475,7 +475,7 @@
         },
     };
     let windows = sim.settings[0].traffic_classes.iter().filter_map(|s| match s.effect {
-        tackmast::interface::Effect::Keyed { window, .. } => Some((window.secs() * 1e6) as Us),
+        tackmast::interface::Effect::IdempotentByKey { window, .. } => Some((window.secs() * 1e6) as Us),
         _ => None,
     });
     sim.window_us = windows.max().unwrap_or(MARKS);
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -88,7 +88,7 @@
         let mut marks = r.headers.all("idempotency-key");
         let (mark, more) = (marks.next(), marks.next().is_some());
         let good = mark.is_none_or(|m| !m.is_empty() && m.len() <= LONGEST_MARK && visible(m));
-        let needed = matches!(s.traffic_classes[traffic_class].effect, Effect::Keyed { .. });
+        let needed = matches!(s.traffic_classes[traffic_class].effect, Effect::IdempotentByKey { .. });
         if more || !good || (needed && mark.is_none()) {
             return Err(bad(
                 "idempotency-key: expected one, of visible characters, where the class is keyed".into(),
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -152,9 +152,9 @@
 fn traffic_class(v: &Value, writes: Option<bool>) -> Result<TrafficClass, String> {
     let class = object(Some(v), "")?;
     let effect = match text(class.get("effect"), "effect")? {
-        "repeatable" => Effect::Repeatable,
-        "once" => Effect::Unrepeatable,
-        "by_key" => Effect::Keyed {
+        "repeatable" => Effect::Idempotent,
+        "once" => Effect::NonIdempotent,
+        "by_key" => Effect::IdempotentByKey {
             group: match text(class.get("group"), "group")? {
                 "all" => Group::All,
                 "zone" => Group::Zone,
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -189,8 +189,8 @@
     );
     assert_eq!(attempt.headers.first("x-call-id"), Some("9b1f03aa5c7e2d41"));
     assert_eq!((attempt.headers.first("x-budget-ms"), attempt.headers.first("x-odd")), (Some("480"), None));
-    let keyed = changed(&[("X-Call-Class", Some("save")), ("Idempotency-Key", Some("k-1"))]);
-    let c = Call::of(request("PUT", PATH, &keyed, ""), &read()).unwrap();
+    let idempotent_by_key = changed(&[("X-Call-Class", Some("save")), ("Idempotency-Key", Some("k-1"))]);
+    let c = Call::of(request("PUT", PATH, &idempotent_by_key, ""), &read()).unwrap();
     assert!(String::from_utf8(c.head.to_vec()).unwrap().contains("Idempotency-Key: k-1\r\n"));
     let new = changed(&[("X-Extent", Some("hosts=1, shard=-1, units=0.5, more=x"))]);
     assert_eq!(Call::of(request("GET", PATH, &new, ""), &read()).unwrap().shard, None);
@@ -235,7 +235,7 @@
         ("GET", PATH, field("X-Extent", "units=2,shard=1,hosts=0"), "", 400),
         ("GET", PATH, field("X-Extent", "units=2,units=1,shard=1,hosts=1"), "", 400),
         ("GET", PATH, field("X-Extent", "units=2,shard=1"), "", 400),
-        ("PUT", PATH, field("X-Call-Class", "save"), "", 400), // keyed, and no key
+        ("PUT", PATH, field("X-Call-Class", "save"), "", 400), // idempotent by key, and no key
         ("GET", PATH, changed(&[("X-Call-Class", Some("save")), ("Idempotency-Key", Some("k"))]), "", 400),
         ("PUT", PATH, field("Idempotency-Key", "a b"), "", 400),
         ("PUT", PATH, twice("Idempotency-Key", ""), "", 400),
--- a/crates/rulecheck/src/rules.rs
+++ b/crates/rulecheck/src/rules.rs
@@ -102,8 +102,8 @@
                     continue;
                 }
                 let same = match traffic_class.effect {
-                    EffectKind::Repeatable => continue,
-                    EffectKind::Unrepeatable => {
+                    EffectKind::Idempotent => continue,
+                    EffectKind::NonIdempotent => {
                         breaks.push(broken(
                             x,
                             2,
@@ -112,9 +112,9 @@
                         ));
                         continue;
                     }
-                    EffectKind::KeyedAll => true,
-                    EffectKind::KeyedZone => a.group(x, true) == b.group(x, true),
-                    EffectKind::KeyedShard => a.group(x, false) == b.group(x, false),
+                    EffectKind::IdempotentByKeyAll => true,
+                    EffectKind::IdempotentByKeyZone => a.group(x, true) == b.group(x, true),
+                    EffectKind::IdempotentByKeyShard => a.group(x, false) == b.group(x, false),
                 };
                 if !same {
                     breaks.push(broken(
@@ -139,7 +139,7 @@
         let Some(traffic_class) = x.facts.traffic_classes.get(command.traffic_class as usize) else {
             continue;
         };
-        if traffic_class.effect == EffectKind::Repeatable {
+        if traffic_class.effect == EffectKind::Idempotent {
             continue;
         }
         let attempts: Vec<&Attempt> =
--- a/crates/rulecheck/tests/doctored.rs
+++ b/crates/rulecheck/tests/doctored.rs
@@ -16,11 +16,11 @@
     };
     Facts {
         traffic_classes: vec![
-            traffic_class("read", EffectKind::Repeatable, false),
-            traffic_class("once", EffectKind::Unrepeatable, true),
-            traffic_class("zone", EffectKind::KeyedZone, false),
-            traffic_class("shard", EffectKind::KeyedShard, false),
-            traffic_class("keyed", EffectKind::KeyedAll, false),
+            traffic_class("read", EffectKind::Idempotent, false),
+            traffic_class("once", EffectKind::NonIdempotent, true),
+            traffic_class("zone", EffectKind::IdempotentByKeyZone, false),
+            traffic_class("shard", EffectKind::IdempotentByKeyShard, false),
+            traffic_class("keyed", EffectKind::IdempotentByKeyAll, false),
         ],
         volumes: vec![VolumeFacts {
             volume: 1,
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -12,12 +12,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EffectKind {
-    Repeatable,
+    #[serde(rename = "repeatable")]
+    Idempotent,
     /// Nodes of all zones, of one zone, or of one shard drop a repeat of the same mark.
-    KeyedAll,
-    KeyedZone,
-    KeyedShard,
-    Unrepeatable,
+    #[serde(rename = "keyed_all")]
+    IdempotentByKeyAll,
+    #[serde(rename = "keyed_zone")]
+    IdempotentByKeyZone,
+    #[serde(rename = "keyed_shard")]
+    IdempotentByKeyShard,
+    #[serde(rename = "unrepeatable")]
+    NonIdempotent,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -26,7 +31,7 @@
     #[serde(rename = "slo_us")]
     pub latency_objective_us: u64,
     pub effect: EffectKind,
-    /// For keyed ones: how long nodes know a mark.
+    /// For idempotent by key ones: how long nodes know a mark.
     pub window_us: u64,
     pub in_order: bool,
 }
--- a/crates/trace/tests/json_forms.rs
+++ b/crates/trace/tests/json_forms.rs
@@ -40,7 +40,7 @@
     let traffic_class = TrafficClassFacts {
         name: "read".into(),
         latency_objective_us: 200_000,
-        effect: EffectKind::KeyedZone,
+        effect: EffectKind::IdempotentByKeyZone,
         window_us: 5_000_000,
         in_order: true,
     };
@@ -77,11 +77,11 @@
 #[test]
 fn kinds() {
     let effects = [
-        EffectKind::Repeatable,
-        EffectKind::KeyedAll,
-        EffectKind::KeyedZone,
-        EffectKind::KeyedShard,
-        EffectKind::Unrepeatable,
+        EffectKind::Idempotent,
+        EffectKind::IdempotentByKeyAll,
+        EffectKind::IdempotentByKeyZone,
+        EffectKind::IdempotentByKeyShard,
+        EffectKind::NonIdempotent,
     ];
     assert_form(&effects, r#"["repeatable","keyed_all","keyed_zone","keyed_shard","unrepeatable"]"#);
     let answers = [AnswerKind::Done, AnswerKind::Rejected, AnswerKind::Failed, AnswerKind::InvalidRequest];
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -82,7 +82,7 @@
     AttemptNumber,
 }
 
-/// Which nodes discard repeats of a keyed request.
+/// Which nodes discard repeats of an idempotent-by-key request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     All,
@@ -93,9 +93,9 @@
 /// What running a request again may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    Repeatable,
-    Keyed { group: Group, window: Span },
-    Unrepeatable,
+    Idempotent,
+    IdempotentByKey { group: Group, window: Span },
+    NonIdempotent,
 }
 
 /// How an attempt ended.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -709,7 +709,7 @@
         if x.hold > now {
             return Err(x.hold);
         }
-        // Rule 2: a keyed request that may have run stays in its group and window.
+        // Rule 2: an idempotent-by-key request that may have run stays in its group and window.
         if !self.is_retry_safe(x, Some(node)) {
             return Err(x.deadline);
         }
@@ -848,14 +848,14 @@
         } else {
             crowded
         };
-        let timeout = timeout.filter(|t| st.effect != Effect::Unrepeatable && now + *t < x.deadline);
+        let timeout = timeout.filter(|t| st.effect != Effect::NonIdempotent && now + *t < x.deadline);
         Decision::Send { request: id, node, timeout, begin_by }
     }
 
-    /// Until when a repeat of this keyed request is known for one: its attempt must have begun by then.
+    /// Until when a repeat of this idempotent by key request is known for one: its attempt must have begun by then.
     fn known_until(&self, x: &Request) -> Option<Instant> {
         match self.classes[x.class.0 as usize].effect {
-            Effect::Keyed { window, .. } => Some(x.ran?.1 + window - Span::from_secs(SAFE_EDGE)),
+            Effect::IdempotentByKey { window, .. } => Some(x.ran?.1 + window - Span::from_secs(SAFE_EDGE)),
             _ => None,
         }
     }
@@ -864,9 +864,9 @@
     fn is_retry_safe(&self, x: &Request, node: Option<NodeId>) -> bool {
         let Some((_, _, first)) = x.ran else { return true };
         match self.classes[x.class.0 as usize].effect {
-            Effect::Repeatable => true,
-            Effect::Unrepeatable => false,
-            Effect::Keyed { group, .. } => {
+            Effect::Idempotent => true,
+            Effect::NonIdempotent => false,
+            Effect::IdempotentByKey { group, .. } => {
                 let same = |n| same_group(group, self.nodes.get(&n), self.nodes.get(&first));
                 node.is_none_or(same) && self.known_until(x).is_some_and(|t| self.now < t)
             }
@@ -890,7 +890,7 @@
     fn answer(&mut self, id: RequestId, retry_after: Option<Span>) {
         let Some(x) = self.requests.get(&id).filter(|x| !x.ended) else { return };
         let safe = match self.classes[x.class.0 as usize].effect {
-            Effect::Repeatable | Effect::Keyed { group: Group::All, .. } => true,
+            Effect::Idempotent | Effect::IdempotentByKey { group: Group::All, .. } => true,
             _ => x.ran.is_none(),
         };
         let wait = retry_after.map(|w| w.min(self.longest_wait)).filter(|w| *w > Span::ZERO);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -61,7 +61,7 @@
 impl Fleet {
     fn new(seed: u64, c: Case) -> Fleet {
         let desk = |i: u32| {
-            let mut d = Desk::of(seed * 1000 + u64::from(i), c.told, Effect::Repeatable, false);
+            let mut d = Desk::of(seed * 1000 + u64::from(i), c.told, Effect::Idempotent, false);
             d.s.cold_nodes(c.safe, FROM, secs(WARM), secs(WINDOW), MULTIPLE);
             d.ready(1);
             d
@@ -144,7 +144,7 @@
             let up = self.now;
             if (i as u32) % 10 < c.anew {
                 let old = self.desks[i].s.paces(self.desks[i].at());
-                let mut d = Desk::of(self.rng.rand_u64(), c.told, Effect::Repeatable, false);
+                let mut d = Desk::of(self.rng.rand_u64(), c.told, Effect::Idempotent, false);
                 d.s.cold_nodes(c.safe, FROM, secs(WARM), secs(WINDOW), MULTIPLE);
                 d.now = self.now;
                 if i.is_multiple_of(2) {
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -8,7 +8,7 @@
 
 /// Attempts in 10 s at one node with plenty waiting, each answered after 50 ms as told.
 fn attempts(weight: f64, pinned: bool, answer: Outcome, node: (NodeState, Option<f64>)) -> usize {
-    let mut d = Desk::new(1, Effect::Repeatable, false);
+    let mut d = Desk::new(1, Effect::Idempotent, false);
     d.s.cold_nodes(4.0, 0.2, secs(20.0), secs(1.0), 2.0);
     d.list(ListKind::Complete, &[(0, node.0, node.1)]);
     d.s.node_ordered(d.at(), NodeId(0), weight, pinned);
@@ -53,7 +53,7 @@
 
 #[test]
 fn an_order_outlives_a_restart_of_its_node() {
-    let mut d = Desk::new(1, Effect::Repeatable, false);
+    let mut d = Desk::new(1, Effect::Idempotent, false);
     d.ready(1);
     d.s.node_ordered(d.at(), NodeId(0), 0.01, false);
     d.now += 1.0;
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -6,7 +6,7 @@
 use tackmast::interface::*;
 
 fn desk(nodes: u32) -> Desk {
-    let mut d = Desk::new(1, Effect::Repeatable, false);
+    let mut d = Desk::new(1, Effect::Idempotent, false);
     d.ready(nodes);
     d
 }
@@ -42,7 +42,7 @@
         (250, 0, 0.05, 20.0, 15, 40),
         (250, 1, 0.05, 20.0, 2, 12),
     ] {
-        let mut d = Desk::new(hosts, Effect::Repeatable, false);
+        let mut d = Desk::new(hosts, Effect::Idempotent, false);
         d.ready(1);
         let (mut out, mut attempts) = (std::collections::VecDeque::new(), 0);
         for step in 0..1000 {
@@ -241,7 +241,7 @@
     for (left, lost, least, most) in
         [(3.0, 0, 300, 4000), (3.0, 1, 80, 4000), (3.0, 10, 5, 30), (0.08, 10, 5, 80)]
     {
-        let mut d = Desk::new(100, Effect::Repeatable, false);
+        let mut d = Desk::new(100, Effect::Idempotent, false);
         d.ready(1);
         d.left = left;
         let mut out = std::collections::BTreeMap::<RequestId, (f64, bool)>::new();
@@ -273,7 +273,7 @@
 fn a_retry_by_the_client_keeps_its_first_latency_objective() {
     // Key and time left of what comes after one on key 1 with 3 s left was rejected; whether it is in time.
     for (key, left, in_time) in [(1, 2.4, false), (2, 2.4, true), (1, 3.0, true), (2, 0.3, true)] {
-        let mut d = Desk::new(1, Effect::Repeatable, false);
+        let mut d = Desk::new(1, Effect::Idempotent, false);
         d.take(0, 0, 0, 1.0, 0, 1);
         assert!(d.until(100.6).iter().any(|(_, x)| matches!(x, Decision::Reject { .. })));
         d.ready(1);
@@ -303,7 +303,7 @@
     // Hosts don't all begin at the same node.
     let mut firsts = [0; 5];
     for seed in 0..200 {
-        let mut d = Desk::of(seed, 200, Effect::Repeatable, false);
+        let mut d = Desk::of(seed, 200, Effect::Idempotent, false);
         d.ready(5);
         d.take(0, 2, 0, 1.0, -1, 0);
         let to = d.pull().iter().filter_map(sent).next().expect("a node takes it").1;
@@ -321,7 +321,7 @@
 
 #[test]
 fn a_lost_list_is_asked_for_again() {
-    let mut d = Desk::new(1, Effect::Repeatable, false);
+    let mut d = Desk::new(1, Effect::Idempotent, false);
     d.s.list_must_be_asked();
     assert_eq!(d.pull(), [Decision::FollowList]);
     let mut asked = 0;
@@ -382,7 +382,7 @@
         ),
     ];
     for (in_order, asks, expected, why) in cases {
-        let mut d = Desk::new(1, Effect::Repeatable, *in_order);
+        let mut d = Desk::new(1, Effect::Idempotent, *in_order);
         d.ready(1);
         // One is out and holds the node's only place.
         d.s.node_ordered(d.at(), NodeId(0), 0.1, false);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -4,15 +4,15 @@
 use common::{secs, sent, Desk};
 use tackmast::interface::*;
 
-fn keyed(window: f64) -> Effect {
-    Effect::Keyed { group: Group::Shard, window: secs(window) }
+fn idempotent_by_key(window: f64) -> Effect {
+    Effect::IdempotentByKey { group: Group::Shard, window: secs(window) }
 }
 
 #[test]
 fn one_final_answer_before_deadline_whatever_happens() {
     // What each request meets: no node at all; a silent node; an answer with an error each time.
     for case in ["no node", "silent", "errors"] {
-        let mut d = Desk::new(1, Effect::Repeatable, false);
+        let mut d = Desk::new(1, Effect::Idempotent, false);
         if case != "no node" {
             d.ready(1);
         }
@@ -46,15 +46,15 @@
 fn no_double_effect() {
     // Effect, first outcome, how long it took; whether another attempt follows, and whether a rejection may.
     let table = [
-        (Effect::Repeatable, Outcome::Error, 0.01, true, true),
-        (Effect::Unrepeatable, Outcome::Error, 0.01, false, false),
-        (Effect::Unrepeatable, Outcome::TimedOut, 0.01, false, false),
-        (Effect::Unrepeatable, Outcome::Reset, 0.01, false, false),
-        (Effect::Unrepeatable, Outcome::Full, 0.01, true, true),
-        (Effect::Unrepeatable, Outcome::Refused, 0.01, true, true),
-        (keyed(1.0), Outcome::Error, 0.01, true, false),
-        (keyed(0.1), Outcome::TimedOut, 0.2, false, false),
-        (keyed(0.1), Outcome::Full, 0.2, true, true),
+        (Effect::Idempotent, Outcome::Error, 0.01, true, true),
+        (Effect::NonIdempotent, Outcome::Error, 0.01, false, false),
+        (Effect::NonIdempotent, Outcome::TimedOut, 0.01, false, false),
+        (Effect::NonIdempotent, Outcome::Reset, 0.01, false, false),
+        (Effect::NonIdempotent, Outcome::Full, 0.01, true, true),
+        (Effect::NonIdempotent, Outcome::Refused, 0.01, true, true),
+        (idempotent_by_key(1.0), Outcome::Error, 0.01, true, false),
+        (idempotent_by_key(0.1), Outcome::TimedOut, 0.2, false, false),
+        (idempotent_by_key(0.1), Outcome::Full, 0.2, true, true),
     ];
     for (effect, outcome, took, again, reject) in table {
         let mut d = Desk::new(1, effect, false);
@@ -71,7 +71,7 @@
         let rejected = after.iter().any(|(_, x)| matches!(x, Decision::Reject { .. }));
         let failed = after.iter().any(|(_, x)| matches!(x, Decision::Fail { .. }));
         // A second attempt that is still out may have run in its turn.
-        let reject = reject && (attempts == 0 || effect == Effect::Repeatable);
+        let reject = reject && (attempts == 0 || effect == Effect::Idempotent);
         assert_eq!((rejected, failed), (reject, !reject), "{effect:?} {outcome:?}");
     }
 }
@@ -83,7 +83,7 @@
         (ListKind::Changes, Some(NodeState::Gone)),
         (ListKind::Complete, None),
     ] {
-        let mut d = Desk::new(1, Effect::Repeatable, false);
+        let mut d = Desk::new(1, Effect::Idempotent, false);
         d.ready(2);
         let change: Vec<_> = state.map(|s| (0, s, None)).into_iter().collect();
         d.list(kind, if state.is_none() { &[(1, NodeState::Ready, None)] } else { &change });
@@ -114,7 +114,7 @@
         (250, 250, true),
     ] {
         let start = |h: u32| {
-            let mut d = Desk::of(u64::from(h), hosts, Effect::Repeatable, false);
+            let mut d = Desk::of(u64::from(h), hosts, Effect::Idempotent, false);
             d.s.cold_nodes(12.0, 0.2, secs(10.0), secs(3.0), 2.0);
             d
         };
@@ -165,7 +165,7 @@
     // do little else.
     let mut sent_of = Vec::new();
     for (pieces, saved) in [(1u32, 1.0), (4, 1.0), (1000, 1.0), (1, 0.0)] {
-        let mut d = Desk::of(1, 4, Effect::Repeatable, false);
+        let mut d = Desk::of(1, 4, Effect::Idempotent, false);
         d.s.cold_nodes(12.0, 0.2, secs(10.0), secs(3.0), 2.0);
         d.s.work_saved(saved);
         d.ready(1);
@@ -199,7 +199,7 @@
 fn order_is_kept_for_a_key() {
     // How the first one ends; how long the key then rests.
     for (outcome, rest) in [(Outcome::Done, 0.0), (Outcome::TimedOut, 0.3), (Outcome::Reset, 0.3)] {
-        let mut d = Desk::new(1, Effect::Unrepeatable, true);
+        let mut d = Desk::new(1, Effect::NonIdempotent, true);
         d.ready(1);
         let (a, b) = (d.take(0, 2, 0, 1.0, 0, 5), d.take(0, 2, 0, 1.0, 0, 5));
         let other = d.take(0, 2, 0, 1.0, 0, 6);
@@ -224,7 +224,7 @@
 #[test]
 fn retries_stay_in_budget_over_any_window() {
     for (free, share) in [(3.0, 0.25), (0.0, 0.1), (1.0, 0.0)] {
-        let mut d = Desk::new(1, Effect::Repeatable, false);
+        let mut d = Desk::new(1, Effect::Idempotent, false);
         d.s.retry_budget(free, share, secs(5.0));
         d.ready(1);
         let (mut taken, mut further, mut attempts) = (vec![], vec![], vec![0; 2000]);
@@ -264,14 +264,14 @@
         (true, true, 9, 1),
     ];
     for (restart, tells, before, after) in table {
-        let mut desks = [Desk::new(2, Effect::Repeatable, false), Desk::new(2, Effect::Repeatable, false)];
+        let mut desks = [Desk::new(2, Effect::Idempotent, false), Desk::new(2, Effect::Idempotent, false)];
         desks.iter_mut().for_each(|d| d.ready(4));
         let (mut store, mut at, mut drawn) = (40.0f64, 100.0, 0.0);
         let mut untold = [[0.0; 4]; 2]; // units that each shard has still to tell each host of
         for step in 0..4000u32 {
             let now = 100.0 + f64::from(step) * 0.01;
             if restart && step == 1900 {
-                desks[1] = Desk::new(2, Effect::Repeatable, false);
+                desks[1] = Desk::new(2, Effect::Idempotent, false);
                 desks[1].now = now;
                 desks[1].ready(4);
             }
@@ -309,7 +309,7 @@
     for (hosts, burst) in [(1u32, 40.0), (3, 48.0), (24, 384.0), (300, 4800.0), (24, 40.0), (300, 40.0)] {
         let (mut units, mut largest) = (0.0, 0);
         for h in 0..hosts {
-            let mut d = Desk::of(u64::from(h), hosts, Effect::Repeatable, false);
+            let mut d = Desk::of(u64::from(h), hosts, Effect::Idempotent, false);
             d.s.plan(burst / 4.0, burst, 8.0, 0.0, 1.0);
             (d.told, d.left) = (hosts, 9.0);
             d.ready(1);
@@ -363,7 +363,7 @@
         ("down to nearly nothing", &[(40.0, 80.0), (0.5, 8.0)], [0.0, 1.9], 0.0),
     ];
     for (name, versions, learn, least) in table {
-        let mut desks: Vec<Desk> = (0..2).map(|h| Desk::of(h, 2, Effect::Repeatable, false)).collect();
+        let mut desks: Vec<Desk> = (0..2).map(|h| Desk::of(h, 2, Effect::Idempotent, false)).collect();
         let figures =
             |(limit, burst): (f64, f64)| Plan { limit, burst, slack: 4.0, reserve: 0.0, weight: 1.0 };
         for d in &mut desks {
@@ -405,7 +405,7 @@
     // What it drew while it had no limit; whether its plan gets one, or it moves to a plan that has one.
     for (drawn, moves) in [(0, false), (50, false), (50, true)] {
         // What waits when a volume moves goes by the new plan as well.
-        let mut d = Desk::new(2, Effect::Repeatable, false);
+        let mut d = Desk::new(2, Effect::Idempotent, false);
         d.ready(1);
         for i in 0..drawn {
             let id = d.take(0, 3, 0, 2.0, 0, i);
@@ -450,7 +450,7 @@
     // Why: larger than its host's part of the burst, or a mark that nodes no longer know. The answer is final, comes at
     // once and says when to come back where a retry is safe.
     for over in [true, false] {
-        let mut d = Desk::new(2, keyed(0.2), false);
+        let mut d = Desk::new(2, idempotent_by_key(0.2), false);
         d.ready(1);
         let plan = if over { 0 } else { 3 };
         let first = d.take(0, plan, 0, if over { 21.0 } else { 2.0 }, 0, 1);
