--- a/crates/agreement/src/lease.rs
+++ b/crates/agreement/src/lease.rs
@@ -4,7 +4,7 @@
 
 use crate::fault::AgreeFault;
 use std::collections::VecDeque;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::agree::Word;
 
 /// Part of a lease after which it is asked for anew, and part after which an ask without an answer is repeated.
@@ -32,7 +32,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Lease {
-    lease: Span,
+    lease: TimeDelta,
     drift: f64,
     seq: u32,
     asks: VecDeque<(u32, Instant)>,
@@ -51,7 +51,7 @@
 
 impl Lease {
     /// `lease` in seconds as all hosts are told; `drift`: part by which steady clocks may run apart.
-    pub fn new(now: Instant, lease: Span, drift: f64) -> Lease {
+    pub fn new(now: Instant, lease: TimeDelta, drift: f64) -> Lease {
         Lease {
             lease,
             drift,
@@ -73,8 +73,8 @@
     }
 
     /// From when a change is known to be agreed on until nobody goes by what was before it any more, by this host's clock.
-    pub fn until_all(lease: Span, drift: f64) -> Span {
-        Span::from_secs(lease.secs() * (1.0 + 2.0 * drift))
+    pub fn until_all(lease: TimeDelta, drift: f64) -> TimeDelta {
+        TimeDelta::from_secs(lease.secs() * (1.0 + 2.0 * drift))
     }
 
     /// The next ask, if it is time; an answer counts from now.
@@ -88,7 +88,7 @@
             self.asks.pop_front();
         }
         self.asks.push_back((self.seq, now));
-        self.next_ask = now + Span::from_secs(self.lease.secs() * AGAIN);
+        self.next_ask = now + TimeDelta::from_secs(self.lease.secs() * AGAIN);
         Some(self.seq)
     }
 
@@ -106,7 +106,7 @@
         let from = if has(AgreeFault::LeaseFromReceipt) { now } else { sent };
         let drift = if has(AgreeFault::NoDrift) { 0.0 } else { self.drift };
         let term = (f64::from(*term_ms) / 1e3).min(self.lease.secs());
-        let until = from + Span::from_secs(term * (1.0 - 2.0 * drift));
+        let until = from + TimeDelta::from_secs(term * (1.0 - 2.0 * drift));
         self.granted += 1;
         self.unanswered = 0;
         if self.newest.is_none_or(|(s, _)| s < *seq) {
@@ -117,8 +117,8 @@
             self.comes = Some((*index, until));
         }
         // An answer that was long on its way leaves little of the lease; the next ask still waits its moment.
-        let due = sent + Span::from_secs(self.lease.secs() * RENEW);
-        self.next_ask = due.max(now + Span::from_secs(self.lease.secs() * AGAIN));
+        let due = sent + TimeDelta::from_secs(self.lease.secs() * RENEW);
+        self.next_ask = due.max(now + TimeDelta::from_secs(self.lease.secs() * AGAIN));
     }
 
     /// Somebody spoke to this host, if only to say who leads.
--- a/crates/agreement/src/parcels.rs
+++ b/crates/agreement/src/parcels.rs
@@ -4,14 +4,14 @@
 use bytes::{Bytes, BytesMut};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::agree::MOST_WORD;
 use tackmast_wire::peer::{Body, MOST_PIECE};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ParcelsSettings {
     /// A piece that has not come within this is asked for again.
-    pub again: Span,
+    pub again: TimeDelta,
 }
 
 /// Parcels that are kept for those who ask for pieces, and bytes of them; the oldest go first.
@@ -193,7 +193,7 @@
 
     /// Passes words from one to the other, losing such a part of datagrams; which arrive.
     fn pass(words: &[Bytes], loss: f64, seed: u64) -> Vec<Bytes> {
-        let settings = ParcelsSettings { again: Span::from_secs(0.1) };
+        let settings = ParcelsSettings { again: TimeDelta::from_secs(0.1) };
         let (mut a, mut b) = (Parcels::new(settings, 7), Parcels::new(settings, 900));
         let mut chance = oorandom::Rand64::new(u128::from(seed));
         let mut now = Instant::from_secs(1.0);
@@ -218,7 +218,7 @@
                         a.wanted(at(2), *number, *piece);
                     }
                 }
-                now = now + Span::from_secs(0.02);
+                now = now + TimeDelta::from_secs(0.02);
                 b.tick(now);
                 if whole.last() == Some(w) {
                     break;
@@ -246,7 +246,7 @@
 
     #[test]
     fn what_is_kept_and_gathered_is_bounded() {
-        let settings = ParcelsSettings { again: Span::from_secs(0.1) };
+        let settings = ParcelsSettings { again: TimeDelta::from_secs(0.1) };
         let mut p = Parcels::new(settings, 0);
         for i in 0..500u32 {
             p.send(at(2), Bytes::from(vec![i as u8; 2_000 + i as usize]));
--- a/crates/agreement/src/seat.rs
+++ b/crates/agreement/src/seat.rs
@@ -8,7 +8,7 @@
 use crate::voter::{Held, Output, Refusal, Settings, Status, Voter, Write};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::agree::{Origin, What, Word, MOST_ENTRY};
 
 /// Changes of this host that wait, at most.
@@ -153,7 +153,7 @@
         whole.put_u32(self.number);
         whole.put_u32(data.len() as u32);
         whole.put_slice(&data);
-        let until = now + Span::from_secs(self.settings.patience.secs() * GIVE_UP);
+        let until = now + TimeDelta::from_secs(self.settings.patience.secs() * GIVE_UP);
         let (number, data) = (self.number, whole.freeze());
         self.changes.push_back(Change { number, data, again: now, until, put: None });
         self.tick(now);
@@ -363,7 +363,7 @@
     }
 
     fn say_changes(&mut self, now: Instant) {
-        let again = Span::from_secs(self.settings.beat.secs() * SAY_AGAIN);
+        let again = TimeDelta::from_secs(self.settings.beat.secs() * SAY_AGAIN);
         while let Some(c) = self.changes.front().filter(|c| now >= c.until) {
             self.outputs.push_back(SeatOutput::GaveUp { number: c.number });
             self.changes.pop_front();
@@ -441,7 +441,7 @@
         while self.learned.front().is_some_and(|l| now - l.last >= long) {
             self.learned.pop_front();
         }
-        let moment = Span::from_secs(self.settings.beat.secs() / 4.0);
+        let moment = TimeDelta::from_secs(self.settings.beat.secs() / 4.0);
         match self.learned.back_mut() {
             Some(l) if now - l.from < moment => l.last = now,
             _ => self.learned.push_back(Learned { first: index, from: now, last: now }),
--- a/crates/agreement/src/voter.rs
+++ b/crates/agreement/src/voter.rs
@@ -13,17 +13,17 @@
 use lead::Lead;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::agree::{Entry, Origin, Voters, What, Word};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Between two words of a leader.
-    pub beat: Span,
+    pub beat: TimeDelta,
     /// Without a word of a leader for this long, and up to twice this long by chance, another is sought.
-    pub patience: Span,
+    pub patience: TimeDelta,
     /// For how long a grant counts, from when it was asked for.
-    pub lease: Span,
+    pub lease: TimeDelta,
     /// Part by which steady clocks may run apart.
     pub drift: f64,
     /// Hosts' numbers are below this.
@@ -156,7 +156,7 @@
     pub founded: bool,
     pub failed: bool,
     /// Where this host leads: by host, what it said it has on disk, and for how long it has been silent.
-    pub has: BTreeMap<u32, (u64, Span)>,
+    pub has: BTreeMap<u32, (u64, TimeDelta)>,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -322,7 +322,7 @@
     /// Until a leader is sought, from now.
     fn rest(&mut self, now: Instant) {
         let patience = self.settings.patience.secs() * (1.0 + self.chance.rand_float());
-        self.seek_at = now + Span::from_secs(patience);
+        self.seek_at = now + TimeDelta::from_secs(patience);
     }
 
     fn write(&mut self, w: Write) {
--- a/crates/agreement/src/voter/disks.rs
+++ b/crates/agreement/src/voter/disks.rs
@@ -59,7 +59,7 @@
             );
         }
         let silent = now - self.heard;
-        let least = Span::from_secs(self.settings.patience.secs() * FORCE);
+        let least = TimeDelta::from_secs(self.settings.patience.secs() * FORCE);
         if self.leads() || silent < least {
             return refuse(format!(
                 "a leader was heard {:.1} s ago; expected none for {:.1} s, as a majority may be there",
@@ -90,7 +90,7 @@
     /// This host forgets its log, so that it can follow another one; it votes no more until it is made a voter.
     pub(crate) fn forget(&mut self, now: Instant, founders: &BTreeSet<u32>) -> Result<(), Refusal> {
         let silent = now - self.heard;
-        let least = Span::from_secs(self.settings.patience.secs() * FORCE);
+        let least = TimeDelta::from_secs(self.settings.patience.secs() * FORCE);
         if self.failed || self.leads() || (self.votes() && silent < least) {
             let why = "this host votes, and hears a leader; expected one that is not needed where it is";
             return Err(Refusal::Voters(why.into()));
--- a/crates/agreement/src/voter/follow.rs
+++ b/crates/agreement/src/voter/follow.rs
@@ -175,7 +175,7 @@
     }
 
     fn ask_for_more(&mut self, now: Instant) {
-        let again = Span::from_secs(self.settings.beat.secs() * AGAIN);
+        let again = TimeDelta::from_secs(self.settings.beat.secs() * AGAIN);
         self.fetch.asked = Some(now + again);
         let Some(to) = self.fetch.of else { return };
         self.say(to, Word::Want { has: self.commit });
--- a/crates/agreement/src/voter/found.rs
+++ b/crates/agreement/src/voter/found.rs
@@ -43,7 +43,7 @@
         }
         let is_founder = f.founders.contains(&me) && !f.follows;
         let beats = if is_founder { 1.0 } else { FOLLOWER_BEATS };
-        f.next_say = now + Span::from_secs(beat.secs() * beats);
+        f.next_say = now + TimeDelta::from_secs(beat.secs() * beats);
         let others: Vec<u32> = f.founders.iter().copied().filter(|s| *s != me).collect();
         if is_founder {
             f.disks.insert(me, of.disk);
--- a/crates/agreement/src/voter/lead.rs
+++ b/crates/agreement/src/voter/lead.rs
@@ -172,7 +172,7 @@
 
     fn send_to(&mut self, now: Instant, to: u32) {
         let (id, term, commit) = (self.log.base().id, self.hard.term, self.commit);
-        let long = Span::from_secs(self.settings.beat.secs() * LARGE_BEATS);
+        let long = TimeDelta::from_secs(self.settings.beat.secs() * LARGE_BEATS);
         let Role::Leader(l) = &mut self.role else { return };
         let round = l.round;
         let Some(p) = l.peers.get_mut(&to) else { return };
@@ -209,10 +209,10 @@
     /// A round begins: who answers it took this host for the leader after now.
     fn next_round(&mut self, now: Instant) {
         let settings = self.settings;
-        let long = Span::from_secs(settings.beat.secs() * LARGE_BEATS);
+        let long = TimeDelta::from_secs(settings.beat.secs() * LARGE_BEATS);
         let Role::Leader(l) = &mut self.role else { return };
         l.round += 1;
-        l.round_at = now + Span::from_secs(settings.beat.secs() * SOON);
+        l.round_at = now + TimeDelta::from_secs(settings.beat.secs() * SOON);
         l.beat_at = now + settings.beat;
         for p in l.peers.values_mut() {
             // What was sent and not answered within a beat was lost on its way.
@@ -270,7 +270,7 @@
 
     pub(super) fn tick_leader(&mut self, now: Instant) {
         let quorum = self.quorum();
-        let alone = Span::from_secs(self.settings.patience.secs() * ALONE);
+        let alone = TimeDelta::from_secs(self.settings.patience.secs() * ALONE);
         let Role::Leader(l) = &mut self.role else { return };
         let waits = l.asks.values().any(|a| a.round > l.round);
         let due = now >= l.beat_at || (waits && now >= l.round_at);
--- a/crates/agreement/tests/decision_hash.rs
+++ b/crates/agreement/tests/decision_hash.rs
@@ -7,7 +7,7 @@
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_agreement::*;
 use tackmast_wire::agree::put_entry;
 use tackmast_wire::peer::{Body, Datagram, Health, News};
@@ -192,7 +192,7 @@
 }
 
 fn chunk_settings() -> ParcelsSettings {
-    ParcelsSettings { again: Span::from_secs(0.1) }
+    ParcelsSettings { again: TimeDelta::from_secs(0.1) }
 }
 
 impl Simulation {
@@ -574,7 +574,7 @@
 }
 
 fn three_voters() -> Group {
-    let seconds = Span::from_secs;
+    let seconds = TimeDelta::from_secs;
     let consensus = Settings {
         beat: seconds(0.05),
         patience: seconds(0.3),
@@ -588,7 +588,7 @@
 }
 
 fn five_voters() -> Group {
-    let seconds = Span::from_secs;
+    let seconds = TimeDelta::from_secs;
     let consensus = Settings {
         beat: seconds(0.08),
         patience: seconds(0.5),
--- a/crates/agreement/tests/seat.rs
+++ b/crates/agreement/tests/seat.rs
@@ -2,14 +2,14 @@
 
 use bytes::Bytes;
 use std::collections::BTreeMap;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_agreement::*;
 
 fn settings() -> Settings {
     Settings {
-        beat: Span::from_secs(0.05),
-        patience: Span::from_secs(0.3),
-        lease: Span::from_secs(1.0),
+        beat: TimeDelta::from_secs(0.05),
+        patience: TimeDelta::from_secs(0.3),
+        lease: TimeDelta::from_secs(1.0),
         drift: 0.01,
         hosts: 5,
         fold_entries: 1_000,
@@ -206,7 +206,7 @@
 #[test]
 fn a_lease_counts_from_its_ask_less_the_drift_and_with_what_it_names() {
     let granted = |seq, index| Word::Granted { id: 9, to_life: 1, seq, term: 1, index, term_ms: 1_000 };
-    let mut l = Lease::new(at(0.0), Span::from_secs(1.0), 0.01);
+    let mut l = Lease::new(at(0.0), TimeDelta::from_secs(1.0), 0.01);
     let seq = l.ask(at(0.0)).expect("at once");
     assert_eq!(l.standing(at(0.0)), Standing::Never);
     // The answer comes late: what is left counts from the ask.
--- a/crates/benchlink/src/lib.rs
+++ b/crates/benchlink/src/lib.rs
@@ -143,7 +143,7 @@
                     TrafficClassId(traffic_class),
                     PlanId(plan),
                     key,
-                    Span::from_secs(number(v.get(5), "budget")?),
+                    TimeDelta::from_secs(number(v.get(5), "budget")?),
                     VolumeId(self.volumes.number(text(v.get(6), "store_user")?)),
                     number(v.get(7), "weight")?,
                     u32::try_from(shard).ok().map(ShardId),
@@ -163,7 +163,7 @@
                     other => return Err(format!("outcome {other}; expected one of the wire's eight")),
                 };
                 let attempt = AttemptNumber(index(v.get(2), "try")?);
-                let elapsed = Span::from_secs(number(v.get(5), "elapsed")?);
+                let elapsed = TimeDelta::from_secs(number(v.get(5), "elapsed")?);
                 let ended = v.get(6).and_then(Value::as_bool).ok_or("ended: expected true or false")?;
                 let load = v.get(9).and_then(Value::as_array);
                 if let Some(waiting) = self.waiting_at.and_then(|i| load?.get(i)?.as_f64()) {
@@ -234,10 +234,15 @@
                 // What leaves here has begun.
                 Decision::Send { request, node, timeout, begin_by: _ } => {
                     let (tid, brick) = (self.request(request), &self.nodes.texts[node.0 as usize]);
-                    json!(["Transmit", number, tid, brick, timeout.map_or(0.0, Span::secs)])
+                    json!(["Transmit", number, tid, brick, timeout.map_or(0.0, TimeDelta::secs)])
                 }
                 Decision::Reject { request, retry_after } => {
-                    json!(["TurnAway", number, self.request(request), retry_after.map_or(0.0, Span::secs)])
+                    json!([
+                        "TurnAway",
+                        number,
+                        self.request(request),
+                        retry_after.map_or(0.0, TimeDelta::secs)
+                    ])
                 }
                 Decision::Fail { request } => json!(["ReportFailure", number, self.request(request)]),
                 Decision::FollowList => json!(["Follow", number, true]),
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use tackmast::interface::Span;
+use tackmast::interface::TimeDelta;
 use tackmast_clientcore::{Bounds, IscsiClient, NbdClient, Transport, ADDITIONS};
 use tackmast_wire::iscsi::Digests;
 
@@ -124,7 +124,7 @@
         let (address, timeout) = (options.address, options.timeout);
         let bounds = Bounds { sessions: options.sessions, calls: options.calls, bytes: options.bytes };
         let (place, digests, speaks) = (options.place.clone(), options.digests, options.speaks);
-        let session_deadline = Span::from_secs(timeout.as_secs_f64());
+        let session_deadline = TimeDelta::from_secs(timeout.as_secs_f64());
         let new = move || -> Box<dyn Transport> {
             let plain = speaks == Speaks::Public;
             let version = match speaks {
@@ -165,7 +165,7 @@
     pub fn submit(&self, op: Op, timeout: Option<Duration>) -> Pending {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let timeout = timeout.unwrap_or(self.timeout);
-        let deadline = self.clock.now() + Span::from_secs(timeout.as_secs_f64());
+        let deadline = self.clock.now() + TimeDelta::from_secs(timeout.as_secs_f64());
         let (to, answer) = crossbeam_channel::bounded(1);
         // A client that has ended drops the sender, and the wait ends at once.
         _ = self.events.send(Event::Call { number, op, deadline, to });
--- a/crates/client/src/shell.rs
+++ b/crates/client/src/shell.rs
@@ -6,7 +6,7 @@
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_clientcore::{Bounds, Core, Op, Outcome, Output, Policy, Transport, Volume};
 
 const SMALL_STACK: usize = 128 << 10;
@@ -215,7 +215,7 @@
                         });
                     };
                     if spawn("client connect", connect).is_err() {
-                        self.core.closed(self.clock.now() + Span::from_secs(0.1), slot);
+                        self.core.closed(self.clock.now() + TimeDelta::from_secs(0.1), slot);
                     }
                 }
                 Output::Ready(v) => _ = self.opened.try_send(Ok(v)),
--- a/crates/clientcore/src/core.rs
+++ b/crates/clientcore/src/core.rs
@@ -5,7 +5,7 @@
 use crate::retry::{Budget, End, Next, Policy};
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
@@ -356,7 +356,7 @@
     }
 
     /// A longer time than any call asks for, where a caller names none.
-    pub fn forever() -> Span {
-        Span::from_secs(86_400.0 * 365.0)
+    pub fn forever() -> TimeDelta {
+        TimeDelta::from_secs(86_400.0 * 365.0)
     }
 }
--- a/crates/clientcore/src/iscsi.rs
+++ b/crates/clientcore/src/iscsi.rs
@@ -3,7 +3,7 @@
 use crate::op::{Op, Outcome, Place, SessionEvent, Transport, Volume};
 use bytes::{Bytes, BytesMut};
 use std::collections::{HashMap, VecDeque};
-use tackmast::interface::Span;
+use tackmast::interface::TimeDelta;
 use tackmast_wire::iscsi::{self, op, Digests, Pdu, Units, FINAL, NO_TAG, READS, WRITES};
 use tackmast_wire::scsi::{status, Command, Sense};
 
@@ -49,7 +49,7 @@
 
 impl IscsiClient {
     /// `plain` leaves out every key of the gateway's own, as a library that knows none of them does.
-    pub fn new(place: Place, digests: Digests, deadline: Span, plain: bool) -> Self {
+    pub fn new(place: Place, digests: Digests, deadline: TimeDelta, plain: bool) -> Self {
         let mut c = IscsiClient {
             input: Units::new(MOST_DATA),
             output: BytesMut::new(),
@@ -101,7 +101,7 @@
         iscsi::encode(pdu, self.digests, &mut self.output);
     }
 
-    fn command(&mut self, tag: Option<(u64, Span)>, command: Command, expected: u32, upload: Bytes) {
+    fn command(&mut self, tag: Option<(u64, TimeDelta)>, command: Command, expected: u32, upload: Bytes) {
         let number = self.next;
         self.next = self.next.wrapping_add(1);
         let flags = match (upload.is_empty(), expected) {
@@ -228,7 +228,7 @@
             status::BUSY => {
                 let exact = pdu.data.get(2..6).map(|b| u32::from_be_bytes([b[0], b[1], b[2], b[3]]));
                 let us = exact.map_or(u64::from(pdu.u16(8) & 0x3fff) * 100_000, u64::from);
-                let retry_after = (us > 0).then(|| Span::from_secs(us as f64 / 1e6));
+                let retry_after = (us > 0).then(|| TimeDelta::from_secs(us as f64 / 1e6));
                 Outcome::Rejected { retry_after }
             }
             _ => match Sense::from_segment(&pdu.data) {
@@ -287,7 +287,7 @@
         self.events.pop_front()
     }
 
-    fn submit(&mut self, tag: u64, what: &Op, left: Span) -> bool {
+    fn submit(&mut self, tag: u64, what: &Op, left: TimeDelta) -> bool {
         let open = self.window_end.wrapping_sub(self.next) as i32 >= 0;
         if self.phase != Phase::Ready || !open {
             return false;
--- a/crates/clientcore/src/nbd.rs
+++ b/crates/clientcore/src/nbd.rs
@@ -3,7 +3,7 @@
 use crate::op::{Op, Outcome, Place, SessionEvent, Transport, Volume};
 use bytes::{Buf, Bytes, BytesMut};
 use std::collections::{HashMap, VecDeque};
-use tackmast::interface::Span;
+use tackmast::interface::TimeDelta;
 use tackmast_wire::nbd::{
     self, chunk, command, error, info, option, reply, Reply, Request, ServerUnit, ServerUnits, Stage,
 };
@@ -190,7 +190,7 @@
                     chunk::REJECTED => {
                         let (_, mut text) = nbd::read_error(&data).map_err(|e| e.to_string())?;
                         let us = if text.len() >= 8 { text.get_u64() } else { 0 };
-                        let retry_after = (us > 0).then(|| Span::from_secs(us as f64 / 1e6));
+                        let retry_after = (us > 0).then(|| TimeDelta::from_secs(us as f64 / 1e6));
                         p.failed = Some(Outcome::Rejected { retry_after });
                     }
                     // All chunk types with the highest bit are errors, known or not.
@@ -220,7 +220,7 @@
         Ok(())
     }
 
-    fn request(&mut self, tag: u64, kind: u16, offset: u64, length: u32, left: Option<Span>) -> u64 {
+    fn request(&mut self, tag: u64, kind: u16, offset: u64, length: u32, left: Option<TimeDelta>) -> u64 {
         self.next += 1;
         let deadline_us = left.filter(|_| self.additions > 0).map(|l| (l.secs() * 1e6).max(1.0) as u64);
         Request { flags: 0, kind, cookie: self.next, offset, length, deadline_us }.encode(&mut self.output);
@@ -254,7 +254,7 @@
         self.events.pop_front()
     }
 
-    fn submit(&mut self, tag: u64, what: &Op, left: Span) -> bool {
+    fn submit(&mut self, tag: u64, what: &Op, left: TimeDelta) -> bool {
         if self.phase != Phase::Ready || self.pending.len() >= self.window {
             return false;
         }
--- a/crates/clientcore/src/op.rs
+++ b/crates/clientcore/src/op.rs
@@ -1,7 +1,7 @@
 //! What is asked and answered, whatever the protocol.
 
 use bytes::Bytes;
-use tackmast::interface::Span;
+use tackmast::interface::TimeDelta;
 
 /// Places and lengths in bytes, in whole blocks of the volume.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
     Done(Bytes),
     /// Not done, and a retry is safe; come back after the span, where one is given.
     Rejected {
-        retry_after: Option<Span>,
+        retry_after: Option<TimeDelta>,
     },
     /// Not done as far as is known, and no promise about its effect.
     Failed,
@@ -81,7 +81,7 @@
     fn output(&mut self) -> Bytes;
     fn next_event(&mut self) -> Option<SessionEvent>;
     /// False: there is no room in the command window now.
-    fn submit(&mut self, tag: u64, op: &Op, left: Span) -> bool;
+    fn submit(&mut self, tag: u64, op: &Op, left: TimeDelta) -> bool;
     /// Nobody waits for the answer any more, and none comes.
     fn cancel(&mut self, tag: u64);
     fn end(&mut self);
--- a/crates/clientcore/src/retry.rs
+++ b/crates/clientcore/src/retry.rs
@@ -1,7 +1,7 @@
 //! When a call is tried again. Only where the answer says that it is safe, or the call is a read; within a budget, so
 //! that retries never become a load of their own; and never past the call's deadline.
 
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 
 /// How one try ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -9,7 +9,7 @@
     /// It never left: there was no session, or the window was shut.
     NotSent,
     Rejected {
-        retry_after: Option<Span>,
+        retry_after: Option<TimeDelta>,
     },
     Failed,
     /// Its session ended while it was out.
@@ -21,7 +21,7 @@
     /// Try again at this time.
     Again(Instant),
     /// Tell the caller: rejected, with how long to stay away.
-    Rejected(Option<Span>),
+    Rejected(Option<TimeDelta>),
     Failed,
 }
 
@@ -31,8 +31,8 @@
     pub free: f64,
     pub share: f64,
     /// Least time between two tries, and the longest between two connects.
-    pub least_wait: Span,
-    pub longest_connect: Span,
+    pub least_wait: TimeDelta,
+    pub longest_connect: TimeDelta,
     pub most_tries: u32,
 }
 
@@ -41,8 +41,8 @@
         Policy {
             free: 10.0,
             share: 0.2,
-            least_wait: Span::from_secs(0.01),
-            longest_connect: Span::from_secs(2.0),
+            least_wait: TimeDelta::from_secs(0.01),
+            longest_connect: TimeDelta::from_secs(2.0),
             most_tries: 8,
         }
     }
@@ -66,8 +66,8 @@
     }
 
     /// Between half and all of it: calls that met one trouble must not come back at one moment.
-    fn jittered(&mut self, wait: Span) -> Span {
-        Span::from_secs(wait.secs() * (1.0 + 0.5 * f64::from(self.chance.rand_float())))
+    fn jittered(&mut self, wait: TimeDelta) -> TimeDelta {
+        TimeDelta::from_secs(wait.secs() * (1.0 + 0.5 * f64::from(self.chance.rand_float())))
     }
 
     /// Judges the end of a try, which took so long, of a call that must be answered by `deadline`.
@@ -77,7 +77,7 @@
         end: End,
         write: bool,
         tries: u32,
-        took: Span,
+        took: TimeDelta,
         deadline: Instant,
     ) -> Next {
         let advice = match end {
@@ -104,9 +104,9 @@
     }
 
     /// How long to wait before the next connect, after so many failures in a row.
-    pub fn connect_wait(&mut self, failures: u32) -> Span {
+    pub fn connect_wait(&mut self, failures: u32) -> TimeDelta {
         let wait = 0.05 * 2f64.powi(failures.min(16) as i32);
-        let wait = Span::from_secs(wait.min(self.policy.longest_connect.secs()) / 1.5);
+        let wait = TimeDelta::from_secs(wait.min(self.policy.longest_connect.secs()) / 1.5);
         self.jittered(wait)
     }
 }
@@ -117,7 +117,7 @@
 
     #[test]
     fn tries_follow_only_where_that_is_safe_and_in_time() {
-        let s = Span::from_secs;
+        let s = TimeDelta::from_secs;
         let rejected = |w: Option<f64>| End::Rejected { retry_after: w.map(s) };
         let told = |w: Option<f64>| Some(Next::Rejected(w.map(s)));
         let failed = Some(Next::Failed);
@@ -162,8 +162,8 @@
                 End::Rejected { retry_after: None },
                 false,
                 1,
-                Span::ZERO,
-                now + Span::from_secs(1.0),
+                TimeDelta::ZERO,
+                now + TimeDelta::from_secs(1.0),
             );
             again += u32::from(matches!(next, Next::Again(_)));
         }
--- a/crates/config/src/host.rs
+++ b/crates/config/src/host.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
-use tackmast::interface::{Effect, Group, Span};
+use tackmast::interface::{Effect, Group, TimeDelta};
 
 /// `host { ... }`
 #[derive(Debug, Clone, Deserialize, PartialEq)]
@@ -324,9 +324,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct TrafficClass {
     pub name: String,
-    pub latency_objective: Span,
+    pub latency_objective: TimeDelta,
     /// Time to answer in, where the client negotiates none.
-    pub deadline: Span,
+    pub deadline: TimeDelta,
     pub effect: Effect,
     pub in_order: bool,
     /// Blocks that share one order key; none: an extent.
@@ -611,7 +611,7 @@
                         GroupName::Zone => Group::Zone,
                         GroupName::Shard => Group::Shard,
                     };
-                    Effect::IdempotentByKey { group, window: Span::from_secs(window) }
+                    Effect::IdempotentByKey { group, window: TimeDelta::from_secs(window) }
                 }
                 (EffectName::IdempotentByKey, None) => {
                     let at = Place { kind: "stream", label: &name, name: "window_s" };
@@ -623,8 +623,8 @@
                 return Err(doc.wrong(&at, 0, "1 block or more"));
             }
             traffic_classes.push(TrafficClass {
-                latency_objective: Span::from_secs(s.latency_objective_ms / 1e3),
-                deadline: Span::from_secs(s.deadline_ms / 1e3),
+                latency_objective: TimeDelta::from_secs(s.latency_objective_ms / 1e3),
+                deadline: TimeDelta::from_secs(s.deadline_ms / 1e3),
                 effect,
                 in_order: s.in_order,
                 order_blocks: s.order_blocks,
--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::Duration;
-use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, Span};
+use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, TimeDelta};
 use tackmast_admin::Answer;
 use tackmast_config::HostSettings;
 use tackmast_hostcore::{Age, Ask, AttemptResult, CommandRef, Core, Counters, ListEntry, Output, Work};
@@ -34,7 +34,7 @@
         block: u64,
         work: Work,
         began: Instant,
-        asked: Option<Span>,
+        asked: Option<TimeDelta>,
     },
     Abort {
         from: CommandRef,
@@ -45,7 +45,7 @@
     AttemptResult(AttemptResult),
     NodeUp {
         node: NodeId,
-        up: Span,
+        up: TimeDelta,
         /// Told once the core knows.
         heard: Sender<()>,
     },
@@ -234,7 +234,7 @@
                         shard: e.shard,
                         start: crate::list::start_of(
                             self.core.nodes().start_name(e.node),
-                            Age::ByWall(Span::ZERO),
+                            Age::ByWall(TimeDelta::ZERO),
                         ),
                     });
                     _ = self.list.try_send(ToList::Save(keep.collect()));
--- a/crates/host/src/links.rs
+++ b/crates/host/src/links.rs
@@ -9,7 +9,7 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant as Wall};
-use tackmast::interface::{NodeId, Outcome, Span};
+use tackmast::interface::{NodeId, Outcome, TimeDelta};
 use tackmast_config::HostSettings;
 use tackmast_hostcore::{AttemptId, AttemptResult, AttemptWork, Begin, Request, SendAttempt, Ticket};
 use tackmast_wire::node::{self, Frame, NodeOutcome, Origin};
@@ -315,7 +315,7 @@
         // What waits here may have been decided for a node that was up for longer: nothing is written before the core has
         // heard, and has taken back what it now decides otherwise.
         let (heard, has_heard) = crossbeam_channel::bounded(1);
-        let up = Span::from_secs(up_us as f64 / 1e6);
+        let up = TimeDelta::from_secs(up_us as f64 / 1e6);
         _ = self.events.send(Event::NodeUp { node: self.node, up, heard });
         if has_heard.recv_timeout(Duration::from_millis(b.connect_ms)).is_err() {
             return Err(format!(
--- a/crates/host/src/list.rs
+++ b/crates/host/src/list.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant as Wall};
-use tackmast::interface::{ListKind, NodeState, ShardId, Span, ZoneId};
+use tackmast::interface::{ListKind, NodeState, ShardId, TimeDelta, ZoneId};
 use tackmast_config::HostSettings;
 use tackmast_hostcore::{Age, ListEntry, Start};
 use tackmast_wire::list::{self, Frame, State, VERSION};
@@ -178,8 +178,8 @@
     Age::ByWall(since(Clock::wall_us(), started_us))
 }
 
-fn since(now_us: u64, then_us: u64) -> Span {
-    Span::from_secs((now_us as f64 - then_us as f64) / 1e6)
+fn since(now_us: u64, then_us: u64) -> TimeDelta {
+    TimeDelta::from_secs((now_us as f64 - then_us as f64) / 1e6)
 }
 
 fn entry(e: list::Entry, sent_us: u64) -> ListEntry {
--- a/crates/host/src/sessions.rs
+++ b/crates/host/src/sessions.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread::JoinHandle;
 use std::time::Duration;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_config::HostSettings;
 use tackmast_hostcore::{CommandRef, Verdict, Work};
 use tackmast_target as target;
@@ -228,7 +228,7 @@
                                 target::Work::Write { data } => Work::Write { data },
                             },
                             began: began.remove(&command).unwrap_or(at),
-                            asked: deadline_ms.map(|ms| Span::from_secs(f64::from(ms) / 1e3)),
+                            asked: deadline_ms.map(|ms| TimeDelta::from_secs(f64::from(ms) / 1e3)),
                         },
                         target::Event::Abort { command } => {
                             began.remove(&command);
--- a/crates/hostcore/src/admission.rs
+++ b/crates/hostcore/src/admission.rs
@@ -1,7 +1,7 @@
 //! Whether the host's tables have room for a command, and when a client that meets a full one should come back.
 
 use std::collections::HashMap;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 
 const RATE_MEMORY: f64 = 2.0; // seconds over which endings are counted
 const LEAST_WAIT: f64 = 0.05; // seconds; a full table clears no faster in a way worth a round trip
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub struct Admission {
     most: Held,
-    longest_wait: Span,
+    longest_wait: TimeDelta,
     held: Held,
     sessions: HashMap<u32, Held>,
     volumes: HashMap<usize, Held>,
@@ -47,7 +47,7 @@
 }
 
 impl Admission {
-    pub fn new(now: Instant, requests: usize, bytes: usize, longest_wait: Span) -> Self {
+    pub fn new(now: Instant, requests: usize, bytes: usize, longest_wait: TimeDelta) -> Self {
         Admission {
             most: Held { requests, bytes },
             longest_wait,
@@ -66,7 +66,13 @@
     }
 
     /// Takes up room, or says how long to stay away.
-    pub fn enter(&mut self, now: Instant, session: u32, volume: usize, wanted: Held) -> Result<(), Span> {
+    pub fn enter(
+        &mut self,
+        now: Instant,
+        session: u32,
+        volume: usize,
+        wanted: Held,
+    ) -> Result<(), TimeDelta> {
         let with = self.held.plus(wanted);
         // What is free counts after this one, so that the last place is nobody's alone.
         let free = self.most.less(with);
@@ -85,7 +91,7 @@
         let rate = self.ended / RATE_MEMORY;
         let cleared = CLEARED * self.most.requests as f64 + wanted.requests as f64;
         let wait = if rate > 0.0 { cleared / rate } else { f64::MAX };
-        Err(Span::from_secs(wait.clamp(LEAST_WAIT, self.longest_wait.secs().max(LEAST_WAIT))))
+        Err(TimeDelta::from_secs(wait.clamp(LEAST_WAIT, self.longest_wait.secs().max(LEAST_WAIT))))
     }
 
     pub fn leave(&mut self, now: Instant, session: u32, volume: usize, held: Held) {
@@ -135,21 +141,21 @@
             ("full and fast", 50, 1000, 10, 0.05, 0.05),
             ("too many bytes", 0, 0, 200_000, 2.0, 2.0),
         ] {
-            let mut a = Admission::new(at(0.0), 100, 100_000, Span::from_secs(2.0));
+            let mut a = Admission::new(at(0.0), 100, 100_000, TimeDelta::from_secs(2.0));
             for i in 0..ended {
                 a.enter(at(0.0), 1, 1, one(0)).unwrap();
                 a.leave(at(f64::from(i) / f64::from(ended)), 1, 1, one(0));
             }
             let asks: Vec<(u32, usize)> = (0..sessions).map(|s| (s, s as usize)).collect();
             fill(&mut a, &asks, 100);
-            let found = a.enter(at(1.0), 0, 0, one(bytes)).map_or_else(Span::secs, |()| 0.0);
+            let found = a.enter(at(1.0), 0, 0, one(bytes)).map_or_else(TimeDelta::secs, |()| 0.0);
             assert!((low..=high).contains(&found), "{name}: {found}");
         }
     }
 
     #[test]
     fn a_greedy_one_always_leaves_room_for_others() {
-        let new = || Admission::new(Instant::from_secs(0.0), 1000, 1 << 30, Span::from_secs(2.0));
+        let new = || Admission::new(Instant::from_secs(0.0), 1000, 1 << 30, TimeDelta::from_secs(2.0));
         // One session that asks without end, then others of the same and of another volume.
         let mut a = new();
         let greedy = fill(&mut a, &[(1, 1)], 5000)[0];
@@ -172,7 +178,7 @@
 
     #[test]
     fn what_leaves_leaves_nothing_behind() {
-        let mut a = Admission::new(Instant::from_secs(0.0), 100, 1000, Span::from_secs(1.0));
+        let mut a = Admission::new(Instant::from_secs(0.0), 100, 1000, TimeDelta::from_secs(1.0));
         for s in 0..5 {
             a.enter(Instant::from_secs(0.0), s, 1, one(7)).unwrap();
         }
--- a/crates/hostcore/src/agreed.rs
+++ b/crates/hostcore/src/agreed.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_agreement::{
     Held, Lease, Origin, Parcels, ParcelsSettings, Seat, SeatSettings, Settings, Standing, Word,
 };
@@ -120,9 +120,9 @@
 
 pub fn agreement_settings(s: &HostSettings, a: &AgreementBlock) -> Settings {
     Settings {
-        beat: Span::from_secs(a.beat_ms / 1e3),
-        patience: Span::from_secs(a.patience_ms / 1e3),
-        lease: Span::from_secs(a.lease_s),
+        beat: TimeDelta::from_secs(a.beat_ms / 1e3),
+        patience: TimeDelta::from_secs(a.patience_ms / 1e3),
+        lease: TimeDelta::from_secs(a.lease_s),
         drift: a.drift,
         hosts: s.host.hosts,
         fold_entries: FOLD_ENTRIES,
@@ -177,7 +177,7 @@
     }
 
     /// Seconds from a change's commit until all hosts go by it.
-    pub fn settle(&self) -> Span {
+    pub fn settle(&self) -> TimeDelta {
         Lease::until_all(self.settings.lease, self.settings.drift)
     }
 
--- a/crates/hostcore/src/combine.rs
+++ b/crates/hostcore/src/combine.rs
@@ -1,7 +1,7 @@
 //! One answer for a command of several parts. Parts are requests of their own to the decision module; their
 //! client is owed one final answer, as early as it is certain.
 
-use tackmast::interface::{Effect, Group, Span};
+use tackmast::interface::{Effect, Group, TimeDelta};
 
 /// How far one part has come. `ran` tells whether an attempt of it may have had an effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -12,7 +12,7 @@
     Done,
     Rejected {
         ran: bool,
-        retry_after: Option<Span>,
+        retry_after: Option<TimeDelta>,
     },
     /// The module gave it up with an attempt out that may have run. Where the links have proof that none of it ever
     /// left, it is as good as rejected.
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Combined {
     Done,
-    Rejected { retry_after: Option<Span> },
+    Rejected { retry_after: Option<TimeDelta> },
     Failed,
 }
 
@@ -44,7 +44,7 @@
 /// failed where the effect does not bear a second run.
 pub fn combine(effect: Effect, client_marks: bool, parts: &[PartEnd]) -> Option<Combined> {
     let mut undone = false;
-    let mut retry_after: Option<Span> = None;
+    let mut retry_after: Option<TimeDelta> = None;
     for part in parts {
         match part {
             PartEnd::Failed { ran: true } => return Some(Combined::Failed),
@@ -75,7 +75,7 @@
 
     #[test]
     fn parts_make_one_answer() {
-        let s = Span::from_secs;
+        let s = TimeDelta::from_secs;
         let idempotent_by_key = |group| Effect::IdempotentByKey { group, window: s(3.0) };
         let (re, un) = (Effect::Idempotent, Effect::NonIdempotent);
         let (open, out) = (PartEnd::Open { ran: false }, PartEnd::Open { ran: true });
--- a/crates/hostcore/src/core.rs
+++ b/crates/hostcore/src/core.rs
@@ -94,7 +94,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     Done { data: Bytes },
-    Rejected { retry_after: Option<Span> },
+    Rejected { retry_after: Option<TimeDelta> },
     Failed,
 }
 
@@ -292,8 +292,8 @@
     volume_names: VolumeNames,
     traffic_classes: Vec<TrafficClass>,
     tells: bool,
-    lead: Span,
-    longest_wait: Span,
+    lead: TimeDelta,
+    longest_wait: TimeDelta,
     life: u64,
     nodes: Nodes,
     admission: Admission,
@@ -304,7 +304,7 @@
     serial: u64,
     at_node: BTreeMap<NodeId, BTreeSet<(RequestId, u32)>>, // attempts out
     until: BTreeSet<(Instant, RequestId, u32)>,            // the same, by the end of their time
-    grace: Span,
+    grace: TimeDelta,
     cuts: BTreeSet<(Instant, NodeId)>, // when what is still being written to a node that drains is cut off
     list_version: u64,
     stops: stops::Stops,
@@ -323,8 +323,8 @@
 impl Core {
     /// `life` differs between all lives of all hosts; `seed` is for chance in decisions.
     pub fn new(now: Instant, s: &HostSettings, seed: u64, life: u64) -> Self {
-        let tick = Span::from_secs(s.host.tick_ms / 1e3);
-        let longest = Span::from_secs(s.load.longest_wait_s);
+        let tick = TimeDelta::from_secs(s.host.tick_ms / 1e3);
+        let longest = TimeDelta::from_secs(s.load.longest_wait_s);
         let mut scheduler = Scheduler::new(now, seed, s.host.hosts, tick, s.units.mean);
         for st in &s.traffic_classes {
             scheduler.traffic_class(st.latency_objective, st.effect, st.in_order);
@@ -332,12 +332,12 @@
         for p in &s.plans {
             scheduler.plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
         }
-        scheduler.attempt_limits(s.load.max_attempts, longest, Span::from_secs(s.load.settle_s));
+        scheduler.attempt_limits(s.load.max_attempts, longest, TimeDelta::from_secs(s.load.settle_s));
         if let Some(f) = &s.retry_budget {
-            scheduler.retry_budget(f.free, f.share, Span::from_secs(f.window_s));
+            scheduler.retry_budget(f.free, f.share, TimeDelta::from_secs(f.window_s));
         }
         if let Some(c) = &s.cold {
-            let (warm, window) = (Span::from_secs(c.warm_s), Span::from_secs(c.window_s));
+            let (warm, window) = (TimeDelta::from_secs(c.warm_s), TimeDelta::from_secs(c.window_s));
             let (safe, multiple) = cold_figures(c);
             scheduler.cold_nodes(safe, c.from, warm, window, multiple);
             scheduler.work_saved(c.saved);
@@ -347,7 +347,7 @@
             traffic_classes: s.traffic_classes.clone(),
             tells: s.load.tells_others,
             longest_wait: longest,
-            grace: Span::from_secs(s.load.drain_grace_ms / 1e3),
+            grace: TimeDelta::from_secs(s.load.drain_grace_ms / 1e3),
             requests: s.bounds.requests,
             bytes: s.bounds.bytes,
             nodes: s.bounds.nodes,
@@ -355,7 +355,7 @@
         };
         Core {
             layout: Layout::new(s),
-            lead: Span::from_secs(s.host.answer_lead_ms / 1e3),
+            lead: TimeDelta::from_secs(s.host.answer_lead_ms / 1e3),
             number: s.host.number,
             ..Core::placed(now, scheduler, placed, life)
         }
@@ -369,7 +369,7 @@
             volume_names: VolumeNames::new(s.volumes),
             traffic_classes: s.traffic_classes,
             tells: s.tells,
-            lead: Span::ZERO,
+            lead: TimeDelta::ZERO,
             longest_wait: s.longest_wait,
             life,
             nodes: Nodes::new(s.nodes),
@@ -381,7 +381,7 @@
             serial: 0,
             at_node: BTreeMap::new(),
             until: BTreeSet::new(),
-            grace: Span::from_secs(s.grace.secs() * GRACE_PART),
+            grace: TimeDelta::from_secs(s.grace.secs() * GRACE_PART),
             cuts: BTreeSet::new(),
             list_version: 0,
             stops: stops::Stops::default(),
--- a/crates/hostcore/src/core/agreed.rs
+++ b/crates/hostcore/src/core/agreed.rs
@@ -39,7 +39,7 @@
         if now < a.told_at {
             return;
         }
-        a.told_at = now + Span::from_secs(TOLD_S);
+        a.told_at = now + TimeDelta::from_secs(TOLD_S);
         let (told, waits) = plans.told();
         let version = plans.version();
         if waits && told < version && a.seat.voter.all_have(0..a.settings.hosts, a.changed_at).is_ok() {
@@ -127,7 +127,7 @@
         let command = serde_json::from_slice::<PlanCommand>(data).map_err(|e| e.to_string());
         let is_change = matches!(command, Ok(PlanCommand::Change { .. }));
         let held = command.and_then(|c| plans.agreed_holds(c));
-        let settle = self.agreed.as_ref().map_or(Span::ZERO, Agreed::settle);
+        let settle = self.agreed.as_ref().map_or(TimeDelta::ZERO, Agreed::settle);
         match held {
             Ok(AgreedHolds { moves, entry, lines }) => {
                 self.go_by(now, &moves);
@@ -190,7 +190,7 @@
                 }
                 // Never stale: answered once all that was agreed on before the ask is here.
                 let seq = a.seat.ask_newest(now);
-                a.reads.push((seq, now + Span::from_secs(READ_S), request, ask));
+                a.reads.push((seq, now + TimeDelta::from_secs(READ_S), request, ask));
                 return self.go_on_agreed(now);
             }
             PlanAsk::Apply { change, dry_run } => (Ok(change), dry_run),
--- a/crates/hostcore/src/core/attempts.rs
+++ b/crates/hostcore/src/core/attempts.rs
@@ -50,7 +50,7 @@
         now: Instant,
         id: RequestId,
         node: NodeId,
-        timeout: Option<Span>,
+        timeout: Option<TimeDelta>,
         begin_by: Option<Instant>,
     ) {
         let Some(x) = self.requests.get_mut(&id) else { return };
--- a/crates/hostcore/src/core/commands.rs
+++ b/crates/hostcore/src/core/commands.rs
@@ -15,7 +15,7 @@
         block: u64,
         work: Work,
         began: Instant,
-        asked: Option<Span>,
+        asked: Option<TimeDelta>,
         mark: Option<u128>,
     ) {
         self.counters.taken += 1;
@@ -104,7 +104,7 @@
             return self.refuse(from, Some(self.longest_wait));
         }
         let known = self.scheduler.knows(p.traffic_class, p.plan);
-        if !known || p.left <= Span::ZERO || self.commands.contains_key(&from) {
+        if !known || p.left <= TimeDelta::ZERO || self.commands.contains_key(&from) {
             return self.refuse(from, None);
         }
         let open = |v: usize| self.commands.values().any(|c| c.volume == v);
@@ -153,7 +153,7 @@
         }
     }
 
-    pub(super) fn refuse(&mut self, to: CommandRef, retry_after: Option<Span>) {
+    pub(super) fn refuse(&mut self, to: CommandRef, retry_after: Option<TimeDelta>) {
         self.counters.rejected += 1;
         self.outputs.push_back(Output::Answer { to, verdict: Verdict::Rejected { retry_after } });
     }
--- a/crates/hostcore/src/core/listed.rs
+++ b/crates/hostcore/src/core/listed.rs
@@ -98,7 +98,7 @@
 
     /// A node said at the start of a link how long it has been up. Later than the list knows: it restarted, and what
     /// waits for the link was meant for the node as it was. The link must not write before this has been heard.
-    pub fn node_said_up(&mut self, now: Instant, node: NodeId, up: Span) {
+    pub fn node_said_up(&mut self, now: Instant, node: NodeId, up: TimeDelta) {
         if let Some(mut entry) = self.nodes.started(now, node, up) {
             self.given(now, &mut entry);
             self.scheduler.nodes_changed(now, ListKind::Changes, &[entry]);
--- a/crates/hostcore/src/core/stops.rs
+++ b/crates/hostcore/src/core/stops.rs
@@ -47,7 +47,7 @@
             }
             return;
         }
-        let until = now + Span::from_secs(STANDS_S);
+        let until = now + TimeDelta::from_secs(STANDS_S);
         let before = self.stops.held.insert(stop.address.clone(), (version, until));
         if before.is_none() {
             let word = if stop.gone { "gone" } else { "draining" };
--- a/crates/hostcore/src/fellows.rs
+++ b/crates/hostcore/src/fellows.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_config::{HostSettings, MembershipBlock};
 use tackmast_membership::{
     Do, ListCame, LoanSettings, Member, MemberSettings, Moved, OrderKind, Output, Paper, Remembered, Shared,
@@ -165,7 +165,7 @@
     seed: u64,
     recalled: Vec<(u32, u64, SocketAddr)>,
 ) -> MemberSettings {
-    let secs = Span::from_secs;
+    let secs = TimeDelta::from_secs;
     let shared = s.volumes.iter().filter(|v| !v.through.is_empty()).map(|v| Shared {
         volume: v.lun,
         limit: s.plans[v.plan as usize].limit,
--- a/crates/hostcore/src/nodes.rs
+++ b/crates/hostcore/src/nodes.rs
@@ -1,7 +1,7 @@
 //! Node addresses and the small numbers by which the decision module knows them.
 
 use std::collections::{BTreeMap, HashMap};
-use tackmast::interface::{Instant, NodeEntry, NodeId, NodeState, ShardId, Span, ZoneId};
+use tackmast::interface::{Instant, NodeEntry, NodeId, NodeState, ShardId, TimeDelta, ZoneId};
 
 /// One line of a node list, as it came.
 #[derive(Clone, Debug, PartialEq)]
@@ -28,9 +28,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Age {
     /// The list's own, when it was sent: what it took to come makes the node look younger at most.
-    Told(Span),
+    Told(TimeDelta),
     /// This host's wall clock, which may be wrong by minutes.
-    ByWall(Span),
+    ByWall(TimeDelta),
 }
 
 /// A list's time of a start and the node's own word differ by the way of a message; less is no news.
@@ -44,9 +44,9 @@
     let age = match s.age {
         Age::Told(age) => age,
         Age::ByWall(age) if age.secs() >= LONG_PAST => age,
-        Age::ByWall(_) => Span::ZERO,
+        Age::ByWall(_) => TimeDelta::ZERO,
     };
-    now - age.max(Span::ZERO)
+    now - age.max(TimeDelta::ZERO)
 }
 
 /// Nodes named to this life of the host. A number is never given to another id: what the module learned of a node must
@@ -103,8 +103,8 @@
     }
 
     /// A node's own word on when it started; the changed entry, if that is news.
-    pub fn started(&mut self, now: Instant, node: NodeId, up: Span) -> Option<NodeEntry> {
-        let up_since = now - up.max(Span::ZERO);
+    pub fn started(&mut self, now: Instant, node: NodeId, up: TimeDelta) -> Option<NodeEntry> {
+        let up_since = now - up.max(TimeDelta::ZERO);
         let k = self.known.get_mut(&node)?;
         // One of which no start was told counts as long up. That it is must not pass for a start: what the module has
         // learned of it would be lost at the first link to each node, and what waits for the link sent anew.
@@ -169,7 +169,7 @@
 
     #[test]
     fn a_start_is_never_taken_for_earlier_than_it_can_be() {
-        let (at, s) = (Instant::from_secs, Span::from_secs);
+        let (at, s) = (Instant::from_secs, TimeDelta::from_secs);
         let told = |name, age| Some(Start { name, age: Age::Told(s(age)) });
         let by_wall = |name, age| Some(Start { name, age: Age::ByWall(s(age)) });
         // What is told, one after the other at times 100, 101, ...: by the list, or by the node itself; then the start
--- a/crates/hostcore/src/orders.rs
+++ b/crates/hostcore/src/orders.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_overrides::{
     Audit, Explanation, Order, Origin, Override, OverrideId, Overrides, Preview, Refusal,
 };
@@ -233,7 +233,7 @@
         if now < self.tell_at {
             return Vec::new();
         }
-        self.tell_at = now + Span::from_secs(TELL_S);
+        self.tell_at = now + TimeDelta::from_secs(TELL_S);
         let standing = self.overrides.list(now);
         let line = |(o, left): &(Override, f64)| {
             format!(
--- a/crates/hostcore/src/placed.rs
+++ b/crates/hostcore/src/placed.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use std::collections::HashMap;
-use tackmast::interface::{Instant, PlanId, ShardId, Span, TrafficClassId};
+use tackmast::interface::{Instant, PlanId, ShardId, TimeDelta, TrafficClassId};
 use tackmast_config::TrafficClass;
 
 /// What is written to a node: the protocol's own, but for the time left, which each attempt adds.
@@ -30,7 +30,7 @@
     pub units: f64,
     /// Through how many hosts the volume's requests come.
     pub hosts: u32,
-    pub left: Span,
+    pub left: TimeDelta,
     pub request: Request,
 }
 
@@ -39,9 +39,9 @@
 pub struct PlacedSettings {
     pub traffic_classes: Vec<TrafficClass>,
     pub tells: bool,
-    pub longest_wait: Span,
+    pub longest_wait: TimeDelta,
     /// Of a node that drains.
-    pub grace: Span,
+    pub grace: TimeDelta,
     pub requests: usize,
     pub bytes: usize,
     pub nodes: usize,
--- a/crates/hostcore/src/plans.rs
+++ b/crates/hostcore/src/plans.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
-use tackmast::interface::{Instant, Plan as Figures, PlanId, Span};
+use tackmast::interface::{Instant, Plan as Figures, PlanId, TimeDelta};
 use tackmast_config::{HostSettings, PlansBlock};
 use tackmast_membership::{MOST_BYTES, MOST_PAPERS};
 use tackmast_plans::{
@@ -118,7 +118,7 @@
     fleet: Fleet,
     me: u32,
     home: u32,
-    settle: Span,
+    settle: TimeDelta,
     ends: Instant,
     /// Until when clients wait for word of the newest change, at most.
     waits: Option<Instant>,
@@ -182,7 +182,7 @@
             let expected = "the settings that it began with, or no trail".to_owned();
             return Err(TrailError::Broken { number: 0, found, expected });
         }
-        let settle = Span::from_secs(b.settle_s);
+        let settle = TimeDelta::from_secs(b.settle_s);
         let alone = s.host.number == b.home || s.membership.is_none();
         Ok(Plans {
             trail,
--- a/crates/hostcore/tests/agreed.rs
+++ b/crates/hostcore/tests/agreed.rs
@@ -189,9 +189,9 @@
     }
 
     fn run(&mut self, seconds: f64) {
-        let end = self.now + Span::from_secs(seconds);
+        let end = self.now + TimeDelta::from_secs(seconds);
         while self.now < end {
-            self.now = self.now + Span::from_secs(0.01);
+            self.now = self.now + TimeDelta::from_secs(0.01);
             self.pull();
         }
     }
--- a/crates/hostcore/tests/core.rs
+++ b/crates/hostcore/tests/core.rs
@@ -57,8 +57,8 @@
     other: Vec<Output>,
 }
 
-fn s(secs: f64) -> Span {
-    Span::from_secs(secs)
+fn s(secs: f64) -> TimeDelta {
+    TimeDelta::from_secs(secs)
 }
 
 fn entry(address: &str, shard: u32, state: NodeState) -> ListEntry {
@@ -101,7 +101,7 @@
     fn pass(&mut self, secs: f64) {
         let until = self.now + s(secs);
         while let Some(t) = self.core.next_wake(self.now).filter(|t| *t <= until) {
-            self.now = t.max(self.now + Span::from_secs(1e-6));
+            self.now = t.max(self.now + TimeDelta::from_secs(1e-6));
             self.pull();
         }
         self.now = until;
@@ -189,7 +189,7 @@
     let over: Vec<u32> = r.answers.iter().map(|(c, _)| *c).collect();
     assert_eq!(over, [9, 10, 11, 12, 13, 14]);
     for (_, v) in &r.answers {
-        assert!(matches!(v, Verdict::Rejected { retry_after: Some(w) } if *w > Span::ZERO), "{v:?}");
+        assert!(matches!(v, Verdict::Rejected { retry_after: Some(w) } if *w > TimeDelta::ZERO), "{v:?}");
     }
     r.pass(1.5);
     assert_eq!((r.answers.len(), r.core.counters.over_bound), (15, 6), "each gets one answer");
@@ -410,7 +410,7 @@
         r.core.ask(r.now, 1, Ask::Set { order, force: false, dry_run: false, if_version: None });
         r.core.kept(r.now, 1, Ok(()));
         r.now = Instant::from_secs(20.0);
-        let up = Span::from_secs(20.0 - start);
+        let up = TimeDelta::from_secs(20.0 - start);
         let start = Some(Start { name: 7, age: Age::Told(up) });
         r.list(5, 6, &[ListEntry { start, ..entry(address, 0, NodeState::Ready) }]);
         r.other.clear();
--- a/crates/hostcore/tests/decision_hash.rs
+++ b/crates/hostcore/tests/decision_hash.rs
@@ -329,7 +329,7 @@
             }
             Verdict::Rejected { retry_after } => {
                 self.kind(2);
-                self.optional_seconds(retry_after.map(Span::secs));
+                self.optional_seconds(retry_after.map(TimeDelta::secs));
             }
             Verdict::Failed => self.kind(3),
         }
@@ -468,8 +468,8 @@
     admin_requests: u64,
 }
 
-fn seconds(seconds: f64) -> Span {
-    Span::from_secs(seconds)
+fn seconds(seconds: f64) -> TimeDelta {
+    TimeDelta::from_secs(seconds)
 }
 
 fn micros(time: Instant) -> i64 {
@@ -608,14 +608,14 @@
     }
 
     /// Lets time pass, with the ends of attempts and the wake-ups that fall into it.
-    fn pass(&mut self, time: Span) {
+    fn pass(&mut self, time: TimeDelta) {
         let until = self.now + time;
         loop {
             let ends = self.hosts.iter().filter_map(|host| host.pending.keys().next());
             let end = ends.map(|(at, _)| Instant::from_secs(*at as f64 / 1e6)).min();
             let wake = self.hosts.iter().filter_map(|host| host.core.next_wake(self.now)).min();
             let Some(next) = end.into_iter().chain(wake).min().filter(|next| *next <= until) else { break };
-            self.now = next.max(self.now + Span::from_secs(1e-6));
+            self.now = next.max(self.now + TimeDelta::from_secs(1e-6));
             for host in 0..HOSTS_RUN {
                 self.end_attempts(host);
             }
--- a/crates/hostcore/tests/placed.rs
+++ b/crates/hostcore/tests/placed.rs
@@ -10,8 +10,8 @@
     Instant::from_secs(s)
 }
 
-fn span(s: f64) -> Span {
-    Span::from_secs(s)
+fn span(s: f64) -> TimeDelta {
+    TimeDelta::from_secs(s)
 }
 
 struct Rig {
@@ -24,7 +24,7 @@
 const EFFECTS: [Effect; 3] = [
     Effect::Idempotent,
     Effect::NonIdempotent,
-    Effect::IdempotentByKey { group: Group::Shard, window: Span::ZERO },
+    Effect::IdempotentByKey { group: Group::Shard, window: TimeDelta::ZERO },
 ];
 
 impl Rig {
@@ -47,7 +47,7 @@
                 }
             })
             .collect();
-        scheduler.attempt_limits(3, span(0.5), Span::ZERO);
+        scheduler.attempt_limits(3, span(0.5), TimeDelta::ZERO);
         let (tells, longest_wait, grace) = (true, span(0.5), span(1.0));
         let settings = PlacedSettings {
             traffic_classes,
@@ -190,7 +190,7 @@
     let told = r
         .answers
         .iter()
-        .all(|(_, v)| matches!(v, Verdict::Rejected { retry_after: Some(w) } if *w > Span::ZERO));
+        .all(|(_, v)| matches!(v, Verdict::Rejected { retry_after: Some(w) } if *w > TimeDelta::ZERO));
     assert!(told, "{:?}", r.answers);
     // A node that never answers: what is open ends with its client's time, and its attempts are called back.
     let out = r.sent.drain(..).filter(|l| l.ticket.claim()).count();
--- a/crates/httphost/src/clients.rs
+++ b/crates/httphost/src/clients.rs
@@ -7,7 +7,7 @@
 use bytes::BytesMut;
 use std::collections::BTreeMap;
 use std::net::{Shutdown, TcpStream};
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_http::{Bounds, Request, RequestReader};
 use tackmast_platform::answer_head;
 
@@ -126,7 +126,7 @@
     spare: usize,
     bytes: usize,
     held: usize,
-    retry_after: Span,
+    retry_after: TimeDelta,
     /// The host is ending: each answer says so.
     pub ending: bool,
     pub counters: ClientCounters,
@@ -134,7 +134,7 @@
 
 impl Clients {
     /// `most` connections that together hold so many `bytes`; one that finds no room is told to `retry_after`.
-    pub fn new(most: usize, bytes: usize, retry_after: Span) -> Self {
+    pub fn new(most: usize, bytes: usize, retry_after: TimeDelta) -> Self {
         let spare = (most / TURNED_AWAY_PART).min(TURNED_AWAY_MOST);
         Clients {
             clients: BTreeMap::new(),
@@ -329,7 +329,7 @@
         if let Some(c) = self.clients.get_mut(&id) {
             c.closes = true;
         }
-        let retry_after = (status == 503 && self.retry_after > Span::ZERO).then_some(self.retry_after);
+        let retry_after = (status == 503 && self.retry_after > TimeDelta::ZERO).then_some(self.retry_after);
         self.answer(now, poller, id, status, why.as_bytes(), retry_after)
     }
 
@@ -341,7 +341,7 @@
         id: u32,
         status: u16,
         body: &[u8],
-        retry_after: Option<Span>,
+        retry_after: Option<TimeDelta>,
     ) -> Option<Said> {
         let ending = self.ending;
         let c = self.clients.get_mut(&id).filter(|c| !c.is_over())?;
--- a/crates/httphost/src/clients/tests.rs
+++ b/crates/httphost/src/clients/tests.rs
@@ -21,7 +21,7 @@
     /// Room for so many connections, and for one more that is told that there is none.
     fn new(most: usize) -> Rig {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let clients = Clients { most, spare: 1, ..Clients::new(most, 1 << 20, Span::from_secs(0.5)) };
+        let clients = Clients { most, spare: 1, ..Clients::new(most, 1 << 20, TimeDelta::from_secs(0.5)) };
         Rig { listener, poller: Poller::new().unwrap(), clients }
     }
 
--- a/crates/httphost/src/ending.rs
+++ b/crates/httphost/src/ending.rs
@@ -1,6 +1,6 @@
 //! When a host that was told to end takes each step of its end. No I/O.
 
-use tackmast::interface::Span;
+use tackmast::interface::TimeDelta;
 
 /// New connections come for up to 0.4 s after SIGTERM, and requests on those there are for as long as these stay open. They
 /// have nowhere else to go until the host is back, so it serves on until shortly before it is killed. The platform does that no
@@ -38,7 +38,7 @@
 
 impl Ending {
     /// `deadline` is the longest of any class.
-    pub fn new(deadline: Span) -> Self {
+    pub fn new(deadline: TimeDelta) -> Self {
         let killed = deadline.secs().clamp(0.0, LONGEST_DEADLINE) + KILLED_AFTER;
         // With short deadlines the time is short: new connections go first.
         let closes = (killed - CLOSE_AHEAD).max(STILL_COMING);
@@ -47,7 +47,7 @@
     }
 
     /// `alone`: no client has a connection.
-    pub fn step(&self, since: Span, alone: bool) -> Step {
+    pub fn step(&self, since: TimeDelta, alone: bool) -> Step {
         let secs = since.secs();
         match () {
             () if secs >= self.over => Step::Over,
--- a/crates/httphost/src/ending/tests.rs
+++ b/crates/httphost/src/ending/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn each_step_comes_in_its_order_whatever_the_deadlines_are() {
-    let s = Span::from_secs;
+    let s = TimeDelta::from_secs;
     // The longest deadline; when it closes and when all is answered; the kill comes no earlier than the last.
     for (deadline, closes, settled, killed) in [
         (3.0, 3.2, 3.45, 3.7),
--- a/crates/httphost/src/keepers.rs
+++ b/crates/httphost/src/keepers.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use tackmast::interface::{Instant, ShardId, Span};
+use tackmast::interface::{Instant, ShardId, TimeDelta};
 
 /// Bytes of one datagram, at most, by the platform.
 pub const MOST: usize = 256;
@@ -52,7 +52,7 @@
             me,
             peers,
             born: now,
-            next: now + Span::from_secs(first),
+            next: now + TimeDelta::from_secs(first),
             asked: 0,
             left: false,
             kept: BTreeMap::new(),
@@ -80,7 +80,7 @@
             all.extend(self.keepers().into_iter().map(|to| (to, vec![b't', b'k', ASK, 0, 1])));
         }
         if now >= self.next {
-            self.next = now + Span::from_secs(EVERY);
+            self.next = now + TimeDelta::from_secs(EVERY);
             all.extend(self.leave(paces()));
         }
         all
--- a/crates/httphost/src/links.rs
+++ b/crates/httphost/src/links.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::{SocketAddr, TcpStream};
-use tackmast::interface::{Instant, NodeId, Outcome, Span};
+use tackmast::interface::{Instant, NodeId, Outcome, TimeDelta};
 use tackmast_hostcore::{AttemptId, AttemptResult, AttemptWork, Begin, SendAttempt};
 use tackmast_http::{AnswerReader, Bounds};
 use tackmast_platform::{attempt_head, Reports};
@@ -57,16 +57,16 @@
     resting: Vec<(Instant, SendAttempt)>,
     next: u32,
     most: usize,
-    connect: Span,
-    idle_most: Span,
+    connect: TimeDelta,
+    idle_most: TimeDelta,
     reports: Reports,
     pub counters: LinkCounters,
 }
 
 impl Links {
     /// `most` connections; `connect` is the time to come up in, `idle` when nodes close one (zero: not told).
-    pub fn new(most: usize, connect: Span, idle: Span, reports: Reports) -> Self {
-        let keep = if idle > Span::ZERO { idle.secs() * IDLE_PART } else { 10.0 };
+    pub fn new(most: usize, connect: TimeDelta, idle: TimeDelta, reports: Reports) -> Self {
+        let keep = if idle > TimeDelta::ZERO { idle.secs() * IDLE_PART } else { 10.0 };
         Links {
             links: BTreeMap::new(),
             idle: Idle::default(),
@@ -76,7 +76,7 @@
             next: 0,
             most,
             connect,
-            idle_most: Span::from_secs(keep),
+            idle_most: TimeDelta::from_secs(keep),
             reports,
             counters: LinkCounters::default(),
         }
@@ -97,7 +97,7 @@
         back: &mut Vec<AttemptResult>,
     ) {
         let Some(to) = to else { return back.push(ended(attempt.attempt, Outcome::Refused)) };
-        while let Some(id) = self.idle.take(attempt.node, now, Span::from_secs(REST)) {
+        while let Some(id) = self.idle.take(attempt.node, now, TimeDelta::from_secs(REST)) {
             let good = self.links.get(&id).is_some_and(|l| l.address == to && wire::is_quiet(&l.stream));
             if good {
                 self.counters.reused += 1;
@@ -106,14 +106,14 @@
             self.links.remove(&id); // closed by its node while idle, or the node has moved
         }
         // Some milliseconds cost less than a new connection, to this host's client as to the node.
-        let rest = Span::from_secs(REST);
+        let rest = TimeDelta::from_secs(REST);
         let ahead = self.resting.iter().filter(|(_, a)| a.node == attempt.node).count();
         let until = self.idle.rested_at(attempt.node, now, rest, ahead).filter(|_| !has_waited);
         if let Some(until) = until {
             return self.resting.push((until, attempt));
         }
         if self.links.len() >= self.most {
-            if let Some((node, id)) = self.idle.oldest(Span::ZERO, now) {
+            if let Some((node, id)) = self.idle.oldest(TimeDelta::ZERO, now) {
                 self.close(node, id);
             }
         }
--- a/crates/httphost/src/pool.rs
+++ b/crates/httphost/src/pool.rs
@@ -1,7 +1,7 @@
 //! Which connection is reused, closed or given up for another, and how descriptors and bytes are split. No I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
-use tackmast::interface::{Instant, NodeId, Span};
+use tackmast::interface::{Instant, NodeId, TimeDelta};
 use tackmast_platform::Limits;
 
 /// Descriptors that are not connections of clients or nodes: the standard three, epoll, signals, listener, datagrams, node list old
@@ -81,7 +81,7 @@
     }
 
     /// The one used last, of those that have been idle for so long: the others may age until they close.
-    pub fn take(&mut self, node: NodeId, now: Instant, rested: Span) -> Option<u32> {
+    pub fn take(&mut self, node: NodeId, now: Instant, rested: TimeDelta) -> Option<u32> {
         let rested = |(_, since): &&(u32, Instant)| now - *since >= rested;
         let (link, since) = *self.by_node.get(&node)?.iter().rev().find(rested)?;
         self.remove_at(since, node, link);
@@ -89,7 +89,7 @@
     }
 
     /// When one more of a node's links has been idle for `rested`, after `before` others have: if it has so many that are not yet.
-    pub fn rested_at(&self, node: NodeId, now: Instant, rested: Span, before: usize) -> Option<Instant> {
+    pub fn rested_at(&self, node: NodeId, now: Instant, rested: TimeDelta, before: usize) -> Option<Instant> {
         let mut young: Vec<Instant> =
             self.by_node.get(&node)?.iter().map(|(_, t)| *t + rested).filter(|t| *t > now).collect();
         young.sort();
@@ -119,7 +119,7 @@
     }
 
     /// The one idle for longest, at whatever node: to make room, or if it has been so for longer than `keep`.
-    pub fn oldest(&self, idle_at_least: Span, now: Instant) -> Option<(NodeId, u32)> {
+    pub fn oldest(&self, idle_at_least: TimeDelta, now: Instant) -> Option<(NodeId, u32)> {
         let (since, node, link) = self.by_age.first().copied()?;
         (now - since >= idle_at_least).then_some((node, link))
     }
--- a/crates/httphost/src/pool/tests.rs
+++ b/crates/httphost/src/pool/tests.rs
@@ -49,7 +49,7 @@
         idle
     };
     // A second answer may come behind the first: one that has only just had its answer is not taken yet.
-    let (mut idle, rest) = (filled(), Span::from_secs(1.5));
+    let (mut idle, rest) = (filled(), TimeDelta::from_secs(1.5));
     assert_eq!((idle.take(a, at(4.4), rest), idle.take(b, at(4.4), rest)), (Some(11), None));
     // When the next of a's three will have rested, and the one after that; all have by 5.5.
     let next = |now, before| filled().rested_at(a, at(now), rest, before);
@@ -58,8 +58,8 @@
     let mut idle = filled();
     let mut take = |node| idle.take(node, at(5.5), rest);
     assert_eq!((take(a), take(b), take(b)), (Some(13), Some(12), None));
-    assert_eq!(idle.oldest(Span::from_secs(4.5), at(5.0)), None);
-    assert_eq!(idle.oldest(Span::from_secs(4.0), at(5.0)), Some((a, 10)));
+    assert_eq!(idle.oldest(TimeDelta::from_secs(4.5), at(5.0)), None);
+    assert_eq!(idle.oldest(TimeDelta::from_secs(4.0), at(5.0)), Some((a, 10)));
     idle.remove(a, 10);
     assert_eq!((idle.at(a), idle.len()), (vec![11], 1));
     idle.remove(a, 11);
--- a/crates/httphost/src/serve.rs
+++ b/crates/httphost/src/serve.rs
@@ -18,7 +18,7 @@
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, Span};
+use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, TimeDelta};
 use tackmast_config::TrafficClass;
 use tackmast_hostcore::{
     Age, AttemptResult, CommandRef, Core, Counters, ListEntry, Output, Placed, PlacedSettings,
@@ -170,7 +170,7 @@
             links: Links::new(split.links, s.connect_timeout, s.conn_idle, reports),
             watch: Watch::new(c.discovery),
             follows: false,
-            asked: now - Span::from_secs(CALLS_APART),
+            asked: now - TimeDelta::from_secs(CALLS_APART),
             ask_at: None,
             listed: false,
             heard: false,
@@ -184,7 +184,9 @@
             back: Vec::new(),
             swept: now,
             ending: None,
-            ends: Ending::new(s.traffic_classes.iter().map(|st| st.deadline).max().unwrap_or(Span::ZERO)),
+            ends: Ending::new(
+                s.traffic_classes.iter().map(|st| st.deadline).max().unwrap_or(TimeDelta::ZERO),
+            ),
             step: Step::Serves,
             peers,
             known_again: 0,
--- a/crates/httphost/src/serve/listed.rs
+++ b/crates/httphost/src/serve/listed.rs
@@ -5,7 +5,7 @@
 impl Host {
     pub(super) fn ask(&mut self, now: Instant) {
         // Against a list that answers at once without news: the calls still make one watch, and load it little.
-        let due = self.asked + Span::from_secs(CALLS_APART);
+        let due = self.asked + TimeDelta::from_secs(CALLS_APART);
         if due > now {
             return self.ask_at = Some(due);
         }
@@ -51,7 +51,7 @@
             shard: m.shard,
             // All machines of the platform read the same clock.
             start: m.up_since_ms.map(|ms| {
-                let age = Age::Told(Span::from_secs(wall - ms as f64 / 1e3));
+                let age = Age::Told(TimeDelta::from_secs(wall - ms as f64 / 1e3));
                 Start { name: ms, age }
             }),
         });
--- a/crates/httphost/src/watch.rs
+++ b/crates/httphost/src/watch.rs
@@ -9,7 +9,7 @@
 use crate::wire::{self, Got};
 use bytes::BytesMut;
 use std::net::{SocketAddr, TcpStream};
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_http::{Answer, AnswerReader, Bad, Bounds};
 use tackmast_platform::{List, Settings};
 
@@ -44,7 +44,7 @@
     answer: AnswerReader,
     after: Option<u64>,
     /// How long an answer may take from when it was asked.
-    patience: Span,
+    patience: TimeDelta,
     /// When it has failed: not asked by then, or not answered.
     until: Instant,
 }
@@ -98,8 +98,8 @@
             out: BytesMut::from(text.as_bytes()),
             answer: AnswerReader::new(Bounds { body: MOST_LIST, ..Bounds::default() }),
             after,
-            patience: Span::from_secs(wait + patience),
-            until: now + Span::from_secs(CONNECT),
+            patience: TimeDelta::from_secs(wait + patience),
+            until: now + TimeDelta::from_secs(CONNECT),
         };
         // A connection that is still coming up takes nothing yet.
         _ = self.call.insert(call).write(now, poller);
--- a/crates/lab/src/agreed/fleet.rs
+++ b/crates/lab/src/agreed/fleet.rs
@@ -4,7 +4,7 @@
 use bytes::{Buf, Bytes};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_agreement::{Origin, Seat, SeatOutput, SeatSettings, Settings, Word};
 
 type Us = u64;
@@ -80,9 +80,9 @@
 impl Fleet {
     fn new(t: FleetTrial) -> Fleet {
         let settings = Settings {
-            beat: Span::from_secs(0.1),
-            patience: Span::from_secs(1.0),
-            lease: Span::from_secs(5.0),
+            beat: TimeDelta::from_secs(0.1),
+            patience: TimeDelta::from_secs(1.0),
+            lease: TimeDelta::from_secs(5.0),
             drift: 0.001,
             hosts: t.hosts,
             fold_entries: 2_000,
--- a/crates/lab/src/agreed/world.rs
+++ b/crates/lab/src/agreed/world.rs
@@ -3,7 +3,7 @@
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::collections::{BTreeMap, BTreeSet};
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_agreement::{
     AgreeFault, Held, Origin, Seat, SeatOutput, SeatSettings, Settings, What, Word, Write,
 };
@@ -104,9 +104,9 @@
 impl World {
     pub fn new(voters: u32, followers: u32, fault: Option<AgreeFault>, pace: impl Fn(u32) -> f64) -> World {
         let settings = Settings {
-            beat: Span::from_secs(0.05),
-            patience: Span::from_secs(0.3),
-            lease: Span::from_secs(LEASE),
+            beat: TimeDelta::from_secs(0.05),
+            patience: TimeDelta::from_secs(0.3),
+            lease: TimeDelta::from_secs(LEASE),
             drift: DRIFT,
             hosts: voters + followers,
             fold_entries: 6,
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_clientcore::{Bounds, Core, IscsiClient, NbdClient, Place, Policy, Transport, ADDITIONS};
 use tackmast_target::{AnySession, NbdSession, Offer, Session};
 use tackmast_wire::iscsi::Digests;
@@ -55,7 +55,7 @@
                 true => Box::new(NbdClient::new(place.clone(), ADDITIONS, false)),
                 false => {
                     let digests = Digests { header: seed.is_multiple_of(2), data: seed.is_multiple_of(3) };
-                    Box::new(IscsiClient::new(place.clone(), digests, Span::from_secs(1.0), false))
+                    Box::new(IscsiClient::new(place.clone(), digests, TimeDelta::from_secs(1.0), false))
                 }
             }
         };
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_membership::{
     Do, Health, LoanSettings, Member, MemberSettings, OrderKind, Output, SpreadOrder, ViewSettings, Ways,
 };
@@ -82,7 +82,7 @@
 
     fn start_with(&mut self, h: u32, seeds: Vec<std::net::SocketAddr>) {
         self.lives += 1;
-        let secs = Span::from_secs;
+        let secs = TimeDelta::from_secs;
         let settings = MemberSettings {
             fleet: "lab".into(),
             slot: h,
@@ -205,7 +205,7 @@
     fn plan_until(&mut self, number: u64, bytes: usize, most: Option<Us>) -> Option<f64> {
         let (now, start) = (at(self.now), self.now);
         if let Some(m) = self.members.get_mut(&0) {
-            m.paper_taken(now, number, number, Bytes::from(vec![0; bytes]), now + Span::from_secs(5.0));
+            m.paper_taken(now, number, number, Bytes::from(vec![0; bytes]), now + TimeDelta::from_secs(5.0));
         }
         self.pull(0);
         let Some(most) = most else { return self.until(|f| f.all_go_by(number)) };
--- a/crates/lab/src/plain.rs
+++ b/crates/lab/src/plain.rs
@@ -3,7 +3,7 @@
 
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, ShardId, Span};
+use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, ShardId, TimeDelta};
 use tackmast_config::HostSettings;
 use tackmast_hostcore::{
     AttemptId, AttemptResult, AttemptWork, CommandRef, Core, Layout, ListEntry, Nodes, Output, Part,
@@ -88,7 +88,7 @@
         lun: u32,
         block: u64,
         work: &Work,
-        asked: Option<Span>,
+        asked: Option<TimeDelta>,
     ) {
         let Some(volume) = self.layout.volume_of(lun) else { return };
         let size = self.layout.volume(volume).block_bytes as usize;
@@ -274,8 +274,8 @@
     fn wake(&self, now: Instant) -> Option<Instant> {
         let deadline = self.until.first().map(|(t, _)| *t);
         // Tokens come with time.
-        let tokens =
-            (self.how == Plain::Buckets && !self.queues.is_empty()).then(|| now + Span::from_secs(0.005));
+        let tokens = (self.how == Plain::Buckets && !self.queues.is_empty())
+            .then(|| now + TimeDelta::from_secs(0.005));
         [deadline, tokens].into_iter().flatten().min()
     }
 }
@@ -326,7 +326,7 @@
         block: u64,
         work: Work,
         began: Instant,
-        asked: Option<Span>,
+        asked: Option<TimeDelta>,
     ) {
         match self {
             Heart::Core(c) => c.submit(now, from, lun, block, work, began, asked, None),
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -19,7 +19,7 @@
 use bytes::Bytes;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use tackmast::interface::{Instant, ListKind, NodeState, Outcome, ShardId, Span, ZoneId};
+use tackmast::interface::{Instant, ListKind, NodeState, Outcome, ShardId, TimeDelta, ZoneId};
 use tackmast_clientcore::{Op, Outcome as CallOutcome, Output as ClientOutput, Place};
 use tackmast_config::HostSettings;
 use tackmast_hostcore::{
--- a/crates/lab/src/sim/arrivals.rs
+++ b/crates/lab/src/sim/arrivals.rs
@@ -167,7 +167,7 @@
             deadline_us: asked.unwrap_or(deadline).saturating_sub(self.now - began),
         });
         let (now, began) = (self.time(h), self.time_at(h, began));
-        let asked = asked.map(|us| Span::from_secs(us as f64 / 1e6));
+        let asked = asked.map(|us| TimeDelta::from_secs(us as f64 / 1e6));
         self.hosts[h as usize].core.submit(now, from, lun, block, work, began, asked);
     }
 
--- a/crates/lab/src/sim/links.rs
+++ b/crates/lab/src/sim/links.rs
@@ -240,7 +240,7 @@
         let up = if started == 0 { 86_400.0 } else { (self.now - started) as f64 / 1e6 };
         let (now, number) = (self.time(h), host.core.nodes().number(&node.address));
         if let Some((core, number)) = self.hosts[h as usize].core.core().zip(number) {
-            core.node_said_up(now, number, Span::from_secs(up));
+            core.node_said_up(now, number, TimeDelta::from_secs(up));
         }
         self.pull(h);
         // What the core has not taken back now leaves.
--- a/crates/lab/src/sim/nodes.rs
+++ b/crates/lab/src/sim/nodes.rs
@@ -202,7 +202,7 @@
             let cold = (started_us > 0 && self.mutant != Some(Mutant::ColdIgnored)).then(|| {
                 // By the list's clock, or by this host's wall clock, right or wrong.
                 let shown = if self.w.timed_list { self.now - self.w.delay_us } else { self.wall(h) };
-                let age = Span::from_secs((shown as f64 - started_us as f64) / 1e6);
+                let age = TimeDelta::from_secs((shown as f64 - started_us as f64) / 1e6);
                 let age = if self.w.timed_list { Age::Told(age) } else { Age::ByWall(age) };
                 Start { name: started_us, age }
             });
--- a/crates/lab/src/views/world.rs
+++ b/crates/lab/src/views/world.rs
@@ -5,7 +5,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::net::SocketAddr;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_membership::{Health, LoanSettings, Member, MemberSettings, Output, Remembered, ViewSettings};
 
 pub type Us = u64;
@@ -142,7 +142,7 @@
         let wall = (self.now as f64 + x.wall_off * 1e6).max(1.0) as u64;
         x.life = (wall << 12 | u64::from(x.slot & 0xfff)).max(x.disk.life + 1);
         x.disk.life = x.life;
-        let secs = Span::from_secs;
+        let secs = TimeDelta::from_secs;
         let settings = MemberSettings {
             fleet: "lab".into(),
             slot: x.slot,
--- a/crates/measure/src/core_cost.rs
+++ b/crates/measure/src/core_cost.rs
@@ -125,7 +125,7 @@
 }
 
 fn module(settings: &HostSettings, requests: u64) -> f64 {
-    let mut s = Scheduler::new(seconds(0), 1, 1, Span::from_secs(0.002), settings.units.mean);
+    let mut s = Scheduler::new(seconds(0), 1, 1, TimeDelta::from_secs(0.002), settings.units.mean);
     for st in &settings.traffic_classes {
         s.traffic_class(st.latency_objective, st.effect, st.in_order);
     }
@@ -149,7 +149,7 @@
         while sent - done < OPEN as u64 && sent < requests {
             let (id, shard) = (RequestId(sent as u32), ShardId((sent % u64::from(NODES)) as u32));
             let key = Some(KeyId(sent as u32 % 100_000));
-            let left = Span::from_secs(5.0);
+            let left = TimeDelta::from_secs(5.0);
             s.request_arrived(
                 now,
                 id,
--- a/crates/membership/src/lists.rs
+++ b/crates/membership/src/lists.rs
@@ -4,7 +4,7 @@
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::peer::{Body, ListStop, MOST_STOPS};
 
 /// Nodes that a host tells of as draining or gone, at most: the first by address.
@@ -86,7 +86,7 @@
             Body::ListWord { version } if version > self.version => {
                 let waits =
                     (AGAIN_S * f64::from(self.asks.min(16)).exp2() / 2.0).clamp(AGAIN_S, AGAIN_MOST_S);
-                if self.asked.is_some_and(|t| now - t < Span::from_secs(waits)) {
+                if self.asked.is_some_and(|t| now - t < TimeDelta::from_secs(waits)) {
                     return;
                 }
                 self.asked = Some(now);
--- a/crates/membership/src/loans.rs
+++ b/crates/membership/src/loans.rs
@@ -5,13 +5,13 @@
 //! long as they run at nearly one pace.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoanSettings {
-    pub term: Span,
+    pub term: TimeDelta,
     /// For a host that leaves in order; its slot's next life starts with nothing for so long.
-    pub leave_term: Span,
+    pub leave_term: TimeDelta,
     /// Hosts' steady clocks run at one pace within this part.
     pub drift: f64,
     /// Of a host's even part, what it owns for sure whatever its lately measured share: `policy::SPLIT_FLOOR`.
@@ -195,14 +195,14 @@
         self
     }
 
-    fn lender_term(&self, term: Span) -> Span {
+    fn lender_term(&self, term: TimeDelta) -> TimeDelta {
         let more = if self.fault == Some(TermFault::NoDrift) { 0.0 } else { 3.0 * self.settings.drift };
-        Span::from_secs(term.secs() * (1.0 + more) + EDGE)
+        TimeDelta::from_secs(term.secs() * (1.0 + more) + EDGE)
     }
 
-    fn borrower_term(&self, term: Span) -> Span {
+    fn borrower_term(&self, term: TimeDelta) -> TimeDelta {
         let less = if self.fault == Some(TermFault::NoDrift) { 0.0 } else { self.settings.drift };
-        Span::from_secs(term.secs() * (1.0 - less))
+        TimeDelta::from_secs(term.secs() * (1.0 - less))
     }
 
     pub fn is_leaving(&self) -> bool {
@@ -285,7 +285,7 @@
         if now < self.next_beat {
             return;
         }
-        self.next_beat = now + Span::from_secs(self.settings.term.secs() / BEATS);
+        self.next_beat = now + TimeDelta::from_secs(self.settings.term.secs() / BEATS);
         let volumes: Vec<u32> = self.pools.keys().copied().collect();
         for v in volumes {
             self.beat(now, v, live);
@@ -471,7 +471,7 @@
         term_ms: u32,
     ) {
         let longest = self.settings.leave_term.secs();
-        let term = self.borrower_term(Span::from_secs((f64::from(term_ms) / 1e3).min(longest)));
+        let term = self.borrower_term(TimeDelta::from_secs((f64::from(term_ms) / 1e3).min(longest)));
         let from_receipt = self.fault == Some(TermFault::FromReceipt);
         let (me, leaving) = (self.me, self.leaving);
         let Some(p) = self.pools.get_mut(&volume) else { return };
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -10,7 +10,7 @@
 use ipnet::IpNet;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_overrides::Origin as Name;
 use tackmast_wire::peer::{Body, Datagram, Health, ListStop, News, SpreadOrder, MOST_ORDERS};
 
@@ -101,7 +101,7 @@
     remembered: Remembered,
     /// When it was last looked at what is to be written down.
     remembered_at: Instant,
-    period: Span,
+    period: TimeDelta,
     own_word: bool,
     outputs: VecDeque<Output>,
     from_order: usize,
@@ -402,7 +402,7 @@
         // within a period. All else is looked at now and then: with hundreds of hosts it is no work for every tick.
         let joined = self.view.there() as usize > self.remembered.hosts.len();
         let waits = if joined { 1.0 } else { REMEMBER };
-        if now < self.remembered_at + Span::from_secs(waits * self.period.secs()) {
+        if now < self.remembered_at + TimeDelta::from_secs(waits * self.period.secs()) {
             return;
         }
         self.remembered_at = now;
--- a/crates/membership/src/papers.rs
+++ b/crates/membership/src/papers.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::peer::{Body, MOST_PIECE};
 
 /// Texts that are known, and bytes of one, at most. A host that takes changes refuses those beyond.
@@ -125,7 +125,7 @@
                 if self.at.len() < MOST_HOSTS || self.at.contains_key(&slot) {
                     self.at.insert(slot, *number);
                 }
-                let ends = now + Span::from_secs(f64::from(*left_ms) / 1e3);
+                let ends = now + TimeDelta::from_secs(f64::from(*left_ms) / 1e3);
                 // The way of a message only makes the end look later.
                 self.heard = match self.heard {
                     (n, e) if n == *number => (n, e.min(ends)),
@@ -184,7 +184,7 @@
 
     pub fn next_wake(&self) -> Option<Instant> {
         let f = self.fetch.as_ref().filter(|f| f.tries < TRIES)?;
-        Some(f.asked + Span::from_secs(AGAIN_S))
+        Some(f.asked + TimeDelta::from_secs(AGAIN_S))
     }
 
     /// Against a word that got lost on its way: a large text is many of them.
--- a/crates/membership/src/spread.rs
+++ b/crates/membership/src/spread.rs
@@ -4,7 +4,7 @@
 //! ended by itself on the slowest clock, so that a host that was away can't bring it back.
 
 use std::collections::BTreeMap;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_overrides::Origin as Name;
 use tackmast_wire::peer::SpreadOrder;
 
@@ -47,7 +47,7 @@
 impl Spread {
     /// An order of this host's own, or one that it had kept over a restart.
     pub fn mine(&mut self, now: Instant, order: SpreadOrder) {
-        let ends = now + Span::from_secs(order.left_ms as f64 / 1e3);
+        let ends = now + TimeDelta::from_secs(order.left_ms as f64 / 1e3);
         self.known.entry(name(&order)).or_insert(Known { order, ends, told: true });
     }
 
@@ -65,7 +65,7 @@
         if left < LEAST_S {
             return;
         }
-        let ends = now + Span::from_secs(left);
+        let ends = now + TimeDelta::from_secs(left);
         let full = self.known.len() >= MOST;
         match self.known.get_mut(&n) {
             Some(k) => {
@@ -96,7 +96,7 @@
     pub fn tick(&mut self, now: Instant) {
         self.known.retain(|_, k| {
             let whole = k.order.whole_ms as f64 / 1e3;
-            now - k.ends < Span::from_secs(REMEMBER_S + REMEMBER_PART * whole)
+            now - k.ends < TimeDelta::from_secs(REMEMBER_S + REMEMBER_PART * whole)
         });
     }
 
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -18,13 +18,13 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use table::Table;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::peer::{Body, Health, News, MOST_NEWS};
 use tell::Tellings;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ViewSettings {
-    pub period: Span,
+    pub period: TimeDelta,
     /// Hosts' numbers are below this, as told; news of others are refused.
     pub most: usize,
     pub ways: Ways,
@@ -213,7 +213,7 @@
     Flaps(u32),
     Site(u32, SiteWord),
     /// It stood still for so long.
-    Paused(Span),
+    Paused(TimeDelta),
     /// Its local health, in steps, from 0.
     Strained(u32),
     Displaced(u64),
@@ -274,7 +274,7 @@
         // same host at the same time.
         let mut chance = oorandom::Rand64::new(u128::from(mixed(seed)) << 64 | u128::from(mixed(!seed)));
         // Hosts that start at once do not ping at once.
-        let first = Span::from_secs(settings.period.secs() * chance.rand_float());
+        let first = TimeDelta::from_secs(settings.period.secs() * chance.rand_float());
         let mut view = View {
             me,
             settings,
@@ -332,8 +332,8 @@
         self.fault == Some(fault)
     }
 
-    fn periods(&self, n: f64) -> Span {
-        Span::from_secs(n * self.settings.period.secs())
+    fn periods(&self, n: f64) -> TimeDelta {
+        TimeDelta::from_secs(n * self.settings.period.secs())
     }
 
     /// A snapshot that stays as it is while this goes on.
@@ -426,7 +426,7 @@
     }
 
     /// For how long nothing has changed here, and nobody has been heard of who knew otherwise.
-    pub fn still(&self, now: Instant) -> Span {
+    pub fn still(&self, now: Instant) -> TimeDelta {
         now - self.moved
     }
 
--- a/crates/membership/tests/decision_hash.rs
+++ b/crates/membership/tests/decision_hash.rs
@@ -8,7 +8,7 @@
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_membership::*;
 use tackmast_overrides::Origin;
 use tackmast_wire::peer::Body;
@@ -329,7 +329,7 @@
         self.incarnations += 1;
         // Now and then a clock went back, and the new life has a lower number than the one before.
         let goes_back = self.chance(0.2);
-        let seconds = Span::from_secs;
+        let seconds = TimeDelta::from_secs;
         let group = self.group;
         let incarnation = self.incarnations;
         let host = self.host(number);
--- a/crates/membership/tests/member.rs
+++ b/crates/membership/tests/member.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use std::net::SocketAddr;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_membership::*;
 use tackmast_wire::peer::Body;
 
@@ -19,7 +19,7 @@
 }
 
 fn settings(life: u64) -> MemberSettings {
-    let secs = Span::from_secs;
+    let secs = TimeDelta::from_secs;
     MemberSettings {
         fleet: "f".into(),
         slot: 0,
--- a/crates/membership/tests/terms.rs
+++ b/crates/membership/tests/terms.rs
@@ -2,7 +2,7 @@
 //! leave, and clocks run apart. At every moment the parts in use must sum to no more than the whole.
 
 use std::collections::BTreeSet;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_membership::{LoanSettings, Loans, Say, Shared, TermFault};
 
 const TERM: f64 = 1.0;
@@ -10,7 +10,7 @@
 const DRIFT: f64 = 0.02;
 
 fn settings() -> LoanSettings {
-    let (term, leave_term) = (Span::from_secs(TERM), Span::from_secs(LEAVE));
+    let (term, leave_term) = (TimeDelta::from_secs(TERM), TimeDelta::from_secs(LEAVE));
     LoanSettings { term, leave_term, drift: DRIFT, owned: 1.0 }
 }
 
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -1,7 +1,7 @@
 //! One view alone, fed by hand: what it takes in, whom it accuses, when it holds back, and what it says of sites.
 
 use std::net::SocketAddr;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_membership::*;
 use tackmast_wire::peer::Body;
 
@@ -19,7 +19,7 @@
 
 /// Of host 0, with periods of a second; it has heard of hosts 1 to n.
 fn view(n: u32, ways: Ways) -> View {
-    let settings = ViewSettings { period: Span::from_secs(1.0), most: 20, ways };
+    let settings = ViewSettings { period: TimeDelta::from_secs(1.0), most: 20, ways };
     let mut v = View::new(at(0.0), news(0, 50, 0, Health::Alive), vec![], vec![], settings, 7);
     for h in 1..=n {
         v.learn(at(0.0), news(h, 10, 0, Health::Alive));
@@ -244,7 +244,7 @@
 fn who_joins_while_a_turn_runs_is_pinged_within_it() {
     // Two are known when the turn begins; fifteen more join at once. Without a place in the turn that runs, those of the
     // first two come again and again while the rest waits for the next.
-    let settings = ViewSettings { period: Span::from_secs(1.0), most: 40, ways: Ways::all() };
+    let settings = ViewSettings { period: TimeDelta::from_secs(1.0), most: 40, ways: Ways::all() };
     let (mut pinged, mut seeds) = (0, 0);
     for seed in 0..20 {
         let mut v = View::new(at(0.0), news(0, 50, 0, Health::Alive), vec![], vec![], settings, seed);
--- a/crates/overrides/src/engine.rs
+++ b/crates/overrides/src/engine.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::fmt;
 use std::net::SocketAddr;
-use tackmast::interface::{Instant, NodeState, Span};
+use tackmast::interface::{Instant, NodeState, TimeDelta};
 
 /// An end further off is refused: an override that nobody will remember is what these are against.
 const LONGEST_S: f64 = 366.0 * 86_400.0;
@@ -244,7 +244,7 @@
                 ended.push(Ended { record: r, audit });
                 continue;
             }
-            o.insert(r, now + Span::from_secs(left as f64 / 1e6));
+            o.insert(r, now + TimeDelta::from_secs(left as f64 / 1e6));
         }
         (o, ended)
     }
@@ -475,7 +475,7 @@
         self.next = self.next.max(o.id.0 + 1);
         self.moved(format!("{} set {} {}", o.who, o.target, o.kind));
         let target = o.target;
-        self.insert(o, now + Span::from_secs(left as f64 / 1e6));
+        self.insert(o, now + TimeDelta::from_secs(left as f64 / 1e6));
         self.look_again(now, &self.named(&target));
     }
 
--- a/crates/overrides/src/returns.rs
+++ b/crates/overrides/src/returns.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 
 /// Share with which a node begins, steps until it has all, and the time that all steps take.
 const FIRST: f64 = 0.1;
@@ -39,7 +39,7 @@
         }
         let step = self.step(now);
         let at = f64::from(step + 1) / f64::from(STEPS) * RISE_S;
-        (step < STEPS).then(|| self.starts + Span::from_secs(at))
+        (step < STEPS).then(|| self.starts + TimeDelta::from_secs(at))
     }
 }
 
@@ -62,7 +62,7 @@
         nodes.sort();
         for (i, node) in nodes.into_iter().enumerate() {
             let wait = (gap * (waiting + i) as f64).min(SPREAD_S);
-            self.nodes.insert(node, Return { starts: now + Span::from_secs(wait) });
+            self.nodes.insert(node, Return { starts: now + TimeDelta::from_secs(wait) });
         }
     }
 
--- a/crates/overrides/src/wheel.rs
+++ b/crates/overrides/src/wheel.rs
@@ -1,7 +1,7 @@
 //! A timing wheel: entries wait in slots of growing width, so that putting in and taking out cost the same however
 //! many there are. Measured against a plain heap by `tackmast measure --timers`.
 
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 
 /// Width of the narrowest slot in microseconds; an entry comes out at most that late.
 pub const TICK_US: i64 = 10_000;
@@ -183,8 +183,8 @@
     }
 
     /// How late an entry may come out.
-    pub fn slack() -> Span {
-        Span::from_secs(TICK_US as f64 / 1e6)
+    pub fn slack() -> TimeDelta {
+        TimeDelta::from_secs(TICK_US as f64 / 1e6)
     }
 }
 
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::Settings;
 use bytes::Bytes;
-use tackmast::interface::{Effect, PlanId, ShardId, Span, TrafficClassId};
+use tackmast::interface::{Effect, PlanId, ShardId, TimeDelta, TrafficClassId};
 use tackmast_http::Request;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -13,7 +13,7 @@
     pub key: u64,
     pub traffic_class: TrafficClassId,
     pub plan: PlanId,
-    pub left: Span,
+    pub left: TimeDelta,
     pub units: f64,
     pub shard: Option<ShardId>,
     pub hosts: u32,
@@ -100,7 +100,7 @@
             key,
             traffic_class: TrafficClassId(traffic_class as u32),
             plan: PlanId(plan as u32),
-            left: Span::from_secs(left as f64 / 1e3),
+            left: TimeDelta::from_secs(left as f64 / 1e3),
             units,
             shard,
             hosts,
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -4,11 +4,11 @@
 use bytes::Bytes;
 use std::fmt::Write;
 use std::net::SocketAddr;
-use tackmast::interface::{Outcome, Span};
+use tackmast::interface::{Outcome, TimeDelta};
 use tackmast_http::Answer;
 
 /// The rest of an attempt's head, after what its request says: which node, and how long the host will wait.
-pub fn attempt_head(node: SocketAddr, left: Span) -> String {
+pub fn attempt_head(node: SocketAddr, left: TimeDelta) -> String {
     let ms = (left.secs() * 1e3).floor().max(0.0) as u64;
     format!("Host: {node}\r\nX-Budget-Ms: {ms}\r\n\r\n")
 }
@@ -70,7 +70,7 @@
 }
 
 /// The head of an answer to a client.
-pub fn answer_head(status: u16, length: usize, retry_after: Option<Span>, closes: bool) -> String {
+pub fn answer_head(status: u16, length: usize, retry_after: Option<TimeDelta>, closes: bool) -> String {
     let mut text =
         format!("HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n", tackmast_http::reason(status));
     if let Some(wait) = retry_after {
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -2,14 +2,14 @@
 
 use crate::values::{index, object, or, span, text};
 use serde_json::{Map, Value};
-use tackmast::interface::{Effect, Group, Instant, Span};
+use tackmast::interface::{Effect, Group, Instant, TimeDelta};
 use tackmast::policy::Scheduler;
 
 #[derive(Clone, Debug)]
 pub struct TrafficClass {
     pub name: String,
-    pub latency_objective: Span,
-    pub deadline: Span,
+    pub latency_objective: TimeDelta,
+    pub deadline: TimeDelta,
     pub effect: Effect,
     pub in_order: bool,
     /// Whether it writes, where that is told.
@@ -34,7 +34,7 @@
     pub me: u32,
     /// Whether hosts may send each other datagrams.
     pub peers: bool,
-    pub tick: Span,
+    pub tick: TimeDelta,
     pub mean_units: f64,
     /// Of one request, at most; 0: not told.
     pub most_units: f64,
@@ -42,20 +42,20 @@
     pub plans: Vec<Plan>,
     pub max_attempts: u32,
     /// The longest that clients can be asked to stay away; zero: they can't be asked.
-    pub longest_wait: Span,
-    pub settle: Span,
-    retry_budget: Option<(f64, f64, Span)>,
-    cold: (f64, f64, Span, Span, f64),
+    pub longest_wait: TimeDelta,
+    pub settle: TimeDelta,
+    retry_budget: Option<(f64, f64, TimeDelta)>,
+    cold: (f64, f64, TimeDelta, TimeDelta, f64),
     asks_list: bool,
     /// What load reports hold, in their order.
     pub report: Vec<String>,
     /// Whether answers tell of service through other hosts.
     pub tells: bool,
     pub zones: Vec<String>,
-    pub drain_grace: Span,
-    pub connect_timeout: Span,
+    pub drain_grace: TimeDelta,
+    pub connect_timeout: TimeDelta,
     /// After this long a node closes an idle connection; zero: not told.
-    pub conn_idle: Span,
+    pub conn_idle: TimeDelta,
 }
 
 impl Settings {
@@ -93,7 +93,7 @@
             traffic_classes,
             plans,
             max_attempts: or(&limits, "max_attempts", f64::from(u32::MAX))? as u32,
-            longest_wait: if asks_clients { span(&limits, "max_retry_after")? } else { Span::ZERO },
+            longest_wait: if asks_clients { span(&limits, "max_retry_after")? } else { TimeDelta::ZERO },
             settle: span(&rules, "order_settle")?,
             retry_budget,
             cold: (
--- a/crates/platform/src/values.rs
+++ b/crates/platform/src/values.rs
@@ -1,7 +1,7 @@
 //! JSON values with a name; an error says which value was wrong and what was expected.
 
 use serde_json::{Map, Value};
-use tackmast::interface::Span;
+use tackmast::interface::TimeDelta;
 
 pub fn number(v: Option<&Value>, name: &str) -> Result<f64, String> {
     v.and_then(Value::as_f64).ok_or_else(|| format!("{name}: expected a number"))
@@ -36,8 +36,8 @@
     }
 }
 
-pub fn span(map: &Map<String, Value>, name: &str) -> Result<Span, String> {
-    Ok(Span::from_secs(or(map, name, 0.0)?))
+pub fn span(map: &Map<String, Value>, name: &str) -> Result<TimeDelta, String> {
+    Ok(TimeDelta::from_secs(or(map, name, 0.0)?))
 }
 
 /// The value as an error shows it: enough to find it, however long it is.
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -50,7 +50,7 @@
     );
     assert_eq!(known.members[0].up_since_ms, None, "0 is long ago");
     let s = c.settings;
-    assert_eq!((s.hosts, s.longest_wait, s.waiting_at()), (4, Span::from_secs(0.5), Some(0)));
+    assert_eq!((s.hosts, s.longest_wait, s.waiting_at()), (4, TimeDelta::from_secs(0.5), Some(0)));
     // Place, what stands there, and words of the one line that tells of it.
     let cases: [(&str, Value, [&str; 2]); 14] = [
         ("/listen", json!("nowhere"), ["listen: \"nowhere\"", "expected an address"]),
@@ -175,7 +175,7 @@
 fn a_good_request_passes_as_it_came() {
     let c = Call::of(request("PUT", PATH, &GOOD, "bytes"), &read()).unwrap();
     assert_eq!((c.volume, c.key), (0x3b4d60021, 0x7f3a9c21e0b4d655));
-    assert_eq!((c.traffic_class, c.plan, c.left), (TrafficClassId(0), PlanId(0), Span::from_secs(0.48)));
+    assert_eq!((c.traffic_class, c.plan, c.left), (TrafficClassId(0), PlanId(0), TimeDelta::from_secs(0.48)));
     assert_eq!((c.units, c.shard, c.hosts, &c.body[..]), (2.0, Some(ShardId(5)), 3, &b"bytes"[..]));
     let text =
         String::from_utf8(c.head.to_vec()).unwrap() + &attempt_head("127.0.0.1:9".parse().unwrap(), c.left);
@@ -288,7 +288,7 @@
 fn answers_to_clients_can_be_read_again() {
     for (status, wait, closes) in [(200, None, false), (503, Some(0.25), true), (502, None, true)] {
         let mut reader = AnswerReader::new(Bounds::default());
-        reader.push(answer_head(status, 2, wait.map(Span::from_secs), closes).as_bytes());
+        reader.push(answer_head(status, 2, wait.map(TimeDelta::from_secs), closes).as_bytes());
         reader.push(b"ok");
         let a = reader.answer().unwrap().unwrap();
         let told = a.headers.first("retry-after").map(|v| v.parse::<f64>().unwrap());
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -8,7 +8,7 @@
 
 /// A length of time, in microseconds. Kept apart from `Instant`, so the two can't be mixed up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
-pub struct Span(i64);
+pub struct TimeDelta(i64);
 
 impl Instant {
     pub fn from_secs(s: f64) -> Self {
@@ -19,11 +19,11 @@
     }
 }
 
-impl Span {
-    pub const ZERO: Span = Span(0);
+impl TimeDelta {
+    pub const ZERO: TimeDelta = TimeDelta(0);
 
     pub fn from_secs(s: f64) -> Self {
-        Span((s * 1e6).round() as i64)
+        TimeDelta((s * 1e6).round() as i64)
     }
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
@@ -31,30 +31,30 @@
 }
 
 impl Sub for Instant {
-    type Output = Span;
-    fn sub(self, earlier: Instant) -> Span {
-        Span(self.0.saturating_sub(earlier.0))
+    type Output = TimeDelta;
+    fn sub(self, earlier: Instant) -> TimeDelta {
+        TimeDelta(self.0.saturating_sub(earlier.0))
     }
 }
 
-impl Add<Span> for Instant {
+impl Add<TimeDelta> for Instant {
     type Output = Instant;
-    fn add(self, s: Span) -> Instant {
+    fn add(self, s: TimeDelta) -> Instant {
         Instant(self.0.saturating_add(s.0))
     }
 }
 
-impl Sub<Span> for Instant {
+impl Sub<TimeDelta> for Instant {
     type Output = Instant;
-    fn sub(self, s: Span) -> Instant {
+    fn sub(self, s: TimeDelta) -> Instant {
         Instant(self.0.saturating_sub(s.0))
     }
 }
 
-impl Add for Span {
-    type Output = Span;
-    fn add(self, s: Span) -> Span {
-        Span(self.0.saturating_add(s.0))
+impl Add for TimeDelta {
+    type Output = TimeDelta;
+    fn add(self, s: TimeDelta) -> TimeDelta {
+        TimeDelta(self.0.saturating_add(s.0))
     }
 }
 
@@ -94,7 +94,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Idempotent,
-    IdempotentByKey { group: Group, window: Span },
+    IdempotentByKey { group: Group, window: TimeDelta },
     NonIdempotent,
 }
 
@@ -174,13 +174,13 @@
     Send {
         request: RequestId,
         node: NodeId,
-        timeout: Option<Span>,
+        timeout: Option<TimeDelta>,
         begin_by: Option<Instant>,
     },
     /// Final answer: not done, and a retry is safe; come back after the span, where one is given.
     Reject {
         request: RequestId,
-        retry_after: Option<Span>,
+        retry_after: Option<TimeDelta>,
     },
     /// Final answer: not done, and no promise about its effect.
     Fail {
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -71,14 +71,14 @@
     rng: Chance,
     hosts: f64,
     there: f64, // of them, as far as is known; only caps follow it
-    margin: Span,
+    margin: TimeDelta,
     plans: Vec<Plan>,
     classes: Vec<TrafficClass>,
-    tightest: Span, // latency objective
+    tightest: TimeDelta, // latency objective
     mean_units: f64,
     max_attempts: u32,
-    longest_wait: Span,
-    settle: Span,
+    longest_wait: TimeDelta,
+    settle: TimeDelta,
     budget: Budget,
     cold: Cold,
     again: f64, // part that counts of units done for a piece that a node may have at hand
@@ -89,7 +89,7 @@
     shards: BTreeMap<ShardId, Shard>,
     turns: HashMap<KeyId, Turn>,
     requests: HashMap<RequestId, Request>,
-    alarms: BinaryHeap<Reverse<(Instant, Alarm)>>,
+    timers: BinaryHeap<Reverse<(Instant, Timer)>>,
     lost: Losses,
     everywhere: Vec<Histogram>, // times at all nodes, for each traffic class
     rejected_requests: RejectedRequests,
@@ -101,13 +101,13 @@
 /// Settings, part by part.
 impl Scheduler {
     /// `hosts` is how many hosts share the pool; `tick` how coarse the host's clock is.
-    pub fn new(now: Instant, seed: u64, hosts: u32, tick: Span, mean_units: f64) -> Self {
+    pub fn new(now: Instant, seed: u64, hosts: u32, tick: TimeDelta, mean_units: f64) -> Self {
         Scheduler {
             now,
             rng: Chance(oorandom::Rand32::new(seed)),
             hosts: f64::from(hosts.max(1)),
             there: f64::from(hosts.max(1)),
-            margin: tick + tick + Span::from_secs(0.001),
+            margin: tick + tick + TimeDelta::from_secs(0.001),
             mean_units: mean_units.max(1e-6),
             max_attempts: u32::MAX,
             again: 1.0,
@@ -121,7 +121,7 @@
     }
 
     /// Traffic classes are numbered in the order given.
-    pub fn traffic_class(&mut self, latency_objective: Span, effect: Effect, in_order: bool) {
+    pub fn traffic_class(&mut self, latency_objective: TimeDelta, effect: Effect, in_order: bool) {
         self.classes.push(TrafficClass { latency_objective, rank: 0, tight: 1.0, effect, in_order });
         self.tightest = rank_by_latency_objective(&mut self.classes);
         self.everywhere.push(Histogram::new(LATENCY_FIRST, LATENCY_HALVE));
@@ -129,17 +129,17 @@
 
     /// `longest_wait` is the longest that a client can be asked to stay away; zero: it can't be asked.
     /// `settle` is how long a key rests after an attempt that may still be running.
-    pub fn attempt_limits(&mut self, max_attempts: u32, longest_wait: Span, settle: Span) {
+    pub fn attempt_limits(&mut self, max_attempts: u32, longest_wait: TimeDelta, settle: TimeDelta) {
         (self.max_attempts, self.longest_wait, self.settle) = (max_attempts, longest_wait, settle);
     }
 
-    pub fn retry_budget(&mut self, free: f64, share: f64, window: Span) {
+    pub fn retry_budget(&mut self, free: f64, share: f64, window: TimeDelta) {
         self.budget = Budget { free, share, window: Some(window), ..Budget::default() };
     }
 
     /// `safe` units within `window` from all hosts never hurt a node that starts at part `from` of its
     /// capacity and is warm after `warm`; nor does `multiple` times what it can do at the moment.
-    pub fn cold_nodes(&mut self, safe: f64, from: f64, warm: Span, window: Span, multiple: f64) {
+    pub fn cold_nodes(&mut self, safe: f64, from: f64, warm: TimeDelta, window: TimeDelta, multiple: f64) {
         let n = (safe / self.mean_units).max(1.0);
         let sum = 1.0 - 1.0 / multiple.max(1.0) + COLD_CHANCE * (2.0 * n.sqrt() + 2.0) / n;
         let (safe, multiple, from) = (safe * sum, multiple * sum, from.clamp(0.01, 1.0));
@@ -152,7 +152,7 @@
     }
 
     pub fn list_must_be_asked(&mut self) {
-        self.alarms.push(Reverse((self.now, Alarm::List)));
+        self.timers.push(Reverse((self.now, Timer::List)));
     }
 }
 
@@ -166,7 +166,7 @@
         class: TrafficClassId,
         plan: PlanId,
         key: Option<KeyId>,
-        left: Span,
+        left: TimeDelta,
         volume: VolumeId,
         units: f64,
         shard: Option<ShardId>,
@@ -181,7 +181,7 @@
         let full = (p.burst - p.slack * SLACK_AT_START) / told;
         // Against a table that fills under new names. What was drawn long ago is back; new ones start drawn.
         if self.volumes.len() >= VOLUMES_KEPT && !self.volumes.contains_key(&volume) {
-            forget_resting(&mut self.volumes, &mut self.shards, now - Span::from_secs(AT_REST));
+            forget_resting(&mut self.volumes, &mut self.shards, now - TimeDelta::from_secs(AT_REST));
         }
         let v = self.volumes.entry(volume).or_insert_with(|| Volume::new(now, plan, told, full));
         (v.hosts, v.seen) = (v.hosts.max(told), now);
@@ -195,7 +195,7 @@
         if let Some(k) = x.turn {
             self.turns.entry(k).or_default().line.push_back(id);
         }
-        self.alarms.push(Reverse((x.deadline, Alarm::Deadline(id))));
+        self.timers.push(Reverse((x.deadline, Timer::Deadline(id))));
         self.requests.insert(id, x);
         if let Some(window) = self.budget.window {
             self.budget.prune(now, window + window);
@@ -240,7 +240,7 @@
         let Some((x, shard)) = self.requests.get(&id).and_then(|x| Some((x, x.shard?))) else { return };
         let Some(v) = self.volumes.get_mut(&x.volume).filter(|_| known) else { return };
         let own = if done { x.units } else { 0.0 };
-        v.split.tick(now, Span::from_secs(SPLIT_RISE), Span::from_secs(SPLIT_IDLE));
+        v.split.tick(now, TimeDelta::from_secs(SPLIT_RISE), TimeDelta::from_secs(SPLIT_IDLE));
         v.split.served(now, shard, own, elsewhere, SPLIT_LEAST * self.mean_units);
     }
 
@@ -340,7 +340,7 @@
         id: RequestId,
         attempt: AttemptNumber,
         o: Outcome,
-        took: Span,
+        took: TimeDelta,
         ended: bool,
     ) {
         self.now = now;
@@ -359,7 +359,7 @@
             t.attempt_finished(o.may_be_running().then_some(now + self.settle));
             // Against a memory of keys that grows with each unknown end: a rested key is looked at once more.
             if let Some(k) = turn.filter(|_| o.may_be_running()) {
-                self.alarms.push(Reverse((now + self.settle, Alarm::Rested(k))));
+                self.timers.push(Reverse((now + self.settle, Timer::Rested(k))));
             }
         }
         let (done, mut lost) = (o == Outcome::Done, false);
@@ -428,8 +428,8 @@
             let wait = (LIST_RETRY * 2f64.powi(self.list_fails)).min(LIST_RETRY_MOST);
             self.list_fails += 1;
             self.asked = false;
-            let wait = Span::from_secs(wait * (0.5 + f64::from(self.rng.0.rand_float())));
-            self.alarms.push(Reverse((now + wait, Alarm::List)));
+            let wait = TimeDelta::from_secs(wait * (0.5 + f64::from(self.rng.0.rand_float())));
+            self.timers.push(Reverse((now + wait, Timer::List)));
             return self.log(format!("list lost: failure {} retry in {:.2}s", self.list_fails, wait.secs()));
         }
         if kind != ListKind::Saved && self.list_fails > 0 {
@@ -459,7 +459,7 @@
             }
             self.shards.entry(e.shard).or_default().nodes.insert(e.node);
         }
-        forget_gone(&mut self.nodes, &mut self.shards, now - Span::from_secs(AT_REST));
+        forget_gone(&mut self.nodes, &mut self.shards, now - TimeDelta::from_secs(AT_REST));
         for id in std::mem::take(&mut self.homeless) {
             self.enqueue(id, true);
         }
@@ -546,7 +546,7 @@
                 && self.out_units < cap * mean_units
                 && (above == 0 || (at_or_below as f64) < (cap * LOWER_PART).max(1.0));
         let rest = if cap < 1.0 { (self.took / cap).min(REST_MOST / self.least.sqrt()) } else { 0.0 };
-        let rested = self.sent_at + Span::from_secs(rest);
+        let rested = self.sent_at + TimeDelta::from_secs(rest);
         (free && rested <= now).then_some(()).ok_or(free.then_some(rested))
     }
 
@@ -554,8 +554,8 @@
         self.sick && !self.pinned
     }
 
-    fn usual(&self, class: TrafficClassId) -> Span {
-        Span::from_secs(self.latency[class.0 as usize].at(0.5).unwrap_or(0.0).min(self.took))
+    fn usual(&self, class: TrafficClassId) -> TimeDelta {
+        TimeDelta::from_secs(self.latency[class.0 as usize].at(0.5).unwrap_or(0.0).min(self.took))
     }
 }
 
@@ -563,21 +563,21 @@
 impl Scheduler {
     pub fn next_decision(&mut self, now: Instant) -> Option<Decision> {
         self.now = now;
-        while self.alarms.peek().is_some_and(|Reverse((t, _))| *t <= now) {
-            let Some(Reverse((_, alarm))) = self.alarms.pop() else { break };
-            match alarm {
-                Alarm::Deadline(id) if self.requests.get(&id).is_some_and(|x| !x.started) => {
+        while self.timers.peek().is_some_and(|Reverse((t, _))| *t <= now) {
+            let Some(Reverse((_, timer))) = self.timers.pop() else { break };
+            match timer {
+                Timer::Deadline(id) if self.requests.get(&id).is_some_and(|x| !x.started) => {
                     self.answer(id, None)
                 }
-                Alarm::Look(s) => _ = self.due.insert(s),
-                Alarm::Rested(k) if self.turns.get(&k).is_some_and(|t| t.is_idle(now)) => {
+                Timer::Look(s) => _ = self.due.insert(s),
+                Timer::Rested(k) if self.turns.get(&k).is_some_and(|t| t.is_idle(now)) => {
                     self.turns.remove(&k);
                 }
-                Alarm::List if !self.asked => {
+                Timer::List if !self.asked => {
                     self.asked = true;
                     self.decided.push_back(Decision::FollowList);
                 }
-                Alarm::Deadline(_) | Alarm::Rested(_) | Alarm::List => {}
+                Timer::Deadline(_) | Timer::Rested(_) | Timer::List => {}
             }
         }
         loop {
@@ -603,7 +603,7 @@
     }
 
     pub fn next_wake(&self) -> Option<Instant> {
-        self.alarms.peek().map(|Reverse((t, _))| *t)
+        self.timers.peek().map(|Reverse((t, _))| *t)
     }
 
     /// The request that leaves next for this shard, if any may leave now.
@@ -622,7 +622,7 @@
             let conforming = self.volumes.get_mut(&x.volume).is_some_and(|v| {
                 let part = plan.reserve * Self::part(v, now);
                 plan.reserve > 0.0
-                    && v.reserve.wait(now, part, part * RESERVE_BURST + x.units, x.units) == Span::ZERO
+                    && v.reserve.wait(now, part, part * RESERVE_BURST + x.units, x.units) == TimeDelta::ZERO
             });
             // A conforming request whose latency objective draws near is by then as tight as the tightest.
             let urgent = conforming && x.objective_at - now <= self.tightest;
@@ -643,7 +643,7 @@
             best = self.late_one(shard, node).map(|id| ((0, true, 0.0), id, false));
         }
         if let Some(t) = look.filter(|_| best.is_none()) {
-            self.alarms.push(Reverse((t.max(now + Span::from_secs(1e-3)), Alarm::Look(shard))));
+            self.timers.push(Reverse((t.max(now + TimeDelta::from_secs(1e-3)), Timer::Look(shard))));
         }
         best.and_then(|(_, id, conforming)| node.map(|n| (id, n, conforming)))
     }
@@ -662,7 +662,7 @@
                 continue;
             }
             let nd = node.and_then(|n| self.nodes.get(&n));
-            let usual = nd.map_or(Span::ZERO, |n| n.usual(name.1));
+            let usual = nd.map_or(TimeDelta::ZERO, |n| n.usual(name.1));
             if self.now + usual < x.objective_at.min(x.deadline) && !never {
                 // What a guard of its own holds (a pause, its key's turn) must not hold those behind it.
                 let queue = self.shards.get(&shard)?.queues.get(&name)?;
@@ -704,7 +704,7 @@
     /// Whether the guards let this request leave for this node now; if not, when to look again.
     fn may_leave(&mut self, id: RequestId, node: NodeId) -> Result<(), Instant> {
         let now = self.now;
-        let later = now + Span::from_secs(BLOCKED_CHECK);
+        let later = now + TimeDelta::from_secs(BLOCKED_CHECK);
         let (x, n) = (&self.requests[&id], &self.nodes[&node]);
         if x.hold > now {
             return Err(x.hold);
@@ -714,7 +714,7 @@
             return Err(x.deadline);
         }
         // A sick node (errors, silence, refusals alike) gets a trickle, which finds its recovery.
-        let trickle = n.sent_at + Span::from_secs(TRICKLE);
+        let trickle = n.sent_at + TimeDelta::from_secs(TRICKLE);
         if n.held_sick() && trickle > now {
             return Err(trickle);
         }
@@ -733,7 +733,7 @@
             if let Some(v) = self.volumes.get_mut(&x.volume) {
                 let (rate, burst) = (plan.limit * Self::part(v, now), plan.burst / v.hosts);
                 let wait = v.limit.wait(now, rate, burst, x.units);
-                if wait > Span::ZERO {
+                if wait > TimeDelta::ZERO {
                     return Err(now + wait);
                 }
             }
@@ -745,7 +745,7 @@
     /// at other hosts, then a floor and the rest by share. The share falls at once and when idle, and rises
     /// only after longer than the others need to have fallen, so the parts never sum past the whole.
     fn part(v: &mut Volume, now: Instant) -> f64 {
-        v.split.tick(now, Span::from_secs(SPLIT_RISE), Span::from_secs(SPLIT_IDLE));
+        v.split.tick(now, TimeDelta::from_secs(SPLIT_RISE), TimeDelta::from_secs(SPLIT_IDLE));
         let even = 1.0 / v.hosts;
         let base = v.split.share().map_or(even, |share| SPLIT_FLOOR / v.hosts + (1.0 - SPLIT_FLOOR) * share);
         let (lent, borrowed, until) = v.moved;
@@ -778,7 +778,7 @@
     /// Rule 6. The window is read narrower for what was taken and wider for what was sent.
     fn budget_allows(&self, now: Instant) -> bool {
         let Some(window) = self.budget.window else { return true };
-        let (further, taken) = self.budget.count(now, window, Span::from_secs(SAFE_EDGE));
+        let (further, taken) = self.budget.count(now, window, TimeDelta::from_secs(SAFE_EDGE));
         further + 1.0 <= self.budget.free + self.budget.share * taken
     }
 
@@ -797,8 +797,8 @@
         let seen = self.shards.get(&n.shard).map_or(0.0, |s| s.pace.rate(now, COLD_MEMORY, COLD_SEEN_LEAST));
         let rate = COLD_DRAIN * safe / c.window.secs().max(1e-3) + COLD_PART * c.multiple * warmth * seen;
         match n.cold.wait(now, rate, COLD_OUT * safe, units) {
-            Span::ZERO => Ok(()),
-            wait => Err(now + wait.min(Span::from_secs(BLOCKED_CHECK))),
+            TimeDelta::ZERO => Ok(()),
+            wait => Err(now + wait.min(TimeDelta::from_secs(BLOCKED_CHECK))),
         }
     }
 
@@ -840,11 +840,11 @@
         // its latency objective, so the queue can drop what is late: against drowned nodes; costs what late ones earn.
         let here = &n.latency[x.class.0 as usize];
         let seen = if here.count() >= TIMEOUT_SEEN { here } else { &self.everywhere[x.class.0 as usize] };
-        let far = Span::from_secs(seen.at(TIMEOUT_AT).unwrap_or(0.0) * TIMEOUT_TIMES);
+        let far = TimeDelta::from_secs(seen.at(TIMEOUT_AT).unwrap_or(0.0) * TIMEOUT_TIMES);
         let again = self.lost.losing && x.attempts < self.max_attempts && seen.count() >= TIMEOUT_SEEN;
         let crowded = (n.cap < 1.0).then_some(st.latency_objective);
         let timeout = if again {
-            Some(far.max(Span::from_secs(st.latency_objective.secs() * TIMEOUT_LEAST)))
+            Some(far.max(TimeDelta::from_secs(st.latency_objective.secs() * TIMEOUT_LEAST)))
         } else {
             crowded
         };
@@ -855,7 +855,9 @@
     /// Until when a repeat of this idempotent by key request is known for one: its attempt must have begun by then.
     fn known_until(&self, x: &Request) -> Option<Instant> {
         match self.classes[x.class.0 as usize].effect {
-            Effect::IdempotentByKey { window, .. } => Some(x.ran?.1 + window - Span::from_secs(SAFE_EDGE)),
+            Effect::IdempotentByKey { window, .. } => {
+                Some(x.ran?.1 + window - TimeDelta::from_secs(SAFE_EDGE))
+            }
             _ => None,
         }
     }
@@ -877,29 +879,29 @@
     fn go_on(&mut self, id: RequestId) {
         let Some(x) = self.requests.get(&id) else { return };
         if x.attempts >= self.max_attempts || x.objective_at <= self.now || !self.is_retry_safe(x, None) {
-            return self.answer(id, Some(Span::from_secs(PAUSE)));
+            return self.answer(id, Some(TimeDelta::from_secs(PAUSE)));
         }
         if let Some(x) = self.requests.get_mut(&id) {
-            x.hold = self.now + Span::from_secs(PAUSE);
+            x.hold = self.now + TimeDelta::from_secs(PAUSE);
             x.waiting = true;
         }
         self.enqueue(id, true);
     }
 
     /// The final answer: rejected where a retry is safe, failed otherwise.
-    fn answer(&mut self, id: RequestId, retry_after: Option<Span>) {
+    fn answer(&mut self, id: RequestId, retry_after: Option<TimeDelta>) {
         let Some(x) = self.requests.get(&id).filter(|x| !x.ended) else { return };
         let safe = match self.classes[x.class.0 as usize].effect {
             Effect::Idempotent | Effect::IdempotentByKey { group: Group::All, .. } => true,
             _ => x.ran.is_none(),
         };
-        let wait = retry_after.map(|w| w.min(self.longest_wait)).filter(|w| *w > Span::ZERO);
+        let wait = retry_after.map(|w| w.min(self.longest_wait)).filter(|w| *w > TimeDelta::ZERO);
         self.decided.push_back(match safe {
             true => Decision::Reject { request: id, retry_after: wait },
             false => Decision::Fail { request: id },
         });
         let ask = (x.volume, x.class, x.key, x.shard.filter(|_| !x.any_node), x.units.to_bits());
-        let keep = self.now + Span::from_secs(REJECTED_MEMORY);
+        let keep = self.now + TimeDelta::from_secs(REJECTED_MEMORY);
         self.rejected_requests.note(
             ask,
             RejectedRequest {
@@ -921,7 +923,7 @@
         let Some(shard) = bound.or_else(|| self.rotate()) else { return self.homeless.push(id) };
         let Some(x) = self.requests.get_mut(&id) else { return };
         x.shard = Some(shard);
-        self.alarms.push(Reverse((x.objective_at.max(self.now), Alarm::Look(shard))));
+        self.timers.push(Reverse((x.objective_at.max(self.now), Timer::Look(shard))));
         let queue = self.shards.entry(shard).or_default().queues.entry((x.volume, x.class)).or_default();
         match first {
             true => {
--- a/src/state.rs
+++ b/src/state.rs
@@ -17,19 +17,19 @@
         self.at = now;
     }
     /// How long until `units` fit under `burst`; zero when they fit now.
-    pub fn wait(&mut self, now: Instant, rate: f64, burst: f64, units: f64) -> Span {
+    pub fn wait(&mut self, now: Instant, rate: f64, burst: f64, units: f64) -> TimeDelta {
         self.drain(now, rate);
         let over = self.level + units.min(burst) - burst;
         if over <= 1e-9 {
-            Span::ZERO
+            TimeDelta::ZERO
         } else {
-            Span::from_secs(over / rate.max(1e-6) + 1e-4)
+            TimeDelta::from_secs(over / rate.max(1e-6) + 1e-4)
         }
     }
 }
 
 pub struct TrafficClass {
-    pub latency_objective: Span,
+    pub latency_objective: TimeDelta,
     pub rank: usize,
     pub tight: f64, // the tightest latency objective over this one
     pub effect: Effect,
@@ -52,7 +52,7 @@
 /// A request that was answered without being done.
 pub struct RejectedRequest {
     pub objective_at: Instant,
-    pub left: Span, // to its client when it came
+    pub left: TimeDelta, // to its client when it came
     pub keep: Instant,
 }
 
@@ -69,7 +69,7 @@
     }
 
     /// When the latency objective ends that began with an earlier try, if this is a later one.
-    pub fn again(&mut self, now: Instant, ask: Ask, left: Span) -> Option<Instant> {
+    pub fn again(&mut self, now: Instant, ask: Ask, left: TimeDelta) -> Option<Instant> {
         while let Some((_, old)) = self.order.pop_front_if(|o| o.0 <= now) {
             let Some(list) = self.by_ask.get_mut(&old) else { continue };
             list.retain(|u| u.keep > now);
@@ -106,7 +106,7 @@
     }
 
     /// Halves what was counted at each new period; the share falls away after `idle` without an answer.
-    pub fn tick(&mut self, now: Instant, period: Span, idle: Span) {
+    pub fn tick(&mut self, now: Instant, period: TimeDelta, idle: TimeDelta) {
         if now - self.answered > idle {
             self.note(0.0);
         }
@@ -317,14 +317,14 @@
 pub struct Budget {
     pub free: f64,
     pub share: f64,
-    pub window: Option<Span>,
+    pub window: Option<TimeDelta>,
     pub taken: VecDeque<Instant>,
     pub further: VecDeque<Instant>,
 }
 
 impl Budget {
     /// Drops what no window can reach any more.
-    pub fn prune(&mut self, now: Instant, reach: Span) {
+    pub fn prune(&mut self, now: Instant, reach: TimeDelta) {
         for times in [&mut self.taken, &mut self.further] {
             while times.front().is_some_and(|t| now - *t > reach) {
                 times.pop_front();
@@ -333,7 +333,7 @@
     }
 
     /// Retries sent in the last `window + edge`, and requests taken in the last `window - edge`.
-    pub fn count(&self, now: Instant, window: Span, edge: Span) -> (f64, f64) {
+    pub fn count(&self, now: Instant, window: TimeDelta, edge: TimeDelta) -> (f64, f64) {
         let further = self.further.iter().rev().take_while(|t| now - **t <= window + edge).count();
         let taken = self.taken.iter().rev().take_while(|t| now - **t + edge <= window).count();
         (further as f64, taken as f64)
@@ -452,8 +452,8 @@
 pub struct Cold {
     pub safe: f64,
     pub from: f64,
-    pub warm: Span,
-    pub window: Span,
+    pub warm: TimeDelta,
+    pub window: TimeDelta,
     pub multiple: f64,
 }
 
@@ -489,7 +489,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Alarm {
+pub enum Timer {
     Deadline(RequestId),
     Look(ShardId),
     Rested(KeyId),
@@ -547,8 +547,8 @@
 }
 
 /// Ranks traffic classes by latency objective, the tighter first; gives the tightest.
-pub fn rank_by_latency_objective(classes: &mut [TrafficClass]) -> Span {
-    let mut latency_objectives: Vec<Span> = classes.iter().map(|s| s.latency_objective).collect();
+pub fn rank_by_latency_objective(classes: &mut [TrafficClass]) -> TimeDelta {
+    let mut latency_objectives: Vec<TimeDelta> = classes.iter().map(|s| s.latency_objective).collect();
     latency_objectives.sort();
     latency_objectives.dedup();
     let tightest = latency_objectives.first().copied().unwrap_or_default();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,8 +12,8 @@
     next: u32,
 }
 
-pub fn secs(s: f64) -> Span {
-    Span::from_secs(s)
+pub fn secs(s: f64) -> TimeDelta {
+    TimeDelta::from_secs(s)
 }
 
 impl Desk {
--- a/tests/decision_hash.rs
+++ b/tests/decision_hash.rs
@@ -69,13 +69,13 @@
                 self.kind(1);
                 self.number(i64::from(request.0));
                 self.number(i64::from(node.0));
-                self.optional_seconds(timeout.map(Span::secs));
+                self.optional_seconds(timeout.map(TimeDelta::secs));
                 self.optional_seconds(begin_by.map(Instant::secs));
             }
             Decision::Reject { request, retry_after } => {
                 self.kind(2);
                 self.number(i64::from(request.0));
-                self.optional_seconds(retry_after.map(Span::secs));
+                self.optional_seconds(retry_after.map(TimeDelta::secs));
             }
             Decision::Fail { request } => {
                 self.kind(3);
@@ -135,8 +135,8 @@
     plans: u32,
 }
 
-fn seconds(seconds: f64) -> Span {
-    Span::from_secs(seconds)
+fn seconds(seconds: f64) -> TimeDelta {
+    TimeDelta::from_secs(seconds)
 }
 
 fn micros(time: Instant) -> i64 {
@@ -219,7 +219,7 @@
     }
 
     /// Lets time pass, with the ends of attempts and the wake-ups that fall into it.
-    fn pass(&mut self, time: Span) {
+    fn pass(&mut self, time: TimeDelta) {
         let until = self.now + time;
         loop {
             let end = self.pending.keys().next().map(|(at, _)| Instant::from_secs(*at as f64 / 1e6));
@@ -287,7 +287,7 @@
         }
     }
 
-    fn start_attempt(&mut self, request: RequestId, node: NodeId, timeout: Option<Span>) {
+    fn start_attempt(&mut self, request: RequestId, node: NodeId, timeout: Option<TimeDelta>) {
         let number = self.attempts.entry(request.0).or_insert(0);
         let attempt_number = AttemptNumber(*number);
         *number += 1;
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -219,7 +219,7 @@
                 let Decision::Send { request, timeout, .. } = x else { continue };
                 timed += u32::from(step > 1000 && timeout.is_some());
                 attempts[request.0 as usize] += 1;
-                let until = d.now + timeout.map_or(2.9, Span::secs);
+                let until = d.now + timeout.map_or(2.9, TimeDelta::secs);
                 match lossy && request.0 % 7 == 0 {
                     true => silent.push((request, attempts[request.0 as usize] - 1, until)),
                     false => d.end(request, 0, Outcome::Done, took),
@@ -255,7 +255,7 @@
                 (attempts, timed) = (attempts + 1, timed + u32::from(timeout == Some(secs(0.5))));
                 out.insert(
                     request,
-                    (t + if silent { timeout.map_or(left, Span::secs) } else { 0.05 }, silent),
+                    (t + if silent { timeout.map_or(left, TimeDelta::secs) } else { 0.05 }, silent),
                 );
             }
             while let Some((x, silent)) = out.iter().find(|o| o.1 .0 <= end).map(|o| (*o.0, o.1 .1)) {
