--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,6 +1,6 @@
 //! An HCL document whose errors name file, line, place, value and what was expected.
 
-use hcl::edit::{structure, TimeDelta};
+use hcl::edit::{structure, Span};
 use serde::de::DeserializeOwned;
 
 /// One thing wrong with a file of settings.
--- a/crates/membership/src/view/probe.rs
+++ b/crates/membership/src/view/probe.rs
@@ -238,8 +238,8 @@
     /// late all the time.
     pub(super) fn next_probes(&mut self, now: Instant) {
         self.next_probe(now);
-        let timer = !self.seen.suspects().is_empty();
-        if timer && self.settings.ways.confirm && f64::from(self.strain) < STRAIN_DOUBLES {
+        let alarm = !self.seen.suspects().is_empty();
+        if alarm && self.settings.ways.confirm && f64::from(self.strain) < STRAIN_DOUBLES {
             self.next_probe(now);
         }
     }
