--- a/crates/admin/tests/json_forms.rs
+++ b/crates/admin/tests/json_forms.rs
@@ -39,7 +39,7 @@
         who: "ann".into(),
         set_us: 1_700_000_000_000_000,
         ends_us: 1_700_003_600_000_000,
-        origin: Some(Origin { slot: 2, life: 77, number: 3 }),
+        origin: Some(Origin { slot: 2, generation: 77, number: 3 }),
     }
 }
 
@@ -214,7 +214,7 @@
         host: 2,
         health: "suspect".into(),
         address: "10.9.0.2:7000".into(),
-        life: 1_000_002,
+        generation: 1_000_002,
         since_s: 1.5,
         incarnation: 3,
         site: Some(1),
@@ -228,7 +228,7 @@
         left: 5,
         word: "emptied one by one".into(),
     };
-    let death = DeathStatus { host: 4, life: 1_000_004, incarnation: 2, ago_s: 8.5, own: true };
+    let death = DeathStatus { host: 4, generation: 1_000_004, incarnation: 2, ago_s: 8.5, own: true };
     MembersStatus {
         host: Some(1),
         there: 2,
@@ -239,7 +239,7 @@
         sent_bytes: 4,
         taken: 5,
         dropped: 6,
-        life: 1_000_001,
+        generation: 1_000_001,
         incarnation: 7,
         site: Some(0),
         address: "10.9.0.1:7000".into(),
@@ -278,7 +278,7 @@
         host: 1,
         health: "alive".into(),
         address: "10.9.0.1:7000".into(),
-        life: 7,
+        generation: 7,
         since_s: 1.0,
         ..PeerStatus::default()
     };
@@ -345,7 +345,7 @@
     let reply = |r| Reply::Agreement(r);
     let status = AgreementStatus {
         host: 1,
-        life: 1_000_001,
+        generation: 1_000_001,
         role: "leads".into(),
         term: 2,
         leader: Some(1),
--- a/crates/agreement/src/fault.rs
+++ b/crates/agreement/src/fault.rs
@@ -34,8 +34,8 @@
     FoldDropsClients,
     /// A state that comes from the leader takes the place of entries that stand behind it.
     StateDropsRest,
-    /// An answer to an earlier life counts for a later one.
-    LivesMixed,
+    /// An answer to an earlier generation counts for a later one.
+    GenerationsMixed,
 }
 
 impl AgreeFault {
@@ -56,6 +56,6 @@
         AgreeFault::OldDiskVotes,
         AgreeFault::FoldDropsClients,
         AgreeFault::StateDropsRest,
-        AgreeFault::LivesMixed,
+        AgreeFault::GenerationsMixed,
     ];
 }
--- a/crates/agreement/src/lease.rs
+++ b/crates/agreement/src/lease.rs
@@ -16,7 +16,7 @@
 /// How a host stands to what it has.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Standing {
-    /// It never had a lease in this life.
+    /// It never had a lease in this generation.
     Never,
     /// What it has counts until then.
     Holds { until: Instant },
--- a/crates/agreement/src/parcels.rs
+++ b/crates/agreement/src/parcels.rs
@@ -45,7 +45,7 @@
 }
 
 impl Parcels {
-    /// `first`: parcels are numbered from there, so that a new life's are not taken for an earlier one's.
+    /// `first`: parcels are numbered from there, so that a new generation's are not taken for an earlier one's.
     pub fn new(settings: ParcelsSettings, first: u32) -> Parcels {
         Parcels {
             settings,
--- a/crates/agreement/src/seat.rs
+++ b/crates/agreement/src/seat.rs
@@ -1,5 +1,5 @@
 //! One host's place in the agreement: its log, its lease, and its own changes on their way to whoever leads. Each change
-//! counts once, however often it had to be said: it carries the host, the life and the number that it comes from, and the
+//! counts once, however often it had to be said: it carries the host, the generation and the number that it comes from, and the
 //! last of each host is part of what entries are folded into.
 
 use crate::fault::AgreeFault;
@@ -19,7 +19,7 @@
 const UNANSWERED: u32 = 2;
 /// Beats after which a change without a word is said again: it counts once all the same.
 const SAY_AGAIN: f64 = 4.0;
-/// Bytes before a change's own: host, life and number.
+/// Bytes before a change's own: host, generation and number.
 const HEAD: usize = 20;
 
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
         word: Word,
     },
     Write(Write),
-    /// A change holds from here on. `mine`: its number, where this life of this host asked for it.
+    /// A change holds from here on. `mine`: its number, where this generation of this host asked for it.
     Holds {
         index: u64,
         data: Bytes,
@@ -61,7 +61,7 @@
     Mode(String),
 }
 
-/// By host, life and number of the last change that counted. There are no more of them than hosts.
+/// By host, generation and number of the last change that counted. There are no more of them than hosts.
 type Clients = BTreeMap<u32, (u64, u32)>;
 
 #[derive(Clone)]
@@ -149,7 +149,7 @@
         self.number += 1;
         let mut whole = BytesMut::with_capacity(data.len() + HEAD);
         whole.put_u32(self.me);
-        whole.put_u64(self.voter.of().life);
+        whole.put_u64(self.voter.of().generation);
         whole.put_u32(self.number);
         whole.put_u32(data.len() as u32);
         whole.put_slice(&data);
@@ -227,8 +227,9 @@
 
     pub fn heard(&mut self, now: Instant, from: u32, word: Word) {
         match &word {
-            Word::Granted { to_life, .. }
-                if *to_life != self.voter.of().life && self.fault != Some(AgreeFault::LivesMixed) => {}
+            Word::Granted { to_generation, .. }
+                if *to_generation != self.voter.of().generation
+                    && self.fault != Some(AgreeFault::GenerationsMixed) => {}
             Word::Granted { id, index, .. } => {
                 // Against a fleet that was begun anew while this host kept what the one before had agreed on.
                 if *id != self.voter.log().base().id && self.voter.commit() > 0 {
@@ -277,9 +278,9 @@
     fn with_clients(&self, clients: &Clients, state: &[u8]) -> Bytes {
         let mut out = BytesMut::with_capacity(state.len() + 4 + clients.len() * 16);
         out.put_u32(clients.len() as u32);
-        for (slot, (life, number)) in clients {
+        for (slot, (generation, number)) in clients {
             out.put_u32(*slot);
-            out.put_u64(*life);
+            out.put_u64(*generation);
             out.put_u32(*number);
         }
         out.put_slice(state);
@@ -295,8 +296,8 @@
                 if state.len() < 16 {
                     break;
                 }
-                let (slot, life, number) = (state.get_u32(), state.get_u64(), state.get_u32());
-                self.clients.insert(slot, (life, number));
+                let (slot, generation, number) = (state.get_u32(), state.get_u64(), state.get_u32());
+                self.clients.insert(slot, (generation, number));
             }
         }
         SeatOutput::Restore { index: base.last.index, state }
@@ -307,16 +308,16 @@
         if data.len() < HEAD {
             return None;
         }
-        let (slot, life, number, n) = (data.get_u32(), data.get_u64(), data.get_u32(), data.get_u32());
+        let (slot, generation, number, n) = (data.get_u32(), data.get_u64(), data.get_u32(), data.get_u32());
         if n as usize != data.len() || slot >= self.settings.hosts {
             return None;
         }
         // Against one that was said twice, as its answer was late; and one that comes after later ones of its host.
-        if self.clients.get(&slot).is_some_and(|last| *last >= (life, number)) {
+        if self.clients.get(&slot).is_some_and(|last| *last >= (generation, number)) {
             return None;
         }
-        self.clients.insert(slot, (life, number));
-        let mine = (slot == self.me && life == self.voter.of().life).then_some(number);
+        self.clients.insert(slot, (generation, number));
+        let mine = (slot == self.me && generation == self.voter.of().generation).then_some(number);
         if mine.is_some() {
             self.changes.retain(|c| c.number > number);
             self.changes.iter_mut().take(1).for_each(|c| c.again = now);
--- a/crates/agreement/src/voter.rs
+++ b/crates/agreement/src/voter.rs
@@ -56,7 +56,7 @@
     pub entries: Vec<Entry>,
     /// While nothing is agreed on: the disks that this one stands by.
     pub sealed: Option<Voters>,
-    /// Disks of voters as they were last heard of: how often opened, by which life.
+    /// Disks of voters as they were last heard of: how often opened, by which generation.
     pub known: BTreeMap<u32, Origin>,
 }
 
@@ -557,7 +557,7 @@
         }
     }
 
-    /// Of which disk, opened how often and by which life, that voter was last heard.
+    /// Of which disk, opened how often and by which generation, that voter was last heard.
     pub fn known_disk(&self, host: u32) -> Option<Origin> {
         self.known.get(&host).copied()
     }
--- a/crates/agreement/src/voter/disks.rs
+++ b/crates/agreement/src/voter/disks.rs
@@ -13,9 +13,9 @@
         }
         let right = self.voters().get(&from) == Some(&of.disk) || self.has(AgreeFault::LostDiskVotes);
         let known = self.known.get(&from).copied();
-        // Opened once more than by the life that was heard of, or by that life.
+        // Opened once more than by the generation that was heard of, or by that generation.
         let newer = known.is_none_or(|k| {
-            k.disk != of.disk || of.boot > k.boot || (of.boot == k.boot && of.life == k.life)
+            k.disk != of.disk || of.boot > k.boot || (of.boot == k.boot && of.generation == k.generation)
         });
         if !right || !(newer || self.has(AgreeFault::OldDiskVotes)) {
             self.counters.wrong_disks += 1;
@@ -33,7 +33,7 @@
         true
     }
 
-    /// This disk was opened by another life since this one's: its votes were given away, and it must not give them again,
+    /// This disk was opened by another generation since this one's: its votes were given away, and it must not give them again,
     /// nor after any further start.
     pub(super) fn retire(&mut self, of: Origin) {
         if of != self.of || self.has(AgreeFault::OldDiskVotes) {
--- a/crates/agreement/src/voter/lead.rs
+++ b/crates/agreement/src/voter/lead.rs
@@ -28,10 +28,10 @@
     large: Option<Instant>,
 }
 
-/// A host's ask: its life and number, and the round that has to be answered by most.
+/// A host's ask: its generation and number, and the round that has to be answered by most.
 #[derive(Clone, Copy, Debug)]
 struct Asked {
-    life: u64,
+    generation: u64,
     seq: u32,
     round: u64,
 }
@@ -363,7 +363,7 @@
         }
         l.has.insert(from, (has, now));
         l.disks.insert(from, of.disk);
-        l.asks.insert(from, Asked { life: of.life, seq, round: l.round + 1 });
+        l.asks.insert(from, Asked { generation: of.generation, seq, round: l.round + 1 });
         if self.has(AgreeFault::StaleRead) {
             self.grant_all();
         }
@@ -378,8 +378,8 @@
         let (id, term, index) = (self.log.base().id, self.hard.term, self.commit);
         let Role::Leader(l) = &mut self.role else { return };
         let term_ms = (self.settings.lease.secs() * 1e3) as u32;
-        for (to, Asked { life: to_life, seq, .. }) in std::mem::take(&mut l.asks) {
-            self.say(to, Word::Granted { id, to_life, seq, term, index, term_ms });
+        for (to, Asked { generation: to_generation, seq, .. }) in std::mem::take(&mut l.asks) {
+            self.say(to, Word::Granted { id, to_generation, seq, term, index, term_ms });
         }
     }
 
@@ -402,12 +402,12 @@
         let due = l.asks.iter().filter(|(_, a)| a.round <= answered);
         let due: Vec<(u32, Asked)> = due.map(|(to, a)| (*to, *a)).collect();
         let term_ms = (self.settings.lease.secs() * 1e3) as u32;
-        for (to, Asked { life: to_life, seq, .. }) in due {
+        for (to, Asked { generation: to_generation, seq, .. }) in due {
             l.asks.remove(&to);
             self.counters.granted += 1;
             self.outputs.push_back(Output::Send {
                 to,
-                word: Word::Granted { id, to_life, seq, term, index, term_ms },
+                word: Word::Granted { id, to_generation, seq, term, index, term_ms },
             });
         }
     }
--- a/crates/agreement/tests/decision_hash.rs
+++ b/crates/agreement/tests/decision_hash.rs
@@ -76,7 +76,7 @@
             self.voters(sealed);
         }
         for (host, of) in write.known.iter().flatten() {
-            [u64::from(*host), of.disk, u64::from(of.boot), of.life]
+            [u64::from(*host), of.disk, u64::from(of.boot), of.generation]
                 .into_iter()
                 .for_each(|number| self.number(number));
         }
@@ -318,7 +318,7 @@
         while let Some((to, body)) = self.host(host).chunks.next_say() {
             let me = News {
                 slot: host,
-                life: 1,
+                generation: 1,
                 incarnation: 0,
                 health: Health::Alive,
                 address: address(host),
@@ -389,7 +389,7 @@
         let group = self.group;
         let host = self.host(number);
         host.disk.boot += 1;
-        let of = Origin { disk: host.disk.mark, boot: host.disk.boot, life: incarnation };
+        let of = Origin { disk: host.disk.mark, boot: host.disk.boot, generation: incarnation };
         let held = host.disk.held.clone();
         let founders = (0..group.voters).collect();
         let settings =
--- a/crates/agreement/tests/seat.rs
+++ b/crates/agreement/tests/seat.rs
@@ -21,8 +21,8 @@
     Instant::from_secs(100.0 + s)
 }
 
-fn of(host: u32, life: u64) -> Origin {
-    Origin { disk: u64::from(host) + 100, boot: life as u32, life }
+fn of(host: u32, generation: u64) -> Origin {
+    Origin { disk: u64::from(host) + 100, boot: generation as u32, generation }
 }
 
 fn voters(n: u32) -> Voters {
@@ -63,7 +63,7 @@
 fn who_gets_a_vote() {
     // Name, term and log here, the asker's term and last entry, its disk, and whether it gets the vote.
     let mark = |term, index| Mark { term, index };
-    let other = Origin { disk: 5, boot: 1, life: 1 };
+    let other = Origin { disk: 5, boot: 1, generation: 1 };
     type Case<'a> = (&'a str, u64, &'a [u64], u64, Mark, Origin, bool);
     let cases: &[Case] = &[
         ("as new", 1, &[1, 1], 2, mark(1, 2), of(1, 1), true),
@@ -164,7 +164,10 @@
     v.heard(at(2.2), 1, answer(round));
     let said = words(&drain(&mut v, at(2.2)));
     let granted = said.iter().find(|(to, _)| *to == 4);
-    assert!(matches!(granted, Some((_, Word::Granted { to_life: 3, seq: 6, index: 3, .. }))), "{said:?}");
+    assert!(
+        matches!(granted, Some((_, Word::Granted { to_generation: 3, seq: 6, index: 3, .. }))),
+        "{said:?}"
+    );
     // Without a majority's word for long it leads no more.
     v.tick(at(4.0));
     assert!(!v.leads());
@@ -205,7 +208,7 @@
 
 #[test]
 fn a_lease_counts_from_its_ask_less_the_drift_and_with_what_it_names() {
-    let granted = |seq, index| Word::Granted { id: 9, to_life: 1, seq, term: 1, index, term_ms: 1_000 };
+    let granted = |seq, index| Word::Granted { id: 9, to_generation: 1, seq, term: 1, index, term_ms: 1_000 };
     let mut l = Lease::new(at(0.0), TimeDelta::from_secs(1.0), 0.01);
     let seq = l.ask(at(0.0)).expect("at once");
     assert_eq!(l.standing(at(0.0)), Standing::Never);
@@ -221,7 +224,7 @@
     l.heard(at(1.0), &granted(seq + 50, 5));
     assert!(!l.standing(at(1.0)).holds());
     let seq = l.ask(at(1.0)).expect("it is time");
-    l.heard(at(1.0), &Word::Granted { id: 9, to_life: 1, seq, term: 1, index: 5, term_ms: 900_000 });
+    l.heard(at(1.0), &Word::Granted { id: 9, to_generation: 1, seq, term: 1, index: 5, term_ms: 900_000 });
     l.has(5);
     assert_eq!(l.standing(at(1.0)), Standing::Holds { until: at(1.98) });
     assert!(l.read(seq) == Some(5) && l.read(seq + 1).is_none());
@@ -231,21 +234,21 @@
 struct Fleet {
     seats: BTreeMap<u32, Seat>,
     now: f64,
-    lives: u64,
+    generations: u64,
     holds: BTreeMap<u32, Vec<(Bytes, Option<u32>)>>,
 }
 
 impl Fleet {
     fn new() -> Fleet {
-        Fleet { seats: BTreeMap::new(), now: 0.0, lives: 0, holds: BTreeMap::new() }
+        Fleet { seats: BTreeMap::new(), now: 0.0, generations: 0, holds: BTreeMap::new() }
     }
 
     fn start(&mut self, host: u32, disk: u64) {
-        self.lives += 1;
-        let of = Origin { disk, boot: 1, life: self.lives };
+        self.generations += 1;
+        let of = Origin { disk, boot: 1, generation: self.generations };
         let founders = (0..3).collect();
         let (agree, held) = (settings(), Held::default());
-        let s = SeatSettings { me: host, of, agree, founders, held, seed: self.lives };
+        let s = SeatSettings { me: host, of, agree, founders, held, seed: self.generations };
         self.seats.insert(host, Seat::new(at(self.now), s));
     }
 
@@ -330,12 +333,12 @@
 }
 
 #[test]
-fn an_answer_to_an_earlier_life_is_no_lease() {
-    // To which life the answer is, of which log, and whether the host has a lease by it; with the fault of mixing lives.
-    for (to_life, id, fault, expected) in [
+fn an_answer_to_an_earlier_generation_is_no_lease() {
+    // To which generation the answer is, of which log, and whether the host has a lease by it; with the fault of mixing lives.
+    for (to_generation, id, fault, expected) in [
         (3, 9, None, true),
         (2, 9, None, false),
-        (2, 9, Some(AgreeFault::LivesMixed), true),
+        (2, 9, Some(AgreeFault::GenerationsMixed), true),
         (3, 8, None, false),
     ] {
         let last = Mark { term: 1, index: 4 };
@@ -353,7 +356,7 @@
             _ => None,
         });
         let seq = seq.expect("it asks at once");
-        seat.heard(at(0.1), 0, Word::Granted { id, to_life, seq, term: 1, index: 4, term_ms: 1_000 });
-        assert_eq!(seat.standing(at(0.2)).holds(), expected, "life {to_life}, log {id}, {fault:?}");
+        seat.heard(at(0.1), 0, Word::Granted { id, to_generation, seq, term: 1, index: 4, term_ms: 1_000 });
+        assert_eq!(seat.standing(at(0.2)).holds(), expected, "life {to_generation}, log {id}, {fault:?}");
     }
 }
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -149,12 +149,12 @@
     for s in subjects {
         let mut words: BTreeMap<String, Vec<u32>> = BTreeMap::new();
         for m in good.iter().filter(|m| m.host != Some(s)) {
-            let life = m.peers.iter().find(|p| p.host == s).map_or(0, |p| p.life);
-            words.entry(format!("{} of life {life:x}", word(m, s))).or_default().extend(m.host);
+            let generation = m.peers.iter().find(|p| p.host == s).map_or(0, |p| p.generation);
+            words.entry(format!("{} of life {generation:x}", word(m, s))).or_default().extend(m.host);
         }
         let own = good.iter().find(|m| m.host == Some(s) && !m.displaced);
         let wrong = own.is_some_and(|o| {
-            words.keys().any(|w| !w.starts_with('a') || !w.ends_with(&format!("{:x}", o.life)))
+            words.keys().any(|w| !w.starts_with('a') || !w.ends_with(&format!("{:x}", o.generation)))
         });
         if words.len() > 1 || wrong {
             of.insert(s, words);
@@ -292,12 +292,18 @@
             host: *host,
             health: (*health).into(),
             incarnation: *incarnation,
-            life: 7,
+            generation: 7,
             ..PeerStatus::default()
         };
         let peers = peers.iter().map(peer).collect();
-        let m =
-            MembersStatus { host: Some(host), digest, life: 7, peers, still_s: 3.0, ..Default::default() };
+        let m = MembersStatus {
+            host: Some(host),
+            digest,
+            generation: 7,
+            peers,
+            still_s: 3.0,
+            ..Default::default()
+        };
         (format!("host {host}"), Ok(m))
     }
 
--- a/crates/client/src/shell.rs
+++ b/crates/client/src/shell.rs
@@ -21,9 +21,9 @@
 pub enum Event {
     Call { number: u64, op: Op, deadline: Instant, to: Sender<Outcome> },
     Cancel { number: u64 },
-    Connected { slot: usize, life: u64, stream: TcpStream },
-    Took { slot: usize, life: u64, bytes: Bytes },
-    Closed { slot: usize, life: u64 },
+    Connected { slot: usize, generation: u64, stream: TcpStream },
+    Took { slot: usize, generation: u64, bytes: Bytes },
+    Closed { slot: usize, generation: u64 },
     End,
 }
 
@@ -65,8 +65,8 @@
         opened,
         waiting: HashMap::new(),
         links: HashMap::new(),
-        life: 0,
-        lives: HashMap::new(),
+        generation: 0,
+        generations: HashMap::new(),
     };
     spawn("client core", move || l.run(&incoming))?;
     Ok((events, ready))
@@ -81,8 +81,8 @@
     waiting: HashMap<u64, Sender<Outcome>>,
     links: HashMap<usize, (Sender<Bytes>, TcpStream)>,
     /// Connections are numbered: what a former one of a slot still says is passed over.
-    life: u64,
-    lives: HashMap<usize, u64>,
+    generation: u64,
+    generations: HashMap<usize, u64>,
 }
 
 impl Loop {
@@ -134,19 +134,21 @@
                 self.waiting.remove(&number);
                 self.core.cancel(number);
             }
-            Event::Connected { slot, life, stream } => {
-                if self.lives.get(&slot) == Some(&life) && self.link(slot, life, stream).is_none() {
+            Event::Connected { slot, generation, stream } => {
+                if self.generations.get(&slot) == Some(&generation)
+                    && self.link(slot, generation, stream).is_none()
+                {
                     self.core.closed(now, slot);
                 }
             }
-            Event::Took { slot, life, bytes } => {
-                if self.lives.get(&slot) == Some(&life) {
+            Event::Took { slot, generation, bytes } => {
+                if self.generations.get(&slot) == Some(&generation) {
                     self.core.took(now, slot, &bytes);
                 }
             }
-            Event::Closed { slot, life } => {
-                if self.lives.get(&slot) == Some(&life) {
-                    self.lives.remove(&slot);
+            Event::Closed { slot, generation } => {
+                if self.generations.get(&slot) == Some(&generation) {
+                    self.generations.remove(&slot);
                     self.links.remove(&slot);
                     self.core.closed(now, slot);
                 }
@@ -155,7 +157,7 @@
         }
     }
 
-    fn link(&mut self, slot: usize, life: u64, stream: TcpStream) -> Option<()> {
+    fn link(&mut self, slot: usize, generation: u64, stream: TcpStream) -> Option<()> {
         stream.set_nodelay(true).ok()?;
         stream.set_write_timeout(Some(STALL)).ok()?;
         let (mut reading, mut writing) = (stream.try_clone().ok()?, stream.try_clone().ok()?);
@@ -165,12 +167,12 @@
             let mut buffer = vec![0; 64 << 10];
             while let Ok(n @ 1..) = reading.read(&mut buffer) {
                 let bytes = Bytes::copy_from_slice(&buffer[..n]);
-                if events.send(Event::Took { slot, life, bytes }).is_err() {
+                if events.send(Event::Took { slot, generation, bytes }).is_err() {
                     return;
                 }
             }
             _ = reading.shutdown(Shutdown::Both);
-            _ = events.send(Event::Closed { slot, life });
+            _ = events.send(Event::Closed { slot, generation });
         };
         spawn("client answers", read).ok()?;
         let write = move || {
@@ -205,13 +207,13 @@
                 }
                 Output::Close { slot } => self.close(slot),
                 Output::Connect { slot } => {
-                    self.life += 1;
-                    self.lives.insert(slot, self.life);
-                    let (events, address, life) = (self.events.clone(), self.address, self.life);
+                    self.generation += 1;
+                    self.generations.insert(slot, self.generation);
+                    let (events, address, generation) = (self.events.clone(), self.address, self.generation);
                     let connect = move || {
                         _ = events.send(match TcpStream::connect_timeout(&address, CONNECT) {
-                            Ok(stream) => Event::Connected { slot, life, stream },
-                            Err(_) => Event::Closed { slot, life },
+                            Ok(stream) => Event::Connected { slot, generation, stream },
+                            Err(_) => Event::Closed { slot, generation },
                         });
                     };
                     if spawn("client connect", connect).is_err() {
@@ -225,7 +227,7 @@
     }
 
     fn close(&mut self, slot: usize) {
-        self.lives.remove(&slot);
+        self.generations.remove(&slot);
         if let Some((_, stream)) = self.links.remove(&slot) {
             _ = stream.shutdown(Shutdown::Both);
         }
--- a/crates/config/src/host.rs
+++ b/crates/config/src/host.rs
@@ -152,7 +152,7 @@
     /// Part by which steady clocks may run apart.
     #[serde(default = "drift")]
     pub drift: f64,
-    /// File that marks a leave for the next life; without it nothing is lent when the host leaves.
+    /// File that marks a leave for the next generation; without it nothing is lent when the host leaves.
     pub left_file: Option<std::path::PathBuf>,
 }
 
--- a/crates/day/src/settled.rs
+++ b/crates/day/src/settled.rs
@@ -120,8 +120,8 @@
     }
 }
 
-/// All that run hold all that run alive, under their lives, where and at the site they say; all others are not there; and
-/// all digests are one. One that knows of a later life of its number is not among them.
+/// All that run hold all that run alive, under their generations, where and at the site they say; all others are not there; and
+/// all digests are one. One that knows of a later generation of its number is not among them.
 fn is_settled(all: &[MembersStatus]) -> bool {
     let held: Vec<&MembersStatus> = all.iter().filter(|m| !m.displaced).collect();
     let Some(first) = held.first() else { return false };
@@ -135,7 +135,7 @@
     let others = held.iter().skip(1).all(|m| {
         let of = first.peers.iter().find(|p| Some(p.host) == m.host);
         of.is_some_and(|p| {
-            p.health == "alive" && (p.life, p.site, &p.address) == (m.life, m.site, &m.address)
+            p.health == "alive" && (p.generation, p.site, &p.address) == (m.generation, m.site, &m.address)
         })
     });
     let away = |health: &str| matches!(health, "dead" | "left");
@@ -189,10 +189,10 @@
         let is_false = |((observer, host, _, _), (at, _)): &(&(u32, u32, u64, u32), &(Instant, bool))| {
             !done.excuses(*observer, *host, *at, before)
         };
-        let words = own.clone().filter(is_false).take(20).map(|((observer, host, life, n), (at, _))| {
+        let words = own.clone().filter(is_false).take(20).map(|((observer, host, generation, n), (at, _))| {
             let ago = at.elapsed().as_secs_f64();
             format!(
-                "host {observer} held host {host} dead (life {life:x}, word {n}), {ago:.2} s before the end"
+                "host {observer} held host {host} dead (life {generation:x}, word {n}), {ago:.2} s before the end"
             )
         });
         let false_words = words.collect();
@@ -239,11 +239,11 @@
     let mut seen = lock(seen);
     for m in answers.iter().flatten() {
         let Some(host) = m.host else { continue };
-        let sent = seen.sent.entry((host, m.life)).or_default();
+        let sent = seen.sent.entry((host, m.generation)).or_default();
         *sent = (*sent).max(m.sent_bytes);
         for d in &m.deaths {
             let at = now.checked_sub(Duration::from_secs_f64(d.ago_s.max(0.0))).unwrap_or(now);
-            seen.deaths.entry((host, d.host, d.life, d.incarnation)).or_insert((at, d.own));
+            seen.deaths.entry((host, d.host, d.generation, d.incarnation)).or_insert((at, d.own));
         }
     }
     let Some((number, what, since)) = last else { return };
@@ -264,10 +264,10 @@
     use tackmast_hostcore::PeerStatus;
 
     fn status(host: u32, digest: u32, peers: &[(u32, &str, u64)]) -> MembersStatus {
-        let peer = |(host, health, life): &(u32, &str, u64)| PeerStatus {
+        let peer = |(host, health, generation): &(u32, &str, u64)| PeerStatus {
             host: *host,
             health: (*health).to_owned(),
-            life: *life,
+            generation: *generation,
             address: format!("a{host}"),
             site: Some(1),
             ..PeerStatus::default()
@@ -275,7 +275,7 @@
         MembersStatus {
             host: Some(host),
             digest,
-            life: 7,
+            generation: 7,
             address: format!("a{host}"),
             site: Some(1),
             peers: peers.iter().map(peer).collect(),
--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -189,7 +189,7 @@
         }
     }
 
-    /// The list that an earlier life of this host saved, perhaps out of date.
+    /// The list that an earlier generation of this host saved, perhaps out of date.
     fn saved(&mut self) {
         let Some(path) = &self.settings.host.saved_list else { return };
         match crate::list::load(path) {
@@ -262,7 +262,7 @@
             Event::Datagram { from, bytes } => self.core.datagram(now, from, bytes),
             Event::Leave => {
                 self.leaving = true;
-                // The mark first: what is lent without it could be used twice by the next life.
+                // The mark first: what is lent without it could be used twice by the next generation.
                 if self.peers.as_mut().is_some_and(Peers::mark_leave) {
                     self.core.leave(now);
                 }
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -81,7 +81,7 @@
     clock: Clock,
     urgent: &Sender<core_thread::Event>,
     stopping: &Arc<AtomicBool>,
-    life: u64,
+    generation: u64,
 ) -> Result<Sender<admin::ToStore>, StartError> {
     let (now, wall_us) = (clock.now(), Clock::wall_us());
     let bounds = tackmast_overrides::Settings { most: o.most, zone_part: o.zone_part };
@@ -104,9 +104,10 @@
             if changes > 0 {
                 return Err(StartError::Agreement(changes));
             }
-            let start = store.open_agreed(life ^ u64::from(std::process::id()).rotate_left(40), life)?;
+            let start =
+                store.open_agreed(generation ^ u64::from(std::process::id()).rotate_left(40), generation)?;
             plans.agree();
-            core.with_agreed(tackmast_hostcore::Agreed::new(now, settings, a, start, life));
+            core.with_agreed(tackmast_hostcore::Agreed::new(now, settings, a, start, generation));
         }
         core.with_plans(now, plans, held.trail.is_empty() && !agrees);
     }
@@ -130,15 +131,15 @@
         let store = settings.overrides.as_ref().map(|o| Store::open(&o.store)).transpose()?;
         let by_clock = clock.unix_us(clock.now()) << 12 | u64::from(settings.host.number & 0xfff);
         let recalled = store.as_ref().map(|(_, held)| held.members.clone()).unwrap_or_default();
-        // Against a clock that went back: a life numbered below the one before it would be shut out by what is known of
+        // Against a clock that went back: a generation numbered below the one before it would be shut out by what is known of
         // that one. Written down before anything is said under it.
-        let life = by_clock.max(recalled.life + 1);
+        let generation = by_clock.max(recalled.generation + 1);
         if let Some((store, _)) = &store {
-            let members = Some(Remembered { life, hosts: recalled.hosts.clone() });
+            let members = Some(Remembered { generation, hosts: recalled.hosts.clone() });
             store.keep(&Keep { members, ..Keep::default() })?;
         }
-        let seed = settings.host.seed.unwrap_or(life ^ u64::from(std::process::id()) << 32);
-        let mut core = Core::new(clock.now(), &settings, seed, life);
+        let seed = settings.host.seed.unwrap_or(generation ^ u64::from(std::process::id()) << 32);
+        let mut core = Core::new(clock.now(), &settings, seed, generation);
         let settings = Arc::new(settings);
         let stopping = Arc::new(AtomicBool::new(false));
         let (urgent, urgent_in) = crossbeam_channel::bounded(EVENTS);
@@ -149,19 +150,19 @@
         let list = list::start(settings.clone(), clock, urgent.clone(), stopping.clone())?;
         let to_store = match settings.overrides.as_ref().zip(store) {
             Some((o, store)) => {
-                Some(overrides(o, store, &settings, &mut core, clock, &urgent, &stopping, life)?)
+                Some(overrides(o, store, &settings, &mut core, clock, &urgent, &stopping, generation)?)
             }
             None => None,
         };
         let peers = match &settings.membership {
             Some(m) => {
-                let (ids, known, stop) = ((life, seed), recalled.hosts, stopping.clone());
+                let (ids, known, stop) = ((generation, seed), recalled.hosts, stopping.clone());
                 Some(peers::start(&settings, m, &mut core, clock, ids, known, events.clone(), stop)?)
             }
             None => None,
         };
         let (peers, peers_address) = peers.map_or((None, None), |(p, a)| (Some(p), Some(a)));
-        let links = links::Links::new(settings.clone(), clock, events.clone(), life);
+        let links = links::Links::new(settings.clone(), clock, events.clone(), generation);
         threads.push(core_thread::start(
             core,
             settings.clone(),
@@ -179,7 +180,7 @@
         if let Some((_, listener)) = nbd {
             threads.push(sessions::start(house, listener, sessions::Protocol::Nbd, stopping.clone())?);
         }
-        tracing::info!(%address, nbd = ?nbd_address, peers = ?peers_address, life, "host listens");
+        tracing::info!(%address, nbd = ?nbd_address, peers = ?peers_address, generation, "host listens");
         Ok(Host { address, nbd: nbd_address, peers: peers_address, admin, stopping, urgent, threads })
     }
 
--- a/crates/host/src/links.rs
+++ b/crates/host/src/links.rs
@@ -34,13 +34,13 @@
     settings: Arc<HostSettings>,
     clock: Clock,
     events: Sender<Event>,
-    life: u64,
+    generation: u64,
     nodes: HashMap<NodeId, Vec<Slot>>,
 }
 
 impl Links {
-    pub fn new(settings: Arc<HostSettings>, clock: Clock, events: Sender<Event>, life: u64) -> Self {
-        Links { settings, clock, events, life, nodes: HashMap::new() }
+    pub fn new(settings: Arc<HostSettings>, clock: Clock, events: Sender<Event>, generation: u64) -> Self {
+        Links { settings, clock, events, generation, nodes: HashMap::new() }
     }
 
     fn slot(&self, attempt: AttemptId) -> usize {
@@ -91,7 +91,7 @@
                 settings: self.settings.clone(),
                 clock: self.clock,
                 events: self.events.clone(),
-                life: self.life,
+                generation: self.generation,
                 ping: crossbeam_channel::bounded(1),
                 current: Current::default(),
                 writing: Vec::new(),
@@ -127,7 +127,7 @@
     settings: Arc<HostSettings>,
     clock: Clock,
     events: Sender<Event>,
-    life: u64,
+    generation: u64,
     /// By this the reader asks for a ping, or says that the connection is broken.
     ping: (Sender<()>, Receiver<()>),
     current: Current,
@@ -284,9 +284,9 @@
         _ = socket2::SockRef::from(&stream).set_send_buffer_size(b.link_bytes as usize / 2);
         let set = stream.set_nodelay(true).and_then(|()| stream.set_write_timeout(Some(silence)));
         set.map_err(|e| format!("socket: {e}"))?;
-        let (host, life) = (self.settings.host.number, self.life);
+        let (host, generation) = (self.settings.host.number, self.generation);
         let sent_us = self.clock.unix_us(self.clock.now());
-        let hello = Frame::HostHello { version: node::VERSION, host, life, sent_us };
+        let hello = Frame::HostHello { version: node::VERSION, host, generation, sent_us };
         stream.write_all(&hello.to_bytes()).map_err(|e| format!("hello: {e}"))?;
         let mut frames = node::frames(b.command_bytes as usize);
         let mut buffer = [0; 4096];
--- a/crates/host/src/list.rs
+++ b/crates/host/src/list.rs
@@ -220,7 +220,7 @@
     }
 }
 
-/// The list that an earlier life saved. A file that isn't there is an empty list.
+/// The list that an earlier generation saved. A file that isn't there is an empty list.
 pub fn load(path: &Path) -> Result<Vec<ListEntry>, String> {
     let bytes = match std::fs::read(path) {
         Ok(b) => b,
--- a/crates/host/src/peers.rs
+++ b/crates/host/src/peers.rs
@@ -34,7 +34,7 @@
     m: &MembershipBlock,
     core: &mut Core,
     clock: Clock,
-    (life, seed): (u64, u64),
+    (generation, seed): (u64, u64),
     recalled: Vec<(u32, u64, SocketAddr)>,
     events: Sender<Event>,
     stopping: Arc<AtomicBool>,
@@ -47,7 +47,10 @@
     let reader = socket.try_clone().map_err(failed)?;
     let marked = m.left_file.as_ref().is_some_and(|f| f.exists());
     let now = clock.now();
-    core.with_fellows(now, Fellows::new(now, member_settings(s, m, address, life, marked, seed, recalled)));
+    core.with_fellows(
+        now,
+        Fellows::new(now, member_settings(s, m, address, generation, marked, seed, recalled)),
+    );
     crate::thread("peers".into(), move || read(&reader, &events, &stopping))?;
     Ok((Peers { socket, left_file: m.left_file.clone(), marked }, address))
 }
--- a/crates/host/tests/members.rs
+++ b/crates/host/tests/members.rs
@@ -109,7 +109,7 @@
     let body = tackmast_wire::peer::Body::Ping { seq: 1 };
     let me = tackmast_wire::peer::News {
         slot: 3,
-        life: u64::MAX,
+        generation: u64::MAX,
         incarnation: 0,
         health: tackmast_wire::peer::Health::Alive,
         address: seed.unwrap(),
@@ -143,7 +143,7 @@
     let id: OverrideId = standing(dir, 2)[0].id;
     assert!(matches!(ask(dir, 2, Ask::Clear { id, who: "bob".into() }), Reply::Cleared { .. }));
     until("cleared at all", || (0..HOSTS).filter(|h| *h != 7).all(|h| standing(dir, h).is_empty()));
-    // A process of its own would have let its files go; here its next life has a copy of them.
+    // A process of its own would have let its files go; here its next generation has a copy of them.
     let again = dir.join("again");
     std::fs::create_dir(&again).unwrap();
     std::fs::copy(dir.join("7.redb"), again.join("7.redb")).unwrap();
--- a/crates/host/tests/plans.rs
+++ b/crates/host/tests/plans.rs
@@ -118,7 +118,7 @@
     }
 }
 
-/// A host on what an earlier life left, whose threads may still be ending.
+/// A host on what an earlier generation left, whose threads may still be ending.
 fn again(settings: impl Fn() -> HostSettings) -> Host {
     let end = Instant::now() + Duration::from_secs(10);
     loop {
--- a/crates/hostcore/src/agreed.rs
+++ b/crates/hostcore/src/agreed.rs
@@ -63,7 +63,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AgreementStatus {
     pub host: u32,
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub generation: u64,
     /// Leads, follows, or asks for votes.
     pub role: String,
     pub term: u64,
@@ -133,7 +134,7 @@
 impl Agreed {
     pub fn new(now: Instant, s: &HostSettings, a: &AgreementBlock, start: AgreedStart, seed: u64) -> Agreed {
         let (me, settings) = (s.host.number, agreement_settings(s, a));
-        let first = (start.of.life as u32).wrapping_mul(0x9e37_79b1);
+        let first = (start.of.generation as u32).wrapping_mul(0x9e37_79b1);
         let seat = SeatSettings {
             me,
             of: start.of,
@@ -194,7 +195,7 @@
         };
         AgreementStatus {
             host: self.me,
-            life: self.seat.voter.of().life,
+            generation: self.seat.voter.of().generation,
             role: s.role.into(),
             term: s.term,
             leader: s.leader,
--- a/crates/hostcore/src/core.rs
+++ b/crates/hostcore/src/core.rs
@@ -106,7 +106,7 @@
 pub struct SendAttempt {
     pub node: NodeId,
     pub attempt: AttemptId,
-    /// The request's number in this life of the host, the attempt's within the request.
+    /// The request's number in this generation of the host, the attempt's within the request.
     pub request: u64,
     pub attempt_number: u8,
     pub from: CommandRef,
@@ -294,7 +294,7 @@
     tells: bool,
     lead: TimeDelta,
     longest_wait: TimeDelta,
-    life: u64,
+    generation: u64,
     nodes: Nodes,
     admission: Admission,
     sharing: Sharing,
@@ -321,8 +321,8 @@
 }
 
 impl Core {
-    /// `life` differs between all lives of all hosts; `seed` is for chance in decisions.
-    pub fn new(now: Instant, s: &HostSettings, seed: u64, life: u64) -> Self {
+    /// `address_generation` differs between all generations of all hosts; `seed` is for chance in decisions.
+    pub fn new(now: Instant, s: &HostSettings, seed: u64, generation: u64) -> Self {
         let tick = TimeDelta::from_secs(s.host.tick_ms / 1e3);
         let longest = TimeDelta::from_secs(s.load.longest_wait_s);
         let mut scheduler = Scheduler::new(now, seed, s.host.hosts, tick, s.units.mean);
@@ -357,12 +357,12 @@
             layout: Layout::new(s),
             lead: TimeDelta::from_secs(s.host.answer_lead_ms / 1e3),
             number: s.host.number,
-            ..Core::placed(now, scheduler, placed, life)
+            ..Core::placed(now, scheduler, placed, generation)
         }
     }
 
     /// A host whose requests arrive already placed, round a module that has its settings.
-    pub fn placed(now: Instant, scheduler: Scheduler, s: PlacedSettings, life: u64) -> Self {
+    pub fn placed(now: Instant, scheduler: Scheduler, s: PlacedSettings, generation: u64) -> Self {
         Core {
             scheduler,
             layout: Layout::default(),
@@ -371,7 +371,7 @@
             tells: s.tells,
             lead: TimeDelta::ZERO,
             longest_wait: s.longest_wait,
-            life,
+            generation,
             nodes: Nodes::new(s.nodes),
             admission: Admission::new(now, s.requests, s.bytes, s.longest_wait),
             sharing: Sharing::default(),
@@ -433,7 +433,7 @@
 
 /// Inputs.
 impl Core {
-    /// What each shard did for this host, units a second; and what an earlier life of it saw.
+    /// What each shard did for this host, units a second; and what an earlier generation of it saw.
     pub fn paces(&self, now: Instant) -> Vec<(ShardId, f64)> {
         self.scheduler.paces(now)
     }
--- a/crates/hostcore/src/core/attempts.rs
+++ b/crates/hostcore/src/core/attempts.rs
@@ -76,7 +76,11 @@
             part: x.part,
             until,
             begin_by,
-            mark: if idempotent_by_key { u128::from(self.life) << 64 | u128::from(x.serial) } else { 0 },
+            mark: if idempotent_by_key {
+                u128::from(self.generation) << 64 | u128::from(x.serial)
+            } else {
+                0
+            },
             key: x.text.key,
             volume: x.text.volume,
             offset: x.text.offset,
--- a/crates/hostcore/src/core/orders.rs
+++ b/crates/hostcore/src/core/orders.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Core {
-    /// Takes operators' overrides in. `keep` is what has become of those of an earlier life.
+    /// Takes operators' overrides in. `keep` is what has become of those of an earlier generation.
     pub fn with_overrides(&mut self, now: Instant, overrides: Overrides, keep: Keep) {
         self.orders = Some(Orders::new(now, overrides));
         if keep != Keep::default() {
--- a/crates/hostcore/src/fellows.rs
+++ b/crates/hostcore/src/fellows.rs
@@ -47,7 +47,7 @@
     Ask(u64, Ask),
     /// A change of plans.
     Paper(Paper),
-    /// To be written down for the next life.
+    /// To be written down for the next generation.
     Remember(Remembered),
     List(ListCame),
     Word {
@@ -62,7 +62,8 @@
     pub host: u32,
     pub health: String,
     pub address: String,
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub generation: u64,
     pub since_s: f64,
     #[serde(default)]
     pub incarnation: u32,
@@ -90,7 +91,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DeathStatus {
     pub host: u32,
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub generation: u64,
     pub incarnation: u32,
     pub ago_s: f64,
     /// This host found it itself; else it was heard.
@@ -106,15 +108,16 @@
     pub peers: Vec<PeerStatus>,
     /// By LUN: own part, lent, borrowed and needed, as shares of the limit.
     pub loans: Vec<(u32, f64, f64, f64, f64)>,
-    /// Another life of this host's number runs.
+    /// Another generation of this host's number runs.
     pub displaced: bool,
     pub sent: u64,
     pub sent_bytes: u64,
     pub taken: u64,
     pub dropped: u64,
-    /// This host's own life, its word on itself, its site and where others reach it.
+    /// This host's own generation, its word on itself, its site and where others reach it.
     #[serde(default)]
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub generation: u64,
     #[serde(default)]
     pub incarnation: u32,
     #[serde(default)]
@@ -154,13 +157,13 @@
     pub taken_over: u64,
 }
 
-/// What a host's settings make of it as a member. `address` is where it listens; `recalled` are hosts that an earlier life
+/// What a host's settings make of it as a member. `address` is where it listens; `recalled` are hosts that an earlier generation
 /// knew.
 pub fn member_settings(
     s: &HostSettings,
     m: &MembershipBlock,
     address: SocketAddr,
-    life: u64,
+    generation: u64,
     left: bool,
     seed: u64,
     recalled: Vec<(u32, u64, SocketAddr)>,
@@ -174,7 +177,7 @@
     MemberSettings {
         fleet: m.fleet.clone(),
         slot: s.host.number,
-        life,
+        generation,
         address: m.advertise.unwrap_or(address),
         site: s.host.site,
         recalled,
@@ -213,7 +216,7 @@
 
     pub fn me(&self) -> (u32, u64) {
         let me = self.member.view.me();
-        (me.slot, me.life)
+        (me.slot, me.generation)
     }
 
     /// This host goes by plans that change, and has these changes.
@@ -319,7 +322,7 @@
             host,
             health: format!("{:?}", s.health).to_lowercase(),
             address: s.address.to_string(),
-            life: s.life,
+            generation: s.generation,
             since_s: (now - s.since).secs(),
             incarnation: s.incarnation,
             site: s.site,
@@ -341,7 +344,7 @@
         });
         let deaths = view.deaths().map(|d| DeathStatus {
             host: d.slot,
-            life: d.life,
+            generation: d.generation,
             incarnation: d.incarnation,
             ago_s: (now - d.at).secs(),
             own: d.own,
@@ -356,7 +359,7 @@
             sent_bytes: c.sent_bytes,
             taken: c.taken,
             dropped: c.strangers + c.other_fleets + c.damaged + c.false_names + c.lost_full,
-            life: me.life,
+            generation: me.generation,
             incarnation: me.incarnation,
             site: me.site,
             address: me.address.to_string(),
@@ -380,7 +383,7 @@
 fn spread(o: &Override, origin: Origin, left_s: f64) -> SpreadOrder {
     SpreadOrder {
         slot: origin.slot,
-        life: origin.life,
+        generation: origin.generation,
         number: origin.number,
         kind: match o.kind {
             Kind::OutOfService => OrderKind::Out,
--- a/crates/hostcore/src/nodes.rs
+++ b/crates/hostcore/src/nodes.rs
@@ -49,7 +49,7 @@
     now - age.max(TimeDelta::ZERO)
 }
 
-/// Nodes named to this life of the host. A number is never given to another id: what the module learned of a node must
+/// Nodes named to this generation of the host. A number is never given to another id: what the module learned of a node must
 /// not pass to a stranger. Those that are gone are remembered for a while, as the list may name them again.
 #[derive(Debug, Default)]
 pub struct Nodes {
--- a/crates/hostcore/src/orders.rs
+++ b/crates/hostcore/src/orders.rs
@@ -88,7 +88,7 @@
     pub audits: Vec<Audit>,
     /// Changes of plans by number, as they are written; what the trail begins with is number 0.
     pub changes: Vec<(u64, Vec<u8>)>,
-    /// Other hosts for the next life to call, and the number of this one's life.
+    /// Other hosts for the next generation to call, and the number of this one's generation.
     pub members: Option<tackmast_membership::Remembered>,
     /// Of the agreed log.
     pub agreed: Option<Box<tackmast_agreement::Write>>,
@@ -104,7 +104,7 @@
     pending: Option<(u64, Pending)>,
     waiting: VecDeque<(u64, Ask)>,
     tell_at: Instant,
-    /// Host and life that name what is taken here, where hosts tell each other of theirs.
+    /// Host and generation that name what is taken here, where hosts tell each other of theirs.
     pub me: Option<(u32, u64)>,
 }
 
@@ -141,7 +141,7 @@
                     Ok((mut record, preview)) => {
                         record.id = self.overrides.reserve();
                         let number = record.id.0;
-                        let mine = self.me.map(|(slot, life)| Origin { slot, life, number });
+                        let mine = self.me.map(|(slot, generation)| Origin { slot, generation, number });
                         record.origin = record.origin.or(mine);
                         let audit = Audit::set(&record, preview.forced_past.is_some());
                         let keep = Keep { put: vec![record.clone()], audits: vec![audit], ..Keep::default() };
--- a/crates/hostcore/src/plans.rs
+++ b/crates/hostcore/src/plans.rs
@@ -168,7 +168,7 @@
 }
 
 impl Plans {
-    /// `kept` is the trail of an earlier life, as it was written; none: this is the first. Clients wait for word of the
+    /// `kept` is the trail of an earlier generation, as it was written; none: this is the first. Clients wait for word of the
     /// newest change for as long as a change may take at most, if there is anyone to hear it from.
     pub fn new(now: Instant, s: &HostSettings, b: &PlansBlock, kept: &[u8]) -> Result<Self, TrailError> {
         let fleet = fleet(s, b);
@@ -313,7 +313,7 @@
         self.trail.entries.iter().map(|e| (e.number, Trail::line(e)))
     }
 
-    /// What an earlier life had taken, on top of the settings.
+    /// What an earlier generation had taken, on top of the settings.
     pub fn resumed(&mut self) -> Vec<Move> {
         let (from, to) = (self.trail.anchor.catalogue.clone(), self.trail.catalogue.clone());
         self.moves(&from, &to)
--- a/crates/hostcore/tests/agreed.rs
+++ b/crates/hostcore/tests/agreed.rs
@@ -125,16 +125,16 @@
 
     fn start(&mut self, host: u32) {
         let s = settings(host, self.floor);
-        let life = 100 + u64::from(host);
-        let mut core = Core::new(self.now, &s, life, life);
+        let generation = 100 + u64::from(host);
+        let mut core = Core::new(self.now, &s, generation, generation);
         let mut plans = Plans::new(self.now, &s, s.plans_live.as_ref().unwrap(), &[]).unwrap();
         plans.agree();
-        let of = Origin { disk: life, boot: 1, life };
+        let of = Origin { disk: generation, boot: 1, generation };
         let start = AgreedStart { of, ..AgreedStart::default() };
-        core.with_agreed(Agreed::new(self.now, &s, s.agreement.as_ref().unwrap(), start, life));
+        core.with_agreed(Agreed::new(self.now, &s, s.agreement.as_ref().unwrap(), start, generation));
         core.with_plans(self.now, plans, false);
         let m = s.membership.as_ref().unwrap();
-        let members = member_settings(&s, m, address(host), life, false, life, vec![]);
+        let members = member_settings(&s, m, address(host), generation, false, generation, vec![]);
         core.with_fellows(self.now, Fellows::new(self.now, members));
         self.cores[host as usize] = Some(core);
         self.listed(host, ListKind::Complete, 5, NodeState::Ready);
@@ -261,7 +261,7 @@
     for (floor, sends) in [("", false), ("floor = 40", true)] {
         let mut f = Fleet::new(&[0, 1, 3], floor);
         f.run(2.0);
-        // Nothing is agreed on before all who begin are there: no lease, in no life.
+        // Nothing is agreed on before all who begin are there: no lease, in no generation.
         assert_eq!(f.status(3).lease, "never");
         assert_eq!(f.read(3, 1).is_ok(), sends, "{floor:?}: never a lease");
         assert_eq!(f.read(3, 2), Ok(()), "no limit may come to a plan without one");
--- a/crates/httphost/src/clients.rs
+++ b/crates/httphost/src/clients.rs
@@ -31,9 +31,9 @@
 const TURNED_AWAY_PART: usize = 8;
 const TURNED_AWAY_MOST: usize = 16;
 
-/// A connection's life. It goes from `Reading` to `Owed` and back, and from either down for good.
+/// A connection's state. It goes from `Reading` to `Owed` and back, and from either down for good.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Life {
+enum ConnectionState {
     /// No request is open: one is awaited, or a part of it is there, or the answer to the one before is being written.
     Reading,
     /// Owed the answer to the request of this number.
@@ -49,7 +49,7 @@
     reader: RequestReader,
     out: BytesMut,
     interest: Interest,
-    life: Life,
+    state: ConnectionState,
     /// Nothing is taken after the request that was read last.
     closes: bool,
     lingers: usize,
@@ -63,41 +63,41 @@
 impl Client {
     fn stage(&self, now: Instant) -> Stage {
         let secs = (now - self.since).secs();
-        match self.life {
-            Life::HalfClosed => Stage::Over,
-            Life::Owed(_) | Life::Parting => Stage::Busy,
-            Life::Reading if !self.out.is_empty() => Stage::Busy,
-            Life::Reading if !self.proven && secs < YOUNG => Stage::Young,
-            Life::Reading if !self.proven => Stage::Silent,
-            Life::Reading if self.reader.is_midway() => Stage::Midway,
-            Life::Reading if secs >= IDLE_AFTER => Stage::Idle,
-            Life::Reading => Stage::Resting,
+        match self.state {
+            ConnectionState::HalfClosed => Stage::Over,
+            ConnectionState::Owed(_) | ConnectionState::Parting => Stage::Busy,
+            ConnectionState::Reading if !self.out.is_empty() => Stage::Busy,
+            ConnectionState::Reading if !self.proven && secs < YOUNG => Stage::Young,
+            ConnectionState::Reading if !self.proven => Stage::Silent,
+            ConnectionState::Reading if self.reader.is_midway() => Stage::Midway,
+            ConnectionState::Reading if secs >= IDLE_AFTER => Stage::Idle,
+            ConnectionState::Reading => Stage::Resting,
         }
     }
 
     fn is_over(&self) -> bool {
-        matches!(self.life, Life::Parting | Life::HalfClosed)
+        matches!(self.state, ConnectionState::Parting | ConnectionState::HalfClosed)
     }
 
     /// Nothing of a request is there, nor to be written.
     fn is_between(&self) -> bool {
-        self.life == Life::Reading && self.out.is_empty() && !self.reader.is_midway()
+        self.state == ConnectionState::Reading && self.out.is_empty() && !self.reader.is_midway()
     }
 
     fn wanted(&self) -> Interest {
-        match self.life {
+        match self.state {
             // A client that does not read its answers has no more requests taken.
-            Life::Reading if !self.out.is_empty() => WRITE,
-            Life::Reading | Life::HalfClosed => READ,
-            Life::Owed(_) => Interest { read: !self.closes, write: !self.out.is_empty() },
-            Life::Parting => BOTH,
+            ConnectionState::Reading if !self.out.is_empty() => WRITE,
+            ConnectionState::Reading | ConnectionState::HalfClosed => READ,
+            ConnectionState::Owed(_) => Interest { read: !self.closes, write: !self.out.is_empty() },
+            ConnectionState::Parting => BOTH,
         }
     }
 
     /// The host ends its sending: a close over bytes that are not read would reset the connection, and lose the answer.
     fn half_close(&mut self, now: Instant) {
         _ = self.stream.shutdown(Shutdown::Write);
-        (self.life, self.since) = (Life::HalfClosed, now);
+        (self.state, self.since) = (ConnectionState::HalfClosed, now);
     }
 }
 
@@ -173,7 +173,7 @@
             reader: RequestReader::new(Bounds::default()),
             out: BytesMut::new(),
             interest: READ,
-            life: Life::Reading,
+            state: ConnectionState::Reading,
             closes: false,
             lingers: 0,
             proven: false,
@@ -200,8 +200,8 @@
     fn remove(&mut self, id: u32) -> Option<u32> {
         let client = self.clients.remove(&id)?;
         self.held -= client.held;
-        match client.life {
-            Life::Owed(request) => Some(request),
+        match client.state {
+            ConnectionState::Owed(request) => Some(request),
             _ => None,
         }
     }
@@ -253,7 +253,7 @@
                 return done.then(|| self.left(id));
             }
             Got::Bytes(n) => {
-                if !c.reader.is_midway() && c.life == Life::Reading && c.proven {
+                if !c.reader.is_midway() && c.state == ConnectionState::Reading && c.proven {
                     c.since = now;
                 }
                 c.reader.push(&piece[..n]);
@@ -262,7 +262,7 @@
         self.count(id);
         let all = self.held as f64 > self.bytes as f64 * AHEAD_PART;
         let c = self.clients.get_mut(&id)?;
-        if let Life::Owed(_) = c.life {
+        if let ConnectionState::Owed(_) = c.state {
             // What comes ahead of its turn is read on, within bounds, so that an end behind it is seen.
             if all || c.reader.ahead() > AHEAD {
                 c.closes = true;
@@ -276,13 +276,15 @@
 
     /// Whether a part of a request, or more, has come ahead of its turn.
     pub fn has_more(&self, id: u32) -> bool {
-        let may = |c: &Client| c.life == Life::Reading && c.out.is_empty() && c.reader.is_midway();
+        let may =
+            |c: &Client| c.state == ConnectionState::Reading && c.out.is_empty() && c.reader.is_midway();
         self.clients.get(&id).is_some_and(may)
     }
 
     /// The next request of a connection that none is open on.
     pub fn next_request(&mut self, now: Instant, poller: &Poller, id: u32) -> Option<Said> {
-        let c = self.clients.get_mut(&id).filter(|c| c.life == Life::Reading && c.out.is_empty())?;
+        let c =
+            self.clients.get_mut(&id).filter(|c| c.state == ConnectionState::Reading && c.out.is_empty())?;
         let next = c.reader.next_request();
         if c.reader.take_leave() {
             c.out.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
@@ -312,8 +314,8 @@
 
     /// A request was understood and taken: its connection is owed an answer.
     pub fn taken(&mut self, now: Instant, id: u32, request: u32) {
-        if let Some(c) = self.clients.get_mut(&id).filter(|c| c.life == Life::Reading) {
-            (c.life, c.proven, c.since) = (Life::Owed(request), true, now);
+        if let Some(c) = self.clients.get_mut(&id).filter(|c| c.state == ConnectionState::Reading) {
+            (c.state, c.proven, c.since) = (ConnectionState::Owed(request), true, now);
         }
     }
 
@@ -349,7 +351,7 @@
         c.out.extend_from_slice(answer_head(status, body.len(), retry_after, last).as_bytes());
         c.out.extend_from_slice(body);
         c.proven |= status == 200;
-        (c.life, c.since) = (if last { Life::Parting } else { Life::Reading }, now);
+        (c.state, c.since) = (if last { ConnectionState::Parting } else { ConnectionState::Reading }, now);
         self.flush(now, poller, id)
     }
 
@@ -358,7 +360,7 @@
         if wire::write(&c.stream, &mut c.out).is_err() {
             return Some(self.left(id));
         }
-        if c.out.is_empty() && c.life == Life::Parting {
+        if c.out.is_empty() && c.state == ConnectionState::Parting {
             c.half_close(now);
         }
         self.attend(poller, id);
@@ -383,7 +385,7 @@
             self.clients.iter().map(|(id, c)| (*id, c.stage(now), (now - c.since).secs())).collect();
         for (id, stage, secs) in all {
             let Some(c) = self.clients.get(&id) else { continue };
-            let writing = !c.out.is_empty() && !matches!(c.life, Life::Owed(_));
+            let writing = !c.out.is_empty() && !matches!(c.state, ConnectionState::Owed(_));
             match stage {
                 Stage::Over if secs >= LINGER => _ = self.remove(id),
                 Stage::Silent if secs >= PATIENCE => self.too_slow(now, poller, id),
@@ -414,7 +416,7 @@
             if c.is_between() && (all || !young && wire::is_quiet(&c.stream)) {
                 c.half_close(now);
                 self.attend(poller, id);
-            } else if all && c.life == Life::Reading && c.out.is_empty() {
+            } else if all && c.state == ConnectionState::Reading && c.out.is_empty() {
                 self.close_with(now, poller, id, 503, "the host ends");
             }
         }
--- a/crates/httphost/src/clients/tests.rs
+++ b/crates/httphost/src/clients/tests.rs
@@ -53,8 +53,8 @@
         self.clients.clients.contains_key(&id)
     }
 
-    fn life(&self, id: u32) -> Life {
-        self.clients.clients[&id].life
+    fn state(&self, id: u32) -> ConnectionState {
+        self.clients.clients[&id].state
     }
 }
 
@@ -84,7 +84,7 @@
     let (busy, _waits) = rig.client(1.0);
     rig.clients.taken(at(1.0), busy, 7);
     let (turned, mut away) = rig.client(2.0);
-    assert_eq!(rig.life(turned), Life::HalfClosed);
+    assert_eq!(rig.state(turned), ConnectionState::HalfClosed);
     // Its request crosses the answer: read and thrown away, never taken; no reset.
     away.write_all(GET).unwrap();
     rig.until(turned, false);
@@ -132,10 +132,13 @@
     crossing.write_all(GET).unwrap();
     rig.until(speaks, false);
     rig.clients.end(at(5.0), &rig.poller, false);
-    assert_eq!((rig.life(rests), rig.life(speaks)), (Life::HalfClosed, Life::Reading));
     assert_eq!(
-        (rig.life(owed), rig.life(young), rig.life(half)),
-        (Life::Owed(7), Life::Reading, Life::Reading)
+        (rig.state(rests), rig.state(speaks)),
+        (ConnectionState::HalfClosed, ConnectionState::Reading)
+    );
+    assert_eq!(
+        (rig.state(owed), rig.state(young), rig.state(half)),
+        (ConnectionState::Owed(7), ConnectionState::Reading, ConnectionState::Reading)
     );
     assert_eq!(to_end(&quiet), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     // Read, it is a request like any, and its answer the last.
@@ -145,9 +148,12 @@
     assert!(to_end(&crossing).ends_with("Content-Length: 1\r\nConnection: close\r\n\r\nx"));
     // And at the very end, all that is left.
     rig.clients.end(at(5.2), &rig.poller, true);
-    assert_eq!((rig.life(young), rig.life(half)), (Life::HalfClosed, Life::HalfClosed));
+    assert_eq!(
+        (rig.state(young), rig.state(half)),
+        (ConnectionState::HalfClosed, ConnectionState::HalfClosed)
+    );
     assert!(to_end(&slow).contains("HTTP/1.1 503"));
-    assert_eq!(rig.life(owed), Life::Owed(7), "the core answers it");
+    assert_eq!(rig.state(owed), ConnectionState::Owed(7), "the core answers it");
 }
 
 #[test]
@@ -165,7 +171,7 @@
     }
     assert!(sent > LINGER_BYTES);
     let (id, _mine) = rig.resting(4.0); // its answer is the last
-    assert_eq!(rig.life(id), Life::HalfClosed);
+    assert_eq!(rig.state(id), ConnectionState::HalfClosed);
     rig.clients.tick(at(4.0 + LINGER - 0.01), &rig.poller);
     assert!(rig.is_there(id));
     rig.clients.tick(at(4.0 + LINGER), &rig.poller);
@@ -188,5 +194,5 @@
     }
     assert!(sent > AHEAD && sent < AHEAD + 2 * GET.len(), "{sent}");
     let c = &rig.clients.clients[&id];
-    assert!(c.closes && !c.interest.read && c.life == Life::Owed(7));
+    assert!(c.closes && !c.interest.read && c.state == ConnectionState::Owed(7));
 }
--- a/crates/httphost/src/keepers.rs
+++ b/crates/httphost/src/keepers.rs
@@ -1,5 +1,5 @@
 //! What a host remembers of its shards, left with a few others over its restarts: hosts of the platform have no disk. A host
-//! tells three others now and then what each shard did for it, and when it ends; its next life asks them for it. The sum of
+//! tells three others now and then what each shard did for it, and when it ends; its next generation asks them for it. The sum of
 //! what all hosts remember stays what it was, so nothing new has to be argued about cold nodes (docs/design.md). Datagrams
 //! may be late, doubled or lost: then a host starts without, as ever. No I/O.
 
@@ -19,7 +19,7 @@
 const EVERY: f64 = 5.0; // seconds
 /// What was left longer ago says nothing any more.
 const KEPT: f64 = 30.0; // seconds
-/// A new life asks at these times, until it has an answer.
+/// A new generation asks at these times, until it has an answer.
 const ASKS: [f64; 3] = [0.0, 0.3, 1.0]; // seconds
 
 const KEEP: u8 = 1;
@@ -152,7 +152,7 @@
         Vec::new()
     }
 
-    /// What came back of an earlier life, each shard once.
+    /// What came back of an earlier generation, each shard once.
     pub fn take_back(&mut self) -> Vec<(ShardId, f64)> {
         self.back.values_mut().flat_map(std::mem::take).collect()
     }
@@ -171,8 +171,8 @@
     }
 
     #[test]
-    fn a_new_life_gets_what_the_one_before_left_and_nothing_twice() {
-        // Hosts, shards that are remembered, seconds between the lives; shards that come back.
+    fn a_new_generation_gets_what_the_one_before_left_and_nothing_twice() {
+        // Hosts, shards that are remembered, seconds between the generations; shards that come back.
         for (n, shards, away, back) in [
             (8, 3, 4.0, 3),
             (8, 300, 4.0, 300),
--- a/crates/httphost/src/serve.rs
+++ b/crates/httphost/src/serve.rs
@@ -66,7 +66,7 @@
     pub listens: Option<SocketAddr>,
     pub nodes: usize,
     pub version: u64,
-    /// Shards of which an earlier life's memory came back.
+    /// Shards of which an earlier generation's memory came back.
     pub known_again: usize,
 }
 
--- a/crates/keep/src/agreed.rs
+++ b/crates/keep/src/agreed.rs
@@ -29,7 +29,7 @@
         out.put_u32(*slot);
         out.put_u64(o.disk);
         out.put_u32(o.boot);
-        out.put_u64(o.life);
+        out.put_u64(o.generation);
     }
     out.to_vec()
 }
@@ -39,8 +39,8 @@
     let mut all = BTreeMap::new();
     while !f.0.is_empty() {
         let slot = f.u32("host").ok()?;
-        let (disk, boot, life) = (f.u64("disk").ok()?, f.u32("boot").ok()?, f.u64("life").ok()?);
-        all.insert(slot, Origin { disk, boot, life });
+        let (disk, boot, generation) = (f.u64("disk").ok()?, f.u32("boot").ok()?, f.u64("life").ok()?);
+        all.insert(slot, Origin { disk, boot, generation });
     }
     Some(all)
 }
@@ -119,20 +119,20 @@
         sealed: part(row("sealed")?, "sealed", voters)?,
         known: part(row("known")?, "known", known)?.unwrap_or_default(),
     };
-    Ok(Some(AgreedStart { of: Origin { disk, boot, life: 0 }, held }))
+    Ok(Some(AgreedStart { of: Origin { disk, boot, generation: 0 }, held }))
 }
 
 fn origin_bytes(disk: u64, boot: u32) -> Vec<u8> {
     [&disk.to_be_bytes()[..], &boot.to_be_bytes()].concat()
 }
 
-pub(crate) fn open(db: &Database, drawn: u64, life: u64) -> Result<AgreedStart, String> {
+pub(crate) fn open(db: &Database, drawn: u64, generation: u64) -> Result<AgreedStart, String> {
     let r = db.begin_read().map_err(|e| e.to_string())?;
     let mut start = read(&r)?.unwrap_or_default();
     if start.of.disk == 0 {
         start.of.disk = drawn | 1;
     }
-    (start.of.boot, start.of.life) = (start.of.boot.saturating_add(1), life);
+    (start.of.boot, start.of.generation) = (start.of.boot.saturating_add(1), generation);
     let write = || -> Result<(), Failed> {
         let w = db.begin_write()?;
         w.open_table(AGREED)?.insert("disk", origin_bytes(start.of.disk, start.of.boot).as_slice())?;
--- a/crates/keep/src/lib.rs
+++ b/crates/keep/src/lib.rs
@@ -22,7 +22,7 @@
 const AUDIT: TableDefinition<u64, &[u8]> = TableDefinition::new("audit");
 /// Changes of plans by number, each as a line of the trail; what it begins with is number 0.
 const CHANGES: TableDefinition<u64, &[u8]> = TableDefinition::new("changes of plans");
-/// Other hosts by number: eight bytes of their life, and the text of their address.
+/// Other hosts by number: eight bytes of their generation, and the text of their address.
 const MEMBERS: TableDefinition<u64, &[u8]> = TableDefinition::new("members");
 
 #[derive(Debug, thiserror::Error)]
@@ -37,8 +37,8 @@
     "Nothing was changed. To start without what it holds, move the file away; overrides then have to be set anew";
 
 fn member(bytes: &[u8]) -> Option<(u64, SocketAddr)> {
-    let (life, address) = bytes.split_first_chunk::<8>()?;
-    Some((u64::from_be_bytes(*life), std::str::from_utf8(address).ok()?.parse().ok()?))
+    let (generation, address) = bytes.split_first_chunk::<8>()?;
+    Some((u64::from_be_bytes(*generation), std::str::from_utf8(address).ok()?.parse().ok()?))
 }
 
 /// The open store of one host.
@@ -57,7 +57,7 @@
     pub trail: Vec<u8>,
     /// Of the agreed log; none before the first.
     pub agreed: Option<tackmast_hostcore::AgreedStart>,
-    /// What an earlier life knew of other hosts, and the number of that life.
+    /// What an earlier generation knew of other hosts, and the number of that generation.
     pub members: Remembered,
 }
 
@@ -143,7 +143,7 @@
                 trail.extend_from_slice(value.value());
             }
         }
-        let mut members = Remembered { life: number("life")?.unwrap_or(0), hosts: Vec::new() };
+        let mut members = Remembered { generation: number("life")?.unwrap_or(0), hosts: Vec::new() };
         if let Ok(table) = r.open_table(MEMBERS) {
             for row in table.iter().map_err(|e| e.to_string())? {
                 let (key, value) = row.map_err(|e| e.to_string())?;
@@ -157,9 +157,13 @@
 
     /// The agreed log is opened once more: its disk's mark, drawn where there was none, and how often it was. It is on the
     /// disk when this returns, and nothing may be said of the log before.
-    pub fn open_agreed(&self, drawn: u64, life: u64) -> Result<tackmast_hostcore::AgreedStart, KeepError> {
+    pub fn open_agreed(
+        &self,
+        drawn: u64,
+        generation: u64,
+    ) -> Result<tackmast_hostcore::AgreedStart, KeepError> {
         let wrong = |problem: String| KeepError::Write { path: self.path.clone(), problem };
-        agreed::open(&self.db, drawn, life).map_err(wrong)
+        agreed::open(&self.db, drawn, generation).map_err(wrong)
     }
 
     /// Writes all of it or nothing; it is on the disk when this returns.
@@ -189,13 +193,13 @@
                 }
             }
             if let Some(m) = &k.members {
-                // A life's number never goes back, whatever clock it was drawn from.
-                let life = meta.get("life")?.map_or(0, |v| v.value()).max(m.life);
-                meta.insert("life", life)?;
+                // A generation's number never goes back, whatever clock it was drawn from.
+                let generation = meta.get("life")?.map_or(0, |v| v.value()).max(m.generation);
+                meta.insert("life", generation)?;
                 let mut members = w.open_table(MEMBERS)?;
                 members.retain(|_, _| false)?;
-                for (slot, life, address) in &m.hosts {
-                    let mut bytes = life.to_be_bytes().to_vec();
+                for (slot, generation, address) in &m.hosts {
+                    let mut bytes = generation.to_be_bytes().to_vec();
                     bytes.extend_from_slice(address.to_string().as_bytes());
                     members.insert(u64::from(*slot), bytes.as_slice())?;
                 }
--- a/crates/keep/tests/crash.rs
+++ b/crates/keep/tests/crash.rs
@@ -79,9 +79,9 @@
 
 fn put(id: u64) -> Keep {
     let changes = vec![(id - 1, vec![id as u8; 8])];
-    // As many other hosts as the number says, under a life of that number.
+    // As many other hosts as the number says, under a generation of that number.
     let host = |h: u32| (h, id, std::net::SocketAddr::from(([10, 0, 0, h as u8], 7400)));
-    let members = Some(Remembered { life: id, hosts: (0..id as u32).map(host).collect() });
+    let members = Some(Remembered { generation: id, hosts: (0..id as u32).map(host).collect() });
     let audits = vec![Audit::set(&record(id), false)];
     Keep {
         put: vec![record(id)],
@@ -163,13 +163,14 @@
             let changes = held.trail.len() / 8;
             assert!(changes == puts(done) || changes == puts(done + 1), "cut {cut}: {changes} changes");
             assert!(held.trail.chunks(8).zip(1u8..).all(|(c, id)| c == [id; 8]), "cut {cut}: their order");
-            // Who is known is of one life, whole; and the life's number is the last that was acknowledged, or the next.
-            let life = held.members.life;
-            assert_eq!(held.members.hosts.len() as u64, life, "cut {cut}: hosts of life {life}");
-            let lives =
-                |n: usize| keeps.iter().take(n).filter_map(|k| k.members.as_ref()).map(|m| m.life).max();
-            let lives = [lives(done).unwrap_or(0), lives(done + 1).unwrap_or(0)];
-            assert!(lives.contains(&life), "cut {cut}: life {life}");
+            // Who is known is of one generation, whole; and the generation's number is the last that was acknowledged, or the next.
+            let generation = held.members.generation;
+            assert_eq!(held.members.hosts.len() as u64, generation, "cut {cut}: hosts of life {generation}");
+            let generations = |n: usize| {
+                keeps.iter().take(n).filter_map(|k| k.members.as_ref()).map(|m| m.generation).max()
+            };
+            let generations = [generations(done).unwrap_or(0), generations(done + 1).unwrap_or(0)];
+            assert!(generations.contains(&generation), "cut {cut}: life {generation}");
             // Of the agreed log all of a write is there, or nothing: its term, its entries and what was folded.
             if let Some(a) = &held.agreed {
                 let term = a.held.hard.term;
--- a/crates/keep/tests/stored_format.rs
+++ b/crates/keep/tests/stored_format.rs
@@ -72,7 +72,7 @@
 }
 
 fn all_overrides() -> Vec<Override> {
-    let origin = Origin { slot: 2, life: 77, number: 9 };
+    let origin = Origin { slot: 2, generation: 77, number: 9 };
     vec![
         override_record(1, "10.0.0.1:9000", Kind::OutOfService, None),
         override_record(2, "10.1.0.0/16", Kind::Weight(0.25), Some(origin)),
@@ -101,8 +101,8 @@
 
 fn known_disks() -> BTreeMap<u32, DiskOrigin> {
     [
-        (1, DiskOrigin { disk: 22, boot: 6, life: 1_000_001 }),
-        (4, DiskOrigin { disk: 33, boot: 1, life: 1_000_002 }),
+        (1, DiskOrigin { disk: 22, boot: 6, generation: 1_000_001 }),
+        (4, DiskOrigin { disk: 33, boot: 1, generation: 1_000_002 }),
     ]
     .into()
 }
@@ -132,7 +132,7 @@
     store.keep(&Keep { remove: vec![OverrideId(4), OverrideId(5)], audits, ..Keep::default() }).unwrap();
     let changes = (0..).zip(CHANGE_LOG).map(|(number, line)| (number, line.as_bytes().to_vec())).collect();
     store.keep(&Keep { changes, ..Keep::default() }).unwrap();
-    let members = Some(Remembered { life: 5_000_000, hosts: peers() });
+    let members = Some(Remembered { generation: 5_000_000, hosts: peers() });
     store.keep(&Keep { members, ..Keep::default() }).unwrap();
 
     store.open_agreed(0xabc0, 5_000_000).unwrap();
@@ -186,11 +186,11 @@
     (folder, path)
 }
 
-fn expected_log(boot: u32, life: u64) -> AgreedStart {
+fn expected_log(boot: u32, generation: u64) -> AgreedStart {
     let entries =
         vec![data(3, b"kept"), Entry { term: 4, what: What::Nothing }, data(4, b"new"), voters_entry()];
     AgreedStart {
-        of: DiskOrigin { disk: 0xabc1, boot, life },
+        of: DiskOrigin { disk: 0xabc1, boot, generation },
         held: HeldLog {
             hard: Hard { term: 4, vote: Some(1) },
             base: snapshot(),
@@ -210,7 +210,7 @@
         next: 6,
         trail: CHANGE_LOG.concat().into_bytes(),
         agreed: Some(expected_log(1, 0)),
-        members: Remembered { life: 5_000_000, hosts: peers() },
+        members: Remembered { generation: 5_000_000, hosts: peers() },
     };
     assert_eq!(held, expected);
 }
--- a/crates/lab/src/agreed/fleet.rs
+++ b/crates/lab/src/agreed/fleet.rs
@@ -123,12 +123,18 @@
         let now = at(self.now);
         let x = &mut self.hosts[h as usize];
         x.disk.boot += 1;
-        let life = u64::from(x.disk.boot) << 20 | u64::from(h);
-        let of = Origin { disk: x.disk.mark, boot: x.disk.boot, life };
+        let generation = u64::from(x.disk.boot) << 20 | u64::from(h);
+        let of = Origin { disk: x.disk.mark, boot: x.disk.boot, generation };
         let founders = (0..self.trial.voters).collect();
         let held = x.disk.held.clone();
-        let s =
-            SeatSettings { me: h, of, agree: self.settings, founders, held, seed: self.trial.seed ^ life };
+        let s = SeatSettings {
+            me: h,
+            of,
+            agree: self.settings,
+            founders,
+            held,
+            seed: self.trial.seed ^ generation,
+        };
         x.seat = Some(Seat::new(now, s));
         self.pull(h);
     }
--- a/crates/lab/src/agreed/world.rs
+++ b/crates/lab/src/agreed/world.rs
@@ -56,7 +56,7 @@
     pub disk: Disk,
     pub old: Option<Disk>,
     pub stopped: bool,
-    pub life: u64,
+    pub generation: u64,
     pub pace: f64,
     offset: f64,
     /// What its state machine has: texts in order.
@@ -84,7 +84,7 @@
     pub cut: BTreeSet<(u32, u32)>,
     pub fault: Option<AgreeFault>,
     pub settings: Settings,
-    lives: u64,
+    generations: u64,
     texts: u64,
     /// What holds at each place, and since when that was first known anywhere.
     pub ledger: BTreeMap<u64, ((u64, What), f64)>,
@@ -117,7 +117,7 @@
             disk: Disk { mark: u64::from(i) + 100, ..Disk::default() },
             old: None,
             stopped: false,
-            life: 0,
+            generation: 0,
             pace: pace(i),
             offset: 1_000.0 * f64::from(i),
             state: Vec::new(),
@@ -132,7 +132,7 @@
             cut: BTreeSet::new(),
             fault,
             settings,
-            lives: 0,
+            generations: 0,
             texts: 0,
             ledger: BTreeMap::new(),
             leaders: BTreeMap::new(),
@@ -149,19 +149,19 @@
     }
 
     pub fn start(&mut self, h: usize) {
-        self.lives += 1;
-        let (now, life, settings, fault, voters) =
-            (self.clock(h), self.lives, self.settings, self.fault, self.voters);
+        self.generations += 1;
+        let (now, generation, settings, fault, voters) =
+            (self.clock(h), self.generations, self.settings, self.fault, self.voters);
         let p = &mut self.all[h];
         p.disk.pending.clear();
         // Written down before anything is said under it.
         p.disk.boot += 1;
-        let of = Origin { disk: p.disk.mark, boot: p.disk.boot, life };
-        (p.life, p.stopped) = (life, false);
+        let of = Origin { disk: p.disk.mark, boot: p.disk.boot, generation };
+        (p.generation, p.stopped) = (generation, false);
         (p.state, p.reads, p.looked) = (Vec::new(), Vec::new(), 0);
         let held = p.disk.held.clone();
         let founders = (0..voters).collect();
-        let s = SeatSettings { me: h as u32, of, agree: settings, founders, held, seed: life };
+        let s = SeatSettings { me: h as u32, of, agree: settings, founders, held, seed: generation };
         let mut seat = Seat::new(now, s);
         if let Some(f) = fault {
             seat = seat.with_fault(f);
@@ -178,8 +178,8 @@
 
     pub fn wipe(&mut self, h: usize) {
         self.crash(h);
-        self.lives += 1;
-        self.all[h].disk = Disk { mark: 1_000 + self.lives, ..Disk::default() };
+        self.generations += 1;
+        self.all[h].disk = Disk { mark: 1_000 + self.generations, ..Disk::default() };
         self.start(h);
     }
 
@@ -390,8 +390,9 @@
     /// Whether a copy of that host's disk can be told from the disk: it was opened since the copy was made, and all other
     /// voters have that on their own disks. Else nobody is there who could know; docs/agreement.md says so.
     pub fn old_can_be_told(&self, host: usize) -> bool {
-        let (boot, life, mark) = (self.all[host].disk.boot, self.all[host].life, self.all[host].disk.mark);
-        let newest = Some(Origin { disk: mark, boot, life });
+        let (boot, generation, mark) =
+            (self.all[host].disk.boot, self.all[host].generation, self.all[host].disk.mark);
+        let newest = Some(Origin { disk: mark, boot, generation });
         let known = |v: usize| self.all[v].disk.held.known.get(&(host as u32)).copied() == newest;
         self.all[host].old.as_ref().is_some_and(|d| d.mark == mark && d.boot < boot)
             && (0..self.voters as usize).filter(|v| *v != host).all(known)
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -30,10 +30,10 @@
     nbd: bool,
 }
 
-/// One of its connections; its life tells it from those before.
+/// One of its connections; its generation tells it from those before.
 #[derive(Default)]
 pub struct Slot {
-    pub life: u64,
+    pub generation: u64,
     pub pipe: Option<Pipe>,
 }
 
@@ -81,8 +81,8 @@
         Pipe { session, number: u32::from(number), last: [0; 2], began: BTreeMap::new() }
     }
 
-    pub fn pipe_of(&mut self, slot: usize, life: u64) -> Option<&mut Pipe> {
-        self.slots.get_mut(slot).filter(|s| s.life == life).and_then(|s| s.pipe.as_mut())
+    pub fn pipe_of(&mut self, slot: usize, generation: u64) -> Option<&mut Pipe> {
+        self.slots.get_mut(slot).filter(|s| s.generation == generation).and_then(|s| s.pipe.as_mut())
     }
 }
 
--- a/crates/lab/src/draw.rs
+++ b/crates/lab/src/draw.rs
@@ -41,7 +41,7 @@
     Hot(f64),
     /// Nothing passes between the hosts below this part of all and the rest.
     Split(f64),
-    /// A host leaves in order, and its next life starts at the end.
+    /// A host leaves in order, and its next generation starts at the end.
     HostLeaves,
     /// A host stands still, and goes on at the end as if nothing had been.
     HostStands,
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -59,7 +59,7 @@
     now: Us,
     members: BTreeMap<u32, Member>,
     wakes: BTreeMap<u32, Us>,
-    lives: u64,
+    generations: u64,
     hosts: u32,
     loss: f64,
     cut: Option<u32>,
@@ -81,12 +81,12 @@
     }
 
     fn start_with(&mut self, h: u32, seeds: Vec<std::net::SocketAddr>) {
-        self.lives += 1;
+        self.generations += 1;
         let secs = TimeDelta::from_secs;
         let settings = MemberSettings {
             fleet: "lab".into(),
             slot: h,
-            life: self.lives,
+            generation: self.generations,
             address: peer_address(h),
             site: Some(h % 3),
             recalled: Vec::new(),
@@ -96,7 +96,7 @@
             loans: LoanSettings { term: secs(2.0), leave_term: secs(60.0), drift: 0.001, owned: 0.9 },
             shared: Vec::new(),
             left: false,
-            seed: self.lives ^ u64::from(self.hosts) << 32,
+            seed: self.generations ^ u64::from(self.hosts) << 32,
         };
         self.members.insert(h, Member::new(at(self.now), settings));
         self.held.insert(h, BTreeSet::new());
@@ -216,10 +216,10 @@
     fn order(&mut self, h: u32, number: u64, seconds: f64) {
         let left_ms = (seconds * 1e3) as u64;
         let (reason, who) = ("drawn".into(), "lab".into());
-        let life = self.members.get(&h).map_or(0, |m| m.view.me().life);
+        let generation = self.members.get(&h).map_or(0, |m| m.view.me().generation);
         let order = SpreadOrder {
             slot: h,
-            life,
+            generation,
             number,
             kind: OrderKind::Out,
             target: "zone:1".into(),
@@ -243,7 +243,7 @@
         now: 100 * SECOND,
         members: BTreeMap::new(),
         wakes: BTreeMap::new(),
-        lives: seed << 20,
+        generations: seed << 20,
         hosts,
         loss,
         cut: None,
@@ -295,8 +295,8 @@
     f.order(high, 4, 600.0);
     f.run_until(f.now + 20 * SECOND);
     let name = |f: &Fleet, slot: u32, number| {
-        let life = f.members.get(&slot).map_or(0, |m| m.view.me().life);
-        tackmast_overrides::Origin { slot, life, number }
+        let generation = f.members.get(&slot).map_or(0, |m| m.view.me().generation);
+        tackmast_overrides::Origin { slot, generation, number }
     };
     let cleared = name(&f, high, 4);
     if let Some(m) = f.members.get_mut(&high) {
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -79,7 +79,8 @@
                 Event::Attempt { node, name, left_us, volume, units, .. } => {
                     attempts.insert(*name, (l.t, node.clone(), l.t + left_us));
                     let drawn = limited.as_ref().filter(|v| v.volume == *volume);
-                    if let Some(v) = drawn.filter(|_| drew.insert((name.host, name.life, name.request))) {
+                    if let Some(v) = drawn.filter(|_| drew.insert((name.host, name.generation, name.request)))
+                    {
                         let gone = (l.t - level_at) as f64 / 1e6;
                         level = (level - v.limit * gone).max(0.0) + units;
                         level_at = l.t;
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -160,7 +160,7 @@
     Asked,
     /// A client's next try, by its number.
     Again(u64),
-    /// Bytes for a node, or for a host, of a link's life.
+    /// Bytes for a node, or for a host, of a link's generation.
     ToNode(u32, u32, u64, Vec<u8>),
     ToHost(u32, u32, u64, Vec<u8>),
     /// The host learns of a refused connection.
@@ -168,14 +168,14 @@
     LinkDown(u32, u32, u64),
     NodeTime(u32),
     HostTime(u32),
-    /// A list as it was, told to a host's life.
+    /// A list as it was, told to a host's generation.
     List(u32, u64, u64, Vec<(String, u8, u32, u64)>),
     ListFailed(u32, u64),
     NodeUp(u32),
     HostUp(u32),
     Leave(u32, u64, u32),
     Answer(u32, u64, CommandOrd, AnswerKindOrd, u64),
-    /// A client's connection is made, ends, or brings bytes to the host or the client; of a slot's life.
+    /// A client's connection is made, ends, or brings bytes to the host or the client; of a slot's generation.
     Connected(u32, usize, u64),
     Closed(u32, usize, u64),
     ToServer(u32, usize, u64, Vec<u8>),
@@ -196,7 +196,7 @@
 type CommandOrd = (u32, u32);
 
 struct Link {
-    life: u64,
+    generation: u64,
     to_node: Frames,
     to_host: Frames,
     /// When the last bytes of each direction arrive: they keep their order.
@@ -216,7 +216,7 @@
     wall_off_us: i64,
 }
 
-/// What a host keeps over its lives.
+/// What a host keeps over its generations.
 #[derive(Default)]
 struct Kept {
     /// The mark of a leave.
@@ -230,7 +230,7 @@
 
 struct Host {
     core: Heart,
-    life: u64,
+    generation: u64,
     up: bool,
     wake: Us,
     /// Until then it stands still, and what happens meanwhile waits.
@@ -240,13 +240,13 @@
     next: u32,
     submitted: BTreeMap<(u32, u32), (Us, Us)>, // session and command: when, latency objective
     asked: BTreeMap<(u32, u32), u64>,          // the same, of a script's traffic: its number
-    sessions: BTreeMap<u32, (u32, usize, u64)>, // client, slot, its life
+    sessions: BTreeMap<u32, (u32, usize, u64)>, // client, slot, its generation
     numbers: u16,
 }
 
 struct Held {
     host: u32,
-    life: u64,
+    generation: u64,
     link: u64,
     attempt: u64,
     name: AttemptName,
@@ -274,7 +274,7 @@
     wake: Us,
     listed: NodeState,
     listed_start: Us,
-    generation: u32,
+    address_generation: u32,
 }
 
 /// What a script's traffic asked, and is asked again until it is done or its client has tried enough.
@@ -316,7 +316,7 @@
     hot: f64,
     busiest: Option<(f64, u32)>,
     split: Option<f64>,
-    lives: u64,
+    generations: u64,
     sends: u64,
     answers: u64,
     /// By change of plans: when each host went by it first.
@@ -354,10 +354,10 @@
     (t.secs() * 1e6).round().max(0.0) as Us
 }
 
-fn heart(now: Instant, s: &HostSettings, seed: u64, life: u64, plain: Option<Plain>) -> Heart {
+fn heart(now: Instant, s: &HostSettings, seed: u64, generation: u64, plain: Option<Plain>) -> Heart {
     match plain {
         Some(how) => Heart::Plain(Box::new(PlainHost::new(how, s))),
-        None => Heart::Core(Box::new(Core::new(now, s, seed, life))),
+        None => Heart::Core(Box::new(Core::new(now, s, seed, generation))),
     }
 }
 
@@ -403,7 +403,7 @@
             wake: Us::MAX,
             listed: NodeState::Ready,
             listed_start: started,
-            generation: 0,
+            address_generation: 0,
         }
     };
     let all: Vec<HostSettings> = (0..w.hosts).map(|h| settings(w, h, mutant)).collect();
@@ -448,7 +448,7 @@
         hot: 0.0,
         busiest: None,
         split: None,
-        lives: 0,
+        generations: 0,
         sends: 0,
         answers: 0,
         run: Run {
--- a/crates/lab/src/sim/arrivals.rs
+++ b/crates/lab/src/sim/arrivals.rs
@@ -118,7 +118,7 @@
         let host = &mut self.hosts[h as usize];
         host.next += 1;
         let command = host.next;
-        let life = host.life;
+        let generation = host.generation;
         let work = match write {
             true => Work::Write { data: data(blocks * 512) },
             false => Work::Read { blocks },
@@ -126,7 +126,7 @@
         self.submit(h, CommandRef { session: BESIDE, command }, lun, block, work, self.now, None);
         if self.chance.rand_float() < self.leave {
             let later = self.now + self.chance.rand_range(0..400_000);
-            self.push(later, Event::Leave(h, life, command));
+            self.push(later, Event::Leave(h, generation, command));
         }
         self.pull(h);
     }
@@ -179,14 +179,14 @@
             Verdict::Failed if self.mutant == Some(Mutant::FalseRejection) => (1, 0),
             Verdict::Failed => (2, 0),
         };
-        let life = self.hosts[h as usize].life;
+        let generation = self.hosts[h as usize].generation;
         let now = self.now;
         let (session, command) = (to.session, to.command);
         let odd = self.answers.is_multiple_of(50);
         match self.mutant {
             Some(Mutant::AnswerLost) if odd => return,
             Some(Mutant::AnswerLate) if odd => {
-                let late = Event::Answer(h, life, (session, command), kind, retry_after_us);
+                let late = Event::Answer(h, generation, (session, command), kind, retry_after_us);
                 return self.push(now + 1_200_000, late);
             }
             Some(Mutant::AnswerTwice) if odd => {
@@ -201,11 +201,11 @@
             _ => {}
         }
         // Commands without a protocol come from beside the host: what their way costs is no part of this model.
-        self.answered(h, life, (session, command), kind, retry_after_us);
-        let Some((c, slot, slot_life)) = self.hosts[h as usize].sessions.get(&session).copied() else {
+        self.answered(h, generation, (session, command), kind, retry_after_us);
+        let Some((c, slot, slot_generation)) = self.hosts[h as usize].sessions.get(&session).copied() else {
             return;
         };
-        let Some(pipe) = self.clients[c as usize].pipe_of(slot, slot_life) else { return };
+        let Some(pipe) = self.clients[c as usize].pipe_of(slot, slot_generation) else { return };
         pipe.session.answer(
             command,
             match verdict {
@@ -216,14 +216,21 @@
         );
         // What had to wait for this answer is read on from here.
         if !pipe.session.is_paused() {
-            self.push(now, Event::ToServer(c, slot, slot_life, Vec::new()));
+            self.push(now, Event::ToServer(c, slot, slot_generation, Vec::new()));
         }
-        self.flush(c, slot, slot_life);
+        self.flush(c, slot, slot_generation);
     }
 
-    pub(super) fn answered(&mut self, h: u32, life: u64, of: CommandOrd, kind: u8, retry_after_us: u64) {
+    pub(super) fn answered(
+        &mut self,
+        h: u32,
+        generation: u64,
+        of: CommandOrd,
+        kind: u8,
+        retry_after_us: u64,
+    ) {
         let host = &mut self.hosts[h as usize];
-        if host.life != life {
+        if host.generation != generation {
             return;
         }
         let Some((began, latency_objective)) = host.submitted.remove(&of) else { return };
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -41,17 +41,17 @@
             match o {
                 ClientOutput::Connect { slot } => {
                     self.number += 1;
-                    let life = self.number;
-                    self.clients[c as usize].slots[slot].life = life;
-                    self.push(now + 2 * self.w.delay_us, Event::Connected(c, slot, life));
+                    let generation = self.number;
+                    self.clients[c as usize].slots[slot].generation = generation;
+                    self.push(now + 2 * self.w.delay_us, Event::Connected(c, slot, generation));
                 }
                 ClientOutput::Write { slot, bytes } => {
-                    let life = self.clients[c as usize].slots[slot].life;
-                    self.carry(c, slot, life, &bytes, true);
+                    let generation = self.clients[c as usize].slots[slot].generation;
+                    self.carry(c, slot, generation, &bytes, true);
                 }
                 ClientOutput::Close { slot } => {
-                    let life = std::mem::take(&mut self.clients[c as usize].slots[slot].life);
-                    self.drop_pipe(c, slot, life);
+                    let generation = std::mem::take(&mut self.clients[c as usize].slots[slot].generation);
+                    self.drop_pipe(c, slot, generation);
                 }
                 ClientOutput::Answer { call, outcome } => {
                     let Some(x) = self.clients[c as usize].calls.remove(&call) else { continue };
@@ -70,66 +70,66 @@
     }
 
     /// Bytes of a client's connection go on their way, cut where it happens.
-    pub(super) fn carry(&mut self, c: u32, slot: usize, life: u64, bytes: &[u8], up: bool) {
+    pub(super) fn carry(&mut self, c: u32, slot: usize, generation: u64, bytes: &[u8], up: bool) {
         let cut = self.chance.rand_range(0..bytes.len() as u64 + 1) as usize;
         let parts = [&bytes[..cut], &bytes[cut..]];
         for part in parts.into_iter().filter(|p| !p.is_empty()) {
             let jitter = if self.w.jitter_us > 0 { self.chance.rand_range(0..self.w.jitter_us) } else { 0 };
             let t = self.now + self.w.delay_us + jitter;
-            let Some(pipe) = self.clients[c as usize].pipe_of(slot, life) else { return };
+            let Some(pipe) = self.clients[c as usize].pipe_of(slot, generation) else { return };
             let last = &mut pipe.last[usize::from(!up)];
             *last = t.max(*last + 1);
             let (t, bytes) = (*last, part.to_vec());
             self.push(
                 t,
                 if up {
-                    Event::ToServer(c, slot, life, bytes)
+                    Event::ToServer(c, slot, generation, bytes)
                 } else {
-                    Event::ToClient(c, slot, life, bytes)
+                    Event::ToClient(c, slot, generation, bytes)
                 },
             );
         }
     }
 
-    pub(super) fn connected(&mut self, c: u32, slot: usize, life: u64) {
+    pub(super) fn connected(&mut self, c: u32, slot: usize, generation: u64) {
         let client = &mut self.clients[c as usize];
-        if client.slots[slot].life != life {
+        if client.slots[slot].generation != generation {
             return;
         }
         let h = client.host;
         let host = &mut self.hosts[h as usize];
         if !host.up {
-            client.slots[slot].life = 0;
+            client.slots[slot].generation = 0;
             client.core.closed(at(self.now), slot);
             return self.client_pull(c);
         }
         host.numbers += 1;
         let number = host.numbers;
-        host.sessions.insert(u32::from(number), (c, slot, life));
+        host.sessions.insert(u32::from(number), (c, slot, generation));
         let pipe = client.pipe(&self.offer, &self.units, number);
         client.slots[slot].pipe = Some(pipe);
         client.core.connected(slot);
-        self.flush(c, slot, life);
+        self.flush(c, slot, generation);
         self.client_pull(c);
     }
 
     /// The connection is at its end for the client.
-    pub(super) fn closed(&mut self, c: u32, slot: usize, life: u64) {
-        if self.clients[c as usize].slots[slot].life != life {
+    pub(super) fn closed(&mut self, c: u32, slot: usize, generation: u64) {
+        if self.clients[c as usize].slots[slot].generation != generation {
             return;
         }
-        self.clients[c as usize].slots[slot].life = 0;
-        self.drop_pipe(c, slot, life);
+        self.clients[c as usize].slots[slot].generation = 0;
+        self.drop_pipe(c, slot, generation);
         self.clients[c as usize].core.closed(at(self.now), slot);
         self.client_pull(c);
     }
 
     /// The connection is at its end for the host: what it had open has nobody who waits.
-    pub(super) fn drop_pipe(&mut self, c: u32, slot: usize, life: u64) {
+    pub(super) fn drop_pipe(&mut self, c: u32, slot: usize, generation: u64) {
         let Some(pipe) = self.clients[c as usize].slots[slot].pipe.take() else { return };
         let h = self.clients[c as usize].host;
         let host = &mut self.hosts[h as usize];
-        if host.sessions.get(&pipe.number) != Some(&(c, slot, life)) {
+        if host.sessions.get(&pipe.number) != Some(&(c, slot, generation)) {
             return;
         }
         host.sessions.remove(&pipe.number);
@@ -145,9 +145,9 @@
         self.pull(h);
     }
 
-    pub(super) fn server_gets(&mut self, c: u32, slot: usize, life: u64, bytes: &[u8]) {
+    pub(super) fn server_gets(&mut self, c: u32, slot: usize, generation: u64, bytes: &[u8]) {
         let (h, now) = (self.clients[c as usize].host, self.now);
-        let Some(pipe) = self.clients[c as usize].pipe_of(slot, life) else { return };
+        let Some(pipe) = self.clients[c as usize].pipe_of(slot, generation) else { return };
         let failed = pipe.session.take(bytes).is_err();
         let session = pipe.number;
         let mut events = Vec::new();
@@ -157,12 +157,12 @@
         for e in events {
             match e {
                 target::Event::Begun { command } => {
-                    if let Some(pipe) = self.clients[c as usize].pipe_of(slot, life) {
+                    if let Some(pipe) = self.clients[c as usize].pipe_of(slot, generation) {
                         pipe.began.insert(command, now);
                     }
                 }
                 target::Event::Submit { command, lun, block, work, deadline_ms } => {
-                    let pipe = self.clients[c as usize].pipe_of(slot, life);
+                    let pipe = self.clients[c as usize].pipe_of(slot, generation);
                     let began = pipe.and_then(|p| p.began.remove(&command)).unwrap_or(now);
                     let work = match work {
                         target::Work::Read { blocks } => Work::Read { blocks },
@@ -181,21 +181,21 @@
                 target::Event::Close(_) | target::Event::Note(_) => {}
             }
         }
-        self.flush(c, slot, life);
+        self.flush(c, slot, generation);
         self.pull(h);
-        let over = self.clients[c as usize].pipe_of(slot, life).is_some_and(|p| p.session.is_over());
+        let over = self.clients[c as usize].pipe_of(slot, generation).is_some_and(|p| p.session.is_over());
         if failed || over {
-            self.drop_pipe(c, slot, life);
-            self.push(now + self.w.delay_us, Event::Closed(c, slot, life));
+            self.drop_pipe(c, slot, generation);
+            self.push(now + self.w.delay_us, Event::Closed(c, slot, generation));
         }
     }
 
     /// What a session has to say goes on its way.
-    pub(super) fn flush(&mut self, c: u32, slot: usize, life: u64) {
-        let Some(pipe) = self.clients[c as usize].pipe_of(slot, life) else { return };
+    pub(super) fn flush(&mut self, c: u32, slot: usize, generation: u64) {
+        let Some(pipe) = self.clients[c as usize].pipe_of(slot, generation) else { return };
         let bytes = pipe.session.output();
         if !bytes.is_empty() {
-            self.carry(c, slot, life, &bytes, false);
+            self.carry(c, slot, generation, &bytes, false);
         }
     }
 
@@ -203,9 +203,9 @@
     pub(super) fn hang_up(&mut self, part: f64) {
         for c in 0..self.clients.len() as u32 {
             for slot in 0..self.clients[c as usize].slots.len() {
-                let life = self.clients[c as usize].slots[slot].life;
-                if life > 0 && self.chance.rand_float() < part {
-                    self.closed(c, slot, life);
+                let generation = self.clients[c as usize].slots[slot].generation;
+                if generation > 0 && self.chance.rand_float() < part {
+                    self.closed(c, slot, generation);
                 }
             }
         }
--- a/crates/lab/src/sim/events.rs
+++ b/crates/lab/src/sim/events.rs
@@ -22,15 +22,15 @@
                 self.ask(number);
             }
             Event::Again(number) => self.ask(number),
-            Event::ToNode(h, n, life, bytes) => self.node_gets(h, n, life, &bytes),
-            Event::ToHost(h, n, life, bytes) => self.host_gets(h, n, life, &bytes),
-            Event::Refused(h, life, attempt) => {
-                if self.hosts[h as usize].life == life {
+            Event::ToNode(h, n, generation, bytes) => self.node_gets(h, n, generation, &bytes),
+            Event::ToHost(h, n, generation, bytes) => self.host_gets(h, n, generation, &bytes),
+            Event::Refused(h, generation, attempt) => {
+                if self.hosts[h as usize].generation == generation {
                     self.back(h, attempt, Outcome::Refused);
                     self.pull(h);
                 }
             }
-            Event::LinkDown(h, n, life) => self.link_down(h, n, life),
+            Event::LinkDown(h, n, generation) => self.link_down(h, n, generation),
             Event::NodeTime(n) => {
                 self.nodes[n as usize].wake = Us::MAX;
                 self.settle(n);
@@ -39,9 +39,9 @@
                 self.hosts[h as usize].wake = Us::MAX;
                 self.pull(h);
             }
-            Event::List(h, life, version, entries) => self.list(h, life, version, &entries),
-            Event::ListFailed(h, life) => {
-                if self.hosts[h as usize].life == life && self.hosts[h as usize].up {
+            Event::List(h, generation, version, entries) => self.list(h, generation, version, &entries),
+            Event::ListFailed(h, generation) => {
+                if self.hosts[h as usize].generation == generation && self.hosts[h as usize].up {
                     self.hosts[h as usize].following = false;
                     let now = self.time(h);
                     self.hosts[h as usize].core.list_came(now, ListKind::Failed, 0, 0, &[]);
@@ -56,9 +56,12 @@
                     self.pull(h);
                 }
             }
-            Event::Leave(h, life, command) => {
+            Event::Leave(h, generation, command) => {
                 let host = &mut self.hosts[h as usize];
-                if host.life == life && host.up && host.submitted.remove(&(BESIDE, command)).is_some() {
+                if host.generation == generation
+                    && host.up
+                    && host.submitted.remove(&(BESIDE, command)).is_some()
+                {
                     self.note(tackmast_trace::Event::Left { host: h, session: BESIDE, command });
                     let from = CommandRef { session: BESIDE, command };
                     let now = self.time(h);
@@ -66,14 +69,14 @@
                     self.pull(h);
                 }
             }
-            Event::Answer(h, life, command, kind, retry_after_us) => {
-                self.answered(h, life, command, kind, retry_after_us)
+            Event::Answer(h, generation, command, kind, retry_after_us) => {
+                self.answered(h, generation, command, kind, retry_after_us)
             }
-            Event::Connected(c, slot, life) => self.connected(c, slot, life),
-            Event::Closed(c, slot, life) => self.closed(c, slot, life),
-            Event::ToServer(c, slot, life, bytes) => self.server_gets(c, slot, life, &bytes),
-            Event::ToClient(c, slot, life, bytes) => {
-                if self.clients[c as usize].slots[slot].life == life {
+            Event::Connected(c, slot, generation) => self.connected(c, slot, generation),
+            Event::Closed(c, slot, generation) => self.closed(c, slot, generation),
+            Event::ToServer(c, slot, generation, bytes) => self.server_gets(c, slot, generation, &bytes),
+            Event::ToClient(c, slot, generation, bytes) => {
+                if self.clients[c as usize].slots[slot].generation == generation {
                     let now = at(self.now);
                     self.clients[c as usize].core.took(now, slot, &bytes);
                     self.client_pull(c);
@@ -86,7 +89,7 @@
             Event::OrderOver(host, node) => {
                 self.note(tackmast_trace::Event::Ordered { host, node, out: false });
             }
-            Event::Hello(h, life, n, started) => self.hello(h, life, n, started),
+            Event::Hello(h, generation, n, started) => self.hello(h, generation, n, started),
             Event::Datagram(from, h, bytes) => {
                 let now = self.time(h);
                 let host = &mut self.hosts[h as usize];
@@ -95,8 +98,8 @@
                     self.pull(h);
                 }
             }
-            Event::Gone(h, life) => {
-                if self.hosts[h as usize].life == life {
+            Event::Gone(h, generation) => {
+                if self.hosts[h as usize].generation == generation {
                     let now = self.time(h);
                     self.hosts[h as usize].core.core().into_iter().for_each(|c| c.left(now));
                     self.pull(h);
@@ -165,8 +168,8 @@
             Kind::Deploy => {
                 self.node_dies(n);
                 let x = &mut self.nodes[node];
-                x.generation += 1;
-                x.address = format!("10.{}.{}.{}:9000", x.generation, n / 250, n % 250);
+                x.address_generation += 1;
+                x.address = format!("10.{}.{}.{}:9000", x.address_generation, n / 250, n % 250);
                 self.push(self.now + 100_000, Event::NodeUp(n));
             }
             Kind::ListLate(s) => {
@@ -177,8 +180,8 @@
                 for h in 0..self.w.hosts {
                     let host = &self.hosts[h as usize];
                     if on && host.following {
-                        let life = host.life;
-                        self.push(self.now, Event::ListFailed(h, life));
+                        let generation = host.generation;
+                        self.push(self.now, Event::ListFailed(h, generation));
                     }
                 }
             }
@@ -187,10 +190,10 @@
                 let h = t.host.unwrap_or(0);
                 let until = self.now + t.for_us;
                 self.partitions.insert((h, n), until);
-                if let Some(life) =
-                    self.hosts[h as usize].links.get(&n).map(|l| l.life).filter(|_| t.for_us > SILENCE)
+                if let Some(generation) =
+                    self.hosts[h as usize].links.get(&n).map(|l| l.generation).filter(|_| t.for_us > SILENCE)
                 {
-                    self.push(self.now + SILENCE, Event::LinkDown(h, n, life));
+                    self.push(self.now + SILENCE, Event::LinkDown(h, n, generation));
                 }
             }
             Kind::Partition => _ = self.partitions.remove(&(t.host.unwrap_or(0), n)),
--- a/crates/lab/src/sim/hosts.rs
+++ b/crates/lab/src/sim/hosts.rs
@@ -4,10 +4,10 @@
 
 impl Sim<'_> {
     pub(super) fn new_host(&mut self, h: u32) -> Host {
-        self.lives += 1;
-        let seed = self.w.seed ^ self.lives << 20;
+        self.generations += 1;
+        let seed = self.w.seed ^ self.generations << 20;
         let now = self.time(h);
-        let mut core = heart(now, &self.settings[h as usize], seed, self.lives, self.plain);
+        let mut core = heart(now, &self.settings[h as usize], seed, self.generations, self.plain);
         let wall = self.wall(h);
         let kept = &mut self.kept[h as usize];
         if let Some(core) = core.core().filter(|_| self.w.has_orders()) {
@@ -26,13 +26,20 @@
         if let Some(core) = core.core().filter(|_| self.w.members.is_some()) {
             let s = &self.settings[h as usize];
             let address = peer_address(h);
-            let member =
-                member_settings(s, &MEMBERS, address, self.lives, kept.left, seed, kept.members.clone());
+            let member = member_settings(
+                s,
+                &MEMBERS,
+                address,
+                self.generations,
+                kept.left,
+                seed,
+                kept.members.clone(),
+            );
             core.with_fellows(now, Fellows::new(now, member));
         }
         Host {
             core,
-            life: self.lives,
+            generation: self.generations,
             up: true,
             wake: Us::MAX,
             stands: 0,
@@ -100,8 +107,8 @@
         for (session, command) in open.into_keys() {
             self.note(tackmast_trace::Event::Left { host: h, session, command });
         }
-        for (c, slot, life) in slots {
-            self.closed(c, slot, life);
+        for (c, slot, generation) in slots {
+            self.closed(c, slot, generation);
         }
         let now = self.time(h);
         self.hosts[h as usize].core.session_gone(now, BESIDE);
@@ -110,7 +117,7 @@
 
     /// Nothing new is taken; what is open has half a second, and then what it has of limits goes to others.
     pub(super) fn host_leaves(&mut self, h: u32) {
-        let (now, life) = (self.time(h), self.hosts[h as usize].life);
+        let (now, generation) = (self.time(h), self.hosts[h as usize].generation);
         if !self.hosts[h as usize].up || self.plain.is_some() {
             return;
         }
@@ -120,7 +127,7 @@
             core.leave(now);
         }
         self.pull(h);
-        self.push(self.now + 500_000, Event::Gone(h, life));
+        self.push(self.now + 500_000, Event::Gone(h, generation));
     }
 
     /// A datagram goes on its way, or is lost, or comes twice.
@@ -158,16 +165,16 @@
         host.submitted.clear();
         host.asked.clear();
         let sessions = std::mem::take(&mut host.sessions);
-        let (life, links) = (host.life, std::mem::take(&mut host.links));
+        let (generation, links) = (host.generation, std::mem::take(&mut host.links));
         for (n, l) in links {
             let node = self.nodes[n as usize].address.clone();
             let attempts = l.attempts.values().copied().collect();
-            self.note(tackmast_trace::Event::LinkDown { node, host: h, life, attempts });
+            self.note(tackmast_trace::Event::LinkDown { node, host: h, generation, attempts });
         }
         self.note(tackmast_trace::Event::HostDown { host: h });
-        for (c, slot, slot_life) in sessions.into_values() {
+        for (c, slot, slot_generation) in sessions.into_values() {
             self.clients[c as usize].slots[slot].pipe = None;
-            self.push(self.now + self.w.delay_us, Event::Closed(c, slot, slot_life));
+            self.push(self.now + self.w.delay_us, Event::Closed(c, slot, slot_generation));
         }
     }
 }
--- a/crates/lab/src/sim/links.rs
+++ b/crates/lab/src/sim/links.rs
@@ -6,12 +6,12 @@
     pub(super) fn send(&mut self, h: u32, attempt: SendAttempt) {
         self.sends += 1;
         let n = self.node_of(h, attempt.node.0);
-        let life = self.hosts[h as usize].life;
+        let generation = self.hosts[h as usize].generation;
         let Some(n) = n.filter(|n| self.nodes[*n as usize].up) else {
             // Nobody listens: the host hears so after a round trip.
             let t = self.now + 2 * self.w.delay_us;
             attempt.ticket.withdraw();
-            return self.push(t, Event::Refused(h, life, attempt.attempt.0));
+            return self.push(t, Event::Refused(h, generation, attempt.attempt.0));
         };
         self.open_link(h, n);
         if let Some(waiting) = self.hosts[h as usize].links.get_mut(&n).and_then(|l| l.waiting.as_mut()) {
@@ -22,16 +22,17 @@
 
     /// An attempt leaves its host, unless it was taken back.
     pub(super) fn transmit(&mut self, h: u32, n: u32, attempt: &SendAttempt) {
-        let life = self.hosts[h as usize].life;
+        let generation = self.hosts[h as usize].generation;
         let now = self.time(h);
         let left = ((attempt.until - now).secs() * 1e6).max(0.0) as Us;
         match attempt.begin(now) {
             Begin::Now => {}
             Begin::Withdrawn => return,
-            Begin::TooLate => return self.push(self.now, Event::Refused(h, life, attempt.attempt.0)),
+            Begin::TooLate => return self.push(self.now, Event::Refused(h, generation, attempt.attempt.0)),
         }
         attempt.ticket.written();
-        let name = AttemptName { host: h, life, request: attempt.request, attempt: attempt.attempt_number };
+        let name =
+            AttemptName { host: h, generation, request: attempt.request, attempt: attempt.attempt_number };
         let frame = |attempt_number: u8| {
             Frame::Send(node::SendAttempt {
                 attempt: attempt.attempt.0,
@@ -115,11 +116,11 @@
 
     pub(super) fn open_link(&mut self, h: u32, n: u32) {
         self.number += 1;
-        let life = self.number;
+        let generation = self.number;
         // As the hello at the start of the link shows it.
         let offset = self.now as i64 - us(self.time(h)) as i64 + self.w.delay_us as i64;
         let new = || Link {
-            life,
+            generation,
             to_node: node::frames(1 << 20),
             to_host: node::frames(1 << 20),
             last: [0; 2],
@@ -130,10 +131,11 @@
         let links = &mut self.hosts[h as usize].links;
         if let std::collections::btree_map::Entry::Vacant(place) = links.entry(n) {
             place.insert(new());
-            let (host_life, started) = (self.hosts[h as usize].life, self.nodes[n as usize].started);
+            let (host_generation, started) =
+                (self.hosts[h as usize].generation, self.nodes[n as usize].started);
             let held_until = self.partitions.get(&(h, n)).copied().unwrap_or(0);
             let t = self.now.max(held_until) + 2 * self.w.delay_us;
-            self.push(t, Event::Hello(h, host_life, n, started));
+            self.push(t, Event::Hello(h, host_generation, n, started));
         }
     }
 
@@ -152,20 +154,26 @@
             let t =
                 (self.now.max(held_until) + self.w.delay_us + jitter).max(l.last[usize::from(to_node)] + 1);
             l.last[usize::from(to_node)] = t;
-            let life = l.life;
+            let generation = l.generation;
             let bytes = part.to_vec();
             self.push(
                 t,
-                if to_node { Event::ToNode(h, n, life, bytes) } else { Event::ToHost(h, n, life, bytes) },
+                if to_node {
+                    Event::ToNode(h, n, generation, bytes)
+                } else {
+                    Event::ToHost(h, n, generation, bytes)
+                },
             );
         }
     }
 
-    pub(super) fn host_gets(&mut self, h: u32, n: u32, life: u64, bytes: &[u8]) {
+    pub(super) fn host_gets(&mut self, h: u32, n: u32, generation: u64, bytes: &[u8]) {
         if !self.hosts[h as usize].up {
             return;
         }
-        let Some(l) = self.hosts[h as usize].links.get_mut(&n).filter(|l| l.life == life) else { return };
+        let Some(l) = self.hosts[h as usize].links.get_mut(&n).filter(|l| l.generation == generation) else {
+            return;
+        };
         l.to_host.push(bytes);
         let mut backs = Vec::new();
         while let Ok(Some(f)) = node::next(&mut l.to_host) {
@@ -204,15 +212,15 @@
     }
 
     /// A link ends for both sides: its attempts may have run.
-    pub(super) fn link_down(&mut self, h: u32, n: u32, life: u64) {
+    pub(super) fn link_down(&mut self, h: u32, n: u32, generation: u64) {
         let host = &mut self.hosts[h as usize];
-        if host.links.get(&n).is_none_or(|l| l.life != life) {
+        if host.links.get(&n).is_none_or(|l| l.generation != generation) {
             return;
         }
         let Some(l) = host.links.remove(&n) else { return };
-        let (node, life) = (self.nodes[n as usize].address.clone(), host.life);
+        let (node, generation) = (self.nodes[n as usize].address.clone(), host.generation);
         let attempts: Vec<AttemptName> = l.attempts.values().copied().collect();
-        self.note(tackmast_trace::Event::LinkDown { node, host: h, life, attempts });
+        self.note(tackmast_trace::Event::LinkDown { node, host: h, generation, attempts });
         for attempt in l.attempts.keys() {
             self.back(h, *attempt, Outcome::Reset);
         }
@@ -224,16 +232,20 @@
 
     pub(super) fn all_links_down(&mut self, n: u32) {
         for h in 0..self.w.hosts {
-            if let Some(life) = self.hosts[h as usize].links.get(&n).map(|l| l.life) {
-                self.link_down(h, n, life);
+            if let Some(generation) = self.hosts[h as usize].links.get(&n).map(|l| l.generation) {
+                self.link_down(h, n, generation);
             }
         }
     }
 
-    pub(super) fn hello(&mut self, h: u32, life: u64, n: u32, started: Us) {
+    pub(super) fn hello(&mut self, h: u32, generation: u64, n: u32, started: Us) {
         let node = &self.nodes[n as usize];
         let host = &self.hosts[h as usize];
-        if host.life != life || !host.up || node.started != started || !host.links.contains_key(&n) {
+        if host.generation != generation
+            || !host.up
+            || node.started != started
+            || !host.links.contains_key(&n)
+        {
             return;
         }
         // One that was up when time began has been so for long.
--- a/crates/lab/src/sim/nodes.rs
+++ b/crates/lab/src/sim/nodes.rs
@@ -11,8 +11,10 @@
         self.note(tackmast_trace::Event::NodeUp { node: address, zone, shard, capacity, cold_from, warm_us });
     }
 
-    pub(super) fn node_gets(&mut self, h: u32, n: u32, life: u64, bytes: &[u8]) {
-        let Some(l) = self.hosts[h as usize].links.get_mut(&n).filter(|l| l.life == life) else { return };
+    pub(super) fn node_gets(&mut self, h: u32, n: u32, generation: u64, bytes: &[u8]) {
+        let Some(l) = self.hosts[h as usize].links.get_mut(&n).filter(|l| l.generation == generation) else {
+            return;
+        };
         l.to_node.push(bytes);
         let mut frames = Vec::new();
         while let Ok(Some(f)) = node::next(&mut l.to_node) {
@@ -20,10 +22,10 @@
         }
         for f in frames {
             match f {
-                Frame::Send(attempt) => self.attempt_arrives(h, n, life, attempt),
+                Frame::Send(attempt) => self.attempt_arrives(h, n, generation, attempt),
                 Frame::Cancel { attempt } => {
                     let node = &mut self.nodes[n as usize];
-                    let found = node.held.iter().find(|(_, x)| x.link == life && x.attempt == attempt);
+                    let found = node.held.iter().find(|(_, x)| x.link == generation && x.attempt == attempt);
                     if let Some((id, name)) = found.map(|(id, x)| (*id, x.name)) {
                         let address = node.address.clone();
                         if !node.silent {
@@ -39,8 +41,9 @@
     }
 
     pub(super) fn attempt_arrives(&mut self, h: u32, n: u32, link: u64, attempt: node::SendAttempt) {
-        let life = self.hosts[h as usize].life;
-        let name = AttemptName { host: h, life, request: attempt.request, attempt: attempt.attempt_number };
+        let generation = self.hosts[h as usize].generation;
+        let name =
+            AttemptName { host: h, generation, request: attempt.request, attempt: attempt.attempt_number };
         let (write, bytes) = match &attempt.work {
             node::Work::Read { length } => (false, u64::from(*length)),
             node::Work::Write { data } => (true, data.len() as u64),
@@ -56,7 +59,7 @@
         let units = f64::from(attempt.units);
         let held = Held {
             host: h,
-            life,
+            generation,
             link,
             attempt: attempt.attempt,
             name,
@@ -117,7 +120,7 @@
             let answer =
                 Frame::Answer(Answer { attempt: x.attempt, outcome, waiting, elsewhere, data }).to_bytes();
             let host = &self.hosts[x.host as usize];
-            if host.life == x.life && host.links.get(&n).is_some_and(|l| l.life == x.link) {
+            if host.generation == x.generation && host.links.get(&n).is_some_and(|l| l.generation == x.link) {
                 self.pass(x.host, n, &answer, false);
             }
         }
@@ -139,14 +142,14 @@
     }
 
     pub(super) fn follow(&mut self, h: u32) {
-        let life = self.hosts[h as usize].life;
+        let generation = self.hosts[h as usize].generation;
         let t = self.now + 2 * self.w.delay_us;
         if self.list_fails {
-            return self.push(t, Event::ListFailed(h, life));
+            return self.push(t, Event::ListFailed(h, generation));
         }
         self.hosts[h as usize].following = true;
         let (version, entries) = self.entries();
-        self.push(t, Event::List(h, life, version, entries));
+        self.push(t, Event::List(h, generation, version, entries));
     }
 
     pub(super) fn entries(&self) -> (u64, Vec<(String, u8, u32, u64)>) {
@@ -171,16 +174,16 @@
         let (version, entries) = self.entries();
         for h in 0..self.w.hosts {
             if self.hosts[h as usize].following {
-                let life = self.hosts[h as usize].life;
+                let generation = self.hosts[h as usize].generation;
                 let jitter = self.chance.rand_range(0..50_000);
                 let t = self.now + self.list_late + jitter;
-                self.push(t, Event::List(h, life, version, entries.clone()));
+                self.push(t, Event::List(h, generation, version, entries.clone()));
             }
         }
     }
 
-    pub(super) fn list(&mut self, h: u32, life: u64, version: u64, entries: &[(String, u8, u32, u64)]) {
-        if self.hosts[h as usize].life != life || !self.hosts[h as usize].up {
+    pub(super) fn list(&mut self, h: u32, generation: u64, version: u64, entries: &[(String, u8, u32, u64)]) {
+        if self.hosts[h as usize].generation != generation || !self.hosts[h as usize].up {
             return;
         }
         let mut lines = Vec::new();
--- a/crates/lab/src/views/cases.rs
+++ b/crates/lab/src/views/cases.rs
@@ -216,7 +216,7 @@
                 w.kill(p);
                 w.all[p].wall_off = -10.0;
             }
-            // The disk of one is lost with what it knew of its lives.
+            // The disk of one is lost with what it knew of its generations.
             w.all[victim].disk = Default::default();
             w.run(6.0);
             w.start(victim);
--- a/crates/lab/src/views/world.rs
+++ b/crates/lab/src/views/world.rs
@@ -30,7 +30,7 @@
     pub address: SocketAddr,
     pub site: u32,
     member: Option<Member>,
-    pub life: u64,
+    pub generation: u64,
     stopped: bool,
     held: Vec<(SocketAddr, Vec<u8>)>,
     wake: Us,
@@ -116,7 +116,7 @@
             address,
             site: slot * 3 / self.hosts.max(1),
             member: None,
-            life: 0,
+            generation: 0,
             stopped: false,
             held: Vec::new(),
             wake: Us::MAX,
@@ -136,17 +136,17 @@
         self.by_address.insert(self.all[p].address, p);
     }
 
-    /// Starts a process, as a host starts: its life by its clock, but never below what its disk knows.
+    /// Starts a process, as a host starts: its generation by its clock, but never below what its disk knows.
     pub fn start(&mut self, p: usize) {
         let x = &mut self.all[p];
         let wall = (self.now as f64 + x.wall_off * 1e6).max(1.0) as u64;
-        x.life = (wall << 12 | u64::from(x.slot & 0xfff)).max(x.disk.life + 1);
-        x.disk.life = x.life;
+        x.generation = (wall << 12 | u64::from(x.slot & 0xfff)).max(x.disk.generation + 1);
+        x.disk.generation = x.generation;
         let secs = TimeDelta::from_secs;
         let settings = MemberSettings {
             fleet: "lab".into(),
             slot: x.slot,
-            life: x.life,
+            generation: x.generation,
             address: x.address,
             site: Some(x.site),
             seeds: self.seeds.clone(),
@@ -160,7 +160,7 @@
             loans: LoanSettings { term: secs(2.0), leave_term: secs(60.0), drift: 0.001, owned: 0.9 },
             shared: Vec::new(),
             left: false,
-            seed: x.life ^ self.trial.seed << 40,
+            seed: x.generation ^ self.trial.seed << 40,
         };
         let now = at(self.now, x.pace);
         let member = match self.trial.fault {
@@ -323,8 +323,12 @@
             return;
         }
         self.next_look = self.now + every;
-        let running: HashMap<(u32, u64), SocketAddr> =
-            self.all.iter().filter(|x| x.member.is_some()).map(|x| ((x.slot, x.life), x.address)).collect();
+        let running: HashMap<(u32, u64), SocketAddr> = self
+            .all
+            .iter()
+            .filter(|x| x.member.is_some())
+            .map(|x| ((x.slot, x.generation), x.address))
+            .collect();
         for p in 0..self.all.len() {
             if self.all[p].stopped {
                 continue;
@@ -336,13 +340,13 @@
             let mut broken = Vec::new();
             let mut best = std::mem::take(&mut self.all[p].best);
             for (k, s) in &self.all[p].member.as_ref().map(Member::snapshot).unwrap_or_default() {
-                let word = (s.life, s.incarnation);
+                let word = (s.generation, s.incarnation);
                 let known = best.entry(*k).or_insert(word);
                 if word < *known {
                     broken.push(format!("host {slot} went back on host {k}: {known:?}, then {word:?}"));
                 }
                 *known = word;
-                if let Some(a) = running.get(&(*k, s.life)).filter(|a| **a != s.address) {
+                if let Some(a) = running.get(&(*k, s.generation)).filter(|a| **a != s.address) {
                     broken.push(format!("host {slot} has host {k} at {}, it is at {a}", s.address));
                 }
             }
@@ -366,13 +370,13 @@
         }
     }
 
-    /// The process that has a number: the one of the latest life that runs.
+    /// The process that has a number: the one of the latest generation that runs.
     fn holder(&self, slot: u32) -> Option<&Process> {
         let of = self.all.iter().filter(|x| x.slot == slot && x.member.is_some());
-        of.max_by_key(|x| x.member.as_ref().map(|m| m.view.me().life))
+        of.max_by_key(|x| x.member.as_ref().map(|m| m.view.me().generation))
     }
 
-    /// Settled: all that run hold all that run alive, with their lives, addresses and sites, and the others not; and their
+    /// Settled: all that run hold all that run alive, with their generations, addresses and sites, and the others not; and their
     /// digests are one.
     pub fn is_settled(&self) -> bool {
         let holders: Vec<&Process> = (0..self.hosts).filter_map(|s| self.holder(s)).collect();
@@ -391,7 +395,7 @@
         let all_right = others.clone().all(|x| {
             let Some(own) = x.member.as_ref().map(|m| m.view.me()) else { return false };
             seen.get(&x.slot).is_some_and(|s| {
-                let right = (s.life, s.address, s.site) == (own.life, x.address, Some(x.site));
+                let right = (s.generation, s.address, s.site) == (own.generation, x.address, Some(x.site));
                 right && s.health == Health::Alive && own.address == x.address
             })
         });
--- a/crates/measure/src/load.rs
+++ b/crates/measure/src/load.rs
@@ -146,7 +146,7 @@
         let hello = Frame::HostHello {
             version: node::VERSION,
             host: 1000 + seed as u32,
-            life: seed,
+            generation: seed,
             sent_us: now_us(),
         };
         stream.write_all(&hello.to_bytes()).map_err(fail)?;
--- a/crates/membership/src/lists.rs
+++ b/crates/membership/src/lists.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Lists {
     on: bool,
-    /// The newest version that this host ever held in this life, and what it takes away.
+    /// The newest version that this host ever held in this generation, and what it takes away.
     version: u64,
     stops: Vec<ListStop>,
     asked: Option<Instant>,
--- a/crates/membership/src/loans.rs
+++ b/crates/membership/src/loans.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoanSettings {
     pub term: TimeDelta,
-    /// For a host that leaves in order; its slot's next life starts with nothing for so long.
+    /// For a host that leaves in order; its slot's next generation starts with nothing for so long.
     pub leave_term: TimeDelta,
     /// Hosts' steady clocks run at one pace within this part.
     pub drift: f64,
@@ -44,11 +44,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Say {
-    Want { seq: u32, using: u32, of_life: u64, volume: u32, share: f32 },
-    Loan { answers: u32, to_life: u64, seq: u32, volume: u32, share: f32, term_ms: u32 },
+    Want { seq: u32, using: u32, of_generation: u64, volume: u32, share: f32 },
+    Loan { answers: u32, to_generation: u64, seq: u32, volume: u32, share: f32, term_ms: u32 },
     Offer { volume: u32 },
     Recall { volume: u32 },
-    Returned { to_life: u64, volume: u32 },
+    Returned { to_generation: u64, volume: u32 },
 }
 
 /// What a host may use beside its own: shares of the whole limit. Until `until` at most; then it has to ask again.
@@ -66,14 +66,14 @@
     FromReceipt,
     /// The lender takes its part back when the term is over by its own clock, without regard to drift.
     NoDrift,
-    /// A new life has all of its part at once.
+    /// A new generation has all of its part at once.
     StartsFull,
     /// A new loan frees the one before without word that it is not used any more.
     FreedUnheard,
     /// A host lends what it has borrowed.
     LendsBorrowed,
-    /// Numbers of an earlier life pass for those of this one.
-    LivesMixed,
+    /// Numbers of an earlier generation pass for those of this one.
+    GenerationsMixed,
 }
 
 #[derive(Clone, Debug)]
@@ -85,7 +85,7 @@
 
 #[derive(Clone, Debug)]
 struct Got {
-    life: u64,
+    generation: u64,
     seq: u32,
     share: f64,
     until: Instant,
@@ -132,7 +132,7 @@
 #[derive(Clone, Debug)]
 pub struct Loans {
     me: u32,
-    life: u64,
+    generation: u64,
     settings: LoanSettings,
     pools: BTreeMap<u32, Pool>,
     seq: u32,
@@ -144,17 +144,17 @@
 }
 
 impl Loans {
-    /// `left`: this slot's earlier life left in order, so that its parts may be lent for the longer term.
+    /// `left`: this slot's earlier generation left in order, so that its parts may be lent for the longer term.
     pub fn new(
         now: Instant,
-        (me, life): (u32, u64),
+        (me, generation): (u32, u64),
         settings: LoanSettings,
         volumes: Vec<Shared>,
         left: bool,
     ) -> Self {
         let mut loans = Loans {
             me,
-            life,
+            generation,
             settings,
             pools: BTreeMap::new(),
             seq: 0,
@@ -164,7 +164,7 @@
             says: VecDeque::new(),
             fault: None,
         };
-        // What an earlier life lent is not known. It starts from nothing, until that has surely ended.
+        // What an earlier generation lent is not known. It starts from nothing, until that has surely ended.
         let term = if left { settings.leave_term } else { settings.term };
         let free_from = now + loans.lender_term(term);
         for shared in
@@ -209,8 +209,8 @@
         self.leaving
     }
 
-    /// Nothing that an earlier life of this slot lent can be in use any more. Until then the mark of a leave must stand: a
-    /// life that ends before leaves the same to the next.
+    /// Nothing that an earlier generation of this slot lent can be in use any more. Until then the mark of a leave must stand: a
+    /// generation that ends before leaves the same to the next.
     pub fn is_free(&self, now: Instant) -> bool {
         self.pools.values().all(|p| now >= p.free_from)
     }
@@ -219,7 +219,7 @@
         self.pools.keys().copied()
     }
 
-    /// Another life of this slot runs: whatever is its, this one has nothing.
+    /// Another generation of this slot runs: whatever is its, this one has nothing.
     pub fn displaced(&mut self) {
         self.displaced = true;
     }
@@ -299,8 +299,8 @@
             all.retain(|g| g.until > now);
         }
         p.given.retain(|_, all| !all.is_empty());
-        // What was got from a lender is never forgotten, nor under which of its lives: an older loan that comes late, of a
-        // life whose loans were called back, must be known for that. There are no more of them than owners.
+        // What was got from a lender is never forgotten, nor under which of its generations: an older loan that comes late, of a
+        // generation whose loans were called back, must be known for that. There are no more of them than owners.
         let forget = self.settings.term;
         p.wanted.retain(|_, (_, at)| now - *at < forget);
         let others: Vec<u32> =
@@ -332,25 +332,25 @@
         if asked.len() > ASKED {
             asked.pop_front();
         }
-        let (of_life, using) = p.got.get(&to).map_or((0, 0), |g| (g.life, g.seq));
+        let (of_generation, using) = p.got.get(&to).map_or((0, 0), |g| (g.generation, g.seq));
         let share = (2.0 * share).clamp(0.0, 1.0) as f32;
-        self.say(to, Say::Want { seq, using, of_life, volume, share });
+        self.say(to, Say::Want { seq, using, of_generation, volume, share });
     }
 
     /// A peer has said something of a volume that both own a part of; anything else is no matter of its.
-    pub fn heard(&mut self, now: Instant, from: u32, life: u64, what: Say) {
+    pub fn heard(&mut self, now: Instant, from: u32, generation: u64, what: Say) {
         match what {
-            Say::Want { seq, using, of_life, volume, share } => {
-                // What it holds of an earlier life says nothing of this one's loans.
-                let mixed = self.fault == Some(TermFault::LivesMixed);
-                let using = if of_life == self.life || mixed { using } else { 0 };
-                self.wanted(now, (from, life), volume, seq, using, f64::from(share));
+            Say::Want { seq, using, of_generation, volume, share } => {
+                // What it holds of an earlier generation says nothing of this one's loans.
+                let mixed = self.fault == Some(TermFault::GenerationsMixed);
+                let using = if of_generation == self.generation || mixed { using } else { 0 };
+                self.wanted(now, (from, generation), volume, seq, using, f64::from(share));
             }
-            // One that was meant for an earlier life of this slot answers none of this one's wants.
-            Say::Loan { to_life, .. }
-                if to_life != self.life && self.fault != Some(TermFault::LivesMixed) => {}
+            // One that was meant for an earlier generation of this slot answers none of this one's wants.
+            Say::Loan { to_generation, .. }
+                if to_generation != self.generation && self.fault != Some(TermFault::GenerationsMixed) => {}
             Say::Loan { answers, seq, volume, share, term_ms, .. } => {
-                self.lent_to_me(now, from, life, volume, answers, seq, f64::from(share), term_ms)
+                self.lent_to_me(now, from, generation, volume, answers, seq, f64::from(share), term_ms)
             }
             Say::Offer { volume } => {
                 let Some(p) = self.pools.get(&volume).filter(|p| p.shared.owners.contains(&from)) else {
@@ -365,26 +365,26 @@
                 let Some(p) = self.pools.get_mut(&volume).filter(|p| p.shared.owners.contains(&from)) else {
                     return;
                 };
-                // Its number stays, with its life, so that an older loan can't come again.
+                // Its number stays, with its generation, so that an older loan can't come again.
                 match p.got.get_mut(&from) {
-                    Some(g) if g.life < life => {
-                        *g = Got { life, seq: 0, share: 0.0, until: now };
+                    Some(g) if g.generation < generation => {
+                        *g = Got { generation, seq: 0, share: 0.0, until: now };
                     }
-                    Some(g) if g.life > life => return,
+                    Some(g) if g.generation > generation => return,
                     Some(_) => {}
-                    None => _ = p.got.insert(from, Got { life, seq: 0, share: 0.0, until: now }),
+                    None => _ = p.got.insert(from, Got { generation, seq: 0, share: 0.0, until: now }),
                 }
-                self.say(from, Say::Returned { to_life: life, volume });
+                self.say(from, Say::Returned { to_generation: generation, volume });
             }
-            // Said to an earlier life, it tells nothing of what that one lent since.
-            Say::Returned { to_life, .. }
-                if to_life != self.life && self.fault != Some(TermFault::LivesMixed) => {}
+            // Said to an earlier generation, it tells nothing of what that one lent since.
+            Say::Returned { to_generation, .. }
+                if to_generation != self.generation && self.fault != Some(TermFault::GenerationsMixed) => {}
             Say::Returned { volume, .. } => {
                 let Some(p) = self.pools.get_mut(&volume).filter(|p| p.shared.owners.contains(&from)) else {
                     return;
                 };
                 p.returned.insert(from);
-                // All that could hold a loan of an earlier life have said that they hold none.
+                // All that could hold a loan of an earlier generation have said that they hold none.
                 if p.returned.len() + 1 >= p.shared.owners.len() {
                     p.free_from = p.free_from.min(now);
                 }
@@ -395,7 +395,7 @@
     fn wanted(
         &mut self,
         now: Instant,
-        (from, to_life): (u32, u64),
+        (from, to_generation): (u32, u64),
         volume: u32,
         answers: u32,
         using: u32,
@@ -455,7 +455,7 @@
             *all = vec![Given { seq, share: most, until: last }];
         }
         let term_ms = (term.secs() * 1e3) as u32;
-        self.say(from, Say::Loan { answers, to_life, seq, volume, share: give as f32, term_ms });
+        self.say(from, Say::Loan { answers, to_generation, seq, volume, share: give as f32, term_ms });
     }
 
     #[allow(clippy::too_many_arguments)] // one decoded field, one argument
@@ -463,7 +463,7 @@
         &mut self,
         now: Instant,
         from: u32,
-        life: u64,
+        generation: u64,
         volume: u32,
         answers: u32,
         seq: u32,
@@ -486,8 +486,8 @@
         // Nobody can lend more than it has.
         let share = share.min(p.own());
         match p.got.get(&from) {
-            Some(g) if g.life > life || (g.life == life && g.seq >= seq) => {}
-            _ => _ = p.got.insert(from, Got { life, seq, share, until }),
+            Some(g) if g.generation > generation || (g.generation == generation && g.seq >= seq) => {}
+            _ => _ = p.got.insert(from, Got { generation, seq, share, until }),
         }
     }
 
@@ -497,11 +497,11 @@
         self.next_beat = now;
     }
 
-    /// A later life of a peer is known: what its earlier life lent is let go.
-    pub fn new_life(&mut self, now: Instant, slot: u32, life: u64) {
+    /// A later generation of a peer is known: what its earlier generation lent is let go.
+    pub fn new_generation(&mut self, now: Instant, slot: u32, generation: u64) {
         for p in self.pools.values_mut() {
-            if let Some(g) = p.got.get_mut(&slot).filter(|g| g.life < life) {
-                *g = Got { life, seq: 0, share: 0.0, until: now };
+            if let Some(g) = p.got.get_mut(&slot).filter(|g| g.generation < generation) {
+                *g = Got { generation, seq: 0, share: 0.0, until: now };
             }
         }
     }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -23,10 +23,10 @@
 /// Periods from one writing down of who is known to the next.
 const REMEMBER: f64 = 10.0;
 
-/// What the next life of this host is to know: its number of life, and others that were there. Addresses to call, no more.
+/// What the next generation of this host is to know: its number of generation, and others that were there. Addresses to call, no more.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Remembered {
-    pub life: u64,
+    pub generation: u64,
     pub hosts: Vec<(u32, u64, SocketAddr)>,
 }
 
@@ -34,18 +34,18 @@
 pub struct MemberSettings {
     pub fleet: String,
     pub slot: u32,
-    pub life: u64,
+    pub generation: u64,
     pub address: SocketAddr,
     pub site: Option<u32>,
     pub seeds: Vec<SocketAddr>,
-    /// What an earlier life wrote down; they are called, and count only by their own word.
+    /// What an earlier generation wrote down; they are called, and count only by their own word.
     pub recalled: Vec<(u32, u64, SocketAddr)>,
     /// Prefixes of peers; none: any.
     pub admit: Vec<IpNet>,
     pub view: ViewSettings,
     pub loans: LoanSettings,
     pub shared: Vec<Shared>,
-    /// The slot's earlier life left in order.
+    /// The slot's earlier generation left in order.
     pub left: bool,
     pub seed: u64,
 }
@@ -61,7 +61,7 @@
     Do(Do),
     /// A change of plans came from another host.
     Paper(Paper),
-    /// To be written down for the next life, in place of what was before.
+    /// To be written down for the next generation, in place of what was before.
     Remember(Remembered),
     /// Of the node list that other hosts hold.
     List(ListCame),
@@ -96,7 +96,7 @@
     pub papers: Papers,
     lists: Lists,
     shared: (LoanSettings, Vec<Shared>),
-    /// Another life of this host's number may use what hosts share; this one does not, whatever else it does.
+    /// Another generation of this host's number may use what hosts share; this one does not, whatever else it does.
     yields: bool,
     remembered: Remembered,
     /// When it was last looked at what is to be written down.
@@ -123,7 +123,8 @@
         // Against a disk of a larger fleet: numbers beyond those told would be called, and written down, for ever.
         s.recalled.retain(|(slot, _, _)| (*slot as usize) < s.view.most);
         let (incarnation, health, address, by) = (0, Health::Alive, s.address, None);
-        let me = News { slot: s.slot, life: s.life, incarnation, health, address, site: s.site, by };
+        let me =
+            News { slot: s.slot, generation: s.generation, incarnation, health, address, site: s.site, by };
         let recalled = s.recalled.iter().map(|(slot, _, a)| (*slot, *a)).collect();
         let mut view = View::new(now, me, s.seeds, recalled, s.view, s.seed);
         if let Some(f) = fault {
@@ -133,13 +134,13 @@
             fleet: s.fleet,
             admit: s.admit,
             view,
-            loans: Loans::new(now, (s.slot, s.life), s.loans, s.shared.clone(), s.left),
+            loans: Loans::new(now, (s.slot, s.generation), s.loans, s.shared.clone(), s.left),
             spread: Spread::default(),
             papers: Papers::default(),
             lists: Lists::default(),
             shared: (s.loans, s.shared),
             yields: false,
-            remembered: Remembered { life: s.life, hosts: s.recalled },
+            remembered: Remembered { generation: s.generation, hosts: s.recalled },
             remembered_at: now,
             period: s.view.period,
             own_word: s.view.ways.own_word,
@@ -181,25 +182,25 @@
             self.counters.strangers += 1;
             return;
         }
-        let (slot, life) = (d.me.slot, d.me.life);
+        let (slot, generation) = (d.me.slot, d.me.generation);
         if slot == self.view.me().slot {
-            // A later life of this slot, or an earlier one that woke up; neither is to be listened to.
+            // A later generation of this slot, or an earlier one that woke up; neither is to be listened to.
             self.counters.strangers += 1;
             self.view.heard_namesake(now, d.me, from);
             return self.settle(now);
         }
         self.counters.taken += 1;
-        let known = self.view.life(slot);
-        if known.is_none_or(|k| k < life) {
-            self.loans.new_life(now, slot, life);
+        let known = self.view.generation(slot);
+        if known.is_none_or(|k| k < generation) {
+            self.loans.new_generation(now, slot, generation);
         }
         // Who speaks is there: its word on itself, where it is reached and how often it had to say so.
         if self.own_word {
             self.view.learn(now, d.me);
-        } else if known.is_none_or(|k| k < life) {
+        } else if known.is_none_or(|k| k < generation) {
             self.view.learn(now, News { incarnation: 0, health: Health::Alive, address: from, ..d.me });
         }
-        self.view.heard_from(now, slot, life);
+        self.view.heard_from(now, slot, generation);
         for n in d.news {
             // Who a host is, is known from itself or by hearsay; its parts are lent by itself alone.
             if !self.is_admitted(&n.address) {
@@ -208,23 +209,23 @@
             }
             self.view.learn(now, n);
         }
-        if known.is_some_and(|k| k > life) {
-            // An earlier life that woke up: it is told so, and its word counts no more.
+        if known.is_some_and(|k| k > generation) {
+            // An earlier generation that woke up: it is told so, and its word counts no more.
             let all = self.view.all_news();
             let about = all.into_iter().flatten().filter(|n| n.slot == slot).collect();
             self.push(from, Body::Tell, about);
             return self.settle(now);
         }
         let say = match d.body {
-            Body::Want { seq, using, of_life, volume, share } => {
-                Say::Want { seq, using, of_life, volume, share }
+            Body::Want { seq, using, of_generation, volume, share } => {
+                Say::Want { seq, using, of_generation, volume, share }
             }
-            Body::Loan { answers, to_life, seq, volume, share, term_ms } => {
-                Say::Loan { answers, to_life, seq, volume, share, term_ms }
+            Body::Loan { answers, to_generation, seq, volume, share, term_ms } => {
+                Say::Loan { answers, to_generation, seq, volume, share, term_ms }
             }
             Body::Offer { volume } => Say::Offer { volume },
             Body::Recall { volume } => Say::Recall { volume },
-            Body::Returned { to_life, volume } => Say::Returned { to_life, volume },
+            Body::Returned { to_generation, volume } => Say::Returned { to_generation, volume },
             Body::Digest { view, orders } => {
                 if view != self.view.digest() {
                     self.view.differs(now);
@@ -274,7 +275,7 @@
             self.counters.false_names += 1;
             return;
         }
-        self.loans.heard(now, slot, life, say);
+        self.loans.heard(now, slot, generation, say);
         self.settle(now);
     }
 
@@ -308,12 +309,12 @@
     /// What the parts have to say goes out.
     fn settle(&mut self, now: Instant) {
         if let Some(at_own_address) = self.view.next_take_over() {
-            // Where no other can listen at this host's address, the later life has ended, and this is a new one that
+            // Where no other can listen at this host's address, the later generation has ended, and this is a new one that
             // starts with nothing that is lent. Else silence proves nothing: the other may only stand still.
             self.yields |= !at_own_address;
             let me = self.view.me();
             let (settings, shared) = self.shared.clone();
-            self.loans = Loans::new(now, (me.slot, me.life), settings, shared, false);
+            self.loans = Loans::new(now, (me.slot, me.generation), settings, shared, false);
         }
         if self.yields || self.view.is_displaced() {
             self.loans.displaced();
@@ -325,15 +326,15 @@
         while let Some((slot, say)) = self.loans.next_say() {
             let Some(to) = self.view.address(slot) else { continue };
             let body = match say {
-                Say::Want { seq, using, of_life, volume, share } => {
-                    Body::Want { seq, using, of_life, volume, share }
+                Say::Want { seq, using, of_generation, volume, share } => {
+                    Body::Want { seq, using, of_generation, volume, share }
                 }
-                Say::Loan { answers, to_life, seq, volume, share, term_ms } => {
-                    Body::Loan { answers, to_life, seq, volume, share, term_ms }
+                Say::Loan { answers, to_generation, seq, volume, share, term_ms } => {
+                    Body::Loan { answers, to_generation, seq, volume, share, term_ms }
                 }
                 Say::Offer { volume } => Body::Offer { volume },
                 Say::Recall { volume } => Body::Recall { volume },
-                Say::Returned { to_life, volume } => Body::Returned { to_life, volume },
+                Say::Returned { to_generation, volume } => Body::Returned { to_generation, volume },
             };
             let news = self.view.beside(Some(slot));
             self.push(to, body, news);
@@ -383,20 +384,20 @@
             Change::Strained(n) => {
                 format!("answers come late or not at all: strain {n}, others are given time")
             }
-            Change::Displaced(life) => {
-                format!("a later life of this host's number was heard of ({life:x}): it uses nothing that hosts share")
+            Change::Displaced(generation) => {
+                format!("a later life of this host's number was heard of ({generation:x}): it uses nothing that hosts share")
             }
-            Change::TookOver(life) => {
+            Change::TookOver(generation) => {
                 let rest = match self.yields {
                     true => "it still uses nothing that hosts share until it starts anew",
                     false => "it is there again",
                 };
-                format!("the later life of this host's number does not run; this goes on as life {life:x}: {rest}")
+                format!("the later life of this host's number does not run; this goes on as life {generation:x}: {rest}")
             }
         }
     }
 
-    /// What the next life is to know, where that has changed, and at most every so many periods.
+    /// What the next generation is to know, where that has changed, and at most every so many periods.
     fn remember(&mut self, now: Instant) {
         // Against hosts that all move within a moment of their start and know nobody any more: who joins is written down
         // within a period. All else is looked at now and then: with hundreds of hosts it is no work for every tick.
@@ -406,14 +407,14 @@
             return;
         }
         self.remembered_at = now;
-        // Whoever an earlier life knew and nobody has spoken of yet stays written down. At most one line a number.
+        // Whoever an earlier generation knew and nobody has spoken of yet stays written down. At most one line a number.
         let mut all: BTreeMap<u32, (u64, SocketAddr)> =
-            self.remembered.hosts.iter().map(|(slot, life, a)| (*slot, (*life, *a))).collect();
+            self.remembered.hosts.iter().map(|(slot, generation, a)| (*slot, (*generation, *a))).collect();
         let left = |slot: &u32| self.view.snapshot().get(slot).is_some_and(|s| s.health == Health::Left);
         all.retain(|slot, _| !left(slot));
-        all.extend(self.view.known().map(|(slot, life, a)| (slot, (life, a))));
-        let hosts = all.into_iter().map(|(slot, (life, a))| (slot, life, a)).collect();
-        let new = Remembered { life: self.view.me().life, hosts };
+        all.extend(self.view.known().map(|(slot, generation, a)| (slot, (generation, a))));
+        let hosts = all.into_iter().map(|(slot, (generation, a))| (slot, generation, a)).collect();
+        let new = Remembered { generation: self.view.me().generation, hosts };
         if new != self.remembered {
             self.remembered = new.clone();
             self.outputs.push_back(Output::Remember(new));
--- a/crates/membership/src/spread.rs
+++ b/crates/membership/src/spread.rs
@@ -1,5 +1,5 @@
 //! Operators' orders on their way to all hosts: a set that only grows by orders and by what ends them, so that views meet
-//! whatever way they take. An order is named by the host and life that took it; its end travels as time left, which needs
+//! whatever way they take. An order is named by the host and generation that took it; its end travels as time left, which needs
 //! no common clock, and the earliest end heard holds. One that was cleared is remembered as cleared until it would have
 //! ended by itself on the slowest clock, so that a host that was away can't bring it back.
 
@@ -41,7 +41,7 @@
 }
 
 fn name(o: &SpreadOrder) -> Name {
-    Name { slot: o.slot, life: o.life, number: o.number }
+    Name { slot: o.slot, generation: o.generation, number: o.number }
 }
 
 impl Spread {
@@ -106,7 +106,7 @@
         for (n, k) in self.known.iter().filter(|(_, k)| (k.ends - now).secs() > SAME_S) {
             let mut bytes = [0u8; 21];
             bytes[..4].copy_from_slice(&n.slot.to_be_bytes());
-            bytes[4..12].copy_from_slice(&n.life.to_be_bytes());
+            bytes[4..12].copy_from_slice(&n.generation.to_be_bytes());
             bytes[12..20].copy_from_slice(&n.number.to_be_bytes());
             bytes[20] = u8::from(k.order.cleared);
             sum = sum.wrapping_add(crc32c::crc32c(&bytes));
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -43,11 +43,11 @@
     pub told_back: bool,
     /// Each datagram is its sender's word on itself, with its incarnation.
     pub own_word: bool,
-    /// Hosts known by an earlier life are called, and more of those held dead once one of them is heard.
+    /// Hosts known by an earlier generation are called, and more of those held dead once one of them is heard.
     pub recall: bool,
     /// A host that comes and goes is not asked for help until it stays.
     pub damp: bool,
-    /// A host whose number seems to have a later life looks whether that one runs.
+    /// A host whose number seems to have a later generation looks whether that one runs.
     pub twin: bool,
 }
 
@@ -78,14 +78,14 @@
 /// Deliberate faults of the view, for days and hunts to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViewFault {
-    OldLifeWins,
+    OldGenerationWins,
     NoRefutation,
     SuspicionWithoutEnd,
     /// When views meet, only news of hosts known already are taken.
     DropsASide,
-    /// Hosts known by an earlier life count as there without a word of theirs.
+    /// Hosts known by an earlier generation count as there without a word of theirs.
     TrustsDisk,
-    /// The address that was heard first stays through all lives.
+    /// The address that was heard first stays through all generations.
     OldAddressWins,
     /// Who is held dead is never called.
     NoCalls,
@@ -97,9 +97,9 @@
     NewsOvertakes,
     /// Who is held dead is forgotten.
     ForgetsDead,
-    /// A later life of one's own number is believed in for ever.
+    /// A later generation of one's own number is believed in for ever.
     BelievesTwin,
-    /// The site of an earlier life stays.
+    /// The site of an earlier generation stays.
     OldSiteWins,
     /// A host that came and went is never asked or told anything again.
     ShutsOut,
@@ -107,7 +107,7 @@
 
 impl ViewFault {
     pub const ALL: [ViewFault; 14] = [
-        ViewFault::OldLifeWins,
+        ViewFault::OldGenerationWins,
         ViewFault::NoRefutation,
         ViewFault::SuspicionWithoutEnd,
         ViewFault::DropsASide,
@@ -126,9 +126,9 @@
 
 /// Periods in which a host is heard directly after which hearsay of its death is no more than a suspicion.
 const HEARD: f64 = 2.0;
-/// Incarnations and lives beyond these are no host's own: a word of them could never be answered by a later one.
+/// Incarnations and generations beyond these are no host's own: a word of them could never be answered by a later one.
 const INCARNATIONS: u32 = 1 << 30;
-const LIVES: u64 = u64::MAX - (1 << 20);
+const GENERATIONS: u64 = u64::MAX - (1 << 20);
 /// Comings and goings of a host, each counting half after so many periods, from which on it counts as one that flaps.
 const STIRS: f64 = 3.0;
 const STIRS_HALF: f64 = 40.0;
@@ -145,7 +145,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Seen {
-    pub life: u64,
+    pub generation: u64,
     pub incarnation: u32,
     pub health: Health,
     pub address: SocketAddr,
@@ -154,7 +154,7 @@
     pub since: Instant,
     /// Who suspects it, as far as that counts.
     by: Vec<u32>,
-    /// When a datagram of its own came last, under this life.
+    /// When a datagram of its own came last, under this generation.
     heard: Option<Instant>,
     /// When it stopped being alive, while it is not.
     lost: Option<Instant>,
@@ -168,7 +168,7 @@
 
 impl Seen {
     fn rank(&self) -> (u64, u32, Health) {
-        (self.life, self.incarnation, self.health)
+        (self.generation, self.incarnation, self.health)
     }
 
     fn is_there(&self) -> bool {
@@ -180,7 +180,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Death {
     pub slot: u32,
-    pub life: u64,
+    pub generation: u64,
     pub incarnation: u32,
     pub at: Instant,
     pub own: bool,
@@ -196,13 +196,13 @@
     pub found_dead: u64,
     /// Times that this host was accused, and answered.
     pub accused: u64,
-    /// News of hosts beyond the told number, or of lives and incarnations that none has.
+    /// News of hosts beyond the told number, or of generations and incarnations that none has.
     pub beyond: u64,
     /// Times that this host stood still for more than a period.
     pub pauses: u64,
     /// Changes of hosts that flap, which are not told of one by one.
     pub damped: u64,
-    /// Times that a later life of this host's number turned out not to run.
+    /// Times that a later generation of this host's number turned out not to run.
     pub taken_over: u64,
 }
 
@@ -224,7 +224,7 @@
     me: News,
     settings: ViewSettings,
     seeds: Vec<SocketAddr>,
-    /// Addresses that an earlier life knew, still to be called, and how often each was.
+    /// Addresses that an earlier generation knew, still to be called, and how often each was.
     recalled: VecDeque<(SocketAddr, u32)>,
     seen: Table,
     turn: Vec<u32>,
@@ -253,7 +253,7 @@
     sites: sites::Sites,
     displaced: bool,
     twin: Option<Twin>,
-    /// This host took its number back; whether the later life was at its own address.
+    /// This host took its number back; whether the later generation was at its own address.
     took_over: Option<bool>,
     /// When the view changed last, or another's differed.
     moved: Instant,
@@ -320,9 +320,9 @@
     pub fn with_fault(mut self, now: Instant, fault: ViewFault, recalled: &[(u32, u64, SocketAddr)]) -> Self {
         self.fault = Some(fault);
         if fault == ViewFault::TrustsDisk {
-            for (slot, life, address) in recalled.iter().copied() {
+            for (slot, generation, address) in recalled.iter().copied() {
                 let (incarnation, health, site, by) = (0, Health::Alive, None, None);
-                self.learn(now, News { slot, life, incarnation, health, address, site, by });
+                self.learn(now, News { slot, generation, incarnation, health, address, site, by });
             }
         }
         self
@@ -349,8 +349,8 @@
         self.seen.get(&slot).map(|s| s.address)
     }
 
-    pub fn life(&self, slot: u32) -> Option<u64> {
-        self.seen.get(&slot).map(|s| s.life)
+    pub fn generation(&self, slot: u32) -> Option<u64> {
+        self.seen.get(&slot).map(|s| s.generation)
     }
 
     fn put(&mut self, slot: u32, seen: Seen) {
@@ -398,12 +398,12 @@
         self.seen.get(&slot).is_some_and(|s| self.flaps(now, s))
     }
 
-    /// Another life of this slot has been heard of, later than this one.
+    /// Another generation of this slot has been heard of, later than this one.
     pub fn is_displaced(&self) -> bool {
         self.displaced
     }
 
-    /// This host has taken its number back under a new life; true: the later one was known at this host's own address, so
+    /// This host has taken its number back under a new generation; true: the later one was known at this host's own address, so
     /// that it can't run.
     pub fn next_take_over(&mut self) -> Option<bool> {
         self.took_over.take()
@@ -430,16 +430,16 @@
         now - self.moved
     }
 
-    /// Others that have not left, by number, with their lives and where they were reached.
+    /// Others that have not left, by number, with their generations and where they were reached.
     pub fn known(&self) -> impl Iterator<Item = (u32, u64, SocketAddr)> + '_ {
         let known = self.seen.iter().filter(|(_, s)| s.health != Health::Left);
-        known.map(|(slot, s)| (*slot, s.life, s.address))
+        known.map(|(slot, s)| (*slot, s.generation, s.address))
     }
 
     /// Of all that is known, for comparing.
     pub fn digest(&self) -> u32 {
         let m = &self.me;
-        let me = table::mark(m.slot, m.life, m.incarnation, m.health, m.address, m.site);
+        let me = table::mark(m.slot, m.generation, m.incarnation, m.health, m.address, m.site);
         self.seen.sum().wrapping_add(me)
     }
 
@@ -462,7 +462,7 @@
         let s = self.seen.get(&slot)?;
         Some(News {
             slot,
-            life: s.life,
+            generation: s.generation,
             incarnation: s.incarnation,
             health: s.health,
             address: s.address,
@@ -476,13 +476,13 @@
     }
 
     /// A datagram of that host's own has come.
-    pub fn heard_from(&mut self, now: Instant, slot: u32, life: u64) {
+    pub fn heard_from(&mut self, now: Instant, slot: u32, generation: u64) {
         let silent = now - self.heard;
         self.heard = now;
         if silent >= self.periods(probe::DEAF) {
             self.hears_again(now);
         }
-        let Some(s) = self.seen.get(&slot).filter(|s| s.life == life).cloned() else { return };
+        let Some(s) = self.seen.get(&slot).filter(|s| s.generation == generation).cloned() else { return };
         let accused = matches!(s.health, Health::Suspect | Health::Dead);
         if s.health == Health::Dead && self.settings.ways.recall {
             // What parted is meeting again: more of it may be there.
--- a/crates/membership/src/view/call.rs
+++ b/crates/membership/src/view/call.rs
@@ -1,4 +1,4 @@
-//! Calls to those that are not there: seeds, hosts that an earlier life knew, hosts held dead, and whoever seems to run
+//! Calls to those that are not there: seeds, hosts that an earlier generation knew, hosts held dead, and whoever seems to run
 //! under this host's own number.
 
 use super::*;
@@ -7,18 +7,18 @@
 const RETRY: u32 = 4;
 /// Periods in which those held dead are called each period, after one of them was heard.
 pub(super) const THAW: f64 = 10.0;
-/// Hosts of an earlier life that are called in a period, and how often each.
+/// Hosts of an earlier generation that are called in a period, and how often each.
 const RECALLED: usize = 3;
 const RECALLS: u32 = 3;
-/// Periods without a word of a later life of one's own number until it is held not to run; the first is for one that is
+/// Periods without a word of a later generation of one's own number until it is held not to run; the first is for one that is
 /// known at this host's own address, where no other can listen.
 const TWIN_HERE: f64 = 3.0;
 const TWIN_THERE: f64 = 8.0;
 
-/// A later life of this host's own number.
+/// A later generation of this host's own number.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Twin {
-    pub life: u64,
+    pub generation: u64,
     pub address: SocketAddr,
     /// Since when it has been silent.
     pub heard: Instant,
@@ -72,7 +72,7 @@
                 }
             }
         }
-        // Known by an earlier life: called, never taken for there.
+        // Known by an earlier generation: called, never taken for there.
         for _ in 0..RECALLED {
             let Some((a, times)) = self.recalled.pop_front() else { break };
             if here.contains(&a) {
@@ -85,33 +85,33 @@
         }
     }
 
-    pub(super) fn displaced_by(&mut self, now: Instant, life: u64, address: SocketAddr) {
+    pub(super) fn displaced_by(&mut self, now: Instant, generation: u64, address: SocketAddr) {
         if !self.displaced {
-            self.changes.push_back(Change::Displaced(life));
+            self.changes.push_back(Change::Displaced(generation));
             self.moved = now;
         }
         self.displaced = true;
         match &mut self.twin {
-            Some(t) if t.life >= life => {}
-            _ => self.twin = Some(Twin { life, address, heard: now }),
+            Some(t) if t.generation >= generation => {}
+            _ => self.twin = Some(Twin { generation, address, heard: now }),
         }
     }
 
     /// A datagram under this host's own number came from there.
     pub fn heard_namesake(&mut self, now: Instant, n: News, from: SocketAddr) {
-        if n.life > self.me.life {
-            self.displaced_by(now, n.life, n.address);
+        if n.generation > self.me.generation {
+            self.displaced_by(now, n.generation, n.address);
             if let Some(t) = &mut self.twin {
                 t.heard = now;
             }
-        } else if n.life < self.me.life && self.settings.ways.twin {
-            // An earlier life that runs still, or again: it is told that it is not alone.
+        } else if n.generation < self.me.generation && self.settings.ways.twin {
+            // An earlier generation that runs still, or again: it is told that it is not alone.
             self.sends.push_back((from, Body::Tell, None));
         }
     }
 
-    /// A clock that went back gives a new life a lower number than the one before it: that one does not run, and this one
-    /// would be shut out for as long as it lives. So the later life is called; if it is silent, this host goes on under a
+    /// A clock that went back gives a new generation a lower number than the one before it: that one does not run, and this one
+    /// would be shut out for as long as it lives. So the later generation is called; if it is silent, this host goes on under a
     /// later number still.
     pub(super) fn look_for_twin(&mut self, now: Instant) {
         let Some(t) = self.twin.filter(|_| self.settings.ways.twin && !self.has(ViewFault::BelievesTwin))
@@ -127,10 +127,10 @@
             return;
         }
         (self.twin, self.displaced, self.took_over) = (None, false, Some(here));
-        (self.me.life, self.me.incarnation) = (t.life + 1, 0);
+        (self.me.generation, self.me.incarnation) = (t.generation + 1, 0);
         self.counters.taken_over += 1;
         self.moved = now;
-        self.changes.push_back(Change::TookOver(self.me.life));
+        self.changes.push_back(Change::TookOver(self.me.generation));
         self.tell(self.me.slot);
         self.say_to_some();
     }
--- a/crates/membership/src/view/learn.rs
+++ b/crates/membership/src/view/learn.rs
@@ -3,11 +3,12 @@
 use super::*;
 
 impl View {
-    /// Takes in what a peer said of hosts; later lives, then later incarnations, then worse health win. What is as good
+    /// Takes in what a peer said of hosts; later generations, then later incarnations, then worse health win. What is as good
     /// as what is known changes nothing but who shares a suspicion.
     pub fn learn(&mut self, now: Instant, n: News) {
         // Against a word that no host could answer by a later one, and numbers that would fill the table.
-        if n.incarnation > INCARNATIONS || n.life > LIVES || n.slot as usize >= self.settings.most {
+        if n.incarnation > INCARNATIONS || n.generation > GENERATIONS || n.slot as usize >= self.settings.most
+        {
             self.counters.beyond += 1;
             return;
         }
@@ -21,13 +22,18 @@
             return;
         };
         let mut n = n;
-        let (known, said) = (s.rank(), (n.life, n.incarnation, n.health));
-        let overtakes = self.has(ViewFault::NewsOvertakes) && known != said && n.life == s.life;
-        let old_life = self.has(ViewFault::OldLifeWins) && n.life < s.life && n.health == Health::Alive;
+        let (known, said) = (s.rank(), (n.generation, n.incarnation, n.health));
+        let overtakes = self.has(ViewFault::NewsOvertakes) && known != said && n.generation == s.generation;
+        let old_generation = self.has(ViewFault::OldGenerationWins)
+            && n.generation < s.generation
+            && n.health == Health::Alive;
         // What was found while nobody was heard is this host's guess: any word on that host goes before it.
-        let guess = s.alone && n.life == s.life && n.incarnation >= s.incarnation && n.health != Health::Dead;
-        if !guess && !overtakes && !old_life && known >= said {
-            // Two that claim one life from two places: all hosts hold the same one of them.
+        let guess = s.alone
+            && n.generation == s.generation
+            && n.incarnation >= s.incarnation
+            && n.health != Health::Dead;
+        if !guess && !overtakes && !old_generation && known >= said {
+            // Two that claim one generation from two places: all hosts hold the same one of them.
             if known == said && (n.address, n.site) > (s.address, s.site) {
                 let seen = Seen { address: n.address, site: n.site, ..s.clone() };
                 self.put(n.slot, seen);
@@ -40,7 +46,7 @@
             return;
         }
         // Against one host's false word: who is heard here is not dead, it is one that has to answer.
-        let heard = s.heard.is_some_and(|t| now - t <= self.periods(HEARD)) && n.life == s.life;
+        let heard = s.heard.is_some_and(|t| now - t <= self.periods(HEARD)) && n.generation == s.generation;
         if n.health == Health::Dead && heard && self.settings.ways.told_back {
             if n.incarnation == s.incarnation && s.health == Health::Suspect {
                 return;
@@ -54,7 +60,7 @@
     /// What is newer than what was known.
     fn take(&mut self, now: Instant, n: News, before: Option<&Seen>) {
         let was = before.map(|s| s.health);
-        let new_life = before.is_none_or(|s| s.life != n.life);
+        let new_generation = before.is_none_or(|s| s.generation != n.generation);
         if was == Some(Health::Suspect) && n.health == Health::Alive {
             self.counters.refuted += 1;
         }
@@ -72,20 +78,20 @@
         };
         let (mut stirs, mut stirred) = before.map_or((0.0, now), |s| (s.stirs, s.stirred));
         let comes_back = n.health == Health::Alive && matches!(was, Some(Health::Dead | Health::Left));
-        if comes_back || (new_life && was.is_some_and(|h| h != Health::Left)) {
+        if comes_back || (new_generation && was.is_some_and(|h| h != Health::Left)) {
             stirs = before.map_or(0.0, |s| self.stirs(now, s)) + 1.0;
             stirred = now;
         }
         let first = |old: SocketAddr| if self.has(ViewFault::OldAddressWins) { old } else { n.address };
         let seen = Seen {
-            life: n.life,
+            generation: n.generation,
             incarnation: n.incarnation,
             health: n.health,
             address: before.map_or(n.address, |s| first(s.address)),
             site: if self.has(ViewFault::OldSiteWins) { before.map_or(n.site, |s| s.site) } else { n.site },
             since: now,
             by: n.by.filter(|_| n.health == Health::Suspect).into_iter().collect(),
-            heard: before.filter(|_| !new_life).and_then(|s| s.heard),
+            heard: before.filter(|_| !new_generation).and_then(|s| s.heard),
             lost,
             stirs,
             stirred,
@@ -100,7 +106,7 @@
         }
         self.put(n.slot, seen);
         self.moved = now;
-        if was != Some(n.health) || (new_life && was.is_some()) {
+        if was != Some(n.health) || (new_generation && was.is_some()) {
             self.changed(n.slot, n.health, flapped, flaps);
         }
         self.tell(n.slot);
@@ -121,15 +127,15 @@
         if self.deaths.len() >= DEATHS {
             self.deaths.pop_front();
         }
-        let (slot, life, incarnation) = (n.slot, n.life, n.incarnation);
-        self.deaths.push_back(Death { slot, life, incarnation, at: now, own });
+        let (slot, generation, incarnation) = (n.slot, n.generation, n.incarnation);
+        self.deaths.push_back(Death { slot, generation, incarnation, at: now, own });
     }
 
     fn learn_of_me(&mut self, now: Instant, n: News) {
-        if n.life > self.me.life {
-            return self.displaced_by(now, n.life, n.address);
+        if n.generation > self.me.generation {
+            return self.displaced_by(now, n.generation, n.address);
         }
-        if n.life < self.me.life {
+        if n.generation < self.me.generation {
             return;
         }
         let worse = n.health > self.me.health && n.incarnation >= self.me.incarnation;
--- a/crates/membership/src/view/probe.rs
+++ b/crates/membership/src/view/probe.rs
@@ -34,8 +34,8 @@
 pub(super) struct Probe {
     pub seq: u32,
     pub slot: u32,
-    /// The life that it was sent to: what that one misses is no fault of a later one.
-    pub life: u64,
+    /// The generation that it was sent to: what that one misses is no fault of a later one.
+    pub generation: u64,
     pub sent: Instant,
     pub helped: bool,
     pub direct_until: Instant,
@@ -217,7 +217,7 @@
 
     /// Neither the host nor any helper brought an answer. Helpers that said so show that this host hears well.
     fn missed(&mut self, now: Instant, p: &Probe) {
-        let Some(s) = self.seen.get(&p.slot).filter(|s| s.life == p.life) else { return };
+        let Some(s) = self.seen.get(&p.slot).filter(|s| s.generation == p.generation) else { return };
         let heard_since = s.heard.is_some_and(|t| t >= p.sent);
         if self.settings.ways.local_health {
             // One nay shows that this host is heard, and hears; helpers may be gone as well.
@@ -264,7 +264,9 @@
                 break slot;
             }
         };
-        let Some((address, life)) = self.seen.get(&slot).map(|s| (s.address, s.life)) else { return };
+        let Some((address, generation)) = self.seen.get(&slot).map(|s| (s.address, s.generation)) else {
+            return;
+        };
         if self.probes.len() >= PROBES {
             return;
         }
@@ -272,7 +274,16 @@
         let stretch = if self.settings.ways.local_health { self.stretch() } else { 1.0 };
         let after = |part: f64| now + self.periods(part * stretch);
         let (direct_until, until) = (after(DIRECT), after(INDIRECT));
-        self.probes.push(Probe { seq, slot, life, sent: now, helped: false, direct_until, until, nays: 0 });
+        self.probes.push(Probe {
+            seq,
+            slot,
+            generation,
+            sent: now,
+            helped: false,
+            direct_until,
+            until,
+            nays: 0,
+        });
         self.sends.push_back((address, Body::Ping { seq }, Some(slot)));
     }
 
--- a/crates/membership/src/view/table.rs
+++ b/crates/membership/src/view/table.rs
@@ -26,7 +26,7 @@
 /// One host's part of a digest.
 pub(super) fn mark(
     slot: u32,
-    life: u64,
+    generation: u64,
     incarnation: u32,
     health: Health,
     a: SocketAddr,
@@ -34,7 +34,7 @@
 ) -> u32 {
     let mut bytes = [0u8; 39];
     bytes[..4].copy_from_slice(&slot.to_be_bytes());
-    bytes[4..12].copy_from_slice(&life.to_be_bytes());
+    bytes[4..12].copy_from_slice(&generation.to_be_bytes());
     bytes[12..16].copy_from_slice(&incarnation.to_be_bytes());
     bytes[16] = health as u8;
     match a.ip() {
@@ -76,7 +76,7 @@
     }
 
     fn mark_of(&self, slot: u32, s: &Seen) -> u32 {
-        mark(slot, s.life, s.incarnation, s.health, s.address, s.site)
+        mark(slot, s.generation, s.incarnation, s.health, s.address, s.site)
     }
 
     pub fn live(&self) -> &[u32] {
@@ -114,7 +114,7 @@
             let health = [Health::Alive, Health::Suspect, Health::Dead, Health::Left]
                 [chance.rand_range(0..4) as usize];
             let seen = Seen {
-                life: u64::from(chance.rand_range(0..3)),
+                generation: u64::from(chance.rand_range(0..3)),
                 incarnation: chance.rand_range(0..3),
                 health,
                 address: SocketAddr::from(([10, 0, 0, slot as u8], 7)),
--- a/crates/membership/tests/decision_hash.rs
+++ b/crates/membership/tests/decision_hash.rs
@@ -61,7 +61,7 @@
     fn body(&mut self, body: Body) {
         let me = News {
             slot: 0,
-            life: 0,
+            generation: 0,
             incarnation: 0,
             health: Health::Alive,
             address: address(0),
@@ -73,7 +73,7 @@
     }
 
     fn order_name(&mut self, name: &Origin) {
-        self.numbers([u64::from(name.slot), name.life, name.number]);
+        self.numbers([u64::from(name.slot), name.generation, name.number]);
     }
 
     fn to_hex(&self) -> String {
@@ -84,7 +84,7 @@
 #[derive(Default)]
 struct Host {
     member: Option<Member>,
-    life: u64,
+    generation: u64,
     /// What it persisted: hosts that it knew, and catalog updates.
     remembered: Remembered,
     updates: BTreeMap<u64, Bytes>,
@@ -254,9 +254,9 @@
             }
             Output::Remember(remembered) => {
                 self.hash.number(6);
-                self.hash.number(remembered.life);
-                for (slot, life, address) in &remembered.hosts {
-                    self.hash.numbers([u64::from(*slot), *life]);
+                self.hash.number(remembered.generation);
+                for (slot, generation, address) in &remembered.hosts {
+                    self.hash.numbers([u64::from(*slot), *generation]);
                     self.hash.address(*address);
                 }
                 self.totals.remembered += 1;
@@ -327,17 +327,17 @@
     fn start(&mut self, number: u32) {
         let now = self.clock(number);
         self.incarnations += 1;
-        // Now and then a clock went back, and the new life has a lower number than the one before.
+        // Now and then a clock went back, and the new generation has a lower number than the one before.
         let goes_back = self.chance(0.2);
         let seconds = TimeDelta::from_secs;
         let group = self.group;
         let incarnation = self.incarnations;
         let host = self.host(number);
-        host.life = if goes_back { host.life.saturating_sub(1).max(1) } else { 10 * incarnation };
+        host.generation = if goes_back { host.generation.saturating_sub(1).max(1) } else { 10 * incarnation };
         let settings = MemberSettings {
             fleet: "fleet-a".into(),
             slot: number,
-            life: host.life,
+            generation: host.generation,
             address: address(number),
             site: Some(number % 2),
             seeds: vec![address(0), address(1)],
@@ -468,12 +468,12 @@
             return;
         }
         self.order_number += 1;
-        let (number, life) = (self.order_number, self.hosts[host as usize].life);
+        let (number, generation) = (self.order_number, self.hosts[host as usize].generation);
         let left_ms = 2_000 + self.random.rand_range(0..30_000);
         let kinds = [OrderKind::Out, OrderKind::Pinned, OrderKind::Weight(0.25)];
         let order = SpreadOrder {
             slot: host,
-            life,
+            generation,
             number,
             kind: kinds[number as usize % kinds.len()],
             target: format!("zone:{}", number % 3),
@@ -483,7 +483,7 @@
             whole_ms: left_ms,
             cleared: false,
         };
-        self.host(host).orders.push(Origin { slot: host, life, number });
+        self.host(host).orders.push(Origin { slot: host, generation, number });
         self.input(host, |member, now| member.ordered(now, order));
     }
 
@@ -520,7 +520,12 @@
             let hash = &mut self.hash;
             let mut dead = BTreeSet::new();
             for (slot, seen) in &member.snapshot() {
-                hash.numbers([u64::from(*slot), seen.life, u64::from(seen.incarnation), seen.health as u64]);
+                hash.numbers([
+                    u64::from(*slot),
+                    seen.generation,
+                    u64::from(seen.incarnation),
+                    seen.health as u64,
+                ]);
                 hash.address(seen.address);
                 hash.time(seen.since);
                 if seen.health == Health::Dead {
--- a/crates/membership/tests/member.rs
+++ b/crates/membership/tests/member.rs
@@ -1,4 +1,4 @@
-//! One member alone: hostile and damaged datagrams, another life of its own slot, and hosts that were thought dead.
+//! One member alone: hostile and damaged datagrams, another generation of its own slot, and hosts that were thought dead.
 
 use bytes::Bytes;
 use std::net::SocketAddr;
@@ -10,20 +10,20 @@
     SocketAddr::from(([10, 0, 0, h as u8], 7000))
 }
 
-fn member(life: u64) -> Member {
-    Member::new(Instant::from_secs(10.0), settings(life))
+fn member(generation: u64) -> Member {
+    Member::new(Instant::from_secs(10.0), settings(generation))
 }
 
 fn recalling(recalled: Vec<(u32, u64, SocketAddr)>) -> Member {
     Member::new(Instant::from_secs(10.0), MemberSettings { recalled, ..settings(5) })
 }
 
-fn settings(life: u64) -> MemberSettings {
+fn settings(generation: u64) -> MemberSettings {
     let secs = TimeDelta::from_secs;
     MemberSettings {
         fleet: "f".into(),
         slot: 0,
-        life,
+        generation,
         address: address(0),
         site: Some(0),
         seeds: vec![],
@@ -37,12 +37,12 @@
     }
 }
 
-fn datagram(slot: u32, life: u64, body: Body, news: Vec<News>) -> Bytes {
-    Datagram { fleet: "f".into(), me: self::news(slot, life, 0, Health::Alive), body, news }.to_bytes()
+fn datagram(slot: u32, generation: u64, body: Body, news: Vec<News>) -> Bytes {
+    Datagram { fleet: "f".into(), me: self::news(slot, generation, 0, Health::Alive), body, news }.to_bytes()
 }
 
-fn news(slot: u32, life: u64, incarnation: u32, health: Health) -> News {
-    News { slot, life, incarnation, health, address: address(slot), site: Some(slot % 2), by: None }
+fn news(slot: u32, generation: u64, incarnation: u32, health: Health) -> News {
+    News { slot, generation, incarnation, health, address: address(slot), site: Some(slot % 2), by: None }
 }
 
 #[test]
@@ -68,7 +68,7 @@
 #[test]
 fn what_wins_of_two_words_on_a_host() {
     use Health::*;
-    // What is heard one after the other of host 1: life, incarnation, health; and what holds then.
+    // What is heard one after the other of host 1: generation, incarnation, health; and what holds then.
     type Word = (u64, u32, Health);
     let cases: &[(&[Word], Word)] = &[
         (&[(1, 0, Alive), (1, 0, Suspect)], (1, 0, Suspect)),
@@ -81,16 +81,16 @@
     ];
     for (heard, held) in cases {
         let mut m = member(5);
-        for (life, incarnation, health) in *heard {
-            m.view.learn(Instant::from_secs(11.0), news(1, *life, *incarnation, *health));
+        for (generation, incarnation, health) in *heard {
+            m.view.learn(Instant::from_secs(11.0), news(1, *generation, *incarnation, *health));
         }
         let s = m.snapshot().get(&1).cloned().unwrap();
-        assert_eq!((s.life, s.incarnation, s.health), *held, "{heard:?}");
+        assert_eq!((s.generation, s.incarnation, s.health), *held, "{heard:?}");
     }
 }
 
 #[test]
-fn what_is_false_of_this_host_is_answered_and_a_later_life_displaces_it() {
+fn what_is_false_of_this_host_is_answered_and_a_later_generation_displaces_it() {
     let mut m = member(5);
     let now = Instant::from_secs(11.0);
     m.datagram(now, address(1), datagram(1, 9, Body::Tell, vec![news(0, 5, 3, Health::Dead)]));
@@ -110,7 +110,7 @@
     for i in 0..30_000u64 {
         now += 0.001;
         let t = Instant::from_secs(now);
-        let (slot, life) = (c.rand_range(0..12) as u32, c.rand_range(0..9));
+        let (slot, generation) = (c.rand_range(0..12) as u32, c.rand_range(0..9));
         let share = c.rand_float() as f32;
         let x = c.rand_range(0..60) as u32;
         let body = match c.rand_range(0..9) {
@@ -118,14 +118,14 @@
             1 => Body::PingFor { seq: x, slot: x % 8 },
             2 => Body::Ack { seq: x },
             3 => Body::Digest { view: x, orders: x },
-            4 => Body::Want { seq: x, using: x, of_life: 5, volume: 1, share },
-            5 => Body::Loan { answers: x, to_life: 5, seq: x, volume: 1, share, term_ms: u32::MAX },
+            4 => Body::Want { seq: x, using: x, of_generation: 5, volume: 1, share },
+            5 => Body::Loan { answers: x, to_generation: 5, seq: x, volume: 1, share, term_ms: u32::MAX },
             6 => Body::Offer { volume: 1 },
             7 => Body::Recall { volume: 1 },
-            _ => Body::Returned { to_life: 5, volume: 1 },
+            _ => Body::Returned { to_generation: 5, volume: 1 },
         };
-        let said = vec![news(c.rand_range(0..40) as u32, life, x, Health::Alive)];
-        let mut bytes = datagram(slot, life, body, said).to_vec();
+        let said = vec![news(c.rand_range(0..40) as u32, generation, x, Health::Alive)];
+        let mut bytes = datagram(slot, generation, body, said).to_vec();
         if i % 5 == 0 {
             let at = c.rand_range(0..bytes.len() as u64) as usize;
             bytes[at] ^= 1 << c.rand_range(0..8);
@@ -151,7 +151,7 @@
 fn an_order_that_was_cleared_or_has_ended_never_comes_back() {
     let order = |left_ms, cleared| SpreadOrder {
         slot: 1,
-        life: 1,
+        generation: 1,
         number: 7,
         kind: OrderKind::Out,
         target: "zone:1".into(),
@@ -196,7 +196,7 @@
     let (kind, left_ms, whole_ms) = (OrderKind::Out, 60_000, 60_000);
     let order = SpreadOrder {
         slot: 1,
-        life: 1,
+        generation: 1,
         number: 7,
         kind,
         target,
--- a/crates/membership/tests/terms.rs
+++ b/crates/membership/tests/terms.rs
@@ -17,7 +17,7 @@
 #[derive(Clone)]
 struct Host {
     loans: Option<Loans>,
-    life: u64,
+    generation: u64,
     left: bool,
     offset: f64,
     pace: f64,
@@ -28,7 +28,7 @@
 #[derive(Clone)]
 struct Letter {
     from: u32,
-    life: u64,
+    generation: u64,
     to: u32,
     say: Say,
 }
@@ -38,7 +38,7 @@
     now: f64,
     hosts: Vec<Host>,
     letters: Vec<Letter>,
-    lives: u64,
+    generations: u64,
     fault: Option<TermFault>,
 }
 
@@ -46,14 +46,19 @@
     fn new(n: u32, asks: &[f64], pace: impl Fn(u32) -> f64, fault: Option<TermFault>) -> World {
         let host = |i: u32| Host {
             loans: None,
-            life: 0,
+            generation: 0,
             left: false,
             offset: 100.0 * f64::from(i),
             pace: pace(i),
             asks: asks[i as usize],
         };
-        let mut w =
-            World { now: 10.0, hosts: (0..n).map(host).collect(), letters: Vec::new(), lives: 0, fault };
+        let mut w = World {
+            now: 10.0,
+            hosts: (0..n).map(host).collect(),
+            letters: Vec::new(),
+            generations: 0,
+            fault,
+        };
         (0..n as usize).for_each(|h| w.start(h));
         w
     }
@@ -63,15 +68,15 @@
     }
 
     fn start(&mut self, h: usize) {
-        self.lives += 1;
+        self.generations += 1;
         let owners = (0..self.hosts.len() as u32).collect();
         let shared = vec![Shared { volume: 1, limit: 100.0, owners }];
         let at = self.clock(h);
-        let mut loans = Loans::new(at, (h as u32, self.lives), settings(), shared, self.hosts[h].left);
+        let mut loans = Loans::new(at, (h as u32, self.generations), settings(), shared, self.hosts[h].left);
         if let Some(f) = self.fault {
             loans = loans.with_fault(at, f);
         }
-        (self.hosts[h].loans, self.hosts[h].life) = (Some(loans), self.lives);
+        (self.hosts[h].loans, self.hosts[h].generation) = (Some(loans), self.generations);
     }
 
     fn pass(&mut self, seconds: f64) {
@@ -84,7 +89,7 @@
                 l.tick(at, &live);
             }
             self.collect(h);
-            // The mark of a leave stands until nothing of it can be out, over any number of lives.
+            // The mark of a leave stands until nothing of it can be out, over any number of generations.
             if self.hosts[h].loans.as_ref().is_some_and(|l| l.is_free(at) && !l.is_leaving()) {
                 self.hosts[h].left = false;
             }
@@ -92,13 +97,13 @@
     }
 
     fn collect(&mut self, h: usize) {
-        let life = self.hosts[h].life;
+        let generation = self.hosts[h].generation;
         while let Some((to, say)) = self.hosts[h].loans.as_mut().and_then(Loans::next_say) {
             // A letter box that is full loses the oldest.
             if self.letters.len() > 24 {
                 self.letters.remove(0);
             }
-            self.letters.push(Letter { from: h as u32, life, to, say });
+            self.letters.push(Letter { from: h as u32, generation, to, say });
         }
     }
 
@@ -107,8 +112,8 @@
         let to = l.to as usize;
         let at = self.clock(to);
         if let Some(loans) = &mut self.hosts[to].loans {
-            loans.new_life(at, l.from, l.life);
-            loans.heard(at, l.from, l.life, l.say);
+            loans.new_generation(at, l.from, l.generation);
+            loans.heard(at, l.from, l.generation, l.say);
         }
         self.collect(to);
     }
@@ -218,7 +223,7 @@
 fn walks_by_chance_keep_the_sum_and_move_parts() {
     let walks = if cfg!(debug_assertions) { 2_000 } else { 40_000 };
     // Found by walks in their time, and mended: the mark of a leave that a second restart lost (seed 264), and a lender's
-    // life that was forgotten with the end of its loan (seed 1686).
+    // generation that was forgotten with the end of its loan (seed 1686).
     for seed in 0..walks {
         assert_eq!(walk(seed, None), None, "seed {seed}");
     }
@@ -244,7 +249,7 @@
         (TermFault::StartsFull, 100),
         (TermFault::FreedUnheard, 300),
         (TermFault::LendsBorrowed, 20_000),
-        (TermFault::LivesMixed, 20_000),
+        (TermFault::GenerationsMixed, 20_000),
     ] {
         let found = (0..within).find(|seed| walk(*seed, Some(fault)).is_some());
         assert!(found.is_some(), "{fault:?}: not within {within} walks");
@@ -271,7 +276,7 @@
     w.hosts[2].loans = None;
     settle(&mut w, 1.5);
     assert!(w.in_use() > 0.97, "its part is used by others: {}", w.in_use());
-    // Its next life has nothing at first, and all of it once the others have said that they hold none.
+    // Its next generation has nothing at first, and all of it once the others have said that they hold none.
     w.hosts[2].asks = 150.0;
     w.start(2);
     let m = w.hosts[2].loans.as_ref().unwrap().moved(w.clock(2), 1).unwrap();
@@ -306,18 +311,18 @@
         l.asked(t, 1, 0.5);
         l.tick(t, &BTreeSet::from([1, 2]));
         while l.next_say().is_some() {}
-        let (from, life) = (c.rand_range(0..5) as u32, c.rand_range(0..3));
+        let (from, generation) = (c.rand_range(0..5) as u32, c.rand_range(0..3));
         let (x, y) = (c.rand_range(0..40) as u32, c.rand_range(0..40) as u32);
         let share = c.rand_float() as f32;
-        let to_life = if c.rand_float() < 0.8 { 9 } else { 3 };
+        let to_generation = if c.rand_float() < 0.8 { 9 } else { 3 };
         let volume = c.rand_range(0..3) as u32;
         let say = match c.rand_range(0..5) {
-            0 => Say::Want { seq: x, using: y, of_life: to_life, volume, share },
-            1 | 2 => Say::Loan { answers: x, to_life, seq: y, volume, share, term_ms: u32::MAX },
+            0 => Say::Want { seq: x, using: y, of_generation: to_generation, volume, share },
+            1 | 2 => Say::Loan { answers: x, to_generation, seq: y, volume, share, term_ms: u32::MAX },
             3 => Say::Recall { volume },
-            _ => Say::Returned { to_life, volume },
+            _ => Say::Returned { to_generation, volume },
         };
-        l.heard(t, from, life, say);
+        l.heard(t, from, generation, say);
         let m = l.moved(t, 1).unwrap();
         // At most each other owner's own part, and never for a host that owns none.
         assert!(m.borrowed <= 2.0 / 3.0 + 1e-9 && m.lent <= 1.0 / 3.0 + 1e-9, "{m:?}");
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -9,8 +9,8 @@
     SocketAddr::from(([10, 0, 0, h as u8], 7000))
 }
 
-fn news(slot: u32, life: u64, incarnation: u32, health: Health) -> News {
-    News { slot, life, incarnation, health, address: address(slot), site: Some(slot % 3), by: None }
+fn news(slot: u32, generation: u64, incarnation: u32, health: Health) -> News {
+    News { slot, generation, incarnation, health, address: address(slot), site: Some(slot % 3), by: None }
 }
 
 fn at(periods: f64) -> Instant {
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_stop_is_nobody_elses_fault_and_a_probe_of_an_earlier_life_accuses_none() {
+fn a_stop_is_nobody_elses_fault_and_a_probe_of_an_earlier_generation_accuses_none() {
     for (ways, accuses) in
         [(Ways::all(), false), (Ways { own_pause: false, local_health: false, ..Ways::all() }, true)]
     {
@@ -119,9 +119,9 @@
 fn a_host_that_flaps_is_pinged_and_listed_but_not_asked_for_help() {
     let mut v = view(5, Ways::all());
     let mut lines = Vec::new();
-    for life in 11..20 {
-        v.learn(at(life as f64), news(1, life, 0, Health::Dead));
-        v.learn(at(life as f64), news(1, life + 1, 0, Health::Alive));
+    for generation in 11..20 {
+        v.learn(at(generation as f64), news(1, generation, 0, Health::Dead));
+        v.learn(at(generation as f64), news(1, generation + 1, 0, Health::Alive));
         lines.extend(std::iter::from_fn(|| v.next_change()));
     }
     assert!(v.is_flapping(at(20.0), 1) && v.live().contains(&1), "{lines:?}");
@@ -210,8 +210,8 @@
 }
 
 #[test]
-fn a_later_life_of_ones_own_number_is_believed_only_while_it_is_heard() {
-    // Where the later life is known, whether it answers, and whether this host takes its number back; true: as a new life
+fn a_later_generation_of_ones_own_number_is_believed_only_while_it_is_heard() {
+    // Where the later generation is known, whether it answers, and whether this host takes its number back; true: as a new generation
     // that shares again.
     let elsewhere: SocketAddr = "10.0.0.99:7000".parse().unwrap();
     let cases = [
@@ -235,8 +235,8 @@
             taken = taken.or_else(|| v.next_take_over());
         }
         assert_eq!(taken, expected, "{name}");
-        let life = if expected.is_some() { 61 } else { 50 };
-        assert_eq!((v.me().life, v.is_displaced()), (life, expected.is_none()), "{name}");
+        let generation = if expected.is_some() { 61 } else { 50 };
+        assert_eq!((v.me().generation, v.is_displaced()), (generation, expected.is_none()), "{name}");
     }
 }
 
--- a/crates/overrides/src/engine.rs
+++ b/crates/overrides/src/engine.rs
@@ -208,7 +208,7 @@
 }
 
 impl Overrides {
-    /// `records` are those that an earlier life acknowledged; what ended meanwhile is told and dropped.
+    /// `records` are those that an earlier generation acknowledged; what ended meanwhile is told and dropped.
     pub fn new(
         now: Instant,
         wall_us: u64,
@@ -223,7 +223,7 @@
             ends: Wheel::new(now),
             ends_at: HashMap::new(),
             next: next.max(1),
-            // Versions of an earlier life must not be met again, or an old one would pass for the present.
+            // Versions of an earlier generation must not be met again, or an old one would pass for the present.
             version: wall_us / 1000,
             recent: VecDeque::new(),
             nodes: BTreeMap::new(),
@@ -510,7 +510,7 @@
     }
 
     /// Compares the two clocks. After a step of the wall clock the ends keep their running time; the records with
-    /// their new ends in wall time are to be kept anew, for a later life.
+    /// their new ends in wall time are to be kept anew, for a later generation.
     pub fn wall_seen(&mut self, now: Instant, wall_us: u64) -> Option<(Vec<Override>, Audit)> {
         let offset = wall_us as i64 - us(now);
         let step = offset - self.offset_us;
