--- a/crates/overrides/src/order.rs
+++ b/crates/overrides/src/order.rs
@@ -115,11 +115,12 @@
     pub origin: Option<Origin>,
 }
 
-/// The name of an order among all hosts: the host and life that took it, and its number there.
+/// The name of an order among all hosts: the host and generation that took it, and its number there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Origin {
     pub slot: u32,
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub generation: u64,
     pub number: u64,
 }
 
--- a/crates/overrides/src/wheel.rs
+++ b/crates/overrides/src/wheel.rs
@@ -14,12 +14,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Handle {
     index: u32,
-    life: u32,
+    generation: u32,
 }
 
 struct Entry<K> {
     key: Option<K>, // none: the place is free
-    life: u32,
+    generation: u32,
     due: u64, // ticks, rounded up
     list: u16,
     place: u32,
@@ -73,15 +73,15 @@
         let index = match self.free.pop() {
             Some(i) => i,
             None => {
-                self.entries.push(Entry { key: None, life: 0, due: 0, list: 0, place: 0 });
+                self.entries.push(Entry { key: None, generation: 0, due: 0, list: 0, place: 0 });
                 self.entries.len() as u32 - 1
             }
         };
         let e = &mut self.entries[index as usize];
         (e.key, e.due) = (Some(key), due);
-        let life = e.life;
+        let generation = e.generation;
         self.place(index);
-        Handle { index, life }
+        Handle { index, generation }
     }
 
     fn place(&mut self, index: u32) {
@@ -108,7 +108,8 @@
 
     /// Whether the entry was still in.
     pub fn remove(&mut self, h: Handle) -> bool {
-        let Some(e) = self.entries.get(h.index as usize).filter(|e| e.life == h.life && e.key.is_some())
+        let Some(e) =
+            self.entries.get(h.index as usize).filter(|e| e.generation == h.generation && e.key.is_some())
         else {
             return false;
         };
@@ -125,7 +126,7 @@
 
     fn give_back(&mut self, index: u32) -> Option<K> {
         let e = &mut self.entries[index as usize];
-        e.life = e.life.wrapping_add(1);
+        e.generation = e.generation.wrapping_add(1);
         self.free.push(index);
         e.key.take()
     }
--- a/crates/overrides/tests/json_forms.rs
+++ b/crates/overrides/tests/json_forms.rs
@@ -29,7 +29,7 @@
 }
 
 fn origin() -> Origin {
-    Origin { slot: 2, life: 77, number: 9 }
+    Origin { slot: 2, generation: 77, number: 9 }
 }
 
 #[test]
--- a/crates/rulecheck/src/index.rs
+++ b/crates/rulecheck/src/index.rs
@@ -57,13 +57,13 @@
     }
 
     pub fn group(&self, index: &Index, zone: bool) -> Option<u32> {
-        let life = index.node_life(&self.node, self.t)?;
-        Some(if zone { life.zone } else { life.shard })
+        let generation = index.node_generation(&self.node, self.t)?;
+        Some(if zone { generation.zone } else { generation.shard })
     }
 }
 
 #[derive(Debug)]
-pub struct NodeLife {
+pub struct NodeGeneration {
     pub node: String,
     pub t: u64,
     pub zone: u32,
@@ -78,7 +78,7 @@
     pub t: u64,
     pub state: ListedState,
     pub started_us: u64,
-    /// By the list; else a new life knows nothing.
+    /// By the list; else a new generation knows nothing.
     pub listed: bool,
 }
 
@@ -109,7 +109,7 @@
     pub told: HashMap<(u32, String), Vec<Told>>,
     /// By host and node: from when on operators have it out of service, and from when on no longer.
     pub ordered: HashMap<(u32, String), Vec<(u64, bool)>>,
-    pub lives: Vec<NodeLife>,
+    pub generations: Vec<NodeGeneration>,
     /// By volume, the oldest first.
     pub figures: BTreeMap<u32, Vec<Figures>>,
     pub host_ups: Vec<(u64, u32)>,
@@ -139,7 +139,7 @@
             requests: BTreeMap::new(),
             told: HashMap::new(),
             ordered: HashMap::new(),
-            lives: Vec::new(),
+            generations: Vec::new(),
             host_ups: Vec::new(),
             stops: HashMap::new(),
             client_cuts: HashMap::new(),
@@ -221,20 +221,22 @@
                 Event::HostUp { host } => {
                     down.remove(host);
                     x.host_ups.push((t, *host));
-                    // A new life knows nothing of what the old one was told.
+                    // A new generation knows nothing of what the old one was told.
                     for (_, told) in x.told.iter_mut().filter(|((h, _), _)| h == host) {
                         told.push(Told { t, state: ListedState::Ready, started_us: 0, listed: false });
                     }
                 }
-                Event::NodeUp { node, zone, shard, capacity, cold_from, warm_us } => x.lives.push(NodeLife {
-                    node: node.clone(),
-                    t,
-                    zone: *zone,
-                    shard: *shard,
-                    capacity: *capacity,
-                    cold_from: *cold_from,
-                    warm_us: *warm_us,
-                }),
+                Event::NodeUp { node, zone, shard, capacity, cold_from, warm_us } => {
+                    x.generations.push(NodeGeneration {
+                        node: node.clone(),
+                        t,
+                        zone: *zone,
+                        shard: *shard,
+                        capacity: *capacity,
+                        cold_from: *cold_from,
+                        warm_us: *warm_us,
+                    })
+                }
                 Event::Attempt {
                     node,
                     name,
@@ -261,7 +263,7 @@
                     let place = told.map(|v| ((u64::from(*volume) + 1) << 48) | (offset / v.extent_bytes));
                     let key = &place.unwrap_or(*key);
                     attempts_of.insert((node.clone(), *name), at);
-                    x.requests.entry((name.host, name.life, name.request)).or_default().push(at);
+                    x.requests.entry((name.host, name.generation, name.request)).or_default().push(at);
                     x.attempts.push(Attempt {
                         t,
                         node: node.clone(),
@@ -392,8 +394,8 @@
         self.facts.traffic_classes.get(self.commands[command?].traffic_class as usize)
     }
 
-    pub fn node_life(&self, node: &str, t: u64) -> Option<&NodeLife> {
-        self.lives.iter().rev().find(|l| l.node == node && l.t <= t)
+    pub fn node_generation(&self, node: &str, t: u64) -> Option<&NodeGeneration> {
+        self.generations.iter().rev().find(|l| l.node == node && l.t <= t)
     }
 
     pub fn title(&self, attempt: &Attempt) -> String {
@@ -404,7 +406,7 @@
             None => {
                 format!(
                     "{}/{:x} number {} attempt {}",
-                    attempt.name.host, attempt.name.life, attempt.name.request, attempt.name.attempt
+                    attempt.name.host, attempt.name.generation, attempt.name.request, attempt.name.attempt
                 )
             }
         }
--- a/crates/rulecheck/src/lib.rs
+++ b/crates/rulecheck/src/lib.rs
@@ -17,7 +17,7 @@
     pub rule: u8,
     /// Microseconds of Unix time.
     pub t: u64,
-    /// The request, as its host, session and command, or as host, life and number where no client is known.
+    /// The request, as its host, session and command, or as host, generation and number where no client is known.
     #[serde(rename = "transfer")]
     pub request: String,
     pub node: String,
--- a/crates/rulecheck/src/rules.rs
+++ b/crates/rulecheck/src/rules.rs
@@ -216,15 +216,23 @@
     let f = &x.facts;
     let mut breaks = Vec::new();
     let mut checked = 0;
-    for life in x.lives.iter().filter(|l| l.cold_from < 1.0 && l.warm_us > 0) {
-        let next = x.lives.iter().filter(|l| l.node == life.node && l.t > life.t).map(|l| l.t).min();
-        let until = (life.t + life.warm_us).min(next.unwrap_or(u64::MAX));
+    for generation in x.generations.iter().filter(|l| l.cold_from < 1.0 && l.warm_us > 0) {
+        let next = x
+            .generations
+            .iter()
+            .filter(|l| l.node == generation.node && l.t > generation.t)
+            .map(|l| l.t)
+            .min();
+        let until = (generation.t + generation.warm_us).min(next.unwrap_or(u64::MAX));
         let mut window: VecDeque<(u64, f64, bool)> = VecDeque::new();
-        for attempt in x.attempts.iter().filter(|l| l.node == life.node && l.t >= life.t && l.t < until) {
+        for attempt in
+            x.attempts.iter().filter(|l| l.node == generation.node && l.t >= generation.t && l.t < until)
+        {
             checked += 1;
             let told = x.told.get(&(attempt.name.host, attempt.node.clone()));
             let knew = told.is_some_and(|t| {
-                t.iter().any(|t| t.t <= attempt.t && t.started_us + f.skew_us >= life.t && t.started_us > 0)
+                t.iter()
+                    .any(|t| t.t <= attempt.t && t.started_us + f.skew_us >= generation.t && t.started_us > 0)
             });
             window.push_back((attempt.t, attempt.units, knew));
             while window.front().is_some_and(|(t, _, _)| t + f.cold_window_us < attempt.t) {
@@ -232,10 +240,10 @@
             }
             let sent: f64 = window.iter().map(|(_, u, _)| u).sum();
             let by_told: f64 = window.iter().filter(|(_, _, k)| *k).map(|(_, u, _)| u).sum();
-            let part = (attempt.t - life.t) as f64 / life.warm_us as f64;
-            let warmth = life.cold_from + (1.0 - life.cold_from) * part;
+            let part = (attempt.t - generation.t) as f64 / generation.warm_us as f64;
+            let warmth = generation.cold_from + (1.0 - generation.cold_from) * part;
             let window_s = f.cold_window_us as f64 / 1e6;
-            let bears = (f.cold_multiple * life.capacity * warmth * window_s).max(f.cold_safe_units);
+            let bears = (f.cold_multiple * generation.capacity * warmth * window_s).max(f.cold_safe_units);
             if sent > bears + ROUNDING && by_told >= TOLD_PART * sent {
                 let what = format!(
                     "{sent:.1} units in {window_s} s, by hosts that knew of its start; it bears {bears:.1}"
@@ -255,7 +263,7 @@
     let mut keys: BTreeMap<(u32, u64, u64), Vec<usize>> = BTreeMap::new();
     for (i, attempt) in x.attempts.iter().enumerate().filter(|(_, l)| l.key != 0) {
         if x.traffic_class(attempt.command).is_some_and(|s| s.in_order) {
-            keys.entry((attempt.name.host, attempt.name.life, attempt.key)).or_default().push(i);
+            keys.entry((attempt.name.host, attempt.name.generation, attempt.key)).or_default().push(i);
         }
     }
     for attempts in keys.values() {
@@ -307,11 +315,11 @@
     let skew = x.facts.skew_us;
     let mut breaks = Vec::new();
     let mut checked = 0;
-    let mut lives: BTreeMap<(u32, u64), Vec<&Attempt>> = BTreeMap::new();
+    let mut generations: BTreeMap<(u32, u64), Vec<&Attempt>> = BTreeMap::new();
     for attempt in x.attempts.iter().filter(|l| l.name.attempt > 0) {
-        lives.entry((attempt.name.host, attempt.name.life)).or_default().push(attempt);
+        generations.entry((attempt.name.host, attempt.name.generation)).or_default().push(attempt);
     }
-    for ((host, _), attempts) in lives {
+    for ((host, _), attempts) in generations {
         let taken: Vec<u64> = x.commands.iter().filter(|c| c.name.0 == host).map(|c| c.t).collect();
         for (i, attempt) in attempts.iter().enumerate() {
             checked += 1;
--- a/crates/rulecheck/src/spread.rs
+++ b/crates/rulecheck/src/spread.rs
@@ -68,7 +68,7 @@
     }
 
     fn attempt(t: u64, host: u32) -> Line {
-        let name = AttemptName { host, life: 1, request: t, attempt: 1 };
+        let name = AttemptName { host, generation: 1, request: t, attempt: 1 };
         let (session, command, part, volume, write) = (1, 1, 0, 1, false);
         let (offset, bytes, units, key, mark, left_us) = (0, 512, 1.0, 0, String::new(), 0);
         let node = "a".into();
--- a/crates/rulecheck/tests/doctored.rs
+++ b/crates/rulecheck/tests/doctored.rs
@@ -144,7 +144,7 @@
 }
 
 fn name(command: u32, attempt: u8) -> AttemptName {
-    AttemptName { host: 0, life: 77, request: u64::from(command), attempt }
+    AttemptName { host: 0, generation: 77, request: u64::from(command), attempt }
 }
 
 fn up(node: &str, zone: u32, shard: u32, cold_from: f64) -> Event {
@@ -276,7 +276,10 @@
         }),
         ("no rest after a lost link", 5, |s| {
             s.submit(100, 1, 1).submit(100, 2, 1).attempt_of(101, "a", 1, 0, 2, 1, 9).answer(201, 1, Failed);
-            s.at(200, Event::LinkDown { node: "a".into(), host: 0, life: 77, attempts: vec![name(1, 0)] });
+            s.at(
+                200,
+                Event::LinkDown { node: "a".into(), host: 0, generation: 77, attempts: vec![name(1, 0)] },
+            );
             s.attempt_of(600, "a", 2, 0, 2, 1, 9)
                 .end(610, "a", 2, 0, AttemptEndKind::Done)
                 .answer(611, 2, Done);
@@ -297,7 +300,10 @@
         }),
         ("in turn, after the rest", 0, |s| {
             s.submit(100, 1, 1).submit(150, 2, 1).attempt_of(101, "a", 1, 0, 2, 1, 9);
-            s.at(200, Event::LinkDown { node: "a".into(), host: 0, life: 77, attempts: vec![name(1, 0)] });
+            s.at(
+                200,
+                Event::LinkDown { node: "a".into(), host: 0, generation: 77, attempts: vec![name(1, 0)] },
+            );
             s.answer(201, 1, Failed)
                 .attempt_of(710, "a", 2, 0, 2, 1, 9)
                 .end(715, "a", 2, 0, AttemptEndKind::Done)
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -58,7 +58,7 @@
 pub struct Seen {
     pub request: Request,
     pub at: Instant,
-    /// Which connection of the node's life it came on.
+    /// Which connection of the node's generation it came on.
     pub connection: usize,
 }
 
@@ -125,7 +125,7 @@
         locked(&self.inner.seen).clone()
     }
 
-    /// Connections in its life, and those open now.
+    /// Connections in its generation, and those open now.
     pub fn connections(&self) -> (usize, usize) {
         (self.inner.connections.load(Ordering::SeqCst), self.inner.open.load(Ordering::SeqCst))
     }
--- a/crates/standins/src/node.rs
+++ b/crates/standins/src/node.rs
@@ -153,7 +153,7 @@
     to: Sender<Bytes>,
     stream: TcpStream,
     host: u32,
-    life: u64,
+    generation: u64,
     quiet: bool,
     /// Least difference seen between this node's clock and the host's.
     offset: i64,
@@ -177,7 +177,7 @@
     waiting: (Us, u32),
     started: Us,
     up: bool,
-    life: u64,
+    generation: u64,
 }
 
 struct Inner {
@@ -218,7 +218,7 @@
             waiting: (0, 0),
             started,
             up: true,
-            life: 0,
+            generation: 0,
         };
         let (changed, over) = (Condvar::new(), AtomicBool::new(false));
         let node = Node(Arc::new(Inner { settings, address, state: Mutex::new(state), changed, over }));
@@ -285,10 +285,10 @@
             Fault::Reset => self.0.close_all(&mut s),
             Fault::Restart(down) => {
                 self.0.die(&mut s);
-                let (inner, life) = (self.0.clone(), s.life);
+                let (inner, generation) = (self.0.clone(), s.generation);
                 let again = move || {
                     std::thread::sleep(Duration::from_secs_f64(down));
-                    inner.live_again(life);
+                    inner.live_again(generation);
                 };
                 _ = spawn("node restart", again);
             }
@@ -379,7 +379,7 @@
     /// The process is gone: its connections with it, and what it held may or may not have had its effect.
     fn die(&self, s: &mut State) {
         s.up = false;
-        s.life += 1;
+        s.generation += 1;
         self.settings.recorder.note(Event::NodeDown { node: self.name() });
         for id in s.model.held() {
             if s.chance.rand_float() < 0.5 {
@@ -394,8 +394,8 @@
         _ = TcpStream::connect_timeout(&self.address, Duration::from_millis(200));
     }
 
-    fn live_again(self: Arc<Self>, life: u64) {
-        if self.over.load(Ordering::Acquire) || lock(&self.state).life != life {
+    fn live_again(self: Arc<Self>, generation: u64) {
+        if self.over.load(Ordering::Acquire) || lock(&self.state).generation != generation {
             return;
         }
         let until = std::time::Instant::now() + Duration::from_secs(5);
@@ -417,7 +417,7 @@
         self.note_up(&s);
         drop(s);
         let inner = self.clone();
-        _ = spawn("node listen", move || inner.listen(&listener, life));
+        _ = spawn("node listen", move || inner.listen(&listener, generation));
     }
 
     fn close_all(&self, s: &mut State) {
@@ -426,9 +426,9 @@
         }
     }
 
-    fn listen(self: Arc<Self>, listener: &TcpListener, life: u64) {
+    fn listen(self: Arc<Self>, listener: &TcpListener, generation: u64) {
         for stream in listener.incoming() {
-            if self.over.load(Ordering::Acquire) || lock(&self.state).life != life {
+            if self.over.load(Ordering::Acquire) || lock(&self.state).generation != generation {
                 return;
             }
             let Ok(stream) = stream else { continue };
@@ -537,7 +537,7 @@
             let number = s.next;
             s.conns.insert(
                 number,
-                Conn { to: to.clone(), stream: clone, host: 0, life: 0, quiet: true, offset: i64::MAX },
+                Conn { to: to.clone(), stream: clone, host: 0, generation: 0, quiet: true, offset: i64::MAX },
             );
             number
         };
@@ -589,7 +589,8 @@
     fn note_link_down(&self, s: &State, number: u64, t: Us) {
         if let Some(c) = s.conns.get(&number) {
             let attempts = s.held.values().filter(|h| h.conn == number).map(|h| h.name).collect();
-            let event = Event::LinkDown { node: self.name(), host: c.host, life: c.life, attempts };
+            let event =
+                Event::LinkDown { node: self.name(), host: c.host, generation: c.generation, attempts };
             self.settings.recorder.note_at(t, event);
         }
     }
@@ -603,10 +604,10 @@
         let now = now_us();
         let silent = s.ills.silent;
         match frame {
-            Frame::HostHello { version, host, life, sent_us } => {
+            Frame::HostHello { version, host, generation, sent_us } => {
                 let Ok(version) = wire::agree(version) else { return false };
                 if let Some(c) = s.conns.get_mut(&conn) {
-                    (c.host, c.life, c.quiet) = (host, life, false);
+                    (c.host, c.generation, c.quiet) = (host, generation, false);
                     c.offset = now as i64 - sent_us as i64;
                 }
                 let (shard, zone) = (self.settings.shard, self.settings.zone);
@@ -615,12 +616,17 @@
                 silent || to.try_send(hello.to_bytes()).is_ok()
             }
             Frame::Send(attempt) => {
-                let Some((host, life)) = s.conns.get(&conn).filter(|c| !c.quiet).map(|c| (c.host, c.life))
+                let Some((host, generation)) =
+                    s.conns.get(&conn).filter(|c| !c.quiet).map(|c| (c.host, c.generation))
                 else {
                     return false;
                 };
-                let name =
-                    AttemptName { host, life, request: attempt.request, attempt: attempt.attempt_number };
+                let name = AttemptName {
+                    host,
+                    generation,
+                    request: attempt.request,
+                    attempt: attempt.attempt_number,
+                };
                 let offset = s.conns.get_mut(&conn).map_or(0, |c| {
                     c.offset = c.offset.min(now as i64 - attempt.sent_us as i64);
                     c.offset
@@ -651,7 +657,8 @@
                     self.settings.recorder.note_at(came, attempt_event());
                     if let Some(t) = ended {
                         // Read only after its host had closed the link, and so had the end of it.
-                        let event = Event::LinkDown { node: self.name(), host, life, attempts: vec![name] };
+                        let event =
+                            Event::LinkDown { node: self.name(), host, generation, attempts: vec![name] };
                         self.settings.recorder.note_at(t.max(came), event);
                     }
                 }
@@ -761,7 +768,7 @@
         })
         .unwrap();
         let mut link = TcpStream::connect(node.address()).unwrap();
-        let hello = Frame::HostHello { version: wire::VERSION, host: 0, life: 1, sent_us: now_us() };
+        let hello = Frame::HostHello { version: wire::VERSION, host: 0, generation: 1, sent_us: now_us() };
         link.write_all(&hello.to_bytes()).unwrap();
         let attempt = |attempt| {
             let origin = Origin { session: 1, command: 1, part: 0 };
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -110,11 +110,12 @@
     List,
 }
 
-/// An attempt as its node sees it: host, life of the host, request within that life, and number of the attempt.
+/// An attempt as its node sees it: host, generation of the host, request within that generation, and number of the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AttemptName {
     pub host: u32,
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub generation: u64,
     #[serde(rename = "xfer")]
     pub request: u64,
     #[serde(rename = "leg")]
@@ -227,7 +228,8 @@
     LinkDown {
         node: String,
         host: u32,
-        life: u64,
+        #[serde(rename = "life")]
+        generation: u64,
         #[serde(rename = "legs")]
         attempts: Vec<AttemptName>,
     },
--- a/crates/trace/tests/json_forms.rs
+++ b/crates/trace/tests/json_forms.rs
@@ -20,7 +20,7 @@
 }
 
 fn name() -> AttemptName {
-    AttemptName { host: 1, life: 77, request: 12, attempt: 2 }
+    AttemptName { host: 1, generation: 77, request: 12, attempt: 2 }
 }
 
 fn node() -> String {
@@ -210,7 +210,7 @@
         r#"{"t":1700000000000000,"e":"cancel","node":"127.0.0.1:9000","name":{"host":1,"life":77,"xfer":12,"leg":2}}"#,
     );
     assert_event(
-        Event::LinkDown { node: node(), host: 1, life: 77, attempts: vec![name()] },
+        Event::LinkDown { node: node(), host: 1, generation: 77, attempts: vec![name()] },
         r#"{"t":1700000000000000,"e":"link_down","node":"127.0.0.1:9000","host":1,"life":77,"legs":[{"host":1,"life":77,"xfer":12,"leg":2}]}"#,
     );
 }
--- a/crates/wire/src/agree.rs
+++ b/crates/wire/src/agree.rs
@@ -38,13 +38,13 @@
     pub what: What,
 }
 
-/// Which disk a voter speaks from, the how manieth time it was opened, and the life that did so. Against a disk that comes
+/// Which disk a voter speaks from, the how manieth time it was opened, and the generation that did so. Against a disk that comes
 /// back old, or twice: its votes were given away already.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Origin {
     pub disk: u64,
     pub boot: u32,
-    pub life: u64,
+    pub generation: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -103,8 +103,8 @@
     Granted {
         /// Of the log, drawn when the fleet began.
         id: u64,
-        /// Of the asker: an earlier life's numbers were the same.
-        to_life: u64,
+        /// Of the asker: an earlier generation's numbers were the same.
+        to_generation: u64,
         seq: u32,
         term: u64,
         index: u64,
@@ -137,7 +137,7 @@
         founded: bool,
         disks: Voters,
     },
-    /// The receiver's disk was opened since by another life: it is an old copy, or one of two.
+    /// The receiver's disk was opened since by another generation: it is an old copy, or one of two.
     Stale {
         of: Origin,
     },
@@ -151,7 +151,7 @@
 fn put_origin(out: &mut BytesMut, o: &Origin) {
     out.put_u64(o.disk);
     out.put_u32(o.boot);
-    out.put_u64(o.life);
+    out.put_u64(o.generation);
 }
 
 fn put_voters(out: &mut BytesMut, v: &Voters) {
@@ -188,7 +188,7 @@
 }
 
 fn origin(f: &mut Fields) -> Result<Origin, WireError> {
-    Ok(Origin { disk: f.u64("disk")?, boot: f.u32("boot")?, life: f.u64("life")? })
+    Ok(Origin { disk: f.u64("disk")?, boot: f.u32("boot")?, generation: f.u64("life")? })
 }
 
 fn flag(f: &mut Fields, field: &'static str) -> Result<bool, WireError> {
@@ -301,10 +301,10 @@
                 out.put_u64(*has);
                 put_origin(&mut out, of);
             }
-            Word::Granted { id, to_life, seq, term, index, term_ms } => {
+            Word::Granted { id, to_generation, seq, term, index, term_ms } => {
                 out.put_u8(8);
                 out.put_u64(*id);
-                out.put_u64(*to_life);
+                out.put_u64(*to_generation);
                 out.put_u32(*seq);
                 out.put_u64(*term);
                 out.put_u64(*index);
@@ -385,7 +385,7 @@
             7 => Word::Renew { seq: f.u32("number")?, has: f.u64("index")?, of: origin(f)? },
             8 => Word::Granted {
                 id: f.u64("log")?,
-                to_life: f.u64("life")?,
+                to_generation: f.u64("life")?,
                 seq: f.u32("number")?,
                 term: f.u64("term")?,
                 index: f.u64("index")?,
@@ -426,7 +426,7 @@
     use proptest::prelude::*;
 
     fn all() -> Vec<Word> {
-        let of = Origin { disk: 1, boot: 2, life: 3 };
+        let of = Origin { disk: 1, boot: 2, generation: 3 };
         let voters: Voters = (0..MOST_VOTERS as u32).map(|s| (s, u64::from(s) + 7)).collect();
         let entries = vec![
             Entry { term: 1, what: What::Nothing },
@@ -444,7 +444,7 @@
             Word::Snapshot { term: 4, id: 8, last, voters: voters.clone(), state: state.clone() },
             Word::Propose { id: 8, data: state.clone() },
             Word::Renew { seq: 1, has: 2, of },
-            Word::Granted { id: 8, to_life: 9, seq: 1, term: 2, index: 3, term_ms: 4 },
+            Word::Granted { id: 8, to_generation: 9, seq: 1, term: 2, index: 3, term_ms: 4 },
             Word::Leads { term: 1, leader: Some(2) },
             Word::Leads { term: 1, leader: None },
             Word::Want { has: 7 },
--- a/crates/wire/src/node.rs
+++ b/crates/wire/src/node.rs
@@ -28,7 +28,7 @@
 pub struct SendAttempt {
     /// Number of this attempt on this link.
     pub attempt: u64,
-    /// Number of the request within this life of the host, and of the attempt within the request.
+    /// Number of the request within this generation of the host, and of the attempt within the request.
     pub request: u64,
     pub attempt_number: u8,
     pub origin: Origin,
@@ -73,16 +73,16 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
-    /// First frame of a host: its number, and a number of its own for each life.
+    /// First frame of a host: its number, and a number of its own for each generation.
     /// `sent_us` as in an attempt.
     HostHello {
         version: u16,
         host: u32,
-        life: u64,
+        generation: u64,
         sent_us: u64,
     },
     /// The node's reply: the version both will speak, when it started by its own clock (Unix time, which names
-    /// this life of it), and for how long it has been up, which needs no clocks to agree.
+    /// this generation of it), and for how long it has been up, which needs no clocks to agree.
     NodeHello {
         version: u16,
         shard: u32,
@@ -109,11 +109,11 @@
         let start = out.len();
         out.put_u32(0);
         match self {
-            Frame::HostHello { version, host, life, sent_us } => {
+            Frame::HostHello { version, host, generation, sent_us } => {
                 out.put_u8(1);
                 out.put_u16(*version);
                 out.put_u32(*host);
-                out.put_u64(*life);
+                out.put_u64(*generation);
                 out.put_u64(*sent_us);
             }
             Frame::NodeHello { version, shard, zone, started_us, up_us } => {
@@ -195,7 +195,7 @@
             1 => Frame::HostHello {
                 version: f.u16("version")?,
                 host: f.u32("host")?,
-                life: f.u64("life")?,
+                generation: f.u64("life")?,
                 sent_us: f.u64("time sent")?,
             },
             2 => Frame::NodeHello {
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct News {
     pub slot: u32,
-    pub life: u64,
+    pub generation: u64,
     pub incarnation: u32,
     pub health: Health,
     pub address: SocketAddr,
@@ -54,11 +54,11 @@
     Weight(f32),
 }
 
-/// An operator's order as it spreads: named by the host and life that took it, and its number there.
+/// An operator's order as it spreads: named by the host and generation that took it, and its number there.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SpreadOrder {
     pub slot: u32,
-    pub life: u64,
+    pub generation: u64,
     pub number: u64,
     pub kind: OrderKind,
     pub target: String,
@@ -101,19 +101,19 @@
     /// News alone.
     Tell,
     /// Asks for a part of the asked one's rate of a volume's limit, as a share of the whole limit; `using` is the loan that
-    /// it acts on, of that life of the asked one, 0 for none.
+    /// it acts on, of that generation of the asked one, 0 for none.
     Want {
         seq: u32,
         using: u32,
-        of_life: u64,
+        of_generation: u64,
         volume: u32,
         share: f32,
     },
     /// A part that the sender leaves unused for that term, which counts from when the want left that it answers, of that
-    /// life of the asking one.
+    /// generation of the asking one.
     Loan {
         answers: u32,
-        to_life: u64,
+        to_generation: u64,
         seq: u32,
         volume: u32,
         share: f32,
@@ -123,12 +123,12 @@
     Offer {
         volume: u32,
     },
-    /// What this slot has lent in an earlier life is wanted back; and it is back.
+    /// What this slot has lent in an earlier generation is wanted back; and it is back.
     Recall {
         volume: u32,
     },
     Returned {
-        to_life: u64,
+        to_generation: u64,
         volume: u32,
     },
     Orders(Vec<SpreadOrder>),
@@ -306,18 +306,18 @@
                 out.put_u32(*orders);
             }
             Body::Tell => out.put_u8(6),
-            Body::Want { seq, using, of_life, volume, share } => {
+            Body::Want { seq, using, of_generation, volume, share } => {
                 out.put_u8(7);
                 out.put_u32(*seq);
                 out.put_u32(*using);
-                out.put_u64(*of_life);
+                out.put_u64(*of_generation);
                 out.put_u32(*volume);
                 out.put_f32(*share);
             }
-            Body::Loan { answers, to_life, seq, volume, share, term_ms } => {
+            Body::Loan { answers, to_generation, seq, volume, share, term_ms } => {
                 out.put_u8(8);
                 out.put_u32(*answers);
-                out.put_u64(*to_life);
+                out.put_u64(*to_generation);
                 out.put_u32(*seq);
                 out.put_u32(*volume);
                 out.put_f32(*share);
@@ -331,9 +331,9 @@
                 out.put_u8(10);
                 out.put_u32(*volume);
             }
-            Body::Returned { to_life, volume } => {
+            Body::Returned { to_generation, volume } => {
                 out.put_u8(11);
-                out.put_u64(*to_life);
+                out.put_u64(*to_generation);
                 out.put_u32(*volume);
             }
             Body::Orders(orders) => {
@@ -433,13 +433,13 @@
             7 => Body::Want {
                 seq: f.u32("number")?,
                 using: f.u32("using")?,
-                of_life: f.u64("life")?,
+                of_generation: f.u64("life")?,
                 volume: f.u32("volume")?,
                 share: share(&mut f)?,
             },
             8 => Body::Loan {
                 answers: f.u32("answers")?,
-                to_life: f.u64("life")?,
+                to_generation: f.u64("life")?,
                 seq: f.u32("number")?,
                 volume: f.u32("volume")?,
                 share: share(&mut f)?,
@@ -447,7 +447,7 @@
             },
             9 => Body::Offer { volume: f.u32("volume")? },
             10 => Body::Recall { volume: f.u32("volume")? },
-            11 => Body::Returned { to_life: f.u64("life")?, volume: f.u32("volume")? },
+            11 => Body::Returned { to_generation: f.u64("life")?, volume: f.u32("volume")? },
             12 => {
                 let n = f.u8("orders")?;
                 if usize::from(n) > MOST_ORDERS {
@@ -499,7 +499,7 @@
 
 fn put_news(out: &mut BytesMut, n: &News) {
     out.put_u32(n.slot);
-    out.put_u64(n.life);
+    out.put_u64(n.generation);
     out.put_u32(n.incarnation);
     out.put_u8(n.health as u8);
     put_address(out, &n.address);
@@ -510,7 +510,7 @@
 }
 
 fn one_news(f: &mut Fields) -> Result<News, WireError> {
-    let (slot, life, incarnation) = (f.u32("host")?, f.u64("life")?, f.u32("incarnation")?);
+    let (slot, generation, incarnation) = (f.u32("host")?, f.u64("life")?, f.u32("incarnation")?);
     let health = match f.u8("health")? {
         0 => Health::Alive,
         1 => Health::Suspect,
@@ -524,7 +524,7 @@
         Health::Suspect => Some(f.u32("suspected by")?).filter(|s| *s != NONE),
         _ => None,
     };
-    Ok(News { slot, life, incarnation, health, address, site, by })
+    Ok(News { slot, generation, incarnation, health, address, site, by })
 }
 
 fn list_stop(f: &mut Fields) -> Result<ListStop, WireError> {
@@ -542,7 +542,7 @@
 
 fn put_order(out: &mut BytesMut, o: &SpreadOrder) {
     out.put_u32(o.slot);
-    out.put_u64(o.life);
+    out.put_u64(o.generation);
     out.put_u64(o.number);
     let (kind, weight) = match o.kind {
         OrderKind::Out => (0, 0.0),
@@ -560,7 +560,7 @@
 }
 
 fn order(f: &mut Fields) -> Result<SpreadOrder, WireError> {
-    let (slot, life, number) = (f.u32("host")?, f.u64("life")?, f.u64("order")?);
+    let (slot, generation, number) = (f.u32("host")?, f.u64("life")?, f.u64("order")?);
     let (kind, weight) = (f.u8("order kind")?, share(f)?);
     let kind = match kind {
         0 => OrderKind::Out,
@@ -575,7 +575,7 @@
         1 => true,
         other => return Err(wrong("cleared", other, "0 or 1")),
     };
-    Ok(SpreadOrder { slot, life, number, kind, target, reason, who, left_ms, whole_ms, cleared })
+    Ok(SpreadOrder { slot, generation, number, kind, target, reason, who, left_ms, whole_ms, cleared })
 }
 
 #[cfg(test)]
@@ -586,7 +586,7 @@
     fn news(n: usize) -> Vec<News> {
         let one = |i: usize| News {
             slot: i as u32,
-            life: i as u64 * 7,
+            generation: i as u64 * 7,
             incarnation: 3,
             health: [Health::Alive, Health::Suspect, Health::Dead, Health::Left][i % 4],
             address: if i.is_multiple_of(5) { "10.0.0.1:7" } else { "[fd00::1]:9" }.parse().unwrap(),
@@ -601,7 +601,7 @@
         let kind = OrderKind::Weight(0.5);
         SpreadOrder {
             slot: 1,
-            life: 2,
+            generation: 2,
             number: 3,
             kind,
             target,
@@ -624,11 +624,11 @@
             Body::Vouch { seq: 5, slot: 6 },
             Body::Digest { view: 7, orders: 8 },
             Body::Tell,
-            Body::Want { seq: 9, using: 10, of_life: 19, volume: 11, share: 0.25 },
-            Body::Loan { answers: 12, to_life: 20, seq: 13, volume: 14, share: 1.0, term_ms: 15 },
+            Body::Want { seq: 9, using: 10, of_generation: 19, volume: 11, share: 0.25 },
+            Body::Loan { answers: 12, to_generation: 20, seq: 13, volume: 14, share: 1.0, term_ms: 15 },
             Body::Offer { volume: 16 },
             Body::Recall { volume: 17 },
-            Body::Returned { to_life: 21, volume: 18 },
+            Body::Returned { to_generation: 21, volume: 18 },
             Body::Orders(vec![order(&long), order("")]),
             Body::Paper { number: 22, mark: 23, left_ms: 24 },
             Body::PaperWant { number: 25, piece: 26 },
--- a/crates/wire/tests/codecs.rs
+++ b/crates/wire/tests/codecs.rs
@@ -63,8 +63,9 @@
         answer.prop_map(|(attempt, outcome, waiting, elsewhere, data)| {
             Frame::Answer(Answer { attempt, outcome, waiting, elsewhere, data })
         }),
-        (any::<u16>(), any::<u32>(), any::<u64>(), any::<u64>())
-            .prop_map(|(version, host, life, sent_us)| Frame::HostHello { version, host, life, sent_us }),
+        (any::<u16>(), any::<u32>(), any::<u64>(), any::<u64>()).prop_map(
+            |(version, host, generation, sent_us)| Frame::HostHello { version, host, generation, sent_us }
+        ),
         (any::<u16>(), any::<u32>(), any::<u32>(), any::<u64>(), any::<u64>()).prop_map(
             |(version, shard, zone, started_us, up_us)| {
                 Frame::NodeHello { version, shard, zone, started_us, up_us }
--- a/crates/wire/tests/golden_bytes.rs
+++ b/crates/wire/tests/golden_bytes.rs
@@ -45,7 +45,7 @@
 fn alive_host() -> News {
     News {
         slot: 3,
-        life: 0x0102_0304_0506_0708,
+        generation: 0x0102_0304_0506_0708,
         incarnation: 9,
         health: Health::Alive,
         address: "10.1.2.3:7946".parse().unwrap(),
@@ -66,7 +66,7 @@
 fn order(kind: OrderKind, cleared: bool) -> SpreadOrder {
     SpreadOrder {
         slot: 1,
-        life: 2,
+        generation: 2,
         number: 3,
         kind,
         target: "zone:1".into(),
@@ -156,7 +156,7 @@
         ),
         (
             "quota request",
-            Body::Want { seq: 9, using: 10, of_life: 19, volume: 11, share: 0.25 },
+            Body::Want { seq: 9, using: 10, of_generation: 19, volume: 11, share: 0.25 },
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000207\
@@ -164,7 +164,7 @@
         ),
         (
             "quota lease",
-            Body::Loan { answers: 12, to_life: 20, seq: 13, volume: 14, share: 0.75, term_ms: 15 },
+            Body::Loan { answers: 12, to_generation: 20, seq: 13, volume: 14, share: 0.75, term_ms: 15 },
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000208\
@@ -188,7 +188,7 @@
         ),
         (
             "quota returned",
-            Body::Returned { to_life: 21, volume: 18 },
+            Body::Returned { to_generation: 21, volume: 18 },
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a000000020b\
@@ -299,7 +299,7 @@
 
 #[test]
 fn consensus_messages() {
-    let of = Origin { disk: 0x0102_0304_0506_0708, boot: 2, life: 3 };
+    let of = Origin { disk: 0x0102_0304_0506_0708, boot: 2, generation: 3 };
     let voters: Voters = [(0, 100), (1, 101), (4, 104)].into();
     let entries = vec![
         Entry { term: 1, what: What::Nothing },
@@ -368,7 +368,7 @@
         ),
         (
             "lease grant",
-            Word::Granted { id: 8, to_life: 9, seq: 1, term: 2, index: 3, term_ms: 4 },
+            Word::Granted { id: 8, to_generation: 9, seq: 1, term: 2, index: 3, term_ms: 4 },
             "\
              08000000000000000800000000000000090000000100000000000000020000000000000003000000\
              04",
@@ -437,7 +437,7 @@
     let cases: Vec<(&str, Frame, &str)> = vec![
         (
             "host hello",
-            Frame::HostHello { version: 1, host: 2, life: 3, sent_us: 4 },
+            Frame::HostHello { version: 1, host: 2, generation: 3, sent_us: 4 },
             "000000170100010000000200000000000000030000000000000004",
         ),
         (
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -176,7 +176,7 @@
         self.volume_moved(now, volume, plan);
         let st = &self.classes[class.0 as usize];
         let (p, told) = (&self.plans[plan.0 as usize], f64::from(hosts.max(1)));
-        // A new life of a host can't know what an earlier one drew: its limit bucket starts full, but for
+        // A new generation of a host can't know what an earlier one drew: its limit bucket starts full, but for
         // part of what the rule lets pass. A restart must not hand itself a second burst.
         let full = (p.burst - p.slack * SLACK_AT_START) / told;
         // Against a table that fills under new names. What was drawn long ago is back; new ones start drawn.
@@ -244,7 +244,7 @@
         v.split.served(now, shard, own, elsewhere, SPLIT_LEAST * self.mean_units);
     }
 
-    /// What an earlier life of this host saw a shard do for it, units a second.
+    /// What an earlier generation of this host saw a shard do for it, units a second.
     pub fn pace_known(&mut self, now: Instant, shard: ShardId, rate: f64) {
         self.now = now;
         let s = self.shards.entry(shard).or_default();
@@ -252,7 +252,7 @@
         self.due.insert(shard);
     }
 
-    /// The same of each shard in this life, for the next one.
+    /// The same of each shard in this generation, for the next one.
     pub fn paces(&self, now: Instant) -> Vec<(ShardId, f64)> {
         let rate = |s: &Shard| s.pace.rate(now, COLD_MEMORY, COLD_SEEN_LEAST);
         self.shards.iter().map(|(id, s)| (*id, rate(s))).collect()
@@ -452,7 +452,7 @@
             let n = self.nodes.entry(e.node).or_insert_with(new);
             n.state = e.state;
             if e.up_since > n.up_since {
-                // What was learned of its earlier life no longer holds; what is out still is.
+                // What was learned of its earlier generation no longer holds; what is out still is.
                 n.restart(new());
                 let age = e.up_since.map_or(0.0, |u| (now - u).secs());
                 self.log(format!("node {} cold: up for {age:.1}s", e.node.0));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -99,7 +99,7 @@
 fn a_cold_node_bears_what_all_hosts_send() {
     // Hosts, and how many of them start anew with the node. It serves 24 units a second when warm and can do
     // 40, of which a fifth when cold; all lists tell of its start at other times, and it answers none.
-    // Some of those that start anew are told what their earlier life saw: it is no more than before, and starves less.
+    // Some of those that start anew are told what their earlier generation saw: it is no more than before, and starves less.
     let mut untold = 0.0;
     for (hosts, anew, told) in [
         (1u32, 0u32, false),
