--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -10,7 +10,7 @@
 
 pub const VERSION: u32 = 1;
 /// Bytes of one line.
-pub const MOST: u64 = 4 << 20;
+pub const MAX: u64 = 4 << 20;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -36,15 +36,15 @@
     pub body: T,
 }
 
-/// Reads one line of at most `MOST` bytes; none: the peer has closed.
+/// Reads one line of at most `MAX` bytes; none: the peer has closed.
 pub fn read_line(from: &mut impl BufRead) -> std::io::Result<Option<String>> {
     let mut text = String::new();
-    let n = from.take(MOST).read_line(&mut text)?;
+    let n = from.take(MAX).read_line(&mut text)?;
     match (n, text.ends_with('\n')) {
         (0, _) => Ok(None),
         (_, true) => Ok(Some(text)),
         _ => {
-            Err(std::io::Error::other(format!("a line without an end in {n} bytes; expected at most {MOST}")))
+            Err(std::io::Error::other(format!("a line without an end in {n} bytes; expected at most {MAX}")))
         }
     }
 }
--- a/crates/admin/tests/json_forms.rs
+++ b/crates/admin/tests/json_forms.rs
@@ -65,7 +65,7 @@
 }
 
 fn fleet() -> Fleet {
-    Fleet { hosts: 4, most_units: 8.0, bears: [(0, 100.5)].into() }
+    Fleet { hosts: 4, max_units: 8.0, bears: [(0, 100.5)].into() }
 }
 
 #[test]
--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -15,7 +15,5 @@
 pub use log::{Base, Log};
 pub use parcels::{Parcels, ParcelsSettings};
 pub use seat::{Seat, SeatOutput, SeatSettings};
-pub use tackmast_wire::agree::{
-    Entry, Mark, Origin, Voters, What, Word, MOST_ENTRY, MOST_STATE, MOST_VOTERS,
-};
+pub use tackmast_wire::agree::{Entry, Mark, Origin, Voters, What, Word, MAX_ENTRY, MAX_STATE, MAX_VOTERS};
 pub use voter::{Hard, Held, Output, Refusal, Settings, Status, Voter, Write};
--- a/crates/agreement/src/log.rs
+++ b/crates/agreement/src/log.rs
@@ -97,13 +97,13 @@
     }
 
     /// Entries from there on, as many as fit, and at least one.
-    pub fn from(&self, index: u64, most: usize, most_bytes: usize) -> Vec<Entry> {
+    pub fn from(&self, index: u64, most: usize, max_bytes: usize) -> Vec<Entry> {
         let Some(i) = self.at(index) else { return Vec::new() };
         let mut all = Vec::new();
         let mut bytes = 0;
         for e in self.entries.iter().skip(i).take(most) {
             bytes += size(e);
-            if bytes > most_bytes && !all.is_empty() {
+            if bytes > max_bytes && !all.is_empty() {
                 break;
             }
             all.push(e.clone());
--- a/crates/agreement/src/parcels.rs
+++ b/crates/agreement/src/parcels.rs
@@ -5,8 +5,8 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_wire::agree::MOST_WORD;
-use tackmast_wire::peer::{Body, MOST_PIECE};
+use tackmast_wire::agree::MAX_WORD;
+use tackmast_wire::peer::{Body, MAX_PIECE};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ParcelsSettings {
@@ -59,10 +59,10 @@
 
     /// A word for that place: as it is where it fits a datagram.
     pub fn send(&mut self, to: SocketAddr, word: Bytes) {
-        if word.len() <= MOST_PIECE {
+        if word.len() <= MAX_PIECE {
             return self.says.push_back((to, Body::Agree { bytes: word }));
         }
-        if word.len() > MOST_WORD {
+        if word.len() > MAX_WORD {
             self.lost += 1;
             return;
         }
@@ -84,12 +84,12 @@
 
     fn piece(&mut self, to: SocketAddr, number: u32, piece: u16) {
         let Some((_, word)) = self.kept.iter().find(|(n, _)| *n == number) else { return };
-        let first = usize::from(piece) * MOST_PIECE;
+        let first = usize::from(piece) * MAX_PIECE;
         if first >= word.len() {
             return;
         }
-        let pieces = word.len().div_ceil(MOST_PIECE) as u16;
-        let bytes = word.slice(first..word.len().min(first + MOST_PIECE));
+        let pieces = word.len().div_ceil(MAX_PIECE) as u16;
+        let bytes = word.slice(first..word.len().min(first + MAX_PIECE));
         self.says.push_back((to, Body::Parcel { number, pieces, piece, bytes }));
     }
 
@@ -107,7 +107,7 @@
         piece: u16,
         bytes: Bytes,
     ) -> Option<Bytes> {
-        if usize::from(pieces) > MOST_WORD.div_ceil(MOST_PIECE) || piece >= pieces {
+        if usize::from(pieces) > MAX_WORD.div_ceil(MAX_PIECE) || piece >= pieces {
             return None;
         }
         let at = self.gathering.iter().position(|g| g.from == from);
@@ -236,7 +236,7 @@
     fn words_of_any_length_arrive_whole_and_in_order() {
         let word = |n: usize| Bytes::from((0..n).map(|i| (i * 7 + n) as u8).collect::<Vec<u8>>());
         let words: Vec<Bytes> =
-            [1, MOST_PIECE, MOST_PIECE + 1, 40_000, 3 * MOST_PIECE, 900_000].map(word).to_vec();
+            [1, MAX_PIECE, MAX_PIECE + 1, 40_000, 3 * MAX_PIECE, 900_000].map(word).to_vec();
         for (loss, seed) in [(0.0, 1), (0.2, 2), (0.2, 3)] {
             let mut came = pass(&words, loss, seed);
             came.dedup();
--- a/crates/agreement/src/seat.rs
+++ b/crates/agreement/src/seat.rs
@@ -9,7 +9,7 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_wire::agree::{Origin, What, Word, MOST_ENTRY};
+use tackmast_wire::agree::{Origin, What, Word, MAX_ENTRY};
 
 /// Changes of this host that wait, at most.
 const WAITING: usize = 256;
@@ -140,7 +140,7 @@
 
     /// A change of this host's, to be agreed on; its number, by which its outcome is told.
     pub fn change(&mut self, now: Instant, data: Bytes) -> Result<u32, Refusal> {
-        if data.len() + HEAD > MOST_ENTRY {
+        if data.len() + HEAD > MAX_ENTRY {
             return Err(Refusal::TooLong { bytes: data.len() });
         }
         if self.changes.len() >= WAITING {
--- a/crates/agreement/src/voter.rs
+++ b/crates/agreement/src/voter.rs
@@ -124,7 +124,7 @@
             Refusal::NotReady => write!(f, "this host leads since a moment ago; ask again"),
             Refusal::Full { waiting } => write!(f, "{waiting} changes wait to be agreed on; ask again later"),
             Refusal::TooLong { bytes } => {
-                write!(f, "a change of {bytes} bytes; expected at most {}", tackmast_wire::agree::MOST_ENTRY)
+                write!(f, "a change of {bytes} bytes; expected at most {}", tackmast_wire::agree::MAX_ENTRY)
             }
             Refusal::VotersMove => {
                 write!(f, "another change of voters is under way; ask again once it holds")
@@ -452,7 +452,7 @@
 
     /// What entries up to there led to, as asked for.
     pub fn folded(&mut self, index: u64, state: Bytes) {
-        if index > self.commit || state.len() > tackmast_wire::agree::MOST_STATE {
+        if index > self.commit || state.len() > tackmast_wire::agree::MAX_STATE {
             return;
         }
         if self.log.fold(index, state) {
--- a/crates/agreement/src/voter/lead.rs
+++ b/crates/agreement/src/voter/lead.rs
@@ -112,7 +112,7 @@
 
     /// A change for the log: its place, where this host leads.
     pub fn propose(&mut self, now: Instant, data: Bytes) -> Result<u64, Refusal> {
-        if data.len() > tackmast_wire::agree::MOST_ENTRY {
+        if data.len() > tackmast_wire::agree::MAX_ENTRY {
             return Err(Refusal::TooLong { bytes: data.len() });
         }
         self.may_put()?;
@@ -148,7 +148,7 @@
                 let expected = format!("one that has {} or more", self.commit.saturating_sub(UNCOMMITTED));
                 return Err(Refusal::Voters(format!("host {host} has {has} entries; expected {expected}")));
             }
-            if next.len() >= tackmast_wire::agree::MOST_VOTERS || next.contains_key(&host) {
+            if next.len() >= tackmast_wire::agree::MAX_VOTERS || next.contains_key(&host) {
                 let found =
                     format!("{} voters, host {host} among them: {}", next.len(), next.contains_key(&host));
                 return Err(Refusal::Voters(format!(
--- a/crates/cli/src/io.rs
+++ b/crates/cli/src/io.rs
@@ -158,7 +158,7 @@
     length: u64,
     mut take: impl FnMut(u64, bytes::Bytes) -> Result<(), String>,
 ) -> Result<(), String> {
-    let piece = u64::from(PIECE.min(client.volume().most_bytes));
+    let piece = u64::from(PIECE.min(client.volume().max_bytes));
     let mut open = VecDeque::new();
     let (mut next, end) = (offset, offset + length);
     while next < end || !open.is_empty() {
@@ -176,7 +176,7 @@
 
 fn write_all(client: &Client, offset: u64, mut from: impl Read) -> Result<u64, String> {
     let block = client.volume().block_bytes as usize;
-    let piece = PIECE.min(client.volume().most_bytes) as usize / block * block;
+    let piece = PIECE.min(client.volume().max_bytes) as usize / block * block;
     let mut open: VecDeque<(u64, tackmast_client::Pending)> = VecDeque::new();
     let mut at = offset;
     loop {
@@ -230,8 +230,8 @@
 fn load(client: &Client, rate: f64, seconds: f64, reads: f64, blocks: u32, seed: u64) -> Result<(), String> {
     let v = client.volume();
     let bytes = blocks.saturating_mul(v.block_bytes);
-    if bytes > v.most_bytes || u64::from(bytes) > v.bytes {
-        return Err(format!("--blocks {blocks}; expected at most {} bytes a call", v.most_bytes));
+    if bytes > v.max_bytes || u64::from(bytes) > v.bytes {
+        return Err(format!("--blocks {blocks}; expected at most {} bytes a call", v.max_bytes));
     }
     let places = (v.bytes - u64::from(bytes)) / u64::from(v.block_bytes) + 1;
     let mut chance = oorandom::Rand64::new(u128::from(seed));
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -380,7 +380,7 @@
     _ = writeln!(
         out,
         "most open at one host: {} commands, {} requests, {} attempts",
-        r.most_open.0, r.most_open.1, r.most_open.2
+        r.max_open.0, r.max_open.1, r.max_open.2
     );
     _ = write!(out, "{}", found.report);
     out
--- a/crates/cli/src/planner.rs
+++ b/crates/cli/src/planner.rs
@@ -8,7 +8,7 @@
 use tackmast_config::HostSettings;
 use tackmast_hostcore::Layout;
 use tackmast_lab::World;
-use tackmast_planner::{bounds, fit, most_held, place, Curve, Load, Node, Point};
+use tackmast_planner::{bounds, fit, max_held, place, Curve, Load, Node, Point};
 
 #[derive(clap::Args)]
 pub struct Figures {
@@ -41,7 +41,7 @@
 }
 
 /// What a load asks, by volume, traffic class and shard.
-fn asked(s: &HostSettings, l: &tackmast_load::Load, most_rate: f64) -> Vec<Asked> {
+fn asked(s: &HostSettings, l: &tackmast_load::Load, max_rate: f64) -> Vec<Asked> {
     let layout = Layout::new(s);
     let mut arrivals: BTreeMap<(usize, usize, u32), Vec<(f64, f64)>> = BTreeMap::new();
     for a in l.arrivals(s.host.hosts) {
@@ -56,7 +56,7 @@
         let st = &s.traffic_classes[traffic_class];
         let name = format!("{} {}", s.volumes[volume].name, st.name);
         let largest = all.iter().map(|a| a.1).fold(0.0, f64::max);
-        let curve = Curve::of(&all, l.seconds, most_rate);
+        let curve = Curve::of(&all, l.seconds, max_rate);
         Asked {
             volume,
             traffic_class,
@@ -90,7 +90,7 @@
         let parts = f64::from(v.hosts.max(1));
         let (rate, burst) = (p.limit / parts, p.burst / parts);
         let at_first = (p.burst - p.slack / 2.0) / parts;
-        let wait = (most_held(&all, rate, at_first) - burst).max(0.0) / rate;
+        let wait = (max_held(&all, rate, at_first) - burst).max(0.0) / rate;
         let longest = waits.entry(volume).or_insert(0.0f64);
         *longest = longest.max(wait);
     }
--- a/crates/cli/src/stand.rs
+++ b/crates/cli/src/stand.rs
@@ -59,7 +59,7 @@
         zone: a.zone,
         nature,
         seed: a.seed,
-        most_data: 8 << 20,
+        max_data: 8 << 20,
         report_every: Duration::from_millis(100),
         marks: Arc::new(Marks::default()),
         window_s: 5.0,
--- a/crates/clientcore/src/core.rs
+++ b/crates/clientcore/src/core.rs
@@ -117,8 +117,8 @@
                 Some(format!("{length} bytes at {offset}; expected whole blocks of {block}"))
             } else if offset.checked_add(length).is_none_or(|end| end > v.bytes) {
                 Some(format!("{length} bytes at {offset}; expected them within {}", v.bytes))
-            } else if length > u64::from(v.most_bytes) {
-                Some(format!("{length} bytes; expected at most {} in one call", v.most_bytes))
+            } else if length > u64::from(v.max_bytes) {
+                Some(format!("{length} bytes; expected at most {} in one call", v.max_bytes))
             } else {
                 None
             };
--- a/crates/clientcore/src/iscsi.rs
+++ b/crates/clientcore/src/iscsi.rs
@@ -7,7 +7,7 @@
 use tackmast_wire::iscsi::{self, op, Digests, Pdu, Units, FINAL, NO_TAG, READS, WRITES};
 use tackmast_wire::scsi::{status, Command, Sense};
 
-const MOST_DATA: usize = 16 << 20;
+const MAX_DATA: usize = 16 << 20;
 /// Bytes of one segment that this side takes.
 const SEGMENT: &str = "262144";
 
@@ -51,12 +51,12 @@
     /// `plain` leaves out every key of the gateway's own, as a library that knows none of them does.
     pub fn new(place: Place, digests: Digests, deadline: TimeDelta, plain: bool) -> Self {
         let mut c = IscsiClient {
-            input: Units::new(MOST_DATA),
+            input: Units::new(MAX_DATA),
             output: BytesMut::new(),
             events: VecDeque::new(),
             phase: Phase::Login,
             digests,
-            volume: Volume { bytes: 0, block_bytes: 512, most_bytes: 0 },
+            volume: Volume { bytes: 0, block_bytes: 512, max_bytes: 0 },
             first_burst: 8192,
             segment: 8192,
             immediate: true,
@@ -255,8 +255,8 @@
                 let most = if code == status::GOOD && data.len() >= 12 { be(8, 4) } else { 0 };
                 // A target that names no limit takes what one 32-bit length can say; keep well below it.
                 let most = if most == 0 { 65_536 / u64::from(self.volume.block_bytes) } else { most };
-                self.volume.most_bytes =
-                    (most * u64::from(self.volume.block_bytes)).min(MOST_DATA as u64) as u32;
+                self.volume.max_bytes =
+                    (most * u64::from(self.volume.block_bytes)).min(MAX_DATA as u64) as u32;
                 self.phase = Phase::Ready;
                 self.events.push_back(SessionEvent::Ready(self.volume));
             }
--- a/crates/clientcore/src/nbd.rs
+++ b/crates/clientcore/src/nbd.rs
@@ -10,7 +10,7 @@
 
 /// Newest version of the additions that this library speaks.
 pub const ADDITIONS: u16 = 1;
-const MOST_READ: u32 = 16 << 20;
+const MAX_READ: u32 = 16 << 20;
 /// Commands that may be open: the protocol names no window.
 const WINDOW: usize = 128;
 
@@ -57,14 +57,14 @@
     pub fn new(place: Place, offers: u16, plain: bool) -> Self {
         NbdClient {
             place,
-            input: ServerUnits::new(MOST_READ),
+            input: ServerUnits::new(MAX_READ),
             output: BytesMut::new(),
             events: VecDeque::new(),
             phase: Phase::Greeting,
             offers,
             additions: 0,
             plain,
-            volume: Volume { bytes: 0, block_bytes: 512, most_bytes: 32 << 20 },
+            volume: Volume { bytes: 0, block_bytes: 512, max_bytes: 32 << 20 },
             window: WINDOW,
             next: 0,
             pending: HashMap::new(),
@@ -121,7 +121,7 @@
                     info::BLOCK_SIZE if data.len() >= 12 => {
                         self.volume.block_bytes = data.get_u32();
                         data.advance(4);
-                        self.volume.most_bytes = data.get_u32().min(MOST_READ);
+                        self.volume.max_bytes = data.get_u32().min(MAX_READ);
                     }
                     _ => {}
                 }
--- a/crates/clientcore/src/op.rs
+++ b/crates/clientcore/src/op.rs
@@ -50,7 +50,7 @@
     pub bytes: u64,
     pub block_bytes: u32,
     /// Bytes of one call, at most.
-    pub most_bytes: u32,
+    pub max_bytes: u32,
 }
 
 /// Which volume of the target.
--- a/crates/clientcore/src/retry.rs
+++ b/crates/clientcore/src/retry.rs
@@ -31,9 +31,9 @@
     pub free: f64,
     pub share: f64,
     /// Least time between two tries, and the longest between two connects.
-    pub least_wait: TimeDelta,
+    pub min_wait: TimeDelta,
     pub longest_connect: TimeDelta,
-    pub most_tries: u32,
+    pub max_tries: u32,
 }
 
 impl Default for Policy {
@@ -41,9 +41,9 @@
         Policy {
             free: 10.0,
             share: 0.2,
-            least_wait: TimeDelta::from_secs(0.01),
+            min_wait: TimeDelta::from_secs(0.01),
             longest_connect: TimeDelta::from_secs(2.0),
-            most_tries: 8,
+            max_tries: 8,
         }
     }
 }
@@ -90,13 +90,13 @@
             End::Failed | End::Lost => Next::Failed,
             End::NotSent | End::Rejected { .. } => Next::Rejected(advice),
         };
-        let wait = self.jittered(advice.unwrap_or(self.policy.least_wait).max(self.policy.least_wait));
+        let wait = self.jittered(advice.unwrap_or(self.policy.min_wait).max(self.policy.min_wait));
         let at = now + wait;
         // One that never left has cost nothing: it needs no budget, only time.
         let costs = if end == End::NotSent { 0.0 } else { 1.0 };
         // A try that can't be expected to end in time would be out at the deadline, and turn what is known not to have
         // run into what nobody knows.
-        if at + took >= deadline || tries >= self.policy.most_tries || self.left < costs {
+        if at + took >= deadline || tries >= self.policy.max_tries || self.left < costs {
             return answer;
         }
         self.left -= costs;
--- a/crates/day/src/fleet.rs
+++ b/crates/day/src/fleet.rs
@@ -202,7 +202,7 @@
     zone_scope: bool,
     all_scope: bool,
     seed: u64,
-    most_data: usize,
+    max_data: usize,
     recorder: Recorder,
 }
 
@@ -222,7 +222,7 @@
             zone_scope: groups.iter().any(|(g, _)| *g == Group::Zone),
             all_scope: groups.iter().any(|(g, _)| *g == Group::All),
             seed: script.day.seed * 1000,
-            most_data: script.settings.bounds.command_bytes as usize,
+            max_data: script.settings.bounds.command_bytes as usize,
             recorder: recorder.clone(),
         };
         for (name, block) in &script.nodes {
@@ -254,7 +254,7 @@
             zone: block.zone,
             nature: block.nature(),
             seed: self.seed,
-            most_data: self.most_data,
+            max_data: self.max_data,
             report_every: Duration::from_millis(block.report_ms),
             marks: self.scopes.entry(scope).or_default().clone(),
             window_s: self.window_s,
--- a/crates/day/src/hunt.rs
+++ b/crates/day/src/hunt.rs
@@ -5,7 +5,7 @@
 use tackmast_standins::ways::What;
 
 /// Troubles of one day, at most.
-const MOST: u64 = 6;
+const MAX: u64 = 6;
 /// Seconds at a day's end in which nothing new begins.
 const QUIET: f64 = 1.5;
 
@@ -99,7 +99,7 @@
     let mut d = Draw { chance: oorandom::Rand64::new(u128::from(seed)), script };
     let last = (script.day.seconds - QUIET).max(0.5);
     let mut busy: Vec<u32> = Vec::new();
-    for i in 0..1 + d.below(MOST) {
+    for i in 0..1 + d.below(MAX) {
         let (at_s, name) = (d.between(0.5, last), format!("drawn {i}"));
         let for_s = d.between(0.2, (script.day.seconds - at_s).max(0.3));
         let action = d.action();
--- a/crates/day/src/import.rs
+++ b/crates/day/src/import.rs
@@ -104,7 +104,8 @@
     reject: f64,
     flush: f64,
     mean_units: f64,
-    most_units: f64,
+    #[serde(rename = "most_units")]
+    max_units: f64,
     remembers: usize,
     seek: f64,
     shift_s: f64,
@@ -169,7 +170,7 @@
     p(writeln!(
         o,
         "units {{\n  bytes = {UNIT_BYTES}\n  most = {}\n  mean = {:.3}\n}}\n",
-        d.fam.most_units, d.fam.mean_units
+        d.fam.max_units, d.fam.mean_units
     ))?;
     if let Some(b) = &d.budget {
         p(writeln!(
@@ -221,9 +222,9 @@
     let write = d.classes.iter().find(|c| c.write).ok_or("classes: none writes; expected one")?;
     let read = reads.first().ok_or("classes: none reads; expected one")?;
     let per_unit = UNIT_BYTES / BLOCK_BYTES;
-    let most_blocks = ((2.0 * d.fam.mean_units - 1.0) * per_unit + 1.0).round().max(2.0);
+    let max_blocks = ((2.0 * d.fam.mean_units - 1.0) * per_unit + 1.0).round().max(2.0);
     let read_share: f64 = reads.iter().map(|c| c.share).sum();
-    let large = reads.get(1).map(|c| (c, (most_blocks * (1.0 - c.share / read_share)).round().max(1.0)));
+    let large = reads.get(1).map(|c| (c, (max_blocks * (1.0 - c.share / read_share)).round().max(1.0)));
     for (i, v) in d.fam.volumes.iter().enumerate() {
         let plan = d.tenants.get(v.plan).ok_or_else(|| format!("volume {i}: plan {}", v.plan))?;
         p(writeln!(
@@ -245,7 +246,7 @@
         p(writeln!(
             o,
             "traffic \"v{i}\" {{\n  volume = \"v{i}\"\n  hosts = {set:?}\n  sessions = 1\n  rate = {rate:.3}\n  reads = {:.3}\n  \
-             blocks = [1, {most_blocks}]\n  retries = {}\n  moves_s = {:.1}",
+             blocks = [1, {max_blocks}]\n  retries = {}\n  moves_s = {:.1}",
             read_share / d.classes.iter().map(|c| c.share).sum::<f64>(),
             d.clients.retries,
             d.fam.shift_s
--- a/crates/day/src/play.rs
+++ b/crates/day/src/play.rs
@@ -80,7 +80,7 @@
         traffic_classes: s.traffic_classes.iter().map(traffic_class).collect(),
         volumes: s.volumes.iter().map(volume).collect(),
         unit_bytes: s.units.bytes,
-        most_units: s.units.most,
+        max_units: s.units.most,
         answer_slack_us: us(answer_slack_s),
         grace_us: us(grace_s),
         cold_multiple: cold.map_or(0.0, |c| c.multiple),
@@ -623,10 +623,10 @@
         }
         let (asked, done) = tallies.values().fold((0, 0), |(a, d), t| (a + t.asked, d + t.done));
         let part = done as f64 / asked.max(1) as f64;
-        if part < self.script.day.least_done {
+        if part < self.script.day.min_done {
             failures.push(format!(
                 "{part:.3} of first tries done; the script expects {}",
-                self.script.day.least_done
+                self.script.day.min_done
             ));
         }
         if let Some(v) = &view {
--- a/crates/day/src/script.rs
+++ b/crates/day/src/script.rs
@@ -36,7 +36,8 @@
     pub members: bool,
     /// Least part of the first tries that must be done.
     #[serde(default)]
-    pub least_done: f64,
+    #[serde(rename = "least_done")]
+    pub min_done: f64,
     /// Sites that the hosts stand in, neighbours together; 0: they tell none.
     #[serde(default)]
     pub sites: u32,
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -145,7 +145,7 @@
         let (urgent, urgent_in) = crossbeam_channel::bounded(EVENTS);
         let (events, events_in) = crossbeam_channel::bounded(EVENTS);
         let admin = settings.overrides.as_ref().map(|o| o.admin.clone());
-        let units = Arc::new(tackmast_target::units(&settings, |v| core.layout().most_blocks(v)));
+        let units = Arc::new(tackmast_target::units(&settings, |v| core.layout().max_blocks(v)));
         let mut threads = Vec::new();
         let list = list::start(settings.clone(), clock, urgent.clone(), stopping.clone())?;
         let to_store = match settings.overrides.as_ref().zip(store) {
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -109,7 +109,7 @@
             zone: 0,
             nature: nature.clone(),
             seed: u64::from(shard) + 1,
-            most_data: 1 << 20,
+            max_data: 1 << 20,
             report_every: Duration::from_millis(50),
             marks: marks.clone(),
             window_s: 5.0,
--- a/crates/hostcore/src/admission.rs
+++ b/crates/hostcore/src/admission.rs
@@ -4,7 +4,7 @@
 use tackmast::interface::{Instant, TimeDelta};
 
 const RATE_MEMORY: f64 = 2.0; // seconds over which endings are counted
-const LEAST_WAIT: f64 = 0.05; // seconds; a full table clears no faster in a way worth a round trip
+const MIN_WAIT: f64 = 0.05; // seconds; a full table clears no faster in a way worth a round trip
 const CLEARED: f64 = 0.1; // part of the table that should be free again when a client comes back
 
 /// What one session, and one volume, may hold: so many times what is free. A greedy one takes what nobody wants and
@@ -91,7 +91,7 @@
         let rate = self.ended / RATE_MEMORY;
         let cleared = CLEARED * self.most.requests as f64 + wanted.requests as f64;
         let wait = if rate > 0.0 { cleared / rate } else { f64::MAX };
-        Err(TimeDelta::from_secs(wait.clamp(LEAST_WAIT, self.longest_wait.secs().max(LEAST_WAIT))))
+        Err(TimeDelta::from_secs(wait.clamp(MIN_WAIT, self.longest_wait.secs().max(MIN_WAIT))))
     }
 
     pub fn leave(&mut self, now: Instant, session: u32, volume: usize, held: Held) {
--- a/crates/hostcore/src/core.rs
+++ b/crates/hostcore/src/core.rs
@@ -33,12 +33,12 @@
 const COLD_SAFE_PART: f64 = 0.4;
 const COLD_MULTIPLE_PART: f64 = 0.6;
 /// The least of these parts that is told, where nodes are said to bear hardly more than they can do.
-const COLD_LEAST_PART: f64 = 0.05;
+const COLD_MIN_PART: f64 = 0.05;
 
 /// Safe units and multiple as the module is told of them. What a node has done makes room as well, up to all that it can
 /// do in the window; so burst and time share only what the multiple leaves beyond that.
 fn cold_figures(c: &tackmast_config::ColdNodes) -> (f64, f64) {
-    let spare = ((c.multiple - 1.0) / c.multiple).clamp(COLD_LEAST_PART, 1.0);
+    let spare = ((c.multiple - 1.0) / c.multiple).clamp(COLD_MIN_PART, 1.0);
     (c.safe_units * COLD_SAFE_PART * spare, c.multiple * COLD_MULTIPLE_PART * spare)
 }
 /// Part of the grace of a drain after which links that still write to the node are cut.
--- a/crates/hostcore/src/layout.rs
+++ b/crates/hostcore/src/layout.rs
@@ -20,8 +20,8 @@
     volumes: Vec<Volume>,
     granules: Vec<Vec<Option<u64>>>, // by volume and stream: blocks that share an order key
     unit_bytes: f64,
-    most_units: f64,
-    most_parts: usize,
+    max_units: f64,
+    max_parts: usize,
     command_bytes: u32,
 }
 
@@ -37,8 +37,8 @@
             granules: granules.collect(),
             volumes: s.volumes.clone(),
             unit_bytes: f64::from(s.units.bytes),
-            most_units: s.units.most,
-            most_parts: s.bounds.parts,
+            max_units: s.units.most,
+            max_parts: s.bounds.parts,
             command_bytes: s.bounds.command_bytes,
         }
     }
@@ -76,11 +76,11 @@
     }
 
     /// Blocks of one command, at most: wherever it begins, it touches no more parts than the bound.
-    pub fn most_blocks(&self, volume: usize) -> u32 {
+    pub fn max_blocks(&self, volume: usize) -> u32 {
         let v = &self.volumes[volume];
         let least =
             self.granules[volume].iter().flatten().copied().chain([v.extent_blocks]).min().unwrap_or(1);
-        let by_parts = least.saturating_mul(self.most_parts as u64 - 1).max(1);
+        let by_parts = least.saturating_mul(self.max_parts as u64 - 1).max(1);
         let by_bytes = u64::from(self.command_bytes / v.block_bytes).max(1);
         u32::try_from(by_parts.min(by_bytes)).unwrap_or(u32::MAX)
     }
@@ -108,7 +108,7 @@
                 blocks,
                 shard: ShardId(v.shards[(extent % v.shards.len() as u64) as usize]),
                 key: (u64::from(v.lun) + 1) << 48 ^ first,
-                units: (bytes / self.unit_bytes).ceil().clamp(1.0, self.most_units),
+                units: (bytes / self.unit_bytes).ceil().clamp(1.0, self.max_units),
             });
             at = until;
         }
@@ -185,7 +185,7 @@
         }
         assert_eq!(l.parts(0, 1, 41, 1)[0].key, l.parts(0, 1, 79, 1)[0].key, "one granule, one key");
         assert_ne!(l.parts(0, 1, 39, 1)[0].key, l.parts(0, 1, 40, 1)[0].key);
-        assert_eq!(l.most_blocks(0), 120, "three whole granules of 40 and two cut ones are four parts");
+        assert_eq!(l.max_blocks(0), 120, "three whole granules of 40 and two cut ones are four parts");
         assert_eq!(
             (l.traffic_class(0, true, 64), l.traffic_class(0, false, 63), l.traffic_class(0, false, 64)),
             (1, 0, 1)
--- a/crates/hostcore/src/plans.rs
+++ b/crates/hostcore/src/plans.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use tackmast::interface::{Instant, Plan as Figures, PlanId, TimeDelta};
 use tackmast_config::{HostSettings, PlansBlock};
-use tackmast_membership::{MOST_BYTES, MOST_PAPERS};
+use tackmast_membership::{MAX_BYTES, MAX_PAPERS};
 use tackmast_plans::{
     Agreed, Catalogue, Change, Command, Entry, Fleet, Plan, Step, TrafficClass, Trail, TrailError, Volume,
 };
@@ -159,7 +159,7 @@
 fn fleet(s: &HostSettings, b: &PlansBlock) -> Fleet {
     let shards = s.volumes.iter().flat_map(|v| &v.shards);
     let bears = shards.map(|n| (*n, b.bears.get(&n.to_string()).copied().unwrap_or(b.node_units)));
-    Fleet { hosts: s.host.hosts, most_units: s.units.most, bears: bears.collect() }
+    Fleet { hosts: s.host.hosts, max_units: s.units.most, bears: bears.collect() }
 }
 
 /// The first eight bytes of a digest.
@@ -297,7 +297,7 @@
             return Figures { limit: NOTHING, burst: 0.0, slack, reserve: 0.0, weight };
         }
         let through = of.volumes.values().filter(|v| v.plan == name).map(|v| v.through.len()).min();
-        let least = self.fleet.most_units * through.unwrap_or(0) as f64;
+        let least = self.fleet.max_units * through.unwrap_or(0) as f64;
         let (burst, reserve) = (if burst > 0.0 { burst.min(least) } else { least }, reserve.min(floor));
         Figures { limit: floor, burst, slack, reserve, weight }
     }
@@ -385,13 +385,13 @@
         let (entry, next) = self.trail.propose(wall_us, change, &self.fleet).map_err(|r| r.to_string())?;
         self.trail.catalogue.moves_live(&next).map_err(|r| r.to_string())?;
         let bytes = Trail::line(&entry).len();
-        if bytes > MOST_BYTES {
+        if bytes > MAX_BYTES {
             return Err(format!(
-                "a change of {bytes} bytes; expected at most {MOST_BYTES}, in several changes"
+                "a change of {bytes} bytes; expected at most {MAX_BYTES}, in several changes"
             ));
         }
-        if self.trail.entries.len() >= MOST_PAPERS {
-            return Err(format!("the trail is full: {MOST_PAPERS} changes; expected it to be begun anew"));
+        if self.trail.entries.len() >= MAX_PAPERS {
+            return Err(format!("the trail is full: {MAX_PAPERS} changes; expected it to be begun anew"));
         }
         let new = |s: &&Step| matches!(s, Step::Plan { name, .. } if !self.numbers.contains_key(name));
         if self.numbers.len() + entry.change.steps.iter().filter(new).count() > NAMES {
--- a/crates/httphost/src/clients.rs
+++ b/crates/httphost/src/clients.rs
@@ -29,7 +29,7 @@
 const STUCK: f64 = 5.0; // seconds
 /// Of the connections, the part that is kept to tell those for whom there is no room so, and how many at most.
 const TURNED_AWAY_PART: usize = 8;
-const TURNED_AWAY_MOST: usize = 16;
+const MAX_TURNED_AWAY: usize = 16;
 
 /// A connection's state. It goes from `Reading` to `Owed` and back, and from either down for good.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -135,7 +135,7 @@
 impl Clients {
     /// `most` connections that together hold so many `bytes`; one that finds no room is told to `retry_after`.
     pub fn new(most: usize, bytes: usize, retry_after: TimeDelta) -> Self {
-        let spare = (most / TURNED_AWAY_PART).min(TURNED_AWAY_MOST);
+        let spare = (most / TURNED_AWAY_PART).min(MAX_TURNED_AWAY);
         Clients {
             clients: BTreeMap::new(),
             next: 0,
--- a/crates/httphost/src/keepers.rs
+++ b/crates/httphost/src/keepers.rs
@@ -8,10 +8,10 @@
 use tackmast::interface::{Instant, ShardId, TimeDelta};
 
 /// Bytes of one datagram, at most, by the platform.
-pub const MOST: usize = 256;
+pub const MAX: usize = 256;
 const HEAD: usize = 5;
 const ENTRY: usize = 4;
-const A_PIECE: usize = (MOST - HEAD) / ENTRY;
+const A_PIECE: usize = (MAX - HEAD) / ENTRY;
 /// Datagrams of one host, at most: shards beyond are left out, those that did least first.
 const PIECES: usize = 8;
 /// Hosts that keep what one host remembers, evenly apart in the order of hosts, as neighbours are restarted together.
@@ -116,7 +116,7 @@
             self.strangers += 1;
             return Vec::new();
         };
-        if bytes.len() > MOST || usize::from(*piece) >= PIECES {
+        if bytes.len() > MAX || usize::from(*piece) >= PIECES {
             self.strangers += 1;
             return Vec::new();
         }
@@ -187,7 +187,7 @@
             let paces: Vec<_> = (0..shards).map(|s| (ShardId(s), 1.0 + f64::from(s) / 7.0)).collect();
             let index = |a: &SocketAddr| usize::from(a.port() - 1000);
             for (to, bytes) in hosts[0].leave(paces.clone()) {
-                assert!(bytes.len() <= MOST);
+                assert!(bytes.len() <= MAX);
                 hosts[index(&to)].heard(at(1.0), all[0], &bytes);
             }
             hosts[0] = Keepers::new(at(1.0 + away), 0, all.clone());
--- a/crates/httphost/src/links.rs
+++ b/crates/httphost/src/links.rs
@@ -58,7 +58,7 @@
     next: u32,
     most: usize,
     connect: TimeDelta,
-    idle_most: TimeDelta,
+    max_idle: TimeDelta,
     reports: Reports,
     pub counters: LinkCounters,
 }
@@ -76,7 +76,7 @@
             next: 0,
             most,
             connect,
-            idle_most: TimeDelta::from_secs(keep),
+            max_idle: TimeDelta::from_secs(keep),
             reports,
             counters: LinkCounters::default(),
         }
@@ -328,7 +328,7 @@
             self.counters.no_connection += 1;
             self.end(id, Outcome::Refused, back);
         }
-        while let Some((node, id)) = self.idle.oldest(self.idle_most, now) {
+        while let Some((node, id)) = self.idle.oldest(self.max_idle, now) {
             self.close(node, id);
         }
     }
--- a/crates/httphost/src/serve.rs
+++ b/crates/httphost/src/serve.rs
@@ -37,7 +37,7 @@
 const CALLS_APART: f64 = 0.05; // seconds
 /// For how long the id of a request that is over is known, and how many.
 const IDS_KEPT: f64 = 5.0; // seconds
-const MOST_IDS: usize = 4096;
+const MAX_IDS: usize = 4096;
 /// Nodes and volumes that are remembered.
 const NODES: usize = 1024;
 const VOLUMES: usize = 1024;
@@ -303,7 +303,7 @@
     /// Datagrams of other hosts, a bounded number in a turn.
     fn hear(&mut self, now: Instant) {
         let Some((socket, k)) = &mut self.peers else { return };
-        let mut bytes = [0; keepers::MOST + 1];
+        let mut bytes = [0; keepers::MAX + 1];
         for _ in 0..DATAGRAMS {
             let Ok((n, from)) = socket.recv_from(&mut bytes) else { break };
             for (to, answer) in k.heard(now, from, &bytes[..n]) {
--- a/crates/httphost/src/serve/requests.rs
+++ b/crates/httphost/src/serve/requests.rs
@@ -45,7 +45,7 @@
         while let Some((_, name)) = self.used.pop_front_if(old) {
             self.ids.remove(&name);
         }
-        while self.used.len() > MOST_IDS {
+        while self.used.len() > MAX_IDS {
             self.used.pop_front().map(|(_, name)| self.ids.remove(&name));
         }
     }
--- a/crates/httphost/src/watch.rs
+++ b/crates/httphost/src/watch.rs
@@ -25,8 +25,8 @@
 /// A connection to the list comes up within this, or not at all.
 const CONNECT: f64 = 0.7; // seconds
 /// A list with all its nodes, written with indents, in bytes; and the pieces of it.
-const MOST_LIST: usize = 256 * 1024;
-const ALL: usize = MOST_LIST / wire::PIECE + 2;
+const MAX_LIST: usize = 256 * 1024;
+const ALL: usize = MAX_LIST / wire::PIECE + 2;
 
 /// What became of a call.
 #[derive(Debug)]
@@ -96,7 +96,7 @@
             number,
             stream,
             out: BytesMut::from(text.as_bytes()),
-            answer: AnswerReader::new(Bounds { body: MOST_LIST, ..Bounds::default() }),
+            answer: AnswerReader::new(Bounds { body: MAX_LIST, ..Bounds::default() }),
             after,
             patience: TimeDelta::from_secs(wait + patience),
             until: now + TimeDelta::from_secs(CONNECT),
--- a/crates/lab/src/agreed/fleet.rs
+++ b/crates/lab/src/agreed/fleet.rs
@@ -266,7 +266,7 @@
     }
 }
 
-fn median_most(mut x: Vec<f64>) -> (f64, f64) {
+fn max_median(mut x: Vec<f64>) -> (f64, f64) {
     x.sort_by(f64::total_cmp);
     (x.get(x.len() / 2).copied().unwrap_or(f64::NAN), x.last().copied().unwrap_or(f64::NAN))
 }
@@ -303,7 +303,7 @@
             false => figures.broken.push(format!("{} hosts know of a change after 4 s", each.len())),
         }
     }
-    (figures.known, figures.all_know) = (median_most(known), median_most(all));
+    (figures.known, figures.all_know) = (max_median(known), max_median(all));
     // As many as go, one under way at each of sixteen hosts.
     let askers = t.hosts.min(16);
     let (began, before) = (f.now, f.done.len());
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -136,7 +136,7 @@
     pub plans: (u64, u64),
     pub events: u64,
     /// The most commands, requests and attempts that one host had open.
-    pub most_open: (usize, usize, usize),
+    pub max_open: (usize, usize, usize),
 }
 
 impl Run {
@@ -408,7 +408,7 @@
     };
     let all: Vec<HostSettings> = (0..w.hosts).map(|h| settings(w, h, mutant)).collect();
     let first = heart(at(START), &all[0], 0, 0, plain);
-    let units = target::units(&all[0], |v| first.layout().most_blocks(v));
+    let units = target::units(&all[0], |v| first.layout().max_blocks(v));
     let mut odd = oorandom::Rand64::new(u128::from(w.seed) ^ 0x0063_6c6f_636b);
     let mut clock = || {
         let mut x = || 2.0 * odd.rand_float() - 1.0;
@@ -471,7 +471,7 @@
             orders: (0, 0),
             plans: (0, 0),
             events: 0,
-            most_open: (0, 0, 0),
+            max_open: (0, 0, 0),
         },
     };
     let windows = sim.settings[0].traffic_classes.iter().filter_map(|s| match s.effect {
--- a/crates/lab/src/sim/hosts.rs
+++ b/crates/lab/src/sim/hosts.rs
@@ -82,7 +82,7 @@
         }
         let host = &mut self.hosts[h as usize];
         let open = host.core.open();
-        let most = &mut self.run.most_open;
+        let most = &mut self.run.max_open;
         *most = (most.0.max(open.0), most.1.max(open.1), most.2.max(open.2));
         let wake = host.core.next_wake(now);
         let wake = wake.map(|t| self.when(h, t));
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -89,7 +89,7 @@
                 zone: 0,
                 nature: Nature { unit_s: 0.0, queue: 100_000, ..Nature::default() },
                 seed: 1,
-                most_data: 1 << 20,
+                max_data: 1 << 20,
                 report_every: Duration::from_millis(100),
                 marks: marks.clone(),
                 window_s: 1.0,
--- a/crates/measure/src/truth.rs
+++ b/crates/measure/src/truth.rs
@@ -99,7 +99,7 @@
             zone: shard % 3,
             nature: Nature { unit_s: w.unit_s, cores: w.cores, queue: 400, ..Nature::default() },
             seed: u64::from(shard),
-            most_data: 1 << 20,
+            max_data: 1 << 20,
             report_every: Duration::from_millis(100),
             marks: marks.clone(),
             window_s: 2.0,
--- a/crates/membership/src/lists.rs
+++ b/crates/membership/src/lists.rs
@@ -5,14 +5,14 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_wire::peer::{Body, ListStop, MOST_STOPS};
+use tackmast_wire::peer::{Body, ListStop, MAX_STOPS};
 
 /// Nodes that a host tells of as draining or gone, at most: the first by address.
 const STOPS: usize = 2_000;
 /// A host that is behind asks a peer, and its service, no more often than this; twice as long each time it is told nothing newer,
 /// up to so long: services may count apart for good.
 const AGAIN_S: f64 = 0.2;
-const AGAIN_MOST_S: f64 = 30.0;
+const AGAIN_MAX_S: f64 = 30.0;
 /// What came and waits to be taken, at most.
 const WAITING: usize = 4_096;
 
@@ -84,8 +84,7 @@
         }
         match body {
             Body::ListWord { version } if version > self.version => {
-                let waits =
-                    (AGAIN_S * f64::from(self.asks.min(16)).exp2() / 2.0).clamp(AGAIN_S, AGAIN_MOST_S);
+                let waits = (AGAIN_S * f64::from(self.asks.min(16)).exp2() / 2.0).clamp(AGAIN_S, AGAIN_MAX_S);
                 if self.asked.is_some_and(|t| now - t < TimeDelta::from_secs(waits)) {
                     return;
                 }
@@ -98,7 +97,7 @@
             Body::ListWord { version } if version < self.version => self.says.push_back((from, self.word())),
             Body::ListWant { version } if version < self.version => {
                 let version = self.version;
-                for some in self.stops.chunks(MOST_STOPS) {
+                for some in self.stops.chunks(MAX_STOPS) {
                     self.says.push_back((from, Body::ListStops { version, stops: some.to_vec() }));
                 }
             }
--- a/crates/membership/src/loans.rs
+++ b/crates/membership/src/loans.rs
@@ -27,7 +27,7 @@
 /// Seconds over which what was asked is averaged.
 const MEMORY: f64 = 2.0;
 /// Shares of the whole limit that are not worth a message.
-const LEAST: f64 = 1e-4;
+const MIN: f64 = 1e-4;
 /// Wants to one lender that an answer may still come for.
 const ASKED: usize = 16;
 /// Edge kept at the end of a term, in seconds.
@@ -316,7 +316,7 @@
         let Some(p) = self.pools.get(&volume) else { return };
         let held = p.own() - if now < p.free_from { p.own() } else { p.lent(now) };
         let short = p.need(now).min(1.0) - held;
-        if short > LEAST && !others.is_empty() && !self.displaced {
+        if short > MIN && !others.is_empty() && !self.displaced {
             let each = short / others.len() as f64;
             others.into_iter().for_each(|to| self.want(now, to, volume, each));
         }
@@ -357,7 +357,7 @@
                     return;
                 };
                 let (own, need) = (p.own(), p.need(now));
-                if need > LEAST && !self.leaving {
+                if need > MIN && !self.leaving {
                     self.want(now, from, volume, own);
                 }
             }
@@ -442,7 +442,7 @@
         // As it will be read at the other end.
         let give = f64::from((fair.min(share).min(room).max(0.0) * (1.0 - 1e-6)) as f32);
         let had = p.given.get(&from).is_some_and(|all| !all.is_empty());
-        if give < LEAST && !had {
+        if give < MIN && !had {
             return;
         }
         let all = p.given.entry(from).or_default();
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_overrides::Origin as Name;
-use tackmast_wire::peer::{Body, Datagram, Health, ListStop, News, SpreadOrder, MOST_ORDERS};
+use tackmast_wire::peer::{Body, Datagram, Health, ListStop, News, SpreadOrder, MAX_ORDERS};
 
 /// Messages that wait to be sent, at most; beyond that a new one is lost and counted.
 const WAITING: usize = 4096;
@@ -288,7 +288,7 @@
         let some: Vec<SpreadOrder> =
             all.iter().cycle().skip(first).take(ORDERS.min(all.len())).cloned().collect();
         self.from_order = first + some.len();
-        for two in some.chunks(MOST_ORDERS) {
+        for two in some.chunks(MAX_ORDERS) {
             self.push(to, Body::Orders(two.to_vec()), Vec::new());
         }
     }
--- a/crates/membership/src/papers.rs
+++ b/crates/membership/src/papers.rs
@@ -7,15 +7,15 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_wire::peer::{Body, MOST_PIECE};
+use tackmast_wire::peer::{Body, MAX_PIECE};
 
 /// Texts that are known, and bytes of one, at most. A host that takes changes refuses those beyond.
-pub const MOST_PAPERS: usize = 20_000;
-pub const MOST_BYTES: usize = 1 << 20;
+pub const MAX_PAPERS: usize = 20_000;
+pub const MAX_BYTES: usize = 1 << 20;
 /// Hosts told at once of a new text.
 pub const TOLD: usize = 3;
 /// Hosts whose word is remembered, at most.
-const MOST_HOSTS: usize = 100_000;
+const MAX_HOSTS: usize = 100_000;
 /// A piece that was asked for and has not come within this is asked for again, of whoever is heard next, or else of the same
 /// host, so many times.
 const AGAIN_S: f64 = 0.1;
@@ -122,7 +122,7 @@
         }
         match body {
             Body::Paper { number, mark, left_ms } => {
-                if self.at.len() < MOST_HOSTS || self.at.contains_key(&slot) {
+                if self.at.len() < MAX_HOSTS || self.at.contains_key(&slot) {
                     self.at.insert(slot, *number);
                 }
                 let ends = now + TimeDelta::from_secs(f64::from(*left_ms) / 1e3);
@@ -147,10 +147,10 @@
             }
             Body::PaperWant { number, piece } => {
                 let Some(text) = self.texts.get(number) else { return };
-                let pieces = text.len().div_ceil(MOST_PIECE).max(1);
-                let (first, pieces) = (usize::from(*piece) * MOST_PIECE, pieces as u16);
+                let pieces = text.len().div_ceil(MAX_PIECE).max(1);
+                let (first, pieces) = (usize::from(*piece) * MAX_PIECE, pieces as u16);
                 if *piece < pieces {
-                    let bytes = text.slice(first..text.len().min(first + MOST_PIECE));
+                    let bytes = text.slice(first..text.len().min(first + MAX_PIECE));
                     self.says.push_back((
                         from,
                         Body::PaperPiece { number: *number, piece: *piece, pieces, bytes },
@@ -206,7 +206,7 @@
         if f.from != from || f.number != number || f.next != piece || (f.next > 0 && f.pieces != pieces) {
             return;
         }
-        if f.got.len() + bytes.len() > MOST_BYTES {
+        if f.got.len() + bytes.len() > MAX_BYTES {
             return self.refused();
         }
         f.got.extend_from_slice(bytes);
--- a/crates/membership/src/spread.rs
+++ b/crates/membership/src/spread.rs
@@ -9,14 +9,14 @@
 use tackmast_wire::peer::SpreadOrder;
 
 /// Orders known at a time, ended ones included.
-const MOST: usize = 20_000;
+const MAX: usize = 20_000;
 /// What has ended is remembered for so long, and for this part of its whole time: others' clocks may be slower.
 const REMEMBER_S: f64 = 60.0;
 const REMEMBER_PART: f64 = 0.02;
 /// Time left that differs by less from what is known is the way of a message.
 const SAME_S: f64 = 5.0;
 /// Edge of the digest's steps of time left.
-const LEAST_S: f64 = 0.05;
+const MIN_S: f64 = 0.05;
 
 #[derive(Clone, Debug)]
 struct Known {
@@ -62,11 +62,11 @@
     pub fn learn(&mut self, now: Instant, order: SpreadOrder) {
         let (n, left) = (name(&order), order.left_ms as f64 / 1e3);
         // What has ended elsewhere ends here by its own time, if it is known; else it is none of this host's.
-        if left < LEAST_S {
+        if left < MIN_S {
             return;
         }
         let ends = now + TimeDelta::from_secs(left);
-        let full = self.known.len() >= MOST;
+        let full = self.known.len() >= MAX;
         match self.known.get_mut(&n) {
             Some(k) => {
                 // The way of a message only makes the end look later.
@@ -118,7 +118,7 @@
     pub fn all(&self, now: Instant) -> Vec<SpreadOrder> {
         let left = |k: &Known| (k.ends - now).secs();
         let one = |k: &Known| SpreadOrder { left_ms: (left(k) * 1e3) as u64, ..k.order.clone() };
-        self.known.values().filter(|k| left(k) > LEAST_S).map(one).collect()
+        self.known.values().filter(|k| left(k) > MIN_S).map(one).collect()
     }
 
     /// Standing, cleared ones aside.
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -19,7 +19,7 @@
 use std::net::SocketAddr;
 use table::Table;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_wire::peer::{Body, Health, News, MOST_NEWS};
+use tackmast_wire::peer::{Body, Health, News, MAX_NEWS};
 use tell::Tellings;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -452,7 +452,7 @@
             .filter_map(|(k, _)| self.news_of(*k))
             .chain([self.me])
             .collect();
-        all.chunks(MOST_NEWS).map(<[News]>::to_vec).collect()
+        all.chunks(MAX_NEWS).map(<[News]>::to_vec).collect()
     }
 
     fn news_of(&self, slot: u32) -> Option<News> {
--- a/crates/membership/src/view/probe.rs
+++ b/crates/membership/src/view/probe.rs
@@ -17,7 +17,7 @@
 const SUSPICION: f64 = 2.0;
 /// The same for one that others share, at least so many periods, and how many times longer for one that nobody shares.
 const SHARED: f64 = 0.9;
-const SHARED_LEAST: f64 = 4.0;
+const MIN_SHARED: f64 = 4.0;
 const ALONE: f64 = 3.0;
 /// Others by whom a suspicion is shared in full.
 const CONFIRMS: usize = 3;
@@ -322,7 +322,7 @@
         if !self.settings.ways.confirm {
             return SUSPICION * self.log_size();
         }
-        let least = (SHARED * self.log_size()).max(SHARED_LEAST);
+        let least = (SHARED * self.log_size()).max(MIN_SHARED);
         // Where fewer are there than could confirm, fewer do.
         let full = CONFIRMS.min(self.there().saturating_sub(1) as usize);
         let shared = match full {
--- a/crates/overrides/src/engine.rs
+++ b/crates/overrides/src/engine.rs
@@ -49,7 +49,8 @@
         zone: u32,
         out: usize,
         of: usize,
-        most_part: f64,
+        #[serde(rename = "most_part")]
+        max_part: f64,
     },
     /// Others have changed something since that version.
     Moved {
@@ -70,9 +71,9 @@
             Refusal::LastOfShard { shard, nodes } => {
                 write!(f, "shard {shard} would have no node in service ({}); force it if that is meant", nodes.join(", "))
             }
-            Refusal::TooMuchOfZone { zone, out, of, most_part } => write!(
+            Refusal::TooMuchOfZone { zone, out, of, max_part } => write!(
                 f,
-                "{out} of {of} nodes of zone {zone} would be out of service; at most {most_part} of them without force"
+                "{out} of {of} nodes of zone {zone} would be out of service; at most {max_part} of them without force"
             ),
             Refusal::Moved { asked, now, changes } => {
                 write!(f, "version {asked} was asked for, and {now} holds; since then: {}", changes.join("; "))
@@ -456,8 +457,8 @@
             let out = of.iter().filter(|n| !serves(after, n)).count();
             let was = of.iter().filter(|n| !serves(before, n)).count();
             if out > was && out as f64 > self.settings.zone_part * of.len() as f64 {
-                let (of, most_part) = (of.len(), self.settings.zone_part);
-                return Some(Refusal::TooMuchOfZone { zone, out, of, most_part });
+                let (of, max_part) = (of.len(), self.settings.zone_part);
+                return Some(Refusal::TooMuchOfZone { zone, out, of, max_part });
             }
         }
         None
--- a/crates/overrides/tests/engine.rs
+++ b/crates/overrides/tests/engine.rs
@@ -175,7 +175,7 @@
         set(&mut o, 0.0, &order(&address(i).to_string(), out, 100.0));
     }
     let e = o.propose(WALL, &order("10.0.0.2:9000", out, 100.0), false, None).unwrap_err();
-    assert_eq!(e, Refusal::TooMuchOfZone { zone: 0, out: 5, of: 8, most_part: 0.5 });
+    assert_eq!(e, Refusal::TooMuchOfZone { zone: 0, out: 5, of: 8, max_part: 0.5 });
 }
 
 #[test]
--- a/crates/overrides/tests/json_forms.rs
+++ b/crates/overrides/tests/json_forms.rs
@@ -91,7 +91,7 @@
         r#"{"last_of_shard":{"shard":4,"nodes":["10.0.0.1:9000"]}}"#,
     );
     assert_form(
-        &Refusal::TooMuchOfZone { zone: 1, out: 3, of: 4, most_part: 0.5 },
+        &Refusal::TooMuchOfZone { zone: 1, out: 3, of: 4, max_part: 0.5 },
         r#"{"too_much_of_zone":{"zone":1,"out":3,"of":4,"most_part":0.5}}"#,
     );
     assert_form(
--- a/crates/planner/src/curve.rs
+++ b/crates/planner/src/curve.rs
@@ -16,7 +16,7 @@
 /// Points of one curve.
 const POINTS: usize = 12;
 /// The least rate looked at, in parts of the mean: below the mean, a burst grows with the length of the record.
-const LEAST: f64 = 1.02;
+const MIN: f64 = 1.02;
 
 impl Curve {
     /// Of arrivals, in order of time: seconds and units. Rates go from just above the mean to where the burst is one request,
@@ -27,11 +27,11 @@
         if whole <= 0.0 || seconds <= 0.0 {
             return Curve::default();
         }
-        let (mut rate, top) = (whole / seconds * LEAST, most.max(whole / seconds * LEAST));
+        let (mut rate, top) = (whole / seconds * MIN, most.max(whole / seconds * MIN));
         let step = (top / rate).powf(1.0 / (POINTS - 1) as f64).max(1.0 + 1e-6);
         let mut points: Vec<Point> = Vec::new();
         for _ in 0..POINTS {
-            let burst = most_held(arrivals, rate, 0.0);
+            let burst = max_held(arrivals, rate, 0.0);
             points.push(Point { rate, burst });
             if burst <= largest {
                 break;
@@ -73,7 +73,7 @@
 }
 
 /// The paper's virtual bucket: the most that is in it at any time, with so much in it at first.
-pub fn most_held(arrivals: &[(f64, f64)], rate: f64, at_first: f64) -> f64 {
+pub fn max_held(arrivals: &[(f64, f64)], rate: f64, at_first: f64) -> f64 {
     let (mut level, mut most, mut last) = (at_first, 0.0f64, 0.0);
     for (t, units) in arrivals {
         level = (level - rate * (t - last)).max(0.0) + units;
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -6,6 +6,6 @@
 mod fit;
 mod place;
 
-pub use curve::{most_held, Curve, Point};
+pub use curve::{max_held, Curve, Point};
 pub use fit::{bounds, fit, Load, Node};
 pub use place::{by_mean_rate, place, Placement};
--- a/crates/plans/src/catalogue.rs
+++ b/crates/plans/src/catalogue.rs
@@ -90,7 +90,8 @@
 pub struct Fleet {
     pub hosts: u32,
     /// Units of the largest request.
-    pub most_units: f64,
+    #[serde(rename = "most_units")]
+    pub max_units: f64,
     /// Units a second that each shard's node is told to bear.
     pub bears: BTreeMap<u32, f64>,
 }
@@ -304,9 +305,9 @@
             }
             // More than a host's part of the burst never passes, so the largest must fit into it.
             let part = p.burst / hosts.len() as f64;
-            if p.limit > 0.0 && part < fleet.most_units {
+            if p.limit > 0.0 && part < fleet.max_units {
                 let found = format!("{} hosts share a burst of {}", hosts.len(), p.burst);
-                return Err(wrong(at("through"), found, &format!("{} units or more each", fleet.most_units)));
+                return Err(wrong(at("through"), found, &format!("{} units or more each", fleet.max_units)));
             }
             for shard in &v.shards {
                 if !fleet.bears.contains_key(shard) {
--- a/crates/plans/tests/plans.rs
+++ b/crates/plans/tests/plans.rs
@@ -40,7 +40,7 @@
 }
 
 fn fleet() -> Fleet {
-    Fleet { hosts: 4, most_units: 8.0, bears: [(0, 100.0), (1, 100.0)].into() }
+    Fleet { hosts: 4, max_units: 8.0, bears: [(0, 100.0), (1, 100.0)].into() }
 }
 
 fn put(t: &mut Trail, c: Change) -> Result<u64, Refusal> {
--- a/crates/plans/tests/stored_format.rs
+++ b/crates/plans/tests/stored_format.rs
@@ -27,7 +27,7 @@
 }
 
 fn fleet() -> Fleet {
-    Fleet { hosts: 4, most_units: 8.0, bears: [(0, 100.0), (1, 100.5)].into() }
+    Fleet { hosts: 4, max_units: 8.0, bears: [(0, 100.0), (1, 100.5)].into() }
 }
 
 fn plan(limit: f64, floor: Option<f64>) -> Plan {
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -33,7 +33,7 @@
 const LONGEST_ID: usize = 64;
 const LONGEST_MARK: usize = 128;
 const LONGEST_BUDGET_MS: u64 = 3_600_000;
-const MOST_HOSTS: u32 = 10_000;
+const MAX_HOSTS: u32 = 10_000;
 
 impl Call {
     pub fn of(r: Request, s: &Settings) -> Result<Call, Refusal> {
@@ -83,7 +83,7 @@
         let left =
             left.ok_or_else(|| bad(format!("x-budget-ms {}: expected whole milliseconds", cut(budget))))?;
         let extent = one("x-extent")?;
-        let (units, shard, hosts) = extent_of(extent, s.most_units)
+        let (units, shard, hosts) = extent_of(extent, s.max_units)
             .ok_or_else(|| bad(format!("x-extent {}: expected units, shard and hosts", cut(extent))))?;
         let mut marks = r.headers.all("idempotency-key");
         let (mark, more) = (marks.next(), marks.next().is_some());
@@ -150,7 +150,7 @@
 }
 
 /// `units=2,shard=5,hosts=3`, in any order; names that are not known are passed over.
-fn extent_of(text: &str, most_units: f64) -> Option<(f64, Option<ShardId>, u32)> {
+fn extent_of(text: &str, max_units: f64) -> Option<(f64, Option<ShardId>, u32)> {
     let (mut units, mut shard, mut hosts) = (None, None, None);
     for (name, value) in text.split(',').map(|pair| pair.split_once('=')).collect::<Option<Vec<_>>>()? {
         let set = match name.trim() {
@@ -164,9 +164,9 @@
         }
     }
     let (units, shard, hosts) = (units?, shard?, hosts?);
-    let most = if most_units > 0.0 { most_units } else { f64::MAX };
+    let most = if max_units > 0.0 { max_units } else { f64::MAX };
     let good =
-        units.is_finite() && units > 0.0 && units <= most && shard >= -1 && (1..=MOST_HOSTS).contains(&hosts);
+        units.is_finite() && units > 0.0 && units <= most && shard >= -1 && (1..=MAX_HOSTS).contains(&hosts);
     let place = u32::try_from(shard).ok().map(ShardId);
     (good && (shard == -1 || place.is_some())).then_some((units, place, hosts))
 }
--- a/crates/platform/src/configuration.rs
+++ b/crates/platform/src/configuration.rs
@@ -29,8 +29,8 @@
 }
 
 /// Less than this is no room for a host.
-const LEAST_SOCKETS: f64 = 64.0;
-const LEAST_MEMORY_MB: f64 = 16.0;
+const MIN_SOCKETS: f64 = 64.0;
+const MIN_MEMORY_MB: f64 = 16.0;
 
 impl Configuration {
     /// An error names the place in the file, the value found and what was expected.
@@ -79,8 +79,8 @@
             seed: seed(all.get("seed")).map_err(|e| format!("seed: {e}"))?,
             limits: Limits {
                 cores: at_least("cores", 0.01)?,
-                memory_bytes: (at_least("memory_mb", LEAST_MEMORY_MB)? * 1024.0 * 1024.0) as usize,
-                sockets: at_least("sockets", LEAST_SOCKETS)? as usize,
+                memory_bytes: (at_least("memory_mb", MIN_MEMORY_MB)? * 1024.0 * 1024.0) as usize,
+                sockets: at_least("sockets", MIN_SOCKETS)? as usize,
             },
             known,
             settings,
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -37,7 +37,7 @@
     pub tick: TimeDelta,
     pub mean_units: f64,
     /// Of one request, at most; 0: not told.
-    pub most_units: f64,
+    pub max_units: f64,
     pub traffic_classes: Vec<TrafficClass>,
     pub plans: Vec<Plan>,
     pub max_attempts: u32,
@@ -89,7 +89,7 @@
             peers: limits.get("peers").and_then(Value::as_bool).unwrap_or(false),
             tick: span(env, "granularity")?,
             mean_units: or(&domain, "unit_mean", 1.0)?,
-            most_units: or(&domain, "largest", 0.0)?,
+            max_units: or(&domain, "largest", 0.0)?,
             traffic_classes,
             plans,
             max_attempts: or(&limits, "max_attempts", f64::from(u32::MAX))? as u32,
--- a/crates/rulecheck/src/index.rs
+++ b/crates/rulecheck/src/index.rs
@@ -256,7 +256,7 @@
                         by_name.get(&(name.host, *session, *command)).and_then(|v| v.last()).copied();
                     let counted = (*bytes as f64 / f64::from(x.facts.unit_bytes.max(1)))
                         .ceil()
-                        .clamp(1.0, x.facts.most_units);
+                        .clamp(1.0, x.facts.max_units);
                     // What is ordered is told by the place, where extents are told: a host that forgot the order
                     // would forget the key as well.
                     let told = x.facts.volumes.iter().find(|v| v.volume == *volume && v.extent_bytes > 0);
@@ -416,7 +416,7 @@
 impl Index {
     /// Requests that a host took in a span: of each command as many as it touches extents or, where these are not
     /// told, one and one more for each further part seen.
-    pub fn most_parts(&self, host: u32, from: u64, to: u64, commands: usize) -> f64 {
+    pub fn max_parts(&self, host: u32, from: u64, to: u64, commands: usize) -> f64 {
         let within = self.commands.iter().filter(|c| c.name.0 == host && (from..=to).contains(&c.t));
         let told: Option<u64> = within.map(|c| c.parts).sum();
         if let Some(parts) = told {
--- a/crates/rulecheck/src/rules.rs
+++ b/crates/rulecheck/src/rules.rs
@@ -328,7 +328,7 @@
             let taken = taken.partition_point(|t| *t <= attempt.t)
                 - taken.partition_point(|t| *t < from.saturating_sub(skew));
             // A command may count as several requests, one for each extent it touches.
-            let parts = x.most_parts(host, from.saturating_sub(skew), attempt.t, taken);
+            let parts = x.max_parts(host, from.saturating_sub(skew), attempt.t, taken);
             let allowed = free + share * parts;
             if sent as f64 > allowed + ROUNDING {
                 let what = format!("{sent} retries in {} ms; {allowed:.1} are allowed", ms(window));
--- a/crates/rulecheck/tests/doctored.rs
+++ b/crates/rulecheck/tests/doctored.rs
@@ -31,7 +31,7 @@
             extent_bytes: 0,
         }],
         unit_bytes: 4096,
-        most_units: 8.0,
+        max_units: 8.0,
         answer_slack_us: 10_000,
         grace_us: 250_000,
         cold_multiple: 2.0,
--- a/crates/standins/src/initiator.rs
+++ b/crates/standins/src/initiator.rs
@@ -13,7 +13,7 @@
 use tackmast_wire::scsi::{status, Command, Sense};
 
 const SMALL_STACK: usize = 128 << 10;
-const MOST_DATA: usize = 16 << 20;
+const MAX_DATA: usize = 16 << 20;
 
 #[derive(Clone, Debug)]
 pub struct Login {
@@ -139,7 +139,7 @@
         let mut out = BytesMut::new();
         iscsi::encode(&pdu, Digests::default(), &mut out);
         stream.write_all(&out)?;
-        let mut units = Units::new(MOST_DATA);
+        let mut units = Units::new(MAX_DATA);
         let mut buffer = [0; 8192];
         let reply = loop {
             if let Some(p) = units.next_unit().map_err(|e| bad(e.to_string()))? {
--- a/crates/standins/src/node.rs
+++ b/crates/standins/src/node.rs
@@ -47,7 +47,7 @@
     pub nature: Nature,
     pub seed: u64,
     /// Bytes of one attempt, at most.
-    pub most_data: usize,
+    pub max_data: usize,
     /// How often the load that answers tell of is looked at.
     pub report_every: Duration,
     /// The marks this node shares with others, and for how long each is known.
@@ -541,7 +541,7 @@
             );
             number
         };
-        let mut frames = wire::frames(self.settings.most_data);
+        let mut frames = wire::frames(self.settings.max_data);
         let mut buffer = vec![0; 64 << 10];
         let mut total = 0u64;
         let mut unread = Unread::default();
@@ -756,7 +756,7 @@
             zone: 0,
             nature: Nature::default(),
             seed: 1,
-            most_data: 1 << 16,
+            max_data: 1 << 16,
             report_every: Duration::from_secs(1),
             marks: Arc::default(),
             window_s: 5.0,
--- a/crates/standins/src/tap.rs
+++ b/crates/standins/src/tap.rs
@@ -15,7 +15,7 @@
 use tackmast_wire::scsi::{status, Command, Sense};
 
 const SMALL_STACK: usize = 256 << 10;
-const MOST: usize = 16 << 20;
+const MAX: usize = 16 << 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
@@ -122,8 +122,8 @@
 impl Inner {
     /// From the client to the host. What is asked is noted before it is passed on.
     fn upward(&self, mut from: TcpStream, mut to: TcpStream, seen: &Mutex<Seen>) {
-        let mut units = Units::new(MOST);
-        let mut nbd = ClientUnits::new(MOST as u32);
+        let mut units = Units::new(MAX);
+        let mut nbd = ClientUnits::new(MAX as u32);
         let mut buffer = vec![0; 64 << 10];
         while let Ok(n @ 1..) = from.read(&mut buffer) {
             let mut s = lock(seen);
@@ -252,8 +252,8 @@
 
     /// From the host to the client. An answer is noted as it comes.
     fn downward(&self, mut from: TcpStream, mut to: TcpStream, seen: &Mutex<Seen>) {
-        let mut units = Units::new(MOST);
-        let mut nbd = ServerUnits::new(MOST as u32);
+        let mut units = Units::new(MAX);
+        let mut nbd = ServerUnits::new(MAX as u32);
         let mut buffer = vec![0; 64 << 10];
         while let Ok(n @ 1..) = from.read(&mut buffer) {
             let mut s = lock(seen);
--- a/crates/target/src/nbd.rs
+++ b/crates/target/src/nbd.rs
@@ -44,7 +44,7 @@
         let mut output = BytesMut::new();
         output.put_slice(&nbd::greeting());
         NbdSession {
-            input: ClientUnits::new(offer.most_command),
+            input: ClientUnits::new(offer.max_command),
             offer,
             number,
             units,
@@ -186,7 +186,7 @@
                         blocks.put_u16(info::BLOCK_SIZE);
                         blocks.put_u32(unit.block_bytes);
                         blocks.put_u32(unit.block_bytes.max(4096));
-                        blocks.put_u32(unit.most_blocks.saturating_mul(unit.block_bytes));
+                        blocks.put_u32(unit.max_blocks.saturating_mul(unit.block_bytes));
                         self.answer_option(number, reply::INFO, &blocks);
                         self.answer_option(number, reply::ACK, &[]);
                         if number == option::GO {
@@ -254,7 +254,7 @@
             let code = if write { error::NOSPC } else { error::INVAL };
             return self.fail(r.cookie, code, "beyond the end of the export");
         }
-        if length > u64::from(unit.most_blocks) * block_bytes {
+        if length > u64::from(unit.max_blocks) * block_bytes {
             return self.fail(r.cookie, error::OVERFLOW, "longer than the export's largest block size");
         }
         if length == 0 {
--- a/crates/target/src/negotiate.rs
+++ b/crates/target/src/negotiate.rs
@@ -17,13 +17,13 @@
 pub struct Offer {
     pub target_name: String,
     /// Bytes of data in one unit towards the target, of immediate data, and of one solicited sequence.
-    pub most_segment: u32,
+    pub max_segment: u32,
     pub first_burst: u32,
-    pub most_burst: u32,
+    pub max_burst: u32,
     /// Commands that may be open in a session.
     pub window: u32,
     /// Bytes of one command.
-    pub most_command: u32,
+    pub max_command: u32,
     /// Longest and shortest deadline a client may ask for.
     pub deadline_ms: (u32, u32),
 }
@@ -35,24 +35,24 @@
         let longest = s.traffic_classes.iter().map(|s| s.deadline.secs()).fold(1.0, f64::max);
         Offer {
             target_name: s.host.target.clone(),
-            most_segment: b.segment,
+            max_segment: b.segment,
             first_burst: b.first_burst,
-            most_burst: b.burst,
+            max_burst: b.burst,
             window: b.window,
-            most_command: b.command_bytes,
+            max_command: b.command_bytes,
             deadline_ms: (s.host.answer_lead_ms as u32 + 10, (longest * 1e4) as u32),
         }
     }
 }
 
-/// What the target tells of the volumes; `most_blocks` is the longest command of each, by its place in the settings.
-pub fn units(s: &HostSettings, most_blocks: impl Fn(usize) -> u32) -> Vec<Unit> {
+/// What the target tells of the volumes; `max_blocks` is the longest command of each, by its place in the settings.
+pub fn units(s: &HostSettings, max_blocks: impl Fn(usize) -> u32) -> Vec<Unit> {
     let unit = |(i, v): (usize, &tackmast_config::Volume)| Unit {
         lun: v.lun,
         name: v.name.clone(),
         blocks: v.blocks,
         block_bytes: v.block_bytes,
-        most_blocks: most_blocks(i),
+        max_blocks: max_blocks(i),
     };
     s.volumes.iter().enumerate().map(unit).collect()
 }
@@ -65,7 +65,7 @@
     pub client_segment: u32,
     pub immediate: bool,
     pub first_burst: u32,
-    pub most_burst: u32,
+    pub max_burst: u32,
     pub deadline_ms: Option<u32>,
     pub exact_delay: bool,
     pub command_deadline: bool,
@@ -84,7 +84,7 @@
             client_segment: 8192,
             immediate: true,
             first_burst: offer.first_burst.min(65536),
-            most_burst: offer.most_burst.min(262_144),
+            max_burst: offer.max_burst.min(262_144),
             deadline_ms: None,
             exact_delay: false,
             command_deadline: false,
@@ -141,13 +141,13 @@
                 match number().filter(|n| (512..=0xff_ffff).contains(n)) {
                     Some(n) => {
                         self.client_segment = n;
-                        Some(offer.most_segment.to_string())
+                        Some(offer.max_segment.to_string())
                     }
                     None => reject(),
                 }
             }
             "FirstBurstLength" if login => least(offer.first_burst, &mut self.first_burst, 512),
-            "MaxBurstLength" if login => least(offer.most_burst, &mut self.most_burst, 512),
+            "MaxBurstLength" if login => least(offer.max_burst, &mut self.max_burst, 512),
             "ImmediateData" if login => match value {
                 "Yes" | "No" => {
                     self.immediate = value == "Yes";
--- a/crates/target/src/session.rs
+++ b/crates/target/src/session.rs
@@ -9,7 +9,7 @@
 use tackmast_wire::WireError;
 
 /// Bytes of text that one login or text exchange may gather.
-const MOST_TEXT: usize = 64 << 10;
+const MAX_TEXT: usize = 64 << 10;
 
 /// What the session wants from the host core.
 #[derive(Clone, Debug, PartialEq)]
@@ -121,7 +121,7 @@
 
 impl Session {
     pub fn new(offer: Arc<Offer>, units: Arc<Vec<Unit>>, tsih: u16) -> Self {
-        let most = offer.most_segment.max(8192) as usize;
+        let most = offer.max_segment.max(8192) as usize;
         Session {
             agreed: Agreed::new(&offer),
             offer,
@@ -270,9 +270,9 @@
     }
 
     fn gather(&mut self, pdu: &Pdu) -> Result<Option<Vec<(String, String)>>, SessionError> {
-        if self.text.len() + pdu.data.len() > MOST_TEXT {
+        if self.text.len() + pdu.data.len() > MAX_TEXT {
             let found = (self.text.len() + pdu.data.len()) as u64;
-            return Err(WireError::TooLong { field: "text keys", found, most: MOST_TEXT as u64 }.into());
+            return Err(WireError::TooLong { field: "text keys", found, most: MAX_TEXT as u64 }.into());
         }
         self.text.extend_from_slice(&pdu.data);
         if pdu.has(CONTINUES) {
@@ -448,7 +448,7 @@
         let bytes = u64::from(blocks) * u64::from(unit.block_bytes);
         let problem = if block.checked_add(u64::from(blocks)).is_none_or(|end| end > unit.blocks) {
             Some(Sense::OUT_OF_RANGE)
-        } else if blocks > unit.most_blocks || bytes > u64::from(self.offer.most_command) {
+        } else if blocks > unit.max_blocks || bytes > u64::from(self.offer.max_command) {
             Some(Sense::INVALID_FIELD)
         } else if upload.is_some() && u64::from(task.expected) != bytes {
             Some(Sense::SHORT_DATA)
@@ -502,7 +502,7 @@
 
     /// Asks for the next sequence of a write's data.
     fn solicit(&mut self, command: u32) {
-        let most = self.agreed.most_burst as usize;
+        let most = self.agreed.max_burst as usize;
         let Some(task) = self.tasks.get_mut(&command) else { return };
         let Some(up) = task.upload.as_mut() else { return };
         let length = (up.length - up.asked).min(most);
--- a/crates/target/tests/session.rs
+++ b/crates/target/tests/session.rs
@@ -18,18 +18,18 @@
 fn offer() -> Offer {
     Offer {
         target_name: "iqn.test:pool".into(),
-        most_segment: 4096,
+        max_segment: 4096,
         first_burst: 1024,
-        most_burst: 2048,
+        max_burst: 2048,
         window: WINDOW,
-        most_command: 64 << 10,
+        max_command: 64 << 10,
         deadline_ms: (50, 5000),
     }
 }
 
 impl Client {
     fn new() -> Client {
-        let unit = Unit { lun: 3, name: "v".into(), blocks: 1000, block_bytes: 512, most_blocks: 32 };
+        let unit = Unit { lun: 3, name: "v".into(), blocks: 1000, block_bytes: 512, max_blocks: 32 };
         let session = Session::new(Arc::new(offer()), Arc::new(vec![unit]), 9);
         Client { session, units: Units::new(1 << 20), digests: Digests::default(), next: 1 }
     }
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -7,7 +7,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Events that a recorder keeps; a trace that lost some is no proof and says so.
-const MOST: usize = 8 << 20;
+const MAX: usize = 8 << 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -55,7 +55,8 @@
     pub traffic_classes: Vec<TrafficClassFacts>,
     pub volumes: Vec<VolumeFacts>,
     pub unit_bytes: u32,
-    pub most_units: f64,
+    #[serde(rename = "most_units")]
+    pub max_units: f64,
     /// Rule 1: time after the deadline within which an answer still counts.
     pub answer_slack_us: u64,
     /// Rule 3.
@@ -309,8 +310,8 @@
         let Some(kept) = &self.0 else { return };
         let mut lines = kept.lock().unwrap_or_else(PoisonError::into_inner);
         match lines.len() {
-            n if n < MOST => lines.push(Line { t, event }),
-            MOST => lines.push(Line { t, event: Event::Truncated }),
+            n if n < MAX => lines.push(Line { t, event }),
+            MAX => lines.push(Line { t, event: Event::Truncated }),
             _ => {}
         }
     }
--- a/crates/trace/tests/json_forms.rs
+++ b/crates/trace/tests/json_forms.rs
@@ -48,7 +48,7 @@
         traffic_classes: vec![traffic_class],
         volumes: vec![volume.clone()],
         unit_bytes: 4096,
-        most_units: 8.0,
+        max_units: 8.0,
         answer_slack_us: 1,
         grace_us: 2,
         cold_multiple: 1.5,
--- a/crates/wire/src/agree.rs
+++ b/crates/wire/src/agree.rs
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 
 /// Bytes of one entry's text, of one word, and of a state that entries were folded into, at most.
-pub const MOST_ENTRY: usize = 1 << 20;
-pub const MOST_STATE: usize = 16 << 20;
-pub const MOST_WORD: usize = MOST_STATE + (64 << 10);
+pub const MAX_ENTRY: usize = 1 << 20;
+pub const MAX_STATE: usize = 16 << 20;
+pub const MAX_WORD: usize = MAX_STATE + (64 << 10);
 /// Voters of one fleet, and entries in one word, at most.
-pub const MOST_VOTERS: usize = 7;
-pub const MOST_ENTRIES: usize = 256;
+pub const MAX_VOTERS: usize = 7;
+pub const MAX_ENTRIES: usize = 256;
 
 /// A place in the log, and the term in which it was written there. Ordered as logs are compared: by term, then by place.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -155,16 +155,16 @@
 }
 
 fn put_voters(out: &mut BytesMut, v: &Voters) {
-    out.put_u8(v.len().min(MOST_VOTERS) as u8);
-    for (slot, disk) in v.iter().take(MOST_VOTERS) {
+    out.put_u8(v.len().min(MAX_VOTERS) as u8);
+    for (slot, disk) in v.iter().take(MAX_VOTERS) {
         out.put_u32(*slot);
         out.put_u64(*disk);
     }
 }
 
 fn put_entries(out: &mut BytesMut, all: &[Entry]) {
-    out.put_u16(all.len().min(MOST_ENTRIES) as u16);
-    all.iter().take(MOST_ENTRIES).for_each(|e| put_entry(out, e));
+    out.put_u16(all.len().min(MAX_ENTRIES) as u16);
+    all.iter().take(MAX_ENTRIES).for_each(|e| put_entry(out, e));
 }
 
 pub fn put_entry(out: &mut BytesMut, e: &Entry) {
@@ -201,7 +201,7 @@
 
 fn voters(f: &mut Fields) -> Result<Voters, WireError> {
     let n = f.u8("voters")?;
-    if usize::from(n) > MOST_VOTERS {
+    if usize::from(n) > MAX_VOTERS {
         return Err(WireError::Value { field: "voters", found: u64::from(n), expected: "at most 7" });
     }
     let mut all = Voters::new();
@@ -227,7 +227,7 @@
     let term = f.u64("term")?;
     let what = match f.u8("entry kind")? {
         0 => What::Nothing,
-        1 => What::Data(long(f, "entry", MOST_ENTRY)?),
+        1 => What::Data(long(f, "entry", MAX_ENTRY)?),
         2 => What::Voters(voters(f)?),
         other => {
             let expected = "0 nothing, 1 data or 2 voters";
@@ -239,7 +239,7 @@
 
 fn entries(f: &mut Fields) -> Result<Vec<Entry>, WireError> {
     let n = f.u16("entries")?;
-    if usize::from(n) > MOST_ENTRIES {
+    if usize::from(n) > MAX_ENTRIES {
         return Err(WireError::Value { field: "entries", found: u64::from(n), expected: "at most 256" });
     }
     (0..n).map(|_| entry(f)).collect()
@@ -379,9 +379,9 @@
                 id: f.u64("log")?,
                 last: mark(f)?,
                 voters: voters(f)?,
-                state: long(f, "state", MOST_STATE)?,
+                state: long(f, "state", MAX_STATE)?,
             },
-            6 => Word::Propose { id: f.u64("log")?, data: long(f, "proposal", MOST_ENTRY)? },
+            6 => Word::Propose { id: f.u64("log")?, data: long(f, "proposal", MAX_ENTRY)? },
             7 => Word::Renew { seq: f.u32("number")?, has: f.u64("index")?, of: origin(f)? },
             8 => Word::Granted {
                 id: f.u64("log")?,
@@ -401,7 +401,7 @@
                 id: f.u64("log")?,
                 last: mark(f)?,
                 voters: voters(f)?,
-                state: long(f, "state", MOST_STATE)?,
+                state: long(f, "state", MAX_STATE)?,
             },
             13 => Word::Found {
                 of: origin(f)?,
@@ -427,7 +427,7 @@
 
     fn all() -> Vec<Word> {
         let of = Origin { disk: 1, boot: 2, generation: 3 };
-        let voters: Voters = (0..MOST_VOTERS as u32).map(|s| (s, u64::from(s) + 7)).collect();
+        let voters: Voters = (0..MAX_VOTERS as u32).map(|s| (s, u64::from(s) + 7)).collect();
         let entries = vec![
             Entry { term: 1, what: What::Nothing },
             Entry { term: 2, what: What::Data(Bytes::from_static(b"change")) },
--- a/crates/wire/src/iscsi.rs
+++ b/crates/wire/src/iscsi.rs
@@ -154,16 +154,16 @@
     n.wrapping_neg() & 3
 }
 
-/// Cuts a byte stream into units. `most_data` bounds the data of one; further headers are bounded by their length's byte.
+/// Cuts a byte stream into units. `max_data` bounds the data of one; further headers are bounded by their length's byte.
 pub struct Units {
     held: BytesMut,
-    most_data: usize,
+    max_data: usize,
     pub digests: Digests,
 }
 
 impl Units {
-    pub fn new(most_data: usize) -> Self {
-        Units { held: BytesMut::new(), most_data, digests: Digests::default() }
+    pub fn new(max_data: usize) -> Self {
+        Units { held: BytesMut::new(), max_data, digests: Digests::default() }
     }
 
     pub fn push(&mut self, bytes: &[u8]) {
@@ -179,8 +179,8 @@
         let Some(head) = self.held.first_chunk::<BHS>().copied() else { return Ok(None) };
         let further = usize::from(head[4]) * 4;
         let data = usize::from(head[5]) << 16 | usize::from(head[6]) << 8 | usize::from(head[7]);
-        if data > self.most_data {
-            let (found, most) = (data as u64, self.most_data as u64);
+        if data > self.max_data {
+            let (found, most) = (data as u64, self.max_data as u64);
             return Err(WireError::TooLong { field: "data segment length", found, most });
         }
         let headers = BHS + further;
--- a/crates/wire/src/list.rs
+++ b/crates/wire/src/list.rs
@@ -8,7 +8,7 @@
 /// From this one on, lists that are sent tell when.
 pub const TIMED: u16 = 2;
 /// Bytes of one frame, at most: some 12,000 entries.
-pub const MOST: usize = 1 << 20;
+pub const MAX: usize = 1 << 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
@@ -168,7 +168,7 @@
 }
 
 pub fn frames() -> Frames {
-    Frames::new(MOST)
+    Frames::new(MAX)
 }
 
 pub fn next(frames: &mut Frames) -> Result<Option<Frame>, WireError> {
--- a/crates/wire/src/nbd.rs
+++ b/crates/wire/src/nbd.rs
@@ -18,7 +18,7 @@
 pub const NO_ZEROES: u16 = 2;
 
 /// Bytes of an option's data.
-pub const MOST_OPTION: u32 = 64 << 10;
+pub const MAX_OPTION: u32 = 64 << 10;
 
 macro_rules! numbers {
     ($(#[$doc:meta])* $module:ident: $type:ty { $($name:ident = $value:expr),* $(,)? }) => {
@@ -155,12 +155,12 @@
 pub struct ClientUnits {
     held: BytesMut,
     pub stage: Stage,
-    most_write: u32,
+    max_write: u32,
 }
 
 impl ClientUnits {
-    pub fn new(most_write: u32) -> Self {
-        ClientUnits { held: BytesMut::new(), stage: Stage::Flags, most_write }
+    pub fn new(max_write: u32) -> Self {
+        ClientUnits { held: BytesMut::new(), stage: Stage::Flags, max_write }
     }
 
     pub fn push(&mut self, bytes: &[u8]) {
@@ -182,7 +182,7 @@
                     return Err(value("option magic", magic, "IHAVEOPT"));
                 }
                 let (option, length) = (f.u32("option")?, f.u32("option length")?);
-                let length = bounded("option length", length, MOST_OPTION)?;
+                let length = bounded("option length", length, MAX_OPTION)?;
                 if self.held.len() < 16 + length {
                     return Ok(None);
                 }
@@ -198,8 +198,7 @@
                 let (flags, kind) = (f.u16("flags")?, f.u16("command")?);
                 let (cookie, offset, length) = (f.u64("cookie")?, f.u64("offset")?, f.u32("length")?);
                 let further = if flags & flag::DEADLINE != 0 { 8 } else { 0 };
-                let data =
-                    if kind == command::WRITE { bounded("write", length, self.most_write)? } else { 0 };
+                let data = if kind == command::WRITE { bounded("write", length, self.max_write)? } else { 0 };
                 if self.held.len() < 28 + further + data {
                     return Ok(None);
                 }
@@ -226,12 +225,12 @@
 pub struct ServerUnits {
     held: BytesMut,
     pub stage: Stage,
-    most_read: u32,
+    max_read: u32,
 }
 
 impl ServerUnits {
-    pub fn new(most_read: u32) -> Self {
-        ServerUnits { held: BytesMut::new(), stage: Stage::Flags, most_read }
+    pub fn new(max_read: u32) -> Self {
+        ServerUnits { held: BytesMut::new(), stage: Stage::Flags, max_read }
     }
 
     pub fn push(&mut self, bytes: &[u8]) {
@@ -259,7 +258,7 @@
                     return Err(value("reply magic", magic, "0x3e889045565a9"));
                 }
                 let (option, kind, length) = (f.u32("option")?, f.u32("reply")?, f.u32("reply length")?);
-                let length = bounded("reply length", length, MOST_OPTION)?;
+                let length = bounded("reply length", length, MAX_OPTION)?;
                 if self.held.len() < 20 + length {
                     return Ok(None);
                 }
@@ -284,7 +283,7 @@
                         let Some(mut f) = head(20) else { return Ok(None) };
                         f.u32("reply magic")?;
                         let (flags, kind, cookie) = (f.u16("flags")?, f.u16("chunk")?, f.u64("cookie")?);
-                        let length = bounded("chunk length", f.u32("chunk length")?, self.most_read + 64)?;
+                        let length = bounded("chunk length", f.u32("chunk length")?, self.max_read + 64)?;
                         if self.held.len() < 20 + length {
                             return Ok(None);
                         }
--- a/crates/wire/src/node.rs
+++ b/crates/wire/src/node.rs
@@ -272,9 +272,9 @@
     }
 }
 
-/// Frames of a link whose data may hold `most_data` bytes an attempt.
-pub fn frames(most_data: usize) -> Frames {
-    Frames::new(most_data + OVERHEAD)
+/// Frames of a link whose data may hold `max_data` bytes an attempt.
+pub fn frames(max_data: usize) -> Frames {
+    Frames::new(max_data + OVERHEAD)
 }
 
 /// The next decoded frame of a stream.
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -8,18 +8,18 @@
 const MAGIC: u16 = 0x746d;
 pub const VERSION: u8 = 2;
 /// Bytes of one datagram, at most.
-pub const MOST: usize = 1400;
+pub const MAX: usize = 1400;
 /// Lines of news in one datagram, and orders, at most: so many fit also where all addresses are of IPv6.
-pub const MOST_NEWS: usize = 28;
-pub const MOST_ORDERS: usize = 2;
+pub const MAX_NEWS: usize = 28;
+pub const MAX_ORDERS: usize = 2;
 /// Nodes in one datagram that a list takes away, at most.
-pub const MOST_STOPS: usize = 18;
+pub const MAX_STOPS: usize = 18;
 /// Bytes of a fleet's name, of an order's target, and of its reason and name, at most.
-pub const MOST_NAME: usize = 32;
-pub const MOST_TARGET: usize = 64;
-pub const MOST_TEXT: usize = 200;
+pub const MAX_NAME: usize = 32;
+pub const MAX_TARGET: usize = 64;
+pub const MAX_TEXT: usize = 200;
 /// Bytes of one piece of a change of plans, at most.
-pub const MOST_PIECE: usize = 1200;
+pub const MAX_PIECE: usize = 1200;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Health {
@@ -219,15 +219,15 @@
 }
 
 fn put_piece(out: &mut BytesMut, bytes: &Bytes) {
-    let most = bytes.len().min(MOST_PIECE);
+    let most = bytes.len().min(MAX_PIECE);
     out.put_u16(most as u16);
     out.put_slice(&bytes[..most]);
 }
 
 fn one_piece(f: &mut Fields) -> Result<Bytes, WireError> {
     let n = usize::from(f.u16("bytes")?);
-    if n > MOST_PIECE {
-        let (found, most) = (n as u64, MOST_PIECE as u64);
+    if n > MAX_PIECE {
+        let (found, most) = (n as u64, MAX_PIECE as u64);
         return Err(WireError::TooLong { field: "piece", found, most });
     }
     f.bytes("piece", n)
@@ -279,7 +279,7 @@
         let mut out = BytesMut::new();
         out.put_u16(MAGIC);
         out.put_u8(VERSION);
-        put_text(&mut out, &self.fleet, MOST_NAME);
+        put_text(&mut out, &self.fleet, MAX_NAME);
         put_news(&mut out, &self.me);
         match &self.body {
             Body::Ping { seq } => {
@@ -338,8 +338,8 @@
             }
             Body::Orders(orders) => {
                 out.put_u8(12);
-                out.put_u8(orders.len().min(MOST_ORDERS) as u8);
-                orders.iter().take(MOST_ORDERS).for_each(|o| put_order(&mut out, o));
+                out.put_u8(orders.len().min(MAX_ORDERS) as u8);
+                orders.iter().take(MAX_ORDERS).for_each(|o| put_order(&mut out, o));
             }
             Body::Paper { number, mark, left_ms } => {
                 out.put_u8(13);
@@ -391,21 +391,21 @@
             Body::ListStops { version, stops } => {
                 out.put_u8(22);
                 out.put_u64(*version);
-                out.put_u8(stops.len().min(MOST_STOPS) as u8);
-                for s in stops.iter().take(MOST_STOPS) {
-                    put_text(&mut out, &s.address, MOST_TARGET);
+                out.put_u8(stops.len().min(MAX_STOPS) as u8);
+                for s in stops.iter().take(MAX_STOPS) {
+                    put_text(&mut out, &s.address, MAX_TARGET);
                     out.put_u8(u8::from(s.gone));
                 }
             }
         }
-        out.put_u8(self.news.len().min(MOST_NEWS) as u8);
-        self.news.iter().take(MOST_NEWS).for_each(|n| put_news(&mut out, n));
+        out.put_u8(self.news.len().min(MAX_NEWS) as u8);
+        self.news.iter().take(MAX_NEWS).for_each(|n| put_news(&mut out, n));
         out.freeze()
     }
 
     pub fn decode(bytes: Bytes) -> Result<Datagram, WireError> {
-        if bytes.len() > MOST {
-            let (found, most) = (bytes.len() as u64, MOST as u64);
+        if bytes.len() > MAX {
+            let (found, most) = (bytes.len() as u64, MAX as u64);
             return Err(WireError::TooLong { field: "datagram", found, most });
         }
         let mut f = Fields(bytes);
@@ -418,8 +418,8 @@
             return Err(wrong("version", version, "2"));
         }
         let fleet = f.text("fleet")?;
-        if fleet.len() > MOST_NAME {
-            let (found, most) = (fleet.len() as u64, MOST_NAME as u64);
+        if fleet.len() > MAX_NAME {
+            let (found, most) = (fleet.len() as u64, MAX_NAME as u64);
             return Err(WireError::TooLong { field: "fleet", found, most });
         }
         let me = one_news(&mut f)?;
@@ -450,7 +450,7 @@
             11 => Body::Returned { to_generation: f.u64("life")?, volume: f.u32("volume")? },
             12 => {
                 let n = f.u8("orders")?;
-                if usize::from(n) > MOST_ORDERS {
+                if usize::from(n) > MAX_ORDERS {
                     return Err(wrong("orders", n, "at most 2"));
                 }
                 Body::Orders((0..n).map(|_| order(&mut f)).collect::<Result<_, _>>()?)
@@ -479,7 +479,7 @@
             21 => Body::ListWant { version: f.u64("version")? },
             22 => {
                 let (version, n) = (f.u64("version")?, f.u8("nodes")?);
-                if usize::from(n) > MOST_STOPS {
+                if usize::from(n) > MAX_STOPS {
                     return Err(wrong("nodes", n, "at most 18"));
                 }
                 let stops = (0..n).map(|_| list_stop(&mut f)).collect::<Result<_, _>>()?;
@@ -488,7 +488,7 @@
             other => return Err(wrong("kind", other, "a kind from 1 to 22")),
         };
         let n = f.u8("news")?;
-        if usize::from(n) > MOST_NEWS {
+        if usize::from(n) > MAX_NEWS {
             return Err(wrong("news", n, "at most 28"));
         }
         let news = (0..n).map(|_| one_news(&mut f)).collect::<Result<_, _>>()?;
@@ -529,8 +529,8 @@
 
 fn list_stop(f: &mut Fields) -> Result<ListStop, WireError> {
     let address = f.text("node")?;
-    if address.len() > MOST_TARGET {
-        let (found, most) = (address.len() as u64, MOST_TARGET as u64);
+    if address.len() > MAX_TARGET {
+        let (found, most) = (address.len() as u64, MAX_TARGET as u64);
         return Err(WireError::TooLong { field: "node", found, most });
     }
     match f.u8("gone")? {
@@ -551,9 +551,9 @@
     };
     out.put_u8(kind);
     out.put_f32(weight);
-    put_text(out, &o.target, MOST_TARGET);
-    put_text(out, &o.reason, MOST_TEXT);
-    put_text(out, &o.who, MOST_TEXT);
+    put_text(out, &o.target, MAX_TARGET);
+    put_text(out, &o.reason, MAX_TEXT);
+    put_text(out, &o.who, MAX_TEXT);
     out.put_u64(o.left_ms);
     out.put_u64(o.whole_ms);
     out.put_u8(u8::from(o.cleared));
@@ -615,7 +615,7 @@
 
     #[test]
     fn each_kind_comes_back_as_it_was_and_fits_its_bound() {
-        let long = "x".repeat(MOST_TEXT);
+        let long = "x".repeat(MAX_TEXT);
         for body in [
             Body::Ping { seq: 1 },
             Body::Ack { seq: 2 },
@@ -632,15 +632,15 @@
             Body::Orders(vec![order(&long), order("")]),
             Body::Paper { number: 22, mark: 23, left_ms: 24 },
             Body::PaperWant { number: 25, piece: 26 },
-            Body::PaperPiece { number: 27, piece: 28, pieces: 29, bytes: Bytes::from(vec![7; MOST_PIECE]) },
-            Body::Agree { bytes: Bytes::from(vec![7; MOST_PIECE]) },
-            Body::Parcel { number: 30, pieces: 32, piece: 31, bytes: Bytes::from(vec![7; MOST_PIECE]) },
+            Body::PaperPiece { number: 27, piece: 28, pieces: 29, bytes: Bytes::from(vec![7; MAX_PIECE]) },
+            Body::Agree { bytes: Bytes::from(vec![7; MAX_PIECE]) },
+            Body::Parcel { number: 30, pieces: 32, piece: 31, bytes: Bytes::from(vec![7; MAX_PIECE]) },
             Body::ParcelWant { number: 33, piece: 34 },
             Body::ListWord { version: 35 },
             Body::ListWant { version: 36 },
             Body::ListStops {
                 version: 37,
-                stops: vec![ListStop { address: "x".repeat(MOST_TARGET), gone: true }; MOST_STOPS],
+                stops: vec![ListStop { address: "x".repeat(MAX_TARGET), gone: true }; MAX_STOPS],
             },
         ] {
             let many = if matches!(
@@ -653,11 +653,11 @@
             ) {
                 0
             } else {
-                MOST_NEWS
+                MAX_NEWS
             };
-            let d = Datagram { fleet: "f".repeat(MOST_NAME), me: news(2)[1], body, news: news(many) };
+            let d = Datagram { fleet: "f".repeat(MAX_NAME), me: news(2)[1], body, news: news(many) };
             let bytes = d.to_bytes();
-            assert!(bytes.len() <= MOST, "{}: {d:?}", bytes.len());
+            assert!(bytes.len() <= MAX, "{}: {d:?}", bytes.len());
             assert_eq!(Datagram::decode(bytes), Ok(d));
         }
     }
--- a/crates/wire/src/scsi.rs
+++ b/crates/wire/src/scsi.rs
@@ -64,19 +64,19 @@
 
 impl Command {
     pub fn parse(c: &[u8; 16]) -> Result<Command, Sense> {
-        let most16 = be(&c[3..5]) as u32;
-        let most32 = be(&c[10..14]) as u32;
+        let max16 = be(&c[3..5]) as u32;
+        let max32 = be(&c[10..14]) as u32;
         let range10 = (be(&c[2..6]), be(&c[7..9]) as u32);
-        let range16 = (be(&c[2..10]), most32);
+        let range16 = (be(&c[2..10]), max32);
         Ok(match c[0] {
             0x00 => Command::TestUnitReady,
             0x03 => Command::RequestSense { most: u32::from(c[4]) },
             0x12 if c[1] & 1 == 0 && c[2] != 0 => return Err(Sense::INVALID_FIELD),
-            0x12 => Command::Inquiry { page: (c[1] & 1 != 0).then_some(c[2]), most: most16 },
+            0x12 => Command::Inquiry { page: (c[1] & 1 != 0).then_some(c[2]), most: max16 },
             0x1a => Command::ModeSense { long: false, most: u32::from(c[4]) },
             0x5a => Command::ModeSense { long: true, most: range10.1 },
             0x25 => Command::ReadCapacity10,
-            0x9e if c[1] & 0x1f == 0x10 => Command::ReadCapacity16 { most: most32 },
+            0x9e if c[1] & 0x1f == 0x10 => Command::ReadCapacity16 { most: max32 },
             0xa0 => Command::ReportLuns { most: be(&c[6..10]) as u32 },
             0x35 | 0x91 => Command::Synchronize,
             // Protection information is not kept, so a command that asks for it can't be served.
@@ -134,7 +134,7 @@
     pub blocks: u64,
     pub block_bytes: u32,
     /// Blocks in one request, at most.
-    pub most_blocks: u32,
+    pub max_blocks: u32,
 }
 
 /// Answer to INQUIRY: standard data, or one of the pages 00, 80, 83 and B0.
@@ -163,7 +163,7 @@
         }
         0xb0 => {
             let mut limits = [0u8; 60];
-            let most = unit.map_or(0, |u| u.most_blocks).to_be_bytes();
+            let most = unit.map_or(0, |u| u.max_blocks).to_be_bytes();
             limits[4..8].copy_from_slice(&most);
             limits[8..12].copy_from_slice(&most);
             Bytes::copy_from_slice(&limits)
--- a/crates/wire/tests/codecs.rs
+++ b/crates/wire/tests/codecs.rs
@@ -9,10 +9,10 @@
 use tackmast_wire::node::{self, Answer, Frame, NodeOutcome, Origin, SendAttempt, Work};
 use tackmast_wire::scsi::{Command, Sense};
 
-const MOST: usize = 4096;
+const MAX: usize = 4096;
 
 fn data() -> impl Strategy<Value = Bytes> {
-    proptest::collection::vec(any::<u8>(), 0..MOST).prop_map(Bytes::from)
+    proptest::collection::vec(any::<u8>(), 0..MAX).prop_map(Bytes::from)
 }
 
 fn attempt() -> impl Strategy<Value = Frame> {
@@ -130,7 +130,7 @@
     fn node_frames_come_back(sent in proptest::collection::vec(node_frame(), 1..5), cuts in proptest::collection::vec(1usize..300, 1..8)) {
         let mut bytes = BytesMut::new();
         sent.iter().for_each(|f| f.encode(&mut bytes));
-        let mut frames = node::frames(MOST);
+        let mut frames = node::frames(MAX);
         let mut found = Vec::new();
         in_pieces(&bytes, &cuts, |piece| {
             frames.push(piece);
@@ -161,7 +161,7 @@
         let digests = Digests { header, data };
         let mut bytes = BytesMut::new();
         sent.iter().for_each(|p| iscsi::encode(p, digests, &mut bytes));
-        let mut units = Units::new(MOST);
+        let mut units = Units::new(MAX);
         units.digests = digests;
         let mut found = Vec::new();
         in_pieces(&bytes, &cuts, |piece| {
@@ -183,7 +183,7 @@
         // The lengths say where digests stand, so a flip there may leave the unit waiting for more; that is no
         // false unit either.
         bytes[i] ^= 1 << bit;
-        let mut units = Units::new(MOST);
+        let mut units = Units::new(MAX);
         units.digests = digests;
         units.push(&bytes);
         if let Ok(Some(found)) = units.next_unit() {
@@ -198,13 +198,13 @@
         _ = list::Frame::decode(all.clone());
         _ = iscsi::read_keys(&all);
         _ = Sense::from_segment(&all);
-        let mut frames = node::frames(MOST);
+        let mut frames = node::frames(MAX);
         frames.push(&bytes);
         while let Ok(Some(_)) = node::next(&mut frames) {}
-        let mut units = Units::new(MOST);
+        let mut units = Units::new(MAX);
         units.push(&bytes);
         while let Ok(Some(u)) = units.next_unit() {
-            prop_assert!(u.data.len() <= MOST);
+            prop_assert!(u.data.len() <= MAX);
             _ = u.deadline();
         }
         if let Some(cdb) = bytes.first_chunk::<16>() {
@@ -234,7 +234,7 @@
         let options = bytes.len();
         request.encode(&mut bytes);
         bytes.extend_from_slice(&data);
-        let mut units = nbd::ClientUnits::new(MOST as u32);
+        let mut units = nbd::ClientUnits::new(MAX as u32);
         units.stage = nbd::Stage::Options;
         let mut found = Vec::new();
         let (first, second) = bytes.split_at(options);
@@ -254,7 +254,7 @@
         ] {
             let mut bytes = BytesMut::new();
             reply.encode(&mut bytes);
-            let mut units = nbd::ServerUnits::new(MOST as u32);
+            let mut units = nbd::ServerUnits::new(MAX as u32);
             units.stage = nbd::Stage::Transmission;
             let mut found = None;
             in_pieces(&bytes, &cuts, |piece| {
@@ -268,8 +268,8 @@
     #[test]
     fn no_bytes_break_the_nbd_units(bytes in proptest::collection::vec(any::<u8>(), 0..500)) {
         for stage in [nbd::Stage::Flags, nbd::Stage::Options, nbd::Stage::Transmission] {
-            let mut client = nbd::ClientUnits::new(MOST as u32);
-            let mut server = nbd::ServerUnits::new(MOST as u32);
+            let mut client = nbd::ClientUnits::new(MAX as u32);
+            let mut server = nbd::ServerUnits::new(MAX as u32);
             (client.stage, server.stage) = (stage, stage);
             client.push(&bytes);
             server.push(&bytes);
@@ -316,7 +316,7 @@
         ("bytes behind", trailing, "frame: 1; expected no bytes after the last field"),
         ("ends early", short, "ping: the frame ends 4 bytes early"),
     ] {
-        let mut frames = node::frames(MOST);
+        let mut frames = node::frames(MAX);
         frames.push(&bytes);
         let found = node::next(&mut frames).unwrap_err().to_string();
         let expected = expected.replace("ping", "number");
--- a/crates/wire/tests/golden_bytes.rs
+++ b/crates/wire/tests/golden_bytes.rs
@@ -814,7 +814,7 @@
         name: "volume-1".into(),
         blocks: 0x2_0000_0000,
         block_bytes: 512,
-        most_blocks: 2048,
+        max_blocks: 2048,
     };
     let first = unit(1);
     let inquiry = |page| scsi::inquiry(Some(&first), page).unwrap();
--- a/fuzz/targets/sessions.rs
+++ b/fuzz/targets/sessions.rs
@@ -12,14 +12,14 @@
     let Some((first, rest)) = input.split_first() else { return };
     let offer = Arc::new(Offer {
         target_name: "iqn.test:pool".into(),
-        most_segment: 8192,
+        max_segment: 8192,
         first_burst: 4096,
-        most_burst: 8192,
+        max_burst: 8192,
         window: 8,
-        most_command: 32 << 10,
+        max_command: 32 << 10,
         deadline_ms: (50, 5000),
     });
-    let unit = Unit { lun: 0, name: "museum".into(), blocks: 1000, block_bytes: 512, most_blocks: 32 };
+    let unit = Unit { lun: 0, name: "museum".into(), blocks: 1000, block_bytes: 512, max_blocks: 32 };
     let units = Arc::new(vec![unit]);
     let mut session = match first & 1 {
         0 => AnySession::Iscsi(Session::new(offer, units, 1)),
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -15,11 +15,11 @@
 
 const CAP_START: f64 = 8.0; // requests out at one node, and mean sizes out
 const FEW: f64 = 4.0; // hosts: up to these each may keep a request out at a node, beyond them they share
-const CAP_MOST: f64 = 24.0;
+const MAX_CAP: f64 = 24.0;
 const CAP_RISE: f64 = 0.5; // by this much for each window of good answers
-const REST_MOST: f64 = 2.0; // seconds, at few hosts
+const MAX_REST: f64 = 2.0; // seconds, at few hosts
 const CAP_CUT: f64 = 0.5; // at most to this part at once, the more the slower the answer
-const CAP_CUT_LEAST: f64 = 0.9;
+const MIN_CAP_CUT: f64 = 0.9;
 const CAP_TARGET: f64 = 0.5; // answers slower than this part of the latency objective shrink the cap
 const EXCESS_PART: f64 = 0.7; // of the cap, for units past the reservation
 const LOWER_PART: f64 = 0.5; // of the cap, for lower priorities while a higher one is out, and for late ones
@@ -30,24 +30,24 @@
 pub const SPLIT_FLOOR: f64 = 0.9; // of the even slice, whatever the share
 const SPLIT_RISE: f64 = 4.0; // seconds for which the least share seen holds, at least
 const SPLIT_IDLE: f64 = 1.5; // seconds without an answer after which the share falls away
-const SPLIT_LEAST: f64 = 4.0; // mean sizes served at a node before it is looked at alone
+const MIN_SPLIT: f64 = 4.0; // mean sizes served at a node before it is looked at alone
 const REJECTED_MEMORY: f64 = 10.0; // seconds for which a later try is known by its first
 const AT_REST: f64 = 30.0; // seconds, longer than any request waits, after which what is unused is forgotten
 const VOLUMES_KEPT: usize = 512;
 const RESERVE_BURST: f64 = 1.0; // seconds of the reservation that its bucket holds
 const CREDIT_START: f64 = 2.0;
-const CREDIT_MOST: f64 = 8.0;
+const MAX_CREDIT: f64 = 8.0;
 const CREDIT_ERROR: f64 = 1.0; // for an error that came well within the latency objective
 const HEALTH_HALVE: f64 = 16.0;
 const SICK_AFTER: f64 = 6.0; // bad answers
 const SICK_BELOW: f64 = 0.05; // part of answers that are good
 const TRICKLE: f64 = 0.1; // seconds between attempts to a sick node
-const LOST_LEAST: f64 = 2.0;
+const MIN_LOST: f64 = 2.0;
 const LOST_PART: f64 = 0.02;
 const LOST_HALVE: f64 = 128.0;
 const TIMEOUT_AT: f64 = 0.9; // part of the answers seen that are faster
 const TIMEOUT_TIMES: f64 = 3.0;
-const TIMEOUT_LEAST: f64 = 0.4; // of the latency objective
+const MIN_TIMEOUT: f64 = 0.4; // of the latency objective
 const TIMEOUT_SEEN: f64 = 8.0; // answers
 const PAUSE: f64 = 0.02; // seconds before a retry
 const BLOCKED_CHECK: f64 = 0.05; // seconds until a request that a guard holds is looked at again
@@ -57,9 +57,9 @@
 const COLD_PART: f64 = 0.6; // of the multiple that a cold node bears
 const COLD_MEMORY: f64 = 30.0; // seconds
 const COLD_PIECES: usize = 16; // of a shard, that are known again
-const COLD_SEEN_LEAST: f64 = 5.0; // seconds, before what was seen of a shard counts in full
+const MIN_COLD_SEEN: f64 = 5.0; // seconds, before what was seen of a shard counts in full
 const LIST_RETRY: f64 = 0.2; // seconds, doubled at each failure
-const LIST_RETRY_MOST: f64 = 1.0; // so that two more that fail still leave time for one that tells in 6 s
+const MAX_LIST_RETRY: f64 = 1.0; // so that two more that fail still leave time for one that tells in 6 s
 const SAFE_EDGE: f64 = 0.02; // seconds kept from the edge of any stated window
 const LATENCY_FIRST: f64 = 0.002; // seconds, the lowest bin of answer times
 const LATENCY_HALVE: f64 = 64.0;
@@ -241,20 +241,20 @@
         let Some(v) = self.volumes.get_mut(&x.volume).filter(|_| known) else { return };
         let own = if done { x.units } else { 0.0 };
         v.split.tick(now, TimeDelta::from_secs(SPLIT_RISE), TimeDelta::from_secs(SPLIT_IDLE));
-        v.split.served(now, shard, own, elsewhere, SPLIT_LEAST * self.mean_units);
+        v.split.served(now, shard, own, elsewhere, MIN_SPLIT * self.mean_units);
     }
 
     /// What an earlier generation of this host saw a shard do for it, units a second.
     pub fn pace_known(&mut self, now: Instant, shard: ShardId, rate: f64) {
         self.now = now;
         let s = self.shards.entry(shard).or_default();
-        s.pace.known(now, rate, COLD_SEEN_LEAST, COLD_MEMORY);
+        s.pace.known(now, rate, MIN_COLD_SEEN, COLD_MEMORY);
         self.due.insert(shard);
     }
 
     /// The same of each shard in this generation, for the next one.
     pub fn paces(&self, now: Instant) -> Vec<(ShardId, f64)> {
-        let rate = |s: &Shard| s.pace.rate(now, COLD_MEMORY, COLD_SEEN_LEAST);
+        let rate = |s: &Shard| s.pace.rate(now, COLD_MEMORY, MIN_COLD_SEEN);
         self.shards.iter().map(|(id, s)| (*id, rate(s))).collect()
     }
 
@@ -406,7 +406,7 @@
 
     /// Whether attempts get lost, by how many were against those answered.
     fn loss(&mut self, lost: bool, done: bool) {
-        if let Some(losing) = self.lost.note(lost, done, LOST_HALVE, LOST_LEAST, LOST_PART) {
+        if let Some(losing) = self.lost.note(lost, done, LOST_HALVE, MIN_LOST, LOST_PART) {
             let (l, mode) = (&self.lost, if losing { "get lost" } else { "arrive" });
             self.log(format!("attempts {mode}: {:.1} lost {:.1} answered", l.lost, l.kept));
         }
@@ -425,7 +425,7 @@
     pub fn nodes_changed(&mut self, now: Instant, kind: ListKind, entries: &[NodeEntry]) {
         self.now = now;
         if kind == ListKind::Failed {
-            let wait = (LIST_RETRY * 2f64.powi(self.list_fails)).min(LIST_RETRY_MOST);
+            let wait = (LIST_RETRY * 2f64.powi(self.list_fails)).min(MAX_LIST_RETRY);
             self.list_fails += 1;
             self.asked = false;
             let wait = TimeDelta::from_secs(wait * (0.5 + f64::from(self.rng.0.rand_float())));
@@ -484,10 +484,10 @@
         match o {
             Outcome::Done => {
                 self.good += 1.0;
-                self.credit = (self.credit + 1.0).min(CREDIT_MOST);
+                self.credit = (self.credit + 1.0).min(MAX_CREDIT);
                 let fast = took < CAP_TARGET * latency_objective;
                 if judges && fast && held {
-                    self.cap = (self.cap + CAP_RISE * self.cap.min(1.0 / self.cap)).min(CAP_MOST);
+                    self.cap = (self.cap + CAP_RISE * self.cap.min(1.0 / self.cap)).min(MAX_CAP);
                 } else if judges && !fast {
                     self.cut(now, took, CAP_TARGET * latency_objective / took);
                 }
@@ -507,7 +507,7 @@
                 // A quick error shows that the node has room for another try, as an answer does: against
                 // nodes that fail by chance. Hurts where errors are quick because a node is overrun.
                 if o == Outcome::Error && took < CAP_TARGET * latency_objective {
-                    self.credit = (self.credit + CREDIT_ERROR).min(CREDIT_MOST);
+                    self.credit = (self.credit + CREDIT_ERROR).min(MAX_CREDIT);
                 }
             }
             Outcome::Full => self.cut(now, took, CAP_CUT),
@@ -519,7 +519,7 @@
     /// At most one cut for what was out at once.
     fn cut(&mut self, now: Instant, took: f64, to: f64) {
         if (now - self.cut_at).secs() > took {
-            self.cap = (self.cap * to.clamp(CAP_CUT, CAP_CUT_LEAST)).max(self.least);
+            self.cap = (self.cap * to.clamp(CAP_CUT, MIN_CAP_CUT)).max(self.least);
             self.cut_at = now;
         }
     }
@@ -545,7 +545,7 @@
             || (self.out as f64) < cap.floor()
                 && self.out_units < cap * mean_units
                 && (above == 0 || (at_or_below as f64) < (cap * LOWER_PART).max(1.0));
-        let rest = if cap < 1.0 { (self.took / cap).min(REST_MOST / self.least.sqrt()) } else { 0.0 };
+        let rest = if cap < 1.0 { (self.took / cap).min(MAX_REST / self.least.sqrt()) } else { 0.0 };
         let rested = self.sent_at + TimeDelta::from_secs(rest);
         (free && rested <= now).then_some(()).ok_or(free.then_some(rested))
     }
@@ -794,7 +794,7 @@
         }
         let warmth = c.from + (1.0 - c.from) * (age.secs() / c.warm.secs()).max(0.0);
         let safe = c.safe / self.hosts * warmth / c.from;
-        let seen = self.shards.get(&n.shard).map_or(0.0, |s| s.pace.rate(now, COLD_MEMORY, COLD_SEEN_LEAST));
+        let seen = self.shards.get(&n.shard).map_or(0.0, |s| s.pace.rate(now, COLD_MEMORY, MIN_COLD_SEEN));
         let rate = COLD_DRAIN * safe / c.window.secs().max(1e-3) + COLD_PART * c.multiple * warmth * seen;
         match n.cold.wait(now, rate, COLD_OUT * safe, units) {
             TimeDelta::ZERO => Ok(()),
@@ -844,7 +844,7 @@
         let again = self.lost.losing && x.attempts < self.max_attempts && seen.count() >= TIMEOUT_SEEN;
         let crowded = (n.cap < 1.0).then_some(st.latency_objective);
         let timeout = if again {
-            Some(far.max(TimeDelta::from_secs(st.latency_objective.secs() * TIMEOUT_LEAST)))
+            Some(far.max(TimeDelta::from_secs(st.latency_objective.secs() * MIN_TIMEOUT)))
         } else {
             crowded
         };
