--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -5,7 +5,7 @@
 use std::os::unix::net::UnixStream;
 use std::path::Path;
 use std::time::Duration;
-use tackmast_hostcore::{Ask, Reply};
+use tackmast_host_core::{Ask, Reply};
 use tackmast_overrides::Audit;
 
 pub const VERSION: u32 = 1;
--- a/crates/admin/tests/json_forms.rs
+++ b/crates/admin/tests/json_forms.rs
@@ -4,7 +4,7 @@
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 use tackmast_admin::{parse_call, write_line, Answer, Call};
-use tackmast_hostcore::{
+use tackmast_host_core::{
     AgreementAsk, AgreementReply, AgreementStatus, Ask, DeathStatus, MembersStatus, OrdersStatus, PeerStatus,
     PlanAsk, PlanReply, PlanStatus, Reply, SiteStatus,
 };
--- a/crates/measure/src/core_cost.rs
+++ b/crates/benchmarks/src/core_cost.rs
@@ -7,7 +7,7 @@
 use tackmast::interface::*;
 use tackmast::policy::Scheduler;
 use tackmast_config::HostSettings;
-use tackmast_hostcore::{AttemptResult, CommandRef, Core, Keep, ListEntry, Output, Work};
+use tackmast_host_core::{AttemptResult, CommandRef, Core, Keep, ListEntry, Output, Work};
 use tackmast_overrides::{Kind, OverrideId, Overrides, Target};
 
 #[derive(Clone, Debug, Serialize)]
--- a/crates/measure/src/lib.rs
+++ b/crates/benchmarks/src/lib.rs
@@ -19,9 +19,9 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::Arc;
 use std::time::Duration;
-use tackmast_standins::list::NodeList;
-use tackmast_standins::model::Nature;
-use tackmast_standins::node::{Marks, Node, NodeSettings};
+use tackmast_emulators::list::NodeList;
+use tackmast_emulators::model::Nature;
+use tackmast_emulators::node::{Marks, Node, NodeSettings};
 use tackmast_trace::Recorder;
 use tackmast_wire::list::{Entry, State};
 
--- a/crates/measure/src/load.rs
+++ b/crates/benchmarks/src/load.rs
@@ -7,7 +7,7 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
-use tackmast_standins::initiator::{Ask, AskWork, Initiator, Login, Reply};
+use tackmast_emulators::initiator::{Ask, AskWork, Initiator, Login, Reply};
 use tackmast_trace::{now_us, Recorder};
 use tackmast_wire::iscsi::Digests;
 use tackmast_wire::node::{self, Frame, NodeOutcome, Origin, SendAttempt, Work};
--- a/crates/measure/src/truth.rs
+++ b/crates/benchmarks/src/truth.rs
@@ -7,11 +7,11 @@
 use std::time::{Duration, Instant};
 use tackmast_client::{Client, Op, Options, Outcome, Protocol};
 use tackmast_host::Host;
-use tackmast_lab::{settings, World};
-use tackmast_load::Load;
-use tackmast_standins::list::NodeList;
-use tackmast_standins::model::Nature;
-use tackmast_standins::node::{Marks, Node, NodeSettings};
+use tackmast_simulator::{settings, World};
+use tackmast_workload::Load;
+use tackmast_emulators::list::NodeList;
+use tackmast_emulators::model::Nature;
+use tackmast_emulators::node::{Marks, Node, NodeSettings};
 use tackmast_trace::Recorder;
 use tackmast_wire::list::{Entry, State};
 
@@ -62,8 +62,8 @@
 }
 
 fn in_lab(w: &World, load: &Load) -> Vec<Figures> {
-    let found = tackmast_lab::play(w, None);
-    let of = |f: &tackmast_load::Flow| {
+    let found = tackmast_simulator::play(w, None);
+    let of = |f: &tackmast_workload::Flow| {
         // A flow is told by its plan here: each volume of a load that is held against loopback has one flow.
         let plan = if f.volume == "school" { "basic" } else { "premium" };
         let mut all = Figures::default();
@@ -142,7 +142,7 @@
     let began = Instant::now();
     std::thread::scope(|s| {
         for (h, both) in clients.iter().enumerate() {
-            let (to, from) = crossbeam_channel::unbounded::<(Instant, tackmast_load::Arrival, usize)>();
+            let (to, from) = crossbeam_channel::unbounded::<(Instant, tackmast_workload::Arrival, usize)>();
             s.spawn(move || {
                 for a in load.arrivals(w.hosts) {
                     let lun = usize::from(load.flows[a.flow].volume == "school");
--- a/crates/cli/src/agreed.rs
+++ b/crates/cli/src/agreed.rs
@@ -1,7 +1,7 @@
 //! `tackmast lab agree`: walks over the agreement in virtual time.
 
 use std::process::ExitCode;
-use tackmast_lab::{agreed_fleet, explore, find_fault, walk, AgreeFault, FleetTrial, Walk, Walked};
+use tackmast_simulator::{agreed_fleet, explore, find_fault, walk, AgreeFault, FleetTrial, Walk, Walked};
 
 #[derive(clap::Args)]
 pub struct AgreeArguments {
--- a/crates/cli/src/agreement.rs
+++ b/crates/cli/src/agreement.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use tackmast_admin::{Answer, Call};
-use tackmast_hostcore::{AgreementAsk, AgreementReply, AgreementStatus, Ask, Reply};
+use tackmast_host_core::{AgreementAsk, AgreementReply, AgreementStatus, Ask, Reply};
 
 #[derive(clap::Subcommand)]
 pub enum AgreementCommand {
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -4,7 +4,7 @@
 use std::io::{BufReader, BufWriter};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use tackmast_day::Script;
+use tackmast_scenario::Script;
 
 #[derive(clap::Args)]
 pub struct DayArguments {
@@ -52,17 +52,17 @@
 }
 
 /// Plays it in a folder of its own, which goes afterwards.
-fn play_once(script: &Script) -> Result<tackmast_day::Played, String> {
+fn play_once(script: &Script) -> Result<tackmast_scenario::Played, String> {
     let own = std::env::temp_dir().join(format!("tackmast-day-{}", std::process::id()));
     std::fs::create_dir_all(&own).map_err(|e| format!("{}: {e}", own.display()))?;
     let binary = std::env::current_exe().map_err(|e| format!("own program: {e}"))?;
-    let played = tackmast_day::play(script, &binary, &own, script.day.seed);
+    let played = tackmast_scenario::play(script, &binary, &own, script.day.seed);
     std::fs::remove_dir_all(&own).map_err(|e| format!("{}: {e}", own.display()))?;
     played
 }
 
 /// Part of the first tries that were done in time.
-fn in_time(r: &tackmast_day::Report) -> f64 {
+fn in_time(r: &tackmast_scenario::Report) -> f64 {
     let (asked, good) =
         r.served.iter().fold((0, 0.0), |(a, g), s| (a + s.asked, g + s.in_time * s.asked as f64));
     good / asked.max(1) as f64
@@ -73,7 +73,7 @@
     let (first, mut good) = (script.day.seed, true);
     let (mut periods, mut served, mut cost) = (Vec::new(), Vec::new(), Vec::new());
     let (mut false_deaths, mut unsettled) = (0, 0);
-    let mut agreed: Vec<tackmast_day::AgreedSeen> = Vec::new();
+    let mut agreed: Vec<tackmast_scenario::AgreedSeen> = Vec::new();
     let mut by_fault: std::collections::BTreeMap<(usize, String), Vec<Option<f64>>> = Default::default();
     println!(
         "{} with {} hosts; stand-ins on loopback; periods from the last fault until settled",
@@ -135,7 +135,7 @@
         );
     }
     if !agreed.is_empty() {
-        let most = |f: fn(&tackmast_day::AgreedSeen) -> f64| agreed.iter().map(f).fold(0.0, f64::max);
+        let most = |f: fn(&tackmast_scenario::AgreedSeen) -> f64| agreed.iter().map(f).fold(0.0, f64::max);
         println!(
             "agreement: {} changes of the day, an older version gone by for {:.3} s at most of {:.3} allowed; no leader for {:.2} s at most; {} calls of operators in an order",
             agreed.iter().map(|a| a.changes).sum::<usize>(),
@@ -163,14 +163,14 @@
     let mut seed = script.day.seed;
     let is_bad = |s: &Script| play_once(s).map(|p| (!p.report.is_good()).then_some(p.report));
     while std::time::Instant::now() < until {
-        let drawn = tackmast_day::draw(&script, seed);
+        let drawn = tackmast_scenario::draw(&script, seed);
         if let Some(report) = is_bad(&drawn)? {
             println!(
                 "seed {seed}: something is wrong\n{report}\ndrawn:\n{}",
-                tackmast_day::troubles_text(&drawn)
+                tackmast_scenario::troubles_text(&drawn)
             );
-            let small = tackmast_day::smaller(drawn, |s| Ok::<_, String>(is_bad(s)?.is_some()))?;
-            println!("made smaller:\n{}", tackmast_day::troubles_text(&small));
+            let small = tackmast_scenario::smaller(drawn, |s| Ok::<_, String>(is_bad(s)?.is_some()))?;
+            println!("made smaller:\n{}", tackmast_scenario::troubles_text(&small));
             return Ok(ExitCode::from(1));
         }
         println!("seed {seed}: {} troubles, nothing wrong", drawn.troubles.len());
@@ -193,7 +193,7 @@
     std::fs::create_dir_all(dir).map_err(|e| format!("--out {}: {e}", dir.display()))?;
     let binary = std::env::current_exe().map_err(|e| format!("own program: {e}"))?;
     let seed = script.day.seed;
-    let played = tackmast_day::play(&script, &binary, dir, seed);
+    let played = tackmast_scenario::play(&script, &binary, dir, seed);
     let kept = match (&played, kept) {
         (Ok(p), Some(dir)) => save(dir, p),
         (_, Some(_)) => Ok(()),
@@ -213,7 +213,7 @@
     Ok(ExitCode::from(u8::from(!played.report.is_good())))
 }
 
-fn save(dir: &Path, played: &tackmast_day::Played) -> Result<(), String> {
+fn save(dir: &Path, played: &tackmast_scenario::Played) -> Result<(), String> {
     let file = |name: &str| {
         let path = dir.join(name);
         File::create(&path).map(BufWriter::new).map_err(|e| format!("{}: {e}", path.display()))
@@ -227,7 +227,7 @@
     let at = |e: String| format!("{}: {e}", trace.display());
     let file = File::open(trace).map_err(|e| at(e.to_string()))?;
     let lines = tackmast_trace::read(BufReader::new(file)).map_err(at)?;
-    let report = tackmast_rulecheck::judge(&lines);
+    let report = tackmast_invariants::judge(&lines);
     match json {
         true => println!("{}", serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?),
         false => print!("{report}"),
@@ -238,6 +238,6 @@
 pub fn import(file: &Path, seed: u64) -> Result<ExitCode, String> {
     let at = |e: String| format!("{}: {e}", file.display());
     let text = std::fs::read_to_string(file).map_err(|e| at(e.to_string()))?;
-    print!("{}", tackmast_day::import(&text, seed).map_err(at)?);
+    print!("{}", tackmast_scenario::import(&text, seed).map_err(at)?);
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
-use tackmast_lab::{
+use tackmast_simulator::{
     compare, page, play, shrink, shrink_worse, without_orders, worse_than, Change, Plain, Variant, World,
 };
 
@@ -146,12 +146,12 @@
             world.rate = rate.unwrap_or(world.rate);
             world.troubles.retain(|t| !calm && t.node < world.nodes);
             if let Some(file) = file {
-                let load = tackmast_load::Load::read(&file).map_err(|e| e.to_string())?;
+                let load = tackmast_workload::Load::read(&file).map_err(|e| e.to_string())?;
                 world.seconds = seconds.unwrap_or(load.seconds + 0.5);
                 world.load = Some(std::sync::Arc::new(load));
             }
             if let Some(path) = day {
-                let script = tackmast_day::Script::read(&path).map_err(|e| e.to_string())?;
+                let script = tackmast_scenario::Script::read(&path).map_err(|e| e.to_string())?;
                 let (of_script, left_out) = World::of_script(script, seed);
                 world = of_script;
                 world.troubles.retain(|_| !calm);
@@ -181,13 +181,13 @@
             if !(1..=8).contains(&hosts) || !(1..=60).contains(&nodes) || !(0.1..=100.0).contains(&unit_ms) {
                 return Err(format!("--hosts {hosts} --nodes {nodes} --unit-ms {unit_ms}; expected 1 to 8, 1 to 60, 0.1 to 100"));
             }
-            let load = tackmast_load::Load::read(&file).map_err(|e| e.to_string())?;
+            let load = tackmast_workload::Load::read(&file).map_err(|e| e.to_string())?;
             println!("{hosts} hosts, {nodes} nodes; models in virtual time, and stand-ins on loopback");
             println!(
                 "{:<12} {:<9} {:>7} {:>8} {:>9} {:>8} {:>9} {:>9}",
                 "flow", "where", "asked", "in time", "rejected", "failed", "p50 ms", "p99 ms"
             );
-            for b in tackmast_measure::held_against_loopback(&load, hosts, nodes, unit_ms)? {
+            for b in tackmast_benchmarks::held_against_loopback(&load, hosts, nodes, unit_ms)? {
                 for (place, f) in [("lab", &b.lab), ("loopback", &b.loopback)] {
                     let part = |n: u64| n as f64 / f.asked.max(1) as f64;
                     println!(
@@ -268,7 +268,7 @@
             );
             let s = |x: Option<f64>| x.map_or("never".to_owned(), |x| format!("{x:.2}"));
             for (hosts, loss) in hosts.iter().flat_map(|h| loss.iter().map(move |l| (*h, *l))) {
-                let f = tackmast_lab::fleet(hosts, loss, seed);
+                let f = tackmast_simulator::fleet(hosts, loss, seed);
                 println!(
                     "{hosts:>6} {loss:>6.2} {:>10} {:>8.0} {:>12.2} {:>12} {:>11} {:>9} {:>8} {:>11} {:>11} {:>12} {:>9} {:>11} {:>11} {:>8} {:>10} {:>9}",
                     s(f.all_known_s), f.bytes_a_second, f.false_suspicions, f.false_deaths, s(f.first_known_s),
@@ -316,7 +316,7 @@
     }
 }
 
-fn shown(world: &World, found: &tackmast_lab::Found) -> String {
+fn shown(world: &World, found: &tackmast_simulator::Found) -> String {
     use std::fmt::Write;
     let mut out = String::new();
     _ = writeln!(
--- a/crates/cli/src/measure.rs
+++ b/crates/cli/src/measure.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 use tackmast_client::{Options, Protocol};
-use tackmast_measure::{
+use tackmast_benchmarks::{
     beside_greedy, core_cost, core_cost_with_orders, through_library, timers, Bench, Load, Route,
 };
 
@@ -33,7 +33,7 @@
     let options = |protocol, address| Options::new(protocol, address, "v", 0);
     let (iscsi, nbd) = (options(Protocol::Iscsi, bench.host), options(Protocol::Nbd, bench.nbd));
     println!("{:<28} {:>10} {:>8} {:>8} {:>9}", "load and route", "done/s", "p50 us", "p99 us", "not done");
-    let row = |name: String, s: &tackmast_measure::Shown| {
+    let row = |name: String, s: &tackmast_benchmarks::Shown| {
         println!("{name:<28} {:>10.0} {:>8} {:>8} {:>9}", s.per_s, s.p50_us, s.p99_us, s.other);
     };
     for sessions in [1, 64, 2000] {
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 use tackmast_admin::{Answer, Call};
-use tackmast_hostcore::{Ask, MembersStatus, Reply};
+use tackmast_host_core::{Ask, MembersStatus, Reply};
 
 /// Hosts up to which a matrix has a column each; beyond, what differs is summed up.
 const MATRIX: usize = 24;
@@ -285,7 +285,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use tackmast_hostcore::PeerStatus;
+    use tackmast_host_core::PeerStatus;
 
     fn asked(host: u32, digest: u32, peers: &[(u32, &str, u32)]) -> Asked {
         let peer = |(host, health, incarnation): &(u32, &str, u32)| PeerStatus {
--- a/crates/cli/src/orders.rs
+++ b/crates/cli/src/orders.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tackmast_admin::{Answer, Call};
-use tackmast_hostcore::{Ask, Reply};
+use tackmast_host_core::{Ask, Reply};
 use tackmast_overrides::{
     Explanation, Kind, Order, Override, OverrideId, Preview, Service, Standing, Target,
 };
--- a/crates/cli/src/planner.rs
+++ b/crates/cli/src/planner.rs
@@ -6,8 +6,8 @@
 use std::process::ExitCode;
 use std::time::Instant;
 use tackmast_config::HostSettings;
-use tackmast_hostcore::Layout;
-use tackmast_lab::World;
+use tackmast_host_core::Layout;
+use tackmast_simulator::World;
 use tackmast_planner::{bounds, fit, max_held, place, Curve, Load, Node, Point};
 
 #[derive(clap::Args)]
@@ -41,7 +41,7 @@
 }
 
 /// What a load asks, by volume, traffic class and shard.
-fn asked(s: &HostSettings, l: &tackmast_load::Load, max_rate: f64) -> Vec<Asked> {
+fn asked(s: &HostSettings, l: &tackmast_workload::Load, max_rate: f64) -> Vec<Asked> {
     let layout = Layout::new(s);
     let mut arrivals: BTreeMap<(usize, usize, u32), Vec<(f64, f64)>> = BTreeMap::new();
     for a in l.arrivals(s.host.hosts) {
@@ -69,7 +69,7 @@
 
 /// How long a load may wait for its own plan's limit: the longest at any host, each of which has an even part of it and starts
 /// with what a host starts with. By volume; none where its plan has no limit.
-fn held_by_limit(s: &HostSettings, l: &tackmast_load::Load) -> BTreeMap<usize, f64> {
+fn held_by_limit(s: &HostSettings, l: &tackmast_workload::Load) -> BTreeMap<usize, f64> {
     let layout = Layout::new(s);
     let mut arrivals: BTreeMap<(usize, u32), Vec<(f64, f64)>> = BTreeMap::new();
     for a in l.arrivals(s.host.hosts) {
@@ -119,7 +119,7 @@
 }
 
 impl Figures {
-    fn read(&self) -> Result<(HostSettings, tackmast_load::Load, Node), String> {
+    fn read(&self) -> Result<(HostSettings, tackmast_workload::Load, Node), String> {
         for (name, x) in [("node-units", self.node_units), ("unit-ms", self.unit_ms)] {
             if !(x.is_finite() && x > 0.0) {
                 return Err(format!("--{name} {x}; expected a number above 0"));
@@ -131,7 +131,7 @@
             }
         }
         let s = HostSettings::read(&self.config).map_err(|e| e.to_string())?;
-        let load = tackmast_load::Load::read(&self.load).map_err(|e| e.to_string())?;
+        let load = tackmast_workload::Load::read(&self.load).map_err(|e| e.to_string())?;
         if let Some(f) = load.flows.iter().find(|f| !s.volumes.iter().any(|v| v.name == f.volume)) {
             let at = self.load.display();
             return Err(format!(
@@ -252,14 +252,14 @@
         "load", "class", "objective", "bound", "p50", "p99", "p99.9", "most", "in time"
     );
     for file in files {
-        let load = tackmast_load::Load::read(file).map_err(|e| e.to_string())?;
+        let load = tackmast_workload::Load::read(file).map_err(|e| e.to_string())?;
         let mut w = World::draw(seed, hosts);
         w.troubles.clear();
         (w.nodes, w.clients, w.unit_s, w.saved) = (nodes, [0, 0], 0.004, 0.0);
         (w.wall_off_s, w.drift, w.members) = (0.0, 0.0, None);
         w.seconds = load.seconds + 0.5;
         w.load = Some(std::sync::Arc::new(load.clone()));
-        let s = tackmast_lab::settings(&w, 0, None);
+        let s = tackmast_simulator::settings(&w, 0, None);
         let way_s = 2.0 * (w.delay_us + w.jitter_us) as f64 / 1e6 + 0.002;
         let node = Node { capacity: f64::from(w.cores) / w.unit_s, unit_s: w.unit_s, ahead, way_s };
         let all = asked(&s, &load, node.capacity);
@@ -277,7 +277,7 @@
                 *x = (x.0, x.1.max(bound), x.2 && holds);
             }
         }
-        let run = tackmast_lab::play(&w, None).run;
+        let run = tackmast_simulator::play(&w, None).run;
         for (class, (latency_objective, bound, holds)) in worst {
             let Some(c) = run.classes.get(&class) else { continue };
             let at = |p: f64| c.times.value_at_percentile(p) as f64 / 1e3;
--- a/crates/cli/src/plans.rs
+++ b/crates/cli/src/plans.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tackmast_admin::{Answer, Call};
 use tackmast_config::{Document, Place};
-use tackmast_hostcore::{Ask, PlanAsk, PlanReply, PlanStatus, Reply};
+use tackmast_host_core::{Ask, PlanAsk, PlanReply, PlanStatus, Reply};
 use tackmast_plans::{Catalogue, Change, Fleet, Plan, Step, Trail};
 
 const PATIENCE: Duration = Duration::from_secs(15);
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -3,7 +3,7 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::os::unix::net::UnixStream;
 use std::process::ExitCode;
-use tackmast_httphost::{Host, Order};
+use tackmast_platform_host::{Host, Order};
 use tackmast_platform::Configuration;
 
 /// Where the platform says which file holds a host's configuration.
--- a/crates/cli/src/stand.rs
+++ b/crates/cli/src/stand.rs
@@ -5,9 +5,9 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
-use tackmast_standins::list::{ListFault, NodeList};
-use tackmast_standins::model::Nature;
-use tackmast_standins::node::{Fault, Marks, Node, NodeSettings};
+use tackmast_emulators::list::{ListFault, NodeList};
+use tackmast_emulators::model::Nature;
+use tackmast_emulators::node::{Fault, Marks, Node, NodeSettings};
 use tackmast_trace::Recorder;
 use tackmast_wire::list::{Entry, State};
 
--- a/crates/cli/src/views.rs
+++ b/crates/cli/src/views.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
-use tackmast_lab::{difference, find, summary, view, Case, Shown, Trial, ViewFault, Ways};
+use tackmast_simulator::{difference, find, summary, view, Case, Shown, Trial, ViewFault, Ways};
 
 #[derive(clap::Args)]
 pub struct ViewArguments {
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
-use tackmast_standins::http::{Heard, HttpClient, HttpList, HttpNode, ListLine};
+use tackmast_emulators::http::{Heard, HttpClient, HttpList, HttpNode, ListLine};
 
 const PATIENCE: Duration = Duration::from_secs(6);
 
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -4,7 +4,7 @@
 
 mod shell;
 
-pub use tackmast_clientcore::{Op, Outcome, Place, Policy, Volume};
+pub use tackmast_client_core::{Op, Outcome, Place, Policy, Volume};
 
 use bytes::Bytes;
 use crossbeam_channel::{Receiver, Sender};
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tackmast::interface::TimeDelta;
-use tackmast_clientcore::{Bounds, IscsiClient, NbdClient, Transport, ADDITIONS};
+use tackmast_client_core::{Bounds, IscsiClient, NbdClient, Transport, ADDITIONS};
 use tackmast_wire::iscsi::Digests;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/client/src/shell.rs
+++ b/crates/client/src/shell.rs
@@ -7,7 +7,7 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_clientcore::{Bounds, Core, Op, Outcome, Output, Policy, Transport, Volume};
+use tackmast_client_core::{Bounds, Core, Op, Outcome, Output, Policy, Transport, Volume};
 
 const SMALL_STACK: usize = 128 << 10;
 const CONNECT: Duration = Duration::from_secs(2);
--- a/crates/client/tests/common/mod.rs
+++ b/crates/client/tests/common/mod.rs
@@ -7,10 +7,10 @@
 use tackmast_client::{Options, Protocol};
 use tackmast_config::HostSettings;
 use tackmast_host::Host;
-use tackmast_standins::list::NodeList;
-use tackmast_standins::model::Nature;
-use tackmast_standins::node::{Marks, Node, NodeSettings};
-use tackmast_standins::tap;
+use tackmast_emulators::list::NodeList;
+use tackmast_emulators::model::Nature;
+use tackmast_emulators::node::{Marks, Node, NodeSettings};
+use tackmast_emulators::tap;
 use tackmast_trace::{EffectKind, Event, Facts, Recorder, TrafficClassFacts};
 use tackmast_wire::list::{Entry, State};
 
@@ -153,8 +153,8 @@
     }
 
     /// The seven rules, on all that the sockets have shown until now.
-    pub fn rules(&self) -> tackmast_rulecheck::Report {
-        tackmast_rulecheck::judge(&self.seen())
+    pub fn rules(&self) -> tackmast_invariants::Report {
+        tackmast_invariants::judge(&self.seen())
     }
 
     /// All that the sockets have shown until now, and are going to.
--- a/crates/client/tests/resumed.rs
+++ b/crates/client/tests/resumed.rs
@@ -5,7 +5,7 @@
 
 use common::{Pool, PATIENCE};
 use tackmast_client::{Client, Outcome, Protocol};
-use tackmast_standins::tap::Cut;
+use tackmast_emulators::tap::Cut;
 use tackmast_trace::Event;
 
 /// Commands that the host was given for this place, and attempts of them that a node ran.
@@ -61,7 +61,7 @@
         let (asked, ran) = tries(&seen, 1, place);
         assert!(asked == 1 && ran <= 1, "{name}: asked {asked} times, ran {ran} times");
     }
-    let rules = tackmast_rulecheck::judge(&seen);
+    let rules = tackmast_invariants::judge(&seen);
     assert!(rules.is_clean() && rules.rule(1).checked > 0, "{rules}");
     pool.end_unjudged();
 }
--- a/crates/client/tests/suite.rs
+++ b/crates/client/tests/suite.rs
@@ -8,7 +8,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 use tackmast_client::{Client, Op, OpenError, Options, Outcome, Protocol, Speaks};
-use tackmast_standins::node::{Fault, Node};
+use tackmast_emulators::node::{Fault, Node};
 
 /// What a case does, in turn.
 enum Step {
@@ -91,7 +91,7 @@
 
 /// Case, volume, steps, and what must be among the lines.
 fn cases() -> Vec<(&'static str, &'static str, Vec<Step>, Vec<&'static str>)> {
-    use tackmast_standins::node::Fault as F;
+    use tackmast_emulators::node::Fault as F;
     vec![
         (
             "written and read",
--- a/crates/agreement/tests/decision_hash.rs
+++ b/crates/consensus/tests/decision_hash.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_agreement::*;
+use tackmast_consensus::*;
 use tackmast_wire::agree::put_entry;
 use tackmast_wire::peer::{Body, Datagram, Health, News};
 
--- a/crates/agreement/tests/seat.rs
+++ b/crates/consensus/tests/seat.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_agreement::*;
+use tackmast_consensus::*;
 
 fn settings() -> Settings {
     Settings {
--- a/crates/standins/tests/ways.rs
+++ b/crates/emulators/tests/ways.rs
@@ -4,7 +4,7 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::time::{Duration, Instant};
-use tackmast_standins::ways::{Caller, Datagrams, Front, Party, Way, Ways, What};
+use tackmast_emulators::ways::{Caller, Datagrams, Front, Party, Way, Ways, What};
 use tackmast_trace::{Event, Recorder};
 
 fn set(all: &[Party]) -> HashSet<Party> {
--- a/crates/hostcore/src/agreed.rs
+++ b/crates/host-core/src/agreed.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_agreement::{
+use tackmast_consensus::{
     Held, Lease, Origin, Parcels, ParcelsSettings, Seat, SeatSettings, Settings, Standing, Word,
 };
 use tackmast_config::{AgreementBlock, HostSettings};
--- a/crates/hostcore/src/core/agreed.rs
+++ b/crates/host-core/src/core/agreed.rs
@@ -4,7 +4,7 @@
 use crate::agreed::{AgreementAsk, AgreementReply, READS, READ_S, TOLD_S, WRITES};
 use crate::plans::AgreedHolds;
 use std::net::SocketAddr;
-use tackmast_agreement::SeatOutput;
+use tackmast_consensus::SeatOutput;
 use tackmast_plans::Command as PlanCommand;
 use tackmast_wire::peer::Body;
 
--- a/crates/hostcore/src/orders.rs
+++ b/crates/host-core/src/orders.rs
@@ -91,7 +91,7 @@
     /// Other hosts for the next generation to call, and the number of this one's generation.
     pub members: Option<tackmast_membership::Remembered>,
     /// Of the agreed log.
-    pub agreed: Option<Box<tackmast_agreement::Write>>,
+    pub agreed: Option<Box<tackmast_consensus::Write>>,
 }
 
 enum Pending {
--- a/crates/hostcore/tests/agreed.rs
+++ b/crates/host-core/tests/agreed.rs
@@ -4,9 +4,9 @@
 use bytes::Bytes;
 use std::net::SocketAddr;
 use tackmast::interface::*;
-use tackmast_agreement::Origin;
+use tackmast_consensus::Origin;
 use tackmast_config::HostSettings;
-use tackmast_hostcore::*;
+use tackmast_host_core::*;
 use tackmast_plans::{Change, Plan, Step};
 
 const HOSTS: u32 = 4;
--- a/crates/hostcore/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use tackmast::interface::*;
 use tackmast_config::HostSettings;
-use tackmast_hostcore::*;
+use tackmast_host_core::*;
 
 const SETTINGS: &str = r#"
 host {
--- a/crates/hostcore/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 use tackmast::interface::*;
 use tackmast_config::HostSettings;
-use tackmast_hostcore::*;
+use tackmast_host_core::*;
 use tackmast_overrides::{Kind, Order, OverrideId, Overrides, Settings, Target};
 use tackmast_plans::{Change, Plan as CatalogPlan, Step};
 
--- a/crates/hostcore/tests/placed.rs
+++ b/crates/host-core/tests/placed.rs
@@ -4,7 +4,7 @@
 use tackmast::interface::*;
 use tackmast::policy::Scheduler;
 use tackmast_config::TrafficClass;
-use tackmast_hostcore::*;
+use tackmast_host_core::*;
 
 fn at(s: f64) -> Instant {
     Instant::from_secs(s)
--- a/crates/host/examples/changes.rs
+++ b/crates/host/examples/changes.rs
@@ -7,7 +7,7 @@
 use tackmast_admin::{Answer, Call};
 use tackmast_config::HostSettings;
 use tackmast_host::Host;
-use tackmast_hostcore::{AgreementAsk, AgreementReply, Ask, PlanAsk, PlanReply, Reply};
+use tackmast_host_core::{AgreementAsk, AgreementReply, Ask, PlanAsk, PlanReply, Reply};
 use tackmast_plans::{Change, Plan, Step};
 
 const HOSTS: u32 = 3;
--- a/crates/host/src/admin.rs
+++ b/crates/host/src/admin.rs
@@ -11,8 +11,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tackmast_admin::{Answer, Call};
-use tackmast_hostcore::Keep;
-use tackmast_keep::Store;
+use tackmast_host_core::Keep;
+use tackmast_store::Store;
 
 /// Calls open at a time.
 const CALLS: usize = 64;
--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -16,7 +16,7 @@
 use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, TimeDelta};
 use tackmast_admin::Answer;
 use tackmast_config::HostSettings;
-use tackmast_hostcore::{Age, Ask, AttemptResult, CommandRef, Core, Counters, ListEntry, Output, Work};
+use tackmast_host_core::{Age, Ask, AttemptResult, CommandRef, Core, Counters, ListEntry, Output, Work};
 
 /// Events taken before the outputs they caused are carried out.
 const BATCH: usize = 256;
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -21,8 +21,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use tackmast_config::{HostSettings, OverridesBlock};
-use tackmast_hostcore::{Core, Keep, Plans, Remembered};
-use tackmast_keep::{Held, Store};
+use tackmast_host_core::{Core, Keep, Plans, Remembered};
+use tackmast_store::{Held, Store};
 use tackmast_overrides::Overrides;
 
 /// Stack of the threads that only move bytes.
@@ -41,7 +41,7 @@
     #[error("admin socket {0}")]
     Admin(String),
     #[error(transparent)]
-    Store(#[from] tackmast_keep::KeepError),
+    Store(#[from] tackmast_store::KeepError),
     #[error("plans: {0}. Nothing was changed. To begin anew by the settings, move the store away")]
     Plans(#[from] tackmast_plans::TrailError),
     #[error("agreement: the store keeps {0} changes of plans that one home took; expected none. Bring the settings of all hosts to what `plan show` says, move the stores away, and start the hosts anew")]
@@ -107,7 +107,7 @@
             let start =
                 store.open_agreed(generation ^ u64::from(std::process::id()).rotate_left(40), generation)?;
             plans.agree();
-            core.with_agreed(tackmast_hostcore::Agreed::new(now, settings, a, start, generation));
+            core.with_agreed(tackmast_host_core::Agreed::new(now, settings, a, start, generation));
         }
         core.with_plans(now, plans, held.trail.is_empty() && !agrees);
     }
--- a/crates/host/src/list.rs
+++ b/crates/host/src/list.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant as Wall};
 use tackmast::interface::{ListKind, NodeState, ShardId, TimeDelta, ZoneId};
 use tackmast_config::HostSettings;
-use tackmast_hostcore::{Age, ListEntry, Start};
+use tackmast_host_core::{Age, ListEntry, Start};
 use tackmast_wire::list::{self, Frame, State, VERSION};
 use tackmast_wire::reader::Frames;
 
--- a/crates/host/src/peers.rs
+++ b/crates/host/src/peers.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tackmast_config::{HostSettings, MembershipBlock};
-use tackmast_hostcore::{member_settings, Core, Fellows};
+use tackmast_host_core::{member_settings, Core, Fellows};
 use tackmast_wire::peer;
 
 /// How often the reader looks whether the host stops.
--- a/crates/host/src/sessions.rs
+++ b/crates/host/src/sessions.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_config::HostSettings;
-use tackmast_hostcore::{CommandRef, Verdict, Work};
+use tackmast_host_core::{CommandRef, Verdict, Work};
 use tackmast_target as target;
 use tackmast_target::{AnySession, NbdSession, Offer, Session};
 use tackmast_wire::scsi::Unit;
--- a/crates/host/tests/members.rs
+++ b/crates/host/tests/members.rs
@@ -7,7 +7,7 @@
 use tackmast_admin::{Answer, Call};
 use tackmast_config::HostSettings;
 use tackmast_host::Host;
-use tackmast_hostcore::{Ask, MembersStatus, Reply};
+use tackmast_host_core::{Ask, MembersStatus, Reply};
 use tackmast_overrides::{Kind, Order, Override, OverrideId};
 
 const HOSTS: u32 = 12;
--- a/crates/host/tests/path.rs
+++ b/crates/host/tests/path.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use tackmast_standins::initiator::Reply;
-use tackmast_standins::model::Nature;
+use tackmast_emulators::initiator::Reply;
+use tackmast_emulators::model::Nature;
 use tackmast_wire::iscsi::Digests;
 use tackmast_wire::scsi::{Command, Sense};
 
--- a/crates/host/tests/plans.rs
+++ b/crates/host/tests/plans.rs
@@ -7,7 +7,7 @@
 use tackmast_admin::{Answer, Call};
 use tackmast_config::HostSettings;
 use tackmast_host::{Host, StartError};
-use tackmast_hostcore::{Ask, PlanAsk, PlanReply, PlanStatus, Reply};
+use tackmast_host_core::{Ask, PlanAsk, PlanReply, PlanStatus, Reply};
 use tackmast_plans::{Change, Plan, Step, Trail};
 
 const HOSTS: u32 = 4;
--- a/crates/host/tests/saved_list.rs
+++ b/crates/host/tests/saved_list.rs
@@ -9,7 +9,7 @@
 use tackmast::interface::NodeState;
 use tackmast_config::HostSettings;
 use tackmast_host::Host;
-use tackmast_standins::list::NodeList;
+use tackmast_emulators::list::NodeList;
 use tackmast_trace::Recorder;
 use tackmast_wire::list::{Entry, State};
 
--- a/crates/rulecheck/tests/doctored.rs
+++ b/crates/invariants/tests/doctored.rs
@@ -1,6 +1,6 @@
 //! Clean traces pass; a trace with one break is told its rule, request and node.
 
-use tackmast_rulecheck::judge;
+use tackmast_invariants::judge;
 use tackmast_trace::*;
 
 /// A trace under construction; times in milliseconds.
--- a/crates/rulecheck/tests/json_forms.rs
+++ b/crates/invariants/tests/json_forms.rs
@@ -1,7 +1,7 @@
 //! Guards the JSON form of a report on a trace, which `tackmast rules --json` prints: the names of its fields, and number and
 //! name of each rule.
 
-use tackmast_rulecheck::{judge, Break, Report, RuleReport};
+use tackmast_invariants::{judge, Break, Report, RuleReport};
 use tackmast_trace::{Event, Facts, Line};
 
 #[test]
--- a/crates/httphost/src/links.rs
+++ b/crates/platform-host/src/links.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::{SocketAddr, TcpStream};
 use tackmast::interface::{Instant, NodeId, Outcome, TimeDelta};
-use tackmast_hostcore::{AttemptId, AttemptResult, AttemptWork, Begin, SendAttempt};
+use tackmast_host_core::{AttemptId, AttemptResult, AttemptWork, Begin, SendAttempt};
 use tackmast_http::{AnswerReader, Bounds};
 use tackmast_platform::{attempt_head, Reports};
 
--- a/crates/httphost/src/serve.rs
+++ b/crates/platform-host/src/serve.rs
@@ -20,10 +20,10 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, TimeDelta};
 use tackmast_config::TrafficClass;
-use tackmast_hostcore::{
+use tackmast_host_core::{
     Age, AttemptResult, CommandRef, Core, Counters, ListEntry, Output, Placed, PlacedSettings,
 };
-use tackmast_hostcore::{Request as Opaque, SendAttempt, Start, Verdict};
+use tackmast_host_core::{Request as Opaque, SendAttempt, Start, Verdict};
 use tackmast_http::Request;
 use tackmast_platform::{Call, Configuration, List, Reports, Settings};
 
--- a/crates/httphost/tests/clients.rs
+++ b/crates/platform-host/tests/clients.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use std::time::{Duration, Instant};
-use tackmast_standins::http::{Heard, HttpClient, NodeFault};
+use tackmast_emulators::http::{Heard, HttpClient, NodeFault};
 
 #[test]
 fn requests_on_one_connection_are_answered_in_turn() {
--- a/crates/httphost/tests/common/mod.rs
+++ b/crates/platform-host/tests/common/mod.rs
@@ -10,9 +10,9 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use tackmast_http::Answer;
-use tackmast_httphost::{Host, Order, Status};
+use tackmast_platform_host::{Host, Order, Status};
 use tackmast_platform::Configuration;
-use tackmast_standins::http::{Heard, HttpClient, HttpList, HttpNode, ListLine};
+use tackmast_emulators::http::{Heard, HttpClient, HttpList, HttpNode, ListLine};
 
 pub const PATIENCE: Duration = Duration::from_secs(6);
 
--- a/crates/httphost/tests/common/stepped.rs
+++ b/crates/platform-host/tests/common/stepped.rs
@@ -6,7 +6,7 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, Instant};
-use tackmast_httphost::{Host, Order, Status};
+use tackmast_platform_host::{Host, Order, Status};
 use tackmast_platform::Configuration;
 
 /// One side of a connection, as bytes.
--- a/crates/httphost/tests/crossings.rs
+++ b/crates/platform-host/tests/crossings.rs
@@ -6,7 +6,7 @@
 use common::stepped::*;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
-use tackmast_httphost::Status;
+use tackmast_platform_host::Status;
 
 /// A host with one node, that has asked for its list once and follows it.
 fn rig(s: Settings) -> (Stepped, Place, Place) {
--- a/crates/httphost/tests/nodes.rs
+++ b/crates/platform-host/tests/nodes.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use std::time::{Duration, Instant};
-use tackmast_standins::http::NodeFault;
+use tackmast_emulators::http::NodeFault;
 
 #[test]
 fn what_a_node_answers_decides_how_the_request_goes_on() {
--- a/crates/httphost/tests/service.rs
+++ b/crates/platform-host/tests/service.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use std::time::{Duration, Instant};
-use tackmast_standins::http::{Heard, HttpList, HttpListFault, HttpNode, NodeFault};
+use tackmast_emulators::http::{Heard, HttpList, HttpListFault, HttpNode, NodeFault};
 
 #[test]
 fn a_drain_is_followed_and_the_new_node_takes_over() {
--- a/crates/day/src/agreed.rs
+++ b/crates/scenario/src/agreed.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 use tackmast_admin::{Answer, Call};
-use tackmast_hostcore::{AgreementAsk, AgreementReply, AgreementStatus, Ask, Reply};
+use tackmast_host_core::{AgreementAsk, AgreementReply, AgreementStatus, Ask, Reply};
 
 const EVERY: Duration = Duration::from_millis(50);
 const PATIENCE: Duration = Duration::from_millis(1_000);
--- a/crates/day/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -10,9 +10,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tackmast::interface::{Effect, Group};
-use tackmast_standins::list::NodeList;
-use tackmast_standins::node::{Marks, Node, NodeSettings};
-use tackmast_standins::store::Store;
+use tackmast_emulators::list::NodeList;
+use tackmast_emulators::node::{Marks, Node, NodeSettings};
+use tackmast_emulators::store::Store;
 use tackmast_trace::{Event, Recorder};
 use tackmast_wire::list::{Entry, State};
 
--- a/crates/day/src/hunt.rs
+++ b/crates/scenario/src/hunt.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::{How, Who};
 use crate::script::{Action, Script, Trouble};
-use tackmast_standins::ways::What;
+use tackmast_emulators::ways::What;
 
 /// Troubles of one day, at most.
 const MAX: u64 = 6;
--- a/crates/day/src/operators.rs
+++ b/crates/scenario/src/operators.rs
@@ -6,9 +6,9 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 use tackmast_admin::{Answer, Call};
-use tackmast_hostcore::{AgreementAsk, AgreementReply, Ask, PlanAsk, PlanReply, Reply};
+use tackmast_host_core::{AgreementAsk, AgreementReply, Ask, PlanAsk, PlanReply, Reply};
 use tackmast_plans::{Change, Step};
-use tackmast_rulecheck::history::{Came, Op};
+use tackmast_invariants::history::{Came, Op};
 
 const PATIENCE: Duration = Duration::from_secs(8);
 /// Tries of a change of the day's own that operators come before.
--- a/crates/day/src/play.rs
+++ b/crates/scenario/src/play.rs
@@ -17,12 +17,12 @@
 use tackmast::interface::{Effect, Group};
 use tackmast_admin::{Answer, Call};
 use tackmast_config::HostSettings;
-use tackmast_hostcore::{Ask, Reply};
+use tackmast_host_core::{Ask, Reply};
 use tackmast_overrides::{Kind, Order, Target};
-use tackmast_standins::initiator::{self, Initiator, Login};
-use tackmast_standins::list::{ListFault, NodeList};
-use tackmast_standins::node::Fault;
-use tackmast_standins::ways::{Party, What};
+use tackmast_emulators::initiator::{self, Initiator, Login};
+use tackmast_emulators::list::{ListFault, NodeList};
+use tackmast_emulators::node::Fault;
+use tackmast_emulators::ways::{Party, What};
 use tackmast_trace::{now_us, EffectKind, Event, Facts, Line, Recorder, TrafficClassFacts, VolumeFacts};
 use tackmast_wire::iscsi::{op, Digests, Pdu, FINAL, READS};
 use tackmast_wire::list::State;
@@ -571,7 +571,7 @@
         let ops = self.operators.take().map(Operators::end);
         let agreed = self.agreed.take().map(AgreedWatcher::end);
         let agreed = agreed.map(|a| crate::AgreedSeen { history: ops.as_ref().map_or(0, Vec::len), ..a });
-        if let Some(Err(why)) = ops.map(|ops| tackmast_rulecheck::history::judge(&ops)) {
+        if let Some(Err(why)) = ops.map(|ops| tackmast_invariants::history::judge(&ops)) {
             self.failures.push(format!("what operators saw can't have happened in any order: {why}"));
         }
         self.rig.ways.stop();
@@ -585,10 +585,10 @@
             node.stop();
         }
         self.list.stop();
-        let rules = tackmast_rulecheck::judge(&trace);
+        let rules = tackmast_invariants::judge(&trace);
         if self.script.day.list_spreads_s > 0.0 {
             let within_us = (self.script.day.list_spreads_s * 1e6) as u64;
-            let spread = tackmast_rulecheck::spread::judge(&trace, within_us);
+            let spread = tackmast_invariants::spread::judge(&trace, within_us);
             self.failures.extend(spread.breaks.into_iter().take(10));
             if spread.stops == 0 {
                 self.failures.push("no node was taken away while some host did not hear the list".into());
@@ -607,7 +607,7 @@
     fn report(
         &mut self,
         seed: u64,
-        rules: tackmast_rulecheck::Report,
+        rules: tackmast_invariants::Report,
         view: Option<crate::settled::ViewSeen>,
     ) -> Report {
         let s = &self.script.settings;
--- a/crates/day/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -51,7 +51,7 @@
     pub blocks_checked: u64,
     /// What is wrong beside the rules: bytes, answers, troubles that could not be played.
     pub failures: Vec<String>,
-    pub rules: tackmast_rulecheck::Report,
+    pub rules: tackmast_invariants::Report,
     /// Of hosts that know of each other.
     pub view: Option<ViewSeen>,
     /// Of hosts that agree on changes.
--- a/crates/day/src/rig.rs
+++ b/crates/scenario/src/rig.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
 use std::str::FromStr;
-use tackmast_standins::ways::{Caller, Datagrams, Front, Party, Ways, What};
+use tackmast_emulators::ways::{Caller, Datagrams, Front, Party, Ways, What};
 use tackmast_trace::{Event, Recorder, Side};
 
 /// A second process of one number is known to the rig by its number and this.
--- a/crates/day/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -6,10 +6,10 @@
 use tackmast_config::document::Place;
 use tackmast_config::{ConfigError, Document, HostSettings};
 use tackmast_overrides::{Kind, Target};
-use tackmast_standins::list::ListFault;
-use tackmast_standins::model::Nature;
-use tackmast_standins::node::Fault;
-use tackmast_standins::ways::What;
+use tackmast_emulators::list::ListFault;
+use tackmast_emulators::model::Nature;
+use tackmast_emulators::node::Fault;
+use tackmast_emulators::ways::What;
 
 /// `day { ... }`
 #[derive(Debug, Clone, Deserialize)]
--- a/crates/day/src/settled.rs
+++ b/crates/scenario/src/settled.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 use tackmast_admin::{Answer, Call};
-use tackmast_hostcore::{Ask, MembersStatus, Reply};
+use tackmast_host_core::{Ask, MembersStatus, Reply};
 
 /// How often the hosts are asked, and by so many at a time.
 const EVERY: Duration = Duration::from_millis(50);
@@ -261,7 +261,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use tackmast_hostcore::PeerStatus;
+    use tackmast_host_core::PeerStatus;
 
     fn status(host: u32, digest: u32, peers: &[(u32, &str, u64)]) -> MembersStatus {
         let peer = |(host, health, generation): &(u32, &str, u64)| PeerStatus {
--- a/crates/day/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tackmast::interface::Effect;
 use tackmast_config::{HostSettings, Volume};
-use tackmast_standins::initiator::{Ask, AskWork, Initiator, Login, Reply};
+use tackmast_emulators::initiator::{Ask, AskWork, Initiator, Login, Reply};
 use tackmast_trace::{now_us, Recorder};
 use tackmast_wire::iscsi::Digests;
 
--- a/crates/day/tests/json_forms.rs
+++ b/crates/scenario/tests/json_forms.rs
@@ -1,6 +1,6 @@
 //! Guards the JSON form of a scenario's report, which `tackmast day --json` prints and `report.json` holds.
 
-use tackmast_day::{After, AgreedSeen, Report, Served, ViewSeen};
+use tackmast_scenario::{After, AgreedSeen, Report, Served, ViewSeen};
 
 fn full_report() -> Report {
     let served = Served {
@@ -42,7 +42,7 @@
         served: vec![served],
         blocks_checked: 10,
         failures: vec!["bytes differ".into()],
-        rules: tackmast_rulecheck::Report { rules: Vec::new(), unfit: None },
+        rules: tackmast_invariants::Report { rules: Vec::new(), unfit: None },
         view: Some(view),
         agreed: Some(agreed),
     }
--- a/crates/lab/src/agreed/explore.rs
+++ b/crates/simulator/src/agreed/explore.rs
@@ -2,7 +2,7 @@
 //! in which three voters have a leader and a change is under way.
 
 use super::world::World;
-use tackmast_agreement::AgreeFault;
+use tackmast_consensus::AgreeFault;
 
 #[derive(Clone, Debug, Default)]
 pub struct Explored {
--- a/crates/lab/src/agreed/fleet.rs
+++ b/crates/simulator/src/agreed/fleet.rs
@@ -5,7 +5,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_agreement::{Origin, Seat, SeatOutput, SeatSettings, Settings, Word};
+use tackmast_consensus::{Origin, Seat, SeatOutput, SeatSettings, Settings, Word};
 
 type Us = u64;
 /// A write to disk with its sync, and a word's way: at least, and as much again by chance.
--- a/crates/lab/src/agreed/walk.rs
+++ b/crates/simulator/src/agreed/walk.rs
@@ -3,7 +3,7 @@
 //! crashes, some all cuts.
 
 use super::world::{World, DRIFT};
-use tackmast_agreement::AgreeFault;
+use tackmast_consensus::AgreeFault;
 
 #[derive(Clone, Copy, Debug)]
 pub struct Walk {
--- a/crates/lab/src/agreed/world.rs
+++ b/crates/simulator/src/agreed/world.rs
@@ -4,7 +4,7 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::collections::{BTreeMap, BTreeSet};
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_agreement::{
+use tackmast_consensus::{
     AgreeFault, Held, Origin, Seat, SeatOutput, SeatSettings, Settings, What, Word, Write,
 };
 
--- a/crates/lab/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_clientcore::{Bounds, Core, IscsiClient, NbdClient, Place, Policy, Transport, ADDITIONS};
+use tackmast_client_core::{Bounds, Core, IscsiClient, NbdClient, Place, Policy, Transport, ADDITIONS};
 use tackmast_target::{AnySession, NbdSession, Offer, Session};
 use tackmast_wire::iscsi::Digests;
 use tackmast_wire::scsi::Unit;
--- a/crates/lab/src/day.rs
+++ b/crates/simulator/src/day.rs
@@ -3,10 +3,10 @@
 
 use crate::draw::{Kind, Trouble, World};
 use std::sync::Arc;
-use tackmast_day::{is_one_of, Action, NodesBlock, Script, TrafficBlock, AGEING_STEPS};
+use tackmast_scenario::{is_one_of, Action, NodesBlock, Script, TrafficBlock, AGEING_STEPS};
 use tackmast_overrides::Target;
-use tackmast_standins::list::ListFault;
-use tackmast_standins::node::Fault;
+use tackmast_emulators::list::ListFault;
+use tackmast_emulators::node::Fault;
 
 /// Links as short as loopback's.
 const DELAY_US: u64 = 50;
@@ -174,7 +174,7 @@
 }
 
 /// The lab's troubles for one of the script's.
-fn troubles(day: &DayScript, t: &tackmast_day::Trouble, all: &mut Vec<Trouble>) -> Result<(), String> {
+fn troubles(day: &DayScript, t: &tackmast_scenario::Trouble, all: &mut Vec<Trouble>) -> Result<(), String> {
     let us = |s: f64| (s * 1e6) as u64;
     let (at, long) = (us(t.at_s), us(t.for_s));
     let mut put = |at_us, for_us, kind, node, host| all.push(Trouble { at_us, for_us, kind, node, host });
--- a/crates/lab/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -22,11 +22,11 @@
 pub use plain::Plain;
 pub use report::{curves, page, Series};
 pub use sim::{run, settings, Class, Mutant, Run};
-pub use tackmast_agreement::AgreeFault;
+pub use tackmast_consensus::AgreeFault;
 pub use tackmast_membership::{ViewFault, Ways};
 pub use views::{difference, find, summary, view, Case, Shown, Summary, Trial};
 
-use tackmast_rulecheck::{judge, Report};
+use tackmast_invariants::{judge, Report};
 
 /// What one seed has shown.
 pub struct Found {
--- a/crates/lab/src/plain.rs
+++ b/crates/simulator/src/plain.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, ShardId, TimeDelta};
 use tackmast_config::HostSettings;
-use tackmast_hostcore::{
+use tackmast_host_core::{
     AttemptId, AttemptResult, AttemptWork, CommandRef, Core, Layout, ListEntry, Nodes, Output, Part,
     SendAttempt, Ticket, Verdict, Work,
 };
--- a/crates/lab/tests/agreed.rs
+++ b/crates/simulator/tests/agreed.rs
@@ -1,6 +1,6 @@
 //! The agreement in virtual time: walks and all orders to a depth find nothing, and find each deliberate fault.
 
-use tackmast_lab::{agreed_fleet, explore, find_fault, walk, AgreeFault, FleetTrial, Walk};
+use tackmast_simulator::{agreed_fleet, explore, find_fault, walk, AgreeFault, FleetTrial, Walk};
 
 #[test]
 fn walks_find_nothing_that_must_not_be() {
--- a/crates/lab/tests/lab.rs
+++ b/crates/simulator/tests/lab.rs
@@ -1,7 +1,7 @@
 //! The laboratory itself: a seed replays to the byte, clean seeds stay clean, and deliberate faults are found.
 
-use tackmast_day::Script;
-use tackmast_lab::{hunt, play, shrink, shrink_worse, worse_than, Mutant, Plain, World};
+use tackmast_scenario::Script;
+use tackmast_simulator::{hunt, play, shrink, shrink_worse, worse_than, Mutant, Plain, World};
 
 #[test]
 fn a_seed_is_one_run_to_the_byte_on_any_thread() {
@@ -69,7 +69,7 @@
 fn a_light_load_from_a_file_is_served_at_once_by_nodes_that_keep_their_own_time() {
     // Found by holding the lab against loopback: nodes were looked at only when something came, so that a quiet node took
     // far too long, and the more so the more nodes there were.
-    let load = tackmast_load::Load::parse(
+    let load = tackmast_workload::Load::parse(
         "light",
         "load {\n seconds = 4\n seed = 1\n}\nflow \"f\" {\n volume = \"museum\"\n rate = 60\n writes = 0.3\n blocks = [1, 8]\n span = 50000\n}\n",
     );
@@ -97,7 +97,7 @@
         let (one, two) = (play(&small, None), play(&again, None));
         assert!(!one.is_bad() && !two.is_bad(), "seed {seed}\n{}{}", one.report, two.report);
         let asked = two.run.asked as f64 / one.run.asked as f64;
-        let in_time = |r: &tackmast_lab::Run| r.in_time as f64 / r.asked as f64;
+        let in_time = |r: &tackmast_simulator::Run| r.in_time as f64 / r.asked as f64;
         let (a, b) = (in_time(&one.run), in_time(&two.run));
         assert!((0.8..1.25).contains(&asked) && (a - b).abs() < 0.2, "seed {seed}: {asked}, {a} and {b}");
     }
@@ -150,7 +150,7 @@
 
 #[test]
 fn variants_by_setting_and_by_order_change_what_they_name() {
-    use tackmast_lab::Change;
+    use tackmast_simulator::Change;
     let of = |change: Change| {
         let mut w = Change { seconds: Some(5.0), ..change }.of(7, 6);
         w.clients = [0, 0];
@@ -158,13 +158,13 @@
     };
     let plain = of(Change::default());
     // Without a share of retries there are fewer; a longer latency objective is met more often; a node out of service gets none.
-    let attempts = |f: &tackmast_lab::Found| f.report.rule(6).checked;
+    let attempts = |f: &tackmast_simulator::Found| f.report.rule(6).checked;
     let none = of(Change { set: [("share".into(), 0.0), ("free".into(), 0.0)].into(), ..Change::default() });
     assert!(attempts(&plain) > 0 && attempts(&none) == 0, "{} and {}", attempts(&plain), attempts(&none));
     let slow = of(Change { set: [("slo_ms".into(), 900.0)].into(), ..Change::default() });
     assert!(slow.run.in_time > plain.run.in_time);
     let out = of(Change { out: 0.34, no_troubles: true, ..Change::default() });
-    let at_first = |f: &tackmast_lab::Found| {
+    let at_first = |f: &tackmast_simulator::Found| {
         let first = |l: &&tackmast_trace::Line| matches!(&l.event, tackmast_trace::Event::Attempt { node, .. } if node == "10.0.0.0:9000");
         f.run.trace.iter().filter(first).count()
     };
--- a/crates/lab/tests/members.rs
+++ b/crates/simulator/tests/members.rs
@@ -1,6 +1,6 @@
 //! Hosts that know of each other, in virtual time.
 
-use tackmast_lab::{fleet, play, Change, Found};
+use tackmast_simulator::{fleet, play, Change, Found};
 
 #[test]
 fn fleets_know_and_miss_each_other_and_orders_meet() {
--- a/crates/lab/tests/views.rs
+++ b/crates/simulator/tests/views.rs
@@ -1,7 +1,7 @@
 //! Views of fleets under faults, in virtual time: every case settles, no view does what none may, and each deliberate
 //! fault of the view is found.
 
-use tackmast_lab::{find, view, Case, Trial, ViewFault, Ways};
+use tackmast_simulator::{find, view, Case, Trial, ViewFault, Ways};
 
 fn trial(case: Case, hosts: u32, seed: u64) -> Trial {
     Trial { case, hosts, seed, ways: Ways::all(), fault: None }
--- a/crates/keep/src/agreed.rs
+++ b/crates/store/src/agreed.rs
@@ -4,8 +4,8 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use redb::{Database, ReadTransaction, ReadableTable, WriteTransaction};
 use std::collections::BTreeMap;
-use tackmast_agreement::{Base, Entry, Hard, Held, Mark, Origin, Voters, Write};
-use tackmast_hostcore::AgreedStart;
+use tackmast_consensus::{Base, Entry, Hard, Held, Mark, Origin, Voters, Write};
+use tackmast_host_core::AgreedStart;
 use tackmast_wire::agree::{entry, put_entry};
 use tackmast_wire::reader::Fields;
 
--- a/crates/keep/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -6,7 +6,7 @@
 use redb::{Database, ReadableTable, ReadableTableMetadata, TableDefinition};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use tackmast_hostcore::{Keep, Remembered};
+use tackmast_host_core::{Keep, Remembered};
 use tackmast_overrides::{Audit, Override};
 
 /// Raised when what is written changes its form.
@@ -56,7 +56,7 @@
     /// The trail of changes of plans, as it was written.
     pub trail: Vec<u8>,
     /// Of the agreed log; none before the first.
-    pub agreed: Option<tackmast_hostcore::AgreedStart>,
+    pub agreed: Option<tackmast_host_core::AgreedStart>,
     /// What an earlier generation knew of other hosts, and the number of that generation.
     pub members: Remembered,
 }
@@ -161,7 +161,7 @@
         &self,
         drawn: u64,
         generation: u64,
-    ) -> Result<tackmast_hostcore::AgreedStart, KeepError> {
+    ) -> Result<tackmast_host_core::AgreedStart, KeepError> {
         let wrong = |problem: String| KeepError::Write { path: self.path.clone(), problem };
         agreed::open(&self.db, drawn, generation).map_err(wrong)
     }
--- a/crates/keep/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -4,9 +4,9 @@
 use redb::StorageBackend;
 use std::io;
 use std::sync::{Arc, Mutex};
-use tackmast_agreement::{Base, Entry, Hard, Mark, Voters, What, Write};
-use tackmast_hostcore::{Keep, Remembered};
-use tackmast_keep::Store;
+use tackmast_consensus::{Base, Entry, Hard, Mark, Voters, What, Write};
+use tackmast_host_core::{Keep, Remembered};
+use tackmast_store::Store;
 use tackmast_overrides::*;
 
 #[derive(Clone, Debug)]
--- a/crates/keep/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -2,8 +2,8 @@
 
 use std::fs;
 use std::panic;
-use tackmast_hostcore::Keep;
-use tackmast_keep::{KeepError, Store};
+use tackmast_host_core::Keep;
+use tackmast_store::{KeepError, Store};
 use tackmast_overrides::*;
 
 fn record(id: u64) -> Override {
--- a/crates/keep/tests/stored_format.rs
+++ b/crates/store/tests/stored_format.rs
@@ -9,11 +9,11 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use tackmast_agreement::{
+use tackmast_consensus::{
     Base, Entry, Hard, Held as HeldLog, Mark, Origin as DiskOrigin, Voters, What, Write,
 };
-use tackmast_hostcore::{AgreedStart, Keep, Remembered};
-use tackmast_keep::{Held, Store};
+use tackmast_host_core::{AgreedStart, Keep, Remembered};
+use tackmast_store::{Held, Store};
 use tackmast_overrides::{Audit, AuditKind, Kind, Origin, Override, OverrideId, Target};
 
 const WRITE_FIXTURE: &str = "TACKMAST_WRITE_FIXTURE";
