--- a/crates/benchmarks/src/truth.rs
+++ b/crates/benchmarks/src/truth.rs
@@ -6,14 +6,14 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 use tackmast_client::{Client, Op, Options, Outcome, Protocol};
-use tackmast_host::Host;
-use tackmast_simulator::{settings, World};
-use tackmast_workload::Load;
 use tackmast_emulators::list::NodeList;
 use tackmast_emulators::model::Nature;
 use tackmast_emulators::node::{Marks, Node, NodeSettings};
+use tackmast_host::Host;
+use tackmast_simulator::{settings, World};
 use tackmast_trace::Recorder;
 use tackmast_wire::list::{Entry, State};
+use tackmast_workload::Load;
 
 const PATIENCE: Duration = Duration::from_secs(10);
 /// Threads that ask at the same time for one host; a later arrival than all of them can take waits, and its wait counts.
--- a/crates/cli/src/agreed.rs
+++ b/crates/cli/src/agreed.rs
@@ -1,4 +1,4 @@
-//! `tackmast lab agree`: walks over the agreement in virtual time.
+//! `tackmast simulator agree`: walks over the agreement in virtual time.
 
 use std::process::ExitCode;
 use tackmast_simulator::{agreed_fleet, explore, find_fault, walk, AgreeFault, FleetTrial, Walk, Walked};
--- a/crates/cli/src/measure.rs
+++ b/crates/cli/src/benchmark.rs
@@ -1,13 +1,13 @@
-//! `tackmast measure`.
+//! `tackmast benchmark`.
 
 use std::process::ExitCode;
-use tackmast_client::{Options, Protocol};
 use tackmast_benchmarks::{
     beside_greedy, core_cost, core_cost_with_orders, through_library, timers, Bench, Load, Route,
 };
+use tackmast_client::{Options, Protocol};
 
 #[derive(clap::Args)]
-pub struct MeasureArguments {
+pub struct BenchmarkArguments {
     /// Seconds of each of the loads.
     #[arg(long, default_value_t = 3.0)]
     seconds: f64,
@@ -76,7 +76,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-pub fn measure(a: &MeasureArguments) -> Result<ExitCode, String> {
+pub fn measure(a: &BenchmarkArguments) -> Result<ExitCode, String> {
     if a.overrides {
         return overrides();
     }
--- a/crates/cli/src/agreement.rs
+++ b/crates/cli/src/consensus.rs
@@ -1,4 +1,4 @@
-//! `tackmast agreement`: who votes, who leads, and how each host stands to what is agreed on.
+//! `tackmast consensus`: who votes, who leads, and how each host stands to what is agreed on.
 
 use crate::orders::PATIENCE;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
 use tackmast_host_core::{AgreementAsk, AgreementReply, AgreementStatus, Ask, Reply};
 
 #[derive(clap::Subcommand)]
-pub enum AgreementCommand {
+pub enum ConsensusCommand {
     /// Shows leader, term, voters, versions by host, and who is past its lease and in what posture.
     Status {
         #[command(flatten)]
@@ -123,9 +123,9 @@
     }
 }
 
-pub fn run(command: AgreementCommand) -> Result<ExitCode, String> {
+pub fn run(command: ConsensusCommand) -> Result<ExitCode, String> {
     match command {
-        AgreementCommand::Status { hosts } => {
+        ConsensusCommand::Status { hosts } => {
             let mut good = true;
             for host in &hosts.hosts {
                 match ask(host, AgreementAsk::Status) {
@@ -145,12 +145,12 @@
             }
             Ok(ExitCode::from(u8::from(!good)))
         }
-        AgreementCommand::Force(f) => told(ask(&f.host, AgreementAsk::Force { who: f.who, why: f.why })?),
-        AgreementCommand::Forget(f) => told(ask(&f.host, AgreementAsk::Forget { who: f.who, why: f.why })?),
-        AgreementCommand::Voter(VoterCommand::Add { number, host }) => {
+        ConsensusCommand::Force(f) => told(ask(&f.host, AgreementAsk::Force { who: f.who, why: f.why })?),
+        ConsensusCommand::Forget(f) => told(ask(&f.host, AgreementAsk::Forget { who: f.who, why: f.why })?),
+        ConsensusCommand::Voter(VoterCommand::Add { number, host }) => {
             told(ask(&host, AgreementAsk::Voter { host: number, votes: true })?)
         }
-        AgreementCommand::Voter(VoterCommand::Remove { number, host }) => {
+        ConsensusCommand::Voter(VoterCommand::Remove { number, host }) => {
             told(ask(&host, AgreementAsk::Voter { host: number, votes: false })?)
         }
     }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,19 +1,19 @@
 //! The `tackmast` command: it reads arguments, settings and signals, and hands on.
 
 mod agreed;
-mod agreement;
-mod day;
+mod benchmark;
+mod consensus;
+mod emulators;
 mod io;
-mod lab;
 mod log;
-mod measure;
 mod members;
 mod orders;
 mod planner;
 mod plans;
 mod platform;
+mod scenario;
 mod serve;
-mod stand;
+mod simulator;
 mod views;
 
 use clap::{Parser, Subcommand};
@@ -58,7 +58,7 @@
     /// Runs a stand-in for a storage node, on loopback, that keeps its bytes in memory.
     ///
     /// Each line of standard input is a fault to set, such as `slow 5`, `silent on`, `restart 2` or `well`.
-    Node(stand::NodeArguments),
+    Node(emulators::NodeArguments),
     /// Runs a stand-in for the node list, on loopback.
     ///
     /// Each line of standard input changes the list: `put ADDRESS SHARD ZONE`, `drain ADDRESS`, `gone ADDRESS`,
@@ -78,7 +78,8 @@
     Plan(plans::PlanCommand),
     /// What all hosts go by: who leads and votes, leases, and how each host stands.
     #[command(subcommand)]
-    Agreement(agreement::AgreementCommand),
+    #[command(alias = "agreement")]
+    Consensus(consensus::ConsensusCommand),
     /// Shows what hosts are doing, and what each node is given.
     Status {
         #[command(flatten)]
@@ -90,9 +91,11 @@
     ///
     /// Prints the seed, service by plan and traffic class, and each of the seven rules with what was checked. Exits
     /// with 0 only if every rule held, every byte read was right, and the script's own expectations were met.
-    Day(day::DayArguments),
+    #[command(alias = "day")]
+    Scenario(scenario::ScenarioArguments),
     /// Writes a day of the bench as a script for loopback, on standard output.
-    DayImport {
+    #[command(alias = "day-import")]
+    ScenarioImport {
         /// A day file of the bench, as JSON.
         file: PathBuf,
         #[arg(long, default_value_t = 1)]
@@ -107,9 +110,11 @@
     },
     /// The host core by the hundred in virtual time: plays seeds, and hunts for a broken rule.
     #[command(subcommand)]
-    Lab(lab::LabCommand),
+    #[command(alias = "lab")]
+    Simulator(simulator::SimulatorCommand),
     /// Measures what the host adds, against the same clients straight at the stand-in nodes, in one run.
-    Measure(measure::MeasureArguments),
+    #[command(alias = "measure")]
+    Benchmark(benchmark::BenchmarkArguments),
     /// Looks at settings without running anything.
     #[command(subcommand)]
     Config(ConfigCommand),
@@ -132,19 +137,19 @@
             serve::serve(&config, (clock_off_s, clock_pace))
         }
         Command::Serve { config: None, .. } => platform::serve(),
-        Command::Node(a) => stand::node(&a),
-        Command::NodeList { listen } => stand::node_list(listen),
+        Command::Node(a) => emulators::node(&a),
+        Command::NodeList { listen } => emulators::node_list(listen),
         Command::Io(c) => io::run(c),
         Command::Override(c) => orders::run(c),
         Command::Plan(c) => plans::run(c),
-        Command::Agreement(c) => agreement::run(c),
+        Command::Consensus(c) => consensus::run(c),
         Command::Status { hosts } => orders::status(&hosts),
         Command::Members(a) => members::run(&a),
-        Command::Day(a) => day::day(&a),
-        Command::DayImport { file, seed } => day::import(&file, seed),
-        Command::Rules { trace, json } => day::rules(&trace, json),
-        Command::Lab(c) => lab::run(c),
-        Command::Measure(a) => measure::measure(&a),
+        Command::Scenario(a) => scenario::day(&a),
+        Command::ScenarioImport { file, seed } => scenario::import(&file, seed),
+        Command::Rules { trace, json } => scenario::rules(&trace, json),
+        Command::Simulator(c) => simulator::run(c),
+        Command::Benchmark(a) => benchmark::measure(&a),
         Command::Config(ConfigCommand::Check { file }) => serve::check(&file),
     };
     match outcome {
--- a/crates/cli/src/planner.rs
+++ b/crates/cli/src/planner.rs
@@ -7,15 +7,15 @@
 use std::time::Instant;
 use tackmast_config::HostSettings;
 use tackmast_host_core::Layout;
-use tackmast_simulator::World;
 use tackmast_planner::{bounds, fit, max_held, place, Curve, Load, Node, Point};
+use tackmast_simulator::World;
 
 #[derive(clap::Args)]
 pub struct Figures {
     /// Settings of a host, in HCL: volumes, traffic classes, shards.
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// Arrivals, as `tackmast lab play --load` takes them.
+    /// Arrivals, as `tackmast simulator play --load` takes them.
     #[arg(long, value_name = "FILE")]
     load: PathBuf,
     /// Units a second that one node bears.
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -3,8 +3,8 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::os::unix::net::UnixStream;
 use std::process::ExitCode;
-use tackmast_platform_host::{Host, Order};
 use tackmast_platform::Configuration;
+use tackmast_platform_host::{Host, Order};
 
 /// Where the platform says which file holds a host's configuration.
 const CONFIG: &str = "NODE_CONFIG";
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/scenario.rs
@@ -1,4 +1,4 @@
-//! `tackmast day` and `tackmast rules`.
+//! `tackmast scenario` and `tackmast rules`.
 
 use std::fs::File;
 use std::io::{BufReader, BufWriter};
@@ -7,7 +7,7 @@
 use tackmast_scenario::Script;
 
 #[derive(clap::Args)]
-pub struct DayArguments {
+pub struct ScenarioArguments {
     /// Script of the day, in HCL.
     file: PathBuf,
     /// In place of the script's seed.
@@ -34,7 +34,7 @@
     hunt: Option<f64>,
 }
 
-impl DayArguments {
+impl ScenarioArguments {
     fn script(&self) -> Result<Script, String> {
         let mut script = Script::read_sized(&self.file, self.hosts).map_err(|e| e.to_string())?;
         script.day.seed = self.seed.unwrap_or(script.day.seed);
@@ -68,7 +68,7 @@
     good / asked.max(1) as f64
 }
 
-fn seeds(a: &DayArguments, count: u64) -> Result<ExitCode, String> {
+fn seeds(a: &ScenarioArguments, count: u64) -> Result<ExitCode, String> {
     let mut script = a.script()?;
     let (first, mut good) = (script.day.seed, true);
     let (mut periods, mut served, mut cost) = (Vec::new(), Vec::new(), Vec::new());
@@ -156,7 +156,7 @@
     Ok(ExitCode::from(u8::from(!good)))
 }
 
-fn hunt(a: &DayArguments, minutes: f64) -> Result<ExitCode, String> {
+fn hunt(a: &ScenarioArguments, minutes: f64) -> Result<ExitCode, String> {
     let script = a.script()?;
     let until =
         std::time::Instant::now() + std::time::Duration::from_secs_f64(minutes.clamp(0.01, 1440.0) * 60.0);
@@ -179,7 +179,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-pub fn day(a: &DayArguments) -> Result<ExitCode, String> {
+pub fn day(a: &ScenarioArguments) -> Result<ExitCode, String> {
     if let Some(minutes) = a.hunt {
         return hunt(a, minutes);
     }
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/simulator.rs
@@ -1,4 +1,4 @@
-//! `tackmast lab`: the host core by the hundred, in virtual time.
+//! `tackmast simulator`: the host core by the hundred, in virtual time.
 
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -9,7 +9,7 @@
 };
 
 #[derive(clap::Subcommand)]
-pub enum LabCommand {
+pub enum SimulatorCommand {
     /// Plays the world of one seed and judges the rules; the same seed is the same run, to the byte.
     Play {
         #[arg(long, default_value_t = 1)]
@@ -33,7 +33,7 @@
         /// Arrivals from a file, in place of those drawn.
         #[arg(long)]
         load: Option<std::path::PathBuf>,
-        /// The script of a day, as `tackmast day` plays it through sockets: its nodes, settings, traffic and troubles.
+        /// The script of a day, as `tackmast scenario` plays it through sockets: its nodes, settings, traffic and troubles.
         #[arg(long, conflicts_with_all = ["hosts", "seconds", "nodes", "rate", "load"])]
         day: Option<std::path::PathBuf>,
         /// Without the troubles drawn.
@@ -117,7 +117,7 @@
     View(crate::views::ViewArguments),
     /// Walks by chance over the agreement: voters, disks, clocks and ways; what must never be is looked for after each step.
     Agree(crate::agreed::AgreeArguments),
-    /// Prints the world of one seed as a day script, for `tackmast day` and for `tackmast lab play --day`.
+    /// Prints the world of one seed as a day script, for `tackmast scenario` and for `tackmast simulator play --day`.
     Script {
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -134,9 +134,20 @@
 /// Part of a difference in service that must stay while a find is made smaller.
 const STAYS: f64 = 0.8;
 
-pub fn run(command: LabCommand) -> Result<ExitCode, String> {
+pub fn run(command: SimulatorCommand) -> Result<ExitCode, String> {
     match command {
-        LabCommand::Play { seed, hosts, seconds, nodes, rate, report, trace, load: file, day, calm } => {
+        SimulatorCommand::Play {
+            seed,
+            hosts,
+            seconds,
+            nodes,
+            rate,
+            report,
+            trace,
+            load: file,
+            day,
+            calm,
+        } => {
             if !(1..=1000).contains(&hosts) || nodes.is_some_and(|n| !(1..=1000).contains(&n)) {
                 return Err(format!("--hosts {hosts}; expected 1 to 1000, and as many nodes at most"));
             }
@@ -177,7 +188,7 @@
             );
             Ok(ExitCode::from(u8::from(found.is_bad())))
         }
-        LabCommand::Truth { file, hosts, nodes, unit_ms } => {
+        SimulatorCommand::Truth { file, hosts, nodes, unit_ms } => {
             if !(1..=8).contains(&hosts) || !(1..=60).contains(&nodes) || !(0.1..=100.0).contains(&unit_ms) {
                 return Err(format!("--hosts {hosts} --nodes {nodes} --unit-ms {unit_ms}; expected 1 to 8, 1 to 60, 0.1 to 100"));
             }
@@ -204,7 +215,7 @@
             }
             Ok(ExitCode::SUCCESS)
         }
-        LabCommand::Compare { a, b, seeds, first, hosts, threads } => {
+        SimulatorCommand::Compare { a, b, seeds, first, hosts, threads } => {
             if !(1..=100_000).contains(&seeds) || !(1..=300).contains(&hosts) {
                 return Err(format!("--seeds {seeds} --hosts {hosts}; expected 1 to 100000 and 1 to 300"));
             }
@@ -222,7 +233,7 @@
             }
             Ok(ExitCode::SUCCESS)
         }
-        LabCommand::Hunt { minutes, first, hosts, threads, worst, save } => {
+        SimulatorCommand::Hunt { minutes, first, hosts, threads, worst, save } => {
             let plain = worst.as_deref().map(|p| plain_named("--worst", p)).transpose()?;
             let hunt =
                 Hunt { minutes, first, hosts: hosts.clamp(1, 300), threads: threads.clamp(1, 64), save };
@@ -231,15 +242,15 @@
                 None => hunt.rules(),
             }
         }
-        LabCommand::Bound { loads, hosts, nodes, seed, ahead } => {
+        SimulatorCommand::Bound { loads, hosts, nodes, seed, ahead } => {
             if !(1..=300).contains(&hosts) || !(1..=300).contains(&nodes) {
                 return Err(format!("--hosts {hosts} --nodes {nodes}; expected 1 to 300"));
             }
             crate::planner::beside_lab(&loads, hosts, nodes, seed, ahead)
         }
-        LabCommand::View(a) => crate::views::run(&a),
-        LabCommand::Agree(a) => crate::agreed::run(&a),
-        LabCommand::Fleet { hosts, loss, seed } => {
+        SimulatorCommand::View(a) => crate::views::run(&a),
+        SimulatorCommand::Agree(a) => crate::agreed::run(&a),
+        SimulatorCommand::Fleet { hosts, loss, seed } => {
             if hosts.iter().any(|h| !(3..=1000).contains(h)) || loss.iter().any(|l| !(0.0..=0.9).contains(l))
             {
                 return Err(format!("--hosts {hosts:?} --loss {loss:?}; expected 3 to 1000, and 0 to 0.9"));
@@ -278,7 +289,7 @@
             }
             Ok(ExitCode::SUCCESS)
         }
-        LabCommand::Script { seed, hosts, scaled } => {
+        SimulatorCommand::Script { seed, hosts, scaled } => {
             if !(1..=300).contains(&hosts) || scaled.is_some_and(|s| !(1..=hosts).contains(&s)) {
                 return Err(format!(
                     "--hosts {hosts} --scaled {scaled:?}; expected 1 to 300, and no more than that"
--- a/crates/cli/src/views.rs
+++ b/crates/cli/src/views.rs
@@ -1,4 +1,4 @@
-//! `tackmast lab view`: views of fleets under faults, in virtual time.
+//! `tackmast simulator view`: views of fleets under faults, in virtual time.
 
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/scenarios.rs
@@ -12,7 +12,7 @@
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let out = Command::new(env!("CARGO_BIN_EXE_tackmast"))
         .current_dir(root)
-        .args(["day", &format!("days/{day}.hcl")])
+        .args(["scenario", &format!("scenarios/{day}.hcl")])
         .output()
         .expect("the command runs");
     let text = String::from_utf8_lossy(&out.stdout);
--- a/crates/client/tests/common/mod.rs
+++ b/crates/client/tests/common/mod.rs
@@ -6,11 +6,11 @@
 use std::time::{Duration, Instant};
 use tackmast_client::{Options, Protocol};
 use tackmast_config::HostSettings;
-use tackmast_host::Host;
 use tackmast_emulators::list::NodeList;
 use tackmast_emulators::model::Nature;
 use tackmast_emulators::node::{Marks, Node, NodeSettings};
 use tackmast_emulators::tap;
+use tackmast_host::Host;
 use tackmast_trace::{EffectKind, Event, Facts, Recorder, TrafficClassFacts};
 use tackmast_wire::list::{Entry, State};
 
--- a/crates/client/tests/histories.rs
+++ b/crates/client/tests/histories.rs
@@ -7,8 +7,8 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 use tackmast_client::{Client, Op, Outcome, Protocol};
-use tackmast_scenario::Registers;
 use tackmast_emulators::node::Fault;
+use tackmast_scenario::Registers;
 use tackmast_trace::now_us;
 
 const BLOCKS: u64 = 192;
--- a/crates/host-core/src/agreed.rs
+++ b/crates/host-core/src/agreed.rs
@@ -4,10 +4,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use tackmast::interface::{Instant, TimeDelta};
+use tackmast_config::{AgreementBlock, HostSettings};
 use tackmast_consensus::{
     Held, Lease, Origin, Parcels, ParcelsSettings, Seat, SeatSettings, Settings, Standing, Word,
 };
-use tackmast_config::{AgreementBlock, HostSettings};
 use tackmast_wire::peer::Body;
 
 /// Entries, and bytes of them, after which they are folded.
--- a/crates/host-core/tests/agreed.rs
+++ b/crates/host-core/tests/agreed.rs
@@ -4,8 +4,8 @@
 use bytes::Bytes;
 use std::net::SocketAddr;
 use tackmast::interface::*;
-use tackmast_consensus::Origin;
 use tackmast_config::HostSettings;
+use tackmast_consensus::Origin;
 use tackmast_host_core::*;
 use tackmast_plans::{Change, Plan, Step};
 
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -22,8 +22,8 @@
 use std::time::{Duration, Instant};
 use tackmast_config::{HostSettings, OverridesBlock};
 use tackmast_host_core::{Core, Keep, Plans, Remembered};
-use tackmast_store::{Held, Store};
 use tackmast_overrides::Overrides;
+use tackmast_store::{Held, Store};
 
 /// Stack of the threads that only move bytes.
 const SMALL_STACK: usize = 128 << 10;
--- a/crates/host/tests/saved_list.rs
+++ b/crates/host/tests/saved_list.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 use tackmast::interface::NodeState;
 use tackmast_config::HostSettings;
-use tackmast_host::Host;
 use tackmast_emulators::list::NodeList;
+use tackmast_host::Host;
 use tackmast_trace::Recorder;
 use tackmast_wire::list::{Entry, State};
 
--- a/crates/overrides/src/wheel.rs
+++ b/crates/overrides/src/wheel.rs
@@ -1,5 +1,5 @@
 //! A timing wheel: entries wait in slots of growing width, so that putting in and taking out cost the same however
-//! many there are. Measured against a plain heap by `tackmast measure --timers`.
+//! many there are. Measured against a plain heap by `tackmast benchmark --timers`.
 
 use tackmast::interface::{Instant, TimeDelta};
 
--- a/crates/platform-host/tests/common/mod.rs
+++ b/crates/platform-host/tests/common/mod.rs
@@ -9,10 +9,10 @@
 use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
+use tackmast_emulators::http::{Heard, HttpClient, HttpList, HttpNode, ListLine};
 use tackmast_http::Answer;
-use tackmast_platform_host::{Host, Order, Status};
 use tackmast_platform::Configuration;
-use tackmast_emulators::http::{Heard, HttpClient, HttpList, HttpNode, ListLine};
+use tackmast_platform_host::{Host, Order, Status};
 
 pub const PATIENCE: Duration = Duration::from_secs(6);
 
--- a/crates/platform-host/tests/common/stepped.rs
+++ b/crates/platform-host/tests/common/stepped.rs
@@ -6,8 +6,8 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, Instant};
-use tackmast_platform_host::{Host, Order, Status};
 use tackmast_platform::Configuration;
+use tackmast_platform_host::{Host, Order, Status};
 
 /// One side of a connection, as bytes.
 pub struct Wire {
--- a/crates/platform-host/tests/keepers.rs
+++ b/crates/platform-host/tests/keepers.rs
@@ -5,9 +5,9 @@
 use std::os::unix::net::UnixStream;
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
-use tackmast_platform_host::{Host, Order, Status};
-use tackmast_platform::Configuration;
 use tackmast_emulators::http::{Heard, HttpClient, HttpList, HttpNode, ListLine};
+use tackmast_platform::Configuration;
+use tackmast_platform_host::{Host, Order, Status};
 
 struct Run {
     address: SocketAddr,
--- a/crates/scenario/src/hunt.rs
+++ b/crates/scenario/src/hunt.rs
@@ -196,14 +196,15 @@
     use super::*;
 
     fn script() -> Script {
-        let file = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/view/third-killed.hcl");
+        let file =
+            std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/view/third-killed.hcl");
         Script::read(&file).unwrap_or_else(|e| panic!("{e}"))
     }
 
     #[test]
     fn what_is_drawn_is_the_same_for_a_seed_and_reads_back_as_it_was() {
         let base = script();
-        let rest = concat!(env!("CARGO_MANIFEST_DIR"), "/../../days/view/base.hcl");
+        let rest = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/view/base.hcl");
         let rest = std::fs::read_to_string(rest).unwrap_or_else(|e| panic!("{e}"));
         let mut kinds = std::collections::BTreeSet::new();
         for seed in 0..200 {
--- a/crates/scenario/src/operators.rs
+++ b/crates/scenario/src/operators.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 use tackmast_admin::{Answer, Call};
 use tackmast_host_core::{AgreementAsk, AgreementReply, Ask, PlanAsk, PlanReply, Reply};
-use tackmast_plans::{Change, Step};
 use tackmast_invariants::history::{Came, Op};
+use tackmast_plans::{Change, Step};
 
 const PATIENCE: Duration = Duration::from_secs(8);
 /// Tries of a change of the day's own that operators come before.
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddr;
 use tackmast_config::document::Place;
 use tackmast_config::{ConfigError, Document, HostSettings};
-use tackmast_overrides::{Kind, Target};
 use tackmast_emulators::list::ListFault;
 use tackmast_emulators::model::Nature;
 use tackmast_emulators::node::Fault;
 use tackmast_emulators::ways::What;
+use tackmast_overrides::{Kind, Target};
 
 /// `day { ... }`
 #[derive(Debug, Clone, Deserialize)]
--- a/crates/scenario/tests/json_forms.rs
+++ b/crates/scenario/tests/json_forms.rs
@@ -1,4 +1,4 @@
-//! Guards the JSON form of a scenario's report, which `tackmast day --json` prints and `report.json` holds.
+//! Guards the JSON form of a scenario's report, which `tackmast scenario --json` prints and `report.json` holds.
 
 use tackmast_scenario::{After, AgreedSeen, Report, Served, ViewSeen};
 
--- a/crates/simulator/src/day.rs
+++ b/crates/simulator/src/day.rs
@@ -1,12 +1,12 @@
-//! Day scripts in virtual time: the script that `tackmast day` plays through sockets, with its nodes, settings, traffic and
+//! Day scripts in virtual time: the script that `tackmast scenario` plays through sockets, with its nodes, settings, traffic and
 //! troubles, played by the lab. What only sockets have is named and left out.
 
 use crate::draw::{Kind, Trouble, World};
 use std::sync::Arc;
-use tackmast_scenario::{is_one_of, Action, NodesBlock, Script, TrafficBlock, AGEING_STEPS};
-use tackmast_overrides::Target;
 use tackmast_emulators::list::ListFault;
 use tackmast_emulators::node::Fault;
+use tackmast_overrides::Target;
+use tackmast_scenario::{is_one_of, Action, NodesBlock, Script, TrafficBlock, AGEING_STEPS};
 
 /// Links as short as loopback's.
 const DELAY_US: u64 = 50;
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -22,12 +22,12 @@
 use tackmast::interface::{Instant, ListKind, NodeState, Outcome, ShardId, TimeDelta, ZoneId};
 use tackmast_client_core::{Op, Outcome as CallOutcome, Output as ClientOutput, Place};
 use tackmast_config::HostSettings;
+use tackmast_emulators::model::{How, Ills, Job, Model, Nature};
 use tackmast_host_core::{
     member_settings, Age, Ask, AttemptId, AttemptResult, AttemptWork, Begin, CommandRef, Core, Fellows, Keep,
     ListEntry, Output, PlanAsk, PlanReply, Plans, Reply, Request, SendAttempt, Start, Verdict, Work,
 };
 use tackmast_overrides::{Kind as OrderKind, Order, Override, OverrideId, Overrides, Target};
-use tackmast_emulators::model::{How, Ills, Job, Model, Nature};
 use tackmast_target as target;
 use tackmast_trace::*;
 use tackmast_wire::node::{self, Answer, Frame, NodeOutcome, Origin};
--- a/crates/simulator/tests/agreed.rs
+++ b/crates/simulator/tests/agreed.rs
@@ -23,7 +23,7 @@
 
 #[test]
 fn deliberate_faults_are_found() {
-    // Those that take thousands of walks are looked for by `tackmast lab agree --faults`.
+    // Those that take thousands of walks are looked for by `tackmast simulator agree --faults`.
     let quick = [
         AgreeFault::AckBeforeDisk,
         AgreeFault::StaleRead,
--- a/crates/simulator/tests/lab.rs
+++ b/crates/simulator/tests/lab.rs
@@ -113,7 +113,7 @@
 
 #[test]
 fn the_hard_days_play_in_virtual_time_with_all_rules_kept() {
-    let days = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days");
+    let days = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios");
     let mut played = 0;
     for entry in std::fs::read_dir(&days).unwrap() {
         let path = entry.unwrap().path();
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -6,8 +6,8 @@
 use std::sync::{Arc, Mutex};
 use tackmast_consensus::{Base, Entry, Hard, Mark, Voters, What, Write};
 use tackmast_host_core::{Keep, Remembered};
-use tackmast_store::Store;
 use tackmast_overrides::*;
+use tackmast_store::Store;
 
 #[derive(Clone, Debug)]
 enum Op {
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -3,8 +3,8 @@
 use std::fs;
 use std::panic;
 use tackmast_host_core::Keep;
-use tackmast_store::{KeepError, Store};
 use tackmast_overrides::*;
+use tackmast_store::{KeepError, Store};
 
 fn record(id: u64) -> Override {
     Override {
--- a/crates/store/tests/stored_format.rs
+++ b/crates/store/tests/stored_format.rs
@@ -13,8 +13,8 @@
     Base, Entry, Hard, Held as HeldLog, Mark, Origin as DiskOrigin, Voters, What, Write,
 };
 use tackmast_host_core::{AgreedStart, Keep, Remembered};
-use tackmast_store::{Held, Store};
 use tackmast_overrides::{Audit, AuditKind, Kind, Origin, Override, OverrideId, Target};
+use tackmast_store::{Held, Store};
 
 const WRITE_FIXTURE: &str = "TACKMAST_WRITE_FIXTURE";
 /// Bytes of a row of the encoded file.
