--- a/crates/admin/tests/json_forms.rs
+++ b/crates/admin/tests/json_forms.rs
@@ -4,7 +4,7 @@
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 use tackmast_admin::{parse_call, write_line, Answer, Call};
-use tackmast_hostcore::{
+use tackmast_host_core::{
     AgreementAsk, AgreementReply, AgreementStatus, Ask, DeathStatus, MembersStatus, OrdersStatus, PeerStatus,
     PlanAsk, PlanReply, PlanStatus, Reply, SiteStatus,
 };
@@ -12,7 +12,7 @@
     Audit, AuditKind, Beaten, Explanation, Kind, Order, Origin, Override, OverrideId, Preview, Refusal,
     Service, Standing,
 };
-use tackmast_plans::{Catalogue, Change, Fleet, Plan, Step, StreamType, Volume};
+use tackmast_plans::{Catalogue, Change, Fleet, Plan, Step, TrafficClass, Volume};
 
 /// The value is written as the literal text, and the literal is read back as the value.
 #[track_caller]
@@ -39,7 +39,7 @@
         who: "ann".into(),
         set_us: 1_700_000_000_000_000,
         ends_us: 1_700_003_600_000_000,
-        origin: Some(Origin { slot: 2, life: 77, number: 3 }),
+        origin: Some(Origin { slot: 2, generation: 77, number: 3 }),
     }
 }
 
@@ -55,17 +55,17 @@
         reads: "read".into(),
         writes: "read".into(),
     };
-    let stream = StreamType { slo_ms: 100.0, expiry_ms: 1000.0 };
+    let stream = TrafficClass { latency_objective_ms: 100.0, deadline_ms: 1000.0 };
     let steps = vec![
         Step::Plan { name: "basic".into(), to: Some(plan) },
-        Step::Stream { name: "read".into(), to: Some(stream) },
+        Step::TrafficClass { name: "read".into(), to: Some(stream) },
         Step::Volume { name: "school".into(), to: Some(volume) },
     ];
     Change { base: 0, steps, who: "ann".into(), why: "begin".into() }
 }
 
 fn fleet() -> Fleet {
-    Fleet { hosts: 4, most_units: 8.0, bears: [(0, 100.5)].into() }
+    Fleet { hosts: 4, max_units: 8.0, bears: [(0, 100.5)].into() }
 }
 
 #[test]
@@ -192,11 +192,11 @@
         returning: 4,
         there: 5,
         commands: 6,
-        legs: 7,
+        attempts: 7,
         taken: 8,
         done: 9,
-        deferred: 10,
-        abandoned: 11,
+        rejected: 10,
+        failed: 11,
         nodes: vec![(node(), "ready".into(), "out of service".into())],
     };
     assert_reply(
@@ -214,7 +214,7 @@
         host: 2,
         health: "suspect".into(),
         address: "10.9.0.2:7000".into(),
-        life: 1_000_002,
+        generation: 1_000_002,
         since_s: 1.5,
         incarnation: 3,
         site: Some(1),
@@ -228,7 +228,7 @@
         left: 5,
         word: "emptied one by one".into(),
     };
-    let death = DeathStatus { host: 4, life: 1_000_004, incarnation: 2, ago_s: 8.5, own: true };
+    let death = DeathStatus { host: 4, generation: 1_000_004, incarnation: 2, ago_s: 8.5, own: true };
     MembersStatus {
         host: Some(1),
         there: 2,
@@ -239,7 +239,7 @@
         sent_bytes: 4,
         taken: 5,
         dropped: 6,
-        life: 1_000_001,
+        generation: 1_000_001,
         incarnation: 7,
         site: Some(0),
         address: "10.9.0.1:7000".into(),
@@ -278,7 +278,7 @@
         host: 1,
         health: "alive".into(),
         address: "10.9.0.1:7000".into(),
-        life: 7,
+        generation: 7,
         since_s: 1.0,
         ..PeerStatus::default()
     };
@@ -345,7 +345,7 @@
     let reply = |r| Reply::Agreement(r);
     let status = AgreementStatus {
         host: 1,
-        life: 1_000_001,
+        generation: 1_000_001,
         role: "leads".into(),
         term: 2,
         leader: Some(1),
--- a/crates/benchlink/src/lib.rs
+++ b/crates/benchlink/src/lib.rs
@@ -33,13 +33,13 @@
 
 struct Host {
     scheduler: Scheduler,
-    xfers: Names,
+    requests: Names,
     nodes: Names,
     volumes: Names,
     keys: Names,
     armed: Option<Instant>,
     token: u64,
-    waiting_at: Option<usize>, // where a load report holds the number of waiting transfers
+    waiting_at: Option<usize>, // where a load report holds the number of waiting requests
     tells: bool,               // whether answers tell of service through other hosts
 }
 
@@ -114,7 +114,7 @@
         let settings = Settings::read(env)?;
         Ok(Host {
             scheduler: settings.scheduler(now, seed),
-            xfers: Names::default(),
+            requests: Names::default(),
             nodes: Names::default(),
             volumes: Names::default(),
             keys: Names::default(),
@@ -128,20 +128,22 @@
     fn event(&mut self, now: Instant, name: &str, v: Fields) -> Result<(), String> {
         match name {
             "Req" => {
-                let id = XferId(self.xfers.number(text(v.get(1), "tid")?));
+                let id = RequestId(self.requests.number(text(v.get(1), "tid")?));
                 let key = v.get(4).and_then(Value::as_str).map(|k| KeyId(self.keys.number(k)));
                 let shard = integer(v.get(8), "lies_in")?;
-                let (stream, plan) = (index(v.get(2), "service")?, index(v.get(3), "qos_class")?);
-                if !self.scheduler.knows(StreamId(stream), PlanId(plan)) {
-                    return Err(format!("service {stream} or qos_class {plan} is not among the settings"));
+                let (traffic_class, plan) = (index(v.get(2), "service")?, index(v.get(3), "qos_class")?);
+                if !self.scheduler.knows(TrafficClassId(traffic_class), PlanId(plan)) {
+                    return Err(format!(
+                        "service {traffic_class} or qos_class {plan} is not among the settings"
+                    ));
                 }
-                self.scheduler.transfer_arrived(
+                self.scheduler.request_arrived(
                     now,
                     id,
-                    StreamId(stream),
+                    TrafficClassId(traffic_class),
                     PlanId(plan),
                     key,
-                    Span::from_secs(number(v.get(5), "budget")?),
+                    TimeDelta::from_secs(number(v.get(5), "budget")?),
                     VolumeId(self.volumes.number(text(v.get(6), "store_user")?)),
                     number(v.get(7), "weight")?,
                     u32::try_from(shard).ok().map(ShardId),
@@ -160,29 +162,29 @@
                     "skipped" => Outcome::Skipped,
                     other => return Err(format!("outcome {other}; expected one of the wire's eight")),
                 };
-                let leg = LegNo(index(v.get(2), "try")?);
-                let elapsed = Span::from_secs(number(v.get(5), "elapsed")?);
+                let attempt = AttemptNumber(index(v.get(2), "try")?);
+                let elapsed = TimeDelta::from_secs(number(v.get(5), "elapsed")?);
                 let ended = v.get(6).and_then(Value::as_bool).ok_or("ended: expected true or false")?;
                 let load = v.get(9).and_then(Value::as_array);
                 if let Some(waiting) = self.waiting_at.and_then(|i| load?.get(i)?.as_f64()) {
                     let node = NodeId(self.nodes.number(text(v.get(3), "brick")?));
                     self.scheduler.load_reported(now, node, waiting);
                 }
-                if let Some(id) = self.xfers.known(text(v.get(1), "tid")?) {
+                if let Some(id) = self.requests.known(text(v.get(1), "tid")?) {
                     let elsewhere = v.get(8).and_then(Value::as_f64).unwrap_or(0.0);
                     let done = outcome == Outcome::Done;
-                    self.scheduler.service_reported(now, XferId(id), done, self.tells, elsewhere);
-                    self.scheduler.leg_ended(now, XferId(id), leg, outcome, elapsed, ended);
+                    self.scheduler.service_reported(now, RequestId(id), done, self.tells, elsewhere);
+                    self.scheduler.attempt_ended(now, RequestId(id), attempt, outcome, elapsed, ended);
                 }
             }
             "Vanished" => {
-                if let Some(id) = self.xfers.known(text(v.get(1), "tid")?) {
-                    self.scheduler.transfer_gone(now, XferId(id));
+                if let Some(id) = self.requests.known(text(v.get(1), "tid")?) {
+                    self.scheduler.request_cancelled(now, RequestId(id));
                 }
             }
             "UnderWay" => {
-                if let Some(id) = self.xfers.known(text(v.get(1), "tid")?) {
-                    self.scheduler.answer_started(now, XferId(id));
+                if let Some(id) = self.requests.known(text(v.get(1), "tid")?) {
+                    self.scheduler.answer_started(now, RequestId(id));
                 }
             }
             "Fleet" => {
@@ -230,14 +232,19 @@
         while let Some(d) = self.scheduler.next_decision(now) {
             orders.push(match d {
                 // What leaves here has begun.
-                Decision::Send { xfer, node, timeout, begin_by: _ } => {
-                    let (tid, brick) = (self.xfer(xfer), &self.nodes.texts[node.0 as usize]);
-                    json!(["Transmit", number, tid, brick, timeout.map_or(0.0, Span::secs)])
+                Decision::Send { request, node, timeout, begin_by: _ } => {
+                    let (tid, brick) = (self.request(request), &self.nodes.texts[node.0 as usize]);
+                    json!(["Transmit", number, tid, brick, timeout.map_or(0.0, TimeDelta::secs)])
                 }
-                Decision::Defer { xfer, come_back } => {
-                    json!(["TurnAway", number, self.xfer(xfer), come_back.map_or(0.0, Span::secs)])
+                Decision::Reject { request, retry_after } => {
+                    json!([
+                        "TurnAway",
+                        number,
+                        self.request(request),
+                        retry_after.map_or(0.0, TimeDelta::secs)
+                    ])
                 }
-                Decision::Abandon { xfer } => json!(["ReportFailure", number, self.xfer(xfer)]),
+                Decision::Fail { request } => json!(["ReportFailure", number, self.request(request)]),
                 Decision::FollowList => json!(["Follow", number, true]),
                 Decision::Log(line) => json!(["SayLog", number, line]),
             });
@@ -249,7 +256,7 @@
         }
     }
 
-    fn xfer(&self, id: XferId) -> &str {
-        &self.xfers.texts[id.0 as usize]
+    fn request(&self, id: RequestId) -> &str {
+        &self.requests.texts[id.0 as usize]
     }
 }
--- a/crates/measure/src/lib.rs
+++ b/crates/benchmarks/src/lib.rs
@@ -19,9 +19,9 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::Arc;
 use std::time::Duration;
-use tackmast_standins::list::NodeList;
-use tackmast_standins::model::Nature;
-use tackmast_standins::node::{Marks, Node, NodeSettings};
+use tackmast_emulators::list::NodeList;
+use tackmast_emulators::model::Nature;
+use tackmast_emulators::node::{Marks, Node, NodeSettings};
 use tackmast_trace::Recorder;
 use tackmast_wire::list::{Entry, State};
 
@@ -38,7 +38,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Settings of a host over `nodes` shards, with nothing that holds transfers back but the module's caps.
+/// Settings of a host over `nodes` shards, with nothing that holds requests back but the module's caps.
 pub fn settings(nodes: usize, listen: SocketAddr, list: SocketAddr) -> String {
     let shards: Vec<String> = (0..nodes).map(|n| n.to_string()).collect();
     format!(
@@ -89,7 +89,7 @@
                 zone: 0,
                 nature: Nature { unit_s: 0.0, queue: 100_000, ..Nature::default() },
                 seed: 1,
-                most_data: 1 << 20,
+                max_data: 1 << 20,
                 report_every: Duration::from_millis(100),
                 marks: marks.clone(),
                 window_s: 1.0,
--- a/crates/measure/src/load.rs
+++ b/crates/benchmarks/src/load.rs
@@ -7,10 +7,10 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
-use tackmast_standins::initiator::{Ask, AskWork, Initiator, Login, Reply};
+use tackmast_emulators::initiator::{Ask, AskWork, Initiator, Login, Reply};
 use tackmast_trace::{now_us, Recorder};
 use tackmast_wire::iscsi::Digests;
-use tackmast_wire::node::{self, Frame, NodeOutcome, Origin, SendLeg, Work};
+use tackmast_wire::node::{self, Frame, NodeOutcome, Origin, SendAttempt, Work};
 
 #[derive(Clone, Debug)]
 pub enum Route {
@@ -86,7 +86,7 @@
             target: "iqn.2026-12.org.tackmast:pool".into(),
             name: "iqn.2026-12.org.tackmast:measure".into(),
             digests: Digests::default(),
-            expiry_ms: None,
+            deadline_ms: None,
             patience: Duration::from_secs(10),
         };
         let (to, replies) = crossbeam_channel::unbounded();
@@ -100,7 +100,7 @@
             sent.insert(label, now_us());
             let work = AskWork::Read { blocks: self.blocks };
             let block = draw % 100_000 * 8;
-            let ask = Ask { lun: 0, stream: 0, block, block_bytes: 512, work, expiry_us: 0 };
+            let ask = Ask { lun: 0, traffic_class: 0, block, block_bytes: 512, work, deadline_us: 0 };
             client.ask(label, &ask, Duration::from_secs(1))
         };
         let mut open = 0;
@@ -146,7 +146,7 @@
         let hello = Frame::HostHello {
             version: node::VERSION,
             host: 1000 + seed as u32,
-            life: seed,
+            generation: seed,
             sent_us: now_us(),
         };
         stream.write_all(&hello.to_bytes()).map_err(fail)?;
@@ -154,20 +154,20 @@
         let mut buffer = vec![0; 64 << 10];
         let mut c = count();
         let mut sent: HashMap<u64, u64> = HashMap::new();
-        let (mut leg, mut open) = (0, 0);
+        let (mut attempt, mut open) = (0, 0);
         let until = Instant::now() + Duration::from_secs_f64(self.seconds);
         let mut chance = oorandom(seed);
         while Instant::now() < until || open > 0 {
             let mut bytes = BytesMut::new();
             while open < self.depth && Instant::now() < until {
-                leg += 1;
+                attempt += 1;
                 let now = now_us();
-                sent.insert(leg, now);
-                Frame::Send(SendLeg {
-                    leg,
-                    xfer: leg,
-                    leg_no: 0,
-                    origin: Origin { session: 0, command: leg as u32, part: 0 },
+                sent.insert(attempt, now);
+                Frame::Send(SendAttempt {
+                    attempt,
+                    request: attempt,
+                    attempt_number: 0,
+                    origin: Origin { session: 0, command: attempt as u32, part: 0 },
                     sent_us: now,
                     left_us: 5_000_000,
                     mark: 0,
@@ -192,7 +192,7 @@
             while let Some(frame) = node::next(&mut frames).map_err(|e| e.to_string())? {
                 let Frame::Answer(a) = frame else { continue };
                 open -= 1;
-                let took = now_us() - sent.remove(&a.leg).unwrap_or_default();
+                let took = now_us() - sent.remove(&a.attempt).unwrap_or_default();
                 if a.outcome == NodeOutcome::Done {
                     c.done += 1;
                     _ = c.times.record(took.max(1));
--- a/crates/measure/src/truth.rs
+++ b/crates/benchmarks/src/truth.rs
@@ -6,26 +6,26 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 use tackmast_client::{Client, Op, Options, Outcome, Protocol};
+use tackmast_emulators::list::NodeList;
+use tackmast_emulators::model::Nature;
+use tackmast_emulators::node::{Marks, Node, NodeSettings};
 use tackmast_host::Host;
-use tackmast_lab::{settings, World};
-use tackmast_load::Load;
-use tackmast_standins::list::NodeList;
-use tackmast_standins::model::Nature;
-use tackmast_standins::node::{Marks, Node, NodeSettings};
+use tackmast_simulator::{settings, World};
 use tackmast_trace::Recorder;
 use tackmast_wire::list::{Entry, State};
+use tackmast_workload::Load;
 
 const PATIENCE: Duration = Duration::from_secs(10);
 /// Threads that ask at the same time for one host; a later arrival than all of them can take waits, and its wait counts.
 const ASKERS: usize = 48;
 
-/// One flow's figures; times in milliseconds, from when a transfer was due.
+/// One flow's figures; times in milliseconds, from when a request was due.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
     pub asked: u64,
     pub done: u64,
-    pub deferred: u64,
-    pub abandoned: u64,
+    pub rejected: u64,
+    pub failed: u64,
     pub in_time: u64,
     pub p50_ms: f64,
     pub p99_ms: f64,
@@ -62,8 +62,8 @@
 }
 
 fn in_lab(w: &World, load: &Load) -> Vec<Figures> {
-    let found = tackmast_lab::play(w, None);
-    let of = |f: &tackmast_load::Flow| {
+    let found = tackmast_simulator::play(w, None);
+    let of = |f: &tackmast_workload::Flow| {
         // A flow is told by its plan here: each volume of a load that is held against loopback has one flow.
         let plan = if f.volume == "school" { "basic" } else { "premium" };
         let mut all = Figures::default();
@@ -72,8 +72,8 @@
             all.asked += c.asked;
             all.done += c.done;
             all.in_time += c.in_time;
-            all.deferred += c.deferred;
-            all.abandoned += c.abandoned;
+            all.rejected += c.rejected;
+            all.failed += c.failed;
             _ = times.add(&c.times);
         }
         with_times(all, &times)
@@ -99,7 +99,7 @@
             zone: shard % 3,
             nature: Nature { unit_s: w.unit_s, cores: w.cores, queue: 400, ..Nature::default() },
             seed: u64::from(shard),
-            most_data: 1 << 20,
+            max_data: 1 << 20,
             report_every: Duration::from_millis(100),
             marks: marks.clone(),
             window_s: 2.0,
@@ -142,7 +142,7 @@
     let began = Instant::now();
     std::thread::scope(|s| {
         for (h, both) in clients.iter().enumerate() {
-            let (to, from) = crossbeam_channel::unbounded::<(Instant, tackmast_load::Arrival, usize)>();
+            let (to, from) = crossbeam_channel::unbounded::<(Instant, tackmast_workload::Arrival, usize)>();
             s.spawn(move || {
                 for a in load.arrivals(w.hosts) {
                     let lun = usize::from(load.flows[a.flow].volume == "school");
@@ -171,12 +171,13 @@
                         match outcome {
                             Outcome::Done(_) => {
                                 f.0.done += 1;
-                                let slo = Duration::from_millis(if a.write { 250 } else { 200 });
-                                f.0.in_time += u64::from(took <= slo);
+                                let latency_objective =
+                                    Duration::from_millis(if a.write { 250 } else { 200 });
+                                f.0.in_time += u64::from(took <= latency_objective);
                                 _ = f.1.record(took.as_micros().max(1) as u64);
                             }
-                            Outcome::Deferred { .. } => f.0.deferred += 1,
-                            _ => f.0.abandoned += 1,
+                            Outcome::Rejected { .. } => f.0.rejected += 1,
+                            _ => f.0.failed += 1,
                         }
                     }
                 });
--- a/crates/cli/src/measure.rs
+++ b/crates/cli/src/benchmark.rs
@@ -1,13 +1,13 @@
-//! `tackmast measure`.
+//! `tackmast benchmark`.
 
 use std::process::ExitCode;
-use tackmast_client::{Options, Protocol};
-use tackmast_measure::{
+use tackmast_benchmarks::{
     beside_greedy, core_cost, core_cost_with_orders, through_library, timers, Bench, Load, Route,
 };
+use tackmast_client::{Options, Protocol};
 
 #[derive(clap::Args)]
-pub struct MeasureArguments {
+pub struct BenchmarkArguments {
     /// Seconds of each of the loads.
     #[arg(long, default_value_t = 3.0)]
     seconds: f64,
@@ -33,7 +33,7 @@
     let options = |protocol, address| Options::new(protocol, address, "v", 0);
     let (iscsi, nbd) = (options(Protocol::Iscsi, bench.host), options(Protocol::Nbd, bench.nbd));
     println!("{:<28} {:>10} {:>8} {:>8} {:>9}", "load and route", "done/s", "p50 us", "p99 us", "not done");
-    let row = |name: String, s: &tackmast_measure::Shown| {
+    let row = |name: String, s: &tackmast_benchmarks::Shown| {
         println!("{name:<28} {:>10.0} {:>8} {:>8} {:>9}", s.per_s, s.p50_us, s.p99_us, s.other);
     };
     for sessions in [1, 64, 2000] {
@@ -70,13 +70,13 @@
     }
     let (none, many) = core_cost_with_orders(200_000, 10_000)?;
     println!(
-        "host core: {none:.2} us a transfer with no overrides, {many:.2} us with 10,000 ({:.2})",
+        "host core: {none:.2} us a request with no overrides, {many:.2} us with 10,000 ({:.2})",
         many / none
     );
     Ok(ExitCode::SUCCESS)
 }
 
-pub fn measure(a: &MeasureArguments) -> Result<ExitCode, String> {
+pub fn measure(a: &BenchmarkArguments) -> Result<ExitCode, String> {
     if a.overrides {
         return overrides();
     }
@@ -145,7 +145,7 @@
     _ = std::fs::remove_dir_all(&dir);
     let cost = core_cost(200_000)?;
     println!(
-        "without I/O, one thread: host core {:.2} us a transfer, of which the module {:.2} us ({:.0}%)",
+        "without I/O, one thread: host core {:.2} us a request, of which the module {:.2} us ({:.0}%)",
         cost.core_us,
         cost.module_us,
         100.0 * cost.module_us / cost.core_us
--- a/crates/cli/src/stand.rs
+++ b/crates/cli/src/emulators.rs
@@ -5,9 +5,9 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
-use tackmast_standins::list::{ListFault, NodeList};
-use tackmast_standins::model::Nature;
-use tackmast_standins::node::{Fault, Marks, Node, NodeSettings};
+use tackmast_emulators::list::{ListFault, NodeList};
+use tackmast_emulators::model::Nature;
+use tackmast_emulators::node::{Fault, Marks, Node, NodeSettings};
 use tackmast_trace::Recorder;
 use tackmast_wire::list::{Entry, State};
 
@@ -27,7 +27,7 @@
     /// Milliseconds of one core's work in a unit, at speed 1.
     #[arg(long, default_value_t = 1.0)]
     unit_ms: f64,
-    /// Transfers that may wait.
+    /// Requests that may wait.
     #[arg(long, default_value_t = 256)]
     queue: usize,
     /// Starts cold: at a fifth of its capacity, warm after five seconds.
@@ -59,7 +59,7 @@
         zone: a.zone,
         nature,
         seed: a.seed,
-        most_data: 8 << 20,
+        max_data: 8 << 20,
         report_every: Duration::from_millis(100),
         marks: Arc::new(Marks::default()),
         window_s: 5.0,
--- a/crates/cli/src/orders.rs
+++ b/crates/cli/src/orders.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tackmast_admin::{Answer, Call};
-use tackmast_hostcore::{Ask, Reply};
+use tackmast_host_core::{Ask, Reply};
 use tackmast_overrides::{
     Explanation, Kind, Order, Override, OverrideId, Preview, Service, Standing, Target,
 };
@@ -197,8 +197,8 @@
         Reply::Agreement(a) => println!("{a:?}"),
         Reply::Status(s) => {
             println!(
-                "host {}: {} commands open, {} legs out; taken {}, done {}, deferred {}, abandoned {}",
-                s.host, s.commands, s.legs, s.taken, s.done, s.deferred, s.abandoned
+                "host {}: {} commands open, {} attempts out; taken {}, done {}, rejected {}, failed {}",
+                s.host, s.commands, s.attempts, s.taken, s.done, s.rejected, s.failed
             );
             println!(
                 "overrides: {} stand, version {}, {} nodes on their way back",
--- a/crates/cli/src/planner.rs
+++ b/crates/cli/src/planner.rs
@@ -6,16 +6,16 @@
 use std::process::ExitCode;
 use std::time::Instant;
 use tackmast_config::HostSettings;
-use tackmast_hostcore::Layout;
-use tackmast_lab::World;
-use tackmast_planner::{bounds, fit, most_held, place, Curve, Load, Node, Point};
+use tackmast_host_core::Layout;
+use tackmast_planner::{bounds, fit, max_held, place, Curve, Load, Node, Point};
+use tackmast_simulator::World;
 
 #[derive(clap::Args)]
 pub struct Figures {
-    /// Settings of a host, in HCL: volumes, stream types, shards.
+    /// Settings of a host, in HCL: volumes, traffic classes, shards.
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// Arrivals, as `tackmast lab play --load` takes them.
+    /// Arrivals, as `tackmast simulator play --load` takes them.
     #[arg(long, value_name = "FILE")]
     load: PathBuf,
     /// Units a second that one node bears.
@@ -27,51 +27,56 @@
     /// Milliseconds of the way to a node and back.
     #[arg(long, default_value_t = 2.0)]
     way_ms: f64,
-    /// Units of looser stream types that all hosts together may have out at a node when a tighter one comes.
+    /// Units of looser traffic classes that all hosts together may have out at a node when a tighter one comes.
     #[arg(long, default_value_t = 16.0)]
     ahead: f64,
 }
 
-/// What a recorded load asks of one volume, stream type and shard.
+/// What a recorded load asks of one volume, traffic class and shard.
 struct Asked {
     volume: usize,
-    stream: usize,
+    traffic_class: usize,
     shard: u32,
     load: Load,
 }
 
-/// What a load asks, by volume, stream type and shard.
-fn asked(s: &HostSettings, l: &tackmast_load::Load, most_rate: f64) -> Vec<Asked> {
+/// What a load asks, by volume, traffic class and shard.
+fn asked(s: &HostSettings, l: &tackmast_workload::Load, max_rate: f64) -> Vec<Asked> {
     let layout = Layout::new(s);
     let mut arrivals: BTreeMap<(usize, usize, u32), Vec<(f64, f64)>> = BTreeMap::new();
     for a in l.arrivals(s.host.hosts) {
         let Some(volume) = layout.volume_named(&l.flows[a.flow].volume) else { continue };
-        let stream = layout.stream(volume, a.write, a.blocks);
-        for part in layout.parts(volume, stream, a.block, a.blocks) {
-            let of = arrivals.entry((volume, stream, part.shard.0)).or_default();
+        let traffic_class = layout.traffic_class(volume, a.write, a.blocks);
+        for part in layout.parts(volume, traffic_class, a.block, a.blocks) {
+            let of = arrivals.entry((volume, traffic_class, part.shard.0)).or_default();
             of.push((a.at_us as f64 / 1e6, part.units));
         }
     }
-    let one = |((volume, stream, shard), all): ((usize, usize, u32), Vec<(f64, f64)>)| {
-        let st = &s.streams[stream];
+    let one = |((volume, traffic_class, shard), all): ((usize, usize, u32), Vec<(f64, f64)>)| {
+        let st = &s.traffic_classes[traffic_class];
         let name = format!("{} {}", s.volumes[volume].name, st.name);
         let largest = all.iter().map(|a| a.1).fold(0.0, f64::max);
-        let curve = Curve::of(&all, l.seconds, most_rate);
-        Asked { volume, stream, shard, load: Load { name, slo_s: st.slo.secs(), largest, curve } }
+        let curve = Curve::of(&all, l.seconds, max_rate);
+        Asked {
+            volume,
+            traffic_class,
+            shard,
+            load: Load { name, latency_objective_s: st.latency_objective.secs(), largest, curve },
+        }
     };
     arrivals.into_iter().map(one).collect()
 }
 
 /// How long a load may wait for its own plan's limit: the longest at any host, each of which has an even part of it and starts
 /// with what a host starts with. By volume; none where its plan has no limit.
-fn held_by_limit(s: &HostSettings, l: &tackmast_load::Load) -> BTreeMap<usize, f64> {
+fn held_by_limit(s: &HostSettings, l: &tackmast_workload::Load) -> BTreeMap<usize, f64> {
     let layout = Layout::new(s);
     let mut arrivals: BTreeMap<(usize, u32), Vec<(f64, f64)>> = BTreeMap::new();
     for a in l.arrivals(s.host.hosts) {
         let Some(volume) = layout.volume_named(&l.flows[a.flow].volume) else { continue };
         let v = &s.volumes[volume];
-        let stream = layout.stream(volume, a.write, a.blocks);
-        let units: f64 = layout.parts(volume, stream, a.block, a.blocks).iter().map(|p| p.units).sum();
+        let traffic_class = layout.traffic_class(volume, a.write, a.blocks);
+        let units: f64 = layout.parts(volume, traffic_class, a.block, a.blocks).iter().map(|p| p.units).sum();
         let host = a.host % v.hosts.max(1);
         arrivals.entry((volume, host)).or_default().push((a.at_us as f64 / 1e6, units));
     }
@@ -85,7 +90,7 @@
         let parts = f64::from(v.hosts.max(1));
         let (rate, burst) = (p.limit / parts, p.burst / parts);
         let at_first = (p.burst - p.slack / 2.0) / parts;
-        let wait = (most_held(&all, rate, at_first) - burst).max(0.0) / rate;
+        let wait = (max_held(&all, rate, at_first) - burst).max(0.0) / rate;
         let longest = waits.entry(volume).or_insert(0.0f64);
         *longest = longest.max(wait);
     }
@@ -98,7 +103,7 @@
     shards
 }
 
-/// Rates and bursts of a node's loads under which all SLO times hold or, where there are none, the least bursts that leave the
+/// Rates and bursts of a node's loads under which all latency objectives hold or, where there are none, the least bursts that leave the
 /// node some room; and whether they hold.
 fn points(node: &Node, all: &[&Load]) -> (bool, Vec<Point>) {
     if let Some(points) = fit(node, all) {
@@ -114,7 +119,7 @@
 }
 
 impl Figures {
-    fn read(&self) -> Result<(HostSettings, tackmast_load::Load, Node), String> {
+    fn read(&self) -> Result<(HostSettings, tackmast_workload::Load, Node), String> {
         for (name, x) in [("node-units", self.node_units), ("unit-ms", self.unit_ms)] {
             if !(x.is_finite() && x > 0.0) {
                 return Err(format!("--{name} {x}; expected a number above 0"));
@@ -126,7 +131,7 @@
             }
         }
         let s = HostSettings::read(&self.config).map_err(|e| e.to_string())?;
-        let load = tackmast_load::Load::read(&self.load).map_err(|e| e.to_string())?;
+        let load = tackmast_workload::Load::read(&self.load).map_err(|e| e.to_string())?;
         if let Some(f) = load.flows.iter().find(|f| !s.volumes.iter().any(|v| v.name == f.volume)) {
             let at = self.load.display();
             return Err(format!(
@@ -144,7 +149,7 @@
     }
 }
 
-/// By shard: whether all SLO times can hold, the bound of each load, and reservations beside what the node bears.
+/// By shard: whether all latency objectives can hold, the bound of each load, and reservations beside what the node bears.
 pub fn check(f: &Figures) -> Result<ExitCode, String> {
     let (s, load, node) = f.read()?;
     let all = asked(&s, &load, node.capacity);
@@ -159,7 +164,7 @@
         let over = if reserved > node.capacity { ", more than it bears" } else { "" };
         println!(
             "shard {shard}: {}, {rates:.0} of {:.0} units a second, {reserved:.0} reserved{over}",
-            if holds { "all SLO times hold" } else { "no rates and bursts hold" },
+            if holds { "all latency objectives hold" } else { "no rates and bursts hold" },
             node.capacity
         );
         if !over.is_empty() {
@@ -167,14 +172,14 @@
         }
         for ((a, bound), p) in there.iter().zip(bounds(&node, &loads, &points)).zip(&points) {
             let (l, bound) = (&a.load, bound + waits.get(&a.volume).copied().unwrap_or(0.0));
-            let risk = bound > l.slo_s;
+            let risk = bound > l.latency_objective_s;
             println!(
                 "  {:<24} {:>8.1} units/s {:>8.1} at once, within {:>8.0} ms of {:.0}{}",
                 l.name,
                 p.rate,
                 p.burst,
                 bound * 1e3,
-                l.slo_s * 1e3,
+                l.latency_objective_s * 1e3,
                 if risk { ", at risk" } else { "" }
             );
             if risk || !holds {
@@ -185,7 +190,7 @@
     risks.sort();
     risks.dedup();
     match risks.is_empty() {
-        true => println!("all SLO times hold by the bound"),
+        true => println!("all latency objectives hold by the bound"),
         false => println!("at risk by the bound: {}", risks.join(", ")),
     }
     Ok(ExitCode::from(u8::from(!risks.is_empty())))
@@ -206,7 +211,7 @@
     }
     println!("# where data lies now");
     for (volume, (rate, burst, holds)) in sums {
-        let note = if holds { "" } else { ", and some SLO time is at risk all the same" };
+        let note = if holds { "" } else { ", and some latency objective is at risk all the same" };
         println!(
             "volume {:<16} limit {rate:.0} units/s, burst {burst:.0} units{note}",
             s.volumes[volume].name
@@ -224,7 +229,7 @@
     for (n, there) in p.nodes.iter().enumerate().filter(|(_, t)| !t.is_empty()) {
         let name = |(l, p): &(usize, Point)| {
             let a = &all[*l];
-            let (v, st) = (&s.volumes[a.volume].name, &s.streams[a.stream].name);
+            let (v, st) = (&s.volumes[a.volume].name, &s.traffic_classes[a.traffic_class].name);
             format!("{v} {st} of shard {} ({:.0} units/s, {:.0} at once)", a.shard, p.rate, p.burst)
         };
         println!("node {n}: {}", there.iter().map(name).collect::<Vec<_>>().join("; "));
@@ -244,17 +249,17 @@
     println!("models in virtual time; milliseconds. A bound that no rates hold is by the least bursts at nine tenths of the node");
     println!(
         "{:<14} {:<18} {:>6} {:>8} {:>8} {:>8} {:>8} {:>8} {:>9}  holds",
-        "load", "class", "SLO", "bound", "p50", "p99", "p99.9", "most", "in time"
+        "load", "class", "objective", "bound", "p50", "p99", "p99.9", "most", "in time"
     );
     for file in files {
-        let load = tackmast_load::Load::read(file).map_err(|e| e.to_string())?;
+        let load = tackmast_workload::Load::read(file).map_err(|e| e.to_string())?;
         let mut w = World::draw(seed, hosts);
         w.troubles.clear();
         (w.nodes, w.clients, w.unit_s, w.saved) = (nodes, [0, 0], 0.004, 0.0);
         (w.wall_off_s, w.drift, w.members) = (0.0, 0.0, None);
         w.seconds = load.seconds + 0.5;
         w.load = Some(std::sync::Arc::new(load.clone()));
-        let s = tackmast_lab::settings(&w, 0, None);
+        let s = tackmast_simulator::settings(&w, 0, None);
         let way_s = 2.0 * (w.delay_us + w.jitter_us) as f64 / 1e6 + 0.002;
         let node = Node { capacity: f64::from(w.cores) / w.unit_s, unit_s: w.unit_s, ahead, way_s };
         let all = asked(&s, &load, node.capacity);
@@ -267,26 +272,26 @@
             for (a, bound) in there.iter().zip(bounds(&node, &loads, &points)) {
                 let plan = &s.plans[s.volumes[a.volume].plan as usize].name;
                 let bound = bound + waits.get(&a.volume).copied().unwrap_or(0.0);
-                let class = format!("{plan} {}", s.streams[a.stream].name);
-                let x = worst.entry(class).or_insert((a.load.slo_s, 0.0, true));
+                let class = format!("{plan} {}", s.traffic_classes[a.traffic_class].name);
+                let x = worst.entry(class).or_insert((a.load.latency_objective_s, 0.0, true));
                 *x = (x.0, x.1.max(bound), x.2 && holds);
             }
         }
-        let run = tackmast_lab::play(&w, None).run;
-        for (class, (slo, bound, holds)) in worst {
+        let run = tackmast_simulator::play(&w, None).run;
+        for (class, (latency_objective, bound, holds)) in worst {
             let Some(c) = run.classes.get(&class) else { continue };
             let at = |p: f64| c.times.value_at_percentile(p) as f64 / 1e3;
             println!(
                 "{:<14} {class:<18} {:>6.0} {:>8.0} {:>8.1} {:>8.1} {:>8.1} {:>8.1} {:>9.4}  {}",
                 name(file),
-                slo * 1e3,
+                latency_objective * 1e3,
                 bound * 1e3,
                 at(50.0),
                 at(99.0),
                 at(99.9),
                 c.times.max() as f64 / 1e3,
                 c.in_time as f64 / c.asked.max(1) as f64,
-                if holds && bound <= slo { "yes" } else { "no" }
+                if holds && bound <= latency_objective { "yes" } else { "no" }
             );
         }
     }
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -3,8 +3,8 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::os::unix::net::UnixStream;
 use std::process::ExitCode;
-use tackmast_httphost::{Host, Order};
 use tackmast_platform::Configuration;
+use tackmast_platform_host::{Host, Order};
 
 /// Where the platform says which file holds a host's configuration.
 const CONFIG: &str = "NODE_CONFIG";
@@ -44,11 +44,11 @@
     tracing::info!(
         taken = s.core.taken,
         done = s.core.done,
-        deferred = s.core.deferred,
-        abandoned = s.core.abandoned,
+        rejected = s.core.rejected,
+        failed = s.core.failed,
         left = s.core.left,
-        legs = s.core.legs,
-        further_legs = s.core.further_legs,
+        attempts = s.core.attempts,
+        retries = s.core.retries,
         timed_out = s.core.timed_out,
         refused = s.refused,
         spoilt = s.links.spoilt,
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -44,10 +44,10 @@
             signal,
             taken = c.taken,
             done = c.done,
-            deferred = c.deferred,
-            abandoned = c.abandoned,
-            legs = c.legs,
-            further_legs = c.further_legs,
+            rejected = c.rejected,
+            failed = c.failed,
+            attempts = c.attempts,
+            retries = c.retries,
             core_seconds = s.core_seconds,
             "host ends"
         );
@@ -71,9 +71,12 @@
             if p.limit > 0.0 { format!("limit {} burst {}", p.limit, p.burst) } else { "no limit".into() };
         println!("plan {}: {limit}, reserve {}, weight {}", p.name, p.reserve, p.weight);
     }
-    for st in &s.streams {
-        let (slo, expiry) = (st.slo.secs() * 1e3, st.expiry.secs() * 1e3);
-        println!("stream {}: SLO time {slo} ms, expiry {expiry} ms, {:?}", st.name, st.effect);
+    for st in &s.traffic_classes {
+        let (latency_objective, deadline) = (st.latency_objective.secs() * 1e3, st.deadline.secs() * 1e3);
+        println!(
+            "traffic class {}: latency objective {latency_objective} ms, deadline {deadline} ms, {:?}",
+            st.name, st.effect
+        );
     }
     for v in &s.volumes {
         let plan = &s.plans[v.plan as usize].name;
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/simulator.rs
@@ -1,15 +1,15 @@
-//! `tackmast lab`: the host core by the hundred, in virtual time.
+//! `tackmast simulator`: the host core by the hundred, in virtual time.
 
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
-use tackmast_lab::{
+use tackmast_simulator::{
     compare, page, play, shrink, shrink_worse, without_orders, worse_than, Change, Plain, Variant, World,
 };
 
 #[derive(clap::Subcommand)]
-pub enum LabCommand {
+pub enum SimulatorCommand {
     /// Plays the world of one seed and judges the rules; the same seed is the same run, to the byte.
     Play {
         #[arg(long, default_value_t = 1)]
@@ -24,7 +24,7 @@
         /// Commands a second at each host, in place of those drawn.
         #[arg(long)]
         rate: Option<f64>,
-        /// A page with pictures of the run: service, stores, percentiles, legs by node.
+        /// A page with pictures of the run: service, stores, percentiles, attempts by node.
         #[arg(long)]
         report: Option<std::path::PathBuf>,
         /// The trace, line by line as JSON, for `tackmast rules` and for reading.
@@ -33,7 +33,7 @@
         /// Arrivals from a file, in place of those drawn.
         #[arg(long)]
         load: Option<std::path::PathBuf>,
-        /// The script of a day, as `tackmast day` plays it through sockets: its nodes, settings, traffic and troubles.
+        /// The script of a day, as `tackmast scenario` plays it through sockets: its nodes, settings, traffic and troubles.
         #[arg(long, conflicts_with_all = ["hosts", "seconds", "nodes", "rate", "load"])]
         day: Option<std::path::PathBuf>,
         /// Without the troubles drawn.
@@ -50,7 +50,7 @@
         nodes: u32,
         #[arg(long, default_value_t = 5)]
         seed: u64,
-        /// Units of looser stream types out at a node when a tighter one comes.
+        /// Units of looser traffic classes out at a node when a tighter one comes.
         #[arg(long, default_value_t = 16.0)]
         ahead: f64,
     },
@@ -100,7 +100,7 @@
         #[arg(long, value_name = "DIR")]
         save: Option<std::path::PathBuf>,
     },
-    /// Plays fleets of hosts that know of each other, without transfers: time to know and to miss each other, bytes, false
+    /// Plays fleets of hosts that know of each other, without requests: time to know and to miss each other, bytes, false
     /// suspicions, and how views and orders meet after a partition.
     Fleet {
         /// Hosts; given several times, a line each.
@@ -117,7 +117,7 @@
     View(crate::views::ViewArguments),
     /// Walks by chance over the agreement: voters, disks, clocks and ways; what must never be is looked for after each step.
     Agree(crate::agreed::AgreeArguments),
-    /// Prints the world of one seed as a day script, for `tackmast day` and for `tackmast lab play --day`.
+    /// Prints the world of one seed as a day script, for `tackmast scenario` and for `tackmast simulator play --day`.
     Script {
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -134,9 +134,20 @@
 /// Part of a difference in service that must stay while a find is made smaller.
 const STAYS: f64 = 0.8;
 
-pub fn run(command: LabCommand) -> Result<ExitCode, String> {
+pub fn run(command: SimulatorCommand) -> Result<ExitCode, String> {
     match command {
-        LabCommand::Play { seed, hosts, seconds, nodes, rate, report, trace, load: file, day, calm } => {
+        SimulatorCommand::Play {
+            seed,
+            hosts,
+            seconds,
+            nodes,
+            rate,
+            report,
+            trace,
+            load: file,
+            day,
+            calm,
+        } => {
             if !(1..=1000).contains(&hosts) || nodes.is_some_and(|n| !(1..=1000).contains(&n)) {
                 return Err(format!("--hosts {hosts}; expected 1 to 1000, and as many nodes at most"));
             }
@@ -146,12 +157,12 @@
             world.rate = rate.unwrap_or(world.rate);
             world.troubles.retain(|t| !calm && t.node < world.nodes);
             if let Some(file) = file {
-                let load = tackmast_load::Load::read(&file).map_err(|e| e.to_string())?;
+                let load = tackmast_workload::Load::read(&file).map_err(|e| e.to_string())?;
                 world.seconds = seconds.unwrap_or(load.seconds + 0.5);
                 world.load = Some(std::sync::Arc::new(load));
             }
             if let Some(path) = day {
-                let script = tackmast_day::Script::read(&path).map_err(|e| e.to_string())?;
+                let script = tackmast_scenario::Script::read(&path).map_err(|e| e.to_string())?;
                 let (of_script, left_out) = World::of_script(script, seed);
                 world = of_script;
                 world.troubles.retain(|_| !calm);
@@ -177,17 +188,17 @@
             );
             Ok(ExitCode::from(u8::from(found.is_bad())))
         }
-        LabCommand::Truth { file, hosts, nodes, unit_ms } => {
+        SimulatorCommand::Truth { file, hosts, nodes, unit_ms } => {
             if !(1..=8).contains(&hosts) || !(1..=60).contains(&nodes) || !(0.1..=100.0).contains(&unit_ms) {
                 return Err(format!("--hosts {hosts} --nodes {nodes} --unit-ms {unit_ms}; expected 1 to 8, 1 to 60, 0.1 to 100"));
             }
-            let load = tackmast_load::Load::read(&file).map_err(|e| e.to_string())?;
+            let load = tackmast_workload::Load::read(&file).map_err(|e| e.to_string())?;
             println!("{hosts} hosts, {nodes} nodes; models in virtual time, and stand-ins on loopback");
             println!(
                 "{:<12} {:<9} {:>7} {:>8} {:>9} {:>8} {:>9} {:>9}",
-                "flow", "where", "asked", "in time", "deferred", "abandon.", "p50 ms", "p99 ms"
+                "flow", "where", "asked", "in time", "rejected", "failed", "p50 ms", "p99 ms"
             );
-            for b in tackmast_measure::held_against_loopback(&load, hosts, nodes, unit_ms)? {
+            for b in tackmast_benchmarks::held_against_loopback(&load, hosts, nodes, unit_ms)? {
                 for (place, f) in [("lab", &b.lab), ("loopback", &b.loopback)] {
                     let part = |n: u64| n as f64 / f.asked.max(1) as f64;
                     println!(
@@ -195,8 +206,8 @@
                         b.flow,
                         f.asked,
                         part(f.in_time),
-                        part(f.deferred),
-                        part(f.abandoned),
+                        part(f.rejected),
+                        part(f.failed),
                         f.p50_ms,
                         f.p99_ms
                     );
@@ -204,7 +215,7 @@
             }
             Ok(ExitCode::SUCCESS)
         }
-        LabCommand::Compare { a, b, seeds, first, hosts, threads } => {
+        SimulatorCommand::Compare { a, b, seeds, first, hosts, threads } => {
             if !(1..=100_000).contains(&seeds) || !(1..=300).contains(&hosts) {
                 return Err(format!("--seeds {seeds} --hosts {hosts}; expected 1 to 100000 and 1 to 300"));
             }
@@ -222,7 +233,7 @@
             }
             Ok(ExitCode::SUCCESS)
         }
-        LabCommand::Hunt { minutes, first, hosts, threads, worst, save } => {
+        SimulatorCommand::Hunt { minutes, first, hosts, threads, worst, save } => {
             let plain = worst.as_deref().map(|p| plain_named("--worst", p)).transpose()?;
             let hunt =
                 Hunt { minutes, first, hosts: hosts.clamp(1, 300), threads: threads.clamp(1, 64), save };
@@ -231,15 +242,15 @@
                 None => hunt.rules(),
             }
         }
-        LabCommand::Bound { loads, hosts, nodes, seed, ahead } => {
+        SimulatorCommand::Bound { loads, hosts, nodes, seed, ahead } => {
             if !(1..=300).contains(&hosts) || !(1..=300).contains(&nodes) {
                 return Err(format!("--hosts {hosts} --nodes {nodes}; expected 1 to 300"));
             }
             crate::planner::beside_lab(&loads, hosts, nodes, seed, ahead)
         }
-        LabCommand::View(a) => crate::views::run(&a),
-        LabCommand::Agree(a) => crate::agreed::run(&a),
-        LabCommand::Fleet { hosts, loss, seed } => {
+        SimulatorCommand::View(a) => crate::views::run(&a),
+        SimulatorCommand::Agree(a) => crate::agreed::run(&a),
+        SimulatorCommand::Fleet { hosts, loss, seed } => {
             if hosts.iter().any(|h| !(3..=1000).contains(h)) || loss.iter().any(|l| !(0.0..=0.9).contains(l))
             {
                 return Err(format!("--hosts {hosts:?} --loss {loss:?}; expected 3 to 1000, and 0 to 0.9"));
@@ -268,7 +279,7 @@
             );
             let s = |x: Option<f64>| x.map_or("never".to_owned(), |x| format!("{x:.2}"));
             for (hosts, loss) in hosts.iter().flat_map(|h| loss.iter().map(move |l| (*h, *l))) {
-                let f = tackmast_lab::fleet(hosts, loss, seed);
+                let f = tackmast_simulator::fleet(hosts, loss, seed);
                 println!(
                     "{hosts:>6} {loss:>6.2} {:>10} {:>8.0} {:>12.2} {:>12} {:>11} {:>9} {:>8} {:>11} {:>11} {:>12} {:>9} {:>11} {:>11} {:>8} {:>10} {:>9}",
                     s(f.all_known_s), f.bytes_a_second, f.false_suspicions, f.false_deaths, s(f.first_known_s),
@@ -278,7 +289,7 @@
             }
             Ok(ExitCode::SUCCESS)
         }
-        LabCommand::Script { seed, hosts, scaled } => {
+        SimulatorCommand::Script { seed, hosts, scaled } => {
             if !(1..=300).contains(&hosts) || scaled.is_some_and(|s| !(1..=hosts).contains(&s)) {
                 return Err(format!(
                     "--hosts {hosts} --scaled {scaled:?}; expected 1 to 300, and no more than that"
@@ -316,7 +327,7 @@
     }
 }
 
-fn shown(world: &World, found: &tackmast_lab::Found) -> String {
+fn shown(world: &World, found: &tackmast_simulator::Found) -> String {
     use std::fmt::Write;
     let mut out = String::new();
     _ = writeln!(
@@ -343,12 +354,12 @@
     let r = &found.run;
     _ = writeln!(
         out,
-        "{} asked, {:.3} in time, {} done, {} deferred, {} abandoned; {} events; {} left in tables at the end",
+        "{} asked, {:.3} in time, {} done, {} rejected, {} failed; {} events; {} left in tables at the end",
         r.asked,
         r.in_time as f64 / r.asked.max(1) as f64,
         r.done,
-        r.deferred,
-        r.abandoned,
+        r.rejected,
+        r.failed,
         r.events,
         r.stuck
     );
@@ -379,8 +390,8 @@
     );
     _ = writeln!(
         out,
-        "most open at one host: {} commands, {} transfers, {} legs",
-        r.most_open.0, r.most_open.1, r.most_open.2
+        "most open at one host: {} commands, {} requests, {} attempts",
+        r.max_open.0, r.max_open.1, r.max_open.2
     );
     _ = write!(out, "{}", found.report);
     out
--- a/crates/cli/src/views.rs
+++ b/crates/cli/src/views.rs
@@ -1,9 +1,9 @@
-//! `tackmast lab view`: views of fleets under faults, in virtual time.
+//! `tackmast simulator view`: views of fleets under faults, in virtual time.
 
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
-use tackmast_lab::{difference, find, summary, view, Case, Shown, Trial, ViewFault, Ways};
+use tackmast_simulator::{difference, find, summary, view, Case, Shown, Trial, ViewFault, Ways};
 
 #[derive(clap::Args)]
 pub struct ViewArguments {
--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/scenarios.rs
@@ -12,7 +12,7 @@
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let out = Command::new(env!("CARGO_BIN_EXE_tackmast"))
         .current_dir(root)
-        .args(["day", &format!("days/{day}.hcl")])
+        .args(["scenario", &format!("scenarios/{day}.hcl")])
         .output()
         .expect("the command runs");
     let text = String::from_utf8_lossy(&out.stdout);
@@ -31,8 +31,8 @@
 
 days! {
     the_first_day = "first",
-    a_drain_with_transfers_queued_and_on_the_wire = "drain",
-    second_legs_never_overlap_nor_repeat_an_effect = "second-leg",
+    a_drain_with_requests_queued_and_on_the_wire = "drain",
+    hedged_requests_never_overlap_nor_repeat_an_effect = "second-leg",
     hosts_killed_and_restarted_under_load = "host-kill",
     all_nodes_restart_while_the_list_is_stale = "mass-restart",
     clients_that_leave_and_break_the_protocol = "bad-clients",
--- a/crates/clientcore/src/iscsi.rs
+++ b/crates/client-core/src/iscsi.rs
@@ -3,11 +3,11 @@
 use crate::op::{Op, Outcome, Place, SessionEvent, Transport, Volume};
 use bytes::{Bytes, BytesMut};
 use std::collections::{HashMap, VecDeque};
-use tackmast::interface::Span;
+use tackmast::interface::TimeDelta;
 use tackmast_wire::iscsi::{self, op, Digests, Pdu, Units, FINAL, NO_TAG, READS, WRITES};
 use tackmast_wire::scsi::{status, Command, Sense};
 
-const MOST_DATA: usize = 16 << 20;
+const MAX_DATA: usize = 16 << 20;
 /// Bytes of one segment that this side takes.
 const SEGMENT: &str = "262144";
 
@@ -38,7 +38,7 @@
     first_burst: usize,
     segment: usize,
     immediate: bool,
-    /// Whether a command may tell its own expiry.
+    /// Whether a command may tell its own deadline.
     expiries: bool,
     next: u32,
     window_end: u32,
@@ -49,14 +49,14 @@
 
 impl IscsiClient {
     /// `plain` leaves out every key of the gateway's own, as a library that knows none of them does.
-    pub fn new(place: Place, digests: Digests, expiry: Span, plain: bool) -> Self {
+    pub fn new(place: Place, digests: Digests, deadline: TimeDelta, plain: bool) -> Self {
         let mut c = IscsiClient {
-            input: Units::new(MOST_DATA),
+            input: Units::new(MAX_DATA),
             output: BytesMut::new(),
             events: VecDeque::new(),
             phase: Phase::Login,
             digests,
-            volume: Volume { bytes: 0, block_bytes: 512, most_bytes: 0 },
+            volume: Volume { bytes: 0, block_bytes: 512, max_bytes: 0 },
             first_burst: 8192,
             segment: 8192,
             immediate: true,
@@ -69,7 +69,7 @@
             place,
         };
         let digest = |on| if on { "CRC32C" } else { "None" };
-        let expiry_ms = format!("{}", (expiry.secs() * 1e3).ceil().max(1.0) as u64);
+        let deadline_ms = format!("{}", (deadline.secs() * 1e3).ceil().max(1.0) as u64);
         let target = c.place.target.clone();
         let mut keys = vec![
             ("InitiatorName", "iqn.2026-12.org.tackmast:client"),
@@ -87,7 +87,7 @@
             keys.push(("iSCSIProtocolLevel", "2"));
             keys.push(("X-org.tackmast.ExactDelay", "Yes"));
             keys.push(("X-org.tackmast.CommandExpiry", "Yes"));
-            keys.push(("X-org.tackmast.ExpiryMs", &expiry_ms));
+            keys.push(("X-org.tackmast.ExpiryMs", &deadline_ms));
         }
         let mut pdu = Pdu::new(op::LOGIN | 0x40, FINAL | 1 << 2 | 3);
         pdu.head[8..14].copy_from_slice(&[0x80, 0, 0, 0, 0, 1]);
@@ -101,7 +101,7 @@
         iscsi::encode(pdu, self.digests, &mut self.output);
     }
 
-    fn command(&mut self, tag: Option<(u64, Span)>, command: Command, expected: u32, upload: Bytes) {
+    fn command(&mut self, tag: Option<(u64, TimeDelta)>, command: Command, expected: u32, upload: Bytes) {
         let number = self.next;
         self.next = self.next.wrapping_add(1);
         let flags = match (upload.is_empty(), expected) {
@@ -114,7 +114,7 @@
         pdu.set32(28, self.exp_stat);
         pdu.head[32..].copy_from_slice(&command.to_cdb());
         if let Some((_, left)) = tag.filter(|_| self.expiries) {
-            pdu.set_expiry((left.secs() * 1e6).max(1.0) as u64);
+            pdu.set_deadline((left.secs() * 1e6).max(1.0) as u64);
         }
         let tag = tag.map(|(t, _)| t);
         if self.immediate {
@@ -224,18 +224,18 @@
         let outcome = match code {
             status::GOOD if data.len() == p.read => Outcome::Done(data),
             // Fewer bytes than were asked for are not the answer.
-            status::GOOD => Outcome::Abandoned,
+            status::GOOD => Outcome::Failed,
             status::BUSY => {
                 let exact = pdu.data.get(2..6).map(|b| u32::from_be_bytes([b[0], b[1], b[2], b[3]]));
                 let us = exact.map_or(u64::from(pdu.u16(8) & 0x3fff) * 100_000, u64::from);
-                let come_back = (us > 0).then(|| Span::from_secs(us as f64 / 1e6));
-                Outcome::Deferred { come_back }
+                let retry_after = (us > 0).then(|| TimeDelta::from_secs(us as f64 / 1e6));
+                Outcome::Rejected { retry_after }
             }
             _ => match Sense::from_segment(&pdu.data) {
                 Some(Sense(0x05, code, qualifier)) => {
-                    Outcome::Rejected(format!("illegal request, {code:02x}h/{qualifier:02x}h"))
+                    Outcome::InvalidRequest(format!("illegal request, {code:02x}h/{qualifier:02x}h"))
                 }
-                _ => Outcome::Abandoned,
+                _ => Outcome::Failed,
             },
         };
         self.events.push_back(SessionEvent::Answer { tag: p.tag, outcome });
@@ -255,8 +255,8 @@
                 let most = if code == status::GOOD && data.len() >= 12 { be(8, 4) } else { 0 };
                 // A target that names no limit takes what one 32-bit length can say; keep well below it.
                 let most = if most == 0 { 65_536 / u64::from(self.volume.block_bytes) } else { most };
-                self.volume.most_bytes =
-                    (most * u64::from(self.volume.block_bytes)).min(MOST_DATA as u64) as u32;
+                self.volume.max_bytes =
+                    (most * u64::from(self.volume.block_bytes)).min(MAX_DATA as u64) as u32;
                 self.phase = Phase::Ready;
                 self.events.push_back(SessionEvent::Ready(self.volume));
             }
@@ -287,7 +287,7 @@
         self.events.pop_front()
     }
 
-    fn submit(&mut self, tag: u64, what: &Op, left: Span) -> bool {
+    fn submit(&mut self, tag: u64, what: &Op, left: TimeDelta) -> bool {
         let open = self.window_end.wrapping_sub(self.next) as i32 >= 0;
         if self.phase != Phase::Ready || !open {
             return false;
--- a/crates/clientcore/src/nbd.rs
+++ b/crates/client-core/src/nbd.rs
@@ -3,14 +3,14 @@
 use crate::op::{Op, Outcome, Place, SessionEvent, Transport, Volume};
 use bytes::{Buf, Bytes, BytesMut};
 use std::collections::{HashMap, VecDeque};
-use tackmast::interface::Span;
+use tackmast::interface::TimeDelta;
 use tackmast_wire::nbd::{
     self, chunk, command, error, info, option, reply, Reply, Request, ServerUnit, ServerUnits, Stage,
 };
 
 /// Newest version of the additions that this library speaks.
 pub const ADDITIONS: u16 = 1;
-const MOST_READ: u32 = 16 << 20;
+const MAX_READ: u32 = 16 << 20;
 /// Commands that may be open: the protocol names no window.
 const WINDOW: usize = 128;
 
@@ -57,14 +57,14 @@
     pub fn new(place: Place, offers: u16, plain: bool) -> Self {
         NbdClient {
             place,
-            input: ServerUnits::new(MOST_READ),
+            input: ServerUnits::new(MAX_READ),
             output: BytesMut::new(),
             events: VecDeque::new(),
             phase: Phase::Greeting,
             offers,
             additions: 0,
             plain,
-            volume: Volume { bytes: 0, block_bytes: 512, most_bytes: 32 << 20 },
+            volume: Volume { bytes: 0, block_bytes: 512, max_bytes: 32 << 20 },
             window: WINDOW,
             next: 0,
             pending: HashMap::new(),
@@ -121,7 +121,7 @@
                     info::BLOCK_SIZE if data.len() >= 12 => {
                         self.volume.block_bytes = data.get_u32();
                         data.advance(4);
-                        self.volume.most_bytes = data.get_u32().min(MOST_READ);
+                        self.volume.max_bytes = data.get_u32().min(MAX_READ);
                     }
                     _ => {}
                 }
@@ -148,9 +148,9 @@
     fn failed(code: u32, text: &Bytes) -> Outcome {
         match code {
             error::INVAL | error::NOSPC | error::OVERFLOW | error::NOTSUP | error::PERM => {
-                Outcome::Rejected(format!("error {code}: {}", String::from_utf8_lossy(text)))
+                Outcome::InvalidRequest(format!("error {code}: {}", String::from_utf8_lossy(text)))
             }
-            _ => Outcome::Abandoned,
+            _ => Outcome::Failed,
         }
     }
 
@@ -187,11 +187,11 @@
                         p.data[at..end].copy_from_slice(&data);
                         p.have += data.len();
                     }
-                    chunk::DEFERRED => {
+                    chunk::REJECTED => {
                         let (_, mut text) = nbd::read_error(&data).map_err(|e| e.to_string())?;
                         let us = if text.len() >= 8 { text.get_u64() } else { 0 };
-                        let come_back = (us > 0).then(|| Span::from_secs(us as f64 / 1e6));
-                        p.failed = Some(Outcome::Deferred { come_back });
+                        let retry_after = (us > 0).then(|| TimeDelta::from_secs(us as f64 / 1e6));
+                        p.failed = Some(Outcome::Rejected { retry_after });
                     }
                     // All chunk types with the highest bit are errors, known or not.
                     k if k & 0x8000 != 0 => {
@@ -213,17 +213,17 @@
                 Some(o) => o,
                 None if p.have == p.read => Outcome::Done(p.data.freeze()),
                 // Fewer bytes than were asked for are not the answer.
-                None => Outcome::Abandoned,
+                None => Outcome::Failed,
             };
             self.events.push_back(SessionEvent::Answer { tag, outcome });
         }
         Ok(())
     }
 
-    fn request(&mut self, tag: u64, kind: u16, offset: u64, length: u32, left: Option<Span>) -> u64 {
+    fn request(&mut self, tag: u64, kind: u16, offset: u64, length: u32, left: Option<TimeDelta>) -> u64 {
         self.next += 1;
-        let expiry_us = left.filter(|_| self.additions > 0).map(|l| (l.secs() * 1e6).max(1.0) as u64);
-        Request { flags: 0, kind, cookie: self.next, offset, length, expiry_us }.encode(&mut self.output);
+        let deadline_us = left.filter(|_| self.additions > 0).map(|l| (l.secs() * 1e6).max(1.0) as u64);
+        Request { flags: 0, kind, cookie: self.next, offset, length, deadline_us }.encode(&mut self.output);
         let read = if kind == command::READ { length as usize } else { 0 };
         let p = Pending { read, offset, data: BytesMut::new(), have: 0, failed: None, wanted: true };
         self.pending.insert(self.next, (tag, p));
@@ -254,7 +254,7 @@
         self.events.pop_front()
     }
 
-    fn submit(&mut self, tag: u64, what: &Op, left: Span) -> bool {
+    fn submit(&mut self, tag: u64, what: &Op, left: TimeDelta) -> bool {
         if self.phase != Phase::Ready || self.pending.len() >= self.window {
             return false;
         }
@@ -286,7 +286,7 @@
     }
 
     fn end(&mut self) {
-        Request { flags: 0, kind: command::DISCONNECT, cookie: 0, offset: 0, length: 0, expiry_us: None }
+        Request { flags: 0, kind: command::DISCONNECT, cookie: 0, offset: 0, length: 0, deadline_us: None }
             .encode(&mut self.output);
         self.phase = Phase::Over;
     }
--- a/crates/clientcore/src/op.rs
+++ b/crates/client-core/src/op.rs
@@ -1,7 +1,7 @@
 //! What is asked and answered, whatever the protocol.
 
 use bytes::Bytes;
-use tackmast::interface::Span;
+use tackmast::interface::TimeDelta;
 
 /// Places and lengths in bytes, in whole blocks of the volume.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -36,13 +36,13 @@
 pub enum Outcome {
     Done(Bytes),
     /// Not done, and a retry is safe; come back after the span, where one is given.
-    Deferred {
-        come_back: Option<Span>,
+    Rejected {
+        retry_after: Option<TimeDelta>,
     },
     /// Not done as far as is known, and no promise about its effect.
-    Abandoned,
+    Failed,
     /// The call itself was wrong, and never ran.
-    Rejected(String),
+    InvalidRequest(String),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,7 +50,7 @@
     pub bytes: u64,
     pub block_bytes: u32,
     /// Bytes of one call, at most.
-    pub most_bytes: u32,
+    pub max_bytes: u32,
 }
 
 /// Which volume of the target.
@@ -81,7 +81,7 @@
     fn output(&mut self) -> Bytes;
     fn next_event(&mut self) -> Option<SessionEvent>;
     /// False: there is no room in the command window now.
-    fn submit(&mut self, tag: u64, op: &Op, left: Span) -> bool;
+    fn submit(&mut self, tag: u64, op: &Op, left: TimeDelta) -> bool;
     /// Nobody waits for the answer any more, and none comes.
     fn cancel(&mut self, tag: u64);
     fn end(&mut self);
--- a/crates/clientcore/src/retry.rs
+++ b/crates/client-core/src/retry.rs
@@ -1,17 +1,17 @@
 //! When a call is tried again. Only where the answer says that it is safe, or the call is a read; within a budget, so
-//! that retries never become a load of their own; and never past the call's expiry.
+//! that retries never become a load of their own; and never past the call's deadline.
 
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 
 /// How one try ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// It never left: there was no session, or the window was shut.
     NotSent,
-    Deferred {
-        come_back: Option<Span>,
+    Rejected {
+        retry_after: Option<TimeDelta>,
     },
-    Abandoned,
+    Failed,
     /// Its session ended while it was out.
     Lost,
 }
@@ -20,9 +20,9 @@
 pub enum Next {
     /// Try again at this time.
     Again(Instant),
-    /// Tell the caller: deferred, with how long to stay away.
-    Deferred(Option<Span>),
-    Abandoned,
+    /// Tell the caller: rejected, with how long to stay away.
+    Rejected(Option<TimeDelta>),
+    Failed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,9 +31,9 @@
     pub free: f64,
     pub share: f64,
     /// Least time between two tries, and the longest between two connects.
-    pub least_wait: Span,
-    pub longest_connect: Span,
-    pub most_tries: u32,
+    pub min_wait: TimeDelta,
+    pub longest_connect: TimeDelta,
+    pub max_tries: u32,
 }
 
 impl Default for Policy {
@@ -41,9 +41,9 @@
         Policy {
             free: 10.0,
             share: 0.2,
-            least_wait: Span::from_secs(0.01),
-            longest_connect: Span::from_secs(2.0),
-            most_tries: 8,
+            min_wait: TimeDelta::from_secs(0.01),
+            longest_connect: TimeDelta::from_secs(2.0),
+            max_tries: 8,
         }
     }
 }
@@ -66,8 +66,8 @@
     }
 
     /// Between half and all of it: calls that met one trouble must not come back at one moment.
-    fn jittered(&mut self, wait: Span) -> Span {
-        Span::from_secs(wait.secs() * (1.0 + 0.5 * f64::from(self.chance.rand_float())))
+    fn jittered(&mut self, wait: TimeDelta) -> TimeDelta {
+        TimeDelta::from_secs(wait.secs() * (1.0 + 0.5 * f64::from(self.chance.rand_float())))
     }
 
     /// Judges the end of a try, which took so long, of a call that must be answered by `deadline`.
@@ -77,26 +77,26 @@
         end: End,
         write: bool,
         tries: u32,
-        took: Span,
+        took: TimeDelta,
         deadline: Instant,
     ) -> Next {
         let advice = match end {
-            End::Deferred { come_back } => come_back,
+            End::Rejected { retry_after } => retry_after,
             _ => None,
         };
-        // What is said where no further try is made. A write that may have run is never called deferred.
+        // What is said where no further try is made. A write that may have run is never called rejected.
         let answer = match end {
-            End::Abandoned | End::Lost if write => return Next::Abandoned,
-            End::Abandoned | End::Lost => Next::Abandoned,
-            End::NotSent | End::Deferred { .. } => Next::Deferred(advice),
+            End::Failed | End::Lost if write => return Next::Failed,
+            End::Failed | End::Lost => Next::Failed,
+            End::NotSent | End::Rejected { .. } => Next::Rejected(advice),
         };
-        let wait = self.jittered(advice.unwrap_or(self.policy.least_wait).max(self.policy.least_wait));
+        let wait = self.jittered(advice.unwrap_or(self.policy.min_wait).max(self.policy.min_wait));
         let at = now + wait;
         // One that never left has cost nothing: it needs no budget, only time.
         let costs = if end == End::NotSent { 0.0 } else { 1.0 };
-        // A try that can't be expected to end in time would be out at the expiry, and turn what is known not to have
+        // A try that can't be expected to end in time would be out at the deadline, and turn what is known not to have
         // run into what nobody knows.
-        if at + took >= deadline || tries >= self.policy.most_tries || self.left < costs {
+        if at + took >= deadline || tries >= self.policy.max_tries || self.left < costs {
             return answer;
         }
         self.left -= costs;
@@ -104,9 +104,9 @@
     }
 
     /// How long to wait before the next connect, after so many failures in a row.
-    pub fn connect_wait(&mut self, failures: u32) -> Span {
+    pub fn connect_wait(&mut self, failures: u32) -> TimeDelta {
         let wait = 0.05 * 2f64.powi(failures.min(16) as i32);
-        let wait = Span::from_secs(wait.min(self.policy.longest_connect.secs()) / 1.5);
+        let wait = TimeDelta::from_secs(wait.min(self.policy.longest_connect.secs()) / 1.5);
         self.jittered(wait)
     }
 }
@@ -117,23 +117,23 @@
 
     #[test]
     fn tries_follow_only_where_that_is_safe_and_in_time() {
-        let s = Span::from_secs;
-        let deferred = |w: Option<f64>| End::Deferred { come_back: w.map(s) };
-        let told = |w: Option<f64>| Some(Next::Deferred(w.map(s)));
-        let abandoned = Some(Next::Abandoned);
+        let s = TimeDelta::from_secs;
+        let rejected = |w: Option<f64>| End::Rejected { retry_after: w.map(s) };
+        let told = |w: Option<f64>| Some(Next::Rejected(w.map(s)));
+        let failed = Some(Next::Failed);
         // End, write, tries, budget left, seconds left; the answer, or none for a further try.
         type Case<'a> = (&'a str, End, bool, u32, f64, f64, Option<Next>);
         let cases: &[Case] = &[
-            ("a deferred write", deferred(Some(0.1)), true, 1, 5.0, 1.0, None),
-            ("a deferred read", deferred(None), false, 1, 5.0, 1.0, None),
-            ("no time for it", deferred(Some(2.0)), true, 1, 5.0, 1.0, told(Some(2.0))),
-            ("no time for as long as the last", deferred(None), true, 1, 5.0, 0.2, told(None)),
-            ("no budget for it", deferred(Some(0.1)), true, 1, 0.5, 1.0, told(Some(0.1))),
-            ("tries enough", deferred(None), true, 8, 5.0, 1.0, told(None)),
-            ("an abandoned write", End::Abandoned, true, 1, 5.0, 1.0, abandoned),
-            ("an abandoned read", End::Abandoned, false, 1, 5.0, 1.0, None),
-            ("an abandoned read, no budget", End::Abandoned, false, 1, 0.0, 1.0, abandoned),
-            ("a lost write", End::Lost, true, 1, 5.0, 1.0, abandoned),
+            ("a rejected write", rejected(Some(0.1)), true, 1, 5.0, 1.0, None),
+            ("a rejected read", rejected(None), false, 1, 5.0, 1.0, None),
+            ("no time for it", rejected(Some(2.0)), true, 1, 5.0, 1.0, told(Some(2.0))),
+            ("no time for as long as the last", rejected(None), true, 1, 5.0, 0.2, told(None)),
+            ("no budget for it", rejected(Some(0.1)), true, 1, 0.5, 1.0, told(Some(0.1))),
+            ("tries enough", rejected(None), true, 8, 5.0, 1.0, told(None)),
+            ("a failed write", End::Failed, true, 1, 5.0, 1.0, failed),
+            ("a failed read", End::Failed, false, 1, 5.0, 1.0, None),
+            ("a failed read, no budget", End::Failed, false, 1, 0.0, 1.0, failed),
+            ("a lost write", End::Lost, true, 1, 5.0, 1.0, failed),
             ("a lost read", End::Lost, false, 1, 5.0, 1.0, None),
             ("a write that never left, no budget", End::NotSent, true, 1, 0.0, 1.0, None),
             ("a write that never left, no time", End::NotSent, true, 1, 5.0, 0.001, told(None)),
@@ -159,11 +159,11 @@
             b.first_try();
             let next = b.next(
                 now,
-                End::Deferred { come_back: None },
+                End::Rejected { retry_after: None },
                 false,
                 1,
-                Span::ZERO,
-                now + Span::from_secs(1.0),
+                TimeDelta::ZERO,
+                now + TimeDelta::from_secs(1.0),
             );
             again += u32::from(matches!(next, Next::Again(_)));
         }
--- a/crates/client/tests/common/mod.rs
+++ b/crates/client/tests/common/mod.rs
@@ -6,12 +6,12 @@
 use std::time::{Duration, Instant};
 use tackmast_client::{Options, Protocol};
 use tackmast_config::HostSettings;
+use tackmast_emulators::list::NodeList;
+use tackmast_emulators::model::Nature;
+use tackmast_emulators::node::{Marks, Node, NodeSettings};
+use tackmast_emulators::tap;
 use tackmast_host::Host;
-use tackmast_standins::list::NodeList;
-use tackmast_standins::model::Nature;
-use tackmast_standins::node::{Marks, Node, NodeSettings};
-use tackmast_standins::tap;
-use tackmast_trace::{EffectKind, Event, Facts, Recorder, StreamFacts};
+use tackmast_trace::{EffectKind, Event, Facts, Recorder, TrafficClassFacts};
 use tackmast_wire::list::{Entry, State};
 
 pub const PATIENCE: Duration = Duration::from_secs(5);
@@ -40,7 +40,7 @@
                 zone: 0,
                 nature: Nature { unit_s: 0.0005, cores: 2, ..Nature::default() },
                 seed: 1,
-                most_data: 1 << 20,
+                max_data: 1 << 20,
                 report_every: Duration::from_millis(50),
                 marks: marks.clone(),
                 window_s: 5.0,
@@ -146,15 +146,15 @@
             tap::start(tapped, host, 0, volumes, self.recorder.clone(), self.cutter.clone()).unwrap();
         let lun = u32::from(volume == "listening");
         Options {
-            expiry: Duration::from_millis(900),
+            timeout: Duration::from_millis(900),
             seed: 5,
             ..Options::new(protocol, address, volume, lun)
         }
     }
 
     /// The seven rules, on all that the sockets have shown until now.
-    pub fn rules(&self) -> tackmast_rulecheck::Report {
-        tackmast_rulecheck::judge(&self.seen())
+    pub fn rules(&self) -> tackmast_invariants::Report {
+        tackmast_invariants::judge(&self.seen())
     }
 
     /// All that the sockets have shown until now, and are going to.
@@ -181,22 +181,22 @@
 
 /// What holds of the settings above.
 fn facts() -> Facts {
-    let stream = |name: &str, effect| StreamFacts {
+    let traffic_class = |name: &str, effect| TrafficClassFacts {
         name: name.into(),
-        slo_us: 300_000,
+        latency_objective_us: 300_000,
         effect,
         window_us: 0,
         in_order: false,
     };
     Facts {
-        streams: vec![
-            stream("read", EffectKind::Repeatable),
-            stream("write", EffectKind::Repeatable),
-            stream("log", EffectKind::Unrepeatable),
+        traffic_classes: vec![
+            traffic_class("read", EffectKind::Idempotent),
+            traffic_class("write", EffectKind::Idempotent),
+            traffic_class("log", EffectKind::NonIdempotent),
         ],
         volumes: vec![],
         unit_bytes: 4096,
-        most_units: 8.0,
+        max_units: 8.0,
         answer_slack_us: 50_000,
         grace_us: 250_000,
         cold_safe_units: f64::MAX,
--- a/crates/client/tests/resumed.rs
+++ b/crates/client/tests/resumed.rs
@@ -5,10 +5,10 @@
 
 use common::{Pool, PATIENCE};
 use tackmast_client::{Client, Outcome, Protocol};
-use tackmast_standins::tap::Cut;
+use tackmast_emulators::tap::Cut;
 use tackmast_trace::Event;
 
-/// Commands that the host was given for this place, and legs of them that a node ran.
+/// Commands that the host was given for this place, and attempts of them that a node ran.
 fn tries(seen: &[tackmast_trace::Line], lun: u32, place: u64) -> (usize, usize) {
     let mut asked = 0;
     let mut names = Vec::new();
@@ -18,10 +18,12 @@
             Event::Submit { volume, offset, write: true, .. } if (*volume, *offset) == (lun, place) => {
                 asked += 1
             }
-            Event::Leg { volume, offset, write: true, name, .. } if (*volume, *offset) == (lun, place) => {
+            Event::Attempt { volume, offset, write: true, name, .. }
+                if (*volume, *offset) == (lun, place) =>
+            {
                 names.push(*name);
             }
-            Event::LegEnd { name, ran: true, .. } if names.contains(name) => ran += 1,
+            Event::AttemptEnd { name, ran: true, .. } if names.contains(name) => ran += 1,
             _ => {}
         }
     }
@@ -39,7 +41,7 @@
             let client = Client::open(pool.options(protocol, "listening"), PATIENCE).unwrap();
             place += 4096;
             pool.cutter.order(cut);
-            assert_eq!(client.write(place, vec![9; 512]), Outcome::Abandoned, "{name}: nobody knows");
+            assert_eq!(client.write(place, vec![9; 512]), Outcome::Failed, "{name}: nobody knows");
             // The same client goes on; the write is there once its answer was given, or not at all.
             let Outcome::Done(found) = client.read(place, 512) else { panic!("{name}: not resumed") };
             match cut {
@@ -59,7 +61,7 @@
         let (asked, ran) = tries(&seen, 1, place);
         assert!(asked == 1 && ran <= 1, "{name}: asked {asked} times, ran {ran} times");
     }
-    let rules = tackmast_rulecheck::judge(&seen);
+    let rules = tackmast_invariants::judge(&seen);
     assert!(rules.is_clean() && rules.rule(1).checked > 0, "{rules}");
     pool.end_unjudged();
 }
--- a/crates/config/src/host.rs
+++ b/crates/config/src/host.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
-use tackmast::interface::{Effect, Group, Span};
+use tackmast::interface::{Effect, Group, TimeDelta};
 
 /// `host { ... }`
 #[derive(Debug, Clone, Deserialize, PartialEq)]
@@ -22,7 +22,7 @@
     /// How coarse the host's clock is taken to be.
     #[serde(default = "two")]
     pub tick_ms: f64,
-    /// Time kept for an answer's way back to its client: it leaves the host that much before the expiry.
+    /// Time kept for an answer's way back to its client: it leaves the host that much before the deadline.
     #[serde(default = "twenty")]
     pub answer_lead_ms: f64,
     /// Seed of chance; without one it is drawn at the start.
@@ -46,15 +46,16 @@
     1.0
 }
 
-/// `bounds { ... }`: what each table and queue may hold. What is over a bound is deferred.
+/// `bounds { ... }`: what each table and queue may hold. What is over a bound is rejected.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
     pub sessions: usize,
     /// Commands open in one session.
     pub window: u32,
-    /// Transfers and bytes open at the host.
-    pub transfers: usize,
+    /// Requests and bytes open at the host.
+    #[serde(rename = "transfers")]
+    pub requests: usize,
     pub bytes: usize,
     /// Bytes of one command, of immediate data, of one data unit, and of one solicited sequence.
     pub command_bytes: u32,
@@ -64,7 +65,7 @@
     /// Parts of one command, where it touches several extents.
     pub parts: usize,
     pub nodes: usize,
-    /// Connections to one node, and legs waiting to be written on each.
+    /// Connections to one node, and attempts waiting to be written on each.
     pub links: usize,
     pub link_queue: usize,
     /// Bytes that one connection to a node may hold on their way: what has left can't be taken back.
@@ -75,7 +76,7 @@
     pub link_silence_ms: u64,
     /// Time a client may take to log in.
     pub login_ms: u64,
-    /// Time that open transfers have when the host is asked to end.
+    /// Time that open requests have when the host is asked to end.
     pub drain_ms: u64,
 }
 
@@ -84,7 +85,7 @@
         Bounds {
             sessions: 4096,
             window: 128,
-            transfers: 65_536,
+            requests: 65_536,
             bytes: 1 << 30,
             command_bytes: 1 << 20,
             first_burst: 65_536,
@@ -151,7 +152,7 @@
     /// Part by which steady clocks may run apart.
     #[serde(default = "drift")]
     pub drift: f64,
-    /// File that marks a leave for the next life; without it nothing is lent when the host leaves.
+    /// File that marks a leave for the next generation; without it nothing is lent when the host leaves.
     pub left_file: Option<std::path::PathBuf>,
 }
 
@@ -219,22 +220,22 @@
     1000.0
 }
 
-/// `units { ... }`: how a transfer's size counts.
+/// `units { ... }`: how a request's size counts.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Units {
-    /// Bytes in a unit; a transfer counts at least one.
+    /// Bytes in a unit; a request counts at least one.
     pub bytes: u32,
-    /// Units of the largest transfer; a longer command counts that many.
+    /// Units of the largest request; a longer command counts that many.
     pub most: f64,
-    /// Units of a transfer in the mean.
+    /// Units of a request in the mean.
     pub mean: f64,
 }
 
 /// `further_legs { ... }`: rule 6.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct FurtherLegs {
+pub struct RetryBudget {
     pub free: f64,
     pub share: f64,
     pub window_s: f64,
@@ -258,11 +259,12 @@
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Legs of one transfer.
-    pub most_legs: u32,
+    /// Attempts of one request.
+    #[serde(rename = "most_legs")]
+    pub max_attempts: u32,
     /// Longest time a client can be asked to stay away; 0: it can't be asked.
     pub longest_wait_s: f64,
-    /// Rest of an order key after a leg that may still be running.
+    /// Rest of an order key after an attempt that may still be running.
     pub settle_s: f64,
     /// Time after word of a drain within which what was on its way may still reach the node.
     pub drain_grace_ms: f64,
@@ -272,16 +274,25 @@
 
 impl Default for Load {
     fn default() -> Self {
-        Load { most_legs: 4, longest_wait_s: 2.0, settle_s: 1.0, drain_grace_ms: 250.0, tells_others: true }
+        Load {
+            max_attempts: 4,
+            longest_wait_s: 2.0,
+            settle_s: 1.0,
+            drain_grace_ms: 250.0,
+            tells_others: true,
+        }
     }
 }
 
 #[derive(Debug, Clone, Copy, Deserialize, PartialEq)]
 #[serde(rename_all = "lowercase")]
 enum EffectName {
-    Repeatable,
-    Keyed,
-    Unrepeatable,
+    #[serde(rename = "repeatable")]
+    Idempotent,
+    #[serde(rename = "keyed")]
+    IdempotentByKey,
+    #[serde(rename = "unrepeatable")]
+    NonIdempotent,
 }
 
 #[derive(Debug, Clone, Copy, Deserialize, PartialEq, Default)]
@@ -295,9 +306,11 @@
 
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct StreamBlock {
-    slo_ms: f64,
-    expiry_ms: f64,
+struct TrafficClassBlock {
+    #[serde(rename = "slo_ms")]
+    latency_objective_ms: f64,
+    #[serde(rename = "expiry_ms")]
+    deadline_ms: f64,
     effect: EffectName,
     #[serde(default)]
     group: GroupName,
@@ -309,11 +322,11 @@
 
 /// `stream "name" { ... }`
 #[derive(Debug, Clone, PartialEq)]
-pub struct Stream {
+pub struct TrafficClass {
     pub name: String,
-    pub slo: Span,
+    pub latency_objective: TimeDelta,
     /// Time to answer in, where the client negotiates none.
-    pub expiry: Span,
+    pub deadline: TimeDelta,
     pub effect: Effect,
     pub in_order: bool,
     /// Blocks that share one order key; none: an extent.
@@ -383,13 +396,13 @@
     pub extent_blocks: u64,
     /// The shard of extent `n` is entry `n` modulo their number.
     pub shards: Vec<u32>,
-    /// Hosts through which its transfers come.
+    /// Hosts through which its requests come.
     pub hosts: u32,
     /// Their numbers, where told; only then do they lend each other parts of its limit.
     pub through: Vec<u32>,
     pub reads: u32,
     pub writes: u32,
-    /// Reads of so many blocks or more are of this stream type.
+    /// Reads of so many blocks or more are of this traffic class.
     pub large: Option<(u32, u32)>,
 }
 
@@ -400,13 +413,13 @@
     pub bounds: Bounds,
     pub units: Units,
     pub load: Load,
-    pub further_legs: Option<FurtherLegs>,
+    pub retry_budget: Option<RetryBudget>,
     pub cold: Option<ColdNodes>,
     pub overrides: Option<OverridesBlock>,
     pub membership: Option<MembershipBlock>,
     pub plans_live: Option<PlansBlock>,
     pub agreement: Option<AgreementBlock>,
-    pub streams: Vec<Stream>,
+    pub traffic_classes: Vec<TrafficClass>,
     pub plans: Vec<Plan>,
     pub volumes: Vec<Volume>,
 }
@@ -448,7 +461,7 @@
         let bounds: Bounds = doc.block_or("bounds")?;
         let units: Units = doc.block("units")?;
         let load: Load = doc.block_or("load")?;
-        let further_legs: Option<FurtherLegs> = doc.blocks("further_legs", false)?.pop().map(|f| f.value);
+        let retry_budget: Option<RetryBudget> = doc.blocks("further_legs", false)?.pop().map(|f| f.value);
         let cold: Option<ColdNodes> = doc.blocks("cold_nodes", false)?.pop().map(|f| f.value);
 
         let overrides: Option<OverridesBlock> = doc.blocks("overrides", false)?.pop().map(|f| f.value);
@@ -473,7 +486,7 @@
         for (name, value, low, high) in [
             ("sessions", bounds.sessions as u64, 1, 60_000),
             ("window", u64::from(bounds.window), 1, 65_536),
-            ("transfers", bounds.transfers as u64, 1, 1 << 24),
+            ("transfers", bounds.requests as u64, 1, 1 << 24),
             ("bytes", bounds.bytes as u64, 1 << 16, 1 << 40),
             ("command_bytes", u64::from(bounds.command_bytes), 512, 8 << 20),
             ("first_burst", u64::from(bounds.first_burst), 512, 8 << 20),
@@ -499,7 +512,7 @@
         whole("units", "bytes", u64::from(units.bytes), 1, 8 << 20)?;
         within("units", "", "most", units.most, 1.0, 1e9)?;
         within("units", "", "mean", units.mean, 1e-3, units.most)?;
-        whole("load", "most_legs", u64::from(load.most_legs), 1, 200)?;
+        whole("load", "most_legs", u64::from(load.max_attempts), 1, 200)?;
         within("load", "", "longest_wait_s", load.longest_wait_s, 0.0, DAY_S)?;
         within("load", "", "settle_s", load.settle_s, 0.0, DAY_S)?;
         within("load", "", "drain_grace_ms", load.drain_grace_ms, 1.0, DAY_S * 1e3)?;
@@ -569,7 +582,7 @@
                 }
             }
         }
-        if let Some(f) = &further_legs {
+        if let Some(f) = &retry_budget {
             within("further_legs", "", "free", f.free, 0.0, 1e9)?;
             within("further_legs", "", "share", f.share, 0.0, 1e3)?;
             within("further_legs", "", "window_s", f.window_s, 0.05, DAY_S)?;
@@ -583,24 +596,24 @@
             within("cold_nodes", "", "saved", c.saved, 0.0, 1.0)?;
         }
 
-        let mut streams = Vec::new();
-        for f in doc.blocks::<StreamBlock>("stream", true)? {
+        let mut traffic_classes = Vec::new();
+        for f in doc.blocks::<TrafficClassBlock>("stream", true)? {
             let (s, name) = (f.value, f.label);
-            within("stream", &name, "slo_ms", s.slo_ms, 0.1, DAY_S * 1e3)?;
-            within("stream", &name, "expiry_ms", s.expiry_ms, host.answer_lead_ms + 10.0, DAY_S * 1e3)?;
+            within("stream", &name, "slo_ms", s.latency_objective_ms, 0.1, DAY_S * 1e3)?;
+            within("stream", &name, "expiry_ms", s.deadline_ms, host.answer_lead_ms + 10.0, DAY_S * 1e3)?;
             let window = within("stream", &name, "window_s", s.window_s.unwrap_or(0.0), 0.0, DAY_S)?;
             let effect = match (s.effect, s.window_s) {
-                (EffectName::Repeatable, _) => Effect::Repeatable,
-                (EffectName::Unrepeatable, _) => Effect::Unrepeatable,
-                (EffectName::Keyed, Some(_)) => {
+                (EffectName::Idempotent, _) => Effect::Idempotent,
+                (EffectName::NonIdempotent, _) => Effect::NonIdempotent,
+                (EffectName::IdempotentByKey, Some(_)) => {
                     let group = match s.group {
                         GroupName::All => Group::All,
                         GroupName::Zone => Group::Zone,
                         GroupName::Shard => Group::Shard,
                     };
-                    Effect::Keyed { group, window: Span::from_secs(window) }
+                    Effect::IdempotentByKey { group, window: TimeDelta::from_secs(window) }
                 }
-                (EffectName::Keyed, None) => {
+                (EffectName::IdempotentByKey, None) => {
                     let at = Place { kind: "stream", label: &name, name: "window_s" };
                     return Err(doc.wrong(&at, "missing", "the seconds for which nodes know a mark"));
                 }
@@ -609,9 +622,9 @@
                 let at = Place { kind: "stream", label: &name, name: "order_blocks" };
                 return Err(doc.wrong(&at, 0, "1 block or more"));
             }
-            streams.push(Stream {
-                slo: Span::from_secs(s.slo_ms / 1e3),
-                expiry: Span::from_secs(s.expiry_ms / 1e3),
+            traffic_classes.push(TrafficClass {
+                latency_objective: TimeDelta::from_secs(s.latency_objective_ms / 1e3),
+                deadline: TimeDelta::from_secs(s.deadline_ms / 1e3),
                 effect,
                 in_order: s.in_order,
                 order_blocks: s.order_blocks,
@@ -651,8 +664,8 @@
             let wrong = |key: &'static str, found: String, expected: &str| {
                 doc.wrong(&Place { kind: "volume", label: &name, name: key }, found, expected)
             };
-            let stream = |key: &'static str, wanted: &str| {
-                let at = streams.iter().position(|s| s.name == wanted);
+            let traffic_class = |key: &'static str, wanted: &str| {
+                let at = traffic_classes.iter().position(|s| s.name == wanted);
                 at.map(|i| i as u32)
                     .ok_or_else(|| wrong(key, format!("\"{wanted}\""), "the name of a stream block"))
             };
@@ -703,7 +716,7 @@
             }
             let large = match (&v.large_reads, v.large_from_blocks) {
                 (None, None) => None,
-                (Some(name), Some(from)) => Some((from, stream("large_reads", name)?)),
+                (Some(name), Some(from)) => Some((from, traffic_class("large_reads", name)?)),
                 _ => {
                     return Err(wrong(
                         "large_reads",
@@ -721,15 +734,17 @@
                 shards: v.shards,
                 hosts: v.hosts,
                 through: v.through,
-                reads: stream("reads", &v.reads)?,
-                writes: stream("writes", &v.writes)?,
+                reads: traffic_class("reads", &v.reads)?,
+                writes: traffic_class("writes", &v.writes)?,
                 large,
                 name,
             });
         }
-        for (kind, none) in
-            [("stream", streams.is_empty()), ("plan", plans.is_empty()), ("volume", volumes.is_empty())]
-        {
+        for (kind, none) in [
+            ("stream", traffic_classes.is_empty()),
+            ("plan", plans.is_empty()),
+            ("volume", volumes.is_empty()),
+        ] {
             if none {
                 return Err(doc.wrong(
                     &Place { kind, label: "", name: "" },
@@ -743,13 +758,13 @@
             bounds,
             units,
             load,
-            further_legs,
+            retry_budget,
             cold,
             overrides,
             membership,
             plans_live,
             agreement,
-            streams,
+            traffic_classes,
             plans,
             volumes,
         })
--- a/crates/agreement/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -13,17 +13,17 @@
 use lead::Lead;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::agree::{Entry, Origin, Voters, What, Word};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Between two words of a leader.
-    pub beat: Span,
+    pub beat: TimeDelta,
     /// Without a word of a leader for this long, and up to twice this long by chance, another is sought.
-    pub patience: Span,
+    pub patience: TimeDelta,
     /// For how long a grant counts, from when it was asked for.
-    pub lease: Span,
+    pub lease: TimeDelta,
     /// Part by which steady clocks may run apart.
     pub drift: f64,
     /// Hosts' numbers are below this.
@@ -56,7 +56,7 @@
     pub entries: Vec<Entry>,
     /// While nothing is agreed on: the disks that this one stands by.
     pub sealed: Option<Voters>,
-    /// Disks of voters as they were last heard of: how often opened, by which life.
+    /// Disks of voters as they were last heard of: how often opened, by which generation.
     pub known: BTreeMap<u32, Origin>,
 }
 
@@ -124,7 +124,7 @@
             Refusal::NotReady => write!(f, "this host leads since a moment ago; ask again"),
             Refusal::Full { waiting } => write!(f, "{waiting} changes wait to be agreed on; ask again later"),
             Refusal::TooLong { bytes } => {
-                write!(f, "a change of {bytes} bytes; expected at most {}", tackmast_wire::agree::MOST_ENTRY)
+                write!(f, "a change of {bytes} bytes; expected at most {}", tackmast_wire::agree::MAX_ENTRY)
             }
             Refusal::VotersMove => {
                 write!(f, "another change of voters is under way; ask again once it holds")
@@ -156,7 +156,7 @@
     pub founded: bool,
     pub failed: bool,
     /// Where this host leads: by host, what it said it has on disk, and for how long it has been silent.
-    pub has: BTreeMap<u32, (u64, Span)>,
+    pub has: BTreeMap<u32, (u64, TimeDelta)>,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -322,7 +322,7 @@
     /// Until a leader is sought, from now.
     fn rest(&mut self, now: Instant) {
         let patience = self.settings.patience.secs() * (1.0 + self.chance.rand_float());
-        self.seek_at = now + Span::from_secs(patience);
+        self.seek_at = now + TimeDelta::from_secs(patience);
     }
 
     fn write(&mut self, w: Write) {
@@ -452,7 +452,7 @@
 
     /// What entries up to there led to, as asked for.
     pub fn folded(&mut self, index: u64, state: Bytes) {
-        if index > self.commit || state.len() > tackmast_wire::agree::MOST_STATE {
+        if index > self.commit || state.len() > tackmast_wire::agree::MAX_STATE {
             return;
         }
         if self.log.fold(index, state) {
@@ -557,7 +557,7 @@
         }
     }
 
-    /// Of which disk, opened how often and by which life, that voter was last heard.
+    /// Of which disk, opened how often and by which generation, that voter was last heard.
     pub fn known_disk(&self, host: u32) -> Option<Origin> {
         self.known.get(&host).copied()
     }
--- a/crates/agreement/src/voter/lead.rs
+++ b/crates/consensus/src/voter/lead.rs
@@ -28,10 +28,10 @@
     large: Option<Instant>,
 }
 
-/// A host's ask: its life and number, and the round that has to be answered by most.
+/// A host's ask: its generation and number, and the round that has to be answered by most.
 #[derive(Clone, Copy, Debug)]
 struct Asked {
-    life: u64,
+    generation: u64,
     seq: u32,
     round: u64,
 }
@@ -112,7 +112,7 @@
 
     /// A change for the log: its place, where this host leads.
     pub fn propose(&mut self, now: Instant, data: Bytes) -> Result<u64, Refusal> {
-        if data.len() > tackmast_wire::agree::MOST_ENTRY {
+        if data.len() > tackmast_wire::agree::MAX_ENTRY {
             return Err(Refusal::TooLong { bytes: data.len() });
         }
         self.may_put()?;
@@ -148,7 +148,7 @@
                 let expected = format!("one that has {} or more", self.commit.saturating_sub(UNCOMMITTED));
                 return Err(Refusal::Voters(format!("host {host} has {has} entries; expected {expected}")));
             }
-            if next.len() >= tackmast_wire::agree::MOST_VOTERS || next.contains_key(&host) {
+            if next.len() >= tackmast_wire::agree::MAX_VOTERS || next.contains_key(&host) {
                 let found =
                     format!("{} voters, host {host} among them: {}", next.len(), next.contains_key(&host));
                 return Err(Refusal::Voters(format!(
@@ -172,7 +172,7 @@
 
     fn send_to(&mut self, now: Instant, to: u32) {
         let (id, term, commit) = (self.log.base().id, self.hard.term, self.commit);
-        let long = Span::from_secs(self.settings.beat.secs() * LARGE_BEATS);
+        let long = TimeDelta::from_secs(self.settings.beat.secs() * LARGE_BEATS);
         let Role::Leader(l) = &mut self.role else { return };
         let round = l.round;
         let Some(p) = l.peers.get_mut(&to) else { return };
@@ -209,10 +209,10 @@
     /// A round begins: who answers it took this host for the leader after now.
     fn next_round(&mut self, now: Instant) {
         let settings = self.settings;
-        let long = Span::from_secs(settings.beat.secs() * LARGE_BEATS);
+        let long = TimeDelta::from_secs(settings.beat.secs() * LARGE_BEATS);
         let Role::Leader(l) = &mut self.role else { return };
         l.round += 1;
-        l.round_at = now + Span::from_secs(settings.beat.secs() * SOON);
+        l.round_at = now + TimeDelta::from_secs(settings.beat.secs() * SOON);
         l.beat_at = now + settings.beat;
         for p in l.peers.values_mut() {
             // What was sent and not answered within a beat was lost on its way.
@@ -270,7 +270,7 @@
 
     pub(super) fn tick_leader(&mut self, now: Instant) {
         let quorum = self.quorum();
-        let alone = Span::from_secs(self.settings.patience.secs() * ALONE);
+        let alone = TimeDelta::from_secs(self.settings.patience.secs() * ALONE);
         let Role::Leader(l) = &mut self.role else { return };
         let waits = l.asks.values().any(|a| a.round > l.round);
         let due = now >= l.beat_at || (waits && now >= l.round_at);
@@ -363,7 +363,7 @@
         }
         l.has.insert(from, (has, now));
         l.disks.insert(from, of.disk);
-        l.asks.insert(from, Asked { life: of.life, seq, round: l.round + 1 });
+        l.asks.insert(from, Asked { generation: of.generation, seq, round: l.round + 1 });
         if self.has(AgreeFault::StaleRead) {
             self.grant_all();
         }
@@ -378,8 +378,8 @@
         let (id, term, index) = (self.log.base().id, self.hard.term, self.commit);
         let Role::Leader(l) = &mut self.role else { return };
         let term_ms = (self.settings.lease.secs() * 1e3) as u32;
-        for (to, Asked { life: to_life, seq, .. }) in std::mem::take(&mut l.asks) {
-            self.say(to, Word::Granted { id, to_life, seq, term, index, term_ms });
+        for (to, Asked { generation: to_generation, seq, .. }) in std::mem::take(&mut l.asks) {
+            self.say(to, Word::Granted { id, to_generation, seq, term, index, term_ms });
         }
     }
 
@@ -402,12 +402,12 @@
         let due = l.asks.iter().filter(|(_, a)| a.round <= answered);
         let due: Vec<(u32, Asked)> = due.map(|(to, a)| (*to, *a)).collect();
         let term_ms = (self.settings.lease.secs() * 1e3) as u32;
-        for (to, Asked { life: to_life, seq, .. }) in due {
+        for (to, Asked { generation: to_generation, seq, .. }) in due {
             l.asks.remove(&to);
             self.counters.granted += 1;
             self.outputs.push_back(Output::Send {
                 to,
-                word: Word::Granted { id, to_life, seq, term, index, term_ms },
+                word: Word::Granted { id, to_generation, seq, term, index, term_ms },
             });
         }
     }
--- a/crates/agreement/tests/decision_hash.rs
+++ b/crates/consensus/tests/decision_hash.rs
@@ -7,8 +7,8 @@
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use tackmast::interface::{Instant, Span};
-use tackmast_agreement::*;
+use tackmast::interface::{Instant, TimeDelta};
+use tackmast_consensus::*;
 use tackmast_wire::agree::put_entry;
 use tackmast_wire::peer::{Body, Datagram, Health, News};
 
@@ -76,7 +76,7 @@
             self.voters(sealed);
         }
         for (host, of) in write.known.iter().flatten() {
-            [u64::from(*host), of.disk, u64::from(of.boot), of.life]
+            [u64::from(*host), of.disk, u64::from(of.boot), of.generation]
                 .into_iter()
                 .for_each(|number| self.number(number));
         }
@@ -192,7 +192,7 @@
 }
 
 fn chunk_settings() -> ParcelsSettings {
-    ParcelsSettings { again: Span::from_secs(0.1) }
+    ParcelsSettings { again: TimeDelta::from_secs(0.1) }
 }
 
 impl Simulation {
@@ -318,7 +318,7 @@
         while let Some((to, body)) = self.host(host).chunks.next_say() {
             let me = News {
                 slot: host,
-                life: 1,
+                generation: 1,
                 incarnation: 0,
                 health: Health::Alive,
                 address: address(host),
@@ -389,7 +389,7 @@
         let group = self.group;
         let host = self.host(number);
         host.disk.boot += 1;
-        let of = Origin { disk: host.disk.mark, boot: host.disk.boot, life: incarnation };
+        let of = Origin { disk: host.disk.mark, boot: host.disk.boot, generation: incarnation };
         let held = host.disk.held.clone();
         let founders = (0..group.voters).collect();
         let settings =
@@ -574,7 +574,7 @@
 }
 
 fn three_voters() -> Group {
-    let seconds = Span::from_secs;
+    let seconds = TimeDelta::from_secs;
     let consensus = Settings {
         beat: seconds(0.05),
         patience: seconds(0.3),
@@ -588,7 +588,7 @@
 }
 
 fn five_voters() -> Group {
-    let seconds = Span::from_secs;
+    let seconds = TimeDelta::from_secs;
     let consensus = Settings {
         beat: seconds(0.08),
         patience: seconds(0.5),
--- a/crates/standins/src/initiator.rs
+++ b/crates/emulators/src/initiator.rs
@@ -13,7 +13,7 @@
 use tackmast_wire::scsi::{status, Command, Sense};
 
 const SMALL_STACK: usize = 128 << 10;
-const MOST_DATA: usize = 16 << 20;
+const MAX_DATA: usize = 16 << 20;
 
 #[derive(Clone, Debug)]
 pub struct Login {
@@ -22,19 +22,19 @@
     pub name: String,
     pub digests: Digests,
     /// Milliseconds in which it wants its answers; none: the host's own.
-    pub expiry_ms: Option<u32>,
+    pub deadline_ms: Option<u32>,
     pub patience: Duration,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     Done(Bytes),
-    Deferred {
-        come_back_us: u64,
+    Rejected {
+        retry_after_us: u64,
     },
-    Abandoned,
+    Failed,
     /// The command itself was wrong.
-    Rejected(Sense),
+    InvalidRequest(Sense),
     /// The session ended before an answer.
     Lost,
 }
@@ -43,11 +43,11 @@
 #[derive(Clone, Debug)]
 pub struct Ask {
     pub lun: u32,
-    pub stream: u32,
+    pub traffic_class: u32,
     pub block: u64,
     pub block_bytes: u32,
     pub work: AskWork,
-    pub expiry_us: u64,
+    pub deadline_us: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -114,7 +114,7 @@
         stream.set_read_timeout(Some(to.patience))?;
         stream.set_write_timeout(Some(Duration::from_secs(10)))?;
         let digest = |on| if on { "CRC32C" } else { "None" };
-        let expiry = to.expiry_ms.map(|ms| ms.to_string());
+        let deadline = to.deadline_ms.map(|ms| ms.to_string());
         let mut keys = vec![
             ("InitiatorName", to.name.as_str()),
             ("TargetName", to.target.as_str()),
@@ -129,7 +129,7 @@
             ("iSCSIProtocolLevel", "2"),
             ("X-org.tackmast.ExactDelay", "Yes"),
         ];
-        if let Some(ms) = &expiry {
+        if let Some(ms) = &deadline {
             keys.push(("X-org.tackmast.ExpiryMs", ms));
         }
         let mut pdu = Pdu::new(op::LOGIN | 0x40, FINAL | 1 << 2 | 3);
@@ -139,7 +139,7 @@
         let mut out = BytesMut::new();
         iscsi::encode(&pdu, Digests::default(), &mut out);
         stream.write_all(&out)?;
-        let mut units = Units::new(MOST_DATA);
+        let mut units = Units::new(MAX_DATA);
         let mut buffer = [0; 8192];
         let reply = loop {
             if let Some(p) = units.next_unit().map_err(|e| bad(e.to_string()))? {
@@ -221,11 +221,11 @@
                 session,
                 command: number,
                 volume: ask.lun,
-                stream: ask.stream,
+                traffic_class: ask.traffic_class,
                 write,
                 offset: ask.block * u64::from(ask.block_bytes),
                 bytes,
-                expiry_us: ask.expiry_us,
+                deadline_us: ask.deadline_us,
             })
         })
     }
@@ -456,17 +456,18 @@
             status::BUSY => {
                 let exact =
                     pdu.data.get(2..6).map(|b| u64::from(u32::from_be_bytes([b[0], b[1], b[2], b[3]])));
-                let come_back_us = exact.unwrap_or(u64::from(pdu.u16(8) & 0x3fff) * 100_000);
-                (AnswerKind::Deferred, Reply::Deferred { come_back_us })
+                let retry_after_us = exact.unwrap_or(u64::from(pdu.u16(8) & 0x3fff) * 100_000);
+                (AnswerKind::Rejected, Reply::Rejected { retry_after_us })
             }
             _ => match Sense::from_segment(&pdu.data) {
-                Some(Sense::ABANDONED) => (AnswerKind::Abandoned, Reply::Abandoned),
-                sense => (AnswerKind::Rejected, Reply::Rejected(sense.unwrap_or(Sense(0, 0, 0)))),
+                Some(Sense::FAILED) => (AnswerKind::Failed, Reply::Failed),
+                sense => (AnswerKind::InvalidRequest, Reply::InvalidRequest(sense.unwrap_or(Sense(0, 0, 0)))),
             },
         };
         if p.recorded {
-            let come_back_us = if let Reply::Deferred { come_back_us } = reply { come_back_us } else { 0 };
-            self.recorder.note(Event::Answer { host: self.host, session, command, kind, come_back_us });
+            let retry_after_us =
+                if let Reply::Rejected { retry_after_us } = reply { retry_after_us } else { 0 };
+            self.recorder.note(Event::Answer { host: self.host, session, command, kind, retry_after_us });
         }
         _ = self.replies.send((p.label, reply));
     }
--- a/crates/standins/src/tap.rs
+++ b/crates/emulators/src/tap.rs
@@ -15,7 +15,7 @@
 use tackmast_wire::scsi::{status, Command, Sense};
 
 const SMALL_STACK: usize = 256 << 10;
-const MOST: usize = 16 << 20;
+const MAX: usize = 16 << 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
@@ -31,7 +31,7 @@
     pub block_bytes: u32,
     pub reads: u32,
     pub writes: u32,
-    /// The stream types' own expiries.
+    /// The traffic classes' own expiries.
     pub reads_us: u64,
     pub writes_us: u64,
 }
@@ -73,7 +73,7 @@
 struct Seen {
     session: Option<u32>,
     volume: Option<usize>,
-    expiry_us: Option<u64>,
+    deadline_us: Option<u64>,
     digests: Digests,
     in_full: bool,
     /// Commands without an answer, by the protocol's own number of them.
@@ -122,8 +122,8 @@
 impl Inner {
     /// From the client to the host. What is asked is noted before it is passed on.
     fn upward(&self, mut from: TcpStream, mut to: TcpStream, seen: &Mutex<Seen>) {
-        let mut units = Units::new(MOST);
-        let mut nbd = ClientUnits::new(MOST as u32);
+        let mut units = Units::new(MAX);
+        let mut nbd = ClientUnits::new(MAX as u32);
         let mut buffer = vec![0; 64 << 10];
         while let Ok(n @ 1..) = from.read(&mut buffer) {
             let mut s = lock(seen);
@@ -195,17 +195,23 @@
             session,
             command,
             volume: v.lun,
-            stream: if write { v.writes } else { v.reads },
+            traffic_class: if write { v.writes } else { v.reads },
             write,
             offset,
             bytes,
-            expiry_us: own.or(s.expiry_us).unwrap_or(default),
+            deadline_us: own.or(s.deadline_us).unwrap_or(default),
         });
     }
 
     fn answer(&self, s: &mut Seen, id: u64, kind: AnswerKind) {
         if let (Some(session), Some((command, _))) = (s.session, s.open.remove(&id)) {
-            self.recorder.note(Event::Answer { host: self.number, session, command, kind, come_back_us: 0 });
+            self.recorder.note(Event::Answer {
+                host: self.number,
+                session,
+                command,
+                kind,
+                retry_after_us: 0,
+            });
         }
     }
 
@@ -222,7 +228,7 @@
                 if let Some(v) = volume {
                     let unit = u64::from(v.block_bytes);
                     let (id, bytes) = (u64::from(pdu.tag()), u64::from(blocks) * unit);
-                    self.submit(s, id, pdu.u32(24), &v, write, block * unit, bytes, pdu.expiry());
+                    self.submit(s, id, pdu.u32(24), &v, write, block * unit, bytes, pdu.deadline());
                 }
             }
             op::TASK => self.leave(s, u64::from(pdu.u32(20))),
@@ -237,7 +243,7 @@
                 let Some(v) = s.volume.and_then(|v| self.volumes.get(v)).cloned() else { return };
                 let write = r.kind == command::WRITE;
                 let (number, bytes) = (s.next, u64::from(r.length));
-                self.submit(s, r.cookie, number, &v, write, r.offset, bytes, r.expiry_us);
+                self.submit(s, r.cookie, number, &v, write, r.offset, bytes, r.deadline_us);
             }
             command::CANCEL => self.leave(s, r.offset),
             _ => {}
@@ -246,8 +252,8 @@
 
     /// From the host to the client. An answer is noted as it comes.
     fn downward(&self, mut from: TcpStream, mut to: TcpStream, seen: &Mutex<Seen>) {
-        let mut units = Units::new(MOST);
-        let mut nbd = ServerUnits::new(MOST as u32);
+        let mut units = Units::new(MAX);
+        let mut nbd = ServerUnits::new(MAX as u32);
         let mut buffer = vec![0; 64 << 10];
         while let Ok(n @ 1..) = from.read(&mut buffer) {
             let mut s = lock(seen);
@@ -288,7 +294,7 @@
                         "HeaderDigest" => s.digests.header = value == "CRC32C",
                         "DataDigest" => s.digests.data = value == "CRC32C",
                         "X-org.tackmast.ExpiryMs" => {
-                            s.expiry_us = value.parse::<u64>().ok().map(|ms| ms * 1000)
+                            s.deadline_us = value.parse::<u64>().ok().map(|ms| ms * 1000)
                         }
                         _ => {}
                     }
@@ -299,9 +305,9 @@
             op::RESPONSE => {
                 let kind = match pdu.head[3] {
                     status::GOOD => AnswerKind::Done,
-                    status::BUSY => AnswerKind::Deferred,
-                    _ if Sense::from_segment(&pdu.data) == Some(Sense::ABANDONED) => AnswerKind::Abandoned,
-                    _ => AnswerKind::Rejected,
+                    status::BUSY => AnswerKind::Rejected,
+                    _ if Sense::from_segment(&pdu.data) == Some(Sense::FAILED) => AnswerKind::Failed,
+                    _ => AnswerKind::InvalidRequest,
                 };
                 self.answer(s, id, kind);
             }
@@ -323,16 +329,16 @@
             }
             ServerUnit::OptionReply { .. } => {}
             ServerUnit::Reply(Reply::Simple { cookie, error, .. }) => {
-                let kind = if error == 0 { AnswerKind::Done } else { AnswerKind::Abandoned };
+                let kind = if error == 0 { AnswerKind::Done } else { AnswerKind::Failed };
                 self.answer(s, cookie, kind);
             }
             ServerUnit::Reply(Reply::Chunk { cookie, flags, kind, data }) => {
                 let kind = match kind {
-                    chunk::DEFERRED => AnswerKind::Deferred,
+                    chunk::REJECTED => AnswerKind::Rejected,
                     chunk::ERROR if nbd::read_error(&data).is_ok_and(|(code, _)| code != nbd::error::IO) => {
-                        AnswerKind::Rejected
+                        AnswerKind::InvalidRequest
                     }
-                    k if k & 0x8000 != 0 => AnswerKind::Abandoned,
+                    k if k & 0x8000 != 0 => AnswerKind::Failed,
                     _ => AnswerKind::Done,
                 };
                 if flags & nbd::DONE != 0 {
--- a/crates/hostcore/src/admission.rs
+++ b/crates/host-core/src/admission.rs
@@ -1,10 +1,10 @@
 //! Whether the host's tables have room for a command, and when a client that meets a full one should come back.
 
 use std::collections::HashMap;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 
 const RATE_MEMORY: f64 = 2.0; // seconds over which endings are counted
-const LEAST_WAIT: f64 = 0.05; // seconds; a full table clears no faster in a way worth a round trip
+const MIN_WAIT: f64 = 0.05; // seconds; a full table clears no faster in a way worth a round trip
 const CLEARED: f64 = 0.1; // part of the table that should be free again when a client comes back
 
 /// What one session, and one volume, may hold: so many times what is free. A greedy one takes what nobody wants and
@@ -13,24 +13,24 @@
 const SESSION_TIMES: f64 = 4.0;
 const VOLUME_TIMES: f64 = 8.0;
 
-/// Transfers and bytes, of the host or a part of it.
+/// Requests and bytes, of the host or a part of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Held {
-    pub transfers: usize,
+    pub requests: usize,
     pub bytes: usize,
 }
 
 impl Held {
     fn plus(self, other: Held) -> Held {
-        Held { transfers: self.transfers + other.transfers, bytes: self.bytes + other.bytes }
+        Held { requests: self.requests + other.requests, bytes: self.bytes + other.bytes }
     }
     fn less(self, other: Held) -> Held {
-        let (transfers, bytes) =
-            (self.transfers.saturating_sub(other.transfers), self.bytes.saturating_sub(other.bytes));
-        Held { transfers, bytes }
+        let (requests, bytes) =
+            (self.requests.saturating_sub(other.requests), self.bytes.saturating_sub(other.bytes));
+        Held { requests, bytes }
     }
     fn within(self, bound: Held, times: f64) -> bool {
-        self.transfers as f64 <= times * bound.transfers as f64
+        self.requests as f64 <= times * bound.requests as f64
             && self.bytes as f64 <= times * bound.bytes as f64
     }
 }
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub struct Admission {
     most: Held,
-    longest_wait: Span,
+    longest_wait: TimeDelta,
     held: Held,
     sessions: HashMap<u32, Held>,
     volumes: HashMap<usize, Held>,
@@ -47,9 +47,9 @@
 }
 
 impl Admission {
-    pub fn new(now: Instant, transfers: usize, bytes: usize, longest_wait: Span) -> Self {
+    pub fn new(now: Instant, requests: usize, bytes: usize, longest_wait: TimeDelta) -> Self {
         Admission {
-            most: Held { transfers, bytes },
+            most: Held { requests, bytes },
             longest_wait,
             held: Held::default(),
             sessions: HashMap::new(),
@@ -66,7 +66,13 @@
     }
 
     /// Takes up room, or says how long to stay away.
-    pub fn enter(&mut self, now: Instant, session: u32, volume: usize, wanted: Held) -> Result<(), Span> {
+    pub fn enter(
+        &mut self,
+        now: Instant,
+        session: u32,
+        volume: usize,
+        wanted: Held,
+    ) -> Result<(), TimeDelta> {
         let with = self.held.plus(wanted);
         // What is free counts after this one, so that the last place is nobody's alone.
         let free = self.most.less(with);
@@ -83,14 +89,14 @@
         }
         self.fade(now);
         let rate = self.ended / RATE_MEMORY;
-        let cleared = CLEARED * self.most.transfers as f64 + wanted.transfers as f64;
+        let cleared = CLEARED * self.most.requests as f64 + wanted.requests as f64;
         let wait = if rate > 0.0 { cleared / rate } else { f64::MAX };
-        Err(Span::from_secs(wait.clamp(LEAST_WAIT, self.longest_wait.secs().max(LEAST_WAIT))))
+        Err(TimeDelta::from_secs(wait.clamp(MIN_WAIT, self.longest_wait.secs().max(MIN_WAIT))))
     }
 
     pub fn leave(&mut self, now: Instant, session: u32, volume: usize, held: Held) {
         self.fade(now);
-        self.ended += held.transfers as f64;
+        self.ended += held.requests as f64;
         self.held = self.held.less(held);
         let less = |h: &mut Held| {
             *h = h.less(held);
@@ -110,10 +116,10 @@
     use super::*;
 
     fn one(bytes: usize) -> Held {
-        Held { transfers: 1, bytes }
+        Held { requests: 1, bytes }
     }
 
-    /// How many of one transfer each get in, of those that ask one after the other: session, volume.
+    /// How many of one request each get in, of those that ask one after the other: session, volume.
     fn fill(a: &mut Admission, asks: &[(u32, usize)], rounds: usize) -> Vec<usize> {
         let mut got = vec![0; asks.len()];
         for _ in 0..rounds {
@@ -127,7 +133,7 @@
     #[test]
     fn a_full_table_names_a_time_that_follows_its_pace() {
         let at = Instant::from_secs;
-        // Sessions that fill it, transfers ended over the last second, bytes asked; least and most wait, 0 fits.
+        // Sessions that fill it, requests ended over the last second, bytes asked; least and most wait, 0 fits.
         for (name, sessions, ended, bytes, low, high) in [
             ("room", 0, 0, 10, 0.0, 0.0),
             ("full and stuck", 50, 0, 10, 2.0, 2.0),
@@ -135,21 +141,21 @@
             ("full and fast", 50, 1000, 10, 0.05, 0.05),
             ("too many bytes", 0, 0, 200_000, 2.0, 2.0),
         ] {
-            let mut a = Admission::new(at(0.0), 100, 100_000, Span::from_secs(2.0));
+            let mut a = Admission::new(at(0.0), 100, 100_000, TimeDelta::from_secs(2.0));
             for i in 0..ended {
                 a.enter(at(0.0), 1, 1, one(0)).unwrap();
                 a.leave(at(f64::from(i) / f64::from(ended)), 1, 1, one(0));
             }
             let asks: Vec<(u32, usize)> = (0..sessions).map(|s| (s, s as usize)).collect();
             fill(&mut a, &asks, 100);
-            let found = a.enter(at(1.0), 0, 0, one(bytes)).map_or_else(Span::secs, |()| 0.0);
+            let found = a.enter(at(1.0), 0, 0, one(bytes)).map_or_else(TimeDelta::secs, |()| 0.0);
             assert!((low..=high).contains(&found), "{name}: {found}");
         }
     }
 
     #[test]
     fn a_greedy_one_always_leaves_room_for_others() {
-        let new = || Admission::new(Instant::from_secs(0.0), 1000, 1 << 30, Span::from_secs(2.0));
+        let new = || Admission::new(Instant::from_secs(0.0), 1000, 1 << 30, TimeDelta::from_secs(2.0));
         // One session that asks without end, then others of the same and of another volume.
         let mut a = new();
         let greedy = fill(&mut a, &[(1, 1)], 5000)[0];
@@ -172,7 +178,7 @@
 
     #[test]
     fn what_leaves_leaves_nothing_behind() {
-        let mut a = Admission::new(Instant::from_secs(0.0), 100, 1000, Span::from_secs(1.0));
+        let mut a = Admission::new(Instant::from_secs(0.0), 100, 1000, TimeDelta::from_secs(1.0));
         for s in 0..5 {
             a.enter(Instant::from_secs(0.0), s, 1, one(7)).unwrap();
         }
--- a/crates/hostcore/src/agreed.rs
+++ b/crates/host-core/src/agreed.rs
@@ -3,11 +3,11 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use tackmast::interface::{Instant, Span};
-use tackmast_agreement::{
+use tackmast::interface::{Instant, TimeDelta};
+use tackmast_config::{AgreementBlock, HostSettings};
+use tackmast_consensus::{
     Held, Lease, Origin, Parcels, ParcelsSettings, Seat, SeatSettings, Settings, Standing, Word,
 };
-use tackmast_config::{AgreementBlock, HostSettings};
 use tackmast_wire::peer::Body;
 
 /// Entries, and bytes of them, after which they are folded.
@@ -63,7 +63,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AgreementStatus {
     pub host: u32,
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub generation: u64,
     /// Leads, follows, or asks for votes.
     pub role: String,
     pub term: u64,
@@ -120,9 +121,9 @@
 
 pub fn agreement_settings(s: &HostSettings, a: &AgreementBlock) -> Settings {
     Settings {
-        beat: Span::from_secs(a.beat_ms / 1e3),
-        patience: Span::from_secs(a.patience_ms / 1e3),
-        lease: Span::from_secs(a.lease_s),
+        beat: TimeDelta::from_secs(a.beat_ms / 1e3),
+        patience: TimeDelta::from_secs(a.patience_ms / 1e3),
+        lease: TimeDelta::from_secs(a.lease_s),
         drift: a.drift,
         hosts: s.host.hosts,
         fold_entries: FOLD_ENTRIES,
@@ -133,7 +134,7 @@
 impl Agreed {
     pub fn new(now: Instant, s: &HostSettings, a: &AgreementBlock, start: AgreedStart, seed: u64) -> Agreed {
         let (me, settings) = (s.host.number, agreement_settings(s, a));
-        let first = (start.of.life as u32).wrapping_mul(0x9e37_79b1);
+        let first = (start.of.generation as u32).wrapping_mul(0x9e37_79b1);
         let seat = SeatSettings {
             me,
             of: start.of,
@@ -177,7 +178,7 @@
     }
 
     /// Seconds from a change's commit until all hosts go by it.
-    pub fn settle(&self) -> Span {
+    pub fn settle(&self) -> TimeDelta {
         Lease::until_all(self.settings.lease, self.settings.drift)
     }
 
@@ -194,7 +195,7 @@
         };
         AgreementStatus {
             host: self.me,
-            life: self.seat.voter.of().life,
+            generation: self.seat.voter.of().generation,
             role: s.role.into(),
             term: s.term,
             leader: s.leader,
--- a/crates/hostcore/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -1,9 +1,9 @@
 //! The state machine: inputs, the tables, and the outputs.
 
 mod agreed;
+mod attempts;
 mod commands;
 mod fellows;
-mod legs;
 mod listed;
 mod orders;
 mod stops;
@@ -23,7 +23,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use tackmast::interface::*;
 use tackmast::policy::Scheduler;
-use tackmast_config::{HostSettings, Stream};
+use tackmast_config::{HostSettings, TrafficClass};
 use tackmast_overrides::{Effective, NodeFacts, Overrides};
 
 /// Parts of the stated figures of cold nodes that the module is told. Within one window its guard lets out its part of
@@ -33,12 +33,12 @@
 const COLD_SAFE_PART: f64 = 0.4;
 const COLD_MULTIPLE_PART: f64 = 0.6;
 /// The least of these parts that is told, where nodes are said to bear hardly more than they can do.
-const COLD_LEAST_PART: f64 = 0.05;
+const COLD_MIN_PART: f64 = 0.05;
 
 /// Safe units and multiple as the module is told of them. What a node has done makes room as well, up to all that it can
 /// do in the window; so burst and time share only what the multiple leaves beyond that.
 fn cold_figures(c: &tackmast_config::ColdNodes) -> (f64, f64) {
-    let spare = ((c.multiple - 1.0) / c.multiple).clamp(COLD_LEAST_PART, 1.0);
+    let spare = ((c.multiple - 1.0) / c.multiple).clamp(COLD_MIN_PART, 1.0);
     (c.safe_units * COLD_SAFE_PART * spare, c.multiple * COLD_MULTIPLE_PART * spare)
 }
 /// Part of the grace of a drain after which links that still write to the node are cut.
@@ -57,9 +57,9 @@
     Write { data: Bytes },
 }
 
-/// What a leg asks of its node; lengths in bytes.
+/// What an attempt asks of its node; lengths in bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LegWork {
+pub enum AttemptWork {
     Read {
         length: u32,
     },
@@ -70,22 +70,22 @@
     Request(Request),
 }
 
-/// What every leg of a transfer says.
-struct LegText {
+/// What every attempt of a request says.
+struct AttemptText {
     key: u64,
     volume: u32,
     offset: u64,
     units: f64,
-    work: LegWork,
+    work: AttemptWork,
 }
 
-impl LegText {
+impl AttemptText {
     /// How many bytes an answer must bring; none: only its node knows.
     fn wanted(&self) -> Option<usize> {
         match &self.work {
-            LegWork::Read { length } => Some(*length as usize),
-            LegWork::Write { .. } => Some(0),
-            LegWork::Request(_) => None,
+            AttemptWork::Read { length } => Some(*length as usize),
+            AttemptWork::Write { .. } => Some(0),
+            AttemptWork::Request(_) => None,
         }
     }
 }
@@ -94,21 +94,21 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     Done { data: Bytes },
-    Deferred { come_back: Option<Span> },
-    Abandoned,
+    Rejected { retry_after: Option<TimeDelta> },
+    Failed,
 }
 
-/// A leg among all that this host has out.
+/// An attempt among all that this host has out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct LegId(pub u64);
+pub struct AttemptId(pub u64);
 
 #[derive(Clone, Debug)]
-pub struct SendLeg {
+pub struct SendAttempt {
     pub node: NodeId,
-    pub leg: LegId,
-    /// The transfer's number in this life of the host, the leg's within the transfer.
-    pub xfer: u64,
-    pub leg_no: u8,
+    pub attempt: AttemptId,
+    /// The request's number in this generation of the host, the attempt's within the request.
+    pub request: u64,
+    pub attempt_number: u8,
     pub from: CommandRef,
     pub part: u16,
     /// When nobody waits for its answer any more.
@@ -116,17 +116,17 @@
     /// When a repeat may no longer be known for one: no first byte leaves from then on.
     pub begin_by: Option<Instant>,
     pub mark: u128,
-    /// Order key; 0 where the stream type asks for no order.
+    /// Order key; 0 where the traffic class asks for no order.
     pub key: u64,
     pub volume: u32,
     /// Bytes from the volume's start.
     pub offset: u64,
     pub units: f64,
-    pub work: LegWork,
+    pub work: AttemptWork,
     pub ticket: Ticket,
 }
 
-/// Whether a leg's first byte may leave.
+/// Whether an attempt's first byte may leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Begin {
     /// It leaves now: claimed.
@@ -137,8 +137,8 @@
     TooLate,
 }
 
-impl SendLeg {
-    /// Asked by its link once it could write, which may be long after the leg was decided: against a connection that comes
+impl SendAttempt {
+    /// Asked by its link once it could write, which may be long after the attempt was decided: against a connection that comes
     /// up when nobody waits any more, and against a repeat that nodes no longer know for one.
     pub fn begin(&self, now: Instant) -> Begin {
         let over = self.until <= now || self.begin_by.is_some_and(|t| t <= now);
@@ -152,17 +152,17 @@
 
 #[derive(Clone, Debug)]
 pub enum Output {
-    Send(Box<SendLeg>),
-    /// Nobody waits for this leg any more.
+    Send(Box<SendAttempt>),
+    /// Nobody waits for this attempt any more.
     Cancel {
         node: NodeId,
-        leg: LegId,
+        attempt: AttemptId,
     },
     /// The same, and its link is still writing it to a node that takes no bytes: what has not left by now must
     /// not leave later, so the connection ends here.
     Cut {
         node: NodeId,
-        leg: LegId,
+        attempt: AttemptId,
     },
     Answer {
         to: CommandRef,
@@ -195,12 +195,12 @@
     },
 }
 
-/// What came back for a leg.
+/// What came back for an attempt.
 #[derive(Clone, Debug)]
-pub struct LegBack {
-    pub leg: LegId,
+pub struct AttemptResult {
+    pub attempt: AttemptId,
     pub outcome: Outcome,
-    /// Transfers waiting at the node, and units it served for the volume through other hosts, where it told.
+    /// Requests waiting at the node, and units it served for the volume through other hosts, where it told.
     pub waiting: Option<u32>,
     pub elsewhere: Option<f64>,
     pub data: Bytes,
@@ -211,11 +211,11 @@
     pub taken: u64,
     pub over_bound: u64,
     pub done: u64,
-    pub deferred: u64,
-    pub abandoned: u64,
+    pub rejected: u64,
+    pub failed: u64,
     pub left: u64,
-    pub legs: u64,
-    pub further_legs: u64,
+    pub attempts: u64,
+    pub retries: u64,
     pub timed_out: u64,
     pub withdrawn: u64,
     pub cut: u64,
@@ -232,39 +232,39 @@
     ticket: Ticket,
 }
 
-struct Xfer {
+struct PendingRequest {
     serial: u64,
     from: CommandRef,
     part: u16,
-    text: LegText,
-    stream: usize,
-    expiry: Instant,
-    legs: u32,
+    text: AttemptText,
+    traffic_class: usize,
+    deadline: Instant,
+    attempts: u32,
     out: Vec<Out>,
-    /// In its session's turn, until its first leg leaves.
+    /// In its session's turn, until its first attempt leaves.
     place: Option<Place>,
-    /// Whether a leg may have had an effect; those that are out count by their ticket.
+    /// Whether an attempt may have had an effect; those that are out count by their ticket.
     ran: bool,
     answered: bool,
 }
 
-impl Xfer {
+impl PendingRequest {
     fn new(
         serial: u64,
         (from, part): (CommandRef, u16),
-        text: LegText,
-        stream: usize,
-        expiry: Instant,
+        text: AttemptText,
+        traffic_class: usize,
+        deadline: Instant,
         place: Option<Place>,
     ) -> Self {
-        Xfer {
+        PendingRequest {
             serial,
             from,
             part,
             text,
-            stream,
-            expiry,
-            legs: 0,
+            traffic_class,
+            deadline,
+            attempts: 0,
             out: Vec::new(),
             place,
             ran: false,
@@ -278,8 +278,8 @@
 }
 
 struct Command {
-    parts: Vec<(XferId, Option<PartEnd>, Bytes)>,
-    stream: usize,
+    parts: Vec<(RequestId, Option<PartEnd>, Bytes)>,
+    traffic_class: usize,
     volume: usize,
     marked: bool,
     bytes: usize,
@@ -290,21 +290,21 @@
     scheduler: Scheduler,
     layout: Layout,
     volume_names: VolumeNames,
-    streams: Vec<Stream>,
+    traffic_classes: Vec<TrafficClass>,
     tells: bool,
-    lead: Span,
-    longest_wait: Span,
-    life: u64,
+    lead: TimeDelta,
+    longest_wait: TimeDelta,
+    generation: u64,
     nodes: Nodes,
     admission: Admission,
     sharing: Sharing,
     commands: HashMap<CommandRef, Command>,
     sessions: HashMap<u32, BTreeSet<u32>>, // open commands
-    xfers: HashMap<XferId, Xfer>,
+    requests: HashMap<RequestId, PendingRequest>,
     serial: u64,
-    at_node: BTreeMap<NodeId, BTreeSet<(XferId, u32)>>, // legs out
-    until: BTreeSet<(Instant, XferId, u32)>,            // the same, by the end of their time
-    grace: Span,
+    at_node: BTreeMap<NodeId, BTreeSet<(RequestId, u32)>>, // attempts out
+    until: BTreeSet<(Instant, RequestId, u32)>,            // the same, by the end of their time
+    grace: TimeDelta,
     cuts: BTreeSet<(Instant, NodeId)>, // when what is still being written to a node that drains is cut off
     list_version: u64,
     stops: stops::Stops,
@@ -321,67 +321,67 @@
 }
 
 impl Core {
-    /// `life` differs between all lives of all hosts; `seed` is for chance in decisions.
-    pub fn new(now: Instant, s: &HostSettings, seed: u64, life: u64) -> Self {
-        let tick = Span::from_secs(s.host.tick_ms / 1e3);
-        let longest = Span::from_secs(s.load.longest_wait_s);
+    /// `address_generation` differs between all generations of all hosts; `seed` is for chance in decisions.
+    pub fn new(now: Instant, s: &HostSettings, seed: u64, generation: u64) -> Self {
+        let tick = TimeDelta::from_secs(s.host.tick_ms / 1e3);
+        let longest = TimeDelta::from_secs(s.load.longest_wait_s);
         let mut scheduler = Scheduler::new(now, seed, s.host.hosts, tick, s.units.mean);
-        for st in &s.streams {
-            scheduler.stream(st.slo, st.effect, st.in_order);
+        for st in &s.traffic_classes {
+            scheduler.traffic_class(st.latency_objective, st.effect, st.in_order);
         }
         for p in &s.plans {
             scheduler.plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
         }
-        scheduler.leg_limits(s.load.most_legs, longest, Span::from_secs(s.load.settle_s));
-        if let Some(f) = &s.further_legs {
-            scheduler.further_leg_budget(f.free, f.share, Span::from_secs(f.window_s));
+        scheduler.attempt_limits(s.load.max_attempts, longest, TimeDelta::from_secs(s.load.settle_s));
+        if let Some(f) = &s.retry_budget {
+            scheduler.retry_budget(f.free, f.share, TimeDelta::from_secs(f.window_s));
         }
         if let Some(c) = &s.cold {
-            let (warm, window) = (Span::from_secs(c.warm_s), Span::from_secs(c.window_s));
+            let (warm, window) = (TimeDelta::from_secs(c.warm_s), TimeDelta::from_secs(c.window_s));
             let (safe, multiple) = cold_figures(c);
             scheduler.cold_nodes(safe, c.from, warm, window, multiple);
             scheduler.work_saved(c.saved);
         }
         scheduler.list_must_be_asked();
         let placed = PlacedSettings {
-            streams: s.streams.clone(),
+            traffic_classes: s.traffic_classes.clone(),
             tells: s.load.tells_others,
             longest_wait: longest,
-            grace: Span::from_secs(s.load.drain_grace_ms / 1e3),
-            transfers: s.bounds.transfers,
+            grace: TimeDelta::from_secs(s.load.drain_grace_ms / 1e3),
+            requests: s.bounds.requests,
             bytes: s.bounds.bytes,
             nodes: s.bounds.nodes,
             volumes: 0,
         };
         Core {
             layout: Layout::new(s),
-            lead: Span::from_secs(s.host.answer_lead_ms / 1e3),
+            lead: TimeDelta::from_secs(s.host.answer_lead_ms / 1e3),
             number: s.host.number,
-            ..Core::placed(now, scheduler, placed, life)
+            ..Core::placed(now, scheduler, placed, generation)
         }
     }
 
-    /// A host whose transfers arrive already placed, round a module that has its settings.
-    pub fn placed(now: Instant, scheduler: Scheduler, s: PlacedSettings, life: u64) -> Self {
+    /// A host whose requests arrive already placed, round a module that has its settings.
+    pub fn placed(now: Instant, scheduler: Scheduler, s: PlacedSettings, generation: u64) -> Self {
         Core {
             scheduler,
             layout: Layout::default(),
             volume_names: VolumeNames::new(s.volumes),
-            streams: s.streams,
+            traffic_classes: s.traffic_classes,
             tells: s.tells,
-            lead: Span::ZERO,
+            lead: TimeDelta::ZERO,
             longest_wait: s.longest_wait,
-            life,
+            generation,
             nodes: Nodes::new(s.nodes),
-            admission: Admission::new(now, s.transfers, s.bytes, s.longest_wait),
+            admission: Admission::new(now, s.requests, s.bytes, s.longest_wait),
             sharing: Sharing::default(),
             commands: HashMap::new(),
             sessions: HashMap::new(),
-            xfers: HashMap::new(),
+            requests: HashMap::new(),
             serial: 0,
             at_node: BTreeMap::new(),
             until: BTreeSet::new(),
-            grace: Span::from_secs(s.grace.secs() * GRACE_PART),
+            grace: TimeDelta::from_secs(s.grace.secs() * GRACE_PART),
             cuts: BTreeSet::new(),
             list_version: 0,
             stops: stops::Stops::default(),
@@ -410,8 +410,8 @@
         self.list_version
     }
 
-    /// Whether this host has a leg out at the node.
-    pub fn has_legs_at(&self, node: NodeId) -> bool {
+    /// Whether this host has an attempt out at the node.
+    pub fn has_attempts_at(&self, node: NodeId) -> bool {
         self.at_node.contains_key(&node)
     }
 
@@ -425,15 +425,15 @@
         self.scheduler.keys_in_order()
     }
 
-    /// Commands without an answer, transfers that are kept, and legs out.
+    /// Commands without an answer, requests that are kept, and attempts out.
     pub fn open(&self) -> (usize, usize, usize) {
-        (self.commands.len(), self.xfers.len(), self.until.len())
+        (self.commands.len(), self.requests.len(), self.until.len())
     }
 }
 
 /// Inputs.
 impl Core {
-    /// What each shard did for this host, units a second; and what an earlier life of it saw.
+    /// What each shard did for this host, units a second; and what an earlier generation of it saw.
     pub fn paces(&self, now: Instant) -> Vec<(ShardId, f64)> {
         self.scheduler.paces(now)
     }
@@ -442,7 +442,7 @@
         self.scheduler.pace_known(now, shard, rate);
     }
 
-    /// Time has passed: legs whose time is up end.
+    /// Time has passed: attempts whose time is up end.
     pub fn tick(&mut self, now: Instant) {
         self.tick_orders(now);
         self.tick_agreed(now);
@@ -456,16 +456,17 @@
             self.cuts.pop_first();
             let stopped = self.is_stopped(now, node);
             for (id, no) in self.at_node.get(&node).cloned().unwrap_or_default() {
-                let leg = self.xfers.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
-                if stopped && leg.is_some_and(|o| o.ticket.is_stuck()) {
+                let attempt = self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
+                if stopped && attempt.is_some_and(|o| o.ticket.is_stuck()) {
                     self.counters.cut += 1;
-                    self.outputs.push_back(Output::Cut { node, leg: leg_id(id, no) });
+                    self.outputs.push_back(Output::Cut { node, attempt: attempt_id(id, no) });
                 }
             }
         }
         while let Some((_, id, no)) = self.until.first().copied().filter(|(t, _, _)| *t <= now) {
-            let leg = self.xfers.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
-            let Some((node, unsent, stuck)) = leg.map(|o| (o.node, o.ticket.withdraw(), o.ticket.is_stuck()))
+            let attempt = self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
+            let Some((node, unsent, stuck)) =
+                attempt.map(|o| (o.node, o.ticket.withdraw(), o.ticket.is_stuck()))
             else {
                 self.until.pop_first();
                 continue;
@@ -475,16 +476,16 @@
                 true => self.counters.withdrawn += 1,
                 false => {
                     self.counters.timed_out += 1;
-                    self.push_cancel(node, leg_id(id, no), stuck);
+                    self.push_cancel(node, attempt_id(id, no), stuck);
                 }
             }
-            self.leg_over(now, id, no, outcome, None, Bytes::new());
+            self.attempt_over(now, id, no, outcome, None, Bytes::new());
         }
     }
 }
 
-fn leg_id(id: XferId, no: u32) -> LegId {
-    LegId(u64::from(id.0) << 8 | u64::from(no & 0xff))
+fn attempt_id(id: RequestId, no: u32) -> AttemptId {
+    AttemptId(u64::from(id.0) << 8 | u64::from(no & 0xff))
 }
 
 /// Outputs.
@@ -504,12 +505,12 @@
 
     /// When to come back if nothing else happens before.
     pub fn next_wake(&self, now: Instant) -> Option<Instant> {
-        let leg = self.until.first().map(|(t, _, _)| *t);
+        let attempt = self.until.first().map(|(t, _, _)| *t);
         let cut = self.cuts.first().map(|(t, _)| *t);
         let ends = self.orders.as_ref().and_then(|o| o.next(now));
         let fellows = self.fellows.as_ref().map(|f| f.member.next_wake());
         let agreed = self.agreed.as_ref().map(|a| a.next_wake(now));
-        [leg, cut, ends, fellows, agreed, self.scheduler.next_wake()].into_iter().flatten().min()
+        [attempt, cut, ends, fellows, agreed, self.scheduler.next_wake()].into_iter().flatten().min()
     }
 }
 
@@ -517,7 +518,7 @@
     Some(NodeFacts { address: address.parse().ok()?, zone: e.zone.0, shard: e.shard.0, listed: e.state })
 }
 
-fn joined(parts: &[(XferId, Option<PartEnd>, Bytes)], bytes: usize) -> Bytes {
+fn joined(parts: &[(RequestId, Option<PartEnd>, Bytes)], bytes: usize) -> Bytes {
     if let [(_, _, only)] = parts {
         return only.clone();
     }
--- a/crates/hostcore/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -15,7 +15,7 @@
         block: u64,
         work: Work,
         began: Instant,
-        asked: Option<Span>,
+        asked: Option<TimeDelta>,
         mark: Option<u128>,
     ) {
         self.counters.taken += 1;
@@ -29,18 +29,18 @@
             Work::Write { data } => (true, (data.len() / block_bytes) as u32),
         };
         let (plan, hosts, name) = (PlanId(v.plan), v.hosts, VolumeId(volume as u32));
-        let stream = self.layout.stream(volume, write, blocks);
-        let expiry = began + asked.unwrap_or(self.streams[stream].expiry) - self.lead;
-        let parts = self.layout.parts(volume, stream, block, blocks);
+        let traffic_class = self.layout.traffic_class(volume, write, blocks);
+        let deadline = began + asked.unwrap_or(self.traffic_classes[traffic_class].deadline) - self.lead;
+        let parts = self.layout.parts(volume, traffic_class, block, blocks);
         if self.draining || self.clients_wait(now) {
             return self.refuse(from, Some(self.longest_wait));
         }
-        if expiry <= now || parts.is_empty() || self.commands.contains_key(&from) {
+        if deadline <= now || parts.is_empty() || self.commands.contains_key(&from) {
             return self.refuse(from, None);
         }
         let bytes = blocks as usize * block_bytes;
         // A full table answers at once with when to come back; nothing is dropped in silence.
-        let held = Held { transfers: parts.len(), bytes };
+        let held = Held { requests: parts.len(), bytes };
         if let Err(wait) = self.admission.enter(now, from.session, volume, held) {
             self.counters.over_bound += 1;
             return self.refuse(from, Some(wait));
@@ -49,9 +49,9 @@
             Work::Write { data } => Some(data),
             Work::Read { .. } => None,
         };
-        let ids: Vec<XferId> = parts.iter().map(|_| self.new_id()).collect();
+        let ids: Vec<RequestId> = parts.iter().map(|_| self.new_id()).collect();
         let open = ids.iter().map(|id| (*id, None, Bytes::new())).collect();
-        let command = Command { parts: open, stream, volume, marked: mark.is_some(), bytes, write };
+        let command = Command { parts: open, traffic_class, volume, marked: mark.is_some(), bytes, write };
         self.commands.insert(from, command);
         self.sessions.entry(from.session).or_default().insert(from.command);
         let mut taken = 0;
@@ -60,48 +60,51 @@
             let part_data = data.as_ref().map(|d| d.slice(taken..taken + n));
             taken += n;
             let serial = self.serial - (ids.len() - 1 - i) as u64;
-            let line = LineName { shard: spec.shard.0, volume: name.0, stream: stream as u32 };
+            let line = LineName { shard: spec.shard.0, volume: name.0, traffic_class: traffic_class as u32 };
             let place = self.sharing.arrived(line, from.session, spec.units);
             if let Some(f) = &mut self.fellows {
                 f.member.asked(now, lun, spec.units);
             }
             let tag = place.tag;
             let v = self.layout.volume(volume);
-            let text = LegText {
-                key: if self.streams[stream].in_order { spec.key } else { 0 },
+            let text = AttemptText {
+                key: if self.traffic_classes[traffic_class].in_order { spec.key } else { 0 },
                 volume: v.lun,
                 offset: spec.block * u64::from(v.block_bytes),
                 units: spec.units,
                 work: match part_data {
-                    Some(data) => LegWork::Write { data },
-                    None => LegWork::Read { length: spec.blocks * v.block_bytes },
+                    Some(data) => AttemptWork::Write { data },
+                    None => AttemptWork::Read { length: spec.blocks * v.block_bytes },
                 },
             };
-            self.xfers.insert(*id, Xfer::new(serial, (from, i as u16), text, stream, expiry, Some(place)));
-            self.scheduler.transfer_arrived(
+            self.requests.insert(
+                *id,
+                PendingRequest::new(serial, (from, i as u16), text, traffic_class, deadline, Some(place)),
+            );
+            self.scheduler.request_arrived(
                 now,
                 *id,
-                StreamId(stream as u32),
+                TrafficClassId(traffic_class as u32),
                 plan,
                 Some(key_id(spec.key)),
-                expiry - now,
+                deadline - now,
                 name,
                 spec.units,
                 Some(spec.shard),
                 hosts,
             );
-            self.scheduler.transfer_tagged(*id, tag);
+            self.scheduler.request_tagged(*id, tag);
         }
     }
 
-    /// A transfer that its client has placed already, owed one answer. Volumes, keys and shards are the client's words.
+    /// A request that its client has placed already, owed one answer. Volumes, keys and shards are the client's words.
     pub fn submit_placed(&mut self, now: Instant, from: CommandRef, p: Placed) {
         self.counters.taken += 1;
         if self.draining {
             return self.refuse(from, Some(self.longest_wait));
         }
-        let known = self.scheduler.knows(p.stream, p.plan);
-        if !known || p.left <= Span::ZERO || self.commands.contains_key(&from) {
+        let known = self.scheduler.knows(p.traffic_class, p.plan);
+        if !known || p.left <= TimeDelta::ZERO || self.commands.contains_key(&from) {
             return self.refuse(from, None);
         }
         let open = |v: usize| self.commands.values().any(|c| c.volume == v);
@@ -110,46 +113,58 @@
             return self.refuse(from, Some(self.longest_wait));
         };
         let bytes = p.request.bytes();
-        if let Err(wait) = self.admission.enter(now, from.session, volume, Held { transfers: 1, bytes }) {
+        if let Err(wait) = self.admission.enter(now, from.session, volume, Held { requests: 1, bytes }) {
             self.counters.over_bound += 1;
             return self.refuse(from, Some(wait));
         }
-        let (id, stream) = (self.new_id(), p.stream.0 as usize);
+        let (id, traffic_class) = (self.new_id(), p.traffic_class.0 as usize);
         let parts = vec![(id, None, Bytes::new())];
         // The client's own mark stands in the request: it is the same at each of its tries.
-        self.commands.insert(from, Command { parts, stream, volume, marked: true, bytes, write: false });
+        self.commands
+            .insert(from, Command { parts, traffic_class, volume, marked: true, bytes, write: false });
         self.sessions.entry(from.session).or_default().insert(from.command);
-        let work = LegWork::Request(p.request);
-        let text = LegText { key: 0, volume: volume as u32, offset: 0, units: p.units, work };
-        self.xfers.insert(id, Xfer::new(self.serial, (from, 0), text, stream, now + p.left, None));
+        let work = AttemptWork::Request(p.request);
+        let text = AttemptText { key: 0, volume: volume as u32, offset: 0, units: p.units, work };
+        self.requests
+            .insert(id, PendingRequest::new(self.serial, (from, 0), text, traffic_class, now + p.left, None));
         let (volume, key) = (VolumeId(volume as u32), Some(key_id(p.key)));
-        self.scheduler
-            .transfer_arrived(now, id, p.stream, p.plan, key, p.left, volume, p.units, p.shard, p.hosts);
+        self.scheduler.request_arrived(
+            now,
+            id,
+            p.traffic_class,
+            p.plan,
+            key,
+            p.left,
+            volume,
+            p.units,
+            p.shard,
+            p.hosts,
+        );
     }
 
-    /// The next number that no open transfer has. Answered ones keep theirs until their last leg is back.
-    pub(super) fn new_id(&mut self) -> XferId {
+    /// The next number that no open request has. Answered ones keep theirs until their last attempt is back.
+    pub(super) fn new_id(&mut self) -> RequestId {
         loop {
             self.serial += 1;
-            let id = XferId(self.serial as u32);
-            if !self.xfers.contains_key(&id) {
+            let id = RequestId(self.serial as u32);
+            if !self.requests.contains_key(&id) {
                 return id;
             }
         }
     }
 
-    pub(super) fn refuse(&mut self, to: CommandRef, come_back: Option<Span>) {
-        self.counters.deferred += 1;
-        self.outputs.push_back(Output::Answer { to, verdict: Verdict::Deferred { come_back } });
+    pub(super) fn refuse(&mut self, to: CommandRef, retry_after: Option<TimeDelta>) {
+        self.counters.rejected += 1;
+        self.outputs.push_back(Output::Answer { to, verdict: Verdict::Rejected { retry_after } });
     }
 
-    /// The host will end: what comes from now on is deferred, what is open goes on.
+    /// The host will end: what comes from now on is rejected, what is open goes on.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// The host ends now: each command still open has its answer at once. Deferred where nothing of it can have run,
-    /// abandoned otherwise.
+    /// The host ends now: each command still open has its answer at once. Rejected where nothing of it can have run,
+    /// failed otherwise.
     pub fn settle(&mut self, now: Instant) {
         self.draining = true;
         let mut open: Vec<CommandRef> = self.commands.keys().copied().collect();
@@ -159,9 +174,9 @@
             else {
                 continue;
             };
-            let (id, come_back) = (first.0, Some(self.longest_wait));
-            // As if the module had deferred it: the parts together tell whether that can be said.
-            self.part_over(now, id, PartEnd::Deferred { ran: true, come_back }, Bytes::new());
+            let (id, retry_after) = (first.0, Some(self.longest_wait));
+            // As if the module had rejected it: the parts together tell whether that can be said.
+            self.part_over(now, id, PartEnd::Rejected { ran: true, retry_after }, Bytes::new());
         }
     }
 
@@ -183,26 +198,27 @@
         self.sharing.gone(session);
     }
 
-    /// The transfer of one part has its end.
-    pub(super) fn part_over(&mut self, now: Instant, id: XferId, mut end: PartEnd, data: Bytes) {
-        let Some((from, part)) = self.xfers.get(&id).filter(|x| !x.answered).map(|x| (x.from, x.part)) else {
+    /// The request of one part has its end.
+    pub(super) fn part_over(&mut self, now: Instant, id: RequestId, mut end: PartEnd, data: Bytes) {
+        let Some((from, part)) = self.requests.get(&id).filter(|x| !x.answered).map(|x| (x.from, x.part))
+        else {
             return;
         };
         // An undone part settles the whole command. What is still unsent of it is taken back before it is
-        // judged whether any of it may have run: a leg that left in between would make the judgement false.
-        let ids: Vec<XferId> = match (end, self.commands.get(&from)) {
+        // judged whether any of it may have run: an attempt that left in between would make the judgement false.
+        let ids: Vec<RequestId> = match (end, self.commands.get(&from)) {
             (PartEnd::Done, _) | (_, None) => vec![id],
             (_, Some(c)) => c.parts.iter().map(|(id, _, _)| *id).collect(),
         };
         for id in ids {
-            self.withdraw_legs(now, id);
+            self.cancel_attempts(now, id);
         }
-        if let Some(x) = self.xfers.get(&id) {
-            if let PartEnd::Deferred { ran, .. } | PartEnd::Abandoned { ran } = &mut end {
+        if let Some(x) = self.requests.get(&id) {
+            if let PartEnd::Rejected { ran, .. } | PartEnd::Failed { ran } = &mut end {
                 *ran = x.may_have_run();
             }
         }
-        if let Some(x) = self.xfers.get_mut(&id) {
+        if let Some(x) = self.requests.get_mut(&id) {
             x.answered = true;
             if let Some(place) = x.place.take() {
                 self.sharing.left(place);
@@ -214,10 +230,12 @@
         if let Some(slot) = c.parts.get_mut(usize::from(part)) {
             (slot.1, slot.2) = (Some(end), data);
         }
-        let open = |id: &XferId| self.xfers.get(id).is_some_and(Xfer::may_have_run);
+        let open = |id: &RequestId| self.requests.get(id).is_some_and(PendingRequest::may_have_run);
         let ends: Vec<PartEnd> =
             c.parts.iter().map(|(id, end, _)| end.unwrap_or(PartEnd::Open { ran: open(id) })).collect();
-        let Some(combined) = combine(self.streams[c.stream].effect, c.marked, &ends) else { return };
+        let Some(combined) = combine(self.traffic_classes[c.traffic_class].effect, c.marked, &ends) else {
+            return;
+        };
         let Some(c) = self.commands.remove(&from) else { return };
         self.forget_command(now, from, &c);
         let verdict = match combined {
@@ -225,13 +243,13 @@
                 self.counters.done += 1;
                 Verdict::Done { data: if c.write { Bytes::new() } else { joined(&c.parts, c.bytes) } }
             }
-            Combined::Deferred { come_back } => {
-                self.counters.deferred += 1;
-                Verdict::Deferred { come_back }
+            Combined::Rejected { retry_after } => {
+                self.counters.rejected += 1;
+                Verdict::Rejected { retry_after }
             }
-            Combined::Abandoned => {
-                self.counters.abandoned += 1;
-                Verdict::Abandoned
+            Combined::Failed => {
+                self.counters.failed += 1;
+                Verdict::Failed
             }
         };
         self.outputs.push_back(Output::Answer { to: from, verdict });
@@ -241,7 +259,7 @@
     }
 
     pub(super) fn forget_command(&mut self, now: Instant, from: CommandRef, c: &Command) {
-        let held = Held { transfers: c.parts.len(), bytes: c.bytes };
+        let held = Held { requests: c.parts.len(), bytes: c.bytes };
         self.admission.leave(now, from.session, c.volume, held);
         if let Some(open) = self.sessions.get_mut(&from.session) {
             open.remove(&from.command);
--- a/crates/hostcore/src/core/orders.rs
+++ b/crates/host-core/src/core/orders.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Core {
-    /// Takes operators' overrides in. `keep` is what has become of those of an earlier life.
+    /// Takes operators' overrides in. `keep` is what has become of those of an earlier generation.
     pub fn with_overrides(&mut self, now: Instant, overrides: Overrides, keep: Keep) {
         self.orders = Some(Orders::new(now, overrides));
         if keep != Keep::default() {
@@ -111,11 +111,11 @@
             returning: orders.map_or(0, |o| o.overrides.returning().0),
             there: self.fellows.as_ref().map_or(0, |f| f.member.alive()),
             commands: self.commands.len(),
-            legs: self.until.len(),
+            attempts: self.until.len(),
             taken: c.taken,
             done: c.done,
-            deferred: c.deferred,
-            abandoned: c.abandoned,
+            rejected: c.rejected,
+            failed: c.failed,
             nodes: self.nodes.entries().filter_map(node).collect(),
         }
     }
--- a/crates/hostcore/src/layout.rs
+++ b/crates/host-core/src/layout.rs
@@ -1,4 +1,4 @@
-//! Where a command's blocks lie: which extents it touches, the shard and the order key of each, its stream type
+//! Where a command's blocks lie: which extents it touches, the shard and the order key of each, its traffic class
 //! and its units.
 
 use tackmast::interface::{KeyId, ShardId};
@@ -10,7 +10,7 @@
     pub block: u64,
     pub blocks: u32,
     pub shard: ShardId,
-    /// What is read or written, for the order of transfers; never 0.
+    /// What is read or written, for the order of requests; never 0.
     pub key: u64,
     pub units: f64,
 }
@@ -20,25 +20,25 @@
     volumes: Vec<Volume>,
     granules: Vec<Vec<Option<u64>>>, // by volume and stream: blocks that share an order key
     unit_bytes: f64,
-    most_units: f64,
-    most_parts: usize,
+    max_units: f64,
+    max_parts: usize,
     command_bytes: u32,
 }
 
 impl Layout {
     pub fn new(s: &HostSettings) -> Self {
         let granules = s.volumes.iter().map(|v| {
-            let order = |st: &tackmast_config::Stream| {
+            let order = |st: &tackmast_config::TrafficClass| {
                 st.in_order.then(|| st.order_blocks.unwrap_or(v.extent_blocks).min(v.extent_blocks))
             };
-            s.streams.iter().map(order).collect()
+            s.traffic_classes.iter().map(order).collect()
         });
         Layout {
             granules: granules.collect(),
             volumes: s.volumes.clone(),
             unit_bytes: f64::from(s.units.bytes),
-            most_units: s.units.most,
-            most_parts: s.bounds.parts,
+            max_units: s.units.most,
+            max_parts: s.bounds.parts,
             command_bytes: s.bounds.command_bytes,
         }
     }
@@ -64,9 +64,10 @@
         &self.volumes[volume]
     }
 
-    pub fn stream(&self, volume: usize, write: bool, blocks: u32) -> usize {
+    pub fn traffic_class(&self, volume: usize, write: bool, blocks: u32) -> usize {
         let v = &self.volumes[volume];
-        let read = v.large.filter(|(from, _)| blocks >= *from).map_or(v.reads, |(_, stream)| stream);
+        let read =
+            v.large.filter(|(from, _)| blocks >= *from).map_or(v.reads, |(_, traffic_class)| traffic_class);
         if write {
             v.writes as usize
         } else {
@@ -75,19 +76,19 @@
     }
 
     /// Blocks of one command, at most: wherever it begins, it touches no more parts than the bound.
-    pub fn most_blocks(&self, volume: usize) -> u32 {
+    pub fn max_blocks(&self, volume: usize) -> u32 {
         let v = &self.volumes[volume];
         let least =
             self.granules[volume].iter().flatten().copied().chain([v.extent_blocks]).min().unwrap_or(1);
-        let by_parts = least.saturating_mul(self.most_parts as u64 - 1).max(1);
+        let by_parts = least.saturating_mul(self.max_parts as u64 - 1).max(1);
         let by_bytes = u64::from(self.command_bytes / v.block_bytes).max(1);
         u32::try_from(by_parts.min(by_bytes)).unwrap_or(u32::MAX)
     }
 
     /// The parts of a command, in the order of its blocks.
-    pub fn parts(&self, volume: usize, stream: usize, block: u64, blocks: u32) -> Vec<Part> {
+    pub fn parts(&self, volume: usize, traffic_class: usize, block: u64, blocks: u32) -> Vec<Part> {
         let v = &self.volumes[volume];
-        let granule = self.granules[volume][stream];
+        let granule = self.granules[volume][traffic_class];
         let mut parts = Vec::new();
         let (mut at, end) = (block, block + u64::from(blocks));
         while at < end {
@@ -99,7 +100,7 @@
             }
             let until = until.min(end);
             let blocks = (until - at) as u32;
-            // Ordered transfers share a key within a granule; others are known by where they begin.
+            // Ordered requests share a key within a granule; others are known by where they begin.
             let first = granule.map_or(at, |g| extent * v.extent_blocks + in_extent / g * g);
             let bytes = f64::from(blocks) * f64::from(v.block_bytes);
             parts.push(Part {
@@ -107,7 +108,7 @@
                 blocks,
                 shard: ShardId(v.shards[(extent % v.shards.len() as u64) as usize]),
                 key: (u64::from(v.lun) + 1) << 48 ^ first,
-                units: (bytes / self.unit_bytes).ceil().clamp(1.0, self.most_units),
+                units: (bytes / self.unit_bytes).ceil().clamp(1.0, self.max_units),
             });
             at = until;
         }
@@ -177,14 +178,17 @@
             (1, 38, 4, &[(38, 2, 5, 1.0), (40, 2, 5, 1.0)]),
             (1, 70, 40, &[(70, 10, 5, 2.0), (80, 20, 5, 3.0), (100, 10, 7, 2.0)]),
         ];
-        for (stream, block, blocks, expected) in cases {
-            let parts = l.parts(0, *stream, *block, *blocks);
+        for (traffic_class, block, blocks, expected) in cases {
+            let parts = l.parts(0, *traffic_class, *block, *blocks);
             let found: Vec<_> = parts.iter().map(|p| (p.block, p.blocks, p.shard.0, p.units)).collect();
-            assert_eq!(&found, expected, "stream {stream} at {block} for {blocks}");
+            assert_eq!(&found, expected, "stream {traffic_class} at {block} for {blocks}");
         }
         assert_eq!(l.parts(0, 1, 41, 1)[0].key, l.parts(0, 1, 79, 1)[0].key, "one granule, one key");
         assert_ne!(l.parts(0, 1, 39, 1)[0].key, l.parts(0, 1, 40, 1)[0].key);
-        assert_eq!(l.most_blocks(0), 120, "three whole granules of 40 and two cut ones are four parts");
-        assert_eq!((l.stream(0, true, 64), l.stream(0, false, 63), l.stream(0, false, 64)), (1, 0, 1));
+        assert_eq!(l.max_blocks(0), 120, "three whole granules of 40 and two cut ones are four parts");
+        assert_eq!(
+            (l.traffic_class(0, true, 64), l.traffic_class(0, false, 63), l.traffic_class(0, false, 64)),
+            (1, 0, 1)
+        );
     }
 }
--- a/crates/hostcore/src/orders.rs
+++ b/crates/host-core/src/orders.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_overrides::{
     Audit, Explanation, Order, Origin, Override, OverrideId, Overrides, Preview, Refusal,
 };
@@ -68,11 +68,14 @@
     #[serde(default)]
     pub there: u32,
     pub commands: usize,
-    pub legs: usize,
+    #[serde(rename = "legs")]
+    pub attempts: usize,
     pub taken: u64,
     pub done: u64,
-    pub deferred: u64,
-    pub abandoned: u64,
+    #[serde(rename = "deferred")]
+    pub rejected: u64,
+    #[serde(rename = "abandoned")]
+    pub failed: u64,
     /// Address, what the list says, what it is given.
     pub nodes: Vec<(SocketAddr, String, String)>,
 }
@@ -85,10 +88,10 @@
     pub audits: Vec<Audit>,
     /// Changes of plans by number, as they are written; what the trail begins with is number 0.
     pub changes: Vec<(u64, Vec<u8>)>,
-    /// Other hosts for the next life to call, and the number of this one's life.
+    /// Other hosts for the next generation to call, and the number of this one's generation.
     pub members: Option<tackmast_membership::Remembered>,
     /// Of the agreed log.
-    pub agreed: Option<Box<tackmast_agreement::Write>>,
+    pub agreed: Option<Box<tackmast_consensus::Write>>,
 }
 
 enum Pending {
@@ -101,7 +104,7 @@
     pending: Option<(u64, Pending)>,
     waiting: VecDeque<(u64, Ask)>,
     tell_at: Instant,
-    /// Host and life that name what is taken here, where hosts tell each other of theirs.
+    /// Host and generation that name what is taken here, where hosts tell each other of theirs.
     pub me: Option<(u32, u64)>,
 }
 
@@ -138,7 +141,7 @@
                     Ok((mut record, preview)) => {
                         record.id = self.overrides.reserve();
                         let number = record.id.0;
-                        let mine = self.me.map(|(slot, life)| Origin { slot, life, number });
+                        let mine = self.me.map(|(slot, generation)| Origin { slot, generation, number });
                         record.origin = record.origin.or(mine);
                         let audit = Audit::set(&record, preview.forced_past.is_some());
                         let keep = Keep { put: vec![record.clone()], audits: vec![audit], ..Keep::default() };
@@ -230,7 +233,7 @@
         if now < self.tell_at {
             return Vec::new();
         }
-        self.tell_at = now + Span::from_secs(TELL_S);
+        self.tell_at = now + TimeDelta::from_secs(TELL_S);
         let standing = self.overrides.list(now);
         let line = |(o, left): &(Override, f64)| {
             format!(
--- a/crates/hostcore/src/placed.rs
+++ b/crates/host-core/src/placed.rs
@@ -1,12 +1,12 @@
-//! Transfers that arrive already placed: their client names volume, plan, stream type, shard and key, and the host only
+//! Requests that arrive already placed: their client names volume, plan, traffic class, shard and key, and the host only
 //! decides when and whether they leave. What they ask of the node is opaque here.
 
 use bytes::Bytes;
 use std::collections::HashMap;
-use tackmast::interface::{Instant, PlanId, ShardId, Span, StreamId};
-use tackmast_config::Stream;
+use tackmast::interface::{Instant, PlanId, ShardId, TimeDelta, TrafficClassId};
+use tackmast_config::TrafficClass;
 
-/// What is written to a node: the protocol's own, but for the time left, which each leg adds.
+/// What is written to a node: the protocol's own, but for the time left, which each attempt adds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Request {
     pub head: Bytes,
@@ -23,26 +23,26 @@
 pub struct Placed {
     pub volume: u64,
     pub plan: PlanId,
-    pub stream: StreamId,
+    pub traffic_class: TrafficClassId,
     /// None: a new object, for any node.
     pub shard: Option<ShardId>,
     pub key: u64,
     pub units: f64,
-    /// Through how many hosts the volume's transfers come.
+    /// Through how many hosts the volume's requests come.
     pub hosts: u32,
-    pub left: Span,
+    pub left: TimeDelta,
     pub request: Request,
 }
 
 /// What a core is told that has no volumes of its own.
 #[derive(Clone, Debug)]
 pub struct PlacedSettings {
-    pub streams: Vec<Stream>,
+    pub traffic_classes: Vec<TrafficClass>,
     pub tells: bool,
-    pub longest_wait: Span,
+    pub longest_wait: TimeDelta,
     /// Of a node that drains.
-    pub grace: Span,
-    pub transfers: usize,
+    pub grace: TimeDelta,
+    pub requests: usize,
     pub bytes: usize,
     pub nodes: usize,
     pub volumes: usize,
--- a/crates/hostcore/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -4,11 +4,11 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
-use tackmast::interface::{Instant, Plan as Figures, PlanId, Span};
+use tackmast::interface::{Instant, Plan as Figures, PlanId, TimeDelta};
 use tackmast_config::{HostSettings, PlansBlock};
-use tackmast_membership::{MOST_BYTES, MOST_PAPERS};
+use tackmast_membership::{MAX_BYTES, MAX_PAPERS};
 use tackmast_plans::{
-    Agreed, Catalogue, Change, Command, Entry, Fleet, Plan, Step, StreamType, Trail, TrailError, Volume,
+    Agreed, Catalogue, Change, Command, Entry, Fleet, Plan, Step, TrafficClass, Trail, TrailError, Volume,
 };
 
 /// Asks that may wait for the one before them to be kept.
@@ -118,7 +118,7 @@
     fleet: Fleet,
     me: u32,
     home: u32,
-    settle: Span,
+    settle: TimeDelta,
     ends: Instant,
     /// Until when clients wait for word of the newest change, at most.
     waits: Option<Instant>,
@@ -134,12 +134,13 @@
         let (limit, burst, slack, reserve, weight) = (p.limit, p.burst, p.slack, p.reserve, p.weight);
         c.plans.insert(p.name.clone(), Plan { limit, burst, slack, reserve, weight, floor: p.floor });
     }
-    for st in &s.streams {
-        let (slo_ms, expiry_ms) = (st.slo.secs() * 1e3, st.expiry.secs() * 1e3);
-        c.streams.insert(st.name.clone(), StreamType { slo_ms, expiry_ms });
+    for st in &s.traffic_classes {
+        let (latency_objective_ms, deadline_ms) =
+            (st.latency_objective.secs() * 1e3, st.deadline.secs() * 1e3);
+        c.traffic_classes.insert(st.name.clone(), TrafficClass { latency_objective_ms, deadline_ms });
     }
     for v in &s.volumes {
-        let stream = |i: u32| s.streams[i as usize].name.clone();
+        let traffic_class = |i: u32| s.traffic_classes[i as usize].name.clone();
         let volume = Volume {
             lun: v.lun,
             plan: s.plans[v.plan as usize].name.clone(),
@@ -147,8 +148,8 @@
             extent_blocks: v.extent_blocks,
             shards: v.shards.clone(),
             through: v.through.clone(),
-            reads: stream(v.reads),
-            writes: stream(v.writes),
+            reads: traffic_class(v.reads),
+            writes: traffic_class(v.writes),
         };
         c.volumes.insert(v.name.clone(), volume);
     }
@@ -158,7 +159,7 @@
 fn fleet(s: &HostSettings, b: &PlansBlock) -> Fleet {
     let shards = s.volumes.iter().flat_map(|v| &v.shards);
     let bears = shards.map(|n| (*n, b.bears.get(&n.to_string()).copied().unwrap_or(b.node_units)));
-    Fleet { hosts: s.host.hosts, most_units: s.units.most, bears: bears.collect() }
+    Fleet { hosts: s.host.hosts, max_units: s.units.most, bears: bears.collect() }
 }
 
 /// The first eight bytes of a digest.
@@ -167,7 +168,7 @@
 }
 
 impl Plans {
-    /// `kept` is the trail of an earlier life, as it was written; none: this is the first. Clients wait for word of the
+    /// `kept` is the trail of an earlier generation, as it was written; none: this is the first. Clients wait for word of the
     /// newest change for as long as a change may take at most, if there is anyone to hear it from.
     pub fn new(now: Instant, s: &HostSettings, b: &PlansBlock, kept: &[u8]) -> Result<Self, TrailError> {
         let fleet = fleet(s, b);
@@ -181,7 +182,7 @@
             let expected = "the settings that it began with, or no trail".to_owned();
             return Err(TrailError::Broken { number: 0, found, expected });
         }
-        let settle = Span::from_secs(b.settle_s);
+        let settle = TimeDelta::from_secs(b.settle_s);
         let alone = s.host.number == b.home || s.membership.is_none();
         Ok(Plans {
             trail,
@@ -296,7 +297,7 @@
             return Figures { limit: NOTHING, burst: 0.0, slack, reserve: 0.0, weight };
         }
         let through = of.volumes.values().filter(|v| v.plan == name).map(|v| v.through.len()).min();
-        let least = self.fleet.most_units * through.unwrap_or(0) as f64;
+        let least = self.fleet.max_units * through.unwrap_or(0) as f64;
         let (burst, reserve) = (if burst > 0.0 { burst.min(least) } else { least }, reserve.min(floor));
         Figures { limit: floor, burst, slack, reserve, weight }
     }
@@ -312,7 +313,7 @@
         self.trail.entries.iter().map(|e| (e.number, Trail::line(e)))
     }
 
-    /// What an earlier life had taken, on top of the settings.
+    /// What an earlier generation had taken, on top of the settings.
     pub fn resumed(&mut self) -> Vec<Move> {
         let (from, to) = (self.trail.anchor.catalogue.clone(), self.trail.catalogue.clone());
         self.moves(&from, &to)
@@ -384,13 +385,13 @@
         let (entry, next) = self.trail.propose(wall_us, change, &self.fleet).map_err(|r| r.to_string())?;
         self.trail.catalogue.moves_live(&next).map_err(|r| r.to_string())?;
         let bytes = Trail::line(&entry).len();
-        if bytes > MOST_BYTES {
+        if bytes > MAX_BYTES {
             return Err(format!(
-                "a change of {bytes} bytes; expected at most {MOST_BYTES}, in several changes"
+                "a change of {bytes} bytes; expected at most {MAX_BYTES}, in several changes"
             ));
         }
-        if self.trail.entries.len() >= MOST_PAPERS {
-            return Err(format!("the trail is full: {MOST_PAPERS} changes; expected it to be begun anew"));
+        if self.trail.entries.len() >= MAX_PAPERS {
+            return Err(format!("the trail is full: {MAX_PAPERS} changes; expected it to be begun anew"));
         }
         let new = |s: &&Step| matches!(s, Step::Plan { name, .. } if !self.numbers.contains_key(name));
         if self.numbers.len() + entry.change.steps.iter().filter(new).count() > NAMES {
--- a/crates/hostcore/src/sharing.rs
+++ b/crates/host-core/src/sharing.rs
@@ -1,8 +1,8 @@
-//! How the sessions of one volume share it: a tag for each transfer, by which the decision module orders those that wait
-//! for the same volume, stream type and shard.
+//! How the sessions of one volume share it: a tag for each request, by which the decision module orders those that wait
+//! for the same volume, traffic class and shard.
 //!
-//! Start-time fair queueing: a transfer's tag is the virtual time at which its session's work before it would end, and
-//! no earlier than the tag that left last. So one session with thousands of transfers waiting stands behind the first
+//! Start-time fair queueing: a request's tag is the virtual time at which its session's work before it would end, and
+//! no earlier than the tag that left last. So one session with thousands of requests waiting stands behind the first
 //! of each other session, and what nobody else wants is its own. Nothing is saved up while idle.
 
 use std::collections::{BTreeMap, HashMap};
@@ -10,15 +10,15 @@
 /// The least number of sessions remembered by a line before those that count no more are looked for.
 const FORGET_AT: usize = 64;
 
-/// What waits for the same shard, volume and stream type.
+/// What waits for the same shard, volume and traffic class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LineName {
     pub shard: u32,
     pub volume: u32,
-    pub stream: u32,
+    pub traffic_class: u32,
 }
 
-/// A transfer's place in its line, to be given back once: by `sent` or by `left`.
+/// A request's place in its line, to be given back once: by `sent` or by `left`.
 #[derive(Debug, PartialEq)]
 #[must_use]
 pub struct Place {
@@ -33,7 +33,7 @@
     /// Virtual time, in units.
     now: f64,
     waiting: usize,
-    /// Where each session's work so far ends, and how many of its transfers wait.
+    /// Where each session's work so far ends, and how many of its requests wait.
     sessions: HashMap<u32, (f64, usize)>,
     forget_at: usize,
 }
@@ -73,7 +73,7 @@
         Place { line: name, session, units, tag }
     }
 
-    /// Its first leg left: virtual time is there.
+    /// Its first attempt left: virtual time is there.
     pub fn sent(&mut self, place: Place) {
         if let Some(line) = self.lines.get_mut(&place.line) {
             line.now = line.now.max(place.tag);
@@ -81,7 +81,7 @@
         self.over(&place, 0.0);
     }
 
-    /// It ended without a leg. What was never served isn't charged: else a session whose transfers were all given up
+    /// It ended without an attempt. What was never served isn't charged: else a session whose requests were all given up
     /// would stand behind the others for as long as it would have taken to serve them.
     pub fn left(&mut self, place: Place) {
         self.over(&place, place.units);
@@ -124,7 +124,7 @@
     use super::*;
     use proptest::prelude::*;
 
-    const LINE: LineName = LineName { shard: 1, volume: 2, stream: 3 };
+    const LINE: LineName = LineName { shard: 1, volume: 2, traffic_class: 3 };
 
     /// Serves what waits by tag, ties by arrival, until so many units went; units served of each session.
     fn serve(s: &mut Sharing, waiting: &mut Vec<Place>, units: f64) -> BTreeMap<u32, f64> {
@@ -142,7 +142,7 @@
 
     #[test]
     fn sessions_share_by_units_whatever_they_ask() {
-        // Transfers and units each of sessions 0, 1, ...; units served; least and most units each got of them.
+        // Requests and units each of sessions 0, 1, ...; units served; least and most units each got of them.
         type Case = (&'static str, Vec<(usize, f64)>, f64, Vec<(f64, f64)>);
         let cases: Vec<Case> = vec![
             ("alone", vec![(1000, 1.0)], 100.0, vec![(100.0, 100.0)]),
@@ -209,7 +209,7 @@
         #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..Default::default() })]
 
         /// Two sessions that always have something waiting: what they were served never differs by more than a
-        /// transfer of each.
+        /// request of each.
         #[test]
         fn nobody_falls_behind(steps in prop::collection::vec((0u32..2, 1u32..9, any::<bool>()), 1..300)) {
             let mut s = Sharing::default();
--- a/crates/hostcore/tests/agreed.rs
+++ b/crates/host-core/tests/agreed.rs
@@ -4,9 +4,9 @@
 use bytes::Bytes;
 use std::net::SocketAddr;
 use tackmast::interface::*;
-use tackmast_agreement::Origin;
 use tackmast_config::HostSettings;
-use tackmast_hostcore::*;
+use tackmast_consensus::Origin;
+use tackmast_host_core::*;
 use tackmast_plans::{Change, Plan, Step};
 
 const HOSTS: u32 = 4;
@@ -101,7 +101,7 @@
     away: Vec<u32>,
     replies: Vec<(u32, u64, Reply)>,
     answers: Vec<(u32, Verdict)>,
-    legs: Vec<(u32, SendLeg)>,
+    attempts: Vec<(u32, SendAttempt)>,
     /// Hosts that asked their list service for all of it.
     fetches: Vec<u32>,
     floor: &'static str,
@@ -115,7 +115,7 @@
             away: Vec::new(),
             replies: Vec::new(),
             answers: Vec::new(),
-            legs: Vec::new(),
+            attempts: Vec::new(),
             fetches: Vec::new(),
             floor,
         };
@@ -125,16 +125,16 @@
 
     fn start(&mut self, host: u32) {
         let s = settings(host, self.floor);
-        let life = 100 + u64::from(host);
-        let mut core = Core::new(self.now, &s, life, life);
+        let generation = 100 + u64::from(host);
+        let mut core = Core::new(self.now, &s, generation, generation);
         let mut plans = Plans::new(self.now, &s, s.plans_live.as_ref().unwrap(), &[]).unwrap();
         plans.agree();
-        let of = Origin { disk: life, boot: 1, life };
+        let of = Origin { disk: generation, boot: 1, generation };
         let start = AgreedStart { of, ..AgreedStart::default() };
-        core.with_agreed(Agreed::new(self.now, &s, s.agreement.as_ref().unwrap(), start, life));
+        core.with_agreed(Agreed::new(self.now, &s, s.agreement.as_ref().unwrap(), start, generation));
         core.with_plans(self.now, plans, false);
         let m = s.membership.as_ref().unwrap();
-        let members = member_settings(&s, m, address(host), life, false, life, vec![]);
+        let members = member_settings(&s, m, address(host), generation, false, generation, vec![]);
         core.with_fellows(self.now, Fellows::new(self.now, members));
         self.cores[host as usize] = Some(core);
         self.listed(host, ListKind::Complete, 5, NodeState::Ready);
@@ -167,7 +167,7 @@
                         Output::Datagram { to, bytes } => letters.push((h, to, bytes)),
                         Output::Reply { request, reply } => self.replies.push((h, request, reply)),
                         Output::Answer { verdict, .. } => self.answers.push((h, verdict)),
-                        Output::Send(leg) => self.legs.push((h, *leg)),
+                        Output::Send(attempt) => self.attempts.push((h, *attempt)),
                         Output::FetchList => self.fetches.push(h),
                         _ => {}
                     }
@@ -189,9 +189,9 @@
     }
 
     fn run(&mut self, seconds: f64) {
-        let end = self.now + Span::from_secs(seconds);
+        let end = self.now + TimeDelta::from_secs(seconds);
         while self.now < end {
-            self.now = self.now + Span::from_secs(0.01);
+            self.now = self.now + TimeDelta::from_secs(0.01);
             self.pull();
         }
     }
@@ -200,23 +200,24 @@
         self.cores[host as usize].as_mut().unwrap()
     }
 
-    /// One read of a volume at a host; whether a leg left, or its answer.
+    /// One read of a volume at a host; whether an attempt left, or its answer.
     fn read(&mut self, host: u32, lun: u32) -> Result<(), Verdict> {
-        self.legs.clear();
+        self.attempts.clear();
         self.answers.clear();
         let (now, from) = (self.now, CommandRef { session: 1, command: self.now.secs().to_bits() as u32 });
         self.core(host).submit(now, from, lun, 0, Work::Read { blocks: 8 }, now, None, None);
         self.pull();
-        let leg = self.legs.iter().find(|(h, _)| *h == host).map(|(_, l)| l.leg);
-        if let Some(leg) = leg {
+        let attempt = self.attempts.iter().find(|(h, _)| *h == host).map(|(_, l)| l.attempt);
+        if let Some(attempt) = attempt {
             let data = Bytes::from(vec![0; 4096]);
-            let back = LegBack { leg, outcome: Outcome::Done, waiting: None, elsewhere: None, data };
-            self.core(host).leg_back(now, back);
+            let back =
+                AttemptResult { attempt, outcome: Outcome::Done, waiting: None, elsewhere: None, data };
+            self.core(host).attempt_finished(now, back);
             self.pull();
             return Ok(());
         }
         let answer = self.answers.iter().find(|(h, _)| *h == host).map(|(_, v)| v.clone());
-        Err(answer.unwrap_or(Verdict::Abandoned))
+        Err(answer.unwrap_or(Verdict::Failed))
     }
 
     fn ask(&mut self, host: u32, ask: Ask) -> Reply {
@@ -260,7 +261,7 @@
     for (floor, sends) in [("", false), ("floor = 40", true)] {
         let mut f = Fleet::new(&[0, 1, 3], floor);
         f.run(2.0);
-        // Nothing is agreed on before all who begin are there: no lease, in no life.
+        // Nothing is agreed on before all who begin are there: no lease, in no generation.
         assert_eq!(f.status(3).lease, "never");
         assert_eq!(f.read(3, 1).is_ok(), sends, "{floor:?}: never a lease");
         assert_eq!(f.read(3, 2), Ok(()), "no limit may come to a plan without one");
@@ -276,7 +277,7 @@
         match f.read(3, 1) {
             Ok(()) => assert!(sends),
             // At once, with when to come back.
-            Err(v) => assert!(!sends && matches!(v, Verdict::Deferred { come_back: Some(_) }), "{v:?}"),
+            Err(v) => assert!(!sends && matches!(v, Verdict::Rejected { retry_after: Some(_) }), "{v:?}"),
         }
         assert_eq!(f.read(3, 2), Ok(()));
         f.away.clear();
--- a/crates/hostcore/tests/placed.rs
+++ b/crates/host-core/tests/placed.rs
@@ -1,46 +1,64 @@
-//! Transfers that arrive already placed, in virtual time: one path with block commands.
+//! Requests that arrive already placed, in virtual time: one path with block commands.
 
 use bytes::Bytes;
 use tackmast::interface::*;
 use tackmast::policy::Scheduler;
-use tackmast_config::Stream;
-use tackmast_hostcore::*;
+use tackmast_config::TrafficClass;
+use tackmast_host_core::*;
 
 fn at(s: f64) -> Instant {
     Instant::from_secs(s)
 }
 
-fn span(s: f64) -> Span {
-    Span::from_secs(s)
+fn span(s: f64) -> TimeDelta {
+    TimeDelta::from_secs(s)
 }
 
 struct Rig {
     core: Core,
-    sent: Vec<SendLeg>,
+    sent: Vec<SendAttempt>,
     answers: Vec<(u32, Verdict)>,
-    cancelled: Vec<LegId>,
+    cancelled: Vec<AttemptId>,
 }
 
-const EFFECTS: [Effect; 3] =
-    [Effect::Repeatable, Effect::Unrepeatable, Effect::Keyed { group: Group::Shard, window: Span::ZERO }];
+const EFFECTS: [Effect; 3] = [
+    Effect::Idempotent,
+    Effect::NonIdempotent,
+    Effect::IdempotentByKey { group: Group::Shard, window: TimeDelta::ZERO },
+];
 
 impl Rig {
-    fn new(transfers: usize, nodes: usize, volumes: usize) -> Rig {
+    fn new(requests: usize, nodes: usize, volumes: usize) -> Rig {
         let now = at(10.0);
         let mut scheduler = Scheduler::new(now, 1, 1, span(0.002), 2.0);
         scheduler.plan(0.0, 0.0, 0.0, 0.0, 1.0);
-        let streams: Vec<Stream> = EFFECTS
+        let traffic_classes: Vec<TrafficClass> = EFFECTS
             .iter()
             .map(|effect| {
-                scheduler.stream(span(0.3), *effect, false);
-                let (name, slo, expiry) = (String::new(), span(0.3), span(1.0));
-                Stream { name, slo, expiry, effect: *effect, in_order: false, order_blocks: None }
+                scheduler.traffic_class(span(0.3), *effect, false);
+                let (name, latency_objective, deadline) = (String::new(), span(0.3), span(1.0));
+                TrafficClass {
+                    name,
+                    latency_objective,
+                    deadline,
+                    effect: *effect,
+                    in_order: false,
+                    order_blocks: None,
+                }
             })
             .collect();
-        scheduler.leg_limits(3, span(0.5), Span::ZERO);
+        scheduler.attempt_limits(3, span(0.5), TimeDelta::ZERO);
         let (tells, longest_wait, grace) = (true, span(0.5), span(1.0));
-        let settings =
-            PlacedSettings { streams, tells, longest_wait, grace, transfers, bytes: 1 << 20, nodes, volumes };
+        let settings = PlacedSettings {
+            traffic_classes,
+            tells,
+            longest_wait,
+            grace,
+            requests,
+            bytes: 1 << 20,
+            nodes,
+            volumes,
+        };
         let mut rig = Rig {
             core: Core::placed(now, scheduler, settings, 1),
             sent: vec![],
@@ -66,11 +84,11 @@
         self.pull(now);
     }
 
-    fn ask(&mut self, now: Instant, command: u32, stream: u32, volume: u64) {
+    fn ask(&mut self, now: Instant, command: u32, traffic_class: u32, volume: u64) {
         let placed = Placed {
             volume,
             plan: PlanId(0),
-            stream: StreamId(stream),
+            traffic_class: TrafficClassId(traffic_class),
             shard: Some(ShardId(0)),
             key: u64::from(command),
             units: 1.0,
@@ -86,9 +104,9 @@
         self.core.tick(now);
         while let Some(o) = self.core.next_output(now) {
             match o {
-                Output::Send(leg) => self.sent.push(*leg),
+                Output::Send(attempt) => self.sent.push(*attempt),
                 Output::Answer { to, verdict } => self.answers.push((to.command, verdict)),
-                Output::Cancel { leg, .. } | Output::Cut { leg, .. } => self.cancelled.push(leg),
+                Output::Cancel { attempt, .. } | Output::Cut { attempt, .. } => self.cancelled.push(attempt),
                 _ => {}
             }
         }
@@ -103,16 +121,19 @@
         end
     }
 
-    fn write(&mut self) -> LegId {
-        let leg = self.sent.pop().expect("a leg is out");
-        assert!(leg.ticket.claim());
-        leg.ticket.written();
-        leg.leg
+    fn write(&mut self) -> AttemptId {
+        let attempt = self.sent.pop().expect("an attempt is out");
+        assert!(attempt.ticket.claim());
+        attempt.ticket.written();
+        attempt.attempt
     }
 
-    fn back(&mut self, now: Instant, leg: LegId, outcome: Outcome, data: &'static [u8]) {
+    fn back(&mut self, now: Instant, attempt: AttemptId, outcome: Outcome, data: &'static [u8]) {
         let data = Bytes::from_static(data);
-        self.core.leg_back(now, LegBack { leg, outcome, waiting: Some(1), elsewhere: Some(0.0), data });
+        self.core.attempt_finished(
+            now,
+            AttemptResult { attempt, outcome, waiting: Some(1), elsewhere: Some(0.0), data },
+        );
         self.pull(now);
     }
 }
@@ -121,38 +142,38 @@
 fn a_request_goes_out_as_it_came_and_its_answer_comes_back_whole() {
     let mut r = Rig::new(8, 8, 8);
     r.ask(at(10.0), 1, 1, 77);
-    let LegWork::Request(request) = &r.sent[0].work else { panic!("{:?}", r.sent[0].work) };
+    let AttemptWork::Request(request) = &r.sent[0].work else { panic!("{:?}", r.sent[0].work) };
     assert_eq!((&request.head[..], &request.body[..]), (&b"head"[..], &b"body"[..]));
     assert_eq!(r.sent[0].until, at(11.0));
-    let leg = r.write();
-    r.back(at(10.1), leg, Outcome::Done, b"any length");
+    let attempt = r.write();
+    r.back(at(10.1), attempt, Outcome::Done, b"any length");
     assert_eq!(r.answers, [(1, Verdict::Done { data: Bytes::from_static(b"any length") })]);
     assert_eq!(r.core.open(), (0, 0, 0));
 }
 
 #[test]
 fn what_may_have_run_decides_the_answer() {
-    // The outcome of the first leg, and for each effect: sent again, or answered how.
+    // The outcome of the first attempt, and for each effect: sent again, or answered how.
     let cases = [
-        (Outcome::Error, ["again", "abandoned", "abandoned"]),
-        (Outcome::Reset, ["again", "abandoned", "abandoned"]),
+        (Outcome::Error, ["again", "failed", "failed"]),
+        (Outcome::Reset, ["again", "failed", "failed"]),
         (Outcome::Refused, ["again", "again", "again"]),
         (Outcome::Full, ["again", "again", "again"]),
     ];
     for (outcome, expected) in cases {
-        for (stream, expected) in expected.into_iter().enumerate() {
+        for (traffic_class, expected) in expected.into_iter().enumerate() {
             let mut r = Rig::new(8, 8, 8);
-            r.ask(at(10.0), 1, stream as u32, 77);
-            let leg = r.write();
-            r.back(at(10.01), leg, outcome, b"");
+            r.ask(at(10.0), 1, traffic_class as u32, 77);
+            let attempt = r.write();
+            r.back(at(10.01), attempt, outcome, b"");
             r.pass(at(10.01), 0.1);
             let found = match (&r.answers[..], r.sent.len()) {
                 ([], 1) => "again",
-                ([(1, Verdict::Abandoned)], 0) => "abandoned",
-                ([(1, Verdict::Deferred { .. })], 0) => "deferred",
-                other => panic!("{outcome:?} {stream}: {other:?}"),
+                ([(1, Verdict::Failed)], 0) => "failed",
+                ([(1, Verdict::Rejected { .. })], 0) => "rejected",
+                other => panic!("{outcome:?} {traffic_class}: {other:?}"),
             };
-            assert_eq!(found, expected, "{outcome:?}, effect {stream}");
+            assert_eq!(found, expected, "{outcome:?}, effect {traffic_class}");
         }
     }
 }
@@ -169,9 +190,9 @@
     let told = r
         .answers
         .iter()
-        .all(|(_, v)| matches!(v, Verdict::Deferred { come_back: Some(w) } if *w > Span::ZERO));
+        .all(|(_, v)| matches!(v, Verdict::Rejected { retry_after: Some(w) } if *w > TimeDelta::ZERO));
     assert!(told, "{:?}", r.answers);
-    // A node that never answers: what is open ends with its client's time, and its legs are called back.
+    // A node that never answers: what is open ends with its client's time, and its attempts are called back.
     let out = r.sent.drain(..).filter(|l| l.ticket.claim()).count();
     now = r.pass(now, 1.2);
     let mut ids: Vec<u32> = r.answers.iter().map(|(c, _)| *c).collect();
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -21,9 +21,9 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use tackmast_config::{HostSettings, OverridesBlock};
-use tackmast_hostcore::{Core, Keep, Plans, Remembered};
-use tackmast_keep::{Held, Store};
+use tackmast_host_core::{Core, Keep, Plans, Remembered};
 use tackmast_overrides::Overrides;
+use tackmast_store::{Held, Store};
 
 /// Stack of the threads that only move bytes.
 const SMALL_STACK: usize = 128 << 10;
@@ -41,7 +41,7 @@
     #[error("admin socket {0}")]
     Admin(String),
     #[error(transparent)]
-    Store(#[from] tackmast_keep::KeepError),
+    Store(#[from] tackmast_store::KeepError),
     #[error("plans: {0}. Nothing was changed. To begin anew by the settings, move the store away")]
     Plans(#[from] tackmast_plans::TrailError),
     #[error("agreement: the store keeps {0} changes of plans that one home took; expected none. Bring the settings of all hosts to what `plan show` says, move the stores away, and start the hosts anew")]
@@ -81,7 +81,7 @@
     clock: Clock,
     urgent: &Sender<core_thread::Event>,
     stopping: &Arc<AtomicBool>,
-    life: u64,
+    generation: u64,
 ) -> Result<Sender<admin::ToStore>, StartError> {
     let (now, wall_us) = (clock.now(), Clock::wall_us());
     let bounds = tackmast_overrides::Settings { most: o.most, zone_part: o.zone_part };
@@ -104,9 +104,10 @@
             if changes > 0 {
                 return Err(StartError::Agreement(changes));
             }
-            let start = store.open_agreed(life ^ u64::from(std::process::id()).rotate_left(40), life)?;
+            let start =
+                store.open_agreed(generation ^ u64::from(std::process::id()).rotate_left(40), generation)?;
             plans.agree();
-            core.with_agreed(tackmast_hostcore::Agreed::new(now, settings, a, start, life));
+            core.with_agreed(tackmast_host_core::Agreed::new(now, settings, a, start, generation));
         }
         core.with_plans(now, plans, held.trail.is_empty() && !agrees);
     }
@@ -130,38 +131,38 @@
         let store = settings.overrides.as_ref().map(|o| Store::open(&o.store)).transpose()?;
         let by_clock = clock.unix_us(clock.now()) << 12 | u64::from(settings.host.number & 0xfff);
         let recalled = store.as_ref().map(|(_, held)| held.members.clone()).unwrap_or_default();
-        // Against a clock that went back: a life numbered below the one before it would be shut out by what is known of
+        // Against a clock that went back: a generation numbered below the one before it would be shut out by what is known of
         // that one. Written down before anything is said under it.
-        let life = by_clock.max(recalled.life + 1);
+        let generation = by_clock.max(recalled.generation + 1);
         if let Some((store, _)) = &store {
-            let members = Some(Remembered { life, hosts: recalled.hosts.clone() });
+            let members = Some(Remembered { generation, hosts: recalled.hosts.clone() });
             store.keep(&Keep { members, ..Keep::default() })?;
         }
-        let seed = settings.host.seed.unwrap_or(life ^ u64::from(std::process::id()) << 32);
-        let mut core = Core::new(clock.now(), &settings, seed, life);
+        let seed = settings.host.seed.unwrap_or(generation ^ u64::from(std::process::id()) << 32);
+        let mut core = Core::new(clock.now(), &settings, seed, generation);
         let settings = Arc::new(settings);
         let stopping = Arc::new(AtomicBool::new(false));
         let (urgent, urgent_in) = crossbeam_channel::bounded(EVENTS);
         let (events, events_in) = crossbeam_channel::bounded(EVENTS);
         let admin = settings.overrides.as_ref().map(|o| o.admin.clone());
-        let units = Arc::new(tackmast_target::units(&settings, |v| core.layout().most_blocks(v)));
+        let units = Arc::new(tackmast_target::units(&settings, |v| core.layout().max_blocks(v)));
         let mut threads = Vec::new();
         let list = list::start(settings.clone(), clock, urgent.clone(), stopping.clone())?;
         let to_store = match settings.overrides.as_ref().zip(store) {
             Some((o, store)) => {
-                Some(overrides(o, store, &settings, &mut core, clock, &urgent, &stopping, life)?)
+                Some(overrides(o, store, &settings, &mut core, clock, &urgent, &stopping, generation)?)
             }
             None => None,
         };
         let peers = match &settings.membership {
             Some(m) => {
-                let (ids, known, stop) = ((life, seed), recalled.hosts, stopping.clone());
+                let (ids, known, stop) = ((generation, seed), recalled.hosts, stopping.clone());
                 Some(peers::start(&settings, m, &mut core, clock, ids, known, events.clone(), stop)?)
             }
             None => None,
         };
         let (peers, peers_address) = peers.map_or((None, None), |(p, a)| (Some(p), Some(a)));
-        let links = links::Links::new(settings.clone(), clock, events.clone(), life);
+        let links = links::Links::new(settings.clone(), clock, events.clone(), generation);
         threads.push(core_thread::start(
             core,
             settings.clone(),
@@ -179,7 +180,7 @@
         if let Some((_, listener)) = nbd {
             threads.push(sessions::start(house, listener, sessions::Protocol::Nbd, stopping.clone())?);
         }
-        tracing::info!(%address, nbd = ?nbd_address, peers = ?peers_address, life, "host listens");
+        tracing::info!(%address, nbd = ?nbd_address, peers = ?peers_address, generation, "host listens");
         Ok(Host { address, nbd: nbd_address, peers: peers_address, admin, stopping, urgent, threads })
     }
 
@@ -190,7 +191,7 @@
         from.recv_timeout(Duration::from_secs(5)).ok()
     }
 
-    /// Ends in order: no new sessions, nothing new taken, and each open transfer gets its one answer, by `patience` at
+    /// Ends in order: no new sessions, nothing new taken, and each open request gets its one answer, by `patience` at
     /// the latest. True: all had it before.
     pub fn drain(self, patience: Duration) -> bool {
         self.stopping.store(true, Ordering::Release);
--- a/crates/host/src/list.rs
+++ b/crates/host/src/list.rs
@@ -10,9 +10,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant as Wall};
-use tackmast::interface::{ListKind, NodeState, ShardId, Span, ZoneId};
+use tackmast::interface::{ListKind, NodeState, ShardId, TimeDelta, ZoneId};
 use tackmast_config::HostSettings;
-use tackmast_hostcore::{Age, ListEntry, Start};
+use tackmast_host_core::{Age, ListEntry, Start};
 use tackmast_wire::list::{self, Frame, State, VERSION};
 use tackmast_wire::reader::Frames;
 
@@ -178,8 +178,8 @@
     Age::ByWall(since(Clock::wall_us(), started_us))
 }
 
-fn since(now_us: u64, then_us: u64) -> Span {
-    Span::from_secs((now_us as f64 - then_us as f64) / 1e6)
+fn since(now_us: u64, then_us: u64) -> TimeDelta {
+    TimeDelta::from_secs((now_us as f64 - then_us as f64) / 1e6)
 }
 
 fn entry(e: list::Entry, sent_us: u64) -> ListEntry {
@@ -220,7 +220,7 @@
     }
 }
 
-/// The list that an earlier life saved. A file that isn't there is an empty list.
+/// The list that an earlier generation saved. A file that isn't there is an empty list.
 pub fn load(path: &Path) -> Result<Vec<ListEntry>, String> {
     let bytes = match std::fs::read(path) {
         Ok(b) => b,
--- a/crates/host/src/peers.rs
+++ b/crates/host/src/peers.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tackmast_config::{HostSettings, MembershipBlock};
-use tackmast_hostcore::{member_settings, Core, Fellows};
+use tackmast_host_core::{member_settings, Core, Fellows};
 use tackmast_wire::peer;
 
 /// How often the reader looks whether the host stops.
@@ -34,7 +34,7 @@
     m: &MembershipBlock,
     core: &mut Core,
     clock: Clock,
-    (life, seed): (u64, u64),
+    (generation, seed): (u64, u64),
     recalled: Vec<(u32, u64, SocketAddr)>,
     events: Sender<Event>,
     stopping: Arc<AtomicBool>,
@@ -47,13 +47,16 @@
     let reader = socket.try_clone().map_err(failed)?;
     let marked = m.left_file.as_ref().is_some_and(|f| f.exists());
     let now = clock.now();
-    core.with_fellows(now, Fellows::new(now, member_settings(s, m, address, life, marked, seed, recalled)));
+    core.with_fellows(
+        now,
+        Fellows::new(now, member_settings(s, m, address, generation, marked, seed, recalled)),
+    );
     crate::thread("peers".into(), move || read(&reader, &events, &stopping))?;
     Ok((Peers { socket, left_file: m.left_file.clone(), marked }, address))
 }
 
 fn read(socket: &UdpSocket, events: &Sender<Event>, stopping: &AtomicBool) {
-    let mut room = vec![0; peer::MOST + 1];
+    let mut room = vec![0; peer::MAX + 1];
     while !stopping.load(Ordering::Acquire) {
         let Ok((n, from)) = socket.recv_from(&mut room) else { continue };
         let bytes = Bytes::copy_from_slice(&room[..n]);
