--- a/crates/host/src/sessions.rs
+++ b/crates/host/src/sessions.rs
@@ -10,9 +10,9 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread::JoinHandle;
 use std::time::Duration;
-use tackmast::interface::{Instant, Span};
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_config::HostSettings;
-use tackmast_hostcore::{CommandRef, Verdict, Work};
+use tackmast_host_core::{CommandRef, Verdict, Work};
 use tackmast_target as target;
 use tackmast_target::{AnySession, NbdSession, Offer, Session};
 use tackmast_wire::scsi::Unit;
@@ -219,7 +219,7 @@
                             began.insert(command, at);
                             continue;
                         }
-                        target::Event::Submit { command, lun, block, work, expiry_ms } => Event::Submit {
+                        target::Event::Submit { command, lun, block, work, deadline_ms } => Event::Submit {
                             from: CommandRef { session, command },
                             lun,
                             block,
@@ -228,7 +228,7 @@
                                 target::Work::Write { data } => Work::Write { data },
                             },
                             began: began.remove(&command).unwrap_or(at),
-                            asked: expiry_ms.map(|ms| Span::from_secs(f64::from(ms) / 1e3)),
+                            asked: deadline_ms.map(|ms| TimeDelta::from_secs(f64::from(ms) / 1e3)),
                         },
                         target::Event::Abort { command } => {
                             began.remove(&command);
@@ -301,10 +301,10 @@
                     ToSession::Answer { command, verdict } => {
                         let verdict = match verdict {
                             Verdict::Done { data } => target::Verdict::Done { data },
-                            Verdict::Deferred { come_back } => target::Verdict::Deferred {
-                                come_back_us: come_back.map_or(0, |w| (w.secs() * 1e6) as u64),
+                            Verdict::Rejected { retry_after } => target::Verdict::Rejected {
+                                retry_after_us: retry_after.map_or(0, |w| (w.secs() * 1e6) as u64),
                             },
-                            Verdict::Abandoned => target::Verdict::Abandoned,
+                            Verdict::Failed => target::Verdict::Failed,
                         };
                         s.answer(command, verdict);
                     }
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -7,11 +7,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tackmast_config::HostSettings;
+use tackmast_emulators::initiator::{Ask, AskWork, Initiator, Login, Reply};
+use tackmast_emulators::list::NodeList;
+use tackmast_emulators::model::Nature;
+use tackmast_emulators::node::{Marks, Node, NodeSettings};
 use tackmast_host::Host;
-use tackmast_standins::initiator::{Ask, AskWork, Initiator, Login, Reply};
-use tackmast_standins::list::NodeList;
-use tackmast_standins::model::Nature;
-use tackmast_standins::node::{Marks, Node, NodeSettings};
 use tackmast_trace::Recorder;
 use tackmast_wire::iscsi::Digests;
 use tackmast_wire::list::{Entry, State};
@@ -109,7 +109,7 @@
             zone: 0,
             nature: nature.clone(),
             seed: u64::from(shard) + 1,
-            most_data: 1 << 20,
+            max_data: 1 << 20,
             report_every: Duration::from_millis(50),
             marks: marks.clone(),
             window_s: 5.0,
@@ -135,13 +135,13 @@
 }
 
 impl Pool {
-    pub fn client(&self, digests: Digests, expiry_ms: Option<u32>) -> Client {
+    pub fn client(&self, digests: Digests, deadline_ms: Option<u32>) -> Client {
         let login = Login {
             address: self.host.address,
             target: "iqn.2026-12.org.tackmast:pool".into(),
             name: "iqn.2026-12.org.tackmast:test".into(),
             digests,
-            expiry_ms,
+            deadline_ms,
             patience: PATIENCE,
         };
         let (to, replies) = crossbeam_channel::unbounded();
@@ -162,7 +162,7 @@
 
 impl Client {
     pub fn ask(&self, label: u64, lun: u32, block: u64, work: AskWork) -> Option<u32> {
-        let ask = Ask { lun, stream: 0, block, block_bytes: 512, work, expiry_us: 1_500_000 };
+        let ask = Ask { lun, traffic_class: 0, block, block_bytes: 512, work, deadline_us: 1_500_000 };
         self.initiator.ask(label, &ask, PATIENCE)
     }
     pub fn reply(&self) -> (u64, Reply) {
--- a/crates/host/tests/plans.rs
+++ b/crates/host/tests/plans.rs
@@ -7,7 +7,7 @@
 use tackmast_admin::{Answer, Call};
 use tackmast_config::HostSettings;
 use tackmast_host::{Host, StartError};
-use tackmast_hostcore::{Ask, PlanAsk, PlanReply, PlanStatus, Reply};
+use tackmast_host_core::{Ask, PlanAsk, PlanReply, PlanStatus, Reply};
 use tackmast_plans::{Change, Plan, Step, Trail};
 
 const HOSTS: u32 = 4;
@@ -118,7 +118,7 @@
     }
 }
 
-/// A host on what an earlier life left, whose threads may still be ending.
+/// A host on what an earlier generation left, whose threads may still be ending.
 fn again(settings: impl Fn() -> HostSettings) -> Host {
     let end = Instant::now() + Duration::from_secs(10);
     loop {
--- a/crates/host/tests/rough.rs
+++ b/crates/host/tests/rough.rs
@@ -8,8 +8,8 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
-use tackmast_standins::initiator::Reply;
-use tackmast_standins::model::Nature;
+use tackmast_emulators::initiator::Reply;
+use tackmast_emulators::model::Nature;
 use tackmast_wire::iscsi::{op, Digests, Pdu, FINAL, WRITES};
 use tackmast_wire::nbd;
 use tackmast_wire::scsi::Command;
@@ -33,7 +33,7 @@
 
 fn request(kind: u16, cookie: u64, offset: u64, length: u32) -> BytesMut {
     let mut out = BytesMut::new();
-    nbd::Request { flags: 0, kind, cookie, offset, length, expiry_us: None }.encode(&mut out);
+    nbd::Request { flags: 0, kind, cookie, offset, length, deadline_us: None }.encode(&mut out);
     out
 }
 
@@ -74,7 +74,7 @@
     std::thread::sleep(Duration::from_millis(50));
     assert_eq!(client.read(1, 0, 64), done(old), "not a byte of the uploads is there");
     let s = pool.host.status().unwrap();
-    assert_eq!((s.commands, s.transfers, s.legs), (0, 0, 0));
+    assert_eq!((s.commands, s.requests, s.attempts), (0, 0, 0));
     pool.end();
 }
 
@@ -86,7 +86,7 @@
     let mut greedy = nbd_open(&pool, "museum");
     greedy.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
     let started = Instant::now();
-    let (mut sent, mut asks, mut deferred) = (0u64, 0, 0);
+    let (mut sent, mut asks, mut rejected) = (0u64, 0, 0);
     while started.elapsed() < Duration::from_secs(2) {
         if greedy.write_all(&request(nbd::command::READ, sent, 0, 256 * 512)).is_err() {
             break;
@@ -95,18 +95,18 @@
         if sent.is_multiple_of(100) {
             let asked = Instant::now();
             asks += 1;
-            // On a machine busy with other tests an answer may be late for its SLO time; it is told so at once.
+            // On a machine busy with other tests an answer may be late for its latency objective; it is told so at once.
             match client.read(1, 5000, 1) {
-                Reply::Deferred { come_back_us } => {
-                    assert!(come_back_us > 0);
-                    deferred += 1;
+                Reply::Rejected { retry_after_us } => {
+                    assert!(retry_after_us > 0);
+                    rejected += 1;
                 }
                 answer => assert_eq!(answer, done(vec![0; 512])),
             }
             assert!(asked.elapsed() < Duration::from_millis(800), "after {sent}: {:?}", asked.elapsed());
         }
     }
-    assert!(asks > 0 && deferred * 4 <= asks, "{deferred} of {asks} deferred");
+    assert!(asks > 0 && rejected * 4 <= asks, "{rejected} of {asks} rejected");
     let s = pool.host.status().unwrap();
     assert!(s.commands <= 200, "{} commands are open", s.commands);
     drop(greedy);
--- a/crates/rulecheck/src/index.rs
+++ b/crates/invariants/src/index.rs
@@ -1,7 +1,9 @@
-//! The trace put in order: commands with their answers, transfers with their legs, what each host was told.
+//! The trace put in order: commands with their answers, requests with their attempts, what each host was told.
 
 use std::collections::{BTreeMap, HashMap};
-use tackmast_trace::{AnswerKind, Event, Facts, LegEndKind, LegName, Line, ListedState, Side, StreamFacts};
+use tackmast_trace::{
+    AnswerKind, AttemptEndKind, AttemptName, Event, Facts, Line, ListedState, Side, TrafficClassFacts,
+};
 
 pub type CommandName = (u32, u32, u32); // host, session, command
 
@@ -9,10 +11,10 @@
 pub struct Command {
     pub name: CommandName,
     pub t: u64,
-    pub stream: u32,
-    /// Transfers that it is: one for each extent it touches, where the extents are told.
+    pub traffic_class: u32,
+    /// Requests that it is: one for each extent it touches, where the extents are told.
     pub parts: Option<u64>,
-    pub expiry_us: u64,
+    pub deadline_us: u64,
     pub answers: Vec<(u64, AnswerKind)>,
     pub left: Option<u64>,
     /// The way of its session was cut, and its connection reset for that: no answer can come any more.
@@ -22,26 +24,26 @@
 }
 
 #[derive(Debug)]
-pub struct Leg {
+pub struct Attempt {
     pub t: u64,
     pub node: String,
-    pub name: LegName,
+    pub name: AttemptName,
     pub part: u16,
     pub volume: u32,
     pub units: f64,
     pub told_units: f64,
     pub key: u64,
     pub left_us: u64,
-    pub end: Option<(u64, LegEndKind, bool)>,
+    pub end: Option<(u64, AttemptEndKind, bool)>,
     pub link_down: Option<u64>,
     /// The command it belongs to, among `commands`.
     pub command: Option<usize>,
 }
 
-impl Leg {
+impl Attempt {
     /// When its host has had the end of it, and whether the work may go on after that.
     pub fn over(&self) -> (u64, bool) {
-        // A cancel ends nothing: its host still waits for the node's word, until the leg's time is up.
+        // A cancel ends nothing: its host still waits for the node's word, until the attempt's time is up.
         let unknown = [Some(self.t + self.left_us), self.link_down];
         let unknown = unknown.into_iter().flatten().min().unwrap_or(u64::MAX);
         match self.end {
@@ -51,17 +53,17 @@
     }
 
     pub fn never_ran(&self) -> bool {
-        matches!(self.end, Some((_, LegEndKind::NeverRan, _)))
+        matches!(self.end, Some((_, AttemptEndKind::NeverRan, _)))
     }
 
     pub fn group(&self, index: &Index, zone: bool) -> Option<u32> {
-        let life = index.node_life(&self.node, self.t)?;
-        Some(if zone { life.zone } else { life.shard })
+        let generation = index.node_generation(&self.node, self.t)?;
+        Some(if zone { generation.zone } else { generation.shard })
     }
 }
 
 #[derive(Debug)]
-pub struct NodeLife {
+pub struct NodeGeneration {
     pub node: String,
     pub t: u64,
     pub zone: u32,
@@ -76,7 +78,7 @@
     pub t: u64,
     pub state: ListedState,
     pub started_us: u64,
-    /// By the list; else a new life knows nothing.
+    /// By the list; else a new generation knows nothing.
     pub listed: bool,
 }
 
@@ -101,13 +103,13 @@
     pub facts: Facts,
     pub commands: Vec<Command>,
     /// By arrival at their nodes.
-    pub legs: Vec<Leg>,
-    /// Indices of each transfer's legs, by arrival.
-    pub xfers: BTreeMap<(u32, u64, u64), Vec<usize>>,
+    pub attempts: Vec<Attempt>,
+    /// Indices of each request's attempts, by arrival.
+    pub requests: BTreeMap<(u32, u64, u64), Vec<usize>>,
     pub told: HashMap<(u32, String), Vec<Told>>,
     /// By host and node: from when on operators have it out of service, and from when on no longer.
     pub ordered: HashMap<(u32, String), Vec<(u64, bool)>>,
-    pub lives: Vec<NodeLife>,
+    pub generations: Vec<NodeGeneration>,
     /// By volume, the oldest first.
     pub figures: BTreeMap<u32, Vec<Figures>>,
     pub host_ups: Vec<(u64, u32)>,
@@ -133,11 +135,11 @@
             figures: told.collect(),
             facts,
             commands: Vec::new(),
-            legs: Vec::new(),
-            xfers: BTreeMap::new(),
+            attempts: Vec::new(),
+            requests: BTreeMap::new(),
             told: HashMap::new(),
             ordered: HashMap::new(),
-            lives: Vec::new(),
+            generations: Vec::new(),
             host_ups: Vec::new(),
             stops: HashMap::new(),
             client_cuts: HashMap::new(),
@@ -145,7 +147,7 @@
             unfit: None,
         };
         let mut by_name: HashMap<CommandName, Vec<usize>> = HashMap::new();
-        let mut legs_of: HashMap<(String, LegName), usize> = HashMap::new();
+        let mut attempts_of: HashMap<(String, AttemptName), usize> = HashMap::new();
         let mut last = 0;
         let mut down: HashMap<u32, u64> = HashMap::new();
         let mut sessions: HashMap<&str, (u32, u32)> = HashMap::new();
@@ -162,12 +164,20 @@
             match &line.event {
                 Event::Facts(_) | Event::Trouble { .. } | Event::Cancel { .. } => {}
                 Event::NodeDown { node } => {
-                    let open = |l: &&mut Leg| l.node == *node && l.end.is_none();
-                    x.legs.iter_mut().filter(open).for_each(|l| l.link_down = l.link_down.or(Some(t)));
+                    let open = |l: &&mut Attempt| l.node == *node && l.end.is_none();
+                    x.attempts.iter_mut().filter(open).for_each(|l| l.link_down = l.link_down.or(Some(t)));
                 }
                 Event::Truncated => x.unfit = Some("events were lost when it was recorded".into()),
                 Event::Submit {
-                    host, session, command, stream, expiry_us, volume, offset, bytes, ..
+                    host,
+                    session,
+                    command,
+                    traffic_class,
+                    deadline_us,
+                    volume,
+                    offset,
+                    bytes,
+                    ..
                 } => {
                     let told = x.facts.volumes.iter().find(|v| v.volume == *volume && v.extent_bytes > 0);
                     let parts = told.map(|v| {
@@ -179,9 +189,9 @@
                     x.commands.push(Command {
                         name,
                         t,
-                        stream: *stream,
+                        traffic_class: *traffic_class,
                         parts,
-                        expiry_us: *expiry_us,
+                        deadline_us: *deadline_us,
                         answers: Vec::new(),
                         left: None,
                         lost: None,
@@ -211,21 +221,23 @@
                 Event::HostUp { host } => {
                     down.remove(host);
                     x.host_ups.push((t, *host));
-                    // A new life knows nothing of what the old one was told.
+                    // A new generation knows nothing of what the old one was told.
                     for (_, told) in x.told.iter_mut().filter(|((h, _), _)| h == host) {
                         told.push(Told { t, state: ListedState::Ready, started_us: 0, listed: false });
                     }
                 }
-                Event::NodeUp { node, zone, shard, capacity, cold_from, warm_us } => x.lives.push(NodeLife {
-                    node: node.clone(),
-                    t,
-                    zone: *zone,
-                    shard: *shard,
-                    capacity: *capacity,
-                    cold_from: *cold_from,
-                    warm_us: *warm_us,
-                }),
-                Event::Leg {
+                Event::NodeUp { node, zone, shard, capacity, cold_from, warm_us } => {
+                    x.generations.push(NodeGeneration {
+                        node: node.clone(),
+                        t,
+                        zone: *zone,
+                        shard: *shard,
+                        capacity: *capacity,
+                        cold_from: *cold_from,
+                        warm_us: *warm_us,
+                    })
+                }
+                Event::Attempt {
                     node,
                     name,
                     session,
@@ -239,20 +251,20 @@
                     left_us,
                     ..
                 } => {
-                    let at = x.legs.len();
+                    let at = x.attempts.len();
                     let belongs =
                         by_name.get(&(name.host, *session, *command)).and_then(|v| v.last()).copied();
                     let counted = (*bytes as f64 / f64::from(x.facts.unit_bytes.max(1)))
                         .ceil()
-                        .clamp(1.0, x.facts.most_units);
+                        .clamp(1.0, x.facts.max_units);
                     // What is ordered is told by the place, where extents are told: a host that forgot the order
                     // would forget the key as well.
                     let told = x.facts.volumes.iter().find(|v| v.volume == *volume && v.extent_bytes > 0);
                     let place = told.map(|v| ((u64::from(*volume) + 1) << 48) | (offset / v.extent_bytes));
                     let key = &place.unwrap_or(*key);
-                    legs_of.insert((node.clone(), *name), at);
-                    x.xfers.entry((name.host, name.life, name.xfer)).or_default().push(at);
-                    x.legs.push(Leg {
+                    attempts_of.insert((node.clone(), *name), at);
+                    x.requests.entry((name.host, name.generation, name.request)).or_default().push(at);
+                    x.attempts.push(Attempt {
                         t,
                         node: node.clone(),
                         name: *name,
@@ -267,15 +279,15 @@
                         command: belongs,
                     });
                 }
-                Event::LegEnd { node, name, kind, ran } => {
-                    if let Some(l) = legs_of.get(&(node.clone(), *name)) {
-                        x.legs[*l].end = x.legs[*l].end.or(Some((t, *kind, *ran)));
+                Event::AttemptEnd { node, name, kind, ran } => {
+                    if let Some(l) = attempts_of.get(&(node.clone(), *name)) {
+                        x.attempts[*l].end = x.attempts[*l].end.or(Some((t, *kind, *ran)));
                     }
                 }
-                Event::LinkDown { node, legs, .. } => {
-                    for name in legs {
-                        if let Some(l) = legs_of.get(&(node.clone(), *name)) {
-                            x.legs[*l].link_down = x.legs[*l].link_down.or(Some(t));
+                Event::LinkDown { node, attempts, .. } => {
+                    for name in attempts {
+                        if let Some(l) = attempts_of.get(&(node.clone(), *name)) {
+                            x.attempts[*l].link_down = x.attempts[*l].link_down.or(Some(t));
                         }
                     }
                 }
@@ -360,7 +372,7 @@
         let of = |all: &HashMap<u32, Vec<(u64, u64)>>| all.get(&host).cloned().unwrap_or_default();
         let stops = of(&self.stops);
         let unread = stops.iter().find(|(from, to)| *from <= c.t + f.skew_us && c.t < *to).map(|(_, to)| *to);
-        let own = unread.unwrap_or(c.t).saturating_add(c.expiry_us + f.answer_slack_us);
+        let own = unread.unwrap_or(c.t).saturating_add(c.deadline_us + f.answer_slack_us);
         let mut away: Vec<(u64, u64)> = stops.into_iter().chain(of(&self.client_cuts)).collect();
         away.sort_unstable();
         away.into_iter().fold(own, |due, (from, to)| match from <= due && to > c.t {
@@ -378,36 +390,39 @@
         of(&self.stops).max(of(&self.client_cuts))
     }
 
-    pub fn stream(&self, command: Option<usize>) -> Option<&StreamFacts> {
-        self.facts.streams.get(self.commands[command?].stream as usize)
+    pub fn traffic_class(&self, command: Option<usize>) -> Option<&TrafficClassFacts> {
+        self.facts.traffic_classes.get(self.commands[command?].traffic_class as usize)
     }
 
-    pub fn node_life(&self, node: &str, t: u64) -> Option<&NodeLife> {
-        self.lives.iter().rev().find(|l| l.node == node && l.t <= t)
+    pub fn node_generation(&self, node: &str, t: u64) -> Option<&NodeGeneration> {
+        self.generations.iter().rev().find(|l| l.node == node && l.t <= t)
     }
 
-    pub fn title(&self, leg: &Leg) -> String {
-        match leg.command.map(|c| self.commands[c].name) {
+    pub fn title(&self, attempt: &Attempt) -> String {
+        match attempt.command.map(|c| self.commands[c].name) {
             Some((host, session, command)) => {
-                format!("{host}/{session}/{command} part {} leg {}", leg.part, leg.name.leg)
+                format!("{host}/{session}/{command} part {} attempt {}", attempt.part, attempt.name.attempt)
             }
             None => {
-                format!("{}/{:x} number {} leg {}", leg.name.host, leg.name.life, leg.name.xfer, leg.name.leg)
+                format!(
+                    "{}/{:x} number {} attempt {}",
+                    attempt.name.host, attempt.name.generation, attempt.name.request, attempt.name.attempt
+                )
             }
         }
     }
 }
 
 impl Index {
-    /// Transfers that a host took in a span: of each command as many as it touches extents or, where these are not
+    /// Requests that a host took in a span: of each command as many as it touches extents or, where these are not
     /// told, one and one more for each further part seen.
-    pub fn most_parts(&self, host: u32, from: u64, to: u64, commands: usize) -> f64 {
+    pub fn max_parts(&self, host: u32, from: u64, to: u64, commands: usize) -> f64 {
         let within = self.commands.iter().filter(|c| c.name.0 == host && (from..=to).contains(&c.t));
         let told: Option<u64> = within.map(|c| c.parts).sum();
         if let Some(parts) = told {
             return parts as f64;
         }
-        let further = self.xfers.values().map(|legs| &self.legs[legs[0]]);
+        let further = self.requests.values().map(|attempts| &self.attempts[attempts[0]]);
         let further = further.filter(|l| l.part > 0 && l.name.host == host);
         let seen = further.filter(|l| l.command.is_some_and(|c| (from..=to).contains(&self.commands[c].t)));
         (commands + seen.count()) as f64
--- a/crates/rulecheck/tests/json_forms.rs
+++ b/crates/invariants/tests/json_forms.rs
@@ -1,7 +1,7 @@
 //! Guards the JSON form of a report on a trace, which `tackmast rules --json` prints: the names of its fields, and number and
 //! name of each rule.
 
-use tackmast_rulecheck::{judge, Break, Report, RuleReport};
+use tackmast_invariants::{judge, Break, Report, RuleReport};
 use tackmast_trace::{Event, Facts, Line};
 
 #[test]
@@ -9,7 +9,7 @@
     let found = Break {
         rule: 2,
         t: 1_700_000_000_000_000,
-        transfer: "host 1 session 2 command 3".into(),
+        request: "host 1 session 2 command 3".into(),
         node: "127.0.0.1:9000".into(),
         what: "ran twice".into(),
     };
--- a/crates/overrides/src/engine.rs
+++ b/crates/overrides/src/engine.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::fmt;
 use std::net::SocketAddr;
-use tackmast::interface::{Instant, NodeState, Span};
+use tackmast::interface::{Instant, NodeState, TimeDelta};
 
 /// An end further off is refused: an override that nobody will remember is what these are against.
 const LONGEST_S: f64 = 366.0 * 86_400.0;
@@ -49,7 +49,8 @@
         zone: u32,
         out: usize,
         of: usize,
-        most_part: f64,
+        #[serde(rename = "most_part")]
+        max_part: f64,
     },
     /// Others have changed something since that version.
     Moved {
@@ -70,9 +71,9 @@
             Refusal::LastOfShard { shard, nodes } => {
                 write!(f, "shard {shard} would have no node in service ({}); force it if that is meant", nodes.join(", "))
             }
-            Refusal::TooMuchOfZone { zone, out, of, most_part } => write!(
+            Refusal::TooMuchOfZone { zone, out, of, max_part } => write!(
                 f,
-                "{out} of {of} nodes of zone {zone} would be out of service; at most {most_part} of them without force"
+                "{out} of {of} nodes of zone {zone} would be out of service; at most {max_part} of them without force"
             ),
             Refusal::Moved { asked, now, changes } => {
                 write!(f, "version {asked} was asked for, and {now} holds; since then: {}", changes.join("; "))
@@ -208,7 +209,7 @@
 }
 
 impl Overrides {
-    /// `records` are those that an earlier life acknowledged; what ended meanwhile is told and dropped.
+    /// `records` are those that an earlier generation acknowledged; what ended meanwhile is told and dropped.
     pub fn new(
         now: Instant,
         wall_us: u64,
@@ -223,7 +224,7 @@
             ends: Wheel::new(now),
             ends_at: HashMap::new(),
             next: next.max(1),
-            // Versions of an earlier life must not be met again, or an old one would pass for the present.
+            // Versions of an earlier generation must not be met again, or an old one would pass for the present.
             version: wall_us / 1000,
             recent: VecDeque::new(),
             nodes: BTreeMap::new(),
@@ -244,7 +245,7 @@
                 ended.push(Ended { record: r, audit });
                 continue;
             }
-            o.insert(r, now + Span::from_secs(left as f64 / 1e6));
+            o.insert(r, now + TimeDelta::from_secs(left as f64 / 1e6));
         }
         (o, ended)
     }
@@ -456,8 +457,8 @@
             let out = of.iter().filter(|n| !serves(after, n)).count();
             let was = of.iter().filter(|n| !serves(before, n)).count();
             if out > was && out as f64 > self.settings.zone_part * of.len() as f64 {
-                let (of, most_part) = (of.len(), self.settings.zone_part);
-                return Some(Refusal::TooMuchOfZone { zone, out, of, most_part });
+                let (of, max_part) = (of.len(), self.settings.zone_part);
+                return Some(Refusal::TooMuchOfZone { zone, out, of, max_part });
             }
         }
         None
@@ -475,7 +476,7 @@
         self.next = self.next.max(o.id.0 + 1);
         self.moved(format!("{} set {} {}", o.who, o.target, o.kind));
         let target = o.target;
-        self.insert(o, now + Span::from_secs(left as f64 / 1e6));
+        self.insert(o, now + TimeDelta::from_secs(left as f64 / 1e6));
         self.look_again(now, &self.named(&target));
     }
 
@@ -510,7 +511,7 @@
     }
 
     /// Compares the two clocks. After a step of the wall clock the ends keep their running time; the records with
-    /// their new ends in wall time are to be kept anew, for a later life.
+    /// their new ends in wall time are to be kept anew, for a later generation.
     pub fn wall_seen(&mut self, now: Instant, wall_us: u64) -> Option<(Vec<Override>, Audit)> {
         let offset = wall_us as i64 - us(now);
         let step = offset - self.offset_us;
--- a/crates/plans/tests/plans.rs
+++ b/crates/plans/tests/plans.rs
@@ -28,8 +28,11 @@
     Step::Volume { name: name.into(), to }
 }
 
-fn stream(name: &str) -> Step {
-    Step::Stream { name: name.into(), to: Some(StreamType { slo_ms: 100.0, expiry_ms: 1000.0 }) }
+fn traffic_class(name: &str) -> Step {
+    Step::TrafficClass {
+        name: name.into(),
+        to: Some(TrafficClass { latency_objective_ms: 100.0, deadline_ms: 1000.0 }),
+    }
 }
 
 fn change(base: u64, steps: Vec<Step>) -> Change {
@@ -37,7 +40,7 @@
 }
 
 fn fleet() -> Fleet {
-    Fleet { hosts: 4, most_units: 8.0, bears: [(0, 100.0), (1, 100.0)].into() }
+    Fleet { hosts: 4, max_units: 8.0, bears: [(0, 100.0), (1, 100.0)].into() }
 }
 
 fn put(t: &mut Trail, c: Change) -> Result<u64, Refusal> {
@@ -49,8 +52,8 @@
 fn begun() -> Trail {
     let mut t = Trail::default();
     let steps = vec![
-        stream("read"),
-        stream("write"),
+        traffic_class("read"),
+        traffic_class("write"),
         set_plan("basic", Some(plan(20.0))),
         set_plan("premium", Some(plan(0.0))),
         set_volume("school", Some(volume(1, "basic"))),
--- a/crates/httphost/src/keepers.rs
+++ b/crates/platform-host/src/keepers.rs
@@ -1,17 +1,17 @@
 //! What a host remembers of its shards, left with a few others over its restarts: hosts of the platform have no disk. A host
-//! tells three others now and then what each shard did for it, and when it ends; its next life asks them for it. The sum of
+//! tells three others now and then what each shard did for it, and when it ends; its next generation asks them for it. The sum of
 //! what all hosts remember stays what it was, so nothing new has to be argued about cold nodes (docs/design.md). Datagrams
 //! may be late, doubled or lost: then a host starts without, as ever. No I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use tackmast::interface::{Instant, ShardId, Span};
+use tackmast::interface::{Instant, ShardId, TimeDelta};
 
 /// Bytes of one datagram, at most, by the platform.
-pub const MOST: usize = 256;
+pub const MAX: usize = 256;
 const HEAD: usize = 5;
 const ENTRY: usize = 4;
-const A_PIECE: usize = (MOST - HEAD) / ENTRY;
+const A_PIECE: usize = (MAX - HEAD) / ENTRY;
 /// Datagrams of one host, at most: shards beyond are left out, those that did least first.
 const PIECES: usize = 8;
 /// Hosts that keep what one host remembers, evenly apart in the order of hosts, as neighbours are restarted together.
@@ -19,7 +19,7 @@
 const EVERY: f64 = 5.0; // seconds
 /// What was left longer ago says nothing any more.
 const KEPT: f64 = 30.0; // seconds
-/// A new life asks at these times, until it has an answer.
+/// A new generation asks at these times, until it has an answer.
 const ASKS: [f64; 3] = [0.0, 0.3, 1.0]; // seconds
 
 const KEEP: u8 = 1;
@@ -52,7 +52,7 @@
             me,
             peers,
             born: now,
-            next: now + Span::from_secs(first),
+            next: now + TimeDelta::from_secs(first),
             asked: 0,
             left: false,
             kept: BTreeMap::new(),
@@ -80,7 +80,7 @@
             all.extend(self.keepers().into_iter().map(|to| (to, vec![b't', b'k', ASK, 0, 1])));
         }
         if now >= self.next {
-            self.next = now + Span::from_secs(EVERY);
+            self.next = now + TimeDelta::from_secs(EVERY);
             all.extend(self.leave(paces()));
         }
         all
@@ -116,7 +116,7 @@
             self.strangers += 1;
             return Vec::new();
         };
-        if bytes.len() > MOST || usize::from(*piece) >= PIECES {
+        if bytes.len() > MAX || usize::from(*piece) >= PIECES {
             self.strangers += 1;
             return Vec::new();
         }
@@ -152,7 +152,7 @@
         Vec::new()
     }
 
-    /// What came back of an earlier life, each shard once.
+    /// What came back of an earlier generation, each shard once.
     pub fn take_back(&mut self) -> Vec<(ShardId, f64)> {
         self.back.values_mut().flat_map(std::mem::take).collect()
     }
@@ -171,8 +171,8 @@
     }
 
     #[test]
-    fn a_new_life_gets_what_the_one_before_left_and_nothing_twice() {
-        // Hosts, shards that are remembered, seconds between the lives; shards that come back.
+    fn a_new_generation_gets_what_the_one_before_left_and_nothing_twice() {
+        // Hosts, shards that are remembered, seconds between the generations; shards that come back.
         for (n, shards, away, back) in [
             (8, 3, 4.0, 3),
             (8, 300, 4.0, 300),
@@ -187,7 +187,7 @@
             let paces: Vec<_> = (0..shards).map(|s| (ShardId(s), 1.0 + f64::from(s) / 7.0)).collect();
             let index = |a: &SocketAddr| usize::from(a.port() - 1000);
             for (to, bytes) in hosts[0].leave(paces.clone()) {
-                assert!(bytes.len() <= MOST);
+                assert!(bytes.len() <= MAX);
                 hosts[index(&to)].heard(at(1.0), all[0], &bytes);
             }
             hosts[0] = Keepers::new(at(1.0 + away), 0, all.clone());
--- a/crates/httphost/src/pool.rs
+++ b/crates/platform-host/src/pool.rs
@@ -1,17 +1,17 @@
 //! Which connection is reused, closed or given up for another, and how descriptors and bytes are split. No I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
-use tackmast::interface::{Instant, NodeId, Span};
+use tackmast::interface::{Instant, NodeId, TimeDelta};
 use tackmast_platform::Limits;
 
 /// Descriptors that are not connections of clients or nodes: the standard three, epoll, signals, listener, datagrams, node list old
 /// and new, the configuration file, and a few to accept with.
 const OWN_SOCKETS: usize = 25;
-/// Of the others, clients get this part: silent ones come by the hundred, while legs out are capped by the module.
+/// Of the others, clients get this part: silent ones come by the hundred, while attempts out are capped by the module.
 const CLIENTS_PART: f64 = 0.6;
 /// Of the memory, what may stand in buffers. The rest is the program, its tables, and what the allocator keeps.
 const BYTES_PART: f64 = 0.25;
-/// A transfer's tables, roughly; so many fit into the same part again.
+/// A request's tables, roughly; so many fit into the same part again.
 const TRANSFER_BYTES: usize = 4096;
 
 /// What the host may hold, from the platform's limits.
@@ -20,7 +20,7 @@
     pub clients: usize,
     pub links: usize,
     pub bytes: usize,
-    pub transfers: usize,
+    pub requests: usize,
 }
 
 impl Split {
@@ -28,9 +28,9 @@
         let free = limits.sockets.saturating_sub(OWN_SOCKETS);
         let clients = (free as f64 * CLIENTS_PART) as usize;
         let bytes = (limits.memory_bytes as f64 * BYTES_PART) as usize;
-        // A client has one request open; the table of transfers has room for all that fit.
-        let transfers = (bytes / TRANSFER_BYTES).min(clients * 2);
-        Split { clients, links: free - clients, bytes, transfers }
+        // A client has one request open; the table of requests has room for all that fit.
+        let requests = (bytes / TRANSFER_BYTES).min(clients * 2);
+        Split { clients, links: free - clients, bytes, requests }
     }
 }
 
@@ -81,7 +81,7 @@
     }
 
     /// The one used last, of those that have been idle for so long: the others may age until they close.
-    pub fn take(&mut self, node: NodeId, now: Instant, rested: Span) -> Option<u32> {
+    pub fn take(&mut self, node: NodeId, now: Instant, rested: TimeDelta) -> Option<u32> {
         let rested = |(_, since): &&(u32, Instant)| now - *since >= rested;
         let (link, since) = *self.by_node.get(&node)?.iter().rev().find(rested)?;
         self.remove_at(since, node, link);
@@ -89,7 +89,7 @@
     }
 
     /// When one more of a node's links has been idle for `rested`, after `before` others have: if it has so many that are not yet.
-    pub fn rested_at(&self, node: NodeId, now: Instant, rested: Span, before: usize) -> Option<Instant> {
+    pub fn rested_at(&self, node: NodeId, now: Instant, rested: TimeDelta, before: usize) -> Option<Instant> {
         let mut young: Vec<Instant> =
             self.by_node.get(&node)?.iter().map(|(_, t)| *t + rested).filter(|t| *t > now).collect();
         young.sort();
@@ -119,7 +119,7 @@
     }
 
     /// The one idle for longest, at whatever node: to make room, or if it has been so for longer than `keep`.
-    pub fn oldest(&self, idle_at_least: Span, now: Instant) -> Option<(NodeId, u32)> {
+    pub fn oldest(&self, idle_at_least: TimeDelta, now: Instant) -> Option<(NodeId, u32)> {
         let (since, node, link) = self.by_age.first().copied()?;
         (now - since >= idle_at_least).then_some((node, link))
     }
--- a/crates/httphost/src/serve.rs
+++ b/crates/platform-host/src/serve.rs
@@ -18,12 +18,12 @@
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, Span};
-use tackmast_config::Stream;
-use tackmast_hostcore::{
-    Age, CommandRef, Core, Counters, LegBack, ListEntry, Output, Placed, PlacedSettings,
+use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, TimeDelta};
+use tackmast_config::TrafficClass;
+use tackmast_host_core::{
+    Age, AttemptResult, CommandRef, Core, Counters, ListEntry, Output, Placed, PlacedSettings,
 };
-use tackmast_hostcore::{Request as Opaque, SendLeg, Start, Verdict};
+use tackmast_host_core::{Request as Opaque, SendAttempt, Start, Verdict};
 use tackmast_http::Request;
 use tackmast_platform::{Call, Configuration, List, Reports, Settings};
 
@@ -37,7 +37,7 @@
 const CALLS_APART: f64 = 0.05; // seconds
 /// For how long the id of a request that is over is known, and how many.
 const IDS_KEPT: f64 = 5.0; // seconds
-const MOST_IDS: usize = 4096;
+const MAX_IDS: usize = 4096;
 /// Nodes and volumes that are remembered.
 const NODES: usize = 1024;
 const VOLUMES: usize = 1024;
@@ -66,7 +66,7 @@
     pub listens: Option<SocketAddr>,
     pub nodes: usize,
     pub version: u64,
-    /// Shards of which an earlier life's memory came back.
+    /// Shards of which an earlier generation's memory came back.
     pub known_again: usize,
 }
 
@@ -104,7 +104,7 @@
     refused: u64,
     /// Connections whose next request may be there already.
     again: Vec<u32>,
-    back: Vec<LegBack>,
+    back: Vec<AttemptResult>,
     swept: Instant,
     /// Since when it is told to end, by which steps, and how far it is.
     ending: Option<Instant>,
@@ -126,20 +126,20 @@
         let ready =
             listener.set_nonblocking(true).and_then(|()| poller.add(&listener, Token::Listener, READ));
         ready.map_err(|e| format!("listen: {}: {e}", c.listen))?;
-        let streams = s.streams.iter().map(|st| Stream {
+        let traffic_classes = s.traffic_classes.iter().map(|st| TrafficClass {
             name: st.name.clone(),
-            slo: st.slo,
-            expiry: st.expiry,
+            latency_objective: st.latency_objective,
+            deadline: st.deadline,
             effect: st.effect,
             in_order: st.in_order,
             order_blocks: None,
         });
         let placed = PlacedSettings {
-            streams: streams.collect(),
+            traffic_classes: traffic_classes.collect(),
             tells: s.tells,
             longest_wait: s.longest_wait,
             grace: s.drain_grace,
-            transfers: split.transfers,
+            requests: split.requests,
             bytes: split.bytes,
             nodes: NODES,
             volumes: VOLUMES,
@@ -170,7 +170,7 @@
             links: Links::new(split.links, s.connect_timeout, s.conn_idle, reports),
             watch: Watch::new(c.discovery),
             follows: false,
-            asked: now - Span::from_secs(CALLS_APART),
+            asked: now - TimeDelta::from_secs(CALLS_APART),
             ask_at: None,
             listed: false,
             heard: false,
@@ -184,7 +184,9 @@
             back: Vec::new(),
             swept: now,
             ending: None,
-            ends: Ending::new(s.streams.iter().map(|st| st.expiry).max().unwrap_or(Span::ZERO)),
+            ends: Ending::new(
+                s.traffic_classes.iter().map(|st| st.deadline).max().unwrap_or(TimeDelta::ZERO),
+            ),
             step: Step::Serves,
             peers,
             known_again: 0,
@@ -301,7 +303,7 @@
     /// Datagrams of other hosts, a bounded number in a turn.
     fn hear(&mut self, now: Instant) {
         let Some((socket, k)) = &mut self.peers else { return };
-        let mut bytes = [0; keepers::MOST + 1];
+        let mut bytes = [0; keepers::MAX + 1];
         for _ in 0..DATAGRAMS {
             let Ok((n, from)) = socket.recv_from(&mut bytes) else { break };
             for (to, answer) in k.heard(now, from, &bytes[..n]) {
--- a/crates/httphost/src/serve/requests.rs
+++ b/crates/platform-host/src/serve/requests.rs
@@ -7,7 +7,7 @@
         for _ in 0..ACCEPTS {
             let Some(listener) = &self.listener else { return };
             match listener.accept() {
-                Ok((stream, _)) => self.clients.accepted(now, &self.poller, stream),
+                Ok((traffic_class, _)) => self.clients.accepted(now, &self.poller, traffic_class),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(_) => {
@@ -45,7 +45,7 @@
         while let Some((_, name)) = self.used.pop_front_if(old) {
             self.ids.remove(&name);
         }
-        while self.used.len() > MOST_IDS {
+        while self.used.len() > MAX_IDS {
             self.used.pop_front().map(|(_, name)| self.ids.remove(&name));
         }
     }
@@ -85,7 +85,7 @@
         let placed = Placed {
             volume: call.volume,
             plan: call.plan,
-            stream: call.stream,
+            traffic_class: call.traffic_class,
             shard: call.shard,
             key: call.key,
             units: call.units,
--- a/crates/httphost/tests/clients.rs
+++ b/crates/platform-host/tests/clients.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use std::time::{Duration, Instant};
-use tackmast_standins::http::{Heard, HttpClient, NodeFault};
+use tackmast_emulators::http::{Heard, HttpClient, NodeFault};
 
 #[test]
 fn requests_on_one_connection_are_answered_in_turn() {
@@ -172,15 +172,15 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_transfer_back() {
+fn a_client_that_leaves_takes_its_request_back() {
     let mut rig = Rig::new();
     rig.nodes[0].set(NodeFault::Silent, 1);
     let mut client = rig.client();
     let text = rig.get(0);
     client.say(&text);
-    until("its leg is out", || rig.given() == 1);
+    until("its attempt is out", || rig.given() == 1);
     drop(client);
-    until("its leg's connection closes", || rig.nodes[0].connections().1 == 0);
+    until("its attempt's connection closes", || rig.nodes[0].connections().1 == 0);
     // The next one is not held up by it.
     assert_eq!(rig.ask("read", 0).status, 200);
     let status = rig.ended();
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::Settings;
 use bytes::Bytes;
-use tackmast::interface::{Effect, PlanId, ShardId, Span, StreamId};
+use tackmast::interface::{Effect, PlanId, ShardId, TimeDelta, TrafficClassId};
 use tackmast_http::Request;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -11,13 +11,13 @@
     pub id: String,
     pub volume: u64,
     pub key: u64,
-    pub stream: StreamId,
+    pub traffic_class: TrafficClassId,
     pub plan: PlanId,
-    pub left: Span,
+    pub left: TimeDelta,
     pub units: f64,
     pub shard: Option<ShardId>,
     pub hosts: u32,
-    /// What every leg says, up to the header fields that are its own.
+    /// What every attempt says, up to the header fields that are its own.
     pub head: Bytes,
     pub body: Bytes,
 }
@@ -33,7 +33,7 @@
 const LONGEST_ID: usize = 64;
 const LONGEST_MARK: usize = 128;
 const LONGEST_BUDGET_MS: u64 = 3_600_000;
-const MOST_HOSTS: u32 = 10_000;
+const MAX_HOSTS: u32 = 10_000;
 
 impl Call {
     pub fn of(r: Request, s: &Settings) -> Result<Call, Refusal> {
@@ -68,10 +68,10 @@
             )));
         }
         let class = one("x-call-class")?;
-        let stream = s.streams.iter().position(|st| st.name == class);
-        let stream = stream
+        let traffic_class = s.traffic_classes.iter().position(|st| st.name == class);
+        let traffic_class = traffic_class
             .ok_or_else(|| bad(format!("x-call-class {}: expected one of the settings", cut(class))))?;
-        if s.streams[stream].writes.is_some_and(|writes| writes != (r.method == "PUT")) {
+        if s.traffic_classes[traffic_class].writes.is_some_and(|writes| writes != (r.method == "PUT")) {
             return Err(bad(format!("method {}: expected PUT where the class writes, else GET", r.method)));
         }
         let plan = one("x-storage-class")?;
@@ -83,12 +83,12 @@
         let left =
             left.ok_or_else(|| bad(format!("x-budget-ms {}: expected whole milliseconds", cut(budget))))?;
         let extent = one("x-extent")?;
-        let (units, shard, hosts) = extent_of(extent, s.most_units)
+        let (units, shard, hosts) = extent_of(extent, s.max_units)
             .ok_or_else(|| bad(format!("x-extent {}: expected units, shard and hosts", cut(extent))))?;
         let mut marks = r.headers.all("idempotency-key");
         let (mark, more) = (marks.next(), marks.next().is_some());
         let good = mark.is_none_or(|m| !m.is_empty() && m.len() <= LONGEST_MARK && visible(m));
-        let needed = matches!(s.streams[stream].effect, Effect::Keyed { .. });
+        let needed = matches!(s.traffic_classes[traffic_class].effect, Effect::IdempotentByKey { .. });
         if more || !good || (needed && mark.is_none()) {
             return Err(bad(
                 "idempotency-key: expected one, of visible characters, where the class is keyed".into(),
@@ -98,9 +98,9 @@
             id: id.to_owned(),
             volume,
             key,
-            stream: StreamId(stream as u32),
+            traffic_class: TrafficClassId(traffic_class as u32),
             plan: PlanId(plan as u32),
-            left: Span::from_secs(left as f64 / 1e3),
+            left: TimeDelta::from_secs(left as f64 / 1e3),
             units,
             shard,
             hosts,
@@ -110,7 +110,7 @@
     }
 }
 
-/// What every leg says. Only what was understood goes on, written from its value.
+/// What every attempt says. Only what was understood goes on, written from its value.
 fn head(r: &Request, id: &str, mark: Option<&str>) -> Bytes {
     let mut text = format!("{} {} HTTP/1.1\r\nX-Call-Id: {id}\r\n", r.method, r.target);
     if let Some(mark) = mark {
@@ -150,7 +150,7 @@
 }
 
 /// `units=2,shard=5,hosts=3`, in any order; names that are not known are passed over.
-fn extent_of(text: &str, most_units: f64) -> Option<(f64, Option<ShardId>, u32)> {
+fn extent_of(text: &str, max_units: f64) -> Option<(f64, Option<ShardId>, u32)> {
     let (mut units, mut shard, mut hosts) = (None, None, None);
     for (name, value) in text.split(',').map(|pair| pair.split_once('=')).collect::<Option<Vec<_>>>()? {
         let set = match name.trim() {
@@ -164,9 +164,9 @@
         }
     }
     let (units, shard, hosts) = (units?, shard?, hosts?);
-    let most = if most_units > 0.0 { most_units } else { f64::MAX };
+    let most = if max_units > 0.0 { max_units } else { f64::MAX };
     let good =
-        units.is_finite() && units > 0.0 && units <= most && shard >= -1 && (1..=MOST_HOSTS).contains(&hosts);
+        units.is_finite() && units > 0.0 && units <= most && shard >= -1 && (1..=MAX_HOSTS).contains(&hosts);
     let place = u32::try_from(shard).ok().map(ShardId);
     (good && (shard == -1 || place.is_some())).then_some((units, place, hosts))
 }
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -1,14 +1,14 @@
-//! What goes to a node with each leg, and what its answer means.
+//! What goes to a node with each attempt, and what its answer means.
 
 use crate::settings::Settings;
 use bytes::Bytes;
 use std::fmt::Write;
 use std::net::SocketAddr;
-use tackmast::interface::{Outcome, Span};
+use tackmast::interface::{Outcome, TimeDelta};
 use tackmast_http::Answer;
 
-/// The rest of a leg's head, after what its transfer says: which node, and how long the host will wait.
-pub fn leg_head(node: SocketAddr, left: Span) -> String {
+/// The rest of an attempt's head, after what its request says: which node, and how long the host will wait.
+pub fn attempt_head(node: SocketAddr, left: TimeDelta) -> String {
     let ms = (left.secs() * 1e3).floor().max(0.0) as u64;
     format!("Host: {node}\r\nX-Budget-Ms: {ms}\r\n\r\n")
 }
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Came {
     pub outcome: Outcome,
-    /// Transfers that wait at the node, where it told.
+    /// Requests that wait at the node, where it told.
     pub waiting: Option<u32>,
     /// Units served for the volume through other hosts.
     pub elsewhere: Option<f64>,
@@ -70,10 +70,10 @@
 }
 
 /// The head of an answer to a client.
-pub fn answer_head(status: u16, length: usize, come_back: Option<Span>, closes: bool) -> String {
+pub fn answer_head(status: u16, length: usize, retry_after: Option<TimeDelta>, closes: bool) -> String {
     let mut text =
         format!("HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n", tackmast_http::reason(status));
-    if let Some(wait) = come_back {
+    if let Some(wait) = retry_after {
         _ = write!(text, "Retry-After: {:.3}\r\n", wait.secs());
     }
     if closes {
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -2,14 +2,14 @@
 
 use crate::values::{index, object, or, span, text};
 use serde_json::{Map, Value};
-use tackmast::interface::{Effect, Group, Instant, Span};
+use tackmast::interface::{Effect, Group, Instant, TimeDelta};
 use tackmast::policy::Scheduler;
 
 #[derive(Clone, Debug)]
-pub struct StreamType {
+pub struct TrafficClass {
     pub name: String,
-    pub slo: Span,
-    pub expiry: Span,
+    pub latency_objective: TimeDelta,
+    pub deadline: TimeDelta,
     pub effect: Effect,
     pub in_order: bool,
     /// Whether it writes, where that is told.
@@ -34,28 +34,28 @@
     pub me: u32,
     /// Whether hosts may send each other datagrams.
     pub peers: bool,
-    pub tick: Span,
+    pub tick: TimeDelta,
     pub mean_units: f64,
-    /// Of one transfer, at most; 0: not told.
-    pub most_units: f64,
-    pub streams: Vec<StreamType>,
+    /// Of one request, at most; 0: not told.
+    pub max_units: f64,
+    pub traffic_classes: Vec<TrafficClass>,
     pub plans: Vec<Plan>,
-    pub most_legs: u32,
+    pub max_attempts: u32,
     /// The longest that clients can be asked to stay away; zero: they can't be asked.
-    pub longest_wait: Span,
-    pub settle: Span,
-    further_legs: Option<(f64, f64, Span)>,
-    cold: (f64, f64, Span, Span, f64),
+    pub longest_wait: TimeDelta,
+    pub settle: TimeDelta,
+    retry_budget: Option<(f64, f64, TimeDelta)>,
+    cold: (f64, f64, TimeDelta, TimeDelta, f64),
     asks_list: bool,
     /// What load reports hold, in their order.
     pub report: Vec<String>,
     /// Whether answers tell of service through other hosts.
     pub tells: bool,
     pub zones: Vec<String>,
-    pub drain_grace: Span,
-    pub connect_timeout: Span,
+    pub drain_grace: TimeDelta,
+    pub connect_timeout: TimeDelta,
     /// After this long a node closes an idle connection; zero: not told.
-    pub conn_idle: Span,
+    pub conn_idle: TimeDelta,
 }
 
 impl Settings {
@@ -65,8 +65,8 @@
         let list = |name: &str| env.get(name).and_then(Value::as_array).into_iter().flatten().enumerate();
         let writes = domain.get("class_writes").and_then(Value::as_array).cloned().unwrap_or_default();
         let writes = |i: usize| writes.get(i).and_then(Value::as_bool);
-        let streams = list("request_classes")
-            .map(|(i, v)| stream(v, writes(i)).map_err(|e| format!("request_classes[{i}].{e}")))
+        let traffic_classes = list("request_classes")
+            .map(|(i, v)| traffic_class(v, writes(i)).map_err(|e| format!("request_classes[{i}].{e}")))
             .collect::<Result<_, _>>()?;
         let plans = list("grades")
             .map(|(i, v)| plan(v).map_err(|e| format!("grades[{i}].{e}")))
@@ -76,7 +76,7 @@
             all.map(|v| v.as_str().unwrap_or_default().to_owned()).collect()
         };
         let asks_clients = limits.get("retry_after").and_then(Value::as_bool).unwrap_or(false);
-        let further_legs = match rules.contains_key("look_back") {
+        let retry_budget = match rules.contains_key("look_back") {
             true => {
                 let (free, share) = (or(&rules, "extra_floor", 0.0)?, or(&rules, "further_ratio", 0.0)?);
                 Some((free, share, span(&rules, "look_back")?))
@@ -89,13 +89,13 @@
             peers: limits.get("peers").and_then(Value::as_bool).unwrap_or(false),
             tick: span(env, "granularity")?,
             mean_units: or(&domain, "unit_mean", 1.0)?,
-            most_units: or(&domain, "largest", 0.0)?,
-            streams,
+            max_units: or(&domain, "largest", 0.0)?,
+            traffic_classes,
             plans,
-            most_legs: or(&limits, "max_attempts", f64::from(u32::MAX))? as u32,
-            longest_wait: if asks_clients { span(&limits, "max_retry_after")? } else { Span::ZERO },
+            max_attempts: or(&limits, "max_attempts", f64::from(u32::MAX))? as u32,
+            longest_wait: if asks_clients { span(&limits, "max_retry_after")? } else { TimeDelta::ZERO },
             settle: span(&rules, "order_settle")?,
-            further_legs,
+            retry_budget,
             cold: (
                 or(&domain, "cold_bears", 0.0)?,
                 or(&rules, "cold_from", 1.0)?,
@@ -116,15 +116,15 @@
     /// A module that has been told all of it.
     pub fn scheduler(&self, now: Instant, seed: u64) -> Scheduler {
         let mut s = Scheduler::new(now, seed, self.hosts, self.tick, self.mean_units);
-        for st in &self.streams {
-            s.stream(st.slo, st.effect, st.in_order);
+        for st in &self.traffic_classes {
+            s.traffic_class(st.latency_objective, st.effect, st.in_order);
         }
         for p in &self.plans {
             s.plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
         }
-        s.leg_limits(self.most_legs, self.longest_wait, self.settle);
-        if let Some((free, share, window)) = self.further_legs {
-            s.further_leg_budget(free, share, window);
+        s.attempt_limits(self.max_attempts, self.longest_wait, self.settle);
+        if let Some((free, share, window)) = self.retry_budget {
+            s.retry_budget(free, share, window);
         }
         let (safe, from, warm, window, multiple) = self.cold;
         s.cold_nodes(safe, from, warm, window, multiple);
@@ -139,7 +139,7 @@
         !self.asks_list
     }
 
-    /// Where a load report holds the number of transfers that wait.
+    /// Where a load report holds the number of requests that wait.
     pub fn waiting_at(&self) -> Option<usize> {
         self.report.iter().position(|f| f == "q")
     }
@@ -149,12 +149,12 @@
     }
 }
 
-fn stream(v: &Value, writes: Option<bool>) -> Result<StreamType, String> {
+fn traffic_class(v: &Value, writes: Option<bool>) -> Result<TrafficClass, String> {
     let class = object(Some(v), "")?;
     let effect = match text(class.get("effect"), "effect")? {
-        "repeatable" => Effect::Repeatable,
-        "once" => Effect::Unrepeatable,
-        "by_key" => Effect::Keyed {
+        "repeatable" => Effect::Idempotent,
+        "once" => Effect::NonIdempotent,
+        "by_key" => Effect::IdempotentByKey {
             group: match text(class.get("group"), "group")? {
                 "all" => Group::All,
                 "zone" => Group::Zone,
@@ -165,10 +165,10 @@
         },
         other => return Err(format!("effect: {other}; expected repeatable, by_key or once")),
     };
-    Ok(StreamType {
+    Ok(TrafficClass {
         name: name(class),
-        slo: span(class, "target")?,
-        expiry: span(class, "give_up")?,
+        latency_objective: span(class, "target")?,
+        deadline: span(class, "give_up")?,
         effect,
         in_order: class.get("in_order").and_then(Value::as_bool).unwrap_or(false),
         writes,
--- a/crates/day/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -10,9 +10,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tackmast::interface::{Effect, Group};
-use tackmast_standins::list::NodeList;
-use tackmast_standins::node::{Marks, Node, NodeSettings};
-use tackmast_standins::store::Store;
+use tackmast_emulators::list::NodeList;
+use tackmast_emulators::node::{Marks, Node, NodeSettings};
+use tackmast_emulators::store::Store;
 use tackmast_trace::{Event, Recorder};
 use tackmast_wire::list::{Entry, State};
 
@@ -202,15 +202,15 @@
     zone_scope: bool,
     all_scope: bool,
     seed: u64,
-    most_data: usize,
+    max_data: usize,
     recorder: Recorder,
 }
 
 impl Nodes {
     pub fn start(script: &Script, rig: &Rig, recorder: &Recorder) -> Result<Nodes, String> {
         // Nodes of one discard group share their marks. A day has one kind of group: the widest named.
-        let groups = script.settings.streams.iter().filter_map(|s| match s.effect {
-            Effect::Keyed { group, window } => Some((group, window.secs())),
+        let groups = script.settings.traffic_classes.iter().filter_map(|s| match s.effect {
+            Effect::IdempotentByKey { group, window } => Some((group, window.secs())),
             _ => None,
         });
         let groups: Vec<(Group, f64)> = groups.collect();
@@ -222,7 +222,7 @@
             zone_scope: groups.iter().any(|(g, _)| *g == Group::Zone),
             all_scope: groups.iter().any(|(g, _)| *g == Group::All),
             seed: script.day.seed * 1000,
-            most_data: script.settings.bounds.command_bytes as usize,
+            max_data: script.settings.bounds.command_bytes as usize,
             recorder: recorder.clone(),
         };
         for (name, block) in &script.nodes {
@@ -254,7 +254,7 @@
             zone: block.zone,
             nature: block.nature(),
             seed: self.seed,
-            most_data: self.most_data,
+            max_data: self.max_data,
             report_every: Duration::from_millis(block.report_ms),
             marks: self.scopes.entry(scope).or_default().clone(),
             window_s: self.window_s,
--- a/crates/day/src/hunt.rs
+++ b/crates/scenario/src/hunt.rs
@@ -2,10 +2,10 @@
 
 use crate::rig::{How, Who};
 use crate::script::{Action, Script, Trouble};
-use tackmast_standins::ways::What;
+use tackmast_emulators::ways::What;
 
 /// Troubles of one day, at most.
-const MOST: u64 = 6;
+const MAX: u64 = 6;
 /// Seconds at a day's end in which nothing new begins.
 const QUIET: f64 = 1.5;
 
@@ -99,7 +99,7 @@
     let mut d = Draw { chance: oorandom::Rand64::new(u128::from(seed)), script };
     let last = (script.day.seconds - QUIET).max(0.5);
     let mut busy: Vec<u32> = Vec::new();
-    for i in 0..1 + d.below(MOST) {
+    for i in 0..1 + d.below(MAX) {
         let (at_s, name) = (d.between(0.5, last), format!("drawn {i}"));
         let for_s = d.between(0.2, (script.day.seconds - at_s).max(0.3));
         let action = d.action();
@@ -196,14 +196,15 @@
     use super::*;
 
     fn script() -> Script {
-        let file = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/view/third-killed.hcl");
+        let file =
+            std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/view/third-killed.hcl");
         Script::read(&file).unwrap_or_else(|e| panic!("{e}"))
     }
 
     #[test]
     fn what_is_drawn_is_the_same_for_a_seed_and_reads_back_as_it_was() {
         let base = script();
-        let rest = concat!(env!("CARGO_MANIFEST_DIR"), "/../../days/view/base.hcl");
+        let rest = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/view/base.hcl");
         let rest = std::fs::read_to_string(rest).unwrap_or_else(|e| panic!("{e}"));
         let mut kinds = std::collections::BTreeSet::new();
         for seed in 0..200 {
--- a/crates/day/src/play.rs
+++ b/crates/scenario/src/play.rs
@@ -17,13 +17,13 @@
 use tackmast::interface::{Effect, Group};
 use tackmast_admin::{Answer, Call};
 use tackmast_config::HostSettings;
-use tackmast_hostcore::{Ask, Reply};
+use tackmast_emulators::initiator::{self, Initiator, Login};
+use tackmast_emulators::list::{ListFault, NodeList};
+use tackmast_emulators::node::Fault;
+use tackmast_emulators::ways::{Party, What};
+use tackmast_host_core::{Ask, Reply};
 use tackmast_overrides::{Kind, Order, Target};
-use tackmast_standins::initiator::{self, Initiator, Login};
-use tackmast_standins::list::{ListFault, NodeList};
-use tackmast_standins::node::Fault;
-use tackmast_standins::ways::{Party, What};
-use tackmast_trace::{now_us, EffectKind, Event, Facts, Line, Recorder, StreamFacts, VolumeFacts};
+use tackmast_trace::{now_us, EffectKind, Event, Facts, Line, Recorder, TrafficClassFacts, VolumeFacts};
 use tackmast_wire::iscsi::{op, Digests, Pdu, FINAL, READS};
 use tackmast_wire::list::State;
 use tackmast_wire::scsi::Command;
@@ -47,17 +47,23 @@
 /// of a drain, and how far two ends of a socket may differ.
 pub fn facts(s: &HostSettings, answer_slack_s: f64, grace_s: f64, skew_s: f64) -> Facts {
     let us = |seconds: f64| (seconds * 1e6) as u64;
-    let stream = |st: &tackmast_config::Stream| {
+    let traffic_class = |st: &tackmast_config::TrafficClass| {
         let (effect, window) = match st.effect {
-            Effect::Repeatable => (EffectKind::Repeatable, 0.0),
-            Effect::Unrepeatable => (EffectKind::Unrepeatable, 0.0),
-            Effect::Keyed { group: Group::All, window } => (EffectKind::KeyedAll, window.secs()),
-            Effect::Keyed { group: Group::Zone, window } => (EffectKind::KeyedZone, window.secs()),
-            Effect::Keyed { group: Group::Shard, window } => (EffectKind::KeyedShard, window.secs()),
+            Effect::Idempotent => (EffectKind::Idempotent, 0.0),
+            Effect::NonIdempotent => (EffectKind::NonIdempotent, 0.0),
+            Effect::IdempotentByKey { group: Group::All, window } => {
+                (EffectKind::IdempotentByKeyAll, window.secs())
+            }
+            Effect::IdempotentByKey { group: Group::Zone, window } => {
+                (EffectKind::IdempotentByKeyZone, window.secs())
+            }
+            Effect::IdempotentByKey { group: Group::Shard, window } => {
+                (EffectKind::IdempotentByKeyShard, window.secs())
+            }
         };
-        StreamFacts {
+        TrafficClassFacts {
             name: st.name.clone(),
-            slo_us: us(st.slo.secs()),
+            latency_objective_us: us(st.latency_objective.secs()),
             effect,
             window_us: us(window),
             in_order: st.in_order,
@@ -71,17 +77,17 @@
     };
     let cold = s.cold.as_ref();
     Facts {
-        streams: s.streams.iter().map(stream).collect(),
+        traffic_classes: s.traffic_classes.iter().map(traffic_class).collect(),
         volumes: s.volumes.iter().map(volume).collect(),
         unit_bytes: s.units.bytes,
-        most_units: s.units.most,
+        max_units: s.units.most,
         answer_slack_us: us(answer_slack_s),
         grace_us: us(grace_s),
         cold_multiple: cold.map_or(0.0, |c| c.multiple),
         cold_window_us: cold.map_or(0, |c| us(c.window_s)),
         cold_safe_units: cold.map_or(f64::MAX, |c| c.safe_units),
         settle_us: us(s.load.settle_s),
-        further: s.further_legs.as_ref().map(|f| (f.free, f.share, us(f.window_s))),
+        further: s.retry_budget.as_ref().map(|f| (f.free, f.share, us(f.window_s))),
         skew_us: us(skew_s),
     }
 }
@@ -529,7 +535,8 @@
 
     fn end(mut self, seed: u64) -> Played {
         self.wait_for_view();
-        let longest = self.script.settings.streams.iter().map(|s| s.expiry.secs()).fold(0.0, f64::max);
+        let longest =
+            self.script.settings.traffic_classes.iter().map(|s| s.deadline.secs()).fold(0.0, f64::max);
         let slack = self.script.day.answer_slack_ms / 1e3;
         let until = Instant::now() + Duration::from_secs_f64(longest + slack + 0.2);
         while Instant::now() < until && self.flows.iter().any(|f| f.open() > 0) {
@@ -564,7 +571,7 @@
         let ops = self.operators.take().map(Operators::end);
         let agreed = self.agreed.take().map(AgreedWatcher::end);
         let agreed = agreed.map(|a| crate::AgreedSeen { history: ops.as_ref().map_or(0, Vec::len), ..a });
-        if let Some(Err(why)) = ops.map(|ops| tackmast_rulecheck::history::judge(&ops)) {
+        if let Some(Err(why)) = ops.map(|ops| tackmast_invariants::history::judge(&ops)) {
             self.failures.push(format!("what operators saw can't have happened in any order: {why}"));
         }
         self.rig.ways.stop();
@@ -578,10 +585,10 @@
             node.stop();
         }
         self.list.stop();
-        let rules = tackmast_rulecheck::judge(&trace);
+        let rules = tackmast_invariants::judge(&trace);
         if self.script.day.list_spreads_s > 0.0 {
             let within_us = (self.script.day.list_spreads_s * 1e6) as u64;
-            let spread = tackmast_rulecheck::spread::judge(&trace, within_us);
+            let spread = tackmast_invariants::spread::judge(&trace, within_us);
             self.failures.extend(spread.breaks.into_iter().take(10));
             if spread.stops == 0 {
                 self.failures.push("no node was taken away while some host did not hear the list".into());
@@ -600,26 +607,26 @@
     fn report(
         &mut self,
         seed: u64,
-        rules: tackmast_rulecheck::Report,
+        rules: tackmast_invariants::Report,
         view: Option<crate::settled::ViewSeen>,
     ) -> Report {
         let s = &self.script.settings;
         let mut tallies: BTreeMap<(usize, usize), Tally> = BTreeMap::new();
         let (mut failures, mut checked) = (std::mem::take(&mut self.failures), 0);
         for f in &self.flows {
-            let (streams, wrong, blocks) = f.result();
+            let (traffic_classes, wrong, blocks) = f.result();
             checked += blocks;
             failures.extend(wrong);
-            for (i, t) in streams.iter().enumerate().filter(|(_, t)| t.asked > 0) {
+            for (i, t) in traffic_classes.iter().enumerate().filter(|(_, t)| t.asked > 0) {
                 tallies.entry((f.plan(), i)).or_insert_with(Tally::new).add(t);
             }
         }
         let (asked, done) = tallies.values().fold((0, 0), |(a, d), t| (a + t.asked, d + t.done));
         let part = done as f64 / asked.max(1) as f64;
-        if part < self.script.day.least_done {
+        if part < self.script.day.min_done {
             failures.push(format!(
                 "{part:.3} of first tries done; the script expects {}",
-                self.script.day.least_done
+                self.script.day.min_done
             ));
         }
         if let Some(v) = &view {
@@ -639,8 +646,9 @@
                 failures.push(format!("{found} false deaths; the script takes {}", day.false_deaths));
             }
         }
-        let served =
-            tallies.iter().map(|((p, st), t)| Served::new(&s.plans[*p].name, &s.streams[*st].name, t));
+        let served = tallies
+            .iter()
+            .map(|((p, st), t)| Served::new(&s.plans[*p].name, &s.traffic_classes[*st].name, t));
         Report {
             seed,
             served: served.collect(),
@@ -685,7 +693,7 @@
         target,
         name: "iqn.2026-12.org.tackmast:misuse".into(),
         digests: Digests::default(),
-        expiry_ms: None,
+        deadline_ms: None,
         patience,
     };
     let (to, replies) = crossbeam_channel::unbounded();
--- a/crates/day/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -4,16 +4,19 @@
 use crate::traffic::Tally;
 use serde::Serialize;
 
-/// Service of one plan and stream type.
+/// Service of one plan and traffic class.
 #[derive(Clone, Debug, Serialize)]
 pub struct Served {
     pub plan: String,
-    pub stream: String,
+    #[serde(rename = "stream")]
+    pub traffic_class: String,
     pub asked: u64,
     pub in_time: f64,
     pub done: u64,
-    pub deferred: u64,
-    pub abandoned: u64,
+    #[serde(rename = "deferred")]
+    pub rejected: u64,
+    #[serde(rename = "abandoned")]
+    pub failed: u64,
     pub lost: u64,
     pub unreached: u64,
     pub shut: u64,
@@ -22,16 +25,16 @@
 }
 
 impl Served {
-    pub fn new(plan: &str, stream: &str, t: &Tally) -> Served {
+    pub fn new(plan: &str, traffic_class: &str, t: &Tally) -> Served {
         let at = |q| t.times.value_at_quantile(q) as f64 / 1e3;
         Served {
             plan: plan.to_owned(),
-            stream: stream.to_owned(),
+            traffic_class: traffic_class.to_owned(),
             asked: t.asked,
             in_time: t.in_time as f64 / t.asked.max(1) as f64,
             done: t.done,
-            deferred: t.deferred,
-            abandoned: t.abandoned,
+            rejected: t.rejected,
+            failed: t.failed,
             lost: t.lost,
             unreached: t.unreached,
             shut: t.shut,
@@ -48,7 +51,7 @@
     pub blocks_checked: u64,
     /// What is wrong beside the rules: bytes, answers, troubles that could not be played.
     pub failures: Vec<String>,
-    pub rules: tackmast_rulecheck::Report,
+    pub rules: tackmast_invariants::Report,
     /// Of hosts that know of each other.
     pub view: Option<ViewSeen>,
     /// Of hosts that agree on changes.
@@ -72,8 +75,8 @@
             "asked",
             "in time",
             "done",
-            "deferred",
-            "abandoned",
+            "rejected",
+            "failed",
             "lost",
             "unreached",
             "shut",
@@ -85,12 +88,12 @@
                 f,
                 "{:<12} {:<14} {:>7} {:>8.3} {:>7} {:>8} {:>9} {:>5} {:>9} {:>5} {:>9.2} {:>9.2}",
                 s.plan,
-                s.stream,
+                s.traffic_class,
                 s.asked,
                 s.in_time,
                 s.done,
-                s.deferred,
-                s.abandoned,
+                s.rejected,
+                s.failed,
                 s.lost,
                 s.unreached,
                 s.shut,
--- a/crates/day/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddr;
 use tackmast_config::document::Place;
 use tackmast_config::{ConfigError, Document, HostSettings};
+use tackmast_emulators::list::ListFault;
+use tackmast_emulators::model::Nature;
+use tackmast_emulators::node::Fault;
+use tackmast_emulators::ways::What;
 use tackmast_overrides::{Kind, Target};
-use tackmast_standins::list::ListFault;
-use tackmast_standins::model::Nature;
-use tackmast_standins::node::Fault;
-use tackmast_standins::ways::What;
 
 /// `day { ... }`
 #[derive(Debug, Clone, Deserialize)]
@@ -36,7 +36,8 @@
     pub members: bool,
     /// Least part of the first tries that must be done.
     #[serde(default)]
-    pub least_done: f64,
+    #[serde(rename = "least_done")]
+    pub min_done: f64,
     /// Sites that the hosts stand in, neighbours together; 0: they tell none.
     #[serde(default)]
     pub sites: u32,
@@ -181,14 +182,15 @@
     #[serde(default)]
     pub from_s: f64,
     pub for_s: Option<f64>,
-    /// Further tries after a deferral, and whether it waits as told.
+    /// Further tries after a rejection, and whether it waits as told.
     #[serde(default)]
     pub retries: u32,
     #[serde(default = "yes")]
     pub waits: bool,
     #[serde(default)]
     pub digests: bool,
-    pub expiry_ms: Option<u32>,
+    #[serde(rename = "expiry_ms")]
+    pub deadline_ms: Option<u32>,
     /// Surges of its own: times the rate, how long, and how often in the mean, in seconds.
     pub surges: Option<(f64, f64, f64)>,
     /// How often the lead passes to another host, in the mean, in seconds.
--- a/crates/day/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tackmast::interface::Effect;
 use tackmast_config::{HostSettings, Volume};
-use tackmast_standins::initiator::{Ask, AskWork, Initiator, Login, Reply};
+use tackmast_emulators::initiator::{Ask, AskWork, Initiator, Login, Reply};
 use tackmast_trace::{now_us, Recorder};
 use tackmast_wire::iscsi::Digests;
 
@@ -23,15 +23,15 @@
 /// What became of first tries and their retries.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    /// First tries, and those of them done within their SLO time, done at all.
+    /// First tries, and those of them done within their latency objective, done at all.
     pub asked: u64,
     pub in_time: u64,
     pub done: u64,
     /// Answers of all tries.
-    pub deferred: u64,
-    pub abandoned: u64,
-    pub lost: u64,
     pub rejected: u64,
+    pub failed: u64,
+    pub lost: u64,
+    pub invalid: u64,
     /// Tries that found no session, or a shut window.
     pub unreached: u64,
     pub shut: u64,
@@ -41,19 +41,19 @@
 impl Tally {
     pub fn new() -> Tally {
         let times = Histogram::new_with_bounds(1, LONGEST, 3).unwrap_or_else(|_| unreachable_histogram());
-        let (asked, in_time, done, deferred, abandoned) = (0, 0, 0, 0, 0);
-        let (lost, rejected, unreached, shut) = (0, 0, 0, 0);
-        Tally { asked, in_time, done, deferred, abandoned, lost, rejected, unreached, shut, times }
+        let (asked, in_time, done, rejected, failed) = (0, 0, 0, 0, 0);
+        let (lost, invalid, unreached, shut) = (0, 0, 0, 0);
+        Tally { asked, in_time, done, rejected, failed, lost, invalid, unreached, shut, times }
     }
 
     pub fn add(&mut self, other: &Tally) {
         self.asked += other.asked;
         self.in_time += other.in_time;
         self.done += other.done;
-        self.deferred += other.deferred;
-        self.abandoned += other.abandoned;
-        self.lost += other.lost;
         self.rejected += other.rejected;
+        self.failed += other.failed;
+        self.lost += other.lost;
+        self.invalid += other.invalid;
         self.unreached += other.unreached;
         self.shut += other.shut;
         _ = self.times.add(&other.times);
@@ -68,8 +68,8 @@
 struct Try {
     first_at: u64,
     sent: u64,
-    slo_us: u64,
-    stream: usize,
+    latency_objective_us: u64,
+    traffic_class: usize,
     block: u64,
     blocks: u32,
     version: u64, // 0: a read
@@ -88,7 +88,7 @@
 struct Again {
     at: u64,
     first_at: u64,
-    stream: usize,
+    traffic_class: usize,
     block: u64,
     blocks: u32,
     write: bool,
@@ -165,7 +165,7 @@
             tries: HashMap::new(),
             next: 0,
             chance: oorandom::Rand64::new(u128::from(seed)),
-            tallies: settings.streams.iter().map(|_| Tally::new()).collect(),
+            tallies: settings.traffic_classes.iter().map(|_| Tally::new()).collect(),
             wrong: Vec::new(),
         };
         let seats = |h: &u32| (*h, (0..block.sessions).map(|_| RwLock::new(None)).collect());
@@ -246,7 +246,7 @@
             target: self.settings.host.target.clone(),
             name: format!("iqn.2026-12.org.tackmast:client-{}", self.name),
             digests: Digests { header: self.block.digests, data: self.block.digests },
-            expiry_ms: self.block.expiry_ms,
+            deadline_ms: self.block.deadline_ms,
             patience: Duration::from_secs(2),
         };
         Initiator::login(&login, host, self.replies.0.clone(), self.recorder.clone()).ok()
@@ -335,17 +335,22 @@
         let blocks = s.chance.rand_range(u64::from(least)..u64::from(most) + 1) as u32;
         let block = self.base + s.chance.rand_range(0..self.block.span_blocks - u64::from(blocks) + 1);
         let write = s.chance.rand_float() >= self.block.reads;
-        let large = self.volume.large.filter(|(from, _)| blocks >= *from && !write).map(|(_, stream)| stream);
-        let stream = large.unwrap_or(if write { self.volume.writes } else { self.volume.reads }) as usize;
-        Again { at, first_at: at, stream, block, blocks, write, tries: 0 }
+        let large = self
+            .volume
+            .large
+            .filter(|(from, _)| blocks >= *from && !write)
+            .map(|(_, traffic_class)| traffic_class);
+        let traffic_class =
+            large.unwrap_or(if write { self.volume.writes } else { self.volume.reads }) as usize;
+        Again { at, first_at: at, traffic_class, block, blocks, write, tries: 0 }
     }
 
     fn send(&self, a: Again) {
         let mut s = lock(&self.state);
         let now = now_us();
-        let st = &self.settings.streams[a.stream];
+        let st = &self.settings.traffic_classes[a.traffic_class];
         if a.tries == 0 {
-            s.tallies[a.stream].asked += 1;
+            s.tallies[a.traffic_class].asked += 1;
         }
         let lead = self.lead.load(Ordering::Relaxed) % self.seats.len();
         let (host, seat) = (s.chance.rand_float(), s.chance.rand_u64() as usize);
@@ -357,7 +362,7 @@
         let seats = &self.seats[host].1;
         let session = seats[seat / 7 % seats.len()].read().unwrap_or_else(PoisonError::into_inner).clone();
         let Some(session) = session.filter(Initiator::is_open) else {
-            s.tallies[a.stream].unreached += 1;
+            s.tallies[a.traffic_class].unreached += 1;
             return;
         };
         s.next += 1;
@@ -368,21 +373,21 @@
             true => AskWork::Write { data: Bytes::from(s.registers.write(now, block, blocks, version)) },
             false => AskWork::Read { blocks },
         };
-        let expiry = self.block.expiry_ms.map_or(st.expiry.secs(), |ms| f64::from(ms) / 1e3);
+        let deadline = self.block.deadline_ms.map_or(st.deadline.secs(), |ms| f64::from(ms) / 1e3);
         let ask = Ask {
             lun: self.volume.lun,
-            stream: a.stream as u32,
+            traffic_class: a.traffic_class as u32,
             block,
             block_bytes: self.volume.block_bytes,
             work,
-            expiry_us: (expiry * 1e6) as u64,
+            deadline_us: (deadline * 1e6) as u64,
         };
-        let slo_us = (st.slo.secs() * 1e6) as u64;
+        let latency_objective_us = (st.latency_objective.secs() * 1e6) as u64;
         let new = Try {
             first_at: a.first_at,
             sent: now,
-            slo_us,
-            stream: a.stream,
+            latency_objective_us,
+            traffic_class: a.traffic_class,
             block,
             blocks,
             version,
@@ -395,7 +400,7 @@
         match session.ask(label, &ask, Duration::ZERO) {
             None => {
                 let mut s = lock(&self.state);
-                s.tallies[a.stream].shut += 1;
+                s.tallies[a.traffic_class].shut += 1;
                 s.tries.remove(&label);
                 if a.write {
                     s.registers.wrote(now, block, blocks, version, Some(false));
@@ -406,7 +411,7 @@
                 // No answer is owed any more: what became of it is unknown.
                 let mut s = lock(&self.state);
                 if s.tries.remove(&label).is_some() {
-                    s.tallies[a.stream].lost += 1;
+                    s.tallies[a.traffic_class].lost += 1;
                     s.registers.wrote(now, block, blocks, version, None);
                 }
             }
@@ -432,14 +437,14 @@
                 pruned = now;
             }
             let Some(t) = s.tries.remove(&label) else { continue };
-            let effect = self.settings.streams[t.stream].effect;
-            let (stream, write) = (t.stream, t.version > 0);
+            let effect = self.settings.traffic_classes[t.traffic_class].effect;
+            let (traffic_class, write) = (t.traffic_class, t.version > 0);
             let ran = match &reply {
                 Reply::Done(data) => {
-                    let tally = &mut s.tallies[stream];
+                    let tally = &mut s.tallies[traffic_class];
                     tally.done += 1;
                     let took = now.saturating_sub(t.first_at);
-                    tally.in_time += u64::from(took <= t.slo_us);
+                    tally.in_time += u64::from(took <= t.latency_objective_us);
                     _ = tally.times.record(took.clamp(1, LONGEST));
                     if !write {
                         let wanted = t.blocks as usize * self.volume.block_bytes as usize;
@@ -453,14 +458,14 @@
                     }
                     Some(true)
                 }
-                Reply::Deferred { come_back_us } => {
-                    s.tallies[stream].deferred += 1;
+                Reply::Rejected { retry_after_us } => {
+                    s.tallies[traffic_class].rejected += 1;
                     if t.tries < self.block.retries {
-                        let wait = if self.block.waits { *come_back_us } else { 0 };
+                        let wait = if self.block.waits { *retry_after_us } else { 0 };
                         let again = Again {
                             at: now + wait,
                             first_at: t.first_at,
-                            stream,
+                            traffic_class,
                             block: t.block,
                             blocks: t.blocks,
                             write,
@@ -468,23 +473,23 @@
                         };
                         _ = self.again.0.send(again);
                     }
-                    // For what bears no second run, a deferral promises that it did not run at all.
-                    if effect == Effect::Repeatable {
+                    // For what bears no second run, a rejection promises that it did not run at all.
+                    if effect == Effect::Idempotent {
                         None
                     } else {
                         Some(false)
                     }
                 }
-                Reply::Abandoned => {
-                    s.tallies[stream].abandoned += 1;
+                Reply::Failed => {
+                    s.tallies[traffic_class].failed += 1;
                     None
                 }
                 Reply::Lost => {
-                    s.tallies[stream].lost += 1;
+                    s.tallies[traffic_class].lost += 1;
                     None
                 }
-                Reply::Rejected(sense) => {
-                    s.tallies[stream].rejected += 1;
+                Reply::InvalidRequest(sense) => {
+                    s.tallies[traffic_class].invalid += 1;
                     let (name, blocks, block) = (&self.name, t.blocks, t.block);
                     let what = format!("traffic {name}: {blocks} blocks at {block} rejected with {sense:?}");
                     s.wrong.push(what);
--- a/crates/day/tests/json_forms.rs
+++ b/crates/scenario/tests/json_forms.rs
@@ -1,16 +1,16 @@
-//! Guards the JSON form of a scenario's report, which `tackmast day --json` prints and `report.json` holds.
+//! Guards the JSON form of a scenario's report, which `tackmast scenario --json` prints and `report.json` holds.
 
-use tackmast_day::{After, AgreedSeen, Report, Served, ViewSeen};
+use tackmast_scenario::{After, AgreedSeen, Report, Served, ViewSeen};
 
 fn full_report() -> Report {
     let served = Served {
         plan: "basic".into(),
-        stream: "read".into(),
+        traffic_class: "read".into(),
         asked: 1,
         in_time: 0.5,
         done: 2,
-        deferred: 3,
-        abandoned: 4,
+        rejected: 3,
+        failed: 4,
         lost: 5,
         unreached: 6,
         shut: 7,
@@ -42,7 +42,7 @@
         served: vec![served],
         blocks_checked: 10,
         failures: vec!["bytes differ".into()],
-        rules: tackmast_rulecheck::Report { rules: Vec::new(), unfit: None },
+        rules: tackmast_invariants::Report { rules: Vec::new(), unfit: None },
         view: Some(view),
         agreed: Some(agreed),
     }
--- a/crates/lab/src/agreed/fleet.rs
+++ b/crates/simulator/src/agreed/fleet.rs
@@ -4,8 +4,8 @@
 use bytes::{Buf, Bytes};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use tackmast::interface::{Instant, Span};
-use tackmast_agreement::{Origin, Seat, SeatOutput, SeatSettings, Settings, Word};
+use tackmast::interface::{Instant, TimeDelta};
+use tackmast_consensus::{Origin, Seat, SeatOutput, SeatSettings, Settings, Word};
 
 type Us = u64;
 /// A write to disk with its sync, and a word's way: at least, and as much again by chance.
@@ -80,9 +80,9 @@
 impl Fleet {
     fn new(t: FleetTrial) -> Fleet {
         let settings = Settings {
-            beat: Span::from_secs(0.1),
-            patience: Span::from_secs(1.0),
-            lease: Span::from_secs(5.0),
+            beat: TimeDelta::from_secs(0.1),
+            patience: TimeDelta::from_secs(1.0),
+            lease: TimeDelta::from_secs(5.0),
             drift: 0.001,
             hosts: t.hosts,
             fold_entries: 2_000,
@@ -123,12 +123,18 @@
         let now = at(self.now);
         let x = &mut self.hosts[h as usize];
         x.disk.boot += 1;
-        let life = u64::from(x.disk.boot) << 20 | u64::from(h);
-        let of = Origin { disk: x.disk.mark, boot: x.disk.boot, life };
+        let generation = u64::from(x.disk.boot) << 20 | u64::from(h);
+        let of = Origin { disk: x.disk.mark, boot: x.disk.boot, generation };
         let founders = (0..self.trial.voters).collect();
         let held = x.disk.held.clone();
-        let s =
-            SeatSettings { me: h, of, agree: self.settings, founders, held, seed: self.trial.seed ^ life };
+        let s = SeatSettings {
+            me: h,
+            of,
+            agree: self.settings,
+            founders,
+            held,
+            seed: self.trial.seed ^ generation,
+        };
         x.seat = Some(Seat::new(now, s));
         self.pull(h);
     }
@@ -260,7 +266,7 @@
     }
 }
 
-fn median_most(mut x: Vec<f64>) -> (f64, f64) {
+fn max_median(mut x: Vec<f64>) -> (f64, f64) {
     x.sort_by(f64::total_cmp);
     (x.get(x.len() / 2).copied().unwrap_or(f64::NAN), x.last().copied().unwrap_or(f64::NAN))
 }
@@ -297,7 +303,7 @@
             false => figures.broken.push(format!("{} hosts know of a change after 4 s", each.len())),
         }
     }
-    (figures.known, figures.all_know) = (median_most(known), median_most(all));
+    (figures.known, figures.all_know) = (max_median(known), max_median(all));
     // As many as go, one under way at each of sixteen hosts.
     let askers = t.hosts.min(16);
     let (began, before) = (f.now, f.done.len());
--- a/crates/lab/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -4,8 +4,8 @@
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use tackmast::interface::{Instant, Span};
-use tackmast_clientcore::{Bounds, Core, IscsiClient, NbdClient, Place, Policy, Transport, ADDITIONS};
+use tackmast::interface::{Instant, TimeDelta};
+use tackmast_client_core::{Bounds, Core, IscsiClient, NbdClient, Place, Policy, Transport, ADDITIONS};
 use tackmast_target::{AnySession, NbdSession, Offer, Session};
 use tackmast_wire::iscsi::Digests;
 use tackmast_wire::scsi::Unit;
@@ -30,10 +30,10 @@
     nbd: bool,
 }
 
-/// One of its connections; its life tells it from those before.
+/// One of its connections; its generation tells it from those before.
 #[derive(Default)]
 pub struct Slot {
-    pub life: u64,
+    pub generation: u64,
     pub pipe: Option<Pipe>,
 }
 
@@ -55,7 +55,7 @@
                 true => Box::new(NbdClient::new(place.clone(), ADDITIONS, false)),
                 false => {
                     let digests = Digests { header: seed.is_multiple_of(2), data: seed.is_multiple_of(3) };
-                    Box::new(IscsiClient::new(place.clone(), digests, Span::from_secs(1.0), false))
+                    Box::new(IscsiClient::new(place.clone(), digests, TimeDelta::from_secs(1.0), false))
                 }
             }
         };
@@ -81,8 +81,8 @@
         Pipe { session, number: u32::from(number), last: [0; 2], began: BTreeMap::new() }
     }
 
-    pub fn pipe_of(&mut self, slot: usize, life: u64) -> Option<&mut Pipe> {
-        self.slots.get_mut(slot).filter(|s| s.life == life).and_then(|s| s.pipe.as_mut())
+    pub fn pipe_of(&mut self, slot: usize, generation: u64) -> Option<&mut Pipe> {
+        self.slots.get_mut(slot).filter(|s| s.generation == generation).and_then(|s| s.pipe.as_mut())
     }
 }
 
--- a/crates/lab/src/day.rs
+++ b/crates/simulator/src/day.rs
@@ -1,12 +1,12 @@
-//! Day scripts in virtual time: the script that `tackmast day` plays through sockets, with its nodes, settings, traffic and
+//! Day scripts in virtual time: the script that `tackmast scenario` plays through sockets, with its nodes, settings, traffic and
 //! troubles, played by the lab. What only sockets have is named and left out.
 
 use crate::draw::{Kind, Trouble, World};
 use std::sync::Arc;
-use tackmast_day::{is_one_of, Action, NodesBlock, Script, TrafficBlock, AGEING_STEPS};
+use tackmast_emulators::list::ListFault;
+use tackmast_emulators::node::Fault;
 use tackmast_overrides::Target;
-use tackmast_standins::list::ListFault;
-use tackmast_standins::node::Fault;
+use tackmast_scenario::{is_one_of, Action, NodesBlock, Script, TrafficBlock, AGEING_STEPS};
 
 /// Links as short as loopback's.
 const DELAY_US: u64 = 50;
@@ -34,7 +34,7 @@
     }
 }
 
-/// One transfer of a script's traffic.
+/// One request of a script's traffic.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ask {
     /// Microseconds from when the traffic begins.
@@ -44,7 +44,7 @@
     pub write: bool,
     pub block: u64,
     pub blocks: u32,
-    /// Further tries after a deferral, and whether they wait as told.
+    /// Further tries after a rejection, and whether they wait as told.
     pub retries: u32,
     pub waits: bool,
 }
@@ -174,7 +174,7 @@
 }
 
 /// The lab's troubles for one of the script's.
-fn troubles(day: &DayScript, t: &tackmast_day::Trouble, all: &mut Vec<Trouble>) -> Result<(), String> {
+fn troubles(day: &DayScript, t: &tackmast_scenario::Trouble, all: &mut Vec<Trouble>) -> Result<(), String> {
     let us = |s: f64| (s * 1e6) as u64;
     let (at, long) = (us(t.at_s), us(t.for_s));
     let mut put = |at_us, for_us, kind, node, host| all.push(Trouble { at_us, for_us, kind, node, host });
--- a/crates/lab/src/draw.rs
+++ b/crates/simulator/src/draw.rs
@@ -41,7 +41,7 @@
     Hot(f64),
     /// Nothing passes between the hosts below this part of all and the rest.
     Split(f64),
-    /// A host leaves in order, and its next life starts at the end.
+    /// A host leaves in order, and its next generation starts at the end.
     HostLeaves,
     /// A host stands still, and goes on at the end as if nothing had been.
     HostStands,
@@ -91,7 +91,7 @@
     /// The list tells when it was sent; else hosts read it by their own wall clocks.
     pub timed_list: bool,
     /// Arrivals from a file, in place of those drawn.
-    pub load: Option<std::sync::Arc<tackmast_load::Load>>,
+    pub load: Option<std::sync::Arc<tackmast_workload::Load>>,
     /// Hosts know of each other: the part of their datagrams that is lost, or that comes twice.
     pub members: Option<f64>,
     /// Hosts through which the limited volume comes: the first so many.
--- a/crates/lab/src/plain.rs
+++ b/crates/simulator/src/plain.rs
@@ -3,14 +3,14 @@
 
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, ShardId, Span};
+use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, ShardId, TimeDelta};
 use tackmast_config::HostSettings;
-use tackmast_hostcore::{
-    CommandRef, Core, Layout, LegBack, LegId, LegWork, ListEntry, Nodes, Output, Part, SendLeg, Ticket,
-    Verdict, Work,
+use tackmast_host_core::{
+    AttemptId, AttemptResult, AttemptWork, CommandRef, Core, Layout, ListEntry, Nodes, Output, Part,
+    SendAttempt, Ticket, Verdict, Work,
 };
 
-/// Legs that `Caps` keeps out at a node, at most.
+/// Attempts that `Caps` keeps out at a node, at most.
 const CAP: usize = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     /// Tokens of each volume, and when they were counted.
     tokens: HashMap<usize, (f64, Instant)>,
     commands: HashMap<CommandRef, Vec<u64>>,
-    xfers: HashMap<u64, Xfer>,
+    requests: HashMap<u64, PendingRequest>,
     until: BTreeSet<(Instant, u64)>,
     serial: u64,
     outputs: VecDeque<Output>,
@@ -48,14 +48,14 @@
     listed: bool,
 }
 
-struct Xfer {
+struct PendingRequest {
     from: CommandRef,
     part: u16,
     spec: Part,
     volume: usize,
-    stream: usize,
+    traffic_class: usize,
     data: Option<Bytes>,
-    expiry: Instant,
+    deadline: Instant,
     node: Option<NodeId>,
     done: Option<Bytes>,
 }
@@ -72,7 +72,7 @@
             out: BTreeMap::new(),
             tokens: HashMap::new(),
             commands: HashMap::new(),
-            xfers: HashMap::new(),
+            requests: HashMap::new(),
             until: BTreeSet::new(),
             serial: 0,
             outputs: VecDeque::new(),
@@ -88,7 +88,7 @@
         lun: u32,
         block: u64,
         work: &Work,
-        asked: Option<Span>,
+        asked: Option<TimeDelta>,
     ) {
         let Some(volume) = self.layout.volume_of(lun) else { return };
         let size = self.layout.volume(volume).block_bytes as usize;
@@ -96,11 +96,11 @@
             Work::Read { blocks } => (false, *blocks),
             Work::Write { data } => (true, (data.len() / size) as u32),
         };
-        let stream = self.layout.stream(volume, write, blocks);
-        let expiry = now + asked.unwrap_or(self.settings.streams[stream].expiry);
+        let traffic_class = self.layout.traffic_class(volume, write, blocks);
+        let deadline = now + asked.unwrap_or(self.settings.traffic_classes[traffic_class].deadline);
         let mut ids = Vec::new();
         let mut taken = 0;
-        for (i, spec) in self.layout.parts(volume, stream, block, blocks).into_iter().enumerate() {
+        for (i, spec) in self.layout.parts(volume, traffic_class, block, blocks).into_iter().enumerate() {
             self.serial += 1;
             let bytes = spec.blocks as usize * size;
             let data = match work {
@@ -110,13 +110,15 @@
             taken += bytes;
             let (part, node, done) = (i as u16, None, None);
             self.queues.entry(spec.shard).or_default().push_back(self.serial);
-            self.until.insert((expiry, self.serial));
-            self.xfers
-                .insert(self.serial, Xfer { from, part, spec, volume, stream, data, expiry, node, done });
+            self.until.insert((deadline, self.serial));
+            self.requests.insert(
+                self.serial,
+                PendingRequest { from, part, spec, volume, traffic_class, data, deadline, node, done },
+            );
             ids.push(self.serial);
         }
         match ids.is_empty() {
-            true => self.answer(from, Verdict::Deferred { come_back: None }),
+            true => self.answer(from, Verdict::Rejected { retry_after: None }),
             false => _ = self.commands.insert(from, ids),
         }
     }
@@ -125,41 +127,42 @@
         self.outputs.push_back(Output::Answer { to, verdict });
     }
 
-    fn forget(&mut self, from: CommandRef) -> Vec<Xfer> {
+    fn forget(&mut self, from: CommandRef) -> Vec<PendingRequest> {
         let mut gone = Vec::new();
         for id in self.commands.remove(&from).unwrap_or_default() {
-            let Some(x) = self.xfers.remove(&id) else { continue };
-            self.until.remove(&(x.expiry, id));
+            let Some(x) = self.requests.remove(&id) else { continue };
+            self.until.remove(&(x.deadline, id));
             if let Some(node) = x.node.filter(|_| x.done.is_none()) {
                 *self.out.entry(x.spec.shard).or_default() -= 1;
-                self.outputs.push_back(Output::Cancel { node, leg: LegId(id << 8) });
+                self.outputs.push_back(Output::Cancel { node, attempt: AttemptId(id << 8) });
             }
             gone.push(x);
         }
         gone
     }
 
-    fn back(&mut self, b: LegBack) {
-        let id = b.leg.0 >> 8;
-        let Some(x) = self.xfers.get_mut(&id).filter(|x| x.node.is_some() && x.done.is_none()) else {
+    fn back(&mut self, b: AttemptResult) {
+        let id = b.attempt.0 >> 8;
+        let Some(x) = self.requests.get_mut(&id).filter(|x| x.node.is_some() && x.done.is_none()) else {
             return;
         };
         let from = x.from;
         if b.outcome != Outcome::Done {
-            // No second leg: the client is told what is known.
+            // No second attempt: the client is told what is known.
             let never = !b.outcome.may_have_run();
             let alone = self.commands.get(&from).is_some_and(|ids| ids.len() == 1);
             let safe = never && alone
-                || self.settings.streams[x.stream].effect == tackmast::interface::Effect::Repeatable;
+                || self.settings.traffic_classes[x.traffic_class].effect
+                    == tackmast::interface::Effect::Idempotent;
             self.forget(from);
             return self
-                .answer(from, if safe { Verdict::Deferred { come_back: None } } else { Verdict::Abandoned });
+                .answer(from, if safe { Verdict::Rejected { retry_after: None } } else { Verdict::Failed });
         }
         x.done = Some(b.data);
         let shard = x.spec.shard;
         *self.out.entry(shard).or_default() -= 1;
         let all =
-            self.commands.get(&from).is_some_and(|ids| ids.iter().all(|i| self.xfers[i].done.is_some()));
+            self.commands.get(&from).is_some_and(|ids| ids.iter().all(|i| self.requests[i].done.is_some()));
         if all {
             let mut data = BytesMut::new();
             self.forget(from).into_iter().filter_map(|x| x.done).for_each(|d| data.extend_from_slice(&d));
@@ -186,13 +189,13 @@
     fn tick(&mut self, now: Instant) {
         while let Some((_, id)) = self.until.first().copied().filter(|(t, _)| *t <= now) {
             self.until.pop_first();
-            let Some(from) = self.xfers.get(&id).map(|x| x.from) else { continue };
+            let Some(from) = self.requests.get(&id).map(|x| x.from) else { continue };
             let ran = self.forget(from).iter().any(|x| x.node.is_some());
-            self.answer(from, if ran { Verdict::Abandoned } else { Verdict::Deferred { come_back: None } });
+            self.answer(from, if ran { Verdict::Failed } else { Verdict::Rejected { retry_after: None } });
         }
     }
 
-    /// Tokens for the transfer are there, and taken.
+    /// Tokens for the request are there, and taken.
     fn draws(&mut self, now: Instant, volume: usize, units: f64) -> bool {
         let v = self.layout.volume(volume);
         let plan = &self.settings.plans[v.plan as usize];
@@ -223,7 +226,7 @@
                 continue;
             }
             while let Some(id) = self.queues.get(&shard).and_then(|q| q.front().copied()) {
-                let Some((volume, units)) = self.xfers.get(&id).map(|x| (x.volume, x.spec.units)) else {
+                let Some((volume, units)) = self.requests.get(&id).map(|x| (x.volume, x.spec.units)) else {
                     self.queues.entry(shard).or_default().pop_front();
                     continue;
                 };
@@ -241,25 +244,25 @@
     }
 
     fn send(&mut self, id: u64, shard: ShardId, node: NodeId) -> Option<Output> {
-        let x = self.xfers.get_mut(&id)?;
+        let x = self.requests.get_mut(&id)?;
         x.node = Some(node);
         *self.out.entry(shard).or_default() += 1;
         let v = self.layout.volume(x.volume);
         let work = match &x.data {
-            Some(data) => LegWork::Write { data: data.clone() },
-            None => LegWork::Read { length: x.spec.blocks * v.block_bytes },
+            Some(data) => AttemptWork::Write { data: data.clone() },
+            None => AttemptWork::Read { length: x.spec.blocks * v.block_bytes },
         };
-        Some(Output::Send(Box::new(SendLeg {
+        Some(Output::Send(Box::new(SendAttempt {
             node,
-            leg: LegId(id << 8),
-            xfer: id,
-            leg_no: 0,
+            attempt: AttemptId(id << 8),
+            request: id,
+            attempt_number: 0,
             from: x.from,
             part: x.part,
-            until: x.expiry,
+            until: x.deadline,
             begin_by: None,
             mark: 0,
-            key: if self.settings.streams[x.stream].in_order { x.spec.key } else { 0 },
+            key: if self.settings.traffic_classes[x.traffic_class].in_order { x.spec.key } else { 0 },
             volume: v.lun,
             offset: x.spec.block * u64::from(v.block_bytes),
             units: x.spec.units,
@@ -269,11 +272,11 @@
     }
 
     fn wake(&self, now: Instant) -> Option<Instant> {
-        let expiry = self.until.first().map(|(t, _)| *t);
+        let deadline = self.until.first().map(|(t, _)| *t);
         // Tokens come with time.
-        let tokens =
-            (self.how == Plain::Buckets && !self.queues.is_empty()).then(|| now + Span::from_secs(0.005));
-        [expiry, tokens].into_iter().flatten().min()
+        let tokens = (self.how == Plain::Buckets && !self.queues.is_empty())
+            .then(|| now + TimeDelta::from_secs(0.005));
+        [deadline, tokens].into_iter().flatten().min()
     }
 }
 
@@ -310,7 +313,7 @@
     pub fn open(&self) -> (usize, usize, usize) {
         match self {
             Heart::Core(c) => c.open(),
-            Heart::Plain(p) => (p.commands.len(), p.xfers.len(), p.out.values().sum()),
+            Heart::Plain(p) => (p.commands.len(), p.requests.len(), p.out.values().sum()),
         }
     }
 
@@ -323,7 +326,7 @@
         block: u64,
         work: Work,
         began: Instant,
-        asked: Option<Span>,
+        asked: Option<TimeDelta>,
     ) {
         match self {
             Heart::Core(c) => c.submit(now, from, lun, block, work, began, asked, None),
@@ -349,9 +352,9 @@
         }
     }
 
-    pub fn leg_back(&mut self, now: Instant, back: LegBack) {
+    pub fn attempt_finished(&mut self, now: Instant, back: AttemptResult) {
         match self {
-            Heart::Core(c) => c.leg_back(now, back),
+            Heart::Core(c) => c.attempt_finished(now, back),
             Heart::Plain(p) => p.back(back),
         }
     }
--- a/crates/lab/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,4 +1,4 @@
-//! One page a run: service over time with the troubles marked, legs out by node, the limited volume's store, and answer
+//! One page a run: service over time with the troubles marked, attempts out by node, the limited volume's store, and answer
 //! times as percentile curves. Pictures are drawn by plotters as SVG within the page.
 
 use crate::draw::{Kind, World};
@@ -6,7 +6,7 @@
 use crate::Found;
 use plotters::prelude::*;
 use std::collections::BTreeMap;
-use tackmast_trace::{AnswerKind, Event, LegName};
+use tackmast_trace::{AnswerKind, AttemptName, Event};
 
 /// Buckets of time across a picture.
 const BUCKETS: usize = 120;
@@ -26,8 +26,8 @@
     pub step: f64,
     pub asked: Vec<f64>,
     pub in_time: Vec<f64>,
-    pub deferred: Vec<f64>,
-    /// By node's place in order of address: mean legs out.
+    pub rejected: Vec<f64>,
+    /// By node's place in order of address: mean attempts out.
     pub out: Vec<Vec<f64>>,
     pub nodes: Vec<String>,
     /// Most units in the limited volume's store, as the rule draws it, over its burst and slack.
@@ -35,7 +35,7 @@
 }
 
 impl Series {
-    /// From the trace alone. In time is by the SLO times of the streams, as the facts tell them.
+    /// From the trace alone. In time is by the latency objectives of the streams, as the facts tell them.
     pub fn of(run: &Run) -> Series {
         let (first, last) = (run.trace.first().map_or(0, |l| l.t), run.trace.last().map_or(1, |l| l.t));
         let long = (last - first).max(1) as f64 / 1e6;
@@ -51,31 +51,36 @@
             step,
             asked: vec![0.0; BUCKETS],
             in_time: vec![0.0; BUCKETS],
-            deferred: vec![0.0; BUCKETS],
+            rejected: vec![0.0; BUCKETS],
             out: Vec::new(),
             nodes: Vec::new(),
             store: vec![0.0; BUCKETS],
         };
         let mut open = BTreeMap::new();
-        let mut legs: BTreeMap<LegName, (u64, String, u64)> = BTreeMap::new();
+        let mut attempts: BTreeMap<AttemptName, (u64, String, u64)> = BTreeMap::new();
         let mut spans: Vec<(String, u64, u64)> = Vec::new();
         let (mut level, mut level_at, mut drew) = (0.0f64, first, std::collections::BTreeSet::new());
         for l in &run.trace {
             match &l.event {
-                Event::Submit { host, session, command, stream, .. } => {
+                Event::Submit { host, session, command, traffic_class, .. } => {
                     s.asked[place(l.t)] += 1.0;
-                    open.insert((*host, *session, *command), (l.t, *stream as usize));
+                    open.insert((*host, *session, *command), (l.t, *traffic_class as usize));
                 }
                 Event::Answer { host, session, command, kind, .. } => {
-                    let Some((t, stream)) = open.remove(&(*host, *session, *command)) else { continue };
-                    let slo = facts.streams.get(stream).map_or(u64::MAX, |s| s.slo_us);
-                    s.in_time[place(t)] += f64::from(u8::from(*kind == AnswerKind::Done && l.t - t <= slo));
-                    s.deferred[place(t)] += f64::from(u8::from(*kind == AnswerKind::Deferred));
+                    let Some((t, traffic_class)) = open.remove(&(*host, *session, *command)) else {
+                        continue;
+                    };
+                    let latency_objective =
+                        facts.traffic_classes.get(traffic_class).map_or(u64::MAX, |s| s.latency_objective_us);
+                    s.in_time[place(t)] +=
+                        f64::from(u8::from(*kind == AnswerKind::Done && l.t - t <= latency_objective));
+                    s.rejected[place(t)] += f64::from(u8::from(*kind == AnswerKind::Rejected));
                 }
-                Event::Leg { node, name, left_us, volume, units, .. } => {
-                    legs.insert(*name, (l.t, node.clone(), l.t + left_us));
+                Event::Attempt { node, name, left_us, volume, units, .. } => {
+                    attempts.insert(*name, (l.t, node.clone(), l.t + left_us));
                     let drawn = limited.as_ref().filter(|v| v.volume == *volume);
-                    if let Some(v) = drawn.filter(|_| drew.insert((name.host, name.life, name.xfer))) {
+                    if let Some(v) = drawn.filter(|_| drew.insert((name.host, name.generation, name.request)))
+                    {
                         let gone = (l.t - level_at) as f64 / 1e6;
                         level = (level - v.limit * gone).max(0.0) + units;
                         level_at = l.t;
@@ -83,14 +88,14 @@
                         s.store[place(l.t)] = s.store[place(l.t)].max(part);
                     }
                 }
-                Event::LegEnd { name, .. } => {
-                    if let Some((t, node, _)) = legs.remove(name) {
+                Event::AttemptEnd { name, .. } => {
+                    if let Some((t, node, _)) = attempts.remove(name) {
                         spans.push((node, t, l.t));
                     }
                 }
-                Event::LinkDown { legs: down, .. } => {
+                Event::LinkDown { attempts: down, .. } => {
                     for name in down {
-                        if let Some((t, node, _)) = legs.remove(name) {
+                        if let Some((t, node, _)) = attempts.remove(name) {
                             spans.push((node, t, l.t));
                         }
                     }
@@ -98,7 +103,7 @@
                 _ => {}
             }
         }
-        spans.extend(legs.into_values().map(|(t, node, until)| (node, t, until.min(last))));
+        spans.extend(attempts.into_values().map(|(t, node, until)| (node, t, until.min(last))));
         let mut nodes: Vec<String> = spans.iter().map(|x| x.0.clone()).collect();
         // By address as numbers: 10.0.0.9 stands before 10.0.0.10.
         let order = |n: &String| n.parse::<std::net::SocketAddr>().map_err(|_| n.clone());
@@ -107,7 +112,7 @@
         s.out = vec![vec![0.0; BUCKETS]; nodes.len()];
         for (node, from, to) in spans {
             let Ok(n) = nodes.binary_search_by_key(&order(&node), order) else { continue };
-            // Each bucket gets the part of it for which the leg was out.
+            // Each bucket gets the part of it for which the attempt was out.
             for (i, out) in s.out[n].iter_mut().enumerate().take(place(to) + 1).skip(place(from)) {
                 let (low, high) = (i as f64 * step, (i + 1) as f64 * step);
                 let from = ((from - first) as f64 / 1e6).max(low);
@@ -195,7 +200,7 @@
     Ok(text)
 }
 
-/// Legs out by node, dark where many are: one row a node, so that hundreds of hosts and dozens of nodes stay legible.
+/// Attempts out by node, dark where many are: one row a node, so that hundreds of hosts and dozens of nodes stay legible.
 fn by_node(s: &Series) -> Result<String, String> {
     let mut text = String::new();
     let most = s.out.iter().flatten().copied().fold(0.0, f64::max).max(1e-9);
@@ -206,7 +211,7 @@
         area.fill(&WHITE).map_err(failed)?;
         let long = s.step * BUCKETS as f64;
         let mut chart = ChartBuilder::on(&area)
-            .caption(format!("legs out by node (darkest: {most:.1})"), ("sans-serif", 16))
+            .caption(format!("attempts out by node (darkest: {most:.1})"), ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(120)
@@ -224,7 +229,7 @@
             .map_err(failed)?;
         for (n, row) in s.out.iter().enumerate() {
             let cells = row.iter().enumerate().filter(|(_, x)| **x > 0.0).map(|(i, x)| {
-                // By the root, so that a few legs beside a flood can still be seen.
+                // By the root, so that a few attempts beside a flood can still be seen.
                 let colour = RGBColor(20, 60, 140).mix((x / most).sqrt()).filled();
                 let (from, to) = (i as f64 * s.step, (i + 1) as f64 * s.step);
                 Rectangle::new([(from, n as f64), (to, n as f64 + 0.9)], colour)
@@ -295,9 +300,9 @@
 pub fn page(w: &World, found: &Found, text: &str) -> Result<String, String> {
     let s = Series::of(&found.run);
     let rate = |v: &[f64]| v.iter().map(|x| x / s.step).collect::<Vec<f64>>();
-    let lines = [("asked", rate(&s.asked)), ("in time", rate(&s.in_time)), ("deferred", rate(&s.deferred))];
+    let lines = [("asked", rate(&s.asked)), ("in time", rate(&s.in_time)), ("rejected", rate(&s.rejected))];
     let pictures = [
-        over_time("transfers a second, by when they were asked; troubles behind", w, &lines, s.step)?,
+        over_time("requests a second, by when they were asked; troubles behind", w, &lines, s.step)?,
         over_time(
             "the limited volume's store over its burst and slack",
             w,
@@ -332,10 +337,10 @@
         let s = Series::of(&found.run);
         let sum = |v: &[f64]| v.iter().sum::<f64>();
         assert_eq!(sum(&s.asked), found.run.asked as f64);
-        assert_eq!(sum(&s.deferred), found.run.deferred as f64);
+        assert_eq!(sum(&s.rejected), found.run.rejected as f64);
         assert_eq!(s.out.len(), s.nodes.len());
         assert!(!s.nodes.is_empty() && s.out.iter().flatten().any(|x| *x > 0.0));
-        // The limit's rule held, so the store never passed its brim by more than one transfer.
+        // The limit's rule held, so the store never passed its brim by more than one request.
         assert!(s.store.iter().all(|x| *x < 1.5), "{:?}", s.store);
         for (name, points) in curves(&found.run) {
             assert!(points.windows(2).all(|p| p[0].1 <= p[1].1), "{name}: {points:?}");
--- a/crates/lab/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -19,15 +19,15 @@
 use bytes::Bytes;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use tackmast::interface::{Instant, ListKind, NodeState, Outcome, ShardId, Span, ZoneId};
-use tackmast_clientcore::{Op, Outcome as CallOutcome, Output as ClientOutput, Place};
+use tackmast::interface::{Instant, ListKind, NodeState, Outcome, ShardId, TimeDelta, ZoneId};
+use tackmast_client_core::{Op, Outcome as CallOutcome, Output as ClientOutput, Place};
 use tackmast_config::HostSettings;
-use tackmast_hostcore::{
-    member_settings, Age, Ask, Begin, CommandRef, Core, Fellows, Keep, LegBack, LegId, LegWork, ListEntry,
-    Output, PlanAsk, PlanReply, Plans, Reply, Request, SendLeg, Start, Verdict, Work,
+use tackmast_emulators::model::{How, Ills, Job, Model, Nature};
+use tackmast_host_core::{
+    member_settings, Age, Ask, AttemptId, AttemptResult, AttemptWork, Begin, CommandRef, Core, Fellows, Keep,
+    ListEntry, Output, PlanAsk, PlanReply, Plans, Reply, Request, SendAttempt, Start, Verdict, Work,
 };
 use tackmast_overrides::{Kind as OrderKind, Order, Override, OverrideId, Overrides, Target};
-use tackmast_standins::model::{How, Ills, Job, Model, Nature};
 use tackmast_target as target;
 use tackmast_trace::*;
 use tackmast_wire::node::{self, Answer, Frame, NodeOutcome, Origin};
@@ -60,15 +60,15 @@
 pub enum Mutant {
     /// Drains and ends told by the list never reach the core.
     GraceIgnored,
-    /// Every hundredth leg leaves twice.
-    SecondLegEarly,
+    /// Every hundredth attempt leaves twice.
+    HedgeTooEarly,
     /// Every fiftieth answer is lost, or given again.
     AnswerLost,
     AnswerTwice,
     /// Answers leave half a second late.
     AnswerLate,
-    /// What is abandoned is called deferred.
-    DeferredLie,
+    /// What is failed is called rejected.
+    FalseRejection,
     /// Starts of nodes never reach the core, and cold nodes have no guard. The caps alone keep cold nodes up in the
     /// worlds drawn here, so no seed finds this one.
     ColdIgnored,
@@ -80,14 +80,14 @@
     PlanIgnored,
 }
 
-/// Answers of one plan and stream type.
+/// Answers of one plan and traffic class.
 #[derive(Clone, Debug)]
 pub struct Class {
     pub asked: u64,
     pub done: u64,
     pub in_time: u64,
-    pub deferred: u64,
-    pub abandoned: u64,
+    pub rejected: u64,
+    pub failed: u64,
     /// Microseconds until done.
     pub times: hdrhistogram::Histogram<u64>,
 }
@@ -99,21 +99,21 @@
             asked: 0,
             done: 0,
             in_time: 0,
-            deferred: 0,
-            abandoned: 0,
+            rejected: 0,
+            failed: 0,
             times: times.expect("the library takes these constants"),
         }
     }
 }
 
 pub struct Run {
-    /// By plan and stream type.
+    /// By plan and traffic class.
     pub classes: BTreeMap<String, Class>,
     /// The same for first tries of a script's traffic, with what later tries made of them.
     pub firsts: BTreeMap<String, Class>,
     /// Nodes that fell over while cold.
     pub fallen: usize,
-    /// Units of all legs that left, and of those whose transfer was not done by them in time for its client.
+    /// Units of all attempts that left, and of those whose request was not done by them in time for its client.
     pub sent_units: f64,
     pub wasted_units: f64,
     /// Units a second of the limited volume over its limit.
@@ -122,9 +122,9 @@
     pub asked: u64,
     pub done: u64,
     pub in_time: u64,
-    pub deferred: u64,
-    pub abandoned: u64,
-    /// Commands, legs or calls left in the tables of hosts and clients after all is over.
+    pub rejected: u64,
+    pub failed: u64,
+    /// Commands, attempts or calls left in the tables of hosts and clients after all is over.
     pub stuck: usize,
     /// Calls of clients that speak a protocol, those done, and those answered after their deadline.
     pub calls: u64,
@@ -135,8 +135,8 @@
     /// Changes of plans that were acknowledged, and how many of them all hosts went by within the settings' time.
     pub plans: (u64, u64),
     pub events: u64,
-    /// The most commands, transfers and legs that one host had open.
-    pub most_open: (usize, usize, usize),
+    /// The most commands, requests and attempts that one host had open.
+    pub max_open: (usize, usize, usize),
 }
 
 impl Run {
@@ -160,7 +160,7 @@
     Asked,
     /// A client's next try, by its number.
     Again(u64),
-    /// Bytes for a node, or for a host, of a link's life.
+    /// Bytes for a node, or for a host, of a link's generation.
     ToNode(u32, u32, u64, Vec<u8>),
     ToHost(u32, u32, u64, Vec<u8>),
     /// The host learns of a refused connection.
@@ -168,14 +168,14 @@
     LinkDown(u32, u32, u64),
     NodeTime(u32),
     HostTime(u32),
-    /// A list as it was, told to a host's life.
+    /// A list as it was, told to a host's generation.
     List(u32, u64, u64, Vec<(String, u8, u32, u64)>),
     ListFailed(u32, u64),
     NodeUp(u32),
     HostUp(u32),
     Leave(u32, u64, u32),
     Answer(u32, u64, CommandOrd, AnswerKindOrd, u64),
-    /// A client's connection is made, ends, or brings bytes to the host or the client; of a slot's life.
+    /// A client's connection is made, ends, or brings bytes to the host or the client; of a slot's generation.
     Connected(u32, usize, u64),
     Closed(u32, usize, u64),
     ToServer(u32, usize, u64, Vec<u8>),
@@ -196,16 +196,16 @@
 type CommandOrd = (u32, u32);
 
 struct Link {
-    life: u64,
+    generation: u64,
     to_node: Frames,
     to_host: Frames,
     /// When the last bytes of each direction arrive: they keep their order.
     last: [Us; 2],
     /// The least difference the node has seen between its clock and the host's, in microseconds.
     offset: i64,
-    /// Legs that wait for the node's hello; none once it has come.
-    waiting: Option<Vec<SendLeg>>,
-    legs: BTreeMap<u64, LegName>,
+    /// Attempts that wait for the node's hello; none once it has come.
+    waiting: Option<Vec<SendAttempt>>,
+    attempts: BTreeMap<u64, AttemptName>,
 }
 
 /// How a host's clocks go wrong: its steady one starts elsewhere and drifts, its wall clock is off.
@@ -216,7 +216,7 @@
     wall_off_us: i64,
 }
 
-/// What a host keeps over its lives.
+/// What a host keeps over its generations.
 #[derive(Default)]
 struct Kept {
     /// The mark of a leave.
@@ -230,7 +230,7 @@
 
 struct Host {
     core: Heart,
-    life: u64,
+    generation: u64,
     up: bool,
     wake: Us,
     /// Until then it stands still, and what happens meanwhile waits.
@@ -238,18 +238,18 @@
     links: BTreeMap<u32, Link>,
     following: bool,
     next: u32,
-    submitted: BTreeMap<(u32, u32), (Us, Us)>, // session and command: when, SLO time
+    submitted: BTreeMap<(u32, u32), (Us, Us)>, // session and command: when, latency objective
     asked: BTreeMap<(u32, u32), u64>,          // the same, of a script's traffic: its number
-    sessions: BTreeMap<u32, (u32, usize, u64)>, // client, slot, its life
+    sessions: BTreeMap<u32, (u32, usize, u64)>, // client, slot, its generation
     numbers: u16,
 }
 
 struct Held {
     host: u32,
-    life: u64,
+    generation: u64,
     link: u64,
-    leg: u64,
-    name: LegName,
+    attempt: u64,
+    name: AttemptName,
     volume: u32,
     units: f64,
     read: u32,
@@ -260,7 +260,7 @@
     model: Model,
     zone: u32,
     shard: u32,
-    /// What it last told of the transfers that wait there, and when; told anew after so long.
+    /// What it last told of the requests that wait there, and when; told anew after so long.
     told: (Us, u32),
     report_us: Us,
     address: String,
@@ -274,7 +274,7 @@
     wake: Us,
     listed: NodeState,
     listed_start: Us,
-    generation: u32,
+    address_generation: u32,
 }
 
 /// What a script's traffic asked, and is asked again until it is done or its client has tried enough.
@@ -292,7 +292,7 @@
     kept: Vec<Kept>,
     clients: Vec<Client>,
     clients_of: Vec<Vec<u32>>,
-    arrivals: std::collections::VecDeque<tackmast_load::Arrival>,
+    arrivals: std::collections::VecDeque<tackmast_workload::Arrival>,
     asks: std::collections::VecDeque<DayAsk>,
     tries: BTreeMap<u64, Try>,
     window_us: Us,
@@ -316,7 +316,7 @@
     hot: f64,
     busiest: Option<(f64, u32)>,
     split: Option<f64>,
-    lives: u64,
+    generations: u64,
     sends: u64,
     answers: u64,
     /// By change of plans: when each host went by it first.
@@ -354,10 +354,10 @@
     (t.secs() * 1e6).round().max(0.0) as Us
 }
 
-fn heart(now: Instant, s: &HostSettings, seed: u64, life: u64, plain: Option<Plain>) -> Heart {
+fn heart(now: Instant, s: &HostSettings, seed: u64, generation: u64, plain: Option<Plain>) -> Heart {
     match plain {
         Some(how) => Heart::Plain(Box::new(PlainHost::new(how, s))),
-        None => Heart::Core(Box::new(Core::new(now, s, seed, life))),
+        None => Heart::Core(Box::new(Core::new(now, s, seed, generation))),
     }
 }
 
@@ -403,12 +403,12 @@
             wake: Us::MAX,
             listed: NodeState::Ready,
             listed_start: started,
-            generation: 0,
+            address_generation: 0,
         }
     };
     let all: Vec<HostSettings> = (0..w.hosts).map(|h| settings(w, h, mutant)).collect();
     let first = heart(at(START), &all[0], 0, 0, plain);
-    let units = target::units(&all[0], |v| first.layout().most_blocks(v));
+    let units = target::units(&all[0], |v| first.layout().max_blocks(v));
     let mut odd = oorandom::Rand64::new(u128::from(w.seed) ^ 0x0063_6c6f_636b);
     let mut clock = || {
         let mut x = || 2.0 * odd.rand_float() - 1.0;
@@ -448,7 +448,7 @@
         hot: 0.0,
         busiest: None,
         split: None,
-        lives: 0,
+        generations: 0,
         sends: 0,
         answers: 0,
         run: Run {
@@ -462,8 +462,8 @@
             asked: 0,
             done: 0,
             in_time: 0,
-            deferred: 0,
-            abandoned: 0,
+            rejected: 0,
+            failed: 0,
             stuck: 0,
             calls: 0,
             calls_done: 0,
@@ -471,11 +471,11 @@
             orders: (0, 0),
             plans: (0, 0),
             events: 0,
-            most_open: (0, 0, 0),
+            max_open: (0, 0, 0),
         },
     };
-    let windows = sim.settings[0].streams.iter().filter_map(|s| match s.effect {
-        tackmast::interface::Effect::Keyed { window, .. } => Some((window.secs() * 1e6) as Us),
+    let windows = sim.settings[0].traffic_classes.iter().filter_map(|s| match s.effect {
+        tackmast::interface::Effect::IdempotentByKey { window, .. } => Some((window.secs() * 1e6) as Us),
         _ => None,
     });
     sim.window_us = windows.max().unwrap_or(MARKS);
@@ -550,7 +550,7 @@
             self.push(start + t.at_us, Event::Trouble(i, true));
             self.push(start + t.at_us + t.for_us, Event::Trouble(i, false));
         }
-        let longest = self.settings[0].streams.iter().map(|s| s.expiry.secs()).fold(0.0, f64::max);
+        let longest = self.settings[0].traffic_classes.iter().map(|s| s.deadline.secs()).fold(0.0, f64::max);
         let after = AFTER.max((longest * 1e6) as Us + 1_300_000);
         let end = start + (self.w.seconds * 1e6) as Us + after;
         while let Some(Reverse((t, _, e))) = self.queue.pop() {
@@ -565,8 +565,8 @@
         self.in_force();
         self.note(Seen::Trouble { what: "end".into(), on: false });
         for h in self.hosts.iter().filter(|h| h.up) {
-            let (commands, xfers, legs) = h.core.open();
-            self.run.stuck += commands + xfers + legs + h.core.keys_in_order();
+            let (commands, requests, attempts) = h.core.open();
+            self.run.stuck += commands + requests + attempts + h.core.keys_in_order();
         }
         self.run.stuck += self.clients.iter().map(|c| c.core.open()).sum::<usize>();
         self.run.fallen = self.nodes.iter().filter(|n| n.model.is_fallen()).count();
--- a/crates/lab/src/sim/arrivals.rs
+++ b/crates/simulator/src/sim/arrivals.rs
@@ -39,44 +39,46 @@
         self.beside(h, lun, write, block, blocks);
     }
 
-    /// Plan and stream type, by name.
+    /// Plan and traffic class, by name.
     pub(super) fn class_of(&self, lun: u32, write: bool, blocks: u32) -> String {
         let s = &self.settings[0];
-        let (stream, volume) = self.stream_of(lun, write, blocks);
-        format!("{} {}", s.plans[s.volumes[volume].plan as usize].name, s.streams[stream].name)
+        let (traffic_class, volume) = self.traffic_class_of(lun, write, blocks);
+        format!("{} {}", s.plans[s.volumes[volume].plan as usize].name, s.traffic_classes[traffic_class].name)
     }
 
-    /// The stream type of a command, and its volume's place.
-    pub(super) fn stream_of(&self, lun: u32, write: bool, blocks: u32) -> (usize, usize) {
+    /// The traffic class of a command, and its volume's place.
+    pub(super) fn traffic_class_of(&self, lun: u32, write: bool, blocks: u32) -> (usize, usize) {
         let s = &self.settings[0];
         let volume = s.volumes.iter().position(|v| v.lun == lun).unwrap_or(0);
         let v = &s.volumes[volume];
-        let large = v.large.filter(|(from, _)| blocks >= *from && !write).map(|(_, stream)| stream);
+        let large =
+            v.large.filter(|(from, _)| blocks >= *from && !write).map(|(_, traffic_class)| traffic_class);
         (large.unwrap_or(if write { v.writes } else { v.reads }) as usize, volume)
     }
 
     /// What a try's answer makes of it.
-    pub(super) fn tried(&mut self, number: u64, kind: AnswerKind, come_back_us: Us) {
+    pub(super) fn tried(&mut self, number: u64, kind: AnswerKind, retry_after_us: Us) {
         let Some(t) = self.tries.get_mut(&number) else { return };
-        let (again, first) = (kind == AnswerKind::Deferred && t.tries < t.ask.retries, t.first);
+        let (again, first) = (kind == AnswerKind::Rejected && t.tries < t.ask.retries, t.first);
         if again {
             t.tries += 1;
-            let wait = if t.ask.waits { come_back_us } else { 0 };
+            let wait = if t.ask.waits { retry_after_us } else { 0 };
             return self.push(self.now + wait, Event::Again(number));
         }
         let Some(t) = self.tries.remove(&number) else { return };
-        let (stream, _) = self.stream_of(t.ask.lun, t.ask.write, t.ask.blocks);
+        let (traffic_class, _) = self.traffic_class_of(t.ask.lun, t.ask.write, t.ask.blocks);
         let name = self.class_of(t.ask.lun, t.ask.write, t.ask.blocks);
-        let (slo, took) = (self.settings[0].streams[stream].slo, self.now - first);
+        let (latency_objective, took) =
+            (self.settings[0].traffic_classes[traffic_class].latency_objective, self.now - first);
         let c = self.run.firsts.entry(name).or_default();
         match kind {
             AnswerKind::Done => {
                 c.done += 1;
-                c.in_time += u64::from(took <= (slo.secs() * 1e6) as Us);
+                c.in_time += u64::from(took <= (latency_objective.secs() * 1e6) as Us);
                 _ = c.times.record(took.max(1));
             }
-            AnswerKind::Deferred => c.deferred += 1,
-            _ => c.abandoned += 1,
+            AnswerKind::Rejected => c.rejected += 1,
+            _ => c.failed += 1,
         }
     }
 
@@ -116,7 +118,7 @@
         let host = &mut self.hosts[h as usize];
         host.next += 1;
         let command = host.next;
-        let life = host.life;
+        let generation = host.generation;
         let work = match write {
             true => Work::Write { data: data(blocks * 512) },
             false => Work::Read { blocks },
@@ -124,7 +126,7 @@
         self.submit(h, CommandRef { session: BESIDE, command }, lun, block, work, self.now, None);
         if self.chance.rand_float() < self.leave {
             let later = self.now + self.chance.rand_range(0..400_000);
-            self.push(later, Event::Leave(h, life, command));
+            self.push(later, Event::Leave(h, generation, command));
         }
         self.pull(h);
     }
@@ -145,45 +147,46 @@
             Work::Read { blocks } => (false, u64::from(*blocks) * 512),
             Work::Write { data } => (true, data.len() as u64),
         };
-        let (stream, _) = self.stream_of(lun, write, (bytes / 512) as u32);
-        let st = &self.settings[0].streams[stream];
-        let (slo, expiry) = ((st.slo.secs() * 1e6) as Us, (st.expiry.secs() * 1e6) as Us);
+        let (traffic_class, _) = self.traffic_class_of(lun, write, (bytes / 512) as u32);
+        let st = &self.settings[0].traffic_classes[traffic_class];
+        let (latency_objective, deadline) =
+            ((st.latency_objective.secs() * 1e6) as Us, (st.deadline.secs() * 1e6) as Us);
         self.run.asked += 1;
         let (session, command) = (from.session, from.command);
         let host = &mut self.hosts[h as usize];
-        host.submitted.insert((session, command), (began, slo));
+        host.submitted.insert((session, command), (began, latency_objective));
         self.note(tackmast_trace::Event::Submit {
             host: h,
             session,
             command,
             volume: lun,
-            stream: stream as u32,
+            traffic_class: traffic_class as u32,
             write,
             offset: block * 512,
             bytes,
-            expiry_us: asked.unwrap_or(expiry).saturating_sub(self.now - began),
+            deadline_us: asked.unwrap_or(deadline).saturating_sub(self.now - began),
         });
         let (now, began) = (self.time(h), self.time_at(h, began));
-        let asked = asked.map(|us| Span::from_secs(us as f64 / 1e6));
+        let asked = asked.map(|us| TimeDelta::from_secs(us as f64 / 1e6));
         self.hosts[h as usize].core.submit(now, from, lun, block, work, began, asked);
     }
 
     pub(super) fn answer(&mut self, h: u32, to: CommandRef, verdict: Verdict) {
         self.answers += 1;
-        let (kind, come_back_us) = match &verdict {
+        let (kind, retry_after_us) = match &verdict {
             Verdict::Done { .. } => (0, 0),
-            Verdict::Deferred { come_back } => (1, come_back.map_or(0, |w| (w.secs() * 1e6) as u64)),
-            Verdict::Abandoned if self.mutant == Some(Mutant::DeferredLie) => (1, 0),
-            Verdict::Abandoned => (2, 0),
+            Verdict::Rejected { retry_after } => (1, retry_after.map_or(0, |w| (w.secs() * 1e6) as u64)),
+            Verdict::Failed if self.mutant == Some(Mutant::FalseRejection) => (1, 0),
+            Verdict::Failed => (2, 0),
         };
-        let life = self.hosts[h as usize].life;
+        let generation = self.hosts[h as usize].generation;
         let now = self.now;
         let (session, command) = (to.session, to.command);
         let odd = self.answers.is_multiple_of(50);
         match self.mutant {
             Some(Mutant::AnswerLost) if odd => return,
             Some(Mutant::AnswerLate) if odd => {
-                let late = Event::Answer(h, life, (session, command), kind, come_back_us);
+                let late = Event::Answer(h, generation, (session, command), kind, retry_after_us);
                 return self.push(now + 1_200_000, late);
             }
             Some(Mutant::AnswerTwice) if odd => {
@@ -191,52 +194,59 @@
                     host: h,
                     session,
                     command,
-                    kind: AnswerKind::Deferred,
-                    come_back_us: 0,
+                    kind: AnswerKind::Rejected,
+                    retry_after_us: 0,
                 });
             }
             _ => {}
         }
         // Commands without a protocol come from beside the host: what their way costs is no part of this model.
-        self.answered(h, life, (session, command), kind, come_back_us);
-        let Some((c, slot, slot_life)) = self.hosts[h as usize].sessions.get(&session).copied() else {
+        self.answered(h, generation, (session, command), kind, retry_after_us);
+        let Some((c, slot, slot_generation)) = self.hosts[h as usize].sessions.get(&session).copied() else {
             return;
         };
-        let Some(pipe) = self.clients[c as usize].pipe_of(slot, slot_life) else { return };
+        let Some(pipe) = self.clients[c as usize].pipe_of(slot, slot_generation) else { return };
         pipe.session.answer(
             command,
             match verdict {
                 Verdict::Done { data } => target::Verdict::Done { data },
-                Verdict::Deferred { .. } => target::Verdict::Deferred { come_back_us },
-                Verdict::Abandoned => target::Verdict::Abandoned,
+                Verdict::Rejected { .. } => target::Verdict::Rejected { retry_after_us },
+                Verdict::Failed => target::Verdict::Failed,
             },
         );
         // What had to wait for this answer is read on from here.
         if !pipe.session.is_paused() {
-            self.push(now, Event::ToServer(c, slot, slot_life, Vec::new()));
+            self.push(now, Event::ToServer(c, slot, slot_generation, Vec::new()));
         }
-        self.flush(c, slot, slot_life);
+        self.flush(c, slot, slot_generation);
     }
 
-    pub(super) fn answered(&mut self, h: u32, life: u64, of: CommandOrd, kind: u8, come_back_us: u64) {
+    pub(super) fn answered(
+        &mut self,
+        h: u32,
+        generation: u64,
+        of: CommandOrd,
+        kind: u8,
+        retry_after_us: u64,
+    ) {
         let host = &mut self.hosts[h as usize];
-        if host.life != life {
+        if host.generation != generation {
             return;
         }
-        let Some((began, slo)) = host.submitted.remove(&of) else { return };
-        let kind = [AnswerKind::Done, AnswerKind::Deferred, AnswerKind::Abandoned][usize::from(kind)];
+        let Some((began, latency_objective)) = host.submitted.remove(&of) else { return };
+        let kind = [AnswerKind::Done, AnswerKind::Rejected, AnswerKind::Failed][usize::from(kind)];
         match kind {
             AnswerKind::Done => {
                 self.run.done += 1;
-                self.run.in_time += u64::from(self.now - began <= slo);
+                self.run.in_time += u64::from(self.now - began <= latency_objective);
             }
-            AnswerKind::Deferred => self.run.deferred += 1,
-            _ => self.run.abandoned += 1,
+            AnswerKind::Rejected => self.run.rejected += 1,
+            _ => self.run.failed += 1,
         }
         let (session, command) = of;
-        self.note(tackmast_trace::Event::Answer { host: h, session, command, kind, come_back_us });
+        self.note(tackmast_trace::Event::Answer { host: h, session, command, kind, retry_after_us });
         if let Some(number) = self.hosts[h as usize].asked.remove(&of) {
-            self.tried(number, kind, come_back_us);
+            self.tried(number, kind, retry_after_us);
         }
     }
 }
--- a/crates/lab/src/sim/nodes.rs
+++ b/crates/simulator/src/sim/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes, the legs they hold, and the list of them.
+//! Nodes, the attempts they hold, and the list of them.
 
 use super::*;
 
@@ -11,8 +11,10 @@
         self.note(tackmast_trace::Event::NodeUp { node: address, zone, shard, capacity, cold_from, warm_us });
     }
 
-    pub(super) fn node_gets(&mut self, h: u32, n: u32, life: u64, bytes: &[u8]) {
-        let Some(l) = self.hosts[h as usize].links.get_mut(&n).filter(|l| l.life == life) else { return };
+    pub(super) fn node_gets(&mut self, h: u32, n: u32, generation: u64, bytes: &[u8]) {
+        let Some(l) = self.hosts[h as usize].links.get_mut(&n).filter(|l| l.generation == generation) else {
+            return;
+        };
         l.to_node.push(bytes);
         let mut frames = Vec::new();
         while let Ok(Some(f)) = node::next(&mut l.to_node) {
@@ -20,10 +22,10 @@
         }
         for f in frames {
             match f {
-                Frame::Send(leg) => self.leg_arrives(h, n, life, leg),
-                Frame::Cancel { leg } => {
+                Frame::Send(attempt) => self.attempt_arrives(h, n, generation, attempt),
+                Frame::Cancel { attempt } => {
                     let node = &mut self.nodes[n as usize];
-                    let found = node.held.iter().find(|(_, x)| x.link == life && x.leg == leg);
+                    let found = node.held.iter().find(|(_, x)| x.link == generation && x.attempt == attempt);
                     if let Some((id, name)) = found.map(|(id, x)| (*id, x.name)) {
                         let address = node.address.clone();
                         if !node.silent {
@@ -38,10 +40,11 @@
         }
     }
 
-    pub(super) fn leg_arrives(&mut self, h: u32, n: u32, link: u64, leg: node::SendLeg) {
-        let life = self.hosts[h as usize].life;
-        let name = LegName { host: h, life, xfer: leg.xfer, leg: leg.leg_no };
-        let (write, bytes) = match &leg.work {
+    pub(super) fn attempt_arrives(&mut self, h: u32, n: u32, link: u64, attempt: node::SendAttempt) {
+        let generation = self.hosts[h as usize].generation;
+        let name =
+            AttemptName { host: h, generation, request: attempt.request, attempt: attempt.attempt_number };
+        let (write, bytes) = match &attempt.work {
             node::Work::Read { length } => (false, u64::from(*length)),
             node::Work::Write { data } => (true, data.len() as u64),
         };
@@ -53,21 +56,30 @@
         node.next += 1;
         let id = node.next;
         let read = if write { 0 } else { bytes as u32 };
-        let units = f64::from(leg.units);
-        let held =
-            Held { host: h, life, link, leg: leg.leg, name, volume: leg.volume, units, read, mark: leg.mark };
+        let units = f64::from(attempt.units);
+        let held = Held {
+            host: h,
+            generation,
+            link,
+            attempt: attempt.attempt,
+            name,
+            volume: attempt.volume,
+            units,
+            read,
+            mark: attempt.mark,
+        };
         if !node.silent {
             node.held.insert(id, held);
             let link = self.hosts[h as usize].links.get_mut(&n);
             let offset = link.map_or(0, |l| {
-                l.offset = l.offset.min(now as i64 - leg.sent_us as i64);
+                l.offset = l.offset.min(now as i64 - attempt.sent_us as i64);
                 l.offset
             });
-            let until = (leg.sent_us as i64 + offset).max(0) as Us + u64::from(leg.left_us);
+            let until = (attempt.sent_us as i64 + offset).max(0) as Us + u64::from(attempt.left_us);
             let node = &mut self.nodes[n as usize];
             // The piece of data, as the stand-in nodes on loopback tell it.
-            let key = leg.key ^ leg.offset << 8;
-            let job = Job { id, units, write, key, further: leg.leg_no > 0, until };
+            let key = attempt.key ^ attempt.offset << 8;
+            let job = Job { id, units, write, key, further: attempt.attempt_number > 0, until };
             node.model.arrive(now, job);
         }
         self.settle(n);
@@ -86,9 +98,9 @@
             let node = &mut self.nodes[n as usize];
             let Some(x) = node.held.remove(&id) else { continue };
             let (outcome, kind) = match how {
-                How::Done => (NodeOutcome::Done, LegEndKind::Done),
-                How::Error => (NodeOutcome::Error, LegEndKind::Error),
-                How::NeverRan => (NodeOutcome::Full, LegEndKind::NeverRan),
+                How::Done => (NodeOutcome::Done, AttemptEndKind::Done),
+                How::Error => (NodeOutcome::Error, AttemptEndKind::Error),
+                How::NeverRan => (NodeOutcome::Full, AttemptEndKind::NeverRan),
             };
             let own = node.served.entry((x.volume, x.host)).or_default();
             if how == How::Done {
@@ -104,10 +116,11 @@
             }
             let (waiting, address, zone) = (node.told.1, node.address.clone(), node.zone);
             let ran = how == How::Done && self.first_run(zone, x.mark);
-            self.note(tackmast_trace::Event::LegEnd { node: address, name: x.name, kind, ran });
-            let answer = Frame::Answer(Answer { leg: x.leg, outcome, waiting, elsewhere, data }).to_bytes();
+            self.note(tackmast_trace::Event::AttemptEnd { node: address, name: x.name, kind, ran });
+            let answer =
+                Frame::Answer(Answer { attempt: x.attempt, outcome, waiting, elsewhere, data }).to_bytes();
             let host = &self.hosts[x.host as usize];
-            if host.life == x.life && host.links.get(&n).is_some_and(|l| l.life == x.link) {
+            if host.generation == x.generation && host.links.get(&n).is_some_and(|l| l.generation == x.link) {
                 self.pass(x.host, n, &answer, false);
             }
         }
@@ -129,14 +142,14 @@
     }
 
     pub(super) fn follow(&mut self, h: u32) {
-        let life = self.hosts[h as usize].life;
+        let generation = self.hosts[h as usize].generation;
         let t = self.now + 2 * self.w.delay_us;
         if self.list_fails {
-            return self.push(t, Event::ListFailed(h, life));
+            return self.push(t, Event::ListFailed(h, generation));
         }
         self.hosts[h as usize].following = true;
         let (version, entries) = self.entries();
-        self.push(t, Event::List(h, life, version, entries));
+        self.push(t, Event::List(h, generation, version, entries));
     }
 
     pub(super) fn entries(&self) -> (u64, Vec<(String, u8, u32, u64)>) {
@@ -161,16 +174,16 @@
         let (version, entries) = self.entries();
         for h in 0..self.w.hosts {
             if self.hosts[h as usize].following {
-                let life = self.hosts[h as usize].life;
+                let generation = self.hosts[h as usize].generation;
                 let jitter = self.chance.rand_range(0..50_000);
                 let t = self.now + self.list_late + jitter;
-                self.push(t, Event::List(h, life, version, entries.clone()));
+                self.push(t, Event::List(h, generation, version, entries.clone()));
             }
         }
     }
 
-    pub(super) fn list(&mut self, h: u32, life: u64, version: u64, entries: &[(String, u8, u32, u64)]) {
-        if self.hosts[h as usize].life != life || !self.hosts[h as usize].up {
+    pub(super) fn list(&mut self, h: u32, generation: u64, version: u64, entries: &[(String, u8, u32, u64)]) {
+        if self.hosts[h as usize].generation != generation || !self.hosts[h as usize].up {
             return;
         }
         let mut lines = Vec::new();
@@ -192,7 +205,7 @@
             let cold = (started_us > 0 && self.mutant != Some(Mutant::ColdIgnored)).then(|| {
                 // By the list's clock, or by this host's wall clock, right or wrong.
                 let shown = if self.w.timed_list { self.now - self.w.delay_us } else { self.wall(h) };
-                let age = Span::from_secs((shown as f64 - started_us as f64) / 1e6);
+                let age = TimeDelta::from_secs((shown as f64 - started_us as f64) / 1e6);
                 let age = if self.w.timed_list { Age::Told(age) } else { Age::ByWall(age) };
                 Start { name: started_us, age }
             });
--- a/crates/lab/tests/agreed.rs
+++ b/crates/simulator/tests/agreed.rs
@@ -1,6 +1,6 @@
 //! The agreement in virtual time: walks and all orders to a depth find nothing, and find each deliberate fault.
 
-use tackmast_lab::{agreed_fleet, explore, find_fault, walk, AgreeFault, FleetTrial, Walk};
+use tackmast_simulator::{agreed_fleet, explore, find_fault, walk, AgreeFault, FleetTrial, Walk};
 
 #[test]
 fn walks_find_nothing_that_must_not_be() {
@@ -23,7 +23,7 @@
 
 #[test]
 fn deliberate_faults_are_found() {
-    // Those that take thousands of walks are looked for by `tackmast lab agree --faults`.
+    // Those that take thousands of walks are looked for by `tackmast simulator agree --faults`.
     let quick = [
         AgreeFault::AckBeforeDisk,
         AgreeFault::StaleRead,
--- a/crates/lab/tests/lab.rs
+++ b/crates/simulator/tests/lab.rs
@@ -1,7 +1,7 @@
 //! The laboratory itself: a seed replays to the byte, clean seeds stay clean, and deliberate faults are found.
 
-use tackmast_day::Script;
-use tackmast_lab::{hunt, play, shrink, shrink_worse, worse_than, Mutant, Plain, World};
+use tackmast_scenario::Script;
+use tackmast_simulator::{hunt, play, shrink, shrink_worse, worse_than, Mutant, Plain, World};
 
 #[test]
 fn a_seed_is_one_run_to_the_byte_on_any_thread() {
@@ -44,11 +44,11 @@
     // The fault, hosts, and the seeds within which it must be found.
     for (mutant, hosts, within) in [
         (Mutant::GraceIgnored, 6, 40),
-        (Mutant::SecondLegEarly, 6, 3),
+        (Mutant::HedgeTooEarly, 6, 3),
         (Mutant::AnswerLost, 6, 3),
         (Mutant::AnswerTwice, 6, 3),
         (Mutant::AnswerLate, 6, 3),
-        (Mutant::DeferredLie, 6, 10),
+        (Mutant::FalseRejection, 6, 10),
         (Mutant::LimitAlone, 6, 40),
         (Mutant::OrderIgnored, 6, 10),
         (Mutant::BudgetIgnored, 12, 40),
@@ -69,7 +69,7 @@
 fn a_light_load_from_a_file_is_served_at_once_by_nodes_that_keep_their_own_time() {
     // Found by holding the lab against loopback: nodes were looked at only when something came, so that a quiet node took
     // far too long, and the more so the more nodes there were.
-    let load = tackmast_load::Load::parse(
+    let load = tackmast_workload::Load::parse(
         "light",
         "load {\n seconds = 4\n seed = 1\n}\nflow \"f\" {\n volume = \"museum\"\n rate = 60\n writes = 0.3\n blocks = [1, 8]\n span = 50000\n}\n",
     );
@@ -97,7 +97,7 @@
         let (one, two) = (play(&small, None), play(&again, None));
         assert!(!one.is_bad() && !two.is_bad(), "seed {seed}\n{}{}", one.report, two.report);
         let asked = two.run.asked as f64 / one.run.asked as f64;
-        let in_time = |r: &tackmast_lab::Run| r.in_time as f64 / r.asked as f64;
+        let in_time = |r: &tackmast_simulator::Run| r.in_time as f64 / r.asked as f64;
         let (a, b) = (in_time(&one.run), in_time(&two.run));
         assert!((0.8..1.25).contains(&asked) && (a - b).abs() < 0.2, "seed {seed}: {asked}, {a} and {b}");
     }
@@ -113,7 +113,7 @@
 
 #[test]
 fn the_hard_days_play_in_virtual_time_with_all_rules_kept() {
-    let days = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days");
+    let days = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios");
     let mut played = 0;
     for entry in std::fs::read_dir(&days).unwrap() {
         let path = entry.unwrap().path();
@@ -150,22 +150,22 @@
 
 #[test]
 fn variants_by_setting_and_by_order_change_what_they_name() {
-    use tackmast_lab::Change;
+    use tackmast_simulator::Change;
     let of = |change: Change| {
         let mut w = Change { seconds: Some(5.0), ..change }.of(7, 6);
         w.clients = [0, 0];
         play(&w, None)
     };
     let plain = of(Change::default());
-    // Without a share of further legs there are fewer; a longer SLO time is met more often; a node out of service gets none.
-    let legs = |f: &tackmast_lab::Found| f.report.rule(6).checked;
+    // Without a share of retries there are fewer; a longer latency objective is met more often; a node out of service gets none.
+    let attempts = |f: &tackmast_simulator::Found| f.report.rule(6).checked;
     let none = of(Change { set: [("share".into(), 0.0), ("free".into(), 0.0)].into(), ..Change::default() });
-    assert!(legs(&plain) > 0 && legs(&none) == 0, "{} and {}", legs(&plain), legs(&none));
+    assert!(attempts(&plain) > 0 && attempts(&none) == 0, "{} and {}", attempts(&plain), attempts(&none));
     let slow = of(Change { set: [("slo_ms".into(), 900.0)].into(), ..Change::default() });
     assert!(slow.run.in_time > plain.run.in_time);
     let out = of(Change { out: 0.34, no_troubles: true, ..Change::default() });
-    let at_first = |f: &tackmast_lab::Found| {
-        let first = |l: &&tackmast_trace::Line| matches!(&l.event, tackmast_trace::Event::Leg { node, .. } if node == "10.0.0.0:9000");
+    let at_first = |f: &tackmast_simulator::Found| {
+        let first = |l: &&tackmast_trace::Line| matches!(&l.event, tackmast_trace::Event::Attempt { node, .. } if node == "10.0.0.0:9000");
         f.run.trace.iter().filter(first).count()
     };
     assert!(out.run.orders.0 >= 6 && !out.is_bad(), "{}", out.report);
@@ -187,7 +187,7 @@
             checked += found.report.rule(7).checked;
         }
     }
-    assert!(acknowledged > 50 && checked > 1000, "{acknowledged} changes, {checked} legs under a limit");
+    assert!(acknowledged > 50 && checked > 1000, "{acknowledged} changes, {checked} attempts under a limit");
     // Others are cut off, killed or stopped for longer than a change may take.
     assert!(soon * 2 > acknowledged, "{soon} of {acknowledged} changes were gone by in time");
 }
--- a/crates/keep/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -2,9 +2,9 @@
 
 use std::fs;
 use std::panic;
-use tackmast_hostcore::Keep;
-use tackmast_keep::{KeepError, Store};
+use tackmast_host_core::Keep;
 use tackmast_overrides::*;
+use tackmast_store::{KeepError, Store};
 
 fn record(id: u64) -> Override {
     Override {
--- a/crates/target/src/nbd.rs
+++ b/crates/target/src/nbd.rs
@@ -44,7 +44,7 @@
         let mut output = BytesMut::new();
         output.put_slice(&nbd::greeting());
         NbdSession {
-            input: ClientUnits::new(offer.most_command),
+            input: ClientUnits::new(offer.max_command),
             offer,
             number,
             units,
@@ -186,7 +186,7 @@
                         blocks.put_u16(info::BLOCK_SIZE);
                         blocks.put_u32(unit.block_bytes);
                         blocks.put_u32(unit.block_bytes.max(4096));
-                        blocks.put_u32(unit.most_blocks.saturating_mul(unit.block_bytes));
+                        blocks.put_u32(unit.max_blocks.saturating_mul(unit.block_bytes));
                         self.answer_option(number, reply::INFO, &blocks);
                         self.answer_option(number, reply::ACK, &[]);
                         if number == option::GO {
@@ -254,7 +254,7 @@
             let code = if write { error::NOSPC } else { error::INVAL };
             return self.fail(r.cookie, code, "beyond the end of the export");
         }
-        if length > u64::from(unit.most_blocks) * block_bytes {
+        if length > u64::from(unit.max_blocks) * block_bytes {
             return self.fail(r.cookie, error::OVERFLOW, "longer than the export's largest block size");
         }
         if length == 0 {
@@ -270,9 +270,11 @@
         let number = self.next;
         self.open.insert(number, Open { cookie: r.cookie, offset: r.offset, write });
         self.cookies.insert(r.cookie, number);
-        let expiry =
-            r.expiry_us.filter(|_| self.additions > 0).map(|us| (us / 1000).min(u64::from(u32::MAX)) as u32);
-        let (least, most) = self.offer.expiry_ms;
+        let deadline = r
+            .deadline_us
+            .filter(|_| self.additions > 0)
+            .map(|us| (us / 1000).min(u64::from(u32::MAX)) as u32);
+        let (least, most) = self.offer.deadline_ms;
         self.events.push_back(Event::Submit {
             command: number,
             lun: unit.lun,
@@ -281,7 +283,7 @@
                 true => Work::Write { data },
                 false => Work::Read { blocks: (length / block_bytes) as u32 },
             },
-            expiry_ms: expiry.map(|ms| ms.clamp(least, most.max(least))),
+            deadline_ms: deadline.map(|ms| ms.clamp(least, most.max(least))),
         });
     }
 
@@ -313,21 +315,21 @@
         answer.encode(&mut self.output);
     }
 
-    /// The host's final answer. A client that agreed on the additions is told a deferral apart from an abandoned
-    /// transfer; to any other both are an I/O error, which promises nothing about the effect: a deferral may be taken
-    /// for less than it is, never an abandoned transfer for more.
+    /// The host's final answer. A client that agreed on the additions is told a rejection apart from a failed
+    /// request; to any other both are an I/O error, which promises nothing about the effect: a rejection may be taken
+    /// for less than it is, never a failed request for more.
     pub fn answer(&mut self, number: u32, verdict: Verdict) -> bool {
         let Some(Open { cookie, offset, write }) = self.open.remove(&number) else { return false };
         self.cookies.remove(&cookie);
         match verdict {
             Verdict::Done { data } => self.done(cookie, offset, !write, data),
-            Verdict::Deferred { come_back_us } if self.additions > 0 => {
-                let data = nbd::write_error(error::IO, &come_back_us.to_be_bytes());
-                Reply::Chunk { cookie, flags: nbd::DONE, kind: chunk::DEFERRED, data }
+            Verdict::Rejected { retry_after_us } if self.additions > 0 => {
+                let data = nbd::write_error(error::IO, &retry_after_us.to_be_bytes());
+                Reply::Chunk { cookie, flags: nbd::DONE, kind: chunk::REJECTED, data }
                     .encode(&mut self.output);
             }
-            Verdict::Deferred { .. } => self.fail(cookie, error::IO, "deferred"),
-            Verdict::Abandoned => self.fail(cookie, error::IO, "abandoned"),
+            Verdict::Rejected { .. } => self.fail(cookie, error::IO, "deferred"),
+            Verdict::Failed => self.fail(cookie, error::IO, "abandoned"),
         }
         true
     }
--- a/crates/target/src/negotiate.rs
+++ b/crates/target/src/negotiate.rs
@@ -5,11 +5,11 @@
 use tackmast_wire::scsi::Unit;
 
 /// Vendor key (section 6.2): milliseconds until the client gives a command up.
-pub const EXPIRY_KEY: &str = "X-org.tackmast.ExpiryMs";
-/// Vendor key: whether a deferral tells its time to come back in microseconds, in the response data.
+pub const DEADLINE_KEY: &str = "X-org.tackmast.ExpiryMs";
+/// Vendor key: whether a rejection tells its time to come back in microseconds, in the response data.
 pub const DELAY_KEY: &str = "X-org.tackmast.ExactDelay";
 
-/// Vendor key: whether commands may tell an expiry of their own, in a further header.
+/// Vendor key: whether commands may tell a deadline of their own, in a further header.
 pub const COMMAND_KEY: &str = "X-org.tackmast.CommandExpiry";
 
 /// What the target takes, from the configuration.
@@ -17,42 +17,42 @@
 pub struct Offer {
     pub target_name: String,
     /// Bytes of data in one unit towards the target, of immediate data, and of one solicited sequence.
-    pub most_segment: u32,
+    pub max_segment: u32,
     pub first_burst: u32,
-    pub most_burst: u32,
+    pub max_burst: u32,
     /// Commands that may be open in a session.
     pub window: u32,
     /// Bytes of one command.
-    pub most_command: u32,
-    /// Longest and shortest expiry a client may ask for.
-    pub expiry_ms: (u32, u32),
+    pub max_command: u32,
+    /// Longest and shortest deadline a client may ask for.
+    pub deadline_ms: (u32, u32),
 }
 
 impl Offer {
     /// What a host of these settings offers.
     pub fn of(s: &HostSettings) -> Offer {
         let b = &s.bounds;
-        let longest = s.streams.iter().map(|s| s.expiry.secs()).fold(1.0, f64::max);
+        let longest = s.traffic_classes.iter().map(|s| s.deadline.secs()).fold(1.0, f64::max);
         Offer {
             target_name: s.host.target.clone(),
-            most_segment: b.segment,
+            max_segment: b.segment,
             first_burst: b.first_burst,
-            most_burst: b.burst,
+            max_burst: b.burst,
             window: b.window,
-            most_command: b.command_bytes,
-            expiry_ms: (s.host.answer_lead_ms as u32 + 10, (longest * 1e4) as u32),
+            max_command: b.command_bytes,
+            deadline_ms: (s.host.answer_lead_ms as u32 + 10, (longest * 1e4) as u32),
         }
     }
 }
 
-/// What the target tells of the volumes; `most_blocks` is the longest command of each, by its place in the settings.
-pub fn units(s: &HostSettings, most_blocks: impl Fn(usize) -> u32) -> Vec<Unit> {
+/// What the target tells of the volumes; `max_blocks` is the longest command of each, by its place in the settings.
+pub fn units(s: &HostSettings, max_blocks: impl Fn(usize) -> u32) -> Vec<Unit> {
     let unit = |(i, v): (usize, &tackmast_config::Volume)| Unit {
         lun: v.lun,
         name: v.name.clone(),
         blocks: v.blocks,
         block_bytes: v.block_bytes,
-        most_blocks: most_blocks(i),
+        max_blocks: max_blocks(i),
     };
     s.volumes.iter().enumerate().map(unit).collect()
 }
@@ -65,10 +65,10 @@
     pub client_segment: u32,
     pub immediate: bool,
     pub first_burst: u32,
-    pub most_burst: u32,
-    pub expiry_ms: Option<u32>,
+    pub max_burst: u32,
+    pub deadline_ms: Option<u32>,
     pub exact_delay: bool,
-    pub command_expiry: bool,
+    pub command_deadline: bool,
     /// Protocol level of RFC 7144; from 2 on responses carry status qualifiers.
     pub level: u32,
     pub initiator: Option<String>,
@@ -84,10 +84,10 @@
             client_segment: 8192,
             immediate: true,
             first_burst: offer.first_burst.min(65536),
-            most_burst: offer.most_burst.min(262_144),
-            expiry_ms: None,
+            max_burst: offer.max_burst.min(262_144),
+            deadline_ms: None,
             exact_delay: false,
-            command_expiry: false,
+            command_deadline: false,
             level: 1,
             initiator: None,
             target: None,
@@ -141,13 +141,13 @@
                 match number().filter(|n| (512..=0xff_ffff).contains(n)) {
                     Some(n) => {
                         self.client_segment = n;
-                        Some(offer.most_segment.to_string())
+                        Some(offer.max_segment.to_string())
                     }
                     None => reject(),
                 }
             }
             "FirstBurstLength" if login => least(offer.first_burst, &mut self.first_burst, 512),
-            "MaxBurstLength" if login => least(offer.most_burst, &mut self.most_burst, 512),
+            "MaxBurstLength" if login => least(offer.max_burst, &mut self.max_burst, 512),
             "ImmediateData" if login => match value {
                 "Yes" | "No" => {
                     self.immediate = value == "Yes";
@@ -174,16 +174,16 @@
                     let on = value == "Yes";
                     match key {
                         DELAY_KEY => self.exact_delay = on,
-                        _ => self.command_expiry = on,
+                        _ => self.command_deadline = on,
                     }
                     Some(value.to_owned())
                 }
                 _ => reject(),
             },
-            EXPIRY_KEY => match number().filter(|n| *n > 0) {
+            DEADLINE_KEY => match number().filter(|n| *n > 0) {
                 Some(n) => {
-                    let ms = n.clamp(offer.expiry_ms.0, offer.expiry_ms.1.max(offer.expiry_ms.0));
-                    self.expiry_ms = Some(ms);
+                    let ms = n.clamp(offer.deadline_ms.0, offer.deadline_ms.1.max(offer.deadline_ms.0));
+                    self.deadline_ms = Some(ms);
                     Some(ms.to_string())
                 }
                 None => reject(),
--- a/crates/target/src/session.rs
+++ b/crates/target/src/session.rs
@@ -9,14 +9,14 @@
 use tackmast_wire::WireError;
 
 /// Bytes of text that one login or text exchange may gather.
-const MOST_TEXT: usize = 64 << 10;
+const MAX_TEXT: usize = 64 << 10;
 
 /// What the session wants from the host core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A transfer that is owed one answer. `command` names it within the session.
-    Submit { command: u32, lun: u32, block: u64, work: Work, expiry_ms: Option<u32> },
-    /// The first bytes of a write are here; the rest was asked for. Its expiry runs from now.
+    /// A request that is owed one answer. `command` names it within the session.
+    Submit { command: u32, lun: u32, block: u64, work: Work, deadline_ms: Option<u32> },
+    /// The first bytes of a write are here; the rest was asked for. Its deadline runs from now.
     Begun { command: u32 },
     /// The client no longer wants this one.
     Abort { command: u32 },
@@ -38,12 +38,12 @@
     LoginRefused,
 }
 
-/// The one final answer of a transfer.
+/// The one final answer of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Done { data: Bytes },
-    Deferred { come_back_us: u64 },
-    Abandoned,
+    Rejected { retry_after_us: u64 },
+    Failed,
 }
 
 /// Why a session can't go on.
@@ -89,7 +89,7 @@
     tag: u32,
     lun: u32,
     expected: u32,
-    expiry_ms: Option<u32>,
+    deadline_ms: Option<u32>,
     upload: Option<Upload>,
 }
 
@@ -121,7 +121,7 @@
 
 impl Session {
     pub fn new(offer: Arc<Offer>, units: Arc<Vec<Unit>>, tsih: u16) -> Self {
-        let most = offer.most_segment.max(8192) as usize;
+        let most = offer.max_segment.max(8192) as usize;
         Session {
             agreed: Agreed::new(&offer),
             offer,
@@ -270,9 +270,9 @@
     }
 
     fn gather(&mut self, pdu: &Pdu) -> Result<Option<Vec<(String, String)>>, SessionError> {
-        if self.text.len() + pdu.data.len() > MOST_TEXT {
+        if self.text.len() + pdu.data.len() > MAX_TEXT {
             let found = (self.text.len() + pdu.data.len()) as u64;
-            return Err(WireError::TooLong { field: "text keys", found, most: MOST_TEXT as u64 }.into());
+            return Err(WireError::TooLong { field: "text keys", found, most: MAX_TEXT as u64 }.into());
         }
         self.text.extend_from_slice(&pdu.data);
         if pdu.has(CONTINUES) {
@@ -400,12 +400,12 @@
         let expected = pdu.u32(20);
         let lun = pdu.lun();
         let unit = lun.and_then(|l| self.units.iter().find(|u| u.lun == l)).cloned();
-        // A command's own expiry, within what the target takes; else the session's.
-        let (least, most) = self.offer.expiry_ms;
-        let own = pdu.expiry().filter(|_| self.agreed.command_expiry);
+        // A command's own deadline, within what the target takes; else the session's.
+        let (least, most) = self.offer.deadline_ms;
+        let own = pdu.deadline().filter(|_| self.agreed.command_deadline);
         let own = own.map(|us| ((us / 1000).min(u64::from(u32::MAX)) as u32).clamp(least, most.max(least)));
-        let expiry_ms = own.or(self.agreed.expiry_ms);
-        let task = Task { tag, lun: lun.unwrap_or(0), expected, expiry_ms, upload: None };
+        let deadline_ms = own.or(self.agreed.deadline_ms);
+        let task = Task { tag, lun: lun.unwrap_or(0), expected, deadline_ms, upload: None };
         let parsed = Command::parse(&pdu.cdb());
         let simple = match (parsed, &unit) {
             (Err(sense), _) => Err(sense),
@@ -420,10 +420,10 @@
             (Ok(Command::ReadCapacity16 { most }), Some(u)) => Ok((scsi::capacity16(u), most)),
             (Ok(Command::ModeSense { long, most }), Some(_)) => Ok((scsi::mode_sense(long), most)),
             (Ok(Command::Read { block, blocks }), Some(u)) => {
-                return self.transfer(command, task, u, block, blocks, None)
+                return self.request(command, task, u, block, blocks, None)
             }
             (Ok(Command::Write { block, blocks }), Some(u)) => {
-                return self.transfer(command, task, u, block, blocks, Some(pdu.data))
+                return self.request(command, task, u, block, blocks, Some(pdu.data))
             }
         };
         match simple {
@@ -436,7 +436,7 @@
         Ok(())
     }
 
-    fn transfer(
+    fn request(
         &mut self,
         command: u32,
         mut task: Task,
@@ -448,7 +448,7 @@
         let bytes = u64::from(blocks) * u64::from(unit.block_bytes);
         let problem = if block.checked_add(u64::from(blocks)).is_none_or(|end| end > unit.blocks) {
             Some(Sense::OUT_OF_RANGE)
-        } else if blocks > unit.most_blocks || bytes > u64::from(self.offer.most_command) {
+        } else if blocks > unit.max_blocks || bytes > u64::from(self.offer.max_command) {
             Some(Sense::INVALID_FIELD)
         } else if upload.is_some() && u64::from(task.expected) != bytes {
             Some(Sense::SHORT_DATA)
@@ -463,7 +463,7 @@
             self.respond(&task, status::GOOD, 0, Bytes::new());
             return Ok(());
         }
-        let (expiry_ms, lun) = (task.expiry_ms, task.lun);
+        let (deadline_ms, lun) = (task.deadline_ms, task.lun);
         let Some(first) = upload else {
             self.tasks.insert(command, task);
             self.events.push_back(Event::Submit {
@@ -471,7 +471,7 @@
                 lun,
                 block,
                 work: Work::Read { blocks },
-                expiry_ms,
+                deadline_ms,
             });
             return Ok(());
         };
@@ -486,7 +486,7 @@
                 lun,
                 block,
                 work: Work::Write { data: first },
-                expiry_ms,
+                deadline_ms,
             });
             return Ok(());
         }
@@ -502,7 +502,7 @@
 
     /// Asks for the next sequence of a write's data.
     fn solicit(&mut self, command: u32) {
-        let most = self.agreed.most_burst as usize;
+        let most = self.agreed.max_burst as usize;
         let Some(task) = self.tasks.get_mut(&command) else { return };
         let Some(up) = task.upload.as_mut() else { return };
         let length = (up.length - up.asked).min(most);
@@ -545,8 +545,8 @@
         }
         let (block, data, lun) = (up.block, up.data.split().freeze(), task.lun);
         task.upload = None;
-        let (work, expiry_ms) = (Work::Write { data }, task.expiry_ms);
-        self.events.push_back(Event::Submit { command, lun, block, work, expiry_ms });
+        let (work, deadline_ms) = (Work::Write { data }, task.deadline_ms);
+        self.events.push_back(Event::Submit { command, lun, block, work, deadline_ms });
         Ok(())
     }
 
@@ -559,17 +559,17 @@
         match verdict {
             Verdict::Done { data } if data.is_empty() => self.respond(&task, status::GOOD, 0, Bytes::new()),
             Verdict::Done { data } => self.data_in(&task, data),
-            Verdict::Deferred { come_back_us } => {
+            Verdict::Rejected { retry_after_us } => {
                 // With the vendor key, the time stands to the microsecond in the response data, behind an
                 // empty sense length (RFC 7143, section 11.4.7); the qualifier counts in steps of 100 ms.
                 let mut exact = BytesMut::new();
                 if self.agreed.exact_delay {
                     exact.extend_from_slice(&[0, 0]);
-                    exact.extend_from_slice(&u32::try_from(come_back_us).unwrap_or(u32::MAX).to_be_bytes());
+                    exact.extend_from_slice(&u32::try_from(retry_after_us).unwrap_or(u32::MAX).to_be_bytes());
                 }
-                self.respond(&task, status::BUSY, scsi::retry_delay(come_back_us), exact.freeze())
+                self.respond(&task, status::BUSY, scsi::retry_delay(retry_after_us), exact.freeze())
             }
-            Verdict::Abandoned => self.check(&task, Sense::ABANDONED),
+            Verdict::Failed => self.check(&task, Sense::FAILED),
         }
         true
     }
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -7,25 +7,31 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Events that a recorder keeps; a trace that lost some is no proof and says so.
-const MOST: usize = 8 << 20;
+const MAX: usize = 8 << 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EffectKind {
-    Repeatable,
+    #[serde(rename = "repeatable")]
+    Idempotent,
     /// Nodes of all zones, of one zone, or of one shard drop a repeat of the same mark.
-    KeyedAll,
-    KeyedZone,
-    KeyedShard,
-    Unrepeatable,
+    #[serde(rename = "keyed_all")]
+    IdempotentByKeyAll,
+    #[serde(rename = "keyed_zone")]
+    IdempotentByKeyZone,
+    #[serde(rename = "keyed_shard")]
+    IdempotentByKeyShard,
+    #[serde(rename = "unrepeatable")]
+    NonIdempotent,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct StreamFacts {
+pub struct TrafficClassFacts {
     pub name: String,
-    pub slo_us: u64,
+    #[serde(rename = "slo_us")]
+    pub latency_objective_us: u64,
     pub effect: EffectKind,
-    /// For keyed ones: how long nodes know a mark.
+    /// For idempotent by key ones: how long nodes know a mark.
     pub window_us: u64,
     pub in_order: bool,
 }
@@ -38,18 +44,20 @@
     pub limit: f64,
     pub burst: f64,
     pub slack: f64,
-    /// Bytes of an extent: a command is as many transfers as it touches extents. 0: not told.
+    /// Bytes of an extent: a command is as many requests as it touches extents. 0: not told.
     #[serde(default)]
     pub extent_bytes: u64,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Facts {
-    pub streams: Vec<StreamFacts>,
+    #[serde(rename = "streams")]
+    pub traffic_classes: Vec<TrafficClassFacts>,
     pub volumes: Vec<VolumeFacts>,
     pub unit_bytes: u32,
-    pub most_units: f64,
-    /// Rule 1: time after the expiry within which an answer still counts.
+    #[serde(rename = "most_units")]
+    pub max_units: f64,
+    /// Rule 1: time after the deadline within which an answer still counts.
     pub answer_slack_us: u64,
     /// Rule 3.
     pub grace_us: u64,
@@ -59,7 +67,7 @@
     pub cold_safe_units: f64,
     /// Rule 5.
     pub settle_us: u64,
-    /// Rule 6, where there is one: free legs, share of what was taken, window.
+    /// Rule 6, where there is one: free attempts, share of what was taken, window.
     pub further: Option<(f64, f64, u64)>,
     /// How far two ends of a socket may see the same thing apart.
     pub skew_us: u64,
@@ -69,10 +77,13 @@
 #[serde(rename_all = "snake_case")]
 pub enum AnswerKind {
     Done,
-    Deferred,
-    Abandoned,
-    /// The command itself was wrong; the host never took it.
+    #[serde(rename = "deferred")]
     Rejected,
+    #[serde(rename = "abandoned")]
+    Failed,
+    /// The command itself was wrong; the host never took it.
+    #[serde(rename = "rejected")]
+    InvalidRequest,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -85,7 +96,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LegEndKind {
+pub enum AttemptEndKind {
     Done,
     Error,
     /// Told that it never ran: the queue was full, or it was cancelled or out of time before it began.
@@ -100,13 +111,16 @@
     List,
 }
 
-/// A leg as its node sees it: host, life of the host, transfer within that life, and number of the leg.
+/// An attempt as its node sees it: host, generation of the host, request within that generation, and number of the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct LegName {
+pub struct AttemptName {
     pub host: u32,
-    pub life: u64,
-    pub xfer: u64,
-    pub leg: u8,
+    #[serde(rename = "life")]
+    pub generation: u64,
+    #[serde(rename = "xfer")]
+    pub request: u64,
+    #[serde(rename = "leg")]
+    pub attempt: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -119,18 +133,21 @@
         session: u32,
         command: u32,
         volume: u32,
-        stream: u32,
+        #[serde(rename = "stream")]
+        traffic_class: u32,
         write: bool,
         offset: u64,
         bytes: u64,
-        expiry_us: u64,
+        #[serde(rename = "expiry_us")]
+        deadline_us: u64,
     },
     Answer {
         host: u32,
         session: u32,
         command: u32,
         kind: AnswerKind,
-        come_back_us: u64,
+        #[serde(rename = "come_back_us")]
+        retry_after_us: u64,
     },
     /// The client gave this one up, or its session ended from its side.
     Left {
@@ -179,9 +196,10 @@
     NodeDown {
         node: String,
     },
-    Leg {
+    #[serde(rename = "leg")]
+    Attempt {
         node: String,
-        name: LegName,
+        name: AttemptName,
         session: u32,
         command: u32,
         part: u16,
@@ -194,24 +212,27 @@
         mark: String,
         left_us: u64,
     },
-    LegEnd {
+    #[serde(rename = "leg_end")]
+    AttemptEnd {
         node: String,
-        name: LegName,
-        kind: LegEndKind,
+        name: AttemptName,
+        kind: AttemptEndKind,
         /// Whether the work had its effect.
         ran: bool,
     },
-    /// The host called the leg back.
+    /// The host called the attempt back.
     Cancel {
         node: String,
-        name: LegName,
+        name: AttemptName,
     },
-    /// A connection of the host ended; its legs get no answer.
+    /// A connection of the host ended; its attempts get no answer.
     LinkDown {
         node: String,
         host: u32,
-        life: u64,
-        legs: Vec<LegName>,
+        #[serde(rename = "life")]
+        generation: u64,
+        #[serde(rename = "legs")]
+        attempts: Vec<AttemptName>,
     },
     /// List side: the host was sent this line.
     Told {
@@ -289,8 +310,8 @@
         let Some(kept) = &self.0 else { return };
         let mut lines = kept.lock().unwrap_or_else(PoisonError::into_inner);
         match lines.len() {
-            n if n < MOST => lines.push(Line { t, event }),
-            MOST => lines.push(Line { t, event: Event::Truncated }),
+            n if n < MAX => lines.push(Line { t, event }),
+            MAX => lines.push(Line { t, event: Event::Truncated }),
             _ => {}
         }
     }
--- a/crates/wire/src/agree.rs
+++ b/crates/wire/src/agree.rs
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 
 /// Bytes of one entry's text, of one word, and of a state that entries were folded into, at most.
-pub const MOST_ENTRY: usize = 1 << 20;
-pub const MOST_STATE: usize = 16 << 20;
-pub const MOST_WORD: usize = MOST_STATE + (64 << 10);
+pub const MAX_ENTRY: usize = 1 << 20;
+pub const MAX_STATE: usize = 16 << 20;
+pub const MAX_WORD: usize = MAX_STATE + (64 << 10);
 /// Voters of one fleet, and entries in one word, at most.
-pub const MOST_VOTERS: usize = 7;
-pub const MOST_ENTRIES: usize = 256;
+pub const MAX_VOTERS: usize = 7;
+pub const MAX_ENTRIES: usize = 256;
 
 /// A place in the log, and the term in which it was written there. Ordered as logs are compared: by term, then by place.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -38,13 +38,13 @@
     pub what: What,
 }
 
-/// Which disk a voter speaks from, the how manieth time it was opened, and the life that did so. Against a disk that comes
+/// Which disk a voter speaks from, the how manieth time it was opened, and the generation that did so. Against a disk that comes
 /// back old, or twice: its votes were given away already.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Origin {
     pub disk: u64,
     pub boot: u32,
-    pub life: u64,
+    pub generation: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -103,8 +103,8 @@
     Granted {
         /// Of the log, drawn when the fleet began.
         id: u64,
-        /// Of the asker: an earlier life's numbers were the same.
-        to_life: u64,
+        /// Of the asker: an earlier generation's numbers were the same.
+        to_generation: u64,
         seq: u32,
         term: u64,
         index: u64,
@@ -137,7 +137,7 @@
         founded: bool,
         disks: Voters,
     },
-    /// The receiver's disk was opened since by another life: it is an old copy, or one of two.
+    /// The receiver's disk was opened since by another generation: it is an old copy, or one of two.
     Stale {
         of: Origin,
     },
@@ -151,20 +151,20 @@
 fn put_origin(out: &mut BytesMut, o: &Origin) {
     out.put_u64(o.disk);
     out.put_u32(o.boot);
-    out.put_u64(o.life);
+    out.put_u64(o.generation);
 }
 
 fn put_voters(out: &mut BytesMut, v: &Voters) {
-    out.put_u8(v.len().min(MOST_VOTERS) as u8);
-    for (slot, disk) in v.iter().take(MOST_VOTERS) {
+    out.put_u8(v.len().min(MAX_VOTERS) as u8);
+    for (slot, disk) in v.iter().take(MAX_VOTERS) {
         out.put_u32(*slot);
         out.put_u64(*disk);
     }
 }
 
 fn put_entries(out: &mut BytesMut, all: &[Entry]) {
-    out.put_u16(all.len().min(MOST_ENTRIES) as u16);
-    all.iter().take(MOST_ENTRIES).for_each(|e| put_entry(out, e));
+    out.put_u16(all.len().min(MAX_ENTRIES) as u16);
+    all.iter().take(MAX_ENTRIES).for_each(|e| put_entry(out, e));
 }
 
 pub fn put_entry(out: &mut BytesMut, e: &Entry) {
@@ -188,7 +188,7 @@
 }
 
 fn origin(f: &mut Fields) -> Result<Origin, WireError> {
-    Ok(Origin { disk: f.u64("disk")?, boot: f.u32("boot")?, life: f.u64("life")? })
+    Ok(Origin { disk: f.u64("disk")?, boot: f.u32("boot")?, generation: f.u64("life")? })
 }
 
 fn flag(f: &mut Fields, field: &'static str) -> Result<bool, WireError> {
@@ -201,7 +201,7 @@
 
 fn voters(f: &mut Fields) -> Result<Voters, WireError> {
     let n = f.u8("voters")?;
-    if usize::from(n) > MOST_VOTERS {
+    if usize::from(n) > MAX_VOTERS {
         return Err(WireError::Value { field: "voters", found: u64::from(n), expected: "at most 7" });
     }
     let mut all = Voters::new();
@@ -227,7 +227,7 @@
     let term = f.u64("term")?;
     let what = match f.u8("entry kind")? {
         0 => What::Nothing,
-        1 => What::Data(long(f, "entry", MOST_ENTRY)?),
+        1 => What::Data(long(f, "entry", MAX_ENTRY)?),
         2 => What::Voters(voters(f)?),
         other => {
             let expected = "0 nothing, 1 data or 2 voters";
@@ -239,7 +239,7 @@
 
 fn entries(f: &mut Fields) -> Result<Vec<Entry>, WireError> {
     let n = f.u16("entries")?;
-    if usize::from(n) > MOST_ENTRIES {
+    if usize::from(n) > MAX_ENTRIES {
         return Err(WireError::Value { field: "entries", found: u64::from(n), expected: "at most 256" });
     }
     (0..n).map(|_| entry(f)).collect()
@@ -301,10 +301,10 @@
                 out.put_u64(*has);
                 put_origin(&mut out, of);
             }
-            Word::Granted { id, to_life, seq, term, index, term_ms } => {
+            Word::Granted { id, to_generation, seq, term, index, term_ms } => {
                 out.put_u8(8);
                 out.put_u64(*id);
-                out.put_u64(*to_life);
+                out.put_u64(*to_generation);
                 out.put_u32(*seq);
                 out.put_u64(*term);
                 out.put_u64(*index);
@@ -379,13 +379,13 @@
                 id: f.u64("log")?,
                 last: mark(f)?,
                 voters: voters(f)?,
-                state: long(f, "state", MOST_STATE)?,
+                state: long(f, "state", MAX_STATE)?,
             },
-            6 => Word::Propose { id: f.u64("log")?, data: long(f, "proposal", MOST_ENTRY)? },
+            6 => Word::Propose { id: f.u64("log")?, data: long(f, "proposal", MAX_ENTRY)? },
             7 => Word::Renew { seq: f.u32("number")?, has: f.u64("index")?, of: origin(f)? },
             8 => Word::Granted {
                 id: f.u64("log")?,
-                to_life: f.u64("life")?,
+                to_generation: f.u64("life")?,
                 seq: f.u32("number")?,
                 term: f.u64("term")?,
                 index: f.u64("index")?,
@@ -401,7 +401,7 @@
                 id: f.u64("log")?,
                 last: mark(f)?,
                 voters: voters(f)?,
-                state: long(f, "state", MOST_STATE)?,
+                state: long(f, "state", MAX_STATE)?,
             },
             13 => Word::Found {
                 of: origin(f)?,
@@ -426,8 +426,8 @@
     use proptest::prelude::*;
 
     fn all() -> Vec<Word> {
-        let of = Origin { disk: 1, boot: 2, life: 3 };
-        let voters: Voters = (0..MOST_VOTERS as u32).map(|s| (s, u64::from(s) + 7)).collect();
+        let of = Origin { disk: 1, boot: 2, generation: 3 };
+        let voters: Voters = (0..MAX_VOTERS as u32).map(|s| (s, u64::from(s) + 7)).collect();
         let entries = vec![
             Entry { term: 1, what: What::Nothing },
             Entry { term: 2, what: What::Data(Bytes::from_static(b"change")) },
@@ -444,7 +444,7 @@
             Word::Snapshot { term: 4, id: 8, last, voters: voters.clone(), state: state.clone() },
             Word::Propose { id: 8, data: state.clone() },
             Word::Renew { seq: 1, has: 2, of },
-            Word::Granted { id: 8, to_life: 9, seq: 1, term: 2, index: 3, term_ms: 4 },
+            Word::Granted { id: 8, to_generation: 9, seq: 1, term: 2, index: 3, term_ms: 4 },
             Word::Leads { term: 1, leader: Some(2) },
             Word::Leads { term: 1, leader: None },
             Word::Want { has: 7 },
--- a/crates/wire/src/iscsi.rs
+++ b/crates/wire/src/iscsi.rs
@@ -38,8 +38,8 @@
     pub data: Bytes,
 }
 
-/// Type of the further header in which a client that has agreed on it tells a command's expiry.
-const EXPIRY_HEADER: u8 = 0x3f;
+/// Type of the further header in which a client that has agreed on it tells a command's deadline.
+const DEADLINE_HEADER: u8 = 0x3f;
 
 impl Pdu {
     pub fn new(opcode: u8, flags: u8) -> Self {
@@ -90,20 +90,20 @@
     }
     /// Microseconds in which the command's client wants its answer, in a further header of our own: its length, 9, its
     /// type, a reserved byte, and the number.
-    pub fn set_expiry(&mut self, us: u64) -> &mut Self {
+    pub fn set_deadline(&mut self, us: u64) -> &mut Self {
         let mut out = BytesMut::with_capacity(12);
         out.put_u16(9);
-        out.put_u8(EXPIRY_HEADER);
+        out.put_u8(DEADLINE_HEADER);
         out.put_u8(0);
         out.put_u64(us);
         self.further = out.freeze();
         self
     }
-    pub fn expiry(&self) -> Option<u64> {
+    pub fn deadline(&self) -> Option<u64> {
         let mut rest = self.further.clone();
         while rest.len() >= 4 {
             let (length, kind) = (usize::from(rest.get_u16()), rest.get_u8());
-            if kind == EXPIRY_HEADER && length == 9 && rest.len() >= 9 {
+            if kind == DEADLINE_HEADER && length == 9 && rest.len() >= 9 {
                 rest.advance(1);
                 return Some(rest.get_u64());
             }
@@ -154,16 +154,16 @@
     n.wrapping_neg() & 3
 }
 
-/// Cuts a byte stream into units. `most_data` bounds the data of one; further headers are bounded by their length's byte.
+/// Cuts a byte stream into units. `max_data` bounds the data of one; further headers are bounded by their length's byte.
 pub struct Units {
     held: BytesMut,
-    most_data: usize,
+    max_data: usize,
     pub digests: Digests,
 }
 
 impl Units {
-    pub fn new(most_data: usize) -> Self {
-        Units { held: BytesMut::new(), most_data, digests: Digests::default() }
+    pub fn new(max_data: usize) -> Self {
+        Units { held: BytesMut::new(), max_data, digests: Digests::default() }
     }
 
     pub fn push(&mut self, bytes: &[u8]) {
@@ -179,8 +179,8 @@
         let Some(head) = self.held.first_chunk::<BHS>().copied() else { return Ok(None) };
         let further = usize::from(head[4]) * 4;
         let data = usize::from(head[5]) << 16 | usize::from(head[6]) << 8 | usize::from(head[7]);
-        if data > self.most_data {
-            let (found, most) = (data as u64, self.most_data as u64);
+        if data > self.max_data {
+            let (found, most) = (data as u64, self.max_data as u64);
             return Err(WireError::TooLong { field: "data segment length", found, most });
         }
         let headers = BHS + further;
--- a/crates/wire/src/nbd.rs
+++ b/crates/wire/src/nbd.rs
@@ -18,7 +18,7 @@
 pub const NO_ZEROES: u16 = 2;
 
 /// Bytes of an option's data.
-pub const MOST_OPTION: u32 = 64 << 10;
+pub const MAX_OPTION: u32 = 64 << 10;
 
 macro_rules! numbers {
     ($(#[$doc:meta])* $module:ident: $type:ty { $($name:ident = $value:expr),* $(,)? }) => {
@@ -57,11 +57,11 @@
 numbers! {
     /// Flags of a command. The last is this project's: eight bytes stand behind the header, the time in microseconds
     /// in which the client wants its answer.
-    flag: u16 { FUA = 1, EXPIRY = 0x4000 }
+    flag: u16 { FUA = 1, DEADLINE = 0x4000 }
 }
 numbers! {
-    /// Chunk types of structured replies. `DEFERRED` is this project's, an error chunk by its highest bits.
-    chunk: u16 { NONE = 0, OFFSET_DATA = 1, ERROR = 0x8001, DEFERRED = 0xf463 }
+    /// Chunk types of structured replies. `REJECTED` is this project's, an error chunk by its highest bits.
+    chunk: u16 { NONE = 0, OFFSET_DATA = 1, ERROR = 0x8001, REJECTED = 0xf463 }
 }
 numbers! {
     /// Error values.
@@ -79,18 +79,18 @@
     pub offset: u64,
     pub length: u32,
     /// With the flag for it: microseconds in which an answer is wanted.
-    pub expiry_us: Option<u64>,
+    pub deadline_us: Option<u64>,
 }
 
 impl Request {
     pub fn encode(&self, out: &mut BytesMut) {
         out.put_u32(REQUEST);
-        out.put_u16(self.flags | if self.expiry_us.is_some() { flag::EXPIRY } else { 0 });
+        out.put_u16(self.flags | if self.deadline_us.is_some() { flag::DEADLINE } else { 0 });
         out.put_u16(self.kind);
         out.put_u64(self.cookie);
         out.put_u64(self.offset);
         out.put_u32(self.length);
-        if let Some(us) = self.expiry_us {
+        if let Some(us) = self.deadline_us {
             out.put_u64(us);
         }
     }
@@ -155,12 +155,12 @@
 pub struct ClientUnits {
     held: BytesMut,
     pub stage: Stage,
-    most_write: u32,
+    max_write: u32,
 }
 
 impl ClientUnits {
-    pub fn new(most_write: u32) -> Self {
-        ClientUnits { held: BytesMut::new(), stage: Stage::Flags, most_write }
+    pub fn new(max_write: u32) -> Self {
+        ClientUnits { held: BytesMut::new(), stage: Stage::Flags, max_write }
     }
 
     pub fn push(&mut self, bytes: &[u8]) {
@@ -182,7 +182,7 @@
                     return Err(value("option magic", magic, "IHAVEOPT"));
                 }
                 let (option, length) = (f.u32("option")?, f.u32("option length")?);
-                let length = bounded("option length", length, MOST_OPTION)?;
+                let length = bounded("option length", length, MAX_OPTION)?;
                 if self.held.len() < 16 + length {
                     return Ok(None);
                 }
@@ -197,16 +197,15 @@
                 }
                 let (flags, kind) = (f.u16("flags")?, f.u16("command")?);
                 let (cookie, offset, length) = (f.u64("cookie")?, f.u64("offset")?, f.u32("length")?);
-                let further = if flags & flag::EXPIRY != 0 { 8 } else { 0 };
-                let data =
-                    if kind == command::WRITE { bounded("write", length, self.most_write)? } else { 0 };
+                let further = if flags & flag::DEADLINE != 0 { 8 } else { 0 };
+                let data = if kind == command::WRITE { bounded("write", length, self.max_write)? } else { 0 };
                 if self.held.len() < 28 + further + data {
                     return Ok(None);
                 }
                 self.held.advance(28);
-                let expiry_us = (further > 0).then(|| self.held.get_u64());
+                let deadline_us = (further > 0).then(|| self.held.get_u64());
                 let request =
-                    Request { flags: flags & !flag::EXPIRY, kind, cookie, offset, length, expiry_us };
+                    Request { flags: flags & !flag::DEADLINE, kind, cookie, offset, length, deadline_us };
                 Ok(Some(ClientUnit::Request { request, data: self.held.split_to(data).freeze() }))
             }
         }
@@ -226,12 +225,12 @@
 pub struct ServerUnits {
     held: BytesMut,
     pub stage: Stage,
-    most_read: u32,
+    max_read: u32,
 }
 
 impl ServerUnits {
-    pub fn new(most_read: u32) -> Self {
-        ServerUnits { held: BytesMut::new(), stage: Stage::Flags, most_read }
+    pub fn new(max_read: u32) -> Self {
+        ServerUnits { held: BytesMut::new(), stage: Stage::Flags, max_read }
     }
 
     pub fn push(&mut self, bytes: &[u8]) {
@@ -259,7 +258,7 @@
                     return Err(value("reply magic", magic, "0x3e889045565a9"));
                 }
                 let (option, kind, length) = (f.u32("option")?, f.u32("reply")?, f.u32("reply length")?);
-                let length = bounded("reply length", length, MOST_OPTION)?;
+                let length = bounded("reply length", length, MAX_OPTION)?;
                 if self.held.len() < 20 + length {
                     return Ok(None);
                 }
@@ -284,7 +283,7 @@
                         let Some(mut f) = head(20) else { return Ok(None) };
                         f.u32("reply magic")?;
                         let (flags, kind, cookie) = (f.u16("flags")?, f.u16("chunk")?, f.u64("cookie")?);
-                        let length = bounded("chunk length", f.u32("chunk length")?, self.most_read + 64)?;
+                        let length = bounded("chunk length", f.u32("chunk length")?, self.max_read + 64)?;
                         if self.held.len() < 20 + length {
                             return Ok(None);
                         }
@@ -376,7 +375,7 @@
     f.u32("session").ok()
 }
 
-/// An error chunk's data: the value, and a text for people. A deferral has the time to come back in microseconds there
+/// An error chunk's data: the value, and a text for people. A rejection has the time to come back in microseconds there
 /// instead.
 pub fn write_error(value: u32, text: &[u8]) -> Bytes {
     let mut out = BytesMut::new();
--- a/crates/wire/tests/codecs.rs
+++ b/crates/wire/tests/codecs.rs
@@ -6,16 +6,16 @@
 use tackmast_wire::iscsi::{self, Digests, Pdu, Units};
 use tackmast_wire::list::{self, Entry, State};
 use tackmast_wire::nbd;
-use tackmast_wire::node::{self, Answer, Frame, NodeOutcome, Origin, SendLeg, Work};
+use tackmast_wire::node::{self, Answer, Frame, NodeOutcome, Origin, SendAttempt, Work};
 use tackmast_wire::scsi::{Command, Sense};
 
-const MOST: usize = 4096;
+const MAX: usize = 4096;
 
 fn data() -> impl Strategy<Value = Bytes> {
-    proptest::collection::vec(any::<u8>(), 0..MOST).prop_map(Bytes::from)
+    proptest::collection::vec(any::<u8>(), 0..MAX).prop_map(Bytes::from)
 }
 
-fn leg() -> impl Strategy<Value = Frame> {
+fn attempt() -> impl Strategy<Value = Frame> {
     let work = prop_oneof![
         any::<u32>().prop_map(|length| Work::Read { length }),
         data().prop_map(|data| Work::Write { data })
@@ -28,11 +28,14 @@
     let first = (any::<u64>(), any::<u64>(), any::<u8>(), origin, any::<u64>(), any::<u32>());
     let second = (any::<u128>(), any::<u64>(), any::<u32>(), any::<u64>(), 0f32..1e9, work);
     (first, second).prop_map(
-        |((leg, xfer, leg_no, origin, sent_us, left_us), (mark, key, volume, offset, units, work))| {
-            Frame::Send(SendLeg {
-                leg,
-                xfer,
-                leg_no,
+        |(
+            (attempt, request, attempt_number, origin, sent_us, left_us),
+            (mark, key, volume, offset, units, work),
+        )| {
+            Frame::Send(SendAttempt {
+                attempt,
+                request,
+                attempt_number,
                 origin,
                 sent_us,
                 left_us,
@@ -56,18 +59,19 @@
     ];
     let answer = (any::<u64>(), outcome, any::<u32>(), 0f32..1e9, data());
     prop_oneof![
-        leg(),
-        answer.prop_map(|(leg, outcome, waiting, elsewhere, data)| {
-            Frame::Answer(Answer { leg, outcome, waiting, elsewhere, data })
+        attempt(),
+        answer.prop_map(|(attempt, outcome, waiting, elsewhere, data)| {
+            Frame::Answer(Answer { attempt, outcome, waiting, elsewhere, data })
         }),
-        (any::<u16>(), any::<u32>(), any::<u64>(), any::<u64>())
-            .prop_map(|(version, host, life, sent_us)| Frame::HostHello { version, host, life, sent_us }),
+        (any::<u16>(), any::<u32>(), any::<u64>(), any::<u64>()).prop_map(
+            |(version, host, generation, sent_us)| Frame::HostHello { version, host, generation, sent_us }
+        ),
         (any::<u16>(), any::<u32>(), any::<u32>(), any::<u64>(), any::<u64>()).prop_map(
             |(version, shard, zone, started_us, up_us)| {
                 Frame::NodeHello { version, shard, zone, started_us, up_us }
             }
         ),
-        any::<u64>().prop_map(|leg| Frame::Cancel { leg }),
+        any::<u64>().prop_map(|attempt| Frame::Cancel { attempt }),
         any::<u64>().prop_map(|number| Frame::Ping { number }),
         any::<u64>().prop_map(|number| Frame::Pong { number }),
     ]
@@ -126,7 +130,7 @@
     fn node_frames_come_back(sent in proptest::collection::vec(node_frame(), 1..5), cuts in proptest::collection::vec(1usize..300, 1..8)) {
         let mut bytes = BytesMut::new();
         sent.iter().for_each(|f| f.encode(&mut bytes));
-        let mut frames = node::frames(MOST);
+        let mut frames = node::frames(MAX);
         let mut found = Vec::new();
         in_pieces(&bytes, &cuts, |piece| {
             frames.push(piece);
@@ -157,7 +161,7 @@
         let digests = Digests { header, data };
         let mut bytes = BytesMut::new();
         sent.iter().for_each(|p| iscsi::encode(p, digests, &mut bytes));
-        let mut units = Units::new(MOST);
+        let mut units = Units::new(MAX);
         units.digests = digests;
         let mut found = Vec::new();
         in_pieces(&bytes, &cuts, |piece| {
@@ -179,7 +183,7 @@
         // The lengths say where digests stand, so a flip there may leave the unit waiting for more; that is no
         // false unit either.
         bytes[i] ^= 1 << bit;
-        let mut units = Units::new(MOST);
+        let mut units = Units::new(MAX);
         units.digests = digests;
         units.push(&bytes);
         if let Ok(Some(found)) = units.next_unit() {
@@ -194,14 +198,14 @@
         _ = list::Frame::decode(all.clone());
         _ = iscsi::read_keys(&all);
         _ = Sense::from_segment(&all);
-        let mut frames = node::frames(MOST);
+        let mut frames = node::frames(MAX);
         frames.push(&bytes);
         while let Ok(Some(_)) = node::next(&mut frames) {}
-        let mut units = Units::new(MOST);
+        let mut units = Units::new(MAX);
         units.push(&bytes);
         while let Ok(Some(u)) = units.next_unit() {
-            prop_assert!(u.data.len() <= MOST);
-            _ = u.expiry();
+            prop_assert!(u.data.len() <= MAX);
+            _ = u.deadline();
         }
         if let Some(cdb) = bytes.first_chunk::<16>() {
             _ = Command::parse(cdb);
@@ -211,26 +215,26 @@
     #[test]
     fn expiries_stand_among_other_headers(us in any::<u64>(), other in proptest::collection::vec(any::<u8>(), 0..30)) {
         let mut pdu = Pdu::new(1, 0);
-        pdu.set_expiry(us);
-        prop_assert_eq!(pdu.expiry(), Some(us));
+        pdu.set_deadline(us);
+        prop_assert_eq!(pdu.deadline(), Some(us));
         // Behind a header of another type, padded as the specification says.
         let mut further = vec![0, other.len() as u8 + 1, 1, 0];
         further.extend_from_slice(&other);
         further.resize(further.len().next_multiple_of(4), 0);
         further.extend_from_slice(&pdu.further);
         pdu.further = Bytes::from(further);
-        prop_assert_eq!(pdu.expiry(), Some(us));
+        prop_assert_eq!(pdu.deadline(), Some(us));
     }
 
     #[test]
-    fn nbd_units_come_back(flags in any::<u16>(), cookie in any::<u64>(), offset in any::<u64>(), expiry in any::<Option<u64>>(), data in data(), cuts in proptest::collection::vec(1usize..300, 1..8)) {
-        let request = nbd::Request { flags: flags & !nbd::flag::EXPIRY, kind: nbd::command::WRITE, cookie, offset, length: data.len() as u32, expiry_us: expiry };
+    fn nbd_units_come_back(flags in any::<u16>(), cookie in any::<u64>(), offset in any::<u64>(), deadline in any::<Option<u64>>(), data in data(), cuts in proptest::collection::vec(1usize..300, 1..8)) {
+        let request = nbd::Request { flags: flags & !nbd::flag::DEADLINE, kind: nbd::command::WRITE, cookie, offset, length: data.len() as u32, deadline_us: deadline };
         let mut bytes = BytesMut::new();
         nbd::option(nbd::option::GO, &nbd::write_go("v", &[3]), &mut bytes);
         let options = bytes.len();
         request.encode(&mut bytes);
         bytes.extend_from_slice(&data);
-        let mut units = nbd::ClientUnits::new(MOST as u32);
+        let mut units = nbd::ClientUnits::new(MAX as u32);
         units.stage = nbd::Stage::Options;
         let mut found = Vec::new();
         let (first, second) = bytes.split_at(options);
@@ -250,7 +254,7 @@
         ] {
             let mut bytes = BytesMut::new();
             reply.encode(&mut bytes);
-            let mut units = nbd::ServerUnits::new(MOST as u32);
+            let mut units = nbd::ServerUnits::new(MAX as u32);
             units.stage = nbd::Stage::Transmission;
             let mut found = None;
             in_pieces(&bytes, &cuts, |piece| {
@@ -264,8 +268,8 @@
     #[test]
     fn no_bytes_break_the_nbd_units(bytes in proptest::collection::vec(any::<u8>(), 0..500)) {
         for stage in [nbd::Stage::Flags, nbd::Stage::Options, nbd::Stage::Transmission] {
-            let mut client = nbd::ClientUnits::new(MOST as u32);
-            let mut server = nbd::ServerUnits::new(MOST as u32);
+            let mut client = nbd::ClientUnits::new(MAX as u32);
+            let mut server = nbd::ServerUnits::new(MAX as u32);
             (client.stage, server.stage) = (stage, stage);
             client.push(&bytes);
             server.push(&bytes);
@@ -312,7 +316,7 @@
         ("bytes behind", trailing, "frame: 1; expected no bytes after the last field"),
         ("ends early", short, "ping: the frame ends 4 bytes early"),
     ] {
-        let mut frames = node::frames(MOST);
+        let mut frames = node::frames(MAX);
         frames.push(&bytes);
         let found = node::next(&mut frames).unwrap_err().to_string();
         let expected = expected.replace("ping", "number");
