--- a/src/interface.rs
+++ b/src/interface.rs
@@ -8,7 +8,7 @@
 
 /// A length of time, in microseconds. Kept apart from `Instant`, so the two can't be mixed up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
-pub struct Span(i64);
+pub struct TimeDelta(i64);
 
 impl Instant {
     pub fn from_secs(s: f64) -> Self {
@@ -19,11 +19,11 @@
     }
 }
 
-impl Span {
-    pub const ZERO: Span = Span(0);
+impl TimeDelta {
+    pub const ZERO: TimeDelta = TimeDelta(0);
 
     pub fn from_secs(s: f64) -> Self {
-        Span((s * 1e6).round() as i64)
+        TimeDelta((s * 1e6).round() as i64)
     }
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
@@ -31,30 +31,30 @@
 }
 
 impl Sub for Instant {
-    type Output = Span;
-    fn sub(self, earlier: Instant) -> Span {
-        Span(self.0.saturating_sub(earlier.0))
+    type Output = TimeDelta;
+    fn sub(self, earlier: Instant) -> TimeDelta {
+        TimeDelta(self.0.saturating_sub(earlier.0))
     }
 }
 
-impl Add<Span> for Instant {
+impl Add<TimeDelta> for Instant {
     type Output = Instant;
-    fn add(self, s: Span) -> Instant {
+    fn add(self, s: TimeDelta) -> Instant {
         Instant(self.0.saturating_add(s.0))
     }
 }
 
-impl Sub<Span> for Instant {
+impl Sub<TimeDelta> for Instant {
     type Output = Instant;
-    fn sub(self, s: Span) -> Instant {
+    fn sub(self, s: TimeDelta) -> Instant {
         Instant(self.0.saturating_sub(s.0))
     }
 }
 
-impl Add for Span {
-    type Output = Span;
-    fn add(self, s: Span) -> Span {
-        Span(self.0.saturating_add(s.0))
+impl Add for TimeDelta {
+    type Output = TimeDelta;
+    fn add(self, s: TimeDelta) -> TimeDelta {
+        TimeDelta(self.0.saturating_add(s.0))
     }
 }
 
@@ -67,22 +67,22 @@
 }
 
 ids! {
-    /// One client transfer; a client's next try is a new one.
-    XferId,
+    /// One client request; a client's next try is a new one.
+    RequestId,
     NodeId,
     VolumeId,
     PlanId,
-    StreamId,
+    TrafficClassId,
     /// A piece of data that is read or written.
     KeyId,
     /// The part of the data that one node holds.
     ShardId,
     ZoneId,
-    /// The number of a leg within its transfer, from 0.
-    LegNo,
+    /// The number of an attempt within its request, from 0.
+    AttemptNumber,
 }
 
-/// Which nodes discard repeats of a keyed transfer.
+/// Which nodes discard repeats of an idempotent-by-key request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     All,
@@ -90,15 +90,15 @@
     Shard,
 }
 
-/// What running a transfer again may do.
+/// What running a request again may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    Repeatable,
-    Keyed { group: Group, window: Span },
-    Unrepeatable,
+    Idempotent,
+    IdempotentByKey { group: Group, window: TimeDelta },
+    NonIdempotent,
 }
 
-/// How a leg ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Done,
@@ -110,12 +110,12 @@
     Refused,
     Reset,
     Cancelled,
-    /// Never sent: the transfer was over, or the node does not hold its shard.
+    /// Never sent: the request was over, or the node does not hold its shard.
     Skipped,
 }
 
 impl Outcome {
-    /// Whether this outcome leaves it possible that the leg had an effect.
+    /// Whether this outcome leaves it possible that the attempt had an effect.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Outcome::Full | Outcome::Refused | Outcome::Skipped)
     }
@@ -169,22 +169,22 @@
 /// What the host is to do next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Send a leg; no time-out means until the client gives up. One whose first byte has not left at `begin_by` must not
+    /// Send an attempt; no time-out means until the client gives up. One whose first byte has not left at `begin_by` must not
     /// leave any more: the nodes may have forgotten the first that ran.
     Send {
-        xfer: XferId,
+        request: RequestId,
         node: NodeId,
-        timeout: Option<Span>,
+        timeout: Option<TimeDelta>,
         begin_by: Option<Instant>,
     },
     /// Final answer: not done, and a retry is safe; come back after the span, where one is given.
-    Defer {
-        xfer: XferId,
-        come_back: Option<Span>,
+    Reject {
+        request: RequestId,
+        retry_after: Option<TimeDelta>,
     },
     /// Final answer: not done, and no promise about its effect.
-    Abandon {
-        xfer: XferId,
+    Fail {
+        request: RequestId,
     },
     /// Subscribe to changes of the node list.
     FollowList,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,9 +1,9 @@
 //! Every decision of tackmast. How it is called: the host makes one `Scheduler`, tells it the settings part
-//! by part, and then reports what happens through the inputs (`transfer_arrived`, `leg_ended`,
+//! by part, and then reports what happens through the inputs (`request_arrived`, `attempt_ended`,
 //! `nodes_changed`, ...), which only update what is known. After each report it pulls `next_decision(now)`
 //! until there is none and asks `next_wake` when to come back. The types are in `src/interface.rs`.
 //!
-//! The ordinary path of a transfer: it waits at its shard; its volume's limit bucket must have room; within
+//! The ordinary path of a request: it waits at its shard; its volume's limit bucket must have room; within
 //! a priority, units inside the reservation leave first, the rest by plan weight; the node's caps bound what
 //! is out. docs/design.md says where this comes from and what was added.
 
@@ -13,57 +13,57 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
 
-const CAP_START: f64 = 8.0; // transfers out at one node, and mean sizes out
-const FEW: f64 = 4.0; // hosts: up to these each may keep a transfer out at a node, beyond them they share
-const CAP_MOST: f64 = 24.0;
+const CAP_START: f64 = 8.0; // requests out at one node, and mean sizes out
+const FEW: f64 = 4.0; // hosts: up to these each may keep a request out at a node, beyond them they share
+const MAX_CAP: f64 = 24.0;
 const CAP_RISE: f64 = 0.5; // by this much for each window of good answers
-const REST_MOST: f64 = 2.0; // seconds, at few hosts
+const MAX_REST: f64 = 2.0; // seconds, at few hosts
 const CAP_CUT: f64 = 0.5; // at most to this part at once, the more the slower the answer
-const CAP_CUT_LEAST: f64 = 0.9;
-const CAP_TARGET: f64 = 0.5; // answers slower than this part of the SLO time shrink the cap
+const MIN_CAP_CUT: f64 = 0.9;
+const CAP_TARGET: f64 = 0.5; // answers slower than this part of the latency objective shrink the cap
 const EXCESS_PART: f64 = 0.7; // of the cap, for units past the reservation
 const LOWER_PART: f64 = 0.5; // of the cap, for lower priorities while a higher one is out, and for late ones
-const WAITING: f64 = 8.0; // transfers a node may report to wait before they divide the cap
+const WAITING: f64 = 8.0; // requests a node may report to wait before they divide the cap
 const WAITING_EXCESS: f64 = 2.0; // and before they divide it for units past the reservation
-const TIGHT: f64 = 2.0; // streams within this multiple of the tightest SLO time judge the node
+const TIGHT: f64 = 2.0; // streams within this multiple of the tightest latency objective judge the node
 const SLACK_AT_START: f64 = 0.5; // of the limit's slack, given by all hosts together when they start
 pub const SPLIT_FLOOR: f64 = 0.9; // of the even slice, whatever the share
 const SPLIT_RISE: f64 = 4.0; // seconds for which the least share seen holds, at least
 const SPLIT_IDLE: f64 = 1.5; // seconds without an answer after which the share falls away
-const SPLIT_LEAST: f64 = 4.0; // mean sizes served at a node before it is looked at alone
-const UNDONE_MEMORY: f64 = 10.0; // seconds for which a later try is known by its first
-const AT_REST: f64 = 30.0; // seconds, longer than any transfer waits, after which what is unused is forgotten
+const MIN_SPLIT: f64 = 4.0; // mean sizes served at a node before it is looked at alone
+const REJECTED_MEMORY: f64 = 10.0; // seconds for which a later try is known by its first
+const AT_REST: f64 = 30.0; // seconds, longer than any request waits, after which what is unused is forgotten
 const VOLUMES_KEPT: usize = 512;
 const RESERVE_BURST: f64 = 1.0; // seconds of the reservation that its bucket holds
 const CREDIT_START: f64 = 2.0;
-const CREDIT_MOST: f64 = 8.0;
-const CREDIT_ERROR: f64 = 1.0; // for an error that came well within the SLO time
+const MAX_CREDIT: f64 = 8.0;
+const CREDIT_ERROR: f64 = 1.0; // for an error that came well within the latency objective
 const HEALTH_HALVE: f64 = 16.0;
 const SICK_AFTER: f64 = 6.0; // bad answers
 const SICK_BELOW: f64 = 0.05; // part of answers that are good
-const TRICKLE: f64 = 0.1; // seconds between legs to a sick node
-const LOST_LEAST: f64 = 2.0;
+const TRICKLE: f64 = 0.1; // seconds between attempts to a sick node
+const MIN_LOST: f64 = 2.0;
 const LOST_PART: f64 = 0.02;
 const LOST_HALVE: f64 = 128.0;
 const TIMEOUT_AT: f64 = 0.9; // part of the answers seen that are faster
 const TIMEOUT_TIMES: f64 = 3.0;
-const TIMEOUT_LEAST: f64 = 0.4; // of the SLO time
+const MIN_TIMEOUT: f64 = 0.4; // of the latency objective
 const TIMEOUT_SEEN: f64 = 8.0; // answers
-const PAUSE: f64 = 0.02; // seconds before a further leg
-const BLOCKED_CHECK: f64 = 0.05; // seconds until a transfer that a guard holds is looked at again
+const PAUSE: f64 = 0.02; // seconds before a retry
+const BLOCKED_CHECK: f64 = 0.05; // seconds until a request that a guard holds is looked at again
 const COLD_CHANCE: f64 = 0.8; // of what goes for chance where all hosts together send to a cold node
 const COLD_OUT: f64 = 0.3; // of the sum that they may send: of the always-safe units, those out at once,
 const COLD_DRAIN: f64 = 0.1; // those that time alone frees each window, and
 const COLD_PART: f64 = 0.6; // of the multiple that a cold node bears
 const COLD_MEMORY: f64 = 30.0; // seconds
 const COLD_PIECES: usize = 16; // of a shard, that are known again
-const COLD_SEEN_LEAST: f64 = 5.0; // seconds, before what was seen of a shard counts in full
+const MIN_COLD_SEEN: f64 = 5.0; // seconds, before what was seen of a shard counts in full
 const LIST_RETRY: f64 = 0.2; // seconds, doubled at each failure
-const LIST_RETRY_MOST: f64 = 1.0; // so that two more that fail still leave time for one that tells in 6 s
+const MAX_LIST_RETRY: f64 = 1.0; // so that two more that fail still leave time for one that tells in 6 s
 const SAFE_EDGE: f64 = 0.02; // seconds kept from the edge of any stated window
 const LATENCY_FIRST: f64 = 0.002; // seconds, the lowest bin of answer times
 const LATENCY_HALVE: f64 = 64.0;
-const QUEUE_LOOK: usize = 16; // waiting transfers searched for one that no guard of its own holds
+const QUEUE_LOOK: usize = 16; // waiting requests searched for one that no guard of its own holds
 
 #[derive(Default)]
 pub struct Scheduler {
@@ -71,14 +71,14 @@
     rng: Chance,
     hosts: f64,
     there: f64, // of them, as far as is known; only caps follow it
-    margin: Span,
+    margin: TimeDelta,
     plans: Vec<Plan>,
-    streams: Vec<Stream>,
-    tightest: Span, // SLO time
+    classes: Vec<TrafficClass>,
+    tightest: TimeDelta, // latency objective
     mean_units: f64,
-    most_legs: u32,
-    longest_wait: Span,
-    settle: Span,
+    max_attempts: u32,
+    longest_wait: TimeDelta,
+    settle: TimeDelta,
     budget: Budget,
     cold: Cold,
     again: f64, // part that counts of units done for a piece that a node may have at hand
@@ -88,28 +88,28 @@
     nodes: BTreeMap<NodeId, Node>,
     shards: BTreeMap<ShardId, Shard>,
     turns: HashMap<KeyId, Turn>,
-    xfers: HashMap<XferId, Xfer>,
-    alarms: BinaryHeap<Reverse<(Instant, Alarm)>>,
+    requests: HashMap<RequestId, Request>,
+    timers: BinaryHeap<Reverse<(Instant, Timer)>>,
     lost: Losses,
-    everywhere: Vec<Histogram>, // times at all nodes, for each stream type
-    undone: Undones,
+    everywhere: Vec<Histogram>, // times at all nodes, for each traffic class
+    rejected_requests: RejectedRequests,
     due: BTreeSet<ShardId>,
-    homeless: Vec<XferId>, // new objects for which no node was to be had
+    homeless: Vec<RequestId>, // new objects for which no node was to be had
     decided: VecDeque<Decision>,
 }
 
 /// Settings, part by part.
 impl Scheduler {
     /// `hosts` is how many hosts share the pool; `tick` how coarse the host's clock is.
-    pub fn new(now: Instant, seed: u64, hosts: u32, tick: Span, mean_units: f64) -> Self {
+    pub fn new(now: Instant, seed: u64, hosts: u32, tick: TimeDelta, mean_units: f64) -> Self {
         Scheduler {
             now,
             rng: Chance(oorandom::Rand32::new(seed)),
             hosts: f64::from(hosts.max(1)),
             there: f64::from(hosts.max(1)),
-            margin: tick + tick + Span::from_secs(0.001),
+            margin: tick + tick + TimeDelta::from_secs(0.001),
             mean_units: mean_units.max(1e-6),
-            most_legs: u32::MAX,
+            max_attempts: u32::MAX,
             again: 1.0,
             ..Scheduler::default()
         }
@@ -120,26 +120,26 @@
         self.plans.push(Plan { limit, burst, slack, reserve, weight: weight.max(1e-6) });
     }
 
-    /// Stream types are numbered in the order given.
-    pub fn stream(&mut self, slo: Span, effect: Effect, in_order: bool) {
-        self.streams.push(Stream { slo, rank: 0, tight: 1.0, effect, in_order });
-        self.tightest = rank_by_slo(&mut self.streams);
+    /// Traffic classes are numbered in the order given.
+    pub fn traffic_class(&mut self, latency_objective: TimeDelta, effect: Effect, in_order: bool) {
+        self.classes.push(TrafficClass { latency_objective, rank: 0, tight: 1.0, effect, in_order });
+        self.tightest = rank_by_latency_objective(&mut self.classes);
         self.everywhere.push(Histogram::new(LATENCY_FIRST, LATENCY_HALVE));
     }
 
     /// `longest_wait` is the longest that a client can be asked to stay away; zero: it can't be asked.
-    /// `settle` is how long a key rests after a leg that may still be running.
-    pub fn leg_limits(&mut self, most_legs: u32, longest_wait: Span, settle: Span) {
-        (self.most_legs, self.longest_wait, self.settle) = (most_legs, longest_wait, settle);
+    /// `settle` is how long a key rests after an attempt that may still be running.
+    pub fn attempt_limits(&mut self, max_attempts: u32, longest_wait: TimeDelta, settle: TimeDelta) {
+        (self.max_attempts, self.longest_wait, self.settle) = (max_attempts, longest_wait, settle);
     }
 
-    pub fn further_leg_budget(&mut self, free: f64, share: f64, window: Span) {
+    pub fn retry_budget(&mut self, free: f64, share: f64, window: TimeDelta) {
         self.budget = Budget { free, share, window: Some(window), ..Budget::default() };
     }
 
     /// `safe` units within `window` from all hosts never hurt a node that starts at part `from` of its
     /// capacity and is warm after `warm`; nor does `multiple` times what it can do at the moment.
-    pub fn cold_nodes(&mut self, safe: f64, from: f64, warm: Span, window: Span, multiple: f64) {
+    pub fn cold_nodes(&mut self, safe: f64, from: f64, warm: TimeDelta, window: TimeDelta, multiple: f64) {
         let n = (safe / self.mean_units).max(1.0);
         let sum = 1.0 - 1.0 / multiple.max(1.0) + COLD_CHANCE * (2.0 * n.sqrt() + 2.0) / n;
         let (safe, multiple, from) = (safe * sum, multiple * sum, from.clamp(0.01, 1.0));
@@ -152,21 +152,21 @@
     }
 
     pub fn list_must_be_asked(&mut self) {
-        self.alarms.push(Reverse((self.now, Alarm::List)));
+        self.timers.push(Reverse((self.now, Timer::List)));
     }
 }
 
 /// Inputs: they only update what is known.
 impl Scheduler {
     #[allow(clippy::too_many_arguments)] // one decoded field, one argument
-    pub fn transfer_arrived(
+    pub fn request_arrived(
         &mut self,
         now: Instant,
-        id: XferId,
-        stream: StreamId,
+        id: RequestId,
+        class: TrafficClassId,
         plan: PlanId,
         key: Option<KeyId>,
-        left: Span,
+        left: TimeDelta,
         volume: VolumeId,
         units: f64,
         shard: Option<ShardId>,
@@ -174,29 +174,29 @@
     ) {
         self.now = now;
         self.volume_moved(now, volume, plan);
-        let st = &self.streams[stream.0 as usize];
+        let st = &self.classes[class.0 as usize];
         let (p, told) = (&self.plans[plan.0 as usize], f64::from(hosts.max(1)));
-        // A new life of a host can't know what an earlier one drew: its limit bucket starts full, but for
+        // A new generation of a host can't know what an earlier one drew: its limit bucket starts full, but for
         // part of what the rule lets pass. A restart must not hand itself a second burst.
         let full = (p.burst - p.slack * SLACK_AT_START) / told;
         // Against a table that fills under new names. What was drawn long ago is back; new ones start drawn.
         if self.volumes.len() >= VOLUMES_KEPT && !self.volumes.contains_key(&volume) {
-            forget_resting(&mut self.volumes, &mut self.shards, now - Span::from_secs(AT_REST));
+            forget_resting(&mut self.volumes, &mut self.shards, now - TimeDelta::from_secs(AT_REST));
         }
         let v = self.volumes.entry(volume).or_insert_with(|| Volume::new(now, plan, told, full));
         (v.hosts, v.seen) = (v.hosts.max(told), now);
-        // A client's later try began its SLO time with its first: it asks for the same as one answered
+        // A client's later try began its latency objective with its first: it asks for the same as one answered
         // undone, with less time left. Little time left alone proves nothing: some clients are in a hurry.
-        let ask = (volume, stream, key, shard, units.to_bits());
-        let slo_at = self.undone.again(now, ask, left).unwrap_or(now + st.slo);
-        let expiry = now + left - self.margin;
-        let mut x = Xfer::new(now, (volume, plan, stream), key, shard, units, slo_at, expiry);
+        let ask = (volume, class, key, shard, units.to_bits());
+        let objective_at = self.rejected_requests.again(now, ask, left).unwrap_or(now + st.latency_objective);
+        let deadline = now + left - self.margin;
+        let mut x = Request::new(now, (volume, plan, class), key, shard, units, objective_at, deadline);
         x.turn = key.filter(|_| st.in_order);
         if let Some(k) = x.turn {
             self.turns.entry(k).or_default().line.push_back(id);
         }
-        self.alarms.push(Reverse((x.expiry, Alarm::Expiry(id))));
-        self.xfers.insert(id, x);
+        self.timers.push(Reverse((x.deadline, Timer::Deadline(id))));
+        self.requests.insert(id, x);
         if let Some(window) = self.budget.window {
             self.budget.prune(now, window + window);
             self.budget.taken.push_back(now);
@@ -204,60 +204,61 @@
         self.enqueue(id, false);
     }
 
-    /// The place of the transfer that arrived last among those of its volume, stream type and shard: before
+    /// The place of the request that arrived last among those of its volume, traffic class and shard: before
     /// all of later tags. So a host's sessions share a volume; without tags the order of arrival holds.
-    pub fn transfer_tagged(&mut self, id: XferId, tag: f64) {
-        let Some(x) = self.xfers.get(&id).filter(|x| x.waiting) else { return };
+    pub fn request_tagged(&mut self, id: RequestId, tag: f64) {
+        let Some(x) = self.requests.get(&id).filter(|x| x.waiting) else { return };
         // Not before an earlier one of its key: it would wait for one far behind, and others for it.
         let line = x.turn.and_then(|k| self.turns.get(&k)).map(|t| &t.line);
-        let earlier = line.and_then(|l| l.iter().rev().find(|o| **o != id)).and_then(|o| self.xfers.get(o));
+        let earlier =
+            line.and_then(|l| l.iter().rev().find(|o| **o != id)).and_then(|o| self.requests.get(o));
         let tag = earlier.map_or(tag, |e| tag.max(e.tag));
         let sh = x.shard.and_then(|s| self.shards.get_mut(&s));
-        if let Some(queue) = sh.and_then(|sh| sh.queues.get_mut(&(x.volume, x.stream))) {
+        if let Some(queue) = sh.and_then(|sh| sh.queues.get_mut(&(x.volume, x.class))) {
             if queue.pop_back_if(|last| *last == id).is_some() {
-                let before = |q: &XferId| self.xfers.get(q).is_none_or(|x| x.tag <= tag);
+                let before = |q: &RequestId| self.requests.get(q).is_none_or(|x| x.tag <= tag);
                 queue.insert(queue.partition_point(before), id);
             }
         }
-        self.xfers.entry(id).and_modify(|x| x.tag = tag);
+        self.requests.entry(id).and_modify(|x| x.tag = tag);
     }
 
-    /// Whether the settings named this stream type and plan.
-    pub fn knows(&self, stream: StreamId, plan: PlanId) -> bool {
-        (stream.0 as usize) < self.streams.len() && (plan.0 as usize) < self.plans.len()
+    /// Whether the settings named this traffic class and plan.
+    pub fn knows(&self, class: TrafficClassId, plan: PlanId) -> bool {
+        (class.0 as usize) < self.classes.len() && (plan.0 as usize) < self.plans.len()
     }
 
     /// A streamed answer has begun: its client has it, and nothing is owed by a set time any more.
-    pub fn answer_started(&mut self, now: Instant, id: XferId) {
+    pub fn answer_started(&mut self, now: Instant, id: RequestId) {
         self.now = now;
-        self.xfers.entry(id).and_modify(|x| x.started = true);
+        self.requests.entry(id).and_modify(|x| x.started = true);
     }
 
     /// What an answer told of the volume's service at this node: units for this host, and those through other
     /// hosts since the node's last answer to this one. `known` is false where nodes don't tell.
-    pub fn service_reported(&mut self, now: Instant, id: XferId, done: bool, known: bool, elsewhere: f64) {
-        let Some((x, shard)) = self.xfers.get(&id).and_then(|x| Some((x, x.shard?))) else { return };
+    pub fn service_reported(&mut self, now: Instant, id: RequestId, done: bool, known: bool, elsewhere: f64) {
+        let Some((x, shard)) = self.requests.get(&id).and_then(|x| Some((x, x.shard?))) else { return };
         let Some(v) = self.volumes.get_mut(&x.volume).filter(|_| known) else { return };
         let own = if done { x.units } else { 0.0 };
-        v.split.tick(now, Span::from_secs(SPLIT_RISE), Span::from_secs(SPLIT_IDLE));
-        v.split.served(now, shard, own, elsewhere, SPLIT_LEAST * self.mean_units);
+        v.split.tick(now, TimeDelta::from_secs(SPLIT_RISE), TimeDelta::from_secs(SPLIT_IDLE));
+        v.split.served(now, shard, own, elsewhere, MIN_SPLIT * self.mean_units);
     }
 
-    /// What an earlier life of this host saw a shard do for it, units a second.
+    /// What an earlier generation of this host saw a shard do for it, units a second.
     pub fn pace_known(&mut self, now: Instant, shard: ShardId, rate: f64) {
         self.now = now;
         let s = self.shards.entry(shard).or_default();
-        s.pace.known(now, rate, COLD_SEEN_LEAST, COLD_MEMORY);
+        s.pace.known(now, rate, MIN_COLD_SEEN, COLD_MEMORY);
         self.due.insert(shard);
     }
 
-    /// The same of each shard in this life, for the next one.
+    /// The same of each shard in this generation, for the next one.
     pub fn paces(&self, now: Instant) -> Vec<(ShardId, f64)> {
-        let rate = |s: &Shard| s.pace.rate(now, COLD_MEMORY, COLD_SEEN_LEAST);
+        let rate = |s: &Shard| s.pace.rate(now, COLD_MEMORY, MIN_COLD_SEEN);
         self.shards.iter().map(|(id, s)| (*id, rate(s))).collect()
     }
 
-    /// How many transfers a node says wait there; reports lag.
+    /// How many requests a node says wait there; reports lag.
     pub fn load_reported(&mut self, now: Instant, node: NodeId, waiting: f64) {
         self.now = now;
         self.nodes.entry(node).and_modify(|n| n.waiting = waiting);
@@ -320,7 +321,7 @@
         let Some(v) = self.volumes.get_mut(&volume).filter(|v| v.plan != plan) else { return };
         let old = std::mem::replace(&mut v.plan, plan);
         Self::refigure(v, now, &self.plans[old.0 as usize], &self.plans[plan.0 as usize]);
-        let of_it = self.xfers.values_mut().filter(|x| x.volume == volume);
+        let of_it = self.requests.values_mut().filter(|x| x.volume == volume);
         of_it.for_each(|x| x.plan = plan);
         self.due.extend(self.shards.keys());
     }
@@ -333,40 +334,56 @@
         self.nodes.values_mut().for_each(|n| (n.least, n.cap) = (least, n.cap.max(least)));
     }
 
-    pub fn leg_ended(&mut self, now: Instant, id: XferId, leg: LegNo, o: Outcome, took: Span, ended: bool) {
+    pub fn attempt_ended(
+        &mut self,
+        now: Instant,
+        id: RequestId,
+        attempt: AttemptNumber,
+        o: Outcome,
+        took: TimeDelta,
+        ended: bool,
+    ) {
         self.now = now;
-        let Some(x) = self.xfers.get_mut(&id) else { return };
-        let Some(i) = x.out.iter().position(|l| l.no == leg.0) else { return };
-        let Leg { no, node, passed, seen, held } = x.out.remove(i);
+        let Some(x) = self.requests.get_mut(&id) else { return };
+        let Some(i) = x.out.iter().position(|l| l.no == attempt.0) else { return };
+        let Attempt { no, node, passed, seen, held } = x.out.remove(i);
         if x.ran.is_some_and(|r| r.0 == no) && !o.may_have_run() {
             x.ran = None;
         }
-        let (units, stream, turn, hurried) = (x.units, x.stream, x.turn, x.ended);
+        let (units, class, turn, hurried) = (x.units, x.class, x.turn, x.ended);
         // Against nodes that are quick with what they have at hand: it is no sign of what they can do, and a
         // cold one would be given several times what it bears. Hurts where most asks for few pieces.
         let able = if x.repeats { self.again * units } else { units };
-        let st = &self.streams[stream.0 as usize];
+        let st = &self.classes[class.0 as usize];
         if let Some(t) = turn.and_then(|k| self.turns.get_mut(&k)) {
-            t.leg_back(o.may_be_running().then_some(now + self.settle));
+            t.attempt_finished(o.may_be_running().then_some(now + self.settle));
             // Against a memory of keys that grows with each unknown end: a rested key is looked at once more.
             if let Some(k) = turn.filter(|_| o.may_be_running()) {
-                self.alarms.push(Reverse((now + self.settle, Alarm::Rested(k))));
+                self.timers.push(Reverse((now + self.settle, Timer::Rested(k))));
             }
         }
         let (done, mut lost) = (o == Outcome::Done, false);
         if let Some(n) = self.nodes.get_mut(&node) {
-            n.leg_back(st.rank, units);
+            n.attempt_finished(st.rank, units);
             self.due.insert(n.shard);
-            // A timed-out leg got lost if a later one was answered meanwhile, or else if the next is fast.
-            let (out, fast) = (o == Outcome::TimedOut, took.secs() < CAP_TARGET * st.slo.secs());
+            // A timed-out attempt got lost if a later one was answered meanwhile, or else if the next is fast.
+            let (out, fast) =
+                (o == Outcome::TimedOut, took.secs() < CAP_TARGET * st.latency_objective.secs());
             lost = if out { n.done > passed } else { done && fast && n.suspect };
             n.suspect = if out { n.done <= passed } else { n.suspect && !done };
-            let judges = st.slo.secs() <= TIGHT * self.tightest.secs();
-            n.answered(now, o, took.secs(), st.slo.secs(), judges, [held, hurried, n.done == seen]);
+            let judges = st.latency_objective.secs() <= TIGHT * self.tightest.secs();
+            n.answered(
+                now,
+                o,
+                took.secs(),
+                st.latency_objective.secs(),
+                judges,
+                [held, hurried, n.done == seen],
+            );
             if done {
                 n.done += 1;
-                n.latency[stream.0 as usize].add(took.secs());
-                self.everywhere[stream.0 as usize].add(took.secs());
+                n.latency[class.0 as usize].add(took.secs());
+                self.everywhere[class.0 as usize].add(took.secs());
                 n.cold.level = (n.cold.level - able).max(0.0);
                 let shard = self.shards.entry(n.shard).or_default();
                 shard.pace.add(now, able, COLD_MEMORY);
@@ -381,17 +398,17 @@
         self.loss(lost, done);
         if ended || done {
             self.finish(id);
-        } else if self.xfers.get(&id).is_some_and(|x| !x.ended && x.out.is_empty()) {
+        } else if self.requests.get(&id).is_some_and(|x| !x.ended && x.out.is_empty()) {
             self.go_on(id);
         }
-        forget(&mut self.xfers, &mut self.turns, id, self.now);
+        forget(&mut self.requests, &mut self.turns, id, self.now);
     }
 
-    /// Whether legs get lost, by how many were against those answered.
+    /// Whether attempts get lost, by how many were against those answered.
     fn loss(&mut self, lost: bool, done: bool) {
-        if let Some(losing) = self.lost.note(lost, done, LOST_HALVE, LOST_LEAST, LOST_PART) {
+        if let Some(losing) = self.lost.note(lost, done, LOST_HALVE, MIN_LOST, LOST_PART) {
             let (l, mode) = (&self.lost, if losing { "get lost" } else { "arrive" });
-            self.log(format!("legs {mode}: {:.1} lost {:.1} answered", l.lost, l.kept));
+            self.log(format!("attempts {mode}: {:.1} lost {:.1} answered", l.lost, l.kept));
         }
     }
 
@@ -399,8 +416,8 @@
         self.decided.push_back(Decision::Log(line));
     }
 
-    /// The client has left, or the transfer was ended for us.
-    pub fn transfer_gone(&mut self, now: Instant, id: XferId) {
+    /// The client has left, or the request was ended for us.
+    pub fn request_cancelled(&mut self, now: Instant, id: RequestId) {
         self.now = now;
         self.finish(id);
     }
@@ -408,11 +425,11 @@
     pub fn nodes_changed(&mut self, now: Instant, kind: ListKind, entries: &[NodeEntry]) {
         self.now = now;
         if kind == ListKind::Failed {
-            let wait = (LIST_RETRY * 2f64.powi(self.list_fails)).min(LIST_RETRY_MOST);
+            let wait = (LIST_RETRY * 2f64.powi(self.list_fails)).min(MAX_LIST_RETRY);
             self.list_fails += 1;
             self.asked = false;
-            let wait = Span::from_secs(wait * (0.5 + f64::from(self.rng.0.rand_float())));
-            self.alarms.push(Reverse((now + wait, Alarm::List)));
+            let wait = TimeDelta::from_secs(wait * (0.5 + f64::from(self.rng.0.rand_float())));
+            self.timers.push(Reverse((now + wait, Timer::List)));
             return self.log(format!("list lost: failure {} retry in {:.2}s", self.list_fails, wait.secs()));
         }
         if kind != ListKind::Saved && self.list_fails > 0 {
@@ -422,8 +439,8 @@
         if kind != ListKind::Changes {
             unlisted_are_gone(&mut self.nodes, entries);
         }
-        let ranks = self.streams.iter().map(|s| s.rank + 1).max().unwrap_or(1);
-        let fresh = vec![Histogram::new(LATENCY_FIRST, LATENCY_HALVE); self.streams.len()];
+        let ranks = self.classes.iter().map(|s| s.rank + 1).max().unwrap_or(1);
+        let fresh = vec![Histogram::new(LATENCY_FIRST, LATENCY_HALVE); self.classes.len()];
         let few = (FEW / self.there).min(1.0);
         let caps = (CAP_START * few.sqrt(), few);
         for e in entries {
@@ -435,14 +452,14 @@
             let n = self.nodes.entry(e.node).or_insert_with(new);
             n.state = e.state;
             if e.up_since > n.up_since {
-                // What was learned of its earlier life no longer holds; what is out still is.
+                // What was learned of its earlier generation no longer holds; what is out still is.
                 n.restart(new());
                 let age = e.up_since.map_or(0.0, |u| (now - u).secs());
                 self.log(format!("node {} cold: up for {age:.1}s", e.node.0));
             }
             self.shards.entry(e.shard).or_default().nodes.insert(e.node);
         }
-        forget_gone(&mut self.nodes, &mut self.shards, now - Span::from_secs(AT_REST));
+        forget_gone(&mut self.nodes, &mut self.shards, now - TimeDelta::from_secs(AT_REST));
         for id in std::mem::take(&mut self.homeless) {
             self.enqueue(id, true);
         }
@@ -451,28 +468,36 @@
 }
 
 impl Node {
-    /// Cap, credit and health follow each answer. The cap rises while answers come well within the SLO time
+    /// Cap, credit and health follow each answer. The cap rises while answers come well within the latency objective
     /// and is cut when they don't: against any slowness (queue, pauses, costly work), whatever its cause.
-    fn answered(&mut self, now: Instant, o: Outcome, took: f64, slo: f64, judges: bool, leg: [bool; 3]) {
-        let [held, hurried, silent] = leg;
+    fn answered(
+        &mut self,
+        now: Instant,
+        o: Outcome,
+        took: f64,
+        latency_objective: f64,
+        judges: bool,
+        attempt: [bool; 3],
+    ) {
+        let [held, hurried, silent] = attempt;
         self.took = took;
         match o {
             Outcome::Done => {
                 self.good += 1.0;
-                self.credit = (self.credit + 1.0).min(CREDIT_MOST);
-                let fast = took < CAP_TARGET * slo;
+                self.credit = (self.credit + 1.0).min(MAX_CREDIT);
+                let fast = took < CAP_TARGET * latency_objective;
                 if judges && fast && held {
-                    self.cap = (self.cap + CAP_RISE * self.cap.min(1.0 / self.cap)).min(CAP_MOST);
+                    self.cap = (self.cap + CAP_RISE * self.cap.min(1.0 / self.cap)).min(MAX_CAP);
                 } else if judges && !fast {
-                    self.cut(now, took, CAP_TARGET * slo / took);
+                    self.cut(now, took, CAP_TARGET * latency_objective / took);
                 }
             }
             Outcome::TimedOut => {
                 self.bad += 1.0;
-                // Its client's time was up before the SLO time, or nothing at all was answered meanwhile: too
-                // slow, or drowned. Against hurried clients, and against many hosts that each send one leg a
+                // Its client's time was up before the latency objective, or nothing at all was answered meanwhile: too
+                // slow, or drowned. Against hurried clients, and against many hosts that each send one attempt a
                 // time-out and so keep a full queue full. Else it may have got lost, and others arrive.
-                let too_slow = if took < slo { hurried } else { silent };
+                let too_slow = if took < latency_objective { hurried } else { silent };
                 if too_slow {
                     self.cut(now, took, CAP_CUT);
                 }
@@ -481,8 +506,8 @@
                 self.bad += 1.0;
                 // A quick error shows that the node has room for another try, as an answer does: against
                 // nodes that fail by chance. Hurts where errors are quick because a node is overrun.
-                if o == Outcome::Error && took < CAP_TARGET * slo {
-                    self.credit = (self.credit + CREDIT_ERROR).min(CREDIT_MOST);
+                if o == Outcome::Error && took < CAP_TARGET * latency_objective {
+                    self.credit = (self.credit + CREDIT_ERROR).min(MAX_CREDIT);
                 }
             }
             Outcome::Full => self.cut(now, took, CAP_CUT),
@@ -494,13 +519,13 @@
     /// At most one cut for what was out at once.
     fn cut(&mut self, now: Instant, took: f64, to: f64) {
         if (now - self.cut_at).secs() > took {
-            self.cap = (self.cap * to.clamp(CAP_CUT, CAP_CUT_LEAST)).max(self.least);
+            self.cap = (self.cap * to.clamp(CAP_CUT, MIN_CAP_CUT)).max(self.least);
             self.cut_at = now;
         }
     }
 
     /// Whether a place is free for this; if not, when, unless only an answer can free one. Hosts that each
-    /// keep one out can still fill a node: a cap below one rests between transfers.
+    /// keep one out can still fill a node: a cap below one rests between requests.
     fn room(
         &self,
         now: Instant,
@@ -520,8 +545,8 @@
             || (self.out as f64) < cap.floor()
                 && self.out_units < cap * mean_units
                 && (above == 0 || (at_or_below as f64) < (cap * LOWER_PART).max(1.0));
-        let rest = if cap < 1.0 { (self.took / cap).min(REST_MOST / self.least.sqrt()) } else { 0.0 };
-        let rested = self.sent_at + Span::from_secs(rest);
+        let rest = if cap < 1.0 { (self.took / cap).min(MAX_REST / self.least.sqrt()) } else { 0.0 };
+        let rested = self.sent_at + TimeDelta::from_secs(rest);
         (free && rested <= now).then_some(()).ok_or(free.then_some(rested))
     }
 
@@ -529,8 +554,8 @@
         self.sick && !self.pinned
     }
 
-    fn usual(&self, stream: StreamId) -> Span {
-        Span::from_secs(self.latency[stream.0 as usize].at(0.5).unwrap_or(0.0).min(self.took))
+    fn usual(&self, class: TrafficClassId) -> TimeDelta {
+        TimeDelta::from_secs(self.latency[class.0 as usize].at(0.5).unwrap_or(0.0).min(self.took))
     }
 }
 
@@ -538,19 +563,21 @@
 impl Scheduler {
     pub fn next_decision(&mut self, now: Instant) -> Option<Decision> {
         self.now = now;
-        while self.alarms.peek().is_some_and(|Reverse((t, _))| *t <= now) {
-            let Some(Reverse((_, alarm))) = self.alarms.pop() else { break };
-            match alarm {
-                Alarm::Expiry(id) if self.xfers.get(&id).is_some_and(|x| !x.started) => self.answer(id, None),
-                Alarm::Look(s) => _ = self.due.insert(s),
-                Alarm::Rested(k) if self.turns.get(&k).is_some_and(|t| t.is_idle(now)) => {
+        while self.timers.peek().is_some_and(|Reverse((t, _))| *t <= now) {
+            let Some(Reverse((_, timer))) = self.timers.pop() else { break };
+            match timer {
+                Timer::Deadline(id) if self.requests.get(&id).is_some_and(|x| !x.started) => {
+                    self.answer(id, None)
+                }
+                Timer::Look(s) => _ = self.due.insert(s),
+                Timer::Rested(k) if self.turns.get(&k).is_some_and(|t| t.is_idle(now)) => {
                     self.turns.remove(&k);
                 }
-                Alarm::List if !self.asked => {
+                Timer::List if !self.asked => {
                     self.asked = true;
                     self.decided.push_back(Decision::FollowList);
                 }
-                Alarm::Expiry(_) | Alarm::Rested(_) | Alarm::List => {}
+                Timer::Deadline(_) | Timer::Rested(_) | Timer::List => {}
             }
         }
         loop {
@@ -565,7 +592,7 @@
         }
     }
 
-    /// Order keys that are remembered: those with a transfer that is not over, or at rest.
+    /// Order keys that are remembered: those with a request that is not over, or at rest.
     pub fn keys_in_order(&self) -> usize {
         self.turns.len()
     }
@@ -576,30 +603,30 @@
     }
 
     pub fn next_wake(&self) -> Option<Instant> {
-        self.alarms.peek().map(|Reverse((t, _))| *t)
+        self.timers.peek().map(|Reverse((t, _))| *t)
     }
 
-    /// The transfer that leaves next for this shard, if any may leave now.
-    fn pick(&mut self, shard: ShardId) -> Option<(XferId, NodeId, bool)> {
+    /// The request that leaves next for this shard, if any may leave now.
+    fn pick(&mut self, shard: ShardId) -> Option<(RequestId, NodeId, bool)> {
         let now = self.now;
         let sh = self.shards.get(&shard)?;
         let node = sh.nodes.iter().rev().find(|n| self.nodes[n].state == NodeState::Ready).copied();
         let mut look: Option<Instant> = None;
-        let mut best: Option<((usize, bool, f64), XferId, bool)> = None;
+        let mut best: Option<((usize, bool, f64), RequestId, bool)> = None;
         let names: Vec<Queue> = sh.queues.keys().copied().collect();
         for name in names {
             let Some(head) = self.first_in_time(shard, name, node) else { continue };
             let Some(node) = node else { continue };
-            let x = &self.xfers[&head];
+            let x = &self.requests[&head];
             let plan = &self.plans[x.plan.0 as usize];
             let conforming = self.volumes.get_mut(&x.volume).is_some_and(|v| {
                 let part = plan.reserve * Self::part(v, now);
                 plan.reserve > 0.0
-                    && v.reserve.wait(now, part, part * RESERVE_BURST + x.units, x.units) == Span::ZERO
+                    && v.reserve.wait(now, part, part * RESERVE_BURST + x.units, x.units) == TimeDelta::ZERO
             });
-            // A conforming transfer whose SLO time draws near is by then as tight as the tightest.
-            let urgent = conforming && x.slo_at - now <= self.tightest;
-            let st = &self.streams[x.stream.0 as usize];
+            // A conforming request whose latency objective draws near is by then as tight as the tightest.
+            let urgent = conforming && x.objective_at - now <= self.tightest;
+            let st = &self.classes[x.class.0 as usize];
             let (rank, tight) = if urgent { (0, 1.0) } else { (st.rank, st.tight) };
             let volume = x.volume;
             let room = self.nodes[&node].room(now, (rank, tight), conforming, self.mean_units);
@@ -616,31 +643,31 @@
             best = self.late_one(shard, node).map(|id| ((0, true, 0.0), id, false));
         }
         if let Some(t) = look.filter(|_| best.is_none()) {
-            self.alarms.push(Reverse((t.max(now + Span::from_secs(1e-3)), Alarm::Look(shard))));
+            self.timers.push(Reverse((t.max(now + TimeDelta::from_secs(1e-3)), Timer::Look(shard))));
         }
         best.and_then(|(_, id, conforming)| node.map(|n| (id, n, conforming)))
     }
 
     /// First of a queue that can still be in time; those that can't are set aside on the way.
-    fn first_in_time(&mut self, shard: ShardId, name: Queue, node: Option<NodeId>) -> Option<XferId> {
+    fn first_in_time(&mut self, shard: ShardId, name: Queue, node: Option<NodeId>) -> Option<RequestId> {
         loop {
-            let id = self.shards.get_mut(&shard)?.head(name, |id| waits_at(&self.xfers, id, shard))?;
-            let x = &self.xfers[&id];
-            let never = !self.rerun_safe(x, None) || self.is_over_part(x);
+            let id = self.shards.get_mut(&shard)?.head(name, |id| waits_at(&self.requests, id, shard))?;
+            let x = &self.requests[&id];
+            let never = !self.is_retry_safe(x, None) || self.is_over_part(x);
             let queue = self.shards.get_mut(&shard)?.queues.get_mut(&name)?;
             // A new object that waits for a node which can't take it finds another.
-            if node.is_none() && x.any_node && x.ran.is_none() && self.now < x.slo_at {
+            if node.is_none() && x.any_node && x.ran.is_none() && self.now < x.objective_at {
                 queue.pop_front();
                 self.enqueue(id, true);
                 continue;
             }
             let nd = node.and_then(|n| self.nodes.get(&n));
-            let usual = nd.map_or(Span::ZERO, |n| n.usual(name.1));
-            if self.now + usual < x.slo_at.min(x.expiry) && !never {
+            let usual = nd.map_or(TimeDelta::ZERO, |n| n.usual(name.1));
+            if self.now + usual < x.objective_at.min(x.deadline) && !never {
                 // What a guard of its own holds (a pause, its key's turn) must not hold those behind it.
                 let queue = self.shards.get(&shard)?.queues.get(&name)?;
-                let open = |q: &&XferId| {
-                    let x = self.xfers.get(q).filter(|x| x.waiting && x.hold <= self.now);
+                let open = |q: &&RequestId| {
+                    let x = self.requests.get(q).filter(|x| x.waiting && x.hold <= self.now);
                     x.is_some_and(|x| self.turn_wait(**q, x).is_none())
                 };
                 let best = queue.iter().take(QUEUE_LOOK).find(open);
@@ -661,64 +688,64 @@
         }
     }
 
-    /// A late transfer earns little: it leaves only when nothing in time can.
-    fn late_one(&mut self, shard: ShardId, node: Option<NodeId>) -> Option<XferId> {
+    /// A late request earns little: it leaves only when nothing in time can.
+    fn late_one(&mut self, shard: ShardId, node: Option<NodeId>) -> Option<RequestId> {
         let n = node?;
         let sh = self.shards.get_mut(&shard)?;
-        while sh.late.pop_front_if(|id| !waits_at(&self.xfers, *id, shard)).is_some() {}
+        while sh.late.pop_front_if(|id| !waits_at(&self.requests, *id, shard)).is_some() {}
         let id = *sh.late.front()?;
         let none_in_time = sh.queues.is_empty();
-        let rank = self.streams[self.xfers[&id].stream.0 as usize].rank;
+        let rank = self.classes[self.requests[&id].class.0 as usize].rank;
         let room = self.nodes[&n].room(self.now, (rank, LOWER_PART), false, self.mean_units);
         let idle = none_in_time && room.is_ok();
         Some(id).filter(|_| idle && self.may_leave(id, n).is_ok())
     }
 
-    /// Whether the guards let this transfer leave for this node now; if not, when to look again.
-    fn may_leave(&mut self, id: XferId, node: NodeId) -> Result<(), Instant> {
+    /// Whether the guards let this request leave for this node now; if not, when to look again.
+    fn may_leave(&mut self, id: RequestId, node: NodeId) -> Result<(), Instant> {
         let now = self.now;
-        let later = now + Span::from_secs(BLOCKED_CHECK);
-        let (x, n) = (&self.xfers[&id], &self.nodes[&node]);
+        let later = now + TimeDelta::from_secs(BLOCKED_CHECK);
+        let (x, n) = (&self.requests[&id], &self.nodes[&node]);
         if x.hold > now {
             return Err(x.hold);
         }
-        // Rule 2: a keyed transfer that may have run stays in its group and window.
-        if !self.rerun_safe(x, Some(node)) {
-            return Err(x.expiry);
+        // Rule 2: an idempotent-by-key request that may have run stays in its group and window.
+        if !self.is_retry_safe(x, Some(node)) {
+            return Err(x.deadline);
         }
         // A sick node (errors, silence, refusals alike) gets a trickle, which finds its recovery.
-        let trickle = n.sent_at + Span::from_secs(TRICKLE);
+        let trickle = n.sent_at + TimeDelta::from_secs(TRICKLE);
         if n.held_sick() && trickle > now {
             return Err(trickle);
         }
-        // Rule 6, and the house's credit: further legs must be earned by the node's answers.
-        if x.legs > 0 && (n.credit < 1.0 || !self.budget_allows(now)) {
+        // Rule 6, and the house's credit: retries must be earned by the node's answers.
+        if x.attempts > 0 && (n.credit < 1.0 || !self.budget_allows(now)) {
             return Err(later);
         }
         if let Some(t) = self.turn_wait(id, x) {
             return Err(t.max(later));
         }
         if self.is_over_part(x) {
-            return Err(x.expiry);
+            return Err(x.deadline);
         }
         let plan = &self.plans[x.plan.0 as usize];
         if plan.limit > 0.0 && !x.drew {
             if let Some(v) = self.volumes.get_mut(&x.volume) {
                 let (rate, burst) = (plan.limit * Self::part(v, now), plan.burst / v.hosts);
                 let wait = v.limit.wait(now, rate, burst, x.units);
-                if wait > Span::ZERO {
+                if wait > TimeDelta::ZERO {
                     return Err(now + wait);
                 }
             }
         }
-        self.cold_room(node, self.xfers[&id].units)
+        self.cold_room(node, self.requests[&id].units)
     }
 
     /// Rule 7: this host's part of a volume's rates. An even slice until answers tell of the volume's service
     /// at other hosts, then a floor and the rest by share. The share falls at once and when idle, and rises
     /// only after longer than the others need to have fallen, so the parts never sum past the whole.
     fn part(v: &mut Volume, now: Instant) -> f64 {
-        v.split.tick(now, Span::from_secs(SPLIT_RISE), Span::from_secs(SPLIT_IDLE));
+        v.split.tick(now, TimeDelta::from_secs(SPLIT_RISE), TimeDelta::from_secs(SPLIT_IDLE));
         let even = 1.0 / v.hosts;
         let base = v.split.share().map_or(even, |share| SPLIT_FLOOR / v.hosts + (1.0 - SPLIT_FLOOR) * share);
         let (lent, borrowed, until) = v.moved;
@@ -726,7 +753,7 @@
     }
 
     /// More than its host's part of the burst must not pass: every host would overdraw the one store.
-    fn is_over_part(&self, x: &Xfer) -> bool {
+    fn is_over_part(&self, x: &Request) -> bool {
         let (p, v) = (&self.plans[x.plan.0 as usize], self.volumes.get(&x.volume));
         p.limit > 0.0 && !x.drew && v.is_some_and(|v| x.units > p.burst / v.hosts)
     }
@@ -743,19 +770,19 @@
         v.limit.level = if old.limit > 0.0 { level.clamp(0.0, most) } else { most };
     }
 
-    /// Rule 5: until when, at least, another transfer or an unknown outcome keeps the key from this one.
-    fn turn_wait(&self, id: XferId, x: &Xfer) -> Option<Instant> {
+    /// Rule 5: until when, at least, another request or an unknown outcome keeps the key from this one.
+    fn turn_wait(&self, id: RequestId, x: &Request) -> Option<Instant> {
         self.turns.get(&x.turn?)?.wait(id, self.now)
     }
 
     /// Rule 6. The window is read narrower for what was taken and wider for what was sent.
     fn budget_allows(&self, now: Instant) -> bool {
         let Some(window) = self.budget.window else { return true };
-        let (further, taken) = self.budget.count(now, window, Span::from_secs(SAFE_EDGE));
+        let (further, taken) = self.budget.count(now, window, TimeDelta::from_secs(SAFE_EDGE));
         further + 1.0 <= self.budget.free + self.budget.share * taken
     }
 
-    /// Rule 4. Units not answered stay under this host's part of the always-safe figure, or one transfer.
+    /// Rule 4. Units not answered stay under this host's part of the always-safe figure, or one request.
     /// Time frees them at a rate that rises with the slowest warming. What hosts saw a shard do for them sums
     /// to no more than its node can do, so the same part of it at each host needs no agreement.
     fn cold_room(&mut self, node: NodeId, units: f64) -> Result<(), Instant> {
@@ -767,21 +794,21 @@
         }
         let warmth = c.from + (1.0 - c.from) * (age.secs() / c.warm.secs()).max(0.0);
         let safe = c.safe / self.hosts * warmth / c.from;
-        let seen = self.shards.get(&n.shard).map_or(0.0, |s| s.pace.rate(now, COLD_MEMORY, COLD_SEEN_LEAST));
+        let seen = self.shards.get(&n.shard).map_or(0.0, |s| s.pace.rate(now, COLD_MEMORY, MIN_COLD_SEEN));
         let rate = COLD_DRAIN * safe / c.window.secs().max(1e-3) + COLD_PART * c.multiple * warmth * seen;
         match n.cold.wait(now, rate, COLD_OUT * safe, units) {
-            Span::ZERO => Ok(()),
-            wait => Err(now + wait.min(Span::from_secs(BLOCKED_CHECK))),
+            TimeDelta::ZERO => Ok(()),
+            wait => Err(now + wait.min(TimeDelta::from_secs(BLOCKED_CHECK))),
         }
     }
 
-    fn send(&mut self, shard: ShardId, id: XferId, node: NodeId, conforming: bool) -> Decision {
+    fn send(&mut self, shard: ShardId, id: RequestId, node: NodeId, conforming: bool) -> Decision {
         let now = self.now;
-        let begin_by = self.xfers.get(&id).and_then(|x| self.known_until(x));
-        let (Some(x), Some(n)) = (self.xfers.get_mut(&id), self.nodes.get_mut(&node)) else {
-            return Decision::Abandon { xfer: id };
+        let begin_by = self.requests.get(&id).and_then(|x| self.known_until(x));
+        let (Some(x), Some(n)) = (self.requests.get_mut(&id), self.nodes.get_mut(&node)) else {
+            return Decision::Fail { request: id };
         };
-        let st = &self.streams[x.stream.0 as usize];
+        let st = &self.classes[x.class.0 as usize];
         if let Some(v) = self.volumes.get_mut(&x.volume) {
             if !x.drew {
                 v.limit.level += x.units;
@@ -794,7 +821,7 @@
             let cost = x.units / self.plans[x.plan.0 as usize].weight;
             self.shards.entry(shard).or_default().charge(x.volume, cost);
         }
-        if x.legs > 0 {
+        if x.attempts > 0 {
             n.credit -= 1.0;
             self.budget.further.push_back(now);
         }
@@ -803,93 +830,105 @@
         }
         let held = (n.out + 1) as f64 >= n.cap * EXCESS_PART;
         x.send(now, node, (n.done, n.out as u64), held);
-        n.leg_out(now, st.rank, x.units);
+        n.attempt_started(now, st.rank, x.units);
         if let Some(t) = x.turn.and_then(|k| self.turns.get_mut(&k)) {
             t.holder = Some(id);
             t.out += 1;
         }
-        // Where legs get lost, one out far longer than usual is given up: it must not fill the caps. Against
-        // bad links; hurts where cheap transfers overtake costly ones. At a crowded node one is given up at
-        // its SLO time, so the queue can drop what is late: against drowned nodes; costs what late ones earn.
-        let here = &n.latency[x.stream.0 as usize];
-        let seen = if here.count() >= TIMEOUT_SEEN { here } else { &self.everywhere[x.stream.0 as usize] };
-        let far = Span::from_secs(seen.at(TIMEOUT_AT).unwrap_or(0.0) * TIMEOUT_TIMES);
-        let again = self.lost.losing && x.legs < self.most_legs && seen.count() >= TIMEOUT_SEEN;
-        let crowded = (n.cap < 1.0).then_some(st.slo);
-        let timeout =
-            if again { Some(far.max(Span::from_secs(st.slo.secs() * TIMEOUT_LEAST))) } else { crowded };
-        let timeout = timeout.filter(|t| st.effect != Effect::Unrepeatable && now + *t < x.expiry);
-        Decision::Send { xfer: id, node, timeout, begin_by }
-    }
-
-    /// Until when a repeat of this keyed transfer is known for one: its attempt must have begun by then.
-    fn known_until(&self, x: &Xfer) -> Option<Instant> {
-        match self.streams[x.stream.0 as usize].effect {
-            Effect::Keyed { window, .. } => Some(x.ran?.1 + window - Span::from_secs(SAFE_EDGE)),
+        // Where attempts get lost, one out far longer than usual is given up: it must not fill the caps. Against
+        // bad links; hurts where cheap requests overtake costly ones. At a crowded node one is given up at
+        // its latency objective, so the queue can drop what is late: against drowned nodes; costs what late ones earn.
+        let here = &n.latency[x.class.0 as usize];
+        let seen = if here.count() >= TIMEOUT_SEEN { here } else { &self.everywhere[x.class.0 as usize] };
+        let far = TimeDelta::from_secs(seen.at(TIMEOUT_AT).unwrap_or(0.0) * TIMEOUT_TIMES);
+        let again = self.lost.losing && x.attempts < self.max_attempts && seen.count() >= TIMEOUT_SEEN;
+        let crowded = (n.cap < 1.0).then_some(st.latency_objective);
+        let timeout = if again {
+            Some(far.max(TimeDelta::from_secs(st.latency_objective.secs() * MIN_TIMEOUT)))
+        } else {
+            crowded
+        };
+        let timeout = timeout.filter(|t| st.effect != Effect::NonIdempotent && now + *t < x.deadline);
+        Decision::Send { request: id, node, timeout, begin_by }
+    }
+
+    /// Until when a repeat of this idempotent by key request is known for one: its attempt must have begun by then.
+    fn known_until(&self, x: &Request) -> Option<Instant> {
+        match self.classes[x.class.0 as usize].effect {
+            Effect::IdempotentByKey { window, .. } => {
+                Some(x.ran?.1 + window - TimeDelta::from_secs(SAFE_EDGE))
+            }
             _ => None,
         }
     }
 
-    /// Whether a further leg at `node` (or at any, if none is named) can do no harm.
-    fn rerun_safe(&self, x: &Xfer, node: Option<NodeId>) -> bool {
+    /// Whether a retry at `node` (or at any, if none is named) can do no harm.
+    fn is_retry_safe(&self, x: &Request, node: Option<NodeId>) -> bool {
         let Some((_, _, first)) = x.ran else { return true };
-        match self.streams[x.stream.0 as usize].effect {
-            Effect::Repeatable => true,
-            Effect::Unrepeatable => false,
-            Effect::Keyed { group, .. } => {
+        match self.classes[x.class.0 as usize].effect {
+            Effect::Idempotent => true,
+            Effect::NonIdempotent => false,
+            Effect::IdempotentByKey { group, .. } => {
                 let same = |n| same_group(group, self.nodes.get(&n), self.nodes.get(&first));
                 node.is_none_or(same) && self.known_until(x).is_some_and(|t| self.now < t)
             }
         }
     }
 
-    /// A leg ended without success: another where the rules and time allow, else the final answer at once.
-    fn go_on(&mut self, id: XferId) {
-        let Some(x) = self.xfers.get(&id) else { return };
-        if x.legs >= self.most_legs || x.slo_at <= self.now || !self.rerun_safe(x, None) {
-            return self.answer(id, Some(Span::from_secs(PAUSE)));
+    /// An attempt ended without success: another where the rules and time allow, else the final answer at once.
+    fn go_on(&mut self, id: RequestId) {
+        let Some(x) = self.requests.get(&id) else { return };
+        if x.attempts >= self.max_attempts || x.objective_at <= self.now || !self.is_retry_safe(x, None) {
+            return self.answer(id, Some(TimeDelta::from_secs(PAUSE)));
         }
-        if let Some(x) = self.xfers.get_mut(&id) {
-            x.hold = self.now + Span::from_secs(PAUSE);
+        if let Some(x) = self.requests.get_mut(&id) {
+            x.hold = self.now + TimeDelta::from_secs(PAUSE);
             x.waiting = true;
         }
         self.enqueue(id, true);
     }
 
-    /// The final answer: deferred where a retry is safe, abandoned otherwise.
-    fn answer(&mut self, id: XferId, come_back: Option<Span>) {
-        let Some(x) = self.xfers.get(&id).filter(|x| !x.ended) else { return };
-        let safe = match self.streams[x.stream.0 as usize].effect {
-            Effect::Repeatable | Effect::Keyed { group: Group::All, .. } => true,
+    /// The final answer: rejected where a retry is safe, failed otherwise.
+    fn answer(&mut self, id: RequestId, retry_after: Option<TimeDelta>) {
+        let Some(x) = self.requests.get(&id).filter(|x| !x.ended) else { return };
+        let safe = match self.classes[x.class.0 as usize].effect {
+            Effect::Idempotent | Effect::IdempotentByKey { group: Group::All, .. } => true,
             _ => x.ran.is_none(),
         };
-        let wait = come_back.map(|w| w.min(self.longest_wait)).filter(|w| *w > Span::ZERO);
+        let wait = retry_after.map(|w| w.min(self.longest_wait)).filter(|w| *w > TimeDelta::ZERO);
         self.decided.push_back(match safe {
-            true => Decision::Defer { xfer: id, come_back: wait },
-            false => Decision::Abandon { xfer: id },
+            true => Decision::Reject { request: id, retry_after: wait },
+            false => Decision::Fail { request: id },
         });
-        let ask = (x.volume, x.stream, x.key, x.shard.filter(|_| !x.any_node), x.units.to_bits());
-        let keep = self.now + Span::from_secs(UNDONE_MEMORY);
-        self.undone.note(ask, Undone { slo_at: x.slo_at, left: x.expiry + self.margin - x.arrived, keep });
+        let ask = (x.volume, x.class, x.key, x.shard.filter(|_| !x.any_node), x.units.to_bits());
+        let keep = self.now + TimeDelta::from_secs(REJECTED_MEMORY);
+        self.rejected_requests.note(
+            ask,
+            RejectedRequest {
+                objective_at: x.objective_at,
+                left: x.deadline + self.margin - x.arrived,
+                keep,
+            },
+        );
         self.finish(id);
     }
 
-    fn finish(&mut self, id: XferId) {
-        self.due.extend(end(&mut self.xfers, &mut self.turns, id, self.now));
+    fn finish(&mut self, id: RequestId) {
+        self.due.extend(end(&mut self.requests, &mut self.turns, id, self.now));
     }
 
-    fn enqueue(&mut self, id: XferId, first: bool) {
-        let Some(x) = self.xfers.get(&id).filter(|x| x.waiting) else { return };
+    fn enqueue(&mut self, id: RequestId, first: bool) {
+        let Some(x) = self.requests.get(&id).filter(|x| x.waiting) else { return };
         let bound = if x.any_node && x.ran.is_none() { None } else { x.shard };
         let Some(shard) = bound.or_else(|| self.rotate()) else { return self.homeless.push(id) };
-        let Some(x) = self.xfers.get_mut(&id) else { return };
+        let Some(x) = self.requests.get_mut(&id) else { return };
         x.shard = Some(shard);
-        self.alarms.push(Reverse((x.slo_at.max(self.now), Alarm::Look(shard))));
-        let queue = self.shards.entry(shard).or_default().queues.entry((x.volume, x.stream)).or_default();
+        self.timers.push(Reverse((x.objective_at.max(self.now), Timer::Look(shard))));
+        let queue = self.shards.entry(shard).or_default().queues.entry((x.volume, x.class)).or_default();
         match first {
             true => {
-                let ahead = queue.front().and_then(|f| self.xfers.get(f)).map_or(f64::MAX, |f| f.tag);
-                self.xfers.entry(id).and_modify(|x| x.tag = x.tag.min(ahead));
+                let ahead = queue.front().and_then(|f| self.requests.get(f)).map_or(f64::MAX, |f| f.tag);
+                self.requests.entry(id).and_modify(|x| x.tag = x.tag.min(ahead));
                 queue.push_front(id);
             }
             false => queue.push_back(id),
--- a/src/state.rs
+++ b/src/state.rs
@@ -17,27 +17,27 @@
         self.at = now;
     }
     /// How long until `units` fit under `burst`; zero when they fit now.
-    pub fn wait(&mut self, now: Instant, rate: f64, burst: f64, units: f64) -> Span {
+    pub fn wait(&mut self, now: Instant, rate: f64, burst: f64, units: f64) -> TimeDelta {
         self.drain(now, rate);
         let over = self.level + units.min(burst) - burst;
         if over <= 1e-9 {
-            Span::ZERO
+            TimeDelta::ZERO
         } else {
-            Span::from_secs(over / rate.max(1e-6) + 1e-4)
+            TimeDelta::from_secs(over / rate.max(1e-6) + 1e-4)
         }
     }
 }
 
-pub struct Stream {
-    pub slo: Span,
+pub struct TrafficClass {
+    pub latency_objective: TimeDelta,
     pub rank: usize,
-    pub tight: f64, // the tightest SLO time over this one
+    pub tight: f64, // the tightest latency objective over this one
     pub effect: Effect,
     pub in_order: bool,
 }
 
 pub struct Volume {
-    pub seen: Instant, // when a transfer of it last came
+    pub seen: Instant, // when a request of it last came
     pub plan: PlanId,
     pub hosts: f64,
     pub limit: Bucket,
@@ -46,30 +46,30 @@
     pub moved: (f64, f64, Instant), // shares of the limit left to other hosts, and by them to this one until then
 }
 
-/// What a transfer asks for: its client's later try asks for the same.
-pub type Ask = (VolumeId, StreamId, Option<KeyId>, Option<ShardId>, u64);
+/// What a request asks for: its client's later try asks for the same.
+pub type Ask = (VolumeId, TrafficClassId, Option<KeyId>, Option<ShardId>, u64);
 
-/// A transfer that was answered without being done.
-pub struct Undone {
-    pub slo_at: Instant,
-    pub left: Span, // to its client when it came
+/// A request that was answered without being done.
+pub struct RejectedRequest {
+    pub objective_at: Instant,
+    pub left: TimeDelta, // to its client when it came
     pub keep: Instant,
 }
 
 #[derive(Default)]
-pub struct Undones {
-    by_ask: HashMap<Ask, VecDeque<Undone>>,
+pub struct RejectedRequests {
+    by_ask: HashMap<Ask, VecDeque<RejectedRequest>>,
     order: VecDeque<(Instant, Ask)>,
 }
 
-impl Undones {
-    pub fn note(&mut self, ask: Ask, undone: Undone) {
-        self.order.push_back((undone.keep, ask));
-        self.by_ask.entry(ask).or_default().push_back(undone);
+impl RejectedRequests {
+    pub fn note(&mut self, ask: Ask, rejected_requests: RejectedRequest) {
+        self.order.push_back((rejected_requests.keep, ask));
+        self.by_ask.entry(ask).or_default().push_back(rejected_requests);
     }
 
-    /// When the SLO time ends that began with an earlier try, if this is a later one.
-    pub fn again(&mut self, now: Instant, ask: Ask, left: Span) -> Option<Instant> {
+    /// When the latency objective ends that began with an earlier try, if this is a later one.
+    pub fn again(&mut self, now: Instant, ask: Ask, left: TimeDelta) -> Option<Instant> {
         while let Some((_, old)) = self.order.pop_front_if(|o| o.0 <= now) {
             let Some(list) = self.by_ask.get_mut(&old) else { continue };
             list.retain(|u| u.keep > now);
@@ -79,7 +79,7 @@
         }
         let list = self.by_ask.get_mut(&ask)?;
         let i = list.iter().position(|u| left < u.left)?;
-        list.remove(i).map(|u| u.slo_at)
+        list.remove(i).map(|u| u.objective_at)
     }
 }
 
@@ -106,7 +106,7 @@
     }
 
     /// Halves what was counted at each new period; the share falls away after `idle` without an answer.
-    pub fn tick(&mut self, now: Instant, period: Span, idle: Span) {
+    pub fn tick(&mut self, now: Instant, period: TimeDelta, idle: TimeDelta) {
         if now - self.answered > idle {
             self.note(0.0);
         }
@@ -160,60 +160,60 @@
     }
 }
 
-pub struct Xfer {
+pub struct Request {
     pub volume: VolumeId,
     pub plan: PlanId,
-    pub stream: StreamId,
+    pub class: TrafficClassId,
     pub key: Option<KeyId>,
-    pub turn: Option<KeyId>, // its key, where its stream type keeps order
+    pub turn: Option<KeyId>, // its key, where its traffic class keeps order
     pub shard: Option<ShardId>,
     pub any_node: bool,
     pub units: f64,
     pub arrived: Instant,
-    pub slo_at: Instant,
-    pub expiry: Instant,
-    pub hold: Instant, // no leg before this
-    pub tag: f64,      // its place among its volume's others of its stream type
+    pub objective_at: Instant,
+    pub deadline: Instant,
+    pub hold: Instant, // no attempt before this
+    pub tag: f64,      // its place among its volume's others of its traffic class
     pub drew: bool,
     pub repeats: bool, // asks for a piece of data that this host lately sent for at its shard
     pub waiting: bool,
     pub ended: bool,
     pub started: bool,
-    pub legs: u32,
-    pub out: Vec<Leg>,
-    pub ran: Option<(u32, Instant, NodeId)>, // the first leg that may have had an effect
+    pub attempts: u32,
+    pub out: Vec<Attempt>,
+    pub ran: Option<(u32, Instant, NodeId)>, // the first attempt that may have had an effect
 }
 
-impl Xfer {
+impl Request {
     pub fn send(&mut self, now: Instant, node: NodeId, (seen, out): (u64, u64), held: bool) {
-        self.ran = self.ran.or(Some((self.legs, now, node)));
+        self.ran = self.ran.or(Some((self.attempts, now, node)));
         self.drew = true;
         self.waiting = false;
-        self.out.push(Leg { no: self.legs, node, passed: seen + out, seen, held });
-        self.legs += 1;
+        self.out.push(Attempt { no: self.attempts, node, passed: seen + out, seen, held });
+        self.attempts += 1;
     }
 
     pub fn new(
         now: Instant,
-        (volume, plan, stream): (VolumeId, PlanId, StreamId),
+        (volume, plan, class): (VolumeId, PlanId, TrafficClassId),
         key: Option<KeyId>,
         shard: Option<ShardId>,
         units: f64,
-        slo_at: Instant,
-        expiry: Instant,
+        objective_at: Instant,
+        deadline: Instant,
     ) -> Self {
-        Xfer {
+        Request {
             volume,
             plan,
-            stream,
+            class,
             key,
             turn: None,
             shard,
             any_node: shard.is_none(),
             units,
             arrived: now,
-            slo_at,
-            expiry,
+            objective_at,
+            deadline,
             hold: now,
             tag: 0.0,
             drew: false,
@@ -221,19 +221,19 @@
             waiting: true,
             ended: false,
             started: false,
-            legs: 0,
+            attempts: 0,
             out: Vec::new(),
             ran: None,
         }
     }
 }
 
-pub struct Leg {
+pub struct Attempt {
     pub no: u32,
     pub node: NodeId,
-    pub passed: u64, // once the node has answered more than this, later legs have overtaken it
+    pub passed: u64, // once the node has answered more than this, later attempts have overtaken it
     pub seen: u64,   // what the node had answered when it went out
-    pub held: bool,  // went out while the caps were what held transfers back
+    pub held: bool,  // went out while the caps were what held requests back
 }
 
 pub struct Node {
@@ -248,13 +248,13 @@
     pub cap: f64,
     pub least: f64, // of the cap
     pub cut_at: Instant,
-    pub waiting: f64, // transfers, as it last reported
+    pub waiting: f64, // requests, as it last reported
     pub took: f64,    // seconds, the last answer
     pub credit: f64,
     pub good: f64,
     pub bad: f64,
     pub sick: bool,
-    pub suspect: bool, // a leg timed out and none was answered since
+    pub suspect: bool, // an attempt timed out and none was answered since
     pub sent_at: Instant,
     pub cold: Bucket,
     pub latency: Vec<Histogram>,
@@ -263,13 +263,13 @@
     pub pinned: bool,
 }
 
-/// What waits at a shard waits by volume and stream type.
-pub type Queue = (VolumeId, StreamId);
+/// What waits at a shard waits by volume and traffic class.
+pub type Queue = (VolumeId, TrafficClassId);
 
 #[derive(Default)]
 pub struct Shard {
-    pub queues: BTreeMap<Queue, VecDeque<XferId>>,
-    pub late: VecDeque<XferId>,
+    pub queues: BTreeMap<Queue, VecDeque<RequestId>>,
+    pub late: VecDeque<RequestId>,
     pub nodes: BTreeSet<NodeId>,
     pub tags: BTreeMap<VolumeId, f64>,
     pub vtime: f64,
@@ -284,7 +284,7 @@
     }
 
     /// First of a queue, past those that no longer wait here.
-    pub fn head(&mut self, name: Queue, waits: impl Fn(XferId) -> bool) -> Option<XferId> {
+    pub fn head(&mut self, name: Queue, waits: impl Fn(RequestId) -> bool) -> Option<RequestId> {
         let queue = self.queues.get_mut(&name)?;
         while queue.pop_front_if(|id| !waits(*id)).is_some() {}
         let first = queue.front().copied();
@@ -312,19 +312,19 @@
     }
 }
 
-/// Further legs, as a free few plus a share of the transfers taken, over any window.
+/// Retries, as a free few plus a share of the requests taken, over any window.
 #[derive(Default)]
 pub struct Budget {
     pub free: f64,
     pub share: f64,
-    pub window: Option<Span>,
+    pub window: Option<TimeDelta>,
     pub taken: VecDeque<Instant>,
     pub further: VecDeque<Instant>,
 }
 
 impl Budget {
     /// Drops what no window can reach any more.
-    pub fn prune(&mut self, now: Instant, reach: Span) {
+    pub fn prune(&mut self, now: Instant, reach: TimeDelta) {
         for times in [&mut self.taken, &mut self.further] {
             while times.front().is_some_and(|t| now - *t > reach) {
                 times.pop_front();
@@ -332,25 +332,25 @@
         }
     }
 
-    /// Further legs sent in the last `window + edge`, and transfers taken in the last `window - edge`.
-    pub fn count(&self, now: Instant, window: Span, edge: Span) -> (f64, f64) {
+    /// Retries sent in the last `window + edge`, and requests taken in the last `window - edge`.
+    pub fn count(&self, now: Instant, window: TimeDelta, edge: TimeDelta) -> (f64, f64) {
         let further = self.further.iter().rev().take_while(|t| now - **t <= window + edge).count();
         let taken = self.taken.iter().rev().take_while(|t| now - **t + edge <= window).count();
         (further as f64, taken as f64)
     }
 }
 
-/// Rule 5: transfers on one key, in the order taken.
+/// Rule 5: requests on one key, in the order taken.
 #[derive(Default)]
 pub struct Turn {
-    pub line: VecDeque<XferId>,
-    pub holder: Option<XferId>,
+    pub line: VecDeque<RequestId>,
+    pub holder: Option<RequestId>,
     pub out: usize,
     pub free_at: Instant,
 }
 
 impl Node {
-    pub fn leg_out(&mut self, now: Instant, rank: usize, units: f64) {
+    pub fn attempt_started(&mut self, now: Instant, rank: usize, units: f64) {
         self.out += 1;
         self.out_units += units;
         self.out_rank[rank] += 1;
@@ -358,13 +358,13 @@
         self.sent_at = now;
     }
 
-    pub fn leg_back(&mut self, rank: usize, units: f64) {
+    pub fn attempt_finished(&mut self, rank: usize, units: f64) {
         self.out -= 1;
         self.out_units -= units;
         self.out_rank[rank] -= 1;
     }
 
-    /// The mean over stream types of the median time, in seconds.
+    /// The mean over traffic classes of the median time, in seconds.
     pub fn mean_time(&self) -> Option<f64> {
         let seen = self.latency.iter().filter_map(|h| h.at(0.5));
         seen.clone().next().map(|_| mean(seen))
@@ -424,13 +424,13 @@
 }
 
 impl Turn {
-    pub fn leg_back(&mut self, rest_until: Option<Instant>) {
+    pub fn attempt_finished(&mut self, rest_until: Option<Instant>) {
         self.out -= 1;
         self.free_at = self.free_at.max(rest_until.unwrap_or_default());
     }
 
-    /// When the key is free at the earliest, if this transfer may not leave now.
-    pub fn wait(&self, id: XferId, now: Instant) -> Option<Instant> {
+    /// When the key is free at the earliest, if this request may not leave now.
+    pub fn wait(&self, id: RequestId, now: Instant) -> Option<Instant> {
         let free = self.holder == Some(id) || (self.out == 0 && self.free_at <= now);
         (self.line.front() != Some(&id) || !free).then_some(self.free_at)
     }
@@ -439,8 +439,8 @@
         self.line.is_empty() && self.out == 0 && self.free_at <= now
     }
 
-    /// A transfer is over; gives the next in line.
-    pub fn leave(&mut self, id: XferId) -> Option<XferId> {
+    /// A request is over; gives the next in line.
+    pub fn leave(&mut self, id: RequestId) -> Option<RequestId> {
         self.line.retain(|q| *q != id);
         self.holder = self.holder.filter(|h| *h != id);
         self.line.front().copied()
@@ -452,8 +452,8 @@
 pub struct Cold {
     pub safe: f64,
     pub from: f64,
-    pub warm: Span,
-    pub window: Span,
+    pub warm: TimeDelta,
+    pub window: TimeDelta,
     pub multiple: f64,
 }
 
@@ -489,8 +489,8 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Alarm {
-    Expiry(XferId),
+pub enum Timer {
+    Deadline(RequestId),
     Look(ShardId),
     Rested(KeyId),
     List,
@@ -525,7 +525,7 @@
     }
 }
 
-/// Legs that got lost, against those answered, halved now and then.
+/// Attempts that got lost, against those answered, halved now and then.
 #[derive(Default)]
 pub struct Losses {
     pub lost: f64,
@@ -534,7 +534,7 @@
 }
 
 impl Losses {
-    /// Gives the new mode where it changes: legs get lost from `least` on, if they are more than `part`.
+    /// Gives the new mode where it changes: attempts get lost from `least` on, if they are more than `part`.
     pub fn note(&mut self, lost: bool, kept: bool, halve_at: f64, least: f64, part: f64) -> Option<bool> {
         self.lost += f64::from(u8::from(lost));
         self.kept += f64::from(u8::from(kept));
@@ -546,37 +546,44 @@
     }
 }
 
-/// Ranks stream types by SLO time, the tighter first; gives the tightest.
-pub fn rank_by_slo(streams: &mut [Stream]) -> Span {
-    let mut slos: Vec<Span> = streams.iter().map(|s| s.slo).collect();
-    slos.sort();
-    slos.dedup();
-    let tightest = slos.first().copied().unwrap_or_default();
-    for s in streams {
-        s.rank = slos.iter().position(|x| *x == s.slo).unwrap_or(0);
-        s.tight = tightest.secs() / s.slo.secs().max(1e-6);
+/// Ranks traffic classes by latency objective, the tighter first; gives the tightest.
+pub fn rank_by_latency_objective(classes: &mut [TrafficClass]) -> TimeDelta {
+    let mut latency_objectives: Vec<TimeDelta> = classes.iter().map(|s| s.latency_objective).collect();
+    latency_objectives.sort();
+    latency_objectives.dedup();
+    let tightest = latency_objectives.first().copied().unwrap_or_default();
+    for s in classes {
+        s.rank = latency_objectives.iter().position(|x| *x == s.latency_objective).unwrap_or(0);
+        s.tight = tightest.secs() / s.latency_objective.secs().max(1e-6);
     }
     tightest
 }
 
-/// Marks a transfer as over; gives the shard of the one whose turn on its key comes next.
+/// Marks a request as over; gives the shard of the one whose turn on its key comes next.
 pub fn end(
-    xfers: &mut HashMap<XferId, Xfer>,
+    requests: &mut HashMap<RequestId, Request>,
     turns: &mut HashMap<KeyId, Turn>,
-    id: XferId,
+    id: RequestId,
     now: Instant,
 ) -> Option<ShardId> {
-    let x = xfers.get_mut(&id)?;
+    let x = requests.get_mut(&id)?;
     (x.ended, x.waiting) = (true, false);
     let next = x.turn.and_then(|k| turns.get_mut(&k)).and_then(|t| t.leave(id));
-    forget(xfers, turns, id, now);
-    next.and_then(|q| xfers.get(&q)).and_then(|x| x.shard)
+    forget(requests, turns, id, now);
+    next.and_then(|q| requests.get(&q)).and_then(|x| x.shard)
 }
 
-/// Drops a transfer that is over and has no leg out, and its key where nothing is left to order.
-pub fn forget(xfers: &mut HashMap<XferId, Xfer>, turns: &mut HashMap<KeyId, Turn>, id: XferId, now: Instant) {
-    let Some(turn) = xfers.get(&id).filter(|x| x.ended && x.out.is_empty()).map(|x| x.turn) else { return };
-    xfers.remove(&id);
+/// Drops a request that is over and has no attempt out, and its key where nothing is left to order.
+pub fn forget(
+    requests: &mut HashMap<RequestId, Request>,
+    turns: &mut HashMap<KeyId, Turn>,
+    id: RequestId,
+    now: Instant,
+) {
+    let Some(turn) = requests.get(&id).filter(|x| x.ended && x.out.is_empty()).map(|x| x.turn) else {
+        return;
+    };
+    requests.remove(&id);
     if let Some(k) = turn.filter(|k| turns.get(k).is_some_and(|t| t.is_idle(now))) {
         turns.remove(&k);
     }
@@ -621,6 +628,6 @@
     shards.values_mut().for_each(|s| s.tags.retain(|v, _| volumes.contains_key(v)));
 }
 
-pub fn waits_at(xfers: &HashMap<XferId, Xfer>, id: XferId, shard: ShardId) -> bool {
-    xfers.get(&id).is_some_and(|x| x.waiting && x.shard == Some(shard))
+pub fn waits_at(requests: &HashMap<RequestId, Request>, id: RequestId, shard: ShardId) -> bool {
+    requests.get(&id).is_some_and(|x| x.waiting && x.shard == Some(shard))
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,8 +12,8 @@
     next: u32,
 }
 
-pub fn secs(s: f64) -> Span {
-    Span::from_secs(s)
+pub fn secs(s: f64) -> TimeDelta {
+    TimeDelta::from_secs(s)
 }
 
 impl Desk {
@@ -25,13 +25,13 @@
 
     pub fn of(seed: u64, hosts: u32, effect: Effect, in_order: bool) -> Self {
         let mut s = Scheduler::new(Instant::from_secs(100.0), seed, hosts, secs(0.002), 2.0);
-        s.stream(secs(0.5), effect, in_order);
-        s.stream(secs(2.0), effect, in_order);
+        s.traffic_class(secs(0.5), effect, in_order);
+        s.traffic_class(secs(2.0), effect, in_order);
         s.plan(10.0, 40.0, 4.0, 0.0, 1.0);
         s.plan(0.0, 0.0, 0.0, 4.0, 1.0);
         s.plan(0.0, 0.0, 0.0, 0.0, 3.0);
         s.plan(0.0, 0.0, 0.0, 0.0, 1.0);
-        s.leg_limits(4, secs(1.0), secs(0.3));
+        s.attempt_limits(4, secs(1.0), secs(0.3));
         Desk { s, now: 100.0, left: 3.0, told: 2, next: 0 }
     }
 
@@ -57,18 +57,33 @@
         self.list(ListKind::Complete, &all);
     }
 
-    pub fn take(&mut self, stream: u32, plan: u32, volume: u32, units: f64, shard: i32, key: u32) -> XferId {
-        let id = XferId(self.next);
+    pub fn take(
+        &mut self,
+        traffic_class: u32,
+        plan: u32,
+        volume: u32,
+        units: f64,
+        shard: i32,
+        key: u32,
+    ) -> RequestId {
+        let id = RequestId(self.next);
         self.next += 1;
         let (at, left) = (self.at(), secs(self.left));
         let shard = u32::try_from(shard).ok().map(ShardId);
-        let (st, pl, vol) = (StreamId(stream), PlanId(plan), VolumeId(volume));
-        self.s.transfer_arrived(at, id, st, pl, Some(KeyId(key)), left, vol, units, shard, self.told);
+        let (st, pl, vol) = (TrafficClassId(traffic_class), PlanId(plan), VolumeId(volume));
+        self.s.request_arrived(at, id, st, pl, Some(KeyId(key)), left, vol, units, shard, self.told);
         id
     }
 
-    pub fn end(&mut self, id: XferId, leg: u32, outcome: Outcome, took: f64) {
-        self.s.leg_ended(self.at(), id, LegNo(leg), outcome, secs(took), outcome == Outcome::Done);
+    pub fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome, took: f64) {
+        self.s.attempt_ended(
+            self.at(),
+            id,
+            AttemptNumber(attempt),
+            outcome,
+            secs(took),
+            outcome == Outcome::Done,
+        );
     }
 
     /// What is decided now, without log lines.
@@ -93,9 +108,9 @@
     }
 }
 
-pub fn sent(d: &Decision) -> Option<(XferId, NodeId)> {
+pub fn sent(d: &Decision) -> Option<(RequestId, NodeId)> {
     match d {
-        Decision::Send { xfer, node, .. } => Some((*xfer, *node)),
+        Decision::Send { request, node, .. } => Some((*request, *node)),
         _ => None,
     }
 }
--- a/tests/decision_hash.rs
+++ b/tests/decision_hash.rs
@@ -65,21 +65,21 @@
 
     fn decision(&mut self, decision: &Decision) {
         match decision {
-            Decision::Send { xfer, node, timeout, begin_by } => {
+            Decision::Send { request, node, timeout, begin_by } => {
                 self.kind(1);
-                self.number(i64::from(xfer.0));
+                self.number(i64::from(request.0));
                 self.number(i64::from(node.0));
-                self.optional_seconds(timeout.map(Span::secs));
+                self.optional_seconds(timeout.map(TimeDelta::secs));
                 self.optional_seconds(begin_by.map(Instant::secs));
             }
-            Decision::Defer { xfer, come_back } => {
+            Decision::Reject { request, retry_after } => {
                 self.kind(2);
-                self.number(i64::from(xfer.0));
-                self.optional_seconds(come_back.map(Span::secs));
+                self.number(i64::from(request.0));
+                self.optional_seconds(retry_after.map(TimeDelta::secs));
             }
-            Decision::Abandon { xfer } => {
+            Decision::Fail { request } => {
                 self.kind(3);
-                self.number(i64::from(xfer.0));
+                self.number(i64::from(request.0));
             }
             Decision::FollowList => self.kind(4),
             Decision::Log(_) => self.kind(5),
@@ -111,8 +111,8 @@
 /// An attempt that will end at its time.
 #[derive(Clone, Copy)]
 struct PendingAttempt {
-    request: XferId,
-    number: LegNo,
+    request: RequestId,
+    number: AttemptNumber,
     outcome: Outcome,
     sent: Instant,
 }
@@ -135,8 +135,8 @@
     plans: u32,
 }
 
-fn seconds(seconds: f64) -> Span {
-    Span::from_secs(seconds)
+fn seconds(seconds: f64) -> TimeDelta {
+    TimeDelta::from_secs(seconds)
 }
 
 fn micros(time: Instant) -> i64 {
@@ -149,15 +149,15 @@
     scheduler.plan(600.0, 120.0, 16.0, 0.0, 1.0);
     scheduler.plan(900.0, 300.0, 30.0, 300.0, 2.0);
     scheduler.plan(0.0, 0.0, 0.0, 200.0, 3.0);
-    let keyed = |group, window| Effect::Keyed { group, window: seconds(window) };
-    scheduler.stream(seconds(0.1), Effect::Repeatable, false);
-    scheduler.stream(seconds(0.2), keyed(Group::All, 0.3), false);
-    scheduler.stream(seconds(0.3), keyed(Group::Zone, 0.2), true);
-    scheduler.stream(seconds(0.5), keyed(Group::Shard, 0.4), true);
-    scheduler.stream(seconds(0.2), Effect::Unrepeatable, true);
-    scheduler.stream(seconds(1.0), Effect::Repeatable, false);
-    scheduler.leg_limits(setting.max_attempts, seconds(setting.longest_wait), seconds(0.15));
-    scheduler.further_leg_budget(setting.retries_free, setting.retries_share, seconds(1.0));
+    let idempotent_by_key = |group, window| Effect::IdempotentByKey { group, window: seconds(window) };
+    scheduler.traffic_class(seconds(0.1), Effect::Idempotent, false);
+    scheduler.traffic_class(seconds(0.2), idempotent_by_key(Group::All, 0.3), false);
+    scheduler.traffic_class(seconds(0.3), idempotent_by_key(Group::Zone, 0.2), true);
+    scheduler.traffic_class(seconds(0.5), idempotent_by_key(Group::Shard, 0.4), true);
+    scheduler.traffic_class(seconds(0.2), Effect::NonIdempotent, true);
+    scheduler.traffic_class(seconds(1.0), Effect::Idempotent, false);
+    scheduler.attempt_limits(setting.max_attempts, seconds(setting.longest_wait), seconds(0.15));
+    scheduler.retry_budget(setting.retries_free, setting.retries_share, seconds(1.0));
     scheduler.cold_nodes(200.0, 0.2, seconds(1.5), seconds(0.5), 2.0);
     scheduler.work_saved(0.5);
     scheduler.list_must_be_asked();
@@ -219,7 +219,7 @@
     }
 
     /// Lets time pass, with the ends of attempts and the wake-ups that fall into it.
-    fn pass(&mut self, time: Span) {
+    fn pass(&mut self, time: TimeDelta) {
         let until = self.now + time;
         loop {
             let end = self.pending.keys().next().map(|(at, _)| Instant::from_secs(*at as f64 / 1e6));
@@ -242,7 +242,14 @@
         let (is_known, elsewhere) = (self.below(3) > 0, 4.0 * self.fraction());
         self.scheduler.service_reported(self.now, attempt.request, done, is_known, elsewhere);
         let is_over = self.below(100) == 0;
-        self.scheduler.leg_ended(self.now, attempt.request, attempt.number, attempt.outcome, took, is_over);
+        self.scheduler.attempt_ended(
+            self.now,
+            attempt.request,
+            attempt.number,
+            attempt.outcome,
+            took,
+            is_over,
+        );
         if done || is_over {
             self.open.remove(&attempt.request.0);
         }
@@ -261,18 +268,18 @@
 
     fn on_decision(&mut self, decision: Decision) {
         match decision {
-            Decision::Send { xfer, node, timeout, begin_by } => {
+            Decision::Send { request, node, timeout, begin_by } => {
                 self.counts.sends_with_timeout += u32::from(timeout.is_some());
                 self.counts.sends_with_begin_by += u32::from(begin_by.is_some());
-                self.start_attempt(xfer, node, timeout);
+                self.start_attempt(request, node, timeout);
             }
-            Decision::Defer { xfer, come_back } => {
-                self.open.remove(&xfer.0);
+            Decision::Reject { request, retry_after } => {
+                self.open.remove(&request.0);
                 self.counts.rejected += 1;
-                self.counts.rejected_with_time += u32::from(come_back.is_some());
+                self.counts.rejected_with_time += u32::from(retry_after.is_some());
             }
-            Decision::Abandon { xfer } => {
-                self.open.remove(&xfer.0);
+            Decision::Fail { request } => {
+                self.open.remove(&request.0);
                 self.counts.failed += 1;
             }
             Decision::FollowList => self.counts.list_calls += 1,
@@ -280,9 +287,9 @@
         }
     }
 
-    fn start_attempt(&mut self, request: XferId, node: NodeId, timeout: Option<Span>) {
+    fn start_attempt(&mut self, request: RequestId, node: NodeId, timeout: Option<TimeDelta>) {
         let number = self.attempts.entry(request.0).or_insert(0);
-        let attempt_number = LegNo(*number);
+        let attempt_number = AttemptNumber(*number);
         *number += 1;
         self.counts.sends += 1;
         self.counts.retries += u32::from(attempt_number.0 > 0);
@@ -339,10 +346,10 @@
     }
 
     fn arrive(&mut self) {
-        let id = XferId(self.requests);
+        let id = RequestId(self.requests);
         self.requests += 1;
         self.counts.arrivals += 1;
-        let stream = StreamId(self.below(6));
+        let traffic_class = TrafficClassId(self.below(6));
         let volume = self.below(VOLUMES);
         let plan = PlanId(volume % self.plans);
         let key = (self.below(4) > 0).then_some(KeyId(self.below(KEYS)));
@@ -351,11 +358,22 @@
         let shard = (self.below(10) > 0).then_some(ShardId(self.below(SHARDS)));
         let hosts = self.setting.hosts;
         let volume = VolumeId(volume);
-        self.scheduler.transfer_arrived(self.now, id, stream, plan, key, left, volume, units, shard, hosts);
+        self.scheduler.request_arrived(
+            self.now,
+            id,
+            traffic_class,
+            plan,
+            key,
+            left,
+            volume,
+            units,
+            shard,
+            hosts,
+        );
         self.open.insert(id.0);
         if self.below(2) == 0 {
             let tag = f64::from(self.below(20));
-            self.scheduler.transfer_tagged(id, tag);
+            self.scheduler.request_tagged(id, tag);
         }
     }
 
@@ -451,10 +469,10 @@
         self.scheduler.hosts_there(hosts);
     }
 
-    fn any_open(&mut self) -> Option<XferId> {
+    fn any_open(&mut self) -> Option<RequestId> {
         let count = self.open.len() as u32;
         let chosen = if count == 0 { return None } else { self.below(count) };
-        self.open.iter().nth(chosen as usize).map(|id| XferId(*id))
+        self.open.iter().nth(chosen as usize).map(|id| RequestId(*id))
     }
 
     fn start_answer(&mut self) {
@@ -465,7 +483,7 @@
 
     fn leave(&mut self) {
         if let Some(id) = self.any_open() {
-            self.scheduler.transfer_gone(self.now, id);
+            self.scheduler.request_cancelled(self.now, id);
             self.open.remove(&id.0);
         }
     }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -6,15 +6,15 @@
 use tackmast::interface::*;
 
 fn desk(nodes: u32) -> Desk {
-    let mut d = Desk::new(1, Effect::Repeatable, false);
+    let mut d = Desk::new(1, Effect::Idempotent, false);
     d.ready(nodes);
     d
 }
 
 /// Fills the node's caps, so that what is taken next has to wait for an answer.
-fn fill(d: &mut Desk, stream: u32) -> Vec<XferId> {
+fn fill(d: &mut Desk, traffic_class: u32) -> Vec<RequestId> {
     for i in 0..40 {
-        d.take(stream, 2, 90, 1.0, 0, 1000 + i);
+        d.take(traffic_class, 2, 90, 1.0, 0, 1000 + i);
     }
     d.pull().iter().filter_map(sent).map(|s| s.0).collect()
 }
@@ -31,10 +31,10 @@
 
 #[test]
 fn caps_shrink_the_more_hosts_share_the_node() {
-    // Hosts, stream type, how long answers take, what the node says waits there; the least and most legs of one
+    // Hosts, traffic class, how long answers take, what the node says waits there; the least and most attempts of one
     // host with plenty waiting in 10 s. Many must not fill a node where each keeps only one out, and looser
     // streams must leave it to the tight ones of hosts they don't see.
-    for (hosts, stream, took, waiting, least, most) in [
+    for (hosts, traffic_class, took, waiting, least, most) in [
         (1, 0, 0.05, 0.0, 400, 4000),
         (4, 0, 0.4, 0.0, 10, 120),
         (250, 0, 0.05, 0.0, 100, 4000),
@@ -42,22 +42,22 @@
         (250, 0, 0.05, 20.0, 15, 40),
         (250, 1, 0.05, 20.0, 2, 12),
     ] {
-        let mut d = Desk::new(hosts, Effect::Repeatable, false);
+        let mut d = Desk::new(hosts, Effect::Idempotent, false);
         d.ready(1);
-        let (mut out, mut legs) = (std::collections::VecDeque::new(), 0);
+        let (mut out, mut attempts) = (std::collections::VecDeque::new(), 0);
         for step in 0..1000 {
-            d.take(stream, 2, step % 5, 1.0, 0, step);
+            d.take(traffic_class, 2, step % 5, 1.0, 0, step);
             let end = d.now + 0.01;
             for (t, x) in d.until(end).into_iter().filter_map(|(t, x)| Some((t, sent(&x)?.0))) {
                 out.push_back((t, x));
-                legs += 1;
+                attempts += 1;
             }
             while let Some((_, x)) = out.pop_front_if(|o| o.0 + took <= end) {
                 d.s.load_reported(d.at(), NodeId(0), waiting);
                 d.end(x, 0, Outcome::Done, took);
             }
         }
-        assert!((least..=most).contains(&legs), "{hosts} {stream} {took} {waiting}: {legs}");
+        assert!((least..=most).contains(&attempts), "{hosts} {traffic_class} {took} {waiting}: {attempts}");
     }
 }
 
@@ -65,7 +65,7 @@
 fn who_leaves_first_when_a_place_is_free() {
     // What waits (stream, plan) in order of arrival; which one leaves.
     let table = [
-        (vec![(1, 2), (0, 2)], 1, "the tighter SLO time"),
+        (vec![(1, 2), (0, 2)], 1, "the tighter latency objective"),
         (vec![(0, 2), (0, 1)], 1, "inside the reservation first"),
         (vec![(1, 1), (0, 2)], 1, "priority comes before the reservation"),
         (vec![(0, 1), (0, 1)], 0, "order of arrival else"),
@@ -78,7 +78,7 @@
         d.now += 0.05;
         out.iter().for_each(|x| d.end(*x, 0, Outcome::Done, 0.05));
         let next: Vec<_> = d.pull().iter().filter_map(sent).map(|s| s.0).collect();
-        let place = |id: &XferId| next.iter().position(|n| n == id).unwrap_or(usize::MAX);
+        let place = |id: &RequestId| next.iter().position(|n| n == id).unwrap_or(usize::MAX);
         assert!(ids.iter().all(|i| place(i) >= place(&ids[expected])), "{why}: {next:?}");
     }
 }
@@ -92,7 +92,7 @@
         let mut d = desk(1);
         let (mut served, mut owner, mut out) = ([0.0; 2], std::collections::HashMap::new(), Vec::new());
         for step in 0..4000 {
-            // The second volume's transfers come as often in units as the first one's.
+            // The second volume's requests come as often in units as the first one's.
             for v in 0..2usize {
                 let each = (4.0 / units[v]) as u32;
                 (0..each).for_each(|_| _ = owner.insert(d.take(0, plans[v], v as u32, units[v], 0, step), v));
@@ -121,7 +121,7 @@
             let end = d.now + 0.02;
             for (_, x) in d.until(end) {
                 let Some((x, _)) = sent(&x) else { continue };
-                (0..4).for_each(|leg| d.end(x, leg, o, 0.01));
+                (0..4).for_each(|attempt| d.end(x, attempt, o, 0.01));
                 match step {
                     100..=199 => sick += 1,
                     300.. => well += 1,
@@ -176,11 +176,11 @@
 
 #[test]
 fn a_node_that_fails_by_chance_is_asked_again_in_time() {
-    // How many of ten legs fail, and how long that takes; transfers of 100 done within the SLO time, at least and most.
+    // How many of ten attempts fail, and how long that takes; requests of 100 done within the latency objective, at least and most.
     for (failing, took, least, most) in [(5, 0.005, 85, 100), (7, 0.005, 60, 100), (5, 0.3, 30, 70)] {
         let mut d = desk(1);
-        let (mut legs, mut done, mut out) = (0u32, 0, Vec::<(f64, XferId, u32)>::new());
-        let mut tries = std::collections::HashMap::<XferId, u32>::new();
+        let (mut attempts, mut done, mut out) = (0u32, 0, Vec::<(f64, RequestId, u32)>::new());
+        let mut tries = std::collections::HashMap::<RequestId, u32>::new();
         for step in 0..2000 {
             if step % 20 == 0 {
                 d.take(0, 2, step % 7, 1.0, 0, step);
@@ -193,40 +193,40 @@
             }
             while let Some(i) = out.iter().position(|o| o.0 <= end) {
                 let (_, x, no) = out.remove(i);
-                // Spread evenly, and in no step with the legs of a transfer.
-                let fails = legs * 7 % 10 < failing;
-                legs += 1;
+                // Spread evenly, and in no step with the attempts of a request.
+                let fails = attempts * 7 % 10 < failing;
+                attempts += 1;
                 done += u32::from(!fails);
                 d.end(x, no, if fails { Outcome::Error } else { Outcome::Done }, took);
             }
         }
         assert!(
             (least..=most).contains(&done),
-            "{failing} of ten fail in {took} s: {done} done, {legs} legs"
+            "{failing} of ten fail in {took} s: {done} done, {attempts} attempts"
         );
     }
 }
 
 #[test]
-fn lost_legs_are_sent_again_in_time_and_slow_ones_are_not() {
-    // Whether every seventh leg is lost, or all come back slowly; whether time-outs are set in the end.
+fn lost_attempts_are_sent_again_in_time_and_slow_ones_are_not() {
+    // Whether every seventh attempt is lost, or all come back slowly; whether time-outs are set in the end.
     for (lossy, took, expected) in [(true, 0.02, true), (false, 0.02, false), (false, 0.3, false)] {
         let mut d = desk(3);
-        let (mut silent, mut timed, mut legs) = (Vec::new(), 0, vec![0; 1200]);
+        let (mut silent, mut timed, mut attempts) = (Vec::new(), 0, vec![0; 1200]);
         for step in 0..1200u32 {
             d.take(0, 2, step % 9, 1.0, (step % 3) as i32, step);
             for x in d.pull() {
-                let Decision::Send { xfer, timeout, .. } = x else { continue };
+                let Decision::Send { request, timeout, .. } = x else { continue };
                 timed += u32::from(step > 1000 && timeout.is_some());
-                legs[xfer.0 as usize] += 1;
-                let until = d.now + timeout.map_or(2.9, Span::secs);
-                match lossy && xfer.0 % 7 == 0 {
-                    true => silent.push((xfer, legs[xfer.0 as usize] - 1, until)),
-                    false => d.end(xfer, 0, Outcome::Done, took),
+                attempts[request.0 as usize] += 1;
+                let until = d.now + timeout.map_or(2.9, TimeDelta::secs);
+                match lossy && request.0 % 7 == 0 {
+                    true => silent.push((request, attempts[request.0 as usize] - 1, until)),
+                    false => d.end(request, 0, Outcome::Done, took),
                 }
             }
-            for (x, leg, _) in silent.extract_if(.., |s| s.2 <= d.now) {
-                d.s.leg_ended(d.at(), x, LegNo(leg), Outcome::TimedOut, secs(1.0), false);
+            for (x, attempt, _) in silent.extract_if(.., |s| s.2 <= d.now) {
+                d.s.attempt_ended(d.at(), x, AttemptNumber(attempt), Outcome::TimedOut, secs(1.0), false);
             }
             d.now += 0.005;
         }
@@ -236,43 +236,46 @@
 
 #[test]
 fn a_node_that_serves_nothing_gets_less_and_a_lossy_link_does_not() {
-    // How long clients wait, how many of ten legs in a row are not answered in that time; the least and most
-    // legs in 120 s at 100 hosts. A drowned node, or one too slow for hurried clients, never answers slowly.
+    // How long clients wait, how many of ten attempts in a row are not answered in that time; the least and most
+    // attempts in 120 s at 100 hosts. A drowned node, or one too slow for hurried clients, never answers slowly.
     for (left, lost, least, most) in
         [(3.0, 0, 300, 4000), (3.0, 1, 80, 4000), (3.0, 10, 5, 30), (0.08, 10, 5, 80)]
     {
-        let mut d = Desk::new(100, Effect::Repeatable, false);
+        let mut d = Desk::new(100, Effect::Idempotent, false);
         d.ready(1);
         d.left = left;
-        let mut out = std::collections::BTreeMap::<XferId, (f64, bool)>::new();
-        let (mut legs, mut timed) = (0, 0);
+        let mut out = std::collections::BTreeMap::<RequestId, (f64, bool)>::new();
+        let (mut attempts, mut timed) = (0, 0);
         for step in 0..1200 {
             d.take(0, 2, step % 5, 1.0, 0, step);
             let end = d.now + 0.1;
             for (t, x) in d.until(end) {
-                let Decision::Send { xfer, timeout, .. } = x else { continue };
-                let silent = legs % 10 < lost;
-                (legs, timed) = (legs + 1, timed + u32::from(timeout == Some(secs(0.5))));
-                out.insert(xfer, (t + if silent { timeout.map_or(left, Span::secs) } else { 0.05 }, silent));
+                let Decision::Send { request, timeout, .. } = x else { continue };
+                let silent = attempts % 10 < lost;
+                (attempts, timed) = (attempts + 1, timed + u32::from(timeout == Some(secs(0.5))));
+                out.insert(
+                    request,
+                    (t + if silent { timeout.map_or(left, TimeDelta::secs) } else { 0.05 }, silent),
+                );
             }
             while let Some((x, silent)) = out.iter().find(|o| o.1 .0 <= end).map(|o| (*o.0, o.1 .1)) {
                 out.remove(&x);
                 let o = if silent { Outcome::TimedOut } else { Outcome::Done };
-                (0..4).for_each(|leg| d.end(x, leg, o, if silent { left } else { 0.05 }));
+                (0..4).for_each(|attempt| d.end(x, attempt, o, if silent { left } else { 0.05 }));
             }
         }
-        assert!((least..=most).contains(&legs), "{left} s, {lost} of 10 lost: {legs} legs");
+        assert!((least..=most).contains(&attempts), "{left} s, {lost} of 10 lost: {attempts} attempts");
         assert_eq!(timed > 5, lost == 10 && left > 0.5, "time-outs that let a queue drop: {timed}");
     }
 }
 
 #[test]
-fn a_later_try_keeps_its_first_ones_slo_time() {
-    // Key and time left of what comes after one on key 1 with 3 s left was deferred; whether it is in time.
+fn a_retry_by_the_client_keeps_its_first_latency_objective() {
+    // Key and time left of what comes after one on key 1 with 3 s left was rejected; whether it is in time.
     for (key, left, in_time) in [(1, 2.4, false), (2, 2.4, true), (1, 3.0, true), (2, 0.3, true)] {
-        let mut d = Desk::new(1, Effect::Repeatable, false);
+        let mut d = Desk::new(1, Effect::Idempotent, false);
         d.take(0, 0, 0, 1.0, 0, 1);
-        assert!(d.until(100.6).iter().any(|(_, x)| matches!(x, Decision::Defer { .. })));
+        assert!(d.until(100.6).iter().any(|(_, x)| matches!(x, Decision::Reject { .. })));
         d.ready(1);
         d.left = left;
         let x = d.take(0, 0, 0, 1.0, 0, key);
@@ -300,7 +303,7 @@
     // Hosts don't all begin at the same node.
     let mut firsts = [0; 5];
     for seed in 0..200 {
-        let mut d = Desk::of(seed, 200, Effect::Repeatable, false);
+        let mut d = Desk::of(seed, 200, Effect::Idempotent, false);
         d.ready(5);
         d.take(0, 2, 0, 1.0, -1, 0);
         let to = d.pull().iter().filter_map(sent).next().expect("a node takes it").1;
@@ -318,7 +321,7 @@
 
 #[test]
 fn a_lost_list_is_asked_for_again() {
-    let mut d = Desk::new(1, Effect::Repeatable, false);
+    let mut d = Desk::new(1, Effect::Idempotent, false);
     d.s.list_must_be_asked();
     assert_eq!(d.pull(), [Decision::FollowList]);
     let mut asked = 0;
@@ -379,18 +382,18 @@
         ),
     ];
     for (in_order, asks, expected, why) in cases {
-        let mut d = Desk::new(1, Effect::Repeatable, *in_order);
+        let mut d = Desk::new(1, Effect::Idempotent, *in_order);
         d.ready(1);
         // One is out and holds the node's only place.
         d.s.node_ordered(d.at(), NodeId(0), 0.1, false);
         d.take(0, 2, 1, 2.0, 0, 99);
-        let mut out: Vec<XferId> = d.pull().iter().filter_map(sent).map(|s| s.0).collect();
+        let mut out: Vec<RequestId> = d.pull().iter().filter_map(sent).map(|s| s.0).collect();
         assert_eq!(out.len(), 1, "{why}");
-        let ids: Vec<XferId> = asks
+        let ids: Vec<RequestId> = asks
             .iter()
             .map(|(tag, key)| {
                 let id = d.take(0, 2, 1, 2.0, 0, *key);
-                d.s.transfer_tagged(id, *tag);
+                d.s.request_tagged(id, *tag);
                 id
             })
             .collect();
