--- a/crates/platform-host/src/serve/requests.rs
+++ b/crates/platform-host/src/serve/requests.rs
@@ -7,7 +7,7 @@
         for _ in 0..ACCEPTS {
             let Some(listener) = &self.listener else { return };
             match listener.accept() {
-                Ok((traffic_class, _)) => self.clients.accepted(now, &self.poller, traffic_class),
+                Ok((stream, _)) => self.clients.accepted(now, &self.poller, stream),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(_) => {
