--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -4,7 +4,7 @@
 use std::os::unix::net::UnixStream;
 use std::process::ExitCode;
 use tackmast_platform::Configuration;
-use tackmast_platform_host::{Host, Order};
+use tackmast_platform_host::{Host, ProcessSignal};
 
 /// Where the platform says which file holds a host's configuration.
 const CONFIG: &str = "NODE_CONFIG";
@@ -19,16 +19,20 @@
 pub fn serve() -> Result<ExitCode, String> {
     // Before anything else: an order that comes while the host starts waits in its pipe, and must not end the process.
     let mut orders = Vec::new();
-    for (signal, order) in [(SIGTERM, Order::End), (SIGINT, Order::End), (SIGHUP, Order::Reload)] {
+    for (signal, order) in [
+        (SIGTERM, ProcessSignal::Shutdown),
+        (SIGINT, ProcessSignal::Shutdown),
+        (SIGHUP, ProcessSignal::Reload),
+    ] {
         let failed = |e: std::io::Error| format!("signals: {e}");
         let (ours, theirs) = UnixStream::pair().map_err(failed)?;
         signal_hook::low_level::pipe::register(signal, theirs).map_err(failed)?;
         orders.push((order, ours));
     }
     let c = read()?;
-    let mut host = Host::start(&c)?;
+    let mut host = Host::start(&c).map_err(|e| e.to_string())?;
     for (order, from) in orders {
-        host.takes_orders(order, from).map_err(|e| format!("signals: {e}"))?;
+        host.register_signal(order, from).map_err(|e| format!("signals: {e}"))?;
     }
     let limits = c.limits;
     tracing::info!(
@@ -51,7 +55,7 @@
         retries = s.core.retries,
         timed_out = s.core.timed_out,
         refused = s.refused,
-        spoilt = s.links.spoilt,
+        malformed_answers = s.links.malformed_answers,
         opened = s.links.opened,
         reused = s.links.reused,
         "host has ended"
--- /dev/null
+++ b/crates/platform-host/src/host.rs
@@ -0,0 +1,361 @@
+//! The host and its readiness loop. Its parts: `requests` (from clients), `attempts` (at nodes), `endpoint_list` (the watch of the
+//! node list) and `shutdown`.
+
+mod attempts;
+mod endpoint_list;
+mod requests;
+mod shutdown;
+mod status;
+
+pub use status::{OpenCounts, StartError, Status};
+
+use crate::client_connections::{ClientConnections, ClientEvent};
+use crate::list_watch::{Watch, WatchEvent};
+use crate::memory_replication::{self, MemoryReplication};
+use crate::node_connections::Links;
+use crate::poller::{Poller, Ready, Token, READ};
+use crate::resource_budget::ResourceBudget;
+use crate::shutdown_schedule::{ShutdownPhase, ShutdownSchedule};
+use bytes::Bytes;
+use std::collections::{HashMap, HashSet, VecDeque};
+use std::fmt::Display;
+use std::io::{ErrorKind, Read};
+use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::os::unix::net::UnixStream;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, TimeDelta};
+use tackmast_config::TrafficClass;
+use tackmast_host_core::{Age, AttemptResult, CommandRef, Core, ListEntry, Output, Placed, PlacedSettings};
+use tackmast_host_core::{Request as OpaqueRequest, SendAttempt, Start, Verdict};
+use tackmast_http::Request;
+use tackmast_platform::{Call, Configuration, List, Reports, Settings};
+
+/// Interval between checks of the connections' timeouts, in seconds.
+const TIMEOUT_CHECK_INTERVAL: f64 = 0.02;
+/// Connections accepted in one iteration of the loop.
+const MAX_ACCEPTS_PER_ITERATION: usize = 32;
+/// Datagrams received in one iteration of the loop.
+const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
+/// Minimum interval between polls of the endpoint list, in seconds: well within the time after which a poll counts as a new watch.
+const MIN_POLL_INTERVAL: f64 = 0.05;
+/// For how long the id of a finished request is remembered, in seconds, and how many ids.
+const REQUEST_ID_RETENTION: f64 = 5.0;
+const MAX_RECENT_IDS: usize = 4096;
+/// Bounds of the tables of nodes and of volume names.
+const MAX_NODES: usize = 1024;
+const MAX_VOLUMES: usize = 1024;
+
+/// What a signal to the process asks of a running host.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ProcessSignal {
+    /// Read the configuration again.
+    Reload,
+    /// Shut down gracefully.
+    Shutdown,
+}
+
+/// The steady clock, from the start of the host.
+struct Clock(std::time::Instant);
+
+impl Clock {
+    fn now(&self) -> Instant {
+        Instant::from_secs(self.0.elapsed().as_secs_f64())
+    }
+}
+
+/// One host of the operators' platform, with all its sockets.
+pub struct Host {
+    settings: Settings,
+    core: Core,
+    clock: Clock,
+    poller: Poller,
+    listener: Option<TcpListener>,
+    clients: ClientConnections,
+    links: Links,
+    watch: Watch,
+    /// The endpoint list is polled, one call after the other.
+    follows_list: bool,
+    last_poll_at: Instant,
+    /// When the next poll is due, where it has to wait.
+    next_poll_at: Option<Instant>,
+    has_list: bool,
+    /// A poll of the list has ended, with whatever result.
+    list_polled: bool,
+    signals: HashMap<u32, (ProcessSignal, UnixStream)>,
+    /// The id of each open request, by its connection.
+    open_requests: HashMap<u32, String>,
+    request_ids: HashSet<String>,
+    /// Ids of requests that were answered lately, the oldest first; they stand in `request_ids` too.
+    recent_ids: VecDeque<(Instant, String)>,
+    requests: u32,
+    refused: u64,
+    /// Connections whose next request may have been received already.
+    pipelined_clients: Vec<u32>,
+    attempt_results: Vec<AttemptResult>,
+    timeouts_checked_at: Instant,
+    /// When the shutdown was asked for.
+    shutdown_since: Option<Instant>,
+    shutdown_schedule: ShutdownSchedule,
+    shutdown_phase: ShutdownPhase,
+    peers: Option<PeerLink>,
+    restored_shards: usize,
+}
+
+/// The datagram socket towards peers, and what is replicated over it.
+struct PeerLink {
+    socket: UdpSocket,
+    memory: MemoryReplication,
+}
+
+impl PeerLink {
+    fn send(&self, datagrams: Vec<memory_replication::Datagram>) {
+        for datagram in datagrams {
+            // A datagram that is lost here is lost like any other.
+            _ = self.socket.send_to(&datagram.bytes, datagram.to);
+        }
+    }
+}
+
+impl Host {
+    /// Opens the sockets that the configuration names.
+    pub fn start(c: &Configuration) -> Result<Self, StartError> {
+        let clock = Clock(std::time::Instant::now());
+        let now = clock.now();
+        let s = c.settings.clone();
+        let budget = ResourceBudget::of(&c.limits);
+        let poller = Poller::new().map_err(StartError::Poller)?;
+        let listen_error = |problem| StartError::Listen { address: c.listen, problem };
+        let listener = TcpListener::bind(c.listen).map_err(listen_error)?;
+        listener.set_nonblocking(true).map_err(listen_error)?;
+        poller.add(&listener, Token::Listener, READ).map_err(listen_error)?;
+        let placed = placed_settings(&s, &budget);
+        let mut scheduler = s.scheduler(now, c.seed);
+        // Also where lists are pushed: what the platform's agent has is had by asking, from the first moment on.
+        scheduler.list_must_be_asked();
+        let core = Core::placed(now, scheduler, placed, c.seed);
+        let reports = Reports::of(&s);
+        let peers = match &c.peers {
+            None => None,
+            Some((address, all)) => {
+                let socket = bind_peer_socket(*address, &poller)
+                    .map_err(|problem| StartError::PeerListen { address: *address, problem })?;
+                Some(PeerLink { socket, memory: MemoryReplication::new(now, s.me as usize, all.clone()) })
+            }
+        };
+        let mut host = Host {
+            core,
+            clock,
+            poller,
+            listener: Some(listener),
+            clients: ClientConnections::new(budget.clients, budget.bytes, s.longest_wait),
+            links: Links::new(budget.links, s.connect_timeout, s.conn_idle, reports),
+            watch: Watch::new(c.discovery),
+            follows_list: false,
+            last_poll_at: now - TimeDelta::from_secs(MIN_POLL_INTERVAL),
+            next_poll_at: None,
+            has_list: false,
+            list_polled: false,
+            signals: HashMap::new(),
+            open_requests: HashMap::new(),
+            request_ids: HashSet::new(),
+            recent_ids: VecDeque::new(),
+            requests: 0,
+            refused: 0,
+            pipelined_clients: Vec::new(),
+            attempt_results: Vec::new(),
+            timeouts_checked_at: now,
+            shutdown_since: None,
+            shutdown_schedule: ShutdownSchedule::new(
+                s.traffic_classes.iter().map(|st| st.deadline).max().unwrap_or(TimeDelta::ZERO),
+            ),
+            shutdown_phase: ShutdownPhase::Serving,
+            peers,
+            restored_shards: 0,
+            settings: s,
+        };
+        if let Some(known) = &c.known {
+            host.apply_list(now, ListKind::Saved, 0, known);
+        }
+        Ok(host)
+    }
+
+    /// Each byte on this stream stands for one signal to the process.
+    pub fn register_signal(&mut self, signal: ProcessSignal, from: UnixStream) -> std::io::Result<()> {
+        let number = self.signals.len() as u32;
+        from.set_nonblocking(true)?;
+        self.poller.add(&from, Token::Signal(number), READ)?;
+        self.signals.insert(number, (signal, from));
+        Ok(())
+    }
+
+    /// Where the host accepts connections; none once its listener is closed.
+    pub fn address(&self) -> Option<SocketAddr> {
+        self.listener.as_ref().and_then(|l| l.local_addr().ok())
+    }
+
+    /// A snapshot for logs and tests.
+    pub fn status(&self) -> Status {
+        let (commands, requests, attempts) = self.core.open();
+        Status {
+            core: self.core.counters,
+            clients: self.clients.counters,
+            links: self.links.counters,
+            refused: self.refused,
+            client_connections: self.clients.len(),
+            node_connections: self.links.len(),
+            open: OpenCounts { commands, requests, attempts },
+            serves: self.shutdown_since.is_none(),
+            listens: self.address(),
+            nodes: self.core.nodes().entries().count(),
+            version: self.core.list_version(),
+            restored_shards: self.restored_shards,
+        }
+    }
+
+    /// Runs until the host has shut down. `reload` reads the configuration again.
+    pub fn run<E: Display>(&mut self, mut reload: impl FnMut() -> Result<Configuration, E>) {
+        let mut ready = Vec::new();
+        while !self.run_iteration(&mut ready, &mut reload) {}
+    }
+
+    /// One iteration of the loop; true once the host has shut down.
+    pub fn run_iteration<E: Display>(
+        &mut self,
+        ready: &mut Vec<Ready>,
+        reload: &mut impl FnMut() -> Result<Configuration, E>,
+    ) -> bool {
+        self.poller.wait(self.poll_wait(), ready);
+        for r in ready.iter() {
+            self.handle_ready_socket(*r, reload);
+        }
+        let now = self.clock.now();
+        // One more request of each, and no more in this iteration: a client that sends many at once shares with the others.
+        for id in std::mem::take(&mut self.pipelined_clients) {
+            let client_event = self.clients.next_request(now, &self.poller, id);
+            self.handle_client_event(now, id, client_event);
+        }
+        if (now - self.timeouts_checked_at).secs() >= TIMEOUT_CHECK_INTERVAL {
+            self.timeouts_checked_at = now;
+            self.check_timeouts(now);
+        }
+        self.core.tick(now);
+        self.execute_outputs();
+        self.shutdown_since.is_some() && self.has_ended()
+    }
+
+    fn handle_ready_socket<E: Display>(
+        &mut self,
+        r: Ready,
+        reload: &mut impl FnMut() -> Result<Configuration, E>,
+    ) {
+        let now = self.clock.now();
+        match r.token {
+            Token::List(number) => {
+                let watch_event = self.watch.handle_ready(now, &self.poller, number, r, &self.settings);
+                self.handle_watch_event(now, watch_event);
+            }
+            Token::Signal(number) => {
+                if let Some(signal) = self.read_signal(number) {
+                    self.handle_signal(now, signal, reload);
+                }
+            }
+            Token::Link(id) => {
+                // It comes up: its request must still be wanted.
+                if let Some(client) = self.links.connecting_client(id) {
+                    self.check_client(now, client);
+                }
+                self.links.handle_ready(now, &self.poller, id, r, &mut self.attempt_results);
+                self.report_attempt_results(now);
+            }
+            Token::ClientConnection(id) => {
+                let client_event = self.clients.handle_ready(now, &self.poller, id, r);
+                self.handle_client_event(now, id, client_event);
+            }
+            Token::Listener => self.accept(now),
+            Token::Peers => self.receive_peer_datagrams(now),
+        }
+        self.execute_outputs();
+    }
+
+    fn poll_wait(&self) -> Duration {
+        if !self.pipelined_clients.is_empty() {
+            return Duration::ZERO;
+        }
+        let now = self.clock.now();
+        let next_check = (self.timeouts_checked_at - now).secs() + TIMEOUT_CHECK_INTERVAL;
+        let wakes = [self.core.next_wake(now), self.links.poll_timeout()];
+        let wake = wakes.into_iter().flatten().min().map_or(TIMEOUT_CHECK_INTERVAL, |t| (t - now).secs());
+        Duration::from_secs_f64(next_check.min(wake).max(0.0))
+    }
+
+    /// Receives datagrams of peers, a bounded number in each iteration.
+    fn receive_peer_datagrams(&mut self, now: Instant) {
+        let Some(peers) = &mut self.peers else { return };
+        let mut bytes = [0; memory_replication::MAX_DATAGRAM_BYTES + 1];
+        for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
+            let Ok((n, from)) = peers.socket.recv_from(&mut bytes) else { break };
+            let answers = peers.memory.handle_datagram(now, from, &bytes[..n]);
+            peers.send(answers);
+        }
+        let restored = peers.memory.poll_restored();
+        if !restored.is_empty() {
+            tracing::info!(
+                shards = restored.len(),
+                "service rates of shards restored from peers after a restart"
+            );
+        }
+        self.restored_shards += restored.len();
+        for (shard, rate) in restored {
+            self.core.pace_known(now, shard, rate);
+        }
+    }
+
+    fn check_timeouts(&mut self, now: Instant) {
+        if let Some(peers) = &mut self.peers {
+            let datagrams = peers.memory.handle_timeout(now, || self.core.paces(now));
+            peers.send(datagrams);
+        }
+        let late = self.watch.handle_timeout(now, &self.settings);
+        self.handle_watch_event(now, late);
+        if self.follows_list && !self.watch.is_polling() && self.next_poll_at.is_some_and(|t| t <= now) {
+            self.poll_list(now);
+        }
+        self.links.handle_timeout(now, &mut self.attempt_results);
+        self.report_attempt_results(now);
+        for (id, open) in self.clients.handle_timeout(now, &self.poller) {
+            self.client_gone(now, id, Some(open));
+        }
+        self.advance_shutdown(now);
+    }
+}
+
+fn placed_settings(s: &Settings, budget: &ResourceBudget) -> PlacedSettings {
+    let traffic_classes = s.traffic_classes.iter().map(|class| TrafficClass {
+        name: class.name.clone(),
+        latency_objective: class.latency_objective,
+        deadline: class.deadline,
+        effect: class.effect,
+        in_order: class.in_order,
+        order_blocks: None,
+    });
+    PlacedSettings {
+        traffic_classes: traffic_classes.collect(),
+        tells: s.tells,
+        longest_wait: s.longest_wait,
+        grace: s.drain_grace,
+        requests: budget.requests,
+        bytes: budget.bytes,
+        nodes: MAX_NODES,
+        volumes: MAX_VOLUMES,
+    }
+}
+
+fn bind_peer_socket(address: SocketAddr, poller: &Poller) -> std::io::Result<UdpSocket> {
+    let socket = UdpSocket::bind(address)?;
+    socket.set_nonblocking(true)?;
+    poller.add(&socket, Token::Peers, READ)?;
+    Ok(socket)
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/platform-host/src/host/shutdown.rs
@@ -0,0 +1,76 @@
+//! Signals to the process, and the graceful shutdown. docs/crossings.md has each phase against each event.
+
+use super::*;
+
+/// Rounds of accepting what stands in the listener's backlog as it closes.
+const MAX_BACKLOG_ROUNDS: usize = 128;
+
+impl Host {
+    pub(super) fn read_signal(&mut self, number: u32) -> Option<ProcessSignal> {
+        let (signal, from) = self.signals.get_mut(&number)?;
+        let mut bytes = [0; 64];
+        match from.read(&mut bytes) {
+            Ok(n) if n > 0 => Some(*signal),
+            _ => None,
+        }
+    }
+
+    pub(super) fn handle_signal<E: Display>(
+        &mut self,
+        now: Instant,
+        signal: ProcessSignal,
+        reload: &mut impl FnMut() -> Result<Configuration, E>,
+    ) {
+        match signal {
+            ProcessSignal::Shutdown if self.shutdown_since.is_none() => {
+                self.shutdown_since = Some(now);
+                if let Some(peers) = &mut self.peers {
+                    let datagrams = peers.memory.hand_off(self.core.paces(now));
+                    peers.send(datagrams);
+                }
+                tracing::info!(open = self.core.open().0, "shutdown: draining requests in flight");
+            }
+            ProcessSignal::Shutdown => {}
+            ProcessSignal::Reload => match reload() {
+                Err(e) => tracing::error!("configuration not taken, the old one stays: {e}"),
+                Ok(c) => self.discovery_moved(now, c.discovery),
+            },
+        }
+    }
+
+    /// Moves the shutdown on to the phase that is due; it never goes back.
+    pub(super) fn advance_shutdown(&mut self, now: Instant) {
+        let Some(since) = self.shutdown_since else { return };
+        let phase =
+            self.shutdown_schedule.phase(now - since, self.clients.len() == 0).max(self.shutdown_phase);
+        if phase != self.shutdown_phase {
+            let (open, clients) = (self.core.open().0, self.clients.len());
+            tracing::info!(?phase, open, clients, "shutdown: next phase");
+            self.shutdown_phase = phase;
+        }
+        if phase < ShutdownPhase::Closing {
+            return;
+        }
+        // Connections that stand were accepted by the machine: what came on them is taken before the listener closes.
+        for _ in 0..MAX_BACKLOG_ROUNDS {
+            let accepted = self.clients.counters.accepted;
+            self.accept(now);
+            if self.clients.counters.accepted == accepted {
+                break;
+            }
+        }
+        self.listener = None;
+        if phase >= ShutdownPhase::Settled {
+            self.core.settle(now);
+            self.execute_outputs();
+        }
+        self.clients.end(now, &self.poller, phase >= ShutdownPhase::Settled);
+    }
+
+    /// All that was taken has its answer, and whoever got one has read it to its end; or there is no more time.
+    pub(super) fn has_ended(&self) -> bool {
+        let idle = self.core.open().0 == 0 && self.clients.len() == 0;
+        self.shutdown_phase == ShutdownPhase::Finished
+            || (self.shutdown_phase >= ShutdownPhase::Closing && idle)
+    }
+}
--- /dev/null
+++ b/crates/platform-host/src/host/status.rs
@@ -0,0 +1,70 @@
+//! What a host tells of itself: its status, and why it did not start.
+
+use crate::client_connections::ClientCounters;
+use crate::node_connections::LinkCounters;
+use std::net::SocketAddr;
+use tackmast_host_core::Counters;
+
+/// What the host holds, for logs and tests.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Status {
+    /// Counters of the host core.
+    pub core: Counters,
+    /// Counters of the client connections.
+    pub clients: ClientCounters,
+    /// Counters of the connections to nodes.
+    pub links: LinkCounters,
+    /// Requests that were malformed or not allowed.
+    pub refused: u64,
+    /// Client connections that are open.
+    pub client_connections: usize,
+    /// Connections to nodes that are open.
+    pub node_connections: usize,
+    /// Work in flight in the host core.
+    pub open: OpenCounts,
+    /// No shutdown has been asked for.
+    pub serves: bool,
+    /// Where connections are accepted; none once the listener is closed.
+    pub listens: Option<SocketAddr>,
+    /// Nodes in the endpoint list.
+    pub nodes: usize,
+    /// Version of the endpoint list.
+    pub version: u64,
+    /// Shards whose service rate was restored from peers after a restart.
+    pub restored_shards: usize,
+}
+
+/// Work in flight in the host core.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct OpenCounts {
+    /// Commands of clients without a final answer.
+    pub commands: usize,
+    /// Requests of these commands.
+    pub requests: usize,
+    /// Attempts at nodes.
+    pub attempts: usize,
+}
+
+/// Why a host did not start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// The readiness poller could not be made.
+    #[error("epoll: {0}")]
+    Poller(std::io::Error),
+    /// The listener for clients could not be opened.
+    #[error("listen: {address}: {problem}")]
+    Listen {
+        /// The address from the configuration.
+        address: SocketAddr,
+        /// What the system said.
+        problem: std::io::Error,
+    },
+    /// The socket for datagrams of peers could not be opened.
+    #[error("peer_listen: {address}: {problem}")]
+    PeerListen {
+        /// The address from the configuration.
+        address: SocketAddr,
+        /// What the system said.
+        problem: std::io::Error,
+    },
+}
--- a/crates/platform-host/src/serve/tests.rs
+++ b/crates/platform-host/src/host/tests.rs
@@ -26,7 +26,7 @@
     let since = Wall::now();
     while !holds(h) {
         assert!(since.elapsed() < Duration::from_secs(5), "{:?}", h.status());
-        h.turn(&mut Vec::new(), &mut || Err("nothing to read again".into()));
+        h.run_iteration(&mut Vec::new(), &mut || Err("nothing to read again"));
     }
 }
 
@@ -45,10 +45,10 @@
 
 /// Its end is there, and no turn was told of it.
 fn leaves(h: &Host, client: TcpStream) {
-    let id = *h.open.keys().max().unwrap();
+    let id = *h.open_requests.keys().max().unwrap();
     drop(client);
     let since = Wall::now();
-    while !h.clients.has_left(id) {
+    while !h.clients.has_disconnected(id) {
         assert!(since.elapsed() < Duration::from_secs(5));
     }
 }
@@ -57,15 +57,15 @@
 fn a_connection_that_comes_up_before_its_clients_end_is_told_carries_nothing() {
     let (mut h, node) = host("");
     let client = asks(&mut h, 1);
-    let link = (0..8).find(|l| h.links.waits_for(*l).is_some()).expect("its connection comes up");
+    let link = (0..8).find(|l| h.links.connecting_client(*l).is_some()).expect("its connection comes up");
     leaves(&h, client);
     let up = Ready { token: Token::Link(link), read: false, write: true, ended: false };
-    h.event(up, &mut || Err(String::new()));
+    h.handle_ready_socket(up, &mut || Err(""));
     let mut wire = node.accept().unwrap().0;
     wire.set_nonblocking(true).unwrap();
     assert_eq!(wire.read(&mut [0; 9]).unwrap_err().kind(), ErrorKind::WouldBlock, "not a byte");
     let s = h.status();
-    assert_eq!((s.core.left, s.core.withdrawn, s.open), (1, 1, (0, 0, 0)), "{s:?}");
+    assert_eq!((s.core.left, s.core.withdrawn, s.open), (1, 1, OpenCounts::default()), "{s:?}");
 }
 
 #[test]
@@ -76,7 +76,7 @@
     turns(&mut h, |h| h.status().links.opened == 1);
     leaves(&h, second);
     std::thread::sleep(Duration::from_millis(300));
-    h.carry_out();
+    h.execute_outputs();
     let s = h.status();
     assert_eq!((s.links.opened, s.core.left), (1, 1), "{s:?}");
 }
--- a/crates/platform-host/src/lib.rs
+++ b/crates/platform-host/src/lib.rs
@@ -1,17 +1,22 @@
-//! The host on the operators' platform: one readiness loop that owns the core, the clients' connections, those to nodes,
-//! the watch of the node list, and the signals. It moves bytes and reads the clock; nothing is decided here.
-//! docs/host.md tells why there are no threads.
+//! The host on the operators' platform: one readiness loop that owns the host core, the connections of clients and to nodes,
+//! the watch of the endpoint list, and the process's signals. It moves bytes and reads the clock. Which request goes where,
+//! and when, is decided by the scheduler behind the core. docs/host.md says why there are no threads.
 
-mod clients;
-pub mod ending;
-pub mod keepers;
-mod links;
+#![warn(missing_docs)]
+
+mod client_connection;
+mod client_connections;
+mod eviction;
+mod host;
+mod idle_connections;
+mod list_watch;
+mod memory_replication;
+mod node_connections;
 mod poller;
-pub mod pool;
-mod serve;
-mod watch;
-mod wire;
+mod resource_budget;
+mod shutdown_schedule;
+mod sockets;
 
-pub use clients::ClientCounters;
-pub use links::LinkCounters;
-pub use serve::{Host, Order, Status};
+pub use client_connections::ClientCounters;
+pub use host::{Host, OpenCounts, ProcessSignal, StartError, Status};
+pub use node_connections::LinkCounters;
--- a/crates/platform-host/src/watch.rs
+++ b/crates/platform-host/src/list_watch.rs
@@ -1,12 +1,12 @@
-//! Following the node list: one call at a time, each after the one before. When to ask again after a failure is the
-//! module's decision. docs/crossings.md has each state of a call against each event that may come in it.
+//! The watch of the endpoint list: long polls, one after the other. When to retry after a failure is the scheduler's decision.
+//! docs/crossings.md has each state of a poll against each event.
 //!
 //! A change counts as told 6 s after the list had it and could be reached, whatever failed before. So the times here and the
-//! module's pauses have to fit: a call that falls silent is found out after its wait and `PATIENCE`; then a pause, a call that
+//! module's pauses have to fit: a call that falls silent is found out after its wait and `ANSWER_TIMEOUT`; then a pause, a call that
 //! does not come up, another pause, and one that tells (docs/design.md has the sum, `watch/tests.rs` holds it).
 
 use crate::poller::{Poller, Ready, Token, BOTH, READ};
-use crate::wire::{self, Got};
+use crate::sockets::{self, ReadOutcome};
 use bytes::BytesMut;
 use std::net::{SocketAddr, TcpStream};
 use tackmast::interface::{Instant, TimeDelta};
@@ -15,24 +15,25 @@
 
 /// How long a call lets the list wait for news. What is lost on the way counts as told 2 s after that, and a watch that has
 /// fallen silent is found out only then; each call costs the list work.
-const WAIT_MS: u64 = 2_500;
+const LONG_POLL_MS: u64 = 2_500;
 /// The same for a call after one that failed: what was missed is there already, and more silence must be found out soon.
-const WAIT_AGAIN_MS: u64 = 300;
-/// How long an answer may take beyond that.
-const PATIENCE: f64 = 1.2; // seconds
-/// The same after a failure: with too many callers at once the list answers late, and who gives up comes behind the others.
-const PATIENCE_AGAIN: f64 = 2.0; // seconds
-/// A connection to the list comes up within this, or not at all.
-const CONNECT: f64 = 0.7; // seconds
+const LONG_POLL_AFTER_FAILURE_MS: u64 = 300;
+/// Seconds that an answer may take beyond that.
+const ANSWER_TIMEOUT: f64 = 1.2;
+/// The same after a failure: with too many callers at once the list answers late, and who gives up is queued behind the others.
+const ANSWER_TIMEOUT_AFTER_FAILURE: f64 = 2.0;
+/// Seconds within which a connection to the list has to come up.
+const CONNECT_TIMEOUT: f64 = 0.7;
 /// A list with all its nodes, written with indents, in bytes; and the pieces of it.
 const MAX_LIST: usize = 256 * 1024;
-const ALL: usize = MAX_LIST / wire::PIECE + 2;
+const MAX_LIST_CHUNKS: usize = MAX_LIST / sockets::READ_CHUNK_BYTES + 2;
 
-/// What became of a call.
+/// What became of a poll.
 #[derive(Debug)]
-pub enum News {
-    /// The version that was asked from, and what came.
+pub enum WatchEvent {
+    /// The version that was polled from, and the list.
     List(u64, List),
+    /// The poll failed, and why.
     Failed(String),
 }
 
@@ -40,51 +41,57 @@
     number: u32,
     stream: TcpStream,
     /// What is still to be written; empty: it has been asked.
-    out: BytesMut,
+    outgoing: BytesMut,
     answer: AnswerReader,
     after: Option<u64>,
     /// How long an answer may take from when it was asked.
-    patience: TimeDelta,
+    answer_timeout: TimeDelta,
     /// When it has failed: not asked by then, or not answered.
-    until: Instant,
+    deadline: Instant,
 }
 
+/// The watch of the endpoint list: at most one poll is open.
 pub struct Watch {
     address: SocketAddr,
     call: Option<Call>,
     /// A connection that has had its answer, for the next call.
-    kept: Option<(u32, TcpStream)>,
+    idle_connection: Option<(u32, TcpStream)>,
     next: u32,
     /// The last call failed.
     failed: bool,
 }
 
 impl Watch {
+    /// A watch of the list at `address`; nothing is polled yet.
     pub fn new(address: SocketAddr) -> Self {
-        Watch { address, call: None, kept: None, next: 0, failed: false }
+        Watch { address, call: None, idle_connection: None, next: 0, failed: false }
     }
 
     /// Whether a call has no answer yet.
-    pub fn is_calling(&self) -> bool {
+    pub fn is_polling(&self) -> bool {
         self.call.is_some()
     }
 
+    /// Where the list is polled.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
     /// Asks for what came after a version, or for everything.
-    pub fn ask(&mut self, now: Instant, poller: &Poller, after: Option<u64>) -> Result<(), News> {
-        let failed = |e: std::io::Error| News::Failed(format!("call: {e}"));
-        let (wait_ms, patience) =
-            if self.failed { (WAIT_AGAIN_MS, PATIENCE_AGAIN) } else { (WAIT_MS, PATIENCE) };
-        let (number, stream) = match self.kept.take().filter(|(_, s)| wire::is_quiet(s)) {
-            Some(kept) => kept,
+    pub fn poll(&mut self, now: Instant, poller: &Poller, after: Option<u64>) -> Result<(), WatchEvent> {
+        let failed = |e: std::io::Error| WatchEvent::Failed(format!("call: {e}"));
+        let (wait_ms, answer_timeout) = if self.failed {
+            (LONG_POLL_AFTER_FAILURE_MS, ANSWER_TIMEOUT_AFTER_FAILURE)
+        } else {
+            (LONG_POLL_MS, ANSWER_TIMEOUT)
+        };
+        let (number, stream) = match self.idle_connection.take().filter(|(_, s)| sockets::has_no_input(s)) {
+            Some(idle_connection) => idle_connection,
             None => {
                 self.next = self.next.wrapping_add(1);
                 // One that can't even begin has failed too.
                 self.failed = true;
-                let stream = wire::connect(self.address).map_err(failed)?;
+                let stream = sockets::connect(self.address).map_err(failed)?;
                 poller.add(&stream, Token::List(self.next), BOTH).map_err(failed)?;
                 (self.next, stream)
             }
@@ -95,38 +102,39 @@
         let call = Call {
             number,
             stream,
-            out: BytesMut::from(text.as_bytes()),
+            outgoing: BytesMut::from(text.as_bytes()),
             answer: AnswerReader::new(Bounds { body: MAX_LIST, ..Bounds::default() }),
             after,
-            patience: TimeDelta::from_secs(wait + patience),
-            until: now + TimeDelta::from_secs(CONNECT),
+            answer_timeout: TimeDelta::from_secs(wait + answer_timeout),
+            deadline: now + TimeDelta::from_secs(CONNECT_TIMEOUT),
         };
         // A connection that is still coming up takes nothing yet.
         _ = self.call.insert(call).write(now, poller);
         Ok(())
     }
 
-    pub fn ready(
+    /// The socket of a poll is ready. Gives what became of the poll, if that is known now.
+    pub fn handle_ready(
         &mut self,
         now: Instant,
         poller: &Poller,
         number: u32,
         r: Ready,
         s: &Settings,
-    ) -> Option<News> {
+    ) -> Option<WatchEvent> {
         let Some(call) = self.call.as_mut().filter(|c| c.number == number) else {
             // Whatever comes on a connection that nothing was asked on: it is of no further use.
-            self.kept = self.kept.take().filter(|(n, _)| *n != number);
+            self.idle_connection = self.idle_connection.take().filter(|(n, _)| *n != number);
             return None;
         };
-        if !call.out.is_empty() {
+        if !call.outgoing.is_empty() {
             if !r.write && !r.ended {
                 return None;
             }
             if call.write(now, poller).is_err() {
                 return self.failed("no connection");
             }
-            if !call.out.is_empty() {
+            if !call.outgoing.is_empty() {
                 return None;
             }
         }
@@ -137,28 +145,28 @@
     }
 
     /// So many pieces of the answer at most; what becomes of the call, if that is known now.
-    fn read(&mut self, pieces: usize, s: &Settings) -> Option<News> {
-        let mut piece = [0; wire::PIECE];
+    fn read(&mut self, pieces: usize, s: &Settings) -> Option<WatchEvent> {
+        let mut piece = [0; sockets::READ_CHUNK_BYTES];
         for _ in 0..pieces {
             let call = self.call.as_mut()?;
-            let came = match wire::read(&call.stream, &mut piece) {
-                Got::Nothing => return None,
-                Got::End if call.answer.ends_with_connection() => call.answer.end(),
-                Got::End | Got::Broken => return self.failed("the connection ended"),
-                Got::Bytes(n) => {
+            let received = match sockets::read(&call.stream, &mut piece) {
+                ReadOutcome::Nothing => return None,
+                ReadOutcome::End if call.answer.ends_with_connection() => call.answer.end(),
+                ReadOutcome::End | ReadOutcome::Failed => return self.failed("the connection ended"),
+                ReadOutcome::Bytes(n) => {
                     call.answer.push(&piece[..n]);
                     call.answer.answer()
                 }
             };
-            if !matches!(came, Ok(None)) {
-                return self.came(came, s);
+            if !matches!(received, Ok(None)) {
+                return self.received(received, s);
             }
         }
         None
     }
 
-    fn came(&mut self, came: Result<Option<Answer>, Bad>, s: &Settings) -> Option<News> {
-        let answer = match came {
+    fn received(&mut self, received: Result<Option<Answer>, Bad>, s: &Settings) -> Option<WatchEvent> {
+        let answer = match received {
             Ok(None) => return None,
             Ok(Some(a)) => a,
             Err(e) => return self.failed(&e.to_string()),
@@ -171,45 +179,50 @@
             Ok(list) => {
                 let c = self.call.take()?;
                 if !answer.closes && !c.answer.has_more() {
-                    self.kept = Some((c.number, c.stream));
+                    self.idle_connection = Some((c.number, c.stream));
                 }
                 self.failed = false;
-                Some(News::List(c.after.unwrap_or(0), list))
+                Some(WatchEvent::List(c.after.unwrap_or(0), list))
             }
         }
     }
 
-    fn failed(&mut self, why: &str) -> Option<News> {
+    fn failed(&mut self, why: &str) -> Option<WatchEvent> {
         self.call = None;
-        self.kept = None;
+        self.idle_connection = None;
         self.failed = true;
-        Some(News::Failed(why.to_owned()))
+        Some(WatchEvent::Failed(why.to_owned()))
     }
 
-    pub fn tick(&mut self, now: Instant, s: &Settings) -> Option<News> {
-        if self.call.as_ref().is_none_or(|c| c.until > now) {
+    /// Gives up a poll that takes too long.
+    pub fn handle_timeout(&mut self, now: Instant, s: &Settings) -> Option<WatchEvent> {
+        if self.call.as_ref().is_none_or(|c| c.deadline > now) {
             return None;
         }
         // What was written to this host by now has been told to it: an answer must not cross its own time-out.
-        self.read(ALL, s).or_else(|| self.failed("no answer in time"))
+        self.read(MAX_LIST_CHUNKS, s).or_else(|| self.failed("no answer in time"))
     }
 
     /// The list is to be had elsewhere from now on. What the old place has written by now is read first, and nothing of it
     /// afterwards: it is older than what the new place tells.
-    pub fn moved(&mut self, to: SocketAddr, s: &Settings) -> Option<News> {
-        let last = self.read(ALL, s).filter(|n| matches!(n, News::List(..)));
-        (self.address, self.call, self.kept, self.failed) = (to, None, None, false);
+    pub fn address_changed(&mut self, to: SocketAddr, s: &Settings) -> Option<WatchEvent> {
+        let last = self.read(MAX_LIST_CHUNKS, s).filter(|n| matches!(n, WatchEvent::List(..)));
+        (self.address, self.call, self.idle_connection, self.failed) = (to, None, None, false);
         last
     }
 }
 
 impl Call {
     fn write(&mut self, now: Instant, poller: &Poller) -> std::io::Result<()> {
-        wire::write(&self.stream, &mut self.out)?;
-        if self.out.is_empty() {
-            self.until = now + self.patience;
+        sockets::write(&self.stream, &mut self.outgoing)?;
+        if self.outgoing.is_empty() {
+            self.deadline = now + self.answer_timeout;
         }
-        poller.change(&self.stream, Token::List(self.number), if self.out.is_empty() { READ } else { BOTH });
+        poller.change(
+            &self.stream,
+            Token::List(self.number),
+            if self.outgoing.is_empty() { READ } else { BOTH },
+        );
         Ok(())
     }
 }
--- a/crates/platform-host/src/poller.rs
+++ b/crates/platform-host/src/poller.rs
@@ -11,7 +11,7 @@
     List(u32),
     Signal(u32),
     Link(u32),
-    Client(u32),
+    ClientConnection(u32),
     Listener,
     Peers,
 }
@@ -22,7 +22,7 @@
             Token::List(n) => (0, n),
             Token::Signal(n) => (1, n),
             Token::Link(n) => (2, n),
-            Token::Client(n) => (3, n),
+            Token::ClientConnection(n) => (3, n),
             Token::Listener => (4, 0),
             Token::Peers => (5, 0),
         };
@@ -35,7 +35,7 @@
             Token::List(_) => 0,
             Token::Signal(_) => 1,
             Token::Link(_) => 3,
-            Token::Client(_) => 4,
+            Token::ClientConnection(_) => 4,
             Token::Listener => 5,
             Token::Peers => 6,
         }
@@ -44,7 +44,7 @@
     /// The place of one that has ended.
     fn early(self) -> u8 {
         match self {
-            Token::Client(_) => 2,
+            Token::ClientConnection(_) => 2,
             other => other.kind(),
         }
     }
@@ -55,17 +55,21 @@
             0 => Token::List(n),
             1 => Token::Signal(n),
             2 => Token::Link(n),
-            3 => Token::Client(n),
+            3 => Token::ClientConnection(n),
             5 => Token::Peers,
             _ => Token::Listener,
         }
     }
 }
 
+/// Readiness of one socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ready {
+    /// Whose socket it is.
     pub token: Token,
+    /// There is something to read, or the end of the stream.
     pub read: bool,
+    /// Something can be written.
     pub write: bool,
     /// The other side has ended its sending, or the connection is broken.
     pub ended: bool,
@@ -78,8 +82,11 @@
     pub write: bool,
 }
 
+/// Wait for bytes to read.
 pub const READ: Interest = Interest { read: true, write: false };
+/// Wait for capacity to write.
 pub const WRITE: Interest = Interest { read: false, write: true };
+/// Wait for either.
 pub const BOTH: Interest = Interest { read: true, write: true };
 
 impl Interest {
@@ -94,16 +101,19 @@
 /// Events taken in one turn, at most.
 const TURN: usize = 256;
 
+/// An epoll instance.
 pub struct Poller {
     epoll: OwnedFd,
     events: Vec<Event>,
 }
 
 impl Poller {
+    /// Makes an epoll instance.
     pub fn new() -> std::io::Result<Self> {
         Ok(Poller { epoll: epoll::create(CreateFlags::CLOEXEC)?, events: Vec::with_capacity(TURN) })
     }
 
+    /// Registers a socket.
     pub fn add(&self, fd: impl AsFd, token: Token, i: Interest) -> std::io::Result<()> {
         Ok(epoll::add(&self.epoll, fd, token.data(), i.flags())?)
     }
--- a/crates/platform-host/src/wire.rs
+++ b/crates/platform-host/src/sockets.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpStream};
 
 /// Bytes read from one socket in one turn, at most.
-pub const PIECE: usize = 16 * 1024;
+pub const READ_CHUNK_BYTES: usize = 16 * 1024;
 
 /// Begins to connect; writable once it stands or has failed.
 pub fn connect(to: SocketAddr) -> std::io::Result<TcpStream> {
@@ -19,24 +19,28 @@
     }
 }
 
+/// What a read of a socket brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum ReadOutcome {
+    /// So many bytes.
     Bytes(usize),
+    /// Nothing for now.
     Nothing,
     /// The other side has ended its sending in order.
     End,
     /// The connection broke: what came before it may lack its rest.
-    Broken,
+    Failed,
 }
 
-pub fn read(mut from: &TcpStream, into: &mut [u8]) -> Got {
+/// Reads once.
+pub fn read(mut from: &TcpStream, into: &mut [u8]) -> ReadOutcome {
     loop {
         return match from.read(into) {
-            Ok(0) => Got::End,
-            Ok(n) => Got::Bytes(n),
-            Err(e) if e.kind() == ErrorKind::WouldBlock => Got::Nothing,
+            Ok(0) => ReadOutcome::End,
+            Ok(n) => ReadOutcome::Bytes(n),
+            Err(e) if e.kind() == ErrorKind::WouldBlock => ReadOutcome::Nothing,
             Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-            Err(_) => Got::Broken,
+            Err(_) => ReadOutcome::Failed,
         };
     }
 }
@@ -57,7 +61,7 @@
 }
 
 /// Whether an idle connection is still good: nothing has come on it, not even its end.
-pub fn is_quiet(stream: &TcpStream) -> bool {
+pub fn has_no_input(stream: &TcpStream) -> bool {
     let mut byte = [0u8; 1];
     matches!(stream.peek(&mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock)
 }
--- a/crates/platform-host/tests/clients.rs
+++ b/crates/platform-host/tests/clients.rs
@@ -5,6 +5,7 @@
 use common::*;
 use std::time::{Duration, Instant};
 use tackmast_emulators::http::{Heard, HttpClient, NodeFault};
+use tackmast_platform_host::OpenCounts;
 
 #[test]
 fn requests_on_one_connection_are_answered_in_turn() {
@@ -32,7 +33,7 @@
     let left: u64 = seen.headers.first("x-budget-ms").unwrap().parse().unwrap();
     assert!((900..=1000).contains(&left), "{left}");
     let status = rig.ended();
-    assert_eq!((status.core.taken, status.core.done, status.open), (4, 4, (0, 0, 0)));
+    assert_eq!((status.core.taken, status.core.done, status.open), (4, 4, OpenCounts::default()));
 }
 
 #[test]
@@ -184,5 +185,5 @@
     // The next one is not held up by it.
     assert_eq!(rig.ask("read", 0).status, 200);
     let status = rig.ended();
-    assert_eq!((status.core.left, status.open), (1, (0, 0, 0)), "{status:?}");
+    assert_eq!((status.core.left, status.open), (1, OpenCounts::default()), "{status:?}");
 }
--- a/crates/platform-host/tests/common/mod.rs
+++ b/crates/platform-host/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use tackmast_emulators::http::{Heard, HttpClient, HttpList, HttpNode, ListLine};
 use tackmast_http::Answer;
 use tackmast_platform::Configuration;
-use tackmast_platform_host::{Host, Order, Status};
+use tackmast_platform_host::{Host, ProcessSignal, Status};
 
 pub const PATIENCE: Duration = Duration::from_secs(6);
 
@@ -71,8 +71,8 @@
         let (again, (serves, started)) = (config.clone(), std::sync::mpsc::channel());
         let run = move || {
             let mut host = Host::start(&Configuration::parse(text.as_bytes()).unwrap()).unwrap();
-            host.takes_orders(Order::End, ends).unwrap();
-            host.takes_orders(Order::Reload, reloads).unwrap();
+            host.register_signal(ProcessSignal::Shutdown, ends).unwrap();
+            host.register_signal(ProcessSignal::Reload, reloads).unwrap();
             serves.send(host.address().unwrap()).unwrap();
             host.run(|| Configuration::parse(again.lock().unwrap().as_bytes()));
             host.status()
--- a/crates/platform-host/tests/common/stepped.rs
+++ b/crates/platform-host/tests/common/stepped.rs
@@ -7,7 +7,7 @@
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, Instant};
 use tackmast_platform::Configuration;
-use tackmast_platform_host::{Host, Order, Status};
+use tackmast_platform_host::{Host, ProcessSignal, Status};
 
 /// One side of a connection, as bytes.
 pub struct Wire {
@@ -151,13 +151,13 @@
     pub sockets: usize,
     pub mode: &'static str,
     pub connect_timeout: f64,
-    pub give_up: f64,
+    pub cancel: f64,
     pub plan: &'static str,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Settings { sockets: 256, mode: "ask", connect_timeout: 0.25, give_up: 1.5, plan: "" }
+        Settings { sockets: 256, mode: "ask", connect_timeout: 0.25, cancel: 1.5, plan: "" }
     }
 }
 
@@ -190,24 +190,24 @@
             list(1, true, known),
             s.mode,
             s.connect_timeout,
-            s.give_up,
-            s.give_up,
-            s.give_up,
+            s.cancel,
+            s.cancel,
+            s.cancel,
             s.plan,
         );
         let mut host = Host::start(&Configuration::parse(config.as_bytes()).unwrap()).unwrap();
         let (term, ends) = UnixStream::pair().unwrap();
         let (hup, reloads) = UnixStream::pair().unwrap();
-        host.takes_orders(Order::End, ends).unwrap();
-        host.takes_orders(Order::Reload, reloads).unwrap();
+        host.register_signal(ProcessSignal::Shutdown, ends).unwrap();
+        host.register_signal(ProcessSignal::Reload, reloads).unwrap();
         Stepped { host, term, hup, config, over: false, calls: 0 }
     }
 
-    pub fn turn(&mut self) {
+    pub fn run_iteration(&mut self) {
         let mut ready = Vec::new();
         let config = self.config.clone();
         if !self.over {
-            self.over = self.host.turn(&mut ready, &mut || Configuration::parse(config.as_bytes()));
+            self.over = self.host.run_iteration(&mut ready, &mut || Configuration::parse(config.as_bytes()));
         }
     }
 
@@ -217,7 +217,7 @@
         let since = Instant::now();
         while !holds(self) {
             assert!(since.elapsed() < PATIENCE, "{what}");
-            self.turn();
+            self.run_iteration();
         }
     }
 
@@ -225,7 +225,7 @@
     pub fn turns_for(&mut self, secs: f64) {
         let since = Instant::now();
         while since.elapsed().as_secs_f64() < secs {
-            self.turn();
+            self.run_iteration();
         }
     }
 
--- a/crates/platform-host/tests/crossings.rs
+++ b/crates/platform-host/tests/crossings.rs
@@ -6,6 +6,7 @@
 use common::stepped::*;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
+use tackmast_platform_host::OpenCounts;
 use tackmast_platform_host::Status;
 
 /// A host with one node, that has asked for its list once and follows it.
@@ -55,7 +56,7 @@
     h.until("it is let go", |h| h.status().client_connections == 0);
     h.turns_for(0.1);
     assert_eq!(node.asked(), 1);
-    assert_eq!(h.status().open, (0, 0, 0));
+    assert_eq!(h.status().open, OpenCounts::default());
 }
 
 #[test]
@@ -67,13 +68,13 @@
     let (mut said, since) = (0, Instant::now());
     while said < flood.len() {
         said += client.say(&flood[said..]);
-        h.turn();
+        h.run_iteration();
         assert!(since.elapsed() < common::PATIENCE, "{said} of {} are taken", flood.len());
     }
     h.until("the first is at its node", |_| node.asked() == 1);
     drop(client);
     h.until("it is let go", |h| h.status().client_connections == 0);
-    h.until("its attempt is called back", |h| h.status().links.given_up == 1);
+    h.until("its attempt is called back", |h| h.status().links.cancelled == 1);
     assert_eq!((node.asked(), h.status().core.attempts), (1, 1));
 }
 
@@ -85,7 +86,7 @@
     let mut said = 0;
     h.until("it is too much", |h| {
         said += client.say(&flood[said..]);
-        h.status().clients.flooding > 0
+        h.status().clients.pipelined_too_much > 0
     });
     h.until("the first is at its node", |_| node.asked() == 1);
     node.wires[0].say(ok("its own").as_bytes());
@@ -113,14 +114,14 @@
         c.say(&text);
     }
     // All are taken, and their connections come up by the next turn.
-    h.turn();
+    h.run_iteration();
     let s = h.status();
     assert!(s.core.taken > 200 && s.links.opened > 200 && node.bytes() == 0, "{s:?}");
     drop(clients);
     h.until("all are let go", |h| h.status().client_connections == 0);
     h.turns_for(0.1);
     assert_eq!(node.bytes(), 0);
-    assert_eq!(h.status().open, (0, 0, 0));
+    assert_eq!(h.status().open, OpenCounts::default());
 }
 
 #[test]
@@ -132,7 +133,7 @@
     h.until("the first is at its node", |_| node.asked() == 1);
     node.wires[0].say(b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
     let attempts = h.status().core.attempts;
-    h.until("it has failed", |h| h.status().open.2 == 0);
+    h.until("it has failed", |h| h.status().open.attempts == 0);
     drop(client);
     // Past the pause before anything is looked at: its end and the client's come in one turn.
     std::thread::sleep(Duration::from_millis(60));
@@ -211,7 +212,7 @@
     // The copy comes: its connection is of no further use, and the request goes on another.
     node.wires[0].say(ok("first").as_bytes());
     h.until("at its node", |_| node.asked() == answered + 1);
-    assert_eq!((node.wires.len(), h.status().links.unasked), (2, 1));
+    assert_eq!((node.wires.len(), h.status().links.unsolicited_data), (2, 1));
     node.wires[1].say(ok("second").as_bytes());
     h.until("answered", |_| client.heads() == answered + 1);
     assert!(client.hear().ends_with("second"), "{}", client.hear());
@@ -241,7 +242,7 @@
     std::thread::sleep(Duration::from_millis(30)); // it has rested: that and the client's end come in one turn
     h.until("let go", |h| h.status().client_connections == 1);
     h.turns_for(0.05);
-    assert_eq!((node.asked(), h.status().open), (before, (0, 0, 0)));
+    assert_eq!((node.asked(), h.status().open), (before, OpenCounts::default()));
 }
 
 #[test]
@@ -275,7 +276,7 @@
 /// The node's connections hang while they come up; the list's watch stands.
 fn hanging(connect_timeout: f64) -> (Stepped, Place, Place, Vec<TcpStream>) {
     let (mut list_at, (node, fill)) = (Place::new(), Place::stuck());
-    let s = Settings { connect_timeout, give_up: 3.0, ..Settings::default() };
+    let s = Settings { connect_timeout, cancel: 3.0, ..Settings::default() };
     let mut h = Stepped::new(s, &list_at, &[member("s-0", node.address(), 0, "Ready")]);
     h.until("the list is watched", |_| list_at.asked() == 1);
     (h, list_at, node, fill)
@@ -334,7 +335,7 @@
 #[test]
 fn a_repeat_that_its_nodes_may_have_forgotten_is_not_written_when_its_connection_comes_up() {
     let (mut h, mut list_at, mut first) =
-        rig(Settings { connect_timeout: 2.5, give_up: 3.0, ..Settings::default() });
+        rig(Settings { connect_timeout: 2.5, cancel: 3.0, ..Settings::default() });
     h.until("the list is watched", |_| list_at.asked() == 1);
     let mut client = h.client();
     let text = h.request("save", 0, "x");
@@ -349,15 +350,15 @@
     second.comes_up(fill);
     h.until("answered", |_| client.heads() == 1);
     assert_eq!((client.statuses(), second.bytes()), (vec![502], 0));
-    assert_eq!(h.status().links.too_late, 1);
+    assert_eq!(h.status().links.deadline_passed, 1);
 }
 
 // The end of the process.
 
 #[test]
 fn connections_in_the_backlog_are_served_when_the_listener_closes() {
-    let (mut h, _l, _node) = rig(Settings { give_up: 0.1, ..Settings::default() });
-    h.turn();
+    let (mut h, _l, _node) = rig(Settings { cancel: 0.1, ..Settings::default() });
+    h.run_iteration();
     h.term();
     h.until("it is told", |h| !h.status().serves);
     // More than are accepted in a turn come just before it closes; nothing is looked at until then.
@@ -402,7 +403,7 @@
 
 #[test]
 fn the_process_is_not_over_before_who_has_the_last_answer_has_ended() {
-    let (mut h, _l, mut node) = rig(Settings { give_up: 0.4, ..Settings::default() });
+    let (mut h, _l, mut node) = rig(Settings { cancel: 0.4, ..Settings::default() });
     let mut client = h.client();
     let text = h.request("once", 0, "x");
     client.say(&text);
@@ -449,7 +450,7 @@
 
 #[test]
 fn orders_that_come_during_the_end_change_nothing_about_it() {
-    let (mut h, list_at, _node) = rig(Settings { give_up: 0.3, ..Settings::default() });
+    let (mut h, list_at, _node) = rig(Settings { cancel: 0.3, ..Settings::default() });
     let mut moved = Place::new();
     h.term(); // before it was ready
     let since = Instant::now();
@@ -516,7 +517,7 @@
         (0..400).map(|i| member(&format!("s-{i}"), node.address(), i, "Ready")).collect();
     std::thread::sleep(Duration::from_millis(3900)); // past its wait and time-out, and nothing was looked at
     list_at.wires[0].say(ok(&list(5, true, &members)).as_bytes());
-    h.turn();
+    h.run_iteration();
     assert_eq!(h.status().version, 5);
 }
 
--- a/crates/platform-host/tests/keepers.rs
+++ b/crates/platform-host/tests/memory_replication.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 use tackmast_emulators::http::{Heard, HttpClient, HttpList, HttpNode, ListLine};
 use tackmast_platform::Configuration;
-use tackmast_platform_host::{Host, Order, Status};
+use tackmast_platform_host::{Host, ProcessSignal, Status};
 
 struct Run {
     address: SocketAddr,
@@ -40,9 +40,9 @@
     let (says, started) = std::sync::mpsc::channel();
     let host = std::thread::spawn(move || {
         let mut host = Host::start(&Configuration::parse(text.as_bytes()).unwrap()).unwrap();
-        host.takes_orders(Order::End, ends).unwrap();
+        host.register_signal(ProcessSignal::Shutdown, ends).unwrap();
         says.send(host.address().unwrap()).unwrap();
-        host.run(|| Err("nothing to read again".into()));
+        host.run(|| Err("nothing to read again"));
         host.status()
     });
     Run { address: started.recv().unwrap(), term, host }
@@ -83,7 +83,7 @@
     drop(held);
     let (first, second, third) = (start(0, &peers, &list), start(1, &peers, &list), start(2, &peers, &list));
     (1..20).for_each(|n| first.ask(n));
-    assert_eq!(first.end().known_again, 0, "there was no life before");
+    assert_eq!(first.end().restored_shards, 0, "there was no life before");
     let again = start(0, &peers, &list);
     let began = Instant::now();
     // Noise beside it changes nothing.
@@ -93,8 +93,8 @@
         again.ask(1000 + began.elapsed().as_millis() as u32);
         std::thread::sleep(Duration::from_millis(100));
     }
-    assert_eq!(again.end().known_again, 1, "the shard that it had asked");
-    assert_eq!((second.end().known_again, third.end().known_again), (0, 0), "they had asked none");
+    assert_eq!(again.end().restored_shards, 1, "the shard that it had asked");
+    assert_eq!((second.end().restored_shards, third.end().restored_shards), (0, 0), "they had asked none");
 }
 
 #[test]
--- a/crates/platform-host/tests/nodes.rs
+++ b/crates/platform-host/tests/nodes.rs
@@ -5,6 +5,7 @@
 use common::*;
 use std::time::{Duration, Instant};
 use tackmast_emulators::http::NodeFault;
+use tackmast_platform_host::OpenCounts;
 
 #[test]
 fn what_a_node_answers_decides_how_the_request_goes_on() {
@@ -54,7 +55,7 @@
                         assert_eq!(body(&answer(&mut client)), "its own", "{fault:?} {class}");
                     }
                     let status = rig.ended();
-                    assert_eq!(status.open, (0, 0, 0));
+                    assert_eq!(status.open, OpenCounts::default());
                 }
             })
         })
--- a/crates/platform-host/tests/service.rs
+++ b/crates/platform-host/tests/service.rs
@@ -5,6 +5,7 @@
 use common::*;
 use std::time::{Duration, Instant};
 use tackmast_emulators::http::{Heard, HttpList, HttpListFault, HttpNode, NodeFault};
+use tackmast_platform_host::OpenCounts;
 
 #[test]
 fn a_drain_is_followed_and_the_new_node_takes_over() {
@@ -185,6 +186,6 @@
     let status = rig.ended();
     assert_eq!(status.version, version, "it has followed all along");
     assert!(status.nodes <= 3 + 64, "{status:?}");
-    assert_eq!((status.open, status.client_connections), ((0, 0, 0), 0), "{status:?}");
+    assert_eq!((status.open, status.client_connections), (OpenCounts::default(), 0), "{status:?}");
     assert!(status.node_connections <= 3, "{status:?}");
 }
