--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -94,8 +94,7 @@
     until("ends", || host.try_wait().unwrap().is_some());
     assert!(host.wait().unwrap().success());
     said.read_to_string(&mut text).unwrap();
-    for words in ["host serves", "the old one stays", "discovery moved", "host has ended taken=3 done=3"]
-    {
+    for words in ["host serves", "the old one stays", "discovery moved", "host has ended taken=3 done=3"] {
         assert!(text.contains(words), "{words}: {text}");
     }
     assert!(text.lines().count() <= 12, "sparse: {text}");
--- a/crates/platform-host/src/client_connections.rs
+++ b/crates/platform-host/src/client_connections.rs
@@ -66,12 +66,12 @@
     buffered_bytes: usize,
     retry_after: TimeDelta,
     /// The host is ending: each answer says so.
-    pub ending: bool,
+    pub shutting_down: bool,
     pub counters: ClientCounters,
 }
 
 impl ClientConnections {
-    /// `max_connections` connections that together hold so many `bytes`; one that finds no room is told to `retry_after`.
+    /// `max_connections` connections that together hold so many `bytes`; one that finds no capacity is told to `retry_after`.
     pub fn new(max_connections: usize, bytes: usize, retry_after: TimeDelta) -> Self {
         let rejection_slots = (max_connections / REJECTION_SLOT_DIVISOR).min(MAX_REJECTION_SLOTS);
         ClientConnections {
@@ -82,7 +82,7 @@
             bytes,
             buffered_bytes: 0,
             retry_after,
-            ending: false,
+            shutting_down: false,
             counters: ClientCounters::default(),
         }
     }
@@ -110,7 +110,7 @@
         self.counters.accepted += 1;
         self.clients.insert(id, ClientConnection::new(now, stream));
         if !has_capacity {
-            // All are owed an answer. The new one is told, and read out, rather than reset.
+            // All have a request in flight. The new one is told, and read out, rather than reset.
             self.counters.rejected += 1;
             self.close_with(now, poller, id, 503, "no room for the connection now");
         }
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Whether the client of a connection has gone, whatever was told of it in this turn.
+    /// Whether the client of a connection has gone, whatever was told of it in this iteration.
     pub fn has_disconnected(&self, id: u32) -> bool {
         self.clients.get(&id).is_none_or(|c| sockets::has_ended(&c.stream))
     }
@@ -192,7 +192,7 @@
         let all = self.buffered_bytes as f64 > self.bytes as f64 * PIPELINED_BYTES_SHARE;
         let c = self.clients.get_mut(&id)?;
         if let ConnectionState::AwaitingResponse(_) = c.state {
-            // What comes ahead of its turn is read on, within bounds, so that an end behind it is seen.
+            // What is pipelined is read, within bounds, so that an end behind it is seen.
             if all || c.reader.ahead() > MAX_PIPELINED_BYTES {
                 c.closes = true;
                 self.counters.pipelined_too_much += 1;
@@ -203,7 +203,7 @@
         self.next_request(now, poller, id)
     }
 
-    /// Whether a part of a request, or more, has come ahead of its turn.
+    /// Whether a part of a request, or more, has been pipelined.
     pub fn has_more(&self, id: u32) -> bool {
         let may = |c: &ClientConnection| {
             c.state == ConnectionState::Reading && c.outgoing.is_empty() && c.reader.is_midway()
@@ -277,9 +277,9 @@
         body: &[u8],
         retry_after: Option<TimeDelta>,
     ) -> Option<ClientEvent> {
-        let ending = self.ending;
+        let shutting_down = self.shutting_down;
         let c = self.clients.get_mut(&id).filter(|c| !c.is_over())?;
-        let last = c.closes || ending;
+        let last = c.closes || shutting_down;
         c.outgoing.extend_from_slice(answer_head(status, body.len(), retry_after, last).as_bytes());
         c.outgoing.extend_from_slice(body);
         c.has_sent_request |= status == 200;
@@ -339,8 +339,8 @@
     /// The host is ending: connections between requests are half-closed, one with bytes in its socket only once these are
     /// read, as they may be a request. `all`: also those that only just came, and what is in the middle of a request is
     /// told that there is no time for it.
-    pub fn end(&mut self, now: Instant, poller: &Poller, all: bool) {
-        self.ending = true;
+    pub fn begin_shutdown(&mut self, now: Instant, poller: &Poller, all: bool) {
+        self.shutting_down = true;
         let request_ids: Vec<u32> = self.clients.keys().copied().collect();
         for id in request_ids {
             let Some(c) = self.clients.get_mut(&id) else { continue };
--- a/crates/platform-host/src/client_connections/tests.rs
+++ b/crates/platform-host/src/client_connections/tests.rs
@@ -1,4 +1,4 @@
-//! Crossings that a whole host can't be brought to: bytes that come after a turn was begun and before it gets to them.
+//! Crossings that a whole host can't be brought to: bytes that come after an iteration began and before it gets to them.
 
 use super::*;
 use std::io::{Read, Write};
@@ -18,7 +18,7 @@
 }
 
 impl Rig {
-    /// Room for so many connections, and for one more that is told that there is none.
+    /// Capacity for so many connections, and for one more that is told that there is none.
     fn new(most: usize) -> Rig {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let clients = ClientConnections {
@@ -37,8 +37,8 @@
         (self.clients.next, mine)
     }
 
-    /// One that has had a request and rests.
-    fn delayed(&mut self, now: f64) -> (u32, TcpStream) {
+    /// One that has had a request and is idle.
+    fn idle_client(&mut self, now: f64) -> (u32, TcpStream) {
         let (id, mine) = self.client(now);
         self.clients.request_accepted(at(now), id, id);
         assert!(self.clients.answer(at(now), &self.poller, id, 200, b"", None).is_none());
@@ -72,9 +72,9 @@
 #[test]
 fn a_connection_with_a_request_in_its_socket_is_not_evicted() {
     let mut rig = Rig::new(3);
-    let (oldest, mut speaks) = rig.delayed(1.0);
-    let (second, _rests) = rig.delayed(2.0);
-    let (third, _too) = rig.delayed(3.0);
+    let (oldest, mut speaks) = rig.idle_client(1.0);
+    let (second, _rests) = rig.idle_client(2.0);
+    let (third, _too) = rig.idle_client(3.0);
     speaks.write_all(GET).unwrap();
     rig.until(oldest, false);
     let (new, _) = rig.client(9.0);
@@ -123,23 +123,20 @@
 #[test]
 fn at_the_end_a_connection_with_a_request_in_its_socket_is_read_first() {
     let mut rig = Rig::new(9);
-    let (rests, quiet) = rig.delayed(1.0);
-    let (speaks, mut crossing) = rig.delayed(1.0);
+    let (idle, quiet) = rig.idle_client(1.0);
+    let (speaks, mut crossing) = rig.idle_client(1.0);
     let (owed, _waits) = rig.client(1.0);
     rig.clients.request_accepted(at(1.0), owed, 7);
     let (young, _new) = rig.client(4.9);
-    let (half, mut slow) = rig.delayed(1.0);
+    let (half, mut slow) = rig.idle_client(1.0);
     slow.write_all(&GET[..9]).unwrap();
     rig.until(half, false);
     let read = |id| Ready { token: Token::ClientConnection(id), read: true, write: false, ended: false };
     assert!(rig.clients.handle_ready(at(4.9), &rig.poller, half, read(half)).is_none());
     crossing.write_all(GET).unwrap();
     rig.until(speaks, false);
-    rig.clients.end(at(5.0), &rig.poller, false);
-    assert_eq!(
-        (rig.state(rests), rig.state(speaks)),
-        (ConnectionState::HalfClosed, ConnectionState::Reading)
-    );
+    rig.clients.begin_shutdown(at(5.0), &rig.poller, false);
+    assert_eq!((rig.state(idle), rig.state(speaks)), (ConnectionState::HalfClosed, ConnectionState::Reading));
     assert_eq!(
         (rig.state(owed), rig.state(young), rig.state(half)),
         (ConnectionState::AwaitingResponse(7), ConnectionState::Reading, ConnectionState::Reading)
@@ -154,7 +151,7 @@
     rig.clients.answer(at(5.0), &rig.poller, speaks, 200, b"x", None);
     assert!(to_end(&crossing).ends_with("Content-Length: 1\r\nConnection: close\r\n\r\nx"));
     // And at the very end, all that is left.
-    rig.clients.end(at(5.2), &rig.poller, true);
+    rig.clients.begin_shutdown(at(5.2), &rig.poller, true);
     assert_eq!(
         (rig.state(young), rig.state(half)),
         (ConnectionState::HalfClosed, ConnectionState::HalfClosed)
@@ -166,8 +163,8 @@
 #[test]
 fn what_comes_after_the_last_answer_is_thrown_away_within_a_bound() {
     let mut rig = Rig::new(3);
-    let (id, mut mine) = rig.delayed(1.0);
-    rig.clients.end(at(2.0), &rig.poller, false);
+    let (id, mut mine) = rig.idle_client(1.0);
+    rig.clients.begin_shutdown(at(2.0), &rig.poller, false);
     let r = Ready { token: Token::ClientConnection(id), read: true, write: false, ended: false };
     let mut sent = 0;
     while rig.is_there(id) {
@@ -180,7 +177,7 @@
         assert!(sent < 2 * MAX_LINGER_BYTES, "it has an end");
     }
     assert!(sent > MAX_LINGER_BYTES);
-    let (id, _mine) = rig.delayed(4.0); // its answer is the last
+    let (id, _mine) = rig.idle_client(4.0); // its answer is the last
     assert_eq!(rig.state(id), ConnectionState::HalfClosed);
     rig.clients.handle_timeout(at(4.0 + LINGER_TIMEOUT - 0.01), &rig.poller);
     assert!(rig.is_there(id));
--- a/crates/platform-host/src/host/attempts.rs
+++ b/crates/platform-host/src/host/attempts.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    /// A client may have gone since this turn began, or while its request waited for a bucket, a cap, a connection or its
-    /// backoff, and a long turn comes late to that: it is looked for whenever an attempt of its request could begin.
+    /// A client may have gone since this iteration began, or while its request waited for a bucket, a cap, a connection or its
+    /// backoff, and a long iteration comes late to that: it is looked for whenever an attempt of its request could begin.
     pub(super) fn check_client(&mut self, now: Instant, client: u32) {
         if self.clients.has_disconnected(client) {
             let event = self.clients.disconnected(client);
--- a/crates/platform-host/src/host/endpoint_list.rs
+++ b/crates/platform-host/src/host/endpoint_list.rs
@@ -72,7 +72,7 @@
     }
 
     /// The list is to be had at this place from now on: asked at once, also where no call was on its way as the last one had
-    /// failed. What counts as told some seconds from now must not wait for a pause that began before.
+    /// failed. What counts as notified some seconds from now must not wait for a pause that began before.
     pub(super) fn discovery_moved(&mut self, now: Instant, to: SocketAddr) {
         let moves = if to == self.watch.address() { "discovery unchanged" } else { "discovery moved" };
         tracing::info!(list = %to, "configuration reloaded: {moves}");
--- a/crates/platform-host/src/host/shutdown.rs
+++ b/crates/platform-host/src/host/shutdown.rs
@@ -64,7 +64,7 @@
             self.core.settle(now);
             self.execute_outputs();
         }
-        self.clients.end(now, &self.poller, phase >= ShutdownPhase::Settled);
+        self.clients.begin_shutdown(now, &self.poller, phase >= ShutdownPhase::Settled);
     }
 
     /// All that was taken has its answer, and whoever got one has read it to its end; or there is no more time.
--- a/crates/platform-host/src/host/tests.rs
+++ b/crates/platform-host/src/host/tests.rs
@@ -1,4 +1,4 @@
-//! Clients that leave after a turn was begun: what the turn was not told of in time.
+//! Clients that leave after an iteration began: what the iteration was not notified of in time.
 
 use super::*;
 use std::io::Write;
@@ -43,7 +43,7 @@
     client
 }
 
-/// Its end is there, and no turn was told of it.
+/// Its end is there, and no iteration was notified of it.
 fn leaves(h: &Host, client: TcpStream) {
     let id = *h.open_requests.keys().max().unwrap();
     drop(client);
--- a/crates/platform-host/src/list_watch.rs
+++ b/crates/platform-host/src/list_watch.rs
@@ -1,7 +1,7 @@
 //! The watch of the endpoint list: long polls, one after the other. When to retry after a failure is the scheduler's decision.
 //! docs/crossings.md has each state of a poll against each event.
 //!
-//! A change counts as told 6 s after the list had it and could be reached, whatever failed before. So the times here and the
+//! A change counts as notified 6 s after the list had it and could be reached, whatever failed before. So the times here and the
 //! module's pauses have to fit: a call that falls silent is found out after its wait and `ANSWER_TIMEOUT`; then a pause, a call that
 //! does not come up, another pause, and one that tells (docs/design.md has the sum, `watch/tests.rs` holds it).
 
@@ -13,7 +13,7 @@
 use tackmast_http::{Answer, AnswerReader, Bad, Bounds};
 use tackmast_platform::{List, Settings};
 
-/// How long a call lets the list wait for news. What is lost on the way counts as told 2 s after that, and a watch that has
+/// How long a poll lets the list wait for a change. What is lost on the way counts as notified 2 s after that, and a watch that has
 /// fallen silent is found out only then; each call costs the list work.
 const LONG_POLL_MS: u64 = 2_500;
 /// The same for a call after one that failed: what was missed is there already, and more silence must be found out soon.
@@ -77,7 +77,7 @@
         self.address
     }
 
-    /// Asks for what came after a version, or for everything.
+    /// Asks for the changes after a version, or for everything.
     pub fn poll(&mut self, now: Instant, poller: &Poller, after: Option<u64>) -> Result<(), WatchEvent> {
         let failed = |e: std::io::Error| WatchEvent::Failed(format!("call: {e}"));
         let (wait_ms, answer_timeout) = if self.failed {
@@ -199,7 +199,7 @@
         if self.call.as_ref().is_none_or(|c| c.deadline > now) {
             return None;
         }
-        // What was written to this host by now has been told to it: an answer must not cross its own time-out.
+        // What was written to this host by now it has been notified of: an answer must not cross its own time-out.
         self.read(MAX_LIST_CHUNKS, s).or_else(|| self.failed("no answer in time"))
     }
 
--- a/crates/platform-host/src/poller.rs
+++ b/crates/platform-host/src/poller.rs
@@ -1,4 +1,4 @@
-//! Readiness of sockets, by level: what is left unread is told of again at the next turn, so work per turn can be bounded.
+//! Readiness of sockets, by level: what is left unread is reported again in the next iteration, so work per turn can be bounded.
 
 use rustix::event::epoll::{self, CreateFlags, Event, EventData, EventFlags};
 use std::os::fd::{AsFd, OwnedFd};
@@ -7,7 +7,7 @@
 /// Who a socket belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Token {
-    /// The node list comes first in a turn: what it tells counts from when it was written to this host.
+    /// The node list comes first in an iteration: a change in it counts as notified from when it was written to this host.
     List(u32),
     Signal(u32),
     Link(u32),
@@ -29,7 +29,7 @@
         EventData::new_u64(kind << 32 | u64::from(n))
     }
 
-    /// Its place in a turn.
+    /// Its place in an iteration.
     fn kind(self) -> u8 {
         match self {
             Token::List(_) => 0,
@@ -75,7 +75,7 @@
     pub ended: bool,
 }
 
-/// What is waited for. The end of a connection is always told.
+/// What is waited for. The end of a connection is always reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
     pub read: bool,
@@ -98,7 +98,7 @@
     }
 }
 
-/// Events taken in one turn, at most.
+/// Events taken in one iteration, at most.
 const TURN: usize = 256;
 
 /// An epoll instance.
@@ -128,7 +128,7 @@
         self.events.clear();
         let most =
             rustix::event::Timespec { tv_sec: most.as_secs() as i64, tv_nsec: most.subsec_nanos().into() };
-        // Cut short by a signal: its pipe is ready at the next turn.
+        // Cut short by a signal: its pipe is ready in the next iteration.
         _ = epoll::wait(&self.epoll, rustix::buffer::spare_capacity(&mut self.events), Some(&most));
         ready.clear();
         ready.extend(self.events.iter().map(|e| {
@@ -141,7 +141,7 @@
                 ended: has(EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR),
             }
         }));
-        // Then the ends of clients: nothing may begin in this turn for one that has gone.
+        // Then the ends of clients: nothing may begin in this iteration for one that has gone.
         ready.sort_by_key(|r| (if r.ended { r.token.early() } else { r.token.kind() }, r.token));
     }
 }
--- a/crates/platform-host/src/sockets.rs
+++ b/crates/platform-host/src/sockets.rs
@@ -5,7 +5,7 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// Bytes read from one socket in one turn, at most.
+/// Bytes read from one socket in one iteration, at most.
 pub const READ_CHUNK_BYTES: usize = 16 * 1024;
 
 /// Begins to connect; writable once it stands or has failed.
--- a/crates/platform-host/tests/crossings.rs
+++ b/crates/platform-host/tests/crossings.rs
@@ -1,5 +1,5 @@
 //! Events that cross, each pair put in its order by the test: docs/crossings.md has the table. The host's turns are called by
-//! hand, so what is done between two of them comes in one turn.
+//! hand, so what is done between two of them comes in one iteration.
 
 mod common;
 
@@ -50,7 +50,7 @@
     let all: Vec<u8> = (0..5).flat_map(|_| h.request("read", 0, "x")).collect();
     client.say(&all);
     h.until("the first is at its node", |_| node.asked() == 1);
-    // Its answer and the client's end come in one turn.
+    // Its answer and the client's end come in one iteration.
     node.wires[0].say(ok("x").as_bytes());
     drop(client);
     h.until("it is let go", |h| h.status().client_connections == 0);
@@ -135,7 +135,7 @@
     let attempts = h.status().core.attempts;
     h.until("it has failed", |h| h.status().open.attempts == 0);
     drop(client);
-    // Past the pause before anything is looked at: its end and the client's come in one turn.
+    // Past the pause before anything is looked at: its end and the client's come in one iteration.
     std::thread::sleep(Duration::from_millis(60));
     h.turns_for(0.1);
     assert_eq!((node.asked(), h.status().core.attempts, h.status().core.left), (1, attempts, 1));
@@ -173,7 +173,7 @@
     h.until("some wait for a connection", |h| h.status().core.taken == 18 && h.status().links.waited > 0);
     let waits = h.status().links.waited as usize;
     h.until("the others are out", |_| node.asked() == 18 - waits);
-    // Connections come free as all clients leave, in one turn.
+    // Connections come free as all clients leave, in one iteration.
     node.wires.iter_mut().for_each(|w| _ = w.say(ok("x").as_bytes()));
     drop(clients);
     h.until("all are let go", |h| h.status().client_connections == 0);
@@ -239,7 +239,7 @@
     h.until("taken", |h| h.status().core.taken > taken);
     let before = node.asked();
     drop(client);
-    std::thread::sleep(Duration::from_millis(30)); // it has rested: that and the client's end come in one turn
+    std::thread::sleep(Duration::from_millis(30)); // it has rested: that and the client's end come in one iteration
     h.until("let go", |h| h.status().client_connections == 1);
     h.turns_for(0.05);
     assert_eq!((node.asked(), h.status().open), (before, OpenCounts::default()));
@@ -324,7 +324,7 @@
     client.say(text.as_bytes());
     h.until("it waits for the connection", |h| h.status().links.opened == 1);
     node.comes_up(fill);
-    // The system brings it up after a second, while nothing is looked at: that and the deadline come in one turn.
+    // The system brings it up after a second, while nothing is looked at: that and the deadline come in one iteration.
     std::thread::sleep(Duration::from_millis(1300));
     h.until("answered", |_| client.heads() == 1);
     assert_eq!(client.statuses(), [503], "it never ran");
@@ -361,7 +361,7 @@
     h.run_iteration();
     h.term();
     h.until("it is told", |h| !h.status().serves);
-    // More than are accepted in a turn come just before it closes; nothing is looked at until then.
+    // More than are accepted in an iteration come just before it closes; nothing is looked at until then.
     std::thread::sleep(Duration::from_millis(400));
     let mut clients: Vec<Wire> = (0..100).map(|_| h.client()).collect();
     clients.iter_mut().for_each(|c| _ = c.say(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"));
