--- a/crates/admin/tests/json_forms.rs
+++ b/crates/admin/tests/json_forms.rs
@@ -9,8 +9,8 @@
     PlanAsk, PlanReply, PlanStatus, Reply, SiteStatus,
 };
 use tackmast_overrides::{
-    Audit, AuditKind, Beaten, Explanation, Kind, Order, Origin, Override, OverrideId, Preview, Refusal,
-    Service, Standing,
+    Audit, AuditKind, Explanation, Kind, Order, Origin, Override, OverrideEffect, OverrideId, Preview,
+    Refusal, Service, Superseded,
 };
 use tackmast_plans::{Catalogue, Change, Fleet, Plan, Step, TrafficClass, Volume};
 
@@ -138,10 +138,10 @@
 
 #[test]
 fn answers_about_overrides() {
-    let out = Standing { service: Service::Out, weight: 1.0 };
+    let out = OverrideEffect { service: Service::Out, weight: 1.0 };
     let preview = Preview {
         version: 3,
-        changes: vec![(node(), Standing::NONE, out)],
+        changes: vec![(node(), OverrideEffect::NONE, out)],
         named: 1,
         forced_past: Some(Refusal::LastOfShard { shard: 4, nodes: vec!["10.0.0.1:9000".into()] }),
     };
@@ -166,7 +166,7 @@
         weight_left_s: None,
         beaten: vec![(
             Override { id: OverrideId(2), origin: None, ..record() },
-            Beaten { id: OverrideId(2), by: OverrideId(3), why: "set later".into() },
+            Superseded { id: OverrideId(2), by: OverrideId(3), why: "set later".into() },
         )],
         returning: None,
         given: "out of service".into(),
--- a/crates/benchmarks/src/core_cost.rs
+++ b/crates/benchmarks/src/core_cost.rs
@@ -43,7 +43,7 @@
     let text = crate::settings(NODES as usize, nowhere, nowhere);
     let settings = HostSettings::parse("measure", &text).map_err(|e| e.to_string())?;
     let set = |n: u32| {
-        let limits = tackmast_overrides::Settings { most: 1 << 20, zone_part: 1.0 };
+        let limits = tackmast_overrides::Settings { max_overrides: 1 << 20, max_zone_fraction: 1.0 };
         let record = |i: u32| tackmast_overrides::Override {
             id: OverrideId(u64::from(i) + 1),
             target: Target::Node(SocketAddr::from(([127, 0, 0, 1], 1000 + (i % NODES) as u16))),
--- a/crates/benchmarks/src/orders.rs
+++ b/crates/benchmarks/src/orders.rs
@@ -6,7 +6,7 @@
 use std::collections::{BinaryHeap, HashSet};
 use std::time::Instant as Wall;
 use tackmast::interface::Instant;
-use tackmast_overrides::wheel::Wheel;
+use tackmast_overrides::timing_wheel::TimingWheel;
 
 /// Nanoseconds an operation, wheel and heap.
 #[derive(Clone, Copy, Debug, Serialize)]
@@ -34,7 +34,7 @@
     let ends: Vec<Instant> = (0..entries).map(|_| Instant::from_secs(chance() * 86_400.0)).collect();
     let half: Vec<usize> = (0..entries).filter(|_| chance() < 0.5).collect();
 
-    let mut wheel = Wheel::new(Instant::from_secs(0.0));
+    let mut wheel = TimingWheel::new(Instant::from_secs(0.0));
     let t = Wall::now();
     let handles: Vec<_> = ends.iter().enumerate().map(|(i, e)| wheel.put(i as u32, *e)).collect();
     let put_wheel = ns(t, entries);
--- a/crates/cli/src/orders.rs
+++ b/crates/cli/src/orders.rs
@@ -6,7 +6,7 @@
 use tackmast_admin::{Answer, Call};
 use tackmast_host_core::{Ask, Reply};
 use tackmast_overrides::{
-    Explanation, Kind, Order, Override, OverrideId, Preview, Service, Standing, Target,
+    Explanation, Kind, Order, Override, OverrideEffect, OverrideId, Preview, Service, Target,
 };
 
 pub const PATIENCE: Duration = Duration::from_secs(15);
@@ -216,7 +216,7 @@
     }
 }
 
-fn word(s: &Standing) -> String {
+fn word(s: &OverrideEffect) -> String {
     let service = match s.service {
         Service::Listed => "as listed",
         Service::Out => "out of service",
--- a/crates/host-core/src/core/listed.rs
+++ b/crates/host-core/src/core/listed.rs
@@ -30,7 +30,7 @@
         self.nodes.forget_gone(|node| at_node.contains_key(&node));
         let facts: Vec<NodeFacts> = self.nodes.entries().filter_map(facts).collect();
         if let Some(orders) = &mut self.orders {
-            orders.overrides.nodes_listed(now, facts);
+            orders.overrides.handle_endpoint_list(now, facts);
         }
         for e in &mut known {
             self.given(now, e);
@@ -61,7 +61,7 @@
     pub(super) fn order_nodes(&mut self, now: Instant) {
         let Some(orders) = &mut self.orders else { return };
         let mut stops = false;
-        let changed: Vec<_> = orders.overrides.take_changed(now).into_iter().collect();
+        let changed: Vec<_> = orders.overrides.poll_changed(now).into_iter().collect();
         for (address, given) in changed {
             let Some(node) = self.nodes.number(&address.to_string()) else { continue };
             let Some(entry) = self.nodes.entry(node) else { continue };
--- a/crates/host-core/src/core/orders.rs
+++ b/crates/host-core/src/core/orders.rs
@@ -14,7 +14,7 @@
     /// What the wall clock shows, now and then: audits carry it, and its steps move no end.
     pub fn wall_seen(&mut self, now: Instant, wall_us: u64) {
         self.wall_offset_us = wall_us as i64 - (now.secs() * 1e6).round() as i64;
-        let step = self.orders.as_mut().and_then(|o| o.overrides.wall_seen(now, wall_us));
+        let step = self.orders.as_mut().and_then(|o| o.overrides.handle_wall_clock(now, wall_us));
         if let Some((put, audit)) = step {
             self.mode(audit.what.clone());
             let keep = Keep { put, audits: vec![audit], ..Keep::default() };
@@ -126,7 +126,7 @@
         let Some(orders) = self.orders.as_mut().filter(|o| o.next(now).is_some_and(|t| t <= now)) else {
             return;
         };
-        let ended = orders.overrides.tick(now, wall_us);
+        let ended = orders.overrides.handle_timeout(now, wall_us);
         let mut lines = orders.tell(now);
         let mut keep = Keep::default();
         for e in ended {
--- a/crates/host-core/src/orders.rs
+++ b/crates/host-core/src/orders.rs
@@ -249,6 +249,6 @@
     }
 
     pub fn next(&self, now: Instant) -> Option<Instant> {
-        [self.overrides.next(now), Some(self.tell_at)].into_iter().flatten().min()
+        [self.overrides.poll_timeout(now), Some(self.tell_at)].into_iter().flatten().min()
     }
 }
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -396,8 +396,13 @@
     // When the node starts, against the override that is set at 10 s; whether it is told.
     for (start, told) in [(5.0, false), (12.0, true)] {
         let mut r = Rig::new();
-        let (overrides, _) =
-            Overrides::new(r.now, 10_000_000, Settings { most: 10, zone_part: 1.0 }, Vec::new(), 1);
+        let (overrides, _) = Overrides::new(
+            r.now,
+            10_000_000,
+            Settings { max_overrides: 10, max_zone_fraction: 1.0 },
+            Vec::new(),
+            1,
+        );
         r.core.with_overrides(r.now, overrides, Keep::default());
         let order = Order {
             target: Target::Node(address.parse().unwrap()),
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -488,7 +488,7 @@
     let settings = settings(setting, host);
     let incarnation = 100 + host as u64;
     let mut core = Core::new(now, &settings, seed, incarnation);
-    let override_settings = Settings { most: 20, zone_part: 1.0 };
+    let override_settings = Settings { max_overrides: 20, max_zone_fraction: 1.0 };
     let wall_us = micros(now) as u64 + WALL_OFFSET_US;
     let (overrides, _) = Overrides::new(now, wall_us, override_settings, Vec::new(), 1);
     core.with_overrides(now, overrides, Keep::default());
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -84,7 +84,7 @@
     generation: u64,
 ) -> Result<Sender<admin::ToStore>, StartError> {
     let (now, wall_us) = (clock.now(), Clock::wall_us());
-    let bounds = tackmast_overrides::Settings { most: o.most, zone_part: o.zone_part };
+    let bounds = tackmast_overrides::Settings { max_overrides: o.most, max_zone_fraction: o.zone_part };
     let (overrides, ended) = Overrides::new(now, wall_us, bounds, held.overrides, held.next);
     core.wall_seen(now, wall_us);
     let mut keep = Keep::default();
--- a/crates/overrides/src/lib.rs
+++ b/crates/overrides/src/lib.rs
@@ -1,13 +1,31 @@
-//! Operators' overrides of nodes: a weight, out of service, or pinned in service, each with an end. This package
-//! decides what applies to a node and why, what is refused, when each ends, and how nodes come back; it does no I/O
-//! and reads no clock. docs/overrides.md has the table of precedence and the reasons.
+//! Operators' overrides of nodes: a weight, out of service, or pinned in service, each with an end. This package decides which
+//! override applies to a node, which is refused, when each ends, and how nodes come back. It does no I/O and reads no clock.
+//! docs/overrides.md has the table of precedence and the reasons.
+//!
+//! | file | job |
+//! | --- | --- |
+//! | `order` | what an operator orders, and its written form |
+//! | `precedence` | which of several overrides of a node applies |
+//! | `overrides` | the overrides of one host: set, cleared, ended |
+//! | `refusal`, `audit`, `explanation` | why an order is refused; the audit log; why a node is given what it is given |
+//! | `recovery_ramp` | how nodes are given load again |
+//! | `timing_wheel` | timers of many overrides |
 
-mod engine;
+#![warn(missing_docs)]
+
+mod audit;
+mod explanation;
 mod order;
+mod overrides;
 mod precedence;
-mod returns;
-pub mod wheel;
+mod recovery_ramp;
+mod refusal;
+/// Timers of many overrides.
+pub mod timing_wheel;
 
-pub use engine::{Audit, AuditKind, Effective, Ended, Explanation, Overrides, Preview, Refusal, Settings};
-pub use order::{Kind, Order, Origin, Override, OverrideId, Target};
-pub use precedence::{Applies, Beaten, NodeFacts, Rank, Service, Standing};
+pub use audit::{Audit, AuditKind, Ended};
+pub use explanation::Explanation;
+pub use order::{Kind, Order, Origin, Override, OverrideId, Target, TargetError};
+pub use overrides::{Effective, Overrides, Settings};
+pub use precedence::{Applies, NodeFacts, OverrideEffect, Rank, Service, Superseded};
+pub use refusal::{Preview, Refusal};
--- a/crates/overrides/src/order.rs
+++ b/crates/overrides/src/order.rs
@@ -6,17 +6,21 @@
 use std::net::{IpAddr, SocketAddr};
 use std::str::FromStr;
 
-/// Later ones have higher numbers; a number is never given twice.
+/// The number of an override. Later ones have higher numbers; a number is never given twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OverrideId(pub u64);
 
-/// The nodes that an override names. It lives by what it says, whether such nodes are listed or not.
+/// The nodes that an override names, whether such nodes are listed or not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub enum Target {
+    /// One address.
     Node(SocketAddr),
+    /// All addresses of a prefix.
     Net(IpNet),
+    /// All nodes of a shard.
     Shard(u32),
+    /// All nodes of a zone.
     Zone(u32),
 }
 
@@ -31,10 +35,18 @@
     }
 }
 
+const EXPECTED_TARGET: &str =
+    "an address and port, an address, a prefix such as 10.1.0.0/16, shard:N or zone:N";
+
+/// A text that names no target.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("target {0:?}; expected {EXPECTED_TARGET}")]
+pub struct TargetError(String);
+
 impl FromStr for Target {
-    type Err = String;
+    type Err = TargetError;
 
-    fn from_str(text: &str) -> Result<Target, String> {
+    fn from_str(text: &str) -> Result<Target, TargetError> {
         let number = |n: &str| n.parse::<u32>().ok();
         let found = match text.split_once(':') {
             Some(("shard", n)) => number(n).map(Target::Shard),
@@ -46,8 +58,7 @@
                 node.or_else(net).or_else(address)
             }
         };
-        let expected = "an address and port, an address, a prefix such as 10.1.0.0/16, shard:N or zone:N";
-        found.ok_or_else(|| format!("target {text:?}; expected {expected}"))
+        found.ok_or_else(|| TargetError(text.to_owned()))
     }
 }
 
@@ -58,19 +69,21 @@
 }
 
 impl TryFrom<String> for Target {
-    type Error = String;
-    fn try_from(text: String) -> Result<Target, String> {
+    type Error = TargetError;
+    fn try_from(text: String) -> Result<Target, TargetError> {
         text.parse()
     }
 }
 
+/// What an override does to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Part of what the node would be given otherwise, above 0 and up to 1.
+    /// Fraction of what the node would be given otherwise, above 0 and up to 1.
     Weight(f64),
+    /// It is given nothing new.
     OutOfService,
-    /// Kept in service whatever its health; what the list, the cold guard and the rules say still holds.
+    /// Kept in service whatever its health; the endpoint list, slow start and the rules still hold.
     Pinned,
 }
 
@@ -88,27 +101,39 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Order {
+    /// The nodes.
     pub target: Target,
+    /// What to do.
     pub kind: Kind,
+    /// Why, for people.
     pub reason: String,
+    /// Who orders it.
     pub who: String,
+    /// For how long.
     pub seconds: f64,
     /// Where another host took it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub origin: Option<Origin>,
 }
 
-/// One that stands. Times are Unix time in microseconds, for people and for restarts; while the host runs, the end
+/// An override that stands. Times are Unix time in microseconds, for people and for restarts; while the host runs, the end
 /// follows its own steady clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Override {
+    /// Its number.
     pub id: OverrideId,
+    /// The nodes.
     pub target: Target,
+    /// What it does.
     pub kind: Kind,
+    /// Why, for people.
     pub reason: String,
+    /// Who set it.
     pub who: String,
+    /// When it was set.
     pub set_us: u64,
+    /// When it ends.
     pub ends_us: u64,
     /// Which host took it, where hosts tell each other of theirs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -118,33 +143,14 @@
 /// The name of an order among all hosts: the host and generation that took it, and its number there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Origin {
+    /// The host.
     pub slot: u32,
+    /// Its generation.
     #[serde(rename = "life")]
     pub generation: u64,
+    /// The number of the override there.
     pub number: u64,
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn targets_are_written_as_they_are_read() {
-        for (text, again) in [
-            ("10.1.2.3:9003", Some("10.1.2.3:9003")),
-            ("[::1]:9003", Some("[::1]:9003")),
-            ("10.1.2.3", Some("10.1.2.3/32")),
-            ("10.1.2.3/16", Some("10.1.0.0/16")),
-            ("fd00::/8", Some("fd00::/8")),
-            ("shard:4", Some("shard:4")),
-            ("zone:0", Some("zone:0")),
-            ("zone:-1", None),
-            ("rack:1", None),
-            ("10.1.2.3/40", None),
-            ("", None),
-        ] {
-            let found = text.parse::<Target>().map(|t| t.to_string());
-            assert_eq!(found.as_deref().ok(), again, "{text:?}: {found:?}");
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/overrides/src/refusal.rs
@@ -0,0 +1,93 @@
+//! Why an order is refused, and what it would do.
+
+use crate::order::OverrideId;
+use crate::precedence::OverrideEffect;
+use serde::{Deserialize, Serialize};
+use std::fmt;
+use std::net::SocketAddr;
+
+/// Why an order is refused.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum Refusal {
+    /// A value of the order is not allowed.
+    Value {
+        /// Which.
+        what: String,
+        /// The value.
+        found: String,
+        /// What would be allowed.
+        expected: String,
+    },
+    /// As many overrides stand as may.
+    TooMany {
+        /// That many.
+        most: usize,
+    },
+    /// It would leave a shard without a node in service.
+    LastOfShard {
+        /// The shard.
+        shard: u32,
+        /// Its nodes in service.
+        nodes: Vec<String>,
+    },
+    /// It would take too much of a zone out.
+    TooMuchOfZone {
+        /// The zone.
+        zone: u32,
+        /// Nodes that would be out of service.
+        out: usize,
+        /// Of so many.
+        of: usize,
+        /// The fraction that is allowed.
+        #[serde(rename = "most_part")]
+        max_part: f64,
+    },
+    /// Others have changed something since that version.
+    Moved {
+        /// The version that the order was made for.
+        asked: u64,
+        /// The version that holds.
+        now: u64,
+        /// What changed in between, as far as it is remembered.
+        changes: Vec<String>,
+    },
+    /// No such override stands.
+    Unknown {
+        /// The number asked for.
+        id: OverrideId,
+    },
+}
+
+impl fmt::Display for Refusal {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Refusal::Value { what, found, expected } => write!(f, "{what}: {found}; expected {expected}"),
+            Refusal::TooMany { most } => write!(f, "{most} overrides stand, which is the most; clear some first"),
+            Refusal::LastOfShard { shard, nodes } => {
+                write!(f, "shard {shard} would have no node in service ({}); force it if that is meant", nodes.join(", "))
+            }
+            Refusal::TooMuchOfZone { zone, out, of, max_part } => write!(
+                f,
+                "{out} of {of} nodes of zone {zone} would be out of service; at most {max_part} of them without force"
+            ),
+            Refusal::Moved { asked, now, changes } => {
+                write!(f, "version {asked} was asked for, and {now} holds; since then: {}", changes.join("; "))
+            }
+            Refusal::Unknown { id } => write!(f, "override {}: none such stands", id.0),
+        }
+    }
+}
+
+/// What an order would do.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Preview {
+    /// The version of the overrides that it was judged against.
+    pub version: u64,
+    /// Listed nodes for which the effect changes: address, before, after.
+    pub changes: Vec<(SocketAddr, OverrideEffect, OverrideEffect)>,
+    /// Listed nodes that it names, changed or not.
+    pub named: usize,
+    /// What it would be refused for without force.
+    pub forced_past: Option<Refusal>,
+}
--- a/crates/overrides/src/wheel.rs
+++ b/crates/overrides/src/timing_wheel.rs
@@ -3,8 +3,8 @@
 
 use tackmast::interface::{Instant, TimeDelta};
 
-/// Width of the narrowest slot in microseconds; an entry comes out at most that late.
-pub const TICK_US: i64 = 10_000;
+/// Width of the narrowest slot in microseconds: an entry expires at most that late.
+pub const RESOLUTION_US: i64 = 10_000;
 const BITS: u32 = 6;
 const SLOTS: usize = 1 << BITS;
 /// Six levels reach 20 years.
@@ -28,7 +28,8 @@
 /// The list of what was past when it was put in, behind those of the slots.
 const DUE: usize = LEVELS * SLOTS;
 
-pub struct Wheel<K> {
+/// Entries of type `K`, each with the time at which it expires.
+pub struct TimingWheel<K> {
     now: u64, // ticks that have come out
     lists: Vec<Vec<u32>>,
     /// A bit for each slot that holds something, by level.
@@ -38,20 +39,21 @@
 }
 
 fn ticks_up(at: Instant) -> u64 {
-    (((at.secs() * 1e6) as i64).max(0) as u64).div_ceil(TICK_US as u64)
+    (((at.secs() * 1e6) as i64).max(0) as u64).div_ceil(RESOLUTION_US as u64)
 }
 
 fn ticks_down(at: Instant) -> u64 {
-    ((at.secs() * 1e6) as i64).max(0) as u64 / TICK_US as u64
+    ((at.secs() * 1e6) as i64).max(0) as u64 / RESOLUTION_US as u64
 }
 
 fn instant(ticks: u64) -> Instant {
-    Instant::from_secs(ticks as f64 * TICK_US as f64 / 1e6)
+    Instant::from_secs(ticks as f64 * RESOLUTION_US as f64 / 1e6)
 }
 
-impl<K: Copy + Ord> Wheel<K> {
+impl<K: Copy + Ord> TimingWheel<K> {
+    /// An empty wheel at this time.
     pub fn new(now: Instant) -> Self {
-        Wheel {
+        TimingWheel {
             now: ticks_down(now),
             lists: (0..=DUE).map(|_| Vec::new()).collect(),
             used: [0; LEVELS],
@@ -60,14 +62,17 @@
         }
     }
 
+    /// Entries that have not expired.
     pub fn len(&self) -> usize {
         self.entries.len() - self.free.len()
     }
 
+    /// There is no entry.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
+    /// Adds an entry.
     pub fn put(&mut self, key: K, at: Instant) -> Handle {
         let due = ticks_up(at);
         let index = match self.free.pop() {
@@ -115,8 +120,8 @@
         };
         let (list, place) = (usize::from(e.list), e.place as usize);
         self.lists[list].swap_remove(place);
-        if let Some(moved) = self.lists[list].get(place) {
-            self.entries[*moved as usize].place = place as u32;
+        if let Some(bump_version) = self.lists[list].get(place) {
+            self.entries[*bump_version as usize].place = place as u32;
         } else if self.lists[list].is_empty() && list < DUE {
             self.used[list / SLOTS] &= !(1 << (list % SLOTS));
         }
@@ -185,58 +190,9 @@
 
     /// How late an entry may come out.
     pub fn slack() -> TimeDelta {
-        TimeDelta::from_secs(TICK_US as f64 / 1e6)
+        TimeDelta::from_secs(RESOLUTION_US as f64 / 1e6)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use std::collections::BTreeMap;
-
-    /// The wheel against a plain map, over random puts, moves, removals and steps of time.
-    #[test]
-    fn it_does_as_a_plain_map_does() {
-        for seed in 0..40u64 {
-            let mut chance = oorandom::Rand64::new(u128::from(seed));
-            let mut now = chance.rand_float() * 1e7;
-            let mut wheel = Wheel::new(Instant::from_secs(now));
-            let mut plain: BTreeMap<u32, u64> = BTreeMap::new();
-            let mut handles: BTreeMap<u32, Handle> = BTreeMap::new();
-            for _ in 0..600 {
-                let key = chance.rand_range(0..40) as u32;
-                match chance.rand_range(0..4) {
-                    0 | 1 => {
-                        // From at once to 30 years, and now and then in the past.
-                        let ahead = 10f64.powf(chance.rand_float() * 12.0 - 3.0) - 0.01;
-                        let at = Instant::from_secs(now + ahead);
-                        if let Some(old) = handles.remove(&key) {
-                            wheel.remove(old);
-                        }
-                        handles.insert(key, wheel.put(key, at));
-                        plain.insert(key, ticks_up(at));
-                    }
-                    2 => {
-                        // One that has come out or was taken out before fits nothing any more.
-                        let removed = handles.get(&key).is_some_and(|h| wheel.remove(*h));
-                        assert_eq!(removed, plain.remove(&key).is_some(), "seed {seed}");
-                    }
-                    _ => {
-                        now += 10f64.powf(chance.rand_float() * 11.0 - 3.0);
-                        let until = ticks_down(Instant::from_secs(now));
-                        let due: Vec<u32> =
-                            plain.iter().filter(|(_, d)| **d <= until).map(|(k, _)| *k).collect();
-                        plain.retain(|_, d| *d > until);
-                        assert_eq!(wheel.advance(Instant::from_secs(now)), due, "seed {seed}");
-                    }
-                }
-                assert_eq!(wheel.len(), plain.len(), "seed {seed}");
-                if let Some(first) = plain.values().min() {
-                    let next = wheel.next().map(ticks_up);
-                    let limit = (*first).max(ticks_down(Instant::from_secs(now)));
-                    assert!(next.is_some_and(|n| n <= limit), "seed {seed}: {next:?} after {limit}");
-                }
-            }
-        }
-    }
-}
+mod tests;
--- a/crates/overrides/tests/json_forms.rs
+++ b/crates/overrides/tests/json_forms.rs
@@ -4,8 +4,8 @@
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 use tackmast_overrides::{
-    Audit, AuditKind, Beaten, Explanation, Kind, Order, Origin, Override, OverrideId, Preview, Rank, Refusal,
-    Service, Standing, Target,
+    Audit, AuditKind, Explanation, Kind, Order, Origin, Override, OverrideEffect, OverrideId, Preview, Rank,
+    Refusal, Service, Superseded, Target,
 };
 
 /// The value is written as the literal text, and the literal is read back as the value.
@@ -103,10 +103,10 @@
 
 #[test]
 fn previews_and_explanations() {
-    let out = Standing { service: Service::Out, weight: 0.5 };
+    let out = OverrideEffect { service: Service::Out, weight: 0.5 };
     let preview = Preview {
         version: 3,
-        changes: vec![("10.0.0.1:9000".parse().unwrap(), Standing::NONE, out)],
+        changes: vec![("10.0.0.1:9000".parse().unwrap(), OverrideEffect::NONE, out)],
         named: 2,
         forced_past: Some(Refusal::LastOfShard { shard: 4, nodes: vec![] }),
     };
@@ -118,7 +118,7 @@
         &Preview { changes: vec![], forced_past: None, ..preview },
         r#"{"version":3,"changes":[],"named":2,"forced_past":null}"#,
     );
-    let beaten = Beaten { id: OverrideId(3), by: OverrideId(1), why: "set later".into() };
+    let beaten = Superseded { id: OverrideId(3), by: OverrideId(1), why: "set later".into() };
     let explanation = Explanation {
         address: "10.0.0.1:9000".parse().unwrap(),
         listed: "ready".into(),
--- a/crates/overrides/tests/engine.rs
+++ b/crates/overrides/tests/overrides.rs
@@ -5,7 +5,7 @@
 use tackmast_overrides::*;
 
 const WALL: u64 = 1_800_000_000_000_000;
-const SETTINGS: Settings = Settings { most: 20_000, zone_part: 0.5 };
+const SETTINGS: Settings = Settings { max_overrides: 20_000, max_zone_fraction: 0.5 };
 
 fn at(s: f64) -> Instant {
     Instant::from_secs(s)
@@ -33,8 +33,8 @@
 fn new(n: u32) -> Overrides {
     let (mut o, ended) = Overrides::new(at(0.0), WALL, SETTINGS, Vec::new(), 1);
     assert!(ended.is_empty());
-    o.nodes_listed(at(0.0), facts(n));
-    o.take_changed(at(0.0));
+    o.handle_endpoint_list(at(0.0), facts(n));
+    o.poll_changed(at(0.0));
     o
 }
 
@@ -61,14 +61,14 @@
     ] {
         let mut o = new(8);
         set(&mut o, 1.0, &order("10.0.0.3:9000", kind, 10.0));
-        let changed: Vec<SocketAddr> = o.take_changed(at(1.0)).into_iter().map(|(a, _)| a).collect();
+        let changed: Vec<SocketAddr> = o.poll_changed(at(1.0)).into_iter().map(|(a, _)| a).collect();
         assert_eq!(changed, [address(3)], "{kind}");
         assert_eq!((given(&o, 1.0, 3), given(&o, 1.0, 2)), (during, READY), "{kind}");
-        assert!(o.tick(at(10.98), wall(10.98)).is_empty(), "{kind}: not before its end");
+        assert!(o.handle_timeout(at(10.98), wall(10.98)).is_empty(), "{kind}: not before its end");
         assert_eq!(o.len(), 1);
-        let ended = o.tick(at(11.01), wall(11.01));
+        let ended = o.handle_timeout(at(11.01), wall(11.01));
         assert_eq!((ended.len(), o.len(), ended[0].audit.kind), (1, 0, AuditKind::Ended), "{kind}");
-        assert!(o.take_changed(at(11.01)).len() == 1 || kind == Kind::OutOfService);
+        assert!(o.poll_changed(at(11.01)).len() == 1 || kind == Kind::OutOfService);
     }
 }
 
@@ -79,7 +79,7 @@
     {
         let mut o = new(8);
         set(&mut o, 0.0, &order("10.0.0.3", if pinned { Kind::Pinned } else { Kind::Weight(0.5) }, 100.0));
-        o.nodes_listed(at(1.0), [NodeFacts { listed, ..facts(8)[3] }]);
+        o.handle_endpoint_list(at(1.0), [NodeFacts { listed, ..facts(8)[3] }]);
         assert_eq!(o.effective(at(1.0), &address(3)).unwrap().state, listed);
     }
 }
@@ -88,22 +88,22 @@
 fn an_override_outlives_its_nodes_absence_and_its_host() {
     let mut o = new(8);
     let id = set(&mut o, 0.0, &order("10.0.0.3:9000", Kind::OutOfService, 100.0));
-    o.nodes_listed(at(1.0), [NodeFacts { listed: NodeState::Gone, ..facts(8)[3] }]);
+    o.handle_endpoint_list(at(1.0), [NodeFacts { listed: NodeState::Gone, ..facts(8)[3] }]);
     assert_eq!(o.effective(at(1.0), &address(3)).unwrap().state, NodeState::Gone);
     let record = o.get(id).unwrap().clone();
     // The host is down for 20 s; the node returns meanwhile. Its steady clock starts anew.
     let (mut o, ended) = Overrides::new(at(500.0), wall(20.0), SETTINGS, vec![record.clone()], 1);
     assert!(ended.is_empty());
-    o.nodes_listed(at(500.0), facts(8));
+    o.handle_endpoint_list(at(500.0), facts(8));
     assert_eq!(o.effective(at(500.0), &address(3)).unwrap().state, NodeState::Draining);
-    assert!(o.tick(at(579.9), wall(99.9)).is_empty());
-    assert_eq!(o.tick(at(580.1), wall(100.1)).len(), 1);
+    assert!(o.handle_timeout(at(579.9), wall(99.9)).is_empty());
+    assert_eq!(o.handle_timeout(at(580.1), wall(100.1)).len(), 1);
     // Down past its end: told as ended, and not in force for a moment.
     let (o, ended) = Overrides::new(at(0.0), wall(101.0), SETTINGS, vec![record.clone()], 1);
     assert_eq!((o.len(), ended[0].audit.kind), (0, AuditKind::EndedAway));
     // A wall clock set back while it was down does not lengthen it past its whole time.
     let (mut o, _) = Overrides::new(at(0.0), wall(-3600.0), SETTINGS, vec![record], 1);
-    assert_eq!(o.tick(at(100.1), wall(-3500.0)).len(), 1);
+    assert_eq!(o.handle_timeout(at(100.1), wall(-3500.0)).len(), 1);
 }
 
 #[test]
@@ -111,15 +111,15 @@
     for step in [-3600.0, 3600.0, 86_400.0 * 400.0, 0.5] {
         let mut o = new(8);
         let id = set(&mut o, 0.0, &order("10.0.0.3:9000", Kind::OutOfService, 100.0));
-        let seen = o.wall_seen(at(10.0), wall(10.0 + step));
+        let seen = o.handle_wall_clock(at(10.0), wall(10.0 + step));
         assert_eq!(seen.is_some(), step.abs() > 1.0, "{step}");
         if let Some((records, audit)) = seen {
             assert_eq!(audit.kind, AuditKind::ClockStepped);
             assert_eq!(records[0].ends_us, wall(100.0 + step), "{step}: so that a restart agrees");
         }
-        assert!(o.wall_seen(at(11.0), wall(11.0 + step)).is_none(), "{step}: told once");
-        assert!(o.tick(at(99.9), wall(99.9 + step)).is_empty());
-        assert_eq!(o.tick(at(100.1), wall(100.1 + step))[0].record.id, id, "{step}");
+        assert!(o.handle_wall_clock(at(11.0), wall(11.0 + step)).is_none(), "{step}: told once");
+        assert!(o.handle_timeout(at(99.9), wall(99.9 + step)).is_empty());
+        assert_eq!(o.handle_timeout(at(100.1), wall(100.1 + step))[0].record.id, id, "{step}");
     }
 }
 
@@ -167,7 +167,7 @@
     }
     // Nodes of their own shards: the zone alone is the bound.
     let mut o = new(0);
-    o.nodes_listed(
+    o.handle_endpoint_list(
         at(0.0),
         facts(8).into_iter().enumerate().map(|(i, f)| NodeFacts { shard: i as u32 / 4, ..f }),
     );
@@ -213,7 +213,7 @@
     set(&mut o, 0.0, &second);
     assert_eq!(given(&o, 0.0, 1).1, 0.8);
     // The later ends first: the earlier still stands and shows again.
-    o.tick(at(5.1), wall(5.1));
+    o.handle_timeout(at(5.1), wall(5.1));
     assert_eq!(given(&o, 5.1, 1).1, 0.5);
     assert_eq!(o.explain(at(5.1), address(1)).weight_left_s.map(|s| s.round()), Some(5.0));
 }
@@ -228,8 +228,8 @@
         ids.push(record.id);
         o.put(at(0.0), record);
     }
-    o.take_changed(at(0.0));
-    assert_eq!(o.tick(at(10.01), wall(10.01)).len(), 30);
+    o.poll_changed(at(0.0));
+    assert_eq!(o.handle_timeout(at(10.01), wall(10.01)).len(), 30);
     assert!(o.is_empty(), "none is visible after its end");
     let full = |o: &Overrides, t: f64| {
         (0..60).step_by(2).map(|i| given(o, t, i)).filter(|g| g.0 == NodeState::Ready).count()
@@ -244,10 +244,10 @@
     };
     let mut last = 0.0;
     let mut now = 10.01;
-    while let Some(t) = o.next(at(now)) {
+    while let Some(t) = o.poll_timeout(at(now)) {
         now = t.secs().max(now);
-        o.tick(at(now), wall(now));
-        o.take_changed(at(now));
+        o.handle_timeout(at(now), wall(now));
+        o.poll_changed(at(now));
         let sum = share(&o, now);
         assert!(sum >= last - 1e-9 && sum - last <= 3.5, "{now}: from {last} to {sum}");
         last = sum;
@@ -287,7 +287,7 @@
     assert!(e.service_by.is_some() && e.weight_by.is_some() && e.beaten.len() > 500, "{}", e.beaten.len());
     let mut ended = 0;
     for t in 1..=1002 {
-        ended += o.tick(at(f64::from(t)), wall(f64::from(t))).len();
+        ended += o.handle_timeout(at(f64::from(t)), wall(f64::from(t))).len();
     }
     assert_eq!((ended, o.len()), (10_000, 0));
     assert_eq!(given(&o, 1002.0, 7), READY);
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -9,7 +9,7 @@
 use tackmast_emulators::model::Nature;
 use tackmast_emulators::node::Fault;
 use tackmast_emulators::ways::What;
-use tackmast_overrides::{Kind, Target};
+use tackmast_overrides::{Kind, Target, TargetError};
 
 /// `day { ... }`
 #[derive(Debug, Clone, Deserialize)]
@@ -818,8 +818,12 @@
             ["weight", w] => Kind::Weight(number("order", w)?),
             _ => return Err(("order", order.clone(), "out, pin or weight X".into())),
         };
-        let target =
-            t.target.as_deref().map(str::parse).transpose().map_err(|e| ("target", String::new(), e))?;
+        let target = t
+            .target
+            .as_deref()
+            .map(str::parse)
+            .transpose()
+            .map_err(|e: TargetError| ("target", String::new(), e.to_string()))?;
         let (hosts, nodes) = (t.hosts.clone(), t.nodes.clone());
         return Ok(Action::Order { hosts, kind, target, nodes, refused: t.refused, force: t.force });
     }
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -53,7 +53,8 @@
 const LOAD_AFTER: Us = 500_000;
 /// From a change of plans until all hosts go by it.
 const PLANS_SETTLE_S: f64 = 1.5;
-const ORDERS: tackmast_overrides::Settings = tackmast_overrides::Settings { most: 1000, zone_part: 0.7 };
+const ORDERS: tackmast_overrides::Settings =
+    tackmast_overrides::Settings { max_overrides: 1000, max_zone_fraction: 0.7 };
 
 /// Deliberate faults, for the hunt to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
