--- a/src/interface.rs
+++ b/src/interface.rs
@@ -169,8 +169,8 @@
 /// What the host is to do next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Send an attempt; no time-out means until the client gives up. One whose first byte has not left at `begin_by` must not
-    /// leave any more: the nodes may have forgotten the first that ran.
+    /// Send an attempt; no time-out means until the client gives up. One whose first byte has not left at
+    /// `begin_by` must not leave any more: the nodes may have forgotten the first that ran.
     Send {
         request: RequestId,
         node: NodeId,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -9,9 +9,9 @@
 
 use crate::histogram::Histogram;
 use crate::interface::*;
+pub use crate::state::Scheduler;
 use crate::state::*;
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
 
 const CAP_START: f64 = 8.0; // requests out at one node, and mean sizes out
 const FEW: f64 = 4.0; // hosts: up to these each may keep a request out at a node, beyond them they share
@@ -65,39 +65,6 @@
 const LATENCY_HALVE: f64 = 64.0;
 const QUEUE_LOOK: usize = 16; // waiting requests searched for one that no guard of its own holds
 
-#[derive(Default)]
-pub struct Scheduler {
-    now: Instant,
-    rng: Chance,
-    hosts: f64,
-    there: f64, // of them, as far as is known; only caps follow it
-    margin: TimeDelta,
-    plans: Vec<Plan>,
-    classes: Vec<TrafficClass>,
-    tightest: TimeDelta, // latency objective
-    mean_units: f64,
-    max_attempts: u32,
-    longest_wait: TimeDelta,
-    settle: TimeDelta,
-    budget: Budget,
-    cold: Cold,
-    again: f64, // part that counts of units done for a piece that a node may have at hand
-    asked: bool,
-    list_fails: i32,
-    volumes: HashMap<VolumeId, Volume>,
-    nodes: BTreeMap<NodeId, Node>,
-    shards: BTreeMap<ShardId, Shard>,
-    turns: HashMap<KeyId, Turn>,
-    requests: HashMap<RequestId, Request>,
-    timers: BinaryHeap<Reverse<(Instant, Timer)>>,
-    lost: Losses,
-    everywhere: Vec<Histogram>, // times at all nodes, for each traffic class
-    rejected_requests: RejectedRequests,
-    due: BTreeSet<ShardId>,
-    homeless: Vec<RequestId>, // new objects for which no node was to be had
-    decided: VecDeque<Decision>,
-}
-
 /// Settings, part by part.
 impl Scheduler {
     /// `hosts` is how many hosts share the pool; `tick` how coarse the host's clock is.
@@ -176,8 +143,8 @@
         self.volume_moved(now, volume, plan);
         let st = &self.classes[class.0 as usize];
         let (p, told) = (&self.plans[plan.0 as usize], f64::from(hosts.max(1)));
-        // A new generation of a host can't know what an earlier one drew: its limit bucket starts full, but for
-        // part of what the rule lets pass. A restart must not hand itself a second burst.
+        // A new generation of a host can't know what an earlier one drew: its limit bucket starts full, but
+        // for part of what the rule lets pass. A restart must not hand itself a second burst.
         let full = (p.burst - p.slack * SLACK_AT_START) / told;
         // Against a table that fills under new names. What was drawn long ago is back; new ones start drawn.
         if self.volumes.len() >= VOLUMES_KEPT && !self.volumes.contains_key(&volume) {
@@ -185,8 +152,9 @@
         }
         let v = self.volumes.entry(volume).or_insert_with(|| Volume::new(now, plan, told, full));
         (v.hosts, v.seen) = (v.hosts.max(told), now);
-        // A client's later try began its latency objective with its first: it asks for the same as one answered
-        // undone, with less time left. Little time left alone proves nothing: some clients are in a hurry.
+        // A client's later try began its latency objective with its first: it asks for the same as one
+        // answered undone, with less time left. Little time left alone proves nothing: some clients are in a
+        // hurry.
         let ask = (volume, class, key, shard, units.to_bits());
         let objective_at = self.rejected_requests.again(now, ask, left).unwrap_or(now + st.latency_objective);
         let deadline = now + left - self.margin;
@@ -223,11 +191,6 @@
         self.requests.entry(id).and_modify(|x| x.tag = tag);
     }
 
-    /// Whether the settings named this traffic class and plan.
-    pub fn knows(&self, class: TrafficClassId, plan: PlanId) -> bool {
-        (class.0 as usize) < self.classes.len() && (plan.0 as usize) < self.plans.len()
-    }
-
     /// A streamed answer has begun: its client has it, and nothing is owed by a set time any more.
     pub fn answer_started(&mut self, now: Instant, id: RequestId) {
         self.now = now;
@@ -366,7 +329,8 @@
         if let Some(n) = self.nodes.get_mut(&node) {
             n.attempt_finished(st.rank, units);
             self.due.insert(n.shard);
-            // A timed-out attempt got lost if a later one was answered meanwhile, or else if the next is fast.
+            // A timed-out attempt got lost if a later one was answered meanwhile, or else if the next is
+            // fast.
             let (out, fast) =
                 (o == Outcome::TimedOut, took.secs() < CAP_TARGET * st.latency_objective.secs());
             lost = if out { n.done > passed } else { done && fast && n.suspect };
@@ -412,10 +376,6 @@
         }
     }
 
-    fn log(&mut self, line: String) {
-        self.decided.push_back(Decision::Log(line));
-    }
-
     /// The client has left, or the request was ended for us.
     pub fn request_cancelled(&mut self, now: Instant, id: RequestId) {
         self.now = now;
@@ -468,8 +428,9 @@
 }
 
 impl Node {
-    /// Cap, credit and health follow each answer. The cap rises while answers come well within the latency objective
-    /// and is cut when they don't: against any slowness (queue, pauses, costly work), whatever its cause.
+    /// Cap, credit and health follow each answer. The cap rises while answers come well within the latency
+    /// objective and is cut when they don't: against any slowness (queue, pauses, costly work), whatever its
+    /// cause.
     fn answered(
         &mut self,
         now: Instant,
@@ -494,9 +455,10 @@
             }
             Outcome::TimedOut => {
                 self.bad += 1.0;
-                // Its client's time was up before the latency objective, or nothing at all was answered meanwhile: too
-                // slow, or drowned. Against hurried clients, and against many hosts that each send one attempt a
-                // time-out and so keep a full queue full. Else it may have got lost, and others arrive.
+                // Its client's time was up before the latency objective, or nothing at all was answered
+                // meanwhile: too slow, or drowned. Against hurried clients, and against many hosts that each
+                // send one attempt a time-out and so keep a full queue full. Else it may have got lost, and
+                // others arrive.
                 let too_slow = if took < latency_objective { hurried } else { silent };
                 if too_slow {
                     self.cut(now, took, CAP_CUT);
@@ -592,20 +554,6 @@
         }
     }
 
-    /// Order keys that are remembered: those with a request that is not over, or at rest.
-    pub fn keys_in_order(&self) -> usize {
-        self.turns.len()
-    }
-
-    /// Nodes and volumes that are remembered.
-    pub fn known(&self) -> (usize, usize) {
-        (self.nodes.len(), self.volumes.len())
-    }
-
-    pub fn next_wake(&self) -> Option<Instant> {
-        self.timers.peek().map(|Reverse((t, _))| *t)
-    }
-
     /// The request that leaves next for this shard, if any may leave now.
     fn pick(&mut self, shard: ShardId) -> Option<(RequestId, NodeId, bool)> {
         let now = self.now;
@@ -835,9 +783,10 @@
             t.holder = Some(id);
             t.out += 1;
         }
-        // Where attempts get lost, one out far longer than usual is given up: it must not fill the caps. Against
-        // bad links; hurts where cheap requests overtake costly ones. At a crowded node one is given up at
-        // its latency objective, so the queue can drop what is late: against drowned nodes; costs what late ones earn.
+        // Where attempts get lost, one out far longer than usual is given up: it must not fill the caps.
+        // Against bad links; hurts where cheap requests overtake costly ones. At a crowded node one is given
+        // up at its latency objective, so the queue can drop what is late: against drowned nodes; costs what
+        // late ones earn.
         let here = &n.latency[x.class.0 as usize];
         let seen = if here.count() >= TIMEOUT_SEEN { here } else { &self.everywhere[x.class.0 as usize] };
         let far = TimeDelta::from_secs(seen.at(TIMEOUT_AT).unwrap_or(0.0) * TIMEOUT_TIMES);
@@ -852,7 +801,8 @@
         Decision::Send { request: id, node, timeout, begin_by }
     }
 
-    /// Until when a repeat of this idempotent by key request is known for one: its attempt must have begun by then.
+    /// Until when a repeat of this idempotent by key request is known for one: its attempt must have begun by
+    /// then.
     fn known_until(&self, x: &Request) -> Option<Instant> {
         match self.classes[x.class.0 as usize].effect {
             Effect::IdempotentByKey { window, .. } => {
@@ -875,7 +825,8 @@
         }
     }
 
-    /// An attempt ended without success: another where the rules and time allow, else the final answer at once.
+    /// An attempt ended without success: another where the rules and time allow, else the final answer at
+    /// once.
     fn go_on(&mut self, id: RequestId) {
         let Some(x) = self.requests.get(&id) else { return };
         if x.attempts >= self.max_attempts || x.objective_at <= self.now || !self.is_retry_safe(x, None) {
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,7 +2,68 @@
 
 use crate::histogram::Histogram;
 use crate::interface::*;
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
+
+/// All that is known of the nodes, volumes and requests; `policy` reads it and decides.
+#[derive(Default)]
+pub struct Scheduler {
+    pub(crate) now: Instant,
+    pub(crate) rng: Chance,
+    pub(crate) hosts: f64,
+    pub(crate) there: f64, // of them, as far as is known; only caps follow it
+    pub(crate) margin: TimeDelta,
+    pub(crate) plans: Vec<Plan>,
+    pub(crate) classes: Vec<TrafficClass>,
+    pub(crate) tightest: TimeDelta, // latency objective
+    pub(crate) mean_units: f64,
+    pub(crate) max_attempts: u32,
+    pub(crate) longest_wait: TimeDelta,
+    pub(crate) settle: TimeDelta,
+    pub(crate) budget: Budget,
+    pub(crate) cold: Cold,
+    pub(crate) again: f64, // part that counts of units done for a piece that a node may have at hand
+    pub(crate) asked: bool,
+    pub(crate) list_fails: i32,
+    pub(crate) volumes: HashMap<VolumeId, Volume>,
+    pub(crate) nodes: BTreeMap<NodeId, Node>,
+    pub(crate) shards: BTreeMap<ShardId, Shard>,
+    pub(crate) turns: HashMap<KeyId, Turn>,
+    pub(crate) requests: HashMap<RequestId, Request>,
+    pub(crate) timers: BinaryHeap<Reverse<(Instant, Timer)>>,
+    pub(crate) lost: Losses,
+    pub(crate) everywhere: Vec<Histogram>, // times at all nodes, for each traffic class
+    pub(crate) rejected_requests: RejectedRequests,
+    pub(crate) due: BTreeSet<ShardId>,
+    pub(crate) homeless: Vec<RequestId>, // new objects for which no node was to be had
+    pub(crate) decided: VecDeque<Decision>,
+}
+
+impl Scheduler {
+    /// Whether the settings named this traffic class and plan.
+    pub fn knows(&self, class: TrafficClassId, plan: PlanId) -> bool {
+        (class.0 as usize) < self.classes.len() && (plan.0 as usize) < self.plans.len()
+    }
+
+    /// Order keys that are remembered: those with a request that is not over, or at rest.
+    pub fn keys_in_order(&self) -> usize {
+        self.turns.len()
+    }
+
+    /// Nodes and volumes that are remembered.
+    pub fn known(&self) -> (usize, usize) {
+        (self.nodes.len(), self.volumes.len())
+    }
+
+    /// When `next_decision` should be called again, if nothing happens before.
+    pub fn next_wake(&self) -> Option<Instant> {
+        self.timers.peek().map(|Reverse((t, _))| *t)
+    }
+
+    pub(crate) fn log(&mut self, line: String) {
+        self.decided.push_back(Decision::Log(line));
+    }
+}
 
 /// The document's alternate bucket: units are added as they are sent, drain at `rate`, and wait for room.
 #[derive(Default)]
@@ -43,7 +104,8 @@
     pub limit: Bucket,
     pub reserve: Bucket,
     pub split: Split,
-    pub moved: (f64, f64, Instant), // shares of the limit left to other hosts, and by them to this one until then
+    /// Shares of the limit left to other hosts, and by them to this one until then.
+    pub moved: (f64, f64, Instant),
 }
 
 /// What a request asks for: its client's later try asks for the same.
--- a/tests/decision_hash.rs
+++ b/tests/decision_hash.rs
@@ -1,7 +1,8 @@
 //! Guards the scheduler's behaviour as a whole against refactorings that must not change it, above all large
 //! renamings. Seeded runs feed some 10,000 inputs of every kind into a `Scheduler`; every decision and every
-//! wake-up time is folded into a SHA-256 hash which is compared with a constant. Only numbers are folded, never
-//! `Debug` output, so new names of types and fields move nothing. Log lines count, their wording does not.
+//! wake-up time is folded into a SHA-256 hash which is compared with a constant. Only numbers are folded,
+//! never `Debug` output, so new names of types and fields move nothing. Log lines count, their wording does
+//! not.
 //!
 //! A change that is meant to alter decisions updates the constants and says why in its commit.
 
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -1,5 +1,5 @@
-//! Operators' orders at the module: a weight scales what a node is given, a pin lifts the hold of a sick node, and
-//! neither sends anything that the list or the cold guard forbids.
+//! Operators' orders at the module: a weight scales what a node is given, a pin lifts the hold of a sick
+//! node, and neither sends anything that the list or the cold guard forbids.
 
 mod common;
 use common::{secs, sent, Desk};
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -31,9 +31,9 @@
 
 #[test]
 fn caps_shrink_the_more_hosts_share_the_node() {
-    // Hosts, traffic class, how long answers take, what the node says waits there; the least and most attempts of one
-    // host with plenty waiting in 10 s. Many must not fill a node where each keeps only one out, and looser
-    // streams must leave it to the tight ones of hosts they don't see.
+    // Hosts, traffic class, how long answers take, what the node says waits there; the least and most
+    // attempts of one host with plenty waiting in 10 s. Many must not fill a node where each keeps only one
+    // out, and looser streams must leave it to the tight ones of hosts they don't see.
     for (hosts, traffic_class, took, waiting, least, most) in [
         (1, 0, 0.05, 0.0, 400, 4000),
         (4, 0, 0.4, 0.0, 10, 120),
@@ -176,7 +176,8 @@
 
 #[test]
 fn a_node_that_fails_by_chance_is_asked_again_in_time() {
-    // How many of ten attempts fail, and how long that takes; requests of 100 done within the latency objective, at least and most.
+    // How many of ten attempts fail, and how long that takes; requests of 100 done within the latency
+    // objective, at least and most.
     for (failing, took, least, most) in [(5, 0.005, 85, 100), (7, 0.005, 60, 100), (5, 0.3, 30, 70)] {
         let mut d = desk(1);
         let (mut attempts, mut done, mut out) = (0u32, 0, Vec::<(f64, RequestId, u32)>::new());
@@ -236,8 +237,9 @@
 
 #[test]
 fn a_node_that_serves_nothing_gets_less_and_a_lossy_link_does_not() {
-    // How long clients wait, how many of ten attempts in a row are not answered in that time; the least and most
-    // attempts in 120 s at 100 hosts. A drowned node, or one too slow for hurried clients, never answers slowly.
+    // How long clients wait, how many of ten attempts in a row are not answered in that time; the least and
+    // most attempts in 120 s at 100 hosts. A drowned node, or one too slow for hurried clients, never answers
+    // slowly.
     for (left, lost, least, most) in
         [(3.0, 0, 300, 4000), (3.0, 1, 80, 4000), (3.0, 10, 5, 30), (0.08, 10, 5, 80)]
     {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -99,7 +99,8 @@
 fn a_cold_node_bears_what_all_hosts_send() {
     // Hosts, and how many of them start anew with the node. It serves 24 units a second when warm and can do
     // 40, of which a fifth when cold; all lists tell of its start at other times, and it answers none.
-    // Some of those that start anew are told what their earlier generation saw: it is no more than before, and starves less.
+    // Some of those that start anew are told what their earlier generation saw: it is no more than before,
+    // and starves less.
     let mut untold = 0.0;
     for (hosts, anew, told) in [
         (1u32, 0u32, false),
@@ -161,8 +162,8 @@
 
 #[test]
 fn a_node_quick_with_what_it_has_at_hand_is_not_taken_for_able() {
-    // Pieces of data that are asked for in turn, and what work may be saved: of few pieces, a node answers at once that can
-    // do little else.
+    // Pieces of data that are asked for in turn, and what work may be saved: of few pieces, a node answers at
+    // once that can do little else.
     let mut sent_of = Vec::new();
     for (pieces, saved) in [(1u32, 1.0), (4, 1.0), (1000, 1.0), (1, 0.0)] {
         let mut d = Desk::of(1, 4, Effect::Idempotent, false);
@@ -188,7 +189,8 @@
         }
         sent_of.push(units);
     }
-    // This host's part of 12 safe units, and what time frees of it in 3 s; a node that was seen to do much gets more.
+    // This host's part of 12 safe units, and what time frees of it in 3 s; a node that was seen to do much
+    // gets more.
     assert!(
         sent_of[0] <= 8.0 && sent_of[1] <= 8.0 && sent_of[2] >= 40.0 && sent_of[3] >= 40.0,
         "{sent_of:?}"
@@ -304,8 +306,9 @@
 
 #[test]
 fn parts_of_a_limit_sum_within_it_for_any_number_of_hosts() {
-    // Hosts and the units that the limit's store holds, a quarter of which it fills a second. Each host floods it, late
-    // enough to know the volume. Where its part holds two of the largest, these pass; else they may not.
+    // Hosts and the units that the limit's store holds, a quarter of which it fills a second. Each host
+    // floods it, late enough to know the volume. Where its part holds two of the largest, these pass; else
+    // they may not.
     for (hosts, burst) in [(1u32, 40.0), (3, 48.0), (24, 384.0), (300, 4800.0), (24, 40.0), (300, 40.0)] {
         let (mut units, mut largest) = (0.0, 0);
         for h in 0..hosts {
@@ -338,8 +341,8 @@
 }
 
 impl Store {
-    /// `force`: rate and burst of each version that some host may still go by. What is left, less than nothing by the
-    /// slack at most.
+    /// `force`: rate and burst of each version that some host may still go by. What is left, less than
+    /// nothing by the slack at most.
     fn draw(&mut self, now: f64, force: &[(f64, f64)], units: f64) -> f64 {
         let rate = force.iter().map(|f| f.0).fold(0.0, f64::max);
         let burst = force.iter().map(|f| f.1).fold(0.0, f64::max);
@@ -351,8 +354,9 @@
 
 #[test]
 fn a_limit_that_moves_is_kept_by_hosts_that_learn_of_it_apart() {
-    // Limits and bursts, one after the other every 10 s; when the two hosts learn of each, within the 2 s after which it is
-    // in force; the least that is drawn in the last 8 s, in parts of what the last one gives.
+    // Limits and bursts, one after the other every 10 s; when the two hosts learn of each, within the 2 s
+    // after which it is in force; the least that is drawn in the last 8 s, in parts of what the last one
+    // gives.
     type Case<'a> = (&'a str, &'a [(f64, f64)], [f64; 2], f64);
     let table: &[Case] = &[
         ("lowered under a flood", &[(40.0, 80.0), (8.0, 16.0)], [0.0, 1.9], 0.7),
@@ -447,8 +451,8 @@
 
 #[test]
 fn what_can_never_leave_is_answered_at_once_and_holds_nobody() {
-    // Why: larger than its host's part of the burst, or a mark that nodes no longer know. The answer is final, comes at
-    // once and says when to come back where a retry is safe.
+    // Why: larger than its host's part of the burst, or a mark that nodes no longer know. The answer is
+    // final, comes at once and says when to come back where a retry is safe.
     for over in [true, false] {
         let mut d = Desk::new(2, idempotent_by_key(0.2), false);
         d.ready(1);
