--- a/crates/benchlink/src/lib.rs
+++ b/crates/benchlink/src/lib.rs
@@ -132,7 +132,7 @@
                 let key = v.get(4).and_then(Value::as_str).map(|k| KeyId(self.keys.number(k)));
                 let shard = integer(v.get(8), "lies_in")?;
                 let (traffic_class, plan) = (index(v.get(2), "service")?, index(v.get(3), "qos_class")?);
-                if !self.scheduler.knows(TrafficClassId(traffic_class), PlanId(plan)) {
+                if !self.scheduler.is_configured(TrafficClassId(traffic_class), PlanId(plan)) {
                     return Err(format!(
                         "service {traffic_class} or qos_class {plan} is not among the settings"
                     ));
@@ -184,7 +184,7 @@
             }
             "UnderWay" => {
                 if let Some(id) = self.requests.known(text(v.get(1), "tid")?) {
-                    self.scheduler.answer_started(now, RequestId(id));
+                    self.scheduler.response_started(now, RequestId(id));
                 }
             }
             "Fleet" => {
@@ -229,7 +229,7 @@
     }
 
     fn decide(&mut self, now: Instant, number: i64, orders: &mut Vec<Value>) {
-        while let Some(d) = self.scheduler.next_decision(now) {
+        while let Some(d) = self.scheduler.poll_decision(now) {
             orders.push(match d {
                 // What leaves here has begun.
                 Decision::Send { request, node, timeout, begin_by: _ } => {
@@ -249,7 +249,7 @@
                 Decision::Log(line) => json!(["SayLog", number, line]),
             });
         }
-        if let Some(t) = self.scheduler.next_wake().filter(|t| self.armed.is_none_or(|a| *t < a)) {
+        if let Some(t) = self.scheduler.poll_timeout().filter(|t| self.armed.is_none_or(|a| *t < a)) {
             self.armed = Some(t);
             self.token += 1;
             orders.push(json!(["NotifyMe", number, (t - now).secs().max(0.0), self.token]));
--- a/crates/benchmarks/src/core_cost.rs
+++ b/crates/benchmarks/src/core_cost.rs
@@ -127,10 +127,10 @@
 fn module(settings: &HostSettings, requests: u64) -> f64 {
     let mut s = Scheduler::new(seconds(0), 1, 1, TimeDelta::from_secs(0.002), settings.units.mean);
     for st in &settings.traffic_classes {
-        s.traffic_class(st.latency_objective, st.effect, st.in_order);
+        s.add_traffic_class(st.latency_objective, st.effect, st.in_order);
     }
     for p in &settings.plans {
-        s.plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
+        s.add_plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
     }
     let node = |n: u32| NodeEntry {
         node: NodeId(n),
@@ -164,7 +164,7 @@
             );
             sent += 1;
         }
-        while let Some(d) = s.next_decision(now) {
+        while let Some(d) = s.poll_decision(now) {
             if let Decision::Send { request, .. } = d {
                 out.push(request);
             }
--- a/crates/config/src/host.rs
+++ b/crates/config/src/host.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
-use tackmast::interface::{Effect, Group, TimeDelta};
+use tackmast::interface::{DedupScope, Effect, TimeDelta};
 
 /// `host { ... }`
 #[derive(Debug, Clone, Deserialize, PartialEq)]
@@ -241,7 +241,7 @@
     pub window_s: f64,
 }
 
-/// `cold_nodes { ... }`: rule 4, as `Scheduler::cold_nodes` takes it.
+/// `cold_nodes { ... }`: rule 4, as `Scheduler::set_slow_start` takes it.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ColdNodes {
@@ -606,12 +606,12 @@
                 (EffectName::Idempotent, _) => Effect::Idempotent,
                 (EffectName::NonIdempotent, _) => Effect::NonIdempotent,
                 (EffectName::IdempotentByKey, Some(_)) => {
-                    let group = match s.group {
-                        GroupName::All => Group::All,
-                        GroupName::Zone => Group::Zone,
-                        GroupName::Shard => Group::Shard,
+                    let scope = match s.group {
+                        GroupName::All => DedupScope::All,
+                        GroupName::Zone => DedupScope::Zone,
+                        GroupName::Shard => DedupScope::Shard,
                     };
-                    Effect::IdempotentByKey { group, window: TimeDelta::from_secs(window) }
+                    Effect::IdempotentByKey { scope, window: TimeDelta::from_secs(window) }
                 }
                 (EffectName::IdempotentByKey, None) => {
                     let at = Place { kind: "stream", label: &name, name: "window_s" };
--- a/crates/host-core/src/combine.rs
+++ b/crates/host-core/src/combine.rs
@@ -1,7 +1,7 @@
 //! One answer for a command of several parts. Parts are requests of their own to the decision module; their
 //! client is owed one final answer, as early as it is certain.
 
-use tackmast::interface::{Effect, Group, TimeDelta};
+use tackmast::interface::{DedupScope, Effect, TimeDelta};
 
 /// How far one part has come. `ran` tells whether an attempt of it may have had an effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -34,7 +34,7 @@
 fn again_is_safe(effect: Effect, client_marks: bool) -> bool {
     match effect {
         Effect::Idempotent => true,
-        Effect::IdempotentByKey { group: Group::All, .. } => client_marks,
+        Effect::IdempotentByKey { scope: DedupScope::All, .. } => client_marks,
         Effect::IdempotentByKey { .. } | Effect::NonIdempotent => false,
     }
 }
@@ -76,7 +76,7 @@
     #[test]
     fn parts_make_one_answer() {
         let s = TimeDelta::from_secs;
-        let idempotent_by_key = |group| Effect::IdempotentByKey { group, window: s(3.0) };
+        let idempotent_by_key = |scope| Effect::IdempotentByKey { scope, window: s(3.0) };
         let (re, un) = (Effect::Idempotent, Effect::NonIdempotent);
         let (open, out) = (PartEnd::Open { ran: false }, PartEnd::Open { ran: true });
         let late = |ran, wait: Option<f64>| PartEnd::Rejected { ran, retry_after: wait.map(s) };
@@ -110,22 +110,28 @@
             ),
             (
                 "keyed, the client marks",
-                idempotent_by_key(Group::All),
+                idempotent_by_key(DedupScope::All),
                 true,
                 &[late(true, None)],
                 rejected(None),
             ),
-            ("keyed, only the host marks", idempotent_by_key(Group::All), false, &[late(true, None)], failed),
+            (
+                "keyed, only the host marks",
+                idempotent_by_key(DedupScope::All),
+                false,
+                &[late(true, None)],
+                failed,
+            ),
             (
                 "keyed, only the host marks, unseen",
-                idempotent_by_key(Group::All),
+                idempotent_by_key(DedupScope::All),
                 false,
                 &[late(false, None)],
                 rejected(None),
             ),
             (
                 "keyed in a zone",
-                idempotent_by_key(Group::Zone),
+                idempotent_by_key(DedupScope::Zone),
                 true,
                 &[PartEnd::Done, late(false, None)],
                 failed,
--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -327,22 +327,22 @@
         let longest = TimeDelta::from_secs(s.load.longest_wait_s);
         let mut scheduler = Scheduler::new(now, seed, s.host.hosts, tick, s.units.mean);
         for st in &s.traffic_classes {
-            scheduler.traffic_class(st.latency_objective, st.effect, st.in_order);
+            scheduler.add_traffic_class(st.latency_objective, st.effect, st.in_order);
         }
         for p in &s.plans {
-            scheduler.plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
+            scheduler.add_plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
         }
-        scheduler.attempt_limits(s.load.max_attempts, longest, TimeDelta::from_secs(s.load.settle_s));
+        scheduler.set_attempt_limits(s.load.max_attempts, longest, TimeDelta::from_secs(s.load.settle_s));
         if let Some(f) = &s.retry_budget {
-            scheduler.retry_budget(f.free, f.share, TimeDelta::from_secs(f.window_s));
+            scheduler.set_retry_budget(f.free, f.share, TimeDelta::from_secs(f.window_s));
         }
         if let Some(c) = &s.cold {
             let (warm, window) = (TimeDelta::from_secs(c.warm_s), TimeDelta::from_secs(c.window_s));
             let (safe, multiple) = cold_figures(c);
-            scheduler.cold_nodes(safe, c.from, warm, window, multiple);
-            scheduler.work_saved(c.saved);
+            scheduler.set_slow_start(safe, c.from, warm, window, multiple);
+            scheduler.set_cache_savings(c.saved);
         }
-        scheduler.list_must_be_asked();
+        scheduler.subscribe_to_node_list();
         let placed = PlacedSettings {
             traffic_classes: s.traffic_classes.clone(),
             tells: s.load.tells_others,
@@ -422,7 +422,7 @@
 
     /// Order keys that the module remembers.
     pub fn keys_in_order(&self) -> usize {
-        self.scheduler.keys_in_order()
+        self.scheduler.key_queue_count()
     }
 
     /// Commands without an answer, requests that are kept, and attempts out.
@@ -435,11 +435,11 @@
 impl Core {
     /// What each shard did for this host, units a second; and what an earlier generation of it saw.
     pub fn paces(&self, now: Instant) -> Vec<(ShardId, f64)> {
-        self.scheduler.paces(now)
+        self.scheduler.service_rates(now)
     }
 
     pub fn pace_known(&mut self, now: Instant, shard: ShardId, rate: f64) {
-        self.scheduler.pace_known(now, shard, rate);
+        self.scheduler.service_rate_restored(now, shard, rate);
     }
 
     /// Time has passed: attempts whose time is up end.
@@ -498,7 +498,7 @@
             }
             // Whatever came meanwhile, and however long this host stood still: nothing leaves by what counts no more.
             self.look_at_lease(now);
-            let decision = self.scheduler.next_decision(now)?;
+            let decision = self.scheduler.poll_decision(now)?;
             self.carry_out(now, decision);
         }
     }
@@ -510,7 +510,7 @@
         let ends = self.orders.as_ref().and_then(|o| o.next(now));
         let fellows = self.fellows.as_ref().map(|f| f.member.next_wake());
         let agreed = self.agreed.as_ref().map(|a| a.next_wake(now));
-        [attempt, cut, ends, fellows, agreed, self.scheduler.next_wake()].into_iter().flatten().min()
+        [attempt, cut, ends, fellows, agreed, self.scheduler.poll_timeout()].into_iter().flatten().min()
     }
 }
 
--- a/crates/host-core/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -103,7 +103,7 @@
         if self.draining {
             return self.refuse(from, Some(self.longest_wait));
         }
-        let known = self.scheduler.knows(p.traffic_class, p.plan);
+        let known = self.scheduler.is_configured(p.traffic_class, p.plan);
         if !known || p.left <= TimeDelta::ZERO || self.commands.contains_key(&from) {
             return self.refuse(from, None);
         }
--- a/crates/host-core/src/core/fellows.rs
+++ b/crates/host-core/src/core/fellows.rs
@@ -46,7 +46,7 @@
                 Move::Volume { name, plan } => {
                     let Some(volume) = self.layout.volume_named(name) else { continue };
                     self.layout.put_under(volume, plan.0);
-                    self.scheduler.volume_moved(now, VolumeId(volume as u32), *plan);
+                    self.scheduler.volume_plan_changed(now, VolumeId(volume as u32), *plan);
                 }
             }
         }
@@ -161,11 +161,11 @@
             let Some(f) = &mut self.fellows else { return };
             let Some(next) = f.next(now, &self.layout) else { return };
             match next {
-                Followed::There(hosts) => self.scheduler.hosts_there(hosts),
+                Followed::There(hosts) => self.scheduler.alive_hosts_changed(hosts),
                 Followed::Moved { volume, m } => {
                     let v = self.layout.volume(volume);
                     let (id, plan) = (VolumeId(volume as u32), PlanId(v.plan));
-                    self.scheduler.limit_moved(now, id, plan, v.hosts, m.lent, m.borrowed, m.until);
+                    self.scheduler.quota_leases_changed(now, id, plan, v.hosts, m.lent, m.borrowed, m.until);
                 }
                 Followed::Send { to, bytes } => self.outputs.push_back(Output::Datagram { to, bytes }),
                 Followed::Mode(line) => self.mode(line),
--- a/crates/host-core/src/core/listed.rs
+++ b/crates/host-core/src/core/listed.rs
@@ -68,7 +68,7 @@
             let mut e = entry;
             self.given(now, &mut e);
             self.scheduler.nodes_changed(now, ListKind::Changes, &[e]);
-            self.scheduler.node_ordered(now, node, given.weight, given.pinned);
+            self.scheduler.node_overridden(now, node, given.weight, given.pinned);
             stops |= given.state != NodeState::Ready;
         }
         if stops {
--- a/crates/host-core/tests/placed.rs
+++ b/crates/host-core/tests/placed.rs
@@ -24,18 +24,18 @@
 const EFFECTS: [Effect; 3] = [
     Effect::Idempotent,
     Effect::NonIdempotent,
-    Effect::IdempotentByKey { group: Group::Shard, window: TimeDelta::ZERO },
+    Effect::IdempotentByKey { scope: DedupScope::Shard, window: TimeDelta::ZERO },
 ];
 
 impl Rig {
     fn new(requests: usize, nodes: usize, volumes: usize) -> Rig {
         let now = at(10.0);
         let mut scheduler = Scheduler::new(now, 1, 1, span(0.002), 2.0);
-        scheduler.plan(0.0, 0.0, 0.0, 0.0, 1.0);
+        scheduler.add_plan(0.0, 0.0, 0.0, 0.0, 1.0);
         let traffic_classes: Vec<TrafficClass> = EFFECTS
             .iter()
             .map(|effect| {
-                scheduler.traffic_class(span(0.3), *effect, false);
+                scheduler.add_traffic_class(span(0.3), *effect, false);
                 let (name, latency_objective, deadline) = (String::new(), span(0.3), span(1.0));
                 TrafficClass {
                     name,
@@ -47,7 +47,7 @@
                 }
             })
             .collect();
-        scheduler.attempt_limits(3, span(0.5), TimeDelta::ZERO);
+        scheduler.set_attempt_limits(3, span(0.5), TimeDelta::ZERO);
         let (tells, longest_wait, grace) = (true, span(0.5), span(1.0));
         let settings = PlacedSettings {
             traffic_classes,
--- a/crates/platform-host/src/serve.rs
+++ b/crates/platform-host/src/serve.rs
@@ -146,7 +146,7 @@
         };
         let mut scheduler = s.scheduler(now, c.seed);
         // Also where lists are pushed: what the platform's agent has is had by asking, from the first moment on.
-        scheduler.list_must_be_asked();
+        scheduler.subscribe_to_node_list();
         let core = Core::placed(now, scheduler, placed, c.seed);
         let reports = Reports::of(&s);
         let peers = match &c.peers {
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::values::{index, object, or, span, text};
 use serde_json::{Map, Value};
-use tackmast::interface::{Effect, Group, Instant, TimeDelta};
+use tackmast::interface::{DedupScope, Effect, Instant, TimeDelta};
 use tackmast::policy::Scheduler;
 
 #[derive(Clone, Debug)]
@@ -117,19 +117,19 @@
     pub fn scheduler(&self, now: Instant, seed: u64) -> Scheduler {
         let mut s = Scheduler::new(now, seed, self.hosts, self.tick, self.mean_units);
         for st in &self.traffic_classes {
-            s.traffic_class(st.latency_objective, st.effect, st.in_order);
+            s.add_traffic_class(st.latency_objective, st.effect, st.in_order);
         }
         for p in &self.plans {
-            s.plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
+            s.add_plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
         }
-        s.attempt_limits(self.max_attempts, self.longest_wait, self.settle);
+        s.set_attempt_limits(self.max_attempts, self.longest_wait, self.settle);
         if let Some((free, share, window)) = self.retry_budget {
-            s.retry_budget(free, share, window);
+            s.set_retry_budget(free, share, window);
         }
         let (safe, from, warm, window, multiple) = self.cold;
-        s.cold_nodes(safe, from, warm, window, multiple);
+        s.set_slow_start(safe, from, warm, window, multiple);
         if self.asks_list {
-            s.list_must_be_asked();
+            s.subscribe_to_node_list();
         }
         s
     }
@@ -155,10 +155,10 @@
         "repeatable" => Effect::Idempotent,
         "once" => Effect::NonIdempotent,
         "by_key" => Effect::IdempotentByKey {
-            group: match text(class.get("group"), "group")? {
-                "all" => Group::All,
-                "zone" => Group::Zone,
-                "cell" => Group::Shard,
+            scope: match text(class.get("group"), "group")? {
+                "all" => DedupScope::All,
+                "zone" => DedupScope::Zone,
+                "cell" => DedupScope::Shard,
                 other => return Err(format!("group: {other}; expected all, zone or cell")),
             },
             window: span(class, "window")?,
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -9,7 +9,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use tackmast::interface::{Effect, Group};
+use tackmast::interface::{DedupScope, Effect};
 use tackmast_emulators::list::NodeList;
 use tackmast_emulators::node::{Marks, Node, NodeSettings};
 use tackmast_emulators::store::Store;
@@ -209,18 +209,18 @@
 impl Nodes {
     pub fn start(script: &Script, rig: &Rig, recorder: &Recorder) -> Result<Nodes, String> {
         // Nodes of one discard group share their marks. A day has one kind of group: the widest named.
-        let groups = script.settings.traffic_classes.iter().filter_map(|s| match s.effect {
-            Effect::IdempotentByKey { group, window } => Some((group, window.secs())),
+        let scopes = script.settings.traffic_classes.iter().filter_map(|s| match s.effect {
+            Effect::IdempotentByKey { scope, window } => Some((scope, window.secs())),
             _ => None,
         });
-        let groups: Vec<(Group, f64)> = groups.collect();
+        let scopes: Vec<(DedupScope, f64)> = scopes.collect();
         let mut nodes = Nodes {
             by_name: BTreeMap::new(),
             scopes: BTreeMap::new(),
             stores: BTreeMap::new(),
-            window_s: groups.iter().map(|(_, w)| *w).fold(0.0, f64::max),
-            zone_scope: groups.iter().any(|(g, _)| *g == Group::Zone),
-            all_scope: groups.iter().any(|(g, _)| *g == Group::All),
+            window_s: scopes.iter().map(|(_, w)| *w).fold(0.0, f64::max),
+            zone_scope: scopes.iter().any(|(scope, _)| *scope == DedupScope::Zone),
+            all_scope: scopes.iter().any(|(scope, _)| *scope == DedupScope::All),
             seed: script.day.seed * 1000,
             max_data: script.settings.bounds.command_bytes as usize,
             recorder: recorder.clone(),
--- a/crates/scenario/src/play.rs
+++ b/crates/scenario/src/play.rs
@@ -14,7 +14,7 @@
 use std::path::Path;
 use std::sync::{Arc, PoisonError, RwLock};
 use std::time::{Duration, Instant};
-use tackmast::interface::{Effect, Group};
+use tackmast::interface::{DedupScope, Effect};
 use tackmast_admin::{Answer, Call};
 use tackmast_config::HostSettings;
 use tackmast_emulators::initiator::{self, Initiator, Login};
@@ -51,13 +51,13 @@
         let (effect, window) = match st.effect {
             Effect::Idempotent => (EffectKind::Idempotent, 0.0),
             Effect::NonIdempotent => (EffectKind::NonIdempotent, 0.0),
-            Effect::IdempotentByKey { group: Group::All, window } => {
+            Effect::IdempotentByKey { scope: DedupScope::All, window } => {
                 (EffectKind::IdempotentByKeyAll, window.secs())
             }
-            Effect::IdempotentByKey { group: Group::Zone, window } => {
+            Effect::IdempotentByKey { scope: DedupScope::Zone, window } => {
                 (EffectKind::IdempotentByKeyZone, window.secs())
             }
-            Effect::IdempotentByKey { group: Group::Shard, window } => {
+            Effect::IdempotentByKey { scope: DedupScope::Shard, window } => {
                 (EffectKind::IdempotentByKeyShard, window.secs())
             }
         };
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -84,7 +84,7 @@
 
 /// Which nodes discard repeats of an idempotent-by-key request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     All,
     Zone,
     Shard,
@@ -94,7 +94,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Idempotent,
-    IdempotentByKey { group: Group, window: TimeDelta },
+    IdempotentByKey { scope: DedupScope, window: TimeDelta },
     NonIdempotent,
 }
 
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,7 +1,7 @@
 //! Every decision of tackmast. How it is called: the host makes one `Scheduler`, tells it the settings part
 //! by part, and then reports what happens through the inputs (`request_arrived`, `attempt_ended`,
-//! `nodes_changed`, ...), which only update what is known. After each report it pulls `next_decision(now)`
-//! until there is none and asks `next_wake` when to come back. The types are in `src/interface.rs`.
+//! `nodes_changed`, ...), which only update what is known. After each report it pulls `poll_decision(now)`
+//! until there is none and asks `poll_timeout` when to come back. The types are in `src/interface.rs`.
 //!
 //! The ordinary path of a request: it waits at its shard; its volume's limit bucket must have room; within
 //! a priority, units inside the reservation leave first, the rest by plan weight; the node's caps bound what
@@ -83,12 +83,12 @@
     }
 
     /// Plans are numbered in the order given; a `limit` of 0 is none.
-    pub fn plan(&mut self, limit: f64, burst: f64, slack: f64, reserve: f64, weight: f64) {
+    pub fn add_plan(&mut self, limit: f64, burst: f64, slack: f64, reserve: f64, weight: f64) {
         self.plans.push(Plan { limit, burst, slack, reserve, weight: weight.max(1e-6) });
     }
 
     /// Traffic classes are numbered in the order given.
-    pub fn traffic_class(&mut self, latency_objective: TimeDelta, effect: Effect, in_order: bool) {
+    pub fn add_traffic_class(&mut self, latency_objective: TimeDelta, effect: Effect, in_order: bool) {
         self.classes.push(TrafficClass { latency_objective, rank: 0, tight: 1.0, effect, in_order });
         self.tightest = rank_by_latency_objective(&mut self.classes);
         self.everywhere.push(Histogram::new(LATENCY_FIRST, LATENCY_HALVE));
@@ -96,17 +96,24 @@
 
     /// `longest_wait` is the longest that a client can be asked to stay away; zero: it can't be asked.
     /// `settle` is how long a key rests after an attempt that may still be running.
-    pub fn attempt_limits(&mut self, max_attempts: u32, longest_wait: TimeDelta, settle: TimeDelta) {
+    pub fn set_attempt_limits(&mut self, max_attempts: u32, longest_wait: TimeDelta, settle: TimeDelta) {
         (self.max_attempts, self.longest_wait, self.settle) = (max_attempts, longest_wait, settle);
     }
 
-    pub fn retry_budget(&mut self, free: f64, share: f64, window: TimeDelta) {
+    pub fn set_retry_budget(&mut self, free: f64, share: f64, window: TimeDelta) {
         self.budget = Budget { free, share, window: Some(window), ..Budget::default() };
     }
 
     /// `safe` units within `window` from all hosts never hurt a node that starts at part `from` of its
     /// capacity and is warm after `warm`; nor does `multiple` times what it can do at the moment.
-    pub fn cold_nodes(&mut self, safe: f64, from: f64, warm: TimeDelta, window: TimeDelta, multiple: f64) {
+    pub fn set_slow_start(
+        &mut self,
+        safe: f64,
+        from: f64,
+        warm: TimeDelta,
+        window: TimeDelta,
+        multiple: f64,
+    ) {
         let n = (safe / self.mean_units).max(1.0);
         let sum = 1.0 - 1.0 / multiple.max(1.0) + COLD_CHANCE * (2.0 * n.sqrt() + 2.0) / n;
         let (safe, multiple, from) = (safe * sum, multiple * sum, from.clamp(0.01, 1.0));
@@ -114,11 +121,11 @@
     }
 
     /// Nodes may save up to this part of the work for a piece of data that they have at hand; 0 until told.
-    pub fn work_saved(&mut self, part: f64) {
+    pub fn set_cache_savings(&mut self, part: f64) {
         self.again = 1.0 - part.clamp(0.0, 1.0);
     }
 
-    pub fn list_must_be_asked(&mut self) {
+    pub fn subscribe_to_node_list(&mut self) {
         self.timers.push(Reverse((self.now, Timer::List)));
     }
 }
@@ -140,7 +147,7 @@
         hosts: u32,
     ) {
         self.now = now;
-        self.volume_moved(now, volume, plan);
+        self.volume_plan_changed(now, volume, plan);
         let st = &self.classes[class.0 as usize];
         let (p, told) = (&self.plans[plan.0 as usize], f64::from(hosts.max(1)));
         // A new generation of a host can't know what an earlier one drew: its limit bucket starts full, but
@@ -192,7 +199,7 @@
     }
 
     /// A streamed answer has begun: its client has it, and nothing is owed by a set time any more.
-    pub fn answer_started(&mut self, now: Instant, id: RequestId) {
+    pub fn response_started(&mut self, now: Instant, id: RequestId) {
         self.now = now;
         self.requests.entry(id).and_modify(|x| x.started = true);
     }
@@ -208,7 +215,7 @@
     }
 
     /// What an earlier generation of this host saw a shard do for it, units a second.
-    pub fn pace_known(&mut self, now: Instant, shard: ShardId, rate: f64) {
+    pub fn service_rate_restored(&mut self, now: Instant, shard: ShardId, rate: f64) {
         self.now = now;
         let s = self.shards.entry(shard).or_default();
         s.pace.known(now, rate, MIN_COLD_SEEN, COLD_MEMORY);
@@ -216,7 +223,7 @@
     }
 
     /// The same of each shard in this generation, for the next one.
-    pub fn paces(&self, now: Instant) -> Vec<(ShardId, f64)> {
+    pub fn service_rates(&self, now: Instant) -> Vec<(ShardId, f64)> {
         let rate = |s: &Shard| s.pace.rate(now, COLD_MEMORY, MIN_COLD_SEEN);
         self.shards.iter().map(|(id, s)| (*id, rate(s))).collect()
     }
@@ -229,7 +236,7 @@
 
     /// Operators' word on a node: the part of what it would be given otherwise, and whether it stays in
     /// service whatever its health. Off at 1 and false. The list, the guards and the rules come first.
-    pub fn node_ordered(&mut self, now: Instant, node: NodeId, weight: f64, pinned: bool) {
+    pub fn node_overridden(&mut self, now: Instant, node: NodeId, weight: f64, pinned: bool) {
         self.now = now;
         if let Some(n) = self.nodes.get_mut(&node) {
             (n.weight, n.pinned) = (weight.clamp(0.01, 1.0), pinned);
@@ -241,7 +248,7 @@
     /// `borrowed` is left to this host until then. Whoever tells this sees to it that all parts sum to no
     /// more than the whole.
     #[allow(clippy::too_many_arguments)]
-    pub fn limit_moved(
+    pub fn quota_leases_changed(
         &mut self,
         now: Instant,
         volume: VolumeId,
@@ -279,7 +286,7 @@
     }
 
     /// A volume is under this plan from now on, with all that waits of it.
-    pub fn volume_moved(&mut self, now: Instant, volume: VolumeId, plan: PlanId) {
+    pub fn volume_plan_changed(&mut self, now: Instant, volume: VolumeId, plan: PlanId) {
         self.now = now;
         let Some(v) = self.volumes.get_mut(&volume).filter(|v| v.plan != plan) else { return };
         let old = std::mem::replace(&mut v.plan, plan);
@@ -291,7 +298,7 @@
 
     /// How many hosts are thought to be there. Caps follow it, whose sum no rule bounds; the guards keep to
     /// the told number, whatever is thought.
-    pub fn hosts_there(&mut self, there: u32) {
+    pub fn alive_hosts_changed(&mut self, there: u32) {
         self.there = f64::from(there.max(1)).min(self.hosts);
         let least = (FEW / self.there).min(1.0);
         self.nodes.values_mut().for_each(|n| (n.least, n.cap) = (least, n.cap.max(least)));
@@ -376,12 +383,6 @@
         }
     }
 
-    /// The client has left, or the request was ended for us.
-    pub fn request_cancelled(&mut self, now: Instant, id: RequestId) {
-        self.now = now;
-        self.finish(id);
-    }
-
     pub fn nodes_changed(&mut self, now: Instant, kind: ListKind, entries: &[NodeEntry]) {
         self.now = now;
         if kind == ListKind::Failed {
@@ -523,7 +524,7 @@
 
 /// Decisions.
 impl Scheduler {
-    pub fn next_decision(&mut self, now: Instant) -> Option<Decision> {
+    pub fn poll_decision(&mut self, now: Instant) -> Option<Decision> {
         self.now = now;
         while self.timers.peek().is_some_and(|Reverse((t, _))| *t <= now) {
             let Some(Reverse((_, timer))) = self.timers.pop() else { break };
@@ -818,8 +819,8 @@
         match self.classes[x.class.0 as usize].effect {
             Effect::Idempotent => true,
             Effect::NonIdempotent => false,
-            Effect::IdempotentByKey { group, .. } => {
-                let same = |n| same_group(group, self.nodes.get(&n), self.nodes.get(&first));
+            Effect::IdempotentByKey { scope, .. } => {
+                let same = |n| same_group(scope, self.nodes.get(&n), self.nodes.get(&first));
                 node.is_none_or(same) && self.known_until(x).is_some_and(|t| self.now < t)
             }
         }
@@ -843,7 +844,7 @@
     fn answer(&mut self, id: RequestId, retry_after: Option<TimeDelta>) {
         let Some(x) = self.requests.get(&id).filter(|x| !x.ended) else { return };
         let safe = match self.classes[x.class.0 as usize].effect {
-            Effect::Idempotent | Effect::IdempotentByKey { group: Group::All, .. } => true,
+            Effect::Idempotent | Effect::IdempotentByKey { scope: DedupScope::All, .. } => true,
             _ => x.ran.is_none(),
         };
         let wait = retry_after.map(|w| w.min(self.longest_wait)).filter(|w| *w > TimeDelta::ZERO);
@@ -864,10 +865,6 @@
         self.finish(id);
     }
 
-    fn finish(&mut self, id: RequestId) {
-        self.due.extend(end(&mut self.requests, &mut self.turns, id, self.now));
-    }
-
     fn enqueue(&mut self, id: RequestId, first: bool) {
         let Some(x) = self.requests.get(&id).filter(|x| x.waiting) else { return };
         let bound = if x.any_node && x.ran.is_none() { None } else { x.shard };
--- a/src/state.rs
+++ b/src/state.rs
@@ -41,22 +41,37 @@
 
 impl Scheduler {
     /// Whether the settings named this traffic class and plan.
-    pub fn knows(&self, class: TrafficClassId, plan: PlanId) -> bool {
+    pub fn is_configured(&self, class: TrafficClassId, plan: PlanId) -> bool {
         (class.0 as usize) < self.classes.len() && (plan.0 as usize) < self.plans.len()
     }
 
     /// Order keys that are remembered: those with a request that is not over, or at rest.
-    pub fn keys_in_order(&self) -> usize {
+    pub fn key_queue_count(&self) -> usize {
         self.turns.len()
     }
 
-    /// Nodes and volumes that are remembered.
-    pub fn known(&self) -> (usize, usize) {
-        (self.nodes.len(), self.volumes.len())
+    /// Nodes that are remembered.
+    pub fn node_count(&self) -> usize {
+        self.nodes.len()
     }
 
-    /// When `next_decision` should be called again, if nothing happens before.
-    pub fn next_wake(&self) -> Option<Instant> {
+    /// Volumes that are remembered.
+    pub fn volume_count(&self) -> usize {
+        self.volumes.len()
+    }
+
+    /// The client has left, or the request was ended for us.
+    pub fn request_cancelled(&mut self, now: Instant, id: RequestId) {
+        self.now = now;
+        self.finish(id);
+    }
+
+    pub(crate) fn finish(&mut self, id: RequestId) {
+        self.due.extend(end(&mut self.requests, &mut self.turns, id, self.now));
+    }
+
+    /// When `poll_decision` should be called again, if nothing happens before.
+    pub fn poll_timeout(&self) -> Option<Instant> {
         self.timers.peek().map(|Reverse((t, _))| *t)
     }
 
@@ -651,11 +666,11 @@
     }
 }
 
-pub fn same_group(group: Group, a: Option<&Node>, b: Option<&Node>) -> bool {
+pub fn same_group(group: DedupScope, a: Option<&Node>, b: Option<&Node>) -> bool {
     match group {
-        Group::All => true,
-        Group::Zone => a.map(|n| n.zone) == b.map(|n| n.zone),
-        Group::Shard => a.map(|n| n.shard) == b.map(|n| n.shard),
+        DedupScope::All => true,
+        DedupScope::Zone => a.map(|n| n.zone) == b.map(|n| n.zone),
+        DedupScope::Shard => a.map(|n| n.shard) == b.map(|n| n.shard),
     }
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -25,13 +25,13 @@
 
     pub fn of(seed: u64, hosts: u32, effect: Effect, in_order: bool) -> Self {
         let mut s = Scheduler::new(Instant::from_secs(100.0), seed, hosts, secs(0.002), 2.0);
-        s.traffic_class(secs(0.5), effect, in_order);
-        s.traffic_class(secs(2.0), effect, in_order);
-        s.plan(10.0, 40.0, 4.0, 0.0, 1.0);
-        s.plan(0.0, 0.0, 0.0, 4.0, 1.0);
-        s.plan(0.0, 0.0, 0.0, 0.0, 3.0);
-        s.plan(0.0, 0.0, 0.0, 0.0, 1.0);
-        s.attempt_limits(4, secs(1.0), secs(0.3));
+        s.add_traffic_class(secs(0.5), effect, in_order);
+        s.add_traffic_class(secs(2.0), effect, in_order);
+        s.add_plan(10.0, 40.0, 4.0, 0.0, 1.0);
+        s.add_plan(0.0, 0.0, 0.0, 4.0, 1.0);
+        s.add_plan(0.0, 0.0, 0.0, 0.0, 3.0);
+        s.add_plan(0.0, 0.0, 0.0, 0.0, 1.0);
+        s.set_attempt_limits(4, secs(1.0), secs(0.3));
         Desk { s, now: 100.0, left: 3.0, told: 2, next: 0 }
     }
 
@@ -89,7 +89,7 @@
     /// What is decided now, without log lines.
     pub fn pull(&mut self) -> Vec<Decision> {
         let now = self.at();
-        let all = std::iter::from_fn(|| self.s.next_decision(now));
+        let all = std::iter::from_fn(|| self.s.poll_decision(now));
         all.filter(|d| !matches!(d, Decision::Log(_))).collect()
     }
 
@@ -98,7 +98,7 @@
         let mut all = Vec::new();
         loop {
             all.extend(self.pull().into_iter().map(|d| (self.now, d)));
-            match self.s.next_wake() {
+            match self.s.poll_timeout() {
                 Some(t) if t.secs() <= end => self.now = self.now.max(t.secs()) + 1e-6,
                 _ => break,
             }
--- a/tests/decision_hash.rs
+++ b/tests/decision_hash.rs
@@ -146,22 +146,22 @@
 
 fn configured_scheduler(setting: &Setting, now: Instant, seed: u64) -> Scheduler {
     let mut scheduler = Scheduler::new(now, seed, setting.hosts, seconds(0.001), 2.0);
-    scheduler.plan(0.0, 0.0, 0.0, 0.0, 1.0);
-    scheduler.plan(600.0, 120.0, 16.0, 0.0, 1.0);
-    scheduler.plan(900.0, 300.0, 30.0, 300.0, 2.0);
-    scheduler.plan(0.0, 0.0, 0.0, 200.0, 3.0);
-    let idempotent_by_key = |group, window| Effect::IdempotentByKey { group, window: seconds(window) };
-    scheduler.traffic_class(seconds(0.1), Effect::Idempotent, false);
-    scheduler.traffic_class(seconds(0.2), idempotent_by_key(Group::All, 0.3), false);
-    scheduler.traffic_class(seconds(0.3), idempotent_by_key(Group::Zone, 0.2), true);
-    scheduler.traffic_class(seconds(0.5), idempotent_by_key(Group::Shard, 0.4), true);
-    scheduler.traffic_class(seconds(0.2), Effect::NonIdempotent, true);
-    scheduler.traffic_class(seconds(1.0), Effect::Idempotent, false);
-    scheduler.attempt_limits(setting.max_attempts, seconds(setting.longest_wait), seconds(0.15));
-    scheduler.retry_budget(setting.retries_free, setting.retries_share, seconds(1.0));
-    scheduler.cold_nodes(200.0, 0.2, seconds(1.5), seconds(0.5), 2.0);
-    scheduler.work_saved(0.5);
-    scheduler.list_must_be_asked();
+    scheduler.add_plan(0.0, 0.0, 0.0, 0.0, 1.0);
+    scheduler.add_plan(600.0, 120.0, 16.0, 0.0, 1.0);
+    scheduler.add_plan(900.0, 300.0, 30.0, 300.0, 2.0);
+    scheduler.add_plan(0.0, 0.0, 0.0, 200.0, 3.0);
+    let idempotent_by_key = |scope, window| Effect::IdempotentByKey { scope, window: seconds(window) };
+    scheduler.add_traffic_class(seconds(0.1), Effect::Idempotent, false);
+    scheduler.add_traffic_class(seconds(0.2), idempotent_by_key(DedupScope::All, 0.3), false);
+    scheduler.add_traffic_class(seconds(0.3), idempotent_by_key(DedupScope::Zone, 0.2), true);
+    scheduler.add_traffic_class(seconds(0.5), idempotent_by_key(DedupScope::Shard, 0.4), true);
+    scheduler.add_traffic_class(seconds(0.2), Effect::NonIdempotent, true);
+    scheduler.add_traffic_class(seconds(1.0), Effect::Idempotent, false);
+    scheduler.set_attempt_limits(setting.max_attempts, seconds(setting.longest_wait), seconds(0.15));
+    scheduler.set_retry_budget(setting.retries_free, setting.retries_share, seconds(1.0));
+    scheduler.set_slow_start(200.0, 0.2, seconds(1.5), seconds(0.5), 2.0);
+    scheduler.set_cache_savings(0.5);
+    scheduler.subscribe_to_node_list();
     scheduler
 }
 
@@ -185,7 +185,7 @@
             up_since: vec![None; nodes],
             plans: 4,
         };
-        run.scheduler.pace_known(now, ShardId(0), 50.0);
+        run.scheduler.service_rate_restored(now, ShardId(0), 50.0);
         run.pull();
         run.send_list(ListKind::Complete, 0..SHARDS * NODES_PER_SHARD);
         run.pull();
@@ -209,12 +209,12 @@
             self.pull();
         }
         self.pass(seconds(5.0));
-        for (shard, rate) in self.scheduler.paces(self.now) {
+        for (shard, rate) in self.scheduler.service_rates(self.now) {
             self.hasher.number(i64::from(shard.0));
             self.hasher.seconds(rate);
         }
-        let (nodes, volumes) = self.scheduler.known();
-        let remembered = [nodes, volumes, self.scheduler.keys_in_order()];
+        let scheduler = &self.scheduler;
+        let remembered = [scheduler.node_count(), scheduler.volume_count(), scheduler.key_queue_count()];
         remembered.iter().for_each(|count| self.hasher.number(*count as i64));
         (self.hasher.hex(), self.counts)
     }
@@ -224,7 +224,7 @@
         let until = self.now + time;
         loop {
             let end = self.pending.keys().next().map(|(at, _)| Instant::from_secs(*at as f64 / 1e6));
-            let wake = self.scheduler.next_wake();
+            let wake = self.scheduler.poll_timeout();
             let Some(next) = end.into_iter().chain(wake).min().filter(|next| *next <= until) else { break };
             self.now = self.now.max(next);
             if end.is_some_and(|end| end <= self.now) {
@@ -259,11 +259,11 @@
     }
 
     fn pull(&mut self) {
-        while let Some(decision) = self.scheduler.next_decision(self.now) {
+        while let Some(decision) = self.scheduler.poll_decision(self.now) {
             self.hasher.decision(&decision);
             self.on_decision(decision);
         }
-        let wake = self.scheduler.next_wake();
+        let wake = self.scheduler.poll_timeout();
         self.hasher.optional_seconds(wake.map(Instant::secs));
     }
 
@@ -431,7 +431,7 @@
         let (lent, borrowed) = (even_share * self.fraction() * 0.5, even_share * self.fraction());
         let until = self.now + seconds(self.fraction());
         let hosts = self.setting.hosts;
-        self.scheduler.limit_moved(self.now, VolumeId(volume), plan, hosts, lent, borrowed, until);
+        self.scheduler.quota_leases_changed(self.now, VolumeId(volume), plan, hosts, lent, borrowed, until);
     }
 
     fn change_plan(&mut self) {
@@ -450,24 +450,24 @@
 
     fn move_volume(&mut self) {
         let (volume, plan) = (VolumeId(self.below(VOLUMES)), PlanId(self.below(self.plans)));
-        self.scheduler.volume_moved(self.now, volume, plan);
+        self.scheduler.volume_plan_changed(self.now, volume, plan);
     }
 
     fn order_node(&mut self) {
         let node = NodeId(self.below(SHARDS * NODES_PER_SHARD));
         let weight = if self.below(2) == 0 { 1.0 } else { self.fraction() };
         let is_pinned = self.below(3) == 0;
-        self.scheduler.node_ordered(self.now, node, weight, is_pinned);
+        self.scheduler.node_overridden(self.now, node, weight, is_pinned);
     }
 
     fn report_request_rate(&mut self) {
         let (shard, rate) = (ShardId(self.below(SHARDS)), 100.0 * self.fraction());
-        self.scheduler.pace_known(self.now, shard, rate);
+        self.scheduler.service_rate_restored(self.now, shard, rate);
     }
 
     fn change_hosts(&mut self) {
         let hosts = 1 + self.below(self.setting.hosts);
-        self.scheduler.hosts_there(hosts);
+        self.scheduler.alive_hosts_changed(hosts);
     }
 
     fn any_open(&mut self) -> Option<RequestId> {
@@ -478,7 +478,7 @@
 
     fn start_answer(&mut self) {
         if let Some(id) = self.any_open() {
-            self.scheduler.answer_started(self.now, id);
+            self.scheduler.response_started(self.now, id);
         }
     }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -62,7 +62,7 @@
     fn new(seed: u64, c: Case) -> Fleet {
         let desk = |i: u32| {
             let mut d = Desk::of(seed * 1000 + u64::from(i), c.told, Effect::Idempotent, false);
-            d.s.cold_nodes(c.safe, FROM, secs(WARM), secs(WINDOW), MULTIPLE);
+            d.s.set_slow_start(c.safe, FROM, secs(WARM), secs(WINDOW), MULTIPLE);
             d.ready(1);
             d
         };
@@ -143,13 +143,13 @@
         for i in 0..self.desks.len() {
             let up = self.now;
             if (i as u32) % 10 < c.anew {
-                let old = self.desks[i].s.paces(self.desks[i].at());
+                let old = self.desks[i].s.service_rates(self.desks[i].at());
                 let mut d = Desk::of(self.rng.rand_u64(), c.told, Effect::Idempotent, false);
-                d.s.cold_nodes(c.safe, FROM, secs(WARM), secs(WINDOW), MULTIPLE);
+                d.s.set_slow_start(c.safe, FROM, secs(WARM), secs(WINDOW), MULTIPLE);
                 d.now = self.now;
                 if i.is_multiple_of(2) {
                     let at = d.at();
-                    old.into_iter().for_each(|(shard, rate)| d.s.pace_known(at, shard, rate));
+                    old.into_iter().for_each(|(shard, rate)| d.s.service_rate_restored(at, shard, rate));
                 }
                 self.desks[i] = d;
             }
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -9,9 +9,9 @@
 /// Attempts in 10 s at one node with plenty waiting, each answered after 50 ms as told.
 fn attempts(weight: f64, pinned: bool, answer: Outcome, node: (NodeState, Option<f64>)) -> usize {
     let mut d = Desk::new(1, Effect::Idempotent, false);
-    d.s.cold_nodes(4.0, 0.2, secs(20.0), secs(1.0), 2.0);
+    d.s.set_slow_start(4.0, 0.2, secs(20.0), secs(1.0), 2.0);
     d.list(ListKind::Complete, &[(0, node.0, node.1)]);
-    d.s.node_ordered(d.at(), NodeId(0), weight, pinned);
+    d.s.node_overridden(d.at(), NodeId(0), weight, pinned);
     let (mut out, mut attempts, mut tries) = (VecDeque::new(), 0, HashMap::new());
     for step in 0..1000 {
         d.take(0, 2, step % 5, 1.0, 0, step);
@@ -55,7 +55,7 @@
 fn an_order_outlives_a_restart_of_its_node() {
     let mut d = Desk::new(1, Effect::Idempotent, false);
     d.ready(1);
-    d.s.node_ordered(d.at(), NodeId(0), 0.01, false);
+    d.s.node_overridden(d.at(), NodeId(0), 0.01, false);
     d.now += 1.0;
     d.list(ListKind::Changes, &[(0, NodeState::Ready, Some(100.5))]);
     (0..20).for_each(|i| _ = d.take(0, 2, i, 1.0, 0, i));
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -159,7 +159,7 @@
         let end = d.now + 10.0;
         d.until(end);
     }
-    let (nodes, volumes) = d.s.known();
+    let (nodes, volumes) = (d.s.node_count(), d.s.volume_count());
     assert!(nodes <= 8, "{nodes} nodes known");
     // Volumes: the table fills before those at rest are forgotten.
     for volume in 0..3000u32 {
@@ -171,7 +171,8 @@
             }
         }
     }
-    assert!(d.s.known().1 <= 512 + volumes.min(1), "{} volumes known", d.s.known().1);
+    let known = d.s.volume_count();
+    assert!(known <= 512 + volumes.min(1), "{known} volumes known");
 }
 
 #[test]
@@ -324,7 +325,7 @@
 #[test]
 fn a_lost_list_is_asked_for_again() {
     let mut d = Desk::new(1, Effect::Idempotent, false);
-    d.s.list_must_be_asked();
+    d.s.subscribe_to_node_list();
     assert_eq!(d.pull(), [Decision::FollowList]);
     let mut asked = 0;
     for _ in 0..5 {
@@ -387,7 +388,7 @@
         let mut d = Desk::new(1, Effect::Idempotent, *in_order);
         d.ready(1);
         // One is out and holds the node's only place.
-        d.s.node_ordered(d.at(), NodeId(0), 0.1, false);
+        d.s.node_overridden(d.at(), NodeId(0), 0.1, false);
         d.take(0, 2, 1, 2.0, 0, 99);
         let mut out: Vec<RequestId> = d.pull().iter().filter_map(sent).map(|s| s.0).collect();
         assert_eq!(out.len(), 1, "{why}");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -5,7 +5,7 @@
 use tackmast::interface::*;
 
 fn idempotent_by_key(window: f64) -> Effect {
-    Effect::IdempotentByKey { group: Group::Shard, window: secs(window) }
+    Effect::IdempotentByKey { scope: DedupScope::Shard, window: secs(window) }
 }
 
 #[test]
@@ -116,7 +116,7 @@
     ] {
         let start = |h: u32| {
             let mut d = Desk::of(u64::from(h), hosts, Effect::Idempotent, false);
-            d.s.cold_nodes(12.0, 0.2, secs(10.0), secs(3.0), 2.0);
+            d.s.set_slow_start(12.0, 0.2, secs(10.0), secs(3.0), 2.0);
             d
         };
         let mut desks: Vec<Desk> = (0..hosts).map(start).collect();
@@ -128,7 +128,7 @@
             d.pull();
             d.end(x, 0, Outcome::Done, 0.02);
         }
-        let seen = |d: &Desk| d.s.paces(Instant::from_secs(130.0));
+        let seen = |d: &Desk| d.s.service_rates(Instant::from_secs(130.0));
         let desks_before: Vec<_> = desks.iter().map(seen).collect();
         let mut units = 0.0;
         for h in 0..hosts {
@@ -136,9 +136,9 @@
             let mut d = if h < anew { start(h) } else { before };
             if told && h < anew {
                 let before = &desks_before[h as usize];
-                before
-                    .iter()
-                    .for_each(|(shard, rate)| d.s.pace_known(Instant::from_secs(130.0), *shard, *rate));
+                before.iter().for_each(|(shard, rate)| {
+                    d.s.service_rate_restored(Instant::from_secs(130.0), *shard, *rate)
+                });
             }
             d.now = 131.0 + f64::from(h % 10) * 0.1;
             d.list(ListKind::Complete, &[(0, NodeState::Ready, Some(130.5))]);
@@ -167,8 +167,8 @@
     let mut sent_of = Vec::new();
     for (pieces, saved) in [(1u32, 1.0), (4, 1.0), (1000, 1.0), (1, 0.0)] {
         let mut d = Desk::of(1, 4, Effect::Idempotent, false);
-        d.s.cold_nodes(12.0, 0.2, secs(10.0), secs(3.0), 2.0);
-        d.s.work_saved(saved);
+        d.s.set_slow_start(12.0, 0.2, secs(10.0), secs(3.0), 2.0);
+        d.s.set_cache_savings(saved);
         d.ready(1);
         for step in 0..600u32 {
             d.now = 100.0 + f64::from(step) / 60.0;
@@ -217,9 +217,9 @@
         for (x, outcome) in [(other, Outcome::TimedOut), (b, Outcome::TimedOut)] {
             d.end(x, 0, outcome, 0.05);
         }
-        assert_eq!(d.s.keys_in_order(), 2, "{outcome:?}");
+        assert_eq!(d.s.key_queue_count(), 2, "{outcome:?}");
         d.until(d.now + 4.0);
-        assert_eq!(d.s.keys_in_order(), 0, "{outcome:?}");
+        assert_eq!(d.s.key_queue_count(), 0, "{outcome:?}");
     }
 }
 
@@ -227,7 +227,7 @@
 fn retries_stay_in_budget_over_any_window() {
     for (free, share) in [(3.0, 0.25), (0.0, 0.1), (1.0, 0.0)] {
         let mut d = Desk::new(1, Effect::Idempotent, false);
-        d.s.retry_budget(free, share, secs(5.0));
+        d.s.set_retry_budget(free, share, secs(5.0));
         d.ready(1);
         let (mut taken, mut further, mut attempts) = (vec![], vec![], vec![0; 2000]);
         for i in 0..1000 {
@@ -313,7 +313,7 @@
         let (mut units, mut largest) = (0.0, 0);
         for h in 0..hosts {
             let mut d = Desk::of(u64::from(h), hosts, Effect::Idempotent, false);
-            d.s.plan(burst / 4.0, burst, 8.0, 0.0, 1.0);
+            d.s.add_plan(burst / 4.0, burst, 8.0, 0.0, 1.0);
             (d.told, d.left) = (hosts, 9.0);
             d.ready(1);
             let first = d.take(1, 4, 0, 2.0, 0, 0);
@@ -425,7 +425,7 @@
         let (start, mut units) = (d.now, 0.0);
         if moves {
             (0..20).for_each(|i| _ = d.take(0, 3, 0, 2.0, 0, 500 + i));
-            d.s.volume_moved(d.at(), VolumeId(0), PlanId(0));
+            d.s.volume_plan_changed(d.at(), VolumeId(0), PlanId(0));
             let end = d.now + 0.001;
             assert_eq!(
                 d.until(end).iter().filter_map(|(_, x)| sent(x)).count(),
