--- a/crates/benchlink/src/lib.rs
+++ b/crates/benchlink/src/lib.rs
@@ -137,18 +137,18 @@
                         "service {traffic_class} or qos_class {plan} is not among the settings"
                     ));
                 }
-                self.scheduler.request_arrived(
-                    now,
+                let request = NewRequest {
                     id,
-                    TrafficClassId(traffic_class),
-                    PlanId(plan),
+                    class: TrafficClassId(traffic_class),
+                    plan: PlanId(plan),
                     key,
-                    TimeDelta::from_secs(number(v.get(5), "budget")?),
-                    VolumeId(self.volumes.number(text(v.get(6), "store_user")?)),
-                    number(v.get(7), "weight")?,
-                    u32::try_from(shard).ok().map(ShardId),
-                    index(v.get(9), "hosts")?,
-                );
+                    time_left: TimeDelta::from_secs(number(v.get(5), "budget")?),
+                    volume: VolumeId(self.volumes.number(text(v.get(6), "store_user")?)),
+                    units: number(v.get(7), "weight")?,
+                    shard: u32::try_from(shard).ok().map(ShardId),
+                    hosts: index(v.get(9), "hosts")?,
+                };
+                self.scheduler.request_arrived(now, request);
             }
             "Completed" => {
                 let outcome = match text(v.get(4), "how")? {
@@ -174,7 +174,14 @@
                     let elsewhere = v.get(8).and_then(Value::as_f64).unwrap_or(0.0);
                     let done = outcome == Outcome::Done;
                     self.scheduler.service_reported(now, RequestId(id), done, self.tells, elsewhere);
-                    self.scheduler.attempt_ended(now, RequestId(id), attempt, outcome, elapsed, ended);
+                    let end = AttemptEnd {
+                        request: RequestId(id),
+                        number: attempt,
+                        outcome,
+                        latency: elapsed,
+                        is_over: ended,
+                    };
+                    self.scheduler.attempt_ended(now, end);
                 }
             }
             "Vanished" => {
--- a/crates/benchmarks/src/core_cost.rs
+++ b/crates/benchmarks/src/core_cost.rs
@@ -130,7 +130,13 @@
         s.add_traffic_class(st.latency_objective, st.effect, st.in_order);
     }
     for p in &settings.plans {
-        s.add_plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
+        s.add_plan(Plan {
+            limit: p.limit,
+            burst: p.burst,
+            slack: p.slack,
+            reserve: p.reserve,
+            weight: p.weight,
+        });
     }
     let node = |n: u32| NodeEntry {
         node: NodeId(n),
@@ -150,18 +156,18 @@
             let (id, shard) = (RequestId(sent as u32), ShardId((sent % u64::from(NODES)) as u32));
             let key = Some(KeyId(sent as u32 % 100_000));
             let left = TimeDelta::from_secs(5.0);
-            s.request_arrived(
-                now,
+            let request = NewRequest {
                 id,
-                TrafficClassId(0),
-                PlanId(0),
+                class: TrafficClassId(0),
+                plan: PlanId(0),
                 key,
-                left,
-                VolumeId(0),
-                1.0,
-                Some(shard),
-                1,
-            );
+                time_left: left,
+                volume: VolumeId(0),
+                units: 1.0,
+                shard: Some(shard),
+                hosts: 1,
+            };
+            s.request_arrived(now, request);
             sent += 1;
         }
         while let Some(d) = s.poll_decision(now) {
@@ -172,7 +178,14 @@
         let later = seconds(done + 1);
         for id in out.drain(..) {
             s.service_reported(later, id, true, true, 0.0);
-            s.attempt_ended(later, id, AttemptNumber(0), Outcome::Done, later - now, true);
+            let end = AttemptEnd {
+                request: id,
+                number: AttemptNumber(0),
+                outcome: Outcome::Done,
+                latency: later - now,
+                is_over: true,
+            };
+            s.attempt_ended(later, end);
             done += 1;
         }
     }
--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -330,7 +330,13 @@
             scheduler.add_traffic_class(st.latency_objective, st.effect, st.in_order);
         }
         for p in &s.plans {
-            scheduler.add_plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
+            scheduler.add_plan(Plan {
+                limit: p.limit,
+                burst: p.burst,
+                slack: p.slack,
+                reserve: p.reserve,
+                weight: p.weight,
+            });
         }
         scheduler.set_attempt_limits(s.load.max_attempts, longest, TimeDelta::from_secs(s.load.settle_s));
         if let Some(f) = &s.retry_budget {
@@ -338,8 +344,14 @@
         }
         if let Some(c) = &s.cold {
             let (warm, window) = (TimeDelta::from_secs(c.warm_s), TimeDelta::from_secs(c.window_s));
-            let (safe, multiple) = cold_figures(c);
-            scheduler.set_slow_start(safe, c.from, warm, window, multiple);
+            let (safe_units, overload_multiple) = cold_figures(c);
+            scheduler.set_slow_start(SlowStart {
+                safe_units,
+                initial_capacity: c.from,
+                duration: warm,
+                window,
+                overload_multiple,
+            });
             scheduler.set_cache_savings(c.saved);
         }
         scheduler.subscribe_to_node_list();
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -122,7 +122,9 @@
         let known = self.tells && elsewhere.is_some();
         self.scheduler.service_reported(now, id, done, known, elsewhere.unwrap_or(0.0));
         let (attempt, took) = (AttemptNumber(no), now - out.sent);
-        self.scheduler.attempt_ended(now, id, attempt, outcome, took, answered || done);
+        let end =
+            AttemptEnd { request: id, number: attempt, outcome, latency: took, is_over: answered || done };
+        self.scheduler.attempt_ended(now, end);
         if done && !answered {
             self.part_over(now, id, PartEnd::Done, data);
         }
--- a/crates/host-core/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -81,18 +81,18 @@
                 *id,
                 PendingRequest::new(serial, (from, i as u16), text, traffic_class, deadline, Some(place)),
             );
-            self.scheduler.request_arrived(
-                now,
-                *id,
-                TrafficClassId(traffic_class as u32),
+            let request = NewRequest {
+                id: *id,
+                class: TrafficClassId(traffic_class as u32),
                 plan,
-                Some(key_id(spec.key)),
-                deadline - now,
-                name,
-                spec.units,
-                Some(spec.shard),
+                key: Some(key_id(spec.key)),
+                time_left: deadline - now,
+                volume: name,
+                units: spec.units,
+                shard: Some(spec.shard),
                 hosts,
-            );
+            };
+            self.scheduler.request_arrived(now, request);
             self.scheduler.request_tagged(*id, tag);
         }
     }
@@ -128,18 +128,18 @@
         self.requests
             .insert(id, PendingRequest::new(self.serial, (from, 0), text, traffic_class, now + p.left, None));
         let (volume, key) = (VolumeId(volume as u32), Some(key_id(p.key)));
-        self.scheduler.request_arrived(
-            now,
+        let request = NewRequest {
             id,
-            p.traffic_class,
-            p.plan,
+            class: p.traffic_class,
+            plan: p.plan,
             key,
-            p.left,
+            time_left: p.left,
             volume,
-            p.units,
-            p.shard,
-            p.hosts,
-        );
+            units: p.units,
+            shard: p.shard,
+            hosts: p.hosts,
+        };
+        self.scheduler.request_arrived(now, request);
     }
 
     /// The next number that no open request has. Answered ones keep theirs until their last attempt is back.
--- a/crates/host-core/src/core/fellows.rs
+++ b/crates/host-core/src/core/fellows.rs
@@ -165,7 +165,9 @@
                 Followed::Moved { volume, m } => {
                     let v = self.layout.volume(volume);
                     let (id, plan) = (VolumeId(volume as u32), PlanId(v.plan));
-                    self.scheduler.quota_leases_changed(now, id, plan, v.hosts, m.lent, m.borrowed, m.until);
+                    let leases = QuotaLeases { lent: m.lent, borrowed: m.borrowed, until: m.until };
+                    let change = LeaseChange { volume: id, plan, hosts: v.hosts, leases };
+                    self.scheduler.quota_leases_changed(now, change);
                 }
                 Followed::Send { to, bytes } => self.outputs.push_back(Output::Datagram { to, bytes }),
                 Followed::Mode(line) => self.mode(line),
--- a/crates/host-core/src/fellows.rs
+++ b/crates/host-core/src/fellows.rs
@@ -192,7 +192,7 @@
             term: secs(m.term_s),
             leave_term: secs(m.leave_s),
             drift: m.drift,
-            owned: tackmast::policy::SPLIT_FLOOR,
+            owned: tackmast::policy::GUARANTEED_SHARE,
         },
         shared: shared.collect(),
         left,
--- a/crates/host-core/tests/placed.rs
+++ b/crates/host-core/tests/placed.rs
@@ -31,7 +31,7 @@
     fn new(requests: usize, nodes: usize, volumes: usize) -> Rig {
         let now = at(10.0);
         let mut scheduler = Scheduler::new(now, 1, 1, span(0.002), 2.0);
-        scheduler.add_plan(0.0, 0.0, 0.0, 0.0, 1.0);
+        scheduler.add_plan(Plan { limit: 0.0, burst: 0.0, slack: 0.0, reserve: 0.0, weight: 1.0 });
         let traffic_classes: Vec<TrafficClass> = EFFECTS
             .iter()
             .map(|effect| {
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::values::{index, object, or, span, text};
 use serde_json::{Map, Value};
-use tackmast::interface::{DedupScope, Effect, Instant, TimeDelta};
+use tackmast::interface::{DedupScope, Effect, Instant, SlowStart, TimeDelta};
 use tackmast::policy::Scheduler;
 
 #[derive(Clone, Debug)]
@@ -120,14 +120,20 @@
             s.add_traffic_class(st.latency_objective, st.effect, st.in_order);
         }
         for p in &self.plans {
-            s.add_plan(p.limit, p.burst, p.slack, p.reserve, p.weight);
+            s.add_plan(tackmast::interface::Plan {
+                limit: p.limit,
+                burst: p.burst,
+                slack: p.slack,
+                reserve: p.reserve,
+                weight: p.weight,
+            });
         }
         s.set_attempt_limits(self.max_attempts, self.longest_wait, self.settle);
         if let Some((free, share, window)) = self.retry_budget {
             s.set_retry_budget(free, share, window);
         }
-        let (safe, from, warm, window, multiple) = self.cold;
-        s.set_slow_start(safe, from, warm, window, multiple);
+        let (safe_units, initial_capacity, duration, window, overload_multiple) = self.cold;
+        s.set_slow_start(SlowStart { safe_units, initial_capacity, duration, window, overload_multiple });
         if self.asks_list {
             s.subscribe_to_node_list();
         }
--- a/src/histogram.rs
+++ b/src/histogram.rs
@@ -1,8 +1,10 @@
 //! A small histogram of positive numbers: a few coarse bins, halved once enough has been seen.
 
 const BINS: usize = 24;
+/// The upper edge of a bin over that of the one below.
+const GROWTH: f64 = 1.5;
 
-/// Bin `i` holds values up to `first * 1.5^i`; the last also holds whatever is larger.
+/// Counts of values, by bin. Bin `i` holds values up to `first * 1.5^i`; the last also holds whatever is larger.
 #[derive(Clone, Debug)]
 pub struct Histogram {
     first: f64,
@@ -17,8 +19,9 @@
         Histogram { first, halve_at, total: 0.0, bins: [0.0; BINS] }
     }
 
+    /// Counts a value.
     pub fn add(&mut self, value: f64) {
-        let steps = (value / self.first).max(1.0).ln() / 1.5f64.ln();
+        let steps = (value / self.first).max(1.0).ln() / GROWTH.ln();
         self.bins[(steps.ceil() as usize).min(BINS - 1)] += 1.0;
         self.total += 1.0;
         if self.total >= self.halve_at {
@@ -27,22 +30,23 @@
         }
     }
 
+    /// Values counted, less what was halved away.
     pub fn count(&self) -> f64 {
         self.total
     }
 
-    /// The upper edge of the bin that holds the given part of the counts; nothing while empty.
-    pub fn at(&self, part: f64) -> Option<f64> {
+    /// The upper edge of the bin that holds this quantile, from 0 to 1; nothing while empty.
+    pub fn at(&self, quantile: f64) -> Option<f64> {
         if self.total <= 0.0 {
             return None;
         }
-        let mut left = part * self.total;
+        let mut left = quantile * self.total;
         for (i, n) in self.bins.iter().enumerate() {
             left -= n;
             if left <= 0.0 {
-                return Some(self.first * 1.5f64.powi(i as i32));
+                return Some(self.first * GROWTH.powi(i as i32));
             }
         }
-        Some(self.first * 1.5f64.powi(BINS as i32 - 1))
+        Some(self.first * GROWTH.powi(BINS as i32 - 1))
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -16,6 +16,11 @@
     TimeDelta::from_secs(s)
 }
 
+/// Rates in units a second, and units.
+pub fn plan(limit: f64, burst: f64, slack: f64, reserve: f64, weight: f64) -> Plan {
+    Plan { limit, burst, slack, reserve, weight }
+}
+
 impl Desk {
     /// Stream 0 is tight, 1 loose; plan 0 has a limit of 10 a second and 40 at once, plan 1 a reservation of
     /// 4 and weight 1, plan 2 nothing and weight 3, plan 3 nothing and weight 1.
@@ -27,10 +32,10 @@
         let mut s = Scheduler::new(Instant::from_secs(100.0), seed, hosts, secs(0.002), 2.0);
         s.add_traffic_class(secs(0.5), effect, in_order);
         s.add_traffic_class(secs(2.0), effect, in_order);
-        s.add_plan(10.0, 40.0, 4.0, 0.0, 1.0);
-        s.add_plan(0.0, 0.0, 0.0, 4.0, 1.0);
-        s.add_plan(0.0, 0.0, 0.0, 0.0, 3.0);
-        s.add_plan(0.0, 0.0, 0.0, 0.0, 1.0);
+        s.add_plan(plan(10.0, 40.0, 4.0, 0.0, 1.0));
+        s.add_plan(plan(0.0, 0.0, 0.0, 4.0, 1.0));
+        s.add_plan(plan(0.0, 0.0, 0.0, 0.0, 3.0));
+        s.add_plan(plan(0.0, 0.0, 0.0, 0.0, 1.0));
         s.set_attempt_limits(4, secs(1.0), secs(0.3));
         Desk { s, now: 100.0, left: 3.0, told: 2, next: 0 }
     }
@@ -70,20 +75,30 @@
         self.next += 1;
         let (at, left) = (self.at(), secs(self.left));
         let shard = u32::try_from(shard).ok().map(ShardId);
-        let (st, pl, vol) = (TrafficClassId(traffic_class), PlanId(plan), VolumeId(volume));
-        self.s.request_arrived(at, id, st, pl, Some(KeyId(key)), left, vol, units, shard, self.told);
+        let request = NewRequest {
+            id,
+            class: TrafficClassId(traffic_class),
+            plan: PlanId(plan),
+            key: Some(KeyId(key)),
+            time_left: left,
+            volume: VolumeId(volume),
+            units,
+            shard,
+            hosts: self.told,
+        };
+        self.s.request_arrived(at, request);
         id
     }
 
     pub fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome, took: f64) {
-        self.s.attempt_ended(
-            self.at(),
-            id,
-            AttemptNumber(attempt),
+        let end = AttemptEnd {
+            request: id,
+            number: AttemptNumber(attempt),
             outcome,
-            secs(took),
-            outcome == Outcome::Done,
-        );
+            latency: secs(took),
+            is_over: outcome == Outcome::Done,
+        };
+        self.s.attempt_ended(self.at(), end);
     }
 
     /// What is decided now, without log lines.
--- a/tests/decision_hash.rs
+++ b/tests/decision_hash.rs
@@ -144,12 +144,17 @@
     (time.secs() * 1e6).round() as i64
 }
 
+/// Rates in units a second, and units.
+fn plan(limit: f64, burst: f64, slack: f64, reserve: f64, weight: f64) -> Plan {
+    Plan { limit, burst, slack, reserve, weight }
+}
+
 fn configured_scheduler(setting: &Setting, now: Instant, seed: u64) -> Scheduler {
     let mut scheduler = Scheduler::new(now, seed, setting.hosts, seconds(0.001), 2.0);
-    scheduler.add_plan(0.0, 0.0, 0.0, 0.0, 1.0);
-    scheduler.add_plan(600.0, 120.0, 16.0, 0.0, 1.0);
-    scheduler.add_plan(900.0, 300.0, 30.0, 300.0, 2.0);
-    scheduler.add_plan(0.0, 0.0, 0.0, 200.0, 3.0);
+    scheduler.add_plan(plan(0.0, 0.0, 0.0, 0.0, 1.0));
+    scheduler.add_plan(plan(600.0, 120.0, 16.0, 0.0, 1.0));
+    scheduler.add_plan(plan(900.0, 300.0, 30.0, 300.0, 2.0));
+    scheduler.add_plan(plan(0.0, 0.0, 0.0, 200.0, 3.0));
     let idempotent_by_key = |scope, window| Effect::IdempotentByKey { scope, window: seconds(window) };
     scheduler.add_traffic_class(seconds(0.1), Effect::Idempotent, false);
     scheduler.add_traffic_class(seconds(0.2), idempotent_by_key(DedupScope::All, 0.3), false);
@@ -159,7 +164,13 @@
     scheduler.add_traffic_class(seconds(1.0), Effect::Idempotent, false);
     scheduler.set_attempt_limits(setting.max_attempts, seconds(setting.longest_wait), seconds(0.15));
     scheduler.set_retry_budget(setting.retries_free, setting.retries_share, seconds(1.0));
-    scheduler.set_slow_start(200.0, 0.2, seconds(1.5), seconds(0.5), 2.0);
+    scheduler.set_slow_start(SlowStart {
+        safe_units: 200.0,
+        initial_capacity: 0.2,
+        duration: seconds(1.5),
+        window: seconds(0.5),
+        overload_multiple: 2.0,
+    });
     scheduler.set_cache_savings(0.5);
     scheduler.subscribe_to_node_list();
     scheduler
@@ -243,14 +254,14 @@
         let (is_known, elsewhere) = (self.below(3) > 0, 4.0 * self.fraction());
         self.scheduler.service_reported(self.now, attempt.request, done, is_known, elsewhere);
         let is_over = self.below(100) == 0;
-        self.scheduler.attempt_ended(
-            self.now,
-            attempt.request,
-            attempt.number,
-            attempt.outcome,
-            took,
+        let end = AttemptEnd {
+            request: attempt.request,
+            number: attempt.number,
+            outcome: attempt.outcome,
+            latency: took,
             is_over,
-        );
+        };
+        self.scheduler.attempt_ended(self.now, end);
         if done || is_over {
             self.open.remove(&attempt.request.0);
         }
@@ -350,27 +361,17 @@
         let id = RequestId(self.requests);
         self.requests += 1;
         self.counts.arrivals += 1;
-        let traffic_class = TrafficClassId(self.below(6));
+        let class = TrafficClassId(self.below(6));
         let volume = self.below(VOLUMES);
         let plan = PlanId(volume % self.plans);
         let key = (self.below(4) > 0).then_some(KeyId(self.below(KEYS)));
-        let left = seconds(if self.below(8) == 0 { 0.05 } else { 0.3 + 1.5 * self.fraction() });
+        let time_left = seconds(if self.below(8) == 0 { 0.05 } else { 0.3 + 1.5 * self.fraction() });
         let units = f64::from(1 + self.below(4));
         let shard = (self.below(10) > 0).then_some(ShardId(self.below(SHARDS)));
         let hosts = self.setting.hosts;
         let volume = VolumeId(volume);
-        self.scheduler.request_arrived(
-            self.now,
-            id,
-            traffic_class,
-            plan,
-            key,
-            left,
-            volume,
-            units,
-            shard,
-            hosts,
-        );
+        let request = NewRequest { id, class, plan, key, time_left, volume, units, shard, hosts };
+        self.scheduler.request_arrived(self.now, request);
         self.open.insert(id.0);
         if self.below(2) == 0 {
             let tag = f64::from(self.below(20));
@@ -431,7 +432,9 @@
         let (lent, borrowed) = (even_share * self.fraction() * 0.5, even_share * self.fraction());
         let until = self.now + seconds(self.fraction());
         let hosts = self.setting.hosts;
-        self.scheduler.quota_leases_changed(self.now, VolumeId(volume), plan, hosts, lent, borrowed, until);
+        let leases = QuotaLeases { lent, borrowed, until };
+        let change = LeaseChange { volume: VolumeId(volume), plan, hosts, leases };
+        self.scheduler.quota_leases_changed(self.now, change);
     }
 
     fn change_plan(&mut self) {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -62,7 +62,13 @@
     fn new(seed: u64, c: Case) -> Fleet {
         let desk = |i: u32| {
             let mut d = Desk::of(seed * 1000 + u64::from(i), c.told, Effect::Idempotent, false);
-            d.s.set_slow_start(c.safe, FROM, secs(WARM), secs(WINDOW), MULTIPLE);
+            d.s.set_slow_start(SlowStart {
+                safe_units: c.safe,
+                initial_capacity: FROM,
+                duration: secs(WARM),
+                window: secs(WINDOW),
+                overload_multiple: MULTIPLE,
+            });
             d.ready(1);
             d
         };
@@ -145,7 +151,13 @@
             if (i as u32) % 10 < c.anew {
                 let old = self.desks[i].s.service_rates(self.desks[i].at());
                 let mut d = Desk::of(self.rng.rand_u64(), c.told, Effect::Idempotent, false);
-                d.s.set_slow_start(c.safe, FROM, secs(WARM), secs(WINDOW), MULTIPLE);
+                d.s.set_slow_start(SlowStart {
+                    safe_units: c.safe,
+                    initial_capacity: FROM,
+                    duration: secs(WARM),
+                    window: secs(WINDOW),
+                    overload_multiple: MULTIPLE,
+                });
                 d.now = self.now;
                 if i.is_multiple_of(2) {
                     let at = d.at();
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -4,12 +4,18 @@
 mod common;
 use common::{secs, sent, Desk};
 use std::collections::{HashMap, VecDeque};
-use tackmast::interface::{Effect, ListKind, NodeId, NodeState, Outcome};
+use tackmast::interface::{Effect, ListKind, NodeId, NodeState, Outcome, SlowStart};
 
 /// Attempts in 10 s at one node with plenty waiting, each answered after 50 ms as told.
 fn attempts(weight: f64, pinned: bool, answer: Outcome, node: (NodeState, Option<f64>)) -> usize {
     let mut d = Desk::new(1, Effect::Idempotent, false);
-    d.s.set_slow_start(4.0, 0.2, secs(20.0), secs(1.0), 2.0);
+    d.s.set_slow_start(SlowStart {
+        safe_units: 4.0,
+        initial_capacity: 0.2,
+        duration: secs(20.0),
+        window: secs(1.0),
+        overload_multiple: 2.0,
+    });
     d.list(ListKind::Complete, &[(0, node.0, node.1)]);
     d.s.node_overridden(d.at(), NodeId(0), weight, pinned);
     let (mut out, mut attempts, mut tries) = (VecDeque::new(), 0, HashMap::new());
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -227,8 +227,9 @@
                     false => d.end(request, 0, Outcome::Done, took),
                 }
             }
-            for (x, attempt, _) in silent.extract_if(.., |s| s.2 <= d.now) {
-                d.s.attempt_ended(d.at(), x, AttemptNumber(attempt), Outcome::TimedOut, secs(1.0), false);
+            let now = d.now;
+            for (x, attempt, _) in silent.extract_if(.., |s| s.2 <= now) {
+                d.end(x, attempt, Outcome::TimedOut, 1.0);
             }
             d.now += 0.005;
         }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,7 +1,7 @@
 //! Each of the seven rules, on the module alone.
 
 mod common;
-use common::{secs, sent, Desk};
+use common::{plan, secs, sent, Desk};
 use tackmast::interface::*;
 
 fn idempotent_by_key(window: f64) -> Effect {
@@ -116,7 +116,13 @@
     ] {
         let start = |h: u32| {
             let mut d = Desk::of(u64::from(h), hosts, Effect::Idempotent, false);
-            d.s.set_slow_start(12.0, 0.2, secs(10.0), secs(3.0), 2.0);
+            d.s.set_slow_start(SlowStart {
+                safe_units: 12.0,
+                initial_capacity: 0.2,
+                duration: secs(10.0),
+                window: secs(3.0),
+                overload_multiple: 2.0,
+            });
             d
         };
         let mut desks: Vec<Desk> = (0..hosts).map(start).collect();
@@ -167,7 +173,13 @@
     let mut sent_of = Vec::new();
     for (pieces, saved) in [(1u32, 1.0), (4, 1.0), (1000, 1.0), (1, 0.0)] {
         let mut d = Desk::of(1, 4, Effect::Idempotent, false);
-        d.s.set_slow_start(12.0, 0.2, secs(10.0), secs(3.0), 2.0);
+        d.s.set_slow_start(SlowStart {
+            safe_units: 12.0,
+            initial_capacity: 0.2,
+            duration: secs(10.0),
+            window: secs(3.0),
+            overload_multiple: 2.0,
+        });
         d.s.set_cache_savings(saved);
         d.ready(1);
         for step in 0..600u32 {
@@ -313,7 +325,7 @@
         let (mut units, mut largest) = (0.0, 0);
         for h in 0..hosts {
             let mut d = Desk::of(u64::from(h), hosts, Effect::Idempotent, false);
-            d.s.add_plan(burst / 4.0, burst, 8.0, 0.0, 1.0);
+            d.s.add_plan(plan(burst / 4.0, burst, 8.0, 0.0, 1.0));
             (d.told, d.left) = (hosts, 9.0);
             d.ready(1);
             let first = d.take(1, 4, 0, 2.0, 0, 0);
