--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -1,20 +1,22 @@
+//! Reads batches of events on standard input and writes the orders of all hosts on standard output, a line each.
+
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
-use tackmast_benchlink::Link;
+use tackmast_benchlink::{Link, LinkError};
 
 fn main() -> ExitCode {
     let mut link = Link::default();
-    let mut out = io::stdout().lock();
-    for (i, line) in io::stdin().lock().lines().enumerate() {
-        let reply = line.map_err(|e| e.to_string()).and_then(|l| link.batch(&l));
+    let mut output = io::stdout().lock();
+    for (index, line) in io::stdin().lock().lines().enumerate() {
+        let reply = line.map_err(LinkError::from).and_then(|line| link.batch(&line));
         match reply {
             Ok(reply) => {
-                if writeln!(out, "{reply}").and_then(|()| out.flush()).is_err() {
+                if writeln!(output, "{reply}").and_then(|()| output.flush()).is_err() {
                     return ExitCode::FAILURE;
                 }
             }
-            Err(e) => {
-                eprintln!("benchlink: input line {}: {e}", i + 1);
+            Err(error) => {
+                eprintln!("benchlink: input line {}: {error}", index + 1);
                 return ExitCode::FAILURE;
             }
         }
--- a/crates/benchlink/tests/lines.rs
+++ b/crates/benchlink/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! What the adapter makes of good, odd and bad lines.
+//! The line protocol of the bench: replies to valid and unknown events, and errors on malformed lines.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn good_and_odd_lines_are_answered() {
+fn valid_and_unknown_events_are_answered() {
     let req = r#"["Req",3,"aa",0,0,"obj:k",0.5,"p:v",2,0,1,0,"surplus"]"#;
     let table = [
         ("", r#"{"orders":[]}"#),
@@ -46,11 +46,11 @@
     for ((event, expected), reply) in table.iter().zip(&replies[1..]) {
         assert!(reply.contains(expected), "{event}: {reply}");
     }
-    assert_eq!(err.matches("Novelty").count(), 1, "an unknown name is told once: {err}");
+    assert_eq!(err.matches("Novelty").count(), 1, "an unknown name is reported once: {err}");
 }
 
 #[test]
-fn bad_lines_end_it_with_one_plain_line() {
+fn a_malformed_line_ends_the_process_with_one_error_line() {
     let table = [
         ("{".to_owned(), "expected a batch"),
         ("[1]".to_owned(), "expected a batch"),
