--- a/tests/decision_hash.rs
+++ b/tests/decision_hash.rs
@@ -1,7 +1,8 @@
 //! Guards the scheduler's behaviour as a whole against refactorings that must not change it, above all large
 //! renamings. Seeded runs feed some 10,000 inputs of every kind into a `Scheduler`; every decision and every
-//! wake-up time is folded into a SHA-256 hash which is compared with a constant. Only numbers are folded, never
-//! `Debug` output, so new names of types and fields move nothing. Log lines count, their wording does not.
+//! wake-up time is folded into a SHA-256 hash which is compared with a constant. Only numbers are folded,
+//! never `Debug` output, so new names of types and fields move nothing. Log lines count, their wording does
+//! not.
 //!
 //! A change that is meant to alter decisions updates the constants and says why in its commit.
 
@@ -143,24 +144,35 @@
     (time.secs() * 1e6).round() as i64
 }
 
+/// Rates in units a second, and units.
+fn plan(limit: f64, burst: f64, slack: f64, reserve: f64, weight: f64) -> Plan {
+    Plan { limit, burst, slack, reserve, weight }
+}
+
 fn configured_scheduler(setting: &Setting, now: Instant, seed: u64) -> Scheduler {
     let mut scheduler = Scheduler::new(now, seed, setting.hosts, seconds(0.001), 2.0);
-    scheduler.plan(0.0, 0.0, 0.0, 0.0, 1.0);
-    scheduler.plan(600.0, 120.0, 16.0, 0.0, 1.0);
-    scheduler.plan(900.0, 300.0, 30.0, 300.0, 2.0);
-    scheduler.plan(0.0, 0.0, 0.0, 200.0, 3.0);
-    let idempotent_by_key = |group, window| Effect::IdempotentByKey { group, window: seconds(window) };
-    scheduler.traffic_class(seconds(0.1), Effect::Idempotent, false);
-    scheduler.traffic_class(seconds(0.2), idempotent_by_key(Group::All, 0.3), false);
-    scheduler.traffic_class(seconds(0.3), idempotent_by_key(Group::Zone, 0.2), true);
-    scheduler.traffic_class(seconds(0.5), idempotent_by_key(Group::Shard, 0.4), true);
-    scheduler.traffic_class(seconds(0.2), Effect::NonIdempotent, true);
-    scheduler.traffic_class(seconds(1.0), Effect::Idempotent, false);
-    scheduler.attempt_limits(setting.max_attempts, seconds(setting.longest_wait), seconds(0.15));
-    scheduler.retry_budget(setting.retries_free, setting.retries_share, seconds(1.0));
-    scheduler.cold_nodes(200.0, 0.2, seconds(1.5), seconds(0.5), 2.0);
-    scheduler.work_saved(0.5);
-    scheduler.list_must_be_asked();
+    scheduler.add_plan(plan(0.0, 0.0, 0.0, 0.0, 1.0));
+    scheduler.add_plan(plan(600.0, 120.0, 16.0, 0.0, 1.0));
+    scheduler.add_plan(plan(900.0, 300.0, 30.0, 300.0, 2.0));
+    scheduler.add_plan(plan(0.0, 0.0, 0.0, 200.0, 3.0));
+    let idempotent_by_key = |scope, window| Effect::IdempotentByKey { scope, window: seconds(window) };
+    scheduler.add_traffic_class(seconds(0.1), Effect::Idempotent, false);
+    scheduler.add_traffic_class(seconds(0.2), idempotent_by_key(DedupScope::All, 0.3), false);
+    scheduler.add_traffic_class(seconds(0.3), idempotent_by_key(DedupScope::Zone, 0.2), true);
+    scheduler.add_traffic_class(seconds(0.5), idempotent_by_key(DedupScope::Shard, 0.4), true);
+    scheduler.add_traffic_class(seconds(0.2), Effect::NonIdempotent, true);
+    scheduler.add_traffic_class(seconds(1.0), Effect::Idempotent, false);
+    scheduler.set_attempt_limits(setting.max_attempts, seconds(setting.longest_wait), seconds(0.15));
+    scheduler.set_retry_budget(setting.retries_free, setting.retries_share, seconds(1.0));
+    scheduler.set_slow_start(SlowStart {
+        safe_units: 200.0,
+        initial_capacity: 0.2,
+        duration: seconds(1.5),
+        window: seconds(0.5),
+        overload_multiple: 2.0,
+    });
+    scheduler.set_cache_savings(0.5);
+    scheduler.subscribe_to_node_list();
     scheduler
 }
 
@@ -184,7 +196,7 @@
             up_since: vec![None; nodes],
             plans: 4,
         };
-        run.scheduler.pace_known(now, ShardId(0), 50.0);
+        run.scheduler.service_rate_restored(now, ShardId(0), 50.0);
         run.pull();
         run.send_list(ListKind::Complete, 0..SHARDS * NODES_PER_SHARD);
         run.pull();
@@ -208,12 +220,12 @@
             self.pull();
         }
         self.pass(seconds(5.0));
-        for (shard, rate) in self.scheduler.paces(self.now) {
+        for (shard, rate) in self.scheduler.service_rates(self.now) {
             self.hasher.number(i64::from(shard.0));
             self.hasher.seconds(rate);
         }
-        let (nodes, volumes) = self.scheduler.known();
-        let remembered = [nodes, volumes, self.scheduler.keys_in_order()];
+        let scheduler = &self.scheduler;
+        let remembered = [scheduler.node_count(), scheduler.volume_count(), scheduler.key_queue_count()];
         remembered.iter().for_each(|count| self.hasher.number(*count as i64));
         (self.hasher.hex(), self.counts)
     }
@@ -223,7 +235,7 @@
         let until = self.now + time;
         loop {
             let end = self.pending.keys().next().map(|(at, _)| Instant::from_secs(*at as f64 / 1e6));
-            let wake = self.scheduler.next_wake();
+            let wake = self.scheduler.poll_timeout();
             let Some(next) = end.into_iter().chain(wake).min().filter(|next| *next <= until) else { break };
             self.now = self.now.max(next);
             if end.is_some_and(|end| end <= self.now) {
@@ -242,14 +254,14 @@
         let (is_known, elsewhere) = (self.below(3) > 0, 4.0 * self.fraction());
         self.scheduler.service_reported(self.now, attempt.request, done, is_known, elsewhere);
         let is_over = self.below(100) == 0;
-        self.scheduler.attempt_ended(
-            self.now,
-            attempt.request,
-            attempt.number,
-            attempt.outcome,
-            took,
+        let end = AttemptEnd {
+            request: attempt.request,
+            number: attempt.number,
+            outcome: attempt.outcome,
+            latency: took,
             is_over,
-        );
+        };
+        self.scheduler.attempt_ended(self.now, end);
         if done || is_over {
             self.open.remove(&attempt.request.0);
         }
@@ -258,11 +270,11 @@
     }
 
     fn pull(&mut self) {
-        while let Some(decision) = self.scheduler.next_decision(self.now) {
+        while let Some(decision) = self.scheduler.poll_decision(self.now) {
             self.hasher.decision(&decision);
             self.on_decision(decision);
         }
-        let wake = self.scheduler.next_wake();
+        let wake = self.scheduler.poll_timeout();
         self.hasher.optional_seconds(wake.map(Instant::secs));
     }
 
@@ -349,27 +361,17 @@
         let id = RequestId(self.requests);
         self.requests += 1;
         self.counts.arrivals += 1;
-        let traffic_class = TrafficClassId(self.below(6));
+        let class = TrafficClassId(self.below(6));
         let volume = self.below(VOLUMES);
         let plan = PlanId(volume % self.plans);
         let key = (self.below(4) > 0).then_some(KeyId(self.below(KEYS)));
-        let left = seconds(if self.below(8) == 0 { 0.05 } else { 0.3 + 1.5 * self.fraction() });
+        let time_left = seconds(if self.below(8) == 0 { 0.05 } else { 0.3 + 1.5 * self.fraction() });
         let units = f64::from(1 + self.below(4));
         let shard = (self.below(10) > 0).then_some(ShardId(self.below(SHARDS)));
         let hosts = self.setting.hosts;
         let volume = VolumeId(volume);
-        self.scheduler.request_arrived(
-            self.now,
-            id,
-            traffic_class,
-            plan,
-            key,
-            left,
-            volume,
-            units,
-            shard,
-            hosts,
-        );
+        let request = NewRequest { id, class, plan, key, time_left, volume, units, shard, hosts };
+        self.scheduler.request_arrived(self.now, request);
         self.open.insert(id.0);
         if self.below(2) == 0 {
             let tag = f64::from(self.below(20));
@@ -430,7 +432,9 @@
         let (lent, borrowed) = (even_share * self.fraction() * 0.5, even_share * self.fraction());
         let until = self.now + seconds(self.fraction());
         let hosts = self.setting.hosts;
-        self.scheduler.limit_moved(self.now, VolumeId(volume), plan, hosts, lent, borrowed, until);
+        let leases = QuotaLeases { lent, borrowed, until };
+        let change = LeaseChange { volume: VolumeId(volume), plan, hosts, leases };
+        self.scheduler.quota_leases_changed(self.now, change);
     }
 
     fn change_plan(&mut self) {
@@ -449,24 +453,24 @@
 
     fn move_volume(&mut self) {
         let (volume, plan) = (VolumeId(self.below(VOLUMES)), PlanId(self.below(self.plans)));
-        self.scheduler.volume_moved(self.now, volume, plan);
+        self.scheduler.volume_plan_changed(self.now, volume, plan);
     }
 
     fn order_node(&mut self) {
         let node = NodeId(self.below(SHARDS * NODES_PER_SHARD));
         let weight = if self.below(2) == 0 { 1.0 } else { self.fraction() };
         let is_pinned = self.below(3) == 0;
-        self.scheduler.node_ordered(self.now, node, weight, is_pinned);
+        self.scheduler.node_overridden(self.now, node, weight, is_pinned);
     }
 
     fn report_request_rate(&mut self) {
         let (shard, rate) = (ShardId(self.below(SHARDS)), 100.0 * self.fraction());
-        self.scheduler.pace_known(self.now, shard, rate);
+        self.scheduler.service_rate_restored(self.now, shard, rate);
     }
 
     fn change_hosts(&mut self) {
         let hosts = 1 + self.below(self.setting.hosts);
-        self.scheduler.hosts_there(hosts);
+        self.scheduler.alive_hosts_changed(hosts);
     }
 
     fn any_open(&mut self) -> Option<RequestId> {
@@ -477,7 +481,7 @@
 
     fn start_answer(&mut self) {
         if let Some(id) = self.any_open() {
-            self.scheduler.answer_started(self.now, id);
+            self.scheduler.response_started(self.now, id);
         }
     }
 
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -31,9 +31,9 @@
 
 #[test]
 fn caps_shrink_the_more_hosts_share_the_node() {
-    // Hosts, traffic class, how long answers take, what the node says waits there; the least and most attempts of one
-    // host with plenty waiting in 10 s. Many must not fill a node where each keeps only one out, and looser
-    // streams must leave it to the tight ones of hosts they don't see.
+    // Hosts, traffic class, how long answers take, what the node says waits there; the least and most
+    // attempts of one host with plenty waiting in 10 s. Many must not fill a node where each keeps only one
+    // out, and looser streams must leave it to the tight ones of hosts they don't see.
     for (hosts, traffic_class, took, waiting, least, most) in [
         (1, 0, 0.05, 0.0, 400, 4000),
         (4, 0, 0.4, 0.0, 10, 120),
@@ -159,7 +159,7 @@
         let end = d.now + 10.0;
         d.until(end);
     }
-    let (nodes, volumes) = d.s.known();
+    let (nodes, volumes) = (d.s.node_count(), d.s.volume_count());
     assert!(nodes <= 8, "{nodes} nodes known");
     // Volumes: the table fills before those at rest are forgotten.
     for volume in 0..3000u32 {
@@ -171,12 +171,14 @@
             }
         }
     }
-    assert!(d.s.known().1 <= 512 + volumes.min(1), "{} volumes known", d.s.known().1);
+    let known = d.s.volume_count();
+    assert!(known <= 512 + volumes.min(1), "{known} volumes known");
 }
 
 #[test]
 fn a_node_that_fails_by_chance_is_asked_again_in_time() {
-    // How many of ten attempts fail, and how long that takes; requests of 100 done within the latency objective, at least and most.
+    // How many of ten attempts fail, and how long that takes; requests of 100 done within the latency
+    // objective, at least and most.
     for (failing, took, least, most) in [(5, 0.005, 85, 100), (7, 0.005, 60, 100), (5, 0.3, 30, 70)] {
         let mut d = desk(1);
         let (mut attempts, mut done, mut out) = (0u32, 0, Vec::<(f64, RequestId, u32)>::new());
@@ -225,8 +227,9 @@
                     false => d.end(request, 0, Outcome::Done, took),
                 }
             }
-            for (x, attempt, _) in silent.extract_if(.., |s| s.2 <= d.now) {
-                d.s.attempt_ended(d.at(), x, AttemptNumber(attempt), Outcome::TimedOut, secs(1.0), false);
+            let now = d.now;
+            for (x, attempt, _) in silent.extract_if(.., |s| s.2 <= now) {
+                d.end(x, attempt, Outcome::TimedOut, 1.0);
             }
             d.now += 0.005;
         }
@@ -236,8 +239,9 @@
 
 #[test]
 fn a_node_that_serves_nothing_gets_less_and_a_lossy_link_does_not() {
-    // How long clients wait, how many of ten attempts in a row are not answered in that time; the least and most
-    // attempts in 120 s at 100 hosts. A drowned node, or one too slow for hurried clients, never answers slowly.
+    // How long clients wait, how many of ten attempts in a row are not answered in that time; the least and
+    // most attempts in 120 s at 100 hosts. A drowned node, or one too slow for hurried clients, never answers
+    // slowly.
     for (left, lost, least, most) in
         [(3.0, 0, 300, 4000), (3.0, 1, 80, 4000), (3.0, 10, 5, 30), (0.08, 10, 5, 80)]
     {
@@ -322,7 +326,7 @@
 #[test]
 fn a_lost_list_is_asked_for_again() {
     let mut d = Desk::new(1, Effect::Idempotent, false);
-    d.s.list_must_be_asked();
+    d.s.subscribe_to_node_list();
     assert_eq!(d.pull(), [Decision::FollowList]);
     let mut asked = 0;
     for _ in 0..5 {
@@ -385,7 +389,7 @@
         let mut d = Desk::new(1, Effect::Idempotent, *in_order);
         d.ready(1);
         // One is out and holds the node's only place.
-        d.s.node_ordered(d.at(), NodeId(0), 0.1, false);
+        d.s.node_overridden(d.at(), NodeId(0), 0.1, false);
         d.take(0, 2, 1, 2.0, 0, 99);
         let mut out: Vec<RequestId> = d.pull().iter().filter_map(sent).map(|s| s.0).collect();
         assert_eq!(out.len(), 1, "{why}");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,11 +1,11 @@
 //! Each of the seven rules, on the module alone.
 
 mod common;
-use common::{secs, sent, Desk};
+use common::{plan, secs, sent, Desk};
 use tackmast::interface::*;
 
 fn idempotent_by_key(window: f64) -> Effect {
-    Effect::IdempotentByKey { group: Group::Shard, window: secs(window) }
+    Effect::IdempotentByKey { scope: DedupScope::Shard, window: secs(window) }
 }
 
 #[test]
@@ -99,7 +99,8 @@
 fn a_cold_node_bears_what_all_hosts_send() {
     // Hosts, and how many of them start anew with the node. It serves 24 units a second when warm and can do
     // 40, of which a fifth when cold; all lists tell of its start at other times, and it answers none.
-    // Some of those that start anew are told what their earlier generation saw: it is no more than before, and starves less.
+    // Some of those that start anew are told what their earlier generation saw: it is no more than before,
+    // and starves less.
     let mut untold = 0.0;
     for (hosts, anew, told) in [
         (1u32, 0u32, false),
@@ -115,7 +116,13 @@
     ] {
         let start = |h: u32| {
             let mut d = Desk::of(u64::from(h), hosts, Effect::Idempotent, false);
-            d.s.cold_nodes(12.0, 0.2, secs(10.0), secs(3.0), 2.0);
+            d.s.set_slow_start(SlowStart {
+                safe_units: 12.0,
+                initial_capacity: 0.2,
+                duration: secs(10.0),
+                window: secs(3.0),
+                overload_multiple: 2.0,
+            });
             d
         };
         let mut desks: Vec<Desk> = (0..hosts).map(start).collect();
@@ -127,7 +134,7 @@
             d.pull();
             d.end(x, 0, Outcome::Done, 0.02);
         }
-        let seen = |d: &Desk| d.s.paces(Instant::from_secs(130.0));
+        let seen = |d: &Desk| d.s.service_rates(Instant::from_secs(130.0));
         let desks_before: Vec<_> = desks.iter().map(seen).collect();
         let mut units = 0.0;
         for h in 0..hosts {
@@ -135,9 +142,9 @@
             let mut d = if h < anew { start(h) } else { before };
             if told && h < anew {
                 let before = &desks_before[h as usize];
-                before
-                    .iter()
-                    .for_each(|(shard, rate)| d.s.pace_known(Instant::from_secs(130.0), *shard, *rate));
+                before.iter().for_each(|(shard, rate)| {
+                    d.s.service_rate_restored(Instant::from_secs(130.0), *shard, *rate)
+                });
             }
             d.now = 131.0 + f64::from(h % 10) * 0.1;
             d.list(ListKind::Complete, &[(0, NodeState::Ready, Some(130.5))]);
@@ -161,13 +168,19 @@
 
 #[test]
 fn a_node_quick_with_what_it_has_at_hand_is_not_taken_for_able() {
-    // Pieces of data that are asked for in turn, and what work may be saved: of few pieces, a node answers at once that can
-    // do little else.
+    // Pieces of data that are asked for in turn, and what work may be saved: of few pieces, a node answers at
+    // once that can do little else.
     let mut sent_of = Vec::new();
     for (pieces, saved) in [(1u32, 1.0), (4, 1.0), (1000, 1.0), (1, 0.0)] {
         let mut d = Desk::of(1, 4, Effect::Idempotent, false);
-        d.s.cold_nodes(12.0, 0.2, secs(10.0), secs(3.0), 2.0);
-        d.s.work_saved(saved);
+        d.s.set_slow_start(SlowStart {
+            safe_units: 12.0,
+            initial_capacity: 0.2,
+            duration: secs(10.0),
+            window: secs(3.0),
+            overload_multiple: 2.0,
+        });
+        d.s.set_cache_savings(saved);
         d.ready(1);
         for step in 0..600u32 {
             d.now = 100.0 + f64::from(step) / 60.0;
@@ -188,7 +201,8 @@
         }
         sent_of.push(units);
     }
-    // This host's part of 12 safe units, and what time frees of it in 3 s; a node that was seen to do much gets more.
+    // This host's part of 12 safe units, and what time frees of it in 3 s; a node that was seen to do much
+    // gets more.
     assert!(
         sent_of[0] <= 8.0 && sent_of[1] <= 8.0 && sent_of[2] >= 40.0 && sent_of[3] >= 40.0,
         "{sent_of:?}"
@@ -215,9 +229,9 @@
         for (x, outcome) in [(other, Outcome::TimedOut), (b, Outcome::TimedOut)] {
             d.end(x, 0, outcome, 0.05);
         }
-        assert_eq!(d.s.keys_in_order(), 2, "{outcome:?}");
+        assert_eq!(d.s.key_queue_count(), 2, "{outcome:?}");
         d.until(d.now + 4.0);
-        assert_eq!(d.s.keys_in_order(), 0, "{outcome:?}");
+        assert_eq!(d.s.key_queue_count(), 0, "{outcome:?}");
     }
 }
 
@@ -225,7 +239,7 @@
 fn retries_stay_in_budget_over_any_window() {
     for (free, share) in [(3.0, 0.25), (0.0, 0.1), (1.0, 0.0)] {
         let mut d = Desk::new(1, Effect::Idempotent, false);
-        d.s.retry_budget(free, share, secs(5.0));
+        d.s.set_retry_budget(free, share, secs(5.0));
         d.ready(1);
         let (mut taken, mut further, mut attempts) = (vec![], vec![], vec![0; 2000]);
         for i in 0..1000 {
@@ -304,13 +318,14 @@
 
 #[test]
 fn parts_of_a_limit_sum_within_it_for_any_number_of_hosts() {
-    // Hosts and the units that the limit's store holds, a quarter of which it fills a second. Each host floods it, late
-    // enough to know the volume. Where its part holds two of the largest, these pass; else they may not.
+    // Hosts and the units that the limit's store holds, a quarter of which it fills a second. Each host
+    // floods it, late enough to know the volume. Where its part holds two of the largest, these pass; else
+    // they may not.
     for (hosts, burst) in [(1u32, 40.0), (3, 48.0), (24, 384.0), (300, 4800.0), (24, 40.0), (300, 40.0)] {
         let (mut units, mut largest) = (0.0, 0);
         for h in 0..hosts {
             let mut d = Desk::of(u64::from(h), hosts, Effect::Idempotent, false);
-            d.s.plan(burst / 4.0, burst, 8.0, 0.0, 1.0);
+            d.s.add_plan(plan(burst / 4.0, burst, 8.0, 0.0, 1.0));
             (d.told, d.left) = (hosts, 9.0);
             d.ready(1);
             let first = d.take(1, 4, 0, 2.0, 0, 0);
@@ -338,8 +353,8 @@
 }
 
 impl Store {
-    /// `force`: rate and burst of each version that some host may still go by. What is left, less than nothing by the
-    /// slack at most.
+    /// `force`: rate and burst of each version that some host may still go by. What is left, less than
+    /// nothing by the slack at most.
     fn draw(&mut self, now: f64, force: &[(f64, f64)], units: f64) -> f64 {
         let rate = force.iter().map(|f| f.0).fold(0.0, f64::max);
         let burst = force.iter().map(|f| f.1).fold(0.0, f64::max);
@@ -351,8 +366,9 @@
 
 #[test]
 fn a_limit_that_moves_is_kept_by_hosts_that_learn_of_it_apart() {
-    // Limits and bursts, one after the other every 10 s; when the two hosts learn of each, within the 2 s after which it is
-    // in force; the least that is drawn in the last 8 s, in parts of what the last one gives.
+    // Limits and bursts, one after the other every 10 s; when the two hosts learn of each, within the 2 s
+    // after which it is in force; the least that is drawn in the last 8 s, in parts of what the last one
+    // gives.
     type Case<'a> = (&'a str, &'a [(f64, f64)], [f64; 2], f64);
     let table: &[Case] = &[
         ("lowered under a flood", &[(40.0, 80.0), (8.0, 16.0)], [0.0, 1.9], 0.7),
@@ -421,7 +437,7 @@
         let (start, mut units) = (d.now, 0.0);
         if moves {
             (0..20).for_each(|i| _ = d.take(0, 3, 0, 2.0, 0, 500 + i));
-            d.s.volume_moved(d.at(), VolumeId(0), PlanId(0));
+            d.s.volume_plan_changed(d.at(), VolumeId(0), PlanId(0));
             let end = d.now + 0.001;
             assert_eq!(
                 d.until(end).iter().filter_map(|(_, x)| sent(x)).count(),
@@ -447,8 +463,8 @@
 
 #[test]
 fn what_can_never_leave_is_answered_at_once_and_holds_nobody() {
-    // Why: larger than its host's part of the burst, or a mark that nodes no longer know. The answer is final, comes at
-    // once and says when to come back where a retry is safe.
+    // Why: larger than its host's part of the burst, or a mark that nodes no longer know. The answer is
+    // final, comes at once and says when to come back where a retry is safe.
     for over in [true, false] {
         let mut d = Desk::new(2, idempotent_by_key(0.2), false);
         d.ready(1);
