--- a/crates/cli/src/agreed.rs
+++ b/crates/cli/src/agreed.rs
@@ -1,7 +1,7 @@
 //! `tackmast simulator agree`: walks over the agreement in virtual time.
 
 use std::process::ExitCode;
-use tackmast_simulator::{agreed_fleet, explore, find_fault, walk, AgreeFault, FleetTrial, Walk, Walked};
+use tackmast_simulator::{agreed_fleet, explore, find_fault, walk, ConsensusFault, FleetTrial, Walk, Walked};
 
 #[derive(clap::Args)]
 pub struct AgreeArguments {
@@ -47,10 +47,11 @@
     }
     let seeds: Vec<u64> = (a.first..a.first + a.walks).collect();
     if a.faults {
-        let found =
-            crate::views::each(&AgreeFault::ALL, a.threads, |f| find_fault(*f, a.first, a.walks, a.steps));
+        let found = crate::views::each(&ConsensusFault::ALL, a.threads, |f| {
+            find_fault(*f, a.first, a.walks, a.steps)
+        });
         let mut good = true;
-        for (f, found) in AgreeFault::ALL.iter().zip(found) {
+        for (f, found) in ConsensusFault::ALL.iter().zip(found) {
             match found {
                 Some((seed, step, what)) => println!("{f:?}: walk {seed}, step {step}: {what}"),
                 None => {
--- /dev/null
+++ b/crates/consensus/src/chunks.rs
@@ -0,0 +1,279 @@
+//! Chunked transfer of messages that do not fit a datagram, as Raft's InstallSnapshot (section 7) sends a snapshot in
+//! chunks. The sender transmits the first chunk only; the receiver requests all others, a few ahead of what it has, and
+//! requests lost ones again. So no sender floods a slow receiver.
+
+use bytes::{Bytes, BytesMut};
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use tackmast::interface::{Instant, TimeDelta};
+use tackmast_wire::consensus::MAX_MESSAGE;
+use tackmast_wire::peer::{Body, MAX_PIECE as MAX_CHUNK_LEN};
+
+/// Messages that are kept for receivers that request chunks, and their bytes; the oldest go first.
+const MAX_OUTGOING: usize = 64;
+const MAX_OUTGOING_BYTES: usize = 64 << 20;
+/// Messages that are received at a time, one of each sender; the one idle for longest goes first.
+const MAX_INCOMING: usize = 64;
+/// Chunks that are requested beyond those received.
+const CHUNKS_AHEAD: u16 = 8;
+/// Retries without a chunk after which a message is given up.
+const MAX_RETRIES: u32 = 30;
+/// Retries after which a sender's newer message takes the place of one that is more than half received.
+const RETRIES_BEFORE_REPLACED: u32 = 2;
+
+/// How chunks are requested.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ChunkSettings {
+    /// A chunk that has not arrived within this time is requested again.
+    pub retry_interval: TimeDelta,
+}
+
+/// A part of a message, as it arrived.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Chunk {
+    /// The sender's number for the message.
+    pub transfer: u32,
+    /// Chunks of the whole message.
+    pub count: u16,
+    /// Which of them this is, from 0.
+    pub index: u16,
+    /// Its part of the message.
+    pub bytes: Bytes,
+}
+
+/// A datagram's body, and where it goes.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Transmit {
+    /// The receiver.
+    pub to: SocketAddr,
+    /// A whole message, a chunk or a request for one.
+    pub body: Body,
+}
+
+/// A message that receivers may still request chunks of.
+struct OutgoingMessage {
+    transfer: u32,
+    bytes: Bytes,
+}
+
+/// A message of which some chunks are missing.
+struct IncomingMessage {
+    from: SocketAddr,
+    transfer: u32,
+    chunks: Vec<Option<Bytes>>,
+    received: u16,
+    /// Chunks before this index have been requested.
+    requested: u16,
+    last_progress: Instant,
+    retries: u32,
+}
+
+impl IncomingMessage {
+    fn chunk_count(&self) -> u16 {
+        self.chunks.len() as u16
+    }
+
+    /// Whether this message goes on although its sender has begun a newer one.
+    fn outlasts_newer(&self) -> bool {
+        self.retries < RETRIES_BEFORE_REPLACED && self.received * 2 > self.chunk_count()
+    }
+
+    fn store(&mut self, now: Instant, chunk: Chunk) {
+        let Some(place) = self.chunks.get_mut(usize::from(chunk.index)) else { return };
+        if place.is_none() {
+            *place = Some(chunk.bytes);
+            self.received += 1;
+            self.last_progress = now;
+            self.retries = 0;
+        }
+    }
+
+    fn is_complete(&self) -> bool {
+        self.received >= self.chunk_count()
+    }
+
+    fn into_bytes(self) -> Bytes {
+        let length = self.chunks.iter().flatten().map(Bytes::len).sum();
+        let mut message = BytesMut::with_capacity(length);
+        for chunk in self.chunks.into_iter().flatten() {
+            message.extend_from_slice(&chunk);
+        }
+        message.freeze()
+    }
+}
+
+/// Sends and receives messages of any length, in datagrams.
+pub struct ChunkedTransfer {
+    settings: ChunkSettings,
+    last_transfer: u32,
+    outgoing: VecDeque<OutgoingMessage>,
+    incoming: Vec<IncomingMessage>,
+    transmits: VecDeque<Transmit>,
+    /// Messages that were given up, or were too long to be sent.
+    pub lost: u64,
+}
+
+impl ChunkedTransfer {
+    /// `first_transfer`: messages are numbered from there, so that a restarted process does not reuse numbers.
+    pub fn new(settings: ChunkSettings, first_transfer: u32) -> ChunkedTransfer {
+        ChunkedTransfer {
+            settings,
+            last_transfer: first_transfer,
+            outgoing: VecDeque::new(),
+            incoming: Vec::new(),
+            transmits: VecDeque::new(),
+            lost: 0,
+        }
+    }
+
+    /// Sends a message: in one datagram where it fits, else its first chunk.
+    pub fn send(&mut self, to: SocketAddr, message: Bytes) {
+        if message.len() <= MAX_CHUNK_LEN {
+            let body = Body::Agree { bytes: message };
+            return self.transmits.push_back(Transmit { to, body });
+        }
+        if message.len() > MAX_MESSAGE {
+            self.lost += 1;
+            return;
+        }
+        let transfer = self.keep_outgoing(message);
+        self.transmit_chunk(to, transfer, 0);
+    }
+
+    /// The number of that message. One that is sent to several, or sent again, keeps its number.
+    fn keep_outgoing(&mut self, message: Bytes) -> u32 {
+        let known = self.outgoing.iter().find(|kept| kept.bytes == message).map(|kept| kept.transfer);
+        let transfer = match known {
+            Some(transfer) => transfer,
+            None => {
+                self.last_transfer = self.last_transfer.wrapping_add(1);
+                self.outgoing.push_back(OutgoingMessage { transfer: self.last_transfer, bytes: message });
+                self.last_transfer
+            }
+        };
+        while self.outgoing.len() > MAX_OUTGOING
+            || (self.outgoing_bytes() > MAX_OUTGOING_BYTES && self.outgoing.len() > 1)
+        {
+            self.outgoing.pop_front();
+        }
+        transfer
+    }
+
+    fn outgoing_bytes(&self) -> usize {
+        self.outgoing.iter().map(|kept| kept.bytes.len()).sum()
+    }
+
+    fn transmit_chunk(&mut self, to: SocketAddr, transfer: u32, index: u16) {
+        let Some(message) = self.outgoing.iter().find(|kept| kept.transfer == transfer) else { return };
+        let start = usize::from(index) * MAX_CHUNK_LEN;
+        if start >= message.bytes.len() {
+            return;
+        }
+        let end = message.bytes.len().min(start + MAX_CHUNK_LEN);
+        let count = message.bytes.len().div_ceil(MAX_CHUNK_LEN) as u16;
+        let bytes = message.bytes.slice(start..end);
+        let body = Body::Parcel { number: transfer, pieces: count, piece: index, bytes };
+        self.transmits.push_back(Transmit { to, body });
+    }
+
+    /// A receiver requests a chunk.
+    pub fn on_chunk_request(&mut self, from: SocketAddr, transfer: u32, index: u16) {
+        self.transmit_chunk(from, transfer, index);
+    }
+
+    /// A chunk has arrived; the message, once it is complete.
+    pub fn on_chunk(&mut self, now: Instant, from: SocketAddr, chunk: Chunk) -> Option<Bytes> {
+        let max_count = MAX_MESSAGE.div_ceil(MAX_CHUNK_LEN);
+        if usize::from(chunk.count) > max_count || chunk.index >= chunk.count {
+            return None;
+        }
+        let position = self.incoming_position(now, from, &chunk)?;
+        let message = self.incoming.get_mut(position)?;
+        message.store(now, chunk);
+        if !message.is_complete() {
+            self.request_ahead(position);
+            return None;
+        }
+        Some(self.incoming.remove(position).into_bytes())
+    }
+
+    /// Where the chunk's message stands among the incoming ones: one of each sender at a time, begun by its first chunk.
+    fn incoming_position(&mut self, now: Instant, from: SocketAddr, chunk: &Chunk) -> Option<usize> {
+        let Some(position) = self.incoming.iter().position(|message| message.from == from) else {
+            return (chunk.index == 0).then(|| self.start_incoming(now, from, chunk));
+        };
+        let message = &self.incoming[position];
+        if message.transfer == chunk.transfer {
+            return (message.chunk_count() == chunk.count).then_some(position);
+        }
+        if chunk.index != 0 || message.outlasts_newer() {
+            return None;
+        }
+        self.incoming.remove(position);
+        Some(self.start_incoming(now, from, chunk))
+    }
+
+    fn start_incoming(&mut self, now: Instant, from: SocketAddr, chunk: &Chunk) -> usize {
+        if self.incoming.len() >= MAX_INCOMING {
+            let idle_longest = (0..self.incoming.len()).min_by_key(|i| self.incoming[*i].last_progress);
+            if let Some(position) = idle_longest {
+                self.incoming.remove(position);
+            }
+            self.lost += 1;
+        }
+        self.incoming.push(IncomingMessage {
+            from,
+            transfer: chunk.transfer,
+            chunks: vec![None; usize::from(chunk.count)],
+            received: 0,
+            requested: 0,
+            last_progress: now,
+            retries: 0,
+        });
+        self.incoming.len() - 1
+    }
+
+    /// Requests chunks that were not requested yet, up to a few beyond those received.
+    fn request_ahead(&mut self, position: usize) {
+        let message = &mut self.incoming[position];
+        let first = message.requested.max(1);
+        let end = (message.received + CHUNKS_AHEAD).min(message.chunk_count());
+        message.requested = end;
+        let (to, number) = (message.from, message.transfer);
+        for piece in first..end {
+            let body = Body::ParcelWant { number, piece };
+            self.transmits.push_back(Transmit { to, body });
+        }
+    }
+
+    /// When `handle_timeout` is due; none while nothing is received.
+    pub fn poll_timeout(&self) -> Option<Instant> {
+        self.incoming.iter().map(|message| message.last_progress + self.settings.retry_interval).min()
+    }
+
+    /// Requests missing chunks again, and gives up messages that make no progress.
+    pub fn handle_timeout(&mut self, now: Instant) {
+        let before = self.incoming.len();
+        self.incoming.retain(|message| message.retries < MAX_RETRIES);
+        self.lost += (before - self.incoming.len()) as u64;
+        let retry_interval = self.settings.retry_interval;
+        let is_due = |message: &&mut IncomingMessage| now - message.last_progress >= retry_interval;
+        for message in self.incoming.iter_mut().filter(is_due) {
+            message.last_progress = now;
+            message.retries += 1;
+            let missing = (0u16..).zip(&message.chunks).filter(|(_, chunk)| chunk.is_none());
+            for (piece, _) in missing.take(usize::from(CHUNKS_AHEAD)) {
+                let body = Body::ParcelWant { number: message.transfer, piece };
+                self.transmits.push_back(Transmit { to: message.from, body });
+            }
+        }
+    }
+
+    /// The next datagram to send.
+    pub fn poll_transmit(&mut self) -> Option<Transmit> {
+        self.transmits.pop_front()
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/consensus/src/fault.rs
+++ b/crates/consensus/src/fault.rs
@@ -1,61 +1,63 @@
-//! Deliberate faults, for walks and days to find.
+//! Deliberate faults: tests plant one and have to find that something goes wrong.
 
+/// A mistake in the protocol or its implementation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AgreeFault {
-    /// A vote is given before it is on disk.
-    VoteNotOnDisk,
-    /// Entries are told as had before they are on disk.
-    AckBeforeDisk,
-    /// A lease counts from when its grant came.
-    LeaseFromReceipt,
+pub enum ConsensusFault {
+    /// A vote is sent before it is on disk.
+    VoteNotPersisted,
+    /// Entries are acknowledged before they are on disk.
+    AckBeforePersist,
+    /// A lease counts from when its grant arrived, not from its request.
+    LeaseFromResponse,
     /// Clocks are taken to run alike.
-    NoDrift,
-    /// An entry of an earlier term counts as committed once most have it.
+    IgnoreClockDrift,
+    /// An entry of an earlier term counts as committed once a majority has it (Raft, figure 8).
     CommitOldTerm,
-    /// A leader tells what is newest without asking whether it still leads.
+    /// A leader grants leases without a heartbeat round.
     StaleRead,
-    /// Who asks for a vote gets it whatever its log lacks.
+    /// A vote is granted whatever the candidate's log lacks.
     NoLogCheck,
-    /// Less than a majority is enough.
+    /// Less than a majority commits, and elects.
     MinorityCommits,
-    /// Entries that differ from the leader's stay.
+    /// A follower keeps entries that differ from the leader's.
     KeepsConflicts,
-    /// A voter that lost its disk votes under its number.
+    /// A voter that lost its disk votes under its host number.
     LostDiskVotes,
-    /// Voters change while a change of them is not committed yet.
+    /// Voters change while the previous change is not committed.
     TwoChangesAtOnce,
-    /// A host goes by its lease though it lacks what the grant named.
+    /// A lease is valid although the entries that it names are not here.
     LeaseWithoutEntries,
-    /// A leader of an earlier term is still followed.
+    /// A leader of an earlier term is followed.
     OldLeaderFollowed,
-    /// An old copy of a disk votes once more.
+    /// An old copy of a disk votes.
     OldDiskVotes,
-    /// A folded state leaves out who changed last.
-    FoldDropsClients,
-    /// A state that comes from the leader takes the place of entries that stand behind it.
-    StateDropsRest,
-    /// An answer to an earlier generation counts for a later one.
+    /// A snapshot lacks the client sessions.
+    SnapshotDropsSessions,
+    /// A snapshot from the leader removes entries after it that match.
+    SnapshotDropsSuffix,
+    /// A grant to an earlier process generation counts for a later one.
     GenerationsMixed,
 }
 
-impl AgreeFault {
-    pub const ALL: [AgreeFault; 17] = [
-        AgreeFault::VoteNotOnDisk,
-        AgreeFault::AckBeforeDisk,
-        AgreeFault::LeaseFromReceipt,
-        AgreeFault::NoDrift,
-        AgreeFault::CommitOldTerm,
-        AgreeFault::StaleRead,
-        AgreeFault::NoLogCheck,
-        AgreeFault::MinorityCommits,
-        AgreeFault::KeepsConflicts,
-        AgreeFault::LostDiskVotes,
-        AgreeFault::TwoChangesAtOnce,
-        AgreeFault::LeaseWithoutEntries,
-        AgreeFault::OldLeaderFollowed,
-        AgreeFault::OldDiskVotes,
-        AgreeFault::FoldDropsClients,
-        AgreeFault::StateDropsRest,
-        AgreeFault::GenerationsMixed,
+impl ConsensusFault {
+    /// All of them.
+    pub const ALL: [ConsensusFault; 17] = [
+        ConsensusFault::VoteNotPersisted,
+        ConsensusFault::AckBeforePersist,
+        ConsensusFault::LeaseFromResponse,
+        ConsensusFault::IgnoreClockDrift,
+        ConsensusFault::CommitOldTerm,
+        ConsensusFault::StaleRead,
+        ConsensusFault::NoLogCheck,
+        ConsensusFault::MinorityCommits,
+        ConsensusFault::KeepsConflicts,
+        ConsensusFault::LostDiskVotes,
+        ConsensusFault::TwoChangesAtOnce,
+        ConsensusFault::LeaseWithoutEntries,
+        ConsensusFault::OldLeaderFollowed,
+        ConsensusFault::OldDiskVotes,
+        ConsensusFault::SnapshotDropsSessions,
+        ConsensusFault::SnapshotDropsSuffix,
+        ConsensusFault::GenerationsMixed,
     ];
 }
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -1,162 +1,208 @@
-//! For how long what a host has counts. A host asks; the answer says that nothing newer than so much was committed at some
-//! moment after it was asked, so for a term from when it asked no other host goes by anything newer for longer than that
-//! term. The term runs by this host's own steady clock, shortened by what clocks may run apart.
+//! Leases: for how long what a replica has counts as the newest. A replica requests one from the leader; the grant says
+//! that nothing after an index was committed at some moment after the request was sent. For the lease's duration from that
+//! moment no other replica takes anything newer for effective either, so reads here are not stale beyond it. Unlike the
+//! leader leases of Raft (thesis, section 6.4.1) each replica holds one, counted by its own steady clock and shortened by
+//! what clocks may run apart.
 
-use crate::fault::AgreeFault;
+use crate::fault::ConsensusFault;
 use std::collections::VecDeque;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_wire::agree::Word;
 
-/// Part of a lease after which it is asked for anew, and part after which an ask without an answer is repeated.
-const RENEW: f64 = 0.34;
-const AGAIN: f64 = 0.1;
-/// Asks whose answers may still come.
-const ASKS: usize = 32;
+/// Fraction of a lease after which it is renewed.
+const RENEW_AFTER: f64 = 0.34;
+/// Fraction of a lease after which a request without a response is repeated.
+const RETRY_AFTER: f64 = 0.1;
+/// Requests whose responses may still arrive.
+const MAX_OUTSTANDING: usize = 32;
 
-/// How a host stands to what it has.
+/// Whether what a replica has counts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Standing {
-    /// It never had a lease in this generation.
+pub enum LeaseState {
+    /// It has had no lease since it started.
     Never,
-    /// What it has counts until then.
-    Holds { until: Instant },
-    /// It counted until then; something newer may hold elsewhere.
-    Past { since: Instant },
+    /// What it has counts.
+    Valid {
+        /// The end of the lease.
+        until: Instant,
+    },
+    /// Something newer may count elsewhere.
+    Expired {
+        /// The end of the last lease.
+        since: Instant,
+    },
 }
 
-impl Standing {
-    pub fn holds(&self) -> bool {
-        matches!(self, Standing::Holds { .. })
+impl LeaseState {
+    /// Whether what the replica has counts.
+    pub fn is_valid(&self) -> bool {
+        matches!(self, LeaseState::Valid { .. })
     }
 }
 
+/// A leader's response to a request.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct LeaseGrant {
+    /// Number of the request.
+    pub sequence: u32,
+    /// Index of the last entry that was committed.
+    pub index: u64,
+    /// How long the lease lasts, from when it was requested.
+    pub duration: TimeDelta,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Request {
+    sequence: u32,
+    sent: Instant,
+}
+
+/// What is granted: entries up to `index` count as the newest until then.
+#[derive(Clone, Copy, Debug)]
+struct Validity {
+    index: u64,
+    until: Instant,
+}
+
+/// A replica's lease, its requests and what they were answered.
 #[derive(Clone, Debug)]
 pub struct Lease {
-    lease: TimeDelta,
-    drift: f64,
-    seq: u32,
-    asks: VecDeque<(u32, Instant)>,
-    next_ask: Instant,
-    /// Grants: up to where entries were committed, and until when that counts. The one in use, and one that names entries
-    /// which are not here yet.
-    held: Option<(u64, Instant)>,
-    comes: Option<(u64, Instant)>,
-    /// The latest ask that was answered, and what it was told.
-    newest: Option<(u32, u64)>,
-    fault: Option<AgreeFault>,
-    /// Asks since the last answer.
+    duration: TimeDelta,
+    max_clock_drift: f64,
+    last_sequence: u32,
+    outstanding: VecDeque<Request>,
+    next_request_at: Instant,
+    current: Option<Validity>,
+    /// Names entries that are not here yet.
+    awaiting_entries: Option<Validity>,
+    newest_grant: Option<LeaseGrant>,
+    fault: Option<ConsensusFault>,
     unanswered: u32,
+    /// Grants that were received.
     pub granted: u64,
 }
 
 impl Lease {
-    /// `lease` in seconds as all hosts are told; `drift`: part by which steady clocks may run apart.
-    pub fn new(now: Instant, lease: TimeDelta, drift: f64) -> Lease {
+    /// `duration` as all replicas are told; `max_clock_drift`: fraction by which steady clocks may run apart.
+    pub fn new(now: Instant, duration: TimeDelta, max_clock_drift: f64) -> Lease {
         Lease {
-            lease,
-            drift,
-            seq: 0,
-            asks: VecDeque::new(),
-            next_ask: now,
-            held: None,
-            comes: None,
-            newest: None,
+            duration,
+            max_clock_drift,
+            last_sequence: 0,
+            outstanding: VecDeque::new(),
+            next_request_at: now,
+            current: None,
+            awaiting_entries: None,
+            newest_grant: None,
             fault: None,
             unanswered: 0,
             granted: 0,
         }
     }
 
-    pub fn with_fault(mut self, fault: AgreeFault) -> Lease {
+    /// The same lease with a deliberate fault.
+    pub fn with_fault(mut self, fault: ConsensusFault) -> Lease {
         self.fault = Some(fault);
         self
     }
 
-    /// From when a change is known to be agreed on until nobody goes by what was before it any more, by this host's clock.
-    pub fn until_all(lease: TimeDelta, drift: f64) -> TimeDelta {
-        TimeDelta::from_secs(lease.secs() * (1.0 + 2.0 * drift))
+    /// From when a replica learns that an entry is committed until nobody goes by what was before it any more, by that
+    /// replica's clock.
+    pub fn max_holdover(duration: TimeDelta, max_clock_drift: f64) -> TimeDelta {
+        TimeDelta::from_secs(duration.secs() * (1.0 + 2.0 * max_clock_drift))
+    }
+
+    fn fraction(&self, fraction: f64) -> TimeDelta {
+        TimeDelta::from_secs(self.duration.secs() * fraction)
     }
 
-    /// The next ask, if it is time; an answer counts from now.
-    pub fn ask(&mut self, now: Instant) -> Option<u32> {
-        if now < self.next_ask {
+    /// The number of a new request, if one is due; a lease counts from now.
+    pub fn poll_request(&mut self, now: Instant) -> Option<u32> {
+        if now < self.next_request_at {
             return None;
         }
-        self.seq = self.seq.wrapping_add(1);
+        self.last_sequence = self.last_sequence.wrapping_add(1);
         self.unanswered = self.unanswered.saturating_add(1);
-        if self.asks.len() >= ASKS {
-            self.asks.pop_front();
+        if self.outstanding.len() >= MAX_OUTSTANDING {
+            self.outstanding.pop_front();
         }
-        self.asks.push_back((self.seq, now));
-        self.next_ask = now + TimeDelta::from_secs(self.lease.secs() * AGAIN);
-        Some(self.seq)
+        self.outstanding.push_back(Request { sequence: self.last_sequence, sent: now });
+        self.next_request_at = now + self.fraction(RETRY_AFTER);
+        Some(self.last_sequence)
     }
 
-    /// Asks anew now: somebody waits for what is newest.
-    pub fn hurry(&mut self, now: Instant) {
-        self.next_ask = self.next_ask.min(now);
+    /// Makes a request due now: somebody waits for what is newest.
+    pub fn request_now(&mut self, now: Instant) {
+        self.next_request_at = self.next_request_at.min(now);
     }
 
-    pub fn heard(&mut self, now: Instant, word: &Word) {
-        let Word::Granted { seq, index, term_ms, .. } = word else { return };
-        let Some((_, sent)) = self.asks.iter().copied().find(|(s, _)| s == seq) else { return };
-        let has = |f: AgreeFault| self.fault == Some(f);
-        // The way of both words, and whatever this host stood still meanwhile, is taken off: it counts from the ask. What the
-        // other says is no more than this host was told, whatever that other was told.
-        let from = if has(AgreeFault::LeaseFromReceipt) { now } else { sent };
-        let drift = if has(AgreeFault::NoDrift) { 0.0 } else { self.drift };
-        let term = (f64::from(*term_ms) / 1e3).min(self.lease.secs());
-        let until = from + TimeDelta::from_secs(term * (1.0 - 2.0 * drift));
+    /// A grant has arrived.
+    pub fn on_granted(&mut self, now: Instant, grant: LeaseGrant) {
+        let request = self.outstanding.iter().find(|request| request.sequence == grant.sequence);
+        let Some(sent) = request.map(|request| request.sent) else { return };
         self.granted += 1;
         self.unanswered = 0;
-        if self.newest.is_none_or(|(s, _)| s < *seq) {
-            self.newest = Some((*seq, *index));
+        if self.newest_grant.is_none_or(|newest| newest.sequence < grant.sequence) {
+            self.newest_grant = Some(grant);
         }
-        let newer = |old: &Option<(u64, Instant)>| old.is_none_or(|(_, u)| until > u);
-        if newer(&self.comes) {
-            self.comes = Some((*index, until));
+        let until = self.expiry(now, sent, grant.duration);
+        if self.awaiting_entries.is_none_or(|awaiting| until > awaiting.until) {
+            self.awaiting_entries = Some(Validity { index: grant.index, until });
         }
-        // An answer that was long on its way leaves little of the lease; the next ask still waits its moment.
-        let due = sent + TimeDelta::from_secs(self.lease.secs() * RENEW);
-        self.next_ask = due.max(now + TimeDelta::from_secs(self.lease.secs() * AGAIN));
+        // A grant that took long leaves little of the lease; the next request still waits its time.
+        let renewal = sent + self.fraction(RENEW_AFTER);
+        self.next_request_at = renewal.max(now + self.fraction(RETRY_AFTER));
+    }
+
+    /// The lease counts from its request, so that the time of both messages, and any for which this process stood still,
+    /// is taken off. It is no longer than this replica was told, whatever the leader was.
+    fn expiry(&self, now: Instant, sent: Instant, granted: TimeDelta) -> Instant {
+        let has_fault = |fault: ConsensusFault| self.fault == Some(fault);
+        let start = if has_fault(ConsensusFault::LeaseFromResponse) { now } else { sent };
+        let ignores_drift = has_fault(ConsensusFault::IgnoreClockDrift);
+        let drift = if ignores_drift { 0.0 } else { self.max_clock_drift };
+        let duration = granted.secs().min(self.duration.secs());
+        start + TimeDelta::from_secs(duration * (1.0 - 2.0 * drift))
     }
 
-    /// Somebody spoke to this host, if only to say who leads.
-    pub fn answered(&mut self) {
+    /// Another replica has responded, if only to say who leads.
+    pub fn on_response(&mut self) {
         self.unanswered = 0;
     }
 
+    /// Requests since the last response.
     pub fn unanswered(&self) -> u32 {
         self.unanswered
     }
 
-    /// Entries up to there are here.
-    pub fn has(&mut self, index: u64) {
-        let without = self.fault == Some(AgreeFault::LeaseWithoutEntries);
-        if let Some((_, until)) = self.comes.take_if(|(i, _)| *i <= index || without) {
-            if self.held.is_none_or(|(_, u)| until > u) {
-                self.held = Some((index, until));
-            }
+    /// Entries up to `index` are here and committed. A lease begins once the entries that it names are.
+    pub fn on_committed(&mut self, index: u64) {
+        let without_entries = self.fault == Some(ConsensusFault::LeaseWithoutEntries);
+        let is_usable = |awaiting: &mut Validity| awaiting.index <= index || without_entries;
+        let Some(usable) = self.awaiting_entries.take_if(is_usable) else { return };
+        if self.current.is_none_or(|current| usable.until > current.until) {
+            self.current = Some(usable);
         }
     }
 
-    pub fn standing(&self, now: Instant) -> Standing {
-        match self.held {
-            None => Standing::Never,
-            Some((_, until)) if now < until => Standing::Holds { until },
-            Some((_, since)) => Standing::Past { since },
+    /// Whether what this replica has counts now.
+    pub fn state(&self, now: Instant) -> LeaseState {
+        match self.current {
+            None => LeaseState::Never,
+            Some(Validity { until, .. }) if now < until => LeaseState::Valid { until },
+            Some(Validity { until, .. }) => LeaseState::Expired { since: until },
         }
     }
 
-    /// Up to where entries were committed at some moment after that ask, once it or a later one is answered.
-    pub fn read(&self, seq: u32) -> Option<u64> {
-        self.newest.filter(|(s, _)| *s >= seq).map(|(_, index)| index)
+    /// Index of the last entry that was committed at some moment after that request, once it or a later one is granted.
+    pub fn read_index(&self, sequence: u32) -> Option<u64> {
+        self.newest_grant.filter(|newest| newest.sequence >= sequence).map(|newest| newest.index)
     }
 
-    pub fn next_wake(&self, now: Instant) -> Instant {
-        match self.standing(now) {
-            Standing::Holds { until } => self.next_ask.min(until),
-            _ => self.next_ask,
+    /// When the next request is due, or the state changes.
+    pub fn poll_timeout(&self, now: Instant) -> Instant {
+        match self.state(now) {
+            LeaseState::Valid { until } => self.next_request_at.min(until),
+            _ => self.next_request_at,
         }
     }
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,19 +1,64 @@
-//! What all hosts of a fleet go by: a log of changes that a few voters agree on (Raft: Ongaro and Ousterhout, 2014, with
-//! pre-vote and changes of one voter at a time as in Ongaro's thesis, 2014), followed by all other hosts; and a lease that
-//! tells each host for how long what it has counts. Never wrong; it may stand still. No I/O, no clock: datagrams, the time
-//! and the disk's word in; datagrams, writes and commits out. docs/agreement.md has the promise.
+//! Consensus among the hosts of a fleet: a replicated log by Raft, with pre-vote, changes of one voter at a time, and
+//! leases that tell each replica for how long what it has counts. It never gives a wrong result; it may stand still. There
+//! is no I/O and no clock: messages, the time and completed writes go in, messages, writes and committed commands come out.
+//! docs/agreement.md has the promise.
+//!
+//! "Raft" is Ongaro and Ousterhout, *In Search of an Understandable Consensus Algorithm* (extended version, 2014); "thesis"
+//! is Ongaro, *Consensus: Bridging Theory and Practice* (2014).
+//!
+//! | module | implements |
+//! | --- | --- |
+//! | `raft` | state and dispatch of one server (Raft, figures 2 and 4) |
+//! | `raft::election` | votes (Raft, 5.2 and 5.4.1), pre-votes (thesis, 9.6), deafness while a leader is heard (thesis, 4.2.3) |
+//! | `raft::leader` | proposals, heartbeats, stepping down without a majority (thesis, 6.2) |
+//! | `raft::replication` | AppendEntries by the leader (Raft, 5.3), commitment (Raft, 5.4.2) |
+//! | `raft::follower` | AppendEntries and InstallSnapshot at a follower (Raft, 5.3 and 7) |
+//! | `raft::membership` | changes of one voter (thesis, 4.1, with the erratum of 2015) |
+//! | `raft::leases` | grants after a heartbeat round (thesis, 6.4) |
+//! | `raft::learner` | replicas that do not vote (thesis, 4.2.1) |
+//! | `raft::persistence`, `raft::commit` | writes before responses (Raft, figure 2); commits in order, and snapshots (Raft, 7) |
+//! | `raft::bootstrap`, `raft::disk_identity`, `raft::recovery` | what Raft leaves out, see below |
+//! | `log` | entries and compaction (Raft, 7) |
+//! | `lease` | a replica's lease (compare thesis, 6.4.1) |
+//! | `replica` | client sessions (thesis, 6.3), forwarding of proposals, reads (thesis, 6.4) |
+//! | `chunks` | messages longer than a datagram (compare Raft, figure 13) |
+//!
+//! What differs from Raft as published:
+//!
+//! - A voter is a host number and a disk id. A replica whose disk was lost, or is an old copy, does not vote.
+//! - The initial voters agree on their disks before the first term, so that no second log can begin.
+//! - Learners fetch committed entries from any voter; the leader keeps no state of them but what they reported.
+//! - Every replica holds a lease from the leader, not the leader one from its followers. A committed entry is *effective*
+//!   once all leases that were granted before it have expired.
+//! - A snapshot is taken of what is committed, which may not be on this replica's disk yet.
+//! - Responses of AppendEntries carry the round that they respond to, and on a mismatch where to try next.
+//! - An operator may make one replica go on without a majority, as a new log.
 
+#![warn(missing_docs)]
+
+mod chunks;
+mod error;
+mod event;
 mod fault;
 mod lease;
 mod log;
-mod parcels;
-mod seat;
-mod voter;
+mod raft;
+mod replica;
+mod settings;
+mod state;
+mod status;
 
-pub use fault::AgreeFault;
-pub use lease::{Lease, Standing};
-pub use log::{Base, Log};
-pub use parcels::{Parcels, ParcelsSettings};
-pub use seat::{Seat, SeatOutput, SeatSettings};
-pub use tackmast_wire::agree::{Entry, Mark, Origin, Voters, What, Word, MAX_ENTRY, MAX_STATE, MAX_VOTERS};
-pub use voter::{Hard, Held, Output, Refusal, Settings, Status, Voter, Write};
+pub use chunks::{Chunk, ChunkSettings, ChunkedTransfer, Transmit};
+pub use error::{ProposeError, RecoveryError, VoterChangeError};
+pub use event::Event;
+pub use fault::ConsensusFault;
+pub use lease::{Lease, LeaseGrant, LeaseState};
+pub use log::{Configuration, Log, LogLength, Snapshot};
+pub use raft::{RaftNode, RaftOutput};
+pub use replica::{Replica, ReplicaOutput};
+pub use settings::{RaftSettings, ReplicaSettings};
+pub use state::{HardState, LogSuffix, PersistentState, Write};
+pub use status::{Counters, FollowerStatus, ReplicaRole, Status};
+pub use tackmast_wire::consensus::{
+    DiskIdentity, Entry, EntryPayload, LogPosition, Message, Voters, MAX_ENTRY, MAX_STATE, MAX_VOTERS,
+};
--- /dev/null
+++ b/crates/consensus/src/log/tests.rs
@@ -0,0 +1,58 @@
+//! Positions, configurations and bounds through truncation and compaction.
+
+use super::*;
+
+fn command(term: u64, byte: u8) -> Entry {
+    Entry { term, payload: EntryPayload::Command(Bytes::from(vec![byte])) }
+}
+
+fn voters(disk: u64) -> Voters {
+    Voters::from([(0, disk)])
+}
+
+fn configuration(index: u64, voters: &Voters) -> Configuration<'_> {
+    Configuration { index, voters }
+}
+
+#[test]
+fn positions_terms_and_voters_through_compaction_and_truncation() {
+    let last = LogPosition { term: 1, index: 10 };
+    let snapshot = Snapshot { log_id: 3, last, voters: voters(1), state: Bytes::new() };
+    let mut log = Log::new(snapshot, vec![command(1, 11), command(2, 12)]);
+    assert_eq!(log.last(), LogPosition { term: 2, index: 12 });
+    assert_eq!(log.position_at(10).map(|position| position.term), Some(1));
+    assert_eq!(log.push(Entry { term: 3, payload: EntryPayload::Voters(voters(2)) }), 13);
+    log.push(command(3, 14));
+    assert_eq!(log.configuration(), configuration(13, &voters(2)));
+    // Truncation takes the configuration back with it.
+    log.truncate_from(13);
+    assert_eq!((log.configuration(), log.last().index), (configuration(10, &voters(1)), 12));
+    log.push(Entry { term: 4, payload: EntryPayload::Voters(voters(3)) });
+    log.push(command(4, 14));
+    assert!(log.compact(13, Bytes::from_static(b"s")));
+    assert!(!log.compact(13, Bytes::new()) && !log.compact(99, Bytes::new()));
+    assert_eq!(log.snapshot().last, LogPosition { term: 4, index: 13 });
+    assert_eq!(log.configuration(), configuration(13, &voters(3)));
+    // Entries that the snapshot covers are still sent to followers that are a little behind, and can't be removed.
+    assert_eq!(log.entries_from(11, 2, 100).len(), 2);
+    log.truncate_from(5);
+    assert_eq!((log.last().index, log.get(14)), (13, None));
+    log.restore(Snapshot { last: LogPosition { term: 9, index: 40 }, ..Snapshot::default() });
+    assert_eq!((log.last().index, log.get(13)), (40, None));
+    assert_eq!(log.position_at(40).map(|position| position.term), Some(9));
+}
+
+#[test]
+fn what_is_kept_before_the_snapshot_is_bounded() {
+    let mut log = Log::default();
+    for i in 0..5_000u64 {
+        log.push(command(1, i as u8));
+    }
+    assert!(log.compact(4_990, Bytes::new()));
+    assert_eq!(log.entries_from(4_000, 10_000, 1 << 30).len(), 1_001);
+    assert!(log.entries_from(3_900, 10, 1 << 30).is_empty());
+    let large = Entry { term: 2, payload: EntryPayload::Command(Bytes::from(vec![0; 1 << 20])) };
+    (0..6).for_each(|_| _ = log.push(large.clone()));
+    assert!(log.compact(log.last().index, Bytes::new()));
+    assert!(log.bytes <= MAX_KEPT_BYTES);
+}
--- /dev/null
+++ b/crates/consensus/src/raft.rs
@@ -0,0 +1,370 @@
+//! One Raft server without I/O: a voter where its host number and disk are in the configuration, else a learner that only
+//! takes what is committed. This file has its state and hands inputs to the part that handles them.
+
+mod bootstrap;
+mod commit;
+mod disk_identity;
+mod election;
+mod follower;
+mod leader;
+mod learner;
+mod leases;
+mod membership;
+mod persistence;
+mod recovery;
+mod replication;
+
+use crate::event::Event;
+use crate::fault::ConsensusFault;
+use crate::log::{Log, Snapshot};
+use crate::settings::{RaftSettings, ReplicaSettings};
+use crate::state::{HardState, LogSuffix, Write};
+use crate::status::{Counters, FollowerStatus, ReplicaRole, Status};
+use bootstrap::BootstrapState;
+use bytes::Bytes;
+use leader::LeaderState;
+use learner::FetchState;
+use persistence::{DelayedMessage, PendingWrite};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use tackmast::interface::Instant;
+use tackmast_wire::consensus::{DiskIdentity, Entry, EntryPayload, LogPosition, Message, Voters};
+
+/// Entries that are not committed yet, at most; a leader refuses those beyond.
+const MAX_UNCOMMITTED: u64 = 1024;
+/// Entries of one AppendEntries message, and their bytes.
+const MAX_APPEND_ENTRIES: usize = 128;
+const MAX_APPEND_BYTES: usize = 64 << 10;
+
+/// What a Raft server wants done.
+#[derive(Clone, Debug, PartialEq)]
+pub enum RaftOutput {
+    /// A message for another replica, or this one.
+    Send {
+        /// The receiver's host number.
+        to: u32,
+        /// The message.
+        message: Message,
+    },
+    /// A change of the persistent state.
+    Write(Write),
+    /// An entry is committed.
+    Commit {
+        /// Its index.
+        index: u64,
+        /// What it holds.
+        payload: EntryPayload,
+    },
+    /// The state machine takes this state in place of all before.
+    RestoreSnapshot(Snapshot),
+    /// The state machine's state as of that commit is wanted.
+    TakeSnapshot {
+        /// Index of the last committed entry.
+        index: u64,
+    },
+    /// Operators are to know.
+    Event(Event),
+}
+
+/// The state of a server (Raft, figure 4).
+#[derive(Clone, Debug)]
+enum Role {
+    Follower { leader: Option<u32> },
+    Candidate { pre_vote: bool, votes: BTreeSet<u32> },
+    Leader(Box<LeaderState>),
+}
+
+/// A Raft server.
+#[derive(Clone)]
+pub struct RaftNode {
+    me: u32,
+    identity: DiskIdentity,
+    settings: RaftSettings,
+    hard_state: HardState,
+    log: Log,
+    commit_index: u64,
+    /// Index of the last entry on disk.
+    persisted_index: u64,
+    role: Role,
+    leader_heard_at: Instant,
+    election_deadline: Instant,
+    /// While the group has no log.
+    bootstrap: Option<BootstrapState>,
+    known_disks: BTreeMap<u32, DiskIdentity>,
+    known_disks_changed: bool,
+    last_write: u64,
+    persisted_write: u64,
+    pending_writes: VecDeque<PendingWrite>,
+    delayed_messages: VecDeque<DelayedMessage>,
+    disk_failed: bool,
+    fetch: FetchState,
+    snapshot_requested: Option<u64>,
+    outputs: VecDeque<RaftOutput>,
+    random: oorandom::Rand64,
+    fault: Option<ConsensusFault>,
+    /// Events since the start.
+    pub counters: Counters,
+}
+
+impl RaftNode {
+    /// A server as its disk has it.
+    pub fn new(now: Instant, settings: ReplicaSettings) -> RaftNode {
+        let ReplicaSettings { me, identity, raft, initial_voters, persisted, seed } = settings;
+        let commit_index = persisted.snapshot.last.index;
+        let log = Log::new(persisted.snapshot, persisted.entries);
+        let has_log = !log.configuration().voters.is_empty();
+        let bootstrap = (!has_log).then(|| BootstrapState::new(initial_voters, persisted.confirmed_voters));
+        let mut node = RaftNode {
+            me,
+            identity,
+            settings: raft,
+            hard_state: persisted.hard_state,
+            commit_index,
+            persisted_index: log.last().index,
+            log,
+            role: Role::Follower { leader: None },
+            leader_heard_at: now,
+            election_deadline: now,
+            bootstrap,
+            known_disks: persisted.known_disks,
+            known_disks_changed: false,
+            last_write: 0,
+            persisted_write: 0,
+            pending_writes: VecDeque::new(),
+            delayed_messages: VecDeque::new(),
+            disk_failed: false,
+            fetch: FetchState::default(),
+            snapshot_requested: None,
+            outputs: VecDeque::new(),
+            random: oorandom::Rand64::new(u128::from(seed) << 32 | u128::from(me)),
+            fault: None,
+            counters: Counters::default(),
+        };
+        if commit_index > 0 || !node.log.snapshot().state.is_empty() {
+            node.outputs.push_back(RaftOutput::RestoreSnapshot(node.log.snapshot().clone()));
+        }
+        node.reset_election_timer(now);
+        node
+    }
+
+    /// The same server with a deliberate fault, for tests of the tests.
+    pub fn with_fault(mut self, fault: ConsensusFault) -> RaftNode {
+        self.fault = Some(fault);
+        self
+    }
+
+    fn has_fault(&self, fault: ConsensusFault) -> bool {
+        self.fault == Some(fault)
+    }
+
+    /// Index of the last entry that this server knows to be committed.
+    pub fn commit_index(&self) -> u64 {
+        self.commit_index
+    }
+
+    /// Index of the last entry that is committed and on this server's disk.
+    pub fn persisted_commit_index(&self) -> u64 {
+        self.commit_index.min(self.persisted_index)
+    }
+
+    /// The disk that this server runs from.
+    pub fn identity(&self) -> DiskIdentity {
+        self.identity
+    }
+
+    /// The newest configuration in the log, committed or not.
+    pub fn voters(&self) -> &Voters {
+        self.log.configuration().voters
+    }
+
+    /// Hosts that may know the leader.
+    pub fn voters_to_ask(&self) -> Vec<u32> {
+        match &self.bootstrap {
+            Some(bootstrap) => bootstrap.initial_voters.iter().copied().collect(),
+            None => self.voters().keys().copied().collect(),
+        }
+    }
+
+    fn other_voters(&self) -> Vec<u32> {
+        self.voters().keys().copied().filter(|host| *host != self.me).collect()
+    }
+
+    /// The leader as far as this server knows.
+    pub fn leader(&self) -> Option<u32> {
+        match &self.role {
+            Role::Leader(_) => Some(self.me),
+            Role::Follower { leader } => *leader,
+            Role::Candidate { .. } => None,
+        }
+    }
+
+    /// Whether this server is the leader of its term.
+    pub fn is_leader(&self) -> bool {
+        matches!(self.role, Role::Leader(_))
+    }
+
+    /// Whether this server votes, by its host number and its disk.
+    pub fn is_voter(&self) -> bool {
+        if self.disk_failed || self.bootstrap.is_some() {
+            return false;
+        }
+        let voting_disk = self.voters().get(&self.me);
+        voting_disk == Some(&self.identity.disk)
+            || (voting_disk.is_some() && self.has_fault(ConsensusFault::LostDiskVotes))
+    }
+
+    fn quorum(&self) -> usize {
+        match self.has_fault(ConsensusFault::MinorityCommits) {
+            true => self.voters().len().div_ceil(2).max(1),
+            false => self.voters().len() / 2 + 1,
+        }
+    }
+
+    /// The log.
+    pub fn log(&self) -> &Log {
+        &self.log
+    }
+
+    /// The newest term that this server has seen.
+    pub fn term(&self) -> u64 {
+        self.hard_state.term
+    }
+
+    /// The disk from which that voter was last heard.
+    pub fn known_disk(&self, host: u32) -> Option<DiskIdentity> {
+        self.known_disks.get(&host).copied()
+    }
+
+    fn emit(&mut self, event: Event) {
+        self.outputs.push_back(RaftOutput::Event(event));
+    }
+
+    /// A newer term makes any server a follower (Raft, section 5.1).
+    fn observe_term(&mut self, now: Instant, term: u64) {
+        if term > self.hard_state.term {
+            self.hard_state = HardState { term, voted_for: None };
+            self.write_hard_state();
+            self.step_down(now, None);
+        }
+    }
+
+    fn step_down(&mut self, now: Instant, leader: Option<u32>) {
+        if self.is_leader() {
+            self.emit(Event::SteppedDown { term: self.hard_state.term });
+            self.reset_election_timer(now);
+        }
+        self.role = Role::Follower { leader };
+    }
+
+    /// A message of another replica has arrived.
+    pub fn handle_message(&mut self, now: Instant, from: u32, message: Message) {
+        if self.disk_failed || self.is_of_other_log(&message) {
+            return;
+        }
+        match message {
+            Message::RequestVote { pre_vote, term, last_log, identity } => {
+                let request = election::VoteRequest { pre_vote, term, last_log, identity };
+                self.handle_request_vote(now, from, request)
+            }
+            Message::RequestVoteResponse { pre_vote, term, granted, identity } => {
+                let response = election::VoteResponse { pre_vote, term, granted, identity };
+                self.handle_vote_response(now, from, response)
+            }
+            Message::AppendEntries { term, round, previous, commit_index, entries, .. } => {
+                let request = follower::AppendRequest { term, round, previous, commit_index, entries };
+                self.handle_append_entries(now, from, request)
+            }
+            Message::AppendEntriesResponse { term, round, success, index, identity } => {
+                let response = replication::AppendResponse { term, round, success, index, identity };
+                self.handle_append_response(now, from, response)
+            }
+            Message::InstallSnapshot { term, log_id, last, voters, state } => {
+                self.handle_install_snapshot(now, from, term, Snapshot { log_id, last, voters, state })
+            }
+            Message::Propose { data, .. } => self.handle_proposal(now, from, data),
+            Message::RequestLease { sequence, stored_index, identity } => self.handle_lease_request(
+                now,
+                from,
+                leases::LeaseRequest { sequence, stored_index, identity },
+            ),
+            Message::FetchCommitted { stored_index } => self.send_committed(from, stored_index),
+            Message::CommittedEntries { after, entries, .. } => {
+                self.handle_committed_entries(now, after, entries)
+            }
+            Message::CommittedSnapshot { log_id, last, voters, state } => {
+                self.handle_committed_snapshot(now, Snapshot { log_id, last, voters, state })
+            }
+            Message::Bootstrap { identity, confirmed, bootstrapped, disks } => {
+                let announcement = bootstrap::Announcement { identity, confirmed, bootstrapped, disks };
+                self.handle_bootstrap(now, from, announcement)
+            }
+            Message::StaleDisk { identity } => self.handle_stale_disk(identity),
+            Message::LeaseGranted { .. } | Message::LeaderHint { .. } => {}
+        }
+    }
+
+    /// Whether the message is of a log that goes on elsewhere beside one that was forced.
+    fn is_of_other_log(&self, message: &Message) -> bool {
+        match message {
+            Message::AppendEntries { log_id, .. }
+            | Message::CommittedEntries { log_id, .. }
+            | Message::Propose { log_id, .. } => *log_id != self.log.snapshot().log_id,
+            _ => false,
+        }
+    }
+
+    /// Does what is due by now.
+    pub fn handle_timeout(&mut self, now: Instant) {
+        if self.disk_failed {
+            return;
+        }
+        self.handle_bootstrap_timeout(now);
+        if self.is_leader() {
+            self.handle_leader_timeout(now);
+        } else if !self.is_voter() {
+            self.handle_fetch_timeout(now);
+        } else if now >= self.election_deadline {
+            self.start_pre_vote(now);
+        }
+    }
+
+    /// When `handle_timeout` is due; none if only a message can bring anything new.
+    pub fn poll_timeout(&self) -> Option<Instant> {
+        if self.disk_failed {
+            return None;
+        }
+        let role_timeout = match &self.role {
+            Role::Leader(leader) => Some(leader.poll_timeout()),
+            _ if self.is_voter() => Some(self.election_deadline),
+            _ => self.fetch.retry_at,
+        };
+        let announcement = self.bootstrap.as_ref().map(|bootstrap| bootstrap.next_announcement);
+        [role_timeout, announcement].into_iter().flatten().min()
+    }
+
+    /// The next thing to be done.
+    pub fn poll_output(&mut self) -> Option<RaftOutput> {
+        self.outputs.pop_front()
+    }
+
+    /// The state at this moment, for operators.
+    pub fn status(&self, now: Instant) -> Status {
+        let (role, followers) = match &self.role {
+            Role::Follower { .. } => (ReplicaRole::Follower, BTreeMap::new()),
+            Role::Candidate { .. } => (ReplicaRole::Candidate, BTreeMap::new()),
+            Role::Leader(leader) => (ReplicaRole::Leader, leader.follower_status(now)),
+        };
+        Status {
+            role,
+            term: self.hard_state.term,
+            leader: self.leader(),
+            last_index: self.log.last().index,
+            commit_index: self.commit_index,
+            snapshot_index: self.log.snapshot().last.index,
+            voters: self.voters().clone(),
+            is_voter: self.is_voter(),
+            bootstrapped: self.bootstrap.is_none(),
+            disk_failed: self.disk_failed,
+            followers,
+        }
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/raft/commit.rs
@@ -0,0 +1,43 @@
+//! Committed entries in order (Raft, section 5.3), and snapshots of what they led to (section 7).
+
+use super::*;
+use tackmast_wire::consensus::MAX_STATE;
+
+impl RaftNode {
+    /// All entries up to `index` that are here are committed.
+    pub(super) fn advance_commit_index(&mut self, index: u64) {
+        let index = index.min(self.log.last().index);
+        while self.commit_index < index {
+            let Some(entry) = self.log.get(self.commit_index + 1) else { break };
+            let payload = entry.payload.clone();
+            self.commit_index += 1;
+            self.counters.commits += 1;
+            self.outputs.push_back(RaftOutput::Commit { index: self.commit_index, payload });
+        }
+        self.request_snapshot_if_due();
+    }
+
+    /// Asks for a snapshot once the log has grown long.
+    pub(super) fn request_snapshot_if_due(&mut self) {
+        let length = self.log.since_snapshot();
+        let is_long = length.entries >= self.settings.snapshot_after_entries
+            || length.bytes >= self.settings.snapshot_after_bytes;
+        let snapshot_index = self.log.snapshot().last.index;
+        let is_requested = self.snapshot_requested.is_some_and(|index| index > snapshot_index);
+        if is_long && !is_requested && self.commit_index > snapshot_index {
+            self.snapshot_requested = Some(self.commit_index);
+            self.outputs.push_back(RaftOutput::TakeSnapshot { index: self.commit_index });
+        }
+    }
+
+    /// The state that all entries up to `index` led to, as requested.
+    pub fn on_snapshot_taken(&mut self, index: u64, state: Bytes) {
+        if index > self.commit_index || state.len() > MAX_STATE {
+            return;
+        }
+        if self.log.compact(index, state) {
+            self.counters.snapshots_taken += 1;
+            self.write_snapshot();
+        }
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/raft/election.rs
@@ -0,0 +1,140 @@
+//! Leader election (Raft, section 5.2) with the restriction on logs (5.4.1) and pre-votes (thesis, section 9.6), so that a
+//! server which was cut off unseats nobody. Voters that hear a leader disregard requests for votes (thesis, 4.2.3).
+
+use super::*;
+
+/// The fields of a RequestVote message.
+pub(super) struct VoteRequest {
+    pub pre_vote: bool,
+    pub term: u64,
+    pub last_log: LogPosition,
+    pub identity: DiskIdentity,
+}
+
+/// The fields of a RequestVoteResponse message.
+pub(super) struct VoteResponse {
+    pub pre_vote: bool,
+    pub term: u64,
+    pub granted: bool,
+    pub identity: DiskIdentity,
+}
+
+impl RaftNode {
+    /// Draws a new election timeout (Raft, section 9.3) that begins now.
+    pub(super) fn reset_election_timer(&mut self, now: Instant) {
+        let timeouts = 1.0 + self.random.rand_float();
+        self.election_deadline = now + self.settings.election_timeouts(timeouts);
+    }
+
+    pub(super) fn start_pre_vote(&mut self, now: Instant) {
+        self.reset_election_timer(now);
+        self.counters.elections += 1;
+        self.become_pre_candidate();
+        self.count_votes(now);
+    }
+
+    fn become_pre_candidate(&mut self) {
+        self.role = Role::Candidate { pre_vote: true, votes: BTreeSet::from([self.me]) };
+        self.request_votes(true, self.hard_state.term + 1);
+    }
+
+    fn become_candidate(&mut self) {
+        self.hard_state = HardState { term: self.hard_state.term + 1, voted_for: Some(self.me) };
+        self.write_hard_state();
+        self.role = Role::Candidate { pre_vote: false, votes: BTreeSet::from([self.me]) };
+        self.request_votes(false, self.hard_state.term);
+    }
+
+    fn request_votes(&mut self, pre_vote: bool, term: u64) {
+        let (last_log, identity) = (self.log.last(), self.identity);
+        for voter in self.other_voters() {
+            self.send_after_persist(voter, Message::RequestVote { pre_vote, term, last_log, identity });
+        }
+    }
+
+    pub(super) fn handle_request_vote(&mut self, now: Instant, from: u32, request: VoteRequest) {
+        if !self.is_voter() {
+            return;
+        }
+        let VoteRequest { pre_vote, term, last_log, identity } = request;
+        if !self.is_current_disk(from, identity) {
+            return self.respond_to_vote(from, pre_vote, self.hard_state.term, false);
+        }
+        let is_up_to_date = last_log >= self.log.last() || self.has_fault(ConsensusFault::NoLogCheck);
+        if pre_vote {
+            let granted = !self.hears_leader(now) && is_up_to_date && term > self.hard_state.term;
+            let response_term = if granted { term } else { self.hard_state.term };
+            return self.respond_to_vote(from, pre_vote, response_term, granted);
+        }
+        if self.hears_leader(now) {
+            return;
+        }
+        self.observe_term(now, term);
+        let is_free = self.hard_state.voted_for.is_none_or(|candidate| candidate == from);
+        let granted = term == self.hard_state.term && is_free && is_up_to_date && !self.is_leader();
+        if granted {
+            self.record_vote(from);
+            self.reset_election_timer(now);
+        }
+        self.respond_to_vote(from, pre_vote, self.hard_state.term, granted);
+    }
+
+    fn hears_leader(&self, now: Instant) -> bool {
+        let heard_lately = now - self.leader_heard_at < self.settings.election_timeout;
+        self.is_leader() || (self.leader().is_some() && heard_lately)
+    }
+
+    fn record_vote(&mut self, candidate: u32) {
+        if self.hard_state.voted_for.is_some() {
+            return;
+        }
+        self.hard_state.voted_for = Some(candidate);
+        if !self.has_fault(ConsensusFault::VoteNotPersisted) {
+            self.write_hard_state();
+        }
+    }
+
+    fn respond_to_vote(&mut self, candidate: u32, pre_vote: bool, term: u64, granted: bool) {
+        let identity = self.identity;
+        let response = Message::RequestVoteResponse { pre_vote, term, granted, identity };
+        self.send_after_persist(candidate, response);
+    }
+
+    pub(super) fn handle_vote_response(&mut self, now: Instant, from: u32, response: VoteResponse) {
+        if !response.granted {
+            return self.observe_term(now, response.term);
+        }
+        if !self.is_voter() || !self.is_current_disk(from, response.identity) {
+            return;
+        }
+        let expected_term = self.hard_state.term + u64::from(response.pre_vote);
+        match &mut self.role {
+            Role::Candidate { pre_vote, votes }
+                if *pre_vote == response.pre_vote && response.term == expected_term =>
+            {
+                votes.insert(from);
+            }
+            _ => return,
+        }
+        self.count_votes(now);
+    }
+
+    /// A majority of pre-votes starts the election, a majority of votes wins it.
+    pub(super) fn count_votes(&mut self, now: Instant) {
+        let Role::Candidate { pre_vote, votes } = &self.role else { return };
+        let pre_vote = *pre_vote;
+        let count = votes.iter().filter(|voter| self.voters().contains_key(voter)).count();
+        if count < self.quorum() {
+            return;
+        }
+        if pre_vote {
+            self.become_candidate();
+            return self.count_votes(now);
+        }
+        // The own vote has to be on disk as well: without others' votes it comes last.
+        if count == 1 && self.persisted_write < self.last_write {
+            return;
+        }
+        self.become_leader(now);
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/raft/follower.rs
@@ -0,0 +1,157 @@
+//! What a follower does with a leader's messages: AppendEntries (Raft, section 5.3) and InstallSnapshot (section 7).
+
+use super::*;
+
+/// The fields of an AppendEntries message.
+pub(super) struct AppendRequest {
+    pub term: u64,
+    pub round: u64,
+    pub previous: LogPosition,
+    pub commit_index: u64,
+    pub entries: Vec<Entry>,
+}
+
+/// Entries that the log lacks, or has of another term.
+struct NewEntries {
+    first_index: u64,
+    entries: Vec<Entry>,
+}
+
+impl RaftNode {
+    pub(super) fn handle_append_entries(&mut self, now: Instant, from: u32, request: AppendRequest) {
+        let AppendRequest { term, round, previous, commit_index, entries } = request;
+        if self.bootstrap.is_some() || !self.accept_leader(now, from, term, round) {
+            return;
+        }
+        // What the snapshot covers is committed, and so is as the leader has it.
+        let snapshot_index = self.log.snapshot().last.index;
+        let matches =
+            previous.index < snapshot_index || self.log.position_at(previous.index) == Some(previous);
+        if !matches {
+            let index = self.conflict_hint(previous);
+            let response = self.append_response(round, false, index);
+            return self.send_after_persist(from, response);
+        }
+        let last_new = previous.index + entries.len() as u64;
+        let new = self.select_new_entries(previous.index, entries);
+        if !new.entries.is_empty() {
+            self.replace_suffix(new);
+            if self.has_fault(ConsensusFault::AckBeforePersist) {
+                let response = self.append_response(round, true, last_new);
+                self.send(from, response);
+            }
+        }
+        self.advance_commit_index(commit_index.min(last_new));
+        let response = self.append_response(round, true, last_new.max(snapshot_index));
+        self.send_after_persist(from, response);
+    }
+
+    fn append_response(&self, round: u64, success: bool, index: u64) -> Message {
+        let (term, identity) = (self.hard_state.term, self.identity);
+        Message::AppendEntriesResponse { term, round, success, index, identity }
+    }
+
+    /// After which index the leader is to try next: the end of the log, or right before the entries of the term that
+    /// differs here (Raft, end of section 5.3).
+    fn conflict_hint(&self, previous: LogPosition) -> u64 {
+        let term_at = |index: u64| self.log.position_at(index).map(|position| position.term);
+        let mut index = self.log.last().index;
+        if index >= previous.index {
+            let conflicting_term = term_at(previous.index);
+            index = previous.index - 1;
+            while index > self.commit_index && term_at(index) == conflicting_term {
+                index -= 1;
+            }
+        }
+        index.max(self.commit_index)
+    }
+
+    /// Entries after `previous_index` from the first on that is not here already.
+    fn select_new_entries(&self, previous_index: u64, entries: Vec<Entry>) -> NewEntries {
+        let snapshot_index = self.log.snapshot().last.index;
+        let mut new = NewEntries { first_index: 0, entries: Vec::new() };
+        for (index, entry) in (previous_index + 1..).zip(entries) {
+            if index <= snapshot_index {
+                continue;
+            }
+            if new.entries.is_empty() {
+                let is_here = self.log.position_at(index).is_some_and(|position| position.term == entry.term);
+                let keeps_conflict =
+                    self.has_fault(ConsensusFault::KeepsConflicts) && self.log.get(index).is_some();
+                if is_here || keeps_conflict {
+                    continue;
+                }
+                new.first_index = index;
+            }
+            new.entries.push(entry);
+        }
+        new
+    }
+
+    fn replace_suffix(&mut self, new: NewEntries) {
+        self.truncate_log_from(new.first_index);
+        for entry in &new.entries {
+            self.log.push(entry.clone());
+        }
+        self.write_entries(new.first_index, new.entries);
+    }
+
+    /// Whether the message is from the leader of this term or of a later one.
+    fn accept_leader(&mut self, now: Instant, from: u32, term: u64, round: u64) -> bool {
+        if term < self.hard_state.term && !self.has_fault(ConsensusFault::OldLeaderFollowed) {
+            let response = self.append_response(round, false, self.commit_index);
+            self.send_after_persist(from, response);
+            return false;
+        }
+        self.observe_term(now, term);
+        if self.is_leader() {
+            // Two leaders of one term are not possible; a message that says so is not followed.
+            return false;
+        }
+        if self.leader() != Some(from) {
+            self.emit(Event::FollowsLeader { leader: from, term });
+        }
+        self.role = Role::Follower { leader: Some(from) };
+        self.leader_heard_at = now;
+        self.reset_election_timer(now);
+        true
+    }
+
+    pub(super) fn handle_install_snapshot(&mut self, now: Instant, from: u32, term: u64, snapshot: Snapshot) {
+        let round = 0;
+        let is_same_log = snapshot.log_id == self.log.snapshot().log_id;
+        if self.bootstrap.is_some() || !is_same_log || !self.accept_leader(now, from, term, round) {
+            return;
+        }
+        let index = snapshot.last.index;
+        self.install_snapshot(snapshot);
+        // What is here beyond the snapshot is the leader's only as far as it is committed.
+        let response = self.append_response(round, true, index.max(self.commit_index));
+        self.send_after_persist(from, response);
+    }
+
+    pub(super) fn install_snapshot(&mut self, snapshot: Snapshot) {
+        let own_log_id = self.log.snapshot().log_id;
+        let is_other_log = own_log_id != 0 && own_log_id != snapshot.log_id;
+        if snapshot.last.index <= self.commit_index || is_other_log {
+            return;
+        }
+        self.counters.restores += 1;
+        // Entries after the snapshot may be committed, and acknowledged by this server: where its log contains the
+        // snapshot's last entry, they stay (Raft, figure 13, step 6).
+        let contains_last = self.log.position_at(snapshot.last.index) == Some(snapshot.last);
+        if contains_last && !self.has_fault(ConsensusFault::SnapshotDropsSuffix) {
+            self.commit_index = snapshot.last.index;
+            self.log.compact(snapshot.last.index, snapshot.state.clone());
+        } else {
+            self.forget_persisted_after(self.commit_index);
+            self.commit_index = snapshot.last.index;
+            self.log.restore(snapshot.clone());
+        }
+        self.write_snapshot();
+        self.outputs.push_back(RaftOutput::RestoreSnapshot(snapshot));
+        if self.bootstrap.take().is_some() {
+            self.emit(Event::Joined);
+        }
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/raft/leader.rs
@@ -0,0 +1,227 @@
+//! A leader's state (Raft, figure 2), its proposals and its heartbeat rounds. A leader that hears no majority for long steps
+//! down (thesis, section 6.2).
+
+use super::leases::WaitingRequest;
+use super::replication::Progress;
+use super::*;
+use crate::error::ProposeError;
+use tackmast_wire::consensus::MAX_ENTRY;
+
+/// Heartbeat intervals between two rounds, at least, however many requests wait for one.
+const MIN_ROUND_HEARTBEATS: f64 = 0.2;
+/// Election timeouts without responses of a majority after which a leader steps down.
+const QUORUM_LOSS_TIMEOUTS: f64 = 2.0;
+
+/// What another replica reported with its last request for a lease.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct StoredReport {
+    pub stored_index: u64,
+    pub at: Instant,
+}
+
+#[derive(Clone, Debug)]
+pub(super) struct LeaderState {
+    /// Index of the first entry of its own term: once that is committed, all before it are.
+    pub term_start_index: u64,
+    pub peers: BTreeMap<u32, Progress>,
+    /// Number of the last heartbeat round.
+    pub round: u64,
+    pub heartbeat_due: Instant,
+    /// The next round begins no sooner, whoever waits for it.
+    pub next_round_at: Instant,
+    pub lease_requests: BTreeMap<u32, WaitingRequest>,
+    pub stored: BTreeMap<u32, StoredReport>,
+    /// Ids of the replicas' disks as they reported them.
+    pub disks: BTreeMap<u32, u64>,
+    /// The commit index that learners were sent.
+    announced_commit: u64,
+    /// Hosts that proposed entries which are not committed yet, by index.
+    proposers: BTreeMap<u64, u32>,
+}
+
+impl LeaderState {
+    fn new(now: Instant, term_start_index: u64, commit_index: u64) -> LeaderState {
+        LeaderState {
+            term_start_index,
+            peers: BTreeMap::new(),
+            round: 0,
+            heartbeat_due: now,
+            next_round_at: now,
+            lease_requests: BTreeMap::new(),
+            stored: BTreeMap::new(),
+            disks: BTreeMap::new(),
+            announced_commit: commit_index,
+            proposers: BTreeMap::new(),
+        }
+    }
+
+    /// Whether a lease request waits for a round that has not begun.
+    fn awaits_round(&self) -> bool {
+        self.lease_requests.values().any(|request| request.round > self.round)
+    }
+
+    pub fn poll_timeout(&self) -> Instant {
+        match self.awaits_round() {
+            true => self.next_round_at.min(self.heartbeat_due),
+            false => self.heartbeat_due,
+        }
+    }
+
+    pub fn follower_status(&self, now: Instant) -> BTreeMap<u32, FollowerStatus> {
+        let status = |report: &StoredReport| FollowerStatus {
+            stored_index: report.stored_index,
+            silent_for: now - report.at,
+        };
+        self.stored.iter().map(|(host, report)| (*host, status(report))).collect()
+    }
+}
+
+impl RaftNode {
+    pub(super) fn become_leader(&mut self, now: Instant) {
+        let last_index = self.log.last().index;
+        let leader = LeaderState::new(now, last_index + 1, self.commit_index);
+        self.role = Role::Leader(Box::new(leader));
+        self.counters.terms_led += 1;
+        let (term, commit_index) = (self.hard_state.term, self.commit_index);
+        self.emit(Event::BecameLeader { term, last_index, commit_index });
+        self.append_entry(now, EntryPayload::Noop);
+    }
+
+    /// Appends an entry of this term and sends it; its index.
+    pub(super) fn append_entry(&mut self, now: Instant, payload: EntryPayload) -> u64 {
+        let entry = Entry { term: self.hard_state.term, payload };
+        let index = self.log.push(entry.clone());
+        self.write_entries(index, vec![entry]);
+        self.update_peers(now);
+        self.send_new_entries(now);
+        index
+    }
+
+    /// Replicates to those who vote by the newest configuration.
+    fn update_peers(&mut self, now: Instant) {
+        let last_index = self.log.last().index;
+        let voters = self.other_voters();
+        let Role::Leader(leader) = &mut self.role else { return };
+        leader.peers.retain(|host, _| voters.contains(host));
+        for host in voters {
+            leader.peers.entry(host).or_insert(Progress::new(now, last_index));
+        }
+    }
+
+    /// Appends a command; the index of its entry.
+    pub fn propose(&mut self, now: Instant, data: Bytes) -> Result<u64, ProposeError> {
+        if data.len() > MAX_ENTRY {
+            return Err(ProposeError::TooLong { bytes: data.len() });
+        }
+        self.check_can_append()?;
+        Ok(self.append_entry(now, EntryPayload::Command(data)))
+    }
+
+    pub(super) fn check_can_append(&self) -> Result<(), ProposeError> {
+        if !self.is_leader() {
+            return Err(ProposeError::NotLeader { leader: self.leader() });
+        }
+        let waiting = self.log.last().index - self.commit_index;
+        match waiting >= MAX_UNCOMMITTED {
+            true => Err(ProposeError::QueueFull { waiting }),
+            false => Ok(()),
+        }
+    }
+
+    /// Another replica's proposal. It hears at once when the entry is committed.
+    pub(super) fn handle_proposal(&mut self, now: Instant, from: u32, data: Bytes) {
+        match self.propose(now, data) {
+            Ok(index) => {
+                if let Role::Leader(leader) = &mut self.role {
+                    leader.proposers.insert(index, from);
+                }
+                // Where this server alone is a majority the entry may be committed already.
+                self.notify_proposers(now);
+            }
+            Err(ProposeError::NotLeader { leader }) => {
+                self.send(from, Message::LeaderHint { term: self.hard_state.term, leader });
+            }
+            Err(_) => {}
+        }
+    }
+
+    pub(super) fn notify_proposers(&mut self, now: Instant) {
+        let commit_index = self.commit_index;
+        let Role::Leader(leader) = &mut self.role else { return };
+        let uncommitted = leader.proposers.split_off(&(commit_index + 1));
+        let committed = std::mem::replace(&mut leader.proposers, uncommitted);
+        let hosts: BTreeSet<u32> = committed.into_values().collect();
+        for host in hosts {
+            let Role::Leader(leader) = &self.role else { return };
+            if leader.peers.contains_key(&host) {
+                self.send_append(now, host);
+            } else {
+                let stored_index =
+                    leader.stored.get(&host).map_or(commit_index, |report| report.stored_index);
+                let oldest_sent = commit_index.saturating_sub(MAX_APPEND_ENTRIES as u64);
+                self.send_committed(host, stored_index.max(oldest_sent));
+            }
+        }
+    }
+
+    /// Learners are sent what was committed since the last round, once: one that misses it hears of it with its next lease.
+    fn notify_learners(&mut self) {
+        let commit_index = self.commit_index;
+        let Role::Leader(leader) = &mut self.role else { return };
+        if std::mem::replace(&mut leader.announced_commit, commit_index) >= commit_index {
+            return;
+        }
+        let is_behind = |host: &u32, report: &StoredReport| {
+            report.stored_index < commit_index && !leader.peers.contains_key(host)
+        };
+        let behind = leader.stored.iter().filter(|(host, report)| is_behind(host, report));
+        let behind: Vec<(u32, u64)> = behind.map(|(host, report)| (*host, report.stored_index)).collect();
+        for (host, stored_index) in behind {
+            self.send_committed(host, stored_index);
+        }
+    }
+
+    pub(super) fn handle_leader_timeout(&mut self, now: Instant) {
+        let quorum = self.quorum();
+        let silent_for = self.settings.election_timeouts(QUORUM_LOSS_TIMEOUTS);
+        let Role::Leader(leader) = &self.role else { return };
+        let responds = |progress: &&Progress| now - progress.last_response < silent_for;
+        let reachable = 1 + leader.peers.values().filter(responds).count();
+        if reachable < quorum {
+            self.emit(Event::QuorumLost { silent_for, reachable, quorum });
+            return self.step_down(now, None);
+        }
+        if now >= leader.heartbeat_due || (leader.awaits_round() && now >= leader.next_round_at) {
+            self.update_peers(now);
+            self.start_round(now);
+        }
+    }
+
+    /// Begins a heartbeat round (thesis, section 6.4): whoever responds to it took this server for the leader after now.
+    pub(super) fn start_round(&mut self, now: Instant) {
+        let settings = self.settings;
+        let Role::Leader(leader) = &mut self.role else { return };
+        leader.round += 1;
+        leader.next_round_at = now + settings.heartbeats(MIN_ROUND_HEARTBEATS);
+        leader.heartbeat_due = now + settings.heartbeat_interval;
+        for progress in leader.peers.values_mut() {
+            progress.retry_if_stalled(now, &settings);
+        }
+        let peers: Vec<u32> = leader.peers.keys().copied().collect();
+        for host in peers {
+            self.send_append(now, host);
+        }
+        self.notify_learners();
+        self.grant_leases();
+    }
+
+    /// Whether each of these hosts has reported to this leader that the entry at `index` is on its disk.
+    pub fn is_stored_on_all(&self, hosts: impl IntoIterator<Item = u32>, index: u64) -> bool {
+        let Role::Leader(leader) = &self.role else { return false };
+        let is_stored = |host: u32| {
+            let report = leader.stored.get(&host);
+            report.is_some_and(|report| report.stored_index >= index)
+        };
+        hosts.into_iter().all(is_stored)
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/raft/learner.rs
@@ -0,0 +1,136 @@
+//! Learners: replicas that do not vote (thesis, section 4.2.1) and take only what is committed. Unlike in Raft as published
+//! no leader keeps track of them: each fetches what it lacks from any voter.
+
+use super::*;
+
+/// Heartbeat intervals without a response after which it asks again.
+const RETRY_HEARTBEATS: f64 = 3.0;
+
+/// What a learner still lacks, and where it asks for it.
+#[derive(Clone, Debug, Default)]
+pub(super) struct FetchState {
+    /// Index of the last entry that is committed, as far as it has heard.
+    target_index: u64,
+    source: Option<u32>,
+    pub retry_at: Option<Instant>,
+}
+
+impl RaftNode {
+    /// A learner asks for committed entries after `stored_index`.
+    pub(super) fn send_committed(&mut self, to: u32, stored_index: u64) {
+        if self.bootstrap.is_some() {
+            return;
+        }
+        let after = stored_index.min(self.commit_index);
+        if !self.reaches_back_to(after) {
+            return self.send_committed_snapshot(to);
+        }
+        let count = ((self.commit_index - after) as usize).min(MAX_APPEND_ENTRIES);
+        let entries = self.log.entries_from(after + 1, count, MAX_APPEND_BYTES);
+        // One that has nothing needs the configuration, which the snapshot has.
+        if stored_index == 0 {
+            self.send_committed_snapshot(to);
+        }
+        if !entries.is_empty() {
+            let log_id = self.log.snapshot().log_id;
+            self.send(to, Message::CommittedEntries { log_id, after, entries });
+        }
+    }
+
+    /// Whether all entries after `index` are still in the log.
+    fn reaches_back_to(&self, index: u64) -> bool {
+        let is_known = self.log.position_at(index).is_some();
+        is_known && (index > 0 || self.log.snapshot().last.index == 0)
+    }
+
+    fn send_committed_snapshot(&mut self, to: u32) {
+        let Snapshot { log_id, last, voters, state } = self.log.snapshot().clone();
+        self.send(to, Message::CommittedSnapshot { log_id, last, voters, state });
+    }
+
+    /// Another replica knows entries up to `index` to be committed.
+    pub fn on_commit_advertised(&mut self, now: Instant, from: u32, index: u64) {
+        if self.is_voter() || index <= self.commit_index.max(self.fetch.target_index) {
+            return;
+        }
+        self.fetch.target_index = index;
+        self.fetch.source = Some(from);
+        if self.fetch.retry_at.is_none() {
+            self.fetch_committed(now);
+        }
+    }
+
+    fn fetch_committed(&mut self, now: Instant) {
+        self.fetch.retry_at = Some(now + self.settings.heartbeats(RETRY_HEARTBEATS));
+        let Some(source) = self.fetch.source else { return };
+        self.send(source, Message::FetchCommitted { stored_index: self.commit_index });
+    }
+
+    pub(super) fn handle_fetch_timeout(&mut self, now: Instant) {
+        if self.fetch.retry_at.is_none_or(|retry_at| now < retry_at) {
+            return;
+        }
+        if self.commit_index >= self.fetch.target_index && self.bootstrap.is_none() {
+            self.fetch.retry_at = None;
+            return;
+        }
+        self.choose_source();
+        self.fetch_committed(now);
+    }
+
+    /// Another voter may be easier to reach.
+    fn choose_source(&mut self) {
+        let voters = self.voters_to_ask();
+        if voters.is_empty() {
+            return;
+        }
+        let choice = self.random.rand_range(0..voters.len() as u64) as usize;
+        let other = voters.get(choice).copied().filter(|host| *host != self.me);
+        self.fetch.source = other.or(self.fetch.source);
+    }
+
+    pub(super) fn handle_committed_entries(&mut self, now: Instant, after: u64, entries: Vec<Entry>) {
+        if self.is_voter() || self.bootstrap.is_some() || after > self.commit_index {
+            return;
+        }
+        let known = (self.commit_index - after) as usize;
+        let new: Vec<Entry> = entries.into_iter().skip(known).collect();
+        if new.is_empty() {
+            return;
+        }
+        // What is here after the commit index is from a time as a voter, and perhaps was never committed.
+        let first_index = self.commit_index + 1;
+        self.truncate_log_from(first_index);
+        for entry in &new {
+            self.log.push(entry.clone());
+        }
+        let last_index = self.log.last().index;
+        self.write_entries(first_index, new);
+        self.advance_commit_index(last_index);
+        self.fetch_more_or_stop(now);
+    }
+
+    pub(super) fn handle_committed_snapshot(&mut self, now: Instant, snapshot: Snapshot) {
+        if self.is_voter() {
+            return;
+        }
+        let is_beginning = snapshot.last.index == 0 && !snapshot.voters.is_empty();
+        if is_beginning && self.bootstrap.is_some() {
+            self.log.restore(snapshot.clone());
+            self.write_snapshot();
+            self.bootstrap = None;
+            self.outputs.push_back(RaftOutput::RestoreSnapshot(snapshot));
+        } else {
+            self.install_snapshot(snapshot);
+        }
+        self.fetch_more_or_stop(now);
+    }
+
+    fn fetch_more_or_stop(&mut self, now: Instant) {
+        if self.commit_index < self.fetch.target_index {
+            self.fetch_committed(now);
+        } else {
+            self.fetch.retry_at = None;
+        }
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/raft/leases.rs
@@ -0,0 +1,90 @@
+//! Leases that a leader grants, as read-only requests are answered in the thesis (section 6.4): a request waits for a
+//! heartbeat round that begins after it arrived, and is granted once a majority has responded to that round.
+
+use super::leader::StoredReport;
+use super::replication::nth_largest;
+use super::*;
+
+/// Hosts whose reports and requests a leader keeps, at most.
+const MAX_TRACKED_HOSTS: usize = 100_000;
+
+/// The fields of a RequestLease message.
+pub(super) struct LeaseRequest {
+    pub sequence: u32,
+    pub stored_index: u64,
+    pub identity: DiskIdentity,
+}
+
+/// A request that waits for its round.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct WaitingRequest {
+    generation: u64,
+    sequence: u32,
+    /// The round that a majority has to respond to.
+    pub round: u64,
+}
+
+impl RaftNode {
+    pub(super) fn handle_lease_request(&mut self, now: Instant, from: u32, request: LeaseRequest) {
+        let Role::Leader(leader) = &mut self.role else {
+            let (term, leader) = (self.hard_state.term, self.leader());
+            return self.send(from, Message::LeaderHint { term, leader });
+        };
+        let is_full = leader.stored.len() >= MAX_TRACKED_HOSTS && !leader.stored.contains_key(&from);
+        if from >= self.settings.host_count || is_full {
+            return;
+        }
+        let LeaseRequest { sequence, stored_index, identity } = request;
+        let waiting = WaitingRequest { generation: identity.generation, sequence, round: leader.round + 1 };
+        leader.stored.insert(from, StoredReport { stored_index, at: now });
+        leader.disks.insert(from, identity.disk);
+        leader.lease_requests.insert(from, waiting);
+        let may_start_round = now >= leader.next_round_at;
+        if self.has_fault(ConsensusFault::StaleRead) {
+            self.grant_without_round();
+        }
+        if may_start_round {
+            self.start_round(now);
+        }
+    }
+
+    /// Grants the requests whose round a majority has responded to.
+    pub(super) fn grant_leases(&mut self) {
+        let quorum = self.quorum();
+        let is_voter = self.voters().contains_key(&self.me);
+        let Role::Leader(leader) = &mut self.role else { return };
+        // Until an entry of its own term is committed, a leader does not know what is.
+        if self.commit_index < leader.term_start_index {
+            return;
+        }
+        let mut rounds: Vec<u64> = leader.peers.values().map(|progress| progress.round).collect();
+        if is_voter {
+            rounds.push(leader.round);
+        }
+        let Some(confirmed_round) = nth_largest(rounds, quorum) else { return };
+        let due = leader.lease_requests.iter().filter(|(_, request)| request.round <= confirmed_round);
+        let due: Vec<(u32, WaitingRequest)> = due.map(|(host, request)| (*host, *request)).collect();
+        for (host, _) in &due {
+            leader.lease_requests.remove(host);
+        }
+        for (host, request) in due {
+            self.counters.granted += 1;
+            self.send_lease(host, request);
+        }
+    }
+
+    /// The fault of stale reads.
+    fn grant_without_round(&mut self) {
+        let Role::Leader(leader) = &mut self.role else { return };
+        for (host, request) in std::mem::take(&mut leader.lease_requests) {
+            self.send_lease(host, request);
+        }
+    }
+
+    fn send_lease(&mut self, to: u32, request: WaitingRequest) {
+        let WaitingRequest { generation: to_generation, sequence, .. } = request;
+        let (log_id, term, index) = (self.log.snapshot().log_id, self.hard_state.term, self.commit_index);
+        let duration_ms = (self.settings.lease.secs() * 1e3) as u32;
+        self.send(to, Message::LeaseGranted { log_id, to_generation, sequence, term, index, duration_ms });
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/raft/membership.rs
@@ -0,0 +1,56 @@
+//! Changes of voters, one at a time (Ongaro's thesis, section 4.1): the majorities of two configurations that differ by one
+//! voter always overlap. A configuration counts from when it is appended, committed or not.
+
+use super::*;
+use crate::error::{ProposeError, VoterChangeError};
+use tackmast_wire::consensus::MAX_VOTERS;
+
+impl RaftNode {
+    /// Makes `host` a voter, with the disk that it reported; the index of the entry that says so.
+    pub fn add_voter(&mut self, now: Instant, host: u32) -> Result<u64, ProposeError> {
+        let leader = self.check_can_change_voters()?;
+        let disk = leader.disks.get(&host).copied();
+        let stored_index = leader.stored.get(&host).map(|report| report.stored_index);
+        let (Some(disk), Some(stored_index)) = (disk, stored_index) else {
+            return Err(VoterChangeError::Unknown { host }.into());
+        };
+        if stored_index + MAX_UNCOMMITTED < self.commit_index {
+            let min_index = self.commit_index.saturating_sub(MAX_UNCOMMITTED);
+            return Err(VoterChangeError::TooFarBehind { host, stored_index, min_index }.into());
+        }
+        let mut voters = self.voters().clone();
+        if voters.contains_key(&host) {
+            return Err(VoterChangeError::AlreadyVoter { host }.into());
+        }
+        if voters.len() >= MAX_VOTERS {
+            return Err(VoterChangeError::TooManyVoters.into());
+        }
+        voters.insert(host, disk);
+        Ok(self.append_entry(now, EntryPayload::Voters(voters)))
+    }
+
+    /// Takes the vote from `host`; the index of the entry that says so.
+    pub fn remove_voter(&mut self, now: Instant, host: u32) -> Result<u64, ProposeError> {
+        self.check_can_change_voters()?;
+        let mut voters = self.voters().clone();
+        if voters.remove(&host).is_none() || voters.is_empty() {
+            return Err(VoterChangeError::NotRemovable { host }.into());
+        }
+        Ok(self.append_entry(now, EntryPayload::Voters(voters)))
+    }
+
+    /// The previous configuration has to be committed, and an entry of this term (the erratum of 2015 to section 4.1).
+    fn check_can_change_voters(&self) -> Result<&LeaderState, ProposeError> {
+        self.check_can_append()?;
+        let Role::Leader(leader) = &self.role else {
+            return Err(ProposeError::NotLeader { leader: None });
+        };
+        let configuration_index = self.log.configuration().index;
+        let is_pending =
+            configuration_index > self.commit_index || self.commit_index < leader.term_start_index;
+        if is_pending && !self.has_fault(ConsensusFault::TwoChangesAtOnce) {
+            return Err(ProposeError::VoterChangePending);
+        }
+        Ok(leader)
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/raft/persistence.rs
@@ -0,0 +1,117 @@
+//! Persistence before responses (Raft, figure 2): what a message acknowledges or promises is on disk before the message goes
+//! out. Writes are numbered and done in order; a message waits for the write that was the last when it was made.
+
+use super::*;
+
+/// Messages that wait for the disk, at most. Beyond that new ones are lost, as on any network.
+const MAX_DELAYED_MESSAGES: usize = 4096;
+
+/// A write under way.
+#[derive(Clone, Copy)]
+pub(super) struct PendingWrite {
+    write_id: u64,
+    /// Index of the last entry on disk once the write is done.
+    last_index: u64,
+}
+
+/// A message that waits for a write.
+#[derive(Clone)]
+pub(super) struct DelayedMessage {
+    after_write: u64,
+    to: u32,
+    message: Message,
+}
+
+impl RaftNode {
+    pub(super) fn write(&mut self, write: Write) {
+        self.last_write += 1;
+        let write_id = self.last_write;
+        let known_disks = std::mem::take(&mut self.known_disks_changed).then(|| self.known_disks.clone());
+        self.pending_writes.push_back(PendingWrite { write_id, last_index: self.log.last().index });
+        self.outputs.push_back(RaftOutput::Write(Write { write_id, known_disks, ..write }));
+    }
+
+    pub(super) fn write_hard_state(&mut self) {
+        self.write(Write { hard_state: Some(self.hard_state), ..Write::default() });
+    }
+
+    pub(super) fn write_entries(&mut self, first_index: u64, entries: Vec<Entry>) {
+        self.write(Write { entries: Some(LogSuffix { first_index, entries }), ..Write::default() });
+    }
+
+    /// Writes the snapshot and the entries after it.
+    pub(super) fn write_snapshot(&mut self) {
+        let first_index = self.log.snapshot().last.index + 1;
+        let entries = self.log.entries_from(first_index, usize::MAX, usize::MAX);
+        self.write(Write {
+            snapshot: Some(self.log.snapshot().clone()),
+            entries: Some(LogSuffix { first_index, entries }),
+            ..Write::default()
+        });
+    }
+
+    /// Sends once all that was written so far is on disk.
+    pub(super) fn send_after_persist(&mut self, to: u32, message: Message) {
+        if self.delayed_messages.len() >= MAX_DELAYED_MESSAGES {
+            self.counters.dropped_messages += 1;
+            return;
+        }
+        self.delayed_messages.push_back(DelayedMessage { after_write: self.last_write, to, message });
+        self.release_messages();
+    }
+
+    /// Sends at once: nothing in the message has to be on this server's disk.
+    pub(super) fn send(&mut self, to: u32, message: Message) {
+        self.outputs.push_back(RaftOutput::Send { to, message });
+    }
+
+    fn release_messages(&mut self) {
+        let persisted = self.persisted_write;
+        while let Some(delayed) =
+            self.delayed_messages.pop_front_if(|delayed| delayed.after_write <= persisted)
+        {
+            self.send(delayed.to, delayed.message);
+        }
+    }
+
+    /// A write failed. What this server acknowledges must be on disk, so it takes no further part until it restarts.
+    pub fn on_persist_failed(&mut self) {
+        if !std::mem::replace(&mut self.disk_failed, true) {
+            self.emit(Event::DiskFailed);
+        }
+        self.delayed_messages.clear();
+        self.role = Role::Follower { leader: None };
+    }
+
+    /// The write of that number and all before it are on disk.
+    pub fn on_persisted(&mut self, now: Instant, write_id: u64) {
+        if self.disk_failed || write_id <= self.persisted_write {
+            return;
+        }
+        self.persisted_write = write_id;
+        while let Some(write) = self.pending_writes.pop_front_if(|write| write.write_id <= write_id) {
+            self.persisted_index = write.last_index.min(self.log.last().index);
+        }
+        self.release_messages();
+        self.on_bootstrap_persisted(now);
+        match self.role {
+            Role::Leader(_) => self.update_commit_index(now),
+            Role::Candidate { .. } => self.count_votes(now),
+            Role::Follower { .. } => {}
+        }
+        self.request_snapshot_if_due();
+    }
+
+    /// Removes the entry at `index` and all after it; writes of them that are under way count no more.
+    pub(super) fn truncate_log_from(&mut self, index: u64) {
+        self.log.truncate_from(index);
+        self.forget_persisted_after(index - 1);
+    }
+
+    pub(super) fn forget_persisted_after(&mut self, index: u64) {
+        self.persisted_index = self.persisted_index.min(index);
+        for write in &mut self.pending_writes {
+            write.last_index = write.last_index.min(index);
+        }
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/replica.rs
@@ -0,0 +1,414 @@
+//! One replica of the group: a Raft server, its lease, and its own proposals on their way to the leader. This is the state
+//! machine that a host drives: `handle_…` and `on_…` take inputs, `poll_…` gives outputs and the next timeout.
+
+mod effective;
+mod proposals;
+mod sessions;
+
+use crate::error::{ProposeError, RecoveryError};
+use crate::event::Event;
+use crate::fault::ConsensusFault;
+use crate::lease::{Lease, LeaseGrant, LeaseState};
+use crate::log::Snapshot;
+use crate::raft::{RaftNode, RaftOutput};
+use crate::settings::{RaftSettings, ReplicaSettings};
+use crate::state::Write;
+use crate::status::Status;
+use bytes::Bytes;
+use effective::CommitTimes;
+use proposals::PendingProposal;
+use sessions::{Proposal, Sessions};
+use std::collections::{BTreeSet, VecDeque};
+use tackmast::interface::{Instant, TimeDelta};
+use tackmast_wire::consensus::{EntryPayload, Message};
+
+/// Lease requests in a row without a response after which another voter is asked who leads.
+const MAX_UNANSWERED: u32 = 2;
+/// Fraction of a heartbeat interval within which commits count as learned together.
+const COMMIT_BATCH_HEARTBEATS: f64 = 0.25;
+
+/// What a replica wants done.
+#[derive(Clone, Debug, PartialEq)]
+pub enum ReplicaOutput {
+    /// A message for another replica.
+    Send {
+        /// The receiver's host number.
+        to: u32,
+        /// The message.
+        message: Message,
+    },
+    /// A change of the persistent state, to be reported by `on_persisted`.
+    Write(Write),
+    /// A command is committed: the state machine applies it.
+    Committed {
+        /// Index of its entry.
+        index: u64,
+        /// The command.
+        data: Bytes,
+        /// Its number, if this process proposed it.
+        own_proposal: Option<u32>,
+    },
+    /// The state machine takes this state in place of all before.
+    RestoreSnapshot {
+        /// Index of the last entry that the state covers.
+        index: u64,
+        /// The state.
+        state: Bytes,
+    },
+    /// The state machine's state as of that entry is wanted, by `on_snapshot_taken`.
+    TakeSnapshot {
+        /// Index of the entry.
+        index: u64,
+    },
+    /// The result of a proposal is unknown for so long that it is given up; it may be committed all the same.
+    ProposalTimedOut {
+        /// Number of the proposal.
+        number: u32,
+    },
+    /// Operators are to know.
+    Event(Event),
+}
+
+/// A snapshot that was asked for, and the sessions as of then.
+#[derive(Clone)]
+struct PendingSnapshot {
+    index: u64,
+    sessions: Sessions,
+}
+
+/// A replica of the group.
+#[derive(Clone)]
+pub struct Replica {
+    me: u32,
+    settings: RaftSettings,
+    /// The Raft server.
+    pub raft: RaftNode,
+    lease: Lease,
+    /// Which voter to ask next for the leader.
+    next_voter: usize,
+    leader_hint: Option<u32>,
+    sessions: Sessions,
+    initial_voters: BTreeSet<u32>,
+    last_proposal: u32,
+    proposals: VecDeque<PendingProposal>,
+    commit_times: CommitTimes,
+    lease_was_valid: bool,
+    other_log_reported: bool,
+    pending_snapshot: Option<PendingSnapshot>,
+    outputs: VecDeque<ReplicaOutput>,
+    fault: Option<ConsensusFault>,
+}
+
+impl Replica {
+    /// A replica as its disk has it.
+    pub fn new(now: Instant, settings: ReplicaSettings) -> Replica {
+        let (me, raft) = (settings.me, settings.raft);
+        let holdover = Lease::max_holdover(raft.lease, raft.max_clock_drift);
+        let mut replica = Replica {
+            me,
+            settings: raft,
+            initial_voters: settings.initial_voters.clone(),
+            raft: RaftNode::new(now, settings),
+            lease: Lease::new(now, raft.lease, raft.max_clock_drift),
+            next_voter: me as usize,
+            leader_hint: None,
+            sessions: Sessions::default(),
+            last_proposal: 0,
+            proposals: VecDeque::new(),
+            commit_times: CommitTimes::new(holdover, raft.heartbeats(COMMIT_BATCH_HEARTBEATS)),
+            lease_was_valid: false,
+            other_log_reported: false,
+            pending_snapshot: None,
+            outputs: VecDeque::new(),
+            fault: None,
+        };
+        replica.drain_raft(now);
+        replica
+    }
+
+    /// The same replica with a deliberate fault.
+    pub fn with_fault(mut self, fault: ConsensusFault) -> Replica {
+        self.raft = self.raft.with_fault(fault);
+        self.lease = self.lease.with_fault(fault);
+        self.fault = Some(fault);
+        self
+    }
+
+    /// Starts a read of what is newest now; a number for `is_read_ready`.
+    pub fn request_read(&mut self, now: Instant) -> u32 {
+        self.lease.request_now(now);
+        let sequence = self.request_lease_if_due(now);
+        self.drain_raft(now);
+        sequence
+    }
+
+    /// Whether all that was committed when the read was requested is here.
+    pub fn is_read_ready(&self, sequence: u32) -> bool {
+        self.lease.read_index(sequence).is_some_and(|index| self.raft.commit_index() >= index)
+    }
+
+    /// Whether what this replica has counts.
+    pub fn lease_state(&self, now: Instant) -> LeaseState {
+        self.lease.state(now)
+    }
+
+    /// Index of the last entry that is committed as far as this replica knows.
+    pub fn commit_index(&self) -> u64 {
+        self.raft.commit_index()
+    }
+
+    /// Index of the last entry that is effective: no replica, connected or not, goes by what was before it.
+    pub fn effective_index(&self, now: Instant) -> u64 {
+        self.commit_times.effective_index(now).unwrap_or(self.raft.commit_index())
+    }
+
+    /// When the newest entry that is committed here will be effective.
+    pub fn effective_at(&self, now: Instant) -> Instant {
+        self.commit_times.effective_at(now)
+    }
+
+    /// The leader as far as this replica knows.
+    pub fn leader(&self) -> Option<u32> {
+        self.raft.leader().or(self.leader_hint)
+    }
+
+    /// The state at this moment, for operators.
+    pub fn status(&self, now: Instant) -> Status {
+        Status { leader: self.leader(), ..self.raft.status(now) }
+    }
+
+    fn generation(&self) -> u64 {
+        self.raft.identity().generation
+    }
+
+    /// Goes on alone after most voters are gone for good, with a new log; its id. `state` is the state machine's, as of the
+    /// last committed entry.
+    pub fn force_new_log(&mut self, now: Instant, state: &[u8]) -> Result<u64, RecoveryError> {
+        let log_id = self.raft.force_new_log(now, self.sessions.encode_with(state))?;
+        self.reset_for_new_log(now);
+        self.drain_raft(now);
+        Ok(log_id)
+    }
+
+    /// Discards the log, to follow another one; no lease is valid from here on.
+    pub fn discard_log(&mut self, now: Instant) -> Result<(), RecoveryError> {
+        self.raft.discard_log(now, &self.initial_voters)?;
+        self.reset_for_new_log(now);
+        self.sessions.clear();
+        self.commit_times.clear();
+        self.drain_raft(now);
+        Ok(())
+    }
+
+    fn reset_for_new_log(&mut self, now: Instant) {
+        self.lease = Lease::new(now, self.settings.lease, self.settings.max_clock_drift);
+        self.leader_hint = None;
+        self.other_log_reported = false;
+        self.pending_snapshot = None;
+    }
+
+    /// A message of another replica has arrived.
+    pub fn handle_message(&mut self, now: Instant, from: u32, message: Message) {
+        match message {
+            Message::LeaseGranted { log_id, to_generation, sequence, index, duration_ms, .. } => {
+                let is_mixed = self.fault == Some(ConsensusFault::GenerationsMixed);
+                if to_generation == self.generation() || is_mixed {
+                    if self.is_of_other_log(log_id) {
+                        return self.report_other_log(from);
+                    }
+                    self.on_lease_granted(now, from, lease_grant(sequence, index, duration_ms));
+                }
+            }
+            Message::LeaderHint { leader, .. } => self.on_leader_hint(now, from, leader),
+            message => self.raft.handle_message(now, from, message),
+        }
+        self.handle_timeout(now);
+    }
+
+    /// Whether that is the id of another log than the one that this replica has entries of.
+    fn is_of_other_log(&self, log_id: u64) -> bool {
+        log_id != self.raft.log().snapshot().log_id && self.raft.commit_index() > 0
+    }
+
+    fn report_other_log(&mut self, host: u32) {
+        if !std::mem::replace(&mut self.other_log_reported, true) {
+            self.outputs.push_back(ReplicaOutput::Event(Event::OtherLog { host }));
+        }
+    }
+
+    fn on_lease_granted(&mut self, now: Instant, from: u32, grant: LeaseGrant) {
+        self.lease.on_granted(now, grant);
+        self.leader_hint = Some(from);
+        self.raft.on_commit_advertised(now, from, grant.index);
+    }
+
+    fn on_leader_hint(&mut self, now: Instant, from: u32, leader: Option<u32>) {
+        let named = leader.filter(|leader| *leader != from);
+        self.lease.on_response();
+        if named == self.leader_hint {
+            return;
+        }
+        self.leader_hint = named;
+        if named.is_some() {
+            self.lease.request_now(now);
+            self.retry_first_proposal(now);
+        }
+    }
+
+    /// The write of that number and all before it are on disk.
+    pub fn on_persisted(&mut self, now: Instant, write_id: u64) {
+        self.raft.on_persisted(now, write_id);
+        self.drain_raft(now);
+    }
+
+    /// A write failed: this replica takes no further part until its process restarts.
+    pub fn on_persist_failed(&mut self, now: Instant) {
+        self.raft.on_persist_failed();
+        self.drain_raft(now);
+    }
+
+    /// The state machine's state as of that entry, as asked for by `TakeSnapshot`.
+    pub fn on_snapshot_taken(&mut self, now: Instant, index: u64, state: &[u8]) {
+        // With the sessions of then, whatever was committed since: the state is of then, too.
+        let pending = self.pending_snapshot.take_if(|pending| pending.index == index);
+        let Some(PendingSnapshot { sessions, .. }) = pending else { return };
+        self.raft.on_snapshot_taken(index, sessions.encode_with(state));
+        self.drain_raft(now);
+    }
+
+    /// Does what is due by now.
+    pub fn handle_timeout(&mut self, now: Instant) {
+        self.raft.handle_timeout(now);
+        // Without a response somebody else may lead by now.
+        if self.lease.unanswered() >= MAX_UNANSWERED {
+            self.leader_hint = None;
+        }
+        self.request_lease_if_due(now);
+        self.send_first_proposal(now);
+        self.drain_raft(now);
+        self.report_lease_change(now);
+    }
+
+    /// When `handle_timeout` is due.
+    pub fn poll_timeout(&self, now: Instant) -> Instant {
+        let lease = self.lease.poll_timeout(now);
+        let proposal = self.proposals.front().map(PendingProposal::poll_timeout);
+        [self.raft.poll_timeout(), proposal].into_iter().flatten().fold(lease, Instant::min)
+    }
+
+    /// The next thing to be done.
+    pub fn poll_output(&mut self) -> Option<ReplicaOutput> {
+        self.outputs.pop_front()
+    }
+
+    /// The number of the request; 0 if none was due.
+    fn request_lease_if_due(&mut self, now: Instant) -> u32 {
+        let Some(sequence) = self.lease.poll_request(now) else { return 0 };
+        let (stored_index, identity) = (self.raft.persisted_commit_index(), self.raft.identity());
+        if let Some(to) = self.leader_or_next_voter() {
+            self.send(now, to, Message::RequestLease { sequence, stored_index, identity });
+        }
+        sequence
+    }
+
+    /// The leader as far as it is known; else one after the other of those that may know it.
+    fn leader_or_next_voter(&mut self) -> Option<u32> {
+        if let Some(leader) = self.leader() {
+            return Some(leader);
+        }
+        let voters = self.raft.voters_to_ask();
+        self.next_voter = self.next_voter.wrapping_add(1);
+        voters.get(self.next_voter % voters.len().max(1)).copied()
+    }
+
+    fn send(&mut self, now: Instant, to: u32, message: Message) {
+        if to != self.me {
+            return self.outputs.push_back(ReplicaOutput::Send { to, message });
+        }
+        self.raft.handle_message(now, to, message);
+    }
+
+    /// Passes on what the Raft server wants done.
+    fn drain_raft(&mut self, now: Instant) {
+        while let Some(output) = self.raft.poll_output() {
+            if let Some(output) = self.convert_output(now, output) {
+                self.outputs.push_back(output);
+            }
+        }
+        self.lease.on_committed(self.raft.commit_index());
+    }
+
+    fn convert_output(&mut self, now: Instant, output: RaftOutput) -> Option<ReplicaOutput> {
+        match output {
+            RaftOutput::Send { to, message } if to == self.me => {
+                self.on_message_to_itself(now, message);
+                None
+            }
+            RaftOutput::Send { to, message } => Some(ReplicaOutput::Send { to, message }),
+            RaftOutput::Write(write) => Some(ReplicaOutput::Write(write)),
+            RaftOutput::Event(event) => Some(ReplicaOutput::Event(event)),
+            RaftOutput::TakeSnapshot { index } => Some(self.begin_snapshot(index)),
+            RaftOutput::RestoreSnapshot(snapshot) => Some(self.restore_snapshot(now, snapshot)),
+            RaftOutput::Commit { index, payload } => {
+                self.commit_times.record(now, index);
+                match payload {
+                    EntryPayload::Command(command) => self.apply(now, index, command),
+                    _ => None,
+                }
+            }
+        }
+    }
+
+    /// A leader grants its own replica's lease, too.
+    fn on_message_to_itself(&mut self, now: Instant, message: Message) {
+        if let Message::LeaseGranted { sequence, index, duration_ms, .. } = message {
+            self.lease.on_granted(now, lease_grant(sequence, index, duration_ms));
+        }
+    }
+
+    fn begin_snapshot(&mut self, index: u64) -> ReplicaOutput {
+        let drops_sessions = self.fault == Some(ConsensusFault::SnapshotDropsSessions);
+        let sessions = if drops_sessions { Sessions::default() } else { self.sessions.clone() };
+        self.pending_snapshot = Some(PendingSnapshot { index, sessions });
+        ReplicaOutput::TakeSnapshot { index }
+    }
+
+    fn restore_snapshot(&mut self, now: Instant, snapshot: Snapshot) -> ReplicaOutput {
+        let index = snapshot.last.index;
+        self.commit_times.restart(now, index);
+        ReplicaOutput::RestoreSnapshot { index, state: self.sessions.restore_from(snapshot.state) }
+    }
+
+    /// A committed command, if it counts.
+    fn apply(&mut self, now: Instant, index: u64, command: Bytes) -> Option<ReplicaOutput> {
+        let proposal = Proposal::decode(command)?;
+        if proposal.host >= self.settings.host_count || !self.sessions.admit(&proposal) {
+            return None;
+        }
+        let Proposal { host, id, data } = proposal;
+        let is_own = host == self.me && id.generation == self.generation();
+        let own_proposal = is_own.then_some(id.number);
+        if let Some(number) = own_proposal {
+            self.on_own_proposal_committed(now, number);
+        }
+        Some(ReplicaOutput::Committed { index, data, own_proposal })
+    }
+
+    fn report_lease_change(&mut self, now: Instant) {
+        let is_valid = self.lease.state(now).is_valid();
+        if is_valid == self.lease_was_valid {
+            return;
+        }
+        self.lease_was_valid = is_valid;
+        let commit_index = self.raft.commit_index();
+        self.outputs.push_back(ReplicaOutput::Event(match is_valid {
+            true => Event::LeaseValid { commit_index },
+            false => Event::LeaseExpired { commit_index },
+        }));
+    }
+}
+
+fn lease_grant(sequence: u32, index: u64, duration_ms: u32) -> LeaseGrant {
+    let duration = TimeDelta::from_secs(f64::from(duration_ms) / 1e3);
+    LeaseGrant { sequence, index, duration }
+}
--- /dev/null
+++ b/crates/consensus/src/replica/proposals.rs
@@ -0,0 +1,106 @@
+//! This replica's own proposals on their way to the leader, one at a time: a later one that was committed first would make
+//! an earlier one look like a duplicate.
+
+use super::sessions::{Proposal, ProposalId, PROPOSAL_HEADER_LEN};
+use super::*;
+use tackmast_wire::consensus::MAX_ENTRY;
+
+/// Proposals that wait, at most.
+const MAX_PENDING_PROPOSALS: usize = 256;
+/// Election timeouts after which one is given up: it may be committed all the same, later.
+const PROPOSAL_TIMEOUTS: f64 = 12.0;
+/// Heartbeat intervals after which one without a result is sent again.
+const RETRY_HEARTBEATS: f64 = 4.0;
+
+/// A proposal that is not known to be committed.
+#[derive(Clone)]
+pub(super) struct PendingProposal {
+    number: u32,
+    bytes: Bytes,
+    retry_at: Instant,
+    deadline: Instant,
+    /// The term in which this replica, as leader, appended it itself.
+    appended_in_term: Option<u64>,
+}
+
+impl PendingProposal {
+    pub fn poll_timeout(&self) -> Instant {
+        self.retry_at.min(self.deadline)
+    }
+}
+
+impl Replica {
+    /// Proposes a command; its number, by which the outcome is reported.
+    pub fn propose(&mut self, now: Instant, data: Bytes) -> Result<u32, ProposeError> {
+        if data.len() + PROPOSAL_HEADER_LEN > MAX_ENTRY {
+            return Err(ProposeError::TooLong { bytes: data.len() });
+        }
+        if self.proposals.len() >= MAX_PENDING_PROPOSALS {
+            return Err(ProposeError::QueueFull { waiting: self.proposals.len() as u64 });
+        }
+        self.last_proposal += 1;
+        let number = self.last_proposal;
+        let id = ProposalId { generation: self.generation(), number };
+        self.proposals.push_back(PendingProposal {
+            number,
+            bytes: Proposal { host: self.me, id, data }.to_bytes(),
+            retry_at: now,
+            deadline: now + self.settings.election_timeouts(PROPOSAL_TIMEOUTS),
+            appended_in_term: None,
+        });
+        self.handle_timeout(now);
+        Ok(number)
+    }
+
+    pub(super) fn send_first_proposal(&mut self, now: Instant) {
+        self.give_up_old_proposals(now);
+        let Some(proposal) = self.proposals.front() else { return };
+        let term = self.raft.term();
+        let is_appended = proposal.appended_in_term == Some(term);
+        let is_new_leader = self.raft.is_leader() && !is_appended;
+        if now < proposal.retry_at && !is_new_leader {
+            return;
+        }
+        let bytes = proposal.bytes.clone();
+        let appended_in_term = match self.raft.is_leader() {
+            // It is in this leader's log already: what is left is that it is committed.
+            true if is_appended => Some(term),
+            true => self.raft.propose(now, bytes).ok().map(|_| term),
+            false => {
+                self.send_to_leader(now, bytes);
+                None
+            }
+        };
+        let retry_at = now + self.settings.heartbeats(RETRY_HEARTBEATS);
+        if let Some(proposal) = self.proposals.front_mut() {
+            proposal.retry_at = retry_at;
+            proposal.appended_in_term = appended_in_term;
+        }
+    }
+
+    fn give_up_old_proposals(&mut self, now: Instant) {
+        while let Some(proposal) = self.proposals.pop_front_if(|proposal| now >= proposal.deadline) {
+            self.outputs.push_back(ReplicaOutput::ProposalTimedOut { number: proposal.number });
+        }
+    }
+
+    fn send_to_leader(&mut self, now: Instant, data: Bytes) {
+        let me = self.me;
+        if let Some(to) = self.leader_or_next_voter().filter(|to| *to != me) {
+            let log_id = self.raft.log().snapshot().log_id;
+            self.send(now, to, Message::Propose { log_id, data });
+        }
+    }
+
+    /// That proposal of this replica is committed, and so are all before it.
+    pub(super) fn on_own_proposal_committed(&mut self, now: Instant, number: u32) {
+        self.proposals.retain(|proposal| proposal.number > number);
+        self.retry_first_proposal(now);
+    }
+
+    pub(super) fn retry_first_proposal(&mut self, now: Instant) {
+        if let Some(proposal) = self.proposals.front_mut() {
+            proposal.retry_at = now;
+        }
+    }
+}
--- /dev/null
+++ b/crates/consensus/src/settings.rs
@@ -0,0 +1,52 @@
+//! What a replica is told when it starts.
+
+use crate::state::PersistentState;
+use std::collections::BTreeSet;
+use tackmast::interface::TimeDelta;
+use tackmast_wire::consensus::DiskIdentity;
+
+/// Intervals and bounds that all replicas of a group share.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RaftSettings {
+    /// Between two heartbeats of a leader.
+    pub heartbeat_interval: TimeDelta,
+    /// Without a message from a leader for this long, and up to twice as long at random, a voter starts an election.
+    pub election_timeout: TimeDelta,
+    /// How long a lease lasts, from when it was requested.
+    pub lease: TimeDelta,
+    /// Fraction by which the replicas' steady clocks may run apart.
+    pub max_clock_drift: f64,
+    /// Host numbers are below this.
+    pub host_count: u32,
+    /// Entries after which a snapshot is taken.
+    pub snapshot_after_entries: u64,
+    /// Bytes of entries after which a snapshot is taken.
+    pub snapshot_after_bytes: usize,
+}
+
+impl RaftSettings {
+    pub(crate) fn heartbeats(&self, count: f64) -> TimeDelta {
+        TimeDelta::from_secs(self.heartbeat_interval.secs() * count)
+    }
+
+    pub(crate) fn election_timeouts(&self, count: f64) -> TimeDelta {
+        TimeDelta::from_secs(self.election_timeout.secs() * count)
+    }
+}
+
+/// What one replica is made of.
+#[derive(Clone, Debug)]
+pub struct ReplicaSettings {
+    /// This replica's host number.
+    pub me: u32,
+    /// The disk that it runs from.
+    pub identity: DiskIdentity,
+    /// What all replicas share.
+    pub raft: RaftSettings,
+    /// Hosts that vote while the group has no log yet.
+    pub initial_voters: BTreeSet<u32>,
+    /// What the disk has.
+    pub persisted: PersistentState,
+    /// Of the random numbers: election timeouts, and ids of logs and disks.
+    pub seed: u64,
+}
--- a/crates/consensus/tests/decision_hash.rs
+++ b/crates/consensus/tests/decision_hash.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_consensus::*;
-use tackmast_wire::agree::put_entry;
+use tackmast_wire::consensus::encode_entry;
 use tackmast_wire::peer::{Body, Datagram, Health, News};
 
 /// Length of a step in virtual seconds, and steps of a run.
@@ -56,27 +56,27 @@
     }
 
     fn write(&mut self, write: &Write) {
-        self.number(write.receipt);
-        self.optional(write.hard.map(|hard| hard.term));
-        self.optional(write.hard.and_then(|hard| hard.vote).map(u64::from));
-        if let Some(base) = &write.base {
-            self.number(base.id);
-            self.number(base.last.term);
-            self.number(base.last.index);
-            self.voters(&base.voters);
-            self.bytes(&base.state);
-        }
-        if let Some((first, entries)) = &write.entries {
-            self.number(*first);
+        self.number(write.write_id);
+        self.optional(write.hard_state.map(|hard_state| hard_state.term));
+        self.optional(write.hard_state.and_then(|hard_state| hard_state.voted_for).map(u64::from));
+        if let Some(snapshot) = &write.snapshot {
+            self.number(snapshot.log_id);
+            self.number(snapshot.last.term);
+            self.number(snapshot.last.index);
+            self.voters(&snapshot.voters);
+            self.bytes(&snapshot.state);
+        }
+        if let Some(LogSuffix { first_index, entries }) = &write.entries {
+            self.number(*first_index);
             let mut encoded = BytesMut::new();
-            entries.iter().for_each(|entry| put_entry(&mut encoded, entry));
+            entries.iter().for_each(|entry| encode_entry(&mut encoded, entry));
             self.bytes(&encoded);
         }
-        if let Some(sealed) = &write.sealed {
-            self.voters(sealed);
+        if let Some(confirmed) = &write.confirmed_voters {
+            self.voters(confirmed);
         }
-        for (host, of) in write.known.iter().flatten() {
-            [u64::from(*host), of.disk, u64::from(of.boot), of.generation]
+        for (host, identity) in write.known_disks.iter().flatten() {
+            [u64::from(*host), identity.disk, u64::from(identity.boot), identity.generation]
                 .into_iter()
                 .for_each(|number| self.number(number));
         }
@@ -93,37 +93,37 @@
 struct Disk {
     mark: u64,
     boot: u32,
-    held: Held,
+    persisted: PersistentState,
     pending: VecDeque<(f64, Write)>,
 }
 
 impl Disk {
     /// Takes all of one write at once, as the store does.
     fn persist(&mut self, write: Write) {
-        let held = &mut self.held;
-        if let Some(hard) = write.hard {
-            held.hard = hard;
+        let persisted = &mut self.persisted;
+        if let Some(hard_state) = write.hard_state {
+            persisted.hard_state = hard_state;
         }
-        if let Some(base) = write.base {
-            held.base = base;
-            held.entries.clear();
+        if let Some(snapshot) = write.snapshot {
+            persisted.snapshot = snapshot;
+            persisted.entries.clear();
         }
-        if let Some((first, entries)) = write.entries {
-            let kept = first.saturating_sub(held.base.last.index + 1) as usize;
-            held.entries.truncate(kept);
-            held.entries.extend(entries);
+        if let Some(LogSuffix { first_index, entries }) = write.entries {
+            let kept = first_index.saturating_sub(persisted.snapshot.last.index + 1) as usize;
+            persisted.entries.truncate(kept);
+            persisted.entries.extend(entries);
         }
-        held.sealed = write.sealed.or(held.sealed.take());
-        if let Some(known) = write.known {
-            held.known = known;
+        persisted.confirmed_voters = write.confirmed_voters.or(persisted.confirmed_voters.take());
+        if let Some(known_disks) = write.known_disks {
+            persisted.known_disks = known_disks;
         }
         self.mark = write.disk.unwrap_or(self.mark);
     }
 }
 
 struct Host {
-    seat: Option<Seat>,
-    chunks: Parcels,
+    replica: Option<Replica>,
+    chunks: ChunkedTransfer,
     disk: Disk,
     state: Vec<u8>,
     snapshots_due: VecDeque<(f64, u64, Vec<u8>)>,
@@ -146,7 +146,7 @@
     restarts: u64,
     chunks: u64,
     own_changes: u64,
-    gave_up: u64,
+    timed_out: u64,
     reads: u64,
     voter_changes: u64,
     leases_held: u64,
@@ -156,11 +156,11 @@
 #[derive(Debug, Default)]
 struct VoterTotals {
     elections: u64,
-    led: u64,
+    terms_led: u64,
     commits: u64,
     granted: u64,
     restores: u64,
-    folds: u64,
+    snapshots_taken: u64,
 }
 
 /// How a group is made up and disturbed.
@@ -168,7 +168,7 @@
 struct Group {
     voters: u32,
     followers: u32,
-    consensus: Settings,
+    consensus: RaftSettings,
     loss: f64,
     duplication: f64,
     max_delay: f64,
@@ -191,15 +191,15 @@
     SocketAddr::from(([10, 0, 0, host as u8], 7000))
 }
 
-fn chunk_settings() -> ParcelsSettings {
-    ParcelsSettings { again: TimeDelta::from_secs(0.1) }
+fn chunk_settings() -> ChunkSettings {
+    ChunkSettings { retry_interval: TimeDelta::from_secs(0.1) }
 }
 
 impl Simulation {
     fn new(group: Group, seed: u64) -> Simulation {
         let host = |number: u32| Host {
-            seat: None,
-            chunks: Parcels::new(chunk_settings(), 0),
+            replica: None,
+            chunks: ChunkedTransfer::new(chunk_settings(), 0),
             disk: Disk { mark: 100 + u64::from(number), ..Disk::default() },
             state: vec![0; STATE_BYTES],
             snapshots_due: VecDeque::new(),
@@ -239,46 +239,46 @@
     }
 
     /// One input to a host's state machine, and what follows from it.
-    fn input<T>(&mut self, host: u32, apply: impl FnOnce(&mut Seat, Instant) -> T) -> Option<T> {
+    fn input<T>(&mut self, host: u32, apply: impl FnOnce(&mut Replica, Instant) -> T) -> Option<T> {
         let now = self.clock(host);
-        let result = self.host(host).seat.as_mut().map(|seat| apply(seat, now))?;
+        let result = self.host(host).replica.as_mut().map(|replica| apply(replica, now))?;
         self.totals.inputs += 1;
         self.drain(host);
         Some(result)
     }
 
     fn drain(&mut self, host: u32) {
-        while let Some(output) = self.host(host).seat.as_mut().and_then(|seat| seat.next_output()) {
+        while let Some(output) = self.host(host).replica.as_mut().and_then(|replica| replica.poll_output()) {
             self.hash.number(u64::from(host));
             self.on_output(host, output);
         }
         self.send_chunks(host);
     }
 
-    fn on_output(&mut self, host: u32, output: SeatOutput) {
+    fn on_output(&mut self, host: u32, output: ReplicaOutput) {
         match output {
-            SeatOutput::Send { to, word } => {
+            ReplicaOutput::Send { to, message } => {
                 self.hash.number(1);
                 self.hash.number(u64::from(to));
-                self.host(host).chunks.send(address(to), word.to_bytes());
+                self.host(host).chunks.send(address(to), message.to_bytes());
             }
-            SeatOutput::Write(write) => {
+            ReplicaOutput::Write(write) => {
                 self.hash.number(2);
                 self.hash.write(&write);
                 let done = self.now + self.random.rand_float() * 0.02;
                 self.host(host).disk.pending.push_back((done, write));
             }
-            SeatOutput::Holds { index, data, mine } => {
+            ReplicaOutput::Committed { index, data, own_proposal } => {
                 self.hash.number(3);
                 self.hash.number(index);
                 self.hash.bytes(&data);
-                self.hash.optional(mine.map(u64::from));
-                self.totals.own_changes += u64::from(mine.is_some());
+                self.hash.optional(own_proposal.map(u64::from));
+                self.totals.own_changes += u64::from(own_proposal.is_some());
                 let first = self.committed.entry(index).or_insert_with(|| data.clone());
                 assert_eq!(*first, data, "two replicas committed different entries at {index}");
                 self.apply_change(host, index, &data);
             }
-            SeatOutput::Restore { index, state } => {
+            ReplicaOutput::RestoreSnapshot { index, state } => {
                 self.hash.number(4);
                 self.hash.number(index);
                 self.hash.bytes(&state);
@@ -286,21 +286,21 @@
                     self.host(host).state = state.to_vec();
                 }
             }
-            SeatOutput::Fold { index } => {
+            ReplicaOutput::TakeSnapshot { index } => {
                 self.hash.number(5);
                 self.hash.number(index);
                 let due = self.now + 0.03;
                 let state = self.host(host).state.clone();
                 self.host(host).snapshots_due.push_back((due, index, state));
             }
-            SeatOutput::GaveUp { number } => {
+            ReplicaOutput::ProposalTimedOut { number } => {
                 self.hash.number(6);
                 self.hash.number(u64::from(number));
-                self.totals.gave_up += 1;
+                self.totals.timed_out += 1;
             }
-            SeatOutput::Mode(line) => {
+            ReplicaOutput::Event(event) => {
                 self.hash.number(7);
-                self.hash.log_line(&line);
+                self.hash.log_line(&event.to_string());
             }
         }
     }
@@ -315,7 +315,7 @@
     }
 
     fn send_chunks(&mut self, host: u32) {
-        while let Some((to, body)) = self.host(host).chunks.next_say() {
+        while let Some(Transmit { to, body }) = self.host(host).chunks.poll_transmit() {
             let me = News {
                 slot: host,
                 generation: 1,
@@ -357,7 +357,7 @@
     }
 
     fn receive(&mut self, host: u32, bytes: Bytes) {
-        if self.host(host).seat.is_none() {
+        if self.host(host).replica.is_none() {
             return;
         }
         let datagram = Datagram::decode(bytes).expect("a datagram of this group");
@@ -365,19 +365,19 @@
         let now = self.clock(host);
         let message = match datagram.body {
             Body::Agree { bytes } => Some(bytes),
-            Body::Parcel { number, pieces, piece, bytes } => {
+            Body::Parcel { number: transfer, pieces: count, piece: index, bytes } => {
                 self.totals.chunks += 1;
-                self.host(host).chunks.came(now, address(from), number, pieces, piece, bytes)
+                self.host(host).chunks.on_chunk(now, address(from), Chunk { transfer, count, index, bytes })
             }
             Body::ParcelWant { number, piece } => {
-                self.host(host).chunks.wanted(address(from), number, piece);
+                self.host(host).chunks.on_chunk_request(address(from), number, piece);
                 None
             }
             _ => unreachable!("consensus traffic alone"),
         };
         if let Some(message) = message {
-            let message = Word::decode(message).expect("a message of this group");
-            self.input(host, |seat, now| seat.heard(now, from, message));
+            let message = Message::decode(message).expect("a message of this group");
+            self.input(host, |replica, now| replica.handle_message(now, from, message));
         }
         self.send_chunks(host);
     }
@@ -389,21 +389,27 @@
         let group = self.group;
         let host = self.host(number);
         host.disk.boot += 1;
-        let of = Origin { disk: host.disk.mark, boot: host.disk.boot, generation: incarnation };
-        let held = host.disk.held.clone();
-        let founders = (0..group.voters).collect();
-        let settings =
-            SeatSettings { me: number, of, agree: group.consensus, founders, held, seed: incarnation };
-        host.seat = Some(Seat::new(now, settings));
-        host.chunks = Parcels::new(chunk_settings(), incarnation as u32 * 1_000);
+        let identity = DiskIdentity { disk: host.disk.mark, boot: host.disk.boot, generation: incarnation };
+        let persisted = host.disk.persisted.clone();
+        let initial_voters = (0..group.voters).collect();
+        let settings = ReplicaSettings {
+            me: number,
+            identity,
+            raft: group.consensus,
+            initial_voters,
+            persisted,
+            seed: incarnation,
+        };
+        host.replica = Some(Replica::new(now, settings));
+        host.chunks = ChunkedTransfer::new(chunk_settings(), incarnation as u32 * 1_000);
         host.state = vec![0; STATE_BYTES];
         self.drain(number);
     }
 
     /// The process ends: what is not on disk yet is lost.
     fn stop(&mut self, number: u32) {
-        let Some(seat) = self.host(number).seat.take() else { return };
-        self.count(&seat);
+        let Some(replica) = self.host(number).replica.take() else { return };
+        self.count(&replica);
         self.totals.restarts += 1;
         let pause = 0.1 + self.random.rand_float() * 2.0;
         let starts_at = self.now + pause;
@@ -414,22 +420,22 @@
         host.reads.clear();
     }
 
-    fn count(&mut self, seat: &Seat) {
-        let counters = seat.voter.counters;
+    fn count(&mut self, replica: &Replica) {
+        let counters = replica.raft.counters;
         let totals = &mut self.totals.counters;
         totals.elections += counters.elections;
-        totals.led += counters.led;
+        totals.terms_led += counters.terms_led;
         totals.commits += counters.commits;
         totals.granted += counters.granted;
         totals.restores += counters.restores;
-        totals.folds += counters.folds;
-        self.hash.number(counters.wrong_disks);
-        self.hash.number(counters.lost_full);
+        totals.snapshots_taken += counters.snapshots_taken;
+        self.hash.number(counters.rejected_disks);
+        self.hash.number(counters.dropped_messages);
     }
 
     fn leader(&self) -> Option<u32> {
-        let leads = |host: &Host| host.seat.as_ref().is_some_and(|seat| seat.voter.leads());
-        self.hosts.iter().position(leads).map(|host| host as u32)
+        let is_leader = |host: &Host| host.replica.as_ref().is_some_and(|replica| replica.raft.is_leader());
+        self.hosts.iter().position(is_leader).map(|host| host as u32)
     }
 
     /// Restarts and isolations, the leader's more often than others'.
@@ -462,14 +468,14 @@
         for host in 0..self.hosts.len() as u32 {
             let now = self.now;
             while let Some((_, write)) = self.host(host).disk.pending.pop_front_if(|(done, _)| *done <= now) {
-                let receipt = write.receipt;
+                let write_id = write.write_id;
                 self.host(host).disk.persist(write);
-                self.input(host, |seat, now| seat.written(now, receipt, true));
+                self.input(host, |replica, now| replica.on_persisted(now, write_id));
             }
             while let Some((_, index, state)) =
                 self.host(host).snapshots_due.pop_front_if(|(due, ..)| *due <= now)
             {
-                self.input(host, |seat, now| seat.folded(now, index, &state));
+                self.input(host, |replica, now| replica.on_snapshot_taken(now, index, &state));
             }
         }
     }
@@ -477,16 +483,16 @@
     fn run_timers(&mut self) {
         for host in 0..self.hosts.len() as u32 {
             let now = self.clock(host);
-            let Some(seat) = &self.host(host).seat else {
+            let Some(replica) = &self.host(host).replica else {
                 if self.host(host).starts_at <= self.now {
                     self.start(host);
                 }
                 continue;
             };
-            if seat.next_wake(now) <= now {
-                self.input(host, |seat, now| seat.tick(now));
+            if replica.poll_timeout(now) <= now {
+                self.input(host, |replica, now| replica.handle_timeout(now));
             }
-            self.host(host).chunks.tick(now);
+            self.host(host).chunks.handle_timeout(now);
             self.send_chunks(host);
         }
     }
@@ -497,13 +503,14 @@
             let host = self.random_host();
             let length = 1 + self.random.rand_range(0..300) as usize;
             let fill = self.random.rand_range(0..256) as u8;
-            let result = self.input(host, |seat, now| seat.change(now, Bytes::from(vec![fill; length])));
-            let number = result.and_then(|change| change.ok());
+            let result =
+                self.input(host, |replica, now| replica.propose(now, Bytes::from(vec![fill; length])));
+            let number = result.and_then(|result| result.ok());
             self.hash.optional(number.map(u64::from));
         }
         if self.chance(0.03) {
             let host = self.random_host();
-            let read = self.input(host, |seat, now| seat.ask_newest(now));
+            let read = self.input(host, |replica, now| replica.request_read(now));
             self.host(host).reads.extend(read);
         }
         if self.chance(0.01) {
@@ -512,10 +519,13 @@
     }
 
     fn move_vote(&mut self) {
-        let (host, votes) = (self.random_host(), self.chance(0.5));
+        let (host, is_voter) = (self.random_host(), self.chance(0.5));
         let Some(leader) = self.leader() else { return };
-        let changed = self.input(leader, |seat, now| seat.voter.change_voters(now, host, votes));
-        let index = changed.and_then(|change| change.ok());
+        let changed = self.input(leader, |replica, now| match is_voter {
+            true => replica.raft.add_voter(now, host),
+            false => replica.raft.remove_voter(now, host),
+        });
+        let index = changed.and_then(|result| result.ok());
         self.totals.voter_changes += u64::from(index.is_some());
         self.hash.optional(index);
     }
@@ -524,28 +534,28 @@
         for number in 0..self.hosts.len() as u32 {
             let now = self.clock(number);
             let host = &mut self.hosts[number as usize];
-            let Some(seat) = &host.seat else { continue };
-            let status = seat.status(now);
+            let Some(replica) = &host.replica else { continue };
+            let status = replica.status(now);
             let hash = &mut self.hash;
             hash.optional(status.leader.map(u64::from));
-            [status.term, status.last, status.commit, status.folded]
+            [status.term, status.last_index, status.commit_index, status.snapshot_index]
                 .into_iter()
                 .for_each(|figure| hash.number(figure));
-            [status.votes, status.founded, seat.voter.leads()]
+            [status.is_voter, status.bootstrapped, replica.raft.is_leader()]
                 .into_iter()
                 .for_each(|flag| hash.number(u64::from(flag)));
             hash.voters(&status.voters);
-            hash.number(seat.in_force(now));
-            hash.time(seat.in_force_at(now));
-            hash.time(seat.next_wake(now));
-            match seat.standing(now) {
-                Standing::Never => hash.number(0),
-                Standing::Holds { until } => hash.time(until),
-                Standing::Past { since } => hash.time(since),
+            hash.number(replica.effective_index(now));
+            hash.time(replica.effective_at(now));
+            hash.time(replica.poll_timeout(now));
+            match replica.lease_state(now) {
+                LeaseState::Never => hash.number(0),
+                LeaseState::Valid { until } => hash.time(until),
+                LeaseState::Expired { since } => hash.time(since),
             }
-            self.totals.leases_held += u64::from(seat.standing(now).holds());
+            self.totals.leases_held += u64::from(replica.lease_state(now).is_valid());
             let before = host.reads.len();
-            host.reads.retain(|read| !seat.read(*read));
+            host.reads.retain(|read| !replica.is_read_ready(*read));
             let answered = (before - host.reads.len()) as u64;
             hash.number(answered);
             self.totals.reads += answered;
@@ -565,8 +575,9 @@
         for host in 0..self.hosts.len() as u32 {
             self.stop(host);
         }
-        let VoterTotals { elections, led, commits, granted, restores, folds } = self.totals.counters;
-        [elections, led, commits, granted, restores, folds]
+        let VoterTotals { elections, terms_led, commits, granted, restores, snapshots_taken } =
+            self.totals.counters;
+        [elections, terms_led, commits, granted, restores, snapshots_taken]
             .into_iter()
             .for_each(|total| self.hash.number(total));
         (self.hash.to_hex(), self.totals)
@@ -575,28 +586,28 @@
 
 fn three_voters() -> Group {
     let seconds = TimeDelta::from_secs;
-    let consensus = Settings {
-        beat: seconds(0.05),
-        patience: seconds(0.3),
+    let consensus = RaftSettings {
+        heartbeat_interval: seconds(0.05),
+        election_timeout: seconds(0.3),
         lease: seconds(1.0),
-        drift: 0.01,
-        hosts: 5,
-        fold_entries: 15,
-        fold_bytes: 1 << 20,
+        max_clock_drift: 0.01,
+        host_count: 5,
+        snapshot_after_entries: 15,
+        snapshot_after_bytes: 1 << 20,
     };
     Group { voters: 3, followers: 2, consensus, loss: 0.03, duplication: 0.03, max_delay: 0.03 }
 }
 
 fn five_voters() -> Group {
     let seconds = TimeDelta::from_secs;
-    let consensus = Settings {
-        beat: seconds(0.08),
-        patience: seconds(0.5),
+    let consensus = RaftSettings {
+        heartbeat_interval: seconds(0.08),
+        election_timeout: seconds(0.5),
         lease: seconds(2.0),
-        drift: 0.02,
-        hosts: 7,
-        fold_entries: 1_000,
-        fold_bytes: 4_000,
+        max_clock_drift: 0.02,
+        host_count: 7,
+        snapshot_after_entries: 1_000,
+        snapshot_after_bytes: 4_000,
     };
     Group { voters: 5, followers: 2, consensus, loss: 0.08, duplication: 0.05, max_delay: 0.06 }
 }
@@ -604,9 +615,9 @@
 fn assert_not_trivial(totals: &Totals) {
     let counters = &totals.counters;
     assert!(totals.inputs >= 10_000, "{totals:?}");
-    assert!(counters.elections >= 10 && counters.led >= 5, "{totals:?}");
+    assert!(counters.elections >= 10 && counters.terms_led >= 5, "{totals:?}");
     assert!(counters.commits >= 500 && totals.own_changes >= 100, "{totals:?}");
-    assert!(counters.restores >= 5 && counters.folds >= 20 && totals.chunks >= 50, "{totals:?}");
+    assert!(counters.restores >= 5 && counters.snapshots_taken >= 20 && totals.chunks >= 50, "{totals:?}");
     assert!(totals.restarts >= 10 && totals.voter_changes >= 2, "{totals:?}");
     assert!(counters.granted >= 100 && totals.leases_held >= 1_000 && totals.reads >= 20, "{totals:?}");
 }
--- a/crates/host-core/src/agreed.rs
+++ b/crates/host-core/src/agreed.rs
@@ -1,12 +1,13 @@
 //! The agreement within the host core: its words on the way other hosts are spoken to, its writes, what it brings of plans,
-//! and what operators ask of it. What counts is decided in `tackmast-agreement` and `tackmast-plans`.
+//! and what operators ask of it. What counts is decided in `tackmast-consensus` and `tackmast-plans`.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_config::{AgreementBlock, HostSettings};
 use tackmast_consensus::{
-    Held, Lease, Origin, Parcels, ParcelsSettings, Seat, SeatSettings, Settings, Standing, Word,
+    Chunk, ChunkSettings, ChunkedTransfer, DiskIdentity, FollowerStatus, Lease, LeaseState, Message,
+    PersistentState, RaftSettings, Replica, ReplicaSettings,
 };
 use tackmast_wire::peer::Body;
 
@@ -101,14 +102,14 @@
 /// What a host's disk has of the agreement.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AgreedStart {
-    pub of: Origin,
-    pub held: Held,
+    pub identity: DiskIdentity,
+    pub persisted: PersistentState,
 }
 
 pub struct Agreed {
-    pub(crate) seat: Seat,
-    pub(crate) parcels: Parcels,
-    pub(crate) settings: Settings,
+    pub(crate) replica: Replica,
+    pub(crate) chunks: ChunkedTransfer,
+    pub(crate) settings: RaftSettings,
     /// Changes of this host: their numbers, and who waits for what.
     pub(crate) changes: BTreeMap<u32, u64>,
     /// Who waits for what is newest: by number of the ask, until when, and what for.
@@ -119,33 +120,36 @@
     me: u32,
 }
 
-pub fn agreement_settings(s: &HostSettings, a: &AgreementBlock) -> Settings {
-    Settings {
-        beat: TimeDelta::from_secs(a.beat_ms / 1e3),
-        patience: TimeDelta::from_secs(a.patience_ms / 1e3),
+pub fn agreement_settings(s: &HostSettings, a: &AgreementBlock) -> RaftSettings {
+    RaftSettings {
+        heartbeat_interval: TimeDelta::from_secs(a.beat_ms / 1e3),
+        election_timeout: TimeDelta::from_secs(a.patience_ms / 1e3),
         lease: TimeDelta::from_secs(a.lease_s),
-        drift: a.drift,
-        hosts: s.host.hosts,
-        fold_entries: FOLD_ENTRIES,
-        fold_bytes: FOLD_BYTES,
+        max_clock_drift: a.drift,
+        host_count: s.host.hosts,
+        snapshot_after_entries: FOLD_ENTRIES,
+        snapshot_after_bytes: FOLD_BYTES,
     }
 }
 
 impl Agreed {
     pub fn new(now: Instant, s: &HostSettings, a: &AgreementBlock, start: AgreedStart, seed: u64) -> Agreed {
         let (me, settings) = (s.host.number, agreement_settings(s, a));
-        let first = (start.of.generation as u32).wrapping_mul(0x9e37_79b1);
-        let seat = SeatSettings {
+        let first = (start.identity.generation as u32).wrapping_mul(0x9e37_79b1);
+        let replica = ReplicaSettings {
             me,
-            of: start.of,
-            agree: settings,
-            founders: a.voters.iter().copied().collect(),
-            held: start.held,
+            identity: start.identity,
+            raft: settings,
+            initial_voters: a.voters.iter().copied().collect(),
+            persisted: start.persisted,
             seed,
         };
         Agreed {
-            seat: Seat::new(now, seat),
-            parcels: Parcels::new(ParcelsSettings { again: settings.beat }, first),
+            replica: Replica::new(now, replica),
+            chunks: ChunkedTransfer::new(
+                ChunkSettings { retry_interval: settings.heartbeat_interval },
+                first,
+            ),
             settings,
             changes: BTreeMap::new(),
             reads: Vec::new(),
@@ -157,68 +161,71 @@
 
     pub fn next_wake(&self, now: Instant) -> Instant {
         let reads = self.reads.iter().map(|(_, until, _, _)| *until);
-        let all = [Some(self.seat.next_wake(now)), self.parcels.next_wake()];
-        all.into_iter().flatten().chain(reads).fold(self.seat.next_wake(now), Instant::min)
+        let all = [Some(self.replica.poll_timeout(now)), self.chunks.poll_timeout()];
+        all.into_iter().flatten().chain(reads).fold(self.replica.poll_timeout(now), Instant::min)
     }
 
     /// A word, once it is whole.
-    pub(crate) fn came(&mut self, now: Instant, from: std::net::SocketAddr, body: Body) -> Option<Word> {
+    pub(crate) fn came(&mut self, now: Instant, from: std::net::SocketAddr, body: Body) -> Option<Message> {
         let bytes = match body {
             Body::Agree { bytes } => bytes,
-            Body::Parcel { number, pieces, piece, bytes } => {
-                self.parcels.came(now, from, number, pieces, piece, bytes)?
-            }
+            Body::Parcel { number, pieces, piece, bytes } => self.chunks.on_chunk(
+                now,
+                from,
+                Chunk { transfer: number, count: pieces, index: piece, bytes },
+            )?,
             Body::ParcelWant { number, piece } => {
-                self.parcels.wanted(from, number, piece);
+                self.chunks.on_chunk_request(from, number, piece);
                 return None;
             }
             _ => return None,
         };
-        Word::decode(bytes).ok()
+        Message::decode(bytes).ok()
     }
 
     /// Seconds from a change's commit until all hosts go by it.
     pub fn settle(&self) -> TimeDelta {
-        Lease::until_all(self.settings.lease, self.settings.drift)
+        Lease::max_holdover(self.settings.lease, self.settings.max_clock_drift)
     }
 
-    pub fn standing(&self, now: Instant) -> Standing {
-        self.seat.standing(now)
+    pub fn lease_state(&self, now: Instant) -> LeaseState {
+        self.replica.lease_state(now)
     }
 
     pub fn status(&self, now: Instant) -> AgreementStatus {
-        let (s, c) = (self.seat.status(now), self.seat.voter.counters);
-        let (lease, lease_s) = match self.seat.standing(now) {
-            Standing::Holds { until } => ("holds", (until - now).secs()),
-            Standing::Past { since } => ("past", (now - since).secs()),
-            Standing::Never => ("never", 0.0),
+        let reported = |(host, f): (u32, FollowerStatus)| (host, (f.stored_index, f.silent_for.secs()));
+        let (s, c) = (self.replica.status(now), self.replica.raft.counters);
+        let (lease, lease_s) = match self.replica.lease_state(now) {
+            LeaseState::Valid { until } => ("holds", (until - now).secs()),
+            LeaseState::Expired { since } => ("past", (now - since).secs()),
+            LeaseState::Never => ("never", 0.0),
         };
         AgreementStatus {
             host: self.me,
-            generation: self.seat.voter.of().generation,
-            role: s.role.into(),
+            generation: self.replica.raft.identity().generation,
+            role: s.role.to_string(),
             term: s.term,
             leader: s.leader,
-            log: self.seat.voter.log().base().id,
+            log: self.replica.raft.log().snapshot().log_id,
             voters: s.voters.keys().copied().collect(),
-            votes: s.votes,
-            founded: s.founded,
-            failed: s.failed,
-            last: s.last,
-            commit: s.commit,
-            folded: s.folded,
+            votes: s.is_voter,
+            founded: s.bootstrapped,
+            failed: s.disk_failed,
+            last: s.last_index,
+            commit: s.commit_index,
+            folded: s.snapshot_index,
             version: 0,
             told: 0,
             lease: lease.into(),
             lease_s,
             posture: false,
-            in_force_s: (self.seat.in_force_at(now) - now).secs(),
-            has: s.has.into_iter().map(|(h, (has, ago))| (h, (has, ago.secs()))).collect(),
+            in_force_s: (self.replica.effective_at(now) - now).secs(),
+            has: s.followers.into_iter().map(reported).collect(),
             elections: c.elections,
             commits: c.commits,
             granted: c.granted,
-            wrong_disks: c.wrong_disks,
-            lost: c.lost_full + self.parcels.lost,
+            wrong_disks: c.rejected_disks,
+            lost: c.dropped_messages + self.chunks.lost,
         }
     }
 }
--- a/crates/host-core/src/core/agreed.rs
+++ b/crates/host-core/src/core/agreed.rs
@@ -4,7 +4,7 @@
 use crate::agreed::{AgreementAsk, AgreementReply, READS, READ_S, TOLD_S, WRITES};
 use crate::plans::AgreedHolds;
 use std::net::SocketAddr;
-use tackmast_consensus::SeatOutput;
+use tackmast_consensus::{ReplicaOutput, Transmit};
 use tackmast_plans::Command as PlanCommand;
 use tackmast_wire::peer::Body;
 
@@ -17,7 +17,7 @@
     pub(super) fn agreed_word(&mut self, now: Instant, from: SocketAddr, slot: u32, body: Body) {
         let Some(a) = &mut self.agreed else { return };
         if let Some(word) = a.came(now, from, body) {
-            a.seat.heard(now, slot, word);
+            a.replica.handle_message(now, slot, word);
         }
         self.follow_agreed(now);
     }
@@ -27,8 +27,8 @@
         if a.next_wake(now) > now && now < a.told_at {
             return;
         }
-        a.seat.tick(now);
-        a.parcels.tick(now);
+        a.replica.handle_timeout(now);
+        a.chunks.handle_timeout(now);
         self.tell_all_have(now);
         self.go_on_agreed(now);
     }
@@ -42,9 +42,10 @@
         a.told_at = now + TimeDelta::from_secs(TOLD_S);
         let (told, waits) = plans.told();
         let version = plans.version();
-        if waits && told < version && a.seat.voter.all_have(0..a.settings.hosts, a.changed_at).is_ok() {
+        if waits && told < version && a.replica.raft.is_stored_on_all(0..a.settings.host_count, a.changed_at)
+        {
             let data = serde_json::to_vec(&PlanCommand::Told { version }).unwrap_or_default();
-            _ = a.seat.change(now, data.into());
+            _ = a.replica.propose(now, data.into());
         }
     }
 
@@ -54,7 +55,10 @@
             return false;
         }
         if let Some(a) = &mut self.agreed {
-            a.seat.written(now, request - WRITES, result.is_ok());
+            match result {
+                Ok(()) => a.replica.on_persisted(now, request - WRITES),
+                Err(_) => a.replica.on_persist_failed(now),
+            }
         }
         if let Err(why) = result {
             self.mode(format!("agreement: not kept: {why}"));
@@ -66,7 +70,7 @@
     /// Against acting by what may count no more: looked at before each decision.
     pub(super) fn look_at_lease(&mut self, now: Instant) {
         let (Some(a), Some(plans)) = (&self.agreed, &mut self.plans) else { return };
-        let posture = !a.seat.standing(now).holds();
+        let posture = !a.replica.lease_state(now).is_valid();
         if plans.is_in_posture() != posture {
             let moves = plans.stands(posture);
             self.go_by(now, &moves);
@@ -76,35 +80,37 @@
     pub(super) fn follow_agreed(&mut self, now: Instant) {
         loop {
             let Some(a) = &mut self.agreed else { return };
-            let Some(o) = a.seat.next_output() else { break };
+            let Some(o) = a.replica.poll_output() else { break };
             match o {
-                SeatOutput::Send { to, word } => {
+                ReplicaOutput::Send { to, message } => {
                     let to = self.fellows.as_ref().and_then(|f| f.member.view.address(to));
                     if let Some(to) = to {
-                        a.parcels.send(to, word.to_bytes());
+                        a.chunks.send(to, message.to_bytes());
                     }
                 }
-                SeatOutput::Write(w) => {
-                    let request = WRITES + w.receipt;
+                ReplicaOutput::Write(w) => {
+                    let request = WRITES + w.write_id;
                     let keep = Keep { agreed: Some(Box::new(w)), ..Keep::default() };
                     self.outputs.push_back(Output::Keep { request, keep });
                 }
-                SeatOutput::Holds { index, data, mine } => self.agreed_holds(now, index, &data, mine),
-                SeatOutput::Restore { index, state } => self.agreed_restore(now, index, &state),
-                SeatOutput::Fold { index } => {
+                ReplicaOutput::Committed { index, data, own_proposal } => {
+                    self.agreed_holds(now, index, &data, own_proposal)
+                }
+                ReplicaOutput::RestoreSnapshot { index, state } => self.agreed_restore(now, index, &state),
+                ReplicaOutput::TakeSnapshot { index } => {
                     let state = self.plans.as_ref().map(Plans::agreed_bytes).unwrap_or_default();
-                    a.seat.folded(now, index, &state);
+                    a.replica.on_snapshot_taken(now, index, &state);
                 }
-                SeatOutput::GaveUp { number } => {
+                ReplicaOutput::ProposalTimedOut { number } => {
                     let why = "no word from those who agree on it: it may hold all the same, later; look at the log";
                     self.agreed_reply(number, PlanReply::Refused { why: why.into() });
                 }
-                SeatOutput::Mode(line) => self.mode(line),
+                ReplicaOutput::Event(event) => self.mode(event.to_string()),
             }
         }
         self.answer_reads(now);
         let (Some(a), Some(f)) = (&mut self.agreed, &mut self.fellows) else { return };
-        while let Some((to, body)) = a.parcels.next_say() {
+        while let Some(Transmit { to, body }) = a.chunks.poll_transmit() {
             f.member.post(to, body);
         }
     }
@@ -189,7 +195,7 @@
                     return self.outputs.push_back(Output::Reply { request, reply });
                 }
                 // Never stale: answered once all that was agreed on before the ask is here.
-                let seq = a.seat.ask_newest(now);
+                let seq = a.replica.request_read(now);
                 a.reads.push((seq, now + TimeDelta::from_secs(READ_S), request, ask));
                 return self.go_on_agreed(now);
             }
@@ -208,7 +214,7 @@
             Ok(change) => {
                 let command = PlanCommand::Change { at_us: wall_us, change };
                 let data = serde_json::to_vec(&command).unwrap_or_default();
-                match a.seat.change(now, data.into()) {
+                match a.replica.propose(now, data.into()) {
                     Ok(number) => {
                         a.changes.insert(number, request);
                         None
@@ -228,7 +234,7 @@
         let mut i = 0;
         while i < a.reads.len() {
             let (seq, until, request, _) = a.reads[i];
-            let known = a.seat.read(seq);
+            let known = a.replica.is_read_ready(seq);
             if !known && now < until {
                 i += 1;
                 continue;
@@ -237,9 +243,10 @@
             let reply = match plans.ask(now, 0, request, ask) {
                 Some(PlanNext::Reply(_, PlanReply::Shown(mut s))) => {
                     s.stale = !known;
-                    s.in_force_s = (a.seat.in_force_at(now) - now).secs();
+                    s.in_force_s = (a.replica.effective_at(now) - now).secs();
                     s.settle_s = a.settle().secs();
-                    s.at = a.seat.status(now).has.into_iter().map(|(h, (has, _))| (h, has)).collect();
+                    let followers = a.replica.status(now).followers.into_iter();
+                    s.at = followers.map(|(host, f)| (host, f.stored_index)).collect();
                     PlanReply::Shown(s)
                 }
                 Some(PlanNext::Reply(_, PlanReply::Log { .. })) if !known => {
@@ -268,7 +275,11 @@
             (Some(_), AgreementAsk::Force { who, why }) => self.by_force(now, &who, &why, false),
             (Some(_), AgreementAsk::Forget { who, why }) => self.by_force(now, &who, &why, true),
             (Some(a), AgreementAsk::Voter { host, votes }) => {
-                match a.seat.voter.change_voters(now, host, votes) {
+                let changed = match votes {
+                    true => a.replica.raft.add_voter(now, host),
+                    false => a.replica.raft.remove_voter(now, host),
+                };
+                match changed {
                     Ok(index) => AgreementReply::Taken { index },
                     Err(r) => AgreementReply::Refused { why: r.to_string() },
                 }
@@ -293,14 +304,14 @@
         };
         let state = self.plans.as_ref().map(Plans::agreed_bytes).unwrap_or_default();
         let done = match forget {
-            true => a.seat.forget(now).map(|()| 0),
-            false => a.seat.force(now, &state),
+            true => a.replica.discard_log(now).map(|()| 0),
+            false => a.replica.force_new_log(now, &state),
         };
         let log = match done {
             Ok(log) => log,
             Err(r) => return AgreementReply::Refused { why: r.to_string() },
         };
-        a.changed_at = a.seat.commit();
+        a.changed_at = a.replica.commit_index();
         let what = match forget {
             true => format!("agreement: forgot its log: {why}"),
             false => format!("agreement: forced, log {log:x}, from entry {}: {why}", a.changed_at),
--- a/crates/host-core/tests/agreed.rs
+++ b/crates/host-core/tests/agreed.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use tackmast::interface::*;
 use tackmast_config::HostSettings;
-use tackmast_consensus::Origin;
+use tackmast_consensus::DiskIdentity;
 use tackmast_host_core::*;
 use tackmast_plans::{Change, Plan, Step};
 
@@ -129,8 +129,8 @@
         let mut core = Core::new(self.now, &s, generation, generation);
         let mut plans = Plans::new(self.now, &s, s.plans_live.as_ref().unwrap(), &[]).unwrap();
         plans.agree();
-        let of = Origin { disk: generation, boot: 1, generation };
-        let start = AgreedStart { of, ..AgreedStart::default() };
+        let identity = DiskIdentity { disk: generation, boot: 1, generation };
+        let start = AgreedStart { identity, ..AgreedStart::default() };
         core.with_agreed(Agreed::new(self.now, &s, s.agreement.as_ref().unwrap(), start, generation));
         core.with_plans(self.now, plans, false);
         let m = s.membership.as_ref().unwrap();
--- a/crates/simulator/src/agreed/explore.rs
+++ b/crates/simulator/src/agreed/explore.rs
@@ -2,7 +2,7 @@
 //! in which three voters have a leader and a change is under way.
 
 use super::world::World;
-use tackmast_consensus::AgreeFault;
+use tackmast_consensus::ConsensusFault;
 
 #[derive(Clone, Debug, Default)]
 pub struct Explored {
@@ -71,7 +71,7 @@
 }
 
 /// Three voters, one of whom leads, a change that it has just taken, and all that can happen in so many steps.
-pub fn explore(depth: u32, fault: Option<AgreeFault>) -> Explored {
+pub fn explore(depth: u32, fault: Option<ConsensusFault>) -> Explored {
     let mut w = World::new(3, 0, fault, |_| 1.0);
     w.begin();
     w.letters.clear();
--- a/crates/simulator/src/agreed/fleet.rs
+++ b/crates/simulator/src/agreed/fleet.rs
@@ -5,7 +5,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_consensus::{Origin, Seat, SeatOutput, SeatSettings, Settings, Word};
+use tackmast_consensus::{DiskIdentity, Message, RaftSettings, Replica, ReplicaOutput, ReplicaSettings};
 
 type Us = u64;
 /// A write to disk with its sync, and a word's way: at least, and as much again by chance.
@@ -44,13 +44,13 @@
 }
 
 enum Event {
-    Word(u32, u32, Bytes),
+    Message(u32, u32, Bytes),
     Disk(u32, u64),
     Wake(u32),
 }
 
 struct Host {
-    seat: Option<Seat>,
+    replica: Option<Replica>,
     disk: Disk,
     wake: Us,
     /// What has been told of changes: by number of change, when it was known here.
@@ -63,13 +63,13 @@
     queue: BinaryHeap<Reverse<(Us, u64)>>,
     events: BTreeMap<u64, Event>,
     number: u64,
-    settings: Settings,
+    settings: RaftSettings,
     trial: FleetTrial,
     chance: oorandom::Rand64,
     cut: Vec<bool>,
     bytes: Vec<u64>,
     texts: u64,
-    mine: BTreeMap<(u32, u32), u64>,
+    own_proposals: BTreeMap<(u32, u32), u64>,
     done: Vec<(u64, u32, Us)>,
 }
 
@@ -79,17 +79,17 @@
 
 impl Fleet {
     fn new(t: FleetTrial) -> Fleet {
-        let settings = Settings {
-            beat: TimeDelta::from_secs(0.1),
-            patience: TimeDelta::from_secs(1.0),
+        let settings = RaftSettings {
+            heartbeat_interval: TimeDelta::from_secs(0.1),
+            election_timeout: TimeDelta::from_secs(1.0),
             lease: TimeDelta::from_secs(5.0),
-            drift: 0.001,
-            hosts: t.hosts,
-            fold_entries: 2_000,
-            fold_bytes: 4 << 20,
+            max_clock_drift: 0.001,
+            host_count: t.hosts,
+            snapshot_after_entries: 2_000,
+            snapshot_after_bytes: 4 << 20,
         };
         let host = |i: u32| Host {
-            seat: None,
+            replica: None,
             disk: Disk { mark: u64::from(i) + 100, ..Disk::default() },
             wake: Us::MAX,
             known: BTreeMap::new(),
@@ -106,7 +106,7 @@
             cut: vec![false; t.hosts as usize],
             bytes: vec![0; t.hosts as usize],
             texts: 0,
-            mine: BTreeMap::new(),
+            own_proposals: BTreeMap::new(),
             done: Vec::new(),
         };
         (0..t.hosts).for_each(|h| f.start(h));
@@ -124,18 +124,18 @@
         let x = &mut self.hosts[h as usize];
         x.disk.boot += 1;
         let generation = u64::from(x.disk.boot) << 20 | u64::from(h);
-        let of = Origin { disk: x.disk.mark, boot: x.disk.boot, generation };
-        let founders = (0..self.trial.voters).collect();
-        let held = x.disk.held.clone();
-        let s = SeatSettings {
+        let identity = DiskIdentity { disk: x.disk.mark, boot: x.disk.boot, generation };
+        let initial_voters = (0..self.trial.voters).collect();
+        let persisted = x.disk.persisted.clone();
+        let s = ReplicaSettings {
             me: h,
-            of,
-            agree: self.settings,
-            founders,
-            held,
+            identity,
+            raft: self.settings,
+            initial_voters,
+            persisted,
             seed: self.trial.seed ^ generation,
         };
-        x.seat = Some(Seat::new(now, s));
+        x.replica = Some(Replica::new(now, s));
         self.pull(h);
     }
 
@@ -146,19 +146,21 @@
             self.now = self.now.max(t);
             let now = at(self.now);
             match self.events.remove(&n) {
-                Some(Event::Word(from, to, bytes)) => {
-                    if let (Some(s), Ok(word)) = (&mut self.hosts[to as usize].seat, Word::decode(bytes)) {
-                        s.heard(now, from, word);
+                Some(Event::Message(from, to, bytes)) => {
+                    if let (Some(s), Ok(message)) =
+                        (&mut self.hosts[to as usize].replica, Message::decode(bytes))
+                    {
+                        s.handle_message(now, from, message);
                     }
                     self.pull(to);
                 }
-                Some(Event::Disk(h, receipt)) => {
+                Some(Event::Disk(h, write_id)) => {
                     let x = &mut self.hosts[h as usize];
-                    if let Some(i) = x.disk.pending.iter().position(|w| w.receipt == receipt) {
+                    if let Some(i) = x.disk.pending.iter().position(|w| w.write_id == write_id) {
                         let w = x.disk.pending.remove(i);
                         x.disk.take(w);
-                        if let Some(s) = &mut x.seat {
-                            s.written(now, receipt, true);
+                        if let Some(s) = &mut x.replica {
+                            s.on_persisted(now, write_id);
                         }
                     }
                     self.pull(h);
@@ -168,8 +170,8 @@
                     if x.wake <= self.now {
                         x.wake = Us::MAX;
                     }
-                    if let Some(s) = &mut x.seat {
-                        s.tick(now);
+                    if let Some(s) = &mut x.replica {
+                        s.handle_timeout(now);
                     }
                     self.pull(h);
                 }
@@ -183,50 +185,52 @@
         let now = at(self.now);
         loop {
             let x = &mut self.hosts[h as usize];
-            let Some(o) = x.seat.as_mut().and_then(Seat::next_output) else { break };
+            let Some(o) = x.replica.as_mut().and_then(Replica::poll_output) else { break };
             match o {
-                SeatOutput::Send { to, word } => self.post(h, to, &word),
-                SeatOutput::Write(w) => {
-                    let receipt = w.receipt;
+                ReplicaOutput::Send { to, message } => self.post(h, to, &message),
+                ReplicaOutput::Write(w) => {
+                    let write_id = w.write_id;
                     x.disk.pending.push(w);
                     // One after the other, on one disk.
                     let due = self.now + DISK * x.disk.pending.len() as Us;
-                    self.push(due, Event::Disk(h, receipt));
+                    self.push(due, Event::Disk(h, write_id));
                 }
-                SeatOutput::Holds { mut data, mine, .. } => {
+                ReplicaOutput::Committed { mut data, own_proposal, .. } => {
                     let text = data.get_u64();
                     x.known.insert(text, self.now);
-                    if let Some(n) = mine {
-                        if self.mine.remove(&(h, n)).is_some() {
+                    if let Some(n) = own_proposal {
+                        if self.own_proposals.remove(&(h, n)).is_some() {
                             self.done.push((text, h, self.now));
                         }
                     }
                 }
-                SeatOutput::Fold { index } => {
-                    if let Some(s) = &mut x.seat {
-                        s.folded(now, index, b"");
+                ReplicaOutput::TakeSnapshot { index } => {
+                    if let Some(s) = &mut x.replica {
+                        s.on_snapshot_taken(now, index, b"");
                     }
                 }
-                SeatOutput::Restore { .. } | SeatOutput::GaveUp { .. } | SeatOutput::Mode(_) => {}
+                ReplicaOutput::RestoreSnapshot { .. }
+                | ReplicaOutput::ProposalTimedOut { .. }
+                | ReplicaOutput::Event(_) => {}
             }
         }
         let x = &mut self.hosts[h as usize];
-        let Some(s) = &x.seat else { return };
-        let wake = ((s.next_wake(now).secs() * 1e6) as Us).max(self.now + 1);
+        let Some(s) = &x.replica else { return };
+        let wake = ((s.poll_timeout(now).secs() * 1e6) as Us).max(self.now + 1);
         if wake < x.wake {
             x.wake = wake;
             self.push(wake, Event::Wake(h));
         }
     }
 
-    fn post(&mut self, from: u32, to: u32, word: &Word) {
-        let bytes = word.to_bytes();
+    fn post(&mut self, from: u32, to: u32, message: &Message) {
+        let bytes = message.to_bytes();
         self.bytes[from as usize] += bytes.len() as u64 + ROUND * (1 + bytes.len() as u64 / 1_200);
         if self.cut[from as usize] != self.cut[to as usize] || self.chance.rand_float() < self.trial.loss {
             return;
         }
         let t = self.now + WAY + self.chance.rand_range(0..JITTER);
-        self.push(t, Event::Word(from, to, bytes));
+        self.push(t, Event::Message(from, to, bytes));
     }
 
     fn change(&mut self, h: u32) -> u64 {
@@ -235,9 +239,9 @@
         // As long as a change of a plan's figures is.
         let mut data = text.to_be_bytes().to_vec();
         data.resize(400, 0);
-        if let Some(s) = &mut self.hosts[h as usize].seat {
-            if let Ok(n) = s.change(now, data.into()) {
-                self.mine.insert((h, n), text);
+        if let Some(s) = &mut self.hosts[h as usize].replica {
+            if let Ok(n) = s.propose(now, data.into()) {
+                self.own_proposals.insert((h, n), text);
             }
         }
         self.pull(h);
@@ -245,14 +249,14 @@
     }
 
     fn leader(&self) -> Option<u32> {
-        let leads = |x: &Host| x.seat.as_ref().is_some_and(|s| s.voter.leads());
-        self.hosts.iter().position(leads).map(|h| h as u32)
+        let is_leader = |x: &Host| x.replica.as_ref().is_some_and(|s| s.raft.is_leader());
+        self.hosts.iter().position(is_leader).map(|h| h as u32)
     }
 
-    fn until(&mut self, patience: f64, step: f64, is: impl Fn(&Fleet) -> bool) -> Option<f64> {
+    fn until(&mut self, timeout: f64, step: f64, is: impl Fn(&Fleet) -> bool) -> Option<f64> {
         let began = self.now;
         while !is(self) {
-            if (self.now - began) as f64 / 1e6 > patience {
+            if (self.now - began) as f64 / 1e6 > timeout {
                 return None;
             }
             self.run(step);
@@ -262,7 +266,7 @@
 
     fn all_hold(&self) -> bool {
         let now = at(self.now);
-        self.hosts.iter().all(|x| x.seat.as_ref().is_some_and(|s| s.standing(now).holds()))
+        self.hosts.iter().all(|x| x.replica.as_ref().is_some_and(|s| s.lease_state(now).is_valid()))
     }
 }
 
@@ -318,7 +322,7 @@
     f.run(3.0);
     // The leader ends.
     if let Some(l) = f.leader() {
-        f.hosts[l as usize].seat = None;
+        f.hosts[l as usize].replica = None;
         f.hosts[l as usize].disk.pending.clear();
         let (began, h) = (f.now, (l + 1) % t.voters);
         let text = f.change(h);
@@ -332,8 +336,9 @@
     }
     // A third is cut off, one voter among them, while changes go on elsewhere.
     f.cut = (0..t.hosts).map(|h| h % 3 == 2).collect();
-    let (began, newest) =
-        (f.now, |f: &Fleet| f.hosts.iter().filter_map(|x| x.seat.as_ref()).map(Seat::commit).max());
+    let (began, newest) = (f.now, |f: &Fleet| {
+        f.hosts.iter().filter_map(|x| x.replica.as_ref()).map(Replica::commit_index).max()
+    });
     let base = newest(&f).unwrap_or(0);
     // Since when something newer is known anywhere.
     let mut first = None;
@@ -344,8 +349,9 @@
             first.get_or_insert(f.now);
         }
         let now = at(f.now);
-        let behind =
-            |x: &Host| x.seat.as_ref().is_some_and(|s| s.commit() <= base && s.standing(now).holds());
+        let behind = |x: &Host| {
+            x.replica.as_ref().is_some_and(|s| s.commit_index() <= base && s.lease_state(now).is_valid())
+        };
         let cut_off = f.hosts.iter().zip(&f.cut).filter(|(_, c)| **c);
         if let Some(t) = first.filter(|_| cut_off.clone().any(|(x, _)| behind(x))) {
             figures.longest = (f.now - t) as f64 / 1e6;
--- a/crates/simulator/src/agreed/walk.rs
+++ b/crates/simulator/src/agreed/walk.rs
@@ -3,7 +3,7 @@
 //! crashes, some all cuts.
 
 use super::world::{World, DRIFT};
-use tackmast_consensus::AgreeFault;
+use tackmast_consensus::ConsensusFault;
 
 #[derive(Clone, Copy, Debug)]
 pub struct Walk {
@@ -11,14 +11,14 @@
     pub followers: u32,
     pub steps: u32,
     pub seed: u64,
-    pub fault: Option<AgreeFault>,
+    pub fault: Option<ConsensusFault>,
     /// Voters come and go, disks are lost and come back old.
     pub moves: bool,
 }
 
 impl Walk {
     /// Of three or of five voters, every third with voters that move.
-    pub fn drawn(seed: u64, steps: u32, fault: Option<AgreeFault>) -> Walk {
+    pub fn drawn(seed: u64, steps: u32, fault: Option<ConsensusFault>) -> Walk {
         let voters = if seed.is_multiple_of(2) { 5 } else { 3 };
         Walk { voters, followers: 2, steps, seed, fault, moves: seed.is_multiple_of(3) }
     }
@@ -212,7 +212,7 @@
         if let Some(what) = x.broken.take() {
             return Some(what);
         }
-        let all = x.all.iter().all(|p| p.seat.as_ref().is_some_and(|s| s.commit() == x.committed()));
+        let all = x.all.iter().all(|p| p.replica.as_ref().is_some_and(|s| s.commit_index() == x.committed()));
         if all && x.committed() > before + 1 && i > 8 {
             break;
         }
@@ -221,9 +221,9 @@
     if w.moves {
         return None;
     }
-    let behind = x.all.iter().position(|p| p.seat.as_ref().is_none_or(|s| s.commit() < before));
+    let behind = x.all.iter().position(|p| p.replica.as_ref().is_none_or(|s| s.commit_index() < before));
     if let Some(h) = behind {
-        let commit = x.all[h].seat.as_ref().map(|s| s.commit());
+        let commit = x.all[h].replica.as_ref().map(|s| s.commit_index());
         return Some(format!("all is well again, and host {h} has {commit:?} of {before}"));
     }
     (x.committed() <= before)
@@ -231,7 +231,7 @@
 }
 
 /// The first walk, from a seed on, in which a deliberate fault shows.
-pub fn find_fault(fault: AgreeFault, first: u64, walks: u64, steps: u32) -> Option<(u64, u32, String)> {
+pub fn find_fault(fault: ConsensusFault, first: u64, walks: u64, steps: u32) -> Option<(u64, u32, String)> {
     (first..first + walks).find_map(|seed| {
         let found = walk(&Walk::drawn(seed, steps, Some(fault)));
         found.broken.map(|(step, what)| (seed, step, what))
--- a/crates/simulator/src/agreed/world.rs
+++ b/crates/simulator/src/agreed/world.rs
@@ -5,7 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_consensus::{
-    AgreeFault, Held, Origin, Seat, SeatOutput, SeatSettings, Settings, What, Word, Write,
+    ConsensusFault, DiskIdentity, EntryPayload, LogSuffix, Message, PersistentState, RaftSettings, Replica,
+    ReplicaOutput, ReplicaSettings, Write,
 };
 
 pub const LEASE: f64 = 1.0;
@@ -18,31 +19,31 @@
 pub struct Disk {
     pub mark: u64,
     pub boot: u32,
-    pub held: Held,
+    pub persisted: PersistentState,
     pub pending: Vec<Write>,
 }
 
 impl Disk {
     /// As a store does it: all of one write or nothing.
     pub fn take(&mut self, w: Write) {
-        let h = &mut self.held;
-        if let Some(hard) = w.hard {
-            h.hard = hard;
+        let h = &mut self.persisted;
+        if let Some(hard_state) = w.hard_state {
+            h.hard_state = hard_state;
         }
-        if let Some(base) = w.base {
-            h.base = base;
+        if let Some(snapshot) = w.snapshot {
+            h.snapshot = snapshot;
             h.entries.clear();
         }
-        if let Some((from, entries)) = w.entries {
-            let at = from.saturating_sub(h.base.last.index + 1) as usize;
+        if let Some(LogSuffix { first_index, entries }) = w.entries {
+            let at = first_index.saturating_sub(h.snapshot.last.index + 1) as usize;
             h.entries.truncate(at);
             h.entries.extend(entries);
         }
-        if w.sealed.is_some() {
-            h.sealed = w.sealed;
+        if w.confirmed_voters.is_some() {
+            h.confirmed_voters = w.confirmed_voters;
         }
-        if let Some(known) = w.known {
-            h.known = known;
+        if let Some(known_disks) = w.known_disks {
+            h.known_disks = known_disks;
         }
         if let Some(mark) = w.disk {
             self.mark = mark;
@@ -52,7 +53,7 @@
 
 #[derive(Clone)]
 pub struct Process {
-    pub seat: Option<Seat>,
+    pub replica: Option<Replica>,
     pub disk: Disk,
     pub old: Option<Disk>,
     pub stopped: bool,
@@ -71,7 +72,7 @@
 pub struct Letter {
     pub from: u32,
     pub to: u32,
-    pub word: Word,
+    pub message: Message,
 }
 
 #[derive(Clone)]
@@ -82,12 +83,12 @@
     pub letters: Vec<Letter>,
     /// Ways that are cut, from one to the other.
     pub cut: BTreeSet<(u32, u32)>,
-    pub fault: Option<AgreeFault>,
-    pub settings: Settings,
+    pub fault: Option<ConsensusFault>,
+    pub settings: RaftSettings,
     generations: u64,
     texts: u64,
     /// What holds at each place, and since when that was first known anywhere.
-    pub ledger: BTreeMap<u64, ((u64, What), f64)>,
+    pub ledger: BTreeMap<u64, ((u64, EntryPayload), f64)>,
     leaders: BTreeMap<u64, u32>,
     pub broken: Option<String>,
     /// The longest time for which a host went by something older than what held.
@@ -102,18 +103,23 @@
 }
 
 impl World {
-    pub fn new(voters: u32, followers: u32, fault: Option<AgreeFault>, pace: impl Fn(u32) -> f64) -> World {
-        let settings = Settings {
-            beat: TimeDelta::from_secs(0.05),
-            patience: TimeDelta::from_secs(0.3),
+    pub fn new(
+        voters: u32,
+        followers: u32,
+        fault: Option<ConsensusFault>,
+        pace: impl Fn(u32) -> f64,
+    ) -> World {
+        let settings = RaftSettings {
+            heartbeat_interval: TimeDelta::from_secs(0.05),
+            election_timeout: TimeDelta::from_secs(0.3),
             lease: TimeDelta::from_secs(LEASE),
-            drift: DRIFT,
-            hosts: voters + followers,
-            fold_entries: 6,
-            fold_bytes: 1 << 20,
+            max_clock_drift: DRIFT,
+            host_count: voters + followers,
+            snapshot_after_entries: 6,
+            snapshot_after_bytes: 1 << 20,
         };
         let process = |i: u32| Process {
-            seat: None,
+            replica: None,
             disk: Disk { mark: u64::from(i) + 100, ..Disk::default() },
             old: None,
             stopped: false,
@@ -156,23 +162,30 @@
         p.disk.pending.clear();
         // Written down before anything is said under it.
         p.disk.boot += 1;
-        let of = Origin { disk: p.disk.mark, boot: p.disk.boot, generation };
+        let identity = DiskIdentity { disk: p.disk.mark, boot: p.disk.boot, generation };
         (p.generation, p.stopped) = (generation, false);
         (p.state, p.reads, p.looked) = (Vec::new(), Vec::new(), 0);
-        let held = p.disk.held.clone();
-        let founders = (0..voters).collect();
-        let s = SeatSettings { me: h as u32, of, agree: settings, founders, held, seed: generation };
-        let mut seat = Seat::new(now, s);
+        let persisted = p.disk.persisted.clone();
+        let initial_voters = (0..voters).collect();
+        let s = ReplicaSettings {
+            me: h as u32,
+            identity,
+            raft: settings,
+            initial_voters,
+            persisted,
+            seed: generation,
+        };
+        let mut replica = Replica::new(now, s);
         if let Some(f) = fault {
-            seat = seat.with_fault(f);
+            replica = replica.with_fault(f);
         }
-        p.seat = Some(seat);
+        p.replica = Some(replica);
         self.collect(h);
     }
 
     /// What was not synced is gone.
     pub fn crash(&mut self, h: usize) {
-        self.all[h].seat = None;
+        self.all[h].replica = None;
         self.all[h].disk.pending.clear();
     }
 
@@ -184,7 +197,7 @@
     }
 
     pub fn runs(&self, h: usize) -> bool {
-        self.all[h].seat.is_some() && !self.all[h].stopped
+        self.all[h].replica.is_some() && !self.all[h].stopped
     }
 
     pub fn pass(&mut self, seconds: f64) {
@@ -200,9 +213,9 @@
         }
         let now = self.clock(h);
         let mut wakes = None;
-        if let Some(s) = &mut self.all[h].seat {
-            s.tick(now);
-            wakes = Some(s.next_wake(now));
+        if let Some(s) = &mut self.all[h].replica {
+            s.handle_timeout(now);
+            wakes = Some(s.poll_timeout(now));
         }
         // A host that wants to be woken at once, again and again, does nothing else.
         if wakes.is_some_and(|w| w <= now) {
@@ -219,10 +232,10 @@
             return;
         }
         let w = p.disk.pending.remove(0);
-        let receipt = w.receipt;
+        let write_id = w.write_id;
         p.disk.take(w);
-        if let Some(s) = &mut p.seat {
-            s.written(now, receipt, true);
+        if let Some(s) = &mut p.replica {
+            s.on_persisted(now, write_id);
         }
         self.collect(h);
     }
@@ -235,9 +248,9 @@
         }
         let now = self.clock(to);
         // As on the wire.
-        let word = Word::decode(l.word.to_bytes());
-        if let (Some(s), Ok(word)) = (&mut self.all[to].seat, word) {
-            s.heard(now, l.from, word);
+        let message = Message::decode(l.message.to_bytes());
+        if let (Some(s), Ok(message)) = (&mut self.all[to].replica, message) {
+            s.handle_message(now, l.from, message);
         }
         self.collect(to);
     }
@@ -248,8 +261,8 @@
         }
         self.texts += 1;
         let (now, text) = (self.clock(h), self.texts);
-        if let Some(s) = &mut self.all[h].seat {
-            _ = s.change(now, bytes_of(&[text]));
+        if let Some(s) = &mut self.all[h].replica {
+            _ = s.propose(now, bytes_of(&[text]));
         }
         self.collect(h);
     }
@@ -259,8 +272,8 @@
             return;
         }
         let (now, newest) = (self.clock(h), self.ledger.keys().last().copied().unwrap_or(0));
-        if let Some(s) = &mut self.all[h].seat {
-            let seq = s.ask_newest(now);
+        if let Some(s) = &mut self.all[h].replica {
+            let seq = s.request_read(now);
             self.all[h].reads.push((seq, newest));
         }
         self.collect(h);
@@ -271,8 +284,11 @@
         for h in 0..self.all.len() {
             let now = self.clock(h);
             if self.runs(h) {
-                if let Some(s) = self.all[h].seat.as_mut().filter(|s| s.voter.leads()) {
-                    _ = s.voter.change_voters(now, host, votes);
+                if let Some(s) = self.all[h].replica.as_mut().filter(|s| s.raft.is_leader()) {
+                    _ = match votes {
+                        true => s.raft.add_voter(now, host),
+                        false => s.raft.remove_voter(now, host),
+                    };
                 }
                 self.tick(h);
             }
@@ -283,29 +299,29 @@
         loop {
             let now = self.clock(h);
             let p = &mut self.all[h];
-            let Some(o) = p.seat.as_mut().and_then(Seat::next_output) else { break };
+            let Some(o) = p.replica.as_mut().and_then(Replica::poll_output) else { break };
             match o {
-                SeatOutput::Send { to, word } => {
+                ReplicaOutput::Send { to, message } => {
                     if self.letters.len() >= LETTERS {
                         self.letters.remove(0);
                     }
-                    self.letters.push(Letter { from: h as u32, to, word });
+                    self.letters.push(Letter { from: h as u32, to, message });
                 }
-                SeatOutput::Write(w) => p.disk.pending.push(w),
-                SeatOutput::Holds { mut data, .. } => p.state.push(data.get_u64()),
-                SeatOutput::Restore { mut state, .. } => {
+                ReplicaOutput::Write(w) => p.disk.pending.push(w),
+                ReplicaOutput::Committed { mut data, .. } => p.state.push(data.get_u64()),
+                ReplicaOutput::RestoreSnapshot { mut state, .. } => {
                     p.state.clear();
                     while state.len() >= 8 {
                         p.state.push(state.get_u64());
                     }
                 }
-                SeatOutput::Fold { index } => {
+                ReplicaOutput::TakeSnapshot { index } => {
                     let state = bytes_of(&p.state);
-                    if let Some(s) = &mut p.seat {
-                        s.folded(now, index, &state);
+                    if let Some(s) = &mut p.replica {
+                        s.on_snapshot_taken(now, index, &state);
                     }
                 }
-                SeatOutput::GaveUp { .. } | SeatOutput::Mode(_) => {}
+                ReplicaOutput::ProposalTimedOut { .. } | ReplicaOutput::Event(_) => {}
             }
         }
         self.look(h);
@@ -317,25 +333,25 @@
 
     /// What must hold of one host, after anything that it did.
     fn look(&mut self, h: usize) {
-        let Some(s) = self.all[h].seat.take() else { return };
+        let Some(s) = self.all[h].replica.take() else { return };
         self.look_at(h, &s);
-        self.all[h].seat = Some(s);
+        self.all[h].replica = Some(s);
     }
 
-    fn look_at(&mut self, h: usize, s: &Seat) {
-        let (now, commit) = (self.clock(h), s.commit());
+    fn look_at(&mut self, h: usize, s: &Replica) {
+        let (now, commit) = (self.clock(h), s.commit_index());
         // One leader a term.
-        if s.voter.leads() {
-            let first = *self.leaders.entry(s.voter.term()).or_insert(h as u32);
+        if s.raft.is_leader() {
+            let first = *self.leaders.entry(s.raft.term()).or_insert(h as u32);
             if first != h as u32 {
-                self.breaks(format!("hosts {first} and {h} both lead term {}", s.voter.term()));
+                self.breaks(format!("hosts {first} and {h} both lead term {}", s.raft.term()));
             }
         }
         // One entry a place, for good.
-        let log = s.voter.log();
-        for index in (log.base().last.index + 1).max(self.all[h].looked + 1)..=commit {
+        let log = s.raft.log();
+        for index in (log.snapshot().last.index + 1).max(self.all[h].looked + 1)..=commit {
             let Some(e) = log.get(index) else { continue };
-            let entry = (e.term, e.what.clone());
+            let entry = (e.term, e.payload.clone());
             match self.ledger.get(&index) {
                 Some((known, _)) if *known != entry => {
                     let what =
@@ -354,7 +370,8 @@
             self.breaks(format!("host {h} has a change twice: {:?}", self.all[h].state));
         }
         // Reads are never stale.
-        let done: Vec<(u32, u64)> = self.all[h].reads.iter().copied().filter(|(q, _)| s.read(*q)).collect();
+        let done: Vec<(u32, u64)> =
+            self.all[h].reads.iter().copied().filter(|(q, _)| s.is_read_ready(*q)).collect();
         for (seq, newest) in done {
             self.reads_done += 1;
             self.all[h].reads.retain(|(q, _)| *q != seq);
@@ -365,7 +382,7 @@
         self.all[h].reads.truncate(64);
         // No host goes by what is older than what holds for longer than the lease. Looked at what it would do now, whatever it
         // has been told; a host that stands still does nothing.
-        if !self.all[h].stopped && s.standing(now).holds() {
+        if !self.all[h].stopped && s.lease_state(now).is_valid() {
             if let Some((_, (_, since))) = self.ledger.range(commit + 1..).next() {
                 let long = self.now - since;
                 self.longest = self.longest.max(long);
@@ -392,8 +409,8 @@
     pub fn old_can_be_told(&self, host: usize) -> bool {
         let (boot, generation, mark) =
             (self.all[host].disk.boot, self.all[host].generation, self.all[host].disk.mark);
-        let newest = Some(Origin { disk: mark, boot, generation });
-        let known = |v: usize| self.all[v].disk.held.known.get(&(host as u32)).copied() == newest;
+        let newest = Some(DiskIdentity { disk: mark, boot, generation });
+        let known = |v: usize| self.all[v].disk.persisted.known_disks.get(&(host as u32)).copied() == newest;
         self.all[host].old.as_ref().is_some_and(|d| d.mark == mark && d.boot < boot)
             && (0..self.voters as usize).filter(|v| *v != host).all(known)
     }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -22,7 +22,7 @@
 pub use plain::Plain;
 pub use report::{curves, page, Series};
 pub use sim::{run, settings, Class, Mutant, Run};
-pub use tackmast_consensus::AgreeFault;
+pub use tackmast_consensus::ConsensusFault;
 pub use tackmast_membership::{ViewFault, Ways};
 pub use views::{difference, find, summary, view, Case, Shown, Summary, Trial};
 
--- a/crates/simulator/tests/agreed.rs
+++ b/crates/simulator/tests/agreed.rs
@@ -1,6 +1,6 @@
 //! The agreement in virtual time: walks and all orders to a depth find nothing, and find each deliberate fault.
 
-use tackmast_simulator::{agreed_fleet, explore, find_fault, walk, AgreeFault, FleetTrial, Walk};
+use tackmast_simulator::{agreed_fleet, explore, find_fault, walk, ConsensusFault, FleetTrial, Walk};
 
 #[test]
 fn walks_find_nothing_that_must_not_be() {
@@ -25,14 +25,14 @@
 fn deliberate_faults_are_found() {
     // Those that take thousands of walks are looked for by `tackmast simulator agree --faults`.
     let quick = [
-        AgreeFault::AckBeforeDisk,
-        AgreeFault::StaleRead,
-        AgreeFault::NoLogCheck,
-        AgreeFault::MinorityCommits,
-        AgreeFault::KeepsConflicts,
-        AgreeFault::LostDiskVotes,
-        AgreeFault::LeaseWithoutEntries,
-        AgreeFault::FoldDropsClients,
+        ConsensusFault::AckBeforePersist,
+        ConsensusFault::StaleRead,
+        ConsensusFault::NoLogCheck,
+        ConsensusFault::MinorityCommits,
+        ConsensusFault::KeepsConflicts,
+        ConsensusFault::LostDiskVotes,
+        ConsensusFault::LeaseWithoutEntries,
+        ConsensusFault::SnapshotDropsSessions,
     ];
     for f in quick {
         assert!(find_fault(f, 1, 300, 1_500).is_some(), "{f:?}");
--- a/crates/store/src/agreed.rs
+++ b/crates/store/src/agreed.rs
@@ -4,29 +4,31 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use redb::{Database, ReadTransaction, ReadableTable, WriteTransaction};
 use std::collections::BTreeMap;
-use tackmast_consensus::{Base, Entry, Hard, Held, Mark, Origin, Voters, Write};
+use tackmast_consensus::{
+    DiskIdentity, Entry, HardState, LogPosition, LogSuffix, PersistentState, Snapshot, Voters, Write,
+};
 use tackmast_host_core::AgreedStart;
-use tackmast_wire::agree::{entry, put_entry};
+use tackmast_wire::consensus::{decode_entry, encode_entry};
 use tackmast_wire::reader::Fields;
 
 type Failed = Box<dyn std::error::Error>;
 
 fn voters_bytes(v: &Voters) -> Vec<u8> {
-    v.iter().flat_map(|(slot, disk)| [&slot.to_be_bytes()[..], &disk.to_be_bytes()].concat()).collect()
+    v.iter().flat_map(|(host, disk)| [&host.to_be_bytes()[..], &disk.to_be_bytes()].concat()).collect()
 }
 
 fn voters(bytes: &[u8]) -> Option<Voters> {
     let one = |c: &[u8]| {
-        let (slot, disk) = c.split_first_chunk::<4>()?;
-        Some((u32::from_be_bytes(*slot), u64::from_be_bytes(disk.try_into().ok()?)))
+        let (host, disk) = c.split_first_chunk::<4>()?;
+        Some((u32::from_be_bytes(*host), u64::from_be_bytes(disk.try_into().ok()?)))
     };
     bytes.chunks(12).map(one).collect()
 }
 
-fn known_bytes(known: &BTreeMap<u32, Origin>) -> Vec<u8> {
+fn known_disks_bytes(known_disks: &BTreeMap<u32, DiskIdentity>) -> Vec<u8> {
     let mut out = BytesMut::new();
-    for (slot, o) in known {
-        out.put_u32(*slot);
+    for (host, o) in known_disks {
+        out.put_u32(*host);
         out.put_u64(o.disk);
         out.put_u32(o.boot);
         out.put_u64(o.generation);
@@ -34,30 +36,30 @@
     out.to_vec()
 }
 
-fn known(bytes: &[u8]) -> Option<BTreeMap<u32, Origin>> {
+fn known_disks(bytes: &[u8]) -> Option<BTreeMap<u32, DiskIdentity>> {
     let mut f = Fields(Bytes::copy_from_slice(bytes));
     let mut all = BTreeMap::new();
     while !f.0.is_empty() {
-        let slot = f.u32("host").ok()?;
+        let host = f.u32("host").ok()?;
         let (disk, boot, generation) = (f.u64("disk").ok()?, f.u32("boot").ok()?, f.u64("life").ok()?);
-        all.insert(slot, Origin { disk, boot, generation });
+        all.insert(host, DiskIdentity { disk, boot, generation });
     }
     Some(all)
 }
 
-fn hard_bytes(h: Hard) -> Vec<u8> {
-    [&h.term.to_be_bytes()[..], &h.vote.unwrap_or(u32::MAX).to_be_bytes()].concat()
+fn hard_state_bytes(h: HardState) -> Vec<u8> {
+    [&h.term.to_be_bytes()[..], &h.voted_for.unwrap_or(u32::MAX).to_be_bytes()].concat()
 }
 
-fn hard(bytes: &[u8]) -> Option<Hard> {
+fn hard_state(bytes: &[u8]) -> Option<HardState> {
     let mut f = Fields(Bytes::copy_from_slice(bytes));
-    let (term, vote) = (f.u64("term").ok()?, f.u32("vote").ok()?);
-    Some(Hard { term, vote: Some(vote).filter(|v| *v != u32::MAX) })
+    let (term, voted_for) = (f.u64("term").ok()?, f.u32("vote").ok()?);
+    Some(HardState { term, voted_for: Some(voted_for).filter(|v| *v != u32::MAX) })
 }
 
-fn base_bytes(b: &Base) -> Vec<u8> {
+fn snapshot_bytes(b: &Snapshot) -> Vec<u8> {
     let mut out = BytesMut::new();
-    out.put_u64(b.id);
+    out.put_u64(b.log_id);
     out.put_u64(b.last.term);
     out.put_u64(b.last.index);
     let v = voters_bytes(&b.voters);
@@ -67,16 +69,16 @@
     out.to_vec()
 }
 
-fn base(bytes: &[u8]) -> Option<Base> {
+fn snapshot(bytes: &[u8]) -> Option<Snapshot> {
     let mut f = Fields(Bytes::copy_from_slice(bytes));
-    let id = f.u64("log").ok()?;
-    let last = Mark { term: f.u64("term").ok()?, index: f.u64("index").ok()? };
+    let log_id = f.u64("log").ok()?;
+    let last = LogPosition { term: f.u64("term").ok()?, index: f.u64("index").ok()? };
     let n = f.u32("voters").ok()? as usize;
     let voters = voters(&f.bytes("voters", n).ok()?)?;
-    Some(Base { id, last, voters, state: f.0 })
+    Some(Snapshot { log_id, last, voters, state: f.0 })
 }
 
-fn origin(bytes: &[u8]) -> Option<(u64, u32)> {
+fn identity(bytes: &[u8]) -> Option<(u64, u32)> {
     let mut f = Fields(Bytes::copy_from_slice(bytes));
     Some((f.u64("disk").ok()?, f.u32("boot").ok()?))
 }
@@ -97,45 +99,46 @@
             Some(b) => read(&b).map(Some).ok_or_else(|| format!("agreed {key}: damaged")),
         }
     }
-    let (disk, boot) = part(row("disk")?, "disk", origin)?.unwrap_or_default();
-    let base = part(row("base")?, "base", base)?.unwrap_or_default();
+    let (disk, boot) = part(row("disk")?, "disk", identity)?.unwrap_or_default();
+    let snapshot = part(row("base")?, "base", snapshot)?.unwrap_or_default();
     let mut entries: Vec<Entry> = Vec::new();
     if let Ok(rows) = r.open_table(ENTRIES) {
         for row in rows.iter().map_err(|e| e.to_string())? {
             let (key, value) = row.map_err(|e| e.to_string())?;
-            let expected = base.last.index + 1 + entries.len() as u64;
+            let expected = snapshot.last.index + 1 + entries.len() as u64;
             if key.value() != expected {
                 return Err(format!("agreed entry {}: expected {expected}", key.value()));
             }
             let mut f = Fields(Bytes::copy_from_slice(value.value()));
-            let e = entry(&mut f).and_then(|e| f.end("entry").map(|()| e));
+            let e = decode_entry(&mut f).and_then(|e| f.end("entry").map(|()| e));
             entries.push(e.map_err(|e| format!("agreed entry {expected}: {e}"))?);
         }
     }
-    let held = Held {
-        hard: part(row("hard")?, "hard", hard)?.unwrap_or_default(),
-        base,
+    let persisted = PersistentState {
+        hard_state: part(row("hard")?, "hard", hard_state)?.unwrap_or_default(),
+        snapshot,
         entries,
-        sealed: part(row("sealed")?, "sealed", voters)?,
-        known: part(row("known")?, "known", known)?.unwrap_or_default(),
+        confirmed_voters: part(row("sealed")?, "sealed", voters)?,
+        known_disks: part(row("known")?, "known", known_disks)?.unwrap_or_default(),
     };
-    Ok(Some(AgreedStart { of: Origin { disk, boot, generation: 0 }, held }))
+    Ok(Some(AgreedStart { identity: DiskIdentity { disk, boot, generation: 0 }, persisted }))
 }
 
-fn origin_bytes(disk: u64, boot: u32) -> Vec<u8> {
+fn identity_bytes(disk: u64, boot: u32) -> Vec<u8> {
     [&disk.to_be_bytes()[..], &boot.to_be_bytes()].concat()
 }
 
 pub(crate) fn open(db: &Database, drawn: u64, generation: u64) -> Result<AgreedStart, String> {
     let r = db.begin_read().map_err(|e| e.to_string())?;
     let mut start = read(&r)?.unwrap_or_default();
-    if start.of.disk == 0 {
-        start.of.disk = drawn | 1;
+    if start.identity.disk == 0 {
+        start.identity.disk = drawn | 1;
     }
-    (start.of.boot, start.of.generation) = (start.of.boot.saturating_add(1), generation);
+    (start.identity.boot, start.identity.generation) = (start.identity.boot.saturating_add(1), generation);
     let write = || -> Result<(), Failed> {
         let w = db.begin_write()?;
-        w.open_table(AGREED)?.insert("disk", origin_bytes(start.of.disk, start.of.boot).as_slice())?;
+        w.open_table(AGREED)?
+            .insert("disk", identity_bytes(start.identity.disk, start.identity.boot).as_slice())?;
         w.open_table(ENTRIES)?;
         w.commit()?;
         Ok(())
@@ -146,29 +149,29 @@
 
 pub(crate) fn write(w: &WriteTransaction, a: &Write) -> Result<(), Failed> {
     let mut rows = w.open_table(AGREED)?;
-    if let Some(h) = a.hard {
-        rows.insert("hard", hard_bytes(h).as_slice())?;
+    if let Some(h) = a.hard_state {
+        rows.insert("hard", hard_state_bytes(h).as_slice())?;
     }
-    if let Some(s) = &a.sealed {
+    if let Some(s) = &a.confirmed_voters {
         rows.insert("sealed", voters_bytes(s).as_slice())?;
     }
-    if let Some(k) = &a.known {
-        rows.insert("known", known_bytes(k).as_slice())?;
+    if let Some(k) = &a.known_disks {
+        rows.insert("known", known_disks_bytes(k).as_slice())?;
     }
     if let Some(disk) = a.disk {
-        let boot = rows.get("disk")?.and_then(|v| origin(v.value())).map_or(1, |(_, boot)| boot);
-        rows.insert("disk", origin_bytes(disk, boot).as_slice())?;
+        let boot = rows.get("disk")?.and_then(|v| identity(v.value())).map_or(1, |(_, boot)| boot);
+        rows.insert("disk", identity_bytes(disk, boot).as_slice())?;
     }
     let mut entries = w.open_table(ENTRIES)?;
-    if let Some(b) = &a.base {
-        rows.insert("base", base_bytes(b).as_slice())?;
+    if let Some(b) = &a.snapshot {
+        rows.insert("base", snapshot_bytes(b).as_slice())?;
         entries.retain(|_, _| false)?;
     }
-    if let Some((from, new)) = &a.entries {
-        entries.retain_in(*from.., |_, _| false)?;
-        for (index, e) in (*from..).zip(new) {
+    if let Some(LogSuffix { first_index, entries: new }) = &a.entries {
+        entries.retain_in(*first_index.., |_, _| false)?;
+        for (index, e) in (*first_index..).zip(new) {
             let mut out = BytesMut::new();
-            put_entry(&mut out, e);
+            encode_entry(&mut out, e);
             entries.insert(index, out.as_ref())?;
         }
     }
