--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -4,7 +4,7 @@
 use redb::StorageBackend;
 use std::io;
 use std::sync::{Arc, Mutex};
-use tackmast_consensus::{Base, Entry, Hard, Mark, Voters, What, Write};
+use tackmast_consensus::{Entry, EntryPayload, HardState, LogPosition, LogSuffix, Snapshot, Voters, Write};
 use tackmast_host_core::{Keep, Remembered};
 use tackmast_overrides::*;
 use tackmast_store::Store;
@@ -96,12 +96,18 @@
 /// Of the agreed log: its entry of that number, the term and vote of that number, and from the third on a state that the
 /// first two were folded into.
 fn agreed(id: u64) -> Write {
-    let hard = Some(Hard { term: id, vote: Some(id as u32) });
-    let entry = Entry { term: id, what: What::Data(vec![id as u8; 3].into()) };
-    let last = Mark { term: 2, index: 2 };
-    let base = Base { id: 7, last, voters: Voters::from([(0, 9)]), state: vec![1, 2, 3].into() };
-    let base = (id == 3).then_some(base);
-    Write { receipt: id, hard, base, entries: Some((id, vec![entry])), ..Write::default() }
+    let hard_state = Some(HardState { term: id, voted_for: Some(id as u32) });
+    let entry = Entry { term: id, payload: EntryPayload::Command(vec![id as u8; 3].into()) };
+    let last = LogPosition { term: 2, index: 2 };
+    let snapshot = Snapshot { log_id: 7, last, voters: Voters::from([(0, 9)]), state: vec![1, 2, 3].into() };
+    let snapshot = (id == 3).then_some(snapshot);
+    Write {
+        write_id: id,
+        hard_state,
+        snapshot,
+        entries: Some(LogSuffix { first_index: id, entries: vec![entry] }),
+        ..Write::default()
+    }
 }
 
 fn clear(id: u64) -> Keep {
@@ -173,10 +179,14 @@
             assert!(generations.contains(&generation), "cut {cut}: life {generation}");
             // Of the agreed log all of a write is there, or nothing: its term, its entries and what was folded.
             if let Some(a) = &held.agreed {
-                let term = a.held.hard.term;
+                let term = a.persisted.hard_state.term;
                 assert!([puts(done) as u64, puts(done + 1) as u64].contains(&term), "cut {cut}: term {term}");
-                let last = a.held.base.last.index + a.held.entries.len() as u64;
-                assert_eq!((last, a.held.base.id), (term, if term >= 3 { 7 } else { 0 }), "cut {cut}");
+                let last = a.persisted.snapshot.last.index + a.persisted.entries.len() as u64;
+                assert_eq!(
+                    (last, a.persisted.snapshot.log_id),
+                    (term, if term >= 3 { 7 } else { 0 }),
+                    "cut {cut}"
+                );
             } else {
                 assert_eq!(puts(done), 0, "cut {cut}: no agreed log");
             }
--- a/crates/store/tests/stored_format.rs
+++ b/crates/store/tests/stored_format.rs
@@ -10,7 +10,8 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use tackmast_consensus::{
-    Base, Entry, Hard, Held as HeldLog, Mark, Origin as DiskOrigin, Voters, What, Write,
+    DiskIdentity, Entry, EntryPayload, HardState, LogPosition, LogSuffix, PersistentState, Snapshot, Voters,
+    Write,
 };
 use tackmast_host_core::{AgreedStart, Keep, Remembered};
 use tackmast_overrides::{Audit, AuditKind, Kind, Origin, Override, OverrideId, Target};
@@ -83,26 +84,26 @@
 }
 
 fn data(term: u64, text: &'static [u8]) -> Entry {
-    Entry { term, what: What::Data(text.into()) }
+    Entry { term, payload: EntryPayload::Command(text.into()) }
 }
 
 fn voters(disks: &[(u32, u64)]) -> Voters {
     disks.iter().copied().collect()
 }
 
-fn snapshot() -> Base {
-    Base {
-        id: 0xfeed_beef,
-        last: Mark { term: 3, index: 40 },
+fn snapshot() -> Snapshot {
+    Snapshot {
+        log_id: 0xfeed_beef,
+        last: LogPosition { term: 3, index: 40 },
         voters: voters(&[(0, 11), (1, 22), (4, 33)]),
         state: b"state of 40".as_slice().into(),
     }
 }
 
-fn known_disks() -> BTreeMap<u32, DiskOrigin> {
+fn known_disks() -> BTreeMap<u32, DiskIdentity> {
     [
-        (1, DiskOrigin { disk: 22, boot: 6, generation: 1_000_001 }),
-        (4, DiskOrigin { disk: 33, boot: 1, generation: 1_000_002 }),
+        (1, DiskIdentity { disk: 22, boot: 6, generation: 1_000_001 }),
+        (4, DiskIdentity { disk: 33, boot: 1, generation: 1_000_002 }),
     ]
     .into()
 }
@@ -137,20 +138,29 @@
 
     store.open_agreed(0xabc0, 5_000_000).unwrap();
     let first = Write {
-        hard: Some(Hard { term: 2, vote: None }),
-        entries: Some((1, vec![Entry { term: 1, what: What::Nothing }, data(1, b"folded")])),
-        sealed: Some(voters(&[(0, 11), (1, 22)])),
+        hard_state: Some(HardState { term: 2, voted_for: None }),
+        entries: Some(LogSuffix {
+            first_index: 1,
+            entries: vec![Entry { term: 1, payload: EntryPayload::Noop }, data(1, b"folded")],
+        }),
+        confirmed_voters: Some(voters(&[(0, 11), (1, 22)])),
         ..Write::default()
     };
     let compacted = Write {
-        hard: Some(Hard { term: 4, vote: Some(1) }),
-        base: Some(snapshot()),
-        entries: Some((41, vec![data(3, b"kept"), data(3, b"cut"), data(3, b"cut")])),
-        known: Some(known_disks()),
+        hard_state: Some(HardState { term: 4, voted_for: Some(1) }),
+        snapshot: Some(snapshot()),
+        entries: Some(LogSuffix {
+            first_index: 41,
+            entries: vec![data(3, b"kept"), data(3, b"cut"), data(3, b"cut")],
+        }),
+        known_disks: Some(known_disks()),
         ..Write::default()
     };
     let replaced = Write {
-        entries: Some((42, vec![Entry { term: 4, what: What::Nothing }, data(4, b"new"), voters_entry()])),
+        entries: Some(LogSuffix {
+            first_index: 42,
+            entries: vec![Entry { term: 4, payload: EntryPayload::Noop }, data(4, b"new"), voters_entry()],
+        }),
         ..Write::default()
     };
     for write in [first, compacted, replaced] {
@@ -159,7 +169,7 @@
 }
 
 fn voters_entry() -> Entry {
-    Entry { term: 4, what: What::Voters(voters(&[(0, 11), (4, 33)])) }
+    Entry { term: 4, payload: EntryPayload::Voters(voters(&[(0, 11), (4, 33)])) }
 }
 
 #[test]
@@ -187,16 +197,20 @@
 }
 
 fn expected_log(boot: u32, generation: u64) -> AgreedStart {
-    let entries =
-        vec![data(3, b"kept"), Entry { term: 4, what: What::Nothing }, data(4, b"new"), voters_entry()];
+    let entries = vec![
+        data(3, b"kept"),
+        Entry { term: 4, payload: EntryPayload::Noop },
+        data(4, b"new"),
+        voters_entry(),
+    ];
     AgreedStart {
-        of: DiskOrigin { disk: 0xabc1, boot, generation },
-        held: HeldLog {
-            hard: Hard { term: 4, vote: Some(1) },
-            base: snapshot(),
+        identity: DiskIdentity { disk: 0xabc1, boot, generation },
+        persisted: PersistentState {
+            hard_state: HardState { term: 4, voted_for: Some(1) },
+            snapshot: snapshot(),
             entries,
-            sealed: Some(voters(&[(0, 11), (1, 22)])),
-            known: known_disks(),
+            confirmed_voters: Some(voters(&[(0, 11), (1, 22)])),
+            known_disks: known_disks(),
         },
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
 //! Codecs: bytes to values and back, without I/O. Every length that a peer names is checked against a bound
 //! before anything is allocated, and no input panics.
 
-pub mod agree;
+pub mod consensus;
 pub mod iscsi;
 pub mod list;
 pub mod nbd;
--- a/crates/wire/tests/golden_bytes.rs
+++ b/crates/wire/tests/golden_bytes.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 use std::fmt::Debug;
-use tackmast_wire::agree::{Entry, Mark, Origin, Voters, What, Word};
+use tackmast_wire::consensus::{DiskIdentity, Entry, EntryPayload, LogPosition, Message, Voters};
 use tackmast_wire::peer::{Body, Datagram, Health, ListStop, News, OrderKind, SpreadOrder};
 use tackmast_wire::{iscsi, list, nbd, node, scsi, WireError};
 
@@ -299,34 +299,41 @@
 
 #[test]
 fn consensus_messages() {
-    let of = Origin { disk: 0x0102_0304_0506_0708, boot: 2, generation: 3 };
+    let identity = DiskIdentity { disk: 0x0102_0304_0506_0708, boot: 2, generation: 3 };
     let voters: Voters = [(0, 100), (1, 101), (4, 104)].into();
     let entries = vec![
-        Entry { term: 1, what: What::Nothing },
-        Entry { term: 2, what: What::Data(Bytes::from_static(b"change")) },
-        Entry { term: 3, what: What::Voters(voters.clone()) },
+        Entry { term: 1, payload: EntryPayload::Noop },
+        Entry { term: 2, payload: EntryPayload::Command(Bytes::from_static(b"change")) },
+        Entry { term: 3, payload: EntryPayload::Voters(voters.clone()) },
     ];
-    let last = Mark { term: 5, index: 6 };
+    let last = LogPosition { term: 5, index: 6 };
     let state = Bytes::from_static(b"state");
-    let append = |entries| Word::Append { id: 8, term: 4, round: 9, before: last, commit: 3, entries };
-    let cases: Vec<(&str, Word, &str)> = vec![
+    let append = |entries| Message::AppendEntries {
+        log_id: 8,
+        term: 4,
+        round: 9,
+        previous: last,
+        commit_index: 3,
+        entries,
+    };
+    let cases: Vec<(&str, Message, &str)> = vec![
         (
             "pre-vote request",
-            Word::Ask { pre: true, term: 4, last, of },
+            Message::RequestVote { pre_vote: true, term: 4, last_log: last, identity },
             "\
              01010000000000000004000000000000000500000000000000060102030405060708000000020000\
              000000000003",
         ),
         (
             "vote request",
-            Word::Ask { pre: false, term: 4, last, of },
+            Message::RequestVote { pre_vote: false, term: 4, last_log: last, identity },
             "\
              01000000000000000004000000000000000500000000000000060102030405060708000000020000\
              000000000003",
         ),
         (
             "vote",
-            Word::Vote { pre: false, term: 4, granted: true, of },
+            Message::RequestVoteResponse { pre_vote: false, term: 4, granted: true, identity },
             "02000000000000000004010102030405060708000000020000000000000003",
         ),
         (
@@ -347,38 +354,55 @@
         ),
         (
             "append response",
-            Word::Appended { term: 4, round: 9, matches: true, index: 2, of },
+            Message::AppendEntriesResponse { term: 4, round: 9, success: true, index: 2, identity },
             "\
              04000000000000000400000000000000090100000000000000020102030405060708000000020000\
              000000000003",
         ),
         (
             "install snapshot",
-            Word::Snapshot { term: 4, id: 8, last, voters: voters.clone(), state: state.clone() },
+            Message::InstallSnapshot {
+                term: 4,
+                log_id: 8,
+                last,
+                voters: voters.clone(),
+                state: state.clone(),
+            },
             "\
              05000000000000000400000000000000080000000000000005000000000000000603000000000000\
              000000000064000000010000000000000065000000040000000000000068000000057374617465",
         ),
-        ("propose", Word::Propose { id: 8, data: state.clone() }, "060000000000000008000000057374617465"),
+        (
+            "propose",
+            Message::Propose { log_id: 8, data: state.clone() },
+            "060000000000000008000000057374617465",
+        ),
         (
             "lease renewal",
-            Word::Renew { seq: 1, has: 2, of },
+            Message::RequestLease { sequence: 1, stored_index: 2, identity },
             "\
              070000000100000000000000020102030405060708000000020000000000000003",
         ),
         (
             "lease grant",
-            Word::Granted { id: 8, to_generation: 9, seq: 1, term: 2, index: 3, term_ms: 4 },
+            Message::LeaseGranted {
+                log_id: 8,
+                to_generation: 9,
+                sequence: 1,
+                term: 2,
+                index: 3,
+                duration_ms: 4,
+            },
             "\
              08000000000000000800000000000000090000000100000000000000020000000000000003000000\
              04",
         ),
-        ("leader known", Word::Leads { term: 1, leader: Some(2) }, "09000000000000000100000002"),
-        ("leader unknown", Word::Leads { term: 1, leader: None }, "090000000000000001ffffffff"),
-        ("log request", Word::Want { has: 7 }, "0a0000000000000007"),
+        ("leader known", Message::LeaderHint { term: 1, leader: Some(2) }, "09000000000000000100000002"),
+        ("leader unknown", Message::LeaderHint { term: 1, leader: None }, "090000000000000001ffffffff"),
+        ("log request", Message::FetchCommitted { stored_index: 7 }, "0a0000000000000007"),
         (
             "log response",
-            Word::Fill { id: 8, after: 7, entries },
+            Message::CommittedEntries { log_id: 8, after: 7, entries },
             "\
              0b000000000000000800000000000000070003000000000000000100000000000000000201000000\
              066368616e6765000000000000000302030000000000000000000000640000000100000000000000\
@@ -386,24 +410,24 @@
         ),
         (
             "snapshot response",
-            Word::FillState { id: 8, last, voters: voters.clone(), state },
+            Message::CommittedSnapshot { log_id: 8, last, voters: voters.clone(), state },
             "\
              0c000000000000000800000000000000050000000000000006030000000000000000000000640000\
              00010000000000000065000000040000000000000068000000057374617465",
         ),
         (
             "bootstrap",
-            Word::Found { of, sealed: true, founded: false, disks: voters },
+            Message::Bootstrap { identity, confirmed: true, bootstrapped: false, disks: voters },
             "\
              0d010203040506070800000002000000000000000301000300000000000000000000006400000001\
              0000000000000065000000040000000000000068",
         ),
-        ("stale disk", Word::Stale { of }, "0e0102030405060708000000020000000000000003"),
+        ("stale disk", Message::StaleDisk { identity }, "0e0102030405060708000000020000000000000003"),
     ];
     let mut differences = Differences::default();
     for (kind, message, expected) in cases {
         let encoded = message.to_bytes();
-        let decoded = Word::decode(encoded.clone());
+        let decoded = Message::decode(encoded.clone());
         differences.round_trip(kind, message, encoded, decoded, expected);
     }
     differences.assert_none();
