--- a/crates/consensus/src/chunks.rs
+++ b/crates/consensus/src/chunks.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
     /// The sender's number for the message.
-    pub transfer: u32,
+    pub message_id: u32,
     /// Chunks of the whole message.
     pub count: u16,
     /// Which of them this is, from 0.
@@ -52,14 +52,14 @@
 
 /// A message that receivers may still request chunks of.
 struct OutgoingMessage {
-    transfer: u32,
+    message_id: u32,
     bytes: Bytes,
 }
 
 /// A message of which some chunks are missing.
 struct IncomingMessage {
     from: SocketAddr,
-    transfer: u32,
+    message_id: u32,
     chunks: Vec<Option<Bytes>>,
     received: u16,
     /// Chunks before this index have been requested.
@@ -105,7 +105,7 @@
 /// Sends and receives messages of any length, in datagrams.
 pub struct ChunkedTransfer {
     settings: ChunkSettings,
-    last_transfer: u32,
+    last_message_id: u32,
     outgoing: VecDeque<OutgoingMessage>,
     incoming: Vec<IncomingMessage>,
     transmits: VecDeque<Transmit>,
@@ -114,11 +114,11 @@
 }
 
 impl ChunkedTransfer {
-    /// `first_transfer`: messages are numbered from there, so that a restarted process does not reuse numbers.
-    pub fn new(settings: ChunkSettings, first_transfer: u32) -> ChunkedTransfer {
+    /// `first_message_id`: messages are numbered from there, so that a restarted process does not reuse numbers.
+    pub fn new(settings: ChunkSettings, first_message_id: u32) -> ChunkedTransfer {
         ChunkedTransfer {
             settings,
-            last_transfer: first_transfer,
+            last_message_id: first_message_id,
             outgoing: VecDeque::new(),
             incoming: Vec::new(),
             transmits: VecDeque::new(),
@@ -136,19 +136,19 @@
             self.lost += 1;
             return;
         }
-        let transfer = self.keep_outgoing(message);
-        self.transmit_chunk(to, transfer, 0);
+        let message_id = self.keep_outgoing(message);
+        self.transmit_chunk(to, message_id, 0);
     }
 
     /// The number of that message. One that is sent to several, or sent again, keeps its number.
     fn keep_outgoing(&mut self, message: Bytes) -> u32 {
-        let known = self.outgoing.iter().find(|kept| kept.bytes == message).map(|kept| kept.transfer);
-        let transfer = match known {
-            Some(transfer) => transfer,
+        let known = self.outgoing.iter().find(|kept| kept.bytes == message).map(|kept| kept.message_id);
+        let message_id = match known {
+            Some(message_id) => message_id,
             None => {
-                self.last_transfer = self.last_transfer.wrapping_add(1);
-                self.outgoing.push_back(OutgoingMessage { transfer: self.last_transfer, bytes: message });
-                self.last_transfer
+                self.last_message_id = self.last_message_id.wrapping_add(1);
+                self.outgoing.push_back(OutgoingMessage { message_id: self.last_message_id, bytes: message });
+                self.last_message_id
             }
         };
         while self.outgoing.len() > MAX_OUTGOING
@@ -156,15 +156,15 @@
         {
             self.outgoing.pop_front();
         }
-        transfer
+        message_id
     }
 
     fn outgoing_bytes(&self) -> usize {
         self.outgoing.iter().map(|kept| kept.bytes.len()).sum()
     }
 
-    fn transmit_chunk(&mut self, to: SocketAddr, transfer: u32, index: u16) {
-        let Some(message) = self.outgoing.iter().find(|kept| kept.transfer == transfer) else { return };
+    fn transmit_chunk(&mut self, to: SocketAddr, message_id: u32, index: u16) {
+        let Some(message) = self.outgoing.iter().find(|kept| kept.message_id == message_id) else { return };
         let start = usize::from(index) * MAX_CHUNK_LEN;
         if start >= message.bytes.len() {
             return;
@@ -172,13 +172,13 @@
         let end = message.bytes.len().min(start + MAX_CHUNK_LEN);
         let count = message.bytes.len().div_ceil(MAX_CHUNK_LEN) as u16;
         let bytes = message.bytes.slice(start..end);
-        let body = Body::Parcel { number: transfer, pieces: count, piece: index, bytes };
+        let body = Body::Parcel { number: message_id, pieces: count, piece: index, bytes };
         self.transmits.push_back(Transmit { to, body });
     }
 
     /// A receiver requests a chunk.
-    pub fn on_chunk_request(&mut self, from: SocketAddr, transfer: u32, index: u16) {
-        self.transmit_chunk(from, transfer, index);
+    pub fn on_chunk_request(&mut self, from: SocketAddr, message_id: u32, index: u16) {
+        self.transmit_chunk(from, message_id, index);
     }
 
     /// A chunk has arrived; the message, once it is complete.
@@ -203,7 +203,7 @@
             return (chunk.index == 0).then(|| self.start_incoming(now, from, chunk));
         };
         let message = &self.incoming[position];
-        if message.transfer == chunk.transfer {
+        if message.message_id == chunk.message_id {
             return (message.chunk_count() == chunk.count).then_some(position);
         }
         if chunk.index != 0 || message.outlasts_newer() {
@@ -223,7 +223,7 @@
         }
         self.incoming.push(IncomingMessage {
             from,
-            transfer: chunk.transfer,
+            message_id: chunk.message_id,
             chunks: vec![None; usize::from(chunk.count)],
             received: 0,
             requested: 0,
@@ -239,7 +239,7 @@
         let first = message.requested.max(1);
         let end = (message.received + CHUNKS_AHEAD).min(message.chunk_count());
         message.requested = end;
-        let (to, number) = (message.from, message.transfer);
+        let (to, number) = (message.from, message.message_id);
         for piece in first..end {
             let body = Body::ParcelWant { number, piece };
             self.transmits.push_back(Transmit { to, body });
@@ -263,7 +263,7 @@
             message.retries += 1;
             let missing = (0u16..).zip(&message.chunks).filter(|(_, chunk)| chunk.is_none());
             for (piece, _) in missing.take(usize::from(CHUNKS_AHEAD)) {
-                let body = Body::ParcelWant { number: message.transfer, piece };
+                let body = Body::ParcelWant { number: message.message_id, piece };
                 self.transmits.push_back(Transmit { to: message.from, body });
             }
         }
--- a/crates/consensus/src/chunks/tests.rs
+++ b/crates/consensus/src/chunks/tests.rs
@@ -26,8 +26,8 @@
                 }
                 match body {
                     Body::Agree { bytes } => received.push(bytes),
-                    Body::Parcel { number: transfer, pieces: count, piece: index, bytes } => {
-                        let chunk = Chunk { transfer, count, index, bytes };
+                    Body::Parcel { number: message_id, pieces: count, piece: index, bytes } => {
+                        let chunk = Chunk { message_id, count, index, bytes };
                         received.extend(receiver.on_chunk(now, address(1), chunk))
                     }
                     _ => {}
@@ -70,8 +70,8 @@
 
 #[test]
 fn what_is_kept_and_received_is_bounded() {
-    let chunk = |transfer: u32, count: u16, index: u16, bytes: &'static [u8]| Chunk {
-        transfer,
+    let chunk = |message_id: u32, count: u16, index: u16, bytes: &'static [u8]| Chunk {
+        message_id,
         count,
         index,
         bytes: Bytes::from_static(bytes),
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -82,15 +82,17 @@
     NoLog,
     /// A majority may still be alive.
     #[error(
-        "a leader was heard {silent_s:.1} s ago; expected none for {min_silent_s:.1} s, as a majority may be alive"
+        "the last contact with a leader was {silent_s:.1} s ago; expected none within {min_silent_s:.1} s, as a majority may be alive"
     )]
-    LeaderHeard {
+    RecentLeaderContact {
         /// Seconds since the last message from a leader.
         silent_s: f64,
         /// Seconds without one that are required.
         min_silent_s: f64,
     },
     /// The host is part of a working majority.
-    #[error("this host is a voter, and hears a leader; expected one that is not needed where it is")]
+    #[error(
+        "this host is a voter, and has contact with a leader; expected one that is not needed where it is"
+    )]
     StillNeeded,
 }
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -77,8 +77,6 @@
     newest_grant: Option<LeaseGrant>,
     fault: Option<ConsensusFault>,
     unanswered: u32,
-    /// Grants that were received.
-    pub granted: u64,
 }
 
 impl Lease {
@@ -95,7 +93,6 @@
             newest_grant: None,
             fault: None,
             unanswered: 0,
-            granted: 0,
         }
     }
 
@@ -139,12 +136,11 @@
     pub fn on_granted(&mut self, now: Instant, grant: LeaseGrant) {
         let request = self.outstanding.iter().find(|request| request.sequence == grant.sequence);
         let Some(sent) = request.map(|request| request.sent) else { return };
-        self.granted += 1;
         self.unanswered = 0;
         if self.newest_grant.is_none_or(|newest| newest.sequence < grant.sequence) {
             self.newest_grant = Some(grant);
         }
-        let until = self.expiry(now, sent, grant.duration);
+        let until = self.lease_end(now, sent, grant.duration);
         if self.awaiting_entries.is_none_or(|awaiting| until > awaiting.until) {
             self.awaiting_entries = Some(Validity { index: grant.index, until });
         }
@@ -155,7 +151,7 @@
 
     /// The lease counts from its request, so that the time of both messages, and any for which this process stood still,
     /// is taken off. It is no longer than this replica was told, whatever the leader was.
-    fn expiry(&self, now: Instant, sent: Instant, granted: TimeDelta) -> Instant {
+    fn lease_end(&self, now: Instant, sent: Instant, granted: TimeDelta) -> Instant {
         let has_fault = |fault: ConsensusFault| self.fault == Some(fault);
         let start = if has_fault(ConsensusFault::LeaseFromResponse) { now } else { sent };
         let ignores_drift = has_fault(ConsensusFault::IgnoreClockDrift);
--- /dev/null
+++ b/crates/consensus/src/output.rs
@@ -0,0 +1,48 @@
+//! What a replica wants its host to do.
+
+use crate::event::Event;
+use crate::state::Write;
+use bytes::Bytes;
+use tackmast_wire::consensus::Message;
+
+/// What a replica wants done.
+#[derive(Clone, Debug, PartialEq)]
+pub enum ReplicaOutput {
+    /// A message for another replica.
+    Send {
+        /// The receiver's host number.
+        to: u32,
+        /// The message.
+        message: Message,
+    },
+    /// A change of the persistent state, to be reported by `on_persisted`.
+    Write(Write),
+    /// A command is committed: the state machine applies it.
+    Committed {
+        /// Index of its entry.
+        index: u64,
+        /// The command.
+        data: Bytes,
+        /// Its number, if this process proposed it.
+        own_proposal: Option<u32>,
+    },
+    /// The state machine takes this state in place of all before.
+    RestoreSnapshot {
+        /// Index of the last entry that the state covers.
+        index: u64,
+        /// The state.
+        state: Bytes,
+    },
+    /// The state machine's state as of that entry is wanted, by `on_snapshot_taken`.
+    TakeSnapshot {
+        /// Index of the entry.
+        index: u64,
+    },
+    /// The result of a proposal is unknown for so long that it is given up; it may be committed all the same.
+    ProposalTimedOut {
+        /// Number of the proposal.
+        number: u32,
+    },
+    /// Operators are to know.
+    Event(Event),
+}
--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -85,7 +85,7 @@
     /// Index of the last entry on disk.
     persisted_index: u64,
     role: Role,
-    leader_heard_at: Instant,
+    last_leader_contact: Instant,
     election_deadline: Instant,
     /// While the group has no log.
     bootstrap: Option<BootstrapState>,
@@ -122,7 +122,7 @@
             persisted_index: log.last().index,
             log,
             role: Role::Follower { leader: None },
-            leader_heard_at: now,
+            last_leader_contact: now,
             election_deadline: now,
             bootstrap,
             known_disks: persisted.known_disks,
@@ -229,11 +229,6 @@
         self.hard_state.term
     }
 
-    /// The disk from which that voter was last heard.
-    pub fn known_disk(&self, host: u32) -> Option<DiskIdentity> {
-        self.known_disks.get(&host).copied()
-    }
-
     fn emit(&mut self, event: Event) {
         self.outputs.push_back(RaftOutput::Event(event));
     }
--- a/crates/consensus/src/raft/election.rs
+++ b/crates/consensus/src/raft/election.rs
@@ -62,11 +62,11 @@
         }
         let is_up_to_date = last_log >= self.log.last() || self.has_fault(ConsensusFault::NoLogCheck);
         if pre_vote {
-            let granted = !self.hears_leader(now) && is_up_to_date && term > self.hard_state.term;
+            let granted = !self.has_leader_contact(now) && is_up_to_date && term > self.hard_state.term;
             let response_term = if granted { term } else { self.hard_state.term };
             return self.respond_to_vote(from, pre_vote, response_term, granted);
         }
-        if self.hears_leader(now) {
+        if self.has_leader_contact(now) {
             return;
         }
         self.observe_term(now, term);
@@ -79,9 +79,9 @@
         self.respond_to_vote(from, pre_vote, self.hard_state.term, granted);
     }
 
-    fn hears_leader(&self, now: Instant) -> bool {
-        let heard_lately = now - self.leader_heard_at < self.settings.election_timeout;
-        self.is_leader() || (self.leader().is_some() && heard_lately)
+    fn has_leader_contact(&self, now: Instant) -> bool {
+        let has_recent_contact = now - self.last_leader_contact < self.settings.election_timeout;
+        self.is_leader() || (self.leader().is_some() && has_recent_contact)
     }
 
     fn record_vote(&mut self, candidate: u32) {
--- a/crates/consensus/src/raft/follower.rs
+++ b/crates/consensus/src/raft/follower.rs
@@ -112,7 +112,7 @@
             self.emit(Event::FollowsLeader { leader: from, term });
         }
         self.role = Role::Follower { leader: Some(from) };
-        self.leader_heard_at = now;
+        self.last_leader_contact = now;
         self.reset_election_timer(now);
         true
     }
--- a/crates/consensus/src/raft/leader.rs
+++ b/crates/consensus/src/raft/leader.rs
@@ -60,6 +60,7 @@
         self.lease_requests.values().any(|request| request.round > self.round)
     }
 
+    /// When the next round is due.
     pub fn poll_timeout(&self) -> Instant {
         match self.awaits_round() {
             true => self.next_round_at.min(self.heartbeat_due),
@@ -67,6 +68,7 @@
         }
     }
 
+    /// What other replicas have reported.
     pub fn follower_status(&self, now: Instant) -> BTreeMap<u32, FollowerStatus> {
         let status = |report: &StoredReport| FollowerStatus {
             stored_index: report.stored_index,
--- a/crates/consensus/src/raft/recovery.rs
+++ b/crates/consensus/src/raft/recovery.rs
@@ -15,8 +15,8 @@
             return Err(RecoveryError::NoLog);
         }
         if self.is_leader() || !self.is_leader_gone(now) {
-            return Err(RecoveryError::LeaderHeard {
-                silent_s: (now - self.leader_heard_at).secs().max(0.0),
+            return Err(RecoveryError::RecentLeaderContact {
+                silent_s: (now - self.last_leader_contact).secs().max(0.0),
                 min_silent_s: self.settings.election_timeouts(SILENT_ELECTION_TIMEOUTS).secs(),
             });
         }
@@ -70,6 +70,6 @@
     }
 
     fn is_leader_gone(&self, now: Instant) -> bool {
-        now - self.leader_heard_at >= self.settings.election_timeouts(SILENT_ELECTION_TIMEOUTS)
+        now - self.last_leader_contact >= self.settings.election_timeouts(SILENT_ELECTION_TIMEOUTS)
     }
 }
--- a/crates/consensus/src/raft/replication.rs
+++ b/crates/consensus/src/raft/replication.rs
@@ -34,6 +34,7 @@
 }
 
 impl Progress {
+    /// Of a peer of whose log nothing is known.
     pub fn new(now: Instant, next_index: u64) -> Progress {
         Progress {
             next_index,
--- a/crates/consensus/src/replica/effective.rs
+++ b/crates/consensus/src/replica/effective.rs
@@ -23,10 +23,12 @@
 }
 
 impl CommitTimes {
+    /// Without commits.
     pub fn new(holdover: TimeDelta, batch_time: TimeDelta) -> CommitTimes {
         CommitTimes { batches: VecDeque::new(), holdover, batch_time }
     }
 
+    /// Forgets all, as the log is discarded.
     pub fn clear(&mut self) {
         self.batches.clear();
     }
--- a/crates/consensus/src/replica/proposals.rs
+++ b/crates/consensus/src/replica/proposals.rs
@@ -24,6 +24,7 @@
 }
 
 impl PendingProposal {
+    /// When it is sent again or given up.
     pub fn poll_timeout(&self) -> Instant {
         self.retry_at.min(self.deadline)
     }
--- a/crates/consensus/src/replica/sessions.rs
+++ b/crates/consensus/src/replica/sessions.rs
@@ -26,6 +26,7 @@
 }
 
 impl Proposal {
+    /// The command of its entry.
     pub fn to_bytes(&self) -> Bytes {
         let mut out = BytesMut::with_capacity(self.data.len() + PROPOSAL_HEADER_LEN);
         out.put_u32(self.host);
@@ -36,6 +37,7 @@
         out.freeze()
     }
 
+    /// The proposal that an entry's command is.
     pub fn decode(mut bytes: Bytes) -> Option<Proposal> {
         if bytes.len() < PROPOSAL_HEADER_LEN {
             return None;
@@ -61,6 +63,7 @@
         true
     }
 
+    /// Forgets all, as the log is discarded.
     pub fn clear(&mut self) {
         self.0.clear();
     }
--- a/crates/consensus/tests/decision_hash.rs
+++ b/crates/consensus/tests/decision_hash.rs
@@ -365,9 +365,9 @@
         let now = self.clock(host);
         let message = match datagram.body {
             Body::Agree { bytes } => Some(bytes),
-            Body::Parcel { number: transfer, pieces: count, piece: index, bytes } => {
+            Body::Parcel { number: message_id, pieces: count, piece: index, bytes } => {
                 self.totals.chunks += 1;
-                self.host(host).chunks.on_chunk(now, address(from), Chunk { transfer, count, index, bytes })
+                self.host(host).chunks.on_chunk(now, address(from), Chunk { message_id, count, index, bytes })
             }
             Body::ParcelWant { number, piece } => {
                 self.host(host).chunks.on_chunk_request(address(from), number, piece);
--- /dev/null
+++ b/crates/consensus/tests/replica/lease.rs
@@ -0,0 +1,28 @@
+//! A lease by itself.
+
+use super::*;
+
+#[test]
+fn a_lease_counts_from_its_request_less_the_drift_and_with_its_entries() {
+    let duration = TimeDelta::from_secs(1.0);
+    let granted = |sequence, index| LeaseGrant { sequence, index, duration };
+    let mut lease = Lease::new(at(0.0), TimeDelta::from_secs(1.0), 0.01);
+    let sequence = lease.poll_request(at(0.0)).expect("a request is due at once");
+    assert_eq!(lease.state(at(0.0)), LeaseState::Never);
+    // The grant arrives late: the lease counts from the request.
+    lease.on_granted(at(0.6), granted(sequence, 5));
+    assert!(!lease.state(at(0.6)).is_valid(), "its entries are not here");
+    lease.on_committed(4);
+    assert!(!lease.state(at(0.6)).is_valid());
+    lease.on_committed(5);
+    assert_eq!(lease.state(at(0.6)), LeaseState::Valid { until: at(0.98) });
+    assert_eq!(lease.state(at(0.99)), LeaseState::Expired { since: at(0.98) });
+    // A grant of no request, and one of a longer lease than this replica was told.
+    lease.on_granted(at(1.0), granted(sequence + 50, 5));
+    assert!(!lease.state(at(1.0)).is_valid());
+    let sequence = lease.poll_request(at(1.0)).expect("a request is due");
+    lease.on_granted(at(1.0), LeaseGrant { sequence, index: 5, duration: TimeDelta::from_secs(900.0) });
+    lease.on_committed(5);
+    assert_eq!(lease.state(at(1.0)), LeaseState::Valid { until: at(1.98) });
+    assert!(lease.read_index(sequence) == Some(5) && lease.read_index(sequence + 1).is_none());
+}
--- a/crates/host-core/src/agreed.rs
+++ b/crates/host-core/src/agreed.rs
@@ -172,7 +172,7 @@
             Body::Parcel { number, pieces, piece, bytes } => self.chunks.on_chunk(
                 now,
                 from,
-                Chunk { transfer: number, count: pieces, index: piece, bytes },
+                Chunk { message_id: number, count: pieces, index: piece, bytes },
             )?,
             Body::ParcelWant { number, piece } => {
                 self.chunks.on_chunk_request(from, number, piece);
--- a/crates/wire/src/consensus/kind.rs
+++ b/crates/wire/src/consensus/kind.rs
@@ -1,23 +1,23 @@
-//! Numbers on the wire.
+//! Numbers on the wire: the first byte of each message, and the kind of each entry.
 
-pub const REQUEST_VOTE: u8 = 1;
-pub const REQUEST_VOTE_RESPONSE: u8 = 2;
-pub const APPEND_ENTRIES: u8 = 3;
-pub const APPEND_ENTRIES_RESPONSE: u8 = 4;
-pub const INSTALL_SNAPSHOT: u8 = 5;
-pub const PROPOSE: u8 = 6;
-pub const REQUEST_LEASE: u8 = 7;
-pub const LEASE_GRANTED: u8 = 8;
-pub const LEADER_HINT: u8 = 9;
-pub const FETCH_COMMITTED: u8 = 10;
-pub const COMMITTED_ENTRIES: u8 = 11;
-pub const COMMITTED_SNAPSHOT: u8 = 12;
-pub const BOOTSTRAP: u8 = 13;
-pub const STALE_DISK: u8 = 14;
+pub(super) const REQUEST_VOTE: u8 = 1;
+pub(super) const REQUEST_VOTE_RESPONSE: u8 = 2;
+pub(super) const APPEND_ENTRIES: u8 = 3;
+pub(super) const APPEND_ENTRIES_RESPONSE: u8 = 4;
+pub(super) const INSTALL_SNAPSHOT: u8 = 5;
+pub(super) const PROPOSE: u8 = 6;
+pub(super) const REQUEST_LEASE: u8 = 7;
+pub(super) const LEASE_GRANTED: u8 = 8;
+pub(super) const LEADER_HINT: u8 = 9;
+pub(super) const FETCH_COMMITTED: u8 = 10;
+pub(super) const COMMITTED_ENTRIES: u8 = 11;
+pub(super) const COMMITTED_SNAPSHOT: u8 = 12;
+pub(super) const BOOTSTRAP: u8 = 13;
+pub(super) const STALE_DISK: u8 = 14;
 
-pub const ENTRY_NOOP: u8 = 0;
-pub const ENTRY_COMMAND: u8 = 1;
-pub const ENTRY_VOTERS: u8 = 2;
+pub(super) const ENTRY_NOOP: u8 = 0;
+pub(super) const ENTRY_COMMAND: u8 = 1;
+pub(super) const ENTRY_VOTERS: u8 = 2;
 
 /// In place of a leader's host number.
-pub const NO_LEADER: u32 = u32::MAX;
+pub(super) const NO_LEADER: u32 = u32::MAX;
