--- a/crates/consensus/src/parcels.rs
+++ b/crates/consensus/src/parcels.rs
@@ -60,7 +60,7 @@
     /// A word for that place: as it is where it fits a datagram.
     pub fn send(&mut self, to: SocketAddr, word: Bytes) {
         if word.len() <= MAX_PIECE {
-            return self.says.push_back((to, Body::Agree { bytes: word }));
+            return self.says.push_back((to, Body::Consensus { bytes: word }));
         }
         if word.len() > MAX_WORD {
             self.lost += 1;
@@ -90,7 +90,7 @@
         }
         let pieces = word.len().div_ceil(MAX_PIECE) as u16;
         let bytes = word.slice(first..word.len().min(first + MAX_PIECE));
-        self.says.push_back((to, Body::Parcel { number, pieces, piece, bytes }));
+        self.says.push_back((to, Body::ConsensusChunk { number, pieces, piece, bytes }));
     }
 
     pub fn wanted(&mut self, from: SocketAddr, number: u32, piece: u16) {
@@ -138,7 +138,7 @@
             let (first, number) = (g.asked.max(1), g.number);
             g.asked = upto;
             for piece in first..upto {
-                self.says.push_back((from, Body::ParcelWant { number, piece }));
+                self.says.push_back((from, Body::ConsensusChunkRequest { number, piece }));
             }
             return None;
         }
@@ -173,7 +173,7 @@
             (g.at, g.tries) = (now, g.tries + 1);
             let missing = (0..g.pieces).filter(|p| g.got[usize::from(*p)].is_none());
             for piece in missing.take(usize::from(AHEAD)) {
-                self.says.push_back((g.from, Body::ParcelWant { number: g.number, piece }));
+                self.says.push_back((g.from, Body::ConsensusChunkRequest { number: g.number, piece }));
             }
         }
     }
@@ -206,15 +206,17 @@
                         continue;
                     }
                     match body {
-                        Body::Agree { bytes } => whole.push(bytes),
-                        Body::Parcel { number, pieces, piece, bytes } => {
+                        Body::Consensus { bytes } => whole.push(bytes),
+                        Body::ConsensusChunk { number, pieces, piece, bytes } => {
                             whole.extend(b.came(now, at(1), number, pieces, piece, bytes))
                         }
                         _ => {}
                     }
                 }
                 while let Some((_, body)) = b.next_say() {
-                    if let (Body::ParcelWant { number, piece }, true) = (&body, chance.rand_float() >= loss) {
+                    if let (Body::ConsensusChunkRequest { number, piece }, true) =
+                        (&body, chance.rand_float() >= loss)
+                    {
                         a.wanted(at(2), *number, *piece);
                     }
                 }
--- a/crates/consensus/tests/decision_hash.rs
+++ b/crates/consensus/tests/decision_hash.rs
@@ -10,7 +10,7 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_consensus::*;
 use tackmast_wire::agree::put_entry;
-use tackmast_wire::peer::{Body, Datagram, Health, News};
+use tackmast_wire::peer::{Body, Datagram, Health, MemberUpdate};
 
 /// Length of a step in virtual seconds, and steps of a run.
 const STEP: f64 = 0.01;
@@ -316,16 +316,16 @@
 
     fn send_chunks(&mut self, host: u32) {
         while let Some((to, body)) = self.host(host).chunks.next_say() {
-            let me = News {
+            let me = MemberUpdate {
                 slot: host,
                 generation: 1,
                 incarnation: 0,
                 health: Health::Alive,
                 address: address(host),
                 site: None,
-                by: None,
+                suspected_by: None,
             };
-            let bytes = Datagram { fleet: "f".into(), me, body, news: Vec::new() }.to_bytes();
+            let bytes = Datagram { fleet: "f".into(), sender: me, body, updates: Vec::new() }.to_bytes();
             self.hash.bytes(&bytes);
             self.transmit(host, to, bytes);
         }
@@ -361,15 +361,15 @@
             return;
         }
         let datagram = Datagram::decode(bytes).expect("a datagram of this group");
-        let from = datagram.me.slot;
+        let from = datagram.sender.slot;
         let now = self.clock(host);
         let message = match datagram.body {
-            Body::Agree { bytes } => Some(bytes),
-            Body::Parcel { number, pieces, piece, bytes } => {
+            Body::Consensus { bytes } => Some(bytes),
+            Body::ConsensusChunk { number, pieces, piece, bytes } => {
                 self.totals.chunks += 1;
                 self.host(host).chunks.came(now, address(from), number, pieces, piece, bytes)
             }
-            Body::ParcelWant { number, piece } => {
+            Body::ConsensusChunkRequest { number, piece } => {
                 self.host(host).chunks.wanted(address(from), number, piece);
                 None
             }
--- a/crates/host-core/src/agreed.rs
+++ b/crates/host-core/src/agreed.rs
@@ -164,11 +164,11 @@
     /// A word, once it is whole.
     pub(crate) fn came(&mut self, now: Instant, from: std::net::SocketAddr, body: Body) -> Option<Word> {
         let bytes = match body {
-            Body::Agree { bytes } => bytes,
-            Body::Parcel { number, pieces, piece, bytes } => {
+            Body::Consensus { bytes } => bytes,
+            Body::ConsensusChunk { number, pieces, piece, bytes } => {
                 self.parcels.came(now, from, number, pieces, piece, bytes)?
             }
-            Body::ParcelWant { number, piece } => {
+            Body::ConsensusChunkRequest { number, piece } => {
                 self.parcels.wanted(from, number, piece);
                 return None;
             }
--- a/crates/host-core/src/core/stops.rs
+++ b/crates/host-core/src/core/stops.rs
@@ -1,7 +1,7 @@
 //! Nodes that other hosts' newer node lists take away, while this host's own list is older, or its service has gone back.
 
 use super::*;
-use tackmast_membership::{ListCame, ListStop};
+use tackmast_membership::{ListCame, NodeRemoval};
 
 /// Nodes that are held so, at most.
 const STOPS: usize = 4_096;
@@ -34,7 +34,7 @@
         }
     }
 
-    fn stop_by_others(&mut self, now: Instant, version: u64, stop: ListStop) {
+    fn stop_by_others(&mut self, now: Instant, version: u64, stop: NodeRemoval) {
         if version <= self.list_version {
             return;
         }
@@ -77,8 +77,8 @@
         self.tell_again(now, &ended);
         let Some(f) = &mut self.fellows else { return };
         let stopped = self.nodes.entries().filter(|(_, e)| e.state != NodeState::Ready);
-        let stops: Vec<ListStop> = stopped
-            .map(|(a, e)| ListStop { address: a.to_owned(), gone: e.state == NodeState::Gone })
+        let stops: Vec<NodeRemoval> = stopped
+            .map(|(a, e)| NodeRemoval { address: a.to_owned(), gone: e.state == NodeState::Gone })
             .collect();
         f.member.listed(now, version, stops);
         self.follow_fellows(now);
--- a/crates/host-core/src/fellows.rs
+++ b/crates/host-core/src/fellows.rs
@@ -10,8 +10,8 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_config::{HostSettings, MembershipBlock};
 use tackmast_membership::{
-    Do, ListCame, LoanSettings, Member, MemberSettings, Moved, OrderKind, Output, Paper, Remembered, Shared,
-    SiteWord, SpreadOrder, ViewSettings, Ways,
+    Do, ListCame, LoanSettings, Member, MemberSettings, Moved, Output, OverrideKind, OverrideRecord, Paper,
+    Remembered, Shared, SiteWord, ViewSettings, Ways,
 };
 use tackmast_overrides::{Kind, Order, Origin, Override, OverrideId};
 use tackmast_wire::peer::Body;
@@ -298,9 +298,9 @@
         match d {
             Do::Hold { name, order, seconds } => {
                 let kind = match order.kind {
-                    OrderKind::Out => Kind::OutOfService,
-                    OrderKind::Pinned => Kind::Pinned,
-                    OrderKind::Weight(w) => Kind::Weight(f64::from(w)),
+                    OverrideKind::Out => Kind::OutOfService,
+                    OverrideKind::Pinned => Kind::Pinned,
+                    OverrideKind::Weight(w) => Kind::Weight(f64::from(w)),
                 };
                 let target = order.target.parse().ok()?;
                 let (reason, who, origin) = (order.reason, order.who, Some(name));
@@ -320,7 +320,7 @@
         let (me, v) = (view.me(), view.counters);
         let peers = self.member.snapshot().into_iter().map(|(host, s)| PeerStatus {
             host,
-            health: format!("{:?}", s.health).to_lowercase(),
+            health: s.health.to_string(),
             address: s.address.to_string(),
             generation: s.generation,
             since_s: (now - s.since).secs(),
@@ -380,21 +380,21 @@
     }
 }
 
-fn spread(o: &Override, origin: Origin, left_s: f64) -> SpreadOrder {
-    SpreadOrder {
+fn spread(o: &Override, origin: Origin, left_s: f64) -> OverrideRecord {
+    OverrideRecord {
         slot: origin.slot,
         generation: origin.generation,
         number: origin.number,
         kind: match o.kind {
-            Kind::OutOfService => OrderKind::Out,
-            Kind::Pinned => OrderKind::Pinned,
-            Kind::Weight(w) => OrderKind::Weight(w as f32),
+            Kind::OutOfService => OverrideKind::Out,
+            Kind::Pinned => OverrideKind::Pinned,
+            Kind::Weight(w) => OverrideKind::Weight(w as f32),
         },
         target: o.target.to_string(),
         reason: o.reason.clone(),
         who: o.who.clone(),
-        left_ms: (left_s.max(0.0) * 1e3) as u64,
-        whole_ms: o.ends_us.saturating_sub(o.set_us) / 1000,
+        remaining_ms: (left_s.max(0.0) * 1e3) as u64,
+        total_ms: o.ends_us.saturating_sub(o.set_us) / 1000,
         cleared: false,
     }
 }
--- a/crates/host/src/peers.rs
+++ b/crates/host/src/peers.rs
@@ -56,7 +56,7 @@
 }
 
 fn read(socket: &UdpSocket, events: &Sender<Event>, stopping: &AtomicBool) {
-    let mut room = vec![0; peer::MAX + 1];
+    let mut room = vec![0; peer::MAX_DATAGRAM_LEN + 1];
     while !stopping.load(Ordering::Acquire) {
         let Ok((n, from)) = socket.recv_from(&mut room) else { continue };
         let bytes = Bytes::copy_from_slice(&room[..n]);
--- a/crates/host/tests/members.rs
+++ b/crates/host/tests/members.rs
@@ -106,17 +106,17 @@
 
     // What is no datagram, and what is of another fleet, is dropped and counted.
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let body = tackmast_wire::peer::Body::Ping { seq: 1 };
-    let me = tackmast_wire::peer::News {
+    let body = tackmast_wire::peer::Body::Probe(tackmast_wire::peer::ProbeMessage::Ping { seq: 1 });
+    let me = tackmast_wire::peer::MemberUpdate {
         slot: 3,
         generation: u64::MAX,
         incarnation: 0,
         health: tackmast_wire::peer::Health::Alive,
         address: seed.unwrap(),
         site: None,
-        by: None,
+        suspected_by: None,
     };
-    let other = tackmast_wire::peer::Datagram { fleet: "other".into(), me, body, news: vec![] };
+    let other = tackmast_wire::peer::Datagram { fleet: "other".into(), sender: me, body, updates: vec![] };
     for bytes in [Bytes::from_static(b"hello"), other.to_bytes()] {
         stranger.send_to(&bytes, seed.unwrap()).unwrap();
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -11,9 +11,11 @@
 mod view;
 
 pub use lists::{ListCame, Lists};
-pub use loans::{LoanSettings, Loans, Moved, Say, Shared, TermFault};
+pub use loans::{LoanSettings, Loans, Moved, Shared, TermFault};
 pub use member::{Counters, Member, MemberSettings, Output, Remembered};
 pub use papers::{Paper, Papers, MAX_BYTES, MAX_PAPERS};
 pub use spread::{Do, Spread};
-pub use tackmast_wire::peer::{Datagram, Health, ListStop, News, OrderKind, SpreadOrder};
+pub use tackmast_wire::peer::{
+    Datagram, Health, LeaseMessage, MemberUpdate, NodeRemoval, OverrideKind, OverrideRecord,
+};
 pub use view::{Change, Death, Seen, SiteSeen, SiteWord, View, ViewFault, ViewSettings, Ways};
--- a/crates/membership/src/lists.rs
+++ b/crates/membership/src/lists.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_wire::peer::{Body, ListStop, MAX_STOPS};
+use tackmast_wire::peer::{Body, NodeListMessage, NodeRemoval, MAX_REMOVALS};
 
 /// Nodes that a host tells of as draining or gone, at most: the first by address.
 const STOPS: usize = 2_000;
@@ -21,7 +21,7 @@
     /// Others hold a newer list: the service is to be asked.
     Behind { version: u64 },
     /// By that version this node is not to be chosen.
-    Stopped { version: u64, stop: ListStop },
+    Stopped { version: u64, stop: NodeRemoval },
     /// The service went back from a version that this host held to an older one.
     WentBack { from: u64, to: u64 },
 }
@@ -31,7 +31,7 @@
     on: bool,
     /// The newest version that this host ever held in this generation, and what it takes away.
     version: u64,
-    stops: Vec<ListStop>,
+    stops: Vec<NodeRemoval>,
     asked: Option<Instant>,
     /// Asks since this host's list last moved.
     asks: u32,
@@ -43,7 +43,7 @@
 
 impl Lists {
     /// What this host's list says now; true: that is news for others.
-    pub fn listed(&mut self, version: u64, stops: impl IntoIterator<Item = ListStop>) -> bool {
+    pub fn listed(&mut self, version: u64, stops: impl IntoIterator<Item = NodeRemoval>) -> bool {
         self.on = true;
         if version < self.version {
             // Against an old copy of the list after its service's restart: what was taken away stays so.
@@ -75,15 +75,15 @@
     }
 
     pub fn word(&self) -> Body {
-        Body::ListWord { version: self.version }
+        Body::NodeList(NodeListMessage::Version { version: self.version })
     }
 
-    pub fn heard(&mut self, now: Instant, from: SocketAddr, body: Body) {
+    pub fn heard(&mut self, now: Instant, from: SocketAddr, message: NodeListMessage) {
         if !self.on {
             return;
         }
-        match body {
-            Body::ListWord { version } if version > self.version => {
+        match message {
+            NodeListMessage::Version { version } if version > self.version => {
                 let waits = (AGAIN_S * f64::from(self.asks.min(16)).exp2() / 2.0).clamp(AGAIN_S, AGAIN_MAX_S);
                 if self.asked.is_some_and(|t| now - t < TimeDelta::from_secs(waits)) {
                     return;
@@ -92,16 +92,22 @@
                 self.asks += 1;
                 self.behind += 1;
                 self.push(ListCame::Behind { version });
-                self.says.push_back((from, Body::ListWant { version: self.version }));
+                self.says
+                    .push_back((from, Body::NodeList(NodeListMessage::Request { version: self.version })));
+            }
+            NodeListMessage::Version { version } if version < self.version => {
+                self.says.push_back((from, self.word()))
             }
-            Body::ListWord { version } if version < self.version => self.says.push_back((from, self.word())),
-            Body::ListWant { version } if version < self.version => {
+            NodeListMessage::Request { version } if version < self.version => {
                 let version = self.version;
-                for some in self.stops.chunks(MAX_STOPS) {
-                    self.says.push_back((from, Body::ListStops { version, stops: some.to_vec() }));
+                for some in self.stops.chunks(MAX_REMOVALS) {
+                    self.says.push_back((
+                        from,
+                        Body::NodeList(NodeListMessage::Removals { version, removals: some.to_vec() }),
+                    ));
                 }
             }
-            Body::ListStops { version, stops } if version > self.version => {
+            NodeListMessage::Removals { version, removals: stops } if version > self.version => {
                 for stop in stops {
                     self.push(ListCame::Stopped { version, stop });
                 }
@@ -123,27 +129,34 @@
 mod tests {
     use super::*;
 
-    fn stop(n: usize) -> ListStop {
-        ListStop { address: format!("10.0.0.{n}:7"), gone: n.is_multiple_of(2) }
+    fn stop(n: usize) -> NodeRemoval {
+        NodeRemoval { address: format!("10.0.0.{n}:7"), gone: n.is_multiple_of(2) }
     }
 
     fn at(s: f64) -> Instant {
         Instant::from_secs(s)
     }
 
+    fn inner(body: Body) -> NodeListMessage {
+        match body {
+            Body::NodeList(message) => message,
+            other => panic!("{other:?}"),
+        }
+    }
+
     fn place(n: u8) -> SocketAddr {
         SocketAddr::from(([10, 0, 0, n], 7))
     }
 
     /// Both tell each other their versions until nothing more is said; what came of it at `b`.
     fn meet(a: &mut Lists, b: &mut Lists, now: Instant) -> Vec<ListCame> {
-        b.heard(now, place(1), a.word());
+        b.heard(now, place(1), inner(a.word()));
         for _ in 0..10 {
             while let Some((_, body)) = b.next_say() {
-                a.heard(now, place(2), body);
+                a.heard(now, place(2), inner(body));
             }
             while let Some((_, body)) = a.next_say() {
-                b.heard(now, place(1), body);
+                b.heard(now, place(1), inner(body));
             }
         }
         std::iter::from_fn(|| b.next_came()).collect()
@@ -193,7 +206,7 @@
         assert_eq!(came[0], ListCame::WentBack { from: 7, to: 3 });
         assert_eq!(came[1..], [1, 2].map(|n| ListCame::Stopped { version: 7, stop: stop(n) }));
         // Others still hear of the newer one.
-        assert_eq!(a.word(), Body::ListWord { version: 7 });
+        assert_eq!(a.word(), Body::NodeList(NodeListMessage::Version { version: 7 }));
         assert!(a.listed(8, []));
     }
 }
--- a/crates/membership/src/loans.rs
+++ b/crates/membership/src/loans.rs
@@ -6,6 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tackmast::interface::{Instant, TimeDelta};
+use tackmast_wire::peer::LeaseMessage;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoanSettings {
@@ -42,15 +43,6 @@
     pub owners: Vec<u32>,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Say {
-    Want { seq: u32, using: u32, of_generation: u64, volume: u32, share: f32 },
-    Loan { answers: u32, to_generation: u64, seq: u32, volume: u32, share: f32, term_ms: u32 },
-    Offer { volume: u32 },
-    Recall { volume: u32 },
-    Returned { to_generation: u64, volume: u32 },
-}
-
 /// What a host may use beside its own: shares of the whole limit. Until `until` at most; then it has to ask again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Moved {
@@ -139,7 +131,7 @@
     next_beat: Instant,
     leaving: bool,
     displaced: bool,
-    says: VecDeque<(u32, Say)>,
+    says: VecDeque<(u32, LeaseMessage)>,
     fault: Option<TermFault>,
 }
 
@@ -264,11 +256,11 @@
         self.pools.values().map(one).collect()
     }
 
-    fn say(&mut self, to: u32, what: Say) {
+    fn say(&mut self, to: u32, what: LeaseMessage) {
         self.says.push_back((to, what));
     }
 
-    pub fn next_say(&mut self) -> Option<(u32, Say)> {
+    pub fn next_say(&mut self) -> Option<(u32, LeaseMessage)> {
         self.says.pop_front()
     }
 
@@ -307,10 +299,10 @@
             p.shared.owners.iter().copied().filter(|s| *s != me && live.contains(s)).collect();
         if now < p.free_from && p.returned.len() + 1 < p.shared.owners.len() {
             let missing: Vec<u32> = others.iter().copied().filter(|s| !p.returned.contains(s)).collect();
-            missing.into_iter().for_each(|to| self.say(to, Say::Recall { volume }));
+            missing.into_iter().for_each(|to| self.say(to, LeaseMessage::Recall { volume }));
         }
         if self.leaving {
-            others.into_iter().for_each(|to| self.say(to, Say::Offer { volume }));
+            others.into_iter().for_each(|to| self.say(to, LeaseMessage::Offer { volume }));
             return;
         }
         let Some(p) = self.pools.get(&volume) else { return };
@@ -332,27 +324,28 @@
         if asked.len() > ASKED {
             asked.pop_front();
         }
-        let (of_generation, using) = p.got.get(&to).map_or((0, 0), |g| (g.generation, g.seq));
+        let (lender_generation, using) = p.got.get(&to).map_or((0, 0), |g| (g.generation, g.seq));
         let share = (2.0 * share).clamp(0.0, 1.0) as f32;
-        self.say(to, Say::Want { seq, using, of_generation, volume, share });
+        self.say(to, LeaseMessage::Request { seq, active_seq: using, lender_generation, volume, share });
     }
 
     /// A peer has said something of a volume that both own a part of; anything else is no matter of its.
-    pub fn heard(&mut self, now: Instant, from: u32, generation: u64, what: Say) {
+    pub fn heard(&mut self, now: Instant, from: u32, generation: u64, what: LeaseMessage) {
         match what {
-            Say::Want { seq, using, of_generation, volume, share } => {
+            LeaseMessage::Request { seq, active_seq: using, lender_generation, volume, share } => {
                 // What it holds of an earlier generation says nothing of this one's loans.
                 let mixed = self.fault == Some(TermFault::GenerationsMixed);
-                let using = if of_generation == self.generation || mixed { using } else { 0 };
+                let using = if lender_generation == self.generation || mixed { using } else { 0 };
                 self.wanted(now, (from, generation), volume, seq, using, f64::from(share));
             }
             // One that was meant for an earlier generation of this slot answers none of this one's wants.
-            Say::Loan { to_generation, .. }
-                if to_generation != self.generation && self.fault != Some(TermFault::GenerationsMixed) => {}
-            Say::Loan { answers, seq, volume, share, term_ms, .. } => {
+            LeaseMessage::Grant { recipient_generation, .. }
+                if recipient_generation != self.generation
+                    && self.fault != Some(TermFault::GenerationsMixed) => {}
+            LeaseMessage::Grant { request_seq: answers, seq, volume, share, term_ms, .. } => {
                 self.lent_to_me(now, from, generation, volume, answers, seq, f64::from(share), term_ms)
             }
-            Say::Offer { volume } => {
+            LeaseMessage::Offer { volume } => {
                 let Some(p) = self.pools.get(&volume).filter(|p| p.shared.owners.contains(&from)) else {
                     return;
                 };
@@ -361,7 +354,7 @@
                     self.want(now, from, volume, own);
                 }
             }
-            Say::Recall { volume } => {
+            LeaseMessage::Recall { volume } => {
                 let Some(p) = self.pools.get_mut(&volume).filter(|p| p.shared.owners.contains(&from)) else {
                     return;
                 };
@@ -374,12 +367,13 @@
                     Some(_) => {}
                     None => _ = p.got.insert(from, Got { generation, seq: 0, share: 0.0, until: now }),
                 }
-                self.say(from, Say::Returned { to_generation: generation, volume });
+                self.say(from, LeaseMessage::Returned { recipient_generation: generation, volume });
             }
             // Said to an earlier generation, it tells nothing of what that one lent since.
-            Say::Returned { to_generation, .. }
-                if to_generation != self.generation && self.fault != Some(TermFault::GenerationsMixed) => {}
-            Say::Returned { volume, .. } => {
+            LeaseMessage::Returned { recipient_generation, .. }
+                if recipient_generation != self.generation
+                    && self.fault != Some(TermFault::GenerationsMixed) => {}
+            LeaseMessage::Returned { volume, .. } => {
                 let Some(p) = self.pools.get_mut(&volume).filter(|p| p.shared.owners.contains(&from)) else {
                     return;
                 };
@@ -395,7 +389,7 @@
     fn wanted(
         &mut self,
         now: Instant,
-        (from, to_generation): (u32, u64),
+        (from, recipient_generation): (u32, u64),
         volume: u32,
         answers: u32,
         using: u32,
@@ -455,7 +449,17 @@
             *all = vec![Given { seq, share: most, until: last }];
         }
         let term_ms = (term.secs() * 1e3) as u32;
-        self.say(from, Say::Loan { answers, to_generation, seq, volume, share: give as f32, term_ms });
+        self.say(
+            from,
+            LeaseMessage::Grant {
+                request_seq: answers,
+                recipient_generation,
+                seq,
+                volume,
+                share: give as f32,
+                term_ms,
+            },
+        );
     }
 
     #[allow(clippy::too_many_arguments)] // one decoded field, one argument
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,7 +1,7 @@
 //! One host among others: datagrams and the time in, datagrams and what follows from them out.
 
 use crate::lists::{ListCame, Lists};
-use crate::loans::{LoanSettings, Loans, Moved, Say, Shared};
+use crate::loans::{LoanSettings, Loans, Moved, Shared};
 use crate::papers::{Paper, Papers, TOLD};
 use crate::spread::{Do, Spread};
 use crate::view::{Change, Seen, SiteWord, View, ViewFault, ViewSettings};
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_overrides::Origin as Name;
-use tackmast_wire::peer::{Body, Datagram, Health, ListStop, News, SpreadOrder, MAX_ORDERS};
+use tackmast_wire::peer::{Body, Datagram, Health, MemberUpdate, NodeRemoval, OverrideRecord, MAX_OVERRIDES};
 
 /// Messages that wait to be sent, at most; beyond that a new one is lost and counted.
 const WAITING: usize = 4096;
@@ -123,8 +123,15 @@
         // Against a disk of a larger fleet: numbers beyond those told would be called, and written down, for ever.
         s.recalled.retain(|(slot, _, _)| (*slot as usize) < s.view.most);
         let (incarnation, health, address, by) = (0, Health::Alive, s.address, None);
-        let me =
-            News { slot: s.slot, generation: s.generation, incarnation, health, address, site: s.site, by };
+        let me = MemberUpdate {
+            slot: s.slot,
+            generation: s.generation,
+            incarnation,
+            health,
+            address,
+            site: s.site,
+            suspected_by: by,
+        };
         let recalled = s.recalled.iter().map(|(slot, _, a)| (*slot, *a)).collect();
         let mut view = View::new(now, me, s.seeds, recalled, s.view, s.seed);
         if let Some(f) = fault {
@@ -178,15 +185,15 @@
             self.counters.other_fleets += 1;
             return;
         }
-        if !self.is_admitted(&d.me.address) {
+        if !self.is_admitted(&d.sender.address) {
             self.counters.strangers += 1;
             return;
         }
-        let (slot, generation) = (d.me.slot, d.me.generation);
+        let (slot, generation) = (d.sender.slot, d.sender.generation);
         if slot == self.view.me().slot {
             // A later generation of this slot, or an earlier one that woke up; neither is to be listened to.
             self.counters.strangers += 1;
-            self.view.heard_namesake(now, d.me, from);
+            self.view.heard_namesake(now, d.sender, from);
             return self.settle(now);
         }
         self.counters.taken += 1;
@@ -196,12 +203,15 @@
         }
         // Who speaks is there: its word on itself, where it is reached and how often it had to say so.
         if self.own_word {
-            self.view.learn(now, d.me);
+            self.view.learn(now, d.sender);
         } else if known.is_none_or(|k| k < generation) {
-            self.view.learn(now, News { incarnation: 0, health: Health::Alive, address: from, ..d.me });
+            self.view.learn(
+                now,
+                MemberUpdate { incarnation: 0, health: Health::Alive, address: from, ..d.sender },
+            );
         }
         self.view.heard_from(now, slot, generation);
-        for n in d.news {
+        for n in d.updates {
             // Who a host is, is known from itself or by hearsay; its parts are lent by itself alone.
             if !self.is_admitted(&n.address) {
                 self.counters.strangers += 1;
@@ -213,20 +223,12 @@
             // An earlier generation that woke up: it is told so, and its word counts no more.
             let all = self.view.all_news();
             let about = all.into_iter().flatten().filter(|n| n.slot == slot).collect();
-            self.push(from, Body::Tell, about);
+            self.push(from, Body::Gossip, about);
             return self.settle(now);
         }
         let say = match d.body {
-            Body::Want { seq, using, of_generation, volume, share } => {
-                Say::Want { seq, using, of_generation, volume, share }
-            }
-            Body::Loan { answers, to_generation, seq, volume, share, term_ms } => {
-                Say::Loan { answers, to_generation, seq, volume, share, term_ms }
-            }
-            Body::Offer { volume } => Say::Offer { volume },
-            Body::Recall { volume } => Say::Recall { volume },
-            Body::Returned { to_generation, volume } => Say::Returned { to_generation, volume },
-            Body::Digest { view, orders } => {
+            Body::Lease(message) => message,
+            Body::Digest { members: view, overrides: orders } => {
                 if view != self.view.digest() {
                     self.view.differs(now);
                     // Beginning elsewhere each time: a fleet of many hundreds has more than one answer holds.
@@ -235,22 +237,24 @@
                     all.rotate_left(first);
                     all.truncate(PIECES);
                     self.from_piece = first + all.len();
-                    all.into_iter().for_each(|news| self.push(from, Body::Tell, news));
+                    all.into_iter().for_each(|news| self.push(from, Body::Gossip, news));
                 }
                 if orders != self.spread.digest(now) {
                     self.tell_orders(now, from);
                 }
                 return self.settle(now);
             }
-            Body::Orders(orders) => {
+            Body::Overrides(orders) => {
                 orders.into_iter().for_each(|o| self.spread.learn(now, o));
                 return self.settle(now);
             }
-            paper @ (Body::Paper { .. } | Body::PaperWant { .. } | Body::PaperPiece { .. }) => {
-                self.papers.heard(now, from, slot, &paper);
+            Body::Catalog(message) => {
+                self.papers.heard(now, from, slot, &message);
                 return self.settle(now);
             }
-            body @ (Body::Agree { .. } | Body::Parcel { .. } | Body::ParcelWant { .. }) => {
+            body @ (Body::Consensus { .. }
+            | Body::ConsensusChunk { .. }
+            | Body::ConsensusChunkRequest { .. }) => {
                 // As with loans: a word counts from the address at which its host is known.
                 if self.view.address(slot) != Some(from) {
                     self.counters.false_names += 1;
@@ -261,12 +265,13 @@
                 }
                 return self.settle(now);
             }
-            body @ (Body::ListWord { .. } | Body::ListWant { .. } | Body::ListStops { .. }) => {
-                self.lists.heard(now, from, body);
+            Body::NodeList(message) => {
+                self.lists.heard(now, from, message);
                 return self.settle(now);
             }
-            other => {
-                self.view.heard(now, from, slot, &other);
+            Body::Gossip => return self.settle(now),
+            Body::Probe(message) => {
+                self.view.heard(now, from, slot, &message);
                 return self.settle(now);
             }
         };
@@ -285,16 +290,16 @@
             return;
         }
         let first = self.from_order % all.len();
-        let some: Vec<SpreadOrder> =
+        let some: Vec<OverrideRecord> =
             all.iter().cycle().skip(first).take(ORDERS.min(all.len())).cloned().collect();
         self.from_order = first + some.len();
-        for two in some.chunks(MAX_ORDERS) {
-            self.push(to, Body::Orders(two.to_vec()), Vec::new());
+        for two in some.chunks(MAX_OVERRIDES) {
+            self.push(to, Body::Overrides(two.to_vec()), Vec::new());
         }
     }
 
-    fn push(&mut self, to: SocketAddr, body: Body, news: Vec<News>) {
-        let d = Datagram { fleet: self.fleet.clone(), me: self.view.me(), body, news };
+    fn push(&mut self, to: SocketAddr, body: Body, news: Vec<MemberUpdate>) {
+        let d = Datagram { fleet: self.fleet.clone(), sender: self.view.me(), body, updates: news };
         let bytes = d.to_bytes();
         // The new one is lost, as on any network: what waits may be an operator's order, which is told only once.
         if self.outputs.len() >= WAITING {
@@ -325,17 +330,7 @@
         }
         while let Some((slot, say)) = self.loans.next_say() {
             let Some(to) = self.view.address(slot) else { continue };
-            let body = match say {
-                Say::Want { seq, using, of_generation, volume, share } => {
-                    Body::Want { seq, using, of_generation, volume, share }
-                }
-                Say::Loan { answers, to_generation, seq, volume, share, term_ms } => {
-                    Body::Loan { answers, to_generation, seq, volume, share, term_ms }
-                }
-                Say::Offer { volume } => Body::Offer { volume },
-                Say::Recall { volume } => Body::Recall { volume },
-                Say::Returned { to_generation, volume } => Body::Returned { to_generation, volume },
-            };
+            let body = Body::Lease(say);
             let news = self.view.beside(Some(slot));
             self.push(to, body, news);
         }
@@ -366,7 +361,7 @@
         let there = self.alive();
         match change {
             Change::Health(slot, health) => {
-                format!("host {slot} {}: {there} hosts are there", format!("{health:?}").to_lowercase())
+                format!("host {slot} {health}: {there} hosts are there")
             }
             Change::Flaps(slot) => {
                 format!("host {slot} comes and goes: it is not asked for help until it stays; {there} hosts are there")
@@ -428,7 +423,7 @@
         let mut sends = Vec::new();
         while let Some((to, body, slot)) = self.view.next_send() {
             let body = match body {
-                Body::Digest { view, .. } => Body::Digest { view, orders },
+                Body::Digest { members: view, .. } => Body::Digest { members: view, overrides: orders },
                 other => other,
             };
             sends.push((to, body, slot));
@@ -484,7 +479,7 @@
     }
 
     /// An order that this host took itself, or had kept.
-    pub fn ordered(&mut self, now: Instant, order: SpreadOrder) {
+    pub fn ordered(&mut self, now: Instant, order: OverrideRecord) {
         self.spread.mine(now, order);
     }
 
@@ -501,7 +496,7 @@
     }
 
     /// This host's node list is at that version, and takes these away; news go to three others at once.
-    pub fn listed(&mut self, now: Instant, version: u64, stops: impl IntoIterator<Item = ListStop>) {
+    pub fn listed(&mut self, now: Instant, version: u64, stops: impl IntoIterator<Item = NodeRemoval>) {
         if self.lists.listed(version, stops) {
             let word = self.lists.word();
             for slot in self.view.pick(now, TOLD, None) {
--- a/crates/membership/src/papers.rs
+++ b/crates/membership/src/papers.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_wire::peer::{Body, MAX_PIECE};
+use tackmast_wire::peer::{Body, CatalogMessage, MAX_PIECE};
 
 /// Texts that are known, and bytes of one, at most. A host that takes changes refuses those beyond.
 pub const MAX_PAPERS: usize = 20_000;
@@ -89,7 +89,11 @@
     /// What this host says of itself.
     pub fn word(&self, now: Instant) -> Body {
         let left = ((self.ends - now).secs().max(0.0) * 1e3).ceil() as u32;
-        Body::Paper { number: self.newest.0, mark: self.newest.1, left_ms: left }
+        Body::Catalog(CatalogMessage::Version {
+            number: self.newest.0,
+            mark: self.newest.1,
+            remaining_ms: left,
+        })
     }
 
     /// How far each host is that said so, and this one.
@@ -116,16 +120,16 @@
         }
     }
 
-    pub fn heard(&mut self, now: Instant, from: SocketAddr, slot: u32, body: &Body) {
+    pub fn heard(&mut self, now: Instant, from: SocketAddr, slot: u32, message: &CatalogMessage) {
         if !self.on {
             return;
         }
-        match body {
-            Body::Paper { number, mark, left_ms } => {
+        match message {
+            CatalogMessage::Version { number, mark, remaining_ms } => {
                 if self.at.len() < MAX_HOSTS || self.at.contains_key(&slot) {
                     self.at.insert(slot, *number);
                 }
-                let ends = now + TimeDelta::from_secs(f64::from(*left_ms) / 1e3);
+                let ends = now + TimeDelta::from_secs(f64::from(*remaining_ms) / 1e3);
                 // The way of a message only makes the end look later.
                 self.heard = match self.heard {
                     (n, e) if n == *number => (n, e.min(ends)),
@@ -145,7 +149,7 @@
                     self.forked = Some((slot, *number));
                 }
             }
-            Body::PaperWant { number, piece } => {
+            CatalogMessage::ChunkRequest { number, piece } => {
                 let Some(text) = self.texts.get(number) else { return };
                 let pieces = text.len().div_ceil(MAX_PIECE).max(1);
                 let (first, pieces) = (usize::from(*piece) * MAX_PIECE, pieces as u16);
@@ -153,14 +157,18 @@
                     let bytes = text.slice(first..text.len().min(first + MAX_PIECE));
                     self.says.push_back((
                         from,
-                        Body::PaperPiece { number: *number, piece: *piece, pieces, bytes },
+                        Body::Catalog(CatalogMessage::Chunk {
+                            number: *number,
+                            piece: *piece,
+                            pieces,
+                            bytes,
+                        }),
                     ));
                 }
             }
-            Body::PaperPiece { number, piece, pieces, bytes } => {
+            CatalogMessage::Chunk { number, piece, pieces, bytes } => {
                 self.piece(now, from, *number, *piece, *pieces, bytes)
             }
-            _ => {}
         }
     }
 
@@ -178,7 +186,7 @@
             asked: now,
             tries: 0,
         });
-        self.says.push_back((from, Body::PaperWant { number, piece: f.next }));
+        self.says.push_back((from, Body::Catalog(CatalogMessage::ChunkRequest { number, piece: f.next })));
         self.fetch = Some(Fetch { asked: now, from, tries: 0, ..f });
     }
 
@@ -196,7 +204,10 @@
         }
         if let Some(f) = self.fetch.as_mut().filter(|_| due) {
             (f.asked, f.tries) = (now, f.tries + 1);
-            self.says.push_back((f.from, Body::PaperWant { number: f.number, piece: f.next }));
+            self.says.push_back((
+                f.from,
+                Body::Catalog(CatalogMessage::ChunkRequest { number: f.number, piece: f.next }),
+            ));
         }
     }
 
@@ -212,7 +223,9 @@
         f.got.extend_from_slice(bytes);
         (f.pieces, f.next, f.asked, f.tries) = (pieces, piece + 1, now, 0);
         if f.next < pieces {
-            return self.says.push_back((from, Body::PaperWant { number, piece: f.next }));
+            return self
+                .says
+                .push_back((from, Body::Catalog(CatalogMessage::ChunkRequest { number, piece: f.next })));
         }
         let text = std::mem::take(&mut f.got).freeze();
         self.came.push_back(Paper { number, text });
--- a/crates/membership/src/spread.rs
+++ b/crates/membership/src/spread.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_overrides::Origin as Name;
-use tackmast_wire::peer::SpreadOrder;
+use tackmast_wire::peer::OverrideRecord;
 
 /// Orders known at a time, ended ones included.
 const MAX: usize = 20_000;
@@ -20,7 +20,7 @@
 
 #[derive(Clone, Debug)]
 struct Known {
-    order: SpreadOrder,
+    order: OverrideRecord,
     ends: Instant,
     /// Whether this host was told to hold it, and of its clearing.
     told: bool,
@@ -29,7 +29,7 @@
 /// What the host is to do about an order that came from elsewhere.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Do {
-    Hold { name: Name, order: SpreadOrder, seconds: f64 },
+    Hold { name: Name, order: OverrideRecord, seconds: f64 },
     Clear { name: Name },
 }
 
@@ -40,14 +40,14 @@
     pub over_bound: u64,
 }
 
-fn name(o: &SpreadOrder) -> Name {
+fn name(o: &OverrideRecord) -> Name {
     Name { slot: o.slot, generation: o.generation, number: o.number }
 }
 
 impl Spread {
     /// An order of this host's own, or one that it had kept over a restart.
-    pub fn mine(&mut self, now: Instant, order: SpreadOrder) {
-        let ends = now + TimeDelta::from_secs(order.left_ms as f64 / 1e3);
+    pub fn mine(&mut self, now: Instant, order: OverrideRecord) {
+        let ends = now + TimeDelta::from_secs(order.remaining_ms as f64 / 1e3);
         self.known.entry(name(&order)).or_insert(Known { order, ends, told: true });
     }
 
@@ -59,8 +59,8 @@
     }
 
     /// One of another host's orders.
-    pub fn learn(&mut self, now: Instant, order: SpreadOrder) {
-        let (n, left) = (name(&order), order.left_ms as f64 / 1e3);
+    pub fn learn(&mut self, now: Instant, order: OverrideRecord) {
+        let (n, left) = (name(&order), order.remaining_ms as f64 / 1e3);
         // What has ended elsewhere ends here by its own time, if it is known; else it is none of this host's.
         if left < MIN_S {
             return;
@@ -95,7 +95,7 @@
 
     pub fn tick(&mut self, now: Instant) {
         self.known.retain(|_, k| {
-            let whole = k.order.whole_ms as f64 / 1e3;
+            let whole = k.order.total_ms as f64 / 1e3;
             now - k.ends < TimeDelta::from_secs(REMEMBER_S + REMEMBER_PART * whole)
         });
     }
@@ -115,9 +115,9 @@
     }
 
     /// All that has not ended, with the time that is left now.
-    pub fn all(&self, now: Instant) -> Vec<SpreadOrder> {
+    pub fn all(&self, now: Instant) -> Vec<OverrideRecord> {
         let left = |k: &Known| (k.ends - now).secs();
-        let one = |k: &Known| SpreadOrder { left_ms: (left(k) * 1e3) as u64, ..k.order.clone() };
+        let one = |k: &Known| OverrideRecord { remaining_ms: (left(k) * 1e3) as u64, ..k.order.clone() };
         self.known.values().filter(|k| left(k) > MIN_S).map(one).collect()
     }
 
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -19,7 +19,7 @@
 use std::net::SocketAddr;
 use table::Table;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_wire::peer::{Body, Health, News, MAX_NEWS};
+use tackmast_wire::peer::{Body, Health, MemberUpdate, ProbeMessage, MAX_UPDATES};
 use tell::Tellings;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -196,7 +196,7 @@
     pub found_dead: u64,
     /// Times that this host was accused, and answered.
     pub accused: u64,
-    /// News of hosts beyond the told number, or of generations and incarnations that none has.
+    /// MemberUpdate of hosts beyond the told number, or of generations and incarnations that none has.
     pub beyond: u64,
     /// Times that this host stood still for more than a period.
     pub pauses: u64,
@@ -221,7 +221,7 @@
 }
 
 pub struct View {
-    me: News,
+    me: MemberUpdate,
     settings: ViewSettings,
     seeds: Vec<SocketAddr>,
     /// Addresses that an earlier generation knew, still to be called, and how often each was.
@@ -264,7 +264,7 @@
 impl View {
     pub fn new(
         now: Instant,
-        me: News,
+        me: MemberUpdate,
         seeds: Vec<SocketAddr>,
         recalled: Vec<(u32, SocketAddr)>,
         settings: ViewSettings,
@@ -322,7 +322,10 @@
         if fault == ViewFault::TrustsDisk {
             for (slot, generation, address) in recalled.iter().copied() {
                 let (incarnation, health, site, by) = (0, Health::Alive, None, None);
-                self.learn(now, News { slot, generation, incarnation, health, address, site, by });
+                self.learn(
+                    now,
+                    MemberUpdate { slot, generation, incarnation, health, address, site, suspected_by: by },
+                );
             }
         }
         self
@@ -341,7 +344,7 @@
         OrdMap::clone(&self.seen)
     }
 
-    pub fn me(&self) -> News {
+    pub fn me(&self) -> MemberUpdate {
         self.me
     }
 
@@ -444,30 +447,30 @@
     }
 
     /// All that is known, in pieces of one datagram.
-    pub fn all_news(&self) -> Vec<Vec<News>> {
-        let all: Vec<News> = self
+    pub fn all_news(&self) -> Vec<Vec<MemberUpdate>> {
+        let all: Vec<MemberUpdate> = self
             .seen
             .iter()
             .filter(|(_, s)| !s.alone)
             .filter_map(|(k, _)| self.news_of(*k))
             .chain([self.me])
             .collect();
-        all.chunks(MAX_NEWS).map(<[News]>::to_vec).collect()
+        all.chunks(MAX_UPDATES).map(<[MemberUpdate]>::to_vec).collect()
     }
 
-    fn news_of(&self, slot: u32) -> Option<News> {
+    fn news_of(&self, slot: u32) -> Option<MemberUpdate> {
         if slot == self.me.slot {
             return Some(self.me);
         }
         let s = self.seen.get(&slot)?;
-        Some(News {
+        Some(MemberUpdate {
             slot,
             generation: s.generation,
             incarnation: s.incarnation,
             health: s.health,
             address: s.address,
             site: s.site,
-            by: if s.health == Health::Suspect { s.by.last().copied() } else { None },
+            suspected_by: if s.health == Health::Suspect { s.by.last().copied() } else { None },
         })
     }
 
@@ -492,7 +495,7 @@
         let tells = accused && due && self.settings.ways.told_back;
         if tells {
             let address = s.address;
-            self.sends.push_back((address, Body::Tell, Some(slot)));
+            self.sends.push_back((address, Body::Gossip, Some(slot)));
         }
         let told_back = if tells { Some(now) } else { s.told_back };
         self.put(slot, Seen { heard: Some(now), told_back, ..s });
--- a/crates/membership/src/view/call.rs
+++ b/crates/membership/src/view/call.rs
@@ -34,7 +34,7 @@
     fn call(&mut self, a: SocketAddr) {
         if a != self.me.address {
             let seq = self.next_seq();
-            self.sends.push_back((a, Body::Ping { seq }, None));
+            self.sends.push_back((a, Body::Probe(ProbeMessage::Ping { seq }), None));
             self.send_digest(Some(a), None);
         }
     }
@@ -98,7 +98,7 @@
     }
 
     /// A datagram under this host's own number came from there.
-    pub fn heard_namesake(&mut self, now: Instant, n: News, from: SocketAddr) {
+    pub fn heard_namesake(&mut self, now: Instant, n: MemberUpdate, from: SocketAddr) {
         if n.generation > self.me.generation {
             self.displaced_by(now, n.generation, n.address);
             if let Some(t) = &mut self.twin {
@@ -106,7 +106,7 @@
             }
         } else if n.generation < self.me.generation && self.settings.ways.twin {
             // An earlier generation that runs still, or again: it is told that it is not alone.
-            self.sends.push_back((from, Body::Tell, None));
+            self.sends.push_back((from, Body::Gossip, None));
         }
     }
 
--- a/crates/membership/src/view/learn.rs
+++ b/crates/membership/src/view/learn.rs
@@ -5,7 +5,7 @@
 impl View {
     /// Takes in what a peer said of hosts; later generations, then later incarnations, then worse health win. What is as good
     /// as what is known changes nothing but who shares a suspicion.
-    pub fn learn(&mut self, now: Instant, n: News) {
+    pub fn learn(&mut self, now: Instant, n: MemberUpdate) {
         // Against a word that no host could answer by a later one, and numbers that would fill the table.
         if n.incarnation > INCARNATIONS || n.generation > GENERATIONS || n.slot as usize >= self.settings.most
         {
@@ -41,7 +41,7 @@
                 return self.tell(n.slot);
             }
             if known == said && n.health == Health::Suspect {
-                self.confirm(n.slot, n.by);
+                self.confirm(n.slot, n.suspected_by);
             }
             return;
         }
@@ -58,7 +58,7 @@
     }
 
     /// What is newer than what was known.
-    fn take(&mut self, now: Instant, n: News, before: Option<&Seen>) {
+    fn take(&mut self, now: Instant, n: MemberUpdate, before: Option<&Seen>) {
         let was = before.map(|s| s.health);
         let new_generation = before.is_none_or(|s| s.generation != n.generation);
         if was == Some(Health::Suspect) && n.health == Health::Alive {
@@ -90,7 +90,7 @@
             address: before.map_or(n.address, |s| first(s.address)),
             site: if self.has(ViewFault::OldSiteWins) { before.map_or(n.site, |s| s.site) } else { n.site },
             since: now,
-            by: n.by.filter(|_| n.health == Health::Suspect).into_iter().collect(),
+            by: n.suspected_by.filter(|_| n.health == Health::Suspect).into_iter().collect(),
             heard: before.filter(|_| !new_generation).and_then(|s| s.heard),
             lost,
             stirs,
@@ -121,7 +121,7 @@
         }
     }
 
-    pub(super) fn died(&mut self, now: Instant, n: &News, own: bool) {
+    pub(super) fn died(&mut self, now: Instant, n: &MemberUpdate, own: bool) {
         self.counters.dead += 1;
         self.counters.found_dead += u64::from(own);
         if self.deaths.len() >= DEATHS {
@@ -131,7 +131,7 @@
         self.deaths.push_back(Death { slot, generation, incarnation, at: now, own });
     }
 
-    fn learn_of_me(&mut self, now: Instant, n: News) {
+    fn learn_of_me(&mut self, now: Instant, n: MemberUpdate) {
         if n.generation > self.me.generation {
             return self.displaced_by(now, n.generation, n.address);
         }
--- a/crates/membership/src/view/probe.rs
+++ b/crates/membership/src/view/probe.rs
@@ -55,25 +55,31 @@
 }
 
 impl View {
-    pub fn heard(&mut self, now: Instant, from: SocketAddr, slot: u32, body: &Body) {
-        match body {
-            Body::Ping { seq } => self.sends.push_back((from, Body::Ack { seq: *seq }, Some(slot))),
-            Body::Ack { seq } => {
+    pub fn heard(&mut self, now: Instant, from: SocketAddr, slot: u32, message: &ProbeMessage) {
+        match message {
+            ProbeMessage::Ping { seq } => {
+                self.sends.push_back((from, Body::Probe(ProbeMessage::Ack { seq: *seq }), Some(slot)))
+            }
+            ProbeMessage::Ack { seq } => {
                 self.answer(now, *seq, slot);
                 let of = |r: &Relay| r.seq == *seq && r.about == slot;
                 if let Some(r) = self.relays.iter().position(of).and_then(|i| self.relays.remove(i)) {
-                    self.sends.push_back((r.asker, Body::Vouch { seq: r.theirs, slot: r.about }, None));
+                    self.sends.push_back((
+                        r.asker,
+                        Body::Probe(ProbeMessage::IndirectAck { seq: r.theirs, slot: r.about }),
+                        None,
+                    ));
                 }
             }
-            Body::Vouch { seq, slot: about } => self.answer(now, *seq, *about),
-            Body::Nay { seq, slot: about } => {
+            ProbeMessage::IndirectAck { seq, slot: about } => self.answer(now, *seq, *about),
+            ProbeMessage::Nack { seq, slot: about } => {
                 let of = |p: &&mut Probe| p.seq == *seq && p.slot == *about;
                 if let Some(p) = self.probes.iter_mut().find(of) {
                     p.nays += 1;
                     self.answered = now;
                 }
             }
-            Body::PingFor { seq, slot: about } => {
+            ProbeMessage::PingRequest { seq, slot: about } => {
                 let Some(address) = self.address(*about) else { return };
                 let mine = self.next_seq();
                 if self.relays.len() >= RELAYS {
@@ -81,9 +87,8 @@
                 }
                 let until = now + self.periods(DIRECT);
                 self.relays.push_back(Relay { seq: mine, asker: from, theirs: *seq, about: *about, until });
-                self.sends.push_back((address, Body::Ping { seq: mine }, Some(*about)));
+                self.sends.push_back((address, Body::Probe(ProbeMessage::Ping { seq: mine }), Some(*about)));
             }
-            _ => {}
         }
     }
 
@@ -190,7 +195,11 @@
         while let Some(i) = self.relays.iter().position(|r| now >= r.until) {
             let Some(r) = self.relays.remove(i) else { break };
             if self.settings.ways.local_health {
-                self.sends.push_back((r.asker, Body::Nay { seq: r.theirs, slot: r.about }, None));
+                self.sends.push_back((
+                    r.asker,
+                    Body::Probe(ProbeMessage::Nack { seq: r.theirs, slot: r.about }),
+                    None,
+                ));
             }
         }
         let mut i = 0;
@@ -205,7 +214,7 @@
                 let helpers = self.pick(now, HELPERS, Some(p.slot));
                 for helper in &helpers {
                     if let Some(a) = self.address(*helper) {
-                        let body = Body::PingFor { seq: p.seq, slot: p.slot };
+                        let body = Body::Probe(ProbeMessage::PingRequest { seq: p.seq, slot: p.slot });
                         self.sends.push_back((a, body, Some(*helper)));
                     }
                 }
@@ -284,7 +293,7 @@
             until,
             nays: 0,
         });
-        self.sends.push_back((address, Body::Ping { seq }, Some(slot)));
+        self.sends.push_back((address, Body::Probe(ProbeMessage::Ping { seq }), Some(slot)));
     }
 
     /// This host finds that one does not answer.
@@ -359,7 +368,7 @@
             let (Some(s), Some(mut n)) = (self.seen.get(&slot).cloned(), self.news_of(slot)) else {
                 continue;
             };
-            (n.health, n.by) = (Health::Dead, None);
+            (n.health, n.suspected_by) = (Health::Dead, None);
             self.died(now, &n, true);
             let flaps = self.flaps(now, &s);
             if self.has(ViewFault::ForgetsDead) {
--- a/crates/membership/src/view/tell.rs
+++ b/crates/membership/src/view/tell.rs
@@ -1,4 +1,4 @@
-//! News that go along with other messages, each told some times the logarithm of how many are there.
+//! MemberUpdate that go along with other messages, each told some times the logarithm of how many are there.
 
 use super::*;
 use std::cmp::Reverse;
@@ -55,7 +55,7 @@
 impl View {
     /// What goes along with any message: what was told least often first. Who is suspected or held dead hears that
     /// before all else.
-    pub fn beside(&mut self, to: Option<u32>) -> Vec<News> {
+    pub fn beside(&mut self, to: Option<u32>) -> Vec<MemberUpdate> {
         let accused = to.and_then(|s| self.seen.get(&s)).filter(|s| s.health != Health::Alive);
         let buddy = accused.and(to).filter(|_| self.settings.ways.told_back);
         let mut slots: Vec<u32> = buddy.into_iter().collect();
@@ -69,14 +69,14 @@
         self.tellings.tell(slot, left);
     }
 
-    /// News alone to a few, at once.
+    /// MemberUpdate alone to a few, at once.
     pub(super) fn say_to_some(&mut self) {
         let mut all = self.live().to_vec();
         for _ in 0..SOME.min(all.len()) {
             let i = self.chance.rand_range(0..all.len() as u64) as usize;
             let slot = all.swap_remove(i);
             if let Some(a) = self.address(slot) {
-                self.sends.push_back((a, Body::Tell, Some(slot)));
+                self.sends.push_back((a, Body::Gossip, Some(slot)));
             }
         }
     }
@@ -84,7 +84,7 @@
     pub(super) fn send_digest(&mut self, to: Option<SocketAddr>, slot: Option<u32>) {
         if let Some(a) = to {
             let (view, orders) = (self.digest(), 0);
-            self.sends.push_back((a, Body::Digest { view, orders }, slot));
+            self.sends.push_back((a, Body::Digest { members: view, overrides: orders }, slot));
         }
     }
 }
--- a/crates/membership/tests/decision_hash.rs
+++ b/crates/membership/tests/decision_hash.rs
@@ -59,16 +59,16 @@
 
     /// The bytes that a message has on the wire.
     fn body(&mut self, body: Body) {
-        let me = News {
+        let me = MemberUpdate {
             slot: 0,
             generation: 0,
             incarnation: 0,
             health: Health::Alive,
             address: address(0),
             site: None,
-            by: None,
+            suspected_by: None,
         };
-        let datagram = Datagram { fleet: String::new(), me, body, news: Vec::new() };
+        let datagram = Datagram { fleet: String::new(), sender: me, body, updates: Vec::new() };
         self.bytes(&datagram.to_bytes());
     }
 
@@ -237,7 +237,7 @@
             Output::Do(Do::Hold { name, order, seconds }) => {
                 self.hash.number(3);
                 self.hash.order_name(&name);
-                self.hash.body(Body::Orders(vec![order]));
+                self.hash.body(Body::Overrides(vec![order]));
                 self.hash.real(seconds);
                 self.totals.orders_held += 1;
             }
@@ -459,7 +459,7 @@
         if self.chance(0.1) {
             let to = address(self.random_host());
             let bytes = Bytes::from(self.sent.to_be_bytes().to_vec());
-            self.input(host, |member, _| member.post(to, Body::Agree { bytes }));
+            self.input(host, |member, _| member.post(to, Body::Consensus { bytes }));
         }
     }
 
@@ -469,9 +469,9 @@
         }
         self.order_number += 1;
         let (number, generation) = (self.order_number, self.hosts[host as usize].generation);
-        let left_ms = 2_000 + self.random.rand_range(0..30_000);
-        let kinds = [OrderKind::Out, OrderKind::Pinned, OrderKind::Weight(0.25)];
-        let order = SpreadOrder {
+        let remaining_ms = 2_000 + self.random.rand_range(0..30_000);
+        let kinds = [OverrideKind::Out, OverrideKind::Pinned, OverrideKind::Weight(0.25)];
+        let order = OverrideRecord {
             slot: host,
             generation,
             number,
@@ -479,8 +479,8 @@
             target: format!("zone:{}", number % 3),
             reason: "maintenance".into(),
             who: "operator".into(),
-            left_ms,
-            whole_ms: left_ms,
+            remaining_ms,
+            total_ms: remaining_ms,
             cleared: false,
         };
         self.host(host).orders.push(Origin { slot: host, generation, number });
@@ -507,8 +507,8 @@
     fn take_list(&mut self, host: u32) {
         self.list_version += 1;
         let version = if self.chance(0.1) { self.list_version / 2 } else { self.list_version };
-        let stop = |i: u64| ListStop { address: format!("10.1.0.{i}:3260"), gone: i.is_multiple_of(2) };
-        let stops: Vec<ListStop> = (0..version % 25).map(stop).collect();
+        let stop = |i: u64| NodeRemoval { address: format!("10.1.0.{i}:3260"), gone: i.is_multiple_of(2) };
+        let stops: Vec<NodeRemoval> = (0..version % 25).map(stop).collect();
         self.input(host, |member, now| member.listed(now, version, stops));
     }
 
--- a/crates/membership/tests/member.rs
+++ b/crates/membership/tests/member.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_membership::*;
-use tackmast_wire::peer::Body;
+use tackmast_wire::peer::{Body, CatalogMessage, LeaseMessage, ProbeMessage};
 
 fn address(h: u32) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, h as u8], 7000))
@@ -37,12 +37,26 @@
     }
 }
 
-fn datagram(slot: u32, generation: u64, body: Body, news: Vec<News>) -> Bytes {
-    Datagram { fleet: "f".into(), me: self::news(slot, generation, 0, Health::Alive), body, news }.to_bytes()
+fn datagram(slot: u32, generation: u64, body: Body, news: Vec<MemberUpdate>) -> Bytes {
+    Datagram {
+        fleet: "f".into(),
+        sender: self::news(slot, generation, 0, Health::Alive),
+        body,
+        updates: news,
+    }
+    .to_bytes()
 }
 
-fn news(slot: u32, generation: u64, incarnation: u32, health: Health) -> News {
-    News { slot, generation, incarnation, health, address: address(slot), site: Some(slot % 2), by: None }
+fn news(slot: u32, generation: u64, incarnation: u32, health: Health) -> MemberUpdate {
+    MemberUpdate {
+        slot,
+        generation,
+        incarnation,
+        health,
+        address: address(slot),
+        site: Some(slot % 2),
+        suspected_by: None,
+    }
 }
 
 #[test]
@@ -93,10 +107,10 @@
 fn what_is_false_of_this_host_is_answered_and_a_later_generation_displaces_it() {
     let mut m = member(5);
     let now = Instant::from_secs(11.0);
-    m.datagram(now, address(1), datagram(1, 9, Body::Tell, vec![news(0, 5, 3, Health::Dead)]));
+    m.datagram(now, address(1), datagram(1, 9, Body::Gossip, vec![news(0, 5, 3, Health::Dead)]));
     assert_eq!((m.view.me().incarnation, m.view.is_displaced()), (4, false));
     assert_eq!(m.moved(Instant::from_secs(20.0), 1).unwrap().lent, 0.0);
-    m.datagram(now, address(1), datagram(1, 9, Body::Tell, vec![news(0, 6, 0, Health::Alive)]));
+    m.datagram(now, address(1), datagram(1, 9, Body::Gossip, vec![news(0, 6, 0, Health::Alive)]));
     assert!(m.view.is_displaced());
     let moved = m.moved(Instant::from_secs(20.0), 1).unwrap();
     assert!((moved.lent - 0.3).abs() < 1e-9 && moved.borrowed == 0.0, "{moved:?}");
@@ -114,15 +128,28 @@
         let share = c.rand_float() as f32;
         let x = c.rand_range(0..60) as u32;
         let body = match c.rand_range(0..9) {
-            0 => Body::Ping { seq: x },
-            1 => Body::PingFor { seq: x, slot: x % 8 },
-            2 => Body::Ack { seq: x },
-            3 => Body::Digest { view: x, orders: x },
-            4 => Body::Want { seq: x, using: x, of_generation: 5, volume: 1, share },
-            5 => Body::Loan { answers: x, to_generation: 5, seq: x, volume: 1, share, term_ms: u32::MAX },
-            6 => Body::Offer { volume: 1 },
-            7 => Body::Recall { volume: 1 },
-            _ => Body::Returned { to_generation: 5, volume: 1 },
+            0 => Body::Probe(ProbeMessage::Ping { seq: x }),
+            1 => Body::Probe(ProbeMessage::PingRequest { seq: x, slot: x % 8 }),
+            2 => Body::Probe(ProbeMessage::Ack { seq: x }),
+            3 => Body::Digest { members: x, overrides: x },
+            4 => Body::Lease(LeaseMessage::Request {
+                seq: x,
+                active_seq: x,
+                lender_generation: 5,
+                volume: 1,
+                share,
+            }),
+            5 => Body::Lease(LeaseMessage::Grant {
+                request_seq: x,
+                recipient_generation: 5,
+                seq: x,
+                volume: 1,
+                share,
+                term_ms: u32::MAX,
+            }),
+            6 => Body::Lease(LeaseMessage::Offer { volume: 1 }),
+            7 => Body::Lease(LeaseMessage::Recall { volume: 1 }),
+            _ => Body::Lease(LeaseMessage::Returned { recipient_generation: 5, volume: 1 }),
         };
         let said = vec![news(c.rand_range(0..40) as u32, generation, x, Health::Alive)];
         let mut bytes = datagram(slot, generation, body, said).to_vec();
@@ -149,16 +176,16 @@
 
 #[test]
 fn an_order_that_was_cleared_or_has_ended_never_comes_back() {
-    let order = |left_ms, cleared| SpreadOrder {
+    let order = |remaining_ms, cleared| OverrideRecord {
         slot: 1,
         generation: 1,
         number: 7,
-        kind: OrderKind::Out,
+        kind: OverrideKind::Out,
         target: "zone:1".into(),
         reason: "r".into(),
         who: "w".into(),
-        left_ms,
-        whole_ms: 60_000,
+        remaining_ms,
+        total_ms: 60_000,
         cleared,
     };
     // What is learned and when; how often the host is told to hold it, and to let it go.
@@ -193,8 +220,8 @@
     let mut m = member(5);
     let t = Instant::from_secs(11.0);
     let (target, reason, who) = ("zone:1".into(), "r".into(), "w".into());
-    let (kind, left_ms, whole_ms) = (OrderKind::Out, 60_000, 60_000);
-    let order = SpreadOrder {
+    let (kind, remaining_ms, total_ms) = (OverrideKind::Out, 60_000, 60_000);
+    let order = OverrideRecord {
         slot: 1,
         generation: 1,
         number: 7,
@@ -202,13 +229,13 @@
         target,
         reason,
         who,
-        left_ms,
-        whole_ms,
+        remaining_ms,
+        total_ms,
         cleared: false,
     };
-    m.datagram(t, address(1), datagram(1, 1, Body::Orders(vec![order]), vec![]));
+    m.datagram(t, address(1), datagram(1, 1, Body::Overrides(vec![order]), vec![]));
     for seq in 0..6_000 {
-        m.datagram(t, address(1), datagram(1, 1, Body::Ping { seq }, vec![]));
+        m.datagram(t, address(1), datagram(1, 1, Body::Probe(ProbeMessage::Ping { seq }), vec![]));
     }
     let all: Vec<Output> = std::iter::from_fn(|| m.next_output()).collect();
     assert!(all.iter().any(|o| matches!(o, Output::Do(Do::Hold { .. }))), "it is told once, and not lost");
@@ -220,7 +247,7 @@
     let mut m = member(5);
     m.papers.begin((0, 0), []);
     let at = |s: f64| Instant::from_secs(10.0 + s);
-    let word = |number| Body::Paper { number, mark: number, left_ms: 5000 };
+    let word = |number| Body::Catalog(CatalogMessage::Version { number, mark: number, remaining_ms: 5000 });
     m.datagram(at(0.0), address(1), datagram(1, 1, word(u64::MAX), vec![]));
     assert_eq!((m.papers.behind(), m.papers.is_up_to_date()), (Some(u64::MAX), false));
     (1..40).for_each(|i| m.tick(at(f64::from(i) * 0.1)));
@@ -228,13 +255,15 @@
 
     // A real one, of three pieces; between them come pieces that were not asked for, or of others, and doubled ones.
     let text: Vec<u8> = (0..3000u32).map(|i| i as u8).collect();
-    let piece = |i: u16| Body::PaperPiece {
-        number: 1,
-        piece: i,
-        pieces: 3,
-        bytes: Bytes::copy_from_slice(
-            &text[usize::from(i) * 1200..text.len().min(usize::from(i + 1) * 1200)],
-        ),
+    let piece = |i: u16| {
+        Body::Catalog(CatalogMessage::Chunk {
+            number: 1,
+            piece: i,
+            pieces: 3,
+            bytes: Bytes::copy_from_slice(
+                &text[usize::from(i) * 1200..text.len().min(usize::from(i + 1) * 1200)],
+            ),
+        })
     };
     m.datagram(at(5.0), address(1), datagram(1, 1, word(1), vec![]));
     for (from, i) in [(1, 2), (2, 0), (1, 0), (1, 0), (2, 1), (1, 1), (1, 1), (1, 2), (1, 2)] {
@@ -253,7 +282,7 @@
     m.datagram(at(6.0), address(1), datagram(1, 1, word(2), vec![]));
     for i in 0..1000u16 {
         let bytes = Bytes::from(vec![0; 1200]);
-        let body = Body::PaperPiece { number: 2, piece: i, pieces: u16::MAX, bytes };
+        let body = Body::Catalog(CatalogMessage::Chunk { number: 2, piece: i, pieces: u16::MAX, bytes });
         m.datagram(at(6.0), address(1), datagram(1, 1, body, vec![]));
     }
     assert_eq!(m.papers.spoilt, 1);
--- a/crates/membership/tests/terms.rs
+++ b/crates/membership/tests/terms.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_membership::{LoanSettings, Loans, Say, Shared, TermFault};
+use tackmast_membership::{LeaseMessage, LoanSettings, Loans, Shared, TermFault};
 
 const TERM: f64 = 1.0;
 const LEAVE: f64 = 3.0;
@@ -30,7 +30,7 @@
     from: u32,
     generation: u64,
     to: u32,
-    say: Say,
+    say: LeaseMessage,
 }
 
 #[derive(Clone)]
@@ -314,13 +314,26 @@
         let (from, generation) = (c.rand_range(0..5) as u32, c.rand_range(0..3));
         let (x, y) = (c.rand_range(0..40) as u32, c.rand_range(0..40) as u32);
         let share = c.rand_float() as f32;
-        let to_generation = if c.rand_float() < 0.8 { 9 } else { 3 };
+        let recipient_generation = if c.rand_float() < 0.8 { 9 } else { 3 };
         let volume = c.rand_range(0..3) as u32;
         let say = match c.rand_range(0..5) {
-            0 => Say::Want { seq: x, using: y, of_generation: to_generation, volume, share },
-            1 | 2 => Say::Loan { answers: x, to_generation, seq: y, volume, share, term_ms: u32::MAX },
-            3 => Say::Recall { volume },
-            _ => Say::Returned { to_generation, volume },
+            0 => LeaseMessage::Request {
+                seq: x,
+                active_seq: y,
+                lender_generation: recipient_generation,
+                volume,
+                share,
+            },
+            1 | 2 => LeaseMessage::Grant {
+                request_seq: x,
+                recipient_generation,
+                seq: y,
+                volume,
+                share,
+                term_ms: u32::MAX,
+            },
+            3 => LeaseMessage::Recall { volume },
+            _ => LeaseMessage::Returned { recipient_generation, volume },
         };
         l.heard(t, from, generation, say);
         let m = l.moved(t, 1).unwrap();
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -3,14 +3,22 @@
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_membership::*;
-use tackmast_wire::peer::Body;
+use tackmast_wire::peer::{Body, ProbeMessage};
 
 fn address(h: u32) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, h as u8], 7000))
 }
 
-fn news(slot: u32, generation: u64, incarnation: u32, health: Health) -> News {
-    News { slot, generation, incarnation, health, address: address(slot), site: Some(slot % 3), by: None }
+fn news(slot: u32, generation: u64, incarnation: u32, health: Health) -> MemberUpdate {
+    MemberUpdate {
+        slot,
+        generation,
+        incarnation,
+        health,
+        address: address(slot),
+        site: Some(slot % 3),
+        suspected_by: None,
+    }
 }
 
 fn at(periods: f64) -> Instant {
@@ -37,11 +45,13 @@
         for (a, body, _) in sends {
             let Some(h) = answers.iter().copied().find(|h| address(*h) == a) else { continue };
             match body {
-                Body::Ping { seq } => v.heard(at(t), a, h, &Body::Ack { seq }),
-                Body::PingFor { seq, slot } if !answers.contains(&slot) => {
-                    v.heard(at(t), a, h, &Body::Nay { seq, slot })
+                Body::Probe(ProbeMessage::Ping { seq }) => v.heard(at(t), a, h, &ProbeMessage::Ack { seq }),
+                Body::Probe(ProbeMessage::PingRequest { seq, slot }) if !answers.contains(&slot) => {
+                    v.heard(at(t), a, h, &ProbeMessage::Nack { seq, slot })
+                }
+                Body::Probe(ProbeMessage::PingRequest { seq, slot }) => {
+                    v.heard(at(t), a, h, &ProbeMessage::IndirectAck { seq, slot })
                 }
-                Body::PingFor { seq, slot } => v.heard(at(t), a, h, &Body::Vouch { seq, slot }),
                 _ => {}
             }
         }
@@ -131,8 +141,9 @@
     let mut pinged = false;
     for t in 200..400 {
         v.tick(at(f64::from(t) / 10.0));
-        let to_it =
-            |(a, b, _): (SocketAddr, Body, Option<u32>)| a == address(1) && matches!(b, Body::Ping { .. });
+        let to_it = |(a, b, _): (SocketAddr, Body, Option<u32>)| {
+            a == address(1) && matches!(b, Body::Probe(ProbeMessage::Ping { .. }))
+        };
         pinged |= std::iter::from_fn(|| v.next_send()).any(to_it);
     }
     assert!(pinged, "never shut out");
@@ -146,7 +157,7 @@
     while v.next_send().is_some() {}
     v.heard_from(at(1.5), 2, 10);
     let (to, body, about) = v.next_send().expect("a word to the accused");
-    assert_eq!((to, body, about), (address(2), Body::Tell, Some(2)));
+    assert_eq!((to, body, about), (address(2), Body::Gossip, Some(2)));
     assert!(v.beside(Some(2)).iter().any(|n| n.slot == 2 && n.health == Health::Suspect));
     // This host is accused itself: its answer goes to a few at once.
     v.learn(at(2.0), news(0, 50, 4, Health::Suspect));
@@ -201,7 +212,7 @@
     for (name, falls, word) in cases {
         let mut v = view(9, Ways::all());
         for (h, t, health) in *falls {
-            v.learn(at(*t), News { by: Some(2), ..news(*h, 10, 0, *health) });
+            v.learn(at(*t), MemberUpdate { suspected_by: Some(2), ..news(*h, 10, 0, *health) });
         }
         let site = v.sites().into_iter().find(|s| s.site == Some(1)).unwrap();
         assert_eq!(site.word, *word, "{name}: {site:?}");
@@ -221,7 +232,7 @@
     ];
     for (name, a, speaks, expected) in cases {
         let mut v = view(3, Ways::all());
-        let later = News { address: a, ..news(0, 60, 0, Health::Alive) };
+        let later = MemberUpdate { address: a, ..news(0, 60, 0, Health::Alive) };
         v.learn(at(1.0), later);
         assert!(v.is_displaced(), "{name}");
         let mut taken = None;
@@ -258,9 +269,11 @@
             let t = 1.5 + f64::from(i) * 0.1;
             v.tick(at(t));
             while let Some((a, body, _)) = v.next_send() {
-                if let (Body::Ping { seq }, Some(h)) = (&body, all.iter().find(|h| address(**h) == a)) {
+                if let (Body::Probe(ProbeMessage::Ping { seq }), Some(h)) =
+                    (&body, all.iter().find(|h| address(**h) == a))
+                {
                     seen.insert(*h);
-                    v.heard(at(t), a, *h, &Body::Ack { seq: *seq });
+                    v.heard(at(t), a, *h, &ProbeMessage::Ack { seq: *seq });
                 }
             }
             all.iter().for_each(|h| v.heard_from(at(t), *h, 10));
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -7,7 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_membership::{
-    Do, Health, LoanSettings, Member, MemberSettings, OrderKind, Output, SpreadOrder, ViewSettings, Ways,
+    Do, Health, LoanSettings, Member, MemberSettings, Output, OverrideKind, OverrideRecord, ViewSettings,
+    Ways,
 };
 
 type Us = u64;
@@ -214,19 +215,19 @@
     }
 
     fn order(&mut self, h: u32, number: u64, seconds: f64) {
-        let left_ms = (seconds * 1e3) as u64;
+        let remaining_ms = (seconds * 1e3) as u64;
         let (reason, who) = ("drawn".into(), "lab".into());
         let generation = self.members.get(&h).map_or(0, |m| m.view.me().generation);
-        let order = SpreadOrder {
+        let order = OverrideRecord {
             slot: h,
             generation,
             number,
-            kind: OrderKind::Out,
+            kind: OverrideKind::Out,
             target: "zone:1".into(),
             reason,
             who,
-            left_ms,
-            whole_ms: left_ms,
+            remaining_ms,
+            total_ms: remaining_ms,
             cleared: false,
         };
         let now = at(self.now);
--- a/crates/wire/tests/golden_bytes.rs
+++ b/crates/wire/tests/golden_bytes.rs
@@ -5,7 +5,10 @@
 use bytes::{Bytes, BytesMut};
 use std::fmt::Debug;
 use tackmast_wire::agree::{Entry, Mark, Origin, Voters, What, Word};
-use tackmast_wire::peer::{Body, Datagram, Health, ListStop, News, OrderKind, SpreadOrder};
+use tackmast_wire::peer::{
+    Body, CatalogMessage, Datagram, Health, LeaseMessage, MemberUpdate, NodeListMessage, NodeRemoval,
+    OverrideKind, OverrideRecord, ProbeMessage,
+};
 use tackmast_wire::{iscsi, list, nbd, node, scsi, WireError};
 
 fn to_hex(bytes: &[u8]) -> String {
@@ -42,29 +45,36 @@
     }
 }
 
-fn alive_host() -> News {
-    News {
+fn alive_host() -> MemberUpdate {
+    MemberUpdate {
         slot: 3,
         generation: 0x0102_0304_0506_0708,
         incarnation: 9,
         health: Health::Alive,
         address: "10.1.2.3:7946".parse().unwrap(),
         site: Some(2),
-        by: None,
+        suspected_by: None,
     }
 }
 
-fn other_hosts() -> Vec<News> {
+fn other_hosts() -> Vec<MemberUpdate> {
     let address = "[fd00::1:2]:9".parse().unwrap();
-    let suspect = News { slot: 4, health: Health::Suspect, address, site: None, by: Some(3), ..alive_host() };
-    let suspect_by_none = News { slot: 5, by: None, ..suspect };
-    let dead = News { slot: 6, health: Health::Dead, ..alive_host() };
-    let left = News { slot: 7, health: Health::Left, ..alive_host() };
+    let suspect = MemberUpdate {
+        slot: 4,
+        health: Health::Suspect,
+        address,
+        site: None,
+        suspected_by: Some(3),
+        ..alive_host()
+    };
+    let suspect_by_none = MemberUpdate { slot: 5, suspected_by: None, ..suspect };
+    let dead = MemberUpdate { slot: 6, health: Health::Dead, ..alive_host() };
+    let left = MemberUpdate { slot: 7, health: Health::Left, ..alive_host() };
     vec![suspect, suspect_by_none, dead, left]
 }
 
-fn order(kind: OrderKind, cleared: bool) -> SpreadOrder {
-    SpreadOrder {
+fn order(kind: OverrideKind, cleared: bool) -> OverrideRecord {
+    OverrideRecord {
         slot: 1,
         generation: 2,
         number: 3,
@@ -72,8 +82,8 @@
         target: "zone:1".into(),
         reason: "maintenance".into(),
         who: "operator".into(),
-        left_ms: 40_000,
-        whole_ms: 50_000,
+        remaining_ms: 40_000,
+        total_ms: 50_000,
         cleared,
     }
 }
@@ -81,12 +91,12 @@
 #[test]
 fn peer_datagrams() {
     let bytes = Bytes::from_static(b"piece");
-    let stop = |address: &str, gone| ListStop { address: address.into(), gone };
+    let stop = |address: &str, gone| NodeRemoval { address: address.into(), gone };
     let stops = vec![stop("10.0.0.1:3260", true), stop("10.0.0.2:3260", false)];
-    let cases: Vec<(&str, Body, Vec<News>, &str)> = vec![
+    let cases: Vec<(&str, Body, Vec<MemberUpdate>, &str)> = vec![
         (
             "ping",
-            Body::Ping { seq: 0x0a0b_0c0d },
+            Body::Probe(ProbeMessage::Ping { seq: 0x0a0b_0c0d }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000201\
@@ -94,7 +104,7 @@
         ),
         (
             "ping with updates",
-            Body::Ping { seq: 1 },
+            Body::Probe(ProbeMessage::Ping { seq: 1 }),
             other_hosts(),
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000201\
@@ -105,7 +115,7 @@
         ),
         (
             "ack",
-            Body::Ack { seq: 2 },
+            Body::Probe(ProbeMessage::Ack { seq: 2 }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000202\
@@ -113,7 +123,7 @@
         ),
         (
             "indirect ping",
-            Body::PingFor { seq: 3, slot: 4 },
+            Body::Probe(ProbeMessage::PingRequest { seq: 3, slot: 4 }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000203\
@@ -121,7 +131,7 @@
         ),
         (
             "indirect ack",
-            Body::Vouch { seq: 5, slot: 6 },
+            Body::Probe(ProbeMessage::IndirectAck { seq: 5, slot: 6 }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000204\
@@ -129,7 +139,7 @@
         ),
         (
             "nack",
-            Body::Nay { seq: 7, slot: 8 },
+            Body::Probe(ProbeMessage::Nack { seq: 7, slot: 8 }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000210\
@@ -137,7 +147,7 @@
         ),
         (
             "digest",
-            Body::Digest { view: 9, orders: 10 },
+            Body::Digest { members: 9, overrides: 10 },
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000205\
@@ -145,7 +155,7 @@
         ),
         (
             "updates alone",
-            Body::Tell,
+            Body::Gossip,
             other_hosts(),
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000206\
@@ -156,7 +166,13 @@
         ),
         (
             "quota request",
-            Body::Want { seq: 9, using: 10, of_generation: 19, volume: 11, share: 0.25 },
+            Body::Lease(LeaseMessage::Request {
+                seq: 9,
+                active_seq: 10,
+                lender_generation: 19,
+                volume: 11,
+                share: 0.25,
+            }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000207\
@@ -164,7 +180,14 @@
         ),
         (
             "quota lease",
-            Body::Loan { answers: 12, to_generation: 20, seq: 13, volume: 14, share: 0.75, term_ms: 15 },
+            Body::Lease(LeaseMessage::Grant {
+                request_seq: 12,
+                recipient_generation: 20,
+                seq: 13,
+                volume: 14,
+                share: 0.75,
+                term_ms: 15,
+            }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000208\
@@ -172,7 +195,7 @@
         ),
         (
             "quota offer",
-            Body::Offer { volume: 16 },
+            Body::Lease(LeaseMessage::Offer { volume: 16 }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000209\
@@ -180,7 +203,7 @@
         ),
         (
             "quota recall",
-            Body::Recall { volume: 17 },
+            Body::Lease(LeaseMessage::Recall { volume: 17 }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a000000020a\
@@ -188,7 +211,7 @@
         ),
         (
             "quota returned",
-            Body::Returned { to_generation: 21, volume: 18 },
+            Body::Lease(LeaseMessage::Returned { recipient_generation: 21, volume: 18 }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a000000020b\
@@ -196,7 +219,7 @@
         ),
         (
             "orders out and pinned",
-            Body::Orders(vec![order(OrderKind::Out, false), order(OrderKind::Pinned, true)]),
+            Body::Overrides(vec![order(OverrideKind::Out, false), order(OverrideKind::Pinned, true)]),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a000000020c\
@@ -207,7 +230,7 @@
         ),
         (
             "order weight",
-            Body::Orders(vec![order(OrderKind::Weight(0.5), false)]),
+            Body::Overrides(vec![order(OverrideKind::Weight(0.5), false)]),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a000000020c\
@@ -216,7 +239,7 @@
         ),
         (
             "catalog version",
-            Body::Paper { number: 22, mark: 23, left_ms: 24 },
+            Body::Catalog(CatalogMessage::Version { number: 22, mark: 23, remaining_ms: 24 }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a000000020d\
@@ -224,7 +247,7 @@
         ),
         (
             "catalog request",
-            Body::PaperWant { number: 25, piece: 26 },
+            Body::Catalog(CatalogMessage::ChunkRequest { number: 25, piece: 26 }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a000000020e\
@@ -232,7 +255,7 @@
         ),
         (
             "catalog chunk",
-            Body::PaperPiece { number: 27, piece: 28, pieces: 29, bytes: bytes.clone() },
+            Body::Catalog(CatalogMessage::Chunk { number: 27, piece: 28, pieces: 29, bytes: bytes.clone() }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a000000020f\
@@ -240,7 +263,7 @@
         ),
         (
             "consensus message",
-            Body::Agree { bytes: bytes.clone() },
+            Body::Consensus { bytes: bytes.clone() },
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000211\
@@ -248,7 +271,7 @@
         ),
         (
             "consensus chunk",
-            Body::Parcel { number: 30, pieces: 32, piece: 31, bytes },
+            Body::ConsensusChunk { number: 30, pieces: 32, piece: 31, bytes },
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000212\
@@ -256,7 +279,7 @@
         ),
         (
             "consensus chunk request",
-            Body::ParcelWant { number: 33, piece: 34 },
+            Body::ConsensusChunkRequest { number: 33, piece: 34 },
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000213\
@@ -264,7 +287,7 @@
         ),
         (
             "node list version",
-            Body::ListWord { version: 35 },
+            Body::NodeList(NodeListMessage::Version { version: 35 }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000214\
@@ -272,7 +295,7 @@
         ),
         (
             "node list request",
-            Body::ListWant { version: 36 },
+            Body::NodeList(NodeListMessage::Request { version: 36 }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000215\
@@ -280,7 +303,7 @@
         ),
         (
             "node list removals",
-            Body::ListStops { version: 37, stops },
+            Body::NodeList(NodeListMessage::Removals { version: 37, removals: stops }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000216\
@@ -289,7 +312,7 @@
     ];
     let mut differences = Differences::default();
     for (kind, body, news, expected) in cases {
-        let datagram = Datagram { fleet: "fleet-a".into(), me: alive_host(), body, news };
+        let datagram = Datagram { fleet: "fleet-a".into(), sender: alive_host(), body, updates: news };
         let encoded = datagram.to_bytes();
         let decoded = Datagram::decode(encoded.clone());
         differences.round_trip(kind, datagram, encoded, decoded, expected);
