--- a/crates/host-core/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -63,7 +63,7 @@
             let line = LineName { shard: spec.shard.0, volume: name.0, traffic_class: traffic_class as u32 };
             let place = self.sharing.arrived(line, from.session, spec.units);
             if let Some(f) = &mut self.fellows {
-                f.member.asked(now, lun, spec.units);
+                f.member.record_demand(now, lun, spec.units);
             }
             let tag = place.tag;
             let v = self.layout.volume(volume);
--- a/crates/host-core/src/core/fellows.rs
+++ b/crates/host-core/src/core/fellows.rs
@@ -53,7 +53,7 @@
         let Some((f, plans)) = self.fellows.as_mut().zip(self.plans.as_ref()) else { return };
         for v in self.layout.volumes() {
             if let Some((limit, _, _)) = plans.limit_of(&v.name) {
-                f.member.loans.limit_changed(v.lun, limit);
+                f.member.leases.set_limit(v.lun, limit);
             }
         }
     }
@@ -147,12 +147,12 @@
     }
 
     pub fn is_leaving(&self) -> bool {
-        self.fellows.as_ref().is_some_and(|f| f.member.loans.is_leaving())
+        self.fellows.as_ref().is_some_and(|f| f.member.leases.is_leaving())
     }
 
     /// Whether the mark of an earlier leave may go: nothing that was lent can be out any more.
     pub fn is_free(&self, now: Instant) -> bool {
-        self.fellows.as_ref().is_none_or(|f| f.member.loans.is_free(now))
+        self.fellows.as_ref().is_none_or(|f| f.member.leases.have_earlier_leases_ended(now))
     }
 
     /// What follows from what other hosts said, and from the time.
--- a/crates/host-core/src/fellows.rs
+++ b/crates/host-core/src/fellows.rs
@@ -10,8 +10,8 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_config::{HostSettings, MembershipBlock};
 use tackmast_membership::{
-    Do, ListCame, LoanSettings, Member, MemberSettings, Moved, Output, OverrideKind, OverrideRecord, Paper,
-    Remembered, Shared, SiteWord, ViewSettings, Ways,
+    Do, LeaseSettings, LeaseStatus, ListCame, Member, MemberSettings, Output, OverrideKind, OverrideRecord,
+    Paper, PreviousExit, QuotaBalance, Remembered, SharedLimit, SiteWord, ViewSettings, Ways,
 };
 use tackmast_overrides::{Kind, Order, Origin, Override, OverrideId};
 use tackmast_wire::peer::Body;
@@ -24,7 +24,7 @@
     pub member: Member,
     told: u32,
     there: u32,
-    moved: BTreeMap<u32, Moved>,
+    moved: BTreeMap<u32, QuotaBalance>,
     /// Volumes that are still to be looked at in this round.
     looking: Vec<u32>,
     looked_at: Option<Instant>,
@@ -37,7 +37,7 @@
     /// Of a volume by its place.
     Moved {
         volume: usize,
-        m: Moved,
+        m: QuotaBalance,
     },
     Send {
         to: SocketAddr,
@@ -169,7 +169,7 @@
     recalled: Vec<(u32, u64, SocketAddr)>,
 ) -> MemberSettings {
     let secs = TimeDelta::from_secs;
-    let shared = s.volumes.iter().filter(|v| !v.through.is_empty()).map(|v| Shared {
+    let shared_limits = s.volumes.iter().filter(|v| !v.through.is_empty()).map(|v| SharedLimit {
         volume: v.lun,
         limit: s.plans[v.plan as usize].limit,
         owners: v.through.clone(),
@@ -188,14 +188,14 @@
             most: s.host.hosts as usize,
             ways: Ways::all(),
         },
-        loans: LoanSettings {
+        leases: LeaseSettings {
             term: secs(m.term_s),
             leave_term: secs(m.leave_s),
             drift: m.drift,
             owned: tackmast::policy::SPLIT_FLOOR,
         },
-        shared: shared.collect(),
-        left,
+        shared_limits: shared_limits.collect(),
+        previous_exit: if left { PreviousExit::Graceful } else { PreviousExit::Unclean },
         seed,
     }
 }
@@ -279,10 +279,10 @@
         }
         if self.looked_at != Some(now) {
             self.looked_at = Some(now);
-            self.looking = self.member.loans.volumes().collect();
+            self.looking = self.member.leases.volumes().collect();
         }
         while let Some(lun) = self.looking.pop() {
-            let (Some(m), Some(volume)) = (self.member.moved(now, lun), layout.volume_of(lun)) else {
+            let (Some(m), Some(volume)) = (self.member.quota_balance(now, lun), layout.volume_of(lun)) else {
                 continue;
             };
             if self.moved.insert(lun, m) != Some(m) {
@@ -353,7 +353,7 @@
             host: Some(me.slot),
             there: self.member.alive(),
             peers: peers.collect(),
-            loans: self.member.loans.shown(now),
+            loans: self.member.leases.status(now).into_iter().map(lease_row).collect(),
             displaced: view.is_displaced(),
             sent: c.sent,
             sent_bytes: c.sent_bytes,
@@ -380,6 +380,10 @@
     }
 }
 
+fn lease_row(s: LeaseStatus) -> (u32, f64, f64, f64, f64) {
+    (s.volume, s.owned, s.lent, s.borrowed, s.needed)
+}
+
 fn spread(o: &Override, origin: Origin, left_s: f64) -> OverrideRecord {
     OverrideRecord {
         slot: origin.slot,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -4,18 +4,30 @@
 //! lists take away, and `member` is these together, fed with datagrams and the time.
 
 mod lists;
-mod loans;
 mod member;
 mod papers;
+mod quota_leases;
 mod spread;
 mod view;
 
 pub use lists::{ListCame, Lists};
-pub use loans::{LoanSettings, Loans, Moved, Shared, TermFault};
 pub use member::{Counters, Member, MemberSettings, Output, Remembered};
 pub use papers::{Paper, Papers, MAX_BYTES, MAX_PAPERS};
+pub use quota_leases::{
+    LeaseFault, LeaseSettings, LeaseStatus, LeaseTransmit, PreviousExit, QuotaBalance, QuotaLeases,
+    SharedLimit,
+};
 pub use spread::{Do, Spread};
 pub use tackmast_wire::peer::{
     Datagram, Health, LeaseMessage, MemberUpdate, NodeRemoval, OverrideKind, OverrideRecord,
 };
 pub use view::{Change, Death, Seen, SiteSeen, SiteWord, View, ViewFault, ViewSettings, Ways};
+
+/// One generation of a member: a process of the host with that number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MemberId {
+    /// Number of the host in its fleet.
+    pub slot: u32,
+    /// Number of the process's start.
+    pub generation: u64,
+}
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,10 +1,12 @@
 //! One host among others: datagrams and the time in, datagrams and what follows from them out.
 
 use crate::lists::{ListCame, Lists};
-use crate::loans::{LoanSettings, Loans, Moved, Shared};
 use crate::papers::{Paper, Papers, TOLD};
+use crate::quota_leases::LeaseTransmit;
+use crate::quota_leases::{LeaseSettings, PreviousExit, QuotaBalance, QuotaLeases, SharedLimit};
 use crate::spread::{Do, Spread};
 use crate::view::{Change, Seen, SiteWord, View, ViewFault, ViewSettings};
+use crate::MemberId;
 use bytes::Bytes;
 use imbl::OrdMap;
 use ipnet::IpNet;
@@ -43,10 +45,10 @@
     /// Prefixes of peers; none: any.
     pub admit: Vec<IpNet>,
     pub view: ViewSettings,
-    pub loans: LoanSettings,
-    pub shared: Vec<Shared>,
+    pub leases: LeaseSettings,
+    pub shared_limits: Vec<SharedLimit>,
     /// The slot's earlier generation left in order.
-    pub left: bool,
+    pub previous_exit: PreviousExit,
     pub seed: u64,
 }
 
@@ -91,11 +93,11 @@
     fleet: String,
     admit: Vec<IpNet>,
     pub view: View,
-    pub loans: Loans,
+    pub leases: QuotaLeases,
     pub spread: Spread,
     pub papers: Papers,
     lists: Lists,
-    shared: (LoanSettings, Vec<Shared>),
+    shared_limits: (LeaseSettings, Vec<SharedLimit>),
     /// Another generation of this host's number may use what hosts share; this one does not, whatever else it does.
     yields: bool,
     remembered: Remembered,
@@ -137,15 +139,16 @@
         if let Some(f) = fault {
             view = view.with_fault(now, f, &s.recalled);
         }
+        let id = MemberId { slot: s.slot, generation: s.generation };
         Member {
             fleet: s.fleet,
             admit: s.admit,
             view,
-            loans: Loans::new(now, (s.slot, s.generation), s.loans, s.shared.clone(), s.left),
+            leases: QuotaLeases::new(now, id, s.leases, s.shared_limits.clone(), s.previous_exit),
             spread: Spread::default(),
             papers: Papers::default(),
             lists: Lists::default(),
-            shared: (s.loans, s.shared),
+            shared_limits: (s.leases, s.shared_limits),
             yields: false,
             remembered: Remembered { generation: s.generation, hosts: s.recalled },
             remembered_at: now,
@@ -199,7 +202,7 @@
         self.counters.taken += 1;
         let known = self.view.generation(slot);
         if known.is_none_or(|k| k < generation) {
-            self.loans.new_generation(now, slot, generation);
+            self.leases.handle_new_generation(now, MemberId { slot, generation });
         }
         // Who speaks is there: its word on itself, where it is reached and how often it had to say so.
         if self.own_word {
@@ -280,7 +283,7 @@
             self.counters.false_names += 1;
             return;
         }
-        self.loans.heard(now, slot, generation, say);
+        self.leases.handle_message(now, MemberId { slot, generation }, say);
         self.settle(now);
     }
 
@@ -318,17 +321,18 @@
             // starts with nothing that is lent. Else silence proves nothing: the other may only stand still.
             self.yields |= !at_own_address;
             let me = self.view.me();
-            let (settings, shared) = self.shared.clone();
-            self.loans = Loans::new(now, (me.slot, me.generation), settings, shared, false);
+            let id = MemberId { slot: me.slot, generation: me.generation };
+            let (settings, shared_limits) = self.shared_limits.clone();
+            self.leases = QuotaLeases::new(now, id, settings, shared_limits, PreviousExit::Unclean);
         }
         if self.yields || self.view.is_displaced() {
-            self.loans.displaced();
+            self.leases.set_displaced();
         }
         while let Some((to, body, slot)) = self.view.next_send() {
             let news = self.view.beside(slot);
             self.push(to, body, news);
         }
-        while let Some((slot, say)) = self.loans.next_say() {
+        while let Some(LeaseTransmit { to: slot, message: say }) = self.leases.poll_transmit() {
             let Some(to) = self.view.address(slot) else { continue };
             let body = Body::Lease(say);
             let news = self.view.beside(Some(slot));
@@ -439,8 +443,8 @@
                 self.push(to, self.lists.word(), Vec::new());
             }
         }
-        if self.loans.is_due(now) {
-            self.loans.tick(now, &self.view.steady(now));
+        if self.leases.poll_timeout() <= now {
+            self.leases.handle_timeout(now, &self.view.steady(now));
         }
         self.spread.tick(now);
         self.papers.tick(now);
@@ -450,25 +454,25 @@
 
     pub fn next_wake(&self) -> Instant {
         let papers = self.papers.next_wake();
-        [self.loans.next_wake()].into_iter().chain(papers).fold(self.view.next_wake(), Instant::min)
+        [self.leases.poll_timeout()].into_iter().chain(papers).fold(self.view.next_wake(), Instant::min)
     }
 
     pub fn next_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    pub fn asked(&mut self, now: Instant, volume: u32, units: f64) {
-        self.loans.asked(now, volume, units);
+    pub fn record_demand(&mut self, now: Instant, volume: u32, units: f64) {
+        self.leases.record_demand(now, volume, units);
     }
 
-    pub fn moved(&self, now: Instant, volume: u32) -> Option<Moved> {
-        self.loans.moved(now, volume)
+    pub fn quota_balance(&self, now: Instant, volume: u32) -> Option<QuotaBalance> {
+        self.leases.balance(now, volume)
     }
 
     /// The host leaves in order: it says so, uses nothing that it shares from here on, and lends what it has.
     pub fn leave(&mut self, now: Instant) {
-        self.loans.leave(now);
-        self.loans.tick(now, &self.view.live().iter().copied().collect());
+        self.leases.leave(now);
+        self.leases.handle_timeout(now, &self.view.live().iter().copied().collect());
         self.settle(now);
     }
 
--- a/crates/membership/tests/decision_hash.rs
+++ b/crates/membership/tests/decision_hash.rs
@@ -348,9 +348,17 @@
                 most: group.members as usize,
                 ways: (group.ways)(),
             },
-            loans: LoanSettings { term: seconds(1.0), leave_term: seconds(4.0), drift: 0.002, owned: 0.9 },
-            shared: vec![Shared { volume: VOLUME, limit: LIMIT, owners: (0..group.members).collect() }],
-            left: std::mem::take(&mut host.has_left),
+            leases: LeaseSettings { term: seconds(1.0), leave_term: seconds(4.0), drift: 0.002, owned: 0.9 },
+            shared_limits: vec![SharedLimit {
+                volume: VOLUME,
+                limit: LIMIT,
+                owners: (0..group.members).collect(),
+            }],
+            previous_exit: if std::mem::take(&mut host.has_left) {
+                PreviousExit::Graceful
+            } else {
+                PreviousExit::Unclean
+            },
             seed: incarnation,
         };
         let mut member = Member::new(now, settings);
@@ -440,7 +448,7 @@
             }
             let units = self.hosts[host as usize].demand * STEP;
             if units > 0.0 {
-                self.input(host, |member, now| member.asked(now, VOLUME, units));
+                self.input(host, |member, now| member.record_demand(now, VOLUME, units));
             }
         }
         let host = self.random_host();
@@ -541,11 +549,11 @@
             hash.number(u64::from(member.view.is_displaced()));
             hash.number(member.papers.at().0);
             hash.time(member.next_wake());
-            if let Some(moved) = member.moved(now, VOLUME) {
-                hash.real(moved.lent);
-                hash.real(moved.borrowed);
-                hash.time(moved.until);
-                self.totals.steps_with_borrowed_quota += u64::from(moved.borrowed > 0.0);
+            if let Some(quota_balance) = member.quota_balance(now, VOLUME) {
+                hash.real(quota_balance.lent);
+                hash.real(quota_balance.borrowed);
+                hash.time(quota_balance.until);
+                self.totals.steps_with_borrowed_quota += u64::from(quota_balance.borrowed > 0.0);
             }
         }
     }
--- a/crates/membership/tests/member.rs
+++ b/crates/membership/tests/member.rs
@@ -30,9 +30,9 @@
         recalled: vec![],
         admit: vec!["10.0.0.0/16".parse().unwrap()],
         view: ViewSettings { period: secs(0.5), most: 5, ways: Ways::all() },
-        loans: LoanSettings { term: secs(1.0), leave_term: secs(10.0), drift: 0.001, owned: 0.9 },
-        shared: vec![Shared { volume: 1, limit: 100.0, owners: vec![0, 1, 2] }],
-        left: false,
+        leases: LeaseSettings { term: secs(1.0), leave_term: secs(10.0), drift: 0.001, owned: 0.9 },
+        shared_limits: vec![SharedLimit { volume: 1, limit: 100.0, owners: vec![0, 1, 2] }],
+        previous_exit: PreviousExit::Unclean,
         seed: 3,
     }
 }
@@ -109,11 +109,11 @@
     let now = Instant::from_secs(11.0);
     m.datagram(now, address(1), datagram(1, 9, Body::Gossip, vec![news(0, 5, 3, Health::Dead)]));
     assert_eq!((m.view.me().incarnation, m.view.is_displaced()), (4, false));
-    assert_eq!(m.moved(Instant::from_secs(20.0), 1).unwrap().lent, 0.0);
+    assert_eq!(m.quota_balance(Instant::from_secs(20.0), 1).unwrap().lent, 0.0);
     m.datagram(now, address(1), datagram(1, 9, Body::Gossip, vec![news(0, 6, 0, Health::Alive)]));
     assert!(m.view.is_displaced());
-    let moved = m.moved(Instant::from_secs(20.0), 1).unwrap();
-    assert!((moved.lent - 0.3).abs() < 1e-9 && moved.borrowed == 0.0, "{moved:?}");
+    let quota_balance = m.quota_balance(Instant::from_secs(20.0), 1).unwrap();
+    assert!((quota_balance.lent - 0.3).abs() < 1e-9 && quota_balance.borrowed == 0.0, "{quota_balance:?}");
 }
 
 #[test]
@@ -160,11 +160,14 @@
         // From hosts' own addresses, from others', and from where no peer is admitted.
         let from =
             if i % 7 == 0 { "192.168.0.1:9".parse().unwrap() } else { address(c.rand_range(1..9) as u32) };
-        m.asked(t, 1, 0.2);
+        m.record_demand(t, 1, 0.2);
         m.datagram(t, from, Bytes::from(bytes));
         m.tick(t);
-        let moved = m.moved(t, 1).unwrap();
-        assert!(moved.borrowed <= 0.6 + 1e-9 && moved.lent <= 0.3 + 1e-9, "{moved:?}");
+        let quota_balance = m.quota_balance(t, 1).unwrap();
+        assert!(
+            quota_balance.borrowed <= 0.6 + 1e-9 && quota_balance.lent <= 0.3 + 1e-9,
+            "{quota_balance:?}"
+        );
         assert!(m.snapshot().len() <= 5, "the table is full");
         if i % 100 == 0 {
             while m.next_output().is_some() {}
--- a/crates/membership/tests/terms.rs
+++ b/crates/membership/tests/quota_leases.rs
@@ -3,59 +3,61 @@
 
 use std::collections::BTreeSet;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_membership::{LeaseMessage, LoanSettings, Loans, Shared, TermFault};
+use tackmast_membership::{
+    LeaseFault, LeaseMessage, LeaseSettings, LeaseTransmit, MemberId, PreviousExit, QuotaLeases, SharedLimit,
+};
 
 const TERM: f64 = 1.0;
 const LEAVE: f64 = 3.0;
 const DRIFT: f64 = 0.02;
 
-fn settings() -> LoanSettings {
+fn settings() -> LeaseSettings {
     let (term, leave_term) = (TimeDelta::from_secs(TERM), TimeDelta::from_secs(LEAVE));
-    LoanSettings { term, leave_term, drift: DRIFT, owned: 1.0 }
+    LeaseSettings { term, leave_term, drift: DRIFT, owned: 1.0 }
 }
 
 #[derive(Clone)]
 struct Host {
-    loans: Option<Loans>,
+    leases: Option<QuotaLeases>,
     generation: u64,
-    left: bool,
-    offset: f64,
-    pace: f64,
+    has_left: bool,
+    clock_offset: f64,
+    clock_rate: f64,
     /// Units a second that its clients ask.
-    asks: f64,
+    demand: f64,
 }
 
 #[derive(Clone)]
-struct Letter {
+struct InFlight {
     from: u32,
     generation: u64,
     to: u32,
-    say: LeaseMessage,
+    message: LeaseMessage,
 }
 
 #[derive(Clone)]
 struct World {
     now: f64,
     hosts: Vec<Host>,
-    letters: Vec<Letter>,
+    in_flight: Vec<InFlight>,
     generations: u64,
-    fault: Option<TermFault>,
+    fault: Option<LeaseFault>,
 }
 
 impl World {
-    fn new(n: u32, asks: &[f64], pace: impl Fn(u32) -> f64, fault: Option<TermFault>) -> World {
+    fn new(n: u32, demand: &[f64], clock_rate: impl Fn(u32) -> f64, fault: Option<LeaseFault>) -> World {
         let host = |i: u32| Host {
-            loans: None,
+            leases: None,
             generation: 0,
-            left: false,
-            offset: 100.0 * f64::from(i),
-            pace: pace(i),
-            asks: asks[i as usize],
+            has_left: false,
+            clock_offset: 100.0 * f64::from(i),
+            clock_rate: clock_rate(i),
+            demand: demand[i as usize],
         };
         let mut w = World {
             now: 10.0,
             hosts: (0..n).map(host).collect(),
-            letters: Vec::new(),
+            in_flight: Vec::new(),
             generations: 0,
             fault,
         };
@@ -64,64 +66,74 @@
     }
 
     fn clock(&self, h: usize) -> Instant {
-        Instant::from_secs(self.now * self.hosts[h].pace + self.hosts[h].offset)
+        Instant::from_secs(self.now * self.hosts[h].clock_rate + self.hosts[h].clock_offset)
     }
 
     fn start(&mut self, h: usize) {
         self.generations += 1;
         let owners = (0..self.hosts.len() as u32).collect();
-        let shared = vec![Shared { volume: 1, limit: 100.0, owners }];
+        let shared_limits = vec![SharedLimit { volume: 1, limit: 100.0, owners }];
         let at = self.clock(h);
-        let mut loans = Loans::new(at, (h as u32, self.generations), settings(), shared, self.hosts[h].left);
+        let me = MemberId { slot: h as u32, generation: self.generations };
+        let previous_exit =
+            if self.hosts[h].has_left { PreviousExit::Graceful } else { PreviousExit::Unclean };
+        let mut leases = QuotaLeases::new(at, me, settings(), shared_limits, previous_exit);
         if let Some(f) = self.fault {
-            loans = loans.with_fault(at, f);
+            leases = leases.with_fault(at, f);
         }
-        (self.hosts[h].loans, self.hosts[h].generation) = (Some(loans), self.generations);
+        (self.hosts[h].leases, self.hosts[h].generation) = (Some(leases), self.generations);
     }
 
-    fn pass(&mut self, seconds: f64) {
+    fn advance(&mut self, seconds: f64) {
         self.now += seconds;
         for h in 0..self.hosts.len() {
             let (at, live) = (self.clock(h), (0..self.hosts.len() as u32).collect::<BTreeSet<_>>());
-            let asks = self.hosts[h].asks;
-            if let Some(l) = &mut self.hosts[h].loans {
-                l.asked(at, 1, asks * seconds);
-                l.tick(at, &live);
+            let demand = self.hosts[h].demand;
+            if let Some(l) = &mut self.hosts[h].leases {
+                l.record_demand(at, 1, demand * seconds);
+                l.handle_timeout(at, &live);
             }
-            self.collect(h);
+            self.drain(h);
             // The mark of a leave stands until nothing of it can be out, over any number of generations.
-            if self.hosts[h].loans.as_ref().is_some_and(|l| l.is_free(at) && !l.is_leaving()) {
-                self.hosts[h].left = false;
+            if self.hosts[h]
+                .leases
+                .as_ref()
+                .is_some_and(|l| l.have_earlier_leases_ended(at) && !l.is_leaving())
+            {
+                self.hosts[h].has_left = false;
             }
         }
     }
 
-    fn collect(&mut self, h: usize) {
+    fn drain(&mut self, h: usize) {
         let generation = self.hosts[h].generation;
-        while let Some((to, say)) = self.hosts[h].loans.as_mut().and_then(Loans::next_say) {
+        while let Some(LeaseTransmit { to, message }) =
+            self.hosts[h].leases.as_mut().and_then(QuotaLeases::poll_transmit)
+        {
             // A letter box that is full loses the oldest.
-            if self.letters.len() > 24 {
-                self.letters.remove(0);
+            if self.in_flight.len() > 24 {
+                self.in_flight.remove(0);
             }
-            self.letters.push(Letter { from: h as u32, generation, to, say });
+            self.in_flight.push(InFlight { from: h as u32, generation, to, message });
         }
     }
 
     fn deliver(&mut self, i: usize, again: bool) {
-        let l = if again { self.letters[i].clone() } else { self.letters.remove(i) };
+        let l = if again { self.in_flight[i].clone() } else { self.in_flight.remove(i) };
         let to = l.to as usize;
         let at = self.clock(to);
-        if let Some(loans) = &mut self.hosts[to].loans {
-            loans.new_generation(at, l.from, l.generation);
-            loans.heard(at, l.from, l.generation, l.say);
+        if let Some(leases) = &mut self.hosts[to].leases {
+            let from = MemberId { slot: l.from, generation: l.generation };
+            leases.handle_new_generation(at, from);
+            leases.handle_message(at, from, l.message);
         }
-        self.collect(to);
+        self.drain(to);
     }
 
     fn leave(&mut self, h: usize) {
         let at = self.clock(h);
-        self.hosts[h].left = true;
-        if let Some(l) = &mut self.hosts[h].loans {
+        self.hosts[h].has_left = true;
+        if let Some(l) = &mut self.hosts[h].leases {
             l.leave(at);
         }
     }
@@ -130,7 +142,7 @@
     fn in_use(&self) -> f64 {
         let own = 1.0 / self.hosts.len() as f64;
         let part = |(h, host): (usize, &Host)| {
-            let m = host.loans.as_ref().and_then(|l| l.moved(self.clock(h), 1));
+            let m = host.leases.as_ref().and_then(|l| l.balance(self.clock(h), 1));
             m.map_or(0.0, |m| (own - m.lent).max(0.0) + m.borrowed)
         };
         self.hosts.iter().enumerate().map(part).sum()
@@ -142,29 +154,30 @@
 }
 
 /// One walk by chance; the step at which the sum was passed.
-fn walk(seed: u64, fault: Option<TermFault>) -> Option<usize> {
+fn walk(seed: u64, fault: Option<LeaseFault>) -> Option<usize> {
     let mut c = oorandom::Rand64::new(u128::from(seed));
     let n = 2 + (seed % 3) as u32;
-    let asks: Vec<f64> = (0..n).map(|_| [0.0, 5.0, 40.0, 120.0][c.rand_range(0..4) as usize]).collect();
+    let demand: Vec<f64> = (0..n).map(|_| [0.0, 5.0, 40.0, 120.0][c.rand_range(0..4) as usize]).collect();
     // Each clock within the drift of true time.
-    let paces: Vec<f64> = (0..n).map(|_| 1.0 + DRIFT / 2.0 * (2.0 * c.rand_float() - 1.0).signum()).collect();
-    let mut w = World::new(n, &asks, |i| paces[i as usize], fault);
+    let clock_rates: Vec<f64> =
+        (0..n).map(|_| 1.0 + DRIFT / 2.0 * (2.0 * c.rand_float() - 1.0).signum()).collect();
+    let mut w = World::new(n, &demand, |i| clock_rates[i as usize], fault);
     let quick = c.rand_float();
     for step in 0..400 {
-        let letters = w.letters.len() as u64;
+        let in_flight = w.in_flight.len() as u64;
         match (c.rand_float() * 100.0) as u32 {
-            0..35 => w.pass(TERM * 0.3 * quick * c.rand_float() + 0.001),
-            35..82 if letters > 0 => w.deliver(c.rand_range(0..letters) as usize, false),
-            82..88 if letters > 0 => w.deliver(c.rand_range(0..letters) as usize, true),
-            88..92 if letters > 0 => _ = w.letters.remove(c.rand_range(0..letters) as usize),
+            0..35 => w.advance(TERM * 0.3 * quick * c.rand_float() + 0.001),
+            35..82 if in_flight > 0 => w.deliver(c.rand_range(0..in_flight) as usize, false),
+            82..88 if in_flight > 0 => w.deliver(c.rand_range(0..in_flight) as usize, true),
+            88..92 if in_flight > 0 => _ = w.in_flight.remove(c.rand_range(0..in_flight) as usize),
             92..94 => {
                 let h = c.rand_range(0..u64::from(n)) as usize;
-                w.hosts[h].asks = [0.0, 5.0, 40.0, 120.0][c.rand_range(0..4) as usize];
+                w.hosts[h].demand = [0.0, 5.0, 40.0, 120.0][c.rand_range(0..4) as usize];
             }
             94..96 => w.start(c.rand_range(0..u64::from(n)) as usize),
             96..97 => w.leave(c.rand_range(0..u64::from(n)) as usize),
-            97..98 => w.hosts[c.rand_range(0..u64::from(n)) as usize].loans = None,
-            98..100 => w.pass(TERM * 1.2),
+            97..98 => w.hosts[c.rand_range(0..u64::from(n)) as usize].leases = None,
+            98..100 => w.advance(TERM * 1.2),
             _ => {}
         }
         if w.is_broken() {
@@ -188,9 +201,9 @@
         f(&mut next);
         explore(&next, depth - 1, seen)
     };
-    go(&|w| w.pass(TERM * 0.45), seen)?;
+    go(&|w| w.advance(TERM * 0.45), seen)?;
     // Letters that say the same to the same differ in nothing that matters: each of the last few is tried.
-    for i in w.letters.len().saturating_sub(4)..w.letters.len() {
+    for i in w.in_flight.len().saturating_sub(4)..w.in_flight.len() {
         go(&|w| w.deliver(i, false), seen)?;
         go(&|w| w.deliver(i, true), seen)?;
     }
@@ -208,8 +221,8 @@
         let mut w =
             World::new(2, &[120.0, 0.0], |i| 1.0 + DRIFT / 2.0 * if i == 0 { -1.0 } else { 1.0 }, None);
         for _ in 0..depth_before {
-            w.pass(TERM * 0.3);
-            while !w.letters.is_empty() {
+            w.advance(TERM * 0.3);
+            while !w.in_flight.is_empty() {
                 w.deliver(0, false);
             }
         }
@@ -230,12 +243,12 @@
     // And loans do move: two hosts, one of which asks for all.
     let mut w = World::new(2, &[150.0, 0.0], |_| 1.0, None);
     for _ in 0..20 {
-        w.pass(TERM / 5.0);
-        while !w.letters.is_empty() {
+        w.advance(TERM / 5.0);
+        while !w.in_flight.is_empty() {
             w.deliver(0, false);
         }
     }
-    let m = w.hosts[0].loans.as_ref().unwrap().moved(w.clock(0), 1).unwrap();
+    let m = w.hosts[0].leases.as_ref().unwrap().balance(w.clock(0), 1).unwrap();
     assert!(m.borrowed > 0.4, "{m:?}");
     assert!(w.in_use() > 0.95, "{}", w.in_use());
 }
@@ -244,12 +257,12 @@
 fn each_fault_of_the_terms_is_found() {
     // The fault, and the seeds of walks within which it must be found.
     for (fault, within) in [
-        (TermFault::FromReceipt, 300),
-        (TermFault::NoDrift, 20_000),
-        (TermFault::StartsFull, 100),
-        (TermFault::FreedUnheard, 300),
-        (TermFault::LendsBorrowed, 20_000),
-        (TermFault::GenerationsMixed, 20_000),
+        (LeaseFault::TermFromReceipt, 300),
+        (LeaseFault::IgnoresDrift, 20_000),
+        (LeaseFault::StartsWithFullShare, 100),
+        (LeaseFault::FreesUnconfirmedLease, 300),
+        (LeaseFault::LendsBorrowed, 20_000),
+        (LeaseFault::IgnoresGenerations, 20_000),
     ] {
         let found = (0..within).find(|seed| walk(*seed, Some(fault)).is_some());
         assert!(found.is_some(), "{fault:?}: not within {within} walks");
@@ -263,8 +276,8 @@
     let settle = |w: &mut World, seconds: f64| {
         let until = w.now + seconds;
         while w.now < until {
-            w.pass(TERM / 5.0);
-            while !w.letters.is_empty() {
+            w.advance(TERM / 5.0);
+            while !w.in_flight.is_empty() {
                 w.deliver(0, false);
             }
             assert!(!w.is_broken());
@@ -273,27 +286,27 @@
     settle(&mut w, 3.0);
     w.leave(2);
     settle(&mut w, 0.5);
-    w.hosts[2].loans = None;
+    w.hosts[2].leases = None;
     settle(&mut w, 1.5);
     assert!(w.in_use() > 0.97, "its part is used by others: {}", w.in_use());
     // Its next generation has nothing at first, and all of it once the others have said that they hold none.
-    w.hosts[2].asks = 150.0;
+    w.hosts[2].demand = 150.0;
     w.start(2);
-    let m = w.hosts[2].loans.as_ref().unwrap().moved(w.clock(2), 1).unwrap();
+    let m = w.hosts[2].leases.as_ref().unwrap().balance(w.clock(2), 1).unwrap();
     assert!((m.lent - 1.0 / 3.0).abs() < 1e-9 && m.borrowed == 0.0, "{m:?}");
     settle(&mut w, 1.0);
-    let m = w.hosts[2].loans.as_ref().unwrap().moved(w.clock(2), 1).unwrap();
+    let m = w.hosts[2].leases.as_ref().unwrap().balance(w.clock(2), 1).unwrap();
     assert!(m.lent < 0.01, "{m:?}");
     // One that is never answered has it after the longer term.
-    w.hosts[2].left = true;
+    w.hosts[2].has_left = true;
     w.start(2);
     let nobody = w.now + LEAVE * 1.1;
     while w.now < nobody {
-        w.pass(0.2);
-        w.letters.clear();
+        w.advance(0.2);
+        w.in_flight.clear();
         assert!(!w.is_broken());
     }
-    let m = w.hosts[2].loans.as_ref().unwrap().moved(w.clock(2), 1).unwrap();
+    let m = w.hosts[2].leases.as_ref().unwrap().balance(w.clock(2), 1).unwrap();
     assert!(m.lent < 0.01, "{m:?}");
 }
 
@@ -301,22 +314,28 @@
 fn false_words_of_peers_move_nothing_that_is_not_theirs() {
     let owners = vec![0, 1, 2];
     let at = Instant::from_secs(50.0);
-    let shared = vec![Shared { volume: 1, limit: 100.0, owners }];
-    let mut l = Loans::new(at, (0, 9), settings(), shared, false);
+    let shared_limits = vec![SharedLimit { volume: 1, limit: 100.0, owners }];
+    let mut l = QuotaLeases::new(
+        at,
+        MemberId { slot: 0, generation: 9 },
+        settings(),
+        shared_limits,
+        PreviousExit::Unclean,
+    );
     let mut c = oorandom::Rand64::new(5);
     let mut now = 50.0;
     for _ in 0..20_000 {
         now += 0.003;
         let t = Instant::from_secs(now);
-        l.asked(t, 1, 0.5);
-        l.tick(t, &BTreeSet::from([1, 2]));
-        while l.next_say().is_some() {}
+        l.record_demand(t, 1, 0.5);
+        l.handle_timeout(t, &BTreeSet::from([1, 2]));
+        while l.poll_transmit().is_some() {}
         let (from, generation) = (c.rand_range(0..5) as u32, c.rand_range(0..3));
         let (x, y) = (c.rand_range(0..40) as u32, c.rand_range(0..40) as u32);
         let share = c.rand_float() as f32;
         let recipient_generation = if c.rand_float() < 0.8 { 9 } else { 3 };
         let volume = c.rand_range(0..3) as u32;
-        let say = match c.rand_range(0..5) {
+        let message = match c.rand_range(0..5) {
             0 => LeaseMessage::Request {
                 seq: x,
                 active_seq: y,
@@ -335,10 +354,10 @@
             3 => LeaseMessage::Recall { volume },
             _ => LeaseMessage::Returned { recipient_generation, volume },
         };
-        l.heard(t, from, generation, say);
-        let m = l.moved(t, 1).unwrap();
+        l.handle_message(t, MemberId { slot: from, generation }, message);
+        let m = l.balance(t, 1).unwrap();
         // At most each other owner's own part, and never for a host that owns none.
         assert!(m.borrowed <= 2.0 / 3.0 + 1e-9 && m.lent <= 1.0 / 3.0 + 1e-9, "{m:?}");
-        assert!(l.moved(t, 0).is_none() && l.moved(t, 2).is_none());
+        assert!(l.balance(t, 0).is_none() && l.balance(t, 2).is_none());
     }
 }
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_membership::{
-    Do, Health, LoanSettings, Member, MemberSettings, Output, OverrideKind, OverrideRecord, ViewSettings,
-    Ways,
+    Do, Health, LeaseSettings, Member, MemberSettings, Output, OverrideKind, OverrideRecord, PreviousExit,
+    ViewSettings, Ways,
 };
 
 type Us = u64;
@@ -94,9 +94,9 @@
             seeds,
             admit: Vec::new(),
             view: ViewSettings { period: secs(0.5), most: 1000, ways: Ways::all() },
-            loans: LoanSettings { term: secs(2.0), leave_term: secs(60.0), drift: 0.001, owned: 0.9 },
-            shared: Vec::new(),
-            left: false,
+            leases: LeaseSettings { term: secs(2.0), leave_term: secs(60.0), drift: 0.001, owned: 0.9 },
+            shared_limits: Vec::new(),
+            previous_exit: PreviousExit::Unclean,
             seed: self.generations ^ u64::from(self.hosts) << 32,
         };
         self.members.insert(h, Member::new(at(self.now), settings));
--- a/crates/simulator/src/views/world.rs
+++ b/crates/simulator/src/views/world.rs
@@ -6,7 +6,9 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_membership::{Health, LoanSettings, Member, MemberSettings, Output, Remembered, ViewSettings};
+use tackmast_membership::{
+    Health, LeaseSettings, Member, MemberSettings, Output, PreviousExit, Remembered, ViewSettings,
+};
 
 pub type Us = u64;
 /// Of a host's view, as its settings' default has it.
@@ -157,9 +159,9 @@
                 most: self.hosts as usize,
                 ways: self.trial.ways,
             },
-            loans: LoanSettings { term: secs(2.0), leave_term: secs(60.0), drift: 0.001, owned: 0.9 },
-            shared: Vec::new(),
-            left: false,
+            leases: LeaseSettings { term: secs(2.0), leave_term: secs(60.0), drift: 0.001, owned: 0.9 },
+            shared_limits: Vec::new(),
+            previous_exit: PreviousExit::Unclean,
             seed: x.generation ^ self.trial.seed << 40,
         };
         let now = at(self.now, x.pace);
