--- a/crates/host-core/src/core/fellows.rs
+++ b/crates/host-core/src/core/fellows.rs
@@ -10,7 +10,7 @@
             return false;
         }
         let Some(plans) = &mut self.plans else { return false };
-        let up_to_date = self.fellows.as_ref().is_none_or(|f| f.member.papers.is_up_to_date());
+        let up_to_date = self.fellows.as_ref().is_none_or(|f| f.member.catalog.is_up_to_date());
         plans.clients_wait(now, up_to_date)
     }
 
@@ -78,7 +78,7 @@
         }
         // Against two changes of one number: a home that has lost what others go by takes that back first.
         let writes = matches!(ask, PlanAsk::Apply { .. } | PlanAsk::Undo { .. });
-        if let Some(n) = self.fellows.as_ref().and_then(|f| f.member.papers.behind()).filter(|_| writes) {
+        if let Some(n) = self.fellows.as_ref().and_then(|f| f.member.catalog.missing()).filter(|_| writes) {
             let newest = self.plans.as_ref().map_or(0, Plans::newest);
             let why =
                 format!("others go by change {n}, this host by {newest}; ask again when it has caught up");
@@ -97,7 +97,7 @@
             }
             Some(PlanNext::Reply(request, mut reply)) => {
                 if let (PlanReply::Shown(s), Some(f)) = (&mut reply, &self.fellows) {
-                    s.at = f.member.papers.at().1.clone();
+                    s.at = f.member.catalog.peer_versions().clone();
                 }
                 self.outputs.push_back(Output::Reply { request, reply: Reply::Plan(reply) });
             }
@@ -174,15 +174,15 @@
                     let keep = Keep { members: Some(r), ..Keep::default() };
                     self.outputs.push_back(Output::Keep { request: 0, keep });
                 }
-                Followed::List(c) => self.list_of_others(now, c),
+                Followed::NodeList(c) => self.list_of_others(now, c),
                 Followed::Word { from, slot, body } => self.agreed_word(now, from, slot, body),
-                Followed::Paper(p) => {
+                Followed::CatalogUpdate(p) => {
                     let Some(plans) = &mut self.plans else { continue };
-                    let ends = f.member.papers.ends(p.number, now);
+                    let ends = f.member.catalog.deadline(p.number, now);
                     match plans.came(&p.text, ends) {
                         Ok(h) => self.holds(now, h, false),
                         Err(why) => {
-                            f.member.papers.refused();
+                            f.member.catalog.handle_rejected();
                             self.mode(format!("plans: change {} is not taken: {why}", p.number));
                         }
                     }
--- a/crates/host-core/src/core/stops.rs
+++ b/crates/host-core/src/core/stops.rs
@@ -1,7 +1,7 @@
 //! Nodes that other hosts' newer node lists take away, while this host's own list is older, or its service has gone back.
 
 use super::*;
-use tackmast_membership::{ListCame, NodeRemoval};
+use tackmast_membership::{NodeListEvent, NodeRemoval};
 
 /// Nodes that are held so, at most.
 const STOPS: usize = 4_096;
@@ -24,13 +24,13 @@
 
 impl Core {
     /// What other hosts say of the node list. It only ever takes nodes away.
-    pub(super) fn list_of_others(&mut self, now: Instant, came: ListCame) {
+    pub(super) fn list_of_others(&mut self, now: Instant, came: NodeListEvent) {
         match came {
-            ListCame::Behind { .. } => self.outputs.push_back(Output::FetchList),
-            ListCame::WentBack { from, to } => self.mode(format!(
+            NodeListEvent::Behind { .. } => self.outputs.push_back(Output::FetchList),
+            NodeListEvent::RolledBack { from, to } => self.mode(format!(
                 "list: it went back from version {from} to {to}; what drained or was gone by {from} stays so for {STANDS_S} s, or until it is past {from}"
             )),
-            ListCame::Stopped { version, stop } => self.stop_by_others(now, version, stop),
+            NodeListEvent::Removed { version, removal: stop } => self.stop_by_others(now, version, stop),
         }
     }
 
--- a/crates/host-core/src/fellows.rs
+++ b/crates/host-core/src/fellows.rs
@@ -10,8 +10,9 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_config::{HostSettings, MembershipBlock};
 use tackmast_membership::{
-    Do, LeaseSettings, LeaseStatus, ListCame, Member, MemberSettings, Output, OverrideKind, OverrideRecord,
-    Paper, PreviousExit, QuotaBalance, Remembered, SharedLimit, SiteWord, ViewSettings, Ways,
+    CatalogUpdate, CatalogVersion, LeaseSettings, LeaseStatus, Member, MemberSettings, NodeListEvent, Output,
+    OverrideEvent, OverrideKind, OverrideRecord, PreviousExit, QuotaBalance, Remembered, SharedLimit,
+    SiteWord, ViewSettings, Ways,
 };
 use tackmast_overrides::{Kind, Order, Origin, Override, OverrideId};
 use tackmast_wire::peer::Body;
@@ -46,10 +47,10 @@
     Mode(String),
     Ask(u64, Ask),
     /// A change of plans.
-    Paper(Paper),
+    CatalogUpdate(CatalogUpdate),
     /// To be written down for the next generation.
     Remember(Remembered),
-    List(ListCame),
+    NodeList(NodeListEvent),
     Word {
         from: SocketAddr,
         slot: u32,
@@ -222,7 +223,8 @@
     /// This host goes by plans that change, and has these changes.
     pub fn begin_papers(&mut self, plans: &crate::Plans) {
         let texts = plans.texts().map(|(n, t)| (n, Bytes::from(t)));
-        self.member.papers.begin(plans.newest_mark(), texts);
+        let (number, mark) = plans.newest_mark();
+        self.member.catalog.enable(CatalogVersion { number, mark }, texts);
     }
 
     pub fn is_own(request: u64) -> bool {
@@ -257,11 +259,11 @@
             return Some(match o {
                 Output::Send { to, bytes } => Followed::Send { to, bytes },
                 Output::Mode(line) => Followed::Mode(line),
-                Output::Paper(p) => Followed::Paper(p),
+                Output::CatalogUpdate(p) => Followed::CatalogUpdate(p),
                 Output::Remember(r) => Followed::Remember(r),
-                Output::List(c) => Followed::List(c),
+                Output::NodeList(c) => Followed::NodeList(c),
                 Output::Word { from, slot, body } => Followed::Word { from, slot, body },
-                Output::Do(d) => match self.asked(d) {
+                Output::Override(d) => match self.asked(d) {
                     Some(ask) => {
                         self.asks += 1;
                         Followed::Ask(self.asks, ask)
@@ -294,23 +296,23 @@
         None
     }
 
-    fn asked(&self, d: Do) -> Option<Ask> {
+    fn asked(&self, d: OverrideEvent) -> Option<Ask> {
         match d {
-            Do::Hold { name, order, seconds } => {
+            OverrideEvent::Set { origin, record: order, seconds } => {
                 let kind = match order.kind {
                     OverrideKind::Out => Kind::OutOfService,
                     OverrideKind::Pinned => Kind::Pinned,
                     OverrideKind::Weight(w) => Kind::Weight(f64::from(w)),
                 };
                 let target = order.target.parse().ok()?;
-                let (reason, who, origin) = (order.reason, order.who, Some(name));
+                let (reason, who, origin) = (order.reason, order.who, Some(origin));
                 let order = Order { target, kind, reason, who, seconds, origin };
                 // The host that took it looked at what it would take out; here it is to hold as there.
                 Some(Ask::Set { order, force: true, dry_run: false, if_version: None })
             }
-            Do::Clear { name } => {
-                let id = self.names.iter().find(|(_, n)| **n == name).map(|(id, _)| *id)?;
-                Some(Ask::Clear { id, who: format!("host {}", name.slot) })
+            OverrideEvent::Clear { origin } => {
+                let id = self.names.iter().find(|(_, n)| **n == origin).map(|(id, _)| *id)?;
+                Some(Ask::Clear { id, who: format!("host {}", origin.slot) })
             }
         }
     }
--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use tackmast::interface::{Instant, Plan as Figures, PlanId, TimeDelta};
 use tackmast_config::{HostSettings, PlansBlock};
-use tackmast_membership::{MAX_BYTES, MAX_PAPERS};
+use tackmast_membership::{MAX_CATALOG_UPDATES, MAX_UPDATE_LEN};
 use tackmast_plans::{
     Agreed, Catalogue, Change, Command, Entry, Fleet, Plan, Step, TrafficClass, Trail, TrailError, Volume,
 };
@@ -385,13 +385,15 @@
         let (entry, next) = self.trail.propose(wall_us, change, &self.fleet).map_err(|r| r.to_string())?;
         self.trail.catalogue.moves_live(&next).map_err(|r| r.to_string())?;
         let bytes = Trail::line(&entry).len();
-        if bytes > MAX_BYTES {
+        if bytes > MAX_UPDATE_LEN {
             return Err(format!(
-                "a change of {bytes} bytes; expected at most {MAX_BYTES}, in several changes"
+                "a change of {bytes} bytes; expected at most {MAX_UPDATE_LEN}, in several changes"
             ));
         }
-        if self.trail.entries.len() >= MAX_PAPERS {
-            return Err(format!("the trail is full: {MAX_PAPERS} changes; expected it to be begun anew"));
+        if self.trail.entries.len() >= MAX_CATALOG_UPDATES {
+            return Err(format!(
+                "the trail is full: {MAX_CATALOG_UPDATES} changes; expected it to be begun anew"
+            ));
         }
         let new = |s: &&Step| matches!(s, Step::Plan { name, .. } if !self.numbers.contains_key(name));
         if self.numbers.len() + entry.change.steps.iter().filter(new).count() > NAMES {
--- /dev/null
+++ b/crates/membership/src/catalog_replication.rs
@@ -0,0 +1,267 @@
+//! Replication of catalog updates from the host that publishes them to all others. Updates are numbered texts, one after
+//! the other; whoever learns of a newer number fetches the next text in chunks (pull-based, as in rumour mongering with
+//! pull by Demers et al., 1987, section 1.4). What a text means, and whether it follows the one before, its reader
+//! judges; here it is bytes. A host that applies an update tells a few others at once, and one more each protocol period,
+//! so that a lost message is made up for.
+
+mod fetch;
+
+use crate::Transmit;
+use bytes::Bytes;
+use fetch::{Fetch, FetchProgress};
+use std::collections::{BTreeMap, VecDeque};
+use std::net::SocketAddr;
+use tackmast::interface::{Instant, TimeDelta};
+use tackmast_wire::peer::{Body, CatalogMessage, MAX_PIECE};
+
+/// Greatest number of updates that a host keeps; one that publishes them refuses those beyond.
+pub const MAX_CATALOG_UPDATES: usize = 20_000;
+/// Greatest length of one update in bytes.
+pub const MAX_UPDATE_LEN: usize = 1 << 20;
+/// Peers that are told at once of a new update, or a new node list.
+pub(crate) const FANOUT: usize = 3;
+/// Greatest number of peers whose versions are kept.
+const MAX_PEERS: usize = 100_000;
+
+/// An update of the catalog.
+#[derive(Clone, Debug, PartialEq)]
+pub struct CatalogUpdate {
+    /// Its number.
+    pub number: u64,
+    /// Its text.
+    pub text: Bytes,
+}
+
+/// A state of the catalog.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct CatalogVersion {
+    /// Number of the last update.
+    pub number: u64,
+    /// Digest of all updates up to it.
+    pub mark: u64,
+}
+
+/// What a host learns of the catalog.
+#[derive(Clone, Debug, PartialEq)]
+pub enum CatalogEvent {
+    /// An update has arrived, and is to be applied or rejected.
+    Update(CatalogUpdate),
+    /// A peer has applied another update under the same number.
+    Fork {
+        /// The peer.
+        slot: u32,
+        /// Number of the update.
+        number: u64,
+    },
+}
+
+/// The newest update that peers announced, and the deadline by which all hosts must have applied it.
+#[derive(Default)]
+struct Announced {
+    number: u64,
+    deadline: Instant,
+}
+
+/// The catalog updates that one host has, and those that it learns of.
+#[derive(Default)]
+pub struct CatalogReplication {
+    enabled: bool,
+    texts: BTreeMap<u64, Bytes>,
+    newest: CatalogVersion,
+    /// By when all hosts must have applied the newest.
+    deadline: Instant,
+    announced: Announced,
+    /// By slot, the newest update that the peer has applied.
+    peer_versions: BTreeMap<u32, u64>,
+    fetch: Option<Fetch>,
+    updates: VecDeque<CatalogUpdate>,
+    fork: Option<CatalogEvent>,
+    /// Number of the last fork that was reported, as each is once.
+    reported_fork: u64,
+    transmits: VecDeque<Transmit>,
+    /// Updates that were not accepted here.
+    pub rejected: u64,
+}
+
+impl CatalogReplication {
+    /// This host takes part, and has these updates.
+    pub fn enable(&mut self, newest: CatalogVersion, texts: impl IntoIterator<Item = (u64, Bytes)>) {
+        self.enabled = true;
+        self.newest = newest;
+        self.texts = texts.into_iter().collect();
+    }
+
+    /// Whether this host takes part.
+    pub fn is_enabled(&self) -> bool {
+        self.enabled
+    }
+
+    /// An update was applied here; by the deadline all hosts must have.
+    pub fn handle_applied(&mut self, now: Instant, version: CatalogVersion, text: Bytes, deadline: Instant) {
+        self.newest = version;
+        self.deadline = deadline;
+        self.texts.insert(version.number, text);
+        let is_behind = self.announced.number > version.number;
+        if let Some(fetch) = self.fetch.take().filter(|_| is_behind) {
+            self.start_fetch(now, fetch.from);
+        }
+    }
+
+    /// The update that arrived is not accepted here.
+    pub fn handle_rejected(&mut self) {
+        self.rejected += 1;
+        self.fetch = None;
+    }
+
+    /// Tells a peer which update this host has applied.
+    pub fn version_message(&self, now: Instant) -> CatalogMessage {
+        let remaining_ms = ((self.deadline - now).secs().max(0.0) * 1e3).ceil() as u32;
+        CatalogMessage::Version { number: self.newest.number, mark: self.newest.mark, remaining_ms }
+    }
+
+    /// Number of the newest update that is applied here.
+    pub fn newest(&self) -> u64 {
+        self.newest.number
+    }
+
+    /// By slot, the newest update that each peer has announced.
+    pub fn peer_versions(&self) -> &BTreeMap<u32, u64> {
+        &self.peer_versions
+    }
+
+    /// Whether some peer was heard, and none that has applied more.
+    pub fn is_up_to_date(&self) -> bool {
+        !self.peer_versions.is_empty() && self.announced.number <= self.newest.number
+    }
+
+    /// The newest update that peers announced, where this host has not applied it.
+    pub fn missing(&self) -> Option<u64> {
+        Some(self.announced.number).filter(|number| *number > self.newest.number)
+    }
+
+    /// The deadline of that update if it is the newest that was announced, else now.
+    pub fn deadline(&self, number: u64, now: Instant) -> Instant {
+        if self.announced.number == number {
+            self.announced.deadline
+        } else {
+            now
+        }
+    }
+
+    /// A peer has sent a message.
+    pub fn handle_message(&mut self, now: Instant, from: SocketAddr, slot: u32, message: &CatalogMessage) {
+        if !self.enabled {
+            return;
+        }
+        match message {
+            CatalogMessage::Version { number, mark, remaining_ms } => {
+                let deadline = now + TimeDelta::from_secs(f64::from(*remaining_ms) / 1e3);
+                self.record_announcement(slot, *number, deadline);
+                self.compare_version(now, from, slot, CatalogVersion { number: *number, mark: *mark });
+            }
+            CatalogMessage::ChunkRequest { number, piece } => self.send_chunk(from, *number, *piece),
+            CatalogMessage::Chunk { .. } => self.handle_chunk(now, from, message),
+        }
+    }
+
+    fn record_announcement(&mut self, slot: u32, number: u64, deadline: Instant) {
+        if self.peer_versions.len() < MAX_PEERS || self.peer_versions.contains_key(&slot) {
+            self.peer_versions.insert(slot, number);
+        }
+        let known = &mut self.announced;
+        if number > known.number {
+            *known = Announced { number, deadline };
+        } else if number == known.number {
+            // The time that a message takes only makes the deadline look later.
+            known.deadline = known.deadline.min(deadline);
+        }
+    }
+
+    fn compare_version(&mut self, now: Instant, from: SocketAddr, slot: u32, theirs: CatalogVersion) {
+        if theirs.number > self.newest.number {
+            if !self.fetch.as_ref().is_some_and(|fetch| fetch.is_waiting(now)) {
+                self.start_fetch(now, from);
+            }
+        } else if theirs.number < self.newest.number {
+            let message = self.version_message(now);
+            self.send(from, message);
+        } else if theirs.mark != self.newest.mark && self.reported_fork < theirs.number {
+            self.reported_fork = theirs.number;
+            self.fork = Some(CatalogEvent::Fork { slot, number: theirs.number });
+        }
+    }
+
+    fn send_chunk(&mut self, to: SocketAddr, number: u64, piece: u16) {
+        let Some(text) = self.texts.get(&number) else { return };
+        let pieces = text.len().div_ceil(MAX_PIECE).max(1) as u16;
+        if piece >= pieces {
+            return;
+        }
+        let start = usize::from(piece) * MAX_PIECE;
+        let bytes = text.slice(start..text.len().min(start + MAX_PIECE));
+        self.send(to, CatalogMessage::Chunk { number, piece, pieces, bytes });
+    }
+
+    /// Fetches the next update. A fetch that was begun goes on, also from another peer: an update is the same at all that
+    /// have it, and one of many chunks would else never be whole where datagrams get lost.
+    fn start_fetch(&mut self, now: Instant, from: SocketAddr) {
+        let number = self.newest.number + 1;
+        let begun = self.fetch.take().filter(|fetch| fetch.number == number);
+        let fetch = match begun {
+            Some(fetch) => fetch.resume(now, from),
+            None => Fetch::new(now, from, number),
+        };
+        self.send(from, fetch.request());
+        self.fetch = Some(fetch);
+    }
+
+    fn handle_chunk(&mut self, now: Instant, from: SocketAddr, chunk: &CatalogMessage) {
+        let Some(fetch) = &mut self.fetch else { return };
+        match fetch.handle_chunk(now, from, chunk) {
+            FetchProgress::Ignored => {}
+            FetchProgress::TooLong => self.handle_rejected(),
+            FetchProgress::Incomplete => {
+                let request = fetch.request();
+                self.send(from, request);
+            }
+            FetchProgress::Complete(text) => {
+                let number = fetch.number;
+                self.updates.push_back(CatalogUpdate { number, text });
+            }
+        }
+    }
+
+    /// Requests a chunk again that did not arrive in time.
+    pub fn handle_timeout(&mut self, now: Instant) {
+        let is_due = self.poll_timeout().is_some_and(|t| t <= now);
+        // Against the announcement of an update that nobody has: it would hold up clients, and the next update.
+        if self.fetch.as_ref().is_some_and(Fetch::is_exhausted) {
+            self.fetch = None;
+            self.announced = Announced { number: self.newest.number, deadline: now };
+        }
+        if let Some(fetch) = self.fetch.as_mut().filter(|_| is_due) {
+            fetch.retry(now);
+            let (from, request) = (fetch.from, fetch.request());
+            self.send(from, request);
+        }
+    }
+
+    /// When [`handle_timeout`](Self::handle_timeout) is due.
+    pub fn poll_timeout(&self) -> Option<Instant> {
+        self.fetch.as_ref().and_then(Fetch::retry_at)
+    }
+
+    /// The next event.
+    pub fn poll_event(&mut self) -> Option<CatalogEvent> {
+        self.updates.pop_front().map(CatalogEvent::Update).or_else(|| self.fork.take())
+    }
+
+    /// The next message to be sent.
+    pub fn poll_transmit(&mut self) -> Option<Transmit> {
+        self.transmits.pop_front()
+    }
+
+    fn send(&mut self, to: SocketAddr, message: CatalogMessage) {
+        self.transmits.push_back(Transmit::to_address(to, Body::Catalog(message)));
+    }
+}
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -3,21 +3,26 @@
 //! `spread` carries operators' orders to all, `papers` changes of plans, `lists` what newer node
 //! lists take away, and `member` is these together, fed with datagrams and the time.
 
-mod lists;
+mod catalog_replication;
 mod member;
-mod papers;
+mod node_list;
+mod override_gossip;
 mod quota_leases;
-mod spread;
 mod view;
 
-pub use lists::{ListCame, Lists};
+use std::net::SocketAddr;
+use tackmast_wire::peer::Body;
+
+pub use catalog_replication::{
+    CatalogEvent, CatalogReplication, CatalogUpdate, CatalogVersion, MAX_CATALOG_UPDATES, MAX_UPDATE_LEN,
+};
 pub use member::{Counters, Member, MemberSettings, Output, Remembered};
-pub use papers::{Paper, Papers, MAX_BYTES, MAX_PAPERS};
+pub use node_list::{NodeListEvent, NodeListNotices};
+pub use override_gossip::{OverrideEvent, OverrideGossip};
 pub use quota_leases::{
     LeaseFault, LeaseSettings, LeaseStatus, LeaseTransmit, PreviousExit, QuotaBalance, QuotaLeases,
     SharedLimit,
 };
-pub use spread::{Do, Spread};
 pub use tackmast_wire::peer::{
     Datagram, Health, LeaseMessage, MemberUpdate, NodeRemoval, OverrideKind, OverrideRecord,
 };
@@ -31,3 +36,20 @@
     /// Number of the process's start.
     pub generation: u64,
 }
+
+/// A message to be sent to a peer.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Transmit {
+    /// Where it goes.
+    pub to: SocketAddr,
+    /// The message.
+    pub body: Body,
+    /// Slot of the receiver, where it is known.
+    pub recipient: Option<u32>,
+}
+
+impl Transmit {
+    pub(crate) fn to_address(to: SocketAddr, body: Body) -> Self {
+        Transmit { to, body, recipient: None }
+    }
+}
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,12 +1,12 @@
 //! One host among others: datagrams and the time in, datagrams and what follows from them out.
 
-use crate::lists::{ListCame, Lists};
-use crate::papers::{Paper, Papers, TOLD};
+use crate::catalog_replication::{CatalogEvent, CatalogReplication, CatalogUpdate, CatalogVersion, FANOUT};
+use crate::node_list::{NodeListEvent, NodeListNotices};
+use crate::override_gossip::{OverrideEvent, OverrideGossip};
 use crate::quota_leases::LeaseTransmit;
 use crate::quota_leases::{LeaseSettings, PreviousExit, QuotaBalance, QuotaLeases, SharedLimit};
-use crate::spread::{Do, Spread};
 use crate::view::{Change, Seen, SiteWord, View, ViewFault, ViewSettings};
-use crate::MemberId;
+use crate::{MemberId, Transmit};
 use bytes::Bytes;
 use imbl::OrdMap;
 use ipnet::IpNet;
@@ -60,13 +60,13 @@
     },
     /// A change of a host's health, for the log.
     Mode(String),
-    Do(Do),
+    Override(OverrideEvent),
     /// A change of plans came from another host.
-    Paper(Paper),
+    CatalogUpdate(CatalogUpdate),
     /// To be written down for the next generation, in place of what was before.
     Remember(Remembered),
     /// Of the node list that other hosts hold.
-    List(ListCame),
+    NodeList(NodeListEvent),
     /// A word on the agreed log, or a piece of one, from the address at which that host is known.
     Word {
         from: SocketAddr,
@@ -94,9 +94,9 @@
     admit: Vec<IpNet>,
     pub view: View,
     pub leases: QuotaLeases,
-    pub spread: Spread,
-    pub papers: Papers,
-    lists: Lists,
+    pub overrides: OverrideGossip,
+    pub catalog: CatalogReplication,
+    node_list: NodeListNotices,
     shared_limits: (LeaseSettings, Vec<SharedLimit>),
     /// Another generation of this host's number may use what hosts share; this one does not, whatever else it does.
     yields: bool,
@@ -145,9 +145,9 @@
             admit: s.admit,
             view,
             leases: QuotaLeases::new(now, id, s.leases, s.shared_limits.clone(), s.previous_exit),
-            spread: Spread::default(),
-            papers: Papers::default(),
-            lists: Lists::default(),
+            overrides: OverrideGossip::default(),
+            catalog: CatalogReplication::default(),
+            node_list: NodeListNotices::default(),
             shared_limits: (s.leases, s.shared_limits),
             yields: false,
             remembered: Remembered { generation: s.generation, hosts: s.recalled },
@@ -242,17 +242,17 @@
                     self.from_piece = first + all.len();
                     all.into_iter().for_each(|news| self.push(from, Body::Gossip, news));
                 }
-                if orders != self.spread.digest(now) {
+                if orders != self.overrides.digest(now) {
                     self.tell_orders(now, from);
                 }
                 return self.settle(now);
             }
             Body::Overrides(orders) => {
-                orders.into_iter().for_each(|o| self.spread.learn(now, o));
+                orders.into_iter().for_each(|o| self.overrides.merge(now, o));
                 return self.settle(now);
             }
             Body::Catalog(message) => {
-                self.papers.heard(now, from, slot, &message);
+                self.catalog.handle_message(now, from, slot, &message);
                 return self.settle(now);
             }
             body @ (Body::Consensus { .. }
@@ -269,7 +269,7 @@
                 return self.settle(now);
             }
             Body::NodeList(message) => {
-                self.lists.heard(now, from, message);
+                self.node_list.handle_message(now, from, message);
                 return self.settle(now);
             }
             Body::Gossip => return self.settle(now),
@@ -288,7 +288,7 @@
     }
 
     fn tell_orders(&mut self, now: Instant, to: SocketAddr) {
-        let all = self.spread.all(now);
+        let all = self.overrides.records(now);
         if all.is_empty() {
             return;
         }
@@ -342,21 +342,25 @@
             let line = self.line(change);
             self.outputs.push_back(Output::Mode(line));
         }
-        while let Some(d) = self.spread.next_do() {
-            self.outputs.push_back(Output::Do(d));
+        while let Some(d) = self.overrides.poll_event() {
+            self.outputs.push_back(Output::Override(d));
         }
-        while let Some((to, body)) = self.papers.next_say().or_else(|| self.lists.next_say()) {
+        while let Some(Transmit { to, body, .. }) =
+            self.catalog.poll_transmit().or_else(|| self.node_list.poll_transmit())
+        {
             self.push(to, body, Vec::new());
         }
-        while let Some(c) = self.lists.next_came() {
-            self.outputs.push_back(Output::List(c));
+        while let Some(c) = self.node_list.poll_event() {
+            self.outputs.push_back(Output::NodeList(c));
         }
-        while let Some(p) = self.papers.next_came() {
-            self.outputs.push_back(Output::Paper(p));
-        }
-        if let Some((slot, number)) = self.papers.next_fork() {
-            let line = format!("host {slot} goes by other plans: another change {number} than here");
-            self.outputs.push_back(Output::Mode(line));
+        while let Some(event) = self.catalog.poll_event() {
+            let output = match event {
+                CatalogEvent::Update(update) => Output::CatalogUpdate(update),
+                CatalogEvent::Fork { slot, number } => Output::Mode(format!(
+                    "host {slot} goes by other plans: another change {number} than here"
+                )),
+            };
+            self.outputs.push_back(output);
         }
     }
 
@@ -423,7 +427,7 @@
     pub fn tick(&mut self, now: Instant) {
         self.view.tick(now);
         // The view does not know of orders: the digest it sends is filled in here.
-        let orders = self.spread.digest(now);
+        let orders = self.overrides.digest(now);
         let mut sends = Vec::new();
         while let Some((to, body, slot)) = self.view.next_send() {
             let body = match body {
@@ -436,24 +440,24 @@
             let beat = matches!(body, Body::Digest { .. });
             let news = self.view.beside(slot);
             self.push(to, body, news);
-            if beat && self.papers.is_on() {
-                self.push(to, self.papers.word(now), Vec::new());
+            if beat && self.catalog.is_enabled() {
+                self.push(to, Body::Catalog(self.catalog.version_message(now)), Vec::new());
             }
-            if beat && self.lists.is_on() {
-                self.push(to, self.lists.word(), Vec::new());
+            if beat && self.node_list.is_enabled() {
+                self.push(to, Body::NodeList(self.node_list.version_message()), Vec::new());
             }
         }
         if self.leases.poll_timeout() <= now {
             self.leases.handle_timeout(now, &self.view.steady(now));
         }
-        self.spread.tick(now);
-        self.papers.tick(now);
+        self.overrides.handle_timeout(now);
+        self.catalog.handle_timeout(now);
         self.remember(now);
         self.settle(now);
     }
 
     pub fn next_wake(&self) -> Instant {
-        let papers = self.papers.next_wake();
+        let papers = self.catalog.poll_timeout();
         [self.leases.poll_timeout()].into_iter().chain(papers).fold(self.view.next_wake(), Instant::min)
     }
 
@@ -484,14 +488,14 @@
 
     /// An order that this host took itself, or had kept.
     pub fn ordered(&mut self, now: Instant, order: OverrideRecord) {
-        self.spread.mine(now, order);
+        self.overrides.add_local(now, order);
     }
 
     /// A change of plans is taken here, and told on.
     pub fn paper_taken(&mut self, now: Instant, number: u64, mark: u64, text: Bytes, ends: Instant) {
-        self.papers.taken(now, number, mark, text, ends);
-        let word = self.papers.word(now);
-        for slot in self.view.pick(now, TOLD, None) {
+        self.catalog.handle_applied(now, CatalogVersion { number, mark }, text, ends);
+        let word = Body::Catalog(self.catalog.version_message(now));
+        for slot in self.view.pick(now, FANOUT, None) {
             if let Some(to) = self.view.address(slot) {
                 self.push(to, word.clone(), Vec::new());
             }
@@ -501,9 +505,9 @@
 
     /// This host's node list is at that version, and takes these away; news go to three others at once.
     pub fn listed(&mut self, now: Instant, version: u64, stops: impl IntoIterator<Item = NodeRemoval>) {
-        if self.lists.listed(version, stops) {
-            let word = self.lists.word();
-            for slot in self.view.pick(now, TOLD, None) {
+        if self.node_list.handle_list(version, stops) {
+            let word = Body::NodeList(self.node_list.version_message());
+            for slot in self.view.pick(now, FANOUT, None) {
                 if let Some(to) = self.view.address(slot) {
                     self.push(to, word.clone(), Vec::new());
                 }
@@ -518,6 +522,6 @@
     }
 
     pub fn cleared(&mut self, name: Name) {
-        self.spread.cleared(name);
+        self.overrides.clear_local(name);
     }
 }
--- a/crates/membership/tests/decision_hash.rs
+++ b/crates/membership/tests/decision_hash.rs
@@ -72,8 +72,8 @@
         self.bytes(&datagram.to_bytes());
     }
 
-    fn order_name(&mut self, name: &Origin) {
-        self.numbers([u64::from(name.slot), name.generation, name.number]);
+    fn origin(&mut self, origin: &Origin) {
+        self.numbers([u64::from(origin.slot), origin.generation, origin.number]);
     }
 
     fn to_hex(&self) -> String {
@@ -214,7 +214,7 @@
         let mut received = Vec::new();
         while let Some(output) = self.host(host).member.as_mut().and_then(|member| member.next_output()) {
             self.hash.number(u64::from(host));
-            if let Output::Paper(update) = &output {
+            if let Output::CatalogUpdate(update) = &output {
                 received.push(update.number);
             }
             self.on_output(host, output);
@@ -234,19 +234,19 @@
                 self.hash.number(2);
                 self.hash.log_line(&line);
             }
-            Output::Do(Do::Hold { name, order, seconds }) => {
+            Output::Override(OverrideEvent::Set { origin, record, seconds }) => {
                 self.hash.number(3);
-                self.hash.order_name(&name);
-                self.hash.body(Body::Overrides(vec![order]));
+                self.hash.origin(&origin);
+                self.hash.body(Body::Overrides(vec![record]));
                 self.hash.real(seconds);
                 self.totals.orders_held += 1;
             }
-            Output::Do(Do::Clear { name }) => {
+            Output::Override(OverrideEvent::Clear { origin }) => {
                 self.hash.number(4);
-                self.hash.order_name(&name);
+                self.hash.origin(&origin);
                 self.totals.orders_cleared += 1;
             }
-            Output::Paper(update) => {
+            Output::CatalogUpdate(update) => {
                 self.hash.number(5);
                 self.hash.number(update.number);
                 self.hash.bytes(&update.text);
@@ -262,7 +262,7 @@
                 self.totals.remembered += 1;
                 self.host(host).remembered = remembered;
             }
-            Output::List(event) => self.on_list_event(event),
+            Output::NodeList(event) => self.on_list_event(event),
             Output::Word { from, slot, body } => {
                 self.hash.number(8);
                 self.hash.address(from);
@@ -273,16 +273,16 @@
         }
     }
 
-    fn on_list_event(&mut self, event: ListCame) {
+    fn on_list_event(&mut self, event: NodeListEvent) {
         self.hash.number(7);
         match event {
-            ListCame::Behind { version } => self.hash.numbers([1, version]),
-            ListCame::Stopped { version, stop } => {
-                self.hash.numbers([2, version, u64::from(stop.gone)]);
-                self.hash.bytes(stop.address.as_bytes());
+            NodeListEvent::Behind { version } => self.hash.numbers([1, version]),
+            NodeListEvent::Removed { version, removal } => {
+                self.hash.numbers([2, version, u64::from(removal.gone)]);
+                self.hash.bytes(removal.address.as_bytes());
                 self.totals.nodes_removed += 1;
             }
-            ListCame::WentBack { from, to } => self.hash.numbers([3, from, to]),
+            NodeListEvent::RolledBack { from, to } => self.hash.numbers([3, from, to]),
         }
     }
 
@@ -291,7 +291,7 @@
         let text = update_text(number);
         self.host(host).updates.insert(number, text.clone());
         self.input(host, |member, now| {
-            let ends = member.papers.ends(number, now);
+            let ends = member.catalog.deadline(number, now);
             member.paper_taken(now, number, update_mark(number), text, ends);
         });
     }
@@ -364,7 +364,7 @@
         let mut member = Member::new(now, settings);
         let newest = host.updates.keys().last().copied().unwrap_or(0);
         let mark = if newest > 0 { update_mark(newest) } else { 0 };
-        member.papers.begin((newest, mark), host.updates.clone());
+        member.catalog.enable(CatalogVersion { number: newest, mark }, host.updates.clone());
         host.member = Some(member);
         host.dead.clear();
         host.orders.clear();
@@ -544,10 +544,10 @@
             self.totals.came_back += host.dead.difference(&dead).count() as u64;
             host.dead = dead;
             hash.numbers([u64::from(member.alive()), u64::from(member.view.strain())]);
-            hash.numbers([u64::from(member.view.digest()), u64::from(member.spread.digest(now))]);
+            hash.numbers([u64::from(member.view.digest()), u64::from(member.overrides.digest(now))]);
             hash.numbers(member.view.steady(now).into_iter().map(u64::from));
             hash.number(u64::from(member.view.is_displaced()));
-            hash.number(member.papers.at().0);
+            hash.number(member.catalog.newest());
             hash.time(member.next_wake());
             if let Some(quota_balance) = member.quota_balance(now, VOLUME) {
                 hash.real(quota_balance.lent);
--- a/crates/membership/tests/member.rs
+++ b/crates/membership/tests/member.rs
@@ -201,16 +201,16 @@
         ("ended elsewhere", &[(10.0, 0, false)], (0, 0)),
     ];
     for (name, steps, expected) in cases {
-        let mut s = Spread::default();
+        let mut s = OverrideGossip::default();
         let (mut held, mut let_go) = (0, 0);
         for (at, left, cleared) in *steps {
             let t = Instant::from_secs(*at);
-            s.tick(t);
-            s.learn(t, order(*left, *cleared));
-            while let Some(d) = s.next_do() {
+            s.handle_timeout(t);
+            s.merge(t, order(*left, *cleared));
+            while let Some(d) = s.poll_event() {
                 match d {
-                    Do::Hold { .. } => held += 1,
-                    Do::Clear { .. } => let_go += 1,
+                    OverrideEvent::Set { .. } => held += 1,
+                    OverrideEvent::Clear { .. } => let_go += 1,
                 }
             }
         }
@@ -241,20 +241,23 @@
         m.datagram(t, address(1), datagram(1, 1, Body::Probe(ProbeMessage::Ping { seq }), vec![]));
     }
     let all: Vec<Output> = std::iter::from_fn(|| m.next_output()).collect();
-    assert!(all.iter().any(|o| matches!(o, Output::Do(Do::Hold { .. }))), "it is told once, and not lost");
+    assert!(
+        all.iter().any(|o| matches!(o, Output::Override(OverrideEvent::Set { .. }))),
+        "it is told once, and not lost"
+    );
     assert!(all.len() <= 4_100 && m.counters.lost_full > 1_000, "{} and {:?}", all.len(), m.counters);
 }
 
 #[test]
 fn a_change_that_nobody_has_holds_nothing_up_and_pieces_count_only_as_asked() {
     let mut m = member(5);
-    m.papers.begin((0, 0), []);
+    m.catalog.enable(CatalogVersion::default(), []);
     let at = |s: f64| Instant::from_secs(10.0 + s);
     let word = |number| Body::Catalog(CatalogMessage::Version { number, mark: number, remaining_ms: 5000 });
     m.datagram(at(0.0), address(1), datagram(1, 1, word(u64::MAX), vec![]));
-    assert_eq!((m.papers.behind(), m.papers.is_up_to_date()), (Some(u64::MAX), false));
+    assert_eq!((m.catalog.missing(), m.catalog.is_up_to_date()), (Some(u64::MAX), false));
     (1..40).for_each(|i| m.tick(at(f64::from(i) * 0.1)));
-    assert_eq!((m.papers.behind(), m.papers.is_up_to_date()), (None, true), "nobody brings it");
+    assert_eq!((m.catalog.missing(), m.catalog.is_up_to_date()), (None, true), "nobody brings it");
 
     // A real one, of three pieces; between them come pieces that were not asked for, or of others, and doubled ones.
     let text: Vec<u8> = (0..3000u32).map(|i| i as u8).collect();
@@ -273,13 +276,13 @@
         m.datagram(at(5.01), address(from), datagram(from, 1, piece(i), vec![]));
     }
     let came = std::iter::from_fn(|| m.next_output()).filter_map(|o| match o {
-        Output::Paper(p) => Some(p),
+        Output::CatalogUpdate(p) => Some(p),
         _ => None,
     });
-    let came: Vec<Paper> = came.collect();
-    assert_eq!(came, [Paper { number: 1, text: Bytes::from(text) }]);
+    let came: Vec<CatalogUpdate> = came.collect();
+    assert_eq!(came, [CatalogUpdate { number: 1, text: Bytes::from(text) }]);
     m.paper_taken(at(5.1), 1, 1, came[0].text.clone(), at(9.0));
-    assert_eq!((m.papers.behind(), m.papers.is_up_to_date(), m.papers.at().0), (None, true, 1));
+    assert_eq!((m.catalog.missing(), m.catalog.is_up_to_date(), m.catalog.newest()), (None, true, 1));
 
     // Endless pieces end at the bound of one text.
     m.datagram(at(6.0), address(1), datagram(1, 1, word(2), vec![]));
@@ -288,5 +291,5 @@
         let body = Body::Catalog(CatalogMessage::Chunk { number: 2, piece: i, pieces: u16::MAX, bytes });
         m.datagram(at(6.0), address(1), datagram(1, 1, body, vec![]));
     }
-    assert_eq!(m.papers.spoilt, 1);
+    assert_eq!(m.catalog.rejected, 1);
 }
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_membership::{
-    Do, Health, LeaseSettings, Member, MemberSettings, Output, OverrideKind, OverrideRecord, PreviousExit,
-    ViewSettings, Ways,
+    CatalogVersion, Health, LeaseSettings, Member, MemberSettings, Output, OverrideEvent, OverrideKind,
+    OverrideRecord, PreviousExit, ViewSettings, Ways,
 };
 
 type Us = u64;
@@ -138,16 +138,18 @@
             let Some(o) = m.next_output() else { break };
             match o {
                 Output::Send { to, bytes } => self.post(h, to, &bytes),
-                Output::Mode(_) | Output::Remember(_) | Output::Word { .. } | Output::List(_) => {}
-                Output::Paper(p) => {
-                    let ends = m.papers.ends(p.number, at(self.now));
+                Output::Mode(_) | Output::Remember(_) | Output::Word { .. } | Output::NodeList(_) => {}
+                Output::CatalogUpdate(p) => {
+                    let ends = m.catalog.deadline(p.number, at(self.now));
                     m.paper_taken(at(self.now), p.number, p.number, p.text, ends);
                 }
-                Output::Do(Do::Hold { name, .. }) => {
-                    self.returned += u64::from(self.over.contains(&name.number));
-                    self.held.entry(h).or_default().insert(name.number);
+                Output::Override(OverrideEvent::Set { origin, .. }) => {
+                    self.returned += u64::from(self.over.contains(&origin.number));
+                    self.held.entry(h).or_default().insert(origin.number);
+                }
+                Output::Override(OverrideEvent::Clear { origin }) => {
+                    _ = self.held.entry(h).or_default().remove(&origin.number)
                 }
-                Output::Do(Do::Clear { name }) => _ = self.held.entry(h).or_default().remove(&name.number),
             }
         }
         let Some(m) = self.members.get(&h) else { return };
@@ -194,7 +196,7 @@
     }
 
     fn all_go_by(&self, number: u64) -> bool {
-        self.members.values().all(|m| m.papers.at().0 >= number)
+        self.members.values().all(|m| m.catalog.newest() >= number)
     }
 
     /// The first host takes a change of plans.
@@ -323,7 +325,7 @@
     }
     x.after_flaps_s = f.until(Fleet::all_know_all);
     x.flap_deaths = f.sums().2 - before;
-    f.members.values_mut().for_each(|m| m.papers.begin((0, 0), []));
+    f.members.values_mut().for_each(|m| m.catalog.enable(CatalogVersion::default(), []));
     x.plan_s = f.plan(1, 500);
     x.large_plan_s = f.plan(2, 100_000);
     f.cut = Some(hosts / 2);
--- a/crates/simulator/src/views/world.rs
+++ b/crates/simulator/src/views/world.rs
@@ -271,10 +271,10 @@
                 }
                 Output::Remember(r) => self.all[p].disk = r,
                 Output::Mode(_)
-                | Output::Do(_)
-                | Output::Paper(_)
+                | Output::Override(_)
+                | Output::CatalogUpdate(_)
                 | Output::Word { .. }
-                | Output::List(_) => {}
+                | Output::NodeList(_) => {}
             }
         }
         let x = &mut self.all[p];
