--- a/crates/cli/src/views.rs
+++ b/crates/cli/src/views.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
-use tackmast_simulator::{difference, find, summary, view, Case, Shown, Trial, ViewFault, Ways};
+use tackmast_simulator::{difference, find, summary, view, Case, Extensions, Shown, Trial, ViewFault};
 
 #[derive(clap::Args)]
 pub struct ViewArguments {
@@ -31,17 +31,17 @@
     threads: usize,
 }
 
-fn without(name: &str) -> Result<Ways, String> {
-    let all = Ways::all();
+fn without(name: &str) -> Result<Extensions, String> {
+    let all = Extensions::all();
     Ok(match name {
-        "local-health" => Ways { local_health: false, ..all },
-        "confirm" => Ways { confirm: false, ..all },
-        "own-pause" => Ways { own_pause: false, ..all },
-        "told-back" => Ways { told_back: false, ..all },
-        "own-word" => Ways { own_word: false, ..all },
-        "recall" => Ways { recall: false, ..all },
-        "damp" => Ways { damp: false, ..all },
-        "twin" => Ways { twin: false, ..all },
+        "local-health" => Extensions { local_health: false, ..all },
+        "confirm" => Extensions { suspicion_confirmation: false, ..all },
+        "own-pause" => Extensions { pause_detection: false, ..all },
+        "told-back" => Extensions { buddy_system: false, ..all },
+        "own-word" => Extensions { sender_state: false, ..all },
+        "recall" => Extensions { rejoin: false, ..all },
+        "damp" => Extensions { flap_damping: false, ..all },
+        "twin" => Extensions { duplicate_id_check: false, ..all },
         other => {
             return Err(format!(
                 "--without {other:?}; expected local-health, confirm, own-pause, told-back, own-word, recall, damp or twin"
@@ -78,7 +78,7 @@
     }
     let other = match (&a.without, a.former) {
         (Some(name), _) => Some((format!("without {name}"), without(name)?)),
-        (None, true) => Some(("former".to_owned(), Ways::former())),
+        (None, true) => Some(("former".to_owned(), Extensions::none())),
         (None, false) => None,
     };
     let cases = if a.cases.is_empty() { Case::ALL.to_vec() } else { a.cases.clone() };
@@ -93,13 +93,13 @@
     let mut good = true;
     for hosts in &a.hosts {
         for case in &cases {
-            let play = |ways| {
+            let play = |extensions| {
                 let seeds: Vec<u64> = (a.first..a.first + a.seeds).collect();
                 each(&seeds, a.threads, |seed| {
-                    view(&Trial { case: *case, hosts: *hosts, seed: *seed, ways, fault: None })
+                    view(&Trial { case: *case, hosts: *hosts, seed: *seed, extensions, fault: None })
                 })
             };
-            let now = play(Ways::all());
+            let now = play(Extensions::all());
             good &= now.iter().all(|s| s.broken.is_empty() && s.settled.is_some());
             let line = |name: &str, all: &[Shown], end: &str| {
                 let s = summary(all);
@@ -125,8 +125,8 @@
                 format!("missed by all after {most:.1} at most")
             };
             line("now", &now, &end);
-            if let Some((name, ways)) = &other {
-                let then = play(*ways);
+            if let Some((name, extensions)) = &other {
+                let then = play(*extensions);
                 let (d, interval) = difference(&now, &then);
                 let interval = interval.map_or("too few pairs".into(), |(x, y)| format!("{x:.1} to {y:.1}"));
                 line(name, &then, &format!("{d:+.1} ({interval})"));
--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -446,9 +446,9 @@
     pub fn tick(&mut self, now: Instant) {
         self.tick_orders(now);
         self.tick_agreed(now);
-        if self.fellows.as_ref().is_some_and(|f| f.member.next_wake() <= now) {
+        if self.fellows.as_ref().is_some_and(|f| f.member.poll_timeout() <= now) {
             if let Some(f) = &mut self.fellows {
-                f.member.tick(now);
+                f.member.handle_timeout(now);
             }
             self.follow_fellows(now);
         }
@@ -508,7 +508,7 @@
         let attempt = self.until.first().map(|(t, _, _)| *t);
         let cut = self.cuts.first().map(|(t, _)| *t);
         let ends = self.orders.as_ref().and_then(|o| o.next(now));
-        let fellows = self.fellows.as_ref().map(|f| f.member.next_wake());
+        let fellows = self.fellows.as_ref().map(|f| f.member.poll_timeout());
         let agreed = self.agreed.as_ref().map(|a| a.next_wake(now));
         [attempt, cut, ends, fellows, agreed, self.scheduler.next_wake()].into_iter().flatten().min()
     }
--- a/crates/host-core/src/core/agreed.rs
+++ b/crates/host-core/src/core/agreed.rs
@@ -105,7 +105,7 @@
         self.answer_reads(now);
         let (Some(a), Some(f)) = (&mut self.agreed, &mut self.fellows) else { return };
         while let Some((to, body)) = a.parcels.next_say() {
-            f.member.post(to, body);
+            f.member.send(to, body);
         }
     }
 
--- a/crates/host-core/src/core/fellows.rs
+++ b/crates/host-core/src/core/fellows.rs
@@ -67,7 +67,8 @@
             self.outputs.push_back(Output::Keep { request: 0, keep });
         }
         if let Some(f) = &mut self.fellows {
-            f.member.paper_taken(now, h.number, h.mark, Bytes::from(h.text), h.ends);
+            let version = tackmast_membership::CatalogVersion { number: h.number, mark: h.mark };
+            f.member.handle_catalog_applied(now, version, Bytes::from(h.text), h.ends);
         }
     }
 
@@ -125,7 +126,7 @@
     /// Bytes from another host.
     pub fn datagram(&mut self, now: Instant, from: std::net::SocketAddr, bytes: Bytes) {
         if let Some(f) = &mut self.fellows {
-            f.member.datagram(now, from, bytes);
+            f.member.handle_datagram(now, from, bytes);
             self.follow_fellows(now);
         }
     }
@@ -133,7 +134,7 @@
     /// The host leaves in order and lends what it has; the mark that it does so lasts already.
     pub fn leave(&mut self, now: Instant) {
         if let Some(f) = &mut self.fellows {
-            f.member.leave(now);
+            f.member.begin_leave(now);
             self.follow_fellows(now);
         }
     }
@@ -141,7 +142,7 @@
     /// Its last word to the others.
     pub fn left(&mut self, now: Instant) {
         if let Some(f) = &mut self.fellows {
-            f.member.left(now);
+            f.member.announce_leave(now);
             self.follow_fellows(now);
         }
     }
--- a/crates/host-core/src/core/orders.rs
+++ b/crates/host-core/src/core/orders.rs
@@ -109,7 +109,7 @@
             overrides: orders.map_or(0, |o| o.overrides.len()),
             version: orders.map_or(0, |o| o.overrides.version()),
             returning: orders.map_or(0, |o| o.overrides.returning().0),
-            there: self.fellows.as_ref().map_or(0, |f| f.member.alive()),
+            there: self.fellows.as_ref().map_or(0, |f| f.member.live_count()),
             commands: self.commands.len(),
             attempts: self.until.len(),
             taken: c.taken,
--- a/crates/host-core/src/core/stops.rs
+++ b/crates/host-core/src/core/stops.rs
@@ -80,7 +80,7 @@
         let stops: Vec<NodeRemoval> = stopped
             .map(|(a, e)| NodeRemoval { address: a.to_owned(), gone: e.state == NodeState::Gone })
             .collect();
-        f.member.listed(now, version, stops);
+        f.member.handle_node_list(now, version, stops);
         self.follow_fellows(now);
     }
 }
--- a/crates/host-core/src/fellows.rs
+++ b/crates/host-core/src/fellows.rs
@@ -10,9 +10,9 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_config::{HostSettings, MembershipBlock};
 use tackmast_membership::{
-    CatalogUpdate, CatalogVersion, LeaseSettings, LeaseStatus, Member, MemberSettings, NodeListEvent, Output,
-    OverrideEvent, OverrideKind, OverrideRecord, PreviousExit, QuotaBalance, Remembered, SharedLimit,
-    SiteWord, ViewSettings, Ways,
+    CatalogUpdate, CatalogVersion, Extensions, KnownPeer, LeaseSettings, LeaseStatus, Member, MemberSettings,
+    NodeListEvent, Output, OverrideEvent, OverrideKind, OverrideRecord, PersistedMembers, PreviousExit,
+    QuotaBalance, SharedLimit, SiteHealth, ViewSettings,
 };
 use tackmast_overrides::{Kind, Order, Origin, Override, OverrideId};
 use tackmast_wire::peer::Body;
@@ -49,7 +49,7 @@
     /// A change of plans.
     CatalogUpdate(CatalogUpdate),
     /// To be written down for the next generation.
-    Remember(Remembered),
+    Remember(PersistedMembers),
     NodeList(NodeListEvent),
     Word {
         from: SocketAddr,
@@ -167,7 +167,7 @@
     generation: u64,
     left: bool,
     seed: u64,
-    recalled: Vec<(u32, u64, SocketAddr)>,
+    recalled: Vec<KnownPeer>,
 ) -> MemberSettings {
     let secs = TimeDelta::from_secs;
     let shared_limits = s.volumes.iter().filter(|v| !v.through.is_empty()).map(|v| SharedLimit {
@@ -181,13 +181,13 @@
         generation,
         address: m.advertise.unwrap_or(address),
         site: s.host.site,
-        recalled,
+        persisted: recalled,
         seeds: m.seeds.clone(),
-        admit: m.admit.clone(),
+        allowed_networks: m.admit.clone(),
         view: ViewSettings {
-            period: secs(m.period_ms / 1e3),
-            most: s.host.hosts as usize,
-            ways: Ways::all(),
+            protocol_period: secs(m.period_ms / 1e3),
+            max_hosts: s.host.hosts as usize,
+            extensions: Extensions::all(),
         },
         leases: LeaseSettings {
             term: secs(m.term_s),
@@ -204,7 +204,7 @@
 impl Fellows {
     pub fn new(now: Instant, settings: MemberSettings) -> Self {
         Fellows {
-            told: settings.view.most as u32,
+            told: settings.view.max_hosts as u32,
             member: Member::new(now, settings),
             there: 0,
             moved: BTreeMap::new(),
@@ -235,7 +235,7 @@
     pub fn stands(&mut self, now: Instant, o: &Override, left_s: f64) {
         let Some(origin) = o.origin else { return };
         self.names.insert(o.id, origin);
-        self.member.ordered(now, spread(o, origin, left_s));
+        self.member.add_override(now, spread(o, origin, left_s));
     }
 
     /// What became of an order here.
@@ -247,7 +247,7 @@
             }
             Reply::Cleared { id } => {
                 if let Some(name) = self.names.remove(id) {
-                    self.member.cleared(name);
+                    self.member.clear_override(name);
                 }
             }
             _ => {}
@@ -255,14 +255,14 @@
     }
 
     pub fn next(&mut self, now: Instant, layout: &Layout) -> Option<Followed> {
-        if let Some(o) = self.member.next_output() {
+        if let Some(o) = self.member.poll_output() {
             return Some(match o {
                 Output::Send { to, bytes } => Followed::Send { to, bytes },
-                Output::Mode(line) => Followed::Mode(line),
+                Output::Log(line) => Followed::Mode(line),
                 Output::CatalogUpdate(p) => Followed::CatalogUpdate(p),
-                Output::Remember(r) => Followed::Remember(r),
+                Output::Persist(r) => Followed::Remember(r),
                 Output::NodeList(c) => Followed::NodeList(c),
-                Output::Word { from, slot, body } => Followed::Word { from, slot, body },
+                Output::Consensus { from, slot, body } => Followed::Word { from, slot, body },
                 Output::Override(d) => match self.asked(d) {
                     Some(ask) => {
                         self.asks += 1;
@@ -274,7 +274,7 @@
         }
         // Who has not been heard of counts as there: hosts that start at once, each thinking itself alone, would all send
         // as if they were.
-        let there = self.told.saturating_sub(self.member.view.gone()).max(1);
+        let there = self.told.saturating_sub(self.member.view.gone_count()).max(1);
         if there != self.there {
             self.there = there;
             return Some(Followed::There(there));
@@ -336,11 +336,11 @@
             suspect: s.suspect,
             dead: s.dead,
             left: s.left,
-            word: match s.word {
-                SiteWord::There => "there",
-                SiteWord::Unheard(_) => "unheard as a whole",
-                SiteWord::Emptied(_) => "emptied one by one",
-                SiteWord::Left => "left",
+            word: match s.health {
+                SiteHealth::Reachable => "there",
+                SiteHealth::FailedTogether { .. } => "unheard as a whole",
+                SiteHealth::FailedOneByOne { .. } => "emptied one by one",
+                SiteHealth::Left => "left",
             }
             .into(),
         });
@@ -349,33 +349,33 @@
             generation: d.generation,
             incarnation: d.incarnation,
             ago_s: (now - d.at).secs(),
-            own: d.own,
+            own: d.declared_here,
         });
         MembersStatus {
             host: Some(me.slot),
-            there: self.member.alive(),
+            there: self.member.live_count(),
             peers: peers.collect(),
             loans: self.member.leases.status(now).into_iter().map(lease_row).collect(),
             displaced: view.is_displaced(),
             sent: c.sent,
             sent_bytes: c.sent_bytes,
-            taken: c.taken,
-            dropped: c.strangers + c.other_fleets + c.damaged + c.false_names + c.lost_full,
+            taken: c.received,
+            dropped: c.rejected + c.other_fleets + c.malformed + c.wrong_address + c.dropped,
             generation: me.generation,
             incarnation: me.incarnation,
             site: me.site,
             address: me.address.to_string(),
             digest: view.digest(),
-            still_s: view.still(now).secs(),
-            strain: view.strain(),
+            still_s: view.unchanged_for(now).secs(),
+            strain: view.local_health_score(),
             sites: sites.collect(),
             deaths: deaths.collect(),
             suspected: v.suspected,
             refuted: v.refuted,
-            found_dead: v.found_dead,
+            found_dead: v.declared_dead,
             accused: v.accused,
             pauses: v.pauses,
-            beyond: v.beyond,
+            beyond: v.out_of_range,
             damped: v.damped,
             taken_over: v.taken_over,
         }
--- a/crates/host-core/src/lib.rs
+++ b/crates/host-core/src/lib.rs
@@ -29,5 +29,5 @@
 pub use placed::{Placed, PlacedSettings, Request, VolumeNames};
 pub use plans::{Move, PlanAsk, PlanReply, PlanStatus, Plans};
 pub use sharing::{LineName, Place, Sharing};
-pub use tackmast_membership::Remembered;
+pub use tackmast_membership::{KnownPeer, PersistedMembers};
 pub use ticket::Ticket;
--- a/crates/host-core/src/orders.rs
+++ b/crates/host-core/src/orders.rs
@@ -89,7 +89,7 @@
     /// Changes of plans by number, as they are written; what the trail begins with is number 0.
     pub changes: Vec<(u64, Vec<u8>)>,
     /// Other hosts for the next generation to call, and the number of this one's generation.
-    pub members: Option<tackmast_membership::Remembered>,
+    pub members: Option<tackmast_membership::PersistedMembers>,
     /// Of the agreed log.
     pub agreed: Option<Box<tackmast_consensus::Write>>,
 }
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -21,7 +21,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use tackmast_config::{HostSettings, OverridesBlock};
-use tackmast_host_core::{Core, Keep, Plans, Remembered};
+use tackmast_host_core::{Core, Keep, PersistedMembers, Plans};
 use tackmast_overrides::Overrides;
 use tackmast_store::{Held, Store};
 
@@ -135,7 +135,7 @@
         // that one. Written down before anything is said under it.
         let generation = by_clock.max(recalled.generation + 1);
         if let Some((store, _)) = &store {
-            let members = Some(Remembered { generation, hosts: recalled.hosts.clone() });
+            let members = Some(PersistedMembers { generation, peers: recalled.peers.clone() });
             store.keep(&Keep { members, ..Keep::default() })?;
         }
         let seed = settings.host.seed.unwrap_or(generation ^ u64::from(std::process::id()) << 32);
@@ -156,7 +156,7 @@
         };
         let peers = match &settings.membership {
             Some(m) => {
-                let (ids, known, stop) = ((generation, seed), recalled.hosts, stopping.clone());
+                let (ids, known, stop) = ((generation, seed), recalled.peers, stopping.clone());
                 Some(peers::start(&settings, m, &mut core, clock, ids, known, events.clone(), stop)?)
             }
             None => None,
--- a/crates/host/src/peers.rs
+++ b/crates/host/src/peers.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tackmast_config::{HostSettings, MembershipBlock};
-use tackmast_host_core::{member_settings, Core, Fellows};
+use tackmast_host_core::{member_settings, Core, Fellows, KnownPeer};
 use tackmast_wire::peer;
 
 /// How often the reader looks whether the host stops.
@@ -35,7 +35,7 @@
     core: &mut Core,
     clock: Clock,
     (generation, seed): (u64, u64),
-    recalled: Vec<(u32, u64, SocketAddr)>,
+    recalled: Vec<KnownPeer>,
     events: Sender<Event>,
     stopping: Arc<AtomicBool>,
 ) -> Result<(Peers, SocketAddr), StartError> {
--- a/crates/membership/src/catalog_replication/fetch.rs
+++ b/crates/membership/src/catalog_replication/fetch.rs
@@ -39,6 +39,7 @@
 }
 
 impl Fetch {
+    /// A fetch of an update from its first chunk.
     pub fn new(now: Instant, from: SocketAddr, number: u64) -> Self {
         Fetch {
             from,
@@ -56,23 +57,28 @@
         Fetch { from, requested_at: now, retries: 0, ..self }
     }
 
+    /// The message that asks for the next chunk.
     pub fn request(&self) -> CatalogMessage {
         CatalogMessage::ChunkRequest { number: self.number, piece: self.next_piece }
     }
 
+    /// Whether the chunk that was requested may still arrive in time.
     pub fn is_waiting(&self, now: Instant) -> bool {
         (now - self.requested_at).secs() < RETRY_INTERVAL_S
     }
 
+    /// Whether a chunk was requested too often.
     pub fn is_exhausted(&self) -> bool {
         self.retries >= MAX_RETRIES
     }
 
+    /// When the chunk is to be requested again; none: the fetch is given up.
     pub fn retry_at(&self) -> Option<Instant> {
         let at = self.requested_at + TimeDelta::from_secs(RETRY_INTERVAL_S);
         (!self.is_exhausted()).then_some(at)
     }
 
+    /// Records that the chunk is requested again.
     pub fn retry(&mut self, now: Instant) {
         self.requested_at = now;
         self.retries += 1;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,7 +1,27 @@
-//! Hosts that know of each other. Nothing here does I/O or reads a clock, and no rule hangs on it: a host that hears
-//! nothing keeps to what it was told. `view` tells who is there, `loans` moves parts of limits between hosts for a term,
-//! `spread` carries operators' orders to all, `papers` changes of plans, `lists` what newer node
-//! lists take away, and `member` is these together, fed with datagrams and the time.
+//! Membership of the hosts of a fleet, and what they exchange as members: state machines without I/O or a clock of their
+//! own, fed with datagrams and the time.
+//!
+//! Failure detection is SWIM ("SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol", Das,
+//! Gupta and Motivala, DSN 2002): randomised probing in rounds with indirect probes (sections 3.1 and 4.3), dissemination
+//! piggybacked on probes (4.1), suspicion and incarnations (4.2). Lifeguard ("Lifeguard: Local Health Awareness for More
+//! Accurate Failure Detection", Dadgar, Phillips and Currey, 2017) adds the local health multiplier, the dynamic suspicion
+//! timeout and the buddy system (its section 4). Beyond both stand anti-entropy by digests, rejoining after long
+//! partitions, damping of flapping members, and detection of pauses and of duplicate numbers.
+//!
+//! Four more protocols use the same datagrams. None of them depends on the view for correctness: a host that hears nothing
+//! goes on with what it knows.
+//!
+//! - `view`: which members run. SWIM and Lifeguard; its module comment names the file of each part.
+//! - `quota_leases`: leases on shares of a volume's limit, from an owner to one that has more demand.
+//! - `override_gossip`: operators' overrides, as a set that all hosts converge on.
+//! - `catalog_replication`: numbered catalog updates, fetched from any peer that has them.
+//! - `node_list`: versions of the node list, and the nodes that newer ones remove.
+//! - `member`: all of these as one host, which encodes and decodes datagrams.
+//!
+//! All machines have one calling shape: `handle_datagram`, `handle_message` and `handle_timeout` take input together with
+//! the time; `poll_output`, `poll_transmit` and `poll_event` are called until they return none; `poll_timeout` tells when
+//! `handle_timeout` is due.
+#![warn(missing_docs)]
 
 mod catalog_replication;
 mod member;
@@ -16,7 +36,7 @@
 pub use catalog_replication::{
     CatalogEvent, CatalogReplication, CatalogUpdate, CatalogVersion, MAX_CATALOG_UPDATES, MAX_UPDATE_LEN,
 };
-pub use member::{Counters, Member, MemberSettings, Output, Remembered};
+pub use member::{Counters, Member, MemberSettings, Output, PersistedMembers};
 pub use node_list::{NodeListEvent, NodeListNotices};
 pub use override_gossip::{OverrideEvent, OverrideGossip};
 pub use quota_leases::{
@@ -26,7 +46,10 @@
 pub use tackmast_wire::peer::{
     Datagram, Health, LeaseMessage, MemberUpdate, NodeRemoval, OverrideKind, OverrideRecord,
 };
-pub use view::{Change, Death, Seen, SiteSeen, SiteWord, View, ViewFault, ViewSettings, Ways};
+pub use view::{
+    Death, Extensions, KnownPeer, MemberState, SiteHealth, SiteState, TakeOver, View, ViewCounters,
+    ViewEvent, ViewFault, ViewSettings,
+};
 
 /// One generation of a member: a process of the host with that number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,7 +72,8 @@
 }
 
 impl Transmit {
-    pub(crate) fn to_address(to: SocketAddr, body: Body) -> Self {
+    /// To an address alone.
+    fn to_address(to: SocketAddr, body: Body) -> Self {
         Transmit { to, body, recipient: None }
     }
 }
--- a/crates/membership/src/quota_leases/pool.rs
+++ b/crates/membership/src/quota_leases/pool.rs
@@ -75,6 +75,7 @@
 }
 
 impl SharedPool {
+    /// A volume without leases; `owned_part` is the part of the even share that this host owns.
     pub fn new(now: Instant, limit: SharedLimit, owned_part: f64, available_from: Instant) -> Self {
         SharedPool {
             owned: owned_part / limit.owners.len() as f64,
@@ -90,18 +91,22 @@
         }
     }
 
+    /// LUN of the volume.
     pub fn volume(&self) -> u32 {
         self.limit.volume
     }
 
+    /// Whether a host shares the volume's limit.
     pub fn is_owner(&self, slot: u32) -> bool {
         self.limit.owners.contains(&slot)
     }
 
+    /// Sets the whole limit, 0 for none.
     pub fn set_limit(&mut self, limit: f64) {
         self.limit.limit = if limit > 0.0 { limit } else { f64::INFINITY };
     }
 
+    /// Clients have demanded so many units.
     pub fn record_demand(&mut self, now: Instant, units: f64) {
         self.demand = self.demand * self.demand_decay(now) + units / DEMAND_MEMORY_S;
         self.demand_at = now;
@@ -158,6 +163,7 @@
         self.peer_requests.retain(|_, request| now - request.received < term);
     }
 
+    /// Remembers a request; the oldest is forgotten where too many are open.
     pub fn add_sent_request(&mut self, to: u32, request: SentRequest) {
         let requests = self.sent_requests.entry(to).or_default();
         requests.push_back(request);
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,331 +1,162 @@
-//! Who is there: failure detection by pings, pings through others, suspicion and incarnations, as SWIM has it (Das, Gupta
-//! and Motivala, 2002), with local health, confirmed suspicions and word to the suspect as Lifeguard has them (Dadgar,
-//! Phillips and Currey, 2017), and digests between pairs so that views meet after a partition. What it says may be wrong:
-//! it costs service, never a rule. docs/membership.md has what it promises, as formulas.
-
-mod call;
-mod learn;
-mod probe;
+//! The membership view: which hosts of the fleet run. Failure detection by pings, indirect pings, suspicions and
+//! incarnations is SWIM's (Das, Gupta and Motivala, 2002); local health, suspicions that others confirm and the buddy
+//! system are Lifeguard's (Dadgar, Phillips and Currey, 2017); digests between pairs let views converge after a
+//! partition. What the view says may be wrong: that costs service, never a guarantee. docs/membership.md has what it
+//! promises, as formulas.
+//!
+//! `failure_detector` probes members, `suspicion` declares them dead, `local_health` holds back where this host itself
+//! is unwell, `merge` takes peers' updates, `dissemination` and `broadcast_queue` spread them, `join` contacts those that
+//! are not known to run, `duplicate_id` resolves a slot with two processes, `flapping` damps members that come and go,
+//! `sites` sums up by site, `member_table` and `member_state` hold what is known, `settings` has the settings.
+
+mod broadcast_queue;
+mod dissemination;
+mod duplicate_id;
+mod failure_detector;
+mod flapping;
+mod join;
+mod local_health;
+mod member_state;
+mod member_table;
+mod merge;
+mod settings;
 mod sites;
-mod table;
-mod tell;
+mod suspicion;
 
-pub use sites::{SiteSeen, SiteWord};
+pub use member_state::{Death, KnownPeer, MemberState, TakeOver, ViewCounters, ViewEvent};
+pub use settings::{Extensions, ViewFault, ViewSettings};
+pub use sites::{SiteHealth, SiteState};
 
-use call::Twin;
+use crate::Transmit;
+use broadcast_queue::BroadcastQueue;
+use duplicate_id::DuplicateId;
+use failure_detector::{Probe, Relay};
 use imbl::OrdMap;
-use probe::{Probe, Relay};
-use std::collections::{BTreeSet, VecDeque};
+use join::PersistedPeer;
+use local_health::LocalHealth;
+use member_table::MemberTable;
+use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use table::Table;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_wire::peer::{Body, Health, MemberUpdate, ProbeMessage, MAX_UPDATES};
-use tell::Tellings;
-
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ViewSettings {
-    pub period: TimeDelta,
-    /// Hosts' numbers are below this, as told; news of others are refused.
-    pub most: usize,
-    pub ways: Ways,
-}
-
-/// What the view does beyond plain SWIM. Each can be left out, so that its worth can be measured.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ways {
-    /// A host that misses answers, or hears nobody, waits longer before it accuses others.
-    pub local_health: bool,
-    /// Suspicions that several share end sooner, those of one alone later.
-    pub confirm: bool,
-    /// A host that stood still says nothing of the time in which it did.
-    pub own_pause: bool,
-    /// Who is suspected or held dead is told so when it is heard.
-    pub told_back: bool,
-    /// Each datagram is its sender's word on itself, with its incarnation.
-    pub own_word: bool,
-    /// Hosts known by an earlier generation are called, and more of those held dead once one of them is heard.
-    pub recall: bool,
-    /// A host that comes and goes is not asked for help until it stays.
-    pub damp: bool,
-    /// A host whose number seems to have a later generation looks whether that one runs.
-    pub twin: bool,
-}
-
-impl Ways {
-    pub fn all() -> Ways {
-        Ways::set(true)
-    }
-
-    /// The view as it was before these.
-    pub fn former() -> Ways {
-        Ways::set(false)
-    }
-
-    fn set(on: bool) -> Ways {
-        Ways {
-            local_health: on,
-            confirm: on,
-            own_pause: on,
-            told_back: on,
-            own_word: on,
-            recall: on,
-            damp: on,
-            twin: on,
-        }
-    }
-}
+use tackmast_wire::peer::{Body, Health, MemberUpdate};
 
-/// Deliberate faults of the view, for days and hunts to find.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ViewFault {
-    OldGenerationWins,
-    NoRefutation,
-    SuspicionWithoutEnd,
-    /// When views meet, only news of hosts known already are taken.
-    DropsASide,
-    /// Hosts known by an earlier generation count as there without a word of theirs.
-    TrustsDisk,
-    /// The address that was heard first stays through all generations.
-    OldAddressWins,
-    /// Who is held dead is never called.
-    NoCalls,
-    /// Whoever goes on after a stop ends all suspicions that ran meanwhile, and its probes have failed.
-    AccusesAfterStop,
-    /// One missed answer is a death.
-    NoSuspicion,
-    /// What was heard last holds, whatever its incarnation.
-    NewsOvertakes,
-    /// Who is held dead is forgotten.
-    ForgetsDead,
-    /// A later generation of one's own number is believed in for ever.
-    BelievesTwin,
-    /// The site of an earlier generation stays.
-    OldSiteWins,
-    /// A host that came and went is never asked or told anything again.
-    ShutsOut,
-}
-
-impl ViewFault {
-    pub const ALL: [ViewFault; 14] = [
-        ViewFault::OldGenerationWins,
-        ViewFault::NoRefutation,
-        ViewFault::SuspicionWithoutEnd,
-        ViewFault::DropsASide,
-        ViewFault::TrustsDisk,
-        ViewFault::OldAddressWins,
-        ViewFault::NoCalls,
-        ViewFault::AccusesAfterStop,
-        ViewFault::NoSuspicion,
-        ViewFault::NewsOvertakes,
-        ViewFault::ForgetsDead,
-        ViewFault::BelievesTwin,
-        ViewFault::OldSiteWins,
-        ViewFault::ShutsOut,
-    ];
-}
-
-/// Periods in which a host is heard directly after which hearsay of its death is no more than a suspicion.
-const HEARD: f64 = 2.0;
-/// Incarnations and generations beyond these are no host's own: a word of them could never be answered by a later one.
-const INCARNATIONS: u32 = 1 << 30;
-const GENERATIONS: u64 = u64::MAX - (1 << 20);
-/// Comings and goings of a host, each counting half after so many periods, from which on it counts as one that flaps.
-const STIRS: f64 = 3.0;
-const STIRS_HALF: f64 = 40.0;
-/// Deaths that are remembered for people.
-const DEATHS: usize = 64;
-
-/// Spreads a seed over all bits (the finaliser of SplitMix64, Steele, Lea and Flood, 2014).
-fn mixed(seed: u64) -> u64 {
-    let mut z = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    z ^ (z >> 31)
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
-    pub generation: u64,
-    pub incarnation: u32,
-    pub health: Health,
-    pub address: SocketAddr,
-    pub site: Option<u32>,
-    /// Of this health.
-    pub since: Instant,
-    /// Who suspects it, as far as that counts.
-    by: Vec<u32>,
-    /// When a datagram of its own came last, under this generation.
-    heard: Option<Instant>,
-    /// When it stopped being alive, while it is not.
-    lost: Option<Instant>,
-    /// Comings and goings lately, and as of when.
-    stirs: f64,
-    stirred: Instant,
-    told_back: Option<Instant>,
-    /// Found dead while this host heard nobody at all.
-    alone: bool,
-}
-
-impl Seen {
-    fn rank(&self) -> (u64, u32, Health) {
-        (self.generation, self.incarnation, self.health)
-    }
-
-    fn is_there(&self) -> bool {
-        matches!(self.health, Health::Alive | Health::Suspect)
-    }
-}
-
-/// A host held dead: by this host's own finding, or as heard.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Death {
-    pub slot: u32,
-    pub generation: u64,
-    pub incarnation: u32,
-    pub at: Instant,
-    pub own: bool,
-}
-
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ViewCounters {
-    pub suspected: u64,
-    /// Suspicions of others that a later word of theirs took back.
-    pub refuted: u64,
-    pub dead: u64,
-    /// Deaths that this host found itself.
-    pub found_dead: u64,
-    /// Times that this host was accused, and answered.
-    pub accused: u64,
-    /// MemberUpdate of hosts beyond the told number, or of generations and incarnations that none has.
-    pub beyond: u64,
-    /// Times that this host stood still for more than a period.
-    pub pauses: u64,
-    /// Changes of hosts that flap, which are not told of one by one.
-    pub damped: u64,
-    /// Times that a later generation of this host's number turned out not to run.
-    pub taken_over: u64,
-}
-
-/// A change, for the log.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Change {
-    Health(u32, Health),
-    Flaps(u32),
-    Site(u32, SiteWord),
-    /// It stood still for so long.
-    Paused(TimeDelta),
-    /// Its local health, in steps, from 0.
-    Strained(u32),
-    Displaced(u64),
-    TookOver(u64),
-}
+/// Protocol periods after a datagram of a member in which an update on its death is no more than a suspicion.
+const RECENT: f64 = 2.0;
 
+/// One host's view of its fleet: a state machine without I/O.
 pub struct View {
     me: MemberUpdate,
     settings: ViewSettings,
     seeds: Vec<SocketAddr>,
-    /// Addresses that an earlier generation knew, still to be called, and how often each was.
-    recalled: VecDeque<(SocketAddr, u32)>,
-    seen: Table,
-    turn: Vec<u32>,
+    /// Peers that an earlier generation knew, still to be contacted.
+    persisted_peers: VecDeque<PersistedPeer>,
+    members: MemberTable,
+    /// Members that are still to be probed in this round, the next one last.
+    probe_order: Vec<u32>,
     probes: Vec<Probe>,
     relays: VecDeque<Relay>,
-    tellings: Tellings,
+    broadcasts: BroadcastQueue,
+    /// Number of the last ping.
     seq: u32,
+    /// Protocol periods since the start.
     periods: u32,
     next_period: Instant,
-    /// When this host was to wake, as it last said.
-    due: Instant,
-    /// When any other was heard.
-    heard: Instant,
-    /// When any ping or plea of this host was answered, and when it last heard others again after a silence.
-    answered: Instant,
-    rejoined: Instant,
-    /// Steps of strain: how many times longer answers are waited for.
-    strain: u32,
-    strain_told: bool,
-    /// Until when those held dead are called more often.
-    thaw: Instant,
-    chance: oorandom::Rand64,
-    sends: VecDeque<(SocketAddr, Body, Option<u32>)>,
-    changes: VecDeque<Change>,
+    /// When `handle_timeout` was due, as this view last said.
+    expected_timeout: Instant,
+    /// When a datagram of any other member was received last.
+    last_received: Instant,
+    /// When any probe of this host was answered last.
+    last_answered: Instant,
+    /// When it last received again after an isolation.
+    reconnected_at: Instant,
+    local_health: LocalHealth,
+    /// Until when members held dead are contacted each period.
+    rejoin_until: Instant,
+    random: oorandom::Rand64,
+    transmits: VecDeque<Transmit>,
+    events: VecDeque<ViewEvent>,
     deaths: VecDeque<Death>,
-    sites: sites::Sites,
+    /// By site, the health that was reported last.
+    site_health: BTreeMap<u32, SiteHealth>,
     displaced: bool,
-    twin: Option<Twin>,
-    /// This host took its number back; whether the later generation was at its own address.
-    took_over: Option<bool>,
+    duplicate_id: Option<DuplicateId>,
+    take_over: Option<TakeOver>,
     /// When the view changed last, or another's differed.
-    moved: Instant,
+    changed_at: Instant,
     fault: Option<ViewFault>,
+    /// What has happened since the start.
     pub counters: ViewCounters,
 }
 
 impl View {
+    /// The view of a host that starts: it knows itself, and contacts the seeds. `persisted` are peers that an earlier
+    /// generation knew; they are contacted, and count only once they are heard.
     pub fn new(
         now: Instant,
         me: MemberUpdate,
         seeds: Vec<SocketAddr>,
-        recalled: Vec<(u32, SocketAddr)>,
+        persisted: &[KnownPeer],
         settings: ViewSettings,
         seed: u64,
     ) -> Self {
-        // Hosts of a fleet may be told seeds in a row, which begin this generator's numbers alike: they would all ping the
-        // same host at the same time.
-        let mut chance = oorandom::Rand64::new(u128::from(mixed(seed)) << 64 | u128::from(mixed(!seed)));
+        let mut random = random_generator(seed);
         // Hosts that start at once do not ping at once.
-        let first = TimeDelta::from_secs(settings.period.secs() * chance.rand_float());
+        let first_period = TimeDelta::from_secs(settings.protocol_period.secs() * random.rand_float());
         let mut view = View {
             me,
             settings,
             seeds,
-            recalled: VecDeque::new(),
-            seen: Table::default(),
-            turn: Vec::new(),
+            persisted_peers: VecDeque::new(),
+            members: MemberTable::default(),
+            probe_order: Vec::new(),
             probes: Vec::new(),
             relays: VecDeque::new(),
-            tellings: Tellings::default(),
+            broadcasts: BroadcastQueue::default(),
             seq: 0,
             periods: 0,
-            next_period: now + first,
-            due: now + first,
-            heard: now,
-            answered: now,
-            rejoined: now,
-            strain: 0,
-            strain_told: false,
-            thaw: now,
-            chance,
-            sends: VecDeque::new(),
-            changes: VecDeque::new(),
+            next_period: now + first_period,
+            expected_timeout: now + first_period,
+            last_received: now,
+            last_answered: now,
+            reconnected_at: now,
+            local_health: LocalHealth::default(),
+            rejoin_until: now,
+            random,
+            transmits: VecDeque::new(),
+            events: VecDeque::new(),
             deaths: VecDeque::new(),
-            sites: sites::Sites::default(),
+            site_health: BTreeMap::new(),
             displaced: false,
-            twin: None,
-            took_over: None,
-            moved: now,
+            duplicate_id: None,
+            take_over: None,
+            changed_at: now,
             fault: None,
             counters: ViewCounters::default(),
         };
-        if settings.ways.recall {
-            let others = recalled.into_iter().filter(|(s, a)| *s != me.slot && *a != me.address);
-            view.recalled = others.take(settings.most).map(|(_, a)| (a, 0)).collect();
-        }
-        view.tell(me.slot);
-        view.greet();
+        view.start(persisted);
         view
     }
 
-    /// With a deliberate fault; `recalled` are hosts that the disk has.
-    pub fn with_fault(mut self, now: Instant, fault: ViewFault, recalled: &[(u32, u64, SocketAddr)]) -> Self {
+    fn start(&mut self, persisted: &[KnownPeer]) {
+        if self.settings.extensions.rejoin {
+            let is_other = |peer: &&KnownPeer| peer.slot != self.me.slot && peer.address != self.me.address;
+            let others = persisted.iter().filter(is_other).take(self.settings.max_hosts);
+            self.persisted_peers =
+                others.map(|peer| PersistedPeer { address: peer.address, attempts: 0 }).collect();
+        }
+        self.broadcast(self.me.slot);
+        self.join();
+    }
+
+    /// The same with a deliberate fault, for tests; `persisted` are peers that an earlier generation knew.
+    pub fn with_fault(mut self, now: Instant, fault: ViewFault, persisted: &[KnownPeer]) -> Self {
         self.fault = Some(fault);
-        if fault == ViewFault::TrustsDisk {
-            for (slot, generation, address) in recalled.iter().copied() {
-                let (incarnation, health, site, by) = (0, Health::Alive, None, None);
-                self.learn(
-                    now,
-                    MemberUpdate { slot, generation, incarnation, health, address, site, suspected_by: by },
-                );
+        if fault == ViewFault::TrustsPersistedPeers {
+            for KnownPeer { slot, generation, address } in persisted.iter().copied() {
+                let (incarnation, health, site, suspected_by) = (0, Health::Alive, None, None);
+                let update =
+                    MemberUpdate { slot, generation, incarnation, health, address, site, suspected_by };
+                self.merge(now, update);
             }
         }
         self
@@ -335,202 +166,106 @@
         self.fault == Some(fault)
     }
 
-    fn periods(&self, n: f64) -> TimeDelta {
-        TimeDelta::from_secs(n * self.settings.period.secs())
+    fn periods(&self, count: f64) -> TimeDelta {
+        TimeDelta::from_secs(count * self.settings.protocol_period.secs())
     }
 
-    /// A snapshot that stays as it is while this goes on.
-    pub fn snapshot(&self) -> OrdMap<u32, Seen> {
-        OrdMap::clone(&self.seen)
+    /// All other members, as a copy that stays as it is.
+    pub fn snapshot(&self) -> OrdMap<u32, MemberState> {
+        self.members.snapshot()
     }
 
+    /// This host's own state.
     pub fn me(&self) -> MemberUpdate {
         self.me
     }
 
+    /// Where a member is reached.
     pub fn address(&self, slot: u32) -> Option<SocketAddr> {
-        self.seen.get(&slot).map(|s| s.address)
+        self.members.get(slot).map(|state| state.address)
     }
 
+    /// The latest generation of a member.
     pub fn generation(&self, slot: u32) -> Option<u64> {
-        self.seen.get(&slot).map(|s| s.generation)
+        self.members.get(slot).map(|state| state.generation)
     }
 
-    fn put(&mut self, slot: u32, seen: Seen) {
-        self.seen.put(slot, seen);
-    }
-
-    /// Others that are thought to be there.
-    pub fn there(&self) -> u32 {
-        self.seen.live().len() as u32
-    }
-
-    /// Others that were there and are held dead, or have left.
-    pub fn gone(&self) -> u32 {
-        self.seen.len() as u32 - self.there()
-    }
-
-    /// By number.
+    /// Slots of the other members that are alive or suspected, in order.
     pub fn live(&self) -> &[u32] {
-        self.seen.live()
+        self.members.live()
     }
 
-    /// Those of them that do not come and go.
-    pub fn steady(&self, now: Instant) -> BTreeSet<u32> {
-        let steady = |slot: &u32| self.seen.get(slot).is_some_and(|s| !self.flaps(now, s));
-        self.live().iter().copied().filter(steady).collect()
+    /// Their number.
+    pub fn live_count(&self) -> u32 {
+        self.live().len() as u32
     }
 
-    fn stirs(&self, now: Instant, s: &Seen) -> f64 {
-        if s.stirs == 0.0 {
-            return 0.0;
-        }
-        let halves = (now - s.stirred).secs() / self.periods(STIRS_HALF).secs().max(1e-9);
-        s.stirs * 0.5f64.powf(halves.max(0.0))
+    /// Number of the other members that are held dead, or have left.
+    pub fn gone_count(&self) -> u32 {
+        self.members.len() as u32 - self.live_count()
     }
 
-    /// Whether a host comes and goes too often to be asked for help. It is pinged, listed and told all the same.
-    fn flaps(&self, now: Instant, s: &Seen) -> bool {
-        if self.has(ViewFault::ShutsOut) {
-            return s.stirs >= 1.0;
-        }
-        self.settings.ways.damp && self.stirs(now, s) >= STIRS
-    }
-
-    pub fn is_flapping(&self, now: Instant, slot: u32) -> bool {
-        self.seen.get(&slot).is_some_and(|s| self.flaps(now, s))
-    }
-
-    /// Another generation of this slot has been heard of, later than this one.
-    pub fn is_displaced(&self) -> bool {
-        self.displaced
-    }
-
-    /// This host has taken its number back under a new generation; true: the later one was known at this host's own address, so
-    /// that it can't run.
-    pub fn next_take_over(&mut self) -> Option<bool> {
-        self.took_over.take()
-    }
-
-    pub fn next_send(&mut self) -> Option<(SocketAddr, Body, Option<u32>)> {
-        self.sends.pop_front()
-    }
-
-    pub fn next_change(&mut self) -> Option<Change> {
-        self.changes.pop_front()
+    /// The other members that have not left, with where they were reached.
+    pub fn known_peers(&self) -> impl Iterator<Item = KnownPeer> + '_ {
+        let known = self.members.iter().filter(|(_, state)| state.health != Health::Left);
+        known.map(|(slot, state)| KnownPeer { slot, generation: state.generation, address: state.address })
     }
 
+    /// The latest deaths.
     pub fn deaths(&self) -> impl Iterator<Item = &Death> {
         self.deaths.iter()
     }
 
-    pub fn strain(&self) -> u32 {
-        self.strain
-    }
-
-    /// For how long nothing has changed here, and nobody has been heard of who knew otherwise.
-    pub fn still(&self, now: Instant) -> TimeDelta {
-        now - self.moved
-    }
-
-    /// Others that have not left, by number, with their generations and where they were reached.
-    pub fn known(&self) -> impl Iterator<Item = (u32, u64, SocketAddr)> + '_ {
-        let known = self.seen.iter().filter(|(_, s)| s.health != Health::Left);
-        known.map(|(slot, s)| (*slot, s.generation, s.address))
-    }
-
-    /// Of all that is known, for comparing.
+    /// Digest of all members, this host included: equal where views are equal.
     pub fn digest(&self) -> u32 {
-        let m = &self.me;
-        let me = table::mark(m.slot, m.generation, m.incarnation, m.health, m.address, m.site);
-        self.seen.sum().wrapping_add(me)
+        self.members.digest().wrapping_add(member_table::checksum(&self.me))
     }
 
-    /// All that is known, in pieces of one datagram.
-    pub fn all_news(&self) -> Vec<Vec<MemberUpdate>> {
-        let all: Vec<MemberUpdate> = self
-            .seen
-            .iter()
-            .filter(|(_, s)| !s.alone)
-            .filter_map(|(k, _)| self.news_of(*k))
-            .chain([self.me])
-            .collect();
-        all.chunks(MAX_UPDATES).map(<[MemberUpdate]>::to_vec).collect()
+    /// For how long the view has not changed, and no digest of another differed.
+    pub fn unchanged_for(&self, now: Instant) -> TimeDelta {
+        now - self.changed_at
     }
 
-    fn news_of(&self, slot: u32) -> Option<MemberUpdate> {
-        if slot == self.me.slot {
-            return Some(self.me);
-        }
-        let s = self.seen.get(&slot)?;
-        Some(MemberUpdate {
-            slot,
-            generation: s.generation,
-            incarnation: s.incarnation,
-            health: s.health,
-            address: s.address,
-            site: s.site,
-            suspected_by: if s.health == Health::Suspect { s.by.last().copied() } else { None },
-        })
+    /// A peer's digest differs from this view's.
+    pub fn handle_digest_mismatch(&mut self, now: Instant) {
+        self.changed_at = now;
     }
 
-    fn log_size(&self) -> f64 {
-        ((self.seen.len() + 2) as f64).log2()
-    }
-
-    /// A datagram of that host's own has come.
-    pub fn heard_from(&mut self, now: Instant, slot: u32, generation: u64) {
-        let silent = now - self.heard;
-        self.heard = now;
-        if silent >= self.periods(probe::DEAF) {
-            self.hears_again(now);
+    /// A datagram of that member was received.
+    pub fn handle_received(&mut self, now: Instant, slot: u32, generation: u64) {
+        let silence = now - self.last_received;
+        self.last_received = now;
+        if silence >= self.periods(local_health::SILENCE) {
+            self.end_isolation(now);
         }
-        let Some(s) = self.seen.get(&slot).filter(|s| s.generation == generation).cloned() else { return };
-        let accused = matches!(s.health, Health::Suspect | Health::Dead);
-        if s.health == Health::Dead && self.settings.ways.recall {
-            // What parted is meeting again: more of it may be there.
-            self.thaw = now + self.periods(call::THAW);
+        let state = self.members.get(slot).filter(|state| state.generation == generation);
+        let Some(mut state) = state.cloned() else { return };
+        if state.health == Health::Dead && self.settings.extensions.rejoin {
+            // A partition heals: more members may be back.
+            self.rejoin_until = now + self.periods(join::REJOIN_PERIODS);
         }
-        let due = s.told_back.is_none_or(|t| now - t >= self.settings.period);
-        let tells = accused && due && self.settings.ways.told_back;
-        if tells {
-            let address = s.address;
-            self.sends.push_back((address, Body::Gossip, Some(slot)));
+        if self.is_notification_due(now, &state) {
+            state.last_notified = Some(now);
+            self.send(state.address, Body::Gossip, Some(slot));
         }
-        let told_back = if tells { Some(now) } else { s.told_back };
-        self.put(slot, Seen { heard: Some(now), told_back, ..s });
+        state.last_received = Some(now);
+        self.members.insert(slot, state);
     }
 
-    /// Another's digest was not this host's.
-    pub fn differs(&mut self, now: Instant) {
-        self.moved = now;
+    /// Whether a member is to be told that it is suspected or held dead.
+    fn is_notification_due(&self, now: Instant, state: &MemberState) -> bool {
+        let is_accused = matches!(state.health, Health::Suspect | Health::Dead);
+        let interval = self.settings.protocol_period;
+        let is_due = state.last_notified.is_none_or(|notified| now - notified >= interval);
+        is_accused && is_due && self.settings.extensions.buddy_system
     }
 
-    /// The host leaves: it says so itself.
+    /// The host leaves, and tells some members so.
     pub fn leave(&mut self) {
         self.me.health = Health::Left;
-        self.tell(self.me.slot);
-        self.say_to_some();
-        self.say_to_some();
-    }
-
-    /// Some of those that are there, by chance; those that flap only where there are no others.
-    pub(crate) fn pick(&mut self, now: Instant, n: usize, but: Option<u32>) -> Vec<u32> {
-        let mut all: Vec<u32> = self.live().iter().copied().filter(|s| Some(*s) != but).collect();
-        let (mut some, mut flapping) = (Vec::new(), Vec::new());
-        while some.len() < n && !all.is_empty() {
-            let i = self.chance.rand_range(0..all.len() as u64) as usize;
-            let slot = all.swap_remove(i);
-            match self.is_flapping(now, slot) {
-                true => flapping.push(slot),
-                false => some.push(slot),
-            }
-        }
-        if some.is_empty() && !self.has(ViewFault::ShutsOut) {
-            some = flapping;
-            some.truncate(n);
-        }
-        some
+        self.broadcast(self.me.slot);
+        self.gossip_now();
+        self.gossip_now();
     }
 
     fn next_seq(&mut self) -> u32 {
@@ -538,30 +273,64 @@
         self.seq
     }
 
-    pub fn next_wake(&self) -> Instant {
-        let probes = self.probes.iter().map(|p| if p.helped { p.until } else { p.direct_until });
-        let relays = self.relays.iter().map(|r| r.until);
-        probes.chain(relays).fold(self.next_period, Instant::min)
-    }
-
-    pub fn tick(&mut self, now: Instant) {
-        self.stood_still(now);
-        self.end_suspicions(now);
-        self.end_probes(now);
-        self.stands_by(now);
+    /// Ends probes and suspicions that are over, and begins a protocol period if one is due.
+    pub fn handle_timeout(&mut self, now: Instant) {
+        self.detect_pause(now);
+        self.expire_suspicions(now);
+        self.expire_probes(now);
+        self.confirm_isolated_deaths(now);
         if now >= self.next_period {
-            self.next_period = now + self.settings.period;
+            self.next_period = now + self.settings.protocol_period;
             self.periods = self.periods.wrapping_add(1);
             if self.me.health != Health::Left {
-                self.next_probes(now);
-                if let Some(slot) = self.pick(now, 1, None).first().copied() {
-                    self.send_digest(self.address(slot), Some(slot));
-                }
-                self.calls(now);
-                self.look_for_twin(now);
+                self.run_period(now);
             }
-            self.look_at_sites(now);
+            self.report_sites(now);
         }
-        self.due = self.next_wake();
+        self.expected_timeout = self.poll_timeout();
+    }
+
+    fn run_period(&mut self, now: Instant) {
+        self.start_probes(now);
+        if let Some(slot) = self.pick(now, 1, None).first().copied() {
+            if let Some(address) = self.address(slot) {
+                self.send_digest(address, Some(slot));
+            }
+        }
+        self.reconnect(now);
+        self.check_duplicate_id(now);
+    }
+
+    /// When [`handle_timeout`](Self::handle_timeout) is due.
+    pub fn poll_timeout(&self) -> Instant {
+        let next_step = |probe: &Probe| if probe.indirect_sent { probe.until } else { probe.direct_until };
+        let probes = self.probes.iter().map(next_step);
+        let relays = self.relays.iter().map(|relay| relay.until);
+        probes.chain(relays).min().map_or(self.next_period, |step| step.min(self.next_period))
+    }
+
+    /// The next message to be sent.
+    pub fn poll_transmit(&mut self) -> Option<Transmit> {
+        self.transmits.pop_front()
+    }
+
+    /// The next event.
+    pub fn poll_event(&mut self) -> Option<ViewEvent> {
+        self.events.pop_front()
     }
 }
+
+/// Hosts of a fleet may have consecutive seeds, which begin this generator's numbers alike: they would all ping the same
+/// member at the same time. So the seed is spread over all bits.
+fn random_generator(seed: u64) -> oorandom::Rand64 {
+    let (high, low) = (mix_bits(seed), mix_bits(!seed));
+    oorandom::Rand64::new(u128::from(high) << 64 | u128::from(low))
+}
+
+/// The finaliser of SplitMix64 (Steele, Lea and Flood, 2014).
+fn mix_bits(seed: u64) -> u64 {
+    let mut z = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    z ^ (z >> 31)
+}
--- /dev/null
+++ b/crates/membership/src/view/failure_detector.rs
@@ -0,0 +1,219 @@
+//! SWIM's failure detector (section 3.1): a ping of one member each protocol period, indirect pings through others when
+//! it is not answered, and a suspicion when those bring no answer either.
+
+use super::{View, ViewFault};
+use std::net::SocketAddr;
+use tackmast::interface::Instant;
+use tackmast_wire::peer::{Body, ProbeMessage};
+
+/// Part of a protocol period after which an unanswered ping is tried through others.
+const DIRECT_TIMEOUT: f64 = 0.3;
+/// Part of it after which the probe has failed.
+const INDIRECT_TIMEOUT: f64 = 0.9;
+/// Members that are asked for an indirect ping.
+const INDIRECT_CHECKS: usize = 3;
+/// Greatest number of pings on behalf of others that are remembered.
+const MAX_RELAYS: usize = 64;
+/// Greatest number of own probes that wait for an answer.
+const MAX_PROBES: usize = 32;
+
+/// A probe of a member that waits for its answer.
+#[derive(Clone, Debug)]
+pub(super) struct Probe {
+    pub seq: u32,
+    pub slot: u32,
+    /// The generation that was probed: what that one misses is not held against a later one.
+    pub generation: u64,
+    pub sent: Instant,
+    /// Others were asked for an indirect ping.
+    pub indirect_sent: bool,
+    pub direct_until: Instant,
+    pub until: Instant,
+    /// Others that it did not answer either (Lifeguard's nack).
+    pub nacks: usize,
+}
+
+/// A ping on behalf of another member.
+#[derive(Clone, Debug)]
+pub(super) struct Relay {
+    pub seq: u32,
+    pub requester: SocketAddr,
+    pub requester_seq: u32,
+    pub target: u32,
+    pub until: Instant,
+}
+
+impl View {
+    /// A member has sent a probe message.
+    pub fn handle_message(&mut self, now: Instant, from: SocketAddr, slot: u32, message: &ProbeMessage) {
+        match *message {
+            ProbeMessage::Ping { seq } => self.send_probe(from, ProbeMessage::Ack { seq }, Some(slot)),
+            ProbeMessage::Ack { seq } => {
+                self.probe_answered(now, seq, slot);
+                self.relay_ack(seq, slot);
+            }
+            ProbeMessage::IndirectAck { seq, slot: target } => self.probe_answered(now, seq, target),
+            ProbeMessage::Nack { seq, slot: target } => {
+                let is_probe = |probe: &&mut Probe| probe.seq == seq && probe.slot == target;
+                if let Some(probe) = self.probes.iter_mut().find(is_probe) {
+                    probe.nacks += 1;
+                    self.last_answered = now;
+                }
+            }
+            ProbeMessage::PingRequest { seq, slot: target } => self.relay_ping(now, from, seq, target),
+        }
+    }
+
+    pub(super) fn send_probe(&mut self, to: SocketAddr, message: ProbeMessage, recipient: Option<u32>) {
+        self.send(to, Body::Probe(message), recipient);
+    }
+
+    fn probe_answered(&mut self, now: Instant, seq: u32, slot: u32) {
+        let before = self.probes.len();
+        self.probes.retain(|probe| probe.seq != seq || probe.slot != slot);
+        if self.probes.len() < before {
+            self.last_answered = now;
+            self.improve_local_health();
+        }
+    }
+
+    fn relay_ping(&mut self, now: Instant, requester: SocketAddr, requester_seq: u32, target: u32) {
+        let Some(address) = self.address(target) else { return };
+        let seq = self.next_seq();
+        if self.relays.len() >= MAX_RELAYS {
+            self.relays.pop_front();
+        }
+        let until = now + self.periods(DIRECT_TIMEOUT);
+        self.relays.push_back(Relay { seq, requester, requester_seq, target, until });
+        self.send_probe(address, ProbeMessage::Ping { seq }, Some(target));
+    }
+
+    fn relay_ack(&mut self, seq: u32, target: u32) {
+        let is_relay = |relay: &Relay| relay.seq == seq && relay.target == target;
+        let position = self.relays.iter().position(is_relay);
+        if let Some(relay) = position.and_then(|i| self.relays.remove(i)) {
+            let message = ProbeMessage::IndirectAck { seq: relay.requester_seq, slot: target };
+            self.send_probe(relay.requester, message, None);
+        }
+    }
+
+    /// Ends relays and probes that were not answered in time.
+    pub(super) fn expire_probes(&mut self, now: Instant) {
+        self.expire_relays(now);
+        let mut i = 0;
+        while i < self.probes.len() {
+            let probe = self.probes[i].clone();
+            if now >= probe.until {
+                self.probes.remove(i);
+                self.probe_failed(now, &probe);
+                continue;
+            }
+            if now >= probe.direct_until && !probe.indirect_sent {
+                self.probes[i].indirect_sent = true;
+                self.request_indirect_pings(now, &probe);
+            }
+            i += 1;
+        }
+    }
+
+    fn expire_relays(&mut self, now: Instant) {
+        while let Some(i) = self.relays.iter().position(|relay| now >= relay.until) {
+            let Some(relay) = self.relays.remove(i) else { break };
+            if self.settings.extensions.local_health {
+                let message = ProbeMessage::Nack { seq: relay.requester_seq, slot: relay.target };
+                self.send_probe(relay.requester, message, None);
+            }
+        }
+    }
+
+    fn request_indirect_pings(&mut self, now: Instant, probe: &Probe) {
+        for helper in self.pick(now, INDIRECT_CHECKS, Some(probe.slot)) {
+            if let Some(address) = self.address(helper) {
+                let message = ProbeMessage::PingRequest { seq: probe.seq, slot: probe.slot };
+                self.send_probe(address, message, Some(helper));
+            }
+        }
+    }
+
+    /// Neither the member nor any helper brought an answer. A nack shows that this host itself is well connected.
+    fn probe_failed(&mut self, now: Instant, probe: &Probe) {
+        let state = self.members.get(probe.slot).filter(|state| state.generation == probe.generation);
+        let Some(state) = state else { return };
+        let received_since = state.last_received.is_some_and(|received| received >= probe.sent);
+        if self.settings.extensions.local_health && probe.nacks == 0 {
+            self.degrade_local_health(1);
+            // The member sends, and no helper says that it does not answer: what gets lost is lost near this host.
+            if received_since {
+                return;
+            }
+        }
+        if !self.is_cut_off(now) {
+            self.suspect(now, probe.slot);
+        }
+    }
+
+    /// Starts one probe a period; two while a member is suspected, as what befell one may have befallen many, unless this
+    /// host's own health is bad.
+    pub(super) fn start_probes(&mut self, now: Instant) {
+        self.start_probe(now);
+        let has_suspects = !self.members.suspects().is_empty();
+        if has_suspects && self.settings.extensions.suspicion_confirmation && !self.local_health.is_bad() {
+            self.start_probe(now);
+        }
+    }
+
+    fn start_probe(&mut self, now: Instant) {
+        let Some(slot) = self.next_probe_target(now) else { return };
+        let Some(state) = self.members.get(slot) else { return };
+        let (address, generation) = (state.address, state.generation);
+        if self.probes.len() >= MAX_PROBES {
+            return;
+        }
+        let seq = self.next_seq();
+        let has_local_health = self.settings.extensions.local_health;
+        let multiplier = if has_local_health { self.local_health.timeout_multiplier() } else { 1.0 };
+        let after = |part: f64| now + self.periods(part * multiplier);
+        self.probes.push(Probe {
+            seq,
+            slot,
+            generation,
+            sent: now,
+            indirect_sent: false,
+            direct_until: after(DIRECT_TIMEOUT),
+            until: after(INDIRECT_TIMEOUT),
+            nacks: 0,
+        });
+        self.send_probe(address, ProbeMessage::Ping { seq }, Some(slot));
+    }
+
+    /// All members are probed in turn, in an order that is shuffled for each round (SWIM, section 4.3).
+    fn next_probe_target(&mut self, now: Instant) -> Option<u32> {
+        let is_excluded = |slot: &u32| self.has(ViewFault::ExcludesFlapping) && self.is_flapping(now, *slot);
+        let live: Vec<u32> = self.live().iter().copied().filter(|slot| !is_excluded(slot)).collect();
+        loop {
+            match self.probe_order.pop() {
+                Some(slot) if live.binary_search(&slot).is_ok() => return Some(slot),
+                Some(_) => {}
+                None if live.is_empty() => return None,
+                None => self.shuffle_probe_order(&live),
+            }
+        }
+    }
+
+    /// Begins a round (Fisher and Yates).
+    fn shuffle_probe_order(&mut self, live: &[u32]) {
+        self.probe_order = live.to_vec();
+        for i in (1..self.probe_order.len()).rev() {
+            let j = self.random.rand_range(0..i as u64 + 1) as usize;
+            self.probe_order.swap(i, j);
+        }
+    }
+
+    /// Gives a member that joins while a round runs a random place in it: it would else not be probed before the next.
+    pub(super) fn add_to_probe_order(&mut self, slot: u32) {
+        if !self.probe_order.contains(&slot) {
+            let i = self.random.rand_range(0..self.probe_order.len() as u64 + 1) as usize;
+            self.probe_order.insert(i, slot);
+        }
+    }
+}
--- /dev/null
+++ b/crates/membership/src/view/member_table.rs
@@ -0,0 +1,115 @@
+//! The table of all members but this host, with indexes beside it, so that no timeout walks a fleet of hundreds: who is
+//! live, who is suspected, who was declared dead in isolation, and the digest of all.
+
+use super::MemberState;
+use imbl::OrdMap;
+use std::collections::BTreeSet;
+use std::net::IpAddr;
+use tackmast_wire::peer::{Health, MemberUpdate};
+
+#[cfg(test)]
+mod tests;
+
+/// Members by slot.
+#[derive(Default)]
+pub(super) struct MemberTable {
+    states: OrdMap<u32, MemberState>,
+    /// Slots of the members that are alive or suspected, in order.
+    live: Vec<u32>,
+    suspects: BTreeSet<u32>,
+    declared_in_isolation: BTreeSet<u32>,
+    /// Sum of all checksums, which does not depend on their order.
+    digest: u32,
+}
+
+impl MemberTable {
+    /// Inserts a member, or replaces its state.
+    pub fn insert(&mut self, slot: u32, state: MemberState) {
+        self.remove(slot);
+        if state.is_live() {
+            if let Err(i) = self.live.binary_search(&slot) {
+                self.live.insert(i, slot);
+            }
+        }
+        if state.health == Health::Suspect {
+            self.suspects.insert(slot);
+        }
+        if state.declared_in_isolation {
+            self.declared_in_isolation.insert(slot);
+        }
+        self.digest = self.digest.wrapping_add(checksum(&state.to_update(slot)));
+        self.states.insert(slot, state);
+    }
+
+    /// Removes a member.
+    pub fn remove(&mut self, slot: u32) {
+        let Some(state) = self.states.remove(&slot) else { return };
+        self.digest = self.digest.wrapping_sub(checksum(&state.to_update(slot)));
+        if let Ok(i) = self.live.binary_search(&slot) {
+            self.live.remove(i);
+        }
+        self.suspects.remove(&slot);
+        self.declared_in_isolation.remove(&slot);
+    }
+
+    /// State of a member.
+    pub fn get(&self, slot: u32) -> Option<&MemberState> {
+        self.states.get(&slot)
+    }
+
+    /// All members in order of their slots.
+    pub fn iter(&self) -> impl Iterator<Item = (u32, &MemberState)> {
+        self.states.iter().map(|(slot, state)| (*slot, state))
+    }
+
+    /// Number of members.
+    pub fn len(&self) -> usize {
+        self.states.len()
+    }
+
+    /// Whether there are none.
+    pub fn is_empty(&self) -> bool {
+        self.states.is_empty()
+    }
+
+    /// A copy that shares its structure with the table.
+    pub fn snapshot(&self) -> OrdMap<u32, MemberState> {
+        self.states.clone()
+    }
+
+    /// Slots of the members that are alive or suspected, in order.
+    pub fn live(&self) -> &[u32] {
+        &self.live
+    }
+
+    /// Slots of the members that are suspected.
+    pub fn suspects(&self) -> &BTreeSet<u32> {
+        &self.suspects
+    }
+
+    /// Slots of the members that were declared dead in isolation.
+    pub fn declared_in_isolation(&self) -> &BTreeSet<u32> {
+        &self.declared_in_isolation
+    }
+
+    /// Digest of all members.
+    pub fn digest(&self) -> u32 {
+        self.digest
+    }
+}
+
+/// One member's part of a digest.
+pub(super) fn checksum(update: &MemberUpdate) -> u32 {
+    let mut bytes = [0u8; 39];
+    bytes[..4].copy_from_slice(&update.slot.to_be_bytes());
+    bytes[4..12].copy_from_slice(&update.generation.to_be_bytes());
+    bytes[12..16].copy_from_slice(&update.incarnation.to_be_bytes());
+    bytes[16] = update.health as u8;
+    match update.address.ip() {
+        IpAddr::V4(ip) => bytes[17..21].copy_from_slice(&ip.octets()),
+        IpAddr::V6(ip) => bytes[17..33].copy_from_slice(&ip.octets()),
+    }
+    bytes[33..35].copy_from_slice(&update.address.port().to_be_bytes());
+    bytes[35..].copy_from_slice(&update.site.unwrap_or(u32::MAX).to_be_bytes());
+    crc32c::crc32c(&bytes)
+}
--- /dev/null
+++ b/crates/membership/src/view/member_table/tests.rs
@@ -0,0 +1,55 @@
+//! The indexes beside the table agree with its states after any changes.
+
+use super::*;
+use std::net::SocketAddr;
+use tackmast::interface::Instant;
+
+fn random_state(random: &mut oorandom::Rand32, now: Instant, slot: u32) -> MemberState {
+    let health =
+        [Health::Alive, Health::Suspect, Health::Dead, Health::Left][random.rand_range(0..4) as usize];
+    MemberState {
+        generation: u64::from(random.rand_range(0..3)),
+        incarnation: random.rand_range(0..3),
+        health,
+        address: SocketAddr::from(([10, 0, 0, slot as u8], 7)),
+        site: None,
+        since: now,
+        suspected_by: Vec::new(),
+        last_received: None,
+        failed_at: None,
+        flap_score: 0.0,
+        flap_scored_at: now,
+        last_notified: None,
+        declared_in_isolation: random.rand_range(0..2) == 0,
+    }
+}
+
+#[test]
+fn indexes_agree_with_the_states() {
+    let mut random = oorandom::Rand32::new(7);
+    let mut table = MemberTable::default();
+    let now = Instant::from_secs(1.0);
+    for _ in 0..3_000 {
+        let slot = random.rand_range(0..40);
+        if random.rand_range(0..8) == 0 {
+            table.remove(slot);
+            continue;
+        }
+        let state = random_state(&mut random, now, slot);
+        table.insert(slot, state);
+        let of = |is: fn(&MemberState) -> bool| -> Vec<u32> {
+            table.iter().filter(|(_, state)| is(state)).map(|(slot, _)| slot).collect()
+        };
+        assert_eq!(table.live(), of(MemberState::is_live));
+        assert_eq!(
+            table.suspects().iter().copied().collect::<Vec<_>>(),
+            of(|state| state.health == Health::Suspect)
+        );
+        assert_eq!(
+            table.declared_in_isolation().iter().copied().collect::<Vec<_>>(),
+            of(|state| state.declared_in_isolation)
+        );
+        let checksums = table.iter().map(|(slot, state)| checksum(&state.to_update(slot)));
+        assert_eq!(table.digest(), checksums.reduce(u32::wrapping_add).unwrap_or(0));
+    }
+}
--- a/crates/membership/src/view/sites.rs
+++ b/crates/membership/src/view/sites.rs
@@ -1,78 +1,93 @@
-//! Who is there by site: whether a whole site is unheard at once, or its hosts have gone one by one. A hint, like all of
-//! the view.
+//! Members by site: whether all hosts of a site failed at once, or one by one. A hint for operators; nothing depends on it.
 
-use super::*;
+use super::{MemberState, View, ViewEvent};
 use std::collections::BTreeMap;
+use tackmast::interface::Instant;
+use tackmast_wire::peer::Health;
 
-/// Periods within which the hosts of a site fall silent if that is one event.
+/// Protocol periods within which the hosts of a site fail if that is one event.
 const AT_ONCE: f64 = 12.0;
-/// Periods without a word from other sites after which a host that hears nobody says nothing of any.
-const ELSEWHERE: f64 = 4.0;
+/// Protocol periods without a datagram from anybody after which a host reports nothing of any site.
+const SILENCE: f64 = 4.0;
 
-/// What is thought of a site.
+/// Health of a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SiteWord {
-    There,
-    /// All of its hosts fell silent together, this many.
-    Unheard(u32),
-    /// All of its hosts are silent; they fell so one by one.
-    Emptied(u32),
-    /// Its hosts left in order.
+pub enum SiteHealth {
+    /// Some of its hosts are alive.
+    Reachable,
+    /// All of its hosts failed together.
+    FailedTogether {
+        /// How many.
+        hosts: u32,
+    },
+    /// All of its hosts failed, one by one.
+    FailedOneByOne {
+        /// How many.
+        hosts: u32,
+    },
+    /// All of its hosts left gracefully.
     Left,
 }
 
+/// Members of a site by their health.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SiteSeen {
+pub struct SiteState {
+    /// The site; none: hosts that announced none.
     pub site: Option<u32>,
+    /// Hosts that are alive, this one included.
     pub alive: u32,
+    /// Hosts that are suspected.
     pub suspect: u32,
+    /// Hosts that are held dead.
     pub dead: u32,
+    /// Hosts that left.
     pub left: u32,
-    pub word: SiteWord,
-}
-
-#[derive(Clone, Debug, Default)]
-pub(super) struct Sites {
-    words: BTreeMap<u32, SiteWord>,
+    /// What that makes of the site.
+    pub health: SiteHealth,
 }
 
 impl View {
-    /// By site, this host's own included; those that told none are one.
-    pub fn sites(&self) -> Vec<SiteSeen> {
-        let mut all: BTreeMap<Option<u32>, Vec<&Seen>> = BTreeMap::new();
-        all.entry(self.me.site).or_default();
-        self.seen.values().for_each(|s| all.entry(s.site).or_default().push(s));
-        let of = |(site, seen): (Option<u32>, Vec<&Seen>)| {
-            let count = |h: Health| seen.iter().filter(|s| s.health == h).count() as u32;
-            let (suspect, dead, left) = (count(Health::Suspect), count(Health::Dead), count(Health::Left));
-            let own = u32::from(site == self.me.site);
-            let alive = count(Health::Alive) + own;
-            let lost = || seen.iter().filter(|s| s.health != Health::Left).filter_map(|s| s.lost);
-            let (first, last) = (lost().reduce(Instant::min), lost().reduce(Instant::max));
-            let at_once = first.zip(last).is_some_and(|(a, b)| b - a <= self.periods(AT_ONCE));
-            let word = match (alive, suspect + dead) {
-                (0, 0) => SiteWord::Left,
-                (0, n) if at_once => SiteWord::Unheard(n),
-                (0, n) => SiteWord::Emptied(n),
-                _ => SiteWord::There,
-            };
-            SiteSeen { site, alive, suspect, dead, left, word }
+    /// All sites, this host's own included.
+    pub fn sites(&self) -> Vec<SiteState> {
+        let mut by_site: BTreeMap<Option<u32>, Vec<&MemberState>> = BTreeMap::new();
+        by_site.entry(self.me.site).or_default();
+        for (_, state) in self.members.iter() {
+            by_site.entry(state.site).or_default().push(state);
+        }
+        by_site.into_iter().map(|(site, states)| self.site_state(site, &states)).collect()
+    }
+
+    fn site_state(&self, site: Option<u32>, states: &[&MemberState]) -> SiteState {
+        let count = |health: Health| states.iter().filter(|state| state.health == health).count() as u32;
+        let (suspect, dead, left) = (count(Health::Suspect), count(Health::Dead), count(Health::Left));
+        let alive = count(Health::Alive) + u32::from(site == self.me.site);
+        let health = match (alive, suspect + dead) {
+            (0, 0) => SiteHealth::Left,
+            (0, hosts) if self.failed_at_once(states) => SiteHealth::FailedTogether { hosts },
+            (0, hosts) => SiteHealth::FailedOneByOne { hosts },
+            _ => SiteHealth::Reachable,
         };
-        all.into_iter().map(of).collect()
+        SiteState { site, alive, suspect, dead, left, health }
+    }
+
+    fn failed_at_once(&self, states: &[&MemberState]) -> bool {
+        let failed = states.iter().filter(|state| state.health != Health::Left);
+        let times: Vec<Instant> = failed.filter_map(|state| state.failed_at).collect();
+        let ends = times.iter().min().zip(times.iter().max());
+        ends.is_some_and(|(first, last)| *last - *first <= self.periods(AT_ONCE))
     }
 
-    /// Tells of a site that falls silent or is heard again, once each. A host that hears nobody at all keeps its word: it
-    /// is as likely the one that is cut off.
-    pub(super) fn look_at_sites(&mut self, now: Instant) {
-        if now - self.heard > self.periods(ELSEWHERE) {
+    /// Reports sites whose health has changed. A host that receives nothing at all reports none: it is as likely the one
+    /// that is cut off.
+    pub(super) fn report_sites(&mut self, now: Instant) {
+        if now - self.last_received > self.periods(SILENCE) {
             return;
         }
-        for s in self.sites() {
-            let Some(site) = s.site else { continue };
-            let before = self.sites.words.insert(site, s.word).unwrap_or(SiteWord::There);
-            let same = std::mem::discriminant(&before) == std::mem::discriminant(&s.word);
-            if !same {
-                self.changes.push_back(Change::Site(site, s.word));
+        for state in self.sites() {
+            let Some(site) = state.site else { continue };
+            let before = self.site_health.insert(site, state.health).unwrap_or(SiteHealth::Reachable);
+            if std::mem::discriminant(&before) != std::mem::discriminant(&state.health) {
+                self.events.push_back(ViewEvent::Site { site, health: state.health });
             }
         }
     }
--- a/crates/membership/tests/decision_hash.rs
+++ b/crates/membership/tests/decision_hash.rs
@@ -86,7 +86,7 @@
     member: Option<Member>,
     generation: u64,
     /// What it persisted: hosts that it knew, and catalog updates.
-    remembered: Remembered,
+    persisted_members: PersistedMembers,
     updates: BTreeMap<u64, Bytes>,
     has_left: bool,
     leaves_at: Option<f64>,
@@ -123,7 +123,7 @@
     orders_cleared: u64,
     updates_received: u64,
     nodes_removed: u64,
-    remembered: u64,
+    persisted_members: u64,
     consensus_messages: u64,
 }
 
@@ -131,8 +131,8 @@
 #[derive(Clone, Copy)]
 struct Group {
     members: u32,
-    period: f64,
-    ways: fn() -> Ways,
+    protocol_period: f64,
+    extensions: fn() -> Extensions,
     loss: f64,
     duplication: f64,
     max_delay: f64,
@@ -212,7 +212,7 @@
 
     fn drain(&mut self, host: u32) {
         let mut received = Vec::new();
-        while let Some(output) = self.host(host).member.as_mut().and_then(|member| member.next_output()) {
+        while let Some(output) = self.host(host).member.as_mut().and_then(|member| member.poll_output()) {
             self.hash.number(u64::from(host));
             if let Output::CatalogUpdate(update) = &output {
                 received.push(update.number);
@@ -230,7 +230,7 @@
                 self.hash.bytes(&bytes);
                 self.transmit(host, to, bytes);
             }
-            Output::Mode(line) => {
+            Output::Log(line) => {
                 self.hash.number(2);
                 self.hash.log_line(&line);
             }
@@ -252,18 +252,18 @@
                 self.hash.bytes(&update.text);
                 self.totals.updates_received += 1;
             }
-            Output::Remember(remembered) => {
+            Output::Persist(persisted_members) => {
                 self.hash.number(6);
-                self.hash.number(remembered.generation);
-                for (slot, generation, address) in &remembered.hosts {
+                self.hash.number(persisted_members.generation);
+                for KnownPeer { slot, generation, address } in &persisted_members.peers {
                     self.hash.numbers([u64::from(*slot), *generation]);
                     self.hash.address(*address);
                 }
-                self.totals.remembered += 1;
-                self.host(host).remembered = remembered;
+                self.totals.persisted_members += 1;
+                self.host(host).persisted_members = persisted_members;
             }
             Output::NodeList(event) => self.on_list_event(event),
-            Output::Word { from, slot, body } => {
+            Output::Consensus { from, slot, body } => {
                 self.hash.number(8);
                 self.hash.address(from);
                 self.hash.number(u64::from(slot));
@@ -292,7 +292,8 @@
         self.host(host).updates.insert(number, text.clone());
         self.input(host, |member, now| {
             let ends = member.catalog.deadline(number, now);
-            member.paper_taken(now, number, update_mark(number), text, ends);
+            let version = CatalogVersion { number, mark: update_mark(number) };
+            member.handle_catalog_applied(now, version, text, ends);
         });
     }
 
@@ -320,7 +321,7 @@
         self.in_flight = later;
         due.sort_by(|a, b| a.due.total_cmp(&b.due).then(a.number.cmp(&b.number)));
         for InFlight { from, to, bytes, .. } in due {
-            self.input(to, |member, now| member.datagram(now, from, bytes));
+            self.input(to, |member, now| member.handle_datagram(now, from, bytes));
         }
     }
 
@@ -341,12 +342,12 @@
             address: address(number),
             site: Some(number % 2),
             seeds: vec![address(0), address(1)],
-            recalled: host.remembered.hosts.clone(),
-            admit: vec!["10.0.0.0/16".parse().unwrap()],
+            persisted: host.persisted_members.peers.clone(),
+            allowed_networks: vec!["10.0.0.0/16".parse().unwrap()],
             view: ViewSettings {
-                period: seconds(group.period),
-                most: group.members as usize,
-                ways: (group.ways)(),
+                protocol_period: seconds(group.protocol_period),
+                max_hosts: group.members as usize,
+                extensions: (group.extensions)(),
             },
             leases: LeaseSettings { term: seconds(1.0), leave_term: seconds(4.0), drift: 0.002, owned: 0.9 },
             shared_limits: vec![SharedLimit {
@@ -388,11 +389,11 @@
         self.totals.refuted += view.refuted;
         self.totals.taken_over += view.taken_over;
         let hash = &mut self.hash;
-        hash.numbers([view.suspected, view.refuted, view.dead, view.found_dead, view.accused]);
-        hash.numbers([view.beyond, view.pauses, view.damped, view.taken_over]);
+        hash.numbers([view.suspected, view.refuted, view.dead, view.declared_dead, view.accused]);
+        hash.numbers([view.out_of_range, view.pauses, view.damped, view.taken_over]);
         let counters = member.counters;
-        hash.numbers([counters.sent, counters.sent_bytes, counters.taken, counters.strangers]);
-        hash.numbers([counters.damaged, counters.lost_full, counters.false_names, counters.other_fleets]);
+        hash.numbers([counters.sent, counters.sent_bytes, counters.received, counters.rejected]);
+        hash.numbers([counters.malformed, counters.dropped, counters.wrong_address, counters.other_fleets]);
     }
 
     /// Restarts, isolations, pauses of a process, and hosts that leave in order.
@@ -410,7 +411,7 @@
         }
         if self.chance(0.002) && self.host(host).leaves_at.is_none() && self.host(host).member.is_some() {
             self.host(host).leaves_at = Some(self.now + 1.0);
-            self.input(host, |member, now| member.leave(now));
+            self.input(host, |member, now| member.begin_leave(now));
         }
     }
 
@@ -427,12 +428,12 @@
                 }
                 continue;
             };
-            let is_due = member.next_wake() <= clock;
+            let is_due = member.poll_timeout() <= clock;
             if is_due {
-                self.input(number, |member, now| member.tick(now));
+                self.input(number, |member, now| member.handle_timeout(now));
             }
             if self.host(number).leaves_at.is_some_and(|at| at <= now) {
-                self.input(number, |member, now| member.left(now));
+                self.input(number, |member, now| member.announce_leave(now));
                 self.host(number).has_left = true;
                 self.stop(number);
             }
@@ -467,7 +468,7 @@
         if self.chance(0.1) {
             let to = address(self.random_host());
             let bytes = Bytes::from(self.sent.to_be_bytes().to_vec());
-            self.input(host, |member, _| member.post(to, Body::Consensus { bytes }));
+            self.input(host, |member, _| member.send(to, Body::Consensus { bytes }));
         }
     }
 
@@ -492,12 +493,12 @@
             cleared: false,
         };
         self.host(host).orders.push(Origin { slot: host, generation, number });
-        self.input(host, |member, now| member.ordered(now, order));
+        self.input(host, |member, now| member.add_override(now, order));
     }
 
     fn clear_order(&mut self, host: u32) {
         let Some(name) = self.host(host).orders.pop() else { return };
-        self.input(host, |member, _| member.cleared(name));
+        self.input(host, |member, _| member.clear_override(name));
     }
 
     /// The host with the newest catalog publishes the next update.
@@ -517,7 +518,7 @@
         let version = if self.chance(0.1) { self.list_version / 2 } else { self.list_version };
         let stop = |i: u64| NodeRemoval { address: format!("10.1.0.{i}:3260"), gone: i.is_multiple_of(2) };
         let stops: Vec<NodeRemoval> = (0..version % 25).map(stop).collect();
-        self.input(host, |member, now| member.listed(now, version, stops));
+        self.input(host, |member, now| member.handle_node_list(now, version, stops));
     }
 
     fn fold_status(&mut self) {
@@ -543,12 +544,12 @@
             self.totals.died += dead.difference(&host.dead).count() as u64;
             self.totals.came_back += host.dead.difference(&dead).count() as u64;
             host.dead = dead;
-            hash.numbers([u64::from(member.alive()), u64::from(member.view.strain())]);
+            hash.numbers([u64::from(member.live_count()), u64::from(member.view.local_health_score())]);
             hash.numbers([u64::from(member.view.digest()), u64::from(member.overrides.digest(now))]);
-            hash.numbers(member.view.steady(now).into_iter().map(u64::from));
+            hash.numbers(member.view.stable(now).into_iter().map(u64::from));
             hash.number(u64::from(member.view.is_displaced()));
             hash.number(member.catalog.newest());
-            hash.time(member.next_wake());
+            hash.time(member.poll_timeout());
             if let Some(quota_balance) = member.quota_balance(now, VOLUME) {
                 hash.real(quota_balance.lent);
                 hash.real(quota_balance.borrowed);
@@ -573,11 +574,25 @@
 }
 
 fn four_members() -> Group {
-    Group { members: 4, period: 0.2, ways: Ways::former, loss: 0.05, duplication: 0.05, max_delay: 0.08 }
+    Group {
+        members: 4,
+        protocol_period: 0.2,
+        extensions: Extensions::none,
+        loss: 0.05,
+        duplication: 0.05,
+        max_delay: 0.08,
+    }
 }
 
 fn six_members() -> Group {
-    Group { members: 6, period: 0.3, ways: Ways::all, loss: 0.1, duplication: 0.1, max_delay: 0.15 }
+    Group {
+        members: 6,
+        protocol_period: 0.3,
+        extensions: Extensions::all,
+        loss: 0.1,
+        duplication: 0.1,
+        max_delay: 0.15,
+    }
 }
 
 fn assert_not_trivial(totals: &Totals) {
@@ -587,7 +602,7 @@
     assert!(totals.steps_with_borrowed_quota >= 500, "{totals:?}");
     assert!(totals.orders_held >= 20 && totals.orders_cleared >= 2, "{totals:?}");
     assert!(totals.updates_received >= 10 && totals.nodes_removed >= 20, "{totals:?}");
-    assert!(totals.remembered >= 20 && totals.consensus_messages >= 50, "{totals:?}");
+    assert!(totals.persisted_members >= 20 && totals.consensus_messages >= 50, "{totals:?}");
 }
 
 /// Compares the hashes of all seeds, and names all that differ.
--- a/crates/membership/tests/member.rs
+++ b/crates/membership/tests/member.rs
@@ -14,8 +14,12 @@
     Member::new(Instant::from_secs(10.0), settings(generation))
 }
 
-fn recalling(recalled: Vec<(u32, u64, SocketAddr)>) -> Member {
-    Member::new(Instant::from_secs(10.0), MemberSettings { recalled, ..settings(5) })
+fn recalling(persisted: Vec<KnownPeer>) -> Member {
+    Member::new(Instant::from_secs(10.0), MemberSettings { persisted, ..settings(5) })
+}
+
+fn peer(slot: u32, generation: u64) -> KnownPeer {
+    KnownPeer { slot, generation, address: address(slot) }
 }
 
 fn settings(generation: u64) -> MemberSettings {
@@ -27,9 +31,9 @@
         address: address(0),
         site: Some(0),
         seeds: vec![],
-        recalled: vec![],
-        admit: vec!["10.0.0.0/16".parse().unwrap()],
-        view: ViewSettings { period: secs(0.5), most: 5, ways: Ways::all() },
+        persisted: vec![],
+        allowed_networks: vec!["10.0.0.0/16".parse().unwrap()],
+        view: ViewSettings { protocol_period: secs(0.5), max_hosts: 5, extensions: Extensions::all() },
         leases: LeaseSettings { term: secs(1.0), leave_term: secs(10.0), drift: 0.001, owned: 0.9 },
         shared_limits: vec![SharedLimit { volume: 1, limit: 100.0, owners: vec![0, 1, 2] }],
         previous_exit: PreviousExit::Unclean,
@@ -37,17 +41,12 @@
     }
 }
 
-fn datagram(slot: u32, generation: u64, body: Body, news: Vec<MemberUpdate>) -> Bytes {
-    Datagram {
-        fleet: "f".into(),
-        sender: self::news(slot, generation, 0, Health::Alive),
-        body,
-        updates: news,
-    }
-    .to_bytes()
+fn datagram(slot: u32, generation: u64, body: Body, updates: Vec<MemberUpdate>) -> Bytes {
+    Datagram { fleet: "f".into(), sender: update(slot, generation, 0, Health::Alive), body, updates }
+        .to_bytes()
 }
 
-fn news(slot: u32, generation: u64, incarnation: u32, health: Health) -> MemberUpdate {
+fn update(slot: u32, generation: u64, incarnation: u32, health: Health) -> MemberUpdate {
     MemberUpdate {
         slot,
         generation,
@@ -62,29 +61,29 @@
 #[test]
 fn hosts_that_the_disk_has_beyond_the_told_number_are_let_go() {
     // Of a fleet of five now; the disk is of a larger one.
-    let mut m = recalling(vec![(1, 9, address(1)), (4, 9, address(4)), (7, 9, address(7))]);
+    let mut m = recalling(vec![peer(1, 9), peer(4, 9), peer(7, 9)]);
     let mut called = std::collections::BTreeSet::new();
     let mut written = Vec::new();
     for t in 0..200 {
-        m.tick(Instant::from_secs(10.0 + f64::from(t) * 0.1));
-        while let Some(o) = m.next_output() {
+        m.handle_timeout(Instant::from_secs(10.0 + f64::from(t) * 0.1));
+        while let Some(o) = m.poll_output() {
             match o {
                 Output::Send { to, .. } => _ = called.insert(to),
-                Output::Remember(r) => written.extend(r.hosts),
+                Output::Persist(r) => written.extend(r.peers),
                 _ => {}
             }
         }
     }
     assert_eq!(called.into_iter().collect::<Vec<_>>(), [address(1), address(4)]);
-    assert!(written.iter().all(|(slot, _, _)| *slot < 5), "{written:?}");
+    assert!(written.iter().all(|peer| peer.slot < 5), "{written:?}");
 }
 
 #[test]
 fn what_wins_of_two_words_on_a_host() {
     use Health::*;
     // What is heard one after the other of host 1: generation, incarnation, health; and what holds then.
-    type Word = (u64, u32, Health);
-    let cases: &[(&[Word], Word)] = &[
+    type State = (u64, u32, Health);
+    let cases: &[(&[State], State)] = &[
         (&[(1, 0, Alive), (1, 0, Suspect)], (1, 0, Suspect)),
         (&[(1, 0, Suspect), (1, 0, Alive)], (1, 0, Suspect)),
         (&[(1, 0, Suspect), (1, 1, Alive)], (1, 1, Alive)),
@@ -93,13 +92,13 @@
         (&[(2, 0, Alive), (1, 9, Dead)], (2, 0, Alive)),
         (&[(1, 0, Left), (1, 0, Alive)], (1, 0, Left)),
     ];
-    for (heard, held) in cases {
+    for (received, held) in cases {
         let mut m = member(5);
-        for (generation, incarnation, health) in *heard {
-            m.view.learn(Instant::from_secs(11.0), news(1, *generation, *incarnation, *health));
+        for (generation, incarnation, health) in *received {
+            m.view.merge(Instant::from_secs(11.0), update(1, *generation, *incarnation, *health));
         }
         let s = m.snapshot().get(&1).cloned().unwrap();
-        assert_eq!((s.generation, s.incarnation, s.health), *held, "{heard:?}");
+        assert_eq!((s.generation, s.incarnation, s.health), *held, "{received:?}");
     }
 }
 
@@ -107,10 +106,10 @@
 fn what_is_false_of_this_host_is_answered_and_a_later_generation_displaces_it() {
     let mut m = member(5);
     let now = Instant::from_secs(11.0);
-    m.datagram(now, address(1), datagram(1, 9, Body::Gossip, vec![news(0, 5, 3, Health::Dead)]));
+    m.handle_datagram(now, address(1), datagram(1, 9, Body::Gossip, vec![update(0, 5, 3, Health::Dead)]));
     assert_eq!((m.view.me().incarnation, m.view.is_displaced()), (4, false));
     assert_eq!(m.quota_balance(Instant::from_secs(20.0), 1).unwrap().lent, 0.0);
-    m.datagram(now, address(1), datagram(1, 9, Body::Gossip, vec![news(0, 6, 0, Health::Alive)]));
+    m.handle_datagram(now, address(1), datagram(1, 9, Body::Gossip, vec![update(0, 6, 0, Health::Alive)]));
     assert!(m.view.is_displaced());
     let quota_balance = m.quota_balance(Instant::from_secs(20.0), 1).unwrap();
     assert!((quota_balance.lent - 0.3).abs() < 1e-9 && quota_balance.borrowed == 0.0, "{quota_balance:?}");
@@ -151,8 +150,8 @@
             7 => Body::Lease(LeaseMessage::Recall { volume: 1 }),
             _ => Body::Lease(LeaseMessage::Returned { recipient_generation: 5, volume: 1 }),
         };
-        let said = vec![news(c.rand_range(0..40) as u32, generation, x, Health::Alive)];
-        let mut bytes = datagram(slot, generation, body, said).to_vec();
+        let updates = vec![update(c.rand_range(0..40) as u32, generation, x, Health::Alive)];
+        let mut bytes = datagram(slot, generation, body, updates).to_vec();
         if i % 5 == 0 {
             let at = c.rand_range(0..bytes.len() as u64) as usize;
             bytes[at] ^= 1 << c.rand_range(0..8);
@@ -161,8 +160,8 @@
         let from =
             if i % 7 == 0 { "192.168.0.1:9".parse().unwrap() } else { address(c.rand_range(1..9) as u32) };
         m.record_demand(t, 1, 0.2);
-        m.datagram(t, from, Bytes::from(bytes));
-        m.tick(t);
+        m.handle_datagram(t, from, Bytes::from(bytes));
+        m.handle_timeout(t);
         let quota_balance = m.quota_balance(t, 1).unwrap();
         assert!(
             quota_balance.borrowed <= 0.6 + 1e-9 && quota_balance.lent <= 0.3 + 1e-9,
@@ -170,11 +169,11 @@
         );
         assert!(m.snapshot().len() <= 5, "the table is full");
         if i % 100 == 0 {
-            while m.next_output().is_some() {}
+            while m.poll_output().is_some() {}
         }
     }
     let n = m.counters;
-    assert!(n.strangers > 3000 && n.damaged > 100 && n.false_names > 100, "{n:?}");
+    assert!(n.rejected > 3000 && n.malformed > 100 && n.wrong_address > 100, "{n:?}");
 }
 
 #[test]
@@ -236,16 +235,16 @@
         total_ms,
         cleared: false,
     };
-    m.datagram(t, address(1), datagram(1, 1, Body::Overrides(vec![order]), vec![]));
+    m.handle_datagram(t, address(1), datagram(1, 1, Body::Overrides(vec![order]), vec![]));
     for seq in 0..6_000 {
-        m.datagram(t, address(1), datagram(1, 1, Body::Probe(ProbeMessage::Ping { seq }), vec![]));
+        m.handle_datagram(t, address(1), datagram(1, 1, Body::Probe(ProbeMessage::Ping { seq }), vec![]));
     }
-    let all: Vec<Output> = std::iter::from_fn(|| m.next_output()).collect();
+    let all: Vec<Output> = std::iter::from_fn(|| m.poll_output()).collect();
     assert!(
         all.iter().any(|o| matches!(o, Output::Override(OverrideEvent::Set { .. }))),
         "it is told once, and not lost"
     );
-    assert!(all.len() <= 4_100 && m.counters.lost_full > 1_000, "{} and {:?}", all.len(), m.counters);
+    assert!(all.len() <= 4_100 && m.counters.dropped > 1_000, "{} and {:?}", all.len(), m.counters);
 }
 
 #[test]
@@ -253,10 +252,11 @@
     let mut m = member(5);
     m.catalog.enable(CatalogVersion::default(), []);
     let at = |s: f64| Instant::from_secs(10.0 + s);
-    let word = |number| Body::Catalog(CatalogMessage::Version { number, mark: number, remaining_ms: 5000 });
-    m.datagram(at(0.0), address(1), datagram(1, 1, word(u64::MAX), vec![]));
+    let version =
+        |number| Body::Catalog(CatalogMessage::Version { number, mark: number, remaining_ms: 5000 });
+    m.handle_datagram(at(0.0), address(1), datagram(1, 1, version(u64::MAX), vec![]));
     assert_eq!((m.catalog.missing(), m.catalog.is_up_to_date()), (Some(u64::MAX), false));
-    (1..40).for_each(|i| m.tick(at(f64::from(i) * 0.1)));
+    (1..40).for_each(|i| m.handle_timeout(at(f64::from(i) * 0.1)));
     assert_eq!((m.catalog.missing(), m.catalog.is_up_to_date()), (None, true), "nobody brings it");
 
     // A real one, of three pieces; between them come pieces that were not asked for, or of others, and doubled ones.
@@ -271,25 +271,30 @@
             ),
         })
     };
-    m.datagram(at(5.0), address(1), datagram(1, 1, word(1), vec![]));
+    m.handle_datagram(at(5.0), address(1), datagram(1, 1, version(1), vec![]));
     for (from, i) in [(1, 2), (2, 0), (1, 0), (1, 0), (2, 1), (1, 1), (1, 1), (1, 2), (1, 2)] {
-        m.datagram(at(5.01), address(from), datagram(from, 1, piece(i), vec![]));
+        m.handle_datagram(at(5.01), address(from), datagram(from, 1, piece(i), vec![]));
     }
-    let came = std::iter::from_fn(|| m.next_output()).filter_map(|o| match o {
+    let received = std::iter::from_fn(|| m.poll_output()).filter_map(|o| match o {
         Output::CatalogUpdate(p) => Some(p),
         _ => None,
     });
-    let came: Vec<CatalogUpdate> = came.collect();
-    assert_eq!(came, [CatalogUpdate { number: 1, text: Bytes::from(text) }]);
-    m.paper_taken(at(5.1), 1, 1, came[0].text.clone(), at(9.0));
+    let received: Vec<CatalogUpdate> = received.collect();
+    assert_eq!(received, [CatalogUpdate { number: 1, text: Bytes::from(text) }]);
+    m.handle_catalog_applied(
+        at(5.1),
+        CatalogVersion { number: 1, mark: 1 },
+        received[0].text.clone(),
+        at(9.0),
+    );
     assert_eq!((m.catalog.missing(), m.catalog.is_up_to_date(), m.catalog.newest()), (None, true, 1));
 
     // Endless pieces end at the bound of one text.
-    m.datagram(at(6.0), address(1), datagram(1, 1, word(2), vec![]));
+    m.handle_datagram(at(6.0), address(1), datagram(1, 1, version(2), vec![]));
     for i in 0..1000u16 {
         let bytes = Bytes::from(vec![0; 1200]);
         let body = Body::Catalog(CatalogMessage::Chunk { number: 2, piece: i, pieces: u16::MAX, bytes });
-        m.datagram(at(6.0), address(1), datagram(1, 1, body, vec![]));
+        m.handle_datagram(at(6.0), address(1), datagram(1, 1, body, vec![]));
     }
     assert_eq!(m.catalog.rejected, 1);
 }
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -9,7 +9,7 @@
     SocketAddr::from(([10, 0, 0, h as u8], 7000))
 }
 
-fn news(slot: u32, generation: u64, incarnation: u32, health: Health) -> MemberUpdate {
+fn update(slot: u32, generation: u64, incarnation: u32, health: Health) -> MemberUpdate {
     MemberUpdate {
         slot,
         generation,
@@ -26,36 +26,38 @@
 }
 
 /// Of host 0, with periods of a second; it has heard of hosts 1 to n.
-fn view(n: u32, ways: Ways) -> View {
-    let settings = ViewSettings { period: TimeDelta::from_secs(1.0), most: 20, ways };
-    let mut v = View::new(at(0.0), news(0, 50, 0, Health::Alive), vec![], vec![], settings, 7);
+fn view(n: u32, extensions: Extensions) -> View {
+    let settings = ViewSettings { protocol_period: TimeDelta::from_secs(1.0), max_hosts: 20, extensions };
+    let mut v = View::new(at(0.0), update(0, 50, 0, Health::Alive), vec![], &[], settings, 7);
     for h in 1..=n {
-        v.learn(at(0.0), news(h, 10, 0, Health::Alive));
-        v.heard_from(at(0.0), h, 10);
+        v.merge(at(0.0), update(h, 10, 0, Health::Alive));
+        v.handle_received(at(0.0), h, 10);
     }
     v
 }
 
 /// Ticks up to then; `answers` of the hosts' pings come back at once, and each of those hosts is heard each period.
-fn run(v: &mut View, from: f64, to: f64, answers: &[u32], heard: &[u32]) {
+fn run(v: &mut View, from: f64, to: f64, answers: &[u32], received: &[u32]) {
     let mut t = from;
     while t < to {
-        v.tick(at(t));
-        let sends: Vec<_> = std::iter::from_fn(|| v.next_send()).collect();
-        for (a, body, _) in sends {
+        v.handle_timeout(at(t));
+        let sends: Vec<_> = std::iter::from_fn(|| v.poll_transmit()).collect();
+        for Transmit { to: a, body, .. } in sends {
             let Some(h) = answers.iter().copied().find(|h| address(*h) == a) else { continue };
             match body {
-                Body::Probe(ProbeMessage::Ping { seq }) => v.heard(at(t), a, h, &ProbeMessage::Ack { seq }),
+                Body::Probe(ProbeMessage::Ping { seq }) => {
+                    v.handle_message(at(t), a, h, &ProbeMessage::Ack { seq })
+                }
                 Body::Probe(ProbeMessage::PingRequest { seq, slot }) if !answers.contains(&slot) => {
-                    v.heard(at(t), a, h, &ProbeMessage::Nack { seq, slot })
+                    v.handle_message(at(t), a, h, &ProbeMessage::Nack { seq, slot })
                 }
                 Body::Probe(ProbeMessage::PingRequest { seq, slot }) => {
-                    v.heard(at(t), a, h, &ProbeMessage::IndirectAck { seq, slot })
+                    v.handle_message(at(t), a, h, &ProbeMessage::IndirectAck { seq, slot })
                 }
                 _ => {}
             }
         }
-        heard.iter().for_each(|h| v.heard_from(at(t), *h, 10));
+        received.iter().for_each(|h| v.handle_received(at(t), *h, 10));
         t += 0.1;
     }
 }
@@ -67,36 +69,36 @@
 #[test]
 fn who_is_accused_and_who_is_given_time() {
     use Health::*;
-    let former = Ways { local_health: false, ..Ways::all() };
+    let no_local_health = Extensions { local_health: false, ..Extensions::all() };
     // Whose answers come, who is heard, the ways, and what holds of host 1 then, after so many periods.
-    type Case<'a> = (&'a str, &'a [u32], &'a [u32], Ways, f64, Health);
+    type Case<'a> = (&'a str, &'a [u32], &'a [u32], Extensions, f64, Health);
     let cases: &[Case] = &[
-        ("all answer", &[1, 2, 3, 4, 5], &[1, 2, 3, 4, 5], Ways::all(), 60.0, Alive),
-        ("one is gone, and others say so", &[2, 3, 4, 5], &[2, 3, 4, 5], Ways::all(), 60.0, Dead),
-        ("one hears nothing, but speaks", &[2, 3, 4, 5], &[1, 2, 3, 4, 5], Ways::all(), 80.0, Dead),
-        ("nobody answers, all are heard", &[], &[1, 2, 3, 4, 5], Ways::all(), 60.0, Alive),
-        ("the same without local health", &[], &[1, 2, 3, 4, 5], former, 60.0, Dead),
-        ("nobody is heard for a while", &[], &[], Ways::all(), 20.0, Alive),
-        ("nobody is heard for long", &[], &[], Ways::all(), 120.0, Dead),
+        ("all answer", &[1, 2, 3, 4, 5], &[1, 2, 3, 4, 5], Extensions::all(), 60.0, Alive),
+        ("one is gone, and others say so", &[2, 3, 4, 5], &[2, 3, 4, 5], Extensions::all(), 60.0, Dead),
+        ("one hears nothing, but speaks", &[2, 3, 4, 5], &[1, 2, 3, 4, 5], Extensions::all(), 80.0, Dead),
+        ("nobody answers, all are heard", &[], &[1, 2, 3, 4, 5], Extensions::all(), 60.0, Alive),
+        ("the same without local health", &[], &[1, 2, 3, 4, 5], no_local_health, 60.0, Dead),
+        ("nobody is heard for a while", &[], &[], Extensions::all(), 20.0, Alive),
+        ("nobody is heard for long", &[], &[], Extensions::all(), 120.0, Dead),
     ];
-    for (name, answers, heard, ways, periods, expected) in cases {
-        let mut v = view(5, *ways);
-        run(&mut v, 0.0, *periods, answers, heard);
+    for (name, answers, received, extensions, periods, expected) in cases {
+        let mut v = view(5, *extensions);
+        run(&mut v, 0.0, *periods, answers, received);
         assert_eq!(health(&v, 1), Some(*expected), "{name}");
     }
 }
 
 #[test]
 fn what_was_found_alone_gives_way_to_any_word_and_is_told_only_later() {
-    let mut v = view(3, Ways::all());
+    let mut v = view(3, Extensions::all());
     run(&mut v, 0.0, 120.0, &[], &[]);
     assert_eq!([1, 2, 3].map(|h| health(&v, h)), [Some(Health::Dead); 3]);
-    let told = |v: &View| v.all_news().into_iter().flatten().filter(|n| n.slot > 0).count();
+    let told = |v: &View| v.all_updates().into_iter().flatten().filter(|n| n.slot > 0).count();
     assert_eq!(told(&v), 0, "nobody can have heard it, and nobody shall");
     // Host 1 is heard, and says that 2 is there; nobody speaks of 3.
-    v.learn(at(121.0), news(1, 10, 0, Health::Alive));
-    v.heard_from(at(121.0), 1, 10);
-    v.learn(at(121.0), news(2, 10, 0, Health::Alive));
+    v.merge(at(121.0), update(1, 10, 0, Health::Alive));
+    v.handle_received(at(121.0), 1, 10);
+    v.merge(at(121.0), update(2, 10, 0, Health::Alive));
     assert_eq!([1, 2].map(|h| health(&v, h)), [Some(Health::Alive); 2]);
     run(&mut v, 121.0, 130.0, &[1, 2], &[1, 2]);
     assert_eq!((health(&v, 3), told(&v)), (Some(Health::Dead), 3), "it stands by what nobody took back");
@@ -104,47 +106,47 @@
 
 #[test]
 fn a_stop_is_nobody_elses_fault_and_a_probe_of_an_earlier_generation_accuses_none() {
-    for (ways, accuses) in
-        [(Ways::all(), false), (Ways { own_pause: false, local_health: false, ..Ways::all() }, true)]
-    {
-        let mut v = view(5, ways);
+    for (extensions, accuses) in [
+        (Extensions::all(), false),
+        (Extensions { pause_detection: false, local_health: false, ..Extensions::all() }, true),
+    ] {
+        let mut v = view(5, extensions);
         run(&mut v, 0.0, 10.0, &[1, 2, 3, 4, 5], &[1, 2, 3, 4, 5]);
         // A ping leaves, and the host stands still for 30 periods.
-        v.tick(at(11.3));
-        v.tick(at(41.0));
-        v.tick(at(41.5));
-        assert_eq!((v.counters.pauses, v.counters.suspected > 0), (1, accuses), "{ways:?}");
+        v.handle_timeout(at(11.3));
+        v.handle_timeout(at(41.0));
+        v.handle_timeout(at(41.5));
+        assert_eq!((v.counters.pauses, v.counters.suspected > 0), (1, accuses), "{extensions:?}");
     }
-    let mut v = view(1, Ways::all());
-    v.tick(at(1.5));
-    v.learn(at(1.6), news(1, 11, 0, Health::Alive));
-    v.heard_from(at(1.7), 1, 11);
+    let mut v = view(1, Extensions::all());
+    v.handle_timeout(at(1.5));
+    v.merge(at(1.6), update(1, 11, 0, Health::Alive));
+    v.handle_received(at(1.7), 1, 11);
     for t in 17..40 {
-        v.tick(at(f64::from(t) / 10.0));
+        v.handle_timeout(at(f64::from(t) / 10.0));
     }
     assert_eq!((health(&v, 1), v.counters.suspected), (Some(Health::Alive), 0));
 }
 
 #[test]
 fn a_host_that_flaps_is_pinged_and_listed_but_not_asked_for_help() {
-    let mut v = view(5, Ways::all());
+    let mut v = view(5, Extensions::all());
     let mut lines = Vec::new();
     for generation in 11..20 {
-        v.learn(at(generation as f64), news(1, generation, 0, Health::Dead));
-        v.learn(at(generation as f64), news(1, generation + 1, 0, Health::Alive));
-        lines.extend(std::iter::from_fn(|| v.next_change()));
+        v.merge(at(generation as f64), update(1, generation, 0, Health::Dead));
+        v.merge(at(generation as f64), update(1, generation + 1, 0, Health::Alive));
+        lines.extend(std::iter::from_fn(|| v.poll_event()));
     }
     assert!(v.is_flapping(at(20.0), 1) && v.live().contains(&1), "{lines:?}");
-    assert!(!v.steady(at(20.0)).contains(&1));
-    let single = lines.iter().filter(|c| matches!(c, Change::Flaps(1))).count();
+    assert!(!v.stable(at(20.0)).contains(&1));
+    let single = lines.iter().filter(|c| matches!(c, ViewEvent::Flapping { slot: 1 })).count();
     assert!(single == 1 && lines.len() < 20 && v.counters.damped > 3, "{lines:?}");
     let mut pinged = false;
     for t in 200..400 {
-        v.tick(at(f64::from(t) / 10.0));
-        let to_it = |(a, b, _): (SocketAddr, Body, Option<u32>)| {
-            a == address(1) && matches!(b, Body::Probe(ProbeMessage::Ping { .. }))
-        };
-        pinged |= std::iter::from_fn(|| v.next_send()).any(to_it);
+        v.handle_timeout(at(f64::from(t) / 10.0));
+        let to_it =
+            |t: Transmit| t.to == address(1) && matches!(t.body, Body::Probe(ProbeMessage::Ping { .. }));
+        pinged |= std::iter::from_fn(|| v.poll_transmit()).any(to_it);
     }
     assert!(pinged, "never shut out");
     assert!(!v.is_flapping(at(200.0), 1), "it ends once it stays");
@@ -152,98 +154,97 @@
 
 #[test]
 fn who_is_accused_hears_of_it_and_answers_at_once() {
-    let mut v = view(3, Ways::all());
-    v.learn(at(1.0), news(2, 10, 0, Health::Suspect));
-    while v.next_send().is_some() {}
-    v.heard_from(at(1.5), 2, 10);
-    let (to, body, about) = v.next_send().expect("a word to the accused");
-    assert_eq!((to, body, about), (address(2), Body::Gossip, Some(2)));
-    assert!(v.beside(Some(2)).iter().any(|n| n.slot == 2 && n.health == Health::Suspect));
+    let mut v = view(3, Extensions::all());
+    v.merge(at(1.0), update(2, 10, 0, Health::Suspect));
+    while v.poll_transmit().is_some() {}
+    v.handle_received(at(1.5), 2, 10);
+    let Transmit { to, body, recipient } = v.poll_transmit().expect("a word to the accused");
+    assert_eq!((to, body, recipient), (address(2), Body::Gossip, Some(2)));
+    assert!(v.piggyback(Some(2)).iter().any(|n| n.slot == 2 && n.health == Health::Suspect));
     // This host is accused itself: its answer goes to a few at once.
-    v.learn(at(2.0), news(0, 50, 4, Health::Suspect));
+    v.merge(at(2.0), update(0, 50, 4, Health::Suspect));
     assert_eq!((v.me().incarnation, v.counters.accused), (5, 1));
-    assert_eq!(std::iter::from_fn(|| v.next_send()).count(), 3);
+    assert_eq!(std::iter::from_fn(|| v.poll_transmit()).count(), 3);
 }
 
 #[test]
 fn no_word_is_taken_that_its_host_could_not_answer() {
-    let mut v = view(3, Ways::all());
+    let mut v = view(3, Extensions::all());
     let cases = [
-        news(4, 10, u32::MAX, Health::Alive),
-        news(4, u64::MAX, 0, Health::Alive),
-        news(20, 10, 0, Health::Alive),
-        news(0, 50, u32::MAX, Health::Dead),
+        update(4, 10, u32::MAX, Health::Alive),
+        update(4, u64::MAX, 0, Health::Alive),
+        update(20, 10, 0, Health::Alive),
+        update(0, 50, u32::MAX, Health::Dead),
     ];
     for (i, n) in cases.iter().enumerate() {
-        v.learn(at(1.0), *n);
+        v.merge(at(1.0), *n);
         assert_eq!(
-            (v.counters.beyond, v.snapshot().len(), v.me().incarnation),
+            (v.counters.out_of_range, v.snapshot().len(), v.me().incarnation),
             (i as u64 + 1, 3, 0),
             "{n:?}"
         );
     }
     // A later word in this host's name that it never said is answered by a later one still.
-    v.learn(at(1.0), news(0, 50, 8, Health::Alive));
+    v.merge(at(1.0), update(0, 50, 8, Health::Alive));
     assert_eq!(v.me().incarnation, 9);
 }
 
 #[test]
 fn what_is_said_of_sites() {
     // Hosts 1 to 9, of sites 1, 2, 0, 1, 2, 0, ...; this host stands in site 0. When each of site 1 falls silent.
-    type Case<'a> = (&'a str, &'a [(u32, f64, Health)], SiteWord);
+    type Case<'a> = (&'a str, &'a [(u32, f64, Health)], SiteHealth);
     let cases: &[Case] = &[
         (
             "together",
             &[(1, 1.0, Health::Dead), (4, 2.0, Health::Suspect), (7, 4.0, Health::Dead)],
-            SiteWord::Unheard(3),
+            SiteHealth::FailedTogether { hosts: 3 },
         ),
         (
             "one by one",
             &[(1, 1.0, Health::Dead), (4, 20.0, Health::Dead), (7, 40.0, Health::Dead)],
-            SiteWord::Emptied(3),
+            SiteHealth::FailedOneByOne { hosts: 3 },
         ),
-        ("one is left", &[(1, 1.0, Health::Dead), (4, 2.0, Health::Dead)], SiteWord::There),
+        ("one is left", &[(1, 1.0, Health::Dead), (4, 2.0, Health::Dead)], SiteHealth::Reachable),
         (
             "in order",
             &[(1, 1.0, Health::Left), (4, 2.0, Health::Left), (7, 3.0, Health::Left)],
-            SiteWord::Left,
+            SiteHealth::Left,
         ),
     ];
-    for (name, falls, word) in cases {
-        let mut v = view(9, Ways::all());
-        for (h, t, health) in *falls {
-            v.learn(at(*t), MemberUpdate { suspected_by: Some(2), ..news(*h, 10, 0, *health) });
+    for (name, falls, health) in cases {
+        let mut v = view(9, Extensions::all());
+        for (h, t, member_health) in *falls {
+            v.merge(at(*t), MemberUpdate { suspected_by: Some(2), ..update(*h, 10, 0, *member_health) });
         }
         let site = v.sites().into_iter().find(|s| s.site == Some(1)).unwrap();
-        assert_eq!(site.word, *word, "{name}: {site:?}");
+        assert_eq!(site.health, *health, "{name}: {site:?}");
         assert_eq!(site.alive + site.suspect + site.dead + site.left, 3, "{name}");
     }
 }
 
 #[test]
 fn a_later_generation_of_ones_own_number_is_believed_only_while_it_is_heard() {
-    // Where the later generation is known, whether it answers, and whether this host takes its number back; true: as a new generation
-    // that shares again.
+    // Where the later generation is known, whether it answers, and whether this host takes its number back.
     let elsewhere: SocketAddr = "10.0.0.99:7000".parse().unwrap();
     let cases = [
-        ("at this host's own address", address(0), false, Some(true)),
-        ("elsewhere, silent", elsewhere, false, Some(false)),
+        ("at this host's own address", address(0), false, Some(TakeOver::SameAddress)),
+        ("elsewhere, silent", elsewhere, false, Some(TakeOver::OtherAddress)),
         ("elsewhere, and it speaks", elsewhere, true, None),
     ];
     for (name, a, speaks, expected) in cases {
-        let mut v = view(3, Ways::all());
-        let later = MemberUpdate { address: a, ..news(0, 60, 0, Health::Alive) };
-        v.learn(at(1.0), later);
+        let mut v = view(3, Extensions::all());
+        let later = MemberUpdate { address: a, ..update(0, 60, 0, Health::Alive) };
+        v.merge(at(1.0), later);
         assert!(v.is_displaced(), "{name}");
         let mut taken = None;
         for t in 10..200 {
             let now = at(f64::from(t) / 10.0);
             if speaks && t % 10 == 0 {
-                v.heard_namesake(now, later, a);
+                v.handle_duplicate_id(now, later, a);
             }
-            (1..4).for_each(|h| v.heard_from(now, h, 10));
-            v.tick(now);
-            taken = taken.or_else(|| v.next_take_over());
+            (1..4).for_each(|h| v.handle_received(now, h, 10));
+            v.handle_timeout(now);
+            taken = taken.or_else(|| v.poll_take_over());
         }
         assert_eq!(taken, expected, "{name}");
         let generation = if expected.is_some() { 61 } else { 50 };
@@ -255,28 +256,32 @@
 fn who_joins_while_a_turn_runs_is_pinged_within_it() {
     // Two are known when the turn begins; fifteen more join at once. Without a place in the turn that runs, those of the
     // first two come again and again while the rest waits for the next.
-    let settings = ViewSettings { period: TimeDelta::from_secs(1.0), most: 40, ways: Ways::all() };
+    let settings = ViewSettings {
+        protocol_period: TimeDelta::from_secs(1.0),
+        max_hosts: 40,
+        extensions: Extensions::all(),
+    };
     let (mut pinged, mut seeds) = (0, 0);
     for seed in 0..20 {
-        let mut v = View::new(at(0.0), news(0, 50, 0, Health::Alive), vec![], vec![], settings, seed);
-        (1..=16).for_each(|h| v.learn(at(0.0), news(h, 10, 0, Health::Alive)));
+        let mut v = View::new(at(0.0), update(0, 50, 0, Health::Alive), vec![], &[], settings, seed);
+        (1..=16).for_each(|h| v.merge(at(0.0), update(h, 10, 0, Health::Alive)));
         // The turn begins, all of sixteen in it.
         run(&mut v, 0.0, 1.5, &[1, 2], &[]);
-        (17..=18).for_each(|h| v.learn(at(1.5), news(h, 10, 0, Health::Alive)));
+        (17..=18).for_each(|h| v.merge(at(1.5), update(h, 10, 0, Health::Alive)));
         let all: Vec<u32> = (1..=18).collect();
         let mut seen = std::collections::BTreeSet::new();
         for i in 0..80 {
             let t = 1.5 + f64::from(i) * 0.1;
-            v.tick(at(t));
-            while let Some((a, body, _)) = v.next_send() {
+            v.handle_timeout(at(t));
+            while let Some(Transmit { to: a, body, .. }) = v.poll_transmit() {
                 if let (Body::Probe(ProbeMessage::Ping { seq }), Some(h)) =
                     (&body, all.iter().find(|h| address(**h) == a))
                 {
                     seen.insert(*h);
-                    v.heard(at(t), a, *h, &ProbeMessage::Ack { seq: *seq });
+                    v.handle_message(at(t), a, *h, &ProbeMessage::Ack { seq: *seq });
                 }
             }
-            all.iter().for_each(|h| v.heard_from(at(t), *h, 10));
+            all.iter().for_each(|h| v.handle_received(at(t), *h, 10));
         }
         pinged += [17, 18].iter().filter(|h| seen.contains(*h)).count();
         seeds += 1;
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_membership::{
-    CatalogVersion, Health, LeaseSettings, Member, MemberSettings, Output, OverrideEvent, OverrideKind,
-    OverrideRecord, PreviousExit, ViewSettings, Ways,
+    CatalogVersion, Extensions, Health, LeaseSettings, Member, MemberSettings, Output, OverrideEvent,
+    OverrideKind, OverrideRecord, PreviousExit, ViewSettings,
 };
 
 type Us = u64;
@@ -90,10 +90,10 @@
             generation: self.generations,
             address: peer_address(h),
             site: Some(h % 3),
-            recalled: Vec::new(),
+            persisted: Vec::new(),
             seeds,
-            admit: Vec::new(),
-            view: ViewSettings { period: secs(0.5), most: 1000, ways: Ways::all() },
+            allowed_networks: Vec::new(),
+            view: ViewSettings { protocol_period: secs(0.5), max_hosts: 1000, extensions: Extensions::all() },
             leases: LeaseSettings { term: secs(2.0), leave_term: secs(60.0), drift: 0.001, owned: 0.9 },
             shared_limits: Vec::new(),
             previous_exit: PreviousExit::Unclean,
@@ -118,12 +118,12 @@
                 Event::Wake(h) => {
                     self.wakes.remove(&h);
                     let Some(m) = self.members.get_mut(&h) else { continue };
-                    m.tick(now);
+                    m.handle_timeout(now);
                     h
                 }
                 Event::Datagram(from, h, bytes) => {
                     let Some(m) = self.members.get_mut(&h) else { continue };
-                    m.datagram(now, peer_address(from), Bytes::from(bytes));
+                    m.handle_datagram(now, peer_address(from), Bytes::from(bytes));
                     h
                 }
             };
@@ -135,13 +135,18 @@
     fn pull(&mut self, h: u32) {
         loop {
             let Some(m) = self.members.get_mut(&h) else { return };
-            let Some(o) = m.next_output() else { break };
+            let Some(o) = m.poll_output() else { break };
             match o {
                 Output::Send { to, bytes } => self.post(h, to, &bytes),
-                Output::Mode(_) | Output::Remember(_) | Output::Word { .. } | Output::NodeList(_) => {}
+                Output::Log(_) | Output::Persist(_) | Output::Consensus { .. } | Output::NodeList(_) => {}
                 Output::CatalogUpdate(p) => {
                     let ends = m.catalog.deadline(p.number, at(self.now));
-                    m.paper_taken(at(self.now), p.number, p.number, p.text, ends);
+                    m.handle_catalog_applied(
+                        at(self.now),
+                        CatalogVersion { number: p.number, mark: p.number },
+                        p.text,
+                        ends,
+                    );
                 }
                 Output::Override(OverrideEvent::Set { origin, .. }) => {
                     self.returned += u64::from(self.over.contains(&origin.number));
@@ -153,7 +158,7 @@
             }
         }
         let Some(m) = self.members.get(&h) else { return };
-        let wake = ((m.next_wake().secs() * 1e6) as Us).max(self.now + 1);
+        let wake = ((m.poll_timeout().secs() * 1e6) as Us).max(self.now + 1);
         if self.wakes.get(&h).is_none_or(|t| wake < *t) {
             self.wakes.insert(h, wake);
             self.push(wake, Event::Wake(h));
@@ -183,7 +188,7 @@
 
     fn all_know_all(&self) -> bool {
         let n = self.members.len() as u32;
-        self.members.values().all(|m| m.alive() == n && m.view.digest() == self.one().view.digest())
+        self.members.values().all(|m| m.live_count() == n && m.view.digest() == self.one().view.digest())
     }
 
     fn one(&self) -> &Member {
@@ -208,7 +213,12 @@
     fn plan_until(&mut self, number: u64, bytes: usize, most: Option<Us>) -> Option<f64> {
         let (now, start) = (at(self.now), self.now);
         if let Some(m) = self.members.get_mut(&0) {
-            m.paper_taken(now, number, number, Bytes::from(vec![0; bytes]), now + TimeDelta::from_secs(5.0));
+            m.handle_catalog_applied(
+                now,
+                CatalogVersion { number, mark: number },
+                Bytes::from(vec![0; bytes]),
+                now + TimeDelta::from_secs(5.0),
+            );
         }
         self.pull(0);
         let Some(most) = most else { return self.until(|f| f.all_go_by(number)) };
@@ -234,7 +244,7 @@
         };
         let now = at(self.now);
         if let Some(m) = self.members.get_mut(&h) {
-            m.ordered(now, order);
+            m.add_override(now, order);
         }
         self.held.entry(h).or_default().insert(number);
     }
@@ -303,7 +313,7 @@
     };
     let cleared = name(&f, high, 4);
     if let Some(m) = f.members.get_mut(&high) {
-        m.cleared(cleared);
+        m.clear_override(cleared);
     }
     f.held.entry(high).or_default().remove(&4);
     f.run_until(f.now + 10 * SECOND);
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -23,7 +23,7 @@
 pub use report::{curves, page, Series};
 pub use sim::{run, settings, Class, Mutant, Run};
 pub use tackmast_consensus::AgreeFault;
-pub use tackmast_membership::{ViewFault, Ways};
+pub use tackmast_membership::{Extensions, ViewFault};
 pub use views::{difference, find, summary, view, Case, Shown, Summary, Trial};
 
 use tackmast_invariants::{judge, Report};
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -225,7 +225,7 @@
     next: u64,
     /// Changes of plans, by number.
     changes: BTreeMap<u64, Vec<u8>>,
-    members: Vec<(u32, u64, std::net::SocketAddr)>,
+    members: Vec<tackmast_host_core::KnownPeer>,
 }
 
 struct Host {
--- a/crates/simulator/src/sim/orders.rs
+++ b/crates/simulator/src/sim/orders.rs
@@ -31,7 +31,7 @@
         }
         keep.remove.iter().for_each(|id| _ = kept.overrides.remove(id));
         if let Some(m) = keep.members {
-            kept.members = m.hosts;
+            kept.members = m.peers;
         }
         for (number, line) in keep.changes {
             kept.changes.insert(number, line);
--- a/crates/simulator/src/views.rs
+++ b/crates/simulator/src/views.rs
@@ -8,7 +8,7 @@
 pub use cases::Case;
 
 use crate::compare::median_with_interval;
-use tackmast_membership::{ViewFault, Ways};
+use tackmast_membership::{Extensions, ViewFault};
 
 /// One case of one seed.
 #[derive(Clone, Copy, Debug)]
@@ -16,7 +16,7 @@
     pub case: Case,
     pub hosts: u32,
     pub seed: u64,
-    pub ways: Ways,
+    pub extensions: Extensions,
     pub fault: Option<ViewFault>,
 }
 
@@ -57,7 +57,7 @@
 pub fn find(fault: ViewFault, hosts: u32, first: u64, seeds: u64) -> Option<(u64, Case, String)> {
     for seed in first..first + seeds {
         for case in Case::ALL {
-            let trial = Trial { case, hosts, seed, ways: Ways::all(), fault: Some(fault) };
+            let trial = Trial { case, hosts, seed, extensions: Extensions::all(), fault: Some(fault) };
             let with = view(&trial);
             if let Some(what) = with.broken.first() {
                 return Some((seed, case, what.clone()));
--- a/crates/simulator/src/views/cases.rs
+++ b/crates/simulator/src/views/cases.rs
@@ -110,7 +110,7 @@
     let joins = if t.case == Case::HalfJoins { n / 2 } else { n };
     all.iter().take(joins as usize).for_each(|p| w.start(*p));
     // Known to all, and told to all.
-    if w.until_settled(PATIENCE).is_none() && t.fault.is_none() && t.ways.recall {
+    if w.until_settled(PATIENCE).is_none() && t.fault.is_none() && t.extensions.rejoin {
         w.shown.broken.push("not settled before the first fault".into());
     }
     w.run(25.0);
@@ -191,11 +191,11 @@
         }
         Case::Twins => {
             let slot = w.all[victim].slot;
-            let twin = w.add(slot, PORT + 9);
+            let second = w.add(slot, PORT + 9);
             w.run(1.0);
-            w.start(twin);
+            w.start(second);
             w.run(30.0);
-            w.kill(twin);
+            w.kill(second);
         }
         Case::Lossy => {
             (w.loss, w.jitter, w.doubled) = (0.2, 200_000, 0.05);
--- a/crates/simulator/src/views/world.rs
+++ b/crates/simulator/src/views/world.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_membership::{
-    Health, LeaseSettings, Member, MemberSettings, Output, PreviousExit, Remembered, ViewSettings,
+    Health, LeaseSettings, Member, MemberSettings, Output, PersistedMembers, PreviousExit, ViewSettings,
 };
 
 pub type Us = u64;
@@ -37,7 +37,7 @@
     held: Vec<(SocketAddr, Vec<u8>)>,
     wake: Us,
     /// What its disk has.
-    pub disk: Remembered,
+    pub disk: PersistedMembers,
     /// Seconds by which its wall clock is off, and the pace of its steady clock.
     pub wall_off: f64,
     pub pace: f64,
@@ -122,7 +122,7 @@
             stopped: false,
             held: Vec::new(),
             wake: Us::MAX,
-            disk: Remembered::default(),
+            disk: PersistedMembers::default(),
             wall_off: 0.0,
             pace: 1.0,
             away: self.now,
@@ -152,12 +152,12 @@
             address: x.address,
             site: Some(x.site),
             seeds: self.seeds.clone(),
-            recalled: x.disk.hosts.clone(),
-            admit: Vec::new(),
+            persisted: x.disk.peers.clone(),
+            allowed_networks: Vec::new(),
             view: ViewSettings {
-                period: secs(PERIOD as f64 / 1e6),
-                most: self.hosts as usize,
-                ways: self.trial.ways,
+                protocol_period: secs(PERIOD as f64 / 1e6),
+                max_hosts: self.hosts as usize,
+                extensions: self.trial.extensions,
             },
             leases: LeaseSettings { term: secs(2.0), leave_term: secs(60.0), drift: 0.001, owned: 0.9 },
             shared_limits: Vec::new(),
@@ -171,8 +171,8 @@
         };
         (x.stopped, x.away, x.looked, x.best) = (false, self.now, self.now, BTreeMap::new());
         x.held.clear();
-        if member.view.there() > 0 {
-            let what = format!("host {}: {} are there before a word came", x.slot, member.view.there());
+        if member.view.live_count() > 0 {
+            let what = format!("host {}: {} are there before a word came", x.slot, member.view.live_count());
             self.shown.broken.push(what);
         }
         x.member = Some(member);
@@ -235,7 +235,7 @@
                     }
                     let now = at(t, x.pace);
                     if let Some(m) = x.member.as_mut().filter(|_| !x.stopped) {
-                        m.tick(now);
+                        m.handle_timeout(now);
                         self.pull(p);
                     }
                 }
@@ -256,30 +256,30 @@
         let x = &mut self.all[p];
         let now = at(self.now, x.pace);
         if let Some(m) = &mut x.member {
-            m.datagram(now, from, Bytes::from(bytes));
+            m.handle_datagram(now, from, Bytes::from(bytes));
             self.pull(p);
         }
     }
 
     fn pull(&mut self, p: usize) {
         loop {
-            let Some(o) = self.all[p].member.as_mut().and_then(Member::next_output) else { break };
+            let Some(o) = self.all[p].member.as_mut().and_then(Member::poll_output) else { break };
             match o {
                 Output::Send { to, bytes } => {
                     self.sent += bytes.len() as u64;
                     self.post(p, to, &bytes);
                 }
-                Output::Remember(r) => self.all[p].disk = r,
-                Output::Mode(_)
+                Output::Persist(r) => self.all[p].disk = r,
+                Output::Log(_)
                 | Output::Override(_)
                 | Output::CatalogUpdate(_)
-                | Output::Word { .. }
+                | Output::Consensus { .. }
                 | Output::NodeList(_) => {}
             }
         }
         let x = &mut self.all[p];
         let Some(m) = &x.member else { return };
-        let wake = ((m.next_wake().secs() / x.pace * 1e6) as Us).max(self.now + 1);
+        let wake = ((m.poll_timeout().secs() / x.pace * 1e6) as Us).max(self.now + 1);
         if wake < x.wake {
             x.wake = wake;
             self.push(wake, p, Event::Wake(0));
@@ -338,7 +338,7 @@
             let Some(m) = &self.all[p].member else { continue };
             let (pace, looked, slot) = (self.all[p].pace, self.all[p].looked, self.all[p].slot);
             let new = m.view.deaths().filter(|d| d.at > at(looked, pace));
-            let new: Vec<(u32, bool)> = new.map(|d| (d.slot, d.own)).collect();
+            let new: Vec<(u32, bool)> = new.map(|d| (d.slot, d.declared_here)).collect();
             let mut broken = Vec::new();
             let mut best = std::mem::take(&mut self.all[p].best);
             for (k, s) in &self.all[p].member.as_ref().map(Member::snapshot).unwrap_or_default() {
@@ -402,7 +402,7 @@
             })
         });
         let displaced = holders.iter().any(|x| x.member.as_ref().is_some_and(|m| m.view.is_displaced()));
-        let away = |s: &tackmast_membership::Seen| matches!(s.health, Health::Dead | Health::Left);
+        let away = |s: &tackmast_membership::MemberState| matches!(s.health, Health::Dead | Health::Left);
         let others_away = seen.iter().all(|(k, s)| holders.iter().any(|x| x.slot == *k) || away(s));
         all_right && others_away && !displaced
     }
--- a/crates/simulator/tests/views.rs
+++ b/crates/simulator/tests/views.rs
@@ -1,10 +1,10 @@
 //! Views of fleets under faults, in virtual time: every case settles, no view does what none may, and each deliberate
 //! fault of the view is found.
 
-use tackmast_simulator::{find, view, Case, Trial, ViewFault, Ways};
+use tackmast_simulator::{find, view, Case, Extensions, Trial, ViewFault};
 
 fn trial(case: Case, hosts: u32, seed: u64) -> Trial {
-    Trial { case, hosts, seed, ways: Ways::all(), fault: None }
+    Trial { case, hosts, seed, extensions: Extensions::all(), fault: None }
 }
 
 #[test]
@@ -40,21 +40,21 @@
 fn each_addition_is_needed_where_it_is_for() {
     // Without it: later, or more false deaths and accusations, over the same seeds. What a host's own pauses are for is shown
     // by the view alone (crates/membership/tests/view.rs): here local health covers it.
-    let all = Ways::all();
+    let all = Extensions::all();
     let cases = [
-        ("local health", Case::Mute, Ways { local_health: false, ..all }),
-        ("confirm", Case::ThirdKilled, Ways { confirm: false, ..all }),
-        ("told back", Case::TwoParts, Ways { told_back: false, own_word: false, ..all }),
-        ("recall", Case::SeedsGone, Ways { recall: false, ..all }),
-        ("twin", Case::Twins, Ways { twin: false, ..all }),
+        ("local health", Case::Mute, Extensions { local_health: false, ..all }),
+        ("confirm", Case::ThirdKilled, Extensions { suspicion_confirmation: false, ..all }),
+        ("told back", Case::TwoParts, Extensions { buddy_system: false, sender_state: false, ..all }),
+        ("recall", Case::SeedsGone, Extensions { rejoin: false, ..all }),
+        ("twin", Case::Twins, Extensions { duplicate_id_check: false, ..all }),
     ];
-    for (name, case, ways) in cases {
-        let figure = |ways| -> f64 {
-            let of = |seed| view(&Trial { ways, ..trial(case, 24, seed) });
+    for (name, case, extensions) in cases {
+        let figure = |extensions| -> f64 {
+            let of = |seed| view(&Trial { extensions, ..trial(case, 24, seed) });
             let all = (1..=5).map(of);
             all.map(|s| s.settled.unwrap_or(400.0) + (s.false_deaths + s.accused) as f64).sum()
         };
-        let (with, without) = (figure(all), figure(ways));
+        let (with, without) = (figure(all), figure(extensions));
         assert!(without > with, "{name}: {with} with it, {without} without");
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -6,7 +6,7 @@
 use redb::{Database, ReadableTable, ReadableTableMetadata, TableDefinition};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use tackmast_host_core::{Keep, Remembered};
+use tackmast_host_core::{Keep, KnownPeer, PersistedMembers};
 use tackmast_overrides::{Audit, Override};
 
 /// Raised when what is written changes its form.
@@ -58,7 +58,7 @@
     /// Of the agreed log; none before the first.
     pub agreed: Option<tackmast_host_core::AgreedStart>,
     /// What an earlier generation knew of other hosts, and the number of that generation.
-    pub members: Remembered,
+    pub members: PersistedMembers,
 }
 
 impl Store {
@@ -143,12 +143,12 @@
                 trail.extend_from_slice(value.value());
             }
         }
-        let mut members = Remembered { generation: number("life")?.unwrap_or(0), hosts: Vec::new() };
+        let mut members = PersistedMembers { generation: number("life")?.unwrap_or(0), peers: Vec::new() };
         if let Ok(table) = r.open_table(MEMBERS) {
             for row in table.iter().map_err(|e| e.to_string())? {
                 let (key, value) = row.map_err(|e| e.to_string())?;
                 let one = member(value.value()).ok_or_else(|| format!("member {}: damaged", key.value()))?;
-                members.hosts.push((key.value() as u32, one.0, one.1));
+                members.peers.push(KnownPeer { slot: key.value() as u32, generation: one.0, address: one.1 });
             }
         }
         let agreed = agreed::read(&r)?;
@@ -198,7 +198,7 @@
                 meta.insert("life", generation)?;
                 let mut members = w.open_table(MEMBERS)?;
                 members.retain(|_, _| false)?;
-                for (slot, generation, address) in &m.hosts {
+                for KnownPeer { slot, generation, address } in &m.peers {
                     let mut bytes = generation.to_be_bytes().to_vec();
                     bytes.extend_from_slice(address.to_string().as_bytes());
                     members.insert(u64::from(*slot), bytes.as_slice())?;
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 use tackmast_consensus::{Base, Entry, Hard, Mark, Voters, What, Write};
-use tackmast_host_core::{Keep, Remembered};
+use tackmast_host_core::{Keep, KnownPeer, PersistedMembers};
 use tackmast_overrides::*;
 use tackmast_store::Store;
 
@@ -80,8 +80,11 @@
 fn put(id: u64) -> Keep {
     let changes = vec![(id - 1, vec![id as u8; 8])];
     // As many other hosts as the number says, under a generation of that number.
-    let host = |h: u32| (h, id, std::net::SocketAddr::from(([10, 0, 0, h as u8], 7400)));
-    let members = Some(Remembered { generation: id, hosts: (0..id as u32).map(host).collect() });
+    let host = |h: u32| {
+        let address = std::net::SocketAddr::from(([10, 0, 0, h as u8], 7400));
+        KnownPeer { slot: h, generation: id, address }
+    };
+    let members = Some(PersistedMembers { generation: id, peers: (0..id as u32).map(host).collect() });
     let audits = vec![Audit::set(&record(id), false)];
     Keep {
         put: vec![record(id)],
@@ -165,7 +168,7 @@
             assert!(held.trail.chunks(8).zip(1u8..).all(|(c, id)| c == [id; 8]), "cut {cut}: their order");
             // Who is known is of one generation, whole; and the generation's number is the last that was acknowledged, or the next.
             let generation = held.members.generation;
-            assert_eq!(held.members.hosts.len() as u64, generation, "cut {cut}: hosts of life {generation}");
+            assert_eq!(held.members.peers.len() as u64, generation, "cut {cut}: hosts of life {generation}");
             let generations = |n: usize| {
                 keeps.iter().take(n).filter_map(|k| k.members.as_ref()).map(|m| m.generation).max()
             };
--- a/crates/store/tests/stored_format.rs
+++ b/crates/store/tests/stored_format.rs
@@ -12,7 +12,7 @@
 use tackmast_consensus::{
     Base, Entry, Hard, Held as HeldLog, Mark, Origin as DiskOrigin, Voters, What, Write,
 };
-use tackmast_host_core::{AgreedStart, Keep, Remembered};
+use tackmast_host_core::{AgreedStart, Keep, KnownPeer, PersistedMembers};
 use tackmast_overrides::{Audit, AuditKind, Kind, Origin, Override, OverrideId, Target};
 use tackmast_store::{Held, Store};
 
@@ -107,8 +107,9 @@
     .into()
 }
 
-fn peers() -> Vec<(u32, u64, SocketAddr)> {
-    vec![(1, 1_000_001, address("10.9.0.1:7000")), (4, 1_000_002, address("[fd00::4]:7000"))]
+fn peers() -> Vec<KnownPeer> {
+    let peers = [(1, 1_000_001, address("10.9.0.1:7000")), (4, 1_000_002, address("[fd00::4]:7000"))];
+    peers.map(|(slot, generation, address)| KnownPeer { slot, generation, address }).to_vec()
 }
 
 /// Writes a store step by step, as a host does: rows of each table, some of them removed or overwritten later.
@@ -132,7 +133,7 @@
     store.keep(&Keep { remove: vec![OverrideId(4), OverrideId(5)], audits, ..Keep::default() }).unwrap();
     let changes = (0..).zip(CHANGE_LOG).map(|(number, line)| (number, line.as_bytes().to_vec())).collect();
     store.keep(&Keep { changes, ..Keep::default() }).unwrap();
-    let members = Some(Remembered { generation: 5_000_000, hosts: peers() });
+    let members = Some(PersistedMembers { generation: 5_000_000, peers: peers() });
     store.keep(&Keep { members, ..Keep::default() }).unwrap();
 
     store.open_agreed(0xabc0, 5_000_000).unwrap();
@@ -210,7 +211,7 @@
         next: 6,
         trail: CHANGE_LOG.concat().into_bytes(),
         agreed: Some(expected_log(1, 0)),
-        members: Remembered { generation: 5_000_000, hosts: peers() },
+        members: PersistedMembers { generation: 5_000_000, peers: peers() },
     };
     assert_eq!(held, expected);
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -6,6 +6,7 @@
 pub mod list;
 pub mod nbd;
 pub mod node;
+/// The protocol between hosts of a fleet.
 pub mod peer;
 pub mod reader;
 pub mod scsi;
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -38,28 +38,28 @@
 
 /// The bytes that tell kinds of messages apart.
 mod kind {
-    pub const PING: u8 = 1;
-    pub const ACK: u8 = 2;
-    pub const PING_REQUEST: u8 = 3;
-    pub const INDIRECT_ACK: u8 = 4;
-    pub const DIGEST: u8 = 5;
-    pub const GOSSIP: u8 = 6;
-    pub const LEASE_REQUEST: u8 = 7;
-    pub const LEASE_GRANT: u8 = 8;
-    pub const LEASE_OFFER: u8 = 9;
-    pub const LEASE_RECALL: u8 = 10;
-    pub const LEASE_RETURNED: u8 = 11;
-    pub const OVERRIDES: u8 = 12;
-    pub const CATALOG_VERSION: u8 = 13;
-    pub const CATALOG_CHUNK_REQUEST: u8 = 14;
-    pub const CATALOG_CHUNK: u8 = 15;
-    pub const NACK: u8 = 16;
-    pub const CONSENSUS: u8 = 17;
-    pub const CONSENSUS_CHUNK: u8 = 18;
-    pub const CONSENSUS_CHUNK_REQUEST: u8 = 19;
-    pub const NODE_LIST_VERSION: u8 = 20;
-    pub const NODE_LIST_REQUEST: u8 = 21;
-    pub const NODE_REMOVALS: u8 = 22;
+    pub(super) const PING: u8 = 1;
+    pub(super) const ACK: u8 = 2;
+    pub(super) const PING_REQUEST: u8 = 3;
+    pub(super) const INDIRECT_ACK: u8 = 4;
+    pub(super) const DIGEST: u8 = 5;
+    pub(super) const GOSSIP: u8 = 6;
+    pub(super) const LEASE_REQUEST: u8 = 7;
+    pub(super) const LEASE_GRANT: u8 = 8;
+    pub(super) const LEASE_OFFER: u8 = 9;
+    pub(super) const LEASE_RECALL: u8 = 10;
+    pub(super) const LEASE_RETURNED: u8 = 11;
+    pub(super) const OVERRIDES: u8 = 12;
+    pub(super) const CATALOG_VERSION: u8 = 13;
+    pub(super) const CATALOG_CHUNK_REQUEST: u8 = 14;
+    pub(super) const CATALOG_CHUNK: u8 = 15;
+    pub(super) const NACK: u8 = 16;
+    pub(super) const CONSENSUS: u8 = 17;
+    pub(super) const CONSENSUS_CHUNK: u8 = 18;
+    pub(super) const CONSENSUS_CHUNK_REQUEST: u8 = 19;
+    pub(super) const NODE_LIST_VERSION: u8 = 20;
+    pub(super) const NODE_LIST_REQUEST: u8 = 21;
+    pub(super) const NODE_REMOVALS: u8 = 22;
 }
 
 /// The message of a datagram.
