--- a/crates/consensus/src/chunks.rs
+++ b/crates/consensus/src/chunks.rs
@@ -129,7 +129,7 @@
     /// Sends a message: in one datagram where it fits, else its first chunk.
     pub fn send(&mut self, to: SocketAddr, message: Bytes) {
         if message.len() <= MAX_CHUNK_LEN {
-            let body = Body::Agree { bytes: message };
+            let body = Body::Consensus { bytes: message };
             return self.transmits.push_back(Transmit { to, body });
         }
         if message.len() > MAX_MESSAGE {
@@ -172,7 +172,7 @@
         let end = message.bytes.len().min(start + MAX_CHUNK_LEN);
         let count = message.bytes.len().div_ceil(MAX_CHUNK_LEN) as u16;
         let bytes = message.bytes.slice(start..end);
-        let body = Body::Parcel { number: message_id, pieces: count, piece: index, bytes };
+        let body = Body::ConsensusChunk { number: message_id, pieces: count, piece: index, bytes };
         self.transmits.push_back(Transmit { to, body });
     }
 
@@ -241,7 +241,7 @@
         message.requested = end;
         let (to, number) = (message.from, message.message_id);
         for piece in first..end {
-            let body = Body::ParcelWant { number, piece };
+            let body = Body::ConsensusChunkRequest { number, piece };
             self.transmits.push_back(Transmit { to, body });
         }
     }
@@ -263,7 +263,7 @@
             message.retries += 1;
             let missing = (0u16..).zip(&message.chunks).filter(|(_, chunk)| chunk.is_none());
             for (piece, _) in missing.take(usize::from(CHUNKS_AHEAD)) {
-                let body = Body::ParcelWant { number: message.message_id, piece };
+                let body = Body::ConsensusChunkRequest { number: message.message_id, piece };
                 self.transmits.push_back(Transmit { to: message.from, body });
             }
         }
--- a/crates/consensus/src/chunks/tests.rs
+++ b/crates/consensus/src/chunks/tests.rs
@@ -25,8 +25,8 @@
                     continue;
                 }
                 match body {
-                    Body::Agree { bytes } => received.push(bytes),
-                    Body::Parcel { number: message_id, pieces: count, piece: index, bytes } => {
+                    Body::Consensus { bytes } => received.push(bytes),
+                    Body::ConsensusChunk { number: message_id, pieces: count, piece: index, bytes } => {
                         let chunk = Chunk { message_id, count, index, bytes };
                         received.extend(receiver.on_chunk(now, address(1), chunk))
                     }
@@ -35,7 +35,7 @@
             }
             while let Some(Transmit { body, .. }) = receiver.poll_transmit() {
                 let is_lost = random.rand_float() < loss;
-                if let (Body::ParcelWant { number, piece }, false) = (&body, is_lost) {
+                if let (Body::ConsensusChunkRequest { number, piece }, false) = (&body, is_lost) {
                     sender.on_chunk_request(address(2), *number, *piece);
                 }
             }
--- a/crates/host-core/src/agreed.rs
+++ b/crates/host-core/src/agreed.rs
@@ -168,13 +168,13 @@
     /// A word, once it is whole.
     pub(crate) fn came(&mut self, now: Instant, from: std::net::SocketAddr, body: Body) -> Option<Message> {
         let bytes = match body {
-            Body::Agree { bytes } => bytes,
-            Body::Parcel { number, pieces, piece, bytes } => self.chunks.on_chunk(
+            Body::Consensus { bytes } => bytes,
+            Body::ConsensusChunk { number, pieces, piece, bytes } => self.chunks.on_chunk(
                 now,
                 from,
                 Chunk { message_id: number, count: pieces, index: piece, bytes },
             )?,
-            Body::ParcelWant { number, piece } => {
+            Body::ConsensusChunkRequest { number, piece } => {
                 self.chunks.on_chunk_request(from, number, piece);
                 return None;
             }
--- a/crates/host-core/src/core/agreed.rs
+++ b/crates/host-core/src/core/agreed.rs
@@ -111,7 +111,7 @@
         self.answer_reads(now);
         let (Some(a), Some(f)) = (&mut self.agreed, &mut self.fellows) else { return };
         while let Some(Transmit { to, body }) = a.chunks.poll_transmit() {
-            f.member.post(to, body);
+            f.member.send(to, body);
         }
     }
 
--- a/crates/host-core/src/core/fellows.rs
+++ b/crates/host-core/src/core/fellows.rs
@@ -10,7 +10,7 @@
             return false;
         }
         let Some(plans) = &mut self.plans else { return false };
-        let up_to_date = self.fellows.as_ref().is_none_or(|f| f.member.papers.is_up_to_date());
+        let up_to_date = self.fellows.as_ref().is_none_or(|f| f.member.catalog.is_up_to_date());
         plans.clients_wait(now, up_to_date)
     }
 
@@ -53,7 +53,7 @@
         let Some((f, plans)) = self.fellows.as_mut().zip(self.plans.as_ref()) else { return };
         for v in self.layout.volumes() {
             if let Some((limit, _, _)) = plans.limit_of(&v.name) {
-                f.member.loans.limit_changed(v.lun, limit);
+                f.member.leases.set_limit(v.lun, limit);
             }
         }
     }
@@ -67,7 +67,8 @@
             self.outputs.push_back(Output::Keep { request: 0, keep });
         }
         if let Some(f) = &mut self.fellows {
-            f.member.paper_taken(now, h.number, h.mark, Bytes::from(h.text), h.ends);
+            let version = tackmast_membership::CatalogVersion { number: h.number, mark: h.mark };
+            f.member.handle_catalog_applied(now, version, Bytes::from(h.text), h.ends);
         }
     }
 
@@ -78,7 +79,7 @@
         }
         // Against two changes of one number: a home that has lost what others go by takes that back first.
         let writes = matches!(ask, PlanAsk::Apply { .. } | PlanAsk::Undo { .. });
-        if let Some(n) = self.fellows.as_ref().and_then(|f| f.member.papers.behind()).filter(|_| writes) {
+        if let Some(n) = self.fellows.as_ref().and_then(|f| f.member.catalog.missing()).filter(|_| writes) {
             let newest = self.plans.as_ref().map_or(0, Plans::newest);
             let why =
                 format!("others go by change {n}, this host by {newest}; ask again when it has caught up");
@@ -97,7 +98,7 @@
             }
             Some(PlanNext::Reply(request, mut reply)) => {
                 if let (PlanReply::Shown(s), Some(f)) = (&mut reply, &self.fellows) {
-                    s.at = f.member.papers.at().1.clone();
+                    s.at = f.member.catalog.peer_versions().clone();
                 }
                 self.outputs.push_back(Output::Reply { request, reply: Reply::Plan(reply) });
             }
@@ -125,7 +126,7 @@
     /// Bytes from another host.
     pub fn datagram(&mut self, now: Instant, from: std::net::SocketAddr, bytes: Bytes) {
         if let Some(f) = &mut self.fellows {
-            f.member.datagram(now, from, bytes);
+            f.member.handle_datagram(now, from, bytes);
             self.follow_fellows(now);
         }
     }
@@ -133,7 +134,7 @@
     /// The host leaves in order and lends what it has; the mark that it does so lasts already.
     pub fn leave(&mut self, now: Instant) {
         if let Some(f) = &mut self.fellows {
-            f.member.leave(now);
+            f.member.begin_leave(now);
             self.follow_fellows(now);
         }
     }
@@ -141,18 +142,18 @@
     /// Its last word to the others.
     pub fn left(&mut self, now: Instant) {
         if let Some(f) = &mut self.fellows {
-            f.member.left(now);
+            f.member.announce_leave(now);
             self.follow_fellows(now);
         }
     }
 
     pub fn is_leaving(&self) -> bool {
-        self.fellows.as_ref().is_some_and(|f| f.member.loans.is_leaving())
+        self.fellows.as_ref().is_some_and(|f| f.member.leases.is_leaving())
     }
 
     /// Whether the mark of an earlier leave may go: nothing that was lent can be out any more.
     pub fn is_free(&self, now: Instant) -> bool {
-        self.fellows.as_ref().is_none_or(|f| f.member.loans.is_free(now))
+        self.fellows.as_ref().is_none_or(|f| f.member.leases.have_earlier_leases_ended(now))
     }
 
     /// What follows from what other hosts said, and from the time.
@@ -176,15 +177,15 @@
                     let keep = Keep { members: Some(r), ..Keep::default() };
                     self.outputs.push_back(Output::Keep { request: 0, keep });
                 }
-                Followed::List(c) => self.list_of_others(now, c),
+                Followed::NodeList(c) => self.list_of_others(now, c),
                 Followed::Word { from, slot, body } => self.agreed_word(now, from, slot, body),
-                Followed::Paper(p) => {
+                Followed::CatalogUpdate(p) => {
                     let Some(plans) = &mut self.plans else { continue };
-                    let ends = f.member.papers.ends(p.number, now);
+                    let ends = f.member.catalog.deadline(p.number, now);
                     match plans.came(&p.text, ends) {
                         Ok(h) => self.holds(now, h, false),
                         Err(why) => {
-                            f.member.papers.refused();
+                            f.member.catalog.handle_rejected();
                             self.mode(format!("plans: change {} is not taken: {why}", p.number));
                         }
                     }
--- a/crates/host-core/src/core/stops.rs
+++ b/crates/host-core/src/core/stops.rs
@@ -1,7 +1,7 @@
 //! Nodes that other hosts' newer node lists take away, while this host's own list is older, or its service has gone back.
 
 use super::*;
-use tackmast_membership::{ListCame, ListStop};
+use tackmast_membership::{NodeListEvent, NodeRemoval};
 
 /// Nodes that are held so, at most.
 const STOPS: usize = 4_096;
@@ -24,17 +24,17 @@
 
 impl Core {
     /// What other hosts say of the node list. It only ever takes nodes away.
-    pub(super) fn list_of_others(&mut self, now: Instant, came: ListCame) {
+    pub(super) fn list_of_others(&mut self, now: Instant, came: NodeListEvent) {
         match came {
-            ListCame::Behind { .. } => self.outputs.push_back(Output::FetchList),
-            ListCame::WentBack { from, to } => self.mode(format!(
+            NodeListEvent::Behind { .. } => self.outputs.push_back(Output::FetchList),
+            NodeListEvent::RolledBack { from, to } => self.mode(format!(
                 "list: it went back from version {from} to {to}; what drained or was gone by {from} stays so for {STANDS_S} s, or until it is past {from}"
             )),
-            ListCame::Stopped { version, stop } => self.stop_by_others(now, version, stop),
+            NodeListEvent::Removed { version, removal: stop } => self.stop_by_others(now, version, stop),
         }
     }
 
-    fn stop_by_others(&mut self, now: Instant, version: u64, stop: ListStop) {
+    fn stop_by_others(&mut self, now: Instant, version: u64, stop: NodeRemoval) {
         if version <= self.list_version {
             return;
         }
@@ -77,10 +77,10 @@
         self.tell_again(now, &ended);
         let Some(f) = &mut self.fellows else { return };
         let stopped = self.nodes.entries().filter(|(_, e)| e.state != NodeState::Ready);
-        let stops: Vec<ListStop> = stopped
-            .map(|(a, e)| ListStop { address: a.to_owned(), gone: e.state == NodeState::Gone })
+        let stops: Vec<NodeRemoval> = stopped
+            .map(|(a, e)| NodeRemoval { address: a.to_owned(), gone: e.state == NodeState::Gone })
             .collect();
-        f.member.listed(now, version, stops);
+        f.member.handle_node_list(now, version, stops);
         self.follow_fellows(now);
     }
 }
--- a/crates/host-core/src/fellows.rs
+++ b/crates/host-core/src/fellows.rs
@@ -10,8 +10,9 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_config::{HostSettings, MembershipBlock};
 use tackmast_membership::{
-    Do, ListCame, LoanSettings, Member, MemberSettings, Moved, OrderKind, Output, Paper, Remembered, Shared,
-    SiteWord, SpreadOrder, ViewSettings, Ways,
+    CatalogUpdate, CatalogVersion, Extensions, KnownPeer, LeaseSettings, LeaseStatus, Member, MemberSettings,
+    NodeListEvent, Output, OverrideEvent, OverrideKind, OverrideRecord, PersistedMembers, PreviousExit,
+    QuotaBalance, SharedLimit, SiteHealth, ViewSettings,
 };
 use tackmast_overrides::{Kind, Order, Origin, Override, OverrideId};
 use tackmast_wire::peer::Body;
@@ -24,7 +25,7 @@
     pub member: Member,
     told: u32,
     there: u32,
-    moved: BTreeMap<u32, Moved>,
+    moved: BTreeMap<u32, QuotaBalance>,
     /// Volumes that are still to be looked at in this round.
     looking: Vec<u32>,
     looked_at: Option<Instant>,
@@ -37,7 +38,7 @@
     /// Of a volume by its place.
     Moved {
         volume: usize,
-        m: Moved,
+        m: QuotaBalance,
     },
     Send {
         to: SocketAddr,
@@ -46,10 +47,10 @@
     Mode(String),
     Ask(u64, Ask),
     /// A change of plans.
-    Paper(Paper),
+    CatalogUpdate(CatalogUpdate),
     /// To be written down for the next generation.
-    Remember(Remembered),
-    List(ListCame),
+    Remember(PersistedMembers),
+    NodeList(NodeListEvent),
     Word {
         from: SocketAddr,
         slot: u32,
@@ -166,10 +167,10 @@
     generation: u64,
     left: bool,
     seed: u64,
-    recalled: Vec<(u32, u64, SocketAddr)>,
+    recalled: Vec<KnownPeer>,
 ) -> MemberSettings {
     let secs = TimeDelta::from_secs;
-    let shared = s.volumes.iter().filter(|v| !v.through.is_empty()).map(|v| Shared {
+    let shared_limits = s.volumes.iter().filter(|v| !v.through.is_empty()).map(|v| SharedLimit {
         volume: v.lun,
         limit: s.plans[v.plan as usize].limit,
         owners: v.through.clone(),
@@ -180,22 +181,22 @@
         generation,
         address: m.advertise.unwrap_or(address),
         site: s.host.site,
-        recalled,
+        persisted: recalled,
         seeds: m.seeds.clone(),
-        admit: m.admit.clone(),
+        allowed_networks: m.admit.clone(),
         view: ViewSettings {
-            period: secs(m.period_ms / 1e3),
-            most: s.host.hosts as usize,
-            ways: Ways::all(),
+            protocol_period: secs(m.period_ms / 1e3),
+            max_hosts: s.host.hosts as usize,
+            extensions: Extensions::all(),
         },
-        loans: LoanSettings {
+        leases: LeaseSettings {
             term: secs(m.term_s),
             leave_term: secs(m.leave_s),
             drift: m.drift,
             owned: tackmast::policy::GUARANTEED_SHARE,
         },
-        shared: shared.collect(),
-        left,
+        shared_limits: shared_limits.collect(),
+        previous_exit: if left { PreviousExit::Graceful } else { PreviousExit::Unclean },
         seed,
     }
 }
@@ -203,7 +204,7 @@
 impl Fellows {
     pub fn new(now: Instant, settings: MemberSettings) -> Self {
         Fellows {
-            told: settings.view.most as u32,
+            told: settings.view.max_hosts as u32,
             member: Member::new(now, settings),
             there: 0,
             moved: BTreeMap::new(),
@@ -222,7 +223,8 @@
     /// This host goes by plans that change, and has these changes.
     pub fn begin_papers(&mut self, plans: &crate::Plans) {
         let texts = plans.texts().map(|(n, t)| (n, Bytes::from(t)));
-        self.member.papers.begin(plans.newest_mark(), texts);
+        let (number, mark) = plans.newest_mark();
+        self.member.catalog.enable(CatalogVersion { number, mark }, texts);
     }
 
     pub fn is_own(request: u64) -> bool {
@@ -233,7 +235,7 @@
     pub fn stands(&mut self, now: Instant, o: &Override, left_s: f64) {
         let Some(origin) = o.origin else { return };
         self.names.insert(o.id, origin);
-        self.member.ordered(now, spread(o, origin, left_s));
+        self.member.add_override(now, spread(o, origin, left_s));
     }
 
     /// What became of an order here.
@@ -245,7 +247,7 @@
             }
             Reply::Cleared { id } => {
                 if let Some(name) = self.names.remove(id) {
-                    self.member.cleared(name);
+                    self.member.clear_override(name);
                 }
             }
             _ => {}
@@ -253,15 +255,15 @@
     }
 
     pub fn next(&mut self, now: Instant, layout: &Layout) -> Option<Followed> {
-        if let Some(o) = self.member.next_output() {
+        if let Some(o) = self.member.poll_output() {
             return Some(match o {
                 Output::Send { to, bytes } => Followed::Send { to, bytes },
-                Output::Mode(line) => Followed::Mode(line),
-                Output::Paper(p) => Followed::Paper(p),
-                Output::Remember(r) => Followed::Remember(r),
-                Output::List(c) => Followed::List(c),
-                Output::Word { from, slot, body } => Followed::Word { from, slot, body },
-                Output::Do(d) => match self.asked(d) {
+                Output::Log(line) => Followed::Mode(line),
+                Output::CatalogUpdate(p) => Followed::CatalogUpdate(p),
+                Output::Persist(r) => Followed::Remember(r),
+                Output::NodeList(c) => Followed::NodeList(c),
+                Output::Consensus { from, slot, body } => Followed::Word { from, slot, body },
+                Output::Override(d) => match self.asked(d) {
                     Some(ask) => {
                         self.asks += 1;
                         Followed::Ask(self.asks, ask)
@@ -272,17 +274,17 @@
         }
         // Who has not been heard of counts as there: hosts that start at once, each thinking itself alone, would all send
         // as if they were.
-        let there = self.told.saturating_sub(self.member.view.gone()).max(1);
+        let there = self.told.saturating_sub(self.member.view.gone_count()).max(1);
         if there != self.there {
             self.there = there;
             return Some(Followed::There(there));
         }
         if self.looked_at != Some(now) {
             self.looked_at = Some(now);
-            self.looking = self.member.loans.volumes().collect();
+            self.looking = self.member.leases.volumes().collect();
         }
         while let Some(lun) = self.looking.pop() {
-            let (Some(m), Some(volume)) = (self.member.moved(now, lun), layout.volume_of(lun)) else {
+            let (Some(m), Some(volume)) = (self.member.quota_balance(now, lun), layout.volume_of(lun)) else {
                 continue;
             };
             if self.moved.insert(lun, m) != Some(m) {
@@ -294,23 +296,23 @@
         None
     }
 
-    fn asked(&self, d: Do) -> Option<Ask> {
+    fn asked(&self, d: OverrideEvent) -> Option<Ask> {
         match d {
-            Do::Hold { name, order, seconds } => {
+            OverrideEvent::Set { origin, record: order, seconds } => {
                 let kind = match order.kind {
-                    OrderKind::Out => Kind::OutOfService,
-                    OrderKind::Pinned => Kind::Pinned,
-                    OrderKind::Weight(w) => Kind::Weight(f64::from(w)),
+                    OverrideKind::Out => Kind::OutOfService,
+                    OverrideKind::Pinned => Kind::Pinned,
+                    OverrideKind::Weight(w) => Kind::Weight(f64::from(w)),
                 };
                 let target = order.target.parse().ok()?;
-                let (reason, who, origin) = (order.reason, order.who, Some(name));
+                let (reason, who, origin) = (order.reason, order.who, Some(origin));
                 let order = Order { target, kind, reason, who, seconds, origin };
                 // The host that took it looked at what it would take out; here it is to hold as there.
                 Some(Ask::Set { order, force: true, dry_run: false, if_version: None })
             }
-            Do::Clear { name } => {
-                let id = self.names.iter().find(|(_, n)| **n == name).map(|(id, _)| *id)?;
-                Some(Ask::Clear { id, who: format!("host {}", name.slot) })
+            OverrideEvent::Clear { origin } => {
+                let id = self.names.iter().find(|(_, n)| **n == origin).map(|(id, _)| *id)?;
+                Some(Ask::Clear { id, who: format!("host {}", origin.slot) })
             }
         }
     }
@@ -320,7 +322,7 @@
         let (me, v) = (view.me(), view.counters);
         let peers = self.member.snapshot().into_iter().map(|(host, s)| PeerStatus {
             host,
-            health: format!("{:?}", s.health).to_lowercase(),
+            health: s.health.to_string(),
             address: s.address.to_string(),
             generation: s.generation,
             since_s: (now - s.since).secs(),
@@ -334,11 +336,11 @@
             suspect: s.suspect,
             dead: s.dead,
             left: s.left,
-            word: match s.word {
-                SiteWord::There => "there",
-                SiteWord::Unheard(_) => "unheard as a whole",
-                SiteWord::Emptied(_) => "emptied one by one",
-                SiteWord::Left => "left",
+            word: match s.health {
+                SiteHealth::Reachable => "there",
+                SiteHealth::FailedTogether { .. } => "unheard as a whole",
+                SiteHealth::FailedOneByOne { .. } => "emptied one by one",
+                SiteHealth::Left => "left",
             }
             .into(),
         });
@@ -347,54 +349,58 @@
             generation: d.generation,
             incarnation: d.incarnation,
             ago_s: (now - d.at).secs(),
-            own: d.own,
+            own: d.declared_here,
         });
         MembersStatus {
             host: Some(me.slot),
-            there: self.member.alive(),
+            there: self.member.live_count(),
             peers: peers.collect(),
-            loans: self.member.loans.shown(now),
+            loans: self.member.leases.status(now).into_iter().map(lease_row).collect(),
             displaced: view.is_displaced(),
             sent: c.sent,
             sent_bytes: c.sent_bytes,
-            taken: c.taken,
-            dropped: c.strangers + c.other_fleets + c.damaged + c.false_names + c.lost_full,
+            taken: c.received,
+            dropped: c.rejected + c.other_fleets + c.malformed + c.wrong_address + c.dropped,
             generation: me.generation,
             incarnation: me.incarnation,
             site: me.site,
             address: me.address.to_string(),
             digest: view.digest(),
-            still_s: view.still(now).secs(),
-            strain: view.strain(),
+            still_s: view.unchanged_for(now).secs(),
+            strain: view.local_health_score(),
             sites: sites.collect(),
             deaths: deaths.collect(),
             suspected: v.suspected,
             refuted: v.refuted,
-            found_dead: v.found_dead,
+            found_dead: v.declared_dead,
             accused: v.accused,
             pauses: v.pauses,
-            beyond: v.beyond,
+            beyond: v.out_of_range,
             damped: v.damped,
             taken_over: v.taken_over,
         }
     }
 }
 
-fn spread(o: &Override, origin: Origin, left_s: f64) -> SpreadOrder {
-    SpreadOrder {
+fn lease_row(s: LeaseStatus) -> (u32, f64, f64, f64, f64) {
+    (s.volume, s.owned, s.lent, s.borrowed, s.needed)
+}
+
+fn spread(o: &Override, origin: Origin, left_s: f64) -> OverrideRecord {
+    OverrideRecord {
         slot: origin.slot,
         generation: origin.generation,
         number: origin.number,
         kind: match o.kind {
-            Kind::OutOfService => OrderKind::Out,
-            Kind::Pinned => OrderKind::Pinned,
-            Kind::Weight(w) => OrderKind::Weight(w as f32),
+            Kind::OutOfService => OverrideKind::Out,
+            Kind::Pinned => OverrideKind::Pinned,
+            Kind::Weight(w) => OverrideKind::Weight(w as f32),
         },
         target: o.target.to_string(),
         reason: o.reason.clone(),
         who: o.who.clone(),
-        left_ms: (left_s.max(0.0) * 1e3) as u64,
-        whole_ms: o.ends_us.saturating_sub(o.set_us) / 1000,
+        remaining_ms: (left_s.max(0.0) * 1e3) as u64,
+        total_ms: o.ends_us.saturating_sub(o.set_us) / 1000,
         cleared: false,
     }
 }
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -7,7 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_membership::{
-    Do, Health, LoanSettings, Member, MemberSettings, OrderKind, Output, SpreadOrder, ViewSettings, Ways,
+    CatalogVersion, Extensions, Health, LeaseSettings, Member, MemberSettings, Output, OverrideEvent,
+    OverrideKind, OverrideRecord, PreviousExit, ViewSettings,
 };
 
 type Us = u64;
@@ -89,13 +90,13 @@
             generation: self.generations,
             address: peer_address(h),
             site: Some(h % 3),
-            recalled: Vec::new(),
+            persisted: Vec::new(),
             seeds,
-            admit: Vec::new(),
-            view: ViewSettings { period: secs(0.5), most: 1000, ways: Ways::all() },
-            loans: LoanSettings { term: secs(2.0), leave_term: secs(60.0), drift: 0.001, owned: 0.9 },
-            shared: Vec::new(),
-            left: false,
+            allowed_networks: Vec::new(),
+            view: ViewSettings { protocol_period: secs(0.5), max_hosts: 1000, extensions: Extensions::all() },
+            leases: LeaseSettings { term: secs(2.0), leave_term: secs(60.0), drift: 0.001, owned: 0.9 },
+            shared_limits: Vec::new(),
+            previous_exit: PreviousExit::Unclean,
             seed: self.generations ^ u64::from(self.hosts) << 32,
         };
         self.members.insert(h, Member::new(at(self.now), settings));
@@ -117,12 +118,12 @@
                 Event::Wake(h) => {
                     self.wakes.remove(&h);
                     let Some(m) = self.members.get_mut(&h) else { continue };
-                    m.tick(now);
+                    m.handle_timeout(now);
                     h
                 }
                 Event::Datagram(from, h, bytes) => {
                     let Some(m) = self.members.get_mut(&h) else { continue };
-                    m.datagram(now, peer_address(from), Bytes::from(bytes));
+                    m.handle_datagram(now, peer_address(from), Bytes::from(bytes));
                     h
                 }
             };
@@ -134,23 +135,30 @@
     fn pull(&mut self, h: u32) {
         loop {
             let Some(m) = self.members.get_mut(&h) else { return };
-            let Some(o) = m.next_output() else { break };
+            let Some(o) = m.poll_output() else { break };
             match o {
                 Output::Send { to, bytes } => self.post(h, to, &bytes),
-                Output::Mode(_) | Output::Remember(_) | Output::Word { .. } | Output::List(_) => {}
-                Output::Paper(p) => {
-                    let ends = m.papers.ends(p.number, at(self.now));
-                    m.paper_taken(at(self.now), p.number, p.number, p.text, ends);
+                Output::Log(_) | Output::Persist(_) | Output::Consensus { .. } | Output::NodeList(_) => {}
+                Output::CatalogUpdate(p) => {
+                    let ends = m.catalog.deadline(p.number, at(self.now));
+                    m.handle_catalog_applied(
+                        at(self.now),
+                        CatalogVersion { number: p.number, mark: p.number },
+                        p.text,
+                        ends,
+                    );
                 }
-                Output::Do(Do::Hold { name, .. }) => {
-                    self.returned += u64::from(self.over.contains(&name.number));
-                    self.held.entry(h).or_default().insert(name.number);
+                Output::Override(OverrideEvent::Set { origin, .. }) => {
+                    self.returned += u64::from(self.over.contains(&origin.number));
+                    self.held.entry(h).or_default().insert(origin.number);
+                }
+                Output::Override(OverrideEvent::Clear { origin }) => {
+                    _ = self.held.entry(h).or_default().remove(&origin.number)
                 }
-                Output::Do(Do::Clear { name }) => _ = self.held.entry(h).or_default().remove(&name.number),
             }
         }
         let Some(m) = self.members.get(&h) else { return };
-        let wake = ((m.next_wake().secs() * 1e6) as Us).max(self.now + 1);
+        let wake = ((m.poll_timeout().secs() * 1e6) as Us).max(self.now + 1);
         if self.wakes.get(&h).is_none_or(|t| wake < *t) {
             self.wakes.insert(h, wake);
             self.push(wake, Event::Wake(h));
@@ -180,7 +188,7 @@
 
     fn all_know_all(&self) -> bool {
         let n = self.members.len() as u32;
-        self.members.values().all(|m| m.alive() == n && m.view.digest() == self.one().view.digest())
+        self.members.values().all(|m| m.live_count() == n && m.view.digest() == self.one().view.digest())
     }
 
     fn one(&self) -> &Member {
@@ -193,7 +201,7 @@
     }
 
     fn all_go_by(&self, number: u64) -> bool {
-        self.members.values().all(|m| m.papers.at().0 >= number)
+        self.members.values().all(|m| m.catalog.newest() >= number)
     }
 
     /// The first host takes a change of plans.
@@ -205,7 +213,12 @@
     fn plan_until(&mut self, number: u64, bytes: usize, most: Option<Us>) -> Option<f64> {
         let (now, start) = (at(self.now), self.now);
         if let Some(m) = self.members.get_mut(&0) {
-            m.paper_taken(now, number, number, Bytes::from(vec![0; bytes]), now + TimeDelta::from_secs(5.0));
+            m.handle_catalog_applied(
+                now,
+                CatalogVersion { number, mark: number },
+                Bytes::from(vec![0; bytes]),
+                now + TimeDelta::from_secs(5.0),
+            );
         }
         self.pull(0);
         let Some(most) = most else { return self.until(|f| f.all_go_by(number)) };
@@ -214,24 +227,24 @@
     }
 
     fn order(&mut self, h: u32, number: u64, seconds: f64) {
-        let left_ms = (seconds * 1e3) as u64;
+        let remaining_ms = (seconds * 1e3) as u64;
         let (reason, who) = ("drawn".into(), "lab".into());
         let generation = self.members.get(&h).map_or(0, |m| m.view.me().generation);
-        let order = SpreadOrder {
+        let order = OverrideRecord {
             slot: h,
             generation,
             number,
-            kind: OrderKind::Out,
+            kind: OverrideKind::Out,
             target: "zone:1".into(),
             reason,
             who,
-            left_ms,
-            whole_ms: left_ms,
+            remaining_ms,
+            total_ms: remaining_ms,
             cleared: false,
         };
         let now = at(self.now);
         if let Some(m) = self.members.get_mut(&h) {
-            m.ordered(now, order);
+            m.add_override(now, order);
         }
         self.held.entry(h).or_default().insert(number);
     }
@@ -300,7 +313,7 @@
     };
     let cleared = name(&f, high, 4);
     if let Some(m) = f.members.get_mut(&high) {
-        m.cleared(cleared);
+        m.clear_override(cleared);
     }
     f.held.entry(high).or_default().remove(&4);
     f.run_until(f.now + 10 * SECOND);
@@ -322,7 +335,7 @@
     }
     x.after_flaps_s = f.until(Fleet::all_know_all);
     x.flap_deaths = f.sums().2 - before;
-    f.members.values_mut().for_each(|m| m.papers.begin((0, 0), []));
+    f.members.values_mut().for_each(|m| m.catalog.enable(CatalogVersion::default(), []));
     x.plan_s = f.plan(1, 500);
     x.large_plan_s = f.plan(2, 100_000);
     f.cut = Some(hosts / 2);
