--- a/crates/benchlink/src/host.rs
+++ b/crates/benchlink/src/host.rs
@@ -171,8 +171,8 @@
     }
 }
 
-fn outcome(word: &str) -> Result<Outcome, LinkError> {
-    Ok(match word {
+fn outcome(value: &str) -> Result<Outcome, LinkError> {
+    Ok(match value {
         "done" => Outcome::Done,
         "err" => Outcome::Error,
         "busy" => Outcome::Full,
@@ -181,26 +181,26 @@
         "econnreset" => Outcome::Reset,
         "ecanceled" => Outcome::Cancelled,
         "skipped" => Outcome::Skipped,
-        _ => return Err(unknown("outcome", word, "one of the wire's eight")),
+        _ => return Err(unknown("outcome", value, "one of the wire's eight")),
     })
 }
 
-fn list_kind(word: &str) -> Result<ListKind, LinkError> {
-    Ok(match word {
+fn list_kind(value: &str) -> Result<ListKind, LinkError> {
+    Ok(match value {
         "INCREMENTAL" => ListKind::Changes,
         "FULL" => ListKind::Complete,
         "SAVED" => ListKind::Saved,
         "FAILED" => ListKind::Failed,
-        _ => return Err(unknown("list kind", word, "INCREMENTAL, FULL, SAVED or FAILED")),
+        _ => return Err(unknown("list kind", value, "INCREMENTAL, FULL, SAVED or FAILED")),
     })
 }
 
-fn node_state(word: &str) -> Result<NodeState, LinkError> {
-    Ok(match word {
+fn node_state(value: &str) -> Result<NodeState, LinkError> {
+    Ok(match value {
         "ready" => NodeState::Ready,
         "draining" => NodeState::Draining,
         "gone" => NodeState::Gone,
-        _ => return Err(unknown("status", word, "ready, draining or gone")),
+        _ => return Err(unknown("status", value, "ready, draining or gone")),
     })
 }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -66,6 +66,7 @@
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {$(
         $(#[$doc])*
+        /// A small number that the host gives.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(
             /// The number itself.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,7 +6,10 @@
 
 #![warn(missing_docs)]
 
+/// Histograms of answer times.
 pub mod histogram;
+/// Types of inputs and decisions.
 pub mod interface;
+/// The scheduler and its decisions.
 pub mod policy;
 mod state;
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -5,7 +5,7 @@
 use crate::interface::*;
 use crate::state::*;
 
-const LOSSES: LossThreshold = LossThreshold { window: 128.0, min_lost: 2.0, fraction: 0.02 }; // of attempts
+const LOSSY: LossThreshold = LossThreshold { window: 128.0, min_lost: 2.0, fraction: 0.02 }; // of attempts
 const TIMEOUT_QUANTILE: f64 = 0.9; // of the answers seen
 const TIMEOUT_MULTIPLE: f64 = 3.0; // of that quantile
 const MIN_TIMEOUT: f64 = 0.4; // of the latency objective
@@ -65,7 +65,7 @@
 
     /// Whether attempts get lost, by how many were against those answered.
     fn record_loss(&mut self, is_lost: bool, is_answered: bool) {
-        if let Some(is_lossy) = self.loss_rate.record(is_lost, is_answered, &LOSSES) {
+        if let Some(is_lossy) = self.loss_rate.record(is_lost, is_answered, &LOSSY) {
             let (rate, state) = (&self.loss_rate, if is_lossy { "get lost" } else { "arrive" });
             self.log(format!("attempts {state}: {:.1} lost {:.1} answered", rate.lost, rate.answered));
         }
--- a/src/policy/settings.rs
+++ b/src/policy/settings.rs
@@ -6,19 +6,19 @@
 
 pub(super) const LATENCY_LOWEST_BIN: f64 = 0.002; // seconds
 pub(super) const LATENCY_WINDOW: f64 = 64.0; // answers after which counts are halved
-const DEADLINE_MARGIN: f64 = 0.001; // seconds, beside two ticks of the clock
+const DEADLINE_MARGIN: f64 = 0.001; // seconds, beside two steps of the clock
 
 impl Scheduler {
-    /// `hosts` is how many hosts share the pool; `tick` how coarse the host's clock is; `mean_units` the mean
+    /// `hosts` is how many hosts share the pool; `clock_step` how coarse its clock is; `mean_units` the mean
     /// cost of a request.
-    pub fn new(now: Instant, seed: u64, hosts: u32, tick: TimeDelta, mean_units: f64) -> Self {
+    pub fn new(now: Instant, seed: u64, hosts: u32, clock_step: TimeDelta, mean_units: f64) -> Self {
         let hosts = f64::from(hosts.max(1));
         Scheduler {
             now,
             random: Random::new(seed),
             hosts,
             alive_hosts: hosts,
-            deadline_margin: tick + tick + TimeDelta::from_secs(DEADLINE_MARGIN),
+            deadline_margin: clock_step + clock_step + TimeDelta::from_secs(DEADLINE_MARGIN),
             mean_units: mean_units.max(1e-6),
             max_attempts: u32::MAX,
             uncached_fraction: 1.0,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,14 +1,18 @@
-//! One host at its desk: a scheduler with a clock, for tests of the module alone.
+//! One host: a scheduler with a clock, for tests of the decision module alone.
 #![allow(dead_code)] // each test file uses its own part
 
 use tackmast::interface::*;
 use tackmast::policy::Scheduler;
 
-pub struct Desk {
-    pub s: Scheduler,
+/// A scheduler, its clock, and what its next requests have in common.
+pub struct TestHost {
+    pub scheduler: Scheduler,
+    /// Seconds.
     pub now: f64,
-    pub left: f64,
-    pub told: u32, // hosts of each volume
+    /// How long clients of new requests wait, in seconds.
+    pub time_left: f64,
+    /// Hosts through which the requests of each volume come.
+    pub volume_hosts: u32,
     next: u32,
 }
 
@@ -21,31 +25,32 @@
     Plan { limit, burst, slack, reserve, weight }
 }
 
-impl Desk {
-    /// Stream 0 is tight, 1 loose; plan 0 has a limit of 10 a second and 40 at once, plan 1 a reservation of
+impl TestHost {
+    /// Traffic class 0 is tight, 1 loose; plan 0 has a limit of 10 a second and 40 at once, plan 1 a reservation of
     /// 4 and weight 1, plan 2 nothing and weight 3, plan 3 nothing and weight 1.
     pub fn new(hosts: u32, effect: Effect, in_order: bool) -> Self {
-        Desk::of(7, hosts, effect, in_order)
+        TestHost::of(7, hosts, effect, in_order)
     }
 
     pub fn of(seed: u64, hosts: u32, effect: Effect, in_order: bool) -> Self {
-        let mut s = Scheduler::new(Instant::from_secs(100.0), seed, hosts, secs(0.002), 2.0);
-        s.add_traffic_class(secs(0.5), effect, in_order);
-        s.add_traffic_class(secs(2.0), effect, in_order);
-        s.add_plan(plan(10.0, 40.0, 4.0, 0.0, 1.0));
-        s.add_plan(plan(0.0, 0.0, 0.0, 4.0, 1.0));
-        s.add_plan(plan(0.0, 0.0, 0.0, 0.0, 3.0));
-        s.add_plan(plan(0.0, 0.0, 0.0, 0.0, 1.0));
-        s.set_attempt_limits(4, secs(1.0), secs(0.3));
-        Desk { s, now: 100.0, left: 3.0, told: 2, next: 0 }
+        let mut scheduler = Scheduler::new(Instant::from_secs(100.0), seed, hosts, secs(0.002), 2.0);
+        scheduler.add_traffic_class(secs(0.5), effect, in_order);
+        scheduler.add_traffic_class(secs(2.0), effect, in_order);
+        scheduler.add_plan(plan(10.0, 40.0, 4.0, 0.0, 1.0));
+        scheduler.add_plan(plan(0.0, 0.0, 0.0, 4.0, 1.0));
+        scheduler.add_plan(plan(0.0, 0.0, 0.0, 0.0, 3.0));
+        scheduler.add_plan(plan(0.0, 0.0, 0.0, 0.0, 1.0));
+        scheduler.set_attempt_limits(4, secs(1.0), secs(0.3));
+        TestHost { scheduler, now: 100.0, time_left: 3.0, volume_hosts: 2, next: 0 }
     }
 
-    pub fn at(&self) -> Instant {
+    /// The host's time.
+    pub fn instant(&self) -> Instant {
         Instant::from_secs(self.now)
     }
 
-    /// One node a shard, under the shard's number.
-    pub fn list(&mut self, kind: ListKind, nodes: &[(u32, NodeState, Option<f64>)]) {
+    /// Reports a node list: one node a shard, under the shard's number.
+    pub fn send_list(&mut self, kind: ListKind, nodes: &[(u32, NodeState, Option<f64>)]) {
         let entry = |&(n, state, up): &(u32, NodeState, Option<f64>)| NodeEntry {
             node: NodeId(n),
             state,
@@ -54,15 +59,17 @@
             up_since: up.map(Instant::from_secs),
         };
         let entries: Vec<_> = nodes.iter().map(entry).collect();
-        self.s.nodes_changed(self.at(), kind, &entries);
+        self.scheduler.nodes_changed(self.instant(), kind, &entries);
     }
 
-    pub fn ready(&mut self, nodes: u32) {
+    /// Lists so many nodes.
+    pub fn list_ready_nodes(&mut self, nodes: u32) {
         let all: Vec<_> = (0..nodes).map(|n| (n, NodeState::Ready, None)).collect();
-        self.list(ListKind::Complete, &all);
+        self.send_list(ListKind::Complete, &all);
     }
 
-    pub fn take(
+    /// A request with the host's `time_left`; without a shard where `shard` is negative.
+    pub fn submit(
         &mut self,
         traffic_class: u32,
         plan: u32,
@@ -73,7 +80,7 @@
     ) -> RequestId {
         let id = RequestId(self.next);
         self.next += 1;
-        let (at, left) = (self.at(), secs(self.left));
+        let (at, left) = (self.instant(), secs(self.time_left));
         let shard = u32::try_from(shard).ok().map(ShardId);
         let request = NewRequest {
             id,
@@ -84,36 +91,53 @@
             volume: VolumeId(volume),
             units,
             shard,
-            hosts: self.told,
+            hosts: self.volume_hosts,
         };
-        self.s.request_arrived(at, request);
+        self.scheduler.request_arrived(at, request);
         id
     }
 
-    pub fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome, took: f64) {
+    /// An attempt ends; its request is over if it was done.
+    pub fn end_attempt(&mut self, id: RequestId, attempt: u32, outcome: Outcome, latency: f64) {
         let end = AttemptEnd {
             request: id,
             number: AttemptNumber(attempt),
             outcome,
-            latency: secs(took),
+            latency: secs(latency),
             is_over: outcome == Outcome::Done,
         };
-        self.s.attempt_ended(self.at(), end);
+        self.scheduler.attempt_ended(self.instant(), end);
     }
 
     /// What is decided now, without log lines.
-    pub fn pull(&mut self) -> Vec<Decision> {
-        let now = self.at();
-        let all = std::iter::from_fn(|| self.s.poll_decision(now));
-        all.filter(|d| !matches!(d, Decision::Log(_))).collect()
+    pub fn poll(&mut self) -> Vec<Decision> {
+        let now = self.instant();
+        let all = std::iter::from_fn(|| self.scheduler.poll_decision(now));
+        all.filter(|decision| !matches!(decision, Decision::Log(_))).collect()
     }
 
-    /// What is decided until `end`, at the wake times that the module asks for.
-    pub fn until(&mut self, end: f64) -> Vec<(f64, Decision)> {
+    /// Attempts that are sent now.
+    pub fn poll_sends(&mut self) -> Vec<(RequestId, NodeId)> {
+        self.poll().iter().filter_map(as_send).collect()
+    }
+
+    /// Attempts that are sent until `end`.
+    pub fn run_sends(&mut self, end: f64) -> Vec<(RequestId, NodeId)> {
+        self.run_until(end).iter().filter_map(|(_, decision)| as_send(decision)).collect()
+    }
+
+    /// When attempts are sent until `end`, and of which request.
+    pub fn run_timed_sends(&mut self, end: f64) -> Vec<(f64, RequestId)> {
+        let decisions = self.run_until(end).into_iter();
+        decisions.filter_map(|(at, decision)| Some((at, as_send(&decision)?.0))).collect()
+    }
+
+    /// What is decided until `end`, with polls whenever the scheduler asks for them.
+    pub fn run_until(&mut self, end: f64) -> Vec<(f64, Decision)> {
         let mut all = Vec::new();
         loop {
-            all.extend(self.pull().into_iter().map(|d| (self.now, d)));
-            match self.s.poll_timeout() {
+            all.extend(self.poll().into_iter().map(|host| (self.now, host)));
+            match self.scheduler.poll_timeout() {
                 Some(t) if t.secs() <= end => self.now = self.now.max(t.secs()) + 1e-6,
                 _ => break,
             }
@@ -123,8 +147,8 @@
     }
 }
 
-pub fn sent(d: &Decision) -> Option<(RequestId, NodeId)> {
-    match d {
+pub fn as_send(host: &Decision) -> Option<(RequestId, NodeId)> {
+    match host {
         Decision::Send { request, node, .. } => Some((*request, *node)),
         _ => None,
     }
--- a/tests/decision_hash.rs
+++ b/tests/decision_hash.rs
@@ -493,9 +493,9 @@
     }
 }
 
-/// What a run must at least have held.
+/// What a run must at least have seen.
 fn assert_not_trivial(counts: &Counts) {
-    let held = [
+    let required = [
         ("arrivals", counts.arrivals, 5000),
         ("sends", counts.sends, 1000),
         ("retries", counts.retries, 70),
@@ -508,7 +508,7 @@
         ("log lines", counts.log_lines, 40),
         ("attempts that never end", counts.never_ended, 5),
     ];
-    for (what, count, min) in held {
+    for (what, count, min) in required {
         assert!(count >= min, "{what}: {count}, fewer than {min}: {counts:?}");
     }
 }
--- /dev/null
+++ b/tests/dispatch.rs
@@ -0,0 +1,431 @@
+//! How requests are dispatched: concurrency limits, priorities, weights, health, retries, placement, tags.
+
+mod common;
+use common::{as_send, secs, TestHost};
+use tackmast::histogram::Histogram;
+use tackmast::interface::*;
+
+fn host_with_nodes(nodes: u32) -> TestHost {
+    let mut host = TestHost::new(1, Effect::Idempotent, false);
+    host.list_ready_nodes(nodes);
+    host
+}
+
+/// Fills the node's concurrency limit, so that later requests have to wait for an answer.
+fn fill(host: &mut TestHost, traffic_class: u32) -> Vec<RequestId> {
+    for i in 0..40 {
+        host.submit(traffic_class, 2, 90, 1.0, 0, 1000 + i);
+    }
+    host.poll_sends().into_iter().map(|s| s.0).collect()
+}
+
+#[test]
+fn concurrency_limits_bound_attempts_and_units_in_flight() {
+    for (units, min, max) in [(1.0, 4, 8), (4.0, 2, 5), (16.0, 1, 1)] {
+        let mut host = host_with_nodes(1);
+        (0..50).for_each(|i| _ = host.submit(0, 2, i, units, 0, i));
+        let in_flight = host.poll_sends().len();
+        assert!((min..=max).contains(&in_flight), "{in_flight} in flight at {units} units each");
+    }
+}
+
+#[test]
+fn concurrency_limits_shrink_when_many_hosts_share_a_node() {
+    // Hosts, traffic class, seconds an answer takes, requests the node reports to wait; the range of attempts
+    // of one host with plenty waiting in 10 s. Many hosts must not fill a node where each keeps only one in
+    // flight, and looser classes must leave it to the tight ones of hosts they don't see.
+    for (hosts, traffic_class, latency, waiting, min, max) in [
+        (1, 0, 0.05, 0.0, 400, 4000),
+        (4, 0, 0.4, 0.0, 10, 120),
+        (250, 0, 0.05, 0.0, 100, 4000),
+        (250, 0, 0.4, 0.0, 2, 20),
+        (250, 0, 0.05, 20.0, 15, 40),
+        (250, 1, 0.05, 20.0, 2, 12),
+    ] {
+        let mut host = TestHost::new(hosts, Effect::Idempotent, false);
+        host.list_ready_nodes(1);
+        let (mut in_flight, mut attempts) = (std::collections::VecDeque::new(), 0);
+        for step in 0..1000 {
+            host.submit(traffic_class, 2, step % 5, 1.0, 0, step);
+            let end = host.now + 0.01;
+            for (sent_at, id) in host.run_timed_sends(end) {
+                in_flight.push_back((sent_at, id));
+                attempts += 1;
+            }
+            while let Some((_, id)) = in_flight.pop_front_if(|attempt| attempt.0 + latency <= end) {
+                host.scheduler.load_reported(host.instant(), NodeId(0), waiting);
+                host.end_attempt(id, 0, Outcome::Done, latency);
+            }
+        }
+        assert!((min..=max).contains(&attempts), "{hosts} {traffic_class} {latency} {waiting}: {attempts}");
+    }
+}
+
+#[test]
+fn requests_are_sent_by_priority_then_reservation_then_arrival() {
+    // Traffic class and plan of what waits, in order of arrival; which one is sent first.
+    let table = [
+        (vec![(1, 2), (0, 2)], 1, "the tighter latency objective"),
+        (vec![(0, 2), (0, 1)], 1, "inside the reservation first"),
+        (vec![(1, 1), (0, 2)], 1, "priority comes before the reservation"),
+        (vec![(0, 1), (0, 1)], 0, "order of arrival else"),
+    ];
+    for (waiting, expected, why) in table {
+        let mut host = host_with_nodes(1);
+        let in_flight = fill(&mut host, 0);
+        let ids: Vec<_> =
+            waiting.iter().zip(1..).map(|(&(s, p), v)| host.submit(s, p, v, 1.0, 0, 0)).collect();
+        // Two answers, since units past the reservation may use only a part of the concurrency limit.
+        host.now += 0.05;
+        in_flight.iter().for_each(|id| host.end_attempt(*id, 0, Outcome::Done, 0.05));
+        let next: Vec<_> = host.poll_sends().into_iter().map(|s| s.0).collect();
+        let place = |id: &RequestId| next.iter().position(|n| n == id).unwrap_or(usize::MAX);
+        assert!(ids.iter().all(|i| place(i) >= place(&ids[expected])), "{why}: {next:?}");
+    }
+}
+
+#[test]
+fn best_effort_units_are_shared_by_weight() {
+    // Plans and units of two volumes that always have work waiting; what the first gets for one of the other.
+    for (plans, units, expected) in
+        [([2, 3], [1.0, 1.0], 3.0), ([3, 3], [1.0, 4.0], 1.0), ([2, 3], [4.0, 1.0], 3.0)]
+    {
+        let mut host = host_with_nodes(1);
+        let (mut served, mut owner, mut in_flight) = ([0.0; 2], std::collections::HashMap::new(), Vec::new());
+        for step in 0..4000 {
+            // The second volume's requests come as often in units as the first one's.
+            for v in 0..2usize {
+                let each = (4.0 / units[v]) as u32;
+                (0..each)
+                    .for_each(|_| _ = owner.insert(host.submit(0, plans[v], v as u32, units[v], 0, step), v));
+            }
+            in_flight.extend(host.poll_sends().into_iter().map(|s| s.0));
+            host.now += 0.01;
+            // Only some answers a step, so the concurrency limit stays what holds requests back.
+            for id in in_flight.drain(..in_flight.len().min(2)) {
+                host.end_attempt(id, 0, Outcome::Done, 0.1);
+                served[owner[&id]] += units[owner[&id]];
+            }
+        }
+        let ratio = served[0] / served[1];
+        assert!((ratio / expected).ln().abs() < 0.25, "{plans:?} {units:?}: {ratio:.2}");
+    }
+}
+
+#[test]
+fn a_failing_node_is_probed_and_recovers() {
+    for bad in [Outcome::Error, Outcome::Refused, Outcome::Reset] {
+        let mut host = host_with_nodes(1);
+        let (mut unhealthy, mut healthy) = (0, 0);
+        for step in 0..400 {
+            host.submit(0, 2, step % 7, 1.0, 0, step);
+            let outcome = if step < 200 { bad } else { Outcome::Done };
+            let end = host.now + 0.02;
+            for (_, decision) in host.run_until(end) {
+                let Some((id, _)) = as_send(&decision) else { continue };
+                (0..4).for_each(|attempt| host.end_attempt(id, attempt, outcome, 0.01));
+                match step {
+                    100..=199 => unhealthy += 1,
+                    300.. => healthy += 1,
+                    _ => {}
+                }
+            }
+        }
+        assert!(unhealthy > 0 && unhealthy <= 30, "{bad:?}: probes only, got {unhealthy}");
+        assert!(healthy >= 90, "{bad:?}: back in service, got {healthy}");
+    }
+}
+
+#[test]
+fn gone_nodes_and_idle_volumes_are_forgotten() {
+    // Ever new nodes; each is listed for one shard, then for another, then gone.
+    let mut host = host_with_nodes(1);
+    for round in 1..200u32 {
+        let entry = |node: u32, shard: u32, state| NodeEntry {
+            node: NodeId(node),
+            state,
+            zone: ZoneId(0),
+            shard: ShardId(shard),
+            up_since: None,
+        };
+        let (at, node) = (host.instant(), round);
+        host.scheduler.nodes_changed(at, ListKind::Changes, &[entry(node, 1, NodeState::Ready)]);
+        host.scheduler.nodes_changed(at, ListKind::Changes, &[entry(node, 2, NodeState::Ready)]);
+        for shard in 0..3 {
+            host.submit(0, 2, round, 1.0, shard, round);
+        }
+        for (id, _) in host.poll_sends().into_iter() {
+            host.end_attempt(id, 0, Outcome::Done, 0.01);
+        }
+        host.scheduler.nodes_changed(at, ListKind::Changes, &[entry(node, 2, NodeState::Gone)]);
+        let end = host.now + 10.0;
+        host.run_until(end);
+    }
+    let (nodes, volumes) = (host.scheduler.node_count(), host.scheduler.volume_count());
+    assert!(nodes <= 8, "{nodes} nodes remembered");
+    // Volumes: the table fills before idle ones are forgotten.
+    for volume in 0..3000u32 {
+        host.submit(0, 0, 1000 + volume, 1.0, 0, 0);
+        let end = host.now + 0.1;
+        for (_, decision) in host.run_until(end) {
+            if let Some((id, _)) = as_send(&decision) {
+                host.end_attempt(id, 0, Outcome::Done, 0.01);
+            }
+        }
+    }
+    let known = host.scheduler.volume_count();
+    assert!(known <= 512 + volumes.min(1), "{known} volumes remembered");
+}
+
+#[test]
+fn requests_to_a_node_with_random_errors_are_retried_in_time() {
+    // How many of ten attempts fail, and seconds until they do; the range of requests of 100 that are done
+    // within the latency objective.
+    for (failing, latency, min, max) in [(5, 0.005, 85, 100), (7, 0.005, 60, 100), (5, 0.3, 30, 70)] {
+        let mut host = host_with_nodes(1);
+        let (mut attempts, mut done, mut in_flight) = (0u32, 0, Vec::<(f64, RequestId, u32)>::new());
+        let mut tries = std::collections::HashMap::<RequestId, u32>::new();
+        for step in 0..2000 {
+            if step % 20 == 0 {
+                host.submit(0, 2, step % 7, 1.0, 0, step);
+            }
+            let end = host.now + 0.01;
+            for (sent_at, id) in host.run_timed_sends(end) {
+                let number = tries.entry(id).or_default();
+                in_flight.push((sent_at + latency, id, *number));
+                *number += 1;
+            }
+            while let Some(i) = in_flight.iter().position(|attempt| attempt.0 <= end) {
+                let (_, id, number) = in_flight.remove(i);
+                // Spread evenly, and in no step with the attempts of a request.
+                let fails = attempts * 7 % 10 < failing;
+                attempts += 1;
+                done += u32::from(!fails);
+                host.end_attempt(id, number, if fails { Outcome::Error } else { Outcome::Done }, latency);
+            }
+        }
+        assert!(
+            (min..=max).contains(&done),
+            "{failing} of ten fail in {latency} s: {done} done, {attempts} attempts"
+        );
+    }
+}
+
+#[test]
+fn attempts_time_out_where_some_get_lost_and_not_where_all_are_slow() {
+    // Whether every seventh attempt is lost, or all come back slowly; whether time-outs are set in the end.
+    for (lossy, latency, expected) in [(true, 0.02, true), (false, 0.02, false), (false, 0.3, false)] {
+        let mut host = host_with_nodes(3);
+        let (mut silent, mut with_timeout, mut attempts) = (Vec::new(), 0, vec![0; 1200]);
+        for step in 0..1200u32 {
+            host.submit(0, 2, step % 9, 1.0, (step % 3) as i32, step);
+            for decision in host.poll() {
+                let Decision::Send { request, timeout, .. } = decision else { continue };
+                with_timeout += u32::from(step > 1000 && timeout.is_some());
+                attempts[request.0 as usize] += 1;
+                let until = host.now + timeout.map_or(2.9, TimeDelta::secs);
+                match lossy && request.0 % 7 == 0 {
+                    true => silent.push((request, attempts[request.0 as usize] - 1, until)),
+                    false => host.end_attempt(request, 0, Outcome::Done, latency),
+                }
+            }
+            let now = host.now;
+            for (id, attempt, _) in silent.extract_if(.., |s| s.2 <= now) {
+                host.end_attempt(id, attempt, Outcome::TimedOut, 1.0);
+            }
+            host.now += 0.005;
+        }
+        assert_eq!(with_timeout > 0, expected, "lossy {lossy} took {latency}: {with_timeout}");
+    }
+}
+
+#[test]
+fn a_silent_node_gets_few_attempts_and_a_lossy_link_does_not() {
+    // Seconds that clients wait, how many of ten attempts in a row are not answered in that time; the range of
+    // attempts in 120 s at 100 hosts. An overloaded node, or one too slow for its clients, never answers
+    // slowly.
+    for (left, lost, min, max) in
+        [(3.0, 0, 300, 4000), (3.0, 1, 80, 4000), (3.0, 10, 5, 30), (0.08, 10, 5, 80)]
+    {
+        let mut host = TestHost::new(100, Effect::Idempotent, false);
+        host.list_ready_nodes(1);
+        host.time_left = left;
+        let mut in_flight = std::collections::BTreeMap::<RequestId, (f64, bool)>::new();
+        let (mut attempts, mut with_timeout) = (0, 0);
+        for step in 0..1200 {
+            host.submit(0, 2, step % 5, 1.0, 0, step);
+            let end = host.now + 0.1;
+            for (t, decision) in host.run_until(end) {
+                let Decision::Send { request, timeout, .. } = decision else { continue };
+                let silent = attempts % 10 < lost;
+                (attempts, with_timeout) =
+                    (attempts + 1, with_timeout + u32::from(timeout == Some(secs(0.5))));
+                in_flight.insert(
+                    request,
+                    (t + if silent { timeout.map_or(left, TimeDelta::secs) } else { 0.05 }, silent),
+                );
+            }
+            while let Some((id, silent)) =
+                in_flight.iter().find(|attempt| attempt.1 .0 <= end).map(|attempt| (*attempt.0, attempt.1 .1))
+            {
+                in_flight.remove(&id);
+                let outcome = if silent { Outcome::TimedOut } else { Outcome::Done };
+                (0..4).for_each(|attempt| {
+                    host.end_attempt(id, attempt, outcome, if silent { left } else { 0.05 })
+                });
+            }
+        }
+        assert!((min..=max).contains(&attempts), "{left} s, {lost} of 10 lost: {attempts} attempts");
+        assert_eq!(
+            with_timeout > 5,
+            lost == 10 && left > 0.5,
+            "time-outs that let a queue drop: {with_timeout}"
+        );
+    }
+}
+
+#[test]
+fn a_retry_by_the_client_keeps_its_first_latency_objective() {
+    // Key and time left of a request after one on key 1 with 3 s left was rejected; whether it is sent.
+    for (key, left, in_time) in [(1, 2.4, false), (2, 2.4, true), (1, 3.0, true), (2, 0.3, true)] {
+        let mut host = TestHost::new(1, Effect::Idempotent, false);
+        host.submit(0, 0, 0, 1.0, 0, 1);
+        assert!(host
+            .run_until(100.6)
+            .iter()
+            .any(|(_, decision)| matches!(decision, Decision::Reject { .. })));
+        host.list_ready_nodes(1);
+        host.time_left = left;
+        let id = host.submit(0, 0, 0, 1.0, 0, key);
+        let sent = host.poll_sends().into_iter().any(|s| s.0 == id);
+        assert_eq!(sent, in_time, "key {key} with {left} s left");
+    }
+}
+
+#[test]
+fn new_objects_are_placed_in_rotation_weighted_by_node_speed() {
+    // Seconds that each of two nodes takes for an answer; the range that the first gets of 200.
+    for (a, b, min, max) in [(0.05, 0.05, 90, 110), (0.02, 0.1, 110, 190), (0.1, 0.02, 10, 90)] {
+        let mut host = host_with_nodes(2);
+        let mut first = 0;
+        for i in 0..300 {
+            let id = host.submit(0, 2, i % 9, 1.0, -1, i);
+            let to = host.poll_sends().into_iter().find(|s| s.0 == id).map(|s| s.1 .0);
+            let latency = if to == Some(0) { a } else { b };
+            first += u32::from(to == Some(0) && i >= 100);
+            host.now += latency;
+            host.end_attempt(id, 0, Outcome::Done, latency);
+        }
+        assert!((min..=max).contains(&first), "{a} {b}: {first}");
+    }
+    // Hosts don't all begin at the same node.
+    let mut firsts = [0; 5];
+    for seed in 0..200 {
+        let mut host = TestHost::of(seed, 200, Effect::Idempotent, false);
+        host.list_ready_nodes(5);
+        host.submit(0, 2, 0, 1.0, -1, 0);
+        let to = host.poll_sends().into_iter().next().expect("a node takes it").1;
+        firsts[to.0 as usize] += 1;
+    }
+    assert!(firsts.iter().all(|n| *n < 80), "{firsts:?}");
+    // A draining node is skipped, and what waited for it goes elsewhere.
+    let mut host = host_with_nodes(2);
+    host.send_list(ListKind::Changes, &[(0, NodeState::Draining, None)]);
+    for i in 0..6 {
+        host.submit(0, 2, 0, 1.0, -1, i);
+    }
+    assert!(host.poll_sends().into_iter().all(|s| s.1 .0 == 1));
+}
+
+#[test]
+fn a_failed_node_list_call_is_retried() {
+    let mut host = TestHost::new(1, Effect::Idempotent, false);
+    host.scheduler.subscribe_to_node_list();
+    assert_eq!(host.poll(), [Decision::FollowList]);
+    let mut asked = 0;
+    for _ in 0..5 {
+        host.send_list(ListKind::Failed, &[]);
+        asked += host
+            .run_until(host.now + 7.0)
+            .iter()
+            .filter(|(_, decision)| *decision == Decision::FollowList)
+            .count();
+    }
+    assert_eq!(asked, 5, "once for each failure");
+}
+
+#[test]
+fn same_inputs_give_same_decisions() {
+    let run = || {
+        let mut host = host_with_nodes(5);
+        let mut all = Vec::new();
+        for i in 0..400u32 {
+            let id = host.submit(i % 2, i % 3, i % 11, 1.0 + f64::from(i % 4), (i % 6) as i32 - 1, i % 17);
+            all.extend(host.run_until(host.now + 0.007));
+            let outcome = if i % 5 == 0 { Outcome::Error } else { Outcome::Done };
+            host.end_attempt(id, 0, outcome, 0.02);
+        }
+        format!("{all:?}")
+    };
+    assert_eq!(run(), run());
+}
+
+#[test]
+fn histogram_gives_quantiles() {
+    for (values, quantile, low, high) in [
+        (vec![0.1; 9], 0.5, 0.1, 0.16),
+        ([vec![0.01; 10], vec![1.0; 10]].concat(), 0.9, 1.0, 1.6),
+        (vec![1e9; 100], 0.5, 5.0, 1e3),
+    ] {
+        let mut h = Histogram::new(0.002, 64.0);
+        values.iter().for_each(|v| h.add(*v));
+        let got = h.at(quantile).unwrap_or(0.0);
+        assert!((low..=high).contains(&got), "{quantile} of {values:?}: {got}");
+    }
+}
+
+#[test]
+fn tags_order_a_queue_and_never_pass_an_earlier_request_of_the_key() {
+    // Whether keys keep order; tag and key of each in order of arrival; the order in which they are sent.
+    type Case = (bool, &'static [(f64, u32)], &'static [usize], &'static str);
+    let cases: &[Case] = &[
+        (false, &[(0.0, 1), (0.0, 2), (0.0, 3)], &[0, 1, 2], "no tags: order of arrival"),
+        (
+            false,
+            &[(0.0, 1), (1.0, 2), (2.0, 3), (0.0, 4), (1.0, 5)],
+            &[0, 3, 1, 4, 2],
+            "by tag, then by arrival",
+        ),
+        (
+            true,
+            &[(0.0, 1), (5.0, 7), (6.0, 2), (0.0, 7), (0.0, 3)],
+            &[0, 4, 1, 3, 2],
+            "not before an earlier one of the key",
+        ),
+    ];
+    for (in_order, asks, expected, why) in cases {
+        let mut host = TestHost::new(1, Effect::Idempotent, *in_order);
+        host.list_ready_nodes(1);
+        // One is in flight and uses up the concurrency limit.
+        host.scheduler.node_overridden(host.instant(), NodeId(0), 0.1, false);
+        host.submit(0, 2, 1, 2.0, 0, 99);
+        let mut in_flight: Vec<RequestId> = host.poll_sends().into_iter().map(|s| s.0).collect();
+        assert_eq!(in_flight.len(), 1, "{why}");
+        let ids: Vec<RequestId> = asks
+            .iter()
+            .map(|(tag, key)| {
+                let id = host.submit(0, 2, 1, 2.0, 0, *key);
+                host.scheduler.request_tagged(id, *tag);
+                id
+            })
+            .collect();
+        let mut order = Vec::new();
+        while let Some(id) = in_flight.pop() {
+            host.now += 0.01;
+            host.end_attempt(id, 0, Outcome::Done, 0.01);
+            in_flight.extend(host.run_sends(host.now + 0.05).into_iter().map(|s| s.0));
+            order.extend(in_flight.iter().map(|id| ids.iter().position(|i| i == id).unwrap()));
+        }
+        assert_eq!(order, *expected, "{why}");
+    }
+}
--- /dev/null
+++ b/tests/node_overrides.rs
@@ -0,0 +1,72 @@
+//! Operators' overrides of nodes: a weight scales what a node is given, a pin keeps an unhealthy node in
+//! service, and neither sends anything that the node list or slow start forbids.
+
+mod common;
+use common::{secs, TestHost};
+use std::collections::{HashMap, VecDeque};
+use tackmast::interface::{Effect, ListKind, NodeId, NodeState, Outcome, SlowStart};
+
+/// Attempts in 10 s at one node with plenty waiting, each ending after 50 ms with `outcome`.
+fn attempts(weight: f64, is_pinned: bool, outcome: Outcome, node: (NodeState, Option<f64>)) -> usize {
+    let mut host = TestHost::new(1, Effect::Idempotent, false);
+    host.scheduler.set_slow_start(SlowStart {
+        safe_units: 4.0,
+        initial_capacity: 0.2,
+        duration: secs(20.0),
+        window: secs(1.0),
+        overload_multiple: 2.0,
+    });
+    host.send_list(ListKind::Complete, &[(0, node.0, node.1)]);
+    host.scheduler.node_overridden(host.instant(), NodeId(0), weight, is_pinned);
+    let (mut in_flight, mut attempts, mut tries) = (VecDeque::new(), 0, HashMap::new());
+    for step in 0..1000 {
+        host.submit(0, 2, step % 5, 1.0, 0, step);
+        let end = host.now + 0.01;
+        for (sent_at, id) in host.run_timed_sends(end) {
+            let number = tries.entry(id).or_insert(0);
+            in_flight.push_back((sent_at, id, *number));
+            *number += 1;
+            attempts += 1;
+        }
+        while let Some((_, id, number)) = in_flight.pop_front_if(|attempt| attempt.0 + 0.05 <= end) {
+            host.end_attempt(id, number, outcome, 0.05);
+        }
+    }
+    attempts
+}
+
+#[test]
+fn weights_and_pins_change_what_a_node_gets_and_bypass_no_guard() {
+    let ready = (NodeState::Ready, None);
+    let restarted = (NodeState::Ready, Some(99.0));
+    let all = attempts(1.0, false, Outcome::Done, ready);
+    let unhealthy = attempts(1.0, false, Outcome::Error, ready);
+    let in_slow_start = attempts(1.0, false, Outcome::Done, restarted);
+    // Weight, is_pinned, outcomes, node; the range of attempts.
+    for (name, weight, is_pinned, outcome, node, min, max) in [
+        ("half", 0.5, false, Outcome::Done, ready, all / 4, all * 3 / 4),
+        ("a tenth", 0.1, false, Outcome::Done, ready, 1, all / 3),
+        ("draining", 1.0, true, Outcome::Done, (NodeState::Draining, None), 0, 0),
+        ("gone", 1.0, true, Outcome::Done, (NodeState::Gone, None), 0, 0),
+        ("pinned and healthy", 1.0, true, Outcome::Done, ready, all, all),
+        ("pinned and unhealthy", 1.0, true, Outcome::Error, ready, unhealthy * 2, usize::MAX),
+        ("pinned and in slow start", 1.0, true, Outcome::Done, restarted, 1, in_slow_start),
+    ] {
+        let found = attempts(weight, is_pinned, outcome, node);
+        assert!(
+            (min..=max).contains(&found),
+            "{name}: {found} of {all}, unhealthy {unhealthy}, slow start {in_slow_start}"
+        );
+    }
+}
+
+#[test]
+fn an_override_survives_a_restart_of_its_node() {
+    let mut host = TestHost::new(1, Effect::Idempotent, false);
+    host.list_ready_nodes(1);
+    host.scheduler.node_overridden(host.instant(), NodeId(0), 0.01, false);
+    host.now += 1.0;
+    host.send_list(ListKind::Changes, &[(0, NodeState::Ready, Some(100.5))]);
+    (0..20).for_each(|i| _ = host.submit(0, 2, i, 1.0, 0, i));
+    assert_eq!(host.poll_sends().len(), 1, "not all that a new concurrency limit allows");
+}
