--- a/crates/benchlink/src/host.rs
+++ b/crates/benchlink/src/host.rs
@@ -100,8 +100,9 @@
         }
         if let Some(request) = self.known_request(values)? {
             let others = values.get(8).and_then(Value::as_f64).unwrap_or(0.0);
-            let is_done = outcome == Outcome::Done;
-            self.scheduler.service_reported(now, request, is_done, self.reports_others, others);
+            if self.reports_others {
+                self.scheduler.service_reported(now, request, outcome == Outcome::Done, others);
+            }
             let end = AttemptEnd { request, number: attempt, outcome, latency, is_over };
             self.scheduler.attempt_ended(now, end);
         }
--- a/crates/benchmarks/src/core_cost.rs
+++ b/crates/benchmarks/src/core_cost.rs
@@ -177,7 +177,7 @@
         }
         let later = seconds(done + 1);
         for id in out.drain(..) {
-            s.service_reported(later, id, true, true, 0.0);
+            s.service_reported(later, id, true, 0.0);
             let end = AttemptEnd {
                 request: id,
                 number: AttemptNumber(0),
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -119,8 +119,9 @@
         }
         x.ran |= outcome.may_have_run();
         let (done, answered) = (outcome == Outcome::Done, x.answered);
-        let known = self.tells && elsewhere.is_some();
-        self.scheduler.service_reported(now, id, done, known, elsewhere.unwrap_or(0.0));
+        if let Some(others) = elsewhere.filter(|_| self.tells) {
+            self.scheduler.service_reported(now, id, done, others);
+        }
         let (attempt, took) = (AttemptNumber(no), now - out.sent);
         let end =
             AttemptEnd { request: id, number: attempt, outcome, latency: took, is_over: answered || done };
--- a/src/histogram.rs
+++ b/src/histogram.rs
@@ -4,7 +4,8 @@
 /// The upper edge of a bin over that of the one below.
 const GROWTH: f64 = 1.5;
 
-/// Counts of values, by bin. Bin `i` holds values up to `first * 1.5^i`; the last also holds whatever is larger.
+/// Counts of values, by bin. Bin `i` holds values up to `first * 1.5^i`; the last also holds whatever is
+/// larger.
 #[derive(Clone, Debug)]
 pub struct Histogram {
     first: f64,
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -21,12 +21,12 @@
         self.volumes.entry(id).or_insert_with(|| Volume::new(now, plan, hosts, charged))
     }
 
-    /// What an answer reported of the volume's service at this node: units for this host, and those through
-    /// other hosts since the node's last answer to this one. `is_known` is false where nodes don't report.
-    pub fn service_reported(&mut self, now: Instant, id: RequestId, done: bool, is_known: bool, others: f64) {
+    /// An answer reported the volume's service at this node: the request's units if it is `done`, and units
+    /// through `others`, the other hosts, since the node's last answer to this one.
+    pub fn service_reported(&mut self, now: Instant, id: RequestId, done: bool, others: f64) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some(shard) = request.shard else { return };
-        let Some(volume) = self.volumes.get_mut(&request.volume).filter(|_| is_known) else { return };
+        let Some(volume) = self.volumes.get_mut(&request.volume) else { return };
         let own = if done { request.units } else { 0.0 };
         Self::advance_share(volume, now);
         let few = MIN_SHARD_SAMPLE * self.mean_units;
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -49,7 +49,7 @@
         let (good, bad) = (node.successes, node.failures);
         if is_done {
             // Against nodes that are quick with what they have cached: it is no sign of what they can do, and
-            // a cold one would be given several times what it bears. Hurts where most asks for few pieces.
+            // in slow start it would get several times what it bears. Hurts where most asks are for few keys.
             let work = if result.is_repeat { self.uncached_fraction * result.units } else { result.units };
             let shard = self.shards.entry(node.shard).or_default();
             shard.service_rate.add(self.now, work, SERVICE_RATE_MEMORY);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -3,10 +3,10 @@
 use crate::interface::*;
 use crate::state::*;
 
-const CHANCE_ALLOWANCE: f64 = 0.8; // of what goes for chance where all hosts together send to a cold node
+const CHANCE_ALLOWANCE: f64 = 0.8; // of what goes for chance where all hosts together send to a node
 const IN_FLIGHT: f64 = 0.3; // of the sum that they may send: of the always-safe units, those out at once,
 const DRAIN: f64 = 0.1; // those that time alone frees each window, and
-const SERVICE_RATE_SHARE: f64 = 0.6; // of the multiple that a cold node bears
+const SERVICE_RATE_SHARE: f64 = 0.6; // of the multiple that a node bears
 pub(super) const SERVICE_RATE_MEMORY: f64 = 30.0; // seconds
 const MIN_SERVICE_TIME: f64 = 5.0; // seconds, before what was seen of a shard counts in full
 const RECHECK_INTERVAL: f64 = 0.05; // seconds, at most
--- a/src/state/limit_share.rs
+++ b/src/state/limit_share.rs
@@ -71,9 +71,9 @@
         self.lowest[0] = self.lowest[0].min(share);
     }
 
-    /// Counts units that a shard served for this host and for others. The share is the lowest over the shards,
-    /// so that hosts that see different shards can't claim the same service twice; shards that served less than
-    /// `few` units are taken together.
+    /// Counts units that a shard served for this host and for others. The share is the lowest over the
+    /// shards, so that hosts that see different shards can't claim the same service twice; shards that served
+    /// less than `few` units are taken together.
     pub fn record_service(&mut self, now: Instant, shard: ShardId, own: f64, others: f64, few: f64) {
         self.last_answer_at = now;
         self.shards.entry(shard).or_default().add(Served { for_this_host: own, for_others: others });
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -26,8 +26,8 @@
 }
 
 impl TestHost {
-    /// Traffic class 0 is tight, 1 loose; plan 0 has a limit of 10 a second and 40 at once, plan 1 a reservation of
-    /// 4 and weight 1, plan 2 nothing and weight 3, plan 3 nothing and weight 1.
+    /// Traffic class 0 is tight, 1 loose; plan 0 has a limit of 10 a second and 40 at once, plan 1 a
+    /// reservation of 4 and weight 1, plan 2 nothing and weight 3, plan 3 nothing and weight 1.
     pub fn new(hosts: u32, effect: Effect, in_order: bool) -> Self {
         TestHost::of(7, hosts, effect, in_order)
     }
--- a/tests/decision_hash.rs
+++ b/tests/decision_hash.rs
@@ -252,7 +252,9 @@
         let took = self.now - attempt.sent;
         let done = attempt.outcome == Outcome::Done;
         let (is_known, elsewhere) = (self.below(3) > 0, 4.0 * self.fraction());
-        self.scheduler.service_reported(self.now, attempt.request, done, is_known, elsewhere);
+        if is_known {
+            self.scheduler.service_reported(self.now, attempt.request, done, elsewhere);
+        }
         let is_over = self.below(100) == 0;
         let end = AttemptEnd {
             request: attempt.request,
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -154,7 +154,7 @@
         for shard in 0..3 {
             host.submit(0, 2, round, 1.0, shard, round);
         }
-        for (id, _) in host.poll_sends().into_iter() {
+        for (id, _) in host.poll_sends() {
             host.end_attempt(id, 0, Outcome::Done, 0.01);
         }
         host.scheduler.nodes_changed(at, ListKind::Changes, &[entry(node, 2, NodeState::Gone)]);
@@ -241,8 +241,8 @@
 
 #[test]
 fn a_silent_node_gets_few_attempts_and_a_lossy_link_does_not() {
-    // Seconds that clients wait, how many of ten attempts in a row are not answered in that time; the range of
-    // attempts in 120 s at 100 hosts. An overloaded node, or one too slow for its clients, never answers
+    // Seconds that clients wait, how many of ten attempts in a row are not answered in that time; the range
+    // of attempts in 120 s at 100 hosts. An overloaded node, or one too slow for its clients, never answers
     // slowly.
     for (left, lost, min, max) in
         [(3.0, 0, 300, 4000), (3.0, 1, 80, 4000), (3.0, 10, 5, 30), (0.08, 10, 5, 80)]
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -102,7 +102,8 @@
 fn a_node_in_slow_start_bears_what_all_hosts_send() {
     // Hosts, how many of them restart with the node, and whether these have their service rates restored. The
     // node serves 24 units a second when warm and can do 40, of which a fifth at its restart; hosts learn of
-    // that at different times, and it answers none. Restored rates are no more than before, and starve it less.
+    // that at different times, and it answers none. Restored rates are no more than before, and starve it
+    // less.
     let mut without = 0.0;
     for (hosts, restarted, restored) in [
         (1u32, 0u32, false),
@@ -201,7 +202,7 @@
         for step in 0..300u32 {
             host.now = 111.0 + f64::from(step) / 100.0;
             host.submit(0, 2, 0, 2.0, 0, step % keys);
-            for (id, _) in host.poll_sends().into_iter() {
+            for (id, _) in host.poll_sends() {
                 units += 2.0;
                 host.end_attempt(id, 0, Outcome::Done, 0.002);
             }
@@ -321,7 +322,9 @@
                     );
                     unreported[1 - h][shard] += 2.0;
                     let elsewhere = std::mem::take(&mut unreported[h][shard]);
-                    host.scheduler.service_reported(host.instant(), id, true, is_reported, elsewhere);
+                    if is_reported {
+                        host.scheduler.service_reported(host.instant(), id, true, elsewhere);
+                    }
                     host.end_attempt(id, 0, Outcome::Done, 0.01);
                 }
             }
@@ -333,7 +336,8 @@
 #[test]
 fn limit_shares_sum_to_no_more_than_the_limit_for_any_number_of_hosts() {
     // Hosts, and the burst of the limit, a quarter of which is its rate a second. Each host floods it, late
-    // enough to know the volume. Where its share holds two of the largest requests, these pass; else none may.
+    // enough to know the volume. Where its share holds two of the largest requests, these pass; else none
+    // may.
     for (hosts, burst) in [(1u32, 40.0), (3, 48.0), (24, 384.0), (300, 4800.0), (24, 40.0), (300, 40.0)] {
         let (mut units, mut largest) = (0.0, 0);
         for h in 0..hosts {
@@ -347,7 +351,7 @@
             for i in 0..160 {
                 host.submit(1, 4, 0, if i % 9 == 0 { 8.0 } else { 2.0 }, 0, i);
                 let end = host.now + 0.05;
-                for (id, _) in host.run_sends(end).into_iter() {
+                for (id, _) in host.run_sends(end) {
                     let size = if id.0 % 9 == 1 { 8.0 } else { 2.0 };
                     (units, largest) = (units + size, largest + u32::from(size > 2.0));
                     host.end_attempt(id, 0, Outcome::Done, 0.01);
@@ -366,8 +370,8 @@
 }
 
 impl SharedLimit {
-    /// Takes units out; `versions_in_force` are rate and burst of each version that some host may still go by. Gives
-    /// what is left, which is negative by the slack at most.
+    /// Takes units out; `versions_in_force` are rate and burst of each version that some host may still go
+    /// by. Gives what is left, which is negative by the slack at most.
     fn take(&mut self, now: f64, versions_in_force: &[(f64, f64)], units: f64) -> f64 {
         let rate = versions_in_force.iter().map(|f| f.0).fold(0.0, f64::max);
         let burst = versions_in_force.iter().map(|f| f.1).fold(0.0, f64::max);
@@ -379,8 +383,8 @@
 
 #[test]
 fn a_changed_limit_is_kept_by_hosts_that_learn_of_it_at_different_times() {
-    // Limits and bursts, a new one every 10 s; when the two hosts learn of each, within the 2 s after which it
-    // is in force; the least that is sent in the last 8 s, as a fraction of what the last limit allows.
+    // Limits and bursts, a new one every 10 s; when the two hosts learn of each, within the 2 s after which
+    // it is in force; the least that is sent in the last 8 s, as a fraction of what the last limit allows.
     type Case<'a> = (&'a str, &'a [(f64, f64)], [f64; 2], f64);
     let table: &[Case] = &[
         ("lowered under a flood", &[(40.0, 80.0), (8.0, 16.0)], [0.0, 1.9], 0.7),
@@ -431,7 +435,7 @@
 
 #[test]
 fn a_volume_that_comes_under_a_limit_starts_with_no_burst_and_no_debt() {
-    // Requests sent while it had no limit; whether its plan gets one, or it changes_plan to a plan that has one.
+    // Requests sent while it had no limit; whether its plan gets one, or it gets a plan that has one.
     for (sent_before, changes_plan) in [(0, false), (50, false), (50, true)] {
         // What waits when a volume changes its plan goes by the new plan as well.
         let mut host = TestHost::new(2, Effect::Idempotent, false);
@@ -457,7 +461,7 @@
         for i in 0..100 {
             host.submit(0, plan, 0, 2.0, 0, 1000 + i);
             let end = host.now + 0.05;
-            for (id, _) in host.run_sends(end).into_iter() {
+            for (id, _) in host.run_sends(end) {
                 units += 2.0;
                 host.end_attempt(id, 0, Outcome::Done, 0.01);
             }
@@ -492,9 +496,11 @@
             let end = host.now + 0.05;
             all = host.run_until(end).into_iter().map(|(_, decision)| decision).collect();
         }
-        let answer = all.iter().find(
-            |decision| matches!(decision, Decision::Reject { request, .. } | Decision::Fail { request } if *request == first),
-        );
+        let is_first_answered = |decision: &&Decision| match decision {
+            Decision::Reject { request, .. } | Decision::Fail { request } => *request == first,
+            _ => false,
+        };
+        let answer = all.iter().find(is_first_answered);
         match answer {
             Some(Decision::Reject { retry_after, .. }) => assert!(over && *retry_after == Some(secs(1.0))),
             Some(Decision::Fail { .. }) => assert!(!over),
