--- a/src/policy/node_list.rs
+++ b/src/policy/node_list.rs
@@ -57,7 +57,7 @@
     }
 
     fn node_defaults(&mut self) -> NodeDefaults {
-        // By chance: else all hosts begin the rotation at one node, and all send at once to one that restarted.
+        // By chance: else all hosts begin the rotation at one node, and all send at once to a cold node.
         let rotation = self.random.fraction();
         let (concurrency_limit, min_concurrency_limit) = self.initial_limits();
         let latency = Histogram::new(LATENCY_LOWEST_BIN, LATENCY_WINDOW);
