--- a/crates/benchlink/src/error.rs
+++ b/crates/benchlink/src/error.rs
@@ -1,5 +1,7 @@
 //! What can be wrong with a line of the bench.
 
+use tackmast_platform::FieldError;
+
 /// Says what was wrong and what was expected.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
@@ -11,7 +13,7 @@
     NotJson(#[from] serde_json::Error),
     /// A value is missing or has another type.
     #[error("{0}")]
-    Field(String),
+    Field(#[from] FieldError),
     /// An event is for a host that was not started, or has ended.
     #[error("host {0} is unknown; expected one started")]
     UnknownHost(i64),
@@ -50,15 +52,3 @@
         source: Box<LinkError>,
     },
 }
-
-impl From<String> for LinkError {
-    fn from(message: String) -> Self {
-        LinkError::Field(message)
-    }
-}
-
-impl From<&str> for LinkError {
-    fn from(message: &str) -> Self {
-        LinkError::Field(message.to_owned())
-    }
-}
--- a/crates/benchlink/src/host.rs
+++ b/crates/benchlink/src/host.rs
@@ -6,7 +6,7 @@
 use tackmast::interface::*;
 use tackmast::policy::Scheduler;
 use tackmast_platform::values::{array, index, integer, number, text};
-use tackmast_platform::Settings;
+use tackmast_platform::{FieldError, Settings};
 
 /// A scheduler, and what its numbers stand for on the wire.
 pub struct Host {
@@ -92,7 +92,10 @@
         let outcome = outcome(text(values.get(4), "how")?)?;
         let attempt = AttemptNumber(index(values.get(2), "try")?);
         let latency = TimeDelta::from_secs(number(values.get(5), "elapsed")?);
-        let is_over = values.get(6).and_then(Value::as_bool).ok_or("ended: expected true or false")?;
+        let is_over = values
+            .get(6)
+            .and_then(Value::as_bool)
+            .ok_or_else(|| FieldError::new("ended", "true or false"))?;
         let load = values.get(9).and_then(Value::as_array);
         if let Some(waiting) = self.waiting_at.and_then(|index| load?.get(index)?.as_f64()) {
             let node = NodeId(self.nodes.number(text(values.get(3), "brick")?));
@@ -119,7 +122,10 @@
     }
 
     fn on_timer(&mut self, values: &[Value]) -> Result<(), LinkError> {
-        let token = values.get(1).and_then(Value::as_u64).ok_or("token: expected a whole number")?;
+        let token = values
+            .get(1)
+            .and_then(Value::as_u64)
+            .ok_or_else(|| FieldError::new("token", "a whole number"))?;
         self.timer_at = self.timer_at.filter(|_| token != self.timer_token);
         Ok(())
     }
@@ -130,7 +136,7 @@
     }
 
     fn node_entry(&mut self, line: &Value) -> Result<NodeEntry, LinkError> {
-        let values = line.as_array().ok_or("elements: expected arrays")?;
+        let values = line.as_array().ok_or_else(|| FieldError::new("elements", "arrays"))?;
         let up_since = values.get(6).and_then(Value::as_f64).filter(|at| *at > 0.0);
         Ok(NodeEntry {
             state: node_state(text(values.get(1), "status")?)?,
--- a/crates/benchlink/src/lib.rs
+++ b/crates/benchlink/src/lib.rs
@@ -12,7 +12,7 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use tackmast::interface::Instant;
-use tackmast_platform::values::{array, integer, number, text};
+use tackmast_platform::values::{array, integer, number, text, FieldError};
 
 /// Events that are of use; the bench's word for each.
 const EVENTS: [&str; 8] =
@@ -31,7 +31,9 @@
     /// Takes one batch line, gives the reply line.
     pub fn batch(&mut self, line: &str) -> Result<String, LinkError> {
         let batch: Value = serde_json::from_str(line)?;
-        let batch = batch.as_object().ok_or("not an object; expected a batch with wall and events")?;
+        let batch = batch
+            .as_object()
+            .ok_or_else(|| FieldError::with_found("", "not an object", "a batch with wall and events"))?;
         let now = Instant::from_secs(number(batch.get("wall"), "wall")?);
         let mut changed = BTreeSet::new();
         for (index, event) in array(batch.get("events"), "events")?.iter().enumerate() {
@@ -49,7 +51,8 @@
 
     /// Takes one event; gives the number of the host that it changed.
     fn event(&mut self, now: Instant, event: &Value) -> Result<Option<i64>, LinkError> {
-        let values = event.as_array().ok_or("not an array; expected name and values")?;
+        let values =
+            event.as_array().ok_or_else(|| FieldError::with_found("", "not an array", "name and values"))?;
         let name = text(values.first(), "event name")?;
         if !EVENTS.contains(&name) {
             if !IGNORED_EVENTS.contains(&name) && self.unknown_events.insert(name.to_owned()) {
@@ -66,9 +69,9 @@
         match name {
             "Provision" => {
                 let seed = values.get(1).and_then(Value::as_u64);
-                let seed = seed.ok_or("init_seed: expected a whole number")?;
+                let seed = seed.ok_or_else(|| FieldError::new("init_seed", "a whole number"))?;
                 let settings = values.get(2).and_then(Value::as_object);
-                let settings = settings.ok_or("env: expected an object")?;
+                let settings = settings.ok_or_else(|| FieldError::new("env", "an object"))?;
                 self.hosts.insert(number, Host::new(now, seed, settings)?);
             }
             "Detach" => {
--- a/crates/platform-host/src/host/requests.rs
+++ b/crates/platform-host/src/host/requests.rs
@@ -62,7 +62,7 @@
             let event = self.clients.close_with(now, &self.poller, id, 503, "the host ends");
             return self.handle_client_event(now, id, event);
         }
-        let call = match Call::of(r, &self.settings) {
+        let call = match Call::parse(r, &self.settings) {
             Ok(call) if self.request_ids.contains(&call.id) => {
                 Err((409, "x-call-id: that of another request; expected a fresh one".to_owned()))
             }
@@ -90,7 +90,7 @@
             key: call.key,
             units: call.units,
             hosts: call.hosts,
-            left: call.left,
+            left: call.time_left,
             request: OpaqueRequest { head: call.head, body: call.body },
         };
         self.core.submit_placed(now, CommandRef { session: id, command: self.requests }, placed);
--- a/crates/platform-host/src/list_watch.rs
+++ b/crates/platform-host/src/list_watch.rs
@@ -175,7 +175,7 @@
             return self.failed(&format!("status {}", answer.status));
         }
         match List::parse(&answer.body, s) {
-            Err(e) => self.failed(&e),
+            Err(e) => self.failed(&e.to_string()),
             Ok(list) => {
                 let c = self.call.take()?;
                 if !answer.closes && !c.answer.has_more() {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,15 +1,19 @@
-//! The operators' platform, without I/O: what a host is told at its start, the node list, and the headers of requests and
-//! answers, to values and back. docs/protocols/platform.md tells the protocol as met. Nothing is decided here.
+//! The operators' platform, without I/O: the configuration of a host, the endpoint list, and the headers of requests and
+//! answers, to values and back. docs/protocols/platform.md has the protocol. Nothing is decided here.
+
+#![warn(missing_docs)]
 
 mod call;
 mod configuration;
 mod list;
 mod outcome;
 mod settings;
+/// Reading named values out of JSON.
 pub mod values;
 
 pub use call::{Call, Refusal};
 pub use configuration::{Configuration, Limits};
 pub use list::{List, Member};
-pub use outcome::{answer_head, attempt_head, Came, Reports};
+pub use outcome::{answer_head, attempt_head, AttemptReport, Reports};
 pub use settings::{Plan, Settings, TrafficClass};
+pub use values::FieldError;
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -1,55 +1,66 @@
-//! The node list, as the operators' discovery tells it.
+//! The endpoint list, as the operators' discovery sends it.
 
 use crate::settings::Settings;
-use crate::values::{array, index, integer, shown, text};
+use crate::values::{array, index, integer, shown, text, FieldError};
 use serde_json::Value;
 use std::net::SocketAddr;
 use tackmast::interface::{NodeState, ShardId, ZoneId};
 
+/// A node of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
+    /// Its name, which stays when its address changes.
     pub id: String,
+    /// Where it is reached.
     pub address: SocketAddr,
+    /// Ready, draining or gone.
     pub state: NodeState,
+    /// Its zone.
     pub zone: ZoneId,
+    /// The shard that it holds.
     pub shard: ShardId,
-    /// When the node last started, in milliseconds of Unix time, where that is told.
+    /// When the node last started, in milliseconds of Unix time, where that is known.
     pub up_since_ms: Option<u64>,
 }
 
+/// An endpoint list, or the changes of one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct List {
+    /// Its version.
     pub version: u64,
-    /// Else only what changed.
+    /// It has all nodes; else only those that changed.
     pub complete: bool,
+    /// The nodes.
     pub members: Vec<Member>,
 }
 
-/// An id as long as this is none of discovery's.
-const LONGEST_ID: usize = 128;
+/// Maximum length of a node's id in bytes.
+const MAX_ID_BYTES: usize = 128;
 
 impl List {
-    /// An answer that can't be read whole changes nothing.
-    pub fn parse(bytes: &[u8], s: &Settings) -> Result<Self, String> {
-        let v: Value = serde_json::from_slice(bytes).map_err(|e| format!("{e}; expected JSON"))?;
-        List::of(&v, s)
+    /// Parses an answer of discovery. One that is not valid as a whole changes nothing.
+    pub fn parse(bytes: &[u8], s: &Settings) -> Result<Self, FieldError> {
+        let v: Value =
+            serde_json::from_slice(bytes).map_err(|e| FieldError::with_found("", e.to_string(), "JSON"))?;
+        List::from_value(&v, s)
     }
 
-    pub fn of(v: &Value, s: &Settings) -> Result<Self, String> {
+    /// Reads a list out of a JSON value.
+    pub fn from_value(v: &Value, s: &Settings) -> Result<Self, FieldError> {
         let version = integer(v.get("revision"), "revision")?;
-        let complete =
-            v.get("complete").and_then(Value::as_bool).ok_or("complete: expected true or false")?;
+        let complete = v.get("complete").and_then(Value::as_bool);
+        let complete = complete.ok_or_else(|| FieldError::new("complete", "true or false"))?;
         let members = array(v.get("members"), "members")?.iter().enumerate();
-        let members = members.map(|(i, m)| member(m, s).map_err(|e| format!("members[{i}].{e}")));
+        let members = members.map(|(i, m)| member(m, s).map_err(|e| e.within(&format!("members[{i}]"))));
         Ok(List {
             version: u64::try_from(version)
-                .map_err(|_| format!("revision: {version}; expected 0 or more"))?,
+                .map_err(|_| FieldError::with_found("revision", version.to_string(), "0 or more"))?,
             complete,
             members: members.collect::<Result<_, _>>()?,
         })
     }
 
-    /// Where the host asks for it: the whole list, or what comes after a version, within some time.
+    /// The request target: the complete list or, after a version, the changes, awaited for so many milliseconds.
     pub fn target(after: Option<(u64, u64)>) -> String {
         match after {
             None => "/registry/instances".to_owned(),
@@ -58,22 +69,24 @@
     }
 }
 
-fn member(v: &Value, s: &Settings) -> Result<Member, String> {
+fn member(v: &Value, s: &Settings) -> Result<Member, FieldError> {
     let id = text(v.get("id"), "id")?;
-    if id.is_empty() || id.len() > LONGEST_ID {
-        return Err(format!("id: {}; expected 1 to {LONGEST_ID} bytes", shown(v.get("id"))));
+    if id.is_empty() || id.len() > MAX_ID_BYTES {
+        let expected = format!("1 to {MAX_ID_BYTES} bytes");
+        return Err(FieldError::with_found("id", shown(v.get("id")), expected));
     }
     let address = text(v.get("host_port"), "host_port")?;
-    let expected = || format!("host_port: {}; expected an address and a port", shown(v.get("host_port")));
+    let wrong_address =
+        || FieldError::with_found("host_port", shown(v.get("host_port")), "an address and a port");
     let zone = text(v.get("locality"), "locality")?;
     Ok(Member {
         id: id.to_owned(),
-        address: address.parse().map_err(|_| expected())?,
+        address: address.parse().map_err(|_| wrong_address())?,
         state: match text(v.get("phase"), "phase")? {
             "Ready" => NodeState::Ready,
             "Terminating" => NodeState::Draining,
             "Gone" => NodeState::Gone,
-            other => return Err(format!("phase: {other}; expected Ready, Terminating or Gone")),
+            other => return Err(FieldError::with_found("phase", other, "Ready, Terminating or Gone")),
         },
         // A zone that the settings do not name is like none of theirs.
         zone: ZoneId(s.zone(zone).unwrap_or(u32::MAX)),
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What goes to a node with each attempt, and what its answer means.
+//! The rest of an attempt's head, and what a node's answer means.
 
 use crate::settings::Settings;
 use bytes::Bytes;
@@ -7,20 +7,22 @@
 use tackmast::interface::{Outcome, TimeDelta};
 use tackmast_http::Answer;
 
-/// The rest of an attempt's head, after what its request says: which node, and how long the host will wait.
+/// The rest of an attempt's head, behind that of its request: which node, and how long the host will wait.
 pub fn attempt_head(node: SocketAddr, left: TimeDelta) -> String {
     let ms = (left.secs() * 1e3).floor().max(0.0) as u64;
     format!("Host: {node}\r\nX-Budget-Ms: {ms}\r\n\r\n")
 }
 
-/// A node's answer, as values.
+/// A node's answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Came {
+pub struct AttemptReport {
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Requests that wait at the node, where it told.
+    /// Requests that wait at the node, where it reported that.
     pub waiting: Option<u32>,
     /// Units served for the volume through other hosts.
     pub elsewhere: Option<f64>,
+    /// The answer's body; empty unless the attempt is done.
     pub body: Bytes,
 }
 
@@ -31,23 +33,25 @@
 }
 
 impl Reports {
+    /// By the settings.
     pub fn of(s: &Settings) -> Self {
         Reports { waiting: s.waiting_at().is_some() }
     }
 
-    pub fn read(&self, a: Answer) -> Came {
+    /// Reads an answer.
+    pub fn read(&self, a: Answer) -> AttemptReport {
         let never_ran = matches!(a.status, 503 | 504) && a.headers.first("x-rejected") == Some("1");
         let outcome = match a.status {
             200 => Outcome::Done,
             _ if never_ran => Outcome::Full,
-            // The node could not use the request: no sign of its health, or bad clients could make it look sick. As the
-            // protocol does not say that it never ran, it may have.
+            // The node could not use the request: no sign of its health, or malformed requests could make it an outlier. As
+            // the protocol does not say that it never ran, it may have.
             400..=499 => Outcome::Cancelled,
             _ => Outcome::Error,
         };
         let report = a.headers.first("x-load-report").filter(|_| self.waiting);
         let elsewhere = a.headers.first("x-delta").and_then(|v| v.trim().parse::<f64>().ok());
-        Came {
+        AttemptReport {
             outcome,
             waiting: report.and_then(waiting),
             elsewhere: elsewhere.filter(|e| e.is_finite() && *e >= 0.0),
@@ -56,7 +60,7 @@
     }
 }
 
-/// `inflight=7,queue=2,util=0.61`: a report that can't be read whole is passed over.
+/// `inflight=7,queue=2,util=0.61`: a report that is not valid as a whole is ignored.
 fn waiting(report: &str) -> Option<u32> {
     let mut found = None;
     for pair in report.split(',') {
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -1,121 +1,148 @@
-//! The settings object, and the one way in which a module is told of it: on the bench and on sockets alike.
+//! The settings object, and the one way in which a scheduler is set up from it: on the bench and on sockets alike.
 
-use crate::values::{index, object, or, span, text};
+use crate::values::{index, number_or, object, text, time_delta, FieldError};
 use serde_json::{Map, Value};
 use tackmast::interface::{DedupScope, Effect, Instant, SlowStart, TimeDelta};
 use tackmast::policy::Scheduler;
 
+/// A traffic class of the settings (`request_classes`).
 #[derive(Clone, Debug)]
 pub struct TrafficClass {
+    /// Its name in requests.
     pub name: String,
+    /// The time within which an answer earns its full worth.
     pub latency_objective: TimeDelta,
+    /// The time after which an answer is worth nothing.
     pub deadline: TimeDelta,
+    /// Whether its requests may run twice.
     pub effect: Effect,
+    /// Whether requests of one key have to run one at a time, in order.
     pub in_order: bool,
-    /// Whether it writes, where that is told.
+    /// Whether it writes, where the settings say so.
     pub writes: Option<bool>,
 }
 
+/// A plan of the settings (`grades`).
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// Its name in requests.
     pub name: String,
+    /// Units a second; 0: no limit.
     pub limit: f64,
+    /// Units that may be sent at once.
     pub burst: f64,
+    /// Units by which all hosts together may exceed the limit.
     pub slack: f64,
+    /// Units a second that are served first.
     pub reserve: f64,
+    /// The share of best-effort units.
     pub weight: f64,
 }
 
-/// Names are those of the simulator's first message. What is absent there is so here: zero, none or off.
+/// The settings of a host, under the names of the bench's first message. What is absent there is zero, none or off here.
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// Hosts that share the nodes.
     pub hosts: u32,
     /// This host's number.
     pub me: u32,
     /// Whether hosts may send each other datagrams.
     pub peers: bool,
-    pub tick: TimeDelta,
+    /// Resolution of the host's timers.
+    pub granularity: TimeDelta,
+    /// Mean size of a request in units.
     pub mean_units: f64,
-    /// Of one request, at most; 0: not told.
+    /// Maximum size of a request in units; 0: unknown.
     pub max_units: f64,
+    /// By their numbers in the scheduler.
     pub traffic_classes: Vec<TrafficClass>,
+    /// By their numbers in the scheduler.
     pub plans: Vec<Plan>,
+    /// Attempts of one request.
     pub max_attempts: u32,
-    /// The longest that clients can be asked to stay away; zero: they can't be asked.
+    /// The longest retry-after that clients accept; zero: none.
     pub longest_wait: TimeDelta,
+    /// For how long the next request of a key waits after an attempt that may still run.
     pub settle: TimeDelta,
-    retry_budget: Option<(f64, f64, TimeDelta)>,
-    cold: (f64, f64, TimeDelta, TimeDelta, f64),
-    asks_list: bool,
-    /// What load reports hold, in their order.
+    retry_budget: Option<RetryBudget>,
+    slow_start: SlowStart,
+    polls_list: bool,
+    /// The fields of load reports, in their order.
     pub report: Vec<String>,
-    /// Whether answers tell of service through other hosts.
+    /// Whether answers report the service of volumes through other hosts.
     pub tells: bool,
+    /// Names of zones, by their numbers.
     pub zones: Vec<String>,
+    /// For how long a draining node still accepts attempts.
     pub drain_grace: TimeDelta,
+    /// The time within which a connection to a node has to come up.
     pub connect_timeout: TimeDelta,
-    /// After this long a node closes an idle connection; zero: not told.
+    /// The time after which a node closes an idle connection; zero: unknown.
     pub conn_idle: TimeDelta,
 }
 
+/// Retries that are allowed: so many, and a share of the requests within a window.
+#[derive(Clone, Copy, Debug)]
+struct RetryBudget {
+    free: f64,
+    share: f64,
+    window: TimeDelta,
+}
+
 impl Settings {
-    pub fn read(env: &Map<String, Value>) -> Result<Self, String> {
+    /// Reads the settings object. An error names the field.
+    pub fn read(env: &Map<String, Value>) -> Result<Self, FieldError> {
         let part = |name: &str| env.get(name).and_then(Value::as_object).cloned().unwrap_or_default();
         let (domain, rules, limits) = (part("domain"), part("guarantees"), part("limits"));
         let list = |name: &str| env.get(name).and_then(Value::as_array).into_iter().flatten().enumerate();
         let writes = domain.get("class_writes").and_then(Value::as_array).cloned().unwrap_or_default();
         let writes = |i: usize| writes.get(i).and_then(Value::as_bool);
         let traffic_classes = list("request_classes")
-            .map(|(i, v)| traffic_class(v, writes(i)).map_err(|e| format!("request_classes[{i}].{e}")))
+            .map(|(i, v)| traffic_class(v, writes(i)).map_err(|e| e.within(&format!("request_classes[{i}]"))))
             .collect::<Result<_, _>>()?;
         let plans = list("grades")
-            .map(|(i, v)| plan(v).map_err(|e| format!("grades[{i}].{e}")))
+            .map(|(i, v)| plan(v).map_err(|e| e.within(&format!("grades[{i}]"))))
             .collect::<Result<_, _>>()?;
-        let names = |v: Option<&Value>| -> Vec<String> {
-            let all = v.and_then(Value::as_array).into_iter().flatten();
-            all.map(|v| v.as_str().unwrap_or_default().to_owned()).collect()
-        };
         let asks_clients = limits.get("retry_after").and_then(Value::as_bool).unwrap_or(false);
         let retry_budget = match rules.contains_key("look_back") {
             true => {
-                let (free, share) = (or(&rules, "extra_floor", 0.0)?, or(&rules, "further_ratio", 0.0)?);
-                Some((free, share, span(&rules, "look_back")?))
+                let (free, share) =
+                    (number_or(&rules, "extra_floor", 0.0)?, number_or(&rules, "further_ratio", 0.0)?);
+                Some(RetryBudget { free, share, window: time_delta(&rules, "look_back")? })
             }
             false => None,
         };
         Ok(Settings {
-            hosts: or(env, "balancers", 1.0)? as u32,
-            me: or(env, "me", 0.0)? as u32,
+            hosts: number_or(env, "balancers", 1.0)? as u32,
+            me: number_or(env, "me", 0.0)? as u32,
             peers: limits.get("peers").and_then(Value::as_bool).unwrap_or(false),
-            tick: span(env, "granularity")?,
-            mean_units: or(&domain, "unit_mean", 1.0)?,
-            max_units: or(&domain, "largest", 0.0)?,
+            granularity: time_delta(env, "granularity")?,
+            mean_units: number_or(&domain, "unit_mean", 1.0)?,
+            max_units: number_or(&domain, "largest", 0.0)?,
             traffic_classes,
             plans,
-            max_attempts: or(&limits, "max_attempts", f64::from(u32::MAX))? as u32,
-            longest_wait: if asks_clients { span(&limits, "max_retry_after")? } else { TimeDelta::ZERO },
-            settle: span(&rules, "order_settle")?,
+            max_attempts: number_or(&limits, "max_attempts", f64::from(u32::MAX))? as u32,
+            longest_wait: if asks_clients {
+                time_delta(&limits, "max_retry_after")?
+            } else {
+                TimeDelta::ZERO
+            },
+            settle: time_delta(&rules, "order_settle")?,
             retry_budget,
-            cold: (
-                or(&domain, "cold_bears", 0.0)?,
-                or(&rules, "cold_from", 1.0)?,
-                span(&rules, "cold")?,
-                span(&rules, "fall")?,
-                or(&rules, "fall_multiple", 1.0)?,
-            ),
-            asks_list: env.get("registry_mode").and_then(Value::as_str) == Some("ask"),
-            report: names(part("report").get("fields")),
+            slow_start: slow_start(&domain, &rules)?,
+            polls_list: env.get("registry_mode").and_then(Value::as_str) == Some("ask"),
+            report: texts(part("report").get("fields")),
             tells: domain.get("says_others").and_then(Value::as_bool).unwrap_or(false),
-            zones: names(env.get("areas")),
-            drain_grace: span(&rules, "drain_grace")?,
-            connect_timeout: span(&limits, "connect_timeout")?,
-            conn_idle: span(&limits, "conn_idle")?,
+            zones: texts(env.get("areas")),
+            drain_grace: time_delta(&rules, "drain_grace")?,
+            connect_timeout: time_delta(&limits, "connect_timeout")?,
+            conn_idle: time_delta(&limits, "conn_idle")?,
         })
     }
 
-    /// A module that has been told all of it.
+    /// A scheduler that is set up by these settings.
     pub fn scheduler(&self, now: Instant, seed: u64) -> Scheduler {
-        let mut s = Scheduler::new(now, seed, self.hosts, self.tick, self.mean_units);
+        let mut s = Scheduler::new(now, seed, self.hosts, self.granularity, self.mean_units);
         for st in &self.traffic_classes {
             s.add_traffic_class(st.latency_objective, st.effect, st.in_order);
         }
@@ -129,33 +156,49 @@
             });
         }
         s.set_attempt_limits(self.max_attempts, self.longest_wait, self.settle);
-        if let Some((free, share, window)) = self.retry_budget {
-            s.set_retry_budget(free, share, window);
+        if let Some(budget) = self.retry_budget {
+            s.set_retry_budget(budget.free, budget.share, budget.window);
         }
-        let (safe_units, initial_capacity, duration, window, overload_multiple) = self.cold;
-        s.set_slow_start(SlowStart { safe_units, initial_capacity, duration, window, overload_multiple });
-        if self.asks_list {
+        s.set_slow_start(self.slow_start);
+        if self.polls_list {
             s.subscribe_to_node_list();
         }
         s
     }
 
-    /// Whether the platform brings lists to the host's machine by itself.
+    /// Whether the platform pushes endpoint lists to an agent on the host's machine.
     pub fn lists_are_pushed(&self) -> bool {
-        !self.asks_list
+        !self.polls_list
     }
 
-    /// Where a load report holds the number of requests that wait.
+    /// The position of the number of waiting requests in a load report.
     pub fn waiting_at(&self) -> Option<usize> {
         self.report.iter().position(|f| f == "q")
     }
 
+    /// The number of a zone.
     pub fn zone(&self, name: &str) -> Option<u32> {
         self.zones.iter().position(|z| z == name).map(|i| i as u32)
     }
 }
 
-fn traffic_class(v: &Value, writes: Option<bool>) -> Result<TrafficClass, String> {
+fn slow_start(domain: &Map<String, Value>, rules: &Map<String, Value>) -> Result<SlowStart, FieldError> {
+    Ok(SlowStart {
+        safe_units: number_or(domain, "cold_bears", 0.0)?,
+        initial_capacity: number_or(rules, "cold_from", 1.0)?,
+        duration: time_delta(rules, "cold")?,
+        window: time_delta(rules, "fall")?,
+        overload_multiple: number_or(rules, "fall_multiple", 1.0)?,
+    })
+}
+
+/// The texts of an array; anything else is an empty text.
+fn texts(v: Option<&Value>) -> Vec<String> {
+    let all = v.and_then(Value::as_array).into_iter().flatten();
+    all.map(|v| v.as_str().unwrap_or_default().to_owned()).collect()
+}
+
+fn traffic_class(v: &Value, writes: Option<bool>) -> Result<TrafficClass, FieldError> {
     let class = object(Some(v), "")?;
     let effect = match text(class.get("effect"), "effect")? {
         "repeatable" => Effect::Idempotent,
@@ -165,31 +208,31 @@
                 "all" => DedupScope::All,
                 "zone" => DedupScope::Zone,
                 "cell" => DedupScope::Shard,
-                other => return Err(format!("group: {other}; expected all, zone or cell")),
+                other => return Err(FieldError::with_found("group", other, "all, zone or cell")),
             },
-            window: span(class, "window")?,
+            window: time_delta(class, "window")?,
         },
-        other => return Err(format!("effect: {other}; expected repeatable, by_key or once")),
+        other => return Err(FieldError::with_found("effect", other, "repeatable, by_key or once")),
     };
     Ok(TrafficClass {
         name: name(class),
-        latency_objective: span(class, "target")?,
-        deadline: span(class, "give_up")?,
+        latency_objective: time_delta(class, "target")?,
+        deadline: time_delta(class, "give_up")?,
         effect,
         in_order: class.get("in_order").and_then(Value::as_bool).unwrap_or(false),
         writes,
     })
 }
 
-fn plan(v: &Value) -> Result<Plan, String> {
+fn plan(v: &Value) -> Result<Plan, FieldError> {
     let plan = object(Some(v), "")?;
     Ok(Plan {
         name: name(plan),
-        limit: or(plan, "ceiling_rate", 0.0)?,
-        burst: or(plan, "most_at_once", 0.0)?,
-        slack: or(plan, "slack", 0.0)?,
-        reserve: or(plan, "floor_rate", 0.0)?,
-        weight: or(plan, "proportion", 1.0)?,
+        limit: number_or(plan, "ceiling_rate", 0.0)?,
+        burst: number_or(plan, "most_at_once", 0.0)?,
+        slack: number_or(plan, "slack", 0.0)?,
+        reserve: number_or(plan, "floor_rate", 0.0)?,
+        weight: number_or(plan, "proportion", 1.0)?,
     })
 }
 
@@ -198,9 +241,10 @@
 }
 
 /// A whole number that is given either as a number or as text in hex.
-pub(crate) fn seed(v: Option<&Value>) -> Result<u64, String> {
+pub(crate) fn seed(v: Option<&Value>) -> Result<u64, FieldError> {
     match v.and_then(Value::as_str) {
-        Some(hex) => u64::from_str_radix(hex, 16).map_err(|_| format!("{hex}; expected up to 16 hex digits")),
+        Some(hex) => u64::from_str_radix(hex, 16)
+            .map_err(|_| FieldError::with_found("seed", hex, "up to 16 hex digits")),
         None => index(v, "seed").map(u64::from),
     }
 }
--- a/crates/platform/src/values.rs
+++ b/crates/platform/src/values.rs
@@ -1,49 +1,106 @@
-//! JSON values with a name; an error says which value was wrong and what was expected.
+//! An error says where the value stands, what was found and what was expected.
 
 use serde_json::{Map, Value};
+use std::fmt;
 use tackmast::interface::TimeDelta;
 
-pub fn number(v: Option<&Value>, name: &str) -> Result<f64, String> {
-    v.and_then(Value::as_f64).ok_or_else(|| format!("{name}: expected a number"))
+/// Characters of a value that an error shows.
+const MAX_SHOWN_CHARS: usize = 60;
+
+/// A value that is not what its place asks for.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct FieldError {
+    /// Where it stands, such as `settings.request_classes[0].target`; empty: the whole document.
+    pub path: String,
+    /// The value, or a part of it, where the message shows it.
+    pub found: Option<String>,
+    /// What was expected in its place.
+    pub expected: String,
+}
+
+impl FieldError {
+    /// An error that does not show the value.
+    pub fn new(path: &str, expected: impl Into<String>) -> Self {
+        FieldError { path: path.to_owned(), found: None, expected: expected.into() }
+    }
+
+    /// An error that shows the value.
+    pub fn with_found(path: &str, found: impl Into<String>, expected: impl Into<String>) -> Self {
+        FieldError { path: path.to_owned(), found: Some(found.into()), expected: expected.into() }
+    }
+
+    /// The same error seen from the document around it: `parent` goes before the path.
+    pub fn within(mut self, parent: &str) -> Self {
+        self.path = match self.path.is_empty() {
+            true => parent.to_owned(),
+            false => format!("{parent}.{}", self.path),
+        };
+        self
+    }
+}
+
+impl fmt::Display for FieldError {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        if !self.path.is_empty() {
+            write!(f, "{}: ", self.path)?;
+        }
+        if let Some(found) = &self.found {
+            write!(f, "{found}; ")?;
+        }
+        write!(f, "expected {}", self.expected)
+    }
+}
+
+impl std::error::Error for FieldError {}
+
+/// A number.
+pub fn number(v: Option<&Value>, name: &str) -> Result<f64, FieldError> {
+    v.and_then(Value::as_f64).ok_or_else(|| FieldError::new(name, "a number"))
 }
 
-pub fn integer(v: Option<&Value>, name: &str) -> Result<i64, String> {
-    v.and_then(Value::as_i64).ok_or_else(|| format!("{name}: expected a whole number"))
+/// A whole number.
+pub fn integer(v: Option<&Value>, name: &str) -> Result<i64, FieldError> {
+    v.and_then(Value::as_i64).ok_or_else(|| FieldError::new(name, "a whole number"))
 }
 
-pub fn index(v: Option<&Value>, name: &str) -> Result<u32, String> {
+/// A whole number from 0 that fits 32 bits.
+pub fn index(v: Option<&Value>, name: &str) -> Result<u32, FieldError> {
     let n = v.and_then(Value::as_u64).and_then(|n| u32::try_from(n).ok());
-    n.ok_or_else(|| format!("{name}: expected a whole number from 0"))
+    n.ok_or_else(|| FieldError::new(name, "a whole number from 0"))
 }
 
-pub fn text<'a>(v: Option<&'a Value>, name: &str) -> Result<&'a str, String> {
-    v.and_then(Value::as_str).ok_or_else(|| format!("{name}: expected text"))
+/// A text.
+pub fn text<'a>(v: Option<&'a Value>, name: &str) -> Result<&'a str, FieldError> {
+    v.and_then(Value::as_str).ok_or_else(|| FieldError::new(name, "text"))
 }
 
-pub fn array<'a>(v: Option<&'a Value>, name: &str) -> Result<&'a Vec<Value>, String> {
-    v.and_then(Value::as_array).ok_or_else(|| format!("{name}: expected an array"))
+/// An array.
+pub fn array<'a>(v: Option<&'a Value>, name: &str) -> Result<&'a Vec<Value>, FieldError> {
+    v.and_then(Value::as_array).ok_or_else(|| FieldError::new(name, "an array"))
 }
 
-pub fn object<'a>(v: Option<&'a Value>, name: &str) -> Result<&'a Map<String, Value>, String> {
-    v.and_then(Value::as_object).ok_or_else(|| format!("{name}: expected an object"))
+/// An object.
+pub fn object<'a>(v: Option<&'a Value>, name: &str) -> Result<&'a Map<String, Value>, FieldError> {
+    v.and_then(Value::as_object).ok_or_else(|| FieldError::new(name, "an object"))
 }
 
-/// A setting that may be absent.
-pub fn or(map: &Map<String, Value>, name: &str, absent: f64) -> Result<f64, String> {
+/// A number that may be absent.
+pub fn number_or(map: &Map<String, Value>, name: &str, absent: f64) -> Result<f64, FieldError> {
     match map.get(name) {
         None | Some(Value::Null) => Ok(absent),
         found => number(found, name),
     }
 }
 
-pub fn span(map: &Map<String, Value>, name: &str) -> Result<TimeDelta, String> {
-    Ok(TimeDelta::from_secs(or(map, name, 0.0)?))
+/// A length of time in seconds; zero where it is absent.
+pub fn time_delta(map: &Map<String, Value>, name: &str) -> Result<TimeDelta, FieldError> {
+    Ok(TimeDelta::from_secs(number_or(map, name, 0.0)?))
 }
 
 /// The value as an error shows it: enough to find it, however long it is.
 pub fn shown(v: Option<&Value>) -> String {
     let text = v.map_or("nothing".to_owned(), Value::to_string);
-    match text.char_indices().nth(60) {
+    match text.char_indices().nth(MAX_SHOWN_CHARS) {
         Some((at, _)) => format!("{}...", &text[..at]),
         None => text,
     }
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -83,7 +83,7 @@
     for (place, value, words) in cases {
         let mut all = config();
         *all.pointer_mut(place).unwrap() = value;
-        let e = Configuration::parse(all.to_string().as_bytes()).unwrap_err();
+        let e = Configuration::parse(all.to_string().as_bytes()).unwrap_err().to_string();
         assert!(words.iter().all(|w| e.contains(w)) && !e.contains('\n'), "{place}: {e}");
     }
     // Datagrams are there only where the settings allow them, and then their addresses must be good.
@@ -102,11 +102,11 @@
         (json!("all"), here, "peers: \"all\"; expected addresses"),
         (two, json!("x"), "peer_listen: \"x\"; expected an address"),
     ] {
-        let e = with(true, peers, listen).unwrap_err();
+        let e = with(true, peers, listen).unwrap_err().to_string();
         assert!(e.contains(part), "{e}");
     }
     for (text, word) in [("", "expected JSON"), ("{\"a\":", "expected JSON"), ("[]", "expected an object")] {
-        assert!(Configuration::parse(text.as_bytes()).unwrap_err().contains(word), "{text}");
+        assert!(Configuration::parse(text.as_bytes()).unwrap_err().to_string().contains(word), "{text}");
     }
 }
 
@@ -173,12 +173,15 @@
 
 #[test]
 fn a_good_request_passes_as_it_came() {
-    let c = Call::of(request("PUT", PATH, &GOOD, "bytes"), &read()).unwrap();
+    let c = Call::parse(request("PUT", PATH, &GOOD, "bytes"), &read()).unwrap();
     assert_eq!((c.volume, c.key), (0x3b4d60021, 0x7f3a9c21e0b4d655));
-    assert_eq!((c.traffic_class, c.plan, c.left), (TrafficClassId(0), PlanId(0), TimeDelta::from_secs(0.48)));
+    assert_eq!(
+        (c.traffic_class, c.plan, c.time_left),
+        (TrafficClassId(0), PlanId(0), TimeDelta::from_secs(0.48))
+    );
     assert_eq!((c.units, c.shard, c.hosts, &c.body[..]), (2.0, Some(ShardId(5)), 3, &b"bytes"[..]));
-    let text =
-        String::from_utf8(c.head.to_vec()).unwrap() + &attempt_head("127.0.0.1:9".parse().unwrap(), c.left);
+    let text = String::from_utf8(c.head.to_vec()).unwrap()
+        + &attempt_head("127.0.0.1:9".parse().unwrap(), c.time_left);
     let mut reader = RequestReader::new(Bounds::default());
     reader.push(text.as_bytes());
     reader.push(&c.body);
@@ -190,10 +193,10 @@
     assert_eq!(attempt.headers.first("x-call-id"), Some("9b1f03aa5c7e2d41"));
     assert_eq!((attempt.headers.first("x-budget-ms"), attempt.headers.first("x-odd")), (Some("480"), None));
     let idempotent_by_key = changed(&[("X-Call-Class", Some("save")), ("Idempotency-Key", Some("k-1"))]);
-    let c = Call::of(request("PUT", PATH, &idempotent_by_key, ""), &read()).unwrap();
+    let c = Call::parse(request("PUT", PATH, &idempotent_by_key, ""), &read()).unwrap();
     assert!(String::from_utf8(c.head.to_vec()).unwrap().contains("Idempotency-Key: k-1\r\n"));
     let new = changed(&[("X-Extent", Some("hosts=1, shard=-1, units=0.5, more=x"))]);
-    assert_eq!(Call::of(request("GET", PATH, &new, ""), &read()).unwrap().shard, None);
+    assert_eq!(Call::parse(request("GET", PATH, &new, ""), &read()).unwrap().shard, None);
 }
 
 #[test]
@@ -241,7 +244,8 @@
         ("PUT", PATH, twice("Idempotency-Key", ""), "", 400),
     ];
     for (method, target, fields, body, status) in cases {
-        let found = Call::of(request(method, target, &fields, body), &read()).map_err(|r| (r.status, r.why));
+        let found =
+            Call::parse(request(method, target, &fields, body), &read()).map_err(|r| (r.status, r.why));
         let (found, why) = found.expect_err(&format!("{method} {target} {fields:?}"));
         assert_eq!(found, status, "{method} {target} {fields:?}: {why}");
         assert!(why.contains("expected"), "{why}");
@@ -300,7 +304,7 @@
     #[test]
     fn no_words_of_a_client_reach_a_node_but_those_understood(name in "[A-Za-z-]{1,12}", value in "[ -~]{0,40}") {
         let fields = [&GOOD[..], &[(name.as_str(), value.as_str())]].concat();
-        if let Ok(c) = Call::of(request("GET", PATH, &fields, ""), &read()) {
+        if let Ok(c) = Call::parse(request("GET", PATH, &fields, ""), &read()) {
             let text = String::from_utf8(c.head.to_vec()).unwrap();
             let names: Vec<&str> = text.lines().skip(1).filter_map(|l| l.split(':').next()).collect();
             prop_assert!(names.iter().all(|n| ["X-Call-Id", "Idempotency-Key", "Content-Length"].contains(n)), "{text}");
