--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -75,8 +75,7 @@
             Effect::Idempotent | Effect::IdempotentByKey { scope: DedupScope::All, .. } => true,
             _ => request.first_effect.is_none(),
         };
-        let retry_after = retry_after.map(|time| time.min(self.max_retry_after));
-        let retry_after = retry_after.filter(|time| *time > TimeDelta::ZERO);
+        let retry_after = retry_after.map(|t| t.min(self.max_retry_after)).filter(|t| *t > TimeDelta::ZERO);
         self.decisions.push_back(match is_safe {
             true => Decision::Reject { request: id, retry_after },
             false => Decision::Fail { request: id },
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -36,8 +36,8 @@
     }
 
     /// Only answers of the tighter classes move the limit: others may be slow at a node that is well.
-    pub(super) fn judges_nodes(&self, latency_objective: TimeDelta) -> bool {
-        latency_objective.secs() <= JUDGING_OBJECTIVES * self.tightest_objective.secs()
+    pub(super) fn judges_nodes(&self, class: &TrafficClass) -> bool {
+        class.latency_objective.secs() <= JUDGING_OBJECTIVES * self.tightest_objective.secs()
     }
 
     /// An operator's override: the part of what the node would be given otherwise, and whether it stays in
@@ -53,30 +53,30 @@
 
 impl Node {
     /// The limit rises while answers come well within the latency objective and is cut when they don't:
-    /// against any slowness (queue, pauses, costly work), whatever its cause. `r` is how an attempt ended.
-    pub(super) fn adjust_limit(&mut self, now: Instant, r: &AttemptResult, objective: f64, judges: bool) {
-        self.last_latency = r.latency;
-        let target = LATENCY_TARGET * objective;
-        match r.outcome {
-            Outcome::Done if !judges => {}
-            Outcome::Done if r.latency >= target => self.cut_limit(now, r.latency, target / r.latency),
-            Outcome::Done if r.attempt.at_limit => {
+    /// against any slowness (queue, pauses, costly work), whatever its cause.
+    pub(super) fn adjust_limit(&mut self, now: Instant, result: &AttemptResult, judges_node: bool) {
+        self.last_latency = result.latency;
+        let (objective, target) = (result.objective, LATENCY_TARGET * result.objective);
+        match result.outcome {
+            Outcome::Done if !judges_node => {}
+            Outcome::Done if result.latency >= target => self.cut_limit(now, target / result.latency),
+            Outcome::Done if result.attempt.at_limit => {
                 let step = INCREASE * self.concurrency_limit.min(1.0 / self.concurrency_limit);
                 self.concurrency_limit = (self.concurrency_limit + step).min(MAX_LIMIT);
             }
             // Its client's time was up before the latency objective, or nothing at all was answered
             // meanwhile: too slow, or drowned. Against hurried clients, and against many hosts that each send
             // one attempt a time-out and so keep a full queue full. Else it may have got lost.
-            Outcome::TimedOut if r.latency < objective && !r.request_was_over => {}
-            Outcome::TimedOut if r.latency >= objective && !r.node_was_silent(self) => {}
-            Outcome::TimedOut | Outcome::Full => self.cut_limit(now, r.latency, MIN_DECREASE_FACTOR),
+            Outcome::TimedOut if result.latency < objective && !result.request_was_over => {}
+            Outcome::TimedOut if result.latency >= objective && !result.node_was_silent(self) => {}
+            Outcome::TimedOut | Outcome::Full => self.cut_limit(now, MIN_DECREASE_FACTOR),
             _ => {}
         }
     }
 
-    /// At most one cut for what was in flight at once.
-    fn cut_limit(&mut self, now: Instant, latency: f64, factor: f64) {
-        if (now - self.limit_cut_at).secs() > latency {
+    /// At most one cut for what was in flight at once, by the time that the last attempt took.
+    fn cut_limit(&mut self, now: Instant, factor: f64) {
+        if (now - self.limit_cut_at).secs() > self.last_latency {
             let factor = factor.clamp(MIN_DECREASE_FACTOR, MAX_DECREASE_FACTOR);
             self.concurrency_limit = (self.concurrency_limit * factor).max(self.min_concurrency_limit);
             self.limit_cut_at = now;
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -14,12 +14,12 @@
 
 impl Node {
     /// Credit and health follow each result; gives whether the node is an outlier, where that changes.
-    pub(super) fn record_health(&mut self, result: &AttemptResult, objective: f64) -> Option<bool> {
+    pub(super) fn record_health(&mut self, result: &AttemptResult) -> Option<bool> {
         let credit = match result.outcome {
             Outcome::Done => 1.0,
             // A quick error shows that the node has capacity for another try, as an answer does: against
             // nodes that fail by chance. Hurts where errors are quick because a node is overrun.
-            Outcome::Error if result.latency < LATENCY_TARGET * objective => FAST_ERROR_CREDIT,
+            Outcome::Error if result.latency < LATENCY_TARGET * result.objective => FAST_ERROR_CREDIT,
             _ => 0.0,
         };
         self.retry_credit = (self.retry_credit + credit).min(MAX_RETRY_CREDIT);
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -29,8 +29,7 @@
         let Some(volume) = self.volumes.get_mut(&request.volume) else { return };
         let own = if done { request.units } else { 0.0 };
         Self::advance_share(volume, now);
-        let few = MIN_SHARD_SAMPLE * self.mean_units;
-        volume.limit_share.record_service(now, shard, own, others, few);
+        volume.limit_share.record_service(now, shard, own, others, MIN_SHARD_SAMPLE * self.mean_units);
     }
 
     /// Hosts lend each other shares of a volume's limit. Whoever reports this sees to it that all shares sum
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -18,7 +18,8 @@
     pub fn attempt_ended(&mut self, now: Instant, end: AttemptEnd) {
         self.now = now;
         let Some(request) = self.requests.get_mut(&end.request) else { return };
-        let Some(result) = request.attempt_finished(&end) else { return };
+        let objective = self.classes[request.class.0 as usize].latency_objective;
+        let Some(result) = request.attempt_finished(&end, objective) else { return };
         self.release_key(result.ordered_key, end.outcome);
         let is_done = end.outcome == Outcome::Done;
         let is_lost = self.record_at_node(&result);
@@ -34,18 +35,17 @@
     /// Counts the attempt at its node; whether this shows that an attempt got lost.
     fn record_at_node(&mut self, result: &AttemptResult) -> bool {
         let class = &self.classes[result.class.0 as usize];
-        let (id, objective) = (result.attempt.node, class.latency_objective);
-        let judges_node = self.judges_nodes(objective);
+        let (id, judges_node) = (result.attempt.node, self.judges_nodes(class));
         let Some(node) = self.nodes.get_mut(&id) else { return false };
         node.attempt_finished(class.priority.rank, result.units);
         self.pending_shards.insert(node.shard);
         // A timed-out attempt got lost if a later one was answered meanwhile, or else if the next is fast.
         let (is_done, is_timeout) = (result.outcome == Outcome::Done, result.outcome == Outcome::TimedOut);
         let (had_timeout, overtaken) = (node.has_unexplained_timeout, result.was_overtaken(node));
-        let is_fast = result.latency < LATENCY_TARGET * objective.secs();
+        let is_fast = result.latency < LATENCY_TARGET * result.objective;
         node.has_unexplained_timeout = if is_timeout { !overtaken } else { had_timeout && !is_done };
-        node.adjust_limit(self.now, result, objective.secs(), judges_node);
-        let outlier = node.record_health(result, objective.secs());
+        node.adjust_limit(self.now, result, judges_node);
+        let outlier = node.record_health(result);
         let (good, bad) = (node.successes, node.failures);
         if is_done {
             // Against nodes that are quick with what they have cached: it is no sign of what they can do, and
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -85,6 +85,8 @@
     pub latency: f64,
     /// Of its request.
     pub class: TrafficClassId,
+    /// Seconds of its traffic class's latency objective.
+    pub objective: f64,
     /// Of its request.
     pub units: f64,
     /// Of its request.
@@ -168,7 +170,7 @@
     }
 
     /// Removes an attempt that has ended, and its possible effect where there can't be any.
-    pub fn attempt_finished(&mut self, end: &AttemptEnd) -> Option<AttemptResult> {
+    pub fn attempt_finished(&mut self, end: &AttemptEnd, objective: TimeDelta) -> Option<AttemptResult> {
         let index = self.in_flight.iter().position(|attempt| attempt.number == end.number.0)?;
         if !end.outcome.may_have_run() {
             self.first_effect = self.first_effect.filter(|first| first.attempt != end.number.0);
@@ -178,6 +180,7 @@
             outcome: end.outcome,
             latency: end.latency.secs(),
             class: self.class,
+            objective: objective.secs(),
             units: self.units,
             ordered_key: self.ordered_key,
             is_repeat: self.is_repeat,
