--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -181,7 +181,9 @@
         };
         let (begin_by, timeout) = (self.dedup_until(request), self.attempt_timeout(request, record));
         let at_limit = (record.in_flight + 1) as f64 >= record.concurrency_limit * BEST_EFFORT_FRACTION;
-        self.record_attempt(shard, dispatch, at_limit, RECENT_KEYS);
+        let weight = self.plans[request.plan.0 as usize].weight;
+        let weighted_cost = (!dispatch.is_reserved).then_some(request.units / weight);
+        self.record_attempt(shard, dispatch, SendTerms { at_limit, weighted_cost, recent_keys: RECENT_KEYS });
         Decision::Send { request: id, node, timeout, begin_by }
     }
 
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -20,7 +20,8 @@
         let Some(request) = self.requests.get_mut(&end.request) else { return };
         let objective = self.classes[request.class.0 as usize].latency_objective;
         let Some(result) = request.attempt_finished(&end, objective) else { return };
-        self.release_key(result.ordered_key, end.outcome);
+        let settled_at = end.outcome.may_be_running().then_some(now + self.key_settle_time);
+        self.release_key(result.ordered_key, settled_at);
         let is_done = end.outcome == Outcome::Done;
         let is_lost = self.record_at_node(&result);
         self.record_loss(is_lost, is_done);
--- a/src/state.rs
+++ b/src/state.rs
@@ -29,7 +29,7 @@
 pub use retry_budget::RetryBudget;
 pub use scheduler::Scheduler;
 pub use service_rate::ServiceRate;
-pub use shard::{Candidate, Dispatch, QueueEnd, QueueId, Score, Shard};
+pub use shard::{Candidate, Dispatch, QueueEnd, QueueId, Score, SendTerms, Shard};
 pub use timers::{Timer, Timers};
 pub use traffic_class::{rank_by_latency_objective, Priority, TrafficClass};
 pub use volume::{forget_idle_volumes, Volume};
--- a/src/state/scheduler.rs
+++ b/src/state/scheduler.rs
@@ -121,7 +121,7 @@
     }
 
     /// Counts an attempt that is sent: against its volume, its node, its key and the retry budget.
-    pub(crate) fn record_attempt(&mut self, id: ShardId, sent: Dispatch, at_limit: bool, recent_keys: usize) {
+    pub(crate) fn record_attempt(&mut self, id: ShardId, sent: Dispatch, terms: SendTerms) {
         let (Some(request), Some(node)) =
             (self.requests.get_mut(&sent.request), self.nodes.get_mut(&sent.node))
         else {
@@ -131,17 +131,17 @@
         if let Some(volume) = self.volumes.get_mut(&request.volume) {
             volume.charge(request.units, request.is_charged, sent.is_reserved);
         }
-        if !sent.is_reserved {
-            shard.charge(request.volume, request.units / self.plans[request.plan.0 as usize].weight);
+        if let Some(cost) = terms.weighted_cost {
+            shard.charge(request.volume, cost);
         }
         if request.attempts > 0 {
             node.retry_credit -= 1.0;
             self.retry_budget.record_retry(self.now);
         }
         if let Some(key) = request.key {
-            request.is_repeat = shard.record_key(key, recent_keys);
+            request.is_repeat = shard.record_key(key, terms.recent_keys);
         }
-        request.attempt_started(self.now, sent.node, node, at_limit);
+        request.attempt_started(self.now, sent.node, node, terms.at_limit);
         let rank = self.classes[request.class.0 as usize].priority.rank;
         node.attempt_started(self.now, rank, request.units);
         if let Some(queue) = request.ordered_key.and_then(|key| self.key_queues.get_mut(&key)) {
@@ -149,11 +149,10 @@
         }
     }
 
-    /// An attempt on this key has ended.
-    pub(crate) fn release_key(&mut self, key: Option<KeyId>, outcome: Outcome) {
+    /// An attempt on this key has ended; it may still be running until `settled_at`, where one is given.
+    pub(crate) fn release_key(&mut self, key: Option<KeyId>, settled_at: Option<Instant>) {
         let Some(key) = key else { return };
         let Some(queue) = self.key_queues.get_mut(&key) else { return };
-        let settled_at = outcome.may_be_running().then_some(self.now + self.key_settle_time);
         queue.attempt_finished(settled_at);
         // Against a memory of keys that grows with each unknown end: a rested key is looked at once more.
         if let Some(settled_at) = settled_at {
--- a/src/state/shard.rs
+++ b/src/state/shard.rs
@@ -47,6 +47,17 @@
     pub is_reserved: bool,
 }
 
+/// How a request that is sent counts.
+#[derive(Clone, Copy, Debug)]
+pub struct SendTerms {
+    /// The concurrency limit is what holds requests back.
+    pub at_limit: bool,
+    /// What its volume is charged in fair queueing; none: nothing.
+    pub weighted_cost: Option<f64>,
+    /// Keys that are remembered of a shard.
+    pub recent_keys: usize,
+}
+
 /// The part of the data that one node holds.
 #[derive(Default)]
 pub struct Shard {
