--- a/crates/host-core/src/fellows.rs
+++ b/crates/host-core/src/fellows.rs
@@ -222,7 +222,7 @@
 
     /// This host goes by plans that change, and has these changes.
     pub fn begin_papers(&mut self, plans: &crate::Plans) {
-        let texts = plans.texts().map(|(n, t)| (n, Bytes::from(t)));
+        let texts = plans.texts().map(|(number, text)| CatalogUpdate { number, text: Bytes::from(text) });
         let (number, mark) = plans.newest_mark();
         self.member.catalog.enable(CatalogVersion { number, mark }, texts);
     }
--- a/crates/membership/src/catalog_replication.rs
+++ b/crates/membership/src/catalog_replication.rs
@@ -85,10 +85,10 @@
 
 impl CatalogReplication {
     /// This host takes part, and has these updates.
-    pub fn enable(&mut self, newest: CatalogVersion, texts: impl IntoIterator<Item = (u64, Bytes)>) {
+    pub fn enable(&mut self, newest: CatalogVersion, updates: impl IntoIterator<Item = CatalogUpdate>) {
         self.enabled = true;
         self.newest = newest;
-        self.texts = texts.into_iter().collect();
+        self.texts = updates.into_iter().map(|update| (update.number, update.text)).collect();
     }
 
     /// Whether this host takes part.
--- a/crates/membership/tests/decision_hash.rs
+++ b/crates/membership/tests/decision_hash.rs
@@ -1,6 +1,6 @@
 //! Guards the decisions of the membership state machine: a seeded simulation of a few members whose datagrams are lost,
-//! duplicated and reordered, and which are isolated, stand still, leave, and restart from what they persisted. Failure
-//! detection, quota leases, operators' orders, catalog updates and node list removals all run. Every output is folded
+//! duplicated and reordered, and which are isolated, paused, leave, and restart from what they persisted. Failure
+//! detection, quota leases, operators' overrides, catalog updates and node list removals all run. Every output is folded
 //! into a SHA-256 hash, which stands here as a constant. The hash covers encoded bytes and numbers only, so that renaming
 //! a type or rewording a log line leaves it as it is, while any other decision moves it.
 
@@ -51,7 +51,7 @@
         self.bytes(address.to_string().as_bytes());
     }
 
-    /// Of a line for people only its digits: its words may change.
+    /// Of a log line only its digits: its words may change.
     fn log_line(&mut self, line: &str) {
         let digits: Vec<u8> = line.bytes().filter(u8::is_ascii_digit).collect();
         self.bytes(&digits);
@@ -92,10 +92,10 @@
     leaves_at: Option<f64>,
     starts_at: f64,
     isolated_until: f64,
-    stands_still_until: f64,
-    /// Units a second that its clients ask.
+    paused_until: f64,
+    /// Units a second that its clients demand.
     demand: f64,
-    orders: Vec<Origin>,
+    overrides: Vec<Origin>,
     /// Members that it held dead at the last look.
     dead: BTreeSet<u32>,
 }
@@ -119,8 +119,8 @@
     came_back: u64,
     taken_over: u64,
     steps_with_borrowed_quota: u64,
-    orders_held: u64,
-    orders_cleared: u64,
+    overrides_set: u64,
+    overrides_cleared: u64,
     updates_received: u64,
     nodes_removed: u64,
     persisted_members: u64,
@@ -145,7 +145,7 @@
     sent: u64,
     now: f64,
     incarnations: u64,
-    order_number: u64,
+    override_number: u64,
     update_number: u64,
     list_version: u64,
     random: oorandom::Rand64,
@@ -175,7 +175,7 @@
             sent: 0,
             now: 0.0,
             incarnations: 0,
-            order_number: 0,
+            override_number: 0,
             update_number: 0,
             list_version: 0,
             random: oorandom::Rand64::new(u128::from(seed)),
@@ -239,12 +239,12 @@
                 self.hash.origin(&origin);
                 self.hash.body(Body::Overrides(vec![record]));
                 self.hash.real(seconds);
-                self.totals.orders_held += 1;
+                self.totals.overrides_set += 1;
             }
             Output::Override(OverrideEvent::Clear { origin }) => {
                 self.hash.number(4);
                 self.hash.origin(&origin);
-                self.totals.orders_cleared += 1;
+                self.totals.overrides_cleared += 1;
             }
             Output::CatalogUpdate(update) => {
                 self.hash.number(5);
@@ -286,7 +286,7 @@
         }
     }
 
-    /// A catalog update is applied and told on.
+    /// A catalog update is applied, and peers are told.
     fn take_update(&mut self, host: u32, number: u64) {
         let text = update_text(number);
         self.host(host).updates.insert(number, text.clone());
@@ -314,10 +314,10 @@
 
     fn deliver_due(&mut self) {
         let now = self.now;
-        let stands_still = |host: u32| self.hosts[host as usize].stands_still_until > now;
+        let is_paused = |host: u32| self.hosts[host as usize].paused_until > now;
         let (mut due, later): (Vec<InFlight>, Vec<InFlight>) = std::mem::take(&mut self.in_flight)
             .into_iter()
-            .partition(|datagram| datagram.due <= now && !stands_still(datagram.to));
+            .partition(|datagram| datagram.due <= now && !is_paused(datagram.to));
         self.in_flight = later;
         due.sort_by(|a, b| a.due.total_cmp(&b.due).then(a.number.cmp(&b.number)));
         for InFlight { from, to, bytes, .. } in due {
@@ -365,10 +365,12 @@
         let mut member = Member::new(now, settings);
         let newest = host.updates.keys().last().copied().unwrap_or(0);
         let mark = if newest > 0 { update_mark(newest) } else { 0 };
-        member.catalog.enable(CatalogVersion { number: newest, mark }, host.updates.clone());
+        let updates = host.updates.iter();
+        let updates = updates.map(|(number, text)| CatalogUpdate { number: *number, text: text.clone() });
+        member.catalog.enable(CatalogVersion { number: newest, mark }, updates);
         host.member = Some(member);
         host.dead.clear();
-        host.orders.clear();
+        host.overrides.clear();
         self.drain(number);
     }
 
@@ -396,7 +398,7 @@
         hash.numbers([counters.malformed, counters.dropped, counters.wrong_address, counters.other_fleets]);
     }
 
-    /// Restarts, isolations, pauses of a process, and hosts that leave in order.
+    /// Restarts, isolations, pauses of a process, and hosts that leave gracefully.
     fn disturb(&mut self) {
         let host = self.random_host();
         let until = self.now + 0.5 + self.random.rand_float() * 4.0;
@@ -407,7 +409,7 @@
             self.host(host).isolated_until = until;
         }
         if self.chance(0.004) {
-            self.host(host).stands_still_until = until;
+            self.host(host).paused_until = until;
         }
         if self.chance(0.002) && self.host(host).leaves_at.is_none() && self.host(host).member.is_some() {
             self.host(host).leaves_at = Some(self.now + 1.0);
@@ -419,7 +421,7 @@
         for number in 0..self.group.members {
             let (now, clock) = (self.now, self.clock(number));
             let host = self.host(number);
-            if host.stands_still_until > now {
+            if host.paused_until > now {
                 continue;
             }
             let Some(member) = &host.member else {
@@ -440,7 +442,7 @@
         }
     }
 
-    /// Clients' demand, operators' orders, catalog updates, node lists and consensus traffic.
+    /// Clients' demand, operators' overrides, catalog updates, node lists and consensus traffic.
     fn run_inputs(&mut self) {
         for host in 0..self.group.members {
             if self.chance(0.01) {
@@ -454,10 +456,10 @@
         }
         let host = self.random_host();
         if self.chance(0.01) {
-            self.give_order(host);
+            self.set_override(host);
         }
         if self.chance(0.005) {
-            self.clear_order(host);
+            self.clear_random_override(host);
         }
         if self.chance(0.005) {
             self.publish_update(host);
@@ -472,15 +474,15 @@
         }
     }
 
-    fn give_order(&mut self, host: u32) {
+    fn set_override(&mut self, host: u32) {
         if self.hosts[host as usize].member.is_none() {
             return;
         }
-        self.order_number += 1;
-        let (number, generation) = (self.order_number, self.hosts[host as usize].generation);
+        self.override_number += 1;
+        let (number, generation) = (self.override_number, self.hosts[host as usize].generation);
         let remaining_ms = 2_000 + self.random.rand_range(0..30_000);
         let kinds = [OverrideKind::Out, OverrideKind::Pinned, OverrideKind::Weight(0.25)];
-        let order = OverrideRecord {
+        let record = OverrideRecord {
             slot: host,
             generation,
             number,
@@ -492,12 +494,12 @@
             total_ms: remaining_ms,
             cleared: false,
         };
-        self.host(host).orders.push(Origin { slot: host, generation, number });
-        self.input(host, |member, now| member.add_override(now, order));
+        self.host(host).overrides.push(Origin { slot: host, generation, number });
+        self.input(host, |member, now| member.add_override(now, record));
     }
 
-    fn clear_order(&mut self, host: u32) {
-        let Some(name) = self.host(host).orders.pop() else { return };
+    fn clear_random_override(&mut self, host: u32) {
+        let Some(name) = self.host(host).overrides.pop() else { return };
         self.input(host, |member, _| member.clear_override(name));
     }
 
@@ -517,8 +519,8 @@
         self.list_version += 1;
         let version = if self.chance(0.1) { self.list_version / 2 } else { self.list_version };
         let stop = |i: u64| NodeRemoval { address: format!("10.1.0.{i}:3260"), gone: i.is_multiple_of(2) };
-        let stops: Vec<NodeRemoval> = (0..version % 25).map(stop).collect();
-        self.input(host, |member, now| member.handle_node_list(now, version, stops));
+        let removals: Vec<NodeRemoval> = (0..version % 25).map(stop).collect();
+        self.input(host, |member, now| member.handle_node_list(now, version, removals));
     }
 
     fn fold_status(&mut self) {
@@ -600,7 +602,7 @@
     assert!(totals.suspected >= 20 && totals.refuted >= 1, "{totals:?}");
     assert!(totals.died >= 20 && totals.came_back >= 10, "{totals:?}");
     assert!(totals.steps_with_borrowed_quota >= 500, "{totals:?}");
-    assert!(totals.orders_held >= 20 && totals.orders_cleared >= 2, "{totals:?}");
+    assert!(totals.overrides_set >= 20 && totals.overrides_cleared >= 2, "{totals:?}");
     assert!(totals.updates_received >= 10 && totals.nodes_removed >= 20, "{totals:?}");
     assert!(totals.persisted_members >= 20 && totals.consensus_messages >= 50, "{totals:?}");
 }
--- a/crates/membership/tests/member.rs
+++ b/crates/membership/tests/member.rs
@@ -1,4 +1,5 @@
-//! One member alone: hostile and damaged datagrams, another generation of its own slot, and hosts that were thought dead.
+//! One member alone: hostile and malformed datagrams, precedence of updates, another generation of its own slot, overrides
+//! that have ended, and catalog updates that nobody has.
 
 use bytes::Bytes;
 use std::net::SocketAddr;
@@ -14,7 +15,7 @@
     Member::new(Instant::from_secs(10.0), settings(generation))
 }
 
-fn recalling(persisted: Vec<KnownPeer>) -> Member {
+fn with_persisted(persisted: Vec<KnownPeer>) -> Member {
     Member::new(Instant::from_secs(10.0), MemberSettings { persisted, ..settings(5) })
 }
 
@@ -59,9 +60,9 @@
 }
 
 #[test]
-fn hosts_that_the_disk_has_beyond_the_told_number_are_let_go() {
-    // Of a fleet of five now; the disk is of a larger one.
-    let mut m = recalling(vec![peer(1, 9), peer(4, 9), peer(7, 9)]);
+fn persisted_peers_beyond_the_fleet_size_are_dropped() {
+    // The fleet has five hosts; the store is of a larger one.
+    let mut m = with_persisted(vec![peer(1, 9), peer(4, 9), peer(7, 9)]);
     let mut called = std::collections::BTreeSet::new();
     let mut written = Vec::new();
     for t in 0..200 {
@@ -79,9 +80,9 @@
 }
 
 #[test]
-fn what_wins_of_two_words_on_a_host() {
+fn precedence_of_two_updates_on_a_member() {
     use Health::*;
-    // What is heard one after the other of host 1: generation, incarnation, health; and what holds then.
+    // Updates on host 1 one after the other, as generation, incarnation and health; and what holds then.
     type State = (u64, u32, Health);
     let cases: &[(&[State], State)] = &[
         (&[(1, 0, Alive), (1, 0, Suspect)], (1, 0, Suspect)),
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn what_is_false_of_this_host_is_answered_and_a_later_generation_displaces_it() {
+fn false_updates_on_this_host_are_refuted_and_a_later_generation_displaces_it() {
     let mut m = member(5);
     let now = Instant::from_secs(11.0);
     m.handle_datagram(now, address(1), datagram(1, 9, Body::Gossip, vec![update(0, 5, 3, Health::Dead)]));
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn hostile_datagrams_cost_no_more_than_the_bounds() {
+fn hostile_datagrams_stay_within_all_limits() {
     let mut m = member(5);
     let mut c = oorandom::Rand64::new(4);
     let mut now = 11.0;
@@ -156,7 +157,7 @@
             let at = c.rand_range(0..bytes.len() as u64) as usize;
             bytes[at] ^= 1 << c.rand_range(0..8);
         }
-        // From hosts' own addresses, from others', and from where no peer is admitted.
+        // From hosts' own addresses, from others', and outside the allowed networks.
         let from =
             if i % 7 == 0 { "192.168.0.1:9".parse().unwrap() } else { address(c.rand_range(1..9) as u32) };
         m.record_demand(t, 1, 0.2);
@@ -177,8 +178,8 @@
 }
 
 #[test]
-fn an_order_that_was_cleared_or_has_ended_never_comes_back() {
-    let order = |remaining_ms, cleared| OverrideRecord {
+fn an_override_that_was_cleared_or_has_ended_never_comes_back() {
+    let record = |remaining_ms, cleared| OverrideRecord {
         slot: 1,
         generation: 1,
         number: 7,
@@ -190,12 +191,12 @@
         total_ms: 60_000,
         cleared,
     };
-    // What is learned and when; how often the host is told to hold it, and to let it go.
+    // What is merged and when; how often the host is told to set it, and to clear it.
     type Step = (f64, u64, bool);
     let cases: &[(&str, &[Step], (usize, usize))] = &[
         ("once", &[(10.0, 60_000, false), (11.0, 59_000, false)], (1, 0)),
         ("cleared", &[(10.0, 60_000, false), (20.0, 50_000, true), (21.0, 49_000, false)], (1, 1)),
-        ("cleared before it was heard of", &[(10.0, 50_000, true), (11.0, 60_000, false)], (0, 0)),
+        ("cleared before it was learned", &[(10.0, 50_000, true), (11.0, 60_000, false)], (0, 0)),
         ("ended", &[(10.0, 1_000, false), (12.0, 30_000, false)], (1, 0)),
         ("ended elsewhere", &[(10.0, 0, false)], (0, 0)),
     ];
@@ -205,7 +206,7 @@
         for (at, left, cleared) in *steps {
             let t = Instant::from_secs(*at);
             s.handle_timeout(t);
-            s.merge(t, order(*left, *cleared));
+            s.merge(t, record(*left, *cleared));
             while let Some(d) = s.poll_event() {
                 match d {
                     OverrideEvent::Set { .. } => held += 1,
@@ -218,12 +219,12 @@
 }
 
 #[test]
-fn a_flood_that_nobody_takes_loses_datagrams_and_never_an_order() {
+fn a_flood_drops_datagrams_and_never_an_override() {
     let mut m = member(5);
     let t = Instant::from_secs(11.0);
     let (target, reason, who) = ("zone:1".into(), "r".into(), "w".into());
     let (kind, remaining_ms, total_ms) = (OverrideKind::Out, 60_000, 60_000);
-    let order = OverrideRecord {
+    let record = OverrideRecord {
         slot: 1,
         generation: 1,
         number: 7,
@@ -235,20 +236,20 @@
         total_ms,
         cleared: false,
     };
-    m.handle_datagram(t, address(1), datagram(1, 1, Body::Overrides(vec![order]), vec![]));
+    m.handle_datagram(t, address(1), datagram(1, 1, Body::Overrides(vec![record]), vec![]));
     for seq in 0..6_000 {
         m.handle_datagram(t, address(1), datagram(1, 1, Body::Probe(ProbeMessage::Ping { seq }), vec![]));
     }
     let all: Vec<Output> = std::iter::from_fn(|| m.poll_output()).collect();
     assert!(
         all.iter().any(|o| matches!(o, Output::Override(OverrideEvent::Set { .. }))),
-        "it is told once, and not lost"
+        "it is reported once, and not dropped"
     );
     assert!(all.len() <= 4_100 && m.counters.dropped > 1_000, "{} and {:?}", all.len(), m.counters);
 }
 
 #[test]
-fn a_change_that_nobody_has_holds_nothing_up_and_pieces_count_only_as_asked() {
+fn an_update_that_nobody_has_blocks_nothing_and_only_requested_chunks_count() {
     let mut m = member(5);
     m.catalog.enable(CatalogVersion::default(), []);
     let at = |s: f64| Instant::from_secs(10.0 + s);
@@ -257,9 +258,9 @@
     m.handle_datagram(at(0.0), address(1), datagram(1, 1, version(u64::MAX), vec![]));
     assert_eq!((m.catalog.missing(), m.catalog.is_up_to_date()), (Some(u64::MAX), false));
     (1..40).for_each(|i| m.handle_timeout(at(f64::from(i) * 0.1)));
-    assert_eq!((m.catalog.missing(), m.catalog.is_up_to_date()), (None, true), "nobody brings it");
+    assert_eq!((m.catalog.missing(), m.catalog.is_up_to_date()), (None, true), "nobody has it");
 
-    // A real one, of three pieces; between them come pieces that were not asked for, or of others, and doubled ones.
+    // A real one, of three chunks; between them arrive chunks that were not requested, of other peers, and duplicates.
     let text: Vec<u8> = (0..3000u32).map(|i| i as u8).collect();
     let piece = |i: u16| {
         Body::Catalog(CatalogMessage::Chunk {
@@ -289,7 +290,7 @@
     );
     assert_eq!((m.catalog.missing(), m.catalog.is_up_to_date(), m.catalog.newest()), (None, true, 1));
 
-    // Endless pieces end at the bound of one text.
+    // Endless chunks end at the greatest length of an update.
     m.handle_datagram(at(6.0), address(1), datagram(1, 1, version(2), vec![]));
     for i in 0..1000u16 {
         let bytes = Bytes::from(vec![0; 1200]);
--- a/crates/membership/tests/quota_leases.rs
+++ b/crates/membership/tests/quota_leases.rs
@@ -1,5 +1,5 @@
-//! The terms of loans explored: small worlds in which messages are late, lost, doubled and out of order, hosts restart and
-//! leave, and clocks run apart. At every moment the parts in use must sum to no more than the whole.
+//! Quota leases explored: small worlds in which messages are late, lost, duplicated and out of order, hosts restart and
+//! leave, and clocks run apart. At every moment the shares in use must sum to no more than the whole.
 
 use std::collections::BTreeSet;
 use tackmast::interface::{Instant, TimeDelta};
@@ -23,7 +23,7 @@
     has_left: bool,
     clock_offset: f64,
     clock_rate: f64,
-    /// Units a second that its clients ask.
+    /// Units a second that its clients demand.
     demand: f64,
 }
 
@@ -94,7 +94,7 @@
                 l.handle_timeout(at, &live);
             }
             self.drain(h);
-            // The mark of a leave stands until nothing of it can be out, over any number of generations.
+            // The marker of a leave stays until no lease of it can be in use, over any number of generations.
             if self.hosts[h]
                 .leases
                 .as_ref()
@@ -110,7 +110,7 @@
         while let Some(LeaseTransmit { to, message }) =
             self.hosts[h].leases.as_mut().and_then(QuotaLeases::poll_transmit)
         {
-            // A letter box that is full loses the oldest.
+            // A full network drops the oldest message.
             if self.in_flight.len() > 24 {
                 self.in_flight.remove(0);
             }
@@ -153,7 +153,7 @@
     }
 }
 
-/// One walk by chance; the step at which the sum was passed.
+/// One random walk; the step at which the sum was exceeded.
 fn walk(seed: u64, fault: Option<LeaseFault>) -> Option<usize> {
     let mut c = oorandom::Rand64::new(u128::from(seed));
     let n = 2 + (seed % 3) as u32;
@@ -202,7 +202,7 @@
         explore(&next, depth - 1, seen)
     };
     go(&|w| w.advance(TERM * 0.45), seen)?;
-    // Letters that say the same to the same differ in nothing that matters: each of the last few is tried.
+    // Of many messages only the last few are tried: equal ones to one host differ in nothing that matters.
     for i in w.in_flight.len().saturating_sub(4)..w.in_flight.len() {
         go(&|w| w.deliver(i, false), seen)?;
         go(&|w| w.deliver(i, true), seen)?;
@@ -214,9 +214,9 @@
 }
 
 #[test]
-fn all_small_worlds_keep_the_sum() {
+fn all_small_worlds_keep_the_sum_of_shares() {
     let mut seen = 0;
-    // From the start, and from where a loan stands; one clock fast, one slow.
+    // From the start, and from where a lease runs; one clock fast, one slow.
     for depth_before in [0, 9] {
         let mut w =
             World::new(2, &[120.0, 0.0], |i| 1.0 + DRIFT / 2.0 * if i == 0 { -1.0 } else { 1.0 }, None);
@@ -233,14 +233,14 @@
 }
 
 #[test]
-fn walks_by_chance_keep_the_sum_and_move_parts() {
+fn random_walks_keep_the_sum_of_shares_and_leases_are_granted() {
     let walks = if cfg!(debug_assertions) { 2_000 } else { 40_000 };
-    // Found by walks in their time, and mended: the mark of a leave that a second restart lost (seed 264), and a lender's
-    // generation that was forgotten with the end of its loan (seed 1686).
+    // Found by walks once, and fixed: the marker of a leave that a second restart lost (seed 264), and a lender's
+    // generation that was forgotten with the end of its lease (seed 1686).
     for seed in 0..walks {
         assert_eq!(walk(seed, None), None, "seed {seed}");
     }
-    // And loans do move: two hosts, one of which asks for all.
+    // And leases are granted: two hosts, one of which demands all.
     let mut w = World::new(2, &[150.0, 0.0], |_| 1.0, None);
     for _ in 0..20 {
         w.advance(TERM / 5.0);
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn each_fault_of_the_terms_is_found() {
+fn each_lease_fault_is_found() {
     // The fault, and the seeds of walks within which it must be found.
     for (fault, within) in [
         (LeaseFault::TermFromReceipt, 300),
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn a_host_that_leaves_hands_its_part_on_and_takes_it_back() {
+fn a_host_that_leaves_lends_its_share_and_gets_it_back() {
     let mut w = World::new(3, &[150.0, 60.0, 10.0], |_| 1.0, None);
     let settle = |w: &mut World, seconds: f64| {
         let until = w.now + seconds;
@@ -288,8 +288,8 @@
     settle(&mut w, 0.5);
     w.hosts[2].leases = None;
     settle(&mut w, 1.5);
-    assert!(w.in_use() > 0.97, "its part is used by others: {}", w.in_use());
-    // Its next generation has nothing at first, and all of it once the others have said that they hold none.
+    assert!(w.in_use() > 0.97, "its share is used by others: {}", w.in_use());
+    // Its next generation has nothing at first, and all of it once the others have answered that they hold none.
     w.hosts[2].demand = 150.0;
     w.start(2);
     let m = w.hosts[2].leases.as_ref().unwrap().balance(w.clock(2), 1).unwrap();
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn false_words_of_peers_move_nothing_that_is_not_theirs() {
+fn false_messages_of_peers_move_only_their_own_shares() {
     let owners = vec![0, 1, 2];
     let at = Instant::from_secs(50.0);
     let shared_limits = vec![SharedLimit { volume: 1, limit: 100.0, owners }];
@@ -356,7 +356,7 @@
         };
         l.handle_message(t, MemberId { slot: from, generation }, message);
         let m = l.balance(t, 1).unwrap();
-        // At most each other owner's own part, and never for a host that owns none.
+        // At most each other owner's own share, and never for a host that owns none.
         assert!(m.borrowed <= 2.0 / 3.0 + 1e-9 && m.lent <= 1.0 / 3.0 + 1e-9, "{m:?}");
         assert!(l.balance(t, 0).is_none() && l.balance(t, 2).is_none());
     }
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -1,4 +1,4 @@
-//! One view alone, fed by hand: what it takes in, whom it accuses, when it holds back, and what it says of sites.
+//! One view alone, fed by hand: which updates it merges, whom it suspects, when it holds back, and how it sees sites.
 
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, TimeDelta};
@@ -25,7 +25,7 @@
     Instant::from_secs(100.0 + periods)
 }
 
-/// Of host 0, with periods of a second; it has heard of hosts 1 to n.
+/// The view of host 0, with protocol periods of a second; it has received datagrams of hosts 1 to n.
 fn view(n: u32, extensions: Extensions) -> View {
     let settings = ViewSettings { protocol_period: TimeDelta::from_secs(1.0), max_hosts: 20, extensions };
     let mut v = View::new(at(0.0), update(0, 50, 0, Health::Alive), vec![], &[], settings, 7);
@@ -36,7 +36,8 @@
     v
 }
 
-/// Ticks up to then; `answers` of the hosts' pings come back at once, and each of those hosts is heard each period.
+/// Runs from one time to another: hosts in `answers` answer pings at once, and datagrams of those in `received` arrive all
+/// the while.
 fn run(v: &mut View, from: f64, to: f64, answers: &[u32], received: &[u32]) {
     let mut t = from;
     while t < to {
@@ -67,19 +68,19 @@
 }
 
 #[test]
-fn who_is_accused_and_who_is_given_time() {
+fn members_are_declared_dead_unless_this_host_is_unwell() {
     use Health::*;
     let no_local_health = Extensions { local_health: false, ..Extensions::all() };
-    // Whose answers come, who is heard, the ways, and what holds of host 1 then, after so many periods.
+    // Who answers, whose datagrams are received, the extensions, and the health of host 1 after so many periods.
     type Case<'a> = (&'a str, &'a [u32], &'a [u32], Extensions, f64, Health);
     let cases: &[Case] = &[
         ("all answer", &[1, 2, 3, 4, 5], &[1, 2, 3, 4, 5], Extensions::all(), 60.0, Alive),
-        ("one is gone, and others say so", &[2, 3, 4, 5], &[2, 3, 4, 5], Extensions::all(), 60.0, Dead),
-        ("one hears nothing, but speaks", &[2, 3, 4, 5], &[1, 2, 3, 4, 5], Extensions::all(), 80.0, Dead),
-        ("nobody answers, all are heard", &[], &[1, 2, 3, 4, 5], Extensions::all(), 60.0, Alive),
+        ("one fails, and others confirm it", &[2, 3, 4, 5], &[2, 3, 4, 5], Extensions::all(), 60.0, Dead),
+        ("one receives nothing, but sends", &[2, 3, 4, 5], &[1, 2, 3, 4, 5], Extensions::all(), 80.0, Dead),
+        ("nobody answers, all are received", &[], &[1, 2, 3, 4, 5], Extensions::all(), 60.0, Alive),
         ("the same without local health", &[], &[1, 2, 3, 4, 5], no_local_health, 60.0, Dead),
-        ("nobody is heard for a while", &[], &[], Extensions::all(), 20.0, Alive),
-        ("nobody is heard for long", &[], &[], Extensions::all(), 120.0, Dead),
+        ("nothing is received for a while", &[], &[], Extensions::all(), 20.0, Alive),
+        ("nothing is received for long", &[], &[], Extensions::all(), 120.0, Dead),
     ];
     for (name, answers, received, extensions, periods, expected) in cases {
         let mut v = view(5, *extensions);
@@ -89,30 +90,30 @@
 }
 
 #[test]
-fn what_was_found_alone_gives_way_to_any_word_and_is_told_only_later() {
+fn deaths_declared_in_isolation_yield_to_any_update_and_are_gossiped_later() {
     let mut v = view(3, Extensions::all());
     run(&mut v, 0.0, 120.0, &[], &[]);
     assert_eq!([1, 2, 3].map(|h| health(&v, h)), [Some(Health::Dead); 3]);
     let told = |v: &View| v.all_updates().into_iter().flatten().filter(|n| n.slot > 0).count();
-    assert_eq!(told(&v), 0, "nobody can have heard it, and nobody shall");
-    // Host 1 is heard, and says that 2 is there; nobody speaks of 3.
+    assert_eq!(told(&v), 0, "a death that was declared in isolation is not gossiped");
+    // Host 1 is received, and tells that 2 is alive; nobody tells of 3.
     v.merge(at(121.0), update(1, 10, 0, Health::Alive));
     v.handle_received(at(121.0), 1, 10);
     v.merge(at(121.0), update(2, 10, 0, Health::Alive));
     assert_eq!([1, 2].map(|h| health(&v, h)), [Some(Health::Alive); 2]);
     run(&mut v, 121.0, 130.0, &[1, 2], &[1, 2]);
-    assert_eq!((health(&v, 3), told(&v)), (Some(Health::Dead), 3), "it stands by what nobody took back");
+    assert_eq!((health(&v, 3), told(&v)), (Some(Health::Dead), 3), "it confirms what nobody contradicted");
 }
 
 #[test]
-fn a_stop_is_nobody_elses_fault_and_a_probe_of_an_earlier_generation_accuses_none() {
+fn neither_a_pause_nor_a_probe_of_an_earlier_generation_raises_suspicion() {
     for (extensions, accuses) in [
         (Extensions::all(), false),
         (Extensions { pause_detection: false, local_health: false, ..Extensions::all() }, true),
     ] {
         let mut v = view(5, extensions);
         run(&mut v, 0.0, 10.0, &[1, 2, 3, 4, 5], &[1, 2, 3, 4, 5]);
-        // A ping leaves, and the host stands still for 30 periods.
+        // A ping is sent, and the host is paused for 30 periods.
         v.handle_timeout(at(11.3));
         v.handle_timeout(at(41.0));
         v.handle_timeout(at(41.5));
@@ -129,7 +130,7 @@
 }
 
 #[test]
-fn a_host_that_flaps_is_pinged_and_listed_but_not_asked_for_help() {
+fn a_flapping_member_is_probed_and_listed_but_not_asked_for_help() {
     let mut v = view(5, Extensions::all());
     let mut lines = Vec::new();
     for generation in 11..20 {
@@ -153,22 +154,22 @@
 }
 
 #[test]
-fn who_is_accused_hears_of_it_and_answers_at_once() {
+fn a_suspect_is_told_so_and_refutes_at_once() {
     let mut v = view(3, Extensions::all());
     v.merge(at(1.0), update(2, 10, 0, Health::Suspect));
     while v.poll_transmit().is_some() {}
     v.handle_received(at(1.5), 2, 10);
-    let Transmit { to, body, recipient } = v.poll_transmit().expect("a word to the accused");
+    let Transmit { to, body, recipient } = v.poll_transmit().expect("a message to the suspect");
     assert_eq!((to, body, recipient), (address(2), Body::Gossip, Some(2)));
     assert!(v.piggyback(Some(2)).iter().any(|n| n.slot == 2 && n.health == Health::Suspect));
-    // This host is accused itself: its answer goes to a few at once.
+    // This host is suspected itself: it tells its refutation to a few at once.
     v.merge(at(2.0), update(0, 50, 4, Health::Suspect));
     assert_eq!((v.me().incarnation, v.counters.accused), (5, 1));
     assert_eq!(std::iter::from_fn(|| v.poll_transmit()).count(), 3);
 }
 
 #[test]
-fn no_word_is_taken_that_its_host_could_not_answer() {
+fn updates_that_no_member_could_refute_are_refused() {
     let mut v = view(3, Extensions::all());
     let cases = [
         update(4, 10, u32::MAX, Health::Alive),
@@ -184,14 +185,14 @@
             "{n:?}"
         );
     }
-    // A later word in this host's name that it never said is answered by a later one still.
+    // An incarnation under this host's name that it never had is refuted by a later one.
     v.merge(at(1.0), update(0, 50, 8, Health::Alive));
     assert_eq!(v.me().incarnation, 9);
 }
 
 #[test]
-fn what_is_said_of_sites() {
-    // Hosts 1 to 9, of sites 1, 2, 0, 1, 2, 0, ...; this host stands in site 0. When each of site 1 falls silent.
+fn sites_fail_together_or_one_by_one() {
+    // Hosts 1 to 9, of sites 1, 2, 0, 1, 2, 0, ...; this host stands in site 0. When each host of site 1 fails.
     type Case<'a> = (&'a str, &'a [(u32, f64, Health)], SiteHealth);
     let cases: &[Case] = &[
         (
@@ -223,7 +224,7 @@
 }
 
 #[test]
-fn a_later_generation_of_ones_own_number_is_believed_only_while_it_is_heard() {
+fn a_later_generation_of_the_own_slot_counts_only_while_it_is_received() {
     // Where the later generation is known, whether it answers, and whether this host takes its number back.
     let elsewhere: SocketAddr = "10.0.0.99:7000".parse().unwrap();
     let cases = [
@@ -253,9 +254,9 @@
 }
 
 #[test]
-fn who_joins_while_a_turn_runs_is_pinged_within_it() {
-    // Two are known when the turn begins; fifteen more join at once. Without a place in the turn that runs, those of the
-    // first two come again and again while the rest waits for the next.
+fn members_that_join_during_a_round_are_probed_within_it() {
+    // Sixteen are known when a round of probes begins; two more join while it runs. Without a place in it they would wait for
+    // the next round.
     let settings = ViewSettings {
         protocol_period: TimeDelta::from_secs(1.0),
         max_hosts: 40,
@@ -265,7 +266,7 @@
     for seed in 0..20 {
         let mut v = View::new(at(0.0), update(0, 50, 0, Health::Alive), vec![], &[], settings, seed);
         (1..=16).for_each(|h| v.merge(at(0.0), update(h, 10, 0, Health::Alive)));
-        // The turn begins, all of sixteen in it.
+        // The round begins, with all sixteen in it.
         run(&mut v, 0.0, 1.5, &[1, 2], &[]);
         (17..=18).for_each(|h| v.merge(at(1.5), update(h, 10, 0, Health::Alive)));
         let all: Vec<u32> = (1..=18).collect();
@@ -286,6 +287,6 @@
         pinged += [17, 18].iter().filter(|h| seen.contains(*h)).count();
         seeds += 1;
     }
-    // Half of a turn has gone by: about half of the two is wanted, none if they wait for the next.
-    assert!(pinged > seeds / 2, "{pinged} of {} in half a turn", 2 * seeds);
+    // Half of a round has gone by: about half of the two is expected, none if they wait for the next.
+    assert!(pinged > seeds / 2, "{pinged} of {} in half a round", 2 * seeds);
 }
