--- a/crates/membership/src/catalog_replication.rs
+++ b/crates/membership/src/catalog_replication.rs
@@ -129,7 +129,7 @@
         &self.peer_versions
     }
 
-    /// Whether some peer was heard, and none that has applied more.
+    /// Whether some peer has announced its version, and none a newer one.
     pub fn is_up_to_date(&self) -> bool {
         !self.peer_versions.is_empty() && self.announced.number <= self.newest.number
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -8,7 +8,7 @@
 //! timeout and the buddy system (its section 4). Beyond both stand anti-entropy by digests, rejoining after long
 //! partitions, damping of flapping members, and detection of pauses and of duplicate numbers.
 //!
-//! Four more protocols use the same datagrams. None of them depends on the view for correctness: a host that hears nothing
+//! Four more protocols use the same datagrams. None of them depends on the view for correctness: a host that receives nothing
 //! goes on with what it knows.
 //!
 //! - `view`: which members run. SWIM and Lifeguard; its module comment names the file of each part.
--- a/crates/membership/src/member/persistence.rs
+++ b/crates/membership/src/member/persistence.rs
@@ -19,6 +19,7 @@
 }
 
 impl Persistence {
+    /// What an earlier generation persisted.
     pub fn new(now: Instant, persisted: PersistedMembers, protocol_period: TimeDelta) -> Self {
         Persistence { persisted, checked_at: now, protocol_period }
     }
@@ -50,7 +51,7 @@
         }
     }
 
-    /// All known peers but those that left. Whoever an earlier generation knew and nobody has told of yet stays persisted.
+    /// All known peers but those that left. Whoever an earlier generation knew and nobody has gossiped of yet stays persisted.
     fn peers_to_persist(&self) -> Vec<KnownPeer> {
         let members = self.view.snapshot();
         let has_left =
--- a/crates/membership/src/member/settings.rs
+++ b/crates/membership/src/member/settings.rs
@@ -34,7 +34,7 @@
     pub site: Option<u32>,
     /// Addresses to contact at the start.
     pub seeds: Vec<SocketAddr>,
-    /// Peers that an earlier generation persisted: they are contacted, and count only once they are heard.
+    /// Peers that an earlier generation persisted: they are contacted, and count only once they answer.
     pub persisted: Vec<KnownPeer>,
     /// Networks that peers' addresses lie in; none: any.
     pub allowed_networks: Vec<IpNet>,
--- a/crates/membership/src/node_list.rs
+++ b/crates/membership/src/node_list.rs
@@ -9,7 +9,7 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::peer::{Body, NodeListMessage, NodeRemoval, MAX_REMOVALS};
 
-/// Greatest number of removals that a host tells of: the first by address.
+/// Greatest number of removals that a host announces: the first by address.
 const MAX_KNOWN_REMOVALS: usize = 2_000;
 /// A host that is behind asks a peer, and its service, no more often than this. The interval doubles each time that it
 /// gets nothing newer, up to the maximum: two services may count their versions apart for good.
--- a/crates/membership/src/quota_leases/pool.rs
+++ b/crates/membership/src/quota_leases/pool.rs
@@ -178,7 +178,7 @@
         requests.iter().find(|request| request.seq == seq).map(|request| request.sent)
     }
 
-    /// Adds a lease to those of a borrower. One that is never heard from again must not make their number grow.
+    /// Adds a lease to those of a borrower. A borrower that never confirms any must not make their number grow.
     pub fn add_granted(&mut self, to: u32, lease: GrantedLease) {
         let GrantedLease { seq, until, .. } = lease;
         let leases = self.granted.entry(to).or_default();
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -90,7 +90,7 @@
 
 impl View {
     /// The view of a host that starts: it knows itself, and contacts the seeds. `persisted` are peers that an earlier
-    /// generation knew; they are contacted, and count only once they are heard.
+    /// generation knew; they are contacted, and count only once they answer.
     pub fn new(
         now: Instant,
         me: MemberUpdate,
--- a/crates/membership/src/view/dissemination.rs
+++ b/crates/membership/src/view/dissemination.rs
@@ -56,11 +56,11 @@
         self.transmits.push_back(Transmit { to, body, recipient });
     }
 
-    /// All members' updates, in pieces that fit one datagram each. Deaths that were declared in isolation are not told.
+    /// All members' updates, in pieces that fit one datagram each. Deaths that were declared in isolation are left out.
     pub fn all_updates(&self) -> Vec<Vec<MemberUpdate>> {
-        let told = self.members.iter().filter(|(_, state)| !state.declared_in_isolation);
+        let shared = self.members.iter().filter(|(_, state)| !state.declared_in_isolation);
         let updates: Vec<MemberUpdate> =
-            told.map(|(slot, state)| state.to_update(slot)).chain([self.me]).collect();
+            shared.map(|(slot, state)| state.to_update(slot)).chain([self.me]).collect();
         updates.chunks(MAX_UPDATES).map(<[MemberUpdate]>::to_vec).collect()
     }
 
--- a/crates/membership/src/view/duplicate_id.rs
+++ b/crates/membership/src/view/duplicate_id.rs
@@ -16,7 +16,7 @@
 pub(super) struct DuplicateId {
     generation: u64,
     address: SocketAddr,
-    /// When it was heard last, or heard of first.
+    /// When a datagram of it was received last, or it was learned of first.
     last_received: Instant,
 }
 
--- a/crates/membership/src/view/join.rs
+++ b/crates/membership/src/view/join.rs
@@ -9,7 +9,7 @@
 
 /// Every so many protocol periods a member that is held dead, and a seed, is contacted.
 const RECONNECT_PERIODS: u32 = 4;
-/// Protocol periods in which members held dead are contacted each period, after one of them was heard.
+/// Protocol periods in which members held dead are contacted each period, after a datagram of one arrived.
 pub(super) const REJOIN_PERIODS: f64 = 10.0;
 /// Peers of an earlier generation that are contacted in a period.
 const PERSISTED_PER_PERIOD: usize = 3;
@@ -83,7 +83,7 @@
         }
     }
 
-    /// These are contacted, and never taken for alive before they are heard.
+    /// These are contacted, and never taken for alive before they answer.
     fn contact_persisted_peers(&mut self, live: &BTreeSet<SocketAddr>) {
         for _ in 0..PERSISTED_PER_PERIOD {
             let Some(mut peer) = self.persisted_peers.pop_front() else { break };
--- a/crates/membership/src/view/local_health.rs
+++ b/crates/membership/src/view/local_health.rs
@@ -26,6 +26,7 @@
 }
 
 impl LocalHealth {
+    /// The score; 0 is good.
     pub fn score(self) -> u32 {
         self.score
     }
@@ -35,6 +36,7 @@
         f64::from(1 + self.score)
     }
 
+    /// Whether the score is bad.
     pub fn is_bad(self) -> bool {
         f64::from(self.score) >= BAD_SCORE
     }
--- a/crates/membership/src/view/settings.rs
+++ b/crates/membership/src/view/settings.rs
@@ -16,7 +16,7 @@
 /// What the view does beyond plain SWIM. Each extension can be left out, so that its worth can be measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Extensions {
-    /// Lifeguard's local health multiplier: a host whose probes go unanswered, or that hears nobody, waits longer before
+    /// Lifeguard's local health multiplier: a host whose probes go unanswered, or that receives nothing, waits longer before
     /// it suspects others.
     pub local_health: bool,
     /// Lifeguard's dynamic suspicion timeout: suspicions that several members confirm end sooner, those of one alone
@@ -24,11 +24,11 @@
     pub suspicion_confirmation: bool,
     /// A host that was paused holds nothing against others that it missed meanwhile.
     pub pause_detection: bool,
-    /// Lifeguard's buddy system: a member that is suspected or held dead is told so as soon as it is heard.
+    /// Lifeguard's buddy system: a member that is suspected or held dead is told so as soon as it sends anything.
     pub buddy_system: bool,
     /// Each datagram carries its sender's own state, with its incarnation.
     pub sender_state: bool,
-    /// Peers that an earlier generation knew are contacted, and more of those held dead once one of them is heard.
+    /// Peers that an earlier generation knew are contacted, and more of those held dead once one of them sends anything.
     pub rejoin: bool,
     /// A member that flaps is not asked for indirect probes until it stays.
     pub flap_damping: bool,
@@ -72,7 +72,7 @@
     SuspicionWithoutEnd,
     /// When two partitions merge, only updates on members that are known already are taken.
     DropsUnknownMembers,
-    /// Peers that an earlier generation knew count as alive before they were heard.
+    /// Peers that an earlier generation knew count as alive before they answered.
     TrustsPersistedPeers,
     /// The address that was learned first stays through all generations.
     OldAddressWins,
--- a/crates/membership/src/view/suspicion.rs
+++ b/crates/membership/src/view/suspicion.rs
@@ -98,12 +98,12 @@
         let is_over =
             |slot: &u32| self.members.get(*slot).is_some_and(|state| self.is_suspicion_over(now, state));
         let over: Vec<u32> = self.members.suspects().iter().copied().filter(is_over).collect();
-        let mut has_news = false;
+        let mut has_announcements = false;
         for slot in over {
-            has_news |= self.declare_dead(now, slot);
+            has_announcements |= self.declare_dead(now, slot);
         }
         // What was waited for so long goes out at once.
-        if has_news && self.settings.extensions.suspicion_confirmation {
+        if has_announcements && self.settings.extensions.suspicion_confirmation {
             self.gossip_now();
         }
     }
