--- a/crates/membership/src/view/merge.rs
+++ b/crates/membership/src/view/merge.rs
@@ -22,16 +22,20 @@
         if update.slot == self.me.slot {
             return self.merge_about_self(now, update);
         }
-        let Some(state) = self.members.get(update.slot).cloned() else {
+        let Some(state) = self.members.get(update.slot) else {
             let first_alive = update.health == Health::Alive && self.members.len() < 2;
             if !self.has(ViewFault::DropsUnknownMembers) || first_alive {
                 self.accept(now, update, None);
             }
             return;
         };
-        if !self.supersedes(&update, &state) {
-            return self.merge_not_newer(now, update, state);
+        if !self.supersedes(&update, state) {
+            if state.precedence() == precedence(&update) {
+                self.merge_equal(now, update);
+            }
+            return;
         }
+        let state = state.clone();
         if let Some(update) = self.checked_death(now, update, &state) {
             self.accept(now, update, Some(&state));
         }
@@ -60,13 +64,12 @@
         received > known || replaces_guess || ignores_incarnation || old_generation_wins
     }
 
-    fn merge_not_newer(&mut self, now: Instant, update: MemberUpdate, state: MemberState) {
-        if state.precedence() != precedence(&update) {
-            return;
-        }
+    /// Merges an update of the same generation, incarnation and health as what is known.
+    fn merge_equal(&mut self, now: Instant, update: MemberUpdate) {
+        let Some(state) = self.members.get(update.slot) else { return };
         // Two processes that claim one generation from two places: all hosts choose the same of them.
         if (update.address, update.site) > (state.address, state.site) {
-            let state = MemberState { address: update.address, site: update.site, ..state };
+            let state = MemberState { address: update.address, site: update.site, ..state.clone() };
             self.members.insert(update.slot, state);
             self.changed_at = now;
             self.broadcast(update.slot);
