--- a/crates/membership/src/catalog_replication.rs
+++ b/crates/membership/src/catalog_replication.rs
@@ -85,10 +85,10 @@
 
 impl CatalogReplication {
     /// This host takes part, and has these updates.
-    pub fn enable(&mut self, newest: CatalogVersion, texts: impl IntoIterator<Item = (u64, Bytes)>) {
+    pub fn enable(&mut self, newest: CatalogVersion, updates: impl IntoIterator<Item = CatalogUpdate>) {
         self.enabled = true;
         self.newest = newest;
-        self.texts = texts.into_iter().collect();
+        self.texts = updates.into_iter().map(|update| (update.number, update.text)).collect();
     }
 
     /// Whether this host takes part.
@@ -129,7 +129,7 @@
         &self.peer_versions
     }
 
-    /// Whether some peer was heard, and none that has applied more.
+    /// Whether some peer has announced its version, and none a newer one.
     pub fn is_up_to_date(&self) -> bool {
         !self.peer_versions.is_empty() && self.announced.number <= self.newest.number
     }
