--- a/crates/platform-host/src/client_connections/tests.rs
+++ b/crates/platform-host/src/client_connections/tests.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn one_without_room_is_told_and_read_out_and_the_next_takes_its_place() {
+fn one_beyond_capacity_is_answered_503_and_drained_and_the_next_takes_its_place() {
     let mut rig = Rig::new(1);
     let (busy, _waits) = rig.client(1.0);
     rig.clients.request_accepted(at(1.0), busy, 7);
--- a/crates/platform-host/src/host/tests.rs
+++ b/crates/platform-host/src/host/tests.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_before_its_clients_end_is_told_carries_nothing() {
+fn a_connection_that_comes_up_before_its_clients_end_is_reported_carries_nothing() {
     let (mut h, node) = host("");
     let client = asks(&mut h, 1);
     let link = (0..8).find(|l| h.links.connecting_client(*l).is_some()).expect("its connection comes up");
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn what_its_bucket_lets_go_before_its_clients_end_is_told_is_not_sent() {
+fn what_its_bucket_releases_before_its_clients_end_is_reported_is_not_sent() {
     let (mut h, _node) = host(r#","ceiling_rate":4.0,"most_at_once":1.2,"slack":0.1"#);
     let _first = asks(&mut h, 1);
     let second = asks(&mut h, 2);
--- a/crates/platform-host/src/memory_replication/tests.rs
+++ b/crates/platform-host/src/memory_replication/tests.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn what_is_no_word_of_a_peer_changes_nothing() {
+fn what_is_no_message_of_a_peer_changes_nothing() {
     let all = peers(4);
     let mut k = MemoryReplication::new(at(0.0), 0, all.clone());
     let outside: SocketAddr = "127.0.0.1:9".parse().unwrap();
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -82,7 +82,7 @@
     Overrides(Vec<OverrideRecord>),
     /// Catalog replication.
     Catalog(CatalogMessage),
-    /// A whole consensus message ([`agree`](crate::agree)).
+    /// A whole consensus message ([`consensus`](crate::consensus)).
     Consensus {
         /// The message, of at most [`MAX_PIECE`] bytes.
         bytes: Bytes,
--- /dev/null
+++ b/tests/log_lines.rs
@@ -0,0 +1,100 @@
+//! Holds docs/on-call.md and the code together: each log line that the page quotes is one that some package writes.
+
+use std::path::{Path, PathBuf};
+
+/// What stands for the braces of a format's placeholder.
+const PLACEHOLDER: char = '\u{1}';
+/// Runs of words shorter than this say nothing.
+const MIN_FRAGMENT_CHARS: usize = 4;
+
+fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
+    for entry in std::fs::read_dir(folder).unwrap() {
+        let path = entry.unwrap().path();
+        let name = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
+        if path.is_dir() && !matches!(name.as_str(), "target" | "tests" | "fixtures" | "mutants") {
+            sources(&path, found);
+        } else if path.extension().is_some_and(|e| e == "rs") && name != "tests.rs" {
+            found.push(path);
+        }
+    }
+}
+
+/// A source file on one line, with a mark in place of each brace of a placeholder.
+fn normalized(source: &str) -> String {
+    let joined = source.replace("\\\n", " ").replace(['{', '}'], &PLACEHOLDER.to_string());
+    joined.split_whitespace().collect::<Vec<_>>().join(" ")
+}
+
+/// The first column of the table of log lines: the quoted lines, without fields of structured logging.
+fn quoted_lines(page: &str) -> Vec<String> {
+    let table = page.split("| log line |").nth(1).expect("the table of log lines");
+    let table = table.split("\n\n").next().unwrap_or_default();
+    let rows = table.lines().skip(2).filter_map(|row| row.strip_prefix("| ")?.split(" | ").next());
+    rows.flat_map(|cell| cell.split('`').skip(1).step_by(2).map(str::to_owned).collect::<Vec<_>>()).collect()
+}
+
+/// What of a quoted line must stand in the code: runs of words without the capitals that stand for values.
+fn fragments(line: &str) -> Vec<String> {
+    let is_value = |word: &str| {
+        let letters = word.trim_matches(|c: char| !c.is_alphanumeric());
+        !letters.is_empty() && letters.chars().all(|c| c.is_uppercase() || c.is_numeric())
+    };
+    let mut runs = vec![Vec::new()];
+    for word in line.split_whitespace() {
+        if is_value(word) || word == "..." {
+            runs.push(Vec::new());
+        } else {
+            runs.last_mut().unwrap().push(word.trim_end_matches("..."));
+        }
+    }
+    let runs = runs.into_iter().map(|run| run.join(" ").trim_matches([':', ',', ' ']).to_owned());
+    runs.filter(|run| run.len() >= MIN_FRAGMENT_CHARS).collect()
+}
+
+/// Whether a text of the code holds the fragment, or one text holds its beginning, before a placeholder or as a prefix of its
+/// own, and another text begins with the rest.
+fn is_written(code: &[String], fragment: &str) -> bool {
+    let holds = |part: &str| code.iter().any(|text| text.contains(part));
+    let split_at = |(at, _): (usize, &str)| {
+        let (beginning, rest) = (&fragment[..at], &fragment[at + 1..]);
+        let is_followed = holds(&format!("{beginning} {PLACEHOLDER}")) || holds(&format!("\"{beginning} \""));
+        is_followed && holds(&format!("\"{rest}"))
+    };
+    holds(fragment) || fragment.match_indices(' ').any(split_at)
+}
+
+#[test]
+fn each_log_line_that_the_on_call_page_quotes_is_written_by_the_code() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let mut files = Vec::new();
+    sources(&root.join("src"), &mut files);
+    sources(&root.join("crates"), &mut files);
+    let text = |file: &PathBuf| normalized(&std::fs::read_to_string(file).unwrap());
+    let code: Vec<String> = files.iter().map(text).collect();
+    let page = std::fs::read_to_string(root.join("docs/on-call.md")).unwrap();
+    let lines = quoted_lines(&page);
+    assert!(lines.len() >= 10, "{lines:?}");
+    let mut missing = Vec::new();
+    for line in &lines {
+        for fragment in fragments(line) {
+            if !is_written(&code, &fragment) {
+                missing.push(format!("`{line}`: nothing writes \"{fragment}\""));
+            }
+        }
+    }
+    assert!(
+        missing.is_empty(),
+        "docs/on-call.md quotes lines that the code does not write:\n{}",
+        missing.join("\n")
+    );
+}
+
+#[test]
+fn placeholders_of_a_quoted_line_are_passed_over() {
+    let found = fragments("node list unavailable: failure N, retry in T s");
+    assert_eq!(found, ["node list unavailable: failure", "retry in"]);
+    assert_eq!(
+        fragments("plans: change N holds, by WHO: WHY; K things move"),
+        ["plans: change", "holds, by", "things move"]
+    );
+}
--- /dev/null
+++ b/tests/withdrawn_words.rs
@@ -0,0 +1,189 @@
+//! Keeps words of an earlier house style out of the packages that are whole: no identifier may hold one of them, and each
+//! of these packages warns of missing documentation, which the linter in CI makes an error. docs/glossary.md has the terms
+//! that stand in their place; docs/ROADMAP.md lists the packages that are left.
+
+use std::path::{Path, PathBuf};
+
+/// Folders whose code is whole.
+const WHOLE: [&str; 7] = [
+    "src",
+    "crates/benchlink",
+    "crates/consensus",
+    "crates/membership",
+    "crates/overrides",
+    "crates/platform",
+    "crates/platform-host",
+];
+
+/// Parts of identifiers that are withdrawn.
+const WITHDRAWN: [&str; 56] = [
+    "xfer",
+    "xfers",
+    "leg",
+    "legs",
+    "abandon",
+    "abandoned",
+    "defer",
+    "deferred",
+    "expiry",
+    "slo",
+    "slos",
+    "benefit",
+    "rerun",
+    "undone",
+    "fellow",
+    "fellows",
+    "life",
+    "lives",
+    "beat",
+    "tell",
+    "tells",
+    "told",
+    "tellings",
+    "paper",
+    "papers",
+    "loan",
+    "loans",
+    "strain",
+    "twin",
+    "twins",
+    "namesake",
+    "keeper",
+    "keepers",
+    "word",
+    "words",
+    "says",
+    "say",
+    "heard",
+    "came",
+    "agreement",
+    "agreed",
+    "seat",
+    "parcel",
+    "parcels",
+    "fold",
+    "folded",
+    "posture",
+    "sick",
+    "trickle",
+    "pace",
+    "paces",
+    "excess",
+    "standins",
+    "rulecheck",
+    "ills",
+    "trouble",
+];
+
+/// Identifiers that hold a withdrawn word in another sense, and why they stay.
+const ALLOWED: [(&str, &str); 8] = [
+    ("fold", "Iterator::fold of the standard library"),
+    ("list_came", "a call of the host core, until it follows"),
+    ("Told", "a variant of the host core's Age, until it follows"),
+    ("HALF_LIFE", "the half-life of route flap damping, RFC 2439"),
+    ("half_lives", "the half-life of route flap damping, RFC 2439"),
+    ("tells", "a setting's name, until the host core follows"),
+    ("paces", "a call of the host core, until it follows"),
+    ("pace_known", "a call of the host core, until it follows"),
+];
+
+fn rust_files(folder: &Path, found: &mut Vec<PathBuf>) {
+    for entry in std::fs::read_dir(folder).unwrap() {
+        let path = entry.unwrap().path();
+        if path.is_dir() {
+            rust_files(&path, found);
+        } else if path.extension().is_some_and(|e| e == "rs") {
+            found.push(path);
+        }
+    }
+}
+
+/// The code of a line, without comments and without the inside of texts.
+fn code_of(line: &str) -> String {
+    let mut code = String::new();
+    let (mut in_text, mut escaped) = (false, false);
+    let mut rest = line.chars().peekable();
+    while let Some(c) = rest.next() {
+        match c {
+            _ if escaped => escaped = false,
+            '\\' if in_text => escaped = true,
+            '"' => in_text = !in_text,
+            '/' if !in_text && rest.peek() == Some(&'/') => break,
+            _ if !in_text => code.push(c),
+            _ => {}
+        }
+    }
+    code
+}
+
+/// The words of an identifier in whatever case it is written.
+fn words_of(identifier: &str) -> Vec<String> {
+    let mut words = vec![String::new()];
+    let mut after_lower = false;
+    for c in identifier.chars() {
+        if c == '_' || (c.is_uppercase() && after_lower) {
+            words.push(String::new());
+        }
+        after_lower = c.is_lowercase();
+        if c != '_' {
+            words.last_mut().unwrap().extend(c.to_lowercase());
+        }
+    }
+    words
+}
+
+fn withdrawn_in(code: &str) -> Vec<String> {
+    let identifiers = code.split(|c: char| !c.is_alphanumeric() && c != '_');
+    let is_withdrawn = |identifier: &&str| {
+        let is_allowed = ALLOWED.iter().any(|(allowed, _)| allowed == identifier);
+        !is_allowed && words_of(identifier).iter().any(|word| WITHDRAWN.contains(&word.as_str()))
+    };
+    identifiers.filter(is_withdrawn).map(str::to_owned).collect()
+}
+
+#[test]
+fn whole_packages_hold_no_withdrawn_word() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let mut places = Vec::new();
+    for folder in WHOLE {
+        let source = if folder == "src" { root.join(folder) } else { root.join(folder).join("src") };
+        let mut files = Vec::new();
+        rust_files(&source, &mut files);
+        assert!(!files.is_empty(), "{folder}: no source");
+        for file in files {
+            let text = std::fs::read_to_string(&file).unwrap();
+            for (number, line) in text.lines().enumerate() {
+                for identifier in withdrawn_in(&code_of(line)) {
+                    places.push(format!("{}:{}: {identifier}", file.display(), number + 1));
+                }
+            }
+        }
+    }
+    assert!(places.is_empty(), "withdrawn words (docs/glossary.md has the terms):\n{}", places.join("\n"));
+}
+
+#[test]
+fn whole_packages_warn_of_missing_documentation() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    for folder in WHOLE {
+        let source = if folder == "src" { root.join(folder) } else { root.join(folder).join("src") };
+        let text = std::fs::read_to_string(source.join("lib.rs")).unwrap();
+        assert!(
+            text.contains("#![warn(missing_docs)]"),
+            "{folder}/lib.rs does not warn of missing documentation"
+        );
+    }
+}
+
+#[test]
+fn the_check_finds_a_withdrawn_word_and_passes_over_texts_and_comments() {
+    for (line, found) in [
+        ("let next_leg = 1;", vec!["next_leg"]),
+        ("struct SendLeg { legs: u32 }", vec!["SendLeg", "legs"]),
+        ("const MOST_LEGS: u32 = 1; // legs", vec!["MOST_LEGS"]),
+        ("#[serde(rename = \"legs\")] pub attempts: u32,", vec![]),
+        ("let legal = \"a leg \\\" told\"; let swords = 2;", vec![]),
+    ] {
+        assert_eq!(withdrawn_in(&code_of(line)), found, "{line}");
+    }
+}
