--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -128,27 +128,18 @@
         let listener = TcpListener::bind(c.listen).map_err(listen_error)?;
         listener.set_nonblocking(true).map_err(listen_error)?;
         poller.add(&listener, Token::Listener, READ).map_err(listen_error)?;
-        let placed = placed_settings(&s, &budget);
         let mut scheduler = s.scheduler(now, c.seed);
-        // Also where lists are pushed: what the platform's agent has is had by asking, from the first moment on.
+        // Also where lists are pushed: the platform's agent is polled from the first moment on.
         scheduler.subscribe_to_node_list();
-        let core = Core::placed(now, scheduler, placed, c.seed);
-        let reports = Reports::of(&s);
-        let peers = match &c.peers {
-            None => None,
-            Some((address, all)) => {
-                let socket = bind_peer_socket(*address, &poller)
-                    .map_err(|problem| StartError::PeerListen { address: *address, problem })?;
-                Some(PeerLink { socket, memory: MemoryReplication::new(now, s.me as usize, all.clone()) })
-            }
-        };
+        let core = Core::placed(now, scheduler, placed_settings(&s, &budget), c.seed);
+        let peers = open_peer_link(now, c, &poller)?;
         let mut host = Host {
             core,
             clock,
             poller,
             listener: Some(listener),
             clients: ClientConnections::new(budget.clients, budget.bytes, s.longest_wait),
-            links: Links::new(budget.links, s.connect_timeout, s.conn_idle, reports),
+            links: Links::new(budget.links, s.connect_timeout, s.conn_idle, Reports::of(&s)),
             watch: Watch::new(c.discovery),
             follows_list: false,
             last_poll_at: now - TimeDelta::from_secs(MIN_POLL_INTERVAL),
@@ -165,9 +156,7 @@
             attempt_results: Vec::new(),
             timeouts_checked_at: now,
             shutdown_since: None,
-            shutdown_schedule: ShutdownSchedule::new(
-                s.traffic_classes.iter().map(|st| st.deadline).max().unwrap_or(TimeDelta::ZERO),
-            ),
+            shutdown_schedule: ShutdownSchedule::new(longest_deadline(&s)),
             shutdown_phase: ShutdownPhase::Serving,
             peers,
             restored_shards: 0,
@@ -350,6 +339,18 @@
     }
 }
 
+fn open_peer_link(now: Instant, c: &Configuration, poller: &Poller) -> Result<Option<PeerLink>, StartError> {
+    let Some((address, peers)) = &c.peers else { return Ok(None) };
+    let socket = bind_peer_socket(*address, poller)
+        .map_err(|problem| StartError::PeerListen { address: *address, problem })?;
+    let memory = MemoryReplication::new(now, c.settings.me as usize, peers.clone());
+    Ok(Some(PeerLink { socket, memory }))
+}
+
+fn longest_deadline(s: &Settings) -> TimeDelta {
+    s.traffic_classes.iter().map(|class| class.deadline).max().unwrap_or(TimeDelta::ZERO)
+}
+
 fn bind_peer_socket(address: SocketAddr, poller: &Poller) -> std::io::Result<UdpSocket> {
     let socket = UdpSocket::bind(address)?;
     socket.set_nonblocking(true)?;
--- a/crates/platform-host/src/host/status.rs
+++ b/crates/platform-host/src/host/status.rs
@@ -1,7 +1,7 @@
 //! What a host tells of itself: its status, and why it did not start.
 
 use crate::client_connections::ClientCounters;
-use crate::node_connections::LinkCounters;
+use crate::node_connection::LinkCounters;
 use std::net::SocketAddr;
 use tackmast_host_core::Counters;
 
--- a/crates/platform-host/src/lib.rs
+++ b/crates/platform-host/src/lib.rs
@@ -11,6 +11,7 @@
 mod idle_connections;
 mod list_watch;
 mod memory_replication;
+mod node_connection;
 mod node_connections;
 mod poller;
 mod resource_budget;
@@ -19,4 +20,4 @@
 
 pub use client_connections::ClientCounters;
 pub use host::{Host, OpenCounts, ProcessSignal, StartError, Status};
-pub use node_connections::LinkCounters;
+pub use node_connection::LinkCounters;
--- a/crates/platform-host/src/node_connections.rs
+++ b/crates/platform-host/src/node_connections.rs
@@ -1,14 +1,15 @@
 //! Connections to nodes: one attempt at a time on each, idle ones are reused.
 
 use crate::idle_connections::IdleConnections;
+use crate::node_connection::{Link, LinkCounters, State};
 use crate::poller::{Poller, Ready, Token, BOTH, READ, WRITE};
 use crate::sockets::{self, ReadOutcome};
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, HashMap, VecDeque};
-use std::net::{SocketAddr, TcpStream};
+use std::net::SocketAddr;
 use tackmast::interface::{Instant, NodeId, Outcome, TimeDelta};
 use tackmast_host_core::{AttemptId, AttemptResult, AttemptWork, Begin, SendAttempt};
-use tackmast_http::{AnswerReader, Bounds};
+use tackmast_http::{Answer, AnswerReader, Bounds};
 use tackmast_platform::{attempt_head, Reports};
 
 /// The host closes an idle connection after this share of the time after which nodes do: a request must not cross a close.
@@ -18,42 +19,6 @@
 /// 4 ms late (nine, in three plays); a longer delay costs connections.
 const REUSE_DELAY: f64 = 0.01;
 
-enum State {
-    Connecting { until: Instant, attempt: Box<SendAttempt> },
-    Busy { attempt: Box<SendAttempt>, outgoing: BytesMut, answer: Box<AnswerReader> },
-    Idle,
-}
-
-struct Link {
-    node: NodeId,
-    address: SocketAddr,
-    stream: TcpStream,
-    state: State,
-}
-
-/// What the links have done, for logs and tests.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LinkCounters {
-    /// Connections that were opened.
-    pub opened: u64,
-    /// Attempts that reused an idle connection.
-    pub reused: u64,
-    /// Answers that could not be parsed.
-    pub malformed_answers: u64,
-    /// Connections that ended under an attempt.
-    pub reset: u64,
-    /// Connections that did not come up.
-    pub connect_failures: u64,
-    /// Attempts that were cancelled on a connection.
-    pub cancelled: u64,
-    /// Attempts that had to wait for a connection.
-    pub waited: u64,
-    /// Idle connections on which data arrived that nothing had asked for.
-    pub unsolicited_data: u64,
-    /// Connections that came up too late for their attempt to begin.
-    pub deadline_passed: u64,
-}
-
 /// All connections to nodes, and the attempts that wait for one.
 pub struct Links {
     links: BTreeMap<u32, Link>,
@@ -235,8 +200,8 @@
                 let node = link.node;
                 if !r.ended {
                     self.counters.unsolicited_data += 1;
-                    let delayed_attempt = self.idle.since(node, id).map(|t| (now - t).secs());
-                    tracing::debug!(node = node.0, delayed_attempt, "something came that nothing asked for");
+                    let idle_s = self.idle.since(node, id).map(|t| (now - t).secs());
+                    tracing::debug!(node = node.0, idle_s, "unsolicited data on an idle connection");
                 }
                 self.close(node, id);
             }
@@ -264,7 +229,7 @@
 
     fn read(&mut self, now: Instant, id: u32, results: &mut Vec<AttemptResult>) {
         let Some(link) = self.links.get_mut(&id) else { return };
-        let State::Busy { attempt, outgoing, answer } = &mut link.state else { return };
+        let State::Busy { outgoing, answer, .. } = &mut link.state else { return };
         let mut piece = [0; sockets::READ_CHUNK_BYTES];
         let unsent = !outgoing.is_empty();
         let answered = match sockets::read(&link.stream, &mut piece) {
@@ -282,31 +247,7 @@
         };
         match answered {
             Ok(None) => {}
-            Ok(Some(a)) => {
-                let (closes, more) = (a.closes, answer.has_more());
-                let mut report = self.reports.read(a);
-                if unsent && report.outcome == Outcome::Done {
-                    report.outcome = Outcome::Error; // it can't have been made for this request
-                }
-                let (number, node) = (attempt.attempt, link.node);
-                let (outcome, waiting) = (report.outcome, report.waiting);
-                // A node that says nothing of other hosts says that there was nothing.
-                let elsewhere = Some(report.elsewhere.unwrap_or(0.0));
-                results.push(AttemptResult {
-                    attempt: number,
-                    outcome,
-                    waiting,
-                    elsewhere,
-                    data: report.body,
-                });
-                self.by_attempt.remove(&number);
-                if closes || more || unsent {
-                    self.links.remove(&id);
-                } else {
-                    link.state = State::Idle;
-                    self.idle.put(now, node, id);
-                }
-            }
+            Ok(Some(answer)) => self.finish(now, id, answer, results),
             Err(why) => {
                 self.counters.malformed_answers += 1;
                 tracing::debug!(node = link.node.0, %why, "an answer can't be read");
@@ -315,6 +256,33 @@
         }
     }
 
+    /// The answer to the attempt on a connection is complete: reports it, and keeps the connection if it may be reused.
+    fn finish(&mut self, now: Instant, id: u32, received: Answer, results: &mut Vec<AttemptResult>) {
+        let Some(link) = self.links.get_mut(&id) else { return };
+        let State::Busy { attempt, outgoing, answer } = &mut link.state else { return };
+        let (closes, has_more, unsent) = (received.closes, answer.has_more(), !outgoing.is_empty());
+        let mut report = self.reports.read(received);
+        if unsent && report.outcome == Outcome::Done {
+            report.outcome = Outcome::Error; // it can't have been made for this request
+        }
+        let (number, node) = (attempt.attempt, link.node);
+        results.push(AttemptResult {
+            attempt: number,
+            outcome: report.outcome,
+            waiting: report.waiting,
+            // A node that reports nothing of other hosts reports that there was nothing.
+            elsewhere: Some(report.elsewhere.unwrap_or(0.0)),
+            data: report.body,
+        });
+        self.by_attempt.remove(&number);
+        if closes || has_more || unsent {
+            self.links.remove(&id);
+        } else {
+            link.state = State::Idle;
+            self.idle.put(now, node, id);
+        }
+    }
+
     /// Ends an attempt together with its connection.
     fn end(&mut self, id: u32, outcome: Outcome, results: &mut Vec<AttemptResult>) {
         let Some(link) = self.links.remove(&id) else { return };
