--- a/crates/host/src/admin.rs
+++ b/crates/host/src/admin.rs
@@ -124,7 +124,7 @@
                 }
                 Ok(ToStore::Keep { request: 0, keep }) => again.push(keep),
                 Ok(ToStore::Keep { request, keep }) => {
-                    let result = store.keep(&keep).map_err(|e| e.to_string());
+                    let result = store.write(&keep).map_err(|e| e.to_string());
                     _ = core.send(Event::Kept { request, result });
                 }
                 Err(true) => {}
@@ -132,7 +132,7 @@
             }
             // What nobody waits for must not be lost to a disk that is full for a while.
             while let Some(first) = again.first() {
-                if let Err(e) = store.keep(first) {
+                if let Err(e) = store.write(first) {
                     tracing::warn!("{e}; {} writes are tried again", again.len());
                     again.truncate(TRIED_AGAIN);
                     break;
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -23,7 +23,7 @@
 use tackmast_config::{HostSettings, OverridesBlock};
 use tackmast_host_core::{Core, Keep, PersistedMembers, Plans};
 use tackmast_overrides::Overrides;
-use tackmast_store::{Held, Store};
+use tackmast_store::{OpenedStore, Store};
 
 /// Stack of the threads that only move bytes.
 const SMALL_STACK: usize = 128 << 10;
@@ -41,7 +41,7 @@
     #[error("admin socket {0}")]
     Admin(String),
     #[error(transparent)]
-    Store(#[from] tackmast_store::KeepError),
+    Store(#[from] tackmast_store::StoreError),
     #[error("plans: {0}. Nothing was changed. To begin anew by the settings, move the store away")]
     Plans(#[from] tackmast_plans::TrailError),
     #[error("agreement: the store keeps {0} changes of plans that one home took; expected none. Bring the settings of all hosts to what `plan show` says, move the stores away, and start the hosts anew")]
@@ -75,7 +75,7 @@
 #[allow(clippy::too_many_arguments)] // what the host is made of, one by one
 fn overrides(
     o: &OverridesBlock,
-    (store, held): (Store, Held),
+    OpenedStore { store, state }: OpenedStore,
     settings: &HostSettings,
     core: &mut Core,
     clock: Clock,
@@ -85,7 +85,7 @@
 ) -> Result<Sender<admin::ToStore>, StartError> {
     let (now, wall_us) = (clock.now(), Clock::wall_us());
     let bounds = tackmast_overrides::Settings { max_overrides: o.most, max_zone_fraction: o.zone_part };
-    let (overrides, ended) = Overrides::new(now, wall_us, bounds, held.overrides, held.next);
+    let (overrides, ended) = Overrides::new(now, wall_us, bounds, state.overrides, state.next_override_id);
     core.wall_seen(now, wall_us);
     let mut keep = Keep::default();
     for e in ended {
@@ -96,20 +96,20 @@
     core.with_overrides(now, overrides, keep);
     if let Some(b) = &settings.plans_live {
         let agrees = settings.agreement.is_some();
-        let kept: &[u8] = if agrees { &[] } else { &held.trail };
+        let kept: &[u8] = if agrees { &[] } else { &state.change_log };
         let mut plans = Plans::new(now, settings, b, kept)?;
         if let Some(a) = &settings.agreement {
             // Changes that one home took are no part of what hosts agree on: they have to stand in the settings first.
-            let changes = held.trail.iter().filter(|b| **b == b'\n').count().saturating_sub(1);
+            let changes = state.change_log.iter().filter(|b| **b == b'\n').count().saturating_sub(1);
             if changes > 0 {
                 return Err(StartError::Agreement(changes));
             }
-            let start =
-                store.open_agreed(generation ^ u64::from(std::process::id()).rotate_left(40), generation)?;
+            let start = store
+                .open_consensus_log(generation ^ u64::from(std::process::id()).rotate_left(40), generation)?;
             plans.agree();
             core.with_agreed(tackmast_host_core::Agreed::new(now, settings, a, start, generation));
         }
-        core.with_plans(now, plans, held.trail.is_empty() && !agrees);
+        core.with_plans(now, plans, state.change_log.is_empty() && !agrees);
     }
     let (to_store, from) = crossbeam_channel::bounded(EVENTS);
     admin::keep(store, from, urgent.clone())?;
@@ -130,13 +130,13 @@
         let nbd = settings.host.listen_nbd.map(listen).transpose()?;
         let store = settings.overrides.as_ref().map(|o| Store::open(&o.store)).transpose()?;
         let by_clock = clock.unix_us(clock.now()) << 12 | u64::from(settings.host.number & 0xfff);
-        let recalled = store.as_ref().map(|(_, held)| held.members.clone()).unwrap_or_default();
+        let recalled = store.as_ref().map(|opened| opened.state.members.clone()).unwrap_or_default();
         // Against a clock that went back: a generation numbered below the one before it would be shut out by what is known of
         // that one. Written down before anything is said under it.
         let generation = by_clock.max(recalled.generation + 1);
-        if let Some((store, _)) = &store {
+        if let Some(opened) = &store {
             let members = Some(PersistedMembers { generation, peers: recalled.peers.clone() });
-            store.keep(&Keep { members, ..Keep::default() })?;
+            opened.store.write(&Keep { members, ..Keep::default() })?;
         }
         let seed = settings.host.seed.unwrap_or(generation ^ u64::from(std::process::id()) << 32);
         let mut core = Core::new(clock.now(), &settings, seed, generation);
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -4,10 +4,12 @@
 use redb::StorageBackend;
 use std::io;
 use std::sync::{Arc, Mutex};
-use tackmast_consensus::{Entry, EntryPayload, HardState, LogPosition, LogSuffix, Snapshot, Voters, Write};
+use tackmast_consensus::{
+    Entry, EntryPayload, HardState, LogPosition, LogSuffix, PersistentState, Snapshot, Voters, Write,
+};
 use tackmast_host_core::{Keep, KnownPeer, PersistedMembers};
 use tackmast_overrides::*;
-use tackmast_store::Store;
+use tackmast_store::{OpenedStore, PersistedState, Store};
 
 #[derive(Clone, Debug)]
 enum Op {
@@ -92,13 +94,13 @@
         audits,
         changes,
         members,
-        agreed: Some(Box::new(agreed(id))),
+        agreed: Some(Box::new(log_write(id))),
     }
 }
 
-/// Of the agreed log: its entry of that number, the term and vote of that number, and from the third on a state that the
-/// first two were folded into.
-fn agreed(id: u64) -> Write {
+/// Of the consensus log: the entry of that index, that term and vote, and from the third on a snapshot that stands for the
+/// first two entries.
+fn log_write(id: u64) -> Write {
     let hard_state = Some(HardState { term: id, voted_for: Some(id as u32) });
     let entry = Entry { term: id, payload: EntryPayload::Command(vec![id as u8; 3].into()) };
     let last = LogPosition { term: 2, index: 2 };
@@ -118,26 +120,71 @@
     Keep { remove: vec![OverrideId(id)], audits, ..Keep::default() }
 }
 
-fn ids(held: &[Override]) -> Vec<u64> {
-    held.iter().map(|o| o.id.0).collect()
+fn ids(overrides: &[Override]) -> Vec<u64> {
+    overrides.iter().map(|o| o.id.0).collect()
 }
 
-/// After `keeps[i]` was acknowledged, these stand.
+/// Updates, and the overrides before the first and after each of them.
 fn steps() -> (Vec<Keep>, Vec<Vec<u64>>) {
-    let keeps = vec![put(1), put(2), clear(1), put(3), put(4), clear(3), put(5)];
-    let stand =
+    let updates = vec![put(1), put(2), clear(1), put(3), put(4), clear(3), put(5)];
+    let expected =
         vec![vec![], vec![1], vec![1, 2], vec![2], vec![2, 3], vec![2, 3, 4], vec![2, 4], vec![2, 4, 5]];
-    (keeps, stand)
+    (updates, expected)
+}
+
+/// The bytes of a disk that was cut off after `cut` operations. It may have taken all that was written since the last sync
+/// (`taken` 0), none of it (1), or every second operation (2).
+fn bytes_after_cut(ops: &[Op], cut: usize, taken: usize) -> Vec<u8> {
+    let synced = ops[..cut].iter().rposition(|o| matches!(o, Op::Sync)).map_or(0, |i| i + 1);
+    let mut bytes = Vec::new();
+    for (i, op) in ops[..cut].iter().enumerate() {
+        // The length is kept with the data that needs it, as a journalled file system does.
+        let kept = i < synced || matches!(op, Op::Length(_));
+        if kept || taken == 0 || (taken == 2 && i % 2 == 0) {
+            apply(&mut bytes, op);
+        }
+    }
+    bytes
+}
+
+/// Overrides, changes of plans and members are those after `done` writes or the one after, each in whole.
+fn assert_state(cut: usize, state: &PersistedState, updates: &[Keep], done: usize) {
+    // Changes of plans are written with the rest: one for each record that was ever put.
+    let puts = |n: usize| updates.iter().take(n).filter(|k| !k.put.is_empty()).count();
+    let changes = state.change_log.len() / 8;
+    assert!(changes == puts(done) || changes == puts(done + 1), "cut {cut}: {changes} changes");
+    assert!(state.change_log.chunks(8).zip(1u8..).all(|(c, id)| c == [id; 8]), "cut {cut}: their order");
+    // The members are of one generation, whole; and its number is the last that was acknowledged, or the next.
+    let generation = state.members.generation;
+    assert_eq!(state.members.peers.len() as u64, generation, "cut {cut}: peers of generation {generation}");
+    let newest =
+        |n: usize| updates.iter().take(n).filter_map(|k| k.members.as_ref()).map(|m| m.generation).max();
+    let generations = [newest(done).unwrap_or(0), newest(done + 1).unwrap_or(0)];
+    assert!(generations.contains(&generation), "cut {cut}: generation {generation}");
+    assert_log(cut, state, [puts(done) as u64, puts(done + 1) as u64]);
+}
+
+/// Of the consensus log all of a write is there, or nothing: its term, its entries and its snapshot.
+fn assert_log(cut: usize, state: &PersistedState, terms: [u64; 2]) {
+    let Some(log) = &state.consensus_log else {
+        assert_eq!(terms[0], 0, "cut {cut}: no consensus log");
+        return;
+    };
+    let PersistentState { hard_state, snapshot, entries, .. } = &log.persisted;
+    assert!(terms.contains(&hard_state.term), "cut {cut}: term {}", hard_state.term);
+    let last = snapshot.last.index + entries.len() as u64;
+    let log_id = if hard_state.term >= 3 { 7 } else { 0 };
+    assert_eq!((last, snapshot.log_id), (hard_state.term, log_id), "cut {cut}");
 }
 
 #[test]
 fn a_cut_at_any_operation_loses_nothing_acknowledged_and_invents_nothing() {
-    let (keeps, stand) = steps();
+    let (updates, expected) = steps();
     let disk = Disk::default();
-    let store = Store::on(disk.clone()).unwrap().0;
+    let store = Store::open_backend(disk.clone()).unwrap().store;
     let mut acknowledged = vec![disk.0.lock().unwrap().ops.len()];
-    for k in &keeps {
-        store.keep(k).unwrap();
+    for update in &updates {
+        store.write(update).unwrap();
         acknowledged.push(disk.0.lock().unwrap().ops.len());
     }
     let ops = disk.0.lock().unwrap().ops.clone();
@@ -146,54 +193,22 @@
     for cut in acknowledged[0]..=ops.len() {
         // Done when the cut comes: all that was acknowledged by then; the one that was being written may be too.
         let done = acknowledged.iter().rposition(|n| *n <= cut).unwrap();
-        let synced = ops[..cut].iter().rposition(|o| matches!(o, Op::Sync)).map_or(0, |i| i + 1);
-        // The disk may have taken all that was written since the last sync, none of it, or every second operation.
         for taken in 0..3 {
-            let mut bytes = Vec::new();
-            for (i, op) in ops[..cut].iter().enumerate() {
-                // The length is kept with the data that needs it, as a journalled file system does.
-                let kept = i < synced || matches!(op, Op::Length(_));
-                if kept || taken == 0 || (taken == 2 && i % 2 == 0) {
-                    apply(&mut bytes, op);
-                }
-            }
+            let bytes = bytes_after_cut(&ops, cut, taken);
             let disk = Disk(Arc::new(Mutex::new(Inner { bytes, ..Inner::default() })));
-            let (store, held) = Store::on(disk).unwrap_or_else(|e| panic!("cut {cut}, taken {taken}: {e}"));
-            let found = ids(&held.overrides);
-            let allowed = [Some(&stand[done]), stand.get(done + 1)];
+            let opened = Store::open_backend(disk);
+            let OpenedStore { store, state } =
+                opened.unwrap_or_else(|e| panic!("cut {cut}, taken {taken}: {e}"));
+            let found = ids(&state.overrides);
+            let allowed = [Some(&expected[done]), expected.get(done + 1)];
             assert!(
                 allowed.contains(&Some(&found)),
                 "cut {cut}, taken {taken}: {found:?}, acknowledged {:?}",
-                stand[done]
+                expected[done]
             );
-            assert!(store.audit(100).unwrap().len() >= done, "cut {cut}: the trail");
-            // Changes of plans are written with the rest: one for each record that was ever put.
-            let puts = |n: usize| keeps.iter().take(n).filter(|k| !k.put.is_empty()).count();
-            let changes = held.trail.len() / 8;
-            assert!(changes == puts(done) || changes == puts(done + 1), "cut {cut}: {changes} changes");
-            assert!(held.trail.chunks(8).zip(1u8..).all(|(c, id)| c == [id; 8]), "cut {cut}: their order");
-            // Who is known is of one generation, whole; and the generation's number is the last that was acknowledged, or the next.
-            let generation = held.members.generation;
-            assert_eq!(held.members.peers.len() as u64, generation, "cut {cut}: hosts of life {generation}");
-            let generations = |n: usize| {
-                keeps.iter().take(n).filter_map(|k| k.members.as_ref()).map(|m| m.generation).max()
-            };
-            let generations = [generations(done).unwrap_or(0), generations(done + 1).unwrap_or(0)];
-            assert!(generations.contains(&generation), "cut {cut}: life {generation}");
-            // Of the agreed log all of a write is there, or nothing: its term, its entries and what was folded.
-            if let Some(a) = &held.agreed {
-                let term = a.persisted.hard_state.term;
-                assert!([puts(done) as u64, puts(done + 1) as u64].contains(&term), "cut {cut}: term {term}");
-                let last = a.persisted.snapshot.last.index + a.persisted.entries.len() as u64;
-                assert_eq!(
-                    (last, a.persisted.snapshot.log_id),
-                    (term, if term >= 3 { 7 } else { 0 }),
-                    "cut {cut}"
-                );
-            } else {
-                assert_eq!(puts(done), 0, "cut {cut}: no agreed log");
-            }
-            store.keep(&put(9)).unwrap();
+            assert!(store.audit(100).unwrap().len() >= done, "cut {cut}: the audit log");
+            assert_state(cut, &state, &updates, done);
+            store.write(&put(9)).unwrap();
             cuts += 1;
         }
     }
@@ -201,28 +216,28 @@
 }
 
 #[test]
-fn a_full_disk_is_told_of_and_what_it_refused_does_not_stand() {
-    let (keeps, stand) = steps();
+fn a_full_disk_is_an_error_and_what_it_refused_is_not_stored() {
+    let (updates, expected) = steps();
     let whole = Disk::default();
-    let store = Store::on(whole.clone()).unwrap().0;
+    let store = Store::open_backend(whole.clone()).unwrap().store;
     let first = whole.0.lock().unwrap().ops.len();
-    keeps.iter().for_each(|k| store.keep(k).unwrap());
+    updates.iter().for_each(|k| store.write(k).unwrap());
     let last = whole.0.lock().unwrap().ops.len();
     for fails_from in first..last {
         let disk = Disk::default();
-        let store = Store::on(disk.clone()).unwrap().0;
+        let store = Store::open_backend(disk.clone()).unwrap().store;
         disk.0.lock().unwrap().fails_from = Some(fails_from);
-        let done = keeps.iter().take_while(|k| store.keep(k).is_ok()).count();
-        assert!(done < keeps.len(), "from {fails_from} on nothing is taken");
-        // The host is killed and started when there is room again.
+        let done = updates.iter().take_while(|k| store.write(k).is_ok()).count();
+        assert!(done < updates.len(), "from {fails_from} on nothing is taken");
+        // The host is killed and started when there is space again.
         let bytes = disk.0.lock().unwrap().bytes.clone();
         std::mem::forget(store);
         let disk = Disk(Arc::new(Mutex::new(Inner { bytes, ..Inner::default() })));
-        let (_, held) = Store::on(disk).unwrap();
-        let found = ids(&held.overrides);
-        // The one that failed may have reached the disk before its sync failed; its operator was told otherwise,
+        let OpenedStore { state, .. } = Store::open_backend(disk).unwrap();
+        let found = ids(&state.overrides);
+        // The one that failed may have reached the disk before its sync failed; its operator got an error,
         // and sees it in the list.
-        let allowed = [Some(&stand[done]), stand.get(done + 1)];
+        let allowed = [Some(&expected[done]), expected.get(done + 1)];
         assert!(allowed.contains(&Some(&found)), "from {fails_from}: {found:?} after {done}");
     }
 }
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -4,7 +4,7 @@
 use std::panic;
 use tackmast_host_core::Keep;
 use tackmast_overrides::*;
-use tackmast_store::{KeepError, Store};
+use tackmast_store::{OpenedStore, Store, StoreError};
 
 fn record(id: u64) -> Override {
     Override {
@@ -32,20 +32,20 @@
 fn what_was_kept_is_there_after_it_is_opened_again() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("o.redb");
-    let (store, held) = Store::open(&path).unwrap();
-    assert_eq!((held.overrides.len(), held.next), (0, 1));
-    (1..=5).for_each(|id| store.keep(&put(id)).unwrap());
+    let OpenedStore { store, state } = Store::open(&path).unwrap();
+    assert_eq!((state.overrides.len(), state.next_override_id), (0, 1));
+    (1..=5).for_each(|id| store.write(&put(id)).unwrap());
     let gone = Keep {
         put: vec![],
         remove: vec![OverrideId(5), OverrideId(2)],
         audits: vec![Audit::cleared(9, &record(2), "bob")],
         ..Keep::default()
     };
-    store.keep(&gone).unwrap();
+    store.write(&gone).unwrap();
     drop(store);
-    let (store, held) = Store::open(&path).unwrap();
-    let ids: Vec<u64> = held.overrides.iter().map(|o| o.id.0).collect();
-    assert_eq!((ids, held.next), (vec![1, 3, 4], 6), "a number is never given twice");
+    let OpenedStore { store, state } = Store::open(&path).unwrap();
+    let ids: Vec<u64> = state.overrides.iter().map(|o| o.id.0).collect();
+    assert_eq!((ids, state.next_override_id), (vec![1, 3, 4], 6), "a number is never given twice");
     let audit = store.audit(2).unwrap();
     assert_eq!(
         (audit[0].kind, audit[1].kind, audit[1].who.as_str()),
@@ -58,9 +58,9 @@
 fn a_store_that_is_in_use_damaged_or_foreign_says_so_and_is_left_alone() {
     let dir = tempfile::tempdir().unwrap();
     let good = dir.path().join("good.redb");
-    let (store, _) = Store::open(&good).unwrap();
-    store.keep(&put(1)).unwrap();
-    assert!(matches!(Store::open(&good), Err(KeepError::Unusable { .. })), "one host at a time");
+    let OpenedStore { store, .. } = Store::open(&good).unwrap();
+    store.write(&put(1)).unwrap();
+    assert!(matches!(Store::open(&good), Err(StoreError::Unusable { .. })), "one host at a time");
     drop(store);
     let whole = fs::read(&good).unwrap();
     let foreign = dir.path().join("foreign.redb");
--- a/crates/store/tests/stored_format.rs
+++ b/crates/store/tests/stored_format.rs
@@ -15,7 +15,7 @@
 };
 use tackmast_host_core::{AgreedStart, Keep, KnownPeer, PersistedMembers};
 use tackmast_overrides::{Audit, AuditKind, Kind, Origin, Override, OverrideId, Target};
-use tackmast_store::{Held, Store};
+use tackmast_store::{OpenedStore, PersistedState, Store};
 
 const WRITE_FIXTURE: &str = "TACKMAST_WRITE_FIXTURE";
 /// Bytes of a row of the encoded file.
@@ -115,11 +115,11 @@
 
 /// Writes a store step by step, as a host does: rows of each table, some of them removed or overwritten later.
 fn write_store(path: &Path) {
-    let (store, _) = Store::open(path).unwrap();
+    let OpenedStore { store, .. } = Store::open(path).unwrap();
     let overrides = all_overrides();
     for record in &overrides {
         let audits = vec![Audit::set(record, record.id.0 == 4)];
-        store.keep(&Keep { put: vec![record.clone()], audits, ..Keep::default() }).unwrap();
+        store.write(&Keep { put: vec![record.clone()], audits, ..Keep::default() }).unwrap();
     }
     let audits = vec![
         Audit::cleared(SET_US + 1, &overrides[3], "bob"),
@@ -131,13 +131,13 @@
             what: "alone".into(),
         },
     ];
-    store.keep(&Keep { remove: vec![OverrideId(4), OverrideId(5)], audits, ..Keep::default() }).unwrap();
+    store.write(&Keep { remove: vec![OverrideId(4), OverrideId(5)], audits, ..Keep::default() }).unwrap();
     let changes = (0..).zip(CHANGE_LOG).map(|(number, line)| (number, line.as_bytes().to_vec())).collect();
-    store.keep(&Keep { changes, ..Keep::default() }).unwrap();
+    store.write(&Keep { changes, ..Keep::default() }).unwrap();
     let members = Some(PersistedMembers { generation: 5_000_000, peers: peers() });
-    store.keep(&Keep { members, ..Keep::default() }).unwrap();
+    store.write(&Keep { members, ..Keep::default() }).unwrap();
 
-    store.open_agreed(0xabc0, 5_000_000).unwrap();
+    store.open_consensus_log(0xabc0, 5_000_000).unwrap();
     let first = Write {
         hard_state: Some(HardState { term: 2, voted_for: None }),
         entries: Some(LogSuffix {
@@ -165,7 +165,7 @@
         ..Write::default()
     };
     for write in [first, compacted, replaced] {
-        store.keep(&Keep { agreed: Some(Box::new(write)), ..Keep::default() }).unwrap();
+        store.write(&Keep { agreed: Some(Box::new(write)), ..Keep::default() }).unwrap();
     }
 }
 
@@ -219,21 +219,21 @@
 #[test]
 fn a_store_of_an_earlier_build_holds_what_was_written() {
     let (_folder, path) = copy_of_fixture();
-    let (_store, held) = Store::open(&path).unwrap();
-    let expected = Held {
+    let OpenedStore { store: _store, state } = Store::open(&path).unwrap();
+    let expected = PersistedState {
         overrides: all_overrides()[..3].to_vec(),
-        next: 6,
-        trail: CHANGE_LOG.concat().into_bytes(),
-        agreed: Some(expected_log(1, 0)),
+        next_override_id: 6,
+        change_log: CHANGE_LOG.concat().into_bytes(),
+        consensus_log: Some(expected_log(1, 0)),
         members: PersistedMembers { generation: 5_000_000, peers: peers() },
     };
-    assert_eq!(held, expected);
+    assert_eq!(state, expected);
 }
 
 #[test]
 fn an_audit_log_of_an_earlier_build_reads_as_it_was_written() {
     let (_folder, path) = copy_of_fixture();
-    let (store, _) = Store::open(&path).unwrap();
+    let OpenedStore { store, .. } = Store::open(&path).unwrap();
     let line = |at_us, kind, id: Option<u64>, who: &str, what: &str| Audit {
         at_us,
         kind,
@@ -263,16 +263,16 @@
 #[test]
 fn a_store_of_an_earlier_build_is_opened_and_written_further() {
     let (_folder, path) = copy_of_fixture();
-    let (store, _) = Store::open(&path).unwrap();
-    assert_eq!(store.open_agreed(0xdead, 6_000_000).unwrap(), expected_log(2, 6_000_000));
+    let OpenedStore { store, .. } = Store::open(&path).unwrap();
+    assert_eq!(store.open_consensus_log(0xdead, 6_000_000).unwrap(), expected_log(2, 6_000_000));
     let added = override_record(6, "zone:9", Kind::Pinned, None);
     let audits = vec![Audit::set(&added, false)];
-    store.keep(&Keep { put: vec![added.clone()], audits, ..Keep::default() }).unwrap();
+    store.write(&Keep { put: vec![added.clone()], audits, ..Keep::default() }).unwrap();
     assert_eq!(store.audit(100).unwrap().len(), 8);
     drop(store);
-    let (_store, held) = Store::open(&path).unwrap();
-    assert_eq!((held.overrides.last(), held.next), (Some(&added), 7));
-    assert_eq!(held.agreed, Some(expected_log(2, 0)));
+    let OpenedStore { store: _store, state } = Store::open(&path).unwrap();
+    assert_eq!((state.overrides.last(), state.next_override_id), (Some(&added), 7));
+    assert_eq!(state.consensus_log, Some(expected_log(2, 0)));
 }
 
 /// All rows of all tables as text: `TABLE KEY: VALUE`, with values that are not text in hex.
