--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -5,7 +5,7 @@
 use std::os::unix::net::UnixStream;
 use std::path::Path;
 use std::time::Duration;
-use tackmast_host_core::{Ask, Reply};
+use tackmast_host_core::{AdminRequest, AdminResponse};
 use tackmast_overrides::Audit;
 
 pub const VERSION: u32 = 1;
@@ -15,17 +15,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Call {
-    Ask(Ask),
+    #[serde(rename = "ask")]
+    AdminRequest(AdminRequest),
     /// The last lines of the audit trail.
-    Audit {
-        most: usize,
-    },
+    Audit { most: usize },
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answer {
-    Reply(Box<Reply>),
+    #[serde(rename = "reply")]
+    AdminResponse(Box<AdminResponse>),
     Audit(Vec<Audit>),
     Error(String),
 }
--- a/crates/admin/tests/json_forms.rs
+++ b/crates/admin/tests/json_forms.rs
@@ -5,8 +5,8 @@
 use std::fmt::Debug;
 use tackmast_admin::{parse_call, write_line, Answer, Call};
 use tackmast_host_core::{
-    AgreementAsk, AgreementReply, AgreementStatus, Ask, DeathStatus, MembersStatus, OrdersStatus, PeerStatus,
-    PlanAsk, PlanReply, PlanStatus, Reply, SiteStatus,
+    AdminRequest, AdminResponse, ConsensusRequest, ConsensusResponse, ConsensusStatus, DeathStatus,
+    HostStatus, MembersStatus, PeerStatus, PlanRequest, PlanResponse, PlanStatus, SiteStatus,
 };
 use tackmast_overrides::{
     Audit, AuditKind, Explanation, Kind, Order, Origin, Override, OverrideEffect, OverrideId, Preview,
@@ -22,8 +22,8 @@
 }
 
 #[track_caller]
-fn assert_reply(reply: Reply, text: &str) {
-    assert_form(&Answer::Reply(Box::new(reply)), text);
+fn assert_reply(reply: AdminResponse, text: &str) {
+    assert_form(&Answer::AdminResponse(Box::new(reply)), text);
 }
 
 fn node() -> std::net::SocketAddr {
@@ -78,60 +78,60 @@
         seconds: 90.5,
         origin: None,
     };
-    let set = Ask::Set { order: order.clone(), force: true, dry_run: false, if_version: Some(4) };
+    let set = AdminRequest::Set { order: order.clone(), force: true, dry_run: false, if_version: Some(4) };
     assert_form(
-        &Call::Ask(set),
+        &Call::AdminRequest(set),
         r#"{"ask":{"set":{"order":{"target":"zone:1","kind":{"weight":0.25},"reason":"power","who":"ann","seconds":90.5},"force":true,"dry_run":false,"if_version":4}}}"#,
     );
-    let dry = Ask::Set { order, force: false, dry_run: true, if_version: None };
+    let dry = AdminRequest::Set { order, force: false, dry_run: true, if_version: None };
     assert_form(
-        &Call::Ask(dry),
+        &Call::AdminRequest(dry),
         r#"{"ask":{"set":{"order":{"target":"zone:1","kind":{"weight":0.25},"reason":"power","who":"ann","seconds":90.5},"force":false,"dry_run":true,"if_version":null}}}"#,
     );
     assert_form(
-        &Call::Ask(Ask::Clear { id: OverrideId(3), who: "bob".into() }),
+        &Call::AdminRequest(AdminRequest::Clear { id: OverrideId(3), who: "bob".into() }),
         r#"{"ask":{"clear":{"id":3,"who":"bob"}}}"#,
     );
-    assert_form(&Call::Ask(Ask::List), r#"{"ask":"list"}"#);
+    assert_form(&Call::AdminRequest(AdminRequest::List), r#"{"ask":"list"}"#);
     assert_form(
-        &Call::Ask(Ask::Explain { address: node() }),
+        &Call::AdminRequest(AdminRequest::Explain { address: node() }),
         r#"{"ask":{"explain":{"address":"10.0.0.1:9000"}}}"#,
     );
-    assert_form(&Call::Ask(Ask::Status), r#"{"ask":"status"}"#);
-    assert_form(&Call::Ask(Ask::Members), r#"{"ask":"members"}"#);
+    assert_form(&Call::AdminRequest(AdminRequest::Status), r#"{"ask":"status"}"#);
+    assert_form(&Call::AdminRequest(AdminRequest::Members), r#"{"ask":"members"}"#);
     assert_form(&Call::Audit { most: 20 }, r#"{"audit":{"most":20}}"#);
 }
 
 #[test]
 fn calls_about_plans() {
-    assert_form(&Call::Ask(Ask::Plan(PlanAsk::Show)), r#"{"ask":{"plan":"show"}}"#);
+    assert_form(&Call::AdminRequest(AdminRequest::Plan(PlanRequest::Show)), r#"{"ask":{"plan":"show"}}"#);
     assert_form(
-        &Call::Ask(Ask::Plan(PlanAsk::Apply { change: change(), dry_run: true })),
+        &Call::AdminRequest(AdminRequest::Plan(PlanRequest::Apply { change: change(), dry_run: true })),
         r#"{"ask":{"plan":{"apply":{"change":{"base":0,"steps":[{"plan":{"name":"basic","to":{"limit":20.0,"burst":60.0,"slack":8.5,"reserve":5.0,"weight":1.0,"floor":2.5}}},{"stream":{"name":"read","to":{"slo_ms":100.0,"expiry_ms":1000.0}}},{"volume":{"name":"school","to":{"lun":1,"plan":"basic","blocks":100,"extent_blocks":10,"shards":[0],"through":[0,1],"reads":"read","writes":"read"}}}],"who":"ann","why":"begin"},"dry_run":true}}}}"#,
     );
-    let undo = PlanAsk::Undo { number: 4, who: "ann".into(), why: "wrong".into(), dry_run: false };
+    let undo = PlanRequest::Undo { number: 4, who: "ann".into(), why: "wrong".into(), dry_run: false };
     assert_form(
-        &Call::Ask(Ask::Plan(undo)),
+        &Call::AdminRequest(AdminRequest::Plan(undo)),
         r#"{"ask":{"plan":{"undo":{"number":4,"who":"ann","why":"wrong","dry_run":false}}}}"#,
     );
-    assert_form(&Call::Ask(Ask::Plan(PlanAsk::Log)), r#"{"ask":{"plan":"log"}}"#);
+    assert_form(&Call::AdminRequest(AdminRequest::Plan(PlanRequest::Log)), r#"{"ask":{"plan":"log"}}"#);
 }
 
 #[test]
 fn calls_about_consensus() {
-    let call = |ask| Call::Ask(Ask::Agreement(ask));
+    let call = |ask| Call::AdminRequest(AdminRequest::Consensus(ask));
     let (who, why) = ("ann".to_owned(), "disks lost".to_owned());
-    assert_form(&call(AgreementAsk::Status), r#"{"ask":{"agreement":"status"}}"#);
+    assert_form(&call(ConsensusRequest::Status), r#"{"ask":{"agreement":"status"}}"#);
     assert_form(
-        &call(AgreementAsk::Voter { host: 3, votes: true }),
+        &call(ConsensusRequest::Voter { host: 3, votes: true }),
         r#"{"ask":{"agreement":{"voter":{"host":3,"votes":true}}}}"#,
     );
     assert_form(
-        &call(AgreementAsk::Force { who: who.clone(), why: why.clone() }),
+        &call(ConsensusRequest::Force { who: who.clone(), why: why.clone() }),
         r#"{"ask":{"agreement":{"force":{"who":"ann","why":"disks lost"}}}}"#,
     );
     assert_form(
-        &call(AgreementAsk::Forget { who, why }),
+        &call(ConsensusRequest::Forget { who, why }),
         r#"{"ask":{"agreement":{"forget":{"who":"ann","why":"disks lost"}}}}"#,
     );
 }
@@ -146,12 +146,16 @@
         forced_past: Some(Refusal::LastOfShard { shard: 4, nodes: vec!["10.0.0.1:9000".into()] }),
     };
     assert_reply(
-        Reply::Set { record: record(), preview, dry_run: true },
+        AdminResponse::Set { record: record(), preview, dry_run: true },
         r#"{"reply":{"set":{"record":{"id":3,"target":"10.0.0.1:9000","kind":"out_of_service","reason":"disk \"smokes\"","who":"ann","set_us":1700000000000000,"ends_us":1700003600000000,"origin":{"slot":2,"life":77,"number":3}},"preview":{"version":3,"changes":[["10.0.0.1:9000",{"service":"listed","weight":1.0},{"service":"out","weight":1.0}]],"named":1,"forced_past":{"last_of_shard":{"shard":4,"nodes":["10.0.0.1:9000"]}}},"dry_run":true}}}"#,
     );
-    assert_reply(Reply::Cleared { id: OverrideId(3) }, r#"{"reply":{"cleared":{"id":3}}}"#);
-    let list =
-        Reply::List { version: 3, standing: vec![(record(), 12.5)], returning: 2, returning_within_s: 30.5 };
+    assert_reply(AdminResponse::Cleared { id: OverrideId(3) }, r#"{"reply":{"cleared":{"id":3}}}"#);
+    let list = AdminResponse::List {
+        version: 3,
+        standing: vec![(record(), 12.5)],
+        returning: 2,
+        returning_within_s: 30.5,
+    };
     assert_reply(
         list,
         r#"{"reply":{"list":{"version":3,"standing":[[{"id":3,"target":"10.0.0.1:9000","kind":"out_of_service","reason":"disk \"smokes\"","who":"ann","set_us":1700000000000000,"ends_us":1700003600000000,"origin":{"slot":2,"life":77,"number":3}},12.5]],"returning":2,"returning_within_s":30.5}}}"#,
@@ -173,24 +177,27 @@
         up_s: None,
     };
     assert_reply(
-        Reply::Explain(Box::new(explanation)),
+        AdminResponse::Explain(Box::new(explanation)),
         r#"{"reply":{"explain":{"address":"10.0.0.1:9000","listed":"ready","standing":{"service":"out","weight":1.0},"service_by":{"id":3,"target":"10.0.0.1:9000","kind":"out_of_service","reason":"disk \"smokes\"","who":"ann","set_us":1700000000000000,"ends_us":1700003600000000,"origin":{"slot":2,"life":77,"number":3}},"weight_by":null,"service_left_s":12.5,"weight_left_s":null,"beaten":[[{"id":2,"target":"10.0.0.1:9000","kind":"out_of_service","reason":"disk \"smokes\"","who":"ann","set_us":1700000000000000,"ends_us":1700003600000000},{"id":2,"by":3,"why":"set later"}]],"returning":null,"given":"out of service","up_s":null}}}"#,
     );
     assert_reply(
-        Reply::Refused(Refusal::Unknown { id: OverrideId(8) }),
+        AdminResponse::Refused(Refusal::Unknown { id: OverrideId(8) }),
         r#"{"reply":{"refused":{"unknown":{"id":8}}}}"#,
     );
-    assert_reply(Reply::NotKept { why: "disk full".into() }, r#"{"reply":{"not_kept":{"why":"disk full"}}}"#);
+    assert_reply(
+        AdminResponse::NotKept { why: "disk full".into() },
+        r#"{"reply":{"not_kept":{"why":"disk full"}}}"#,
+    );
 }
 
 #[test]
 fn answers_about_a_host() {
-    let status = OrdersStatus {
+    let status = HostStatus {
         host: 1,
         overrides: 2,
         version: 3,
         returning: 4,
-        there: 5,
+        alive_hosts: 5,
         commands: 6,
         attempts: 7,
         taken: 8,
@@ -200,11 +207,11 @@
         nodes: vec![(node(), "ready".into(), "out of service".into())],
     };
     assert_reply(
-        Reply::Status(Box::new(status)),
+        AdminResponse::Status(Box::new(status)),
         r#"{"reply":{"status":{"host":1,"overrides":2,"version":3,"returning":4,"there":5,"commands":6,"legs":7,"taken":8,"done":9,"deferred":10,"abandoned":11,"nodes":[["10.0.0.1:9000","ready","out of service"]]}}}"#,
     );
     assert_reply(
-        Reply::Status(Box::default()),
+        AdminResponse::Status(Box::default()),
         r#"{"reply":{"status":{"host":0,"overrides":0,"version":0,"returning":0,"there":0,"commands":0,"legs":0,"taken":0,"done":0,"deferred":0,"abandoned":0,"nodes":[]}}}"#,
     );
 }
@@ -231,7 +238,7 @@
     let death = DeathStatus { host: 4, generation: 1_000_004, incarnation: 2, ago_s: 8.5, own: true };
     MembersStatus {
         host: Some(1),
-        there: 2,
+        alive_hosts: 2,
         peers: vec![peer],
         loans: vec![(7, 0.5, 0.125, 0.25, 1.0)],
         displaced: true,
@@ -262,11 +269,11 @@
 #[test]
 fn answers_about_members() {
     assert_reply(
-        Reply::Members(Box::new(members())),
+        AdminResponse::Members(Box::new(members())),
         r#"{"reply":{"members":{"host":1,"there":2,"peers":[{"host":2,"health":"suspect","address":"10.9.0.2:7000","life":1000002,"since_s":1.5,"incarnation":3,"site":1,"flaps":true}],"loans":[[7,0.5,0.125,0.25,1.0]],"displaced":true,"sent":3,"sent_bytes":4,"taken":5,"dropped":6,"life":1000001,"incarnation":7,"site":0,"address":"10.9.0.1:7000","digest":43981,"still_s":2.5,"strain":8,"sites":[{"site":1,"alive":2,"suspect":3,"dead":4,"left":5,"word":"emptied one by one"},{"site":null,"alive":0,"suspect":0,"dead":0,"left":0,"word":""}],"deaths":[{"host":4,"life":1000004,"incarnation":2,"ago_s":8.5,"own":true}],"suspected":9,"refuted":10,"found_dead":11,"accused":12,"pauses":13,"beyond":14,"damped":15,"taken_over":16}}}"#,
     );
     assert_reply(
-        Reply::Members(Box::default()),
+        AdminResponse::Members(Box::default()),
         r#"{"reply":{"members":{"host":null,"there":0,"peers":[],"loans":[],"displaced":false,"sent":0,"sent_bytes":0,"taken":0,"dropped":0,"life":0,"incarnation":0,"site":null,"address":"","digest":0,"still_s":0.0,"strain":0,"sites":[],"deaths":[],"suspected":0,"refuted":0,"found_dead":0,"accused":0,"pauses":0,"beyond":0,"damped":0,"taken_over":0}}}"#,
     );
 }
@@ -284,7 +291,7 @@
     };
     let expected = MembersStatus {
         host: Some(0),
-        there: 2,
+        alive_hosts: 2,
         peers: vec![peer],
         sent: 1,
         sent_bytes: 2,
@@ -297,7 +304,7 @@
 
 #[test]
 fn answers_about_plans() {
-    let reply = |r| Reply::Plan(r);
+    let reply = |r| AdminResponse::Plan(r);
     let status = PlanStatus {
         host: 1,
         home: 2,
@@ -307,19 +314,19 @@
         settle_s: 5.5,
         catalogue: Catalogue::default().apply(&change(), &fleet()).unwrap().catalogue,
         fleet: fleet(),
-        waits: true,
+        clients_wait: true,
         at: [(0, 3), (1, 2)].into(),
         stale: true,
     };
     assert_reply(
-        reply(PlanReply::Shown(Box::new(status))),
+        reply(PlanResponse::Shown(Box::new(status))),
         r#"{"reply":{"plan":{"shown":{"host":1,"home":2,"number":3,"digest":"ab12","in_force_s":4.5,"settle_s":5.5,"catalogue":{"version":1,"plans":{"basic":{"limit":20.0,"burst":60.0,"slack":8.5,"reserve":5.0,"weight":1.0,"floor":2.5}},"volumes":{"school":{"lun":1,"plan":"basic","blocks":100,"extent_blocks":10,"shards":[0],"through":[0,1],"reads":"read","writes":"read"}},"streams":{"read":{"slo_ms":100.0,"expiry_ms":1000.0}},"moved":{"plan basic":1,"stream read":1,"volume school":1}},"fleet":{"hosts":4,"most_units":8.0,"bears":{"0":100.5}},"waits":true,"at":{"0":3,"1":2},"stale":true}}}}"#,
     );
     assert_reply(
-        reply(PlanReply::Shown(Box::default())),
+        reply(PlanResponse::Shown(Box::default())),
         r#"{"reply":{"plan":{"shown":{"host":0,"home":0,"number":0,"digest":"","in_force_s":0.0,"settle_s":0.0,"catalogue":{"version":0,"plans":{},"volumes":{},"streams":{},"moved":{}},"fleet":{"hosts":0,"most_units":0.0,"bears":{}},"waits":false,"at":{},"stale":false}}}}"#,
     );
-    let applied = PlanReply::Applied {
+    let applied = PlanResponse::Applied {
         number: 3,
         version: 4,
         lines: vec!["+ plan spare: {}".into()],
@@ -331,19 +338,19 @@
         r#"{"reply":{"plan":{"applied":{"number":3,"version":4,"lines":["+ plan spare: {}"],"in_force_s":2.5,"dry_run":false}}}}"#,
     );
     assert_reply(
-        reply(PlanReply::Refused { why: "plan basic limit: -1".into() }),
+        reply(PlanResponse::Refused { why: "plan basic limit: -1".into() }),
         r#"{"reply":{"plan":{"refused":{"why":"plan basic limit: -1"}}}}"#,
     );
     assert_reply(
-        reply(PlanReply::Log { text: "{}\n".into(), fleet: fleet() }),
+        reply(PlanResponse::Log { text: "{}\n".into(), fleet: fleet() }),
         r#"{"reply":{"plan":{"log":{"text":"{}\n","fleet":{"hosts":4,"most_units":8.0,"bears":{"0":100.5}}}}}}"#,
     );
 }
 
 #[test]
 fn answers_about_consensus() {
-    let reply = |r| Reply::Agreement(r);
-    let status = AgreementStatus {
+    let reply = |r| AdminResponse::Consensus(r);
+    let status = ConsensusStatus {
         host: 1,
         generation: 1_000_001,
         role: "leads".into(),
@@ -358,10 +365,10 @@
         commit: 5,
         folded: 6,
         version: 7,
-        told: 8,
+        acknowledged: 8,
         lease: "holds".into(),
         lease_s: 9.5,
-        posture: true,
+        degraded: true,
         in_force_s: 10.5,
         has: [(0, (11, 0.25))].into(),
         elections: 12,
@@ -371,20 +378,20 @@
         lost: 16,
     };
     assert_reply(
-        reply(AgreementReply::Status(Box::new(status))),
+        reply(ConsensusResponse::Status(Box::new(status))),
         r#"{"reply":{"agreement":{"status":{"host":1,"life":1000001,"role":"leads","term":2,"leader":1,"log":3,"voters":[0,1,4],"votes":true,"founded":true,"failed":true,"last":4,"commit":5,"folded":6,"version":7,"told":8,"lease":"holds","lease_s":9.5,"posture":true,"in_force_s":10.5,"has":{"0":[11,0.25]},"elections":12,"commits":13,"granted":14,"wrong_disks":15,"lost":16}}}}"#,
     );
     assert_reply(
-        reply(AgreementReply::Status(Box::default())),
+        reply(ConsensusResponse::Status(Box::default())),
         r#"{"reply":{"agreement":{"status":{"host":0,"life":0,"role":"","term":0,"leader":null,"log":0,"voters":[],"votes":false,"founded":false,"failed":false,"last":0,"commit":0,"folded":0,"version":0,"told":0,"lease":"","lease_s":0.0,"posture":false,"in_force_s":0.0,"has":{},"elections":0,"commits":0,"granted":0,"wrong_disks":0,"lost":0}}}}"#,
     );
-    assert_reply(reply(AgreementReply::Done { log: 3 }), r#"{"reply":{"agreement":{"done":{"log":3}}}}"#);
+    assert_reply(reply(ConsensusResponse::Done { log: 3 }), r#"{"reply":{"agreement":{"done":{"log":3}}}}"#);
     assert_reply(
-        reply(AgreementReply::Taken { index: 41 }),
+        reply(ConsensusResponse::Taken { index: 41 }),
         r#"{"reply":{"agreement":{"taken":{"index":41}}}}"#,
     );
     assert_reply(
-        reply(AgreementReply::Refused { why: "a leader is heard".into() }),
+        reply(ConsensusResponse::Refused { why: "a leader is heard".into() }),
         r#"{"reply":{"agreement":{"refused":{"why":"a leader is heard"}}}}"#,
     );
 }
--- a/crates/benchmarks/src/core_cost.rs
+++ b/crates/benchmarks/src/core_cost.rs
@@ -7,7 +7,7 @@
 use tackmast::interface::*;
 use tackmast::policy::Scheduler;
 use tackmast_config::HostSettings;
-use tackmast_host_core::{AttemptResult, CommandRef, Core, Keep, ListEntry, Output, Work};
+use tackmast_host_core::{AttemptResult, CommandRef, Core, ListEntry, Output, PersistBatch, Work};
 use tackmast_overrides::{Kind, OverrideId, Overrides, Target};
 
 #[derive(Clone, Debug, Serialize)]
@@ -64,7 +64,7 @@
 fn core(settings: &HostSettings, requests: u64, orders: Option<Overrides>) -> f64 {
     let mut core = Core::new(seconds(0), settings, 1, 1);
     if let Some(o) = orders {
-        core.with_overrides(seconds(0), o, Keep::default());
+        core.with_overrides(seconds(0), o, PersistBatch::default());
     }
     let node = |n: u32| ListEntry {
         id: n.to_string(),
@@ -75,7 +75,7 @@
         start: None,
     };
     let list: Vec<ListEntry> = (0..NODES).map(node).collect();
-    core.list_came(seconds(0), ListKind::Complete, 0, 1, &list);
+    core.handle_endpoint_list(seconds(0), ListKind::Complete, 0, 1, &list);
     let started = Wall::now();
     let (mut sent, mut done) = (0u64, 0u64);
     let mut attempts = Vec::new();
@@ -84,13 +84,22 @@
         let now = seconds(done);
         while open < OPEN && sent < requests {
             let from = CommandRef { session: 1, command: sent as u32 };
-            core.submit(now, from, 0, sent * 8 % 1_000_000, Work::Read { blocks: 8 }, now, None, None);
+            core.handle_command(
+                now,
+                from,
+                0,
+                sent * 8 % 1_000_000,
+                Work::Read { blocks: 8 },
+                now,
+                None,
+                None,
+            );
             sent += 1;
             open += 1;
         }
-        core.tick(now);
+        core.handle_timeout(now);
         let before = done;
-        while let Some(o) = core.next_output(now) {
+        while let Some(o) = core.poll_output(now) {
             match o {
                 Output::Send(attempt) => {
                     attempt.ticket.claim();
@@ -114,11 +123,11 @@
                 elsewhere: Some(0.0),
                 data,
             };
-            core.attempt_finished(later, back);
+            core.handle_attempt_result(later, back);
         }
         // What neither is sent nor answered at this moment needs time to pass.
         if done == before && open == OPEN {
-            core.tick(later);
+            core.handle_timeout(later);
         }
     }
     started.elapsed().as_secs_f64() * 1e6 / requests as f64
--- a/crates/cli/src/consensus.rs
+++ b/crates/cli/src/consensus.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use tackmast_admin::{Answer, Call};
-use tackmast_host_core::{AgreementAsk, AgreementReply, AgreementStatus, Ask, Reply};
+use tackmast_host_core::{AdminRequest, AdminResponse, ConsensusRequest, ConsensusResponse, ConsensusStatus};
 
 #[derive(clap::Subcommand)]
 pub enum ConsensusCommand {
@@ -50,11 +50,11 @@
     },
 }
 
-fn ask(host: &Path, ask: AgreementAsk) -> Result<AgreementReply, String> {
-    match tackmast_admin::call(host, &Call::Ask(Ask::Agreement(ask)), PATIENCE)? {
-        Answer::Reply(r) => match *r {
-            Reply::Agreement(a) => Ok(a),
-            Reply::NotKept { why } => Err(why),
+fn ask(host: &Path, ask: ConsensusRequest) -> Result<ConsensusResponse, String> {
+    match tackmast_admin::call(host, &Call::AdminRequest(AdminRequest::Consensus(ask)), PATIENCE)? {
+        Answer::AdminResponse(r) => match *r {
+            AdminResponse::Consensus(a) => Ok(a),
+            AdminResponse::NotKept { why } => Err(why),
             other => Err(format!("host {}: {other:?}; expected word of the agreement", host.display())),
         },
         Answer::Error(e) => Err(e),
@@ -63,7 +63,7 @@
 }
 
 /// One host's lines.
-pub fn one(s: &AgreementStatus) -> String {
+pub fn one(s: &ConsensusStatus) -> String {
     let leader = s.leader.map_or("no leader is known".to_owned(), |l| format!("host {l} leads"));
     let place = match (s.founded, s.votes, s.failed) {
         (_, _, true) => "its disk takes no writes: it neither votes nor leads",
@@ -76,7 +76,7 @@
         "past" => format!("past its lease for {:.2} s", s.lease_s),
         _ => "never had a lease in this life".to_owned(),
     };
-    let posture = if s.posture { "; goes by the floors" } else { "" };
+    let posture = if s.degraded { "; goes by the floors" } else { "" };
     let voters: Vec<String> = s.voters.iter().map(u32::to_string).collect();
     let mut out = format!(
         "host {}: {}, term {} of log {:x}; {leader}; voters {}; {place}\n    plans version {}, all have {}; {lease}{posture}; {} entries, {} agreed on, {} folded; in force in {:.1} s\n",
@@ -86,7 +86,7 @@
         s.log,
         if voters.is_empty() { "none".into() } else { voters.join(", ") },
         s.version,
-        s.told,
+        s.acknowledged,
         s.last,
         s.commit,
         s.folded,
@@ -101,22 +101,22 @@
     out
 }
 
-fn told(reply: AgreementReply) -> Result<ExitCode, String> {
+fn told(reply: ConsensusResponse) -> Result<ExitCode, String> {
     match reply {
-        AgreementReply::Taken { index } => {
+        ConsensusResponse::Taken { index } => {
             println!("entry {index}: it holds once most voters have it, which `status` shows");
             Ok(ExitCode::SUCCESS)
         }
-        AgreementReply::Done { log: 0 } => {
+        ConsensusResponse::Done { log: 0 } => {
             println!("forgotten: it follows what others have, once it hears of it");
             Ok(ExitCode::SUCCESS)
         }
-        AgreementReply::Done { log } => {
+        ConsensusResponse::Done { log } => {
             println!("it goes on alone, as log {log:x}: now `forget` at each other host, then `voter add`");
             Ok(ExitCode::SUCCESS)
         }
-        AgreementReply::Refused { why } => Err(format!("refused: {why}")),
-        AgreementReply::Status(s) => {
+        ConsensusResponse::Refused { why } => Err(format!("refused: {why}")),
+        ConsensusResponse::Status(s) => {
             print!("{}", one(&s));
             Ok(ExitCode::SUCCESS)
         }
@@ -128,15 +128,15 @@
         ConsensusCommand::Status { hosts } => {
             let mut good = true;
             for host in &hosts.hosts {
-                match ask(host, AgreementAsk::Status) {
-                    Ok(AgreementReply::Status(s)) if hosts.json => {
+                match ask(host, ConsensusRequest::Status) {
+                    Ok(ConsensusResponse::Status(s)) if hosts.json => {
                         println!("{}", serde_json::to_string(&*s).map_err(|e| e.to_string())?)
                     }
-                    Ok(AgreementReply::Status(s)) => {
+                    Ok(ConsensusResponse::Status(s)) => {
                         good &= s.lease == "holds";
                         print!("{}", one(&s));
                     }
-                    Ok(AgreementReply::Refused { why }) | Err(why) => {
+                    Ok(ConsensusResponse::Refused { why }) | Err(why) => {
                         good = false;
                         eprintln!("{}: {why}", host.display());
                     }
@@ -145,13 +145,15 @@
             }
             Ok(ExitCode::from(u8::from(!good)))
         }
-        ConsensusCommand::Force(f) => told(ask(&f.host, AgreementAsk::Force { who: f.who, why: f.why })?),
-        ConsensusCommand::Forget(f) => told(ask(&f.host, AgreementAsk::Forget { who: f.who, why: f.why })?),
+        ConsensusCommand::Force(f) => told(ask(&f.host, ConsensusRequest::Force { who: f.who, why: f.why })?),
+        ConsensusCommand::Forget(f) => {
+            told(ask(&f.host, ConsensusRequest::Forget { who: f.who, why: f.why })?)
+        }
         ConsensusCommand::Voter(VoterCommand::Add { number, host }) => {
-            told(ask(&host, AgreementAsk::Voter { host: number, votes: true })?)
+            told(ask(&host, ConsensusRequest::Voter { host: number, votes: true })?)
         }
         ConsensusCommand::Voter(VoterCommand::Remove { number, host }) => {
-            told(ask(&host, AgreementAsk::Voter { host: number, votes: false })?)
+            told(ask(&host, ConsensusRequest::Voter { host: number, votes: false })?)
         }
     }
 }
@@ -162,7 +164,7 @@
 
     #[test]
     fn what_a_host_says_of_itself() {
-        let status = AgreementStatus {
+        let status = ConsensusStatus {
             host: 3,
             role: "leads".into(),
             leader: Some(3),
@@ -172,14 +174,14 @@
             commit: 9,
             lease: "holds".into(),
             has: [(1, (9, 0.1)), (2, (4, 2.5))].into(),
-            ..AgreementStatus::default()
+            ..ConsensusStatus::default()
         };
         let text = one(&status);
         assert!(
             text.contains("voters 0, 1, 3; votes") && text.contains("behind: 2 has 4, said 2.5 s ago"),
             "{text}"
         );
-        let past = AgreementStatus { lease: "past".into(), posture: true, votes: false, ..status };
+        let past = ConsensusStatus { lease: "past".into(), degraded: true, votes: false, ..status };
         assert!(one(&past).contains("past its lease for 0.00 s; goes by the floors"), "{}", one(&past));
     }
 }
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 use tackmast_admin::{Answer, Call};
-use tackmast_host_core::{Ask, MembersStatus, Reply};
+use tackmast_host_core::{AdminRequest, AdminResponse, MembersStatus};
 
 /// Hosts up to which a matrix has a column each; beyond, what differs is summed up.
 const MATRIX: usize = 24;
@@ -27,7 +27,7 @@
 
 pub fn run(a: &MembersArguments) -> Result<ExitCode, String> {
     match (a.all, a.watch) {
-        (false, None) => each(&a.hosts, &Call::Ask(Ask::Members)),
+        (false, None) => each(&a.hosts, &Call::AdminRequest(AdminRequest::Members)),
         (_, Some(every)) => watch(&a.hosts, every.into()),
         (true, None) => {
             let asked = ask_all(&a.hosts);
@@ -42,9 +42,9 @@
 
 fn ask_all(hosts: &Hosts) -> Vec<Asked> {
     let one = |path: &std::path::PathBuf| {
-        let status = match tackmast_admin::call(path, &Call::Ask(Ask::Members), PATIENCE) {
-            Ok(Answer::Reply(r)) => match *r {
-                Reply::Members(m) => Ok(*m),
+        let status = match tackmast_admin::call(path, &Call::AdminRequest(AdminRequest::Members), PATIENCE) {
+            Ok(Answer::AdminResponse(r)) => match *r {
+                AdminResponse::Members(m) => Ok(*m),
                 other => Err(format!("{other:?}; expected what it knows of members")),
             },
             Ok(other) => Err(format!("{other:?}")),
@@ -64,7 +64,7 @@
         out,
         "host {host}{site} at {}: {} hosts are there; digest {:08x}, still for {}",
         m.address,
-        m.there,
+        m.alive_hosts,
         m.digest,
         span(m.still_s)
     );
@@ -271,7 +271,8 @@
 
 /// What of one view is worth a line when it changes.
 fn changes(m: &MembersStatus) -> String {
-    let mut out = format!("{} hosts are there, strain {}, displaced {}\n", m.there, m.strain, m.displaced);
+    let mut out =
+        format!("{} hosts are there, strain {}, displaced {}\n", m.alive_hosts, m.strain, m.displaced);
     for s in m.sites.iter().filter(|s| s.word != "there" || s.suspect + s.dead > 0) {
         let name = s.site.map_or("no site told".to_owned(), |n| format!("site {n}"));
         _ = writeln!(out, "{name} {}: {} alive, {} suspect, {} dead", s.word, s.alive, s.suspect, s.dead);
--- a/crates/cli/src/orders.rs
+++ b/crates/cli/src/orders.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tackmast_admin::{Answer, Call};
-use tackmast_host_core::{Ask, Reply};
+use tackmast_host_core::{AdminRequest, AdminResponse};
 use tackmast_overrides::{
     Explanation, Kind, Order, Override, OverrideEffect, OverrideId, Preview, Service, Target,
 };
@@ -105,20 +105,22 @@
                 None => Kind::Pinned,
             };
             let order = Order { target, kind, reason, who, seconds: lasts.as_secs_f64(), origin: None };
-            (hosts, Call::Ask(Ask::Set { order, force, dry_run, if_version }))
+            (hosts, Call::AdminRequest(AdminRequest::Set { order, force, dry_run, if_version }))
         }
         OverrideCommand::Clear { id, who, hosts } => {
-            (hosts, Call::Ask(Ask::Clear { id: OverrideId(id), who }))
+            (hosts, Call::AdminRequest(AdminRequest::Clear { id: OverrideId(id), who }))
+        }
+        OverrideCommand::List { hosts } => (hosts, Call::AdminRequest(AdminRequest::List)),
+        OverrideCommand::Explain { node, hosts } => {
+            (hosts, Call::AdminRequest(AdminRequest::Explain { address: node }))
         }
-        OverrideCommand::List { hosts } => (hosts, Call::Ask(Ask::List)),
-        OverrideCommand::Explain { node, hosts } => (hosts, Call::Ask(Ask::Explain { address: node })),
         OverrideCommand::Audit { most, hosts } => (hosts, Call::Audit { most }),
     };
     each(&hosts, &call)
 }
 
 pub fn status(hosts: &Hosts) -> Result<ExitCode, String> {
-    each(hosts, &Call::Ask(Ask::Status))
+    each(hosts, &Call::AdminRequest(AdminRequest::Status))
 }
 
 /// Calls every host, also after one has failed; the exit code tells whether all did as asked.
@@ -138,7 +140,9 @@
         };
         good &= match &answer {
             Answer::Error(_) => false,
-            Answer::Reply(r) => !matches!(**r, Reply::Refused(_) | Reply::NotKept { .. }),
+            Answer::AdminResponse(r) => {
+                !matches!(**r, AdminResponse::Refused(_) | AdminResponse::NotKept { .. })
+            }
             Answer::Audit(_) => true,
         };
         match hosts.json {
@@ -159,17 +163,17 @@
                 println!("{}  {kind:<12} {id:>6}  {:<10} {}", time(a.at_us), a.who, a.what);
             }
         }
-        Answer::Reply(r) => show_reply(r),
+        Answer::AdminResponse(r) => show_reply(r),
     }
 }
 
-fn show_reply(reply: &Reply) {
+fn show_reply(reply: &AdminResponse) {
     match reply {
-        Reply::Refused(r) => eprintln!("tackmast: refused: {r}"),
-        Reply::NotKept { why } => eprintln!("tackmast: not kept, so it does not hold: {why}"),
-        Reply::Cleared { id } => println!("override {} is cleared", id.0),
-        Reply::Set { record, preview, dry_run } => set(record, preview, *dry_run),
-        Reply::List { version, standing, returning, returning_within_s } => {
+        AdminResponse::Refused(r) => eprintln!("tackmast: refused: {r}"),
+        AdminResponse::NotKept { why } => eprintln!("tackmast: not kept, so it does not hold: {why}"),
+        AdminResponse::Cleared { id } => println!("override {} is cleared", id.0),
+        AdminResponse::Set { record, preview, dry_run } => set(record, preview, *dry_run),
+        AdminResponse::List { version, standing, returning, returning_within_s } => {
             println!("version {version}, {} stand", standing.len());
             if !standing.is_empty() {
                 println!(
@@ -191,11 +195,11 @@
                 println!("{returning} nodes are on their way back, all within {returning_within_s:.0} s of their ends");
             }
         }
-        Reply::Explain(e) => explain(e),
-        Reply::Members(m) => print!("{}", crate::members::one(m)),
-        Reply::Plan(p) => println!("{p:?}"),
-        Reply::Agreement(a) => println!("{a:?}"),
-        Reply::Status(s) => {
+        AdminResponse::Explain(e) => explain(e),
+        AdminResponse::Members(m) => print!("{}", crate::members::one(m)),
+        AdminResponse::Plan(p) => println!("{p:?}"),
+        AdminResponse::Consensus(a) => println!("{a:?}"),
+        AdminResponse::Status(s) => {
             println!(
                 "host {}: {} commands open, {} attempts out; taken {}, done {}, rejected {}, failed {}",
                 s.host, s.commands, s.attempts, s.taken, s.done, s.rejected, s.failed
@@ -204,7 +208,7 @@
                 "overrides: {} stand, version {}, {} nodes on their way back",
                 s.overrides, s.version, s.returning
             );
-            match s.there {
+            match s.alive_hosts {
                 0 => println!("members: this host hears of no other"),
                 n => println!("members: {n} hosts are there"),
             }
--- a/crates/cli/src/plans.rs
+++ b/crates/cli/src/plans.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tackmast_admin::{Answer, Call};
 use tackmast_config::{Document, Place};
-use tackmast_host_core::{Ask, PlanAsk, PlanReply, PlanStatus, Reply};
+use tackmast_host_core::{AdminRequest, AdminResponse, PlanRequest, PlanResponse, PlanStatus};
 use tackmast_plans::{Catalogue, Change, Fleet, Plan, Step, Trail};
 
 const PATIENCE: Duration = Duration::from_secs(15);
@@ -99,11 +99,11 @@
     },
 }
 
-fn ask(host: &Path, ask: PlanAsk) -> Result<PlanReply, String> {
-    match tackmast_admin::call(host, &Call::Ask(Ask::Plan(ask)), PATIENCE)? {
-        Answer::Reply(r) => match *r {
-            Reply::Plan(p) => Ok(p),
-            Reply::NotKept { why } => Err(why),
+fn ask(host: &Path, ask: PlanRequest) -> Result<PlanResponse, String> {
+    match tackmast_admin::call(host, &Call::AdminRequest(AdminRequest::Plan(ask)), PATIENCE)? {
+        Answer::AdminResponse(r) => match *r {
+            AdminResponse::Plan(p) => Ok(p),
+            AdminResponse::NotKept { why } => Err(why),
             other => Err(format!("host {}: {other:?}; expected word of plans", host.display())),
         },
         Answer::Error(e) => Err(e),
@@ -112,8 +112,8 @@
 }
 
 fn shown(host: &Path) -> Result<PlanStatus, String> {
-    match ask(host, PlanAsk::Show)? {
-        PlanReply::Shown(s) => Ok(*s),
+    match ask(host, PlanRequest::Show)? {
+        PlanResponse::Shown(s) => Ok(*s),
         other => Err(format!("host {}: {other:?}; expected its plans", host.display())),
     }
 }
@@ -135,19 +135,19 @@
         PlanCommand::Apply { file, remove, base, by, home } => apply(&file, &remove, base, by, &home),
         PlanCommand::Undo { number, by, home } => {
             let By { who, why, dry_run } = by;
-            told(ask(&home.host, PlanAsk::Undo { number, who, why, dry_run })?, home.json)
+            told(ask(&home.host, PlanRequest::Undo { number, who, why, dry_run })?, home.json)
         }
         PlanCommand::Check(figures) => crate::planner::check(&figures),
         PlanCommand::Suggest { figures, nodes } => crate::planner::suggest(&figures, nodes),
         PlanCommand::Log { verify, from, host, json } => {
             let reply = match (from, host) {
                 (Some(file), _) => read_log(&file)?,
-                (None, Some(host)) => ask(&host, PlanAsk::Log)?,
+                (None, Some(host)) => ask(&host, PlanRequest::Log)?,
                 (None, None) => {
                     return Err("--host: missing; expected a socket, or --from with a file".into())
                 }
             };
-            let PlanReply::Log { text, fleet } = &reply else { return told(reply, json) };
+            let PlanResponse::Log { text, fleet } = &reply else { return told(reply, json) };
             if verify {
                 return prove(text, fleet);
             }
@@ -160,7 +160,7 @@
     }
 }
 
-fn read_log(file: &Path) -> Result<PlanReply, String> {
+fn read_log(file: &Path) -> Result<PlanResponse, String> {
     let at = |e: String| format!("{}: {e}; expected what `plan log --json` printed", file.display());
     let text = std::fs::read_to_string(file).map_err(|e| at(e.to_string()))?;
     serde_json::from_str(&text).map_err(|e| at(e.to_string()))
@@ -266,16 +266,16 @@
     }
     let By { who, why, dry_run } = by;
     let change = Change { base: base.unwrap_or(s.catalogue.version), steps, who, why };
-    told(ask(&home.host, PlanAsk::Apply { change, dry_run })?, home.json)
+    told(ask(&home.host, PlanRequest::Apply { change, dry_run })?, home.json)
 }
 
-fn told(reply: PlanReply, json: bool) -> Result<ExitCode, String> {
+fn told(reply: PlanResponse, json: bool) -> Result<ExitCode, String> {
     if json {
         println!("{}", serde_json::to_string(&reply).map_err(|e| e.to_string())?);
     }
     match reply {
-        PlanReply::Refused { why } => Err(format!("refused: {why}")),
-        PlanReply::Applied { number, version, lines, in_force_s, dry_run } if !json => {
+        PlanResponse::Refused { why } => Err(format!("refused: {why}")),
+        PlanResponse::Applied { number, version, lines, in_force_s, dry_run } if !json => {
             lines.iter().for_each(|l| println!("{l}"));
             match dry_run {
                 true => println!("nothing has moved; it would be change {number}, version {version}"),
--- a/crates/host-core/src/admission.rs
+++ b/crates/host-core/src/admission.rs
@@ -3,45 +3,45 @@
 use std::collections::HashMap;
 use tackmast::interface::{Instant, TimeDelta};
 
-const RATE_MEMORY: f64 = 2.0; // seconds over which endings are counted
-const MIN_WAIT: f64 = 0.05; // seconds; a full table clears no faster in a way worth a round trip
-const CLEARED: f64 = 0.1; // part of the table that should be free again when a client comes back
+const RATE_WINDOW_S: f64 = 2.0; // seconds over which endings are counted
+const MIN_RETRY_AFTER_S: f64 = 0.05; // seconds; a full table clears no faster in a way worth a round trip
+const FREE_SHARE: f64 = 0.1; // part of the table that should be free again when a client comes back
 
 /// What one session, and one volume, may hold: so many times what is free. A greedy one takes what nobody wants and
 /// finds its bound shrink as others come, who always meet something free (dynamic thresholds, as shared buffers of
 /// switches use them).
-const SESSION_TIMES: f64 = 4.0;
-const VOLUME_TIMES: f64 = 8.0;
+const SESSION_MULTIPLE: f64 = 4.0;
+const VOLUME_MULTIPLE: f64 = 8.0;
 
 /// Requests and bytes, of the host or a part of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct Usage {
     pub requests: usize,
     pub bytes: usize,
 }
 
-impl Held {
-    fn plus(self, other: Held) -> Held {
-        Held { requests: self.requests + other.requests, bytes: self.bytes + other.bytes }
+impl Usage {
+    fn plus(self, other: Usage) -> Usage {
+        Usage { requests: self.requests + other.requests, bytes: self.bytes + other.bytes }
     }
-    fn less(self, other: Held) -> Held {
+    fn less(self, other: Usage) -> Usage {
         let (requests, bytes) =
             (self.requests.saturating_sub(other.requests), self.bytes.saturating_sub(other.bytes));
-        Held { requests, bytes }
+        Usage { requests, bytes }
     }
-    fn within(self, bound: Held, times: f64) -> bool {
-        self.requests as f64 <= times * bound.requests as f64
-            && self.bytes as f64 <= times * bound.bytes as f64
+    fn within(self, bound: Usage, multiple: f64) -> bool {
+        self.requests as f64 <= multiple * bound.requests as f64
+            && self.bytes as f64 <= multiple * bound.bytes as f64
     }
 }
 
 #[derive(Debug)]
 pub struct Admission {
-    most: Held,
+    most: Usage,
     longest_wait: TimeDelta,
-    held: Held,
-    sessions: HashMap<u32, Held>,
-    volumes: HashMap<usize, Held>,
+    held: Usage,
+    sessions: HashMap<u32, Usage>,
+    volumes: HashMap<usize, Usage>,
     ended: f64,
     ended_at: Instant,
 }
@@ -49,9 +49,9 @@
 impl Admission {
     pub fn new(now: Instant, requests: usize, bytes: usize, longest_wait: TimeDelta) -> Self {
         Admission {
-            most: Held { requests, bytes },
+            most: Usage { requests, bytes },
             longest_wait,
-            held: Held::default(),
+            held: Usage::default(),
             sessions: HashMap::new(),
             volumes: HashMap::new(),
             ended: 0.0,
@@ -59,9 +59,9 @@
         }
     }
 
-    fn fade(&mut self, now: Instant) {
+    fn decay_rate(&mut self, now: Instant) {
         let age = (now - self.ended_at).secs().max(0.0);
-        self.ended *= (-age / RATE_MEMORY).exp();
+        self.ended *= (-age / RATE_WINDOW_S).exp();
         self.ended_at = now;
     }
 
@@ -71,7 +71,7 @@
         now: Instant,
         session: u32,
         volume: usize,
-        wanted: Held,
+        wanted: Usage,
     ) -> Result<(), TimeDelta> {
         let with = self.held.plus(wanted);
         // What is free counts after this one, so that the last place is nobody's alone.
@@ -79,28 +79,30 @@
         let of_session = self.sessions.get(&session).copied().unwrap_or_default().plus(wanted);
         let of_volume = self.volumes.get(&volume).copied().unwrap_or_default().plus(wanted);
         let fits = with.within(self.most, 1.0)
-            && of_session.within(free, SESSION_TIMES)
-            && of_volume.within(free, VOLUME_TIMES);
+            && of_session.within(free, SESSION_MULTIPLE)
+            && of_volume.within(free, VOLUME_MULTIPLE);
         if fits {
             self.held = with;
             self.sessions.insert(session, of_session);
             self.volumes.insert(volume, of_volume);
             return Ok(());
         }
-        self.fade(now);
-        let rate = self.ended / RATE_MEMORY;
-        let cleared = CLEARED * self.most.requests as f64 + wanted.requests as f64;
+        self.decay_rate(now);
+        let rate = self.ended / RATE_WINDOW_S;
+        let cleared = FREE_SHARE * self.most.requests as f64 + wanted.requests as f64;
         let wait = if rate > 0.0 { cleared / rate } else { f64::MAX };
-        Err(TimeDelta::from_secs(wait.clamp(MIN_WAIT, self.longest_wait.secs().max(MIN_WAIT))))
+        Err(TimeDelta::from_secs(
+            wait.clamp(MIN_RETRY_AFTER_S, self.longest_wait.secs().max(MIN_RETRY_AFTER_S)),
+        ))
     }
 
-    pub fn leave(&mut self, now: Instant, session: u32, volume: usize, held: Held) {
-        self.fade(now);
+    pub fn leave(&mut self, now: Instant, session: u32, volume: usize, held: Usage) {
+        self.decay_rate(now);
         self.ended += held.requests as f64;
         self.held = self.held.less(held);
-        let less = |h: &mut Held| {
+        let less = |h: &mut Usage| {
             *h = h.less(held);
-            *h != Held::default()
+            *h != Usage::default()
         };
         if !self.sessions.get_mut(&session).is_some_and(less) {
             self.sessions.remove(&session);
@@ -115,15 +117,15 @@
 mod tests {
     use super::*;
 
-    fn one(bytes: usize) -> Held {
-        Held { requests: 1, bytes }
+    fn one(bytes: usize) -> Usage {
+        Usage { requests: 1, bytes }
     }
 
     /// How many of one request each get in, of those that ask one after the other: session, volume.
-    fn fill(a: &mut Admission, asks: &[(u32, usize)], rounds: usize) -> Vec<usize> {
-        let mut got = vec![0; asks.len()];
+    fn fill(a: &mut Admission, last_request: &[(u32, usize)], rounds: usize) -> Vec<usize> {
+        let mut got = vec![0; last_request.len()];
         for _ in 0..rounds {
-            for (i, (session, volume)) in asks.iter().enumerate() {
+            for (i, (session, volume)) in last_request.iter().enumerate() {
                 got[i] += usize::from(a.enter(Instant::from_secs(1.0), *session, *volume, one(1)).is_ok());
             }
         }
@@ -146,8 +148,8 @@
                 a.enter(at(0.0), 1, 1, one(0)).unwrap();
                 a.leave(at(f64::from(i) / f64::from(ended)), 1, 1, one(0));
             }
-            let asks: Vec<(u32, usize)> = (0..sessions).map(|s| (s, s as usize)).collect();
-            fill(&mut a, &asks, 100);
+            let last_request: Vec<(u32, usize)> = (0..sessions).map(|s| (s, s as usize)).collect();
+            fill(&mut a, &last_request, 100);
             let found = a.enter(at(1.0), 0, 0, one(bytes)).map_or_else(TimeDelta::secs, |()| 0.0);
             assert!((low..=high).contains(&found), "{name}: {found}");
         }
@@ -185,6 +187,6 @@
         for s in 0..5 {
             a.leave(Instant::from_secs(0.1), s, 1, one(7));
         }
-        assert_eq!((a.held, a.sessions.len(), a.volumes.len()), (Held::default(), 0, 0));
+        assert_eq!((a.held, a.sessions.len(), a.volumes.len()), (Usage::default(), 0, 0));
     }
 }
--- a/crates/host-core/src/agreed.rs
+++ b/crates/host-core/src/consensus.rs
@@ -12,19 +12,19 @@
 use tackmast_wire::peer::Body;
 
 /// Entries, and bytes of them, after which they are folded.
-const FOLD_ENTRIES: u64 = 2_000;
-const FOLD_BYTES: usize = 4 << 20;
+const SNAPSHOT_AFTER_ENTRIES: u64 = 2_000;
+const SNAPSHOT_AFTER_BYTES: usize = 4 << 20;
 /// Reads that wait, at most, and for how long each does.
-pub(crate) const READS: usize = 256;
-pub(crate) const READ_S: f64 = 3.0;
+pub(crate) const MAX_WAITING_READS: usize = 256;
+pub(crate) const READ_TIMEOUT_S: f64 = 3.0;
 /// How often a leader looks whether all hosts have what some floor waits for.
-pub(crate) const TOLD_S: f64 = 0.5;
+pub(crate) const ACKNOWLEDGEMENT_CHECK_S: f64 = 0.5;
 /// Writes of the agreed log are told of under numbers from here on.
-pub(crate) const WRITES: u64 = 1 << 62;
+pub(crate) const FIRST_WRITE_REQUEST: u64 = 1 << 62;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum AgreementAsk {
+pub enum ConsensusRequest {
     Status,
     /// One voter more, or one less; asked of the host that leads.
     Voter {
@@ -45,8 +45,8 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum AgreementReply {
-    Status(Box<AgreementStatus>),
+pub enum ConsensusResponse {
+    Status(Box<ConsensusStatus>),
     /// Done here, and written into the audit trail; of a force, the mark of the log that it began.
     Done {
         log: u64,
@@ -62,7 +62,7 @@
 
 /// How a host stands to what is agreed on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct AgreementStatus {
+pub struct ConsensusStatus {
     pub host: u32,
     #[serde(rename = "life")]
     pub generation: u64,
@@ -82,12 +82,14 @@
     pub folded: u64,
     /// Of the plans that it goes by, and the newest that all hosts have, as was agreed.
     pub version: u64,
-    pub told: u64,
+    #[serde(rename = "told")]
+    pub acknowledged: u64,
     /// Holds, past or never; and seconds until its end, or since.
     pub lease: String,
     pub lease_s: f64,
     /// It goes by the floors.
-    pub posture: bool,
+    #[serde(rename = "posture")]
+    pub degraded: bool,
     /// Seconds until all hosts go by the newest that this one has.
     pub in_force_s: f64,
     /// Where it leads: by host, the entries that it said it has, and seconds since.
@@ -101,40 +103,46 @@
 
 /// What a host's disk has of the agreement.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AgreedStart {
+pub struct ConsensusStart {
     pub identity: DiskIdentity,
     pub persisted: PersistentState,
 }
 
-pub struct Agreed {
+pub struct ConsensusDriver {
     pub(crate) replica: Replica,
     pub(crate) chunks: ChunkedTransfer,
     pub(crate) settings: RaftSettings,
     /// Changes of this host: their numbers, and who waits for what.
     pub(crate) changes: BTreeMap<u32, u64>,
     /// Who waits for what is newest: by number of the ask, until when, and what for.
-    pub(crate) reads: Vec<(u32, Instant, u64, crate::PlanAsk)>,
+    pub(crate) reads: Vec<(u32, Instant, u64, crate::PlanRequest)>,
     /// Where the newest change of plans stands in the log.
     pub(crate) changed_at: u64,
-    pub(crate) told_at: Instant,
+    pub(crate) next_acknowledgement_check: Instant,
     me: u32,
 }
 
-pub fn agreement_settings(s: &HostSettings, a: &AgreementBlock) -> RaftSettings {
+pub fn raft_settings(s: &HostSettings, a: &AgreementBlock) -> RaftSettings {
     RaftSettings {
         heartbeat_interval: TimeDelta::from_secs(a.beat_ms / 1e3),
         election_timeout: TimeDelta::from_secs(a.patience_ms / 1e3),
         lease: TimeDelta::from_secs(a.lease_s),
         max_clock_drift: a.drift,
         host_count: s.host.hosts,
-        snapshot_after_entries: FOLD_ENTRIES,
-        snapshot_after_bytes: FOLD_BYTES,
+        snapshot_after_entries: SNAPSHOT_AFTER_ENTRIES,
+        snapshot_after_bytes: SNAPSHOT_AFTER_BYTES,
     }
 }
 
-impl Agreed {
-    pub fn new(now: Instant, s: &HostSettings, a: &AgreementBlock, start: AgreedStart, seed: u64) -> Agreed {
-        let (me, settings) = (s.host.number, agreement_settings(s, a));
+impl ConsensusDriver {
+    pub fn new(
+        now: Instant,
+        s: &HostSettings,
+        a: &AgreementBlock,
+        start: ConsensusStart,
+        seed: u64,
+    ) -> ConsensusDriver {
+        let (me, settings) = (s.host.number, raft_settings(s, a));
         let first = (start.identity.generation as u32).wrapping_mul(0x9e37_79b1);
         let replica = ReplicaSettings {
             me,
@@ -144,7 +152,7 @@
             persisted: start.persisted,
             seed,
         };
-        Agreed {
+        ConsensusDriver {
             replica: Replica::new(now, replica),
             chunks: ChunkedTransfer::new(
                 ChunkSettings { retry_interval: settings.heartbeat_interval },
@@ -154,12 +162,12 @@
             changes: BTreeMap::new(),
             reads: Vec::new(),
             changed_at: 0,
-            told_at: now,
+            next_acknowledgement_check: now,
             me,
         }
     }
 
-    pub fn next_wake(&self, now: Instant) -> Instant {
+    pub fn poll_timeout(&self, now: Instant) -> Instant {
         let reads = self.reads.iter().map(|(_, until, _, _)| *until);
         let all = [Some(self.replica.poll_timeout(now)), self.chunks.poll_timeout()];
         all.into_iter().flatten().chain(reads).fold(self.replica.poll_timeout(now), Instant::min)
@@ -192,7 +200,7 @@
         self.replica.lease_state(now)
     }
 
-    pub fn status(&self, now: Instant) -> AgreementStatus {
+    pub fn status(&self, now: Instant) -> ConsensusStatus {
         let reported = |(host, f): (u32, FollowerStatus)| (host, (f.stored_index, f.silent_for.secs()));
         let (s, c) = (self.replica.status(now), self.replica.raft.counters);
         let (lease, lease_s) = match self.replica.lease_state(now) {
@@ -200,7 +208,7 @@
             LeaseState::Expired { since } => ("past", (now - since).secs()),
             LeaseState::Never => ("never", 0.0),
         };
-        AgreementStatus {
+        ConsensusStatus {
             host: self.me,
             generation: self.replica.raft.identity().generation,
             role: s.role.to_string(),
@@ -215,10 +223,10 @@
             commit: s.commit_index,
             folded: s.snapshot_index,
             version: 0,
-            told: 0,
+            acknowledged: 0,
             lease: lease.into(),
             lease_s,
-            posture: false,
+            degraded: false,
             in_force_s: (self.replica.effective_at(now) - now).secs(),
             has: s.followers.into_iter().map(reported).collect(),
             elections: c.elections,
--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -1,23 +1,25 @@
 //! The state machine: inputs, the tables, and the outputs.
 
-mod agreed;
+mod admin;
 mod attempts;
 mod commands;
-mod fellows;
-mod listed;
-mod orders;
-mod stops;
-
-use crate::admission::{Admission, Held};
-use crate::agreed::Agreed;
-use crate::combine::{combine, Combined, PartEnd};
-use crate::fellows::{Fellows, Followed};
+mod consensus;
+mod endpoint_list;
+mod peers;
+mod removed_nodes;
+
+use crate::admission::{Admission, Usage};
+use crate::combine::{combine, Combined, PartState};
+use crate::consensus::ConsensusDriver;
+use crate::fair_queueing::{FairQueueing, QueueKey, QueueTicket};
 use crate::layout::{key_id, Layout};
 use crate::nodes::{ListEntry, Nodes};
-use crate::orders::{Ask, Keep, Next, Orders, OrdersStatus, Reply};
-use crate::placed::{Placed, PlacedSettings, Request, VolumeNames};
-use crate::plans::{Holds, Move, PlanAsk, PlanNext, PlanReply, Plans};
-use crate::sharing::{LineName, Place, Sharing};
+use crate::override_requests::{
+    AdminRequest, AdminResponse, HostStatus, OverrideOutcome, OverrideRequests, PersistBatch,
+};
+use crate::peers::{PeerEvent, Peers};
+use crate::placed::{OpaqueRequest, PlacedRequest, PlacedSettings, VolumeNames};
+use crate::plans::{AppliedChange, PlanOutcome, PlanRequest, PlanResponse, PlanUpdate, Plans};
 use crate::ticket::Ticket;
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -30,19 +32,19 @@
 /// the safe units at once, a quarter of them again by time, and four fifths of the multiple for what it saw a node do:
 /// 1.25 and 0.8 of the two figures. Where operators state figures without any margin, the two together would push a
 /// cold node over while its answers are quick errors (found by the laboratory); 1.25 x 0.4 + 0.8 x 0.6 can't.
-const COLD_SAFE_PART: f64 = 0.4;
-const COLD_MULTIPLE_PART: f64 = 0.6;
+const SLOW_START_SAFE_SHARE: f64 = 0.4;
+const SLOW_START_MULTIPLE_SHARE: f64 = 0.6;
 /// The least of these parts that is told, where nodes are said to bear hardly more than they can do.
-const COLD_MIN_PART: f64 = 0.05;
+const SLOW_START_MIN_SHARE: f64 = 0.05;
 
 /// Safe units and multiple as the module is told of them. What a node has done makes room as well, up to all that it can
 /// do in the window; so burst and time share only what the multiple leaves beyond that.
-fn cold_figures(c: &tackmast_config::ColdNodes) -> (f64, f64) {
-    let spare = ((c.multiple - 1.0) / c.multiple).clamp(COLD_MIN_PART, 1.0);
-    (c.safe_units * COLD_SAFE_PART * spare, c.multiple * COLD_MULTIPLE_PART * spare)
+fn slow_start_figures(c: &tackmast_config::ColdNodes) -> (f64, f64) {
+    let spare = ((c.multiple - 1.0) / c.multiple).clamp(SLOW_START_MIN_SHARE, 1.0);
+    (c.safe_units * SLOW_START_SAFE_SHARE * spare, c.multiple * SLOW_START_MULTIPLE_SHARE * spare)
 }
 /// Part of the grace of a drain after which links that still write to the node are cut.
-const GRACE_PART: f64 = 0.5;
+const GRACE_SHARE: f64 = 0.5;
 
 /// A client's command: its session at this host, and its number within that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -67,11 +69,11 @@
         data: Bytes,
     },
     /// As it came; its host only places it.
-    Request(Request),
+    Opaque(OpaqueRequest),
 }
 
 /// What every attempt of a request says.
-struct AttemptText {
+struct AttemptPayload {
     key: u64,
     volume: u32,
     offset: u64,
@@ -79,13 +81,13 @@
     work: AttemptWork,
 }
 
-impl AttemptText {
+impl AttemptPayload {
     /// How many bytes an answer must bring; none: only its node knows.
     fn wanted(&self) -> Option<usize> {
         match &self.work {
             AttemptWork::Read { length } => Some(*length as usize),
             AttemptWork::Write { .. } => Some(0),
-            AttemptWork::Request(_) => None,
+            AttemptWork::Opaque(_) => None,
         }
     }
 }
@@ -175,13 +177,13 @@
     /// Ask for the complete list: a change is missing.
     FetchList,
     /// To be written durably, all or nothing, and then told of by `kept` under this number; 0: no word is wanted.
-    Keep {
+    Persist {
         request: u64,
-        keep: Keep,
+        batch: PersistBatch,
     },
-    Reply {
+    AdminResponse {
         request: u64,
-        reply: Reply,
+        response: AdminResponse,
     },
     /// To another host.
     Datagram {
@@ -189,7 +191,7 @@
         bytes: Bytes,
     },
     /// A change of mode, with its figures, and the node it is about.
-    Mode {
+    Log {
         node: Option<NodeId>,
         line: String,
     },
@@ -224,7 +226,7 @@
     pub nodes_over_bound: u64,
 }
 
-struct Out {
+struct InFlightAttempt {
     no: u32,
     node: NodeId,
     sent: Instant,
@@ -236,13 +238,13 @@
     serial: u64,
     from: CommandRef,
     part: u16,
-    text: AttemptText,
+    payload: AttemptPayload,
     traffic_class: usize,
     deadline: Instant,
     attempts: u32,
-    out: Vec<Out>,
+    out: Vec<InFlightAttempt>,
     /// In its session's turn, until its first attempt leaves.
-    place: Option<Place>,
+    queue_ticket: Option<QueueTicket>,
     /// Whether an attempt may have had an effect; those that are out count by their ticket.
     ran: bool,
     answered: bool,
@@ -252,21 +254,21 @@
     fn new(
         serial: u64,
         (from, part): (CommandRef, u16),
-        text: AttemptText,
+        payload: AttemptPayload,
         traffic_class: usize,
         deadline: Instant,
-        place: Option<Place>,
+        queue_ticket: Option<QueueTicket>,
     ) -> Self {
         PendingRequest {
             serial,
             from,
             part,
-            text,
+            payload,
             traffic_class,
             deadline,
             attempts: 0,
             out: Vec::new(),
-            place,
+            queue_ticket,
             ran: false,
             answered: false,
         }
@@ -277,8 +279,8 @@
     }
 }
 
-struct Command {
-    parts: Vec<(RequestId, Option<PartEnd>, Bytes)>,
+struct OpenCommand {
+    parts: Vec<(RequestId, Option<PartState>, Bytes)>,
     traffic_class: usize,
     volume: usize,
     marked: bool,
@@ -291,27 +293,27 @@
     layout: Layout,
     volume_names: VolumeNames,
     traffic_classes: Vec<TrafficClass>,
-    tells: bool,
+    reports_service: bool,
     lead: TimeDelta,
     longest_wait: TimeDelta,
     generation: u64,
     nodes: Nodes,
     admission: Admission,
-    sharing: Sharing,
-    commands: HashMap<CommandRef, Command>,
+    fair_queueing: FairQueueing,
+    commands: HashMap<CommandRef, OpenCommand>,
     sessions: HashMap<u32, BTreeSet<u32>>, // open commands
     requests: HashMap<RequestId, PendingRequest>,
     serial: u64,
     at_node: BTreeMap<NodeId, BTreeSet<(RequestId, u32)>>, // attempts out
     until: BTreeSet<(Instant, RequestId, u32)>,            // the same, by the end of their time
     grace: TimeDelta,
-    cuts: BTreeSet<(Instant, NodeId)>, // when what is still being written to a node that drains is cut off
+    cut_deadlines: BTreeSet<(Instant, NodeId)>, // when what is still being written to a node that drains is cut off
     list_version: u64,
-    stops: stops::Stops,
-    orders: Option<Orders>,
-    fellows: Option<Fellows>,
+    removed_nodes: removed_nodes::RemovedNodes,
+    override_requests: Option<OverrideRequests>,
+    peers: Option<Peers>,
     plans: Option<Plans>,
-    agreed: Option<Agreed>,
+    consensus: Option<ConsensusDriver>,
     /// The host is ending: since when, and nothing new is taken.
     draining: bool,
     number: u32,
@@ -323,9 +325,9 @@
 impl Core {
     /// `address_generation` differs between all generations of all hosts; `seed` is for chance in decisions.
     pub fn new(now: Instant, s: &HostSettings, seed: u64, generation: u64) -> Self {
-        let tick = TimeDelta::from_secs(s.host.tick_ms / 1e3);
+        let handle_timeout = TimeDelta::from_secs(s.host.tick_ms / 1e3);
         let longest = TimeDelta::from_secs(s.load.longest_wait_s);
-        let mut scheduler = Scheduler::new(now, seed, s.host.hosts, tick, s.units.mean);
+        let mut scheduler = Scheduler::new(now, seed, s.host.hosts, handle_timeout, s.units.mean);
         for st in &s.traffic_classes {
             scheduler.add_traffic_class(st.latency_objective, st.effect, st.in_order);
         }
@@ -344,7 +346,7 @@
         }
         if let Some(c) = &s.cold {
             let (warm, window) = (TimeDelta::from_secs(c.warm_s), TimeDelta::from_secs(c.window_s));
-            let (safe_units, overload_multiple) = cold_figures(c);
+            let (safe_units, overload_multiple) = slow_start_figures(c);
             scheduler.set_slow_start(SlowStart {
                 safe_units,
                 initial_capacity: c.from,
@@ -357,7 +359,7 @@
         scheduler.subscribe_to_node_list();
         let placed = PlacedSettings {
             traffic_classes: s.traffic_classes.clone(),
-            tells: s.load.tells_others,
+            reports_service: s.load.tells_others,
             longest_wait: longest,
             grace: TimeDelta::from_secs(s.load.drain_grace_ms / 1e3),
             requests: s.bounds.requests,
@@ -380,27 +382,27 @@
             layout: Layout::default(),
             volume_names: VolumeNames::new(s.volumes),
             traffic_classes: s.traffic_classes,
-            tells: s.tells,
+            reports_service: s.reports_service,
             lead: TimeDelta::ZERO,
             longest_wait: s.longest_wait,
             generation,
             nodes: Nodes::new(s.nodes),
             admission: Admission::new(now, s.requests, s.bytes, s.longest_wait),
-            sharing: Sharing::default(),
+            fair_queueing: FairQueueing::default(),
             commands: HashMap::new(),
             sessions: HashMap::new(),
             requests: HashMap::new(),
             serial: 0,
             at_node: BTreeMap::new(),
             until: BTreeSet::new(),
-            grace: TimeDelta::from_secs(s.grace.secs() * GRACE_PART),
-            cuts: BTreeSet::new(),
+            grace: TimeDelta::from_secs(s.grace.secs() * GRACE_SHARE),
+            cut_deadlines: BTreeSet::new(),
             list_version: 0,
-            stops: stops::Stops::default(),
-            orders: None,
-            fellows: None,
+            removed_nodes: removed_nodes::RemovedNodes::default(),
+            override_requests: None,
+            peers: None,
             plans: None,
-            agreed: None,
+            consensus: None,
             draining: false,
             number: 0,
             wall_offset_us: 0,
@@ -428,17 +430,17 @@
     }
 
     /// Lines of sessions with something waiting, and sessions remembered in them.
-    pub fn sharing(&self) -> (usize, usize) {
-        self.sharing.kept()
+    pub fn fair_queue_counts(&self) -> (usize, usize) {
+        self.fair_queueing.counts()
     }
 
     /// Order keys that the module remembers.
-    pub fn keys_in_order(&self) -> usize {
+    pub fn key_queue_count(&self) -> usize {
         self.scheduler.key_queue_count()
     }
 
     /// Commands without an answer, requests that are kept, and attempts out.
-    pub fn open(&self) -> (usize, usize, usize) {
+    pub fn open_counts(&self) -> (usize, usize, usize) {
         (self.commands.len(), self.requests.len(), self.until.len())
     }
 }
@@ -446,27 +448,27 @@
 /// Inputs.
 impl Core {
     /// What each shard did for this host, units a second; and what an earlier generation of it saw.
-    pub fn paces(&self, now: Instant) -> Vec<(ShardId, f64)> {
+    pub fn service_rates(&self, now: Instant) -> Vec<(ShardId, f64)> {
         self.scheduler.service_rates(now)
     }
 
-    pub fn pace_known(&mut self, now: Instant, shard: ShardId, rate: f64) {
+    pub fn restore_service_rate(&mut self, now: Instant, shard: ShardId, rate: f64) {
         self.scheduler.service_rate_restored(now, shard, rate);
     }
 
     /// Time has passed: attempts whose time is up end.
-    pub fn tick(&mut self, now: Instant) {
-        self.tick_orders(now);
-        self.tick_agreed(now);
-        if self.fellows.as_ref().is_some_and(|f| f.member.poll_timeout() <= now) {
-            if let Some(f) = &mut self.fellows {
+    pub fn handle_timeout(&mut self, now: Instant) {
+        self.handle_override_timeout(now);
+        self.handle_consensus_timeout(now);
+        if self.peers.as_ref().is_some_and(|f| f.member.poll_timeout() <= now) {
+            if let Some(f) = &mut self.peers {
                 f.member.handle_timeout(now);
             }
-            self.follow_fellows(now);
+            self.process_peer_events(now);
         }
-        while let Some((_, node)) = self.cuts.first().copied().filter(|(t, _)| *t <= now) {
-            self.cuts.pop_first();
-            let stopped = self.is_stopped(now, node);
+        while let Some((_, node)) = self.cut_deadlines.first().copied().filter(|(t, _)| *t <= now) {
+            self.cut_deadlines.pop_first();
+            let stopped = self.is_unavailable(now, node);
             for (id, no) in self.at_node.get(&node).cloned().unwrap_or_default() {
                 let attempt = self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
                 if stopped && attempt.is_some_and(|o| o.ticket.is_stuck()) {
@@ -491,7 +493,7 @@
                     self.push_cancel(node, attempt_id(id, no), stuck);
                 }
             }
-            self.attempt_over(now, id, no, outcome, None, Bytes::new());
+            self.finish_attempt(now, id, no, outcome, None, Bytes::new());
         }
     }
 }
@@ -503,36 +505,36 @@
 /// Outputs.
 impl Core {
     /// What is to be done next; none: nothing more at this moment.
-    pub fn next_output(&mut self, now: Instant) -> Option<Output> {
+    pub fn poll_output(&mut self, now: Instant) -> Option<Output> {
         loop {
             if let Some(o) = self.outputs.pop_front() {
                 return Some(o);
             }
             // Whatever came meanwhile, and however long this host stood still: nothing leaves by what counts no more.
-            self.look_at_lease(now);
+            self.update_degraded_mode(now);
             let decision = self.scheduler.poll_decision(now)?;
-            self.carry_out(now, decision);
+            self.execute(now, decision);
         }
     }
 
     /// When to come back if nothing else happens before.
-    pub fn next_wake(&self, now: Instant) -> Option<Instant> {
+    pub fn poll_timeout(&self, now: Instant) -> Option<Instant> {
         let attempt = self.until.first().map(|(t, _, _)| *t);
-        let cut = self.cuts.first().map(|(t, _)| *t);
-        let ends = self.orders.as_ref().and_then(|o| o.next(now));
-        let fellows = self.fellows.as_ref().map(|f| f.member.poll_timeout());
-        let agreed = self.agreed.as_ref().map(|a| a.next_wake(now));
-        [attempt, cut, ends, fellows, agreed, self.scheduler.poll_timeout()].into_iter().flatten().min()
+        let cut = self.cut_deadlines.first().map(|(t, _)| *t);
+        let ends = self.override_requests.as_ref().and_then(|o| o.next(now));
+        let peers = self.peers.as_ref().map(|f| f.member.poll_timeout());
+        let consensus = self.consensus.as_ref().map(|a| a.poll_timeout(now));
+        [attempt, cut, ends, peers, consensus, self.scheduler.poll_timeout()].into_iter().flatten().min()
     }
 }
 
-fn facts((address, e): (&str, &NodeEntry)) -> Option<NodeFacts> {
+fn node_facts((address, e): (&str, &NodeEntry)) -> Option<NodeFacts> {
     Some(NodeFacts { address: address.parse().ok()?, zone: e.zone.0, shard: e.shard.0, listed: e.state })
 }
 
-fn joined(parts: &[(RequestId, Option<PartEnd>, Bytes)], bytes: usize) -> Bytes {
-    if let [(_, _, only)] = parts {
-        return only.clone();
+fn join_parts(parts: &[(RequestId, Option<PartState>, Bytes)], bytes: usize) -> Bytes {
+    if let [(_, _, retain_listed)] = parts {
+        return retain_listed.clone();
     }
     let mut all = BytesMut::with_capacity(bytes);
     parts.iter().for_each(|(_, _, data)| all.extend_from_slice(data));
--- /dev/null
+++ b/crates/host-core/src/core/admin.rs
@@ -0,0 +1,166 @@
+//! Operators: what they ask, and what is kept of it.
+
+use super::*;
+
+impl Core {
+    /// Takes operators' overrides in. `batch` is what has become of those of an earlier generation.
+    pub fn with_overrides(&mut self, now: Instant, overrides: Overrides, batch: PersistBatch) {
+        self.override_requests = Some(OverrideRequests::new(now, overrides));
+        if batch != PersistBatch::default() {
+            self.outputs.push_back(Output::Persist { request: 0, batch });
+        }
+    }
+
+    /// What the wall clock shows, now and then: audits carry it, and its steps move no end.
+    pub fn handle_wall_clock(&mut self, now: Instant, wall_us: u64) {
+        self.wall_offset_us = wall_us as i64 - (now.secs() * 1e6).round() as i64;
+        let step = self.override_requests.as_mut().and_then(|o| o.overrides.handle_wall_clock(now, wall_us));
+        if let Some((put, audit)) = step {
+            self.log(audit.what.clone());
+            let batch = PersistBatch { put, audits: vec![audit], ..PersistBatch::default() };
+            self.outputs.push_back(Output::Persist { request: 0, batch });
+        }
+    }
+
+    pub(super) fn wall_us(&self, now: Instant) -> u64 {
+        ((now.secs() * 1e6).round() as i64 + self.wall_offset_us).max(0) as u64
+    }
+
+    pub(super) fn log(&mut self, line: String) {
+        self.outputs.push_back(Output::Log { node: None, line });
+    }
+
+    /// An operator's ask, under a number of the caller's that is not 0.
+    pub fn handle_admin_request(&mut self, now: Instant, request: u64, admin_request: AdminRequest) {
+        let admin_request = match admin_request {
+            AdminRequest::Plan(plan_request) if self.plans.is_some() => {
+                return self.handle_plan_request(now, request, plan_request)
+            }
+            AdminRequest::Consensus(consensus_request) => {
+                return self.handle_consensus_request(now, request, consensus_request)
+            }
+            other => other,
+        };
+        let wall_us = self.wall_us(now);
+        let Some(override_requests) = &mut self.override_requests else {
+            let why = "this host has no overrides block in its settings".to_owned();
+            return self
+                .outputs
+                .push_back(Output::AdminResponse { request, response: AdminResponse::NotKept { why } });
+        };
+        match override_requests.handle_request(now, wall_us, request, admin_request) {
+            None => {}
+            Some(OverrideOutcome::Persist(request, batch)) => {
+                self.outputs.push_back(Output::Persist { request, batch })
+            }
+            Some(OverrideOutcome::Respond(request, AdminResponse::Status(_))) => {
+                let response = AdminResponse::Status(Box::new(self.status(now)));
+                self.outputs.push_back(Output::AdminResponse { request, response });
+            }
+            Some(OverrideOutcome::Respond(request, AdminResponse::Members(_))) => {
+                let status = self.peers.as_ref().map(|f| f.status(now)).unwrap_or_default();
+                self.outputs.push_back(Output::AdminResponse {
+                    request,
+                    response: AdminResponse::Members(Box::new(status)),
+                });
+            }
+            Some(OverrideOutcome::Respond(request, AdminResponse::Refused(r)))
+                if Peers::is_from_peer(request) =>
+            {
+                self.log(format!("an order of another host is refused here: {r}"));
+            }
+            Some(OverrideOutcome::Respond(request, AdminResponse::Explain(mut e))) => {
+                let entry = self.nodes.number(&e.address.to_string()).and_then(|n| self.nodes.entry(n));
+                e.up_s = entry.and_then(|e| e.up_since).map(|t| (now - t).secs());
+                self.outputs
+                    .push_back(Output::AdminResponse { request, response: AdminResponse::Explain(e) });
+            }
+            Some(OverrideOutcome::Respond(request, response)) => {
+                self.outputs.push_back(Output::AdminResponse { request, response })
+            }
+        }
+    }
+
+    /// The store's word on a `PersistBatch`.
+    pub fn handle_persisted(&mut self, now: Instant, request: u64, result: Result<(), String>) {
+        if self.handle_consensus_persisted(now, request, &result) {
+            return;
+        }
+        let plans = self.plans.as_mut().and_then(|p| p.handle_persisted(now, request, result.clone()));
+        if let Some((response, apply_change)) = plans {
+            if let Some(h) = apply_change {
+                self.apply_change(now, h, true);
+                self.process_peer_events(now);
+            }
+            self.outputs
+                .push_back(Output::AdminResponse { request, response: AdminResponse::Plan(response) });
+        }
+        if let Some((request, plan_request)) = self.plans.as_mut().and_then(Plans::next_queued) {
+            self.handle_plan_request(now, request, plan_request);
+        }
+        let acknowledged =
+            self.override_requests.as_mut().and_then(|o| o.handle_persisted(now, request, result));
+        if let Some((response, line)) = acknowledged {
+            if let Some(f) = &mut self.peers {
+                f.handle_override_response(now, &response);
+            }
+            self.log(line);
+            self.apply_changed_overrides(now);
+            self.outputs.push_back(Output::AdminResponse { request, response });
+        }
+        if let Some((request, admin_request)) =
+            self.override_requests.as_mut().and_then(OverrideRequests::next_queued)
+        {
+            self.handle_admin_request(now, request, admin_request);
+        }
+    }
+
+    pub(super) fn status(&self, now: Instant) -> HostStatus {
+        let c = &self.counters;
+        let override_requests = self.override_requests.as_ref();
+        let word = |s: NodeState| format!("{s:?}").to_lowercase();
+        let node = |(address, e): (&str, &NodeEntry)| {
+            let mut apply_overrides = *e;
+            self.apply_overrides(now, &mut apply_overrides);
+            Some((address.parse().ok()?, word(e.state), word(apply_overrides.state)))
+        };
+        HostStatus {
+            host: self.number,
+            overrides: override_requests.map_or(0, |o| o.overrides.len()),
+            version: override_requests.map_or(0, |o| o.overrides.version()),
+            returning: override_requests.map_or(0, |o| o.overrides.returning().0),
+            alive_hosts: self.peers.as_ref().map_or(0, |f| f.member.live_count()),
+            commands: self.commands.len(),
+            attempts: self.until.len(),
+            taken: c.taken,
+            done: c.done,
+            rejected: c.rejected,
+            failed: c.failed,
+            nodes: self.nodes.entries().filter_map(node).collect(),
+        }
+    }
+
+    /// Ends of overrides, and steps of nodes on their way back.
+    pub(super) fn handle_override_timeout(&mut self, now: Instant) {
+        let wall_us = self.wall_us(now);
+        let Some(override_requests) =
+            self.override_requests.as_mut().filter(|o| o.next(now).is_some_and(|t| t <= now))
+        else {
+            return;
+        };
+        let ended = override_requests.overrides.handle_timeout(now, wall_us);
+        let mut lines = override_requests.standing_lines(now);
+        let mut batch = PersistBatch::default();
+        for e in ended {
+            let o = &e.record;
+            lines.push(format!("override {} ended: {} {}, set by {}", o.id.0, o.target, o.kind, o.who));
+            batch.remove.push(o.id);
+            batch.audits.push(e.audit);
+        }
+        lines.into_iter().for_each(|l| self.log(l));
+        if batch != PersistBatch::default() {
+            self.outputs.push_back(Output::Persist { request: 0, batch });
+        }
+        self.apply_changed_overrides(now);
+    }
+}
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -4,13 +4,13 @@
 
 impl Core {
     /// Whether an attempt has not had its end yet.
-    pub fn is_out(&self, attempt: AttemptId) -> bool {
+    pub fn is_in_flight(&self, attempt: AttemptId) -> bool {
         let (id, no) = (RequestId((attempt.0 >> 8) as u32), (attempt.0 & 0xff) as u32);
         self.requests.get(&id).is_some_and(|x| x.out.iter().any(|o| o.no == no))
     }
 
     /// An attempt came back from its link. One that is not known any more had its end before.
-    pub fn attempt_finished(&mut self, now: Instant, back: AttemptResult) {
+    pub fn handle_attempt_result(&mut self, now: Instant, back: AttemptResult) {
         let (id, no) = (RequestId((back.attempt.0 >> 8) as u32), (back.attempt.0 & 0xff) as u32);
         let known = self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
         let Some(node) = known.map(|o| o.node) else {
@@ -20,27 +20,27 @@
         if let Some(waiting) = back.waiting {
             self.scheduler.load_reported(now, node, f64::from(waiting));
         }
-        self.attempt_over(now, id, no, back.outcome, back.elsewhere, back.data);
+        self.finish_attempt(now, id, no, back.outcome, back.elsewhere, back.data);
     }
 
-    pub(super) fn carry_out(&mut self, now: Instant, decision: Decision) {
+    pub(super) fn execute(&mut self, now: Instant, decision: Decision) {
         match decision {
             Decision::Send { request, node, timeout, begin_by } => {
                 self.send(now, request, node, timeout, begin_by)
             }
             Decision::Reject { request, retry_after } => {
-                let end = PartEnd::Rejected { ran: true, retry_after };
-                self.part_over(now, request, end, Bytes::new());
+                let end = PartState::Rejected { ran: true, retry_after };
+                self.finish_part(now, request, end, Bytes::new());
             }
             Decision::Fail { request } => {
-                self.part_over(now, request, PartEnd::Failed { ran: true }, Bytes::new());
+                self.finish_part(now, request, PartState::Failed { ran: true }, Bytes::new());
             }
             Decision::FollowList => self.outputs.push_back(Output::FollowList { since: self.list_version }),
             Decision::Log(line) => {
                 // The module's lines name a node by its number, as their second word.
                 let mut words = line.split(' ');
                 let number = words.next().filter(|w| *w == "node").and_then(|_| words.next()?.parse().ok());
-                self.outputs.push_back(Output::Mode { node: number.map(NodeId), line });
+                self.outputs.push_back(Output::Log { node: number.map(NodeId), line });
             }
         }
     }
@@ -57,11 +57,11 @@
         let until = timeout.map_or(x.deadline, |t| x.deadline.min(now + t));
         let (no, st) = (x.attempts, &self.traffic_classes[x.traffic_class]);
         x.attempts += 1;
-        if let Some(place) = x.place.take() {
-            self.sharing.sent(place);
+        if let Some(queue_ticket) = x.queue_ticket.take() {
+            self.fair_queueing.sent(queue_ticket);
         }
         let ticket = Ticket::default();
-        x.out.push(Out { no, node, sent: now, until, ticket: ticket.clone() });
+        x.out.push(InFlightAttempt { no, node, sent: now, until, ticket: ticket.clone() });
         self.counters.attempts += 1;
         self.counters.retries += u64::from(no > 0);
         self.until.insert((until, id, no));
@@ -81,18 +81,18 @@
             } else {
                 0
             },
-            key: x.text.key,
-            volume: x.text.volume,
-            offset: x.text.offset,
-            units: x.text.units,
-            work: x.text.work.clone(),
+            key: x.payload.key,
+            volume: x.payload.volume,
+            offset: x.payload.offset,
+            units: x.payload.units,
+            work: x.payload.work.clone(),
             ticket,
         };
         self.outputs.push_back(Output::Send(Box::new(attempt)));
     }
 
     /// Every attempt has one end: its answer, its link's end, its time, or its withdrawal, whichever is first.
-    pub(super) fn attempt_over(
+    pub(super) fn finish_attempt(
         &mut self,
         now: Instant,
         id: RequestId,
@@ -112,14 +112,14 @@
             }
         }
         let mut outcome = o;
-        if outcome == Outcome::Done && x.text.wanted().is_some_and(|wanted| data.len() != wanted) {
+        if outcome == Outcome::Done && x.payload.wanted().is_some_and(|wanted| data.len() != wanted) {
             // Bytes that are not those asked for must not pass for them.
             self.counters.short_answers += 1;
             outcome = Outcome::Error;
         }
         x.ran |= outcome.may_have_run();
         let (done, answered) = (outcome == Outcome::Done, x.answered);
-        if let Some(others) = elsewhere.filter(|_| self.tells) {
+        if let Some(others) = elsewhere.filter(|_| self.reports_service) {
             self.scheduler.service_reported(now, id, done, others);
         }
         let (attempt, took) = (AttemptNumber(no), now - out.sent);
@@ -127,44 +127,44 @@
             AttemptEnd { request: id, number: attempt, outcome, latency: took, is_over: answered || done };
         self.scheduler.attempt_ended(now, end);
         if done && !answered {
-            self.part_over(now, id, PartEnd::Done, data);
+            self.finish_part(now, id, PartState::Done, data);
         }
-        self.forget(id);
+        self.remove_if_finished(id);
     }
 
     /// A request that was answered and has no attempt out leaves the table.
-    pub(super) fn forget(&mut self, id: RequestId) {
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|x| x.answered && x.out.is_empty()) {
             self.requests.remove(&id);
         }
     }
 
     /// The command is over before this part of it: nothing new is sent for it, and its attempts are called back.
-    pub(super) fn let_go(&mut self, now: Instant, id: RequestId) {
+    pub(super) fn release_request(&mut self, now: Instant, id: RequestId) {
         let Some(x) = self.requests.get_mut(&id).filter(|x| !x.answered) else { return };
         x.answered = true;
-        if let Some(place) = x.place.take() {
-            self.sharing.left(place);
+        if let Some(queue_ticket) = x.queue_ticket.take() {
+            self.fair_queueing.cancelled(queue_ticket);
         }
         self.scheduler.request_cancelled(now, id);
-        self.cancel_attempts(now, id);
-        self.call_back(id);
-        self.forget(id);
+        self.withdraw_unsent(now, id);
+        self.cancel_in_flight(id);
+        self.remove_if_finished(id);
     }
 
     /// Attempts of which no byte has left never will: they provably did not run.
-    pub(super) fn cancel_attempts(&mut self, now: Instant, id: RequestId) {
+    pub(super) fn withdraw_unsent(&mut self, now: Instant, id: RequestId) {
         let out = self.requests.get(&id).map_or(&[][..], |x| &x.out);
         let unsent: Vec<u32> = out.iter().filter(|o| o.ticket.withdraw()).map(|o| o.no).collect();
         // No word on its node, which never saw it.
         for no in unsent {
             self.counters.withdrawn += 1;
-            self.attempt_over(now, id, no, Outcome::Skipped, None, Bytes::new());
+            self.finish_attempt(now, id, no, Outcome::Skipped, None, Bytes::new());
         }
     }
 
     /// Nobody waits for the attempts that are out: their nodes need not go on.
-    pub(super) fn call_back(&mut self, id: RequestId) {
+    pub(super) fn cancel_in_flight(&mut self, id: RequestId) {
         let out = self.requests.get(&id).map_or(&[][..], |x| &x.out);
         let attempts: Vec<_> =
             out.iter().map(|o| (o.node, attempt_id(id, o.no), o.ticket.is_stuck())).collect();
@@ -182,13 +182,13 @@
         });
     }
 
-    pub(super) fn withdraw_at(&mut self, now: Instant, node: NodeId) {
+    pub(super) fn withdraw_unsent_at(&mut self, now: Instant, node: NodeId) {
         for (id, no) in self.at_node.get(&node).cloned().unwrap_or_default() {
             let ticket =
                 self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no)).map(|o| &o.ticket);
             if ticket.is_some_and(Ticket::withdraw) {
                 self.counters.withdrawn += 1;
-                self.attempt_over(now, id, no, Outcome::Refused, None, Bytes::new());
+                self.finish_attempt(now, id, no, Outcome::Refused, None, Bytes::new());
             }
         }
     }
--- /dev/null
+++ b/crates/host-core/src/core/consensus.rs
@@ -0,0 +1,363 @@
+//! The agreement: words, writes, changes that hold, and the lease without which this host keeps to the floors.
+
+use super::*;
+use crate::consensus::{
+    ConsensusRequest, ConsensusResponse, ACKNOWLEDGEMENT_CHECK_S, FIRST_WRITE_REQUEST, MAX_WAITING_READS,
+    READ_TIMEOUT_S,
+};
+use crate::plans::CommittedChange;
+use std::net::SocketAddr;
+use tackmast_consensus::{ReplicaOutput, Transmit};
+use tackmast_plans::Command as PlanCommand;
+use tackmast_wire::peer::Body;
+
+impl Core {
+    /// Hosts agree on changes of plans from here on. To be told before the plans are: what the disk has of them follows then.
+    pub fn with_consensus(&mut self, consensus: ConsensusDriver) {
+        self.consensus = Some(consensus);
+    }
+
+    pub(super) fn handle_consensus_message(&mut self, now: Instant, from: SocketAddr, slot: u32, body: Body) {
+        let Some(a) = &mut self.consensus else { return };
+        if let Some(word) = a.came(now, from, body) {
+            a.replica.handle_message(now, slot, word);
+        }
+        self.process_consensus_outputs(now);
+    }
+
+    pub(super) fn handle_consensus_timeout(&mut self, now: Instant) {
+        let Some(a) = &mut self.consensus else { return };
+        if a.poll_timeout(now) > now && now < a.next_acknowledgement_check {
+            return;
+        }
+        a.replica.handle_timeout(now);
+        a.chunks.handle_timeout(now);
+        self.propose_stored_on_all(now);
+        self.advance_consensus(now);
+    }
+
+    /// Where some floor waits for it: all hosts have the newest version on their disks, which the log has to say.
+    fn propose_stored_on_all(&mut self, now: Instant) {
+        let (Some(a), Some(plans)) = (&mut self.consensus, &self.plans) else { return };
+        if now < a.next_acknowledgement_check {
+            return;
+        }
+        a.next_acknowledgement_check = now + TimeDelta::from_secs(ACKNOWLEDGEMENT_CHECK_S);
+        let (acknowledged, waits) = plans.acknowledged();
+        let version = plans.version();
+        if waits
+            && acknowledged < version
+            && a.replica.raft.is_stored_on_all(0..a.settings.host_count, a.changed_at)
+        {
+            let data = serde_json::to_vec(&PlanCommand::Told { version }).unwrap_or_default();
+            _ = a.replica.propose(now, data.into());
+        }
+    }
+
+    /// The store's word on a write of the log; false: it was none.
+    pub(super) fn handle_consensus_persisted(
+        &mut self,
+        now: Instant,
+        request: u64,
+        result: &Result<(), String>,
+    ) -> bool {
+        if request & (3 << 62) != FIRST_WRITE_REQUEST {
+            return false;
+        }
+        if let Some(a) = &mut self.consensus {
+            match result {
+                Ok(()) => a.replica.on_persisted(now, request - FIRST_WRITE_REQUEST),
+                Err(_) => a.replica.on_persist_failed(now),
+            }
+        }
+        if let Err(why) = result {
+            self.log(format!("agreement: not kept: {why}"));
+        }
+        self.advance_consensus(now);
+        true
+    }
+
+    /// Against acting by what may count no more: looked at before each decision.
+    pub(super) fn update_degraded_mode(&mut self, now: Instant) {
+        let (Some(a), Some(plans)) = (&self.consensus, &mut self.plans) else { return };
+        let degraded = !a.replica.lease_state(now).is_valid();
+        if plans.is_degraded() != degraded {
+            let updates = plans.set_degraded(degraded);
+            self.apply_plan_updates(now, &updates);
+        }
+    }
+
+    pub(super) fn process_consensus_outputs(&mut self, now: Instant) {
+        loop {
+            let Some(a) = &mut self.consensus else { return };
+            let Some(o) = a.replica.poll_output() else { break };
+            match o {
+                ReplicaOutput::Send { to, message } => {
+                    let to = self.peers.as_ref().and_then(|f| f.member.view.address(to));
+                    if let Some(to) = to {
+                        a.chunks.send(to, message.to_bytes());
+                    }
+                }
+                ReplicaOutput::Write(w) => {
+                    let request = FIRST_WRITE_REQUEST + w.write_id;
+                    let batch = PersistBatch { consensus: Some(Box::new(w)), ..PersistBatch::default() };
+                    self.outputs.push_back(Output::Persist { request, batch });
+                }
+                ReplicaOutput::Committed { index, data, own_proposal } => {
+                    self.handle_committed(now, index, &data, own_proposal)
+                }
+                ReplicaOutput::RestoreSnapshot { index, state } => self.restore_plans(now, index, &state),
+                ReplicaOutput::TakeSnapshot { index } => {
+                    let state = self.plans.as_ref().map(Plans::snapshot).unwrap_or_default();
+                    a.replica.on_snapshot_taken(now, index, &state);
+                }
+                ReplicaOutput::ProposalTimedOut { number } => {
+                    let why = "no word from those who agree on it: it may hold all the same, later; look at the log";
+                    self.respond_to_proposal(number, PlanResponse::Refused { why: why.into() });
+                }
+                ReplicaOutput::Event(event) => self.log(event.to_string()),
+            }
+        }
+        self.complete_reads(now);
+        let (Some(a), Some(f)) = (&mut self.consensus, &mut self.peers) else { return };
+        while let Some(Transmit { to, body }) = a.chunks.poll_transmit() {
+            f.member.send(to, body);
+        }
+    }
+
+    /// The same, and what is said of it goes out. Not from within what follows other hosts' words: that goes on by itself.
+    fn advance_consensus(&mut self, now: Instant) {
+        self.process_consensus_outputs(now);
+        self.process_peer_events(now);
+    }
+
+    fn respond_to_proposal(&mut self, number: u32, response: PlanResponse) {
+        let request = self.consensus.as_mut().and_then(|a| a.changes.remove(&number));
+        if let Some(request) = request {
+            self.outputs
+                .push_back(Output::AdminResponse { request, response: AdminResponse::Plan(response) });
+        }
+    }
+
+    fn handle_committed(&mut self, now: Instant, index: u64, data: &Bytes, mine: Option<u32>) {
+        let Some(plans) = &mut self.plans else { return };
+        let command = serde_json::from_slice::<PlanCommand>(data).map_err(|e| e.to_string());
+        let is_change = matches!(command, Ok(PlanCommand::Change { .. }));
+        let held = command.and_then(|c| plans.apply_committed(c));
+        let settle = self.consensus.as_ref().map_or(TimeDelta::ZERO, ConsensusDriver::settle);
+        match held {
+            Ok(CommittedChange { updates, entry, lines }) => {
+                self.apply_plan_updates(now, &updates);
+                let Some(e) = entry else {
+                    let (acknowledged, _) = self.plans.as_ref().map_or((0, false), Plans::acknowledged);
+                    return self
+                        .log(format!("plans: all hosts have version {acknowledged}: lower floors hold"));
+                };
+                if let Some(a) = &mut self.consensus {
+                    a.changed_at = index;
+                }
+                self.log(format!(
+                    "plans: change {} holds, by {}: {}; {} things move",
+                    e.number,
+                    e.change.who,
+                    e.change.why,
+                    updates.len()
+                ));
+                if let Some(number) = mine {
+                    let (number_, version, in_force_s) = (e.number, e.version, settle.secs());
+                    let response =
+                        PlanResponse::Applied { number: number_, version, lines, in_force_s, dry_run: false };
+                    self.respond_to_proposal(number, response);
+                }
+            }
+            Err(why) => {
+                if is_change {
+                    self.log(format!("plans: a change is refused: {why}"));
+                }
+                if let Some(number) = mine {
+                    self.respond_to_proposal(number, PlanResponse::Refused { why });
+                }
+            }
+        }
+    }
+
+    fn restore_plans(&mut self, now: Instant, index: u64, state: &[u8]) {
+        let Some(plans) = self.plans.as_mut() else { return };
+        if let Some(a) = &mut self.consensus {
+            a.changed_at = index;
+        }
+        let restored = match state {
+            // A log's beginning: what the settings say.
+            [] => Ok(plans.reset_to_settings()),
+            state => plans.restore_snapshot(state),
+        };
+        match restored {
+            Ok(updates) => self.apply_plan_updates(now, &updates),
+            Err(e) => self.log(format!("plans: what the fleet agreed on can't be read here: {e}")),
+        }
+    }
+
+    pub(super) fn handle_replicated_plan_request(
+        &mut self,
+        now: Instant,
+        wall_us: u64,
+        request: u64,
+        ask: PlanRequest,
+    ) {
+        let response = |why: String| AdminResponse::Plan(PlanResponse::Refused { why });
+        let (Some(a), Some(plans)) = (&mut self.consensus, &self.plans) else { return };
+        let (change, dry_run) = match ask {
+            PlanRequest::Show | PlanRequest::Log => {
+                if a.reads.len() >= MAX_WAITING_READS {
+                    let response = response(format!("{MAX_WAITING_READS} asks wait already"));
+                    return self.outputs.push_back(Output::AdminResponse { request, response });
+                }
+                // Never stale: answered once all that was agreed on before the ask is here.
+                let seq = a.replica.request_read(now);
+                a.reads.push((seq, now + TimeDelta::from_secs(READ_TIMEOUT_S), request, ask));
+                return self.advance_consensus(now);
+            }
+            PlanRequest::Apply { change, dry_run } => (Ok(change), dry_run),
+            PlanRequest::Undo { number, who, why, dry_run } => {
+                (plans.undo_change(number, &who, &why), dry_run)
+            }
+        };
+        let response = match change {
+            Err(why) => Some(response(why)),
+            Ok(change) if dry_run => Some(match plans.preview_change(wall_us, change) {
+                Ok((number, version, lines)) => {
+                    let in_force_s = a.settle().secs();
+                    AdminResponse::Plan(PlanResponse::Applied { number, version, lines, in_force_s, dry_run })
+                }
+                Err(why) => response(why),
+            }),
+            Ok(change) => {
+                let command = PlanCommand::Change { at_us: wall_us, change };
+                let data = serde_json::to_vec(&command).unwrap_or_default();
+                match a.replica.propose(now, data.into()) {
+                    Ok(number) => {
+                        a.changes.insert(number, request);
+                        None
+                    }
+                    Err(r) => Some(response(r.to_string())),
+                }
+            }
+        };
+        if let Some(response) = response {
+            self.outputs.push_back(Output::AdminResponse { request, response });
+        }
+        self.advance_consensus(now);
+    }
+
+    fn complete_reads(&mut self, now: Instant) {
+        let (Some(a), Some(plans)) = (&mut self.consensus, &mut self.plans) else { return };
+        let mut i = 0;
+        while i < a.reads.len() {
+            let (seq, until, request, _) = a.reads[i];
+            let known = a.replica.is_read_ready(seq);
+            if !known && now < until {
+                i += 1;
+                continue;
+            }
+            let (_, _, _, ask) = a.reads.swap_remove(i);
+            let response = match plans.handle_request(now, 0, request, ask) {
+                Some(PlanOutcome::Respond(_, PlanResponse::Shown(mut s))) => {
+                    s.stale = !known;
+                    s.in_force_s = (a.replica.effective_at(now) - now).secs();
+                    s.settle_s = a.settle().secs();
+                    let followers = a.replica.status(now).followers.into_iter();
+                    s.at = followers.map(|(host, f)| (host, f.stored_index)).collect();
+                    PlanResponse::Shown(s)
+                }
+                Some(PlanOutcome::Respond(_, PlanResponse::Log { .. })) if !known => {
+                    let why = "no word from those who agree on it: what this host has may be old".to_owned();
+                    PlanResponse::Refused { why }
+                }
+                Some(PlanOutcome::Respond(_, response)) => response,
+                _ => continue,
+            };
+            self.outputs
+                .push_back(Output::AdminResponse { request, response: AdminResponse::Plan(response) });
+        }
+    }
+
+    pub(super) fn handle_consensus_request(&mut self, now: Instant, request: u64, ask: ConsensusRequest) {
+        let response = match (&mut self.consensus, ask) {
+            (None, _) => {
+                ConsensusResponse::Refused { why: "this host has no agreement block in its settings".into() }
+            }
+            (Some(a), ConsensusRequest::Status) => {
+                let mut s = a.status(now);
+                if let Some(p) = &self.plans {
+                    (s.version, s.acknowledged, s.degraded) =
+                        (p.version(), p.acknowledged().0, p.is_degraded());
+                }
+                ConsensusResponse::Status(Box::new(s))
+            }
+            (Some(_), ConsensusRequest::Force { who, why }) => {
+                self.recover_by_operator(now, &who, &why, false)
+            }
+            (Some(_), ConsensusRequest::Forget { who, why }) => {
+                self.recover_by_operator(now, &who, &why, true)
+            }
+            (Some(a), ConsensusRequest::Voter { host, votes }) => {
+                let changed = match votes {
+                    true => a.replica.raft.add_voter(now, host),
+                    false => a.replica.raft.remove_voter(now, host),
+                };
+                match changed {
+                    Ok(index) => ConsensusResponse::Taken { index },
+                    Err(r) => ConsensusResponse::Refused { why: r.to_string() },
+                }
+            }
+        };
+        self.outputs
+            .push_back(Output::AdminResponse { request, response: AdminResponse::Consensus(response) });
+        self.advance_consensus(now);
+    }
+
+    /// What an operator does by force, with who and why in the audit trail before it is said to be done.
+    fn recover_by_operator(
+        &mut self,
+        now: Instant,
+        who: &str,
+        why: &str,
+        remove_if_finished: bool,
+    ) -> ConsensusResponse {
+        let at_us = self.wall_us(now);
+        let text = |t: &str| !t.trim().is_empty() && t.len() <= 200 && !t.contains(char::is_control);
+        if !text(who) || !text(why) {
+            let why = format!("who {who:?}, why {why:?}; expected 1 to 200 printable bytes each");
+            return ConsensusResponse::Refused { why };
+        }
+        let Some(a) = &mut self.consensus else {
+            return ConsensusResponse::Refused {
+                why: "this host has no agreement block in its settings".into(),
+            };
+        };
+        let state = self.plans.as_ref().map(Plans::snapshot).unwrap_or_default();
+        let done = match remove_if_finished {
+            true => a.replica.discard_log(now).map(|()| 0),
+            false => a.replica.force_new_log(now, &state),
+        };
+        let log = match done {
+            Ok(log) => log,
+            Err(r) => return ConsensusResponse::Refused { why: r.to_string() },
+        };
+        a.changed_at = a.replica.commit_index();
+        let what = match remove_if_finished {
+            true => format!("agreement: forgot its log: {why}"),
+            false => format!("agreement: forced, log {log:x}, from entry {}: {why}", a.changed_at),
+        };
+        let audit = tackmast_overrides::Audit {
+            at_us,
+            kind: tackmast_overrides::AuditKind::Forced,
+            id: None,
+            who: who.to_owned(),
+            what,
+        };
+        let batch = PersistBatch { audits: vec![audit], ..PersistBatch::default() };
+        self.outputs.push_back(Output::Persist { request: 0, batch });
+        ConsensusResponse::Done { log }
+    }
+}
--- a/crates/host-core/src/core/listed.rs
+++ b/crates/host-core/src/core/endpoint_list.rs
@@ -4,7 +4,14 @@
 
 impl Core {
     /// A complete list, or changes that begin at version `from`. What is known is brought to version `to`.
-    pub fn list_came(&mut self, now: Instant, kind: ListKind, from: u64, to: u64, entries: &[ListEntry]) {
+    pub fn handle_endpoint_list(
+        &mut self,
+        now: Instant,
+        kind: ListKind,
+        from: u64,
+        to: u64,
+        entries: &[ListEntry],
+    ) {
         match kind {
             ListKind::Failed => return self.scheduler.nodes_changed(now, kind, &[]),
             // Changes after a gap are news all the same, above all drains; what else has changed is asked for.
@@ -14,96 +21,97 @@
         self.list_version = to;
         let mut known: Vec<NodeEntry> = Vec::with_capacity(entries.len());
         for e in entries {
-            match self.nodes.note(now, e) {
+            match self.nodes.upsert(now, e) {
                 Some(entry) => known.push(entry),
                 None => {
                     self.counters.nodes_over_bound += 1;
                     let line = format!("node {} not taken: the table of nodes is full", e.address);
-                    self.outputs.push_back(Output::Mode { node: None, line });
+                    self.outputs.push_back(Output::Log { node: None, line });
                 }
             }
         }
         if kind != ListKind::Changes {
-            self.nodes.only(&known);
+            self.nodes.retain_listed(&known);
         }
         let at_node = &self.at_node;
-        self.nodes.forget_gone(|node| at_node.contains_key(&node));
-        let facts: Vec<NodeFacts> = self.nodes.entries().filter_map(facts).collect();
-        if let Some(orders) = &mut self.orders {
-            orders.overrides.handle_endpoint_list(now, facts);
+        self.nodes.evict_gone(|node| at_node.contains_key(&node));
+        let node_facts: Vec<NodeFacts> = self.nodes.entries().filter_map(node_facts).collect();
+        if let Some(override_requests) = &mut self.override_requests {
+            override_requests.overrides.handle_endpoint_list(now, node_facts);
         }
         for e in &mut known {
-            self.given(now, e);
+            self.apply_overrides(now, e);
         }
         self.scheduler.nodes_changed(now, kind, &known);
-        self.order_nodes(now);
-        self.stop_nodes(now);
-        if self.fellows.is_some() {
-            self.own_list(now);
+        self.apply_changed_overrides(now);
+        self.withdraw_from_unavailable_nodes(now);
+        if self.peers.is_some() {
+            self.handle_own_node_list(now);
         }
     }
 
     /// Makes a line of the list what the operators' orders make of it.
-    pub(super) fn given(&self, now: Instant, e: &mut NodeEntry) {
+    pub(super) fn apply_overrides(&self, now: Instant, e: &mut NodeEntry) {
         let address = self.nodes.address(e.node).and_then(|a| a.parse().ok());
-        let effective = self.orders.as_ref().zip(address).and_then(|(o, a)| o.overrides.effective(now, &a));
+        let effective =
+            self.override_requests.as_ref().zip(address).and_then(|(o, a)| o.overrides.effective(now, &a));
         if let Some(Effective { state, .. }) = effective {
             e.state = state;
         }
         // A newer list that another host holds only takes away.
-        let stopped = |a: &str| self.stops.takes(a, self.list_version);
+        let stopped = |a: &str| self.removed_nodes.takes(a, self.list_version);
         if e.state == NodeState::Ready && self.nodes.address(e.node).is_some_and(stopped) {
             e.state = NodeState::Draining;
         }
     }
 
     /// Tells the module of nodes that are to be given something else than before.
-    pub(super) fn order_nodes(&mut self, now: Instant) {
-        let Some(orders) = &mut self.orders else { return };
-        let mut stops = false;
-        let changed: Vec<_> = orders.overrides.poll_changed(now).into_iter().collect();
-        for (address, given) in changed {
+    pub(super) fn apply_changed_overrides(&mut self, now: Instant) {
+        let Some(override_requests) = &mut self.override_requests else { return };
+        let mut removed_nodes = false;
+        let changed: Vec<_> = override_requests.overrides.poll_changed(now).into_iter().collect();
+        for (address, apply_overrides) in changed {
             let Some(node) = self.nodes.number(&address.to_string()) else { continue };
             let Some(entry) = self.nodes.entry(node) else { continue };
             let mut e = entry;
-            self.given(now, &mut e);
+            self.apply_overrides(now, &mut e);
             self.scheduler.nodes_changed(now, ListKind::Changes, &[e]);
-            self.scheduler.node_overridden(now, node, given.weight, given.pinned);
-            stops |= given.state != NodeState::Ready;
+            self.scheduler.node_overridden(now, node, apply_overrides.weight, apply_overrides.pinned);
+            removed_nodes |= apply_overrides.state != NodeState::Ready;
         }
-        if stops {
-            self.stop_nodes(now);
+        if removed_nodes {
+            self.withdraw_from_unavailable_nodes(now);
         }
     }
 
     /// What still waits on a link to a node that drains, or is out of service, must not reach it after the grace.
-    pub(super) fn stop_nodes(&mut self, now: Instant) {
+    pub(super) fn withdraw_from_unavailable_nodes(&mut self, now: Instant) {
         let used = self.at_node.keys().copied();
-        let stopped: Vec<NodeId> = used.filter(|n| self.is_stopped(now, *n)).collect();
+        let stopped: Vec<NodeId> = used.filter(|n| self.is_unavailable(now, *n)).collect();
         for node in stopped {
-            self.withdraw_at(now, node);
-            if !self.cuts.iter().any(|(_, n)| *n == node) {
-                self.cuts.insert((now + self.grace, node));
+            self.withdraw_unsent_at(now, node);
+            if !self.cut_deadlines.iter().any(|(_, n)| *n == node) {
+                self.cut_deadlines.insert((now + self.grace, node));
             }
         }
     }
 
-    pub(super) fn is_stopped(&self, now: Instant, node: NodeId) -> bool {
+    pub(super) fn is_unavailable(&self, now: Instant, node: NodeId) -> bool {
         let entry = self.nodes.entry(node);
         entry.is_some_and(|mut e| {
-            self.given(now, &mut e);
+            self.apply_overrides(now, &mut e);
             e.state != NodeState::Ready
         })
     }
 
     /// A node said at the start of a link how long it has been up. Later than the list knows: it restarted, and what
     /// waits for the link was meant for the node as it was. The link must not write before this has been heard.
-    pub fn node_said_up(&mut self, now: Instant, node: NodeId, up: TimeDelta) {
+    pub fn handle_node_uptime(&mut self, now: Instant, node: NodeId, up: TimeDelta) {
         if let Some(mut entry) = self.nodes.started(now, node, up) {
-            self.given(now, &mut entry);
+            self.apply_overrides(now, &mut entry);
             self.scheduler.nodes_changed(now, ListKind::Changes, &[entry]);
             // Decided for a warm node: against a burst into a cold one at the first link after its start.
-            self.withdraw_at(now, node);
+            self.withdraw_unsent_at(now, node);
         }
     }
 }
--- /dev/null
+++ b/crates/host-core/src/core/peers.rs
@@ -0,0 +1,198 @@
+//! Other hosts: datagrams, what follows from them, and plans that change.
+
+use super::*;
+
+impl Core {
+    /// Against a host that comes back with plans that have moved meanwhile: a lower limit may be in force by now.
+    pub(super) fn must_wait_for_catalog(&mut self, now: Instant) -> bool {
+        if self.consensus.is_some() {
+            // What may have changed is held back by the posture of a host without a lease.
+            return false;
+        }
+        let Some(plans) = &mut self.plans else { return false };
+        let up_to_date = self.peers.as_ref().is_none_or(|f| f.member.catalog.is_up_to_date());
+        plans.must_wait_for_catalog(now, up_to_date)
+    }
+
+    /// Takes plans in that change while the host runs; `first`: nothing of them is kept yet.
+    pub fn with_plans(&mut self, now: Instant, mut plans: Plans, first: bool) {
+        let resume = plans.resume();
+        if first {
+            let batch =
+                PersistBatch { changes: vec![(0, plans.checkpoint_line())], ..PersistBatch::default() };
+            self.outputs.push_back(Output::Persist { request: 0, batch });
+        }
+        if let Some(f) = self.peers.as_mut().filter(|_| self.consensus.is_none()) {
+            f.enable_catalog(&plans);
+        }
+        self.plans = Some(plans);
+        self.apply_plan_updates(now, &resume);
+        if self.consensus.is_some() {
+            // Until it has a lease this host goes by the floors.
+            let updates = self.plans.as_mut().map(|p| p.all_updates()).unwrap_or_default();
+            self.apply_plan_updates(now, &updates);
+            self.process_consensus_outputs(now);
+        }
+    }
+
+    pub fn plans(&self) -> Option<&Plans> {
+        self.plans.as_ref()
+    }
+
+    /// Tells the module what moves, and those who lend parts of limits.
+    pub(super) fn apply_plan_updates(&mut self, now: Instant, updates: &[PlanUpdate]) {
+        for m in updates {
+            match m {
+                PlanUpdate::Plan { plan, figures } => self.scheduler.plan_changed(now, *plan, *figures),
+                PlanUpdate::Volume { name, plan } => {
+                    let Some(volume) = self.layout.volume_named(name) else { continue };
+                    self.layout.set_plan(volume, plan.0);
+                    self.scheduler.volume_plan_changed(now, VolumeId(volume as u32), *plan);
+                }
+            }
+        }
+        let Some((f, plans)) = self.peers.as_mut().zip(self.plans.as_ref()) else { return };
+        for v in self.layout.volumes() {
+            if let Some((limit, _, _)) = plans.limit_of(&v.name) {
+                f.member.leases.set_limit(v.lun, limit);
+            }
+        }
+    }
+
+    /// A change holds here: others are told, and it is kept where that has not been done.
+    pub(super) fn apply_change(&mut self, now: Instant, h: AppliedChange, handle_persisted: bool) {
+        self.log(h.line);
+        self.apply_plan_updates(now, &h.updates);
+        if !handle_persisted {
+            let batch = PersistBatch { changes: vec![(h.number, h.text.clone())], ..PersistBatch::default() };
+            self.outputs.push_back(Output::Persist { request: 0, batch });
+        }
+        if let Some(f) = &mut self.peers {
+            let version = tackmast_membership::CatalogVersion { number: h.number, mark: h.mark };
+            f.member.handle_catalog_applied(now, version, Bytes::from(h.text), h.effective_at);
+        }
+    }
+
+    pub(super) fn handle_plan_request(&mut self, now: Instant, request: u64, ask: PlanRequest) {
+        let wall_us = self.wall_us(now);
+        if self.consensus.is_some() {
+            return self.handle_replicated_plan_request(now, wall_us, request, ask);
+        }
+        // Against two changes of one number: a home that has lost what others go by takes that back first.
+        let writes = matches!(ask, PlanRequest::Apply { .. } | PlanRequest::Undo { .. });
+        if let Some(n) = self.peers.as_ref().and_then(|f| f.member.catalog.missing()).filter(|_| writes) {
+            let newest = self.plans.as_ref().map_or(0, Plans::newest);
+            let why =
+                format!("others go by change {n}, this host by {newest}; ask again when it has caught up");
+            let response = AdminResponse::Plan(PlanResponse::Refused { why });
+            return self.outputs.push_back(Output::AdminResponse { request, response });
+        }
+        let next = self.plans.as_mut().and_then(|p| p.handle_request(now, wall_us, request, ask));
+        match next {
+            None => {}
+            Some(PlanOutcome::Persist(request, entry)) => {
+                let batch = PersistBatch {
+                    changes: vec![(entry.number, tackmast_plans::Trail::line(&entry))],
+                    ..PersistBatch::default()
+                };
+                self.outputs.push_back(Output::Persist { request, batch });
+            }
+            Some(PlanOutcome::Respond(request, mut response)) => {
+                if let (PlanResponse::Shown(s), Some(f)) = (&mut response, &self.peers) {
+                    s.at = f.member.catalog.peer_versions().clone();
+                }
+                self.outputs
+                    .push_back(Output::AdminResponse { request, response: AdminResponse::Plan(response) });
+            }
+        }
+    }
+
+    /// Takes this host in among others.
+    pub fn with_peers(&mut self, now: Instant, peers: Peers) {
+        if let Some(override_requests) = &mut self.override_requests {
+            override_requests.me = Some(peers.me());
+        }
+        self.peers = Some(peers);
+        let alone = self.consensus.is_none();
+        if let Some((f, plans)) = self.peers.as_mut().zip(self.plans.as_ref()).filter(|_| alone) {
+            f.enable_catalog(plans);
+        }
+        self.apply_plan_updates(now, &[]);
+        let standing = self.override_requests.as_ref().map(|o| o.overrides.list(now)).unwrap_or_default();
+        if let Some(f) = &mut self.peers {
+            standing.iter().for_each(|(o, announce_leave)| f.add_override(now, o, *announce_leave));
+        }
+        self.process_peer_events(now);
+    }
+
+    /// Bytes from another host.
+    pub fn handle_datagram(&mut self, now: Instant, from: std::net::SocketAddr, bytes: Bytes) {
+        if let Some(f) = &mut self.peers {
+            f.member.handle_datagram(now, from, bytes);
+            self.process_peer_events(now);
+        }
+    }
+
+    /// The host leaves in order and lends what it has; the mark that it does so lasts already.
+    pub fn begin_leave(&mut self, now: Instant) {
+        if let Some(f) = &mut self.peers {
+            f.member.begin_leave(now);
+            self.process_peer_events(now);
+        }
+    }
+
+    /// Its last word to the others.
+    pub fn announce_leave(&mut self, now: Instant) {
+        if let Some(f) = &mut self.peers {
+            f.member.announce_leave(now);
+            self.process_peer_events(now);
+        }
+    }
+
+    pub fn is_leaving(&self) -> bool {
+        self.peers.as_ref().is_some_and(|f| f.member.leases.is_leaving())
+    }
+
+    /// Whether the mark of an earlier leave may go: nothing that was lent can be out any more.
+    pub fn have_earlier_leases_ended(&self, now: Instant) -> bool {
+        self.peers.as_ref().is_none_or(|f| f.member.leases.have_earlier_leases_ended(now))
+    }
+
+    /// What follows from what other hosts said, and from the time.
+    pub(super) fn process_peer_events(&mut self, now: Instant) {
+        loop {
+            let Some(f) = &mut self.peers else { return };
+            let Some(next) = f.next(now, &self.layout) else { return };
+            match next {
+                PeerEvent::There(hosts) => self.scheduler.alive_hosts_changed(hosts),
+                PeerEvent::Moved { volume, m } => {
+                    let v = self.layout.volume(volume);
+                    let (id, plan) = (VolumeId(volume as u32), PlanId(v.plan));
+                    let leases = QuotaLeases { lent: m.lent, borrowed: m.borrowed, until: m.until };
+                    let change = LeaseChange { volume: id, plan, hosts: v.hosts, leases };
+                    self.scheduler.quota_leases_changed(now, change);
+                }
+                PeerEvent::Send { to, bytes } => self.outputs.push_back(Output::Datagram { to, bytes }),
+                PeerEvent::Mode(line) => self.log(line),
+                PeerEvent::AdminRequest(request, ask) => self.handle_admin_request(now, request, ask),
+                PeerEvent::Remember(r) => {
+                    let batch = PersistBatch { members: Some(r), ..PersistBatch::default() };
+                    self.outputs.push_back(Output::Persist { request: 0, batch });
+                }
+                PeerEvent::NodeList(c) => self.handle_peer_node_list(now, c),
+                PeerEvent::Word { from, slot, body } => self.handle_consensus_message(now, from, slot, body),
+                PeerEvent::CatalogUpdate(p) => {
+                    let Some(plans) = &mut self.plans else { continue };
+                    let ends = f.member.catalog.deadline(p.number, now);
+                    match plans.apply_peer_change(&p.text, ends) {
+                        Ok(h) => self.apply_change(now, h, false),
+                        Err(why) => {
+                            f.member.catalog.handle_rejected();
+                            self.log(format!("plans: change {} is not taken: {why}", p.number));
+                        }
+                    }
+                }
+            }
+        }
+    }
+}
--- a/crates/host-core/src/layout.rs
+++ b/crates/host-core/src/layout.rs
@@ -52,7 +52,7 @@
     }
 
     /// A volume is under this plan, by the module's number of it.
-    pub fn put_under(&mut self, volume: usize, plan: u32) {
+    pub fn set_plan(&mut self, volume: usize, plan: u32) {
         self.volumes[volume].plan = plan;
     }
 
--- a/crates/host-core/src/lib.rs
+++ b/crates/host-core/src/lib.rs
@@ -4,30 +4,32 @@
 //! and answers for commands of several parts. docs/host.md describes it.
 
 mod admission;
-mod agreed;
 mod combine;
+mod consensus;
 mod core;
-mod fellows;
+mod fair_queueing;
 mod layout;
 mod nodes;
-mod orders;
+mod override_requests;
+mod peers;
 mod placed;
 mod plans;
-mod sharing;
 mod ticket;
 
 pub use crate::core::{
     AttemptId, AttemptResult, AttemptWork, Begin, CommandRef, Core, Counters, Output, SendAttempt, Verdict,
     Work,
 };
-pub use agreed::{agreement_settings, Agreed, AgreedStart, AgreementAsk, AgreementReply, AgreementStatus};
-pub use combine::{combine, Combined, PartEnd};
-pub use fellows::{member_settings, DeathStatus, Fellows, MembersStatus, PeerStatus, SiteStatus};
+pub use combine::{combine, Combined, PartState};
+pub use consensus::{
+    raft_settings, ConsensusDriver, ConsensusRequest, ConsensusResponse, ConsensusStart, ConsensusStatus,
+};
+pub use fair_queueing::{FairQueueing, QueueKey, QueueTicket};
 pub use layout::{Layout, Part};
-pub use nodes::{Age, ListEntry, Nodes, Start};
-pub use orders::{Ask, Keep, Orders, OrdersStatus, Reply};
-pub use placed::{Placed, PlacedSettings, Request, VolumeNames};
-pub use plans::{Move, PlanAsk, PlanReply, PlanStatus, Plans};
-pub use sharing::{LineName, Place, Sharing};
+pub use nodes::{Age, ListEntry, NodeStart, Nodes};
+pub use override_requests::{AdminRequest, AdminResponse, HostStatus, OverrideRequests, PersistBatch};
+pub use peers::{member_settings, DeathStatus, MembersStatus, PeerStatus, Peers, SiteStatus};
+pub use placed::{OpaqueRequest, PlacedRequest, PlacedSettings, VolumeNames};
+pub use plans::{PlanRequest, PlanResponse, PlanStatus, PlanUpdate, Plans};
 pub use tackmast_membership::{KnownPeer, PersistedMembers};
 pub use ticket::Ticket;
--- a/crates/host-core/src/nodes.rs
+++ b/crates/host-core/src/nodes.rs
@@ -14,12 +14,12 @@
     pub zone: ZoneId,
     pub shard: ShardId,
     /// Its latest start, where that is told.
-    pub start: Option<Start>,
+    pub start: Option<NodeStart>,
 }
 
 /// A list's word on a start: its own figure for it, which names it, and how long ago it was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Start {
+pub struct NodeStart {
     pub name: u64,
     pub age: Age,
 }
@@ -28,23 +28,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Age {
     /// The list's own, when it was sent: what it took to come makes the node look younger at most.
-    Told(TimeDelta),
+    ByListClock(TimeDelta),
     /// This host's wall clock, which may be wrong by minutes.
-    ByWall(TimeDelta),
+    ByHostClock(TimeDelta),
 }
 
 /// A list's time of a start and the node's own word differ by the way of a message; less is no news.
-const START_NEWS: f64 = 0.5; // seconds
+const START_TOLERANCE: f64 = 0.5; // seconds
 /// A start that lies further back than this by the host's wall clock is long past, even where that clock is wrong.
-const LONG_PAST: f64 = 1800.0; // seconds
+const LONG_RUNNING: f64 = 1800.0; // seconds
 
 /// When a node that the list tells of started, as far as it can be said for sure: never earlier than it did. A host whose
 /// wall clock is ahead must not take a cold node for a warm one.
-fn started(now: Instant, s: Start) -> Instant {
+fn started(now: Instant, s: NodeStart) -> Instant {
     let age = match s.age {
-        Age::Told(age) => age,
-        Age::ByWall(age) if age.secs() >= LONG_PAST => age,
-        Age::ByWall(_) => TimeDelta::ZERO,
+        Age::ByListClock(age) => age,
+        Age::ByHostClock(age) if age.secs() >= LONG_RUNNING => age,
+        Age::ByHostClock(_) => TimeDelta::ZERO,
     };
     now - age.max(TimeDelta::ZERO)
 }
@@ -54,16 +54,16 @@
 #[derive(Debug, Default)]
 pub struct Nodes {
     numbers: HashMap<String, NodeId>,
-    known: BTreeMap<NodeId, Known>,
+    known: BTreeMap<NodeId, KnownNode>,
     next: u32,
     most: usize,
 }
 
 /// Gone nodes that are remembered, at most.
-const GONE_KEPT: usize = 64;
+const MAX_GONE_NODES: usize = 64;
 
 #[derive(Debug)]
-struct Known {
+struct KnownNode {
     id: String,
     address: String,
     entry: NodeEntry,
@@ -77,7 +77,7 @@
     }
 
     /// The entry under the node's number; none: the table is full.
-    pub fn note(&mut self, now: Instant, e: &ListEntry) -> Option<NodeEntry> {
+    pub fn upsert(&mut self, now: Instant, e: &ListEntry) -> Option<NodeEntry> {
         let number = match self.numbers.get(&e.id) {
             Some(n) => *n,
             None if self.known.len() >= self.most => return None,
@@ -92,12 +92,12 @@
         let news = e.start.filter(|s| s.name != name).map(|s| started(now, s));
         // A late list must not take back a start that the node itself told of, nor tell the same one again.
         let up_since = match (known, news) {
-            (Some(k), Some(t)) if (t - k).secs() < START_NEWS => Some(k),
+            (Some(k), Some(t)) if (t - k).secs() < START_TOLERANCE => Some(k),
             (k, t) => t.or(k),
         };
         let start = e.start.map_or(name, |s| s.name);
         let entry = NodeEntry { node: number, state: e.state, zone: e.zone, shard: e.shard, up_since };
-        let known = Known { id: e.id.clone(), address: e.address.clone(), entry, start };
+        let known = KnownNode { id: e.id.clone(), address: e.address.clone(), entry, start };
         self.known.insert(number, known);
         Some(entry)
     }
@@ -109,8 +109,8 @@
         // One of which no start was told counts as long up. That it is must not pass for a start: what the module has
         // learned of it would be lost at the first link to each node, and what waits for the link sent anew.
         let news = match k.entry.up_since {
-            Some(known) => (up_since - known).secs() >= START_NEWS,
-            None => up.secs() < LONG_PAST,
+            Some(known) => (up_since - known).secs() >= START_TOLERANCE,
+            None => up.secs() < LONG_RUNNING,
         };
         if !news {
             return None;
@@ -120,7 +120,7 @@
     }
 
     /// What a complete list does not name is gone.
-    pub fn only(&mut self, named: &[NodeEntry]) {
+    pub fn retain_listed(&mut self, named: &[NodeEntry]) {
         let named: std::collections::HashSet<NodeId> = named.iter().map(|e| e.node).collect();
         for k in self.known.values_mut().filter(|k| !named.contains(&k.entry.node)) {
             k.entry.state = NodeState::Gone;
@@ -137,7 +137,7 @@
     }
 
     /// The list's figure for the start that was told last; 0: none.
-    pub fn start_name(&self, node: NodeId) -> u64 {
+    pub fn start_id(&self, node: NodeId) -> u64 {
         self.known.get(&node).map_or(0, |k| k.start)
     }
 
@@ -148,10 +148,10 @@
 
     /// Against a table that fills under new ids without end: of the nodes that are gone and not in use, the longest known
     /// are forgotten.
-    pub fn forget_gone(&mut self, in_use: impl Fn(NodeId) -> bool) {
-        let gone = |k: &&Known| k.entry.state == NodeState::Gone && !in_use(k.entry.node);
+    pub fn evict_gone(&mut self, in_use: impl Fn(NodeId) -> bool) {
+        let gone = |k: &&KnownNode| k.entry.state == NodeState::Gone && !in_use(k.entry.node);
         let gone: Vec<NodeId> = self.known.values().filter(gone).map(|k| k.entry.node).collect();
-        for node in &gone[..gone.len().saturating_sub(GONE_KEPT)] {
+        for node in &gone[..gone.len().saturating_sub(MAX_GONE_NODES)] {
             if let Some(k) = self.known.remove(node) {
                 self.numbers.remove(&k.id);
             }
@@ -170,23 +170,35 @@
     #[test]
     fn a_start_is_never_taken_for_earlier_than_it_can_be() {
         let (at, s) = (Instant::from_secs, TimeDelta::from_secs);
-        let told = |name, age| Some(Start { name, age: Age::Told(s(age)) });
-        let by_wall = |name, age| Some(Start { name, age: Age::ByWall(s(age)) });
+        let acknowledged = |name, age| Some(NodeStart { name, age: Age::ByListClock(s(age)) });
+        let by_wall = |name, age| Some(NodeStart { name, age: Age::ByHostClock(s(age)) });
         // What is told, one after the other at times 100, 101, ...: by the list, or by the node itself; then the start
         // that is taken from it.
-        type Told = Result<Option<Start>, f64>;
-        let cases: Vec<(&str, Vec<Told>, Option<f64>)> = vec![
+        type ByListClock = Result<Option<NodeStart>, f64>;
+        let cases: Vec<(&str, Vec<ByListClock>, Option<f64>)> = vec![
             ("nothing is told", vec![Ok(None)], None),
-            ("the list's clock", vec![Ok(told(7, 30.0))], Some(70.0)),
-            ("the node's clock is ahead of the list's", vec![Ok(told(7, -5.0))], Some(100.0)),
+            ("the list's clock", vec![Ok(acknowledged(7, 30.0))], Some(70.0)),
+            ("the node's clock is ahead of the list's", vec![Ok(acknowledged(7, -5.0))], Some(100.0)),
             ("the host's clock, not long past", vec![Ok(by_wall(7, 120.0))], Some(100.0)),
             ("the host's clock, long past", vec![Ok(by_wall(7, 7200.0))], Some(-7100.0)),
-            ("the same start again, seen younger", vec![Ok(told(7, 30.0)), Ok(told(7, 5.0))], Some(70.0)),
-            ("another start", vec![Ok(told(7, 30.0)), Ok(told(8, 1.0))], Some(100.0)),
-            ("another name for nearly the same", vec![Ok(told(7, 30.0)), Ok(told(8, 30.8))], Some(70.0)),
-            ("the node knows better", vec![Ok(told(7, 120.0)), Err(0.3)], Some(100.7)),
-            ("a late list does not take that back", vec![Ok(None), Err(0.3), Ok(told(7, 60.0))], Some(100.7)),
-            ("the node agrees", vec![Ok(told(7, 30.0)), Err(30.9)], Some(70.0)),
+            (
+                "the same start again, seen younger",
+                vec![Ok(acknowledged(7, 30.0)), Ok(acknowledged(7, 5.0))],
+                Some(70.0),
+            ),
+            ("another start", vec![Ok(acknowledged(7, 30.0)), Ok(acknowledged(8, 1.0))], Some(100.0)),
+            (
+                "another name for nearly the same",
+                vec![Ok(acknowledged(7, 30.0)), Ok(acknowledged(8, 30.8))],
+                Some(70.0),
+            ),
+            ("the node knows better", vec![Ok(acknowledged(7, 120.0)), Err(0.3)], Some(100.7)),
+            (
+                "a late list does not take that back",
+                vec![Ok(None), Err(0.3), Ok(acknowledged(7, 60.0))],
+                Some(100.7),
+            ),
+            ("the node agrees", vec![Ok(acknowledged(7, 30.0)), Err(30.9)], Some(70.0)),
             ("long up, as was thought", vec![Ok(None), Err(86_400.0)], None),
             ("not long up", vec![Ok(None), Err(60.0)], Some(41.0)),
         ];
@@ -200,7 +212,7 @@
                         let (state, zone, shard) = (NodeState::Ready, ZoneId(0), ShardId(0));
                         let entry =
                             ListEntry { id: "a".into(), address: "a".into(), state, zone, shard, start };
-                        found = nodes.note(now, &entry).and_then(|e| e.up_since);
+                        found = nodes.upsert(now, &entry).and_then(|e| e.up_since);
                     }
                     Err(up) => _ = nodes.started(now, NodeId(0), s(up)),
                 }
--- a/crates/host-core/src/fellows.rs
+++ b/crates/host-core/src/peers.rs
@@ -2,7 +2,7 @@
 //! elsewhere. A host that hears nothing goes on as it was told.
 
 use crate::layout::Layout;
-use crate::orders::{Ask, Reply};
+use crate::override_requests::{AdminRequest, AdminResponse};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -18,22 +18,22 @@
 use tackmast_wire::peer::Body;
 
 /// Asks that follow from other hosts' orders have numbers from here on.
-const OWN: u64 = 1 << 63;
+const FIRST_PEER_REQUEST: u64 = 1 << 63;
 
 /// The view, the loans and the orders of one host, and what was passed on of them.
-pub struct Fellows {
+pub struct Peers {
     pub member: Member,
-    told: u32,
-    there: u32,
-    moved: BTreeMap<u32, QuotaBalance>,
+    max_hosts: u32,
+    alive_hosts: u32,
+    quota_balances: BTreeMap<u32, QuotaBalance>,
     /// Volumes that are still to be looked at in this round.
-    looking: Vec<u32>,
-    looked_at: Option<Instant>,
-    names: BTreeMap<OverrideId, Origin>,
-    asks: u64,
+    volumes_to_check: Vec<u32>,
+    checked_at: Option<Instant>,
+    origins: BTreeMap<OverrideId, Origin>,
+    last_request: u64,
 }
 
-pub enum Followed {
+pub enum PeerEvent {
     There(u32),
     /// Of a volume by its place.
     Moved {
@@ -45,7 +45,7 @@
         bytes: Bytes,
     },
     Mode(String),
-    Ask(u64, Ask),
+    AdminRequest(u64, AdminRequest),
     /// A change of plans.
     CatalogUpdate(CatalogUpdate),
     /// To be written down for the next generation.
@@ -105,7 +105,8 @@
 pub struct MembersStatus {
     /// None: it has no membership in its settings.
     pub host: Option<u32>,
-    pub there: u32,
+    #[serde(rename = "there")]
+    pub alive_hosts: u32,
     pub peers: Vec<PeerStatus>,
     /// By LUN: own part, lent, borrowed and needed, as shares of the limit.
     pub loans: Vec<(u32, f64, f64, f64, f64)>,
@@ -201,17 +202,17 @@
     }
 }
 
-impl Fellows {
+impl Peers {
     pub fn new(now: Instant, settings: MemberSettings) -> Self {
-        Fellows {
-            told: settings.view.max_hosts as u32,
+        Peers {
+            max_hosts: settings.view.max_hosts as u32,
             member: Member::new(now, settings),
-            there: 0,
-            moved: BTreeMap::new(),
-            looking: Vec::new(),
-            looked_at: None,
-            names: BTreeMap::new(),
-            asks: OWN,
+            alive_hosts: 0,
+            quota_balances: BTreeMap::new(),
+            volumes_to_check: Vec::new(),
+            checked_at: None,
+            origins: BTreeMap::new(),
+            last_request: FIRST_PEER_REQUEST,
         }
     }
 
@@ -221,32 +222,32 @@
     }
 
     /// This host goes by plans that change, and has these changes.
-    pub fn begin_papers(&mut self, plans: &crate::Plans) {
-        let texts = plans.texts().map(|(n, t)| (n, Bytes::from(t)));
-        let (number, mark) = plans.newest_mark();
-        self.member.catalog.enable(CatalogVersion { number, mark }, texts);
+    pub fn enable_catalog(&mut self, plans: &crate::Plans) {
+        let encoded_changes = plans.encoded_changes().map(|(n, t)| (n, Bytes::from(t)));
+        let (number, mark) = plans.newest_version();
+        self.member.catalog.enable(CatalogVersion { number, mark }, encoded_changes);
     }
 
-    pub fn is_own(request: u64) -> bool {
-        request >= OWN
+    pub fn is_from_peer(request: u64) -> bool {
+        request >= FIRST_PEER_REQUEST
     }
 
     /// An order that stands here since before.
-    pub fn stands(&mut self, now: Instant, o: &Override, left_s: f64) {
+    pub fn add_override(&mut self, now: Instant, o: &Override, left_s: f64) {
         let Some(origin) = o.origin else { return };
-        self.names.insert(o.id, origin);
-        self.member.add_override(now, spread(o, origin, left_s));
+        self.origins.insert(o.id, origin);
+        self.member.add_override(now, override_record(o, origin, left_s));
     }
 
     /// What became of an order here.
-    pub fn kept(&mut self, now: Instant, reply: &Reply) {
-        match reply {
-            Reply::Set { record, dry_run: false, .. } => {
+    pub fn handle_override_response(&mut self, now: Instant, response: &AdminResponse) {
+        match response {
+            AdminResponse::Set { record, dry_run: false, .. } => {
                 let left_s = record.ends_us.saturating_sub(record.set_us) as f64 / 1e6;
-                self.stands(now, record, left_s);
+                self.add_override(now, record, left_s);
             }
-            Reply::Cleared { id } => {
-                if let Some(name) = self.names.remove(id) {
+            AdminResponse::Cleared { id } => {
+                if let Some(name) = self.origins.remove(id) {
                     self.member.clear_override(name);
                 }
             }
@@ -254,19 +255,19 @@
         }
     }
 
-    pub fn next(&mut self, now: Instant, layout: &Layout) -> Option<Followed> {
+    pub fn next(&mut self, now: Instant, layout: &Layout) -> Option<PeerEvent> {
         if let Some(o) = self.member.poll_output() {
             return Some(match o {
-                Output::Send { to, bytes } => Followed::Send { to, bytes },
-                Output::Log(line) => Followed::Mode(line),
-                Output::CatalogUpdate(p) => Followed::CatalogUpdate(p),
-                Output::Persist(r) => Followed::Remember(r),
-                Output::NodeList(c) => Followed::NodeList(c),
-                Output::Consensus { from, slot, body } => Followed::Word { from, slot, body },
-                Output::Override(d) => match self.asked(d) {
+                Output::Send { to, bytes } => PeerEvent::Send { to, bytes },
+                Output::Log(line) => PeerEvent::Mode(line),
+                Output::CatalogUpdate(p) => PeerEvent::CatalogUpdate(p),
+                Output::Persist(r) => PeerEvent::Remember(r),
+                Output::NodeList(c) => PeerEvent::NodeList(c),
+                Output::Consensus { from, slot, body } => PeerEvent::Word { from, slot, body },
+                Output::Override(d) => match self.request_of_event(d) {
                     Some(ask) => {
-                        self.asks += 1;
-                        Followed::Ask(self.asks, ask)
+                        self.last_request += 1;
+                        PeerEvent::AdminRequest(self.last_request, ask)
                     }
                     None => return self.next(now, layout),
                 },
@@ -274,29 +275,29 @@
         }
         // Who has not been heard of counts as there: hosts that start at once, each thinking itself alone, would all send
         // as if they were.
-        let there = self.told.saturating_sub(self.member.view.gone_count()).max(1);
-        if there != self.there {
-            self.there = there;
-            return Some(Followed::There(there));
+        let alive_hosts = self.max_hosts.saturating_sub(self.member.view.gone_count()).max(1);
+        if alive_hosts != self.alive_hosts {
+            self.alive_hosts = alive_hosts;
+            return Some(PeerEvent::There(alive_hosts));
         }
-        if self.looked_at != Some(now) {
-            self.looked_at = Some(now);
-            self.looking = self.member.leases.volumes().collect();
+        if self.checked_at != Some(now) {
+            self.checked_at = Some(now);
+            self.volumes_to_check = self.member.leases.volumes().collect();
         }
-        while let Some(lun) = self.looking.pop() {
+        while let Some(lun) = self.volumes_to_check.pop() {
             let (Some(m), Some(volume)) = (self.member.quota_balance(now, lun), layout.volume_of(lun)) else {
                 continue;
             };
-            if self.moved.insert(lun, m) != Some(m) {
-                return Some(Followed::Moved { volume, m });
+            if self.quota_balances.insert(lun, m) != Some(m) {
+                return Some(PeerEvent::Moved { volume, m });
             }
         }
         // Looked at again at each call: a datagram of the same moment may have moved something.
-        self.looked_at = None;
+        self.checked_at = None;
         None
     }
 
-    fn asked(&self, d: OverrideEvent) -> Option<Ask> {
+    fn request_of_event(&self, d: OverrideEvent) -> Option<AdminRequest> {
         match d {
             OverrideEvent::Set { origin, record: order, seconds } => {
                 let kind = match order.kind {
@@ -308,11 +309,11 @@
                 let (reason, who, origin) = (order.reason, order.who, Some(origin));
                 let order = Order { target, kind, reason, who, seconds, origin };
                 // The host that took it looked at what it would take out; here it is to hold as there.
-                Some(Ask::Set { order, force: true, dry_run: false, if_version: None })
+                Some(AdminRequest::Set { order, force: true, dry_run: false, if_version: None })
             }
             OverrideEvent::Clear { origin } => {
-                let id = self.names.iter().find(|(_, n)| **n == origin).map(|(id, _)| *id)?;
-                Some(Ask::Clear { id, who: format!("host {}", origin.slot) })
+                let id = self.origins.iter().find(|(_, n)| **n == origin).map(|(id, _)| *id)?;
+                Some(AdminRequest::Clear { id, who: format!("host {}", origin.slot) })
             }
         }
     }
@@ -353,7 +354,7 @@
         });
         MembersStatus {
             host: Some(me.slot),
-            there: self.member.live_count(),
+            alive_hosts: self.member.live_count(),
             peers: peers.collect(),
             loans: self.member.leases.status(now).into_iter().map(lease_row).collect(),
             displaced: view.is_displaced(),
@@ -386,7 +387,7 @@
     (s.volume, s.owned, s.lent, s.borrowed, s.needed)
 }
 
-fn spread(o: &Override, origin: Origin, left_s: f64) -> OverrideRecord {
+fn override_record(o: &Override, origin: Origin, left_s: f64) -> OverrideRecord {
     OverrideRecord {
         slot: origin.slot,
         generation: origin.generation,
--- a/crates/host-core/src/placed.rs
+++ b/crates/host-core/src/placed.rs
@@ -8,19 +8,19 @@
 
 /// What is written to a node: the protocol's own, but for the time left, which each attempt adds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Request {
+pub struct OpaqueRequest {
     pub head: Bytes,
     pub body: Bytes,
 }
 
-impl Request {
+impl OpaqueRequest {
     pub fn bytes(&self) -> usize {
         self.head.len() + self.body.len()
     }
 }
 
 #[derive(Clone, Debug)]
-pub struct Placed {
+pub struct PlacedRequest {
     pub volume: u64,
     pub plan: PlanId,
     pub traffic_class: TrafficClassId,
@@ -31,14 +31,14 @@
     /// Through how many hosts the volume's requests come.
     pub hosts: u32,
     pub left: TimeDelta,
-    pub request: Request,
+    pub request: OpaqueRequest,
 }
 
 /// What a core is told that has no volumes of its own.
 #[derive(Clone, Debug)]
 pub struct PlacedSettings {
     pub traffic_classes: Vec<TrafficClass>,
-    pub tells: bool,
+    pub reports_service: bool,
     pub longest_wait: TimeDelta,
     /// Of a node that drains.
     pub grace: TimeDelta,
@@ -100,8 +100,9 @@
         let at = |s: u32| Instant::from_secs(f64::from(s));
         let mut v = VolumeNames::new(2);
         // Name, the number in use, and the number that is given.
-        let asks = [(7, 99, Some(0)), (8, 99, Some(1)), (7, 99, Some(0)), (9, 99, Some(2)), (8, 0, None)];
-        for (i, (name, used, expected)) in asks.into_iter().enumerate() {
+        let last_request =
+            [(7, 99, Some(0)), (8, 99, Some(1)), (7, 99, Some(0)), (9, 99, Some(2)), (8, 0, None)];
+        for (i, (name, used, expected)) in last_request.into_iter().enumerate() {
             assert_eq!(v.number(at(i as u32), name, |n| n == used), expected, "ask {i}");
             assert!(v.len() <= 2);
         }
--- a/crates/host-core/tests/agreed.rs
+++ b/crates/host-core/tests/consensus.rs
@@ -99,7 +99,7 @@
     cores: Vec<Option<Core>>,
     /// Hosts that no datagram reaches, nor leaves.
     away: Vec<u32>,
-    replies: Vec<(u32, u64, Reply)>,
+    replies: Vec<(u32, u64, AdminResponse)>,
     answers: Vec<(u32, Verdict)>,
     attempts: Vec<(u32, SendAttempt)>,
     /// Hosts that asked their list service for all of it.
@@ -128,14 +128,20 @@
         let generation = 100 + u64::from(host);
         let mut core = Core::new(self.now, &s, generation, generation);
         let mut plans = Plans::new(self.now, &s, s.plans_live.as_ref().unwrap(), &[]).unwrap();
-        plans.agree();
+        plans.enable_consensus();
         let identity = DiskIdentity { disk: generation, boot: 1, generation };
-        let start = AgreedStart { identity, ..AgreedStart::default() };
-        core.with_agreed(Agreed::new(self.now, &s, s.agreement.as_ref().unwrap(), start, generation));
+        let start = ConsensusStart { identity, ..ConsensusStart::default() };
+        core.with_consensus(ConsensusDriver::new(
+            self.now,
+            &s,
+            s.agreement.as_ref().unwrap(),
+            start,
+            generation,
+        ));
         core.with_plans(self.now, plans, false);
         let m = s.membership.as_ref().unwrap();
         let members = member_settings(&s, m, address(host), generation, false, generation, vec![]);
-        core.with_fellows(self.now, Fellows::new(self.now, members));
+        core.with_peers(self.now, Peers::new(self.now, members));
         self.cores[host as usize] = Some(core);
         self.listed(host, ListKind::Complete, 5, NodeState::Ready);
     }
@@ -152,7 +158,7 @@
         }];
         let now = self.now;
         let from = if kind == ListKind::Complete { 0 } else { version - 1 };
-        self.core(host).list_came(now, kind, from, version, &list);
+        self.core(host).handle_endpoint_list(now, kind, from, version, &list);
     }
 
     fn pull(&mut self) {
@@ -160,12 +166,14 @@
             let mut letters = Vec::new();
             for (h, core) in (0..).zip(&mut self.cores) {
                 let Some(core) = core else { continue };
-                core.tick(self.now);
-                while let Some(o) = core.next_output(self.now) {
+                core.handle_timeout(self.now);
+                while let Some(o) = core.poll_output(self.now) {
                     match o {
-                        Output::Keep { request, .. } => core.kept(self.now, request, Ok(())),
+                        Output::Persist { request, .. } => core.handle_persisted(self.now, request, Ok(())),
                         Output::Datagram { to, bytes } => letters.push((h, to, bytes)),
-                        Output::Reply { request, reply } => self.replies.push((h, request, reply)),
+                        Output::AdminResponse { request, response: reply } => {
+                            self.replies.push((h, request, reply))
+                        }
                         Output::Answer { verdict, .. } => self.answers.push((h, verdict)),
                         Output::Send(attempt) => self.attempts.push((h, *attempt)),
                         Output::FetchList => self.fetches.push(h),
@@ -182,7 +190,7 @@
                     continue;
                 }
                 if let Some(core) = &mut self.cores[h as usize] {
-                    core.datagram(self.now, address(from), bytes);
+                    core.handle_datagram(self.now, address(from), bytes);
                 }
             }
         }
@@ -205,14 +213,14 @@
         self.attempts.clear();
         self.answers.clear();
         let (now, from) = (self.now, CommandRef { session: 1, command: self.now.secs().to_bits() as u32 });
-        self.core(host).submit(now, from, lun, 0, Work::Read { blocks: 8 }, now, None, None);
+        self.core(host).handle_command(now, from, lun, 0, Work::Read { blocks: 8 }, now, None, None);
         self.pull();
         let attempt = self.attempts.iter().find(|(h, _)| *h == host).map(|(_, l)| l.attempt);
         if let Some(attempt) = attempt {
             let data = Bytes::from(vec![0; 4096]);
             let back =
                 AttemptResult { attempt, outcome: Outcome::Done, waiting: None, elsewhere: None, data };
-            self.core(host).attempt_finished(now, back);
+            self.core(host).handle_attempt_result(now, back);
             self.pull();
             return Ok(());
         }
@@ -220,10 +228,10 @@
         Err(answer.unwrap_or(Verdict::Failed))
     }
 
-    fn ask(&mut self, host: u32, ask: Ask) -> Reply {
+    fn ask(&mut self, host: u32, ask: AdminRequest) -> AdminResponse {
         let now = self.now;
         self.replies.clear();
-        self.core(host).ask(now, 77, ask);
+        self.core(host).handle_admin_request(now, 77, ask);
         for _ in 0..600 {
             self.run(0.01);
             if let Some((_, _, r)) = self.replies.iter().find(|(h, request, _)| (*h, *request) == (host, 77))
@@ -236,20 +244,24 @@
 
     /// Asks a host for other figures of the plan; the change's version, or why not.
     fn plan(&mut self, host: u32, limit: f64, floor: Option<f64>) -> Result<u64, String> {
-        let Reply::Plan(PlanReply::Shown(s)) = self.ask(host, Ask::Plan(PlanAsk::Show)) else { panic!() };
+        let AdminResponse::Plan(PlanResponse::Shown(s)) =
+            self.ask(host, AdminRequest::Plan(PlanRequest::Show))
+        else {
+            panic!()
+        };
         let to = Plan { limit, burst: 200.0, slack: 8.0, reserve: 0.0, weight: 1.0, floor };
         let steps = vec![Step::Plan { name: "basic".into(), to: Some(to) }];
         let change = Change { base: s.catalogue.version, steps, who: "ann".into(), why: "test".into() };
-        match self.ask(host, Ask::Plan(PlanAsk::Apply { change, dry_run: false })) {
-            Reply::Plan(PlanReply::Applied { version, .. }) => Ok(version),
-            Reply::Plan(PlanReply::Refused { why }) => Err(why),
+        match self.ask(host, AdminRequest::Plan(PlanRequest::Apply { change, dry_run: false })) {
+            AdminResponse::Plan(PlanResponse::Applied { version, .. }) => Ok(version),
+            AdminResponse::Plan(PlanResponse::Refused { why }) => Err(why),
             other => panic!("{other:?}"),
         }
     }
 
-    fn status(&mut self, host: u32) -> AgreementStatus {
-        match self.ask(host, Ask::Agreement(AgreementAsk::Status)) {
-            Reply::Agreement(AgreementReply::Status(s)) => *s,
+    fn status(&mut self, host: u32) -> ConsensusStatus {
+        match self.ask(host, AdminRequest::Consensus(ConsensusRequest::Status)) {
+            AdminResponse::Consensus(ConsensusResponse::Status(s)) => *s,
             other => panic!("{other:?}"),
         }
     }
@@ -273,7 +285,7 @@
         assert_eq!(f.read(3, 1), Ok(()), "within its lease");
         f.run(1.5);
         let status = f.status(3);
-        assert_eq!((status.lease.as_str(), status.posture), ("past", true), "{floor:?}");
+        assert_eq!((status.lease.as_str(), status.degraded), ("past", true), "{floor:?}");
         match f.read(3, 1) {
             Ok(()) => assert!(sends),
             // At once, with when to come back.
@@ -282,7 +294,7 @@
         assert_eq!(f.read(3, 2), Ok(()));
         f.away.clear();
         f.run(2.0);
-        assert_eq!((f.status(3).posture, f.read(3, 1)), (false, Ok(())), "{floor:?}: it has a lease again");
+        assert_eq!((f.status(3).degraded, f.read(3, 1)), (false, Ok(())), "{floor:?}: it has a lease again");
     }
 }
 
@@ -301,34 +313,37 @@
     assert!(f.plan(0, 50.0, Some(20.0)).is_err(), "host 3 may still go by 100");
     f.away.clear();
     f.run(3.0);
-    assert_eq!((f.status(0).told, f.status(3).version), (2, 2));
+    assert_eq!((f.status(0).acknowledged, f.status(3).version), (2, 2));
     assert_eq!(f.plan(2, 50.0, Some(20.0)), Ok(3));
     // Two operators at one version: one of them is told what moved.
-    let Reply::Plan(PlanReply::Shown(s)) = f.ask(0, Ask::Plan(PlanAsk::Show)) else { panic!() };
+    let AdminResponse::Plan(PlanResponse::Shown(s)) = f.ask(0, AdminRequest::Plan(PlanRequest::Show)) else {
+        panic!()
+    };
     assert_eq!((s.catalogue.version, s.stale), (3, false));
     let change = |who: &str, limit: f64| {
         let to = Plan { limit, burst: 200.0, slack: 8.0, reserve: 0.0, weight: 1.0, floor: Some(20.0) };
         let steps = vec![Step::Plan { name: "basic".into(), to: Some(to) }];
-        Ask::Plan(PlanAsk::Apply {
+        AdminRequest::Plan(PlanRequest::Apply {
             change: Change { base: 3, steps, who: who.into(), why: "test".into() },
             dry_run: false,
         })
     };
     f.replies.clear();
     let now = f.now;
-    f.core(1).ask(now, 5, change("ann", 60.0));
-    f.core(3).ask(now, 6, change("bob", 70.0));
+    f.core(1).handle_admin_request(now, 5, change("ann", 60.0));
+    f.core(3).handle_admin_request(now, 6, change("bob", 70.0));
     f.run(1.0);
     let plans: Vec<_> = f.replies.iter().filter(|(_, r, _)| *r == 5 || *r == 6).map(|(_, _, r)| r).collect();
-    let applied = plans.iter().filter(|r| matches!(r, Reply::Plan(PlanReply::Applied { .. }))).count();
-    let conflicts = plans
-        .iter()
-        .filter(|r| matches!(r, Reply::Plan(PlanReply::Refused { why }) if why.contains("plan basic")));
+    let applied =
+        plans.iter().filter(|r| matches!(r, AdminResponse::Plan(PlanResponse::Applied { .. }))).count();
+    let conflicts = plans.iter().filter(
+        |r| matches!(r, AdminResponse::Plan(PlanResponse::Refused { why }) if why.contains("plan basic")),
+    );
     assert_eq!((applied, conflicts.count()), (1, 1), "{plans:?}");
     // All hosts hold the same.
     let digests: Vec<String> = (0..HOSTS)
-        .map(|h| match f.ask(h, Ask::Plan(PlanAsk::Show)) {
-            Reply::Plan(PlanReply::Shown(s)) => s.digest,
+        .map(|h| match f.ask(h, AdminRequest::Plan(PlanRequest::Show)) {
+            AdminResponse::Plan(PlanResponse::Shown(s)) => s.digest,
             other => panic!("{other:?}"),
         })
         .collect();
@@ -341,7 +356,9 @@
     f.run(3.0);
     f.away = vec![0, 1];
     f.run(2.0);
-    let Reply::Plan(PlanReply::Shown(s)) = f.ask(2, Ask::Plan(PlanAsk::Show)) else { panic!() };
+    let AdminResponse::Plan(PlanResponse::Shown(s)) = f.ask(2, AdminRequest::Plan(PlanRequest::Show)) else {
+        panic!()
+    };
     assert!(s.stale);
     assert!(f.plan(3, 50.0, None).unwrap_err().contains("may hold all the same"));
     f.away.clear();
@@ -386,9 +403,11 @@
     assert_eq!(f.plan(3, 120.0, None), Ok(1));
     f.run(1.0);
     let by = |who: &str| (who.to_owned(), "two machines burnt".to_owned());
-    let force = |who: &str| Ask::Agreement(AgreementAsk::Force { who: by(who).0, why: by(who).1 });
-    let forget = |who: &str| Ask::Agreement(AgreementAsk::Forget { who: by(who).0, why: by(who).1 });
-    let refused = |r: Reply| matches!(r, Reply::Agreement(AgreementReply::Refused { .. }));
+    let force =
+        |who: &str| AdminRequest::Consensus(ConsensusRequest::Force { who: by(who).0, why: by(who).1 });
+    let forget =
+        |who: &str| AdminRequest::Consensus(ConsensusRequest::Forget { who: by(who).0, why: by(who).1 });
+    let refused = |r: AdminResponse| matches!(r, AdminResponse::Consensus(ConsensusResponse::Refused { .. }));
     // Not while a leader is heard, and not without a name.
     assert!(refused(f.ask(2, force("ann"))) && refused(f.ask(2, force(" "))));
     f.away = vec![0, 1];
@@ -396,12 +415,12 @@
     assert!(refused(f.ask(2, force("ann"))), "a leader was heard a moment ago");
     f.run(5.0);
     let former = f.status(2).log;
-    let Reply::Agreement(AgreementReply::Done { log }) = f.ask(2, force("ann")) else { panic!() };
+    let AdminResponse::Consensus(ConsensusResponse::Done { log }) = f.ask(2, force("ann")) else { panic!() };
     f.run(3.0);
     let (two, three) = (f.status(2), f.status(3));
     assert_eq!((two.log, two.lease.as_str(), two.version), (log, "holds", 1));
-    assert!(log != former && three.log == former && three.posture, "host 3 keeps to the former log");
-    assert!(matches!(f.ask(3, forget("ann")), Reply::Agreement(AgreementReply::Done { log: 0 })));
+    assert!(log != former && three.log == former && three.degraded, "host 3 keeps to the former log");
+    assert!(matches!(f.ask(3, forget("ann")), AdminResponse::Consensus(ConsensusResponse::Done { log: 0 })));
     f.run(3.0);
     let three = f.status(3);
     assert_eq!((three.log, three.lease.as_str(), three.version, three.votes), (log, "holds", 1, false));
@@ -415,10 +434,10 @@
     // One of them is brought over, and made a voter.
     f.away = vec![1];
     f.run(5.0);
-    assert!(matches!(f.ask(0, forget("bob")), Reply::Agreement(AgreementReply::Done { .. })));
+    assert!(matches!(f.ask(0, forget("bob")), AdminResponse::Consensus(ConsensusResponse::Done { .. })));
     f.run(3.0);
-    let add = Ask::Agreement(AgreementAsk::Voter { host: 0, votes: true });
-    assert!(matches!(f.ask(2, add), Reply::Agreement(AgreementReply::Taken { .. })));
+    let add = AdminRequest::Consensus(ConsensusRequest::Voter { host: 0, votes: true });
+    assert!(matches!(f.ask(2, add), AdminResponse::Consensus(ConsensusResponse::Taken { .. })));
     f.run(2.0);
     let zero = f.status(0);
     assert_eq!((zero.log, zero.votes, zero.version, zero.voters), (log, true, 2, vec![0, 2]));
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -80,15 +80,15 @@
         let mut rig = Rig { core, now, sent: vec![], answers: vec![], other: vec![] };
         rig.pull();
         let both = [entry("a", 0, NodeState::Ready), entry("b", 1, NodeState::Ready)];
-        rig.core.list_came(rig.now, ListKind::Complete, 0, 5, &both);
+        rig.core.handle_endpoint_list(rig.now, ListKind::Complete, 0, 5, &both);
         rig.pull();
         rig.other.clear();
         rig
     }
 
     fn pull(&mut self) {
-        self.core.tick(self.now);
-        while let Some(o) = self.core.next_output(self.now) {
+        self.core.handle_timeout(self.now);
+        while let Some(o) = self.core.poll_output(self.now) {
             match o {
                 Output::Send(attempt) => self.sent.push(*attempt),
                 Output::Answer { to, verdict } => self.answers.push((to.command, verdict)),
@@ -100,7 +100,7 @@
     /// Lets time pass, stopping whenever the core wants to be woken.
     fn pass(&mut self, secs: f64) {
         let until = self.now + s(secs);
-        while let Some(t) = self.core.next_wake(self.now).filter(|t| *t <= until) {
+        while let Some(t) = self.core.poll_timeout(self.now).filter(|t| *t <= until) {
             self.now = t.max(self.now + TimeDelta::from_secs(1e-6));
             self.pull();
         }
@@ -112,13 +112,13 @@
         let data = Bytes::from(vec![command as u8; blocks as usize * 512]);
         let work = if write { Work::Write { data } } else { Work::Read { blocks } };
         let from = CommandRef { session: 1, command };
-        self.core.submit(self.now, from, 1, block, work, self.now, None, None);
+        self.core.handle_command(self.now, from, 1, block, work, self.now, None, None);
         self.pull();
     }
 
     fn back(&mut self, attempt: AttemptId, outcome: Outcome, bytes: usize) {
         let data = Bytes::from(vec![1; bytes]);
-        self.core.attempt_finished(
+        self.core.handle_attempt_result(
             self.now,
             AttemptResult { attempt, outcome, waiting: Some(0), elsewhere: Some(0.0), data },
         );
@@ -133,12 +133,12 @@
     }
 
     fn list(&mut self, from: u64, to: u64, entries: &[ListEntry]) {
-        self.core.list_came(self.now, ListKind::Changes, from, to, entries);
+        self.core.handle_endpoint_list(self.now, ListKind::Changes, from, to, entries);
         self.pull();
     }
 
     fn is_empty(&self) -> bool {
-        self.core.open() == (0, 0, 0)
+        self.core.open_counts() == (0, 0, 0)
     }
 }
 
@@ -172,7 +172,7 @@
             elsewhere: None,
             data,
         };
-        r.core.attempt_finished(r.now, back);
+        r.core.handle_attempt_result(r.now, back);
         r.pull();
         assert_eq!(r.answers.len(), usize::from(i == 2));
     }
@@ -250,14 +250,14 @@
     r.ask(1, 0, 1, false);
     r.ask(2, 0, 1, false);
     let attempts = r.write();
-    r.core.abort(r.now, CommandRef { session: 1, command: 1 });
+    r.core.handle_abort(r.now, CommandRef { session: 1, command: 1 });
     r.pull();
     assert!(matches!(r.other.as_slice(), [Output::Cancel { attempt, .. }] if *attempt == attempts[0]));
-    r.core.session_gone(r.now, 1);
+    r.core.handle_session_closed(r.now, 1);
     r.pull();
     assert_eq!((r.other.len(), r.core.counters.left), (2, 2));
     // The attempts still count until they are back.
-    assert_eq!(r.core.open(), (0, 2, 2));
+    assert_eq!(r.core.open_counts(), (0, 2, 2));
     r.back(attempts[0], Outcome::Done, 512);
     r.back(attempts[1], Outcome::Full, 0);
     assert!(r.is_empty() && r.answers.is_empty());
@@ -311,7 +311,7 @@
     assert!(r.sent.is_empty(), "the drain is known");
     // A complete list that no longer names b: it is gone; c takes its shard.
     let now = [entry("a", 0, NodeState::Ready), entry("c", 1, NodeState::Ready)];
-    r.core.list_came(r.now, ListKind::Complete, 0, 12, &now);
+    r.core.handle_endpoint_list(r.now, ListKind::Complete, 0, 12, &now);
     r.pull();
     r.ask(2, 10, 1, false);
     let nodes: Vec<&str> = r.sent.iter().map(|l| r.core.nodes().address(l.node).unwrap()).collect();
@@ -325,7 +325,7 @@
     r.list(5, 6, &many);
     assert_eq!(r.core.counters.nodes_over_bound, 2);
     let told =
-        r.other.iter().filter(|o| matches!(o, Output::Mode { line, .. } if line.contains("is full"))).count();
+        r.other.iter().filter(|o| matches!(o, Output::Log { line, .. } if line.contains("is full"))).count();
     assert_eq!(told, 2);
 }
 
@@ -342,11 +342,11 @@
     assert!(matches!(r.answers.as_slice(), [(4, Verdict::Rejected { retry_after: Some(_) })]));
     r.back(attempts[0], Outcome::Done, 512);
     assert!(matches!(r.answers[1], (1, Verdict::Done { .. })), "what is open goes on");
-    r.core.settle(r.now);
+    r.core.close_open_commands(r.now);
     r.pull();
     assert_eq!(r.answers[2], (2, Verdict::Failed));
     assert!(matches!(r.answers[3], (3, Verdict::Rejected { .. })), "it never left");
-    assert_eq!(r.core.open().0, 0);
+    assert_eq!(r.core.open_counts().0, 0);
     r.pass(1.5);
     assert!(r.is_empty() && r.answers.len() == 4);
 }
@@ -357,10 +357,10 @@
         HostSettings::parse("test", &SETTINGS.replace("transfers = 12", "transfers = 4000")).unwrap();
     let now = Instant::from_secs(10.0);
     let mut core = Core::new(now, &settings, 1, 99);
-    core.list_came(now, ListKind::Complete, 0, 5, &[entry("a", 0, NodeState::Ready)]);
+    core.handle_endpoint_list(now, ListKind::Complete, 0, 5, &[entry("a", 0, NodeState::Ready)]);
     let mut ask = |session: u32, command: u32| {
         let from = CommandRef { session, command };
-        core.submit(now, from, 1, u64::from(command % 10), Work::Read { blocks: 1 }, now, None, None);
+        core.handle_command(now, from, 1, u64::from(command % 10), Work::Read { blocks: 1 }, now, None, None);
     };
     (0..1000).for_each(|c| ask(1, c));
     (0..3).for_each(|c| ask(2, c));
@@ -368,7 +368,7 @@
     let (mut order, mut t) = (Vec::new(), now);
     for _ in 0..30 {
         let mut out = Vec::new();
-        while let Some(o) = core.next_output(t) {
+        while let Some(o) = core.poll_output(t) {
             if let Output::Send(attempt) = o {
                 order.push(attempt.from.session);
                 out.push(attempt.attempt);
@@ -377,7 +377,7 @@
         t = t + s(0.001);
         for attempt in out {
             let (outcome, data) = (Outcome::Done, Bytes::from(vec![0; 512]));
-            core.attempt_finished(
+            core.handle_attempt_result(
                 t,
                 AttemptResult { attempt, outcome, waiting: Some(0), elsewhere: Some(0.0), data },
             );
@@ -385,8 +385,8 @@
     }
     let last_other = order.iter().rposition(|s| *s != 1).unwrap();
     assert!(last_other <= 8 && order.len() > 50, "{order:?}");
-    core.session_gone(t, 1);
-    assert_eq!(core.sharing(), (0, 0));
+    core.handle_session_closed(t, 1);
+    assert_eq!(core.fair_queue_counts(), (0, 0));
 }
 
 #[test]
@@ -403,7 +403,7 @@
             Vec::new(),
             1,
         );
-        r.core.with_overrides(r.now, overrides, Keep::default());
+        r.core.with_overrides(r.now, overrides, PersistBatch::default());
         let order = Order {
             target: Target::Node(address.parse().unwrap()),
             kind: Kind::Weight(0.5),
@@ -412,17 +412,21 @@
             seconds: 60.0,
             origin: None,
         };
-        r.core.ask(r.now, 1, Ask::Set { order, force: false, dry_run: false, if_version: None });
-        r.core.kept(r.now, 1, Ok(()));
+        r.core.handle_admin_request(
+            r.now,
+            1,
+            AdminRequest::Set { order, force: false, dry_run: false, if_version: None },
+        );
+        r.core.handle_persisted(r.now, 1, Ok(()));
         r.now = Instant::from_secs(20.0);
         let up = TimeDelta::from_secs(20.0 - start);
-        let start = Some(Start { name: 7, age: Age::Told(up) });
+        let start = Some(NodeStart { name: 7, age: Age::ByListClock(up) });
         r.list(5, 6, &[ListEntry { start, ..entry(address, 0, NodeState::Ready) }]);
         r.other.clear();
-        r.core.ask(r.now, 2, Ask::Explain { address: address.parse().unwrap() });
+        r.core.handle_admin_request(r.now, 2, AdminRequest::Explain { address: address.parse().unwrap() });
         r.pull();
         let explained = r.other.iter().find_map(|o| match o {
-            Output::Reply { reply: Reply::Explain(e), .. } => Some(e.clone()),
+            Output::AdminResponse { response: AdminResponse::Explain(e), .. } => Some(e.clone()),
             _ => None,
         });
         let e = explained.expect("an explanation");
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -273,12 +273,12 @@
                 self.number(*since);
             }
             Output::FetchList => self.kind(6),
-            Output::Keep { request, keep } => {
+            Output::Persist { request, batch } => {
                 self.kind(7);
                 self.number(*request);
-                self.keep(keep);
+                self.keep(batch);
             }
-            Output::Reply { request, reply } => {
+            Output::AdminResponse { request, response: reply } => {
                 self.kind(8);
                 self.number(*request);
                 self.reply(reply);
@@ -288,7 +288,7 @@
                 self.bytes(to.to_string().as_bytes());
                 self.bytes(bytes);
             }
-            Output::Mode { node, .. } => {
+            Output::Log { node, .. } => {
                 self.kind(10);
                 self.number(node.map_or(u64::MAX, |node| u64::from(node.0)));
             }
@@ -317,7 +317,7 @@
                 self.kind(2);
                 self.bytes(data);
             }
-            AttemptWork::Request(_) => self.kind(3),
+            AttemptWork::Opaque(_) => self.kind(3),
         }
     }
 
@@ -335,7 +335,7 @@
         }
     }
 
-    fn keep(&mut self, keep: &Keep) {
+    fn keep(&mut self, keep: &PersistBatch) {
         let counts = [keep.put.len(), keep.remove.len(), keep.audits.len(), keep.changes.len()];
         counts.iter().for_each(|count| self.number(*count as u64));
         for record in &keep.put {
@@ -349,21 +349,21 @@
             self.bytes(line);
         }
         self.kind(u8::from(keep.members.is_some()));
-        self.kind(u8::from(keep.agreed.is_some()));
+        self.kind(u8::from(keep.consensus.is_some()));
     }
 
-    fn reply(&mut self, reply: &Reply) {
+    fn reply(&mut self, reply: &AdminResponse) {
         match reply {
-            Reply::Set { record, dry_run, .. } => {
+            AdminResponse::Set { record, dry_run, .. } => {
                 self.kind(1);
                 self.number(record.id.0);
                 self.kind(u8::from(*dry_run));
             }
-            Reply::Cleared { id } => {
+            AdminResponse::Cleared { id } => {
                 self.kind(2);
                 self.number(id.0);
             }
-            Reply::List { version, standing, returning, returning_within_s } => {
+            AdminResponse::List { version, standing, returning, returning_within_s } => {
                 self.kind(3);
                 self.number(*version);
                 for (record, left) in standing {
@@ -373,40 +373,40 @@
                 self.number(*returning as u64);
                 self.seconds(*returning_within_s);
             }
-            Reply::Explain(_) => self.kind(4),
-            Reply::Status(status) => {
+            AdminResponse::Explain(_) => self.kind(4),
+            AdminResponse::Status(status) => {
                 self.kind(5);
                 let counts = [status.overrides, status.returning, status.commands];
                 counts.iter().for_each(|count| self.number(*count as u64));
                 self.number(status.version);
             }
-            Reply::Members(_) => self.kind(6),
-            Reply::Plan(reply) => self.plan_reply(reply),
-            Reply::Agreement(_) => self.kind(8),
-            Reply::Refused(_) => self.kind(9),
-            Reply::NotKept { .. } => self.kind(10),
+            AdminResponse::Members(_) => self.kind(6),
+            AdminResponse::Plan(reply) => self.plan_reply(reply),
+            AdminResponse::Consensus(_) => self.kind(8),
+            AdminResponse::Refused(_) => self.kind(9),
+            AdminResponse::NotKept { .. } => self.kind(10),
         }
     }
 
-    fn plan_reply(&mut self, reply: &PlanReply) {
+    fn plan_reply(&mut self, reply: &PlanResponse) {
         match reply {
-            PlanReply::Shown(status) => {
+            PlanResponse::Shown(status) => {
                 self.kind(20);
                 self.number(status.number);
                 self.number(status.catalogue.version);
                 self.seconds(status.in_force_s);
                 self.seconds(status.settle_s);
-                self.kind(u8::from(status.waits));
+                self.kind(u8::from(status.clients_wait));
             }
-            PlanReply::Applied { number, version, in_force_s, dry_run, .. } => {
+            PlanResponse::Applied { number, version, in_force_s, dry_run, .. } => {
                 self.kind(21);
                 self.number(*number);
                 self.number(*version);
                 self.seconds(*in_force_s);
                 self.kind(u8::from(*dry_run));
             }
-            PlanReply::Refused { .. } => self.kind(22),
-            PlanReply::Log { .. } => self.kind(23),
+            PlanResponse::Refused { .. } => self.kind(22),
+            PlanResponse::Log { .. } => self.kind(23),
         }
     }
 
@@ -491,15 +491,15 @@
     let override_settings = Settings { max_overrides: 20, max_zone_fraction: 1.0 };
     let wall_us = micros(now) as u64 + WALL_OFFSET_US;
     let (overrides, _) = Overrides::new(now, wall_us, override_settings, Vec::new(), 1);
-    core.with_overrides(now, overrides, Keep::default());
-    core.wall_seen(now, wall_us);
+    core.with_overrides(now, overrides, PersistBatch::default());
+    core.handle_wall_clock(now, wall_us);
     let plans_block = settings.plans_live.as_ref().expect("a plans block");
     let plans = Plans::new(now, &settings, plans_block, &[]).expect("plans of the settings");
     core.with_plans(now, plans, true);
     let membership = settings.membership.as_ref().expect("a membership block");
     let address = host_address(host);
     let members = member_settings(&settings, membership, address, incarnation, false, seed, vec![]);
-    core.with_fellows(now, Fellows::new(now, members));
+    core.with_peers(now, Peers::new(now, members));
     core
 }
 
@@ -527,7 +527,7 @@
             admin_requests: 0,
         };
         for host in 0..HOSTS_RUN {
-            run.hosts[host].core.pace_known(now, ShardId(0), 50.0);
+            run.hosts[host].core.restore_service_rate(now, ShardId(0), 50.0);
             run.send_list(host, ListKind::Complete, 0..NODES);
         }
         run.pull();
@@ -566,12 +566,12 @@
 
     fn shut_down(&mut self, host: usize) {
         self.hosts[host].core.drain();
-        self.hosts[host].core.leave(self.now);
+        self.hosts[host].core.begin_leave(self.now);
         (0..20).for_each(|_| self.submit(host));
         self.pass(seconds(0.05));
-        self.hosts[host].core.settle(self.now);
+        self.hosts[host].core.close_open_commands(self.now);
         self.pull();
-        self.hosts[host].core.left(self.now);
+        self.hosts[host].core.announce_leave(self.now);
         self.pull();
     }
 
@@ -598,10 +598,10 @@
         numbers.iter().for_each(|number| self.hasher.number(*number));
         self.counts.retries += counters.retries;
         self.counts.timeouts += counters.timed_out;
-        let (commands, requests, attempts) = core.open();
+        let (commands, requests, attempts) = core.open_counts();
         assert_eq!((commands, requests, attempts), (0, 0, 0), "nothing stays open after the shutdown");
-        self.hasher.number(core.keys_in_order() as u64);
-        for (shard, rate) in core.paces(self.now) {
+        self.hasher.number(core.key_queue_count() as u64);
+        for (shard, rate) in core.service_rates(self.now) {
             self.hasher.number(u64::from(shard.0));
             self.hasher.seconds(rate);
         }
@@ -613,7 +613,7 @@
         loop {
             let ends = self.hosts.iter().filter_map(|host| host.pending.keys().next());
             let end = ends.map(|(at, _)| Instant::from_secs(*at as f64 / 1e6)).min();
-            let wake = self.hosts.iter().filter_map(|host| host.core.next_wake(self.now)).min();
+            let wake = self.hosts.iter().filter_map(|host| host.core.poll_timeout(self.now)).min();
             let Some(next) = end.into_iter().chain(wake).min().filter(|next| *next <= until) else { break };
             self.now = next.max(self.now + TimeDelta::from_secs(1e-6));
             for host in 0..HOSTS_RUN {
@@ -645,7 +645,7 @@
         let (attempt, outcome) = (pending.attempt.attempt, pending.outcome);
         self.hosts[host]
             .core
-            .attempt_finished(self.now, AttemptResult { attempt, outcome, waiting, elsewhere, data });
+            .handle_attempt_result(self.now, AttemptResult { attempt, outcome, waiting, elsewhere, data });
     }
 
     /// Pulls all outputs of all hosts, until their datagrams lead to no more.
@@ -653,12 +653,12 @@
         let mut datagrams = Vec::new();
         loop {
             for host in 0..HOSTS_RUN {
-                self.hosts[host].core.tick(self.now);
-                while let Some(output) = self.hosts[host].core.next_output(self.now) {
+                self.hosts[host].core.handle_timeout(self.now);
+                while let Some(output) = self.hosts[host].core.poll_output(self.now) {
                     self.hasher.output(&output);
                     self.on_output(host, output, &mut datagrams);
                 }
-                let wake = self.hosts[host].core.next_wake(self.now);
+                let wake = self.hosts[host].core.poll_timeout(self.now);
                 self.hasher.optional_seconds(wake.map(Instant::secs));
             }
             if datagrams.is_empty() {
@@ -668,7 +668,7 @@
                 let receiver = (0..HOSTS_RUN).find(|host| host_address(*host) == to);
                 let is_lost = self.below(100) < DATAGRAMS_LOST_PERCENT;
                 if let Some(receiver) = receiver.filter(|_| !is_lost) {
-                    self.hosts[receiver].core.datagram(self.now, host_address(from), bytes);
+                    self.hosts[receiver].core.handle_datagram(self.now, host_address(from), bytes);
                 }
             }
         }
@@ -688,28 +688,32 @@
                 }
             }
             Output::FollowList { .. } | Output::FetchList => self.counts.list_calls += 1,
-            Output::Keep { request, .. } => {
+            Output::Persist { request, .. } => {
                 self.counts.writes_to_store += 1;
                 self.hosts[host].unacknowledged.push(request);
             }
-            Output::Reply { reply, .. } => self.on_reply(host, &reply),
+            Output::AdminResponse { response: reply, .. } => self.on_reply(host, &reply),
             Output::Datagram { to, bytes } => {
                 self.counts.datagrams += 1;
                 datagrams.push((host, to, bytes));
             }
-            Output::Mode { .. } => self.counts.log_lines += 1,
+            Output::Log { .. } => self.counts.log_lines += 1,
         }
     }
 
-    fn on_reply(&mut self, host: usize, reply: &Reply) {
+    fn on_reply(&mut self, host: usize, reply: &AdminResponse) {
         match reply {
-            Reply::Set { record, dry_run: false, .. } => {
+            AdminResponse::Set { record, dry_run: false, .. } => {
                 self.counts.overrides_set += 1;
                 self.hosts[host].override_ids.push(record.id);
             }
-            Reply::Cleared { .. } => self.counts.overrides_cleared += 1,
-            Reply::Plan(PlanReply::Applied { dry_run: false, .. }) => self.counts.plans_applied += 1,
-            Reply::Plan(PlanReply::Refused { .. }) | Reply::Refused(_) => self.counts.refused += 1,
+            AdminResponse::Cleared { .. } => self.counts.overrides_cleared += 1,
+            AdminResponse::Plan(PlanResponse::Applied { dry_run: false, .. }) => {
+                self.counts.plans_applied += 1
+            }
+            AdminResponse::Plan(PlanResponse::Refused { .. }) | AdminResponse::Refused(_) => {
+                self.counts.refused += 1
+            }
             _ => {}
         }
     }
@@ -793,7 +797,7 @@
         let asked = (self.below(4) == 0).then_some(seconds(0.05 + self.fraction()));
         let mark = (self.below(3) == 0).then_some(u128::from(from.command) << 64 | 7);
         self.hosts[host].open.insert(from);
-        self.hosts[host].core.submit(self.now, from, lun, block, work, began, asked, mark);
+        self.hosts[host].core.handle_command(self.now, from, lun, block, work, began, asked, mark);
     }
 
     fn abort(&mut self, host: usize) {
@@ -804,14 +808,14 @@
         let chosen = self.below(count) as usize;
         if let Some(command) = self.hosts[host].open.iter().nth(chosen).copied() {
             self.hosts[host].open.remove(&command);
-            self.hosts[host].core.abort(self.now, command);
+            self.hosts[host].core.handle_abort(self.now, command);
         }
     }
 
     fn end_session(&mut self, host: usize) {
         let session = self.below(SESSIONS);
         self.hosts[host].open.retain(|command| command.session != session);
-        self.hosts[host].core.session_gone(self.now, session);
+        self.hosts[host].core.handle_session_closed(self.now, session);
     }
 
     fn entry(&self, node: u32) -> ListEntry {
@@ -822,7 +826,8 @@
             state: self.states[node as usize],
             zone: ZoneId(node % 2),
             shard: ShardId(node % SHARDS),
-            start: start.map(|at| Start { name: micros(at) as u64, age: Age::Told(self.now - at) }),
+            start: start
+                .map(|at| NodeStart { name: micros(at) as u64, age: Age::ByListClock(self.now - at) }),
         }
     }
 
@@ -831,7 +836,7 @@
         let from = self.hosts[host].list_version;
         let to = from + 1;
         self.hosts[host].list_version = to;
-        self.hosts[host].core.list_came(self.now, kind, from, to, &entries);
+        self.hosts[host].core.handle_endpoint_list(self.now, kind, from, to, &entries);
     }
 
     /// A node comes, drains, goes or has restarted; sometimes a host misses the change.
@@ -867,13 +872,13 @@
         let name = format!("node-{}", self.below(NODES));
         let up = seconds(20.0 * self.fraction());
         if let Some(node) = self.hosts[host].core.nodes().number(&name) {
-            self.hosts[host].core.node_said_up(self.now, node, up);
+            self.hosts[host].core.handle_node_uptime(self.now, node, up);
         }
     }
 
-    fn ask(&mut self, host: usize, ask: Ask) {
+    fn ask(&mut self, host: usize, ask: AdminRequest) {
         self.admin_requests += 1;
-        self.hosts[host].core.ask(self.now, self.admin_requests, ask);
+        self.hosts[host].core.handle_admin_request(self.now, self.admin_requests, ask);
     }
 
     fn ask_for_override(&mut self, host: usize) {
@@ -896,14 +901,14 @@
             origin: None,
         };
         let (force, dry_run) = (self.below(3) == 0, self.below(8) == 0);
-        self.ask(host, Ask::Set { order, force, dry_run, if_version: None });
+        self.ask(host, AdminRequest::Set { order, force, dry_run, if_version: None });
     }
 
     fn clear_override(&mut self, host: usize) {
         let known = self.hosts[host].override_ids.len();
         let newest = known.saturating_sub(1 + self.below(3) as usize);
         let id = self.hosts[host].override_ids.get(newest).copied().unwrap_or(UNKNOWN_OVERRIDE);
-        self.ask(host, Ask::Clear { id, who: "operator".into() });
+        self.ask(host, AdminRequest::Clear { id, who: "operator".into() });
     }
 
     fn apply_plan(&mut self, host: usize) {
@@ -914,31 +919,31 @@
         let steps = vec![Step::Plan { name: "limited".into(), to: Some(plan) }];
         let change = Change { base, steps, who: "operator".into(), why: "demand".into() };
         let dry_run = self.below(8) == 0;
-        self.ask(host, Ask::Plan(PlanAsk::Apply { change, dry_run }));
+        self.ask(host, AdminRequest::Plan(PlanRequest::Apply { change, dry_run }));
     }
 
     fn ask_for_status(&mut self, host: usize) {
         let address = node_address(self.below(NODES));
         match self.below(5) {
-            0 => self.ask(host, Ask::List),
-            1 => self.ask(host, Ask::Status),
-            2 => self.ask(host, Ask::Explain { address }),
-            3 => self.ask(host, Ask::Members),
-            _ => self.ask(host, Ask::Plan(PlanAsk::Show)),
+            0 => self.ask(host, AdminRequest::List),
+            1 => self.ask(host, AdminRequest::Status),
+            2 => self.ask(host, AdminRequest::Explain { address }),
+            3 => self.ask(host, AdminRequest::Members),
+            _ => self.ask(host, AdminRequest::Plan(PlanRequest::Show)),
         }
     }
 
     fn step_wall_clock(&mut self, host: usize) {
         let step_us = if self.below(4) == 0 { u64::from(self.below(10_000_000)) } else { 0 };
         let wall_us = micros(self.now) as u64 + WALL_OFFSET_US + step_us;
-        self.hosts[host].core.wall_seen(self.now, wall_us);
+        self.hosts[host].core.handle_wall_clock(self.now, wall_us);
     }
 
     /// The store is done with what it was given, or has failed.
     fn acknowledge(&mut self, host: usize) {
         for request in std::mem::take(&mut self.hosts[host].unacknowledged) {
             let result = if self.below(12) == 0 { Err("no space left".to_owned()) } else { Ok(()) };
-            self.hosts[host].core.kept(self.now, request, result);
+            self.hosts[host].core.handle_persisted(self.now, request, result);
         }
     }
 }
--- a/crates/host-core/tests/placed.rs
+++ b/crates/host-core/tests/placed.rs
@@ -51,7 +51,7 @@
         let (tells, longest_wait, grace) = (true, span(0.5), span(1.0));
         let settings = PlacedSettings {
             traffic_classes,
-            tells,
+            reports_service: tells,
             longest_wait,
             grace,
             requests,
@@ -80,12 +80,12 @@
         };
         let lines: Vec<ListEntry> = lines.iter().map(line).collect();
         let from = self.core.list_version();
-        self.core.list_came(now, kind, from, version, &lines);
+        self.core.handle_endpoint_list(now, kind, from, version, &lines);
         self.pull(now);
     }
 
     fn ask(&mut self, now: Instant, command: u32, traffic_class: u32, volume: u64) {
-        let placed = Placed {
+        let placed = PlacedRequest {
             volume,
             plan: PlanId(0),
             traffic_class: TrafficClassId(traffic_class),
@@ -94,15 +94,15 @@
             units: 1.0,
             hosts: 1,
             left: span(1.0),
-            request: Request { head: Bytes::from_static(b"head"), body: Bytes::from_static(b"body") },
+            request: OpaqueRequest { head: Bytes::from_static(b"head"), body: Bytes::from_static(b"body") },
         };
-        self.core.submit_placed(now, CommandRef { session: command, command }, placed);
+        self.core.handle_placed_request(now, CommandRef { session: command, command }, placed);
         self.pull(now);
     }
 
     fn pull(&mut self, now: Instant) {
-        self.core.tick(now);
-        while let Some(o) = self.core.next_output(now) {
+        self.core.handle_timeout(now);
+        while let Some(o) = self.core.poll_output(now) {
             match o {
                 Output::Send(attempt) => self.sent.push(*attempt),
                 Output::Answer { to, verdict } => self.answers.push((to.command, verdict)),
@@ -114,7 +114,7 @@
 
     fn pass(&mut self, from: Instant, secs: f64) -> Instant {
         let end = from + span(secs);
-        while let Some(t) = self.core.next_wake(from).filter(|t| *t <= end) {
+        while let Some(t) = self.core.poll_timeout(from).filter(|t| *t <= end) {
             self.pull(t);
         }
         self.pull(end);
@@ -130,7 +130,7 @@
 
     fn back(&mut self, now: Instant, attempt: AttemptId, outcome: Outcome, data: &'static [u8]) {
         let data = Bytes::from_static(data);
-        self.core.attempt_finished(
+        self.core.handle_attempt_result(
             now,
             AttemptResult { attempt, outcome, waiting: Some(1), elsewhere: Some(0.0), data },
         );
@@ -142,13 +142,13 @@
 fn a_request_goes_out_as_it_came_and_its_answer_comes_back_whole() {
     let mut r = Rig::new(8, 8, 8);
     r.ask(at(10.0), 1, 1, 77);
-    let AttemptWork::Request(request) = &r.sent[0].work else { panic!("{:?}", r.sent[0].work) };
+    let AttemptWork::Opaque(request) = &r.sent[0].work else { panic!("{:?}", r.sent[0].work) };
     assert_eq!((&request.head[..], &request.body[..]), (&b"head"[..], &b"body"[..]));
     assert_eq!(r.sent[0].until, at(11.0));
     let attempt = r.write();
     r.back(at(10.1), attempt, Outcome::Done, b"any length");
     assert_eq!(r.answers, [(1, Verdict::Done { data: Bytes::from_static(b"any length") })]);
-    assert_eq!(r.core.open(), (0, 0, 0));
+    assert_eq!(r.core.open_counts(), (0, 0, 0));
 }
 
 #[test]
@@ -199,7 +199,7 @@
     ids.sort();
     assert_eq!(ids, (0..20).collect::<Vec<_>>(), "one answer each");
     assert!(r.cancelled.len() >= out);
-    assert_eq!(r.core.open(), (0, 0, 0));
+    assert_eq!(r.core.open_counts(), (0, 0, 0));
     // The longest unused volume gives way.
     r.ask(now, 30, 0, 99);
     assert_eq!(r.sent.len(), 1);
--- a/crates/host/examples/changes.rs
+++ b/crates/host/examples/changes.rs
@@ -7,7 +7,9 @@
 use tackmast_admin::{Answer, Call};
 use tackmast_config::HostSettings;
 use tackmast_host::Host;
-use tackmast_host_core::{AgreementAsk, AgreementReply, Ask, PlanAsk, PlanReply, Reply};
+use tackmast_host_core::{
+    AdminRequest, AdminResponse, ConsensusRequest, ConsensusResponse, PlanRequest, PlanResponse,
+};
 use tackmast_plans::{Change, Plan, Step};
 
 const HOSTS: u32 = 3;
@@ -76,9 +78,9 @@
     HostSettings::parse("measured", &text).map_err(|e| e.to_string())
 }
 
-fn ask(dir: &Path, host: u32, ask: Ask) -> Result<Reply, String> {
-    match tackmast_admin::call(&admin(dir, host), &Call::Ask(ask), Duration::from_secs(10))? {
-        Answer::Reply(r) => Ok(*r),
+fn ask(dir: &Path, host: u32, ask: AdminRequest) -> Result<AdminResponse, String> {
+    match tackmast_admin::call(&admin(dir, host), &Call::AdminRequest(ask), Duration::from_secs(10))? {
+        Answer::AdminResponse(r) => Ok(*r),
         other => Err(format!("{other:?}")),
     }
 }
@@ -89,8 +91,8 @@
     let to = Plan { limit: 0.0, burst: 0.0, slack: 0.0, reserve: 0.0, weight, floor: None };
     let steps = vec![Step::Plan { name: format!("p{plan}"), to: Some(to) }];
     let change = Change { base: *base, steps, who: "measured".into(), why: "measured".into() };
-    match ask(dir, host, Ask::Plan(PlanAsk::Apply { change, dry_run: false }))? {
-        Reply::Plan(PlanReply::Applied { version, .. }) => {
+    match ask(dir, host, AdminRequest::Plan(PlanRequest::Apply { change, dry_run: false }))? {
+        AdminResponse::Plan(PlanResponse::Applied { version, .. }) => {
             *base = version;
             Ok(())
         }
@@ -99,8 +101,8 @@
 }
 
 fn shown(dir: &Path, host: u32) -> Result<u64, String> {
-    match ask(dir, host, Ask::Plan(PlanAsk::Show))? {
-        Reply::Plan(PlanReply::Shown(s)) if !s.waits && !s.stale => Ok(s.catalogue.version),
+    match ask(dir, host, AdminRequest::Plan(PlanRequest::Show))? {
+        AdminResponse::Plan(PlanResponse::Shown(s)) if !s.clients_wait && !s.stale => Ok(s.catalogue.version),
         other => Err(format!("{other:?}")),
     }
 }
@@ -115,10 +117,13 @@
     }
     let began = Instant::now();
     let leader = loop {
-        let leads = (0..HOSTS).find(|h| match ask(dir, *h, Ask::Agreement(AgreementAsk::Status)) {
-            Ok(Reply::Agreement(AgreementReply::Status(s))) => s.role == "leads" && s.lease == "holds",
-            _ => false,
-        });
+        let leads =
+            (0..HOSTS).find(|h| match ask(dir, *h, AdminRequest::Consensus(ConsensusRequest::Status)) {
+                Ok(AdminResponse::Consensus(ConsensusResponse::Status(s))) => {
+                    s.role == "leads" && s.lease == "holds"
+                }
+                _ => false,
+            });
         match leads {
             Some(l) => break l,
             None if !agrees && shown(dir, 0).is_ok() => break 0,
--- a/crates/host/src/admin.rs
+++ b/crates/host/src/admin.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tackmast_admin::{Answer, Call};
-use tackmast_host_core::Keep;
+use tackmast_host_core::PersistBatch;
 use tackmast_store::Store;
 
 /// Calls open at a time.
@@ -22,7 +22,7 @@
 const AGAIN: Duration = Duration::from_secs(1);
 
 pub enum ToStore {
-    Keep { request: u64, keep: Keep },
+    Persist { request: u64, batch: PersistBatch },
     Audit { most: usize, to: Sender<Answer> },
 }
 
@@ -95,7 +95,7 @@
         let (to, from) = crossbeam_channel::bounded(1);
         let sent = match tackmast_admin::parse_call(&text) {
             Err(e) => to.send(Answer::Error(e)).is_ok(),
-            Ok(Call::Ask(ask)) => core.send(Event::Admin { ask, to }).is_ok(),
+            Ok(Call::AdminRequest(ask)) => core.send(Event::Admin { ask, to }).is_ok(),
             Ok(Call::Audit { most }) => store.send(ToStore::Audit { most, to }).is_ok(),
         };
         let late = || Answer::Error("no answer in time; whether it holds, a list tells".into());
@@ -109,7 +109,7 @@
 /// Writes one keep after the other, and says of each what became of it.
 pub fn keep(store: Store, from: Receiver<ToStore>, core: Sender<Event>) -> Result<(), StartError> {
     crate::thread("store".into(), move || {
-        let mut again: Vec<Keep> = Vec::new();
+        let mut again: Vec<PersistBatch> = Vec::new();
         loop {
             let next = match again.is_empty() {
                 true => from.recv().map_err(|_| false),
@@ -122,9 +122,9 @@
                         Err(e) => Answer::Error(e.to_string()),
                     });
                 }
-                Ok(ToStore::Keep { request: 0, keep }) => again.push(keep),
-                Ok(ToStore::Keep { request, keep }) => {
-                    let result = store.keep(&keep).map_err(|e| e.to_string());
+                Ok(ToStore::Persist { request: 0, batch }) => again.push(batch),
+                Ok(ToStore::Persist { request, batch }) => {
+                    let result = store.keep(&batch).map_err(|e| e.to_string());
                     _ = core.send(Event::Kept { request, result });
                 }
                 Err(true) => {}
