--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -16,7 +16,9 @@
 use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, TimeDelta};
 use tackmast_admin::Answer;
 use tackmast_config::HostSettings;
-use tackmast_host_core::{Age, Ask, AttemptResult, CommandRef, Core, Counters, ListEntry, Output, Work};
+use tackmast_host_core::{
+    AdminRequest, Age, AttemptResult, CommandRef, Core, Counters, ListEntry, Output, Work,
+};
 
 /// Events taken before the outputs they caused are carried out.
 const BATCH: usize = 256;
@@ -59,7 +61,7 @@
     },
     Status(Sender<Status>),
     Admin {
-        ask: Ask,
+        ask: AdminRequest,
         to: Sender<Answer>,
     },
     /// From another host.
@@ -149,7 +151,8 @@
         self.saved();
         self.outputs();
         loop {
-            let wait = self.core.next_wake(self.clock.now()).map_or(IDLE, |t| self.clock.until(t)).min(IDLE);
+            let wait =
+                self.core.poll_timeout(self.clock.now()).map_or(IDLE, |t| self.clock.until(t)).min(IDLE);
             let first = crossbeam_channel::select! {
                 recv(urgent) -> e => e.ok(),
                 recv(events) -> e => e.ok(),
@@ -177,13 +180,13 @@
             }
             if self.wall_at.elapsed() >= IDLE {
                 self.wall_at = std::time::Instant::now();
-                self.core.wall_seen(self.last, Clock::wall_us());
+                self.core.handle_wall_clock(self.last, Clock::wall_us());
                 let marked = !self.leaving && self.peers.as_ref().is_some_and(Peers::is_marked);
-                if marked && self.core.is_free(self.last) {
+                if marked && self.core.have_earlier_leases_ended(self.last) {
                     self.peers.iter_mut().for_each(Peers::unmark);
                 }
             }
-            self.core.tick(self.last);
+            self.core.handle_timeout(self.last);
             self.outputs();
             self.busy += started.elapsed();
         }
@@ -193,7 +196,7 @@
     fn saved(&mut self) {
         let Some(path) = &self.settings.host.saved_list else { return };
         match crate::list::load(path) {
-            Ok(entries) => self.core.list_came(self.last, ListKind::Saved, 0, 0, &entries),
+            Ok(entries) => self.core.handle_endpoint_list(self.last, ListKind::Saved, 0, 0, &entries),
             Err(e) => tracing::warn!("saved list: {e}"),
         }
     }
@@ -204,20 +207,20 @@
         match e {
             Event::SessionOpen { session, to, close } => _ = self.sessions.insert(session, (to, close)),
             Event::Submit { from, lun, block, work, began, asked } => {
-                self.core.submit(now, from, lun, block, work, began, asked, None)
+                self.core.handle_command(now, from, lun, block, work, began, asked, None)
             }
-            Event::Abort { from } => self.core.abort(now, from),
+            Event::Abort { from } => self.core.handle_abort(now, from),
             Event::SessionGone { session } => {
                 self.sessions.remove(&session);
-                self.core.session_gone(now, session);
+                self.core.handle_session_closed(now, session);
             }
-            Event::AttemptResult(back) => self.core.attempt_finished(now, back),
+            Event::AttemptResult(back) => self.core.handle_attempt_result(now, back),
             Event::NodeUp { node, up, heard } => {
-                self.core.node_said_up(now, node, up);
+                self.core.handle_node_uptime(now, node, up);
                 _ = heard.try_send(());
             }
             Event::List { at, kind, from, to, entries } => {
-                self.core.list_came(at.max(now), kind, from, to, &entries);
+                self.core.handle_endpoint_list(at.max(now), kind, from, to, &entries);
                 let gone = |core: &Core, n: NodeId| {
                     let state = core.nodes().entries().find(|(_, e)| e.node == n).map(|(_, e)| e.state);
                     state == Some(NodeState::Gone) && !core.has_attempts_at(n)
@@ -233,15 +236,15 @@
                         zone: e.zone,
                         shard: e.shard,
                         start: crate::list::start_of(
-                            self.core.nodes().start_name(e.node),
-                            Age::ByWall(TimeDelta::ZERO),
+                            self.core.nodes().start_id(e.node),
+                            Age::ByHostClock(TimeDelta::ZERO),
                         ),
                     });
                     _ = self.list.try_send(ToList::Save(keep.collect()));
                 }
             }
             Event::Status(to) => {
-                let (commands, requests, attempts) = self.core.open();
+                let (commands, requests, attempts) = self.core.open_counts();
                 let nodes = self.core.nodes().entries().map(|(a, e)| (a.to_owned(), e.state)).collect();
                 let status = Status {
                     counters: self.core.counters,
@@ -257,20 +260,20 @@
             Event::Admin { ask, to } => {
                 self.next_ask += 1;
                 self.asks.insert(self.next_ask, to);
-                self.core.ask(now, self.next_ask, ask);
+                self.core.handle_admin_request(now, self.next_ask, ask);
             }
-            Event::Datagram { from, bytes } => self.core.datagram(now, from, bytes),
+            Event::Datagram { from, bytes } => self.core.handle_datagram(now, from, bytes),
             Event::Leave => {
                 self.leaving = true;
                 // The mark first: what is lent without it could be used twice by the next generation.
                 if self.peers.as_mut().is_some_and(Peers::mark_leave) {
-                    self.core.leave(now);
+                    self.core.begin_leave(now);
                 }
             }
-            Event::Left => self.core.left(now),
+            Event::Left => self.core.announce_leave(now),
             Event::Drain => self.core.drain(),
-            Event::Settle => self.core.settle(now),
-            Event::Kept { request, result } => self.core.kept(now, request, result),
+            Event::Settle => self.core.close_open_commands(now),
+            Event::Kept { request, result } => self.core.handle_persisted(now, request, result),
             Event::Stop => {
                 for (_, close) in self.sessions.values() {
                     _ = close.shutdown(std::net::Shutdown::Both);
@@ -283,7 +286,7 @@
 
     fn outputs(&mut self) {
         let now = self.last;
-        while let Some(o) = self.core.next_output(now) {
+        while let Some(o) = self.core.poll_output(now) {
             match o {
                 Output::Send(attempt) => {
                     let (node, id) = (attempt.node, attempt.attempt);
@@ -299,7 +302,7 @@
                             elsewhere,
                             data,
                         };
-                        self.core.attempt_finished(now, back);
+                        self.core.handle_attempt_result(now, back);
                     }
                 }
                 Output::Cancel { node, attempt } => self.links.cancel(node, attempt),
@@ -315,17 +318,17 @@
                 }
                 Output::FollowList { since } => _ = self.list.try_send(ToList::Follow { since }),
                 Output::FetchList => _ = self.list.try_send(ToList::Fetch),
-                Output::Keep { request, keep } => {
+                Output::Persist { request, batch } => {
                     let sent =
-                        self.store.as_ref().map(|s| s.try_send(ToStore::Keep { request, keep }).is_ok());
+                        self.store.as_ref().map(|s| s.try_send(ToStore::Persist { request, batch }).is_ok());
                     if sent != Some(true) {
                         let why = "the store takes no more writes".to_owned();
-                        self.core.kept(now, request, Err(why));
+                        self.core.handle_persisted(now, request, Err(why));
                     }
                 }
-                Output::Reply { request, reply } => {
+                Output::AdminResponse { request, response } => {
                     if let Some(to) = self.asks.remove(&request) {
-                        _ = to.try_send(Answer::Reply(Box::new(reply)));
+                        _ = to.try_send(Answer::AdminResponse(Box::new(response)));
                     }
                 }
                 Output::Datagram { to, bytes } => {
@@ -333,7 +336,7 @@
                         p.send(to, &bytes);
                     }
                 }
-                Output::Mode { node, line } => {
+                Output::Log { node, line } => {
                     let node = node.and_then(|n| self.core.nodes().address(n)).unwrap_or("-");
                     tracing::info!(host = self.settings.host.number, node, "{line}");
                 }
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -21,7 +21,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use tackmast_config::{HostSettings, OverridesBlock};
-use tackmast_host_core::{Core, Keep, PersistedMembers, Plans};
+use tackmast_host_core::{Core, PersistBatch, PersistedMembers, Plans};
 use tackmast_overrides::Overrides;
 use tackmast_store::{Held, Store};
 
@@ -86,8 +86,8 @@
     let (now, wall_us) = (clock.now(), Clock::wall_us());
     let bounds = tackmast_overrides::Settings { max_overrides: o.most, max_zone_fraction: o.zone_part };
     let (overrides, ended) = Overrides::new(now, wall_us, bounds, held.overrides, held.next);
-    core.wall_seen(now, wall_us);
-    let mut keep = Keep::default();
+    core.handle_wall_clock(now, wall_us);
+    let mut keep = PersistBatch::default();
     for e in ended {
         tracing::info!("override {} ended while the host was down: {}", e.record.id.0, e.audit.what);
         keep.remove.push(e.record.id);
@@ -106,8 +106,10 @@
             }
             let start =
                 store.open_agreed(generation ^ u64::from(std::process::id()).rotate_left(40), generation)?;
-            plans.agree();
-            core.with_agreed(tackmast_host_core::Agreed::new(now, settings, a, start, generation));
+            plans.enable_consensus();
+            core.with_consensus(tackmast_host_core::ConsensusDriver::new(
+                now, settings, a, start, generation,
+            ));
         }
         core.with_plans(now, plans, held.trail.is_empty() && !agrees);
     }
@@ -136,7 +138,7 @@
         let generation = by_clock.max(recalled.generation + 1);
         if let Some((store, _)) = &store {
             let members = Some(PersistedMembers { generation, peers: recalled.peers.clone() });
-            store.keep(&Keep { members, ..Keep::default() })?;
+            store.keep(&PersistBatch { members, ..PersistBatch::default() })?;
         }
         let seed = settings.host.seed.unwrap_or(generation ^ u64::from(std::process::id()) << 32);
         let mut core = Core::new(clock.now(), &settings, seed, generation);
--- a/crates/host/src/links.rs
+++ b/crates/host/src/links.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant as Wall};
 use tackmast::interface::{NodeId, Outcome, TimeDelta};
 use tackmast_config::HostSettings;
-use tackmast_host_core::{AttemptId, AttemptResult, AttemptWork, Begin, Request, SendAttempt, Ticket};
+use tackmast_host_core::{AttemptId, AttemptResult, AttemptWork, Begin, OpaqueRequest, SendAttempt, Ticket};
 use tackmast_wire::node::{self, Frame, NodeOutcome, Origin};
 
 /// Bytes gathered for one write. What is gathered has been claimed and will leave, so it is little.
@@ -266,7 +266,7 @@
             units: attempt.units as f32,
             work: match attempt.work {
                 AttemptWork::Read { length } => node::Work::Read { length },
-                AttemptWork::Write { data } | AttemptWork::Request(Request { body: data, .. }) => {
+                AttemptWork::Write { data } | AttemptWork::Opaque(OpaqueRequest { body: data, .. }) => {
                     node::Work::Write { data }
                 }
             },
--- a/crates/host/src/list.rs
+++ b/crates/host/src/list.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant as Wall};
 use tackmast::interface::{ListKind, NodeState, ShardId, TimeDelta, ZoneId};
 use tackmast_config::HostSettings;
-use tackmast_host_core::{Age, ListEntry, Start};
+use tackmast_host_core::{Age, ListEntry, NodeStart};
 use tackmast_wire::list::{self, Frame, State, VERSION};
 use tackmast_wire::reader::Frames;
 
@@ -170,12 +170,12 @@
 }
 
 /// A start under the list's figure for it; none where it is long past.
-pub fn start_of(started_us: u64, age: Age) -> Option<Start> {
-    (started_us > 0).then_some(Start { name: started_us, age })
+pub fn start_of(started_us: u64, age: Age) -> Option<NodeStart> {
+    (started_us > 0).then_some(NodeStart { name: started_us, age })
 }
 
 fn by_wall(started_us: u64) -> Age {
-    Age::ByWall(since(Clock::wall_us(), started_us))
+    Age::ByHostClock(since(Clock::wall_us(), started_us))
 }
 
 fn since(now_us: u64, then_us: u64) -> TimeDelta {
@@ -183,7 +183,8 @@
 }
 
 fn entry(e: list::Entry, sent_us: u64) -> ListEntry {
-    let age = if sent_us > 0 { Age::Told(since(sent_us, e.started_us)) } else { by_wall(e.started_us) };
+    let age =
+        if sent_us > 0 { Age::ByListClock(since(sent_us, e.started_us)) } else { by_wall(e.started_us) };
     ListEntry {
         id: e.address.clone(),
         address: e.address,
--- a/crates/host/src/peers.rs
+++ b/crates/host/src/peers.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tackmast_config::{HostSettings, MembershipBlock};
-use tackmast_host_core::{member_settings, Core, Fellows, KnownPeer};
+use tackmast_host_core::{member_settings, Core, KnownPeer};
 use tackmast_wire::peer;
 
 /// How often the reader looks whether the host stops.
@@ -47,9 +47,12 @@
     let reader = socket.try_clone().map_err(failed)?;
     let marked = m.left_file.as_ref().is_some_and(|f| f.exists());
     let now = clock.now();
-    core.with_fellows(
+    core.with_peers(
         now,
-        Fellows::new(now, member_settings(s, m, address, generation, marked, seed, recalled)),
+        tackmast_host_core::Peers::new(
+            now,
+            member_settings(s, m, address, generation, marked, seed, recalled),
+        ),
     );
     crate::thread("peers".into(), move || read(&reader, &events, &stopping))?;
     Ok((Peers { socket, left_file: m.left_file.clone(), marked }, address))
--- a/crates/host/tests/members.rs
+++ b/crates/host/tests/members.rs
@@ -7,7 +7,7 @@
 use tackmast_admin::{Answer, Call};
 use tackmast_config::HostSettings;
 use tackmast_host::Host;
-use tackmast_host_core::{Ask, MembersStatus, Reply};
+use tackmast_host_core::{AdminRequest, AdminResponse, MembersStatus};
 use tackmast_overrides::{Kind, Order, Override, OverrideId};
 
 const HOSTS: u32 = 12;
@@ -65,23 +65,23 @@
     dir.join(format!("{host}.admin"))
 }
 
-fn ask(dir: &Path, host: u32, ask: Ask) -> Reply {
-    match tackmast_admin::call(&admin(dir, host), &Call::Ask(ask), Duration::from_secs(5)) {
-        Ok(Answer::Reply(r)) => *r,
+fn ask(dir: &Path, host: u32, ask: AdminRequest) -> AdminResponse {
+    match tackmast_admin::call(&admin(dir, host), &Call::AdminRequest(ask), Duration::from_secs(5)) {
+        Ok(Answer::AdminResponse(r)) => *r,
         other => panic!("host {host}: {other:?}"),
     }
 }
 
 fn members(dir: &Path, host: u32) -> MembersStatus {
-    match ask(dir, host, Ask::Members) {
-        Reply::Members(m) => *m,
+    match ask(dir, host, AdminRequest::Members) {
+        AdminResponse::Members(m) => *m,
         other => panic!("{other:?}"),
     }
 }
 
 fn standing(dir: &Path, host: u32) -> Vec<Override> {
-    match ask(dir, host, Ask::List) {
-        Reply::List { standing, .. } => standing.into_iter().map(|(o, _)| o).collect(),
+    match ask(dir, host, AdminRequest::List) {
+        AdminResponse::List { standing, .. } => standing.into_iter().map(|(o, _)| o).collect(),
         other => panic!("{other:?}"),
     }
 }
@@ -102,7 +102,7 @@
     let seed = first.peers;
     let mut hosts: Vec<Option<Host>> = vec![Some(first)];
     hosts.extend((1..HOSTS).map(|h| Some(Host::start(settings(dir, h, seed)).unwrap())));
-    until("all know all", || (0..HOSTS).all(|h| members(dir, h).there == HOSTS));
+    until("all know all", || (0..HOSTS).all(|h| members(dir, h).alive_hosts == HOSTS));
 
     // What is no datagram, and what is of another fleet, is dropped and counted.
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -131,17 +131,20 @@
         seconds: 600.0,
         origin: None,
     };
-    let set = Ask::Set { order, force: false, dry_run: false, if_version: None };
-    assert!(matches!(ask(dir, 4, set), Reply::Set { .. }));
+    let set = AdminRequest::Set { order, force: false, dry_run: false, if_version: None };
+    assert!(matches!(ask(dir, 4, set), AdminResponse::Set { .. }));
     until("the order holds at all", || (0..HOSTS).all(|h| standing(dir, h).len() == 1));
     let held = standing(dir, 9).remove(0);
     assert_eq!((held.who.as_str(), held.origin.map(|o| o.slot)), ("ann", Some(4)));
 
     // One ends without a word: it is missed, and comes back to the order that it had kept.
     hosts[7].take().unwrap().stop();
-    until("it is missed", || members(dir, 0).there == HOSTS - 1);
+    until("it is missed", || members(dir, 0).alive_hosts == HOSTS - 1);
     let id: OverrideId = standing(dir, 2)[0].id;
-    assert!(matches!(ask(dir, 2, Ask::Clear { id, who: "bob".into() }), Reply::Cleared { .. }));
+    assert!(matches!(
+        ask(dir, 2, AdminRequest::Clear { id, who: "bob".into() }),
+        AdminResponse::Cleared { .. }
+    ));
     until("cleared at all", || (0..HOSTS).filter(|h| *h != 7).all(|h| standing(dir, h).is_empty()));
     // A process of its own would have let its files go; here its next generation has a copy of them.
     let again = dir.join("again");
@@ -149,7 +152,7 @@
     std::fs::copy(dir.join("7.redb"), again.join("7.redb")).unwrap();
     hosts[7] = Some(Host::start(settings(&again, 7, seed)).unwrap());
     until("it is back, and the order is not", || {
-        members(dir, 0).there == HOSTS && standing(&again, 7).is_empty()
+        members(dir, 0).alive_hosts == HOSTS && standing(&again, 7).is_empty()
     });
     std::thread::sleep(Duration::from_millis(500));
     let others = (0..HOSTS).filter(|h| *h != 7).all(|h| standing(dir, h).is_empty());
--- a/crates/host/tests/plans.rs
+++ b/crates/host/tests/plans.rs
@@ -7,7 +7,7 @@
 use tackmast_admin::{Answer, Call};
 use tackmast_config::HostSettings;
 use tackmast_host::{Host, StartError};
-use tackmast_host_core::{Ask, PlanAsk, PlanReply, PlanStatus, Reply};
+use tackmast_host_core::{AdminRequest, AdminResponse, PlanRequest, PlanResponse, PlanStatus};
 use tackmast_plans::{Change, Plan, Step, Trail};
 
 const HOSTS: u32 = 4;
@@ -76,10 +76,14 @@
     dir.join(format!("{host}.admin"))
 }
 
-fn ask(dir: &Path, host: u32, ask: PlanAsk) -> PlanReply {
-    match tackmast_admin::call(&admin(dir, host), &Call::Ask(Ask::Plan(ask)), Duration::from_secs(5)) {
-        Ok(Answer::Reply(r)) => match *r {
-            Reply::Plan(p) => p,
+fn ask(dir: &Path, host: u32, ask: PlanRequest) -> PlanResponse {
+    match tackmast_admin::call(
+        &admin(dir, host),
+        &Call::AdminRequest(AdminRequest::Plan(ask)),
+        Duration::from_secs(5),
+    ) {
+        Ok(Answer::AdminResponse(r)) => match *r {
+            AdminResponse::Plan(p) => p,
             other => panic!("host {host}: {other:?}"),
         },
         other => panic!("host {host}: {other:?}"),
@@ -87,8 +91,8 @@
 }
 
 fn shown(dir: &Path, host: u32) -> PlanStatus {
-    match ask(dir, host, PlanAsk::Show) {
-        PlanReply::Shown(s) => *s,
+    match ask(dir, host, PlanRequest::Show) {
+        PlanResponse::Shown(s) => *s,
         other => panic!("{other:?}"),
     }
 }
@@ -98,14 +102,14 @@
     Step::Plan { name: "basic".into(), to }
 }
 
-fn apply(dir: &Path, host: u32, base: u64, step: Step) -> PlanReply {
+fn apply(dir: &Path, host: u32, base: u64, step: Step) -> PlanResponse {
     let change = Change { base, steps: vec![step], who: "ann".into(), why: "a test".into() };
-    ask(dir, host, PlanAsk::Apply { change, dry_run: false })
+    ask(dir, host, PlanRequest::Apply { change, dry_run: false })
 }
 
-fn refusal(reply: PlanReply) -> String {
+fn refusal(reply: PlanResponse) -> String {
     match reply {
-        PlanReply::Refused { why } => why,
+        PlanResponse::Refused { why } => why,
         other => panic!("{other:?}"),
     }
 }
@@ -137,7 +141,9 @@
     let home = Host::start(settings(dir, 0, None, 100)).unwrap();
     let seed = home.peers;
     let mut others: Vec<Host> = (1..3).map(|h| Host::start(settings(dir, h, seed, 100)).unwrap()).collect();
-    until("none waits for word", || (0..3).all(|h| !shown(dir, h).waits || shown(dir, h).at.len() >= 2));
+    until("none waits for word", || {
+        (0..3).all(|h| !shown(dir, h).clients_wait || shown(dir, h).at.len() >= 2)
+    });
 
     // Wrong changes move nothing and say why; nor does one at a host that does not take them.
     assert!(refusal(apply(dir, 1, 0, basic(50.0))).contains("host 0 takes changes"));
@@ -153,7 +159,7 @@
     assert_eq!(shown(dir, 0).number, 0);
 
     // One change reaches all; of two made on the same version the second is told what moved.
-    assert!(matches!(apply(dir, 0, 0, basic(50.0)), PlanReply::Applied { number: 1, .. }));
+    assert!(matches!(apply(dir, 0, 0, basic(50.0)), PlanResponse::Applied { number: 1, .. }));
     assert!(refusal(apply(dir, 0, 0, basic(70.0))).contains("plan basic"), "a conflict");
     let limit = |h| shown(dir, h).catalogue.plans["basic"].limit;
     until("all go by it", || (0..3).all(|h| limit(h) == 50.0));
@@ -171,10 +177,10 @@
         }),
     });
     let change = Change { base: 1, steps: many.collect(), who: "bob".into(), why: "many".into() };
-    let reply = ask(dir, 0, PlanAsk::Apply { change, dry_run: false });
-    assert!(matches!(reply, PlanReply::Applied { number: 2, .. }), "{reply:?}");
-    let undo = PlanAsk::Undo { number: 1, who: "ann".into(), why: "too little".into(), dry_run: false };
-    assert!(matches!(ask(dir, 0, undo), PlanReply::Applied { number: 3, .. }));
+    let reply = ask(dir, 0, PlanRequest::Apply { change, dry_run: false });
+    assert!(matches!(reply, PlanResponse::Applied { number: 2, .. }), "{reply:?}");
+    let undo = PlanRequest::Undo { number: 1, who: "ann".into(), why: "too little".into(), dry_run: false };
+    assert!(matches!(ask(dir, 0, undo), PlanResponse::Applied { number: 3, .. }));
     until("all have all three", || (0..3).all(|h| shown(dir, h).number == 3 && limit(h) == 100.0));
 
     // A host that starts late has them before its clients are served, and one that starts again still has them.
@@ -186,8 +192,8 @@
 
     // The same trail at all, byte for byte, and it proves itself.
     let logs: Vec<String> = (0..HOSTS)
-        .map(|h| match ask(dir, h, PlanAsk::Log) {
-            PlanReply::Log { text, fleet } => {
+        .map(|h| match ask(dir, h, PlanRequest::Log) {
+            PlanResponse::Log { text, fleet } => {
                 let trail = Trail::from_bytes(text.as_bytes(), &fleet).unwrap();
                 assert_eq!(trail.catalogue, shown(dir, h).catalogue);
                 text
@@ -203,7 +209,7 @@
     let peers = others[0].peers;
     let home = again(|| settings(dir, 0, peers, 100));
     until("the home has them again", || shown(dir, 0).number == 3);
-    assert!(matches!(apply(dir, 0, 3, basic(60.0)), PlanReply::Applied { number: 4, .. }));
+    assert!(matches!(apply(dir, 0, 3, basic(60.0)), PlanResponse::Applied { number: 4, .. }));
     until("and goes on", || (0..HOSTS).all(|h| limit(h) == 60.0));
     home.stop();
     others.into_iter().for_each(Host::stop);
--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -25,8 +25,10 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, TimeDelta};
 use tackmast_config::TrafficClass;
-use tackmast_host_core::{Age, AttemptResult, CommandRef, Core, ListEntry, Output, Placed, PlacedSettings};
-use tackmast_host_core::{Request as OpaqueRequest, SendAttempt, Start, Verdict};
+use tackmast_host_core::{
+    Age, AttemptResult, CommandRef, Core, ListEntry, Output, PlacedRequest, PlacedSettings,
+};
+use tackmast_host_core::{NodeStart, OpaqueRequest, SendAttempt, Verdict};
 use tackmast_http::Request;
 use tackmast_platform::{Call, Configuration, List, Reports, Settings};
 
@@ -195,7 +197,7 @@
 
     /// A snapshot for logs and tests.
     pub fn status(&self) -> Status {
-        let (commands, requests, attempts) = self.core.open();
+        let (commands, requests, attempts) = self.core.open_counts();
         Status {
             core: self.core.counters,
             clients: self.clients.counters,
@@ -238,7 +240,7 @@
             self.timeouts_checked_at = now;
             self.check_timeouts(now);
         }
-        self.core.tick(now);
+        self.core.handle_timeout(now);
         self.execute_outputs();
         self.shutdown_since.is_some() && self.has_ended()
     }
@@ -283,7 +285,7 @@
         }
         let now = self.clock.now();
         let next_check = (self.timeouts_checked_at - now).secs() + TIMEOUT_CHECK_INTERVAL;
-        let wakes = [self.core.next_wake(now), self.links.poll_timeout()];
+        let wakes = [self.core.poll_timeout(now), self.links.poll_timeout()];
         let wake = wakes.into_iter().flatten().min().map_or(TIMEOUT_CHECK_INTERVAL, |t| (t - now).secs());
         Duration::from_secs_f64(next_check.min(wake).max(0.0))
     }
@@ -306,13 +308,13 @@
         }
         self.restored_shards += restored.len();
         for (shard, rate) in restored {
-            self.core.pace_known(now, shard, rate);
+            self.core.restore_service_rate(now, shard, rate);
         }
     }
 
     fn check_timeouts(&mut self, now: Instant) {
         if let Some(peers) = &mut self.peers {
-            let datagrams = peers.memory.handle_timeout(now, || self.core.paces(now));
+            let datagrams = peers.memory.handle_timeout(now, || self.core.service_rates(now));
             peers.send(datagrams);
         }
         let late = self.watch.handle_timeout(now, &self.settings);
@@ -340,7 +342,7 @@
     });
     PlacedSettings {
         traffic_classes: traffic_classes.collect(),
-        tells: s.tells,
+        reports_service: s.tells,
         longest_wait: s.longest_wait,
         grace: s.drain_grace,
         requests: budget.requests,
--- a/crates/platform-host/src/host/attempts.rs
+++ b/crates/platform-host/src/host/attempts.rs
@@ -5,7 +5,7 @@
 impl Host {
     pub(super) fn report_attempt_results(&mut self, now: Instant) {
         for result in std::mem::take(&mut self.attempt_results) {
-            self.core.attempt_finished(now, result);
+            self.core.handle_attempt_result(now, result);
         }
     }
 
@@ -13,7 +13,7 @@
     pub(super) fn execute_outputs(&mut self) {
         loop {
             let now = self.clock.now();
-            while let Some(output) = self.core.next_output(now) {
+            while let Some(output) = self.core.poll_output(now) {
                 self.output(now, output);
             }
             let delayed_attempt = self.links.delayed_attempt(now).map(|a| (a, true));
@@ -56,9 +56,9 @@
             Output::Cancel { attempt, .. } | Output::Cut { attempt, .. } => {
                 self.links.cancel(attempt);
                 // Its connection is closed: nothing more comes of it, and it must not count as out until its time is up.
-                if self.core.is_out(attempt) {
+                if self.core.is_in_flight(attempt) {
                     let (outcome, data) = (Outcome::Cancelled, Bytes::new());
-                    self.core.attempt_finished(
+                    self.core.handle_attempt_result(
                         now,
                         AttemptResult { attempt, outcome, waiting: None, elsewhere: None, data },
                     );
@@ -82,9 +82,9 @@
                     self.poll_list(now);
                 }
             }
-            Output::Mode { line, .. } => tracing::info!("{line}"),
+            Output::Log { line, .. } => tracing::info!("{line}"),
             // This host takes no operators' orders and has no membership.
-            Output::Keep { .. } | Output::Reply { .. } | Output::Datagram { .. } => {}
+            Output::Persist { .. } | Output::AdminResponse { .. } | Output::Datagram { .. } => {}
         }
     }
 }
--- a/crates/platform-host/src/host/endpoint_list.rs
+++ b/crates/platform-host/src/host/endpoint_list.rs
@@ -21,7 +21,7 @@
             Some(WatchEvent::Failed(why)) => {
                 tracing::debug!(why, "poll of the endpoint list failed");
                 (self.follows_list, self.list_polled) = (false, true);
-                self.core.list_came(now, ListKind::Failed, 0, 0, &[]);
+                self.core.handle_endpoint_list(now, ListKind::Failed, 0, 0, &[]);
             }
             // Older than what is known: an answer that came late, or a list that has lost its memory. It must not give a node
             // back that drains; the whole list decides.
@@ -55,12 +55,12 @@
             shard: m.shard,
             // All machines of the platform read the same clock.
             start: m.up_since_ms.map(|ms| {
-                let age = Age::Told(TimeDelta::from_secs(wall - ms as f64 / 1e3));
-                Start { name: ms, age }
+                let age = Age::ByListClock(TimeDelta::from_secs(wall - ms as f64 / 1e3));
+                NodeStart { name: ms, age }
             }),
         });
         let entries: Vec<ListEntry> = entries.collect();
-        self.core.list_came(now, kind, from, list.version, &entries);
+        self.core.handle_endpoint_list(now, kind, from, list.version, &entries);
         self.has_list = true;
         let nodes = self.core.nodes();
         let good = |node, address: SocketAddr| {
--- a/crates/platform-host/src/host/requests.rs
+++ b/crates/platform-host/src/host/requests.rs
@@ -31,7 +31,7 @@
     pub(super) fn client_gone(&mut self, now: Instant, id: u32, open: Option<u32>) {
         if let Some(command) = open {
             self.finish_request(now, id);
-            self.core.abort(now, CommandRef { session: id, command });
+            self.core.handle_abort(now, CommandRef { session: id, command });
         }
     }
 
@@ -82,7 +82,7 @@
         self.clients.request_accepted(now, id, self.requests);
         self.request_ids.insert(call.id.clone());
         self.open_requests.insert(id, call.id);
-        let placed = Placed {
+        let placed = PlacedRequest {
             volume: call.volume,
             plan: call.plan,
             traffic_class: call.traffic_class,
@@ -93,7 +93,7 @@
             left: call.left,
             request: OpaqueRequest { head: call.head, body: call.body },
         };
-        self.core.submit_placed(now, CommandRef { session: id, command: self.requests }, placed);
+        self.core.handle_placed_request(now, CommandRef { session: id, command: self.requests }, placed);
     }
 
     pub(super) fn queue_pipelined(&mut self, id: u32) {
--- a/crates/platform-host/src/node_connections.rs
+++ b/crates/platform-host/src/node_connections.rs
@@ -195,7 +195,7 @@
         }
         let rest = attempt_head(link.address, attempt.until - now);
         let (head, body): (&[u8], &[u8]) = match &attempt.work {
-            AttemptWork::Request(r) => (&r.head, &r.body),
+            AttemptWork::Opaque(r) => (&r.head, &r.body),
             AttemptWork::Write { .. } | AttemptWork::Read { .. } => (&[], &[]),
         };
         let mut outgoing = BytesMut::with_capacity(head.len() + rest.len() + body.len());
--- a/crates/scenario/src/agreed.rs
+++ b/crates/scenario/src/agreed.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 use tackmast_admin::{Answer, Call};
-use tackmast_host_core::{AgreementAsk, AgreementReply, AgreementStatus, Ask, Reply};
+use tackmast_host_core::{AdminRequest, AdminResponse, ConsensusRequest, ConsensusResponse, ConsensusStatus};
 
 const EVERY: Duration = Duration::from_millis(50);
 const PATIENCE: Duration = Duration::from_millis(1_000);
@@ -37,14 +37,14 @@
     /// Changes as they were acknowledged: version, when, and until when some host may go by what was before.
     acked: Vec<(u64, Instant, f64)>,
     /// By host, the last answer and when it was asked for.
-    last: Vec<Option<(Instant, AgreementStatus)>>,
+    last: Vec<Option<(Instant, ConsensusStatus)>>,
     seen: AgreedSeen,
     led: bool,
 }
 
 /// One answer held against what was acknowledged: for how long an older version was gone by, and for how long it may.
-fn older(s: &AgreementStatus, asked: Instant, acked: &[(u64, Instant, f64)]) -> Option<(u64, f64, f64)> {
-    if s.lease != "holds" || s.posture {
+fn older(s: &ConsensusStatus, asked: Instant, acked: &[(u64, Instant, f64)]) -> Option<(u64, f64, f64)> {
+    if s.lease != "holds" || s.degraded {
         return None;
     }
     // It said so at some moment after it was asked.
@@ -56,10 +56,14 @@
     m.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-pub fn ask(socket: &Path) -> Option<AgreementStatus> {
-    match tackmast_admin::call(socket, &Call::Ask(Ask::Agreement(AgreementAsk::Status)), PATIENCE) {
-        Ok(Answer::Reply(r)) => match *r {
-            Reply::Agreement(AgreementReply::Status(s)) => Some(*s),
+pub fn ask(socket: &Path) -> Option<ConsensusStatus> {
+    match tackmast_admin::call(
+        socket,
+        &Call::AdminRequest(AdminRequest::Consensus(ConsensusRequest::Status)),
+        PATIENCE,
+    ) {
+        Ok(Answer::AdminResponse(r)) => match *r {
+            AdminResponse::Consensus(ConsensusResponse::Status(s)) => Some(*s),
             _ => None,
         },
         _ => None,
@@ -116,7 +120,7 @@
 }
 
 impl Shared {
-    fn take(&mut self, host: usize, asked: Instant, status: Option<AgreementStatus>) {
+    fn take(&mut self, host: usize, asked: Instant, status: Option<ConsensusStatus>) {
         let Some(s) = status else { return };
         self.seen.asked += 1;
         if let Some((version, long, allowed)) = older(&s, asked, &self.acked) {
@@ -134,7 +138,7 @@
     }
 
     fn look_for_leader(&mut self) {
-        let fresh = |l: &Option<(Instant, AgreementStatus)>| {
+        let fresh = |l: &Option<(Instant, ConsensusStatus)>| {
             l.as_ref().is_some_and(|(at, s)| at.elapsed() < EVERY * 6 && s.role == "leads")
         };
         match self.last.iter().any(fresh) {
@@ -165,12 +169,13 @@
             (1, "holds", true, 6.0, None),
             (1, "never", true, 6.0, None),
         ] {
-            let status = AgreementStatus { version, lease: lease.into(), posture, ..Default::default() };
+            let status =
+                ConsensusStatus { version, lease: lease.into(), degraded: posture, ..Default::default() };
             let found = older(&status, t + s(at), &acked).map(|(v, long, _)| (v, (long * 1e3).round() / 1e3));
             assert_eq!(found, expected, "{version} {lease} {posture} {at}");
         }
         let mut shared = Shared { acked: acked.to_vec(), last: vec![None], ..Shared::default() };
-        let status = AgreementStatus { version: 2, lease: "holds".into(), ..Default::default() };
+        let status = ConsensusStatus { version: 2, lease: "holds".into(), ..Default::default() };
         shared.take(0, t + s(5.4), Some(status.clone()));
         assert!(shared.seen.broken.is_empty(), "within what is allowed");
         shared.take(0, t + s(5.6), Some(status));
--- a/crates/scenario/src/operators.rs
+++ b/crates/scenario/src/operators.rs
@@ -6,7 +6,9 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 use tackmast_admin::{Answer, Call};
-use tackmast_host_core::{AgreementAsk, AgreementReply, Ask, PlanAsk, PlanReply, Reply};
+use tackmast_host_core::{
+    AdminRequest, AdminResponse, ConsensusRequest, ConsensusResponse, PlanRequest, PlanResponse,
+};
 use tackmast_invariants::history::{Came, Op};
 use tackmast_plans::{Change, Step};
 
@@ -30,10 +32,10 @@
     began: Instant,
 }
 
-fn ask(socket: &Path, ask: PlanAsk) -> Option<PlanReply> {
-    match tackmast_admin::call(socket, &Call::Ask(Ask::Plan(ask)), PATIENCE) {
-        Ok(Answer::Reply(r)) => match *r {
-            Reply::Plan(p) => Some(p),
+fn ask(socket: &Path, ask: PlanRequest) -> Option<PlanResponse> {
+    match tackmast_admin::call(socket, &Call::AdminRequest(AdminRequest::Plan(ask)), PATIENCE) {
+        Ok(Answer::AdminResponse(r)) => match *r {
+            AdminResponse::Plan(p) => Some(p),
             _ => None,
         },
         _ => None,
@@ -53,9 +55,9 @@
     }
 
     fn read(&mut self, socket: &Path) -> Option<Came> {
-        match ask(socket, PlanAsk::Show)? {
+        match ask(socket, PlanRequest::Show)? {
             // One that says it may be old promises nothing.
-            PlanReply::Shown(s) if !s.stale => {
+            PlanResponse::Shown(s) if !s.stale => {
                 self.base = s.catalogue.version;
                 Some(Came::Read { version: s.catalogue.version, digest: s.digest })
             }
@@ -65,8 +67,8 @@
 
     fn change(&mut self, socket: &Path) -> Option<Came> {
         // Its weight alone: no rule hangs on it, so that nothing else is disturbed.
-        let shown = match ask(socket, PlanAsk::Show)? {
-            PlanReply::Shown(s) => s,
+        let shown = match ask(socket, PlanRequest::Show)? {
+            PlanResponse::Shown(s) => s,
             _ => return None,
         };
         let mut to = shown.catalogue.plans.get(&self.plan)?.clone();
@@ -76,11 +78,15 @@
         self.base = shown.catalogue.version;
         let steps = vec![Step::Plan { name: self.plan.clone(), to: Some(to) }];
         let change = Change { base, steps, who: self.name.clone(), why: "an operator of the day".into() };
-        Some(match ask(socket, PlanAsk::Apply { change, dry_run: false }) {
-            Some(PlanReply::Applied { version, .. }) => Came::Applied { base, version },
-            Some(PlanReply::Refused { why }) if why.contains("moved since then") => Came::Conflict { base },
+        Some(match ask(socket, PlanRequest::Apply { change, dry_run: false }) {
+            Some(PlanResponse::Applied { version, .. }) => Came::Applied { base, version },
+            Some(PlanResponse::Refused { why }) if why.contains("moved since then") => {
+                Came::Conflict { base }
+            }
             // Refused before it was put to anybody: nothing of it is to be seen. A base that is not there yet, or waiting asks.
-            Some(PlanReply::Refused { why }) if why.starts_with("base") || why.contains("wait already") => {
+            Some(PlanResponse::Refused { why })
+                if why.starts_with("base") || why.contains("wait already") =>
+            {
                 return None
             }
             _ => Came::Unknown { base },
@@ -99,7 +105,7 @@
 ) -> Result<(u64, f64), String> {
     let mut last = "nothing was asked".to_owned();
     for _ in 0..TRIES {
-        let Some(PlanReply::Shown(s)) = ask(socket, PlanAsk::Show) else {
+        let Some(PlanResponse::Shown(s)) = ask(socket, PlanRequest::Show) else {
             return Err("its plans are not shown".into());
         };
         let base = s.catalogue.version;
@@ -109,15 +115,15 @@
         let steps = vec![Step::Plan { name: name.to_owned(), to: Some(to) }];
         let change = Change { base, steps, who: "the day".into(), why: "its script".into() };
         let asked = began.elapsed().as_secs_f64();
-        let reply = ask(socket, PlanAsk::Apply { change, dry_run: false });
+        let reply = ask(socket, PlanRequest::Apply { change, dry_run: false });
         let ended = began.elapsed().as_secs_f64();
         let mut noted = |came| note(Op { began: asked, ended, by: "the day".into(), came });
         match reply {
-            Some(PlanReply::Applied { version, in_force_s, .. }) => {
+            Some(PlanResponse::Applied { version, in_force_s, .. }) => {
                 noted(Came::Applied { base, version });
                 return Ok((version, in_force_s));
             }
-            Some(PlanReply::Refused { why }) if why.contains("moved since then") => {
+            Some(PlanResponse::Refused { why }) if why.contains("moved since then") => {
                 noted(Came::Conflict { base });
                 last = why;
             }
@@ -136,11 +142,11 @@
     for _ in 0..TRIES {
         for h in 0..hosts {
             let socket = crate::script::admin_socket(dir, h);
-            let call = Call::Ask(Ask::Agreement(AgreementAsk::Voter { host, votes }));
+            let call = Call::AdminRequest(AdminRequest::Consensus(ConsensusRequest::Voter { host, votes }));
             match tackmast_admin::call(&socket, &call, Duration::from_millis(500)) {
-                Ok(Answer::Reply(r)) => match *r {
-                    Reply::Agreement(AgreementReply::Taken { .. }) => return Ok(()),
-                    Reply::Agreement(AgreementReply::Refused { why }) => last = why,
+                Ok(Answer::AdminResponse(r)) => match *r {
+                    AdminResponse::Consensus(ConsensusResponse::Taken { .. }) => return Ok(()),
+                    AdminResponse::Consensus(ConsensusResponse::Refused { why }) => last = why,
                     other => last = format!("{other:?}"),
                 },
                 Ok(other) => last = format!("{other:?}"),
--- a/crates/scenario/src/play.rs
+++ b/crates/scenario/src/play.rs
@@ -21,7 +21,7 @@
 use tackmast_emulators::list::{ListFault, NodeList};
 use tackmast_emulators::node::Fault;
 use tackmast_emulators::ways::{Party, What};
-use tackmast_host_core::{Ask, Reply};
+use tackmast_host_core::{AdminRequest, AdminResponse};
 use tackmast_overrides::{Kind, Order, Target};
 use tackmast_trace::{now_us, EffectKind, Event, Facts, Line, Recorder, TrafficClassFacts, VolumeFacts};
 use tackmast_wire::iscsi::{op, Digests, Pdu, FINAL, READS};
@@ -309,11 +309,11 @@
         let all: Vec<u32> = (0..self.script.day.hosts).collect();
         for host in if hosts.is_empty() { &all } else { hosts } {
             let (order, dry_run, if_version) = (order.clone(), false, None);
-            let call = Call::Ask(Ask::Set { order, force, dry_run, if_version });
+            let call = Call::AdminRequest(AdminRequest::Set { order, force, dry_run, if_version });
             let socket = admin_socket(&self.dir, *host);
             match tackmast_admin::call(&socket, &call, Duration::from_secs(5)) {
-                Ok(Answer::Reply(r)) => match (*r, refused) {
-                    (Reply::Set { record, preview, .. }, false) => {
+                Ok(Answer::AdminResponse(r)) => match (*r, refused) {
+                    (AdminResponse::Set { record, preview, .. }, false) => {
                         let out = record.kind == Kind::OutOfService;
                         let nodes: Vec<String> =
                             preview.changes.iter().map(|(a, _, _)| a.to_string()).collect();
@@ -323,7 +323,7 @@
                         let (ends_us, id) = (record.ends_us, record.id.0);
                         self.orders.push(Standing { ends_us, host: *host, nodes, out, id });
                     }
-                    (Reply::Refused(_), true) => {}
+                    (AdminResponse::Refused(_), true) => {}
                     (other, _) => self.failures.push(format!("order at host {host}: {other:?}")),
                 },
                 other => self.failures.push(format!("order at host {host}: {other:?}")),
@@ -386,10 +386,10 @@
             std::thread::sleep(
                 Duration::from_millis(100).saturating_sub(Duration::from_micros(now - o.ends_us)),
             );
-            let call = Call::Ask(Ask::List);
+            let call = Call::AdminRequest(AdminRequest::List);
             match tackmast_admin::call(&admin_socket(&self.dir, o.host), &call, Duration::from_secs(5)) {
-                Ok(Answer::Reply(r)) => {
-                    if let Reply::List { standing, .. } = *r {
+                Ok(Answer::AdminResponse(r)) => {
+                    if let AdminResponse::List { standing, .. } = *r {
                         if standing.iter().any(|(s, _)| s.id.0 == o.id) {
                             self.failures.push(format!(
                                 "override {} of host {} is visible past its end",
--- a/crates/scenario/src/settled.rs
+++ b/crates/scenario/src/settled.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 use tackmast_admin::{Answer, Call};
-use tackmast_host_core::{Ask, MembersStatus, Reply};
+use tackmast_host_core::{AdminRequest, AdminResponse, MembersStatus};
 
 /// How often the hosts are asked, and by so many at a time.
 const EVERY: Duration = Duration::from_millis(50);
@@ -111,9 +111,9 @@
 }
 
 fn ask(socket: &Path) -> Option<MembersStatus> {
-    match tackmast_admin::call(socket, &Call::Ask(Ask::Members), PATIENCE) {
-        Ok(Answer::Reply(r)) => match *r {
-            Reply::Members(m) => Some(*m),
+    match tackmast_admin::call(socket, &Call::AdminRequest(AdminRequest::Members), PATIENCE) {
+        Ok(Answer::AdminResponse(r)) => match *r {
+            AdminResponse::Members(m) => Some(*m),
             _ => None,
         },
         _ => None,
--- a/crates/simulator/src/plain.rs
+++ b/crates/simulator/src/plain.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    fn submit(
+    fn handle_command(
         &mut self,
         now: Instant,
         from: CommandRef,
@@ -176,9 +176,9 @@
             return;
         }
         (self.version, self.listed) = (to, true);
-        let known: Vec<_> = entries.iter().filter_map(|e| self.nodes.note(now, e)).collect();
+        let known: Vec<_> = entries.iter().filter_map(|e| self.nodes.upsert(now, e)).collect();
         if kind != ListKind::Changes {
-            self.nodes.only(&known);
+            self.nodes.retain_listed(&known);
             self.serving.clear();
         }
         for e in known.iter().filter(|e| e.state == NodeState::Ready) {
@@ -186,7 +186,7 @@
         }
     }
 
-    fn tick(&mut self, now: Instant) {
+    fn handle_timeout(&mut self, now: Instant) {
         while let Some((_, id)) = self.until.first().copied().filter(|(t, _)| *t <= now) {
             self.until.pop_first();
             let Some(from) = self.requests.get(&id).map(|x| x.from) else { continue };
@@ -303,22 +303,22 @@
         }
     }
 
-    pub fn keys_in_order(&self) -> usize {
+    pub fn key_queue_count(&self) -> usize {
         match self {
-            Heart::Core(c) => c.keys_in_order(),
+            Heart::Core(c) => c.key_queue_count(),
             Heart::Plain(_) => 0,
         }
     }
 
-    pub fn open(&self) -> (usize, usize, usize) {
+    pub fn open_counts(&self) -> (usize, usize, usize) {
         match self {
-            Heart::Core(c) => c.open(),
+            Heart::Core(c) => c.open_counts(),
             Heart::Plain(p) => (p.commands.len(), p.requests.len(), p.out.values().sum()),
         }
     }
 
     #[allow(clippy::too_many_arguments)] // as the host core has them
-    pub fn submit(
+    pub fn handle_command(
         &mut self,
         now: Instant,
         from: CommandRef,
@@ -329,21 +329,21 @@
         asked: Option<TimeDelta>,
     ) {
         match self {
-            Heart::Core(c) => c.submit(now, from, lun, block, work, began, asked, None),
-            Heart::Plain(p) => p.submit(now, from, lun, block, &work, asked),
+            Heart::Core(c) => c.handle_command(now, from, lun, block, work, began, asked, None),
+            Heart::Plain(p) => p.handle_command(now, from, lun, block, &work, asked),
         }
     }
 
-    pub fn abort(&mut self, now: Instant, from: CommandRef) {
+    pub fn handle_abort(&mut self, now: Instant, from: CommandRef) {
         match self {
-            Heart::Core(c) => c.abort(now, from),
+            Heart::Core(c) => c.handle_abort(now, from),
             Heart::Plain(p) => _ = p.forget(from),
         }
     }
 
-    pub fn session_gone(&mut self, now: Instant, session: u32) {
+    pub fn handle_session_closed(&mut self, now: Instant, session: u32) {
         match self {
-            Heart::Core(c) => c.session_gone(now, session),
+            Heart::Core(c) => c.handle_session_closed(now, session),
             Heart::Plain(p) => {
                 let open: Vec<CommandRef> =
                     p.commands.keys().filter(|c| c.session == session).copied().collect();
@@ -352,37 +352,44 @@
         }
     }
 
-    pub fn attempt_finished(&mut self, now: Instant, back: AttemptResult) {
+    pub fn handle_attempt_result(&mut self, now: Instant, back: AttemptResult) {
         match self {
-            Heart::Core(c) => c.attempt_finished(now, back),
+            Heart::Core(c) => c.handle_attempt_result(now, back),
             Heart::Plain(p) => p.back(back),
         }
     }
 
-    pub fn list_came(&mut self, now: Instant, kind: ListKind, from: u64, to: u64, entries: &[ListEntry]) {
+    pub fn handle_endpoint_list(
+        &mut self,
+        now: Instant,
+        kind: ListKind,
+        from: u64,
+        to: u64,
+        entries: &[ListEntry],
+    ) {
         match self {
-            Heart::Core(c) => c.list_came(now, kind, from, to, entries),
+            Heart::Core(c) => c.handle_endpoint_list(now, kind, from, to, entries),
             Heart::Plain(p) => p.list(now, kind, to, entries),
         }
     }
 
-    pub fn tick(&mut self, now: Instant) {
+    pub fn handle_timeout(&mut self, now: Instant) {
         match self {
-            Heart::Core(c) => c.tick(now),
-            Heart::Plain(p) => p.tick(now),
+            Heart::Core(c) => c.handle_timeout(now),
+            Heart::Plain(p) => p.handle_timeout(now),
         }
     }
 
-    pub fn next_output(&mut self, now: Instant) -> Option<Output> {
+    pub fn poll_output(&mut self, now: Instant) -> Option<Output> {
         match self {
-            Heart::Core(c) => c.next_output(now),
+            Heart::Core(c) => c.poll_output(now),
             Heart::Plain(p) => p.next(now),
         }
     }
 
-    pub fn next_wake(&self, now: Instant) -> Option<Instant> {
+    pub fn poll_timeout(&self, now: Instant) -> Option<Instant> {
         match self {
-            Heart::Core(c) => c.next_wake(now),
+            Heart::Core(c) => c.poll_timeout(now),
             Heart::Plain(p) => p.wake(now),
         }
     }
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -24,8 +24,9 @@
 use tackmast_config::HostSettings;
 use tackmast_emulators::model::{How, Ills, Job, Model, Nature};
 use tackmast_host_core::{
-    member_settings, Age, Ask, AttemptId, AttemptResult, AttemptWork, Begin, CommandRef, Core, Fellows, Keep,
-    ListEntry, Output, PlanAsk, PlanReply, Plans, Reply, Request, SendAttempt, Start, Verdict, Work,
+    member_settings, AdminRequest, AdminResponse, Age, AttemptId, AttemptResult, AttemptWork, Begin,
+    CommandRef, Core, ListEntry, NodeStart, OpaqueRequest, Output, Peers, PersistBatch, PlanRequest,
+    PlanResponse, Plans, SendAttempt, Verdict, Work,
 };
 use tackmast_overrides::{Kind as OrderKind, Order, Override, OverrideId, Overrides, Target};
 use tackmast_target as target;
@@ -566,8 +567,8 @@
         self.in_force();
         self.note(Seen::Trouble { what: "end".into(), on: false });
         for h in self.hosts.iter().filter(|h| h.up) {
-            let (commands, requests, attempts) = h.core.open();
-            self.run.stuck += commands + requests + attempts + h.core.keys_in_order();
+            let (commands, requests, attempts) = h.core.open_counts();
+            self.run.stuck += commands + requests + attempts + h.core.key_queue_count();
         }
         self.run.stuck += self.clients.iter().map(|c| c.core.open()).sum::<usize>();
         self.run.fallen = self.nodes.iter().filter(|n| n.model.is_fallen()).count();
--- a/crates/simulator/src/sim/arrivals.rs
+++ b/crates/simulator/src/sim/arrivals.rs
@@ -168,7 +168,7 @@
         });
         let (now, began) = (self.time(h), self.time_at(h, began));
         let asked = asked.map(|us| TimeDelta::from_secs(us as f64 / 1e6));
-        self.hosts[h as usize].core.submit(now, from, lun, block, work, began, asked);
+        self.hosts[h as usize].core.handle_command(now, from, lun, block, work, began, asked);
     }
 
     pub(super) fn answer(&mut self, h: u32, to: CommandRef, verdict: Verdict) {
--- a/crates/simulator/src/sim/clients.rs
+++ b/crates/simulator/src/sim/clients.rs
@@ -141,7 +141,7 @@
             self.note(tackmast_trace::Event::Left { host: h, session, command });
         }
         let now = self.time(h);
-        self.hosts[h as usize].core.session_gone(now, session);
+        self.hosts[h as usize].core.handle_session_closed(now, session);
         self.pull(h);
     }
 
@@ -176,7 +176,7 @@
                         self.note(tackmast_trace::Event::Left { host: h, session, command });
                     }
                     let at_host = self.time(h);
-                    self.hosts[h as usize].core.abort(at_host, CommandRef { session, command });
+                    self.hosts[h as usize].core.handle_abort(at_host, CommandRef { session, command });
                 }
                 target::Event::Close(_) | target::Event::Note(_) => {}
             }
--- a/crates/simulator/src/sim/events.rs
+++ b/crates/simulator/src/sim/events.rs
@@ -44,7 +44,7 @@
                 if self.hosts[h as usize].generation == generation && self.hosts[h as usize].up {
                     self.hosts[h as usize].following = false;
                     let now = self.time(h);
-                    self.hosts[h as usize].core.list_came(now, ListKind::Failed, 0, 0, &[]);
+                    self.hosts[h as usize].core.handle_endpoint_list(now, ListKind::Failed, 0, 0, &[]);
                     self.pull(h);
                 }
             }
@@ -65,7 +65,7 @@
                     self.note(tackmast_trace::Event::Left { host: h, session: BESIDE, command });
                     let from = CommandRef { session: BESIDE, command };
                     let now = self.time(h);
-                    self.hosts[h as usize].core.abort(now, from);
+                    self.hosts[h as usize].core.handle_abort(now, from);
                     self.pull(h);
                 }
             }
@@ -94,14 +94,14 @@
                 let now = self.time(h);
                 let host = &mut self.hosts[h as usize];
                 if let Some(core) = host.core.core().filter(|_| host.up) {
-                    core.datagram(now, peer_address(from), Bytes::from(bytes));
+                    core.handle_datagram(now, peer_address(from), Bytes::from(bytes));
                     self.pull(h);
                 }
             }
             Event::Gone(h, generation) => {
                 if self.hosts[h as usize].generation == generation {
                     let now = self.time(h);
-                    self.hosts[h as usize].core.core().into_iter().for_each(|c| c.left(now));
+                    self.hosts[h as usize].core.core().into_iter().for_each(|c| c.announce_leave(now));
                     self.pull(h);
                     self.host_kill(h, true);
                 }
--- a/crates/simulator/src/sim/hosts.rs
+++ b/crates/simulator/src/sim/hosts.rs
@@ -14,8 +14,8 @@
             let records = kept.overrides.values().cloned().collect();
             let (overrides, ended) = Overrides::new(now, wall, ORDERS, records, kept.next);
             ended.iter().for_each(|e| _ = kept.overrides.remove(&e.record.id));
-            core.wall_seen(now, wall);
-            core.with_overrides(now, overrides, Keep::default());
+            core.handle_wall_clock(now, wall);
+            core.with_overrides(now, overrides, PersistBatch::default());
         }
         if let Some((core, b)) = core.core().zip(self.settings[h as usize].plans_live.as_ref()) {
             let trail: Vec<u8> = kept.changes.values().flatten().copied().collect();
@@ -35,7 +35,7 @@
                 seed,
                 kept.members.clone(),
             );
-            core.with_fellows(now, Fellows::new(now, member));
+            core.with_peers(now, Peers::new(now, member));
         }
         Host {
             core,
@@ -59,8 +59,8 @@
             return;
         }
         let now = self.time(h);
-        self.hosts[h as usize].core.tick(now);
-        while let Some(o) = self.hosts[h as usize].core.next_output(now) {
+        self.hosts[h as usize].core.handle_timeout(now);
+        while let Some(o) = self.hosts[h as usize].core.poll_output(now) {
             match o {
                 Output::Send(attempt) => self.send(h, *attempt),
                 Output::Cancel { node, attempt } | Output::Cut { node, attempt } => {
@@ -69,22 +69,22 @@
                 }
                 Output::Answer { to, verdict } => self.answer(h, to, verdict),
                 Output::FollowList { .. } | Output::FetchList => self.follow(h),
-                Output::Keep { request, keep } => self.keep(h, request, keep),
-                Output::Reply { reply, .. } => self.ordered(h, reply),
+                Output::Persist { request, batch } => self.keep(h, request, batch),
+                Output::AdminResponse { response, .. } => self.ordered(h, response),
                 Output::Datagram { to, bytes } => self.post(h, to, &bytes),
-                Output::Mode { .. } => {}
+                Output::Log { .. } => {}
             }
         }
         if let Some(core) = self.hosts[h as usize].core.core().filter(|_| self.w.members.is_some()) {
-            if core.is_free(now) && !core.is_leaving() {
+            if core.have_earlier_leases_ended(now) && !core.is_leaving() {
                 self.kept[h as usize].left = false;
             }
         }
         let host = &mut self.hosts[h as usize];
-        let open = host.core.open();
+        let open = host.core.open_counts();
         let most = &mut self.run.max_open;
         *most = (most.0.max(open.0), most.1.max(open.1), most.2.max(open.2));
-        let wake = host.core.next_wake(now);
+        let wake = host.core.poll_timeout(now);
         let wake = wake.map(|t| self.when(h, t));
         let host = &mut self.hosts[h as usize];
         if let Some(t) = wake.filter(|t| *t < host.wake) {
@@ -111,7 +111,7 @@
             self.closed(c, slot, generation);
         }
         let now = self.time(h);
-        self.hosts[h as usize].core.session_gone(now, BESIDE);
+        self.hosts[h as usize].core.handle_session_closed(now, BESIDE);
         self.push(self.now + for_us, Event::HostTime(h));
     }
 
@@ -124,7 +124,7 @@
         self.kept[h as usize].left = self.w.members.is_some();
         if let Some(core) = self.hosts[h as usize].core.core() {
             core.drain();
-            core.leave(now);
+            core.begin_leave(now);
         }
         self.pull(h);
         self.push(self.now + 500_000, Event::Gone(h, generation));
--- a/crates/simulator/src/sim/links.rs
+++ b/crates/simulator/src/sim/links.rs
@@ -52,7 +52,7 @@
                 units: attempt.units as f32,
                 work: match &attempt.work {
                     AttemptWork::Read { length } => node::Work::Read { length: *length },
-                    AttemptWork::Write { data } | AttemptWork::Request(Request { body: data, .. }) => {
+                    AttemptWork::Write { data } | AttemptWork::Opaque(OpaqueRequest { body: data, .. }) => {
                         node::Work::Write { data: data.clone() }
                     }
                 },
@@ -62,7 +62,7 @@
         // An attempt counts from when its host sends it: what the network holds back after that is no fault of its.
         let (write, length) = match &attempt.work {
             AttemptWork::Read { length } => (false, u64::from(*length)),
-            AttemptWork::Write { data } | AttemptWork::Request(Request { body: data, .. }) => {
+            AttemptWork::Write { data } | AttemptWork::Opaque(OpaqueRequest { body: data, .. }) => {
                 (true, data.len() as u64)
             }
         };
@@ -194,7 +194,7 @@
             let (waiting, elsewhere) = (Some(a.waiting), Some(f64::from(a.elsewhere)));
             let back =
                 AttemptResult { attempt: AttemptId(a.attempt), outcome, waiting, elsewhere, data: a.data };
-            self.hosts[h as usize].core.attempt_finished(now, back);
+            self.hosts[h as usize].core.handle_attempt_result(now, back);
         }
         self.pull(h);
     }
@@ -208,7 +208,7 @@
             data: Bytes::new(),
         };
         let now = self.time(h);
-        self.hosts[h as usize].core.attempt_finished(now, back);
+        self.hosts[h as usize].core.handle_attempt_result(now, back);
     }
 
     /// A link ends for both sides: its attempts may have run.
@@ -252,7 +252,7 @@
         let up = if started == 0 { 86_400.0 } else { (self.now - started) as f64 / 1e6 };
         let (now, number) = (self.time(h), host.core.nodes().number(&node.address));
         if let Some((core, number)) = self.hosts[h as usize].core.core().zip(number) {
-            core.node_said_up(now, number, TimeDelta::from_secs(up));
+            core.handle_node_uptime(now, number, TimeDelta::from_secs(up));
         }
         self.pull(h);
         // What the core has not taken back now leaves.
--- a/crates/simulator/src/sim/nodes.rs
+++ b/crates/simulator/src/sim/nodes.rs
@@ -206,8 +206,8 @@
                 // By the list's clock, or by this host's wall clock, right or wrong.
                 let shown = if self.w.timed_list { self.now - self.w.delay_us } else { self.wall(h) };
                 let age = TimeDelta::from_secs((shown as f64 - started_us as f64) / 1e6);
-                let age = if self.w.timed_list { Age::Told(age) } else { Age::ByWall(age) };
-                Start { name: started_us, age }
+                let age = if self.w.timed_list { Age::ByListClock(age) } else { Age::ByHostClock(age) };
+                NodeStart { name: started_us, age }
             });
             lines.push(ListEntry {
                 id: address.clone(),
@@ -231,7 +231,7 @@
             self.note(tackmast_trace::Event::Told { host: h, node, state: ListedState::Gone, started_us: 0 });
         }
         let now = self.time(h);
-        self.hosts[h as usize].core.list_came(now, ListKind::Complete, 0, version, &lines);
+        self.hosts[h as usize].core.handle_endpoint_list(now, ListKind::Complete, 0, version, &lines);
         self.pull(h);
     }
 
--- a/crates/simulator/src/sim/orders.rs
+++ b/crates/simulator/src/sim/orders.rs
@@ -14,16 +14,16 @@
             }
             let (now, order) = (self.time(h), order.clone());
             // Each shard has one node here: taking it out of service needs force.
-            let ask = Ask::Set { order, force: true, dry_run: false, if_version: None };
+            let ask = AdminRequest::Set { order, force: true, dry_run: false, if_version: None };
             if let Some(core) = self.hosts[h as usize].core.core() {
-                core.ask(now, 1, ask);
+                core.handle_admin_request(now, 1, ask);
             }
             self.pull(h);
         }
     }
 
     /// The host's store takes all it is given.
-    pub(super) fn keep(&mut self, h: u32, request: u64, keep: Keep) {
+    pub(super) fn keep(&mut self, h: u32, request: u64, keep: PersistBatch) {
         let kept = &mut self.kept[h as usize];
         for o in keep.put {
             kept.next = kept.next.max(o.id.0 + 1);
@@ -39,13 +39,13 @@
         }
         let now = self.time(h);
         if let Some(core) = self.hosts[h as usize].core.core().filter(|_| request > 0) {
-            core.kept(now, request, Ok(()));
+            core.handle_persisted(now, request, Ok(()));
         }
     }
 
-    pub(super) fn ordered(&mut self, host: u32, reply: Reply) {
+    pub(super) fn ordered(&mut self, host: u32, reply: AdminResponse) {
         match reply {
-            Reply::Set { record, preview, dry_run: false } => {
+            AdminResponse::Set { record, preview, dry_run: false } => {
                 self.run.orders.0 += 1;
                 let left = record.ends_us.saturating_sub(record.set_us);
                 for (node, _, _) in preview.changes.iter().filter(|_| record.kind == OrderKind::OutOfService)
@@ -57,8 +57,8 @@
                     self.push(self.now + left - early, Event::OrderOver(host, node));
                 }
             }
-            Reply::Refused(_) => self.run.orders.1 += 1,
-            Reply::Plan(PlanReply::Applied { number, .. }) => {
+            AdminResponse::Refused(_) => self.run.orders.1 += 1,
+            AdminResponse::Plan(PlanResponse::Applied { number, .. }) => {
                 let core = self.hosts[host as usize].core.core();
                 let Some((limit, burst, slack)) =
                     core.and_then(|c| c.plans()).and_then(|p| p.limit_of("school"))
@@ -95,7 +95,7 @@
         let Some(base) = core.plans().map(|p| p.status(now).catalogue.version) else { return };
         let steps = vec![tackmast_plans::Step::Plan { name, to: Some(to) }];
         let change = tackmast_plans::Change { base, steps, who: "lab".into(), why: "drawn".into() };
-        core.ask(now, 1, Ask::Plan(PlanAsk::Apply { change, dry_run: false }));
+        core.handle_admin_request(now, 1, AdminRequest::Plan(PlanRequest::Apply { change, dry_run: false }));
         self.pull(home as u32);
     }
 
--- a/crates/store/src/agreed.rs
+++ b/crates/store/src/agreed.rs
@@ -7,7 +7,7 @@
 use tackmast_consensus::{
     DiskIdentity, Entry, HardState, LogPosition, LogSuffix, PersistentState, Snapshot, Voters, Write,
 };
-use tackmast_host_core::AgreedStart;
+use tackmast_host_core::ConsensusStart;
 use tackmast_wire::consensus::{decode_entry, encode_entry};
 use tackmast_wire::reader::Fields;
 
@@ -84,7 +84,7 @@
 }
 
 /// None where the store has no agreed log. Any row that is not as it was written is an error that names it.
-pub(crate) fn read(r: &ReadTransaction) -> Result<Option<AgreedStart>, String> {
+pub(crate) fn read(r: &ReadTransaction) -> Result<Option<ConsensusStart>, String> {
     let Ok(table) = r.open_table(AGREED) else { return Ok(None) };
     let row = |key: &str| -> Result<Option<Vec<u8>>, String> {
         Ok(table.get(key).map_err(|e| e.to_string())?.map(|v| v.value().to_vec()))
@@ -121,14 +121,14 @@
         confirmed_voters: part(row("sealed")?, "sealed", voters)?,
         known_disks: part(row("known")?, "known", known_disks)?.unwrap_or_default(),
     };
-    Ok(Some(AgreedStart { identity: DiskIdentity { disk, boot, generation: 0 }, persisted }))
+    Ok(Some(ConsensusStart { identity: DiskIdentity { disk, boot, generation: 0 }, persisted }))
 }
 
 fn identity_bytes(disk: u64, boot: u32) -> Vec<u8> {
     [&disk.to_be_bytes()[..], &boot.to_be_bytes()].concat()
 }
 
-pub(crate) fn open(db: &Database, drawn: u64, generation: u64) -> Result<AgreedStart, String> {
+pub(crate) fn open(db: &Database, drawn: u64, generation: u64) -> Result<ConsensusStart, String> {
     let r = db.begin_read().map_err(|e| e.to_string())?;
     let mut start = read(&r)?.unwrap_or_default();
     if start.identity.disk == 0 {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -6,7 +6,7 @@
 use redb::{Database, ReadableTable, ReadableTableMetadata, TableDefinition};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use tackmast_host_core::{Keep, KnownPeer, PersistedMembers};
+use tackmast_host_core::{KnownPeer, PersistBatch, PersistedMembers};
 use tackmast_overrides::{Audit, Override};
 
 /// Raised when what is written changes its form.
@@ -56,7 +56,7 @@
     /// The trail of changes of plans, as it was written.
     pub trail: Vec<u8>,
     /// Of the agreed log; none before the first.
-    pub agreed: Option<tackmast_host_core::AgreedStart>,
+    pub agreed: Option<tackmast_host_core::ConsensusStart>,
     /// What an earlier generation knew of other hosts, and the number of that generation.
     pub members: PersistedMembers,
 }
@@ -161,17 +161,17 @@
         &self,
         drawn: u64,
         generation: u64,
-    ) -> Result<tackmast_host_core::AgreedStart, KeepError> {
+    ) -> Result<tackmast_host_core::ConsensusStart, KeepError> {
         let wrong = |problem: String| KeepError::Write { path: self.path.clone(), problem };
         agreed::open(&self.db, drawn, generation).map_err(wrong)
     }
 
     /// Writes all of it or nothing; it is on the disk when this returns.
-    pub fn keep(&self, k: &Keep) -> Result<(), KeepError> {
+    pub fn keep(&self, k: &PersistBatch) -> Result<(), KeepError> {
         self.try_keep(k).map_err(|problem| KeepError::Write { path: self.path.clone(), problem })
     }
 
-    fn try_keep(&self, k: &Keep) -> Result<(), String> {
+    fn try_keep(&self, k: &PersistBatch) -> Result<(), String> {
         let w = self.db.begin_write().map_err(|e| e.to_string())?;
         let write = || -> Result<(), Box<dyn std::error::Error>> {
             let mut overrides = w.open_table(OVERRIDES)?;
@@ -204,7 +204,7 @@
                     members.insert(u64::from(*slot), bytes.as_slice())?;
                 }
             }
-            if let Some(a) = &k.agreed {
+            if let Some(a) = &k.consensus {
                 agreed::write(&w, a)?;
             }
             let mut audit = w.open_table(AUDIT)?;
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 use tackmast_consensus::{Entry, EntryPayload, HardState, LogPosition, LogSuffix, Snapshot, Voters, Write};
-use tackmast_host_core::{Keep, KnownPeer, PersistedMembers};
+use tackmast_host_core::{KnownPeer, PersistBatch, PersistedMembers};
 use tackmast_overrides::*;
 use tackmast_store::Store;
 
@@ -77,7 +77,7 @@
     }
 }
 
-fn put(id: u64) -> Keep {
+fn put(id: u64) -> PersistBatch {
     let changes = vec![(id - 1, vec![id as u8; 8])];
     // As many other hosts as the number says, under a generation of that number.
     let host = |h: u32| {
@@ -86,13 +86,13 @@
     };
     let members = Some(PersistedMembers { generation: id, peers: (0..id as u32).map(host).collect() });
     let audits = vec![Audit::set(&record(id), false)];
-    Keep {
+    PersistBatch {
         put: vec![record(id)],
         remove: vec![],
         audits,
         changes,
         members,
-        agreed: Some(Box::new(agreed(id))),
+        consensus: Some(Box::new(agreed(id))),
     }
 }
 
@@ -113,9 +113,9 @@
     }
 }
 
-fn clear(id: u64) -> Keep {
+fn clear(id: u64) -> PersistBatch {
     let audits = vec![Audit::cleared(0, &record(id), "bob")];
-    Keep { remove: vec![OverrideId(id)], audits, ..Keep::default() }
+    PersistBatch { remove: vec![OverrideId(id)], audits, ..PersistBatch::default() }
 }
 
 fn ids(held: &[Override]) -> Vec<u64> {
@@ -123,7 +123,7 @@
 }
 
 /// After `keeps[i]` was acknowledged, these stand.
-fn steps() -> (Vec<Keep>, Vec<Vec<u64>>) {
+fn steps() -> (Vec<PersistBatch>, Vec<Vec<u64>>) {
     let keeps = vec![put(1), put(2), clear(1), put(3), put(4), clear(3), put(5)];
     let stand =
         vec![vec![], vec![1], vec![1, 2], vec![2], vec![2, 3], vec![2, 3, 4], vec![2, 4], vec![2, 4, 5]];
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -2,7 +2,7 @@
 
 use std::fs;
 use std::panic;
-use tackmast_host_core::Keep;
+use tackmast_host_core::PersistBatch;
 use tackmast_overrides::*;
 use tackmast_store::{KeepError, Store};
 
@@ -19,12 +19,12 @@
     }
 }
 
-fn put(id: u64) -> Keep {
-    Keep {
+fn put(id: u64) -> PersistBatch {
+    PersistBatch {
         put: vec![record(id)],
         remove: vec![],
         audits: vec![Audit::set(&record(id), false)],
-        ..Keep::default()
+        ..PersistBatch::default()
     }
 }
 
@@ -35,11 +35,11 @@
     let (store, held) = Store::open(&path).unwrap();
     assert_eq!((held.overrides.len(), held.next), (0, 1));
     (1..=5).for_each(|id| store.keep(&put(id)).unwrap());
-    let gone = Keep {
+    let gone = PersistBatch {
         put: vec![],
         remove: vec![OverrideId(5), OverrideId(2)],
         audits: vec![Audit::cleared(9, &record(2), "bob")],
-        ..Keep::default()
+        ..PersistBatch::default()
     };
     store.keep(&gone).unwrap();
     drop(store);
--- a/crates/store/tests/stored_format.rs
+++ b/crates/store/tests/stored_format.rs
@@ -13,7 +13,7 @@
     DiskIdentity, Entry, EntryPayload, HardState, LogPosition, LogSuffix, PersistentState, Snapshot, Voters,
     Write,
 };
-use tackmast_host_core::{AgreedStart, Keep, KnownPeer, PersistedMembers};
+use tackmast_host_core::{ConsensusStart, KnownPeer, PersistBatch, PersistedMembers};
 use tackmast_overrides::{Audit, AuditKind, Kind, Origin, Override, OverrideId, Target};
 use tackmast_store::{Held, Store};
 
@@ -119,7 +119,7 @@
     let overrides = all_overrides();
     for record in &overrides {
         let audits = vec![Audit::set(record, record.id.0 == 4)];
-        store.keep(&Keep { put: vec![record.clone()], audits, ..Keep::default() }).unwrap();
+        store.keep(&PersistBatch { put: vec![record.clone()], audits, ..PersistBatch::default() }).unwrap();
     }
     let audits = vec![
         Audit::cleared(SET_US + 1, &overrides[3], "bob"),
@@ -131,11 +131,13 @@
             what: "alone".into(),
         },
     ];
-    store.keep(&Keep { remove: vec![OverrideId(4), OverrideId(5)], audits, ..Keep::default() }).unwrap();
+    store
+        .keep(&PersistBatch { remove: vec![OverrideId(4), OverrideId(5)], audits, ..PersistBatch::default() })
+        .unwrap();
     let changes = (0..).zip(CHANGE_LOG).map(|(number, line)| (number, line.as_bytes().to_vec())).collect();
-    store.keep(&Keep { changes, ..Keep::default() }).unwrap();
+    store.keep(&PersistBatch { changes, ..PersistBatch::default() }).unwrap();
     let members = Some(PersistedMembers { generation: 5_000_000, peers: peers() });
-    store.keep(&Keep { members, ..Keep::default() }).unwrap();
+    store.keep(&PersistBatch { members, ..PersistBatch::default() }).unwrap();
 
     store.open_agreed(0xabc0, 5_000_000).unwrap();
     let first = Write {
@@ -165,7 +167,7 @@
         ..Write::default()
     };
     for write in [first, compacted, replaced] {
-        store.keep(&Keep { agreed: Some(Box::new(write)), ..Keep::default() }).unwrap();
+        store.keep(&PersistBatch { consensus: Some(Box::new(write)), ..PersistBatch::default() }).unwrap();
     }
 }
 
@@ -197,14 +199,14 @@
     (folder, path)
 }
 
-fn expected_log(boot: u32, generation: u64) -> AgreedStart {
+fn expected_log(boot: u32, generation: u64) -> ConsensusStart {
     let entries = vec![
         data(3, b"kept"),
         Entry { term: 4, payload: EntryPayload::Noop },
         data(4, b"new"),
         voters_entry(),
     ];
-    AgreedStart {
+    ConsensusStart {
         identity: DiskIdentity { disk: 0xabc1, boot, generation },
         persisted: PersistentState {
             hard_state: HardState { term: 4, voted_for: Some(1) },
@@ -267,7 +269,7 @@
     assert_eq!(store.open_agreed(0xdead, 6_000_000).unwrap(), expected_log(2, 6_000_000));
     let added = override_record(6, "zone:9", Kind::Pinned, None);
     let audits = vec![Audit::set(&added, false)];
-    store.keep(&Keep { put: vec![added.clone()], audits, ..Keep::default() }).unwrap();
+    store.keep(&PersistBatch { put: vec![added.clone()], audits, ..PersistBatch::default() }).unwrap();
     assert_eq!(store.audit(100).unwrap().len(), 8);
     drop(store);
     let (_store, held) = Store::open(&path).unwrap();
