--- /dev/null
+++ b/crates/host-core/src/attempt.rs
@@ -0,0 +1,83 @@
+//! Attempts of requests, as the core gives them to the connections to nodes, and what comes back for them.
+
+use crate::command::CommandRef;
+use crate::placed::OpaqueRequest;
+use crate::ticket::Ticket;
+use bytes::Bytes;
+use tackmast::interface::{Instant, NodeId, Outcome};
+
+/// What an attempt asks of its node; lengths in bytes.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum AttemptWork {
+    Read {
+        length: u32,
+    },
+    Write {
+        data: Bytes,
+    },
+    /// As it came; its host only places it.
+    Opaque(OpaqueRequest),
+}
+
+/// An attempt among all that this host has out.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct AttemptId(pub u64);
+
+#[derive(Clone, Debug)]
+pub struct SendAttempt {
+    pub node: NodeId,
+    pub attempt: AttemptId,
+    /// The request's number in this generation of the host, the attempt's within the request.
+    pub request: u64,
+    pub attempt_number: u8,
+    pub from: CommandRef,
+    pub part: u16,
+    /// When nobody waits for its answer any more.
+    pub until: Instant,
+    /// When a repeat may no longer be known for one: no first byte leaves from then on.
+    pub begin_by: Option<Instant>,
+    pub mark: u128,
+    /// Order key; 0 where the traffic class asks for no order.
+    pub key: u64,
+    pub volume: u32,
+    /// Bytes from the volume's start.
+    pub offset: u64,
+    pub units: f64,
+    pub work: AttemptWork,
+    pub ticket: Ticket,
+}
+
+/// Whether an attempt's first byte may leave.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Begin {
+    /// It leaves now: claimed.
+    Now,
+    /// It was withdrawn, and has had its end.
+    Withdrawn,
+    /// Its time is over. It never leaves, and its link says that it never ran.
+    TooLate,
+}
+
+impl SendAttempt {
+    /// Asked by its link once it could write, which may be long after the attempt was decided: against a connection that comes
+    /// up when nobody waits any more, and against a repeat that nodes no longer know for one.
+    pub fn begin(&self, now: Instant) -> Begin {
+        let over = self.until <= now || self.begin_by.is_some_and(|t| t <= now);
+        match () {
+            () if over && self.ticket.withdraw() => Begin::TooLate,
+            () if !over && self.ticket.claim() => Begin::Now,
+            () => Begin::Withdrawn,
+        }
+    }
+}
+
+/// What came back for an attempt.
+#[derive(Clone, Debug)]
+pub struct AttemptResult {
+    pub attempt: AttemptId,
+    pub outcome: Outcome,
+    /// Requests waiting at the node, and units it served for the volume through other hosts, where it told.
+    pub waiting: Option<u32>,
+    pub elsewhere: Option<f64>,
+    pub data: Bytes,
+}
--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -7,18 +7,26 @@
 mod endpoint_list;
 mod peers;
 mod removed_nodes;
+mod slow_start;
+mod tables;
+mod timeouts;
 
+use self::slow_start::slow_start_figures;
+use self::tables::*;
 use crate::admission::{Admission, Usage};
+use crate::attempt::{AttemptId, AttemptResult, AttemptWork, SendAttempt};
 use crate::combine::{combine, Combined, PartState};
+use crate::command::{CommandRef, Verdict, Work};
 use crate::consensus::ConsensusDriver;
 use crate::fair_queueing::{FairQueueing, QueueKey, QueueTicket};
 use crate::layout::{key_id, Layout};
 use crate::nodes::{ListEntry, Nodes};
+use crate::output::{Counters, Output};
 use crate::override_requests::{
     AdminRequest, AdminResponse, HostStatus, OverrideOutcome, OverrideRequests, PersistBatch,
 };
 use crate::peers::{PeerEvent, Peers};
-use crate::placed::{OpaqueRequest, PlacedRequest, PlacedSettings, VolumeNames};
+use crate::placed::{PlacedRequest, PlacedSettings, VolumeNames};
 use crate::plans::{AppliedChange, PlanOutcome, PlanRequest, PlanResponse, PlanUpdate, Plans};
 use crate::ticket::Ticket;
 use bytes::{Bytes, BytesMut};
@@ -28,266 +36,9 @@
 use tackmast_config::{HostSettings, TrafficClass};
 use tackmast_overrides::{Effective, NodeFacts, Overrides};
 
-/// Parts of the stated figures of cold nodes that the module is told. Within one window its guard lets out its part of
-/// the safe units at once, a quarter of them again by time, and four fifths of the multiple for what it saw a node do:
-/// 1.25 and 0.8 of the two figures. Where operators state figures without any margin, the two together would push a
-/// cold node over while its answers are quick errors (found by the laboratory); 1.25 x 0.4 + 0.8 x 0.6 can't.
-const SLOW_START_SAFE_SHARE: f64 = 0.4;
-const SLOW_START_MULTIPLE_SHARE: f64 = 0.6;
-/// The least of these parts that is told, where nodes are said to bear hardly more than they can do.
-const SLOW_START_MIN_SHARE: f64 = 0.05;
-
-/// Safe units and multiple as the module is told of them. What a node has done makes room as well, up to all that it can
-/// do in the window; so burst and time share only what the multiple leaves beyond that.
-fn slow_start_figures(c: &tackmast_config::ColdNodes) -> (f64, f64) {
-    let spare = ((c.multiple - 1.0) / c.multiple).clamp(SLOW_START_MIN_SHARE, 1.0);
-    (c.safe_units * SLOW_START_SAFE_SHARE * spare, c.multiple * SLOW_START_MULTIPLE_SHARE * spare)
-}
 /// Part of the grace of a drain after which links that still write to the node are cut.
 const GRACE_SHARE: f64 = 0.5;
 
-/// A client's command: its session at this host, and its number within that.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct CommandRef {
-    pub session: u32,
-    pub command: u32,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Work {
-    Read { blocks: u32 },
-    Write { data: Bytes },
-}
-
-/// What an attempt asks of its node; lengths in bytes.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AttemptWork {
-    Read {
-        length: u32,
-    },
-    Write {
-        data: Bytes,
-    },
-    /// As it came; its host only places it.
-    Opaque(OpaqueRequest),
-}
-
-/// What every attempt of a request says.
-struct AttemptPayload {
-    key: u64,
-    volume: u32,
-    offset: u64,
-    units: f64,
-    work: AttemptWork,
-}
-
-impl AttemptPayload {
-    /// How many bytes an answer must bring; none: only its node knows.
-    fn wanted(&self) -> Option<usize> {
-        match &self.work {
-            AttemptWork::Read { length } => Some(*length as usize),
-            AttemptWork::Write { .. } => Some(0),
-            AttemptWork::Opaque(_) => None,
-        }
-    }
-}
-
-/// The one final answer to a command.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
-    Done { data: Bytes },
-    Rejected { retry_after: Option<TimeDelta> },
-    Failed,
-}
-
-/// An attempt among all that this host has out.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct AttemptId(pub u64);
-
-#[derive(Clone, Debug)]
-pub struct SendAttempt {
-    pub node: NodeId,
-    pub attempt: AttemptId,
-    /// The request's number in this generation of the host, the attempt's within the request.
-    pub request: u64,
-    pub attempt_number: u8,
-    pub from: CommandRef,
-    pub part: u16,
-    /// When nobody waits for its answer any more.
-    pub until: Instant,
-    /// When a repeat may no longer be known for one: no first byte leaves from then on.
-    pub begin_by: Option<Instant>,
-    pub mark: u128,
-    /// Order key; 0 where the traffic class asks for no order.
-    pub key: u64,
-    pub volume: u32,
-    /// Bytes from the volume's start.
-    pub offset: u64,
-    pub units: f64,
-    pub work: AttemptWork,
-    pub ticket: Ticket,
-}
-
-/// Whether an attempt's first byte may leave.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Begin {
-    /// It leaves now: claimed.
-    Now,
-    /// It was withdrawn, and has had its end.
-    Withdrawn,
-    /// Its time is over. It never leaves, and its link says that it never ran.
-    TooLate,
-}
-
-impl SendAttempt {
-    /// Asked by its link once it could write, which may be long after the attempt was decided: against a connection that comes
-    /// up when nobody waits any more, and against a repeat that nodes no longer know for one.
-    pub fn begin(&self, now: Instant) -> Begin {
-        let over = self.until <= now || self.begin_by.is_some_and(|t| t <= now);
-        match () {
-            () if over && self.ticket.withdraw() => Begin::TooLate,
-            () if !over && self.ticket.claim() => Begin::Now,
-            () => Begin::Withdrawn,
-        }
-    }
-}
-
-#[derive(Clone, Debug)]
-pub enum Output {
-    Send(Box<SendAttempt>),
-    /// Nobody waits for this attempt any more.
-    Cancel {
-        node: NodeId,
-        attempt: AttemptId,
-    },
-    /// The same, and its link is still writing it to a node that takes no bytes: what has not left by now must
-    /// not leave later, so the connection ends here.
-    Cut {
-        node: NodeId,
-        attempt: AttemptId,
-    },
-    Answer {
-        to: CommandRef,
-        verdict: Verdict,
-    },
-    /// Follow the node list from the version that is known.
-    FollowList {
-        since: u64,
-    },
-    /// Ask for the complete list: a change is missing.
-    FetchList,
-    /// To be written durably, all or nothing, and then told of by `kept` under this number; 0: no word is wanted.
-    Persist {
-        request: u64,
-        batch: PersistBatch,
-    },
-    AdminResponse {
-        request: u64,
-        response: AdminResponse,
-    },
-    /// To another host.
-    Datagram {
-        to: std::net::SocketAddr,
-        bytes: Bytes,
-    },
-    /// A change of mode, with its figures, and the node it is about.
-    Log {
-        node: Option<NodeId>,
-        line: String,
-    },
-}
-
-/// What came back for an attempt.
-#[derive(Clone, Debug)]
-pub struct AttemptResult {
-    pub attempt: AttemptId,
-    pub outcome: Outcome,
-    /// Requests waiting at the node, and units it served for the volume through other hosts, where it told.
-    pub waiting: Option<u32>,
-    pub elsewhere: Option<f64>,
-    pub data: Bytes,
-}
-
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counters {
-    pub taken: u64,
-    pub over_bound: u64,
-    pub done: u64,
-    pub rejected: u64,
-    pub failed: u64,
-    pub left: u64,
-    pub attempts: u64,
-    pub retries: u64,
-    pub timed_out: u64,
-    pub withdrawn: u64,
-    pub cut: u64,
-    pub strays: u64,
-    pub short_answers: u64,
-    pub nodes_over_bound: u64,
-}
-
-struct InFlightAttempt {
-    no: u32,
-    node: NodeId,
-    sent: Instant,
-    until: Instant,
-    ticket: Ticket,
-}
-
-struct PendingRequest {
-    serial: u64,
-    from: CommandRef,
-    part: u16,
-    payload: AttemptPayload,
-    traffic_class: usize,
-    deadline: Instant,
-    attempts: u32,
-    out: Vec<InFlightAttempt>,
-    /// In its session's turn, until its first attempt leaves.
-    queue_ticket: Option<QueueTicket>,
-    /// Whether an attempt may have had an effect; those that are out count by their ticket.
-    ran: bool,
-    answered: bool,
-}
-
-impl PendingRequest {
-    fn new(
-        serial: u64,
-        (from, part): (CommandRef, u16),
-        payload: AttemptPayload,
-        traffic_class: usize,
-        deadline: Instant,
-        queue_ticket: Option<QueueTicket>,
-    ) -> Self {
-        PendingRequest {
-            serial,
-            from,
-            part,
-            payload,
-            traffic_class,
-            deadline,
-            attempts: 0,
-            out: Vec::new(),
-            queue_ticket,
-            ran: false,
-            answered: false,
-        }
-    }
-
-    fn may_have_run(&self) -> bool {
-        self.ran || self.out.iter().any(|o| o.ticket.is_claimed())
-    }
-}
-
-struct OpenCommand {
-    parts: Vec<(RequestId, Option<PartState>, Bytes)>,
-    traffic_class: usize,
-    volume: usize,
-    marked: bool,
-    bytes: usize,
-    write: bool,
-}
-
 pub struct Core {
     scheduler: Scheduler,
     layout: Layout,
@@ -455,51 +206,6 @@
     pub fn restore_service_rate(&mut self, now: Instant, shard: ShardId, rate: f64) {
         self.scheduler.service_rate_restored(now, shard, rate);
     }
-
-    /// Time has passed: attempts whose time is up end.
-    pub fn handle_timeout(&mut self, now: Instant) {
-        self.handle_override_timeout(now);
-        self.handle_consensus_timeout(now);
-        if self.peers.as_ref().is_some_and(|f| f.member.poll_timeout() <= now) {
-            if let Some(f) = &mut self.peers {
-                f.member.handle_timeout(now);
-            }
-            self.process_peer_events(now);
-        }
-        while let Some((_, node)) = self.cut_deadlines.first().copied().filter(|(t, _)| *t <= now) {
-            self.cut_deadlines.pop_first();
-            let stopped = self.is_unavailable(now, node);
-            for (id, no) in self.at_node.get(&node).cloned().unwrap_or_default() {
-                let attempt = self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
-                if stopped && attempt.is_some_and(|o| o.ticket.is_stuck()) {
-                    self.counters.cut += 1;
-                    self.outputs.push_back(Output::Cut { node, attempt: attempt_id(id, no) });
-                }
-            }
-        }
-        while let Some((_, id, no)) = self.until.first().copied().filter(|(t, _, _)| *t <= now) {
-            let attempt = self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
-            let Some((node, unsent, stuck)) =
-                attempt.map(|o| (o.node, o.ticket.withdraw(), o.ticket.is_stuck()))
-            else {
-                self.until.pop_first();
-                continue;
-            };
-            let outcome = if unsent { Outcome::Refused } else { Outcome::TimedOut };
-            match unsent {
-                true => self.counters.withdrawn += 1,
-                false => {
-                    self.counters.timed_out += 1;
-                    self.push_cancel(node, attempt_id(id, no), stuck);
-                }
-            }
-            self.finish_attempt(now, id, no, outcome, None, Bytes::new());
-        }
-    }
-}
-
-fn attempt_id(id: RequestId, no: u32) -> AttemptId {
-    AttemptId(u64::from(id.0) << 8 | u64::from(no & 0xff))
 }
 
 /// Outputs.
@@ -531,12 +237,3 @@
 fn node_facts((address, e): (&str, &NodeEntry)) -> Option<NodeFacts> {
     Some(NodeFacts { address: address.parse().ok()?, zone: e.zone.0, shard: e.shard.0, listed: e.state })
 }
-
-fn join_parts(parts: &[(RequestId, Option<PartState>, Bytes)], bytes: usize) -> Bytes {
-    if let [(_, _, retain_listed)] = parts {
-        return retain_listed.clone();
-    }
-    let mut all = BytesMut::with_capacity(bytes);
-    parts.iter().for_each(|(_, _, data)| all.extend_from_slice(data));
-    all.freeze()
-}
--- /dev/null
+++ b/crates/host-core/src/layout/tests.rs
@@ -0,0 +1,66 @@
+use super::*;
+
+const SETTINGS: &str = r#"
+        host { 
+          number = 0
+          hosts = 2
+          listen = "127.0.0.1:0"
+          node_list = "127.0.0.1:1" 
+        }
+        bounds { parts = 4 }
+        units { 
+          bytes = 4096 
+          most = 8 
+          mean = 2 
+        }
+        plan "basic" { }
+        stream "read" { 
+          slo_ms = 100 
+          expiry_ms = 1000 
+          effect = "repeatable" 
+        }
+        stream "log" { 
+          slo_ms = 100 
+          expiry_ms = 1000 
+          effect = "unrepeatable" 
+          in_order = true 
+          order_blocks = 40 
+        }
+        volume "v" { 
+          lun = 3 
+          plan = "basic" 
+          blocks = 1000 
+          extent_blocks = 100 
+          shards = [5, 7]
+          hosts = 1 
+          reads = "read" 
+          writes = "log" 
+          large_reads = "log"
+          large_from_blocks = 64 
+        }"#;
+
+#[test]
+fn commands_fall_into_parts_at_extents_and_order_granules() {
+    let l = Layout::new(&HostSettings::parse("test", SETTINGS).unwrap());
+    // Stream, first block, blocks; expected: first block, blocks, shard, units of each part.
+    type Case<'a> = (usize, u64, u32, &'a [(u64, u32, u32, f64)]);
+    let cases: &[Case] = &[
+        (0, 10, 8, &[(10, 8, 5, 1.0)]),
+        (0, 96, 8, &[(96, 4, 5, 1.0), (100, 4, 7, 1.0)]),
+        (0, 0, 250, &[(0, 100, 5, 8.0), (100, 100, 7, 8.0), (200, 50, 5, 7.0)]),
+        (1, 38, 4, &[(38, 2, 5, 1.0), (40, 2, 5, 1.0)]),
+        (1, 70, 40, &[(70, 10, 5, 2.0), (80, 20, 5, 3.0), (100, 10, 7, 2.0)]),
+    ];
+    for (traffic_class, block, blocks, expected) in cases {
+        let parts = l.parts(0, *traffic_class, *block, *blocks);
+        let found: Vec<_> = parts.iter().map(|p| (p.block, p.blocks, p.shard.0, p.units)).collect();
+        assert_eq!(&found, expected, "stream {traffic_class} at {block} for {blocks}");
+    }
+    assert_eq!(l.parts(0, 1, 41, 1)[0].key, l.parts(0, 1, 79, 1)[0].key, "one granule, one key");
+    assert_ne!(l.parts(0, 1, 39, 1)[0].key, l.parts(0, 1, 40, 1)[0].key);
+    assert_eq!(l.max_blocks(0), 120, "three whole granules of 40 and two cut ones are four parts");
+    assert_eq!(
+        (l.traffic_class(0, true, 64), l.traffic_class(0, false, 63), l.traffic_class(0, false, 64)),
+        (1, 0, 1)
+    );
+}
--- a/crates/host-core/src/lib.rs
+++ b/crates/host-core/src/lib.rs
@@ -4,31 +4,36 @@
 //! and answers for commands of several parts. docs/host.md describes it.
 
 mod admission;
+mod attempt;
 mod combine;
+mod command;
 mod consensus;
 mod core;
 mod fair_queueing;
 mod layout;
+mod members_status;
 mod nodes;
+mod output;
 mod override_requests;
 mod peers;
 mod placed;
 mod plans;
 mod ticket;
 
-pub use crate::core::{
-    AttemptId, AttemptResult, AttemptWork, Begin, CommandRef, Core, Counters, Output, SendAttempt, Verdict,
-    Work,
-};
+pub use crate::core::Core;
+pub use attempt::{AttemptId, AttemptResult, AttemptWork, Begin, SendAttempt};
 pub use combine::{combine, Combined, PartState};
+pub use command::{CommandRef, Verdict, Work};
 pub use consensus::{
     raft_settings, ConsensusDriver, ConsensusRequest, ConsensusResponse, ConsensusStart, ConsensusStatus,
 };
 pub use fair_queueing::{FairQueueing, QueueKey, QueueTicket};
 pub use layout::{Layout, Part};
+pub use members_status::{DeathStatus, MembersStatus, PeerStatus, SiteStatus};
 pub use nodes::{Age, ListEntry, NodeStart, Nodes};
+pub use output::{Counters, Output};
 pub use override_requests::{AdminRequest, AdminResponse, HostStatus, OverrideRequests, PersistBatch};
-pub use peers::{member_settings, DeathStatus, MembersStatus, PeerStatus, Peers, SiteStatus};
+pub use peers::{member_settings, Peers};
 pub use placed::{OpaqueRequest, PlacedRequest, PlacedSettings, VolumeNames};
 pub use plans::{PlanRequest, PlanResponse, PlanStatus, PlanUpdate, Plans};
 pub use tackmast_membership::{KnownPeer, PersistedMembers};
--- /dev/null
+++ b/crates/host-core/src/members_status.rs
@@ -0,0 +1,177 @@
+//! What a host knows of the others, as operators see it.
+
+use crate::peers::Peers;
+use serde::{Deserialize, Serialize};
+use tackmast::interface::Instant;
+use tackmast_membership::{LeaseStatus, SiteHealth};
+
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct PeerStatus {
+    pub host: u32,
+    pub health: String,
+    pub address: String,
+    #[serde(rename = "life")]
+    pub generation: u64,
+    pub since_s: f64,
+    #[serde(default)]
+    pub incarnation: u32,
+    #[serde(default)]
+    pub site: Option<u32>,
+    /// It comes and goes: it is not asked for help until it stays.
+    #[serde(default)]
+    pub flaps: bool,
+}
+
+/// What a host thinks of a site.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct SiteStatus {
+    /// None: hosts that told no site.
+    pub site: Option<u32>,
+    pub alive: u32,
+    pub suspect: u32,
+    pub dead: u32,
+    pub left: u32,
+    /// There, unheard as a whole, emptied one by one, or left.
+    pub word: String,
+}
+
+/// A host that was held dead.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct DeathStatus {
+    pub host: u32,
+    #[serde(rename = "life")]
+    pub generation: u64,
+    pub incarnation: u32,
+    pub ago_s: f64,
+    /// This host found it itself; else it was heard.
+    pub own: bool,
+}
+
+/// What a host knows of others.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct MembersStatus {
+    /// None: it has no membership in its settings.
+    pub host: Option<u32>,
+    #[serde(rename = "there")]
+    pub alive_hosts: u32,
+    pub peers: Vec<PeerStatus>,
+    /// By LUN: own part, lent, borrowed and needed, as shares of the limit.
+    pub loans: Vec<(u32, f64, f64, f64, f64)>,
+    /// Another generation of this host's number runs.
+    pub displaced: bool,
+    pub sent: u64,
+    pub sent_bytes: u64,
+    pub taken: u64,
+    pub dropped: u64,
+    /// This host's own generation, its word on itself, its site and where others reach it.
+    #[serde(default)]
+    #[serde(rename = "life")]
+    pub generation: u64,
+    #[serde(default)]
+    pub incarnation: u32,
+    #[serde(default)]
+    pub site: Option<u32>,
+    #[serde(default)]
+    pub address: String,
+    /// Of all that it knows: equal where views are equal.
+    #[serde(default)]
+    pub digest: u32,
+    /// For how long nothing has changed here, and nobody was heard of who knew otherwise.
+    #[serde(default)]
+    pub still_s: f64,
+    /// Steps by which it waits longer for answers, since they come late here.
+    #[serde(default)]
+    pub strain: u32,
+    #[serde(default)]
+    pub sites: Vec<SiteStatus>,
+    #[serde(default)]
+    pub deaths: Vec<DeathStatus>,
+    /// Suspicions begun and taken back, deaths found here, accusations of this host that it answered, and times it stood
+    /// still; news of hosts beyond the told number; changes of hosts that flap; times it took its number back.
+    #[serde(default)]
+    pub suspected: u64,
+    #[serde(default)]
+    pub refuted: u64,
+    #[serde(default)]
+    pub found_dead: u64,
+    #[serde(default)]
+    pub accused: u64,
+    #[serde(default)]
+    pub pauses: u64,
+    #[serde(default)]
+    pub beyond: u64,
+    #[serde(default)]
+    pub damped: u64,
+    #[serde(default)]
+    pub taken_over: u64,
+}
+
+impl Peers {
+    pub fn status(&self, now: Instant) -> MembersStatus {
+        let (c, view) = (&self.member.counters, &self.member.view);
+        let (me, v) = (view.me(), view.counters);
+        let peers = self.member.snapshot().into_iter().map(|(host, s)| PeerStatus {
+            host,
+            health: s.health.to_string(),
+            address: s.address.to_string(),
+            generation: s.generation,
+            since_s: (now - s.since).secs(),
+            incarnation: s.incarnation,
+            site: s.site,
+            flaps: view.is_flapping(now, host),
+        });
+        let sites = view.sites().into_iter().map(|s| SiteStatus {
+            site: s.site,
+            alive: s.alive,
+            suspect: s.suspect,
+            dead: s.dead,
+            left: s.left,
+            word: match s.health {
+                SiteHealth::Reachable => "there",
+                SiteHealth::FailedTogether { .. } => "unheard as a whole",
+                SiteHealth::FailedOneByOne { .. } => "emptied one by one",
+                SiteHealth::Left => "left",
+            }
+            .into(),
+        });
+        let deaths = view.deaths().map(|d| DeathStatus {
+            host: d.slot,
+            generation: d.generation,
+            incarnation: d.incarnation,
+            ago_s: (now - d.at).secs(),
+            own: d.declared_here,
+        });
+        MembersStatus {
+            host: Some(me.slot),
+            alive_hosts: self.member.live_count(),
+            peers: peers.collect(),
+            loans: self.member.leases.status(now).into_iter().map(lease_row).collect(),
+            displaced: view.is_displaced(),
+            sent: c.sent,
+            sent_bytes: c.sent_bytes,
+            taken: c.received,
+            dropped: c.rejected + c.other_fleets + c.malformed + c.wrong_address + c.dropped,
+            generation: me.generation,
+            incarnation: me.incarnation,
+            site: me.site,
+            address: me.address.to_string(),
+            digest: view.digest(),
+            still_s: view.unchanged_for(now).secs(),
+            strain: view.local_health_score(),
+            sites: sites.collect(),
+            deaths: deaths.collect(),
+            suspected: v.suspected,
+            refuted: v.refuted,
+            found_dead: v.declared_dead,
+            accused: v.accused,
+            pauses: v.pauses,
+            beyond: v.out_of_range,
+            damped: v.damped,
+            taken_over: v.taken_over,
+        }
+    }
+}
+
+fn lease_row(s: LeaseStatus) -> (u32, f64, f64, f64, f64) {
+    (s.volume, s.owned, s.lent, s.borrowed, s.needed)
+}
--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -2,14 +2,18 @@
 //! durably before it holds, and all others take them from each other in the home's order. A host goes by the newest that it
 //! has; docs/plans.md argues why rule 7 holds while hosts learn of a change apart.
 
-use serde::{Deserialize, Serialize};
+mod from_settings;
+mod messages;
+mod replicated;
+
+use self::from_settings::{catalog_of_settings, fleet};
+pub use self::messages::{PlanRequest, PlanResponse, PlanStatus};
+pub(crate) use self::replicated::CommittedChange;
 use std::collections::{BTreeMap, VecDeque};
 use tackmast::interface::{Instant, Plan as Figures, PlanId, TimeDelta};
 use tackmast_config::{HostSettings, PlansBlock};
 use tackmast_membership::{MAX_CATALOG_UPDATES, MAX_UPDATE_LEN};
-use tackmast_plans::{
-    Agreed, Catalogue, Change, Command, Entry, Fleet, Plan, Step, TrafficClass, Trail, TrailError, Volume,
-};
+use tackmast_plans::{Agreed, Catalogue, Change, Command, Entry, Fleet, Plan, Step, Trail, TrailError};
 
 /// Asks that may wait for the one before them to be kept.
 const MAX_QUEUED: usize = 256;
@@ -20,65 +24,6 @@
 /// Bytes of a trail that are shown in one answer.
 const MAX_LOG_BYTES: usize = 3 << 20;
 
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum PlanRequest {
-    Show,
-    Apply {
-        change: Change,
-        dry_run: bool,
-    },
-    Undo {
-        number: u64,
-        who: String,
-        why: String,
-        dry_run: bool,
-    },
-    /// The trail, as it is kept.
-    Log,
-}
-
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum PlanResponse {
-    Shown(Box<PlanStatus>),
-    Applied {
-        number: u64,
-        version: u64,
-        /// What moves, line by line.
-        lines: Vec<String>,
-        in_force_s: f64,
-        dry_run: bool,
-    },
-    Refused {
-        why: String,
-    },
-    Log {
-        text: String,
-        fleet: Fleet,
-    },
-}
-
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct PlanStatus {
-    pub host: u32,
-    pub home: u32,
-    pub number: u64,
-    pub digest: String,
-    pub in_force_s: f64,
-    pub settle_s: f64,
-    pub catalogue: Catalogue,
-    pub fleet: Fleet,
-    /// Whether clients wait for word of the newest change.
-    #[serde(rename = "waits")]
-    pub clients_wait: bool,
-    /// By host, the change that it last said it goes by.
-    pub at: BTreeMap<u32, u64>,
-    /// Hosts agree on changes, and this one could not ask whether there is a newer one.
-    #[serde(default)]
-    pub stale: bool,
-}
-
 /// What the module and the layout are to be told.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanUpdate {
@@ -102,14 +47,6 @@
     pub line: String,
 }
 
-/// A command of the agreed log that holds: what moves here, the entry of the trail that it made, and what whoever asked for
-/// it is told.
-pub struct CommittedChange {
-    pub updates: Vec<PlanUpdate>,
-    pub entry: Option<Entry>,
-    pub lines: Vec<String>,
-}
-
 pub struct Plans {
     change_log: Trail,
     /// In place of the trail, where hosts agree on changes.
@@ -128,41 +65,6 @@
     plan_ids: BTreeMap<String, PlanId>,
 }
 
-/// What the settings say, as a catalogue.
-fn catalog_of_settings(s: &HostSettings) -> Catalogue {
-    let mut c = Catalogue::default();
-    for p in &s.plans {
-        let (limit, burst, slack, reserve, weight) = (p.limit, p.burst, p.slack, p.reserve, p.weight);
-        c.plans.insert(p.name.clone(), Plan { limit, burst, slack, reserve, weight, floor: p.floor });
-    }
-    for st in &s.traffic_classes {
-        let (latency_objective_ms, deadline_ms) =
-            (st.latency_objective.secs() * 1e3, st.deadline.secs() * 1e3);
-        c.traffic_classes.insert(st.name.clone(), TrafficClass { latency_objective_ms, deadline_ms });
-    }
-    for v in &s.volumes {
-        let traffic_class = |i: u32| s.traffic_classes[i as usize].name.clone();
-        let volume = Volume {
-            lun: v.lun,
-            plan: s.plans[v.plan as usize].name.clone(),
-            blocks: v.blocks,
-            extent_blocks: v.extent_blocks,
-            shards: v.shards.clone(),
-            through: v.through.clone(),
-            reads: traffic_class(v.reads),
-            writes: traffic_class(v.writes),
-        };
-        c.volumes.insert(v.name.clone(), volume);
-    }
-    c
-}
-
-fn fleet(s: &HostSettings, b: &PlansBlock) -> Fleet {
-    let shards = s.volumes.iter().flat_map(|v| &v.shards);
-    let bears = shards.map(|n| (*n, b.bears.get(&n.to_string()).copied().unwrap_or(b.node_units)));
-    Fleet { hosts: s.host.hosts, max_units: s.units.most, bears: bears.collect() }
-}
-
 /// The first eight bytes of a digest.
 fn mark(digest: &str) -> u64 {
     digest.get(..16).and_then(|h| u64::from_str_radix(h, 16).ok()).unwrap_or(0)
@@ -210,57 +112,16 @@
         self.replicated.as_ref().map_or(&self.change_log, |a| &a.trail)
     }
 
-    /// From here on hosts agree on changes; until it has a lease this host goes by the floors.
-    pub fn enable_consensus(&mut self) {
-        self.replicated = Some(Agreed::starting(self.change_log.anchor.catalogue.clone()));
-        (self.degraded, self.clients_wait_until) = (true, None);
-    }
-
-    /// Of what hosts agree on: the newest version that all have, as was agreed, and whether something waits for that.
-    pub fn acknowledged(&self) -> (u64, bool) {
-        self.replicated.as_ref().map_or((0, false), |a| (a.told(), a.waits()))
-    }
-
     pub fn version(&self) -> u64 {
         self.change_log().catalogue.version
     }
 
-    /// What the agreed log's entries led to.
-    pub fn snapshot(&self) -> Vec<u8> {
-        self.replicated.as_ref().map(Agreed::to_bytes).unwrap_or_default()
-    }
-
-    /// As at the beginning of a log.
-    pub fn reset_to_settings(&mut self) -> Vec<PlanUpdate> {
-        let from = self.change_log().catalogue.clone();
-        let degraded = self.degraded;
-        self.enable_consensus();
-        self.degraded = degraded;
-        let to = self.change_log().catalogue.clone();
-        self.updates(&from, &to)
-    }
-
-    pub fn restore_snapshot(&mut self, state: &[u8]) -> Result<Vec<PlanUpdate>, TrailError> {
-        let from = self.change_log().catalogue.clone();
-        self.replicated = Some(Agreed::from_bytes(state, &self.fleet)?);
-        let to = self.change_log().catalogue.clone();
-        Ok(self.updates(&from, &to))
-    }
-
     /// The change that takes an entry back.
     pub fn undo_change(&self, number: u64, who: &str, why: &str) -> Result<Change, String> {
         let found = self.change_log().undoing(number, who, why);
         found.ok_or_else(|| format!("change {number}: not in the trail; expected one that `log` shows"))
     }
 
-    /// Whether what this host has may count no more; what moves by that.
-    pub fn set_degraded(&mut self, degraded: bool) -> Vec<PlanUpdate> {
-        if std::mem::replace(&mut self.degraded, degraded) == degraded {
-            return Vec::new();
-        }
-        self.all_updates()
-    }
-
     /// Each plan as it is told now.
     pub fn all_updates(&mut self) -> Vec<PlanUpdate> {
         let to = self.change_log().catalogue.clone();
@@ -269,26 +130,6 @@
         self.updates(&nothing, &to)
     }
 
-    pub fn is_degraded(&self) -> bool {
-        self.degraded
-    }
-
-    /// What a change would move, as far as this host knows.
-    pub fn preview_change(&self, at_us: u64, change: Change) -> Result<(u64, u64, Vec<String>), String> {
-        let Some(a) = &self.replicated else { return Err("hosts do not agree on plans here".into()) };
-        let (entry, next) = a.propose(at_us, change, &self.fleet).map_err(|r| r.to_string())?;
-        Ok((entry.number, entry.version, self.change_log().catalogue.diff(&next)))
-    }
-
-    /// A command of the agreed log holds: what moves here, and what whoever asked for it is told.
-    pub fn apply_committed(&mut self, command: Command) -> Result<CommittedChange, String> {
-        let before = self.change_log().catalogue.clone();
-        let Some(a) = &mut self.replicated else { return Err("hosts do not agree on plans here".into()) };
-        let entry = a.apply(command, &self.fleet).map_err(|r| r.to_string())?;
-        let to = self.change_log().catalogue.clone();
-        Ok(CommittedChange { updates: self.updates(&before, &to), entry, lines: before.diff(&to) })
-    }
-
     /// As the module is told of a plan. A host that can't know whether it still holds keeps to what none may go below: the
     /// floor, and a burst that every plan of these volumes has to have.
     fn figures(&self, name: &str, p: &Plan, of: &Catalogue) -> Figures {
--- /dev/null
+++ b/crates/host-core/src/plans/replicated.rs
@@ -0,0 +1,74 @@
+//! Plans that hosts change by consensus: committed commands, snapshots, and degraded mode without a lease.
+
+use super::*;
+
+/// A command of the agreed log that holds: what moves here, the entry of the trail that it made, and what whoever asked for
+/// it is told.
+pub struct CommittedChange {
+    pub updates: Vec<PlanUpdate>,
+    pub entry: Option<Entry>,
+    pub lines: Vec<String>,
+}
+
+impl Plans {
+    /// From here on hosts agree on changes; until it has a lease this host goes by the floors.
+    pub fn enable_consensus(&mut self) {
+        self.replicated = Some(Agreed::starting(self.change_log.anchor.catalogue.clone()));
+        (self.degraded, self.clients_wait_until) = (true, None);
+    }
+
+    /// Of what hosts agree on: the newest version that all have, as was agreed, and whether something waits for that.
+    pub fn acknowledged(&self) -> (u64, bool) {
+        self.replicated.as_ref().map_or((0, false), |a| (a.told(), a.waits()))
+    }
+
+    /// What the agreed log's entries led to.
+    pub fn snapshot(&self) -> Vec<u8> {
+        self.replicated.as_ref().map(Agreed::to_bytes).unwrap_or_default()
+    }
+
+    /// As at the beginning of a log.
+    pub fn reset_to_settings(&mut self) -> Vec<PlanUpdate> {
+        let from = self.change_log().catalogue.clone();
+        let degraded = self.degraded;
+        self.enable_consensus();
+        self.degraded = degraded;
+        let to = self.change_log().catalogue.clone();
+        self.updates(&from, &to)
+    }
+
+    pub fn restore_snapshot(&mut self, state: &[u8]) -> Result<Vec<PlanUpdate>, TrailError> {
+        let from = self.change_log().catalogue.clone();
+        self.replicated = Some(Agreed::from_bytes(state, &self.fleet)?);
+        let to = self.change_log().catalogue.clone();
+        Ok(self.updates(&from, &to))
+    }
+
+    /// Whether what this host has may count no more; what moves by that.
+    pub fn set_degraded(&mut self, degraded: bool) -> Vec<PlanUpdate> {
+        if std::mem::replace(&mut self.degraded, degraded) == degraded {
+            return Vec::new();
+        }
+        self.all_updates()
+    }
+
+    pub fn is_degraded(&self) -> bool {
+        self.degraded
+    }
+
+    /// What a change would move, as far as this host knows.
+    pub fn preview_change(&self, at_us: u64, change: Change) -> Result<(u64, u64, Vec<String>), String> {
+        let Some(a) = &self.replicated else { return Err("hosts do not agree on plans here".into()) };
+        let (entry, next) = a.propose(at_us, change, &self.fleet).map_err(|r| r.to_string())?;
+        Ok((entry.number, entry.version, self.change_log().catalogue.diff(&next)))
+    }
+
+    /// A command of the agreed log holds: what moves here, and what whoever asked for it is told.
+    pub fn apply_committed(&mut self, command: Command) -> Result<CommittedChange, String> {
+        let before = self.change_log().catalogue.clone();
+        let Some(a) = &mut self.replicated else { return Err("hosts do not agree on plans here".into()) };
+        let entry = a.apply(command, &self.fleet).map_err(|r| r.to_string())?;
+        let to = self.change_log().catalogue.clone();
+        Ok(CommittedChange { updates: self.updates(&before, &to), entry, lines: before.diff(&to) })
+    }
+}
