--- a/crates/benchmarks/src/core_cost.rs
+++ b/crates/benchmarks/src/core_cost.rs
@@ -7,7 +7,9 @@
 use tackmast::interface::*;
 use tackmast::policy::Scheduler;
 use tackmast_config::HostSettings;
-use tackmast_host_core::{AttemptResult, CommandRef, Core, ListEntry, Output, PersistBatch, Work};
+use tackmast_host_core::{
+    AttemptResult, ClientCommand, CommandRef, Core, ListEntry, Output, PersistBatch, Work,
+};
 use tackmast_overrides::{Kind, OverrideId, Overrides, Target};
 
 #[derive(Clone, Debug, Serialize)]
@@ -86,13 +88,15 @@
             let from = CommandRef { session: 1, command: sent as u32 };
             core.handle_command(
                 now,
-                from,
-                0,
-                sent * 8 % 1_000_000,
-                Work::Read { blocks: 8 },
-                now,
-                None,
-                None,
+                ClientCommand {
+                    from,
+                    lun: 0,
+                    block: sent * 8 % 1_000_000,
+                    work: Work::Read { blocks: 8 },
+                    received_at: now,
+                    timeout: None,
+                    idempotency_key: None,
+                },
             );
             sent += 1;
             open += 1;
--- a/crates/host-core/src/combine.rs
+++ b/crates/host-core/src/combine.rs
@@ -21,28 +21,43 @@
     },
 }
 
+/// The one answer of all parts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Combined {
+    /// All parts are done.
     Done,
-    Rejected { retry_after: Option<TimeDelta> },
+    /// A retry is safe, after this wait where one is advised.
+    Rejected {
+        /// The longest wait that any part advised.
+        retry_after: Option<TimeDelta>,
+    },
+    /// Some part may have run, and the command does not bear a retry.
     Failed,
 }
 
-/// Whether running a command again after a part of it ran does no harm. A idempotent by key one is safe in all its nodes
-/// only where the client itself carries the mark: marks of this host differ between a client's tries, so its
-/// next try would run a second time.
-fn is_retry_safe(effect: Effect, client_marks: bool) -> bool {
+/// Who chose the idempotency key by which nodes recognise a command.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum KeySource {
+    /// The client: the key is the same at each of its retries.
+    Client,
+    /// This host: the key differs between the client's retries.
+    Host,
+}
+
+/// Whether running a command again after a part of it ran does no harm. One that is idempotent by key at all nodes is
+/// safe only with a key of its client: by a key of this host, the client's retry would run a second time.
+fn is_retry_safe(effect: Effect, key_source: KeySource) -> bool {
     match effect {
         Effect::Idempotent => true,
-        Effect::IdempotentByKey { scope: DedupScope::All, .. } => client_marks,
+        Effect::IdempotentByKey { scope: DedupScope::All, .. } => key_source == KeySource::Client,
         Effect::IdempotentByKey { .. } | Effect::NonIdempotent => false,
     }
 }
 
-/// The command's answer, if it is certain by now. An undone part settles it at once: a client that is told
+/// The command's answer, if it is certain by now. A rejected part settles it at once: a client that is told
 /// early can come back early. Rejected promises that a retry is safe, so one part that may have run makes it
 /// failed where the effect does not bear a second run.
-pub fn combine(effect: Effect, client_marks: bool, parts: &[PartState]) -> Option<Combined> {
+pub fn combine(effect: Effect, key_source: KeySource, parts: &[PartState]) -> Option<Combined> {
     let mut rejected = false;
     let mut retry_after: Option<TimeDelta> = None;
     for part in parts {
@@ -63,7 +78,7 @@
         PartState::Open { ran } | PartState::Rejected { ran, .. } | PartState::Failed { ran } => *ran,
         PartState::Done => true,
     });
-    Some(match is_retry_safe(effect, client_marks) || !ran {
+    Some(match is_retry_safe(effect, key_source) || !ran {
         true => Combined::Rejected { retry_after },
         false => Combined::Failed,
     })
--- a/crates/host-core/src/combine/tests.rs
+++ b/crates/host-core/src/combine/tests.rs
@@ -65,6 +65,7 @@
         ),
     ];
     for (name, effect, marks, parts, expected) in cases {
-        assert_eq!(combine(*effect, *marks, parts), *expected, "{name}");
+        let key_source = if *marks { KeySource::Client } else { KeySource::Host };
+        assert_eq!(combine(*effect, key_source, parts), *expected, "{name}");
     }
 }
--- a/crates/host-core/src/command.rs
+++ b/crates/host-core/src/command.rs
@@ -1,7 +1,7 @@
 //! Commands of clients, as the core takes them and answers them.
 
 use bytes::Bytes;
-use tackmast::interface::TimeDelta;
+use tackmast::interface::{Instant, TimeDelta};
 
 /// A client's command: its session at this host, and its number within that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -16,6 +16,25 @@
     Write { data: Bytes },
 }
 
+/// A command as its client sent it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ClientCommand {
+    /// Its session, and its number there.
+    pub from: CommandRef,
+    /// The volume.
+    pub lun: u32,
+    /// The first block.
+    pub block: u64,
+    /// What is read or written.
+    pub work: Work,
+    /// When its first byte came.
+    pub received_at: Instant,
+    /// How long its client waits, where that was negotiated.
+    pub timeout: Option<TimeDelta>,
+    /// The client's own idempotency key, where it sent one.
+    pub idempotency_key: Option<u128>,
+}
+
 /// The one final answer to a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -6,13 +6,13 @@
     /// Whether an attempt has not had its end yet.
     pub fn is_in_flight(&self, attempt: AttemptId) -> bool {
         let (id, no) = (RequestId((attempt.0 >> 8) as u32), (attempt.0 & 0xff) as u32);
-        self.requests.get(&id).is_some_and(|x| x.out.iter().any(|o| o.no == no))
+        self.requests.get(&id).is_some_and(|request| request.out.iter().any(|o| o.no == no))
     }
 
     /// An attempt came back from its link. One that is not known any more had its end before.
     pub fn handle_attempt_result(&mut self, now: Instant, back: AttemptResult) {
         let (id, no) = (RequestId((back.attempt.0 >> 8) as u32), (back.attempt.0 & 0xff) as u32);
-        let known = self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
+        let known = self.requests.get(&id).and_then(|request| request.out.iter().find(|o| o.no == no));
         let Some(node) = known.map(|o| o.node) else {
             self.counters.strays += 1;
             return;
@@ -53,39 +53,39 @@
         timeout: Option<TimeDelta>,
         begin_by: Option<Instant>,
     ) {
-        let Some(x) = self.requests.get_mut(&id) else { return };
-        let until = timeout.map_or(x.deadline, |t| x.deadline.min(now + t));
-        let (no, st) = (x.attempts, &self.traffic_classes[x.traffic_class]);
-        x.attempts += 1;
-        if let Some(queue_ticket) = x.queue_ticket.take() {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let until = timeout.map_or(request.deadline, |t| request.deadline.min(now + t));
+        let (no, traffic_class) = (request.attempts, &self.traffic_classes[request.traffic_class]);
+        request.attempts += 1;
+        if let Some(queue_ticket) = request.queue_ticket.take() {
             self.fair_queueing.sent(queue_ticket);
         }
         let ticket = Ticket::default();
-        x.out.push(InFlightAttempt { no, node, sent: now, until, ticket: ticket.clone() });
+        request.out.push(InFlightAttempt { no, node, sent: now, until, ticket: ticket.clone() });
         self.counters.attempts += 1;
         self.counters.retries += u64::from(no > 0);
         self.until.insert((until, id, no));
         self.at_node.entry(node).or_default().insert((id, no));
-        let idempotent_by_key = matches!(st.effect, Effect::IdempotentByKey { .. });
+        let idempotent_by_key = matches!(traffic_class.effect, Effect::IdempotentByKey { .. });
         let attempt = SendAttempt {
             node,
             attempt: attempt_id(id, no),
-            request: x.serial,
+            request: request.identity.serial,
             attempt_number: no.min(255) as u8,
-            from: x.from,
-            part: x.part,
+            from: request.identity.from,
+            part: request.identity.part,
             until,
             begin_by,
             mark: if idempotent_by_key {
-                u128::from(self.generation) << 64 | u128::from(x.serial)
+                u128::from(self.generation) << 64 | u128::from(request.identity.serial)
             } else {
                 0
             },
-            key: x.payload.key,
-            volume: x.payload.volume,
-            offset: x.payload.offset,
-            units: x.payload.units,
-            work: x.payload.work.clone(),
+            key: request.payload.key,
+            volume: request.payload.volume,
+            offset: request.payload.offset,
+            units: request.payload.units,
+            work: request.payload.work.clone(),
             ticket,
         };
         self.outputs.push_back(Output::Send(Box::new(attempt)));
@@ -101,9 +101,9 @@
         elsewhere: Option<f64>,
         data: Bytes,
     ) {
-        let Some(x) = self.requests.get_mut(&id) else { return };
-        let Some(i) = x.out.iter().position(|l| l.no == no) else { return };
-        let out = x.out.swap_remove(i);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(i) = request.out.iter().position(|l| l.no == no) else { return };
+        let out = request.out.swap_remove(i);
         self.until.remove(&(out.until, id, no));
         if let Some(attempts) = self.at_node.get_mut(&out.node) {
             attempts.remove(&(id, no));
@@ -112,13 +112,13 @@
             }
         }
         let mut outcome = o;
-        if outcome == Outcome::Done && x.payload.wanted().is_some_and(|wanted| data.len() != wanted) {
+        if outcome == Outcome::Done && request.payload.wanted().is_some_and(|wanted| data.len() != wanted) {
             // Bytes that are not those asked for must not pass for them.
             self.counters.short_answers += 1;
             outcome = Outcome::Error;
         }
-        x.ran |= outcome.may_have_run();
-        let (done, answered) = (outcome == Outcome::Done, x.answered);
+        request.ran |= outcome.may_have_run();
+        let (done, answered) = (outcome == Outcome::Done, request.answered);
         if let Some(others) = elsewhere.filter(|_| self.reports_service) {
             self.scheduler.service_reported(now, id, done, others);
         }
@@ -134,16 +134,16 @@
 
     /// A request that was answered and has no attempt out leaves the table.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|x| x.answered && x.out.is_empty()) {
+        if self.requests.get(&id).is_some_and(|request| request.answered && request.out.is_empty()) {
             self.requests.remove(&id);
         }
     }
 
     /// The command is over before this part of it: nothing new is sent for it, and its attempts are called back.
     pub(super) fn release_request(&mut self, now: Instant, id: RequestId) {
-        let Some(x) = self.requests.get_mut(&id).filter(|x| !x.answered) else { return };
-        x.answered = true;
-        if let Some(queue_ticket) = x.queue_ticket.take() {
+        let Some(request) = self.requests.get_mut(&id).filter(|request| !request.answered) else { return };
+        request.answered = true;
+        if let Some(queue_ticket) = request.queue_ticket.take() {
             self.fair_queueing.cancelled(queue_ticket);
         }
         self.scheduler.request_cancelled(now, id);
@@ -154,7 +154,7 @@
 
     /// Attempts of which no byte has left never will: they provably did not run.
     pub(super) fn withdraw_unsent(&mut self, now: Instant, id: RequestId) {
-        let out = self.requests.get(&id).map_or(&[][..], |x| &x.out);
+        let out = self.requests.get(&id).map_or(&[][..], |request| &request.out);
         let unsent: Vec<u32> = out.iter().filter(|o| o.ticket.withdraw()).map(|o| o.no).collect();
         // No word on its node, which never saw it.
         for no in unsent {
@@ -165,7 +165,7 @@
 
     /// Nobody waits for the attempts that are out: their nodes need not go on.
     pub(super) fn cancel_in_flight(&mut self, id: RequestId) {
-        let out = self.requests.get(&id).map_or(&[][..], |x| &x.out);
+        let out = self.requests.get(&id).map_or(&[][..], |request| &request.out);
         let attempts: Vec<_> =
             out.iter().map(|o| (o.node, attempt_id(id, o.no), o.ticket.is_stuck())).collect();
         for (node, attempt, stuck) in attempts {
@@ -184,8 +184,11 @@
 
     pub(super) fn withdraw_unsent_at(&mut self, now: Instant, node: NodeId) {
         for (id, no) in self.at_node.get(&node).cloned().unwrap_or_default() {
-            let ticket =
-                self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no)).map(|o| &o.ticket);
+            let ticket = self
+                .requests
+                .get(&id)
+                .and_then(|request| request.out.iter().find(|o| o.no == no))
+                .map(|o| &o.ticket);
             if ticket.is_some_and(Ticket::withdraw) {
                 self.counters.withdrawn += 1;
                 self.finish_attempt(now, id, no, Outcome::Refused, None, Bytes::new());
--- a/crates/host-core/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -1,109 +1,142 @@
-//! Client commands: taken, refused, given up, answered in parts.
+//! Commands of clients: admitted, rejected, aborted, and answered as soon as their parts allow.
 
 use super::*;
+use crate::layout::Part;
+
+/// Where a command goes, and until when.
+struct CommandPlacement {
+    volume: usize,
+    write: bool,
+    traffic_class: usize,
+    deadline: Instant,
+    parts: Vec<Part>,
+    bytes: usize,
+}
 
 impl Core {
-    /// A client's command, owed one answer. `began` is when its first byte came; `request_of_event` the time its client
-    /// waits, where that was negotiated; `mark` the client's own mark against repeats. The caller has checked
-    /// that the volume exists and holds the blocks.
-    #[allow(clippy::too_many_arguments)] // one decoded field, one argument
-    pub fn handle_command(
-        &mut self,
-        now: Instant,
-        from: CommandRef,
-        lun: u32,
-        block: u64,
-        work: Work,
-        began: Instant,
-        request_of_event: Option<TimeDelta>,
-        mark: Option<u128>,
-    ) {
+    /// A client's command, owed one answer. The caller has checked that the volume exists and holds the blocks.
+    pub fn handle_command(&mut self, now: Instant, command: ClientCommand) {
         self.counters.taken += 1;
-        let Some(volume) = self.layout.volume_of(lun) else {
+        let from = command.from;
+        let Some(volume) = self.layout.volume_of(command.lun) else {
             return self.reject(from, None);
         };
-        let v = self.layout.volume(volume);
-        let block_bytes = v.block_bytes as usize;
-        let (write, blocks) = match &work {
-            Work::Read { blocks } => (false, *blocks),
-            Work::Write { data } => (true, (data.len() / block_bytes) as u32),
-        };
-        let (plan, hosts, name) = (PlanId(v.plan), v.hosts, VolumeId(volume as u32));
-        let traffic_class = self.layout.traffic_class(volume, write, blocks);
-        let deadline =
-            began + request_of_event.unwrap_or(self.traffic_classes[traffic_class].deadline) - self.lead;
-        let parts = self.layout.parts(volume, traffic_class, block, blocks);
+        let placement = self.place_command(volume, &command);
         if self.draining || self.must_wait_for_catalog(now) {
             return self.reject(from, Some(self.longest_wait));
         }
-        if deadline <= now || parts.is_empty() || self.commands.contains_key(&from) {
+        let known = self.commands.contains_key(&from);
+        if placement.deadline <= now || placement.parts.is_empty() || known {
             return self.reject(from, None);
         }
-        let bytes = blocks as usize * block_bytes;
-        // A full table answers at once with when to come back; nothing is dropped in silence.
-        let held = Usage { requests: parts.len(), bytes };
-        if let Err(wait) = self.admission.enter(now, from.session, volume, held) {
+        // A full table answers at once with when to retry; nothing is dropped in silence.
+        let usage = Usage { requests: placement.parts.len(), bytes: placement.bytes };
+        if let Err(wait) = self.admission.enter(now, from.session, volume, usage) {
             self.counters.over_bound += 1;
             return self.reject(from, Some(wait));
         }
-        let data = match work {
+        self.open_command(now, command, &placement);
+    }
+
+    /// Traffic class, deadline and parts of a command.
+    fn place_command(&self, volume: usize, command: &ClientCommand) -> CommandPlacement {
+        let block_bytes = self.layout.volume(volume).block_bytes;
+        let (write, blocks) = match &command.work {
+            Work::Read { blocks } => (false, *blocks),
+            Work::Write { data } => (true, (data.len() / block_bytes as usize) as u32),
+        };
+        let traffic_class = self.layout.traffic_class(volume, write, blocks);
+        let timeout = command.timeout.unwrap_or(self.traffic_classes[traffic_class].deadline);
+        CommandPlacement {
+            volume,
+            write,
+            traffic_class,
+            deadline: command.received_at + timeout - self.lead,
+            parts: self.layout.parts(volume, traffic_class, command.block, blocks),
+            bytes: blocks as usize * block_bytes as usize,
+        }
+    }
+
+    /// Enters an admitted command, and hands a request for each of its parts to the scheduler.
+    fn open_command(&mut self, now: Instant, command: ClientCommand, placement: &CommandPlacement) {
+        let from = command.from;
+        let ids: Vec<RequestId> = placement.parts.iter().map(|_| self.new_id()).collect();
+        let open = OpenCommand {
+            parts: ids.iter().map(|id| OpenPart::new(*id)).collect(),
+            traffic_class: placement.traffic_class,
+            volume: placement.volume,
+            key_source: match command.idempotency_key {
+                Some(_) => KeySource::Client,
+                None => KeySource::Host,
+            },
+            bytes: placement.bytes,
+            write: placement.write,
+        };
+        self.commands.insert(from, open);
+        self.sessions.entry(from.session).or_default().insert(from.command);
+        let mut data = match command.work {
             Work::Write { data } => Some(data),
             Work::Read { .. } => None,
         };
-        let ids: Vec<RequestId> = parts.iter().map(|_| self.new_id()).collect();
-        let open = ids.iter().map(|id| (*id, None, Bytes::new())).collect();
-        let command =
-            OpenCommand { parts: open, traffic_class, volume, marked: mark.is_some(), bytes, write };
-        self.commands.insert(from, command);
-        self.sessions.entry(from.session).or_default().insert(from.command);
-        let mut taken = 0;
-        for (i, (id, spec)) in ids.iter().zip(&parts).enumerate() {
-            let n = spec.blocks as usize * block_bytes;
-            let part_data = data.as_ref().map(|d| d.slice(taken..taken + n));
-            taken += n;
-            let serial = self.serial - (ids.len() - 1 - i) as u64;
-            let line = QueueKey { shard: spec.shard.0, volume: name.0, traffic_class: traffic_class as u32 };
-            let queue_ticket = self.fair_queueing.enqueue(line, from.session, spec.units);
-            if let Some(f) = &mut self.peers {
-                f.member.record_demand(now, lun, spec.units);
-            }
-            let tag = queue_ticket.tag;
-            let v = self.layout.volume(volume);
-            let payload = AttemptPayload {
-                key: if self.traffic_classes[traffic_class].in_order { spec.key } else { 0 },
-                volume: v.lun,
-                offset: spec.block * u64::from(v.block_bytes),
-                units: spec.units,
-                work: match part_data {
-                    Some(data) => AttemptWork::Write { data },
-                    None => AttemptWork::Read { length: spec.blocks * v.block_bytes },
-                },
-            };
-            self.requests.insert(
-                *id,
-                PendingRequest::new(
-                    serial,
-                    (from, i as u16),
-                    payload,
-                    traffic_class,
-                    deadline,
-                    Some(queue_ticket),
-                ),
-            );
-            let request = NewRequest {
-                id: *id,
-                class: TrafficClassId(traffic_class as u32),
-                plan,
-                key: Some(key_id(spec.key)),
-                time_left: deadline - now,
-                volume: name,
-                units: spec.units,
-                shard: Some(spec.shard),
-                hosts,
+        let block_bytes = self.layout.volume(placement.volume).block_bytes;
+        for (index, (id, part)) in ids.iter().zip(&placement.parts).enumerate() {
+            let length = part.blocks * block_bytes;
+            let work = match &mut data {
+                Some(data) => AttemptWork::Write { data: data.split_to(length as usize) },
+                None => AttemptWork::Read { length },
             };
-            self.scheduler.request_arrived(now, request);
-            self.scheduler.request_tagged(*id, tag);
+            let serial = self.serial - (ids.len() - 1 - index) as u64;
+            let identity = RequestIdentity { serial, from, part: index as u16 };
+            self.open_request(now, *id, identity, placement, part, work);
+        }
+    }
+
+    /// Queues the request of one part among its session's, and hands it to the scheduler.
+    fn open_request(
+        &mut self,
+        now: Instant,
+        id: RequestId,
+        identity: RequestIdentity,
+        placement: &CommandPlacement,
+        part: &Part,
+        work: AttemptWork,
+    ) {
+        let (volume, traffic_class) = (placement.volume as u32, placement.traffic_class as u32);
+        let queue = QueueKey { shard: part.shard.0, volume, traffic_class };
+        let queue_ticket = self.fair_queueing.enqueue(queue, identity.from.session, part.units);
+        let tag = queue_ticket.tag;
+        let settings = self.layout.volume(placement.volume);
+        if let Some(peers) = &mut self.peers {
+            peers.member.record_demand(now, settings.lun, part.units);
         }
+        let payload = AttemptPayload {
+            key: if self.traffic_classes[placement.traffic_class].in_order { part.key } else { 0 },
+            volume: settings.lun,
+            offset: part.block * u64::from(settings.block_bytes),
+            units: part.units,
+            work,
+        };
+        let request = NewRequest {
+            id,
+            class: TrafficClassId(traffic_class),
+            plan: PlanId(settings.plan),
+            key: Some(key_id(part.key)),
+            time_left: placement.deadline - now,
+            volume: VolumeId(volume),
+            units: part.units,
+            shard: Some(part.shard),
+            hosts: settings.hosts,
+        };
+        let pending = PendingRequest::new(
+            identity,
+            payload,
+            placement.traffic_class,
+            placement.deadline,
+            Some(queue_ticket),
+        );
+        self.requests.insert(id, pending);
+        self.scheduler.request_arrived(now, request);
+        self.scheduler.request_tagged(id, tag);
     }
 
     /// A request that its client has placed already, owed one answer. Volumes, keys and shards are the client's words.
@@ -127,16 +160,24 @@
             return self.reject(from, Some(wait));
         }
         let (id, traffic_class) = (self.new_id(), p.traffic_class.0 as usize);
-        let parts = vec![(id, None, Bytes::new())];
+        let parts = vec![OpenPart::new(id)];
         // The client's own mark stands in the request: it is the same at each of its tries.
-        self.commands
-            .insert(from, OpenCommand { parts, traffic_class, volume, marked: true, bytes, write: false });
+        self.commands.insert(
+            from,
+            OpenCommand { parts, traffic_class, volume, key_source: KeySource::Client, bytes, write: false },
+        );
         self.sessions.entry(from.session).or_default().insert(from.command);
         let work = AttemptWork::Opaque(p.request);
         let payload = AttemptPayload { key: 0, volume: volume as u32, offset: 0, units: p.units, work };
         self.requests.insert(
             id,
-            PendingRequest::new(self.serial, (from, 0), payload, traffic_class, now + p.left, None),
+            PendingRequest::new(
+                RequestIdentity { serial: self.serial, from, part: 0 },
+                payload,
+                traffic_class,
+                now + p.left,
+                None,
+            ),
         );
         let (volume, key) = (VolumeId(volume as u32), Some(key_id(p.key)));
         let request = NewRequest {
@@ -181,11 +222,12 @@
         let mut open: Vec<CommandRef> = self.commands.keys().copied().collect();
         open.sort();
         for from in open {
-            let Some(first) = self.commands.get(&from).and_then(|c| c.parts.iter().find(|p| p.1.is_none()))
+            let Some(first) =
+                self.commands.get(&from).and_then(|c| c.parts.iter().find(|part| part.state.is_none()))
             else {
                 continue;
             };
-            let (id, retry_after) = (first.0, Some(self.longest_wait));
+            let (id, retry_after) = (first.request, Some(self.longest_wait));
             // As if the module had rejected it: the parts together tell whether that can be said.
             self.finish_part(now, id, PartState::Rejected { ran: true, retry_after }, Bytes::new());
         }
@@ -196,7 +238,7 @@
         if let Some(c) = self.commands.remove(&from) {
             self.counters.left += 1;
             self.forget_command(now, from, &c);
-            for (id, _, _) in c.parts {
+            for id in c.request_ids() {
                 self.release_request(now, id);
             }
         }
@@ -211,48 +253,52 @@
 
     /// The request of one part has its end.
     pub(super) fn finish_part(&mut self, now: Instant, id: RequestId, mut end: PartState, data: Bytes) {
-        let Some((from, part)) = self.requests.get(&id).filter(|x| !x.answered).map(|x| (x.from, x.part))
-        else {
-            return;
-        };
-        // An undone part settles the whole command. What is still unsent of it is taken back before it is
+        let Some(request) = self.requests.get(&id).filter(|request| !request.answered) else { return };
+        let RequestIdentity { from, part, .. } = request.identity;
+        // A rejected part settles the whole command. What is still unsent of it is taken back before it is
         // judged whether any of it may have run: an attempt that left in between would make the judgement false.
         let ids: Vec<RequestId> = match (end, self.commands.get(&from)) {
             (PartState::Done, _) | (_, None) => vec![id],
-            (_, Some(c)) => c.parts.iter().map(|(id, _, _)| *id).collect(),
+            (_, Some(command)) => command.request_ids(),
         };
         for id in ids {
             self.withdraw_unsent(now, id);
         }
-        if let Some(x) = self.requests.get(&id) {
+        if let Some(request) = self.requests.get_mut(&id) {
             if let PartState::Rejected { ran, .. } | PartState::Failed { ran } = &mut end {
-                *ran = x.may_have_run();
+                *ran = request.may_have_run();
             }
-        }
-        if let Some(x) = self.requests.get_mut(&id) {
-            x.answered = true;
-            if let Some(queue_ticket) = x.queue_ticket.take() {
+            request.answered = true;
+            if let Some(queue_ticket) = request.queue_ticket.take() {
                 self.fair_queueing.cancelled(queue_ticket);
             }
         }
         self.cancel_in_flight(id);
         self.remove_if_finished(id);
-        let Some(c) = self.commands.get_mut(&from) else { return };
-        if let Some(slot) = c.parts.get_mut(usize::from(part)) {
-            (slot.1, slot.2) = (Some(end), data);
+        let Some(command) = self.commands.get_mut(&from) else { return };
+        if let Some(open) = command.parts.get_mut(usize::from(part)) {
+            (open.state, open.data) = (Some(end), data);
         }
-        let open = |id: &RequestId| self.requests.get(id).is_some_and(PendingRequest::may_have_run);
-        let ends: Vec<PartState> =
-            c.parts.iter().map(|(id, end, _)| end.unwrap_or(PartState::Open { ran: open(id) })).collect();
-        let Some(combined) = combine(self.traffic_classes[c.traffic_class].effect, c.marked, &ends) else {
-            return;
-        };
-        let Some(c) = self.commands.remove(&from) else { return };
-        self.forget_command(now, from, &c);
+        self.answer_if_certain(now, from);
+    }
+
+    /// Answers a command as soon as its parts make the answer certain.
+    fn answer_if_certain(&mut self, now: Instant, from: CommandRef) {
+        let Some(command) = self.commands.get(&from) else { return };
+        let ran = |id: &RequestId| self.requests.get(id).is_some_and(PendingRequest::may_have_run);
+        let states: Vec<PartState> = command
+            .parts
+            .iter()
+            .map(|part| part.state.unwrap_or_else(|| PartState::Open { ran: ran(&part.request) }))
+            .collect();
+        let effect = self.traffic_classes[command.traffic_class].effect;
+        let Some(combined) = combine(effect, command.key_source, &states) else { return };
+        let Some(command) = self.commands.remove(&from) else { return };
+        self.forget_command(now, from, &command);
         let verdict = match combined {
             Combined::Done => {
                 self.counters.done += 1;
-                Verdict::Done { data: if c.write { Bytes::new() } else { join_parts(&c.parts, c.bytes) } }
+                Verdict::Done { data: if command.write { Bytes::new() } else { command.joined_data() } }
             }
             Combined::Rejected { retry_after } => {
                 self.counters.rejected += 1;
@@ -264,7 +310,7 @@
             }
         };
         self.outputs.push_back(Output::Answer { to: from, verdict });
-        for (id, _, _) in c.parts {
+        for id in command.request_ids() {
             self.release_request(now, id);
         }
     }
--- a/crates/host-core/src/core/tables.rs
+++ b/crates/host-core/src/core/tables.rs
@@ -22,6 +22,7 @@
     }
 }
 
+/// An attempt that has not had its end.
 pub(super) struct InFlightAttempt {
     pub no: u32,
     pub node: NodeId,
@@ -30,16 +31,23 @@
     pub ticket: Ticket,
 }
 
-pub(super) struct PendingRequest {
+/// Which part of which command a request serves, and its number in this generation of the host.
+#[derive(Clone, Copy)]
+pub(super) struct RequestIdentity {
     pub serial: u64,
     pub from: CommandRef,
     pub part: u16,
+}
+
+/// A request that has no answer yet, or attempts in flight.
+pub(super) struct PendingRequest {
+    pub identity: RequestIdentity,
     pub payload: AttemptPayload,
     pub traffic_class: usize,
     pub deadline: Instant,
     pub attempts: u32,
     pub out: Vec<InFlightAttempt>,
-    /// In its session's turn, until its first attempt leaves.
+    /// Its place among its session's requests, until its first attempt leaves.
     pub queue_ticket: Option<QueueTicket>,
     /// Whether an attempt may have had an effect; those that are out count by their ticket.
     pub ran: bool,
@@ -48,17 +56,14 @@
 
 impl PendingRequest {
     pub(super) fn new(
-        serial: u64,
-        (from, part): (CommandRef, u16),
+        identity: RequestIdentity,
         payload: AttemptPayload,
         traffic_class: usize,
         deadline: Instant,
         queue_ticket: Option<QueueTicket>,
     ) -> Self {
         PendingRequest {
-            serial,
-            from,
-            part,
+            identity,
             payload,
             traffic_class,
             deadline,
@@ -75,24 +80,45 @@
     }
 }
 
+/// One part of a command: its request, and what has become of it.
+pub(super) struct OpenPart {
+    pub request: RequestId,
+    pub state: Option<PartState>,
+    pub data: Bytes,
+}
+
+impl OpenPart {
+    pub(super) fn new(request: RequestId) -> Self {
+        OpenPart { request, state: None, data: Bytes::new() }
+    }
+}
+
+/// A command that is owed its answer.
 pub(super) struct OpenCommand {
-    pub parts: Vec<(RequestId, Option<PartState>, Bytes)>,
+    pub parts: Vec<OpenPart>,
     pub traffic_class: usize,
     pub volume: usize,
-    pub marked: bool,
+    pub key_source: KeySource,
     pub bytes: usize,
     pub write: bool,
 }
 
-pub(super) fn attempt_id(id: RequestId, no: u32) -> AttemptId {
-    AttemptId(u64::from(id.0) << 8 | u64::from(no & 0xff))
-}
+impl OpenCommand {
+    pub(super) fn request_ids(&self) -> Vec<RequestId> {
+        self.parts.iter().map(|part| part.request).collect()
+    }
 
-pub(super) fn join_parts(parts: &[(RequestId, Option<PartState>, Bytes)], bytes: usize) -> Bytes {
-    if let [(_, _, retain_listed)] = parts {
-        return retain_listed.clone();
+    /// What was read, in the order of the blocks.
+    pub(super) fn joined_data(&self) -> Bytes {
+        if let [only] = &self.parts[..] {
+            return only.data.clone();
+        }
+        let mut all = BytesMut::with_capacity(self.bytes);
+        self.parts.iter().for_each(|part| all.extend_from_slice(&part.data));
+        all.freeze()
     }
-    let mut all = BytesMut::with_capacity(bytes);
-    parts.iter().for_each(|(_, _, data)| all.extend_from_slice(data));
-    all.freeze()
+}
+
+pub(super) fn attempt_id(id: RequestId, no: u32) -> AttemptId {
+    AttemptId(u64::from(id.0) << 8 | u64::from(no & 0xff))
 }
--- a/crates/host-core/src/core/timeouts.rs
+++ b/crates/host-core/src/core/timeouts.rs
@@ -17,7 +17,8 @@
             self.cut_deadlines.pop_first();
             let stopped = self.is_unavailable(now, node);
             for (id, no) in self.at_node.get(&node).cloned().unwrap_or_default() {
-                let attempt = self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
+                let attempt =
+                    self.requests.get(&id).and_then(|request| request.out.iter().find(|o| o.no == no));
                 if stopped && attempt.is_some_and(|o| o.ticket.is_stuck()) {
                     self.counters.cut += 1;
                     self.outputs.push_back(Output::Cut { node, attempt: attempt_id(id, no) });
@@ -25,7 +26,7 @@
             }
         }
         while let Some((_, id, no)) = self.until.first().copied().filter(|(t, _, _)| *t <= now) {
-            let attempt = self.requests.get(&id).and_then(|x| x.out.iter().find(|o| o.no == no));
+            let attempt = self.requests.get(&id).and_then(|request| request.out.iter().find(|o| o.no == no));
             let Some((node, unsent, stuck)) =
                 attempt.map(|o| (o.node, o.ticket.withdraw(), o.ticket.is_stuck()))
             else {
--- a/crates/host-core/src/lib.rs
+++ b/crates/host-core/src/lib.rs
@@ -22,8 +22,8 @@
 
 pub use crate::core::Core;
 pub use attempt::{AttemptId, AttemptResult, AttemptWork, Begin, SendAttempt};
-pub use combine::{combine, Combined, PartState};
-pub use command::{CommandRef, Verdict, Work};
+pub use combine::{combine, Combined, KeySource, PartState};
+pub use command::{ClientCommand, CommandRef, Verdict, Work};
 pub use consensus::{
     raft_settings, ConsensusDriver, ConsensusRequest, ConsensusResponse, ConsensusStart, ConsensusStatus,
 };
--- a/crates/host-core/tests/consensus.rs
+++ b/crates/host-core/tests/consensus.rs
@@ -213,7 +213,18 @@
         self.attempts.clear();
         self.answers.clear();
         let (now, from) = (self.now, CommandRef { session: 1, command: self.now.secs().to_bits() as u32 });
-        self.core(host).handle_command(now, from, lun, 0, Work::Read { blocks: 8 }, now, None, None);
+        self.core(host).handle_command(
+            now,
+            ClientCommand {
+                from,
+                lun,
+                block: 0,
+                work: Work::Read { blocks: 8 },
+                received_at: now,
+                timeout: None,
+                idempotency_key: None,
+            },
+        );
         self.pull();
         let attempt = self.attempts.iter().find(|(h, _)| *h == host).map(|(_, l)| l.attempt);
         if let Some(attempt) = attempt {
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -112,7 +112,18 @@
         let data = Bytes::from(vec![command as u8; blocks as usize * 512]);
         let work = if write { Work::Write { data } } else { Work::Read { blocks } };
         let from = CommandRef { session: 1, command };
-        self.core.handle_command(self.now, from, 1, block, work, self.now, None, None);
+        self.core.handle_command(
+            self.now,
+            ClientCommand {
+                from,
+                lun: 1,
+                block,
+                work,
+                received_at: self.now,
+                timeout: None,
+                idempotency_key: None,
+            },
+        );
         self.pull();
     }
 
@@ -360,7 +371,18 @@
     core.handle_endpoint_list(now, ListKind::Complete, 0, 5, &[entry("a", 0, NodeState::Ready)]);
     let mut ask = |session: u32, command: u32| {
         let from = CommandRef { session, command };
-        core.handle_command(now, from, 1, u64::from(command % 10), Work::Read { blocks: 1 }, now, None, None);
+        core.handle_command(
+            now,
+            ClientCommand {
+                from,
+                lun: 1,
+                block: u64::from(command % 10),
+                work: Work::Read { blocks: 1 },
+                received_at: now,
+                timeout: None,
+                idempotency_key: None,
+            },
+        );
     };
     (0..1000).for_each(|c| ask(1, c));
     (0..3).for_each(|c| ask(2, c));
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -797,7 +797,18 @@
         let asked = (self.below(4) == 0).then_some(seconds(0.05 + self.fraction()));
         let mark = (self.below(3) == 0).then_some(u128::from(from.command) << 64 | 7);
         self.hosts[host].open.insert(from);
-        self.hosts[host].core.handle_command(self.now, from, lun, block, work, began, asked, mark);
+        self.hosts[host].core.handle_command(
+            self.now,
+            ClientCommand {
+                from,
+                lun,
+                block,
+                work,
+                received_at: began,
+                timeout: asked,
+                idempotency_key: mark,
+            },
+        );
     }
 
     fn abort(&mut self, host: usize) {
--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -17,7 +17,7 @@
 use tackmast_admin::Answer;
 use tackmast_config::HostSettings;
 use tackmast_host_core::{
-    AdminRequest, Age, AttemptResult, CommandRef, Core, Counters, ListEntry, Output, Work,
+    AdminRequest, Age, AttemptResult, ClientCommand, CommandRef, Core, Counters, ListEntry, Output, Work,
 };
 
 /// Events taken before the outputs they caused are carried out.
@@ -206,9 +206,18 @@
         let now = self.last;
         match e {
             Event::SessionOpen { session, to, close } => _ = self.sessions.insert(session, (to, close)),
-            Event::Submit { from, lun, block, work, began, asked } => {
-                self.core.handle_command(now, from, lun, block, work, began, asked, None)
-            }
+            Event::Submit { from, lun, block, work, began, asked } => self.core.handle_command(
+                now,
+                ClientCommand {
+                    from,
+                    lun,
+                    block,
+                    work,
+                    received_at: began,
+                    timeout: asked,
+                    idempotency_key: None,
+                },
+            ),
             Event::Abort { from } => self.core.handle_abort(now, from),
             Event::SessionGone { session } => {
                 self.sessions.remove(&session);
--- a/crates/simulator/src/plain.rs
+++ b/crates/simulator/src/plain.rs
@@ -6,8 +6,8 @@
 use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, ShardId, TimeDelta};
 use tackmast_config::HostSettings;
 use tackmast_host_core::{
-    AttemptId, AttemptResult, AttemptWork, CommandRef, Core, Layout, ListEntry, Nodes, Output, Part,
-    SendAttempt, Ticket, Verdict, Work,
+    AttemptId, AttemptResult, AttemptWork, ClientCommand, CommandRef, Core, Layout, ListEntry, Nodes, Output,
+    Part, SendAttempt, Ticket, Verdict, Work,
 };
 
 /// Attempts that `Caps` keeps out at a node, at most.
@@ -329,7 +329,18 @@
         asked: Option<TimeDelta>,
     ) {
         match self {
-            Heart::Core(c) => c.handle_command(now, from, lun, block, work, began, asked, None),
+            Heart::Core(c) => c.handle_command(
+                now,
+                ClientCommand {
+                    from,
+                    lun,
+                    block,
+                    work,
+                    received_at: began,
+                    timeout: asked,
+                    idempotency_key: None,
+                },
+            ),
             Heart::Plain(p) => p.handle_command(now, from, lun, block, &work, asked),
         }
     }
