--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -18,6 +18,7 @@
 use crate::combine::{combine, Combined, KeySource, PartState};
 use crate::command::{ClientCommand, CommandRef, Verdict, Work};
 use crate::consensus::ConsensusDriver;
+use crate::error::{PersistError, PlanError};
 use crate::fair_queueing::{FairQueueing, QueueKey, QueueTicket};
 use crate::layout::{key_id, Layout};
 use crate::nodes::{ListEntry, Nodes};
--- a/crates/host-core/src/core/admin.rs
+++ b/crates/host-core/src/core/admin.rs
@@ -82,7 +82,7 @@
     }
 
     /// The store's word on a `PersistBatch`.
-    pub fn handle_persisted(&mut self, now: Instant, request: u64, result: Result<(), String>) {
+    pub fn handle_persisted(&mut self, now: Instant, request: u64, result: Result<(), PersistError>) {
         if self.handle_consensus_persisted(now, request, &result) {
             return;
         }
--- a/crates/host-core/src/core/consensus.rs
+++ b/crates/host-core/src/core/consensus.rs
@@ -59,7 +59,7 @@
         &mut self,
         now: Instant,
         request: u64,
-        result: &Result<(), String>,
+        result: &Result<(), PersistError>,
     ) -> bool {
         if request & (3 << 62) != FIRST_WRITE_REQUEST {
             return false;
@@ -141,7 +141,7 @@
 
     fn handle_committed(&mut self, now: Instant, index: u64, data: &Bytes, mine: Option<u32>) {
         let Some(plans) = &mut self.plans else { return };
-        let command = serde_json::from_slice::<PlanCommand>(data).map_err(|e| e.to_string());
+        let command = serde_json::from_slice::<PlanCommand>(data).map_err(PlanError::Malformed);
         let is_change = matches!(command, Ok(PlanCommand::Change { .. }));
         let held = command.and_then(|c| plans.apply_committed(c));
         let settle = self.consensus.as_ref().map_or(TimeDelta::ZERO, ConsensusDriver::settle);
@@ -175,7 +175,7 @@
                     self.log(format!("plans: a change is refused: {why}"));
                 }
                 if let Some(number) = mine {
-                    self.respond_to_proposal(number, PlanResponse::Refused { why });
+                    self.respond_to_proposal(number, PlanResponse::Refused { why: why.to_string() });
                 }
             }
         }
@@ -223,13 +223,13 @@
             }
         };
         let response = match change {
-            Err(why) => Some(response(why)),
+            Err(why) => Some(response(why.to_string())),
             Ok(change) if dry_run => Some(match plans.preview_change(wall_us, change) {
                 Ok((number, version, lines)) => {
                     let in_force_s = a.settle().secs();
                     AdminResponse::Plan(PlanResponse::Applied { number, version, lines, in_force_s, dry_run })
                 }
-                Err(why) => response(why),
+                Err(why) => response(why.to_string()),
             }),
             Ok(change) => {
                 let command = PlanCommand::Change { at_us: wall_us, change };
--- a/crates/host-core/src/lib.rs
+++ b/crates/host-core/src/lib.rs
@@ -9,6 +9,7 @@
 mod command;
 mod consensus;
 mod core;
+mod error;
 mod fair_queueing;
 mod layout;
 mod members_status;
@@ -27,6 +28,7 @@
 pub use consensus::{
     raft_settings, ConsensusDriver, ConsensusRequest, ConsensusResponse, ConsensusStart, ConsensusStatus,
 };
+pub use error::{PersistError, PlanError};
 pub use fair_queueing::{FairQueueing, QueueKey, QueueTicket};
 pub use layout::{Layout, Part};
 pub use members_status::{DeathStatus, MembersStatus, PeerStatus, SiteStatus};
--- a/crates/host-core/src/override_requests.rs
+++ b/crates/host-core/src/override_requests.rs
@@ -1,6 +1,7 @@
 //! Operators' overrides within the host core: orders are judged one at a time, kept durably before they hold, and
 //! reach the decision module as node states, weights and pins.
 
+use crate::error::PersistError;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -132,84 +133,81 @@
         OverrideRequests { overrides, pending: None, queued: VecDeque::new(), next_report_at: now, me: None }
     }
 
-    /// Takes an ask. Two orders at once could each leave a shard its last node that the other takes, so they are
-    /// judged in turn.
+    /// Answers a request, or starts writing what it asks for. Two overrides at once could each leave a shard its last node
+    /// that the other takes, so they are judged one after the other.
     pub fn handle_request(
         &mut self,
         now: Instant,
         wall_us: u64,
         request: u64,
-        ask: AdminRequest,
+        admin_request: AdminRequest,
     ) -> Option<OverrideOutcome> {
-        let writes = matches!(ask, AdminRequest::Clear { .. } | AdminRequest::Set { dry_run: false, .. });
+        let writes =
+            matches!(admin_request, AdminRequest::Clear { .. } | AdminRequest::Set { dry_run: false, .. });
         if writes && self.pending.is_some() {
             if self.queued.len() >= MAX_QUEUED {
                 let why = format!("{MAX_QUEUED} orders wait already");
                 return Some(OverrideOutcome::Respond(request, AdminResponse::NotKept { why }));
             }
-            self.queued.push_back((request, ask));
+            self.queued.push_back((request, admin_request));
             return None;
         }
-        Some(match ask {
+        let no_block = |block: &str| AdminResponse::NotKept {
+            why: format!("this host has no {block} block in its settings"),
+        };
+        let response = match admin_request {
             AdminRequest::Set { order, force, dry_run, if_version } => {
-                match self.overrides.propose(wall_us, &order, force, if_version) {
-                    Err(r) => OverrideOutcome::Respond(request, AdminResponse::Refused(r)),
+                let proposed = self.overrides.propose(wall_us, &order, force, if_version);
+                return Some(match proposed {
+                    Err(refusal) => OverrideOutcome::Respond(request, AdminResponse::Refused(refusal)),
                     Ok((record, preview)) if dry_run => {
                         OverrideOutcome::Respond(request, AdminResponse::Set { record, preview, dry_run })
                     }
-                    Ok((mut record, preview)) => {
-                        record.id = self.overrides.reserve();
-                        let number = record.id.0;
-                        let mine = self.me.map(|(slot, generation)| Origin { slot, generation, number });
-                        record.origin = record.origin.or(mine);
-                        let audit = Audit::set(&record, preview.forced_past.is_some());
-                        let batch = PersistBatch {
-                            put: vec![record.clone()],
-                            audits: vec![audit],
-                            ..PersistBatch::default()
-                        };
-                        self.pending = Some((request, Pending::Put(Box::new((record, preview)))));
-                        OverrideOutcome::Persist(request, batch)
-                    }
-                }
-            }
-            AdminRequest::Clear { id, who } => match self.overrides.get(id) {
-                None => OverrideOutcome::Respond(request, AdminResponse::Refused(Refusal::Unknown { id })),
-                Some(o) => {
-                    let audits = vec![Audit::cleared(wall_us, o, &who)];
-                    self.pending = Some((request, Pending::Clear(id, who)));
-                    OverrideOutcome::Persist(
-                        request,
-                        PersistBatch { remove: vec![id], audits, ..PersistBatch::default() },
-                    )
-                }
-            },
-            AdminRequest::List => {
-                let (returning, returning_within_s) = self.overrides.returning();
-                let (version, standing) = (self.overrides.version(), self.overrides.list(now));
-                OverrideOutcome::Respond(
-                    request,
-                    AdminResponse::List { version, standing, returning, returning_within_s },
-                )
+                    Ok((record, preview)) => self.begin_set(request, record, preview),
+                });
             }
-            AdminRequest::Explain { address } => OverrideOutcome::Respond(
-                request,
-                AdminResponse::Explain(Box::new(self.overrides.explain(now, address))),
-            ),
-            AdminRequest::Status => OverrideOutcome::Respond(request, AdminResponse::Status(Box::default())),
-            AdminRequest::Members => {
-                OverrideOutcome::Respond(request, AdminResponse::Members(Box::default()))
+            AdminRequest::Clear { id, who } => return Some(self.begin_clear(wall_us, request, id, who)),
+            AdminRequest::List => self.list(now),
+            AdminRequest::Explain { address } => {
+                AdminResponse::Explain(Box::new(self.overrides.explain(now, address)))
             }
-            AdminRequest::Consensus(_) => OverrideOutcome::Respond(
-                request,
-                AdminResponse::NotKept { why: "this host has no agreement block in its settings".into() },
-            ),
-            // Not an order: the host's plans answer it.
-            AdminRequest::Plan(_) => OverrideOutcome::Respond(
-                request,
-                AdminResponse::NotKept { why: "this host has no plans block in its settings".into() },
-            ),
-        })
+            AdminRequest::Status => AdminResponse::Status(Box::default()),
+            AdminRequest::Members => AdminResponse::Members(Box::default()),
+            // The core answers these where it can.
+            AdminRequest::Consensus(_) => no_block("agreement"),
+            AdminRequest::Plan(_) => no_block("plans"),
+        };
+        Some(OverrideOutcome::Respond(request, response))
+    }
+
+    fn begin_set(&mut self, request: u64, mut record: Override, preview: Preview) -> OverrideOutcome {
+        record.id = self.overrides.reserve();
+        let number = record.id.0;
+        let own_origin = self.me.map(|(slot, generation)| Origin { slot, generation, number });
+        record.origin = record.origin.or(own_origin);
+        let audit = Audit::set(&record, preview.forced_past.is_some());
+        let batch =
+            PersistBatch { put: vec![record.clone()], audits: vec![audit], ..PersistBatch::default() };
+        self.pending = Some((request, Pending::Put(Box::new((record, preview)))));
+        OverrideOutcome::Persist(request, batch)
+    }
+
+    fn begin_clear(&mut self, wall_us: u64, request: u64, id: OverrideId, who: String) -> OverrideOutcome {
+        let Some(record) = self.overrides.get(id) else {
+            return OverrideOutcome::Respond(request, AdminResponse::Refused(Refusal::Unknown { id }));
+        };
+        let audits = vec![Audit::cleared(wall_us, record, &who)];
+        self.pending = Some((request, Pending::Clear(id, who)));
+        OverrideOutcome::Persist(
+            request,
+            PersistBatch { remove: vec![id], audits, ..PersistBatch::default() },
+        )
+    }
+
+    fn list(&self, now: Instant) -> AdminResponse {
+        let (returning, returning_within_s) = self.overrides.returning();
+        let (version, standing) = (self.overrides.version(), self.overrides.list(now));
+        AdminResponse::List { version, standing, returning, returning_within_s }
     }
 
     /// The store's word on what it was given: from now on it holds, or it never does. The line is for the log.
@@ -217,14 +215,14 @@
         &mut self,
         now: Instant,
         request: u64,
-        result: Result<(), String>,
+        result: Result<(), PersistError>,
     ) -> Option<(AdminResponse, String)> {
         let (_, pending) = self.pending.take_if(|(r, _)| *r == request)?;
         Some(match (pending, result) {
-            (Pending::Put(put), Err(why)) => {
+            (Pending::Put(put), Err(error)) => {
                 let (record, _) = *put;
-                let line = format!("override of {} not kept: {why}", record.target);
-                (AdminResponse::NotKept { why }, line)
+                let line = format!("override of {} not kept: {error}", record.target);
+                (AdminResponse::NotKept { why: error.to_string() }, line)
             }
             (Pending::Put(put), Ok(())) => {
                 let (record, preview) = *put;
@@ -240,9 +238,9 @@
                 self.overrides.put(now, record.clone());
                 (AdminResponse::Set { record, preview, dry_run: false }, line)
             }
-            (Pending::Clear(id, _), Err(why)) => {
-                let line = format!("override {} stands on: clearing it was not kept: {why}", id.0);
-                (AdminResponse::NotKept { why }, line)
+            (Pending::Clear(id, _), Err(error)) => {
+                let line = format!("override {} stands on: clearing it was not kept: {error}", id.0);
+                (AdminResponse::NotKept { why: error.to_string() }, line)
             }
             // It may have ended while its clearing was written; either way it does not stand.
             (Pending::Clear(id, who), Ok(())) => {
--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -9,6 +9,7 @@
 use self::from_settings::{catalog_of_settings, fleet};
 pub use self::messages::{PlanRequest, PlanResponse, PlanStatus};
 pub(crate) use self::replicated::CommittedChange;
+use crate::error::{PersistError, PlanError};
 use std::collections::{BTreeMap, VecDeque};
 use tackmast::interface::{Instant, Plan as Figures, PlanId, TimeDelta};
 use tackmast_config::{HostSettings, PlansBlock};
@@ -71,19 +72,14 @@
 }
 
 impl Plans {
-    /// `handle_persisted` is the trail of an earlier generation, as it was written; none: this is the first. Clients wait for word of the
+    /// `persisted` is the change log of an earlier generation, as it was written; none: this is the first. Clients wait for word of the
     /// newest change for as long as a change may take at most, if there is anyone to hear it from.
-    pub fn new(
-        now: Instant,
-        s: &HostSettings,
-        b: &PlansBlock,
-        handle_persisted: &[u8],
-    ) -> Result<Self, TrailError> {
+    pub fn new(now: Instant, s: &HostSettings, b: &PlansBlock, persisted: &[u8]) -> Result<Self, TrailError> {
         let fleet = fleet(s, b);
         let from_settings = Trail::starting(catalog_of_settings(s));
-        let change_log = match handle_persisted {
+        let change_log = match persisted {
             [] => from_settings.clone(),
-            handle_persisted => Trail::from_bytes(handle_persisted, &fleet)?,
+            persisted => Trail::from_bytes(persisted, &fleet)?,
         };
         if change_log.anchor != from_settings.anchor {
             let found = "it begins with other plans, volumes or stream types than these settings".to_owned();
@@ -117,9 +113,9 @@
     }
 
     /// The change that takes an entry back.
-    pub fn undo_change(&self, number: u64, who: &str, why: &str) -> Result<Change, String> {
+    pub fn undo_change(&self, number: u64, who: &str, why: &str) -> Result<Change, PlanError> {
         let found = self.change_log().undoing(number, who, why);
-        found.ok_or_else(|| format!("change {number}: not in the trail; expected one that `log` shows"))
+        found.ok_or(PlanError::UnknownChange { number })
     }
 
     /// Each plan as it is told now.
@@ -178,85 +174,88 @@
         self.clients_wait_until.is_some()
     }
 
-    /// Takes an ask. Each change is judged on what holds once the one before it is kept.
+    /// Answers a request, or starts writing the change that it asks for. Each change is judged on what applies once the one
+    /// before it is written.
     pub fn handle_request(
         &mut self,
         now: Instant,
         wall_us: u64,
         request: u64,
-        ask: PlanRequest,
+        plan_request: PlanRequest,
     ) -> Option<PlanOutcome> {
-        let refused = |why: String| Some(PlanOutcome::Respond(request, PlanResponse::Refused { why }));
-        let (change, dry_run) = match &ask {
-            PlanRequest::Show => {
-                let shown = PlanResponse::Shown(Box::new(self.status(now)));
-                return Some(PlanOutcome::Respond(request, shown));
-            }
-            PlanRequest::Log => {
-                let text = String::from_utf8(self.change_log().to_bytes()).unwrap_or_default();
-                if text.len() > MAX_LOG_BYTES {
-                    return refused(format!(
-                        "the trail has {} bytes; an answer holds {MAX_LOG_BYTES}",
-                        text.len()
-                    ));
+        let response = match plan_request {
+            PlanRequest::Show => Ok(PlanResponse::Shown(Box::new(self.status(now)))),
+            PlanRequest::Log => self.log_response(),
+            PlanRequest::Apply { .. } | PlanRequest::Undo { .. } => {
+                match self.handle_change(wall_us, request, plan_request) {
+                    Ok(outcome) => return outcome,
+                    Err(error) => Err(error),
                 }
-                let fleet = self.fleet.clone();
-                return Some(PlanOutcome::Respond(request, PlanResponse::Log { text, fleet }));
             }
+        };
+        let response = response.unwrap_or_else(|error| PlanResponse::Refused { why: error.to_string() });
+        Some(PlanOutcome::Respond(request, response))
+    }
+
+    fn log_response(&self) -> Result<PlanResponse, PlanError> {
+        let text = String::from_utf8(self.change_log().to_bytes()).unwrap_or_default();
+        if text.len() > MAX_LOG_BYTES {
+            return Err(PlanError::LogTooLong { bytes: text.len(), max: MAX_LOG_BYTES });
+        }
+        Ok(PlanResponse::Log { text, fleet: self.fleet.clone() })
+    }
+
+    /// A change: tried, queued behind the one that is being written, or given to the store.
+    fn handle_change(
+        &mut self,
+        wall_us: u64,
+        request: u64,
+        plan_request: PlanRequest,
+    ) -> Result<Option<PlanOutcome>, PlanError> {
+        let (change, dry_run) = match &plan_request {
+            PlanRequest::Show | PlanRequest::Log => return Ok(None),
             PlanRequest::Apply { change, dry_run } => (change.clone(), *dry_run),
-            PlanRequest::Undo { number, who, why, dry_run } => match self.undo_change(*number, who, why) {
-                Ok(change) => (change, *dry_run),
-                Err(why) => return refused(why),
-            },
+            PlanRequest::Undo { number, who, why, dry_run } => {
+                (self.undo_change(*number, who, why)?, *dry_run)
+            }
         };
         if self.me != self.home {
-            return refused(format!(
-                "host {} takes changes of plans, and this is host {}; ask it",
-                self.home, self.me
-            ));
+            return Err(PlanError::NotHome { home: self.home, host: self.me });
         }
         if self.pending.is_some() && !dry_run {
             if self.queued.len() >= MAX_QUEUED {
-                return refused(format!("{MAX_QUEUED} changes wait already"));
+                return Err(PlanError::QueueFull { max: MAX_QUEUED });
             }
-            self.queued.push_back((request, ask));
-            return None;
+            self.queued.push_back((request, plan_request));
+            return Ok(None);
         }
-        let (entry, next) = match self.judge(wall_us, change) {
-            Ok(judged) => judged,
-            Err(why) => return refused(why),
-        };
+        let (entry, next) = self.judge(wall_us, change)?;
         if dry_run {
             let lines = self.change_log.catalogue.diff(&next);
             let (number, version, in_force_s) = (entry.number, entry.version, self.settle.secs());
             let applied = PlanResponse::Applied { number, version, lines, in_force_s, dry_run };
-            return Some(PlanOutcome::Respond(request, applied));
+            return Ok(Some(PlanOutcome::Respond(request, applied)));
         }
         let entry = Box::new(entry);
         self.pending = Some((request, entry.clone(), next));
-        Some(PlanOutcome::Persist(request, entry))
+        Ok(Some(PlanOutcome::Persist(request, entry)))
     }
 
-    fn judge(&self, wall_us: u64, change: Change) -> Result<(Entry, Catalogue), String> {
+    fn judge(&self, wall_us: u64, change: Change) -> Result<(Entry, Catalogue), PlanError> {
         let (entry, next) =
-            self.change_log.propose(wall_us, change, &self.fleet).map_err(|r| r.to_string())?;
-        self.change_log.catalogue.moves_live(&next).map_err(|r| r.to_string())?;
+            self.change_log.propose(wall_us, change, &self.fleet).map_err(PlanError::Refused)?;
+        self.change_log.catalogue.moves_live(&next).map_err(PlanError::Refused)?;
         let bytes = Trail::line(&entry).len();
         if bytes > MAX_UPDATE_LEN {
-            return Err(format!(
-                "a change of {bytes} bytes; expected at most {MAX_UPDATE_LEN}, in several changes"
-            ));
+            return Err(PlanError::ChangeTooLong { bytes });
         }
         if self.change_log.entries.len() >= MAX_CATALOG_UPDATES {
-            return Err(format!(
-                "the trail is full: {MAX_CATALOG_UPDATES} changes; expected it to be begun anew"
-            ));
+            return Err(PlanError::ChangeLogFull);
         }
-        let new = |s: &&Step| matches!(s, Step::Plan { name, .. } if !self.plan_ids.contains_key(name));
-        if self.plan_ids.len() + entry.change.steps.iter().filter(new).count() > MAX_PLAN_NAMES {
-            return Err(format!(
-                "plans have had {MAX_PLAN_NAMES} names since this host's start; expected one of these"
-            ));
+        let is_new =
+            |step: &&Step| matches!(step, Step::Plan { name, .. } if !self.plan_ids.contains_key(name));
+        if self.plan_ids.len() + entry.change.steps.iter().filter(is_new).count() > MAX_PLAN_NAMES {
+            return Err(PlanError::TooManyNames { max: MAX_PLAN_NAMES });
         }
         Ok((entry, next))
     }
@@ -266,14 +265,12 @@
         &mut self,
         now: Instant,
         request: u64,
-        result: Result<(), String>,
+        result: Result<(), PersistError>,
     ) -> Option<(PlanResponse, Option<AppliedChange>)> {
         let (_, entry, next) = self.pending.take_if(|(r, _, _)| *r == request)?;
-        if let Err(why) = result {
-            return Some((
-                PlanResponse::Refused { why: format!("not kept, so it does not hold: {why}") },
-                None,
-            ));
+        if let Err(error) = result {
+            let why = PlanError::NotPersisted(error).to_string();
+            return Some((PlanResponse::Refused { why }, None));
         }
         let before = self.change_log.catalogue.clone();
         let lines = before.diff(&next);
@@ -288,15 +285,19 @@
     }
 
     /// A change that another host has taken: it holds here from now on, if it is the next one.
-    pub fn apply_peer_change(&mut self, text: &[u8], effective_at: Instant) -> Result<AppliedChange, String> {
+    pub fn apply_peer_change(
+        &mut self,
+        text: &[u8],
+        effective_at: Instant,
+    ) -> Result<AppliedChange, PlanError> {
         let before = self.change_log.clone();
-        self.change_log.take(text, &self.fleet).map_err(|e| e.to_string())?;
+        self.change_log.take(text, &self.fleet)?;
         if let Err(r) = before.catalogue.moves_live(&self.change_log.catalogue) {
             self.change_log = before;
-            return Err(r.to_string());
+            return Err(PlanError::Refused(r));
         }
         self.effective_at = effective_at;
-        self.applied_change(&before.catalogue).ok_or_else(|| "no entry".to_owned())
+        self.applied_change(&before.catalogue).ok_or(PlanError::NoEntry)
     }
 
     fn applied_change(&mut self, before: &Catalogue) -> Option<AppliedChange> {
--- a/crates/host-core/src/plans/replicated.rs
+++ b/crates/host-core/src/plans/replicated.rs
@@ -57,17 +57,17 @@
     }
 
     /// What a change would move, as far as this host knows.
-    pub fn preview_change(&self, at_us: u64, change: Change) -> Result<(u64, u64, Vec<String>), String> {
-        let Some(a) = &self.replicated else { return Err("hosts do not agree on plans here".into()) };
-        let (entry, next) = a.propose(at_us, change, &self.fleet).map_err(|r| r.to_string())?;
+    pub fn preview_change(&self, at_us: u64, change: Change) -> Result<(u64, u64, Vec<String>), PlanError> {
+        let Some(a) = &self.replicated else { return Err(PlanError::NoConsensus) };
+        let (entry, next) = a.propose(at_us, change, &self.fleet).map_err(PlanError::Refused)?;
         Ok((entry.number, entry.version, self.change_log().catalogue.diff(&next)))
     }
 
     /// A command of the agreed log holds: what moves here, and what whoever asked for it is told.
-    pub fn apply_committed(&mut self, command: Command) -> Result<CommittedChange, String> {
+    pub fn apply_committed(&mut self, command: Command) -> Result<CommittedChange, PlanError> {
         let before = self.change_log().catalogue.clone();
-        let Some(a) = &mut self.replicated else { return Err("hosts do not agree on plans here".into()) };
-        let entry = a.apply(command, &self.fleet).map_err(|r| r.to_string())?;
+        let Some(a) = &mut self.replicated else { return Err(PlanError::NoConsensus) };
+        let entry = a.apply(command, &self.fleet).map_err(PlanError::Refused)?;
         let to = self.change_log().catalogue.clone();
         Ok(CommittedChange { updates: self.updates(&before, &to), entry, lines: before.diff(&to) })
     }
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -954,7 +954,7 @@
     fn acknowledge(&mut self, host: usize) {
         for request in std::mem::take(&mut self.hosts[host].unacknowledged) {
             let result = if self.below(12) == 0 { Err("no space left".to_owned()) } else { Ok(()) };
-            self.hosts[host].core.handle_persisted(self.now, request, result);
+            self.hosts[host].core.handle_persisted(self.now, request, result.map_err(PersistError));
         }
     }
 }
--- a/crates/host/src/admin.rs
+++ b/crates/host/src/admin.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tackmast_admin::{Answer, Call};
-use tackmast_host_core::PersistBatch;
+use tackmast_host_core::{PersistBatch, PersistError};
 use tackmast_store::Store;
 
 /// Calls open at a time.
@@ -124,7 +124,7 @@
                 }
                 Ok(ToStore::Persist { request: 0, batch }) => again.push(batch),
                 Ok(ToStore::Persist { request, batch }) => {
-                    let result = store.keep(&batch).map_err(|e| e.to_string());
+                    let result = store.keep(&batch).map_err(|e| PersistError(e.to_string()));
                     _ = core.send(Event::Kept { request, result });
                 }
                 Err(true) => {}
--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -17,7 +17,8 @@
 use tackmast_admin::Answer;
 use tackmast_config::HostSettings;
 use tackmast_host_core::{
-    AdminRequest, Age, AttemptResult, ClientCommand, CommandRef, Core, Counters, ListEntry, Output, Work,
+    AdminRequest, Age, AttemptResult, ClientCommand, CommandRef, Core, Counters, ListEntry, Output,
+    PersistError, Work,
 };
 
 /// Events taken before the outputs they caused are carried out.
@@ -78,7 +79,7 @@
     /// What became of a write.
     Kept {
         request: u64,
-        result: Result<(), String>,
+        result: Result<(), PersistError>,
     },
     Stop,
 }
@@ -332,7 +333,7 @@
                         self.store.as_ref().map(|s| s.try_send(ToStore::Persist { request, batch }).is_ok());
                     if sent != Some(true) {
                         let why = "the store takes no more writes".to_owned();
-                        self.core.handle_persisted(now, request, Err(why));
+                        self.core.handle_persisted(now, request, Err(PersistError(why)));
                     }
                 }
                 Output::AdminResponse { request, response } => {
