--- /dev/null
+++ b/crates/host-core/src/override_requests.rs
@@ -0,0 +1,284 @@
+//! Operators' overrides within the host core: orders are judged one at a time, kept durably before they hold, and
+//! reach the decision module as node states, weights and pins.
+
+use crate::error::PersistError;
+use serde::{Deserialize, Serialize};
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use tackmast::interface::{Instant, TimeDelta};
+use tackmast_overrides::{
+    Audit, Explanation, Order, Origin, Override, OverrideId, Overrides, Preview, Refusal,
+};
+
+/// Orders that may wait for the one before them to be kept.
+const MAX_QUEUED: usize = 256;
+/// How often standing overrides are told of in the log, and how many of them line by line.
+const REPORT_INTERVAL_S: f64 = 3600.0;
+const MAX_REPORT_LINES: usize = 20;
+
+/// What an operator asks of one host.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum AdminRequest {
+    Set {
+        order: Order,
+        force: bool,
+        dry_run: bool,
+        if_version: Option<u64>,
+    },
+    Clear {
+        id: OverrideId,
+        who: String,
+    },
+    List,
+    Explain {
+        address: SocketAddr,
+    },
+    Status,
+    Members,
+    Plan(crate::PlanRequest),
+    #[serde(rename = "agreement")]
+    Consensus(crate::ConsensusRequest),
+}
+
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum AdminResponse {
+    Set {
+        record: Override,
+        preview: Preview,
+        dry_run: bool,
+    },
+    Cleared {
+        id: OverrideId,
+    },
+    List {
+        version: u64,
+        standing: Vec<(Override, f64)>,
+        returning: usize,
+        returning_within_s: f64,
+    },
+    Explain(Box<Explanation>),
+    Status(Box<HostStatus>),
+    Members(Box<crate::MembersStatus>),
+    Plan(crate::PlanResponse),
+    #[serde(rename = "agreement")]
+    Consensus(crate::ConsensusResponse),
+    Refused(Refusal),
+    /// It could not be kept, so it does not hold.
+    NotKept {
+        why: String,
+    },
+}
+
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct HostStatus {
+    pub host: u32,
+    pub overrides: usize,
+    pub version: u64,
+    pub returning: usize,
+    /// Hosts that are thought to be there, this one included; 0: it hears of none.
+    #[serde(default)]
+    #[serde(rename = "there")]
+    pub alive_hosts: u32,
+    pub commands: usize,
+    #[serde(rename = "legs")]
+    pub attempts: usize,
+    pub taken: u64,
+    pub done: u64,
+    #[serde(rename = "deferred")]
+    pub rejected: u64,
+    #[serde(rename = "abandoned")]
+    pub failed: u64,
+    /// Address, what the list says, what it is given.
+    pub nodes: Vec<(SocketAddr, String, String)>,
+}
+
+/// What has to be written before the host goes on with it; all of it or nothing.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct PersistBatch {
+    pub put: Vec<Override>,
+    pub remove: Vec<OverrideId>,
+    pub audits: Vec<Audit>,
+    /// Changes of plans by number, as they are written; what the trail begins with is number 0.
+    pub changes: Vec<(u64, Vec<u8>)>,
+    /// Other hosts for the next generation to call, and the number of this one's generation.
+    pub members: Option<tackmast_membership::PersistedMembers>,
+    /// Of the agreed log.
+    pub consensus: Option<Box<tackmast_consensus::Write>>,
+}
+
+enum Pending {
+    Put(Box<(Override, Preview)>),
+    Clear(OverrideId, String),
+}
+
+pub struct OverrideRequests {
+    pub overrides: Overrides,
+    pending: Option<(u64, Pending)>,
+    queued: VecDeque<(u64, AdminRequest)>,
+    next_report_at: Instant,
+    /// Host and generation that name what is taken here, where hosts tell each other of theirs.
+    pub me: Option<(u32, u64)>,
+}
+
+/// What came of an ask.
+pub enum OverrideOutcome {
+    Respond(u64, AdminResponse),
+    Persist(u64, PersistBatch),
+}
+
+impl OverrideRequests {
+    pub fn new(now: Instant, overrides: Overrides) -> Self {
+        OverrideRequests { overrides, pending: None, queued: VecDeque::new(), next_report_at: now, me: None }
+    }
+
+    /// Answers a request, or starts writing what it asks for. Two overrides at once could each leave a shard its last node
+    /// that the other takes, so they are judged one after the other.
+    pub fn handle_request(
+        &mut self,
+        now: Instant,
+        wall_us: u64,
+        request: u64,
+        admin_request: AdminRequest,
+    ) -> Option<OverrideOutcome> {
+        let writes =
+            matches!(admin_request, AdminRequest::Clear { .. } | AdminRequest::Set { dry_run: false, .. });
+        if writes && self.pending.is_some() {
+            if self.queued.len() >= MAX_QUEUED {
+                let why = format!("{MAX_QUEUED} orders wait already");
+                return Some(OverrideOutcome::Respond(request, AdminResponse::NotKept { why }));
+            }
+            self.queued.push_back((request, admin_request));
+            return None;
+        }
+        let no_block = |block: &str| AdminResponse::NotKept {
+            why: format!("this host has no {block} block in its settings"),
+        };
+        let response = match admin_request {
+            AdminRequest::Set { order, force, dry_run, if_version } => {
+                let proposed = self.overrides.propose(wall_us, &order, force, if_version);
+                return Some(match proposed {
+                    Err(refusal) => OverrideOutcome::Respond(request, AdminResponse::Refused(refusal)),
+                    Ok((record, preview)) if dry_run => {
+                        OverrideOutcome::Respond(request, AdminResponse::Set { record, preview, dry_run })
+                    }
+                    Ok((record, preview)) => self.begin_set(request, record, preview),
+                });
+            }
+            AdminRequest::Clear { id, who } => return Some(self.begin_clear(wall_us, request, id, who)),
+            AdminRequest::List => self.list(now),
+            AdminRequest::Explain { address } => {
+                AdminResponse::Explain(Box::new(self.overrides.explain(now, address)))
+            }
+            AdminRequest::Status => AdminResponse::Status(Box::default()),
+            AdminRequest::Members => AdminResponse::Members(Box::default()),
+            // The core answers these where it can.
+            AdminRequest::Consensus(_) => no_block("agreement"),
+            AdminRequest::Plan(_) => no_block("plans"),
+        };
+        Some(OverrideOutcome::Respond(request, response))
+    }
+
+    fn begin_set(&mut self, request: u64, mut record: Override, preview: Preview) -> OverrideOutcome {
+        record.id = self.overrides.reserve();
+        let number = record.id.0;
+        let own_origin = self.me.map(|(slot, generation)| Origin { slot, generation, number });
+        record.origin = record.origin.or(own_origin);
+        let audit = Audit::set(&record, preview.forced_past.is_some());
+        let batch =
+            PersistBatch { put: vec![record.clone()], audits: vec![audit], ..PersistBatch::default() };
+        self.pending = Some((request, Pending::Put(Box::new((record, preview)))));
+        OverrideOutcome::Persist(request, batch)
+    }
+
+    fn begin_clear(&mut self, wall_us: u64, request: u64, id: OverrideId, who: String) -> OverrideOutcome {
+        let Some(record) = self.overrides.get(id) else {
+            return OverrideOutcome::Respond(request, AdminResponse::Refused(Refusal::Unknown { id }));
+        };
+        let audits = vec![Audit::cleared(wall_us, record, &who)];
+        self.pending = Some((request, Pending::Clear(id, who)));
+        OverrideOutcome::Persist(
+            request,
+            PersistBatch { remove: vec![id], audits, ..PersistBatch::default() },
+        )
+    }
+
+    fn list(&self, now: Instant) -> AdminResponse {
+        let (returning, returning_within_s) = self.overrides.returning();
+        let (version, standing) = (self.overrides.version(), self.overrides.list(now));
+        AdminResponse::List { version, standing, returning, returning_within_s }
+    }
+
+    /// The store's word on what it was given: from now on it holds, or it never does. The line is for the log.
+    pub fn handle_persisted(
+        &mut self,
+        now: Instant,
+        request: u64,
+        result: Result<(), PersistError>,
+    ) -> Option<(AdminResponse, String)> {
+        let (_, pending) = self.pending.take_if(|(r, _)| *r == request)?;
+        Some(match (pending, result) {
+            (Pending::Put(put), Err(error)) => {
+                let (record, _) = *put;
+                let line = format!("override of {} not kept: {error}", record.target);
+                (AdminResponse::NotKept { why: error.to_string() }, line)
+            }
+            (Pending::Put(put), Ok(())) => {
+                let (record, preview) = *put;
+                let line = format!(
+                    "override {} set by {}: {} {}, {} nodes change: {}",
+                    record.id.0,
+                    record.who,
+                    record.target,
+                    record.kind,
+                    preview.changes.len(),
+                    record.reason
+                );
+                self.overrides.put(now, record.clone());
+                (AdminResponse::Set { record, preview, dry_run: false }, line)
+            }
+            (Pending::Clear(id, _), Err(error)) => {
+                let line = format!("override {} stands on: clearing it was not kept: {error}", id.0);
+                (AdminResponse::NotKept { why: error.to_string() }, line)
+            }
+            // It may have ended while its clearing was written; either way it does not stand.
+            (Pending::Clear(id, who), Ok(())) => {
+                _ = self.overrides.clear(now, id, &who);
+                (AdminResponse::Cleared { id }, format!("override {} cleared by {who}", id.0))
+            }
+        })
+    }
+
+    /// The next ask that waited, once none is pending.
+    pub fn next_queued(&mut self) -> Option<(u64, AdminRequest)> {
+        if self.pending.is_some() {
+            return None;
+        }
+        self.queued.pop_front()
+    }
+
+    /// Log lines of what stands, at the start and each hour.
+    pub fn standing_lines(&mut self, now: Instant) -> Vec<String> {
+        if now < self.next_report_at {
+            return Vec::new();
+        }
+        self.next_report_at = now + TimeDelta::from_secs(REPORT_INTERVAL_S);
+        let standing = self.overrides.list(now);
+        let line = |(o, left): &(Override, f64)| {
+            format!(
+                "override {} stands: {} {}, {left:.0} s left, by {}: {}",
+                o.id.0, o.target, o.kind, o.who, o.reason
+            )
+        };
+        let mut lines: Vec<String> = standing.iter().take(MAX_REPORT_LINES).map(line).collect();
+        if standing.len() > MAX_REPORT_LINES {
+            lines.push(format!("{} more overrides stand", standing.len() - MAX_REPORT_LINES));
+        }
+        lines
+    }
+
+    pub fn next(&self, now: Instant) -> Option<Instant> {
+        [self.overrides.poll_timeout(now), Some(self.next_report_at)].into_iter().flatten().min()
+    }
+}
--- /dev/null
+++ b/crates/host-core/src/peers.rs
@@ -0,0 +1,238 @@
+//! The other hosts, as the host core follows them: what moves of limits, how many are there, and orders that were given
+//! elsewhere. A host that hears nothing goes on as it was told.
+
+use crate::layout::Layout;
+use crate::override_requests::{AdminRequest, AdminResponse};
+use bytes::Bytes;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use tackmast::interface::{Instant, TimeDelta};
+use tackmast_config::{HostSettings, MembershipBlock};
+use tackmast_membership::{
+    CatalogUpdate, CatalogVersion, Extensions, KnownPeer, LeaseSettings, Member, MemberSettings,
+    NodeListEvent, Output, OverrideEvent, OverrideKind, OverrideRecord, PersistedMembers, PreviousExit,
+    QuotaBalance, SharedLimit, ViewSettings,
+};
+use tackmast_overrides::{Kind, Order, Origin, Override, OverrideId};
+use tackmast_wire::peer::Body;
+
+/// Asks that follow from other hosts' orders have numbers from here on.
+const FIRST_PEER_REQUEST: u64 = 1 << 63;
+
+/// The view, the loans and the orders of one host, and what was passed on of them.
+pub struct Peers {
+    pub member: Member,
+    max_hosts: u32,
+    alive_hosts: u32,
+    quota_balances: BTreeMap<u32, QuotaBalance>,
+    /// Volumes that are still to be looked at in this round.
+    volumes_to_check: Vec<u32>,
+    checked_at: Option<Instant>,
+    origins: BTreeMap<OverrideId, Origin>,
+    last_request: u64,
+}
+
+pub enum PeerEvent {
+    There(u32),
+    /// Of a volume by its place.
+    Moved {
+        volume: usize,
+        m: QuotaBalance,
+    },
+    Send {
+        to: SocketAddr,
+        bytes: Bytes,
+    },
+    Mode(String),
+    AdminRequest(u64, AdminRequest),
+    /// A change of plans.
+    CatalogUpdate(CatalogUpdate),
+    /// To be written down for the next generation.
+    Remember(PersistedMembers),
+    NodeList(NodeListEvent),
+    Word {
+        from: SocketAddr,
+        slot: u32,
+        body: Body,
+    },
+}
+
+/// What a host's settings make of it as a member. `address` is where it listens; `recalled` are hosts that an earlier generation
+/// knew.
+pub fn member_settings(
+    s: &HostSettings,
+    m: &MembershipBlock,
+    address: SocketAddr,
+    generation: u64,
+    left: bool,
+    seed: u64,
+    recalled: Vec<KnownPeer>,
+) -> MemberSettings {
+    let secs = TimeDelta::from_secs;
+    let shared_limits = s.volumes.iter().filter(|v| !v.through.is_empty()).map(|v| SharedLimit {
+        volume: v.lun,
+        limit: s.plans[v.plan as usize].limit,
+        owners: v.through.clone(),
+    });
+    MemberSettings {
+        fleet: m.fleet.clone(),
+        slot: s.host.number,
+        generation,
+        address: m.advertise.unwrap_or(address),
+        site: s.host.site,
+        persisted: recalled,
+        seeds: m.seeds.clone(),
+        allowed_networks: m.admit.clone(),
+        view: ViewSettings {
+            protocol_period: secs(m.period_ms / 1e3),
+            max_hosts: s.host.hosts as usize,
+            extensions: Extensions::all(),
+        },
+        leases: LeaseSettings {
+            term: secs(m.term_s),
+            leave_term: secs(m.leave_s),
+            drift: m.drift,
+            owned: tackmast::policy::GUARANTEED_SHARE,
+        },
+        shared_limits: shared_limits.collect(),
+        previous_exit: if left { PreviousExit::Graceful } else { PreviousExit::Unclean },
+        seed,
+    }
+}
+
+impl Peers {
+    pub fn new(now: Instant, settings: MemberSettings) -> Self {
+        Peers {
+            max_hosts: settings.view.max_hosts as u32,
+            member: Member::new(now, settings),
+            alive_hosts: 0,
+            quota_balances: BTreeMap::new(),
+            volumes_to_check: Vec::new(),
+            checked_at: None,
+            origins: BTreeMap::new(),
+            last_request: FIRST_PEER_REQUEST,
+        }
+    }
+
+    pub fn me(&self) -> (u32, u64) {
+        let me = self.member.view.me();
+        (me.slot, me.generation)
+    }
+
+    /// This host goes by plans that change, and has these changes.
+    pub fn enable_catalog(&mut self, plans: &crate::Plans) {
+        let encoded_changes =
+            plans.encoded_changes().map(|(number, text)| CatalogUpdate { number, text: Bytes::from(text) });
+        let (number, mark) = plans.newest_version();
+        self.member.catalog.enable(CatalogVersion { number, mark }, encoded_changes);
+    }
+
+    pub fn is_from_peer(request: u64) -> bool {
+        request >= FIRST_PEER_REQUEST
+    }
+
+    /// An order that stands here since before.
+    pub fn add_override(&mut self, now: Instant, o: &Override, left_s: f64) {
+        let Some(origin) = o.origin else { return };
+        self.origins.insert(o.id, origin);
+        self.member.add_override(now, override_record(o, origin, left_s));
+    }
+
+    /// What became of an order here.
+    pub fn handle_override_response(&mut self, now: Instant, response: &AdminResponse) {
+        match response {
+            AdminResponse::Set { record, dry_run: false, .. } => {
+                let left_s = record.ends_us.saturating_sub(record.set_us) as f64 / 1e6;
+                self.add_override(now, record, left_s);
+            }
+            AdminResponse::Cleared { id } => {
+                if let Some(name) = self.origins.remove(id) {
+                    self.member.clear_override(name);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    pub fn next(&mut self, now: Instant, layout: &Layout) -> Option<PeerEvent> {
+        if let Some(o) = self.member.poll_output() {
+            return Some(match o {
+                Output::Send { to, bytes } => PeerEvent::Send { to, bytes },
+                Output::Log(line) => PeerEvent::Mode(line),
+                Output::CatalogUpdate(p) => PeerEvent::CatalogUpdate(p),
+                Output::Persist(r) => PeerEvent::Remember(r),
+                Output::NodeList(c) => PeerEvent::NodeList(c),
+                Output::Consensus { from, slot, body } => PeerEvent::Word { from, slot, body },
+                Output::Override(d) => match self.request_of_event(d) {
+                    Some(ask) => {
+                        self.last_request += 1;
+                        PeerEvent::AdminRequest(self.last_request, ask)
+                    }
+                    None => return self.next(now, layout),
+                },
+            });
+        }
+        // Who has not been heard of counts as there: hosts that start at once, each thinking itself alone, would all send
+        // as if they were.
+        let alive_hosts = self.max_hosts.saturating_sub(self.member.view.gone_count()).max(1);
+        if alive_hosts != self.alive_hosts {
+            self.alive_hosts = alive_hosts;
+            return Some(PeerEvent::There(alive_hosts));
+        }
+        if self.checked_at != Some(now) {
+            self.checked_at = Some(now);
+            self.volumes_to_check = self.member.leases.volumes().collect();
+        }
+        while let Some(lun) = self.volumes_to_check.pop() {
+            let (Some(m), Some(volume)) = (self.member.quota_balance(now, lun), layout.volume_of(lun)) else {
+                continue;
+            };
+            if self.quota_balances.insert(lun, m) != Some(m) {
+                return Some(PeerEvent::Moved { volume, m });
+            }
+        }
+        // Looked at again at each call: a datagram of the same moment may have moved something.
+        self.checked_at = None;
+        None
+    }
+
+    fn request_of_event(&self, d: OverrideEvent) -> Option<AdminRequest> {
+        match d {
+            OverrideEvent::Set { origin, record: order, seconds } => {
+                let kind = match order.kind {
+                    OverrideKind::Out => Kind::OutOfService,
+                    OverrideKind::Pinned => Kind::Pinned,
+                    OverrideKind::Weight(w) => Kind::Weight(f64::from(w)),
+                };
+                let target = order.target.parse().ok()?;
+                let (reason, who, origin) = (order.reason, order.who, Some(origin));
+                let order = Order { target, kind, reason, who, seconds, origin };
+                // The host that took it looked at what it would take out; here it is to hold as there.
+                Some(AdminRequest::Set { order, force: true, dry_run: false, if_version: None })
+            }
+            OverrideEvent::Clear { origin } => {
+                let id = self.origins.iter().find(|(_, n)| **n == origin).map(|(id, _)| *id)?;
+                Some(AdminRequest::Clear { id, who: format!("host {}", origin.slot) })
+            }
+        }
+    }
+}
+
+fn override_record(o: &Override, origin: Origin, left_s: f64) -> OverrideRecord {
+    OverrideRecord {
+        slot: origin.slot,
+        generation: origin.generation,
+        number: origin.number,
+        kind: match o.kind {
+            Kind::OutOfService => OverrideKind::Out,
+            Kind::Pinned => OverrideKind::Pinned,
+            Kind::Weight(w) => OverrideKind::Weight(w as f32),
+        },
+        target: o.target.to_string(),
+        reason: o.reason.clone(),
+        who: o.who.clone(),
+        remaining_ms: (left_s.max(0.0) * 1e3) as u64,
+        total_ms: o.ends_us.saturating_sub(o.set_us) / 1000,
+        cleared: false,
+    }
+}
--- a/crates/store/src/consensus_log.rs
+++ b/crates/store/src/consensus_log.rs
@@ -8,12 +8,12 @@
 use bytes::{Bytes, BytesMut};
 use redb::{Database, ReadTransaction, ReadableTable, WriteTransaction};
 use tackmast_consensus::{DiskIdentity, Entry, LogSuffix, PersistentState, Write};
-use tackmast_host_core::AgreedStart;
+use tackmast_host_core::ConsensusStart;
 use tackmast_wire::consensus::{decode_entry, encode_entry};
 use tackmast_wire::reader::Fields;
 
 /// None where the store has no consensus log. Any row that is not as it was written is an error that names it.
-pub(crate) fn read(transaction: &ReadTransaction) -> Result<Option<AgreedStart>, StoreProblem> {
+pub(crate) fn read(transaction: &ReadTransaction) -> Result<Option<ConsensusStart>, StoreProblem> {
     let Ok(table) = transaction.open_table(LOG_STATE) else { return Ok(None) };
     let StoredIdentity { disk, boot } = read_row(&table, IDENTITY_KEY, decode_identity)?.unwrap_or_default();
     let snapshot = read_row(&table, SNAPSHOT_KEY, decode_snapshot)?.unwrap_or_default();
@@ -25,7 +25,7 @@
         confirmed_voters: read_row(&table, CONFIRMED_VOTERS_KEY, decode_voters)?,
         known_disks: read_row(&table, KNOWN_DISKS_KEY, decode_known_disks)?.unwrap_or_default(),
     };
-    Ok(Some(AgreedStart { identity: DiskIdentity { disk, boot, generation: 0 }, persisted }))
+    Ok(Some(ConsensusStart { identity: DiskIdentity { disk, boot, generation: 0 }, persisted }))
 }
 
 fn read_row<T>(
@@ -58,7 +58,7 @@
     database: &Database,
     random_id: u64,
     generation: u64,
-) -> Result<AgreedStart, StoreProblem> {
+) -> Result<ConsensusStart, StoreProblem> {
     let mut start = read(&database.begin_read()?)?.unwrap_or_default();
     let identity = &mut start.identity;
     if identity.disk == 0 {
--- a/crates/store/src/persisted_state.rs
+++ b/crates/store/src/persisted_state.rs
@@ -7,7 +7,7 @@
 };
 use redb::{Database, ReadTransaction, ReadableTable};
 use std::net::SocketAddr;
-use tackmast_host_core::{AgreedStart, KnownPeer, PersistedMembers};
+use tackmast_host_core::{ConsensusStart, KnownPeer, PersistedMembers};
 use tackmast_overrides::Override;
 
 /// What a store held when it was opened.
@@ -20,7 +20,7 @@
     /// The change log of plans, as it was written.
     pub change_log: Vec<u8>,
     /// The consensus log; none before it was first opened.
-    pub consensus_log: Option<AgreedStart>,
+    pub consensus_log: Option<ConsensusStart>,
     /// What an earlier generation knew of peers, and the number of that generation.
     pub members: PersistedMembers,
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -8,7 +8,7 @@
 use redb::{Database, ReadableTable};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Path, PathBuf};
-use tackmast_host_core::{AgreedStart, Keep};
+use tackmast_host_core::{ConsensusStart, PersistBatch};
 use tackmast_overrides::Audit;
 
 const MOVE_AWAY: &str =
@@ -62,12 +62,12 @@
 
     /// Opens the consensus log once more: `random_id` becomes the id of a disk that has none yet, and the count of starts goes
     /// up by one. Both are on the disk when this returns, and no message about the log may be sent before.
-    pub fn open_consensus_log(&self, random_id: u64, generation: u64) -> Result<AgreedStart, StoreError> {
+    pub fn open_consensus_log(&self, random_id: u64, generation: u64) -> Result<ConsensusStart, StoreError> {
         consensus_log::open(&self.database, random_id, generation).map_err(|problem| self.access(problem))
     }
 
     /// Writes all of the update or nothing; it is on the disk when this returns.
-    pub fn write(&self, update: &Keep) -> Result<(), StoreError> {
+    pub fn write(&self, update: &PersistBatch) -> Result<(), StoreError> {
         let write = || {
             let transaction = self.database.begin_write()?;
             update::write(&transaction, update)?;
--- a/crates/store/src/update.rs
+++ b/crates/store/src/update.rs
@@ -4,26 +4,26 @@
 use crate::error::StoreProblem;
 use crate::tables::{AUDIT, CHANGES, GENERATION_KEY, MEMBERS, META, NEXT_OVERRIDE_KEY, OVERRIDES};
 use redb::{ReadableTable, ReadableTableMetadata, WriteTransaction};
-use tackmast_host_core::{Keep, KnownPeer, PersistedMembers};
+use tackmast_host_core::{KnownPeer, PersistBatch, PersistedMembers};
 use tackmast_overrides::Audit;
 
 /// Lines of the audit log that are retained; the oldest go first.
 const MAX_AUDIT_LINES: u64 = 100_000;
 
 /// Writes all parts of the update; the caller commits.
-pub(crate) fn write(transaction: &WriteTransaction, update: &Keep) -> Result<(), StoreProblem> {
+pub(crate) fn write(transaction: &WriteTransaction, update: &PersistBatch) -> Result<(), StoreProblem> {
     write_overrides(transaction, update)?;
     write_changes(transaction, &update.changes)?;
     if let Some(members) = &update.members {
         write_members(transaction, members)?;
     }
-    if let Some(log) = &update.agreed {
+    if let Some(log) = &update.consensus {
         consensus_log::write(transaction, log)?;
     }
     append_audit(transaction, &update.audits)
 }
 
-fn write_overrides(transaction: &WriteTransaction, update: &Keep) -> Result<(), StoreProblem> {
+fn write_overrides(transaction: &WriteTransaction, update: &PersistBatch) -> Result<(), StoreProblem> {
     let mut overrides = transaction.open_table(OVERRIDES)?;
     let mut meta = transaction.open_table(META)?;
     let mut next = meta.get(NEXT_OVERRIDE_KEY)?.map_or(1, |row| row.value());
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -7,7 +7,7 @@
 use tackmast_consensus::{
     Entry, EntryPayload, HardState, LogPosition, LogSuffix, PersistentState, Snapshot, Voters, Write,
 };
-use tackmast_host_core::{Keep, KnownPeer, PersistedMembers};
+use tackmast_host_core::{KnownPeer, PersistBatch, PersistedMembers};
 use tackmast_overrides::*;
 use tackmast_store::{OpenedStore, PersistedState, Store};
 
@@ -79,7 +79,7 @@
     }
 }
 
-fn put(id: u64) -> Keep {
+fn put(id: u64) -> PersistBatch {
     let changes = vec![(id - 1, vec![id as u8; 8])];
     // As many other hosts as the number says, under a generation of that number.
     let host = |h: u32| {
@@ -88,13 +88,13 @@
     };
     let members = Some(PersistedMembers { generation: id, peers: (0..id as u32).map(host).collect() });
     let audits = vec![Audit::set(&record(id), false)];
-    Keep {
+    PersistBatch {
         put: vec![record(id)],
         remove: vec![],
         audits,
         changes,
         members,
-        agreed: Some(Box::new(log_write(id))),
+        consensus: Some(Box::new(log_write(id))),
     }
 }
 
@@ -115,9 +115,9 @@
     }
 }
 
-fn clear(id: u64) -> Keep {
+fn clear(id: u64) -> PersistBatch {
     let audits = vec![Audit::cleared(0, &record(id), "bob")];
-    Keep { remove: vec![OverrideId(id)], audits, ..Keep::default() }
+    PersistBatch { remove: vec![OverrideId(id)], audits, ..PersistBatch::default() }
 }
 
 fn ids(overrides: &[Override]) -> Vec<u64> {
@@ -125,7 +125,7 @@
 }
 
 /// Updates, and the overrides before the first and after each of them.
-fn steps() -> (Vec<Keep>, Vec<Vec<u64>>) {
+fn steps() -> (Vec<PersistBatch>, Vec<Vec<u64>>) {
     let updates = vec![put(1), put(2), clear(1), put(3), put(4), clear(3), put(5)];
     let expected =
         vec![vec![], vec![1], vec![1, 2], vec![2], vec![2, 3], vec![2, 3, 4], vec![2, 4], vec![2, 4, 5]];
@@ -148,7 +148,7 @@
 }
 
 /// Overrides, changes of plans and members are those after `done` writes or the one after, each in whole.
-fn assert_state(cut: usize, state: &PersistedState, updates: &[Keep], done: usize) {
+fn assert_state(cut: usize, state: &PersistedState, updates: &[PersistBatch], done: usize) {
     // Changes of plans are written with the rest: one for each record that was ever put.
     let puts = |n: usize| updates.iter().take(n).filter(|k| !k.put.is_empty()).count();
     let changes = state.change_log.len() / 8;
