--- a/crates/host-core/src/attempt.rs
+++ b/crates/host-core/src/attempt.rs
@@ -9,10 +9,14 @@
 /// What an attempt asks of its node; lengths in bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptWork {
+    /// Bytes are read.
     Read {
+        /// How many.
         length: u32,
     },
+    /// Bytes are written.
     Write {
+        /// The bytes.
         data: Bytes,
     },
     /// As it came; its host only places it.
@@ -23,27 +27,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId(pub u64);
 
+/// An attempt, for the connection to its node.
 #[derive(Clone, Debug)]
 pub struct SendAttempt {
+    /// The node.
     pub node: NodeId,
+    /// Its number among all attempts of this host.
     pub attempt: AttemptId,
     /// The request's number in this generation of the host, the attempt's within the request.
     pub request: u64,
+    /// Its number within the request, from 0.
     pub attempt_number: u8,
+    /// The command that it serves.
     pub from: CommandRef,
+    /// Which part of the command.
     pub part: u16,
     /// When nobody waits for its answer any more.
     pub until: Instant,
     /// When a repeat may no longer be known for one: no first byte leaves from then on.
     pub begin_by: Option<Instant>,
+    /// The idempotency key by which nodes recognise a retry; 0 where the traffic class has none.
     pub mark: u128,
     /// Order key; 0 where the traffic class asks for no order.
     pub key: u64,
+    /// The volume.
     pub volume: u32,
     /// Bytes from the volume's start.
     pub offset: u64,
+    /// What it costs, in units.
     pub units: f64,
+    /// What the node is to do.
     pub work: AttemptWork,
+    /// Whether it may still be withdrawn.
     pub ticket: Ticket,
 }
 
@@ -74,10 +89,14 @@
 /// What came back for an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
+    /// The attempt.
     pub attempt: AttemptId,
+    /// How it ended.
     pub outcome: Outcome,
     /// Requests waiting at the node, and units it served for the volume through other hosts, where it told.
     pub waiting: Option<u32>,
+    /// Units that the node served for the volume through other hosts, where it told.
     pub elsewhere: Option<f64>,
+    /// What was read.
     pub data: Bytes,
 }
--- a/crates/host-core/src/combine.rs
+++ b/crates/host-core/src/combine.rs
@@ -6,17 +6,24 @@
 /// How far one part has come. `ran` tells whether an attempt of it may have had an effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PartState {
+    /// It has no end yet.
     Open {
+        /// Whether an attempt may have had an effect.
         ran: bool,
     },
+    /// It is done.
     Done,
+    /// It was given up before it was done.
     Rejected {
+        /// Whether an attempt may have had an effect.
         ran: bool,
+        /// After how long a retry may succeed.
         retry_after: Option<TimeDelta>,
     },
     /// The module gave it up with an attempt out that may have run. Where the links have proof that none of it ever
     /// left, it is as good as rejected.
     Failed {
+        /// Whether an attempt may have had an effect.
         ran: bool,
     },
 }
--- a/crates/host-core/src/command.rs
+++ b/crates/host-core/src/command.rs
@@ -6,14 +6,25 @@
 /// A client's command: its session at this host, and its number within that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CommandRef {
+    /// The session.
     pub session: u32,
+    /// The command within it.
     pub command: u32,
 }
 
+/// What a command asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Work {
-    Read { blocks: u32 },
-    Write { data: Bytes },
+    /// Read blocks.
+    Read {
+        /// How many.
+        blocks: u32,
+    },
+    /// Write whole blocks.
+    Write {
+        /// Their bytes.
+        data: Bytes,
+    },
 }
 
 /// A command as its client sent it.
@@ -38,7 +49,16 @@
 /// The one final answer to a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    Done { data: Bytes },
-    Rejected { retry_after: Option<TimeDelta> },
+    /// It is done.
+    Done {
+        /// What was read.
+        data: Bytes,
+    },
+    /// It was not done; a retry is safe.
+    Rejected {
+        /// After how long a retry may succeed.
+        retry_after: Option<TimeDelta>,
+    },
+    /// It may have been done in part; a retry is not safe.
     Failed,
 }
--- a/crates/host-core/src/consensus.rs
+++ b/crates/host-core/src/consensus.rs
@@ -22,40 +22,54 @@
 /// Writes of the agreed log are told of under numbers from here on.
 pub(crate) const FIRST_WRITE_REQUEST: u64 = 1 << 62;
 
+/// What an operator asks of this host's consensus.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConsensusRequest {
+    /// The status of this host's replica.
     Status,
     /// One voter more, or one less; asked of the host that leads.
     Voter {
+        /// The voter's host.
         host: u32,
+        /// Whether it votes from now on.
         votes: bool,
     },
     /// Most voters are gone for good: this host goes on alone, from what it has.
     Force {
+        /// Who asks.
         who: String,
+        /// For what reason.
         why: String,
     },
     /// This host forgets its log, to follow one that was forced elsewhere.
     Forget {
+        /// Who asks.
         who: String,
+        /// For what reason.
         why: String,
     },
 }
 
+/// The answer to a `ConsensusRequest`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConsensusResponse {
+    /// The status of this host's replica.
     Status(Box<ConsensusStatus>),
     /// Done here, and written into the audit trail; of a force, the mark of the log that it began.
     Done {
+        /// The mark of the log that applies from now on; 0: none.
         log: u64,
     },
     /// It stands in the log at that place, and holds once most have it.
     Taken {
+        /// The place in the log.
         index: u64,
     },
+    /// Nothing was done.
     Refused {
+        /// Why not.
         why: String,
     },
 }
@@ -63,29 +77,41 @@
 /// How a host stands to what is agreed on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConsensusStatus {
+    /// This host.
     pub host: u32,
+    /// Its generation.
     #[serde(rename = "life")]
     pub generation: u64,
     /// Leads, follows, or asks for votes.
     pub role: String,
+    /// The current term.
     pub term: u64,
+    /// The leader, where one is known.
     pub leader: Option<u32>,
     /// The mark of the log: hosts with different ones do not go by the same.
     pub log: u64,
+    /// Hosts that vote.
     pub voters: Vec<u32>,
+    /// Whether this host votes.
     pub votes: bool,
+    /// Whether the log has its initial voters.
     pub founded: bool,
     /// Its disk takes no writes.
     pub failed: bool,
+    /// The index of the last entry.
     pub last: u64,
+    /// The index up to which entries are committed.
     pub commit: u64,
+    /// The index up to which entries are in the snapshot.
     pub folded: u64,
     /// Of the plans that it goes by, and the newest that all hosts have, as was agreed.
     pub version: u64,
+    /// The newest version of the plans that is known to be stored on all hosts.
     #[serde(rename = "told")]
     pub acknowledged: u64,
     /// Holds, past or never; and seconds until its end, or since.
     pub lease: String,
+    /// Seconds until the lease ends, or since it did.
     pub lease_s: f64,
     /// It goes by the floors.
     #[serde(rename = "posture")]
@@ -94,20 +120,28 @@
     pub in_force_s: f64,
     /// Where it leads: by host, the entries that it said it has, and seconds since.
     pub has: BTreeMap<u32, (u64, f64)>,
+    /// Elections begun here.
     pub elections: u64,
+    /// Entries committed here.
     pub commits: u64,
+    /// Leases granted here.
     pub granted: u64,
+    /// Messages rejected since they came from a voter's other disk.
     pub wrong_disks: u64,
+    /// Messages dropped.
     pub lost: u64,
 }
 
 /// What a host's disk has of the agreement.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConsensusStart {
+    /// What tells this disk from others.
     pub identity: DiskIdentity,
+    /// The log and the state of Raft.
     pub persisted: PersistentState,
 }
 
+/// The replica of this host, with the transfer of its messages and whoever waits for it.
 pub struct ConsensusDriver {
     pub(crate) replica: Replica,
     pub(crate) chunks: ChunkedTransfer,
@@ -122,6 +156,7 @@
     me: u32,
 }
 
+/// The settings of Raft that the settings of a host amount to.
 pub fn raft_settings(s: &HostSettings, a: &AgreementBlock) -> RaftSettings {
     RaftSettings {
         heartbeat_interval: TimeDelta::from_secs(a.beat_ms / 1e3),
@@ -135,6 +170,7 @@
 }
 
 impl ConsensusDriver {
+    /// A replica that goes on from what the disk has; `seed` is for chance in elections.
     pub fn new(
         now: Instant,
         s: &HostSettings,
@@ -167,6 +203,7 @@
         }
     }
 
+    /// When the replica wants to be called again.
     pub fn poll_timeout(&self, now: Instant) -> Instant {
         let reads = self.reads.iter().map(|(_, until, _, _)| *until);
         let all = [Some(self.replica.poll_timeout(now)), self.chunks.poll_timeout()];
@@ -196,10 +233,12 @@
         Lease::max_holdover(self.settings.lease, self.settings.max_clock_drift)
     }
 
+    /// Whether this host's lease is valid.
     pub fn lease_state(&self, now: Instant) -> LeaseState {
         self.replica.lease_state(now)
     }
 
+    /// The replica as operators see it. The figures of the plans are filled in by the core.
     pub fn status(&self, now: Instant) -> ConsensusStatus {
         let reported = |(host, f): (u32, FollowerStatus)| (host, (f.stored_index, f.silent_for.secs()));
         let (s, c) = (self.replica.status(now), self.replica.raft.counters);
--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -40,6 +40,7 @@
 /// Part of the grace of a drain after which links that still write to the node are cut.
 const GRACE_SHARE: f64 = 0.5;
 
+/// One host without sockets, threads or clocks: inputs are `handle_...`, outputs are taken by `poll_output`.
 pub struct Core {
     scheduler: Scheduler,
     layout: Layout,
@@ -71,6 +72,7 @@
     number: u32,
     wall_offset_us: i64,
     outputs: VecDeque<Output>,
+    /// What happened since the start.
     pub counters: Counters,
 }
 
@@ -163,10 +165,12 @@
         }
     }
 
+    /// Where the blocks of volumes lie.
     pub fn layout(&self) -> &Layout {
         &self.layout
     }
 
+    /// The nodes that are known.
     pub fn nodes(&self) -> &Nodes {
         &self.nodes
     }
@@ -204,6 +208,7 @@
         self.scheduler.service_rates(now)
     }
 
+    /// Tells the scheduler at which rate a shard served an earlier generation of this host.
     pub fn restore_service_rate(&mut self, now: Instant, shard: ShardId, rate: f64) {
         self.scheduler.service_rate_restored(now, shard, rate);
     }
--- a/crates/host-core/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -244,6 +244,7 @@
         }
     }
 
+    /// The session ended: its commands are aborted.
     pub fn handle_session_closed(&mut self, now: Instant, session: u32) {
         for command in self.sessions.remove(&session).unwrap_or_default() {
             self.handle_abort(now, CommandRef { session, command });
--- a/crates/host-core/src/core/peers.rs
+++ b/crates/host-core/src/core/peers.rs
@@ -35,6 +35,7 @@
         }
     }
 
+    /// The plans that change while the host runs, where there are any.
     pub fn plans(&self) -> Option<&Plans> {
         self.plans.as_ref()
     }
@@ -149,6 +150,7 @@
         }
     }
 
+    /// Whether this host has begun to leave.
     pub fn is_leaving(&self) -> bool {
         self.peers.as_ref().is_some_and(|f| f.member.leases.is_leaving())
     }
--- a/crates/host-core/src/fair_queueing.rs
+++ b/crates/host-core/src/fair_queueing.rs
@@ -13,8 +13,11 @@
 /// What waits for the same shard, volume and traffic class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueKey {
+    /// The shard.
     pub shard: u32,
+    /// The volume.
     pub volume: u32,
+    /// The traffic class.
     pub traffic_class: u32,
 }
 
@@ -25,6 +28,7 @@
     queue: QueueKey,
     session: u32,
     units: f64,
+    /// By which requests of one queue leave: the lowest first.
     pub tag: f64,
 }
 
@@ -61,6 +65,7 @@
 }
 
 impl FairQueueing {
+    /// Enters a request of a session that costs so many units.
     pub fn enqueue(&mut self, name: QueueKey, session: u32, units: f64) -> QueueTicket {
         let queue = self.queues.entry(name).or_insert_with(FairQueue::new);
         queue.evict_idle();
--- a/crates/host-core/src/layout.rs
+++ b/crates/host-core/src/layout.rs
@@ -7,14 +7,19 @@
 /// The blocks of a command that lie in one extent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Part {
+    /// The first block.
     pub block: u64,
+    /// How many.
     pub blocks: u32,
+    /// The shard that has the extent.
     pub shard: ShardId,
     /// What is read or written, for the order of requests; never 0.
     pub key: u64,
+    /// What it costs, in units.
     pub units: f64,
 }
 
+/// The volumes of a host, and how their blocks are spread over shards.
 #[derive(Debug, Default)]
 pub struct Layout {
     volumes: Vec<Volume>,
@@ -26,6 +31,7 @@
 }
 
 impl Layout {
+    /// The volumes of these settings.
     pub fn new(s: &HostSettings) -> Self {
         let granules = s.volumes.iter().map(|v| {
             let order = |st: &tackmast_config::TrafficClass| {
@@ -43,10 +49,12 @@
         }
     }
 
+    /// The volume of a LUN.
     pub fn volume_of(&self, lun: u32) -> Option<usize> {
         self.volumes.iter().position(|v| v.lun == lun)
     }
 
+    /// The volume of a name.
     pub fn volume_named(&self, name: &str) -> Option<usize> {
         self.volumes.iter().position(|v| v.name == name)
     }
@@ -56,14 +64,17 @@
         self.volumes[volume].plan = plan;
     }
 
+    /// All volumes, by their number.
     pub fn volumes(&self) -> &[Volume] {
         &self.volumes
     }
 
+    /// One volume.
     pub fn volume(&self, volume: usize) -> &Volume {
         &self.volumes[volume]
     }
 
+    /// The traffic class of a command on so many blocks.
     pub fn traffic_class(&self, volume: usize, write: bool, blocks: u32) -> usize {
         let v = &self.volumes[volume];
         let read =
--- a/crates/host-core/src/lib.rs
+++ b/crates/host-core/src/lib.rs
@@ -3,6 +3,8 @@
 //! is decided by `tackmast::policy` alone; this package keeps what ties clients, requests and attempts together,
 //! and answers for commands of several parts. docs/host.md describes it.
 
+#![warn(missing_docs)]
+
 mod admission;
 mod attempt;
 mod combine;
--- a/crates/host-core/src/members_status.rs
+++ b/crates/host-core/src/members_status.rs
@@ -5,16 +5,24 @@
 use tackmast::interface::Instant;
 use tackmast_membership::{LeaseStatus, SiteHealth};
 
+/// A peer as this host sees it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PeerStatus {
+    /// The host.
     pub host: u32,
+    /// Alive, suspect, dead or left.
     pub health: String,
+    /// Where it is reached.
     pub address: String,
+    /// Its generation.
     #[serde(rename = "life")]
     pub generation: u64,
+    /// Seconds since its health changed.
     pub since_s: f64,
+    /// Its incarnation.
     #[serde(default)]
     pub incarnation: u32,
+    /// Its site, where it told one.
     #[serde(default)]
     pub site: Option<u32>,
     /// It comes and goes: it is not asked for help until it stays.
@@ -27,9 +35,13 @@
 pub struct SiteStatus {
     /// None: hosts that told no site.
     pub site: Option<u32>,
+    /// Hosts that are alive.
     pub alive: u32,
+    /// Hosts that are suspected.
     pub suspect: u32,
+    /// Hosts that are dead.
     pub dead: u32,
+    /// Hosts that left.
     pub left: u32,
     /// There, unheard as a whole, emptied one by one, or left.
     pub word: String,
@@ -38,10 +50,14 @@
 /// A host that was held dead.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DeathStatus {
+    /// The host.
     pub host: u32,
+    /// Its generation.
     #[serde(rename = "life")]
     pub generation: u64,
+    /// Its incarnation.
     pub incarnation: u32,
+    /// Seconds since.
     pub ago_s: f64,
     /// This host found it itself; else it was heard.
     pub own: bool,
@@ -52,25 +68,34 @@
 pub struct MembersStatus {
     /// None: it has no membership in its settings.
     pub host: Option<u32>,
+    /// Hosts that are thought to be alive, this one included.
     #[serde(rename = "there")]
     pub alive_hosts: u32,
+    /// The others.
     pub peers: Vec<PeerStatus>,
     /// By LUN: own part, lent, borrowed and needed, as shares of the limit.
     pub loans: Vec<(u32, f64, f64, f64, f64)>,
     /// Another generation of this host's number runs.
     pub displaced: bool,
+    /// Datagrams sent.
     pub sent: u64,
+    /// Bytes of them.
     pub sent_bytes: u64,
+    /// Datagrams received.
     pub taken: u64,
+    /// Datagrams dropped, for whatever reason.
     pub dropped: u64,
     /// This host's own generation, its word on itself, its site and where others reach it.
     #[serde(default)]
     #[serde(rename = "life")]
     pub generation: u64,
+    /// This host's incarnation.
     #[serde(default)]
     pub incarnation: u32,
+    /// This host's site.
     #[serde(default)]
     pub site: Option<u32>,
+    /// Where others reach this host.
     #[serde(default)]
     pub address: String,
     /// Of all that it knows: equal where views are equal.
@@ -82,31 +107,41 @@
     /// Steps by which it waits longer for answers, since they come late here.
     #[serde(default)]
     pub strain: u32,
+    /// The sites, one by one.
     #[serde(default)]
     pub sites: Vec<SiteStatus>,
+    /// Hosts that were declared dead of late.
     #[serde(default)]
     pub deaths: Vec<DeathStatus>,
     /// Suspicions begun and taken back, deaths found here, accusations of this host that it answered, and times it stood
     /// still; news of hosts beyond the told number; changes of hosts that flap; times it took its number back.
     #[serde(default)]
     pub suspected: u64,
+    /// Suspicions that their hosts refuted.
     #[serde(default)]
     pub refuted: u64,
+    /// Hosts that this one declared dead.
     #[serde(default)]
     pub found_dead: u64,
+    /// Suspicions of this host that it refuted.
     #[serde(default)]
     pub accused: u64,
+    /// Times that this host stood still.
     #[serde(default)]
     pub pauses: u64,
+    /// Updates about hosts beyond the configured number.
     #[serde(default)]
     pub beyond: u64,
+    /// Changes of hosts that flap.
     #[serde(default)]
     pub damped: u64,
+    /// Times that this host took its number back from another generation.
     #[serde(default)]
     pub taken_over: u64,
 }
 
 impl Peers {
+    /// What this host knows of the others.
     pub fn status(&self, now: Instant) -> MembersStatus {
         let (c, view) = (&self.member.counters, &self.member.view);
         let (me, v) = (view.me(), view.counters);
--- a/crates/host-core/src/nodes.rs
+++ b/crates/host-core/src/nodes.rs
@@ -10,8 +10,11 @@
     pub id: String,
     /// Where this host reaches it; may change.
     pub address: String,
+    /// What the list says of it.
     pub state: NodeState,
+    /// Its zone.
     pub zone: ZoneId,
+    /// The shard that it serves.
     pub shard: ShardId,
     /// Its latest start, where that is told.
     pub start: Option<NodeStart>,
@@ -20,7 +23,9 @@
 /// A list's word on a start: its own figure for it, which names it, and how long ago it was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeStart {
+    /// The list's own figure for the start; another one means another start.
     pub name: u64,
+    /// How long ago it was.
     pub age: Age,
 }
 
@@ -72,6 +77,7 @@
 }
 
 impl Nodes {
+    /// A table of at most so many nodes.
     pub fn new(most: usize) -> Self {
         Nodes { most, ..Nodes::default() }
     }
@@ -127,6 +133,7 @@
         }
     }
 
+    /// Where the node is reached.
     pub fn address(&self, node: NodeId) -> Option<&str> {
         self.known.get(&node).map(|k| k.address.as_str())
     }
@@ -158,6 +165,7 @@
         }
     }
 
+    /// Address and entry of each node.
     pub fn entries(&self) -> impl Iterator<Item = (&str, &NodeEntry)> {
         self.known.values().map(|k| (k.address.as_str(), &k.entry))
     }
--- a/crates/host-core/src/output.rs
+++ b/crates/host-core/src/output.rs
@@ -6,65 +6,99 @@
 use bytes::Bytes;
 use tackmast::interface::NodeId;
 
+/// What the shell is to do next.
 #[derive(Clone, Debug)]
 pub enum Output {
+    /// Give an attempt to the connection to its node.
     Send(Box<SendAttempt>),
     /// Nobody waits for this attempt any more.
     Cancel {
+        /// The node.
         node: NodeId,
+        /// The attempt.
         attempt: AttemptId,
     },
     /// The same, and its link is still writing it to a node that takes no bytes: what has not left by now must
     /// not leave later, so the connection ends here.
     Cut {
+        /// The node.
         node: NodeId,
+        /// The attempt.
         attempt: AttemptId,
     },
+    /// Answer a client's command.
     Answer {
+        /// The command.
         to: CommandRef,
+        /// The answer.
         verdict: Verdict,
     },
     /// Follow the node list from the version that is known.
     FollowList {
+        /// The version that is known.
         since: u64,
     },
     /// Ask for the complete list: a change is missing.
     FetchList,
     /// To be written durably, all or nothing, and then told of by `kept` under this number; 0: no word is wanted.
     Persist {
+        /// The number under which `handle_persisted` tells of it.
         request: u64,
+        /// What is to be written.
         batch: PersistBatch,
     },
+    /// Answer a request of an operator.
     AdminResponse {
+        /// The number that the request came under.
         request: u64,
+        /// The answer.
         response: AdminResponse,
     },
     /// To another host.
     Datagram {
+        /// Its address.
         to: std::net::SocketAddr,
+        /// The datagram.
         bytes: Bytes,
     },
     /// A change of mode, with its figures, and the node it is about.
     Log {
+        /// The node, where it is about one.
         node: Option<NodeId>,
+        /// The line, for the log.
         line: String,
     },
 }
 
+/// What happened since the start, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
+    /// Commands received.
     pub taken: u64,
+    /// Commands rejected since a table was full.
     pub over_bound: u64,
+    /// Commands done.
     pub done: u64,
+    /// Commands rejected.
     pub rejected: u64,
+    /// Commands failed.
     pub failed: u64,
+    /// Commands that their clients aborted.
     pub left: u64,
+    /// Attempts sent.
     pub attempts: u64,
+    /// Attempts after the first of a request.
     pub retries: u64,
+    /// Attempts that timed out.
     pub timed_out: u64,
+    /// Attempts withdrawn before their first byte left.
     pub withdrawn: u64,
+    /// Attempts whose connections were cut.
     pub cut: u64,
+    /// Results of attempts that had their end before.
     pub strays: u64,
+    /// Answers of another length than was asked for.
     pub short_answers: u64,
+    /// Nodes that did not fit the table.
     pub nodes_over_bound: u64,
 }
--- a/crates/host-core/src/override_requests.rs
+++ b/crates/host-core/src/override_requests.rs
@@ -20,74 +20,119 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AdminRequest {
+    /// Set an override.
     Set {
+        /// What is overridden, how, and for how long.
         order: Order,
+        /// Whether it is set even where a shard would lose its last node.
         force: bool,
+        /// Whether to tell only what would change.
         dry_run: bool,
+        /// Set it only if the overrides are still at this version.
         if_version: Option<u64>,
     },
+    /// Clear an override.
     Clear {
+        /// Which.
         id: OverrideId,
+        /// Who asks.
         who: String,
     },
+    /// List the overrides that are set.
     List,
+    /// Tell why a node is treated as it is.
     Explain {
+        /// The node.
         address: SocketAddr,
     },
+    /// The status of this host.
     Status,
+    /// What this host knows of the others.
     Members,
+    /// About plans.
     Plan(crate::PlanRequest),
+    /// About consensus.
     #[serde(rename = "agreement")]
     Consensus(crate::ConsensusRequest),
 }
 
+/// The answer to an `AdminRequest`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AdminResponse {
+    /// An override was set, or would be.
     Set {
+        /// The override.
         record: Override,
+        /// What it changes.
         preview: Preview,
+        /// Whether it was only tried.
         dry_run: bool,
     },
+    /// An override was cleared.
     Cleared {
+        /// Which.
         id: OverrideId,
     },
+    /// The overrides that are set.
     List {
+        /// Their version.
         version: u64,
+        /// Each with the seconds that it has left.
         standing: Vec<(Override, f64)>,
+        /// Nodes on their way back to full load.
         returning: usize,
+        /// Seconds until the last of them is back.
         returning_within_s: f64,
     },
+    /// Why a node is treated as it is.
     Explain(Box<Explanation>),
+    /// The status of this host.
     Status(Box<HostStatus>),
+    /// What this host knows of the others.
     Members(Box<crate::MembersStatus>),
+    /// About plans.
     Plan(crate::PlanResponse),
+    /// About consensus.
     #[serde(rename = "agreement")]
     Consensus(crate::ConsensusResponse),
+    /// It was refused.
     Refused(Refusal),
     /// It could not be kept, so it does not hold.
     NotKept {
+        /// Why not.
         why: String,
     },
 }
 
+/// A host as operators see it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HostStatus {
+    /// The host.
     pub host: u32,
+    /// Overrides that are set.
     pub overrides: usize,
+    /// Their version.
     pub version: u64,
+    /// Nodes on their way back to full load.
     pub returning: usize,
     /// Hosts that are thought to be there, this one included; 0: it hears of none.
     #[serde(default)]
     #[serde(rename = "there")]
     pub alive_hosts: u32,
+    /// Commands without an answer.
     pub commands: usize,
+    /// Attempts in flight.
     #[serde(rename = "legs")]
     pub attempts: usize,
+    /// Commands received.
     pub taken: u64,
+    /// Commands done.
     pub done: u64,
+    /// Commands rejected.
     #[serde(rename = "deferred")]
     pub rejected: u64,
+    /// Commands failed.
     #[serde(rename = "abandoned")]
     pub failed: u64,
     /// Address, what the list says, what it is given.
@@ -97,8 +142,11 @@
 /// What has to be written before the host goes on with it; all of it or nothing.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistBatch {
+    /// Overrides that were set.
     pub put: Vec<Override>,
+    /// Overrides that ended.
     pub remove: Vec<OverrideId>,
+    /// Entries of the audit trail.
     pub audits: Vec<Audit>,
     /// Changes of plans by number, as they are written; what the trail begins with is number 0.
     pub changes: Vec<(u64, Vec<u8>)>,
@@ -113,7 +161,9 @@
     Clear(OverrideId, String),
 }
 
+/// Overrides, and the one request at a time that changes them.
 pub struct OverrideRequests {
+    /// The overrides that are set.
     pub overrides: Overrides,
     pending: Option<(u64, Pending)>,
     queued: VecDeque<(u64, AdminRequest)>,
@@ -129,6 +179,7 @@
 }
 
 impl OverrideRequests {
+    /// Takes over overrides that are set.
     pub fn new(now: Instant, overrides: Overrides) -> Self {
         OverrideRequests { overrides, pending: None, queued: VecDeque::new(), next_report_at: now, me: None }
     }
@@ -278,6 +329,7 @@
         lines
     }
 
+    /// When an override ends, or the next report is due.
     pub fn next(&self, now: Instant) -> Option<Instant> {
         [self.overrides.poll_timeout(now), Some(self.next_report_at)].into_iter().flatten().min()
     }
--- a/crates/host-core/src/peers.rs
+++ b/crates/host-core/src/peers.rs
@@ -21,6 +21,7 @@
 
 /// The view, the loans and the orders of one host, and what was passed on of them.
 pub struct Peers {
+    /// The member that this host is.
     pub member: Member,
     max_hosts: u32,
     alive_hosts: u32,
@@ -101,6 +102,7 @@
 }
 
 impl Peers {
+    /// Takes this host in among others.
     pub fn new(now: Instant, settings: MemberSettings) -> Self {
         Peers {
             max_hosts: settings.view.max_hosts as u32,
@@ -114,6 +116,7 @@
         }
     }
 
+    /// Host and generation.
     pub fn me(&self) -> (u32, u64) {
         let me = self.member.view.me();
         (me.slot, me.generation)
@@ -126,6 +129,7 @@
         self.member.catalog.enable(CatalogVersion { number, mark }, encoded_changes);
     }
 
+    /// Whether a request follows from an override that was set at another host.
     pub fn is_from_peer(request: u64) -> bool {
         request >= FIRST_PEER_REQUEST
     }
@@ -153,6 +157,7 @@
         }
     }
 
+    /// What follows next from messages and the time; none: nothing more at this moment.
     pub fn next(&mut self, now: Instant, layout: &Layout) -> Option<PeerEvent> {
         if let Some(o) = self.member.poll_output() {
             return Some(match o {
--- a/crates/host-core/src/placed.rs
+++ b/crates/host-core/src/placed.rs
@@ -9,42 +9,60 @@
 /// What is written to a node: the protocol's own, but for the time left, which each attempt adds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OpaqueRequest {
+    /// What precedes the body.
     pub head: Bytes,
+    /// The body.
     pub body: Bytes,
 }
 
 impl OpaqueRequest {
+    /// Length of both.
     pub fn bytes(&self) -> usize {
         self.head.len() + self.body.len()
     }
 }
 
+/// A request as its client placed it.
 #[derive(Clone, Debug)]
 pub struct PlacedRequest {
+    /// The client's name of the volume.
     pub volume: u64,
+    /// The plan that it is under.
     pub plan: PlanId,
+    /// Its traffic class.
     pub traffic_class: TrafficClassId,
     /// None: a new object, for any node.
     pub shard: Option<ShardId>,
+    /// Orders requests that share it.
     pub key: u64,
+    /// What it costs, in units.
     pub units: f64,
     /// Through how many hosts the volume's requests come.
     pub hosts: u32,
+    /// How long its client waits from now on.
     pub left: TimeDelta,
+    /// What is written to the node.
     pub request: OpaqueRequest,
 }
 
 /// What a core is told that has no volumes of its own.
 #[derive(Clone, Debug)]
 pub struct PlacedSettings {
+    /// The traffic classes.
     pub traffic_classes: Vec<TrafficClass>,
+    /// Whether nodes report what they served through other hosts.
     pub reports_service: bool,
+    /// The longest wait that a rejected client is told.
     pub longest_wait: TimeDelta,
     /// Of a node that drains.
     pub grace: TimeDelta,
+    /// Requests that may be open.
     pub requests: usize,
+    /// Bytes that they may hold.
     pub bytes: usize,
+    /// Nodes that may be known.
     pub nodes: usize,
+    /// Volumes that may be known.
     pub volumes: usize,
 }
 
@@ -57,14 +75,17 @@
 }
 
 impl VolumeNames {
+    /// A table of at most so many volumes.
     pub fn new(most: usize) -> Self {
         VolumeNames { most, ..VolumeNames::default() }
     }
 
+    /// Volumes that are known.
     pub fn len(&self) -> usize {
         self.numbers.len()
     }
 
+    /// Whether none is known.
     pub fn is_empty(&self) -> bool {
         self.numbers.is_empty()
     }
--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -28,8 +28,20 @@
 /// What the module and the layout are to be told.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanUpdate {
-    Plan { plan: PlanId, figures: Figures },
-    Volume { name: String, plan: PlanId },
+    /// A plan has these figures.
+    Plan {
+        /// The scheduler's number of it.
+        plan: PlanId,
+        /// Its figures.
+        figures: Figures,
+    },
+    /// A volume is under this plan.
+    Volume {
+        /// The volume.
+        name: String,
+        /// The scheduler's number of the plan.
+        plan: PlanId,
+    },
 }
 
 /// What came of an ask.
@@ -48,6 +60,7 @@
     pub line: String,
 }
 
+/// The plans of this host: the log of their changes, and the one change at a time that is being written.
 pub struct Plans {
     change_log: Trail,
     /// In place of the trail, where hosts agree on changes.
@@ -108,6 +121,7 @@
         self.replicated.as_ref().map_or(&self.change_log, |a| &a.trail)
     }
 
+    /// The version of the plans that apply.
     pub fn version(&self) -> u64 {
         self.change_log().catalogue.version
     }
@@ -351,10 +365,12 @@
         self.change_log().catalogue.plans.get(&v.plan).map(|p| (p.limit, p.burst, p.slack))
     }
 
+    /// The number of the newest change.
     pub fn newest(&self) -> u64 {
         self.change_log().newest().0
     }
 
+    /// The plans as operators see them.
     pub fn status(&self, now: Instant) -> PlanStatus {
         let (number, digest) = self.change_log().newest();
         PlanStatus {
--- a/crates/host-core/src/plans/messages.rs
+++ b/crates/host-core/src/plans/messages.rs
@@ -4,54 +4,85 @@
 use std::collections::BTreeMap;
 use tackmast_plans::{Catalogue, Change, Fleet};
 
+/// What an operator asks about plans.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlanRequest {
+    /// The plans that apply.
     Show,
+    /// Apply a change.
     Apply {
+        /// The change.
         change: Change,
+        /// Whether to tell only what would change.
         dry_run: bool,
     },
+    /// Take a change back.
     Undo {
+        /// Its number.
         number: u64,
+        /// Who asks.
         who: String,
+        /// For what reason.
         why: String,
+        /// Whether to tell only what would change.
         dry_run: bool,
     },
     /// The trail, as it is kept.
     Log,
 }
 
+/// The answer to a `PlanRequest`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlanResponse {
+    /// The plans that apply.
     Shown(Box<PlanStatus>),
+    /// The change applies, or would.
     Applied {
+        /// Its number.
         number: u64,
+        /// The version that it makes.
         version: u64,
         /// What moves, line by line.
         lines: Vec<String>,
+        /// Seconds until all hosts go by it.
         in_force_s: f64,
+        /// Whether it was only tried.
         dry_run: bool,
     },
+    /// Nothing was changed.
     Refused {
+        /// Why not.
         why: String,
     },
+    /// The change log.
     Log {
+        /// Its lines.
         text: String,
+        /// What changes are judged by.
         fleet: Fleet,
     },
 }
 
+/// The plans of a host as operators see them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlanStatus {
+    /// The host.
     pub host: u32,
+    /// The host that takes changes, where there is no consensus.
     pub home: u32,
+    /// The number of the newest change.
     pub number: u64,
+    /// Its digest.
     pub digest: String,
+    /// Seconds until all hosts go by it.
     pub in_force_s: f64,
+    /// Seconds that a change takes until all hosts go by it.
     pub settle_s: f64,
+    /// The plans, volumes and traffic classes.
     pub catalogue: Catalogue,
+    /// What changes are judged by.
     pub fleet: Fleet,
     /// Whether clients wait for word of the newest change.
     #[serde(rename = "waits")]
--- a/crates/host-core/src/plans/replicated.rs
+++ b/crates/host-core/src/plans/replicated.rs
@@ -37,6 +37,7 @@
         self.updates(&from, &to)
     }
 
+    /// Goes on from a snapshot; returns what changes by that.
     pub fn restore_snapshot(&mut self, state: &[u8]) -> Result<Vec<PlanUpdate>, TrailError> {
         let from = self.change_log().catalogue.clone();
         self.replicated = Some(Agreed::from_bytes(state, &self.fleet)?);
@@ -52,6 +53,7 @@
         self.all_updates()
     }
 
+    /// Whether this host goes by the fallback limits.
     pub fn is_degraded(&self) -> bool {
         self.degraded
     }
--- a/crates/host-core/src/ticket.rs
+++ b/crates/host-core/src/ticket.rs
@@ -11,6 +11,7 @@
 const WITHDRAWN: u8 = 2;
 const WRITTEN: u8 = 3;
 
+/// The state of one attempt that core and connection share.
 #[derive(Clone, Debug, Default)]
 pub struct Ticket(Arc<AtomicU8>);
 
@@ -34,6 +35,7 @@
     pub fn is_claimed(&self) -> bool {
         matches!(self.0.load(Ordering::Acquire), CLAIMED | WRITTEN)
     }
+    /// Whether it was withdrawn.
     pub fn is_withdrawn(&self) -> bool {
         self.0.load(Ordering::Acquire) == WITHDRAWN
     }
