--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -22,7 +22,7 @@
 use crate::fair_queueing::{FairQueueing, QueueKey, QueueTicket};
 use crate::layout::{key_id, Layout};
 use crate::nodes::{ListEntry, Nodes};
-use crate::output::{Counters, Output};
+use crate::output::{Counters, OpenCounts, Output};
 use crate::override_requests::{
     AdminRequest, AdminResponse, HostStatus, OverrideOutcome, OverrideRequests, PersistBatch,
 };
@@ -95,8 +95,8 @@
             });
         }
         scheduler.set_attempt_limits(s.load.max_attempts, longest, TimeDelta::from_secs(s.load.settle_s));
-        if let Some(f) = &s.retry_budget {
-            scheduler.set_retry_budget(f.free, f.share, TimeDelta::from_secs(f.window_s));
+        if let Some(peers) = &s.retry_budget {
+            scheduler.set_retry_budget(peers.free, peers.share, TimeDelta::from_secs(peers.window_s));
         }
         if let Some(c) = &s.cold {
             let (warm, window) = (TimeDelta::from_secs(c.warm_s), TimeDelta::from_secs(c.window_s));
@@ -196,8 +196,12 @@
     }
 
     /// Commands without an answer, requests that are kept, and attempts out.
-    pub fn open_counts(&self) -> (usize, usize, usize) {
-        (self.commands.len(), self.requests.len(), self.until.len())
+    pub fn open_counts(&self) -> OpenCounts {
+        OpenCounts {
+            commands: self.commands.len(),
+            requests: self.requests.len(),
+            attempts: self.until.len(),
+        }
     }
 }
 
@@ -234,7 +238,7 @@
         let attempt = self.until.first().map(|(t, _, _)| *t);
         let cut = self.cut_deadlines.first().map(|(t, _)| *t);
         let ends = self.override_requests.as_ref().and_then(|o| o.next(now));
-        let peers = self.peers.as_ref().map(|f| f.member.poll_timeout());
+        let peers = self.peers.as_ref().map(|peers| peers.member.poll_timeout());
         let consensus = self.consensus.as_ref().map(|a| a.poll_timeout(now));
         [attempt, cut, ends, peers, consensus, self.scheduler.poll_timeout()].into_iter().flatten().min()
     }
--- a/crates/host-core/src/core/admin.rs
+++ b/crates/host-core/src/core/admin.rs
@@ -58,7 +58,7 @@
                 self.outputs.push_back(Output::AdminResponse { request, response });
             }
             Some(OverrideOutcome::Respond(request, AdminResponse::Members(_))) => {
-                let status = self.peers.as_ref().map(|f| f.status(now)).unwrap_or_default();
+                let status = self.peers.as_ref().map(|peers| peers.status(now)).unwrap_or_default();
                 self.outputs.push_back(Output::AdminResponse {
                     request,
                     response: AdminResponse::Members(Box::new(status)),
@@ -101,8 +101,8 @@
         let acknowledged =
             self.override_requests.as_mut().and_then(|o| o.handle_persisted(now, request, result));
         if let Some((response, line)) = acknowledged {
-            if let Some(f) = &mut self.peers {
-                f.handle_override_response(now, &response);
+            if let Some(peers) = &mut self.peers {
+                peers.handle_override_response(now, &response);
             }
             self.log(line);
             self.apply_changed_overrides(now);
@@ -118,18 +118,17 @@
     pub(super) fn status(&self, now: Instant) -> HostStatus {
         let c = &self.counters;
         let override_requests = self.override_requests.as_ref();
-        let word = |s: NodeState| format!("{s:?}").to_lowercase();
         let node = |(address, e): (&str, &NodeEntry)| {
-            let mut apply_overrides = *e;
-            self.apply_overrides(now, &mut apply_overrides);
-            Some((address.parse().ok()?, word(e.state), word(apply_overrides.state)))
+            let mut effective = *e;
+            self.apply_overrides(now, &mut effective);
+            Some((address.parse().ok()?, state_name(e.state), state_name(effective.state)))
         };
         HostStatus {
             host: self.number,
             overrides: override_requests.map_or(0, |o| o.overrides.len()),
             version: override_requests.map_or(0, |o| o.overrides.version()),
             returning: override_requests.map_or(0, |o| o.overrides.returning().0),
-            alive_hosts: self.peers.as_ref().map_or(0, |f| f.member.live_count()),
+            alive_hosts: self.peers.as_ref().map_or(0, |peers| peers.member.live_count()),
             commands: self.commands.len(),
             attempts: self.until.len(),
             taken: c.taken,
@@ -164,3 +163,13 @@
         self.apply_changed_overrides(now);
     }
 }
+
+/// The state's name, as operators read it.
+fn state_name(state: NodeState) -> String {
+    let name = match state {
+        NodeState::Ready => "ready",
+        NodeState::Draining => "draining",
+        NodeState::Gone => "gone",
+    };
+    name.to_owned()
+}
--- a/crates/host-core/src/core/consensus.rs
+++ b/crates/host-core/src/core/consensus.rs
@@ -11,6 +11,13 @@
 use tackmast_plans::Command as PlanCommand;
 use tackmast_wire::peer::Body;
 
+/// What an operator may do where a majority is gone for good.
+#[derive(Clone, Copy)]
+enum RecoveryAction {
+    ForceNewLog,
+    DiscardLog,
+}
+
 impl Core {
     /// Hosts agree on changes of plans from here on. To be told before the plans are: what the disk has of them follows then.
     pub fn with_consensus(&mut self, consensus: ConsensusDriver) {
@@ -18,39 +25,39 @@
     }
 
     pub(super) fn handle_consensus_message(&mut self, now: Instant, from: SocketAddr, slot: u32, body: Body) {
-        let Some(a) = &mut self.consensus else { return };
-        if let Some(word) = a.came(now, from, body) {
-            a.replica.handle_message(now, slot, word);
+        let Some(consensus) = &mut self.consensus else { return };
+        if let Some(word) = consensus.came(now, from, body) {
+            consensus.replica.handle_message(now, slot, word);
         }
         self.process_consensus_outputs(now);
     }
 
     pub(super) fn handle_consensus_timeout(&mut self, now: Instant) {
-        let Some(a) = &mut self.consensus else { return };
-        if a.poll_timeout(now) > now && now < a.next_acknowledgement_check {
+        let Some(consensus) = &mut self.consensus else { return };
+        if consensus.poll_timeout(now) > now && now < consensus.next_acknowledgement_check {
             return;
         }
-        a.replica.handle_timeout(now);
-        a.chunks.handle_timeout(now);
+        consensus.replica.handle_timeout(now);
+        consensus.chunks.handle_timeout(now);
         self.propose_stored_on_all(now);
         self.advance_consensus(now);
     }
 
     /// Where some floor waits for it: all hosts have the newest version on their disks, which the log has to say.
     fn propose_stored_on_all(&mut self, now: Instant) {
-        let (Some(a), Some(plans)) = (&mut self.consensus, &self.plans) else { return };
-        if now < a.next_acknowledgement_check {
+        let (Some(consensus), Some(plans)) = (&mut self.consensus, &self.plans) else { return };
+        if now < consensus.next_acknowledgement_check {
             return;
         }
-        a.next_acknowledgement_check = now + TimeDelta::from_secs(ACKNOWLEDGEMENT_CHECK_S);
+        consensus.next_acknowledgement_check = now + TimeDelta::from_secs(ACKNOWLEDGEMENT_CHECK_S);
         let (acknowledged, waits) = plans.acknowledged();
         let version = plans.version();
         if waits
             && acknowledged < version
-            && a.replica.raft.is_stored_on_all(0..a.settings.host_count, a.changed_at)
+            && consensus.replica.raft.is_stored_on_all(0..consensus.settings.host_count, consensus.changed_at)
         {
             let data = serde_json::to_vec(&PlanCommand::Told { version }).unwrap_or_default();
-            _ = a.replica.propose(now, data.into());
+            _ = consensus.replica.propose(now, data.into());
         }
     }
 
@@ -64,10 +71,10 @@
         if request & (3 << 62) != FIRST_WRITE_REQUEST {
             return false;
         }
-        if let Some(a) = &mut self.consensus {
+        if let Some(consensus) = &mut self.consensus {
             match result {
-                Ok(()) => a.replica.on_persisted(now, request - FIRST_WRITE_REQUEST),
-                Err(_) => a.replica.on_persist_failed(now),
+                Ok(()) => consensus.replica.on_persisted(now, request - FIRST_WRITE_REQUEST),
+                Err(_) => consensus.replica.on_persist_failed(now),
             }
         }
         if let Err(why) = result {
@@ -79,8 +86,8 @@
 
     /// Against acting by what may count no more: looked at before each decision.
     pub(super) fn update_degraded_mode(&mut self, now: Instant) {
-        let (Some(a), Some(plans)) = (&self.consensus, &mut self.plans) else { return };
-        let degraded = !a.replica.lease_state(now).is_valid();
+        let (Some(consensus), Some(plans)) = (&self.consensus, &mut self.plans) else { return };
+        let degraded = !consensus.replica.lease_state(now).is_valid();
         if plans.is_degraded() != degraded {
             let updates = plans.set_degraded(degraded);
             self.apply_plan_updates(now, &updates);
@@ -89,13 +96,13 @@
 
     pub(super) fn process_consensus_outputs(&mut self, now: Instant) {
         loop {
-            let Some(a) = &mut self.consensus else { return };
-            let Some(o) = a.replica.poll_output() else { break };
+            let Some(consensus) = &mut self.consensus else { return };
+            let Some(o) = consensus.replica.poll_output() else { break };
             match o {
                 ReplicaOutput::Send { to, message } => {
                     let to = self.peers.as_ref().and_then(|f| f.member.view.address(to));
                     if let Some(to) = to {
-                        a.chunks.send(to, message.to_bytes());
+                        consensus.chunks.send(to, message.to_bytes());
                     }
                 }
                 ReplicaOutput::Write(w) => {
@@ -109,7 +116,7 @@
                 ReplicaOutput::RestoreSnapshot { index, state } => self.restore_plans(now, index, &state),
                 ReplicaOutput::TakeSnapshot { index } => {
                     let state = self.plans.as_ref().map(Plans::snapshot).unwrap_or_default();
-                    a.replica.on_snapshot_taken(now, index, &state);
+                    consensus.replica.on_snapshot_taken(now, index, &state);
                 }
                 ReplicaOutput::ProposalTimedOut { number } => {
                     let why = "no word from those who agree on it: it may hold all the same, later; look at the log";
@@ -119,8 +126,8 @@
             }
         }
         self.complete_reads(now);
-        let (Some(a), Some(f)) = (&mut self.consensus, &mut self.peers) else { return };
-        while let Some(Transmit { to, body }) = a.chunks.poll_transmit() {
+        let (Some(consensus), Some(f)) = (&mut self.consensus, &mut self.peers) else { return };
+        while let Some(Transmit { to, body }) = consensus.chunks.poll_transmit() {
             f.member.send(to, body);
         }
     }
@@ -132,7 +139,7 @@
     }
 
     fn respond_to_proposal(&mut self, number: u32, response: PlanResponse) {
-        let request = self.consensus.as_mut().and_then(|a| a.changes.remove(&number));
+        let request = self.consensus.as_mut().and_then(|consensus| consensus.changes.remove(&number));
         if let Some(request) = request {
             self.outputs
                 .push_back(Output::AdminResponse { request, response: AdminResponse::Plan(response) });
@@ -143,9 +150,9 @@
         let Some(plans) = &mut self.plans else { return };
         let command = serde_json::from_slice::<PlanCommand>(data).map_err(PlanError::Malformed);
         let is_change = matches!(command, Ok(PlanCommand::Change { .. }));
-        let held = command.and_then(|c| plans.apply_committed(c));
+        let applied = command.and_then(|c| plans.apply_committed(c));
         let settle = self.consensus.as_ref().map_or(TimeDelta::ZERO, ConsensusDriver::settle);
-        match held {
+        match applied {
             Ok(CommittedChange { updates, entry, lines }) => {
                 self.apply_plan_updates(now, &updates);
                 let Some(e) = entry else {
@@ -153,8 +160,8 @@
                     return self
                         .log(format!("plans: all hosts have version {acknowledged}: lower floors hold"));
                 };
-                if let Some(a) = &mut self.consensus {
-                    a.changed_at = index;
+                if let Some(consensus) = &mut self.consensus {
+                    consensus.changed_at = index;
                 }
                 self.log(format!(
                     "plans: change {} holds, by {}: {}; {} things move",
@@ -183,8 +190,8 @@
 
     fn restore_plans(&mut self, now: Instant, index: u64, state: &[u8]) {
         let Some(plans) = self.plans.as_mut() else { return };
-        if let Some(a) = &mut self.consensus {
-            a.changed_at = index;
+        if let Some(consensus) = &mut self.consensus {
+            consensus.changed_at = index;
         }
         let restored = match state {
             // A log's beginning: what the settings say.
@@ -202,19 +209,24 @@
         now: Instant,
         wall_us: u64,
         request: u64,
-        ask: PlanRequest,
+        plan_request: PlanRequest,
     ) {
         let response = |why: String| AdminResponse::Plan(PlanResponse::Refused { why });
-        let (Some(a), Some(plans)) = (&mut self.consensus, &self.plans) else { return };
-        let (change, dry_run) = match ask {
+        let (Some(consensus), Some(plans)) = (&mut self.consensus, &self.plans) else { return };
+        let (change, dry_run) = match plan_request {
             PlanRequest::Show | PlanRequest::Log => {
-                if a.reads.len() >= MAX_WAITING_READS {
+                if consensus.reads.len() >= MAX_WAITING_READS {
                     let response = response(format!("{MAX_WAITING_READS} asks wait already"));
                     return self.outputs.push_back(Output::AdminResponse { request, response });
                 }
                 // Never stale: answered once all that was agreed on before the ask is here.
-                let seq = a.replica.request_read(now);
-                a.reads.push((seq, now + TimeDelta::from_secs(READ_TIMEOUT_S), request, ask));
+                let read = consensus.replica.request_read(now);
+                consensus.reads.push((
+                    read,
+                    now + TimeDelta::from_secs(READ_TIMEOUT_S),
+                    request,
+                    plan_request,
+                ));
                 return self.advance_consensus(now);
             }
             PlanRequest::Apply { change, dry_run } => (Ok(change), dry_run),
@@ -226,7 +238,7 @@
             Err(why) => Some(response(why.to_string())),
             Ok(change) if dry_run => Some(match plans.preview_change(wall_us, change) {
                 Ok((number, version, lines)) => {
-                    let in_force_s = a.settle().secs();
+                    let in_force_s = consensus.settle().secs();
                     AdminResponse::Plan(PlanResponse::Applied { number, version, lines, in_force_s, dry_run })
                 }
                 Err(why) => response(why.to_string()),
@@ -234,9 +246,9 @@
             Ok(change) => {
                 let command = PlanCommand::Change { at_us: wall_us, change };
                 let data = serde_json::to_vec(&command).unwrap_or_default();
-                match a.replica.propose(now, data.into()) {
+                match consensus.replica.propose(now, data.into()) {
                     Ok(number) => {
-                        a.changes.insert(number, request);
+                        consensus.changes.insert(number, request);
                         None
                     }
                     Err(r) => Some(response(r.to_string())),
@@ -250,22 +262,22 @@
     }
 
     fn complete_reads(&mut self, now: Instant) {
-        let (Some(a), Some(plans)) = (&mut self.consensus, &mut self.plans) else { return };
+        let (Some(consensus), Some(plans)) = (&mut self.consensus, &mut self.plans) else { return };
         let mut i = 0;
-        while i < a.reads.len() {
-            let (seq, until, request, _) = a.reads[i];
-            let known = a.replica.is_read_ready(seq);
+        while i < consensus.reads.len() {
+            let (read, until, request, _) = consensus.reads[i];
+            let known = consensus.replica.is_read_ready(read);
             if !known && now < until {
                 i += 1;
                 continue;
             }
-            let (_, _, _, ask) = a.reads.swap_remove(i);
-            let response = match plans.handle_request(now, 0, request, ask) {
+            let (_, _, _, plan_request) = consensus.reads.swap_remove(i);
+            let response = match plans.handle_request(now, 0, request, plan_request) {
                 Some(PlanOutcome::Respond(_, PlanResponse::Shown(mut s))) => {
                     s.stale = !known;
-                    s.in_force_s = (a.replica.effective_at(now) - now).secs();
-                    s.settle_s = a.settle().secs();
-                    let followers = a.replica.status(now).followers.into_iter();
+                    s.in_force_s = (consensus.replica.effective_at(now) - now).secs();
+                    s.settle_s = consensus.settle().secs();
+                    let followers = consensus.replica.status(now).followers.into_iter();
                     s.at = followers.map(|(host, f)| (host, f.stored_index)).collect();
                     PlanResponse::Shown(s)
                 }
@@ -281,13 +293,18 @@
         }
     }
 
-    pub(super) fn handle_consensus_request(&mut self, now: Instant, request: u64, ask: ConsensusRequest) {
-        let response = match (&mut self.consensus, ask) {
+    pub(super) fn handle_consensus_request(
+        &mut self,
+        now: Instant,
+        request: u64,
+        consensus_request: ConsensusRequest,
+    ) {
+        let response = match (&mut self.consensus, consensus_request) {
             (None, _) => {
                 ConsensusResponse::Refused { why: "this host has no agreement block in its settings".into() }
             }
-            (Some(a), ConsensusRequest::Status) => {
-                let mut s = a.status(now);
+            (Some(consensus), ConsensusRequest::Status) => {
+                let mut s = consensus.status(now);
                 if let Some(p) = &self.plans {
                     (s.version, s.acknowledged, s.degraded) =
                         (p.version(), p.acknowledged().0, p.is_degraded());
@@ -295,15 +312,15 @@
                 ConsensusResponse::Status(Box::new(s))
             }
             (Some(_), ConsensusRequest::Force { who, why }) => {
-                self.recover_by_operator(now, &who, &why, false)
+                self.recover_by_operator(now, &who, &why, RecoveryAction::ForceNewLog)
             }
             (Some(_), ConsensusRequest::Forget { who, why }) => {
-                self.recover_by_operator(now, &who, &why, true)
+                self.recover_by_operator(now, &who, &why, RecoveryAction::DiscardLog)
             }
-            (Some(a), ConsensusRequest::Voter { host, votes }) => {
+            (Some(consensus), ConsensusRequest::Voter { host, votes }) => {
                 let changed = match votes {
-                    true => a.replica.raft.add_voter(now, host),
-                    false => a.replica.raft.remove_voter(now, host),
+                    true => consensus.replica.raft.add_voter(now, host),
+                    false => consensus.replica.raft.remove_voter(now, host),
                 };
                 match changed {
                     Ok(index) => ConsensusResponse::Taken { index },
@@ -322,7 +339,7 @@
         now: Instant,
         who: &str,
         why: &str,
-        remove_if_finished: bool,
+        action: RecoveryAction,
     ) -> ConsensusResponse {
         let at_us = self.wall_us(now);
         let text = |t: &str| !t.trim().is_empty() && t.len() <= 200 && !t.contains(char::is_control);
@@ -330,24 +347,26 @@
             let why = format!("who {who:?}, why {why:?}; expected 1 to 200 printable bytes each");
             return ConsensusResponse::Refused { why };
         }
-        let Some(a) = &mut self.consensus else {
+        let Some(consensus) = &mut self.consensus else {
             return ConsensusResponse::Refused {
                 why: "this host has no agreement block in its settings".into(),
             };
         };
         let state = self.plans.as_ref().map(Plans::snapshot).unwrap_or_default();
-        let done = match remove_if_finished {
-            true => a.replica.discard_log(now).map(|()| 0),
-            false => a.replica.force_new_log(now, &state),
+        let done = match action {
+            RecoveryAction::DiscardLog => consensus.replica.discard_log(now).map(|()| 0),
+            RecoveryAction::ForceNewLog => consensus.replica.force_new_log(now, &state),
         };
         let log = match done {
             Ok(log) => log,
             Err(r) => return ConsensusResponse::Refused { why: r.to_string() },
         };
-        a.changed_at = a.replica.commit_index();
-        let what = match remove_if_finished {
-            true => format!("agreement: forgot its log: {why}"),
-            false => format!("agreement: forced, log {log:x}, from entry {}: {why}", a.changed_at),
+        consensus.changed_at = consensus.replica.commit_index();
+        let what = match action {
+            RecoveryAction::DiscardLog => format!("agreement: forgot its log: {why}"),
+            RecoveryAction::ForceNewLog => {
+                format!("agreement: forced, log {log:x}, from entry {}: {why}", consensus.changed_at)
+            }
         };
         let audit = tackmast_overrides::Audit {
             at_us,
--- a/crates/host-core/src/core/endpoint_list.rs
+++ b/crates/host-core/src/core/endpoint_list.rs
@@ -20,12 +20,12 @@
         }
         self.list_version = to;
         let mut known: Vec<NodeEntry> = Vec::with_capacity(entries.len());
-        for e in entries {
-            match self.nodes.upsert(now, e) {
+        for entry in entries {
+            match self.nodes.upsert(now, entry) {
                 Some(entry) => known.push(entry),
                 None => {
                     self.counters.nodes_over_bound += 1;
-                    let line = format!("node {} not taken: the table of nodes is full", e.address);
+                    let line = format!("node {} not taken: the table of nodes is full", entry.address);
                     self.outputs.push_back(Output::Log { node: None, line });
                 }
             }
@@ -39,8 +39,8 @@
         if let Some(override_requests) = &mut self.override_requests {
             override_requests.overrides.handle_endpoint_list(now, node_facts);
         }
-        for e in &mut known {
-            self.apply_overrides(now, e);
+        for entry in &mut known {
+            self.apply_overrides(now, entry);
         }
         self.scheduler.nodes_changed(now, kind, &known);
         self.apply_changed_overrides(now);
@@ -51,35 +51,35 @@
     }
 
     /// Makes a line of the list what the operators' orders make of it.
-    pub(super) fn apply_overrides(&self, now: Instant, e: &mut NodeEntry) {
-        let address = self.nodes.address(e.node).and_then(|a| a.parse().ok());
+    pub(super) fn apply_overrides(&self, now: Instant, entry: &mut NodeEntry) {
+        let address = self.nodes.address(entry.node).and_then(|a| a.parse().ok());
         let effective =
             self.override_requests.as_ref().zip(address).and_then(|(o, a)| o.overrides.effective(now, &a));
         if let Some(Effective { state, .. }) = effective {
-            e.state = state;
+            entry.state = state;
         }
         // A newer list that another host holds only takes away.
         let stopped = |a: &str| self.removed_nodes.takes(a, self.list_version);
-        if e.state == NodeState::Ready && self.nodes.address(e.node).is_some_and(stopped) {
-            e.state = NodeState::Draining;
+        if entry.state == NodeState::Ready && self.nodes.address(entry.node).is_some_and(stopped) {
+            entry.state = NodeState::Draining;
         }
     }
 
     /// Tells the module of nodes that are to be given something else than before.
     pub(super) fn apply_changed_overrides(&mut self, now: Instant) {
         let Some(override_requests) = &mut self.override_requests else { return };
-        let mut removed_nodes = false;
+        let mut any_unavailable = false;
         let changed: Vec<_> = override_requests.overrides.poll_changed(now).into_iter().collect();
-        for (address, apply_overrides) in changed {
+        for (address, effective) in changed {
             let Some(node) = self.nodes.number(&address.to_string()) else { continue };
             let Some(entry) = self.nodes.entry(node) else { continue };
-            let mut e = entry;
-            self.apply_overrides(now, &mut e);
-            self.scheduler.nodes_changed(now, ListKind::Changes, &[e]);
-            self.scheduler.node_overridden(now, node, apply_overrides.weight, apply_overrides.pinned);
-            removed_nodes |= apply_overrides.state != NodeState::Ready;
+            let mut entry = entry;
+            self.apply_overrides(now, &mut entry);
+            self.scheduler.nodes_changed(now, ListKind::Changes, &[entry]);
+            self.scheduler.node_overridden(now, node, effective.weight, effective.pinned);
+            any_unavailable |= effective.state != NodeState::Ready;
         }
-        if removed_nodes {
+        if any_unavailable {
             self.withdraw_from_unavailable_nodes(now);
         }
     }
@@ -98,9 +98,9 @@
 
     pub(super) fn is_unavailable(&self, now: Instant, node: NodeId) -> bool {
         let entry = self.nodes.entry(node);
-        entry.is_some_and(|mut e| {
-            self.apply_overrides(now, &mut e);
-            e.state != NodeState::Ready
+        entry.is_some_and(|mut entry| {
+            self.apply_overrides(now, &mut entry);
+            entry.state != NodeState::Ready
         })
     }
 
--- a/crates/host-core/src/core/peers.rs
+++ b/crates/host-core/src/core/peers.rs
@@ -10,7 +10,7 @@
             return false;
         }
         let Some(plans) = &mut self.plans else { return false };
-        let up_to_date = self.peers.as_ref().is_none_or(|f| f.member.catalog.is_up_to_date());
+        let up_to_date = self.peers.as_ref().is_none_or(|peers| peers.member.catalog.is_up_to_date());
         plans.must_wait_for_catalog(now, up_to_date)
     }
 
@@ -22,8 +22,8 @@
                 PersistBatch { changes: vec![(0, plans.checkpoint_line())], ..PersistBatch::default() };
             self.outputs.push_back(Output::Persist { request: 0, batch });
         }
-        if let Some(f) = self.peers.as_mut().filter(|_| self.consensus.is_none()) {
-            f.enable_catalog(&plans);
+        if let Some(peers) = self.peers.as_mut().filter(|_| self.consensus.is_none()) {
+            peers.enable_catalog(&plans);
         }
         self.plans = Some(plans);
         self.apply_plan_updates(now, &resume);
@@ -52,10 +52,10 @@
                 }
             }
         }
-        let Some((f, plans)) = self.peers.as_mut().zip(self.plans.as_ref()) else { return };
+        let Some((peers, plans)) = self.peers.as_mut().zip(self.plans.as_ref()) else { return };
         for v in self.layout.volumes() {
             if let Some((limit, _, _)) = plans.limit_of(&v.name) {
-                f.member.leases.set_limit(v.lun, limit);
+                peers.member.leases.set_limit(v.lun, limit);
             }
         }
     }
@@ -68,27 +68,29 @@
             let batch = PersistBatch { changes: vec![(h.number, h.text.clone())], ..PersistBatch::default() };
             self.outputs.push_back(Output::Persist { request: 0, batch });
         }
-        if let Some(f) = &mut self.peers {
+        if let Some(peers) = &mut self.peers {
             let version = tackmast_membership::CatalogVersion { number: h.number, mark: h.mark };
-            f.member.handle_catalog_applied(now, version, Bytes::from(h.text), h.effective_at);
+            peers.member.handle_catalog_applied(now, version, Bytes::from(h.text), h.effective_at);
         }
     }
 
-    pub(super) fn handle_plan_request(&mut self, now: Instant, request: u64, ask: PlanRequest) {
+    pub(super) fn handle_plan_request(&mut self, now: Instant, request: u64, plan_request: PlanRequest) {
         let wall_us = self.wall_us(now);
         if self.consensus.is_some() {
-            return self.handle_replicated_plan_request(now, wall_us, request, ask);
+            return self.handle_replicated_plan_request(now, wall_us, request, plan_request);
         }
         // Against two changes of one number: a home that has lost what others go by takes that back first.
-        let writes = matches!(ask, PlanRequest::Apply { .. } | PlanRequest::Undo { .. });
-        if let Some(n) = self.peers.as_ref().and_then(|f| f.member.catalog.missing()).filter(|_| writes) {
+        let writes = matches!(plan_request, PlanRequest::Apply { .. } | PlanRequest::Undo { .. });
+        if let Some(n) =
+            self.peers.as_ref().and_then(|peers| peers.member.catalog.missing()).filter(|_| writes)
+        {
             let newest = self.plans.as_ref().map_or(0, Plans::newest);
             let why =
                 format!("others go by change {n}, this host by {newest}; ask again when it has caught up");
             let response = AdminResponse::Plan(PlanResponse::Refused { why });
             return self.outputs.push_back(Output::AdminResponse { request, response });
         }
-        let next = self.plans.as_mut().and_then(|p| p.handle_request(now, wall_us, request, ask));
+        let next = self.plans.as_mut().and_then(|p| p.handle_request(now, wall_us, request, plan_request));
         match next {
             None => {}
             Some(PlanOutcome::Persist(request, entry)) => {
@@ -99,8 +101,8 @@
                 self.outputs.push_back(Output::Persist { request, batch });
             }
             Some(PlanOutcome::Respond(request, mut response)) => {
-                if let (PlanResponse::Shown(s), Some(f)) = (&mut response, &self.peers) {
-                    s.at = f.member.catalog.peer_versions().clone();
+                if let (PlanResponse::Shown(s), Some(peers)) = (&mut response, &self.peers) {
+                    s.at = peers.member.catalog.peer_versions().clone();
                 }
                 self.outputs
                     .push_back(Output::AdminResponse { request, response: AdminResponse::Plan(response) });
@@ -115,56 +117,56 @@
         }
         self.peers = Some(peers);
         let alone = self.consensus.is_none();
-        if let Some((f, plans)) = self.peers.as_mut().zip(self.plans.as_ref()).filter(|_| alone) {
-            f.enable_catalog(plans);
+        if let Some((peers, plans)) = self.peers.as_mut().zip(self.plans.as_ref()).filter(|_| alone) {
+            peers.enable_catalog(plans);
         }
         self.apply_plan_updates(now, &[]);
         let standing = self.override_requests.as_ref().map(|o| o.overrides.list(now)).unwrap_or_default();
-        if let Some(f) = &mut self.peers {
-            standing.iter().for_each(|(o, announce_leave)| f.add_override(now, o, *announce_leave));
+        if let Some(peers) = &mut self.peers {
+            standing.iter().for_each(|(o, announce_leave)| peers.add_override(now, o, *announce_leave));
         }
         self.process_peer_events(now);
     }
 
     /// Bytes from another host.
     pub fn handle_datagram(&mut self, now: Instant, from: std::net::SocketAddr, bytes: Bytes) {
-        if let Some(f) = &mut self.peers {
-            f.member.handle_datagram(now, from, bytes);
+        if let Some(peers) = &mut self.peers {
+            peers.member.handle_datagram(now, from, bytes);
             self.process_peer_events(now);
         }
     }
 
     /// The host leaves in order and lends what it has; the mark that it does so lasts already.
     pub fn begin_leave(&mut self, now: Instant) {
-        if let Some(f) = &mut self.peers {
-            f.member.begin_leave(now);
+        if let Some(peers) = &mut self.peers {
+            peers.member.begin_leave(now);
             self.process_peer_events(now);
         }
     }
 
     /// Its last word to the others.
     pub fn announce_leave(&mut self, now: Instant) {
-        if let Some(f) = &mut self.peers {
-            f.member.announce_leave(now);
+        if let Some(peers) = &mut self.peers {
+            peers.member.announce_leave(now);
             self.process_peer_events(now);
         }
     }
 
     /// Whether this host has begun to leave.
     pub fn is_leaving(&self) -> bool {
-        self.peers.as_ref().is_some_and(|f| f.member.leases.is_leaving())
+        self.peers.as_ref().is_some_and(|peers| peers.member.leases.is_leaving())
     }
 
     /// Whether the mark of an earlier leave may go: nothing that was lent can be out any more.
     pub fn have_earlier_leases_ended(&self, now: Instant) -> bool {
-        self.peers.as_ref().is_none_or(|f| f.member.leases.have_earlier_leases_ended(now))
+        self.peers.as_ref().is_none_or(|peers| peers.member.leases.have_earlier_leases_ended(now))
     }
 
     /// What follows from what other hosts said, and from the time.
     pub(super) fn process_peer_events(&mut self, now: Instant) {
         loop {
-            let Some(f) = &mut self.peers else { return };
-            let Some(next) = f.next(now, &self.layout) else { return };
+            let Some(peers) = &mut self.peers else { return };
+            let Some(next) = peers.next(now, &self.layout) else { return };
             match next {
                 PeerEvent::There(hosts) => self.scheduler.alive_hosts_changed(hosts),
                 PeerEvent::Moved { volume, m } => {
@@ -176,7 +178,9 @@
                 }
                 PeerEvent::Send { to, bytes } => self.outputs.push_back(Output::Datagram { to, bytes }),
                 PeerEvent::Mode(line) => self.log(line),
-                PeerEvent::AdminRequest(request, ask) => self.handle_admin_request(now, request, ask),
+                PeerEvent::AdminRequest(request, admin_request) => {
+                    self.handle_admin_request(now, request, admin_request)
+                }
                 PeerEvent::Remember(r) => {
                     let batch = PersistBatch { members: Some(r), ..PersistBatch::default() };
                     self.outputs.push_back(Output::Persist { request: 0, batch });
@@ -185,11 +189,11 @@
                 PeerEvent::Word { from, slot, body } => self.handle_consensus_message(now, from, slot, body),
                 PeerEvent::CatalogUpdate(p) => {
                     let Some(plans) = &mut self.plans else { continue };
-                    let ends = f.member.catalog.deadline(p.number, now);
+                    let ends = peers.member.catalog.deadline(p.number, now);
                     match plans.apply_peer_change(&p.text, ends) {
                         Ok(h) => self.apply_change(now, h, false),
                         Err(why) => {
-                            f.member.catalog.handle_rejected();
+                            peers.member.catalog.handle_rejected();
                             self.log(format!("plans: change {} is not taken: {why}", p.number));
                         }
                     }
--- a/crates/host-core/src/core/removed_nodes.rs
+++ b/crates/host-core/src/core/removed_nodes.rs
@@ -59,9 +59,9 @@
     /// The module hears of these nodes as they are given now.
     fn refresh_nodes(&mut self, now: Instant, addresses: &[String]) {
         for a in addresses {
-            let Some(mut e) = self.nodes.number(a).and_then(|n| self.nodes.entry(n)) else { continue };
-            self.apply_overrides(now, &mut e);
-            self.scheduler.nodes_changed(now, ListKind::Changes, &[e]);
+            let Some(mut entry) = self.nodes.number(a).and_then(|n| self.nodes.entry(n)) else { continue };
+            self.apply_overrides(now, &mut entry);
+            self.scheduler.nodes_changed(now, ListKind::Changes, &[entry]);
         }
         self.withdraw_from_unavailable_nodes(now);
     }
@@ -75,12 +75,12 @@
         self.removed_nodes.held.retain(|_, v| !over(v));
         self.removed_nodes.full &= !ended.is_empty();
         self.refresh_nodes(now, &ended);
-        let Some(f) = &mut self.peers else { return };
-        let stopped = self.nodes.entries().filter(|(_, e)| e.state != NodeState::Ready);
+        let Some(peers) = &mut self.peers else { return };
+        let stopped = self.nodes.entries().filter(|(_, entry)| entry.state != NodeState::Ready);
         let removed_nodes: Vec<NodeRemoval> = stopped
-            .map(|(a, e)| NodeRemoval { address: a.to_owned(), gone: e.state == NodeState::Gone })
+            .map(|(a, entry)| NodeRemoval { address: a.to_owned(), gone: entry.state == NodeState::Gone })
             .collect();
-        f.member.handle_node_list(now, version, removed_nodes);
+        peers.member.handle_node_list(now, version, removed_nodes);
         self.process_peer_events(now);
     }
 }
--- a/crates/host-core/src/lib.rs
+++ b/crates/host-core/src/lib.rs
@@ -35,7 +35,7 @@
 pub use layout::{Layout, Part};
 pub use members_status::{DeathStatus, MembersStatus, PeerStatus, SiteStatus};
 pub use nodes::{Age, ListEntry, NodeStart, Nodes};
-pub use output::{Counters, Output};
+pub use output::{Counters, OpenCounts, Output};
 pub use override_requests::{AdminRequest, AdminResponse, HostStatus, OverrideRequests, PersistBatch};
 pub use peers::{member_settings, Peers};
 pub use placed::{OpaqueRequest, PlacedRequest, PlacedSettings, VolumeNames};
--- a/crates/host-core/src/output.rs
+++ b/crates/host-core/src/output.rs
@@ -102,3 +102,14 @@
     /// Nodes that did not fit the table.
     pub nodes_over_bound: u64,
 }
+
+/// Work in flight in a core.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct OpenCounts {
+    /// Commands of clients without a final answer.
+    pub commands: usize,
+    /// Requests of these commands.
+    pub requests: usize,
+    /// Attempts at nodes.
+    pub attempts: usize,
+}
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -149,7 +149,7 @@
     }
 
     fn is_empty(&self) -> bool {
-        self.core.open_counts() == (0, 0, 0)
+        self.core.open_counts() == OpenCounts::default()
     }
 }
 
@@ -268,7 +268,7 @@
     r.pull();
     assert_eq!((r.other.len(), r.core.counters.left), (2, 2));
     // The attempts still count until they are back.
-    assert_eq!(r.core.open_counts(), (0, 2, 2));
+    assert_eq!(r.core.open_counts(), OpenCounts { commands: 0, requests: 2, attempts: 2 });
     r.back(attempts[0], Outcome::Done, 512);
     r.back(attempts[1], Outcome::Full, 0);
     assert!(r.is_empty() && r.answers.is_empty());
@@ -357,7 +357,7 @@
     r.pull();
     assert_eq!(r.answers[2], (2, Verdict::Failed));
     assert!(matches!(r.answers[3], (3, Verdict::Rejected { .. })), "it never left");
-    assert_eq!(r.core.open_counts().0, 0);
+    assert_eq!(r.core.open_counts().commands, 0);
     r.pass(1.5);
     assert!(r.is_empty() && r.answers.len() == 4);
 }
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -598,7 +598,7 @@
         numbers.iter().for_each(|number| self.hasher.number(*number));
         self.counts.retries += counters.retries;
         self.counts.timeouts += counters.timed_out;
-        let (commands, requests, attempts) = core.open_counts();
+        let OpenCounts { commands, requests, attempts } = core.open_counts();
         assert_eq!((commands, requests, attempts), (0, 0, 0), "nothing stays open after the shutdown");
         self.hasher.number(core.key_queue_count() as u64);
         for (shard, rate) in core.service_rates(self.now) {
--- a/crates/host-core/tests/placed.rs
+++ b/crates/host-core/tests/placed.rs
@@ -148,7 +148,7 @@
     let attempt = r.write();
     r.back(at(10.1), attempt, Outcome::Done, b"any length");
     assert_eq!(r.answers, [(1, Verdict::Done { data: Bytes::from_static(b"any length") })]);
-    assert_eq!(r.core.open_counts(), (0, 0, 0));
+    assert_eq!(r.core.open_counts(), OpenCounts::default());
 }
 
 #[test]
@@ -199,7 +199,7 @@
     ids.sort();
     assert_eq!(ids, (0..20).collect::<Vec<_>>(), "one answer each");
     assert!(r.cancelled.len() >= out);
-    assert_eq!(r.core.open_counts(), (0, 0, 0));
+    assert_eq!(r.core.open_counts(), OpenCounts::default());
     // The longest unused volume gives way.
     r.ask(now, 30, 0, 99);
     assert_eq!(r.sent.len(), 1);
--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -17,8 +17,8 @@
 use tackmast_admin::Answer;
 use tackmast_config::HostSettings;
 use tackmast_host_core::{
-    AdminRequest, Age, AttemptResult, ClientCommand, CommandRef, Core, Counters, ListEntry, Output,
-    PersistError, Work,
+    AdminRequest, Age, AttemptResult, ClientCommand, CommandRef, Core, Counters, ListEntry, OpenCounts,
+    Output, PersistError, Work,
 };
 
 /// Events taken before the outputs they caused are carried out.
@@ -254,7 +254,7 @@
                 }
             }
             Event::Status(to) => {
-                let (commands, requests, attempts) = self.core.open_counts();
+                let OpenCounts { commands, requests, attempts } = self.core.open_counts();
                 let nodes = self.core.nodes().entries().map(|(a, e)| (a.to_owned(), e.state)).collect();
                 let status = Status {
                     counters: self.core.counters,
--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -197,7 +197,6 @@
 
     /// A snapshot for logs and tests.
     pub fn status(&self) -> Status {
-        let (commands, requests, attempts) = self.core.open_counts();
         Status {
             core: self.core.counters,
             clients: self.clients.counters,
@@ -205,7 +204,7 @@
             refused: self.refused,
             client_connections: self.clients.len(),
             node_connections: self.links.len(),
-            open: OpenCounts { commands, requests, attempts },
+            open: self.core.open_counts(),
             serves: self.shutdown_since.is_none(),
             listens: self.address(),
             nodes: self.core.nodes().entries().count(),
--- a/crates/platform-host/src/host/shutdown.rs
+++ b/crates/platform-host/src/host/shutdown.rs
@@ -28,7 +28,10 @@
                     let datagrams = peers.memory.hand_off(self.core.service_rates(now));
                     peers.send(datagrams);
                 }
-                tracing::info!(open = self.core.open_counts().0, "shutdown: draining requests in flight");
+                tracing::info!(
+                    open = self.core.open_counts().commands,
+                    "shutdown: draining requests in flight"
+                );
             }
             ProcessSignal::Shutdown => {}
             ProcessSignal::Reload => match reload() {
@@ -44,7 +47,7 @@
         let phase =
             self.shutdown_schedule.phase(now - since, self.clients.len() == 0).max(self.shutdown_phase);
         if phase != self.shutdown_phase {
-            let (open, clients) = (self.core.open_counts().0, self.clients.len());
+            let (open, clients) = (self.core.open_counts().commands, self.clients.len());
             tracing::info!(?phase, open, clients, "shutdown: next phase");
             self.shutdown_phase = phase;
         }
@@ -69,7 +72,7 @@
 
     /// All that was taken has its answer, and whoever got one has read it to its end; or there is no more time.
     pub(super) fn has_ended(&self) -> bool {
-        let idle = self.core.open_counts().0 == 0 && self.clients.len() == 0;
+        let idle = self.core.open_counts().commands == 0 && self.clients.len() == 0;
         self.shutdown_phase == ShutdownPhase::Finished
             || (self.shutdown_phase >= ShutdownPhase::Closing && idle)
     }
--- a/crates/platform-host/src/host/status.rs
+++ b/crates/platform-host/src/host/status.rs
@@ -4,6 +4,7 @@
 use crate::node_connections::LinkCounters;
 use std::net::SocketAddr;
 use tackmast_host_core::Counters;
+pub use tackmast_host_core::OpenCounts;
 
 /// What the host holds, for logs and tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -34,17 +35,6 @@
     pub restored_shards: usize,
 }
 
-/// Work in flight in the host core.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct OpenCounts {
-    /// Commands of clients without a final answer.
-    pub commands: usize,
-    /// Requests of these commands.
-    pub requests: usize,
-    /// Attempts at nodes.
-    pub attempts: usize,
-}
-
 /// Why a host did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
--- a/crates/simulator/src/plain.rs
+++ b/crates/simulator/src/plain.rs
@@ -6,8 +6,8 @@
 use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, ShardId, TimeDelta};
 use tackmast_config::HostSettings;
 use tackmast_host_core::{
-    AttemptId, AttemptResult, AttemptWork, ClientCommand, CommandRef, Core, Layout, ListEntry, Nodes, Output,
-    Part, SendAttempt, Ticket, Verdict, Work,
+    AttemptId, AttemptResult, AttemptWork, ClientCommand, CommandRef, Core, Layout, ListEntry, Nodes,
+    OpenCounts, Output, Part, SendAttempt, Ticket, Verdict, Work,
 };
 
 /// Attempts that `Caps` keeps out at a node, at most.
@@ -310,10 +310,14 @@
         }
     }
 
-    pub fn open_counts(&self) -> (usize, usize, usize) {
+    pub fn open_counts(&self) -> OpenCounts {
         match self {
             Heart::Core(c) => c.open_counts(),
-            Heart::Plain(p) => (p.commands.len(), p.requests.len(), p.out.values().sum()),
+            Heart::Plain(p) => OpenCounts {
+                commands: p.commands.len(),
+                requests: p.requests.len(),
+                attempts: p.out.values().sum(),
+            },
         }
     }
 
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -25,8 +25,8 @@
 use tackmast_emulators::model::{How, Ills, Job, Model, Nature};
 use tackmast_host_core::{
     member_settings, AdminRequest, AdminResponse, Age, AttemptId, AttemptResult, AttemptWork, Begin,
-    CommandRef, Core, ListEntry, NodeStart, OpaqueRequest, Output, Peers, PersistBatch, PlanRequest,
-    PlanResponse, Plans, SendAttempt, Verdict, Work,
+    CommandRef, Core, ListEntry, NodeStart, OpaqueRequest, OpenCounts, Output, Peers, PersistBatch,
+    PlanRequest, PlanResponse, Plans, SendAttempt, Verdict, Work,
 };
 use tackmast_overrides::{Kind as OrderKind, Order, Override, OverrideId, Overrides, Target};
 use tackmast_target as target;
@@ -567,7 +567,7 @@
         self.in_force();
         self.note(Seen::Trouble { what: "end".into(), on: false });
         for h in self.hosts.iter().filter(|h| h.up) {
-            let (commands, requests, attempts) = h.core.open_counts();
+            let OpenCounts { commands, requests, attempts } = h.core.open_counts();
             self.run.stuck += commands + requests + attempts + h.core.key_queue_count();
         }
         self.run.stuck += self.clients.iter().map(|c| c.core.open()).sum::<usize>();
--- a/crates/simulator/src/sim/hosts.rs
+++ b/crates/simulator/src/sim/hosts.rs
@@ -83,7 +83,7 @@
         let host = &mut self.hosts[h as usize];
         let open = host.core.open_counts();
         let most = &mut self.run.max_open;
-        *most = (most.0.max(open.0), most.1.max(open.1), most.2.max(open.2));
+        *most = (most.0.max(open.commands), most.1.max(open.requests), most.2.max(open.attempts));
         let wake = host.core.poll_timeout(now);
         let wake = wake.map(|t| self.when(h, t));
         let host = &mut self.hosts[h as usize];
