--- a/crates/admin/tests/json_forms.rs
+++ b/crates/admin/tests/json_forms.rs
@@ -233,14 +233,14 @@
         suspect: 3,
         dead: 4,
         left: 5,
-        word: "emptied one by one".into(),
+        state: "emptied one by one".into(),
     };
     let death = DeathStatus { host: 4, generation: 1_000_004, incarnation: 2, ago_s: 8.5, own: true };
     MembersStatus {
         host: Some(1),
         alive_hosts: 2,
         peers: vec![peer],
-        loans: vec![(7, 0.5, 0.125, 0.25, 1.0)],
+        quota_leases: vec![(7, 0.5, 0.125, 0.25, 1.0)],
         displaced: true,
         sent: 3,
         sent_bytes: 4,
@@ -252,7 +252,7 @@
         address: "10.9.0.1:7000".into(),
         digest: 0xabcd,
         still_s: 2.5,
-        strain: 8,
+        local_health: 8,
         sites: vec![site, SiteStatus::default()],
         deaths: vec![death],
         suspected: 9,
@@ -359,11 +359,11 @@
         log: 3,
         voters: vec![0, 1, 4],
         votes: true,
-        founded: true,
+        bootstrapped: true,
         failed: true,
         last: 4,
         commit: 5,
-        folded: 6,
+        snapshot_index: 6,
         version: 7,
         acknowledged: 8,
         lease: "holds".into(),
@@ -374,7 +374,7 @@
         elections: 12,
         commits: 13,
         granted: 14,
-        wrong_disks: 15,
+        rejected_disks: 15,
         lost: 16,
     };
     assert_reply(
--- a/crates/cli/src/consensus.rs
+++ b/crates/cli/src/consensus.rs
@@ -65,7 +65,7 @@
 /// One host's lines.
 pub fn one(s: &ConsensusStatus) -> String {
     let leader = s.leader.map_or("no leader is known".to_owned(), |l| format!("host {l} leads"));
-    let place = match (s.founded, s.votes, s.failed) {
+    let place = match (s.bootstrapped, s.votes, s.failed) {
         (_, _, true) => "its disk takes no writes: it neither votes nor leads",
         (false, _, _) => "nothing is agreed on yet: it waits for all who begin",
         (_, true, _) => "votes",
@@ -89,7 +89,7 @@
         s.acknowledged,
         s.last,
         s.commit,
-        s.folded,
+        s.snapshot_index,
         s.in_force_s.max(0.0)
     );
     let behind = s.has.iter().filter(|(_, (has, _))| *has < s.commit);
@@ -170,7 +170,7 @@
             leader: Some(3),
             voters: vec![0, 1, 3],
             votes: true,
-            founded: true,
+            bootstrapped: true,
             commit: 9,
             lease: "holds".into(),
             has: [(1, (9, 0.1)), (2, (4, 2.5))].into(),
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -71,7 +71,7 @@
     _ = writeln!(
         out,
         "{} datagrams sent ({} bytes), {} taken, {} dropped; strain {}, stood still {} times, accused {} times",
-        m.sent, m.sent_bytes, m.taken, m.dropped, m.strain, m.pauses, m.accused
+        m.sent, m.sent_bytes, m.taken, m.dropped, m.local_health, m.pauses, m.accused
     );
     _ = writeln!(
         out,
@@ -96,7 +96,7 @@
         _ = writeln!(
             out,
             "{name:<12} {:<20} {} alive, {} suspect, {} dead, {} left",
-            s.word, s.alive, s.suspect, s.dead, s.left
+            s.state, s.alive, s.suspect, s.dead, s.left
         );
     }
     for p in &m.peers {
@@ -111,7 +111,7 @@
             span(p.since_s)
         );
     }
-    for (lun, own, lent, borrowed, need) in &m.loans {
+    for (lun, own, lent, borrowed, need) in &m.quota_leases {
         _ = writeln!(
             out,
             "LUN {lun}: owns {own:.3} of the limit, lent {lent:.3}, borrowed {borrowed:.3}, needs {need:.3}"
@@ -197,7 +197,7 @@
     good.iter().for_each(|m| sites.entry(m.site).or_default().push(m));
     for (site, of) in &sites {
         let name = site.map_or("no site told".to_owned(), |s| format!("site {s}"));
-        let strained = of.iter().filter(|m| m.strain > 0).count();
+        let strained = of.iter().filter(|m| m.local_health > 0).count();
         _ = writeln!(out, "{name}: {} answer, {strained} of them under strain", of.len());
     }
     if good.len() <= MATRIX && !differ.is_empty() {
@@ -272,10 +272,10 @@
 /// What of one view is worth a line when it changes.
 fn changes(m: &MembersStatus) -> String {
     let mut out =
-        format!("{} hosts are there, strain {}, displaced {}\n", m.alive_hosts, m.strain, m.displaced);
-    for s in m.sites.iter().filter(|s| s.word != "there" || s.suspect + s.dead > 0) {
+        format!("{} hosts are there, strain {}, displaced {}\n", m.alive_hosts, m.local_health, m.displaced);
+    for s in m.sites.iter().filter(|s| s.state != "there" || s.suspect + s.dead > 0) {
         let name = s.site.map_or("no site told".to_owned(), |n| format!("site {n}"));
-        _ = writeln!(out, "{name} {}: {} alive, {} suspect, {} dead", s.word, s.alive, s.suspect, s.dead);
+        _ = writeln!(out, "{name} {}: {} alive, {} suspect, {} dead", s.state, s.alive, s.suspect, s.dead);
     }
     for p in m.peers.iter().filter(|p| p.health != "alive") {
         _ = writeln!(out, "host {} {}", p.host, p.health);
--- a/crates/host-core/src/consensus.rs
+++ b/crates/host-core/src/consensus.rs
@@ -95,7 +95,8 @@
     /// Whether this host votes.
     pub votes: bool,
     /// Whether the log has its initial voters.
-    pub founded: bool,
+    #[serde(rename = "founded")]
+    pub bootstrapped: bool,
     /// Its disk takes no writes.
     pub failed: bool,
     /// The index of the last entry.
@@ -103,7 +104,8 @@
     /// The index up to which entries are committed.
     pub commit: u64,
     /// The index up to which entries are in the snapshot.
-    pub folded: u64,
+    #[serde(rename = "folded")]
+    pub snapshot_index: u64,
     /// Of the plans that it goes by, and the newest that all hosts have, as was agreed.
     pub version: u64,
     /// The newest version of the plans that is known to be stored on all hosts.
@@ -127,7 +129,8 @@
     /// Leases granted here.
     pub granted: u64,
     /// Messages rejected since they came from a voter's other disk.
-    pub wrong_disks: u64,
+    #[serde(rename = "wrong_disks")]
+    pub rejected_disks: u64,
     /// Messages dropped.
     pub lost: u64,
 }
@@ -256,11 +259,11 @@
             log: self.replica.raft.log().snapshot().log_id,
             voters: s.voters.keys().copied().collect(),
             votes: s.is_voter,
-            founded: s.bootstrapped,
+            bootstrapped: s.bootstrapped,
             failed: s.disk_failed,
             last: s.last_index,
             commit: s.commit_index,
-            folded: s.snapshot_index,
+            snapshot_index: s.snapshot_index,
             version: 0,
             acknowledged: 0,
             lease: lease.into(),
@@ -271,7 +274,7 @@
             elections: c.elections,
             commits: c.commits,
             granted: c.granted,
-            wrong_disks: c.rejected_disks,
+            rejected_disks: c.rejected_disks,
             lost: c.dropped_messages + self.chunks.lost,
         }
     }
--- a/crates/host-core/src/core/admin.rs
+++ b/crates/host-core/src/core/admin.rs
@@ -67,7 +67,7 @@
             Some(OverrideOutcome::Respond(request, AdminResponse::Refused(r)))
                 if Peers::is_from_peer(request) =>
             {
-                self.log(format!("an order of another host is refused here: {r}"));
+                self.log(format!("a peer's override is rejected here: {r}"));
             }
             Some(OverrideOutcome::Respond(request, AdminResponse::Explain(mut e))) => {
                 let entry = self.nodes.number(&e.address.to_string()).and_then(|n| self.nodes.entry(n));
--- a/crates/host-core/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -139,58 +139,65 @@
         self.scheduler.request_tagged(id, tag);
     }
 
-    /// A request that its client has placed already, owed one answer. Volumes, keys and shards are the client's words.
-    pub fn handle_placed_request(&mut self, now: Instant, from: CommandRef, p: PlacedRequest) {
+    /// A request that its client has placed already, owed one answer. Volumes, keys and shards are as the client names
+    /// them.
+    pub fn handle_placed_request(&mut self, now: Instant, from: CommandRef, placed: PlacedRequest) {
         self.counters.taken += 1;
         if self.draining {
             return self.reject(from, Some(self.longest_wait));
         }
-        let known = self.scheduler.is_configured(p.traffic_class, p.plan);
-        if !known || p.left <= TimeDelta::ZERO || self.commands.contains_key(&from) {
+        let configured = self.scheduler.is_configured(placed.traffic_class, placed.plan);
+        if !configured || placed.left <= TimeDelta::ZERO || self.commands.contains_key(&from) {
             return self.reject(from, None);
         }
-        let open = |v: usize| self.commands.values().any(|c| c.volume == v);
-        let Some(volume) = self.volume_names.number(now, p.volume, open) else {
+        let in_use = |volume: usize| self.commands.values().any(|command| command.volume == volume);
+        let Some(volume) = self.volume_names.number(now, placed.volume, in_use) else {
             self.counters.over_bound += 1;
             return self.reject(from, Some(self.longest_wait));
         };
-        let bytes = p.request.bytes();
-        if let Err(wait) = self.admission.enter(now, from.session, volume, Usage { requests: 1, bytes }) {
+        let usage = Usage { requests: 1, bytes: placed.request.bytes() };
+        if let Err(wait) = self.admission.enter(now, from.session, volume, usage) {
             self.counters.over_bound += 1;
             return self.reject(from, Some(wait));
         }
-        let (id, traffic_class) = (self.new_id(), p.traffic_class.0 as usize);
-        let parts = vec![OpenPart::new(id)];
-        // The client's own mark stands in the request: it is the same at each of its tries.
-        self.commands.insert(
-            from,
-            OpenCommand { parts, traffic_class, volume, key_source: KeySource::Client, bytes, write: false },
-        );
+        self.open_placed_request(now, from, volume, placed);
+    }
+
+    /// Enters an admitted request that its client placed, and hands it to the scheduler.
+    fn open_placed_request(&mut self, now: Instant, from: CommandRef, volume: usize, placed: PlacedRequest) {
+        let (id, traffic_class) = (self.new_id(), placed.traffic_class.0 as usize);
+        let command = OpenCommand {
+            parts: vec![OpenPart::new(id)],
+            traffic_class,
+            volume,
+            // The client's own key is part of the request: it is the same at each of its retries.
+            key_source: KeySource::Client,
+            bytes: placed.request.bytes(),
+            write: false,
+        };
+        self.commands.insert(from, command);
         self.sessions.entry(from.session).or_default().insert(from.command);
-        let work = AttemptWork::Opaque(p.request);
-        let payload = AttemptPayload { key: 0, volume: volume as u32, offset: 0, units: p.units, work };
-        self.requests.insert(
-            id,
-            PendingRequest::new(
-                RequestIdentity { serial: self.serial, from, part: 0 },
-                payload,
-                traffic_class,
-                now + p.left,
-                None,
-            ),
-        );
-        let (volume, key) = (VolumeId(volume as u32), Some(key_id(p.key)));
         let request = NewRequest {
             id,
-            class: p.traffic_class,
-            plan: p.plan,
-            key,
-            time_left: p.left,
-            volume,
-            units: p.units,
-            shard: p.shard,
-            hosts: p.hosts,
+            class: placed.traffic_class,
+            plan: placed.plan,
+            key: Some(key_id(placed.key)),
+            time_left: placed.left,
+            volume: VolumeId(volume as u32),
+            units: placed.units,
+            shard: placed.shard,
+            hosts: placed.hosts,
         };
+        let payload = AttemptPayload {
+            key: 0,
+            volume: volume as u32,
+            offset: 0,
+            units: placed.units,
+            work: AttemptWork::Opaque(placed.request),
+        };
+        let identity = RequestIdentity { serial: self.serial, from, part: 0 };
+        let pending = PendingRequest::new(identity, payload, traffic_class, now + placed.left, None);
+        self.requests.insert(id, pending);
         self.scheduler.request_arrived(now, request);
     }
 
--- a/crates/host-core/src/core/consensus.rs
+++ b/crates/host-core/src/core/consensus.rs
@@ -8,7 +8,7 @@
 use crate::plans::CommittedChange;
 use std::net::SocketAddr;
 use tackmast_consensus::{ReplicaOutput, Transmit};
-use tackmast_plans::Command as PlanCommand;
+use tackmast_plans::{Change, Command as PlanCommand};
 use tackmast_wire::peer::Body;
 
 /// What an operator may do where a majority is gone for good.
@@ -78,7 +78,7 @@
             }
         }
         if let Err(why) = result {
-            self.log(format!("agreement: not kept: {why}"));
+            self.log(format!("consensus: write failed: {why}"));
         }
         self.advance_consensus(now);
         true
@@ -157,14 +157,15 @@
                 self.apply_plan_updates(now, &updates);
                 let Some(e) = entry else {
                     let (acknowledged, _) = self.plans.as_ref().map_or((0, false), Plans::acknowledged);
-                    return self
-                        .log(format!("plans: all hosts have version {acknowledged}: lower floors hold"));
+                    return self.log(format!(
+                        "plans: version {acknowledged} is stored on all hosts: lower fallback limits apply"
+                    ));
                 };
                 if let Some(consensus) = &mut self.consensus {
                     consensus.changed_at = index;
                 }
                 self.log(format!(
-                    "plans: change {} holds, by {}: {}; {} things move",
+                    "plans: change {} applied, by {}: {}; {} updates",
                     e.number,
                     e.change.who,
                     e.change.why,
@@ -179,7 +180,7 @@
             }
             Err(why) => {
                 if is_change {
-                    self.log(format!("plans: a change is refused: {why}"));
+                    self.log(format!("plans: change rejected: {why}"));
                 }
                 if let Some(number) = mine {
                     self.respond_to_proposal(number, PlanResponse::Refused { why: why.to_string() });
@@ -200,7 +201,7 @@
         };
         match restored {
             Ok(updates) => self.apply_plan_updates(now, &updates),
-            Err(e) => self.log(format!("plans: what the fleet agreed on can't be read here: {e}")),
+            Err(e) => self.log(format!("plans: snapshot not readable: {e}")),
         }
     }
 
@@ -211,56 +212,73 @@
         request: u64,
         plan_request: PlanRequest,
     ) {
-        let response = |why: String| AdminResponse::Plan(PlanResponse::Refused { why });
-        let (Some(consensus), Some(plans)) = (&mut self.consensus, &self.plans) else { return };
-        let (change, dry_run) = match plan_request {
+        if self.consensus.is_none() || self.plans.is_none() {
+            return;
+        }
+        let response = match plan_request {
             PlanRequest::Show | PlanRequest::Log => {
-                if consensus.reads.len() >= MAX_WAITING_READS {
-                    let response = response(format!("{MAX_WAITING_READS} asks wait already"));
+                if let Some(refused) = self.begin_read(now, request, plan_request) {
+                    let response = AdminResponse::Plan(refused);
                     return self.outputs.push_back(Output::AdminResponse { request, response });
                 }
-                // Never stale: answered once all that was agreed on before the ask is here.
-                let read = consensus.replica.request_read(now);
-                consensus.reads.push((
-                    read,
-                    now + TimeDelta::from_secs(READ_TIMEOUT_S),
-                    request,
-                    plan_request,
-                ));
-                return self.advance_consensus(now);
+                None
             }
-            PlanRequest::Apply { change, dry_run } => (Ok(change), dry_run),
+            PlanRequest::Apply { change, dry_run: true } => self.preview(wall_us, change),
+            PlanRequest::Apply { change, dry_run: false } => self.propose(now, wall_us, request, change),
             PlanRequest::Undo { number, who, why, dry_run } => {
-                (plans.undo_change(number, &who, &why), dry_run)
-            }
-        };
-        let response = match change {
-            Err(why) => Some(response(why.to_string())),
-            Ok(change) if dry_run => Some(match plans.preview_change(wall_us, change) {
-                Ok((number, version, lines)) => {
-                    let in_force_s = consensus.settle().secs();
-                    AdminResponse::Plan(PlanResponse::Applied { number, version, lines, in_force_s, dry_run })
-                }
-                Err(why) => response(why.to_string()),
-            }),
-            Ok(change) => {
-                let command = PlanCommand::Change { at_us: wall_us, change };
-                let data = serde_json::to_vec(&command).unwrap_or_default();
-                match consensus.replica.propose(now, data.into()) {
-                    Ok(number) => {
-                        consensus.changes.insert(number, request);
-                        None
-                    }
-                    Err(r) => Some(response(r.to_string())),
+                let Some(plans) = &self.plans else { return };
+                match plans.undo_change(number, &who, &why) {
+                    Err(error) => Some(PlanResponse::Refused { why: error.to_string() }),
+                    Ok(change) if dry_run => self.preview(wall_us, change),
+                    Ok(change) => self.propose(now, wall_us, request, change),
                 }
             }
         };
         if let Some(response) = response {
+            let response = AdminResponse::Plan(response);
             self.outputs.push_back(Output::AdminResponse { request, response });
         }
         self.advance_consensus(now);
     }
 
+    /// Never stale: answered once all that was committed before the request is here.
+    fn begin_read(&mut self, now: Instant, request: u64, plan_request: PlanRequest) -> Option<PlanResponse> {
+        let consensus = self.consensus.as_mut()?;
+        if consensus.reads.len() >= MAX_WAITING_READS {
+            return Some(PlanResponse::Refused { why: format!("{MAX_WAITING_READS} asks wait already") });
+        }
+        let read = consensus.replica.request_read(now);
+        let until = now + TimeDelta::from_secs(READ_TIMEOUT_S);
+        consensus.reads.push((read, until, request, plan_request));
+        None
+    }
+
+    /// What a change would do, as far as this host knows.
+    fn preview(&self, wall_us: u64, change: Change) -> Option<PlanResponse> {
+        let (consensus, plans) = (self.consensus.as_ref()?, self.plans.as_ref()?);
+        Some(match plans.preview_change(wall_us, change) {
+            Ok((number, version, lines)) => {
+                let in_force_s = consensus.settle().secs();
+                PlanResponse::Applied { number, version, lines, in_force_s, dry_run: true }
+            }
+            Err(error) => PlanResponse::Refused { why: error.to_string() },
+        })
+    }
+
+    /// Proposes a change; it is answered once it is committed, or not in time.
+    fn propose(&mut self, now: Instant, wall_us: u64, request: u64, change: Change) -> Option<PlanResponse> {
+        let consensus = self.consensus.as_mut()?;
+        let command = PlanCommand::Change { at_us: wall_us, change };
+        let data = serde_json::to_vec(&command).unwrap_or_default();
+        match consensus.replica.propose(now, data.into()) {
+            Ok(number) => {
+                consensus.changes.insert(number, request);
+                None
+            }
+            Err(error) => Some(PlanResponse::Refused { why: error.to_string() }),
+        }
+    }
+
     fn complete_reads(&mut self, now: Instant) {
         let (Some(consensus), Some(plans)) = (&mut self.consensus, &mut self.plans) else { return };
         let mut i = 0;
--- a/crates/host-core/src/core/peers.rs
+++ b/crates/host-core/src/core/peers.rs
@@ -168,8 +168,8 @@
             let Some(peers) = &mut self.peers else { return };
             let Some(next) = peers.next(now, &self.layout) else { return };
             match next {
-                PeerEvent::There(hosts) => self.scheduler.alive_hosts_changed(hosts),
-                PeerEvent::Moved { volume, m } => {
+                PeerEvent::AliveHosts(hosts) => self.scheduler.alive_hosts_changed(hosts),
+                PeerEvent::QuotaMoved { volume, m } => {
                     let v = self.layout.volume(volume);
                     let (id, plan) = (VolumeId(volume as u32), PlanId(v.plan));
                     let leases = QuotaLeases { lent: m.lent, borrowed: m.borrowed, until: m.until };
@@ -181,12 +181,14 @@
                 PeerEvent::AdminRequest(request, admin_request) => {
                     self.handle_admin_request(now, request, admin_request)
                 }
-                PeerEvent::Remember(r) => {
+                PeerEvent::Persist(r) => {
                     let batch = PersistBatch { members: Some(r), ..PersistBatch::default() };
                     self.outputs.push_back(Output::Persist { request: 0, batch });
                 }
                 PeerEvent::NodeList(c) => self.handle_peer_node_list(now, c),
-                PeerEvent::Word { from, slot, body } => self.handle_consensus_message(now, from, slot, body),
+                PeerEvent::ConsensusMessage { from, slot, body } => {
+                    self.handle_consensus_message(now, from, slot, body)
+                }
                 PeerEvent::CatalogUpdate(p) => {
                     let Some(plans) = &mut self.plans else { continue };
                     let ends = peers.member.catalog.deadline(p.number, now);
@@ -194,7 +196,7 @@
                         Ok(h) => self.apply_change(now, h, false),
                         Err(why) => {
                             peers.member.catalog.handle_rejected();
-                            self.log(format!("plans: change {} is not taken: {why}", p.number));
+                            self.log(format!("plans: change {} rejected: {why}", p.number));
                         }
                     }
                 }
--- a/crates/host-core/src/core/removed_nodes.rs
+++ b/crates/host-core/src/core/removed_nodes.rs
@@ -28,7 +28,7 @@
         match came {
             NodeListEvent::Behind { .. } => self.outputs.push_back(Output::FetchList),
             NodeListEvent::RolledBack { from, to } => self.log(format!(
-                "list: it went back from version {from} to {to}; what drained or was gone by {from} stays so for {REMOVAL_S} s, or until it is past {from}"
+                "endpoint list: a peer's went back from version {from} to {to}; nodes draining or gone at {from} stay so for {REMOVAL_S} s, or until it is past {from}"
             )),
             NodeListEvent::Removed { version, removal: stop } => self.remove_by_peer(now, version, stop),
         }
@@ -42,7 +42,7 @@
         if !known && self.removed_nodes.held.len() >= MAX_REMOVED_NODES {
             if !std::mem::replace(&mut self.removed_nodes.full, true) {
                 self.log(format!(
-                    "list: {MAX_REMOVED_NODES} nodes are taken away by other hosts' lists; no more are taken"
+                    "endpoint list: {MAX_REMOVED_NODES} nodes are removed by peers' lists; no more are accepted"
                 ));
             }
             return;
@@ -50,8 +50,11 @@
         let until = now + TimeDelta::from_secs(REMOVAL_S);
         let before = self.removed_nodes.held.insert(stop.address.clone(), (version, until));
         if before.is_none() {
-            let word = if stop.gone { "gone" } else { "draining" };
-            self.log(format!("list: node {} is {word} by version {version} of another host", stop.address));
+            let state = if stop.gone { "gone" } else { "draining" };
+            self.log(format!(
+                "endpoint list: node {} is {state} in version {version} of a peer",
+                stop.address
+            ));
         }
         self.refresh_nodes(now, &[stop.address]);
     }
--- a/crates/host-core/src/members_status.rs
+++ b/crates/host-core/src/members_status.rs
@@ -3,7 +3,7 @@
 use crate::peers::Peers;
 use serde::{Deserialize, Serialize};
 use tackmast::interface::Instant;
-use tackmast_membership::{LeaseStatus, SiteHealth};
+use tackmast_membership::{LeaseStatus, MemberState, SiteHealth};
 
 /// A peer as this host sees it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -44,7 +44,8 @@
     /// Hosts that left.
     pub left: u32,
     /// There, unheard as a whole, emptied one by one, or left.
-    pub word: String,
+    #[serde(rename = "word")]
+    pub state: String,
 }
 
 /// A host that was held dead.
@@ -74,7 +75,8 @@
     /// The others.
     pub peers: Vec<PeerStatus>,
     /// By LUN: own part, lent, borrowed and needed, as shares of the limit.
-    pub loans: Vec<(u32, f64, f64, f64, f64)>,
+    #[serde(rename = "loans")]
+    pub quota_leases: Vec<(u32, f64, f64, f64, f64)>,
     /// Another generation of this host's number runs.
     pub displaced: bool,
     /// Datagrams sent.
@@ -106,7 +108,8 @@
     pub still_s: f64,
     /// Steps by which it waits longer for answers, since they come late here.
     #[serde(default)]
-    pub strain: u32,
+    #[serde(rename = "strain")]
+    pub local_health: u32,
     /// The sites, one by one.
     #[serde(default)]
     pub sites: Vec<SiteStatus>,
@@ -145,42 +148,11 @@
     pub fn status(&self, now: Instant) -> MembersStatus {
         let (c, view) = (&self.member.counters, &self.member.view);
         let (me, v) = (view.me(), view.counters);
-        let peers = self.member.snapshot().into_iter().map(|(host, s)| PeerStatus {
-            host,
-            health: s.health.to_string(),
-            address: s.address.to_string(),
-            generation: s.generation,
-            since_s: (now - s.since).secs(),
-            incarnation: s.incarnation,
-            site: s.site,
-            flaps: view.is_flapping(now, host),
-        });
-        let sites = view.sites().into_iter().map(|s| SiteStatus {
-            site: s.site,
-            alive: s.alive,
-            suspect: s.suspect,
-            dead: s.dead,
-            left: s.left,
-            word: match s.health {
-                SiteHealth::Reachable => "there",
-                SiteHealth::FailedTogether { .. } => "unheard as a whole",
-                SiteHealth::FailedOneByOne { .. } => "emptied one by one",
-                SiteHealth::Left => "left",
-            }
-            .into(),
-        });
-        let deaths = view.deaths().map(|d| DeathStatus {
-            host: d.slot,
-            generation: d.generation,
-            incarnation: d.incarnation,
-            ago_s: (now - d.at).secs(),
-            own: d.declared_here,
-        });
         MembersStatus {
             host: Some(me.slot),
             alive_hosts: self.member.live_count(),
-            peers: peers.collect(),
-            loans: self.member.leases.status(now).into_iter().map(lease_row).collect(),
+            peers: self.peer_statuses(now),
+            quota_leases: self.member.leases.status(now).into_iter().map(lease_row).collect(),
             displaced: view.is_displaced(),
             sent: c.sent,
             sent_bytes: c.sent_bytes,
@@ -192,9 +164,9 @@
             address: me.address.to_string(),
             digest: view.digest(),
             still_s: view.unchanged_for(now).secs(),
-            strain: view.local_health_score(),
-            sites: sites.collect(),
-            deaths: deaths.collect(),
+            local_health: view.local_health_score(),
+            sites: self.site_statuses(),
+            deaths: self.death_statuses(now),
             suspected: v.suspected,
             refuted: v.refuted,
             found_dead: v.declared_dead,
@@ -205,6 +177,50 @@
             taken_over: v.taken_over,
         }
     }
+
+    fn peer_statuses(&self, now: Instant) -> Vec<PeerStatus> {
+        let view = &self.member.view;
+        let status = |(host, state): (u32, MemberState)| PeerStatus {
+            host,
+            health: state.health.to_string(),
+            address: state.address.to_string(),
+            generation: state.generation,
+            since_s: (now - state.since).secs(),
+            incarnation: state.incarnation,
+            site: state.site,
+            flaps: view.is_flapping(now, host),
+        };
+        self.member.snapshot().into_iter().map(status).collect()
+    }
+
+    fn site_statuses(&self) -> Vec<SiteStatus> {
+        let sites = self.member.view.sites().into_iter().map(|site| SiteStatus {
+            site: site.site,
+            alive: site.alive,
+            suspect: site.suspect,
+            dead: site.dead,
+            left: site.left,
+            state: match site.health {
+                SiteHealth::Reachable => "there",
+                SiteHealth::FailedTogether { .. } => "unheard as a whole",
+                SiteHealth::FailedOneByOne { .. } => "emptied one by one",
+                SiteHealth::Left => "left",
+            }
+            .into(),
+        });
+        sites.collect()
+    }
+
+    fn death_statuses(&self, now: Instant) -> Vec<DeathStatus> {
+        let deaths = self.member.view.deaths().map(|death| DeathStatus {
+            host: death.slot,
+            generation: death.generation,
+            incarnation: death.incarnation,
+            ago_s: (now - death.at).secs(),
+            own: death.declared_here,
+        });
+        deaths.collect()
+    }
 }
 
 fn lease_row(s: LeaseStatus) -> (u32, f64, f64, f64, f64) {
--- a/crates/host-core/src/override_requests.rs
+++ b/crates/host-core/src/override_requests.rs
@@ -272,7 +272,7 @@
         Some(match (pending, result) {
             (Pending::Put(put), Err(error)) => {
                 let (record, _) = *put;
-                let line = format!("override of {} not kept: {error}", record.target);
+                let line = format!("override of {} not written: {error}", record.target);
                 (AdminResponse::NotKept { why: error.to_string() }, line)
             }
             (Pending::Put(put), Ok(())) => {
@@ -290,7 +290,7 @@
                 (AdminResponse::Set { record, preview, dry_run: false }, line)
             }
             (Pending::Clear(id, _), Err(error)) => {
-                let line = format!("override {} stands on: clearing it was not kept: {error}", id.0);
+                let line = format!("override {} remains: clearing it was not written: {error}", id.0);
                 (AdminResponse::NotKept { why: error.to_string() }, line)
             }
             // It may have ended while its clearing was written; either way it does not stand.
@@ -318,13 +318,13 @@
         let standing = self.overrides.list(now);
         let line = |(o, left): &(Override, f64)| {
             format!(
-                "override {} stands: {} {}, {left:.0} s left, by {}: {}",
+                "override {} active: {} {}, {left:.0} s left, by {}: {}",
                 o.id.0, o.target, o.kind, o.who, o.reason
             )
         };
         let mut lines: Vec<String> = standing.iter().take(MAX_REPORT_LINES).map(line).collect();
         if standing.len() > MAX_REPORT_LINES {
-            lines.push(format!("{} more overrides stand", standing.len() - MAX_REPORT_LINES));
+            lines.push(format!("{} more overrides are active", standing.len() - MAX_REPORT_LINES));
         }
         lines
     }
--- a/crates/host-core/src/peers.rs
+++ b/crates/host-core/src/peers.rs
@@ -34,9 +34,9 @@
 }
 
 pub enum PeerEvent {
-    There(u32),
+    AliveHosts(u32),
     /// Of a volume by its place.
-    Moved {
+    QuotaMoved {
         volume: usize,
         m: QuotaBalance,
     },
@@ -49,9 +49,9 @@
     /// A change of plans.
     CatalogUpdate(CatalogUpdate),
     /// To be written down for the next generation.
-    Remember(PersistedMembers),
+    Persist(PersistedMembers),
     NodeList(NodeListEvent),
-    Word {
+    ConsensusMessage {
         from: SocketAddr,
         slot: u32,
         body: Body,
@@ -164,9 +164,9 @@
                 Output::Send { to, bytes } => PeerEvent::Send { to, bytes },
                 Output::Log(line) => PeerEvent::Mode(line),
                 Output::CatalogUpdate(p) => PeerEvent::CatalogUpdate(p),
-                Output::Persist(r) => PeerEvent::Remember(r),
+                Output::Persist(r) => PeerEvent::Persist(r),
                 Output::NodeList(c) => PeerEvent::NodeList(c),
-                Output::Consensus { from, slot, body } => PeerEvent::Word { from, slot, body },
+                Output::Consensus { from, slot, body } => PeerEvent::ConsensusMessage { from, slot, body },
                 Output::Override(d) => match self.request_of_event(d) {
                     Some(ask) => {
                         self.last_request += 1;
@@ -181,7 +181,7 @@
         let alive_hosts = self.max_hosts.saturating_sub(self.member.view.gone_count()).max(1);
         if alive_hosts != self.alive_hosts {
             self.alive_hosts = alive_hosts;
-            return Some(PeerEvent::There(alive_hosts));
+            return Some(PeerEvent::AliveHosts(alive_hosts));
         }
         if self.checked_at != Some(now) {
             self.checked_at = Some(now);
@@ -192,7 +192,7 @@
                 continue;
             };
             if self.quota_balances.insert(lun, m) != Some(m) {
-                return Some(PeerEvent::Moved { volume, m });
+                return Some(PeerEvent::QuotaMoved { volume, m });
             }
         }
         // Looked at again at each call: a datagram of the same moment may have moved something.
--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -319,7 +319,7 @@
         let updates = self.updates(before, &to);
         let e = self.change_log.entries.last()?;
         let line = format!(
-            "plans: change {} holds, by {}: {}; {} things move",
+            "plans: change {} applied, by {}: {}; {} updates",
             e.number,
             e.change.who,
             e.change.why,
