--- a/crates/host-core/src/admission.rs
+++ b/crates/host-core/src/admission.rs
@@ -35,6 +35,7 @@
     }
 }
 
+/// Requests and bytes in the host's tables, by session and volume, within their bounds.
 #[derive(Debug)]
 pub struct Admission {
     most: Usage,
@@ -47,6 +48,7 @@
 }
 
 impl Admission {
+    /// Bounds for a host; `longest_wait` is the longest that a client is advised.
     pub fn new(now: Instant, requests: usize, bytes: usize, longest_wait: TimeDelta) -> Self {
         Admission {
             most: Usage { requests, bytes },
@@ -65,7 +67,7 @@
         self.ended_at = now;
     }
 
-    /// Takes up room, or says how long to stay away.
+    /// Takes up capacity, or returns after how long to retry.
     pub fn enter(
         &mut self,
         now: Instant,
@@ -96,6 +98,7 @@
         ))
     }
 
+    /// Returns what was taken up, when a command has ended.
     pub fn leave(&mut self, now: Instant, session: u32, volume: usize, held: Usage) {
         self.decay_rate(now);
         self.ended += held.requests as f64;
--- a/crates/host-core/src/attempt.rs
+++ b/crates/host-core/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts of requests, as the core gives them to the connections to nodes, and what comes back for them.
+//! Attempts of requests, as the connections to nodes get them, and their results.
 
 use crate::command::CommandRef;
 use crate::placed::OpaqueRequest;
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use tackmast::interface::{Instant, NodeId, Outcome};
 
-/// What an attempt asks of its node; lengths in bytes.
+/// What a node is to do; lengths in bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptWork {
     /// Bytes are read.
@@ -19,7 +19,7 @@
         /// The bytes.
         data: Bytes,
     },
-    /// As it came; its host only places it.
+    /// A request as its client sent it; the host only places it.
     Opaque(OpaqueRequest),
 }
 
@@ -48,7 +48,7 @@
     pub begin_by: Option<Instant>,
     /// The idempotency key by which nodes recognise a retry; 0 where the traffic class has none.
     pub mark: u128,
-    /// Order key; 0 where the traffic class asks for no order.
+    /// Order key; 0 where the traffic class needs no order.
     pub key: u64,
     /// The volume.
     pub volume: u32,
@@ -86,16 +86,16 @@
     }
 }
 
-/// What came back for an attempt.
+/// How an attempt ended.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
     /// The attempt.
     pub attempt: AttemptId,
     /// How it ended.
     pub outcome: Outcome,
-    /// Requests waiting at the node, and units it served for the volume through other hosts, where it told.
+    /// Requests waiting at the node, where it reported that.
     pub waiting: Option<u32>,
-    /// Units that the node served for the volume through other hosts, where it told.
+    /// Units that the node served for the volume through other hosts, where it reported that.
     pub elsewhere: Option<f64>,
     /// What was read.
     pub data: Bytes,
--- a/crates/host-core/src/combine.rs
+++ b/crates/host-core/src/combine.rs
@@ -1,4 +1,4 @@
-//! One answer for a command of several parts. Parts are requests of their own to the decision module; their
+//! One answer for a command of several parts. Parts are requests of their own to the scheduler; their
 //! client is owed one final answer, as early as it is certain.
 
 use tackmast::interface::{DedupScope, Effect, TimeDelta};
@@ -20,7 +20,7 @@
         /// After how long a retry may succeed.
         retry_after: Option<TimeDelta>,
     },
-    /// The module gave it up with an attempt out that may have run. Where the links have proof that none of it ever
+    /// The scheduler gave it up with an attempt out that may have run. Where the links have proof that none of it ever
     /// left, it is as good as rejected.
     Failed {
         /// Whether an attempt may have had an effect.
@@ -61,7 +61,7 @@
     }
 }
 
-/// The command's answer, if it is certain by now. A rejected part settles it at once: a client that is told
+/// The command's answer, if it is certain by now. A rejected part settles it at once: a client that is answered
 /// early can come back early. Rejected promises that a retry is safe, so one part that may have run makes it
 /// failed where the effect does not bear a second run.
 pub fn combine(effect: Effect, key_source: KeySource, parts: &[PartState]) -> Option<Combined> {
--- a/crates/host-core/src/consensus.rs
+++ b/crates/host-core/src/consensus.rs
@@ -1,5 +1,5 @@
-//! The agreement within the host core: its words on the way other hosts are spoken to, its writes, what it brings of plans,
-//! and what operators ask of it. What counts is decided in `tackmast-consensus` and `tackmast-plans`.
+//! Consensus within the host core: messages to and from peers, writes, committed changes of plans, and requests of
+//! operators. The decisions are those of `tackmast-consensus` and `tackmast-plans`.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -11,15 +11,15 @@
 };
 use tackmast_wire::peer::Body;
 
-/// Entries, and bytes of them, after which they are folded.
+/// Entries, and bytes of them, after which a snapshot is taken.
 const SNAPSHOT_AFTER_ENTRIES: u64 = 2_000;
 const SNAPSHOT_AFTER_BYTES: usize = 4 << 20;
 /// Reads that wait, at most, and for how long each does.
 pub(crate) const MAX_WAITING_READS: usize = 256;
 pub(crate) const READ_TIMEOUT_S: f64 = 3.0;
-/// How often a leader looks whether all hosts have what some floor waits for.
+/// How often a leader checks whether all hosts have stored what a lower fallback limit waits for.
 pub(crate) const ACKNOWLEDGEMENT_CHECK_S: f64 = 0.5;
-/// Writes of the agreed log are told of under numbers from here on.
+/// Writes of the replicated log have request numbers from here on.
 pub(crate) const FIRST_WRITE_REQUEST: u64 = 1 << 62;
 
 /// What an operator asks of this host's consensus.
@@ -28,14 +28,14 @@
 pub enum ConsensusRequest {
     /// The status of this host's replica.
     Status,
-    /// One voter more, or one less; asked of the host that leads.
+    /// Adds or removes a voter; for the leader.
     Voter {
         /// The voter's host.
         host: u32,
         /// Whether it votes from now on.
         votes: bool,
     },
-    /// Most voters are gone for good: this host goes on alone, from what it has.
+    /// The majority is gone for good: this host goes on alone, as a new log, from what it has.
     Force {
         /// Who asks.
         who: String,
@@ -57,12 +57,12 @@
 pub enum ConsensusResponse {
     /// The status of this host's replica.
     Status(Box<ConsensusStatus>),
-    /// Done here, and written into the audit trail; of a force, the mark of the log that it began.
+    /// Done here, and written into the audit trail; of `Force`, the id of the new log.
     Done {
         /// The mark of the log that applies from now on; 0: none.
         log: u64,
     },
-    /// It stands in the log at that place, and holds once most have it.
+    /// It is in the log at that place, and applies once a majority has stored it.
     Taken {
         /// The place in the log.
         index: u64,
@@ -74,7 +74,7 @@
     },
 }
 
-/// How a host stands to what is agreed on.
+/// The replica of a host as operators see it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConsensusStatus {
     /// This host.
@@ -82,13 +82,13 @@
     /// Its generation.
     #[serde(rename = "life")]
     pub generation: u64,
-    /// Leads, follows, or asks for votes.
+    /// Leader, follower or candidate.
     pub role: String,
     /// The current term.
     pub term: u64,
     /// The leader, where one is known.
     pub leader: Option<u32>,
-    /// The mark of the log: hosts with different ones do not go by the same.
+    /// The id of the log: hosts with different ones do not share one.
     pub log: u64,
     /// Hosts that vote.
     pub voters: Vec<u32>,
@@ -106,16 +106,16 @@
     /// The index up to which entries are in the snapshot.
     #[serde(rename = "folded")]
     pub snapshot_index: u64,
-    /// Of the plans that it goes by, and the newest that all hosts have, as was agreed.
+    /// The version of the plans that apply here.
     pub version: u64,
     /// The newest version of the plans that is known to be stored on all hosts.
     #[serde(rename = "told")]
     pub acknowledged: u64,
-    /// Holds, past or never; and seconds until its end, or since.
+    /// `holds`, `past` or `never`.
     pub lease: String,
     /// Seconds until the lease ends, or since it did.
     pub lease_s: f64,
-    /// It goes by the floors.
+    /// Whether it is in degraded mode, by the fallback limits.
     #[serde(rename = "posture")]
     pub degraded: bool,
     /// Seconds until all hosts go by the newest that this one has.
@@ -135,7 +135,7 @@
     pub lost: u64,
 }
 
-/// What a host's disk has of the agreement.
+/// What a host's disk has of consensus.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConsensusStart {
     /// What tells this disk from others.
@@ -151,9 +151,9 @@
     pub(crate) settings: RaftSettings,
     /// Changes of this host: their numbers, and who waits for what.
     pub(crate) changes: BTreeMap<u32, u64>,
-    /// Who waits for what is newest: by number of the ask, until when, and what for.
+    /// Reads that wait: number of the read, until when, number of the request, and the request.
     pub(crate) reads: Vec<(u32, Instant, u64, crate::PlanRequest)>,
-    /// Where the newest change of plans stands in the log.
+    /// The index of the newest change of plans.
     pub(crate) changed_at: u64,
     pub(crate) next_acknowledgement_check: Instant,
     me: u32,
@@ -213,8 +213,13 @@
         all.into_iter().flatten().chain(reads).fold(self.replica.poll_timeout(now), Instant::min)
     }
 
-    /// A word, once it is whole.
-    pub(crate) fn came(&mut self, now: Instant, from: std::net::SocketAddr, body: Body) -> Option<Message> {
+    /// A message, once all its chunks have arrived.
+    pub(crate) fn handle_body(
+        &mut self,
+        now: Instant,
+        from: std::net::SocketAddr,
+        body: Body,
+    ) -> Option<Message> {
         let bytes = match body {
             Body::Consensus { bytes } => bytes,
             Body::ConsensusChunk { number, pieces, piece, bytes } => self.chunks.on_chunk(
--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -1,4 +1,4 @@
-//! The state machine: inputs, the tables, and the outputs.
+//! The state machine. Its inputs are in the submodules, by topic.
 
 mod admin;
 mod attempts;
@@ -7,6 +7,7 @@
 mod endpoint_list;
 mod peers;
 mod removed_nodes;
+mod replicated_plans;
 mod slow_start;
 mod tables;
 mod timeouts;
@@ -129,7 +130,7 @@
         }
     }
 
-    /// A host whose requests arrive already placed, round a module that has its settings.
+    /// A host whose requests arrive already placed, around a scheduler that has its settings.
     pub fn placed(now: Instant, scheduler: Scheduler, s: PlacedSettings, generation: u64) -> Self {
         Core {
             scheduler,
@@ -185,17 +186,17 @@
         self.at_node.contains_key(&node)
     }
 
-    /// Lines of sessions with something waiting, and sessions remembered in them.
+    /// Queues that are not empty, and sessions remembered in them.
     pub fn fair_queue_counts(&self) -> (usize, usize) {
         self.fair_queueing.counts()
     }
 
-    /// Order keys that the module remembers.
+    /// Order keys that the scheduler remembers.
     pub fn key_queue_count(&self) -> usize {
         self.scheduler.key_queue_count()
     }
 
-    /// Commands without an answer, requests that are kept, and attempts out.
+    /// What is open.
     pub fn open_counts(&self) -> OpenCounts {
         OpenCounts {
             commands: self.commands.len(),
@@ -226,7 +227,7 @@
             if let Some(o) = self.outputs.pop_front() {
                 return Some(o);
             }
-            // Whatever came meanwhile, and however long this host stood still: nothing leaves by what counts no more.
+            // However long this host stood still: nothing is sent by a lease that has expired.
             self.update_degraded_mode(now);
             let decision = self.scheduler.poll_decision(now)?;
             self.execute(now, decision);
--- a/crates/host-core/src/core/admin.rs
+++ b/crates/host-core/src/core/admin.rs
@@ -1,4 +1,4 @@
-//! Operators: what they ask, and what is kept of it.
+//! Requests of operators, overrides, and completed writes of the store.
 
 use super::*;
 
@@ -30,7 +30,7 @@
         self.outputs.push_back(Output::Log { node: None, line });
     }
 
-    /// An operator's ask, under a number of the caller's that is not 0.
+    /// A request of an operator, under a number of the caller's that is not 0.
     pub fn handle_admin_request(&mut self, now: Instant, request: u64, admin_request: AdminRequest) {
         let admin_request = match admin_request {
             AdminRequest::Plan(plan_request) if self.plans.is_some() => {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The store's word on a `PersistBatch`.
+    /// The store has written a `PersistBatch`, or could not.
     pub fn handle_persisted(&mut self, now: Instant, request: u64, result: Result<(), PersistError>) {
         if self.handle_consensus_persisted(now, request, &result) {
             return;
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: sent, back, withdrawn.
+//! Attempts: sent, ended by results, withdrawn, cancelled.
 
 use super::*;
 
@@ -9,7 +9,7 @@
         self.requests.get(&id).is_some_and(|request| request.out.iter().any(|o| o.no == no))
     }
 
-    /// An attempt came back from its link. One that is not known any more had its end before.
+    /// The connection to a node reports how an attempt ended. One that is unknown had its end before.
     pub fn handle_attempt_result(&mut self, now: Instant, back: AttemptResult) {
         let (id, no) = (RequestId((back.attempt.0 >> 8) as u32), (back.attempt.0 & 0xff) as u32);
         let known = self.requests.get(&id).and_then(|request| request.out.iter().find(|o| o.no == no));
@@ -37,9 +37,10 @@
             }
             Decision::FollowList => self.outputs.push_back(Output::FollowList { since: self.list_version }),
             Decision::Log(line) => {
-                // The module's lines name a node by its number, as their second word.
-                let mut words = line.split(' ');
-                let number = words.next().filter(|w| *w == "node").and_then(|_| words.next()?.parse().ok());
+                // The scheduler's lines name a node by its number, in second place.
+                let mut tokens = line.split(' ');
+                let number =
+                    tokens.next().filter(|token| *token == "node").and_then(|_| tokens.next()?.parse().ok());
                 self.outputs.push_back(Output::Log { node: number.map(NodeId), line });
             }
         }
@@ -156,7 +157,7 @@
     pub(super) fn withdraw_unsent(&mut self, now: Instant, id: RequestId) {
         let out = self.requests.get(&id).map_or(&[][..], |request| &request.out);
         let unsent: Vec<u32> = out.iter().filter(|o| o.ticket.withdraw()).map(|o| o.no).collect();
-        // No word on its node, which never saw it.
+        // Nothing is learned of its node, which never saw it.
         for no in unsent {
             self.counters.withdrawn += 1;
             self.finish_attempt(now, id, no, Outcome::Skipped, None, Bytes::new());
--- a/crates/host-core/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -217,7 +217,7 @@
         self.outputs.push_back(Output::Answer { to, verdict: Verdict::Rejected { retry_after } });
     }
 
-    /// The host will end: what comes from now on is rejected, what is open goes on.
+    /// The host shuts down: new commands are rejected, open ones go on.
     pub fn drain(&mut self) {
         self.draining = true;
     }
@@ -235,12 +235,12 @@
                 continue;
             };
             let (id, retry_after) = (first.request, Some(self.longest_wait));
-            // As if the module had rejected it: the parts together tell whether that can be said.
+            // As if the scheduler had rejected it: the parts together decide whether a retry is safe.
             self.finish_part(now, id, PartState::Rejected { ran: true, retry_after }, Bytes::new());
         }
     }
 
-    /// The client has taken the command back, or was told that it is over; no answer is wanted.
+    /// The client has aborted the command; no answer is wanted.
     pub fn handle_abort(&mut self, now: Instant, from: CommandRef) {
         if let Some(c) = self.commands.remove(&from) {
             self.counters.left += 1;
--- a/crates/host-core/src/core/consensus.rs
+++ b/crates/host-core/src/core/consensus.rs
@@ -1,14 +1,11 @@
-//! The agreement: words, writes, changes that hold, and the lease without which this host keeps to the floors.
+//! Consensus: messages, writes, committed changes, and the lease without which this host is in degraded mode.
 
 use super::*;
-use crate::consensus::{
-    ConsensusRequest, ConsensusResponse, ACKNOWLEDGEMENT_CHECK_S, FIRST_WRITE_REQUEST, MAX_WAITING_READS,
-    READ_TIMEOUT_S,
-};
+use crate::consensus::{ConsensusRequest, ConsensusResponse, ACKNOWLEDGEMENT_CHECK_S, FIRST_WRITE_REQUEST};
 use crate::plans::CommittedChange;
 use std::net::SocketAddr;
 use tackmast_consensus::{ReplicaOutput, Transmit};
-use tackmast_plans::{Change, Command as PlanCommand};
+use tackmast_plans::Command as PlanCommand;
 use tackmast_wire::peer::Body;
 
 /// What an operator may do where a majority is gone for good.
@@ -19,15 +16,15 @@
 }
 
 impl Core {
-    /// Hosts agree on changes of plans from here on. To be told before the plans are: what the disk has of them follows then.
+    /// Changes of plans need consensus from here on. To be called before `with_plans`, by which the disk's state is applied.
     pub fn with_consensus(&mut self, consensus: ConsensusDriver) {
         self.consensus = Some(consensus);
     }
 
     pub(super) fn handle_consensus_message(&mut self, now: Instant, from: SocketAddr, slot: u32, body: Body) {
         let Some(consensus) = &mut self.consensus else { return };
-        if let Some(word) = consensus.came(now, from, body) {
-            consensus.replica.handle_message(now, slot, word);
+        if let Some(message) = consensus.handle_body(now, from, body) {
+            consensus.replica.handle_message(now, slot, message);
         }
         self.process_consensus_outputs(now);
     }
@@ -43,7 +40,7 @@
         self.advance_consensus(now);
     }
 
-    /// Where some floor waits for it: all hosts have the newest version on their disks, which the log has to say.
+    /// Where a lower fallback limit waits for it: records in the log that all hosts have stored the newest version.
     fn propose_stored_on_all(&mut self, now: Instant) {
         let (Some(consensus), Some(plans)) = (&mut self.consensus, &self.plans) else { return };
         if now < consensus.next_acknowledgement_check {
@@ -61,7 +58,7 @@
         }
     }
 
-    /// The store's word on a write of the log; false: it was none.
+    /// The store has written entries of the log, or could not; false: the request was none of the log's.
     pub(super) fn handle_consensus_persisted(
         &mut self,
         now: Instant,
@@ -132,13 +129,13 @@
         }
     }
 
-    /// The same, and what is said of it goes out. Not from within what follows other hosts' words: that goes on by itself.
-    fn advance_consensus(&mut self, now: Instant) {
+    /// Processes the outputs of consensus, and sends its messages. Not to be called while events of peers are processed.
+    pub(super) fn advance_consensus(&mut self, now: Instant) {
         self.process_consensus_outputs(now);
         self.process_peer_events(now);
     }
 
-    fn respond_to_proposal(&mut self, number: u32, response: PlanResponse) {
+    pub(super) fn respond_to_proposal(&mut self, number: u32, response: PlanResponse) {
         let request = self.consensus.as_mut().and_then(|consensus| consensus.changes.remove(&number));
         if let Some(request) = request {
             self.outputs
@@ -205,112 +202,6 @@
         }
     }
 
-    pub(super) fn handle_replicated_plan_request(
-        &mut self,
-        now: Instant,
-        wall_us: u64,
-        request: u64,
-        plan_request: PlanRequest,
-    ) {
-        if self.consensus.is_none() || self.plans.is_none() {
-            return;
-        }
-        let response = match plan_request {
-            PlanRequest::Show | PlanRequest::Log => {
-                if let Some(refused) = self.begin_read(now, request, plan_request) {
-                    let response = AdminResponse::Plan(refused);
-                    return self.outputs.push_back(Output::AdminResponse { request, response });
-                }
-                None
-            }
-            PlanRequest::Apply { change, dry_run: true } => self.preview(wall_us, change),
-            PlanRequest::Apply { change, dry_run: false } => self.propose(now, wall_us, request, change),
-            PlanRequest::Undo { number, who, why, dry_run } => {
-                let Some(plans) = &self.plans else { return };
-                match plans.undo_change(number, &who, &why) {
-                    Err(error) => Some(PlanResponse::Refused { why: error.to_string() }),
-                    Ok(change) if dry_run => self.preview(wall_us, change),
-                    Ok(change) => self.propose(now, wall_us, request, change),
-                }
-            }
-        };
-        if let Some(response) = response {
-            let response = AdminResponse::Plan(response);
-            self.outputs.push_back(Output::AdminResponse { request, response });
-        }
-        self.advance_consensus(now);
-    }
-
-    /// Never stale: answered once all that was committed before the request is here.
-    fn begin_read(&mut self, now: Instant, request: u64, plan_request: PlanRequest) -> Option<PlanResponse> {
-        let consensus = self.consensus.as_mut()?;
-        if consensus.reads.len() >= MAX_WAITING_READS {
-            return Some(PlanResponse::Refused { why: format!("{MAX_WAITING_READS} asks wait already") });
-        }
-        let read = consensus.replica.request_read(now);
-        let until = now + TimeDelta::from_secs(READ_TIMEOUT_S);
-        consensus.reads.push((read, until, request, plan_request));
-        None
-    }
-
-    /// What a change would do, as far as this host knows.
-    fn preview(&self, wall_us: u64, change: Change) -> Option<PlanResponse> {
-        let (consensus, plans) = (self.consensus.as_ref()?, self.plans.as_ref()?);
-        Some(match plans.preview_change(wall_us, change) {
-            Ok((number, version, lines)) => {
-                let in_force_s = consensus.settle().secs();
-                PlanResponse::Applied { number, version, lines, in_force_s, dry_run: true }
-            }
-            Err(error) => PlanResponse::Refused { why: error.to_string() },
-        })
-    }
-
-    /// Proposes a change; it is answered once it is committed, or not in time.
-    fn propose(&mut self, now: Instant, wall_us: u64, request: u64, change: Change) -> Option<PlanResponse> {
-        let consensus = self.consensus.as_mut()?;
-        let command = PlanCommand::Change { at_us: wall_us, change };
-        let data = serde_json::to_vec(&command).unwrap_or_default();
-        match consensus.replica.propose(now, data.into()) {
-            Ok(number) => {
-                consensus.changes.insert(number, request);
-                None
-            }
-            Err(error) => Some(PlanResponse::Refused { why: error.to_string() }),
-        }
-    }
-
-    fn complete_reads(&mut self, now: Instant) {
-        let (Some(consensus), Some(plans)) = (&mut self.consensus, &mut self.plans) else { return };
-        let mut i = 0;
-        while i < consensus.reads.len() {
-            let (read, until, request, _) = consensus.reads[i];
-            let known = consensus.replica.is_read_ready(read);
-            if !known && now < until {
-                i += 1;
-                continue;
-            }
-            let (_, _, _, plan_request) = consensus.reads.swap_remove(i);
-            let response = match plans.handle_request(now, 0, request, plan_request) {
-                Some(PlanOutcome::Respond(_, PlanResponse::Shown(mut s))) => {
-                    s.stale = !known;
-                    s.in_force_s = (consensus.replica.effective_at(now) - now).secs();
-                    s.settle_s = consensus.settle().secs();
-                    let followers = consensus.replica.status(now).followers.into_iter();
-                    s.at = followers.map(|(host, f)| (host, f.stored_index)).collect();
-                    PlanResponse::Shown(s)
-                }
-                Some(PlanOutcome::Respond(_, PlanResponse::Log { .. })) if !known => {
-                    let why = "no word from those who agree on it: what this host has may be old".to_owned();
-                    PlanResponse::Refused { why }
-                }
-                Some(PlanOutcome::Respond(_, response)) => response,
-                _ => continue,
-            };
-            self.outputs
-                .push_back(Output::AdminResponse { request, response: AdminResponse::Plan(response) });
-        }
-    }
-
     pub(super) fn handle_consensus_request(
         &mut self,
         now: Instant,
@@ -351,7 +242,7 @@
         self.advance_consensus(now);
     }
 
-    /// What an operator does by force, with who and why in the audit trail before it is said to be done.
+    /// What an operator does without a majority, with who and why in the audit trail before it is acknowledged.
     fn recover_by_operator(
         &mut self,
         now: Instant,
--- a/crates/host-core/src/core/endpoint_list.rs
+++ b/crates/host-core/src/core/endpoint_list.rs
@@ -14,7 +14,7 @@
     ) {
         match kind {
             ListKind::Failed => return self.scheduler.nodes_changed(now, kind, &[]),
-            // Changes after a gap are news all the same, above all drains; what else has changed is asked for.
+            // Changes after a gap are applied all the same, above all drains; the complete list is fetched for the others.
             ListKind::Changes if from != self.list_version => self.outputs.push_back(Output::FetchList),
             _ => {}
         }
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Makes a line of the list what the operators' orders make of it.
+    /// Applies overrides, and removals by peers, to an entry of the list.
     pub(super) fn apply_overrides(&self, now: Instant, entry: &mut NodeEntry) {
         let address = self.nodes.address(entry.node).and_then(|a| a.parse().ok());
         let effective =
@@ -58,14 +58,14 @@
         if let Some(Effective { state, .. }) = effective {
             entry.state = state;
         }
-        // A newer list that another host holds only takes away.
+        // A newer list of a peer only takes nodes away.
         let stopped = |a: &str| self.removed_nodes.takes(a, self.list_version);
         if entry.state == NodeState::Ready && self.nodes.address(entry.node).is_some_and(stopped) {
             entry.state = NodeState::Draining;
         }
     }
 
-    /// Tells the module of nodes that are to be given something else than before.
+    /// Passes nodes whose overrides have changed to the scheduler.
     pub(super) fn apply_changed_overrides(&mut self, now: Instant) {
         let Some(override_requests) = &mut self.override_requests else { return };
         let mut any_unavailable = false;
@@ -84,7 +84,7 @@
         }
     }
 
-    /// What still waits on a link to a node that drains, or is out of service, must not reach it after the grace.
+    /// What is still queued for a node that drains, or is out of service, must not reach it after the grace.
     pub(super) fn withdraw_from_unavailable_nodes(&mut self, now: Instant) {
         let used = self.at_node.keys().copied();
         let stopped: Vec<NodeId> = used.filter(|n| self.is_unavailable(now, *n)).collect();
--- a/crates/host-core/src/core/peers.rs
+++ b/crates/host-core/src/core/peers.rs
@@ -1,12 +1,12 @@
-//! Other hosts: datagrams, what follows from them, and plans that change.
+//! Peers: datagrams, what follows from them, and plans that change.
 
 use super::*;
 
 impl Core {
-    /// Against a host that comes back with plans that have moved meanwhile: a lower limit may be in force by now.
+    /// Against a host that restarts with outdated plans: a lower limit may apply by now.
     pub(super) fn must_wait_for_catalog(&mut self, now: Instant) -> bool {
         if self.consensus.is_some() {
-            // What may have changed is held back by the posture of a host without a lease.
+            // A host without a lease is in degraded mode, which covers this.
             return false;
         }
         let Some(plans) = &mut self.plans else { return false };
@@ -14,7 +14,7 @@
         plans.must_wait_for_catalog(now, up_to_date)
     }
 
-    /// Takes plans in that change while the host runs; `first`: nothing of them is kept yet.
+    /// Lets plans change while the host runs; `first`: nothing of them is in the store yet.
     pub fn with_plans(&mut self, now: Instant, mut plans: Plans, first: bool) {
         let resume = plans.resume();
         if first {
@@ -28,7 +28,7 @@
         self.plans = Some(plans);
         self.apply_plan_updates(now, &resume);
         if self.consensus.is_some() {
-            // Until it has a lease this host goes by the floors.
+            // Until it has a lease this host is in degraded mode.
             let updates = self.plans.as_mut().map(|p| p.all_updates()).unwrap_or_default();
             self.apply_plan_updates(now, &updates);
             self.process_consensus_outputs(now);
@@ -40,7 +40,7 @@
         self.plans.as_ref()
     }
 
-    /// Tells the module what moves, and those who lend parts of limits.
+    /// Passes changed plans to the scheduler, and changed limits to the quota leases.
     pub(super) fn apply_plan_updates(&mut self, now: Instant, updates: &[PlanUpdate]) {
         for m in updates {
             match m {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// A change holds here: others are told, and it is kept where that has not been done.
+    /// A change applies here: it is replicated to peers, and persisted where that has not been done.
     pub(super) fn apply_change(&mut self, now: Instant, h: AppliedChange, handle_persisted: bool) {
         self.log(h.line);
         self.apply_plan_updates(now, &h.updates);
@@ -136,7 +136,7 @@
         }
     }
 
-    /// The host leaves in order and lends what it has; the mark that it does so lasts already.
+    /// The host leaves gracefully and lends its limits; that it leaves is already persisted.
     pub fn begin_leave(&mut self, now: Instant) {
         if let Some(peers) = &mut self.peers {
             peers.member.begin_leave(now);
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Its last word to the others.
+    /// Its last message to the peers.
     pub fn announce_leave(&mut self, now: Instant) {
         if let Some(peers) = &mut self.peers {
             peers.member.announce_leave(now);
@@ -162,7 +162,7 @@
         self.peers.as_ref().is_none_or(|peers| peers.member.leases.have_earlier_leases_ended(now))
     }
 
-    /// What follows from what other hosts said, and from the time.
+    /// Processes what follows from messages of peers, and from the time.
     pub(super) fn process_peer_events(&mut self, now: Instant) {
         loop {
             let Some(peers) = &mut self.peers else { return };
--- a/crates/host-core/src/core/removed_nodes.rs
+++ b/crates/host-core/src/core/removed_nodes.rs
@@ -5,10 +5,10 @@
 
 /// Nodes that are held so, at most.
 const MAX_REMOVED_NODES: usize = 4_096;
-/// Seconds for which it holds at most: a service that was begun anew counts from a low version again.
+/// Seconds for which a removal lasts at most: a list service that was reset counts from a low version again.
 const REMOVAL_S: f64 = 600.0;
 
-/// By address: the version that takes the node away, and until when that holds.
+/// By address: the version that removes the node, and when the removal ends.
 #[derive(Default)]
 pub(super) struct RemovedNodes {
     held: BTreeMap<String, (u64, Instant)>,
@@ -23,9 +23,9 @@
 }
 
 impl Core {
-    /// What other hosts say of the node list. It only ever takes nodes away.
-    pub(super) fn handle_peer_node_list(&mut self, now: Instant, came: NodeListEvent) {
-        match came {
+    /// What peers report of the node list. It only ever takes nodes away.
+    pub(super) fn handle_peer_node_list(&mut self, now: Instant, event: NodeListEvent) {
+        match event {
             NodeListEvent::Behind { .. } => self.outputs.push_back(Output::FetchList),
             NodeListEvent::RolledBack { from, to } => self.log(format!(
                 "endpoint list: a peer's went back from version {from} to {to}; nodes draining or gone at {from} stay so for {REMOVAL_S} s, or until it is past {from}"
@@ -59,7 +59,7 @@
         self.refresh_nodes(now, &[stop.address]);
     }
 
-    /// The module hears of these nodes as they are given now.
+    /// Passes these nodes to the scheduler as they are now.
     fn refresh_nodes(&mut self, now: Instant, addresses: &[String]) {
         for a in addresses {
             let Some(mut entry) = self.nodes.number(a).and_then(|n| self.nodes.entry(n)) else { continue };
@@ -69,7 +69,7 @@
         self.withdraw_from_unavailable_nodes(now);
     }
 
-    /// This host's own list has moved: what it is past is its own word again, and others hear where it is.
+    /// This host's own list has changed: removals that it is past end, and peers learn its version.
     pub(super) fn handle_own_node_list(&mut self, now: Instant) {
         let version = self.list_version;
         let over = |v: &(u64, Instant)| v.0 <= version || v.1 <= now;
--- /dev/null
+++ b/crates/host-core/src/core/replicated_plans.rs
@@ -0,0 +1,114 @@
+//! Requests about plans where changes need consensus: reads, previews and proposals.
+
+use super::*;
+use crate::consensus::{MAX_WAITING_READS, READ_TIMEOUT_S};
+use tackmast_plans::{Change, Command as PlanCommand};
+
+impl Core {
+    pub(super) fn handle_replicated_plan_request(
+        &mut self,
+        now: Instant,
+        wall_us: u64,
+        request: u64,
+        plan_request: PlanRequest,
+    ) {
+        if self.consensus.is_none() || self.plans.is_none() {
+            return;
+        }
+        let response = match plan_request {
+            PlanRequest::Show | PlanRequest::Log => {
+                if let Some(refused) = self.begin_read(now, request, plan_request) {
+                    let response = AdminResponse::Plan(refused);
+                    return self.outputs.push_back(Output::AdminResponse { request, response });
+                }
+                None
+            }
+            PlanRequest::Apply { change, dry_run: true } => self.preview(wall_us, change),
+            PlanRequest::Apply { change, dry_run: false } => self.propose(now, wall_us, request, change),
+            PlanRequest::Undo { number, who, why, dry_run } => {
+                let Some(plans) = &self.plans else { return };
+                match plans.undo_change(number, &who, &why) {
+                    Err(error) => Some(PlanResponse::Refused { why: error.to_string() }),
+                    Ok(change) if dry_run => self.preview(wall_us, change),
+                    Ok(change) => self.propose(now, wall_us, request, change),
+                }
+            }
+        };
+        if let Some(response) = response {
+            let response = AdminResponse::Plan(response);
+            self.outputs.push_back(Output::AdminResponse { request, response });
+        }
+        self.advance_consensus(now);
+    }
+
+    /// Never stale: answered once all that was committed before the request is here.
+    fn begin_read(&mut self, now: Instant, request: u64, plan_request: PlanRequest) -> Option<PlanResponse> {
+        let consensus = self.consensus.as_mut()?;
+        if consensus.reads.len() >= MAX_WAITING_READS {
+            return Some(PlanResponse::Refused { why: format!("{MAX_WAITING_READS} asks wait already") });
+        }
+        let read = consensus.replica.request_read(now);
+        let until = now + TimeDelta::from_secs(READ_TIMEOUT_S);
+        consensus.reads.push((read, until, request, plan_request));
+        None
+    }
+
+    /// What a change would do, as far as this host knows.
+    fn preview(&self, wall_us: u64, change: Change) -> Option<PlanResponse> {
+        let (consensus, plans) = (self.consensus.as_ref()?, self.plans.as_ref()?);
+        Some(match plans.preview_change(wall_us, change) {
+            Ok((number, version, lines)) => {
+                let in_force_s = consensus.settle().secs();
+                PlanResponse::Applied { number, version, lines, in_force_s, dry_run: true }
+            }
+            Err(error) => PlanResponse::Refused { why: error.to_string() },
+        })
+    }
+
+    /// Proposes a change; it is answered once it is committed, or not in time.
+    fn propose(&mut self, now: Instant, wall_us: u64, request: u64, change: Change) -> Option<PlanResponse> {
+        let consensus = self.consensus.as_mut()?;
+        let command = PlanCommand::Change { at_us: wall_us, change };
+        let data = serde_json::to_vec(&command).unwrap_or_default();
+        match consensus.replica.propose(now, data.into()) {
+            Ok(number) => {
+                consensus.changes.insert(number, request);
+                None
+            }
+            Err(error) => Some(PlanResponse::Refused { why: error.to_string() }),
+        }
+    }
+
+    /// Answers reads that are up to date by now, or have waited long enough.
+    pub(super) fn complete_reads(&mut self, now: Instant) {
+        let (Some(consensus), Some(plans)) = (&mut self.consensus, &mut self.plans) else { return };
+        let mut i = 0;
+        while i < consensus.reads.len() {
+            let (read, until, request, _) = consensus.reads[i];
+            let known = consensus.replica.is_read_ready(read);
+            if !known && now < until {
+                i += 1;
+                continue;
+            }
+            let (_, _, _, plan_request) = consensus.reads.swap_remove(i);
+            let response = match plans.handle_request(now, 0, request, plan_request) {
+                Some(PlanOutcome::Respond(_, PlanResponse::Shown(mut s))) => {
+                    s.stale = !known;
+                    s.in_force_s = (consensus.replica.effective_at(now) - now).secs();
+                    s.settle_s = consensus.settle().secs();
+                    let followers = consensus.replica.status(now).followers.into_iter();
+                    s.at = followers.map(|(host, f)| (host, f.stored_index)).collect();
+                    PlanResponse::Shown(s)
+                }
+                Some(PlanOutcome::Respond(_, PlanResponse::Log { .. })) if !known => {
+                    let why = "no word from those who agree on it: what this host has may be old".to_owned();
+                    PlanResponse::Refused { why }
+                }
+                Some(PlanOutcome::Respond(_, response)) => response,
+                _ => continue,
+            };
+            self.outputs
+                .push_back(Output::AdminResponse { request, response: AdminResponse::Plan(response) });
+        }
+    }
+}
--- a/crates/host-core/src/core/slow_start.rs
+++ b/crates/host-core/src/core/slow_start.rs
@@ -2,16 +2,16 @@
 
 use tackmast_config::ColdNodes;
 
-/// Parts of the stated figures of cold nodes that the module is told. Within one window its guard lets out its part of
+/// Shares of the configured figures of nodes in slow start that the scheduler gets. Within one window its guard lets out its part of
 /// the safe units at once, a quarter of them again by time, and four fifths of the multiple for what it saw a node do:
 /// 1.25 and 0.8 of the two figures. Where operators state figures without any margin, the two together would push a
-/// cold node over while its answers are quick errors (found by the laboratory); 1.25 x 0.4 + 0.8 x 0.6 can't.
+/// cold node over while its answers are quick errors (found in simulation); 1.25 x 0.4 + 0.8 x 0.6 can't.
 const SLOW_START_SAFE_SHARE: f64 = 0.4;
 const SLOW_START_MULTIPLE_SHARE: f64 = 0.6;
-/// The least of these parts that is told, where nodes are said to bear hardly more than they can do.
+/// The lowest of these shares, where the configured overload multiple is close to 1.
 const SLOW_START_MIN_SHARE: f64 = 0.05;
 
-/// Safe units and multiple as the module is told of them. What a node has done makes room as well, up to all that it can
+/// Safe units and overload multiple for the scheduler. What a node has done makes room as well, up to all that it can
 /// do in the window; so burst and time share only what the multiple leaves beyond that.
 pub(super) fn slow_start_figures(c: &ColdNodes) -> (f64, f64) {
     let spare = ((c.multiple - 1.0) / c.multiple).clamp(SLOW_START_MIN_SHARE, 1.0);
--- a/crates/host-core/src/fair_queueing.rs
+++ b/crates/host-core/src/fair_queueing.rs
@@ -1,4 +1,4 @@
-//! How the sessions of one volume share it: a tag for each request, by which the decision module orders those that wait
+//! How the sessions of one volume share it: a tag for each request, by which the scheduler orders those that wait
 //! for the same volume, traffic class and shard.
 //!
 //! Start-time fair queueing: a request's tag is the virtual time at which its session's work before it would end, and
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-/// The least number of sessions remembered by a line before those that count no more are looked for.
+/// The least number of sessions remembered by a queue before idle ones are evicted.
 const MIN_EVICTION_LEN: usize = 64;
 
 /// What waits for the same shard, volume and traffic class.
@@ -21,7 +21,7 @@
     pub traffic_class: u32,
 }
 
-/// A request's place in its line, to be given back once: by `sent` or by `cancelled`.
+/// A request's place in its queue, to be returned once: by `sent` or by `cancelled`.
 #[derive(Debug, PartialEq)]
 #[must_use]
 pub struct QueueTicket {
@@ -58,7 +58,7 @@
     }
 }
 
-/// Lines with something waiting; bounded by what waits, since an empty line is forgotten.
+/// The queues that are not empty; bounded by what waits, since an empty queue is dropped.
 #[derive(Debug, Default)]
 pub struct FairQueueing {
     queues: BTreeMap<QueueKey, FairQueue>,
@@ -92,7 +92,7 @@
         self.remove(&queue_ticket, queue_ticket.units);
     }
 
-    /// The session ended, all its places were given back: against sessions that come and go while virtual time stands
+    /// The session ended, all its tickets were returned: against sessions that come and go while virtual time stands
     /// still, since each newcomer starts where it stands.
     pub fn session_closed(&mut self, session: u32) {
         for queue in self.queues.values_mut() {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Lines, and sessions remembered in them.
+    /// Queues, and sessions remembered in them.
     pub fn counts(&self) -> (usize, usize) {
         (self.queues.len(), self.queues.values().map(|l| l.sessions.len()).sum())
     }
--- a/crates/host-core/src/layout.rs
+++ b/crates/host-core/src/layout.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 pub struct Layout {
     volumes: Vec<Volume>,
-    granules: Vec<Vec<Option<u64>>>, // by volume and stream: blocks that share an order key
+    granules: Vec<Vec<Option<u64>>>, // by volume and traffic class: blocks that share an order key
     unit_bytes: f64,
     max_units: f64,
     max_parts: usize,
@@ -59,7 +59,7 @@
         self.volumes.iter().position(|v| v.name == name)
     }
 
-    /// A volume is under this plan, by the module's number of it.
+    /// Puts a volume under a plan, by the scheduler's number of it.
     pub fn set_plan(&mut self, volume: usize, plan: u32) {
         self.volumes[volume].plan = plan;
     }
@@ -127,7 +127,7 @@
     }
 }
 
-/// The decision module knows keys by small numbers. Two that share one wait for each other: that costs a little
+/// The scheduler knows keys by small numbers. Two that share one wait for each other: that costs a little
 /// time, and never order; nothing has to be remembered for as long as a key rests.
 pub fn key_id(key: u64) -> KeyId {
     let mixed = (key ^ key >> 32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
--- a/crates/host-core/src/lib.rs
+++ b/crates/host-core/src/lib.rs
@@ -1,7 +1,28 @@
-//! One host without sockets, threads or clocks. Inputs tell it of client commands, attempts, the node list and the
-//! time; outputs are pulled one by one. Which request leaves when, for which node, and what its client is told
-//! is decided by `tackmast::policy` alone; this package keeps what ties clients, requests and attempts together,
-//! and answers for commands of several parts. docs/host.md describes it.
+//! One host without sockets, threads or clocks. Inputs (`handle_...`) are commands of clients, results of attempts, the
+//! node list, messages of peers, completed writes and the time; outputs are taken one by one by `Core::poll_output`, and
+//! `Core::poll_timeout` says when to call again. Which request is sent when, to which node, and how its client is answered
+//! is decided by `tackmast::policy` alone; this package keeps what ties clients, requests and attempts together, and
+//! combines the answers of commands of several parts. docs/host.md describes it.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `core` | the state machine, its tables and settings |
+//! | `core::commands`, `core::attempts`, `core::timeouts` | commands of clients, attempts at nodes, time-outs |
+//! | `core::endpoint_list`, `core::removed_nodes`, `core::slow_start` | the node list, nodes that peers' newer lists remove, starts of nodes |
+//! | `core::admin` | requests of operators, completed writes |
+//! | `core::peers` | datagrams of peers, and changes of plans |
+//! | `core::consensus`, `core::replicated_plans` | the replicated log, and requests about plans that it carries |
+//! | `command`, `attempt`, `output`, `error` | messages to and from the shell that drives the core |
+//! | `admission` | bounds of the tables, by session and volume |
+//! | `combine` | one answer for a command of several parts |
+//! | `fair_queueing` | start-time fair queueing among the sessions of a volume |
+//! | `layout`, `placed` | where blocks of volumes lie; requests that clients have placed themselves |
+//! | `nodes` | addresses, numbers and starts of nodes |
+//! | `peers`, `members_status` | the other hosts: membership, quota leases, replicated overrides |
+//! | `plans` | plans that change: the change log, and degraded mode |
+//! | `consensus` | the replica of this host, its messages and its status |
+//! | `override_requests` | requests of operators that set or clear overrides |
+//! | `ticket` | the claim or withdrawal of an attempt, shared with its connection |
 
 #![warn(missing_docs)]
 
--- a/crates/host-core/src/members_status.rs
+++ b/crates/host-core/src/members_status.rs
@@ -22,10 +22,10 @@
     /// Its incarnation.
     #[serde(default)]
     pub incarnation: u32,
-    /// Its site, where it told one.
+    /// Its site, where one is known.
     #[serde(default)]
     pub site: Option<u32>,
-    /// It comes and goes: it is not asked for help until it stays.
+    /// It flaps: no limit is borrowed from it until it stays alive.
     #[serde(default)]
     pub flaps: bool,
 }
@@ -33,7 +33,7 @@
 /// What a host thinks of a site.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SiteStatus {
-    /// None: hosts that told no site.
+    /// None: hosts without a site.
     pub site: Option<u32>,
     /// Hosts that are alive.
     pub alive: u32,
@@ -43,7 +43,7 @@
     pub dead: u32,
     /// Hosts that left.
     pub left: u32,
-    /// There, unheard as a whole, emptied one by one, or left.
+    /// `there`, `unheard as a whole`, `emptied one by one` or `left`.
     #[serde(rename = "word")]
     pub state: String,
 }
@@ -87,7 +87,7 @@
     pub taken: u64,
     /// Datagrams dropped, for whatever reason.
     pub dropped: u64,
-    /// This host's own generation, its word on itself, its site and where others reach it.
+    /// This host's generation.
     #[serde(default)]
     #[serde(rename = "life")]
     pub generation: u64,
--- a/crates/host-core/src/nodes.rs
+++ b/crates/host-core/src/nodes.rs
@@ -1,9 +1,9 @@
-//! Node addresses and the small numbers by which the decision module knows them.
+//! Node addresses and the small numbers by which the scheduler knows them.
 
 use std::collections::{BTreeMap, HashMap};
 use tackmast::interface::{Instant, NodeEntry, NodeId, NodeState, ShardId, TimeDelta, ZoneId};
 
-/// One line of a node list, as it came.
+/// One entry of a node list, as it was received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEntry {
     /// What the list calls the node; the same at all hosts and for good.
@@ -16,11 +16,11 @@
     pub zone: ZoneId,
     /// The shard that it serves.
     pub shard: ShardId,
-    /// Its latest start, where that is told.
+    /// Its latest start, where the list has it.
     pub start: Option<NodeStart>,
 }
 
-/// A list's word on a start: its own figure for it, which names it, and how long ago it was.
+/// A start as a list reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeStart {
     /// The list's own figure for the start; another one means another start.
@@ -38,12 +38,12 @@
     ByHostClock(TimeDelta),
 }
 
-/// A list's time of a start and the node's own word differ by the way of a message; less is no news.
+/// A list's time of a start and the node's own differ by the delay of a message; a smaller difference is no new start.
 const START_TOLERANCE: f64 = 0.5; // seconds
 /// A start that lies further back than this by the host's wall clock is long past, even where that clock is wrong.
 const LONG_RUNNING: f64 = 1800.0; // seconds
 
-/// When a node that the list tells of started, as far as it can be said for sure: never earlier than it did. A host whose
+/// When a node of the list started, as far as that is certain: never earlier than it did. A host whose
 /// wall clock is ahead must not take a cold node for a warm one.
 fn started(now: Instant, s: NodeStart) -> Instant {
     let age = match s.age {
@@ -54,7 +54,7 @@
     now - age.max(TimeDelta::ZERO)
 }
 
-/// Nodes named to this generation of the host. A number is never given to another id: what the module learned of a node must
+/// Nodes known to this generation of the host. A number is never reused for another id: what the scheduler learned must
 /// not pass to a stranger. Those that are gone are remembered for a while, as the list may name them again.
 #[derive(Debug, Default)]
 pub struct Nodes {
@@ -72,7 +72,7 @@
     id: String,
     address: String,
     entry: NodeEntry,
-    /// The list's figure for the start that was told last; 0: none.
+    /// The list's figure for the latest start; 0: none.
     start: u64,
 }
 
@@ -95,9 +95,9 @@
             }
         };
         let (known, name) = self.known.get(&number).map_or((None, 0), |k| (k.entry.up_since, k.start));
-        let news = e.start.filter(|s| s.name != name).map(|s| started(now, s));
-        // A late list must not take back a start that the node itself told of, nor tell the same one again.
-        let up_since = match (known, news) {
+        let new_start = e.start.filter(|s| s.name != name).map(|s| started(now, s));
+        // A late list must not revert a start that the node itself reported, nor report the same one again.
+        let up_since = match (known, new_start) {
             (Some(k), Some(t)) if (t - k).secs() < START_TOLERANCE => Some(k),
             (k, t) => t.or(k),
         };
@@ -108,17 +108,17 @@
         Some(entry)
     }
 
-    /// A node's own word on when it started; the changed entry, if that is news.
+    /// How long a node says it has been up; returns the changed entry if that is a new start.
     pub fn started(&mut self, now: Instant, node: NodeId, up: TimeDelta) -> Option<NodeEntry> {
         let up_since = now - up.max(TimeDelta::ZERO);
         let k = self.known.get_mut(&node)?;
-        // One of which no start was told counts as long up. That it is must not pass for a start: what the module has
+        // One without a known start counts as long up. Hearing so must not pass for a start: what the scheduler has
         // learned of it would be lost at the first link to each node, and what waits for the link sent anew.
-        let news = match k.entry.up_since {
+        let is_new = match k.entry.up_since {
             Some(known) => (up_since - known).secs() >= START_TOLERANCE,
             None => up.secs() < LONG_RUNNING,
         };
-        if !news {
+        if !is_new {
             return None;
         }
         k.entry.up_since = Some(up_since);
@@ -143,7 +143,7 @@
         self.known.get(&node).map(|k| k.entry)
     }
 
-    /// The list's figure for the start that was told last; 0: none.
+    /// The list's figure for the latest start; 0: none.
     pub fn start_id(&self, node: NodeId) -> u64 {
         self.known.get(&node).map_or(0, |k| k.start)
     }
--- a/crates/host-core/src/output.rs
+++ b/crates/host-core/src/output.rs
@@ -1,4 +1,4 @@
-//! What the core asks its shell to do, and what it counts.
+//! What the core makes its shell do, and its counters.
 
 use crate::attempt::{AttemptId, SendAttempt};
 use crate::command::{CommandRef, Verdict};
@@ -40,7 +40,7 @@
     },
     /// Ask for the complete list: a change is missing.
     FetchList,
-    /// To be written durably, all or nothing, and then told of by `kept` under this number; 0: no word is wanted.
+    /// To be written durably, all or nothing, and then reported by `handle_persisted` under this number; 0: no report is wanted.
     Persist {
         /// The number under which `handle_persisted` tells of it.
         request: u64,
--- a/crates/host-core/src/override_requests.rs
+++ b/crates/host-core/src/override_requests.rs
@@ -1,5 +1,5 @@
-//! Operators' overrides within the host core: orders are judged one at a time, kept durably before they hold, and
-//! reach the decision module as node states, weights and pins.
+//! Operators' overrides within the host core: requests are judged one at a time, persisted before they apply, and
+//! reach the scheduler as node states, weights and pins.
 
 use crate::error::PersistError;
 use serde::{Deserialize, Serialize};
@@ -10,9 +10,9 @@
     Audit, Explanation, Order, Origin, Override, OverrideId, Overrides, Preview, Refusal,
 };
 
-/// Orders that may wait for the one before them to be kept.
+/// Requests that may wait for the one before them to be written.
 const MAX_QUEUED: usize = 256;
-/// How often standing overrides are told of in the log, and how many of them line by line.
+/// Seconds between reports of active overrides in the log, and how many of them get a line.
 const REPORT_INTERVAL_S: f64 = 3600.0;
 const MAX_REPORT_LINES: usize = 20;
 
@@ -98,7 +98,7 @@
     Consensus(crate::ConsensusResponse),
     /// It was refused.
     Refused(Refusal),
-    /// It could not be kept, so it does not hold.
+    /// It could not be written, so it does not apply.
     NotKept {
         /// Why not.
         why: String,
@@ -135,11 +135,11 @@
     /// Commands failed.
     #[serde(rename = "abandoned")]
     pub failed: u64,
-    /// Address, what the list says, what it is given.
+    /// Address, state by the list, and effective state.
     pub nodes: Vec<(SocketAddr, String, String)>,
 }
 
-/// What has to be written before the host goes on with it; all of it or nothing.
+/// What is to be written before the host acts on it; all of it or nothing.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistBatch {
     /// Overrides that were set.
@@ -148,11 +148,11 @@
     pub remove: Vec<OverrideId>,
     /// Entries of the audit trail.
     pub audits: Vec<Audit>,
-    /// Changes of plans by number, as they are written; what the trail begins with is number 0.
+    /// Changes of plans by number, as they are written; the checkpoint of the change log is number 0.
     pub changes: Vec<(u64, Vec<u8>)>,
-    /// Other hosts for the next generation to call, and the number of this one's generation.
+    /// Peers for the next generation to contact, and this one's generation.
     pub members: Option<tackmast_membership::PersistedMembers>,
-    /// Of the agreed log.
+    /// A write of the replicated log.
     pub consensus: Option<Box<tackmast_consensus::Write>>,
 }
 
@@ -168,11 +168,11 @@
     pending: Option<(u64, Pending)>,
     queued: VecDeque<(u64, AdminRequest)>,
     next_report_at: Instant,
-    /// Host and generation that name what is taken here, where hosts tell each other of theirs.
+    /// Host and generation that name overrides set here, where hosts replicate theirs.
     pub me: Option<(u32, u64)>,
 }
 
-/// What came of an ask.
+/// What a request leads to.
 pub enum OverrideOutcome {
     Respond(u64, AdminResponse),
     Persist(u64, PersistBatch),
@@ -261,7 +261,7 @@
         AdminResponse::List { version, standing, returning, returning_within_s }
     }
 
-    /// The store's word on what it was given: from now on it holds, or it never does. The line is for the log.
+    /// The store has written a change, and it applies, or could not, and it never does. The line is for the log.
     pub fn handle_persisted(
         &mut self,
         now: Instant,
@@ -301,7 +301,7 @@
         })
     }
 
-    /// The next ask that waited, once none is pending.
+    /// The next queued request, once none is pending.
     pub fn next_queued(&mut self) -> Option<(u64, AdminRequest)> {
         if self.pending.is_some() {
             return None;
@@ -309,7 +309,7 @@
         self.queued.pop_front()
     }
 
-    /// Log lines of what stands, at the start and each hour.
+    /// Log lines about active overrides, at the start and each hour.
     pub fn standing_lines(&mut self, now: Instant) -> Vec<String> {
         if now < self.next_report_at {
             return Vec::new();
--- a/crates/host-core/src/peers.rs
+++ b/crates/host-core/src/peers.rs
@@ -1,5 +1,5 @@
-//! The other hosts, as the host core follows them: what moves of limits, how many are there, and orders that were given
-//! elsewhere. A host that hears nothing goes on as it was told.
+//! The other hosts, as the host core follows them: quota leases, how many are alive, and overrides that were set
+//! elsewhere. A host that receives nothing goes on with what it has.
 
 use crate::layout::Layout;
 use crate::override_requests::{AdminRequest, AdminResponse};
@@ -16,23 +16,24 @@
 use tackmast_overrides::{Kind, Order, Origin, Override, OverrideId};
 use tackmast_wire::peer::Body;
 
-/// Asks that follow from other hosts' orders have numbers from here on.
+/// Requests that follow from peers' overrides have numbers from here on.
 const FIRST_PEER_REQUEST: u64 = 1 << 63;
 
-/// The view, the loans and the orders of one host, and what was passed on of them.
+/// Membership, quota leases and replicated overrides of one host, and what the core was notified of.
 pub struct Peers {
     /// The member that this host is.
     pub member: Member,
     max_hosts: u32,
     alive_hosts: u32,
     quota_balances: BTreeMap<u32, QuotaBalance>,
-    /// Volumes that are still to be looked at in this round.
+    /// Volumes whose quota leases are still to be checked in this round.
     volumes_to_check: Vec<u32>,
     checked_at: Option<Instant>,
     origins: BTreeMap<OverrideId, Origin>,
     last_request: u64,
 }
 
+/// What follows from messages of peers, and from the time.
 pub enum PeerEvent {
     AliveHosts(u32),
     /// Of a volume by its place.
@@ -122,7 +123,7 @@
         (me.slot, me.generation)
     }
 
-    /// This host goes by plans that change, and has these changes.
+    /// Enables the replication of changes of plans, of which this host has these.
     pub fn enable_catalog(&mut self, plans: &crate::Plans) {
         let encoded_changes = plans.encoded_changes().map(|(n, t)| (n, Bytes::from(t)));
         let (number, mark) = plans.newest_version();
@@ -134,14 +135,14 @@
         request >= FIRST_PEER_REQUEST
     }
 
-    /// An order that stands here since before.
+    /// An override that is active here, to be replicated to peers.
     pub fn add_override(&mut self, now: Instant, o: &Override, left_s: f64) {
         let Some(origin) = o.origin else { return };
         self.origins.insert(o.id, origin);
         self.member.add_override(now, override_record(o, origin, left_s));
     }
 
-    /// What became of an order here.
+    /// Replicates an override that was set or cleared here.
     pub fn handle_override_response(&mut self, now: Instant, response: &AdminResponse) {
         match response {
             AdminResponse::Set { record, dry_run: false, .. } => {
@@ -195,7 +196,7 @@
                 return Some(PeerEvent::QuotaMoved { volume, m });
             }
         }
-        // Looked at again at each call: a datagram of the same moment may have moved something.
+        // Checked again at each call: a datagram of the same moment may have moved something.
         self.checked_at = None;
         None
     }
@@ -211,7 +212,7 @@
                 let target = order.target.parse().ok()?;
                 let (reason, who, origin) = (order.reason, order.who, Some(origin));
                 let order = Order { target, kind, reason, who, seconds, origin };
-                // The host that took it looked at what it would take out; here it is to hold as there.
+                // The host where it was set checked what it would take out; here it applies as there.
                 Some(AdminRequest::Set { order, force: true, dry_run: false, if_version: None })
             }
             OverrideEvent::Clear { origin } => {
--- a/crates/host-core/src/placed.rs
+++ b/crates/host-core/src/placed.rs
@@ -1,5 +1,5 @@
 //! Requests that arrive already placed: their client names volume, plan, traffic class, shard and key, and the host only
-//! decides when and whether they leave. What they ask of the node is opaque here.
+//! decides when and whether they leave. What they make the node do is opaque here.
 
 use bytes::Bytes;
 use std::collections::HashMap;
@@ -45,14 +45,14 @@
     pub request: OpaqueRequest,
 }
 
-/// What a core is told that has no volumes of its own.
+/// The settings of a core without volumes of its own.
 #[derive(Clone, Debug)]
 pub struct PlacedSettings {
     /// The traffic classes.
     pub traffic_classes: Vec<TrafficClass>,
     /// Whether nodes report what they served through other hosts.
     pub reports_service: bool,
-    /// The longest wait that a rejected client is told.
+    /// The longest wait that a rejected client is advised.
     pub longest_wait: TimeDelta,
     /// Of a node that drains.
     pub grace: TimeDelta,
@@ -66,7 +66,7 @@
     pub volumes: usize,
 }
 
-/// Clients' names of volumes, as the small numbers by which the module knows them.
+/// Clients' names of volumes, as the small numbers by which the scheduler knows them.
 #[derive(Debug, Default)]
 pub struct VolumeNames {
     numbers: HashMap<u64, (usize, Instant)>,
--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -1,6 +1,6 @@
-//! Plans as this host goes by them. One host of the fleet, the home, takes changes: it judges them one at a time, keeps each
-//! durably before it holds, and all others take them from each other in the home's order. A host goes by the newest that it
-//! has; docs/plans.md argues why rule 7 holds while hosts learn of a change apart.
+//! Plans as they apply to this host. One host of the fleet, the home, takes changes: it judges them one at a time, persists
+//! each before it applies, and all others replicate them in the home's order. The newest change that a host has applies to
+//! it; docs/plans.md argues why rule 7 is kept while hosts learn of a change at different times.
 
 mod from_settings;
 mod messages;
@@ -16,16 +16,16 @@
 use tackmast_membership::{MAX_CATALOG_UPDATES, MAX_UPDATE_LEN};
 use tackmast_plans::{Agreed, Catalogue, Change, Command, Entry, Fleet, Plan, Step, Trail, TrailError};
 
-/// Asks that may wait for the one before them to be kept.
+/// Requests that may wait for the one before them to be written.
 const MAX_QUEUED: usize = 256;
-/// Plans that the module knows by number: names that were ever used since this host's start.
+/// Plans that the scheduler knows by number: names that were ever used since this host's start.
 const MAX_PLAN_NAMES: usize = 100_000;
-/// Units a second that stand for none at all.
+/// A limit of zero, as the scheduler gets it: units a second.
 const MIN_LIMIT: f64 = 1e-6;
-/// Bytes of a trail that are shown in one answer.
+/// Bytes of a change log that fit one answer.
 const MAX_LOG_BYTES: usize = 3 << 20;
 
-/// What the module and the layout are to be told.
+/// A change for the scheduler and the layout.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanUpdate {
     /// A plan has these figures.
@@ -44,13 +44,13 @@
     },
 }
 
-/// What came of an ask.
+/// What a request leads to.
 pub enum PlanOutcome {
     Respond(u64, PlanResponse),
     Persist(u64, Box<Entry>),
 }
 
-/// A change that holds from now on: what moves, and what others are told.
+/// A change that applies from now on: updates for this host, and its text for peers.
 pub struct AppliedChange {
     pub updates: Vec<PlanUpdate>,
     pub number: u64,
@@ -63,16 +63,16 @@
 /// The plans of this host: the log of their changes, and the one change at a time that is being written.
 pub struct Plans {
     change_log: Trail,
-    /// In place of the trail, where hosts agree on changes.
+    /// In place of the change log, where changes need consensus.
     replicated: Option<Agreed>,
-    /// This host can't know whether what it has still counts: it goes by the floors.
+    /// Degraded mode: without a lease this host goes by the fallback limits.
     degraded: bool,
     fleet: Fleet,
     me: u32,
     home: u32,
     settle: TimeDelta,
     effective_at: Instant,
-    /// Until when clients wait for word of the newest change, at most.
+    /// Until when clients wait for the newest change, at most.
     clients_wait_until: Option<Instant>,
     pending: Option<(u64, Box<Entry>, Catalogue)>,
     queued: VecDeque<(u64, PlanRequest)>,
@@ -85,7 +85,7 @@
 }
 
 impl Plans {
-    /// `persisted` is the change log of an earlier generation, as it was written; none: this is the first. Clients wait for word of the
+    /// `persisted` is the change log of an earlier generation, as it was written; none: this is the first. Clients wait for the
     /// newest change for as long as a change may take at most, if there is anyone to hear it from.
     pub fn new(now: Instant, s: &HostSettings, b: &PlansBlock, persisted: &[u8]) -> Result<Self, TrailError> {
         let fleet = fleet(s, b);
@@ -132,7 +132,7 @@
         found.ok_or(PlanError::UnknownChange { number })
     }
 
-    /// Each plan as it is told now.
+    /// Each plan, as it applies now.
     pub fn all_updates(&mut self) -> Vec<PlanUpdate> {
         let to = self.change_log().catalogue.clone();
         let mut nothing = to.clone();
@@ -140,8 +140,8 @@
         self.updates(&nothing, &to)
     }
 
-    /// As the module is told of a plan. A host that can't know whether it still holds keeps to what none may go below: the
-    /// floor, and a burst that every plan of these volumes has to have.
+    /// The figures of a plan for the scheduler. In degraded mode that is what no host may go below: the fallback limit,
+    /// and a burst that every plan of these volumes has to have.
     fn figures(&self, name: &str, p: &Plan, of: &Catalogue) -> Figures {
         let floor = p.kept_floor();
         let (limit, burst, slack, reserve, weight) = (p.limit, p.burst, p.slack, p.reserve, p.weight);
@@ -149,8 +149,8 @@
             return Figures { limit, burst, slack, reserve, weight };
         }
         if floor <= 0.0 {
-            // A limit of nothing at all is told as a least one: none would be no limit. Without a burst nothing can leave, and
-            // its answer comes at once.
+            // A limit of zero is passed on as a tiny one: zero would mean no limit. Without a burst nothing can be sent, and
+            // requests are rejected at once.
             return Figures { limit: MIN_LIMIT, burst: 0.0, slack, reserve: 0.0, weight };
         }
         let through = of.volumes.values().filter(|v| v.plan == name).map(|v| v.through.len()).min();
@@ -165,18 +165,18 @@
         (number, mark(digest))
     }
 
-    /// Each change as a text, for others that ask.
+    /// Each change as a text, for peers that request it.
     pub fn encoded_changes(&self) -> impl Iterator<Item = (u64, Vec<u8>)> + '_ {
         self.change_log.entries.iter().map(|e| (e.number, Trail::line(e)))
     }
 
-    /// What an earlier generation had taken, on top of the settings.
+    /// Applies what an earlier generation had taken, on top of the settings.
     pub fn resume(&mut self) -> Vec<PlanUpdate> {
         let (from, to) = (self.change_log.anchor.catalogue.clone(), self.change_log.catalogue.clone());
         self.updates(&from, &to)
     }
 
-    /// The line that a store begins with.
+    /// The line that a stored change log begins with.
     pub fn checkpoint_line(&self) -> Vec<u8> {
         let bare = Trail { entries: Vec::new(), ..self.change_log.clone() };
         bare.to_bytes()
@@ -274,7 +274,7 @@
         Ok((entry, next))
     }
 
-    /// The store's word on a change: from now on it holds, or it never does.
+    /// The store has written a change, and it applies, or could not, and it never does.
     pub fn handle_persisted(
         &mut self,
         now: Instant,
@@ -298,7 +298,7 @@
         ))
     }
 
-    /// A change that another host has taken: it holds here from now on, if it is the next one.
+    /// A change that another host has taken: it applies here from now on, if it is the next one.
     pub fn apply_peer_change(
         &mut self,
         text: &[u8],
@@ -335,7 +335,7 @@
         })
     }
 
-    /// The next ask that waited, once none is pending.
+    /// The next queued request, once none is pending.
     pub fn next_queued(&mut self) -> Option<(u64, PlanRequest)> {
         if self.pending.is_some() {
             return None;
@@ -359,7 +359,7 @@
         all
     }
 
-    /// Limit, burst and slack of a volume as they hold here.
+    /// Limit, burst and slack of a volume as they apply here.
     pub fn limit_of(&self, volume: &str) -> Option<(f64, f64, f64)> {
         let v = self.change_log().catalogue.volumes.get(volume)?;
         self.change_log().catalogue.plans.get(&v.plan).map(|p| (p.limit, p.burst, p.slack))
--- a/crates/host-core/src/plans/messages.rs
+++ b/crates/host-core/src/plans/messages.rs
@@ -1,4 +1,4 @@
-//! What operators ask about plans, and the answers.
+//! Requests of operators about plans, and the answers.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
     Apply {
         /// The change.
         change: Change,
-        /// Whether to tell only what would change.
+        /// Whether to report only what would change.
         dry_run: bool,
     },
     /// Take a change back.
@@ -25,10 +25,10 @@
         who: String,
         /// For what reason.
         why: String,
-        /// Whether to tell only what would change.
+        /// Whether to report only what would change.
         dry_run: bool,
     },
-    /// The trail, as it is kept.
+    /// The change log, as it is stored.
     Log,
 }
 
@@ -44,7 +44,7 @@
         number: u64,
         /// The version that it makes.
         version: u64,
-        /// What moves, line by line.
+        /// What changes, line by line.
         lines: Vec<String>,
         /// Seconds until all hosts go by it.
         in_force_s: f64,
@@ -84,12 +84,12 @@
     pub catalogue: Catalogue,
     /// What changes are judged by.
     pub fleet: Fleet,
-    /// Whether clients wait for word of the newest change.
+    /// Whether clients wait until the newest change is known.
     #[serde(rename = "waits")]
     pub clients_wait: bool,
-    /// By host, the change that it last said it goes by.
+    /// By host, the change that it last reported to apply.
     pub at: BTreeMap<u32, u64>,
-    /// Hosts agree on changes, and this one could not ask whether there is a newer one.
+    /// With consensus: this host could not find out whether there is a newer one.
     #[serde(default)]
     pub stale: bool,
 }
--- a/crates/host-core/src/plans/replicated.rs
+++ b/crates/host-core/src/plans/replicated.rs
@@ -2,8 +2,7 @@
 
 use super::*;
 
-/// A command of the agreed log that holds: what moves here, the entry of the trail that it made, and what whoever asked for
-/// it is told.
+/// A committed command: what changes here, the entry of the change log that it made, and the lines for whoever proposed it.
 pub struct CommittedChange {
     pub updates: Vec<PlanUpdate>,
     pub entry: Option<Entry>,
@@ -11,23 +10,23 @@
 }
 
 impl Plans {
-    /// From here on hosts agree on changes; until it has a lease this host goes by the floors.
+    /// Changes need consensus from here on; until it has a lease this host is in degraded mode.
     pub fn enable_consensus(&mut self) {
         self.replicated = Some(Agreed::starting(self.change_log.anchor.catalogue.clone()));
         (self.degraded, self.clients_wait_until) = (true, None);
     }
 
-    /// Of what hosts agree on: the newest version that all have, as was agreed, and whether something waits for that.
+    /// The newest version that is known to be stored on all hosts, and whether a lower fallback limit waits for that.
     pub fn acknowledged(&self) -> (u64, bool) {
         self.replicated.as_ref().map_or((0, false), |a| (a.told(), a.waits()))
     }
 
-    /// What the agreed log's entries led to.
+    /// The state that the entries of the replicated log led to.
     pub fn snapshot(&self) -> Vec<u8> {
         self.replicated.as_ref().map(Agreed::to_bytes).unwrap_or_default()
     }
 
-    /// As at the beginning of a log.
+    /// Back to the beginning of a log.
     pub fn reset_to_settings(&mut self) -> Vec<PlanUpdate> {
         let from = self.change_log().catalogue.clone();
         let degraded = self.degraded;
@@ -45,7 +44,7 @@
         Ok(self.updates(&from, &to))
     }
 
-    /// Whether what this host has may count no more; what moves by that.
+    /// Enters or leaves degraded mode; returns what changes by that.
     pub fn set_degraded(&mut self, degraded: bool) -> Vec<PlanUpdate> {
         if std::mem::replace(&mut self.degraded, degraded) == degraded {
             return Vec::new();
@@ -58,14 +57,14 @@
         self.degraded
     }
 
-    /// What a change would move, as far as this host knows.
+    /// What a change would do, as far as this host knows.
     pub fn preview_change(&self, at_us: u64, change: Change) -> Result<(u64, u64, Vec<String>), PlanError> {
         let Some(a) = &self.replicated else { return Err(PlanError::NoConsensus) };
         let (entry, next) = a.propose(at_us, change, &self.fleet).map_err(PlanError::Refused)?;
         Ok((entry.number, entry.version, self.change_log().catalogue.diff(&next)))
     }
 
-    /// A command of the agreed log holds: what moves here, and what whoever asked for it is told.
+    /// Applies a committed command.
     pub fn apply_committed(&mut self, command: Command) -> Result<CommittedChange, PlanError> {
         let before = self.change_log().catalogue.clone();
         let Some(a) = &mut self.replicated else { return Err(PlanError::NoConsensus) };
