--- a/crates/host-core/src/consensus.rs
+++ b/crates/host-core/src/consensus.rs
@@ -1,5 +1,5 @@
-//! The agreement within the host core: its words on the way other hosts are spoken to, its writes, what it brings of plans,
-//! and what operators ask of it. What counts is decided in `tackmast-consensus` and `tackmast-plans`.
+//! Consensus within the host core: messages to and from peers, writes, committed changes of plans, and requests of
+//! operators. The decisions are those of `tackmast-consensus` and `tackmast-plans`.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -11,117 +11,155 @@
 };
 use tackmast_wire::peer::Body;
 
-/// Entries, and bytes of them, after which they are folded.
+/// Entries, and bytes of them, after which a snapshot is taken.
 const SNAPSHOT_AFTER_ENTRIES: u64 = 2_000;
 const SNAPSHOT_AFTER_BYTES: usize = 4 << 20;
 /// Reads that wait, at most, and for how long each does.
 pub(crate) const MAX_WAITING_READS: usize = 256;
 pub(crate) const READ_TIMEOUT_S: f64 = 3.0;
-/// How often a leader looks whether all hosts have what some floor waits for.
+/// How often a leader checks whether all hosts have stored what a lower fallback limit waits for.
 pub(crate) const ACKNOWLEDGEMENT_CHECK_S: f64 = 0.5;
-/// Writes of the agreed log are told of under numbers from here on.
+/// Writes of the replicated log have request numbers from here on.
 pub(crate) const FIRST_WRITE_REQUEST: u64 = 1 << 62;
 
+/// What an operator asks of this host's consensus.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConsensusRequest {
+    /// The status of this host's replica.
     Status,
-    /// One voter more, or one less; asked of the host that leads.
+    /// Adds or removes a voter; for the leader.
     Voter {
+        /// The voter's host.
         host: u32,
+        /// Whether it votes from now on.
         votes: bool,
     },
-    /// Most voters are gone for good: this host goes on alone, from what it has.
+    /// The majority is gone for good: this host goes on alone, as a new log, from what it has.
     Force {
+        /// Who asks.
         who: String,
+        /// For what reason.
         why: String,
     },
     /// This host forgets its log, to follow one that was forced elsewhere.
     Forget {
+        /// Who asks.
         who: String,
+        /// For what reason.
         why: String,
     },
 }
 
+/// The answer to a `ConsensusRequest`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConsensusResponse {
+    /// The status of this host's replica.
     Status(Box<ConsensusStatus>),
-    /// Done here, and written into the audit trail; of a force, the mark of the log that it began.
+    /// Done here, and written into the audit trail; of `Force`, the id of the new log.
     Done {
+        /// The mark of the log that applies from now on; 0: none.
         log: u64,
     },
-    /// It stands in the log at that place, and holds once most have it.
+    /// It is in the log at that place, and applies once a majority has stored it.
     Taken {
+        /// The place in the log.
         index: u64,
     },
+    /// Nothing was done.
     Refused {
+        /// Why not.
         why: String,
     },
 }
 
-/// How a host stands to what is agreed on.
+/// The replica of a host as operators see it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConsensusStatus {
+    /// This host.
     pub host: u32,
+    /// Its generation.
     #[serde(rename = "life")]
     pub generation: u64,
-    /// Leads, follows, or asks for votes.
+    /// Leader, follower or candidate.
     pub role: String,
+    /// The current term.
     pub term: u64,
+    /// The leader, where one is known.
     pub leader: Option<u32>,
-    /// The mark of the log: hosts with different ones do not go by the same.
+    /// The id of the log: hosts with different ones do not share one.
     pub log: u64,
+    /// Hosts that vote.
     pub voters: Vec<u32>,
+    /// Whether this host votes.
     pub votes: bool,
-    pub founded: bool,
+    /// Whether the log has its initial voters.
+    #[serde(rename = "founded")]
+    pub bootstrapped: bool,
     /// Its disk takes no writes.
     pub failed: bool,
+    /// The index of the last entry.
     pub last: u64,
+    /// The index up to which entries are committed.
     pub commit: u64,
-    pub folded: u64,
-    /// Of the plans that it goes by, and the newest that all hosts have, as was agreed.
+    /// The index up to which entries are in the snapshot.
+    #[serde(rename = "folded")]
+    pub snapshot_index: u64,
+    /// The version of the plans that apply here.
     pub version: u64,
+    /// The newest version of the plans that is known to be stored on all hosts.
     #[serde(rename = "told")]
     pub acknowledged: u64,
-    /// Holds, past or never; and seconds until its end, or since.
+    /// `holds`, `past` or `never`.
     pub lease: String,
+    /// Seconds until the lease ends, or since it did.
     pub lease_s: f64,
-    /// It goes by the floors.
+    /// Whether it is in degraded mode, by the fallback limits.
     #[serde(rename = "posture")]
     pub degraded: bool,
     /// Seconds until all hosts go by the newest that this one has.
     pub in_force_s: f64,
     /// Where it leads: by host, the entries that it said it has, and seconds since.
     pub has: BTreeMap<u32, (u64, f64)>,
+    /// Elections begun here.
     pub elections: u64,
+    /// Entries committed here.
     pub commits: u64,
+    /// Leases granted here.
     pub granted: u64,
-    pub wrong_disks: u64,
+    /// Messages rejected since they came from a voter's other disk.
+    #[serde(rename = "wrong_disks")]
+    pub rejected_disks: u64,
+    /// Messages dropped.
     pub lost: u64,
 }
 
-/// What a host's disk has of the agreement.
+/// What a host's disk has of consensus.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConsensusStart {
+    /// What tells this disk from others.
     pub identity: DiskIdentity,
+    /// The log and the state of Raft.
     pub persisted: PersistentState,
 }
 
+/// The replica of this host, with the transfer of its messages and whoever waits for it.
 pub struct ConsensusDriver {
     pub(crate) replica: Replica,
     pub(crate) chunks: ChunkedTransfer,
     pub(crate) settings: RaftSettings,
     /// Changes of this host: their numbers, and who waits for what.
     pub(crate) changes: BTreeMap<u32, u64>,
-    /// Who waits for what is newest: by number of the ask, until when, and what for.
+    /// Reads that wait: number of the read, until when, number of the request, and the request.
     pub(crate) reads: Vec<(u32, Instant, u64, crate::PlanRequest)>,
-    /// Where the newest change of plans stands in the log.
+    /// The index of the newest change of plans.
     pub(crate) changed_at: u64,
     pub(crate) next_acknowledgement_check: Instant,
     me: u32,
 }
 
+/// The settings of Raft that the settings of a host amount to.
 pub fn raft_settings(s: &HostSettings, a: &AgreementBlock) -> RaftSettings {
     RaftSettings {
         heartbeat_interval: TimeDelta::from_secs(a.beat_ms / 1e3),
@@ -135,6 +173,7 @@
 }
 
 impl ConsensusDriver {
+    /// A replica that goes on from what the disk has; `seed` is for chance in elections.
     pub fn new(
         now: Instant,
         s: &HostSettings,
@@ -167,14 +206,20 @@
         }
     }
 
+    /// When the replica wants to be called again.
     pub fn poll_timeout(&self, now: Instant) -> Instant {
         let reads = self.reads.iter().map(|(_, until, _, _)| *until);
         let all = [Some(self.replica.poll_timeout(now)), self.chunks.poll_timeout()];
         all.into_iter().flatten().chain(reads).fold(self.replica.poll_timeout(now), Instant::min)
     }
 
-    /// A word, once it is whole.
-    pub(crate) fn came(&mut self, now: Instant, from: std::net::SocketAddr, body: Body) -> Option<Message> {
+    /// A message, once all its chunks have arrived.
+    pub(crate) fn handle_body(
+        &mut self,
+        now: Instant,
+        from: std::net::SocketAddr,
+        body: Body,
+    ) -> Option<Message> {
         let bytes = match body {
             Body::Consensus { bytes } => bytes,
             Body::ConsensusChunk { number, pieces, piece, bytes } => self.chunks.on_chunk(
@@ -196,10 +241,12 @@
         Lease::max_holdover(self.settings.lease, self.settings.max_clock_drift)
     }
 
+    /// Whether this host's lease is valid.
     pub fn lease_state(&self, now: Instant) -> LeaseState {
         self.replica.lease_state(now)
     }
 
+    /// The replica as operators see it. The figures of the plans are filled in by the core.
     pub fn status(&self, now: Instant) -> ConsensusStatus {
         let reported = |(host, f): (u32, FollowerStatus)| (host, (f.stored_index, f.silent_for.secs()));
         let (s, c) = (self.replica.status(now), self.replica.raft.counters);
@@ -217,11 +264,11 @@
             log: self.replica.raft.log().snapshot().log_id,
             voters: s.voters.keys().copied().collect(),
             votes: s.is_voter,
-            founded: s.bootstrapped,
+            bootstrapped: s.bootstrapped,
             failed: s.disk_failed,
             last: s.last_index,
             commit: s.commit_index,
-            folded: s.snapshot_index,
+            snapshot_index: s.snapshot_index,
             version: 0,
             acknowledged: 0,
             lease: lease.into(),
@@ -232,7 +279,7 @@
             elections: c.elections,
             commits: c.commits,
             granted: c.granted,
-            wrong_disks: c.rejected_disks,
+            rejected_disks: c.rejected_disks,
             lost: c.dropped_messages + self.chunks.lost,
         }
     }
--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -1,4 +1,4 @@
-//! The state machine: inputs, the tables, and the outputs.
+//! The state machine. Its inputs are in the submodules, by topic.
 
 mod admin;
 mod attempts;
@@ -7,6 +7,7 @@
 mod endpoint_list;
 mod peers;
 mod removed_nodes;
+mod replicated_plans;
 mod slow_start;
 mod tables;
 mod timeouts;
@@ -22,7 +23,7 @@
 use crate::fair_queueing::{FairQueueing, QueueKey, QueueTicket};
 use crate::layout::{key_id, Layout};
 use crate::nodes::{ListEntry, Nodes};
-use crate::output::{Counters, Output};
+use crate::output::{Counters, OpenCounts, Output};
 use crate::override_requests::{
     AdminRequest, AdminResponse, HostStatus, OverrideOutcome, OverrideRequests, PersistBatch,
 };
@@ -40,6 +41,7 @@
 /// Part of the grace of a drain after which links that still write to the node are cut.
 const GRACE_SHARE: f64 = 0.5;
 
+/// One host without sockets, threads or clocks: inputs are `handle_...`, outputs are taken by `poll_output`.
 pub struct Core {
     scheduler: Scheduler,
     layout: Layout,
@@ -71,6 +73,7 @@
     number: u32,
     wall_offset_us: i64,
     outputs: VecDeque<Output>,
+    /// What happened since the start.
     pub counters: Counters,
 }
 
@@ -93,8 +96,8 @@
             });
         }
         scheduler.set_attempt_limits(s.load.max_attempts, longest, TimeDelta::from_secs(s.load.settle_s));
-        if let Some(f) = &s.retry_budget {
-            scheduler.set_retry_budget(f.free, f.share, TimeDelta::from_secs(f.window_s));
+        if let Some(peers) = &s.retry_budget {
+            scheduler.set_retry_budget(peers.free, peers.share, TimeDelta::from_secs(peers.window_s));
         }
         if let Some(c) = &s.cold {
             let (warm, window) = (TimeDelta::from_secs(c.warm_s), TimeDelta::from_secs(c.window_s));
@@ -127,7 +130,7 @@
         }
     }
 
-    /// A host whose requests arrive already placed, round a module that has its settings.
+    /// A host whose requests arrive already placed, around a scheduler that has its settings.
     pub fn placed(now: Instant, scheduler: Scheduler, s: PlacedSettings, generation: u64) -> Self {
         Core {
             scheduler,
@@ -163,10 +166,12 @@
         }
     }
 
+    /// Where the blocks of volumes lie.
     pub fn layout(&self) -> &Layout {
         &self.layout
     }
 
+    /// The nodes that are known.
     pub fn nodes(&self) -> &Nodes {
         &self.nodes
     }
@@ -181,19 +186,23 @@
         self.at_node.contains_key(&node)
     }
 
-    /// Lines of sessions with something waiting, and sessions remembered in them.
+    /// Queues that are not empty, and sessions remembered in them.
     pub fn fair_queue_counts(&self) -> (usize, usize) {
         self.fair_queueing.counts()
     }
 
-    /// Order keys that the module remembers.
+    /// Order keys that the scheduler remembers.
     pub fn key_queue_count(&self) -> usize {
         self.scheduler.key_queue_count()
     }
 
-    /// Commands without an answer, requests that are kept, and attempts out.
-    pub fn open_counts(&self) -> (usize, usize, usize) {
-        (self.commands.len(), self.requests.len(), self.until.len())
+    /// What is open.
+    pub fn open_counts(&self) -> OpenCounts {
+        OpenCounts {
+            commands: self.commands.len(),
+            requests: self.requests.len(),
+            attempts: self.until.len(),
+        }
     }
 }
 
@@ -204,6 +213,7 @@
         self.scheduler.service_rates(now)
     }
 
+    /// Tells the scheduler at which rate a shard served an earlier generation of this host.
     pub fn restore_service_rate(&mut self, now: Instant, shard: ShardId, rate: f64) {
         self.scheduler.service_rate_restored(now, shard, rate);
     }
@@ -217,7 +227,7 @@
             if let Some(o) = self.outputs.pop_front() {
                 return Some(o);
             }
-            // Whatever came meanwhile, and however long this host stood still: nothing leaves by what counts no more.
+            // However long this host stood still: nothing is sent by a lease that has expired.
             self.update_degraded_mode(now);
             let decision = self.scheduler.poll_decision(now)?;
             self.execute(now, decision);
@@ -229,7 +239,7 @@
         let attempt = self.until.first().map(|(t, _, _)| *t);
         let cut = self.cut_deadlines.first().map(|(t, _)| *t);
         let ends = self.override_requests.as_ref().and_then(|o| o.next(now));
-        let peers = self.peers.as_ref().map(|f| f.member.poll_timeout());
+        let peers = self.peers.as_ref().map(|peers| peers.member.poll_timeout());
         let consensus = self.consensus.as_ref().map(|a| a.poll_timeout(now));
         [attempt, cut, ends, peers, consensus, self.scheduler.poll_timeout()].into_iter().flatten().min()
     }
--- a/crates/host-core/src/core/admin.rs
+++ b/crates/host-core/src/core/admin.rs
@@ -1,4 +1,4 @@
-//! Operators: what they ask, and what is kept of it.
+//! Requests of operators, overrides, and completed writes of the store.
 
 use super::*;
 
@@ -30,7 +30,7 @@
         self.outputs.push_back(Output::Log { node: None, line });
     }
 
-    /// An operator's ask, under a number of the caller's that is not 0.
+    /// A request of an operator, under a number of the caller's that is not 0.
     pub fn handle_admin_request(&mut self, now: Instant, request: u64, admin_request: AdminRequest) {
         let admin_request = match admin_request {
             AdminRequest::Plan(plan_request) if self.plans.is_some() => {
@@ -58,7 +58,7 @@
                 self.outputs.push_back(Output::AdminResponse { request, response });
             }
             Some(OverrideOutcome::Respond(request, AdminResponse::Members(_))) => {
-                let status = self.peers.as_ref().map(|f| f.status(now)).unwrap_or_default();
+                let status = self.peers.as_ref().map(|peers| peers.status(now)).unwrap_or_default();
                 self.outputs.push_back(Output::AdminResponse {
                     request,
                     response: AdminResponse::Members(Box::new(status)),
@@ -67,7 +67,7 @@
             Some(OverrideOutcome::Respond(request, AdminResponse::Refused(r)))
                 if Peers::is_from_peer(request) =>
             {
-                self.log(format!("an order of another host is refused here: {r}"));
+                self.log(format!("a peer's override is rejected here: {r}"));
             }
             Some(OverrideOutcome::Respond(request, AdminResponse::Explain(mut e))) => {
                 let entry = self.nodes.number(&e.address.to_string()).and_then(|n| self.nodes.entry(n));
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The store's word on a `PersistBatch`.
+    /// The store has written a `PersistBatch`, or could not.
     pub fn handle_persisted(&mut self, now: Instant, request: u64, result: Result<(), PersistError>) {
         if self.handle_consensus_persisted(now, request, &result) {
             return;
@@ -101,8 +101,8 @@
         let acknowledged =
             self.override_requests.as_mut().and_then(|o| o.handle_persisted(now, request, result));
         if let Some((response, line)) = acknowledged {
-            if let Some(f) = &mut self.peers {
-                f.handle_override_response(now, &response);
+            if let Some(peers) = &mut self.peers {
+                peers.handle_override_response(now, &response);
             }
             self.log(line);
             self.apply_changed_overrides(now);
@@ -118,18 +118,17 @@
     pub(super) fn status(&self, now: Instant) -> HostStatus {
         let c = &self.counters;
         let override_requests = self.override_requests.as_ref();
-        let word = |s: NodeState| format!("{s:?}").to_lowercase();
         let node = |(address, e): (&str, &NodeEntry)| {
-            let mut apply_overrides = *e;
-            self.apply_overrides(now, &mut apply_overrides);
-            Some((address.parse().ok()?, word(e.state), word(apply_overrides.state)))
+            let mut effective = *e;
+            self.apply_overrides(now, &mut effective);
+            Some((address.parse().ok()?, state_name(e.state), state_name(effective.state)))
         };
         HostStatus {
             host: self.number,
             overrides: override_requests.map_or(0, |o| o.overrides.len()),
             version: override_requests.map_or(0, |o| o.overrides.version()),
             returning: override_requests.map_or(0, |o| o.overrides.returning().0),
-            alive_hosts: self.peers.as_ref().map_or(0, |f| f.member.live_count()),
+            alive_hosts: self.peers.as_ref().map_or(0, |peers| peers.member.live_count()),
             commands: self.commands.len(),
             attempts: self.until.len(),
             taken: c.taken,
@@ -164,3 +163,13 @@
         self.apply_changed_overrides(now);
     }
 }
+
+/// The state's name, as operators read it.
+fn state_name(state: NodeState) -> String {
+    let name = match state {
+        NodeState::Ready => "ready",
+        NodeState::Draining => "draining",
+        NodeState::Gone => "gone",
+    };
+    name.to_owned()
+}
--- a/crates/host-core/src/core/removed_nodes.rs
+++ b/crates/host-core/src/core/removed_nodes.rs
@@ -5,10 +5,10 @@
 
 /// Nodes that are held so, at most.
 const MAX_REMOVED_NODES: usize = 4_096;
-/// Seconds for which it holds at most: a service that was begun anew counts from a low version again.
+/// Seconds for which a removal lasts at most: a list service that was reset counts from a low version again.
 const REMOVAL_S: f64 = 600.0;
 
-/// By address: the version that takes the node away, and until when that holds.
+/// By address: the version that removes the node, and when the removal ends.
 #[derive(Default)]
 pub(super) struct RemovedNodes {
     held: BTreeMap<String, (u64, Instant)>,
@@ -23,12 +23,12 @@
 }
 
 impl Core {
-    /// What other hosts say of the node list. It only ever takes nodes away.
-    pub(super) fn handle_peer_node_list(&mut self, now: Instant, came: NodeListEvent) {
-        match came {
+    /// What peers report of the node list. It only ever takes nodes away.
+    pub(super) fn handle_peer_node_list(&mut self, now: Instant, event: NodeListEvent) {
+        match event {
             NodeListEvent::Behind { .. } => self.outputs.push_back(Output::FetchList),
             NodeListEvent::RolledBack { from, to } => self.log(format!(
-                "list: it went back from version {from} to {to}; what drained or was gone by {from} stays so for {REMOVAL_S} s, or until it is past {from}"
+                "endpoint list: a peer's went back from version {from} to {to}; nodes draining or gone at {from} stay so for {REMOVAL_S} s, or until it is past {from}"
             )),
             NodeListEvent::Removed { version, removal: stop } => self.remove_by_peer(now, version, stop),
         }
@@ -42,7 +42,7 @@
         if !known && self.removed_nodes.held.len() >= MAX_REMOVED_NODES {
             if !std::mem::replace(&mut self.removed_nodes.full, true) {
                 self.log(format!(
-                    "list: {MAX_REMOVED_NODES} nodes are taken away by other hosts' lists; no more are taken"
+                    "endpoint list: {MAX_REMOVED_NODES} nodes are removed by peers' lists; no more are accepted"
                 ));
             }
             return;
@@ -50,23 +50,26 @@
         let until = now + TimeDelta::from_secs(REMOVAL_S);
         let before = self.removed_nodes.held.insert(stop.address.clone(), (version, until));
         if before.is_none() {
-            let word = if stop.gone { "gone" } else { "draining" };
-            self.log(format!("list: node {} is {word} by version {version} of another host", stop.address));
+            let state = if stop.gone { "gone" } else { "draining" };
+            self.log(format!(
+                "endpoint list: node {} is {state} in version {version} of a peer",
+                stop.address
+            ));
         }
         self.refresh_nodes(now, &[stop.address]);
     }
 
-    /// The module hears of these nodes as they are given now.
+    /// Passes these nodes to the scheduler as they are now.
     fn refresh_nodes(&mut self, now: Instant, addresses: &[String]) {
         for a in addresses {
-            let Some(mut e) = self.nodes.number(a).and_then(|n| self.nodes.entry(n)) else { continue };
-            self.apply_overrides(now, &mut e);
-            self.scheduler.nodes_changed(now, ListKind::Changes, &[e]);
+            let Some(mut entry) = self.nodes.number(a).and_then(|n| self.nodes.entry(n)) else { continue };
+            self.apply_overrides(now, &mut entry);
+            self.scheduler.nodes_changed(now, ListKind::Changes, &[entry]);
         }
         self.withdraw_from_unavailable_nodes(now);
     }
 
-    /// This host's own list has moved: what it is past is its own word again, and others hear where it is.
+    /// This host's own list has changed: removals that it is past end, and peers learn its version.
     pub(super) fn handle_own_node_list(&mut self, now: Instant) {
         let version = self.list_version;
         let over = |v: &(u64, Instant)| v.0 <= version || v.1 <= now;
@@ -75,12 +78,12 @@
         self.removed_nodes.held.retain(|_, v| !over(v));
         self.removed_nodes.full &= !ended.is_empty();
         self.refresh_nodes(now, &ended);
-        let Some(f) = &mut self.peers else { return };
-        let stopped = self.nodes.entries().filter(|(_, e)| e.state != NodeState::Ready);
+        let Some(peers) = &mut self.peers else { return };
+        let stopped = self.nodes.entries().filter(|(_, entry)| entry.state != NodeState::Ready);
         let removed_nodes: Vec<NodeRemoval> = stopped
-            .map(|(a, e)| NodeRemoval { address: a.to_owned(), gone: e.state == NodeState::Gone })
+            .map(|(a, entry)| NodeRemoval { address: a.to_owned(), gone: entry.state == NodeState::Gone })
             .collect();
-        f.member.handle_node_list(now, version, removed_nodes);
+        peers.member.handle_node_list(now, version, removed_nodes);
         self.process_peer_events(now);
     }
 }
--- a/crates/host-core/src/layout.rs
+++ b/crates/host-core/src/layout.rs
@@ -7,18 +7,23 @@
 /// The blocks of a command that lie in one extent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Part {
+    /// The first block.
     pub block: u64,
+    /// How many.
     pub blocks: u32,
+    /// The shard that has the extent.
     pub shard: ShardId,
     /// What is read or written, for the order of requests; never 0.
     pub key: u64,
+    /// What it costs, in units.
     pub units: f64,
 }
 
+/// The volumes of a host, and how their blocks are spread over shards.
 #[derive(Debug, Default)]
 pub struct Layout {
     volumes: Vec<Volume>,
-    granules: Vec<Vec<Option<u64>>>, // by volume and stream: blocks that share an order key
+    granules: Vec<Vec<Option<u64>>>, // by volume and traffic class: blocks that share an order key
     unit_bytes: f64,
     max_units: f64,
     max_parts: usize,
@@ -26,6 +31,7 @@
 }
 
 impl Layout {
+    /// The volumes of these settings.
     pub fn new(s: &HostSettings) -> Self {
         let granules = s.volumes.iter().map(|v| {
             let order = |st: &tackmast_config::TrafficClass| {
@@ -43,27 +49,32 @@
         }
     }
 
+    /// The volume of a LUN.
     pub fn volume_of(&self, lun: u32) -> Option<usize> {
         self.volumes.iter().position(|v| v.lun == lun)
     }
 
+    /// The volume of a name.
     pub fn volume_named(&self, name: &str) -> Option<usize> {
         self.volumes.iter().position(|v| v.name == name)
     }
 
-    /// A volume is under this plan, by the module's number of it.
+    /// Puts a volume under a plan, by the scheduler's number of it.
     pub fn set_plan(&mut self, volume: usize, plan: u32) {
         self.volumes[volume].plan = plan;
     }
 
+    /// All volumes, by their number.
     pub fn volumes(&self) -> &[Volume] {
         &self.volumes
     }
 
+    /// One volume.
     pub fn volume(&self, volume: usize) -> &Volume {
         &self.volumes[volume]
     }
 
+    /// The traffic class of a command on so many blocks.
     pub fn traffic_class(&self, volume: usize, write: bool, blocks: u32) -> usize {
         let v = &self.volumes[volume];
         let read =
@@ -116,7 +127,7 @@
     }
 }
 
-/// The decision module knows keys by small numbers. Two that share one wait for each other: that costs a little
+/// The scheduler knows keys by small numbers. Two that share one wait for each other: that costs a little
 /// time, and never order; nothing has to be remembered for as long as a key rests.
 pub fn key_id(key: u64) -> KeyId {
     let mixed = (key ^ key >> 32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
--- a/crates/host-core/src/override_requests.rs
+++ b/crates/host-core/src/override_requests.rs
@@ -1,5 +1,5 @@
-//! Operators' overrides within the host core: orders are judged one at a time, kept durably before they hold, and
-//! reach the decision module as node states, weights and pins.
+//! Operators' overrides within the host core: requests are judged one at a time, persisted before they apply, and
+//! reach the scheduler as node states, weights and pins.
 
 use crate::error::PersistError;
 use serde::{Deserialize, Serialize};
@@ -10,9 +10,9 @@
     Audit, Explanation, Order, Origin, Override, OverrideId, Overrides, Preview, Refusal,
 };
 
-/// Orders that may wait for the one before them to be kept.
+/// Requests that may wait for the one before them to be written.
 const MAX_QUEUED: usize = 256;
-/// How often standing overrides are told of in the log, and how many of them line by line.
+/// Seconds between reports of active overrides in the log, and how many of them get a line.
 const REPORT_INTERVAL_S: f64 = 3600.0;
 const MAX_REPORT_LINES: usize = 20;
 
@@ -20,91 +20,139 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AdminRequest {
+    /// Set an override.
     Set {
+        /// What is overridden, how, and for how long.
         order: Order,
+        /// Whether it is set even where a shard would lose its last node.
         force: bool,
+        /// Whether to tell only what would change.
         dry_run: bool,
+        /// Set it only if the overrides are still at this version.
         if_version: Option<u64>,
     },
+    /// Clear an override.
     Clear {
+        /// Which.
         id: OverrideId,
+        /// Who asks.
         who: String,
     },
+    /// List the overrides that are set.
     List,
+    /// Tell why a node is treated as it is.
     Explain {
+        /// The node.
         address: SocketAddr,
     },
+    /// The status of this host.
     Status,
+    /// What this host knows of the others.
     Members,
+    /// About plans.
     Plan(crate::PlanRequest),
+    /// About consensus.
     #[serde(rename = "agreement")]
     Consensus(crate::ConsensusRequest),
 }
 
+/// The answer to an `AdminRequest`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AdminResponse {
+    /// An override was set, or would be.
     Set {
+        /// The override.
         record: Override,
+        /// What it changes.
         preview: Preview,
+        /// Whether it was only tried.
         dry_run: bool,
     },
+    /// An override was cleared.
     Cleared {
+        /// Which.
         id: OverrideId,
     },
+    /// The overrides that are set.
     List {
+        /// Their version.
         version: u64,
+        /// Each with the seconds that it has left.
         standing: Vec<(Override, f64)>,
+        /// Nodes on their way back to full load.
         returning: usize,
+        /// Seconds until the last of them is back.
         returning_within_s: f64,
     },
+    /// Why a node is treated as it is.
     Explain(Box<Explanation>),
+    /// The status of this host.
     Status(Box<HostStatus>),
+    /// What this host knows of the others.
     Members(Box<crate::MembersStatus>),
+    /// About plans.
     Plan(crate::PlanResponse),
+    /// About consensus.
     #[serde(rename = "agreement")]
     Consensus(crate::ConsensusResponse),
+    /// It was refused.
     Refused(Refusal),
-    /// It could not be kept, so it does not hold.
+    /// It could not be written, so it does not apply.
     NotKept {
+        /// Why not.
         why: String,
     },
 }
 
+/// A host as operators see it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HostStatus {
+    /// The host.
     pub host: u32,
+    /// Overrides that are set.
     pub overrides: usize,
+    /// Their version.
     pub version: u64,
+    /// Nodes on their way back to full load.
     pub returning: usize,
     /// Hosts that are thought to be there, this one included; 0: it hears of none.
     #[serde(default)]
     #[serde(rename = "there")]
     pub alive_hosts: u32,
+    /// Commands without an answer.
     pub commands: usize,
+    /// Attempts in flight.
     #[serde(rename = "legs")]
     pub attempts: usize,
+    /// Commands received.
     pub taken: u64,
+    /// Commands done.
     pub done: u64,
+    /// Commands rejected.
     #[serde(rename = "deferred")]
     pub rejected: u64,
+    /// Commands failed.
     #[serde(rename = "abandoned")]
     pub failed: u64,
-    /// Address, what the list says, what it is given.
+    /// Address, state by the list, and effective state.
     pub nodes: Vec<(SocketAddr, String, String)>,
 }
 
-/// What has to be written before the host goes on with it; all of it or nothing.
+/// What is to be written before the host acts on it; all of it or nothing.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistBatch {
+    /// Overrides that were set.
     pub put: Vec<Override>,
+    /// Overrides that ended.
     pub remove: Vec<OverrideId>,
+    /// Entries of the audit trail.
     pub audits: Vec<Audit>,
-    /// Changes of plans by number, as they are written; what the trail begins with is number 0.
+    /// Changes of plans by number, as they are written; the checkpoint of the change log is number 0.
     pub changes: Vec<(u64, Vec<u8>)>,
-    /// Other hosts for the next generation to call, and the number of this one's generation.
+    /// Peers for the next generation to contact, and this one's generation.
     pub members: Option<tackmast_membership::PersistedMembers>,
-    /// Of the agreed log.
+    /// A write of the replicated log.
     pub consensus: Option<Box<tackmast_consensus::Write>>,
 }
 
@@ -113,22 +161,25 @@
     Clear(OverrideId, String),
 }
 
+/// Overrides, and the one request at a time that changes them.
 pub struct OverrideRequests {
+    /// The overrides that are set.
     pub overrides: Overrides,
     pending: Option<(u64, Pending)>,
     queued: VecDeque<(u64, AdminRequest)>,
     next_report_at: Instant,
-    /// Host and generation that name what is taken here, where hosts tell each other of theirs.
+    /// Host and generation that name overrides set here, where hosts replicate theirs.
     pub me: Option<(u32, u64)>,
 }
 
-/// What came of an ask.
+/// What a request leads to.
 pub enum OverrideOutcome {
     Respond(u64, AdminResponse),
     Persist(u64, PersistBatch),
 }
 
 impl OverrideRequests {
+    /// Takes over overrides that are set.
     pub fn new(now: Instant, overrides: Overrides) -> Self {
         OverrideRequests { overrides, pending: None, queued: VecDeque::new(), next_report_at: now, me: None }
     }
@@ -210,7 +261,7 @@
         AdminResponse::List { version, standing, returning, returning_within_s }
     }
 
-    /// The store's word on what it was given: from now on it holds, or it never does. The line is for the log.
+    /// The store has written a change, and it applies, or could not, and it never does. The line is for the log.
     pub fn handle_persisted(
         &mut self,
         now: Instant,
@@ -221,7 +272,7 @@
         Some(match (pending, result) {
             (Pending::Put(put), Err(error)) => {
                 let (record, _) = *put;
-                let line = format!("override of {} not kept: {error}", record.target);
+                let line = format!("override of {} not written: {error}", record.target);
                 (AdminResponse::NotKept { why: error.to_string() }, line)
             }
             (Pending::Put(put), Ok(())) => {
@@ -239,7 +290,7 @@
                 (AdminResponse::Set { record, preview, dry_run: false }, line)
             }
             (Pending::Clear(id, _), Err(error)) => {
-                let line = format!("override {} stands on: clearing it was not kept: {error}", id.0);
+                let line = format!("override {} remains: clearing it was not written: {error}", id.0);
                 (AdminResponse::NotKept { why: error.to_string() }, line)
             }
             // It may have ended while its clearing was written; either way it does not stand.
@@ -250,7 +301,7 @@
         })
     }
 
-    /// The next ask that waited, once none is pending.
+    /// The next queued request, once none is pending.
     pub fn next_queued(&mut self) -> Option<(u64, AdminRequest)> {
         if self.pending.is_some() {
             return None;
@@ -258,7 +309,7 @@
         self.queued.pop_front()
     }
 
-    /// Log lines of what stands, at the start and each hour.
+    /// Log lines about active overrides, at the start and each hour.
     pub fn standing_lines(&mut self, now: Instant) -> Vec<String> {
         if now < self.next_report_at {
             return Vec::new();
@@ -267,17 +318,18 @@
         let standing = self.overrides.list(now);
         let line = |(o, left): &(Override, f64)| {
             format!(
-                "override {} stands: {} {}, {left:.0} s left, by {}: {}",
+                "override {} active: {} {}, {left:.0} s left, by {}: {}",
                 o.id.0, o.target, o.kind, o.who, o.reason
             )
         };
         let mut lines: Vec<String> = standing.iter().take(MAX_REPORT_LINES).map(line).collect();
         if standing.len() > MAX_REPORT_LINES {
-            lines.push(format!("{} more overrides stand", standing.len() - MAX_REPORT_LINES));
+            lines.push(format!("{} more overrides are active", standing.len() - MAX_REPORT_LINES));
         }
         lines
     }
 
+    /// When an override ends, or the next report is due.
     pub fn next(&self, now: Instant) -> Option<Instant> {
         [self.overrides.poll_timeout(now), Some(self.next_report_at)].into_iter().flatten().min()
     }
