--- a/crates/cli/src/plans.rs
+++ b/crates/cli/src/plans.rs
@@ -10,7 +10,7 @@
 use tackmast_admin::{Answer, Call};
 use tackmast_config::{Document, Place};
 use tackmast_host_core::{Ask, PlanAsk, PlanReply, PlanStatus, Reply};
-use tackmast_plans::{Catalogue, Change, Fleet, Plan, Step, Trail};
+use tackmast_plans::{Catalogue, Change, ChangeLog, Fleet, Plan, Step};
 
 const PATIENCE: Duration = Duration::from_secs(15);
 
@@ -171,15 +171,15 @@
     if !text.ends_with('\n') {
         return Err("the trail: its last line is cut; expected all of it".into());
     }
-    let trail = Trail::from_bytes(text.as_bytes(), fleet).map_err(|e| format!("the trail: {e}"))?;
-    let (number, digest) = trail.newest();
+    let trail = ChangeLog::from_bytes(text.as_bytes(), fleet).map_err(|e| format!("the trail: {e}"))?;
+    let tackmast_plans::LogHead { number, digest } = trail.head();
     println!("{} changes are as they were written, up to {number}; digest {digest}", trail.entries.len());
     Ok(ExitCode::SUCCESS)
 }
 
 fn log(text: &str, fleet: &Fleet) -> Result<(), String> {
-    let trail = Trail::from_bytes(text.as_bytes(), fleet).map_err(|e| format!("the trail: {e}"))?;
-    let mut at = trail.anchor.catalogue.clone();
+    let trail = ChangeLog::from_bytes(text.as_bytes(), fleet).map_err(|e| format!("the trail: {e}"))?;
+    let mut at = trail.checkpoint.catalogue.clone();
     for e in &trail.entries {
         println!("{:>6}  {}  {:<10} {}", e.number, time(e.at_us), e.change.who, e.change.why);
         let next = at.apply(&e.change, fleet).map_err(|r| r.to_string())?.catalogue;
--- a/crates/host-core/src/core/agreed.rs
+++ b/crates/host-core/src/core/agreed.rs
@@ -44,7 +44,7 @@
         let version = plans.version();
         if waits && told < version && a.replica.raft.is_stored_on_all(0..a.settings.host_count, a.changed_at)
         {
-            let data = serde_json::to_vec(&PlanCommand::Told { version }).unwrap_or_default();
+            let data = serde_json::to_vec(&PlanCommand::Notified { version }).unwrap_or_default();
             _ = a.replica.propose(now, data.into());
         }
     }
--- a/crates/host-core/src/core/fellows.rs
+++ b/crates/host-core/src/core/fellows.rs
@@ -90,10 +90,7 @@
         match next {
             None => {}
             Some(PlanNext::Keep(request, entry)) => {
-                let keep = Keep {
-                    changes: vec![(entry.number, tackmast_plans::Trail::line(&entry))],
-                    ..Keep::default()
-                };
+                let keep = Keep { changes: vec![(entry.number, entry.to_line())], ..Keep::default() };
                 self.outputs.push_back(Output::Keep { request, keep });
             }
             Some(PlanNext::Reply(request, mut reply)) => {
--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -8,7 +8,8 @@
 use tackmast_config::{HostSettings, PlansBlock};
 use tackmast_membership::{MAX_CATALOG_UPDATES, MAX_UPDATE_LEN};
 use tackmast_plans::{
-    Agreed, Catalogue, Change, Command, Entry, Fleet, Plan, Step, TrafficClass, Trail, TrailError, Volume,
+    Catalogue, Change, ChangeLog, ChangeLogError, Command, Entry, Fleet, LogHead, Plan, Proposal,
+    ReplicatedPlans, Step, TrafficClass, Volume,
 };
 
 /// Asks that may wait for the one before them to be kept.
@@ -110,9 +111,9 @@
 }
 
 pub struct Plans {
-    trail: Trail,
+    trail: ChangeLog,
     /// In place of the trail, where hosts agree on changes.
-    agreed: Option<Agreed>,
+    agreed: Option<ReplicatedPlans>,
     /// This host can't know whether what it has still counts: it goes by the floors.
     posture: bool,
     fleet: Fleet,
@@ -170,17 +171,17 @@
 impl Plans {
     /// `kept` is the trail of an earlier generation, as it was written; none: this is the first. Clients wait for word of the
     /// newest change for as long as a change may take at most, if there is anyone to hear it from.
-    pub fn new(now: Instant, s: &HostSettings, b: &PlansBlock, kept: &[u8]) -> Result<Self, TrailError> {
+    pub fn new(now: Instant, s: &HostSettings, b: &PlansBlock, kept: &[u8]) -> Result<Self, ChangeLogError> {
         let fleet = fleet(s, b);
-        let from_settings = Trail::starting(of_settings(s));
+        let from_settings = ChangeLog::starting_with(of_settings(s));
         let trail = match kept {
             [] => from_settings.clone(),
-            kept => Trail::from_bytes(kept, &fleet)?,
+            kept => ChangeLog::from_bytes(kept, &fleet)?,
         };
-        if trail.anchor != from_settings.anchor {
+        if trail.checkpoint != from_settings.checkpoint {
             let found = "it begins with other plans, volumes or stream types than these settings".to_owned();
             let expected = "the settings that it began with, or no trail".to_owned();
-            return Err(TrailError::Broken { number: 0, found, expected });
+            return Err(ChangeLogError::Broken { number: 0, found, expected });
         }
         let settle = TimeDelta::from_secs(b.settle_s);
         let alone = s.host.number == b.home || s.membership.is_none();
@@ -200,19 +201,19 @@
         })
     }
 
-    fn trail(&self) -> &Trail {
-        self.agreed.as_ref().map_or(&self.trail, |a| &a.trail)
+    fn trail(&self) -> &ChangeLog {
+        self.agreed.as_ref().map_or(&self.trail, |a| &a.change_log)
     }
 
     /// From here on hosts agree on changes; until it has a lease this host goes by the floors.
     pub fn agree(&mut self) {
-        self.agreed = Some(Agreed::starting(self.trail.anchor.catalogue.clone()));
+        self.agreed = Some(ReplicatedPlans::starting_with(self.trail.checkpoint.catalogue.clone()));
         (self.posture, self.waits) = (true, None);
     }
 
     /// Of what hosts agree on: the newest version that all have, as was agreed, and whether something waits for that.
     pub fn told(&self) -> (u64, bool) {
-        self.agreed.as_ref().map_or((0, false), |a| (a.told(), a.waits()))
+        self.agreed.as_ref().map_or((0, false), |a| (a.notified_version(), a.awaits_notification()))
     }
 
     pub fn version(&self) -> u64 {
@@ -221,7 +222,7 @@
 
     /// What the agreed log's entries led to.
     pub fn agreed_bytes(&self) -> Vec<u8> {
-        self.agreed.as_ref().map(Agreed::to_bytes).unwrap_or_default()
+        self.agreed.as_ref().map(ReplicatedPlans::to_bytes).unwrap_or_default()
     }
 
     /// As at the beginning of a log.
@@ -234,16 +235,16 @@
         self.moves(&from, &to)
     }
 
-    pub fn agreed_restore(&mut self, state: &[u8]) -> Result<Vec<Move>, TrailError> {
+    pub fn agreed_restore(&mut self, state: &[u8]) -> Result<Vec<Move>, ChangeLogError> {
         let from = self.trail().catalogue.clone();
-        self.agreed = Some(Agreed::from_bytes(state, &self.fleet)?);
+        self.agreed = Some(ReplicatedPlans::from_bytes(state, &self.fleet)?);
         let to = self.trail().catalogue.clone();
         Ok(self.moves(&from, &to))
     }
 
     /// The change that takes an entry back.
     pub fn undoing(&self, number: u64, who: &str, why: &str) -> Result<Change, String> {
-        let found = self.trail().undoing(number, who, why);
+        let found = self.trail().undo_change(number, who, why);
         found.ok_or_else(|| format!("change {number}: not in the trail; expected one that `log` shows"))
     }
 
@@ -270,7 +271,8 @@
     /// What a change would move, as far as this host knows.
     pub fn agreed_try(&self, at_us: u64, change: Change) -> Result<(u64, u64, Vec<String>), String> {
         let Some(a) = &self.agreed else { return Err("hosts do not agree on plans here".into()) };
-        let (entry, next) = a.propose(at_us, change, &self.fleet).map_err(|r| r.to_string())?;
+        let Proposal { entry, catalogue: next } =
+            a.propose(at_us, change, &self.fleet).map_err(|r| r.to_string())?;
         Ok((entry.number, entry.version, self.trail().catalogue.diff(&next)))
     }
 
@@ -286,7 +288,7 @@
     /// As the module is told of a plan. A host that can't know whether it still holds keeps to what none may go below: the
     /// floor, and a burst that every plan of these volumes has to have.
     fn figures(&self, name: &str, p: &Plan, of: &Catalogue) -> Figures {
-        let floor = p.kept_floor();
+        let floor = p.fallback_limit();
         let (limit, burst, slack, reserve, weight) = (p.limit, p.burst, p.slack, p.reserve, p.weight);
         if !self.posture || floor.is_infinite() {
             return Figures { limit, burst, slack, reserve, weight };
@@ -304,24 +306,24 @@
 
     /// Number and mark of the newest change.
     pub fn newest_mark(&self) -> (u64, u64) {
-        let (number, digest) = self.trail().newest();
+        let LogHead { number, digest } = self.trail().head();
         (number, mark(digest))
     }
 
     /// Each change as a text, for others that ask.
     pub fn texts(&self) -> impl Iterator<Item = (u64, Vec<u8>)> + '_ {
-        self.trail.entries.iter().map(|e| (e.number, Trail::line(e)))
+        self.trail.entries.iter().map(|e| (e.number, e.to_line()))
     }
 
     /// What an earlier generation had taken, on top of the settings.
     pub fn resumed(&mut self) -> Vec<Move> {
-        let (from, to) = (self.trail.anchor.catalogue.clone(), self.trail.catalogue.clone());
+        let (from, to) = (self.trail.checkpoint.catalogue.clone(), self.trail.catalogue.clone());
         self.moves(&from, &to)
     }
 
     /// The line that a store begins with.
     pub fn anchor_line(&self) -> Vec<u8> {
-        let bare = Trail { entries: Vec::new(), ..self.trail.clone() };
+        let bare = ChangeLog { entries: Vec::new(), ..self.trail.clone() };
         bare.to_bytes()
     }
 
@@ -382,9 +384,10 @@
     }
 
     fn judge(&self, wall_us: u64, change: Change) -> Result<(Entry, Catalogue), String> {
-        let (entry, next) = self.trail.propose(wall_us, change, &self.fleet).map_err(|r| r.to_string())?;
-        self.trail.catalogue.moves_live(&next).map_err(|r| r.to_string())?;
-        let bytes = Trail::line(&entry).len();
+        let Proposal { entry, catalogue: next } =
+            self.trail.propose(wall_us, change, &self.fleet).map_err(|r| r.to_string())?;
+        self.trail.catalogue.check_live_update(&next).map_err(|r| r.to_string())?;
+        let bytes = entry.to_line().len();
         if bytes > MAX_UPDATE_LEN {
             return Err(format!(
                 "a change of {bytes} bytes; expected at most {MAX_UPDATE_LEN}, in several changes"
@@ -418,7 +421,7 @@
         let before = self.trail.catalogue.clone();
         let lines = before.diff(&next);
         let (number, version, in_force_s) = (entry.number, entry.version, self.settle.secs());
-        self.trail.kept(*entry, next);
+        self.trail.append(*entry, next);
         self.ends = now + self.settle;
         let holds = self.holds(&before)?;
         Some((PlanReply::Applied { number, version, lines, in_force_s, dry_run: false }, Some(holds)))
@@ -427,8 +430,8 @@
     /// A change that another host has taken: it holds here from now on, if it is the next one.
     pub fn came(&mut self, text: &[u8], ends: Instant) -> Result<Holds, String> {
         let before = self.trail.clone();
-        self.trail.take(text, &self.fleet).map_err(|e| e.to_string())?;
-        if let Err(r) = before.catalogue.moves_live(&self.trail.catalogue) {
+        self.trail.append_line(text, &self.fleet).map_err(|e| e.to_string())?;
+        if let Err(r) = before.catalogue.check_live_update(&self.trail.catalogue) {
             self.trail = before;
             return Err(r.to_string());
         }
@@ -451,7 +454,7 @@
             moves,
             number: e.number,
             mark: mark(&e.digest),
-            text: Trail::line(e),
+            text: e.to_line(),
             ends: self.ends,
             line,
         })
@@ -488,11 +491,11 @@
     }
 
     pub fn newest(&self) -> u64 {
-        self.trail().newest().0
+        self.trail().head().number
     }
 
     pub fn status(&self, now: Instant) -> PlanStatus {
-        let (number, digest) = self.trail().newest();
+        let LogHead { number, digest } = self.trail().head();
         PlanStatus {
             host: self.me,
             home: self.home,
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -43,7 +43,7 @@
     #[error(transparent)]
     Store(#[from] tackmast_store::StoreError),
     #[error("plans: {0}. Nothing was changed. To begin anew by the settings, move the store away")]
-    Plans(#[from] tackmast_plans::TrailError),
+    Plans(#[from] tackmast_plans::ChangeLogError),
     #[error("agreement: the store keeps {0} changes of plans that one home took; expected none. Bring the settings of all hosts to what `plan show` says, move the stores away, and start the hosts anew")]
     Agreement(usize),
     #[error("thread {name}: {error}; expected to start it")]
--- a/crates/host/tests/plans.rs
+++ b/crates/host/tests/plans.rs
@@ -8,7 +8,7 @@
 use tackmast_config::HostSettings;
 use tackmast_host::{Host, StartError};
 use tackmast_host_core::{Ask, PlanAsk, PlanReply, PlanStatus, Reply};
-use tackmast_plans::{Change, Plan, Step, Trail};
+use tackmast_plans::{Change, ChangeLog, Plan, Step};
 
 const HOSTS: u32 = 4;
 
@@ -188,7 +188,7 @@
     let logs: Vec<String> = (0..HOSTS)
         .map(|h| match ask(dir, h, PlanAsk::Log) {
             PlanReply::Log { text, fleet } => {
-                let trail = Trail::from_bytes(text.as_bytes(), &fleet).unwrap();
+                let trail = ChangeLog::from_bytes(text.as_bytes(), &fleet).unwrap();
                 assert_eq!(trail.catalogue, shown(dir, h).catalogue);
                 text
             }
--- a/crates/plans/src/lib.rs
+++ b/crates/plans/src/lib.rs
@@ -1,11 +1,31 @@
-//! Plans, volumes and traffic classes as data. `catalogue` holds a version of them and judges a change as a whole before
-//! anything moves; `trail` keeps who changed what, when and why, each entry chained to the one before; `agreed` what hosts that agree on
-//! changes hold: the trail, and the floors that hosts past their lease go by. No I/O, no clock.
+//! Plans, volumes and traffic classes as data that operators change while hosts run. No I/O, no clock. docs/plans.md has the
+//! reasons.
+//!
+//! | file | job |
+//! | --- | --- |
+//! | `model` | plans, volumes, traffic classes, and the fleet that has to bear them |
+//! | `change` | what an operator changes, and why a change is refused |
+//! | `catalogue` | one version of everything, and the next one after a change |
+//! | `validation` | whether a version holds together and the fleet bears it |
+//! | `difference` | what two versions differ in, and whether running hosts can go from one to the other |
+//! | `entry` | an entry of the change log, its digest and its line |
+//! | `change_log` | who changed what, when and why: a hash chain of entries behind a checkpoint |
+//! | `replicated_plans` | the state machine that hosts replicate: the change log and fallback limits |
+
+#![warn(missing_docs)]
 
-mod agreed;
 mod catalogue;
-mod trail;
+mod change;
+mod change_log;
+mod difference;
+mod entry;
+mod model;
+mod replicated_plans;
+mod validation;
 
-pub use agreed::{Agreed, Command};
-pub use catalogue::{Applied, Catalogue, Change, Fleet, Plan, Refusal, Step, TrafficClass, Volume};
-pub use trail::{Anchor, Entry, Trail, TrailError};
+pub use catalogue::{Applied, Catalogue};
+pub use change::{Change, Refusal, Step};
+pub use change_log::{ChangeLog, ChangeLogError, Checkpoint, LogHead, Proposal};
+pub use entry::Entry;
+pub use model::{Fleet, Plan, TrafficClass, Volume};
+pub use replicated_plans::{Command, ReplicatedPlans};
--- a/crates/plans/tests/plans.rs
+++ b/crates/plans/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Changes judged whole, two edits at once, undoing, and a trail cut and altered at every byte.
+//! Changes judged whole, two edits at once, undoing, and a change log cut and altered at every byte.
 
 use tackmast_plans::*;
 
@@ -43,14 +43,15 @@
     Fleet { hosts: 4, max_units: 8.0, bears: [(0, 100.0), (1, 100.0)].into() }
 }
 
-fn put(t: &mut Trail, c: Change) -> Result<u64, Refusal> {
-    let (entry, catalogue) = t.propose(1_000 + t.entries.len() as u64, c, &fleet())?;
-    t.kept(entry, catalogue);
-    Ok(t.catalogue.version)
+fn put(log: &mut ChangeLog, change: Change) -> Result<u64, Refusal> {
+    let at_us = 1_000 + log.entries.len() as u64;
+    let Proposal { entry, catalogue } = log.propose(at_us, change, &fleet())?;
+    log.append(entry, catalogue);
+    Ok(log.catalogue.version)
 }
 
-fn begun() -> Trail {
-    let mut t = Trail::default();
+fn short_log() -> ChangeLog {
+    let mut log = ChangeLog::default();
     let steps = vec![
         traffic_class("read"),
         traffic_class("write"),
@@ -59,8 +60,8 @@
         set_volume("school", Some(volume(1, "basic"))),
         set_volume("museum", Some(volume(2, "premium"))),
     ];
-    put(&mut t, change(0, steps)).unwrap();
-    t
+    put(&mut log, change(0, steps)).unwrap();
+    log
 }
 
 #[test]
@@ -98,118 +99,118 @@
         if !steps.is_empty() {
             steps.insert(0, set_plan("more", Some(plan(10.0))));
         }
-        let mut t = begun();
-        let before = t.clone();
-        let refused = put(&mut t, change(1, steps)).unwrap_err();
+        let mut log = short_log();
+        let before = log.clone();
+        let refused = put(&mut log, change(1, steps)).unwrap_err();
         assert_eq!(refused.to_string(), expected);
-        assert_eq!(t, before);
+        assert_eq!(log, before);
     }
     // A plan and the volumes on it go together.
-    let mut t = begun();
+    let mut log = short_log();
     let moved = vec![set_volume("school", Some(volume(1, "premium"))), set_plan("basic", None)];
-    assert_eq!(put(&mut t, change(1, moved)), Ok(2));
+    assert_eq!(put(&mut log, change(1, moved)), Ok(2));
 }
 
 #[test]
-fn of_two_edits_at_once_one_wins_and_the_other_hears_what_moved() {
-    // The second one's steps, made on version 1 after another has changed plan basic; and what it hears.
+fn of_two_edits_at_once_one_wins_and_the_other_is_refused_with_what_changed() {
+    // The second one's steps, made on version 1 after another has changed plan basic; and what it is refused with.
     let cases = [
         (vec![set_plan("basic", Some(plan(30.0)))], Some("plan basic")),
         (vec![set_volume("school", Some(volume(1, "basic")))], Some("plan basic")),
         (vec![set_plan("premium", Some(Plan { weight: 3.0, ..plan(0.0) }))], None),
     ];
     for (steps, moved) in cases {
-        let mut t = begun();
-        put(&mut t, change(1, vec![set_plan("basic", Some(plan(25.0)))])).unwrap();
+        let mut log = short_log();
+        put(&mut log, change(1, vec![set_plan("basic", Some(plan(25.0)))])).unwrap();
         let expected = match moved {
             Some(m) => Err(Refusal::Conflict { base: 1, now: 2, moved: vec![m.to_owned()] }),
             None => Ok(3),
         };
-        assert_eq!(put(&mut t, change(1, steps)), expected);
+        assert_eq!(put(&mut log, change(1, steps)), expected);
     }
 }
 
 #[test]
 fn undoing_is_a_new_change_and_a_conflict_where_others_went_on() {
-    let mut t = begun();
-    let before = t.catalogue.clone();
-    put(&mut t, change(1, vec![set_plan("basic", Some(plan(25.0))), set_plan("new", Some(plan(10.0)))]))
+    let mut log = short_log();
+    let before = log.catalogue.clone();
+    put(&mut log, change(1, vec![set_plan("basic", Some(plan(25.0))), set_plan("new", Some(plan(10.0)))]))
         .unwrap();
-    let undo = t.undoing(2, "bob", "back").unwrap();
-    assert_eq!(put(&mut t, undo), Ok(3));
-    assert_eq!((t.catalogue.plans.clone(), t.entries.len()), (before.plans.clone(), 3));
-    assert!(before.diff(&t.catalogue).is_empty());
-    put(&mut t, change(3, vec![set_plan("basic", Some(plan(26.0)))])).unwrap();
-    let again = t.undoing(2, "bob", "back").unwrap();
+    let undo = log.undo_change(2, "bob", "back").unwrap();
+    assert_eq!(put(&mut log, undo), Ok(3));
+    assert_eq!((log.catalogue.plans.clone(), log.entries.len()), (before.plans.clone(), 3));
+    assert!(before.diff(&log.catalogue).is_empty());
+    put(&mut log, change(3, vec![set_plan("basic", Some(plan(26.0)))])).unwrap();
+    let again = log.undo_change(2, "bob", "back").unwrap();
     assert!(
-        matches!(put(&mut t, again), Err(Refusal::Conflict { moved, .. }) if moved.contains(&"plan basic".into()))
+        matches!(put(&mut log, again), Err(Refusal::Conflict { moved, .. }) if moved.contains(&"plan basic".into()))
     );
-    assert!(t.undoing(99, "bob", "back").is_none());
+    assert!(log.undo_change(99, "bob", "back").is_none());
 }
 
-fn long() -> Trail {
-    let mut t = begun();
+fn long_log() -> ChangeLog {
+    let mut log = short_log();
     for i in 0..6u32 {
-        let base = t.catalogue.version;
-        put(&mut t, change(base, vec![set_plan("basic", Some(plan(21.0 + f64::from(i))))])).unwrap();
+        let base = log.catalogue.version;
+        put(&mut log, change(base, vec![set_plan("basic", Some(plan(21.0 + f64::from(i))))])).unwrap();
     }
-    t
+    log
 }
 
 #[test]
-fn a_trail_cut_at_any_byte_holds_all_whole_entries_and_invents_none() {
-    let t = long();
-    let bytes = t.to_bytes();
-    assert!(Trail::from_bytes(&bytes, &fleet()) == Ok(t.clone()));
+fn a_log_cut_at_any_byte_holds_all_whole_entries_and_invents_none() {
+    let log = long_log();
+    let bytes = log.to_bytes();
+    assert!(ChangeLog::from_bytes(&bytes, &fleet()) == Ok(log.clone()));
     for cut in 0..bytes.len() {
         let found =
-            Trail::from_bytes(&bytes[..cut], &fleet()).unwrap_or_else(|e| panic!("cut at {cut}: {e}"));
+            ChangeLog::from_bytes(&bytes[..cut], &fleet()).unwrap_or_else(|e| panic!("cut at {cut}: {e}"));
         let whole = bytes[..cut].iter().filter(|b| **b == b'\n').count().saturating_sub(1);
-        assert_eq!(found.entries, t.entries[..whole], "cut at {cut}");
+        assert_eq!(found.entries, log.entries[..whole], "cut at {cut}");
     }
 }
 
 #[test]
-fn each_alteration_of_the_trail_is_found() {
-    let t = long();
-    let bytes = t.to_bytes();
+fn each_alteration_of_the_log_is_found() {
+    let log = long_log();
+    let bytes = log.to_bytes();
     let first = bytes.iter().position(|b| *b == b'\n').unwrap() + 1;
     // Every byte of every entry, changed; the last line's end aside, whose loss is a cut.
     for at in first..bytes.len() - 1 {
         let mut b = bytes.clone();
         b[at] = if b[at] == b'1' { b'2' } else { b'1' };
-        assert!(Trail::from_bytes(&b, &fleet()).is_err(), "byte {at}");
+        assert!(ChangeLog::from_bytes(&b, &fleet()).is_err(), "byte {at}");
     }
     // Entries taken out, put twice, or in another order.
     let lines: Vec<&[u8]> = bytes.split_inclusive(|b| *b == b'\n').collect();
     for order in [vec![0, 1, 3, 4], vec![0, 1, 2, 2], vec![0, 2, 1], vec![1, 2]] {
         let b: Vec<u8> = order.iter().flat_map(|i| lines[*i].iter().copied()).collect();
-        assert!(Trail::from_bytes(&b, &fleet()).is_err(), "{order:?}");
+        assert!(ChangeLog::from_bytes(&b, &fleet()).is_err(), "{order:?}");
     }
 }
 
 #[test]
-fn a_fold_keeps_the_chain_and_the_catalogue() {
+fn compaction_keeps_the_chain_and_the_catalogue() {
     for keep in 0..8 {
-        let t = long();
-        let mut folded = t.clone();
-        folded.fold(keep);
-        assert_eq!(folded.entries.len(), keep.min(7));
-        assert_eq!(folded.catalogue, t.catalogue);
-        let again = Trail::from_bytes(&folded.to_bytes(), &fleet()).unwrap();
-        assert_eq!(again.catalogue, t.catalogue, "keep {keep}");
-        let base = folded.catalogue.version;
-        assert!(put(&mut folded, change(base, vec![set_plan("basic", Some(plan(50.0)))])).is_ok());
+        let log = long_log();
+        let mut compacted = log.clone();
+        compacted.compact(keep);
+        assert_eq!(compacted.entries.len(), keep.min(7));
+        assert_eq!(compacted.catalogue, log.catalogue);
+        let again = ChangeLog::from_bytes(&compacted.to_bytes(), &fleet()).unwrap();
+        assert_eq!(again.catalogue, log.catalogue, "keep {keep}");
+        let base = compacted.catalogue.version;
+        assert!(put(&mut compacted, change(base, vec![set_plan("basic", Some(plan(50.0)))])).is_ok());
     }
 }
 
 #[test]
 fn random_edits_from_many_hands_replay_to_the_same_catalogue() {
     let mut c = oorandom::Rand64::new(8);
-    let mut t = begun();
+    let mut log = short_log();
     let (mut passed, mut refused) = (0, 0);
     for _ in 0..400 {
-        let base = t.catalogue.version - c.rand_range(0..t.catalogue.version.min(4));
+        let base = log.catalogue.version - c.rand_range(0..log.catalogue.version.min(4));
         let names = ["basic", "premium", "x", "y"];
         let name = names[c.rand_range(0..4) as usize];
         let steps = match c.rand_range(0..4) {
@@ -221,12 +222,12 @@
             )],
             _ => vec![set_volume(name, None), set_plan(name, Some(plan(9.0)))],
         };
-        match put(&mut t, change(base, steps)) {
+        match put(&mut log, change(base, steps)) {
             Ok(_) => passed += 1,
             Err(_) => refused += 1,
         }
     }
     assert!(passed > 50 && refused > 50, "{passed} passed, {refused} refused");
-    let again = Trail::from_bytes(&t.to_bytes(), &fleet()).unwrap_or_else(|e| panic!("{e}"));
-    assert!(again == t, "a replay leads elsewhere");
+    let again = ChangeLog::from_bytes(&log.to_bytes(), &fleet()).unwrap_or_else(|e| panic!("{e}"));
+    assert!(again == log, "a replay leads elsewhere");
 }
--- a/crates/plans/tests/stored_format.rs
+++ b/crates/plans/tests/stored_format.rs
@@ -8,7 +8,8 @@
 use std::fmt::Debug;
 use std::path::{Path, PathBuf};
 use tackmast_plans::{
-    Agreed, Anchor, Catalogue, Change, Command, Fleet, Plan, Step, TrafficClass, Trail, Volume,
+    Catalogue, Change, ChangeLog, Checkpoint, Command, Fleet, LogHead, Plan, Proposal, ReplicatedPlans, Step,
+    TrafficClass, Volume,
 };
 
 const WRITE_FIXTURES: &str = "TACKMAST_WRITE_FIXTURE";
@@ -88,18 +89,18 @@
     ]
 }
 
-fn change_log() -> Trail {
-    let mut log = Trail::default();
+fn change_log() -> ChangeLog {
+    let mut log = ChangeLog::default();
     for (at_us, change) in (1_700_000_000_000_000..).zip(changes()) {
-        let (entry, catalogue) = log.propose(at_us, change, &fleet()).unwrap();
-        log.kept(entry, catalogue);
+        let Proposal { entry, catalogue } = log.propose(at_us, change, &fleet()).unwrap();
+        log.append(entry, catalogue);
     }
     log
 }
 
-fn compacted_log() -> Trail {
+fn compacted_log() -> ChangeLog {
     let mut log = change_log();
-    log.fold(2);
+    log.compact(2);
     log
 }
 
@@ -117,13 +118,13 @@
     );
     vec![
         Command::Change { at_us: 1_700_000_000_000_001, change: lower },
-        Command::Told { version: 2 },
+        Command::Notified { version: 2 },
         Command::Change { at_us: 1_700_000_000_000_002, change: unlimited },
     ]
 }
 
-fn replicated_state() -> Agreed {
-    let mut state = Agreed::starting(starting_catalogue());
+fn replicated_state() -> ReplicatedPlans {
+    let mut state = ReplicatedPlans::starting_with(starting_catalogue());
     for command in commands() {
         state.apply(command, &fleet()).unwrap();
     }
@@ -144,10 +145,10 @@
 #[test]
 fn a_change_log_of_an_earlier_build_reads_as_it_was_written() {
     let text = fixture(CHANGE_LOG);
-    let log = Trail::from_bytes(text.as_bytes(), &fleet()).unwrap();
+    let log = ChangeLog::from_bytes(text.as_bytes(), &fleet()).unwrap();
     assert_eq!(log, change_log());
-    assert_eq!(log.newest(), (4, NEWEST_DIGEST));
-    assert_eq!(log.anchor, Anchor::default());
+    assert_eq!(log.head(), LogHead { number: 4, digest: NEWEST_DIGEST });
+    assert_eq!(log.checkpoint, Checkpoint::default());
     let read: Vec<&Change> = log.entries.iter().map(|e| &e.change).collect();
     assert_eq!(read, changes().iter().collect::<Vec<_>>());
     let plans: Vec<&str> = log.catalogue.plans.keys().map(String::as_str).collect();
@@ -159,36 +160,43 @@
 #[test]
 fn a_compacted_log_of_an_earlier_build_reads_as_it_was_written() {
     let text = fixture(COMPACTED_LOG);
-    let log = Trail::from_bytes(text.as_bytes(), &fleet()).unwrap();
+    let log = ChangeLog::from_bytes(text.as_bytes(), &fleet()).unwrap();
     assert_eq!(log, compacted_log());
-    assert_eq!((log.anchor.number, log.entries.len(), log.newest()), (2, 2, (4, NEWEST_DIGEST)));
+    assert_eq!(
+        (log.checkpoint.number, log.entries.len(), log.head()),
+        (2, 2, LogHead { number: 4, digest: NEWEST_DIGEST })
+    );
     assert_eq!(String::from_utf8(compacted_log().to_bytes()).unwrap(), text);
 }
 
 #[test]
 fn each_entry_of_an_earlier_build_is_taken_from_another_host() {
     let text = fixture(CHANGE_LOG);
-    let mut log = Trail::default();
+    let mut log = ChangeLog::default();
     for line in text.split_inclusive('\n').skip(1) {
-        log.take(line.as_bytes(), &fleet()).unwrap();
+        log.append_line(line.as_bytes(), &fleet()).unwrap();
     }
-    assert_eq!(log.newest(), (4, NEWEST_DIGEST));
+    assert_eq!(log.head(), LogHead { number: 4, digest: NEWEST_DIGEST });
 }
 
 #[test]
 fn an_altered_entry_of_an_earlier_build_breaks_the_chain() {
     let text = fixture(CHANGE_LOG).replacen("\"why\":\"move\"", "\"why\":\"mode\"", 1);
-    let problem = Trail::from_bytes(text.as_bytes(), &fleet()).unwrap_err().to_string();
+    let problem = ChangeLog::from_bytes(text.as_bytes(), &fleet()).unwrap_err().to_string();
     assert!(problem.starts_with("entry 3: digest "), "{problem}");
 }
 
 #[test]
 fn a_replicated_state_of_an_earlier_build_reads_as_it_was_written() {
     let text = fixture(REPLICATED_STATE);
-    let state = Agreed::from_bytes(text.as_bytes(), &fleet()).unwrap();
+    let state = ReplicatedPlans::from_bytes(text.as_bytes(), &fleet()).unwrap();
     assert_eq!(state, replicated_state());
-    let floors = (state.floor("school"), state.floor("museum"), state.floor("none"));
-    assert_eq!((state.told(), state.waits(), floors), (2, true, (f64::INFINITY, 12.5, 0.0)));
+    let limits =
+        (state.fallback_limit("school"), state.fallback_limit("museum"), state.fallback_limit("none"));
+    assert_eq!(
+        (state.notified_version(), state.awaits_notification(), limits),
+        (2, true, (f64::INFINITY, 12.5, 0.0))
+    );
     assert_eq!(String::from_utf8(state.to_bytes()).unwrap(), text);
 }
 
--- a/crates/store/src/update.rs
+++ b/crates/store/src/update.rs
@@ -72,8 +72,8 @@
         let bytes = serde_json::to_vec(line).unwrap_or_default();
         audit.insert(number, bytes.as_slice())?;
     }
-    let excess = audit.len()?.saturating_sub(MAX_AUDIT_LINES);
-    for _ in 0..excess {
+    let surplus = audit.len()?.saturating_sub(MAX_AUDIT_LINES);
+    for _ in 0..surplus {
         audit.pop_first()?;
     }
     Ok(())
