--- a/crates/emulators/src/http.rs
+++ b/crates/emulators/src/http.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
-use tackmast_http::{Answer, AnswerReader, Bounds, Request, RequestReader};
+use tackmast_http::{Limits, Request, RequestReader, Response, ResponseReader};
 
 const SMALL_STACK: usize = 128 << 10;
 const LOOK: Duration = Duration::from_millis(2);
@@ -185,7 +185,7 @@
             Ok(0) => return None,
             Ok(n) => reader.push(&piece[..n]),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                if over.is_over() || (since.elapsed() >= idle && !reader.is_midway()) {
+                if over.is_over() || (since.elapsed() >= idle && !reader.has_partial_request()) {
                     return None;
                 }
             }
@@ -201,7 +201,7 @@
 
 fn serve(of: &NodeInner, mut stream: TcpStream) -> std::io::Result<()> {
     let connection = of.connections.fetch_add(1, Ordering::SeqCst);
-    let mut reader = RequestReader::new(Bounds::default());
+    let mut reader = RequestReader::new(Limits::default());
     if locked(&of.fault).0 == NodeFault::ResetAtOnce {
         reset(&stream);
         return Ok(());
@@ -406,7 +406,7 @@
 }
 
 fn tell(of: &ListInner, mut stream: TcpStream) -> std::io::Result<()> {
-    let mut reader = RequestReader::new(Bounds::default());
+    let mut reader = RequestReader::new(Limits::default());
     while let Some(request) = next(&mut stream, &mut reader, of, Duration::from_secs(60)) {
         locked(&of.known).calls.push((Instant::now(), request.target.clone()));
         let figure = |name: &str| {
@@ -444,7 +444,7 @@
 /// How a client's connection went on.
 #[derive(Debug)]
 pub enum Heard {
-    Answer(Box<Answer>),
+    Answer(Box<Response>),
     Closed,
     /// Nothing, for as long as was waited.
     Nothing,
@@ -453,7 +453,7 @@
 /// A client on one connection. It says whatever it is told to.
 pub struct HttpClient {
     stream: TcpStream,
-    reader: AnswerReader,
+    reader: ResponseReader,
 }
 
 impl HttpClient {
@@ -461,7 +461,7 @@
         let stream = TcpStream::connect(to)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(LOOK))?;
-        Ok(HttpClient { stream, reader: AnswerReader::new(Bounds::default()) })
+        Ok(HttpClient { stream, reader: ResponseReader::new(Limits::default()) })
     }
 
     /// Says these bytes; what the other side does not take is not said.
@@ -478,7 +478,7 @@
         let until = Instant::now() + most;
         let mut piece = [0; 16 * 1024];
         loop {
-            match self.reader.answer() {
+            match self.reader.next_response() {
                 Ok(Some(a)) => return Heard::Answer(Box::new(a)),
                 Ok(None) => {}
                 Err(_) => return Heard::Closed,
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,134 +1,169 @@
-//! Bodies by length or in chunks, taken from a buffer as their bytes come.
+//! Bodies by length, in chunks, or to the end of the connection, read from a buffer as their bytes arrive.
 
-use crate::Bad;
+use crate::MessageError;
 use bytes::{Buf, BytesMut};
 
+/// Bytes of a chunk's size line, at most.
+const MAX_SIZE_LINE_LEN: usize = 256;
+/// Bytes of all trailers together, at most.
+const MAX_TRAILERS_LEN: usize = 4096;
+/// Hex digits of a chunk's size, at most.
+const MAX_SIZE_DIGITS: usize = 15;
+const LINE_END: &[u8] = b"\r\n";
+
+/// How the end of a body is found (section 6.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Framing {
+pub(crate) enum Framing {
+    /// By the number of its bytes.
     Length(u64),
+    /// By a chunk of size 0.
     Chunked,
-    /// To the end of the connection (section 6.3, rule 8): an answer only, and whole only where that ends in order.
-    ToEnd,
+    /// By the end of the connection (rule 8): a response only, and complete only where that ends in order.
+    UntilClose,
 }
 
-/// A chunk's size line, and all trailers together, in bytes at most.
-const LINE: usize = 256;
-const TRAILERS: usize = 4096;
-
-#[derive(Debug)]
-enum Next {
+/// What is read next.
+#[derive(Clone, Copy, Debug)]
+enum State {
+    /// So many bytes of the body, or of a chunk.
     Bytes(usize),
-    ToEnd,
-    Size,
+    UntilClose,
+    ChunkSize,
     ChunkEnd,
+    /// Trailers, of which so many bytes were read.
     Trailers(usize),
     Done,
 }
 
-/// What has come of a body.
+/// What was received of a body.
 #[derive(Debug)]
-pub struct BodyReader {
-    got: BytesMut,
-    next: Next,
-    chunk: usize,
-    chunked: bool,
-    most: usize,
+pub(crate) struct BodyReader {
+    received: BytesMut,
+    state: State,
+    is_chunked: bool,
+    max_len: usize,
 }
 
 impl BodyReader {
-    pub fn new(framing: Framing, most: usize) -> Result<Self, Bad> {
-        let next = match framing {
-            Framing::Length(0) => Next::Done,
-            Framing::Length(n) if n > most as u64 => return Err(Bad::LongBody),
-            Framing::Length(n) => Next::Bytes(n as usize),
-            Framing::Chunked => Next::Size,
-            Framing::ToEnd => Next::ToEnd,
+    pub(crate) fn new(framing: Framing, max_len: usize) -> Result<Self, MessageError> {
+        let state = match framing {
+            Framing::Length(0) => State::Done,
+            Framing::Length(len) if len > max_len as u64 => return Err(MessageError::BodyTooLong),
+            Framing::Length(len) => State::Bytes(len as usize),
+            Framing::Chunked => State::ChunkSize,
+            Framing::UntilClose => State::UntilClose,
         };
-        let chunked = framing == Framing::Chunked;
-        Ok(BodyReader { got: BytesMut::new(), next, chunk: 0, chunked, most })
+        let is_chunked = framing == Framing::Chunked;
+        Ok(BodyReader { received: BytesMut::new(), state, is_chunked, max_len })
     }
 
     /// Whether only the end of the connection ends it.
-    pub fn is_to_end(&self) -> bool {
-        matches!(self.next, Next::ToEnd)
+    pub(crate) fn ends_with_connection(&self) -> bool {
+        matches!(self.state, State::UntilClose)
     }
 
-    /// What has come, as the connection has ended.
-    pub fn end(self) -> BytesMut {
-        self.got
+    /// What was received, as the connection has ended.
+    pub(crate) fn into_received(self) -> BytesMut {
+        self.received
     }
 
-    /// Takes what belongs to the body; the whole of it, once it is there.
-    pub fn take(&mut self, from: &mut BytesMut) -> Result<Option<BytesMut>, Bad> {
+    /// Reads what belongs to the body; returns all of it, once it is there in full.
+    pub(crate) fn read(&mut self, buffer: &mut BytesMut) -> Result<Option<BytesMut>, MessageError> {
         loop {
-            match self.next {
-                Next::Done => return Ok(Some(std::mem::take(&mut self.got))),
-                Next::Bytes(left) => {
-                    let n = left.min(from.len());
-                    self.got.extend_from_slice(&from[..n]);
-                    from.advance(n);
-                    if n < left {
-                        self.next = Next::Bytes(left - n);
-                        return Ok(None);
-                    }
-                    self.next = if self.chunked { Next::ChunkEnd } else { Next::Done };
-                }
-                Next::ToEnd => {
-                    if from.len() > self.most - self.got.len() {
-                        return Err(Bad::LongBody);
-                    }
-                    self.got.unsplit(from.split());
-                    return Ok(None);
-                }
-                Next::Size => match line(from, LINE)? {
-                    None => return Ok(None),
-                    Some(text) => {
-                        self.chunk = size(&text)?;
-                        if self.chunk > self.most - self.got.len() {
-                            return Err(Bad::LongBody);
-                        }
-                        self.next = if self.chunk == 0 { Next::Trailers(0) } else { Next::Bytes(self.chunk) };
-                    }
-                },
-                Next::ChunkEnd => {
-                    if from.len() < 2 {
-                        return Ok(None);
-                    }
-                    if &from[..2] != b"\r\n" {
-                        return Err(Bad::Chunk);
-                    }
-                    from.advance(2);
-                    self.next = Next::Size;
-                }
-                Next::Trailers(seen) => match line(from, TRAILERS)? {
-                    None => return Ok(None),
-                    Some(text) if text.is_empty() => self.next = Next::Done,
-                    Some(text) if seen + text.len() > TRAILERS => return Err(Bad::Chunk),
-                    Some(text) => self.next = Next::Trailers(seen + text.len()),
-                },
+            let next = match self.state {
+                State::Done => return Ok(Some(std::mem::take(&mut self.received))),
+                State::Bytes(remaining) => self.read_bytes(buffer, remaining),
+                State::UntilClose => self.read_all(buffer)?,
+                State::ChunkSize => self.read_chunk_size(buffer)?,
+                State::ChunkEnd => read_chunk_end(buffer)?,
+                State::Trailers(seen) => read_trailer(buffer, seen)?,
+            };
+            match next {
+                Some(state) => self.state = state,
+                None => return Ok(None),
             }
         }
     }
+
+    /// The state after all of the bytes; none where some are missing.
+    fn read_bytes(&mut self, buffer: &mut BytesMut, remaining: usize) -> Option<State> {
+        let count = remaining.min(buffer.len());
+        self.received.extend_from_slice(&buffer[..count]);
+        buffer.advance(count);
+        if count < remaining {
+            self.state = State::Bytes(remaining - count);
+            return None;
+        }
+        Some(if self.is_chunked { State::ChunkEnd } else { State::Done })
+    }
+
+    /// Never done before the connection ends.
+    fn read_all(&mut self, buffer: &mut BytesMut) -> Result<Option<State>, MessageError> {
+        if buffer.len() > self.available_len() {
+            return Err(MessageError::BodyTooLong);
+        }
+        self.received.unsplit(buffer.split());
+        Ok(None)
+    }
+
+    fn read_chunk_size(&self, buffer: &mut BytesMut) -> Result<Option<State>, MessageError> {
+        let Some(line) = read_line(buffer, MAX_SIZE_LINE_LEN)? else { return Ok(None) };
+        let size = parse_chunk_size(&line)?;
+        if size > self.available_len() {
+            return Err(MessageError::BodyTooLong);
+        }
+        Ok(Some(if size == 0 { State::Trailers(0) } else { State::Bytes(size) }))
+    }
+
+    fn available_len(&self) -> usize {
+        self.max_len - self.received.len()
+    }
+}
+
+fn read_chunk_end(buffer: &mut BytesMut) -> Result<Option<State>, MessageError> {
+    if buffer.len() < LINE_END.len() {
+        return Ok(None);
+    }
+    if !buffer.starts_with(LINE_END) {
+        return Err(MessageError::Chunk);
+    }
+    buffer.advance(LINE_END.len());
+    Ok(Some(State::ChunkSize))
+}
+
+fn read_trailer(buffer: &mut BytesMut, seen: usize) -> Result<Option<State>, MessageError> {
+    let Some(line) = read_line(buffer, MAX_TRAILERS_LEN)? else { return Ok(None) };
+    if line.is_empty() {
+        return Ok(Some(State::Done));
+    }
+    let seen = seen + line.len();
+    if seen > MAX_TRAILERS_LEN {
+        return Err(MessageError::Chunk);
+    }
+    Ok(Some(State::Trailers(seen)))
 }
 
-/// One line without its end; none: it is not all there yet.
-fn line(from: &mut BytesMut, most: usize) -> Result<Option<BytesMut>, Bad> {
-    let Some(at) = from.iter().take(most + 2).position(|b| *b == b'\n') else {
-        return if from.len() > most { Err(Bad::Chunk) } else { Ok(None) };
+/// One line without its end; none where it is not there in full.
+fn read_line(buffer: &mut BytesMut, max_len: usize) -> Result<Option<BytesMut>, MessageError> {
+    let end = buffer.iter().take(max_len + LINE_END.len()).position(|byte| *byte == b'\n');
+    let Some(end) = end else {
+        return if buffer.len() > max_len { Err(MessageError::Chunk) } else { Ok(None) };
     };
-    let mut text = from.split_to(at + 1);
-    if at == 0 || text[at - 1] != b'\r' {
-        return Err(Bad::Chunk);
+    let mut line = buffer.split_to(end + 1);
+    if !line.ends_with(LINE_END) {
+        return Err(MessageError::Chunk);
     }
-    text.truncate(at - 1);
-    Ok(Some(text))
+    line.truncate(end - 1);
+    Ok(Some(line))
 }
 
-fn size(text: &[u8]) -> Result<usize, Bad> {
-    let digits = text.split(|b| *b == b';').next().unwrap_or_default();
-    let digits = std::str::from_utf8(digits).map_err(|_| Bad::Chunk)?.trim_end_matches([' ', '\t']);
-    if digits.is_empty() || digits.len() > 15 || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
-        return Err(Bad::Chunk);
+/// The size before any chunk extension.
+fn parse_chunk_size(line: &[u8]) -> Result<usize, MessageError> {
+    let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
+    let digits = std::str::from_utf8(digits).map_err(|_| MessageError::Chunk)?.trim_end_matches([' ', '\t']);
+    let is_hex = digits.bytes().all(|byte| byte.is_ascii_hexdigit());
+    if digits.is_empty() || digits.len() > MAX_SIZE_DIGITS || !is_hex {
+        return Err(MessageError::Chunk);
     }
-    usize::from_str_radix(digits, 16).map_err(|_| Bad::Chunk)
+    usize::from_str_radix(digits, 16).map_err(|_| MessageError::Chunk)
 }
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -1,100 +1,117 @@
-//! Requests, as clients send them.
+//! Reads one connection's requests, as clients send them.
 
 use crate::body::{BodyReader, Framing};
-use crate::head::{length, Headers, FIELDS};
-use crate::{Bad, Bounds};
+use crate::head::{complete_len, Limits, ParsedHead, MAX_FIELDS};
+use crate::headers::{Headers, HTTP_1_0};
+use crate::MessageError;
 use bytes::{Buf, Bytes, BytesMut};
 
+/// A request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
+    /// GET, PUT and so on.
     pub method: String,
+    /// The request target: path and query.
     pub target: String,
+    /// Its header fields.
     pub headers: Headers,
+    /// Its body; empty where it has none.
     pub body: Bytes,
-    /// The client wants the connection to end after its answer.
+    /// The client wants the connection to end after its response.
     pub closes: bool,
 }
 
-/// One connection's requests, in turn.
+/// One connection's requests, one after the other.
 #[derive(Debug)]
 pub struct RequestReader {
-    bounds: Bounds,
+    limits: Limits,
     buffer: BytesMut,
-    head: Option<(Request, BodyReader)>,
-    /// The request whose body is awaited asked for leave to send it (section 10.1.1 of RFC 9110).
-    leave: bool,
+    /// The request whose body is awaited.
+    incomplete: Option<(Request, BodyReader)>,
+    /// That request waits for `100 Continue` before it sends its body (RFC 9110, section 10.1.1).
+    expects_continue: bool,
 }
 
 impl RequestReader {
-    pub fn new(bounds: Bounds) -> Self {
-        RequestReader { bounds, buffer: BytesMut::new(), head: None, leave: false }
+    /// A reader of a new connection.
+    pub fn new(limits: Limits) -> Self {
+        RequestReader { limits, buffer: BytesMut::new(), incomplete: None, expects_continue: false }
     }
 
+    /// Takes bytes that were received.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether a part of a request is held.
-    pub fn is_midway(&self) -> bool {
-        self.head.is_some() || !self.buffer.is_empty()
+    /// Whether part of a request was received.
+    pub fn has_partial_request(&self) -> bool {
+        self.incomplete.is_some() || !self.buffer.is_empty()
     }
 
-    /// Bytes that have come and were not taken yet.
-    pub fn ahead(&self) -> usize {
+    /// Bytes that were received and not parsed yet.
+    pub fn buffered_len(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Bytes held.
-    pub fn held(&self) -> usize {
-        self.buffer.capacity() + self.head.as_ref().map_or(0, |_| self.bounds.body)
+    /// Bytes of memory that this reader may use now.
+    pub fn reserved_len(&self) -> usize {
+        self.buffer.capacity() + self.incomplete.as_ref().map_or(0, |_| self.limits.max_body_len)
     }
 
-    /// Whether `100 Continue` is to be written now; said once.
-    pub fn take_leave(&mut self) -> bool {
-        std::mem::take(&mut self.leave)
+    /// Whether `100 Continue` is to be sent now; true once a request.
+    pub fn take_expects_continue(&mut self) -> bool {
+        std::mem::take(&mut self.expects_continue)
     }
 
-    /// The next request that is whole.
-    pub fn next_request(&mut self) -> Result<Option<Request>, Bad> {
-        if self.head.is_none() {
-            // Empty lines ahead of a request are passed over (section 2.2).
-            while self.buffer.starts_with(b"\r\n") {
-                self.buffer.advance(2);
-            }
-            let Some((request, framing, length)) = head(&self.buffer, self.bounds)? else { return Ok(None) };
-            self.buffer.advance(length);
-            let reader = BodyReader::new(framing, self.bounds.body)?;
-            self.leave =
-                request.headers.first("expect").is_some_and(|e| e.eq_ignore_ascii_case("100-continue"));
-            self.head = Some((request, reader));
+    /// The next request that was received in full.
+    pub fn next_request(&mut self) -> Result<Option<Request>, MessageError> {
+        if self.incomplete.is_none() && !self.read_head()? {
+            return Ok(None);
         }
-        let Some((_, reader)) = &mut self.head else { return Ok(None) };
-        let Some(body) = reader.take(&mut self.buffer)? else { return Ok(None) };
-        self.leave = false;
+        let Some((_, reader)) = &mut self.incomplete else { return Ok(None) };
+        let Some(body) = reader.read(&mut self.buffer)? else { return Ok(None) };
+        self.expects_continue = false;
         if self.buffer.is_empty() {
             self.buffer = BytesMut::new();
         }
-        Ok(self.head.take().map(|(request, _)| Request { body: body.freeze(), ..request }))
+        Ok(self.incomplete.take().map(|(request, _)| Request { body: body.freeze(), ..request }))
+    }
+
+    /// Reads the head of the next request; false where it is not there in full.
+    fn read_head(&mut self) -> Result<bool, MessageError> {
+        // Empty lines before a request are skipped (section 2.2).
+        while self.buffer.starts_with(b"\r\n") {
+            self.buffer.advance(2);
+        }
+        let Some(head) = parse_head(&self.buffer, self.limits)? else { return Ok(false) };
+        self.buffer.advance(head.len);
+        let framing = head.framing.unwrap_or(Framing::Length(0));
+        let reader = BodyReader::new(framing, self.limits.max_body_len)?;
+        let expectation = head.message.headers.first("expect");
+        self.expects_continue = expectation.is_some_and(|value| value.eq_ignore_ascii_case("100-continue"));
+        self.incomplete = Some((head.message, reader));
+        Ok(true)
     }
 }
 
-fn head(bytes: &[u8], bounds: Bounds) -> Result<Option<(Request, Framing, usize)>, Bad> {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS];
+fn parse_head(bytes: &[u8], limits: Limits) -> Result<Option<ParsedHead<Request>>, MessageError> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut parsed = httparse::Request::new(&mut fields);
-    let Some(length) = length(parsed.parse(bytes), bytes.len(), bounds.head)? else { return Ok(None) };
+    let Some(len) = complete_len(parsed.parse(bytes), bytes.len(), limits)? else { return Ok(None) };
     let (Some(method), Some(target), Some(version)) = (parsed.method, parsed.path, parsed.version) else {
-        return Err(Bad::Head);
+        return Err(MessageError::Head);
     };
-    let headers = Headers::of(parsed.headers)?;
+    let headers = Headers::parse(parsed.headers)?;
     let hosts = headers.all("host").count();
-    if hosts > 1 || (hosts == 0 && version == 1) {
-        return Err(Bad::Host);
+    if hosts > 1 || (hosts == 0 && version != HTTP_1_0) {
+        return Err(MessageError::Host);
     }
     let framing = headers.framing()?;
-    if version == 0 && framing == Some(Framing::Chunked) {
-        return Err(Bad::Encoding);
+    if version == HTTP_1_0 && framing == Some(Framing::Chunked) {
+        return Err(MessageError::UnsupportedEncoding);
     }
-    let (method, target, closes) = (method.to_owned(), target.to_owned(), headers.closes(version == 0));
-    let request = Request { method, target, headers, body: Bytes::new(), closes };
-    Ok(Some((request, framing.unwrap_or(Framing::Length(0)), length)))
+    let closes = headers.closes_connection(version);
+    let (method, target) = (method.to_owned(), target.to_owned());
+    let message = Request { method, target, headers, body: Bytes::new(), closes };
+    Ok(Some(ParsedHead { message, framing, len }))
 }
--- /dev/null
+++ b/crates/http/src/response.rs
@@ -0,0 +1,119 @@
+//! Reads the response to one request, as nodes and the node list send it.
+
+use crate::body::{BodyReader, Framing};
+use crate::head::{complete_len, Limits, ParsedHead, MAX_FIELDS};
+use crate::headers::Headers;
+use crate::MessageError;
+use bytes::{Buf, Bytes, BytesMut};
+
+const SWITCHING_PROTOCOLS: u16 = 101;
+const NO_CONTENT: u16 = 204;
+const NOT_MODIFIED: u16 = 304;
+
+/// A response.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Response {
+    /// Its status code.
+    pub status: u16,
+    /// Its header fields.
+    pub headers: Headers,
+    /// Its body; empty where it has none.
+    pub body: Bytes,
+    /// The connection ends with this response.
+    pub closes: bool,
+}
+
+/// The response to one request.
+#[derive(Debug)]
+pub struct ResponseReader {
+    limits: Limits,
+    buffer: BytesMut,
+    /// The response whose body is awaited.
+    incomplete: Option<(Response, BodyReader)>,
+    /// Bytes of interim responses so far.
+    interim_len: usize,
+}
+
+impl ResponseReader {
+    /// A reader for a request that is sent now.
+    pub fn new(limits: Limits) -> Self {
+        ResponseReader { limits, buffer: BytesMut::new(), incomplete: None, interim_len: 0 }
+    }
+
+    /// Takes bytes that were received.
+    pub fn push(&mut self, bytes: &[u8]) {
+        self.buffer.extend_from_slice(bytes);
+    }
+
+    /// Whether there are bytes beyond the response. There is no request that they could belong to.
+    pub fn has_trailing_bytes(&self) -> bool {
+        !self.buffer.is_empty()
+    }
+
+    /// Whether the response's head is there, and its body goes on to the end of the connection.
+    pub fn ends_with_connection(&self) -> bool {
+        self.incomplete.as_ref().is_some_and(|(_, reader)| reader.ends_with_connection())
+    }
+
+    /// The connection was closed in order: the response that ends with it is complete. A connection that broke cuts it off; this
+    /// must not be called then.
+    pub fn handle_close(&mut self) -> Result<Option<Response>, MessageError> {
+        if !self.ends_with_connection() {
+            return Ok(None);
+        }
+        let incomplete = self.incomplete.take();
+        Ok(incomplete
+            .map(|(response, reader)| Response { body: reader.into_received().freeze(), ..response }))
+    }
+
+    /// The response, once it was received in full.
+    pub fn next_response(&mut self) -> Result<Option<Response>, MessageError> {
+        while self.incomplete.is_none() {
+            let Some(head) = parse_head(&self.buffer, self.limits)? else { return Ok(None) };
+            self.buffer.advance(head.len);
+            match head.message.status {
+                100..200 => self.skip_interim(&head)?,
+                _ => self.incomplete = Some(start_body(head, self.limits)?),
+            }
+        }
+        let Some((_, reader)) = &mut self.incomplete else { return Ok(None) };
+        let Some(body) = reader.read(&mut self.buffer)? else { return Ok(None) };
+        Ok(self.incomplete.take().map(|(response, _)| Response { body: body.freeze(), ..response }))
+    }
+
+    /// Counts an interim response. 101 would change the protocol, which no request asks for.
+    fn skip_interim(&mut self, head: &ParsedHead<Response>) -> Result<(), MessageError> {
+        self.interim_len += head.len;
+        if head.message.status == SWITCHING_PROTOCOLS || self.interim_len > self.limits.max_head_len {
+            return Err(MessageError::Head);
+        }
+        Ok(())
+    }
+}
+
+fn start_body(head: ParsedHead<Response>, limits: Limits) -> Result<(Response, BodyReader), MessageError> {
+    let framing = match head.message.status {
+        NO_CONTENT | NOT_MODIFIED => Framing::Length(0),
+        _ => head.framing.unwrap_or(Framing::UntilClose),
+    };
+    let reader = BodyReader::new(framing, limits.max_body_len)?;
+    let closes = head.message.closes || reader.ends_with_connection();
+    Ok((Response { closes, ..head.message }, reader))
+}
+
+fn parse_head(bytes: &[u8], limits: Limits) -> Result<Option<ParsedHead<Response>>, MessageError> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
+    let mut parsed = httparse::Response::new(&mut fields);
+    let Some(len) = complete_len(parsed.parse(bytes), bytes.len(), limits)? else { return Ok(None) };
+    let (Some(status), Some(version)) = (parsed.code, parsed.version) else {
+        return Err(MessageError::Head);
+    };
+    if status < 100 {
+        return Err(MessageError::Head);
+    }
+    let headers = Headers::parse(parsed.headers)?;
+    let framing = if status < 200 { None } else { headers.framing()? };
+    let closes = headers.closes_connection(version);
+    let message = Response { status, headers, body: Bytes::new(), closes };
+    Ok(Some(ParsedHead { message, framing, len }))
+}
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -2,12 +2,12 @@
 //! depend on how the bytes came.
 
 use proptest::prelude::*;
-use tackmast_http::{Answer, AnswerReader, Bad, Bounds, Request, RequestReader};
+use tackmast_http::{Limits, MessageError, Request, RequestReader, Response, ResponseReader};
 
-const SMALL: Bounds = Bounds { head: 512, body: 64 };
+const SMALL: Limits = Limits { max_head_len: 512, max_body_len: 64 };
 
 /// All requests in these pieces, until none is whole or one is bad; and whether a part is left.
-fn requests(pieces: &[&[u8]]) -> (Vec<Request>, Option<Bad>, bool) {
+fn requests(pieces: &[&[u8]]) -> (Vec<Request>, Option<MessageError>, bool) {
     let mut reader = RequestReader::new(SMALL);
     let mut got = Vec::new();
     for piece in pieces {
@@ -20,22 +20,22 @@
             }
         }
     }
-    (got, None, reader.is_midway())
+    (got, None, reader.has_partial_request())
 }
 
-fn answer(pieces: &[&[u8]]) -> (Option<Answer>, Option<Bad>, bool) {
-    let mut reader = AnswerReader::new(SMALL);
+fn response(pieces: &[&[u8]]) -> (Option<Response>, Option<MessageError>, bool) {
+    let mut reader = ResponseReader::new(SMALL);
     let mut got = None;
     for piece in pieces {
         reader.push(piece);
         if got.is_none() {
-            match reader.answer() {
+            match reader.next_response() {
                 Ok(a) => got = a,
                 Err(bad) => return (None, Some(bad), false),
             }
         }
     }
-    (got, None, reader.has_more())
+    (got, None, reader.has_trailing_bytes())
 }
 
 fn put(more: &str, body: &str) -> String {
@@ -80,36 +80,56 @@
     let fields = format!("GET /a HTTP/1.1\r\nHost: h\r\n{}\r\n", "A:\r\n".repeat(100));
     let chunked = "Transfer-Encoding: chunked\r\n";
     let chunk = format!("20\r\n{}\r\n", "x".repeat(32));
-    let cases: Vec<(&str, String, Bad)> = vec![
-        ("noise", "\x16\x03\x01 hello\r\n\r\n".into(), Bad::Head),
-        ("another version", "GET /a HTTP/3.7\r\nHost: h\r\n\r\n".into(), Bad::Head),
-        ("no host", "GET /a HTTP/1.1\r\n\r\n".into(), Bad::Host),
-        ("two hosts", put("Host: i\r\n", ""), Bad::Host),
-        ("a long target", long, Bad::LongHead),
-        ("an endless head", endless, Bad::LongHead),
-        ("endless fields", fields, Bad::LongHead),
-        ("a folded field", put("A: b\r\n c\r\n", ""), Bad::Head),
-        ("a space before the colon", put("Content-Length : 3\r\n", "abc"), Bad::Head),
-        ("no number", put("Content-Length: abc\r\n", ""), Bad::Length),
-        ("a negative length", put("Content-Length: -1\r\n", ""), Bad::Length),
-        ("a signed length", put("Content-Length: +3\r\n", "abc"), Bad::Length),
-        ("two lengths", put("Content-Length: 3\r\nContent-Length: 4\r\n", "abcd"), Bad::Length),
-        ("the same length twice", put("Content-Length: 3\r\nContent-Length: 3\r\n", "abc"), Bad::Length),
-        ("lengths in one field", put("Content-Length: 3, 3\r\n", "abc"), Bad::Length),
-        ("a huge length", put("Content-Length: 60000000\r\n", ""), Bad::LongBody),
-        ("a length past numbers", put("Content-Length: 99999999999999999999999\r\n", ""), Bad::LongBody),
-        ("one byte too many", put("Content-Length: 65\r\n", ""), Bad::LongBody),
-        ("both lengths", put(&format!("Content-Length: 3\r\n{chunked}"), "0\r\n\r\n"), Bad::Encoding),
-        ("another encoding", put("Transfer-Encoding: gzip, chunked\r\n", ""), Bad::Encoding),
-        ("chunked twice", put(&chunked.repeat(2), ""), Bad::Encoding),
-        ("an odd size", put(chunked, "zz\r\n"), Bad::Chunk),
-        ("a negative size", put(chunked, "-1\r\n"), Bad::Chunk),
-        ("a huge size", put(chunked, "fffffffffffffff\r\n"), Bad::LongBody),
-        ("a size past numbers", put(chunked, "ffffffffffffffffff\r\n"), Bad::Chunk),
-        ("chunks over the bound", put(chunked, &chunk.repeat(3)), Bad::LongBody),
-        ("an endless size line", put(chunked, &"1".repeat(400)), Bad::Chunk),
-        ("no end of a chunk", put(chunked, "1\r\nabc"), Bad::Chunk),
-        ("a bare line end", put(chunked, "1\na\r\n"), Bad::Chunk),
+    let cases: Vec<(&str, String, MessageError)> = vec![
+        ("noise", "\x16\x03\x01 hello\r\n\r\n".into(), MessageError::Head),
+        ("another version", "GET /a HTTP/3.7\r\nHost: h\r\n\r\n".into(), MessageError::Head),
+        ("no host", "GET /a HTTP/1.1\r\n\r\n".into(), MessageError::Host),
+        ("two hosts", put("Host: i\r\n", ""), MessageError::Host),
+        ("a long target", long, MessageError::HeadTooLong),
+        ("an endless head", endless, MessageError::HeadTooLong),
+        ("endless fields", fields, MessageError::HeadTooLong),
+        ("a folded field", put("A: b\r\n c\r\n", ""), MessageError::Head),
+        ("a space before the colon", put("Content-Length : 3\r\n", "abc"), MessageError::Head),
+        ("no number", put("Content-Length: abc\r\n", ""), MessageError::ContentLength),
+        ("a negative length", put("Content-Length: -1\r\n", ""), MessageError::ContentLength),
+        ("a signed length", put("Content-Length: +3\r\n", "abc"), MessageError::ContentLength),
+        (
+            "two lengths",
+            put("Content-Length: 3\r\nContent-Length: 4\r\n", "abcd"),
+            MessageError::ContentLength,
+        ),
+        (
+            "the same length twice",
+            put("Content-Length: 3\r\nContent-Length: 3\r\n", "abc"),
+            MessageError::ContentLength,
+        ),
+        ("lengths in one field", put("Content-Length: 3, 3\r\n", "abc"), MessageError::ContentLength),
+        ("a huge length", put("Content-Length: 60000000\r\n", ""), MessageError::BodyTooLong),
+        (
+            "a length past numbers",
+            put("Content-Length: 99999999999999999999999\r\n", ""),
+            MessageError::BodyTooLong,
+        ),
+        ("one byte too many", put("Content-Length: 65\r\n", ""), MessageError::BodyTooLong),
+        (
+            "both lengths",
+            put(&format!("Content-Length: 3\r\n{chunked}"), "0\r\n\r\n"),
+            MessageError::UnsupportedEncoding,
+        ),
+        (
+            "another encoding",
+            put("Transfer-Encoding: gzip, chunked\r\n", ""),
+            MessageError::UnsupportedEncoding,
+        ),
+        ("chunked twice", put(&chunked.repeat(2), ""), MessageError::UnsupportedEncoding),
+        ("an odd size", put(chunked, "zz\r\n"), MessageError::Chunk),
+        ("a negative size", put(chunked, "-1\r\n"), MessageError::Chunk),
+        ("a huge size", put(chunked, "fffffffffffffff\r\n"), MessageError::BodyTooLong),
+        ("a size past numbers", put(chunked, "ffffffffffffffffff\r\n"), MessageError::Chunk),
+        ("chunks over the bound", put(chunked, &chunk.repeat(3)), MessageError::BodyTooLong),
+        ("an endless size line", put(chunked, &"1".repeat(400)), MessageError::Chunk),
+        ("no end of a chunk", put(chunked, "1\r\nabc"), MessageError::Chunk),
+        ("a bare line end", put(chunked, "1\na\r\n"), MessageError::Chunk),
     ];
     for (name, text, expected) in cases {
         let whole = requests(&[text.as_bytes()]);
@@ -121,11 +141,11 @@
 }
 
 #[test]
-fn answers_end_where_they_say() {
+fn responses_end_where_they_say() {
     let ok = |more: &str, body: &str| format!("HTTP/1.1 200 OK\r\n{more}\r\n{body}");
     let length = "Content-Length: 3\r\n";
     // What comes, the body that is taken, whether something follows it, whether the connection ends.
-    type Case = (&'static str, String, Result<&'static str, Bad>, bool, bool);
+    type Case = (&'static str, String, Result<&'static str, MessageError>, bool, bool);
     let cases: Vec<Case> = vec![
         ("good", ok(length, "abc"), Ok("abc"), false, false),
         ("good, and closes", ok("Connection: close\r\nContent-Length: 3\r\n", "abc"), Ok("abc"), false, true),
@@ -141,29 +161,41 @@
             false,
         ),
         ("no content", "HTTP/1.1 204 No Content\r\n\r\n".into(), Ok(""), false, false),
-        ("noise", "\u{1}\u{2}\u{3}\r\n\r\n".into(), Err(Bad::Head), false, false),
-        ("an odd status", "HTTP/1.1 2x0 OK\r\n\r\n".into(), Err(Bad::Head), false, false),
-        ("an endless head", ok(&"A: bcdefghij\r\n".repeat(60), ""), Err(Bad::LongHead), false, false),
-        ("interim ones without end", "HTTP/1.1 100 C\r\n\r\n".repeat(60), Err(Bad::Head), false, false),
-        ("another protocol", "HTTP/1.1 101 S\r\n\r\n".into(), Err(Bad::Head), false, false),
-        ("3 GB", ok("Content-Length: 3221225472\r\n", "abc"), Err(Bad::LongBody), false, false),
+        ("noise", "\u{1}\u{2}\u{3}\r\n\r\n".into(), Err(MessageError::Head), false, false),
+        ("an odd status", "HTTP/1.1 2x0 OK\r\n\r\n".into(), Err(MessageError::Head), false, false),
+        (
+            "an endless head",
+            ok(&"A: bcdefghij\r\n".repeat(60), ""),
+            Err(MessageError::HeadTooLong),
+            false,
+            false,
+        ),
+        (
+            "interim ones without end",
+            "HTTP/1.1 100 C\r\n\r\n".repeat(60),
+            Err(MessageError::Head),
+            false,
+            false,
+        ),
+        ("another protocol", "HTTP/1.1 101 S\r\n\r\n".into(), Err(MessageError::Head), false, false),
+        ("3 GB", ok("Content-Length: 3221225472\r\n", "abc"), Err(MessageError::BodyTooLong), false, false),
         (
             "two lengths",
             ok("Content-Length: 3\r\nContent-Length: 5\r\n", "abc"),
-            Err(Bad::Length),
+            Err(MessageError::ContentLength),
             false,
             false,
         ),
         (
             "both lengths",
             ok("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n", "abc"),
-            Err(Bad::Encoding),
+            Err(MessageError::UnsupportedEncoding),
             false,
             false,
         ),
     ];
     for (name, text, expected, more, closes) in cases {
-        let whole = answer(&[text.as_bytes()]);
+        let whole = response(&[text.as_bytes()]);
         match expected {
             Ok(body) => {
                 let a = whole.0.as_ref().expect(name);
@@ -173,19 +205,19 @@
         }
         for at in 0..text.len() {
             let (a, b) = text.as_bytes().split_at(at);
-            assert_eq!(answer(&[a, b]), whole, "{name}, split at {at}");
+            assert_eq!(response(&[a, b]), whole, "{name}, split at {at}");
         }
     }
-    // Cut off anywhere, it is no answer.
+    // Cut off anywhere, it is no response.
     let text = ok(length, "abc");
     for at in 0..text.len() {
-        assert_eq!(answer(&[&text.as_bytes()[..at]]).0, None, "cut at {at}");
+        assert_eq!(response(&[&text.as_bytes()[..at]]).0, None, "cut at {at}");
     }
 }
 
 #[test]
-fn an_answer_without_a_length_is_whole_once_its_connection_ends_in_order_and_never_before() {
-    let bounds = Bounds { head: 500, body: 20 };
+fn a_response_without_a_length_is_whole_once_its_connection_ends_in_order_and_never_before() {
+    let bounds = Limits { max_head_len: 500, max_body_len: 20 };
     let head = "HTTP/1.1 200 OK\r\nX-A: b\r\n\r\n";
     // What came until the connection ended; what is there then.
     for (text, expected) in [
@@ -195,23 +227,23 @@
         ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc".into(), Ok(None)),
         ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n".into(), Ok(None)),
         (head.to_owned() + &"x".repeat(20), Ok(Some("xxxxxxxxxxxxxxxxxxxx"))),
-        (head.to_owned() + &"x".repeat(21), Err(Bad::LongBody)),
+        (head.to_owned() + &"x".repeat(21), Err(MessageError::BodyTooLong)),
     ] {
         for at in 0..=text.len() {
-            let mut reader = AnswerReader::new(bounds);
+            let mut reader = ResponseReader::new(bounds);
             let mut come = Ok(None);
             for part in [&text[..at], &text[at..]] {
                 reader.push(part.as_bytes());
-                come = reader.answer();
+                come = reader.next_response();
                 assert!(!matches!(come, Ok(Some(_))), "{text:?}: whole before its end");
                 if come.is_err() {
                     break;
                 }
             }
-            let end = come.and_then(|_| reader.end()).map(|a| a.map(|a| (a.body, a.closes)));
+            let end = come.and_then(|_| reader.handle_close()).map(|a| a.map(|a| (a.body, a.closes)));
             let expected = expected.map(|e| e.map(|e| (e.as_bytes().to_vec().into(), true)));
             assert_eq!(end, expected, "{text:?} split at {at}");
-            assert!(end.is_err() || reader.end() == Ok(None), "{text:?}: it is given once");
+            assert!(end.is_err() || reader.handle_close() == Ok(None), "{text:?}: it is given once");
         }
     }
 }
@@ -226,9 +258,9 @@
         let mut all: Vec<&[u8]> = vec![head.as_bytes()];
         all.extend(pieces.iter().map(|p| &p[..]));
         let (got, _, _) = requests(&all);
-        prop_assert!(got.iter().all(|r| r.body.len() <= SMALL.body));
-        let (got, _, _) = answer(&all);
-        prop_assert!(got.is_none_or(|a| a.body.len() <= SMALL.body));
+        prop_assert!(got.iter().all(|r| r.body.len() <= SMALL.max_body_len));
+        let (got, _, _) = response(&all);
+        prop_assert!(got.is_none_or(|a| a.body.len() <= SMALL.max_body_len));
     }
 
     #[test]
--- a/crates/platform-host/src/client_connection.rs
+++ b/crates/platform-host/src/client_connection.rs
@@ -5,7 +5,7 @@
 use bytes::BytesMut;
 use std::net::{Shutdown, TcpStream};
 use tackmast::interface::Instant;
-use tackmast_http::{Bounds, RequestReader};
+use tackmast_http::{Limits, RequestReader};
 
 /// A connection's state. It goes from `Reading` to `AwaitingResponse` and back, and from either down for good.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,7 +49,7 @@
     pub fn new(now: Instant, stream: TcpStream) -> Self {
         ClientConnection {
             stream,
-            reader: RequestReader::new(Bounds::default()),
+            reader: RequestReader::new(Limits::default()),
             outgoing: BytesMut::new(),
             interest: READ,
             state: ConnectionState::Reading,
@@ -72,7 +72,7 @@
                 EvictionClass::New
             }
             ConnectionState::Reading if !self.has_sent_request => EvictionClass::Silent,
-            ConnectionState::Reading if self.reader.is_midway() => EvictionClass::MidRequest,
+            ConnectionState::Reading if self.reader.has_partial_request() => EvictionClass::MidRequest,
             ConnectionState::Reading if secs >= IDLE_AFTER => EvictionClass::Idle,
             ConnectionState::Reading => EvictionClass::RecentlyUsed,
         }
@@ -85,7 +85,9 @@
 
     /// Nothing of a request is there, nor to be written.
     pub fn is_between_requests(&self) -> bool {
-        self.state == ConnectionState::Reading && self.outgoing.is_empty() && !self.reader.is_midway()
+        self.state == ConnectionState::Reading
+            && self.outgoing.is_empty()
+            && !self.reader.has_partial_request()
     }
 
     /// What its state waits for.
--- a/crates/platform-host/src/client_connections.rs
+++ b/crates/platform-host/src/client_connections.rs
@@ -136,7 +136,7 @@
 
     fn update_buffered_bytes(&mut self, id: u32) {
         if let Some(c) = self.clients.get_mut(&id) {
-            let buffered_bytes = c.reader.held();
+            let buffered_bytes = c.reader.reserved_len();
             self.buffered_bytes = self.buffered_bytes - c.buffered_bytes + buffered_bytes;
             c.buffered_bytes = buffered_bytes;
         }
@@ -182,7 +182,10 @@
                 return done.then(|| self.disconnected(id));
             }
             ReadOutcome::Bytes(n) => {
-                if !c.reader.is_midway() && c.state == ConnectionState::Reading && c.has_sent_request {
+                if !c.reader.has_partial_request()
+                    && c.state == ConnectionState::Reading
+                    && c.has_sent_request
+                {
                     c.since = now;
                 }
                 c.reader.push(&piece[..n]);
@@ -193,7 +196,7 @@
         let c = self.clients.get_mut(&id)?;
         if let ConnectionState::AwaitingResponse(_) = c.state {
             // What is pipelined is read, within bounds, so that an end behind it is seen.
-            if all || c.reader.ahead() > MAX_PIPELINED_BYTES {
+            if all || c.reader.buffered_len() > MAX_PIPELINED_BYTES {
                 c.closes = true;
                 self.counters.pipelined_too_much += 1;
                 self.update_interest(poller, id);
@@ -206,7 +209,7 @@
     /// Whether a part of a request, or more, has been pipelined.
     pub fn has_more(&self, id: u32) -> bool {
         let may = |c: &ClientConnection| {
-            c.state == ConnectionState::Reading && c.outgoing.is_empty() && c.reader.is_midway()
+            c.state == ConnectionState::Reading && c.outgoing.is_empty() && c.reader.has_partial_request()
         };
         self.clients.get(&id).is_some_and(may)
     }
@@ -218,7 +221,7 @@
             .get_mut(&id)
             .filter(|c| c.state == ConnectionState::Reading && c.outgoing.is_empty())?;
         let next = c.reader.next_request();
-        if c.reader.take_leave() {
+        if c.reader.take_expects_continue() {
             c.outgoing.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
             _ = sockets::write(&c.stream, &mut c.outgoing);
         }
--- a/crates/platform-host/src/list_watch.rs
+++ b/crates/platform-host/src/list_watch.rs
@@ -10,7 +10,7 @@
 use bytes::BytesMut;
 use std::net::{SocketAddr, TcpStream};
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_http::{Answer, AnswerReader, Bad, Bounds};
+use tackmast_http::{Limits, MessageError, Response, ResponseReader};
 use tackmast_platform::{List, Settings};
 
 /// How long a poll lets the list wait for a change. What is lost on the way counts as notified 2 s after that, and a watch that has
@@ -42,7 +42,7 @@
     stream: TcpStream,
     /// What is still to be written; empty: it has been asked.
     outgoing: BytesMut,
-    answer: AnswerReader,
+    answer: ResponseReader,
     after: Option<u64>,
     /// How long an answer may take from when it was asked.
     answer_timeout: TimeDelta,
@@ -103,7 +103,7 @@
             number,
             stream,
             outgoing: BytesMut::from(text.as_bytes()),
-            answer: AnswerReader::new(Bounds { body: MAX_LIST, ..Bounds::default() }),
+            answer: ResponseReader::new(Limits { max_body_len: MAX_LIST, ..Limits::default() }),
             after,
             answer_timeout: TimeDelta::from_secs(wait + answer_timeout),
             deadline: now + TimeDelta::from_secs(CONNECT_TIMEOUT),
@@ -151,11 +151,11 @@
             let call = self.call.as_mut()?;
             let received = match sockets::read(&call.stream, &mut piece) {
                 ReadOutcome::Nothing => return None,
-                ReadOutcome::End if call.answer.ends_with_connection() => call.answer.end(),
+                ReadOutcome::End if call.answer.ends_with_connection() => call.answer.handle_close(),
                 ReadOutcome::End | ReadOutcome::Failed => return self.failed("the connection ended"),
                 ReadOutcome::Bytes(n) => {
                     call.answer.push(&piece[..n]);
-                    call.answer.answer()
+                    call.answer.next_response()
                 }
             };
             if !matches!(received, Ok(None)) {
@@ -165,7 +165,11 @@
         None
     }
 
-    fn received(&mut self, received: Result<Option<Answer>, Bad>, s: &Settings) -> Option<WatchEvent> {
+    fn received(
+        &mut self,
+        received: Result<Option<Response>, MessageError>,
+        s: &Settings,
+    ) -> Option<WatchEvent> {
         let answer = match received {
             Ok(None) => return None,
             Ok(Some(a)) => a,
@@ -178,7 +182,7 @@
             Err(e) => self.failed(&e.to_string()),
             Ok(list) => {
                 let c = self.call.take()?;
-                if !answer.closes && !c.answer.has_more() {
+                if !answer.closes && !c.answer.has_trailing_bytes() {
                     self.idle_connection = Some((c.number, c.stream));
                 }
                 self.failed = false;
--- a/crates/platform-host/src/node_connections.rs
+++ b/crates/platform-host/src/node_connections.rs
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, TcpStream};
 use tackmast::interface::{Instant, NodeId, Outcome, TimeDelta};
 use tackmast_host_core::{AttemptId, AttemptResult, AttemptWork, Begin, SendAttempt};
-use tackmast_http::{AnswerReader, Bounds};
+use tackmast_http::{Limits, ResponseReader};
 use tackmast_platform::{attempt_head, Reports};
 
 /// The host closes an idle connection after this share of the time after which nodes do: a request must not cross a close.
@@ -20,7 +20,7 @@
 
 enum State {
     Connecting { until: Instant, attempt: Box<SendAttempt> },
-    Busy { attempt: Box<SendAttempt>, outgoing: BytesMut, answer: Box<AnswerReader> },
+    Busy { attempt: Box<SendAttempt>, outgoing: BytesMut, answer: Box<ResponseReader> },
     Idle,
 }
 
@@ -201,7 +201,7 @@
         let mut outgoing = BytesMut::with_capacity(head.len() + rest.len() + body.len());
         [head, rest.as_bytes(), body].iter().for_each(|part| outgoing.extend_from_slice(part));
         self.by_attempt.insert(attempt.attempt, id);
-        let answer = Box::new(AnswerReader::new(Bounds::default()));
+        let answer = Box::new(ResponseReader::new(Limits::default()));
         link.state = State::Busy { attempt: Box::new(attempt), outgoing, answer };
         self.write(poller, id, results);
     }
@@ -270,20 +270,20 @@
         let answered = match sockets::read(&link.stream, &mut piece) {
             ReadOutcome::Nothing => return,
             // An answer that does not say how long it is ends with its connection, if that ends in order.
-            ReadOutcome::End if !unsent && answer.ends_with_connection() => answer.end(),
+            ReadOutcome::End if !unsent && answer.ends_with_connection() => answer.handle_close(),
             ReadOutcome::End | ReadOutcome::Failed => {
                 self.counters.reset += u64::from(!unsent);
                 return self.end(id, if unsent { Outcome::Refused } else { Outcome::Reset }, results);
             }
             ReadOutcome::Bytes(n) => {
                 answer.push(&piece[..n]);
-                answer.answer()
+                answer.next_response()
             }
         };
         match answered {
             Ok(None) => {}
             Ok(Some(a)) => {
-                let (closes, more) = (a.closes, answer.has_more());
+                let (closes, more) = (a.closes, answer.has_trailing_bytes());
                 let mut report = self.reports.read(a);
                 if unsent && report.outcome == Outcome::Done {
                     report.outcome = Outcome::Error; // it can't have been made for this request
--- a/crates/platform-host/tests/common/mod.rs
+++ b/crates/platform-host/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use tackmast_emulators::http::{Heard, HttpClient, HttpList, HttpNode, ListLine};
-use tackmast_http::Answer;
+use tackmast_http::Response;
 use tackmast_platform::Configuration;
 use tackmast_platform_host::{Host, ProcessSignal, Status};
 
@@ -109,7 +109,7 @@
     }
 
     /// One request on a connection of its own.
-    pub fn ask(&mut self, class: &str, shard: u32) -> Answer {
+    pub fn ask(&mut self, class: &str, shard: u32) -> Response {
         let mut client = self.client();
         let text = self.request("GET", class, shard, "");
         client.say(&text);
@@ -143,14 +143,14 @@
     }
 }
 
-pub fn answer(client: &mut HttpClient) -> Answer {
+pub fn answer(client: &mut HttpClient) -> Response {
     match client.hear(PATIENCE) {
         Heard::Answer(a) => *a,
         other => panic!("expected an answer, found {other:?}"),
     }
 }
 
-pub fn body(a: &Answer) -> String {
+pub fn body(a: &Response) -> String {
     String::from_utf8_lossy(&a.body).into_owned()
 }
 
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 use tackmast::interface::{Outcome, TimeDelta};
-use tackmast_http::Answer;
+use tackmast_http::Response;
 
 /// The rest of an attempt's head, behind that of its request: which node, and how long the host will wait.
 pub fn attempt_head(node: SocketAddr, left: TimeDelta) -> String {
@@ -39,7 +39,7 @@
     }
 
     /// Reads an answer.
-    pub fn read(&self, a: Answer) -> AttemptReport {
+    pub fn read(&self, a: Response) -> AttemptReport {
         let never_ran = matches!(a.status, 503 | 504) && a.headers.first("x-rejected") == Some("1");
         let outcome = match a.status {
             200 => Outcome::Done,
@@ -76,7 +76,7 @@
 /// The head of an answer to a client.
 pub fn answer_head(status: u16, length: usize, retry_after: Option<TimeDelta>, closes: bool) -> String {
     let mut text =
-        format!("HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n", tackmast_http::reason(status));
+        format!("HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n", tackmast_http::reason_phrase(status));
     if let Some(wait) = retry_after {
         _ = write!(text, "Retry-After: {:.3}\r\n", wait.secs());
     }
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use serde_json::{json, Value};
 use tackmast::interface::*;
-use tackmast_http::{AnswerReader, Bounds, Request, RequestReader};
+use tackmast_http::{Limits, Request, RequestReader, ResponseReader};
 use tackmast_platform::{answer_head, attempt_head, Call, Configuration, List, Reports, Settings};
 
 fn settings() -> Value {
@@ -154,7 +154,7 @@
 fn request(method: &str, target: &str, fields: &[(&str, &str)], body: &str) -> Request {
     let mut text = format!("{method} {target} HTTP/1.1\r\nHost: h\r\nContent-Length: {}\r\n", body.len());
     fields.iter().for_each(|(n, v)| text += &format!("{n}: {v}\r\n"));
-    let mut reader = RequestReader::new(Bounds::default());
+    let mut reader = RequestReader::new(Limits::default());
     reader.push((text + "\r\n" + body).as_bytes());
     reader.next_request().unwrap().unwrap()
 }
@@ -182,7 +182,7 @@
     assert_eq!((c.units, c.shard, c.hosts, &c.body[..]), (2.0, Some(ShardId(5)), 3, &b"bytes"[..]));
     let text = String::from_utf8(c.head.to_vec()).unwrap()
         + &attempt_head("127.0.0.1:9".parse().unwrap(), c.time_left);
-    let mut reader = RequestReader::new(Bounds::default());
+    let mut reader = RequestReader::new(Limits::default());
     reader.push(text.as_bytes());
     reader.push(&c.body);
     let attempt = reader.next_request().unwrap().unwrap();
@@ -276,9 +276,9 @@
         ("200 OK", "X-Delta: -3\r\n", Outcome::Done, None, None),
     ];
     for (status, fields, outcome, waiting, elsewhere) in cases {
-        let mut reader = AnswerReader::new(Bounds::default());
+        let mut reader = ResponseReader::new(Limits::default());
         reader.push(format!("HTTP/1.1 {status}\r\nContent-Length: 2\r\n{fields}\r\nok").as_bytes());
-        let came = reports.read(reader.answer().unwrap().unwrap());
+        let came = reports.read(reader.next_response().unwrap().unwrap());
         assert_eq!(
             (came.outcome, came.waiting, came.elsewhere),
             (outcome, waiting, elsewhere),
@@ -291,10 +291,10 @@
 #[test]
 fn answers_to_clients_can_be_read_again() {
     for (status, wait, closes) in [(200, None, false), (503, Some(0.25), true), (502, None, true)] {
-        let mut reader = AnswerReader::new(Bounds::default());
+        let mut reader = ResponseReader::new(Limits::default());
         reader.push(answer_head(status, 2, wait.map(TimeDelta::from_secs), closes).as_bytes());
         reader.push(b"ok");
-        let a = reader.answer().unwrap().unwrap();
+        let a = reader.next_response().unwrap().unwrap();
         let told = a.headers.first("retry-after").map(|v| v.parse::<f64>().unwrap());
         assert_eq!((a.status, told, a.closes, &a.body[..]), (status, wait, closes, &b"ok"[..]));
     }
