--- a/crates/host-core/src/core/consensus.rs
+++ b/crates/host-core/src/core/consensus.rs
@@ -53,7 +53,7 @@
             && acknowledged < version
             && consensus.replica.raft.is_stored_on_all(0..consensus.settings.host_count, consensus.changed_at)
         {
-            let data = serde_json::to_vec(&PlanCommand::Told { version }).unwrap_or_default();
+            let data = serde_json::to_vec(&PlanCommand::Notified { version }).unwrap_or_default();
             _ = consensus.replica.propose(now, data.into());
         }
     }
--- a/crates/host-core/src/core/peers.rs
+++ b/crates/host-core/src/core/peers.rs
@@ -95,7 +95,7 @@
             None => {}
             Some(PlanOutcome::Persist(request, entry)) => {
                 let batch = PersistBatch {
-                    changes: vec![(entry.number, tackmast_plans::Trail::line(&entry))],
+                    changes: vec![(entry.number, entry.to_line())],
                     ..PersistBatch::default()
                 };
                 self.outputs.push_back(Output::Persist { request, batch });
--- a/crates/host-core/src/error.rs
+++ b/crates/host-core/src/error.rs
@@ -1,7 +1,7 @@
 //! What may go wrong, as typed errors. Their texts reach operators as they are.
 
 use tackmast_membership::{MAX_CATALOG_UPDATES, MAX_UPDATE_LEN};
-use tackmast_plans::{Refusal, TrailError};
+use tackmast_plans::{ChangeLogError, Refusal};
 
 /// The store could not write a batch; its own text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -16,7 +16,7 @@
     Refused(Refusal),
     /// It does not follow the change log.
     #[error(transparent)]
-    ChangeLog(#[from] TrailError),
+    ChangeLog(#[from] ChangeLogError),
     /// Its bytes are no command.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -14,7 +14,10 @@
 use tackmast::interface::{Instant, Plan as Figures, PlanId, TimeDelta};
 use tackmast_config::{HostSettings, PlansBlock};
 use tackmast_membership::{MAX_CATALOG_UPDATES, MAX_UPDATE_LEN};
-use tackmast_plans::{Agreed, Catalogue, Change, Command, Entry, Fleet, Plan, Step, Trail, TrailError};
+use tackmast_plans::{
+    Catalogue, Change, ChangeLog, ChangeLogError, Command, Entry, Fleet, LogHead, Plan, Proposal,
+    ReplicatedPlans, Step,
+};
 
 /// Requests that may wait for the one before them to be written.
 const MAX_QUEUED: usize = 256;
@@ -62,9 +65,9 @@
 
 /// The plans of this host: the log of their changes, and the one change at a time that is being written.
 pub struct Plans {
-    change_log: Trail,
+    change_log: ChangeLog,
     /// In place of the change log, where changes need consensus.
-    replicated: Option<Agreed>,
+    replicated: Option<ReplicatedPlans>,
     /// Degraded mode: without a lease this host goes by the fallback limits.
     degraded: bool,
     fleet: Fleet,
@@ -87,17 +90,22 @@
 impl Plans {
     /// `persisted` is the change log of an earlier generation, as it was written; none: this is the first. Clients wait for the
     /// newest change for as long as a change may take at most, if there is anyone to hear it from.
-    pub fn new(now: Instant, s: &HostSettings, b: &PlansBlock, persisted: &[u8]) -> Result<Self, TrailError> {
+    pub fn new(
+        now: Instant,
+        s: &HostSettings,
+        b: &PlansBlock,
+        persisted: &[u8],
+    ) -> Result<Self, ChangeLogError> {
         let fleet = fleet(s, b);
-        let from_settings = Trail::starting(catalog_of_settings(s));
+        let from_settings = ChangeLog::starting_with(catalog_of_settings(s));
         let change_log = match persisted {
             [] => from_settings.clone(),
-            persisted => Trail::from_bytes(persisted, &fleet)?,
+            persisted => ChangeLog::from_bytes(persisted, &fleet)?,
         };
-        if change_log.anchor != from_settings.anchor {
+        if change_log.checkpoint != from_settings.checkpoint {
             let found = "it begins with other plans, volumes or stream types than these settings".to_owned();
             let expected = "the settings that it began with, or no trail".to_owned();
-            return Err(TrailError::Broken { number: 0, found, expected });
+            return Err(ChangeLogError::Broken { number: 0, found, expected });
         }
         let settle = TimeDelta::from_secs(b.settle_s);
         let alone = s.host.number == b.home || s.membership.is_none();
@@ -117,8 +125,8 @@
         })
     }
 
-    fn change_log(&self) -> &Trail {
-        self.replicated.as_ref().map_or(&self.change_log, |a| &a.trail)
+    fn change_log(&self) -> &ChangeLog {
+        self.replicated.as_ref().map_or(&self.change_log, |a| &a.change_log)
     }
 
     /// The version of the plans that apply.
@@ -128,7 +136,7 @@
 
     /// The change that takes an entry back.
     pub fn undo_change(&self, number: u64, who: &str, why: &str) -> Result<Change, PlanError> {
-        let found = self.change_log().undoing(number, who, why);
+        let found = self.change_log().undo_change(number, who, why);
         found.ok_or(PlanError::UnknownChange { number })
     }
 
@@ -143,7 +151,7 @@
     /// The figures of a plan for the scheduler. In degraded mode that is what no host may go below: the fallback limit,
     /// and a burst that every plan of these volumes has to have.
     fn figures(&self, name: &str, p: &Plan, of: &Catalogue) -> Figures {
-        let floor = p.kept_floor();
+        let floor = p.fallback_limit();
         let (limit, burst, slack, reserve, weight) = (p.limit, p.burst, p.slack, p.reserve, p.weight);
         if !self.degraded || floor.is_infinite() {
             return Figures { limit, burst, slack, reserve, weight };
@@ -161,24 +169,24 @@
 
     /// Number and mark of the newest change.
     pub fn newest_version(&self) -> (u64, u64) {
-        let (number, digest) = self.change_log().newest();
+        let LogHead { number, digest } = self.change_log().head();
         (number, mark(digest))
     }
 
     /// Each change as a text, for peers that request it.
     pub fn encoded_changes(&self) -> impl Iterator<Item = (u64, Vec<u8>)> + '_ {
-        self.change_log.entries.iter().map(|e| (e.number, Trail::line(e)))
+        self.change_log.entries.iter().map(|e| (e.number, e.to_line()))
     }
 
     /// Applies what an earlier generation had taken, on top of the settings.
     pub fn resume(&mut self) -> Vec<PlanUpdate> {
-        let (from, to) = (self.change_log.anchor.catalogue.clone(), self.change_log.catalogue.clone());
+        let (from, to) = (self.change_log.checkpoint.catalogue.clone(), self.change_log.catalogue.clone());
         self.updates(&from, &to)
     }
 
     /// The line that a stored change log begins with.
     pub fn checkpoint_line(&self) -> Vec<u8> {
-        let bare = Trail { entries: Vec::new(), ..self.change_log.clone() };
+        let bare = ChangeLog { entries: Vec::new(), ..self.change_log.clone() };
         bare.to_bytes()
     }
 
@@ -256,10 +264,10 @@
     }
 
     fn judge(&self, wall_us: u64, change: Change) -> Result<(Entry, Catalogue), PlanError> {
-        let (entry, next) =
+        let Proposal { entry, catalogue: next } =
             self.change_log.propose(wall_us, change, &self.fleet).map_err(PlanError::Refused)?;
-        self.change_log.catalogue.moves_live(&next).map_err(PlanError::Refused)?;
-        let bytes = Trail::line(&entry).len();
+        self.change_log.catalogue.check_live_update(&next).map_err(PlanError::Refused)?;
+        let bytes = entry.to_line().len();
         if bytes > MAX_UPDATE_LEN {
             return Err(PlanError::ChangeTooLong { bytes });
         }
@@ -289,7 +297,7 @@
         let before = self.change_log.catalogue.clone();
         let lines = before.diff(&next);
         let (number, version, in_force_s) = (entry.number, entry.version, self.settle.secs());
-        self.change_log.kept(*entry, next);
+        self.change_log.append(*entry, next);
         self.effective_at = now + self.settle;
         let applied_change = self.applied_change(&before)?;
         Some((
@@ -305,8 +313,8 @@
         effective_at: Instant,
     ) -> Result<AppliedChange, PlanError> {
         let before = self.change_log.clone();
-        self.change_log.take(text, &self.fleet)?;
-        if let Err(r) = before.catalogue.moves_live(&self.change_log.catalogue) {
+        self.change_log.append_line(text, &self.fleet)?;
+        if let Err(r) = before.catalogue.check_live_update(&self.change_log.catalogue) {
             self.change_log = before;
             return Err(PlanError::Refused(r));
         }
@@ -329,7 +337,7 @@
             updates,
             number: e.number,
             mark: mark(&e.digest),
-            text: Trail::line(e),
+            text: e.to_line(),
             effective_at: self.effective_at,
             line,
         })
@@ -367,12 +375,12 @@
 
     /// The number of the newest change.
     pub fn newest(&self) -> u64 {
-        self.change_log().newest().0
+        self.change_log().head().number
     }
 
     /// The plans as operators see them.
     pub fn status(&self, now: Instant) -> PlanStatus {
-        let (number, digest) = self.change_log().newest();
+        let LogHead { number, digest } = self.change_log().head();
         PlanStatus {
             host: self.me,
             home: self.home,
--- a/crates/host-core/src/plans/replicated.rs
+++ b/crates/host-core/src/plans/replicated.rs
@@ -12,18 +12,18 @@
 impl Plans {
     /// Changes need consensus from here on; until it has a lease this host is in degraded mode.
     pub fn enable_consensus(&mut self) {
-        self.replicated = Some(Agreed::starting(self.change_log.anchor.catalogue.clone()));
+        self.replicated = Some(ReplicatedPlans::starting_with(self.change_log.checkpoint.catalogue.clone()));
         (self.degraded, self.clients_wait_until) = (true, None);
     }
 
     /// The newest version that is known to be stored on all hosts, and whether a lower fallback limit waits for that.
     pub fn acknowledged(&self) -> (u64, bool) {
-        self.replicated.as_ref().map_or((0, false), |a| (a.told(), a.waits()))
+        self.replicated.as_ref().map_or((0, false), |a| (a.notified_version(), a.awaits_notification()))
     }
 
     /// The state that the entries of the replicated log led to.
     pub fn snapshot(&self) -> Vec<u8> {
-        self.replicated.as_ref().map(Agreed::to_bytes).unwrap_or_default()
+        self.replicated.as_ref().map(ReplicatedPlans::to_bytes).unwrap_or_default()
     }
 
     /// Back to the beginning of a log.
@@ -37,9 +37,9 @@
     }
 
     /// Goes on from a snapshot; returns what changes by that.
-    pub fn restore_snapshot(&mut self, state: &[u8]) -> Result<Vec<PlanUpdate>, TrailError> {
+    pub fn restore_snapshot(&mut self, state: &[u8]) -> Result<Vec<PlanUpdate>, ChangeLogError> {
         let from = self.change_log().catalogue.clone();
-        self.replicated = Some(Agreed::from_bytes(state, &self.fleet)?);
+        self.replicated = Some(ReplicatedPlans::from_bytes(state, &self.fleet)?);
         let to = self.change_log().catalogue.clone();
         Ok(self.updates(&from, &to))
     }
@@ -60,7 +60,8 @@
     /// What a change would do, as far as this host knows.
     pub fn preview_change(&self, at_us: u64, change: Change) -> Result<(u64, u64, Vec<String>), PlanError> {
         let Some(a) = &self.replicated else { return Err(PlanError::NoConsensus) };
-        let (entry, next) = a.propose(at_us, change, &self.fleet).map_err(PlanError::Refused)?;
+        let Proposal { entry, catalogue: next } =
+            a.propose(at_us, change, &self.fleet).map_err(PlanError::Refused)?;
         Ok((entry.number, entry.version, self.change_log().catalogue.diff(&next)))
     }
 
--- a/crates/platform-host/src/node_connection.rs
+++ b/crates/platform-host/src/node_connection.rs
@@ -4,14 +4,14 @@
 use std::net::{SocketAddr, TcpStream};
 use tackmast::interface::{Instant, NodeId};
 use tackmast_host_core::SendAttempt;
-use tackmast_http::AnswerReader;
+use tackmast_http::ResponseReader;
 
 /// Where a connection is in its protocol.
 pub enum State {
     /// It has to come up by `until`, for this attempt.
     Connecting { until: Instant, attempt: Box<SendAttempt> },
     /// The attempt is being written, or its answer is awaited.
-    Busy { attempt: Box<SendAttempt>, outgoing: BytesMut, answer: Box<AnswerReader> },
+    Busy { attempt: Box<SendAttempt>, outgoing: BytesMut, answer: Box<ResponseReader> },
     /// No attempt is on it.
     Idle,
 }
--- a/crates/platform-host/src/node_connections.rs
+++ b/crates/platform-host/src/node_connections.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, NodeId, Outcome, TimeDelta};
 use tackmast_host_core::{AttemptId, AttemptResult, AttemptWork, Begin, SendAttempt};
-use tackmast_http::{Answer, AnswerReader, Bounds};
+use tackmast_http::{Limits, Response, ResponseReader};
 use tackmast_platform::{attempt_head, Reports};
 
 /// The host closes an idle connection after this share of the time after which nodes do: a request must not cross a close.
@@ -166,7 +166,7 @@
         let mut outgoing = BytesMut::with_capacity(head.len() + rest.len() + body.len());
         [head, rest.as_bytes(), body].iter().for_each(|part| outgoing.extend_from_slice(part));
         self.by_attempt.insert(attempt.attempt, id);
-        let answer = Box::new(AnswerReader::new(Bounds::default()));
+        let answer = Box::new(ResponseReader::new(Limits::default()));
         link.state = State::Busy { attempt: Box::new(attempt), outgoing, answer };
         self.write(poller, id, results);
     }
@@ -235,14 +235,14 @@
         let answered = match sockets::read(&link.stream, &mut piece) {
             ReadOutcome::Nothing => return,
             // An answer that does not say how long it is ends with its connection, if that ends in order.
-            ReadOutcome::End if !unsent && answer.ends_with_connection() => answer.end(),
+            ReadOutcome::End if !unsent && answer.ends_with_connection() => answer.handle_close(),
             ReadOutcome::End | ReadOutcome::Failed => {
                 self.counters.reset += u64::from(!unsent);
                 return self.end(id, if unsent { Outcome::Refused } else { Outcome::Reset }, results);
             }
             ReadOutcome::Bytes(n) => {
                 answer.push(&piece[..n]);
-                answer.answer()
+                answer.next_response()
             }
         };
         match answered {
@@ -257,10 +257,10 @@
     }
 
     /// The answer to the attempt on a connection is complete: reports it, and keeps the connection if it may be reused.
-    fn finish(&mut self, now: Instant, id: u32, received: Answer, results: &mut Vec<AttemptResult>) {
+    fn finish(&mut self, now: Instant, id: u32, received: Response, results: &mut Vec<AttemptResult>) {
         let Some(link) = self.links.get_mut(&id) else { return };
         let State::Busy { attempt, outgoing, answer } = &mut link.state else { return };
-        let (closes, has_more, unsent) = (received.closes, answer.has_more(), !outgoing.is_empty());
+        let (closes, has_more, unsent) = (received.closes, answer.has_trailing_bytes(), !outgoing.is_empty());
         let mut report = self.reports.read(received);
         if unsent && report.outcome == Outcome::Done {
             report.outcome = Outcome::Error; // it can't have been made for this request
