--- a/crates/cli/src/plans.rs
+++ b/crates/cli/src/plans.rs
@@ -10,7 +10,7 @@
 use tackmast_admin::{Answer, Call};
 use tackmast_config::{Document, Place};
 use tackmast_host_core::{AdminRequest, AdminResponse, PlanRequest, PlanResponse, PlanStatus};
-use tackmast_plans::{Catalogue, Change, ChangeLog, Fleet, Plan, Step};
+use tackmast_plans::{Catalogue, Change, ChangeLog, Fleet, LogHead, Plan, Step};
 
 const PATIENCE: Duration = Duration::from_secs(15);
 
@@ -172,7 +172,7 @@
         return Err("the trail: its last line is cut; expected all of it".into());
     }
     let trail = ChangeLog::from_bytes(text.as_bytes(), fleet).map_err(|e| format!("the trail: {e}"))?;
-    let (number, digest) = trail.newest();
+    let LogHead { number, digest } = trail.head();
     println!("{} changes are as they were written, up to {number}; digest {digest}", trail.entries.len());
     Ok(ExitCode::SUCCESS)
 }
