--- a/crates/benchmarks/src/core_cost.rs
+++ b/crates/benchmarks/src/core_cost.rs
@@ -125,7 +125,8 @@
 }
 
 fn module(settings: &HostSettings, requests: u64) -> f64 {
-    let mut s = Scheduler::new(seconds(0), 1, 1, TimeDelta::from_secs(0.002), settings.units.mean);
+    let mut s =
+        Scheduler::new(seconds(0), 1, 1, TimeDelta::from_secs(0.002), settings.units.mean_per_request);
     for st in &settings.traffic_classes {
         s.add_traffic_class(st.latency_objective, st.effect, st.in_order);
     }
--- a/crates/cli/src/plans.rs
+++ b/crates/cli/src/plans.rs
@@ -228,17 +228,18 @@
 /// The steps that make what a file says so.
 pub fn steps(file: &str, text: &str, now: &Catalogue, remove: &[String]) -> Result<Vec<Step>, String> {
     let doc = Document::parse(file, text).map_err(|e| e.to_string())?;
-    doc.only(&["plan", "volume"]).map_err(|e| e.to_string())?;
+    doc.require_known_blocks(&["plan", "volume"]).map_err(|e| e.to_string())?;
     let mut steps = Vec::new();
-    for f in doc.blocks::<Plan>("plan", true).map_err(|e| e.to_string())? {
+    for f in doc.labelled_blocks::<Plan>("plan").map_err(|e| e.to_string())? {
         if now.plans.get(&f.label) != Some(&f.value) {
             steps.push(Step::Plan { name: f.label, to: Some(f.value) });
         }
     }
     let mut seen = BTreeMap::new();
-    for f in doc.blocks::<VolumeUnder>("volume", true).map_err(|e| e.to_string())? {
+    for f in doc.labelled_blocks::<VolumeUnder>("volume").map_err(|e| e.to_string())? {
         let wrong = |found: &str, expected: &str| {
-            doc.wrong(&Place { kind: "volume", label: &f.label, name: "plan" }, found, expected).to_string()
+            doc.error_for(&Place { kind: "volume", label: &f.label, name: "plan" }, found, expected)
+                .to_string()
         };
         let Some(v) = now.volumes.get(&f.label) else {
             return Err(wrong("no such volume", "one that `plan show` names"));
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -38,7 +38,7 @@
     fn script(&self) -> Result<Script, String> {
         let mut script = Script::read_sized(&self.file, self.hosts).map_err(|e| e.to_string())?;
         script.day.seed = self.seed.unwrap_or(script.day.seed);
-        if self.alone && script.settings.agreement.is_some() {
+        if self.alone && script.settings.consensus.is_some() {
             return Err(format!(
                 "{}: --alone, and a block agreement; expected a day whose hosts need not hear each other",
                 self.file.display()
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,11 +1,27 @@
-//! The settings of one host in HCL: how they are written, what is checked, and what holds where nothing is said.
-//! Nothing is decided here; the values are handed to the decision core part by part.
+//! The settings of one host in HCL: how they are written, their defaults and their checks. Nothing is decided here; the
+//! values are handed to the decision core part by part.
+//!
+//! | file | job |
+//! | --- | --- |
+//! | `document` | an HCL document: its blocks, and the lines that errors name |
+//! | `error` | one thing wrong with a file of settings |
+//! | `checks` | checks of a block's values against bounds |
+//! | `blocks` | one file a settings block: its fields, defaults and checks |
+//! | `settings` | all settings of a host: which blocks there are, and in which order they are read and checked |
 
+#![warn(missing_docs)]
+
+mod blocks;
+mod checks;
+/// An HCL document.
 pub mod document;
-mod host;
+mod error;
+mod settings;
 
-pub use document::{ConfigError, Document, Place};
-pub use host::{
-    AgreementBlock, Bounds, ColdNodes, HostSettings, Identity, Load, MembershipBlock, OverridesBlock, Plan,
-    PlansBlock, RetryBudget, TrafficClass, Units, Volume,
+pub use blocks::{
+    Bounds, ConsensusBlock, Identity, LargeReads, Load, MembershipBlock, OverridesBlock, Plan, PlansBlock,
+    RetryBudget, SlowStartBlock, TrafficClass, Units, Volume,
 };
+pub use document::{Document, Place};
+pub use error::ConfigError;
+pub use settings::HostSettings;
--- /dev/null
+++ b/crates/config/src/settings.rs
@@ -0,0 +1,155 @@
+//! All settings of one host: which blocks there are, and in which order they are read and checked.
+
+use crate::blocks::{
+    Bounds, ConsensusBlock, Identity, Load, MembershipBlock, OverridesBlock, Plan, PlansBlock, RetryBudget,
+    SlowStartBlock, TrafficClass, Units, Volume, VolumeContext,
+};
+use crate::checks::BlockChecks;
+use crate::{ConfigError, Document};
+use std::path::Path;
+
+/// The kinds of blocks that a file of settings may have.
+const BLOCKS: [&str; 13] = [
+    "host",
+    "bounds",
+    "units",
+    "load",
+    "further_legs",
+    "cold_nodes",
+    "overrides",
+    "membership",
+    "agreement",
+    "plans",
+    "stream",
+    "plan",
+    "volume",
+];
+
+/// All settings of one host.
+#[derive(Debug, Clone, PartialEq)]
+pub struct HostSettings {
+    /// Which host this is and where it listens.
+    pub host: Identity,
+    /// What each table and queue may hold.
+    pub bounds: Bounds,
+    /// How a request's size counts.
+    pub units: Units,
+    /// What is true of the nodes and clients of the pool.
+    pub load: Load,
+    /// How many retries and hedged requests there may be; none: any number.
+    pub retry_budget: Option<RetryBudget>,
+    /// Slow start of nodes; none: nodes have their full capacity when they start.
+    pub slow_start: Option<SlowStartBlock>,
+    /// Operators' overrides; none: they are not taken.
+    pub overrides: Option<OverridesBlock>,
+    /// How hosts know of each other; none: they do not.
+    pub membership: Option<MembershipBlock>,
+    /// Changes of plans while hosts run; none: plans stay as they are here.
+    pub plans_live: Option<PlansBlock>,
+    /// Consensus on changes of plans; none: the home of `plans_live` takes them alone.
+    pub consensus: Option<ConsensusBlock>,
+    /// Traffic classes, one or more.
+    pub traffic_classes: Vec<TrafficClass>,
+    /// Plans, one or more.
+    pub plans: Vec<Plan>,
+    /// Volumes, one or more.
+    pub volumes: Vec<Volume>,
+}
+
+impl HostSettings {
+    /// Reads a file of settings.
+    pub fn read(path: &Path) -> Result<HostSettings, ConfigError> {
+        let file = path.display().to_string();
+        let text = std::fs::read_to_string(path).map_err(|error| ConfigError {
+            file: file.clone(),
+            line: 0,
+            place: "file".to_owned(),
+            problem: format!("{error}; expected a file of settings"),
+        })?;
+        HostSettings::parse(&file, &text)
+    }
+
+    /// Parses and checks a text; `file` is what errors call it. Where several values are wrong, the error is about the
+    /// first that is checked.
+    pub fn parse(file: &str, text: &str) -> Result<HostSettings, ConfigError> {
+        let document = Document::parse(file, text)?;
+        document.require_known_blocks(&BLOCKS)?;
+        let mut settings = HostSettings::read_independent_blocks(&document)?;
+        settings.check_independent_blocks(&document)?;
+        settings.read_dependent_blocks(&document)?;
+        settings.check_attempt_blocks(&document)?;
+        settings.read_lists(&document)?;
+        settings.check_lists(&document)?;
+        Ok(settings)
+    }
+
+    /// The single blocks that are read without another; all else is still missing.
+    fn read_independent_blocks(document: &Document) -> Result<HostSettings, ConfigError> {
+        Ok(HostSettings {
+            host: document.block("host")?,
+            bounds: document.block_or_default("bounds")?,
+            units: document.block("units")?,
+            load: document.block_or_default("load")?,
+            retry_budget: document.optional_block("further_legs")?,
+            slow_start: document.optional_block("cold_nodes")?,
+            overrides: document.optional_block("overrides")?,
+            membership: document.optional_block("membership")?,
+            plans_live: None,
+            consensus: None,
+            traffic_classes: Vec::new(),
+            plans: Vec::new(),
+            volumes: Vec::new(),
+        })
+    }
+
+    fn check_independent_blocks(&self, document: &Document) -> Result<(), ConfigError> {
+        self.host.check(document)?;
+        self.bounds.check(document)?;
+        self.units.check(document)?;
+        self.load.check(document)?;
+        self.overrides.as_ref().map_or(Ok(()), |block| block.check(document))?;
+        self.membership.as_ref().map_or(Ok(()), |block| block.check(document))
+    }
+
+    /// Reads and checks the blocks that need others beside them.
+    fn read_dependent_blocks(&mut self, document: &Document) -> Result<(), ConfigError> {
+        self.plans_live = PlansBlock::read(document, &self.host, self.overrides.as_ref())?;
+        self.consensus =
+            ConsensusBlock::read(document, &self.host, self.plans_live.as_ref(), self.membership.as_ref())?;
+        Ok(())
+    }
+
+    /// Checks the blocks that bound attempts at nodes.
+    fn check_attempt_blocks(&self, document: &Document) -> Result<(), ConfigError> {
+        self.retry_budget.as_ref().map_or(Ok(()), |block| block.check(document))?;
+        self.slow_start.as_ref().map_or(Ok(()), |block| block.check(document))
+    }
+
+    /// Reads and checks the blocks of which there may be several; each kind refers to those read before it.
+    fn read_lists(&mut self, document: &Document) -> Result<(), ConfigError> {
+        self.traffic_classes = TrafficClass::read_all(document, &self.host)?;
+        self.plans = Plan::read_all(document, &self.units)?;
+        let context = VolumeContext {
+            host: &self.host,
+            units: &self.units,
+            plans_live: self.plans_live.as_ref(),
+            traffic_classes: &self.traffic_classes,
+            plans: &self.plans,
+        };
+        self.volumes = Volume::read_all(document, &context)?;
+        Ok(())
+    }
+
+    fn check_lists(&self, document: &Document) -> Result<(), ConfigError> {
+        for (kind, is_empty) in [
+            ("stream", self.traffic_classes.is_empty()),
+            ("plan", self.plans.is_empty()),
+            ("volume", self.volumes.is_empty()),
+        ] {
+            if is_empty {
+                return Err(BlockChecks::new(document, kind).block_error("none", "one such block or more"));
+            }
+        }
+        Ok(())
+    }
+}
--- a/crates/host-core/src/agreed.rs
+++ b/crates/host-core/src/agreed.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_config::{AgreementBlock, HostSettings};
+use tackmast_config::{ConsensusBlock, HostSettings};
 use tackmast_consensus::{
     Chunk, ChunkSettings, ChunkedTransfer, DiskIdentity, FollowerStatus, Lease, LeaseState, Message,
     PersistentState, RaftSettings, Replica, ReplicaSettings,
@@ -120,10 +120,10 @@
     me: u32,
 }
 
-pub fn agreement_settings(s: &HostSettings, a: &AgreementBlock) -> RaftSettings {
+pub fn agreement_settings(s: &HostSettings, a: &ConsensusBlock) -> RaftSettings {
     RaftSettings {
-        heartbeat_interval: TimeDelta::from_secs(a.beat_ms / 1e3),
-        election_timeout: TimeDelta::from_secs(a.patience_ms / 1e3),
+        heartbeat_interval: TimeDelta::from_secs(a.heartbeat_interval_ms / 1e3),
+        election_timeout: TimeDelta::from_secs(a.election_timeout_ms / 1e3),
         lease: TimeDelta::from_secs(a.lease_s),
         max_clock_drift: a.drift,
         host_count: s.host.hosts,
@@ -133,7 +133,7 @@
 }
 
 impl Agreed {
-    pub fn new(now: Instant, s: &HostSettings, a: &AgreementBlock, start: AgreedStart, seed: u64) -> Agreed {
+    pub fn new(now: Instant, s: &HostSettings, a: &ConsensusBlock, start: AgreedStart, seed: u64) -> Agreed {
         let (me, settings) = (s.host.number, agreement_settings(s, a));
         let first = (start.identity.generation as u32).wrapping_mul(0x9e37_79b1);
         let replica = ReplicaSettings {
--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -37,7 +37,7 @@
 
 /// Safe units and multiple as the module is told of them. What a node has done makes room as well, up to all that it can
 /// do in the window; so burst and time share only what the multiple leaves beyond that.
-fn cold_figures(c: &tackmast_config::ColdNodes) -> (f64, f64) {
+fn cold_figures(c: &tackmast_config::SlowStartBlock) -> (f64, f64) {
     let spare = ((c.multiple - 1.0) / c.multiple).clamp(COLD_MIN_PART, 1.0);
     (c.safe_units * COLD_SAFE_PART * spare, c.multiple * COLD_MULTIPLE_PART * spare)
 }
@@ -323,9 +323,9 @@
 impl Core {
     /// `address_generation` differs between all generations of all hosts; `seed` is for chance in decisions.
     pub fn new(now: Instant, s: &HostSettings, seed: u64, generation: u64) -> Self {
-        let tick = TimeDelta::from_secs(s.host.tick_ms / 1e3);
+        let tick = TimeDelta::from_secs(s.host.clock_resolution_ms / 1e3);
         let longest = TimeDelta::from_secs(s.load.longest_wait_s);
-        let mut scheduler = Scheduler::new(now, seed, s.host.hosts, tick, s.units.mean);
+        let mut scheduler = Scheduler::new(now, seed, s.host.hosts, tick, s.units.mean_per_request);
         for st in &s.traffic_classes {
             scheduler.add_traffic_class(st.latency_objective, st.effect, st.in_order);
         }
@@ -342,8 +342,8 @@
         if let Some(f) = &s.retry_budget {
             scheduler.set_retry_budget(f.free, f.share, TimeDelta::from_secs(f.window_s));
         }
-        if let Some(c) = &s.cold {
-            let (warm, window) = (TimeDelta::from_secs(c.warm_s), TimeDelta::from_secs(c.window_s));
+        if let Some(c) = &s.slow_start {
+            let (warm, window) = (TimeDelta::from_secs(c.ramp_s), TimeDelta::from_secs(c.window_s));
             let (safe_units, overload_multiple) = cold_figures(c);
             scheduler.set_slow_start(SlowStart {
                 safe_units,
--- a/crates/host-core/src/layout.rs
+++ b/crates/host-core/src/layout.rs
@@ -37,7 +37,7 @@
             granules: granules.collect(),
             volumes: s.volumes.clone(),
             unit_bytes: f64::from(s.units.bytes),
-            max_units: s.units.most,
+            max_units: s.units.max_per_request,
             max_parts: s.bounds.parts,
             command_bytes: s.bounds.command_bytes,
         }
@@ -66,8 +66,7 @@
 
     pub fn traffic_class(&self, volume: usize, write: bool, blocks: u32) -> usize {
         let v = &self.volumes[volume];
-        let read =
-            v.large.filter(|(from, _)| blocks >= *from).map_or(v.reads, |(_, traffic_class)| traffic_class);
+        let read = v.large.filter(|l| blocks >= l.min_blocks).map_or(v.reads, |l| l.traffic_class);
         if write {
             v.writes as usize
         } else {
--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -159,7 +159,7 @@
 fn fleet(s: &HostSettings, b: &PlansBlock) -> Fleet {
     let shards = s.volumes.iter().flat_map(|v| &v.shards);
     let bears = shards.map(|n| (*n, b.bears.get(&n.to_string()).copied().unwrap_or(b.node_units)));
-    Fleet { hosts: s.host.hosts, max_units: s.units.most, bears: bears.collect() }
+    Fleet { hosts: s.host.hosts, max_units: s.units.max_per_request, bears: bears.collect() }
 }
 
 /// The first eight bytes of a digest.
--- a/crates/host-core/tests/agreed.rs
+++ b/crates/host-core/tests/agreed.rs
@@ -131,7 +131,7 @@
         plans.agree();
         let identity = DiskIdentity { disk: generation, boot: 1, generation };
         let start = AgreedStart { identity, ..AgreedStart::default() };
-        core.with_agreed(Agreed::new(self.now, &s, s.agreement.as_ref().unwrap(), start, generation));
+        core.with_agreed(Agreed::new(self.now, &s, s.consensus.as_ref().unwrap(), start, generation));
         core.with_plans(self.now, plans, false);
         let m = s.membership.as_ref().unwrap();
         let members = member_settings(&s, m, address(host), generation, false, generation, vec![]);
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -84,7 +84,10 @@
     generation: u64,
 ) -> Result<Sender<admin::ToStore>, StartError> {
     let (now, wall_us) = (clock.now(), Clock::wall_us());
-    let bounds = tackmast_overrides::Settings { max_overrides: o.most, max_zone_fraction: o.zone_part };
+    let bounds = tackmast_overrides::Settings {
+        max_overrides: o.max_overrides,
+        max_zone_fraction: o.max_zone_fraction,
+    };
     let (overrides, ended) = Overrides::new(now, wall_us, bounds, held.overrides, held.next);
     core.wall_seen(now, wall_us);
     let mut keep = Keep::default();
@@ -95,10 +98,10 @@
     }
     core.with_overrides(now, overrides, keep);
     if let Some(b) = &settings.plans_live {
-        let agrees = settings.agreement.is_some();
+        let agrees = settings.consensus.is_some();
         let kept: &[u8] = if agrees { &[] } else { &held.trail };
         let mut plans = Plans::new(now, settings, b, kept)?;
-        if let Some(a) = &settings.agreement {
+        if let Some(a) = &settings.consensus {
             // Changes that one home took are no part of what hosts agree on: they have to stand in the settings first.
             let changes = held.trail.iter().filter(|b| **b == b'\n').count().saturating_sub(1);
             if changes > 0 {
--- a/crates/scenario/src/play.rs
+++ b/crates/scenario/src/play.rs
@@ -75,12 +75,12 @@
         let (volume, plan) = (v.lun, p.name.clone());
         VolumeFacts { volume, plan, limit: p.limit, burst: p.burst, slack: p.slack, extent_bytes }
     };
-    let cold = s.cold.as_ref();
+    let cold = s.slow_start.as_ref();
     Facts {
         traffic_classes: s.traffic_classes.iter().map(traffic_class).collect(),
         volumes: s.volumes.iter().map(volume).collect(),
         unit_bytes: s.units.bytes,
-        max_units: s.units.most,
+        max_units: s.units.max_per_request,
         answer_slack_us: us(answer_slack_s),
         grace_us: us(grace_s),
         cold_multiple: cold.map_or(0.0, |c| c.multiple),
@@ -205,7 +205,7 @@
     let watcher = day.members.then(|| Watcher::start(day.period_ms / 1e3));
     let sockets = (0..day.hosts).map(|h| admin_socket(dir, h)).collect();
     let agreed =
-        script.settings.agreement.as_ref().filter(|_| day.members).map(|_| AgreedWatcher::start(sockets));
+        script.settings.consensus.as_ref().filter(|_| day.members).map(|_| AgreedWatcher::start(sockets));
     let sockets: Vec<_> = (0..day.hosts).map(|h| admin_socket(dir, h)).collect();
     let plan = script.settings.plans.first().map(|p| p.name.clone()).unwrap_or_default();
     let (count, pause_s) = (day.operators, day.operators_pause_s.max(0.001));
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -443,7 +443,7 @@
         let base = path.with_file_name(base);
         let base_file = base.display().to_string();
         let base_text = std::fs::read_to_string(&base).map_err(|e| {
-            doc.wrong(
+            doc.error_for(
                 &Place { kind: "day", label: "", name: "base" },
                 format!("{base_file}: {e}"),
                 "a file of blocks",
@@ -451,10 +451,10 @@
         })?;
         // Blocks of the base stand behind the script's own, on lines that can be told from them.
         let base_doc = Document::parse(&base_file, &base_text)?;
-        base_doc.only(&BLOCKS)?;
-        let missing: Vec<&str> = BLOCKS.into_iter().filter(|k| !doc.has(k)).collect();
+        base_doc.require_known_blocks(&BLOCKS)?;
+        let missing: Vec<&str> = BLOCKS.into_iter().filter(|k| !doc.has_block(k)).collect();
         let own_lines = text.lines().count();
-        let whole = format!("{}\n{}", text.trim_end_matches('\n'), base_doc.only_text(&missing));
+        let whole = format!("{}\n{}", text.trim_end_matches('\n'), base_doc.text_of_blocks(&missing));
         Script::parse_sized(&file, &whole, hosts).map_err(|e| match e.line > own_lines {
             true => ConfigError { file: base_file, line: e.line - own_lines, ..e },
             false => e,
@@ -467,11 +467,11 @@
 
     fn parse_sized(file: &str, text: &str, hosts: Option<u32>) -> Result<Script, ConfigError> {
         let doc = Document::parse(file, text)?;
-        doc.only(&BLOCKS)?;
+        doc.require_known_blocks(&BLOCKS)?;
         let mut day: DayBlock = doc.block("day")?;
         day.hosts = hosts.unwrap_or(day.hosts);
         let wrong = |kind: &str, label: &str, name: &str, found: String, expected: &str| {
-            doc.wrong(&Place { kind, label, name }, found, expected)
+            doc.error_for(&Place { kind, label, name }, found, expected)
         };
         if !(0.1..=3600.0).contains(&day.seconds) {
             return Err(wrong("day", "", "seconds", day.seconds.to_string(), "a number from 0.1 to 3600"));
@@ -494,37 +494,38 @@
         if let Some(r) = day.exercises.iter().find(|r| !(1..=7).contains(*r)) {
             return Err(wrong("day", "", "exercises", r.to_string(), "numbers of rules, 1 to 7"));
         }
-        let extra: HostExtra = doc.block_or("host_extra")?;
-        let list: ListBlock = doc.block_or("list")?;
+        let extra: HostExtra = doc.block_or_default("host_extra")?;
+        let list: ListBlock = doc.block_or_default("list")?;
         let mut more = String::new();
         for (name, value) in [("answer_lead_ms", extra.answer_lead_ms), ("tick_ms", extra.tick_ms)] {
             if let Some(v) = value {
                 more += &format!("  {name} = {v}\n");
             }
         }
-        let host_blocks = doc.only_text(&HOST_BLOCKS);
+        let host_blocks = doc.text_of_blocks(&HOST_BLOCKS);
         let common = host_text(&host_blocks, &more, 0, &day, None, None);
         let before = common.lines().count() - host_blocks.lines().count();
         // Each host gets a store of its own; here one is named since plans ask for it.
-        let store = if doc.has("plans") { "\noverrides {\n  store = \"\"\n  admin = \"\"\n}\n" } else { "" };
+        let store =
+            if doc.has_block("plans") { "\noverrides {\n  store = \"\"\n  admin = \"\"\n}\n" } else { "" };
         // The same for the way over which hosts agree.
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
         let place = PeerPlace { listen: nowhere, advertise: None, seeds: Vec::new() };
-        let way = match doc.has("agreement") {
+        let way = match doc.has_block("agreement") {
             true => membership(&place, std::path::Path::new(""), day.period_ms),
             false => String::new(),
         };
         let settings = HostSettings::parse(file, &(common + store + &way))
             .map_err(|e| ConfigError { line: e.line.saturating_sub(before), ..e })?;
         let mut nodes = Vec::new();
-        for f in doc.blocks::<NodesBlock>("nodes", true)? {
+        for f in doc.labelled_blocks::<NodesBlock>("nodes")? {
             if f.value.shards.is_empty() {
                 return Err(wrong("nodes", &f.label, "shards", "[]".into(), "the shards they hold"));
             }
             nodes.push((f.label, f.value));
         }
         let mut traffic = Vec::new();
-        for f in doc.blocks::<TrafficBlock>("traffic", true)? {
+        for f in doc.labelled_blocks::<TrafficBlock>("traffic")? {
             let (name, t) = (f.label, f.value);
             let Some(v) = settings.volumes.iter().find(|v| v.name == t.volume) else {
                 return Err(wrong("traffic", &name, "volume", t.volume, "the name of a volume block"));
@@ -557,7 +558,7 @@
             traffic.push((name, t));
         }
         let mut troubles = Vec::new();
-        for f in doc.blocks::<TroubleBlock>("trouble", true)? {
+        for f in doc.labelled_blocks::<TroubleBlock>("trouble")? {
             let (name, t) = (f.label, f.value);
             let action = action(&t, &day)
                 .map_err(|(key, found, expected)| wrong("trouble", &name, key, found, &expected))?;
@@ -636,7 +637,7 @@
     ) -> String {
         let mut extra = format!(
             "  answer_lead_ms = {}\n  tick_ms = {}\n",
-            self.settings.host.answer_lead_ms, self.settings.host.tick_ms
+            self.settings.host.answer_lead_ms, self.settings.host.clock_resolution_ms
         );
         if let Some(site) = site_of(host, self.day.hosts, self.day.sites) {
             extra += &format!("  site = {site}\n");
--- a/crates/scenario/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -338,8 +338,8 @@
         let large = self
             .volume
             .large
-            .filter(|(from, _)| blocks >= *from && !write)
-            .map(|(_, traffic_class)| traffic_class);
+            .filter(|large| blocks >= large.min_blocks && !write)
+            .map(|large| large.traffic_class);
         let traffic_class =
             large.unwrap_or(if write { self.volume.writes } else { self.volume.reads }) as usize;
         Again { at, first_at: at, traffic_class, block, blocks, write, tries: 0 }
--- a/crates/simulator/src/sim/arrivals.rs
+++ b/crates/simulator/src/sim/arrivals.rs
@@ -51,8 +51,7 @@
         let s = &self.settings[0];
         let volume = s.volumes.iter().position(|v| v.lun == lun).unwrap_or(0);
         let v = &s.volumes[volume];
-        let large =
-            v.large.filter(|(from, _)| blocks >= *from && !write).map(|(_, traffic_class)| traffic_class);
+        let large = v.large.filter(|l| blocks >= l.min_blocks && !write).map(|l| l.traffic_class);
         (large.unwrap_or(if write { v.writes } else { v.reads }) as usize, volume)
     }
 
--- a/crates/workload/src/lib.rs
+++ b/crates/workload/src/lib.rs
@@ -74,15 +74,15 @@
     /// Checks a text; an error names the place, what was found and what was expected.
     pub fn parse(file: &str, text: &str) -> Result<Load, ConfigError> {
         let doc = Document::parse(file, text)?;
-        doc.only(&["load", "flow"])?;
+        doc.require_known_blocks(&["load", "flow"])?;
         let whole: Whole = doc.block("load")?;
         let mut flows = Vec::new();
-        for f in doc.blocks::<Flow>("flow", true)? {
+        for f in doc.labelled_blocks::<Flow>("flow")? {
             let within = |field: &str, x: f64, least: f64, most: f64| match x >= least && x <= most {
                 true => Ok(()),
                 false => {
                     let at = Place { kind: "flow", label: &f.label, name: field };
-                    Err(doc.wrong(&at, x, &format!("a number from {least} to {most}")))
+                    Err(doc.error_for(&at, x, &format!("a number from {least} to {most}")))
                 }
             };
             let v = &f.value;
@@ -106,7 +106,7 @@
         }
         if !(whole.seconds > 0.0 && whole.seconds <= 86_400.0) {
             let place = Place { kind: "load", label: "", name: "seconds" };
-            return Err(doc.wrong(&place, whole.seconds, "a number above 0, up to 86400"));
+            return Err(doc.error_for(&place, whole.seconds, "a number above 0, up to 86400"));
         }
         Ok(Load { seconds: whole.seconds, seed: whole.seed, flows })
     }
