--- a/crates/client-core/src/iscsi.rs
+++ b/crates/client-core/src/iscsi.rs
@@ -141,8 +141,11 @@
             self.events.push_back(SessionEvent::Refused { text, again: class == 3 });
             return Ok(());
         }
-        let keys: HashMap<String, String> =
-            iscsi::read_keys(&pdu.data).map_err(|e| e.to_string())?.into_iter().collect();
+        let keys: HashMap<String, String> = iscsi::read_keys(&pdu.data)
+            .map_err(|e| e.to_string())?
+            .into_iter()
+            .map(|key| (key.name, key.value))
+            .collect();
         let number = |key: &str, or: usize| keys.get(key).and_then(|v| v.parse().ok()).unwrap_or(or);
         let on = |key: &str| keys.get(key).is_some_and(|v| v == "CRC32C");
         self.digests = Digests { header: on("HeaderDigest"), data: on("DataDigest") };
@@ -155,7 +158,7 @@
         self.window_end = pdu.u32(32);
         self.exp_stat = pdu.u32(24).wrapping_add(1);
         self.phase = Phase::Capacity;
-        self.command(None, Command::ReadCapacity16 { most: 32 }, 32, Bytes::new());
+        self.command(None, Command::ReadCapacity16 { allocation_length: 32 }, 32, Bytes::new());
         Ok(())
     }
 
@@ -249,7 +252,12 @@
                 self.volume.block_bytes = be(8, 4) as u32;
                 self.volume.bytes = (be(0, 8) + 1).saturating_mul(u64::from(self.volume.block_bytes));
                 self.phase = Phase::Limits;
-                self.command(None, Command::Inquiry { page: Some(0xb0), most: 64 }, 64, Bytes::new());
+                self.command(
+                    None,
+                    Command::Inquiry { page: Some(0xb0), allocation_length: 64 },
+                    64,
+                    Bytes::new(),
+                );
             }
             Phase::Limits => {
                 let most = if code == status::GOOD && data.len() >= 12 { be(8, 4) } else { 0 };
--- a/crates/client-core/src/nbd.rs
+++ b/crates/client-core/src/nbd.rs
@@ -188,15 +188,15 @@
                         p.have += data.len();
                     }
                     chunk::REJECTED => {
-                        let (_, mut text) = nbd::read_error(&data).map_err(|e| e.to_string())?;
+                        let mut text = nbd::read_error(&data).map_err(|e| e.to_string())?.text;
                         let us = if text.len() >= 8 { text.get_u64() } else { 0 };
                         let retry_after = (us > 0).then(|| TimeDelta::from_secs(us as f64 / 1e6));
                         p.failed = Some(Outcome::Rejected { retry_after });
                     }
                     // All chunk types with the highest bit are errors, known or not.
                     k if k & 0x8000 != 0 => {
-                        let (code, text) = nbd::read_error(&data).map_err(|e| e.to_string())?;
-                        p.failed = Some(Self::failed(code, &text));
+                        let error = nbd::read_error(&data).map_err(|e| e.to_string())?;
+                        p.failed = Some(Self::failed(error.value, &error.text));
                     }
                     other => return Err(format!("chunk of type {other}; expected one that was agreed on")),
                 }
--- a/crates/emulators/src/initiator.rs
+++ b/crates/emulators/src/initiator.rs
@@ -154,8 +154,11 @@
             let (class, detail) = (reply.head[36], reply.head[37]);
             return Err(bad(format!("login refused: class {class}, detail {detail}")));
         }
-        let agreed: HashMap<String, String> =
-            iscsi::read_keys(&reply.data).map_err(|e| bad(e.to_string()))?.into_iter().collect();
+        let agreed: HashMap<String, String> = iscsi::read_keys(&reply.data)
+            .map_err(|e| bad(e.to_string()))?
+            .into_iter()
+            .map(|key| (key.name, key.value))
+            .collect();
         let number = |key: &str, or: usize| agreed.get(key).and_then(|v| v.parse().ok()).unwrap_or(or);
         units.digests = Digests {
             header: agreed.get("HeaderDigest").is_some_and(|v| v == "CRC32C"),
--- a/crates/emulators/src/node.rs
+++ b/crates/emulators/src/node.rs
@@ -605,7 +605,7 @@
         let silent = s.ills.silent;
         match frame {
             Frame::HostHello { version, host, generation, sent_us } => {
-                let Ok(version) = wire::agree(version) else { return false };
+                let Ok(version) = wire::negotiate_version(version) else { return false };
                 if let Some(c) = s.conns.get_mut(&conn) {
                     (c.host, c.generation, c.quiet) = (host, generation, false);
                     c.offset = now as i64 - sent_us as i64;
--- a/crates/emulators/src/tap.rs
+++ b/crates/emulators/src/tap.rs
@@ -145,7 +145,7 @@
                         match unit {
                             ClientUnit::Flags(_) => nbd.stage = Stage::Options,
                             ClientUnit::Option { option: option::GO, data } => {
-                                s.asked = nbd::read_go(&data).ok().map(|(name, _)| name);
+                                s.asked = nbd::read_go(&data).ok().map(|request| request.name);
                             }
                             ClientUnit::Option { .. } => {}
                             ClientUnit::Request { request, .. } => self.nbd_asked(&mut s, &request),
@@ -289,8 +289,8 @@
         let id = u64::from(pdu.tag());
         match pdu.opcode() {
             op::LOGIN_RESPONSE if pdu.head[36] == 0 => {
-                for (key, value) in iscsi::read_keys(&pdu.data).unwrap_or_default() {
-                    match key.as_str() {
+                for iscsi::TextKey { name, value } in iscsi::read_keys(&pdu.data).unwrap_or_default() {
+                    match name.as_str() {
                         "HeaderDigest" => s.digests.header = value == "CRC32C",
                         "DataDigest" => s.digests.data = value == "CRC32C",
                         "X-org.tackmast.ExpiryMs" => {
@@ -335,7 +335,9 @@
             ServerUnit::Reply(Reply::Chunk { cookie, flags, kind, data }) => {
                 let kind = match kind {
                     chunk::REJECTED => AnswerKind::Rejected,
-                    chunk::ERROR if nbd::read_error(&data).is_ok_and(|(code, _)| code != nbd::error::IO) => {
+                    chunk::ERROR
+                        if nbd::read_error(&data).is_ok_and(|error| error.value != nbd::error::IO) =>
+                    {
                         AnswerKind::InvalidRequest
                     }
                     k if k & 0x8000 != 0 => AnswerKind::Failed,
--- a/crates/host/src/links.rs
+++ b/crates/host/src/links.rs
@@ -304,7 +304,7 @@
             frames.push(&buffer[..n]);
             match node::next(&mut frames) {
                 Ok(Some(Frame::NodeHello { version, up_us, .. })) => {
-                    node::agree(version).map_err(|e| e.to_string())?;
+                    node::negotiate_version(version).map_err(|e| e.to_string())?;
                     break up_us;
                 }
                 Ok(Some(other)) => return Err(format!("{other:?} came first; expected a hello")),
--- a/crates/host/tests/path.rs
+++ b/crates/host/tests/path.rs
@@ -45,11 +45,18 @@
         other => panic!("{other:?}"),
     };
     assert_eq!(ask(1, Command::TestUnitReady, 0), done(vec![]));
-    assert_eq!(first(ask(1, Command::Inquiry { page: None, most: 96 }, 96), 16)[8..], *b"TACKMAST");
-    assert_eq!(first(ask(9, Command::Inquiry { page: None, most: 96 }, 96), 1), [0x7f], "no such unit");
-    let luns = first(ask(0, Command::ReportLuns { most: 64 }, 64), 64);
+    assert_eq!(
+        first(ask(1, Command::Inquiry { page: None, allocation_length: 96 }, 96), 16)[8..],
+        *b"TACKMAST"
+    );
+    assert_eq!(
+        first(ask(9, Command::Inquiry { page: None, allocation_length: 96 }, 96), 1),
+        [0x7f],
+        "no such unit"
+    );
+    let luns = first(ask(0, Command::ReportLuns { allocation_length: 64 }, 64), 64);
     assert_eq!((luns[3], luns[8..10].to_vec(), luns[16..18].to_vec()), (16, vec![0, 1], vec![0x41, 0x2c]));
-    let capacity = first(ask(1, Command::ReadCapacity16 { most: 32 }, 32), 12);
+    let capacity = first(ask(1, Command::ReadCapacity16 { allocation_length: 32 }, 32), 12);
     assert_eq!(capacity, [0, 0, 0, 0, 0, 0, 0xff, 0xff, 0, 0, 2, 0]);
     let invalid =
         |command, sense| assert_eq!(ask(1, command, 512), Reply::InvalidRequest(sense), "{command:?}");
--- a/crates/scenario/src/play.rs
+++ b/crates/scenario/src/play.rs
@@ -729,7 +729,7 @@
             let mut pdu = Pdu::new(op::COMMAND, FINAL);
             pdu.set32(16, 77).set32(24, client.next_number().wrapping_add(100_000));
             client.raw(&pdu.head);
-            client.simple(1, 0, Command::ReportLuns { most: 64 }, 64);
+            client.simple(1, 0, Command::ReportLuns { allocation_length: 64 }, 64);
             match replies.recv_timeout(patience) {
                 Ok((1, initiator::Reply::Done(_))) => Ok(()),
                 other => {
--- a/crates/target/src/nbd.rs
+++ b/crates/target/src/nbd.rs
@@ -174,7 +174,7 @@
             }
             option::INFO | option::GO => match nbd::read_go(data) {
                 Err(e) => self.answer_option(number, reply::ERR_INVALID, e.to_string().as_bytes()),
-                Ok((name, _)) => match self.find(&name) {
+                Ok(request) => match self.find(&request.name) {
                     None => self.answer_option(number, reply::ERR_UNKNOWN, b"no such volume"),
                     Some(unit) => {
                         let mut size = BytesMut::new();
@@ -203,7 +203,7 @@
                 Ok(theirs) if theirs > 0 && self.structured => {
                     // The lower of the two newest: each side keeps to what both know.
                     self.additions = theirs.min(ADDITIONS);
-                    let ours = nbd::write_agreed(self.additions, u32::from(self.number), self.offer.window);
+                    let ours = nbd::write_session(self.additions, u32::from(self.number), self.offer.window);
                     self.answer_option(number, reply::ACK, &ours);
                 }
                 _ => self.answer_option(
--- a/crates/target/src/session.rs
+++ b/crates/target/src/session.rs
@@ -269,10 +269,10 @@
         Ok(())
     }
 
-    fn gather(&mut self, pdu: &Pdu) -> Result<Option<Vec<(String, String)>>, SessionError> {
+    fn gather(&mut self, pdu: &Pdu) -> Result<Option<Vec<iscsi::TextKey>>, SessionError> {
         if self.text.len() + pdu.data.len() > MAX_TEXT {
             let found = (self.text.len() + pdu.data.len()) as u64;
-            return Err(WireError::TooLong { field: "text keys", found, most: MAX_TEXT as u64 }.into());
+            return Err(WireError::TooLong { field: "text keys", found, max: MAX_TEXT as u64 }.into());
         }
         self.text.extend_from_slice(&pdu.data);
         if pdu.has(CONTINUES) {
@@ -312,7 +312,7 @@
         };
         let offer = self.offer.clone();
         let mut answers: Vec<(String, String)> = Vec::new();
-        for (key, value) in &keys {
+        for iscsi::TextKey { name: key, value } in &keys {
             if let Some(answer) = self.agreed.take(&offer, key, value, true) {
                 answers.push((key.clone(), answer));
             }
@@ -352,7 +352,7 @@
         if let Some(keys) = self.gather(&pdu)? {
             let offer = self.offer.clone();
             let mut answers = Vec::new();
-            for (key, value) in &keys {
+            for iscsi::TextKey { name: key, value } in &keys {
                 if key == "SendTargets" {
                     answers.push(("TargetName".to_owned(), offer.target_name.clone()));
                 } else if let Some(answer) = self.agreed.take(&offer, key, value, false) {
@@ -409,16 +409,27 @@
         let parsed = Command::parse(&pdu.cdb());
         let simple = match (parsed, &unit) {
             (Err(sense), _) => Err(sense),
-            (Ok(Command::Inquiry { page, most }), u) => scsi::inquiry(u.as_ref(), page).map(|d| (d, most)),
-            (Ok(Command::ReportLuns { most }), _) => Ok((scsi::report_luns(&self.units), most)),
-            (Ok(Command::RequestSense { most }), _) => {
-                Ok((Bytes::copy_from_slice(&Sense(0, 0, 0).fixed()), most))
+            (Ok(Command::Inquiry { page, allocation_length }), u) => {
+                scsi::inquiry(u.as_ref(), page).map(|d| (d, allocation_length))
+            }
+            (Ok(Command::ReportLuns { allocation_length }), _) => {
+                Ok((scsi::report_luns(&self.units), allocation_length))
+            }
+            (Ok(Command::RequestSense { allocation_length }), _) => {
+                Ok((Bytes::copy_from_slice(&Sense(0, 0, 0).fixed()), allocation_length))
             }
             (Ok(_), None) => Err(Sense::NO_SUCH_UNIT),
             (Ok(Command::TestUnitReady | Command::Synchronize), Some(_)) => Ok((Bytes::new(), 0)),
             (Ok(Command::ReadCapacity10), Some(u)) => Ok((scsi::capacity10(u), 8)),
-            (Ok(Command::ReadCapacity16 { most }), Some(u)) => Ok((scsi::capacity16(u), most)),
-            (Ok(Command::ModeSense { long, most }), Some(_)) => Ok((scsi::mode_sense(long), most)),
+            (Ok(Command::ReadCapacity16 { allocation_length }), Some(u)) => {
+                Ok((scsi::capacity16(u), allocation_length))
+            }
+            (Ok(Command::ModeSense { long: false, allocation_length }), Some(_)) => {
+                Ok((scsi::mode_sense6(), allocation_length))
+            }
+            (Ok(Command::ModeSense { long: true, allocation_length }), Some(_)) => {
+                Ok((scsi::mode_sense10(), allocation_length))
+            }
             (Ok(Command::Read { block, blocks }), Some(u)) => {
                 return self.request(command, task, u, block, blocks, None)
             }
--- a/crates/target/tests/session.rs
+++ b/crates/target/tests/session.rs
@@ -97,7 +97,7 @@
 }
 
 fn keys(pdu: &Pdu) -> Vec<(String, String)> {
-    iscsi::read_keys(&pdu.data).unwrap()
+    iscsi::read_keys(&pdu.data).unwrap().into_iter().map(|key| (key.name, key.value)).collect()
 }
 
 #[test]
--- a/crates/wire/src/consensus/decode.rs
+++ b/crates/wire/src/consensus/decode.rs
@@ -43,7 +43,7 @@
 fn bytes_up_to(fields: &mut Fields, field: &'static str, max: usize) -> Result<Bytes, WireError> {
     let length = fields.u32(field)? as usize;
     if length > max {
-        return Err(WireError::TooLong { field, found: length as u64, most: max as u64 });
+        return Err(WireError::TooLong { field, found: length as u64, max: max as u64 });
     }
     fields.bytes(field, length)
 }
--- a/crates/wire/src/peer/decode.rs
+++ b/crates/wire/src/peer/decode.rs
@@ -235,7 +235,7 @@
     if len <= max_len {
         return Ok(());
     }
-    Err(WireError::TooLong { field, found: len as u64, most: max_len as u64 })
+    Err(WireError::TooLong { field, found: len as u64, max: max_len as u64 })
 }
 
 fn unexpected(field: &'static str, found: u8, expected: &'static str) -> WireError {
--- a/crates/wire/tests/codecs.rs
+++ b/crates/wire/tests/codecs.rs
@@ -283,18 +283,18 @@
     }
 
     #[test]
-    fn commands_come_back(block in any::<u64>(), blocks in any::<u32>(), most in any::<u16>(), page in any::<Option<u8>>()) {
-        let most = u32::from(most);
+    fn commands_come_back(block in any::<u64>(), blocks in any::<u32>(), allocation_length in any::<u16>(), page in any::<Option<u8>>()) {
+        let allocation_length = u32::from(allocation_length);
         for c in [
             Command::Read { block, blocks },
             Command::Write { block, blocks },
-            Command::Inquiry { page, most },
-            Command::ReportLuns { most },
+            Command::Inquiry { page, allocation_length },
+            Command::ReportLuns { allocation_length },
             Command::ReadCapacity10,
-            Command::ReadCapacity16 { most },
-            Command::ModeSense { long: true, most },
-            Command::ModeSense { long: false, most: most & 0xff },
-            Command::RequestSense { most: most & 0xff },
+            Command::ReadCapacity16 { allocation_length },
+            Command::ModeSense { long: true, allocation_length },
+            Command::ModeSense { long: false, allocation_length: allocation_length & 0xff },
+            Command::RequestSense { allocation_length: allocation_length & 0xff },
             Command::TestUnitReady,
             Command::Synchronize,
         ] {
--- a/crates/wire/tests/golden_bytes.rs
+++ b/crates/wire/tests/golden_bytes.rs
@@ -668,7 +668,7 @@
 fn nbd_server_units() {
     use nbd::{Reply, ServerUnit, ServerUnits, Stage};
     let greeting_unit = ServerUnit::Greeting { flags: nbd::FIXED_NEWSTYLE | nbd::NO_ZEROES };
-    let agreed = nbd::write_agreed(2, 3, 64);
+    let agreed = nbd::write_session(2, 3, 64);
     assert_eq!(nbd::read_version(&agreed), Ok(2));
     assert_eq!((nbd::read_session(&agreed), nbd::read_window(&agreed)), (Some(3), Some(64)));
     let mut option_reply = BytesMut::new();
@@ -683,7 +683,10 @@
     let structured = chunk(nbd::chunk::OFFSET_DATA, data);
     let error_data = nbd::write_error(nbd::error::SHUTDOWN, b"busy");
     let rejected = chunk(nbd::chunk::REJECTED, error_data.clone());
-    assert_eq!(nbd::read_error(&error_data), Ok((nbd::error::SHUTDOWN, Bytes::from_static(b"busy"))));
+    assert_eq!(
+        nbd::read_error(&error_data),
+        Ok(nbd::ChunkError { value: nbd::error::SHUTDOWN, text: Bytes::from_static(b"busy") })
+    );
     let reply = |reply: &Reply| {
         let mut out = BytesMut::new();
         reply.encode(&mut out);
@@ -756,7 +759,7 @@
     let mut login = Pdu::new(op::LOGIN | 0x40, iscsi::FINAL);
     let pairs = [("InitiatorName", "iqn.2026-01.example:client"), ("SessionType", "Normal")];
     login.data = iscsi::write_keys(pairs);
-    let owned = pairs.map(|(key, value)| (key.to_owned(), value.to_owned()));
+    let owned = pairs.map(|(key, value)| iscsi::TextKey { name: key.to_owned(), value: value.to_owned() });
     assert_eq!(iscsi::read_keys(&login.data), Ok(owned.to_vec()));
     let mut response = Pdu::new(op::RESPONSE, iscsi::FINAL);
     response.data = scsi::Sense::INVALID_FIELD.to_segment();
@@ -829,18 +832,38 @@
     use scsi::Command;
     let cases: Vec<(&str, Command, &str)> = vec![
         ("test unit ready", Command::TestUnitReady, "00000000000000000000000000000000"),
-        ("inquiry", Command::Inquiry { page: None, most: 96 }, "12000000600000000000000000000000"),
+        (
+            "inquiry",
+            Command::Inquiry { page: None, allocation_length: 96 },
+            "12000000600000000000000000000000",
+        ),
         (
             "inquiry page",
-            Command::Inquiry { page: Some(0x83), most: 255 },
+            Command::Inquiry { page: Some(0x83), allocation_length: 255 },
             "12018300ff0000000000000000000000",
         ),
-        ("report luns", Command::ReportLuns { most: 4096 }, "a0000000000000001000000000000000"),
+        ("report luns", Command::ReportLuns { allocation_length: 4096 }, "a0000000000000001000000000000000"),
         ("read capacity 10", Command::ReadCapacity10, "25000000000000000000000000000000"),
-        ("read capacity 16", Command::ReadCapacity16 { most: 32 }, "9e100000000000000000000000200000"),
-        ("mode sense 6", Command::ModeSense { long: false, most: 192 }, "1a000000c00000000000000000000000"),
-        ("mode sense 10", Command::ModeSense { long: true, most: 512 }, "5a000000000000020000000000000000"),
-        ("request sense", Command::RequestSense { most: 18 }, "03000000120000000000000000000000"),
+        (
+            "read capacity 16",
+            Command::ReadCapacity16 { allocation_length: 32 },
+            "9e100000000000000000000000200000",
+        ),
+        (
+            "mode sense 6",
+            Command::ModeSense { long: false, allocation_length: 192 },
+            "1a000000c00000000000000000000000",
+        ),
+        (
+            "mode sense 10",
+            Command::ModeSense { long: true, allocation_length: 512 },
+            "5a000000000000020000000000000000",
+        ),
+        (
+            "request sense",
+            Command::RequestSense { allocation_length: 18 },
+            "03000000120000000000000000000000",
+        ),
         ("synchronize cache", Command::Synchronize, "91000000000000000000000000000000"),
         ("read 16", Command::Read { block: 0x1_0000_0001, blocks: 8 }, "88000000000100000001000000080000"),
         ("write 16", Command::Write { block: 0x1_0000_0001, blocks: 8 }, "8a000000000100000001000000080000"),
@@ -899,8 +922,8 @@
             scsi::capacity16(&first),
             "00000001ffffffff000002000000000000000000000000000000000000000000",
         ),
-        ("mode header 6", scsi::mode_sense(false), "03000000"),
-        ("mode header 10", scsi::mode_sense(true), "0006000000000000"),
+        ("mode header 6", scsi::mode_sense6(), "03000000"),
+        ("mode header 10", scsi::mode_sense10(), "0006000000000000"),
         ("sense", scsi::Sense::FAILED.to_segment(), "001270000b000000000a00000000080100000000"),
     ];
     let mut differences = Differences::default();
