--- a/crates/admin/tests/json_forms.rs
+++ b/crates/admin/tests/json_forms.rs
@@ -99,7 +99,7 @@
     );
     assert_form(&Call::Ask(Ask::Status), r#"{"ask":"status"}"#);
     assert_form(&Call::Ask(Ask::Members), r#"{"ask":"members"}"#);
-    assert_form(&Call::Audit { most: 20 }, r#"{"audit":{"most":20}}"#);
+    assert_form(&Call::Audit { max_lines: 20 }, r#"{"audit":{"most":20}}"#);
 }
 
 #[test]
@@ -409,8 +409,11 @@
 fn a_line_carries_the_version_before_the_body() {
     let text = "{\"v\":1,\"body\":{\"audit\":{\"most\":20}}}\n";
     let mut written = Vec::new();
-    write_line(&mut written, Call::Audit { most: 20 }).unwrap();
+    write_line(&mut written, Call::Audit { max_lines: 20 }).unwrap();
     assert_eq!(String::from_utf8(written).unwrap(), text);
-    assert_eq!(parse_call(text), Ok(Call::Audit { most: 20 }));
-    assert_eq!(parse_call("{\"v\":2,\"body\":\"later\"}"), Err("version 2; expected 1".into()));
+    assert_eq!(parse_call(text).map_err(|error| error.to_string()), Ok(Call::Audit { max_lines: 20 }));
+    assert_eq!(
+        parse_call("{\"v\":2,\"body\":\"later\"}").map_err(|error| error.to_string()),
+        Err("version 2; expected 1".into())
+    );
 }
--- a/crates/cli/src/consensus.rs
+++ b/crates/cli/src/consensus.rs
@@ -51,7 +51,7 @@
 }
 
 fn ask(host: &Path, ask: AgreementAsk) -> Result<AgreementReply, String> {
-    match tackmast_admin::call(host, &Call::Ask(Ask::Agreement(ask)), PATIENCE)? {
+    match tackmast_admin::call(host, &Call::Ask(Ask::Agreement(ask)), PATIENCE).map_err(|e| e.to_string())? {
         Answer::Reply(r) => match *r {
             Reply::Agreement(a) => Ok(a),
             Reply::NotKept { why } => Err(why),
--- a/crates/cli/src/orders.rs
+++ b/crates/cli/src/orders.rs
@@ -112,7 +112,7 @@
         }
         OverrideCommand::List { hosts } => (hosts, Call::Ask(Ask::List)),
         OverrideCommand::Explain { node, hosts } => (hosts, Call::Ask(Ask::Explain { address: node })),
-        OverrideCommand::Audit { most, hosts } => (hosts, Call::Audit { most }),
+        OverrideCommand::Audit { most, hosts } => (hosts, Call::Audit { max_lines: most }),
     };
     each(&hosts, &call)
 }
--- a/crates/cli/src/plans.rs
+++ b/crates/cli/src/plans.rs
@@ -100,7 +100,7 @@
 }
 
 fn ask(host: &Path, ask: PlanAsk) -> Result<PlanReply, String> {
-    match tackmast_admin::call(host, &Call::Ask(Ask::Plan(ask)), PATIENCE)? {
+    match tackmast_admin::call(host, &Call::Ask(Ask::Plan(ask)), PATIENCE).map_err(|e| e.to_string())? {
         Answer::Reply(r) => match *r {
             Reply::Plan(p) => Ok(p),
             Reply::NotKept { why } => Err(why),
--- a/crates/host/examples/changes.rs
+++ b/crates/host/examples/changes.rs
@@ -77,7 +77,9 @@
 }
 
 fn ask(dir: &Path, host: u32, ask: Ask) -> Result<Reply, String> {
-    match tackmast_admin::call(&admin(dir, host), &Call::Ask(ask), Duration::from_secs(10))? {
+    match tackmast_admin::call(&admin(dir, host), &Call::Ask(ask), Duration::from_secs(10))
+        .map_err(|e| e.to_string())?
+    {
         Answer::Reply(r) => Ok(*r),
         other => Err(format!("{other:?}")),
     }
--- a/crates/host/src/admin.rs
+++ b/crates/host/src/admin.rs
@@ -23,7 +23,7 @@
 
 pub enum ToStore {
     Keep { request: u64, keep: Keep },
-    Audit { most: usize, to: Sender<Answer> },
+    Audit { max_lines: usize, to: Sender<Answer> },
 }
 
 /// Binds the socket so that at no moment another user may open it.
@@ -94,9 +94,9 @@
     while let Ok(Some(text)) = tackmast_admin::read_line(&mut lines) {
         let (to, from) = crossbeam_channel::bounded(1);
         let sent = match tackmast_admin::parse_call(&text) {
-            Err(e) => to.send(Answer::Error(e)).is_ok(),
+            Err(e) => to.send(Answer::Error(e.to_string())).is_ok(),
             Ok(Call::Ask(ask)) => core.send(Event::Admin { ask, to }).is_ok(),
-            Ok(Call::Audit { most }) => store.send(ToStore::Audit { most, to }).is_ok(),
+            Ok(Call::Audit { max_lines }) => store.send(ToStore::Audit { max_lines, to }).is_ok(),
         };
         let late = || Answer::Error("no answer in time; whether it holds, a list tells".into());
         let answer = if sent { from.recv_timeout(PATIENCE).unwrap_or_else(|_| late()) } else { late() };
@@ -116,8 +116,8 @@
                 false => from.recv_timeout(AGAIN).map_err(|e| e.is_timeout()),
             };
             match next {
-                Ok(ToStore::Audit { most, to }) => {
-                    _ = to.send(match store.audit(most) {
+                Ok(ToStore::Audit { max_lines, to }) => {
+                    _ = to.send(match store.audit(max_lines) {
                         Ok(lines) => Answer::Audit(lines),
                         Err(e) => Answer::Error(e.to_string()),
                     });
--- a/crates/scenario/src/operators.rs
+++ b/crates/scenario/src/operators.rs
@@ -144,7 +144,7 @@
                     other => last = format!("{other:?}"),
                 },
                 Ok(other) => last = format!("{other:?}"),
-                Err(e) => last = e,
+                Err(e) => last = e.to_string(),
             }
         }
         std::thread::sleep(Duration::from_millis(50));
