--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -226,7 +226,7 @@
 pub fn rules(trace: &Path, json: bool) -> Result<ExitCode, String> {
     let at = |e: String| format!("{}: {e}", trace.display());
     let file = File::open(trace).map_err(|e| at(e.to_string()))?;
-    let lines = tackmast_trace::read(BufReader::new(file)).map_err(at)?;
+    let lines = tackmast_trace::read(BufReader::new(file)).map_err(|e| at(e.to_string()))?;
     let report = tackmast_invariants::judge(&lines);
     match json {
         true => println!("{}", serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?),
--- a/crates/client/tests/common/mod.rs
+++ b/crates/client/tests/common/mod.rs
@@ -161,7 +161,7 @@
     pub fn seen(&self) -> Vec<tackmast_trace::Line> {
         // All that was due is past its time by this line.
         std::thread::sleep(Duration::from_millis(1200));
-        self.recorder.note(Event::Trouble { what: "end".into(), on: false });
+        self.recorder.note(Event::Fault { what: "end".into(), on: false });
         self.recorder.take()
     }
 
@@ -199,7 +199,7 @@
         max_units: 8.0,
         answer_slack_us: 50_000,
         grace_us: 250_000,
-        cold_safe_units: f64::MAX,
+        slow_start_safe_units: f64::MAX,
         skew_us: 50_000,
         ..Facts::default()
     }
--- a/crates/emulators/src/list.rs
+++ b/crates/emulators/src/list.rs
@@ -274,7 +274,7 @@
         let told = known.told.entry(host).or_default();
         let line = |e: &Entry, state| {
             let (node, started_us) = (e.address.clone(), e.started_us);
-            self.recorder.note(Event::Told { host, node, state, started_us });
+            self.recorder.note(Event::Notified { host, node, state, started_us });
         };
         if complete {
             let gone = told.values().filter(|old| !entries.iter().any(|e| e.address == old.address));
--- a/crates/emulators/src/node.rs
+++ b/crates/emulators/src/node.rs
@@ -371,7 +371,7 @@
             zone: n.zone,
             shard: n.shard,
             capacity: s.model.capacity(),
-            cold_from: if cold { n.nature.cold_from } else { 1.0 },
+            initial_capacity: if cold { n.nature.cold_from } else { 1.0 },
             warm_us: if cold { (n.nature.warm_s * 1e6) as u64 } else { 0 },
         });
     }
--- a/crates/invariants/src/index.rs
+++ b/crates/invariants/src/index.rs
@@ -162,7 +162,7 @@
             }
             last = t;
             match &line.event {
-                Event::Facts(_) | Event::Trouble { .. } | Event::Cancel { .. } => {}
+                Event::Facts(_) | Event::Fault { .. } | Event::Cancel { .. } => {}
                 Event::NodeDown { node } => {
                     let open = |l: &&mut Attempt| l.node == *node && l.end.is_none();
                     x.attempts.iter_mut().filter(open).for_each(|l| l.link_down = l.link_down.or(Some(t)));
@@ -226,14 +226,14 @@
                         told.push(Told { t, state: ListedState::Ready, started_us: 0, listed: false });
                     }
                 }
-                Event::NodeUp { node, zone, shard, capacity, cold_from, warm_us } => {
+                Event::NodeUp { node, zone, shard, capacity, initial_capacity, warm_us } => {
                     x.generations.push(NodeGeneration {
                         node: node.clone(),
                         t,
                         zone: *zone,
                         shard: *shard,
                         capacity: *capacity,
-                        cold_from: *cold_from,
+                        cold_from: *initial_capacity,
                         warm_us: *warm_us,
                     })
                 }
@@ -345,7 +345,7 @@
                         |c: &&mut Command| c.name.0 == host && c.name.1 == session && c.answers.is_empty();
                     x.commands.iter_mut().filter(of).for_each(|c| c.lost = c.lost.or(Some(t)));
                 }
-                Event::Told { host, node, state, started_us } => {
+                Event::Notified { host, node, state, started_us } => {
                     // Over a way that is cut nothing is told.
                     if cuts.get(&(*host, Side::List)).is_some_and(|n| *n > 0) {
                         continue;
--- a/crates/invariants/src/rules.rs
+++ b/crates/invariants/src/rules.rs
@@ -235,15 +235,16 @@
                     .any(|t| t.t <= attempt.t && t.started_us + f.skew_us >= generation.t && t.started_us > 0)
             });
             window.push_back((attempt.t, attempt.units, knew));
-            while window.front().is_some_and(|(t, _, _)| t + f.cold_window_us < attempt.t) {
+            while window.front().is_some_and(|(t, _, _)| t + f.slow_start_window_us < attempt.t) {
                 window.pop_front();
             }
             let sent: f64 = window.iter().map(|(_, u, _)| u).sum();
             let by_told: f64 = window.iter().filter(|(_, _, k)| *k).map(|(_, u, _)| u).sum();
             let part = (attempt.t - generation.t) as f64 / generation.warm_us as f64;
             let warmth = generation.cold_from + (1.0 - generation.cold_from) * part;
-            let window_s = f.cold_window_us as f64 / 1e6;
-            let bears = (f.cold_multiple * generation.capacity * warmth * window_s).max(f.cold_safe_units);
+            let window_s = f.slow_start_window_us as f64 / 1e6;
+            let bears = (f.slow_start_multiple * generation.capacity * warmth * window_s)
+                .max(f.slow_start_safe_units);
             if sent > bears + ROUNDING && by_told >= TOLD_PART * sent {
                 let what = format!(
                     "{sent:.1} units in {window_s} s, by hosts that knew of its start; it bears {bears:.1}"
@@ -309,7 +310,7 @@
 /// 6: retries stay within the budget over any window.
 pub fn budget(x: &Index) -> RuleReport {
     let cases = "retries";
-    let Some((free, share, window)) = x.facts.further else {
+    let Some((free, share, window)) = x.facts.retry_budget else {
         return report(6, "budget", cases, 0, Vec::new());
     };
     let skew = x.facts.skew_us;
--- a/crates/invariants/src/spread.rs
+++ b/crates/invariants/src/spread.rs
@@ -27,14 +27,16 @@
                 let n = deaf.entry(*host).or_default();
                 *n = if *on { *n + 1 } else { n.saturating_sub(1) };
             }
-            Event::Told { host, node, state, .. } if deaf.get(host).is_none_or(|n| *n == 0) => match state {
-                ListedState::Ready => _ = stopped.remove(node.as_str()),
-                _ => {
-                    let new = !stopped.contains_key(node.as_str());
-                    found.stops += usize::from(new && deaf.values().any(|n| *n > 0));
-                    stopped.entry(node).or_insert(line.t);
+            Event::Notified { host, node, state, .. } if deaf.get(host).is_none_or(|n| *n == 0) => {
+                match state {
+                    ListedState::Ready => _ = stopped.remove(node.as_str()),
+                    _ => {
+                        let new = !stopped.contains_key(node.as_str());
+                        found.stops += usize::from(new && deaf.values().any(|n| *n > 0));
+                        stopped.entry(node).or_insert(line.t);
+                    }
                 }
-            },
+            }
             Event::Attempt { node, name, left_us, .. } => {
                 let Some(since) = stopped.get(node.as_str()) else { continue };
                 found.attempts += 1;
@@ -60,7 +62,7 @@
     use tackmast_trace::AttemptName;
 
     fn told(t: u64, host: u32, state: ListedState) -> Line {
-        Line { t, event: Event::Told { host, node: "a".into(), state, started_us: 0 } }
+        Line { t, event: Event::Notified { host, node: "a".into(), state, started_us: 0 } }
     }
 
     fn cut(t: u64, host: u32, on: bool) -> Line {
--- a/crates/invariants/tests/doctored.rs
+++ b/crates/invariants/tests/doctored.rs
@@ -34,11 +34,11 @@
         max_units: 8.0,
         answer_slack_us: 10_000,
         grace_us: 250_000,
-        cold_multiple: 2.0,
-        cold_window_us: 1_000_000,
-        cold_safe_units: 5.0,
+        slow_start_multiple: 2.0,
+        slow_start_window_us: 1_000_000,
+        slow_start_safe_units: 5.0,
         settle_us: 500_000,
-        further: Some((2.0, 0.1, 1_000_000)),
+        retry_budget: Some((2.0, 0.1, 1_000_000)),
         skew_us: 20_000,
     }
 }
@@ -57,7 +57,7 @@
         self
     }
     fn told(&mut self, t: u64, host: u32, node: &str, state: ListedState, started_ms: u64) -> &mut Self {
-        self.at(t, Event::Told { host, node: node.into(), state, started_us: started_ms * 1000 })
+        self.at(t, Event::Notified { host, node: node.into(), state, started_us: started_ms * 1000 })
     }
     fn submit(&mut self, t: u64, command: u32, traffic_class: u32) -> &mut Self {
         let (host, session, volume, bytes) = (0, 1, 2, 4096);
@@ -137,7 +137,7 @@
         self
     }
     fn lines(mut self) -> Vec<Line> {
-        self.at(10_000, Event::Trouble { what: "end".into(), on: false });
+        self.at(10_000, Event::Fault { what: "end".into(), on: false });
         self.0.sort_by_key(|l| l.t);
         self.0
     }
@@ -149,7 +149,7 @@
 
 fn up(node: &str, zone: u32, shard: u32, cold_from: f64) -> Event {
     let warm_us = if cold_from < 1.0 { 4_000_000 } else { 0 };
-    Event::NodeUp { node: node.into(), zone, shard, capacity: 10.0, cold_from, warm_us }
+    Event::NodeUp { node: node.into(), zone, shard, capacity: 10.0, initial_capacity: cold_from, warm_us }
 }
 
 #[test]
--- a/crates/scenario/src/play.rs
+++ b/crates/scenario/src/play.rs
@@ -83,11 +83,11 @@
         max_units: s.units.max_per_request,
         answer_slack_us: us(answer_slack_s),
         grace_us: us(grace_s),
-        cold_multiple: cold.map_or(0.0, |c| c.multiple),
-        cold_window_us: cold.map_or(0, |c| us(c.window_s)),
-        cold_safe_units: cold.map_or(f64::MAX, |c| c.safe_units),
+        slow_start_multiple: cold.map_or(0.0, |c| c.multiple),
+        slow_start_window_us: cold.map_or(0, |c| us(c.window_s)),
+        slow_start_safe_units: cold.map_or(f64::MAX, |c| c.safe_units),
         settle_us: us(s.load.settle_s),
-        further: s.retry_budget.as_ref().map(|f| (f.free, f.share, us(f.window_s))),
+        retry_budget: s.retry_budget.as_ref().map(|f| (f.free, f.share, us(f.window_s))),
         skew_us: us(skew_s),
     }
 }
@@ -273,7 +273,7 @@
             let t = start.elapsed().as_secs_f64();
             for (i, trouble) in self.script.troubles.iter().enumerate() {
                 if t >= trouble.at_s && begun.insert(i) {
-                    self.recorder.note(Event::Trouble { what: trouble.name.clone(), on: true });
+                    self.recorder.note(Event::Fault { what: trouble.name.clone(), on: true });
                     self.begin(i, &trouble.action, trouble.for_s);
                     self.rig_begin(i, &trouble.name, &trouble.action);
                 }
@@ -284,7 +284,7 @@
                     self.step(&trouble.action, part, t - trouble.at_s, step);
                 }
                 if t >= until && begun.contains(&i) && ended.insert(i) {
-                    self.recorder.note(Event::Trouble { what: trouble.name.clone(), on: false });
+                    self.recorder.note(Event::Fault { what: trouble.name.clone(), on: false });
                     self.finish(&trouble.action);
                     self.rig_finish(i, &trouble.name, &trouble.action);
                     over_at = over_at.max(start.elapsed());
@@ -554,7 +554,7 @@
             .collect();
         // All that was due is past its time by this line.
         std::thread::sleep(Duration::from_millis(20));
-        self.recorder.note(Event::Trouble { what: "end of the day".into(), on: false });
+        self.recorder.note(Event::Fault { what: "end of the day".into(), on: false });
         let trace = self.recorder.take();
         for f in &self.flows {
             f.close();
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -564,7 +564,7 @@
         }
         self.now = end;
         self.in_force();
-        self.note(Seen::Trouble { what: "end".into(), on: false });
+        self.note(Seen::Fault { what: "end".into(), on: false });
         for h in self.hosts.iter().filter(|h| h.up) {
             let (commands, requests, attempts) = h.core.open();
             self.run.stuck += commands + requests + attempts + h.core.keys_in_order();
--- a/crates/simulator/src/sim/nodes.rs
+++ b/crates/simulator/src/sim/nodes.rs
@@ -8,7 +8,14 @@
         let (address, capacity) = (node.address.clone(), node.model.capacity());
         let warm_us = if cold_from < 1.0 { (node.model.nature.warm_s * 1e6) as Us } else { 0 };
         let (zone, shard) = (node.zone, node.shard);
-        self.note(tackmast_trace::Event::NodeUp { node: address, zone, shard, capacity, cold_from, warm_us });
+        self.note(tackmast_trace::Event::NodeUp {
+            node: address,
+            zone,
+            shard,
+            capacity,
+            initial_capacity: cold_from,
+            warm_us,
+        });
     }
 
     pub(super) fn node_gets(&mut self, h: u32, n: u32, generation: u64, bytes: &[u8]) {
@@ -195,7 +202,7 @@
                 NodeState::Gone => ListedState::Gone,
             };
             let started_us = *started;
-            self.note(tackmast_trace::Event::Told {
+            self.note(tackmast_trace::Event::Notified {
                 host: h,
                 node: address.clone(),
                 state: told,
@@ -228,7 +235,12 @@
             .map(|(a, _)| a.to_owned())
             .collect();
         for node in gone {
-            self.note(tackmast_trace::Event::Told { host: h, node, state: ListedState::Gone, started_us: 0 });
+            self.note(tackmast_trace::Event::Notified {
+                host: h,
+                node,
+                state: ListedState::Gone,
+                started_us: 0,
+            });
         }
         let now = self.time(h);
         self.hosts[h as usize].core.list_came(now, ListKind::Complete, 0, version, &lines);
--- a/crates/trace/tests/json_forms.rs
+++ b/crates/trace/tests/json_forms.rs
@@ -51,11 +51,11 @@
         max_units: 8.0,
         answer_slack_us: 1,
         grace_us: 2,
-        cold_multiple: 1.5,
-        cold_window_us: 3,
-        cold_safe_units: 4.5,
+        slow_start_multiple: 1.5,
+        slow_start_window_us: 3,
+        slow_start_safe_units: 4.5,
         settle_us: 5,
-        further: Some((10.0, 0.2, 6)),
+        retry_budget: Some((10.0, 0.2, 6)),
         skew_us: 7,
     };
     assert_event(
@@ -149,7 +149,7 @@
         Event::Cut { host: 1, side: Side::List, on: false },
         r#"{"t":1700000000000000,"e":"cut","host":1,"side":"list","on":false}"#,
     );
-    let told = Event::Told { host: 1, node: node(), state: ListedState::Draining, started_us: 4 };
+    let told = Event::Notified { host: 1, node: node(), state: ListedState::Draining, started_us: 4 };
     assert_event(
         told,
         r#"{"t":1700000000000000,"e":"told","host":1,"node":"127.0.0.1:9000","state":"draining","started_us":4}"#,
@@ -164,7 +164,7 @@
         r#"{"t":1700000000000000,"e":"plan_moved","volume":3,"limit":40.0,"burst":64.0,"slack":8.0,"in_force_us":5}"#,
     );
     assert_event(
-        Event::Trouble { what: "node slow".into(), on: true },
+        Event::Fault { what: "node slow".into(), on: true },
         r#"{"t":1700000000000000,"e":"trouble","what":"node slow","on":true}"#,
     );
     assert_event(Event::Truncated, r#"{"t":1700000000000000,"e":"truncated"}"#);
@@ -172,7 +172,8 @@
 
 #[test]
 fn events_of_nodes() {
-    let up = Event::NodeUp { node: node(), zone: 1, shard: 2, capacity: 500.5, cold_from: 0.1, warm_us: 3 };
+    let up =
+        Event::NodeUp { node: node(), zone: 1, shard: 2, capacity: 500.5, initial_capacity: 0.1, warm_us: 3 };
     assert_event(
         up,
         r#"{"t":1700000000000000,"e":"node_up","node":"127.0.0.1:9000","zone":1,"shard":2,"capacity":500.5,"cold_from":0.1,"warm_us":3}"#,
