--- a/crates/cli/src/consensus.rs
+++ b/crates/cli/src/consensus.rs
@@ -51,7 +51,9 @@
 }
 
 fn ask(host: &Path, ask: ConsensusRequest) -> Result<ConsensusResponse, String> {
-    match tackmast_admin::call(host, &Call::AdminRequest(AdminRequest::Consensus(ask)), PATIENCE)? {
+    match tackmast_admin::call(host, &Call::AdminRequest(AdminRequest::Consensus(ask)), PATIENCE)
+        .map_err(|e| e.to_string())?
+    {
         Answer::AdminResponse(r) => match *r {
             AdminResponse::Consensus(a) => Ok(a),
             AdminResponse::NotKept { why } => Err(why),
--- a/crates/cli/src/orders.rs
+++ b/crates/cli/src/orders.rs
@@ -114,7 +114,7 @@
         OverrideCommand::Explain { node, hosts } => {
             (hosts, Call::AdminRequest(AdminRequest::Explain { address: node }))
         }
-        OverrideCommand::Audit { most, hosts } => (hosts, Call::Audit { most }),
+        OverrideCommand::Audit { most, hosts } => (hosts, Call::Audit { max_lines: most }),
     };
     each(&hosts, &call)
 }
--- a/crates/host-core/src/consensus.rs
+++ b/crates/host-core/src/consensus.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_config::{AgreementBlock, HostSettings};
+use tackmast_config::{ConsensusBlock, HostSettings};
 use tackmast_consensus::{
     Chunk, ChunkSettings, ChunkedTransfer, DiskIdentity, FollowerStatus, Lease, LeaseState, Message,
     PersistentState, RaftSettings, Replica, ReplicaSettings,
@@ -160,10 +160,10 @@
 }
 
 /// The settings of Raft that the settings of a host amount to.
-pub fn raft_settings(s: &HostSettings, a: &AgreementBlock) -> RaftSettings {
+pub fn raft_settings(s: &HostSettings, a: &ConsensusBlock) -> RaftSettings {
     RaftSettings {
-        heartbeat_interval: TimeDelta::from_secs(a.beat_ms / 1e3),
-        election_timeout: TimeDelta::from_secs(a.patience_ms / 1e3),
+        heartbeat_interval: TimeDelta::from_secs(a.heartbeat_interval_ms / 1e3),
+        election_timeout: TimeDelta::from_secs(a.election_timeout_ms / 1e3),
         lease: TimeDelta::from_secs(a.lease_s),
         max_clock_drift: a.drift,
         host_count: s.host.hosts,
@@ -177,7 +177,7 @@
     pub fn new(
         now: Instant,
         s: &HostSettings,
-        a: &AgreementBlock,
+        a: &ConsensusBlock,
         start: ConsensusStart,
         seed: u64,
     ) -> ConsensusDriver {
--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -80,9 +80,10 @@
 impl Core {
     /// `address_generation` differs between all generations of all hosts; `seed` is for chance in decisions.
     pub fn new(now: Instant, s: &HostSettings, seed: u64, generation: u64) -> Self {
-        let handle_timeout = TimeDelta::from_secs(s.host.tick_ms / 1e3);
+        let clock_resolution = TimeDelta::from_secs(s.host.clock_resolution_ms / 1e3);
         let longest = TimeDelta::from_secs(s.load.longest_wait_s);
-        let mut scheduler = Scheduler::new(now, seed, s.host.hosts, handle_timeout, s.units.mean);
+        let mut scheduler =
+            Scheduler::new(now, seed, s.host.hosts, clock_resolution, s.units.mean_per_request);
         for st in &s.traffic_classes {
             scheduler.add_traffic_class(st.latency_objective, st.effect, st.in_order);
         }
@@ -99,8 +100,8 @@
         if let Some(peers) = &s.retry_budget {
             scheduler.set_retry_budget(peers.free, peers.share, TimeDelta::from_secs(peers.window_s));
         }
-        if let Some(c) = &s.cold {
-            let (warm, window) = (TimeDelta::from_secs(c.warm_s), TimeDelta::from_secs(c.window_s));
+        if let Some(c) = &s.slow_start {
+            let (warm, window) = (TimeDelta::from_secs(c.ramp_s), TimeDelta::from_secs(c.window_s));
             let (safe_units, overload_multiple) = slow_start_figures(c);
             scheduler.set_slow_start(SlowStart {
                 safe_units,
--- a/crates/host-core/src/core/slow_start.rs
+++ b/crates/host-core/src/core/slow_start.rs
@@ -1,6 +1,6 @@
 //! What the scheduler is told of nodes that have just started.
 
-use tackmast_config::ColdNodes;
+use tackmast_config::SlowStartBlock;
 
 /// Shares of the configured figures of nodes in slow start that the scheduler gets. Within one window its guard lets out its part of
 /// the safe units at once, a quarter of them again by time, and four fifths of the multiple for what it saw a node do:
@@ -13,7 +13,7 @@
 
 /// Safe units and overload multiple for the scheduler. What a node has done makes room as well, up to all that it can
 /// do in the window; so burst and time share only what the multiple leaves beyond that.
-pub(super) fn slow_start_figures(c: &ColdNodes) -> (f64, f64) {
+pub(super) fn slow_start_figures(c: &SlowStartBlock) -> (f64, f64) {
     let spare = ((c.multiple - 1.0) / c.multiple).clamp(SLOW_START_MIN_SHARE, 1.0);
     (c.safe_units * SLOW_START_SAFE_SHARE * spare, c.multiple * SLOW_START_MULTIPLE_SHARE * spare)
 }
--- a/crates/host-core/src/plans/from_settings.rs
+++ b/crates/host-core/src/plans/from_settings.rs
@@ -35,5 +35,5 @@
 pub(super) fn fleet(s: &HostSettings, b: &PlansBlock) -> Fleet {
     let shards = s.volumes.iter().flat_map(|v| &v.shards);
     let bears = shards.map(|n| (*n, b.bears.get(&n.to_string()).copied().unwrap_or(b.node_units)));
-    Fleet { hosts: s.host.hosts, max_units: s.units.most, bears: bears.collect() }
+    Fleet { hosts: s.host.hosts, max_units: s.units.max_per_request, bears: bears.collect() }
 }
--- a/crates/host-core/tests/consensus.rs
+++ b/crates/host-core/tests/consensus.rs
@@ -134,7 +134,7 @@
         core.with_consensus(ConsensusDriver::new(
             self.now,
             &s,
-            s.agreement.as_ref().unwrap(),
+            s.consensus.as_ref().unwrap(),
             start,
             generation,
         ));
--- a/crates/host/examples/changes.rs
+++ b/crates/host/examples/changes.rs
@@ -79,7 +79,9 @@
 }
 
 fn ask(dir: &Path, host: u32, ask: AdminRequest) -> Result<AdminResponse, String> {
-    match tackmast_admin::call(&admin(dir, host), &Call::AdminRequest(ask), Duration::from_secs(10))? {
+    match tackmast_admin::call(&admin(dir, host), &Call::AdminRequest(ask), Duration::from_secs(10))
+        .map_err(|e| e.to_string())?
+    {
         Answer::AdminResponse(r) => Ok(*r),
         other => Err(format!("{other:?}")),
     }
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -565,7 +565,7 @@
         }
         self.now = end;
         self.in_force();
-        self.note(Seen::Trouble { what: "end".into(), on: false });
+        self.note(Seen::Fault { what: "end".into(), on: false });
         for h in self.hosts.iter().filter(|h| h.up) {
             let OpenCounts { commands, requests, attempts } = h.core.open_counts();
             self.run.stuck += commands + requests + attempts + h.core.key_queue_count();
