--- a/crates/cli/src/planner.rs
+++ b/crates/cli/src/planner.rs
@@ -7,7 +7,9 @@
 use std::time::Instant;
 use tackmast_config::HostSettings;
 use tackmast_host_core::Layout;
-use tackmast_planner::{bounds, fit, max_held, place, Curve, Load, Node, Point};
+use tackmast_planner::{
+    fit, latency_bounds, max_bucket_level, place, Arrival, Curve, Load, Node, PlacedLoad, Point,
+};
 use tackmast_simulator::World;
 
 #[derive(clap::Args)]
@@ -43,25 +45,30 @@
 /// What a load asks, by volume, traffic class and shard.
 fn asked(s: &HostSettings, l: &tackmast_workload::Load, max_rate: f64) -> Vec<Asked> {
     let layout = Layout::new(s);
-    let mut arrivals: BTreeMap<(usize, usize, u32), Vec<(f64, f64)>> = BTreeMap::new();
+    let mut arrivals: BTreeMap<(usize, usize, u32), Vec<Arrival>> = BTreeMap::new();
     for a in l.arrivals(s.host.hosts) {
         let Some(volume) = layout.volume_named(&l.flows[a.flow].volume) else { continue };
         let traffic_class = layout.traffic_class(volume, a.write, a.blocks);
         for part in layout.parts(volume, traffic_class, a.block, a.blocks) {
             let of = arrivals.entry((volume, traffic_class, part.shard.0)).or_default();
-            of.push((a.at_us as f64 / 1e6, part.units));
+            of.push(Arrival { at_s: a.at_us as f64 / 1e6, units: part.units });
         }
     }
-    let one = |((volume, traffic_class, shard), all): ((usize, usize, u32), Vec<(f64, f64)>)| {
+    let one = |((volume, traffic_class, shard), all): ((usize, usize, u32), Vec<Arrival>)| {
         let st = &s.traffic_classes[traffic_class];
         let name = format!("{} {}", s.volumes[volume].name, st.name);
-        let largest = all.iter().map(|a| a.1).fold(0.0, f64::max);
-        let curve = Curve::of(&all, l.seconds, max_rate);
+        let largest = all.iter().map(|a| a.units).fold(0.0, f64::max);
+        let curve = Curve::from_arrivals(&all, l.seconds, max_rate);
         Asked {
             volume,
             traffic_class,
             shard,
-            load: Load { name, latency_objective_s: st.latency_objective.secs(), largest, curve },
+            load: Load {
+                name,
+                latency_objective_s: st.latency_objective.secs(),
+                max_request_units: largest,
+                curve,
+            },
         }
     };
     arrivals.into_iter().map(one).collect()
@@ -71,14 +78,14 @@
 /// with what a host starts with. By volume; none where its plan has no limit.
 fn held_by_limit(s: &HostSettings, l: &tackmast_workload::Load) -> BTreeMap<usize, f64> {
     let layout = Layout::new(s);
-    let mut arrivals: BTreeMap<(usize, u32), Vec<(f64, f64)>> = BTreeMap::new();
+    let mut arrivals: BTreeMap<(usize, u32), Vec<Arrival>> = BTreeMap::new();
     for a in l.arrivals(s.host.hosts) {
         let Some(volume) = layout.volume_named(&l.flows[a.flow].volume) else { continue };
         let v = &s.volumes[volume];
         let traffic_class = layout.traffic_class(volume, a.write, a.blocks);
         let units: f64 = layout.parts(volume, traffic_class, a.block, a.blocks).iter().map(|p| p.units).sum();
         let host = a.host % v.hosts.max(1);
-        arrivals.entry((volume, host)).or_default().push((a.at_us as f64 / 1e6, units));
+        arrivals.entry((volume, host)).or_default().push(Arrival { at_s: a.at_us as f64 / 1e6, units });
     }
     let mut waits = BTreeMap::new();
     for ((volume, _), all) in arrivals {
@@ -90,7 +97,7 @@
         let parts = f64::from(v.hosts.max(1));
         let (rate, burst) = (p.limit / parts, p.burst / parts);
         let at_first = (p.burst - p.slack / 2.0) / parts;
-        let wait = (max_held(&all, rate, at_first) - burst).max(0.0) / rate;
+        let wait = (max_bucket_level(&all, rate, at_first) - burst).max(0.0) / rate;
         let longest = waits.entry(volume).or_insert(0.0f64);
         *longest = longest.max(wait);
     }
@@ -109,11 +116,11 @@
     if let Some(points) = fit(node, all) {
         return (true, points);
     }
-    let means: f64 = all.iter().filter_map(|l| l.curve.least()).map(|p| p.rate).sum();
+    let means: f64 = all.iter().filter_map(|l| l.curve.first()).map(|p| p.rate).sum();
     let times = (0.9 * node.capacity / means.max(1e-9)).max(1.0);
     let at = |l: &&Load| {
-        let rate = l.curve.least().map_or(0.0, |p| p.rate) * times;
-        Point { rate, burst: l.curve.burst(rate).unwrap_or(l.largest) }
+        let rate = l.curve.first().map_or(0.0, |p| p.rate) * times;
+        Point { rate, burst: l.curve.burst(rate).unwrap_or(l.max_request_units) }
     };
     (false, all.iter().map(at).collect())
 }
@@ -141,9 +148,9 @@
         }
         let node = Node {
             capacity: self.node_units,
-            unit_s: self.unit_ms / 1e3,
-            ahead: self.ahead,
-            way_s: self.way_ms / 1e3,
+            unit_service_s: self.unit_ms / 1e3,
+            in_flight_units: self.ahead,
+            round_trip_s: self.way_ms / 1e3,
         };
         Ok((s, load, node))
     }
@@ -170,7 +177,7 @@
         if !over.is_empty() {
             risks.push(format!("reservations at shard {shard}"));
         }
-        for ((a, bound), p) in there.iter().zip(bounds(&node, &loads, &points)).zip(&points) {
+        for ((a, bound), p) in there.iter().zip(latency_bounds(&node, &loads, &points)).zip(&points) {
             let (l, bound) = (&a.load, bound + waits.get(&a.volume).copied().unwrap_or(0.0));
             let risk = bound > l.latency_objective_s;
             println!(
@@ -222,20 +229,20 @@
     let p = place(&node, nodes, &loads);
     println!(
         "# placed anew: {} of {nodes} nodes used, {} loads find none ({:.2} s)",
-        p.used(),
-        p.left.len(),
+        p.used_nodes(),
+        p.unplaced.len(),
         started.elapsed().as_secs_f64()
     );
     for (n, there) in p.nodes.iter().enumerate().filter(|(_, t)| !t.is_empty()) {
-        let name = |(l, p): &(usize, Point)| {
-            let a = &all[*l];
+        let name = |PlacedLoad { load, point: p }: &PlacedLoad| {
+            let a = &all[*load];
             let (v, st) = (&s.volumes[a.volume].name, &s.traffic_classes[a.traffic_class].name);
             format!("{v} {st} of shard {} ({:.0} units/s, {:.0} at once)", a.shard, p.rate, p.burst)
         };
         println!("node {n}: {}", there.iter().map(name).collect::<Vec<_>>().join("; "));
     }
-    p.left.iter().for_each(|l| println!("no node: {} of shard {}", loads[*l].name, all[*l].shard));
-    Ok(ExitCode::from(u8::from(!p.left.is_empty())))
+    p.unplaced.iter().for_each(|l| println!("no node: {} of shard {}", loads[*l].name, all[*l].shard));
+    Ok(ExitCode::from(u8::from(!p.unplaced.is_empty())))
 }
 
 /// The bound beside what the laboratory then measures, load by load.
@@ -261,7 +268,12 @@
         w.load = Some(std::sync::Arc::new(load.clone()));
         let s = tackmast_simulator::settings(&w, 0, None);
         let way_s = 2.0 * (w.delay_us + w.jitter_us) as f64 / 1e6 + 0.002;
-        let node = Node { capacity: f64::from(w.cores) / w.unit_s, unit_s: w.unit_s, ahead, way_s };
+        let node = Node {
+            capacity: f64::from(w.cores) / w.unit_s,
+            unit_service_s: w.unit_s,
+            in_flight_units: ahead,
+            round_trip_s: way_s,
+        };
         let all = asked(&s, &load, node.capacity);
         let waits = held_by_limit(&s, &load);
         // A class's bound is that of its worst shard: a command of several parts waits for the last of them.
@@ -269,7 +281,7 @@
         for there in by_shard(&all).into_values() {
             let loads: Vec<&Load> = there.iter().map(|a| &a.load).collect();
             let (holds, points) = points(&node, &loads);
-            for (a, bound) in there.iter().zip(bounds(&node, &loads, &points)) {
+            for (a, bound) in there.iter().zip(latency_bounds(&node, &loads, &points)) {
                 let plan = &s.plans[s.volumes[a.volume].plan as usize].name;
                 let bound = bound + waits.get(&a.volume).copied().unwrap_or(0.0);
                 let class = format!("{plan} {}", s.traffic_classes[a.traffic_class].name);
--- a/crates/planner/examples/fleet.rs
+++ b/crates/planner/examples/fleet.rs
@@ -4,7 +4,7 @@
 use tackmast_planner::*;
 
 fn main() {
-    let node = Node { capacity: 4000.0, unit_s: 0.002, ahead: 24.0, way_s: 0.002 };
+    let node = Node { capacity: 4000.0, unit_service_s: 0.002, in_flight_units: 24.0, round_trip_s: 0.002 };
     let mut c = oorandom::Rand64::new(1);
     let loads: Vec<Load> = (0..2000)
         .map(|i| {
@@ -16,14 +16,14 @@
                 if t >= 60.0 {
                     break;
                 }
-                a.push((t, 1.0 + c.rand_range(0..8) as f64));
+                a.push(Arrival { at_s: t, units: 1.0 + c.rand_range(0..8) as f64 });
             }
             let latency_objective_s = [0.1, 0.25, 0.8][i as usize % 3];
-            let curve = Curve::of(&a, 60.0, node.capacity / 4.0);
-            Load { name: format!("volume {i}"), latency_objective_s, largest: 8.0, curve }
+            let curve = Curve::from_arrivals(&a, 60.0, node.capacity / 4.0);
+            Load { name: format!("volume {i}"), latency_objective_s, max_request_units: 8.0, curve }
         })
         .collect();
-    let means: f64 = loads.iter().filter_map(|l| l.curve.least()).map(|p| p.rate).sum();
+    let means: f64 = loads.iter().filter_map(|l| l.curve.first()).map(|p| p.rate).sum();
     println!(
         "2000 loads on 60 nodes; their mean rates are {:.2} of the capacity",
         means / 60.0 / node.capacity
@@ -33,23 +33,23 @@
     println!(
         "linear program: {:.2} s, {} nodes used, {} loads left, {} programs solved, {} placed without",
         started.elapsed().as_secs_f64(),
-        p.used(),
-        p.left.len(),
-        p.solved,
-        p.at_once
+        p.used_nodes(),
+        p.unplaced.len(),
+        p.programs_solved,
+        p.placed_directly
     );
     for times in [1.0, 1.5, 2.0] {
         let started = Instant::now();
-        let p = by_mean_rate(&node, 60, &loads, times);
-        let holds = |there: &&Vec<(usize, Point)>| {
-            let all: Vec<&Load> = there.iter().map(|(l, _)| &loads[*l]).collect();
+        let p = place_by_mean_rate(&node, 60, &loads, times);
+        let holds = |placed: &&Vec<PlacedLoad>| {
+            let all: Vec<&Load> = placed.iter().map(|placed| &loads[placed.load]).collect();
             fit(&node, &all).is_some()
         };
         let taken = started.elapsed().as_secs_f64();
         println!(
             "{times} of the mean: {taken:.3} s, {} nodes used, {} loads left; latency objectives hold by the bound at {} of them",
-            p.used(),
-            p.left.len(),
+            p.used_nodes(),
+            p.unplaced.len(),
             p.nodes.iter().filter(|n| !n.is_empty()).filter(holds).count()
         );
     }
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -1,11 +1,24 @@
-//! The paper's idea at placement time (sections 2.2 to 2.4), which the running host leaves out: `curve` makes r-b curves of
-//! recorded loads, `fit` bounds latency at a node and finds rates and bursts under which all latency objectives hold, `place` puts
-//! loads on nodes. No I/O, no clock. docs/plans.md tells what was changed and what the bound does not cover.
+//! Whether recorded loads fit on nodes: the paper's method at placement time (sections 2.2 to 2.4), which the running host leaves
+//! out. No I/O, no clock. docs/plans.md tells what was changed and what the bound does not cover.
+//!
+//! | file | job |
+//! | --- | --- |
+//! | `curve` | rate-burst curves of recorded arrivals |
+//! | `load` | loads, nodes, and the order in which latency objectives rank loads |
+//! | `latency_bound` | a bound on each load's latency at a node |
+//! | `fit` | rates and bursts under which all latency objectives hold, by a linear program |
+//! | `placement` | loads onto nodes |
+
+#![warn(missing_docs)]
 
 mod curve;
 mod fit;
-mod place;
+mod latency_bound;
+mod load;
+mod placement;
 
-pub use curve::{max_held, Curve, Point};
-pub use fit::{bounds, fit, Load, Node};
-pub use place::{by_mean_rate, place, Placement};
+pub use curve::{max_bucket_level, Arrival, Curve, Line, Point};
+pub use fit::fit;
+pub use latency_bound::latency_bounds;
+pub use load::{Load, Node};
+pub use placement::{place, place_by_mean_rate, PlacedLoad, Placement};
--- a/crates/planner/tests/planner.rs
+++ b/crates/planner/tests/planner.rs
@@ -2,10 +2,10 @@
 
 use tackmast_planner::*;
 
-const NODE: Node = Node { capacity: 200.0, unit_s: 0.005, ahead: 0.0, way_s: 0.0 };
+const NODE: Node = Node { capacity: 200.0, unit_service_s: 0.005, in_flight_units: 0.0, round_trip_s: 0.0 };
 
-/// Arrivals that come in surges: seconds and units.
-fn arrivals(seed: u64, rate: f64, surge: f64, seconds: f64) -> Vec<(f64, f64)> {
+/// Arrivals that come in surges.
+fn arrivals(seed: u64, rate: f64, surge: f64, seconds: f64) -> Vec<Arrival> {
     let mut c = oorandom::Rand64::new(u128::from(seed));
     let (mut t, mut all) = (0.0, Vec::new());
     loop {
@@ -14,42 +14,42 @@
         if t >= seconds {
             return all;
         }
-        all.push((t, 1.0 + c.rand_range(0..4) as f64));
+        all.push(Arrival { at_s: t, units: 1.0 + c.rand_range(0..4) as f64 });
     }
 }
 
-fn load(seed: u64, rate: f64, surge: f64, latency_objective_s: f64) -> (Load, Vec<(f64, f64)>) {
+fn load(seed: u64, rate: f64, surge: f64, latency_objective_s: f64) -> (Load, Vec<Arrival>) {
     let a = arrivals(seed, rate, surge, 60.0);
-    let curve = Curve::of(&a, 60.0, NODE.capacity);
-    (Load { name: format!("load {seed}"), latency_objective_s, largest: 4.0, curve }, a)
+    let curve = Curve::from_arrivals(&a, 60.0, NODE.capacity);
+    (Load { name: format!("load {seed}"), latency_objective_s, max_request_units: 4.0, curve }, a)
 }
 
 #[test]
-fn a_curve_is_the_least_burst_of_all_windows_and_convex() {
+fn a_curve_is_the_smallest_burst_of_all_windows_and_convex() {
     let (l, a) = load(3, 10.0, 6.0, 1.0);
     for p in &l.curve.points {
         let mut most = 0.0f64;
         for i in 0..a.len() {
             let mut sum = 0.0;
-            for (t, units) in &a[i..] {
+            for Arrival { at_s, units } in &a[i..] {
                 sum += units;
-                most = most.max(sum - p.rate * (t - a[i].0));
+                most = most.max(sum - p.rate * (at_s - a[i].at_s));
             }
         }
         assert!((most - p.burst).abs() < 1e-6, "{p:?}: {most} by all windows");
     }
-    for (slope, at_zero) in l.curve.lines() {
-        let under = l.curve.points.iter().all(|p| p.burst >= slope * p.rate + at_zero - 1e-6);
+    for Line { slope, intercept } in l.curve.lines() {
+        let under = l.curve.points.iter().all(|p| p.burst >= slope * p.rate + intercept - 1e-6);
         assert!(under && slope <= 0.0, "slope {slope}");
     }
-    let (first, last) = (l.curve.least().unwrap(), l.curve.last().unwrap());
+    let (first, last) = (l.curve.first().unwrap(), l.curve.last().unwrap());
     assert_eq!(l.curve.burst(first.rate * 0.9), None);
     assert_eq!(l.curve.burst(last.rate * 9.0), Some(last.burst));
 }
 
 #[test]
 fn what_fits_holds_when_it_is_played() {
-    // A queue with priorities by latency objective that serves one at a time: the paper's server. How many loads, and their pace.
+    // A queue with priorities by latency objective that serves one at a time: the paper's server. How many loads, their rate and their surge.
     let mut held = 0;
     let sets = [
         (3, 4.0, 2.0),
@@ -65,14 +65,17 @@
         let loads: Vec<&Load> = both.iter().map(|b| &b.0).collect();
         let Some(points) = fit(&NODE, &loads) else { continue };
         held += 1;
-        for (b, l) in bounds(&NODE, &loads, &points).iter().zip(&loads) {
+        for (b, l) in latency_bounds(&NODE, &loads, &points).iter().zip(&loads) {
             assert!(*b <= l.latency_objective_s + 1e-6, "{b} of {}", l.latency_objective_s);
         }
         for (p, l) in points.iter().zip(&loads) {
             assert!(p.burst >= l.curve.burst(p.rate).unwrap() - 1e-6, "{p:?} is under its curve");
         }
-        let mut all: Vec<(f64, f64, usize)> =
-            both.iter().enumerate().flat_map(|(i, b)| b.1.iter().map(move |(t, u)| (*t, *u, i))).collect();
+        let mut all: Vec<(f64, f64, usize)> = both
+            .iter()
+            .enumerate()
+            .flat_map(|(i, b)| b.1.iter().map(move |a| (a.at_s, a.units, i)))
+            .collect();
         all.sort_by(|a, b| a.0.total_cmp(&b.0));
         let (mut now, mut next, mut waiting) = (0.0f64, 0, Vec::<(f64, f64, usize)>::new());
         while next < all.len() || !waiting.is_empty() {
@@ -102,26 +105,26 @@
     for nodes in [1, 4, 20] {
         let p = place(&NODE, nodes, &loads);
         let placed: usize = p.nodes.iter().map(Vec::len).sum();
-        assert_eq!(placed + p.left.len(), loads.len());
-        assert_eq!(p.left.is_empty(), nodes == 20, "{nodes} nodes: {} left", p.left.len());
-        for there in &p.nodes {
-            let all: Vec<&Load> = there.iter().map(|(l, _)| &loads[*l]).collect();
-            let points: Vec<Point> = there.iter().map(|(_, p)| *p).collect();
-            let held = bounds(&NODE, &all, &points)
+        assert_eq!(placed + p.unplaced.len(), loads.len());
+        assert_eq!(p.unplaced.is_empty(), nodes == 20, "{nodes} nodes: {} left", p.unplaced.len());
+        for placed in &p.nodes {
+            let all: Vec<&Load> = placed.iter().map(|placed| &loads[placed.load]).collect();
+            let points: Vec<Point> = placed.iter().map(|placed| placed.point).collect();
+            let held = latency_bounds(&NODE, &all, &points)
                 .iter()
                 .zip(&all)
                 .all(|(b, l)| *b <= l.latency_objective_s + 1e-6);
-            assert!(held, "{there:?}");
+            assert!(held, "{placed:?}");
         }
     }
     // By the mean alone more goes onto a node than its latency objectives bear.
-    let plain = by_mean_rate(&NODE, 20, &loads, 1.5);
-    let fits = |there: &Vec<(usize, Point)>| {
-        let all: Vec<&Load> = there.iter().map(|(l, _)| &loads[*l]).collect();
+    let plain = place_by_mean_rate(&NODE, 20, &loads, 1.5);
+    let fits = |placed: &Vec<PlacedLoad>| {
+        let all: Vec<&Load> = placed.iter().map(|placed| &loads[placed.load]).collect();
         fit(&NODE, &all).is_some()
     };
     assert!(
-        plain.left.is_empty() && plain.nodes.iter().any(|n| !fits(n)),
-        "some node of the plain way does not hold"
+        plain.unplaced.is_empty() && plain.nodes.iter().any(|n| !fits(n)),
+        "some node of the plain method does not hold"
     );
 }
