--- a/crates/cli/src/planner.rs
+++ b/crates/cli/src/planner.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 use std::time::Instant;
 use tackmast_config::HostSettings;
-use tackmast_host_core::Layout;
+use tackmast_host_core::{Access, Layout};
 use tackmast_planner::{bounds, fit, max_held, place, Curve, Load, Node, Point};
 use tackmast_simulator::World;
 
@@ -46,7 +46,7 @@
     let mut arrivals: BTreeMap<(usize, usize, u32), Vec<(f64, f64)>> = BTreeMap::new();
     for a in l.arrivals(s.host.hosts) {
         let Some(volume) = layout.volume_named(&l.flows[a.flow].volume) else { continue };
-        let traffic_class = layout.traffic_class(volume, a.write, a.blocks);
+        let traffic_class = layout.traffic_class(volume, access(a.write), a.blocks);
         for part in layout.parts(volume, traffic_class, a.block, a.blocks) {
             let of = arrivals.entry((volume, traffic_class, part.shard.0)).or_default();
             of.push((a.at_us as f64 / 1e6, part.units));
@@ -75,7 +75,7 @@
     for a in l.arrivals(s.host.hosts) {
         let Some(volume) = layout.volume_named(&l.flows[a.flow].volume) else { continue };
         let v = &s.volumes[volume];
-        let traffic_class = layout.traffic_class(volume, a.write, a.blocks);
+        let traffic_class = layout.traffic_class(volume, access(a.write), a.blocks);
         let units: f64 = layout.parts(volume, traffic_class, a.block, a.blocks).iter().map(|p| p.units).sum();
         let host = a.host % v.hosts.max(1);
         arrivals.entry((volume, host)).or_default().push((a.at_us as f64 / 1e6, units));
@@ -301,3 +301,11 @@
 fn name(file: &Path) -> String {
     file.file_stem().map_or_else(String::new, |s| s.to_string_lossy().into_owned())
 }
+
+fn access(write: bool) -> Access {
+    if write {
+        Access::Write
+    } else {
+        Access::Read
+    }
+}
--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -20,16 +20,19 @@
 use crate::command::{ClientCommand, CommandRef, Verdict, Work};
 use crate::consensus::ConsensusDriver;
 use crate::error::{PersistError, PlanError};
-use crate::fair_queueing::{FairQueueing, QueueKey, QueueTicket};
-use crate::layout::{key_id, Layout};
+use crate::fair_queueing::{FairQueueCounts, FairQueueing, QueueKey, QueueTicket};
+use crate::layout::{key_id, Access, Layout};
 use crate::nodes::{ListEntry, Nodes};
 use crate::output::{Counters, OpenCounts, Output};
 use crate::override_requests::{
     AdminRequest, AdminResponse, HostStatus, OverrideOutcome, OverrideRequests, PersistBatch,
+    PersistedOverride,
 };
 use crate::peers::{PeerEvent, Peers};
 use crate::placed::{PlacedRequest, PlacedSettings, VolumeNames};
-use crate::plans::{AppliedChange, PlanOutcome, PlanRequest, PlanResponse, PlanUpdate, Plans};
+use crate::plans::{
+    AppliedChange, PersistedChange, PlanOutcome, PlanRequest, PlanResponse, PlanUpdate, Plans, StoredPlans,
+};
 use crate::ticket::Ticket;
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -187,7 +190,7 @@
     }
 
     /// Queues that are not empty, and sessions remembered in them.
-    pub fn fair_queue_counts(&self) -> (usize, usize) {
+    pub fn fair_queue_counts(&self) -> FairQueueCounts {
         self.fair_queueing.counts()
     }
 
--- a/crates/host-core/src/core/admin.rs
+++ b/crates/host-core/src/core/admin.rs
@@ -86,10 +86,11 @@
         if self.handle_consensus_persisted(now, request, &result) {
             return;
         }
-        let plans = self.plans.as_mut().and_then(|p| p.handle_persisted(now, request, result.clone()));
-        if let Some((response, apply_change)) = plans {
-            if let Some(h) = apply_change {
-                self.apply_change(now, h, true);
+        let change =
+            self.plans.as_mut().and_then(|plans| plans.handle_persisted(now, request, result.clone()));
+        if let Some(PersistedChange { response, applied }) = change {
+            if let Some(change) = applied {
+                self.apply_change(now, change);
                 self.process_peer_events(now);
             }
             self.outputs
@@ -98,9 +99,9 @@
         if let Some((request, plan_request)) = self.plans.as_mut().and_then(Plans::next_queued) {
             self.handle_plan_request(now, request, plan_request);
         }
-        let acknowledged =
+        let persisted =
             self.override_requests.as_mut().and_then(|o| o.handle_persisted(now, request, result));
-        if let Some((response, line)) = acknowledged {
+        if let Some(PersistedOverride { response, line }) = persisted {
             if let Some(peers) = &mut self.peers {
                 peers.handle_override_response(now, &response);
             }
--- a/crates/host-core/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -6,7 +6,7 @@
 /// Where a command goes, and until when.
 struct CommandPlacement {
     volume: usize,
-    write: bool,
+    access: Access,
     traffic_class: usize,
     deadline: Instant,
     parts: Vec<Part>,
@@ -41,15 +41,15 @@
     /// Traffic class, deadline and parts of a command.
     fn place_command(&self, volume: usize, command: &ClientCommand) -> CommandPlacement {
         let block_bytes = self.layout.volume(volume).block_bytes;
-        let (write, blocks) = match &command.work {
-            Work::Read { blocks } => (false, *blocks),
-            Work::Write { data } => (true, (data.len() / block_bytes as usize) as u32),
+        let (access, blocks) = match &command.work {
+            Work::Read { blocks } => (Access::Read, *blocks),
+            Work::Write { data } => (Access::Write, (data.len() / block_bytes as usize) as u32),
         };
-        let traffic_class = self.layout.traffic_class(volume, write, blocks);
+        let traffic_class = self.layout.traffic_class(volume, access, blocks);
         let timeout = command.timeout.unwrap_or(self.traffic_classes[traffic_class].deadline);
         CommandPlacement {
             volume,
-            write,
+            access,
             traffic_class,
             deadline: command.received_at + timeout - self.lead,
             parts: self.layout.parts(volume, traffic_class, command.block, blocks),
@@ -70,7 +70,7 @@
                 None => KeySource::Host,
             },
             bytes: placement.bytes,
-            write: placement.write,
+            access: placement.access,
         };
         self.commands.insert(from, open);
         self.sessions.entry(from.session).or_default().insert(from.command);
@@ -173,7 +173,7 @@
             // The client's own key is part of the request: it is the same at each of its retries.
             key_source: KeySource::Client,
             bytes: placed.request.bytes(),
-            write: false,
+            access: Access::Read,
         };
         self.commands.insert(from, command);
         self.sessions.entry(from.session).or_default().insert(from.command);
@@ -306,7 +306,7 @@
         let verdict = match combined {
             Combined::Done => {
                 self.counters.done += 1;
-                Verdict::Done { data: if command.write { Bytes::new() } else { command.joined_data() } }
+                Verdict::Done { data: command.answer_data() }
             }
             Combined::Rejected { retry_after } => {
                 self.counters.rejected += 1;
--- a/crates/host-core/src/core/consensus.rs
+++ b/crates/host-core/src/core/consensus.rs
@@ -47,10 +47,10 @@
             return;
         }
         consensus.next_acknowledgement_check = now + TimeDelta::from_secs(ACKNOWLEDGEMENT_CHECK_S);
-        let (acknowledged, waits) = plans.acknowledged();
+        let acknowledged = plans.acknowledged();
         let version = plans.version();
-        if waits
-            && acknowledged < version
+        if acknowledged.is_awaited
+            && acknowledged.version < version
             && consensus.replica.raft.is_stored_on_all(0..consensus.settings.host_count, consensus.changed_at)
         {
             let data = serde_json::to_vec(&PlanCommand::Told { version }).unwrap_or_default();
@@ -153,7 +153,7 @@
             Ok(CommittedChange { updates, entry, lines }) => {
                 self.apply_plan_updates(now, &updates);
                 let Some(e) = entry else {
-                    let (acknowledged, _) = self.plans.as_ref().map_or((0, false), Plans::acknowledged);
+                    let acknowledged = self.plans.as_ref().map_or(0, |plans| plans.acknowledged().version);
                     return self.log(format!(
                         "plans: version {acknowledged} is stored on all hosts: lower fallback limits apply"
                     ));
@@ -216,7 +216,7 @@
                 let mut s = consensus.status(now);
                 if let Some(p) = &self.plans {
                     (s.version, s.acknowledged, s.degraded) =
-                        (p.version(), p.acknowledged().0, p.is_degraded());
+                        (p.version(), p.acknowledged().version, p.is_degraded());
                 }
                 ConsensusResponse::Status(Box::new(s))
             }
--- a/crates/host-core/src/core/peers.rs
+++ b/crates/host-core/src/core/peers.rs
@@ -14,10 +14,10 @@
         plans.must_wait_for_catalog(now, up_to_date)
     }
 
-    /// Lets plans change while the host runs; `first`: nothing of them is in the store yet.
-    pub fn with_plans(&mut self, now: Instant, mut plans: Plans, first: bool) {
-        let resume = plans.resume();
-        if first {
+    /// Lets plans change while the host runs.
+    pub fn with_plans(&mut self, now: Instant, mut plans: Plans, stored: StoredPlans) {
+        let updates = plans.resume();
+        if stored == StoredPlans::Nothing {
             let batch =
                 PersistBatch { changes: vec![(0, plans.checkpoint_line())], ..PersistBatch::default() };
             self.outputs.push_back(Output::Persist { request: 0, batch });
@@ -26,7 +26,7 @@
             peers.enable_catalog(&plans);
         }
         self.plans = Some(plans);
-        self.apply_plan_updates(now, &resume);
+        self.apply_plan_updates(now, &updates);
         if self.consensus.is_some() {
             // Until it has a lease this host is in degraded mode.
             let updates = self.plans.as_mut().map(|p| p.all_updates()).unwrap_or_default();
@@ -54,26 +54,31 @@
         }
         let Some((peers, plans)) = self.peers.as_mut().zip(self.plans.as_ref()) else { return };
         for v in self.layout.volumes() {
-            if let Some((limit, _, _)) = plans.limit_of(&v.name) {
-                peers.member.leases.set_limit(v.lun, limit);
+            if let Some(limit) = plans.limit_of(&v.name) {
+                peers.member.leases.set_limit(v.lun, limit.limit);
             }
         }
     }
 
-    /// A change applies here: it is replicated to peers, and persisted where that has not been done.
-    pub(super) fn apply_change(&mut self, now: Instant, h: AppliedChange, handle_persisted: bool) {
-        self.log(h.line);
-        self.apply_plan_updates(now, &h.updates);
-        if !handle_persisted {
-            let batch = PersistBatch { changes: vec![(h.number, h.text.clone())], ..PersistBatch::default() };
-            self.outputs.push_back(Output::Persist { request: 0, batch });
-        }
+    /// A change applies here: it is replicated to peers.
+    pub(super) fn apply_change(&mut self, now: Instant, change: AppliedChange) {
+        self.log(change.line);
+        self.apply_plan_updates(now, &change.updates);
         if let Some(peers) = &mut self.peers {
-            let version = tackmast_membership::CatalogVersion { number: h.number, mark: h.mark };
-            peers.member.handle_catalog_applied(now, version, Bytes::from(h.text), h.effective_at);
+            let version = tackmast_membership::CatalogVersion { number: change.number, mark: change.mark };
+            let text = Bytes::from(change.text);
+            peers.member.handle_catalog_applied(now, version, text, change.effective_at);
         }
     }
 
+    /// The same for a change of a peer, which this host's store does not have yet.
+    fn apply_and_persist_change(&mut self, now: Instant, change: AppliedChange) {
+        let batch =
+            PersistBatch { changes: vec![(change.number, change.text.clone())], ..PersistBatch::default() };
+        self.apply_change(now, change);
+        self.outputs.push_back(Output::Persist { request: 0, batch });
+    }
+
     pub(super) fn handle_plan_request(&mut self, now: Instant, request: u64, plan_request: PlanRequest) {
         let wall_us = self.wall_us(now);
         if self.consensus.is_some() {
@@ -193,7 +198,7 @@
                     let Some(plans) = &mut self.plans else { continue };
                     let ends = peers.member.catalog.deadline(p.number, now);
                     match plans.apply_peer_change(&p.text, ends) {
-                        Ok(h) => self.apply_change(now, h, false),
+                        Ok(change) => self.apply_and_persist_change(now, change),
                         Err(why) => {
                             peers.member.catalog.handle_rejected();
                             self.log(format!("plans: change {} rejected: {why}", p.number));
--- a/crates/host-core/src/core/replicated_plans.rs
+++ b/crates/host-core/src/core/replicated_plans.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::consensus::{MAX_WAITING_READS, READ_TIMEOUT_S};
+use crate::plans::ChangePreview;
 use tackmast_plans::{Change, Command as PlanCommand};
 
 impl Core {
@@ -57,7 +58,7 @@
     fn preview(&self, wall_us: u64, change: Change) -> Option<PlanResponse> {
         let (consensus, plans) = (self.consensus.as_ref()?, self.plans.as_ref()?);
         Some(match plans.preview_change(wall_us, change) {
-            Ok((number, version, lines)) => {
+            Ok(ChangePreview { number, version, lines }) => {
                 let in_force_s = consensus.settle().secs();
                 PlanResponse::Applied { number, version, lines, in_force_s, dry_run: true }
             }
--- a/crates/host-core/src/core/tables.rs
+++ b/crates/host-core/src/core/tables.rs
@@ -100,7 +100,7 @@
     pub volume: usize,
     pub key_source: KeySource,
     pub bytes: usize,
-    pub write: bool,
+    pub access: Access,
 }
 
 impl OpenCommand {
@@ -108,8 +108,11 @@
         self.parts.iter().map(|part| part.request).collect()
     }
 
-    /// What was read, in the order of the blocks.
-    pub(super) fn joined_data(&self) -> Bytes {
+    /// What was read, in the order of the blocks; nothing for a write.
+    pub(super) fn answer_data(&self) -> Bytes {
+        if self.access == Access::Write {
+            return Bytes::new();
+        }
         if let [only] = &self.parts[..] {
             return only.data.clone();
         }
--- a/crates/host-core/src/fair_queueing.rs
+++ b/crates/host-core/src/fair_queueing.rs
@@ -64,6 +64,15 @@
     queues: BTreeMap<QueueKey, FairQueue>,
 }
 
+/// What fair queueing remembers.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct FairQueueCounts {
+    /// Queues that are not empty.
+    pub queues: usize,
+    /// Sessions remembered in them.
+    pub sessions: usize,
+}
+
 impl FairQueueing {
     /// Enters a request of a session that costs so many units.
     pub fn enqueue(&mut self, name: QueueKey, session: u32, units: f64) -> QueueTicket {
@@ -119,8 +128,9 @@
     }
 
     /// Queues, and sessions remembered in them.
-    pub fn counts(&self) -> (usize, usize) {
-        (self.queues.len(), self.queues.values().map(|l| l.sessions.len()).sum())
+    pub fn counts(&self) -> FairQueueCounts {
+        let sessions = self.queues.values().map(|queue| queue.sessions.len()).sum();
+        FairQueueCounts { queues: self.queues.len(), sessions }
     }
 }
 
--- a/crates/host-core/src/fair_queueing/tests.rs
+++ b/crates/host-core/src/fair_queueing/tests.rs
@@ -69,16 +69,16 @@
         let next = s.enqueue(LINE, session, 1.0);
         s.sent(std::mem::replace(&mut last, next));
         s.session_closed(session - 1);
-        assert!(s.counts().1 <= 2 * MIN_EVICTION_LEN, "{:?}", s.counts());
+        assert!(s.counts().sessions <= 2 * MIN_EVICTION_LEN, "{:?}", s.counts());
     }
     s.sent(last);
-    assert_eq!(s.counts(), (0, 0));
+    assert_eq!(s.counts(), FairQueueCounts::default());
     // Those that stay are forgotten once virtual time has passed their work.
     let mut waiting: Vec<QueueTicket> = (0..1000).map(|i| s.enqueue(LINE, i, 1.0)).collect();
     waiting.extend((0..10).map(|_| s.enqueue(LINE, 5000, 1.0)));
     serve(&mut s, &mut waiting, 1002.0);
     waiting.extend((0..MIN_EVICTION_LEN as u32).map(|i| s.enqueue(LINE, 6000 + i, 1.0)));
-    assert!(s.counts().1 < 2 * MIN_EVICTION_LEN, "{:?}", s.counts());
+    assert!(s.counts().sessions < 2 * MIN_EVICTION_LEN, "{:?}", s.counts());
 }
 
 proptest! {
--- a/crates/host-core/src/layout.rs
+++ b/crates/host-core/src/layout.rs
@@ -19,6 +19,15 @@
     pub units: f64,
 }
 
+/// Which way a command goes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Access {
+    /// From the volume.
+    Read,
+    /// To the volume.
+    Write,
+}
+
 /// The volumes of a host, and how their blocks are spread over shards.
 #[derive(Debug, Default)]
 pub struct Layout {
@@ -75,14 +84,13 @@
     }
 
     /// The traffic class of a command on so many blocks.
-    pub fn traffic_class(&self, volume: usize, write: bool, blocks: u32) -> usize {
+    pub fn traffic_class(&self, volume: usize, access: Access, blocks: u32) -> usize {
         let v = &self.volumes[volume];
         let read =
             v.large.filter(|(from, _)| blocks >= *from).map_or(v.reads, |(_, traffic_class)| traffic_class);
-        if write {
-            v.writes as usize
-        } else {
-            read as usize
+        match access {
+            Access::Write => v.writes as usize,
+            Access::Read => read as usize,
         }
     }
 
--- a/crates/host-core/src/layout/tests.rs
+++ b/crates/host-core/src/layout/tests.rs
@@ -60,7 +60,11 @@
     assert_ne!(l.parts(0, 1, 39, 1)[0].key, l.parts(0, 1, 40, 1)[0].key);
     assert_eq!(l.max_blocks(0), 120, "three whole granules of 40 and two cut ones are four parts");
     assert_eq!(
-        (l.traffic_class(0, true, 64), l.traffic_class(0, false, 63), l.traffic_class(0, false, 64)),
+        (
+            l.traffic_class(0, Access::Write, 64),
+            l.traffic_class(0, Access::Read, 63),
+            l.traffic_class(0, Access::Read, 64)
+        ),
         (1, 0, 1)
     );
 }
--- a/crates/host-core/src/lib.rs
+++ b/crates/host-core/src/lib.rs
@@ -52,14 +52,17 @@
     raft_settings, ConsensusDriver, ConsensusRequest, ConsensusResponse, ConsensusStart, ConsensusStatus,
 };
 pub use error::{PersistError, PlanError};
-pub use fair_queueing::{FairQueueing, QueueKey, QueueTicket};
-pub use layout::{Layout, Part};
+pub use fair_queueing::{FairQueueCounts, FairQueueing, QueueKey, QueueTicket};
+pub use layout::{Access, Layout, Part};
 pub use members_status::{DeathStatus, MembersStatus, PeerStatus, SiteStatus};
 pub use nodes::{Age, ListEntry, NodeStart, Nodes};
 pub use output::{Counters, OpenCounts, Output};
 pub use override_requests::{AdminRequest, AdminResponse, HostStatus, OverrideRequests, PersistBatch};
-pub use peers::{member_settings, Peers};
+pub use peers::{member_settings, HostIdentity, Peers};
 pub use placed::{OpaqueRequest, PlacedRequest, PlacedSettings, VolumeNames};
-pub use plans::{PlanRequest, PlanResponse, PlanStatus, PlanUpdate, Plans};
-pub use tackmast_membership::{KnownPeer, PersistedMembers};
+pub use plans::{
+    AppliedChange, PersistedChange, PlanRequest, PlanResponse, PlanStatus, PlanUpdate, Plans, StoredPlans,
+    VolumeLimit,
+};
+pub use tackmast_membership::{KnownPeer, PersistedMembers, PreviousExit};
 pub use ticket::Ticket;
--- a/crates/host-core/src/override_requests.rs
+++ b/crates/host-core/src/override_requests.rs
@@ -2,6 +2,7 @@
 //! reach the scheduler as node states, weights and pins.
 
 use crate::error::PersistError;
+use crate::peers::HostIdentity;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -169,7 +170,7 @@
     queued: VecDeque<(u64, AdminRequest)>,
     next_report_at: Instant,
     /// Host and generation that name overrides set here, where hosts replicate theirs.
-    pub me: Option<(u32, u64)>,
+    pub me: Option<HostIdentity>,
 }
 
 /// What a request leads to.
@@ -178,6 +179,14 @@
     Persist(u64, PersistBatch),
 }
 
+/// What became of a change that was given to the store.
+pub struct PersistedOverride {
+    /// The answer to whoever asked for it.
+    pub response: AdminResponse,
+    /// For the log.
+    pub line: String,
+}
+
 impl OverrideRequests {
     /// Takes over overrides that are set.
     pub fn new(now: Instant, overrides: Overrides) -> Self {
@@ -234,7 +243,7 @@
     fn begin_set(&mut self, request: u64, mut record: Override, preview: Preview) -> OverrideOutcome {
         record.id = self.overrides.reserve();
         let number = record.id.0;
-        let own_origin = self.me.map(|(slot, generation)| Origin { slot, generation, number });
+        let own_origin = self.me.map(|me| Origin { slot: me.slot, generation: me.generation, number });
         record.origin = record.origin.or(own_origin);
         let audit = Audit::set(&record, preview.forced_past.is_some());
         let batch =
@@ -261,15 +270,15 @@
         AdminResponse::List { version, standing, returning, returning_within_s }
     }
 
-    /// The store has written a change, and it applies, or could not, and it never does. The line is for the log.
+    /// The store has written a change, and it applies, or could not, and it never does.
     pub fn handle_persisted(
         &mut self,
         now: Instant,
         request: u64,
         result: Result<(), PersistError>,
-    ) -> Option<(AdminResponse, String)> {
+    ) -> Option<PersistedOverride> {
         let (_, pending) = self.pending.take_if(|(r, _)| *r == request)?;
-        Some(match (pending, result) {
+        let (response, line) = match (pending, result) {
             (Pending::Put(put), Err(error)) => {
                 let (record, _) = *put;
                 let line = format!("override of {} not written: {error}", record.target);
@@ -298,7 +307,8 @@
                 _ = self.overrides.clear(now, id, &who);
                 (AdminResponse::Cleared { id }, format!("override {} cleared by {who}", id.0))
             }
-        })
+        };
+        Some(PersistedOverride { response, line })
     }
 
     /// The next queued request, once none is pending.
--- a/crates/host-core/src/peers.rs
+++ b/crates/host-core/src/peers.rs
@@ -9,9 +9,9 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_config::{HostSettings, MembershipBlock};
 use tackmast_membership::{
-    CatalogUpdate, CatalogVersion, Extensions, KnownPeer, LeaseSettings, Member, MemberSettings,
-    NodeListEvent, Output, OverrideEvent, OverrideKind, OverrideRecord, PersistedMembers, PreviousExit,
-    QuotaBalance, SharedLimit, ViewSettings,
+    CatalogUpdate, Extensions, KnownPeer, LeaseSettings, Member, MemberSettings, NodeListEvent, Output,
+    OverrideEvent, OverrideKind, OverrideRecord, PersistedMembers, PreviousExit, QuotaBalance, SharedLimit,
+    ViewSettings,
 };
 use tackmast_overrides::{Kind, Order, Origin, Override, OverrideId};
 use tackmast_wire::peer::Body;
@@ -66,7 +66,7 @@
     m: &MembershipBlock,
     address: SocketAddr,
     generation: u64,
-    left: bool,
+    previous_exit: PreviousExit,
     seed: u64,
     recalled: Vec<KnownPeer>,
 ) -> MemberSettings {
@@ -97,11 +97,20 @@
             owned: tackmast::policy::GUARANTEED_SHARE,
         },
         shared_limits: shared_limits.collect(),
-        previous_exit: if left { PreviousExit::Graceful } else { PreviousExit::Unclean },
+        previous_exit,
         seed,
     }
 }
 
+/// A generation of a host.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct HostIdentity {
+    /// The host's number.
+    pub slot: u32,
+    /// Its generation.
+    pub generation: u64,
+}
+
 impl Peers {
     /// Takes this host in among others.
     pub fn new(now: Instant, settings: MemberSettings) -> Self {
@@ -117,17 +126,16 @@
         }
     }
 
-    /// Host and generation.
-    pub fn me(&self) -> (u32, u64) {
+    /// This host, as others name it.
+    pub fn me(&self) -> HostIdentity {
         let me = self.member.view.me();
-        (me.slot, me.generation)
+        HostIdentity { slot: me.slot, generation: me.generation }
     }
 
     /// Enables the replication of changes of plans, of which this host has these.
     pub fn enable_catalog(&mut self, plans: &crate::Plans) {
         let encoded_changes = plans.encoded_changes().map(|(n, t)| (n, Bytes::from(t)));
-        let (number, mark) = plans.newest_version();
-        self.member.catalog.enable(CatalogVersion { number, mark }, encoded_changes);
+        self.member.catalog.enable(plans.newest_version(), encoded_changes);
     }
 
     /// Whether a request follows from an override that was set at another host.
--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -2,18 +2,20 @@
 //! each before it applies, and all others replicate them in the home's order. The newest change that a host has applies to
 //! it; docs/plans.md argues why rule 7 is kept while hosts learn of a change at different times.
 
+mod changes;
 mod from_settings;
 mod messages;
 mod replicated;
 
+pub use self::changes::{AppliedChange, PersistedChange, PlanOutcome, PlanUpdate, StoredPlans, VolumeLimit};
 use self::from_settings::{catalog_of_settings, fleet};
 pub use self::messages::{PlanRequest, PlanResponse, PlanStatus};
-pub(crate) use self::replicated::CommittedChange;
+pub(crate) use self::replicated::{ChangePreview, CommittedChange};
 use crate::error::{PersistError, PlanError};
 use std::collections::{BTreeMap, VecDeque};
 use tackmast::interface::{Instant, Plan as Figures, PlanId, TimeDelta};
 use tackmast_config::{HostSettings, PlansBlock};
-use tackmast_membership::{MAX_CATALOG_UPDATES, MAX_UPDATE_LEN};
+use tackmast_membership::{CatalogVersion, MAX_CATALOG_UPDATES, MAX_UPDATE_LEN};
 use tackmast_plans::{Agreed, Catalogue, Change, Command, Entry, Fleet, Plan, Step, Trail, TrailError};
 
 /// Requests that may wait for the one before them to be written.
@@ -25,41 +27,6 @@
 /// Bytes of a change log that fit one answer.
 const MAX_LOG_BYTES: usize = 3 << 20;
 
-/// A change for the scheduler and the layout.
-#[derive(Clone, Debug, PartialEq)]
-pub enum PlanUpdate {
-    /// A plan has these figures.
-    Plan {
-        /// The scheduler's number of it.
-        plan: PlanId,
-        /// Its figures.
-        figures: Figures,
-    },
-    /// A volume is under this plan.
-    Volume {
-        /// The volume.
-        name: String,
-        /// The scheduler's number of the plan.
-        plan: PlanId,
-    },
-}
-
-/// What a request leads to.
-pub enum PlanOutcome {
-    Respond(u64, PlanResponse),
-    Persist(u64, Box<Entry>),
-}
-
-/// A change that applies from now on: updates for this host, and its text for peers.
-pub struct AppliedChange {
-    pub updates: Vec<PlanUpdate>,
-    pub number: u64,
-    pub mark: u64,
-    pub text: Vec<u8>,
-    pub effective_at: Instant,
-    pub line: String,
-}
-
 /// The plans of this host: the log of their changes, and the one change at a time that is being written.
 pub struct Plans {
     change_log: Trail,
@@ -160,9 +127,9 @@
     }
 
     /// Number and mark of the newest change.
-    pub fn newest_version(&self) -> (u64, u64) {
+    pub fn newest_version(&self) -> CatalogVersion {
         let (number, digest) = self.change_log().newest();
-        (number, mark(digest))
+        CatalogVersion { number, mark: mark(digest) }
     }
 
     /// Each change as a text, for peers that request it.
@@ -280,22 +247,20 @@
         now: Instant,
         request: u64,
         result: Result<(), PersistError>,
-    ) -> Option<(PlanResponse, Option<AppliedChange>)> {
+    ) -> Option<PersistedChange> {
         let (_, entry, next) = self.pending.take_if(|(r, _, _)| *r == request)?;
         if let Err(error) = result {
             let why = PlanError::NotPersisted(error).to_string();
-            return Some((PlanResponse::Refused { why }, None));
+            return Some(PersistedChange { response: PlanResponse::Refused { why }, applied: None });
         }
         let before = self.change_log.catalogue.clone();
         let lines = before.diff(&next);
         let (number, version, in_force_s) = (entry.number, entry.version, self.settle.secs());
         self.change_log.kept(*entry, next);
         self.effective_at = now + self.settle;
-        let applied_change = self.applied_change(&before)?;
-        Some((
-            PlanResponse::Applied { number, version, lines, in_force_s, dry_run: false },
-            Some(applied_change),
-        ))
+        let applied = Some(self.applied_change(&before)?);
+        let response = PlanResponse::Applied { number, version, lines, in_force_s, dry_run: false };
+        Some(PersistedChange { response, applied })
     }
 
     /// A change that another host has taken: it applies here from now on, if it is the next one.
@@ -360,9 +325,13 @@
     }
 
     /// Limit, burst and slack of a volume as they apply here.
-    pub fn limit_of(&self, volume: &str) -> Option<(f64, f64, f64)> {
+    pub fn limit_of(&self, volume: &str) -> Option<VolumeLimit> {
         let v = self.change_log().catalogue.volumes.get(volume)?;
-        self.change_log().catalogue.plans.get(&v.plan).map(|p| (p.limit, p.burst, p.slack))
+        self.change_log().catalogue.plans.get(&v.plan).map(|plan| VolumeLimit {
+            limit: plan.limit,
+            burst: plan.burst,
+            slack: plan.slack,
+        })
     }
 
     /// The number of the newest change.
--- a/crates/host-core/src/plans/replicated.rs
+++ b/crates/host-core/src/plans/replicated.rs
@@ -9,6 +9,25 @@
     pub lines: Vec<String>,
 }
 
+/// The newest version that is known to be stored on all hosts.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct AcknowledgedVersion {
+    /// The version.
+    pub version: u64,
+    /// Whether a lower fallback limit waits for a newer one.
+    pub is_awaited: bool,
+}
+
+/// What a change would do.
+pub struct ChangePreview {
+    /// The number that it would have.
+    pub number: u64,
+    /// The version that it would make.
+    pub version: u64,
+    /// What would change, line by line.
+    pub lines: Vec<String>,
+}
+
 impl Plans {
     /// Changes need consensus from here on; until it has a lease this host is in degraded mode.
     pub fn enable_consensus(&mut self) {
@@ -17,8 +36,12 @@
     }
 
     /// The newest version that is known to be stored on all hosts, and whether a lower fallback limit waits for that.
-    pub fn acknowledged(&self) -> (u64, bool) {
-        self.replicated.as_ref().map_or((0, false), |a| (a.told(), a.waits()))
+    pub fn acknowledged(&self) -> AcknowledgedVersion {
+        let state = |replicated: &Agreed| AcknowledgedVersion {
+            version: replicated.told(),
+            is_awaited: replicated.waits(),
+        };
+        self.replicated.as_ref().map(state).unwrap_or_default()
     }
 
     /// The state that the entries of the replicated log led to.
@@ -58,10 +81,11 @@
     }
 
     /// What a change would do, as far as this host knows.
-    pub fn preview_change(&self, at_us: u64, change: Change) -> Result<(u64, u64, Vec<String>), PlanError> {
+    pub fn preview_change(&self, at_us: u64, change: Change) -> Result<ChangePreview, PlanError> {
         let Some(a) = &self.replicated else { return Err(PlanError::NoConsensus) };
         let (entry, next) = a.propose(at_us, change, &self.fleet).map_err(PlanError::Refused)?;
-        Ok((entry.number, entry.version, self.change_log().catalogue.diff(&next)))
+        let lines = self.change_log().catalogue.diff(&next);
+        Ok(ChangePreview { number: entry.number, version: entry.version, lines })
     }
 
     /// Applies a committed command.
--- a/crates/host-core/tests/consensus.rs
+++ b/crates/host-core/tests/consensus.rs
@@ -138,9 +138,10 @@
             start,
             generation,
         ));
-        core.with_plans(self.now, plans, false);
+        core.with_plans(self.now, plans, StoredPlans::ChangeLog);
         let m = s.membership.as_ref().unwrap();
-        let members = member_settings(&s, m, address(host), generation, false, generation, vec![]);
+        let members =
+            member_settings(&s, m, address(host), generation, PreviousExit::Unclean, generation, vec![]);
         core.with_peers(self.now, Peers::new(self.now, members));
         self.cores[host as usize] = Some(core);
         self.listed(host, ListKind::Complete, 5, NodeState::Ready);
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -408,7 +408,7 @@
     let last_other = order.iter().rposition(|s| *s != 1).unwrap();
     assert!(last_other <= 8 && order.len() > 50, "{order:?}");
     core.handle_session_closed(t, 1);
-    assert_eq!(core.fair_queue_counts(), (0, 0));
+    assert_eq!(core.fair_queue_counts(), FairQueueCounts::default());
 }
 
 #[test]
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -495,10 +495,11 @@
     core.handle_wall_clock(now, wall_us);
     let plans_block = settings.plans_live.as_ref().expect("a plans block");
     let plans = Plans::new(now, &settings, plans_block, &[]).expect("plans of the settings");
-    core.with_plans(now, plans, true);
+    core.with_plans(now, plans, StoredPlans::Nothing);
     let membership = settings.membership.as_ref().expect("a membership block");
     let address = host_address(host);
-    let members = member_settings(&settings, membership, address, incarnation, false, seed, vec![]);
+    let members =
+        member_settings(&settings, membership, address, incarnation, PreviousExit::Unclean, seed, vec![]);
     core.with_peers(now, Peers::new(now, members));
     core
 }
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -21,7 +21,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use tackmast_config::{HostSettings, OverridesBlock};
-use tackmast_host_core::{Core, PersistBatch, PersistedMembers, Plans};
+use tackmast_host_core::{Core, PersistBatch, PersistedMembers, Plans, StoredPlans};
 use tackmast_overrides::Overrides;
 use tackmast_store::{Held, Store};
 
@@ -111,7 +111,9 @@
                 now, settings, a, start, generation,
             ));
         }
-        core.with_plans(now, plans, held.trail.is_empty() && !agrees);
+        let stored =
+            if held.trail.is_empty() && !agrees { StoredPlans::Nothing } else { StoredPlans::ChangeLog };
+        core.with_plans(now, plans, stored);
     }
     let (to_store, from) = crossbeam_channel::bounded(EVENTS);
     admin::keep(store, from, urgent.clone())?;
--- a/crates/host/src/peers.rs
+++ b/crates/host/src/peers.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tackmast_config::{HostSettings, MembershipBlock};
-use tackmast_host_core::{member_settings, Core, KnownPeer};
+use tackmast_host_core::{member_settings, Core, KnownPeer, PreviousExit};
 use tackmast_wire::peer;
 
 /// How often the reader looks whether the host stops.
@@ -47,11 +47,12 @@
     let reader = socket.try_clone().map_err(failed)?;
     let marked = m.left_file.as_ref().is_some_and(|f| f.exists());
     let now = clock.now();
+    let previous_exit = if marked { PreviousExit::Graceful } else { PreviousExit::Unclean };
     core.with_peers(
         now,
         tackmast_host_core::Peers::new(
             now,
-            member_settings(s, m, address, generation, marked, seed, recalled),
+            member_settings(s, m, address, generation, previous_exit, seed, recalled),
         ),
     );
     crate::thread("peers".into(), move || read(&reader, &events, &stopping))?;
--- a/crates/simulator/src/plain.rs
+++ b/crates/simulator/src/plain.rs
@@ -6,7 +6,7 @@
 use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, ShardId, TimeDelta};
 use tackmast_config::HostSettings;
 use tackmast_host_core::{
-    AttemptId, AttemptResult, AttemptWork, ClientCommand, CommandRef, Core, Layout, ListEntry, Nodes,
+    Access, AttemptId, AttemptResult, AttemptWork, ClientCommand, CommandRef, Core, Layout, ListEntry, Nodes,
     OpenCounts, Output, Part, SendAttempt, Ticket, Verdict, Work,
 };
 
@@ -96,7 +96,8 @@
             Work::Read { blocks } => (false, *blocks),
             Work::Write { data } => (true, (data.len() / size) as u32),
         };
-        let traffic_class = self.layout.traffic_class(volume, write, blocks);
+        let traffic_class =
+            self.layout.traffic_class(volume, if write { Access::Write } else { Access::Read }, blocks);
         let deadline = now + asked.unwrap_or(self.settings.traffic_classes[traffic_class].deadline);
         let mut ids = Vec::new();
         let mut taken = 0;
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -26,7 +26,7 @@
 use tackmast_host_core::{
     member_settings, AdminRequest, AdminResponse, Age, AttemptId, AttemptResult, AttemptWork, Begin,
     CommandRef, Core, ListEntry, NodeStart, OpaqueRequest, OpenCounts, Output, Peers, PersistBatch,
-    PlanRequest, PlanResponse, Plans, SendAttempt, Verdict, Work,
+    PlanRequest, PlanResponse, Plans, PreviousExit, SendAttempt, StoredPlans, Verdict, VolumeLimit, Work,
 };
 use tackmast_overrides::{Kind as OrderKind, Order, Override, OverrideId, Overrides, Target};
 use tackmast_target as target;
--- a/crates/simulator/src/sim/hosts.rs
+++ b/crates/simulator/src/sim/hosts.rs
@@ -21,7 +21,8 @@
             let trail: Vec<u8> = kept.changes.values().flatten().copied().collect();
             let plans = Plans::new(now, &self.settings[h as usize], b, &trail)
                 .unwrap_or_else(|e| panic!("a trail that the lab kept: {e}"));
-            core.with_plans(now, plans, trail.is_empty());
+            let stored = if trail.is_empty() { StoredPlans::Nothing } else { StoredPlans::ChangeLog };
+            core.with_plans(now, plans, stored);
         }
         if let Some(core) = core.core().filter(|_| self.w.members.is_some()) {
             let s = &self.settings[h as usize];
@@ -31,7 +32,7 @@
                 &MEMBERS,
                 address,
                 self.generations,
-                kept.left,
+                if kept.left { PreviousExit::Graceful } else { PreviousExit::Unclean },
                 seed,
                 kept.members.clone(),
             );
--- a/crates/simulator/src/sim/orders.rs
+++ b/crates/simulator/src/sim/orders.rs
@@ -60,7 +60,7 @@
             AdminResponse::Refused(_) => self.run.orders.1 += 1,
             AdminResponse::Plan(PlanResponse::Applied { number, .. }) => {
                 let core = self.hosts[host as usize].core.core();
-                let Some((limit, burst, slack)) =
+                let Some(VolumeLimit { limit, burst, slack }) =
                     core.and_then(|c| c.plans()).and_then(|p| p.limit_of("school"))
                 else {
                     return;
