--- a/crates/host-core/src/core/admin.rs
+++ b/crates/host-core/src/core/admin.rs
@@ -50,32 +50,32 @@
         };
         match override_requests.handle_request(now, wall_us, request, admin_request) {
             None => {}
-            Some(OverrideOutcome::Persist(request, batch)) => {
+            Some(OverrideOutcome::Persist { request, batch }) => {
                 self.outputs.push_back(Output::Persist { request, batch })
             }
-            Some(OverrideOutcome::Respond(request, AdminResponse::Status(_))) => {
+            Some(OverrideOutcome::Respond { request, response: AdminResponse::Status(_) }) => {
                 let response = AdminResponse::Status(Box::new(self.status(now)));
                 self.outputs.push_back(Output::AdminResponse { request, response });
             }
-            Some(OverrideOutcome::Respond(request, AdminResponse::Members(_))) => {
+            Some(OverrideOutcome::Respond { request, response: AdminResponse::Members(_) }) => {
                 let status = self.peers.as_ref().map(|peers| peers.status(now)).unwrap_or_default();
                 self.outputs.push_back(Output::AdminResponse {
                     request,
                     response: AdminResponse::Members(Box::new(status)),
                 });
             }
-            Some(OverrideOutcome::Respond(request, AdminResponse::Refused(r)))
+            Some(OverrideOutcome::Respond { request, response: AdminResponse::Refused(r) })
                 if Peers::is_from_peer(request) =>
             {
                 self.log(format!("a peer's override is rejected here: {r}"));
             }
-            Some(OverrideOutcome::Respond(request, AdminResponse::Explain(mut e))) => {
+            Some(OverrideOutcome::Respond { request, response: AdminResponse::Explain(mut e) }) => {
                 let entry = self.nodes.number(&e.address.to_string()).and_then(|n| self.nodes.entry(n));
                 e.up_s = entry.and_then(|e| e.up_since).map(|t| (now - t).secs());
                 self.outputs
                     .push_back(Output::AdminResponse { request, response: AdminResponse::Explain(e) });
             }
-            Some(OverrideOutcome::Respond(request, response)) => {
+            Some(OverrideOutcome::Respond { request, response }) => {
                 self.outputs.push_back(Output::AdminResponse { request, response })
             }
         }
--- a/crates/host-core/src/core/consensus.rs
+++ b/crates/host-core/src/core/consensus.rs
@@ -97,7 +97,7 @@
             let Some(o) = consensus.replica.poll_output() else { break };
             match o {
                 ReplicaOutput::Send { to, message } => {
-                    let to = self.peers.as_ref().and_then(|f| f.member.view.address(to));
+                    let to = self.peers.as_ref().and_then(|peers| peers.member.view.address(to));
                     if let Some(to) = to {
                         consensus.chunks.send(to, message.to_bytes());
                     }
@@ -123,9 +123,9 @@
             }
         }
         self.complete_reads(now);
-        let (Some(consensus), Some(f)) = (&mut self.consensus, &mut self.peers) else { return };
+        let (Some(consensus), Some(peers)) = (&mut self.consensus, &mut self.peers) else { return };
         while let Some(Transmit { to, body }) = consensus.chunks.poll_transmit() {
-            f.member.send(to, body);
+            peers.member.send(to, body);
         }
     }
 
--- a/crates/host-core/src/core/peers.rs
+++ b/crates/host-core/src/core/peers.rs
@@ -98,14 +98,14 @@
         let next = self.plans.as_mut().and_then(|p| p.handle_request(now, wall_us, request, plan_request));
         match next {
             None => {}
-            Some(PlanOutcome::Persist(request, entry)) => {
+            Some(PlanOutcome::Persist { request, entry }) => {
                 let batch = PersistBatch {
                     changes: vec![(entry.number, tackmast_plans::Trail::line(&entry))],
                     ..PersistBatch::default()
                 };
                 self.outputs.push_back(Output::Persist { request, batch });
             }
-            Some(PlanOutcome::Respond(request, mut response)) => {
+            Some(PlanOutcome::Respond { request, mut response }) => {
                 if let (PlanResponse::Shown(s), Some(peers)) = (&mut response, &self.peers) {
                     s.at = peers.member.catalog.peer_versions().clone();
                 }
@@ -183,7 +183,7 @@
                 }
                 PeerEvent::Send { to, bytes } => self.outputs.push_back(Output::Datagram { to, bytes }),
                 PeerEvent::Mode(line) => self.log(line),
-                PeerEvent::AdminRequest(request, admin_request) => {
+                PeerEvent::AdminRequest { request, admin_request } => {
                     self.handle_admin_request(now, request, admin_request)
                 }
                 PeerEvent::Persist(r) => {
--- a/crates/host-core/src/core/replicated_plans.rs
+++ b/crates/host-core/src/core/replicated_plans.rs
@@ -93,7 +93,7 @@
             }
             let (_, _, _, plan_request) = consensus.reads.swap_remove(i);
             let response = match plans.handle_request(now, 0, request, plan_request) {
-                Some(PlanOutcome::Respond(_, PlanResponse::Shown(mut s))) => {
+                Some(PlanOutcome::Respond { response: PlanResponse::Shown(mut s), .. }) => {
                     s.stale = !known;
                     s.in_force_s = (consensus.replica.effective_at(now) - now).secs();
                     s.settle_s = consensus.settle().secs();
@@ -101,11 +101,11 @@
                     s.at = followers.map(|(host, f)| (host, f.stored_index)).collect();
                     PlanResponse::Shown(s)
                 }
-                Some(PlanOutcome::Respond(_, PlanResponse::Log { .. })) if !known => {
+                Some(PlanOutcome::Respond { response: PlanResponse::Log { .. }, .. }) if !known => {
                     let why = "no word from those who agree on it: what this host has may be old".to_owned();
                     PlanResponse::Refused { why }
                 }
-                Some(PlanOutcome::Respond(_, response)) => response,
+                Some(PlanOutcome::Respond { response, .. }) => response,
                 _ => continue,
             };
             self.outputs
--- a/crates/host-core/src/core/timeouts.rs
+++ b/crates/host-core/src/core/timeouts.rs
@@ -7,9 +7,9 @@
     pub fn handle_timeout(&mut self, now: Instant) {
         self.handle_override_timeout(now);
         self.handle_consensus_timeout(now);
-        if self.peers.as_ref().is_some_and(|f| f.member.poll_timeout() <= now) {
-            if let Some(f) = &mut self.peers {
-                f.member.handle_timeout(now);
+        if self.peers.as_ref().is_some_and(|peers| peers.member.poll_timeout() <= now) {
+            if let Some(peers) = &mut self.peers {
+                peers.member.handle_timeout(now);
             }
             self.process_peer_events(now);
         }
--- a/crates/host-core/src/override_requests.rs
+++ b/crates/host-core/src/override_requests.rs
@@ -175,8 +175,20 @@
 
 /// What a request leads to.
 pub enum OverrideOutcome {
-    Respond(u64, AdminResponse),
-    Persist(u64, PersistBatch),
+    /// An answer at once.
+    Respond {
+        /// The number that the request came under.
+        request: u64,
+        /// The answer.
+        response: AdminResponse,
+    },
+    /// A write, and an answer once it is done.
+    Persist {
+        /// The number that the request came under.
+        request: u64,
+        /// What is written.
+        batch: PersistBatch,
+    },
 }
 
 /// What became of a change that was given to the store.
@@ -207,7 +219,7 @@
         if writes && self.pending.is_some() {
             if self.queued.len() >= MAX_QUEUED {
                 let why = format!("{MAX_QUEUED} orders wait already");
-                return Some(OverrideOutcome::Respond(request, AdminResponse::NotKept { why }));
+                return Some(OverrideOutcome::Respond { request, response: AdminResponse::NotKept { why } });
             }
             self.queued.push_back((request, admin_request));
             return None;
@@ -219,10 +231,13 @@
             AdminRequest::Set { order, force, dry_run, if_version } => {
                 let proposed = self.overrides.propose(wall_us, &order, force, if_version);
                 return Some(match proposed {
-                    Err(refusal) => OverrideOutcome::Respond(request, AdminResponse::Refused(refusal)),
-                    Ok((record, preview)) if dry_run => {
-                        OverrideOutcome::Respond(request, AdminResponse::Set { record, preview, dry_run })
+                    Err(refusal) => {
+                        OverrideOutcome::Respond { request, response: AdminResponse::Refused(refusal) }
                     }
+                    Ok((record, preview)) if dry_run => OverrideOutcome::Respond {
+                        request,
+                        response: AdminResponse::Set { record, preview, dry_run },
+                    },
                     Ok((record, preview)) => self.begin_set(request, record, preview),
                 });
             }
@@ -237,7 +252,7 @@
             AdminRequest::Consensus(_) => no_block("agreement"),
             AdminRequest::Plan(_) => no_block("plans"),
         };
-        Some(OverrideOutcome::Respond(request, response))
+        Some(OverrideOutcome::Respond { request, response })
     }
 
     fn begin_set(&mut self, request: u64, mut record: Override, preview: Preview) -> OverrideOutcome {
@@ -249,19 +264,22 @@
         let batch =
             PersistBatch { put: vec![record.clone()], audits: vec![audit], ..PersistBatch::default() };
         self.pending = Some((request, Pending::Put(Box::new((record, preview)))));
-        OverrideOutcome::Persist(request, batch)
+        OverrideOutcome::Persist { request, batch }
     }
 
     fn begin_clear(&mut self, wall_us: u64, request: u64, id: OverrideId, who: String) -> OverrideOutcome {
         let Some(record) = self.overrides.get(id) else {
-            return OverrideOutcome::Respond(request, AdminResponse::Refused(Refusal::Unknown { id }));
+            return OverrideOutcome::Respond {
+                request,
+                response: AdminResponse::Refused(Refusal::Unknown { id }),
+            };
         };
         let audits = vec![Audit::cleared(wall_us, record, &who)];
         self.pending = Some((request, Pending::Clear(id, who)));
-        OverrideOutcome::Persist(
+        OverrideOutcome::Persist {
             request,
-            PersistBatch { remove: vec![id], audits, ..PersistBatch::default() },
-        )
+            batch: PersistBatch { remove: vec![id], audits, ..PersistBatch::default() },
+        }
     }
 
     fn list(&self, now: Instant) -> AdminResponse {
--- a/crates/host-core/src/peers.rs
+++ b/crates/host-core/src/peers.rs
@@ -46,7 +46,10 @@
         bytes: Bytes,
     },
     Mode(String),
-    AdminRequest(u64, AdminRequest),
+    AdminRequest {
+        request: u64,
+        admin_request: AdminRequest,
+    },
     /// A change of plans.
     CatalogUpdate(CatalogUpdate),
     /// To be written down for the next generation.
@@ -177,9 +180,9 @@
                 Output::NodeList(c) => PeerEvent::NodeList(c),
                 Output::Consensus { from, slot, body } => PeerEvent::ConsensusMessage { from, slot, body },
                 Output::Override(d) => match self.request_of_event(d) {
-                    Some(ask) => {
+                    Some(admin_request) => {
                         self.last_request += 1;
-                        PeerEvent::AdminRequest(self.last_request, ask)
+                        PeerEvent::AdminRequest { request: self.last_request, admin_request }
                     }
                     None => return self.next(now, layout),
                 },
--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -16,7 +16,9 @@
 use tackmast::interface::{Instant, Plan as Figures, PlanId, TimeDelta};
 use tackmast_config::{HostSettings, PlansBlock};
 use tackmast_membership::{CatalogVersion, MAX_CATALOG_UPDATES, MAX_UPDATE_LEN};
-use tackmast_plans::{Agreed, Catalogue, Change, Command, Entry, Fleet, Plan, Step, Trail, TrailError};
+use tackmast_plans::{
+    Agreed, Catalogue, Change, Command, Entry, Fleet, Plan, Step, Trail, TrailError, Volume,
+};
 
 /// Requests that may wait for the one before them to be written.
 const MAX_QUEUED: usize = 256;
@@ -54,9 +56,14 @@
 impl Plans {
     /// `persisted` is the change log of an earlier generation, as it was written; none: this is the first. Clients wait for the
     /// newest change for as long as a change may take at most, if there is anyone to hear it from.
-    pub fn new(now: Instant, s: &HostSettings, b: &PlansBlock, persisted: &[u8]) -> Result<Self, TrailError> {
-        let fleet = fleet(s, b);
-        let from_settings = Trail::starting(catalog_of_settings(s));
+    pub fn new(
+        now: Instant,
+        settings: &HostSettings,
+        block: &PlansBlock,
+        persisted: &[u8],
+    ) -> Result<Self, TrailError> {
+        let fleet = fleet(settings, block);
+        let from_settings = Trail::starting(catalog_of_settings(settings));
         let change_log = match persisted {
             [] => from_settings.clone(),
             persisted => Trail::from_bytes(persisted, &fleet)?,
@@ -66,26 +73,26 @@
             let expected = "the settings that it began with, or no trail".to_owned();
             return Err(TrailError::Broken { number: 0, found, expected });
         }
-        let settle = TimeDelta::from_secs(b.settle_s);
-        let alone = s.host.number == b.home || s.membership.is_none();
+        let settle = TimeDelta::from_secs(block.settle_s);
+        let alone = settings.host.number == block.home || settings.membership.is_none();
         Ok(Plans {
             change_log,
             replicated: None,
             degraded: false,
             fleet,
-            me: s.host.number,
-            home: b.home,
+            me: settings.host.number,
+            home: block.home,
             settle,
             effective_at: now,
             clients_wait_until: (!alone).then_some(now + settle),
             pending: None,
             queued: VecDeque::new(),
-            plan_ids: (0..).zip(&s.plans).map(|(i, p)| (p.name.clone(), PlanId(i))).collect(),
+            plan_ids: (0..).zip(&settings.plans).map(|(i, plan)| (plan.name.clone(), PlanId(i))).collect(),
         })
     }
 
     fn change_log(&self) -> &Trail {
-        self.replicated.as_ref().map_or(&self.change_log, |a| &a.trail)
+        self.replicated.as_ref().map_or(&self.change_log, |replicated| &replicated.trail)
     }
 
     /// The version of the plans that apply.
@@ -109,21 +116,24 @@
 
     /// The figures of a plan for the scheduler. In degraded mode that is what no host may go below: the fallback limit,
     /// and a burst that every plan of these volumes has to have.
-    fn figures(&self, name: &str, p: &Plan, of: &Catalogue) -> Figures {
-        let floor = p.kept_floor();
-        let (limit, burst, slack, reserve, weight) = (p.limit, p.burst, p.slack, p.reserve, p.weight);
-        if !self.degraded || floor.is_infinite() {
+    fn figures(&self, name: &str, plan: &Plan, of: &Catalogue) -> Figures {
+        let fallback_limit = plan.kept_floor();
+        let (limit, burst, slack, reserve, weight) =
+            (plan.limit, plan.burst, plan.slack, plan.reserve, plan.weight);
+        if !self.degraded || fallback_limit.is_infinite() {
             return Figures { limit, burst, slack, reserve, weight };
         }
-        if floor <= 0.0 {
+        if fallback_limit <= 0.0 {
             // A limit of zero is passed on as a tiny one: zero would mean no limit. Without a burst nothing can be sent, and
             // requests are rejected at once.
             return Figures { limit: MIN_LIMIT, burst: 0.0, slack, reserve: 0.0, weight };
         }
-        let through = of.volumes.values().filter(|v| v.plan == name).map(|v| v.through.len()).min();
+        let through =
+            of.volumes.values().filter(|volume| volume.plan == name).map(|volume| volume.through.len()).min();
         let least = self.fleet.max_units * through.unwrap_or(0) as f64;
-        let (burst, reserve) = (if burst > 0.0 { burst.min(least) } else { least }, reserve.min(floor));
-        Figures { limit: floor, burst, slack, reserve, weight }
+        let (burst, reserve) =
+            (if burst > 0.0 { burst.min(least) } else { least }, reserve.min(fallback_limit));
+        Figures { limit: fallback_limit, burst, slack, reserve, weight }
     }
 
     /// Number and mark of the newest change.
@@ -134,7 +144,7 @@
 
     /// Each change as a text, for peers that request it.
     pub fn encoded_changes(&self) -> impl Iterator<Item = (u64, Vec<u8>)> + '_ {
-        self.change_log.entries.iter().map(|e| (e.number, Trail::line(e)))
+        self.change_log.entries.iter().map(|entry| (entry.number, Trail::line(entry)))
     }
 
     /// Applies what an earlier generation had taken, on top of the settings.
@@ -175,7 +185,7 @@
             }
         };
         let response = response.unwrap_or_else(|error| PlanResponse::Refused { why: error.to_string() });
-        Some(PlanOutcome::Respond(request, response))
+        Some(PlanOutcome::Respond { request, response })
     }
 
     fn log_response(&self) -> Result<PlanResponse, PlanError> {
@@ -215,11 +225,11 @@
             let lines = self.change_log.catalogue.diff(&next);
             let (number, version, in_force_s) = (entry.number, entry.version, self.settle.secs());
             let applied = PlanResponse::Applied { number, version, lines, in_force_s, dry_run };
-            return Ok(Some(PlanOutcome::Respond(request, applied)));
+            return Ok(Some(PlanOutcome::Respond { request, response: applied }));
         }
         let entry = Box::new(entry);
         self.pending = Some((request, entry.clone(), next));
-        Ok(Some(PlanOutcome::Persist(request, entry)))
+        Ok(Some(PlanOutcome::Persist { request, entry }))
     }
 
     fn judge(&self, wall_us: u64, change: Change) -> Result<(Entry, Catalogue), PlanError> {
@@ -248,7 +258,7 @@
         request: u64,
         result: Result<(), PersistError>,
     ) -> Option<PersistedChange> {
-        let (_, entry, next) = self.pending.take_if(|(r, _, _)| *r == request)?;
+        let (_, entry, next) = self.pending.take_if(|(pending, _, _)| *pending == request)?;
         if let Err(error) = result {
             let why = PlanError::NotPersisted(error).to_string();
             return Some(PersistedChange { response: PlanResponse::Refused { why }, applied: None });
@@ -271,9 +281,9 @@
     ) -> Result<AppliedChange, PlanError> {
         let before = self.change_log.clone();
         self.change_log.take(text, &self.fleet)?;
-        if let Err(r) = before.catalogue.moves_live(&self.change_log.catalogue) {
+        if let Err(refusal) = before.catalogue.moves_live(&self.change_log.catalogue) {
             self.change_log = before;
-            return Err(PlanError::Refused(r));
+            return Err(PlanError::Refused(refusal));
         }
         self.effective_at = effective_at;
         self.applied_change(&before.catalogue).ok_or(PlanError::NoEntry)
@@ -282,19 +292,19 @@
     fn applied_change(&mut self, before: &Catalogue) -> Option<AppliedChange> {
         let to = self.change_log.catalogue.clone();
         let updates = self.updates(before, &to);
-        let e = self.change_log.entries.last()?;
+        let entry = self.change_log.entries.last()?;
         let line = format!(
             "plans: change {} applied, by {}: {}; {} updates",
-            e.number,
-            e.change.who,
-            e.change.why,
+            entry.number,
+            entry.change.who,
+            entry.change.why,
             updates.len()
         );
         Some(AppliedChange {
             updates,
-            number: e.number,
-            mark: mark(&e.digest),
-            text: Trail::line(e),
+            number: entry.number,
+            mark: mark(&entry.digest),
+            text: Trail::line(entry),
             effective_at: self.effective_at,
             line,
         })
@@ -310,24 +320,28 @@
 
     /// Plans first: a volume may move to one that is new.
     fn updates(&mut self, from: &Catalogue, to: &Catalogue) -> Vec<PlanUpdate> {
-        let mut all = Vec::new();
-        for (name, p) in to.plans.iter().filter(|(n, p)| from.plans.get(*n) != Some(*p)) {
+        let mut updates = Vec::new();
+        for (name, plan) in to.plans.iter().filter(|(name, plan)| from.plans.get(*name) != Some(*plan)) {
             let next = PlanId(self.plan_ids.len() as u32);
-            let plan = *self.plan_ids.entry(name.clone()).or_insert(next);
-            all.push(PlanUpdate::Plan { plan, figures: self.figures(name, p, to) });
+            let id = *self.plan_ids.entry(name.clone()).or_insert(next);
+            updates.push(PlanUpdate::Plan { plan: id, figures: self.figures(name, plan, to) });
         }
-        let plan_of = |c: &Catalogue, n: &String| c.volumes.get(n).map(|v| v.plan.clone());
-        for (name, v) in to.volumes.iter().filter(|(n, v)| plan_of(from, n).as_ref() != Some(&v.plan)) {
-            let Some(plan) = self.plan_ids.get(&v.plan) else { continue };
-            all.push(PlanUpdate::Volume { name: name.clone(), plan: *plan });
+        let plan_of = |catalogue: &Catalogue, name: &String| {
+            catalogue.volumes.get(name).map(|volume| volume.plan.clone())
+        };
+        let has_moved =
+            |(name, volume): &(&String, &Volume)| plan_of(from, name).as_ref() != Some(&volume.plan);
+        for (name, volume) in to.volumes.iter().filter(has_moved) {
+            let Some(plan) = self.plan_ids.get(&volume.plan) else { continue };
+            updates.push(PlanUpdate::Volume { name: name.clone(), plan: *plan });
         }
-        all
+        updates
     }
 
     /// Limit, burst and slack of a volume as they apply here.
     pub fn limit_of(&self, volume: &str) -> Option<VolumeLimit> {
-        let v = self.change_log().catalogue.volumes.get(volume)?;
-        self.change_log().catalogue.plans.get(&v.plan).map(|plan| VolumeLimit {
+        let volume = self.change_log().catalogue.volumes.get(volume)?;
+        self.change_log().catalogue.plans.get(&volume.plan).map(|plan| VolumeLimit {
             limit: plan.limit,
             burst: plan.burst,
             slack: plan.slack,
--- a/crates/host-core/src/plans/changes.rs
+++ b/crates/host-core/src/plans/changes.rs
@@ -25,8 +25,20 @@
 
 /// What a request leads to.
 pub enum PlanOutcome {
-    Respond(u64, PlanResponse),
-    Persist(u64, Box<Entry>),
+    /// An answer at once.
+    Respond {
+        /// The number that the request came under.
+        request: u64,
+        /// The answer.
+        response: PlanResponse,
+    },
+    /// A write, and an answer once it is done.
+    Persist {
+        /// The number that the request came under.
+        request: u64,
+        /// The change.
+        entry: Box<Entry>,
+    },
 }
 
 /// What a volume may use, in units: a rate a second, and what may exceed it.
--- a/crates/host-core/src/plans/replicated.rs
+++ b/crates/host-core/src/plans/replicated.rs
@@ -82,8 +82,8 @@
 
     /// What a change would do, as far as this host knows.
     pub fn preview_change(&self, at_us: u64, change: Change) -> Result<ChangePreview, PlanError> {
-        let Some(a) = &self.replicated else { return Err(PlanError::NoConsensus) };
-        let (entry, next) = a.propose(at_us, change, &self.fleet).map_err(PlanError::Refused)?;
+        let Some(replicated) = &self.replicated else { return Err(PlanError::NoConsensus) };
+        let (entry, next) = replicated.propose(at_us, change, &self.fleet).map_err(PlanError::Refused)?;
         let lines = self.change_log().catalogue.diff(&next);
         Ok(ChangePreview { number: entry.number, version: entry.version, lines })
     }
@@ -91,8 +91,8 @@
     /// Applies a committed command.
     pub fn apply_committed(&mut self, command: Command) -> Result<CommittedChange, PlanError> {
         let before = self.change_log().catalogue.clone();
-        let Some(a) = &mut self.replicated else { return Err(PlanError::NoConsensus) };
-        let entry = a.apply(command, &self.fleet).map_err(PlanError::Refused)?;
+        let Some(replicated) = &mut self.replicated else { return Err(PlanError::NoConsensus) };
+        let entry = replicated.apply(command, &self.fleet).map_err(PlanError::Refused)?;
         let to = self.change_log().catalogue.clone();
         Ok(CommittedChange { updates: self.updates(&before, &to), entry, lines: before.diff(&to) })
     }
