--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -81,7 +81,7 @@
 }
 
 impl Core {
-    /// `address_generation` differs between all generations of all hosts; `seed` is for chance in decisions.
+    /// `generation` differs between all generations of all hosts; `seed` is for chance in decisions.
     pub fn new(now: Instant, s: &HostSettings, seed: u64, generation: u64) -> Self {
         let clock_resolution = TimeDelta::from_secs(s.host.clock_resolution_ms / 1e3);
         let longest = TimeDelta::from_secs(s.load.longest_wait_s);
