--- a/crates/benchlink/src/host.rs
+++ b/crates/benchlink/src/host.rs
@@ -4,7 +4,7 @@
 use crate::LinkError;
 use serde_json::{json, Map, Value};
 use tackmast::interface::*;
-use tackmast::policy::Scheduler;
+use tackmast::scheduler::Scheduler;
 use tackmast_platform::values::{array, index, integer, number, text};
 use tackmast_platform::{FieldError, Settings};
 
@@ -167,13 +167,13 @@
                 let (request, node) = (self.requests.text(request.0), self.nodes.text(node.0));
                 json!(["Transmit", number, request, node, timeout.map_or(0.0, TimeDelta::secs)])
             }
-            Decision::Reject { request, retry_after } => {
+            Decision::Reject { request, retry_after, reason: _ } => {
                 let request = self.requests.text(request.0);
                 json!(["TurnAway", number, request, retry_after.map_or(0.0, TimeDelta::secs)])
             }
-            Decision::Fail { request } => json!(["ReportFailure", number, self.requests.text(request.0)]),
+            Decision::Fail { request, reason: _ } => json!(["ReportFailure", number, self.requests.text(request.0)]),
             Decision::FollowList => json!(["Follow", number, true]),
-            Decision::Log(line) => json!(["SayLog", number, line]),
+            Decision::Event(event) => json!(["SayLog", number, event.to_string()]),
         }
     }
 }
--- a/crates/benchmarks/src/core_cost.rs
+++ b/crates/benchmarks/src/core_cost.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Instant as Wall;
 use tackmast::interface::*;
-use tackmast::policy::Scheduler;
+use tackmast::scheduler::Scheduler;
 use tackmast_config::HostSettings;
 use tackmast_host_core::{
     AttemptResult, ClientCommand, CommandRef, Core, ListEntry, Output, PersistBatch, Work,
--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -37,7 +37,7 @@
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use tackmast::interface::*;
-use tackmast::policy::Scheduler;
+use tackmast::scheduler::Scheduler;
 use tackmast_config::{HostSettings, TrafficClass};
 use tackmast_overrides::{Effective, NodeFacts, Overrides};
 
@@ -106,7 +106,7 @@
         if let Some(c) = &s.slow_start {
             let (warm, window) = (TimeDelta::from_secs(c.ramp_s), TimeDelta::from_secs(c.window_s));
             let (safe_units, overload_multiple) = slow_start_figures(c);
-            scheduler.set_slow_start(SlowStart {
+            scheduler.set_slow_start(SlowStartSettings {
                 safe_units,
                 initial_capacity: c.from,
                 duration: warm,
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -28,20 +28,16 @@
             Decision::Send { request, node, timeout, begin_by } => {
                 self.send(now, request, node, timeout, begin_by)
             }
-            Decision::Reject { request, retry_after } => {
+            Decision::Reject { request, retry_after, reason: _ } => {
                 let end = PartState::Rejected { ran: true, retry_after };
                 self.finish_part(now, request, end, Bytes::new());
             }
-            Decision::Fail { request } => {
+            Decision::Fail { request, reason: _ } => {
                 self.finish_part(now, request, PartState::Failed { ran: true }, Bytes::new());
             }
             Decision::FollowList => self.outputs.push_back(Output::FollowList { since: self.list_version }),
-            Decision::Log(line) => {
-                // The scheduler's lines name a node by its number, in second place.
-                let mut tokens = line.split(' ');
-                let number =
-                    tokens.next().filter(|token| *token == "node").and_then(|_| tokens.next()?.parse().ok());
-                self.outputs.push_back(Output::Log { node: number.map(NodeId), line });
+            Decision::Event(event) => {
+                self.outputs.push_back(Output::Log { node: event.node(), line: event.to_string() });
             }
         }
     }
--- a/crates/host-core/tests/placed.rs
+++ b/crates/host-core/tests/placed.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use tackmast::interface::*;
-use tackmast::policy::Scheduler;
+use tackmast::scheduler::Scheduler;
 use tackmast_config::TrafficClass;
 use tackmast_host_core::*;
 
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -2,8 +2,8 @@
 
 use crate::values::{index, number_or, object, text, time_delta, FieldError};
 use serde_json::{Map, Value};
-use tackmast::interface::{DedupScope, Effect, Instant, SlowStart, TimeDelta};
-use tackmast::policy::Scheduler;
+use tackmast::interface::{DedupScope, Effect, Instant, SlowStartSettings, TimeDelta};
+use tackmast::scheduler::Scheduler;
 
 /// A traffic class of the settings (`request_classes`).
 #[derive(Clone, Debug)]
@@ -65,7 +65,7 @@
     /// For how long the next request of a key waits after an attempt that may still run.
     pub settle: TimeDelta,
     retry_budget: Option<RetryBudget>,
-    slow_start: SlowStart,
+    slow_start: SlowStartSettings,
     polls_list: bool,
     /// The fields of load reports, in their order.
     pub report: Vec<String>,
@@ -182,8 +182,8 @@
     }
 }
 
-fn slow_start(domain: &Map<String, Value>, rules: &Map<String, Value>) -> Result<SlowStart, FieldError> {
-    Ok(SlowStart {
+fn slow_start(domain: &Map<String, Value>, rules: &Map<String, Value>) -> Result<SlowStartSettings, FieldError> {
+    Ok(SlowStartSettings {
         safe_units: number_or(domain, "cold_bears", 0.0)?,
         initial_capacity: number_or(rules, "cold_from", 1.0)?,
         duration: time_delta(rules, "cold")?,
--- a/src/histogram.rs
+++ b/src/histogram.rs
@@ -1,5 +1,6 @@
 //! A small histogram of positive numbers: a few coarse bins, halved once enough has been seen.
 
+/// Bins of a histogram; with `GROWTH` they span a factor of some ten thousand.
 const BINS: usize = 24;
 /// The upper edge of a bin over that of the one below.
 const GROWTH: f64 = 1.5;
--- /dev/null
+++ b/src/interface/time.rs
@@ -0,0 +1,79 @@
+//! Points in time and lengths of time, in whole microseconds.
+
+use std::ops::{Add, Sub};
+
+const MICROS_PER_SEC: f64 = 1e6;
+const MICROS_PER_MILLI: i64 = 1000;
+
+/// A point in time, in microseconds from a start that the host chooses.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
+pub struct Instant(i64);
+
+/// A length of time, in microseconds; it may be negative. It is a type apart from `Instant`, so that the two can't be mixed up.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
+pub struct TimeDelta(i64);
+
+impl Instant {
+    /// From seconds since the start, rounded to microseconds.
+    pub fn from_secs(secs: f64) -> Self {
+        Instant((secs * MICROS_PER_SEC).round() as i64)
+    }
+
+    /// Seconds since the start.
+    pub fn secs(self) -> f64 {
+        self.0 as f64 / MICROS_PER_SEC
+    }
+}
+
+impl TimeDelta {
+    /// No time.
+    pub const ZERO: TimeDelta = TimeDelta(0);
+
+    /// From whole microseconds.
+    pub const fn from_micros(micros: i64) -> Self {
+        TimeDelta(micros)
+    }
+
+    /// From whole milliseconds.
+    pub const fn from_millis(millis: i64) -> Self {
+        TimeDelta(millis * MICROS_PER_MILLI)
+    }
+
+    /// From seconds, rounded to microseconds.
+    pub fn from_secs(secs: f64) -> Self {
+        TimeDelta((secs * MICROS_PER_SEC).round() as i64)
+    }
+
+    /// In seconds.
+    pub fn secs(self) -> f64 {
+        self.0 as f64 / MICROS_PER_SEC
+    }
+}
+
+impl Sub for Instant {
+    type Output = TimeDelta;
+    fn sub(self, earlier: Instant) -> TimeDelta {
+        TimeDelta(self.0.saturating_sub(earlier.0))
+    }
+}
+
+impl Add<TimeDelta> for Instant {
+    type Output = Instant;
+    fn add(self, delta: TimeDelta) -> Instant {
+        Instant(self.0.saturating_add(delta.0))
+    }
+}
+
+impl Sub<TimeDelta> for Instant {
+    type Output = Instant;
+    fn sub(self, delta: TimeDelta) -> Instant {
+        Instant(self.0.saturating_sub(delta.0))
+    }
+}
+
+impl Add for TimeDelta {
+    type Output = TimeDelta;
+    fn add(self, other: TimeDelta) -> TimeDelta {
+        TimeDelta(self.0.saturating_add(other.0))
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,15 +1,21 @@
-//! tackmast: each host decides alone which of its requests goes to which storage node, and when.
+//! The scheduler of a storage gateway: each host decides alone which of its requests goes to which storage node, and when.
 //!
-//! `policy` holds every decision; `interface` the types it is called with; `histogram` the mechanics of its
-//! measurements. Nothing here knows of a wire, a clock or a thread: a host reports what happens and polls for
-//! decisions.
+//! - `interface`: the types of inputs, decisions and events.
+//! - `policy`: every rule and every tuned value, a module for each mechanism.
+//! - `scheduler`: gathers what a rule reads, applies what it decides, and keeps the tables.
+//! - `state`: bookkeeping without a rule: buckets, queues, timers.
+//! - `histogram`: the measurements behind latencies.
+//!
+//! Nothing here knows of a wire, a clock or a thread: a host reports what happens and polls for decisions.
 
 #![warn(missing_docs)]
 
-/// Histograms of answer times.
+/// Histograms of latencies.
 pub mod histogram;
-/// Types of inputs and decisions.
+/// Types of inputs, decisions and events.
 pub mod interface;
-/// The scheduler and its decisions.
+/// The rules and the tuned values of the scheduler.
 pub mod policy;
+/// The scheduler of one host.
+pub mod scheduler;
 mod state;
--- /dev/null
+++ b/src/scheduler/attempt_end.rs
@@ -0,0 +1,136 @@
+//! What is learned when an attempt ends, and whether its request is retried.
+
+use super::request::{forget_if_over, AttemptResult};
+use super::shard::QueueEnd;
+use super::Scheduler;
+use crate::interface::{AttemptEnd, Instant, KeyId, NodeId, Outcome, RequestId, SchedulerEvent, ShardId};
+use crate::policy::concurrency_limit::{is_fast, judges_nodes, LimitSample};
+use crate::policy::lateness::FailedAttempt;
+use crate::policy::loss_detection::LossSample;
+use crate::policy::outlier_detection::HealthChange;
+use crate::policy::retry_safety::RETRY_BACKOFF;
+use crate::state::Timer;
+
+impl Scheduler {
+    /// An attempt has ended.
+    pub fn attempt_ended(&mut self, now: Instant, end: AttemptEnd) {
+        self.now = now;
+        let Some(request) = self.requests.get_mut(&end.request) else { return };
+        let objective = self.settings.classes[request.class.0 as usize].latency_objective;
+        let Some(result) = request.attempt_finished(&end, objective) else { return };
+        let settled_at = end.outcome.may_be_running().then_some(now + self.settings.key_settle_time);
+        self.release_key(result.ordered_key, settled_at);
+        let is_done = end.outcome == Outcome::Done;
+        let is_lost = self.record_at_node(&result);
+        if let Some(event) = self.loss_detector.record(is_lost, is_done) {
+            self.emit(event);
+        }
+        if end.is_over || is_done {
+            self.finish(end.request);
+        } else {
+            self.retry_or_answer(end.request);
+        }
+        forget_if_over(&mut self.requests, &mut self.key_queues, end.request, now);
+    }
+
+    /// Records the attempt at its node; whether it shows that an attempt was lost.
+    fn record_at_node(&mut self, result: &AttemptResult) -> bool {
+        let class = &self.settings.classes[result.class.0 as usize];
+        let judges_node = judges_nodes(class.latency_objective, self.settings.tightest_objective);
+        let Some(node) = self.nodes.get_mut(&result.attempt.node) else { return false };
+        node.in_flight.remove(class.priority.rank, result.units);
+        self.pending_shards.insert(node.shard);
+        let is_lost = node.unexplained_timeout.record(&LossSample {
+            is_done: result.outcome == Outcome::Done,
+            is_timeout: result.outcome == Outcome::TimedOut,
+            was_overtaken: result.was_overtaken(node.answered),
+            is_fast: is_fast(result.latency, result.objective),
+        });
+        let sample = LimitSample {
+            outcome: result.outcome,
+            latency: result.latency,
+            objective: result.objective,
+            judges_node,
+            was_at_limit: result.attempt.at_limit,
+            request_was_over: result.request_was_over,
+            node_was_silent: result.node_was_silent(node.answered),
+        };
+        node.limiter.record(self.now, &sample);
+        node.retry_credit.record(result.outcome, result.latency, result.objective);
+        let health_change = node.outlier_detector.record(result.outcome);
+        if result.outcome == Outcome::Done {
+            self.record_service(result);
+        }
+        if let Some(change) = health_change {
+            self.emit(health_event(result.attempt.node, &change));
+        }
+        is_lost
+    }
+
+    /// Records what an answer shows that a node can do, and how fast it is.
+    fn record_service(&mut self, result: &AttemptResult) {
+        let Some(node) = self.nodes.get_mut(&result.attempt.node) else { return };
+        // An answer from a node's cache is no sign of what the node can do: in slow start it would get several times what it bears,
+        // which shows as a collapse right after a fast start. Where most requests are for few keys, such a node warms up by the safe
+        // units alone.
+        let fraction = if result.is_repeat { self.settings.uncached_fraction } else { 1.0 };
+        let work = fraction * result.units;
+        let latency_secs = result.latency.secs();
+        self.shards.entry(node.shard).or_default().service_rate.add(self.now, work);
+        node.attempt_answered(result.class, latency_secs, work);
+        self.pool_latency[result.class.0 as usize].add(latency_secs);
+    }
+
+    /// An attempt ended without success: another where rules and time allow it, else the final answer at once.
+    fn retry_or_answer(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else { return };
+        if request.is_over || !request.in_flight.is_empty() {
+            return;
+        }
+        let failed = FailedAttempt {
+            attempts: request.attempts,
+            max_attempts: self.settings.max_attempts,
+            objective_at: request.objective_at,
+            is_retry_safe: self.retry_safety(request).allows_retry(self.now),
+        };
+        if let Some(reason) = failed.reason_not_to_retry(self.now) {
+            return self.reject_or_fail(id, reason, Some(RETRY_BACKOFF));
+        }
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.not_before = self.now + RETRY_BACKOFF;
+            request.is_waiting = true;
+        }
+        self.enqueue(id, QueueEnd::Front);
+    }
+
+    /// An attempt on this key has ended; it may still be running until `settled_at`, where one is given.
+    fn release_key(&mut self, key: Option<KeyId>, settled_at: Option<Instant>) {
+        let Some(key) = key else { return };
+        let Some(queue) = self.key_queues.get_mut(&key) else { return };
+        queue.attempt_finished(settled_at);
+        // Without this look, the queue of a key that is never asked for again would stay in the table after each unknown outcome.
+        if let Some(settled_at) = settled_at {
+            self.timers.set(settled_at, Timer::KeySettled(key));
+        }
+    }
+
+    /// What an earlier generation of this host saw a shard serve for it, units a second.
+    pub fn service_rate_restored(&mut self, now: Instant, id: ShardId, rate: f64) {
+        self.now = now;
+        self.shards.entry(id).or_default().service_rate.restore(now, rate);
+        self.pending_shards.insert(id);
+    }
+
+    /// The same of each shard in this generation, for the next one.
+    pub fn service_rates(&self, now: Instant) -> Vec<(ShardId, f64)> {
+        self.shards.iter().map(|(id, shard)| (*id, shard.service_rate.rate(now))).collect()
+    }
+}
+
+fn health_event(node: NodeId, change: &HealthChange) -> SchedulerEvent {
+    let HealthChange { is_outlier, successes, failures } = *change;
+    match is_outlier {
+        true => SchedulerEvent::NodeUnhealthy { node, successes, failures },
+        false => SchedulerEvent::NodeHealthy { node, successes, failures },
+    }
+}
--- a/src/state/rejected_requests.rs
+++ b/src/scheduler/rejected_requests.rs
@@ -1,7 +1,7 @@
 //! Requests that were rejected, by which a client's later try is recognised.
 
-use super::Request;
-use crate::interface::*;
+use super::request::Request;
+use crate::interface::{Instant, KeyId, ShardId, TimeDelta, TrafficClassId, VolumeId};
 use std::collections::{HashMap, VecDeque};
 
 /// What a request asks for: its client's later try asks for the same.
@@ -19,7 +19,7 @@
     pub unit_bits: u64,
 }
 
-/// A request that got its final answer without being done.
+/// A request that got its final answer without being done, rejected or failed.
 pub struct RejectedRequest {
     /// When its latency objective ends.
     pub objective_at: Instant,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Those of the last few seconds.
+/// The requests that were rejected or failed in the last few seconds.
 #[derive(Default)]
 pub struct RejectedRequests {
     by_fingerprint: HashMap<RequestFingerprint, VecDeque<RejectedRequest>>,
--- a/src/state/request.rs
+++ b/src/scheduler/request.rs
@@ -1,7 +1,11 @@
 //! A request and its attempts.
 
-use super::{KeyQueue, Node, RequestFingerprint};
-use crate::interface::*;
+use super::rejected_requests::RequestFingerprint;
+use crate::interface::{
+    AttemptEnd, HoldReason, Instant, KeyId, NewRequest, NodeId, Outcome, PlanId, RequestId, ShardId,
+    TimeDelta, TrafficClassId, VolumeId,
+};
+use crate::state::KeyQueue;
 use std::collections::HashMap;
 
 /// A request that is not over, or has attempts in flight.
@@ -36,6 +40,8 @@
     pub is_charged: bool,
     /// Asks for a piece of data that this host lately asked for at its shard.
     pub is_repeat: bool,
+    /// The guard that held it when it was last looked at.
+    pub held_by: Option<HoldReason>,
     /// Waits to be sent.
     pub is_waiting: bool,
     /// Has its final answer, or its client has left.
@@ -75,18 +81,30 @@
     pub at_limit: bool,
 }
 
+/// An attempt that is sent, and the node's state just before.
+pub struct SentAttempt {
+    /// Where to.
+    pub node: NodeId,
+    /// What the node had answered well.
+    pub node_answered: u64,
+    /// Attempts in flight at the node.
+    pub node_in_flight: usize,
+    /// The concurrency limit was what held requests back.
+    pub at_limit: bool,
+}
+
 /// An attempt that has ended, with what counts of its request.
 pub struct AttemptResult {
     /// As it was sent.
     pub attempt: Attempt,
     /// How it ended.
     pub outcome: Outcome,
-    /// Seconds that it took.
-    pub latency: f64,
+    /// How long it took.
+    pub latency: TimeDelta,
     /// Of its request.
     pub class: TrafficClassId,
-    /// Seconds of its traffic class's latency objective.
-    pub objective: f64,
+    /// Of its traffic class.
+    pub objective: TimeDelta,
     /// Of its request.
     pub units: f64,
     /// Of its request.
@@ -98,14 +116,14 @@
 }
 
 impl AttemptResult {
-    /// Whether the node answered nothing while the attempt was in flight.
-    pub fn node_was_silent(&self, node: &Node) -> bool {
-        node.answered == self.attempt.answered_before
+    /// Whether the node answered nothing while the attempt was in flight. `answered` counts what it has answered by now.
+    pub fn node_was_silent(&self, answered: u64) -> bool {
+        answered == self.attempt.answered_before
     }
 
-    /// Whether a later attempt was answered meanwhile.
-    pub fn was_overtaken(&self, node: &Node) -> bool {
-        node.answered > self.attempt.overtaken_after
+    /// Whether a later attempt was answered meanwhile. `answered` counts what the node has answered by now.
+    pub fn was_overtaken(&self, answered: u64) -> bool {
+        answered > self.attempt.overtaken_after
     }
 }
 
@@ -128,6 +146,7 @@
             tag: 0.0,
             is_charged: false,
             is_repeat: false,
+            held_by: None,
             is_waiting: true,
             is_over: false,
             response_started: false,
@@ -153,18 +172,19 @@
         self.any_node && self.first_effect.is_none()
     }
 
-    /// Records an attempt that is sent to `node`.
-    pub fn attempt_started(&mut self, now: Instant, id: NodeId, node: &Node, at_limit: bool) {
-        let first = FirstEffect { attempt: self.attempts, sent_at: now, node: id };
+    /// Records an attempt that is sent.
+    pub fn attempt_started(&mut self, now: Instant, sent: SentAttempt) {
+        let first = FirstEffect { attempt: self.attempts, sent_at: now, node: sent.node };
         self.first_effect = self.first_effect.or(Some(first));
         self.is_charged = true;
         self.is_waiting = false;
+        self.held_by = None;
         self.in_flight.push(Attempt {
             number: self.attempts,
-            node: id,
-            answered_before: node.answered,
-            overtaken_after: node.answered + node.in_flight as u64,
-            at_limit,
+            node: sent.node,
+            answered_before: sent.node_answered,
+            overtaken_after: sent.node_answered + sent.node_in_flight as u64,
+            at_limit: sent.at_limit,
         });
         self.attempts += 1;
     }
@@ -178,9 +198,9 @@
         Some(AttemptResult {
             attempt: self.in_flight.remove(index),
             outcome: end.outcome,
-            latency: end.latency.secs(),
+            latency: end.latency,
             class: self.class,
-            objective: objective.secs(),
+            objective,
             units: self.units,
             ordered_key: self.ordered_key,
             is_repeat: self.is_repeat,
--- a/src/state/shard.rs
+++ b/src/scheduler/shard.rs
@@ -1,10 +1,11 @@
-//! What waits at a shard, and who is served next there.
+//! What waits at a shard, and which volume is served next there, by start-time fair queueing.
 
-use super::ServiceRate;
-use crate::interface::*;
+use crate::interface::{KeyId, NodeId, RequestId, TrafficClassId, VolumeId};
+use crate::policy::priority::Score;
+use crate::policy::service_rate::ServiceRate;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What waits at a shard waits by volume and traffic class.
+/// Requests wait at a shard by volume and traffic class.
 pub type QueueId = (VolumeId, TrafficClassId);
 
 /// Where a request joins its queue.
@@ -16,17 +17,6 @@
     Back,
 }
 
-/// The order in which requests are sent; the lowest first.
-#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub struct Score {
-    /// Of the traffic class, the tighter first.
-    pub rank: usize,
-    /// Beyond the volume's reservation.
-    pub is_best_effort: bool,
-    /// By weighted fair queueing.
-    pub start_tag: f64,
-}
-
 /// A request that may be sent now.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
@@ -47,21 +37,10 @@
     pub is_reserved: bool,
 }
 
-/// How a request that is sent counts.
-#[derive(Clone, Copy, Debug)]
-pub struct SendTerms {
-    /// The concurrency limit is what holds requests back.
-    pub at_limit: bool,
-    /// What its volume is charged in fair queueing; none: nothing.
-    pub weighted_cost: Option<f64>,
-    /// Keys that are remembered of a shard.
-    pub recent_keys: usize,
-}
-
 /// The part of the data that one node holds.
 #[derive(Default)]
 pub struct Shard {
-    /// Requests that wait here; some may have left meanwhile.
+    /// Requests that wait here; some may be over meanwhile.
     pub queues: BTreeMap<QueueId, VecDeque<RequestId>>,
     /// Requests that can't meet their latency objective any more.
     pub late_requests: VecDeque<RequestId>,
@@ -71,25 +50,24 @@
     pub start_tags: BTreeMap<VolumeId, f64>,
     /// The start tag of the request that was last sent.
     pub virtual_time: f64,
-    /// Of what was done here for this host.
+    /// What was served here for this host.
     pub service_rate: ServiceRate,
     recent_keys: VecDeque<KeyId>,
 }
 
-/// Start-time fair queueing: virtual time stands at the last start, so nothing is saved while idle.
 impl Shard {
-    /// The start tag of the volume's next request.
+    /// The start tag of the volume's next request. Virtual time stands at the last start, so a volume saves nothing up while idle.
     pub fn start_tag(&self, volume: VolumeId) -> f64 {
         self.start_tags.get(&volume).copied().unwrap_or(0.0).max(self.virtual_time)
     }
 
-    /// Moves virtual time on to the request that is sent, and the volume's tag by its weighted cost.
+    /// Advances virtual time to the request that is sent, and the volume's tag by the request's weighted cost.
     pub fn charge(&mut self, volume: VolumeId, cost: f64) {
         self.virtual_time = self.start_tag(volume);
         self.start_tags.insert(volume, self.virtual_time + cost);
     }
 
-    /// First of a queue, past those that no longer wait here.
+    /// The first of a queue, after dropping those that no longer wait here.
     pub fn first_waiting(
         &mut self,
         id: QueueId,
@@ -104,6 +82,19 @@
         first
     }
 
+    /// The head of a queue leaves it.
+    pub fn pop_head(&mut self, id: QueueId) {
+        if let Some(queue) = self.queues.get_mut(&id) {
+            queue.pop_front();
+        }
+    }
+
+    /// The first late request, after dropping those that no longer wait here.
+    pub fn first_late(&mut self, is_waiting: impl Fn(RequestId) -> bool) -> Option<RequestId> {
+        while self.late_requests.pop_front_if(|id| !is_waiting(*id)).is_some() {}
+        self.late_requests.front().copied()
+    }
+
     /// Records a piece of data that is asked for, among the last `max`; whether it is among them already.
     pub fn record_key(&mut self, key: KeyId, max: usize) -> bool {
         let is_known = self.recent_keys.contains(&key);
--- /dev/null
+++ b/src/scheduler/volumes.rs
@@ -0,0 +1,86 @@
+//! Reports on volumes: service at nodes, quota leases, changes of plans.
+
+use super::shard::Shard;
+use super::volume::Volume;
+use super::Scheduler;
+use crate::interface::{Instant, LeaseChange, Plan, PlanId, RequestId, VolumeId};
+use crate::policy::measured_share::ShardService;
+use crate::policy::retention::{IDLE_RETENTION, MAX_IDLE_VOLUMES};
+use crate::policy::volume_limit::VolumeLimit;
+
+impl Scheduler {
+    /// An answer reported the volume's service at this node: the request's units if it is `done`, and units
+    /// through `others`, the other hosts, since the node's last answer to this one.
+    pub fn service_reported(&mut self, now: Instant, id: RequestId, done: bool, others: f64) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let Some(shard) = request.shard else { return };
+        let Some(volume) = self.volumes.get_mut(&request.volume) else { return };
+        let own_units = if done { request.units } else { 0.0 };
+        let service = ShardService { shard, own_units, other_units: others };
+        volume.limit.record_service(now, service, self.settings.mean_units);
+    }
+
+    /// Hosts lend each other shares of a volume's limit. Whoever reports this sees to it that all shares sum
+    /// to no more than the whole.
+    pub fn quota_leases_changed(&mut self, now: Instant, change: LeaseChange) {
+        self.now = now;
+        let plan = *self.plan(change.plan);
+        let volume = self.volume_or_new(change.volume, change.plan, f64::from(change.hosts.max(1)));
+        if volume.limit.set_leases(now, &plan, change.leases) {
+            let has_waiting = |shard: &Shard| shard.queues.keys().any(|queue| queue.0 == change.volume);
+            let shards = self.shards.iter().filter(|(_, shard)| has_waiting(shard));
+            self.pending_shards.extend(shards.map(|(id, _)| *id));
+        }
+    }
+
+    /// A plan's figures from now on, while its volumes are busy; the next number is a new plan.
+    pub fn plan_changed(&mut self, now: Instant, id: PlanId, new: Plan) {
+        self.now = now;
+        if let Some(plan) = self.settings.plans.get_mut(id.0 as usize) {
+            for volume in self.volumes.values_mut().filter(|volume| volume.plan == id) {
+                volume.limit.change_plan(now, plan, &new);
+            }
+            *plan = new;
+            self.pending_shards.extend(self.shards.keys());
+        } else if id.0 as usize == self.settings.plans.len() {
+            self.settings.plans.push(new);
+        }
+    }
+
+    /// A volume is under this plan from now on, with all that waits of it.
+    pub fn volume_plan_changed(&mut self, now: Instant, id: VolumeId, plan: PlanId) {
+        self.now = now;
+        let Some(volume) = self.volumes.get_mut(&id).filter(|volume| volume.plan != plan) else { return };
+        let old = std::mem::replace(&mut volume.plan, plan);
+        let plans = &self.settings.plans;
+        volume.limit.change_plan(now, &plans[old.0 as usize], &plans[plan.0 as usize]);
+        for request in self.requests.values_mut().filter(|request| request.volume == id) {
+            request.plan = plan;
+        }
+        self.pending_shards.extend(self.shards.keys());
+    }
+
+    /// The record of a volume, a new one where it is not known.
+    pub(super) fn volume_or_new(&mut self, id: VolumeId, plan: PlanId, host_count: f64) -> &mut Volume {
+        let now = self.now;
+        let settings = &self.settings.plans[plan.0 as usize];
+        self.volumes.entry(id).or_insert_with(|| Volume {
+            last_request_at: now,
+            plan,
+            limit: VolumeLimit::new(now, settings, host_count),
+        })
+    }
+
+    /// Makes room for a volume that is not known yet. What a forgotten volume had used of its limit has drained long ago, and a
+    /// volume that returns starts with a used bucket, so forgetting hands out no burst.
+    pub(super) fn forget_idle_volumes(&mut self, new: VolumeId) {
+        if self.volumes.len() < MAX_IDLE_VOLUMES || self.volumes.contains_key(&new) {
+            return;
+        }
+        let since = self.now - IDLE_RETENTION;
+        self.volumes.retain(|_, volume| volume.in_use_since(since));
+        for shard in self.shards.values_mut() {
+            shard.start_tags.retain(|id, _| self.volumes.contains_key(id));
+        }
+    }
+}
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)] // each test file uses its own part
 
 use tackmast::interface::*;
-use tackmast::policy::Scheduler;
+use tackmast::scheduler::Scheduler;
 
 /// A scheduler, its clock, and what its next requests have in common.
 pub struct TestHost {
@@ -113,7 +113,7 @@
     pub fn poll(&mut self) -> Vec<Decision> {
         let now = self.instant();
         let all = std::iter::from_fn(|| self.scheduler.poll_decision(now));
-        all.filter(|decision| !matches!(decision, Decision::Log(_))).collect()
+        all.filter(|decision| !matches!(decision, Decision::Event(_))).collect()
     }
 
     /// Attempts that are sent now.
--- a/tests/decision_hash.rs
+++ b/tests/decision_hash.rs
@@ -10,7 +10,7 @@
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, BTreeSet};
 use tackmast::interface::*;
-use tackmast::policy::Scheduler;
+use tackmast::scheduler::Scheduler;
 
 const INPUTS: u32 = 10_000;
 const SEEDS: [u64; 4] = [1, 2, 3, 4];
@@ -73,17 +73,17 @@
                 self.optional_seconds(timeout.map(TimeDelta::secs));
                 self.optional_seconds(begin_by.map(Instant::secs));
             }
-            Decision::Reject { request, retry_after } => {
+            Decision::Reject { request, retry_after, reason: _ } => {
                 self.kind(2);
                 self.number(i64::from(request.0));
                 self.optional_seconds(retry_after.map(TimeDelta::secs));
             }
-            Decision::Fail { request } => {
+            Decision::Fail { request, reason: _ } => {
                 self.kind(3);
                 self.number(i64::from(request.0));
             }
             Decision::FollowList => self.kind(4),
-            Decision::Log(_) => self.kind(5),
+            Decision::Event(_) => self.kind(5),
         }
     }
 
@@ -164,7 +164,7 @@
     scheduler.add_traffic_class(seconds(1.0), Effect::Idempotent, false);
     scheduler.set_attempt_limits(setting.max_attempts, seconds(setting.longest_wait), seconds(0.15));
     scheduler.set_retry_budget(setting.retries_free, setting.retries_share, seconds(1.0));
-    scheduler.set_slow_start(SlowStart {
+    scheduler.set_slow_start(SlowStartSettings {
         safe_units: 200.0,
         initial_capacity: 0.2,
         duration: seconds(1.5),
@@ -287,17 +287,17 @@
                 self.counts.sends_with_begin_by += u32::from(begin_by.is_some());
                 self.start_attempt(request, node, timeout);
             }
-            Decision::Reject { request, retry_after } => {
+            Decision::Reject { request, retry_after, reason: _ } => {
                 self.open.remove(&request.0);
                 self.counts.rejected += 1;
                 self.counts.rejected_with_time += u32::from(retry_after.is_some());
             }
-            Decision::Fail { request } => {
+            Decision::Fail { request, reason: _ } => {
                 self.open.remove(&request.0);
                 self.counts.failed += 1;
             }
             Decision::FollowList => self.counts.list_calls += 1,
-            Decision::Log(_) => self.counts.log_lines += 1,
+            Decision::Event(_) => self.counts.log_lines += 1,
         }
     }
 
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -19,6 +19,18 @@
     }
 }
 
+/// The messages of events: the texts in the function `message` of the files that declare events.
+fn event_messages(files: &[PathBuf]) -> Vec<String> {
+    let mut messages = Vec::new();
+    for file in files {
+        let source = std::fs::read_to_string(file).unwrap();
+        let Some(body) = source.split("fn message(&self) -> &'static str {").nth(1) else { continue };
+        let body = body.split("\n    }\n").next().unwrap_or_default();
+        messages.extend(body.split('"').skip(1).step_by(2).map(str::to_owned));
+    }
+    messages
+}
+
 /// A source file on one line, with a mark in place of each brace of a placeholder.
 fn normalized(source: &str) -> String {
     let joined = source.replace("\\\n", " ").replace(['{', '}'], &PLACEHOLDER.to_string());
@@ -63,6 +75,23 @@
     holds(fragment) || fragment.match_indices(' ').any(split_at)
 }
 
+/// An engineer on call searches the page for the message of an event. An event without a row leaves the search empty.
+#[test]
+fn each_event_has_a_row_on_the_on_call_page() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let mut files = Vec::new();
+    sources(&root.join("src"), &mut files);
+    sources(&root.join("crates"), &mut files);
+    let page = std::fs::read_to_string(root.join("docs/on-call.md")).unwrap();
+    let quoted = quoted_lines(&page);
+    let messages = event_messages(&files);
+    assert!(messages.len() >= 7, "{messages:?}");
+    let is_missing = |message: &&String| !quoted.iter().any(|line| line == *message);
+    let missing: Vec<&String> = messages.iter().filter(is_missing).collect();
+    assert!(missing.is_empty(), "events without a row in docs/on-call.md: {missing:?}");
+}
+
+/// A row whose line the code no longer writes sends an engineer searching for what never comes.
 #[test]
 fn each_log_line_that_the_on_call_page_quotes_is_written_by_the_code() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
@@ -89,6 +118,7 @@
     );
 }
 
+/// Quoted lines hold names in capitals where the code has a value.
 #[test]
 fn placeholders_of_a_quoted_line_are_passed_over() {
     let found = fragments("node list unavailable: failure N, retry in T s");
--- a/tests/node_overrides.rs
+++ b/tests/node_overrides.rs
@@ -4,12 +4,12 @@
 mod common;
 use common::{secs, TestHost};
 use std::collections::{HashMap, VecDeque};
-use tackmast::interface::{Effect, ListKind, NodeId, NodeState, Outcome, SlowStart};
+use tackmast::interface::{Effect, ListKind, NodeId, NodeState, Outcome, SlowStartSettings};
 
 /// Attempts in 10 s at one node with plenty waiting, each ending after 50 ms with `outcome`.
 fn attempts(weight: f64, is_pinned: bool, outcome: Outcome, node: (NodeState, Option<f64>)) -> usize {
     let mut host = TestHost::new(1, Effect::Idempotent, false);
-    host.scheduler.set_slow_start(SlowStart {
+    host.scheduler.set_slow_start(SlowStartSettings {
         safe_units: 4.0,
         initial_capacity: 0.2,
         duration: secs(20.0),
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -29,7 +29,7 @@
                             host.end_attempt(request, attempts[request.0 as usize] - 1, Outcome::Error, 0.01);
                         }
                     }
-                    Decision::Reject { request, .. } | Decision::Fail { request } => {
+                    Decision::Reject { request, .. } | Decision::Fail { request, .. } => {
                         assert!(t < 103.0, "{case}: answered after deadline");
                         answers[request.0 as usize] += 1;
                     }
@@ -119,7 +119,7 @@
     ] {
         let start = |h: u32| {
             let mut host = TestHost::of(u64::from(h), hosts, Effect::Idempotent, false);
-            host.scheduler.set_slow_start(SlowStart {
+            host.scheduler.set_slow_start(SlowStartSettings {
                 safe_units: 12.0,
                 initial_capacity: 0.2,
                 duration: secs(10.0),
@@ -181,7 +181,7 @@
     let mut units_sent = Vec::new();
     for (keys, saved) in [(1u32, 1.0), (4, 1.0), (1000, 1.0), (1, 0.0)] {
         let mut host = TestHost::of(1, 4, Effect::Idempotent, false);
-        host.scheduler.set_slow_start(SlowStart {
+        host.scheduler.set_slow_start(SlowStartSettings {
             safe_units: 12.0,
             initial_capacity: 0.2,
             duration: secs(10.0),
@@ -497,7 +497,7 @@
             all = host.run_until(end).into_iter().map(|(_, decision)| decision).collect();
         }
         let is_first_answered = |decision: &&Decision| match decision {
-            Decision::Reject { request, .. } | Decision::Fail { request } => *request == first,
+            Decision::Reject { request, .. } | Decision::Fail { request, .. } => *request == first,
             _ => false,
         };
         let answer = all.iter().find(is_first_answered);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -62,8 +62,8 @@
 }
 
 /// The settings of slow start that all hosts have.
-fn slow_start(case: Case) -> SlowStart {
-    SlowStart {
+fn slow_start(case: Case) -> SlowStartSettings {
+    SlowStartSettings {
         safe_units: case.safe_units,
         initial_capacity: INITIAL_CAPACITY,
         duration: secs(WARM_UP_TIME),
