--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -1,11 +1,11 @@
-//! What operators are told of: events that go to the log of the process.
+//! What a replica reports to operators: a fixed message and named fields. docs/on-call.md has a row for each message.
 
-use std::fmt;
+use std::fmt::{Display, Formatter, Result};
 use tackmast::interface::TimeDelta;
 
-/// A change that operators should know of. Its `Display` is the line of the log.
+/// A change of a replica that an operator may want to know.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Event {
+pub enum ConsensusEvent {
     /// A write failed.
     DiskFailed,
     /// This replica won an election.
@@ -60,7 +60,7 @@
         /// This replica.
         host: u32,
     },
-    /// An operator made this replica go on without a majority.
+    /// An operator made this replica begin a new log without a majority.
     LogForced {
         /// This replica.
         host: u32,
@@ -93,47 +93,71 @@
     },
 }
 
-impl fmt::Display for Event {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("consensus: ")?;
-        match *self {
-            Event::DiskFailed => {
-                write!(f, "the disk takes no writes: this host neither votes nor leads until it restarts")
+impl ConsensusEvent {
+    /// The message, the same for every event of its kind.
+    pub fn message(&self) -> &'static str {
+        match self {
+            ConsensusEvent::DiskFailed => {
+                "consensus: the disk takes no writes: this host neither votes nor leads until it restarts"
             }
-            Event::BecameLeader { term, last_index, commit_index } => {
-                write!(f, "this host is leader, term {term}, {last_index} entries, {commit_index} committed")
+            ConsensusEvent::BecameLeader { .. } => "consensus: this host is leader",
+            ConsensusEvent::SteppedDown { .. } => "consensus: this host is leader no longer",
+            ConsensusEvent::QuorumLost { .. } => "consensus: no majority has responded",
+            ConsensusEvent::FollowsLeader { .. } => "consensus: another host is leader",
+            ConsensusEvent::Joined => "consensus: joined a group that has a log",
+            ConsensusEvent::Bootstrapped { .. } => "consensus: bootstrapped",
+            ConsensusEvent::NotBootstrappedWithDisk { .. } => {
+                "consensus: bootstrapped with other disks than this host's: it does not vote"
             }
-            Event::SteppedDown { term } => write!(f, "this host is leader no longer, term {term}"),
-            Event::QuorumLost { silent_for, reachable, quorum } => {
-                let seconds = silent_for.secs();
-                write!(f, "no majority has responded for {seconds:.2} s, {reachable} of {quorum}")
+            ConsensusEvent::BootstrapDiskChanged { .. } => {
+                "consensus: a host has another disk than the voters confirmed: the log can't begin"
             }
-            Event::FollowsLeader { leader, term } => write!(f, "host {leader} is leader, term {term}"),
-            Event::Joined => write!(f, "joined a group that has a log"),
-            Event::Bootstrapped { voters } => write!(f, "bootstrapped with {voters} voters"),
-            Event::NotBootstrappedWithDisk { host } => {
-                write!(f, "bootstrapped with other disks than host {host}'s: it does not vote")
+            ConsensusEvent::StaleDisk { .. } => {
+                "consensus: this host's disk is an old copy, or one of two: it votes no more; remove and add the voter"
             }
-            Event::BootstrapDiskChanged { host } => {
-                write!(f, "host {host} has another disk than the voters confirmed: it can't begin")
+            ConsensusEvent::LogForced { .. } => {
+                "consensus: forced: this host begins a new log alone; the others have to forget theirs"
             }
-            Event::StaleDisk { host } => write!(
-                f,
-                "the disk of host {host} is an old copy, or one of two: it votes no more; remove and add the voter"
-            ),
-            Event::LogForced { host, commit_index, log_id } => write!(
-                f,
-                "forced: host {host} goes on alone from entry {commit_index}, as log {log_id:x}; the others have to forget theirs"
-            ),
-            Event::LogDiscarded { host, commit_index } => {
-                write!(f, "host {host} discards its log of {commit_index} entries")
+            ConsensusEvent::LogDiscarded { .. } => "consensus: this host discards its log",
+            ConsensusEvent::OtherLog { .. } => {
+                "consensus: a host has another log, begun anew: this host keeps its own; the other's store has to go"
             }
-            Event::OtherLog { host } => {
-                write!(f, "host {host} has another log, begun anew: this host keeps its own; its store has to go")
+            ConsensusEvent::LeaseValid { .. } => "consensus: lease valid",
+            ConsensusEvent::LeaseExpired { .. } => {
+                "consensus: lease expired: this host keeps to what can't have changed"
             }
-            Event::LeaseValid { commit_index } => write!(f, "lease valid, up to entry {commit_index}"),
-            Event::LeaseExpired { commit_index } => {
-                write!(f, "lease expired: this host keeps to what can't have changed, up to {commit_index}")
+        }
+    }
+}
+
+/// One line: the message, then `name=value` for each field; times in seconds, ids of logs in hexadecimal.
+impl Display for ConsensusEvent {
+    fn fmt(&self, out: &mut Formatter<'_>) -> Result {
+        out.write_str(self.message())?;
+        match self {
+            ConsensusEvent::DiskFailed | ConsensusEvent::Joined => Ok(()),
+            ConsensusEvent::BecameLeader { term, last_index, commit_index } => {
+                write!(out, " term={term} last_index={last_index} commit_index={commit_index}")
+            }
+            ConsensusEvent::SteppedDown { term } => write!(out, " term={term}"),
+            ConsensusEvent::QuorumLost { silent_for, reachable, quorum } => {
+                let silent_secs = silent_for.secs();
+                write!(out, " silent_secs={silent_secs:.2} reachable={reachable} quorum={quorum}")
+            }
+            ConsensusEvent::FollowsLeader { leader, term } => write!(out, " leader={leader} term={term}"),
+            ConsensusEvent::Bootstrapped { voters } => write!(out, " voters={voters}"),
+            ConsensusEvent::NotBootstrappedWithDisk { host }
+            | ConsensusEvent::BootstrapDiskChanged { host }
+            | ConsensusEvent::StaleDisk { host }
+            | ConsensusEvent::OtherLog { host } => write!(out, " host={host}"),
+            ConsensusEvent::LogForced { host, commit_index, log_id } => {
+                write!(out, " host={host} commit_index={commit_index} log_id={log_id:x}")
+            }
+            ConsensusEvent::LogDiscarded { host, commit_index } => {
+                write!(out, " host={host} commit_index={commit_index}")
+            }
+            ConsensusEvent::LeaseValid { commit_index } | ConsensusEvent::LeaseExpired { commit_index } => {
+                write!(out, " commit_index={commit_index}")
             }
         }
     }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -51,7 +51,7 @@
 
 pub use chunks::{Chunk, ChunkSettings, ChunkedTransfer, Transmit};
 pub use error::{ProposeError, RecoveryError, VoterChangeError};
-pub use event::Event;
+pub use event::ConsensusEvent;
 pub use fault::ConsensusFault;
 pub use lease::{Lease, LeaseGrant, LeaseState};
 pub use log::{Configuration, Log, LogLength, Snapshot};
--- a/crates/consensus/src/output.rs
+++ b/crates/consensus/src/output.rs
@@ -1,6 +1,6 @@
 //! What a replica wants its host to do.
 
-use crate::event::Event;
+use crate::event::ConsensusEvent;
 use crate::state::Write;
 use bytes::Bytes;
 use tackmast_wire::consensus::Message;
@@ -44,5 +44,5 @@
         number: u32,
     },
     /// Operators are to know.
-    Event(Event),
+    Event(ConsensusEvent),
 }
--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -14,7 +14,7 @@
 mod recovery;
 mod replication;
 
-use crate::event::Event;
+use crate::event::ConsensusEvent;
 use crate::fault::ConsensusFault;
 use crate::log::{Log, Snapshot};
 use crate::settings::{RaftSettings, ReplicaSettings};
@@ -62,7 +62,7 @@
         index: u64,
     },
     /// Operators are to know.
-    Event(Event),
+    Event(ConsensusEvent),
 }
 
 /// The state of a server (Raft, figure 4).
@@ -229,7 +229,7 @@
         self.hard_state.term
     }
 
-    fn emit(&mut self, event: Event) {
+    fn emit(&mut self, event: ConsensusEvent) {
         self.outputs.push_back(RaftOutput::Event(event));
     }
 
@@ -244,7 +244,7 @@
 
     fn step_down(&mut self, now: Instant, leader: Option<u32>) {
         if self.is_leader() {
-            self.emit(Event::SteppedDown { term: self.hard_state.term });
+            self.emit(ConsensusEvent::SteppedDown { term: self.hard_state.term });
             self.reset_election_timer(now);
         }
         self.role = Role::Follower { leader };
--- a/crates/consensus/src/raft/bootstrap.rs
+++ b/crates/consensus/src/raft/bootstrap.rs
@@ -166,7 +166,7 @@
         }
         // It began without this disk, or its voters have changed since: this server only follows.
         if !std::mem::replace(&mut bootstrap.is_reported, true) {
-            self.emit(Event::NotBootstrappedWithDisk { host: self.me });
+            self.emit(ConsensusEvent::NotBootstrappedWithDisk { host: self.me });
         }
         self.send(from, Message::FetchCommitted { stored_index: 0 });
     }
@@ -176,7 +176,7 @@
         let Some(bootstrap) = &mut self.bootstrap else { return };
         if bootstrap.has_changed_disk(from, identity.disk) && !bootstrap.is_reported {
             bootstrap.is_reported = true;
-            return self.emit(Event::BootstrapDiskChanged { host: from });
+            return self.emit(ConsensusEvent::BootstrapDiskChanged { host: from });
         }
         bootstrap.disks.insert(from, identity.disk);
         if confirmed && bootstrap.confirmation.voters() == Some(&disks) {
@@ -222,7 +222,7 @@
     }
 
     fn finish_bootstrap(&mut self, now: Instant, voters: Voters) {
-        let event = Event::Bootstrapped { voters: voters.len() };
+        let event = ConsensusEvent::Bootstrapped { voters: voters.len() };
         self.bootstrap = None;
         let log_id = derive_log_id(&voters);
         self.log.restore(Snapshot { log_id, voters, ..Snapshot::default() });
--- a/crates/consensus/src/raft/disk_identity.rs
+++ b/crates/consensus/src/raft/disk_identity.rs
@@ -38,7 +38,7 @@
         }
         self.draw_disk_id();
         self.role = Role::Follower { leader: None };
-        self.emit(Event::StaleDisk { host: self.me });
+        self.emit(ConsensusEvent::StaleDisk { host: self.me });
         self.write(Write { disk: Some(self.identity.disk), ..Write::default() });
     }
 
--- a/crates/consensus/src/raft/follower.rs
+++ b/crates/consensus/src/raft/follower.rs
@@ -109,7 +109,7 @@
             return false;
         }
         if self.leader() != Some(from) {
-            self.emit(Event::FollowsLeader { leader: from, term });
+            self.emit(ConsensusEvent::FollowsLeader { leader: from, term });
         }
         self.role = Role::Follower { leader: Some(from) };
         self.last_leader_contact = now;
@@ -151,7 +151,7 @@
         self.write_snapshot();
         self.outputs.push_back(RaftOutput::RestoreSnapshot(snapshot));
         if self.bootstrap.take().is_some() {
-            self.emit(Event::Joined);
+            self.emit(ConsensusEvent::Joined);
         }
     }
 }
--- a/crates/consensus/src/raft/leader.rs
+++ b/crates/consensus/src/raft/leader.rs
@@ -85,7 +85,7 @@
         self.role = Role::Leader(Box::new(leader));
         self.counters.terms_led += 1;
         let (term, commit_index) = (self.hard_state.term, self.commit_index);
-        self.emit(Event::BecameLeader { term, last_index, commit_index });
+        self.emit(ConsensusEvent::BecameLeader { term, last_index, commit_index });
         self.append_entry(now, EntryPayload::Noop);
     }
 
@@ -190,7 +190,7 @@
         let responds = |progress: &&Progress| now - progress.last_response < silent_for;
         let reachable = 1 + leader.peers.values().filter(responds).count();
         if reachable < quorum {
-            self.emit(Event::QuorumLost { silent_for, reachable, quorum });
+            self.emit(ConsensusEvent::QuorumLost { silent_for, reachable, quorum });
             return self.step_down(now, None);
         }
         if now >= leader.heartbeat_due || (leader.awaits_round() && now >= leader.next_round_at) {
--- a/crates/consensus/src/raft/persistence.rs
+++ b/crates/consensus/src/raft/persistence.rs
@@ -77,7 +77,7 @@
     /// A write failed. What this server acknowledges must be on disk, so it takes no further part until it restarts.
     pub fn on_persist_failed(&mut self) {
         if !std::mem::replace(&mut self.disk_failed, true) {
-            self.emit(Event::DiskFailed);
+            self.emit(ConsensusEvent::DiskFailed);
         }
         self.delayed_messages.clear();
         self.role = Role::Follower { leader: None };
--- a/crates/consensus/src/raft/recovery.rs
+++ b/crates/consensus/src/raft/recovery.rs
@@ -33,7 +33,7 @@
         self.write_snapshot();
         self.role = Role::Follower { leader: None };
         self.reset_election_timer(now);
-        self.emit(Event::LogForced { host: self.me, commit_index: self.commit_index, log_id });
+        self.emit(ConsensusEvent::LogForced { host: self.me, commit_index: self.commit_index, log_id });
         Ok(log_id)
     }
 
@@ -47,7 +47,7 @@
         if self.disk_failed || self.is_leader() || is_needed {
             return Err(RecoveryError::StillNeeded);
         }
-        self.emit(Event::LogDiscarded { host: self.me, commit_index: self.commit_index });
+        self.emit(ConsensusEvent::LogDiscarded { host: self.me, commit_index: self.commit_index });
         self.forget_persisted_after(0);
         self.draw_disk_id();
         // Under its new id this disk has never voted, and the other log has terms of its own.
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -6,7 +6,7 @@
 mod sessions;
 
 use crate::error::{ProposeError, RecoveryError};
-use crate::event::Event;
+use crate::event::ConsensusEvent;
 use crate::fault::ConsensusFault;
 use crate::lease::{Lease, LeaseGrant, LeaseState};
 use crate::log::Snapshot;
@@ -190,7 +190,7 @@
 
     fn report_other_log(&mut self, host: u32) {
         if !std::mem::replace(&mut self.other_log_reported, true) {
-            self.outputs.push_back(ReplicaOutput::Event(Event::OtherLog { host }));
+            self.outputs.push_back(ReplicaOutput::Event(ConsensusEvent::OtherLog { host }));
         }
     }
 
@@ -360,8 +360,8 @@
         self.lease_was_valid = is_valid;
         let commit_index = self.raft.commit_index();
         self.outputs.push_back(ReplicaOutput::Event(match is_valid {
-            true => Event::LeaseValid { commit_index },
-            false => Event::LeaseExpired { commit_index },
+            true => ConsensusEvent::LeaseValid { commit_index },
+            false => ConsensusEvent::LeaseExpired { commit_index },
         }));
     }
 }
--- a/crates/host-core/src/peers.rs
+++ b/crates/host-core/src/peers.rs
@@ -175,7 +175,7 @@
         if let Some(o) = self.member.poll_output() {
             return Some(match o {
                 Output::Send { to, bytes } => PeerEvent::Send { to, bytes },
-                Output::Log(line) => PeerEvent::Mode(line),
+                Output::Event(event) => PeerEvent::Mode(event.to_string()),
                 Output::CatalogUpdate(p) => PeerEvent::CatalogUpdate(p),
                 Output::Persist(r) => PeerEvent::Persist(r),
                 Output::NodeList(c) => PeerEvent::NodeList(c),
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -16,6 +16,7 @@
 //! - `override_gossip`: operators' overrides, as a set that all hosts converge on.
 //! - `catalog_replication`: numbered catalog updates, fetched from any peer that has them.
 //! - `node_list`: versions of the node list, and the nodes that newer ones remove.
+//! - `event`: what a member reports to operators.
 //! - `member`: all of these as one host, which encodes and decodes datagrams.
 //!
 //! All machines have one calling shape: `handle_datagram`, `handle_message` and `handle_timeout` take input together with
@@ -24,6 +25,7 @@
 #![warn(missing_docs)]
 
 mod catalog_replication;
+mod event;
 mod member;
 mod node_list;
 mod override_gossip;
@@ -36,6 +38,7 @@
 pub use catalog_replication::{
     CatalogEvent, CatalogReplication, CatalogUpdate, CatalogVersion, MAX_CATALOG_UPDATES, MAX_UPDATE_LEN,
 };
+pub use event::MembershipEvent;
 pub use member::{Counters, Member, MemberSettings, Output, PersistedMembers};
 pub use node_list::{NodeListEvent, NodeListNotices};
 pub use override_gossip::{OverrideEvent, OverrideGossip};
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,8 +1,7 @@
 //! One host as a member of its fleet: all machines of this package together, fed with datagrams and the time.
-//! `receive` takes datagrams, `settings` has the settings and outputs, `log` words log lines, `persistence` decides what
+//! `receive` takes datagrams, `settings` has the settings and outputs, `persistence` decides what
 //! the next generation is to know.
 
-mod log;
 mod persistence;
 mod receive;
 mod settings;
@@ -10,12 +9,13 @@
 pub use settings::{Counters, MemberSettings, Output, PersistedMembers};
 
 use crate::catalog_replication::{CatalogEvent, CatalogReplication, CatalogVersion, FANOUT};
+use crate::event::MembershipEvent;
 use crate::node_list::NodeListNotices;
 use crate::override_gossip::OverrideGossip;
 use crate::quota_leases::{
     LeaseSettings, LeaseTransmit, PreviousExit, QuotaBalance, QuotaLeases, SharedLimit,
 };
-use crate::view::{MemberState, TakeOver, View, ViewFault};
+use crate::view::{MemberState, SiteHealth, TakeOver, View, ViewEvent, ViewFault};
 use crate::{MemberId, Transmit};
 use bytes::Bytes;
 use imbl::OrdMap;
@@ -184,8 +184,8 @@
             self.send_datagram(to, Body::Lease(message), updates);
         }
         while let Some(event) = self.view.poll_event() {
-            let line = self.describe(event);
-            self.outputs.push_back(Output::Log(line));
+            let event = self.to_membership_event(event);
+            self.outputs.push_back(Output::Event(event));
         }
         while let Some(event) = self.overrides.poll_event() {
             self.outputs.push_back(Output::Override(event));
@@ -202,11 +202,37 @@
         while let Some(event) = self.catalog.poll_event() {
             self.outputs.push_back(match event {
                 CatalogEvent::Update(update) => Output::CatalogUpdate(update),
-                CatalogEvent::Fork { slot, number } => Output::Log(log::catalog_fork(slot, number)),
+                CatalogEvent::Fork { slot, number } => {
+                    Output::Event(MembershipEvent::CatalogFork { peer: slot, number })
+                }
             });
         }
     }
 
+    /// A change of the view as operators read it, with what only the member knows of it.
+    fn to_membership_event(&self, event: ViewEvent) -> MembershipEvent {
+        let alive_hosts = self.live_count();
+        match event {
+            ViewEvent::Health { slot, health } => {
+                MembershipEvent::HealthChanged { peer: slot, health, alive_hosts }
+            }
+            ViewEvent::Flapping { slot } => MembershipEvent::Flapping { peer: slot, alive_hosts },
+            ViewEvent::Site { site, health } => match health {
+                SiteHealth::FailedTogether { hosts } => MembershipEvent::SiteFailedTogether { site, hosts },
+                SiteHealth::FailedOneByOne { hosts } => MembershipEvent::SiteFailedOneByOne { site, hosts },
+                SiteHealth::Left => MembershipEvent::SiteLeft { site },
+                SiteHealth::Reachable => MembershipEvent::SiteReachable { site },
+            },
+            ViewEvent::Paused { duration } => MembershipEvent::Paused { duration },
+            ViewEvent::LocalHealth { score: 0 } => MembershipEvent::LocalHealthGood,
+            ViewEvent::LocalHealth { score } => MembershipEvent::LocalHealthBad { score },
+            ViewEvent::Displaced { generation } => MembershipEvent::Displaced { generation },
+            ViewEvent::TookOver { generation } => {
+                MembershipEvent::TookOver { generation, uses_shared_quota: !self.yields_quota }
+            }
+        }
+    }
+
     /// Another generation of this slot may run: the quota belongs to that one.
     fn handle_displacement(&mut self, now: Instant) {
         if let Some(take_over) = self.view.poll_take_over() {
--- a/crates/membership/src/member/settings.rs
+++ b/crates/membership/src/member/settings.rs
@@ -1,6 +1,7 @@
 //! Settings, outputs and counters of a member.
 
 use crate::catalog_replication::CatalogUpdate;
+use crate::event::MembershipEvent;
 use crate::node_list::NodeListEvent;
 use crate::override_gossip::OverrideEvent;
 use crate::quota_leases::{LeaseSettings, PreviousExit, SharedLimit};
@@ -60,8 +61,8 @@
         /// Its bytes.
         bytes: Bytes,
     },
-    /// Write a line to the log.
-    Log(String),
+    /// Write this to the log; nothing else is to be done.
+    Event(MembershipEvent),
     /// Apply or clear an override that another host took.
     Override(OverrideEvent),
     /// Apply or reject a catalog update that has arrived.
--- a/crates/membership/tests/decision_hash.rs
+++ b/crates/membership/tests/decision_hash.rs
@@ -230,9 +230,9 @@
                 self.hash.bytes(&bytes);
                 self.transmit(host, to, bytes);
             }
-            Output::Log(line) => {
+            Output::Event(event) => {
                 self.hash.number(2);
-                self.hash.log_line(&line);
+                self.hash.log_line(&event.to_string());
             }
             Output::Override(OverrideEvent::Set { origin, record, seconds }) => {
                 self.hash.number(3);
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -138,7 +138,7 @@
             let Some(o) = m.poll_output() else { break };
             match o {
                 Output::Send { to, bytes } => self.post(h, to, &bytes),
-                Output::Log(_) | Output::Persist(_) | Output::Consensus { .. } | Output::NodeList(_) => {}
+                Output::Event(_) | Output::Persist(_) | Output::Consensus { .. } | Output::NodeList(_) => {}
                 Output::CatalogUpdate(p) => {
                     let ends = m.catalog.deadline(p.number, at(self.now));
                     m.handle_catalog_applied(
--- a/crates/simulator/src/views/world.rs
+++ b/crates/simulator/src/views/world.rs
@@ -270,7 +270,7 @@
                     self.post(p, to, &bytes);
                 }
                 Output::Persist(r) => self.all[p].disk = r,
-                Output::Log(_)
+                Output::Event(_)
                 | Output::Override(_)
                 | Output::CatalogUpdate(_)
                 | Output::Consensus { .. }
