--- a/crates/membership/src/quota_leases.rs
+++ b/crates/membership/src/quota_leases.rs
@@ -16,12 +16,13 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::peer::LeaseMessage;
 
-/// Rounds in a term, in each of which demand is looked at and leases are requested anew.
+/// Rounds in a term. In each round a host compares demand with what it has and requests leases anew, so that a lease is
+/// renewed before it ends even if some requests get lost.
 const ROUNDS_PER_TERM: f64 = 4.0;
-/// Shares of the whole limit that are too small to be worth a message.
+/// Smallest share of a volume's limit that is requested or lent: a smaller one is not worth a message.
 const MIN_SHARE: f64 = 1e-4;
-/// Time that a lender waits beyond the end of a term, in seconds.
-const TERM_MARGIN_S: f64 = 0.005;
+/// How long a lender leaves a share unused beyond the end of the term, on top of what clocks may run apart.
+const TERM_MARGIN: TimeDelta = TimeDelta::from_millis(5);
 
 /// Terms of the leases, the same at all hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,9 +32,9 @@
     /// Length of a lease that a host grants while it leaves. The next generation of its slot starts with nothing for so
     /// long.
     pub leave_term: TimeDelta,
-    /// Greatest relative difference between the rates of any two hosts' steady clocks.
+    /// Greatest relative difference between the rates of any two hosts' monotonic clocks.
     pub drift: f64,
-    /// Part of a host's even share that it always owns, whatever its measured share: `policy::SPLIT_FLOOR`.
+    /// Fraction of a host's even share that it always owns, whatever its measured share.
     pub owned: f64,
 }
 
@@ -149,7 +150,7 @@
             PreviousExit::Unclean => settings.term,
             PreviousExit::Graceful => settings.leave_term,
         };
-        let available_from = now + leases.lender_term(term);
+        let available_from = now + lender::lender_term(term, leases.drift());
         for limit in limits {
             if limit.owners.contains(&me.slot) && limit.owners.len() > 1 && limit.limit > 0.0 {
                 let pool = SharedPool::new(now, limit, settings.owned, available_from);
@@ -172,13 +173,23 @@
         self.fault == Some(fault)
     }
 
+    /// The clock drift that terms allow for, as a fraction.
+    fn drift(&self) -> f64 {
+        if self.has(LeaseFault::IgnoresDrift) {
+            0.0
+        } else {
+            self.settings.drift
+        }
+    }
+
     /// Whether this host leaves.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Whether all leases that an earlier generation of this slot granted have ended. Until then the marker of its leave
-    /// must stay: a generation that ends before hands the same uncertainty to the next.
+    /// Whether all leases that an earlier generation of this slot granted have ended. The marker of a graceful leave must
+    /// stay until then: without it, a generation that starts next would take the leave for a crash and use the share after
+    /// the shorter term, while a borrower may still hold it.
     pub fn have_earlier_leases_ended(&self, now: Instant) -> bool {
         self.pools.values().all(|pool| now >= pool.available_from)
     }
@@ -188,7 +199,7 @@
         self.pools.keys().copied()
     }
 
-    /// Another generation of this slot runs: whatever the slot owns belongs to that one.
+    /// Another generation of this slot runs, and owns the slot's share: this one uses none of it.
     pub fn set_displaced(&mut self) {
         self.displaced = true;
     }
@@ -233,7 +244,7 @@
         self.pools.values().map(status).collect()
     }
 
-    /// The host leaves: from now on it uses nothing, and lends all it owns to whoever requests it.
+    /// The host leaves: it uses nothing any more, and lends all that it owns to peers that request it.
     pub fn leave(&mut self, now: Instant) {
         self.leaving = true;
         self.next_round = now;
@@ -243,13 +254,15 @@
     pub fn handle_message(&mut self, now: Instant, from: MemberId, message: LeaseMessage) {
         match message {
             LeaseMessage::Request { seq, active_seq, lender_generation, volume, share } => {
-                // A lease that an earlier generation granted says nothing of those of this one.
+                // Numbers begin anew with each generation. A lease that an earlier generation granted would else free
+                // leases of this generation that the borrower may still use.
                 let active_seq = if self.is_own_generation(lender_generation) { active_seq } else { 0 };
                 let share = f64::from(share);
                 let request = lender::Request { from, seq, active_seq, volume, share };
                 self.handle_request(now, request);
             }
-            // One that was meant for an earlier generation answers no request of this one.
+            // A grant to an earlier generation may carry the number of a request of this one. Its term would then count
+            // from the wrong request, and the borrower would use the share longer than the lender leaves it unused.
             LeaseMessage::Grant { recipient_generation, .. }
                 if !self.is_own_generation(recipient_generation) => {}
             LeaseMessage::Grant { request_seq, seq, volume, share, term_ms, .. } => {
@@ -260,7 +273,8 @@
             }
             LeaseMessage::Offer { volume } => self.handle_offer(now, from.slot, volume),
             LeaseMessage::Recall { volume } => self.handle_recall(now, from, volume),
-            // One that was meant for an earlier generation tells nothing of what that one lent since.
+            // A peer may have borrowed again since it confirmed to an earlier generation that it holds nothing: its
+            // confirmation does not cover that lease.
             LeaseMessage::Returned { recipient_generation, .. }
                 if !self.is_own_generation(recipient_generation) => {}
             LeaseMessage::Returned { volume, .. } => self.handle_returned(now, from.slot, volume),
--- a/crates/membership/src/quota_leases/borrower.rs
+++ b/crates/membership/src/quota_leases/borrower.rs
@@ -6,7 +6,7 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::peer::LeaseMessage;
 
-/// A lender is asked for this many times the even part of what is missing, since some lenders have nothing to spare.
+/// Each lender is asked for this many times its even part of what is missing, since some lenders have nothing to spare.
 const REQUEST_FACTOR: f64 = 2.0;
 
 /// A lease that a peer grants.
@@ -19,18 +19,23 @@
     pub term: TimeDelta,
 }
 
-impl QuotaLeases {
-    /// How long a borrower uses a share that is lent for a term.
-    fn borrower_term(&self, term: TimeDelta) -> TimeDelta {
-        let drift = if self.has(LeaseFault::IgnoresDrift) { 0.0 } else { self.settings.drift };
-        TimeDelta::from_secs(term.secs() * (1.0 - drift))
-    }
+/// How long a borrower uses a share that is lent for a term: shorter by what its clock may be slow, as the lender uses the
+/// share again after the term by its own clock.
+fn borrower_term(term: TimeDelta, drift: f64) -> TimeDelta {
+    TimeDelta::from_secs(term.secs() * (1.0 - drift))
+}
 
+/// The share that a borrower needs beyond its own; `needed` and `available` are shares of the volume's limit.
+fn shortfall(needed: f64, available: f64) -> f64 {
+    needed.min(1.0) - available
+}
+
+impl QuotaLeases {
     /// Requests of all peers what this host needs beyond what it has of its own.
     pub(super) fn request_shortfall(&mut self, now: Instant, volume: u32, peers: &[u32]) {
         let Some(pool) = self.pools.get(&volume) else { return };
         let available = pool.owned - pool.unavailable(now);
-        let shortfall = pool.needed(now).min(1.0) - available;
+        let shortfall = shortfall(pool.needed(now), available);
         if shortfall > MIN_SHARE && !peers.is_empty() && !self.displaced {
             let share = shortfall / peers.len() as f64;
             peers.iter().for_each(|to| self.request(now, *to, volume, share));
@@ -52,11 +57,14 @@
         self.send(to, message);
     }
 
-    /// Takes a lease, unless a later one of the same lender is held. Its term counts from when the request was sent, which
-    /// was before the lender began to leave the share unused.
+    /// Takes a lease, unless a later one of the same lender is held.
+    ///
+    /// The term counts from when the request was sent. If it counted from the receipt of the grant, a grant that was long
+    /// on its way would let this host use the share after the lender uses it again. The request was sent before the lender
+    /// began to leave the share unused, so that this host stops first however long the messages took.
     pub(super) fn handle_grant(&mut self, now: Instant, grant: Grant) {
         let Grant { from, seq, .. } = grant;
-        let term = self.borrower_term(grant.term.min(self.settings.leave_term));
+        let term = borrower_term(grant.term.min(self.settings.leave_term), self.drift());
         let from_receipt = self.has(LeaseFault::TermFromReceipt);
         let (me, leaving) = (self.me.slot, self.leaving);
         let Some(pool) = self.pools.get_mut(&grant.volume) else { return };
@@ -65,7 +73,7 @@
         }
         let Some(sent) = pool.request_sent_at(from.slot, grant.request_seq) else { return };
         let until = if from_receipt { now } else { sent } + term;
-        // Nobody can lend more than it owns.
+        // No host can lend more than it owns, and all own the same share. A false grant must not add to the limit.
         let share = grant.share.min(pool.owned);
         let held = pool.held.get(&from.slot);
         if held.is_none_or(|held| (held.generation, held.seq) < (from.generation, seq)) {
@@ -83,8 +91,9 @@
         }
     }
 
-    /// Gives up what an earlier generation of the lender lent, and says so. That generation and its numbers stay known, so
-    /// that an older lease can't come into force again.
+    /// Stops using what an earlier generation of the lender lent, and confirms that. The lender's generation stays recorded:
+    /// else a grant of the earlier generation that arrives after the confirmation would put its lease in force again, while
+    /// the lender uses the share.
     pub(super) fn handle_recall(&mut self, now: Instant, from: MemberId, volume: u32) {
         let Some(pool) = self.pools.get_mut(&volume).filter(|pool| pool.is_owner(from.slot)) else { return };
         let generation = from.generation;
@@ -96,7 +105,7 @@
         self.send(from.slot, LeaseMessage::Returned { recipient_generation: generation, volume });
     }
 
-    /// A later generation of a peer is known: leases of its earlier generation are given up.
+    /// A later generation of a peer is known: this host stops using leases of the peer's earlier generation.
     pub fn handle_new_generation(&mut self, now: Instant, peer: MemberId) {
         for pool in self.pools.values_mut() {
             let held = pool.held.get_mut(&peer.slot);
--- a/crates/membership/src/quota_leases/lender.rs
+++ b/crates/membership/src/quota_leases/lender.rs
@@ -1,41 +1,67 @@
 //! The lender's side: grants of what this host does not need, and recall of what an earlier generation lent.
 
 use super::pool::{GrantedLease, PeerRequest, SharedPool};
-use super::{LeaseFault, QuotaLeases, MIN_SHARE, TERM_MARGIN_S};
+use super::{LeaseFault, QuotaLeases, MIN_SHARE, TERM_MARGIN};
 use crate::MemberId;
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::peer::LeaseMessage;
 
-/// Part of its own share that a host never lends while it stays, so that a first request of a client finds something.
-const RETAINED: f64 = 0.15;
-/// Clock drifts that a lender allows for beyond the term.
-const DRIFTS: f64 = 3.0;
-/// Part by which a granted share is rounded down, so that the 32-bit float on the wire is not above it.
-const ROUNDING: f64 = 1e-6;
+/// Fraction of its own share that a host never lends while it stays: a client's first request must find some quota.
+const RETAINED_FRACTION: f64 = 0.15;
+/// By how many times the clock drift a lender extends a term.
+const DRIFTS_PER_TERM: f64 = 3.0;
+/// Fraction by which a granted share is rounded down, so that the 32-bit float on the wire does not exceed it.
+const ROUNDING_FRACTION: f64 = 1e-6;
+/// The least sum of requested shares that a request is compared with, so that nothing is divided by 0.
+const MIN_REQUESTED: f64 = 1e-9;
 
 /// A request of a peer.
 pub(super) struct Request {
     pub from: MemberId,
     pub seq: u32,
-    /// The lease that the peer acts on; those before it are no longer used.
+    /// The lease that the peer acts on; it does not use earlier ones any more.
     pub active_seq: u32,
     pub volume: u32,
     pub share: f64,
 }
 
-impl QuotaLeases {
-    /// How long a lender leaves a share unused for a term.
-    pub(super) fn lender_term(&self, term: TimeDelta) -> TimeDelta {
-        let ignores_drift = self.has(LeaseFault::IgnoresDrift);
-        let drift = if ignores_drift { 0.0 } else { DRIFTS * self.settings.drift };
-        TimeDelta::from_secs(term.secs() * (1.0 + drift) + TERM_MARGIN_S)
-    }
+/// What decides how much a lender grants; all of it as shares of the volume's limit.
+struct GrantInputs {
+    /// What the lender does not keep for its own clients.
+    spare: f64,
+    /// What it has not lent to other borrowers.
+    available: f64,
+    /// What the borrower requests.
+    requested: f64,
+    /// What all borrowers request.
+    requested_by_all: f64,
+}
+
+/// How long a lender leaves a share unused that it lends for a term.
+///
+/// A lender that used its share again before the borrower stopped would exceed the volume's limit together with it. The
+/// borrower stops one drift early by its own clock, and its term counts from before the lender's, so this is later on any
+/// clocks that drift apart by no more than `drift`.
+pub(super) fn lender_term(term: TimeDelta, drift: f64) -> TimeDelta {
+    TimeDelta::from_secs(term.secs() * (1.0 + DRIFTS_PER_TERM * drift) + TERM_MARGIN.secs())
+}
+
+/// The share to grant: the borrower's part of what is spare, in proportion to all requests, and never more than is left
+/// beside the leases of other borrowers. Two borrowers would else use the same share at once.
+fn share_to_grant(inputs: &GrantInputs) -> f64 {
+    let proportion = (inputs.requested / inputs.requested_by_all.max(MIN_REQUESTED)).min(1.0);
+    let fair = inputs.spare * proportion;
+    let share = fair.min(inputs.requested).min(inputs.available).max(0.0);
+    // The lender must count exactly what the borrower decodes.
+    f64::from((share * (1.0 - ROUNDING_FRACTION)) as f32)
+}
 
+impl QuotaLeases {
     /// Grants a peer what is spare of what it requests.
     pub(super) fn handle_request(&mut self, now: Instant, request: Request) {
         let Request { from, volume, .. } = request;
         let term = if self.leaving { self.settings.leave_term } else { self.settings.term };
-        let until = now + self.lender_term(term);
+        let until = now + lender_term(term, self.drift());
         let seq = self.next_seq();
         let (me, displaced, leaving, fault) = (self.me.slot, self.displaced, self.leaving, self.fault);
         let Some(pool) = self.pools.get_mut(&volume) else { return };
@@ -44,8 +70,8 @@
         }
         pool.peer_requests.insert(from.slot, PeerRequest { share: request.share, received: now });
         pool.remove_replaced(now, &request, fault);
-        let retained = if leaving { 0.0 } else { pool.needed(now).max(RETAINED * pool.owned) };
-        let share = pool.share_for(now, &request, retained, fault);
+        let retained = if leaving { 0.0 } else { pool.needed(now).max(RETAINED_FRACTION * pool.owned) };
+        let share = share_to_grant(&pool.grant_inputs(now, &request, retained, fault));
         let has_leases = pool.granted.get(&from.slot).is_some_and(|leases| !leases.is_empty());
         if share < MIN_SHARE && !has_leases {
             return;
@@ -62,7 +88,8 @@
         self.send(from.slot, message);
     }
 
-    /// Asks the peers that have not answered yet for what an earlier generation lent them.
+    /// Asks the peers that have not answered yet to return what an earlier generation lent them. Once all have, this host
+    /// need not wait for the end of a term before it uses its share.
     pub(super) fn recall_earlier_leases(&mut self, now: Instant, volume: u32, peers: &[u32]) {
         let Some(pool) = self.pools.get(&volume) else { return };
         if now >= pool.available_from || pool.has_everything_returned() {
@@ -72,7 +99,7 @@
         missing.into_iter().for_each(|to| self.send(to, LeaseMessage::Recall { volume }));
     }
 
-    /// A peer holds no lease of an earlier generation. Once none of them does, the own share is available.
+    /// A peer holds no lease of an earlier generation. Once none of them does, this host's own share is available.
     pub(super) fn handle_returned(&mut self, now: Instant, from: u32, volume: u32) {
         let Some(pool) = self.pools.get_mut(&volume).filter(|pool| pool.is_owner(from)) else { return };
         pool.returned.insert(from);
@@ -87,7 +114,8 @@
         self.returned.len() + 1 >= self.limit.owners.len()
     }
 
-    /// Removes a borrower's leases that have ended, or that it has replaced by the one that it acts on.
+    /// Removes a borrower's leases that have ended, or that the borrower has replaced by the one that it acts on. A lease
+    /// that the borrower has not confirmed to have replaced may still be in use, and stays.
     fn remove_replaced(&mut self, now: Instant, request: &Request, fault: Option<LeaseFault>) {
         let Some(leases) = self.granted.get_mut(&request.from.slot) else { return };
         leases.retain(|lease| lease.until > now && lease.seq >= request.active_seq);
@@ -96,19 +124,22 @@
         }
     }
 
-    /// The share to grant: of what this host does not retain, in proportion to what all peers request, and never more
-    /// than is left beside the leases of other borrowers.
-    fn share_for(&self, now: Instant, request: &Request, retained: f64, fault: Option<LeaseFault>) -> f64 {
+    /// What decides the answer to a request; `retained` is the share that this host keeps for its own clients. What this
+    /// host has borrowed is no part of it: its lender may have it back before a second borrower knows.
+    fn grant_inputs(
+        &self,
+        now: Instant,
+        request: &Request,
+        retained: f64,
+        fault: Option<LeaseFault>,
+    ) -> GrantInputs {
         let mut spare = (self.owned - retained).max(0.0);
         let mut available = self.owned - self.lent_to_others(now, request.from.slot);
         if fault == Some(LeaseFault::LendsBorrowed) {
             spare += self.borrowed(now) + self.owned / 2.0;
             available += self.borrowed(now);
         }
-        let requested: f64 = self.peer_requests.values().map(|request| request.share).sum();
-        let fair = spare * (request.share / requested.max(1e-9)).min(1.0);
-        let share = fair.min(request.share).min(available).max(0.0);
-        // As the borrower will read it.
-        f64::from((share * (1.0 - ROUNDING)) as f32)
+        let requested_by_all = self.peer_requests.values().map(|request| request.share).sum();
+        GrantInputs { spare, available, requested: request.share, requested_by_all }
     }
 }
--- a/crates/membership/src/quota_leases/pool.rs
+++ b/crates/membership/src/quota_leases/pool.rs
@@ -1,18 +1,44 @@
-//! The leases of one volume: granted and held, with the demand for it.
+//! The state of one volume's shared limit: its leases, granted and held, and the demand of this host's clients.
 
 use super::SharedLimit;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tackmast::interface::{Instant, TimeDelta};
 
-/// A host's need is its recent demand times this.
+/// A host needs this many times its recent demand: room for demand that rises before the next round.
 const DEMAND_HEADROOM: f64 = 1.25;
-/// Time constant over which demand is averaged, in seconds.
-const DEMAND_MEMORY_S: f64 = 2.0;
-/// Limits below this count as this, in units a second, so that nothing is divided by 0.
+/// Time constant of the exponential average of demand.
+const DEMAND_TIME_CONSTANT: TimeDelta = TimeDelta::from_millis(2_000);
+/// Least limit in units a second that demand is compared with, so that nothing is divided by 0.
 const MIN_LIMIT: f64 = 1e-9;
-/// Requests to one lender that may still be answered, and leases granted to one borrower that may still run.
+/// Greatest number of requests to one lender, and of leases granted to one borrower, that are remembered.
 const MAX_OPEN: usize = 16;
 
+/// The demand of this host's clients for a volume, as an exponential average.
+#[derive(Clone, Debug)]
+struct Demand {
+    /// Units a second as of `updated_at`.
+    rate: f64,
+    updated_at: Instant,
+}
+
+impl Demand {
+    /// Adds units that clients demanded.
+    fn record(&mut self, now: Instant, units: f64) {
+        self.rate = self.rate * self.decay(now) + units / DEMAND_TIME_CONSTANT.secs();
+        self.updated_at = now;
+    }
+
+    /// The factor by which the average has decayed since its last update.
+    fn decay(&self, now: Instant) -> f64 {
+        (-(now - self.updated_at).secs() / DEMAND_TIME_CONSTANT.secs()).exp()
+    }
+
+    /// The share of a limit, in units a second, that this demand needs.
+    fn needed_share(&self, now: Instant, limit: f64) -> f64 {
+        DEMAND_HEADROOM * self.rate * self.decay(now) / limit.max(MIN_LIMIT)
+    }
+}
+
 /// A lease that this host granted.
 #[derive(Clone, Debug)]
 pub(super) struct GrantedLease {
@@ -31,7 +57,7 @@
 }
 
 impl HeldLease {
-    /// What stands for a lender's earlier leases, so that none of them counts when it arrives late.
+    /// An ended lease in place of a lender's earlier ones, so that none of those counts when it arrives late.
     pub fn none(now: Instant, generation: u64) -> Self {
         HeldLease { generation, seq: 0, share: 0.0, until: now }
     }
@@ -57,9 +83,7 @@
     pub limit: SharedLimit,
     /// This host's own share of the whole limit.
     pub owned: f64,
-    /// Units a second that clients demanded, as of `demand_at`.
-    demand: f64,
-    demand_at: Instant,
+    demand: Demand,
     /// By borrower, the leases that may still be in use.
     pub granted: BTreeMap<u32, Vec<GrantedLease>>,
     /// By lender, the latest lease.
@@ -70,18 +94,17 @@
     pub peer_requests: BTreeMap<u32, PeerRequest>,
     /// Peers that hold no lease of an earlier generation of this slot.
     pub returned: BTreeSet<u32>,
-    /// From when on this host may use its own share, as no lease of an earlier generation can be in use any more.
+    /// From when on this host may use its own share, as no peer can use a lease of an earlier generation any more.
     pub available_from: Instant,
 }
 
 impl SharedPool {
-    /// A volume without leases; `owned_part` is the part of the even share that this host owns.
-    pub fn new(now: Instant, limit: SharedLimit, owned_part: f64, available_from: Instant) -> Self {
+    /// A volume without leases; `owned_fraction` is the fraction of its even share that this host owns.
+    pub fn new(now: Instant, limit: SharedLimit, owned_fraction: f64, available_from: Instant) -> Self {
         SharedPool {
-            owned: owned_part / limit.owners.len() as f64,
+            owned: owned_fraction / limit.owners.len() as f64,
             limit,
-            demand: 0.0,
-            demand_at: now,
+            demand: Demand { rate: 0.0, updated_at: now },
             granted: BTreeMap::new(),
             held: BTreeMap::new(),
             sent_requests: BTreeMap::new(),
@@ -108,17 +131,12 @@
 
     /// Clients have demanded so many units.
     pub fn record_demand(&mut self, now: Instant, units: f64) {
-        self.demand = self.demand * self.demand_decay(now) + units / DEMAND_MEMORY_S;
-        self.demand_at = now;
-    }
-
-    fn demand_decay(&self, now: Instant) -> f64 {
-        (-(now - self.demand_at).secs() / DEMAND_MEMORY_S).exp()
+        self.demand.record(now, units);
     }
 
     /// Share of the whole limit that this host needs by its recent demand.
     pub fn needed(&self, now: Instant) -> f64 {
-        DEMAND_HEADROOM * self.demand * self.demand_decay(now) / self.limit.limit.max(MIN_LIMIT)
+        self.demand.needed_share(now, self.limit.limit)
     }
 
     /// Share that is lent to all peers.
@@ -152,9 +170,11 @@
         ends.filter(|end| *end > now).reduce(Instant::min)
     }
 
-    /// Forgets leases that have ended, and requests older than a term. What is held of a lender is never forgotten, nor
-    /// under which of its generations: an older lease that arrives late, of a generation that has recalled its leases,
-    /// must be known for that. There are no more of them than owners.
+    /// Forgets leases that have ended, and requests older than a term.
+    ///
+    /// The latest lease of each lender stays, also after its end. Without it, a grant of an earlier generation that arrives
+    /// late would count as new, although that lender has recalled it and uses the share itself. There are no more such
+    /// records than owners.
     pub fn remove_ended(&mut self, now: Instant, term: TimeDelta) {
         for leases in self.granted.values_mut() {
             leases.retain(|lease| lease.until > now);
@@ -178,7 +198,11 @@
         requests.iter().find(|request| request.seq == seq).map(|request| request.sent)
     }
 
-    /// Adds a lease to those of a borrower. A borrower that never confirms any must not make their number grow.
+    /// Adds a lease to those of a borrower.
+    ///
+    /// A borrower that never confirms a lease would make this list grow without bound. Beyond the maximum the leases become
+    /// one with the greatest share and the latest end, which covers whichever of them the borrower uses. It has the last
+    /// one's number: a confirmation of an earlier one must not free a lease that may still arrive.
     pub fn add_granted(&mut self, to: u32, lease: GrantedLease) {
         let GrantedLease { seq, until, .. } = lease;
         let leases = self.granted.entry(to).or_default();
@@ -186,13 +210,12 @@
         if leases.len() > MAX_OPEN {
             let share = leases.iter().map(|lease| lease.share).reduce(f64::max).unwrap_or(0.0).max(0.0);
             let until = leases.iter().map(|lease| lease.until).max().unwrap_or(until);
-            // Under the last one's number: a confirmation of an earlier one must not free what may still arrive.
             *leases = vec![GrantedLease { seq, share, until }];
         }
     }
 }
 
-/// The greatest share of the leases that run: of several to one borrower it may act on any, but only on one.
+/// What a borrower may use: the greatest of its leases that run, as it may act on any of them, but only on one.
 fn max_share(now: Instant, leases: &[GrantedLease]) -> f64 {
     let shares = leases.iter().filter(|lease| lease.until > now).map(|lease| lease.share);
     shares.reduce(f64::max).unwrap_or(0.0).max(0.0)
