--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -40,8 +40,9 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::peer::{Body, Health, MemberUpdate};
 
-/// Protocol periods after a datagram of a member in which an update on its death is no more than a suspicion.
-const RECENT: f64 = 2.0;
+/// Protocol periods after a member's datagram within which the member counts as received: a death that a peer reports is
+/// then no more than a suspicion.
+const RECENT_PERIODS: f64 = 2.0;
 
 /// One host's view of its fleet: a state machine without I/O.
 pub struct View {
--- a/crates/membership/src/view/member_state.rs
+++ b/crates/membership/src/view/member_state.rs
@@ -1,5 +1,6 @@
-//! What the view holds of one member, and what it reports.
+//! The state of one member in the view, and what the view reports.
 
+use super::flapping::FlapScore;
 use super::SiteHealth;
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, TimeDelta};
@@ -26,17 +27,16 @@
     pub(super) last_received: Option<Instant>,
     /// When it stopped being alive, while it is not.
     pub(super) failed_at: Option<Instant>,
-    /// Recent failures and returns, decaying, as of `flap_scored_at`.
-    pub(super) flap_score: f64,
-    pub(super) flap_scored_at: Instant,
-    /// When it was last told that it is suspected or held dead.
+    /// How often it restarted or returned lately.
+    pub(super) flap_score: FlapScore,
+    /// When it was last notified that it is suspected or held dead.
     pub(super) last_notified: Option<Instant>,
-    /// It was declared dead while this host received nothing from anybody.
+    /// It was declared dead while this host received no datagram from any peer.
     pub(super) declared_in_isolation: bool,
 }
 
 impl MemberState {
-    /// What decides between two states: a later generation, then a later incarnation, then worse health.
+    /// Which of two states supersedes the other: a later generation, then a later incarnation, then worse health.
     pub(super) fn precedence(&self) -> (u64, u32, Health) {
         (self.generation, self.incarnation, self.health)
     }
@@ -152,9 +152,9 @@
         /// The later generation.
         generation: u64,
     },
-    /// That one does not run; this host took its slot back.
+    /// The later generation does not run; this host took its slot back.
     TookOver {
-        /// The generation under which this host goes on.
+        /// The generation that this host has now.
         generation: u64,
     },
 }
@@ -162,8 +162,8 @@
 /// This host took its slot back from a later generation that does not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakeOver {
-    /// That one was known at this host's own address, where no other process can listen: it has ended.
+    /// The other process was known at this host's own address, where no other process can listen: it has ended.
     SameAddress,
-    /// It was known elsewhere: it may only be paused.
+    /// The other process was known at another address: it may only be paused.
     OtherAddress,
 }
--- a/crates/membership/src/view/member_table/tests.rs
+++ b/crates/membership/src/view/member_table/tests.rs
@@ -1,6 +1,7 @@
-//! The indexes beside the table agree with its states after any changes.
+//! The indexes of the member table.
 
 use super::*;
+use crate::view::flapping::FlapScore;
 use std::net::SocketAddr;
 use tackmast::interface::Instant;
 
@@ -17,15 +18,16 @@
         suspected_by: Vec::new(),
         last_received: None,
         failed_at: None,
-        flap_score: 0.0,
-        flap_scored_at: now,
+        flap_score: FlapScore::new(now),
         last_notified: None,
         declared_in_isolation: random.rand_range(0..2) == 0,
     }
 }
 
+/// Members are inserted, replaced and removed at random. An index that missed one change would let a timeout skip a member,
+/// or make two equal views have different digests.
 #[test]
-fn indexes_agree_with_the_states() {
+fn indexes_match_the_states_after_each_change() {
     let mut random = oorandom::Rand32::new(7);
     let mut table = MemberTable::default();
     let now = Instant::from_secs(1.0);
--- a/crates/membership/src/view/merge.rs
+++ b/crates/membership/src/view/merge.rs
@@ -1,19 +1,21 @@
 //! Merging of updates that peers send: which of two states of a member holds, and refutation of updates on this host
 //! (SWIM, section 4.2).
 
-use super::{Death, MemberState, View, ViewEvent, ViewFault, RECENT};
+use super::flapping::FlapScore;
+use super::{Death, MemberState, View, ViewEvent, ViewFault, RECENT_PERIODS};
 use tackmast::interface::Instant;
 use tackmast_wire::peer::{Health, MemberUpdate};
 
-/// Incarnations and generations above these are no member's own: nobody could refute them by a later one.
+/// Greatest incarnation that is accepted: a member could not refute a greater one by a later one for ever.
 const MAX_INCARNATION: u32 = 1 << 30;
+/// Greatest generation that is accepted: no process could start with a later one.
 const MAX_GENERATION: u64 = u64::MAX - (1 << 20);
 /// Deaths that are kept for status output.
 const MAX_DEATHS: usize = 64;
 
 impl View {
-    /// Merges an update on a member: a later generation wins, then a later incarnation, then worse health. One that is
-    /// equal to what is known changes nothing but who confirms a suspicion.
+    /// Merges an update on a member: a later generation wins, then a later incarnation, then worse health. An update with
+    /// the same precedence as the known state only adds to who confirms a suspicion.
     pub fn merge(&mut self, now: Instant, update: MemberUpdate) {
         if !self.is_in_range(&update) {
             self.counters.out_of_range += 1;
@@ -41,7 +43,11 @@
         }
     }
 
-    /// Against updates that no member could refute, and slots that would fill the table.
+    /// Whether some member can have sent the update.
+    ///
+    /// A false update with the greatest generation or incarnation would hold a running member dead for good, as the member
+    /// could not refute it by a greater one. Slots without bound would fill the table, which shows as rising memory and
+    /// longer digests.
     fn is_in_range(&self, update: &MemberUpdate) -> bool {
         update.incarnation <= MAX_INCARNATION
             && update.generation <= MAX_GENERATION
@@ -51,7 +57,8 @@
     fn supersedes(&self, update: &MemberUpdate, state: &MemberState) -> bool {
         let (known, received) = (state.precedence(), precedence(update));
         let is_same_generation = update.generation == state.generation;
-        // A death that was declared in isolation is this host's guess: any other state goes before it.
+        // This host received nothing when it declared a death in isolation, so any peer's state of the same incarnation is
+        // better informed. Without this a refutation that the host missed meanwhile would never be accepted.
         let replaces_guess = state.declared_in_isolation
             && is_same_generation
             && update.incarnation >= state.incarnation
@@ -67,7 +74,8 @@
     /// Merges an update of the same generation, incarnation and health as what is known.
     fn merge_equal(&mut self, now: Instant, update: MemberUpdate) {
         let Some(state) = self.members.get(update.slot) else { return };
-        // Two processes that claim one generation from two places: all hosts choose the same of them.
+        // Two processes may claim one generation from two addresses. All hosts choose the greater address, or their views
+        // would never converge.
         if (update.address, update.site) > (state.address, state.site) {
             let state = MemberState { address: update.address, site: update.site, ..state.clone() };
             self.members.insert(update.slot, state);
@@ -78,11 +86,14 @@
         }
     }
 
-    /// Against one host's false update: a member whose datagrams are received is not dead, it is one that has to refute.
-    /// None: a suspicion runs already.
+    /// A peer's death of a member whose datagrams arrive here becomes a suspicion; none: a suspicion runs already.
+    ///
+    /// A host that is cut off declares others dead. If its update were accepted as it is, running members would be dead in
+    /// every view until they refute it. As a suspicion they get time to refute it, and a member that is really dead stops
+    /// sending, so that its death is accepted soon after.
     fn checked_death(&self, now: Instant, update: MemberUpdate, state: &MemberState) -> Option<MemberUpdate> {
-        let is_received =
-            state.was_received_within(now, self.periods(RECENT)) && update.generation == state.generation;
+        let is_received = state.was_received_within(now, self.periods(RECENT_PERIODS))
+            && update.generation == state.generation;
         if update.health != Health::Dead || !is_received || !self.settings.extensions.buddy_system {
             return Some(update);
         }
@@ -120,14 +131,14 @@
         self.broadcast(slot);
     }
 
-    /// The state that an update makes of the one before.
+    /// The state after an update; `before` is the one that it replaces.
     fn next_state(&self, now: Instant, update: &MemberUpdate, before: Option<&MemberState>) -> MemberState {
         let same_generation = before.filter(|before| before.generation == update.generation);
         let failed_at = match update.health {
             Health::Alive => None,
             _ => before.and_then(|before| before.failed_at).or(Some(now)),
         };
-        let (flap_score, flap_scored_at) = self.next_flap_score(now, update, before);
+        let flap_score = self.next_flap_score(now, update, before);
         let old_address = before.filter(|_| self.has(ViewFault::OldAddressWins));
         let old_site = before.filter(|_| self.has(ViewFault::OldSiteWins));
         let suspected_by = update.suspected_by.filter(|_| update.health == Health::Suspect);
@@ -142,30 +153,29 @@
             last_received: same_generation.and_then(|before| before.last_received),
             failed_at,
             flap_score,
-            flap_scored_at,
             last_notified: None,
             declared_in_isolation: false,
         }
     }
 
-    /// A return from death or leave, and a restart without a leave, add to the score.
+    /// A return from death or leave, and a restart without a graceful leave, add to the score.
     fn next_flap_score(
         &self,
         now: Instant,
         update: &MemberUpdate,
         before: Option<&MemberState>,
-    ) -> (f64, Instant) {
-        let Some(before) = before else { return (0.0, now) };
+    ) -> FlapScore {
+        let Some(before) = before else { return FlapScore::new(now) };
         let returns = update.health == Health::Alive && matches!(before.health, Health::Dead | Health::Left);
         let restarts = update.generation != before.generation && before.health != Health::Left;
         if returns || restarts {
-            (self.flap_score(now, before) + 1.0, now)
+            before.flap_score.incremented(now, self.flap_halving_time())
         } else {
-            (before.flap_score, before.flap_scored_at)
+            before.flap_score
         }
     }
 
-    /// Reports a change; those of a member that flaps are one event, not one each.
+    /// Reports a change of health. Changes of a member that flaps are one event in all.
     pub(super) fn report_health(&mut self, slot: u32, health: Health, flapped: bool, flaps: bool) {
         match (flapped, flaps) {
             (_, false) => self.events.push_back(ViewEvent::Health { slot, health }),
@@ -196,21 +206,21 @@
             return;
         }
         let is_worse = update.health > self.me.health && update.incarnation >= self.me.incarnation;
-        // An incarnation under this host's name that it never had is refuted too.
+        // An incarnation that this host never had is refuted too: its own updates would else be ignored as older.
         if is_worse || update.incarnation > self.me.incarnation {
             self.refute(now, update.incarnation);
             if self.settings.extensions.local_health && is_worse {
                 self.degrade_local_health(1);
             }
             self.broadcast(self.me.slot);
-            // At once, to a few: the suspicion runs out at all who confirm it.
+            // The suspicion expires at all peers that confirm it, so the refutation does not wait for the next probe.
             if self.settings.extensions.buddy_system {
                 self.gossip_now();
             }
         }
     }
 
-    /// Goes on under a later incarnation than the one that was claimed.
+    /// Takes a later incarnation than the one that was claimed.
     fn refute(&mut self, now: Instant, incarnation: u32) {
         self.me.incarnation = incarnation + 1;
         self.counters.accused += 1;
