--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,13 +1,20 @@
 //! The membership view: which hosts of the fleet run. Failure detection by pings, indirect pings, suspicions and
 //! incarnations is SWIM's (Das, Gupta and Motivala, 2002); local health, suspicions that others confirm and the buddy
 //! system are Lifeguard's (Dadgar, Phillips and Currey, 2017); digests between pairs let views converge after a
-//! partition. What the view says may be wrong: that costs service, never a guarantee. docs/membership.md has what it
-//! promises, as formulas.
+//! partition. The view may be wrong: a host that is wrongly held dead loses service, but no guarantee depends on the view.
+//! docs/membership.md has what it promises, as formulas.
 //!
-//! `failure_detector` probes members, `suspicion` declares them dead, `local_health` holds back where this host itself
-//! is unwell, `merge` takes peers' updates, `dissemination` and `broadcast_queue` spread them, `join` contacts those that
-//! are not known to run, `duplicate_id` resolves a slot with two processes, `flapping` damps members that come and go,
-//! `sites` sums up by site, `member_table` and `member_state` hold what is known, `settings` has the settings.
+//! - `failure_detector`: probes of members, direct and indirect.
+//! - `suspicion`: when a suspected member is declared dead.
+//! - `local_health`: how a host holds back that is itself slow, paused or cut off.
+//! - `merge`: which of two states of a member holds, and refutations.
+//! - `dissemination`, `broadcast_queue`: gossip of updates.
+//! - `join`: contact with hosts that are not known to run.
+//! - `duplicate_id`: two processes with one slot.
+//! - `flapping`: damping of members that fail and return repeatedly.
+//! - `sites`: members summed up by site.
+//! - `member_table`, `member_state`: what is known of each member.
+//! - `settings`: settings, extensions and deliberate faults.
 
 mod broadcast_queue;
 mod dissemination;
@@ -62,22 +69,22 @@
     /// Protocol periods since the start.
     periods: u32,
     next_period: Instant,
-    /// When `handle_timeout` was due, as this view last said.
+    /// When `handle_timeout` was due, by the last `poll_timeout`.
     expected_timeout: Instant,
-    /// When a datagram of any other member was received last.
+    /// When a datagram of any member was received last.
     last_received: Instant,
     /// When any probe of this host was answered last.
     last_answered: Instant,
-    /// When it last received again after an isolation.
+    /// When this host last received a datagram again after an isolation.
     reconnected_at: Instant,
     local_health: LocalHealth,
-    /// Until when members held dead are contacted each period.
+    /// Until when members held dead are contacted in each protocol period.
     rejoin_until: Instant,
     random: oorandom::Rand64,
     transmits: VecDeque<Transmit>,
     events: VecDeque<ViewEvent>,
     deaths: VecDeque<Death>,
-    /// By site, the health that was reported last.
+    /// The health of each site that was reported last.
     site_health: BTreeMap<u32, SiteHealth>,
     displaced: bool,
     duplicate_id: Option<DuplicateId>,
@@ -101,7 +108,7 @@
         seed: u64,
     ) -> Self {
         let mut random = random_generator(seed);
-        // Hosts that start at once do not ping at once.
+        // Hosts that start together would else send their pings together, in bursts.
         let first_period = TimeDelta::from_secs(settings.protocol_period.secs() * random.rand_float());
         let mut view = View {
             me,
@@ -236,13 +243,13 @@
     pub fn handle_received(&mut self, now: Instant, slot: u32, generation: u64) {
         let silence = now - self.last_received;
         self.last_received = now;
-        if silence >= self.periods(local_health::SILENCE) {
+        if silence >= self.periods(local_health::SILENCE_PERIODS) {
             self.end_isolation(now);
         }
         let state = self.members.get(slot).filter(|state| state.generation == generation);
         let Some(mut state) = state.cloned() else { return };
         if state.health == Health::Dead && self.settings.extensions.rejoin {
-            // A partition heals: more members may be back.
+            // A partition heals: more members that are held dead may be alive.
             self.rejoin_until = now + self.periods(join::REJOIN_PERIODS);
         }
         if self.is_notification_due(now, &state) {
@@ -253,7 +260,7 @@
         self.members.insert(slot, state);
     }
 
-    /// Whether a member is to be told that it is suspected or held dead.
+    /// Whether a member is to be notified that it is suspected or held dead.
     fn is_notification_due(&self, now: Instant, state: &MemberState) -> bool {
         let is_accused = matches!(state.health, Health::Suspect | Health::Dead);
         let interval = self.settings.protocol_period;
@@ -261,7 +268,8 @@
         is_accused && is_due && self.settings.extensions.buddy_system
     }
 
-    /// The host leaves, and tells some members so.
+    /// The host leaves gracefully and gossips that. Two rounds make up for a lost datagram: after a leave that nobody learned
+    /// of, the host would be suspected and declared dead.
     pub fn leave(&mut self) {
         self.me.health = Health::Left;
         self.broadcast(self.me.slot);
@@ -321,8 +329,8 @@
     }
 }
 
-/// Hosts of a fleet may have consecutive seeds, which begin this generator's numbers alike: they would all ping the same
-/// member at the same time. So the seed is spread over all bits.
+/// A random number generator. Consecutive seeds give this generator similar first numbers, so that hosts with such seeds
+/// would all ping the same member at the same time; the seed is spread over all bits first.
 fn random_generator(seed: u64) -> oorandom::Rand64 {
     let (high, low) = (mix_bits(seed), mix_bits(!seed));
     oorandom::Rand64::new(u128::from(high) << 64 | u128::from(low))
@@ -330,8 +338,8 @@
 
 /// The finaliser of SplitMix64 (Steele, Lea and Flood, 2014).
 fn mix_bits(seed: u64) -> u64 {
-    let mut z = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    z ^ (z >> 31)
+    let mut bits = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    bits ^ (bits >> 31)
 }
--- a/crates/membership/src/view/broadcast_queue.rs
+++ b/crates/membership/src/view/broadcast_queue.rs
@@ -7,9 +7,9 @@
 /// A member's place in the queue.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Entry {
-    /// Transmissions that are left: those with most come first.
+    /// Transmissions that are left: entries with most come first.
     remaining: Reverse<u32>,
-    /// Number of the broadcast: of equal ones the oldest comes first.
+    /// Number of the broadcast: of entries with equal transmissions left the oldest comes first.
     number: u64,
     slot: u32,
 }
--- a/crates/membership/src/view/dissemination.rs
+++ b/crates/membership/src/view/dissemination.rs
@@ -6,16 +6,16 @@
 use std::net::SocketAddr;
 use tackmast_wire::peer::{Body, Health, MemberUpdate, MAX_UPDATES};
 
-/// Each update is sent this many times the logarithm of the number of members.
+/// Transmissions of an update for each unit of the logarithm of the number of members (memberlist's retransmit multiplier).
 const RETRANSMIT_FACTOR: f64 = 3.0;
-/// Updates that are piggybacked on one message.
+/// Greatest number of queued updates that are piggybacked on one message.
 const MAX_PIGGYBACKED: usize = 8;
-/// Members that are told of something at once.
+/// Members that an urgent update is gossiped to at once.
 const FANOUT: usize = 3;
 
 impl View {
-    /// The updates to piggyback on a message: those sent least often first. A member that is suspected or held dead is
-    /// told that before all else (Lifeguard's buddy system).
+    /// The updates to piggyback on a message: those sent least often first. A message to a member that is suspected or held
+    /// dead begins with that update, so that the member refutes it as soon as it can (Lifeguard's buddy system).
     pub fn piggyback(&mut self, to: Option<u32>) -> Vec<MemberUpdate> {
         let buddy = to.filter(|slot| self.settings.extensions.buddy_system && self.is_accused(*slot));
         let mut slots: Vec<u32> = buddy.into_iter().collect();
@@ -38,8 +38,8 @@
     pub(super) fn gossip_now(&mut self) {
         let mut live = self.live().to_vec();
         for _ in 0..FANOUT.min(live.len()) {
-            let i = self.random.rand_range(0..live.len() as u64) as usize;
-            let slot = live.swap_remove(i);
+            let index = self.random.rand_range(0..live.len() as u64) as usize;
+            let slot = live.swap_remove(index);
             if let Some(to) = self.address(slot) {
                 self.send(to, Body::Gossip, Some(slot));
             }
@@ -56,7 +56,8 @@
         self.transmits.push_back(Transmit { to, body, recipient });
     }
 
-    /// All members' updates, in pieces that fit one datagram each. Deaths that were declared in isolation are left out.
+    /// All members' updates, split so that each part fits one datagram. Deaths that were declared in isolation are left out:
+    /// they are this host's guess.
     pub fn all_updates(&self) -> Vec<Vec<MemberUpdate>> {
         let shared = self.members.iter().filter(|(_, state)| !state.declared_in_isolation);
         let updates: Vec<MemberUpdate> =
@@ -71,7 +72,7 @@
         self.members.get(slot).map(|state| state.to_update(slot))
     }
 
-    /// Logarithm of the number of members, by which gossip and suspicions scale.
+    /// Logarithm of the number of members: so many rounds of gossip reach all of them.
     pub(super) fn log_size(&self) -> f64 {
         ((self.members.len() + 2) as f64).log2()
     }
--- a/crates/membership/src/view/duplicate_id.rs
+++ b/crates/membership/src/view/duplicate_id.rs
@@ -1,22 +1,25 @@
-//! Another process under this host's own slot: which of the two gives way, and what follows when the other does not run.
+//! Another process under this host's own slot.
+//!
+//! Two processes that both use the slot's quota would exceed a volume's limit together. The earlier generation gives way:
+//! it is displaced and uses no shared quota. A later generation that does not run is taken over from.
 
 use super::{TakeOver, View, ViewEvent, ViewFault};
 use std::net::SocketAddr;
 use tackmast::interface::Instant;
 use tackmast_wire::peer::{Body, MemberUpdate};
 
-/// Protocol periods without a datagram of a later generation of the own slot after which it is held not to run, where it
-/// is known at this host's own address: no other process can listen there.
-const SILENCE_AT_SAME_ADDRESS: f64 = 3.0;
-/// The same for one that is known elsewhere.
-const SILENCE_ELSEWHERE: f64 = 8.0;
+/// Protocol periods without a datagram after which a later generation at this host's own address counts as ended: no other
+/// process can listen there.
+const SAME_ADDRESS_SILENCE_PERIODS: f64 = 3.0;
+/// Protocol periods without a datagram after which a later generation at another address counts as not running.
+const OTHER_ADDRESS_SILENCE_PERIODS: f64 = 8.0;
 
 /// A later generation of this host's own slot.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DuplicateId {
     generation: u64,
     address: SocketAddr,
-    /// When a datagram of it was received last, or it was learned of first.
+    /// When a datagram of it was received last, or else when its generation was learned.
     last_received: Instant,
 }
 
@@ -50,21 +53,24 @@
                 duplicate.last_received = now;
             }
         } else if sender.generation < self.me.generation && self.settings.extensions.duplicate_id_check {
-            // An earlier generation that runs still, or again: it is told that it is not alone.
+            // An earlier generation still runs. It learns of this one from the answer, and stops using the shared quota.
             self.send(from, Body::Gossip, None);
         }
     }
 
-    /// A clock that went back gives a new generation a lower number than the one before it: that one does not run, and this
-    /// one would be displaced for as long as it lives. So the later generation is contacted; if it stays silent, this host
-    /// goes on under a generation later still.
+    /// Takes the slot back from a later generation that does not run.
+    ///
+    /// After a clock has gone back, a process starts with a lower generation than the one before it. Peers then prefer the
+    /// earlier process's state, and this host would be displaced for as long as it runs. So it contacts the later
+    /// generation, and where that stays silent this host takes a generation that is later still.
     pub(super) fn check_duplicate_id(&mut self, now: Instant) {
         if !self.settings.extensions.duplicate_id_check || self.has(ViewFault::BelievesDuplicateId) {
             return;
         }
         let Some(duplicate) = self.duplicate_id else { return };
         let is_same_address = duplicate.address == self.me.address;
-        let silence = if is_same_address { SILENCE_AT_SAME_ADDRESS } else { SILENCE_ELSEWHERE };
+        let silence =
+            if is_same_address { SAME_ADDRESS_SILENCE_PERIODS } else { OTHER_ADDRESS_SILENCE_PERIODS };
         if now - duplicate.last_received >= self.periods(silence) {
             self.take_over(now, duplicate);
         } else if !is_same_address {
--- a/crates/membership/src/view/failure_detector.rs
+++ b/crates/membership/src/view/failure_detector.rs
@@ -6,15 +6,15 @@
 use tackmast::interface::Instant;
 use tackmast_wire::peer::{Body, ProbeMessage};
 
-/// Part of a protocol period after which an unanswered ping is tried through others.
-const DIRECT_TIMEOUT: f64 = 0.3;
-/// Part of it after which the probe has failed.
-const INDIRECT_TIMEOUT: f64 = 0.9;
+/// Protocol periods after which an unanswered ping is followed by indirect pings.
+const DIRECT_TIMEOUT_PERIODS: f64 = 0.3;
+/// Protocol periods after which the probe has failed.
+const INDIRECT_TIMEOUT_PERIODS: f64 = 0.9;
 /// Members that are asked for an indirect ping.
 const INDIRECT_CHECKS: usize = 3;
 /// Greatest number of pings on behalf of others that are remembered.
 const MAX_RELAYS: usize = 64;
-/// Greatest number of own probes that wait for an answer.
+/// Greatest number of this host's own probes that wait for an answer.
 const MAX_PROBES: usize = 32;
 
 /// A probe of a member that waits for its answer.
@@ -22,14 +22,14 @@
 pub(super) struct Probe {
     pub seq: u32,
     pub slot: u32,
-    /// The generation that was probed: what that one misses is not held against a later one.
+    /// The generation that was probed: a later one is not suspected for what an earlier one did not answer.
     pub generation: u64,
     pub sent: Instant,
-    /// Others were asked for an indirect ping.
+    /// Whether helpers were asked for an indirect ping.
     pub indirect_sent: bool,
     pub direct_until: Instant,
     pub until: Instant,
-    /// Others that it did not answer either (Lifeguard's nack).
+    /// Helpers that the member did not answer either (Lifeguard's nack).
     pub nacks: usize,
 }
 
@@ -83,7 +83,7 @@
         if self.relays.len() >= MAX_RELAYS {
             self.relays.pop_front();
         }
-        let until = now + self.periods(DIRECT_TIMEOUT);
+        let until = now + self.periods(DIRECT_TIMEOUT_PERIODS);
         self.relays.push_back(Relay { seq, requester, requester_seq, target, until });
         self.send_probe(address, ProbeMessage::Ping { seq }, Some(target));
     }
@@ -91,7 +91,7 @@
     fn relay_ack(&mut self, seq: u32, target: u32) {
         let is_relay = |relay: &Relay| relay.seq == seq && relay.target == target;
         let position = self.relays.iter().position(is_relay);
-        if let Some(relay) = position.and_then(|i| self.relays.remove(i)) {
+        if let Some(relay) = position.and_then(|index| self.relays.remove(index)) {
             let message = ProbeMessage::IndirectAck { seq: relay.requester_seq, slot: target };
             self.send_probe(relay.requester, message, None);
         }
@@ -100,25 +100,25 @@
     /// Ends relays and probes that were not answered in time.
     pub(super) fn expire_probes(&mut self, now: Instant) {
         self.expire_relays(now);
-        let mut i = 0;
-        while i < self.probes.len() {
-            let probe = self.probes[i].clone();
+        let mut index = 0;
+        while index < self.probes.len() {
+            let probe = self.probes[index].clone();
             if now >= probe.until {
-                self.probes.remove(i);
+                self.probes.remove(index);
                 self.probe_failed(now, &probe);
                 continue;
             }
             if now >= probe.direct_until && !probe.indirect_sent {
-                self.probes[i].indirect_sent = true;
+                self.probes[index].indirect_sent = true;
                 self.request_indirect_pings(now, &probe);
             }
-            i += 1;
+            index += 1;
         }
     }
 
     fn expire_relays(&mut self, now: Instant) {
-        while let Some(i) = self.relays.iter().position(|relay| now >= relay.until) {
-            let Some(relay) = self.relays.remove(i) else { break };
+        while let Some(index) = self.relays.iter().position(|relay| now >= relay.until) {
+            let Some(relay) = self.relays.remove(index) else { break };
             if self.settings.extensions.local_health {
                 let message = ProbeMessage::Nack { seq: relay.requester_seq, slot: relay.target };
                 self.send_probe(relay.requester, message, None);
@@ -135,14 +135,17 @@
         }
     }
 
-    /// Neither the member nor any helper brought an answer. A nack shows that this host itself is well connected.
+    /// Neither the member answered nor a helper for it.
+    ///
+    /// Without nacks, this host can't tell a dead member from its own broken link and would suspect all that it probes. A
+    /// nack shows that the host's own datagrams arrive; without any, the host lowers its own local health.
     fn probe_failed(&mut self, now: Instant, probe: &Probe) {
         let state = self.members.get(probe.slot).filter(|state| state.generation == probe.generation);
         let Some(state) = state else { return };
         let received_since = state.last_received.is_some_and(|received| received >= probe.sent);
         if self.settings.extensions.local_health && probe.nacks == 0 {
             self.degrade_local_health(1);
-            // The member sends, and no helper says that it does not answer: what gets lost is lost near this host.
+            // Datagrams of the member arrive, and no helper reports it silent: the answers get lost near this host.
             if received_since {
                 return;
             }
@@ -152,8 +155,8 @@
         }
     }
 
-    /// Starts one probe a period; two while a member is suspected, as what befell one may have befallen many, unless this
-    /// host's own health is bad.
+    /// Starts one probe a period; two while a member is suspected, unless this host's own health is bad. Members often fail
+    /// together, and a second probe finds the others sooner.
     pub(super) fn start_probes(&mut self, now: Instant) {
         self.start_probe(now);
         let has_suspects = !self.members.suspects().is_empty();
@@ -172,15 +175,15 @@
         let seq = self.next_seq();
         let has_local_health = self.settings.extensions.local_health;
         let multiplier = if has_local_health { self.local_health.timeout_multiplier() } else { 1.0 };
-        let after = |part: f64| now + self.periods(part * multiplier);
+        let after = |periods: f64| now + self.periods(periods * multiplier);
         self.probes.push(Probe {
             seq,
             slot,
             generation,
             sent: now,
             indirect_sent: false,
-            direct_until: after(DIRECT_TIMEOUT),
-            until: after(INDIRECT_TIMEOUT),
+            direct_until: after(DIRECT_TIMEOUT_PERIODS),
+            until: after(INDIRECT_TIMEOUT_PERIODS),
             nacks: 0,
         });
         self.send_probe(address, ProbeMessage::Ping { seq }, Some(slot));
@@ -200,20 +203,21 @@
         }
     }
 
-    /// Begins a round (Fisher and Yates).
+    /// Begins a round of all live members in a random order (the shuffle of Fisher and Yates).
     fn shuffle_probe_order(&mut self, live: &[u32]) {
         self.probe_order = live.to_vec();
-        for i in (1..self.probe_order.len()).rev() {
-            let j = self.random.rand_range(0..i as u64 + 1) as usize;
-            self.probe_order.swap(i, j);
+        for last in (1..self.probe_order.len()).rev() {
+            let other = self.random.rand_range(0..last as u64 + 1) as usize;
+            self.probe_order.swap(last, other);
         }
     }
 
-    /// Gives a member that joins while a round runs a random place in it: it would else not be probed before the next.
+    /// Gives a member that joins during a round a random place in it. Without that it would not be probed before the next
+    /// round, and in a large fleet its early death would stay unnoticed for that long.
     pub(super) fn add_to_probe_order(&mut self, slot: u32) {
         if !self.probe_order.contains(&slot) {
-            let i = self.random.rand_range(0..self.probe_order.len() as u64 + 1) as usize;
-            self.probe_order.insert(i, slot);
+            let place = self.random.rand_range(0..self.probe_order.len() as u64 + 1) as usize;
+            self.probe_order.insert(place, slot);
         }
     }
 }
--- a/crates/membership/src/view/join.rs
+++ b/crates/membership/src/view/join.rs
@@ -1,5 +1,5 @@
-//! Joining and rejoining: contact with members that are not known to run, which are seeds, peers that an earlier
-//! generation knew, and members held dead, as partitions heal.
+//! Joining and rejoining: contact with hosts that are not known to run. These are seeds, peers that an earlier generation
+//! knew, and members held dead, which may be alive behind a partition that heals.
 
 use super::{View, ViewFault};
 use std::collections::BTreeSet;
@@ -7,13 +7,13 @@
 use tackmast::interface::Instant;
 use tackmast_wire::peer::{Health, ProbeMessage};
 
-/// Every so many protocol periods a member that is held dead, and a seed, is contacted.
+/// Protocol periods between two contacts of a member that is held dead, and of a seed.
 const RECONNECT_PERIODS: u32 = 4;
-/// Protocol periods in which members held dead are contacted each period, after a datagram of one arrived.
+/// Protocol periods for which members held dead are contacted each period, after a datagram of one of them arrived.
 pub(super) const REJOIN_PERIODS: f64 = 10.0;
-/// Peers of an earlier generation that are contacted in a period.
+/// Persisted peers that are contacted in one protocol period.
 const PERSISTED_PER_PERIOD: usize = 3;
-/// How often each of them is.
+/// Contacts of each persisted peer in all.
 const PERSISTED_ATTEMPTS: u32 = 3;
 
 /// A peer that an earlier generation knew.
@@ -26,8 +26,8 @@
 impl View {
     /// Contacts all seeds.
     pub(super) fn join(&mut self) {
-        for i in 0..self.seeds.len() {
-            self.contact(self.seeds[i]);
+        for seed in self.seeds.clone() {
+            self.contact(seed);
         }
     }
 
@@ -43,12 +43,12 @@
     fn random_address(&mut self, addresses: &[SocketAddr]) -> Option<SocketAddr> {
         match addresses.len() {
             0 => None,
-            n => Some(addresses[self.random.rand_range(0..n as u64) as usize]),
+            count => Some(addresses[self.random.rand_range(0..count as u64) as usize]),
         }
     }
 
-    /// Contacts some of those that are not known to run: a member held dead may be back behind a partition that has
-    /// healed, and a seed may know others.
+    /// Contacts some hosts that are not known to run. Without this the two sides of a partition would hold each other dead
+    /// for good, as nobody probes a dead member.
     pub(super) fn reconnect(&mut self, now: Instant) {
         let is_due = self.is_reconnection_due(now);
         if !is_due && self.persisted_peers.is_empty() {
@@ -72,7 +72,7 @@
         let is_silent = |address: &SocketAddr| *address != self.me.address && !live.contains(address);
         let seeds: Vec<SocketAddr> = self.seeds.iter().copied().filter(is_silent).collect();
         if self.settings.extensions.rejoin {
-            // A seed each time: among many dead its turn would come too late for a fleet that starts again from it.
+            // A seed each time: chosen among many dead members, it would come too late for a fleet that restarts from it.
             let chosen = [self.random_address(&dead), self.random_address(&seeds)];
             chosen.into_iter().flatten().for_each(|address| self.contact(address));
         } else {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// These are contacted, and never taken for alive before they answer.
+    /// Contacts peers that an earlier generation knew. They count as alive only once they answer: a store may be old.
     fn contact_persisted_peers(&mut self, live: &BTreeSet<SocketAddr>) {
         for _ in 0..PERSISTED_PER_PERIOD {
             let Some(mut peer) = self.persisted_peers.pop_front() else { break };
--- a/crates/membership/src/view/local_health.rs
+++ b/crates/membership/src/view/local_health.rs
@@ -1,27 +1,29 @@
-//! Local health: how a host that is itself unwell holds back (Lifeguard, section 4.1). It counts probes that went
-//! unanswered for no fault of the other, notices that it was paused, and that it is cut off from all others.
+//! Local health: how a host that is itself unwell holds back (Lifeguard, section 4.1).
+//!
+//! A host that is slow, paused or cut off misses answers, and would declare running members dead. So it counts probes that
+//! went unanswered for no fault of the probed member, detects that it was paused, and that it is cut off from all others.
 
 use super::{MemberState, View, ViewEvent, ViewFault};
 use tackmast::interface::Instant;
 
-/// Greatest score: answers are waited for up to one more than this many times as long.
+/// Greatest score. Timeouts of probes are multiplied by one more than the score.
 const MAX_SCORE: u32 = 8;
-/// Score from which on suspicions last twice as long, fewer probes are sent, and the log is told.
+/// Score from which on suspicions last twice as long, fewer probes are sent, and operators are notified.
 pub(super) const BAD_SCORE: f64 = 4.0;
 /// By how much a pause raises the score.
 const PAUSE_SCORE: u32 = 2;
-/// Protocol periods without a datagram from anybody after which a host takes itself for the one that is cut off.
-pub(super) const SILENCE: f64 = 3.0;
-/// Such periods after which it takes the others for dead all the same.
-const LONG_SILENCE: f64 = 25.0;
-/// Protocol periods from when it receives again until it gossips the deaths that it declared in isolation.
-const CONFIRM_AFTER: f64 = 6.0;
+/// Protocol periods without any answer, or without any datagram, after which a host counts itself as cut off.
+pub(super) const SILENCE_PERIODS: f64 = 3.0;
+/// Protocol periods without any datagram after which it declares the others dead all the same.
+const LONG_SILENCE_PERIODS: f64 = 25.0;
+/// Protocol periods from the first datagram after an isolation until deaths that were declared in it are gossiped.
+const CONFIRM_PERIODS: f64 = 6.0;
 
 /// Lifeguard's local health multiplier, as a score from 0.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LocalHealth {
     score: u32,
-    /// The log was told that the score is bad, and not yet that it is good again.
+    /// Whether the last event was that the score is bad.
     reported: bool,
 }
 
@@ -31,7 +33,7 @@
         self.score
     }
 
-    /// How many times longer than usual answers are waited for.
+    /// The factor by which timeouts of probes are longer than usual.
     pub fn timeout_multiplier(self) -> f64 {
         f64::from(1 + self.score)
     }
@@ -41,7 +43,7 @@
         f64::from(self.score) >= BAD_SCORE
     }
 
-    /// Raises the score; returns what is to be reported.
+    /// Raises the score; returns an event once it is bad.
     fn degrade(&mut self, steps: u32) -> Option<ViewEvent> {
         let was_bad = self.is_bad();
         self.score = (self.score + steps).min(MAX_SCORE);
@@ -52,7 +54,7 @@
         Some(ViewEvent::LocalHealth { score: self.score })
     }
 
-    /// Lowers the score; returns what is to be reported.
+    /// Lowers the score; returns an event once it is 0 after it was bad.
     fn improve(&mut self) -> Option<ViewEvent> {
         let is_good_again = self.score == 1 && std::mem::take(&mut self.reported);
         self.score = self.score.saturating_sub(1);
@@ -76,23 +78,22 @@
         self.events.extend(event);
     }
 
-    /// Whether this host is itself the one that is cut off: nobody answers it, neither those it probes nor any that it
-    /// asks for help, though it receives from others; or it receives nothing, and not yet for so long that the others
-    /// must be dead.
+    /// Whether this host counts itself as cut off, and so suspects nobody: neither a probed member nor a helper has answered
+    /// it for some periods. After a long time without any datagram it does not any more, as the others may really be dead.
     pub(super) fn is_cut_off(&self, now: Instant) -> bool {
-        let is_unanswered = now - self.last_answered >= self.periods(SILENCE);
+        let is_unanswered = now - self.last_answered >= self.periods(SILENCE_PERIODS);
         let may_be_cut_off = self.settings.extensions.local_health && self.live_count() > 0 && is_unanswered;
-        may_be_cut_off && now - self.last_received < self.periods(LONG_SILENCE)
+        may_be_cut_off && now - self.last_received < self.periods(LONG_SILENCE_PERIODS)
     }
 
-    /// Whether it has received nothing for so long that it decides by itself. Deaths that it declares then are not
-    /// gossiped, and any update of another goes before them.
+    /// Whether this host receives no datagrams. Deaths that it declares now are not gossiped, and any peer's update
+    /// supersedes them.
     pub(super) fn is_isolated(&self, now: Instant) -> bool {
-        let is_silent = now - self.last_received >= self.periods(SILENCE);
+        let is_silent = now - self.last_received >= self.periods(SILENCE_PERIODS);
         self.settings.extensions.local_health && is_silent
     }
 
-    /// It receives again after an isolation: suspicions of before begin anew.
+    /// This host receives again after an isolation. Suspicions from before begin anew, as no refutation could arrive.
     pub(super) fn end_isolation(&mut self, now: Instant) {
         self.reconnected_at = now;
         for (slot, state) in self.suspects() {
@@ -105,10 +106,12 @@
         slots.filter_map(|slot| self.members.get(*slot).map(|state| (*slot, state.clone()))).collect()
     }
 
-    /// Deaths that it declared in isolation and nobody has contradicted, once it had time to receive, are gossiped like
-    /// any other.
+    /// Gossips the deaths that were declared in isolation and that no peer has contradicted since.
+    ///
+    /// If they were gossiped at once, a host with a broken link would spread the death of the whole fleet when the link is
+    /// back. The wait gives peers' updates time to arrive and supersede them.
     pub(super) fn confirm_isolated_deaths(&mut self, now: Instant) {
-        if self.is_isolated(now) || now - self.reconnected_at < self.periods(CONFIRM_AFTER) {
+        if self.is_isolated(now) || now - self.reconnected_at < self.periods(CONFIRM_PERIODS) {
             return;
         }
         let slots: Vec<u32> = self.members.declared_in_isolation().iter().copied().collect();
@@ -120,8 +123,10 @@
         }
     }
 
-    /// A host whose process was stopped, or that its machine kept waiting, missed answers that arrived: none of it is the
-    /// others' fault.
+    /// Detects that this host did not run for a protocol period or more: its process was stopped, or its machine was busy.
+    ///
+    /// It has missed answers that arrived meanwhile. Without this it would suspect all that it had probed. So the pending
+    /// probes are dropped, and the time of the pause does not count for suspicions.
     pub(super) fn detect_pause(&mut self, now: Instant) {
         let late = now - self.expected_timeout;
         if late < self.settings.protocol_period {
--- a/crates/membership/src/view/member_table.rs
+++ b/crates/membership/src/view/member_table.rs
@@ -1,5 +1,5 @@
-//! The table of all members but this host, with indexes beside it, so that no timeout walks a fleet of hundreds: who is
-//! live, who is suspected, who was declared dead in isolation, and the digest of all.
+//! The table of all members but this host, with indexes: the live members, the suspects, those declared dead in isolation,
+//! and the digest of all. With the indexes no timeout has to read the states of a fleet of hundreds.
 
 use super::MemberState;
 use imbl::OrdMap;
@@ -27,8 +27,8 @@
     pub fn insert(&mut self, slot: u32, state: MemberState) {
         self.remove(slot);
         if state.is_live() {
-            if let Err(i) = self.live.binary_search(&slot) {
-                self.live.insert(i, slot);
+            if let Err(index) = self.live.binary_search(&slot) {
+                self.live.insert(index, slot);
             }
         }
         if state.health == Health::Suspect {
@@ -45,8 +45,8 @@
     pub fn remove(&mut self, slot: u32) {
         let Some(state) = self.states.remove(&slot) else { return };
         self.digest = self.digest.wrapping_sub(checksum(&state.to_update(slot)));
-        if let Ok(i) = self.live.binary_search(&slot) {
-            self.live.remove(i);
+        if let Ok(index) = self.live.binary_search(&slot) {
+            self.live.remove(index);
         }
         self.suspects.remove(&slot);
         self.declared_in_isolation.remove(&slot);
@@ -98,9 +98,12 @@
     }
 }
 
-/// One member's part of a digest.
+/// Bytes that a member's checksum is computed of.
+const CHECKSUM_INPUT_LEN: usize = 39;
+
+/// Checksum of one member's state; a digest is the sum of all.
 pub(super) fn checksum(update: &MemberUpdate) -> u32 {
-    let mut bytes = [0u8; 39];
+    let mut bytes = [0u8; CHECKSUM_INPUT_LEN];
     bytes[..4].copy_from_slice(&update.slot.to_be_bytes());
     bytes[4..12].copy_from_slice(&update.generation.to_be_bytes());
     bytes[12..16].copy_from_slice(&update.incarnation.to_be_bytes());
--- a/crates/membership/src/view/settings.rs
+++ b/crates/membership/src/view/settings.rs
@@ -13,18 +13,18 @@
     pub extensions: Extensions,
 }
 
-/// What the view does beyond plain SWIM. Each extension can be left out, so that its worth can be measured.
+/// What the view does beyond plain SWIM. Each extension can be switched off, so that simulations can compare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Extensions {
-    /// Lifeguard's local health multiplier: a host whose probes go unanswered, or that receives nothing, waits longer before
-    /// it suspects others.
+    /// Lifeguard's local health multiplier: a host whose probes go unanswered, or that receives nothing, waits longer
+    /// before it suspects others.
     pub local_health: bool,
     /// Lifeguard's dynamic suspicion timeout: suspicions that several members confirm end sooner, those of one alone
     /// later.
     pub suspicion_confirmation: bool,
-    /// A host that was paused holds nothing against others that it missed meanwhile.
+    /// A host that was paused suspects no member for what it missed meanwhile.
     pub pause_detection: bool,
-    /// Lifeguard's buddy system: a member that is suspected or held dead is told so as soon as it sends anything.
+    /// Lifeguard's buddy system: a member that is suspected or held dead is notified as soon as it sends anything.
     pub buddy_system: bool,
     /// Each datagram carries its sender's own state, with its incarnation.
     pub sender_state: bool,
@@ -78,7 +78,7 @@
     OldAddressWins,
     /// Members held dead are never contacted.
     NoReconnection,
-    /// A host that was paused suspects all others when it goes on.
+    /// A host that was paused suspects all others when it resumes.
     SuspectsAfterPause,
     /// One missed answer is a death.
     NoSuspicion,
@@ -86,11 +86,11 @@
     IgnoresIncarnation,
     /// Members held dead are forgotten.
     ForgetsDead,
-    /// A later generation of the host's own slot is believed in for ever.
+    /// A host never takes its slot back from a later generation that does not run.
     BelievesDuplicateId,
     /// The site of an earlier generation stays.
     OldSiteWins,
-    /// A member that flapped is never asked or told anything again.
+    /// A member that flapped is never probed or asked for help again.
     ExcludesFlapping,
 }
 
--- a/crates/membership/src/view/sites.rs
+++ b/crates/membership/src/view/sites.rs
@@ -1,14 +1,14 @@
-//! Members by site: whether all hosts of a site failed at once, or one by one. A hint for operators; nothing depends on it.
+//! Members by site: whether all hosts of a site failed together or one by one. Operators read it; no decision depends on it.
 
 use super::{MemberState, View, ViewEvent};
 use std::collections::BTreeMap;
 use tackmast::interface::Instant;
 use tackmast_wire::peer::Health;
 
-/// Protocol periods within which the hosts of a site fail if that is one event.
-const AT_ONCE: f64 = 12.0;
-/// Protocol periods without a datagram from anybody after which a host reports nothing of any site.
-const SILENCE: f64 = 4.0;
+/// Protocol periods between the first and the last failure of a site's hosts, at most, if they failed together.
+const TOGETHER_PERIODS: f64 = 12.0;
+/// Protocol periods without any datagram after which a host reports no site.
+const SILENCE_PERIODS: f64 = 4.0;
 
 /// Health of a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
     pub dead: u32,
     /// Hosts that left.
     pub left: u32,
-    /// What that makes of the site.
+    /// Health of the site by these counts.
     pub health: SiteHealth,
 }
 
@@ -63,24 +63,24 @@
         let alive = count(Health::Alive) + u32::from(site == self.me.site);
         let health = match (alive, suspect + dead) {
             (0, 0) => SiteHealth::Left,
-            (0, hosts) if self.failed_at_once(states) => SiteHealth::FailedTogether { hosts },
+            (0, hosts) if self.failed_together(states) => SiteHealth::FailedTogether { hosts },
             (0, hosts) => SiteHealth::FailedOneByOne { hosts },
             _ => SiteHealth::Reachable,
         };
         SiteState { site, alive, suspect, dead, left, health }
     }
 
-    fn failed_at_once(&self, states: &[&MemberState]) -> bool {
+    fn failed_together(&self, states: &[&MemberState]) -> bool {
         let failed = states.iter().filter(|state| state.health != Health::Left);
         let times: Vec<Instant> = failed.filter_map(|state| state.failed_at).collect();
         let ends = times.iter().min().zip(times.iter().max());
-        ends.is_some_and(|(first, last)| *last - *first <= self.periods(AT_ONCE))
+        ends.is_some_and(|(first, last)| *last - *first <= self.periods(TOGETHER_PERIODS))
     }
 
-    /// Reports sites whose health has changed. A host that receives nothing at all reports none: it is as likely the one
-    /// that is cut off.
+    /// Reports sites whose health has changed. A host that receives nothing reports none: it is as likely cut off itself,
+    /// and would report every site as down.
     pub(super) fn report_sites(&mut self, now: Instant) {
-        if now - self.last_received > self.periods(SILENCE) {
+        if now - self.last_received > self.periods(SILENCE_PERIODS) {
             return;
         }
         for state in self.sites() {
