--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -128,7 +128,7 @@
     }
 
     /// Makes a request due now: somebody waits for what is newest.
-    pub fn request_now(&mut self, now: Instant) {
+    pub(crate) fn request_now(&mut self, now: Instant) {
         self.next_request_at = self.next_request_at.min(now);
     }
 
@@ -161,12 +161,12 @@
     }
 
     /// Another replica has responded, if only to say who leads.
-    pub fn on_response(&mut self) {
+    pub(crate) fn on_response(&mut self) {
         self.unanswered = 0;
     }
 
     /// Requests since the last response.
-    pub fn unanswered(&self) -> u32 {
+    pub(crate) fn unanswered(&self) -> u32 {
         self.unanswered
     }
 
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -34,7 +34,7 @@
 //! - Responses of AppendEntries carry the round that they respond to, and on a mismatch where to try next.
 //! - An operator may make one replica go on without a majority, as a new log.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 mod chunks;
 mod error;
@@ -54,7 +54,7 @@
 pub use event::ConsensusEvent;
 pub use fault::ConsensusFault;
 pub use lease::{Lease, LeaseGrant, LeaseState};
-pub use log::{Configuration, Log, LogLength, Snapshot};
+pub use log::{Configuration, Log, Snapshot};
 pub use output::ReplicaOutput;
 pub use raft::{RaftNode, RaftOutput};
 pub use replica::Replica;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -27,7 +27,7 @@
 
 /// The log after the last snapshot, and how much of it there is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LogLength {
+pub(crate) struct LogLength {
     /// Entries.
     pub entries: u64,
     /// Their bytes in memory, approximately.
@@ -83,7 +83,7 @@
     }
 
     /// What was appended since the snapshot.
-    pub fn since_snapshot(&self) -> LogLength {
+    pub(crate) fn since_snapshot(&self) -> LogLength {
         LogLength { entries: self.last().index - self.snapshot.last.index, bytes: self.bytes }
     }
 
@@ -97,7 +97,7 @@
     }
 
     /// Index and term of the entry at `index`, also where only its position is still known.
-    pub fn position_at(&self, index: u64) -> Option<LogPosition> {
+    pub(crate) fn position_at(&self, index: u64) -> Option<LogPosition> {
         if index == self.before_first.index {
             return Some(self.before_first);
         }
@@ -116,7 +116,7 @@
     }
 
     /// Removes the entry at `index` and all after it, but none that the snapshot covers.
-    pub fn truncate_from(&mut self, index: u64) {
+    pub(crate) fn truncate_from(&mut self, index: u64) {
         let first_removed = index.max(self.snapshot.last.index + 1);
         while self.last().index >= first_removed {
             let Some(entry) = self.entries.pop_back() else { break };
@@ -126,7 +126,7 @@
     }
 
     /// Entries from `index` on: as many as the bounds allow, and at least one.
-    pub fn entries_from(&self, index: u64, max_entries: usize, max_bytes: usize) -> Vec<Entry> {
+    pub(crate) fn entries_from(&self, index: u64, max_entries: usize, max_bytes: usize) -> Vec<Entry> {
         let Some(offset) = self.offset(index) else { return Vec::new() };
         let mut taken = Vec::new();
         let mut bytes = 0;
--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -162,7 +162,7 @@
     }
 
     /// Index of the last entry that is committed and on this server's disk.
-    pub fn persisted_commit_index(&self) -> u64 {
+    pub(crate) fn persisted_commit_index(&self) -> u64 {
         self.commit_index.min(self.persisted_index)
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// Hosts that may know the leader.
-    pub fn voters_to_ask(&self) -> Vec<u32> {
+    pub(crate) fn voters_to_ask(&self) -> Vec<u32> {
         match &self.bootstrap {
             Some(bootstrap) => bootstrap.initial_voters.iter().copied().collect(),
             None => self.voters().keys().copied().collect(),
--- a/crates/consensus/src/raft/bootstrap.rs
+++ b/crates/consensus/src/raft/bootstrap.rs
@@ -61,7 +61,7 @@
 
 impl BootstrapState {
     /// Of a server that may begin the log.
-    pub fn new(initial_voters: BTreeSet<u32>, confirmed_voters: Option<Voters>) -> BootstrapState {
+    pub(super) fn new(initial_voters: BTreeSet<u32>, confirmed_voters: Option<Voters>) -> BootstrapState {
         let confirmation = match confirmed_voters {
             Some(voters) => Confirmation::Persisted { voters },
             None => Confirmation::None,
@@ -78,7 +78,7 @@
     }
 
     /// Of a server that only waits for a log of others.
-    pub fn learner(initial_voters: BTreeSet<u32>) -> BootstrapState {
+    pub(super) fn learner(initial_voters: BTreeSet<u32>) -> BootstrapState {
         BootstrapState { is_learner: true, ..BootstrapState::new(initial_voters, None) }
     }
 
--- a/crates/consensus/src/raft/leader.rs
+++ b/crates/consensus/src/raft/leader.rs
@@ -61,7 +61,7 @@
     }
 
     /// When the next round is due.
-    pub fn poll_timeout(&self) -> Instant {
+    pub(super) fn poll_timeout(&self) -> Instant {
         match self.awaits_round() {
             true => self.next_round_at.min(self.heartbeat_due),
             false => self.heartbeat_due,
@@ -69,7 +69,7 @@
     }
 
     /// What other replicas have reported.
-    pub fn follower_status(&self, now: Instant) -> BTreeMap<u32, FollowerStatus> {
+    pub(super) fn follower_status(&self, now: Instant) -> BTreeMap<u32, FollowerStatus> {
         let status = |report: &StoredReport| FollowerStatus {
             stored_index: report.stored_index,
             silent_for: now - report.at,
--- a/crates/consensus/src/raft/learner.rs
+++ b/crates/consensus/src/raft/learner.rs
@@ -49,7 +49,7 @@
     }
 
     /// Another replica knows entries up to `index` to be committed.
-    pub fn on_commit_advertised(&mut self, now: Instant, from: u32, index: u64) {
+    pub(crate) fn on_commit_advertised(&mut self, now: Instant, from: u32, index: u64) {
         if self.is_voter() || index <= self.commit_index.max(self.fetch.target_index) {
             return;
         }
--- a/crates/consensus/src/raft/replication.rs
+++ b/crates/consensus/src/raft/replication.rs
@@ -35,7 +35,7 @@
 
 impl Progress {
     /// Of a peer of whose log nothing is known.
-    pub fn new(now: Instant, next_index: u64) -> Progress {
+    pub(super) fn new(now: Instant, next_index: u64) -> Progress {
         Progress {
             next_index,
             match_index: 0,
@@ -47,7 +47,7 @@
     }
 
     /// What was sent and brought nothing since the last round was lost: it is sent again.
-    pub fn retry_if_stalled(&mut self, now: Instant, settings: &RaftSettings) {
+    pub(super) fn retry_if_stalled(&mut self, now: Instant, settings: &RaftSettings) {
         let large_time = settings.heartbeats(LARGE_APPEND_HEARTBEATS);
         let has_progressed = std::mem::take(&mut self.progressed);
         if !has_progressed && self.large_sent_at.is_none_or(|sent_at| now - sent_at >= large_time) {
--- a/crates/consensus/src/replica/effective.rs
+++ b/crates/consensus/src/replica/effective.rs
@@ -14,7 +14,7 @@
 
 /// When this replica learned of commits. There are at most as many batches as moments in a lease.
 #[derive(Clone, Debug)]
-pub struct CommitTimes {
+pub(super) struct CommitTimes {
     batches: VecDeque<Batch>,
     /// The time from learning of a commit until it is effective.
     holdover: TimeDelta,
@@ -24,17 +24,17 @@
 
 impl CommitTimes {
     /// Without commits.
-    pub fn new(holdover: TimeDelta, batch_time: TimeDelta) -> CommitTimes {
+    pub(super) fn new(holdover: TimeDelta, batch_time: TimeDelta) -> CommitTimes {
         CommitTimes { batches: VecDeque::new(), holdover, batch_time }
     }
 
     /// Forgets all, as the log is discarded.
-    pub fn clear(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.batches.clear();
     }
 
     /// The entry at `index` is committed, as this replica learns now.
-    pub fn record(&mut self, now: Instant, index: u64) {
+    pub(super) fn record(&mut self, now: Instant, index: u64) {
         let holdover = self.holdover;
         while self.batches.pop_front_if(|batch| now - batch.last_learned >= holdover).is_some() {}
         match self.batches.back_mut() {
@@ -44,7 +44,7 @@
     }
 
     /// Entries up to `index` came with a snapshot. Since when they are committed is not known: from now is late enough.
-    pub fn restart(&mut self, now: Instant, index: u64) {
+    pub(super) fn restart(&mut self, now: Instant, index: u64) {
         self.batches.clear();
         self.push(now, index.max(1));
     }
@@ -54,13 +54,13 @@
     }
 
     /// Index of the last entry that is effective, if not all committed ones are.
-    pub fn effective_index(&self, now: Instant) -> Option<u64> {
+    pub(super) fn effective_index(&self, now: Instant) -> Option<u64> {
         let pending = self.batches.iter().find(|batch| now - batch.last_learned < self.holdover);
         pending.map(|batch| batch.first_index - 1)
     }
 
     /// When the newest committed entry will be effective.
-    pub fn effective_at(&self, now: Instant) -> Instant {
+    pub(super) fn effective_at(&self, now: Instant) -> Instant {
         self.batches.back().map_or(now, |batch| batch.last_learned + self.holdover).max(now)
     }
 }
--- a/crates/consensus/src/replica/proposals.rs
+++ b/crates/consensus/src/replica/proposals.rs
@@ -25,7 +25,7 @@
 
 impl PendingProposal {
     /// When it is sent again or given up.
-    pub fn poll_timeout(&self) -> Instant {
+    pub(super) fn poll_timeout(&self) -> Instant {
         self.retry_at.min(self.deadline)
     }
 }
--- a/crates/consensus/src/replica/sessions.rs
+++ b/crates/consensus/src/replica/sessions.rs
@@ -5,21 +5,21 @@
 use std::collections::BTreeMap;
 
 /// Bytes before a proposal's own: host, generation, number and length.
-pub const PROPOSAL_HEADER_LEN: usize = 20;
+pub(super) const PROPOSAL_HEADER_LEN: usize = 20;
 /// Bytes of a session in a snapshot.
 const SESSION_LEN: usize = 16;
 const SESSION_COUNT_LEN: usize = 4;
 
 /// A proposal's place among all of its host. Ordered as they were made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ProposalId {
+pub(super) struct ProposalId {
     pub generation: u64,
     pub number: u32,
 }
 
 /// A proposal as entries have it.
 #[derive(Clone, Debug)]
-pub struct Proposal {
+pub(super) struct Proposal {
     pub host: u32,
     pub id: ProposalId,
     pub data: Bytes,
@@ -27,7 +27,7 @@
 
 impl Proposal {
     /// The command of its entry.
-    pub fn to_bytes(&self) -> Bytes {
+    pub(super) fn to_bytes(&self) -> Bytes {
         let mut out = BytesMut::with_capacity(self.data.len() + PROPOSAL_HEADER_LEN);
         out.put_u32(self.host);
         out.put_u64(self.id.generation);
@@ -38,7 +38,7 @@
     }
 
     /// The proposal that an entry's command is.
-    pub fn decode(mut bytes: Bytes) -> Option<Proposal> {
+    pub(super) fn decode(mut bytes: Bytes) -> Option<Proposal> {
         if bytes.len() < PROPOSAL_HEADER_LEN {
             return None;
         }
@@ -51,11 +51,11 @@
 
 /// The last proposal of each host that counted. There are no more of them than hosts.
 #[derive(Clone, Debug, Default)]
-pub struct Sessions(BTreeMap<u32, ProposalId>);
+pub(super) struct Sessions(BTreeMap<u32, ProposalId>);
 
 impl Sessions {
     /// Whether the proposal counts: none does that was applied already, or comes after later ones of its host.
-    pub fn admit(&mut self, proposal: &Proposal) -> bool {
+    pub(super) fn admit(&mut self, proposal: &Proposal) -> bool {
         if self.0.get(&proposal.host).is_some_and(|last| *last >= proposal.id) {
             return false;
         }
@@ -64,12 +64,12 @@
     }
 
     /// Forgets all, as the log is discarded.
-    pub fn clear(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.0.clear();
     }
 
     /// A snapshot's state: the sessions, and the state machine's own bytes.
-    pub fn encode_with(&self, state: &[u8]) -> Bytes {
+    pub(super) fn encode_with(&self, state: &[u8]) -> Bytes {
         let length = SESSION_COUNT_LEN + self.0.len() * SESSION_LEN + state.len();
         let mut out = BytesMut::with_capacity(length);
         out.put_u32(self.0.len() as u32);
@@ -83,7 +83,7 @@
     }
 
     /// Takes the sessions of a snapshot's state in place of these; what is left are the state machine's own bytes.
-    pub fn restore_from(&mut self, mut state: Bytes) -> Bytes {
+    pub(super) fn restore_from(&mut self, mut state: Bytes) -> Bytes {
         self.clear();
         if state.len() < SESSION_COUNT_LEN {
             return state;
--- a/crates/membership/src/catalog_replication.rs
+++ b/crates/membership/src/catalog_replication.rs
@@ -1,8 +1,9 @@
-//! Replication of catalog updates from the host that publishes them to all others. Updates are numbered texts, one after
-//! the other; whoever learns of a newer number fetches the next text in chunks (pull-based, as in rumour mongering with
-//! pull by Demers et al., 1987, section 1.4). What a text means, and whether it follows the one before, its reader
-//! judges; here it is bytes. A host that applies an update tells a few others at once, and one more each protocol period,
-//! so that a lost message is made up for.
+//! Replication of catalog updates from the host that publishes them to all others.
+//!
+//! Updates are texts with consecutive numbers. A host that learns of a newer number fetches the next text in chunks
+//! (pull-based, as in rumour mongering with pull by Demers et al., 1987, section 1.4). The text is opaque here: its reader
+//! decides whether it follows the one before. A host that applies an update sends its version to a few peers at once, and
+//! to one more in each protocol period, which makes up for lost messages.
 
 mod fetch;
 
@@ -14,13 +15,13 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::peer::{Body, CatalogMessage, MAX_PIECE};
 
-/// Greatest number of updates that a host keeps; one that publishes them refuses those beyond.
+/// Greatest number of updates that a host keeps. The publisher refuses further ones.
 pub const MAX_CATALOG_UPDATES: usize = 20_000;
 /// Greatest length of one update in bytes.
 pub const MAX_UPDATE_LEN: usize = 1 << 20;
-/// Peers that are told at once of a new update, or a new node list.
+/// Peers that the version of a new update, or of a new node list, is sent to at once.
 pub(crate) const FANOUT: usize = 3;
-/// Greatest number of peers whose versions are kept.
+/// Greatest number of peers whose versions are remembered.
 const MAX_PEERS: usize = 100_000;
 
 /// An update of the catalog.
@@ -43,7 +44,7 @@
 
 /// What a host learns of the catalog.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CatalogEvent {
+pub(crate) enum CatalogEvent {
     /// An update has arrived, and is to be applied or rejected.
     Update(CatalogUpdate),
     /// A peer has applied another update under the same number.
@@ -76,10 +77,10 @@
     fetch: Option<Fetch>,
     updates: VecDeque<CatalogUpdate>,
     fork: Option<CatalogEvent>,
-    /// Number of the last fork that was reported, as each is once.
+    /// Number of the last fork that was reported. Each is reported once.
     reported_fork: u64,
     transmits: VecDeque<Transmit>,
-    /// Updates that were not accepted here.
+    /// Updates that this host rejected.
     pub rejected: u64,
 }
 
@@ -92,12 +93,18 @@
     }
 
     /// Whether this host takes part.
-    pub fn is_enabled(&self) -> bool {
+    pub(crate) fn is_enabled(&self) -> bool {
         self.enabled
     }
 
     /// An update was applied here; by the deadline all hosts must have.
-    pub fn handle_applied(&mut self, now: Instant, version: CatalogVersion, text: Bytes, deadline: Instant) {
+    pub(crate) fn handle_applied(
+        &mut self,
+        now: Instant,
+        version: CatalogVersion,
+        text: Bytes,
+        deadline: Instant,
+    ) {
         self.newest = version;
         self.deadline = deadline;
         self.texts.insert(version.number, text);
@@ -107,14 +114,14 @@
         }
     }
 
-    /// The update that arrived is not accepted here.
+    /// This host rejects the update that arrived.
     pub fn handle_rejected(&mut self) {
         self.rejected += 1;
         self.fetch = None;
     }
 
-    /// Tells a peer which update this host has applied.
-    pub fn version_message(&self, now: Instant) -> CatalogMessage {
+    /// The message with the newest update that this host has applied.
+    pub(crate) fn version_message(&self, now: Instant) -> CatalogMessage {
         let remaining_ms = ((self.deadline - now).secs().max(0.0) * 1e3).ceil() as u32;
         CatalogMessage::Version { number: self.newest.number, mark: self.newest.mark, remaining_ms }
     }
@@ -149,7 +156,13 @@
     }
 
     /// A peer has sent a message.
-    pub fn handle_message(&mut self, now: Instant, from: SocketAddr, slot: u32, message: &CatalogMessage) {
+    pub(crate) fn handle_message(
+        &mut self,
+        now: Instant,
+        from: SocketAddr,
+        slot: u32,
+        message: &CatalogMessage,
+    ) {
         if !self.enabled {
             return;
         }
@@ -172,7 +185,7 @@
         if number > known.number {
             *known = Announced { number, deadline };
         } else if number == known.number {
-            // The time that a message takes only makes the deadline look later.
+            // A message's time on its way makes the deadline look later than it is, never earlier.
             known.deadline = known.deadline.min(deadline);
         }
     }
@@ -202,8 +215,9 @@
         self.send(to, CatalogMessage::Chunk { number, piece, pieces, bytes });
     }
 
-    /// Fetches the next update. A fetch that was begun goes on, also from another peer: an update is the same at all that
-    /// have it, and one of many chunks would else never be whole where datagrams get lost.
+    /// Fetches the next update. A fetch that was begun is resumed, also from another peer, as an update is the same at all
+    /// peers that have it. If each peer's announcement began it anew, an update of many chunks would never be complete
+    /// where datagrams get lost.
     fn start_fetch(&mut self, now: Instant, from: SocketAddr) {
         let number = self.newest.number + 1;
         let begun = self.fetch.take().filter(|fetch| fetch.number == number);
@@ -232,9 +246,10 @@
     }
 
     /// Requests a chunk again that did not arrive in time.
-    pub fn handle_timeout(&mut self, now: Instant) {
-        let is_due = self.poll_timeout().is_some_and(|t| t <= now);
-        // Against the announcement of an update that nobody has: it would hold up clients, and the next update.
+    pub(crate) fn handle_timeout(&mut self, now: Instant) {
+        let is_due = self.poll_timeout().is_some_and(|retry_at| retry_at <= now);
+        // A peer may announce an update that no peer can send. While an update is missing, clients are rejected and no
+        // later update is fetched, so the host gives the fetch up and forgets the announcement.
         if self.fetch.as_ref().is_some_and(Fetch::is_exhausted) {
             self.fetch = None;
             self.announced = Announced { number: self.newest.number, deadline: now };
@@ -247,17 +262,17 @@
     }
 
     /// When [`handle_timeout`](Self::handle_timeout) is due.
-    pub fn poll_timeout(&self) -> Option<Instant> {
+    pub(crate) fn poll_timeout(&self) -> Option<Instant> {
         self.fetch.as_ref().and_then(Fetch::retry_at)
     }
 
     /// The next event.
-    pub fn poll_event(&mut self) -> Option<CatalogEvent> {
+    pub(crate) fn poll_event(&mut self) -> Option<CatalogEvent> {
         self.updates.pop_front().map(CatalogEvent::Update).or_else(|| self.fork.take())
     }
 
     /// The next message to be sent.
-    pub fn poll_transmit(&mut self) -> Option<Transmit> {
+    pub(crate) fn poll_transmit(&mut self) -> Option<Transmit> {
         self.transmits.pop_front()
     }
 
--- a/crates/membership/src/catalog_replication/fetch.rs
+++ b/crates/membership/src/catalog_replication/fetch.rs
@@ -6,15 +6,15 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::peer::CatalogMessage;
 
-/// A chunk that was requested and has not arrived within this is requested again: of the peer that announces the update
-/// next, or else of the same one.
-const RETRY_INTERVAL_S: f64 = 0.1;
+/// How long a requested chunk may take. It is then requested again: from the next peer that announces the update, else from
+/// the same one.
+const RETRY_INTERVAL: TimeDelta = TimeDelta::from_millis(100);
 /// Retries of one chunk after which a fetch is given up.
 const MAX_RETRIES: u32 = 20;
 
-/// What a chunk was for a fetch.
+/// What a chunk did for a fetch.
 pub(super) enum FetchProgress {
-    /// Not the chunk that was requested, or not of the peer that was asked.
+    /// It is not the requested chunk, or not from the peer that was asked.
     Ignored,
     /// The update is longer than any may be.
     TooLong,
@@ -29,7 +29,7 @@
     /// The peer that was asked last.
     pub from: SocketAddr,
     pub number: u64,
-    /// Chunks of the whole, by the last that arrived.
+    /// Number of chunks of the update, by the last one that arrived.
     pieces: u16,
     /// Position of the chunk that is asked for.
     next_piece: u16,
@@ -40,7 +40,7 @@
 
 impl Fetch {
     /// A fetch of an update from its first chunk.
-    pub fn new(now: Instant, from: SocketAddr, number: u64) -> Self {
+    pub(super) fn new(now: Instant, from: SocketAddr, number: u64) -> Self {
         Fetch {
             from,
             number,
@@ -53,40 +53,44 @@
     }
 
     /// The same fetch, of another peer.
-    pub fn resume(self, now: Instant, from: SocketAddr) -> Self {
+    pub(super) fn resume(self, now: Instant, from: SocketAddr) -> Self {
         Fetch { from, requested_at: now, retries: 0, ..self }
     }
 
     /// The message that asks for the next chunk.
-    pub fn request(&self) -> CatalogMessage {
+    pub(super) fn request(&self) -> CatalogMessage {
         CatalogMessage::ChunkRequest { number: self.number, piece: self.next_piece }
     }
 
     /// Whether the chunk that was requested may still arrive in time.
-    pub fn is_waiting(&self, now: Instant) -> bool {
-        (now - self.requested_at).secs() < RETRY_INTERVAL_S
+    pub(super) fn is_waiting(&self, now: Instant) -> bool {
+        now - self.requested_at < RETRY_INTERVAL
     }
 
     /// Whether a chunk was requested too often.
-    pub fn is_exhausted(&self) -> bool {
+    pub(super) fn is_exhausted(&self) -> bool {
         self.retries >= MAX_RETRIES
     }
 
     /// When the chunk is to be requested again; none: the fetch is given up.
-    pub fn retry_at(&self) -> Option<Instant> {
-        let at = self.requested_at + TimeDelta::from_secs(RETRY_INTERVAL_S);
+    pub(super) fn retry_at(&self) -> Option<Instant> {
+        let at = self.requested_at + RETRY_INTERVAL;
         (!self.is_exhausted()).then_some(at)
     }
 
     /// Records that the chunk is requested again.
-    pub fn retry(&mut self, now: Instant) {
+    pub(super) fn retry(&mut self, now: Instant) {
         self.requested_at = now;
         self.retries += 1;
     }
 
-    /// Takes a chunk if it is the one that was requested, of the peer that was asked: others can't fill this host with
-    /// bytes.
-    pub fn handle_chunk(&mut self, now: Instant, from: SocketAddr, chunk: &CatalogMessage) -> FetchProgress {
+    /// Accepts a chunk if it is the requested one, from the peer that was asked. Others could else fill this host's memory.
+    pub(super) fn handle_chunk(
+        &mut self,
+        now: Instant,
+        from: SocketAddr,
+        chunk: &CatalogMessage,
+    ) -> FetchProgress {
         let CatalogMessage::Chunk { number, piece, pieces, bytes } = chunk else {
             return FetchProgress::Ignored;
         };
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -8,8 +8,8 @@
 //! timeout and the buddy system (its section 4). Beyond both stand anti-entropy by digests, rejoining after long
 //! partitions, damping of flapping members, and detection of pauses and of duplicate numbers.
 //!
-//! Four more protocols use the same datagrams. None of them depends on the view for correctness: a host that receives nothing
-//! goes on with what it knows.
+//! Four more protocols use the same datagrams. None of them depends on the view for correctness: a host that receives
+//! nothing keeps to what it knows.
 //!
 //! - `view`: which members run. SWIM and Lifeguard; its module comment names the file of each part.
 //! - `quota_leases`: leases on shares of a volume's limit, from an owner to one that has more demand.
@@ -20,9 +20,9 @@
 //! - `member`: all of these as one host, which encodes and decodes datagrams.
 //!
 //! All machines have one calling shape: `handle_datagram`, `handle_message` and `handle_timeout` take input together with
-//! the time; `poll_output`, `poll_transmit` and `poll_event` are called until they return none; `poll_timeout` tells when
+//! the time; `poll_output`, `poll_transmit` and `poll_event` are called until they return none; `poll_timeout` returns when
 //! `handle_timeout` is due.
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 mod catalog_replication;
 mod event;
@@ -36,7 +36,7 @@
 use tackmast_wire::peer::Body;
 
 pub use catalog_replication::{
-    CatalogEvent, CatalogReplication, CatalogUpdate, CatalogVersion, MAX_CATALOG_UPDATES, MAX_UPDATE_LEN,
+    CatalogReplication, CatalogUpdate, CatalogVersion, MAX_CATALOG_UPDATES, MAX_UPDATE_LEN,
 };
 pub use event::MembershipEvent;
 pub use member::{Counters, Member, MemberSettings, Output, PersistedMembers};
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,6 +1,6 @@
 //! One host as a member of its fleet: all machines of this package together, fed with datagrams and the time.
-//! `receive` takes datagrams, `settings` has the settings and outputs, `persistence` decides what
-//! the next generation is to know.
+//! `receive` takes datagrams, `settings` has the settings and outputs, `persistence` decides what the next generation is to
+//! know.
 
 mod persistence;
 mod receive;
@@ -46,14 +46,15 @@
     node_list: NodeListNotices,
     lease_settings: LeaseSettings,
     shared_limits: Vec<SharedLimit>,
-    /// Another generation of this slot may use the shared quota; this one does not, whatever else it does.
+    /// Another generation of this slot may use the shared quota, so this one never does.
     yields_quota: bool,
     persistence: Persistence,
     /// Whether datagrams carry their sender's own state.
     sender_state: bool,
     outputs: VecDeque<Output>,
-    /// Where the next answer to a digest begins, among all overrides and all pieces of the view.
+    /// Index of the override with which the next answer to a digest begins.
     next_override: usize,
+    /// Index of the part of the view with which the next answer to a digest begins.
     next_piece: usize,
     /// What has happened since the start.
     pub counters: Counters,
@@ -71,7 +72,8 @@
     }
 
     fn start(now: Instant, mut settings: MemberSettings, fault: Option<ViewFault>) -> Self {
-        // Against a store of a larger fleet: slots beyond this one's would be contacted, and persisted, for ever.
+        // A store may come from a larger fleet. Its slots beyond this fleet's would be contacted, and persisted again, for
+        // ever, as no update on them is accepted that could remove them.
         let max_hosts = settings.view.max_hosts;
         settings.persisted.retain(|peer| (peer.slot as usize) < max_hosts);
         let me = MemberUpdate {
@@ -142,7 +144,7 @@
     /// When [`handle_timeout`](Self::handle_timeout) is due.
     pub fn poll_timeout(&self) -> Instant {
         let timeout = self.view.poll_timeout().min(self.leases.poll_timeout());
-        self.catalog.poll_timeout().map_or(timeout, |t| t.min(timeout))
+        self.catalog.poll_timeout().map_or(timeout, |catalog_timeout| catalog_timeout.min(timeout))
     }
 
     /// The next output.
@@ -150,8 +152,8 @@
         self.outputs.pop_front()
     }
 
-    /// Sends what the view has to send. It does not know of overrides, so their digest is filled in here; beside each
-    /// digest the receiver is told the versions of the catalog and of the node list.
+    /// Sends the view's messages. The view does not know of overrides, so their digest is filled in here. Beside each digest
+    /// go the versions of the catalog and of the node list.
     fn flush_view_with_digests(&mut self, now: Instant) {
         let digest = self.overrides.digest(now);
         let transmits: Vec<Transmit> = std::iter::from_fn(|| self.view.poll_transmit()).collect();
@@ -236,8 +238,9 @@
     /// Another generation of this slot may run: the quota belongs to that one.
     fn handle_displacement(&mut self, now: Instant) {
         if let Some(take_over) = self.view.poll_take_over() {
-            // Where no other process can listen at this host's address, the later generation has ended, and this is a new one
-            // that starts with nothing that is lent. Else silence proves nothing: the other may only be paused.
+            // At this host's own address no other process can listen: the later generation has ended, and its leases end
+            // as after a crash. At another address silence proves nothing: the other process may be paused and use the
+            // quota when it resumes, so this one must not.
             self.yields_quota |= take_over == TakeOver::OtherAddress;
             let me = self.view.me();
             let id = MemberId { slot: me.slot, generation: me.generation };
@@ -252,7 +255,8 @@
     fn send_datagram(&mut self, to: SocketAddr, body: Body, updates: Vec<MemberUpdate>) {
         let fleet = self.fleet.clone();
         let bytes = Datagram { fleet, sender: self.view.me(), body, updates }.to_bytes();
-        // The new one is dropped, as on any network: what waits may be an override, which is reported only once.
+        // The new datagram is dropped, not the oldest output: that may be an override, which is reported only once. A lost
+        // datagram is repeated by its protocol.
         if self.outputs.len() >= MAX_OUTPUTS {
             self.counters.dropped += 1;
             return;
@@ -286,14 +290,14 @@
         self.leases.balance(now, volume)
     }
 
-    /// The host begins to leave: from here on it uses nothing of the shared quota, and lends what it owns.
+    /// The host begins to leave: it uses nothing of the shared quota any more, and lends what it owns.
     pub fn begin_leave(&mut self, now: Instant) {
         self.leases.leave(now);
         self.leases.handle_timeout(now, &self.view.live().iter().copied().collect());
         self.flush(now);
     }
 
-    /// The host leaves: its quota is lent, and it tells others that it is gone.
+    /// The host leaves, and gossips that.
     pub fn announce_leave(&mut self, now: Instant) {
         self.view.leave();
         self.flush(now);
@@ -309,7 +313,7 @@
         self.overrides.clear_local(origin);
     }
 
-    /// A catalog update was applied here; a few others are told at once.
+    /// A catalog update was applied here. Its version is sent to a few peers at once.
     pub fn handle_catalog_applied(
         &mut self,
         now: Instant,
@@ -323,7 +327,7 @@
         self.flush(now);
     }
 
-    /// This host's node list is at that version, and removes these nodes; if it is newer, a few others are told at once.
+    /// This host's node list has that version and removes these nodes. A newer version is sent to a few peers at once.
     pub fn handle_node_list(
         &mut self,
         now: Instant,
--- a/crates/membership/src/member/persistence.rs
+++ b/crates/membership/src/member/persistence.rs
@@ -6,12 +6,12 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::peer::Health;
 
-/// Protocol periods from one look at the known peers to the next.
-const INTERVAL_PERIODS: f64 = 10.0;
-/// The same while more peers are live than are persisted.
-const INTERVAL_PERIODS_WHILE_JOINING: f64 = 1.0;
+/// Protocol periods between two checks whether the known peers have changed.
+const CHECK_PERIODS: f64 = 10.0;
+/// Protocol periods between two such checks while more peers are live than are persisted.
+const JOINING_CHECK_PERIODS: f64 = 1.0;
 
-/// What was persisted last, and when that was last compared with what is known.
+/// What was persisted last, and when it was last compared with the known peers.
 pub(super) struct Persistence {
     persisted: PersistedMembers,
     checked_at: Instant,
@@ -20,24 +20,24 @@
 
 impl Persistence {
     /// What an earlier generation persisted.
-    pub fn new(now: Instant, persisted: PersistedMembers, protocol_period: TimeDelta) -> Self {
+    pub(super) fn new(now: Instant, persisted: PersistedMembers, protocol_period: TimeDelta) -> Self {
         Persistence { persisted, checked_at: now, protocol_period }
     }
 
-    /// Against hosts that all move within a moment of their start and know nobody any more, who joins is persisted within
-    /// a period. All else is looked at now and then: with hundreds of hosts it is no work for every timeout.
+    /// Whether the known peers are to be compared with the persisted ones.
+    ///
+    /// Hosts that all change their addresses shortly after a start would find no peer at an address that they persisted
+    /// before, so new peers are persisted within a protocol period. Other changes can wait: with hundreds of hosts the
+    /// comparison is too much work for every timeout.
     fn is_due(&self, now: Instant, live_count: usize) -> bool {
-        let periods = if live_count > self.persisted.peers.len() {
-            INTERVAL_PERIODS_WHILE_JOINING
-        } else {
-            INTERVAL_PERIODS
-        };
+        let periods =
+            if live_count > self.persisted.peers.len() { JOINING_CHECK_PERIODS } else { CHECK_PERIODS };
         now >= self.checked_at + TimeDelta::from_secs(periods * self.protocol_period.secs())
     }
 }
 
 impl Member {
-    /// Asks for the known peers to be persisted, if it is time and they have changed.
+    /// Asks the host to persist the known peers, if a check is due and they have changed.
     pub(super) fn persist_if_due(&mut self, now: Instant) {
         if !self.persistence.is_due(now, self.view.live_count() as usize) {
             return;
@@ -51,7 +51,8 @@
         }
     }
 
-    /// All known peers but those that left. Whoever an earlier generation knew and nobody has gossiped of yet stays persisted.
+    /// All known peers but those that left. Peers that only an earlier generation knew stay: they may be down, and without
+    /// them a host that restarts during an outage would forget the fleet.
     fn peers_to_persist(&self) -> Vec<KnownPeer> {
         let members = self.view.snapshot();
         let has_left =
--- a/crates/membership/src/member/receive.rs
+++ b/crates/membership/src/member/receive.rs
@@ -7,9 +7,9 @@
 use tackmast::interface::Instant;
 use tackmast_wire::peer::{Body, Datagram, Health, MemberUpdate, OverrideRecord, MAX_OVERRIDES};
 
-/// Datagrams of member updates that answer one digest, at most.
+/// Greatest number of datagrams with member updates that answer one digest.
 const MAX_DIGEST_PIECES: usize = 32;
-/// Overrides that answer one digest, at most.
+/// Greatest number of overrides that answer one digest.
 const MAX_DIGEST_OVERRIDES: usize = 64;
 
 impl Member {
@@ -18,7 +18,7 @@
         let Some(datagram) = self.decode(from, bytes) else { return };
         let Datagram { sender, body, updates, .. } = datagram;
         if sender.slot == self.view.me().slot {
-            // A later generation of this slot, or an earlier one that goes on; neither is to be listened to.
+            // Another process has this slot. What it sends is not a peer's, whichever of the two is the later one.
             self.counters.rejected += 1;
             self.view.handle_duplicate_id(now, sender, from);
             return self.flush(now);
@@ -29,11 +29,13 @@
         self.merge_sender(now, from, sender, known_generation);
         self.merge_updates(now, updates);
         if known_generation.is_some_and(|known| known > id.generation) {
-            // An earlier generation that goes on: it is told so, and its message counts no more.
+            // An earlier generation of the peer still runs. Its message is ignored: its leases and probes are not those of
+            // the later one. The answer lets it learn that it is displaced.
             self.send_state_of(id.slot, from);
             return self.flush(now);
         }
-        // A lease is its lender's own promise: it counts from the address at which that host is known.
+        // A lease binds its lender. From another address it could be forged, and this host would use quota that its owner
+        // uses as well.
         if matches!(body, Body::Lease(_)) && !self.is_known_address(id.slot, from) {
             return;
         }
@@ -61,7 +63,7 @@
         Some(datagram)
     }
 
-    /// Merges the sender's own state, or, without that extension, the mere fact that it runs.
+    /// Merges the sender's own state or, without that extension, that it runs.
     fn merge_sender(
         &mut self,
         now: Instant,
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Tells an address what is known of a slot.
+    /// Sends what is known of a slot.
     fn send_state_of(&mut self, slot: u32, to: SocketAddr) {
         let updates = self.view.all_updates().into_iter().flatten();
         let updates = updates.filter(|update| update.slot == slot).collect();
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Sends member updates, beginning elsewhere each time: a fleet of many hundreds has more than one answer holds.
+    /// Sends member updates, beginning where the last answer ended: a fleet of many hundreds has more than one answer holds.
     fn send_members(&mut self, to: SocketAddr) {
         let mut pieces = self.view.all_updates();
         let first = self.next_piece % pieces.len().max(1);
@@ -155,7 +157,7 @@
         pieces.into_iter().for_each(|updates| self.send_datagram(to, Body::Gossip, updates));
     }
 
-    /// Sends overrides, beginning elsewhere each time.
+    /// Sends overrides, beginning where the last answer ended.
     fn send_overrides(&mut self, now: Instant, to: SocketAddr) {
         let records = self.overrides.records(now);
         if records.is_empty() {
--- a/crates/membership/src/member/settings.rs
+++ b/crates/membership/src/member/settings.rs
@@ -31,7 +31,7 @@
     pub generation: u64,
     /// Where peers reach it.
     pub address: SocketAddr,
-    /// The site that it stands in.
+    /// The site that the host belongs to.
     pub site: Option<u32>,
     /// Addresses to contact at the start.
     pub seeds: Vec<SocketAddr>,
@@ -51,7 +51,7 @@
     pub seed: u64,
 }
 
-/// What a member wants done.
+/// What a host is to do for its member.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a datagram.
@@ -69,10 +69,10 @@
     CatalogUpdate(CatalogUpdate),
     /// Persist this for the next generation, in place of what was before.
     Persist(PersistedMembers),
-    /// Act on the node lists that other hosts hold.
+    /// Act on what is known of other hosts' node lists.
     NodeList(NodeListEvent),
     /// Hand a consensus message, or a chunk of one, to the replica. It comes from the address at which its sender is
-    /// known.
+    /// known, so that it is not forged.
     Consensus {
         /// Address of the sender.
         from: SocketAddr,
--- a/crates/membership/src/node_list.rs
+++ b/crates/membership/src/node_list.rs
@@ -1,7 +1,9 @@
-//! Notices of newer node lists. Hosts tell each other which version of the list they hold, and of a newer one which nodes
-//! it removes. A host whose own watch of the list is silent learns so that it is behind, asks its service again, and
-//! meanwhile chooses no node that another host's list shows as draining or gone. Nodes that a list adds are never taken
-//! from a peer: only the service tells how long ago a node started.
+//! Notices of newer node lists. Hosts exchange which version of the list they hold, and a host with a newer version sends
+//! which nodes it removes.
+//!
+//! A host whose own watch of the list is silent would keep using nodes that have drained or are gone. By these notices it
+//! learns that it is behind, asks its service again, and meanwhile chooses no node that a peer's newer list removes. Nodes
+//! that a list adds are never taken from a peer: only the service reports how long ago a node started.
 
 use crate::Transmit;
 use std::collections::VecDeque;
@@ -9,13 +11,15 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::peer::{Body, NodeListMessage, NodeRemoval, MAX_REMOVALS};
 
-/// Greatest number of removals that a host announces: the first by address.
+/// Greatest number of removals that a host announces, the first ones by address.
 const MAX_KNOWN_REMOVALS: usize = 2_000;
-/// A host that is behind asks a peer, and its service, no more often than this. The interval doubles each time that it
-/// gets nothing newer, up to the maximum: two services may count their versions apart for good.
-const RETRY_INTERVAL_S: f64 = 0.2;
-const MAX_RETRY_INTERVAL_S: f64 = 30.0;
-/// Doublings of the interval beyond which it is not computed any further.
+/// Shortest time between two requests of a host that is behind, to a peer and to its service. It doubles with each request
+/// that brings nothing newer.
+const MIN_REQUEST_INTERVAL: TimeDelta = TimeDelta::from_millis(200);
+/// Longest time between two such requests. Two services may number their versions differently for good, and hosts would
+/// else ask endlessly.
+const MAX_REQUEST_INTERVAL: TimeDelta = TimeDelta::from_millis(30_000);
+/// Greatest number of doublings that are computed; the interval has reached its maximum long before.
 const MAX_DOUBLINGS: u32 = 16;
 /// Greatest number of events that wait to be polled.
 const MAX_EVENTS: usize = 4_096;
@@ -57,15 +61,22 @@
     requests: u32,
     events: VecDeque<NodeListEvent>,
     transmits: VecDeque<Transmit>,
-    /// How often this host was behind, and asked.
+    /// Requests of this host while it was behind.
     pub behind: u64,
     /// Events that were dropped as too many waited.
     pub dropped: u64,
 }
 
+/// How long a host waits before it asks again, after so many requests without a newer list.
+fn request_interval(requests: u32) -> TimeDelta {
+    let (min, max) = (MIN_REQUEST_INTERVAL.secs(), MAX_REQUEST_INTERVAL.secs());
+    let factor = f64::from(requests.min(MAX_DOUBLINGS)).exp2() / 2.0;
+    TimeDelta::from_secs((min * factor).clamp(min, max))
+}
+
 impl NodeListNotices {
-    /// This host's list is at that version, and removes these nodes. Returns whether that is newer than before, so that
-    /// peers are worth telling.
+    /// This host's list has that version and removes these nodes. Returns whether it is newer than before, so that peers are
+    /// to learn of it.
     pub fn handle_list(&mut self, version: u64, removals: impl IntoIterator<Item = NodeRemoval>) -> bool {
         self.enabled = true;
         if version < self.version {
@@ -81,7 +92,8 @@
         is_newer
     }
 
-    /// Against an old copy of the list after its service's restart: nodes that were removed stay removed.
+    /// The service went back to an older version, as after a restart from an old copy. Nodes that the newer version removed
+    /// stay removed: they may be shut down already, and requests to them would fail.
     fn roll_back(&mut self, to: u64) {
         let from = self.version;
         self.push_event(NodeListEvent::RolledBack { from, to });
@@ -91,11 +103,11 @@
     }
 
     /// Whether this host has a node list at all.
-    pub fn is_enabled(&self) -> bool {
+    pub(crate) fn is_enabled(&self) -> bool {
         self.enabled
     }
 
-    /// Tells a peer which version this host holds.
+    /// The message with the version that this host holds.
     pub fn version_message(&self) -> NodeListMessage {
         NodeListMessage::Version { version: self.version }
     }
@@ -125,9 +137,8 @@
     }
 
     fn handle_newer_version(&mut self, now: Instant, from: SocketAddr, version: u64) {
-        let doubled = f64::from(self.requests.min(MAX_DOUBLINGS)).exp2() / 2.0;
-        let interval = (RETRY_INTERVAL_S * doubled).clamp(RETRY_INTERVAL_S, MAX_RETRY_INTERVAL_S);
-        if self.last_request.is_some_and(|t| now - t < TimeDelta::from_secs(interval)) {
+        let interval = request_interval(self.requests);
+        if self.last_request.is_some_and(|requested_at| now - requested_at < interval) {
             return;
         }
         self.last_request = Some(now);
--- a/crates/membership/src/override_gossip.rs
+++ b/crates/membership/src/override_gossip.rs
@@ -1,8 +1,11 @@
-//! Gossip of operators' overrides to all hosts. The known overrides are a set that only grows by new ones and by what
-//! ends them, so that the sets of all hosts converge whichever way messages take (a state-based CRDT; Shapiro et al.,
-//! 2011). An override is identified by the host and generation that took it. Its end travels as the time left, which
-//! needs no common clock, and the earliest end that was learned holds. One that was cleared is remembered as cleared
-//! until it would have ended by itself on the slowest clock, so that a host that was away can't bring it back.
+//! Gossip of operators' overrides to all hosts. The known overrides form a set to which hosts only add overrides and marks
+//! that one is cleared, so that the sets of all hosts converge in whichever order messages arrive (a state-based CRDT;
+//! Shapiro et al., 2011).
+//!
+//! An override is identified by the host and generation that took it. Messages carry its remaining time, which needs no
+//! common clock; of several ends that a host learns, the earliest holds. A cleared override is remembered as cleared until
+//! it would have ended on the slowest clock. A host that was cut off, and does not know that it is cleared, would else set
+//! it again everywhere.
 
 use std::collections::{BTreeMap, VecDeque};
 use tackmast::interface::{Instant, TimeDelta};
@@ -11,14 +14,16 @@
 
 /// Greatest number of known overrides, ended ones included.
 const MAX_KNOWN: usize = 20_000;
-/// An override that has ended is remembered for so many seconds, and for this part of its whole duration: other hosts'
-/// clocks may be slower.
-const REMEMBER_S: f64 = 60.0;
-const REMEMBER_FRACTION: f64 = 0.02;
-/// Overrides that end within so many seconds are not in the digest: hosts may differ on whether they have ended.
-const DIGEST_MARGIN_S: f64 = 5.0;
-/// Overrides with less time left than this count as ended, in seconds.
-const MIN_REMAINING_S: f64 = 0.05;
+/// How long an override is remembered after its end, beside a fraction of its duration: peers' clocks may be slower.
+const RETENTION: TimeDelta = TimeDelta::from_millis(60_000);
+/// Fraction of an override's duration for which it is remembered longer after its end.
+const RETENTION_FRACTION: f64 = 0.02;
+/// Overrides with no more time left than this are not in the digest: hosts may differ on whether they have ended.
+const DIGEST_MARGIN: TimeDelta = TimeDelta::from_millis(5_000);
+/// Overrides with less time left than this count as ended.
+const MIN_REMAINING: TimeDelta = TimeDelta::from_millis(50);
+/// Bytes that an override's checksum is computed of.
+const CHECKSUM_INPUT_LEN: usize = 21;
 
 /// What this host is to do about an override that another host took.
 #[derive(Clone, Debug, PartialEq)]
@@ -43,11 +48,12 @@
 struct KnownOverride {
     record: OverrideRecord,
     ends: Instant,
-    /// Whether this host applied it, and is to be told when it is cleared.
+    /// Whether this host applied it, and so has to undo it when it is cleared.
     applied: bool,
 }
 
 impl KnownOverride {
+    /// Seconds until its end.
     fn remaining(&self, now: Instant) -> f64 {
         (self.ends - now).secs()
     }
@@ -58,7 +64,7 @@
 pub struct OverrideGossip {
     known: BTreeMap<Origin, KnownOverride>,
     events: VecDeque<OverrideEvent>,
-    /// Overrides that were not taken as too many are known.
+    /// Overrides that were not accepted because too many are known.
     pub over_limit: u64,
 }
 
@@ -68,14 +74,14 @@
 
 impl OverrideGossip {
     /// Adds an override that this host took itself, or had persisted.
-    pub fn add_local(&mut self, now: Instant, record: OverrideRecord) {
+    pub(crate) fn add_local(&mut self, now: Instant, record: OverrideRecord) {
         let ends = now + TimeDelta::from_secs(record.remaining_ms as f64 / 1e3);
         let known = KnownOverride { record, ends, applied: true };
         self.known.entry(origin_of(&known.record)).or_insert(known);
     }
 
     /// An override was cleared on this host.
-    pub fn clear_local(&mut self, origin: Origin) {
+    pub(crate) fn clear_local(&mut self, origin: Origin) {
         if let Some(known) = self.known.get_mut(&origin) {
             known.record.cleared = true;
         }
@@ -84,14 +90,14 @@
     /// Merges what a peer knows of an override.
     pub fn merge(&mut self, now: Instant, record: OverrideRecord) {
         let seconds = record.remaining_ms as f64 / 1e3;
-        // What has ended elsewhere ends here by its own time if it is known; else it does not matter any more.
-        if seconds < MIN_REMAINING_S {
+        // A known override ends here by its own time. An unknown one that has ended at a peer has no effect any more.
+        if seconds < MIN_REMAINING.secs() {
             return;
         }
         let origin = origin_of(&record);
         let ends = now + TimeDelta::from_secs(seconds);
         if let Some(known) = self.known.get_mut(&origin) {
-            // The time that a message takes only makes the end look later.
+            // A message's time on its way makes the end look later than it is, never earlier.
             known.ends = known.ends.min(ends);
             if record.cleared && !known.record.cleared {
                 known.record.cleared = true;
@@ -119,36 +125,36 @@
     pub fn handle_timeout(&mut self, now: Instant) {
         self.known.retain(|_, known| {
             let total = known.record.total_ms as f64 / 1e3;
-            now - known.ends < TimeDelta::from_secs(REMEMBER_S + REMEMBER_FRACTION * total)
+            now - known.ends < retention_time(total)
         });
     }
 
     /// Digest of the known overrides, cleared ones included, without those that end soon.
     pub fn digest(&self, now: Instant) -> u32 {
-        let lasting = self.known.iter().filter(|(_, known)| known.remaining(now) > DIGEST_MARGIN_S);
-        // Added up, so that the order does not matter.
+        let lasting = self.known.iter().filter(|(_, known)| known.remaining(now) > DIGEST_MARGIN.secs());
+        // A sum does not depend on the order of the overrides.
         let checksums = lasting.map(|(origin, known)| checksum(origin, known.record.cleared));
         checksums.reduce(u32::wrapping_add).unwrap_or(0)
     }
 
     /// All overrides that have not ended, cleared ones included, with the time that is left now.
     pub fn records(&self, now: Instant) -> Vec<OverrideRecord> {
-        let lasting = self.known.values().filter(|known| known.remaining(now) > MIN_REMAINING_S);
+        let lasting = self.known.values().filter(|known| known.remaining(now) > MIN_REMAINING.secs());
         let record = |known: &KnownOverride| {
             let remaining_ms = (known.remaining(now) * 1e3) as u64;
             OverrideRecord { remaining_ms, ..known.record.clone() }
         };
         lasting.map(record).collect()
     }
+}
 
-    /// Number of the overrides in force.
-    pub fn active_count(&self, now: Instant) -> usize {
-        self.known.values().filter(|known| known.ends > now && !known.record.cleared).count()
-    }
+/// How long an override of so many seconds is remembered after its end.
+fn retention_time(duration_secs: f64) -> TimeDelta {
+    TimeDelta::from_secs(RETENTION.secs() + RETENTION_FRACTION * duration_secs)
 }
 
 fn checksum(origin: &Origin, cleared: bool) -> u32 {
-    let mut bytes = [0u8; 21];
+    let mut bytes = [0u8; CHECKSUM_INPUT_LEN];
     bytes[..4].copy_from_slice(&origin.slot.to_be_bytes());
     bytes[4..12].copy_from_slice(&origin.generation.to_be_bytes());
     bytes[12..20].copy_from_slice(&origin.number.to_be_bytes());
--- a/crates/membership/src/quota_leases.rs
+++ b/crates/membership/src/quota_leases.rs
@@ -200,7 +200,7 @@
     }
 
     /// Another generation of this slot runs, and owns the slot's share: this one uses none of it.
-    pub fn set_displaced(&mut self) {
+    pub(crate) fn set_displaced(&mut self) {
         self.displaced = true;
     }
 
--- a/crates/membership/src/quota_leases/pool.rs
+++ b/crates/membership/src/quota_leases/pool.rs
@@ -58,7 +58,7 @@
 
 impl HeldLease {
     /// An ended lease in place of a lender's earlier ones, so that none of those counts when it arrives late.
-    pub fn none(now: Instant, generation: u64) -> Self {
+    pub(super) fn none(now: Instant, generation: u64) -> Self {
         HeldLease { generation, seq: 0, share: 0.0, until: now }
     }
 }
@@ -100,7 +100,12 @@
 
 impl SharedPool {
     /// A volume without leases; `owned_fraction` is the fraction of its even share that this host owns.
-    pub fn new(now: Instant, limit: SharedLimit, owned_fraction: f64, available_from: Instant) -> Self {
+    pub(super) fn new(
+        now: Instant,
+        limit: SharedLimit,
+        owned_fraction: f64,
+        available_from: Instant,
+    ) -> Self {
         SharedPool {
             owned: owned_fraction / limit.owners.len() as f64,
             limit,
@@ -115,43 +120,43 @@
     }
 
     /// LUN of the volume.
-    pub fn volume(&self) -> u32 {
+    pub(super) fn volume(&self) -> u32 {
         self.limit.volume
     }
 
     /// Whether a host shares the volume's limit.
-    pub fn is_owner(&self, slot: u32) -> bool {
+    pub(super) fn is_owner(&self, slot: u32) -> bool {
         self.limit.owners.contains(&slot)
     }
 
     /// Sets the whole limit, 0 for none.
-    pub fn set_limit(&mut self, limit: f64) {
+    pub(super) fn set_limit(&mut self, limit: f64) {
         self.limit.limit = if limit > 0.0 { limit } else { f64::INFINITY };
     }
 
     /// Clients have demanded so many units.
-    pub fn record_demand(&mut self, now: Instant, units: f64) {
+    pub(super) fn record_demand(&mut self, now: Instant, units: f64) {
         self.demand.record(now, units);
     }
 
     /// Share of the whole limit that this host needs by its recent demand.
-    pub fn needed(&self, now: Instant) -> f64 {
+    pub(super) fn needed(&self, now: Instant) -> f64 {
         self.demand.needed_share(now, self.limit.limit)
     }
 
     /// Share that is lent to all peers.
-    pub fn lent(&self, now: Instant) -> f64 {
+    pub(super) fn lent(&self, now: Instant) -> f64 {
         self.granted.values().map(|leases| max_share(now, leases)).sum()
     }
 
     /// Share that is lent to all peers but one.
-    pub fn lent_to_others(&self, now: Instant, slot: u32) -> f64 {
+    pub(super) fn lent_to_others(&self, now: Instant, slot: u32) -> f64 {
         let others = self.granted.iter().filter(|(borrower, _)| **borrower != slot);
         others.map(|(_, leases)| max_share(now, leases)).sum()
     }
 
     /// Share of its own that this host can't use: what is lent, and at its start all of it.
-    pub fn unavailable(&self, now: Instant) -> f64 {
+    pub(super) fn unavailable(&self, now: Instant) -> f64 {
         if now < self.available_from {
             self.owned
         } else {
@@ -160,12 +165,12 @@
     }
 
     /// Share that is borrowed of all peers.
-    pub fn borrowed(&self, now: Instant) -> f64 {
+    pub(super) fn borrowed(&self, now: Instant) -> f64 {
         self.held.values().filter(|lease| lease.until > now).map(|lease| lease.share).sum()
     }
 
     /// The next moment at which a lease ends, or the own share becomes available.
-    pub fn next_expiration(&self, now: Instant) -> Option<Instant> {
+    pub(super) fn next_expiration(&self, now: Instant) -> Option<Instant> {
         let ends = self.held.values().map(|lease| lease.until).chain([self.available_from]);
         ends.filter(|end| *end > now).reduce(Instant::min)
     }
@@ -175,7 +180,7 @@
     /// The latest lease of each lender stays, also after its end. Without it, a grant of an earlier generation that arrives
     /// late would count as new, although that lender has recalled it and uses the share itself. There are no more such
     /// records than owners.
-    pub fn remove_ended(&mut self, now: Instant, term: TimeDelta) {
+    pub(super) fn remove_ended(&mut self, now: Instant, term: TimeDelta) {
         for leases in self.granted.values_mut() {
             leases.retain(|lease| lease.until > now);
         }
@@ -184,7 +189,7 @@
     }
 
     /// Remembers a request; the oldest is forgotten where too many are open.
-    pub fn add_sent_request(&mut self, to: u32, request: SentRequest) {
+    pub(super) fn add_sent_request(&mut self, to: u32, request: SentRequest) {
         let requests = self.sent_requests.entry(to).or_default();
         requests.push_back(request);
         if requests.len() > MAX_OPEN {
@@ -193,7 +198,7 @@
     }
 
     /// When the request of that number was sent.
-    pub fn request_sent_at(&self, to: u32, seq: u32) -> Option<Instant> {
+    pub(super) fn request_sent_at(&self, to: u32, seq: u32) -> Option<Instant> {
         let requests = self.sent_requests.get(&to)?;
         requests.iter().find(|request| request.seq == seq).map(|request| request.sent)
     }
@@ -203,7 +208,7 @@
     /// A borrower that never confirms a lease would make this list grow without bound. Beyond the maximum the leases become
     /// one with the greatest share and the latest end, which covers whichever of them the borrower uses. It has the last
     /// one's number: a confirmation of an earlier one must not free a lease that may still arrive.
-    pub fn add_granted(&mut self, to: u32, lease: GrantedLease) {
+    pub(super) fn add_granted(&mut self, to: u32, lease: GrantedLease) {
         let GrantedLease { seq, until, .. } = lease;
         let leases = self.granted.entry(to).or_default();
         leases.push(lease);
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -214,7 +214,7 @@
     }
 
     /// The other members that have not left, with where they were reached.
-    pub fn known_peers(&self) -> impl Iterator<Item = KnownPeer> + '_ {
+    pub(crate) fn known_peers(&self) -> impl Iterator<Item = KnownPeer> + '_ {
         let known = self.members.iter().filter(|(_, state)| state.health != Health::Left);
         known.map(|(slot, state)| KnownPeer { slot, generation: state.generation, address: state.address })
     }
@@ -235,7 +235,7 @@
     }
 
     /// A peer's digest differs from this view's.
-    pub fn handle_digest_mismatch(&mut self, now: Instant) {
+    pub(crate) fn handle_digest_mismatch(&mut self, now: Instant) {
         self.changed_at = now;
     }
 
--- a/crates/membership/src/view/broadcast_queue.rs
+++ b/crates/membership/src/view/broadcast_queue.rs
@@ -25,14 +25,14 @@
 
 impl BroadcastQueue {
     /// Queues a member's update to be sent so many times, in place of what is queued of it.
-    pub fn push(&mut self, slot: u32, transmissions: u32) {
+    pub(super) fn push(&mut self, slot: u32, transmissions: u32) {
         self.remove(slot);
         self.count += 1;
         self.insert(Entry { remaining: Reverse(transmissions), number: self.count, slot });
     }
 
     /// Removes a member.
-    pub fn remove(&mut self, slot: u32) {
+    pub(super) fn remove(&mut self, slot: u32) {
         if let Some(entry) = self.by_slot.remove(&slot) {
             self.order.remove(&entry);
         }
@@ -46,7 +46,7 @@
     }
 
     /// The first members of the queue, each of which then has one transmission less left.
-    pub fn next_batch(&mut self, max_len: usize) -> Vec<u32> {
+    pub(super) fn next_batch(&mut self, max_len: usize) -> Vec<u32> {
         let batch: Vec<Entry> = self.order.iter().take(max_len).copied().collect();
         for entry in &batch {
             self.remove(entry.slot);
--- a/crates/membership/src/view/flapping.rs
+++ b/crates/membership/src/view/flapping.rs
@@ -23,7 +23,7 @@
 
 impl FlapScore {
     /// The score of a member that has not flapped.
-    pub fn new(now: Instant) -> Self {
+    pub(super) fn new(now: Instant) -> Self {
         FlapScore { value: 0.0, updated_at: now }
     }
 
@@ -37,7 +37,7 @@
     }
 
     /// The score with one more restart or return.
-    pub fn incremented(&self, now: Instant, halving_time: TimeDelta) -> Self {
+    pub(super) fn incremented(&self, now: Instant, halving_time: TimeDelta) -> Self {
         FlapScore { value: self.value_at(now, halving_time) + 1.0, updated_at: now }
     }
 }
--- a/crates/membership/src/view/local_health.rs
+++ b/crates/membership/src/view/local_health.rs
@@ -29,17 +29,17 @@
 
 impl LocalHealth {
     /// The score; 0 is good.
-    pub fn score(self) -> u32 {
+    pub(super) fn score(self) -> u32 {
         self.score
     }
 
     /// The factor by which timeouts of probes are longer than usual.
-    pub fn timeout_multiplier(self) -> f64 {
+    pub(super) fn timeout_multiplier(self) -> f64 {
         f64::from(1 + self.score)
     }
 
     /// Whether the score is bad.
-    pub fn is_bad(self) -> bool {
+    pub(super) fn is_bad(self) -> bool {
         f64::from(self.score) >= BAD_SCORE
     }
 
--- a/crates/membership/src/view/member_table.rs
+++ b/crates/membership/src/view/member_table.rs
@@ -24,7 +24,7 @@
 
 impl MemberTable {
     /// Inserts a member, or replaces its state.
-    pub fn insert(&mut self, slot: u32, state: MemberState) {
+    pub(super) fn insert(&mut self, slot: u32, state: MemberState) {
         self.remove(slot);
         if state.is_live() {
             if let Err(index) = self.live.binary_search(&slot) {
@@ -42,7 +42,7 @@
     }
 
     /// Removes a member.
-    pub fn remove(&mut self, slot: u32) {
+    pub(super) fn remove(&mut self, slot: u32) {
         let Some(state) = self.states.remove(&slot) else { return };
         self.digest = self.digest.wrapping_sub(checksum(&state.to_update(slot)));
         if let Ok(index) = self.live.binary_search(&slot) {
@@ -53,47 +53,47 @@
     }
 
     /// State of a member.
-    pub fn get(&self, slot: u32) -> Option<&MemberState> {
+    pub(super) fn get(&self, slot: u32) -> Option<&MemberState> {
         self.states.get(&slot)
     }
 
     /// All members in order of their slots.
-    pub fn iter(&self) -> impl Iterator<Item = (u32, &MemberState)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (u32, &MemberState)> {
         self.states.iter().map(|(slot, state)| (*slot, state))
     }
 
     /// Number of members.
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.states.len()
     }
 
     /// Whether there are none.
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
 
     /// A copy that shares its structure with the table.
-    pub fn snapshot(&self) -> OrdMap<u32, MemberState> {
+    pub(super) fn snapshot(&self) -> OrdMap<u32, MemberState> {
         self.states.clone()
     }
 
     /// Slots of the members that are alive or suspected, in order.
-    pub fn live(&self) -> &[u32] {
+    pub(super) fn live(&self) -> &[u32] {
         &self.live
     }
 
     /// Slots of the members that are suspected.
-    pub fn suspects(&self) -> &BTreeSet<u32> {
+    pub(super) fn suspects(&self) -> &BTreeSet<u32> {
         &self.suspects
     }
 
     /// Slots of the members that were declared dead in isolation.
-    pub fn declared_in_isolation(&self) -> &BTreeSet<u32> {
+    pub(super) fn declared_in_isolation(&self) -> &BTreeSet<u32> {
         &self.declared_in_isolation
     }
 
     /// Digest of all members.
-    pub fn digest(&self) -> u32 {
+    pub(super) fn digest(&self) -> u32 {
         self.digest
     }
 }
