--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! What a host is told before the first request: traffic classes, plans, and what nodes bear.
+//! The settings that a host gets before the first request: traffic classes, plans, and what nodes bear.
 
 use super::TimeDelta;
 
--- a/src/interface/time.rs
+++ b/src/interface/time.rs
@@ -2,7 +2,9 @@
 
 use std::ops::{Add, Sub};
 
+/// Microseconds in a second.
 const MICROS_PER_SEC: f64 = 1e6;
+/// Microseconds in a millisecond.
 const MICROS_PER_MILLI: i64 = 1000;
 
 /// A point in time, in microseconds from a start that the host chooses.
--- a/src/policy/retry_safety.rs
+++ b/src/policy/retry_safety.rs
@@ -74,11 +74,11 @@
     }
 }
 
-/// Whether both nodes discard each other's repeats.
-fn in_same_dedup_scope(scope: DedupScope, a: Option<NodeLocation>, b: Option<NodeLocation>) -> bool {
+/// Whether a node discards repeats of what the first node ran.
+fn in_same_dedup_scope(scope: DedupScope, node: Option<NodeLocation>, first: Option<NodeLocation>) -> bool {
     match scope {
         DedupScope::All => true,
-        DedupScope::Zone => a.map(|node| node.zone) == b.map(|node| node.zone),
-        DedupScope::Shard => a.map(|node| node.shard) == b.map(|node| node.shard),
+        DedupScope::Zone => node.map(|node| node.zone) == first.map(|node| node.zone),
+        DedupScope::Shard => node.map(|node| node.shard) == first.map(|node| node.shard),
     }
 }
--- a/tests/decision_hash.rs
+++ b/tests/decision_hash.rs
@@ -526,6 +526,7 @@
     assert_eq!(hashes, expected);
 }
 
+/// A change of the code that is not meant to change decisions changes one, with a few hosts.
 #[test]
 fn few_hosts_decide_as_before() {
     check(
@@ -539,6 +540,7 @@
     );
 }
 
+/// The same with many hosts, where limits are below one attempt.
 #[test]
 fn many_hosts_decide_as_before() {
     check(
@@ -552,6 +554,7 @@
     );
 }
 
+/// The same with hardly any retries.
 #[test]
 fn tight_retry_budget_decides_as_before() {
     check(
@@ -565,6 +568,7 @@
     );
 }
 
+/// Decisions depend on something else than the seed and the inputs, such as the order of a hash table.
 #[test]
 fn the_same_seed_gives_the_same_hash_twice() {
     let hash = |seed| Run::new(&FEW_HOSTS, seed).finish().0;
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -19,6 +19,7 @@
     host.poll_sends().into_iter().map(|s| s.0).collect()
 }
 
+/// A host has more work than a node can take at once, in small and in large requests.
 #[test]
 fn concurrency_limits_bound_attempts_and_units_in_flight() {
     for (units, min, max) in [(1.0, 4, 8), (4.0, 2, 5), (16.0, 1, 1)] {
@@ -29,6 +30,7 @@
     }
 }
 
+/// Many hosts flood one node, which is fast, slow, or reports a queue. Hosts that each keep one attempt in flight must not fill it.
 #[test]
 fn concurrency_limits_shrink_when_many_hosts_share_a_node() {
     // Hosts, traffic class, seconds an answer takes, requests the node reports to wait; the range of attempts
@@ -61,6 +63,7 @@
     }
 }
 
+/// A node is full, and two requests wait for the next free place.
 #[test]
 fn requests_are_sent_by_priority_then_reservation_then_arrival() {
     // Traffic class and plan of what waits, in order of arrival; which one is sent first.
@@ -84,6 +87,7 @@
     }
 }
 
+/// Two volumes without a reservation always have work waiting at one node.
 #[test]
 fn best_effort_units_are_shared_by_weight() {
     // Plans and units of two volumes that always have work waiting; what the first gets for one of the other.
@@ -112,6 +116,7 @@
     }
 }
 
+/// A node fails all attempts for a while and then answers again. It must get probes only while it fails, and be back in service soon after.
 #[test]
 fn a_failing_node_is_probed_and_recovers() {
     for bad in [Outcome::Error, Outcome::Refused, Outcome::Reset] {
@@ -136,6 +141,7 @@
     }
 }
 
+/// A list names new nodes without end, and clients new volumes. The tables must not grow with them.
 #[test]
 fn gone_nodes_and_idle_volumes_are_forgotten() {
     // Ever new nodes; each is listed for one shard, then for another, then gone.
@@ -177,6 +183,7 @@
     assert!(known <= 512 + volumes.min(1), "{known} volumes remembered");
 }
 
+/// A node fails by chance, quickly or slowly. Quick errors must not use up the retries that would still be in time.
 #[test]
 fn requests_to_a_node_with_random_errors_are_retried_in_time() {
     // How many of ten attempts fail, and seconds until they do; the range of requests of 100 that are done
@@ -211,6 +218,8 @@
     }
 }
 
+/// Some attempts get no answer while others at the same node do, or all answers are slow. Only the former are lost, and only then may
+/// attempts have timeouts of their own.
 #[test]
 fn attempts_time_out_where_some_get_lost_and_not_where_all_are_slow() {
     // Whether every seventh attempt is lost, or all come back slowly; whether time-outs are set in the end.
@@ -239,6 +248,8 @@
     }
 }
 
+/// A node answers nothing, or the link to it loses one attempt in ten. A hundred hosts must not keep a drowned node's queue full, and must not
+/// starve a node behind a lossy link.
 #[test]
 fn a_silent_node_gets_few_attempts_and_a_lossy_link_does_not() {
     // Seconds that clients wait, how many of ten attempts in a row are not answered in that time; the range
@@ -284,6 +295,7 @@
     }
 }
 
+/// A client sends a rejected request again. Taken for a new one, it would displace requests that can still be in time.
 #[test]
 fn a_retry_by_the_client_keeps_its_first_latency_objective() {
     // Key and time left of a request after one on key 1 with 3 s left was rejected; whether it is sent.
@@ -302,6 +314,7 @@
     }
 }
 
+/// New objects may go to any node; nodes differ in speed, hosts start at once, and a node drains.
 #[test]
 fn new_objects_are_placed_in_rotation_weighted_by_node_speed() {
     // Seconds that each of two nodes takes for an answer; the range that the first gets of 200.
@@ -337,6 +350,7 @@
     assert!(host.poll_sends().into_iter().all(|s| s.1 .0 == 1));
 }
 
+/// Calls for the endpoint list fail one after the other. Each failure must lead to exactly one more call.
 #[test]
 fn a_failed_node_list_call_is_retried() {
     let mut host = TestHost::new(1, Effect::Idempotent, false);
@@ -354,6 +368,7 @@
     assert_eq!(asked, 5, "once for each failure");
 }
 
+/// The same inputs are fed twice. A difference would make every found seed worthless.
 #[test]
 fn same_inputs_give_same_decisions() {
     let run = || {
@@ -370,6 +385,7 @@
     assert_eq!(run(), run());
 }
 
+/// Values in one bin, in two, and beyond the last.
 #[test]
 fn histogram_gives_quantiles() {
     for (values, quantile, low, high) in [
@@ -384,6 +400,7 @@
     }
 }
 
+/// Sessions share a volume by tags. A request with an early tag must not pass one of the same key that came before it.
 #[test]
 fn tags_order_a_queue_and_never_pass_an_earlier_request_of_the_key() {
     // Whether keys keep order; tag and key of each in order of arrival; the order in which they are sent.
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -47,16 +47,16 @@
 
 /// What of a quoted line must stand in the code: runs of words without the capitals that stand for values.
 fn fragments(line: &str) -> Vec<String> {
-    let is_value = |word: &str| {
-        let letters = word.trim_matches(|c: char| !c.is_alphanumeric());
-        !letters.is_empty() && letters.chars().all(|c| c.is_uppercase() || c.is_numeric())
+    let is_value = |token: &str| {
+        let name = token.trim_matches(|c: char| !c.is_alphanumeric());
+        !name.is_empty() && name.chars().all(|c| c.is_uppercase() || c.is_numeric())
     };
     let mut runs = vec![Vec::new()];
-    for word in line.split_whitespace() {
-        if is_value(word) || word == "..." {
+    for token in line.split_whitespace() {
+        if is_value(token) || token == "..." {
             runs.push(Vec::new());
         } else {
-            runs.last_mut().unwrap().push(word.trim_end_matches("..."));
+            runs.last_mut().unwrap().push(token.trim_end_matches("..."));
         }
     }
     let runs = runs.into_iter().map(|run| run.join(" ").trim_matches([':', ',', ' ']).to_owned());
--- a/tests/node_overrides.rs
+++ b/tests/node_overrides.rs
@@ -35,6 +35,7 @@
     attempts
 }
 
+/// An operator lowers a node's weight or pins a failing one. Neither may send anything that the endpoint list or slow start forbids.
 #[test]
 fn weights_and_pins_change_what_a_node_gets_and_bypass_no_guard() {
     let ready = (NodeState::Ready, None);
@@ -60,6 +61,7 @@
     }
 }
 
+/// A node restarts while an operator's weight holds. What was learned of the node goes, the override stays.
 #[test]
 fn an_override_survives_a_restart_of_its_node() {
     let mut host = TestHost::new(1, Effect::Idempotent, false);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -8,6 +8,8 @@
     Effect::IdempotentByKey { scope: DedupScope::Shard, window: secs(window) }
 }
 
+/// Requests meet no node at all, a silent node, or one with an error each time. Each must get exactly one final answer before its deadline,
+/// and nothing may be sent for it afterwards: a client would else wait without end, or a node work for nobody.
 #[test]
 fn every_request_gets_one_final_answer_before_its_deadline() {
     // What each request meets: no node at all; a silent node; an error each time.
@@ -42,6 +44,8 @@
     }
 }
 
+/// The first attempt ends without success. Where it may have run and a second run would take effect again, no other may follow, and the
+/// answer must not claim that a retry is safe.
 #[test]
 fn a_request_never_takes_effect_twice() {
     // Effect, first outcome, how long it took; whether another attempt follows, and whether a rejection may.
@@ -76,6 +80,7 @@
     }
 }
 
+/// A node begins to drain, or leaves the list. What waits for it must not be sent there, and goes to its successor once that is listed.
 #[test]
 fn draining_and_gone_nodes_get_no_new_requests() {
     for (kind, state) in [
@@ -98,6 +103,8 @@
     }
 }
 
+/// A node restarts while many hosts have work for it, and some of them restart with it. All together must not send it more than it bears,
+/// and must not starve it either.
 #[test]
 fn a_node_in_slow_start_bears_what_all_hosts_send() {
     // Hosts, how many of them restart with the node, and whether these have their service rates restored. The
@@ -174,6 +181,8 @@
     }
 }
 
+/// A node answers a few keys quickly from its cache and then restarts. What it answered that way is no sign of what it can do while it warms
+/// up.
 #[test]
 fn cached_answers_do_not_raise_the_service_rate_of_a_node() {
     // Keys that are requested in turn, and the work that caches may save: a node that can do little else
@@ -217,6 +226,8 @@
     );
 }
 
+/// Two requests come on one key, and the first ends with or without a known outcome. The second must wait until the first can't be running
+/// any more.
 #[test]
 fn requests_on_a_key_are_served_in_order() {
     // How the first request ends; how long the key then rests.
@@ -244,6 +255,7 @@
     }
 }
 
+/// Half of all requests end in an error, and their retries would exceed the budget. In no window may more be sent than it allows.
 #[test]
 fn retries_stay_within_budget_over_any_window() {
     for (free, share) in [(3.0, 0.25), (0.0, 0.1), (1.0, 0.0)] {
@@ -280,6 +292,8 @@
     }
 }
 
+/// Two hosts flood one limited volume, one of them restarts, and the traffic moves between them. The sum must stay within the limit and its
+/// slack, and the limit must also be used.
 #[test]
 fn all_hosts_together_stay_within_a_limit() {
     // Whether one of the two hosts is killed and restarts midway; whether answers report service through the
@@ -333,6 +347,7 @@
     }
 }
 
+/// Up to 300 hosts flood one volume, each alone with what it knows. The sum of what they send must stay within the limit.
 #[test]
 fn limit_shares_sum_to_no_more_than_the_limit_for_any_number_of_hosts() {
     // Hosts, and the burst of the limit, a quarter of which is its rate a second. Each host floods it, late
@@ -381,6 +396,8 @@
     }
 }
 
+/// A limit changes under a flood, and the hosts learn of it at different times. The sum must stay within the highest limit that is in force
+/// somewhere, and no old burst may silence the volume.
 #[test]
 fn a_changed_limit_is_kept_by_hosts_that_learn_of_it_at_different_times() {
     // Limits and bursts, a new one every 10 s; when the two hosts learn of each, within the 2 s after which
@@ -433,6 +450,7 @@
     }
 }
 
+/// A volume without a limit comes under one while it is busy. What it was sent before must neither be paid back nor leave a burst.
 #[test]
 fn a_volume_that_comes_under_a_limit_starts_with_no_burst_and_no_debt() {
     // Requests sent while it had no limit; whether its plan gets one, or it gets a plan that has one.
@@ -474,6 +492,7 @@
     }
 }
 
+/// A request can't be sent any more, whatever happens. Held, it would block all behind it until its deadline; so it is answered at once.
 #[test]
 fn requests_that_can_never_be_sent_are_answered_at_once_and_block_none() {
     // Why: larger than its host's share of the burst, or an idempotency key that nodes no longer know. The
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -226,7 +226,7 @@
     }
 
     /// The most by which the attempts of any window pass what is put down to chance; below 0: none did.
-    fn max_excess(&self) -> f64 {
+    fn max_overshoot(&self) -> f64 {
         let restarted = self.restarted_at.unwrap_or(0.0);
         let mut max = f64::MIN;
         for (i, from) in self.sent_at.iter().enumerate() {
@@ -244,8 +244,8 @@
 
 /// What came of a case.
 struct Played {
-    /// See `Fleet::max_excess`.
-    max_excess: f64,
+    /// See `Fleet::max_overshoot`.
+    max_overshoot: f64,
     /// Attempts sent while the node warmed up.
     sent: usize,
 }
@@ -260,7 +260,7 @@
     while fleet.now < end {
         fleet.step();
     }
-    Played { max_excess: fleet.max_excess(), sent: fleet.sent_at.len() }
+    Played { max_overshoot: fleet.max_overshoot(), sent: fleet.sent_at.len() }
 }
 
 fn cases() -> Vec<Case> {
@@ -296,14 +296,16 @@
     all
 }
 
+/// Twenty or thirty hosts, some of them new, send to a node that has just started and serves, hangs, or fails. In no window may they exceed
+/// what the operators put down to chance.
 #[test]
 fn all_hosts_together_send_no_more_than_a_node_in_slow_start_bears() {
     let mut min_sent = usize::MAX;
     for case in cases() {
         for seed in 1..=4 {
             let played = play(seed, case);
-            let excess = played.max_excess;
-            assert!(excess <= 0.0, "seed {seed}, {case:?}: {excess:.1} attempts over");
+            let overshoot = played.max_overshoot;
+            assert!(overshoot <= 0.0, "seed {seed}, {case:?}: {overshoot:.1} attempts over");
             if case.node == Node::Serves {
                 min_sent = min_sent.min(played.sent);
             }
@@ -317,7 +319,7 @@
 #[test]
 fn hosts_that_each_send_all_that_a_node_bears_overload_it() {
     let all: Vec<Case> = cases().into_iter().map(|case| Case { configured_hosts: 1, ..case }).collect();
-    let is_overloaded = |case: &&Case| (1..=4).any(|seed| play(seed, **case).max_excess > 0.0);
+    let is_overloaded = |case: &&Case| (1..=4).any(|seed| play(seed, **case).max_overshoot > 0.0);
     let overloaded = all.iter().filter(is_overloaded).count();
     assert!(
         overloaded * 2 > all.len(),
--- a/tests/withdrawn_words.rs
+++ b/tests/withdrawn_words.rs
@@ -150,32 +150,33 @@
 }
 
 /// The words of an identifier in whatever case it is written.
-fn words_of(identifier: &str) -> Vec<String> {
-    let mut words = vec![String::new()];
+fn terms_of(identifier: &str) -> Vec<String> {
+    let mut terms = vec![String::new()];
     let mut after_lower = false;
     for c in identifier.chars() {
         if c == '_' || (c.is_uppercase() && after_lower) {
-            words.push(String::new());
+            terms.push(String::new());
         }
         after_lower = c.is_lowercase();
         if c != '_' {
-            words.last_mut().unwrap().extend(c.to_lowercase());
+            terms.last_mut().unwrap().extend(c.to_lowercase());
         }
     }
-    words
+    terms
 }
 
 fn withdrawn_in(code: &str) -> Vec<String> {
     let identifiers = code.split(|c: char| !c.is_alphanumeric() && c != '_');
     let is_withdrawn = |identifier: &&str| {
         let is_allowed = ALLOWED.iter().any(|(allowed, _)| allowed == identifier);
-        !is_allowed && words_of(identifier).iter().any(|word| WITHDRAWN.contains(&word.as_str()))
+        !is_allowed && terms_of(identifier).iter().any(|term| WITHDRAWN.contains(&term.as_str()))
     };
     identifiers.filter(is_withdrawn).map(str::to_owned).collect()
 }
 
+/// A word of the earlier house style comes back into a package that was cleared of them.
 #[test]
-fn whole_packages_hold_no_withdrawn_word() {
+fn whole_packages_hold_no_withdrawn_term() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut places = Vec::new();
     for folder in WHOLE {
@@ -195,6 +196,7 @@
     assert!(places.is_empty(), "withdrawn words (docs/glossary.md has the terms):\n{}", places.join("\n"));
 }
 
+/// A package that was documented gets a public item without a doc comment.
 #[test]
 fn whole_packages_warn_of_missing_documentation() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
@@ -208,8 +210,9 @@
     }
 }
 
+/// The check itself must see identifiers and nothing else.
 #[test]
-fn the_check_finds_a_withdrawn_word_and_passes_over_texts_and_comments() {
+fn the_check_finds_a_withdrawn_term_and_passes_over_texts_and_comments() {
     for (line, found) in [
         ("let next_leg = 1;", vec!["next_leg"]),
         ("struct SendLeg { legs: u32 }", vec!["SendLeg", "legs"]),
