--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -89,7 +89,7 @@
         let r = play_once(&script)?.report;
         let v = r.view.clone().unwrap_or_default();
         let last = v.last();
-        let wrong = r.failures.len() + r.rules.rules.iter().map(|r| r.breaks.len()).sum::<usize>();
+        let wrong = r.failures.len() + r.rules.rules.iter().map(|r| r.violations.len()).sum::<usize>();
         good &= r.is_good();
         println!(
             "{seed:>6} {:>8} {:>7} {:>6} {:>12.0} {:>7.2}% {:>8.3}  {}",
--- a/crates/invariants/src/index.rs
+++ b/crates/invariants/src/index.rs
@@ -1,430 +1,179 @@
-//! The trace put in order: commands with their answers, requests with their attempts, what each host was told.
+//! The trace sorted for the rules: commands with their answers, requests with their attempts, what each host was notified of,
+//! and when hosts could not act.
 
-use std::collections::{BTreeMap, HashMap};
-use tackmast_trace::{
-    AnswerKind, AttemptEndKind, AttemptName, Event, Facts, Line, ListedState, Side, TrafficClassFacts,
-};
-
-pub type CommandName = (u32, u32, u32); // host, session, command
-
-#[derive(Debug)]
-pub struct Command {
-    pub name: CommandName,
-    pub t: u64,
-    pub traffic_class: u32,
-    /// Requests that it is: one for each extent it touches, where the extents are told.
-    pub parts: Option<u64>,
-    pub deadline_us: u64,
-    pub answers: Vec<(u64, AnswerKind)>,
-    pub left: Option<u64>,
-    /// The way of its session was cut, and its connection reset for that: no answer can come any more.
-    pub lost: Option<u64>,
-    /// Its host's end, if that came before the answer.
-    pub host_down: Option<u64>,
-}
+mod builder;
+mod period;
+mod records;
 
-#[derive(Debug)]
-pub struct Attempt {
-    pub t: u64,
-    pub node: String,
-    pub name: AttemptName,
-    pub part: u16,
-    pub volume: u32,
-    pub units: f64,
-    pub told_units: f64,
-    pub key: u64,
-    pub left_us: u64,
-    pub end: Option<(u64, AttemptEndKind, bool)>,
-    pub link_down: Option<u64>,
-    /// The command it belongs to, among `commands`.
-    pub command: Option<usize>,
-}
-
-impl Attempt {
-    /// When its host has had the end of it, and whether the work may go on after that.
-    pub fn over(&self) -> (u64, bool) {
-        // A cancel ends nothing: its host still waits for the node's word, until the attempt's time is up.
-        let unknown = [Some(self.t + self.left_us), self.link_down];
-        let unknown = unknown.into_iter().flatten().min().unwrap_or(u64::MAX);
-        match self.end {
-            Some((t, _, _)) if t <= unknown => (t, false),
-            _ => (unknown, true),
-        }
-    }
-
-    pub fn never_ran(&self) -> bool {
-        matches!(self.end, Some((_, AttemptEndKind::NeverRan, _)))
-    }
+pub(crate) use period::Period;
+pub(crate) use records::{
+    Answer, Attempt, Command, CommandId, LimitPeriod, NodeGeneration, NodeOutcome, Notification, OutOfService,
+};
 
-    pub fn group(&self, index: &Index, zone: bool) -> Option<u32> {
-        let generation = index.node_generation(&self.node, self.t)?;
-        Some(if zone { generation.zone } else { generation.shard })
-    }
+use crate::error::TraceError;
+use builder::IndexBuilder;
+use period::HostPeriods;
+use std::collections::{BTreeMap, HashMap};
+use tackmast_trace::{Event, Facts, Line, TrafficClassFacts};
+
+/// A request, by its host, the host's generation, and its number within that generation.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct RequestId {
+    pub(crate) host: u32,
+    pub(crate) generation: u64,
+    pub(crate) request: u64,
 }
 
-#[derive(Debug)]
-pub struct NodeGeneration {
-    pub node: String,
-    pub t: u64,
-    pub zone: u32,
-    pub shard: u32,
-    pub capacity: f64,
-    pub cold_from: f64,
-    pub warm_us: u64,
+/// A node as one host sees it.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct HostAndNode {
+    pub(crate) host: u32,
+    pub(crate) node: String,
 }
 
+/// A trace, sorted.
 #[derive(Debug)]
-pub struct Told {
-    pub t: u64,
-    pub state: ListedState,
-    pub started_us: u64,
-    /// By the list; else a new generation knows nothing.
-    pub listed: bool,
-}
-
-/// Figures of a volume's limit, from their acknowledgement until the next ones are in force.
-#[derive(Clone, Copy, Debug)]
-pub struct Figures {
-    pub from: u64,
-    pub until: u64,
-    pub limit: f64,
-    pub burst: f64,
-    pub slack: f64,
-}
-
-/// The last span of a host ends.
-fn close(all: &mut HashMap<u32, Vec<(u64, u64)>>, host: u32, t: u64) {
-    if let Some(last) = all.get_mut(&host).and_then(|a| a.last_mut()).filter(|(_, to)| *to == u64::MAX) {
-        last.1 = t;
-    }
-}
-
-pub struct Index {
-    pub facts: Facts,
-    pub commands: Vec<Command>,
-    /// By arrival at their nodes.
-    pub attempts: Vec<Attempt>,
-    /// Indices of each request's attempts, by arrival.
-    pub requests: BTreeMap<(u32, u64, u64), Vec<usize>>,
-    pub told: HashMap<(u32, String), Vec<Told>>,
-    /// By host and node: from when on operators have it out of service, and from when on no longer.
-    pub ordered: HashMap<(u32, String), Vec<(u64, bool)>>,
-    pub generations: Vec<NodeGeneration>,
+pub(crate) struct Index {
+    pub(crate) facts: Facts,
+    pub(crate) commands: Vec<Command>,
+    /// In the order in which nodes received them.
+    pub(crate) attempts: Vec<Attempt>,
+    /// Indices of each request's attempts, in the order in which nodes received them. No request is without one.
+    pub(crate) requests: BTreeMap<RequestId, Vec<usize>>,
+    /// What the endpoint list sent, the oldest first.
+    pub(crate) notifications: HashMap<HostAndNode, Vec<Notification>>,
+    /// Operators' overrides, the oldest first.
+    pub(crate) overrides: HashMap<HostAndNode, Vec<OutOfService>>,
+    pub(crate) generations: Vec<NodeGeneration>,
     /// By volume, the oldest first.
-    pub figures: BTreeMap<u32, Vec<Figures>>,
-    pub host_ups: Vec<(u64, u32)>,
-    /// By host, the oldest first: when its process stood still, and when no client reached it.
-    pub stops: HashMap<u32, Vec<(u64, u64)>>,
-    pub client_cuts: HashMap<u32, Vec<(u64, u64)>>,
-    pub end: u64,
-    pub unfit: Option<String>,
+    pub(crate) limits: BTreeMap<u32, Vec<LimitPeriod>>,
+    /// When a host's process was suspended.
+    pub(crate) suspensions: HostPeriods,
+    /// When no client reached a host.
+    pub(crate) client_cuts: HostPeriods,
+    /// Time of the last line.
+    pub(crate) end_us: u64,
+    /// Why the trace proves nothing, where that is so.
+    pub(crate) defect: Option<TraceError>,
 }
 
 impl Index {
-    pub fn new(lines: &[Line]) -> Result<Index, String> {
-        let facts = lines.iter().find_map(|l| match &l.event {
-            Event::Facts(f) => Some(f.clone()),
+    pub(crate) fn new(lines: &[Line]) -> Result<Index, TraceError> {
+        let facts = lines.iter().find_map(|line| match &line.event {
+            Event::Facts(facts) => Some(facts.clone()),
             _ => None,
         });
-        let facts = facts.ok_or("no line of facts; expected one at the start of the trace")?;
-        let told = facts.volumes.iter().map(|v| {
-            let first = Figures { from: 0, until: u64::MAX, limit: v.limit, burst: v.burst, slack: v.slack };
-            (v.volume, vec![first])
-        });
-        let mut x = Index {
-            figures: told.collect(),
+        let end_us = lines.last().map_or(0, |line| line.t);
+        let mut builder = IndexBuilder::new(Index::empty(facts.ok_or(TraceError::NoFacts)?, end_us));
+        lines.iter().for_each(|line| builder.on_line(line));
+        Ok(builder.finish())
+    }
+
+    /// Without any event.
+    fn empty(facts: Facts, end_us: u64) -> Index {
+        let initial_limit = |volume: &tackmast_trace::VolumeFacts| LimitPeriod {
+            period: Period::starting_at(0),
+            limit: volume.limit,
+            burst: volume.burst,
+            slack: volume.slack,
+        };
+        Index {
+            limits: facts.volumes.iter().map(|volume| (volume.volume, vec![initial_limit(volume)])).collect(),
             facts,
             commands: Vec::new(),
             attempts: Vec::new(),
             requests: BTreeMap::new(),
-            told: HashMap::new(),
-            ordered: HashMap::new(),
+            notifications: HashMap::new(),
+            overrides: HashMap::new(),
             generations: Vec::new(),
-            host_ups: Vec::new(),
-            stops: HashMap::new(),
-            client_cuts: HashMap::new(),
-            end: lines.last().map_or(0, |l| l.t),
-            unfit: None,
-        };
-        let mut by_name: HashMap<CommandName, Vec<usize>> = HashMap::new();
-        let mut attempts_of: HashMap<(String, AttemptName), usize> = HashMap::new();
-        let mut last = 0;
-        let mut down: HashMap<u32, u64> = HashMap::new();
-        let mut sessions: HashMap<&str, (u32, u32)> = HashMap::new();
-        // Several troubles may cut one way: it is whole when the last of them is over.
-        let mut cuts: HashMap<(u32, Side), u32> = HashMap::new();
-        // What was said to a host that stood still counts from when it goes on.
-        let mut unread: HashMap<u32, Vec<(String, Told)>> = HashMap::new();
-        for (i, line) in lines.iter().enumerate() {
-            let t = line.t;
-            if t < last {
-                x.unfit = Some(format!("line {}: time {t} after {last}; expected an order of time", i + 1));
-            }
-            last = t;
-            match &line.event {
-                Event::Facts(_) | Event::Fault { .. } | Event::Cancel { .. } => {}
-                Event::NodeDown { node } => {
-                    let open = |l: &&mut Attempt| l.node == *node && l.end.is_none();
-                    x.attempts.iter_mut().filter(open).for_each(|l| l.link_down = l.link_down.or(Some(t)));
-                }
-                Event::Truncated => x.unfit = Some("events were lost when it was recorded".into()),
-                Event::Submit {
-                    host,
-                    session,
-                    command,
-                    traffic_class,
-                    deadline_us,
-                    volume,
-                    offset,
-                    bytes,
-                    ..
-                } => {
-                    let told = x.facts.volumes.iter().find(|v| v.volume == *volume && v.extent_bytes > 0);
-                    let parts = told.map(|v| {
-                        let last = (offset + bytes.max(&1) - 1) / v.extent_bytes;
-                        last - offset / v.extent_bytes + 1
-                    });
-                    let name = (*host, *session, *command);
-                    by_name.entry(name).or_default().push(x.commands.len());
-                    x.commands.push(Command {
-                        name,
-                        t,
-                        traffic_class: *traffic_class,
-                        parts,
-                        deadline_us: *deadline_us,
-                        answers: Vec::new(),
-                        left: None,
-                        lost: None,
-                        // A client may not know yet that its host is gone; no host has taken this one.
-                        host_down: down.get(host).copied(),
-                    });
-                }
-                Event::Answer { host, session, command, kind, .. } => {
-                    match by_name.get(&(*host, *session, *command)).and_then(|v| v.last()) {
-                        Some(c) => x.commands[*c].answers.push((t, *kind)),
-                        None => x.unfit = Some(format!("line {}: an answer to no command", i + 1)),
-                    }
-                }
-                Event::Left { host, session, command } => {
-                    let c = by_name.get(&(*host, *session, *command)).and_then(|v| v.last());
-                    if let Some(c) = c.map(|c| &mut x.commands[*c]).filter(|c| c.answers.is_empty()) {
-                        c.left = c.left.or(Some(t));
-                    }
-                }
-                Event::HostDown { host } => {
-                    close(&mut x.stops, *host, t);
-                    down.insert(*host, t);
-                    for c in x.commands.iter_mut().filter(|c| c.name.0 == *host && c.answers.is_empty()) {
-                        c.host_down = c.host_down.or(Some(t));
-                    }
-                }
-                Event::HostUp { host } => {
-                    down.remove(host);
-                    x.host_ups.push((t, *host));
-                    // A new generation knows nothing of what the old one was told.
-                    for (_, told) in x.told.iter_mut().filter(|((h, _), _)| h == host) {
-                        told.push(Told { t, state: ListedState::Ready, started_us: 0, listed: false });
-                    }
-                }
-                Event::NodeUp { node, zone, shard, capacity, initial_capacity, warm_us } => {
-                    x.generations.push(NodeGeneration {
-                        node: node.clone(),
-                        t,
-                        zone: *zone,
-                        shard: *shard,
-                        capacity: *capacity,
-                        cold_from: *initial_capacity,
-                        warm_us: *warm_us,
-                    })
-                }
-                Event::Attempt {
-                    node,
-                    name,
-                    session,
-                    command,
-                    part,
-                    volume,
-                    offset,
-                    bytes,
-                    units,
-                    key,
-                    left_us,
-                    ..
-                } => {
-                    let at = x.attempts.len();
-                    let belongs =
-                        by_name.get(&(name.host, *session, *command)).and_then(|v| v.last()).copied();
-                    let counted = (*bytes as f64 / f64::from(x.facts.unit_bytes.max(1)))
-                        .ceil()
-                        .clamp(1.0, x.facts.max_units);
-                    // What is ordered is told by the place, where extents are told: a host that forgot the order
-                    // would forget the key as well.
-                    let told = x.facts.volumes.iter().find(|v| v.volume == *volume && v.extent_bytes > 0);
-                    let place = told.map(|v| ((u64::from(*volume) + 1) << 48) | (offset / v.extent_bytes));
-                    let key = &place.unwrap_or(*key);
-                    attempts_of.insert((node.clone(), *name), at);
-                    x.requests.entry((name.host, name.generation, name.request)).or_default().push(at);
-                    x.attempts.push(Attempt {
-                        t,
-                        node: node.clone(),
-                        name: *name,
-                        part: *part,
-                        volume: *volume,
-                        units: counted,
-                        told_units: *units,
-                        key: *key,
-                        left_us: *left_us,
-                        end: None,
-                        link_down: None,
-                        command: belongs,
-                    });
-                }
-                Event::AttemptEnd { node, name, kind, ran } => {
-                    if let Some(l) = attempts_of.get(&(node.clone(), *name)) {
-                        x.attempts[*l].end = x.attempts[*l].end.or(Some((t, *kind, *ran)));
-                    }
-                }
-                Event::LinkDown { node, attempts, .. } => {
-                    for name in attempts {
-                        if let Some(l) = attempts_of.get(&(node.clone(), *name)) {
-                            x.attempts[*l].link_down = x.attempts[*l].link_down.or(Some(t));
-                        }
-                    }
-                }
-                Event::Ordered { host, node, out } => {
-                    x.ordered.entry((*host, node.clone())).or_default().push((t, *out));
-                }
-                Event::PlanMoved { volume, limit, burst, slack, in_force_us } => {
-                    let of = x.figures.entry(*volume).or_default();
-                    // Hosts that act a little late by their own clocks are within the skew.
-                    let until = in_force_us + x.facts.skew_us;
-                    of.iter_mut().for_each(|f| f.until = f.until.min(until));
-                    let (limit, burst, slack) = (*limit, *burst, *slack);
-                    of.push(Figures { from: t, until: u64::MAX, limit, burst, slack });
-                }
-                Event::HostStops { host } => {
-                    x.stops.entry(*host).or_default().push((t, u64::MAX));
-                    // What had hardly arrived may not have been read.
-                    let late = |told: &Told| told.listed && told.t + x.facts.skew_us >= t;
-                    for ((_, node), all) in x.told.iter_mut().filter(|((h, _), _)| h == host) {
-                        let (held, read): (Vec<Told>, Vec<Told>) = all.drain(..).partition(|w| late(w));
-                        *all = read;
-                        unread.entry(*host).or_default().extend(held.into_iter().map(|w| (node.clone(), w)));
-                    }
-                }
-                Event::HostGoes { host } => {
-                    close(&mut x.stops, *host, t);
-                    for (node, told) in unread.remove(host).unwrap_or_default() {
-                        x.told.entry((*host, node)).or_default().push(Told { t, ..told });
-                    }
-                }
-                Event::Cut { host, side, on } => {
-                    let n = cuts.entry((*host, *side)).or_default();
-                    let before = *n;
-                    *n = if *on { before + 1 } else { before.saturating_sub(1) };
-                    match (side, before, *n) {
-                        (Side::Clients, 0, 1) => {
-                            x.client_cuts.entry(*host).or_default().push((t, u64::MAX));
-                        }
-                        (Side::Clients, 1, 0) => close(&mut x.client_cuts, *host, t),
-                        (Side::List, 0, 1) => {
-                            // What left the list just before may have been cut off on its way.
-                            let late = |told: &Told| told.listed && told.t + x.facts.skew_us >= t;
-                            let of = x.told.iter_mut().filter(|((h, _), _)| h == host);
-                            of.for_each(|(_, all)| all.retain(|w| !late(w)));
-                        }
-                        _ => {}
-                    }
-                }
-                Event::Session { host, session, client } => {
-                    sessions.insert(client, (*host, *session));
-                }
-                Event::ConnectionLost { client } => {
-                    let Some((host, session)) = sessions.remove(client.as_str()) else { continue };
-                    let of =
-                        |c: &&mut Command| c.name.0 == host && c.name.1 == session && c.answers.is_empty();
-                    x.commands.iter_mut().filter(of).for_each(|c| c.lost = c.lost.or(Some(t)));
-                }
-                Event::Notified { host, node, state, started_us } => {
-                    // Over a way that is cut nothing is told.
-                    if cuts.get(&(*host, Side::List)).is_some_and(|n| *n > 0) {
-                        continue;
-                    }
-                    let told = Told { t, state: *state, started_us: *started_us, listed: true };
-                    match x.stops.get(host).and_then(|s| s.last()) {
-                        Some((_, u64::MAX)) => {
-                            unread.entry(*host).or_default().push((node.clone(), told));
-                        }
-                        _ => x.told.entry((*host, node.clone())).or_default().push(told),
-                    }
-                }
-            }
+            suspensions: HostPeriods::default(),
+            client_cuts: HostPeriods::default(),
+            end_us,
+            defect: None,
         }
-        Ok(x)
     }
 
-    /// By when a command's answer is due. Its host can't answer while it stands still or is cut off from its clients: then
-    /// it is due when it could, within the slack. What came while it stood still it can only read when it goes on, and not
-    /// tell how long it lay there: that counts from then. A stop or cut that was over in time excuses nothing.
-    pub fn due(&self, c: &Command) -> u64 {
-        let f = &self.facts;
-        let host = c.name.0;
-        let of = |all: &HashMap<u32, Vec<(u64, u64)>>| all.get(&host).cloned().unwrap_or_default();
-        let stops = of(&self.stops);
-        let unread = stops.iter().find(|(from, to)| *from <= c.t + f.skew_us && c.t < *to).map(|(_, to)| *to);
-        let own = unread.unwrap_or(c.t).saturating_add(c.deadline_us + f.answer_slack_us);
-        let mut away: Vec<(u64, u64)> = stops.into_iter().chain(of(&self.client_cuts)).collect();
-        away.sort_unstable();
-        away.into_iter().fold(own, |due, (from, to)| match from <= due && to > c.t {
-            true => due.max(to.saturating_add(f.answer_slack_us)),
-            false => due,
+    /// By when a command's answer is due. A host that is suspended or cut off from its clients can't answer: the answer is due
+    /// when it could be sent, within the slack. A host that was suspended reads a command when it resumes, and can't tell how
+    /// long the command had waited: the deadline counts from then. An outage that was over in time excuses nothing.
+    pub(crate) fn due_us(&self, command: &Command) -> u64 {
+        let facts = &self.facts;
+        let (host, submitted_us) = (command.id.host, command.submitted_us);
+        let suspensions = self.suspensions.of_host(host);
+        let unread = suspensions
+            .iter()
+            .find(|period| period.from_us <= submitted_us + facts.skew_us && submitted_us < period.until_us);
+        let read_us = unread.map_or(submitted_us, |period| period.until_us);
+        let own_due_us = read_us.saturating_add(command.deadline_us + facts.answer_slack_us);
+        let mut outages = [suspensions, self.client_cuts.of_host(host)].concat();
+        outages.sort_unstable();
+        outages.into_iter().fold(own_due_us, |due_us, outage| {
+            if outage.from_us <= due_us && outage.until_us > submitted_us {
+                due_us.max(outage.until_us.saturating_add(facts.answer_slack_us))
+            } else {
+                due_us
+            }
         })
     }
 
-    /// From when on a host knows that a client has gone, which it did at `t`: not while it stood still or was cut off.
-    pub fn knows(&self, host: u32, t: u64) -> u64 {
-        let of = |all: &HashMap<u32, Vec<(u64, u64)>>| {
-            let away = all.get(&host).and_then(|a| a.iter().find(|(from, to)| *from <= t && t < *to));
-            away.map_or(t, |(_, to)| *to)
-        };
-        of(&self.stops).max(of(&self.client_cuts))
+    /// From when on a host knows of something that a client did at that time: not while the host is suspended or cut off.
+    pub(crate) fn known_to_host_us(&self, host: u32, time_us: u64) -> u64 {
+        self.suspensions.end_after(host, time_us).max(self.client_cuts.end_after(host, time_us))
+    }
+
+    pub(crate) fn traffic_class(&self, command: &Command) -> Option<&TrafficClassFacts> {
+        self.facts.traffic_classes.get(command.traffic_class as usize)
+    }
+
+    /// The command that an attempt belongs to.
+    pub(crate) fn command_of(&self, attempt: &Attempt) -> Option<&Command> {
+        attempt.command.map(|index| &self.commands[index])
     }
 
-    pub fn traffic_class(&self, command: Option<usize>) -> Option<&TrafficClassFacts> {
-        self.facts.traffic_classes.get(self.commands[command?].traffic_class as usize)
+    /// The generation of a node at a moment.
+    pub(crate) fn node_generation(&self, node: &str, time_us: u64) -> Option<&NodeGeneration> {
+        let generations = self.generations.iter().rev();
+        generations.into_iter().find(|generation| generation.node == node && generation.started_us <= time_us)
     }
 
-    pub fn node_generation(&self, node: &str, t: u64) -> Option<&NodeGeneration> {
-        self.generations.iter().rev().find(|l| l.node == node && l.t <= t)
+    /// What the host of an attempt was notified of its node.
+    pub(crate) fn notifications_for(&self, attempt: &Attempt) -> Option<&[Notification]> {
+        self.notifications.get(&HostAndNode::of(attempt)).map(Vec::as_slice)
     }
 
-    pub fn title(&self, attempt: &Attempt) -> String {
-        match attempt.command.map(|c| self.commands[c].name) {
-            Some((host, session, command)) => {
-                format!("{host}/{session}/{command} part {} attempt {}", attempt.part, attempt.name.attempt)
+    /// What a report calls an attempt.
+    pub(crate) fn title(&self, attempt: &Attempt) -> String {
+        let (part, name) = (attempt.part, attempt.name);
+        match self.command_of(attempt).map(|command| command.id) {
+            Some(CommandId { host, session, command }) => {
+                format!("{host}/{session}/{command} part {part} attempt {}", name.attempt)
             }
             None => {
-                format!(
-                    "{}/{:x} number {} attempt {}",
-                    attempt.name.host, attempt.name.generation, attempt.name.request, attempt.name.attempt
-                )
+                let (host, generation, request) = (name.host, name.generation, name.request);
+                format!("{host}/{generation:x} number {request} attempt {}", name.attempt)
             }
         }
     }
-}
 
-impl Index {
-    /// Requests that a host took in a span: of each command as many as it touches extents or, where these are not
-    /// told, one and one more for each further part seen.
-    pub fn max_parts(&self, host: u32, from: u64, to: u64, commands: usize) -> f64 {
-        let within = self.commands.iter().filter(|c| c.name.0 == host && (from..=to).contains(&c.t));
-        let told: Option<u64> = within.map(|c| c.parts).sum();
-        if let Some(parts) = told {
-            return parts as f64;
+    /// Requests that a host received within a period, both ends included: of each command as many as it touches extents. Where
+    /// the size of extents is not known, one a command and one for each other part that a node received.
+    pub(crate) fn max_request_count(&self, host: u32, from_us: u64, to_us: u64, command_count: usize) -> f64 {
+        let is_within = |command: &Command| (from_us..=to_us).contains(&command.submitted_us);
+        let commands = self.commands.iter().filter(|command| command.id.host == host && is_within(command));
+        let by_extents: Option<u64> = commands.map(|command| command.request_count).sum();
+        if let Some(request_count) = by_extents {
+            return request_count as f64;
         }
-        let further = self.requests.values().map(|attempts| &self.attempts[attempts[0]]);
-        let further = further.filter(|l| l.part > 0 && l.name.host == host);
-        let seen = further.filter(|l| l.command.is_some_and(|c| (from..=to).contains(&self.commands[c].t)));
-        (commands + seen.count()) as f64
+        let first_attempts = self.requests.values().map(|attempts| &self.attempts[attempts[0]]);
+        let other_parts = first_attempts
+            .filter(|attempt| attempt.part > 0 && attempt.name.host == host)
+            .filter(|attempt| self.command_of(attempt).is_some_and(is_within));
+        (command_count + other_parts.count()) as f64
+    }
+}
+
+impl HostAndNode {
+    pub(crate) fn of(attempt: &Attempt) -> Self {
+        HostAndNode { host: attempt.name.host, node: attempt.node.clone() }
     }
 }
--- a/crates/scenario/src/operators.rs
+++ b/crates/scenario/src/operators.rs
@@ -9,7 +9,7 @@
 use tackmast_host_core::{
     AdminRequest, AdminResponse, ConsensusRequest, ConsensusResponse, PlanRequest, PlanResponse,
 };
-use tackmast_invariants::history::{Came, Op};
+use tackmast_invariants::linearizability::{Operation, Outcome};
 use tackmast_plans::{Change, Step};
 
 const PATIENCE: Duration = Duration::from_secs(8);
@@ -17,7 +17,7 @@
 const TRIES: u32 = 50;
 
 pub struct Operators {
-    ops: Arc<Mutex<Vec<Op>>>,
+    ops: Arc<Mutex<Vec<Operation>>>,
     over: Arc<AtomicBool>,
     threads: Vec<std::thread::JoinHandle<()>>,
     began: Instant,
@@ -44,28 +44,33 @@
 
 impl Operator {
     /// One call, if it came to something.
-    fn call(&mut self) -> Option<Op> {
+    fn call(&mut self) -> Option<Operation> {
         let host = self.chance.rand_range(0..self.sockets.len() as u64) as usize;
         let socket = self.sockets.get(host)?.clone();
         let changes = self.chance.rand_range(0..2) == 0;
         let began = self.began.elapsed().as_secs_f64();
-        let came = if changes { self.change(&socket)? } else { self.read(&socket)? };
+        let outcome = if changes { self.change(&socket)? } else { self.read(&socket)? };
         let ended = self.began.elapsed().as_secs_f64();
-        Some(Op { began, ended, by: format!("{} at host {host}", self.name), came })
+        Some(Operation {
+            called_at: began,
+            returned_at: ended,
+            caller: format!("{} at host {host}", self.name),
+            outcome,
+        })
     }
 
-    fn read(&mut self, socket: &Path) -> Option<Came> {
+    fn read(&mut self, socket: &Path) -> Option<Outcome> {
         match ask(socket, PlanRequest::Show)? {
             // One that says it may be old promises nothing.
             PlanResponse::Shown(s) if !s.stale => {
                 self.base = s.catalogue.version;
-                Some(Came::Read { version: s.catalogue.version, digest: s.digest })
+                Some(Outcome::Read { version: s.catalogue.version, digest: s.digest })
             }
             _ => None,
         }
     }
 
-    fn change(&mut self, socket: &Path) -> Option<Came> {
+    fn change(&mut self, socket: &Path) -> Option<Outcome> {
         // Its weight alone: no rule hangs on it, so that nothing else is disturbed.
         let shown = match ask(socket, PlanRequest::Show)? {
             PlanResponse::Shown(s) => s,
@@ -79,9 +84,9 @@
         let steps = vec![Step::Plan { name: self.plan.clone(), to: Some(to) }];
         let change = Change { base, steps, who: self.name.clone(), why: "an operator of the day".into() };
         Some(match ask(socket, PlanRequest::Apply { change, dry_run: false }) {
-            Some(PlanResponse::Applied { version, .. }) => Came::Applied { base, version },
+            Some(PlanResponse::Applied { version, .. }) => Outcome::Applied { base, version },
             Some(PlanResponse::Refused { why }) if why.contains("moved since then") => {
-                Came::Conflict { base }
+                Outcome::Conflict { base }
             }
             // Refused before it was put to anybody: nothing of it is to be seen. A base that is not there yet, or waiting asks.
             Some(PlanResponse::Refused { why })
@@ -89,7 +94,7 @@
             {
                 return None
             }
-            _ => Came::Unknown { base },
+            _ => Outcome::Unknown { base },
         })
     }
 }
@@ -101,7 +106,7 @@
     name: &str,
     to: &tackmast_plans::Plan,
     began: Instant,
-    mut note: impl FnMut(Op),
+    mut note: impl FnMut(Operation),
 ) -> Result<(u64, f64), String> {
     let mut last = "nothing was asked".to_owned();
     for _ in 0..TRIES {
@@ -117,18 +122,20 @@
         let asked = began.elapsed().as_secs_f64();
         let reply = ask(socket, PlanRequest::Apply { change, dry_run: false });
         let ended = began.elapsed().as_secs_f64();
-        let mut noted = |came| note(Op { began: asked, ended, by: "the day".into(), came });
+        let mut noted = |outcome| {
+            note(Operation { called_at: asked, returned_at: ended, caller: "the day".into(), outcome })
+        };
         match reply {
             Some(PlanResponse::Applied { version, in_force_s, .. }) => {
-                noted(Came::Applied { base, version });
+                noted(Outcome::Applied { base, version });
                 return Ok((version, in_force_s));
             }
             Some(PlanResponse::Refused { why }) if why.contains("moved since then") => {
-                noted(Came::Conflict { base });
+                noted(Outcome::Conflict { base });
                 last = why;
             }
             other => {
-                noted(Came::Unknown { base });
+                noted(Outcome::Unknown { base });
                 return Err(format!("{other:?}"));
             }
         }
@@ -161,7 +168,7 @@
 impl Operators {
     /// So many operators, each with a pause between calls of so many seconds in the mean.
     pub fn start(sockets: Vec<PathBuf>, plan: &str, count: u32, pause_s: f64, seed: u64) -> Operators {
-        let ops: Arc<Mutex<Vec<Op>>> = Arc::default();
+        let ops: Arc<Mutex<Vec<Operation>>> = Arc::default();
         let over: Arc<AtomicBool> = Arc::default();
         let began = Instant::now();
         let threads = (0..count).map(|i| {
@@ -189,7 +196,7 @@
     }
 
     /// A call of the day's own.
-    pub fn note(&self, op: Op) {
+    pub fn note(&self, op: Operation) {
         self.ops.lock().unwrap_or_else(PoisonError::into_inner).push(op);
     }
 
@@ -198,7 +205,7 @@
     }
 
     /// All that was done.
-    pub fn end(self) -> Vec<Op> {
+    pub fn end(self) -> Vec<Operation> {
         self.over.store(true, Ordering::Release);
         self.threads.into_iter().for_each(|t| _ = t.join());
         std::mem::take(&mut *self.ops.lock().unwrap_or_else(PoisonError::into_inner))
--- a/crates/scenario/src/play.rs
+++ b/crates/scenario/src/play.rs
@@ -571,7 +571,7 @@
         let ops = self.operators.take().map(Operators::end);
         let agreed = self.agreed.take().map(AgreedWatcher::end);
         let agreed = agreed.map(|a| crate::AgreedSeen { history: ops.as_ref().map_or(0, Vec::len), ..a });
-        if let Some(Err(why)) = ops.map(|ops| tackmast_invariants::history::judge(&ops)) {
+        if let Some(Err(why)) = ops.map(|ops| tackmast_invariants::linearizability::check(&ops)) {
             self.failures.push(format!("what operators saw can't have happened in any order: {why}"));
         }
         self.rig.ways.stop();
@@ -588,9 +588,9 @@
         let rules = tackmast_invariants::judge(&trace);
         if self.script.day.list_spreads_s > 0.0 {
             let within_us = (self.script.day.list_spreads_s * 1e6) as u64;
-            let spread = tackmast_invariants::spread::judge(&trace, within_us);
-            self.failures.extend(spread.breaks.into_iter().take(10));
-            if spread.stops == 0 {
+            let dissemination = tackmast_invariants::dissemination::check(&trace, within_us);
+            self.failures.extend(dissemination.violations.into_iter().take(10));
+            if dissemination.stop_count == 0 {
                 self.failures.push("no node was taken away while some host did not hear the list".into());
             }
         }
--- a/crates/simulator/src/compare.rs
+++ b/crates/simulator/src/compare.rs
@@ -104,7 +104,7 @@
     put("done", r.done as f64 / asked);
     put("deferred", r.rejected as f64 / asked);
     put("abandoned", r.failed as f64 / asked);
-    put("rules broken", f.report.rules.iter().filter(|r| !r.breaks.is_empty()).count() as f64);
+    put("rules broken", f.report.rules.iter().filter(|r| !r.violations.is_empty()).count() as f64);
     for (name, c) in &r.classes {
         put(&format!("in time, {name}"), c.in_time as f64 / c.asked.max(1) as f64);
         put(&format!("p99 ms, {name}"), c.times.value_at_quantile(0.99) as f64 / 1e3);
