--- a/crates/trace/src/event.rs
+++ b/crates/trace/src/event.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AnswerKind {
-    /// It was done.
+    /// The request was done.
     Done,
-    /// It did not run; a retry is safe.
+    /// The request did not run; a retry is safe.
     #[serde(rename = "deferred")]
     Rejected,
     /// No promise about its effect.
@@ -24,11 +24,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
-    /// It takes requests.
+    /// The node takes requests.
     Ready,
-    /// It finishes what is in flight.
+    /// The node finishes what is in flight and takes nothing new.
     Draining,
-    /// It is not there any more.
+    /// The node has left the list.
     Gone,
 }
 
@@ -36,9 +36,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptEndKind {
-    /// Done.
+    /// The work was done.
     Done,
-    /// It may have run.
+    /// The node answered with an error; the work may have run.
     Error,
     /// The node reported that it never ran: the queue was full, or it was cancelled or out of time before it began.
     NeverRan,
@@ -76,7 +76,7 @@
 pub enum Event {
     /// What is true of the deployment.
     Facts(Facts),
-    /// Client side: a command's first byte leaves.
+    /// Client side: the first byte of a command is sent.
     Submit {
         /// The host's number.
         host: u32,
@@ -127,22 +127,22 @@
         /// The host's number.
         host: u32,
     },
-    /// A host's process is ended; what it had taken is left to its clients.
+    /// A host's process ends; clients get no answer to the commands that it had received.
     HostDown {
         /// The host's number.
         host: u32,
     },
-    /// A host's process stands still.
+    /// A host's process is suspended.
     HostStops {
         /// The host's number.
         host: u32,
     },
-    /// A host's process goes on.
+    /// A host's process resumes.
     HostGoes {
         /// The host's number.
         host: u32,
     },
-    /// The network emulator: nothing passes between this host and its clients, or from the list to it; and again it does.
+    /// The network emulator cuts a host off from its clients or from the endpoint list, or the cut ends.
     Cut {
         /// The host's number.
         host: u32,
@@ -260,7 +260,7 @@
         /// When the node last started.
         started_us: u64,
     },
-    /// Operator side: the host has confirmed that it holds the node out of service, or that it no longer does.
+    /// Operator side: the host has acknowledged an override that holds the node out of service, or its end.
     Ordered {
         /// The host's number.
         host: u32,
@@ -269,7 +269,7 @@
         /// Whether it is held out of service.
         out: bool,
     },
-    /// Operator side: a change of a volume's plan was acknowledged. Until it is in force, hosts may go by the figures before it.
+    /// Operator side: a change of a volume's plan was acknowledged. Until it is in force, hosts may apply the plan before it.
     PlanMoved {
         /// The volume's number.
         volume: u32,
@@ -279,7 +279,7 @@
         burst: f64,
         /// Units beyond both from then on.
         slack: f64,
-        /// From when on all hosts go by it.
+        /// When all hosts apply it.
         in_force_us: u64,
     },
     /// A fault of the script begins or ends.
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -10,6 +10,7 @@
 //! | `clock` | the clock of a trace |
 
 #![warn(missing_docs)]
+#![warn(unreachable_pub)]
 
 mod clock;
 mod event;
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -3,7 +3,7 @@
 use crate::{now_us, Event, Line};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Events that a recorder keeps; a trace that lost some is no proof and has a last event that says so.
+/// Events that a recorder keeps at most. A trace that lost events proves nothing; its last event is `Truncated`.
 const MAX_EVENTS: usize = 8 << 20;
 
 /// Collects the events that many threads saw.
@@ -32,18 +32,18 @@
         self.note_at(now_us(), event);
     }
 
-    /// Notes an event that is known to be of an earlier time.
-    pub fn note_at(&self, t: u64, event: Event) {
+    /// Notes an event of an earlier time, in microseconds of Unix time.
+    pub fn note_at(&self, time_us: u64, event: Event) {
         let Some(kept) = &self.0 else { return };
         let mut lines = kept.lock().unwrap_or_else(PoisonError::into_inner);
         match lines.len() {
-            n if n < MAX_EVENTS => lines.push(Line { t, event }),
-            MAX_EVENTS => lines.push(Line { t, event: Event::Truncated }),
+            count if count < MAX_EVENTS => lines.push(Line { t: time_us, event }),
+            MAX_EVENTS => lines.push(Line { t: time_us, event: Event::Truncated }),
             _ => {}
         }
     }
 
-    /// All lines so far, by time.
+    /// Removes all lines so far and returns them in order of time.
     pub fn take(&self) -> Vec<Line> {
         let Some(kept) = &self.0 else { return Vec::new() };
         let mut lines = std::mem::take(&mut *kept.lock().unwrap_or_else(PoisonError::into_inner));
--- a/crates/trace/tests/json_forms.rs
+++ b/crates/trace/tests/json_forms.rs
@@ -7,7 +7,7 @@
     TrafficClassFacts, VolumeFacts,
 };
 
-/// The value is written as the literal text, and the literal is read back as the value.
+/// Checks that the value is written as this text, and that this text is read back as the value.
 #[track_caller]
 fn assert_form<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
     assert_eq!(serde_json::to_string(value).unwrap(), text);
@@ -27,8 +27,9 @@
     "127.0.0.1:9000".into()
 }
 
+/// A later build reads the facts of a trace that was recorded before, also one without the size of extents.
 #[test]
-fn facts_of_a_deployment() {
+fn facts_keep_their_json_form() {
     let volume = VolumeFacts {
         volume: 3,
         plan: "basic".into(),
@@ -66,7 +67,7 @@
         Event::Facts(Facts::default()),
         r#"{"t":1700000000000000,"e":"facts","streams":[],"volumes":[],"unit_bytes":0,"most_units":0.0,"answer_slack_us":0,"grace_us":0,"cold_multiple":0.0,"cold_window_us":0,"cold_safe_units":0.0,"settle_us":0,"further":null,"skew_us":0}"#,
     );
-    // A line of before this field was there.
+    // A line of a build that did not have this field.
     let text = serde_json::to_string(&volume).unwrap().replace(",\"extent_bytes\":32768", "");
     assert_eq!(
         serde_json::from_str::<VolumeFacts>(&text).unwrap(),
@@ -74,8 +75,9 @@
     );
 }
 
+/// A later build reads every kind of answer, state, outcome and side, and the name of an attempt, as they were recorded.
 #[test]
-fn kinds() {
+fn kinds_and_names_keep_their_json_form() {
     let effects = [
         EffectKind::Idempotent,
         EffectKind::IdempotentByKeyAll,
@@ -98,8 +100,9 @@
     assert_form(&name(), r#"{"host":1,"life":77,"xfer":12,"leg":2}"#);
 }
 
+/// A later build reads what clients saw as it was recorded.
 #[test]
-fn events_of_clients() {
+fn client_events_keep_their_json_form() {
     let submit = Event::Submit {
         host: 1,
         session: 2,
@@ -135,8 +138,9 @@
     );
 }
 
+/// A later build reads what happened to hosts, and what the list and operators sent them, as it was recorded.
 #[test]
-fn events_of_hosts_and_operators() {
+fn host_and_operator_events_keep_their_json_form() {
     assert_event(Event::HostUp { host: 1 }, r#"{"t":1700000000000000,"e":"host_up","host":1}"#);
     assert_event(Event::HostDown { host: 1 }, r#"{"t":1700000000000000,"e":"host_down","host":1}"#);
     assert_event(Event::HostStops { host: 1 }, r#"{"t":1700000000000000,"e":"host_stops","host":1}"#);
@@ -149,18 +153,18 @@
         Event::Cut { host: 1, side: Side::List, on: false },
         r#"{"t":1700000000000000,"e":"cut","host":1,"side":"list","on":false}"#,
     );
-    let told = Event::Notified { host: 1, node: node(), state: ListedState::Draining, started_us: 4 };
+    let notified = Event::Notified { host: 1, node: node(), state: ListedState::Draining, started_us: 4 };
     assert_event(
-        told,
+        notified,
         r#"{"t":1700000000000000,"e":"told","host":1,"node":"127.0.0.1:9000","state":"draining","started_us":4}"#,
     );
     assert_event(
         Event::Ordered { host: 1, node: node(), out: true },
         r#"{"t":1700000000000000,"e":"ordered","host":1,"node":"127.0.0.1:9000","out":true}"#,
     );
-    let moved = Event::PlanMoved { volume: 3, limit: 40.0, burst: 64.0, slack: 8.0, in_force_us: 5 };
+    let plan_changed = Event::PlanMoved { volume: 3, limit: 40.0, burst: 64.0, slack: 8.0, in_force_us: 5 };
     assert_event(
-        moved,
+        plan_changed,
         r#"{"t":1700000000000000,"e":"plan_moved","volume":3,"limit":40.0,"burst":64.0,"slack":8.0,"in_force_us":5}"#,
     );
     assert_event(
@@ -170,19 +174,20 @@
     assert_event(Event::Truncated, r#"{"t":1700000000000000,"e":"truncated"}"#);
 }
 
+/// A later build reads what nodes saw as it was recorded.
 #[test]
-fn events_of_nodes() {
-    let up =
+fn node_events_keep_their_json_form() {
+    let node_up =
         Event::NodeUp { node: node(), zone: 1, shard: 2, capacity: 500.5, initial_capacity: 0.1, warm_us: 3 };
     assert_event(
-        up,
+        node_up,
         r#"{"t":1700000000000000,"e":"node_up","node":"127.0.0.1:9000","zone":1,"shard":2,"capacity":500.5,"cold_from":0.1,"warm_us":3}"#,
     );
     assert_event(
         Event::NodeDown { node: node() },
         r#"{"t":1700000000000000,"e":"node_down","node":"127.0.0.1:9000"}"#,
     );
-    let begun = Event::Attempt {
+    let attempt = Event::Attempt {
         node: node(),
         name: name(),
         session: 2,
@@ -198,12 +203,13 @@
         left_us: 8,
     };
     assert_event(
-        begun,
+        attempt,
         r#"{"t":1700000000000000,"e":"leg","node":"127.0.0.1:9000","name":{"host":1,"life":77,"xfer":12,"leg":2},"session":2,"command":3,"part":1,"volume":4,"write":false,"offset":6,"bytes":7,"units":1.5,"key":18446744073709551615,"mark":"a0b1","left_us":8}"#,
     );
-    let ended = Event::AttemptEnd { node: node(), name: name(), kind: AttemptEndKind::NeverRan, ran: false };
+    let attempt_end =
+        Event::AttemptEnd { node: node(), name: name(), kind: AttemptEndKind::NeverRan, ran: false };
     assert_event(
-        ended,
+        attempt_end,
         r#"{"t":1700000000000000,"e":"leg_end","node":"127.0.0.1:9000","name":{"host":1,"life":77,"xfer":12,"leg":2},"kind":"never_ran","ran":false}"#,
     );
     assert_event(
@@ -216,8 +222,9 @@
     );
 }
 
+/// A trace is written to a file and read back. Each event is one line of JSON.
 #[test]
-fn a_trace_is_written_a_line_an_event_and_read_back() {
+fn trace_has_one_line_per_event() {
     let lines = [Line { t: 1, event: Event::HostUp { host: 0 } }, Line { t: 2, event: Event::Truncated }];
     let text = "{\"t\":1,\"e\":\"host_up\",\"host\":0}\n{\"t\":2,\"e\":\"truncated\"}\n";
     let mut written = Vec::new();
