--- a/crates/membership/tests/member.rs
+++ b/crates/membership/tests/member.rs
@@ -1,5 +1,5 @@
-//! One member alone: hostile and malformed datagrams, precedence of updates, another generation of its own slot, overrides
-//! that have ended, and catalog updates that nobody has.
+//! A single member that the test drives: hostile and malformed datagrams, precedence of updates, another generation of its
+//! own slot, overrides that have ended, and catalog updates that no peer has.
 
 use bytes::Bytes;
 use std::net::SocketAddr;
@@ -7,15 +7,15 @@
 use tackmast_membership::*;
 use tackmast_wire::peer::{Body, CatalogMessage, LeaseMessage, ProbeMessage};
 
-fn address(h: u32) -> SocketAddr {
-    SocketAddr::from(([10, 0, 0, h as u8], 7000))
+fn address(slot: u32) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, slot as u8], 7000))
 }
 
-fn member(generation: u64) -> Member {
+fn new_member(generation: u64) -> Member {
     Member::new(Instant::from_secs(10.0), settings(generation))
 }
 
-fn with_persisted(persisted: Vec<KnownPeer>) -> Member {
+fn member_with_persisted(persisted: Vec<KnownPeer>) -> Member {
     Member::new(Instant::from_secs(10.0), MemberSettings { persisted, ..settings(5) })
 }
 
@@ -59,30 +59,33 @@
     }
 }
 
+/// A fleet of five hosts starts from a store of a larger fleet. The slots beyond five must be neither contacted nor
+/// persisted again, or they would be for ever.
 #[test]
-fn persisted_peers_beyond_the_fleet_size_are_dropped() {
-    // The fleet has five hosts; the store is of a larger one.
-    let mut m = with_persisted(vec![peer(1, 9), peer(4, 9), peer(7, 9)]);
-    let mut called = std::collections::BTreeSet::new();
-    let mut written = Vec::new();
-    for t in 0..200 {
-        m.handle_timeout(Instant::from_secs(10.0 + f64::from(t) * 0.1));
-        while let Some(o) = m.poll_output() {
-            match o {
-                Output::Send { to, .. } => _ = called.insert(to),
-                Output::Persist(r) => written.extend(r.peers),
+fn drops_persisted_peers_beyond_the_fleet_size() {
+    let mut member = member_with_persisted(vec![peer(1, 9), peer(4, 9), peer(7, 9)]);
+    let mut contacted = std::collections::BTreeSet::new();
+    let mut persisted = Vec::new();
+    for tenth in 0..200 {
+        member.handle_timeout(Instant::from_secs(10.0 + f64::from(tenth) * 0.1));
+        while let Some(output) = member.poll_output() {
+            match output {
+                Output::Send { to, .. } => _ = contacted.insert(to),
+                Output::Persist(members) => persisted.extend(members.peers),
                 _ => {}
             }
         }
     }
-    assert_eq!(called.into_iter().collect::<Vec<_>>(), [address(1), address(4)]);
-    assert!(written.iter().all(|peer| peer.slot < 5), "{written:?}");
+    assert_eq!(contacted.into_iter().collect::<Vec<_>>(), [address(1), address(4)]);
+    assert!(persisted.iter().all(|peer| peer.slot < 5), "{persisted:?}");
 }
 
+/// Two updates on a member arrive one after the other. Views converge only if each host lets the same one of them hold: the
+/// later generation, then the later incarnation, then the worse health.
 #[test]
-fn precedence_of_two_updates_on_a_member() {
+fn later_generation_then_incarnation_then_worse_health_takes_precedence() {
     use Health::*;
-    // Updates on host 1 one after the other, as generation, incarnation and health; and what holds then.
+    // Updates on host 1 one after the other, as generation, incarnation and health; and the state after them.
     type State = (u64, u32, Health);
     let cases: &[(&[State], State)] = &[
         (&[(1, 0, Alive), (1, 0, Suspect)], (1, 0, Suspect)),
@@ -93,56 +96,68 @@
         (&[(2, 0, Alive), (1, 9, Dead)], (2, 0, Alive)),
         (&[(1, 0, Left), (1, 0, Alive)], (1, 0, Left)),
     ];
-    for (received, held) in cases {
-        let mut m = member(5);
+    for (received, expected) in cases {
+        let mut member = new_member(5);
         for (generation, incarnation, health) in *received {
-            m.view.merge(Instant::from_secs(11.0), update(1, *generation, *incarnation, *health));
+            member.view.merge(Instant::from_secs(11.0), update(1, *generation, *incarnation, *health));
         }
-        let s = m.snapshot().get(&1).cloned().unwrap();
-        assert_eq!((s.generation, s.incarnation, s.health), *held, "{received:?}");
+        let state = member.snapshot().get(&1).cloned().unwrap();
+        assert_eq!((state.generation, state.incarnation, state.health), *expected, "{received:?}");
     }
 }
 
+/// A peer reports this host dead, which it refutes; then a later generation of its slot becomes known. Both processes must
+/// not use the slot's quota at once, so the earlier one uses none.
 #[test]
-fn false_updates_on_this_host_are_refuted_and_a_later_generation_displaces_it() {
-    let mut m = member(5);
+fn refutes_false_updates_on_itself_and_yields_its_quota_to_a_later_generation() {
+    let mut member = new_member(5);
     let now = Instant::from_secs(11.0);
-    m.handle_datagram(now, address(1), datagram(1, 9, Body::Gossip, vec![update(0, 5, 3, Health::Dead)]));
-    assert_eq!((m.view.me().incarnation, m.view.is_displaced()), (4, false));
-    assert_eq!(m.quota_balance(Instant::from_secs(20.0), 1).unwrap().lent, 0.0);
-    m.handle_datagram(now, address(1), datagram(1, 9, Body::Gossip, vec![update(0, 6, 0, Health::Alive)]));
-    assert!(m.view.is_displaced());
-    let quota_balance = m.quota_balance(Instant::from_secs(20.0), 1).unwrap();
+    member.handle_datagram(
+        now,
+        address(1),
+        datagram(1, 9, Body::Gossip, vec![update(0, 5, 3, Health::Dead)]),
+    );
+    assert_eq!((member.view.me().incarnation, member.view.is_displaced()), (4, false));
+    assert_eq!(member.quota_balance(Instant::from_secs(20.0), 1).unwrap().lent, 0.0);
+    member.handle_datagram(
+        now,
+        address(1),
+        datagram(1, 9, Body::Gossip, vec![update(0, 6, 0, Health::Alive)]),
+    );
+    assert!(member.view.is_displaced());
+    let quota_balance = member.quota_balance(Instant::from_secs(20.0), 1).unwrap();
     assert!((quota_balance.lent - 0.3).abs() < 1e-9 && quota_balance.borrowed == 0.0, "{quota_balance:?}");
 }
 
+/// A peer sends random, damaged and forged datagrams of all kinds. The table, the quota lent and the quota borrowed must
+/// stay within their bounds throughout.
 #[test]
-fn hostile_datagrams_stay_within_all_limits() {
-    let mut m = member(5);
-    let mut c = oorandom::Rand64::new(4);
-    let mut now = 11.0;
-    for i in 0..30_000u64 {
-        now += 0.001;
-        let t = Instant::from_secs(now);
-        let (slot, generation) = (c.rand_range(0..12) as u32, c.rand_range(0..9));
-        let share = c.rand_float() as f32;
-        let x = c.rand_range(0..60) as u32;
-        let body = match c.rand_range(0..9) {
-            0 => Body::Probe(ProbeMessage::Ping { seq: x }),
-            1 => Body::Probe(ProbeMessage::PingRequest { seq: x, slot: x % 8 }),
-            2 => Body::Probe(ProbeMessage::Ack { seq: x }),
-            3 => Body::Digest { members: x, overrides: x },
+fn hostile_datagrams_exceed_no_bound() {
+    let mut member = new_member(5);
+    let mut random = oorandom::Rand64::new(4);
+    let mut seconds = 11.0;
+    for step in 0..30_000u64 {
+        seconds += 0.001;
+        let now = Instant::from_secs(seconds);
+        let (slot, generation) = (random.rand_range(0..12) as u32, random.rand_range(0..9));
+        let share = random.rand_float() as f32;
+        let number = random.rand_range(0..60) as u32;
+        let body = match random.rand_range(0..9) {
+            0 => Body::Probe(ProbeMessage::Ping { seq: number }),
+            1 => Body::Probe(ProbeMessage::PingRequest { seq: number, slot: number % 8 }),
+            2 => Body::Probe(ProbeMessage::Ack { seq: number }),
+            3 => Body::Digest { members: number, overrides: number },
             4 => Body::Lease(LeaseMessage::Request {
-                seq: x,
-                active_seq: x,
+                seq: number,
+                active_seq: number,
                 lender_generation: 5,
                 volume: 1,
                 share,
             }),
             5 => Body::Lease(LeaseMessage::Grant {
-                request_seq: x,
+                request_seq: number,
                 recipient_generation: 5,
-                seq: x,
+                seq: number,
                 volume: 1,
                 share,
                 term_ms: u32::MAX,
@@ -151,34 +166,42 @@
             7 => Body::Lease(LeaseMessage::Recall { volume: 1 }),
             _ => Body::Lease(LeaseMessage::Returned { recipient_generation: 5, volume: 1 }),
         };
-        let updates = vec![update(c.rand_range(0..40) as u32, generation, x, Health::Alive)];
+        let updates = vec![update(random.rand_range(0..40) as u32, generation, number, Health::Alive)];
         let mut bytes = datagram(slot, generation, body, updates).to_vec();
-        if i % 5 == 0 {
-            let at = c.rand_range(0..bytes.len() as u64) as usize;
-            bytes[at] ^= 1 << c.rand_range(0..8);
+        if step % 5 == 0 {
+            let damaged = random.rand_range(0..bytes.len() as u64) as usize;
+            bytes[damaged] ^= 1 << random.rand_range(0..8);
         }
-        // From hosts' own addresses, from others', and outside the allowed networks.
-        let from =
-            if i % 7 == 0 { "192.168.0.1:9".parse().unwrap() } else { address(c.rand_range(1..9) as u32) };
-        m.record_demand(t, 1, 0.2);
-        m.handle_datagram(t, from, Bytes::from(bytes));
-        m.handle_timeout(t);
-        let quota_balance = m.quota_balance(t, 1).unwrap();
+        // From the hosts' own addresses, from other ones, and from outside the allowed networks.
+        let from = if step % 7 == 0 {
+            "192.168.0.1:9".parse().unwrap()
+        } else {
+            address(random.rand_range(1..9) as u32)
+        };
+        member.record_demand(now, 1, 0.2);
+        member.handle_datagram(now, from, Bytes::from(bytes));
+        member.handle_timeout(now);
+        let quota_balance = member.quota_balance(now, 1).unwrap();
         assert!(
             quota_balance.borrowed <= 0.6 + 1e-9 && quota_balance.lent <= 0.3 + 1e-9,
             "{quota_balance:?}"
         );
-        assert!(m.snapshot().len() <= 5, "the table is full");
-        if i % 100 == 0 {
-            while m.poll_output().is_some() {}
+        assert!(member.snapshot().len() <= 5, "the table has more members than the fleet");
+        if step % 100 == 0 {
+            while member.poll_output().is_some() {}
         }
     }
-    let n = m.counters;
-    assert!(n.rejected > 3000 && n.malformed > 100 && n.wrong_address > 100, "{n:?}");
+    let counters = member.counters;
+    assert!(
+        counters.rejected > 3000 && counters.malformed > 100 && counters.wrong_address > 100,
+        "{counters:?}"
+    );
 }
 
+/// An operator clears an override, or it ends, and a peer that was cut off still has it as set. Its gossip must not set the
+/// override again.
 #[test]
-fn an_override_that_was_cleared_or_has_ended_never_comes_back() {
+fn an_override_that_was_cleared_or_has_ended_is_not_set_again() {
     let record = |remaining_ms, cleared| OverrideRecord {
         slot: 1,
         generation: 1,
@@ -191,37 +214,39 @@
         total_ms: 60_000,
         cleared,
     };
-    // What is merged and when; how often the host is told to set it, and to clear it.
+    // When each record is merged, its remaining milliseconds and whether it is cleared; expected events to set and to clear.
     type Step = (f64, u64, bool);
     let cases: &[(&str, &[Step], (usize, usize))] = &[
         ("once", &[(10.0, 60_000, false), (11.0, 59_000, false)], (1, 0)),
         ("cleared", &[(10.0, 60_000, false), (20.0, 50_000, true), (21.0, 49_000, false)], (1, 1)),
         ("cleared before it was learned", &[(10.0, 50_000, true), (11.0, 60_000, false)], (0, 0)),
         ("ended", &[(10.0, 1_000, false), (12.0, 30_000, false)], (1, 0)),
-        ("ended elsewhere", &[(10.0, 0, false)], (0, 0)),
+        ("ended at a peer", &[(10.0, 0, false)], (0, 0)),
     ];
     for (name, steps, expected) in cases {
-        let mut s = OverrideGossip::default();
-        let (mut held, mut let_go) = (0, 0);
-        for (at, left, cleared) in *steps {
-            let t = Instant::from_secs(*at);
-            s.handle_timeout(t);
-            s.merge(t, record(*left, *cleared));
-            while let Some(d) = s.poll_event() {
-                match d {
-                    OverrideEvent::Set { .. } => held += 1,
-                    OverrideEvent::Clear { .. } => let_go += 1,
+        let mut overrides = OverrideGossip::default();
+        let (mut set_count, mut clear_count) = (0, 0);
+        for (seconds, remaining_ms, cleared) in *steps {
+            let now = Instant::from_secs(*seconds);
+            overrides.handle_timeout(now);
+            overrides.merge(now, record(*remaining_ms, *cleared));
+            while let Some(event) = overrides.poll_event() {
+                match event {
+                    OverrideEvent::Set { .. } => set_count += 1,
+                    OverrideEvent::Clear { .. } => clear_count += 1,
                 }
             }
         }
-        assert_eq!((held, let_go), *expected, "{name}");
+        assert_eq!((set_count, clear_count), *expected, "{name}");
     }
 }
 
+/// A peer's override waits to be polled while thousands of pings arrive. The answers to the pings may be dropped; the
+/// override may not, as it is reported only once.
 #[test]
-fn a_flood_drops_datagrams_and_never_an_override() {
-    let mut m = member(5);
-    let t = Instant::from_secs(11.0);
+fn a_flood_of_datagrams_drops_answers_but_no_override() {
+    let mut member = new_member(5);
+    let now = Instant::from_secs(11.0);
     let (target, reason, who) = ("zone:1".into(), "r".into(), "w".into());
     let (kind, remaining_ms, total_ms) = (OverrideKind::Out, 60_000, 60_000);
     let record = OverrideRecord {
@@ -236,66 +261,84 @@
         total_ms,
         cleared: false,
     };
-    m.handle_datagram(t, address(1), datagram(1, 1, Body::Overrides(vec![record]), vec![]));
+    member.handle_datagram(now, address(1), datagram(1, 1, Body::Overrides(vec![record]), vec![]));
     for seq in 0..6_000 {
-        m.handle_datagram(t, address(1), datagram(1, 1, Body::Probe(ProbeMessage::Ping { seq }), vec![]));
+        member.handle_datagram(
+            now,
+            address(1),
+            datagram(1, 1, Body::Probe(ProbeMessage::Ping { seq }), vec![]),
+        );
     }
-    let all: Vec<Output> = std::iter::from_fn(|| m.poll_output()).collect();
+    let outputs: Vec<Output> = std::iter::from_fn(|| member.poll_output()).collect();
+    assert!(
+        outputs.iter().any(|output| matches!(output, Output::Override(OverrideEvent::Set { .. }))),
+        "the override was dropped"
+    );
     assert!(
-        all.iter().any(|o| matches!(o, Output::Override(OverrideEvent::Set { .. }))),
-        "it is reported once, and not dropped"
+        outputs.len() <= 4_100 && member.counters.dropped > 1_000,
+        "{} and {:?}",
+        outputs.len(),
+        member.counters
     );
-    assert!(all.len() <= 4_100 && m.counters.dropped > 1_000, "{} and {:?}", all.len(), m.counters);
 }
 
+/// A peer announces a catalog update that it can't send, and another sends chunks that were not requested, or chunks
+/// without end. None of these may block later updates, become part of an update, or fill the memory.
 #[test]
-fn an_update_that_nobody_has_blocks_nothing_and_only_requested_chunks_count() {
-    let mut m = member(5);
-    m.catalog.enable(CatalogVersion::default(), []);
-    let at = |s: f64| Instant::from_secs(10.0 + s);
+fn an_announced_update_without_chunks_is_given_up_and_only_requested_chunks_are_accepted() {
+    let mut member = new_member(5);
+    member.catalog.enable(CatalogVersion::default(), []);
+    let at = |seconds: f64| Instant::from_secs(10.0 + seconds);
     let version =
         |number| Body::Catalog(CatalogMessage::Version { number, mark: number, remaining_ms: 5000 });
-    m.handle_datagram(at(0.0), address(1), datagram(1, 1, version(u64::MAX), vec![]));
-    assert_eq!((m.catalog.missing(), m.catalog.is_up_to_date()), (Some(u64::MAX), false));
-    (1..40).for_each(|i| m.handle_timeout(at(f64::from(i) * 0.1)));
-    assert_eq!((m.catalog.missing(), m.catalog.is_up_to_date()), (None, true), "nobody has it");
+    member.handle_datagram(at(0.0), address(1), datagram(1, 1, version(u64::MAX), vec![]));
+    assert_eq!((member.catalog.missing(), member.catalog.is_up_to_date()), (Some(u64::MAX), false));
+    (1..40).for_each(|tenth| member.handle_timeout(at(f64::from(tenth) * 0.1)));
+    assert_eq!(
+        (member.catalog.missing(), member.catalog.is_up_to_date()),
+        (None, true),
+        "the fetch is given up"
+    );
 
-    // A real one, of three chunks; between them arrive chunks that were not requested, of other peers, and duplicates.
-    let text: Vec<u8> = (0..3000u32).map(|i| i as u8).collect();
-    let piece = |i: u16| {
+    // An update of three chunks. Between them arrive chunks that were not requested, of other peers, and duplicates.
+    let text: Vec<u8> = (0..3000u32).map(|byte| byte as u8).collect();
+    let chunk = |piece: u16| {
         Body::Catalog(CatalogMessage::Chunk {
             number: 1,
-            piece: i,
+            piece,
             pieces: 3,
             bytes: Bytes::copy_from_slice(
-                &text[usize::from(i) * 1200..text.len().min(usize::from(i + 1) * 1200)],
+                &text[usize::from(piece) * 1200..text.len().min(usize::from(piece + 1) * 1200)],
             ),
         })
     };
-    m.handle_datagram(at(5.0), address(1), datagram(1, 1, version(1), vec![]));
-    for (from, i) in [(1, 2), (2, 0), (1, 0), (1, 0), (2, 1), (1, 1), (1, 1), (1, 2), (1, 2)] {
-        m.handle_datagram(at(5.01), address(from), datagram(from, 1, piece(i), vec![]));
+    member.handle_datagram(at(5.0), address(1), datagram(1, 1, version(1), vec![]));
+    for (from, piece) in [(1, 2), (2, 0), (1, 0), (1, 0), (2, 1), (1, 1), (1, 1), (1, 2), (1, 2)] {
+        member.handle_datagram(at(5.01), address(from), datagram(from, 1, chunk(piece), vec![]));
     }
-    let received = std::iter::from_fn(|| m.poll_output()).filter_map(|o| match o {
-        Output::CatalogUpdate(p) => Some(p),
+    let received = std::iter::from_fn(|| member.poll_output()).filter_map(|output| match output {
+        Output::CatalogUpdate(update) => Some(update),
         _ => None,
     });
     let received: Vec<CatalogUpdate> = received.collect();
     assert_eq!(received, [CatalogUpdate { number: 1, text: Bytes::from(text) }]);
-    m.handle_catalog_applied(
+    member.handle_catalog_applied(
         at(5.1),
         CatalogVersion { number: 1, mark: 1 },
         received[0].text.clone(),
         at(9.0),
     );
-    assert_eq!((m.catalog.missing(), m.catalog.is_up_to_date(), m.catalog.newest()), (None, true, 1));
+    assert_eq!(
+        (member.catalog.missing(), member.catalog.is_up_to_date(), member.catalog.newest()),
+        (None, true, 1)
+    );
 
-    // Endless chunks end at the greatest length of an update.
-    m.handle_datagram(at(6.0), address(1), datagram(1, 1, version(2), vec![]));
-    for i in 0..1000u16 {
+    // A fetch of chunks without end stops at the greatest length of an update.
+    member.handle_datagram(at(6.0), address(1), datagram(1, 1, version(2), vec![]));
+    for piece in 0..1000u16 {
         let bytes = Bytes::from(vec![0; 1200]);
-        let body = Body::Catalog(CatalogMessage::Chunk { number: 2, piece: i, pieces: u16::MAX, bytes });
-        m.handle_datagram(at(6.0), address(1), datagram(1, 1, body, vec![]));
+        let body = Body::Catalog(CatalogMessage::Chunk { number: 2, piece, pieces: u16::MAX, bytes });
+        member.handle_datagram(at(6.0), address(1), datagram(1, 1, body, vec![]));
     }
-    assert_eq!(m.catalog.rejected, 1);
+    assert_eq!(member.catalog.rejected, 1);
 }
--- a/crates/membership/tests/node_list.rs
+++ b/crates/membership/tests/node_list.rs
@@ -1,88 +1,99 @@
-//! Notices of newer node lists between two hosts: who is behind asks, what is removed stays removed, and nobody is asked
-//! endlessly.
+//! Notices of newer node lists between two hosts: a host that is behind asks, removed nodes stay removed, and no peer is
+//! asked endlessly.
 
 use std::net::SocketAddr;
 use tackmast::interface::Instant;
 use tackmast_membership::{NodeListEvent, NodeListNotices, NodeRemoval, Transmit};
 use tackmast_wire::peer::{Body, NodeListMessage};
 
-fn removal(n: usize) -> NodeRemoval {
-    NodeRemoval { address: format!("10.0.0.{n}:7"), gone: n.is_multiple_of(2) }
+fn removal(node: usize) -> NodeRemoval {
+    NodeRemoval { address: format!("10.0.0.{node}:7"), gone: node.is_multiple_of(2) }
 }
 
-fn at(s: f64) -> Instant {
-    Instant::from_secs(s)
+fn at(seconds: f64) -> Instant {
+    Instant::from_secs(seconds)
 }
 
-fn inner(body: Body) -> NodeListMessage {
+fn node_list_message(body: Body) -> NodeListMessage {
     match body {
         Body::NodeList(message) => message,
         other => panic!("{other:?}"),
     }
 }
 
-fn address(n: u8) -> SocketAddr {
-    SocketAddr::from(([10, 0, 0, n], 7))
+fn address(slot: u8) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, slot], 7))
 }
 
-/// Both exchange messages, beginning with `a`'s version, until none is left; the events at `b`.
-fn exchange(a: &mut NodeListNotices, b: &mut NodeListNotices, now: Instant) -> Vec<NodeListEvent> {
-    b.handle_message(now, address(1), a.version_message());
+/// Two hosts exchange messages until none is left, beginning with the sender's version; the events at the receiver.
+fn exchange(
+    sender: &mut NodeListNotices,
+    receiver: &mut NodeListNotices,
+    now: Instant,
+) -> Vec<NodeListEvent> {
+    receiver.handle_message(now, address(1), sender.version_message());
     for _ in 0..10 {
-        while let Some(Transmit { body, .. }) = b.poll_transmit() {
-            a.handle_message(now, address(2), inner(body));
+        while let Some(Transmit { body, .. }) = receiver.poll_transmit() {
+            sender.handle_message(now, address(2), node_list_message(body));
         }
-        while let Some(Transmit { body, .. }) = a.poll_transmit() {
-            b.handle_message(now, address(1), inner(body));
+        while let Some(Transmit { body, .. }) = sender.poll_transmit() {
+            receiver.handle_message(now, address(1), node_list_message(body));
         }
     }
-    std::iter::from_fn(|| b.poll_event()).collect()
+    std::iter::from_fn(|| receiver.poll_event()).collect()
 }
 
+/// A host's watch of the node list is silent, and a peer has a newer version that removes ninety nodes. The host must learn
+/// of all of them, over several datagrams, and must not ask again at once.
 #[test]
 fn a_host_that_is_behind_learns_what_a_newer_list_removes() {
-    let (mut a, mut b) = (NodeListNotices::default(), NodeListNotices::default());
-    assert!(a.handle_list(7, (0..90).map(removal)) && b.handle_list(5, []));
-    let events = exchange(&mut a, &mut b, at(1.0));
+    let (mut newer, mut older) = (NodeListNotices::default(), NodeListNotices::default());
+    assert!(newer.handle_list(7, (0..90).map(removal)) && older.handle_list(5, []));
+    let events = exchange(&mut newer, &mut older, at(1.0));
     assert_eq!(events.first(), Some(&NodeListEvent::Behind { version: 7 }));
-    let removed = events.iter().filter(|c| matches!(c, NodeListEvent::Removed { version: 7, .. }));
+    let removed = events.iter().filter(|event| matches!(event, NodeListEvent::Removed { version: 7, .. }));
     assert_eq!(removed.count(), 90, "over several datagrams");
-    // It is not asked again at once, and not at all once it is no longer behind.
-    assert!(exchange(&mut a, &mut b, at(1.1)).is_empty());
-    assert!(!exchange(&mut a, &mut b, at(1.5)).is_empty());
-    assert!(b.handle_list(7, []) && exchange(&mut a, &mut b, at(9.0)).is_empty());
-    // The one that is ahead takes nothing from the one behind.
-    assert!(a.handle_list(8, []) && exchange(&mut b, &mut a, at(10.0)).is_empty());
-    // Nothing is sent or taken where no list was held yet.
-    let mut c = NodeListNotices::default();
-    assert!(exchange(&mut a, &mut c, at(11.0)).is_empty());
+    // The host does not ask again at once, and not at all once it is no longer behind.
+    assert!(exchange(&mut newer, &mut older, at(1.1)).is_empty());
+    assert!(!exchange(&mut newer, &mut older, at(1.5)).is_empty());
+    assert!(older.handle_list(7, []) && exchange(&mut newer, &mut older, at(9.0)).is_empty());
+    // A host that is ahead takes nothing from one that is behind.
+    assert!(newer.handle_list(8, []) && exchange(&mut older, &mut newer, at(10.0)).is_empty());
+    // A host without a list takes part in nothing.
+    let mut without_list = NodeListNotices::default();
+    assert!(exchange(&mut newer, &mut without_list, at(11.0)).is_empty());
 }
 
+/// Two list services number their versions apart, so that a host stays behind its peer for good. Without a growing interval
+/// it would ask the peer and its service ten times a second.
 #[test]
-fn services_with_separate_versions_are_not_asked_endlessly() {
-    let (mut a, mut b) = (NodeListNotices::default(), NodeListNotices::default());
-    a.handle_list(70, []);
-    b.handle_list(5, []);
-    let mut asked = 0;
-    for i in 0..6_000 {
+fn asks_ever_less_often_while_nothing_newer_comes() {
+    let (mut newer, mut older) = (NodeListNotices::default(), NodeListNotices::default());
+    newer.handle_list(70, []);
+    older.handle_list(5, []);
+    let mut request_count = 0;
+    for tenth in 0..6_000 {
         // A version each tenth of a second, for ten minutes; the service has nothing newer.
-        asked += usize::from(!exchange(&mut a, &mut b, at(f64::from(i) * 0.1)).is_empty());
-        b.handle_list(5, []);
+        let events = exchange(&mut newer, &mut older, at(f64::from(tenth) * 0.1));
+        request_count += usize::from(!events.is_empty());
+        older.handle_list(5, []);
     }
-    assert!((20..40).contains(&asked), "{asked}");
-    // Once it has, the next one is asked for at once.
-    assert!(b.handle_list(6, []) && !exchange(&mut a, &mut b, at(700.0)).is_empty());
+    assert!((20..40).contains(&request_count), "{request_count}");
+    // Once the service has a newer list, the host asks for the next one at once.
+    assert!(older.handle_list(6, []) && !exchange(&mut newer, &mut older, at(700.0)).is_empty());
 }
 
+/// A list service restarts from an old copy and serves an older version. Nodes that the newer version removed may be shut
+/// down already, so they stay removed, and peers still learn the newer version.
 #[test]
 fn a_service_that_rolls_back_restores_no_node() {
-    let mut a = NodeListNotices::default();
-    a.handle_list(7, [removal(1), removal(2)]);
-    assert!(!a.handle_list(3, []));
-    let events: Vec<NodeListEvent> = std::iter::from_fn(|| a.poll_event()).collect();
+    let mut notices = NodeListNotices::default();
+    notices.handle_list(7, [removal(1), removal(2)]);
+    assert!(!notices.handle_list(3, []));
+    let events: Vec<NodeListEvent> = std::iter::from_fn(|| notices.poll_event()).collect();
     assert_eq!(events[0], NodeListEvent::RolledBack { from: 7, to: 3 });
-    assert_eq!(events[1..], [1, 2].map(|n| NodeListEvent::Removed { version: 7, removal: removal(n) }));
-    // Peers still learn of the newer one.
-    assert_eq!(a.version_message(), NodeListMessage::Version { version: 7 });
-    assert!(a.handle_list(8, []));
+    assert_eq!(events[1..], [1, 2].map(|node| NodeListEvent::Removed { version: 7, removal: removal(node) }));
+    // Peers still learn of the newer version.
+    assert_eq!(notices.version_message(), NodeListMessage::Version { version: 7 });
+    assert!(notices.handle_list(8, []));
 }
