--- a/crates/membership/tests/decision_hash.rs
+++ b/crates/membership/tests/decision_hash.rs
@@ -85,8 +85,9 @@
 struct Host {
     member: Option<Member>,
     generation: u64,
-    /// What it persisted: hosts that it knew, and catalog updates.
+    /// Hosts that it knew, as it persisted them.
     persisted_members: PersistedMembers,
+    /// Catalog updates that it persisted.
     updates: BTreeMap<u64, Bytes>,
     has_left: bool,
     leaves_at: Option<f64>,
@@ -96,7 +97,7 @@
     /// Units a second that its clients demand.
     demand: f64,
     overrides: Vec<Origin>,
-    /// Members that it held dead at the last look.
+    /// Members that it held dead at the end of the last step.
     dead: BTreeSet<u32>,
 }
 
@@ -108,7 +109,7 @@
     bytes: Bytes,
 }
 
-/// What a run has seen, so that a trivial run fails.
+/// What happened in a run, so that a trivial run fails.
 #[derive(Debug, Default)]
 struct Totals {
     inputs: u64,
@@ -116,7 +117,7 @@
     suspected: u64,
     refuted: u64,
     died: u64,
-    came_back: u64,
+    returned: u64,
     taken_over: u64,
     steps_with_borrowed_quota: u64,
     overrides_set: u64,
@@ -127,7 +128,7 @@
     consensus_messages: u64,
 }
 
-/// How a group is made up and disturbed.
+/// Size of a group, and the faults of its network.
 #[derive(Clone, Copy)]
 struct Group {
     members: u32,
@@ -158,10 +159,10 @@
 }
 
 fn update_text(number: u64) -> Bytes {
-    Bytes::from((0..UPDATE_BYTES as u64).map(|i| (i * number) as u8).collect::<Vec<u8>>())
+    Bytes::from((0..UPDATE_BYTES as u64).map(|offset| (offset * number) as u8).collect::<Vec<u8>>())
 }
 
-/// Stands for the hash chain over all updates up to that one.
+/// Takes the place of the hash chain over all updates up to that one.
 fn update_mark(number: u64) -> u64 {
     number * 1_000_003
 }
@@ -192,7 +193,7 @@
         self.random.rand_range(0..self.hosts.len() as u64) as u32
     }
 
-    /// The host's own clock: each starts elsewhere and runs a little apart.
+    /// The host's own clock. Each host's clock starts at another time and runs at a slightly different rate.
     fn clock(&self, host: u32) -> Instant {
         Instant::from_secs(100.0 * f64::from(host + 1) + self.now * (1.0 + 0.0005 * f64::from(host)))
     }
@@ -219,7 +220,7 @@
             }
             self.on_output(host, output);
         }
-        received.into_iter().for_each(|number| self.take_update(host, number));
+        received.into_iter().for_each(|number| self.apply_update(host, number));
     }
 
     fn on_output(&mut self, host: u32, output: Output) {
@@ -286,8 +287,8 @@
         }
     }
 
-    /// A catalog update is applied, and peers are told.
-    fn take_update(&mut self, host: u32, number: u64) {
+    /// A catalog update is applied, and its version is sent to peers.
+    fn apply_update(&mut self, host: u32, number: u64) {
         let text = update_text(number);
         self.host(host).updates.insert(number, text.clone());
         self.input(host, |member, now| {
@@ -319,7 +320,7 @@
             .into_iter()
             .partition(|datagram| datagram.due <= now && !is_paused(datagram.to));
         self.in_flight = later;
-        due.sort_by(|a, b| a.due.total_cmp(&b.due).then(a.number.cmp(&b.number)));
+        due.sort_by(|left, right| left.due.total_cmp(&right.due).then(left.number.cmp(&right.number)));
         for InFlight { from, to, bytes, .. } in due {
             self.input(to, |member, now| member.handle_datagram(now, from, bytes));
         }
@@ -328,7 +329,7 @@
     fn start(&mut self, number: u32) {
         let now = self.clock(number);
         self.incarnations += 1;
-        // Now and then a clock went back, and the new generation has a lower number than the one before.
+        // Sometimes a clock has gone back, and the new generation has a lower number than the one before.
         let goes_back = self.chance(0.2);
         let seconds = TimeDelta::from_secs;
         let group = self.group;
@@ -374,7 +375,7 @@
         self.drain(number);
     }
 
-    /// The process ends: only what it persisted is there for the next.
+    /// The process ends: its next generation has only what this one persisted.
     fn stop(&mut self, number: u32) {
         let Some(member) = self.host(number).member.take() else { return };
         self.count(&member);
@@ -465,7 +466,7 @@
             self.publish_update(host);
         }
         if self.chance(0.01) {
-            self.take_list(host);
+            self.receive_list(host);
         }
         if self.chance(0.1) {
             let to = address(self.random_host());
@@ -499,8 +500,8 @@
     }
 
     fn clear_random_override(&mut self, host: u32) {
-        let Some(name) = self.host(host).overrides.pop() else { return };
-        self.input(host, |member, _| member.clear_override(name));
+        let Some(origin) = self.host(host).overrides.pop() else { return };
+        self.input(host, |member, _| member.clear_override(origin));
     }
 
     /// The host with the newest catalog publishes the next update.
@@ -511,19 +512,20 @@
             return;
         }
         self.update_number += 1;
-        self.take_update(host, self.update_number);
+        self.apply_update(host, self.update_number);
     }
 
-    /// A host's own node list moves on, seldom back.
-    fn take_list(&mut self, host: u32) {
+    /// A host receives a newer version of its node list, and rarely an older one.
+    fn receive_list(&mut self, host: u32) {
         self.list_version += 1;
         let version = if self.chance(0.1) { self.list_version / 2 } else { self.list_version };
-        let stop = |i: u64| NodeRemoval { address: format!("10.1.0.{i}:3260"), gone: i.is_multiple_of(2) };
-        let removals: Vec<NodeRemoval> = (0..version % 25).map(stop).collect();
+        let removal =
+            |node: u64| NodeRemoval { address: format!("10.1.0.{node}:3260"), gone: node.is_multiple_of(2) };
+        let removals: Vec<NodeRemoval> = (0..version % 25).map(removal).collect();
         self.input(host, |member, now| member.handle_node_list(now, version, removals));
     }
 
-    fn fold_status(&mut self) {
+    fn hash_status(&mut self) {
         for number in 0..self.group.members {
             let now = self.clock(number);
             let host = &mut self.hosts[number as usize];
@@ -544,7 +546,7 @@
                 }
             }
             self.totals.died += dead.difference(&host.dead).count() as u64;
-            self.totals.came_back += host.dead.difference(&dead).count() as u64;
+            self.totals.returned += host.dead.difference(&dead).count() as u64;
             host.dead = dead;
             hash.numbers([u64::from(member.live_count()), u64::from(member.view.local_health_score())]);
             hash.numbers([u64::from(member.view.digest()), u64::from(member.overrides.digest(now))]);
@@ -568,7 +570,7 @@
             self.deliver_due();
             self.run_timers();
             self.run_inputs();
-            self.fold_status();
+            self.hash_status();
         }
         (0..self.group.members).for_each(|host| self.stop(host));
         (self.hash.to_hex(), self.totals)
@@ -600,7 +602,7 @@
 fn assert_not_trivial(totals: &Totals) {
     assert!(totals.inputs >= 10_000 && totals.restarts >= 10, "{totals:?}");
     assert!(totals.suspected >= 20 && totals.refuted >= 1, "{totals:?}");
-    assert!(totals.died >= 20 && totals.came_back >= 10, "{totals:?}");
+    assert!(totals.died >= 20 && totals.returned >= 10, "{totals:?}");
     assert!(totals.steps_with_borrowed_quota >= 500, "{totals:?}");
     assert!(totals.overrides_set >= 20 && totals.overrides_cleared >= 2, "{totals:?}");
     assert!(totals.updates_received >= 10 && totals.nodes_removed >= 20, "{totals:?}");
@@ -621,6 +623,8 @@
     assert!(differences.is_empty(), "decisions changed:\n{}", differences.join("\n"));
 }
 
+/// Four members run plain SWIM over a network with losses, duplicates and delays, and restart, pause and leave. All that
+/// they send and report must stay as it is while the code is rewritten.
 #[test]
 fn four_members_with_plain_swim_decide_as_before() {
     compare(
@@ -633,6 +637,8 @@
     );
 }
 
+/// Six members run with all extensions over a worse network. All that they send and report must stay as it is while the
+/// code is rewritten.
 #[test]
 fn six_members_with_all_extensions_decide_as_before() {
     compare(
@@ -645,6 +651,7 @@
     );
 }
 
+/// A hash that differed between two runs of one seed would say nothing about a change of the code.
 #[test]
 fn the_same_seed_gives_the_same_hash() {
     let hash = || Simulation::new(six_members(), 7).run().0;
--- a/crates/membership/tests/quota_leases.rs
+++ b/crates/membership/tests/quota_leases.rs
@@ -1,18 +1,26 @@
-//! Quota leases explored: small worlds in which messages are late, lost, duplicated and out of order, hosts restart and
-//! leave, and clocks run apart. At every moment the shares in use must sum to no more than the whole.
+//! Quota leases between a few simulated hosts: messages are late, lost, duplicated and reordered, hosts restart and leave,
+//! and clocks drift apart. At every moment the shares in use must sum to no more than the volume's limit.
 
 use std::collections::BTreeSet;
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_membership::{
-    LeaseFault, LeaseMessage, LeaseSettings, LeaseTransmit, MemberId, PreviousExit, QuotaLeases, SharedLimit,
+    LeaseFault, LeaseMessage, LeaseSettings, LeaseTransmit, MemberId, PreviousExit, QuotaBalance,
+    QuotaLeases, SharedLimit,
 };
 
+/// Term of a lease, in seconds.
 const TERM: f64 = 1.0;
-const LEAVE: f64 = 3.0;
+/// Term of a lease of a host that leaves, in seconds.
+const LEAVE_TERM: f64 = 3.0;
+/// Greatest relative difference between the rates of two clocks.
 const DRIFT: f64 = 0.02;
+/// Demands of clients in units a second: none, little, much, and more than the limit of 100.
+const DEMANDS: [f64; 4] = [0.0, 5.0, 40.0, 120.0];
+/// Messages in flight beyond which the network drops the oldest.
+const MAX_IN_FLIGHT: usize = 24;
 
 fn settings() -> LeaseSettings {
-    let (term, leave_term) = (TimeDelta::from_secs(TERM), TimeDelta::from_secs(LEAVE));
+    let (term, leave_term) = (TimeDelta::from_secs(TERM), TimeDelta::from_secs(LEAVE_TERM));
     LeaseSettings { term, leave_term, drift: DRIFT, owned: 1.0 }
 }
 
@@ -35,8 +43,9 @@
     message: LeaseMessage,
 }
 
+/// Some hosts and the network between them.
 #[derive(Clone)]
-struct World {
+struct Cluster {
     now: f64,
     hosts: Vec<Host>,
     in_flight: Vec<InFlight>,
@@ -44,219 +53,237 @@
     fault: Option<LeaseFault>,
 }
 
-impl World {
-    fn new(n: u32, demand: &[f64], clock_rate: impl Fn(u32) -> f64, fault: Option<LeaseFault>) -> World {
-        let host = |i: u32| Host {
+impl Cluster {
+    fn new(
+        host_count: u32,
+        demand: &[f64],
+        clock_rate: impl Fn(u32) -> f64,
+        fault: Option<LeaseFault>,
+    ) -> Cluster {
+        let host = |slot: u32| Host {
             leases: None,
             generation: 0,
             has_left: false,
-            clock_offset: 100.0 * f64::from(i),
-            clock_rate: clock_rate(i),
-            demand: demand[i as usize],
+            clock_offset: 100.0 * f64::from(slot),
+            clock_rate: clock_rate(slot),
+            demand: demand[slot as usize],
         };
-        let mut w = World {
+        let mut cluster = Cluster {
             now: 10.0,
-            hosts: (0..n).map(host).collect(),
+            hosts: (0..host_count).map(host).collect(),
             in_flight: Vec::new(),
             generations: 0,
             fault,
         };
-        (0..n as usize).for_each(|h| w.start(h));
-        w
+        (0..host_count as usize).for_each(|host| cluster.start(host));
+        cluster
     }
 
-    fn clock(&self, h: usize) -> Instant {
-        Instant::from_secs(self.now * self.hosts[h].clock_rate + self.hosts[h].clock_offset)
+    fn clock(&self, host: usize) -> Instant {
+        Instant::from_secs(self.now * self.hosts[host].clock_rate + self.hosts[host].clock_offset)
     }
 
-    fn start(&mut self, h: usize) {
+    /// Starts a host's next generation, without any state of the one before.
+    fn start(&mut self, host: usize) {
         self.generations += 1;
         let owners = (0..self.hosts.len() as u32).collect();
         let shared_limits = vec![SharedLimit { volume: 1, limit: 100.0, owners }];
-        let at = self.clock(h);
-        let me = MemberId { slot: h as u32, generation: self.generations };
+        let now = self.clock(host);
+        let me = MemberId { slot: host as u32, generation: self.generations };
         let previous_exit =
-            if self.hosts[h].has_left { PreviousExit::Graceful } else { PreviousExit::Unclean };
-        let mut leases = QuotaLeases::new(at, me, settings(), shared_limits, previous_exit);
-        if let Some(f) = self.fault {
-            leases = leases.with_fault(at, f);
+            if self.hosts[host].has_left { PreviousExit::Graceful } else { PreviousExit::Unclean };
+        let mut leases = QuotaLeases::new(now, me, settings(), shared_limits, previous_exit);
+        if let Some(fault) = self.fault {
+            leases = leases.with_fault(now, fault);
         }
-        (self.hosts[h].leases, self.hosts[h].generation) = (Some(leases), self.generations);
+        (self.hosts[host].leases, self.hosts[host].generation) = (Some(leases), self.generations);
     }
 
     fn advance(&mut self, seconds: f64) {
         self.now += seconds;
-        for h in 0..self.hosts.len() {
-            let (at, live) = (self.clock(h), (0..self.hosts.len() as u32).collect::<BTreeSet<_>>());
-            let demand = self.hosts[h].demand;
-            if let Some(l) = &mut self.hosts[h].leases {
-                l.record_demand(at, 1, demand * seconds);
-                l.handle_timeout(at, &live);
+        let live: BTreeSet<u32> = (0..self.hosts.len() as u32).collect();
+        for host in 0..self.hosts.len() {
+            let now = self.clock(host);
+            let demand = self.hosts[host].demand;
+            if let Some(leases) = &mut self.hosts[host].leases {
+                leases.record_demand(now, 1, demand * seconds);
+                leases.handle_timeout(now, &live);
             }
-            self.drain(h);
+            self.drain(host);
             // The marker of a leave stays until no lease of it can be in use, over any number of generations.
-            if self.hosts[h]
-                .leases
-                .as_ref()
-                .is_some_and(|l| l.have_earlier_leases_ended(at) && !l.is_leaving())
-            {
-                self.hosts[h].has_left = false;
+            let leases = self.hosts[host].leases.as_ref();
+            if leases.is_some_and(|leases| leases.have_earlier_leases_ended(now) && !leases.is_leaving()) {
+                self.hosts[host].has_left = false;
             }
         }
     }
 
-    fn drain(&mut self, h: usize) {
-        let generation = self.hosts[h].generation;
+    fn drain(&mut self, host: usize) {
+        let generation = self.hosts[host].generation;
         while let Some(LeaseTransmit { to, message }) =
-            self.hosts[h].leases.as_mut().and_then(QuotaLeases::poll_transmit)
+            self.hosts[host].leases.as_mut().and_then(QuotaLeases::poll_transmit)
         {
-            // A full network drops the oldest message.
-            if self.in_flight.len() > 24 {
+            if self.in_flight.len() > MAX_IN_FLIGHT {
                 self.in_flight.remove(0);
             }
-            self.in_flight.push(InFlight { from: h as u32, generation, to, message });
+            self.in_flight.push(InFlight { from: host as u32, generation, to, message });
         }
     }
 
-    fn deliver(&mut self, i: usize, again: bool) {
-        let l = if again { self.in_flight[i].clone() } else { self.in_flight.remove(i) };
-        let to = l.to as usize;
-        let at = self.clock(to);
+    /// Delivers a message; a duplicate of it stays in flight if `is_duplicated`.
+    fn deliver(&mut self, index: usize, is_duplicated: bool) {
+        let delivered =
+            if is_duplicated { self.in_flight[index].clone() } else { self.in_flight.remove(index) };
+        let to = delivered.to as usize;
+        let now = self.clock(to);
         if let Some(leases) = &mut self.hosts[to].leases {
-            let from = MemberId { slot: l.from, generation: l.generation };
-            leases.handle_new_generation(at, from);
-            leases.handle_message(at, from, l.message);
+            let from = MemberId { slot: delivered.from, generation: delivered.generation };
+            leases.handle_new_generation(now, from);
+            leases.handle_message(now, from, delivered.message);
         }
         self.drain(to);
     }
 
-    fn leave(&mut self, h: usize) {
-        let at = self.clock(h);
-        self.hosts[h].has_left = true;
-        if let Some(l) = &mut self.hosts[h].leases {
-            l.leave(at);
+    fn deliver_all(&mut self) {
+        while !self.in_flight.is_empty() {
+            self.deliver(0, false);
         }
     }
 
-    /// What all hosts may use at this moment, as a share of the whole.
-    fn in_use(&self) -> f64 {
-        let own = 1.0 / self.hosts.len() as f64;
-        let part = |(h, host): (usize, &Host)| {
-            let m = host.leases.as_ref().and_then(|l| l.balance(self.clock(h), 1));
-            m.map_or(0.0, |m| (own - m.lent).max(0.0) + m.borrowed)
+    fn leave(&mut self, host: usize) {
+        let now = self.clock(host);
+        self.hosts[host].has_left = true;
+        if let Some(leases) = &mut self.hosts[host].leases {
+            leases.leave(now);
+        }
+    }
+
+    fn balance(&self, host: usize) -> Option<QuotaBalance> {
+        self.hosts[host].leases.as_ref().and_then(|leases| leases.balance(self.clock(host), 1))
+    }
+
+    /// What all hosts may use at this moment, as a share of the volume's limit.
+    fn share_in_use(&self) -> f64 {
+        let owned = 1.0 / self.hosts.len() as f64;
+        let share = |host: usize| {
+            self.balance(host).map_or(0.0, |balance| (owned - balance.lent).max(0.0) + balance.borrowed)
         };
-        self.hosts.iter().enumerate().map(part).sum()
+        (0..self.hosts.len()).map(share).sum()
     }
 
-    fn is_broken(&self) -> bool {
-        self.in_use() > 1.0 + 1e-9
+    fn exceeds_limit(&self) -> bool {
+        self.share_in_use() > 1.0 + 1e-9
     }
 }
 
-/// One random walk; the step at which the sum was exceeded.
-fn walk(seed: u64, fault: Option<LeaseFault>) -> Option<usize> {
-    let mut c = oorandom::Rand64::new(u128::from(seed));
-    let n = 2 + (seed % 3) as u32;
-    let demand: Vec<f64> = (0..n).map(|_| [0.0, 5.0, 40.0, 120.0][c.rand_range(0..4) as usize]).collect();
-    // Each clock within the drift of true time.
+/// Random steps of a cluster; the step at which the limit was exceeded.
+fn run_randomly(seed: u64, fault: Option<LeaseFault>) -> Option<usize> {
+    let mut random = oorandom::Rand64::new(u128::from(seed));
+    let host_count = 2 + (seed % 3) as u32;
+    let demand: Vec<f64> = (0..host_count).map(|_| DEMANDS[random.rand_range(0..4) as usize]).collect();
+    // Each clock is fast or slow by half of the drift, so that two differ by no more than the drift.
     let clock_rates: Vec<f64> =
-        (0..n).map(|_| 1.0 + DRIFT / 2.0 * (2.0 * c.rand_float() - 1.0).signum()).collect();
-    let mut w = World::new(n, &demand, |i| clock_rates[i as usize], fault);
-    let quick = c.rand_float();
+        (0..host_count).map(|_| 1.0 + DRIFT / 2.0 * (2.0 * random.rand_float() - 1.0).signum()).collect();
+    let mut cluster = Cluster::new(host_count, &demand, |slot| clock_rates[slot as usize], fault);
+    let step_scale = random.rand_float();
     for step in 0..400 {
-        let in_flight = w.in_flight.len() as u64;
-        match (c.rand_float() * 100.0) as u32 {
-            0..35 => w.advance(TERM * 0.3 * quick * c.rand_float() + 0.001),
-            35..82 if in_flight > 0 => w.deliver(c.rand_range(0..in_flight) as usize, false),
-            82..88 if in_flight > 0 => w.deliver(c.rand_range(0..in_flight) as usize, true),
-            88..92 if in_flight > 0 => _ = w.in_flight.remove(c.rand_range(0..in_flight) as usize),
+        let in_flight = cluster.in_flight.len() as u64;
+        match (random.rand_float() * 100.0) as u32 {
+            0..35 => cluster.advance(TERM * 0.3 * step_scale * random.rand_float() + 0.001),
+            35..82 if in_flight > 0 => cluster.deliver(random.rand_range(0..in_flight) as usize, false),
+            82..88 if in_flight > 0 => cluster.deliver(random.rand_range(0..in_flight) as usize, true),
+            88..92 if in_flight > 0 => _ = cluster.in_flight.remove(random.rand_range(0..in_flight) as usize),
             92..94 => {
-                let h = c.rand_range(0..u64::from(n)) as usize;
-                w.hosts[h].demand = [0.0, 5.0, 40.0, 120.0][c.rand_range(0..4) as usize];
+                let host = random.rand_range(0..u64::from(host_count)) as usize;
+                cluster.hosts[host].demand = DEMANDS[random.rand_range(0..4) as usize];
             }
-            94..96 => w.start(c.rand_range(0..u64::from(n)) as usize),
-            96..97 => w.leave(c.rand_range(0..u64::from(n)) as usize),
-            97..98 => w.hosts[c.rand_range(0..u64::from(n)) as usize].leases = None,
-            98..100 => w.advance(TERM * 1.2),
+            94..96 => cluster.start(random.rand_range(0..u64::from(host_count)) as usize),
+            96..97 => cluster.leave(random.rand_range(0..u64::from(host_count)) as usize),
+            97..98 => cluster.hosts[random.rand_range(0..u64::from(host_count)) as usize].leases = None,
+            98..100 => cluster.advance(TERM * 1.2),
             _ => {}
         }
-        if w.is_broken() {
+        if cluster.exceeds_limit() {
             return Some(step);
         }
     }
     None
 }
 
-/// All orders of deliveries, losses, restarts and steps of time, to that depth; how many worlds were looked at.
-fn explore(w: &World, depth: u32, seen: &mut u64) -> Result<(), String> {
-    *seen += 1;
-    if w.is_broken() {
-        return Err(format!("{:.4} of the whole in use at {:.2}", w.in_use(), w.now));
+/// Tries all orders of deliveries, duplicates, restarts and steps of time to that depth, and counts the states.
+fn explore(cluster: &Cluster, depth: u32, state_count: &mut u64) -> Result<(), String> {
+    *state_count += 1;
+    if cluster.exceeds_limit() {
+        return Err(format!("{:.4} of the limit in use at {:.2}", cluster.share_in_use(), cluster.now));
     }
     if depth == 0 {
         return Ok(());
     }
-    let go = |f: &dyn Fn(&mut World), seen: &mut u64| {
-        let mut next = w.clone();
-        f(&mut next);
-        explore(&next, depth - 1, seen)
+    let mut explore_after = |step: &dyn Fn(&mut Cluster)| {
+        let mut next = cluster.clone();
+        step(&mut next);
+        explore(&next, depth - 1, state_count)
     };
-    go(&|w| w.advance(TERM * 0.45), seen)?;
-    // Of many messages only the last few are tried: equal ones to one host differ in nothing that matters.
-    for i in w.in_flight.len().saturating_sub(4)..w.in_flight.len() {
-        go(&|w| w.deliver(i, false), seen)?;
-        go(&|w| w.deliver(i, true), seen)?;
+    explore_after(&|next| next.advance(TERM * 0.45))?;
+    // Of many messages only the last few are tried: the others are equal to one of them.
+    for index in cluster.in_flight.len().saturating_sub(4)..cluster.in_flight.len() {
+        explore_after(&|next| next.deliver(index, false))?;
+        explore_after(&|next| next.deliver(index, true))?;
     }
-    for h in 0..w.hosts.len() {
-        go(&|w| w.start(h), seen)?;
+    for host in 0..cluster.hosts.len() {
+        explore_after(&|next| next.start(host))?;
     }
     Ok(())
 }
 
+/// Two hosts, one with a fast clock and one with a slow one, go through every order of a few steps, from their start and
+/// from where a lease runs. In no state may they use more than the volume's limit together.
 #[test]
-fn all_small_worlds_keep_the_sum_of_shares() {
-    let mut seen = 0;
-    // From the start, and from where a lease runs; one clock fast, one slow.
-    for depth_before in [0, 9] {
-        let mut w =
-            World::new(2, &[120.0, 0.0], |i| 1.0 + DRIFT / 2.0 * if i == 0 { -1.0 } else { 1.0 }, None);
-        for _ in 0..depth_before {
-            w.advance(TERM * 0.3);
-            while !w.in_flight.is_empty() {
-                w.deliver(0, false);
-            }
+fn no_order_of_few_steps_exceeds_the_limit() {
+    let mut state_count = 0;
+    let clock_rate = |slot: u32| 1.0 + DRIFT / 2.0 * if slot == 0 { -1.0 } else { 1.0 };
+    for rounds_before in [0, 9] {
+        let mut cluster = Cluster::new(2, &[120.0, 0.0], clock_rate, None);
+        for _ in 0..rounds_before {
+            cluster.advance(TERM * 0.3);
+            cluster.deliver_all();
         }
         let depth = if cfg!(debug_assertions) { 4 } else { 6 };
-        explore(&w, depth, &mut seen).unwrap();
+        explore(&cluster, depth, &mut state_count).unwrap();
     }
-    assert!(seen > 1000, "{seen}");
+    assert!(state_count > 1000, "{state_count}");
 }
 
+/// Clusters of two to four hosts go through thousands of random runs with losses, duplicates, restarts and leaves. Two faults
+/// were found by such runs: a second restart lost the marker of a leave (seed 264), and a lender's generation was forgotten
+/// with the end of its lease (seed 1686).
 #[test]
-fn random_walks_keep_the_sum_of_shares_and_leases_are_granted() {
-    let walks = if cfg!(debug_assertions) { 2_000 } else { 40_000 };
-    // Found by walks once, and fixed: the marker of a leave that a second restart lost (seed 264), and a lender's
-    // generation that was forgotten with the end of its lease (seed 1686).
-    for seed in 0..walks {
-        assert_eq!(walk(seed, None), None, "seed {seed}");
+fn no_random_run_exceeds_the_limit() {
+    let run_count = if cfg!(debug_assertions) { 2_000 } else { 40_000 };
+    for seed in 0..run_count {
+        assert_eq!(run_randomly(seed, None), None, "seed {seed}");
     }
-    // And leases are granted: two hosts, one of which demands all.
-    let mut w = World::new(2, &[150.0, 0.0], |_| 1.0, None);
+}
+
+/// One of two hosts has all the demand. It must get most of the other's share, or the leases would be safe and useless.
+#[test]
+fn a_host_with_all_the_demand_borrows_most_of_the_limit() {
+    let mut cluster = Cluster::new(2, &[150.0, 0.0], |_| 1.0, None);
     for _ in 0..20 {
-        w.advance(TERM / 5.0);
-        while !w.in_flight.is_empty() {
-            w.deliver(0, false);
-        }
+        cluster.advance(TERM / 5.0);
+        cluster.deliver_all();
     }
-    let m = w.hosts[0].leases.as_ref().unwrap().balance(w.clock(0), 1).unwrap();
-    assert!(m.borrowed > 0.4, "{m:?}");
-    assert!(w.in_use() > 0.95, "{}", w.in_use());
+    let balance = cluster.balance(0).unwrap();
+    assert!(balance.borrowed > 0.4, "{balance:?}");
+    assert!(cluster.share_in_use() > 0.95, "{}", cluster.share_in_use());
 }
 
+/// A deliberate fault is built into the leases. If the random runs did not find it, their success without a fault would
+/// prove nothing.
 #[test]
-fn each_lease_fault_is_found() {
-    // The fault, and the seeds of walks within which it must be found.
-    for (fault, within) in [
+fn random_runs_find_each_deliberate_fault() {
+    // The fault, and the number of seeds within which it must be found.
+    for (fault, seed_count) in [
         (LeaseFault::TermFromReceipt, 300),
         (LeaseFault::IgnoresDrift, 20_000),
         (LeaseFault::StartsWithFullShare, 100),
@@ -264,89 +291,91 @@
         (LeaseFault::LendsBorrowed, 20_000),
         (LeaseFault::IgnoresGenerations, 20_000),
     ] {
-        let found = (0..within).find(|seed| walk(*seed, Some(fault)).is_some());
-        assert!(found.is_some(), "{fault:?}: not within {within} walks");
-        println!("{fault:?}: walk {}", found.unwrap_or(0));
+        let found = (0..seed_count).find(|seed| run_randomly(*seed, Some(fault)).is_some());
+        assert!(found.is_some(), "{fault:?}: not within {seed_count} runs");
+        println!("{fault:?}: seed {}", found.unwrap_or(0));
     }
 }
 
+/// A host leaves gracefully and lends its share to the others. Its next generation must wait until they have returned it,
+/// or, where no peer answers, until the longer term of a leave has ended.
 #[test]
 fn a_host_that_leaves_lends_its_share_and_gets_it_back() {
-    let mut w = World::new(3, &[150.0, 60.0, 10.0], |_| 1.0, None);
-    let settle = |w: &mut World, seconds: f64| {
-        let until = w.now + seconds;
-        while w.now < until {
-            w.advance(TERM / 5.0);
-            while !w.in_flight.is_empty() {
-                w.deliver(0, false);
-            }
-            assert!(!w.is_broken());
+    let mut cluster = Cluster::new(3, &[150.0, 60.0, 10.0], |_| 1.0, None);
+    let settle = |cluster: &mut Cluster, seconds: f64| {
+        let until = cluster.now + seconds;
+        while cluster.now < until {
+            cluster.advance(TERM / 5.0);
+            cluster.deliver_all();
+            assert!(!cluster.exceeds_limit());
         }
     };
-    settle(&mut w, 3.0);
-    w.leave(2);
-    settle(&mut w, 0.5);
-    w.hosts[2].leases = None;
-    settle(&mut w, 1.5);
-    assert!(w.in_use() > 0.97, "its share is used by others: {}", w.in_use());
-    // Its next generation has nothing at first, and all of it once the others have answered that they hold none.
-    w.hosts[2].demand = 150.0;
-    w.start(2);
-    let m = w.hosts[2].leases.as_ref().unwrap().balance(w.clock(2), 1).unwrap();
-    assert!((m.lent - 1.0 / 3.0).abs() < 1e-9 && m.borrowed == 0.0, "{m:?}");
-    settle(&mut w, 1.0);
-    let m = w.hosts[2].leases.as_ref().unwrap().balance(w.clock(2), 1).unwrap();
-    assert!(m.lent < 0.01, "{m:?}");
-    // One that is never answered has it after the longer term.
-    w.hosts[2].has_left = true;
-    w.start(2);
-    let nobody = w.now + LEAVE * 1.1;
-    while w.now < nobody {
-        w.advance(0.2);
-        w.in_flight.clear();
-        assert!(!w.is_broken());
+    settle(&mut cluster, 3.0);
+    cluster.leave(2);
+    settle(&mut cluster, 0.5);
+    cluster.hosts[2].leases = None;
+    settle(&mut cluster, 1.5);
+    assert!(cluster.share_in_use() > 0.97, "its share is used by others: {}", cluster.share_in_use());
+    // Its next generation has nothing at first, and all of its share once the others have returned their leases.
+    cluster.hosts[2].demand = 150.0;
+    cluster.start(2);
+    let balance = cluster.balance(2).unwrap();
+    assert!((balance.lent - 1.0 / 3.0).abs() < 1e-9 && balance.borrowed == 0.0, "{balance:?}");
+    settle(&mut cluster, 1.0);
+    let balance = cluster.balance(2).unwrap();
+    assert!(balance.lent < 0.01, "{balance:?}");
+    // A generation that no peer answers has its share after the longer term.
+    cluster.hosts[2].has_left = true;
+    cluster.start(2);
+    let until = cluster.now + LEAVE_TERM * 1.1;
+    while cluster.now < until {
+        cluster.advance(0.2);
+        cluster.in_flight.clear();
+        assert!(!cluster.exceeds_limit());
     }
-    let m = w.hosts[2].leases.as_ref().unwrap().balance(w.clock(2), 1).unwrap();
-    assert!(m.lent < 0.01, "{m:?}");
+    let balance = cluster.balance(2).unwrap();
+    assert!(balance.lent < 0.01, "{balance:?}");
 }
 
+/// Peers send forged requests, grants, recalls and confirmations. They can give away their own shares, but must not make
+/// this host use, or leave unused, more than those.
 #[test]
-fn false_messages_of_peers_move_only_their_own_shares() {
+fn forged_messages_move_at_most_the_senders_shares() {
     let owners = vec![0, 1, 2];
-    let at = Instant::from_secs(50.0);
+    let start = Instant::from_secs(50.0);
     let shared_limits = vec![SharedLimit { volume: 1, limit: 100.0, owners }];
-    let mut l = QuotaLeases::new(
-        at,
+    let mut leases = QuotaLeases::new(
+        start,
         MemberId { slot: 0, generation: 9 },
         settings(),
         shared_limits,
         PreviousExit::Unclean,
     );
-    let mut c = oorandom::Rand64::new(5);
-    let mut now = 50.0;
+    let mut random = oorandom::Rand64::new(5);
+    let mut seconds = 50.0;
     for _ in 0..20_000 {
-        now += 0.003;
-        let t = Instant::from_secs(now);
-        l.record_demand(t, 1, 0.5);
-        l.handle_timeout(t, &BTreeSet::from([1, 2]));
-        while l.poll_transmit().is_some() {}
-        let (from, generation) = (c.rand_range(0..5) as u32, c.rand_range(0..3));
-        let (x, y) = (c.rand_range(0..40) as u32, c.rand_range(0..40) as u32);
-        let share = c.rand_float() as f32;
-        let recipient_generation = if c.rand_float() < 0.8 { 9 } else { 3 };
-        let volume = c.rand_range(0..3) as u32;
-        let message = match c.rand_range(0..5) {
+        seconds += 0.003;
+        let now = Instant::from_secs(seconds);
+        leases.record_demand(now, 1, 0.5);
+        leases.handle_timeout(now, &BTreeSet::from([1, 2]));
+        while leases.poll_transmit().is_some() {}
+        let (from, generation) = (random.rand_range(0..5) as u32, random.rand_range(0..3));
+        let (request_seq, lease_seq) = (random.rand_range(0..40) as u32, random.rand_range(0..40) as u32);
+        let share = random.rand_float() as f32;
+        let recipient_generation = if random.rand_float() < 0.8 { 9 } else { 3 };
+        let volume = random.rand_range(0..3) as u32;
+        let message = match random.rand_range(0..5) {
             0 => LeaseMessage::Request {
-                seq: x,
-                active_seq: y,
+                seq: request_seq,
+                active_seq: lease_seq,
                 lender_generation: recipient_generation,
                 volume,
                 share,
             },
             1 | 2 => LeaseMessage::Grant {
-                request_seq: x,
+                request_seq,
                 recipient_generation,
-                seq: y,
+                seq: lease_seq,
                 volume,
                 share,
                 term_ms: u32::MAX,
@@ -354,10 +383,10 @@
             3 => LeaseMessage::Recall { volume },
             _ => LeaseMessage::Returned { recipient_generation, volume },
         };
-        l.handle_message(t, MemberId { slot: from, generation }, message);
-        let m = l.balance(t, 1).unwrap();
-        // At most each other owner's own share, and never for a host that owns none.
-        assert!(m.borrowed <= 2.0 / 3.0 + 1e-9 && m.lent <= 1.0 / 3.0 + 1e-9, "{m:?}");
-        assert!(l.balance(t, 0).is_none() && l.balance(t, 2).is_none());
+        leases.handle_message(now, MemberId { slot: from, generation }, message);
+        let balance = leases.balance(now, 1).unwrap();
+        // At most the share of each other owner, and none of volumes that this host does not own.
+        assert!(balance.borrowed <= 2.0 / 3.0 + 1e-9 && balance.lent <= 1.0 / 3.0 + 1e-9, "{balance:?}");
+        assert!(leases.balance(now, 0).is_none() && leases.balance(now, 2).is_none());
     }
 }
