--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -7,10 +7,12 @@
 mod election;
 mod follower;
 mod leader;
+mod leader_state;
 mod learner;
 mod leases;
 mod membership;
 mod persistence;
+mod progress;
 mod recovery;
 mod replication;
 
@@ -19,20 +21,21 @@
 use crate::log::{Log, Snapshot};
 use crate::settings::{RaftSettings, ReplicaSettings};
 use crate::state::{HardState, LogSuffix, Write};
-use crate::status::{Counters, FollowerStatus, ReplicaRole, Status};
+use crate::status::{Counters, ReplicaRole, Status};
 use bootstrap::BootstrapState;
 use bytes::Bytes;
-use leader::LeaderState;
+use leader_state::LeaderState;
 use learner::FetchState;
 use persistence::{DelayedMessage, PendingWrite};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tackmast::interface::Instant;
 use tackmast_wire::consensus::{DiskIdentity, Entry, EntryPayload, LogPosition, Message, Voters};
 
-/// Entries that are not committed yet, at most; a leader refuses those beyond.
+/// Greatest number of entries that are not committed yet. A leader refuses proposals beyond.
 const MAX_UNCOMMITTED: u64 = 1024;
-/// Entries of one AppendEntries message, and their bytes.
+/// Greatest number of entries of one AppendEntries message.
 const MAX_APPEND_ENTRIES: usize = 128;
+/// Greatest length in bytes of the entries of one AppendEntries message, unless a single entry is longer.
 const MAX_APPEND_BYTES: usize = 64 << 10;
 
 /// What a Raft server wants done.
@@ -61,7 +64,7 @@
         /// Index of the last committed entry.
         index: u64,
     },
-    /// Operators are to know.
+    /// A change for the log.
     Event(ConsensusEvent),
 }
 
@@ -87,7 +90,7 @@
     role: Role,
     last_leader_contact: Instant,
     election_deadline: Instant,
-    /// While the group has no log.
+    /// State of the bootstrap, until the group has a log.
     bootstrap: Option<BootstrapState>,
     known_disks: BTreeMap<u32, DiskIdentity>,
     known_disks_changed: bool,
@@ -146,7 +149,7 @@
         node
     }
 
-    /// The same server with a deliberate fault, for tests of the tests.
+    /// The same server with a deliberate fault, which tests have to find.
     pub fn with_fault(mut self, fault: ConsensusFault) -> RaftNode {
         self.fault = Some(fault);
         self
@@ -176,7 +179,7 @@
         self.log.configuration().voters
     }
 
-    /// Hosts that may know the leader.
+    /// Hosts to ask for the leader.
     pub(crate) fn voters_to_ask(&self) -> Vec<u32> {
         match &self.bootstrap {
             Some(bootstrap) => bootstrap.initial_voters.iter().copied().collect(),
@@ -212,10 +215,12 @@
             || (voting_disk.is_some() && self.has_fault(ConsensusFault::LostDiskVotes))
     }
 
+    /// Number of voters that make a majority.
     fn quorum(&self) -> usize {
+        let voter_count = self.voters().len();
         match self.has_fault(ConsensusFault::MinorityCommits) {
-            true => self.voters().len().div_ceil(2).max(1),
-            false => self.voters().len() / 2 + 1,
+            true => voter_count.div_ceil(2).max(1),
+            false => majority(voter_count),
         }
     }
 
@@ -297,7 +302,7 @@
         }
     }
 
-    /// Whether the message is of a log that goes on elsewhere beside one that was forced.
+    /// Whether the message belongs to another log, as an old one beside a log that an operator forced.
     fn is_of_other_log(&self, message: &Message) -> bool {
         match message {
             Message::AppendEntries { log_id, .. }
@@ -307,7 +312,7 @@
         }
     }
 
-    /// Does what is due by now.
+    /// Does what is due.
     pub fn handle_timeout(&mut self, now: Instant) {
         if self.disk_failed {
             return;
@@ -363,3 +368,8 @@
         }
     }
 }
+
+/// The least number of voters such that any two sets of so many have one in common.
+fn majority(voter_count: usize) -> usize {
+    voter_count / 2 + 1
+}
--- a/crates/consensus/src/raft/bootstrap.rs
+++ b/crates/consensus/src/raft/bootstrap.rs
@@ -1,11 +1,14 @@
-//! The beginning of a group's log, which Raft as published leaves to the operator. The initial voters, which the settings
-//! name, first agree on their disks: each announces the disks it has heard of, confirms them on its own disk once it knows
-//! all, and begins the log once all others announce that they confirmed the same. So a voter whose disk was lost can't
-//! begin a second log beside the first: a group that has a log tells it so.
+//! The beginning of a group's log, which Raft as published leaves to the operator.
+//!
+//! The initial voters, which the settings name, first agree on their disks: each announces the disks that it knows of,
+//! records them on its own disk once it knows all, and begins the log once all others announce that they recorded the same.
+//! Without this, an initial voter whose disk was lost would take part in a second log beside the first, and entries that
+//! were committed in the first would be missing in it. So all initial voters have to run once, and a server without a log
+//! that meets a group with one only follows.
 
 use super::*;
 
-/// Heartbeat intervals after which a replica that does not vote asks again whether there is a log.
+/// Heartbeat intervals between two requests of a replica that does not vote and waits for a log.
 const LEARNER_HEARTBEATS: f64 = 10.0;
 
 /// What this replica has done to confirm the initial voters' disks.
@@ -13,7 +16,7 @@
 enum Confirmation {
     /// Some disks are not known yet.
     None,
-    /// That write has to be done first.
+    /// That write has to be persisted first.
     Writing { write_id: u64, voters: Voters },
     /// It is on disk.
     Persisted { voters: Voters },
@@ -43,9 +46,9 @@
     /// The initial voters' disks, as far as they are known.
     disks: Voters,
     confirmation: Confirmation,
-    /// Others that confirmed the same disks.
+    /// Other initial voters that confirmed the same disks.
     confirmed_by: BTreeSet<u32>,
-    /// Whether operators were told that this can't succeed.
+    /// Whether an event reported that bootstrap can't succeed.
     is_reported: bool,
     /// Whether this server only waits for a log of others.
     is_learner: bool,
@@ -149,7 +152,7 @@
         self.handle_announcement(now, from, announcement);
     }
 
-    /// This group has a log: a server that has none hears with which disks it began.
+    /// This group has a log. A server that has none is sent the disks of its voters.
     fn announce_existing_log(&mut self, to: u32, is_known_there: bool) {
         if is_known_there {
             return;
@@ -164,7 +167,7 @@
         if bootstrap.confirmation.persisted() == Some(&voters) {
             return self.finish_bootstrap(now, voters);
         }
-        // It began without this disk, or its voters have changed since: this server only follows.
+        // The log began without this disk, or its voters have changed since: this server only follows.
         if !std::mem::replace(&mut bootstrap.is_reported, true) {
             self.emit(ConsensusEvent::NotBootstrappedWithDisk { host: self.me });
         }
@@ -232,7 +235,7 @@
     }
 }
 
-/// An id that all initial voters compute alike, from the ids of their disks, which were drawn at random.
+/// The id of the log. All initial voters derive the same one, from the ids of their disks, which are random.
 fn derive_log_id(voters: &Voters) -> u64 {
     let mix = |id: u64, disk: &u64| (id ^ disk).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29);
     voters.values().fold(1, mix)
--- a/crates/consensus/src/raft/commit.rs
+++ b/crates/consensus/src/raft/commit.rs
@@ -4,7 +4,7 @@
 use tackmast_wire::consensus::MAX_STATE;
 
 impl RaftNode {
-    /// All entries up to `index` that are here are committed.
+    /// Entries up to `index` are committed, as far as they are in the log.
     pub(super) fn advance_commit_index(&mut self, index: u64) {
         let index = index.min(self.log.last().index);
         while self.commit_index < index {
@@ -17,7 +17,7 @@
         self.request_snapshot_if_due();
     }
 
-    /// Asks for a snapshot once the log has grown long.
+    /// Requests a snapshot of the state machine once the log has grown long.
     pub(super) fn request_snapshot_if_due(&mut self) {
         let length = self.log.since_snapshot();
         let is_long = length.entries >= self.settings.snapshot_after_entries
--- a/crates/consensus/src/raft/disk_identity.rs
+++ b/crates/consensus/src/raft/disk_identity.rs
@@ -1,6 +1,8 @@
-//! Which disks vote. A voter is its host number and the id of its disk, so that a host whose disk was lost does not vote
-//! again in a term. Each opening of a disk is counted and reported, so that an old copy of it is told from it. Raft as
-//! published takes stable storage for granted.
+//! Which disks vote. Raft as published takes stable storage for granted.
+//!
+//! A server that lost its disk has forgotten its vote and its entries. If it voted again in the same term, two leaders could
+//! be elected, or an entry that is committed could be lost. So a voter is a host number together with the id of its disk.
+//! An old copy of a disk has the same id; each opening of a disk is counted and reported, so that voters recognise the copy.
 
 use super::*;
 
@@ -24,14 +26,14 @@
         if known != Some(identity) && is_current {
             self.known_disks.insert(from, identity);
             self.known_disks_changed = true;
-            // Before anything that is sent in response: it must not be forgotten.
+            // Persisted before the response: after a restart an older copy of that disk would else count again.
             self.write(Write::default());
         }
         true
     }
 
-    /// Another process has opened this server's disk since, and may have voted: under its id this one votes no more, nor
-    /// after a restart.
+    /// Another process has opened this server's disk since, and may have voted. This server takes a new disk id, which does
+    /// not vote, also after a restart.
     pub(super) fn handle_stale_disk(&mut self, identity: DiskIdentity) {
         if identity != self.identity || self.has_fault(ConsensusFault::OldDiskVotes) {
             return;
--- a/crates/consensus/src/raft/election.rs
+++ b/crates/consensus/src/raft/election.rs
@@ -1,5 +1,8 @@
-//! Leader election (Raft, section 5.2) with the restriction on logs (5.4.1) and pre-votes (thesis, section 9.6), so that a
-//! server which was cut off unseats nobody. Voters that hear a leader disregard requests for votes (thesis, 4.2.3).
+//! Leader election (Raft, section 5.2) with the restriction on logs (5.4.1).
+//!
+//! A server that was cut off has missed heartbeats, and with a higher term it would depose a working leader when it is
+//! connected again. Two rules prevent that: pre-votes (thesis, section 9.6), which raise no term, and voters that
+//! disregard requests for votes while they have contact with a leader (thesis, section 4.2.3).
 
 use super::*;
 
@@ -20,7 +23,8 @@
 }
 
 impl RaftNode {
-    /// Draws a new election timeout (Raft, section 9.3) that begins now.
+    /// Begins a new election timeout: between one and two times the configured one, at random, so that rarely two servers
+    /// start an election together and split the votes (Raft, section 9.3).
     pub(super) fn reset_election_timer(&mut self, now: Instant) {
         let timeouts = 1.0 + self.random.rand_float();
         self.election_deadline = now + self.settings.election_timeouts(timeouts);
@@ -79,11 +83,14 @@
         self.respond_to_vote(from, pre_vote, self.hard_state.term, granted);
     }
 
+    /// Whether this server leads, or has had contact with one within the election timeout.
     fn has_leader_contact(&self, now: Instant) -> bool {
         let has_recent_contact = now - self.last_leader_contact < self.settings.election_timeout;
         self.is_leader() || (self.leader().is_some() && has_recent_contact)
     }
 
+    /// Records the vote on disk before the response is sent: after a restart the server would else vote for another
+    /// candidate in the same term, and two leaders could be elected.
     fn record_vote(&mut self, candidate: u32) {
         if self.hard_state.voted_for.is_some() {
             return;
@@ -131,7 +138,7 @@
             self.become_candidate();
             return self.count_votes(now);
         }
-        // The own vote has to be on disk as well: without others' votes it comes last.
+        // This server's own vote has to be on disk as well. Votes of others arrive after that, but a single voter needs none.
         if count == 1 && self.persisted_write < self.last_write {
             return;
         }
--- a/crates/consensus/src/raft/follower.rs
+++ b/crates/consensus/src/raft/follower.rs
@@ -23,7 +23,7 @@
         if self.bootstrap.is_some() || !self.accept_leader(now, from, term, round) {
             return;
         }
-        // What the snapshot covers is committed, and so is as the leader has it.
+        // What the snapshot covers is committed, so the leader has the same entries.
         let snapshot_index = self.log.snapshot().last.index;
         let matches =
             previous.index < snapshot_index || self.log.position_at(previous.index) == Some(previous);
@@ -51,8 +51,8 @@
         Message::AppendEntriesResponse { term, round, success, index, identity }
     }
 
-    /// After which index the leader is to try next: the end of the log, or right before the entries of the term that
-    /// differs here (Raft, end of section 5.3).
+    /// The index after which the leader is to try next: the end of the log, or right before the entries of the term that
+    /// differs here (Raft, end of section 5.3). One step back for each entry would take a round trip each.
     fn conflict_hint(&self, previous: LogPosition) -> u64 {
         let term_at = |index: u64| self.log.position_at(index).map(|position| position.term);
         let mut index = self.log.last().index;
@@ -66,7 +66,8 @@
         index.max(self.commit_index)
     }
 
-    /// Entries after `previous_index` from the first on that is not here already.
+    /// Entries after `previous_index`, from the first one that the log lacks or has of another term. Entries that match stay:
+    /// a late message would else remove entries after it that this server has acknowledged.
     fn select_new_entries(&self, previous_index: u64, entries: Vec<Entry>) -> NewEntries {
         let snapshot_index = self.log.snapshot().last.index;
         let mut new = NewEntries { first_index: 0, entries: Vec::new() };
@@ -88,6 +89,7 @@
         new
     }
 
+    /// Replaces the log from the first new entry on.
     fn replace_suffix(&mut self, new: NewEntries) {
         self.truncate_log_from(new.first_index);
         for entry in &new.entries {
@@ -105,7 +107,7 @@
         }
         self.observe_term(now, term);
         if self.is_leader() {
-            // Two leaders of one term are not possible; a message that says so is not followed.
+            // One term has at most one leader, so the message is forged or damaged.
             return false;
         }
         if self.leader() != Some(from) {
@@ -125,7 +127,7 @@
         }
         let index = snapshot.last.index;
         self.install_snapshot(snapshot);
-        // What is here beyond the snapshot is the leader's only as far as it is committed.
+        // Entries after the snapshot are known to match the leader's only as far as they are committed.
         let response = self.append_response(round, true, index.max(self.commit_index));
         self.send_after_persist(from, response);
     }
--- a/crates/consensus/src/raft/leader.rs
+++ b/crates/consensus/src/raft/leader.rs
@@ -1,83 +1,17 @@
-//! A leader's state (Raft, figure 2), its proposals and its heartbeat rounds. A leader that hears no majority for long steps
-//! down (thesis, section 6.2).
+//! A leader's proposals and heartbeat rounds. A leader without responses of a majority for long steps down (thesis, section
+//! 6.2): clients would else wait for commits that can't come, while another leader may have been elected.
 
-use super::leases::WaitingRequest;
-use super::replication::Progress;
+use super::leader_state::StoredReport;
+use super::progress::Progress;
 use super::*;
 use crate::error::ProposeError;
 use tackmast_wire::consensus::MAX_ENTRY;
 
-/// Heartbeat intervals between two rounds, at least, however many requests wait for one.
+/// Least number of heartbeat intervals between two rounds, however many requests wait for one.
 const MIN_ROUND_HEARTBEATS: f64 = 0.2;
 /// Election timeouts without responses of a majority after which a leader steps down.
 const QUORUM_LOSS_TIMEOUTS: f64 = 2.0;
 
-/// What another replica reported with its last request for a lease.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct StoredReport {
-    pub stored_index: u64,
-    pub at: Instant,
-}
-
-#[derive(Clone, Debug)]
-pub(super) struct LeaderState {
-    /// Index of the first entry of its own term: once that is committed, all before it are.
-    pub term_start_index: u64,
-    pub peers: BTreeMap<u32, Progress>,
-    /// Number of the last heartbeat round.
-    pub round: u64,
-    pub heartbeat_due: Instant,
-    /// The next round begins no sooner, whoever waits for it.
-    pub next_round_at: Instant,
-    pub lease_requests: BTreeMap<u32, WaitingRequest>,
-    pub stored: BTreeMap<u32, StoredReport>,
-    /// Ids of the replicas' disks as they reported them.
-    pub disks: BTreeMap<u32, u64>,
-    /// The commit index that learners were sent.
-    announced_commit: u64,
-    /// Hosts that proposed entries which are not committed yet, by index.
-    proposers: BTreeMap<u64, u32>,
-}
-
-impl LeaderState {
-    fn new(now: Instant, term_start_index: u64, commit_index: u64) -> LeaderState {
-        LeaderState {
-            term_start_index,
-            peers: BTreeMap::new(),
-            round: 0,
-            heartbeat_due: now,
-            next_round_at: now,
-            lease_requests: BTreeMap::new(),
-            stored: BTreeMap::new(),
-            disks: BTreeMap::new(),
-            announced_commit: commit_index,
-            proposers: BTreeMap::new(),
-        }
-    }
-
-    /// Whether a lease request waits for a round that has not begun.
-    fn awaits_round(&self) -> bool {
-        self.lease_requests.values().any(|request| request.round > self.round)
-    }
-
-    /// When the next round is due.
-    pub(super) fn poll_timeout(&self) -> Instant {
-        match self.awaits_round() {
-            true => self.next_round_at.min(self.heartbeat_due),
-            false => self.heartbeat_due,
-        }
-    }
-
-    /// What other replicas have reported.
-    pub(super) fn follower_status(&self, now: Instant) -> BTreeMap<u32, FollowerStatus> {
-        let status = |report: &StoredReport| FollowerStatus {
-            stored_index: report.stored_index,
-            silent_for: now - report.at,
-        };
-        self.stored.iter().map(|(host, report)| (*host, status(report))).collect()
-    }
-}
-
 impl RaftNode {
     pub(super) fn become_leader(&mut self, now: Instant) {
         let last_index = self.log.last().index;
@@ -99,7 +33,7 @@
         index
     }
 
-    /// Replicates to those who vote by the newest configuration.
+    /// Takes the voters of the newest configuration as peers.
     fn update_peers(&mut self, now: Instant) {
         let last_index = self.log.last().index;
         let voters = self.other_voters();
@@ -130,14 +64,14 @@
         }
     }
 
-    /// Another replica's proposal. It hears at once when the entry is committed.
+    /// Takes another replica's proposal. That replica is sent the entry as soon as it is committed.
     pub(super) fn handle_proposal(&mut self, now: Instant, from: u32, data: Bytes) {
         match self.propose(now, data) {
             Ok(index) => {
                 if let Role::Leader(leader) = &mut self.role {
                     leader.proposers.insert(index, from);
                 }
-                // Where this server alone is a majority the entry may be committed already.
+                // Where this server alone is a majority, the entry may be committed already.
                 self.notify_proposers(now);
             }
             Err(ProposeError::NotLeader { leader }) => {
@@ -166,7 +100,8 @@
         }
     }
 
-    /// Learners are sent what was committed since the last round, once: one that misses it hears of it with its next lease.
+    /// Sends learners what was committed since the last round, once. A learner that misses it learns of the commit with its
+    /// next lease.
     fn notify_learners(&mut self) {
         let commit_index = self.commit_index;
         let Role::Leader(leader) = &mut self.role else { return };
@@ -199,7 +134,7 @@
         }
     }
 
-    /// Begins a heartbeat round (thesis, section 6.4): whoever responds to it took this server for the leader after now.
+    /// Begins a heartbeat round (thesis, section 6.4). A server that responds to it accepted this server as leader after now.
     pub(super) fn start_round(&mut self, now: Instant) {
         let settings = self.settings;
         let Role::Leader(leader) = &mut self.role else { return };
--- a/crates/consensus/src/raft/learner.rs
+++ b/crates/consensus/src/raft/learner.rs
@@ -1,15 +1,15 @@
 //! Learners: replicas that do not vote (thesis, section 4.2.1) and take only what is committed. Unlike in Raft as published
-//! no leader keeps track of them: each fetches what it lacks from any voter.
+//! no leader tracks their progress, as there are hundreds of them: each fetches what it lacks from any voter.
 
 use super::*;
 
-/// Heartbeat intervals without a response after which it asks again.
+/// Heartbeat intervals without a response after which a learner sends its request again.
 const RETRY_HEARTBEATS: f64 = 3.0;
 
 /// What a learner still lacks, and where it asks for it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FetchState {
-    /// Index of the last entry that is committed, as far as it has heard.
+    /// Index of the last entry that is known to be committed.
     target_index: u64,
     source: Option<u32>,
     pub retry_at: Option<Instant>,
@@ -27,7 +27,7 @@
         }
         let count = ((self.commit_index - after) as usize).min(MAX_APPEND_ENTRIES);
         let entries = self.log.entries_from(after + 1, count, MAX_APPEND_BYTES);
-        // One that has nothing needs the configuration, which the snapshot has.
+        // A learner without any entry needs the configuration, which is in the snapshot.
         if stored_index == 0 {
             self.send_committed_snapshot(to);
         }
@@ -78,7 +78,7 @@
         self.fetch_committed(now);
     }
 
-    /// Another voter may be easier to reach.
+    /// Chooses a voter at random, as another may be reachable where the last one is not.
     fn choose_source(&mut self) {
         let voters = self.voters_to_ask();
         if voters.is_empty() {
@@ -98,7 +98,7 @@
         if new.is_empty() {
             return;
         }
-        // What is here after the commit index is from a time as a voter, and perhaps was never committed.
+        // Entries after the commit index are from a time as a voter. A later leader may have overwritten them.
         let first_index = self.commit_index + 1;
         self.truncate_log_from(first_index);
         for entry in &new {
--- a/crates/consensus/src/raft/leases.rs
+++ b/crates/consensus/src/raft/leases.rs
@@ -1,11 +1,15 @@
-//! Leases that a leader grants, as read-only requests are answered in the thesis (section 6.4): a request waits for a
-//! heartbeat round that begins after it arrived, and is granted once a majority has responded to that round.
+//! Leases that a leader grants, as read-only requests are answered in the thesis (section 6.4).
+//!
+//! A server that was replaced as leader may not know it yet, and what it knows to be committed may be old. So a request
+//! waits for a heartbeat round that begins after it arrived, and is granted once a majority has responded to that round.
+//! That majority was still in this leader's term when the round began, so no later leader had been elected by then, and
+//! nothing newer was committed before the request.
 
-use super::leader::StoredReport;
+use super::leader_state::{StoredReport, WaitingRequest};
 use super::replication::nth_largest;
 use super::*;
 
-/// Hosts whose reports and requests a leader keeps, at most.
+/// Greatest number of hosts whose reports and requests a leader keeps.
 const MAX_TRACKED_HOSTS: usize = 100_000;
 
 /// The fields of a RequestLease message.
@@ -15,15 +19,6 @@
     pub identity: DiskIdentity,
 }
 
-/// A request that waits for its round.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct WaitingRequest {
-    generation: u64,
-    sequence: u32,
-    /// The round that a majority has to respond to.
-    pub round: u64,
-}
-
 impl RaftNode {
     pub(super) fn handle_lease_request(&mut self, now: Instant, from: u32, request: LeaseRequest) {
         let Role::Leader(leader) = &mut self.role else {
@@ -53,7 +48,8 @@
         let quorum = self.quorum();
         let is_voter = self.voters().contains_key(&self.me);
         let Role::Leader(leader) = &mut self.role else { return };
-        // Until an entry of its own term is committed, a leader does not know what is.
+        // A new leader's commit index may lag behind what an earlier leader committed, until an entry of its own term is
+        // committed. A lease by that index would let a replica serve old state as the newest.
         if self.commit_index < leader.term_start_index {
             return;
         }
@@ -73,7 +69,7 @@
         }
     }
 
-    /// The fault of stale reads.
+    /// The deliberate fault of stale reads.
     fn grant_without_round(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
         for (host, request) in std::mem::take(&mut leader.lease_requests) {
--- a/crates/consensus/src/raft/membership.rs
+++ b/crates/consensus/src/raft/membership.rs
@@ -6,7 +6,7 @@
 use tackmast_wire::consensus::MAX_VOTERS;
 
 impl RaftNode {
-    /// Makes `host` a voter, with the disk that it reported; the index of the entry that says so.
+    /// Makes `host` a voter, with the disk that it reported; the index of the entry with the new configuration.
     pub fn add_voter(&mut self, now: Instant, host: u32) -> Result<u64, ProposeError> {
         let leader = self.check_can_change_voters()?;
         let disk = leader.disks.get(&host).copied();
@@ -29,7 +29,7 @@
         Ok(self.append_entry(now, EntryPayload::Voters(voters)))
     }
 
-    /// Takes the vote from `host`; the index of the entry that says so.
+    /// Removes `host` from the voters; the index of the entry with the new configuration.
     pub fn remove_voter(&mut self, now: Instant, host: u32) -> Result<u64, ProposeError> {
         self.check_can_change_voters()?;
         let mut voters = self.voters().clone();
@@ -39,7 +39,8 @@
         Ok(self.append_entry(now, EntryPayload::Voters(voters)))
     }
 
-    /// The previous configuration has to be committed, and an entry of this term (the erratum of 2015 to section 4.1).
+    /// The previous configuration has to be committed, and an entry of this term (the erratum of 2015 to section 4.1). With two
+    /// changes at once, majorities of the first and the last configuration need not overlap, and both could elect a leader.
     fn check_can_change_voters(&self) -> Result<&LeaderState, ProposeError> {
         self.check_can_append()?;
         let Role::Leader(leader) = &self.role else {
--- a/crates/consensus/src/raft/persistence.rs
+++ b/crates/consensus/src/raft/persistence.rs
@@ -1,12 +1,16 @@
-//! Persistence before responses (Raft, figure 2): what a message acknowledges or promises is on disk before the message goes
-//! out. Writes are numbered and done in order; a message waits for the write that was the last when it was made.
+//! Persistence before responses (Raft, figure 2): what a message acknowledges or promises is on disk before the message is
+//! sent.
+//!
+//! A server that acknowledged an entry or sent a vote and lost it in a crash would break the majority that others counted
+//! on. Writes are numbered and done in order; a message waits for the last write that was made before it, and so for all
+//! that it depends on.
 
 use super::*;
 
-/// Messages that wait for the disk, at most. Beyond that new ones are lost, as on any network.
+/// Greatest number of messages that wait for the disk. Further ones are dropped, which Raft treats like a loss on the network.
 const MAX_DELAYED_MESSAGES: usize = 4096;
 
-/// A write under way.
+/// A write that is not done yet.
 #[derive(Clone, Copy)]
 pub(super) struct PendingWrite {
     write_id: u64,
@@ -60,7 +64,7 @@
         self.release_messages();
     }
 
-    /// Sends at once: nothing in the message has to be on this server's disk.
+    /// Sends at once a message that promises nothing which has to be on this server's disk.
     pub(super) fn send(&mut self, to: u32, message: Message) {
         self.outputs.push_back(RaftOutput::Send { to, message });
     }
@@ -74,7 +78,7 @@
         }
     }
 
-    /// A write failed. What this server acknowledges must be on disk, so it takes no further part until it restarts.
+    /// A write failed. The server can't tell what is on its disk, so it acknowledges nothing more until it restarts.
     pub fn on_persist_failed(&mut self) {
         if !std::mem::replace(&mut self.disk_failed, true) {
             self.emit(ConsensusEvent::DiskFailed);
@@ -102,7 +106,7 @@
         self.request_snapshot_if_due();
     }
 
-    /// Removes the entry at `index` and all after it; writes of them that are under way count no more.
+    /// Removes the entry at `index` and all after it. Their writes that are not done yet no longer count as persisted entries.
     pub(super) fn truncate_log_from(&mut self, index: u64) {
         self.log.truncate_from(index);
         self.forget_persisted_after(index - 1);
--- a/crates/consensus/src/raft/recovery.rs
+++ b/crates/consensus/src/raft/recovery.rs
@@ -1,15 +1,15 @@
-//! What an operator does by hand after most voters are gone for good: one server goes on alone with a new log, and the
-//! others discard theirs to follow it. Not part of Raft as published.
+//! What an operator does by hand after most voters are lost for good: one server begins a new log alone from what is
+//! committed on it, and the others discard theirs to follow it. Not part of Raft as published.
 
 use super::*;
 use crate::error::RecoveryError;
 
-/// Election timeouts without a leader before a server may be made to go on alone.
+/// Election timeouts without a leader before an operator may force a new log. A group that elects is not to be overridden.
 const SILENT_ELECTION_TIMEOUTS: f64 = 10.0;
 
 impl RaftNode {
-    /// Goes on alone with what is committed here, as a new log, which replicas of the old one don't take for theirs; its
-    /// id. `state` is what all entries up to the last committed one led to.
+    /// Begins a new log alone with what is committed here; its id. Replicas of the old log ignore messages of the new one, so
+    /// that entries of the two are never mixed. `state` is what all entries up to the last committed one led to.
     pub(crate) fn force_new_log(&mut self, now: Instant, state: Bytes) -> Result<u64, RecoveryError> {
         if self.disk_failed || self.bootstrap.is_some() || self.log.snapshot().log_id == 0 {
             return Err(RecoveryError::NoLog);
@@ -22,7 +22,7 @@
         }
         self.forget_persisted_after(self.commit_index);
         let log_id = self.random.rand_u64() | 1;
-        // Replicas of the old log do not count this one's votes any more.
+        // With a new disk id, replicas of the old log do not count this server's votes any more.
         self.draw_disk_id();
         let voters = Voters::from([(self.me, self.identity.disk)]);
         let last = LogPosition { term: self.hard_state.term + 1, index: self.commit_index };
@@ -50,14 +50,14 @@
         self.emit(ConsensusEvent::LogDiscarded { host: self.me, commit_index: self.commit_index });
         self.forget_persisted_after(0);
         self.draw_disk_id();
-        // Under its new id this disk has never voted, and the other log has terms of its own.
+        // With its new id this disk has never voted, and the other log has terms of its own.
         self.hard_state = HardState::default();
         self.commit_index = 0;
         self.fetch = FetchState::default();
         self.snapshot_requested = None;
         self.role = Role::Follower { leader: None };
         self.log.restore(Snapshot::default());
-        // Never again an initial voter: a group that has a log must not begin a second one.
+        // As an initial voter it could begin a second log beside the one that it is to follow.
         self.bootstrap = Some(BootstrapState::learner(initial_voters.clone()));
         self.write(Write {
             hard_state: Some(self.hard_state),
