--- a/crates/consensus/src/chunks.rs
+++ b/crates/consensus/src/chunks.rs
@@ -1,6 +1,6 @@
 //! Chunked transfer of messages that do not fit a datagram, as Raft's InstallSnapshot (section 7) sends a snapshot in
-//! chunks. The sender transmits the first chunk only; the receiver requests all others, a few ahead of what it has, and
-//! requests lost ones again. So no sender floods a slow receiver.
+//! chunks. The sender transmits only the first chunk. The receiver requests the others, a few ahead of what it has, and
+//! requests lost ones again, so that no sender floods a slow receiver.
 
 use bytes::{Bytes, BytesMut};
 use std::collections::VecDeque;
@@ -9,16 +9,17 @@
 use tackmast_wire::consensus::MAX_MESSAGE;
 use tackmast_wire::peer::{Body, MAX_PIECE as MAX_CHUNK_LEN};
 
-/// Messages that are kept for receivers that request chunks, and their bytes; the oldest go first.
+/// Greatest number of messages that are kept for receivers that request chunks. The oldest is dropped first.
 const MAX_OUTGOING: usize = 64;
+/// Greatest length in bytes of these messages together, unless there is only one.
 const MAX_OUTGOING_BYTES: usize = 64 << 20;
-/// Messages that are received at a time, one of each sender; the one idle for longest goes first.
+/// Greatest number of messages that are received at a time, one of each sender. The one idle for longest is dropped first.
 const MAX_INCOMING: usize = 64;
 /// Chunks that are requested beyond those received.
 const CHUNKS_AHEAD: u16 = 8;
 /// Retries without a chunk after which a message is given up.
 const MAX_RETRIES: u32 = 30;
-/// Retries after which a sender's newer message takes the place of one that is more than half received.
+/// Retries after which a sender's newer message replaces one that is more than half received.
 const RETRIES_BEFORE_REPLACED: u32 = 2;
 
 /// How chunks are requested.
@@ -73,7 +74,8 @@
         self.chunks.len() as u16
     }
 
-    /// Whether this message goes on although its sender has begun a newer one.
+    /// Whether the rest of this message is still requested although its sender has begun a newer one. A sender that repeats
+    /// itself faster than a large message arrives would else prevent that any is complete.
     fn outlasts_newer(&self) -> bool {
         self.retries < RETRIES_BEFORE_REPLACED && self.received * 2 > self.chunk_count()
     }
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -77,7 +77,7 @@
 /// Why an operator's recovery step, after the loss of a majority, was refused.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RecoveryError {
-    /// There is no log here to go on from, or the disk takes no writes.
+    /// There is no log here to begin from, or the disk takes no writes.
     #[error("nothing was committed here; expected a host that has a log, and a disk that takes writes")]
     NoLog,
     /// A majority may still be alive.
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -1,31 +1,34 @@
-//! Leases: for how long what a replica has counts as the newest. A replica requests one from the leader; the grant says
-//! that nothing after an index was committed at some moment after the request was sent. For the lease's duration from that
-//! moment no other replica takes anything newer for effective either, so reads here are not stale beyond it. Unlike the
-//! leader leases of Raft (thesis, section 6.4.1) each replica holds one, counted by its own steady clock and shortened by
-//! what clocks may run apart.
+//! Leases: how long a replica may treat what it has as the newest.
+//!
+//! A replica requests a lease from the leader. The grant confirms that nothing after an index was committed at some moment
+//! after the request was sent. For the lease's duration from that moment no other replica takes anything newer for
+//! effective, so reads here are not stale.
+//!
+//! Unlike the leader leases of Raft (thesis, section 6.4.1) each replica holds one. It is counted by the replica's own
+//! monotonic clock, and shortened by what clocks may drift apart.
 
 use crate::fault::ConsensusFault;
 use std::collections::VecDeque;
 use tackmast::interface::{Instant, TimeDelta};
 
-/// Fraction of a lease after which it is renewed.
-const RENEW_AFTER: f64 = 0.34;
-/// Fraction of a lease after which a request without a response is repeated.
-const RETRY_AFTER: f64 = 0.1;
-/// Requests whose responses may still arrive.
+/// Fraction of a lease's duration after which it is renewed.
+const RENEWAL_FRACTION: f64 = 0.34;
+/// Fraction of a lease's duration after which a request without a response is repeated.
+const RETRY_FRACTION: f64 = 0.1;
+/// Greatest number of requests whose responses may still arrive. Responses to older ones are ignored.
 const MAX_OUTSTANDING: usize = 32;
 
-/// Whether what a replica has counts.
+/// Whether a replica may treat what it has as the newest.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LeaseState {
     /// It has had no lease since it started.
     Never,
-    /// What it has counts.
+    /// It may.
     Valid {
         /// The end of the lease.
         until: Instant,
     },
-    /// Something newer may count elsewhere.
+    /// It may not: other replicas may have something newer.
     Expired {
         /// The end of the last lease.
         since: Instant,
@@ -33,7 +36,7 @@
 }
 
 impl LeaseState {
-    /// Whether what the replica has counts.
+    /// Whether the replica may treat what it has as the newest.
     pub fn is_valid(&self) -> bool {
         matches!(self, LeaseState::Valid { .. })
     }
@@ -56,14 +59,14 @@
     sent: Instant,
 }
 
-/// What is granted: entries up to `index` count as the newest until then.
+/// A granted lease: until its end, entries up to `index` are the newest.
 #[derive(Clone, Copy, Debug)]
 struct Validity {
     index: u64,
     until: Instant,
 }
 
-/// A replica's lease, its requests and what they were answered.
+/// A replica's lease, and its requests for the next one.
 #[derive(Clone, Debug)]
 pub struct Lease {
     duration: TimeDelta,
@@ -72,7 +75,7 @@
     outstanding: VecDeque<Request>,
     next_request_at: Instant,
     current: Option<Validity>,
-    /// Names entries that are not here yet.
+    /// A grant whose entries this replica does not have yet.
     awaiting_entries: Option<Validity>,
     newest_grant: Option<LeaseGrant>,
     fault: Option<ConsensusFault>,
@@ -80,7 +83,8 @@
 }
 
 impl Lease {
-    /// `duration` as all replicas are told; `max_clock_drift`: fraction by which steady clocks may run apart.
+    /// Without a lease. `duration` is the same at all replicas; `max_clock_drift` is the fraction by which monotonic clocks
+    /// may drift apart.
     pub fn new(now: Instant, duration: TimeDelta, max_clock_drift: f64) -> Lease {
         Lease {
             duration,
@@ -102,8 +106,8 @@
         self
     }
 
-    /// From when a replica learns that an entry is committed until nobody goes by what was before it any more, by that
-    /// replica's clock.
+    /// How long after a replica learns of a commit, by its own clock, other replicas may still hold a lease that does not
+    /// cover the entry.
     pub fn max_holdover(duration: TimeDelta, max_clock_drift: f64) -> TimeDelta {
         TimeDelta::from_secs(duration.secs() * (1.0 + 2.0 * max_clock_drift))
     }
@@ -123,16 +127,17 @@
             self.outstanding.pop_front();
         }
         self.outstanding.push_back(Request { sequence: self.last_sequence, sent: now });
-        self.next_request_at = now + self.fraction(RETRY_AFTER);
+        self.next_request_at = now + self.fraction(RETRY_FRACTION);
         Some(self.last_sequence)
     }
 
-    /// Makes a request due now: somebody waits for what is newest.
+    /// Makes a request due now, as a read waits for it.
     pub(crate) fn request_now(&mut self, now: Instant) {
         self.next_request_at = self.next_request_at.min(now);
     }
 
-    /// A grant has arrived.
+    /// A grant has arrived. The lease counts from its request: if it counted from the grant, the time of both messages, and
+    /// any pause of this process, would come on top, and the lease would last longer than others wait for it.
     pub fn on_granted(&mut self, now: Instant, grant: LeaseGrant) {
         let request = self.outstanding.iter().find(|request| request.sequence == grant.sequence);
         let Some(sent) = request.map(|request| request.sent) else { return };
@@ -140,27 +145,23 @@
         if self.newest_grant.is_none_or(|newest| newest.sequence < grant.sequence) {
             self.newest_grant = Some(grant);
         }
-        let until = self.lease_end(now, sent, grant.duration);
+        let start = if self.has_fault(ConsensusFault::LeaseFromResponse) { now } else { sent };
+        let drift = if self.has_fault(ConsensusFault::IgnoreClockDrift) { 0.0 } else { self.max_clock_drift };
+        let until = start + usable_duration(grant.duration, self.duration, drift);
         if self.awaiting_entries.is_none_or(|awaiting| until > awaiting.until) {
             self.awaiting_entries = Some(Validity { index: grant.index, until });
         }
-        // A grant that took long leaves little of the lease; the next request still waits its time.
-        let renewal = sent + self.fraction(RENEW_AFTER);
-        self.next_request_at = renewal.max(now + self.fraction(RETRY_AFTER));
+        // A grant that took long leaves little of the lease, or none. The next request still waits for the retry time, or
+        // this replica would flood the leader with requests.
+        let renewal = sent + self.fraction(RENEWAL_FRACTION);
+        self.next_request_at = renewal.max(now + self.fraction(RETRY_FRACTION));
     }
 
-    /// The lease counts from its request, so that the time of both messages, and any for which this process stood still,
-    /// is taken off. It is no longer than this replica was told, whatever the leader was.
-    fn lease_end(&self, now: Instant, sent: Instant, granted: TimeDelta) -> Instant {
-        let has_fault = |fault: ConsensusFault| self.fault == Some(fault);
-        let start = if has_fault(ConsensusFault::LeaseFromResponse) { now } else { sent };
-        let ignores_drift = has_fault(ConsensusFault::IgnoreClockDrift);
-        let drift = if ignores_drift { 0.0 } else { self.max_clock_drift };
-        let duration = granted.secs().min(self.duration.secs());
-        start + TimeDelta::from_secs(duration * (1.0 - 2.0 * drift))
+    fn has_fault(&self, fault: ConsensusFault) -> bool {
+        self.fault == Some(fault)
     }
 
-    /// Another replica has responded, if only to say who leads.
+    /// Another replica has responded, perhaps only with a hint at the leader.
     pub(crate) fn on_response(&mut self) {
         self.unanswered = 0;
     }
@@ -170,9 +171,10 @@
         self.unanswered
     }
 
-    /// Entries up to `index` are here and committed. A lease begins once the entries that it names are.
+    /// Entries up to `index` are here and committed. A lease begins once the entries that its grant covers are: before that,
+    /// this replica would treat an older state as the newest.
     pub fn on_committed(&mut self, index: u64) {
-        let without_entries = self.fault == Some(ConsensusFault::LeaseWithoutEntries);
+        let without_entries = self.has_fault(ConsensusFault::LeaseWithoutEntries);
         let is_usable = |awaiting: &mut Validity| awaiting.index <= index || without_entries;
         let Some(usable) = self.awaiting_entries.take_if(is_usable) else { return };
         if self.current.is_none_or(|current| usable.until > current.until) {
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Whether what this replica has counts now.
+    /// Whether this replica may treat what it has as the newest now.
     pub fn state(&self, now: Instant) -> LeaseState {
         match self.current {
             None => LeaseState::Never,
@@ -189,7 +191,8 @@
         }
     }
 
-    /// Index of the last entry that was committed at some moment after that request, once it or a later one is granted.
+    /// Index of the last entry that was committed at some moment after that request, once the request or a later one is
+    /// granted.
     pub fn read_index(&self, sequence: u32) -> Option<u64> {
         self.newest_grant.filter(|newest| newest.sequence >= sequence).map(|newest| newest.index)
     }
@@ -202,3 +205,10 @@
         }
     }
 }
+
+/// How long a lease is used: no longer than this replica's own setting, whatever the leader's is, and shorter by what the
+/// clocks of two replicas may drift apart, as other replicas wait for its end by their own clocks.
+fn usable_duration(granted: TimeDelta, configured: TimeDelta, max_clock_drift: f64) -> TimeDelta {
+    let duration = granted.secs().min(configured.secs());
+    TimeDelta::from_secs(duration * (1.0 - 2.0 * max_clock_drift))
+}
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,7 +1,7 @@
 //! Consensus among the hosts of a fleet: a replicated log by Raft, with pre-vote, changes of one voter at a time, and
-//! leases that tell each replica for how long what it has counts. It never gives a wrong result; it may stand still. There
-//! is no I/O and no clock: messages, the time and completed writes go in, messages, writes and committed commands come out.
-//! docs/agreement.md has the promise.
+//! leases that limit how long each replica may treat what it has as the newest. It never gives a wrong result; without a
+//! majority it makes no progress. There is no I/O and no clock: messages, the time and completed writes go in, messages,
+//! writes and committed commands come out. docs/consensus.md has the guarantees.
 //!
 //! "Raft" is Ongaro and Ousterhout, *In Search of an Understandable Consensus Algorithm* (extended version, 2014); "thesis"
 //! is Ongaro, *Consensus: Bridging Theory and Practice* (2014).
@@ -9,9 +9,9 @@
 //! | module | implements |
 //! | --- | --- |
 //! | `raft` | state and dispatch of one server (Raft, figures 2 and 4) |
-//! | `raft::election` | votes (Raft, 5.2 and 5.4.1), pre-votes (thesis, 9.6), deafness while a leader is heard (thesis, 4.2.3) |
-//! | `raft::leader` | proposals, heartbeats, stepping down without a majority (thesis, 6.2) |
-//! | `raft::replication` | AppendEntries by the leader (Raft, 5.3), commitment (Raft, 5.4.2) |
+//! | `raft::election` | votes (Raft, 5.2 and 5.4.1), pre-votes (thesis, 9.6), no votes while there is a leader (thesis, 4.2.3) |
+//! | `raft::leader`, `raft::leader_state` | proposals, heartbeats, stepping down without a majority (thesis, 6.2) |
+//! | `raft::replication`, `raft::progress` | AppendEntries by the leader (Raft, 5.3), commitment (Raft, 5.4.2) |
 //! | `raft::follower` | AppendEntries and InstallSnapshot at a follower (Raft, 5.3 and 7) |
 //! | `raft::membership` | changes of one voter (thesis, 4.1, with the erratum of 2015) |
 //! | `raft::leases` | grants after a heartbeat round (thesis, 6.4) |
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -5,17 +5,19 @@
 use std::collections::VecDeque;
 use tackmast_wire::consensus::{Entry, EntryPayload, LogPosition, Voters};
 
-/// Entries that the snapshot covers and that are kept all the same, and the bytes of all entries above which none are.
+/// Greatest number of entries that stay in memory although the snapshot covers them.
 const MAX_KEPT_ENTRIES: u64 = 1000;
+/// Bytes of all entries above which entries that the snapshot covers are dropped.
 const MAX_KEPT_BYTES: usize = 2 << 20;
-/// What an entry costs beside its command, and what one without a command does.
+/// Bytes of an entry in memory beside its command, approximately.
 const ENTRY_OVERHEAD_BYTES: usize = 16;
+/// Bytes in memory of an entry without a command, approximately.
 const SMALL_ENTRY_BYTES: usize = 64;
 
 /// The state that all entries up to `last` led to.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// Identifies the log; drawn when it was bootstrapped or forced.
+    /// Identifies the log, since it was bootstrapped or forced.
     pub log_id: u64,
     /// The last entry that the snapshot covers.
     pub last: LogPosition,
@@ -34,7 +36,7 @@
     pub bytes: usize,
 }
 
-/// Who votes, and which entry says so.
+/// The voters, and the entry that made them so.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Configuration<'a> {
     /// Index of the entry, or of the snapshot.
@@ -47,7 +49,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Log {
     snapshot: Snapshot,
-    /// The position before the first entry that is still here.
+    /// The position before the first entry in memory.
     before_first: LogPosition,
     entries: VecDeque<Entry>,
     bytes: usize,
@@ -91,7 +93,7 @@
         index.checked_sub(self.before_first.index + 1).map(|offset| offset as usize)
     }
 
-    /// The entry at `index`; none if it is not here any more, or not yet.
+    /// The entry at `index`; none if it was dropped, or is not appended yet.
     pub fn get(&self, index: u64) -> Option<&Entry> {
         self.entries.get(self.offset(index)?)
     }
--- a/crates/consensus/src/output.rs
+++ b/crates/consensus/src/output.rs
@@ -1,11 +1,11 @@
-//! What a replica wants its host to do.
+//! What a host is to do for its replica.
 
 use crate::event::ConsensusEvent;
 use crate::state::Write;
 use bytes::Bytes;
 use tackmast_wire::consensus::Message;
 
-/// What a replica wants done.
+/// What a host is to do for its replica.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicaOutput {
     /// A message for another replica.
@@ -38,11 +38,11 @@
         /// Index of the entry.
         index: u64,
     },
-    /// The result of a proposal is unknown for so long that it is given up; it may be committed all the same.
+    /// A proposal is given up, as its result was unknown for too long. It may still be committed.
     ProposalTimedOut {
         /// Number of the proposal.
         number: u32,
     },
-    /// Operators are to know.
+    /// A change for the log.
     Event(ConsensusEvent),
 }
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -22,12 +22,12 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::consensus::{EntryPayload, Message};
 
-/// Lease requests in a row without a response after which another voter is asked who leads.
+/// Lease requests in a row without a response after which the replica asks another voter for the leader.
 const MAX_UNANSWERED: u32 = 2;
-/// Fraction of a heartbeat interval within which commits count as learned together.
+/// Heartbeat intervals within which commits count as learned together.
 const COMMIT_BATCH_HEARTBEATS: f64 = 0.25;
 
-/// A snapshot that was asked for, and the sessions as of then.
+/// A snapshot that was requested, and the sessions as of its last entry.
 #[derive(Clone)]
 struct PendingSnapshot {
     index: u64,
@@ -42,7 +42,7 @@
     /// The Raft server.
     pub raft: RaftNode,
     lease: Lease,
-    /// Which voter to ask next for the leader.
+    /// Position of the voter to ask next for the leader.
     next_voter: usize,
     leader_hint: Option<u32>,
     sessions: Sessions,
@@ -92,7 +92,7 @@
         self
     }
 
-    /// Starts a read of what is newest now; a number for `is_read_ready`.
+    /// Starts a linearizable read; returns a number for `is_read_ready`.
     pub fn request_read(&mut self, now: Instant) -> u32 {
         self.lease.request_now(now);
         let sequence = self.request_lease_if_due(now);
@@ -105,7 +105,7 @@
         self.lease.read_index(sequence).is_some_and(|index| self.raft.commit_index() >= index)
     }
 
-    /// Whether what this replica has counts.
+    /// Whether this replica may treat what it has as the newest.
     pub fn lease_state(&self, now: Instant) -> LeaseState {
         self.lease.state(now)
     }
@@ -115,7 +115,7 @@
         self.raft.commit_index()
     }
 
-    /// Index of the last entry that is effective: no replica, connected or not, goes by what was before it.
+    /// Index of the last entry that is effective: no replica, connected or not, acts on the state before it any more.
     pub fn effective_index(&self, now: Instant) -> u64 {
         self.commit_times.effective_index(now).unwrap_or(self.raft.commit_index())
     }
@@ -139,8 +139,8 @@
         self.raft.identity().generation
     }
 
-    /// Goes on alone after most voters are gone for good, with a new log; its id. `state` is the state machine's, as of the
-    /// last committed entry.
+    /// Begins a new log alone after most voters are lost for good; its id. `state` is the state machine's, as of the last
+    /// committed entry.
     pub fn force_new_log(&mut self, now: Instant, state: &[u8]) -> Result<u64, RecoveryError> {
         let log_id = self.raft.force_new_log(now, self.sessions.encode_with(state))?;
         self.reset_for_new_log(now);
@@ -183,7 +183,7 @@
         self.handle_timeout(now);
     }
 
-    /// Whether that is the id of another log than the one that this replica has entries of.
+    /// Whether that is the id of another log than this replica's, if it has any committed entries.
     fn is_of_other_log(&self, log_id: u64) -> bool {
         log_id != self.raft.log().snapshot().log_id && self.raft.commit_index() > 0
     }
@@ -227,17 +227,18 @@
 
     /// The state machine's state as of that entry, as asked for by `TakeSnapshot`.
     pub fn on_snapshot_taken(&mut self, now: Instant, index: u64, state: &[u8]) {
-        // With the sessions of then, whatever was committed since: the state is of then, too.
+        // The sessions are those as of the snapshot's last entry, like the state. With newer sessions, proposals that were
+        // committed since would count as applied although the state lacks them.
         let pending = self.pending_snapshot.take_if(|pending| pending.index == index);
         let Some(PendingSnapshot { sessions, .. }) = pending else { return };
         self.raft.on_snapshot_taken(index, sessions.encode_with(state));
         self.drain_raft(now);
     }
 
-    /// Does what is due by now.
+    /// Does what is due.
     pub fn handle_timeout(&mut self, now: Instant) {
         self.raft.handle_timeout(now);
-        // Without a response somebody else may lead by now.
+        // Without responses another replica may be leader by now.
         if self.lease.unanswered() >= MAX_UNANSWERED {
             self.leader_hint = None;
         }
@@ -269,7 +270,7 @@
         sequence
     }
 
-    /// The leader as far as it is known; else one after the other of those that may know it.
+    /// The leader as far as it is known; else each of the voters in turn.
     fn leader_or_next_voter(&mut self) -> Option<u32> {
         if let Some(leader) = self.leader() {
             return Some(leader);
@@ -286,7 +287,7 @@
         self.raft.handle_message(now, to, message);
     }
 
-    /// Passes on what the Raft server wants done.
+    /// Passes on the outputs of the Raft server.
     fn drain_raft(&mut self, now: Instant) {
         while let Some(output) = self.raft.poll_output() {
             if let Some(output) = self.convert_output(now, output) {
@@ -317,7 +318,7 @@
         }
     }
 
-    /// A leader grants its own replica's lease, too.
+    /// A leader grants the lease of its own replica as well.
     fn on_message_to_itself(&mut self, now: Instant, message: Message) {
         if let Message::LeaseGranted { sequence, index, duration_ms, .. } = message {
             self.lease.on_granted(now, lease_grant(sequence, index, duration_ms));
@@ -337,7 +338,7 @@
         ReplicaOutput::RestoreSnapshot { index, state: self.sessions.restore_from(snapshot.state) }
     }
 
-    /// A committed command, if it counts.
+    /// The output for a committed command, unless it was applied before.
     fn apply(&mut self, now: Instant, index: u64, command: Bytes) -> Option<ReplicaOutput> {
         let proposal = Proposal::decode(command)?;
         if proposal.host >= self.settings.host_count || !self.sessions.admit(&proposal) {
--- a/crates/consensus/src/replica/effective.rs
+++ b/crates/consensus/src/replica/effective.rs
@@ -1,10 +1,10 @@
-//! From when on a committed entry is effective: all leases that were granted before it have expired, so no replica,
-//! connected or not, goes by what was before it.
+//! When a committed entry is effective: once all leases that were granted before its commit have expired. From then on no
+//! replica, connected or not, acts on the state before it.
 
 use std::collections::VecDeque;
 use tackmast::interface::{Instant, TimeDelta};
 
-/// Entries from `first_index` on that were learned to be committed within a moment.
+/// Commits that this replica learned of within a short time, from `first_index` on.
 #[derive(Clone, Copy, Debug)]
 struct Batch {
     first_index: u64,
@@ -12,13 +12,13 @@
     last_learned: Instant,
 }
 
-/// When this replica learned of commits. There are at most as many batches as moments in a lease.
+/// When this replica learned of commits. The number of batches is bounded by the holdover divided by the batch time.
 #[derive(Clone, Debug)]
 pub(super) struct CommitTimes {
     batches: VecDeque<Batch>,
-    /// The time from learning of a commit until it is effective.
+    /// Time from learning of a commit until it is effective.
     holdover: TimeDelta,
-    /// The moment that a batch covers.
+    /// Time for which commits are added to the same batch.
     batch_time: TimeDelta,
 }
 
@@ -33,7 +33,7 @@
         self.batches.clear();
     }
 
-    /// The entry at `index` is committed, as this replica learns now.
+    /// This replica learns now that the entry at `index` is committed.
     pub(super) fn record(&mut self, now: Instant, index: u64) {
         let holdover = self.holdover;
         while self.batches.pop_front_if(|batch| now - batch.last_learned >= holdover).is_some() {}
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Entries up to `index` came with a snapshot. Since when they are committed is not known: from now is late enough.
+    /// Entries up to `index` came with a snapshot. When they were committed is not known; now is no earlier than that.
     pub(super) fn restart(&mut self, now: Instant, index: u64) {
         self.batches.clear();
         self.push(now, index.max(1));
--- a/crates/consensus/src/replica/proposals.rs
+++ b/crates/consensus/src/replica/proposals.rs
@@ -1,15 +1,15 @@
-//! This replica's own proposals on their way to the leader, one at a time: a later one that was committed first would make
-//! an earlier one look like a duplicate.
+//! This replica's own proposals on their way to the leader. They are sent one at a time: if a later one were committed
+//! first, the earlier one would count as a duplicate and be lost.
 
 use super::sessions::{Proposal, ProposalId, PROPOSAL_HEADER_LEN};
 use super::*;
 use tackmast_wire::consensus::MAX_ENTRY;
 
-/// Proposals that wait, at most.
+/// Greatest number of proposals that wait.
 const MAX_PENDING_PROPOSALS: usize = 256;
-/// Election timeouts after which one is given up: it may be committed all the same, later.
+/// Election timeouts after which a proposal is given up. It may still be committed later.
 const PROPOSAL_TIMEOUTS: f64 = 12.0;
-/// Heartbeat intervals after which one without a result is sent again.
+/// Heartbeat intervals after which a proposal without a result is sent again.
 const RETRY_HEARTBEATS: f64 = 4.0;
 
 /// A proposal that is not known to be committed.
@@ -64,7 +64,7 @@
         }
         let bytes = proposal.bytes.clone();
         let appended_in_term = match self.raft.is_leader() {
-            // It is in this leader's log already: what is left is that it is committed.
+            // The proposal is in this leader's log already, and only has to be committed.
             true if is_appended => Some(term),
             true => self.raft.propose(now, bytes).ok().map(|_| term),
             false => {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// That proposal of this replica is committed, and so are all before it.
+    /// That proposal of this replica is committed, and so are all that it made before.
     pub(super) fn on_own_proposal_committed(&mut self, now: Instant, number: u32) {
         self.proposals.retain(|proposal| proposal.number > number);
         self.retry_first_proposal(now);
--- a/crates/consensus/src/replica/sessions.rs
+++ b/crates/consensus/src/replica/sessions.rs
@@ -1,23 +1,26 @@
-//! Client sessions (thesis, section 6.3): each proposal counts once, however often it was sent and appended. It carries its
-//! host, its process generation and its number; the last of each host is part of the snapshot.
+//! Client sessions (thesis, section 6.3): each proposal is applied once, however often it was sent and appended.
+//!
+//! A proposal whose response gets lost is sent again, and would otherwise be applied twice. Each carries its host, its
+//! process generation and its number; the last one of each host is part of the snapshot, so that replicas agree on it.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::collections::BTreeMap;
 
-/// Bytes before a proposal's own: host, generation, number and length.
+/// Length in bytes of a proposal's header: host, generation, number and length.
 pub(super) const PROPOSAL_HEADER_LEN: usize = 20;
-/// Bytes of a session in a snapshot.
+/// Length in bytes of a session in a snapshot: host, generation and number.
 const SESSION_LEN: usize = 16;
+/// Length in bytes of the number of sessions before them.
 const SESSION_COUNT_LEN: usize = 4;
 
-/// A proposal's place among all of its host. Ordered as they were made.
+/// Identifies a proposal among those of its host, in the order in which they were made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ProposalId {
     pub generation: u64,
     pub number: u32,
 }
 
-/// A proposal as entries have it.
+/// A proposal as it is encoded in an entry.
 #[derive(Clone, Debug)]
 pub(super) struct Proposal {
     pub host: u32,
@@ -26,7 +29,7 @@
 }
 
 impl Proposal {
-    /// The command of its entry.
+    /// Encodes it as the command of an entry.
     pub(super) fn to_bytes(&self) -> Bytes {
         let mut out = BytesMut::with_capacity(self.data.len() + PROPOSAL_HEADER_LEN);
         out.put_u32(self.host);
@@ -37,7 +40,7 @@
         out.freeze()
     }
 
-    /// The proposal that an entry's command is.
+    /// Decodes an entry's command.
     pub(super) fn decode(mut bytes: Bytes) -> Option<Proposal> {
         if bytes.len() < PROPOSAL_HEADER_LEN {
             return None;
@@ -49,12 +52,12 @@
     }
 }
 
-/// The last proposal of each host that counted. There are no more of them than hosts.
+/// The last proposal of each host that was applied. There are no more of them than hosts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Sessions(BTreeMap<u32, ProposalId>);
 
 impl Sessions {
-    /// Whether the proposal counts: none does that was applied already, or comes after later ones of its host.
+    /// Whether the proposal is to be applied: not if it, or a later one of its host, was applied before.
     pub(super) fn admit(&mut self, proposal: &Proposal) -> bool {
         if self.0.get(&proposal.host).is_some_and(|last| *last >= proposal.id) {
             return false;
@@ -82,7 +85,7 @@
         out.freeze()
     }
 
-    /// Takes the sessions of a snapshot's state in place of these; what is left are the state machine's own bytes.
+    /// Replaces the sessions by those of a snapshot's state; returns the state machine's own bytes.
     pub(super) fn restore_from(&mut self, mut state: Bytes) -> Bytes {
         self.clear();
         if state.len() < SESSION_COUNT_LEN {
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a replica is told when it starts.
+//! Settings of a replica.
 
 use crate::state::PersistentState;
 use std::collections::BTreeSet;
@@ -8,13 +8,13 @@
 /// Intervals and bounds that all replicas of a group share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RaftSettings {
-    /// Between two heartbeats of a leader.
+    /// Time between two heartbeats of a leader.
     pub heartbeat_interval: TimeDelta,
     /// Without a message from a leader for this long, and up to twice as long at random, a voter starts an election.
     pub election_timeout: TimeDelta,
     /// How long a lease lasts, from when it was requested.
     pub lease: TimeDelta,
-    /// Fraction by which the replicas' steady clocks may run apart.
+    /// Fraction by which the replicas' monotonic clocks may drift apart.
     pub max_clock_drift: f64,
     /// Host numbers are below this.
     pub host_count: u32,
@@ -34,7 +34,7 @@
     }
 }
 
-/// What one replica is made of.
+/// Settings and persistent state of one replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
     /// This replica's host number.
@@ -45,8 +45,8 @@
     pub raft: RaftSettings,
     /// Hosts that vote while the group has no log yet.
     pub initial_voters: BTreeSet<u32>,
-    /// What the disk has.
+    /// The state on its disk.
     pub persisted: PersistentState,
-    /// Of the random numbers: election timeouts, and ids of logs and disks.
+    /// Seed of its random numbers: election timeouts, and ids of logs and disks.
     pub seed: u64,
 }
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -13,7 +13,7 @@
     pub voted_for: Option<u32>,
 }
 
-/// What a replica's disk has.
+/// The state on a replica's disk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistentState {
     /// Term and vote.
@@ -24,7 +24,7 @@
     pub entries: Vec<Entry>,
     /// During bootstrap: the voters' disks that this replica has confirmed.
     pub confirmed_voters: Option<Voters>,
-    /// Disks of other voters as they were last heard of.
+    /// Disks of other voters, as they last reported them.
     pub known_disks: BTreeMap<u32, DiskIdentity>,
 }
 
@@ -52,6 +52,6 @@
     pub confirmed_voters: Option<Voters>,
     /// The disks of other voters.
     pub known_disks: Option<BTreeMap<u32, DiskIdentity>>,
-    /// The disk's new id: under its old one it votes no more.
+    /// The disk's new id. It does not vote with its old one any more.
     pub disk: Option<u64>,
 }
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -1,4 +1,4 @@
-//! What a replica tells operators, and tests.
+//! The state of a replica as operators and tests read it.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -18,9 +18,9 @@
 }
 
 impl fmt::Display for ReplicaRole {
-    /// The words that the admin protocol has for it.
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(match self {
+    /// As the admin protocol spells it.
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
+        out.write_str(match self {
             ReplicaRole::Follower => "follows",
             ReplicaRole::Candidate => "asks for votes",
             ReplicaRole::Leader => "leads",
