--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -20,6 +20,8 @@
 use crate::command::{ClientCommand, CommandRef, Verdict, Work};
 use crate::consensus::ConsensusDriver;
 use crate::error::{PersistError, PlanError};
+use crate::event::log::log_final_answer;
+use crate::event::{EndpointListEvent, HostEvent, OverrideEvent, PlanEvent};
 use crate::fair_queueing::{FairQueueCounts, FairQueueing, QueueKey, QueueTicket};
 use crate::layout::{key_id, Access, Layout};
 use crate::nodes::{ListEntry, Nodes};
@@ -39,7 +41,7 @@
 use tackmast::interface::*;
 use tackmast::scheduler::Scheduler;
 use tackmast_config::{HostSettings, TrafficClass};
-use tackmast_overrides::{Effective, NodeFacts, Overrides};
+use tackmast_overrides::{ClockStep, Effective, Ended, NodeFacts, Override, Overrides};
 
 /// Part of the grace of a drain after which links that still write to the node are cut.
 const GRACE_SHARE: f64 = 0.5;
--- a/crates/host-core/src/core/admin.rs
+++ b/crates/host-core/src/core/admin.rs
@@ -15,9 +15,9 @@
     pub fn handle_wall_clock(&mut self, now: Instant, wall_us: u64) {
         self.wall_offset_us = wall_us as i64 - (now.secs() * 1e6).round() as i64;
         let step = self.override_requests.as_mut().and_then(|o| o.overrides.handle_wall_clock(now, wall_us));
-        if let Some((put, audit)) = step {
-            self.log(audit.what.clone());
-            let batch = PersistBatch { put, audits: vec![audit], ..PersistBatch::default() };
+        if let Some(ClockStep { records, audit, moved_by }) = step {
+            self.emit(OverrideEvent::WallClockStepped { moved_by });
+            let batch = PersistBatch { put: records, audits: vec![audit], ..PersistBatch::default() };
             self.outputs.push_back(Output::Persist { request: 0, batch });
         }
     }
@@ -26,8 +26,8 @@
         ((now.secs() * 1e6).round() as i64 + self.wall_offset_us).max(0) as u64
     }
 
-    pub(super) fn log(&mut self, line: String) {
-        self.outputs.push_back(Output::Log { node: None, line });
+    pub(super) fn emit(&mut self, event: impl Into<HostEvent>) {
+        self.outputs.push_back(Output::Event(event.into()));
     }
 
     /// A request of an operator, under a number of the caller's that is not 0.
@@ -64,10 +64,10 @@
                     response: AdminResponse::Members(Box::new(status)),
                 });
             }
-            Some(OverrideOutcome::Respond { request, response: AdminResponse::Refused(r) })
+            Some(OverrideOutcome::Respond { request, response: AdminResponse::Refused(refusal) })
                 if Peers::is_from_peer(request) =>
             {
-                self.log(format!("a peer's override is rejected here: {r}"));
+                self.emit(OverrideEvent::PeerOverrideRefused { refusal });
             }
             Some(OverrideOutcome::Respond { request, response: AdminResponse::Explain(mut e) }) => {
                 let entry = self.nodes.number(&e.address.to_string()).and_then(|n| self.nodes.entry(n));
@@ -101,11 +101,11 @@
         }
         let persisted =
             self.override_requests.as_mut().and_then(|o| o.handle_persisted(now, request, result));
-        if let Some(PersistedOverride { response, line }) = persisted {
+        if let Some(PersistedOverride { response, event }) = persisted {
             if let Some(peers) = &mut self.peers {
                 peers.handle_override_response(now, &response);
             }
-            self.log(line);
+            self.emit(event);
             self.apply_changed_overrides(now);
             self.outputs.push_back(Output::AdminResponse { request, response });
         }
@@ -149,15 +149,15 @@
             return;
         };
         let ended = override_requests.overrides.handle_timeout(now, wall_us);
-        let mut lines = override_requests.standing_lines(now);
+        let mut events = override_requests.poll_active_report(now);
         let mut batch = PersistBatch::default();
-        for e in ended {
-            let o = &e.record;
-            lines.push(format!("override {} ended: {} {}, set by {}", o.id.0, o.target, o.kind, o.who));
-            batch.remove.push(o.id);
-            batch.audits.push(e.audit);
+        for Ended { record, audit } in ended {
+            batch.remove.push(record.id);
+            batch.audits.push(audit);
+            let Override { id, target, kind, who, .. } = record;
+            events.push(OverrideEvent::Ended { id, target, kind, who });
         }
-        lines.into_iter().for_each(|l| self.log(l));
+        events.into_iter().for_each(|event| self.emit(event));
         if batch != PersistBatch::default() {
             self.outputs.push_back(Output::Persist { request: 0, batch });
         }
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -24,6 +24,7 @@
     }
 
     pub(super) fn execute(&mut self, now: Instant, decision: Decision) {
+        log_final_answer(&decision);
         match decision {
             Decision::Send { request, node, timeout, begin_by } => {
                 self.send(now, request, node, timeout, begin_by)
@@ -37,7 +38,7 @@
             }
             Decision::FollowList => self.outputs.push_back(Output::FollowList { since: self.list_version }),
             Decision::Event(event) => {
-                self.outputs.push_back(Output::Log { node: event.node(), line: event.to_string() });
+                self.outputs.push_back(Output::Event(HostEvent::Scheduler(event)));
             }
         }
     }
--- a/crates/host-core/src/core/consensus.rs
+++ b/crates/host-core/src/core/consensus.rs
@@ -75,7 +75,7 @@
             }
         }
         if let Err(why) = result {
-            self.log(format!("consensus: write failed: {why}"));
+            self.emit(HostEvent::ConsensusWriteFailed { error: why.clone() });
         }
         self.advance_consensus(now);
         true
@@ -119,7 +119,7 @@
                     let why = "no word from those who agree on it: it may hold all the same, later; look at the log";
                     self.respond_to_proposal(number, PlanResponse::Refused { why: why.into() });
                 }
-                ReplicaOutput::Event(event) => self.log(event.to_string()),
+                ReplicaOutput::Event(event) => self.emit(HostEvent::Consensus(event)),
             }
         }
         self.complete_reads(now);
@@ -154,20 +154,12 @@
                 self.apply_plan_updates(now, &updates);
                 let Some(e) = entry else {
                     let acknowledged = self.plans.as_ref().map_or(0, |plans| plans.acknowledged().version);
-                    return self.log(format!(
-                        "plans: version {acknowledged} is stored on all hosts: lower fallback limits apply"
-                    ));
+                    return self.emit(PlanEvent::StoredOnAllHosts { version: acknowledged });
                 };
                 if let Some(consensus) = &mut self.consensus {
                     consensus.changed_at = index;
                 }
-                self.log(format!(
-                    "plans: change {} applied, by {}: {}; {} updates",
-                    e.number,
-                    e.change.who,
-                    e.change.why,
-                    updates.len()
-                ));
+                self.emit(PlanEvent::change_applied(&e, updates.len()));
                 if let Some(number) = mine {
                     let (number_, version, in_force_s) = (e.number, e.version, settle.secs());
                     let response =
@@ -177,7 +169,7 @@
             }
             Err(why) => {
                 if is_change {
-                    self.log(format!("plans: change rejected: {why}"));
+                    self.emit(PlanEvent::ChangeRejected { change: None, error: why.to_string() });
                 }
                 if let Some(number) = mine {
                     self.respond_to_proposal(number, PlanResponse::Refused { why: why.to_string() });
@@ -198,7 +190,7 @@
         };
         match restored {
             Ok(updates) => self.apply_plan_updates(now, &updates),
-            Err(e) => self.log(format!("plans: snapshot not readable: {e}")),
+            Err(error) => self.emit(PlanEvent::SnapshotUnreadable { error: error.to_string() }),
         }
     }
 
--- a/crates/host-core/src/core/endpoint_list.rs
+++ b/crates/host-core/src/core/endpoint_list.rs
@@ -25,8 +25,7 @@
                 Some(entry) => known.push(entry),
                 None => {
                     self.counters.nodes_over_bound += 1;
-                    let line = format!("node {} not accepted: the table of nodes is full", entry.address);
-                    self.outputs.push_back(Output::Log { node: None, line });
+                    self.emit(EndpointListEvent::NodeTableFull { address: entry.address.clone() });
                 }
             }
         }
--- a/crates/host-core/src/core/peers.rs
+++ b/crates/host-core/src/core/peers.rs
@@ -62,7 +62,7 @@
 
     /// A change applies here: it is replicated to peers.
     pub(super) fn apply_change(&mut self, now: Instant, change: AppliedChange) {
-        self.log(change.line);
+        self.emit(change.event);
         self.apply_plan_updates(now, &change.updates);
         if let Some(peers) = &mut self.peers {
             let version = tackmast_membership::CatalogVersion { number: change.number, mark: change.mark };
@@ -182,7 +182,7 @@
                     self.scheduler.quota_leases_changed(now, change);
                 }
                 PeerEvent::Send { to, bytes } => self.outputs.push_back(Output::Datagram { to, bytes }),
-                PeerEvent::Mode(line) => self.log(line),
+                PeerEvent::Membership { text } => self.emit(HostEvent::Membership { text }),
                 PeerEvent::AdminRequest { request, admin_request } => {
                     self.handle_admin_request(now, request, admin_request)
                 }
@@ -201,7 +201,8 @@
                         Ok(change) => self.apply_and_persist_change(now, change),
                         Err(why) => {
                             peers.member.catalog.handle_rejected();
-                            self.log(format!("plans: change {} rejected: {why}", p.number));
+                            let (change, error) = (Some(p.number), why.to_string());
+                            self.emit(PlanEvent::ChangeRejected { change, error });
                         }
                     }
                 }
--- a/crates/host-core/src/core/removed_nodes.rs
+++ b/crates/host-core/src/core/removed_nodes.rs
@@ -27,9 +27,10 @@
     pub(super) fn handle_peer_node_list(&mut self, now: Instant, event: NodeListEvent) {
         match event {
             NodeListEvent::Behind { .. } => self.outputs.push_back(Output::FetchList),
-            NodeListEvent::RolledBack { from, to } => self.log(format!(
-                "endpoint list: a peer's went back from version {from} to {to}; nodes draining or gone at {from} stay so for {REMOVAL_S} s, or until it is past {from}"
-            )),
+            NodeListEvent::RolledBack { from, to } => {
+                let kept_for = TimeDelta::from_secs(REMOVAL_S);
+                self.emit(EndpointListEvent::PeerListRolledBack { from, to, kept_for });
+            }
             NodeListEvent::Removed { version, removal: stop } => self.remove_by_peer(now, version, stop),
         }
     }
@@ -41,20 +42,15 @@
         let known = self.removed_nodes.held.contains_key(&stop.address);
         if !known && self.removed_nodes.held.len() >= MAX_REMOVED_NODES {
             if !std::mem::replace(&mut self.removed_nodes.full, true) {
-                self.log(format!(
-                    "endpoint list: {MAX_REMOVED_NODES} nodes are removed by peers' lists; no more are accepted"
-                ));
+                self.emit(EndpointListEvent::PeerRemovalsFull { max: MAX_REMOVED_NODES });
             }
             return;
         }
         let until = now + TimeDelta::from_secs(REMOVAL_S);
         let before = self.removed_nodes.held.insert(stop.address.clone(), (version, until));
         if before.is_none() {
-            let state = if stop.gone { "gone" } else { "draining" };
-            self.log(format!(
-                "endpoint list: node {} is {state} in version {version} of a peer",
-                stop.address
-            ));
+            let (address, is_gone) = (stop.address.clone(), stop.gone);
+            self.emit(EndpointListEvent::NodeRemovedByPeer { address, is_gone, version });
         }
         self.refresh_nodes(now, &[stop.address]);
     }
--- /dev/null
+++ b/crates/host-core/src/event.rs
@@ -0,0 +1,107 @@
+//! What a host has to say to operators: a fixed message and named fields. docs/on-call.md has a row for each message.
+//!
+//! The core only makes events; `event::log` is the one place that turns them into events of `tracing`.
+
+mod endpoint_list;
+pub mod log;
+mod overrides;
+mod plans;
+
+pub use self::endpoint_list::EndpointListEvent;
+pub use self::overrides::OverrideEvent;
+pub use self::plans::PlanEvent;
+
+use crate::error::PersistError;
+use std::fmt::{Display, Formatter, Result};
+use tackmast::interface::{NodeId, SchedulerEvent};
+
+/// Something that an operator may want to know.
+#[derive(Clone, Debug, PartialEq)]
+pub enum HostEvent {
+    /// Of the scheduler.
+    Scheduler(SchedulerEvent),
+    /// Of the replica of this host.
+    Consensus(tackmast_consensus::Event),
+    /// The store could not write what consensus needs.
+    ConsensusWriteFailed {
+        /// Why not.
+        error: PersistError,
+    },
+    /// Of the group of hosts.
+    Membership {
+        /// What happened, as the member describes it.
+        text: String,
+    },
+    /// Of the endpoint list.
+    EndpointList(EndpointListEvent),
+    /// Of the overrides that operators set.
+    Override(OverrideEvent),
+    /// Of plans that change.
+    Plan(PlanEvent),
+}
+
+impl HostEvent {
+    /// The message, the same for every event of its kind.
+    pub fn message(&self) -> &'static str {
+        match self {
+            HostEvent::Scheduler(event) => event.message(),
+            HostEvent::Consensus(_) => "consensus",
+            HostEvent::ConsensusWriteFailed { .. } => "consensus: write failed",
+            HostEvent::Membership { .. } => "membership",
+            HostEvent::EndpointList(event) => event.message(),
+            HostEvent::Override(event) => event.message(),
+            HostEvent::Plan(event) => event.message(),
+        }
+    }
+
+    /// The node that it is about, if it is about one that the scheduler knows.
+    pub fn node(&self) -> Option<NodeId> {
+        match self {
+            HostEvent::Scheduler(event) => event.node(),
+            HostEvent::Consensus(_)
+            | HostEvent::ConsensusWriteFailed { .. }
+            | HostEvent::Membership { .. }
+            | HostEvent::EndpointList(_)
+            | HostEvent::Override(_)
+            | HostEvent::Plan(_) => None,
+        }
+    }
+}
+
+/// One line: the message, then `name=value` for each field; times in seconds.
+impl Display for HostEvent {
+    fn fmt(&self, out: &mut Formatter<'_>) -> Result {
+        match self {
+            HostEvent::Scheduler(event) => event.fmt(out),
+            HostEvent::Consensus(event) => write!(out, "{} event={:?}", self.message(), event.to_string()),
+            HostEvent::ConsensusWriteFailed { error } => {
+                write!(out, "{} error={:?}", self.message(), error.to_string())
+            }
+            HostEvent::Membership { text } => write!(out, "{} event={text:?}", self.message()),
+            HostEvent::EndpointList(event) => event.fmt(out),
+            HostEvent::Override(event) => event.fmt(out),
+            HostEvent::Plan(event) => event.fmt(out),
+        }
+    }
+}
+
+impl From<EndpointListEvent> for HostEvent {
+    fn from(event: EndpointListEvent) -> Self {
+        HostEvent::EndpointList(event)
+    }
+}
+
+impl From<OverrideEvent> for HostEvent {
+    fn from(event: OverrideEvent) -> Self {
+        HostEvent::Override(event)
+    }
+}
+
+impl From<PlanEvent> for HostEvent {
+    fn from(event: PlanEvent) -> Self {
+        HostEvent::Plan(event)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/host-core/src/lib.rs
+++ b/crates/host-core/src/lib.rs
@@ -13,6 +13,7 @@
 //! | `core::peers` | datagrams of peers, and changes of plans |
 //! | `core::consensus`, `core::replicated_plans` | the replicated log, and requests about plans that it carries |
 //! | `command`, `attempt`, `output`, `error` | messages to and from the shell that drives the core |
+//! | `event` | what operators are told, and its way into the log |
 //! | `admission` | bounds of the tables, by session and volume |
 //! | `combine` | one answer for a command of several parts |
 //! | `fair_queueing` | start-time fair queueing among the sessions of a volume |
@@ -33,6 +34,7 @@
 mod consensus;
 mod core;
 mod error;
+mod event;
 mod fair_queueing;
 mod layout;
 mod members_status;
@@ -52,6 +54,8 @@
     raft_settings, ConsensusDriver, ConsensusRequest, ConsensusResponse, ConsensusStart, ConsensusStatus,
 };
 pub use error::{PersistError, PlanError};
+pub use event::log::log_event;
+pub use event::{EndpointListEvent, HostEvent, OverrideEvent, PlanEvent};
 pub use fair_queueing::{FairQueueCounts, FairQueueing, QueueKey, QueueTicket};
 pub use layout::{Access, Layout, Part};
 pub use members_status::{DeathStatus, MembersStatus, PeerStatus, SiteStatus};
--- a/crates/host-core/src/output.rs
+++ b/crates/host-core/src/output.rs
@@ -2,6 +2,7 @@
 
 use crate::attempt::{AttemptId, SendAttempt};
 use crate::command::{CommandRef, Verdict};
+use crate::event::HostEvent;
 use crate::override_requests::{AdminResponse, PersistBatch};
 use bytes::Bytes;
 use tackmast::interface::NodeId;
@@ -61,13 +62,8 @@
         /// The datagram.
         bytes: Bytes,
     },
-    /// A change of mode, with its figures, and the node it is about.
-    Log {
-        /// The node, where it is about one.
-        node: Option<NodeId>,
-        /// The line, for the log.
-        line: String,
-    },
+    /// Something for the log; nothing is to be done.
+    Event(HostEvent),
 }
 
 /// What happened since the start, for metrics.
--- a/crates/host-core/src/override_requests.rs
+++ b/crates/host-core/src/override_requests.rs
@@ -2,6 +2,7 @@
 //! reach the scheduler as node states, weights and pins.
 
 use crate::error::PersistError;
+use crate::event::OverrideEvent;
 use crate::peers::HostIdentity;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -13,9 +14,10 @@
 
 /// Requests that may wait for the one before them to be written.
 const MAX_QUEUED: usize = 256;
-/// Seconds between reports of active overrides in the log, and how many of them get a line.
+/// Seconds between reports of active overrides in the log.
 const REPORT_INTERVAL_S: f64 = 3600.0;
-const MAX_REPORT_LINES: usize = 20;
+/// Active overrides that such a report names one by one.
+const MAX_REPORTED_OVERRIDES: usize = 20;
 
 /// What an operator asks of one host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -196,7 +198,7 @@
     /// The answer to whoever asked for it.
     pub response: AdminResponse,
     /// For the log.
-    pub line: String,
+    pub event: OverrideEvent,
 }
 
 impl OverrideRequests {
@@ -296,37 +298,36 @@
         result: Result<(), PersistError>,
     ) -> Option<PersistedOverride> {
         let (_, pending) = self.pending.take_if(|(r, _)| *r == request)?;
-        let (response, line) = match (pending, result) {
+        let (response, event) = match (pending, result) {
             (Pending::Put(put), Err(error)) => {
                 let (record, _) = *put;
-                let line = format!("override of {} not written: {error}", record.target);
-                (AdminResponse::NotKept { why: error.to_string() }, line)
+                let response = AdminResponse::NotKept { why: error.to_string() };
+                (response, OverrideEvent::NotWritten { target: record.target, error })
             }
             (Pending::Put(put), Ok(())) => {
                 let (record, preview) = *put;
-                let line = format!(
-                    "override {} set by {}: {} {}, {} nodes change: {}",
-                    record.id.0,
-                    record.who,
-                    record.target,
-                    record.kind,
-                    preview.changes.len(),
-                    record.reason
-                );
+                let event = OverrideEvent::Set {
+                    id: record.id,
+                    target: record.target,
+                    kind: record.kind,
+                    who: record.who.clone(),
+                    reason: record.reason.clone(),
+                    changed_nodes: preview.changes.len(),
+                };
                 self.overrides.put(now, record.clone());
-                (AdminResponse::Set { record, preview, dry_run: false }, line)
+                (AdminResponse::Set { record, preview, dry_run: false }, event)
             }
             (Pending::Clear(id, _), Err(error)) => {
-                let line = format!("override {} remains: clearing it was not written: {error}", id.0);
-                (AdminResponse::NotKept { why: error.to_string() }, line)
+                let response = AdminResponse::NotKept { why: error.to_string() };
+                (response, OverrideEvent::ClearingNotWritten { id, error })
             }
             // It may have ended while its clearing was written; either way it does not stand.
             (Pending::Clear(id, who), Ok(())) => {
                 _ = self.overrides.clear(now, id, &who);
-                (AdminResponse::Cleared { id }, format!("override {} cleared by {who}", id.0))
+                (AdminResponse::Cleared { id }, OverrideEvent::Cleared { id, who })
             }
         };
-        Some(PersistedOverride { response, line })
+        Some(PersistedOverride { response, event })
     }
 
     /// The next queued request, once none is pending.
@@ -337,24 +338,26 @@
         self.queued.pop_front()
     }
 
-    /// Log lines about active overrides, at the start and each hour.
-    pub fn standing_lines(&mut self, now: Instant) -> Vec<String> {
+    /// Reports active overrides, at the start and each hour.
+    pub fn poll_active_report(&mut self, now: Instant) -> Vec<OverrideEvent> {
         if now < self.next_report_at {
             return Vec::new();
         }
         self.next_report_at = now + TimeDelta::from_secs(REPORT_INTERVAL_S);
         let standing = self.overrides.list(now);
-        let line = |(o, left): &(Override, f64)| {
-            format!(
-                "override {} active: {} {}, {left:.0} s left, by {}: {}",
-                o.id.0, o.target, o.kind, o.who, o.reason
-            )
+        let active = |(record, left_secs): &(Override, f64)| OverrideEvent::Active {
+            id: record.id,
+            target: record.target,
+            kind: record.kind,
+            time_left: TimeDelta::from_secs(*left_secs),
+            who: record.who.clone(),
+            reason: record.reason.clone(),
         };
-        let mut lines: Vec<String> = standing.iter().take(MAX_REPORT_LINES).map(line).collect();
-        if standing.len() > MAX_REPORT_LINES {
-            lines.push(format!("{} more overrides are active", standing.len() - MAX_REPORT_LINES));
+        let mut events: Vec<_> = standing.iter().take(MAX_REPORTED_OVERRIDES).map(active).collect();
+        if standing.len() > MAX_REPORTED_OVERRIDES {
+            events.push(OverrideEvent::MoreActive { count: standing.len() - MAX_REPORTED_OVERRIDES });
         }
-        lines
+        events
     }
 
     /// When an override ends, or the next report is due.
--- a/crates/host-core/src/peers.rs
+++ b/crates/host-core/src/peers.rs
@@ -45,7 +45,10 @@
         to: SocketAddr,
         bytes: Bytes,
     },
-    Mode(String),
+    /// For the log, as the member describes it.
+    Membership {
+        text: String,
+    },
     AdminRequest {
         request: u64,
         admin_request: AdminRequest,
@@ -175,7 +178,7 @@
         if let Some(o) = self.member.poll_output() {
             return Some(match o {
                 Output::Send { to, bytes } => PeerEvent::Send { to, bytes },
-                Output::Log(line) => PeerEvent::Mode(line),
+                Output::Log(text) => PeerEvent::Membership { text },
                 Output::CatalogUpdate(p) => PeerEvent::CatalogUpdate(p),
                 Output::Persist(r) => PeerEvent::Persist(r),
                 Output::NodeList(c) => PeerEvent::NodeList(c),
--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -12,6 +12,7 @@
 pub use self::messages::{PlanRequest, PlanResponse, PlanStatus};
 pub(crate) use self::replicated::{ChangePreview, CommittedChange};
 use crate::error::{PersistError, PlanError};
+use crate::event::PlanEvent;
 use std::collections::{BTreeMap, VecDeque};
 use tackmast::interface::{Instant, Plan as Figures, PlanId, TimeDelta};
 use tackmast_config::{HostSettings, PlansBlock};
@@ -294,20 +295,14 @@
         let to = self.change_log.catalogue.clone();
         let updates = self.updates(before, &to);
         let entry = self.change_log.entries.last()?;
-        let line = format!(
-            "plans: change {} applied, by {}: {}; {} updates",
-            entry.number,
-            entry.change.who,
-            entry.change.why,
-            updates.len()
-        );
+        let event = PlanEvent::change_applied(entry, updates.len());
         Some(AppliedChange {
             updates,
             number: entry.number,
             mark: mark(&entry.digest),
             text: entry.to_line(),
             effective_at: self.effective_at,
-            line,
+            event,
         })
     }
 
--- a/crates/host-core/src/plans/changes.rs
+++ b/crates/host-core/src/plans/changes.rs
@@ -1,6 +1,7 @@
 //! What changes of plans lead to: updates for this host, texts for peers, writes and answers.
 
 use super::messages::PlanResponse;
+use crate::event::PlanEvent;
 use tackmast::interface::{Instant, Plan as Figures, PlanId};
 use tackmast_plans::Entry;
 
@@ -82,5 +83,5 @@
     /// When all hosts go by it.
     pub effective_at: Instant,
     /// For the log.
-    pub line: String,
+    pub event: PlanEvent,
 }
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -335,8 +335,13 @@
     let many: Vec<ListEntry> = (0..4).map(|i| entry(&format!("n{i}"), i, NodeState::Ready)).collect();
     r.list(5, 6, &many);
     assert_eq!(r.core.counters.nodes_over_bound, 2);
-    let told =
-        r.other.iter().filter(|o| matches!(o, Output::Log { line, .. } if line.contains("is full"))).count();
+    let told = r
+        .other
+        .iter()
+        .filter(|o| {
+            matches!(o, Output::Event(HostEvent::EndpointList(EndpointListEvent::NodeTableFull { .. })))
+        })
+        .count();
     assert_eq!(told, 2);
 }
 
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -288,9 +288,9 @@
                 self.bytes(to.to_string().as_bytes());
                 self.bytes(bytes);
             }
-            Output::Log { node, .. } => {
+            Output::Event(event) => {
                 self.kind(10);
-                self.number(node.map_or(u64::MAX, |node| u64::from(node.0)));
+                self.number(event.node().map_or(u64::MAX, |node| u64::from(node.0)));
             }
         }
     }
@@ -698,7 +698,7 @@
                 self.counts.datagrams += 1;
                 datagrams.push((host, to, bytes));
             }
-            Output::Log { .. } => self.counts.log_lines += 1,
+            Output::Event(_) => self.counts.log_lines += 1,
         }
     }
 
--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -17,8 +17,8 @@
 use tackmast_admin::Answer;
 use tackmast_config::HostSettings;
 use tackmast_host_core::{
-    AdminRequest, Age, AttemptResult, ClientCommand, CommandRef, Core, Counters, ListEntry, OpenCounts,
-    Output, PersistError, Work,
+    log_event, AdminRequest, Age, AttemptResult, ClientCommand, CommandRef, Core, Counters, ListEntry,
+    OpenCounts, Output, PersistError, Work,
 };
 
 /// Events taken before the outputs they caused are carried out.
@@ -346,9 +346,8 @@
                         p.send(to, &bytes);
                     }
                 }
-                Output::Log { node, line } => {
-                    let node = node.and_then(|n| self.core.nodes().address(n)).unwrap_or("-");
-                    tracing::info!(host = self.settings.host.number, node, "{line}");
+                Output::Event(event) => {
+                    log_event(Some(self.settings.host.number), self.core.nodes(), &event);
                 }
             }
         }
--- a/crates/overrides/src/lib.rs
+++ b/crates/overrides/src/lib.rs
@@ -26,6 +26,6 @@
 pub use audit::{Audit, AuditKind, Ended};
 pub use explanation::Explanation;
 pub use order::{Kind, Order, Origin, Override, OverrideId, Target, TargetError};
-pub use overrides::{Effective, Overrides, Settings};
+pub use overrides::{ClockStep, Effective, Overrides, Settings};
 pub use precedence::{Applies, NodeFacts, OverrideEffect, Rank, Service, Superseded};
 pub use refusal::{Preview, Refusal};
--- a/crates/overrides/src/overrides.rs
+++ b/crates/overrides/src/overrides.rs
@@ -38,6 +38,17 @@
     pub pinned: bool,
 }
 
+/// A step of the wall clock, by which the ends of all overrides move in wall time.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ClockStep {
+    /// The overrides with their new times, to be persisted again.
+    pub records: Vec<Override>,
+    /// What the audit log gets.
+    pub audit: Audit,
+    /// How far the clock moved, forwards if positive.
+    pub moved_by: TimeDelta,
+}
+
 /// The overrides of one host, and what follows from them for each node.
 pub struct Overrides {
     settings: Settings,
@@ -286,7 +297,7 @@
 
     /// Compares the wall clock with the steady one. After a step of the wall clock overrides keep their running time; the records
     /// with their new ends in wall time have to be persisted again, for a later generation.
-    pub fn handle_wall_clock(&mut self, now: Instant, wall_us: u64) -> Option<(Vec<Override>, Audit)> {
+    pub fn handle_wall_clock(&mut self, now: Instant, wall_us: u64) -> Option<ClockStep> {
         let offset = wall_us as i64 - micros(now);
         let step = offset - self.offset_us;
         if step.abs() < MIN_CLOCK_STEP_US {
@@ -302,7 +313,8 @@
             format!("the wall clock moved by {:.3} s; ends keep their running time", step as f64 / 1e6);
         let audit =
             Audit { at_us: wall_us, kind: AuditKind::ClockStepped, id: None, who: String::new(), what };
-        Some((self.all.values().cloned().collect(), audit))
+        let moved_by = TimeDelta::from_secs(step as f64 / 1e6);
+        Some(ClockStep { records: self.all.values().cloned().collect(), audit, moved_by })
     }
 
     /// Why a node is given what it is given.
--- a/crates/overrides/tests/overrides.rs
+++ b/crates/overrides/tests/overrides.rs
@@ -113,8 +113,9 @@
         let id = set(&mut o, 0.0, &order("10.0.0.3:9000", Kind::OutOfService, 100.0));
         let seen = o.handle_wall_clock(at(10.0), wall(10.0 + step));
         assert_eq!(seen.is_some(), step.abs() > 1.0, "{step}");
-        if let Some((records, audit)) = seen {
+        if let Some(ClockStep { records, audit, moved_by }) = seen {
             assert_eq!(audit.kind, AuditKind::ClockStepped);
+            assert_eq!(moved_by.secs(), step, "{step}");
             assert_eq!(records[0].ends_us, wall(100.0 + step), "{step}: so that a restart agrees");
         }
         assert!(o.handle_wall_clock(at(11.0), wall(11.0 + step)).is_none(), "{step}: told once");
--- a/crates/platform-host/src/host/attempts.rs
+++ b/crates/platform-host/src/host/attempts.rs
@@ -82,7 +82,7 @@
                     self.poll_list(now);
                 }
             }
-            Output::Log { line, .. } => tracing::info!("{line}"),
+            Output::Event(event) => tackmast_host_core::log_event(None, self.core.nodes(), &event),
             // This host takes no operators' orders and has no membership.
             Output::Persist { .. } | Output::AdminResponse { .. } | Output::Datagram { .. } => {}
         }
--- a/crates/simulator/src/sim/hosts.rs
+++ b/crates/simulator/src/sim/hosts.rs
@@ -73,7 +73,7 @@
                 Output::Persist { request, batch } => self.keep(h, request, batch),
                 Output::AdminResponse { response, .. } => self.ordered(h, response),
                 Output::Datagram { to, bytes } => self.post(h, to, &bytes),
-                Output::Log { .. } => {}
+                Output::Event(_) => {}
             }
         }
         if let Some(core) = self.hosts[h as usize].core.core().filter(|_| self.w.members.is_some()) {
