--- a/crates/host-core/src/combine.rs
+++ b/crates/host-core/src/combine.rs
@@ -5,7 +5,7 @@
 
 /// How far one part has come. `ran` tells whether an attempt of it may have had an effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum PartState {
+pub(crate) enum PartState {
     /// It has no end yet.
     Open {
         /// Whether an attempt may have had an effect.
@@ -30,7 +30,7 @@
 
 /// The one answer of all parts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Combined {
+pub(crate) enum Combined {
     /// All parts are done.
     Done,
     /// A retry is safe, after this wait where one is advised.
@@ -44,7 +44,7 @@
 
 /// Who chose the idempotency key by which nodes recognise a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeySource {
+pub(crate) enum KeySource {
     /// The client: the key is the same at each of its retries.
     Client,
     /// This host: the key differs between the client's retries.
@@ -64,7 +64,7 @@
 /// The command's answer, if it is certain by now. A rejected part settles it at once: a client that is answered
 /// early can come back early. Rejected promises that a retry is safe, so one part that may have run makes it
 /// failed where the effect does not bear a second run.
-pub fn combine(effect: Effect, key_source: KeySource, parts: &[PartState]) -> Option<Combined> {
+pub(crate) fn combine(effect: Effect, key_source: KeySource, parts: &[PartState]) -> Option<Combined> {
     let mut rejected = false;
     let mut retry_after: Option<TimeDelta> = None;
     for part in parts {
--- a/crates/host-core/src/consensus.rs
+++ b/crates/host-core/src/consensus.rs
@@ -160,7 +160,7 @@
 }
 
 /// The settings of Raft that the settings of a host amount to.
-pub fn raft_settings(s: &HostSettings, a: &ConsensusBlock) -> RaftSettings {
+pub(crate) fn raft_settings(s: &HostSettings, a: &ConsensusBlock) -> RaftSettings {
     RaftSettings {
         heartbeat_interval: TimeDelta::from_secs(a.heartbeat_interval_ms / 1e3),
         election_timeout: TimeDelta::from_secs(a.election_timeout_ms / 1e3),
--- a/crates/host-core/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -31,7 +31,7 @@
         }
         // A full table answers at once with when to retry; nothing is dropped in silence.
         let usage = Usage { requests: placement.parts.len(), bytes: placement.bytes };
-        if let Err(wait) = self.admission.enter(now, from.session, volume, usage) {
+        if let Err(wait) = self.admission.admit(now, from.session, volume, usage) {
             self.counters.over_bound += 1;
             return self.reject(from, Some(wait));
         }
@@ -156,7 +156,7 @@
             return self.reject(from, Some(self.longest_wait));
         };
         let usage = Usage { requests: 1, bytes: placed.request.bytes() };
-        if let Err(wait) = self.admission.enter(now, from.session, volume, usage) {
+        if let Err(wait) = self.admission.admit(now, from.session, volume, usage) {
             self.counters.over_bound += 1;
             return self.reject(from, Some(wait));
         }
@@ -325,7 +325,7 @@
 
     pub(super) fn forget_command(&mut self, now: Instant, from: CommandRef, c: &OpenCommand) {
         let held = Usage { requests: c.parts.len(), bytes: c.bytes };
-        self.admission.leave(now, from.session, c.volume, held);
+        self.admission.release(now, from.session, c.volume, held);
         if let Some(open) = self.sessions.get_mut(&from.session) {
             open.remove(&from.command);
             if open.is_empty() {
--- a/crates/host-core/src/core/removed_nodes.rs
+++ b/crates/host-core/src/core/removed_nodes.rs
@@ -17,7 +17,7 @@
 
 impl RemovedNodes {
     /// Whether it is not to be chosen by a host whose list is at that version.
-    pub fn takes(&self, address: &str, version: u64) -> bool {
+    pub(crate) fn takes(&self, address: &str, version: u64) -> bool {
         self.held.get(address).is_some_and(|(v, _)| *v > version)
     }
 }
--- a/crates/host-core/src/event.rs
+++ b/crates/host-core/src/event.rs
@@ -3,7 +3,7 @@
 //! The core only makes events; `event::log` is the one place that turns them into events of `tracing`.
 
 mod endpoint_list;
-pub mod log;
+pub(crate) mod log;
 mod overrides;
 mod plans;
 
--- a/crates/host-core/src/fair_queueing.rs
+++ b/crates/host-core/src/fair_queueing.rs
@@ -12,7 +12,7 @@
 
 /// What waits for the same shard, volume and traffic class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct QueueKey {
+pub(crate) struct QueueKey {
     /// The shard.
     pub shard: u32,
     /// The volume.
@@ -24,7 +24,7 @@
 /// A request's place in its queue, to be returned once: by `sent` or by `cancelled`.
 #[derive(Debug, PartialEq)]
 #[must_use]
-pub struct QueueTicket {
+pub(crate) struct QueueTicket {
     queue: QueueKey,
     session: u32,
     units: f64,
@@ -60,7 +60,7 @@
 
 /// The queues that are not empty; bounded by what waits, since an empty queue is dropped.
 #[derive(Debug, Default)]
-pub struct FairQueueing {
+pub(crate) struct FairQueueing {
     queues: BTreeMap<QueueKey, FairQueue>,
 }
 
@@ -75,7 +75,7 @@
 
 impl FairQueueing {
     /// Enters a request of a session that costs so many units.
-    pub fn enqueue(&mut self, name: QueueKey, session: u32, units: f64) -> QueueTicket {
+    pub(crate) fn enqueue(&mut self, name: QueueKey, session: u32, units: f64) -> QueueTicket {
         let queue = self.queues.entry(name).or_insert_with(FairQueue::new);
         queue.evict_idle();
         queue.waiting += 1;
@@ -88,7 +88,7 @@
     }
 
     /// Its first attempt left: virtual time is there.
-    pub fn sent(&mut self, queue_ticket: QueueTicket) {
+    pub(crate) fn sent(&mut self, queue_ticket: QueueTicket) {
         if let Some(queue) = self.queues.get_mut(&queue_ticket.queue) {
             queue.virtual_time = queue.virtual_time.max(queue_ticket.tag);
         }
@@ -97,13 +97,13 @@
 
     /// It ended without an attempt. What was never served isn't charged: else a session whose requests were all given up
     /// would stand behind the others for as long as it would have taken to serve them.
-    pub fn cancelled(&mut self, queue_ticket: QueueTicket) {
+    pub(crate) fn cancelled(&mut self, queue_ticket: QueueTicket) {
         self.remove(&queue_ticket, queue_ticket.units);
     }
 
     /// The session ended, all its tickets were returned: against sessions that come and go while virtual time stands
     /// still, since each newcomer starts where it stands.
-    pub fn session_closed(&mut self, session: u32) {
+    pub(crate) fn session_closed(&mut self, session: u32) {
         for queue in self.queues.values_mut() {
             if queue.sessions.get(&session).is_some_and(|(_, waiting)| *waiting == 0) {
                 queue.sessions.remove(&session);
@@ -128,7 +128,7 @@
     }
 
     /// Queues, and sessions remembered in them.
-    pub fn counts(&self) -> FairQueueCounts {
+    pub(crate) fn counts(&self) -> FairQueueCounts {
         let sessions = self.queues.values().map(|queue| queue.sessions.len()).sum();
         FairQueueCounts { queues: self.queues.len(), sessions }
     }
--- a/crates/host-core/src/layout.rs
+++ b/crates/host-core/src/layout.rs
@@ -136,7 +136,7 @@
 
 /// The scheduler knows keys by small numbers. Two that share one wait for each other: that costs a little
 /// time, and never order; nothing has to be remembered for as long as a key rests.
-pub fn key_id(key: u64) -> KeyId {
+pub(crate) fn key_id(key: u64) -> KeyId {
     let mixed = (key ^ key >> 32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     KeyId((mixed >> 32) as u32)
 }
--- a/crates/host-core/src/lib.rs
+++ b/crates/host-core/src/lib.rs
@@ -25,7 +25,7 @@
 //! | `override_requests` | requests of operators that set or clear overrides |
 //! | `ticket` | the claim or withdrawal of an attempt, shared with its connection |
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 mod admission;
 mod attempt;
@@ -48,25 +48,19 @@
 
 pub use crate::core::Core;
 pub use attempt::{AttemptId, AttemptResult, AttemptWork, Begin, SendAttempt};
-pub use combine::{combine, Combined, KeySource, PartState};
 pub use command::{ClientCommand, CommandRef, Verdict, Work};
-pub use consensus::{
-    raft_settings, ConsensusDriver, ConsensusRequest, ConsensusResponse, ConsensusStart, ConsensusStatus,
-};
-pub use error::{PersistError, PlanError};
+pub use consensus::{ConsensusDriver, ConsensusRequest, ConsensusResponse, ConsensusStart, ConsensusStatus};
+pub use error::PersistError;
 pub use event::log::log_event;
 pub use event::{EndpointListEvent, HostEvent, OverrideEvent, PlanEvent};
-pub use fair_queueing::{FairQueueCounts, FairQueueing, QueueKey, QueueTicket};
+pub use fair_queueing::FairQueueCounts;
 pub use layout::{Access, Layout, Part};
 pub use members_status::{DeathStatus, MembersStatus, PeerStatus, SiteStatus};
 pub use nodes::{Age, ListEntry, NodeStart, Nodes};
 pub use output::{Counters, OpenCounts, Output};
-pub use override_requests::{AdminRequest, AdminResponse, HostStatus, OverrideRequests, PersistBatch};
-pub use peers::{member_settings, HostIdentity, Peers};
-pub use placed::{OpaqueRequest, PlacedRequest, PlacedSettings, VolumeNames};
-pub use plans::{
-    AppliedChange, PersistedChange, PlanRequest, PlanResponse, PlanStatus, PlanUpdate, Plans, StoredPlans,
-    VolumeLimit,
-};
+pub use override_requests::{AdminRequest, AdminResponse, HostStatus, PersistBatch};
+pub use peers::{member_settings, Peers};
+pub use placed::{OpaqueRequest, PlacedRequest, PlacedSettings};
+pub use plans::{PlanRequest, PlanResponse, PlanStatus, Plans, StoredPlans, VolumeLimit};
 pub use tackmast_membership::{KnownPeer, PersistedMembers, PreviousExit};
 pub use ticket::Ticket;
--- a/crates/host-core/src/override_requests.rs
+++ b/crates/host-core/src/override_requests.rs
@@ -165,7 +165,7 @@
 }
 
 /// Overrides, and the one request at a time that changes them.
-pub struct OverrideRequests {
+pub(crate) struct OverrideRequests {
     /// The overrides that are set.
     pub overrides: Overrides,
     pending: Option<(u64, Pending)>,
@@ -176,7 +176,7 @@
 }
 
 /// What a request leads to.
-pub enum OverrideOutcome {
+pub(crate) enum OverrideOutcome {
     /// An answer at once.
     Respond {
         /// The number that the request came under.
@@ -194,7 +194,7 @@
 }
 
 /// What became of a change that was given to the store.
-pub struct PersistedOverride {
+pub(crate) struct PersistedOverride {
     /// The answer to whoever asked for it.
     pub response: AdminResponse,
     /// For the log.
@@ -203,13 +203,13 @@
 
 impl OverrideRequests {
     /// Takes over overrides that are set.
-    pub fn new(now: Instant, overrides: Overrides) -> Self {
+    pub(crate) fn new(now: Instant, overrides: Overrides) -> Self {
         OverrideRequests { overrides, pending: None, queued: VecDeque::new(), next_report_at: now, me: None }
     }
 
     /// Answers a request, or starts writing what it asks for. Two overrides at once could each leave a shard its last node
     /// that the other takes, so they are judged one after the other.
-    pub fn handle_request(
+    pub(crate) fn handle_request(
         &mut self,
         now: Instant,
         wall_us: u64,
@@ -291,7 +291,7 @@
     }
 
     /// The store has written a change, and it applies, or could not, and it never does.
-    pub fn handle_persisted(
+    pub(crate) fn handle_persisted(
         &mut self,
         now: Instant,
         request: u64,
@@ -331,7 +331,7 @@
     }
 
     /// The next queued request, once none is pending.
-    pub fn next_queued(&mut self) -> Option<(u64, AdminRequest)> {
+    pub(crate) fn next_queued(&mut self) -> Option<(u64, AdminRequest)> {
         if self.pending.is_some() {
             return None;
         }
@@ -339,7 +339,7 @@
     }
 
     /// Reports active overrides, at the start and each hour.
-    pub fn poll_active_report(&mut self, now: Instant) -> Vec<OverrideEvent> {
+    pub(crate) fn poll_active_report(&mut self, now: Instant) -> Vec<OverrideEvent> {
         if now < self.next_report_at {
             return Vec::new();
         }
@@ -361,7 +361,7 @@
     }
 
     /// When an override ends, or the next report is due.
-    pub fn next(&self, now: Instant) -> Option<Instant> {
+    pub(crate) fn next(&self, now: Instant) -> Option<Instant> {
         [self.overrides.poll_timeout(now), Some(self.next_report_at)].into_iter().flatten().min()
     }
 }
--- a/crates/host-core/src/placed.rs
+++ b/crates/host-core/src/placed.rs
@@ -1,12 +1,12 @@
-//! Requests that arrive already placed: their client names volume, plan, traffic class, shard and key, and the host only
-//! decides when and whether they leave. What they make the node do is opaque here.
+//! Requests that arrive already placed: their client names volume, plan, traffic class, shard and key, and the host only decides
+//! whether and when they are sent. What they make the node do is opaque here.
 
 use bytes::Bytes;
 use std::collections::HashMap;
 use tackmast::interface::{Instant, PlanId, ShardId, TimeDelta, TrafficClassId};
 use tackmast_config::TrafficClass;
 
-/// What is written to a node: the protocol's own, but for the time left, which each attempt adds.
+/// What is written to a node, in the protocol's own bytes. Each attempt adds the time that is left.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OpaqueRequest {
     /// What precedes the body.
@@ -16,7 +16,7 @@
 }
 
 impl OpaqueRequest {
-    /// Length of both.
+    /// The length of both, in bytes.
     pub fn bytes(&self) -> usize {
         self.head.len() + self.body.len()
     }
@@ -54,7 +54,7 @@
     pub reports_service: bool,
     /// The longest wait that a rejected client is advised.
     pub longest_wait: TimeDelta,
-    /// Of a node that drains.
+    /// How long a node that drains is waited for.
     pub grace: TimeDelta,
     /// Requests that may be open.
     pub requests: usize,
@@ -66,48 +66,54 @@
     pub volumes: usize,
 }
 
+/// The number of a volume, and when it was last asked for.
+#[derive(Clone, Copy, Debug)]
+struct NumberedVolume {
+    number: usize,
+    last_used: Instant,
+}
+
 /// Clients' names of volumes, as the small numbers by which the scheduler knows them.
 #[derive(Debug, Default)]
-pub struct VolumeNames {
-    numbers: HashMap<u64, (usize, Instant)>,
-    next: usize,
-    most: usize,
+pub(crate) struct VolumeNames {
+    volumes: HashMap<u64, NumberedVolume>,
+    next_number: usize,
+    max_volumes: usize,
 }
 
 impl VolumeNames {
     /// A table of at most so many volumes.
-    pub fn new(most: usize) -> Self {
-        VolumeNames { most, ..VolumeNames::default() }
-    }
-
-    /// Volumes that are known.
-    pub fn len(&self) -> usize {
-        self.numbers.len()
-    }
-
-    /// Whether none is known.
-    pub fn is_empty(&self) -> bool {
-        self.numbers.is_empty()
+    pub(crate) fn new(max_volumes: usize) -> Self {
+        VolumeNames { max_volumes, ..VolumeNames::default() }
     }
 
-    /// The volume's number. In a full table the one that was used longest ago gives way, unless it is in use: then
-    /// there is none. A number never passes to another volume, so nothing learned of one is held against it.
-    pub fn number(&mut self, now: Instant, name: u64, in_use: impl Fn(usize) -> bool) -> Option<usize> {
-        if let Some((number, used)) = self.numbers.get_mut(&name) {
-            *used = now;
-            return Some(*number);
+    /// The volume's number; none: the table is full of volumes that are in use.
+    ///
+    /// A client that names a new volume in each request would grow this table without bound, which shows as rising memory. So in a
+    /// full table the volume that was used longest ago is evicted, unless it is in use. A number never passes to another volume:
+    /// else what the scheduler has learned of one volume would be applied to another.
+    pub(crate) fn number(
+        &mut self,
+        now: Instant,
+        name: u64,
+        is_in_use: impl Fn(usize) -> bool,
+    ) -> Option<usize> {
+        if let Some(volume) = self.volumes.get_mut(&name) {
+            volume.last_used = now;
+            return Some(volume.number);
         }
-        if self.numbers.len() >= self.most {
-            let oldest = self.numbers.iter().min_by_key(|(name, (_, used))| (*used, **name));
-            let (old, (number, _)) = oldest.map(|(name, n)| (*name, *n))?;
-            if in_use(number) {
+        if self.volumes.len() >= self.max_volumes {
+            let by_last_use = |(name, volume): &(&u64, &NumberedVolume)| (volume.last_used, **name);
+            let (oldest, volume) = self.volumes.iter().min_by_key(by_last_use)?;
+            if is_in_use(volume.number) {
                 return None;
             }
-            self.numbers.remove(&old);
+            let oldest = *oldest;
+            self.volumes.remove(&oldest);
         }
-        let number = self.next;
-        self.next += 1;
-        self.numbers.insert(name, (number, now));
+        let number = self.next_number;
+        self.next_number += 1;
+        self.volumes.insert(name, NumberedVolume { number, last_used: now });
         Some(number)
     }
 }
--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -7,7 +7,8 @@
 mod messages;
 mod replicated;
 
-pub use self::changes::{AppliedChange, PersistedChange, PlanOutcome, PlanUpdate, StoredPlans, VolumeLimit};
+pub(crate) use self::changes::{AppliedChange, PersistedChange, PlanOutcome, PlanUpdate};
+pub use self::changes::{StoredPlans, VolumeLimit};
 use self::from_settings::{catalog_of_settings, fleet};
 pub use self::messages::{PlanRequest, PlanResponse, PlanStatus};
 pub(crate) use self::replicated::{ChangePreview, CommittedChange};
--- a/crates/overrides/src/audit.rs
+++ b/crates/overrides/src/audit.rs
@@ -38,22 +38,23 @@
 
 impl Audit {
     /// An override was set, perhaps by force.
-    pub fn set(o: &Override, forced: bool) -> Audit {
-        let mut a = Audit::of(o.set_us, AuditKind::Set, o, &o.who);
+    pub fn set(record: &Override, forced: bool) -> Audit {
+        let mut audit = Audit::of(record.set_us, AuditKind::Set, record, &record.who);
         if forced {
-            a.what += ", forced";
+            audit.what += ", forced";
         }
-        a
+        audit
     }
 
     /// An override was cleared by `who`.
-    pub fn cleared(at_us: u64, o: &Override, who: &str) -> Audit {
-        Audit::of(at_us, AuditKind::Cleared, o, who)
+    pub fn cleared(at_us: u64, record: &Override, who: &str) -> Audit {
+        Audit::of(at_us, AuditKind::Cleared, record, who)
     }
 
-    pub(crate) fn of(at_us: u64, kind: AuditKind, o: &Override, who: &str) -> Audit {
-        let what = format!("{} {}: {} (set by {})", o.target, o.kind, o.reason, o.who);
-        Audit { at_us, kind, id: Some(o.id), who: who.to_owned(), what }
+    pub(crate) fn of(at_us: u64, kind: AuditKind, record: &Override, who: &str) -> Audit {
+        let Override { id, target, kind: override_kind, reason, who: set_by, .. } = record;
+        let what = format!("{target} {override_kind}: {reason} (set by {set_by})");
+        Audit { at_us, kind, id: Some(*id), who: who.to_owned(), what }
     }
 }
 
--- a/crates/overrides/src/explanation.rs
+++ b/crates/overrides/src/explanation.rs
@@ -39,10 +39,11 @@
     pub fn restarted_under(&self) -> Vec<OverrideId> {
         let Some(up_s) = self.up_s else { return Vec::new() };
         let both = [(&self.service_by, self.service_left_s), (&self.weight_by, self.weight_left_s)];
-        let older = both.into_iter().filter_map(|(o, left)| {
-            let (o, left) = (o.as_ref()?, left?);
-            let stood_s = o.ends_us.saturating_sub(o.set_us) as f64 / 1e6 - left;
-            (up_s < stood_s).then_some(o.id)
+        let older = both.into_iter().filter_map(|(record, left_s)| {
+            let (record, left_s) = (record.as_ref()?, left_s?);
+            let duration_s = record.ends_us.saturating_sub(record.set_us) as f64 / 1e6;
+            let active_for_s = duration_s - left_s;
+            (up_s < active_for_s).then_some(record.id)
         });
         older.collect()
     }
--- a/crates/overrides/src/lib.rs
+++ b/crates/overrides/src/lib.rs
@@ -11,7 +11,7 @@
 //! | `recovery_ramp` | how nodes are given load again |
 //! | `timing_wheel` | timers of many overrides |
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 mod audit;
 mod explanation;
--- a/crates/overrides/src/order.rs
+++ b/crates/overrides/src/order.rs
@@ -1,4 +1,4 @@
-//! What an operator orders, and how it is written.
+//! An override as operators ask for it and as it is stored, and the text form of its target.
 
 use ipnet::IpNet;
 use serde::{Deserialize, Serialize};
@@ -25,12 +25,12 @@
 }
 
 impl fmt::Display for Target {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Target::Node(a) => write!(f, "{a}"),
-            Target::Net(n) => write!(f, "{n}"),
-            Target::Shard(s) => write!(f, "shard:{s}"),
-            Target::Zone(z) => write!(f, "zone:{z}"),
+            Target::Node(address) => write!(out, "{address}"),
+            Target::Net(net) => write!(out, "{net}"),
+            Target::Shard(shard) => write!(out, "shard:{shard}"),
+            Target::Zone(zone) => write!(out, "zone:{zone}"),
         }
     }
 }
@@ -47,15 +47,14 @@
     type Err = TargetError;
 
     fn from_str(text: &str) -> Result<Target, TargetError> {
-        let number = |n: &str| n.parse::<u32>().ok();
         let found = match text.split_once(':') {
-            Some(("shard", n)) => number(n).map(Target::Shard),
-            Some(("zone", n)) => number(n).map(Target::Zone),
+            Some(("shard", number)) => number.parse().ok().map(Target::Shard),
+            Some(("zone", number)) => number.parse().ok().map(Target::Zone),
             _ => {
                 let node = text.parse().ok().map(Target::Node);
-                let net = || text.parse::<IpNet>().ok().map(|n| Target::Net(n.trunc()));
-                let address = || text.parse::<IpAddr>().ok().map(|a| Target::Net(IpNet::from(a)));
-                node.or_else(net).or_else(address)
+                let net = || text.parse::<IpNet>().ok().map(|net| Target::Net(net.trunc()));
+                let any_port = || text.parse::<IpAddr>().ok().map(|ip| Target::Net(IpNet::from(ip)));
+                node.or_else(net).or_else(any_port)
             }
         };
         found.ok_or_else(|| TargetError(text.to_owned()))
@@ -63,8 +62,8 @@
 }
 
 impl From<Target> for String {
-    fn from(t: Target) -> String {
-        t.to_string()
+    fn from(target: Target) -> String {
+        target.to_string()
     }
 }
 
@@ -88,11 +87,11 @@
 }
 
 impl fmt::Display for Kind {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Kind::Weight(w) => write!(f, "weight {w}"),
-            Kind::OutOfService => write!(f, "out of service"),
-            Kind::Pinned => write!(f, "pinned in service"),
+            Kind::Weight(weight) => write!(out, "weight {weight}"),
+            Kind::OutOfService => write!(out, "out of service"),
+            Kind::Pinned => write!(out, "pinned in service"),
         }
     }
 }
@@ -107,16 +106,16 @@
     pub kind: Kind,
     /// Why, for people.
     pub reason: String,
-    /// Who orders it.
+    /// Who asks for it.
     pub who: String,
     /// For how long.
     pub seconds: f64,
-    /// Where another host took it.
+    /// Where it was set, if at another host.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub origin: Option<Origin>,
 }
 
-/// An override that stands. Times are Unix time in microseconds, for people and for restarts; while the host runs, the end
+/// An active override. Times are Unix time in microseconds, for people and for restarts; while the host runs, the end
 /// follows its own steady clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -135,12 +134,12 @@
     pub set_us: u64,
     /// When it ends.
     pub ends_us: u64,
-    /// Which host took it, where hosts tell each other of theirs.
+    /// Where it was set, where hosts replicate their overrides.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub origin: Option<Origin>,
 }
 
-/// The name of an order among all hosts: the host and generation that took it, and its number there.
+/// The name of an override among all hosts: the host and generation where it was set, and its number there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Origin {
     /// The host.
--- a/crates/overrides/src/overrides.rs
+++ b/crates/overrides/src/overrides.rs
@@ -1,27 +1,27 @@
 //! The overrides of one host: setting, clearing and ending them, and what follows for each node.
 
+mod explain;
 mod proposal;
 
 use crate::audit::{Audit, AuditKind, Ended};
-use crate::explanation::Explanation;
 use crate::order::{Override, OverrideId, Target};
-use crate::precedence::{effect_on, superseded, Applies, NodeFacts, Service, TargetIndex};
-use crate::recovery_ramp::{RecoveryRamps, MAX_STAGGER_S, RAMP_S};
+use crate::precedence::{effect_on, NodeFacts, Service, TargetIndex};
+use crate::recovery_ramp::{RecoveryRamps, MAX_STAGGER, RAMP_DURATION};
 use crate::refusal::Refusal;
 use crate::timing_wheel::{Handle, TimingWheel};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, NodeState, TimeDelta};
 
-/// Differences between the two clocks below this are no step of the wall clock.
+/// In microseconds: a smaller difference between the wall clock and the steady clock is no step of the wall clock.
 const MIN_CLOCK_STEP_US: i64 = 1_000_000;
-/// Changes that a conflict can name.
+/// The latest changes that are remembered, for the refusal of a request that was made on an older version.
 const MAX_RECENT_CHANGES: usize = 64;
 
 /// Bounds on the overrides of a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Overrides that may stand at a time.
+    /// Overrides that may be active at a time.
     pub max_overrides: usize,
     /// Fraction of a zone's nodes that may be out of service without force.
     pub max_zone_fraction: f64,
@@ -73,21 +73,30 @@
     offset_us: i64,
 }
 
-/// The state of a node as an explanation shows it.
-fn listed_text(state: NodeState) -> &'static str {
-    match state {
-        NodeState::Ready => "ready",
-        NodeState::Draining => "draining",
-        NodeState::Gone => "gone",
-    }
-}
-
+/// Microseconds since the start of the steady clock.
 fn micros(at: Instant) -> i64 {
     (at.secs() * 1e6).round() as i64
 }
 
+/// Microseconds that a stored override has left. If the wall clock was set back while the host was down, the override would last
+/// longer than its operator asked for; so it never has more left than its whole duration.
+fn remaining_us(record: &Override, wall_us: u64) -> u64 {
+    let duration_us = record.ends_us.saturating_sub(record.set_us);
+    record.ends_us.saturating_sub(wall_us).min(duration_us)
+}
+
+/// Whether a target names a listed node.
+fn names(target: &Target, node: &NodeFacts) -> bool {
+    match target {
+        Target::Node(address) => *address == node.address,
+        Target::Net(net) => net.contains(&node.address.ip()),
+        Target::Shard(shard) => *shard == node.shard,
+        Target::Zone(zone) => *zone == node.zone,
+    }
+}
+
 impl Overrides {
-    /// `records` are those that an earlier generation acknowledged; what ended meanwhile is reported and dropped.
+    /// `records` are the overrides that an earlier generation acknowledged. Those that ended meanwhile are returned and not active.
     pub fn new(
         now: Instant,
         wall_us: u64,
@@ -95,14 +104,15 @@
         records: Vec<Override>,
         next: u64,
     ) -> (Self, Vec<Ended>) {
-        let mut o = Overrides {
+        let mut overrides = Overrides {
             settings,
             all: BTreeMap::new(),
             index: TargetIndex::default(),
             ends: TimingWheel::new(now),
             ends_at: HashMap::new(),
             next: next.max(1),
-            // Versions of an earlier generation must not be met again, or an old one would pass for the present.
+            // If a version of an earlier generation came up again, a request that was made on that old version would pass for one
+            // made on the present version. The wall clock in milliseconds is ahead of all earlier versions.
             version: wall_us / 1000,
             recent_changes: VecDeque::new(),
             nodes: BTreeMap::new(),
@@ -113,19 +123,17 @@
             offset_us: wall_us as i64 - micros(now),
         };
         let mut ended = Vec::new();
-        for r in records {
-            o.next = o.next.max(r.id.0 + 1);
-            // A wall clock that was set back while the host was down must not lengthen it past its whole time.
-            let whole = r.ends_us.saturating_sub(r.set_us);
-            let left = r.ends_us.saturating_sub(wall_us).min(whole);
-            if left == 0 {
-                let audit = Audit::of(wall_us, AuditKind::EndedAway, &r, "");
-                ended.push(Ended { record: r, audit });
+        for record in records {
+            overrides.next = overrides.next.max(record.id.0 + 1);
+            let left_us = remaining_us(&record, wall_us);
+            if left_us == 0 {
+                let audit = Audit::of(wall_us, AuditKind::EndedAway, &record, "");
+                ended.push(Ended { record, audit });
                 continue;
             }
-            o.insert(r, now + TimeDelta::from_secs(left as f64 / 1e6));
+            overrides.insert(record, now + TimeDelta::from_secs(left_us as f64 / 1e6));
         }
-        (o, ended)
+        (overrides, ended)
     }
 
     /// Grows with each change.
@@ -133,46 +141,47 @@
         self.version
     }
 
-    /// Overrides that stand.
+    /// Active overrides.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// None stands.
+    /// Whether no override is active.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// All that stand, with the seconds left of each.
+    /// All active overrides, each with the seconds that it has left.
     pub fn list(&self, now: Instant) -> Vec<(Override, f64)> {
-        let left = |id: &OverrideId| self.ends_at.get(id).map_or(0.0, |(t, _)| (*t - now).secs().max(0.0));
-        self.all.iter().map(|(id, o)| (o.clone(), left(id))).collect()
+        let secs_left =
+            |id: &OverrideId| self.ends_at.get(id).map_or(0.0, |(ends, _)| (*ends - now).secs().max(0.0));
+        self.all.iter().map(|(id, record)| (record.clone(), secs_left(id))).collect()
     }
 
-    /// The override of a number, if it stands.
+    /// The override with this number, if it is active.
     pub fn get(&self, id: OverrideId) -> Option<&Override> {
         self.all.get(&id)
     }
 
     /// Nodes on their recovery ramp, and the bound in seconds on how long that may take.
     pub fn returning(&self) -> (usize, f64) {
-        (self.recovery_ramps.len(), MAX_STAGGER_S + RAMP_S)
+        (self.recovery_ramps.len(), MAX_STAGGER.secs() + RAMP_DURATION.secs())
     }
 
-    fn insert(&mut self, o: Override, ends: Instant) {
-        self.index.add(&o);
-        let handle = self.ends.put(o.id, ends);
-        self.ends_at.insert(o.id, (ends, handle));
-        self.all.insert(o.id, o);
+    fn insert(&mut self, record: Override, ends: Instant) {
+        self.index.add(&record);
+        let handle = self.ends.put(record.id, ends);
+        self.ends_at.insert(record.id, (ends, handle));
+        self.all.insert(record.id, record);
     }
 
     fn remove(&mut self, id: OverrideId) -> Option<Override> {
-        let o = self.all.remove(&id)?;
-        self.index.remove(&o);
+        let record = self.all.remove(&id)?;
+        self.index.remove(&record);
         if let Some((_, handle)) = self.ends_at.remove(&id) {
             self.ends.remove(handle);
         }
-        Some(o)
+        Some(record)
     }
 
     fn bump_version(&mut self, what: String) {
@@ -183,93 +192,90 @@
         }
     }
 
-    fn named(&self, t: &Target) -> Vec<SocketAddr> {
-        let names = |n: &&NodeFacts| match t {
-            Target::Node(a) => *a == n.address,
-            Target::Net(net) => net.contains(&n.address.ip()),
-            Target::Shard(s) => *s == n.shard,
-            Target::Zone(z) => *z == n.zone,
-        };
-        self.nodes.values().filter(names).map(|n| n.address).collect()
+    /// The listed nodes that a target names.
+    fn named(&self, target: &Target) -> Vec<SocketAddr> {
+        self.nodes.values().filter(|node| names(target, node)).map(|node| node.address).collect()
     }
 
     /// Entries of the endpoint list.
     pub fn handle_endpoint_list(&mut self, now: Instant, nodes: impl IntoIterator<Item = NodeFacts>) {
         let mut changed = Vec::new();
-        for n in nodes {
-            self.nodes.insert(n.address, n);
-            changed.push(n.address);
+        for node in nodes {
+            self.nodes.insert(node.address, node);
+            changed.push(node.address);
         }
         self.reevaluate(now, &changed);
     }
 
-    /// Evaluates again what holds for these nodes.
-    fn reevaluate(&mut self, now: Instant, nodes: &[SocketAddr]) {
+    /// Evaluates again which overrides apply to these nodes, and begins the ramps of those that are back in service.
+    fn reevaluate(&mut self, now: Instant, addresses: &[SocketAddr]) {
         let mut recovering = Vec::new();
-        for a in nodes {
-            let Some(n) = self.nodes.get(a) else { continue };
-            let (effect, _) = effect_on(&self.index, &self.all, n);
+        for address in addresses {
+            let Some(node) = self.nodes.get(address) else { continue };
+            let (effect, _) = effect_on(&self.index, &self.all, node);
             if effect.service == Service::Out {
-                self.out.insert(*a);
-                self.recovery_ramps.drop(a);
-            } else if self.out.remove(a) && n.listed == NodeState::Ready {
-                recovering.push(*a);
+                self.out.insert(*address);
+                self.recovery_ramps.remove(address);
+            } else if self.out.remove(address) && node.listed == NodeState::Ready {
+                recovering.push(*address);
             }
-            self.dirty.insert(*a);
+            self.dirty.insert(*address);
         }
         if !recovering.is_empty() {
             self.recovery_ramps.begin(now, &recovering);
         }
     }
 
-    /// What a node is to be given now.
-    pub fn effective(&self, now: Instant, a: &SocketAddr) -> Option<Effective> {
-        let n = self.nodes.get(a)?;
-        let (effect, _) = effect_on(&self.index, &self.all, n);
-        // The list goes before every override; a node whose ramp has not begun is still out.
-        let ramp = self.recovery_ramps.get(a).map(|r| r.share(now));
-        let held = effect.service == Service::Out || ramp == Some(None);
+    /// What the scheduler is to know of a node now; none: the node is not listed.
+    pub fn effective(&self, now: Instant, address: &SocketAddr) -> Option<Effective> {
+        let node = self.nodes.get(address)?;
+        let (effect, _) = effect_on(&self.index, &self.all, node);
+        let ramp_share = self.recovery_ramps.get(address).map(|ramp| ramp.share(now));
+        let waits_for_ramp = ramp_share == Some(None);
+        let is_out = effect.service == Service::Out || waits_for_ramp;
+        // The endpoint list goes before every override: an override only keeps a ready node out.
+        let is_kept_out = node.listed == NodeState::Ready && is_out;
         Some(Effective {
-            state: if n.listed == NodeState::Ready && held { NodeState::Draining } else { n.listed },
-            weight: effect.weight * ramp.flatten().unwrap_or(1.0),
+            state: if is_kept_out { NodeState::Draining } else { node.listed },
+            weight: effect.weight * ramp_share.flatten().unwrap_or(1.0),
             pinned: effect.service == Service::Pinned,
         })
     }
 
-    /// Nodes for which something else holds than at the last poll.
+    /// Nodes whose effective state, weight or pin differs from the last poll.
     pub fn poll_changed(&mut self, now: Instant) -> Vec<(SocketAddr, Effective)> {
         let dirty = std::mem::take(&mut self.dirty);
         let mut changed = Vec::new();
-        for a in dirty {
-            let Some(e) = self.effective(now, &a) else { continue };
-            if self.last_polled.insert(a, e) != Some(e) {
-                changed.push((a, e));
+        for address in dirty {
+            let Some(effective) = self.effective(now, &address) else { continue };
+            if self.last_polled.insert(address, effective) != Some(effective) {
+                changed.push((address, effective));
             }
         }
         changed
     }
 
-    /// Reserves a number that no other override gets, though this one may never stand.
+    /// Reserves a number that no other override gets, though this one may never become active.
     pub fn reserve(&mut self) -> OverrideId {
         self.next += 1;
         OverrideId(self.next - 1)
     }
 
-    /// An override was persisted: from now on it stands.
-    pub fn put(&mut self, now: Instant, o: Override) {
-        let left = (o.ends_us as i64 - self.offset_us - micros(now)).max(0);
-        self.next = self.next.max(o.id.0 + 1);
-        self.bump_version(format!("{} set {} {}", o.who, o.target, o.kind));
-        let target = o.target;
-        self.insert(o, now + TimeDelta::from_secs(left as f64 / 1e6));
+    /// An override was persisted: it is active from now on.
+    pub fn put(&mut self, now: Instant, record: Override) {
+        let left_us = (record.ends_us as i64 - self.offset_us - micros(now)).max(0);
+        self.next = self.next.max(record.id.0 + 1);
+        self.bump_version(format!("{} set {} {}", record.who, record.target, record.kind));
+        let target = record.target;
+        self.insert(record, now + TimeDelta::from_secs(left_us as f64 / 1e6));
         self.reevaluate(now, &self.named(&target));
     }
 
-    /// Its clearing was persisted: from now on it does not stand.
+    /// The clearing of an override was persisted: it is not active from now on.
     pub fn clear(&mut self, now: Instant, id: OverrideId, who: &str) -> Result<(), Refusal> {
-        let o = self.remove(id).ok_or(Refusal::Unknown { id })?;
-        self.bump_version(format!("{who} cleared {} {}", o.target, o.kind));
-        self.reevaluate(now, &self.named(&o.target));
+        let record = self.remove(id).ok_or(Refusal::Unknown { id })?;
+        self.bump_version(format!("{who} cleared {} {}", record.target, record.kind));
+        self.reevaluate(now, &self.named(&record.target));
         Ok(())
     }
 
@@ -278,13 +284,14 @@
         let mut ended = Vec::new();
         let mut nodes = BTreeSet::new();
         for id in self.ends.advance(now) {
-            let Some(o) = self.remove(id) else { continue };
-            self.bump_version(format!("{} {} ended", o.target, o.kind));
-            nodes.extend(self.named(&o.target));
-            let audit = Audit::of(wall_us, AuditKind::Ended, &o, "");
-            ended.push(Ended { record: o, audit });
+            let Some(record) = self.remove(id) else { continue };
+            self.bump_version(format!("{} {} ended", record.target, record.kind));
+            nodes.extend(self.named(&record.target));
+            let audit = Audit::of(wall_us, AuditKind::Ended, &record, "");
+            ended.push(Ended { record, audit });
         }
-        // All that end at one moment are evaluated together, so that the ramps of their nodes are staggered.
+        // Overrides that end at one moment are evaluated together: one by one, each ramp would begin at once, and all their nodes
+        // would be given load at the same time.
         self.reevaluate(now, &nodes.into_iter().collect::<Vec<_>>());
         self.dirty.extend(self.recovery_ramps.handle_timeout(now));
         ended
@@ -304,10 +311,10 @@
             return None;
         }
         self.offset_us = offset;
-        for o in self.all.values_mut() {
-            // Both move, so that the whole time of it stays what it was.
-            o.ends_us = (o.ends_us as i64 + step).max(0) as u64;
-            o.set_us = (o.set_us as i64 + step).max(0) as u64;
+        for record in self.all.values_mut() {
+            // Both times move, so that the duration stays as it was set.
+            record.ends_us = (record.ends_us as i64 + step).max(0) as u64;
+            record.set_us = (record.set_us as i64 + step).max(0) as u64;
         }
         let what =
             format!("the wall clock moved by {:.3} s; ends keep their running time", step as f64 / 1e6);
@@ -316,48 +323,4 @@
         let moved_by = TimeDelta::from_secs(step as f64 / 1e6);
         Some(ClockStep { records: self.all.values().cloned().collect(), audit, moved_by })
     }
-
-    /// Why a node is given what it is given.
-    pub fn explain(&self, now: Instant, address: SocketAddr) -> Explanation {
-        // One that is not listed meets the overrides that name it by address.
-        let unlisted = NodeFacts { address, zone: u32::MAX, shard: u32::MAX, listed: NodeState::Gone };
-        let n = self.nodes.get(&address).copied().unwrap_or(unlisted);
-        let (effect, Applies { service, weight }) = effect_on(&self.index, &self.all, &n);
-        let record = |id: Option<OverrideId>| id.and_then(|id| self.all.get(&id)).cloned();
-        let left = |id: Option<OverrideId>| {
-            id.and_then(|id| self.ends_at.get(&id)).map(|(t, _)| (*t - now).secs().max(0.0))
-        };
-        let losers = superseded(&self.index, &self.all, &n).into_iter();
-        let returning = self.recovery_ramps.get(&address).map(|r| {
-            let wait = (r.starts - now).secs().max(0.0);
-            (wait, r.share(now).unwrap_or(0.0))
-        });
-        let given = match self.effective(now, &address) {
-            None => "nothing: the node is not listed".to_owned(),
-            Some(e) => match (n.listed, e.state) {
-                (NodeState::Draining, _) => "nothing new: the list says that it drains".to_owned(),
-                (NodeState::Gone, _) => "nothing: the list says that it is gone".to_owned(),
-                (_, NodeState::Ready) if e.pinned => format!("weight {:.2}, whatever its health", e.weight),
-                (_, NodeState::Ready) => format!("weight {:.2}, as its health allows", e.weight),
-                _ => "nothing new: out of service".to_owned(),
-            },
-        };
-        Explanation {
-            address,
-            listed: if self.nodes.contains_key(&address) {
-                listed_text(n.listed).to_owned()
-            } else {
-                "no".into()
-            },
-            standing: effect,
-            service_by: record(service),
-            weight_by: record(weight),
-            service_left_s: left(service),
-            weight_left_s: left(weight),
-            beaten: losers.filter_map(|b| Some((self.all.get(&b.id)?.clone(), b))).collect(),
-            returning,
-            given,
-            up_s: None,
-        }
-    }
 }
--- a/crates/overrides/src/overrides/proposal.rs
+++ b/crates/overrides/src/overrides/proposal.rs
@@ -1,4 +1,4 @@
-//! Judging an order before it is persisted: its values, conflicts with other changes, and what must stay in service.
+//! Checks a requested override before it is persisted: its values, conflicts with other changes, and what must stay in service.
 
 use super::Overrides;
 use crate::order::{Kind, Order, Override, OverrideId};
@@ -8,15 +8,19 @@
 use std::net::SocketAddr;
 use tackmast::interface::NodeState;
 
-/// Longest duration in seconds: an override must not outlive the memory of why it was set.
+/// The longest duration of an override, in seconds: nobody would remember why an older one was set.
 const MAX_DURATION_S: f64 = 366.0 * 86_400.0;
-/// Shortest duration in seconds.
+/// The shortest duration of an override, in seconds.
 const MIN_DURATION_S: f64 = 0.1;
-/// Characters of a reason or a name.
+/// The longest reason, and the longest name of who sets an override, in characters.
 const MAX_TEXT_CHARS: usize = 200;
 
+/// The effect of the overrides on each node.
+type Effects = BTreeMap<SocketAddr, OverrideEffect>;
+
 impl Overrides {
-    /// Judges an order: the override that it would be, and what it would do. Nothing is changed.
+    /// Checks a requested override: the record that it would be, and what it would do. Nothing is changed. With `force` it may take
+    /// the last node of a shard, or too much of a zone, out of service.
     pub fn propose(
         &mut self,
         wall_us: u64,
@@ -25,9 +29,10 @@
         if_version: Option<u64>,
     ) -> Result<(Override, Preview), Refusal> {
         check_values(order)?;
-        if let Some(asked) = if_version.filter(|v| *v != self.version) {
-            let since = self.recent_changes.iter().filter(|(v, _)| *v > asked).map(|(_, what)| what.clone());
-            return Err(Refusal::Moved { asked, now: self.version, changes: since.collect() });
+        if let Some(asked) = if_version.filter(|version| *version != self.version) {
+            let since = self.recent_changes.iter().filter(|(version, _)| *version > asked);
+            let changes = since.map(|(_, change)| change.clone()).collect();
+            return Err(Refusal::Moved { asked, now: self.version, changes });
         }
         if self.all.len() >= self.settings.max_overrides {
             return Err(Refusal::TooMany { most: self.settings.max_overrides });
@@ -44,24 +49,26 @@
         };
         let before = self.effects();
         let after = self.effects_with(&new);
-        let forced_past = self.protection(&before, &after);
+        let forced_past = self.protection().check(&before, &after);
         if let Some(refusal) = forced_past.clone().filter(|_| !force) {
             return Err(refusal);
         }
-        let listed = |a: &SocketAddr| self.nodes.get(a).is_some_and(|n| n.listed != NodeState::Gone);
-        let changes = before.iter().filter(|(a, b)| listed(a) && after[a] != **b);
-        let changes = changes.map(|(a, b)| (*a, *b, after[a])).collect();
-        let named = self.named(&new.target).iter().filter(|a| listed(a)).count();
+        let is_listed =
+            |address: &SocketAddr| self.nodes.get(address).is_some_and(|node| node.listed != NodeState::Gone);
+        let listed = before.iter().filter(|(address, _)| is_listed(address));
+        let changes = listed.map(|(address, effect)| (*address, *effect, after[address]));
+        let changes = changes.filter(|(_, before, after)| before != after).collect();
+        let named = self.named(&new.target).iter().filter(|address| is_listed(address)).count();
         Ok((new, Preview { version: self.version, changes, named, forced_past }))
     }
 
-    /// What holds for each node.
-    fn effects(&self) -> BTreeMap<SocketAddr, OverrideEffect> {
-        self.nodes.values().map(|n| (n.address, effect_on(&self.index, &self.all, n).0)).collect()
+    /// The effect of the overrides on each node.
+    fn effects(&self) -> Effects {
+        self.nodes.values().map(|node| (node.address, effect_on(&self.index, &self.all, node).0)).collect()
     }
 
-    /// What would hold for each node with one more override.
-    fn effects_with(&mut self, new: &Override) -> BTreeMap<SocketAddr, OverrideEffect> {
+    /// The effect on each node with one more override.
+    fn effects_with(&mut self, new: &Override) -> Effects {
         self.index.add(new);
         self.all.insert(new.id, new.clone());
         let effects = self.effects();
@@ -70,46 +77,75 @@
         effects
     }
 
-    /// What protects nodes from being taken out by accident.
-    fn protection(
-        &self,
-        before: &BTreeMap<SocketAddr, OverrideEffect>,
-        after: &BTreeMap<SocketAddr, OverrideEffect>,
-    ) -> Option<Refusal> {
-        let ready: Vec<&NodeFacts> = self.nodes.values().filter(|n| n.listed == NodeState::Ready).collect();
-        let serves =
-            |st: &BTreeMap<SocketAddr, OverrideEffect>, n: &NodeFacts| st[&n.address].service != Service::Out;
-        let shards: BTreeSet<u32> = ready.iter().map(|n| n.shard).collect();
+    fn protection(&self) -> Protection<'_> {
+        let ready = self.nodes.values().filter(|node| node.listed == NodeState::Ready).collect();
+        Protection { ready, max_zone_fraction: self.settings.max_zone_fraction }
+    }
+}
+
+/// What protects nodes from being taken out of service by accident.
+struct Protection<'a> {
+    /// The nodes that the endpoint list shows as ready.
+    ready: Vec<&'a NodeFacts>,
+    /// The fraction of a zone's ready nodes that may be out of service.
+    max_zone_fraction: f64,
+}
+
+impl Protection<'_> {
+    /// Why a change of the effects on nodes is refused without force, if it is.
+    fn check(&self, before: &Effects, after: &Effects) -> Option<Refusal> {
+        self.check_shards(before, after).or_else(|| self.check_zones(before, after))
+    }
+
+    /// A shard whose last node is taken out of service can't be read or written any more. A shard that had no node in service before
+    /// is not in the way of other changes.
+    fn check_shards(&self, before: &Effects, after: &Effects) -> Option<Refusal> {
+        let shards: BTreeSet<u32> = self.ready.iter().map(|node| node.shard).collect();
         for shard in shards {
-            let mut of = ready.iter().filter(|n| n.shard == shard);
-            if of.clone().any(|n| serves(before, n)) && !of.any(|n| serves(after, n)) {
-                let nodes = ready.iter().filter(|n| n.shard == shard && serves(before, n));
-                let nodes = nodes.map(|n| n.address.to_string()).collect();
+            let of_shard = || self.ready.iter().filter(|node| node.shard == shard);
+            let served_before = of_shard().any(|node| is_in_service(before, node));
+            let serves_after = of_shard().any(|node| is_in_service(after, node));
+            if served_before && !serves_after {
+                let lost = of_shard().filter(|node| is_in_service(before, node));
+                let nodes = lost.map(|node| node.address.to_string()).collect();
                 return Some(Refusal::LastOfShard { shard, nodes });
             }
         }
-        let zones: BTreeSet<u32> = ready.iter().map(|n| n.zone).collect();
+        None
+    }
+
+    /// The rest of a zone must bear the load of what is out of service. A change that takes nothing more of the zone out is allowed.
+    fn check_zones(&self, before: &Effects, after: &Effects) -> Option<Refusal> {
+        let zones: BTreeSet<u32> = self.ready.iter().map(|node| node.zone).collect();
         for zone in zones {
-            let of: Vec<_> = ready.iter().filter(|n| n.zone == zone).collect();
-            let out = of.iter().filter(|n| !serves(after, n)).count();
-            let was = of.iter().filter(|n| !serves(before, n)).count();
-            if out > was && out as f64 > self.settings.max_zone_fraction * of.len() as f64 {
-                let (of, max_part) = (of.len(), self.settings.max_zone_fraction);
-                return Some(Refusal::TooMuchOfZone { zone, out, of, max_part });
+            let of_zone = || self.ready.iter().filter(|node| node.zone == zone);
+            let out_before = of_zone().filter(|node| !is_in_service(before, node)).count();
+            let out = of_zone().filter(|node| !is_in_service(after, node)).count();
+            let of = of_zone().count();
+            if out > out_before && out as f64 > self.max_zone_fraction * of as f64 {
+                return Some(Refusal::TooMuchOfZone { zone, out, of, max_part: self.max_zone_fraction });
             }
         }
         None
     }
 }
 
-/// Checks the values of an order by themselves.
+fn is_in_service(effects: &Effects, node: &NodeFacts) -> bool {
+    effects[&node.address].service != Service::Out
+}
+
+/// Checks the values of a requested override by themselves.
 fn check_values(order: &Order) -> Result<(), Refusal> {
     let refuse = |what: &str, found: String, expected: &str| {
         Err(Refusal::Value { what: what.into(), found, expected: expected.into() })
     };
-    if let Kind::Weight(w) = order.kind {
-        if !(w > 0.0 && w <= 1.0) {
-            return refuse("weight", w.to_string(), "above 0 and up to 1; for 0, take it out of service");
+    if let Kind::Weight(weight) = order.kind {
+        if !(weight > 0.0 && weight <= 1.0) {
+            return refuse(
+                "weight",
+                weight.to_string(),
+                "above 0 and up to 1; for 0, take it out of service",
+            );
         }
     }
     if !(MIN_DURATION_S..=MAX_DURATION_S).contains(&order.seconds) {
--- a/crates/overrides/src/precedence.rs
+++ b/crates/overrides/src/precedence.rs
@@ -2,16 +2,16 @@
 //!
 //! | rank | beats what is below it |
 //! | --- | --- |
-//! | the list | a node that drains or is gone gets nothing new, whatever is ordered |
+//! | the list | a node that drains or is gone gets nothing new, whatever an override says |
 //! | a node's own address | narrower beats wider |
 //! | a prefix | the longer one first |
 //! | a shard | |
 //! | a zone | |
 //! | the later of two of one rank | |
-//! | health | a pinned node is not held back for its bad answers; the cold guard and all rules still hold |
+//! | health | a pinned node is not ejected for its bad answers; slow start and all rules still hold |
 //!
-//! Service (out of service, pinned) and weight are judged apart: a weight set on a zone still holds for a node that
-//! is pinned by its address.
+//! Service (out of service, pinned) and weight are judged apart: a weight that is set on a zone still applies to a node that is
+//! pinned by its address.
 
 use crate::order::{Kind, Override, OverrideId, Target};
 use ipnet::IpNet;
@@ -36,10 +36,10 @@
 
 impl Rank {
     /// The rank of a target.
-    pub fn of(t: &Target) -> Rank {
-        match t {
+    pub fn of(target: &Target) -> Rank {
+        match target {
             Target::Node(_) => Rank::Node,
-            Target::Net(n) => Rank::Net(n.prefix_len()),
+            Target::Net(net) => Rank::Net(net.prefix_len()),
             Target::Shard(_) => Rank::Shard,
             Target::Zone(_) => Rank::Zone,
         }
@@ -107,7 +107,7 @@
 
 /// Overrides by what they name, so that a node's are found without a walk over all.
 #[derive(Debug, Default)]
-pub struct TargetIndex {
+pub(crate) struct TargetIndex {
     nodes: HashMap<SocketAddr, BTreeSet<OverrideId>>,
     /// By prefix length, the longest last.
     nets: BTreeMap<u8, HashMap<IpNet, BTreeSet<OverrideId>>>,
@@ -116,67 +116,70 @@
 }
 
 impl TargetIndex {
-    fn ids_of(&mut self, t: &Target) -> &mut BTreeSet<OverrideId> {
-        match t {
-            Target::Node(a) => self.nodes.entry(*a).or_default(),
-            Target::Net(n) => self.nets.entry(n.prefix_len()).or_default().entry(*n).or_default(),
-            Target::Shard(s) => self.shards.entry(*s).or_default(),
-            Target::Zone(z) => self.zones.entry(*z).or_default(),
+    fn ids_of(&mut self, target: &Target) -> &mut BTreeSet<OverrideId> {
+        match target {
+            Target::Node(address) => self.nodes.entry(*address).or_default(),
+            Target::Net(net) => self.nets.entry(net.prefix_len()).or_default().entry(*net).or_default(),
+            Target::Shard(shard) => self.shards.entry(*shard).or_default(),
+            Target::Zone(zone) => self.zones.entry(*zone).or_default(),
         }
     }
 
     /// Adds an override.
-    pub fn add(&mut self, o: &Override) {
-        self.ids_of(&o.target).insert(o.id);
+    pub(crate) fn add(&mut self, record: &Override) {
+        self.ids_of(&record.target).insert(record.id);
     }
 
     /// Removes an override.
-    pub fn remove(&mut self, o: &Override) {
-        let ids = self.ids_of(&o.target);
-        ids.remove(&o.id);
+    pub(crate) fn remove(&mut self, record: &Override) {
+        let ids = self.ids_of(&record.target);
+        ids.remove(&record.id);
         if !ids.is_empty() {
             return;
         }
-        match &o.target {
-            Target::Node(a) => _ = self.nodes.remove(a),
-            Target::Net(n) => {
-                if let Some(same) = self.nets.get_mut(&n.prefix_len()) {
-                    same.remove(n);
-                    if same.is_empty() {
-                        self.nets.remove(&n.prefix_len());
+        match &record.target {
+            Target::Node(address) => _ = self.nodes.remove(address),
+            Target::Net(net) => {
+                if let Some(nets_of_length) = self.nets.get_mut(&net.prefix_len()) {
+                    nets_of_length.remove(net);
+                    if nets_of_length.is_empty() {
+                        self.nets.remove(&net.prefix_len());
                     }
                 }
             }
-            Target::Shard(s) => _ = self.shards.remove(s),
-            Target::Zone(z) => _ = self.zones.remove(z),
+            Target::Shard(shard) => _ = self.shards.remove(shard),
+            Target::Zone(zone) => _ = self.zones.remove(zone),
         }
     }
 
-    /// All that name the node, the strongest first.
-    pub fn of<'a>(&'a self, n: &NodeFacts) -> impl Iterator<Item = OverrideId> + 'a {
-        let ip = n.address.ip();
-        let nets = self.nets.iter().rev().filter_map(move |(length, same)| {
-            // A prefix longer than the address's family allows can't hold it.
+    /// The overrides that name the node, the strongest first: by rank, and within a rank the later before the earlier.
+    pub(crate) fn naming<'a>(&'a self, node: &NodeFacts) -> impl Iterator<Item = OverrideId> + 'a {
+        let ip = node.address.ip();
+        let by_net = self.nets.iter().rev().filter_map(move |(length, nets_of_length)| {
+            // A prefix that is longer than an address of this family has no such address in it.
             let net = IpNet::new(ip, *length).ok()?.trunc();
-            same.get(&net)
+            nets_of_length.get(&net)
         });
-        let node = self.nodes.get(&n.address).into_iter();
-        let wide = self.shards.get(&n.shard).into_iter().chain(self.zones.get(&n.zone));
-        node.chain(nets).chain(wide).flat_map(|ids| ids.iter().rev().copied())
+        let by_address = self.nodes.get(&node.address).into_iter();
+        let by_shard = self.shards.get(&node.shard).into_iter();
+        let by_zone = self.zones.get(&node.zone).into_iter();
+        let ranked = by_address.chain(by_net).chain(by_shard).chain(by_zone);
+        ranked.flat_map(|ids| ids.iter().rev().copied())
     }
 }
 
-/// What holds for a node; `all` knows every id of the index.
-pub fn effect_on(
+/// What the overrides do to a node, and which of them apply: of those on service the strongest, of those on weight the strongest.
+/// `all` has every override of the index.
+pub(crate) fn effect_on(
     index: &TargetIndex,
     all: &BTreeMap<OverrideId, Override>,
-    n: &NodeFacts,
+    node: &NodeFacts,
 ) -> (OverrideEffect, Applies) {
     let (mut effect, mut applies) = (OverrideEffect::NONE, Applies::default());
-    for id in index.of(n) {
-        match all.get(&id).map(|o| o.kind) {
-            Some(Kind::Weight(w)) if applies.weight.is_none() => {
-                (effect.weight, applies.weight) = (w, Some(id));
+    for id in index.naming(node) {
+        match all.get(&id).map(|record| record.kind) {
+            Some(Kind::Weight(weight)) if applies.weight.is_none() => {
+                (effect.weight, applies.weight) = (weight, Some(id));
             }
             Some(Kind::OutOfService) if applies.service.is_none() => {
                 (effect.service, applies.service) = (Service::Out, Some(id));
@@ -194,21 +197,27 @@
 }
 
 /// The overrides that name the node and do not apply.
-pub fn superseded(
+pub(crate) fn superseded(
     index: &TargetIndex,
     all: &BTreeMap<OverrideId, Override>,
-    n: &NodeFacts,
+    node: &NodeFacts,
 ) -> Vec<Superseded> {
-    let (_, applies) = effect_on(index, all, n);
+    let (_, applies) = effect_on(index, all, node);
     let loses = |id: OverrideId| {
-        let o = all.get(&id)?;
-        let by = if matches!(o.kind, Kind::Weight(_)) { applies.weight } else { applies.service };
-        let winner = all.get(&by.filter(|by| *by != id)?)?;
-        let narrower = Rank::of(&winner.target) > Rank::of(&o.target);
-        let why = if narrower { format!("{} is narrower", winner.target) } else { "set later".to_owned() };
+        let record = all.get(&id)?;
+        let applying = match record.kind {
+            Kind::Weight(_) => applies.weight,
+            Kind::OutOfService | Kind::Pinned => applies.service,
+        };
+        let winner = all.get(&applying.filter(|applying| *applying != id)?)?;
+        let is_narrower = Rank::of(&winner.target) > Rank::of(&record.target);
+        let why = match is_narrower {
+            true => format!("{} is narrower", winner.target),
+            false => "set later".to_owned(),
+        };
         Some(Superseded { id, by: winner.id, why })
     };
-    index.of(n).filter_map(loses).collect()
+    index.naming(node).filter_map(loses).collect()
 }
 
 #[cfg(test)]
--- a/crates/overrides/src/precedence/tests.rs
+++ b/crates/overrides/src/precedence/tests.rs
@@ -57,12 +57,12 @@
         let (found, applies) = effect_on(&index, &all, &facts);
         assert_eq!((found.service, found.weight), (*service, *weight), "{name}");
         // Each that names the node applies or is beaten by one that does.
-        let named = index.of(&facts).count();
+        let named = index.naming(&facts).count();
         let applied = usize::from(applies.service.is_some()) + usize::from(applies.weight.is_some());
         assert_eq!(superseded(&index, &all, &facts).len() + applied, named, "{name}");
         for o in all.values() {
             index.remove(o);
         }
-        assert_eq!(index.of(&facts).count(), 0, "{name}");
+        assert_eq!(index.naming(&facts).count(), 0, "{name}");
     }
 }
--- a/crates/overrides/src/recovery_ramp/tests.rs
+++ b/crates/overrides/src/recovery_ramp/tests.rs
@@ -30,6 +30,6 @@
             r.handle_timeout(at);
         }
         assert!(shares.iter().all(|s| *s == 1.0) && r.len() == 0, "{name}");
-        assert!((at - now).secs() <= MAX_STAGGER_S + RAMP_S + 1e-3, "{name}");
+        assert!((at - now).secs() <= MAX_STAGGER.secs() + RAMP_DURATION.secs() + 1e-3, "{name}");
     }
 }
--- a/crates/overrides/src/refusal.rs
+++ b/crates/overrides/src/refusal.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// A value of the order is not allowed.
+    /// A value of the request is not allowed.
     Value {
         /// Which.
         what: String,
@@ -19,7 +19,7 @@
         /// What would be allowed.
         expected: String,
     },
-    /// As many overrides stand as may.
+    /// As many overrides are active as may be.
     TooMany {
         /// That many.
         most: usize,
@@ -45,14 +45,14 @@
     },
     /// Others have changed something since that version.
     Moved {
-        /// The version that the order was made for.
+        /// The version that the request was made on.
         asked: u64,
-        /// The version that holds.
+        /// The version now.
         now: u64,
         /// What changed in between, as far as it is remembered.
         changes: Vec<String>,
     },
-    /// No such override stands.
+    /// No such override is active.
     Unknown {
         /// The number asked for.
         id: OverrideId,
@@ -60,26 +60,26 @@
 }
 
 impl fmt::Display for Refusal {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Refusal::Value { what, found, expected } => write!(f, "{what}: {found}; expected {expected}"),
-            Refusal::TooMany { most } => write!(f, "{most} overrides stand, which is the most; clear some first"),
+            Refusal::Value { what, found, expected } => write!(formatter, "{what}: {found}; expected {expected}"),
+            Refusal::TooMany { most } => write!(formatter, "{most} overrides stand, which is the most; clear some first"),
             Refusal::LastOfShard { shard, nodes } => {
-                write!(f, "shard {shard} would have no node in service ({}); force it if that is meant", nodes.join(", "))
+                write!(formatter, "shard {shard} would have no node in service ({}); force it if that is meant", nodes.join(", "))
             }
             Refusal::TooMuchOfZone { zone, out, of, max_part } => write!(
-                f,
+                formatter,
                 "{out} of {of} nodes of zone {zone} would be out of service; at most {max_part} of them without force"
             ),
             Refusal::Moved { asked, now, changes } => {
-                write!(f, "version {asked} was asked for, and {now} holds; since then: {}", changes.join("; "))
+                write!(formatter, "version {asked} was asked for, and {now} holds; since then: {}", changes.join("; "))
             }
-            Refusal::Unknown { id } => write!(f, "override {}: none such stands", id.0),
+            Refusal::Unknown { id } => write!(formatter, "override {}: none such stands", id.0),
         }
     }
 }
 
-/// What an order would do.
+/// What a requested override would do.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Preview {
     /// The version of the overrides that it was judged against.
--- a/crates/overrides/src/timing_wheel.rs
+++ b/crates/overrides/src/timing_wheel.rs
@@ -1,16 +1,18 @@
-//! A timing wheel: entries wait in slots of growing width, so that putting in and taking out cost the same however
-//! many there are. Measured against a plain heap by `tackmast benchmark --timers`.
+//! A hierarchical timing wheel: entries wait in slots whose width grows from level to level, so that adding and removing an entry
+//! costs the same however many there are. `tackmast benchmark --timers` compares it with a binary heap.
 
-use tackmast::interface::{Instant, TimeDelta};
+use tackmast::interface::Instant;
 
-/// Width of the narrowest slot in microseconds: an entry expires at most that late.
-pub const RESOLUTION_US: i64 = 10_000;
+/// The width of the narrowest slot, in microseconds: an entry expires at most that late.
+const RESOLUTION_US: i64 = 10_000;
+/// Bits of a time in ticks that one level covers.
 const BITS: u32 = 6;
+/// Slots of a level.
 const SLOTS: usize = 1 << BITS;
-/// Six levels reach 20 years.
+/// Levels of the wheel: these reach 20 years.
 const LEVELS: usize = 6;
 
-/// By this an entry is taken out again; it fits no later one in the same place.
+/// Names an entry, to remove it; it never names a later entry in the same place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Handle {
     index: u32,
@@ -18,19 +20,26 @@
 }
 
 struct Entry<K> {
-    key: Option<K>, // none: the place is free
+    /// None: the place is free.
+    key: Option<K>,
+    /// Entries that had this place before.
     generation: u32,
-    due: u64, // ticks, rounded up
+    /// In ticks, rounded up.
+    due: u64,
+    /// The list that it is in.
     list: u16,
+    /// Its place in that list.
     place: u32,
 }
 
-/// The list of what was past when it was put in, behind those of the slots.
+/// The list of entries that were due already when they were added, behind the lists of the slots.
 const DUE: usize = LEVELS * SLOTS;
 
 /// Entries of type `K`, each with the time at which it expires.
 pub struct TimingWheel<K> {
-    now: u64, // ticks that have come out
+    /// In ticks: what was due by then has been taken out.
+    now: u64,
+    /// A list of entries for each slot, level by level, and then the list of what is due.
     lists: Vec<Vec<u32>>,
     /// A bit for each slot that holds something, by level.
     used: [u64; LEVELS],
@@ -50,6 +59,21 @@
     Instant::from_secs(ticks as f64 * RESOLUTION_US as f64 / 1e6)
 }
 
+/// The list of an entry that is due at `due`; both times are in ticks. The level is that of the highest digit, to the base `SLOTS`, in
+/// which the two times differ.
+fn list_for(due: u64, now: u64) -> usize {
+    if due <= now {
+        return DUE;
+    }
+    let highest_bit = u64::BITS - 1 - (due ^ now).leading_zeros();
+    let level = (highest_bit / BITS) as usize;
+    if level >= LEVELS {
+        // The wheel does not reach that far: the entry is placed again when the last level begins its next round.
+        return (LEVELS - 1) * SLOTS;
+    }
+    level * SLOTS + ((due >> (BITS * level as u32)) as usize & (SLOTS - 1))
+}
+
 impl<K: Copy + Ord> TimingWheel<K> {
     /// An empty wheel at this time.
     pub fn new(now: Instant) -> Self {
@@ -76,67 +100,54 @@
     pub fn put(&mut self, key: K, at: Instant) -> Handle {
         let due = ticks_up(at);
         let index = match self.free.pop() {
-            Some(i) => i,
+            Some(index) => index,
             None => {
                 self.entries.push(Entry { key: None, generation: 0, due: 0, list: 0, place: 0 });
                 self.entries.len() as u32 - 1
             }
         };
-        let e = &mut self.entries[index as usize];
-        (e.key, e.due) = (Some(key), due);
-        let generation = e.generation;
+        let entry = &mut self.entries[index as usize];
+        (entry.key, entry.due) = (Some(key), due);
+        let generation = entry.generation;
         self.place(index);
         Handle { index, generation }
     }
 
     fn place(&mut self, index: u32) {
         let due = self.entries[index as usize].due;
-        let list = if due <= self.now {
-            DUE
-        } else {
-            // The level is that of the highest digit, to the base of the slots, in which due and now differ.
-            let level = ((63 - (due ^ self.now).leading_zeros()) / BITS) as usize;
-            match level {
-                l if l < LEVELS => l * SLOTS + ((due >> (BITS * l as u32)) as usize & (SLOTS - 1)),
-                // Further off than the wheel reaches: looked at again when the last level begins its next round.
-                _ => (LEVELS - 1) * SLOTS,
-            }
-        };
+        let list = list_for(due, self.now);
         let place = self.lists[list].len() as u32;
         self.lists[list].push(index);
         if list < DUE {
             self.used[list / SLOTS] |= 1 << (list % SLOTS);
         }
-        let e = &mut self.entries[index as usize];
-        (e.list, e.place) = (list as u16, place);
+        let entry = &mut self.entries[index as usize];
+        (entry.list, entry.place) = (list as u16, place);
     }
 
-    /// Whether the entry was still in.
-    pub fn remove(&mut self, h: Handle) -> bool {
-        let Some(e) =
-            self.entries.get(h.index as usize).filter(|e| e.generation == h.generation && e.key.is_some())
-        else {
-            return false;
-        };
-        let (list, place) = (usize::from(e.list), e.place as usize);
+    /// Removes an entry; whether it was still there.
+    pub fn remove(&mut self, handle: Handle) -> bool {
+        let is_named = |entry: &&Entry<K>| entry.generation == handle.generation && entry.key.is_some();
+        let Some(entry) = self.entries.get(handle.index as usize).filter(is_named) else { return false };
+        let (list, place) = (usize::from(entry.list), entry.place as usize);
         self.lists[list].swap_remove(place);
-        if let Some(bump_version) = self.lists[list].get(place) {
-            self.entries[*bump_version as usize].place = place as u32;
+        if let Some(moved) = self.lists[list].get(place) {
+            self.entries[*moved as usize].place = place as u32;
         } else if self.lists[list].is_empty() && list < DUE {
             self.used[list / SLOTS] &= !(1 << (list % SLOTS));
         }
-        self.give_back(h.index);
+        self.free_place(handle.index);
         true
     }
 
-    fn give_back(&mut self, index: u32) -> Option<K> {
-        let e = &mut self.entries[index as usize];
-        e.generation = e.generation.wrapping_add(1);
+    fn free_place(&mut self, index: u32) -> Option<K> {
+        let entry = &mut self.entries[index as usize];
+        entry.generation = entry.generation.wrapping_add(1);
         self.free.push(index);
-        e.key.take()
+        entry.key.take()
     }
 
-    /// When something may come out next; never later than when it does.
+    /// When an entry may be due next; never later than when it is.
     pub fn next(&self) -> Option<Instant> {
         if !self.lists[DUE].is_empty() {
             return Some(instant(self.now));
@@ -155,7 +166,7 @@
                 return Some(instant((base | slot) << shift));
             }
             if self.used[level] > 0 {
-                // Only at the last level does a slot behind hold something: it comes round again.
+                // Only at the last level may a slot before this one be in use: its turn comes in the next round.
                 let base = (self.now >> shift >> BITS) + 1;
                 return Some(instant(base << BITS << shift));
             }
@@ -163,10 +174,12 @@
         None
     }
 
-    /// What is due by now, by key where several are due at once.
+    /// Removes what is due by now, in the order of the keys.
     pub fn advance(&mut self, now: Instant) -> Vec<K> {
         let until = ticks_down(now);
-        while let Some(next) = self.next_slot().map(ticks_up).filter(|t| *t <= until && *t > self.now) {
+        while let Some(next) =
+            self.next_slot().map(ticks_up).filter(|next| *next <= until && *next > self.now)
+        {
             self.now = next;
             for level in 0..LEVELS {
                 let shift = BITS * level as u32;
@@ -183,15 +196,10 @@
         }
         self.now = self.now.max(until);
         let due = std::mem::take(&mut self.lists[DUE]);
-        let mut out: Vec<K> = due.into_iter().filter_map(|i| self.give_back(i)).collect();
+        let mut out: Vec<K> = due.into_iter().filter_map(|index| self.free_place(index)).collect();
         out.sort_unstable();
         out
     }
-
-    /// How late an entry may come out.
-    pub fn slack() -> TimeDelta {
-        TimeDelta::from_secs(RESOLUTION_US as f64 / 1e6)
-    }
 }
 
 #[cfg(test)]
--- a/crates/plans/src/lib.rs
+++ b/crates/plans/src/lib.rs
@@ -12,7 +12,7 @@
 //! | `change_log` | who changed what, when and why: a hash chain of entries behind a checkpoint |
 //! | `replicated_plans` | the state machine that hosts replicate: the change log and fallback limits |
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 mod catalogue;
 mod change;
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -12,7 +12,7 @@
 //! | `tables` | names of tables and rows, and the format's version |
 //! | `error` | what can go wrong |
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 mod consensus_log;
 mod error;
