--- a/crates/host-core/src/core/peers.rs
+++ b/crates/host-core/src/core/peers.rs
@@ -182,7 +182,7 @@
                     self.scheduler.quota_leases_changed(now, change);
                 }
                 PeerEvent::Send { to, bytes } => self.outputs.push_back(Output::Datagram { to, bytes }),
-                PeerEvent::Membership { text } => self.emit(HostEvent::Membership { text }),
+                PeerEvent::Event(event) => self.emit(HostEvent::Membership(event)),
                 PeerEvent::AdminRequest { request, admin_request } => {
                     self.handle_admin_request(now, request, admin_request)
                 }
--- a/crates/host-core/src/event.rs
+++ b/crates/host-core/src/event.rs
@@ -1,6 +1,6 @@
 //! What a host has to say to operators: a fixed message and named fields. docs/on-call.md has a row for each message.
 //!
-//! The core only makes events; `event::log` is the one place that turns them into events of `tracing`.
+//! The core only makes events; `log` is the one place that turns them into events of `tracing`.
 
 mod endpoint_list;
 pub(crate) mod log;
@@ -14,6 +14,8 @@
 use crate::error::PersistError;
 use std::fmt::{Display, Formatter, Result};
 use tackmast::interface::{NodeId, SchedulerEvent};
+use tackmast_consensus::ConsensusEvent;
+use tackmast_membership::MembershipEvent;
 
 /// Something that an operator may want to know.
 #[derive(Clone, Debug, PartialEq)]
@@ -21,17 +23,14 @@
     /// Of the scheduler.
     Scheduler(SchedulerEvent),
     /// Of the replica of this host.
-    Consensus(tackmast_consensus::Event),
+    Consensus(ConsensusEvent),
     /// The store could not write what consensus needs.
     ConsensusWriteFailed {
         /// Why not.
         error: PersistError,
     },
     /// Of the group of hosts.
-    Membership {
-        /// What happened, as the member describes it.
-        text: String,
-    },
+    Membership(MembershipEvent),
     /// Of the endpoint list.
     EndpointList(EndpointListEvent),
     /// Of the overrides that operators set.
@@ -45,9 +44,9 @@
     pub fn message(&self) -> &'static str {
         match self {
             HostEvent::Scheduler(event) => event.message(),
-            HostEvent::Consensus(_) => "consensus",
+            HostEvent::Consensus(event) => event.message(),
             HostEvent::ConsensusWriteFailed { .. } => "consensus: write failed",
-            HostEvent::Membership { .. } => "membership",
+            HostEvent::Membership(event) => event.message(),
             HostEvent::EndpointList(event) => event.message(),
             HostEvent::Override(event) => event.message(),
             HostEvent::Plan(event) => event.message(),
@@ -60,7 +59,7 @@
             HostEvent::Scheduler(event) => event.node(),
             HostEvent::Consensus(_)
             | HostEvent::ConsensusWriteFailed { .. }
-            | HostEvent::Membership { .. }
+            | HostEvent::Membership(_)
             | HostEvent::EndpointList(_)
             | HostEvent::Override(_)
             | HostEvent::Plan(_) => None,
@@ -73,11 +72,11 @@
     fn fmt(&self, out: &mut Formatter<'_>) -> Result {
         match self {
             HostEvent::Scheduler(event) => event.fmt(out),
-            HostEvent::Consensus(event) => write!(out, "{} event={:?}", self.message(), event.to_string()),
+            HostEvent::Consensus(event) => event.fmt(out),
             HostEvent::ConsensusWriteFailed { error } => {
                 write!(out, "{} error={:?}", self.message(), error.to_string())
             }
-            HostEvent::Membership { text } => write!(out, "{} event={text:?}", self.message()),
+            HostEvent::Membership(event) => event.fmt(out),
             HostEvent::EndpointList(event) => event.fmt(out),
             HostEvent::Override(event) => event.fmt(out),
             HostEvent::Plan(event) => event.fmt(out),
