--- a/crates/membership/src/view/member_table.rs
+++ b/crates/membership/src/view/member_table.rs
@@ -1,5 +1,5 @@
-//! The table of all members but this host, with indexes beside it, so that no timeout walks a fleet of hundreds: who is
-//! live, who is suspected, who was declared dead in isolation, and the digest of all.
+//! The table of all members but this host, with indexes: the live members, the suspects, those declared dead in isolation,
+//! and the digest of all. With the indexes no timeout has to read the states of a fleet of hundreds.
 
 use super::MemberState;
 use imbl::OrdMap;
@@ -24,11 +24,11 @@
 
 impl MemberTable {
     /// Inserts a member, or replaces its state.
-    pub fn insert(&mut self, slot: u32, state: MemberState) {
+    pub(super) fn insert(&mut self, slot: u32, state: MemberState) {
         self.remove(slot);
         if state.is_live() {
-            if let Err(i) = self.live.binary_search(&slot) {
-                self.live.insert(i, slot);
+            if let Err(index) = self.live.binary_search(&slot) {
+                self.live.insert(index, slot);
             }
         }
         if state.health == Health::Suspect {
@@ -42,65 +42,68 @@
     }
 
     /// Removes a member.
-    pub fn remove(&mut self, slot: u32) {
+    pub(super) fn remove(&mut self, slot: u32) {
         let Some(state) = self.states.remove(&slot) else { return };
         self.digest = self.digest.wrapping_sub(checksum(&state.to_update(slot)));
-        if let Ok(i) = self.live.binary_search(&slot) {
-            self.live.remove(i);
+        if let Ok(index) = self.live.binary_search(&slot) {
+            self.live.remove(index);
         }
         self.suspects.remove(&slot);
         self.declared_in_isolation.remove(&slot);
     }
 
     /// State of a member.
-    pub fn get(&self, slot: u32) -> Option<&MemberState> {
+    pub(super) fn get(&self, slot: u32) -> Option<&MemberState> {
         self.states.get(&slot)
     }
 
     /// All members in order of their slots.
-    pub fn iter(&self) -> impl Iterator<Item = (u32, &MemberState)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (u32, &MemberState)> {
         self.states.iter().map(|(slot, state)| (*slot, state))
     }
 
     /// Number of members.
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.states.len()
     }
 
     /// Whether there are none.
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
 
     /// A copy that shares its structure with the table.
-    pub fn snapshot(&self) -> OrdMap<u32, MemberState> {
+    pub(super) fn snapshot(&self) -> OrdMap<u32, MemberState> {
         self.states.clone()
     }
 
     /// Slots of the members that are alive or suspected, in order.
-    pub fn live(&self) -> &[u32] {
+    pub(super) fn live(&self) -> &[u32] {
         &self.live
     }
 
     /// Slots of the members that are suspected.
-    pub fn suspects(&self) -> &BTreeSet<u32> {
+    pub(super) fn suspects(&self) -> &BTreeSet<u32> {
         &self.suspects
     }
 
     /// Slots of the members that were declared dead in isolation.
-    pub fn declared_in_isolation(&self) -> &BTreeSet<u32> {
+    pub(super) fn declared_in_isolation(&self) -> &BTreeSet<u32> {
         &self.declared_in_isolation
     }
 
     /// Digest of all members.
-    pub fn digest(&self) -> u32 {
+    pub(super) fn digest(&self) -> u32 {
         self.digest
     }
 }
 
-/// One member's part of a digest.
+/// Bytes that a member's checksum is computed of.
+const CHECKSUM_INPUT_LEN: usize = 39;
+
+/// Checksum of one member's state; a digest is the sum of all.
 pub(super) fn checksum(update: &MemberUpdate) -> u32 {
-    let mut bytes = [0u8; 39];
+    let mut bytes = [0u8; CHECKSUM_INPUT_LEN];
     bytes[..4].copy_from_slice(&update.slot.to_be_bytes());
     bytes[4..12].copy_from_slice(&update.generation.to_be_bytes());
     bytes[12..16].copy_from_slice(&update.incarnation.to_be_bytes());
