--- a/crates/emulators/src/http.rs
+++ b/crates/emulators/src/http.rs
@@ -6,10 +6,13 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use tackmast_http::{Limits, Request, RequestReader, Response, ResponseReader};
 
 const SMALL_STACK: usize = 128 << 10;
+/// Connections that may wait to be accepted.
+const BACKLOG: i32 = 128;
 const LOOK: Duration = Duration::from_millis(2);
 /// Requests that are remembered; a longer test has no use for the first.
 const KEPT: usize = 100_000;
@@ -22,6 +25,93 @@
     _ = std::thread::Builder::new().stack_size(SMALL_STACK).spawn(work);
 }
 
+/// A port on loopback that no other process or test can be given while this value lives, whether or not anything listens on it. A
+/// freed port may be bound by another emulator at once, which would then answer in place of a service that is meant to be down.
+pub struct ReservedPort {
+    address: SocketAddr,
+    /// Bound and never listening: a connect while nothing else listens is refused at once.
+    _socket: socket2::Socket,
+}
+
+impl ReservedPort {
+    /// Reserves a free port.
+    pub fn new() -> std::io::Result<Self> {
+        let socket = shared_socket(SocketAddr::from(([127, 0, 0, 1], 0)))?;
+        let address = socket.local_addr()?.as_socket().ok_or(ErrorKind::AddrNotAvailable)?;
+        Ok(ReservedPort { address, _socket: socket })
+    }
+
+    /// The loopback address with this port.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// Listens on the port, with so many connections waiting to be accepted.
+    pub fn listen(&self, backlog: i32) -> std::io::Result<TcpListener> {
+        let socket = shared_socket(self.address)?;
+        socket.listen(backlog)?;
+        Ok(socket.into())
+    }
+}
+
+/// A socket bound to an address that it shares with the others of this function. A port that the system chooses is never shared.
+fn shared_socket(address: SocketAddr) -> std::io::Result<socket2::Socket> {
+    let socket = socket2::Socket::new(socket2::Domain::for_address(address), socket2::Type::STREAM, None)?;
+    socket.set_reuse_port(true)?;
+    socket.bind(&address.into())?;
+    Ok(socket)
+}
+
+/// The thread that accepts the connections of an emulator.
+struct Acceptor {
+    port: ReservedPort,
+    listener: TcpListener,
+    over: Arc<AtomicBool>,
+    thread: Option<JoinHandle<()>>,
+}
+
+impl Acceptor {
+    /// Calls `on_connection` for each connection until it is stopped; `over` is set then.
+    fn start(
+        over: Arc<AtomicBool>,
+        on_connection: impl Fn(TcpStream) + Send + 'static,
+    ) -> std::io::Result<Self> {
+        let port = ReservedPort::new()?;
+        let listener = port.listen(BACKLOG)?;
+        let (accepting, is_over) = (listener.try_clone()?, over.clone());
+        let work = move || {
+            for stream in accepting.incoming() {
+                if is_over.load(Ordering::SeqCst) {
+                    return;
+                }
+                let Ok(stream) = stream else { continue };
+                _ = stream.set_nodelay(true);
+                _ = stream.set_read_timeout(Some(LOOK));
+                on_connection(stream);
+            }
+        };
+        let thread = std::thread::Builder::new().stack_size(SMALL_STACK).spawn(work)?;
+        Ok(Acceptor { port, listener, over, thread: Some(thread) })
+    }
+
+    /// Accepts no connection any more. The port stays reserved, so that a connect is refused.
+    fn stop(&mut self) {
+        self.over.store(true, Ordering::SeqCst);
+        // Ends the listening for both handles, and wakes the thread from `accept` without a connection, which might find no
+        // descriptor. The thread is joined, or a client could still be accepted after this call.
+        _ = socket2::SockRef::from(&self.listener).shutdown(Shutdown::Both);
+        if let Some(thread) = self.thread.take() {
+            _ = thread.join();
+        }
+    }
+}
+
+impl Drop for Acceptor {
+    fn drop(&mut self) {
+        self.stop();
+    }
+}
+
 /// What a node does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeFault {
@@ -69,19 +159,17 @@
     seen: Mutex<Vec<Seen>>,
     connections: AtomicUsize,
     open: AtomicUsize,
-    over: AtomicBool,
+    over: Arc<AtomicBool>,
 }
 
 /// A node, until it is dropped.
 pub struct HttpNode {
-    address: SocketAddr,
+    acceptor: Acceptor,
     inner: Arc<NodeInner>,
 }
 
 impl HttpNode {
     pub fn start() -> std::io::Result<Self> {
-        let listener = TcpListener::bind("127.0.0.1:0")?;
-        let address = listener.local_addr()?;
         let inner = Arc::new(NodeInner {
             fault: Mutex::new((NodeFault::Well, usize::MAX)),
             delay: Mutex::new(Duration::ZERO),
@@ -89,10 +177,10 @@
             seen: Mutex::default(),
             connections: AtomicUsize::new(0),
             open: AtomicUsize::new(0),
-            over: AtomicBool::new(false),
+            over: Arc::default(),
         });
         let of = inner.clone();
-        accept(listener, inner.clone(), move |stream| {
+        let acceptor = Acceptor::start(inner.over.clone(), move |stream| {
             let of = of.clone();
             thread(move || {
                 of.open.fetch_add(1, Ordering::SeqCst);
@@ -100,11 +188,16 @@
                 of.open.fetch_sub(1, Ordering::SeqCst);
             });
         })?;
-        Ok(HttpNode { address, inner })
+        Ok(HttpNode { acceptor, inner })
     }
 
     pub fn address(&self) -> SocketAddr {
-        self.address
+        self.acceptor.port.address()
+    }
+
+    /// Ends the node's listener and its connections. Its port stays reserved until the node is dropped, so a connect is refused.
+    pub fn stop_listening(&mut self) {
+        self.acceptor.stop();
     }
 
     /// From now on, for so many requests; then all is well again.
@@ -131,13 +224,6 @@
     }
 }
 
-impl Drop for HttpNode {
-    fn drop(&mut self) {
-        self.inner.over.store(true, Ordering::SeqCst);
-        _ = TcpStream::connect(self.address); // wakes the one that accepts
-    }
-}
-
 trait Over: Send + Sync + 'static {
     fn is_over(&self) -> bool;
 }
@@ -148,24 +234,6 @@
     }
 }
 
-fn accept(
-    listener: TcpListener,
-    inner: Arc<impl Over>,
-    each: impl Fn(TcpStream) + Send + 'static,
-) -> std::io::Result<()> {
-    let work = move || {
-        for stream in listener.incoming().flatten() {
-            if inner.is_over() {
-                return;
-            }
-            _ = stream.set_nodelay(true);
-            _ = stream.set_read_timeout(Some(LOOK));
-            each(stream);
-        }
-    };
-    std::thread::Builder::new().stack_size(SMALL_STACK).spawn(work).map(drop)
-}
-
 /// The next request on a connection; none: it has ended, or stood idle for too long.
 fn next(
     stream: &mut TcpStream,
@@ -316,7 +384,7 @@
 struct ListInner {
     known: Mutex<Known>,
     fault: Mutex<HttpListFault>,
-    over: AtomicBool,
+    over: Arc<AtomicBool>,
 }
 
 impl Over for ListInner {
@@ -327,26 +395,24 @@
 
 /// The node list, until it is dropped.
 pub struct HttpList {
-    address: SocketAddr,
+    acceptor: Acceptor,
     inner: Arc<ListInner>,
 }
 
 impl HttpList {
     pub fn start() -> std::io::Result<Self> {
-        let listener = TcpListener::bind("127.0.0.1:0")?;
-        let address = listener.local_addr()?;
         let (known, fault) = (Mutex::default(), Mutex::new(HttpListFault::Well));
-        let inner = Arc::new(ListInner { known, fault, over: AtomicBool::new(false) });
+        let inner = Arc::new(ListInner { known, fault, over: Arc::default() });
         let of = inner.clone();
-        accept(listener, inner.clone(), move |stream| {
+        let acceptor = Acceptor::start(inner.over.clone(), move |stream| {
             let of = of.clone();
             thread(move || _ = tell(&of, stream));
         })?;
-        Ok(HttpList { address, inner })
+        Ok(HttpList { acceptor, inner })
     }
 
     pub fn address(&self) -> SocketAddr {
-        self.address
+        self.acceptor.port.address()
     }
 
     /// What stands in the list from the start, at version 0.
@@ -380,13 +446,6 @@
     }
 }
 
-impl Drop for HttpList {
-    fn drop(&mut self) {
-        self.inner.over.store(true, Ordering::SeqCst);
-        _ = TcpStream::connect(self.address);
-    }
-}
-
 fn listed(known: &Known, after: Option<u64>) -> String {
     let new = |v: u64, l: &ListLine| after.map_or(l.phase != "Gone", |after| v > after);
     let lines = known.lines.values().filter(|(v, l)| new(*v, l));
--- a/crates/platform-host/tests/common/stepped.rs
+++ b/crates/platform-host/tests/common/stepped.rs
@@ -6,6 +6,7 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, Instant};
+use tackmast_emulators::http::ReservedPort;
 use tackmast_platform::Configuration;
 use tackmast_platform_host::{Host, ProcessSignal, Status};
 
@@ -73,7 +74,9 @@
 
 /// A listener: a node, or a node list.
 pub struct Place {
-    pub listener: TcpListener,
+    port: ReservedPort,
+    /// None after `stop_listening`.
+    listener: Option<TcpListener>,
     pub wires: Vec<Wire>,
 }
 
@@ -83,12 +86,16 @@
     }
 
     fn listens(backlog: i32) -> Place {
-        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
-        socket.listen(backlog).unwrap();
-        let listener: TcpListener = socket.into();
+        let port = ReservedPort::new().unwrap();
+        let listener = port.listen(backlog).unwrap();
         listener.set_nonblocking(true).unwrap();
-        Place { listener, wires: Vec::new() }
+        Place { port, listener: Some(listener), wires: Vec::new() }
+    }
+
+    /// Closes the listener and all connections. The port stays reserved, so that a connect is refused.
+    pub fn stop_listening(&mut self) {
+        self.listener = None;
+        self.wires.clear();
     }
 
     /// One whose connections do not come up until `comes_up`: its backlog is full. The system tries again after a second.
@@ -105,17 +112,22 @@
     /// Takes those that filled the backlog out of it.
     pub fn comes_up(&mut self, fill: Vec<TcpStream>) {
         for _ in 0..fill.len() {
-            drop(self.listener.accept().unwrap());
+            drop(self.accept().unwrap());
         }
     }
 
     pub fn address(&self) -> SocketAddr {
-        self.listener.local_addr().unwrap()
+        self.port.address()
+    }
+
+    fn accept(&self) -> std::io::Result<TcpStream> {
+        let listener = self.listener.as_ref().ok_or(ErrorKind::NotConnected)?;
+        listener.accept().map(|(stream, _)| stream)
     }
 
     pub fn look(&mut self) {
-        while let Ok((s, _)) = self.listener.accept() {
-            self.wires.push(Wire::new(s));
+        while let Ok(stream) = self.accept() {
+            self.wires.push(Wire::new(stream));
         }
         self.wires.iter_mut().for_each(|w| _ = w.hear());
     }
--- a/crates/platform-host/tests/crossings.rs
+++ b/crates/platform-host/tests/crossings.rs
@@ -477,7 +477,7 @@
         let (old, mut new) = (list_at.address(), Place::new());
         if failing {
             // Refused again and again: in a long pause, with no call out.
-            drop(list_at);
+            list_at.stop_listening();
             h.turns_for(2.5);
         }
         h.hup(&old.to_string(), &new.address().to_string());
@@ -593,8 +593,8 @@
     assert_eq!(ready(&mut h), 200);
     h.until("and followed", |_| list_at.asked() == 2);
     // An agent that is silent as the list is down keeps no host from serving.
-    let (mut h, list_at, _node) = rig(Settings { mode: "push", ..Settings::default() });
-    drop(list_at);
+    let (mut h, mut list_at, _node) = rig(Settings { mode: "push", ..Settings::default() });
+    list_at.stop_listening();
     h.turns_for(0.1);
     assert_eq!(ready(&mut h), 200);
 }
@@ -603,9 +603,9 @@
 
 #[test]
 fn idle_clients_may_fill_the_descriptors_while_the_list_is_down() {
-    let (mut h, list_at, mut node) = rig(Settings { sockets: 128, ..Settings::default() });
+    let (mut h, mut list_at, mut node) = rig(Settings { sockets: 128, ..Settings::default() });
     let old = list_at.address();
-    drop(list_at);
+    list_at.stop_listening();
     let mut idle: Vec<Wire> = Vec::new();
     for _ in 0..20 {
         idle.extend((0..10).map(|_| h.client()));
--- a/crates/platform-host/tests/memory_replication.rs
+++ b/crates/platform-host/tests/memory_replication.rs
@@ -1,14 +1,30 @@
 //! Hosts on loopback that keep for each other what they remember of shards: a host that ends and starts again has it back.
 
 use std::io::Write;
-use std::net::{SocketAddr, UdpSocket};
+use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::os::unix::net::UnixStream;
+use std::sync::atomic::{AtomicU32, Ordering};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use tackmast_emulators::http::{Heard, HttpClient, HttpList, HttpNode, ListLine};
 use tackmast_platform::Configuration;
 use tackmast_platform_host::{Host, ProcessSignal, Status};
 
+/// Ports of the hosts of one test. Below the range from which the system picks ports by itself.
+const PEER_PORTS: [u16; 3] = [20_001, 20_002, 20_003];
+
+/// Addresses for the datagrams of three hosts that nothing else on this machine binds: hosts know each other's address before any of
+/// them binds its own, and a port that was free a moment ago may be bound by another test by then. Each call has an address of its
+/// own in 127.0.0.0/8, made of the process id (at most 22 bits) and a counter.
+fn peer_addresses() -> Vec<SocketAddr> {
+    static CALLS: AtomicU32 = AtomicU32::new(0);
+    let call = CALLS.fetch_add(1, Ordering::SeqCst);
+    assert!(call < 4, "two bits count the calls");
+    let own_bits = (std::process::id() << 2 | call) & 0x00ff_ffff;
+    let address = Ipv4Addr::from_bits(Ipv4Addr::new(127, 0, 0, 0).to_bits() | own_bits);
+    PEER_PORTS.iter().map(|port| SocketAddr::from((address, *port))).collect()
+}
+
 struct Run {
     address: SocketAddr,
     term: UnixStream,
@@ -77,10 +93,7 @@
     let list = HttpList::start().unwrap();
     let address = node.address();
     list.holds(ListLine { id: "s-0".into(), address, shard: 0, phase: "Ready", up_since_ms: 0 });
-    // Ports that were free a moment ago.
-    let held: Vec<UdpSocket> = (0..3).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
-    let peers: Vec<SocketAddr> = held.iter().map(|s| s.local_addr().unwrap()).collect();
-    drop(held);
+    let peers = peer_addresses();
     let (first, second, third) = (start(0, &peers, &list), start(1, &peers, &list), start(2, &peers, &list));
     (1..20).for_each(|n| first.ask(n));
     assert_eq!(first.end().restored_shards, 0, "there was no life before");
@@ -106,11 +119,8 @@
     // A host asks two others three times at its start, and has nothing to leave yet; so many datagrams, and none where the
     // platform allows none. Views, votes and leases of hosts that know of each other begin with 0x746d: none of them leaves.
     for (allowed, most) in [(true, 6), (false, 0)] {
-        let held: Vec<UdpSocket> = (0..3).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
-        let peers: Vec<SocketAddr> = held.iter().map(|s| s.local_addr().unwrap()).collect();
-        let mut held = held.into_iter();
-        drop(held.next());
-        let others: Vec<UdpSocket> = held.collect();
+        let peers = peer_addresses();
+        let others: Vec<UdpSocket> = peers[1..].iter().map(|peer| UdpSocket::bind(peer).unwrap()).collect();
         others.iter().for_each(|s| s.set_read_timeout(Some(Duration::from_millis(50))).unwrap());
         let run = start_where(0, &peers, &list, allowed);
         let began = Instant::now();
--- a/crates/platform-host/tests/nodes.rs
+++ b/crates/platform-host/tests/nodes.rs
@@ -95,11 +95,12 @@
     assert_eq!((status.links.reset, status.core.retries), (0, 0), "{status:?}");
 }
 
+/// A node's process is gone and its port refuses connections. The request can't have run there, so the client must be told that a
+/// retry is safe, and at once. The emulator keeps the port: another test's node could otherwise bind it and answer.
 #[test]
 fn a_node_that_cannot_be_reached_never_ran_it() {
     let mut rig = Rig::new();
-    drop(rig.nodes.remove(0));
-    std::thread::sleep(Duration::from_millis(20));
+    rig.nodes[0].stop_listening();
     let since = Instant::now();
     let a = rig.ask("once", 0);
     assert_eq!(a.status, 503, "a retry is safe");
