--- a/crates/platform-host/src/client_connections.rs
+++ b/crates/platform-host/src/client_connections.rs
@@ -1,9 +1,11 @@
-//! Connections of clients: requests in turn, one open at a time on each. docs/crossings.md has each state of a connection
-//! against each event that may come in it.
+//! Connections of clients: their requests one after the other, one open at a time on each. docs/crossings.md has each state of a
+//! connection against each event that may come in it.
 
 use crate::client_connection::{ClientConnection, ConnectionState};
-use crate::eviction::{eviction_order, EvictionClass};
+use crate::close_reason::{CloseReason, ExceededTimeout};
+use crate::eviction::{eviction_order, EvictionCandidate};
 use crate::poller::{Poller, Ready, Token, READ};
+use crate::shutdown_schedule::ShutdownPhase;
 use crate::sockets::{self, ReadOutcome};
 use std::collections::BTreeMap;
 use std::net::TcpStream;
@@ -11,24 +13,11 @@
 use tackmast_http::Request;
 use tackmast_platform::answer_head;
 
-/// Seconds within which a new client has to send its first request, well within what the platform allows for bad ones.
-const FIRST_REQUEST_TIMEOUT: f64 = 2.5;
-/// Seconds for the bytes of a later request: some clients write slowly.
-const REQUEST_TIMEOUT: f64 = 5.0;
-/// Seconds for which the host reads on after the last answer: a close over unread bytes would reset the connection and lose
-/// the answer.
-const LINGER_TIMEOUT: f64 = 0.5;
-/// Bytes that are read and discarded after the last answer.
-const MAX_LINGER_BYTES: usize = 256 * 1024;
-/// Bytes that are read ahead on a connection whose request is in flight: the end of a connection is seen only behind what came
-/// before it. A client that sends more than this at once has its open request answered, and no more of them accepted.
-const MAX_PIPELINED_BYTES: usize = 128 * 1024;
-/// The share of all buffer memory that pipelined bytes may take.
+/// The share of all buffer memory above which no connection is read ahead any more.
 const PIPELINED_BYTES_SHARE: f64 = 0.5;
-/// Seconds after which a client that does not read its answer counts as gone.
-const WRITE_TIMEOUT: f64 = 5.0;
-/// One connection in so many is kept for telling clients that there is no capacity for theirs.
-const REJECTION_SLOT_DIVISOR: usize = 8;
+/// One connection in this many is kept for answering clients that there is no capacity for their connection.
+const CONNECTIONS_PER_REJECTION_SLOT: usize = 8;
+/// The most connections that are kept for that.
 const MAX_REJECTION_SLOTS: usize = 16;
 
 /// What became of a connection.
@@ -44,7 +33,7 @@
 pub struct ClientCounters {
     /// Connections that were accepted.
     pub accepted: u64,
-    /// Connections that were closed to make place for a new one.
+    /// Connections that were closed for a new one.
     pub evicted: u64,
     /// Connections and requests for which there was no capacity.
     pub rejected: u64,
@@ -59,30 +48,35 @@
 /// All connections of clients, and the bounds on them.
 pub struct ClientConnections {
     clients: BTreeMap<u32, ClientConnection>,
-    next: u32,
+    last_id: u32,
     max_connections: usize,
+    /// Connections beyond `max_connections` that only get a rejection.
     rejection_slots: usize,
-    bytes: usize,
+    max_buffered_bytes: usize,
+    /// Bytes that the readers of all connections hold.
     buffered_bytes: usize,
+    /// What a rejected client is told to wait; zero: nothing.
     retry_after: TimeDelta,
-    /// The host is ending: each answer says so.
-    pub shutting_down: bool,
+    /// The host is shutting down: each answer is the last on its connection.
+    is_shutting_down: bool,
+    /// What happened since the start.
     pub counters: ClientCounters,
 }
 
 impl ClientConnections {
-    /// `max_connections` connections that together hold so many `bytes`; one that finds no capacity is told to `retry_after`.
-    pub fn new(max_connections: usize, bytes: usize, retry_after: TimeDelta) -> Self {
-        let rejection_slots = (max_connections / REJECTION_SLOT_DIVISOR).min(MAX_REJECTION_SLOTS);
+    /// At most `max_connections` connections, whose buffers together hold at most `max_buffered_bytes`. A client that finds no capacity
+    /// is told to come back after `retry_after`.
+    pub fn new(max_connections: usize, max_buffered_bytes: usize, retry_after: TimeDelta) -> Self {
+        let rejection_slots = (max_connections / CONNECTIONS_PER_REJECTION_SLOT).min(MAX_REJECTION_SLOTS);
         ClientConnections {
             clients: BTreeMap::new(),
-            next: 0,
+            last_id: 0,
             max_connections: max_connections - rejection_slots,
             rejection_slots,
-            bytes,
+            max_buffered_bytes,
             buffered_bytes: 0,
             retry_after,
-            shutting_down: false,
+            is_shutting_down: false,
             counters: ClientCounters::default(),
         }
     }
@@ -92,7 +86,7 @@
         self.clients.len()
     }
 
-    /// Takes in a connection that the listener accepted. Where no other may be evicted for it, it is answered with 503.
+    /// Takes in a connection that the listener accepted. If no other may be evicted for it, it is answered with 503.
     pub fn accepted(&mut self, now: Instant, poller: &Poller, stream: TcpStream) {
         let has_capacity = self.clients.len() < self.max_connections || self.evict_one(now);
         if !has_capacity && self.clients.len() >= self.max_connections + self.rejection_slots {
@@ -102,29 +96,38 @@
         if stream.set_nonblocking(true).is_err() || stream.set_nodelay(true).is_err() {
             return;
         }
-        self.next = self.next.wrapping_add(1);
-        let id = self.next;
+        self.last_id = self.last_id.wrapping_add(1);
+        let id = self.last_id;
         if poller.add(&stream, Token::ClientConnection(id), READ).is_err() {
             return;
         }
         self.counters.accepted += 1;
         self.clients.insert(id, ClientConnection::new(now, stream));
         if !has_capacity {
-            // All have a request in flight. The new one is told, and read out, rather than reset.
+            // The new client is answered and its connection half-closed: a reset would look like a failure of the host.
             self.counters.rejected += 1;
-            self.close_with(now, poller, id, 503, "no room for the connection now");
+            self.close_with(now, poller, id, &CloseReason::NoConnectionCapacity);
         }
     }
 
-    /// One connection gives way, if any may: none with bytes in its socket, which may be a request that crosses.
+    /// Closes one connection, if any may be evicted; whether it did. A connection with bytes in its socket stays: they may be a request
+    /// that was sent before the close, which its client would lose.
     pub fn evict_one(&mut self, now: Instant) -> bool {
-        let order = eviction_order(self.clients.iter().map(|(id, c)| (*id, c.eviction_class(now), c.since)));
-        let quiet = |id: &u32| self.clients.get(id).is_some_and(|c| sockets::has_no_input(&c.stream));
-        let id = order.into_iter().find(quiet);
-        self.counters.evicted += u64::from(id.is_some());
-        id.map(|id| self.remove(id)).is_some()
+        let candidates = self.clients.iter().map(|(id, client)| EvictionCandidate {
+            id: *id,
+            class: client.eviction_class(now),
+            since: client.since,
+        });
+        let order = eviction_order(candidates);
+        let has_no_input =
+            |id: &u32| self.clients.get(id).is_some_and(|client| sockets::has_no_input(&client.stream));
+        let Some(id) = order.into_iter().find(has_no_input) else { return false };
+        self.counters.evicted += 1;
+        self.remove(id);
+        true
     }
 
+    /// Forgets a connection, which closes it; the number of its open request, if it has one.
     fn remove(&mut self, id: u32) -> Option<u32> {
         let client = self.clients.remove(&id)?;
         self.buffered_bytes -= client.buffered_bytes;
@@ -135,32 +138,38 @@
     }
 
     fn update_buffered_bytes(&mut self, id: u32) {
-        if let Some(c) = self.clients.get_mut(&id) {
-            let buffered_bytes = c.reader.reserved_len();
-            self.buffered_bytes = self.buffered_bytes - c.buffered_bytes + buffered_bytes;
-            c.buffered_bytes = buffered_bytes;
+        if let Some(client) = self.clients.get_mut(&id) {
+            let buffered_bytes = client.reader.reserved_len();
+            self.buffered_bytes = self.buffered_bytes - client.buffered_bytes + buffered_bytes;
+            client.buffered_bytes = buffered_bytes;
         }
     }
 
-    /// Whether the client of a connection has gone, whatever was told of it in this iteration.
+    /// Whether the client of a connection has gone, also where the poller has not reported it in this iteration.
     pub fn has_disconnected(&self, id: u32) -> bool {
-        self.clients.get(&id).is_none_or(|c| sockets::has_ended(&c.stream))
+        self.clients.get(&id).is_none_or(|client| sockets::has_ended(&client.stream))
     }
 
-    /// The connection is over, with this request open.
+    /// The client of a connection has gone.
     pub fn disconnected(&mut self, id: u32) -> ClientEvent {
         ClientEvent::Gone(self.remove(id))
     }
 
     /// The socket of a connection is ready.
-    pub fn handle_ready(&mut self, now: Instant, poller: &Poller, id: u32, r: Ready) -> Option<ClientEvent> {
-        let over = self.clients.get(&id)?.is_over();
-        // Its client has ended the connection, or its sending: gone, with all that it asked for, also what came in the same
-        // moment and was not read yet.
-        if r.ended && !over {
+    pub fn handle_ready(
+        &mut self,
+        now: Instant,
+        poller: &Poller,
+        id: u32,
+        ready: Ready,
+    ) -> Option<ClientEvent> {
+        let is_over = self.clients.get(&id)?.is_over();
+        // A client that ends the connection, or its sending, has gone with all its requests. This comes before any read: a request that
+        // arrived in the same moment would otherwise be sent to a node although nobody waits for its answer.
+        if ready.ended && !is_over {
             return Some(self.disconnected(id));
         }
-        if r.write {
+        if ready.write {
             if let Some(client_event) = self.flush(now, poller, id) {
                 return Some(client_event);
             }
@@ -168,106 +177,106 @@
                 return self.next_request(now, poller, id);
             }
         }
-        if !r.read && !r.ended {
+        if !ready.read && !ready.ended {
             return None;
         }
-        let c = self.clients.get_mut(&id)?;
-        let mut piece = [0; sockets::READ_CHUNK_BYTES];
-        match sockets::read(&c.stream, &mut piece) {
+        self.read(now, poller, id)
+    }
+
+    /// Reads one chunk from a connection.
+    fn read(&mut self, now: Instant, poller: &Poller, id: u32) -> Option<ClientEvent> {
+        let client = self.clients.get_mut(&id)?;
+        let mut chunk = [0; sockets::READ_CHUNK_BYTES];
+        match sockets::read(&client.stream, &mut chunk) {
             ReadOutcome::Nothing => return None,
             ReadOutcome::End | ReadOutcome::Failed => return Some(self.disconnected(id)),
-            ReadOutcome::Bytes(n) if c.is_over() => {
-                c.lingered_bytes += n;
-                let done = c.lingered_bytes > MAX_LINGER_BYTES;
-                return done.then(|| self.disconnected(id));
-            }
-            ReadOutcome::Bytes(n) => {
-                if !c.reader.has_partial_request()
-                    && c.state == ConnectionState::Reading
-                    && c.has_sent_request
-                {
-                    c.since = now;
-                }
-                c.reader.push(&piece[..n]);
+            ReadOutcome::Bytes(len) if client.is_over() => {
+                return client.discard_bytes(len).then(|| self.disconnected(id));
             }
+            ReadOutcome::Bytes(len) => client.push_bytes(now, &chunk[..len]),
         }
         self.update_buffered_bytes(id);
-        let all = self.buffered_bytes as f64 > self.bytes as f64 * PIPELINED_BYTES_SHARE;
-        let c = self.clients.get_mut(&id)?;
-        if let ConnectionState::AwaitingResponse(_) = c.state {
-            // What is pipelined is read, within bounds, so that an end behind it is seen.
-            if all || c.reader.buffered_len() > MAX_PIPELINED_BYTES {
-                c.closes = true;
-                self.counters.pipelined_too_much += 1;
-                self.update_interest(poller, id);
-            }
+        let client = self.clients.get(&id)?;
+        if let ConnectionState::AwaitingResponse(_) = client.state {
+            self.bound_pipelining(poller, id);
             return None;
         }
         self.next_request(now, poller, id)
     }
 
-    /// Whether a part of a request, or more, has been pipelined.
+    /// Stops reading ahead on a connection whose request is in flight once it holds too much. Within the bound it is read ahead, because
+    /// the end of a connection is seen only behind the bytes before it. Beyond, its open request is answered and no more accepted.
+    fn bound_pipelining(&mut self, poller: &Poller, id: u32) {
+        let pipelined_bytes_bound = self.max_buffered_bytes as f64 * PIPELINED_BYTES_SHARE;
+        let all_hold_too_much = self.buffered_bytes as f64 > pipelined_bytes_bound;
+        let Some(client) = self.clients.get_mut(&id) else { return };
+        if all_hold_too_much || client.has_pipelined_too_much() {
+            client.closes = true;
+            self.counters.pipelined_too_much += 1;
+            self.update_interest(poller, id);
+        }
+    }
+
+    /// Whether a connection without an open request has received a part of the next one, or more.
     pub fn has_more(&self, id: u32) -> bool {
-        let may = |c: &ClientConnection| {
-            c.state == ConnectionState::Reading && c.outgoing.is_empty() && c.reader.has_partial_request()
-        };
-        self.clients.get(&id).is_some_and(may)
+        let has_more =
+            |client: &ClientConnection| client.awaits_request() && client.reader.has_partial_request();
+        self.clients.get(&id).is_some_and(has_more)
     }
 
-    /// The next request of a connection that none is open on.
+    /// The next request of a connection that has none open.
     pub fn next_request(&mut self, now: Instant, poller: &Poller, id: u32) -> Option<ClientEvent> {
-        let c = self
-            .clients
-            .get_mut(&id)
-            .filter(|c| c.state == ConnectionState::Reading && c.outgoing.is_empty())?;
-        let next = c.reader.next_request();
-        if c.reader.take_expects_continue() {
-            c.outgoing.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
-            _ = sockets::write(&c.stream, &mut c.outgoing);
+        let client = self.clients.get_mut(&id).filter(|client| client.awaits_request())?;
+        let next = client.reader.next_request();
+        if client.reader.take_expects_continue() {
+            client.outgoing.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
+            _ = sockets::write(&client.stream, &mut client.outgoing);
         }
         self.update_buffered_bytes(id);
         match next {
             Ok(Some(request)) => {
-                let c = self.clients.get_mut(&id)?;
-                c.closes = request.closes;
+                self.clients.get_mut(&id)?.closes = request.closes;
                 Some(ClientEvent::Request(request))
             }
-            Ok(None) if self.buffered_bytes > self.bytes => {
+            Ok(None) if self.buffered_bytes > self.max_buffered_bytes => {
                 self.counters.rejected += 1;
-                self.close_with(now, poller, id, 503, "no room for the request now")
+                self.close_with(now, poller, id, &CloseReason::NoBufferCapacity)
             }
             Ok(None) => {
                 self.update_interest(poller, id);
                 None
             }
-            Err(bad) => {
+            Err(error) => {
                 self.counters.bad += 1;
-                self.close_with(now, poller, id, bad.status(), &bad.to_string())
+                self.close_with(now, poller, id, &CloseReason::Malformed(error))
             }
         }
     }
 
-    /// A request was understood and taken: its connection is owed an answer.
+    /// A request was understood and accepted: its connection awaits the answer.
     pub fn request_accepted(&mut self, now: Instant, id: u32, request: u32) {
-        if let Some(c) = self.clients.get_mut(&id).filter(|c| c.state == ConnectionState::Reading) {
-            (c.state, c.has_sent_request, c.since) = (ConnectionState::AwaitingResponse(request), true, now);
+        let is_reading = |client: &&mut ClientConnection| client.state == ConnectionState::Reading;
+        if let Some(client) = self.clients.get_mut(&id).filter(is_reading) {
+            client.state = ConnectionState::AwaitingResponse(request);
+            client.has_sent_request = true;
+            client.since = now;
         }
     }
 
-    /// The last answer on this connection.
+    /// Gives the last answer on a connection: why the host ends it.
     pub fn close_with(
         &mut self,
         now: Instant,
         poller: &Poller,
         id: u32,
-        status: u16,
-        why: &str,
+        reason: &CloseReason,
     ) -> Option<ClientEvent> {
-        if let Some(c) = self.clients.get_mut(&id) {
-            c.closes = true;
+        if let Some(client) = self.clients.get_mut(&id) {
+            client.closes = true;
         }
+        let status = reason.status();
         let retry_after = (status == 503 && self.retry_after > TimeDelta::ZERO).then_some(self.retry_after);
-        self.answer(now, poller, id, status, why.as_bytes(), retry_after)
+        self.answer(now, poller, id, status, reason.body().as_bytes(), retry_after)
     }
 
     /// The answer to the request that is open on a connection, or was just read on it.
@@ -280,79 +289,69 @@
         body: &[u8],
         retry_after: Option<TimeDelta>,
     ) -> Option<ClientEvent> {
-        let shutting_down = self.shutting_down;
-        let c = self.clients.get_mut(&id).filter(|c| !c.is_over())?;
-        let last = c.closes || shutting_down;
-        c.outgoing.extend_from_slice(answer_head(status, body.len(), retry_after, last).as_bytes());
-        c.outgoing.extend_from_slice(body);
-        c.has_sent_request |= status == 200;
-        (c.state, c.since) = (if last { ConnectionState::Closing } else { ConnectionState::Reading }, now);
+        let client = self.clients.get_mut(&id).filter(|client| !client.is_over())?;
+        let is_last = client.closes || self.is_shutting_down;
+        let head = answer_head(status, body.len(), retry_after, is_last);
+        client.outgoing.extend_from_slice(head.as_bytes());
+        client.outgoing.extend_from_slice(body);
+        client.has_sent_request |= status == 200;
+        client.state = if is_last { ConnectionState::Closing } else { ConnectionState::Reading };
+        client.since = now;
         self.flush(now, poller, id)
     }
 
     fn flush(&mut self, now: Instant, poller: &Poller, id: u32) -> Option<ClientEvent> {
-        let c = self.clients.get_mut(&id)?;
-        if sockets::write(&c.stream, &mut c.outgoing).is_err() {
+        let client = self.clients.get_mut(&id)?;
+        if sockets::write(&client.stream, &mut client.outgoing).is_err() {
             return Some(self.disconnected(id));
         }
-        if c.outgoing.is_empty() && c.state == ConnectionState::Closing {
-            c.half_close(now);
+        if client.outgoing.is_empty() && client.state == ConnectionState::Closing {
+            client.half_close(now);
         }
         self.update_interest(poller, id);
         None
     }
 
-    /// Waits for what its state wants.
+    /// Makes the poller wait for what the connection's state wants.
     fn update_interest(&mut self, poller: &Poller, id: u32) {
-        if let Some(c) = self.clients.get_mut(&id) {
-            let wanted_interest = c.wanted_interest();
-            if wanted_interest != c.interest {
-                c.interest = wanted_interest;
-                poller.change(&c.stream, Token::ClientConnection(id), wanted_interest);
+        if let Some(client) = self.clients.get_mut(&id) {
+            let wanted_interest = client.wanted_interest();
+            if wanted_interest != client.interest {
+                client.interest = wanted_interest;
+                poller.change(&client.stream, Token::ClientConnection(id), wanted_interest);
             }
         }
     }
 
-    /// Time has passed: those that take too long. Gives those that have gone with a request open.
+    /// Ends the connections that have exceeded a time limit. Gives those that were closed with a request open: connection and request.
     pub fn handle_timeout(&mut self, now: Instant, poller: &Poller) -> Vec<(u32, u32)> {
-        let mut client_gone = Vec::new();
-        let all: Vec<(u32, EvictionClass, f64)> =
-            self.clients.iter().map(|(id, c)| (*id, c.eviction_class(now), (now - c.since).secs())).collect();
-        for (id, eviction_class, secs) in all {
-            let Some(c) = self.clients.get(&id) else { continue };
-            let writing = !c.outgoing.is_empty() && !matches!(c.state, ConnectionState::AwaitingResponse(_));
-            match eviction_class {
-                EvictionClass::Over if secs >= LINGER_TIMEOUT => _ = self.remove(id),
-                EvictionClass::Silent if secs >= FIRST_REQUEST_TIMEOUT => self.too_slow(now, poller, id),
-                EvictionClass::MidRequest if secs >= REQUEST_TIMEOUT => self.too_slow(now, poller, id),
-                EvictionClass::Busy if writing && secs >= WRITE_TIMEOUT => {
-                    client_gone.extend(self.remove(id).map(|open| (id, open)));
+        let exceeded = |(id, client): (&u32, &ClientConnection)| Some((*id, client.exceeded_timeout(now)?));
+        let expired: Vec<(u32, ExceededTimeout)> = self.clients.iter().filter_map(exceeded).collect();
+        let mut closed = Vec::new();
+        for (id, timeout) in expired {
+            match timeout {
+                ExceededTimeout::Linger => _ = self.remove(id),
+                ExceededTimeout::Request => {
+                    self.counters.too_slow += 1;
+                    self.close_with(now, poller, id, &CloseReason::RequestTimeout);
                 }
-                _ => {}
+                ExceededTimeout::Write => closed.extend(self.remove(id).map(|open| (id, open))),
             }
         }
-        client_gone
-    }
-
-    fn too_slow(&mut self, now: Instant, poller: &Poller, id: u32) {
-        self.counters.too_slow += 1;
-        self.close_with(now, poller, id, 408, "no whole request in time");
+        closed
     }
 
-    /// The host is ending: connections between requests are half-closed, one with bytes in its socket only once these are
-    /// read, as they may be a request. `all`: also those that only just came, and what is in the middle of a request is
-    /// told that there is no time for it.
-    pub fn begin_shutdown(&mut self, now: Instant, poller: &Poller, all: bool) {
-        self.shutting_down = true;
-        let request_ids: Vec<u32> = self.clients.keys().copied().collect();
-        for id in request_ids {
-            let Some(c) = self.clients.get_mut(&id) else { continue };
-            let young = c.eviction_class(now) == EvictionClass::New;
-            if c.is_between_requests() && (all || !young && sockets::has_no_input(&c.stream)) {
-                c.half_close(now);
+    /// The host shuts down and has reached this phase, `Closing` or later: from now on each answer is the last on its connection.
+    pub fn begin_shutdown(&mut self, now: Instant, poller: &Poller, phase: ShutdownPhase) {
+        self.is_shutting_down = true;
+        let ids: Vec<u32> = self.clients.keys().copied().collect();
+        for id in ids {
+            let Some(client) = self.clients.get_mut(&id) else { continue };
+            if client.is_half_closed_by(phase, now) {
+                client.half_close(now);
                 self.update_interest(poller, id);
-            } else if all && c.state == ConnectionState::Reading && c.outgoing.is_empty() {
-                self.close_with(now, poller, id, 503, "the host ends");
+            } else if client.is_rejected_by(phase) {
+                self.close_with(now, poller, id, &CloseReason::ShuttingDown);
             }
         }
     }
--- a/crates/platform-host/src/client_connections/tests.rs
+++ b/crates/platform-host/src/client_connections/tests.rs
@@ -1,6 +1,7 @@
 //! Crossings that a whole host can't be brought to: bytes that come after an iteration began and before it gets to them.
 
 use super::*;
+use crate::client_connection::{LINGER_TIMEOUT, MAX_LINGER_BYTES, MAX_PIPELINED_BYTES};
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::time::{Duration, Instant as Wall};
@@ -34,7 +35,7 @@
         mine.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
         let (theirs, _) = self.listener.accept().unwrap();
         self.clients.accepted(at(now), &self.poller, theirs);
-        (self.clients.next, mine)
+        (self.clients.last_id, mine)
     }
 
     /// One that has had a request and is idle.
@@ -135,7 +136,7 @@
     assert!(rig.clients.handle_ready(at(4.9), &rig.poller, half, read(half)).is_none());
     crossing.write_all(GET).unwrap();
     rig.until(speaks, false);
-    rig.clients.begin_shutdown(at(5.0), &rig.poller, false);
+    rig.clients.begin_shutdown(at(5.0), &rig.poller, ShutdownPhase::Closing);
     assert_eq!((rig.state(idle), rig.state(speaks)), (ConnectionState::HalfClosed, ConnectionState::Reading));
     assert_eq!(
         (rig.state(owed), rig.state(young), rig.state(half)),
@@ -151,7 +152,7 @@
     rig.clients.answer(at(5.0), &rig.poller, speaks, 200, b"x", None);
     assert!(to_end(&crossing).ends_with("Content-Length: 1\r\nConnection: close\r\n\r\nx"));
     // And at the very end, all that is left.
-    rig.clients.begin_shutdown(at(5.2), &rig.poller, true);
+    rig.clients.begin_shutdown(at(5.2), &rig.poller, ShutdownPhase::Settled);
     assert_eq!(
         (rig.state(young), rig.state(half)),
         (ConnectionState::HalfClosed, ConnectionState::HalfClosed)
@@ -164,7 +165,7 @@
 fn what_comes_after_the_last_answer_is_thrown_away_within_a_bound() {
     let mut rig = Rig::new(3);
     let (id, mut mine) = rig.idle_client(1.0);
-    rig.clients.begin_shutdown(at(2.0), &rig.poller, false);
+    rig.clients.begin_shutdown(at(2.0), &rig.poller, ShutdownPhase::Closing);
     let r = Ready { token: Token::ClientConnection(id), read: true, write: false, ended: false };
     let mut sent = 0;
     while rig.is_there(id) {
@@ -179,9 +180,9 @@
     assert!(sent > MAX_LINGER_BYTES);
     let (id, _mine) = rig.idle_client(4.0); // its answer is the last
     assert_eq!(rig.state(id), ConnectionState::HalfClosed);
-    rig.clients.handle_timeout(at(4.0 + LINGER_TIMEOUT - 0.01), &rig.poller);
+    rig.clients.handle_timeout(at(4.0 + LINGER_TIMEOUT.secs() - 0.01), &rig.poller);
     assert!(rig.is_there(id));
-    rig.clients.handle_timeout(at(4.0 + LINGER_TIMEOUT), &rig.poller);
+    rig.clients.handle_timeout(at(4.0 + LINGER_TIMEOUT.secs()), &rig.poller);
     assert!(!rig.is_there(id));
 }
 
--- a/crates/platform-host/src/eviction.rs
+++ b/crates/platform-host/src/eviction.rs
@@ -1,39 +1,50 @@
-//! Which client's connection gives way to a new one when all descriptors are in use. No I/O.
+//! Which client connection is closed for a new one when all descriptors are in use. No I/O.
 
-use tackmast::interface::Instant;
+use tackmast::interface::{Instant, TimeDelta};
 
-/// How far a client's connection is, for the choice which one has to go.
+/// How far a client's connection is, in the order in which connections are evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionClass {
     /// Has its last answer; only its end is awaited.
     Over,
-    /// Has not made one good request in a while: has said nothing, or a part.
+    /// Has not sent one valid request in a while: nothing, or a part of one.
     Silent,
-    /// Between requests for long enough that its client counts on its end.
+    /// Between requests for long enough that its client expects the connection to be closed.
     Idle,
-    /// Has only just come. Its first request is on its way, and its client would take its end for a failure.
+    /// Was just accepted. Its first request is on its way, and its client would take a close for a failure.
     New,
-    /// Between requests for a moment.
+    /// Between requests, for a moment.
     RecentlyUsed,
     /// In the middle of a request's bytes.
     MidRequest,
-    /// Owed an answer.
+    /// Has a request in flight, or an answer that is being written.
     Busy,
 }
 
-/// Seconds between requests after which a connection counts as idle.
-pub const IDLE_AFTER: f64 = 2.0;
+/// How long a connection is between requests before it counts as idle.
+pub const IDLE_AFTER: TimeDelta = TimeDelta::from_millis(2000);
 
-/// Seconds within which the first request of a new connection is expected.
-pub const NEW_CONNECTION_GRACE: f64 = 0.3;
+/// How long the first request of a new connection is expected before the connection counts as silent.
+pub const NEW_CONNECTION_GRACE: TimeDelta = TimeDelta::from_millis(300);
 
-/// The clients that may be given up for a new one, the first to go first: the lowest stage, in it the longest there. One that is
-/// owed an answer never goes.
-pub fn eviction_order(clients: impl Iterator<Item = (u32, EvictionClass, Instant)>) -> Vec<u32> {
-    let mut may: Vec<_> =
-        clients.filter(|(_, eviction_class, _)| *eviction_class < EvictionClass::Busy).collect();
-    may.sort_by_key(|(id, eviction_class, since)| (*eviction_class, *since, *id));
-    may.into_iter().map(|(id, _, _)| id).collect()
+/// A connection that may be evicted, as far as the order depends on it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EvictionCandidate {
+    /// The connection.
+    pub id: u32,
+    /// How far it is.
+    pub class: EvictionClass,
+    /// Since when it is in that class.
+    pub since: Instant,
+}
+
+/// The connections that may be evicted, in order: by class, and within a class the longest there first, because its client is the least
+/// likely to use it next. A busy connection is never evicted: its client would lose an answer.
+pub fn eviction_order(connections: impl Iterator<Item = EvictionCandidate>) -> Vec<u32> {
+    let mut candidates: Vec<_> =
+        connections.filter(|candidate| candidate.class < EvictionClass::Busy).collect();
+    candidates.sort_by_key(|candidate| (candidate.class, candidate.since, candidate.id));
+    candidates.into_iter().map(|candidate| candidate.id).collect()
 }
 
 #[cfg(test)]
--- a/crates/platform-host/src/eviction/tests.rs
+++ b/crates/platform-host/src/eviction/tests.rs
@@ -1,27 +1,32 @@
-//! The order in which client connections give way.
+//! The order in which client connections are evicted.
 
 use super::*;
 
-fn at(s: f64) -> Instant {
-    Instant::from_secs(s)
-}
-
+/// All descriptors are in use and a new client connects. If the wrong connection were closed for it, a client would lose an answer
+/// or a request that is on its way, while silent connections stayed open.
 #[test]
-fn who_is_owed_least_goes_first() {
+fn the_connection_whose_client_loses_least_is_evicted_first() {
     use EvictionClass::*;
     type Case = (&'static str, Vec<(u32, EvictionClass, f64)>, Option<u32>);
     let cases: Vec<Case> = vec![
-        ("nobody", vec![], None),
-        ("all are owed an answer", vec![(1, Busy, 0.0), (2, Busy, 1.0)], None),
+        ("no connections", vec![], None),
+        ("all are busy", vec![(1, Busy, 0.0), (2, Busy, 1.0)], None),
         ("over before silent", vec![(1, Silent, 0.0), (2, Over, 9.0)], Some(2)),
         ("the longest silent", vec![(1, Silent, 5.0), (2, Silent, 4.0), (3, Idle, 0.0)], Some(2)),
-        ("idle before one that has just come", vec![(1, New, 5.0), (2, Idle, 3.0)], Some(2)),
-        ("a flood of new ones against usual clients", vec![(1, RecentlyUsed, 1.0), (2, New, 5.0)], Some(2)),
-        ("idle before midway", vec![(1, MidRequest, 0.0), (2, Idle, 3.0), (3, RecentlyUsed, 1.0)], Some(2)),
-        ("at a pinch one in the middle", vec![(1, MidRequest, 2.0), (2, Busy, 0.0)], Some(1)),
+        ("idle before new", vec![(1, New, 5.0), (2, Idle, 3.0)], Some(2)),
+        ("new before recently used", vec![(1, RecentlyUsed, 1.0), (2, New, 5.0)], Some(2)),
+        (
+            "idle before mid-request",
+            vec![(1, MidRequest, 0.0), (2, Idle, 3.0), (3, RecentlyUsed, 1.0)],
+            Some(2),
+        ),
+        ("mid-request before busy", vec![(1, MidRequest, 2.0), (2, Busy, 0.0)], Some(1)),
     ];
-    for (name, clients, expected) in cases {
-        let order = eviction_order(clients.into_iter().map(|(c, s, t)| (c, s, at(t))));
-        assert_eq!(order.first().copied(), expected, "{name}");
+    for (name, connections, expected) in cases {
+        let candidates = connections.into_iter().map(|(id, class, since_secs)| {
+            let since = Instant::from_secs(since_secs);
+            EvictionCandidate { id, class, since }
+        });
+        assert_eq!(eviction_order(candidates).first().copied(), expected, "{name}");
     }
 }
--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -10,6 +10,7 @@
 pub use status::{OpenCounts, StartError, Status};
 
 use crate::client_connections::{ClientConnections, ClientEvent};
+use crate::close_reason::CloseReason;
 use crate::list_watch::{Watch, WatchEvent};
 use crate::memory_replication::{self, MemoryReplication};
 use crate::node_connections::Links;
@@ -32,19 +33,21 @@
 use tackmast_http::Request;
 use tackmast_platform::{Call, Configuration, List, Reports, Settings};
 
-/// Interval between checks of the connections' timeouts, in seconds.
-const TIMEOUT_CHECK_INTERVAL: f64 = 0.02;
+/// Interval between checks of the connections' timeouts.
+const TIMEOUT_CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(20);
 /// Connections accepted in one iteration of the loop.
 const MAX_ACCEPTS_PER_ITERATION: usize = 32;
 /// Datagrams received in one iteration of the loop.
 const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
-/// Minimum interval between polls of the endpoint list, in seconds: well within the time after which a poll counts as a new watch.
-const MIN_POLL_INTERVAL: f64 = 0.05;
-/// For how long the id of a finished request is remembered, in seconds, and how many ids.
-const REQUEST_ID_RETENTION: f64 = 5.0;
+/// Minimum interval between polls of the endpoint list: well within the time after which a poll counts as a new watch.
+const MIN_POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(50);
+/// How long the id of a finished request is remembered.
+const REQUEST_ID_RETENTION: TimeDelta = TimeDelta::from_millis(5000);
+/// Ids of finished requests that are remembered; the oldest is forgotten beyond.
 const MAX_RECENT_IDS: usize = 4096;
-/// Bounds of the tables of nodes and of volume names.
+/// Nodes that the host core remembers.
 const MAX_NODES: usize = 1024;
+/// Volumes whose names the host core remembers.
 const MAX_VOLUMES: usize = 1024;
 
 /// What a signal to the process asks of a running host.
@@ -120,31 +123,41 @@
 
 impl Host {
     /// Opens the sockets that the configuration names.
-    pub fn start(c: &Configuration) -> Result<Self, StartError> {
+    pub fn start(configuration: &Configuration) -> Result<Self, StartError> {
         let clock = Clock(std::time::Instant::now());
         let now = clock.now();
-        let s = c.settings.clone();
-        let budget = ResourceBudget::of(&c.limits);
+        let settings = configuration.settings.clone();
+        let budget = ResourceBudget::of(&configuration.limits);
         let poller = Poller::new().map_err(StartError::Poller)?;
-        let listen_error = |problem| StartError::Listen { address: c.listen, problem };
-        let listener = TcpListener::bind(c.listen).map_err(listen_error)?;
+        let listen_error = |problem| StartError::Listen { address: configuration.listen, problem };
+        let listener = TcpListener::bind(configuration.listen).map_err(listen_error)?;
         listener.set_nonblocking(true).map_err(listen_error)?;
         poller.add(&listener, Token::Listener, READ).map_err(listen_error)?;
-        let mut scheduler = s.scheduler(now, c.seed);
-        // Also where lists are pushed: the platform's agent is polled from the first moment on.
+        let mut scheduler = settings.scheduler(now, configuration.seed);
+        // Also where lists are pushed: the platform's agent is polled from the start. Without it the host would serve by the list in
+        // its configuration file for as long as it lives.
         scheduler.subscribe_to_node_list();
-        let core = Core::placed(now, scheduler, placed_settings(&s, &budget), c.seed);
-        let peers = open_peer_link(now, c, &poller)?;
+        let core = Core::placed(now, scheduler, placed_settings(&settings, &budget), configuration.seed);
+        let peers = open_peer_link(now, configuration, &poller)?;
         let mut host = Host {
             core,
             clock,
             poller,
             listener: Some(listener),
-            clients: ClientConnections::new(budget.clients, budget.bytes, s.longest_wait),
-            links: Links::new(budget.links, s.connect_timeout, s.conn_idle, Reports::of(&s)),
-            watch: Watch::new(c.discovery),
+            clients: ClientConnections::new(
+                budget.client_connections,
+                budget.buffer_bytes,
+                settings.longest_wait,
+            ),
+            links: Links::new(
+                budget.node_connections,
+                settings.connect_timeout,
+                settings.conn_idle,
+                Reports::of(&settings),
+            ),
+            watch: Watch::new(configuration.discovery),
             follows_list: false,
-            last_poll_at: now - TimeDelta::from_secs(MIN_POLL_INTERVAL),
+            last_poll_at: now - MIN_POLL_INTERVAL,
             next_poll_at: None,
             has_list: false,
             list_polled: false,
@@ -158,19 +171,19 @@
             attempt_results: Vec::new(),
             timeouts_checked_at: now,
             shutdown_since: None,
-            shutdown_schedule: ShutdownSchedule::new(longest_deadline(&s)),
+            shutdown_schedule: ShutdownSchedule::new(longest_deadline(&settings)),
             shutdown_phase: ShutdownPhase::Serving,
             peers,
             restored_shards: 0,
-            settings: s,
+            settings,
         };
-        if let Some(known) = &c.known {
+        if let Some(known) = &configuration.known {
             host.apply_list(now, ListKind::Saved, 0, known);
         }
         Ok(host)
     }
 
-    /// Each byte on this stream stands for one signal to the process.
+    /// Handles each byte on this stream as one signal to the process.
     pub fn register_signal(&mut self, signal: ProcessSignal, from: UnixStream) -> std::io::Result<()> {
         let number = self.signals.len() as u32;
         from.set_nonblocking(true)?;
@@ -181,7 +194,7 @@
 
     /// Where the host accepts connections; none once its listener is closed.
     pub fn address(&self) -> Option<SocketAddr> {
-        self.listener.as_ref().and_then(|l| l.local_addr().ok())
+        self.listener.as_ref().and_then(|listener| listener.local_addr().ok())
     }
 
     /// A snapshot for logs and tests.
@@ -215,16 +228,16 @@
         reload: &mut impl FnMut() -> Result<Configuration, E>,
     ) -> bool {
         self.poller.wait(self.poll_wait(), ready);
-        for r in ready.iter() {
-            self.handle_ready_socket(*r, reload);
+        for socket in ready.iter() {
+            self.handle_ready_socket(*socket, reload);
         }
         let now = self.clock.now();
-        // One more request of each, and no more in this iteration: a client that sends many at once shares with the others.
+        // One request of each connection in an iteration: a client that pipelines many would otherwise hold up the others.
         for id in std::mem::take(&mut self.pipelined_clients) {
             let client_event = self.clients.next_request(now, &self.poller, id);
             self.handle_client_event(now, id, client_event);
         }
-        if (now - self.timeouts_checked_at).secs() >= TIMEOUT_CHECK_INTERVAL {
+        if now - self.timeouts_checked_at >= TIMEOUT_CHECK_INTERVAL {
             self.timeouts_checked_at = now;
             self.check_timeouts(now);
         }
@@ -235,13 +248,13 @@
 
     fn handle_ready_socket<E: Display>(
         &mut self,
-        r: Ready,
+        ready: Ready,
         reload: &mut impl FnMut() -> Result<Configuration, E>,
     ) {
         let now = self.clock.now();
-        match r.token {
+        match ready.token {
             Token::List(number) => {
-                let watch_event = self.watch.handle_ready(now, &self.poller, number, r, &self.settings);
+                let watch_event = self.watch.handle_ready(now, &self.poller, number, ready, &self.settings);
                 self.handle_watch_event(now, watch_event);
             }
             Token::Signal(number) => {
@@ -250,15 +263,16 @@
                 }
             }
             Token::Link(id) => {
-                // It comes up: its request must still be wanted.
+                // The connection may just have been established. A client that has left meanwhile is looked for first, or its request
+                // would be written to the node.
                 if let Some(client) = self.links.connecting_client(id) {
                     self.check_client(now, client);
                 }
-                self.links.handle_ready(now, &self.poller, id, r, &mut self.attempt_results);
+                self.links.handle_ready(now, &self.poller, id, ready, &mut self.attempt_results);
                 self.report_attempt_results(now);
             }
             Token::ClientConnection(id) => {
-                let client_event = self.clients.handle_ready(now, &self.poller, id, r);
+                let client_event = self.clients.handle_ready(now, &self.poller, id, ready);
                 self.handle_client_event(now, id, client_event);
             }
             Token::Listener => self.accept(now),
@@ -272,10 +286,10 @@
             return Duration::ZERO;
         }
         let now = self.clock.now();
-        let next_check = (self.timeouts_checked_at - now).secs() + TIMEOUT_CHECK_INTERVAL;
-        let wakes = [self.core.poll_timeout(now), self.links.poll_timeout()];
-        let wake = wakes.into_iter().flatten().min().map_or(TIMEOUT_CHECK_INTERVAL, |t| (t - now).secs());
-        Duration::from_secs_f64(next_check.min(wake).max(0.0))
+        let next_check = self.timeouts_checked_at + TIMEOUT_CHECK_INTERVAL;
+        let timeouts = [self.core.poll_timeout(now), self.links.poll_timeout(), Some(next_check)];
+        let next_timeout = timeouts.into_iter().flatten().min().unwrap_or(next_check);
+        Duration::from_secs_f64((next_timeout - now).secs().max(0.0))
     }
 
     /// Receives datagrams of peers, a bounded number in each iteration.
@@ -283,8 +297,8 @@
         let Some(peers) = &mut self.peers else { return };
         let mut bytes = [0; memory_replication::MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
-            let Ok((n, from)) = peers.socket.recv_from(&mut bytes) else { break };
-            let answers = peers.memory.handle_datagram(now, from, &bytes[..n]);
+            let Ok((len, from)) = peers.socket.recv_from(&mut bytes) else { break };
+            let answers = peers.memory.handle_datagram(now, from, &bytes[..len]);
             peers.send(answers);
         }
         let restored = peers.memory.poll_restored();
@@ -307,7 +321,7 @@
         }
         let late = self.watch.handle_timeout(now, &self.settings);
         self.handle_watch_event(now, late);
-        if self.follows_list && !self.watch.is_polling() && self.next_poll_at.is_some_and(|t| t <= now) {
+        if self.follows_list && !self.watch.is_polling() && self.next_poll_at.is_some_and(|due| due <= now) {
             self.poll_list(now);
         }
         self.links.handle_timeout(now, &mut self.attempt_results);
@@ -319,8 +333,8 @@
     }
 }
 
-fn placed_settings(s: &Settings, budget: &ResourceBudget) -> PlacedSettings {
-    let traffic_classes = s.traffic_classes.iter().map(|class| TrafficClass {
+fn placed_settings(settings: &Settings, budget: &ResourceBudget) -> PlacedSettings {
+    let traffic_classes = settings.traffic_classes.iter().map(|class| TrafficClass {
         name: class.name.clone(),
         latency_objective: class.latency_objective,
         deadline: class.deadline,
@@ -330,26 +344,30 @@
     });
     PlacedSettings {
         traffic_classes: traffic_classes.collect(),
-        reports_service: s.reports_peer_service,
-        longest_wait: s.longest_wait,
-        grace: s.drain_grace,
+        reports_service: settings.reports_peer_service,
+        longest_wait: settings.longest_wait,
+        grace: settings.drain_grace,
         requests: budget.requests,
-        bytes: budget.bytes,
+        bytes: budget.buffer_bytes,
         nodes: MAX_NODES,
         volumes: MAX_VOLUMES,
     }
 }
 
-fn open_peer_link(now: Instant, c: &Configuration, poller: &Poller) -> Result<Option<PeerLink>, StartError> {
-    let Some((address, peers)) = &c.peers else { return Ok(None) };
+fn open_peer_link(
+    now: Instant,
+    configuration: &Configuration,
+    poller: &Poller,
+) -> Result<Option<PeerLink>, StartError> {
+    let Some((address, peers)) = &configuration.peers else { return Ok(None) };
     let socket = bind_peer_socket(*address, poller)
         .map_err(|problem| StartError::PeerListen { address: *address, problem })?;
-    let memory = MemoryReplication::new(now, c.settings.me as usize, peers.clone());
+    let memory = MemoryReplication::new(now, configuration.settings.me as usize, peers.clone());
     Ok(Some(PeerLink { socket, memory }))
 }
 
-fn longest_deadline(s: &Settings) -> TimeDelta {
-    s.traffic_classes.iter().map(|class| class.deadline).max().unwrap_or(TimeDelta::ZERO)
+fn longest_deadline(settings: &Settings) -> TimeDelta {
+    settings.traffic_classes.iter().map(|class| class.deadline).max().unwrap_or(TimeDelta::ZERO)
 }
 
 fn bind_peer_socket(address: SocketAddr, poller: &Poller) -> std::io::Result<UdpSocket> {
--- a/crates/platform-host/src/host/attempts.rs
+++ b/crates/platform-host/src/host/attempts.rs
@@ -16,8 +16,10 @@
             while let Some(output) = self.core.poll_output(now) {
                 self.output(now, output);
             }
-            let delayed_attempt = self.links.delayed_attempt(now).map(|a| (a, true));
-            if let Some(next) = delayed_attempt.or_else(|| self.links.next_queued().map(|a| (a, false))) {
+            let delayed_attempt = self.links.delayed_attempt(now).map(|attempt| (attempt, true));
+            if let Some(next) =
+                delayed_attempt.or_else(|| self.links.next_queued().map(|attempt| (attempt, false)))
+            {
                 self.begin(now, next);
                 continue;
             }
@@ -37,8 +39,9 @@
         }
     }
 
-    /// A client may have gone since this iteration began, or while its request waited for a bucket, a cap, a connection or its
-    /// backoff, and a long iteration comes late to that: it is looked for whenever an attempt of its request could begin.
+    /// A client may have gone since this iteration began, or while its request waited for a token bucket, a concurrency limit, a
+    /// connection or its backoff. The poller reports that in the next iteration only, and a long iteration would send the request
+    /// before. So each client is checked whenever an attempt of its request could begin.
     pub(super) fn check_client(&mut self, now: Instant, client: u32) {
         if self.clients.has_disconnected(client) {
             let event = self.clients.disconnected(client);
@@ -47,7 +50,7 @@
     }
 
     fn node_address(&self, node: NodeId) -> Option<SocketAddr> {
-        self.core.nodes().address(node).and_then(|a| a.parse().ok())
+        self.core.nodes().address(node).and_then(|address| address.parse().ok())
     }
 
     fn output(&mut self, now: Instant, output: Output) {
@@ -55,7 +58,8 @@
             Output::Send(attempt) => self.begin(now, (*attempt, false)),
             Output::Cancel { attempt, .. } | Output::Cut { attempt, .. } => {
                 self.links.cancel(attempt);
-                // Its connection is closed: nothing more comes of it, and it must not count as out until its time is up.
+                // The connection is closed, so no result will come from it: without this one, the attempt would count as in flight until
+                // its deadline.
                 if self.core.is_in_flight(attempt) {
                     let (outcome, data) = (Outcome::Cancelled, Bytes::new());
                     self.core.handle_attempt_result(
@@ -83,7 +87,7 @@
                 }
             }
             Output::Log { line, .. } => tracing::info!("{line}"),
-            // This host takes no operators' orders and has no membership.
+            // This host takes no operators' overrides and has no membership.
             Output::Persist { .. } | Output::AdminResponse { .. } | Output::Datagram { .. } => {}
         }
     }
--- a/crates/platform-host/src/host/requests.rs
+++ b/crates/platform-host/src/host/requests.rs
@@ -11,8 +11,8 @@
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(_) => {
-                    // No descriptor is left although the split leaves some: one more gives way, or this would be tried
-                    // without end.
+                    // No descriptor is left, although the resource budget leaves some. The listener stays ready, so without an
+                    // eviction the loop would spin on it.
                     self.clients.evict_one(now);
                     return;
                 }
@@ -24,7 +24,7 @@
         match event {
             None => {}
             Some(ClientEvent::Gone(open)) => self.client_gone(now, id, open),
-            Some(ClientEvent::Request(r)) => self.handle_request(now, id, r),
+            Some(ClientEvent::Request(request)) => self.handle_request(now, id, request),
         }
     }
 
@@ -35,49 +35,56 @@
         }
     }
 
-    /// A request has its final answer. Its id stays in use for a while: each request has a fresh id, and nodes would take a
-    /// request with an old one for a repeat of what they have already seen.
+    /// A request has its final answer. Its id is remembered for a while and refused when it comes again: nodes would take a request
+    /// with an old id for a repeat of the one that they have seen.
     pub(super) fn finish_request(&mut self, now: Instant, id: u32) {
         if let Some(request_id) = self.open_requests.remove(&id) {
             self.recent_ids.push_back((now, request_id));
         }
-        let old = |u: &mut (Instant, String)| (now - u.0).secs() > REQUEST_ID_RETENTION;
-        while let Some((_, name)) = self.recent_ids.pop_front_if(old) {
-            self.request_ids.remove(&name);
+        let is_old = |recent: &mut (Instant, String)| now - recent.0 > REQUEST_ID_RETENTION;
+        while let Some((_, request_id)) = self.recent_ids.pop_front_if(is_old) {
+            self.request_ids.remove(&request_id);
         }
         while self.recent_ids.len() > MAX_RECENT_IDS {
-            self.recent_ids.pop_front().map(|(_, name)| self.request_ids.remove(&name));
+            self.recent_ids.pop_front().map(|(_, request_id)| self.request_ids.remove(&request_id));
         }
     }
 
-    fn handle_request(&mut self, now: Instant, id: u32, r: Request) {
-        if r.method == "GET" && r.target == "/health/ready" {
-            let ready = self.shutdown_since.is_none() && self.is_ready();
-            let (status, text) = if ready { (200, "ready") } else { (503, "not ready") };
+    fn handle_request(&mut self, now: Instant, id: u32, request: Request) {
+        if request.method == "GET" && request.target == "/health/ready" {
+            let is_ready = self.shutdown_since.is_none() && self.is_ready();
+            let (status, text) = if is_ready { (200, "ready") } else { (503, "not ready") };
             let event = self.clients.answer(now, &self.poller, id, status, text.as_bytes(), None);
             self.handle_client_event(now, id, event);
             return self.queue_pipelined(id);
         }
+        match self.accept_call(request) {
+            Ok(call) => self.submit_call(now, id, call),
+            Err(reason) => {
+                let event = self.clients.close_with(now, &self.poller, id, &reason);
+                self.handle_client_event(now, id, event);
+            }
+        }
+    }
+
+    /// The call that a request makes, if this host serves it now.
+    fn accept_call(&mut self, request: Request) -> Result<Call, CloseReason> {
         if self.shutdown_phase >= ShutdownPhase::Settled {
-            let event = self.clients.close_with(now, &self.poller, id, 503, "the host ends");
-            return self.handle_client_event(now, id, event);
+            return Err(CloseReason::ShuttingDown);
         }
-        let call = match Call::parse(r, &self.settings) {
+        let (status, why) = match Call::parse(request, &self.settings) {
             Ok(call) if self.request_ids.contains(&call.id) => {
-                Err((409, "x-call-id: that of another request; expected a fresh one".to_owned()))
-            }
-            Ok(call) => Ok(call),
-            Err(refusal) => Err((refusal.status, refusal.why)),
-        };
-        let call = match call {
-            Ok(call) => call,
-            Err((status, why)) => {
-                self.refused += 1;
-                tracing::debug!(status, why, "request refused");
-                let event = self.clients.close_with(now, &self.poller, id, status, &why);
-                return self.handle_client_event(now, id, event);
+                (409, "x-call-id: that of another request; expected a fresh one".to_owned())
             }
+            Ok(call) => return Ok(call),
+            Err(refusal) => (refusal.status, refusal.why),
         };
+        self.refused += 1;
+        tracing::debug!(status, why, "request refused");
+        Err(CloseReason::Refused { status, why })
+    }
+
+    fn submit_call(&mut self, now: Instant, id: u32, call: Call) {
         self.requests = self.requests.wrapping_add(1);
         self.clients.request_accepted(now, id, self.requests);
         self.request_ids.insert(call.id.clone());
@@ -104,8 +111,9 @@
 
     /// Whether the endpoint list is known well enough to serve.
     fn is_ready(&self) -> bool {
-        // Where lists are pushed, a new process counts as notified of what the agent has: the agent is polled first.
-        let polled = self.list_polled || !self.settings.lists_are_pushed();
-        polled && self.core.nodes().entries().any(|(_, e)| e.state == NodeState::Ready)
+        // Where lists are pushed, a new process counts as notified of what the agent has. A host that was ready before it has polled
+        // the agent could send requests to nodes that are draining.
+        let has_polled = self.list_polled || !self.settings.lists_are_pushed();
+        has_polled && self.core.nodes().entries().any(|(_, entry)| entry.state == NodeState::Ready)
     }
 }
--- a/crates/platform-host/src/host/shutdown.rs
+++ b/crates/platform-host/src/host/shutdown.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Rounds of accepting what stands in the listener's backlog as it closes.
+/// Rounds of accepting the connections in the listener's backlog before it closes.
 const MAX_BACKLOG_ROUNDS: usize = 128;
 
 impl Host {
@@ -35,17 +35,19 @@
             }
             ProcessSignal::Shutdown => {}
             ProcessSignal::Reload => match reload() {
-                Err(e) => tracing::error!("configuration not taken, the old one stays: {e}"),
-                Ok(c) => self.discovery_moved(now, c.discovery),
+                Err(error) => {
+                    tracing::error!(%error, "configuration not taken, the old one stays")
+                }
+                Ok(configuration) => self.discovery_moved(now, configuration.discovery),
             },
         }
     }
 
-    /// Moves the shutdown on to the phase that is due; it never goes back.
+    /// Moves the shutdown on to the phase that is due; it never goes back, also when a client connects after the host closed early.
     pub(super) fn advance_shutdown(&mut self, now: Instant) {
         let Some(since) = self.shutdown_since else { return };
-        let phase =
-            self.shutdown_schedule.phase(now - since, self.clients.len() == 0).max(self.shutdown_phase);
+        let due_phase = self.shutdown_schedule.phase(now - since, self.clients.len());
+        let phase = due_phase.max(self.shutdown_phase);
         if phase != self.shutdown_phase {
             let (open, clients) = (self.core.open_counts().commands, self.clients.len());
             tracing::info!(?phase, open, clients, "shutdown: next phase");
@@ -54,7 +56,8 @@
         if phase < ShutdownPhase::Closing {
             return;
         }
-        // Connections that stand were accepted by the machine: what came on them is taken before the listener closes.
+        // The system has accepted the connections in the backlog already. Closing the listener would reset them, and their clients
+        // would lose requests that they have sent.
         for _ in 0..MAX_BACKLOG_ROUNDS {
             let accepted = self.clients.counters.accepted;
             self.accept(now);
@@ -67,13 +70,14 @@
             self.core.close_open_commands(now);
             self.execute_outputs();
         }
-        self.clients.begin_shutdown(now, &self.poller, phase >= ShutdownPhase::Settled);
+        self.clients.begin_shutdown(now, &self.poller, phase);
     }
 
-    /// All that was taken has its answer, and whoever got one has read it to its end; or there is no more time.
+    /// Each accepted request has its answer and each client has read it to its end; or there is no more time. Without waiting for the
+    /// clients, the exit would reset their connections and they would lose answers that were written.
     pub(super) fn has_ended(&self) -> bool {
-        let idle = self.core.open_counts().commands == 0 && self.clients.len() == 0;
+        let is_idle = self.core.open_counts().commands == 0 && self.clients.len() == 0;
         self.shutdown_phase == ShutdownPhase::Finished
-            || (self.shutdown_phase >= ShutdownPhase::Closing && idle)
+            || (self.shutdown_phase >= ShutdownPhase::Closing && is_idle)
     }
 }
--- a/crates/platform-host/src/idle_connections.rs
+++ b/crates/platform-host/src/idle_connections.rs
@@ -3,71 +3,79 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tackmast::interface::{Instant, NodeId, TimeDelta};
 
+/// A connection of one node that is idle.
+#[derive(Clone, Copy, Debug)]
+struct IdleConnection {
+    id: u32,
+    since: Instant,
+}
+
 /// Idle connections to nodes, by node and by age.
 #[derive(Debug, Default)]
 pub struct IdleConnections {
-    by_node: BTreeMap<NodeId, Vec<(u32, Instant)>>,
+    /// Of each node, the one that became idle last at the end.
+    by_node: BTreeMap<NodeId, Vec<IdleConnection>>,
     by_age: BTreeSet<(Instant, NodeId, u32)>,
 }
 
 impl IdleConnections {
     /// A connection to a node has become idle.
-    pub fn put(&mut self, now: Instant, node: NodeId, link: u32) {
-        self.by_node.entry(node).or_default().push((link, now));
-        self.by_age.insert((now, node, link));
+    pub fn put(&mut self, now: Instant, node: NodeId, id: u32) {
+        self.by_node.entry(node).or_default().push(IdleConnection { id, since: now });
+        self.by_age.insert((now, node, id));
     }
 
-    /// Takes the connection to a node that was used last, of those that have been idle for `rested`: the others may age until
-    /// they are closed.
-    pub fn take(&mut self, node: NodeId, now: Instant, rested: TimeDelta) -> Option<u32> {
-        let rested = |(_, since): &&(u32, Instant)| now - *since >= rested;
-        let (link, since) = *self.by_node.get(&node)?.iter().rev().find(rested)?;
-        self.remove_at(since, node, link);
-        Some(link)
+    /// Takes a connection to a node that has been idle for at least `reuse_delay`. Of several it is the one used last, so that the
+    /// others grow old and are closed when the load falls.
+    pub fn take(&mut self, node: NodeId, now: Instant, reuse_delay: TimeDelta) -> Option<u32> {
+        let is_reusable = |idle: &&IdleConnection| now - idle.since >= reuse_delay;
+        let idle = *self.by_node.get(&node)?.iter().rev().find(is_reusable)?;
+        self.remove_at(idle.since, node, idle.id);
+        Some(idle.id)
     }
 
-    /// When the next connection to a node will have been idle for `rested`, behind `before` others that are reserved for other
-    /// attempts; none where the node has too few.
+    /// When a connection to the node becomes reusable that no other attempt waits for; `attempts_ahead` attempts wait for the first
+    /// ones. None if the node has too few connections.
     pub fn reusable_at(
         &self,
         node: NodeId,
         now: Instant,
-        rested: TimeDelta,
-        before: usize,
+        reuse_delay: TimeDelta,
+        attempts_ahead: usize,
     ) -> Option<Instant> {
-        let mut young: Vec<Instant> =
-            self.by_node.get(&node)?.iter().map(|(_, t)| *t + rested).filter(|t| *t > now).collect();
-        young.sort();
-        young.get(before).copied()
+        let reusable_times = self.by_node.get(&node)?.iter().map(|idle| idle.since + reuse_delay);
+        let mut not_yet: Vec<Instant> = reusable_times.filter(|at| *at > now).collect();
+        not_yet.sort();
+        not_yet.get(attempts_ahead).copied()
     }
 
     /// A connection is not idle any more, or closed.
-    pub fn remove(&mut self, node: NodeId, link: u32) {
-        if let Some(since) = self.since(node, link) {
-            self.remove_at(since, node, link);
+    pub fn remove(&mut self, node: NodeId, id: u32) {
+        if let Some(since) = self.since(node, id) {
+            self.remove_at(since, node, id);
         }
     }
 
     /// Since when a connection is idle.
-    pub fn since(&self, node: NodeId, link: u32) -> Option<Instant> {
-        let (_, since) = self.by_node.get(&node)?.iter().find(|(l, _)| *l == link)?;
-        Some(*since)
+    pub fn since(&self, node: NodeId, id: u32) -> Option<Instant> {
+        let idle = self.by_node.get(&node)?.iter().find(|idle| idle.id == id)?;
+        Some(idle.since)
     }
 
-    fn remove_at(&mut self, since: Instant, node: NodeId, link: u32) {
-        self.by_age.remove(&(since, node, link));
-        if let Some(all) = self.by_node.get_mut(&node) {
-            all.retain(|(l, _)| *l != link);
-            if all.is_empty() {
+    fn remove_at(&mut self, since: Instant, node: NodeId, id: u32) {
+        self.by_age.remove(&(since, node, id));
+        if let Some(of_node) = self.by_node.get_mut(&node) {
+            of_node.retain(|idle| idle.id != id);
+            if of_node.is_empty() {
                 self.by_node.remove(&node);
             }
         }
     }
 
-    /// The connection that has been idle for longest, to whatever node, if it has been for `idle_at_least`.
-    pub fn oldest(&self, idle_at_least: TimeDelta, now: Instant) -> Option<(NodeId, u32)> {
-        let (since, node, link) = self.by_age.first().copied()?;
-        (now - since >= idle_at_least).then_some((node, link))
+    /// The connection that has been idle for longest, to whatever node, if it has been for at least `min_idle`.
+    pub fn oldest(&self, min_idle: TimeDelta, now: Instant) -> Option<(NodeId, u32)> {
+        let (since, node, id) = self.by_age.first().copied()?;
+        (now - since >= min_idle).then_some((node, id))
     }
 
     /// No connection is idle.
--- a/crates/platform-host/src/idle_connections/tests.rs
+++ b/crates/platform-host/src/idle_connections/tests.rs
@@ -2,38 +2,62 @@
 
 use super::*;
 
-fn at(s: f64) -> Instant {
-    Instant::from_secs(s)
+const FIRST_NODE: NodeId = NodeId(1);
+const SECOND_NODE: NodeId = NodeId(2);
+
+fn at(secs: f64) -> Instant {
+    Instant::from_secs(secs)
+}
+
+/// Three idle connections to the first node (since 1, 2 and 4 s) and one to the second (since 3 s).
+fn fixture() -> IdleConnections {
+    let mut idle = IdleConnections::default();
+    for (secs, node, id) in
+        [(1.0, FIRST_NODE, 10), (2.0, FIRST_NODE, 11), (3.0, SECOND_NODE, 12), (4.0, FIRST_NODE, 13)]
+    {
+        idle.put(at(secs), node, id);
+    }
+    idle
 }
 
-fn links_to(idle: &IdleConnections, node: NodeId) -> Vec<u32> {
-    idle.by_node.get(&node).into_iter().flatten().map(|(link, _)| *link).collect()
+/// A node sends a second copy of an answer a moment late. A connection that has only just had its answer must not be reused yet, or
+/// the copy would be taken for the answer to the next request.
+#[test]
+fn a_connection_is_reused_only_after_the_reuse_delay_and_the_one_used_last_first() {
+    let (mut idle, reuse_delay) = (fixture(), TimeDelta::from_millis(1500));
+    assert_eq!(idle.take(FIRST_NODE, at(4.4), reuse_delay), Some(11));
+    assert_eq!(idle.take(SECOND_NODE, at(4.4), reuse_delay), None);
+    let mut idle = fixture();
+    assert_eq!(idle.take(FIRST_NODE, at(5.5), reuse_delay), Some(13));
+    assert_eq!(idle.take(SECOND_NODE, at(5.5), reuse_delay), Some(12));
+    assert_eq!(idle.take(SECOND_NODE, at(5.5), reuse_delay), None);
+}
+
+/// Several attempts wait for connections of one node to become reusable. Each must count on one of its own; the second would
+/// otherwise find the first one's connection taken.
+#[test]
+fn each_waiting_attempt_counts_on_a_connection_of_its_own() {
+    let reuse_delay = TimeDelta::from_millis(1500);
+    let reusable_at = |secs, ahead| fixture().reusable_at(FIRST_NODE, at(secs), reuse_delay, ahead);
+    assert_eq!(reusable_at(3.2, 0), Some(at(3.5)));
+    assert_eq!(reusable_at(3.2, 1), Some(at(5.5)));
+    assert_eq!(reusable_at(3.2, 2), None);
+    assert_eq!(reusable_at(5.5, 0), None, "all are reusable already");
+    assert_eq!(fixture().reusable_at(NodeId(9), at(0.0), reuse_delay, 0), None, "a node without connections");
 }
 
+/// Idle connections are closed by age, before their node closes them. A connection that stayed in one of the two tables after it was
+/// removed would be closed, or reused, twice.
 #[test]
-fn the_link_used_last_is_taken_and_the_oldest_closed() {
-    let (a, b) = (NodeId(1), NodeId(2));
-    let filled = || {
-        let mut idle = IdleConnections::default();
-        for (t, node, link) in [(1.0, a, 10), (2.0, a, 11), (3.0, b, 12), (4.0, a, 13)] {
-            idle.put(at(t), node, link);
-        }
-        idle
-    };
-    // A second answer may come behind the first: one that has only just had its answer is not taken yet.
-    let (mut idle, rest) = (filled(), TimeDelta::from_secs(1.5));
-    assert_eq!((idle.take(a, at(4.4), rest), idle.take(b, at(4.4), rest)), (Some(11), None));
-    // When the next of a's three will have rested, and the one after that; all have by 5.5.
-    let next = |now, before| filled().reusable_at(a, at(now), rest, before);
-    assert_eq!((next(3.2, 0), next(3.2, 1), next(3.2, 2)), (Some(at(3.5)), Some(at(5.5)), None));
-    assert_eq!((next(5.5, 0), filled().reusable_at(NodeId(9), at(0.0), rest, 0)), (None, None));
-    let mut idle = filled();
-    let mut take = |node| idle.take(node, at(5.5), rest);
-    assert_eq!((take(a), take(b), take(b)), (Some(13), Some(12), None));
-    assert_eq!(idle.oldest(TimeDelta::from_secs(4.5), at(5.0)), None);
-    assert_eq!(idle.oldest(TimeDelta::from_secs(4.0), at(5.0)), Some((a, 10)));
-    idle.remove(a, 10);
-    assert_eq!((links_to(&idle, a), idle.by_age.len()), (vec![11], 1));
-    idle.remove(a, 11);
+fn the_oldest_connection_is_closed_first_and_removed_from_both_tables() {
+    let mut idle = fixture();
+    idle.take(FIRST_NODE, at(5.5), TimeDelta::ZERO);
+    idle.take(SECOND_NODE, at(5.5), TimeDelta::ZERO);
+    assert_eq!(idle.oldest(TimeDelta::from_millis(4500), at(5.0)), None);
+    assert_eq!(idle.oldest(TimeDelta::from_millis(4000), at(5.0)), Some((FIRST_NODE, 10)));
+    idle.remove(FIRST_NODE, 10);
+    let left: Vec<u32> = idle.by_node.values().flatten().map(|idle| idle.id).collect();
+    assert_eq!((left, idle.by_age.len()), (vec![11], 1));
+    idle.remove(FIRST_NODE, 11);
     assert!(idle.is_empty() && idle.by_node.is_empty());
 }
--- a/crates/platform-host/src/lib.rs
+++ b/crates/platform-host/src/lib.rs
@@ -6,6 +6,7 @@
 
 mod client_connection;
 mod client_connections;
+mod close_reason;
 mod eviction;
 mod host;
 mod idle_connections;
--- a/crates/platform-host/src/list_watch.rs
+++ b/crates/platform-host/src/list_watch.rs
@@ -1,9 +1,9 @@
 //! The watch of the endpoint list: long polls, one after the other. When to retry after a failure is the scheduler's decision.
 //! docs/crossings.md has each state of a poll against each event.
 //!
-//! A change counts as notified 6 s after the list had it and could be reached, whatever failed before. So the times here and the
-//! module's pauses have to fit: a call that falls silent is found out after its wait and `ANSWER_TIMEOUT`; then a pause, a call that
-//! does not come up, another pause, and one that tells (docs/design.md has the sum, `watch/tests.rs` holds it).
+//! A change counts as notified 6 s after the list had it and could be reached, whatever failed before. So the timeouts here and the
+//! scheduler's backoff together must stay below that: a silent poll is detected after its wait and `ANSWER_TIMEOUT`; then follow a
+//! backoff, a poll that does not connect, another backoff, and a poll that is answered (docs/design.md has the sum).
 
 use crate::poller::{Poller, Ready, Token, BOTH, READ};
 use crate::sockets::{self, ReadOutcome};
@@ -13,22 +13,23 @@
 use tackmast_http::{Limits, MessageError, Response, ResponseReader};
 use tackmast_platform::{List, Settings};
 
-/// How long a poll lets the list wait for a change. What is lost on the way counts as notified 2 s after that, and a watch that has
-/// fallen silent is found out only then; each call costs the list work.
+/// How long a poll lets the list wait for a change, in milliseconds. An answer that is lost counts as notified 2 s after that, and a
+/// silent watch is detected only then, so the wait is short; each poll costs the list work, so it is not shorter.
 const LONG_POLL_MS: u64 = 2_500;
-/// The same for a call after one that failed: what was missed is there already, and more silence must be found out soon.
+/// The same for a poll after one that failed: the list has the missed changes already, and more silence must be detected soon.
 const LONG_POLL_AFTER_FAILURE_MS: u64 = 300;
-/// Seconds that an answer may take beyond that.
-const ANSWER_TIMEOUT: f64 = 1.2;
-/// The same after a failure: with too many callers at once the list answers late, and who gives up is queued behind the others.
-const ANSWER_TIMEOUT_AFTER_FAILURE: f64 = 2.0;
-/// Seconds within which a connection to the list has to come up.
-const CONNECT_TIMEOUT: f64 = 0.7;
-/// A list with all its nodes, written with indents, in bytes; and the pieces of it.
-const MAX_LIST: usize = 256 * 1024;
-const MAX_LIST_CHUNKS: usize = MAX_LIST / sockets::READ_CHUNK_BYTES + 2;
-
-/// What became of a poll.
+/// How long an answer may take beyond the wait.
+const ANSWER_TIMEOUT: TimeDelta = TimeDelta::from_millis(1200);
+/// The same after a failure: with too many callers the list answers late, and a poll that is given up is queued anew behind the others.
+const ANSWER_TIMEOUT_AFTER_FAILURE: TimeDelta = TimeDelta::from_millis(2000);
+/// How long a connection to the list may take to be established.
+const CONNECT_TIMEOUT: TimeDelta = TimeDelta::from_millis(700);
+/// The largest list, in bytes: with all its nodes, written with indents.
+const MAX_LIST_BYTES: usize = 256 * 1024;
+/// Reads within which the largest list is read whole, with its head.
+const MAX_LIST_CHUNKS: usize = MAX_LIST_BYTES / sockets::READ_CHUNK_BYTES + 2;
+
+/// The result of a poll.
 #[derive(Debug)]
 pub enum WatchEvent {
     /// The version that was polled from, and the list.
@@ -37,16 +38,19 @@
     Failed(String),
 }
 
+/// A poll that has no answer yet.
 struct Call {
+    /// Of its connection.
     number: u32,
     stream: TcpStream,
-    /// What is still to be written; empty: it has been asked.
+    /// The part of the request that is still to be written; empty: the list has been asked.
     outgoing: BytesMut,
     answer: ResponseReader,
+    /// The version that was polled from.
     after: Option<u64>,
-    /// How long an answer may take from when it was asked.
+    /// How long the answer may take from when the request was written.
     answer_timeout: TimeDelta,
-    /// When it has failed: not asked by then, or not answered.
+    /// When the poll has failed: the request not written by then, or not answered.
     deadline: Instant,
 }
 
@@ -54,20 +58,20 @@
 pub struct Watch {
     address: SocketAddr,
     call: Option<Call>,
-    /// A connection that has had its answer, for the next call.
+    /// A connection whose poll was answered, for the next one.
     idle_connection: Option<(u32, TcpStream)>,
-    next: u32,
-    /// The last call failed.
-    failed: bool,
+    last_number: u32,
+    /// The last poll failed.
+    has_failed: bool,
 }
 
 impl Watch {
     /// A watch of the list at `address`; nothing is polled yet.
     pub fn new(address: SocketAddr) -> Self {
-        Watch { address, call: None, idle_connection: None, next: 0, failed: false }
+        Watch { address, call: None, idle_connection: None, last_number: 0, has_failed: false }
     }
 
-    /// Whether a call has no answer yet.
+    /// Whether a poll has no answer yet.
     pub fn is_polling(&self) -> bool {
         self.call.is_some()
     }
@@ -77,58 +81,66 @@
         self.address
     }
 
-    /// Asks for the changes after a version, or for everything.
+    /// Asks for the changes after a version, or for the complete list.
     pub fn poll(&mut self, now: Instant, poller: &Poller, after: Option<u64>) -> Result<(), WatchEvent> {
-        let failed = |e: std::io::Error| WatchEvent::Failed(format!("call: {e}"));
-        let (wait_ms, answer_timeout) = if self.failed {
+        let (wait_ms, answer_timeout) = if self.has_failed {
             (LONG_POLL_AFTER_FAILURE_MS, ANSWER_TIMEOUT_AFTER_FAILURE)
         } else {
             (LONG_POLL_MS, ANSWER_TIMEOUT)
         };
-        let (number, stream) = match self.idle_connection.take().filter(|(_, s)| sockets::has_no_input(s)) {
+        let is_usable = |(_, stream): &(u32, TcpStream)| sockets::has_no_input(stream);
+        let (number, stream) = match self.idle_connection.take().filter(is_usable) {
             Some(idle_connection) => idle_connection,
             None => {
-                self.next = self.next.wrapping_add(1);
-                // One that can't even begin has failed too.
-                self.failed = true;
-                let stream = sockets::connect(self.address).map_err(failed)?;
-                poller.add(&stream, Token::List(self.next), BOTH).map_err(failed)?;
-                (self.next, stream)
+                let connect_failed = |error| WatchEvent::Failed(format!("call: {error}"));
+                self.connect(poller).map_err(connect_failed)?
             }
         };
-        let target = List::target(after.map(|v| (v, wait_ms)));
+        let target = List::target(after.map(|version| (version, wait_ms)));
         let text = format!("GET {target} HTTP/1.1\r\nHost: {}\r\n\r\n", self.address);
-        let wait = if after.is_some() { wait_ms as f64 / 1e3 } else { 0.0 };
+        // The list answers a poll for the complete list without waiting.
+        let wait = if after.is_some() { TimeDelta::from_millis(wait_ms as i64) } else { TimeDelta::ZERO };
         let call = Call {
             number,
             stream,
             outgoing: BytesMut::from(text.as_bytes()),
-            answer: ResponseReader::new(Limits { max_body_len: MAX_LIST, ..Limits::default() }),
+            answer: ResponseReader::new(Limits { max_body_len: MAX_LIST_BYTES, ..Limits::default() }),
             after,
-            answer_timeout: TimeDelta::from_secs(wait + answer_timeout),
-            deadline: now + TimeDelta::from_secs(CONNECT_TIMEOUT),
+            answer_timeout: wait + answer_timeout,
+            deadline: now + CONNECT_TIMEOUT,
         };
-        // A connection that is still coming up takes nothing yet.
+        // A connection that is not established yet takes no bytes: the write fails or writes nothing, and is repeated once it is ready.
         _ = self.call.insert(call).write(now, poller);
         Ok(())
     }
 
-    /// The socket of a poll is ready. Gives what became of the poll, if that is known now.
+    /// Begins a new connection to the list, with its number.
+    fn connect(&mut self, poller: &Poller) -> std::io::Result<(u32, TcpStream)> {
+        self.last_number = self.last_number.wrapping_add(1);
+        // Until it is answered: a poll that can't even connect has failed too.
+        self.has_failed = true;
+        let stream = sockets::connect(self.address)?;
+        poller.add(&stream, Token::List(self.last_number), BOTH)?;
+        Ok((self.last_number, stream))
+    }
+
+    /// The socket of a poll is ready. Gives the result of the poll, if it is known now.
     pub fn handle_ready(
         &mut self,
         now: Instant,
         poller: &Poller,
         number: u32,
-        r: Ready,
-        s: &Settings,
+        ready: Ready,
+        settings: &Settings,
     ) -> Option<WatchEvent> {
-        let Some(call) = self.call.as_mut().filter(|c| c.number == number) else {
-            // Whatever comes on a connection that nothing was asked on: it is of no further use.
-            self.idle_connection = self.idle_connection.take().filter(|(n, _)| *n != number);
+        let Some(call) = self.call.as_mut().filter(|call| call.number == number) else {
+            // Bytes on a connection without a poll: a second copy of an answer, or its end. The next poll could take them for its own
+            // answer, so the connection is closed.
+            self.idle_connection = self.idle_connection.take().filter(|(idle, _)| *idle != number);
             return None;
         };
         if !call.outgoing.is_empty() {
-            if !r.write && !r.ended {
+            if !ready.write && !ready.ended {
                 return None;
             }
             if call.write(now, poller).is_err() {
@@ -138,28 +150,28 @@
                 return None;
             }
         }
-        if r.read || r.ended {
-            return self.read(1, s);
+        if ready.read || ready.ended {
+            return self.read(1, settings);
         }
         None
     }
 
-    /// So many pieces of the answer at most; what becomes of the call, if that is known now.
-    fn read(&mut self, pieces: usize, s: &Settings) -> Option<WatchEvent> {
-        let mut piece = [0; sockets::READ_CHUNK_BYTES];
-        for _ in 0..pieces {
+    /// Reads at most `max_chunks` of the answer. Gives the result of the poll, if it is known then.
+    fn read(&mut self, max_chunks: usize, settings: &Settings) -> Option<WatchEvent> {
+        let mut chunk = [0; sockets::READ_CHUNK_BYTES];
+        for _ in 0..max_chunks {
             let call = self.call.as_mut()?;
-            let received = match sockets::read(&call.stream, &mut piece) {
+            let received = match sockets::read(&call.stream, &mut chunk) {
                 ReadOutcome::Nothing => return None,
                 ReadOutcome::End if call.answer.ends_with_connection() => call.answer.handle_close(),
                 ReadOutcome::End | ReadOutcome::Failed => return self.failed("the connection ended"),
-                ReadOutcome::Bytes(n) => {
-                    call.answer.push(&piece[..n]);
+                ReadOutcome::Bytes(len) => {
+                    call.answer.push(&chunk[..len]);
                     call.answer.next_response()
                 }
             };
             if !matches!(received, Ok(None)) {
-                return self.received(received, s);
+                return self.received(received, settings);
             }
         }
         None
@@ -168,25 +180,25 @@
     fn received(
         &mut self,
         received: Result<Option<Response>, MessageError>,
-        s: &Settings,
+        settings: &Settings,
     ) -> Option<WatchEvent> {
         let answer = match received {
             Ok(None) => return None,
-            Ok(Some(a)) => a,
-            Err(e) => return self.failed(&e.to_string()),
+            Ok(Some(answer)) => answer,
+            Err(error) => return self.failed(&error.to_string()),
         };
         if answer.status != 200 {
             return self.failed(&format!("status {}", answer.status));
         }
-        match List::parse(&answer.body, s) {
-            Err(e) => self.failed(&e.to_string()),
+        match List::parse(&answer.body, settings) {
+            Err(error) => self.failed(&error.to_string()),
             Ok(list) => {
-                let c = self.call.take()?;
-                if !answer.closes && !c.answer.has_trailing_bytes() {
-                    self.idle_connection = Some((c.number, c.stream));
+                let call = self.call.take()?;
+                if !answer.closes && !call.answer.has_trailing_bytes() {
+                    self.idle_connection = Some((call.number, call.stream));
                 }
-                self.failed = false;
-                Some(WatchEvent::List(c.after.unwrap_or(0), list))
+                self.has_failed = false;
+                Some(WatchEvent::List(call.after.unwrap_or(0), list))
             }
         }
     }
@@ -194,25 +206,26 @@
     fn failed(&mut self, why: &str) -> Option<WatchEvent> {
         self.call = None;
         self.idle_connection = None;
-        self.failed = true;
+        self.has_failed = true;
         Some(WatchEvent::Failed(why.to_owned()))
     }
 
     /// Gives up a poll that takes too long.
-    pub fn handle_timeout(&mut self, now: Instant, s: &Settings) -> Option<WatchEvent> {
-        if self.call.as_ref().is_none_or(|c| c.deadline > now) {
+    pub fn handle_timeout(&mut self, now: Instant, settings: &Settings) -> Option<WatchEvent> {
+        if self.call.as_ref().is_none_or(|call| call.deadline > now) {
             return None;
         }
-        // What was written to this host by now it has been notified of: an answer must not cross its own time-out.
-        self.read(MAX_LIST_CHUNKS, s).or_else(|| self.failed("no answer in time"))
+        // The host counts as notified of a change once its answer is written to it. An answer that is in the socket when its time ends
+        // is therefore read first; else the host would follow an outdated list.
+        self.read(MAX_LIST_CHUNKS, settings).or_else(|| self.failed("no answer in time"))
     }
 
-    /// The list is to be had elsewhere from now on. What the old place has written by now is read first, and nothing of it
-    /// afterwards: it is older than what the new place tells.
-    pub fn address_changed(&mut self, to: SocketAddr, s: &Settings) -> Option<WatchEvent> {
-        let last = self.read(MAX_LIST_CHUNKS, s).filter(|n| matches!(n, WatchEvent::List(..)));
-        (self.address, self.call, self.idle_connection, self.failed) = (to, None, None, false);
-        last
+    /// The list is served at another address from now on. An answer that the old address has written by now is read first, as the host
+    /// counts as notified of it. Nothing from there is read afterwards: it could be older than answers of the new address.
+    pub fn address_changed(&mut self, to: SocketAddr, settings: &Settings) -> Option<WatchEvent> {
+        let last = self.read(MAX_LIST_CHUNKS, settings);
+        (self.address, self.call, self.idle_connection, self.has_failed) = (to, None, None, false);
+        last.filter(|event| matches!(event, WatchEvent::List(..)))
     }
 }
 
@@ -222,11 +235,8 @@
         if self.outgoing.is_empty() {
             self.deadline = now + self.answer_timeout;
         }
-        poller.change(
-            &self.stream,
-            Token::List(self.number),
-            if self.outgoing.is_empty() { READ } else { BOTH },
-        );
+        let interest = if self.outgoing.is_empty() { READ } else { BOTH };
+        poller.change(&self.stream, Token::List(self.number), interest);
         Ok(())
     }
 }
--- a/crates/platform-host/src/memory_replication.rs
+++ b/crates/platform-host/src/memory_replication.rs
@@ -1,7 +1,7 @@
-//! Replication of what a host remembers of its shards: hosts of the platform have no disk, so a host stores the service rate
-//! of each shard at three peers now and then, and when it shuts down; its next generation fetches it back. The sum of what all
-//! hosts remember stays what it was, so the bound on warming-up nodes holds as before (docs/design.md). Datagrams may be late,
-//! duplicated or lost: then a host starts without. No I/O.
+//! Replication of what a host remembers of its shards. Hosts of the platform have no disk, so a host stores the service rate of each
+//! shard at three peers at an interval and when it shuts down, and its next generation fetches it back. The sum of what all hosts
+//! remember does not grow by that, so the bound on warming-up nodes holds (docs/design.md). Datagrams may be late, duplicated or
+//! lost; a host that fetches nothing starts without rates. No I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,25 +9,31 @@
 
 /// Maximum size of a datagram in bytes, by the platform.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// Two bytes of magic, the kind, the number of the datagram, and how many there are.
+/// Size of the header: two bytes of magic, the kind, the number of the datagram, and how many there are.
 const HEADER_BYTES: usize = 5;
-/// Shard, and the upper half of its rate as a 32-bit float.
+/// Size of an entry: the shard, and the upper half of its rate as a 32-bit float.
 const ENTRY_BYTES: usize = 4;
+/// Entries that fit into a datagram.
 const ENTRIES_PER_DATAGRAM: usize = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / ENTRY_BYTES;
-/// Datagrams that hold the memory of one host: shards beyond are left out, those with the lowest rates first.
+/// Datagrams that hold the memory of one host. Shards that do not fit are left out, those with the lowest rates first.
 const MAX_DATAGRAMS: usize = 8;
-/// Peers that store the memory of one host, evenly apart in the order of hosts, as neighbours are restarted together.
+/// Peers that store the memory of one host. They are evenly apart in the order of hosts, as neighbours are restarted together.
 const REPLICAS: usize = 3;
-/// Interval between replications, in seconds.
-const REPLICATION_INTERVAL: f64 = 5.0;
-/// Age in seconds after which stored memory says nothing any more.
-const RETENTION: f64 = 30.0;
-/// Seconds after its start at which a new generation fetches, until it has an answer.
-const FETCH_TIMES: [f64; 3] = [0.0, 0.3, 1.0];
-
+/// Interval between replications.
+const REPLICATION_INTERVAL: TimeDelta = TimeDelta::from_millis(5000);
+/// How long stored memory is kept for its host: older rates no longer describe the shards.
+const RETENTION: TimeDelta = TimeDelta::from_millis(30_000);
+/// When a new generation fetches, after its start, until it has an answer.
+const FETCH_TIMES: [TimeDelta; 3] =
+    [TimeDelta::from_millis(0), TimeDelta::from_millis(300), TimeDelta::from_millis(1000)];
+
+/// The first bytes of each datagram.
 const MAGIC: [u8; 2] = *b"tk";
+/// Kind of a datagram with rates to store.
 const STORE: u8 = 1;
+/// Kind of a datagram that asks for the stored rates back.
 const FETCH: u8 = 2;
+/// Kind of a datagram with rates that were fetched.
 const RESTORE: u8 = 3;
 
 /// A datagram to send.
@@ -52,13 +58,13 @@
     started_at: Instant,
     next_replication: Instant,
     fetches_sent: usize,
-    /// It has stored something: what is restored from now on may be its own, and would count twice.
+    /// This generation has stored rates at its peers. Rates that are restored from then on may be its own, and would count twice.
     handed_off: bool,
     /// By peer and number of the datagram.
     stored: BTreeMap<(usize, u8), Stored>,
     /// By number of the datagram.
     restored: BTreeMap<u8, Vec<(ShardId, f64)>>,
-    /// Shards that were restored: one may stand in an older datagram of one peer and a newer one of another.
+    /// Shards that were restored: a shard may be in an older datagram of one peer and a newer one of another.
     restored_shards: BTreeSet<ShardId>,
     /// Datagrams that were malformed, from no peer, or not asked for.
     pub rejected_datagrams: u64,
@@ -67,13 +73,14 @@
 impl MemoryReplication {
     /// `peers` are all hosts by their numbers, `me` one of them.
     pub fn new(now: Instant, me: usize, peers: Vec<SocketAddr>) -> Self {
-        // Not all at one moment: peers start together.
-        let first = REPLICATION_INTERVAL * (1.0 + me as f64 / peers.len().max(1) as f64);
+        // Peers start together, and would otherwise all replicate at the same moment.
+        let intervals = 1.0 + me as f64 / peers.len().max(1) as f64;
+        let first = TimeDelta::from_secs(REPLICATION_INTERVAL.secs() * intervals);
         MemoryReplication {
             me,
             peers,
             started_at: now,
-            next_replication: now + TimeDelta::from_secs(first),
+            next_replication: now + first,
             fetches_sent: 0,
             handed_off: false,
             stored: BTreeMap::new(),
@@ -84,12 +91,12 @@
     }
 
     fn replica_addresses(&self) -> Vec<SocketAddr> {
-        let n = self.peers.len();
-        let mut all: Vec<usize> =
-            (1..=REPLICAS).map(|k| (self.me + k * n / (REPLICAS + 1)) % n.max(1)).collect();
-        all.retain(|i| *i != self.me);
-        all.dedup();
-        all.into_iter().filter_map(|i| self.peers.get(i).copied()).collect()
+        let peer_count = self.peers.len();
+        let replica = |k: usize| (self.me + k * peer_count / (REPLICAS + 1)) % peer_count.max(1);
+        let mut replicas: Vec<usize> = (1..=REPLICAS).map(replica).collect();
+        replicas.retain(|peer| *peer != self.me);
+        replicas.dedup();
+        replicas.into_iter().filter_map(|peer| self.peers.get(peer).copied()).collect()
     }
 
     /// Datagrams that are due now. `rates`: units a second of each shard.
@@ -100,14 +107,14 @@
     ) -> Vec<Datagram> {
         let mut due = Vec::new();
         let fetch_at = FETCH_TIMES.get(self.fetches_sent);
-        let fetch_is_due = fetch_at.is_some_and(|t| (now - self.started_at).secs() >= *t);
+        let fetch_is_due = fetch_at.is_some_and(|after| now - self.started_at >= *after);
         if fetch_is_due && self.restored.is_empty() && !self.handed_off {
             self.fetches_sent += 1;
             let fetch = |to| Datagram { to, bytes: header(FETCH, 0, 1) };
             due.extend(self.replica_addresses().into_iter().map(fetch));
         }
         if now >= self.next_replication {
-            self.next_replication = now + TimeDelta::from_secs(REPLICATION_INTERVAL);
+            self.next_replication = now + REPLICATION_INTERVAL;
             due.extend(self.hand_off(rates()));
         }
         due
@@ -116,12 +123,13 @@
     /// Stores the rates, in units a second, at each replica.
     pub fn hand_off(&mut self, mut rates: Vec<(ShardId, f64)>) -> Vec<Datagram> {
         self.handed_off = true;
-        rates.retain(|(s, rate)| s.0 <= u32::from(u16::MAX) && rate.is_finite() && *rate > 0.0);
+        rates.retain(|(shard, rate)| shard.0 <= u32::from(u16::MAX) && is_valid_rate(*rate));
         rates.sort_by(|a, b| b.1.total_cmp(&a.1));
         rates.truncate(ENTRIES_PER_DATAGRAM * MAX_DATAGRAMS);
         let count = rates.len().div_ceil(ENTRIES_PER_DATAGRAM) as u8;
         let chunks = rates.chunks(ENTRIES_PER_DATAGRAM).enumerate();
-        let datagrams: Vec<Vec<u8>> = chunks.map(|(i, entries)| encode(i as u8, count, entries)).collect();
+        let datagrams: Vec<Vec<u8>> =
+            chunks.map(|(number, entries)| encode(number as u8, count, entries)).collect();
         let to_replica = |to| datagrams.iter().map(move |bytes| Datagram { to, bytes: bytes.clone() });
         self.replica_addresses().into_iter().flat_map(to_replica).collect()
     }
@@ -138,7 +146,7 @@
                 self.stored.insert((peer, number), Stored { at: now, bytes: bytes.to_vec() });
             }
             FETCH => return self.stored_for(now, peer, from),
-            // Only from those that were asked, each datagram once: a duplicate must not count twice.
+            // Only from peers that were asked, and each datagram once: a duplicate would count twice.
             RESTORE if self.awaits_restore(from, number) => self.restore(number, &bytes[HEADER_BYTES..]),
             _ => self.rejected_datagrams += 1,
         }
@@ -147,7 +155,7 @@
 
     /// Peer, kind and number of a datagram.
     fn parse_header(&self, from: SocketAddr, bytes: &[u8]) -> Option<(usize, u8, u8)> {
-        let peer = self.peers.iter().position(|p| *p == from)?;
+        let peer = self.peers.iter().position(|address| *address == from)?;
         let [first, second, kind, number, _] = bytes.first_chunk::<HEADER_BYTES>()?;
         let is_valid = [*first, *second] == MAGIC
             && bytes.len() <= MAX_DATAGRAM_BYTES
@@ -156,7 +164,7 @@
     }
 
     fn stored_for(&mut self, now: Instant, peer: usize, to: SocketAddr) -> Vec<Datagram> {
-        self.stored.retain(|_, stored| (now - stored.at).secs() < RETENTION);
+        self.stored.retain(|_, stored| now - stored.at < RETENTION);
         let of_peer = self.stored.range((peer, 0)..=(peer, u8::MAX));
         let answers = of_peer.map(|(_, stored)| {
             let mut bytes = stored.bytes.clone();
@@ -174,10 +182,10 @@
     }
 
     fn restore(&mut self, number: u8, entries: &[u8]) {
-        let entries = entries.chunks_exact(ENTRY_BYTES).filter_map(|e| {
-            let rate = f64::from(f32::from_be_bytes([e[2], e[3], 0, 0]));
-            let shard = ShardId(u32::from(u16::from_be_bytes([e[0], e[1]])));
-            (rate.is_finite() && rate > 0.0).then_some((shard, rate))
+        let entries = entries.chunks_exact(ENTRY_BYTES).filter_map(|entry| {
+            let rate = f64::from(f32::from_be_bytes([entry[2], entry[3], 0, 0]));
+            let shard = ShardId(u32::from(u16::from_be_bytes([entry[0], entry[1]])));
+            is_valid_rate(rate).then_some((shard, rate))
         });
         let seen = &mut self.restored_shards;
         self.restored.insert(number, entries.filter(|(shard, _)| seen.insert(*shard)).collect());
@@ -189,6 +197,11 @@
     }
 }
 
+/// A rate that may be sent or restored, in units a second. Any other would spoil the scheduler's figures.
+fn is_valid_rate(rate: f64) -> bool {
+    rate.is_finite() && rate > 0.0
+}
+
 fn header(kind: u8, number: u8, count: u8) -> Vec<u8> {
     vec![MAGIC[0], MAGIC[1], kind, number, count]
 }
@@ -197,7 +210,7 @@
     let mut bytes = header(STORE, number, count);
     for (shard, rate) in entries {
         bytes.extend((shard.0 as u16).to_be_bytes());
-        // The upper half of a float: rounded down to three digits, never up.
+        // The upper half of a float is rounded down to three digits, never up: the sum over all hosts must not grow.
         bytes.extend(&(*rate as f32).to_be_bytes()[..2]);
     }
     bytes
--- a/crates/platform-host/src/node_connection.rs
+++ b/crates/platform-host/src/node_connection.rs
@@ -8,7 +8,7 @@
 
 /// Where a connection is in its protocol.
 pub enum State {
-    /// It has to come up by `until`, for this attempt.
+    /// It must be established by `until`, for this attempt.
     Connecting { until: Instant, attempt: Box<SendAttempt> },
     /// The attempt is being written, or its answer is awaited.
     Busy { attempt: Box<SendAttempt>, outgoing: BytesMut, answer: Box<ResponseReader> },
@@ -39,7 +39,7 @@
     pub malformed_answers: u64,
     /// Connections that ended under an attempt.
     pub reset: u64,
-    /// Connections that did not come up.
+    /// Connections that could not be established, or not in time.
     pub connect_failures: u64,
     /// Attempts that were cancelled on a connection.
     pub cancelled: u64,
@@ -47,6 +47,6 @@
     pub waited: u64,
     /// Idle connections on which data arrived that nothing had asked for.
     pub unsolicited_data: u64,
-    /// Connections that came up too late for their attempt to begin.
+    /// Connections that were established too late for their attempt to begin.
     pub deadline_passed: u64,
 }
--- a/crates/platform-host/src/node_connections.rs
+++ b/crates/platform-host/src/node_connections.rs
@@ -12,12 +12,15 @@
 use tackmast_http::{Limits, Response, ResponseReader};
 use tackmast_platform::{attempt_head, Reports};
 
-/// The host closes an idle connection after this share of the time after which nodes do: a request must not cross a close.
+/// The host closes an idle connection after this share of the time after which nodes do. Nodes would otherwise close it while a request
+/// is on its way, which would then have no answer.
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
-/// Nothing in an answer tells whose it is, and a node that sends one twice may do so some milliseconds late: a connection
-/// is not reused for this many seconds, so that what belongs to the last answer is seen to come unsolicited. Copies were seen 1 to
-/// 4 ms late (nine, in three plays); a longer delay costs connections.
-const REUSE_DELAY: f64 = 0.01;
+/// When the host closes an idle connection if the settings do not say when nodes do.
+const DEFAULT_MAX_IDLE: TimeDelta = TimeDelta::from_millis(10_000);
+/// How long a connection is not reused after an answer. Nothing in an answer tells which request it is for, and a node may send a second
+/// copy some milliseconds late: within the delay the copy arrives on an idle connection, which is closed for it. After the delay it
+/// would be taken for the answer to the next request.
+const REUSE_DELAY: TimeDelta = TimeDelta::from_millis(10);
 
 /// All connections to nodes, and the attempts that wait for one.
 pub struct Links {
@@ -28,45 +31,46 @@
     waiting: VecDeque<SendAttempt>,
     /// Attempts that wait until a connection to their node is reusable, and until when.
     delayed: Vec<(Instant, SendAttempt)>,
-    next: u32,
+    next_id: u32,
     max_connections: usize,
     connect_timeout: TimeDelta,
     max_idle: TimeDelta,
     reports: Reports,
+    /// What happened since the start.
     pub counters: LinkCounters,
 }
 
 impl Links {
-    /// `max_connections` connections; `connect_timeout` is the time to come up in, `idle` when nodes close one (zero: not told).
+    /// At most `max_connections` connections, each established within `connect_timeout`. `node_idle_timeout` is when nodes close an idle
+    /// connection; zero if the settings do not say.
     pub fn new(
         max_connections: usize,
         connect_timeout: TimeDelta,
-        idle: TimeDelta,
+        node_idle_timeout: TimeDelta,
         reports: Reports,
     ) -> Self {
-        let keep = if idle > TimeDelta::ZERO { idle.secs() * IDLE_TIMEOUT_SHARE } else { 10.0 };
         Links {
             links: BTreeMap::new(),
             idle: IdleConnections::default(),
             by_attempt: HashMap::new(),
             waiting: VecDeque::new(),
             delayed: Vec::new(),
-            next: 0,
+            next_id: 0,
             max_connections,
             connect_timeout,
-            max_idle: TimeDelta::from_secs(keep),
+            max_idle: max_idle(node_idle_timeout),
             reports,
             counters: LinkCounters::default(),
         }
     }
 
-    /// Connections that are open or come up.
+    /// Connections that are established or being established.
     pub fn len(&self) -> usize {
         self.links.len()
     }
 
-    /// Sends an attempt to a node at its present address. An attempt waits only once for a connection to become reusable: others
-    /// could take it from under this one again and again.
+    /// Sends an attempt to a node at its present address. An attempt waits only once for a connection to become reusable: others could
+    /// take that connection before it again and again, and it would wait until its deadline.
     pub fn send(
         &mut self,
         now: Instant,
@@ -76,20 +80,19 @@
         results: &mut Vec<AttemptResult>,
     ) {
         let Some(to) = to else { return results.push(ended(attempt.attempt, Outcome::Refused)) };
-        while let Some(id) = self.idle.take(attempt.node, now, TimeDelta::from_secs(REUSE_DELAY)) {
-            let good =
-                self.links.get(&id).is_some_and(|l| l.address == to && sockets::has_no_input(&l.stream));
-            if good {
+        while let Some(id) = self.idle.take(attempt.node, now, REUSE_DELAY) {
+            let is_usable = |link: &Link| link.address == to && sockets::has_no_input(&link.stream);
+            if self.links.get(&id).is_some_and(is_usable) {
                 self.counters.reused += 1;
                 return self.begin(now, poller, id, attempt, results);
             }
-            self.links.remove(&id); // closed by its node while idle, or the node has moved
+            // Its node has closed it while it was idle, or has moved.
+            self.links.remove(&id);
         }
-        // A few milliseconds cost less than a new connection, to the client as to the node.
-        let rest = TimeDelta::from_secs(REUSE_DELAY);
-        let ahead = self.delayed.iter().filter(|(_, a)| a.node == attempt.node).count();
-        let until = self.idle.reusable_at(attempt.node, now, rest, ahead).filter(|_| !has_waited);
-        if let Some(until) = until {
+        // Waiting a few milliseconds costs the client and the node less than a new connection.
+        let attempts_ahead = self.delayed.iter().filter(|(_, delayed)| delayed.node == attempt.node).count();
+        let reusable_at = self.idle.reusable_at(attempt.node, now, REUSE_DELAY, attempts_ahead);
+        if let Some(until) = reusable_at.filter(|_| !has_waited) {
             return self.delayed.push((until, attempt));
         }
         if !self.has_capacity_for_one(now) {
@@ -99,7 +102,7 @@
         self.connect(now, poller, to, attempt, results);
     }
 
-    /// Whether one more connection may be opened; closes the oldest idle one for it where it has to.
+    /// Whether one more connection may be opened; closes the oldest idle one for it if it must.
     fn has_capacity_for_one(&mut self, now: Instant) -> bool {
         if self.links.len() >= self.max_connections {
             if let Some((node, id)) = self.idle.oldest(TimeDelta::ZERO, now) {
@@ -118,26 +121,23 @@
         attempt: SendAttempt,
         results: &mut Vec<AttemptResult>,
     ) {
-        let id = self.next;
+        let id = self.next_id;
         let stream = match sockets::connect(to) {
-            Ok(s) if poller.add(&s, Token::Link(id), WRITE).is_ok() => s,
+            Ok(stream) if poller.add(&stream, Token::Link(id), WRITE).is_ok() => stream,
             _ => {
                 self.counters.connect_failures += 1;
                 return results.push(ended(attempt.attempt, Outcome::Refused));
             }
         };
-        self.next = self.next.wrapping_add(1);
+        self.next_id = self.next_id.wrapping_add(1);
         self.counters.opened += 1;
         self.by_attempt.insert(attempt.attempt, id);
+        let node = attempt.node;
         let state = State::Connecting { until: now + self.connect_timeout, attempt: Box::new(attempt) };
-        let node = match &state {
-            State::Connecting { attempt, .. } => attempt.node,
-            _ => return,
-        };
         self.links.insert(id, Link { node, address: to, stream, state });
     }
 
-    /// The connection is up: writes the attempt, unless it was cancelled or is too late.
+    /// The connection is established: writes the attempt, unless it was cancelled or is too late.
     fn begin(
         &mut self,
         now: Instant,
@@ -158,13 +158,13 @@
             poller.change(&link.stream, Token::Link(id), READ);
             return self.idle.put(now, link.node, id);
         }
-        let rest = attempt_head(link.address, attempt.until - now);
+        let attempt_head = attempt_head(link.address, attempt.until - now);
         let (head, body): (&[u8], &[u8]) = match &attempt.work {
-            AttemptWork::Opaque(r) => (&r.head, &r.body),
+            AttemptWork::Opaque(request) => (&request.head, &request.body),
             AttemptWork::Write { .. } | AttemptWork::Read { .. } => (&[], &[]),
         };
-        let mut outgoing = BytesMut::with_capacity(head.len() + rest.len() + body.len());
-        [head, rest.as_bytes(), body].iter().for_each(|part| outgoing.extend_from_slice(part));
+        let mut outgoing = BytesMut::with_capacity(head.len() + attempt_head.len() + body.len());
+        [head, attempt_head.as_bytes(), body].iter().for_each(|part| outgoing.extend_from_slice(part));
         self.by_attempt.insert(attempt.attempt, id);
         let answer = Box::new(ResponseReader::new(Limits::default()));
         link.state = State::Busy { attempt: Box::new(attempt), outgoing, answer };
@@ -175,7 +175,7 @@
         let Some(link) = self.links.get_mut(&id) else { return };
         let State::Busy { attempt, outgoing, .. } = &mut link.state else { return };
         match sockets::write(&link.stream, outgoing) {
-            // What was not written whole never ran.
+            // The node has not received the whole attempt, so it never ran.
             Err(_) => self.end(id, Outcome::Refused, results),
             Ok(()) if outgoing.is_empty() => {
                 attempt.ticket.written();
@@ -191,24 +191,24 @@
         now: Instant,
         poller: &Poller,
         id: u32,
-        r: Ready,
+        ready: Ready,
         results: &mut Vec<AttemptResult>,
     ) {
         let Some(link) = self.links.get_mut(&id) else { return };
         match &mut link.state {
             State::Idle => {
                 let node = link.node;
-                if !r.ended {
+                if !ready.ended {
                     self.counters.unsolicited_data += 1;
-                    let idle_s = self.idle.since(node, id).map(|t| (now - t).secs());
-                    tracing::debug!(node = node.0, idle_s, "unsolicited data on an idle connection");
+                    let idle_secs = self.idle.since(node, id).map(|since| (now - since).secs());
+                    tracing::debug!(node = node.0, idle_secs, "unsolicited data on an idle connection");
                 }
                 self.close(node, id);
             }
             State::Connecting { .. } => {
-                let broken =
+                let has_failed =
                     !matches!(link.stream.take_error(), Ok(None)) || link.stream.peer_addr().is_err();
-                if broken {
+                if has_failed {
                     self.counters.connect_failures += 1;
                     return self.end(id, Outcome::Refused, results);
                 }
@@ -217,10 +217,10 @@
                 }
             }
             State::Busy { .. } => {
-                if r.write {
+                if ready.write {
                     self.write(poller, id, results);
                 }
-                if r.read || r.ended {
+                if ready.read || ready.ended {
                     self.read(now, id, results);
                 }
             }
@@ -230,27 +230,27 @@
     fn read(&mut self, now: Instant, id: u32, results: &mut Vec<AttemptResult>) {
         let Some(link) = self.links.get_mut(&id) else { return };
         let State::Busy { outgoing, answer, .. } = &mut link.state else { return };
-        let mut piece = [0; sockets::READ_CHUNK_BYTES];
+        let mut chunk = [0; sockets::READ_CHUNK_BYTES];
         let unsent = !outgoing.is_empty();
-        let answered = match sockets::read(&link.stream, &mut piece) {
+        let answered = match sockets::read(&link.stream, &mut chunk) {
             ReadOutcome::Nothing => return,
-            // An answer that does not say how long it is ends with its connection, if that ends in order.
+            // An answer without a length ends with its connection, if that ends in order. After a reset the rest may be missing.
             ReadOutcome::End if !unsent && answer.ends_with_connection() => answer.handle_close(),
             ReadOutcome::End | ReadOutcome::Failed => {
                 self.counters.reset += u64::from(!unsent);
                 return self.end(id, if unsent { Outcome::Refused } else { Outcome::Reset }, results);
             }
-            ReadOutcome::Bytes(n) => {
-                answer.push(&piece[..n]);
+            ReadOutcome::Bytes(len) => {
+                answer.push(&chunk[..len]);
                 answer.next_response()
             }
         };
         match answered {
             Ok(None) => {}
             Ok(Some(answer)) => self.finish(now, id, answer, results),
-            Err(why) => {
+            Err(error) => {
                 self.counters.malformed_answers += 1;
-                tracing::debug!(node = link.node.0, %why, "an answer can't be read");
+                tracing::debug!(node = link.node.0, %error, "malformed answer of a node");
                 self.end(id, Outcome::Error, results);
             }
         }
@@ -263,14 +263,15 @@
         let (closes, has_more, unsent) = (received.closes, answer.has_trailing_bytes(), !outgoing.is_empty());
         let mut report = self.reports.read(received);
         if unsent && report.outcome == Outcome::Done {
-            report.outcome = Outcome::Error; // it can't have been made for this request
+            // The node answered before it had the whole request, so the answer can't be for this request.
+            report.outcome = Outcome::Error;
         }
         let (number, node) = (attempt.attempt, link.node);
         results.push(AttemptResult {
             attempt: number,
             outcome: report.outcome,
             waiting: report.waiting,
-            // A node that reports nothing of other hosts reports that there was nothing.
+            // A node that reports no service of other hosts had none.
             elsewhere: Some(report.elsewhere.unwrap_or(0.0)),
             data: report.body,
         });
@@ -307,30 +308,32 @@
                 self.links.remove(&id);
             }
             None => {
-                self.waiting.retain(|l| l.attempt != attempt);
-                self.delayed.retain(|(_, l)| l.attempt != attempt);
+                self.waiting.retain(|waiting| waiting.attempt != attempt);
+                self.delayed.retain(|(_, delayed)| delayed.attempt != attempt);
             }
         }
     }
 
-    /// Nodes that want nothing new, or have moved, keep no connection that no request has begun on; what waits for one that
-    /// comes up would be written to whoever is there now.
+    /// Closes the connections on which no request has begun, except those to an address where their node is ready (`is_current`). An
+    /// attempt that waits for such a connection would otherwise be written to a draining node, or to whatever has the old address now.
     pub fn close_unused_unless(
         &mut self,
-        good: impl Fn(NodeId, SocketAddr) -> bool,
+        is_current: impl Fn(NodeId, SocketAddr) -> bool,
         results: &mut Vec<AttemptResult>,
     ) {
-        let unused = |l: &Link| !matches!(l.state, State::Busy { .. }) && !good(l.node, l.address);
-        let old: Vec<u32> = self.links.iter().filter(|(_, l)| unused(l)).map(|(id, _)| *id).collect();
-        for id in old {
-            if let Some(l) = self.links.get(&id) {
-                self.idle.remove(l.node, id);
+        let is_unused =
+            |link: &Link| !matches!(link.state, State::Busy { .. }) && !is_current(link.node, link.address);
+        let unused = self.links.iter().filter(|(_, link)| is_unused(link));
+        let unused: Vec<u32> = unused.map(|(id, _)| *id).collect();
+        for id in unused {
+            if let Some(link) = self.links.get(&id) {
+                self.idle.remove(link.node, id);
             }
             self.end(id, Outcome::Refused, results);
         }
     }
 
-    /// The client whose request waits for this connection to come up.
+    /// The client whose request waits for this connection to be established.
     pub fn connecting_client(&self, id: u32) -> Option<u32> {
         match &self.links.get(&id)?.state {
             State::Connecting { attempt, .. } => Some(attempt.from.session),
@@ -338,10 +341,11 @@
         }
     }
 
-    /// Closes connections that did not come up in time, and old idle ones.
+    /// Closes connections that were not established in time, and old idle ones.
     pub fn handle_timeout(&mut self, now: Instant, results: &mut Vec<AttemptResult>) {
-        let late = |l: &Link| matches!(&l.state, State::Connecting { until, .. } if *until <= now);
-        let late: Vec<u32> = self.links.iter().filter(|(_, l)| late(l)).map(|(id, _)| *id).collect();
+        let is_late = |link: &Link| matches!(&link.state, State::Connecting { until, .. } if *until <= now);
+        let late = self.links.iter().filter(|(_, link)| is_late(link));
+        let late: Vec<u32> = late.map(|(id, _)| *id).collect();
         for id in late {
             self.counters.connect_failures += 1;
             self.end(id, Outcome::Refused, results);
@@ -358,8 +362,8 @@
 
     /// A delayed attempt that may be sent now.
     pub fn delayed_attempt(&mut self, now: Instant) -> Option<SendAttempt> {
-        let at = self.delayed.iter().position(|(until, _)| *until <= now)?;
-        Some(self.delayed.remove(at).1)
+        let index = self.delayed.iter().position(|(until, _)| *until <= now)?;
+        Some(self.delayed.remove(index).1)
     }
 
     /// The attempt that has waited longest for capacity, if there is some now.
@@ -373,6 +377,15 @@
     }
 }
 
+/// When the host closes an idle connection, by when nodes do (zero: the settings do not say).
+fn max_idle(node_idle_timeout: TimeDelta) -> TimeDelta {
+    if node_idle_timeout > TimeDelta::ZERO {
+        TimeDelta::from_secs(node_idle_timeout.secs() * IDLE_TIMEOUT_SHARE)
+    } else {
+        DEFAULT_MAX_IDLE
+    }
+}
+
 fn ended(attempt: AttemptId, outcome: Outcome) -> AttemptResult {
     AttemptResult { attempt, outcome, waiting: None, elsewhere: Some(0.0), data: Bytes::new() }
 }
--- a/crates/platform-host/src/poller.rs
+++ b/crates/platform-host/src/poller.rs
@@ -1,4 +1,5 @@
-//! Readiness of sockets, by level: what is left unread is reported again in the next iteration, so work per turn can be bounded.
+//! Readiness of sockets, level-triggered: unread bytes are reported again in the next iteration, so the work of an iteration can be
+//! bounded.
 
 use rustix::event::epoll::{self, CreateFlags, Event, EventData, EventFlags};
 use std::os::fd::{AsFd, OwnedFd};
@@ -18,19 +19,19 @@
 
 impl Token {
     fn data(self) -> EventData {
-        let (kind, n) = match self {
-            Token::List(n) => (0, n),
-            Token::Signal(n) => (1, n),
-            Token::Link(n) => (2, n),
-            Token::ClientConnection(n) => (3, n),
+        let (kind, number) = match self {
+            Token::List(number) => (0, number),
+            Token::Signal(number) => (1, number),
+            Token::Link(number) => (2, number),
+            Token::ClientConnection(number) => (3, number),
             Token::Listener => (4, 0),
             Token::Peers => (5, 0),
         };
-        EventData::new_u64(kind << 32 | u64::from(n))
+        EventData::new_u64(kind << 32 | u64::from(number))
     }
 
-    /// Its place in an iteration.
-    fn kind(self) -> u8 {
+    /// Its place in an iteration, the lowest first.
+    fn order(self) -> u8 {
         match self {
             Token::List(_) => 0,
             Token::Signal(_) => 1,
@@ -41,21 +42,22 @@
         }
     }
 
-    /// The place of one that has ended.
-    fn early(self) -> u8 {
+    /// The place of a socket that has ended. Ends of clients come before connections to nodes: nothing may begin in this iteration for a
+    /// client that has gone, or a node would do work that nobody waits for.
+    fn order_of_end(self) -> u8 {
         match self {
             Token::ClientConnection(_) => 2,
-            other => other.kind(),
+            other => other.order(),
         }
     }
 
     fn of(data: u64) -> Self {
-        let n = data as u32;
+        let number = data as u32;
         match data >> 32 {
-            0 => Token::List(n),
-            1 => Token::Signal(n),
-            2 => Token::Link(n),
-            3 => Token::ClientConnection(n),
+            0 => Token::List(number),
+            1 => Token::Signal(number),
+            2 => Token::Link(number),
+            3 => Token::ClientConnection(number),
             5 => Token::Peers,
             _ => Token::Listener,
         }
@@ -67,15 +69,15 @@
 pub struct Ready {
     /// Whose socket it is.
     pub token: Token,
-    /// There is something to read, or the end of the stream.
+    /// Bytes can be read, or the end of the stream.
     pub read: bool,
-    /// Something can be written.
+    /// Bytes can be written.
     pub write: bool,
     /// The other side has ended its sending, or the connection is broken.
     pub ended: bool,
 }
 
-/// What is waited for. The end of a connection is always reported.
+/// Which events of a socket the poller waits for. The end of a connection is always reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
     pub read: bool,
@@ -98,8 +100,8 @@
     }
 }
 
-/// Events taken in one iteration, at most.
-const TURN: usize = 256;
+/// The most events of one iteration.
+const MAX_EVENTS_PER_ITERATION: usize = 256;
 
 /// An epoll instance.
 pub struct Poller {
@@ -110,38 +112,45 @@
 impl Poller {
     /// Makes an epoll instance.
     pub fn new() -> std::io::Result<Self> {
-        Ok(Poller { epoll: epoll::create(CreateFlags::CLOEXEC)?, events: Vec::with_capacity(TURN) })
+        Ok(Poller {
+            epoll: epoll::create(CreateFlags::CLOEXEC)?,
+            events: Vec::with_capacity(MAX_EVENTS_PER_ITERATION),
+        })
     }
 
     /// Registers a socket.
-    pub fn add(&self, fd: impl AsFd, token: Token, i: Interest) -> std::io::Result<()> {
-        Ok(epoll::add(&self.epoll, fd, token.data(), i.flags())?)
+    pub fn add(&self, fd: impl AsFd, token: Token, interest: Interest) -> std::io::Result<()> {
+        Ok(epoll::add(&self.epoll, fd, token.data(), interest.flags())?)
     }
 
-    /// A socket leaves by being closed.
-    pub fn change(&self, fd: impl AsFd, token: Token, i: Interest) {
-        _ = epoll::modify(&self.epoll, fd, token.data(), i.flags());
+    /// Changes which events are waited for. A socket is deregistered by being closed.
+    pub fn change(&self, fd: impl AsFd, token: Token, interest: Interest) {
+        _ = epoll::modify(&self.epoll, fd, token.data(), interest.flags());
     }
 
-    /// What is ready within the time, the list first.
-    pub fn wait(&mut self, most: Duration, ready: &mut Vec<Ready>) {
+    /// Waits for at most `timeout`. Gives the sockets that are ready, in the order in which they are handled.
+    pub fn wait(&mut self, timeout: Duration, ready: &mut Vec<Ready>) {
         self.events.clear();
-        let most =
-            rustix::event::Timespec { tv_sec: most.as_secs() as i64, tv_nsec: most.subsec_nanos().into() };
-        // Cut short by a signal: its pipe is ready in the next iteration.
-        _ = epoll::wait(&self.epoll, rustix::buffer::spare_capacity(&mut self.events), Some(&most));
+        let timeout = rustix::event::Timespec {
+            tv_sec: timeout.as_secs() as i64,
+            tv_nsec: timeout.subsec_nanos().into(),
+        };
+        // A signal may cut the wait short: its pipe is ready in the next iteration.
+        _ = epoll::wait(&self.epoll, rustix::buffer::spare_capacity(&mut self.events), Some(&timeout));
         ready.clear();
-        ready.extend(self.events.iter().map(|e| {
-            let flags = e.flags;
-            let has = |f| flags.intersects(f);
+        ready.extend(self.events.iter().map(|event| {
+            let flags = event.flags;
+            let has = |wanted| flags.intersects(wanted);
             Ready {
-                token: Token::of({ e.data }.u64()),
+                token: Token::of({ event.data }.u64()),
                 read: has(EventFlags::IN),
                 write: has(EventFlags::OUT),
                 ended: has(EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR),
             }
         }));
-        // Then the ends of clients: nothing may begin in this iteration for one that has gone.
-        ready.sort_by_key(|r| (if r.ended { r.token.early() } else { r.token.kind() }, r.token));
+        ready.sort_by_key(|socket| {
+            let order = if socket.ended { socket.token.order_of_end() } else { socket.token.order() };
+            (order, socket.token)
+        });
     }
 }
--- a/crates/platform-host/src/shutdown_schedule.rs
+++ b/crates/platform-host/src/shutdown_schedule.rs
@@ -1,66 +1,71 @@
 //! The schedule of a graceful shutdown: when each phase begins. No I/O.
+//!
+//! The platform kills a host no earlier after SIGTERM than the longest deadline of its traffic classes, which counts up to a bound,
+//! plus a margin. New connections arrive for up to 0.4 s after SIGTERM, and requests on open connections for as long as these stay
+//! open. Clients have no other host until this one is back, so the host serves until shortly before it is killed.
 
 use tackmast::interface::TimeDelta;
 
-// The platform kills a host no earlier after SIGTERM than the longest deadline of its classes, which counts up to a bound, and
-// some time on top. New connections come for up to 0.4 s after SIGTERM, requests on open connections for as long as these stay
-// open. Clients have nowhere else to go until the host is back, so it serves on until shortly before it is killed.
-
-/// Seconds after SIGTERM for which clients may still open connections.
-const NEW_CONNECTIONS_UNTIL: f64 = 0.45;
-/// Seconds after SIGTERM from which a host without client connections closes at once.
-const CLOSE_WHEN_ALONE: f64 = 0.6;
-/// The bound, in seconds, up to which the longest deadline counts.
-const MAX_DEADLINE: f64 = 3.0;
-/// Seconds that the platform adds to that.
-const KILL_MARGIN: f64 = 0.7;
-/// Seconds before the kill at which answers close their connections, and idle connections are half-closed.
-const CLOSE_AHEAD: f64 = 0.5;
-/// Seconds before the kill at which what is still open is answered as it stands: whatever came later than 0.7 s after SIGTERM
-/// must have its answer by then.
-const SETTLE_AHEAD: f64 = 0.25;
-/// Seconds before the kill at which the host exits, whatever connection is still open.
-const EXIT_AHEAD: f64 = 0.1;
+/// How long after SIGTERM clients may still open connections.
+const NEW_CONNECTIONS_UNTIL: TimeDelta = TimeDelta::from_millis(450);
+/// When a host without client connections closes, after SIGTERM.
+const CLOSE_WITHOUT_CLIENTS_AFTER: TimeDelta = TimeDelta::from_millis(600);
+/// The longest deadline of the traffic classes counts up to this.
+const MAX_DEADLINE: TimeDelta = TimeDelta::from_millis(3000);
+/// What the platform adds to the longest deadline before it kills the host.
+const KILL_MARGIN: TimeDelta = TimeDelta::from_millis(700);
+/// When `ShutdownPhase::Closing` begins, from the kill on; negative is before it.
+const CLOSING_FROM_KILL: TimeDelta = TimeDelta::from_millis(-500);
+/// When `ShutdownPhase::Settled` begins, from the kill on: whatever arrived later than 0.7 s after SIGTERM must have its answer by
+/// the kill.
+const SETTLED_FROM_KILL: TimeDelta = TimeDelta::from_millis(-250);
+/// When `ShutdownPhase::Finished` begins, from the kill on.
+const FINISHED_FROM_KILL: TimeDelta = TimeDelta::from_millis(-100);
 
 /// Phases of the shutdown, in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// The health check says not ready; requests are served.
+    /// The health check answers "not ready"; requests are served.
     Serving,
-    /// The listener is closed; connections are half-closed when idle, and each other with its answer.
+    /// The listener is closed; idle connections are half-closed, and each other one with its answer.
     Closing,
-    /// All that was open is answered; no request is accepted.
+    /// All open requests are answered; no request is accepted.
     Settled,
-    /// The process exits.
+    /// The process exits, whatever connection is still open.
     Finished,
 }
 
-/// When phases begin, in seconds since the shutdown was asked for.
+/// When phases begin, counted from when the shutdown was asked for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShutdownSchedule {
-    closing: f64,
-    settled: f64,
-    finished: f64,
+    closing: TimeDelta,
+    settled: TimeDelta,
+    finished: TimeDelta,
 }
 
 impl ShutdownSchedule {
-    /// `deadline` is the longest of any traffic class.
-    pub fn new(deadline: TimeDelta) -> Self {
-        let killed = deadline.secs().clamp(0.0, MAX_DEADLINE) + KILL_MARGIN;
-        // With short deadlines the time is short: new connections go first.
-        let closing = (killed - CLOSE_AHEAD).max(NEW_CONNECTIONS_UNTIL);
-        let settled = (killed - SETTLE_AHEAD).max(closing);
-        ShutdownSchedule { closing, settled, finished: killed - EXIT_AHEAD }
+    /// `longest_deadline` is the longest of any traffic class.
+    pub fn new(longest_deadline: TimeDelta) -> Self {
+        let kill = longest_deadline.clamp(TimeDelta::ZERO, MAX_DEADLINE) + KILL_MARGIN;
+        // With short deadlines there is little time before the kill. New connections come first: a client that finds the listener
+        // closed has no other host.
+        let closing = (kill + CLOSING_FROM_KILL).max(NEW_CONNECTIONS_UNTIL);
+        let settled = (kill + SETTLED_FROM_KILL).max(closing);
+        ShutdownSchedule { closing, settled, finished: kill + FINISHED_FROM_KILL }
     }
 
-    /// The phase at a time since the shutdown was asked for. `alone`: no client has a connection.
-    pub fn phase(&self, since: TimeDelta, alone: bool) -> ShutdownPhase {
-        let secs = since.secs();
-        match () {
-            () if secs >= self.finished => ShutdownPhase::Finished,
-            () if secs >= self.settled => ShutdownPhase::Settled,
-            () if secs >= self.closing || (alone && secs >= CLOSE_WHEN_ALONE) => ShutdownPhase::Closing,
-            () => ShutdownPhase::Serving,
+    /// The phase at a time `since` the shutdown was asked for. Without client connections there is nobody to wait for, so the host
+    /// closes early.
+    pub fn phase(&self, since: TimeDelta, client_connections: usize) -> ShutdownPhase {
+        let closes_early = client_connections == 0 && since >= CLOSE_WITHOUT_CLIENTS_AFTER;
+        if since >= self.finished {
+            ShutdownPhase::Finished
+        } else if since >= self.settled {
+            ShutdownPhase::Settled
+        } else if since >= self.closing || closes_early {
+            ShutdownPhase::Closing
+        } else {
+            ShutdownPhase::Serving
         }
     }
 }
--- a/crates/platform-host/src/shutdown_schedule/tests.rs
+++ b/crates/platform-host/src/shutdown_schedule/tests.rs
@@ -1,10 +1,14 @@
+//! When the phases of a shutdown begin.
+
 use super::*;
 
+/// The platform kills the host some time after SIGTERM, which depends on the longest deadline of its settings. If a phase came out of
+/// its order or too late, clients would lose answers to the kill.
 #[test]
-fn each_step_comes_in_its_order_whatever_the_deadlines_are() {
-    let s = TimeDelta::from_secs;
-    // The longest deadline; when it closes and when all is answered; the kill comes no earlier than the last.
-    for (deadline, closes, settled, killed) in [
+fn each_phase_begins_in_its_order_whatever_the_deadlines_are() {
+    let after = TimeDelta::from_secs;
+    // The longest deadline, when Closing and Settled begin, and the kill, in seconds. The kill comes no earlier than the last.
+    for (deadline, closing, settled, kill) in [
         (3.0, 3.2, 3.45, 3.7),
         (5.0, 3.2, 3.45, 3.7),
         (1.5, 1.7, 1.95, 2.2),
@@ -12,34 +16,25 @@
         (0.1, 0.45, 0.55, 0.8),
         (0.0, 0.45, 0.45, 0.7),
     ] {
-        let e = ShutdownSchedule::new(s(deadline));
-        let at = |t: f64| e.phase(s(t), false);
-        assert_eq!(
-            (at(0.0), at(closes - 0.01)),
-            (ShutdownPhase::Serving, ShutdownPhase::Serving),
-            "{deadline}"
-        );
-        assert!(at(closes + 0.01) >= ShutdownPhase::Closing, "{deadline}");
-        assert!(
-            at(settled - 0.01) < ShutdownPhase::Settled && at(settled + 0.01) == ShutdownPhase::Settled,
-            "{deadline}"
-        );
-        assert!(
-            at(killed - 0.12) == ShutdownPhase::Settled && at(killed - 0.01) == ShutdownPhase::Finished,
-            "{deadline}"
-        );
-        // New connections come for up to 0.4 s, and are served.
-        assert!(
-            at(0.4) == ShutdownPhase::Serving && e.phase(s(0.4), true) == ShutdownPhase::Serving,
-            "{deadline}"
-        );
+        let schedule = ShutdownSchedule::new(after(deadline));
+        let phase_at = |secs: f64| schedule.phase(after(secs), 1);
+        assert_eq!(phase_at(0.0), ShutdownPhase::Serving, "{deadline}");
+        assert_eq!(phase_at(closing - 0.01), ShutdownPhase::Serving, "{deadline}");
+        assert!(phase_at(closing + 0.01) >= ShutdownPhase::Closing, "{deadline}");
+        assert!(phase_at(settled - 0.01) < ShutdownPhase::Settled, "{deadline}");
+        assert_eq!(phase_at(settled + 0.01), ShutdownPhase::Settled, "{deadline}");
+        assert_eq!(phase_at(kill - 0.12), ShutdownPhase::Settled, "{deadline}");
+        assert_eq!(phase_at(kill - 0.01), ShutdownPhase::Finished, "{deadline}");
+        // New connections arrive for up to 0.4 s, and are served.
+        assert_eq!(phase_at(0.4), ShutdownPhase::Serving, "{deadline}");
+        assert_eq!(schedule.phase(after(0.4), 0), ShutdownPhase::Serving, "{deadline}");
         let mut last = ShutdownPhase::Serving;
-        for t in 0..500 {
-            let now = at(f64::from(t) / 100.0);
-            assert!(now >= last, "{deadline} at {t}: {now:?} after {last:?}");
-            last = now;
+        for hundredths in 0..500 {
+            let phase = phase_at(f64::from(hundredths) / 100.0);
+            assert!(phase >= last, "{deadline} at {hundredths}: {phase:?} after {last:?}");
+            last = phase;
         }
     }
-    // Nobody is there: it needs not wait for whoever might have stayed.
-    assert_eq!(ShutdownSchedule::new(s(3.0)).phase(s(0.7), true), ShutdownPhase::Closing);
+    // Without clients the host need not wait for any that might have stayed.
+    assert_eq!(ShutdownSchedule::new(after(3.0)).phase(after(0.7), 0), ShutdownPhase::Closing);
 }
--- a/crates/platform-host/src/sockets.rs
+++ b/crates/platform-host/src/sockets.rs
@@ -8,27 +8,29 @@
 /// Bytes read from one socket in one iteration, at most.
 pub const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// Begins to connect; writable once it stands or has failed.
+/// Begins to connect. The socket is writable once it is connected or has failed.
 pub fn connect(to: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = socket2::Socket::new(socket2::Domain::for_address(to), socket2::Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
     socket.set_tcp_nodelay(true)?;
     match socket.connect(&to.into()) {
-        Err(e) if e.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => Err(e),
+        Err(error) if error.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => {
+            Err(error)
+        }
         _ => Ok(socket.into()),
     }
 }
 
-/// What a read of a socket brought.
+/// What a read of a socket gave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// So many bytes.
+    /// This many bytes.
     Bytes(usize),
-    /// Nothing for now.
+    /// No bytes for now.
     Nothing,
     /// The other side has ended its sending in order.
     End,
-    /// The connection broke: what came before it may lack its rest.
+    /// The connection broke: bytes that were sent before may be missing.
     Failed,
 }
 
@@ -37,7 +39,7 @@
     loop {
         return match from.read(into) {
             Ok(0) => ReadOutcome::End,
-            Ok(n) => ReadOutcome::Bytes(n),
+            Ok(len) => ReadOutcome::Bytes(len),
             Err(e) if e.kind() == ErrorKind::WouldBlock => ReadOutcome::Nothing,
             Err(e) if e.kind() == ErrorKind::Interrupted => continue,
             Err(_) => ReadOutcome::Failed,
@@ -45,28 +47,29 @@
     }
 }
 
-/// Writes what the socket takes; an error says that the connection is broken.
+/// Writes as many bytes as the socket takes, and removes them. An error means that the connection is broken.
 pub fn write(mut to: &TcpStream, out: &mut BytesMut) -> std::io::Result<()> {
     while !out.is_empty() {
         match to.write(out) {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
-            Ok(n) => out.advance(n),
+            Ok(len) => out.advance(len),
             Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
         }
     }
-    *out = BytesMut::new(); // a long one must not be kept by an idle connection
+    // An idle connection must not keep the memory of a long answer.
+    *out = BytesMut::new();
     Ok(())
 }
 
-/// Whether an idle connection is still good: nothing has come on it, not even its end.
+/// Whether a connection has neither bytes to read nor ended.
 pub fn has_no_input(stream: &TcpStream) -> bool {
     let mut byte = [0u8; 1];
     matches!(stream.peek(&mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock)
 }
 
-/// Whether the other side has ended its sending or the connection is broken, also where bytes are unread ahead of the end.
+/// Whether the other side has ended its sending or the connection is broken, also while bytes before the end are unread.
 pub fn has_ended(stream: &TcpStream) -> bool {
     let ended = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     let mut one = [PollFd::new(stream, ended)];
