--- a/crates/benchmarks/src/service.rs
+++ b/crates/benchmarks/src/service.rs
@@ -69,7 +69,7 @@
     let greedy = match greedy_calls {
         0 => None,
         n => {
-            let client = open(&Options { sessions: 16, calls: n, ..options.clone() })?;
+            let client = open(&Options { sessions: 16, max_calls: n, ..options.clone() })?;
             Some(std::thread::spawn(move || {
                 let mut open: std::collections::VecDeque<Pending> = std::collections::VecDeque::new();
                 let mut chance = oorandom::Rand64::new(3);
--- a/crates/benchmarks/src/truth.rs
+++ b/crates/benchmarks/src/truth.rs
@@ -132,7 +132,7 @@
     for host in &hosts {
         let address = host.nbd.ok_or("no NBD address")?;
         let open = |volume: &str, lun| {
-            let options = Options { calls: 4096, ..Options::new(Protocol::Nbd, address, volume, lun) };
+            let options = Options { max_calls: 4096, ..Options::new(Protocol::Nbd, address, volume, lun) };
             Client::open(options, PATIENCE).map_err(|e| e.to_string())
         };
         clients.push([open("museum", 0)?, open("school", 1)?]);
--- a/crates/cli/src/io.rs
+++ b/crates/cli/src/io.rs
@@ -100,7 +100,7 @@
         ProtocolName::Nbd => Protocol::Nbd,
     };
     let mut options = Options::new(protocol, v.address, &v.volume, v.lun);
-    options.place.target.clone_from(&v.target);
+    options.volume.target.clone_from(&v.target);
     options.sessions = v.sessions.clamp(1, 64);
     options.timeout = v.timeout.into();
     Client::open(options, Duration::from_secs(5)).map_err(|e| e.to_string())
--- a/crates/client-core/src/core.rs
+++ b/crates/client-core/src/core.rs
@@ -1,362 +1,230 @@
-//! Calls over a pool of sessions: which session takes a call, when it is tried again, and its one final answer by its
-//! deadline at the latest.
+//! Calls over a pool of sessions: which session takes a call, when it is retried, and its one final answer by its deadline
+//! at the latest.
 
-use crate::op::{Op, Outcome, SessionEvent, Transport, Volume};
-use crate::retry::{Budget, End, Next, Policy};
+mod calls;
+mod connections;
+mod slots;
+mod validation;
+
+use crate::operation::{Op, Outcome, Volume};
+use crate::retry::{AttemptEnd, EndedAttempt, RetryDecider, RetryPolicy, RetryVerdict};
+use crate::transport::Transport;
 use bytes::Bytes;
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-use tackmast::interface::{Instant, TimeDelta};
+use calls::CallTable;
+use slots::SlotTable;
+use std::collections::VecDeque;
+use tackmast::interface::Instant;
+use validation::{check_operation, InvalidCall};
 
+/// What a client keeps at most.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
+    /// Sessions that it keeps connected.
     pub sessions: usize,
-    /// Calls and bytes of calls that may be open.
+    /// Calls that may be open; more are rejected at once.
     pub calls: usize,
+    /// Bytes of open calls.
     pub bytes: usize,
 }
 
+/// What the owner of the state machine has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
+    /// Connect a slot; `handle_connected` or `handle_closed` tells the result.
     Connect {
+        /// Which.
         slot: usize,
     },
+    /// Write bytes to the connection of a slot.
     Write {
+        /// Which.
         slot: usize,
+        /// What to write.
         bytes: Bytes,
     },
+    /// Close the connection of a slot.
     Close {
+        /// Which.
         slot: usize,
     },
+    /// Give a caller its final answer.
     Answer {
+        /// The caller's number of the call.
         call: u64,
+        /// The answer.
         outcome: Outcome,
     },
-    /// A first session is up.
+    /// The first session is open.
     Ready(Volume),
-    /// No session can be had, and none will: the gateway said why.
-    Refused(String),
-}
-
-enum Slot {
-    /// To be connected at that time.
-    Down(Instant),
-    Connecting,
-    Up {
-        session: Box<dyn Transport>,
-        ready: bool,
-        out: BTreeSet<u64>,
+    /// The gateway refuses a session for good.
+    Refused {
+        /// What the gateway says.
+        reason: String,
     },
-    /// Never again.
-    Refused,
-}
-
-struct Call {
-    op: Op,
-    deadline: Instant,
-    tries: u32,
-    /// Where it is out; none: it waits.
-    slot: Option<usize>,
-    at: Instant,
-    sent: Instant,
-    /// Whether a try of it may have had an effect.
-    ran: bool,
 }
 
 type NewSession = Box<dyn Fn() -> Box<dyn Transport> + Send>;
 
+/// The client as a state machine.
 pub struct Core {
     bounds: Bounds,
     new_session: NewSession,
-    slots: Vec<Slot>,
-    failures: Vec<u32>,
-    calls: HashMap<u64, Call>,
-    bytes: usize,
-    /// Waiting calls by the time of their next try, and all by their deadline.
-    waiting: BTreeMap<(Instant, u64), ()>,
-    deadlines: BTreeSet<(Instant, u64)>,
-    budget: Budget,
+    slots: SlotTable,
+    calls: CallTable,
+    retries: RetryDecider,
+    /// What the gateway said of the volume; none: no session has been ready yet.
     volume: Option<Volume>,
     outputs: VecDeque<Output>,
-    turn: usize,
 }
 
 impl Core {
-    pub fn new(now: Instant, bounds: Bounds, policy: Policy, seed: u64, new_session: NewSession) -> Self {
-        let sessions = bounds.sessions.max(1);
+    /// A client without connections. `new_session` makes the protocol's side of each connection; `seed` makes pauses reproducible.
+    pub fn new(
+        now: Instant,
+        bounds: Bounds,
+        policy: RetryPolicy,
+        seed: u64,
+        new_session: NewSession,
+    ) -> Self {
         Core {
             bounds,
             new_session,
-            slots: (0..sessions).map(|_| Slot::Down(now)).collect(),
-            failures: vec![0; sessions],
-            calls: HashMap::new(),
-            bytes: 0,
-            waiting: BTreeMap::new(),
-            deadlines: BTreeSet::new(),
-            budget: Budget::new(policy, seed),
+            slots: SlotTable::new(now, bounds.sessions.max(1)),
+            calls: CallTable::default(),
+            retries: RetryDecider::new(policy, seed),
             volume: None,
             outputs: VecDeque::new(),
-            turn: 0,
         }
     }
 
-    pub fn open(&self) -> usize {
+    /// How many calls are open.
+    pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// A call, under a number of the caller's. It has one answer, at `deadline` at the latest.
-    pub fn call(&mut self, now: Instant, number: u64, op: Op, deadline: Instant) {
-        let reject = |text: String| Output::Answer { call: number, outcome: Outcome::InvalidRequest(text) };
-        if let Some(v) = self.volume {
-            let (offset, length) = match &op {
-                Op::Read { offset, length } => (*offset, u64::from(*length)),
-                Op::Write { offset, data } => (*offset, data.len() as u64),
-                Op::Flush => (0, 0),
-            };
-            let block = u64::from(v.block_bytes);
-            let problem = if !offset.is_multiple_of(block) || !length.is_multiple_of(block) {
-                Some(format!("{length} bytes at {offset}; expected whole blocks of {block}"))
-            } else if offset.checked_add(length).is_none_or(|end| end > v.bytes) {
-                Some(format!("{length} bytes at {offset}; expected them within {}", v.bytes))
-            } else if length > u64::from(v.max_bytes) {
-                Some(format!("{length} bytes; expected at most {} in one call", v.max_bytes))
-            } else {
-                None
-            };
-            if let Some(text) = problem {
-                return self.outputs.push_back(reject(text));
-            }
-        }
-        if self.calls.len() >= self.bounds.calls || self.bytes + op.bytes() > self.bounds.bytes {
-            let outcome = Outcome::Rejected { retry_after: None };
+    /// Takes a call, under a number of the caller's. It has one answer, at `deadline` at the latest.
+    pub fn submit(&mut self, now: Instant, number: u64, op: Op, deadline: Instant) {
+        let checked = self.volume.map_or(Ok(()), |volume| check_operation(&op, &volume));
+        let outcome = match checked {
+            Err(invalid) => Some(Outcome::InvalidRequest(invalid.to_string())),
+            Ok(()) => self.outcome_before_sending(&op),
+        };
+        if let Some(outcome) = outcome {
             return self.outputs.push_back(Output::Answer { call: number, outcome });
         }
-        if self.slots.iter().all(|s| matches!(s, Slot::Refused)) {
-            return self.outputs.push_back(reject("no session: the gateway refused them all".into()));
-        }
-        self.bytes += op.bytes();
-        self.budget.first_try();
-        self.calls
-            .insert(number, Call { op, deadline, tries: 0, slot: None, at: now, sent: now, ran: false });
-        self.waiting.insert((now, number), ());
-        self.deadlines.insert((deadline, number));
+        self.retries.record_call();
+        self.calls.insert(now, number, op, deadline);
     }
 
-    /// The caller no longer waits.
-    pub fn cancel(&mut self, number: u64) {
-        if let Some(c) = self.forget(number) {
-            self.call_back(number, &c);
+    /// The answer to a call that the client does not take: it has too many, or no session can be had.
+    fn outcome_before_sending(&self, op: &Op) -> Option<Outcome> {
+        let exceeds_bytes = self.calls.bytes() + op.bytes() > self.bounds.bytes;
+        if self.calls.len() >= self.bounds.calls || exceeds_bytes {
+            return Some(Outcome::Rejected { retry_after: None });
         }
+        let reason = InvalidCall::AllSessionsRefused;
+        self.slots.are_all_refused().then(|| Outcome::InvalidRequest(reason.to_string()))
     }
 
-    fn call_back(&mut self, number: u64, c: &Call) {
-        let slot = c.slot.and_then(|s| self.slots.get_mut(s));
-        if let Some(Slot::Up { session, out, .. }) = slot {
-            out.remove(&number);
-            session.cancel(number);
+    /// The caller no longer waits for a call: it is withdrawn and gets no answer.
+    pub fn cancel(&mut self, number: u64) {
+        if let Some(slot) = self.calls.remove(number).and_then(|call| call.slot) {
+            self.withdraw_attempt(number, slot);
         }
     }
 
-    fn forget(&mut self, number: u64) -> Option<Call> {
-        let c = self.calls.remove(&number)?;
-        self.bytes -= c.op.bytes();
-        self.waiting.remove(&(c.at, number));
-        self.deadlines.remove(&(c.deadline, number));
-        Some(c)
+    fn withdraw_attempt(&mut self, number: u64, slot: usize) {
+        if let Some(session) = self.slots.session_mut(slot) {
+            session.in_flight.remove(&number);
+            session.transport.cancel(number);
+        }
     }
 
     fn answer(&mut self, number: u64, outcome: Outcome) {
-        if self.forget(number).is_some() {
+        if self.calls.remove(number).is_some() {
             self.outputs.push_back(Output::Answer { call: number, outcome });
         }
     }
 
-    pub fn connected(&mut self, slot: usize) {
-        let session = (self.new_session)();
-        self.slots[slot] = Slot::Up { session, ready: false, out: BTreeSet::new() };
-    }
-
-    /// The connection ended, or none could be made.
-    pub fn closed(&mut self, now: Instant, slot: usize) {
-        let old = std::mem::replace(&mut self.slots[slot], Slot::Refused);
-        let out = match old {
-            Slot::Refused => return,
-            Slot::Up { out, ready, .. } => {
-                self.failures[slot] = if ready { 0 } else { self.failures[slot] + 1 };
-                out
-            }
-            Slot::Down(_) | Slot::Connecting => {
-                self.failures[slot] += 1;
-                BTreeSet::new()
-            }
+    /// An attempt of a call ended without being done.
+    fn on_attempt_ended(&mut self, now: Instant, number: u64, end: AttemptEnd) {
+        let Some(call) = self.calls.get_mut(number) else { return };
+        call.slot = None;
+        call.may_have_run |= matches!(end, AttemptEnd::Failed | AttemptEnd::SessionLost);
+        let attempt = EndedAttempt {
+            end,
+            is_write: call.op.is_write(),
+            attempts: call.attempts,
+            duration: now - call.sent_at,
+            deadline: call.deadline,
         };
-        let wait = self.budget.connect_wait(self.failures[slot]);
-        self.slots[slot] = Slot::Down(now + wait);
-        for number in out {
-            self.ended(now, number, End::Lost);
+        match self.retries.decide(now, &attempt) {
+            RetryVerdict::RetryAt(at) => self.calls.wait_until(number, at),
+            RetryVerdict::Reject(retry_after) => self.answer(number, Outcome::Rejected { retry_after }),
+            RetryVerdict::Fail => self.answer(number, Outcome::Failed),
         }
     }
 
-    pub fn took(&mut self, now: Instant, slot: usize, bytes: &[u8]) {
-        let Some(Slot::Up { session, ready, .. }) = self.slots.get_mut(slot) else { return };
-        let taken = session.take(bytes);
-        let mut events = Vec::new();
-        while let Some(e) = session.next_event() {
-            events.push(e);
-        }
-        let mut refused = None;
-        let mut answers = Vec::new();
-        for e in events {
-            match e {
-                SessionEvent::Ready(v) => {
-                    *ready = true;
-                    self.failures[slot] = 0;
-                    if self.volume.is_none() {
-                        self.outputs.push_back(Output::Ready(v));
-                    }
-                    self.volume = Some(v);
-                }
-                SessionEvent::Answer { tag, outcome } => answers.push((tag, outcome)),
-                SessionEvent::Refused { text, again } => refused = Some((text, again)),
-            }
-        }
-        for (number, outcome) in answers {
-            if let Some(Slot::Up { out, .. }) = self.slots.get_mut(slot) {
-                out.remove(&number);
-            }
-            match outcome {
-                Outcome::Rejected { retry_after } => self.ended(now, number, End::Rejected { retry_after }),
-                Outcome::Failed => self.ended(now, number, End::Failed),
-                done => self.answer(number, done),
-            }
+    /// Does what is due: answers calls at their deadlines, connects, sends.
+    pub fn handle_timeout(&mut self, now: Instant) {
+        self.answer_expired(now);
+        for slot in self.slots.begin_connects(now) {
+            self.outputs.push_back(Output::Connect { slot });
         }
-        if let Some((text, again)) = refused {
-            self.outputs.push_back(Output::Close { slot });
-            self.closed(now, slot);
-            if !again {
-                self.slots[slot] = Slot::Refused;
-                self.outputs.push_back(Output::Refused(text));
-                if self.slots.iter().all(|s| matches!(s, Slot::Refused)) {
-                    let all: Vec<u64> = self.calls.keys().copied().collect();
-                    let none = || Outcome::InvalidRequest("no session: the gateway refused them all".into());
-                    all.into_iter().for_each(|n| self.answer(n, none()));
-                }
+        for timer in self.calls.due(now) {
+            if !self.try_send(now, timer.call) {
+                break; // No session has capacity, for the calls behind this one neither.
             }
-        } else if taken.is_err() {
-            // What can't be read can't be followed any further; what was out there is lost.
-            self.outputs.push_back(Output::Close { slot });
-            self.closed(now, slot);
+            self.calls.stop_waiting(&timer);
         }
     }
 
-    /// One try of a call ended without being done.
-    fn ended(&mut self, now: Instant, number: u64, end: End) {
-        let Some(c) = self.calls.get_mut(&number) else { return };
-        c.slot = None;
-        c.ran |= matches!(end, End::Failed | End::Lost);
-        let (write, tries, took, deadline) = (c.op.is_write(), c.tries, now - c.sent, c.deadline);
-        match self.budget.next(now, end, write, tries, took, deadline) {
-            Next::Again(at) => {
-                if let Some(c) = self.calls.get_mut(&number) {
-                    c.at = at;
-                    self.waiting.insert((at, number), ());
-                }
+    fn answer_expired(&mut self, now: Instant) {
+        while let Some((number, call)) = self.calls.remove_expired(now) {
+            if let Some(slot) = call.slot {
+                self.withdraw_attempt(number, slot);
             }
-            Next::Rejected(retry_after) => self.answer(number, Outcome::Rejected { retry_after }),
-            Next::Failed => self.answer(number, Outcome::Failed),
+            let outcome = call.outcome_without_answer();
+            self.outputs.push_back(Output::Answer { call: number, outcome });
         }
     }
 
-    /// Time has passed: expiries, further tries, connects.
-    pub fn tick(&mut self, now: Instant) {
-        while let Some((_, number)) = self.deadlines.first().copied().filter(|(t, _)| *t <= now) {
-            let Some(c) = self.calls.get(&number) else {
-                self.deadlines.pop_first();
-                continue;
-            };
-            // Out at its deadline, or tried before with an unknown end: no promise. Else it never ran.
-            let unknown = c.slot.is_some() || c.ran;
-            let outcome = if unknown { Outcome::Failed } else { Outcome::Rejected { retry_after: None } };
-            if let Some(c) = self.forget(number) {
-                self.call_back(number, &c);
-            }
-            self.outputs.push_back(Output::Answer { call: number, outcome });
-        }
-        for slot in 0..self.slots.len() {
-            if matches!(self.slots[slot], Slot::Down(at) if at <= now) {
-                self.slots[slot] = Slot::Connecting;
-                self.outputs.push_back(Output::Connect { slot });
-            }
-        }
-        let due: Vec<(Instant, u64)> = self.waiting.range(..=(now, u64::MAX)).map(|(k, ())| *k).collect();
-        for (at, number) in due {
-            if !self.send(now, number) {
-                break; // no session has room: those behind wait as well
-            }
-            self.waiting.remove(&(at, number));
-        }
+    /// Sends a call to the next session with capacity; false: there is none.
+    fn try_send(&mut self, now: Instant, number: u64) -> bool {
+        let Some(call) = self.calls.get_mut(number) else { return true };
+        let Some(slot) = self.slots.submit(number, &call.op, call.deadline - now) else { return false };
+        call.slot = Some(slot);
+        call.attempts += 1;
+        call.sent_at = now;
+        true
     }
 
-    /// Sessions take turns; one that is not ready or has no room is passed over.
-    fn send(&mut self, now: Instant, number: u64) -> bool {
-        let Some(c) = self.calls.get_mut(&number) else { return true };
-        let left = c.deadline - now;
-        for i in 0..self.slots.len() {
-            let slot = (self.turn + i) % self.slots.len();
-            if let Slot::Up { session, ready: true, out } = &mut self.slots[slot] {
-                if session.submit(number, &c.op, left) {
-                    out.insert(number);
-                    (c.slot, c.tries, c.sent) = (Some(slot), c.tries + 1, now);
-                    self.turn = slot + 1;
-                    return true;
-                }
-            }
-        }
-        false
+    /// What the owner has to do next.
+    pub fn poll_output(&mut self) -> Option<Output> {
+        self.outputs.pop_front().or_else(|| self.poll_write())
     }
 
-    pub fn next_output(&mut self) -> Option<Output> {
-        if let Some(o) = self.outputs.pop_front() {
-            return Some(o);
-        }
-        for (slot, s) in self.slots.iter_mut().enumerate() {
-            if let Slot::Up { session, .. } = s {
-                let bytes = session.output();
-                if !bytes.is_empty() {
-                    return Some(Output::Write { slot, bytes });
-                }
-            }
-        }
-        None
+    fn poll_write(&mut self) -> Option<Output> {
+        self.slots.sessions_mut().find_map(|(slot, session)| {
+            let bytes = session.transport.poll_transmit();
+            (!bytes.is_empty()).then_some(Output::Write { slot, bytes })
+        })
     }
 
-    pub fn next_wake(&self, now: Instant) -> Option<Instant> {
-        let deadline = self.deadlines.first().map(|(t, _)| *t);
-        // One that waits for room is looked at when an answer makes some.
-        let again = self.waiting.keys().map(|(t, _)| *t).find(|t| *t > now);
-        let connect = self.slots.iter().filter_map(|s| match s {
-            Slot::Down(t) => Some(*t),
-            _ => None,
-        });
-        connect.chain(deadline).chain(again).min()
+    /// When `handle_timeout` is to be called next.
+    pub fn poll_timeout(&self, now: Instant) -> Option<Instant> {
+        self.slots.next_connect().into_iter().chain(self.calls.next_timeout(now)).min()
     }
 
-    /// Ends all sessions; what is open is answered now.
-    pub fn end(&mut self) {
-        for s in &mut self.slots {
-            if let Slot::Up { session, .. } = s {
-                session.end();
-            }
+    /// Ends all sessions and answers all open calls.
+    pub fn close(&mut self) {
+        for (_, session) in self.slots.sessions_mut() {
+            session.transport.close();
         }
-        let all: Vec<u64> = self.calls.keys().copied().collect();
-        for number in all {
-            let sent = self.calls.get(&number).is_some_and(|c| c.slot.is_some() || c.ran);
-            let none = Outcome::Rejected { retry_after: None };
-            self.answer(number, if sent { Outcome::Failed } else { none });
+        for number in self.calls.numbers() {
+            if let Some(outcome) = self.calls.get(number).map(calls::Call::outcome_without_answer) {
+                self.answer(number, outcome);
+            }
         }
     }
-
-    /// A longer time than any call asks for, where a caller names none.
-    pub fn forever() -> TimeDelta {
-        TimeDelta::from_secs(86_400.0 * 365.0)
-    }
 }
--- /dev/null
+++ b/crates/client/src/event_loop.rs
@@ -0,0 +1,232 @@
+//! The thread that owns the client's state machine: it gathers events of callers and connections, and does what is put out.
+
+use crate::clock::Clock;
+use crate::connection::{connect, Connection, ConnectionId};
+use crate::options::Options;
+use crate::thread::spawn;
+use bytes::Bytes;
+use crossbeam_channel::{Receiver, Sender};
+use std::collections::HashMap;
+use std::io;
+use std::net::{SocketAddr, TcpStream};
+use std::ops::ControlFlow;
+use std::time::Duration;
+use tackmast::interface::{Instant, TimeDelta};
+use tackmast_client_core::{Core, Op, Outcome, Output, Volume};
+
+/// Events that may wait.
+const MAX_QUEUED_EVENTS: usize = 4096;
+/// Results of sessions that may wait for the caller that opens the volume.
+const MAX_QUEUED_OPENINGS: usize = 4;
+/// Events between two runs of the timers.
+const MAX_EVENTS_PER_ITERATION: usize = 256;
+/// The longest wait for an event.
+const MAX_WAIT: Duration = Duration::from_secs(1);
+/// The shortest wait for an event, so that timers which are due at once can't make the thread spin.
+const MIN_WAIT: Duration = Duration::from_micros(100);
+/// How much later a slot is connected again when the system has no thread left for its connect.
+const NO_THREAD_BACKOFF: TimeDelta = TimeDelta::from_millis(100);
+
+/// What callers and connections report.
+pub(crate) enum Event {
+    /// A caller makes a call.
+    Call { number: u64, op: Op, deadline: Instant, answer_to: Sender<Outcome> },
+    /// A caller no longer waits for a call.
+    Cancel { number: u64 },
+    /// A connection was made.
+    Connected { id: ConnectionId, stream: TcpStream },
+    /// Bytes of the gateway were received.
+    Received { id: ConnectionId, bytes: Bytes },
+    /// A connection ended, or none could be made.
+    Closed { id: ConnectionId },
+    /// The caller closes the volume.
+    Close,
+}
+
+/// What becomes of the first sessions.
+pub(crate) enum Opening {
+    /// The volume is open.
+    Ready(Volume),
+    /// The gateway does not serve it.
+    Refused { reason: String },
+}
+
+/// The ends of the event loop's channels that a client holds.
+pub(crate) struct EventLoopHandle {
+    pub(crate) events: Sender<Event>,
+    pub(crate) openings: Receiver<Opening>,
+}
+
+/// Starts the event loop of a client.
+pub(crate) fn start(clock: Clock, options: Options) -> io::Result<EventLoopHandle> {
+    let (events, incoming) = crossbeam_channel::bounded(MAX_QUEUED_EVENTS);
+    let (openings_to, openings) = crossbeam_channel::bounded(MAX_QUEUED_OPENINGS);
+    let (address, bounds) = (options.address, options.bounds());
+    let (retry_policy, seed) = (options.retry_policy, options.seed);
+    let new_session = Box::new(move || options.new_session());
+    let core = Core::new(clock.now(), bounds, retry_policy, seed, new_session);
+    let mut event_loop = EventLoop {
+        core,
+        clock,
+        address,
+        events: events.clone(),
+        openings_to,
+        callers: HashMap::new(),
+        connections: HashMap::new(),
+        last_generation: 0,
+        generations: HashMap::new(),
+    };
+    spawn("client core", move || event_loop.run(&incoming))?;
+    Ok(EventLoopHandle { events, openings })
+}
+
+struct EventLoop {
+    core: Core,
+    clock: Clock,
+    address: SocketAddr,
+    events: Sender<Event>,
+    openings_to: Sender<Opening>,
+    /// Who waits for the answer of a call, by its number.
+    callers: HashMap<u64, Sender<Outcome>>,
+    /// Open connections by slot.
+    connections: HashMap<usize, Connection>,
+    last_generation: u64,
+    /// The generation of each slot's present connection. An event of an earlier connection would be taken for one of its successor
+    /// and end it; it is known by its generation and ignored.
+    generations: HashMap<usize, u64>,
+}
+
+impl EventLoop {
+    fn run(&mut self, incoming: &Receiver<Event>) {
+        loop {
+            let now = self.clock.now();
+            self.core.handle_timeout(now);
+            self.execute_outputs();
+            match incoming.recv_timeout(self.wait(now)) {
+                Ok(first) => {
+                    if self.handle_events(first, incoming).is_break() {
+                        return;
+                    }
+                }
+                Err(error) if error.is_timeout() => {}
+                Err(_) => return,
+            }
+        }
+    }
+
+    /// How long to wait for an event before the timers are run again.
+    fn wait(&self, now: Instant) -> Duration {
+        self.core.poll_timeout(now).map_or(MAX_WAIT, |at| {
+            Duration::from_secs_f64((at - now).secs().max(0.0)).clamp(MIN_WAIT, MAX_WAIT)
+        })
+    }
+
+    /// Handles an event and those that wait behind it.
+    fn handle_events(&mut self, first: Event, incoming: &Receiver<Event>) -> ControlFlow<()> {
+        let mut next = Some(first);
+        for _ in 0..MAX_EVENTS_PER_ITERATION {
+            match next {
+                Some(Event::Close) => {
+                    self.close();
+                    return ControlFlow::Break(());
+                }
+                Some(event) => self.handle_event(event),
+                None => return ControlFlow::Continue(()),
+            }
+            next = incoming.try_recv().ok();
+        }
+        if let Some(event) = next {
+            self.handle_event(event);
+        }
+        ControlFlow::Continue(())
+    }
+
+    /// Answers all open calls and ends the sessions once what is queued there is written.
+    fn close(&mut self) {
+        self.core.close();
+        self.execute_outputs();
+        self.connections.values().for_each(Connection::stop_reading);
+    }
+
+    fn handle_event(&mut self, event: Event) {
+        let now = self.clock.now();
+        match event {
+            Event::Call { number, op, deadline, answer_to } => {
+                self.callers.insert(number, answer_to);
+                self.core.submit(now, number, op, deadline);
+            }
+            Event::Cancel { number } => {
+                self.callers.remove(&number);
+                self.core.cancel(number);
+            }
+            Event::Connected { id, stream } if self.is_current(id) => self.on_connected(now, id, stream),
+            Event::Received { id, bytes } if self.is_current(id) => {
+                self.core.handle_bytes(now, id.slot, &bytes);
+            }
+            Event::Closed { id } if self.is_current(id) => {
+                self.generations.remove(&id.slot);
+                self.connections.remove(&id.slot);
+                self.core.handle_closed(now, id.slot);
+            }
+            Event::Connected { .. } | Event::Received { .. } | Event::Closed { .. } | Event::Close => {}
+        }
+    }
+
+    fn is_current(&self, id: ConnectionId) -> bool {
+        self.generations.get(&id.slot) == Some(&id.generation)
+    }
+
+    fn on_connected(&mut self, now: Instant, id: ConnectionId, stream: TcpStream) {
+        match Connection::start(id, stream, self.events.clone()) {
+            Ok(connection) => {
+                self.connections.insert(id.slot, connection);
+                self.core.handle_connected(id.slot);
+            }
+            Err(_) => self.core.handle_closed(now, id.slot),
+        }
+    }
+
+    fn execute_outputs(&mut self) {
+        while let Some(output) = self.core.poll_output() {
+            match output {
+                Output::Answer { call, outcome } => {
+                    if let Some(answer_to) = self.callers.remove(&call) {
+                        _ = answer_to.try_send(outcome);
+                    }
+                }
+                Output::Write { slot, bytes } => self.write(slot, bytes),
+                Output::Close { slot } => self.close_connection(slot),
+                Output::Connect { slot } => self.connect(slot),
+                Output::Ready(volume) => _ = self.openings_to.try_send(Opening::Ready(volume)),
+                Output::Refused { reason } => {
+                    _ = self.openings_to.try_send(Opening::Refused { reason });
+                }
+            }
+        }
+    }
+
+    fn write(&mut self, slot: usize, bytes: Bytes) {
+        let is_queued = self.connections.get(&slot).is_some_and(|connection| connection.try_write(bytes));
+        if !is_queued {
+            // The gateway takes nothing: the calls in flight there are lost with the connection.
+            self.close_connection(slot);
+            self.core.handle_closed(self.clock.now(), slot);
+        }
+    }
+
+    fn connect(&mut self, slot: usize) {
+        self.last_generation += 1;
+        let id = ConnectionId { slot, generation: self.last_generation };
+        self.generations.insert(slot, id.generation);
+        if connect(id, self.address, self.events.clone()).is_err() {
+            self.core.handle_closed(self.clock.now() + NO_THREAD_BACKOFF, slot);
+        }
+    }
+
+    fn close_connection(&mut self, slot: usize) {
+        self.generations.remove(&slot);
+        if let Some(connection) = self.connections.remove(&slot) {
+            connection.close();
+        }
+    }
+}
--- /dev/null
+++ b/crates/client/src/thread.rs
@@ -0,0 +1,12 @@
+//! Threads of the library, with a small stack: a client of many sessions has two for each.
+
+use std::io;
+
+/// Stack of each thread, in bytes.
+const STACK_BYTES: usize = 128 << 10;
+
+/// Starts a thread; an error where the system has none left.
+pub(crate) fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> io::Result<()> {
+    let builder = std::thread::Builder::new().name(name.into()).stack_size(STACK_BYTES);
+    builder.spawn(run).map(|_| ())
+}
--- a/crates/client/tests/resumed.rs
+++ b/crates/client/tests/resumed.rs
@@ -72,7 +72,7 @@
     for protocol in [Protocol::Iscsi, Protocol::Nbd] {
         // The greedy one has 400 calls in 12 sessions; these nodes answer about 4,000 units a second.
         let greedy = Client::open(
-            tackmast_client::Options { sessions: 12, calls: 400, ..pool.options(protocol, "museum") },
+            tackmast_client::Options { sessions: 12, max_calls: 400, ..pool.options(protocol, "museum") },
             PATIENCE,
         )
         .unwrap();
--- a/crates/client/tests/suite.rs
+++ b/crates/client/tests/suite.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
-use tackmast_client::{Client, Op, OpenError, Options, Outcome, Protocol, Speaks};
+use tackmast_client::{Client, Op, OpenError, Options, Outcome, Protocol, ProtocolLevel};
 use tackmast_emulators::node::{Fault, Node};
 
 /// What a case does, in turn.
@@ -214,9 +214,14 @@
     let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
     let pool = Pool::start();
     for protocol in [Protocol::Iscsi, Protocol::Nbd] {
-        for speaks in [Speaks::Newest, Speaks::Version(2), Speaks::Version(0), Speaks::Public] {
-            let name = format!("{protocol:?} {speaks:?}");
-            let options = Options { speaks, ..pool.options(protocol, "listening") };
+        for protocol_level in [
+            ProtocolLevel::Newest,
+            ProtocolLevel::Version(2),
+            ProtocolLevel::Version(0),
+            ProtocolLevel::Public,
+        ] {
+            let name = format!("{protocol:?} {protocol_level:?}");
+            let options = Options { protocol_level, ..pool.options(protocol, "listening") };
             let client = Client::open(options, PATIENCE).unwrap();
             let data = vec![7; 2048];
             assert_eq!(client.write(4096, data.clone()), Outcome::Done(vec![].into()), "{name}");
@@ -227,8 +232,8 @@
             let found = client.write(0, vec![1; 512]);
             // Without expiries of commands a try may be out when the call's time is up.
             let told = match protocol {
-                Protocol::Iscsi => speaks != Speaks::Public,
-                Protocol::Nbd => matches!(speaks, Speaks::Newest | Speaks::Version(2)),
+                Protocol::Iscsi => protocol_level != ProtocolLevel::Public,
+                Protocol::Nbd => matches!(protocol_level, ProtocolLevel::Newest | ProtocolLevel::Version(2)),
             };
             match (&found, told) {
                 (Outcome::Rejected { .. }, true) | (Outcome::Failed, false) => {}
@@ -247,11 +252,11 @@
     let pool = Pool::start();
     for protocol in [Protocol::Iscsi, Protocol::Nbd] {
         let mut options = pool.options(protocol, "museum");
-        (options.place.name, options.place.lun) = ("attic".into(), 77);
-        let Err(OpenError::Refused { why, .. }) = Client::open(options, PATIENCE).map(|_| ()) else {
+        (options.volume.name, options.volume.lun) = ("attic".into(), 77);
+        let Err(OpenError::Refused { reason, .. }) = Client::open(options, PATIENCE).map(|_| ()) else {
             panic!("{protocol:?}: opened")
         };
-        assert!(why.contains("no such volume"), "{protocol:?}: {why}");
+        assert!(reason.contains("no such volume"), "{protocol:?}: {reason}");
         let mut options = pool.options(protocol, "museum");
         options.address = SocketAddr::from(([127, 0, 0, 1], 1));
         let found = Client::open(options, ms(300)).map(|_| ());
--- a/crates/simulator/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -5,7 +5,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_client_core::{Bounds, Core, IscsiClient, NbdClient, Place, Policy, Transport, ADDITIONS};
+use tackmast_client_core::{
+    Bounds, Core, IscsiClient, NbdClient, RetryPolicy, Transport, VolumeAddress, ADDITIONS,
+};
 use tackmast_target::{AnySession, NbdSession, Offer, Session};
 use tackmast_wire::iscsi::Digests;
 use tackmast_wire::scsi::Unit;
@@ -48,21 +50,21 @@
 }
 
 impl Client {
-    pub fn new(now: Instant, host: u32, nbd: bool, place: Place, seed: u64) -> Client {
-        let lun = place.lun;
+    pub fn new(now: Instant, host: u32, nbd: bool, volume: VolumeAddress, seed: u64) -> Client {
+        let lun = volume.lun;
         let new = move || -> Box<dyn Transport> {
             match nbd {
-                true => Box::new(NbdClient::new(place.clone(), ADDITIONS, false)),
+                true => Box::new(NbdClient::new(volume.clone(), ADDITIONS, false)),
                 false => {
                     let digests = Digests { header: seed.is_multiple_of(2), data: seed.is_multiple_of(3) };
-                    Box::new(IscsiClient::new(place.clone(), digests, TimeDelta::from_secs(1.0), false))
+                    Box::new(IscsiClient::new(volume.clone(), digests, TimeDelta::from_secs(1.0), false))
                 }
             }
         };
         Client {
             host,
             lun,
-            core: Core::new(now, BOUNDS, Policy::default(), seed, Box::new(new)),
+            core: Core::new(now, BOUNDS, RetryPolicy::default(), seed, Box::new(new)),
             calls: BTreeMap::new(),
             next: 0,
             wake: u64::MAX,
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -20,7 +20,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use tackmast::interface::{Instant, ListKind, NodeState, Outcome, ShardId, TimeDelta, ZoneId};
-use tackmast_client_core::{Op, Outcome as CallOutcome, Output as ClientOutput, Place};
+use tackmast_client_core::{Op, Outcome as CallOutcome, Output as ClientOutput, VolumeAddress};
 use tackmast_config::HostSettings;
 use tackmast_emulators::model::{How, Ills, Job, Model, Nature};
 use tackmast_host_core::{
@@ -570,7 +570,7 @@
             let OpenCounts { commands, requests, attempts } = h.core.open_counts();
             self.run.stuck += commands + requests + attempts + h.core.key_queue_count();
         }
-        self.run.stuck += self.clients.iter().map(|c| c.core.open()).sum::<usize>();
+        self.run.stuck += self.clients.iter().map(|c| c.core.open_calls()).sum::<usize>();
         self.run.fallen = self.nodes.iter().filter(|n| n.model.is_fallen()).count();
     }
 }
--- a/crates/simulator/src/sim/clients.rs
+++ b/crates/simulator/src/sim/clients.rs
@@ -12,7 +12,13 @@
                 let name = if lun == 1 { "school" } else { "museum" }.into();
                 let c = self.clients.len() as u32;
                 let seed = self.w.seed << 16 | u64::from(c);
-                self.clients.push(Client::new(at(self.now), h, nbd, Place { target, lun, name }, seed));
+                self.clients.push(Client::new(
+                    at(self.now),
+                    h,
+                    nbd,
+                    VolumeAddress { target, lun, name },
+                    seed,
+                ));
                 self.clients_of[h as usize].push(c);
                 self.push(self.now, Event::ClientTime(c));
             }
@@ -29,15 +35,15 @@
             false => Op::Read { offset: block * 512, length: blocks * 512 },
         };
         client.calls.insert(number, Call { deadline });
-        client.core.call(at(now), number, op, at(deadline));
+        client.core.submit(at(now), number, op, at(deadline));
         self.run.calls += 1;
         self.client_pull(c);
     }
 
     pub(super) fn client_pull(&mut self, c: u32) {
         let now = self.now;
-        self.clients[c as usize].core.tick(at(now));
-        while let Some(o) = self.clients[c as usize].core.next_output() {
+        self.clients[c as usize].core.handle_timeout(at(now));
+        while let Some(o) = self.clients[c as usize].core.poll_output() {
             match o {
                 ClientOutput::Connect { slot } => {
                     self.number += 1;
@@ -58,11 +64,11 @@
                     self.run.calls_done += u64::from(matches!(outcome, CallOutcome::Done(_)));
                     self.run.calls_late += u64::from(now > x.deadline + 1000);
                 }
-                ClientOutput::Ready(_) | ClientOutput::Refused(_) => {}
+                ClientOutput::Ready(_) | ClientOutput::Refused { .. } => {}
             }
         }
         let client = &mut self.clients[c as usize];
-        if let Some(t) = client.core.next_wake(at(now)).map(us).filter(|t| *t < client.wake) {
+        if let Some(t) = client.core.poll_timeout(at(now)).map(us).filter(|t| *t < client.wake) {
             client.wake = t.max(now + 1);
             let t = client.wake;
             self.push(t, Event::ClientTime(c));
@@ -100,7 +106,7 @@
         let host = &mut self.hosts[h as usize];
         if !host.up {
             client.slots[slot].generation = 0;
-            client.core.closed(at(self.now), slot);
+            client.core.handle_closed(at(self.now), slot);
             return self.client_pull(c);
         }
         host.numbers += 1;
@@ -108,7 +114,7 @@
         host.sessions.insert(u32::from(number), (c, slot, generation));
         let pipe = client.pipe(&self.offer, &self.units, number);
         client.slots[slot].pipe = Some(pipe);
-        client.core.connected(slot);
+        client.core.handle_connected(slot);
         self.flush(c, slot, generation);
         self.client_pull(c);
     }
@@ -120,7 +126,7 @@
         }
         self.clients[c as usize].slots[slot].generation = 0;
         self.drop_pipe(c, slot, generation);
-        self.clients[c as usize].core.closed(at(self.now), slot);
+        self.clients[c as usize].core.handle_closed(at(self.now), slot);
         self.client_pull(c);
     }
 
--- a/crates/simulator/src/sim/events.rs
+++ b/crates/simulator/src/sim/events.rs
@@ -78,7 +78,7 @@
             Event::ToClient(c, slot, generation, bytes) => {
                 if self.clients[c as usize].slots[slot].generation == generation {
                     let now = at(self.now);
-                    self.clients[c as usize].core.took(now, slot, &bytes);
+                    self.clients[c as usize].core.handle_bytes(now, slot, &bytes);
                     self.client_pull(c);
                 }
             }
