--- a/crates/client-core/src/iscsi/login.rs
+++ b/crates/client-core/src/iscsi/login.rs
@@ -58,12 +58,12 @@
 }
 
 /// The keys of the target's answer.
-struct AgreedKeys(HashMap<String, String>);
+struct NegotiatedKeys(HashMap<String, String>);
 
-impl AgreedKeys {
+impl NegotiatedKeys {
     fn read(pdu: &Pdu) -> Result<Self, TransportError> {
         let keys = iscsi::read_keys(&pdu.data)?;
-        Ok(AgreedKeys(keys.into_iter().map(|key| (key.name, key.value)).collect()))
+        Ok(NegotiatedKeys(keys.into_iter().map(|key| (key.name, key.value)).collect()))
     }
 
     fn number(&self, key: &str, default: usize) -> usize {
@@ -88,7 +88,7 @@
             self.events.push_back(SessionEvent::Refused { reason, may_reconnect });
             return Ok(());
         }
-        self.apply(&AgreedKeys::read(pdu)?);
+        self.apply(&NegotiatedKeys::read(pdu)?);
         self.next_command = pdu.u32(field::EXPECTED_SEQUENCE);
         self.max_command = pdu.u32(field::MAX_COMMAND);
         self.expected_status = pdu.u32(field::SEQUENCE).wrapping_add(1);
@@ -98,7 +98,7 @@
         Ok(())
     }
 
-    fn apply(&mut self, keys: &AgreedKeys) {
+    fn apply(&mut self, keys: &NegotiatedKeys) {
         let has_digest = |key| keys.has_value(key, "CRC32C").unwrap_or(false);
         self.digests = Digests { header: has_digest("HeaderDigest"), data: has_digest("DataDigest") };
         self.input.digests = self.digests;
--- a/crates/client-core/src/iscsi/responses.rs
+++ b/crates/client-core/src/iscsi/responses.rs
@@ -21,7 +21,7 @@
 /// The unit of that delay, in microseconds.
 const DELAY_STEP_US: u64 = 100_000;
 /// The largest transfer that is assumed where the target names none, in bytes: well below what one 32-bit length can say.
-const DEFAULT_MAX_TRANSFER_BYTES: u64 = 65_536;
+const DEFAULT_MAX_CALL_BYTES: u64 = 65_536;
 
 impl IscsiClient {
     pub(super) fn on_data_in(&mut self, pdu: &Pdu) -> Result<(), TransportError> {
@@ -115,7 +115,7 @@
                     false => 0,
                 };
                 let max_blocks =
-                    if max_blocks == 0 { DEFAULT_MAX_TRANSFER_BYTES / block_bytes } else { max_blocks };
+                    if max_blocks == 0 { DEFAULT_MAX_CALL_BYTES / block_bytes } else { max_blocks };
                 self.volume.max_bytes = (max_blocks * block_bytes).min(MAX_DATA as u64) as u32;
                 self.phase = Phase::Ready;
                 self.events.push_back(SessionEvent::Ready(self.volume));
--- a/crates/client/tests/common/mod.rs
+++ b/crates/client/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A host between stand-in nodes, for tests of the libraries.
+//! A host between emulated nodes and recording proxies, for tests of the libraries.
 #![allow(dead_code)] // each test file uses its own part
 
 use std::net::SocketAddr;
@@ -14,13 +14,16 @@
 use tackmast_trace::{EffectKind, Event, Facts, Recorder, TrafficClassFacts};
 use tackmast_wire::list::{Entry, State};
 
-pub const PATIENCE: Duration = Duration::from_secs(5);
+/// How long a test waits for what must happen soon.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-pub struct Pool {
+/// A host with two nodes and their list, whose traffic is recorded.
+pub struct TestGateway {
     pub recorder: Recorder,
     pub nodes: Vec<Node>,
     pub list: NodeList,
     pub host: Host,
+    /// Cuts connections between clients and the host.
     pub cutter: tap::Cutter,
 }
 
@@ -28,8 +31,9 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-impl Pool {
-    pub fn start() -> Pool {
+impl TestGateway {
+    /// Starts it; the host knows both nodes when this returns.
+    pub fn start() -> TestGateway {
         let recorder = Recorder::default();
         recorder.note(Event::Facts(facts()));
         let marks = Arc::new(Marks::default());
@@ -119,20 +123,21 @@
             list.address
         );
         let host = Host::start(HostSettings::parse("test", &text).unwrap()).unwrap();
-        let until = Instant::now() + PATIENCE;
+        let give_up_at = Instant::now() + TEST_TIMEOUT;
         while host.status().is_none_or(|s| s.nodes.len() < 2) {
-            assert!(Instant::now() < until, "no node list");
+            assert!(Instant::now() < give_up_at, "no node list");
             std::thread::sleep(Duration::from_millis(2));
         }
-        Pool { recorder, nodes, list, host, cutter: tap::Cutter::default() }
+        TestGateway { recorder, nodes, list, host, cutter: tap::Cutter::default() }
     }
 
+    /// Options for a client whose traffic goes through a recording proxy of its own.
     pub fn options(&self, protocol: Protocol, volume: &str) -> Options {
-        let (tapped, host) = match protocol {
+        let (proxy_protocol, host) = match protocol {
             Protocol::Iscsi => (tap::Protocol::Iscsi, self.host.address),
             Protocol::Nbd => (tap::Protocol::Nbd, self.host.nbd.unwrap()),
         };
-        let known = |(lun, name, writes): (u32, &str, u32)| tap::Known {
+        let known_volume = |(lun, name, writes): (u32, &str, u32)| tap::Known {
             lun,
             name: name.into(),
             block_bytes: 512,
@@ -141,9 +146,9 @@
             reads_us: 1_000_000,
             writes_us: 1_000_000,
         };
-        let volumes = [(0, "museum", 1), (1, "listening", 2)].map(known).to_vec();
+        let volumes = [(0, "museum", 1), (1, "listening", 2)].map(known_volume).to_vec();
         let address =
-            tap::start(tapped, host, 0, volumes, self.recorder.clone(), self.cutter.clone()).unwrap();
+            tap::start(proxy_protocol, host, 0, volumes, self.recorder.clone(), self.cutter.clone()).unwrap();
         let lun = u32::from(volume == "listening");
         Options {
             timeout: Duration::from_millis(900),
@@ -152,34 +157,36 @@
         }
     }
 
-    /// The seven rules, on all that the sockets have shown until now.
+    /// The seven invariants, judged on all that was recorded.
     pub fn rules(&self) -> tackmast_invariants::Report {
-        tackmast_invariants::judge(&self.seen())
+        tackmast_invariants::judge(&self.recorded())
     }
 
-    /// All that the sockets have shown until now, and are going to.
-    pub fn seen(&self) -> Vec<tackmast_trace::Line> {
-        // All that was due is past its time by this line.
+    /// All that was recorded, after every answer that is due has come.
+    pub fn recorded(&self) -> Vec<tackmast_trace::Line> {
+        // Longer than any deadline of the settings above.
         std::thread::sleep(Duration::from_millis(1200));
         self.recorder.note(Event::Fault { what: "end".into(), on: false });
         self.recorder.take()
     }
 
-    pub fn end(self) {
+    /// Judges the recorded traffic by the invariants, and stops all processes.
+    pub fn check_and_stop(self) {
         let rules = self.rules();
         assert!(rules.is_clean() && rules.rule(1).checked > 0, "{rules}");
-        self.end_unjudged();
+        self.stop();
     }
 
-    /// Where sessions are among them that the tap can't number: those of the public NBD protocol.
-    pub fn end_unjudged(self) {
+    /// Stops all processes without a judgement: for sessions that the proxy can't number, those of the public NBD protocol, and for
+    /// tests that judge by themselves.
+    pub fn stop(self) {
         self.host.stop();
         self.list.stop();
         self.nodes.iter().for_each(Node::stop);
     }
 }
 
-/// What holds of the settings above.
+/// The settings above, as the invariants need them.
 fn facts() -> Facts {
     let traffic_class = |name: &str, effect| TrafficClassFacts {
         name: name.into(),
--- a/crates/client/tests/histories.rs
+++ b/crates/client/tests/histories.rs
@@ -1,9 +1,9 @@
-//! Random histories of overlapping reads and writes through both libraries at once, against a plain model of registers,
-//! while nodes and links fail; sessions dropped with calls out; a host that drains under load.
+//! Random histories of overlapping reads and writes over both protocols at once, checked against a model of registers, while nodes
+//! and connections fail; a host that ends with calls in flight; a host that drains under load.
 
 mod common;
 
-use common::{Pool, PATIENCE};
+use common::{TestGateway, TEST_TIMEOUT};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 use tackmast_client::{Client, Op, Outcome, Protocol};
@@ -11,31 +11,54 @@
 use tackmast_scenario::Registers;
 use tackmast_trace::now_us;
 
+/// Blocks that the histories use.
 const BLOCKS: u64 = 192;
 
-/// One at a time, so that a busy machine does not become a trouble of its own.
-static ONE: Mutex<()> = Mutex::new(());
+/// Held by the test that runs: two at a time on a busy machine would meet time-outs that no fault caused.
+static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-/// Calls of one thread until the time is up; every byte read must be one that some order of the writes allows.
-fn history(
+/// How the calls of a history ended.
+#[derive(Debug, Default)]
+struct OutcomeCounts {
+    done: u64,
+    not_done: u64,
+    /// Of those not done, the writes that may have run.
+    unknown: u64,
+}
+
+impl OutcomeCounts {
+    fn record(&mut self, is_done: bool) {
+        self.done += u64::from(is_done);
+        self.not_done += u64::from(!is_done);
+    }
+
+    fn add(&mut self, other: &OutcomeCounts) {
+        self.done += other.done;
+        self.not_done += other.not_done;
+        self.unknown += other.unknown;
+    }
+}
+
+/// Calls of one thread until `until`; every byte read must be one that some order of the writes allows.
+fn random_history(
     client: &Client,
     registers: &Mutex<Registers>,
     versions: &Mutex<u64>,
     seed: u64,
     until: Instant,
-) -> [u64; 3] {
-    let mut chance = oorandom::Rand64::new(u128::from(seed));
-    let mut counts = [0; 3];
+) -> OutcomeCounts {
+    let mut random = oorandom::Rand64::new(u128::from(seed));
+    let mut counts = OutcomeCounts::default();
     while Instant::now() < until {
-        let blocks = chance.rand_range(1..40) as u32;
-        let block = chance.rand_range(0..BLOCKS - u64::from(blocks));
+        let blocks = random.rand_range(1..40) as u32;
+        let block = random.rand_range(0..BLOCKS - u64::from(blocks));
         let start = now_us();
-        if chance.rand_float() < 0.5 {
+        if random.rand_float() < 0.5 {
             let outcome = client.read(block * 512, blocks * 512);
             if let Outcome::Done(data) = &outcome {
                 registers.lock().unwrap().read(start, now_us(), block, data).unwrap();
             }
-            counts[usize::from(!matches!(outcome, Outcome::Done(_)))] += 1;
+            counts.record(matches!(outcome, Outcome::Done(_)));
         } else {
             let (version, data) = {
                 let mut last = versions.lock().unwrap();
@@ -43,7 +66,7 @@
                 (*last, registers.lock().unwrap().write(start, block, blocks, *last))
             };
             let outcome = client.write(block * 512, data);
-            // The volume's writes are non-idempotent, so a rejection promises that nothing of it ran.
+            // The volume's writes are non-idempotent, so a rejection proves that no part of the write ran.
             let ran = match &outcome {
                 Outcome::Done(_) => Some(true),
                 Outcome::Rejected { .. } => Some(false),
@@ -51,28 +74,30 @@
                 Outcome::InvalidRequest(why) => panic!("{why}"),
             };
             registers.lock().unwrap().wrote(now_us(), block, blocks, version, ran);
-            counts[2] += u64::from(ran.is_none());
-            counts[usize::from(ran != Some(true))] += 1;
+            counts.unknown += u64::from(ran.is_none());
+            counts.record(ran == Some(true));
         }
     }
     counts
 }
 
+/// Six clients, three over each protocol, read and write the same blocks while a node fails in six ways. Every read returns what
+/// some order of the overlapping writes allows.
 #[test]
-fn reads_return_what_some_order_of_the_writes_allows_over_both_at_once() {
-    let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let pool = Pool::start();
+fn reads_return_what_some_order_of_the_writes_allows_over_both_protocols() {
+    let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
+    let gateway = TestGateway::start();
     let registers = Arc::new(Mutex::new(Registers::new(1, 512)));
     let versions = Arc::new(Mutex::new(0));
     let until = Instant::now() + Duration::from_secs(4);
     let mut threads = Vec::new();
     for seed in 0..6u64 {
         let protocol = if seed % 2 == 0 { Protocol::Iscsi } else { Protocol::Nbd };
-        let client = Client::open(pool.options(protocol, "listening"), PATIENCE).unwrap();
+        let client = Client::open(gateway.options(protocol, "listening"), TEST_TIMEOUT).unwrap();
         let (registers, versions) = (registers.clone(), versions.clone());
-        threads.push(std::thread::spawn(move || history(&client, &registers, &versions, seed, until)));
+        threads.push(std::thread::spawn(move || random_history(&client, &registers, &versions, seed, until)));
     }
-    let nap = |ms| std::thread::sleep(Duration::from_millis(ms));
+    let sleep_ms = |millis| std::thread::sleep(Duration::from_millis(millis));
     for fault in [
         Fault::Errors(0.2),
         Fault::ResetAnswers(0.1),
@@ -81,60 +106,69 @@
         Fault::Restart(0.2),
         Fault::Slow(10.0),
     ] {
-        nap(250);
-        pool.nodes[0].set(&fault);
-        nap(300);
-        pool.nodes[0].set(&Fault::Well);
+        sleep_ms(250);
+        gateway.nodes[0].set(&fault);
+        sleep_ms(300);
+        gateway.nodes[0].set(&Fault::Well);
+    }
+    let mut total = OutcomeCounts::default();
+    for thread in threads {
+        total.add(&thread.join().unwrap());
     }
-    let counts = threads.into_iter().map(|t| t.join().unwrap());
-    let total = counts.fold([0; 3], |a, b| [a[0] + b[0], a[1] + b[1], a[2] + b[2]]);
-    assert!(total[0] > 500 && total[1] > 0, "{total:?}: done, not done, unknown");
+    assert!(total.done > 500 && total.not_done > 0, "{total:?}");
     assert!(registers.lock().unwrap().checked > 1000);
-    pool.end();
+    gateway.check_and_stop();
 }
 
+/// Every node stands still while twelve writes are in flight, and the host is asked to drain. It answers all of them before it
+/// ends, and nearly all are done.
 #[test]
-fn a_host_that_drains_answers_all_and_its_end_is_no_double_effect() {
-    let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
+fn host_that_drains_answers_every_write_in_flight() {
+    let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     for protocol in [Protocol::Iscsi, Protocol::Nbd] {
-        let pool = Pool::start();
-        let client = Client::open(pool.options(protocol, "listening"), PATIENCE).unwrap();
-        // Every node stands still, so that all is open when the host is asked to end.
-        pool.nodes.iter().for_each(|n| n.set(&Fault::Pause(0.4)));
-        let write = |i: u64| {
-            client
-                .submit(Op::Write { offset: i * 4096, data: vec![i as u8 + 1; 4096].into() }, Some(PATIENCE))
+        let gateway = TestGateway::start();
+        let client = Client::open(gateway.options(protocol, "listening"), TEST_TIMEOUT).unwrap();
+        // Every node stands still, so that all writes are in flight when the host is asked to drain.
+        gateway.nodes.iter().for_each(|node| node.set(&Fault::Pause(0.4)));
+        let write = |index: u64| {
+            let data = vec![index as u8 + 1; 4096].into();
+            client.submit(Op::Write { offset: index * 4096, data }, Some(TEST_TIMEOUT))
         };
         let open: Vec<_> = (0..12).map(write).collect();
         std::thread::sleep(Duration::from_millis(50));
         let started = Instant::now();
-        assert!(pool.host.drain(Duration::from_secs(3)), "{protocol:?}: all had their answers in time");
+        assert!(
+            gateway.host.drain(Duration::from_secs(3)),
+            "{protocol:?}: calls were open at the end of the drain"
+        );
         assert!(started.elapsed() < Duration::from_secs(3));
-        let outcomes: Vec<Outcome> = open.into_iter().map(|p| p.wait()).collect();
-        let done = outcomes.iter().filter(|o| matches!(o, Outcome::Done(_))).count();
+        let outcomes: Vec<Outcome> = open.into_iter().map(|call| call.wait()).collect();
+        let done = outcomes.iter().filter(|outcome| matches!(outcome, Outcome::Done(_))).count();
         assert!(done >= 8, "{protocol:?}: {outcomes:?}");
-        pool.list.stop();
-        pool.nodes.iter().for_each(|n| n.stop());
+        gateway.list.stop();
+        gateway.nodes.iter().for_each(|node| node.stop());
     }
 }
 
+/// The host ends while a read and a write are in flight at silent nodes. Both calls are answered by their deadline, the write as
+/// failed.
 #[test]
-fn a_call_never_hangs_past_its_deadline_whatever_becomes_of_the_host() {
-    let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
+fn call_is_answered_by_its_deadline_when_its_host_ends() {
+    let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     for protocol in [Protocol::Iscsi, Protocol::Nbd] {
-        let pool = Pool::start();
-        let client = Client::open(pool.options(protocol, "museum"), PATIENCE).unwrap();
-        pool.nodes.iter().for_each(|n| n.set(&Fault::Silent(true)));
+        let gateway = TestGateway::start();
+        let client = Client::open(gateway.options(protocol, "museum"), TEST_TIMEOUT).unwrap();
+        gateway.nodes.iter().for_each(|node| node.set(&Fault::Silent(true)));
         let started = Instant::now();
         let deadline = Duration::from_millis(600);
         let read = client.submit(Op::Read { offset: 0, length: 512 }, Some(deadline));
         let write = client.submit(Op::Write { offset: 4096, data: vec![1; 512].into() }, Some(deadline));
         std::thread::sleep(Duration::from_millis(100));
-        pool.host.stop();
-        assert_eq!(write.wait(), Outcome::Failed, "{protocol:?}: it was out when its host ended");
+        gateway.host.stop();
+        assert_eq!(write.wait(), Outcome::Failed, "{protocol:?}: it was in flight when its host ended");
         assert!(!matches!(read.wait(), Outcome::Done(_)));
         assert!(started.elapsed() < deadline + Duration::from_millis(200), "{:?}", started.elapsed());
-        pool.list.stop();
-        pool.nodes.iter().for_each(|n| n.stop());
+        gateway.list.stop();
+        gateway.nodes.iter().for_each(|node| node.stop());
     }
 }
--- a/crates/client/tests/resumed.rs
+++ b/crates/client/tests/resumed.rs
@@ -1,99 +1,112 @@
-//! Sessions that end with commands out, and answers that are lost after the effect: the library comes back, tells what it
-//! can't know, and nothing is done twice.
+//! Sessions that end with commands in flight, and answers that are lost after the effect: the library connects again, reports
+//! what it can't know as failed, and nothing is done twice.
 
 mod common;
 
-use common::{Pool, PATIENCE};
+use common::{TestGateway, TEST_TIMEOUT};
 use tackmast_client::{Client, Outcome, Protocol};
 use tackmast_emulators::tap::Cut;
 use tackmast_trace::Event;
 
-/// Commands that the host was given for this place, and attempts of them that a node ran.
-fn tries(seen: &[tackmast_trace::Line], lun: u32, place: u64) -> (usize, usize) {
-    let mut asked = 0;
-    let mut names = Vec::new();
-    let mut ran = 0;
-    for l in seen {
-        match &l.event {
-            Event::Submit { volume, offset, write: true, .. } if (*volume, *offset) == (lun, place) => {
-                asked += 1
+/// What was recorded of the writes at one offset.
+struct WriteCounts {
+    /// Commands that the host received.
+    commands: usize,
+    /// Attempts that a node ran.
+    ran: usize,
+}
+
+fn count_writes(recorded: &[tackmast_trace::Line], lun: u32, at: u64) -> WriteCounts {
+    let mut counts = WriteCounts { commands: 0, ran: 0 };
+    let mut attempts = Vec::new();
+    for line in recorded {
+        match &line.event {
+            Event::Submit { volume, offset, write: true, .. } if (*volume, *offset) == (lun, at) => {
+                counts.commands += 1;
             }
-            Event::Attempt { volume, offset, write: true, name, .. }
-                if (*volume, *offset) == (lun, place) =>
-            {
-                names.push(*name);
+            Event::Attempt { volume, offset, write: true, name, .. } if (*volume, *offset) == (lun, at) => {
+                attempts.push(*name);
             }
-            Event::AttemptEnd { name, ran: true, .. } if names.contains(name) => ran += 1,
+            Event::AttemptEnd { name, ran: true, .. } if attempts.contains(name) => counts.ran += 1,
             _ => {}
         }
     }
-    (asked, ran)
+    counts
 }
 
+/// The connection is cut before a write reaches the host, and after the host has answered it, over both protocols. The write is
+/// reported as failed and is never sent again, the client connects again, and a read whose session ends is retried.
 #[test]
-fn a_session_that_ends_half_way_is_resumed_and_nothing_is_done_twice() {
-    let pool = Pool::start();
-    let mut places = Vec::new();
-    let mut place = 0;
+fn client_reconnects_and_repeats_no_write_when_its_session_is_cut() {
+    let gateway = TestGateway::start();
+    let mut writes = Vec::new();
+    let mut offset = 0;
     for protocol in [Protocol::Iscsi, Protocol::Nbd] {
         for cut in [Cut::Asked, Cut::Answer] {
             let name = format!("{protocol:?} {cut:?}");
-            let client = Client::open(pool.options(protocol, "listening"), PATIENCE).unwrap();
-            place += 4096;
-            pool.cutter.order(cut);
-            assert_eq!(client.write(place, vec![9; 512]), Outcome::Failed, "{name}: nobody knows");
-            // The same client goes on; the write is there once its answer was given, or not at all.
-            let Outcome::Done(found) = client.read(place, 512) else { panic!("{name}: not resumed") };
+            let client = Client::open(gateway.options(protocol, "listening"), TEST_TIMEOUT).unwrap();
+            offset += 4096;
+            gateway.cutter.order(cut);
+            assert_eq!(
+                client.write(offset, vec![9; 512]),
+                Outcome::Failed,
+                "{name}: whether it ran is unknown"
+            );
+            // The same client is served again. A write that was answered is there; the other one is there whole or not at all.
+            let Outcome::Done(found) = client.read(offset, 512) else { panic!("{name}: not resumed") };
             match cut {
                 Cut::Answer => assert_eq!(found, vec![9; 512], "{name}"),
                 Cut::Asked => assert!(found == vec![9; 512] || found == vec![0; 512], "{name}: a mix"),
             }
-            assert_eq!(client.write(place + 512, vec![8; 512]), Outcome::Done(vec![].into()), "{name}");
-            // A read whose session ends is asked again within its time.
-            pool.cutter.order(cut);
-            assert_eq!(client.read(place + 512, 512), Outcome::Done(vec![8; 512].into()), "{name}");
+            assert_eq!(client.write(offset + 512, vec![8; 512]), Outcome::Done(vec![].into()), "{name}");
+            // A read whose session ends is retried before its deadline.
+            gateway.cutter.order(cut);
+            assert_eq!(client.read(offset + 512, 512), Outcome::Done(vec![8; 512].into()), "{name}");
             client.close();
-            places.push((name, place));
+            writes.push((name, offset));
         }
     }
-    let seen = pool.seen();
-    for (name, place) in places {
-        let (asked, ran) = tries(&seen, 1, place);
-        assert!(asked == 1 && ran <= 1, "{name}: asked {asked} times, ran {ran} times");
+    let recorded = gateway.recorded();
+    for (name, offset) in writes {
+        let WriteCounts { commands, ran } = count_writes(&recorded, 1, offset);
+        assert!(commands == 1 && ran <= 1, "{name}: {commands} commands, ran {ran} times");
     }
-    let rules = tackmast_invariants::judge(&seen);
+    let rules = tackmast_invariants::judge(&recorded);
     assert!(rules.is_clean() && rules.rule(1).checked > 0, "{rules}");
-    pool.end_unjudged();
+    gateway.stop();
 }
 
+/// One client keeps 400 reads open in 12 sessions, more than the nodes can answer in time; another reads one at a time on the same
+/// volume. The second is served nearly always.
 #[test]
-fn a_greedy_client_does_not_take_a_polite_ones_turn() {
-    let pool = Pool::start();
+fn client_with_few_calls_is_served_beside_one_with_hundreds() {
+    let gateway = TestGateway::start();
     for protocol in [Protocol::Iscsi, Protocol::Nbd] {
-        // The greedy one has 400 calls in 12 sessions; these nodes answer about 4,000 units a second.
-        let greedy = Client::open(
-            tackmast_client::Options { sessions: 12, max_calls: 400, ..pool.options(protocol, "museum") },
-            PATIENCE,
+        // The nodes answer about 4,000 units a second.
+        let busy = Client::open(
+            tackmast_client::Options { sessions: 12, max_calls: 400, ..gateway.options(protocol, "museum") },
+            TEST_TIMEOUT,
         )
         .unwrap();
-        let polite = Client::open(pool.options(protocol, "museum"), PATIENCE).unwrap();
-        let read =
-            |i: u64| greedy.submit(tackmast_client::Op::Read { offset: i % 100 * 4096, length: 4096 }, None);
+        let modest = Client::open(gateway.options(protocol, "museum"), TEST_TIMEOUT).unwrap();
+        let read = |index: u64| {
+            busy.submit(tackmast_client::Op::Read { offset: index % 100 * 4096, length: 4096 }, None)
+        };
         let mut open: std::collections::VecDeque<_> = (0..400).map(read).collect();
         let mut done = 0;
-        for i in 0..20 {
-            done += usize::from(matches!(polite.read(i * 8192, 4096), Outcome::Done(_)));
-            for j in 0..100 {
-                if let Some(p) = open.pop_front() {
-                    p.wait();
+        for round in 0..20 {
+            done += usize::from(matches!(modest.read(round * 8192, 4096), Outcome::Done(_)));
+            for index in 0..100 {
+                if let Some(oldest) = open.pop_front() {
+                    oldest.wait();
                 }
-                open.push_back(read(i * 100 + j));
+                open.push_back(read(round * 100 + index));
             }
         }
-        open.into_iter().for_each(|p| _ = p.wait());
+        open.into_iter().for_each(|call| _ = call.wait());
         assert!(done >= 18, "{protocol:?}: {done} of 20 done");
-        greedy.close();
-        polite.close();
+        busy.close();
+        modest.close();
     }
-    pool.end();
+    gateway.check_and_stop();
 }
