--- a/crates/host-core/src/lib.rs
+++ b/crates/host-core/src/lib.rs
@@ -13,6 +13,7 @@
 //! | `core::peers` | datagrams of peers, and changes of plans |
 //! | `core::consensus`, `core::replicated_plans` | the replicated log, and requests about plans that it carries |
 //! | `command`, `attempt`, `output`, `error` | messages to and from the shell that drives the core |
+//! | `event` | what operators are told, and its way into the log |
 //! | `admission` | bounds of the tables, by session and volume |
 //! | `combine` | one answer for a command of several parts |
 //! | `fair_queueing` | start-time fair queueing among the sessions of a volume |
@@ -24,7 +25,7 @@
 //! | `override_requests` | requests of operators that set or clear overrides |
 //! | `ticket` | the claim or withdrawal of an attempt, shared with its connection |
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 mod admission;
 mod attempt;
@@ -33,6 +34,7 @@
 mod consensus;
 mod core;
 mod error;
+mod event;
 mod fair_queueing;
 mod layout;
 mod members_status;
@@ -46,23 +48,19 @@
 
 pub use crate::core::Core;
 pub use attempt::{AttemptId, AttemptResult, AttemptWork, Begin, SendAttempt};
-pub use combine::{combine, Combined, KeySource, PartState};
 pub use command::{ClientCommand, CommandRef, Verdict, Work};
-pub use consensus::{
-    raft_settings, ConsensusDriver, ConsensusRequest, ConsensusResponse, ConsensusStart, ConsensusStatus,
-};
-pub use error::{PersistError, PlanError};
-pub use fair_queueing::{FairQueueCounts, FairQueueing, QueueKey, QueueTicket};
+pub use consensus::{ConsensusDriver, ConsensusRequest, ConsensusResponse, ConsensusStart, ConsensusStatus};
+pub use error::PersistError;
+pub use event::log::log_event;
+pub use event::{EndpointListEvent, HostEvent, OverrideEvent, PlanEvent};
+pub use fair_queueing::FairQueueCounts;
 pub use layout::{Access, Layout, Part};
 pub use members_status::{DeathStatus, MembersStatus, PeerStatus, SiteStatus};
 pub use nodes::{Age, ListEntry, NodeStart, Nodes};
 pub use output::{Counters, OpenCounts, Output};
-pub use override_requests::{AdminRequest, AdminResponse, HostStatus, OverrideRequests, PersistBatch};
-pub use peers::{member_settings, HostIdentity, Peers};
-pub use placed::{OpaqueRequest, PlacedRequest, PlacedSettings, VolumeNames};
-pub use plans::{
-    AppliedChange, PersistedChange, PlanRequest, PlanResponse, PlanStatus, PlanUpdate, Plans, StoredPlans,
-    VolumeLimit,
-};
+pub use override_requests::{AdminRequest, AdminResponse, HostStatus, PersistBatch};
+pub use peers::{member_settings, Peers};
+pub use placed::{OpaqueRequest, PlacedRequest, PlacedSettings};
+pub use plans::{PlanRequest, PlanResponse, PlanStatus, Plans, StoredPlans, VolumeLimit};
 pub use tackmast_membership::{KnownPeer, PersistedMembers, PreviousExit};
 pub use ticket::Ticket;
