--- a/crates/consensus/src/chunks/tests.rs
+++ b/crates/consensus/src/chunks/tests.rs
@@ -1,4 +1,4 @@
-//! Two ends over a lossy link, and the bounds on what either keeps.
+//! A sender and a receiver over a lossy link, and the bounds on what either keeps.
 
 use super::*;
 
@@ -10,8 +10,8 @@
     SocketAddr::from(([10, 0, 0, 1], port))
 }
 
-/// Sends messages from one end to the other, losing such a part of datagrams; those that arrive.
-fn transfer_all(messages: &[Bytes], loss: f64, seed: u64) -> Vec<Bytes> {
+/// Sends messages over a link that loses this fraction of datagrams; the messages that arrive.
+fn send_all(messages: &[Bytes], loss: f64, seed: u64) -> Vec<Bytes> {
     let (mut sender, mut receiver) =
         (ChunkedTransfer::new(settings(), 7), ChunkedTransfer::new(settings(), 900));
     let mut random = oorandom::Rand64::new(u128::from(seed));
@@ -44,7 +44,7 @@
             if received.last() == Some(message) {
                 break;
             }
-            // The sender sends it again now and then, as all consensus messages are.
+            // Consensus repeats its messages, so the sender sends this one again from time to time.
             if random.rand_float() < 0.02 {
                 sender.send(address(2), message.clone());
             }
@@ -53,40 +53,44 @@
     received
 }
 
+/// A fifth of all datagrams get lost. Messages of one chunk and of hundreds must still arrive whole, as a snapshot that is
+/// damaged or missing would stop a follower for good.
 #[test]
 fn messages_of_any_length_arrive_whole_and_in_order() {
     let message = |length: usize| {
-        let bytes = (0..length).map(|i| (i * 7 + length) as u8);
+        let bytes = (0..length).map(|offset| (offset * 7 + length) as u8);
         Bytes::from(bytes.collect::<Vec<u8>>())
     };
     let lengths = [1, MAX_CHUNK_LEN, MAX_CHUNK_LEN + 1, 40_000, 3 * MAX_CHUNK_LEN, 900_000];
     let messages: Vec<Bytes> = lengths.map(message).to_vec();
     for (loss, seed) in [(0.0, 1), (0.2, 2), (0.2, 3)] {
-        let mut received = transfer_all(&messages, loss, seed);
+        let mut received = send_all(&messages, loss, seed);
         received.dedup();
         assert_eq!(received, messages, "loss {loss}");
     }
 }
 
+/// Hundreds of senders begin messages that they never complete. Neither side may keep more than its bound, and messages
+/// without progress are given up.
 #[test]
-fn what_is_kept_and_received_is_bounded() {
+fn incomplete_messages_are_bounded_and_given_up() {
     let chunk = |message_id: u32, count: u16, index: u16, bytes: &'static [u8]| Chunk {
         message_id,
         count,
         index,
         bytes: Bytes::from_static(bytes),
     };
-    let mut end = ChunkedTransfer::new(settings(), 0);
-    for i in 0..500u32 {
-        end.send(address(2), Bytes::from(vec![i as u8; 2_000 + i as usize]));
-        let from = address(1_000 + i as u16);
-        let now = Instant::from_secs(f64::from(i));
-        assert_eq!(end.on_chunk(now, from, chunk(1, 3, 0, b"x")), None);
-        // A message longer than any, and a chunk of one that was not begun.
-        assert_eq!(end.on_chunk(now, from, chunk(2, u16::MAX, 0, b"")), None);
-        assert_eq!(end.on_chunk(now, address(9), chunk(1, 3, 2, b"")), None);
+    let mut chunks = ChunkedTransfer::new(settings(), 0);
+    for sender in 0..500u32 {
+        chunks.send(address(2), Bytes::from(vec![sender as u8; 2_000 + sender as usize]));
+        let from = address(1_000 + sender as u16);
+        let now = Instant::from_secs(f64::from(sender));
+        assert_eq!(chunks.on_chunk(now, from, chunk(1, 3, 0, b"x")), None);
+        // A message that is longer than allowed, and a chunk of a message without its first chunk.
+        assert_eq!(chunks.on_chunk(now, from, chunk(2, u16::MAX, 0, b"")), None);
+        assert_eq!(chunks.on_chunk(now, address(9), chunk(1, 3, 2, b"")), None);
     }
-    assert!(end.outgoing.len() <= MAX_OUTGOING && end.incoming.len() <= MAX_INCOMING);
-    (0..100).for_each(|i| end.handle_timeout(Instant::from_secs(1_000.0 + f64::from(i))));
-    assert!(end.incoming.is_empty() && end.lost > 0);
+    assert!(chunks.outgoing.len() <= MAX_OUTGOING && chunks.incoming.len() <= MAX_INCOMING);
+    (0..100).for_each(|second| chunks.handle_timeout(Instant::from_secs(1_000.0 + f64::from(second))));
+    assert!(chunks.incoming.is_empty() && chunks.lost > 0);
 }
--- a/crates/consensus/src/log/tests.rs
+++ b/crates/consensus/src/log/tests.rs
@@ -14,8 +14,10 @@
     Configuration { index, voters }
 }
 
+/// A log is truncated, as by a new leader, and compacted, as by a snapshot. Its positions and its voters must be those of
+/// the entries that are left, or a vote or an append would be judged by entries that are gone.
 #[test]
-fn positions_terms_and_voters_through_compaction_and_truncation() {
+fn positions_terms_and_voters_follow_truncation_and_compaction() {
     let last = LogPosition { term: 1, index: 10 };
     let snapshot = Snapshot { log_id: 3, last, voters: voters(1), state: Bytes::new() };
     let mut log = Log::new(snapshot, vec![command(1, 11), command(2, 12)]);
@@ -24,7 +26,7 @@
     assert_eq!(log.push(Entry { term: 3, payload: EntryPayload::Voters(voters(2)) }), 13);
     log.push(command(3, 14));
     assert_eq!(log.configuration(), configuration(13, &voters(2)));
-    // Truncation takes the configuration back with it.
+    // Truncation restores the configuration before the removed entry.
     log.truncate_from(13);
     assert_eq!((log.configuration(), log.last().index), (configuration(10, &voters(1)), 12));
     log.push(Entry { term: 4, payload: EntryPayload::Voters(voters(3)) });
@@ -42,11 +44,13 @@
     assert_eq!(log.position_at(40).map(|position| position.term), Some(9));
 }
 
+/// A snapshot covers thousands of entries, or a few of a megabyte each. Some stay for followers that are a little behind,
+/// but no more than the bounds allow.
 #[test]
-fn what_is_kept_before_the_snapshot_is_bounded() {
+fn entries_that_the_snapshot_covers_are_bounded() {
     let mut log = Log::default();
-    for i in 0..5_000u64 {
-        log.push(command(1, i as u8));
+    for number in 0..5_000u64 {
+        log.push(command(1, number as u8));
     }
     assert!(log.compact(4_990, Bytes::new()));
     assert_eq!(log.entries_from(4_000, 10_000, 1 << 30).len(), 1_001);
--- a/crates/consensus/src/raft/disk_identity.rs
+++ b/crates/consensus/src/raft/disk_identity.rs
@@ -38,13 +38,13 @@
         if identity != self.identity || self.has_fault(ConsensusFault::OldDiskVotes) {
             return;
         }
-        self.draw_disk_id();
+        self.choose_new_disk_id();
         self.role = Role::Follower { leader: None };
         self.emit(ConsensusEvent::StaleDisk { host: self.me });
         self.write(Write { disk: Some(self.identity.disk), ..Write::default() });
     }
 
-    pub(super) fn draw_disk_id(&mut self) {
+    pub(super) fn choose_new_disk_id(&mut self) {
         self.identity.disk = self.random.rand_u64() | 1;
     }
 }
--- a/crates/consensus/src/raft/recovery.rs
+++ b/crates/consensus/src/raft/recovery.rs
@@ -23,7 +23,7 @@
         self.forget_persisted_after(self.commit_index);
         let log_id = self.random.rand_u64() | 1;
         // With a new disk id, replicas of the old log do not count this server's votes any more.
-        self.draw_disk_id();
+        self.choose_new_disk_id();
         let voters = Voters::from([(self.me, self.identity.disk)]);
         let last = LogPosition { term: self.hard_state.term + 1, index: self.commit_index };
         self.hard_state = HardState { term: last.term, voted_for: None };
@@ -49,7 +49,7 @@
         }
         self.emit(ConsensusEvent::LogDiscarded { host: self.me, commit_index: self.commit_index });
         self.forget_persisted_after(0);
-        self.draw_disk_id();
+        self.choose_new_disk_id();
         // With its new id this disk has never voted, and the other log has terms of its own.
         self.hard_state = HardState::default();
         self.commit_index = 0;
--- a/crates/consensus/tests/decision_hash.rs
+++ b/crates/consensus/tests/decision_hash.rs
@@ -41,7 +41,7 @@
         self.0.update(bytes);
     }
 
-    /// Of a line for people only its digits: its words may change.
+    /// The digits of a log line, as its text may change.
     fn log_line(&mut self, line: &str) {
         let digits: Vec<u8> = line.bytes().filter(u8::is_ascii_digit).collect();
         self.bytes(&digits);
@@ -98,7 +98,7 @@
 }
 
 impl Disk {
-    /// Takes all of one write at once, as the store does.
+    /// Applies all of one write at once, as the store does.
     fn persist(&mut self, write: Write) {
         let persisted = &mut self.persisted;
         if let Some(hard_state) = write.hard_state {
@@ -139,7 +139,7 @@
     bytes: Bytes,
 }
 
-/// What a run has seen, so that a trivial run fails.
+/// What happened in a run, so that a trivial run fails.
 #[derive(Debug, Default)]
 struct Totals {
     inputs: u64,
@@ -163,7 +163,7 @@
     snapshots_taken: u64,
 }
 
-/// How a group is made up and disturbed.
+/// Size and settings of a group, and the faults of its network.
 #[derive(Clone, Copy)]
 struct Group {
     voters: u32,
@@ -229,7 +229,7 @@
         self.random.rand_range(0..self.hosts.len() as u64) as u32
     }
 
-    /// The host's own clock: each starts elsewhere and runs a little apart.
+    /// The host's own clock. Each host's clock starts at another time and runs at a slightly different rate.
     fn clock(&self, host: u32) -> Instant {
         Instant::from_secs(100.0 * f64::from(host + 1) + self.now * (1.0 + 0.001 * f64::from(host)))
     }
@@ -350,7 +350,7 @@
         let (mut due, later): (Vec<InFlight>, Vec<InFlight>) =
             std::mem::take(&mut self.in_flight).into_iter().partition(|datagram| datagram.due <= now);
         self.in_flight = later;
-        due.sort_by(|a, b| a.due.total_cmp(&b.due).then(a.number.cmp(&b.number)));
+        due.sort_by(|left, right| left.due.total_cmp(&right.due).then(left.number.cmp(&right.number)));
         for datagram in due {
             self.receive(datagram.to, datagram.bytes);
         }
@@ -636,6 +636,8 @@
     assert!(differences.is_empty(), "decisions changed:\n{}", differences.join("\n"));
 }
 
+/// Three voters and two followers run over a network with losses, duplicates and delays, and restart. All that they send,
+/// write and report must stay as it is while the code is rewritten.
 #[test]
 fn three_voters_and_two_followers_decide_as_before() {
     compare(
@@ -648,6 +650,7 @@
     );
 }
 
+/// The same for five voters, where a majority is three and two voters may be down.
 #[test]
 fn five_voters_and_two_followers_decide_as_before() {
     compare(
@@ -660,6 +663,7 @@
     );
 }
 
+/// A hash that differed between two runs of one seed would say nothing about a change of the code.
 #[test]
 fn the_same_seed_gives_the_same_hash() {
     let hash = || Simulation::new(three_voters(), 7).run().0;
--- a/crates/consensus/tests/replica/group.rs
+++ b/crates/consensus/tests/replica/group.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use std::collections::BTreeMap;
 
-/// Replicas whose messages arrive at once.
+/// Replicas whose messages arrive without delay.
 struct Group {
     replicas: BTreeMap<u32, Replica>,
     now: f64,
@@ -61,6 +61,8 @@
     }
 }
 
+/// One of three initial voters starts late, and the group has no log before. Later a voter's disk is lost: it must not vote
+/// before it is added again. Without a majority nothing is committed, and leases expire.
 #[test]
 fn a_group_bootstraps_once_all_initial_voters_confirm_the_same_disks() {
     let mut group = Group::new();
@@ -77,7 +79,7 @@
     group.run(3.0);
     let leader = group.leader().expect("a leader");
     assert!(group.replicas[&4].lease_state(at(group.now)).is_valid(), "a learner has its lease");
-    // A learner's proposal is committed once, everywhere, and is known as its own there.
+    // A learner's proposal is committed once at every replica, and only the learner recognises it as its own.
     let number =
         group.replicas.get_mut(&4).map(|replica| replica.propose(at(group.now), Bytes::from_static(b"a")));
     group.run(1.0);
@@ -86,20 +88,20 @@
         assert_eq!(group.committed[&host], vec![(Bytes::from_static(b"a"), own_proposal)], "host {host}");
     }
     assert_eq!(number, Some(Ok(1)));
-    // A voter whose disk is lost neither votes nor begins another log; it follows.
+    // A voter whose disk is lost neither votes nor begins another log: it follows.
     let lost = (leader + 1) % 3;
     group.start(lost, 999);
     group.run(2.0);
     assert!(!group.replicas[&lost].raft.is_voter() && group.replicas[&lost].commit_index() > 0);
-    // Removed and added again it votes with its new disk.
-    let moves = [(false, group.replicas[&leader].raft.voters().len() - 1), (true, 3)];
-    for (is_added, expected) in moves {
+    // After it is removed and added again it votes with its new disk.
+    let voter_changes = [(false, group.replicas[&leader].raft.voters().len() - 1), (true, 3)];
+    for (is_added, expected) in voter_changes {
         let now = at(group.now);
-        let moved = group.replicas.get_mut(&leader).map(|replica| match is_added {
+        let change = group.replicas.get_mut(&leader).map(|replica| match is_added {
             true => replica.raft.add_voter(now, lost),
             false => replica.raft.remove_voter(now, lost),
         });
-        assert!(matches!(moved, Some(Ok(_))), "{moved:?}");
+        assert!(matches!(change, Some(Ok(_))), "{change:?}");
         group.run(1.0);
         assert_eq!(group.replicas[&leader].raft.voters().len(), expected);
     }
@@ -115,6 +117,8 @@
     assert_eq!(group.committed[&4].len(), before);
 }
 
+/// A grant to an earlier process of the same host, or of another log, arrives late and has the number of a pending request.
+/// As a lease it would count from the wrong request.
 #[test]
 fn a_grant_to_an_earlier_generation_is_no_lease() {
     // Generation and log of the grant, the fault, and whether the replica has a lease by it.
--- a/crates/consensus/tests/replica/lease.rs
+++ b/crates/consensus/tests/replica/lease.rs
@@ -1,9 +1,11 @@
-//! A lease by itself.
+//! The lease of one replica.
 
 use super::*;
 
+/// A grant arrives late, names entries that are not here yet, or is longer than this replica's setting. The lease must end
+/// before other replicas stop waiting for it, and must not begin before its entries are here.
 #[test]
-fn a_lease_counts_from_its_request_less_the_drift_and_with_its_entries() {
+fn a_lease_counts_from_its_request_less_the_drift_once_its_entries_are_here() {
     let duration = TimeDelta::from_secs(1.0);
     let granted = |sequence, index| LeaseGrant { sequence, index, duration };
     let mut lease = Lease::new(at(0.0), TimeDelta::from_secs(1.0), 0.01);
@@ -17,7 +19,7 @@
     lease.on_committed(5);
     assert_eq!(lease.state(at(0.6)), LeaseState::Valid { until: at(0.98) });
     assert_eq!(lease.state(at(0.99)), LeaseState::Expired { since: at(0.98) });
-    // A grant of no request, and one of a longer lease than this replica was told.
+    // A grant without a request, and one that is longer than this replica's own setting.
     lease.on_granted(at(1.0), granted(sequence + 50, 5));
     assert!(!lease.state(at(1.0)).is_valid());
     let sequence = lease.poll_request(at(1.0)).expect("a request is due");
--- a/crates/consensus/tests/replica/main.rs
+++ b/crates/consensus/tests/replica/main.rs
@@ -1,4 +1,4 @@
-//! Replicas that are fed by hand, one or a few at a time.
+//! One or a few replicas that the tests drive by hand.
 
 mod group;
 mod lease;
@@ -27,6 +27,6 @@
     DiskIdentity { disk: u64::from(host) + 100, boot: generation as u32, generation }
 }
 
-fn voters(n: u32) -> Voters {
-    (0..n).map(|host| (host, identity(host, 1).disk)).collect()
+fn voters(count: u32) -> Voters {
+    (0..count).map(|host| (host, identity(host, 1).disk)).collect()
 }
--- a/crates/consensus/tests/replica/raft_node.rs
+++ b/crates/consensus/tests/replica/raft_node.rs
@@ -1,17 +1,17 @@
-//! One Raft server: votes, commitment, lease rounds, snapshots, a disk that fails.
+//! A single Raft server: votes, commitment, lease rounds, snapshots, and a disk that fails.
 
 use super::*;
 use bytes::Bytes;
 
 /// A voter of three whose log holds entries of these terms.
 fn raft_node(me: u32, term: u64, terms: &[u64]) -> RaftNode {
-    let data = |(i, t): (usize, &u64)| Entry {
-        term: *t,
-        payload: EntryPayload::Command(Bytes::from(vec![i as u8])),
+    let entry = |(number, term): (usize, &u64)| Entry {
+        term: *term,
+        payload: EntryPayload::Command(Bytes::from(vec![number as u8])),
     };
     let snapshot = Snapshot { log_id: 9, voters: voters(3), ..Snapshot::default() };
     let hard_state = HardState { term, voted_for: None };
-    let entries = terms.iter().enumerate().map(data).collect();
+    let entries = terms.iter().enumerate().map(entry).collect();
     let persisted = PersistentState { hard_state, snapshot, entries, ..PersistentState::default() };
     let initial_voters = (0..3).collect();
     let identity = identity(me, 1);
@@ -21,29 +21,31 @@
     )
 }
 
-/// All outputs, with writes done at once.
+/// All outputs; writes are done at once.
 fn drain(node: &mut RaftNode, now: Instant) -> Vec<RaftOutput> {
-    let mut all = Vec::new();
+    let mut outputs = Vec::new();
     while let Some(output) = node.poll_output() {
         if let RaftOutput::Write(write) = &output {
             node.on_persisted(now, write.write_id);
         }
-        all.push(output);
+        outputs.push(output);
     }
-    all
+    outputs
 }
 
-fn messages(all: &[RaftOutput]) -> Vec<(u32, Message)> {
+fn messages(outputs: &[RaftOutput]) -> Vec<(u32, Message)> {
     let message = |output: &RaftOutput| match output {
         RaftOutput::Send { to, message } => Some((*to, message.clone())),
         _ => None,
     };
-    all.iter().filter_map(message).collect()
+    outputs.iter().filter_map(message).collect()
 }
 
+/// Candidates ask for votes with newer and older logs, terms and disks. A vote for a log that lacks committed entries, or
+/// to a disk that does not vote, could elect a leader that loses them.
 #[test]
 fn a_vote_is_granted_by_term_log_and_disk() {
-    // Name, term and log here, the candidate's term, last entry and disk, and whether it gets the vote.
+    // Name, term and log of the voter; the candidate's term, last entry and disk; and whether it gets the vote.
     let position = |term, index| LogPosition { term, index };
     let other = DiskIdentity { disk: 5, boot: 1, generation: 1 };
     type Case<'a> = (&'a str, u64, &'a [u64], u64, LogPosition, DiskIdentity, bool);
@@ -75,8 +77,10 @@
     }
 }
 
+/// A voter that crashes after it sent a vote, and before the vote is on disk, could vote twice in a term. One that has contact
+/// with a leader must not vote at all, or a server that was cut off would depose the leader.
 #[test]
-fn a_vote_is_sent_only_once_persisted_and_given_once_a_term() {
+fn a_vote_is_sent_only_once_persisted_and_once_a_term() {
     let mut node = raft_node(0, 1, &[1]);
     let request_of = |host: u32| Message::RequestVote {
         pre_vote: false,
@@ -103,7 +107,7 @@
         messages(&drain(&mut node, at(1.2)))[..],
         [(2, Message::RequestVoteResponse { granted: false, .. })]
     ));
-    // Nor while there is contact with a leader, whatever the term: a server that was cut off must not unseat it.
+    // No vote while there is contact with a leader, whatever the candidate's term.
     let heartbeat = Message::AppendEntries {
         log_id: 9,
         term: 2,
@@ -128,8 +132,8 @@
     assert_eq!(node.term(), 2);
 }
 
-/// Leads term 4 with a log whose entries are of terms 1 and 2, as in figure 8 of the Raft paper: a majority has the one of
-/// term 2, and yet it is not committed before one of term 4 is.
+/// A leader of term 4 whose log has entries of terms 1 and 2, as in figure 8 of the Raft paper: a majority has the entry of
+/// term 2, and yet the entry is not committed before one of term 4 is.
 fn leader_of_term_four(fault: Option<ConsensusFault>) -> RaftNode {
     let mut node = raft_node(0, 3, &[1, 2]);
     if let Some(fault) = fault {
@@ -153,6 +157,8 @@
     node
 }
 
+/// A majority has an entry of an earlier term on disk. A later leader may still overwrite it, so it is committed only
+/// together with an entry of the leader's own term (Raft, figure 8).
 #[test]
 fn an_entry_of_an_earlier_term_is_committed_only_with_one_of_this_term() {
     let response = |index: u64| Message::AppendEntriesResponse {
@@ -162,7 +168,7 @@
         index,
         identity: identity(1, 1),
     };
-    // The fault, up to where a follower's log matches, and the commit index then.
+    // The fault, the index up to which a follower's log matches, and the expected commit index.
     for (fault, index, expected) in [(None, 2, 0), (None, 3, 3), (Some(ConsensusFault::CommitOldTerm), 2, 2)]
     {
         let mut node = leader_of_term_four(fault);
@@ -172,6 +178,8 @@
     }
 }
 
+/// A replica requests a lease while a response to an earlier heartbeat round is on its way. That response does not show that
+/// the server still leads; only one to a later round does.
 #[test]
 fn a_lease_is_granted_only_after_a_later_heartbeat_round() {
     let mut node = leader_of_term_four(None);
@@ -195,7 +203,7 @@
         _ => None,
     });
     let round = round.expect("a request begins a round");
-    // A round from before the request shows nothing.
+    // A response to a round before the request does not show that this server still leads.
     node.handle_message(at(2.2), 1, response(round - 1));
     assert!(messages(&drain(&mut node, at(2.2))).iter().all(|(to, _)| *to != 4));
     node.handle_message(at(2.2), 1, response(round));
@@ -205,11 +213,13 @@
         matches!(granted, Some((_, Message::LeaseGranted { to_generation: 3, sequence: 6, index: 3, .. }))),
         "{sent:?}"
     );
-    // Without responses of a majority for long it steps down.
+    // Without responses of a majority for long, the leader steps down.
     node.handle_timeout(at(4.0));
     assert!(!node.is_leader());
 }
 
+/// A snapshot arrives late at a server that has acknowledged entries after it. If those were removed, a committed entry could
+/// be lost (Raft, figure 13, step 6).
 #[test]
 fn a_snapshot_keeps_entries_after_it_that_match() {
     let install = |index: u64, term: u64| Message::InstallSnapshot {
@@ -228,8 +238,10 @@
     }
 }
 
+/// A write fails, so the server can't tell what is on its disk. It steps down and votes no more: what it would acknowledge
+/// might be lost.
 #[test]
-fn a_failed_write_ends_a_replicas_part() {
+fn a_server_whose_write_failed_neither_leads_nor_votes() {
     let mut node = leader_of_term_four(None);
     _ = node.propose(at(2.1), Bytes::from_static(b"x"));
     let write_id = std::iter::from_fn(|| node.poll_output()).find_map(|output| match output {
--- a/crates/membership/tests/decision_hash.rs
+++ b/crates/membership/tests/decision_hash.rs
@@ -51,7 +51,7 @@
         self.bytes(address.to_string().as_bytes());
     }
 
-    /// Of a log line only its digits: its words may change.
+    /// The digits of a log line, as its text may change.
     fn log_line(&mut self, line: &str) {
         let digits: Vec<u8> = line.bytes().filter(u8::is_ascii_digit).collect();
         self.bytes(&digits);
