--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -34,7 +34,8 @@
 //! - Responses of AppendEntries carry the round that they respond to, and on a mismatch where to try next.
 //! - An operator may make one replica go on without a majority, as a new log.
 
-#![warn(missing_docs, unreachable_pub)]
+#![warn(missing_docs)]
+#![warn(unreachable_pub)]
 
 mod chunks;
 mod error;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -22,7 +22,8 @@
 //! All machines have one calling shape: `handle_datagram`, `handle_message` and `handle_timeout` take input together with
 //! the time; `poll_output`, `poll_transmit` and `poll_event` are called until they return none; `poll_timeout` returns when
 //! `handle_timeout` is due.
-#![warn(missing_docs, unreachable_pub)]
+#![warn(missing_docs)]
+#![warn(unreachable_pub)]
 
 mod catalog_replication;
 mod event;
