--- a/crates/benchlink/tests/protocol.rs
+++ b/crates/benchlink/tests/protocol.rs
@@ -25,6 +25,7 @@
     format!(r#"{{"wall":8.5,"events":[{}]}}"#, events.replace('\n', ""))
 }
 
+/// The bench sends every kind of event, one twice, one for what was never seen, and one that this build does not know. Each batch has its reply.
 #[test]
 fn valid_and_unknown_events_are_answered() {
     let req = r#"["Req",3,"aa",0,0,"obj:k",0.5,"p:v",2,0,1,0,"surplus"]"#;
@@ -49,6 +50,7 @@
     assert_eq!(err.matches("Novelty").count(), 1, "an unknown name is reported once: {err}");
 }
 
+/// The bench sends a line that can't be read. Guessing at it would decide on wrong figures, so the process ends and names the line.
 #[test]
 fn a_malformed_line_ends_the_process_with_one_error_line() {
     let table = [
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -182,7 +182,10 @@
     }
 }
 
-fn slow_start(domain: &Map<String, Value>, rules: &Map<String, Value>) -> Result<SlowStartSettings, FieldError> {
+fn slow_start(
+    domain: &Map<String, Value>,
+    rules: &Map<String, Value>,
+) -> Result<SlowStartSettings, FieldError> {
     Ok(SlowStartSettings {
         safe_units: number_or(domain, "cold_bears", 0.0)?,
         initial_capacity: number_or(rules, "cold_from", 1.0)?,
--- a/tests/reasons.rs
+++ b/tests/reasons.rs
@@ -41,7 +41,7 @@
 
 /// A client asks for more than its volume's burst at this host. No wait would help, so the answer comes at once.
 #[test]
-fn a_request_over_the_burst_says_so() {
+fn a_request_over_the_burst_is_rejected_for_it() {
     let mut host = host_with_node();
     let id = host.submit(0, 0, 0, 21.0, 0, 0);
     assert_eq!(final_answer(&mut host, id), Some((true, FailureReason::ExceedsBurst)));
