--- a/crates/admin/tests/error_texts.rs
+++ b/crates/admin/tests/error_texts.rs
@@ -34,6 +34,7 @@
     (path, error)
 }
 
+/// The host does not run, closes the socket, or answers half a line. The operator must learn which host it was and what came.
 #[test]
 fn a_call_without_an_answer_names_the_host() {
     let path = socket_path("none");
@@ -49,6 +50,7 @@
     assert_eq!(error, format!("host {}: {expected}", path.display()));
 }
 
+/// A script sends a line that is no call. The error says what was expected in its place.
 #[test]
 fn a_line_that_is_no_call_is_named_by_what_was_expected() {
     let error = |text| parse_call(text).unwrap_err().to_string();
--- a/crates/admin/tests/json_forms.rs
+++ b/crates/admin/tests/json_forms.rs
@@ -68,6 +68,7 @@
     Fleet { hosts: 4, max_units: 8.0, bears: [(0, 100.5)].into() }
 }
 
+/// A command of another build sets, clears or lists overrides. The host has to read its lines as they were.
 #[test]
 fn calls_about_overrides() {
     let order = Order {
@@ -102,6 +103,7 @@
     assert_form(&Call::Audit { max_lines: 20 }, r#"{"audit":{"most":20}}"#);
 }
 
+/// A script of an operator changes plans by lines that it wrote for an earlier build.
 #[test]
 fn calls_about_plans() {
     assert_form(&Call::AdminRequest(AdminRequest::Plan(PlanRequest::Show)), r#"{"ask":{"plan":"show"}}"#);
@@ -117,6 +119,7 @@
     assert_form(&Call::AdminRequest(AdminRequest::Plan(PlanRequest::Log)), r#"{"ask":{"plan":"log"}}"#);
 }
 
+/// An operator forces a group whose voters are lost, with a command of another build.
 #[test]
 fn calls_about_consensus() {
     let call = |ask| Call::AdminRequest(AdminRequest::Consensus(ask));
@@ -136,6 +139,7 @@
     );
 }
 
+/// A script reads what a host answers about overrides. A renamed field would look like a missing one.
 #[test]
 fn answers_about_overrides() {
     let out = OverrideEffect { service: Service::Out, weight: 1.0 };
@@ -190,6 +194,7 @@
     );
 }
 
+/// A script reads the status of a host and its counters.
 #[test]
 fn answers_about_a_host() {
     let status = HostStatus {
@@ -266,6 +271,7 @@
     }
 }
 
+/// A script reads how a host sees its peers.
 #[test]
 fn answers_about_members() {
     assert_reply(
@@ -278,6 +284,7 @@
     );
 }
 
+/// A newer command asks a host of an earlier build, whose answer lacks newer fields.
 #[test]
 fn members_of_an_earlier_build_are_read() {
     let text = "{\"host\":0,\"there\":2,\"peers\":[{\"host\":1,\"health\":\"alive\",\"address\":\"10.9.0.1:7000\",                \"life\":7,\"since_s\":1.0}],\"loans\":[],\"displaced\":false,\"sent\":1,\"sent_bytes\":2,                \"taken\":3,\"dropped\":4}";
@@ -302,6 +309,7 @@
     assert_eq!(serde_json::from_str::<MembersStatus>(text).unwrap(), expected);
 }
 
+/// A script reads plans and the log of their changes.
 #[test]
 fn answers_about_plans() {
     let reply = |r| AdminResponse::Plan(r);
@@ -347,6 +355,7 @@
     );
 }
 
+/// A script reads the state of consensus, with and without a lease.
 #[test]
 fn answers_about_consensus() {
     let reply = |r| AdminResponse::Consensus(r);
@@ -396,6 +405,7 @@
     );
 }
 
+/// A script reads the audit log, and the error of a call that the host can't serve.
 #[test]
 fn audit_lines_and_errors() {
     let ended = Audit {
@@ -412,6 +422,7 @@
     assert_form(&Answer::Error("no such call".into()), r#"{"error":"no such call"}"#);
 }
 
+/// A host reads the version of a line before it knows whether it can read the rest.
 #[test]
 fn a_line_carries_the_version_before_the_body() {
     let text = "{\"v\":1,\"body\":{\"audit\":{\"most\":20}}}\n";
--- a/crates/config/tests/error_texts.rs
+++ b/crates/config/tests/error_texts.rs
@@ -24,7 +24,7 @@
 
 impl Edit {
     fn apply(&self, text: &str) -> String {
-        let block_start = text.find(&self.block).expect("the block is there");
+        let block_start = text.find(&self.block).expect("the block exists");
         let (before, rest) = text.split_at(block_start);
         assert!(rest.contains(&self.from), "{:?} is there", self.from);
         format!("{before}{}", rest.replacen(&self.from, &self.to, 1))
@@ -36,6 +36,7 @@
     HostSettings::parse("settings.hcl", &text).map_or_else(|error| error.to_string(), |_| String::new())
 }
 
+/// An operator makes one mistake, or two, in a settings file. The error must name the first by file, line, place and value.
 #[test]
 fn each_error_names_file_line_place_value_and_what_was_expected() {
     for line in CASES.lines() {
@@ -44,6 +45,7 @@
     }
 }
 
+/// The settings file does not exist.
 #[test]
 fn a_file_that_cannot_be_read_is_named() {
     let error = HostSettings::read(std::path::Path::new("no-such-file.hcl")).unwrap_err();
--- a/crates/config/tests/values.rs
+++ b/crates/config/tests/values.rs
@@ -12,6 +12,7 @@
     HostSettings::parse("complete.hcl", include_str!("complete.hcl")).expect("valid settings")
 }
 
+/// A file leaves out what it may. A changed default would change what running hosts do after an update.
 #[test]
 fn defaults_of_the_host_and_of_what_it_may_hold() {
     let settings = minimal();
@@ -43,6 +44,7 @@
     assert_eq!(settings.bounds, bounds);
 }
 
+/// The same for load, overrides and slow start.
 #[test]
 fn defaults_of_load_overrides_and_slow_start() {
     let settings = minimal();
@@ -55,26 +57,28 @@
     };
     assert_eq!(settings.load, load);
     assert_eq!(settings.retry_budget, None);
-    let overrides = settings.overrides.expect("the block is there");
+    let overrides = settings.overrides.expect("the block exists");
     assert_eq!((overrides.max_overrides, overrides.max_zone_fraction), (20_000, 0.5));
-    assert_eq!(settings.slow_start.expect("the block is there").saved, 1.0);
+    assert_eq!(settings.slow_start.expect("the block exists").saved, 1.0);
 }
 
+/// The same for membership, consensus and plans.
 #[test]
 fn defaults_of_what_hosts_share() {
     let settings = minimal();
-    let membership = settings.membership.expect("the block is there");
+    let membership = settings.membership.expect("the block exists");
     assert_eq!((membership.period_ms, membership.term_s, membership.leave_s), (500.0, 2.0, 60.0));
     assert_eq!((membership.drift, membership.advertise, membership.left_file), (0.001, None, None));
     assert!(membership.seeds.is_empty());
-    let consensus = settings.consensus.expect("the block is there");
+    let consensus = settings.consensus.expect("the block exists");
     assert_eq!((consensus.heartbeat_interval_ms, consensus.election_timeout_ms), (100.0, 1000.0));
     assert_eq!((consensus.lease_s, consensus.drift), (5.0, 0.001));
-    let plans = settings.plans_live.expect("the block is there");
+    let plans = settings.plans_live.expect("the block exists");
     assert_eq!((plans.home, plans.settle_s), (0, 5.0));
     assert!(plans.bears.is_empty());
 }
 
+/// The same for traffic classes, plans and volumes.
 #[test]
 fn defaults_of_traffic_classes_plans_and_volumes() {
     let settings = minimal();
@@ -87,6 +91,7 @@
     assert_eq!((volume.block_bytes, volume.large), (512, None));
 }
 
+/// The names in a file differ from the names in the code. Each must set its own field.
 #[test]
 fn fields_are_set_by_their_names_in_hcl() {
     let settings = complete();
@@ -94,14 +99,15 @@
     assert_eq!(settings.bounds.requests, 2000);
     assert_eq!((settings.units.max_per_request, settings.units.mean_per_request), (8.0, 2.0));
     assert_eq!(settings.load.max_attempts, 5);
-    let slow_start = settings.slow_start.expect("the block is there");
+    let slow_start = settings.slow_start.expect("the block exists");
     assert_eq!((slow_start.ramp_s, slow_start.from, slow_start.saved), (30.0, 0.1, 0.5));
-    let overrides = settings.overrides.expect("the block is there");
+    let overrides = settings.overrides.expect("the block exists");
     assert_eq!((overrides.max_overrides, overrides.max_zone_fraction), (100, 0.25));
-    let consensus = settings.consensus.expect("the block is there");
+    let consensus = settings.consensus.expect("the block exists");
     assert_eq!((consensus.heartbeat_interval_ms, consensus.election_timeout_ms), (50.0, 300.0));
 }
 
+/// Blocks refer to others by name, the host by index. A wrong index would hold a volume to another's limit.
 #[test]
 fn volumes_refer_to_plans_and_traffic_classes_by_index() {
     let settings = complete();
--- a/crates/planner/tests/planner.rs
+++ b/crates/planner/tests/planner.rs
@@ -24,6 +24,7 @@
     (Load { name: format!("load {seed}"), latency_objective_s, max_request_units: 4.0, curve }, a)
 }
 
+/// A burst that the curve understates would let a plan pass that its load exceeds.
 #[test]
 fn a_curve_is_the_smallest_burst_of_all_windows_and_convex() {
     let (l, a) = load(3, 10.0, 6.0, 1.0);
@@ -47,6 +48,7 @@
     assert_eq!(l.curve.burst(last.rate * 9.0), Some(last.burst));
 }
 
+/// The planner says that loads fit a node. Played on a model of the node, no request may exceed its bound.
 #[test]
 fn what_fits_holds_when_it_is_played() {
     // A queue with priorities by latency objective that serves one at a time: the paper's server. How many loads, their rate and their surge.
@@ -99,8 +101,9 @@
     assert!(held >= 4 && held < sets.len(), "{held} sets of loads fit");
 }
 
+/// More loads than the nodes can bear: each node must hold what it was given, and the rest must be named.
 #[test]
-fn placements_hold_at_each_node_and_say_what_found_none() {
+fn placements_hold_at_each_node_and_name_what_found_none() {
     let loads: Vec<Load> = (0..40).map(|i| load(i, 3.0, 6.0, [0.5, 1.0, 2.0][i as usize % 3]).0).collect();
     for nodes in [1, 4, 20] {
         let p = place(&NODE, nodes, &loads);
