--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -12,7 +12,7 @@
 mod tables;
 mod timeouts;
 
-use self::slow_start::slow_start_figures;
+use self::slow_start::slow_start_settings;
 use self::tables::*;
 use crate::admission::{Admission, Usage};
 use crate::attempt::{AttemptId, AttemptResult, AttemptWork, SendAttempt};
@@ -43,8 +43,8 @@
 use tackmast_config::{HostSettings, TrafficClass};
 use tackmast_overrides::{ClockStep, Effective, Ended, NodeFacts, Override, Overrides};
 
-/// Part of the grace of a drain after which links that still write to the node are cut.
-const GRACE_SHARE: f64 = 0.5;
+/// The fraction of the grace of a drain after which connections that still write to the node are cut.
+const CUT_FRACTION: f64 = 0.5;
 
 /// One host without sockets, threads or clocks: inputs are `handle_...`, outputs are taken by `poll_output`.
 pub struct Core {
@@ -52,111 +52,122 @@
     layout: Layout,
     volume_names: VolumeNames,
     traffic_classes: Vec<TrafficClass>,
+    /// Whether nodes report what they served through other hosts.
     reports_service: bool,
-    lead: TimeDelta,
+    /// How long before a command's deadline its answer must be ready, to reach the client in time.
+    answer_lead: TimeDelta,
+    /// The longest wait that a rejected client is advised.
     longest_wait: TimeDelta,
     generation: u64,
     nodes: Nodes,
     admission: Admission,
     fair_queueing: FairQueueing,
+    /// Commands that have no answer yet.
     commands: HashMap<CommandRef, OpenCommand>,
-    sessions: HashMap<u32, BTreeSet<u32>>, // open commands
+    /// The numbers of these commands, by session.
+    sessions: HashMap<u32, BTreeSet<u32>>,
     requests: HashMap<RequestId, PendingRequest>,
+    /// Requests so far.
     serial: u64,
-    at_node: BTreeMap<NodeId, BTreeSet<(RequestId, u32)>>, // attempts out
-    until: BTreeSet<(Instant, RequestId, u32)>,            // the same, by the end of their time
-    grace: TimeDelta,
-    cut_deadlines: BTreeSet<(Instant, NodeId)>, // when what is still being written to a node that drains is cut off
+    /// Attempts in flight, by node.
+    attempts_at_node: BTreeMap<NodeId, BTreeSet<AttemptKey>>,
+    /// Attempts in flight, by when they time out.
+    attempt_deadlines: BTreeSet<(Instant, AttemptKey)>,
+    /// How long after a node begins to drain the connections that still write to it are cut.
+    cut_delay: TimeDelta,
+    /// When the connections that still write to a node are cut.
+    cut_deadlines: BTreeSet<(Instant, NodeId)>,
     list_version: u64,
     removed_nodes: removed_nodes::RemovedNodes,
     override_requests: Option<OverrideRequests>,
     peers: Option<Peers>,
     plans: Option<Plans>,
     consensus: Option<ConsensusDriver>,
-    /// The host is ending: since when, and nothing new is taken.
+    /// The host shuts down: nothing new is admitted.
     draining: bool,
+    /// This host's number.
     number: u32,
+    /// Wall time less steady time, in microseconds.
     wall_offset_us: i64,
     outputs: VecDeque<Output>,
     /// What happened since the start.
     pub counters: Counters,
 }
 
+/// The scheduler with the settings of a host.
+fn configured_scheduler(now: Instant, settings: &HostSettings, seed: u64) -> Scheduler {
+    let clock_resolution = TimeDelta::from_secs(settings.host.clock_resolution_ms / 1e3);
+    let mean_units = settings.units.mean_per_request;
+    let mut scheduler = Scheduler::new(now, seed, settings.host.hosts, clock_resolution, mean_units);
+    for class in &settings.traffic_classes {
+        scheduler.add_traffic_class(class.latency_objective, class.effect, class.in_order);
+    }
+    for plan in &settings.plans {
+        scheduler.add_plan(Plan {
+            limit: plan.limit,
+            burst: plan.burst,
+            slack: plan.slack,
+            reserve: plan.reserve,
+            weight: plan.weight,
+        });
+    }
+    let load = &settings.load;
+    let longest_wait = TimeDelta::from_secs(load.longest_wait_s);
+    scheduler.set_attempt_limits(load.max_attempts, longest_wait, TimeDelta::from_secs(load.settle_s));
+    if let Some(budget) = &settings.retry_budget {
+        scheduler.set_retry_budget(budget.free, budget.share, TimeDelta::from_secs(budget.window_s));
+    }
+    if let Some(slow_start) = &settings.slow_start {
+        scheduler.set_slow_start(slow_start_settings(slow_start));
+        scheduler.set_cache_savings(slow_start.saved);
+    }
+    scheduler.subscribe_to_node_list();
+    scheduler
+}
+
 impl Core {
     /// `generation` differs between all generations of all hosts; `seed` is for chance in decisions.
-    pub fn new(now: Instant, s: &HostSettings, seed: u64, generation: u64) -> Self {
-        let clock_resolution = TimeDelta::from_secs(s.host.clock_resolution_ms / 1e3);
-        let longest = TimeDelta::from_secs(s.load.longest_wait_s);
-        let mut scheduler =
-            Scheduler::new(now, seed, s.host.hosts, clock_resolution, s.units.mean_per_request);
-        for st in &s.traffic_classes {
-            scheduler.add_traffic_class(st.latency_objective, st.effect, st.in_order);
-        }
-        for p in &s.plans {
-            scheduler.add_plan(Plan {
-                limit: p.limit,
-                burst: p.burst,
-                slack: p.slack,
-                reserve: p.reserve,
-                weight: p.weight,
-            });
-        }
-        scheduler.set_attempt_limits(s.load.max_attempts, longest, TimeDelta::from_secs(s.load.settle_s));
-        if let Some(budget) = &s.retry_budget {
-            scheduler.set_retry_budget(budget.free, budget.share, TimeDelta::from_secs(budget.window_s));
-        }
-        if let Some(c) = &s.slow_start {
-            let (warm, window) = (TimeDelta::from_secs(c.ramp_s), TimeDelta::from_secs(c.window_s));
-            let (safe_units, overload_multiple) = slow_start_figures(c);
-            scheduler.set_slow_start(SlowStartSettings {
-                safe_units,
-                initial_capacity: c.from,
-                duration: warm,
-                window,
-                overload_multiple,
-            });
-            scheduler.set_cache_savings(c.saved);
-        }
-        scheduler.subscribe_to_node_list();
+    pub fn new(now: Instant, settings: &HostSettings, seed: u64, generation: u64) -> Self {
         let placed = PlacedSettings {
-            traffic_classes: s.traffic_classes.clone(),
-            reports_service: s.load.reports_peer_service,
-            longest_wait: longest,
-            grace: TimeDelta::from_secs(s.load.drain_grace_ms / 1e3),
-            requests: s.bounds.requests,
-            bytes: s.bounds.bytes,
-            nodes: s.bounds.nodes,
+            traffic_classes: settings.traffic_classes.clone(),
+            reports_service: settings.load.reports_peer_service,
+            longest_wait: TimeDelta::from_secs(settings.load.longest_wait_s),
+            grace: TimeDelta::from_secs(settings.load.drain_grace_ms / 1e3),
+            requests: settings.bounds.requests,
+            bytes: settings.bounds.bytes,
+            nodes: settings.bounds.nodes,
             volumes: 0,
         };
         Core {
-            layout: Layout::new(s),
-            lead: TimeDelta::from_secs(s.host.answer_lead_ms / 1e3),
-            number: s.host.number,
-            ..Core::placed(now, scheduler, placed, generation)
+            layout: Layout::new(settings),
+            answer_lead: TimeDelta::from_secs(settings.host.answer_lead_ms / 1e3),
+            number: settings.host.number,
+            ..Core::placed(now, configured_scheduler(now, settings, seed), placed, generation)
         }
     }
 
     /// A host whose requests arrive already placed, around a scheduler that has its settings.
-    pub fn placed(now: Instant, scheduler: Scheduler, s: PlacedSettings, generation: u64) -> Self {
+    pub fn placed(now: Instant, scheduler: Scheduler, settings: PlacedSettings, generation: u64) -> Self {
+        let PlacedSettings { requests, bytes, longest_wait, .. } = settings;
         Core {
             scheduler,
             layout: Layout::default(),
-            volume_names: VolumeNames::new(s.volumes),
-            traffic_classes: s.traffic_classes,
-            reports_service: s.reports_service,
-            lead: TimeDelta::ZERO,
-            longest_wait: s.longest_wait,
+            volume_names: VolumeNames::new(settings.volumes),
+            traffic_classes: settings.traffic_classes,
+            reports_service: settings.reports_service,
+            answer_lead: TimeDelta::ZERO,
+            longest_wait,
             generation,
-            nodes: Nodes::new(s.nodes),
-            admission: Admission::new(now, s.requests, s.bytes, s.longest_wait),
+            nodes: Nodes::new(settings.nodes),
+            admission: Admission::new(now, requests, bytes, longest_wait),
             fair_queueing: FairQueueing::default(),
             commands: HashMap::new(),
             sessions: HashMap::new(),
             requests: HashMap::new(),
             serial: 0,
-            at_node: BTreeMap::new(),
-            until: BTreeSet::new(),
-            grace: TimeDelta::from_secs(s.grace.secs() * GRACE_SHARE),
+            attempts_at_node: BTreeMap::new(),
+            attempt_deadlines: BTreeSet::new(),
+            cut_delay: TimeDelta::from_secs(settings.grace.secs() * CUT_FRACTION),
             cut_deadlines: BTreeSet::new(),
             list_version: 0,
             removed_nodes: removed_nodes::RemovedNodes::default(),
@@ -182,14 +193,14 @@
         &self.nodes
     }
 
-    /// Of the node list, as far as it is known.
+    /// The version of the endpoint list that is known.
     pub fn list_version(&self) -> u64 {
         self.list_version
     }
 
-    /// Whether this host has an attempt out at the node.
+    /// Whether this host has an attempt in flight at the node.
     pub fn has_attempts_at(&self, node: NodeId) -> bool {
-        self.at_node.contains_key(&node)
+        self.attempts_at_node.contains_key(&node)
     }
 
     /// Queues that are not empty, and sessions remembered in them.
@@ -202,19 +213,19 @@
         self.scheduler.key_queue_count()
     }
 
-    /// What is open.
+    /// How much work is in flight.
     pub fn open_counts(&self) -> OpenCounts {
         OpenCounts {
             commands: self.commands.len(),
             requests: self.requests.len(),
-            attempts: self.until.len(),
+            attempts: self.attempt_deadlines.len(),
         }
     }
 }
 
 /// Inputs.
 impl Core {
-    /// What each shard did for this host, units a second; and what an earlier generation of it saw.
+    /// The rate at which each shard serves this host, in units a second, as this or an earlier generation of it measured.
     pub fn service_rates(&self, now: Instant) -> Vec<(ShardId, f64)> {
         self.scheduler.service_rates(now)
     }
@@ -230,10 +241,11 @@
     /// What is to be done next; none: nothing more at this moment.
     pub fn poll_output(&mut self, now: Instant) -> Option<Output> {
         loop {
-            if let Some(o) = self.outputs.pop_front() {
-                return Some(o);
+            if let Some(output) = self.outputs.pop_front() {
+                return Some(output);
             }
-            // However long this host stood still: nothing is sent by a lease that has expired.
+            // The process may have been paused for any time before this call. A lease that expired meanwhile must not be used, so the mode
+            // is updated before each decision.
             self.update_degraded_mode(now);
             let decision = self.scheduler.poll_decision(now)?;
             self.execute(now, decision);
@@ -242,15 +254,18 @@
 
     /// When to come back if nothing else happens before.
     pub fn poll_timeout(&self, now: Instant) -> Option<Instant> {
-        let attempt = self.until.first().map(|(t, _, _)| *t);
-        let cut = self.cut_deadlines.first().map(|(t, _)| *t);
-        let ends = self.override_requests.as_ref().and_then(|o| o.next(now));
+        let attempt = self.attempt_deadlines.first().map(|(due, _)| *due);
+        let cut = self.cut_deadlines.first().map(|(due, _)| *due);
+        let overrides = self.override_requests.as_ref().and_then(|requests| requests.poll_timeout(now));
         let peers = self.peers.as_ref().map(|peers| peers.member.poll_timeout());
-        let consensus = self.consensus.as_ref().map(|a| a.poll_timeout(now));
-        [attempt, cut, ends, peers, consensus, self.scheduler.poll_timeout()].into_iter().flatten().min()
+        let consensus = self.consensus.as_ref().map(|consensus| consensus.poll_timeout(now));
+        let scheduler = self.scheduler.poll_timeout();
+        [attempt, cut, overrides, peers, consensus, scheduler].into_iter().flatten().min()
     }
 }
 
-fn node_facts((address, e): (&str, &NodeEntry)) -> Option<NodeFacts> {
-    Some(NodeFacts { address: address.parse().ok()?, zone: e.zone.0, shard: e.shard.0, listed: e.state })
+/// What overrides need to know of a node; none: its address is not one of the network.
+fn node_facts((address, entry): (&str, &NodeEntry)) -> Option<NodeFacts> {
+    let address = address.parse().ok()?;
+    Some(NodeFacts { address, zone: entry.zone.0, shard: entry.shard.0, listed: entry.state })
 }
--- a/crates/host-core/src/core/admin.rs
+++ b/crates/host-core/src/core/admin.rs
@@ -117,7 +117,6 @@
     }
 
     pub(super) fn status(&self, now: Instant) -> HostStatus {
-        let c = &self.counters;
         let override_requests = self.override_requests.as_ref();
         let node = |(address, e): (&str, &NodeEntry)| {
             let mut effective = *e;
@@ -131,11 +130,11 @@
             returning: override_requests.map_or(0, |o| o.overrides.returning().0),
             alive_hosts: self.peers.as_ref().map_or(0, |peers| peers.member.live_count()),
             commands: self.commands.len(),
-            attempts: self.until.len(),
-            taken: c.taken,
-            done: c.done,
-            rejected: c.rejected,
-            failed: c.failed,
+            attempts: self.attempt_deadlines.len(),
+            taken: self.counters.taken,
+            done: self.counters.done,
+            rejected: self.counters.rejected,
+            failed: self.counters.failed,
             nodes: self.nodes.entries().filter_map(node).collect(),
         }
     }
@@ -143,8 +142,10 @@
     /// Ends of overrides, and steps of nodes on their way back.
     pub(super) fn handle_override_timeout(&mut self, now: Instant) {
         let wall_us = self.wall_us(now);
-        let Some(override_requests) =
-            self.override_requests.as_mut().filter(|o| o.next(now).is_some_and(|t| t <= now))
+        let Some(override_requests) = self
+            .override_requests
+            .as_mut()
+            .filter(|requests| requests.poll_timeout(now).is_some_and(|due| due <= now))
         else {
             return;
         };
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -3,24 +3,26 @@
 use super::*;
 
 impl Core {
-    /// Whether an attempt has not had its end yet.
+    /// Whether an attempt has not ended yet.
     pub fn is_in_flight(&self, attempt: AttemptId) -> bool {
-        let (id, no) = (RequestId((attempt.0 >> 8) as u32), (attempt.0 & 0xff) as u32);
-        self.requests.get(&id).is_some_and(|request| request.out.iter().any(|o| o.no == no))
+        self.in_flight(AttemptKey::of(attempt)).is_some()
     }
 
-    /// The connection to a node reports how an attempt ended. One that is unknown had its end before.
-    pub fn handle_attempt_result(&mut self, now: Instant, back: AttemptResult) {
-        let (id, no) = (RequestId((back.attempt.0 >> 8) as u32), (back.attempt.0 & 0xff) as u32);
-        let known = self.requests.get(&id).and_then(|request| request.out.iter().find(|o| o.no == no));
-        let Some(node) = known.map(|o| o.node) else {
+    pub(super) fn in_flight(&self, key: AttemptKey) -> Option<&InFlightAttempt> {
+        self.requests.get(&key.request)?.in_flight.iter().find(|attempt| attempt.number == key.number)
+    }
+
+    /// The connection to a node reports how an attempt ended. An attempt that is not known has ended before.
+    pub fn handle_attempt_result(&mut self, now: Instant, result: AttemptResult) {
+        let key = AttemptKey::of(result.attempt);
+        let Some(node) = self.in_flight(key).map(|attempt| attempt.node) else {
             self.counters.strays += 1;
             return;
         };
-        if let Some(waiting) = back.waiting {
+        if let Some(waiting) = result.waiting {
             self.scheduler.load_reported(now, node, f64::from(waiting));
         }
-        self.finish_attempt(now, id, no, back.outcome, back.elsewhere, back.data);
+        self.finish_attempt(now, key, result.outcome, result.elsewhere, result.data);
     }
 
     pub(super) fn execute(&mut self, now: Instant, decision: Decision) {
@@ -37,13 +39,11 @@
                 self.finish_part(now, request, PartState::Failed { ran: true }, Bytes::new());
             }
             Decision::FollowList => self.outputs.push_back(Output::FollowList { since: self.list_version }),
-            Decision::Event(event) => {
-                self.outputs.push_back(Output::Event(HostEvent::Scheduler(event)));
-            }
+            Decision::Event(event) => self.emit(HostEvent::Scheduler(event)),
         }
     }
 
-    pub(super) fn send(
+    fn send(
         &mut self,
         now: Instant,
         id: RequestId,
@@ -52,33 +52,28 @@
         begin_by: Option<Instant>,
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let until = timeout.map_or(request.deadline, |t| request.deadline.min(now + t));
-        let (no, traffic_class) = (request.attempts, &self.traffic_classes[request.traffic_class]);
+        let deadline = timeout.map_or(request.deadline, |timeout| request.deadline.min(now + timeout));
+        let key = AttemptKey { request: id, number: request.attempts };
         request.attempts += 1;
         if let Some(queue_ticket) = request.queue_ticket.take() {
             self.fair_queueing.sent(queue_ticket);
         }
         let ticket = Ticket::default();
-        request.out.push(InFlightAttempt { no, node, sent: now, until, ticket: ticket.clone() });
-        self.counters.attempts += 1;
-        self.counters.retries += u64::from(no > 0);
-        self.until.insert((until, id, no));
-        self.at_node.entry(node).or_default().insert((id, no));
-        let idempotent_by_key = matches!(traffic_class.effect, Effect::IdempotentByKey { .. });
+        let in_flight =
+            InFlightAttempt { number: key.number, node, sent_at: now, deadline, ticket: ticket.clone() };
+        request.in_flight.push(in_flight);
+        let identity = request.identity;
+        let effect = self.traffic_classes[request.traffic_class].effect;
         let attempt = SendAttempt {
             node,
-            attempt: attempt_id(id, no),
-            request: request.identity.serial,
-            attempt_number: no.min(255) as u8,
-            from: request.identity.from,
-            part: request.identity.part,
-            until,
+            attempt: key.id(),
+            request: identity.serial,
+            attempt_number: key.number.min(u32::from(u8::MAX)) as u8,
+            from: identity.from,
+            part: identity.part,
+            until: deadline,
             begin_by,
-            mark: if idempotent_by_key {
-                u128::from(self.generation) << 64 | u128::from(request.identity.serial)
-            } else {
-                0
-            },
+            mark: idempotency_key(effect, self.generation, identity.serial),
             key: request.payload.key,
             volume: request.payload.volume,
             offset: request.payload.offset,
@@ -86,58 +81,77 @@
             work: request.payload.work.clone(),
             ticket,
         };
+        self.counters.attempts += 1;
+        self.counters.retries += u64::from(key.number > 0);
+        self.attempt_deadlines.insert((deadline, key));
+        self.attempts_at_node.entry(node).or_default().insert(key);
         self.outputs.push_back(Output::Send(Box::new(attempt)));
     }
 
-    /// Every attempt has one end: its answer, its link's end, its time, or its withdrawal, whichever is first.
+    /// Ends an attempt. Each has one end, whichever comes first: its answer, the end of its connection, its deadline or its withdrawal.
     pub(super) fn finish_attempt(
         &mut self,
         now: Instant,
-        id: RequestId,
-        no: u32,
-        o: Outcome,
+        key: AttemptKey,
+        outcome: Outcome,
         elsewhere: Option<f64>,
         data: Bytes,
     ) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(i) = request.out.iter().position(|l| l.no == no) else { return };
-        let out = request.out.swap_remove(i);
-        self.until.remove(&(out.until, id, no));
-        if let Some(attempts) = self.at_node.get_mut(&out.node) {
-            attempts.remove(&(id, no));
-            if attempts.is_empty() {
-                self.at_node.remove(&out.node);
+        let Some(attempt) = self.remove_in_flight(key) else { return };
+        let Some(request) = self.requests.get_mut(&key.request) else { return };
+        let expected_bytes = request.payload.answer_bytes();
+        let is_short = expected_bytes.is_some_and(|expected| data.len() != expected);
+        let outcome = match outcome {
+            // Bytes of another length are not those that were asked for, and must not reach the client as if they were.
+            Outcome::Done if is_short => {
+                self.counters.short_answers += 1;
+                Outcome::Error
             }
-        }
-        let mut outcome = o;
-        if outcome == Outcome::Done && request.payload.wanted().is_some_and(|wanted| data.len() != wanted) {
-            // Bytes that are not those asked for must not pass for them.
-            self.counters.short_answers += 1;
-            outcome = Outcome::Error;
-        }
+            outcome => outcome,
+        };
         request.ran |= outcome.may_have_run();
-        let (done, answered) = (outcome == Outcome::Done, request.answered);
-        if let Some(others) = elsewhere.filter(|_| self.reports_service) {
-            self.scheduler.service_reported(now, id, done, others);
+        let (is_done, was_answered) = (outcome == Outcome::Done, request.answered);
+        if let Some(other_units) = elsewhere.filter(|_| self.reports_service) {
+            self.scheduler.service_reported(now, key.request, is_done, other_units);
         }
-        let (attempt, took) = (AttemptNumber(no), now - out.sent);
-        let end =
-            AttemptEnd { request: id, number: attempt, outcome, latency: took, is_over: answered || done };
+        let end = AttemptEnd {
+            request: key.request,
+            number: AttemptNumber(key.number),
+            outcome,
+            latency: now - attempt.sent_at,
+            is_over: was_answered || is_done,
+        };
         self.scheduler.attempt_ended(now, end);
-        if done && !answered {
-            self.finish_part(now, id, PartState::Done, data);
+        if is_done && !was_answered {
+            self.finish_part(now, key.request, PartState::Done, data);
         }
-        self.remove_if_finished(id);
+        self.remove_if_finished(key.request);
     }
 
-    /// A request that was answered and has no attempt out leaves the table.
+    /// Takes an attempt out of all tables.
+    fn remove_in_flight(&mut self, key: AttemptKey) -> Option<InFlightAttempt> {
+        let in_flight = &mut self.requests.get_mut(&key.request)?.in_flight;
+        let index = in_flight.iter().position(|attempt| attempt.number == key.number)?;
+        let attempt = in_flight.swap_remove(index);
+        self.attempt_deadlines.remove(&(attempt.deadline, key));
+        if let Some(attempts) = self.attempts_at_node.get_mut(&attempt.node) {
+            attempts.remove(&key);
+            if attempts.is_empty() {
+                self.attempts_at_node.remove(&attempt.node);
+            }
+        }
+        Some(attempt)
+    }
+
+    /// A request that was answered and has no attempt in flight leaves the table.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|request| request.answered && request.out.is_empty()) {
+        let is_finished = |request: &PendingRequest| request.answered && request.in_flight.is_empty();
+        if self.requests.get(&id).is_some_and(is_finished) {
             self.requests.remove(&id);
         }
     }
 
-    /// The command is over before this part of it: nothing new is sent for it, and its attempts are called back.
+    /// The command is over before this part of it: nothing new is sent for it, and its attempts are cancelled.
     pub(super) fn release_request(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.answered) else { return };
         request.answered = true;
@@ -150,47 +164,56 @@
         self.remove_if_finished(id);
     }
 
-    /// Attempts of which no byte has left never will: they provably did not run.
+    /// Withdraws the attempts of which no byte was written. They provably did not run, and the scheduler learns nothing of their
+    /// nodes, which never saw them.
     pub(super) fn withdraw_unsent(&mut self, now: Instant, id: RequestId) {
-        let out = self.requests.get(&id).map_or(&[][..], |request| &request.out);
-        let unsent: Vec<u32> = out.iter().filter(|o| o.ticket.withdraw()).map(|o| o.no).collect();
-        // Nothing is learned of its node, which never saw it.
-        for no in unsent {
+        let Some(request) = self.requests.get(&id) else { return };
+        let unsent = request.in_flight.iter().filter(|attempt| attempt.ticket.withdraw());
+        let unsent: Vec<u32> = unsent.map(|attempt| attempt.number).collect();
+        for number in unsent {
             self.counters.withdrawn += 1;
-            self.finish_attempt(now, id, no, Outcome::Skipped, None, Bytes::new());
+            let key = AttemptKey { request: id, number };
+            self.finish_attempt(now, key, Outcome::Skipped, None, Bytes::new());
         }
     }
 
-    /// Nobody waits for the attempts that are out: their nodes need not go on.
+    /// Nobody waits for the attempts in flight any more: their nodes need not work on them.
     pub(super) fn cancel_in_flight(&mut self, id: RequestId) {
-        let out = self.requests.get(&id).map_or(&[][..], |request| &request.out);
-        let attempts: Vec<_> =
-            out.iter().map(|o| (o.node, attempt_id(id, o.no), o.ticket.is_stuck())).collect();
-        for (node, attempt, stuck) in attempts {
-            self.push_cancel(node, attempt, stuck);
+        let Some(request) = self.requests.get(&id) else { return };
+        let cancel = |attempt: &InFlightAttempt| {
+            let key = AttemptKey { request: id, number: attempt.number };
+            (attempt.node, key.id(), attempt.ticket.is_stuck())
+        };
+        let attempts: Vec<_> = request.in_flight.iter().map(cancel).collect();
+        for (node, attempt, is_stuck) in attempts {
+            self.push_cancel(node, attempt, is_stuck);
         }
     }
 
-    pub(super) fn push_cancel(&mut self, node: NodeId, attempt: AttemptId, stuck: bool) {
-        self.counters.cut += u64::from(stuck);
-        self.outputs.push_back(if stuck {
-            Output::Cut { node, attempt }
-        } else {
-            Output::Cancel { node, attempt }
+    /// Cancels an attempt; one that its connection is still writing can only be stopped by cutting the connection.
+    pub(super) fn push_cancel(&mut self, node: NodeId, attempt: AttemptId, is_stuck: bool) {
+        self.counters.cut += u64::from(is_stuck);
+        self.outputs.push_back(match is_stuck {
+            true => Output::Cut { node, attempt },
+            false => Output::Cancel { node, attempt },
         });
     }
 
+    /// Withdraws the attempts at a node of which no byte was written.
     pub(super) fn withdraw_unsent_at(&mut self, now: Instant, node: NodeId) {
-        for (id, no) in self.at_node.get(&node).cloned().unwrap_or_default() {
-            let ticket = self
-                .requests
-                .get(&id)
-                .and_then(|request| request.out.iter().find(|o| o.no == no))
-                .map(|o| &o.ticket);
-            if ticket.is_some_and(Ticket::withdraw) {
+        for key in self.attempts_at_node.get(&node).cloned().unwrap_or_default() {
+            if self.in_flight(key).is_some_and(|attempt| attempt.ticket.withdraw()) {
                 self.counters.withdrawn += 1;
-                self.finish_attempt(now, id, no, Outcome::Refused, None, Bytes::new());
+                self.finish_attempt(now, key, Outcome::Refused, None, Bytes::new());
             }
         }
     }
 }
+
+/// The key by which nodes recognise a retry: the host's generation and the request's number in it; 0 where the traffic class has none.
+fn idempotency_key(effect: Effect, generation: u64, serial: u64) -> u128 {
+    match effect {
+        Effect::IdempotentByKey { .. } => u128::from(generation) << u64::BITS | u128::from(serial),
+        Effect::Idempotent | Effect::NonIdempotent => 0,
+    }
+}
--- a/crates/host-core/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -14,7 +14,7 @@
 }
 
 impl Core {
-    /// A client's command, owed one answer. The caller has checked that the volume exists and holds the blocks.
+    /// A client's command. It gets one answer. The caller has checked that the volume exists and holds the blocks.
     pub fn handle_command(&mut self, now: Instant, command: ClientCommand) {
         self.counters.taken += 1;
         let from = command.from;
@@ -29,7 +29,7 @@
         if placement.deadline <= now || placement.parts.is_empty() || known {
             return self.reject(from, None);
         }
-        // A full table answers at once with when to retry; nothing is dropped in silence.
+        // A client that meets a full table gets an answer at once, with a retry-after: without an answer it would wait for its deadline.
         let usage = Usage { requests: placement.parts.len(), bytes: placement.bytes };
         if let Err(wait) = self.admission.admit(now, from.session, volume, usage) {
             self.counters.over_bound += 1;
@@ -51,13 +51,13 @@
             volume,
             access,
             traffic_class,
-            deadline: command.received_at + timeout - self.lead,
+            deadline: command.received_at + timeout - self.answer_lead,
             parts: self.layout.parts(volume, traffic_class, command.block, blocks),
             bytes: blocks as usize * block_bytes as usize,
         }
     }
 
-    /// Enters an admitted command, and hands a request for each of its parts to the scheduler.
+    /// Enters an admitted command in the tables, and reports a request for each of its parts to the scheduler.
     fn open_command(&mut self, now: Instant, command: ClientCommand, placement: &CommandPlacement) {
         let from = command.from;
         let ids: Vec<RequestId> = placement.parts.iter().map(|_| self.new_id()).collect();
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Queues the request of one part among its session's, and hands it to the scheduler.
+    /// Queues the request of one part among its session's, and reports it to the scheduler.
     fn open_request(
         &mut self,
         now: Instant,
@@ -139,8 +139,7 @@
         self.scheduler.request_tagged(id, tag);
     }
 
-    /// A request that its client has placed already, owed one answer. Volumes, keys and shards are as the client names
-    /// them.
+    /// A request that its client has placed already. It gets one answer. Volumes, keys and shards are as the client names them.
     pub fn handle_placed_request(&mut self, now: Instant, from: CommandRef, placed: PlacedRequest) {
         self.counters.taken += 1;
         if self.draining {
@@ -150,8 +149,8 @@
         if !configured || placed.left <= TimeDelta::ZERO || self.commands.contains_key(&from) {
             return self.reject(from, None);
         }
-        let in_use = |volume: usize| self.commands.values().any(|command| command.volume == volume);
-        let Some(volume) = self.volume_names.number(now, placed.volume, in_use) else {
+        let is_in_use = |volume: usize| self.commands.values().any(|command| command.volume == volume);
+        let Some(volume) = self.volume_names.number(now, placed.volume, is_in_use) else {
             self.counters.over_bound += 1;
             return self.reject(from, Some(self.longest_wait));
         };
@@ -163,7 +162,7 @@
         self.open_placed_request(now, from, volume, placed);
     }
 
-    /// Enters an admitted request that its client placed, and hands it to the scheduler.
+    /// Enters an admitted request that its client placed in the tables, and reports it to the scheduler.
     fn open_placed_request(&mut self, now: Instant, from: CommandRef, volume: usize, placed: PlacedRequest) {
         let (id, traffic_class) = (self.new_id(), placed.traffic_class.0 as usize);
         let command = OpenCommand {
@@ -201,7 +200,7 @@
         self.scheduler.request_arrived(now, request);
     }
 
-    /// The next number that no open request has. Answered ones keep theirs until their last attempt is back.
+    /// The next number that no request in the table has. An answered request stays there until its last attempt has ended.
     pub(super) fn new_id(&mut self) -> RequestId {
         loop {
             self.serial += 1;
@@ -217,24 +216,21 @@
         self.outputs.push_back(Output::Answer { to, verdict: Verdict::Rejected { retry_after } });
     }
 
-    /// The host shuts down: new commands are rejected, open ones go on.
+    /// The host shuts down: new commands are rejected, open ones are still worked on.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// The host ends now: each command still open has its answer at once. Rejected where nothing of it can have run,
+    /// The host ends now: each command that is still open is answered at once. It is rejected where no part of it can have run, and
     /// failed otherwise.
     pub fn close_open_commands(&mut self, now: Instant) {
         self.draining = true;
         let mut open: Vec<CommandRef> = self.commands.keys().copied().collect();
         open.sort();
         for from in open {
-            let Some(first) =
-                self.commands.get(&from).and_then(|c| c.parts.iter().find(|part| part.state.is_none()))
-            else {
-                continue;
-            };
-            let (id, retry_after) = (first.request, Some(self.longest_wait));
+            let Some(command) = self.commands.get(&from) else { continue };
+            let Some(open_part) = command.parts.iter().find(|part| part.state.is_none()) else { continue };
+            let (id, retry_after) = (open_part.request, Some(self.longest_wait));
             // As if the scheduler had rejected it: the parts together decide whether a retry is safe.
             self.finish_part(now, id, PartState::Rejected { ran: true, retry_after }, Bytes::new());
         }
@@ -242,10 +238,10 @@
 
     /// The client has aborted the command; no answer is wanted.
     pub fn handle_abort(&mut self, now: Instant, from: CommandRef) {
-        if let Some(c) = self.commands.remove(&from) {
+        if let Some(command) = self.commands.remove(&from) {
             self.counters.left += 1;
-            self.forget_command(now, from, &c);
-            for id in c.request_ids() {
+            self.forget_command(now, from, &command);
+            for id in command.request_ids() {
                 self.release_request(now, id);
             }
         }
@@ -259,12 +255,12 @@
         self.fair_queueing.session_closed(session);
     }
 
-    /// The request of one part has its end.
+    /// The request of one part has ended.
     pub(super) fn finish_part(&mut self, now: Instant, id: RequestId, mut end: PartState, data: Bytes) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.answered) else { return };
         let RequestIdentity { from, part, .. } = request.identity;
-        // A rejected part settles the whole command. What is still unsent of it is taken back before it is
-        // judged whether any of it may have run: an attempt that left in between would make the judgement false.
+        // A part that is not done settles the whole command. Its unsent attempts are withdrawn before it is decided whether any of it
+        // may have run: an attempt that a connection began to write in between would make a rejection unsafe to retry.
         let ids: Vec<RequestId> = match (end, self.commands.get(&from)) {
             (PartState::Done, _) | (_, None) => vec![id],
             (_, Some(command)) => command.request_ids(),
@@ -323,9 +319,10 @@
         }
     }
 
-    pub(super) fn forget_command(&mut self, now: Instant, from: CommandRef, c: &OpenCommand) {
-        let held = Usage { requests: c.parts.len(), bytes: c.bytes };
-        self.admission.release(now, from.session, c.volume, held);
+    /// A command has left the table: what it held there is free again.
+    fn forget_command(&mut self, now: Instant, from: CommandRef, command: &OpenCommand) {
+        let held = Usage { requests: command.parts.len(), bytes: command.bytes };
+        self.admission.release(now, from.session, command.volume, held);
         if let Some(open) = self.sessions.get_mut(&from.session) {
             open.remove(&from.command);
             if open.is_empty() {
--- a/crates/host-core/src/core/endpoint_list.rs
+++ b/crates/host-core/src/core/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Nodes as the list and operators have them.
+//! The endpoint list, and the state of nodes that follows from it, from overrides and from peers' lists.
 
 use super::*;
 
@@ -14,7 +14,8 @@
     ) {
         match kind {
             ListKind::Failed => return self.scheduler.nodes_changed(now, kind, &[]),
-            // Changes after a gap are applied all the same, above all drains; the complete list is fetched for the others.
+            // Changes are missing before these. These are applied all the same, since a drain among them must not wait; the complete
+            // list is fetched for what is missing.
             ListKind::Changes if from != self.list_version => self.outputs.push_back(Output::FetchList),
             _ => {}
         }
@@ -32,8 +33,8 @@
         if kind != ListKind::Changes {
             self.nodes.retain_listed(&known);
         }
-        let at_node = &self.at_node;
-        self.nodes.evict_gone(|node| at_node.contains_key(&node));
+        let attempts_at_node = &self.attempts_at_node;
+        self.nodes.evict_gone(|node| attempts_at_node.contains_key(&node));
         let node_facts: Vec<NodeFacts> = self.nodes.entries().filter_map(node_facts).collect();
         if let Some(override_requests) = &mut self.override_requests {
             override_requests.overrides.handle_endpoint_list(now, node_facts);
@@ -52,14 +53,15 @@
     /// Applies overrides, and removals by peers, to an entry of the list.
     pub(super) fn apply_overrides(&self, now: Instant, entry: &mut NodeEntry) {
         let address = self.nodes.address(entry.node).and_then(|a| a.parse().ok());
+        let requests = self.override_requests.as_ref();
         let effective =
-            self.override_requests.as_ref().zip(address).and_then(|(o, a)| o.overrides.effective(now, &a));
+            requests.zip(address).and_then(|(requests, address)| requests.overrides.effective(now, &address));
         if let Some(Effective { state, .. }) = effective {
             entry.state = state;
         }
-        // A newer list of a peer only takes nodes away.
-        let stopped = |a: &str| self.removed_nodes.takes(a, self.list_version);
-        if entry.state == NodeState::Ready && self.nodes.address(entry.node).is_some_and(stopped) {
+        // A newer list of a peer only removes nodes: what it adds is not known to be warmed up.
+        let is_removed = |address: &str| self.removed_nodes.contains(address, self.list_version);
+        if entry.state == NodeState::Ready && self.nodes.address(entry.node).is_some_and(is_removed) {
             entry.state = NodeState::Draining;
         }
     }
@@ -71,8 +73,7 @@
         let changed: Vec<_> = override_requests.overrides.poll_changed(now).into_iter().collect();
         for (address, effective) in changed {
             let Some(node) = self.nodes.number(&address.to_string()) else { continue };
-            let Some(entry) = self.nodes.entry(node) else { continue };
-            let mut entry = entry;
+            let Some(mut entry) = self.nodes.entry(node) else { continue };
             self.apply_overrides(now, &mut entry);
             self.scheduler.nodes_changed(now, ListKind::Changes, &[entry]);
             self.scheduler.node_overridden(now, node, effective.weight, effective.pinned);
@@ -83,14 +84,15 @@
         }
     }
 
-    /// What is still queued for a node that drains, or is out of service, must not reach it after the grace.
+    /// What is still queued for a node that drains, or is out of service, must not reach it after the grace: attempts of which no byte
+    /// was written are withdrawn now, and attempts that are still being written are cut before the grace is over.
     pub(super) fn withdraw_from_unavailable_nodes(&mut self, now: Instant) {
-        let used = self.at_node.keys().copied();
-        let stopped: Vec<NodeId> = used.filter(|n| self.is_unavailable(now, *n)).collect();
-        for node in stopped {
+        let in_use = self.attempts_at_node.keys().copied();
+        let unavailable: Vec<NodeId> = in_use.filter(|node| self.is_unavailable(now, *node)).collect();
+        for node in unavailable {
             self.withdraw_unsent_at(now, node);
-            if !self.cut_deadlines.iter().any(|(_, n)| *n == node) {
-                self.cut_deadlines.insert((now + self.grace, node));
+            if !self.cut_deadlines.iter().any(|(_, waiting)| *waiting == node) {
+                self.cut_deadlines.insert((now + self.cut_delay, node));
             }
         }
     }
@@ -103,13 +105,14 @@
         })
     }
 
-    /// A node said at the start of a link how long it has been up. Later than the list knows: it restarted, and what
-    /// waits for the link was meant for the node as it was. The link must not write before this has been heard.
-    pub fn handle_node_uptime(&mut self, now: Instant, node: NodeId, up: TimeDelta) {
-        if let Some(mut entry) = self.nodes.started(now, node, up) {
+    /// A node reported at the start of a connection how long it has been up. If that is less than the list says, the node has restarted.
+    ///
+    /// What waits for the connection was sent for a node that was warmed up, and would arrive as a burst at a node in slow start. So it
+    /// is withdrawn, and the scheduler decides anew. The connection must not write before the core has taken this report in.
+    pub fn handle_node_uptime(&mut self, now: Instant, node: NodeId, uptime: TimeDelta) {
+        if let Some(mut entry) = self.nodes.started(now, node, uptime) {
             self.apply_overrides(now, &mut entry);
             self.scheduler.nodes_changed(now, ListKind::Changes, &[entry]);
-            // Decided for a warm node: against a burst into a cold one at the first link after its start.
             self.withdraw_unsent_at(now, node);
         }
     }
--- a/crates/host-core/src/core/removed_nodes.rs
+++ b/crates/host-core/src/core/removed_nodes.rs
@@ -1,85 +1,108 @@
-//! Nodes that other hosts' newer node lists take away, while this host's own list is older, or its service has gone back.
+//! Nodes that peers' newer endpoint lists remove, while this host's own list is older.
+//!
+//! The watch of this host's list may be silent while a node drains, or its list service may have gone back to an older version. The host
+//! would go on sending to a node that is about to stop. So it sends nothing new to a node that a newer list of a peer shows as draining
+//! or gone.
 
 use super::*;
 use tackmast_membership::{NodeListEvent, NodeRemoval};
 
-/// Nodes that are held so, at most.
+/// Nodes that may be removed by peers' lists at a time.
 const MAX_REMOVED_NODES: usize = 4_096;
-/// Seconds for which a removal lasts at most: a list service that was reset counts from a low version again.
-const REMOVAL_S: f64 = 600.0;
+/// How long a removal lasts at most. A list service that was reset counts from a low version again, so this host's own list may never
+/// get past the version of the removal.
+const MAX_REMOVAL: TimeDelta = TimeDelta::from_millis(600_000);
 
-/// By address: the version that removes the node, and when the removal ends.
+/// A node that a newer list of a peer removes.
+struct Removal {
+    /// The version of that list.
+    version: u64,
+    /// When the removal ends, if this host's own list does not get past `version` before.
+    ends: Instant,
+}
+
+impl Removal {
+    /// Whether this host's own list, at that version, decides on the node again.
+    fn is_over(&self, now: Instant, own_version: u64) -> bool {
+        self.version <= own_version || self.ends <= now
+    }
+}
+
+/// The nodes that peers' lists remove.
 #[derive(Default)]
 pub(super) struct RemovedNodes {
-    held: BTreeMap<String, (u64, Instant)>,
-    full: bool,
+    by_address: BTreeMap<String, Removal>,
+    /// It has been reported that no more removals are accepted.
+    reported_full: bool,
 }
 
 impl RemovedNodes {
-    /// Whether it is not to be chosen by a host whose list is at that version.
-    pub(crate) fn takes(&self, address: &str, version: u64) -> bool {
-        self.held.get(address).is_some_and(|(v, _)| *v > version)
+    /// Whether a node is removed for a host whose own list is at that version.
+    pub(super) fn contains(&self, address: &str, own_version: u64) -> bool {
+        self.by_address.get(address).is_some_and(|removal| removal.version > own_version)
     }
 }
 
 impl Core {
-    /// What peers report of the node list. It only ever takes nodes away.
+    /// What peers report of their endpoint lists. It only ever removes nodes.
     pub(super) fn handle_peer_node_list(&mut self, now: Instant, event: NodeListEvent) {
         match event {
             NodeListEvent::Behind { .. } => self.outputs.push_back(Output::FetchList),
             NodeListEvent::RolledBack { from, to } => {
-                let kept_for = TimeDelta::from_secs(REMOVAL_S);
-                self.emit(EndpointListEvent::PeerListRolledBack { from, to, kept_for });
+                self.emit(EndpointListEvent::PeerListRolledBack { from, to, kept_for: MAX_REMOVAL });
             }
-            NodeListEvent::Removed { version, removal: stop } => self.remove_by_peer(now, version, stop),
+            NodeListEvent::Removed { version, removal } => self.remove_by_peer(now, version, removal),
         }
     }
 
-    fn remove_by_peer(&mut self, now: Instant, version: u64, stop: NodeRemoval) {
+    fn remove_by_peer(&mut self, now: Instant, version: u64, removed: NodeRemoval) {
         if version <= self.list_version {
             return;
         }
-        let known = self.removed_nodes.held.contains_key(&stop.address);
-        if !known && self.removed_nodes.held.len() >= MAX_REMOVED_NODES {
-            if !std::mem::replace(&mut self.removed_nodes.full, true) {
+        let removed_nodes = &mut self.removed_nodes;
+        let is_known = removed_nodes.by_address.contains_key(&removed.address);
+        if !is_known && removed_nodes.by_address.len() >= MAX_REMOVED_NODES {
+            if !std::mem::replace(&mut removed_nodes.reported_full, true) {
                 self.emit(EndpointListEvent::PeerRemovalsFull { max: MAX_REMOVED_NODES });
             }
             return;
         }
-        let until = now + TimeDelta::from_secs(REMOVAL_S);
-        let before = self.removed_nodes.held.insert(stop.address.clone(), (version, until));
-        if before.is_none() {
-            let (address, is_gone) = (stop.address.clone(), stop.gone);
+        let removal = Removal { version, ends: now + MAX_REMOVAL };
+        removed_nodes.by_address.insert(removed.address.clone(), removal);
+        if !is_known {
+            let (address, is_gone) = (removed.address.clone(), removed.gone);
             self.emit(EndpointListEvent::NodeRemovedByPeer { address, is_gone, version });
         }
-        self.refresh_nodes(now, &[stop.address]);
+        self.refresh_nodes(now, &[removed.address]);
     }
 
     /// Passes these nodes to the scheduler as they are now.
     fn refresh_nodes(&mut self, now: Instant, addresses: &[String]) {
-        for a in addresses {
-            let Some(mut entry) = self.nodes.number(a).and_then(|n| self.nodes.entry(n)) else { continue };
+        for address in addresses {
+            let node = self.nodes.number(address);
+            let Some(mut entry) = node.and_then(|node| self.nodes.entry(node)) else { continue };
             self.apply_overrides(now, &mut entry);
             self.scheduler.nodes_changed(now, ListKind::Changes, &[entry]);
         }
         self.withdraw_from_unavailable_nodes(now);
     }
 
-    /// This host's own list has changed: removals that it is past end, and peers learn its version.
+    /// This host's own list has changed: removals by older versions end, and peers learn the version of the list.
     pub(super) fn handle_own_node_list(&mut self, now: Instant) {
         let version = self.list_version;
-        let over = |v: &(u64, Instant)| v.0 <= version || v.1 <= now;
-        let ended: Vec<String> =
-            self.removed_nodes.held.iter().filter(|(_, v)| over(v)).map(|(a, _)| a.clone()).collect();
-        self.removed_nodes.held.retain(|_, v| !over(v));
-        self.removed_nodes.full &= !ended.is_empty();
+        let by_address = &mut self.removed_nodes.by_address;
+        let over = by_address.iter().filter(|(_, removal)| removal.is_over(now, version));
+        let ended: Vec<String> = over.map(|(address, _)| address.clone()).collect();
+        by_address.retain(|_, removal| !removal.is_over(now, version));
+        self.removed_nodes.reported_full &= !ended.is_empty();
         self.refresh_nodes(now, &ended);
         let Some(peers) = &mut self.peers else { return };
-        let stopped = self.nodes.entries().filter(|(_, entry)| entry.state != NodeState::Ready);
-        let removed_nodes: Vec<NodeRemoval> = stopped
-            .map(|(a, entry)| NodeRemoval { address: a.to_owned(), gone: entry.state == NodeState::Gone })
-            .collect();
-        peers.member.handle_node_list(now, version, removed_nodes);
+        let not_ready = self.nodes.entries().filter(|(_, entry)| entry.state != NodeState::Ready);
+        let removal = |(address, entry): (&str, &NodeEntry)| NodeRemoval {
+            address: address.to_owned(),
+            gone: entry.state == NodeState::Gone,
+        };
+        peers.member.handle_node_list(now, version, not_ready.map(removal));
         self.process_peer_events(now);
     }
 }
--- a/crates/host-core/src/core/slow_start.rs
+++ b/crates/host-core/src/core/slow_start.rs
@@ -1,19 +1,29 @@
-//! What the scheduler is told of nodes that have just started.
+//! The settings of slow start, as the scheduler gets them.
 
+use tackmast::interface::{SlowStartSettings, TimeDelta};
 use tackmast_config::SlowStartBlock;
 
-/// Shares of the configured figures of nodes in slow start that the scheduler gets. Within one window its guard lets out its part of
-/// the safe units at once, a quarter of them again by time, and four fifths of the multiple for what it saw a node do:
-/// 1.25 and 0.8 of the two figures. Where operators state figures without any margin, the two together would push a
-/// cold node over while its answers are quick errors (found in simulation); 1.25 x 0.4 + 0.8 x 0.6 can't.
-const SLOW_START_SAFE_SHARE: f64 = 0.4;
-const SLOW_START_MULTIPLE_SHARE: f64 = 0.6;
-/// The lowest of these shares, where the configured overload multiple is close to 1.
-const SLOW_START_MIN_SHARE: f64 = 0.05;
+/// The fraction of the configured safe units that the scheduler gets.
+///
+/// Within one window the scheduler sends its share of the safe units at once, a quarter of them again over time, and four fifths of the
+/// overload multiple for what it saw a node do: at most 1.25 times the safe units and 0.8 times the multiple. If operators state both
+/// without any margin, the sum overloads a node in slow start while its answers are quick errors. With these two fractions it can't:
+/// 1.25 x 0.4 + 0.8 x 0.6 is below 1.
+const SAFE_UNITS_FRACTION: f64 = 0.4;
+/// The fraction of the configured overload multiple that the scheduler gets; see `SAFE_UNITS_FRACTION`.
+const OVERLOAD_MULTIPLE_FRACTION: f64 = 0.6;
+/// The lowest factor on both, for an overload multiple that is close to 1.
+const MIN_SPARE_FRACTION: f64 = 0.05;
 
-/// Safe units and overload multiple for the scheduler. What a node has done makes room as well, up to all that it can
-/// do in the window; so burst and time share only what the multiple leaves beyond that.
-pub(super) fn slow_start_figures(c: &SlowStartBlock) -> (f64, f64) {
-    let spare = ((c.multiple - 1.0) / c.multiple).clamp(SLOW_START_MIN_SHARE, 1.0);
-    (c.safe_units * SLOW_START_SAFE_SHARE * spare, c.multiple * SLOW_START_MULTIPLE_SHARE * spare)
+/// Settings for the scheduler. What a node was seen to do gives capacity as well, up to all that it can do in a window; so safe units and
+/// multiple share only what the multiple leaves beyond that.
+pub(super) fn slow_start_settings(block: &SlowStartBlock) -> SlowStartSettings {
+    let spare = ((block.multiple - 1.0) / block.multiple).clamp(MIN_SPARE_FRACTION, 1.0);
+    SlowStartSettings {
+        safe_units: block.safe_units * SAFE_UNITS_FRACTION * spare,
+        initial_capacity: block.from,
+        duration: TimeDelta::from_secs(block.ramp_s),
+        window: TimeDelta::from_secs(block.window_s),
+        overload_multiple: block.multiple * OVERLOAD_MULTIPLE_FRACTION * spare,
+    }
 }
--- a/crates/host-core/src/core/tables.rs
+++ b/crates/host-core/src/core/tables.rs
@@ -1,8 +1,8 @@
-//! What the core remembers of open commands, their requests and the attempts in flight.
+//! The tables of the core: open commands, their requests and the attempts in flight.
 
 use super::*;
 
-/// What every attempt of a request says.
+/// What every attempt of a request carries.
 pub(super) struct AttemptPayload {
     pub key: u64,
     pub volume: u32,
@@ -12,8 +12,8 @@
 }
 
 impl AttemptPayload {
-    /// How many bytes an answer must bring; none: only its node knows.
-    pub(super) fn wanted(&self) -> Option<usize> {
+    /// How many bytes an answer must have; none: only the node knows.
+    pub(super) fn answer_bytes(&self) -> Option<usize> {
         match &self.work {
             AttemptWork::Read { length } => Some(*length as usize),
             AttemptWork::Write { .. } => Some(0),
@@ -22,12 +22,37 @@
     }
 }
 
-/// An attempt that has not had its end.
+/// The name of an attempt within the core: its request, and its number within that, from 0.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct AttemptKey {
+    pub request: RequestId,
+    pub number: u32,
+}
+
+/// How many low bits of an `AttemptId` hold the number of the attempt; the bits above hold the request.
+const ATTEMPT_NUMBER_BITS: u32 = 8;
+/// Selects the number of the attempt in an `AttemptId`.
+const ATTEMPT_NUMBER_MASK: u64 = (1 << ATTEMPT_NUMBER_BITS) - 1;
+
+impl AttemptKey {
+    pub(super) fn of(attempt: AttemptId) -> AttemptKey {
+        let request = RequestId((attempt.0 >> ATTEMPT_NUMBER_BITS) as u32);
+        AttemptKey { request, number: (attempt.0 & ATTEMPT_NUMBER_MASK) as u32 }
+    }
+
+    pub(super) fn id(self) -> AttemptId {
+        let number = u64::from(self.number) & ATTEMPT_NUMBER_MASK;
+        AttemptId(u64::from(self.request.0) << ATTEMPT_NUMBER_BITS | number)
+    }
+}
+
+/// An attempt that has not ended.
 pub(super) struct InFlightAttempt {
-    pub no: u32,
+    pub number: u32,
     pub node: NodeId,
-    pub sent: Instant,
-    pub until: Instant,
+    pub sent_at: Instant,
+    /// When it times out.
+    pub deadline: Instant,
     pub ticket: Ticket,
 }
 
@@ -45,11 +70,12 @@
     pub payload: AttemptPayload,
     pub traffic_class: usize,
     pub deadline: Instant,
+    /// Attempts that were sent.
     pub attempts: u32,
-    pub out: Vec<InFlightAttempt>,
-    /// Its place among its session's requests, until its first attempt leaves.
+    pub in_flight: Vec<InFlightAttempt>,
+    /// Its place among its session's requests, until its first attempt is sent.
     pub queue_ticket: Option<QueueTicket>,
-    /// Whether an attempt may have had an effect; those that are out count by their ticket.
+    /// Whether an attempt that has ended may have had an effect.
     pub ran: bool,
     pub answered: bool,
 }
@@ -68,15 +94,16 @@
             traffic_class,
             deadline,
             attempts: 0,
-            out: Vec::new(),
+            in_flight: Vec::new(),
             queue_ticket,
             ran: false,
             answered: false,
         }
     }
 
+    /// Whether an attempt, ended or in flight, may have had an effect.
     pub(super) fn may_have_run(&self) -> bool {
-        self.ran || self.out.iter().any(|o| o.ticket.is_claimed())
+        self.ran || self.in_flight.iter().any(|attempt| attempt.ticket.is_claimed())
     }
 }
 
@@ -93,7 +120,7 @@
     }
 }
 
-/// A command that is owed its answer.
+/// A command that has no answer yet.
 pub(super) struct OpenCommand {
     pub parts: Vec<OpenPart>,
     pub traffic_class: usize,
@@ -121,7 +148,3 @@
         all.freeze()
     }
 }
-
-pub(super) fn attempt_id(id: RequestId, no: u32) -> AttemptId {
-    AttemptId(u64::from(id.0) << 8 | u64::from(no & 0xff))
-}
--- a/crates/host-core/src/core/timeouts.rs
+++ b/crates/host-core/src/core/timeouts.rs
@@ -3,45 +3,57 @@
 use super::*;
 
 impl Core {
-    /// Time has passed: attempts whose time is up end.
+    /// Time has passed: what is due by now happens.
     pub fn handle_timeout(&mut self, now: Instant) {
         self.handle_override_timeout(now);
         self.handle_consensus_timeout(now);
-        if self.peers.as_ref().is_some_and(|peers| peers.member.poll_timeout() <= now) {
-            if let Some(peers) = &mut self.peers {
-                peers.member.handle_timeout(now);
-            }
-            self.process_peer_events(now);
-        }
-        while let Some((_, node)) = self.cut_deadlines.first().copied().filter(|(t, _)| *t <= now) {
+        self.handle_peer_timeout(now);
+        while let Some((_, node)) = self.cut_deadlines.first().copied().filter(|(due, _)| *due <= now) {
             self.cut_deadlines.pop_first();
-            let stopped = self.is_unavailable(now, node);
-            for (id, no) in self.at_node.get(&node).cloned().unwrap_or_default() {
-                let attempt =
-                    self.requests.get(&id).and_then(|request| request.out.iter().find(|o| o.no == no));
-                if stopped && attempt.is_some_and(|o| o.ticket.is_stuck()) {
-                    self.counters.cut += 1;
-                    self.outputs.push_back(Output::Cut { node, attempt: attempt_id(id, no) });
-                }
-            }
+            self.cut_stuck_attempts(now, node);
+        }
+        while let Some((_, key)) = self.attempt_deadlines.first().copied().filter(|(due, _)| *due <= now) {
+            self.time_out(now, key);
+        }
+    }
+
+    fn handle_peer_timeout(&mut self, now: Instant) {
+        let Some(peers) = self.peers.as_mut().filter(|peers| peers.member.poll_timeout() <= now) else {
+            return;
+        };
+        peers.member.handle_timeout(now);
+        self.process_peer_events(now);
+    }
+
+    /// Part of the grace of a drain is over. A node that takes no bytes would read an attempt that is still being written after the
+    /// grace, when it may have been replaced; so the connections of such attempts are cut.
+    fn cut_stuck_attempts(&mut self, now: Instant, node: NodeId) {
+        if !self.is_unavailable(now, node) {
+            return;
         }
-        while let Some((_, id, no)) = self.until.first().copied().filter(|(t, _, _)| *t <= now) {
-            let attempt = self.requests.get(&id).and_then(|request| request.out.iter().find(|o| o.no == no));
-            let Some((node, unsent, stuck)) =
-                attempt.map(|o| (o.node, o.ticket.withdraw(), o.ticket.is_stuck()))
-            else {
-                self.until.pop_first();
-                continue;
-            };
-            let outcome = if unsent { Outcome::Refused } else { Outcome::TimedOut };
-            match unsent {
-                true => self.counters.withdrawn += 1,
-                false => {
-                    self.counters.timed_out += 1;
-                    self.push_cancel(node, attempt_id(id, no), stuck);
-                }
+        for key in self.attempts_at_node.get(&node).cloned().unwrap_or_default() {
+            if self.in_flight(key).is_some_and(|attempt| attempt.ticket.is_stuck()) {
+                self.counters.cut += 1;
+                self.outputs.push_back(Output::Cut { node, attempt: key.id() });
             }
-            self.finish_attempt(now, id, no, outcome, None, Bytes::new());
         }
     }
+
+    /// Ends an attempt whose time is over. An attempt of which no byte was written is withdrawn: it provably did not run.
+    fn time_out(&mut self, now: Instant, key: AttemptKey) {
+        let Some(attempt) = self.in_flight(key) else {
+            self.attempt_deadlines.pop_first();
+            return;
+        };
+        let (node, was_unsent) = (attempt.node, attempt.ticket.withdraw());
+        let is_stuck = attempt.ticket.is_stuck();
+        if was_unsent {
+            self.counters.withdrawn += 1;
+            self.finish_attempt(now, key, Outcome::Refused, None, Bytes::new());
+            return;
+        }
+        self.counters.timed_out += 1;
+        self.push_cancel(node, key.id(), is_stuck);
+        self.finish_attempt(now, key, Outcome::TimedOut, None, Bytes::new());
+    }
 }
--- a/crates/host-core/src/override_requests.rs
+++ b/crates/host-core/src/override_requests.rs
@@ -361,7 +361,7 @@
     }
 
     /// When an override ends, or the next report is due.
-    pub(crate) fn next(&self, now: Instant) -> Option<Instant> {
+    pub(crate) fn poll_timeout(&self, now: Instant) -> Option<Instant> {
         [self.overrides.poll_timeout(now), Some(self.next_report_at)].into_iter().flatten().min()
     }
 }
