--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -14,6 +14,7 @@
 
 use self::slow_start::slow_start_settings;
 use self::tables::*;
+use crate::admin_request::{AdminRequest, AdminResponse, HostStatus};
 use crate::admission::{Admission, Usage};
 use crate::attempt::{AttemptId, AttemptResult, AttemptWork, SendAttempt};
 use crate::combine::{combine, Combined, KeySource, PartState};
@@ -26,11 +27,9 @@
 use crate::layout::{key_id, Access, Layout};
 use crate::nodes::{ListEntry, Nodes};
 use crate::output::{Counters, OpenCounts, Output};
-use crate::override_requests::{
-    AdminRequest, AdminResponse, HostStatus, OverrideOutcome, OverrideRequests, PersistBatch,
-    PersistedOverride,
-};
+use crate::override_requests::{OverrideOutcome, OverrideRequests, PersistedOverride};
 use crate::peers::{PeerEvent, Peers};
+use crate::persist_batch::PersistBatch;
 use crate::placed::{PlacedRequest, PlacedSettings, VolumeNames};
 use crate::plans::{
     AppliedChange, PersistedChange, PlanOutcome, PlanRequest, PlanResponse, PlanUpdate, Plans, StoredPlans,
--- a/crates/host-core/src/core/peers.rs
+++ b/crates/host-core/src/core/peers.rs
@@ -3,7 +3,8 @@
 use super::*;
 
 impl Core {
-    /// Against a host that restarts with outdated plans: a lower limit may apply by now.
+    /// Whether clients are to wait until this host knows the newest change of plans. A host that restarts may have outdated plans: a lower
+    /// limit may apply by now, which its volumes would exceed.
     pub(super) fn must_wait_for_catalog(&mut self, now: Instant) -> bool {
         if self.consensus.is_some() {
             // A host without a lease is in degraded mode, which covers this.
@@ -29,7 +30,7 @@
         self.apply_plan_updates(now, &updates);
         if self.consensus.is_some() {
             // Until it has a lease this host is in degraded mode.
-            let updates = self.plans.as_mut().map(|p| p.all_updates()).unwrap_or_default();
+            let updates = self.plans.as_mut().map(Plans::all_updates).unwrap_or_default();
             self.apply_plan_updates(now, &updates);
             self.process_consensus_outputs(now);
         }
@@ -42,8 +43,8 @@
 
     /// Passes changed plans to the scheduler, and changed limits to the quota leases.
     pub(super) fn apply_plan_updates(&mut self, now: Instant, updates: &[PlanUpdate]) {
-        for m in updates {
-            match m {
+        for update in updates {
+            match update {
                 PlanUpdate::Plan { plan, figures } => self.scheduler.plan_changed(now, *plan, *figures),
                 PlanUpdate::Volume { name, plan } => {
                     let Some(volume) = self.layout.volume_named(name) else { continue };
@@ -53,9 +54,9 @@
             }
         }
         let Some((peers, plans)) = self.peers.as_mut().zip(self.plans.as_ref()) else { return };
-        for v in self.layout.volumes() {
-            if let Some(limit) = plans.limit_of(&v.name) {
-                peers.member.leases.set_limit(v.lun, limit.limit);
+        for volume in self.layout.volumes() {
+            if let Some(limit) = plans.limit_of(&volume.name) {
+                peers.member.leases.set_limit(volume.lun, limit.limit);
             }
         }
     }
@@ -84,18 +85,20 @@
         if self.consensus.is_some() {
             return self.handle_replicated_plan_request(now, wall_us, request, plan_request);
         }
-        // Against two changes of one number: a home that has lost what others go by takes that back first.
+        // A home that has lost its store would give a new change the number of one that other hosts have applied, and the hosts would
+        // have different plans for good. So it takes back what the others have before it accepts a change.
         let writes = matches!(plan_request, PlanRequest::Apply { .. } | PlanRequest::Undo { .. });
-        if let Some(n) =
-            self.peers.as_ref().and_then(|peers| peers.member.catalog.missing()).filter(|_| writes)
-        {
+        let missing = self.peers.as_ref().and_then(|peers| peers.member.catalog.missing());
+        if let Some(missing) = missing.filter(|_| writes) {
             let newest = self.plans.as_ref().map_or(0, Plans::newest);
-            let why =
-                format!("others go by change {n}, this host by {newest}; ask again when it has caught up");
+            let why = format!(
+                "others go by change {missing}, this host by {newest}; ask again when it has caught up"
+            );
             let response = AdminResponse::Plan(PlanResponse::Refused { why });
             return self.outputs.push_back(Output::AdminResponse { request, response });
         }
-        let next = self.plans.as_mut().and_then(|p| p.handle_request(now, wall_us, request, plan_request));
+        let plans = self.plans.as_mut();
+        let next = plans.and_then(|plans| plans.handle_request(now, wall_us, request, plan_request));
         match next {
             None => {}
             Some(PlanOutcome::Persist { request, entry }) => {
@@ -106,8 +109,8 @@
                 self.outputs.push_back(Output::Persist { request, batch });
             }
             Some(PlanOutcome::Respond { request, mut response }) => {
-                if let (PlanResponse::Shown(s), Some(peers)) = (&mut response, &self.peers) {
-                    s.at = peers.member.catalog.peer_versions().clone();
+                if let (PlanResponse::Shown(status), Some(peers)) = (&mut response, &self.peers) {
+                    status.at = peers.member.catalog.peer_versions().clone();
                 }
                 self.outputs
                     .push_back(Output::AdminResponse { request, response: AdminResponse::Plan(response) });
@@ -115,20 +118,23 @@
         }
     }
 
-    /// Takes this host in among others.
+    /// This host takes part in membership from now on.
     pub fn with_peers(&mut self, now: Instant, peers: Peers) {
         if let Some(override_requests) = &mut self.override_requests {
             override_requests.me = Some(peers.me());
         }
         self.peers = Some(peers);
-        let alone = self.consensus.is_none();
-        if let Some((peers, plans)) = self.peers.as_mut().zip(self.plans.as_ref()).filter(|_| alone) {
-            peers.enable_catalog(plans);
+        let is_replicated_by_peers = self.consensus.is_none();
+        if let Some((peers, plans)) = self.peers.as_mut().zip(self.plans.as_ref()) {
+            if is_replicated_by_peers {
+                peers.enable_catalog(plans);
+            }
         }
         self.apply_plan_updates(now, &[]);
-        let standing = self.override_requests.as_ref().map(|o| o.overrides.list(now)).unwrap_or_default();
+        let requests = self.override_requests.as_ref();
+        let active = requests.map(|requests| requests.overrides.list(now)).unwrap_or_default();
         if let Some(peers) = &mut self.peers {
-            standing.iter().for_each(|(o, announce_leave)| peers.add_override(now, o, *announce_leave));
+            active.iter().for_each(|(record, left_s)| peers.add_override(now, record, *left_s));
         }
         self.process_peer_events(now);
     }
@@ -141,7 +147,8 @@
         }
     }
 
-    /// The host leaves gracefully and lends its limits; that it leaves is already persisted.
+    /// The host leaves gracefully and lends its quota to others. That it leaves has been persisted: else its next generation would use
+    /// what is still lent.
     pub fn begin_leave(&mut self, now: Instant) {
         if let Some(peers) = &mut self.peers {
             peers.member.begin_leave(now);
@@ -162,7 +169,7 @@
         self.peers.as_ref().is_some_and(|peers| peers.member.leases.is_leaving())
     }
 
-    /// Whether the mark of an earlier leave may go: nothing that was lent can be out any more.
+    /// Whether the persisted mark of an earlier leave may be removed: all quota leases of then have ended.
     pub fn have_earlier_leases_ended(&self, now: Instant) -> bool {
         self.peers.as_ref().is_none_or(|peers| peers.member.leases.have_earlier_leases_ended(now))
     }
@@ -174,11 +181,16 @@
             let Some(next) = peers.next(now, &self.layout) else { return };
             match next {
                 PeerEvent::AliveHosts(hosts) => self.scheduler.alive_hosts_changed(hosts),
-                PeerEvent::QuotaMoved { volume, m } => {
-                    let v = self.layout.volume(volume);
-                    let (id, plan) = (VolumeId(volume as u32), PlanId(v.plan));
-                    let leases = QuotaLeases { lent: m.lent, borrowed: m.borrowed, until: m.until };
-                    let change = LeaseChange { volume: id, plan, hosts: v.hosts, leases };
+                PeerEvent::QuotaChanged { volume, balance } => {
+                    let settings = self.layout.volume(volume);
+                    let leases =
+                        QuotaLeases { lent: balance.lent, borrowed: balance.borrowed, until: balance.until };
+                    let change = LeaseChange {
+                        volume: VolumeId(volume as u32),
+                        plan: PlanId(settings.plan),
+                        hosts: settings.hosts,
+                        leases,
+                    };
                     self.scheduler.quota_leases_changed(now, change);
                 }
                 PeerEvent::Send { to, bytes } => self.outputs.push_back(Output::Datagram { to, bytes }),
@@ -186,22 +198,22 @@
                 PeerEvent::AdminRequest { request, admin_request } => {
                     self.handle_admin_request(now, request, admin_request)
                 }
-                PeerEvent::Persist(r) => {
-                    let batch = PersistBatch { members: Some(r), ..PersistBatch::default() };
+                PeerEvent::Persist(members) => {
+                    let batch = PersistBatch { members: Some(members), ..PersistBatch::default() };
                     self.outputs.push_back(Output::Persist { request: 0, batch });
                 }
-                PeerEvent::NodeList(c) => self.handle_peer_node_list(now, c),
+                PeerEvent::NodeList(event) => self.handle_peer_node_list(now, event),
                 PeerEvent::ConsensusMessage { from, slot, body } => {
                     self.handle_consensus_message(now, from, slot, body)
                 }
-                PeerEvent::CatalogUpdate(p) => {
+                PeerEvent::CatalogUpdate(update) => {
                     let Some(plans) = &mut self.plans else { continue };
-                    let ends = peers.member.catalog.deadline(p.number, now);
-                    match plans.apply_peer_change(&p.text, ends) {
+                    let ends = peers.member.catalog.deadline(update.number, now);
+                    match plans.apply_peer_change(&update.text, ends) {
                         Ok(change) => self.apply_and_persist_change(now, change),
                         Err(why) => {
                             peers.member.catalog.handle_rejected();
-                            let (change, error) = (Some(p.number), why.to_string());
+                            let (change, error) = (Some(update.number), why.to_string());
                             self.emit(PlanEvent::ChangeRejected { change, error });
                         }
                     }
--- a/crates/host-core/src/lib.rs
+++ b/crates/host-core/src/lib.rs
@@ -8,25 +8,28 @@
 //! | --- | --- |
 //! | `core` | the state machine, its tables and settings |
 //! | `core::commands`, `core::attempts`, `core::timeouts` | commands of clients, attempts at nodes, time-outs |
-//! | `core::endpoint_list`, `core::removed_nodes`, `core::slow_start` | the node list, nodes that peers' newer lists remove, starts of nodes |
+//! | `core::endpoint_list`, `core::removed_nodes` | the endpoint list, nodes that peers' newer lists remove |
+//! | `core::slow_start` | settings of slow start for the scheduler |
 //! | `core::admin` | requests of operators, completed writes |
 //! | `core::peers` | datagrams of peers, and changes of plans |
 //! | `core::consensus`, `core::replicated_plans` | the replicated log, and requests about plans that it carries |
-//! | `command`, `attempt`, `output`, `error` | messages to and from the shell that drives the core |
-//! | `event` | what operators are told, and its way into the log |
+//! | `command`, `admin_request`, `attempt`, `output`, `persist_batch`, `error` | messages to and from the shell that drives the core |
+//! | `event` | events for operators, and their way into the log |
 //! | `admission` | bounds of the tables, by session and volume |
 //! | `combine` | one answer for a command of several parts |
 //! | `fair_queueing` | start-time fair queueing among the sessions of a volume |
 //! | `layout`, `placed` | where blocks of volumes lie; requests that clients have placed themselves |
 //! | `nodes` | addresses, numbers and starts of nodes |
-//! | `peers`, `members_status` | the other hosts: membership, quota leases, replicated overrides |
+//! | `peers` | the other hosts: membership, quota leases, replicated overrides |
+//! | `members_status` | what a host knows of the others, as operators see it |
 //! | `plans` | plans that change: the change log, and degraded mode |
 //! | `consensus` | the replica of this host, its messages and its status |
-//! | `override_requests` | requests of operators that set or clear overrides |
+//! | `override_requests` | requests of operators that set or clear overrides, one at a time |
 //! | `ticket` | the claim or withdrawal of an attempt, shared with its connection |
 
 #![warn(missing_docs, unreachable_pub)]
 
+mod admin_request;
 mod admission;
 mod attempt;
 mod combine;
@@ -42,11 +45,13 @@
 mod output;
 mod override_requests;
 mod peers;
+mod persist_batch;
 mod placed;
 mod plans;
 mod ticket;
 
 pub use crate::core::Core;
+pub use admin_request::{AdminRequest, AdminResponse, HostStatus};
 pub use attempt::{AttemptId, AttemptResult, AttemptWork, Begin, SendAttempt};
 pub use command::{ClientCommand, CommandRef, Verdict, Work};
 pub use consensus::{ConsensusDriver, ConsensusRequest, ConsensusResponse, ConsensusStart, ConsensusStatus};
@@ -58,8 +63,8 @@
 pub use members_status::{DeathStatus, MembersStatus, PeerStatus, SiteStatus};
 pub use nodes::{Age, ListEntry, NodeStart, Nodes};
 pub use output::{Counters, OpenCounts, Output};
-pub use override_requests::{AdminRequest, AdminResponse, HostStatus, PersistBatch};
 pub use peers::{member_settings, Peers};
+pub use persist_batch::PersistBatch;
 pub use placed::{OpaqueRequest, PlacedRequest, PlacedSettings};
 pub use plans::{PlanRequest, PlanResponse, PlanStatus, Plans, StoredPlans, VolumeLimit};
 pub use tackmast_membership::{KnownPeer, PersistedMembers, PreviousExit};
--- a/crates/host-core/src/members_status.rs
+++ b/crates/host-core/src/members_status.rs
@@ -1,9 +1,6 @@
 //! What a host knows of the others, as operators see it.
 
-use crate::peers::Peers;
 use serde::{Deserialize, Serialize};
-use tackmast::interface::Instant;
-use tackmast_membership::{LeaseStatus, MemberState, SiteHealth};
 
 /// A peer as this host sees it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -25,12 +22,12 @@
     /// Its site, where one is known.
     #[serde(default)]
     pub site: Option<u32>,
-    /// It flaps: no limit is borrowed from it until it stays alive.
+    /// Whether it flaps: no limit is borrowed from it until it stays alive.
     #[serde(default)]
     pub flaps: bool,
 }
 
-/// What a host thinks of a site.
+/// A site as a host sees it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SiteStatus {
     /// None: hosts without a site.
@@ -48,7 +45,7 @@
     pub state: String,
 }
 
-/// A host that was held dead.
+/// A host that was declared dead.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DeathStatus {
     /// The host.
@@ -60,7 +57,7 @@
     pub incarnation: u32,
     /// Seconds since.
     pub ago_s: f64,
-    /// This host found it itself; else it was heard.
+    /// Whether this host declared it; else a peer did.
     pub own: bool,
 }
 
@@ -69,15 +66,15 @@
 pub struct MembersStatus {
     /// None: it has no membership in its settings.
     pub host: Option<u32>,
-    /// Hosts that are thought to be alive, this one included.
+    /// Hosts that are believed to be alive, this one included.
     #[serde(rename = "there")]
     pub alive_hosts: u32,
     /// The others.
     pub peers: Vec<PeerStatus>,
-    /// By LUN: own part, lent, borrowed and needed, as shares of the limit.
+    /// By LUN: own, lent, borrowed and needed shares of the limit.
     #[serde(rename = "loans")]
     pub quota_leases: Vec<(u32, f64, f64, f64, f64)>,
-    /// Another generation of this host's number runs.
+    /// Whether another generation of this host's number runs.
     pub displaced: bool,
     /// Datagrams sent.
     pub sent: u64,
@@ -100,13 +97,13 @@
     /// Where others reach this host.
     #[serde(default)]
     pub address: String,
-    /// Of all that it knows: equal where views are equal.
+    /// A digest of the view: equal where views are equal.
     #[serde(default)]
     pub digest: u32,
-    /// For how long nothing has changed here, and nobody was heard of who knew otherwise.
+    /// Seconds for which this view has not changed, and no peer sent a different one.
     #[serde(default)]
     pub still_s: f64,
-    /// Steps by which it waits longer for answers, since they come late here.
+    /// The local health score: steps by which this host waits longer for answers to its probes, since they come late here.
     #[serde(default)]
     #[serde(rename = "strain")]
     pub local_health: u32,
@@ -116,8 +113,7 @@
     /// Hosts that were declared dead of late.
     #[serde(default)]
     pub deaths: Vec<DeathStatus>,
-    /// Suspicions begun and taken back, deaths found here, accusations of this host that it answered, and times it stood
-    /// still; news of hosts beyond the told number; changes of hosts that flap; times it took its number back.
+    /// Suspicions that began here.
     #[serde(default)]
     pub suspected: u64,
     /// Suspicions that their hosts refuted.
@@ -129,7 +125,7 @@
     /// Suspicions of this host that it refuted.
     #[serde(default)]
     pub accused: u64,
-    /// Times that this host stood still.
+    /// Times that this host was paused.
     #[serde(default)]
     pub pauses: u64,
     /// Updates about hosts beyond the configured number.
@@ -142,87 +138,3 @@
     #[serde(default)]
     pub taken_over: u64,
 }
-
-impl Peers {
-    /// What this host knows of the others.
-    pub fn status(&self, now: Instant) -> MembersStatus {
-        let (c, view) = (&self.member.counters, &self.member.view);
-        let (me, v) = (view.me(), view.counters);
-        MembersStatus {
-            host: Some(me.slot),
-            alive_hosts: self.member.live_count(),
-            peers: self.peer_statuses(now),
-            quota_leases: self.member.leases.status(now).into_iter().map(lease_row).collect(),
-            displaced: view.is_displaced(),
-            sent: c.sent,
-            sent_bytes: c.sent_bytes,
-            taken: c.received,
-            dropped: c.rejected + c.other_fleets + c.malformed + c.wrong_address + c.dropped,
-            generation: me.generation,
-            incarnation: me.incarnation,
-            site: me.site,
-            address: me.address.to_string(),
-            digest: view.digest(),
-            still_s: view.unchanged_for(now).secs(),
-            local_health: view.local_health_score(),
-            sites: self.site_statuses(),
-            deaths: self.death_statuses(now),
-            suspected: v.suspected,
-            refuted: v.refuted,
-            found_dead: v.declared_dead,
-            accused: v.accused,
-            pauses: v.pauses,
-            beyond: v.out_of_range,
-            damped: v.damped,
-            taken_over: v.taken_over,
-        }
-    }
-
-    fn peer_statuses(&self, now: Instant) -> Vec<PeerStatus> {
-        let view = &self.member.view;
-        let status = |(host, state): (u32, MemberState)| PeerStatus {
-            host,
-            health: state.health.to_string(),
-            address: state.address.to_string(),
-            generation: state.generation,
-            since_s: (now - state.since).secs(),
-            incarnation: state.incarnation,
-            site: state.site,
-            flaps: view.is_flapping(now, host),
-        };
-        self.member.snapshot().into_iter().map(status).collect()
-    }
-
-    fn site_statuses(&self) -> Vec<SiteStatus> {
-        let sites = self.member.view.sites().into_iter().map(|site| SiteStatus {
-            site: site.site,
-            alive: site.alive,
-            suspect: site.suspect,
-            dead: site.dead,
-            left: site.left,
-            state: match site.health {
-                SiteHealth::Reachable => "there",
-                SiteHealth::FailedTogether { .. } => "unheard as a whole",
-                SiteHealth::FailedOneByOne { .. } => "emptied one by one",
-                SiteHealth::Left => "left",
-            }
-            .into(),
-        });
-        sites.collect()
-    }
-
-    fn death_statuses(&self, now: Instant) -> Vec<DeathStatus> {
-        let deaths = self.member.view.deaths().map(|death| DeathStatus {
-            host: death.slot,
-            generation: death.generation,
-            incarnation: death.incarnation,
-            ago_s: (now - death.at).secs(),
-            own: death.declared_here,
-        });
-        deaths.collect()
-    }
-}
-
-fn lease_row(s: LeaseStatus) -> (u32, f64, f64, f64, f64) {
-    (s.volume, s.owned, s.lent, s.borrowed, s.needed)
-}
--- a/crates/host-core/src/output.rs
+++ b/crates/host-core/src/output.rs
@@ -1,9 +1,10 @@
 //! What the core makes its shell do, and its counters.
 
+use crate::admin_request::AdminResponse;
 use crate::attempt::{AttemptId, SendAttempt};
 use crate::command::{CommandRef, Verdict};
 use crate::event::HostEvent;
-use crate::override_requests::{AdminResponse, PersistBatch};
+use crate::persist_batch::PersistBatch;
 use bytes::Bytes;
 use tackmast::interface::NodeId;
 
--- a/crates/host-core/src/override_requests.rs
+++ b/crates/host-core/src/override_requests.rs
@@ -1,167 +1,26 @@
-//! Operators' overrides within the host core: requests are judged one at a time, persisted before they apply, and
-//! reach the scheduler as node states, weights and pins.
+//! Operators' overrides within the host core: requests are checked one at a time, persisted before they apply, and reach the scheduler
+//! as states, weights and pins of nodes.
 
+use crate::admin_request::{AdminRequest, AdminResponse};
 use crate::error::PersistError;
 use crate::event::OverrideEvent;
 use crate::peers::HostIdentity;
-use serde::{Deserialize, Serialize};
+use crate::persist_batch::PersistBatch;
 use std::collections::VecDeque;
-use std::net::SocketAddr;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_overrides::{
-    Audit, Explanation, Order, Origin, Override, OverrideId, Overrides, Preview, Refusal,
-};
+use tackmast_overrides::{Audit, Origin, Override, OverrideId, Overrides, Preview, Refusal};
 
-/// Requests that may wait for the one before them to be written.
+/// Requests that may wait for the one before them to be persisted.
 const MAX_QUEUED: usize = 256;
-/// Seconds between reports of active overrides in the log.
-const REPORT_INTERVAL_S: f64 = 3600.0;
+/// The time between two reports of active overrides in the log.
+const REPORT_INTERVAL: TimeDelta = TimeDelta::from_millis(3_600_000);
 /// Active overrides that such a report names one by one.
 const MAX_REPORTED_OVERRIDES: usize = 20;
 
-/// What an operator asks of one host.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum AdminRequest {
-    /// Set an override.
-    Set {
-        /// What is overridden, how, and for how long.
-        order: Order,
-        /// Whether it is set even where a shard would lose its last node.
-        force: bool,
-        /// Whether to tell only what would change.
-        dry_run: bool,
-        /// Set it only if the overrides are still at this version.
-        if_version: Option<u64>,
-    },
-    /// Clear an override.
-    Clear {
-        /// Which.
-        id: OverrideId,
-        /// Who asks.
-        who: String,
-    },
-    /// List the overrides that are set.
-    List,
-    /// Tell why a node is treated as it is.
-    Explain {
-        /// The node.
-        address: SocketAddr,
-    },
-    /// The status of this host.
-    Status,
-    /// What this host knows of the others.
-    Members,
-    /// About plans.
-    Plan(crate::PlanRequest),
-    /// About consensus.
-    #[serde(rename = "agreement")]
-    Consensus(crate::ConsensusRequest),
-}
-
-/// The answer to an `AdminRequest`.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum AdminResponse {
-    /// An override was set, or would be.
-    Set {
-        /// The override.
-        record: Override,
-        /// What it changes.
-        preview: Preview,
-        /// Whether it was only tried.
-        dry_run: bool,
-    },
-    /// An override was cleared.
-    Cleared {
-        /// Which.
-        id: OverrideId,
-    },
-    /// The overrides that are set.
-    List {
-        /// Their version.
-        version: u64,
-        /// Each with the seconds that it has left.
-        standing: Vec<(Override, f64)>,
-        /// Nodes on their way back to full load.
-        returning: usize,
-        /// Seconds until the last of them is back.
-        returning_within_s: f64,
-    },
-    /// Why a node is treated as it is.
-    Explain(Box<Explanation>),
-    /// The status of this host.
-    Status(Box<HostStatus>),
-    /// What this host knows of the others.
-    Members(Box<crate::MembersStatus>),
-    /// About plans.
-    Plan(crate::PlanResponse),
-    /// About consensus.
-    #[serde(rename = "agreement")]
-    Consensus(crate::ConsensusResponse),
-    /// It was refused.
-    Refused(Refusal),
-    /// It could not be written, so it does not apply.
-    NotKept {
-        /// Why not.
-        why: String,
-    },
-}
-
-/// A host as operators see it.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct HostStatus {
-    /// The host.
-    pub host: u32,
-    /// Overrides that are set.
-    pub overrides: usize,
-    /// Their version.
-    pub version: u64,
-    /// Nodes on their way back to full load.
-    pub returning: usize,
-    /// Hosts that are thought to be there, this one included; 0: it hears of none.
-    #[serde(default)]
-    #[serde(rename = "there")]
-    pub alive_hosts: u32,
-    /// Commands without an answer.
-    pub commands: usize,
-    /// Attempts in flight.
-    #[serde(rename = "legs")]
-    pub attempts: usize,
-    /// Commands received.
-    pub taken: u64,
-    /// Commands done.
-    pub done: u64,
-    /// Commands rejected.
-    #[serde(rename = "deferred")]
-    pub rejected: u64,
-    /// Commands failed.
-    #[serde(rename = "abandoned")]
-    pub failed: u64,
-    /// Address, state by the list, and effective state.
-    pub nodes: Vec<(SocketAddr, String, String)>,
-}
-
-/// What is to be written before the host acts on it; all of it or nothing.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct PersistBatch {
-    /// Overrides that were set.
-    pub put: Vec<Override>,
-    /// Overrides that ended.
-    pub remove: Vec<OverrideId>,
-    /// Entries of the audit trail.
-    pub audits: Vec<Audit>,
-    /// Changes of plans by number, as they are written; the checkpoint of the change log is number 0.
-    pub changes: Vec<(u64, Vec<u8>)>,
-    /// Peers for the next generation to contact, and this one's generation.
-    pub members: Option<tackmast_membership::PersistedMembers>,
-    /// A write of the replicated log.
-    pub consensus: Option<Box<tackmast_consensus::Write>>,
-}
-
+/// A change of the overrides that is being persisted.
 enum Pending {
-    Put(Box<(Override, Preview)>),
-    Clear(OverrideId, String),
+    Set { record: Box<Override>, preview: Box<Preview> },
+    Clear { id: OverrideId, who: String },
 }
 
 /// Overrides, and the one request at a time that changes them.
@@ -207,8 +66,8 @@
         OverrideRequests { overrides, pending: None, queued: VecDeque::new(), next_report_at: now, me: None }
     }
 
-    /// Answers a request, or starts writing what it asks for. Two overrides at once could each leave a shard its last node
-    /// that the other takes, so they are judged one after the other.
+    /// Answers a request, or begins to persist what it asks for. Two overrides at once could each take the node out of service that the
+    /// other leaves as the last of its shard, so a change waits until the one before it is persisted.
     pub(crate) fn handle_request(
         &mut self,
         now: Instant,
@@ -265,7 +124,7 @@
         let audit = Audit::set(&record, preview.forced_past.is_some());
         let batch =
             PersistBatch { put: vec![record.clone()], audits: vec![audit], ..PersistBatch::default() };
-        self.pending = Some((request, Pending::Put(Box::new((record, preview)))));
+        self.pending = Some((request, Pending::Set { record: Box::new(record), preview: Box::new(preview) }));
         OverrideOutcome::Persist { request, batch }
     }
 
@@ -277,7 +136,7 @@
             };
         };
         let audits = vec![Audit::cleared(wall_us, record, &who)];
-        self.pending = Some((request, Pending::Clear(id, who)));
+        self.pending = Some((request, Pending::Clear { id, who }));
         OverrideOutcome::Persist {
             request,
             batch: PersistBatch { remove: vec![id], audits, ..PersistBatch::default() },
@@ -290,22 +149,21 @@
         AdminResponse::List { version, standing, returning, returning_within_s }
     }
 
-    /// The store has written a change, and it applies, or could not, and it never does.
+    /// The store has written a change, which applies from now on, or could not write it, and it never applies.
     pub(crate) fn handle_persisted(
         &mut self,
         now: Instant,
         request: u64,
         result: Result<(), PersistError>,
     ) -> Option<PersistedOverride> {
-        let (_, pending) = self.pending.take_if(|(r, _)| *r == request)?;
+        let (_, pending) = self.pending.take_if(|(number, _)| *number == request)?;
         let (response, event) = match (pending, result) {
-            (Pending::Put(put), Err(error)) => {
-                let (record, _) = *put;
+            (Pending::Set { record, .. }, Err(error)) => {
                 let response = AdminResponse::NotKept { why: error.to_string() };
                 (response, OverrideEvent::NotWritten { target: record.target, error })
             }
-            (Pending::Put(put), Ok(())) => {
-                let (record, preview) = *put;
+            (Pending::Set { record, preview }, Ok(())) => {
+                let (record, preview) = (*record, *preview);
                 let event = OverrideEvent::Set {
                     id: record.id,
                     target: record.target,
@@ -317,12 +175,12 @@
                 self.overrides.put(now, record.clone());
                 (AdminResponse::Set { record, preview, dry_run: false }, event)
             }
-            (Pending::Clear(id, _), Err(error)) => {
+            (Pending::Clear { id, .. }, Err(error)) => {
                 let response = AdminResponse::NotKept { why: error.to_string() };
                 (response, OverrideEvent::ClearingNotWritten { id, error })
             }
-            // It may have ended while its clearing was written; either way it does not stand.
-            (Pending::Clear(id, who), Ok(())) => {
+            // The override may have ended while its clearing was persisted; either way it is not active any more.
+            (Pending::Clear { id, who }, Ok(())) => {
                 _ = self.overrides.clear(now, id, &who);
                 (AdminResponse::Cleared { id }, OverrideEvent::Cleared { id, who })
             }
@@ -343,7 +201,7 @@
         if now < self.next_report_at {
             return Vec::new();
         }
-        self.next_report_at = now + TimeDelta::from_secs(REPORT_INTERVAL_S);
+        self.next_report_at = now + REPORT_INTERVAL;
         let standing = self.overrides.list(now);
         let active = |(record, left_secs): &(Override, f64)| OverrideEvent::Active {
             id: record.id,
--- a/crates/host-core/src/peers.rs
+++ b/crates/host-core/src/peers.rs
@@ -1,8 +1,10 @@
-//! The other hosts, as the host core follows them: quota leases, how many are alive, and overrides that were set
-//! elsewhere. A host that receives nothing goes on with what it has.
+//! The other hosts, as the host core follows them: quota leases, how many are alive, and overrides that were set elsewhere. A host that
+//! receives nothing keeps what it has.
 
+mod status;
+
+use crate::admin_request::{AdminRequest, AdminResponse};
 use crate::layout::Layout;
-use crate::override_requests::{AdminRequest, AdminResponse};
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,10 +18,10 @@
 use tackmast_overrides::{Kind, Order, Origin, Override, OverrideId};
 use tackmast_wire::peer::Body;
 
-/// Requests that follow from peers' overrides have numbers from here on.
+/// Requests that follow from peers' overrides have numbers from this one on.
 const FIRST_PEER_REQUEST: u64 = 1 << 63;
 
-/// Membership, quota leases and replicated overrides of one host, and what the core was notified of.
+/// Membership, quota leases and replicated overrides of one host, and what the core knows of them already.
 pub struct Peers {
     /// The member that this host is.
     pub member: Member,
@@ -36,10 +38,10 @@
 /// What follows from messages of peers, and from the time.
 pub enum PeerEvent {
     AliveHosts(u32),
-    /// Of a volume by its place.
-    QuotaMoved {
+    /// The quota of a volume, by its index in the layout, has changed.
+    QuotaChanged {
         volume: usize,
-        m: QuotaBalance,
+        balance: QuotaBalance,
     },
     Send {
         to: SocketAddr,
@@ -63,41 +65,41 @@
     },
 }
 
-/// What a host's settings make of it as a member. `address` is where it listens; `recalled` are hosts that an earlier generation
-/// knew.
+/// The settings of the member that a host is. `address` is where it listens; `persisted` are hosts that an earlier generation knew.
 pub fn member_settings(
-    s: &HostSettings,
-    m: &MembershipBlock,
+    settings: &HostSettings,
+    block: &MembershipBlock,
     address: SocketAddr,
     generation: u64,
     previous_exit: PreviousExit,
     seed: u64,
-    recalled: Vec<KnownPeer>,
+    persisted: Vec<KnownPeer>,
 ) -> MemberSettings {
     let secs = TimeDelta::from_secs;
-    let shared_limits = s.volumes.iter().filter(|v| !v.through.is_empty()).map(|v| SharedLimit {
-        volume: v.lun,
-        limit: s.plans[v.plan as usize].limit,
-        owners: v.through.clone(),
+    let shared_volumes = settings.volumes.iter().filter(|volume| !volume.through.is_empty());
+    let shared_limits = shared_volumes.map(|volume| SharedLimit {
+        volume: volume.lun,
+        limit: settings.plans[volume.plan as usize].limit,
+        owners: volume.through.clone(),
     });
     MemberSettings {
-        fleet: m.fleet.clone(),
-        slot: s.host.number,
+        fleet: block.fleet.clone(),
+        slot: settings.host.number,
         generation,
-        address: m.advertise.unwrap_or(address),
-        site: s.host.site,
-        persisted: recalled,
-        seeds: m.seeds.clone(),
-        allowed_networks: m.admit.clone(),
+        address: block.advertise.unwrap_or(address),
+        site: settings.host.site,
+        persisted,
+        seeds: block.seeds.clone(),
+        allowed_networks: block.admit.clone(),
         view: ViewSettings {
-            protocol_period: secs(m.period_ms / 1e3),
-            max_hosts: s.host.hosts as usize,
+            protocol_period: secs(block.period_ms / 1e3),
+            max_hosts: settings.host.hosts as usize,
             extensions: Extensions::all(),
         },
         leases: LeaseSettings {
-            term: secs(m.term_s),
-            leave_term: secs(m.leave_s),
-            drift: m.drift,
+            term: secs(block.term_s),
+            leave_term: secs(block.leave_s),
+            drift: block.drift,
             owned: tackmast::policy::GUARANTEED_SHARE,
         },
         shared_limits: shared_limits.collect(),
@@ -116,7 +118,7 @@
 }
 
 impl Peers {
-    /// Takes this host in among others.
+    /// The member that this host is from now on.
     pub fn new(now: Instant, settings: MemberSettings) -> Self {
         Peers {
             max_hosts: settings.view.max_hosts as u32,
@@ -149,10 +151,10 @@
     }
 
     /// An override that is active here, to be replicated to peers.
-    pub fn add_override(&mut self, now: Instant, o: &Override, left_s: f64) {
-        let Some(origin) = o.origin else { return };
-        self.origins.insert(o.id, origin);
-        self.member.add_override(now, override_record(o, origin, left_s));
+    pub fn add_override(&mut self, now: Instant, record: &Override, left_s: f64) {
+        let Some(origin) = record.origin else { return };
+        self.origins.insert(record.id, origin);
+        self.member.add_override(now, override_record(record, origin, left_s));
     }
 
     /// Replicates an override that was set or cleared here.
@@ -163,8 +165,8 @@
                 self.add_override(now, record, left_s);
             }
             AdminResponse::Cleared { id } => {
-                if let Some(name) = self.origins.remove(id) {
-                    self.member.clear_override(name);
+                if let Some(origin) = self.origins.remove(id) {
+                    self.member.clear_override(origin);
                 }
             }
             _ => {}
@@ -173,15 +175,15 @@
 
     /// What follows next from messages and the time; none: nothing more at this moment.
     pub fn next(&mut self, now: Instant, layout: &Layout) -> Option<PeerEvent> {
-        if let Some(o) = self.member.poll_output() {
-            return Some(match o {
+        if let Some(output) = self.member.poll_output() {
+            return Some(match output {
                 Output::Send { to, bytes } => PeerEvent::Send { to, bytes },
                 Output::Event(event) => PeerEvent::Event(event),
-                Output::CatalogUpdate(p) => PeerEvent::CatalogUpdate(p),
-                Output::Persist(r) => PeerEvent::Persist(r),
-                Output::NodeList(c) => PeerEvent::NodeList(c),
+                Output::CatalogUpdate(update) => PeerEvent::CatalogUpdate(update),
+                Output::Persist(members) => PeerEvent::Persist(members),
+                Output::NodeList(event) => PeerEvent::NodeList(event),
                 Output::Consensus { from, slot, body } => PeerEvent::ConsensusMessage { from, slot, body },
-                Output::Override(d) => match self.request_of_event(d) {
+                Output::Override(event) => match self.request_of_event(event) {
                     Some(admin_request) => {
                         self.last_request += 1;
                         PeerEvent::AdminRequest { request: self.last_request, admin_request }
@@ -190,8 +192,8 @@
                 },
             });
         }
-        // Who has not been heard of counts as there: hosts that start at once, each thinking itself alone, would all send
-        // as if they were.
+        // A host that has not been heard of counts as alive. Else hosts that start at the same time would each believe to be alone, and
+        // together send many times what the nodes bear.
         let alive_hosts = self.max_hosts.saturating_sub(self.member.view.gone_count()).max(1);
         if alive_hosts != self.alive_hosts {
             self.alive_hosts = alive_hosts;
@@ -202,55 +204,58 @@
             self.volumes_to_check = self.member.leases.volumes().collect();
         }
         while let Some(lun) = self.volumes_to_check.pop() {
-            let (Some(m), Some(volume)) = (self.member.quota_balance(now, lun), layout.volume_of(lun)) else {
-                continue;
-            };
-            if self.quota_balances.insert(lun, m) != Some(m) {
-                return Some(PeerEvent::QuotaMoved { volume, m });
+            let Some(balance) = self.member.quota_balance(now, lun) else { continue };
+            let Some(volume) = layout.volume_of(lun) else { continue };
+            if self.quota_balances.insert(lun, balance) != Some(balance) {
+                return Some(PeerEvent::QuotaChanged { volume, balance });
             }
         }
-        // Checked again at each call: a datagram of the same moment may have moved something.
+        // All volumes are checked again at the next call: a datagram at the same time may have changed a quota.
         self.checked_at = None;
         None
     }
 
-    fn request_of_event(&self, d: OverrideEvent) -> Option<AdminRequest> {
-        match d {
-            OverrideEvent::Set { origin, record: order, seconds } => {
-                let kind = match order.kind {
+    fn request_of_event(&self, event: OverrideEvent) -> Option<AdminRequest> {
+        match event {
+            OverrideEvent::Set { origin, record, seconds } => {
+                let kind = match record.kind {
                     OverrideKind::Out => Kind::OutOfService,
                     OverrideKind::Pinned => Kind::Pinned,
-                    OverrideKind::Weight(w) => Kind::Weight(f64::from(w)),
+                    OverrideKind::Weight(weight) => Kind::Weight(f64::from(weight)),
                 };
-                let target = order.target.parse().ok()?;
-                let (reason, who, origin) = (order.reason, order.who, Some(origin));
+                let target = record.target.parse().ok()?;
+                let (reason, who, origin) = (record.reason, record.who, Some(origin));
                 let order = Order { target, kind, reason, who, seconds, origin };
-                // The host where it was set checked what it would take out; here it applies as there.
+                // The host where the override was set has checked what it would take out of service. It must apply here as there, even if
+                // this host would refuse it.
                 Some(AdminRequest::Set { order, force: true, dry_run: false, if_version: None })
             }
             OverrideEvent::Clear { origin } => {
-                let id = self.origins.iter().find(|(_, n)| **n == origin).map(|(id, _)| *id)?;
+                let mut origins = self.origins.iter();
+                let (id, _) = origins.find(|(_, known)| **known == origin)?;
+                let id = *id;
                 Some(AdminRequest::Clear { id, who: format!("host {}", origin.slot) })
             }
         }
     }
 }
 
-fn override_record(o: &Override, origin: Origin, left_s: f64) -> OverrideRecord {
+/// An override as it is sent to peers.
+fn override_record(record: &Override, origin: Origin, left_s: f64) -> OverrideRecord {
     OverrideRecord {
         slot: origin.slot,
         generation: origin.generation,
         number: origin.number,
-        kind: match o.kind {
+        kind: match record.kind {
             Kind::OutOfService => OverrideKind::Out,
             Kind::Pinned => OverrideKind::Pinned,
-            Kind::Weight(w) => OverrideKind::Weight(w as f32),
+            Kind::Weight(weight) => OverrideKind::Weight(weight as f32),
         },
-        target: o.target.to_string(),
-        reason: o.reason.clone(),
-        who: o.who.clone(),
+        target: record.target.to_string(),
+        reason: record.reason.clone(),
+        who: record.who.clone(),
         remaining_ms: (left_s.max(0.0) * 1e3) as u64,
-        total_ms: o.ends_us.saturating_sub(o.set_us) / 1000,
+        total_ms: record.ends_us.saturating_sub(record.set_us) / 1000,
         cleared: false,
     }
 }
