--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! | module | implements |
 //! | --- | --- |
-//! | `raft` | state and dispatch of one server (Raft, figures 2 and 4) |
+//! | `raft`, `raft::dispatch` | state of one server and its messages (Raft, figures 2 and 4) |
 //! | `raft::election` | votes (Raft, 5.2 and 5.4.1), pre-votes (thesis, 9.6), no votes while there is a leader (thesis, 4.2.3) |
 //! | `raft::leader`, `raft::leader_state` | proposals, heartbeats, stepping down without a majority (thesis, 6.2) |
 //! | `raft::replication`, `raft::progress` | AppendEntries by the leader (Raft, 5.3), commitment (Raft, 5.4.2) |
--- a/crates/consensus/src/raft/bootstrap.rs
+++ b/crates/consensus/src/raft/bootstrap.rs
@@ -6,7 +6,13 @@
 //! were committed in the first would be missing in it. So all initial voters have to run once, and a server without a log
 //! that meets a group with one only follows.
 
-use super::*;
+use super::RaftNode;
+use crate::event::ConsensusEvent;
+use crate::log::Snapshot;
+use crate::state::Write;
+use std::collections::BTreeSet;
+use tackmast::interface::Instant;
+use tackmast_wire::consensus::{DiskIdentity, Message, Voters};
 
 /// Heartbeat intervals between two requests of a replica that does not vote and waits for a log.
 const LEARNER_HEARTBEATS: f64 = 10.0;
--- a/crates/consensus/src/raft/commit.rs
+++ b/crates/consensus/src/raft/commit.rs
@@ -1,6 +1,7 @@
 //! Committed entries in order (Raft, section 5.3), and snapshots of what they led to (section 7).
 
-use super::*;
+use super::{RaftNode, RaftOutput};
+use bytes::Bytes;
 use tackmast_wire::consensus::MAX_STATE;
 
 impl RaftNode {
--- a/crates/consensus/src/raft/disk_identity.rs
+++ b/crates/consensus/src/raft/disk_identity.rs
@@ -4,7 +4,11 @@
 //! be elected, or an entry that is committed could be lost. So a voter is a host number together with the id of its disk.
 //! An old copy of a disk has the same id; each opening of a disk is counted and reported, so that voters recognise the copy.
 
-use super::*;
+use super::{RaftNode, Role};
+use crate::event::ConsensusEvent;
+use crate::fault::ConsensusFault;
+use crate::state::Write;
+use tackmast_wire::consensus::{DiskIdentity, Message};
 
 impl RaftNode {
     /// Whether a voter's message comes from the disk that votes for it, and not from an old copy of that disk.
--- a/crates/consensus/src/raft/election.rs
+++ b/crates/consensus/src/raft/election.rs
@@ -4,7 +4,12 @@
 //! connected again. Two rules prevent that: pre-votes (thesis, section 9.6), which raise no term, and voters that
 //! disregard requests for votes while they have contact with a leader (thesis, section 4.2.3).
 
-use super::*;
+use super::{RaftNode, Role};
+use crate::fault::ConsensusFault;
+use crate::state::HardState;
+use std::collections::BTreeSet;
+use tackmast::interface::Instant;
+use tackmast_wire::consensus::{DiskIdentity, LogPosition, Message};
 
 /// The fields of a RequestVote message.
 pub(super) struct VoteRequest {
@@ -22,6 +27,28 @@
     pub identity: DiskIdentity,
 }
 
+/// What decides whether a voter grants a pre-vote or a vote.
+struct VoteInputs {
+    /// Term that the candidate asks for.
+    candidate_term: u64,
+    /// Newest term that the voter has seen.
+    voter_term: u64,
+    /// Whether the candidate's log has all that the voter's log has, by its last entry (Raft, section 5.4.1).
+    is_log_up_to_date: bool,
+}
+
+impl VoteInputs {
+    /// A pre-vote answers whether a vote would be granted in that later term. It binds the voter to nothing.
+    fn allow_pre_vote(&self, has_leader_contact: bool) -> bool {
+        !has_leader_contact && self.is_log_up_to_date && self.candidate_term > self.voter_term
+    }
+
+    /// One vote in each term: `has_other_vote` is whether the voter has voted for another candidate in it, or leads it.
+    fn allow_vote(&self, has_other_vote: bool) -> bool {
+        self.candidate_term == self.voter_term && !has_other_vote && self.is_log_up_to_date
+    }
+}
+
 impl RaftNode {
     /// Begins a new election timeout: between one and two times the configured one, at random, so that rarely two servers
     /// start an election together and split the votes (Raft, section 9.3).
@@ -65,17 +92,19 @@
             return self.respond_to_vote(from, pre_vote, self.hard_state.term, false);
         }
         let is_up_to_date = last_log >= self.log.last() || self.has_fault(ConsensusFault::NoLogCheck);
+        let has_leader_contact = self.has_leader_contact(now);
         if pre_vote {
-            let granted = !self.has_leader_contact(now) && is_up_to_date && term > self.hard_state.term;
+            let granted = self.vote_inputs(term, is_up_to_date).allow_pre_vote(has_leader_contact);
             let response_term = if granted { term } else { self.hard_state.term };
             return self.respond_to_vote(from, pre_vote, response_term, granted);
         }
-        if self.has_leader_contact(now) {
+        if has_leader_contact {
             return;
         }
         self.observe_term(now, term);
-        let is_free = self.hard_state.voted_for.is_none_or(|candidate| candidate == from);
-        let granted = term == self.hard_state.term && is_free && is_up_to_date && !self.is_leader();
+        let voted_for_other = self.hard_state.voted_for.is_some_and(|candidate| candidate != from);
+        let has_other_vote = voted_for_other || self.is_leader();
+        let granted = self.vote_inputs(term, is_up_to_date).allow_vote(has_other_vote);
         if granted {
             self.record_vote(from);
             self.reset_election_timer(now);
@@ -83,6 +112,10 @@
         self.respond_to_vote(from, pre_vote, self.hard_state.term, granted);
     }
 
+    fn vote_inputs(&self, candidate_term: u64, is_log_up_to_date: bool) -> VoteInputs {
+        VoteInputs { candidate_term, voter_term: self.hard_state.term, is_log_up_to_date }
+    }
+
     /// Whether this server leads, or has had contact with one within the election timeout.
     fn has_leader_contact(&self, now: Instant) -> bool {
         let has_recent_contact = now - self.last_leader_contact < self.settings.election_timeout;
--- a/crates/consensus/src/raft/follower.rs
+++ b/crates/consensus/src/raft/follower.rs
@@ -1,6 +1,11 @@
 //! What a follower does with a leader's messages: AppendEntries (Raft, section 5.3) and InstallSnapshot (section 7).
 
-use super::*;
+use super::{RaftNode, RaftOutput, Role};
+use crate::event::ConsensusEvent;
+use crate::fault::ConsensusFault;
+use crate::log::Snapshot;
+use tackmast::interface::Instant;
+use tackmast_wire::consensus::{Entry, LogPosition, Message};
 
 /// The fields of an AppendEntries message.
 pub(super) struct AppendRequest {
--- a/crates/consensus/src/raft/leader.rs
+++ b/crates/consensus/src/raft/leader.rs
@@ -1,11 +1,15 @@
 //! A leader's proposals and heartbeat rounds. A leader without responses of a majority for long steps down (thesis, section
 //! 6.2): clients would else wait for commits that can't come, while another leader may have been elected.
 
-use super::leader_state::StoredReport;
+use super::leader_state::{LeaderState, StoredReport};
 use super::progress::Progress;
-use super::*;
+use super::{RaftNode, Role, MAX_APPEND_ENTRIES, MAX_UNCOMMITTED};
 use crate::error::ProposeError;
-use tackmast_wire::consensus::MAX_ENTRY;
+use crate::event::ConsensusEvent;
+use bytes::Bytes;
+use std::collections::BTreeSet;
+use tackmast::interface::Instant;
+use tackmast_wire::consensus::{Entry, EntryPayload, Message, MAX_ENTRY};
 
 /// Least number of heartbeat intervals between two rounds, however many requests wait for one.
 const MIN_ROUND_HEARTBEATS: f64 = 0.2;
--- a/crates/consensus/src/raft/learner.rs
+++ b/crates/consensus/src/raft/learner.rs
@@ -1,7 +1,10 @@
 //! Learners: replicas that do not vote (thesis, section 4.2.1) and take only what is committed. Unlike in Raft as published
 //! no leader tracks their progress, as there are hundreds of them: each fetches what it lacks from any voter.
 
-use super::*;
+use super::{RaftNode, RaftOutput, MAX_APPEND_BYTES, MAX_APPEND_ENTRIES};
+use crate::log::Snapshot;
+use tackmast::interface::Instant;
+use tackmast_wire::consensus::{Entry, Message};
 
 /// Heartbeat intervals without a response after which a learner sends its request again.
 const RETRY_HEARTBEATS: f64 = 3.0;
--- a/crates/consensus/src/raft/leases.rs
+++ b/crates/consensus/src/raft/leases.rs
@@ -7,7 +7,10 @@
 
 use super::leader_state::{StoredReport, WaitingRequest};
 use super::replication::nth_largest;
-use super::*;
+use super::{RaftNode, Role};
+use crate::fault::ConsensusFault;
+use tackmast::interface::Instant;
+use tackmast_wire::consensus::{DiskIdentity, Message};
 
 /// Greatest number of hosts whose reports and requests a leader keeps.
 const MAX_TRACKED_HOSTS: usize = 100_000;
--- a/crates/consensus/src/raft/membership.rs
+++ b/crates/consensus/src/raft/membership.rs
@@ -1,9 +1,12 @@
 //! Changes of voters, one at a time (Ongaro's thesis, section 4.1): the majorities of two configurations that differ by one
 //! voter always overlap. A configuration counts from when it is appended, committed or not.
 
-use super::*;
+use super::leader_state::LeaderState;
+use super::{RaftNode, Role, MAX_UNCOMMITTED};
 use crate::error::{ProposeError, VoterChangeError};
-use tackmast_wire::consensus::MAX_VOTERS;
+use crate::fault::ConsensusFault;
+use tackmast::interface::Instant;
+use tackmast_wire::consensus::{EntryPayload, MAX_VOTERS};
 
 impl RaftNode {
     /// Makes `host` a voter, with the disk that it reported; the index of the entry with the new configuration.
--- a/crates/consensus/src/raft/persistence.rs
+++ b/crates/consensus/src/raft/persistence.rs
@@ -5,7 +5,11 @@
 //! on. Writes are numbered and done in order; a message waits for the last write that was made before it, and so for all
 //! that it depends on.
 
-use super::*;
+use super::{RaftNode, RaftOutput, Role};
+use crate::event::ConsensusEvent;
+use crate::state::{LogSuffix, Write};
+use tackmast::interface::Instant;
+use tackmast_wire::consensus::{Entry, Message};
 
 /// Greatest number of messages that wait for the disk. Further ones are dropped, which Raft treats like a loss on the network.
 const MAX_DELAYED_MESSAGES: usize = 4096;
--- a/crates/consensus/src/raft/recovery.rs
+++ b/crates/consensus/src/raft/recovery.rs
@@ -1,8 +1,17 @@
 //! What an operator does by hand after most voters are lost for good: one server begins a new log alone from what is
 //! committed on it, and the others discard theirs to follow it. Not part of Raft as published.
 
-use super::*;
+use super::bootstrap::BootstrapState;
+use super::learner::FetchState;
+use super::{RaftNode, Role};
 use crate::error::RecoveryError;
+use crate::event::ConsensusEvent;
+use crate::log::Snapshot;
+use crate::state::{HardState, LogSuffix, Write};
+use bytes::Bytes;
+use std::collections::BTreeSet;
+use tackmast::interface::Instant;
+use tackmast_wire::consensus::{LogPosition, Voters};
 
 /// Election timeouts without a leader before an operator may force a new log. A group that elects is not to be overridden.
 const SILENT_ELECTION_TIMEOUTS: f64 = 10.0;
--- a/crates/consensus/src/raft/replication.rs
+++ b/crates/consensus/src/raft/replication.rs
@@ -2,7 +2,11 @@
 //! index by what a majority has on disk (section 5.4.2).
 
 use super::progress::Progress;
-use super::*;
+use super::{RaftNode, Role, MAX_APPEND_BYTES, MAX_APPEND_ENTRIES};
+use crate::fault::ConsensusFault;
+use crate::log::Snapshot;
+use tackmast::interface::Instant;
+use tackmast_wire::consensus::{DiskIdentity, Entry, EntryPayload, Message};
 
 /// Bytes of commands above which a message counts as large, as it takes many datagrams.
 const LARGE_APPEND_BYTES: usize = 8 << 10;
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,14 +1,18 @@
 //! One replica of the group: a Raft server, its lease, and its own proposals on their way to the leader. This is the state
 //! machine that a host drives: `handle_…` and `on_…` take inputs, `poll_…` gives outputs and the next timeout.
+//!
+//! `lease_requests` has its lease and reads, `proposals` its proposals, `sessions` keeps each proposal from being applied
+//! twice, `effective` knows when a commit is effective.
 
 mod effective;
+mod lease_requests;
 mod proposals;
 mod sessions;
 
-use crate::error::{ProposeError, RecoveryError};
+use crate::error::RecoveryError;
 use crate::event::ConsensusEvent;
 use crate::fault::ConsensusFault;
-use crate::lease::{Lease, LeaseGrant, LeaseState};
+use crate::lease::Lease;
 use crate::log::Snapshot;
 use crate::output::ReplicaOutput;
 use crate::raft::{RaftNode, RaftOutput};
@@ -16,10 +20,11 @@
 use crate::status::Status;
 use bytes::Bytes;
 use effective::CommitTimes;
+use lease_requests::lease_grant;
 use proposals::PendingProposal;
 use sessions::{Proposal, Sessions};
 use std::collections::{BTreeSet, VecDeque};
-use tackmast::interface::{Instant, TimeDelta};
+use tackmast::interface::Instant;
 use tackmast_wire::consensus::{EntryPayload, Message};
 
 /// Lease requests in a row without a response after which the replica asks another voter for the leader.
@@ -92,24 +97,6 @@
         self
     }
 
-    /// Starts a linearizable read; returns a number for `is_read_ready`.
-    pub fn request_read(&mut self, now: Instant) -> u32 {
-        self.lease.request_now(now);
-        let sequence = self.request_lease_if_due(now);
-        self.drain_raft(now);
-        sequence
-    }
-
-    /// Whether all that was committed when the read was requested is here.
-    pub fn is_read_ready(&self, sequence: u32) -> bool {
-        self.lease.read_index(sequence).is_some_and(|index| self.raft.commit_index() >= index)
-    }
-
-    /// Whether this replica may treat what it has as the newest.
-    pub fn lease_state(&self, now: Instant) -> LeaseState {
-        self.lease.state(now)
-    }
-
     /// Index of the last entry that is committed as far as this replica knows.
     pub fn commit_index(&self) -> u64 {
         self.raft.commit_index()
@@ -194,25 +181,6 @@
         }
     }
 
-    fn on_lease_granted(&mut self, now: Instant, from: u32, grant: LeaseGrant) {
-        self.lease.on_granted(now, grant);
-        self.leader_hint = Some(from);
-        self.raft.on_commit_advertised(now, from, grant.index);
-    }
-
-    fn on_leader_hint(&mut self, now: Instant, from: u32, leader: Option<u32>) {
-        let named = leader.filter(|leader| *leader != from);
-        self.lease.on_response();
-        if named == self.leader_hint {
-            return;
-        }
-        self.leader_hint = named;
-        if named.is_some() {
-            self.lease.request_now(now);
-            self.retry_first_proposal(now);
-        }
-    }
-
     /// The write of that number and all before it are on disk.
     pub fn on_persisted(&mut self, now: Instant, write_id: u64) {
         self.raft.on_persisted(now, write_id);
@@ -260,26 +228,6 @@
         self.outputs.pop_front()
     }
 
-    /// The number of the request; 0 if none was due.
-    fn request_lease_if_due(&mut self, now: Instant) -> u32 {
-        let Some(sequence) = self.lease.poll_request(now) else { return 0 };
-        let (stored_index, identity) = (self.raft.persisted_commit_index(), self.raft.identity());
-        if let Some(to) = self.leader_or_next_voter() {
-            self.send(now, to, Message::RequestLease { sequence, stored_index, identity });
-        }
-        sequence
-    }
-
-    /// The leader as far as it is known; else each of the voters in turn.
-    fn leader_or_next_voter(&mut self) -> Option<u32> {
-        if let Some(leader) = self.leader() {
-            return Some(leader);
-        }
-        let voters = self.raft.voters_to_ask();
-        self.next_voter = self.next_voter.wrapping_add(1);
-        voters.get(self.next_voter % voters.len().max(1)).copied()
-    }
-
     fn send(&mut self, now: Instant, to: u32, message: Message) {
         if to != self.me {
             return self.outputs.push_back(ReplicaOutput::Send { to, message });
@@ -318,13 +266,6 @@
         }
     }
 
-    /// A leader grants the lease of its own replica as well.
-    fn on_message_to_itself(&mut self, now: Instant, message: Message) {
-        if let Message::LeaseGranted { sequence, index, duration_ms, .. } = message {
-            self.lease.on_granted(now, lease_grant(sequence, index, duration_ms));
-        }
-    }
-
     fn begin_snapshot(&mut self, index: u64) -> ReplicaOutput {
         let drops_sessions = self.fault == Some(ConsensusFault::SnapshotDropsSessions);
         let sessions = if drops_sessions { Sessions::default() } else { self.sessions.clone() };
@@ -352,22 +293,4 @@
         }
         Some(ReplicaOutput::Committed { index, data, own_proposal })
     }
-
-    fn report_lease_change(&mut self, now: Instant) {
-        let is_valid = self.lease.state(now).is_valid();
-        if is_valid == self.lease_was_valid {
-            return;
-        }
-        self.lease_was_valid = is_valid;
-        let commit_index = self.raft.commit_index();
-        self.outputs.push_back(ReplicaOutput::Event(match is_valid {
-            true => ConsensusEvent::LeaseValid { commit_index },
-            false => ConsensusEvent::LeaseExpired { commit_index },
-        }));
-    }
-}
-
-fn lease_grant(sequence: u32, index: u64, duration_ms: u32) -> LeaseGrant {
-    let duration = TimeDelta::from_secs(f64::from(duration_ms) / 1e3);
-    LeaseGrant { sequence, index, duration }
 }
--- a/crates/consensus/src/replica/proposals.rs
+++ b/crates/consensus/src/replica/proposals.rs
@@ -2,8 +2,12 @@
 //! first, the earlier one would count as a duplicate and be lost.
 
 use super::sessions::{Proposal, ProposalId, PROPOSAL_HEADER_LEN};
-use super::*;
-use tackmast_wire::consensus::MAX_ENTRY;
+use super::Replica;
+use crate::error::ProposeError;
+use crate::output::ReplicaOutput;
+use bytes::Bytes;
+use tackmast::interface::Instant;
+use tackmast_wire::consensus::{Message, MAX_ENTRY};
 
 /// Greatest number of proposals that wait.
 const MAX_PENDING_PROPOSALS: usize = 256;
