--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -26,6 +26,7 @@
 mod member_state;
 mod member_table;
 mod merge;
+mod random;
 mod settings;
 mod sites;
 mod suspicion;
@@ -107,7 +108,7 @@
         settings: ViewSettings,
         seed: u64,
     ) -> Self {
-        let mut random = random_generator(seed);
+        let mut random = random::generator(seed);
         // Hosts that start together would else send their pings together, in bursts.
         let first_period = TimeDelta::from_secs(settings.protocol_period.secs() * random.rand_float());
         let mut view = View {
@@ -328,18 +329,3 @@
         self.events.pop_front()
     }
 }
-
-/// A random number generator. Consecutive seeds give this generator similar first numbers, so that hosts with such seeds
-/// would all ping the same member at the same time; the seed is spread over all bits first.
-fn random_generator(seed: u64) -> oorandom::Rand64 {
-    let (high, low) = (mix_bits(seed), mix_bits(!seed));
-    oorandom::Rand64::new(u128::from(high) << 64 | u128::from(low))
-}
-
-/// The finaliser of SplitMix64 (Steele, Lea and Flood, 2014).
-fn mix_bits(seed: u64) -> u64 {
-    let mut bits = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    bits ^ (bits >> 31)
-}
--- /dev/null
+++ b/crates/membership/src/view/random.rs
@@ -0,0 +1,16 @@
+//! The random number generator of a view.
+
+/// A random number generator. Consecutive seeds give this generator similar first numbers, so that hosts with such seeds
+/// would all ping the same member at the same time; the seed is spread over all bits first.
+pub(super) fn generator(seed: u64) -> oorandom::Rand64 {
+    let (high, low) = (mix_bits(seed), mix_bits(!seed));
+    oorandom::Rand64::new(u128::from(high) << 64 | u128::from(low))
+}
+
+/// The finaliser of SplitMix64 (Steele, Lea and Flood, 2014).
+fn mix_bits(seed: u64) -> u64 {
+    let mut bits = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    bits ^ (bits >> 31)
+}
