--- a/crates/benchmarks/src/lib.rs
+++ b/crates/benchmarks/src/lib.rs
@@ -20,8 +20,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tackmast_emulators::list::NodeList;
-use tackmast_emulators::model::Nature;
-use tackmast_emulators::node::{Marks, Node, NodeSettings};
+use tackmast_emulators::model::NodeBehavior;
+use tackmast_emulators::node::{IdempotencyKeys, Node, NodeSettings};
 use tackmast_trace::Recorder;
 use tackmast_wire::list::{Entry, State};
 
@@ -81,22 +81,22 @@
 
 impl Bench {
     pub fn start(binary: &Path, dir: &Path, nodes: usize) -> Result<Bench, String> {
-        let marks = Arc::new(Marks::default());
+        let marks = Arc::new(IdempotencyKeys::default());
         let start = |shard: usize| {
             Node::start(NodeSettings {
                 address: loopback(),
                 shard: shard as u32,
                 zone: 0,
-                nature: Nature { unit_s: 0.0, queue: 100_000, ..Nature::default() },
+                behavior: NodeBehavior { unit_s: 0.0, queue: 100_000, ..NodeBehavior::default() },
                 seed: 1,
                 max_data: 1 << 20,
                 report_every: Duration::from_millis(100),
-                marks: marks.clone(),
+                idempotency_keys: marks.clone(),
                 window_s: 1.0,
-                cold: false,
+                has_just_started: false,
                 store: Arc::default(),
                 receive_bytes: 0,
-                front: None,
+                advertised_address: None,
                 recorder: Recorder::off(),
             })
         };
--- a/crates/benchmarks/src/load.rs
+++ b/crates/benchmarks/src/load.rs
@@ -7,7 +7,7 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
-use tackmast_emulators::initiator::{Ask, AskWork, Initiator, Login, Reply};
+use tackmast_emulators::initiator::{Initiator, IoOperation, IoRequest, LabelledReply, Login, Reply};
 use tackmast_trace::{now_us, Recorder};
 use tackmast_wire::iscsi::Digests;
 use tackmast_wire::node::{self, Frame, NodeOutcome, Origin, SendAttempt, Work};
@@ -87,7 +87,7 @@
             name: "iqn.2026-12.org.tackmast:measure".into(),
             digests: Digests::default(),
             deadline_ms: None,
-            patience: Duration::from_secs(10),
+            timeout: Duration::from_secs(10),
         };
         let (to, replies) = crossbeam_channel::unbounded();
         let client = Initiator::login(&login, 0, to, Recorder::off()).map_err(|e| format!("login: {e}"))?;
@@ -98,10 +98,11 @@
         let mut chance = oorandom(seed);
         let send = |label: u64, sent: &mut HashMap<u64, u64>, draw: u64| {
             sent.insert(label, now_us());
-            let work = AskWork::Read { blocks: self.blocks };
+            let operation = IoOperation::Read { blocks: self.blocks };
             let block = draw % 100_000 * 8;
-            let ask = Ask { lun: 0, traffic_class: 0, block, block_bytes: 512, work, deadline_us: 0 };
-            client.ask(label, &ask, Duration::from_secs(1))
+            let ask =
+                IoRequest { lun: 0, traffic_class: 0, block, block_bytes: 512, operation, deadline_us: 0 };
+            client.submit(label, &ask, Duration::from_secs(1))
         };
         let mut open = 0;
         while Instant::now() < until || open > 0 {
@@ -113,7 +114,7 @@
             if open == 0 {
                 break;
             }
-            let Ok((label, reply)) = replies.recv_timeout(Duration::from_secs(10)) else {
+            let Ok(LabelledReply { label, reply }) = replies.recv_timeout(Duration::from_secs(10)) else {
                 return Err("no answer in 10 s".into());
             };
             open -= 1;
--- a/crates/benchmarks/src/truth.rs
+++ b/crates/benchmarks/src/truth.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 use tackmast_client::{Client, Op, Options, Outcome, Protocol};
 use tackmast_emulators::list::NodeList;
-use tackmast_emulators::model::Nature;
-use tackmast_emulators::node::{Marks, Node, NodeSettings};
+use tackmast_emulators::model::NodeBehavior;
+use tackmast_emulators::node::{IdempotencyKeys, Node, NodeSettings};
 use tackmast_host::Host;
 use tackmast_simulator::{settings, World};
 use tackmast_trace::Recorder;
@@ -91,22 +91,27 @@
 }
 
 fn on_loopback(w: &World, load: &Load) -> Result<Vec<Figures>, String> {
-    let marks = Arc::new(Marks::default());
+    let marks = Arc::new(IdempotencyKeys::default());
     let start = |shard: u32| {
         Node::start(NodeSettings {
             address: loopback(),
             shard,
             zone: shard % 3,
-            nature: Nature { unit_s: w.unit_s, cores: w.cores, queue: 400, ..Nature::default() },
+            behavior: NodeBehavior {
+                unit_s: w.unit_s,
+                cores: w.cores,
+                queue: 400,
+                ..NodeBehavior::default()
+            },
             seed: u64::from(shard),
             max_data: 1 << 20,
             report_every: Duration::from_millis(100),
-            marks: marks.clone(),
+            idempotency_keys: marks.clone(),
             window_s: 2.0,
-            cold: false,
+            has_just_started: false,
             store: Arc::default(),
             receive_bytes: 0,
-            front: None,
+            advertised_address: None,
             recorder: Recorder::off(),
         })
     };
--- a/crates/cli/src/emulators.rs
+++ b/crates/cli/src/emulators.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tackmast_emulators::list::{ListFault, NodeList};
-use tackmast_emulators::model::Nature;
-use tackmast_emulators::node::{Fault, Marks, Node, NodeSettings};
+use tackmast_emulators::model::NodeBehavior;
+use tackmast_emulators::node::{Fault, IdempotencyKeys, Node, NodeSettings};
 use tackmast_trace::Recorder;
 use tackmast_wire::list::{Entry, State};
 
@@ -46,27 +46,27 @@
 
 pub fn node(a: &NodeArguments) -> Result<ExitCode, String> {
     loopback_only(a.listen)?;
-    let nature = Nature {
+    let nature = NodeBehavior {
         cores: a.cores.max(1),
         speed: a.speed,
         unit_s: a.unit_ms / 1e3,
         queue: a.queue,
-        ..Nature::default()
+        ..NodeBehavior::default()
     };
     let node = Node::start(NodeSettings {
         address: a.listen,
         shard: a.shard,
         zone: a.zone,
-        nature,
+        behavior: nature,
         seed: a.seed,
         max_data: 8 << 20,
         report_every: Duration::from_millis(100),
-        marks: Arc::new(Marks::default()),
+        idempotency_keys: Arc::new(IdempotencyKeys::default()),
         window_s: 5.0,
-        cold: a.cold,
+        has_just_started: a.cold,
         store: Arc::default(),
         receive_bytes: 0,
-        front: None,
+        advertised_address: None,
         recorder: Recorder::default(),
     })
     .map_err(|e| format!("--listen {}: {e}", a.listen))?;
@@ -118,8 +118,8 @@
             zone: number(3)?,
             started_us: 0,
         }]),
-        ["drain", address] => list.state(address, State::Draining),
-        ["gone", address] => list.state(address, State::Gone),
+        ["drain", address] => list.set_state(address, State::Draining),
+        ["gone", address] => list.set_state(address, State::Gone),
         ["late", seconds] => {
             let s = seconds.parse::<f64>().ok().filter(|s| s.is_finite() && *s >= 0.0);
             list.set(&ListFault::Late(s.ok_or_else(wrong)?));
--- a/crates/client/tests/common/mod.rs
+++ b/crates/client/tests/common/mod.rs
@@ -7,9 +7,9 @@
 use tackmast_client::{Options, Protocol};
 use tackmast_config::HostSettings;
 use tackmast_emulators::list::NodeList;
-use tackmast_emulators::model::Nature;
-use tackmast_emulators::node::{Marks, Node, NodeSettings};
-use tackmast_emulators::tap;
+use tackmast_emulators::model::NodeBehavior;
+use tackmast_emulators::node::{IdempotencyKeys, Node, NodeSettings};
+use tackmast_emulators::recording_proxy;
 use tackmast_host::Host;
 use tackmast_trace::{EffectKind, Event, Facts, Recorder, TrafficClassFacts};
 use tackmast_wire::list::{Entry, State};
@@ -21,7 +21,7 @@
     pub nodes: Vec<Node>,
     pub list: NodeList,
     pub host: Host,
-    pub cutter: tap::Cutter,
+    pub cutter: recording_proxy::Cutter,
 }
 
 fn loopback() -> SocketAddr {
@@ -32,22 +32,22 @@
     pub fn start() -> Pool {
         let recorder = Recorder::default();
         recorder.note(Event::Facts(facts()));
-        let marks = Arc::new(Marks::default());
+        let marks = Arc::new(IdempotencyKeys::default());
         let node = |shard| {
             Node::start(NodeSettings {
                 address: loopback(),
                 shard,
                 zone: 0,
-                nature: Nature { unit_s: 0.0005, cores: 2, ..Nature::default() },
+                behavior: NodeBehavior { unit_s: 0.0005, cores: 2, ..NodeBehavior::default() },
                 seed: 1,
                 max_data: 1 << 20,
                 report_every: Duration::from_millis(50),
-                marks: marks.clone(),
+                idempotency_keys: marks.clone(),
                 window_s: 5.0,
-                cold: false,
+                has_just_started: false,
                 store: Arc::default(),
                 receive_bytes: 0,
-                front: None,
+                advertised_address: None,
                 recorder: recorder.clone(),
             })
             .unwrap()
@@ -124,26 +124,33 @@
             assert!(Instant::now() < until, "no node list");
             std::thread::sleep(Duration::from_millis(2));
         }
-        Pool { recorder, nodes, list, host, cutter: tap::Cutter::default() }
+        Pool { recorder, nodes, list, host, cutter: recording_proxy::Cutter::default() }
     }
 
     pub fn options(&self, protocol: Protocol, volume: &str) -> Options {
         let (tapped, host) = match protocol {
-            Protocol::Iscsi => (tap::Protocol::Iscsi, self.host.address),
-            Protocol::Nbd => (tap::Protocol::Nbd, self.host.nbd.unwrap()),
+            Protocol::Iscsi => (recording_proxy::Protocol::Iscsi, self.host.address),
+            Protocol::Nbd => (recording_proxy::Protocol::Nbd, self.host.nbd.unwrap()),
         };
-        let known = |(lun, name, writes): (u32, &str, u32)| tap::Known {
+        let known = |(lun, name, writes): (u32, &str, u32)| recording_proxy::VolumeInfo {
             lun,
             name: name.into(),
             block_bytes: 512,
-            reads: 0,
-            writes,
-            reads_us: 1_000_000,
-            writes_us: 1_000_000,
+            read_class: 0,
+            write_class: writes,
+            read_deadline_us: 1_000_000,
+            write_deadline_us: 1_000_000,
         };
         let volumes = [(0, "museum", 1), (1, "listening", 2)].map(known).to_vec();
-        let address =
-            tap::start(tapped, host, 0, volumes, self.recorder.clone(), self.cutter.clone()).unwrap();
+        let address = recording_proxy::start(recording_proxy::ProxySettings {
+            protocol: tapped,
+            host,
+            host_number: 0,
+            volumes,
+            recorder: self.recorder.clone(),
+            cutter: self.cutter.clone(),
+        })
+        .unwrap();
         let lun = u32::from(volume == "listening");
         Options {
             timeout: Duration::from_millis(900),
--- a/crates/client/tests/resumed.rs
+++ b/crates/client/tests/resumed.rs
@@ -5,7 +5,7 @@
 
 use common::{Pool, PATIENCE};
 use tackmast_client::{Client, Outcome, Protocol};
-use tackmast_emulators::tap::Cut;
+use tackmast_emulators::recording_proxy::CutPoint;
 use tackmast_trace::Event;
 
 /// Commands that the host was given for this place, and attempts of them that a node ran.
@@ -36,21 +36,23 @@
     let mut places = Vec::new();
     let mut place = 0;
     for protocol in [Protocol::Iscsi, Protocol::Nbd] {
-        for cut in [Cut::Asked, Cut::Answer] {
+        for cut in [CutPoint::AfterRequest, CutPoint::BeforeAnswer] {
             let name = format!("{protocol:?} {cut:?}");
             let client = Client::open(pool.options(protocol, "listening"), PATIENCE).unwrap();
             place += 4096;
-            pool.cutter.order(cut);
+            pool.cutter.cut_at(cut);
             assert_eq!(client.write(place, vec![9; 512]), Outcome::Failed, "{name}: nobody knows");
             // The same client goes on; the write is there once its answer was given, or not at all.
             let Outcome::Done(found) = client.read(place, 512) else { panic!("{name}: not resumed") };
             match cut {
-                Cut::Answer => assert_eq!(found, vec![9; 512], "{name}"),
-                Cut::Asked => assert!(found == vec![9; 512] || found == vec![0; 512], "{name}: a mix"),
+                CutPoint::BeforeAnswer => assert_eq!(found, vec![9; 512], "{name}"),
+                CutPoint::AfterRequest => {
+                    assert!(found == vec![9; 512] || found == vec![0; 512], "{name}: a mix")
+                }
             }
             assert_eq!(client.write(place + 512, vec![8; 512]), Outcome::Done(vec![].into()), "{name}");
             // A read whose session ends is asked again within its time.
-            pool.cutter.order(cut);
+            pool.cutter.cut_at(cut);
             assert_eq!(client.read(place + 512, 512), Outcome::Done(vec![8; 512].into()), "{name}");
             client.close();
             places.push((name, place));
--- a/crates/emulators/src/model.rs
+++ b/crates/emulators/src/model.rs
@@ -1,398 +1,326 @@
-//! How a storage node serves: cores, speed, a bounded queue, pauses, put-off write work, a cold start, and what
-//! goes wrong. No sockets, threads or clocks: times are microseconds that the caller gives, so the same model
-//! serves on loopback and in virtual time. Figures are of a model, not of real machines.
+//! A model of a node: how long its work takes, and which of it fails. It has no clock, so that the same model serves on loopback and
+//! in virtual time. Times are microseconds; figures are of a model, not of real machines.
 
-use std::collections::{BTreeMap, VecDeque};
-
-pub type Us = u64;
+mod behavior;
+#[cfg(test)]
+mod tests;
 
-/// What a node is.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Nature {
-    pub cores: u32,
-    /// Seconds of one core's work in a unit, at speed 1.
-    pub unit_s: f64,
-    pub speed: f64,
-    /// Requests that may wait; beyond that they are turned away unseen.
-    pub queue: usize,
-    /// It starts at this part of its capacity and is warm after that time.
-    pub cold_from: f64,
-    pub warm_s: f64,
-    /// Sent more than that multiple of its present capacity over the window while cold, it falls over.
-    pub fall_multiple: f64,
-    pub fall_s: f64,
-    /// Part of a write's work that is put off, and how often it is done.
-    pub put_off: f64,
-    pub flush_s: f64,
-    /// Stands still for so long every so often.
-    pub pause_s: f64,
-    pub pause_every_s: f64,
-    /// Work saved for a request whose key is among the last few taken.
-    pub saved: f64,
-    pub remembers: usize,
-    /// Whether waiting work is dropped when it is cancelled or its time is up.
-    pub drops: bool,
-}
+pub use behavior::{NodeBehavior, NodeFaults};
 
-impl Default for Nature {
-    fn default() -> Self {
-        Nature {
-            cores: 2,
-            unit_s: 0.001,
-            speed: 1.0,
-            queue: 256,
-            cold_from: 0.2,
-            warm_s: 5.0,
-            fall_multiple: 2.0,
-            fall_s: 3.0,
-            put_off: 0.0,
-            flush_s: 2.0,
-            pause_s: 0.0,
-            pause_every_s: 5.0,
-            saved: 0.0,
-            remembers: 0,
-            drops: true,
-        }
-    }
-}
+use std::collections::{BTreeMap, VecDeque};
 
-/// What is wrong with it at the moment. Several at once add up.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Ills {
-    /// Times slower.
-    pub slow: f64,
-    /// Part of the machine that another program takes.
-    pub neighbour: f64,
-    /// Part of requests that fail at once.
-    pub errors: f64,
-    /// Part of requests that cost that many times the work.
-    pub heavy: (f64, f64),
-}
-
-impl Default for Ills {
-    fn default() -> Self {
-        Ills { slow: 1.0, neighbour: 0.0, errors: 0.0, heavy: (0.0, 1.0) }
-    }
-}
+/// Least time between two regular pauses and between two flushes.
+const MIN_INTERVAL_US: u64 = 1000;
+/// Least speed that faults leave to a node, so that its work ends at some time.
+const MIN_SPEED_FACTOR: f64 = 0.01;
 
+/// A request as the model sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
+    /// Names the job.
     pub id: u64,
+    /// Its size in units.
     pub units: f64,
+    /// Whether it writes.
     pub write: bool,
+    /// What the node may have cached.
     pub key: u64,
-    pub further: bool,
-    /// When nobody waits any more.
-    pub until: Us,
+    /// Whether an attempt of the same request came before.
+    pub is_retry: bool,
+    /// When nobody waits for it any more.
+    pub deadline_us: u64,
 }
 
+/// How a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum JobOutcome {
+    /// The job was done.
     Done,
+    /// The job failed.
     Error,
+    /// The job was dropped before it ran.
     NeverRan,
 }
 
+/// A job that has ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EndedJob {
+    /// Names the job.
+    pub id: u64,
+    /// How it ended.
+    pub outcome: JobOutcome,
+}
+
+/// What a core is busy with.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Task {
-    Job(u64, bool), // whether it ends well
+    Job { id: u64 },
     Flush,
 }
 
-pub struct Model {
-    pub nature: Nature,
-    pub ills: Ills,
-    started: Option<Us>, // none: long past
-    chance: oorandom::Rand64,
-    waiting: VecDeque<Job>,
-    running: BTreeMap<(Us, u64), Task>, // by the end, and a number
+/// Orders running tasks by their end, and those of one end by their start.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct TaskKey {
+    end_us: u64,
     number: u64,
-    still_until: Us,
-    next_pause: Us,
-    owed: f64, // seconds of put-off work
-    next_flush: Us,
-    recent: VecDeque<u64>,
-    arrivals: VecDeque<(Us, f64)>,
-    fallen: bool,
-    ended: Vec<(u64, How)>,
 }
 
-fn us(s: f64) -> Us {
-    (s.max(0.0) * 1e6).round() as Us
+/// Work that reached the node.
+struct ReceivedWork {
+    time_us: u64,
+    units: f64,
+}
+
+/// A node in virtual time.
+pub struct NodeModel {
+    behavior: NodeBehavior,
+    /// What is wrong with it now.
+    pub faults: NodeFaults,
+    /// When it started; `None`: long ago.
+    started_us: Option<u64>,
+    random: oorandom::Rand64,
+    waiting: VecDeque<Job>,
+    running: BTreeMap<TaskKey, Task>,
+    task_count: u64,
+    paused_until_us: u64,
+    next_pause_us: u64,
+    /// Seconds of work that writes have left to the next flush.
+    unflushed_s: f64,
+    next_flush_us: u64,
+    cached_keys: VecDeque<u64>,
+    /// What reached the node within the window of its overload.
+    received: VecDeque<ReceivedWork>,
+    has_collapsed: bool,
+    ended: Vec<EndedJob>,
+}
+
+fn microseconds(seconds: f64) -> u64 {
+    (seconds.max(0.0) * 1e6).round() as u64
 }
 
-impl Model {
-    /// `cold`: it has just started; else it has been up for long.
-    pub fn new(now: Us, nature: Nature, seed: u64, cold: bool) -> Model {
-        let mut chance = oorandom::Rand64::new(u128::from(seed));
-        let first = chance.rand_float();
-        let started = cold.then_some(now);
-        Model {
-            next_pause: now + us(nature.pause_every_s * first),
-            next_flush: now + us(nature.flush_s * first),
-            nature,
-            ills: Ills::default(),
-            started,
-            chance,
+impl NodeModel {
+    /// A node that has just started and warms up, or one that has been up for long.
+    pub fn new(now_us: u64, behavior: NodeBehavior, seed: u64, has_just_started: bool) -> NodeModel {
+        let mut random = oorandom::Rand64::new(u128::from(seed));
+        let phase = random.rand_float();
+        NodeModel {
+            next_pause_us: now_us + microseconds(behavior.pause_interval_s * phase),
+            next_flush_us: now_us + microseconds(behavior.flush_interval_s * phase),
+            behavior,
+            faults: NodeFaults::default(),
+            started_us: has_just_started.then_some(now_us),
+            random,
             waiting: VecDeque::new(),
             running: BTreeMap::new(),
-            number: 0,
-            still_until: 0,
-            owed: 0.0,
-            recent: VecDeque::new(),
-            arrivals: VecDeque::new(),
-            fallen: false,
+            task_count: 0,
+            paused_until_us: 0,
+            unflushed_s: 0.0,
+            cached_keys: VecDeque::new(),
+            received: VecDeque::new(),
+            has_collapsed: false,
             ended: Vec::new(),
         }
     }
 
-    pub fn is_fallen(&self) -> bool {
-        self.fallen
+    /// What the node is like.
+    pub fn behavior(&self) -> &NodeBehavior {
+        &self.behavior
     }
 
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    /// Whether it received more while it warmed up than it bears. It runs nothing any more.
+    pub fn has_collapsed(&self) -> bool {
+        self.has_collapsed
     }
 
-    pub fn in_hand(&self) -> usize {
-        self.waiting.len() + self.running.len()
-    }
-
-    fn warmth(&self, now: Us) -> f64 {
-        let n = &self.nature;
-        let Some(started) = self.started else { return 1.0 };
-        let age = now.saturating_sub(started) as f64 / 1e6;
-        let part = if n.warm_s > 0.0 { (age / n.warm_s).min(1.0) } else { 1.0 };
-        n.cold_from + (1.0 - n.cold_from) * part
+    /// Jobs that wait.
+    pub fn waiting_count(&self) -> usize {
+        self.waiting.len()
     }
 
-    /// Units a second when warm and well.
-    pub fn capacity(&self) -> f64 {
-        f64::from(self.nature.cores) * self.nature.speed / self.nature.unit_s
+    /// Fraction of its capacity that the node has reached.
+    fn warmth(&self, now_us: u64) -> f64 {
+        let Some(started_us) = self.started_us else { return 1.0 };
+        let NodeBehavior { warm_up_s, initial_capacity, .. } = self.behavior;
+        let age_s = now_us.saturating_sub(started_us) as f64 / 1e6;
+        let elapsed = if warm_up_s > 0.0 { (age_s / warm_up_s).min(1.0) } else { 1.0 };
+        initial_capacity + (1.0 - initial_capacity) * elapsed
     }
 
     /// Speed of one core at this moment.
-    fn pace(&self, now: Us) -> f64 {
-        let i = &self.ills;
-        self.nature.speed * self.warmth(now) * (1.0 - i.neighbour).max(0.01) / i.slow.max(0.01)
+    fn speed(&self, now_us: u64) -> f64 {
+        let own_share = (1.0 - self.faults.neighbour_share).max(MIN_SPEED_FACTOR);
+        let slowdown = self.faults.slowdown.max(MIN_SPEED_FACTOR);
+        self.behavior.speed * self.warmth(now_us) * own_share / slowdown
     }
 
-    /// Takes a job, or turns it away unseen; it ends through `ended` in either case.
-    pub fn arrive(&mut self, now: Us, job: Job) {
-        self.advance(now);
-        self.press(now, job.units);
-        if self.waiting.len() >= self.nature.queue || self.fallen {
-            self.ended.push((job.id, How::NeverRan));
+    /// Receives a job, which runs, waits or ends at once; `take_ended` has the outcome in each case.
+    pub fn receive(&mut self, now_us: u64, job: Job) {
+        self.advance(now_us);
+        self.check_overload(now_us, job.units);
+        if self.waiting.len() >= self.behavior.queue || self.has_collapsed {
+            self.end_job(job.id, JobOutcome::NeverRan);
             return;
         }
-        if self.chance.rand_float() < self.ills.errors {
-            self.ended.push((job.id, How::Error));
+        if self.random.rand_float() < self.faults.error_rate {
+            self.end_job(job.id, JobOutcome::Error);
             return;
         }
         self.waiting.push_back(job);
-        self.begin(now);
+        self.start_waiting(now_us);
     }
 
-    /// Rule 4's pressure: all that reaches a cold node counts, also what it turns away.
-    fn press(&mut self, now: Us, units: f64) {
-        let window = us(self.nature.fall_s);
-        self.arrivals.push_back((now, units));
-        while self.arrivals.front().is_some_and(|(t, _)| *t + window < now) {
-            self.arrivals.pop_front();
+    /// Overload of a warming node, as in slow start (rule 4): all that reaches the node counts, also what it does not run.
+    fn check_overload(&mut self, now_us: u64, units: f64) {
+        let window_s = self.behavior.overload_window_s;
+        self.received.push_back(ReceivedWork { time_us: now_us, units });
+        while self.received.front().is_some_and(|oldest| oldest.time_us + microseconds(window_s) < now_us) {
+            self.received.pop_front();
         }
-        if self.started.is_some_and(|t| now.saturating_sub(t) < us(self.nature.warm_s)) {
-            let sent: f64 = self.arrivals.iter().map(|(_, u)| u).sum();
-            let bears = self.nature.fall_multiple * self.capacity() * self.warmth(now) * self.nature.fall_s;
-            self.fallen |= sent > bears;
+        let warm_up_us = microseconds(self.behavior.warm_up_s);
+        if self.started_us.is_some_and(|started_us| now_us.saturating_sub(started_us) < warm_up_us) {
+            let received: f64 = self.received.iter().map(|work| work.units).sum();
+            let bears =
+                self.behavior.overload_multiple * self.behavior.capacity() * self.warmth(now_us) * window_s;
+            self.has_collapsed |= received > bears;
         }
     }
 
-    /// Whether a job was still waiting and is dropped now.
-    pub fn cancel(&mut self, now: Us, id: u64) -> bool {
-        self.advance(now);
-        let found = self.waiting.iter().position(|j| j.id == id).filter(|_| self.nature.drops);
-        if let Some(i) = found {
-            self.waiting.remove(i);
-            self.ended.push((id, How::NeverRan));
+    /// Drops a job that still waits. Returns whether it did.
+    pub fn cancel(&mut self, now_us: u64, id: u64) -> bool {
+        self.advance(now_us);
+        if !self.behavior.drops_cancelled {
+            return false;
         }
-        found.is_some()
+        let Some(position) = self.waiting.iter().position(|job| job.id == id) else { return false };
+        self.waiting.remove(position);
+        self.end_job(id, JobOutcome::NeverRan);
+        true
     }
 
-    /// Stands still from now on for so long; what runs ends that much later.
-    pub fn pause(&mut self, now: Us, s: f64) {
-        self.advance(now);
-        let until = now + us(s);
-        let more = until.saturating_sub(self.still_until.max(now));
-        self.still_until = self.still_until.max(until);
-        let running = std::mem::take(&mut self.running);
-        self.running = running.into_iter().map(|((t, n), task)| ((t + more, n), task)).collect();
+    /// Pauses the node from now on for so many seconds; what runs ends that much later.
+    pub fn pause(&mut self, now_us: u64, seconds: f64) {
+        self.advance(now_us);
+        self.pause_from(now_us, seconds);
     }
 
-    /// When something happens next without any arrival.
-    pub fn next_time(&self) -> Option<Us> {
-        let first = self.running.keys().next().map(|(t, _)| *t);
-        let free = !self.waiting.is_empty() && self.running.len() < self.nature.cores as usize;
-        let resume = (free && self.still_until > 0).then_some(self.still_until);
-        let pause = (self.nature.pause_s > 0.0).then_some(self.next_pause);
-        let flush = (self.owed > 0.0).then_some(self.next_flush);
-        [first, resume, pause, flush].into_iter().flatten().min()
+    fn pause_from(&mut self, from_us: u64, seconds: f64) {
+        let until_us = from_us + microseconds(seconds);
+        let delay_us = until_us.saturating_sub(self.paused_until_us.max(from_us));
+        self.paused_until_us = self.paused_until_us.max(until_us);
+        let running = std::mem::take(&mut self.running).into_iter();
+        self.running =
+            running.map(|(key, task)| (TaskKey { end_us: key.end_us + delay_us, ..key }, task)).collect();
+    }
+
+    /// When something happens next, if nothing is received before.
+    pub fn poll_timeout(&self) -> Option<u64> {
+        let task_end_us = self.running.keys().next().map(|key| key.end_us);
+        let has_free_core = self.running.len() < self.behavior.cores as usize;
+        let resumes = !self.waiting.is_empty() && has_free_core && self.paused_until_us > 0;
+        let resume_us = resumes.then_some(self.paused_until_us);
+        let pause_us = (self.behavior.pause_s > 0.0).then_some(self.next_pause_us);
+        let flush_us = (self.unflushed_s > 0.0).then_some(self.next_flush_us);
+        [task_end_us, resume_us, pause_us, flush_us].into_iter().flatten().min()
     }
 
     /// Brings the node to this time.
-    pub fn advance(&mut self, now: Us) {
-        while let Some(t) = self.next_time().filter(|t| *t <= now) {
-            if self.running.keys().next().is_some_and(|(e, _)| *e == t) {
-                if let Some((_, Task::Job(id, well))) = self.running.pop_first() {
-                    self.ended.push((id, if well { How::Done } else { How::Error }));
-                }
-            } else if self.nature.pause_s > 0.0 && self.next_pause == t {
-                let gap = self.nature.pause_every_s * (0.5 + self.chance.rand_float());
-                self.next_pause = t + us(gap).max(1000);
-                let until = t + us(self.nature.pause_s);
-                let more = until.saturating_sub(self.still_until.max(t));
-                self.still_until = self.still_until.max(until);
-                let running = std::mem::take(&mut self.running);
-                self.running = running.into_iter().map(|((e, n), task)| ((e + more, n), task)).collect();
-            } else if self.owed > 0.0 && self.next_flush == t {
-                let work = std::mem::take(&mut self.owed);
-                self.next_flush = t + us(self.nature.flush_s).max(1000);
-                self.run(t, work, Task::Flush);
-            } else {
-                self.still_until = 0;
+    pub fn advance(&mut self, now_us: u64) {
+        while let Some(time_us) = self.poll_timeout().filter(|time_us| *time_us <= now_us) {
+            self.on_timeout(time_us);
+            self.start_waiting(time_us);
+        }
+        self.start_waiting(now_us);
+    }
+
+    fn on_timeout(&mut self, time_us: u64) {
+        if self.running.keys().next().is_some_and(|key| key.end_us == time_us) {
+            if let Some((_, Task::Job { id })) = self.running.pop_first() {
+                self.end_job(id, JobOutcome::Done);
             }
-            self.begin(t);
+        } else if self.behavior.pause_s > 0.0 && self.next_pause_us == time_us {
+            let interval_s = self.behavior.pause_interval_s * (0.5 + self.random.rand_float());
+            self.next_pause_us = time_us + microseconds(interval_s).max(MIN_INTERVAL_US);
+            self.pause_from(time_us, self.behavior.pause_s);
+        } else if self.unflushed_s > 0.0 && self.next_flush_us == time_us {
+            let work_s = std::mem::take(&mut self.unflushed_s);
+            let interval_us = microseconds(self.behavior.flush_interval_s).max(MIN_INTERVAL_US);
+            self.next_flush_us = time_us + interval_us;
+            self.run(time_us, work_s, Task::Flush);
+        } else {
+            self.paused_until_us = 0;
         }
-        self.begin(now);
     }
 
-    fn run(&mut self, now: Us, work: f64, task: Task) {
-        // A node whose work costs nothing ends it at once: it serves to measure what lies before it.
-        if let (true, Task::Job(id, well)) = (work <= 0.0, task) {
-            self.ended.push((id, if well { How::Done } else { How::Error }));
+    fn run(&mut self, now_us: u64, work_s: f64, task: Task) {
+        // A node whose work costs nothing ends it at once: it serves to measure what comes before the node.
+        if let (true, Task::Job { id }) = (work_s <= 0.0, task) {
+            self.end_job(id, JobOutcome::Done);
             return;
         }
-        self.number += 1;
-        let end = now.max(self.still_until) + us(work / self.pace(now)).max(1);
-        self.running.insert((end, self.number), task);
+        self.task_count += 1;
+        let work_us = microseconds(work_s / self.speed(now_us)).max(1);
+        let end_us = now_us.max(self.paused_until_us) + work_us;
+        self.running.insert(TaskKey { end_us, number: self.task_count }, task);
     }
 
-    fn begin(&mut self, now: Us) {
-        if now < self.still_until {
+    /// Starts what waits, while there are free cores.
+    fn start_waiting(&mut self, now_us: u64) {
+        if now_us < self.paused_until_us {
             return;
         }
-        while self.running.len() < self.nature.cores as usize {
+        while self.running.len() < self.behavior.cores as usize {
             let Some(job) = self.waiting.pop_front() else { return };
-            if self.nature.drops && job.until <= now {
-                self.ended.push((job.id, How::NeverRan));
+            if self.behavior.drops_cancelled && job.deadline_us <= now_us {
+                self.end_job(job.id, JobOutcome::NeverRan);
                 continue;
             }
-            let n = &self.nature;
-            let mut work = job.units * n.unit_s;
-            if self.chance.rand_float() < self.ills.heavy.0 {
-                work *= self.ills.heavy.1;
-            }
-            if !job.further && n.remembers > 0 && self.recent.contains(&job.key) {
-                work *= 1.0 - n.saved;
-            }
-            if n.remembers > 0 {
-                self.recent.push_back(job.key);
-                if self.recent.len() > n.remembers {
-                    self.recent.pop_front();
-                }
-            }
-            if job.write && n.put_off > 0.0 {
-                if self.owed <= 0.0 {
-                    self.next_flush = self.next_flush.max(now + us(n.flush_s) / 2);
-                }
-                self.owed += work * n.put_off;
-                work *= 1.0 - n.put_off;
-            }
-            self.run(now, work, Task::Job(job.id, true));
+            let work_s = self.work_of(now_us, &job);
+            self.run(now_us, work_s, Task::Job { id: job.id });
         }
     }
 
-    /// What has ended since the last call, in order.
-    pub fn ended(&mut self) -> Vec<(u64, How)> {
-        std::mem::take(&mut self.ended)
-    }
-
-    /// Jobs that are waiting or running: lost when the process dies.
-    pub fn held(&self) -> Vec<u64> {
-        let running = self.running.values().filter_map(|t| match t {
-            Task::Job(id, _) => Some(*id),
-            Task::Flush => None,
-        });
-        self.waiting.iter().map(|j| j.id).chain(running).collect()
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn job(id: u64, units: f64) -> Job {
-        Job { id, units, write: false, key: id, further: false, until: Us::MAX }
-    }
-
-    /// Ends and their times, when jobs of one unit arrive at time 0.
-    fn play(nature: Nature, jobs: u64, set: impl Fn(&mut Model)) -> Vec<(u64, u64, How)> {
-        let mut m = Model::new(0, nature, 1, false);
-        set(&mut m);
-        (0..jobs).for_each(|id| m.arrive(0, job(id, 1.0)));
-        let mut found = Vec::new();
-        let mut now = 0;
-        loop {
-            found.extend(m.ended().into_iter().map(|(id, how)| (now / 1000, id, how)));
-            match m.next_time().filter(|t| *t < 1_000_000) {
-                Some(t) => now = t,
-                None => return found,
+    /// Seconds of one core's work in a job that starts now. What the job leaves to the next flush is not among them.
+    fn work_of(&mut self, now_us: u64, job: &Job) -> f64 {
+        let mut work_s = job.units * self.behavior.unit_s;
+        if self.random.rand_float() < self.faults.heavy_fraction {
+            work_s *= self.faults.heavy_multiple;
+        }
+        if self.behavior.cached_keys > 0 {
+            if !job.is_retry && self.cached_keys.contains(&job.key) {
+                work_s *= 1.0 - self.behavior.cache_savings;
             }
-            m.advance(now);
+            self.cached_keys.push_back(job.key);
+            if self.cached_keys.len() > self.behavior.cached_keys {
+                self.cached_keys.pop_front();
+            }
+        }
+        let write_back_fraction = self.behavior.write_back_fraction;
+        if job.write && write_back_fraction > 0.0 {
+            if self.unflushed_s <= 0.0 {
+                let half_interval_us = microseconds(self.behavior.flush_interval_s) / 2;
+                self.next_flush_us = self.next_flush_us.max(now_us + half_interval_us);
+            }
+            self.unflushed_s += work_s * write_back_fraction;
+            work_s *= 1.0 - write_back_fraction;
         }
+        work_s
     }
 
-    #[test]
-    fn jobs_take_their_time_in_turn() {
-        use How::{Done, Error, NeverRan};
-        let one = Nature { cores: 1, unit_s: 0.01, queue: 2, ..Nature::default() };
-        let two = Nature { cores: 2, ..one.clone() };
-        type Set = fn(&mut Model);
-        type Case<'a> = (&'a str, &'a Nature, u64, Set, &'a [(u64, u64, How)]);
-        let cases: &[Case] = &[
-            ("in turn", &one, 3, |_| {}, &[(10, 0, Done), (20, 1, Done), (30, 2, Done)]),
-            ("two cores", &two, 2, |_| {}, &[(10, 0, Done), (10, 1, Done)]),
-            ("full", &one, 4, |_| {}, &[(0, 3, NeverRan), (10, 0, Done), (20, 1, Done), (30, 2, Done)]),
-            ("slow", &one, 1, |m| m.ills.slow = 5.0, &[(50, 0, Done)]),
-            ("neighbour", &one, 1, |m| m.ills.neighbour = 0.5, &[(20, 0, Done)]),
-            ("heavy", &one, 1, |m| m.ills.heavy = (1.0, 3.0), &[(30, 0, Done)]),
-            ("errors", &one, 1, |m| m.ills.errors = 1.0, &[(0, 0, Error)]),
-            ("paused", &one, 2, |m| m.pause(0, 0.1), &[(110, 0, Done), (120, 1, Done)]),
-        ];
-        for (name, nature, jobs, set, expected) in cases {
-            assert_eq!(&play((*nature).clone(), *jobs, set), expected, "{name}");
-        }
+    fn end_job(&mut self, id: u64, outcome: JobOutcome) {
+        self.ended.push(EndedJob { id, outcome });
     }
 
-    #[test]
-    fn a_cold_node_is_slow_and_falls_over_under_more_than_it_bears() {
-        let nature = Nature { cores: 1, unit_s: 0.01, warm_s: 10.0, cold_from: 0.2, ..Nature::default() };
-        let mut m = Model::new(0, nature, 1, true);
-        m.arrive(0, job(1, 1.0));
-        assert_eq!(m.next_time(), Some(50_000), "a fifth of its speed");
-        // It bears twice 20 units a second over 3 s, a little more as it warms.
-        (2..120).for_each(|id| m.arrive(id * 1000, job(id, 1.0)));
-        assert!(!m.is_fallen());
-        (120..130).for_each(|id| m.arrive(id * 1000, job(id, 1.0)));
-        assert!(m.is_fallen());
+    /// The jobs that have ended since the last call, in order.
+    pub fn take_ended(&mut self) -> Vec<EndedJob> {
+        std::mem::take(&mut self.ended)
     }
 
-    #[test]
-    fn cancelled_work_is_dropped_while_it_waits() {
-        let mut m = Model::new(0, Nature { cores: 1, unit_s: 0.01, ..Nature::default() }, 1, false);
-        (0..3).for_each(|id| m.arrive(0, job(id, 1.0)));
-        assert!(m.cancel(1000, 1) && !m.cancel(1000, 0), "waiting, and running");
-        assert_eq!(m.ended(), [(1, How::NeverRan)]);
-        m.advance(20_000);
-        assert_eq!(m.ended(), [(0, How::Done), (2, How::Done)]);
+    /// Jobs that wait or run: lost when the process dies.
+    pub fn pending_jobs(&self) -> Vec<u64> {
+        let running = self.running.values().filter_map(|task| match task {
+            Task::Job { id } => Some(*id),
+            Task::Flush => None,
+        });
+        self.waiting.iter().map(|job| job.id).chain(running).collect()
     }
 }
--- a/crates/emulators/src/store.rs
+++ b/crates/emulators/src/store.rs
@@ -3,39 +3,50 @@
 use bytes::{Bytes, BytesMut};
 use std::collections::HashMap;
 
-const SECTOR: u64 = 512;
+/// Bytes of a sector.
+const SECTOR_BYTES: u64 = 512;
 
+/// A sector of a volume.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct SectorId {
+    volume: u32,
+    number: u64,
+}
+
+/// The bytes of all volumes that a node has.
 #[derive(Default)]
-pub struct Store(HashMap<(u32, u64), Box<[u8; SECTOR as usize]>>);
+pub struct Store(HashMap<SectorId, Box<[u8; SECTOR_BYTES as usize]>>);
 
 impl Store {
+    /// Writes bytes at an offset from the volume's start.
     pub fn write(&mut self, volume: u32, offset: u64, data: &[u8]) {
-        let mut at = offset;
+        let mut position = offset;
         let mut rest = data;
         while !rest.is_empty() {
-            let inside = (at % SECTOR) as usize;
-            let n = rest.len().min(SECTOR as usize - inside);
-            let sector =
-                self.0.entry((volume, at / SECTOR)).or_insert_with(|| Box::new([0; SECTOR as usize]));
-            sector[inside..inside + n].copy_from_slice(&rest[..n]);
-            rest = &rest[n..];
-            at += n as u64;
+            let within = (position % SECTOR_BYTES) as usize;
+            let length = rest.len().min(SECTOR_BYTES as usize - within);
+            let id = SectorId { volume, number: position / SECTOR_BYTES };
+            let sector = self.0.entry(id).or_insert_with(|| Box::new([0; SECTOR_BYTES as usize]));
+            sector[within..within + length].copy_from_slice(&rest[..length]);
+            rest = &rest[length..];
+            position += length as u64;
         }
     }
 
-    /// What was never written is zeros.
+    /// Reads bytes at an offset from the volume's start. Bytes that were never written are zero.
     pub fn read(&self, volume: u32, offset: u64, length: u32) -> Bytes {
-        let mut out = BytesMut::with_capacity(length as usize);
-        let (mut at, end) = (offset, offset + u64::from(length));
-        while at < end {
-            let inside = (at % SECTOR) as usize;
-            let n = (end - at).min(SECTOR - at % SECTOR) as usize;
-            match self.0.get(&(volume, at / SECTOR)) {
-                Some(s) => out.extend_from_slice(&s[inside..inside + n]),
-                None => out.resize(out.len() + n, 0),
+        let mut data = BytesMut::with_capacity(length as usize);
+        let end = offset + u64::from(length);
+        let mut position = offset;
+        while position < end {
+            let within = (position % SECTOR_BYTES) as usize;
+            let part = (end - position).min(SECTOR_BYTES - within as u64) as usize;
+            match self.0.get(&SectorId { volume, number: position / SECTOR_BYTES }) {
+                Some(sector) => data.extend_from_slice(&sector[within..within + part]),
+                None => data.resize(data.len() + part, 0),
             }
-            at += n as u64;
+            position += part as u64;
         }
-        out.freeze()
+        data.freeze()
     }
 }
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tackmast_config::HostSettings;
-use tackmast_emulators::initiator::{Ask, AskWork, Initiator, Login, Reply};
+use tackmast_emulators::initiator::{Initiator, IoOperation, IoRequest, LabelledReply, Login, Reply};
 use tackmast_emulators::list::NodeList;
-use tackmast_emulators::model::Nature;
-use tackmast_emulators::node::{Marks, Node, NodeSettings};
+use tackmast_emulators::model::NodeBehavior;
+use tackmast_emulators::node::{IdempotencyKeys, Node, NodeSettings};
 use tackmast_host::Host;
 use tackmast_trace::Recorder;
 use tackmast_wire::iscsi::Digests;
@@ -99,24 +99,24 @@
     }
 }
 
-pub fn pool(nature: Nature, more: &str) -> Pool {
+pub fn pool(nature: NodeBehavior, more: &str) -> Pool {
     let recorder = Recorder::default();
-    let marks = Arc::new(Marks::default());
+    let marks = Arc::new(IdempotencyKeys::default());
     let node = |shard| {
         Node::start(NodeSettings {
             address: loopback(),
             shard,
             zone: 0,
-            nature: nature.clone(),
+            behavior: nature.clone(),
             seed: u64::from(shard) + 1,
             max_data: 1 << 20,
             report_every: Duration::from_millis(50),
-            marks: marks.clone(),
+            idempotency_keys: marks.clone(),
             window_s: 5.0,
-            cold: false,
+            has_just_started: false,
             store: Arc::default(),
             receive_bytes: 0,
-            front: None,
+            advertised_address: None,
             recorder: recorder.clone(),
         })
         .unwrap()
@@ -142,7 +142,7 @@
             name: "iqn.2026-12.org.tackmast:test".into(),
             digests,
             deadline_ms,
-            patience: PATIENCE,
+            timeout: PATIENCE,
         };
         let (to, replies) = crossbeam_channel::unbounded();
         Client { initiator: Initiator::login(&login, 0, to, self.recorder.clone()).unwrap(), replies }
@@ -157,23 +157,25 @@
 
 pub struct Client {
     pub initiator: Initiator,
-    pub replies: Receiver<(u64, Reply)>,
+    pub replies: Receiver<LabelledReply>,
 }
 
 impl Client {
-    pub fn ask(&self, label: u64, lun: u32, block: u64, work: AskWork) -> Option<u32> {
-        let ask = Ask { lun, traffic_class: 0, block, block_bytes: 512, work, deadline_us: 1_500_000 };
-        self.initiator.ask(label, &ask, PATIENCE)
+    pub fn ask(&self, label: u64, lun: u32, block: u64, operation: IoOperation) -> Option<u32> {
+        let ask =
+            IoRequest { lun, traffic_class: 0, block, block_bytes: 512, operation, deadline_us: 1_500_000 };
+        self.initiator.submit(label, &ask, PATIENCE)
     }
     pub fn reply(&self) -> (u64, Reply) {
-        self.replies.recv_timeout(PATIENCE).expect("an answer in time")
+        let LabelledReply { label, reply } = self.replies.recv_timeout(PATIENCE).expect("an answer in time");
+        (label, reply)
     }
     pub fn write(&self, lun: u32, block: u64, data: Vec<u8>) -> Reply {
-        self.ask(0, lun, block, AskWork::Write { data: data.into() });
+        self.ask(0, lun, block, IoOperation::Write { data: data.into() });
         self.reply().1
     }
     pub fn read(&self, lun: u32, block: u64, blocks: u32) -> Reply {
-        self.ask(0, lun, block, AskWork::Read { blocks });
+        self.ask(0, lun, block, IoOperation::Read { blocks });
         self.reply().1
     }
 }
--- a/crates/host/tests/path.rs
+++ b/crates/host/tests/path.rs
@@ -4,12 +4,12 @@
 
 use common::*;
 use tackmast_emulators::initiator::Reply;
-use tackmast_emulators::model::Nature;
+use tackmast_emulators::model::NodeBehavior;
 use tackmast_wire::iscsi::Digests;
 use tackmast_wire::scsi::{Command, Sense};
 
-fn quick() -> Nature {
-    Nature { unit_s: 0.0002, ..Nature::default() }
+fn quick() -> NodeBehavior {
+    NodeBehavior { unit_s: 0.0002, ..NodeBehavior::default() }
 }
 
 #[test]
@@ -37,7 +37,7 @@
     let pool = pool(quick(), "");
     let client = pool.client(Digests::default(), None);
     let ask = |lun, command, most| {
-        client.initiator.simple(0, lun, command, most).unwrap();
+        client.initiator.submit_command(0, lun, command, most).unwrap();
         client.reply().1
     };
     let first = |reply: Reply, n: usize| match reply {
--- a/crates/host/tests/rough.rs
+++ b/crates/host/tests/rough.rs
@@ -9,13 +9,13 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 use tackmast_emulators::initiator::Reply;
-use tackmast_emulators::model::Nature;
+use tackmast_emulators::model::NodeBehavior;
 use tackmast_wire::iscsi::{op, Digests, Pdu, FINAL, WRITES};
 use tackmast_wire::nbd;
 use tackmast_wire::scsi::Command;
 
-fn quick() -> Nature {
-    Nature { unit_s: 0.0002, ..Nature::default() }
+fn quick() -> NodeBehavior {
+    NodeBehavior { unit_s: 0.0002, ..NodeBehavior::default() }
 }
 
 /// An NBD connection past its handshake, over the public protocol.
@@ -67,9 +67,9 @@
             data.data = vec![0xee; solicited].into();
             tackmast_wire::iscsi::encode(&data, Digests::default(), &mut bytes);
         }
-        other.initiator.raw(&bytes);
+        other.initiator.send_raw(&bytes);
         std::thread::sleep(Duration::from_millis(20));
-        other.initiator.leave();
+        other.initiator.close();
     }
     std::thread::sleep(Duration::from_millis(50));
     assert_eq!(client.read(1, 0, 64), done(old), "not a byte of the uploads is there");
--- a/crates/scenario/src/faults.rs
+++ b/crates/scenario/src/faults.rs
@@ -177,10 +177,10 @@
                 }
             }
             Action::Apart(groups) => {
-                let groups: Vec<HashSet<Party>> = groups.iter().map(|g| self.parties(g)).collect();
+                let groups: Vec<HashSet<Endpoint>> = groups.iter().map(|g| self.parties(g)).collect();
                 for (i, a) in groups.iter().enumerate() {
                     for b in groups.iter().enumerate().filter(|(j, _)| *j != i).map(|(_, b)| b) {
-                        self.way(trouble, a.clone(), b.clone(), What::Cut);
+                        self.way(trouble, a.clone(), b.clone(), NetworkFault::Cut);
                     }
                 }
             }
@@ -189,32 +189,32 @@
         self.fault(&format!("{name} begins"));
     }
 
-    fn way(&mut self, trouble: usize, from: HashSet<Party>, to: HashSet<Party>, what: What) {
+    fn way(&mut self, trouble: usize, from: HashSet<Endpoint>, to: HashSet<Endpoint>, what: NetworkFault) {
         let id = self.rig.begin(&from, &to, what);
         if let Some(w) = &self.watcher {
-            let hosts = |all: &HashSet<Party>| -> HashSet<u32> {
-                let number = |p: &Party| match p {
-                    Party::Host(h) => Some(h % TWIN),
+            let hosts = |all: &HashSet<Endpoint>| -> HashSet<u32> {
+                let number = |p: &Endpoint| match p {
+                    Endpoint::Host(h) => Some(h % TWIN),
                     _ => None,
                 };
                 all.iter().filter_map(number).collect()
             };
             let mut done = w.done.lock().unwrap_or_else(PoisonError::into_inner);
             // Loss and lateness excuse no death.
-            if what == What::Cut {
+            if what == NetworkFault::Cut {
                 done.ways.insert(id, (hosts(&from), hosts(&to), Instant::now()));
             }
         }
         self.effects.entry(trouble).or_default().push((id, from, to, what));
     }
 
-    fn parties(&self, all: &[Who]) -> HashSet<Party> {
+    fn parties(&self, all: &[Who]) -> HashSet<Endpoint> {
         let day = &self.script.day;
         let mut found = HashSet::new();
         for w in all {
             match w {
-                Who::List => _ = found.insert(Party::List),
-                Who::Clients => _ = found.insert(Party::Clients),
+                Who::List => _ = found.insert(Endpoint::List),
+                Who::Clients => _ = found.insert(Endpoint::Clients),
                 Who::Nodes(name) => {
                     let all: Vec<String> = self.nodes.by_name.keys().cloned().collect();
                     let named = match name {
@@ -222,9 +222,9 @@
                         Some(n) => self.nodes.named(std::slice::from_ref(n)),
                     };
                     let nodes = named.iter().filter_map(|n| self.nodes.node(n));
-                    found.extend(nodes.map(|n| Party::Node(n.address())));
+                    found.extend(nodes.map(|n| Endpoint::Node(n.address())));
                 }
-                hosts => found.extend(hosts.hosts(day.hosts, day.sites).into_iter().map(Party::Host)),
+                hosts => found.extend(hosts.hosts(day.hosts, day.sites).into_iter().map(Endpoint::Host)),
             }
         }
         found
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tackmast::interface::{DedupScope, Effect};
 use tackmast_emulators::list::NodeList;
-use tackmast_emulators::node::{Marks, Node, NodeSettings};
+use tackmast_emulators::node::{IdempotencyKeys, Node, NodeSettings};
 use tackmast_emulators::store::Store;
 use tackmast_trace::{Event, Recorder};
 use tackmast_wire::list::{Entry, State};
@@ -195,7 +195,7 @@
 /// Nodes by the name of their block and their shard, such as `a/0`.
 pub struct Nodes {
     pub by_name: BTreeMap<String, (NodesBlock, Node)>,
-    scopes: BTreeMap<u32, Arc<Marks>>,
+    scopes: BTreeMap<u32, Arc<IdempotencyKeys>>,
     /// Bytes by shard: they outlive the nodes.
     stores: BTreeMap<u32, Arc<Mutex<Store>>>,
     window_s: f64,
@@ -252,21 +252,21 @@
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
             shard,
             zone: block.zone,
-            nature: block.nature(),
+            behavior: block.nature(),
             seed: self.seed,
             max_data: self.max_data,
             report_every: Duration::from_millis(block.report_ms),
-            marks: self.scopes.entry(scope).or_default().clone(),
+            idempotency_keys: self.scopes.entry(scope).or_default().clone(),
             window_s: self.window_s,
-            cold,
+            has_just_started: cold,
             store: self.stores.entry(shard).or_default().clone(),
             receive_bytes: block.receive_bytes,
-            front: front.as_ref().map(|f| f.address),
+            advertised_address: front.as_ref().map(|f| f.address),
             recorder: self.recorder.clone(),
         };
         let node = Node::start(settings).map_err(|e| format!("node {name}: {e}"))?;
         if let Some(f) = front {
-            f.leads_to(node.own_address());
+            f.set_target(node.own_address());
         }
         self.by_name.insert(name.to_owned(), (block, node));
         Ok(())
@@ -288,7 +288,7 @@
         let Some((block, old)) = self.by_name.get(name).cloned() else { return Ok(()) };
         let shard = old.shard();
         old.stop();
-        list.state(&old.address().to_string(), State::Gone);
+        list.set_state(&old.address().to_string(), State::Gone);
         self.one(name, block, shard, true, rig)?;
         list.put(self.node(name).map(entry));
         Ok(())
--- a/crates/scenario/src/hunt.rs
+++ b/crates/scenario/src/hunt.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::{How, Who};
 use crate::script::{Action, Script, Trouble};
-use tackmast_emulators::ways::What;
+use tackmast_emulators::network_faults::NetworkFault;
 
 /// Troubles of one day, at most.
 const MAX: u64 = 6;
@@ -71,15 +71,15 @@
                     1 => Who::Clients,
                     _ => Who::Nodes(None),
                 };
-                let what = if self.below(4) == 0 { What::Reset } else { What::Cut };
+                let what = if self.below(4) == 0 { NetworkFault::Reset } else { NetworkFault::Cut };
                 Action::Way { from: vec![self.some()], to: vec![to], what, one_way: self.below(2) == 0 }
             }
             _ => {
                 let what = match self.below(4) {
-                    0 => What::Lose(self.between(0.05, 0.3)),
-                    1 => What::Late(self.between(0.01, 0.3)),
-                    2 => What::Double(self.between(0.05, 0.5)),
-                    _ => What::Cut,
+                    0 => NetworkFault::Loss(self.between(0.05, 0.3)),
+                    1 => NetworkFault::Delay(self.between(0.01, 0.3)),
+                    2 => NetworkFault::Duplicate(self.between(0.05, 0.5)),
+                    _ => NetworkFault::Cut,
                 };
                 Action::Way {
                     from: vec![self.some()],
@@ -168,11 +168,11 @@
             }
             Action::Way { from, to, what, one_way } => {
                 let word = match what {
-                    What::Cut => "cut".into(),
-                    What::Reset => "reset".into(),
-                    What::Lose(x) => format!("lose {x}"),
-                    What::Late(x) => format!("late {x}"),
-                    What::Double(x) => format!("double {x}"),
+                    NetworkFault::Cut => "cut".into(),
+                    NetworkFault::Reset => "reset".into(),
+                    NetworkFault::Loss(x) => format!("lose {x}"),
+                    NetworkFault::Delay(x) => format!("late {x}"),
+                    NetworkFault::Duplicate(x) => format!("double {x}"),
                 };
                 let (from, to) = (who(from), who(to));
                 format!("  way   = \"{word}\"\n  from  = [{from}]\n  to    = [{to}]\n  one_way = {one_way}\n")
--- a/crates/scenario/src/play.rs
+++ b/crates/scenario/src/play.rs
@@ -19,8 +19,8 @@
 use tackmast_config::HostSettings;
 use tackmast_emulators::initiator::{self, Initiator, Login};
 use tackmast_emulators::list::{ListFault, NodeList};
+use tackmast_emulators::network_faults::{Endpoint, NetworkFault};
 use tackmast_emulators::node::Fault;
-use tackmast_emulators::ways::{Party, What};
 use tackmast_host_core::{AdminRequest, AdminResponse};
 use tackmast_overrides::{Kind, Order, Target};
 use tackmast_trace::{now_us, EffectKind, Event, Facts, Line, Recorder, TrafficClassFacts, VolumeFacts};
@@ -150,7 +150,7 @@
     misuses: Vec<std::thread::JoinHandle<Option<String>>>,
 }
 
-type OnWay = (u64, HashSet<Party>, HashSet<Party>, What);
+type OnWay = (u64, HashSet<Endpoint>, HashSet<Endpoint>, NetworkFault);
 
 /// Starts processes side by side: a fleet that starts at once does so.
 fn start_all(l: &Launch, seats: Vec<Seat>) -> Vec<Result<HostProcess, String>> {
@@ -410,7 +410,7 @@
             Action::Deploy { nodes } | Action::Drain { nodes } => {
                 for n in self.nodes.named(nodes) {
                     let address = self.nodes.node(&n).map(|n| n.address().to_string());
-                    self.list.state(&address.unwrap_or_default(), State::Draining);
+                    self.list.set_state(&address.unwrap_or_default(), State::Draining);
                 }
             }
             Action::KillHosts(_) | Action::Hosts { .. } | Action::Way { .. } | Action::Apart(_) => {}
@@ -514,7 +514,7 @@
             Action::Drain { nodes } => {
                 for n in self.nodes.named(nodes) {
                     let address = self.nodes.node(&n).map(|n| n.address().to_string());
-                    self.list.state(&address.unwrap_or_default(), State::Ready);
+                    self.list.set_state(&address.unwrap_or_default(), State::Ready);
                 }
             }
             Action::KillHosts(_) | Action::Hosts { .. } | Action::Way { .. } | Action::Apart(_) => {}
@@ -528,7 +528,7 @@
             let started = node.started_us();
             if node.is_up() && started > 0 && self.starts.get(name) != Some(&started) {
                 self.starts.insert(name.clone(), started);
-                self.list.restarted(&node.address().to_string(), started);
+                self.list.set_restarted(&node.address().to_string(), started);
             }
         }
     }
@@ -579,7 +579,7 @@
         std::thread::scope(|s| ends.into_iter().for_each(|h| _ = s.spawn(|| h.end())));
         self.twins.clear();
         for (name, (_, node)) in &self.nodes.by_name {
-            if node.has_fallen() {
+            if node.has_collapsed() {
                 self.failures.push(format!("node {name} fell over while cold"));
             }
             node.stop();
@@ -694,7 +694,7 @@
         name: "iqn.2026-12.org.tackmast:misuse".into(),
         digests: Digests::default(),
         deadline_ms: None,
-        patience,
+        timeout: patience,
     };
     let (to, replies) = crossbeam_channel::unbounded();
     let client =
@@ -708,7 +708,7 @@
     };
     match how {
         Misuse::Garbage => {
-            client.raw(&[0xa5; 512]);
+            client.send_raw(&[0xa5; 512]);
             if closed() {
                 Ok(())
             } else {
@@ -718,7 +718,7 @@
         Misuse::OverLong => {
             let mut pdu = Pdu::new(op::COMMAND, FINAL | READS);
             pdu.head[5..8].copy_from_slice(&[0xff; 3]);
-            client.raw(&pdu.head);
+            client.send_raw(&pdu.head);
             if closed() {
                 Ok(())
             } else {
@@ -728,10 +728,10 @@
         _ => {
             let mut pdu = Pdu::new(op::COMMAND, FINAL);
             pdu.set32(16, 77).set32(24, client.next_number().wrapping_add(100_000));
-            client.raw(&pdu.head);
-            client.simple(1, 0, Command::ReportLuns { allocation_length: 64 }, 64);
+            client.send_raw(&pdu.head);
+            client.submit_command(1, 0, Command::ReportLuns { allocation_length: 64 }, 64);
             match replies.recv_timeout(patience) {
-                Ok((1, initiator::Reply::Done(_))) => Ok(()),
+                Ok(initiator::LabelledReply { label: 1, reply: initiator::Reply::Done(_) }) => Ok(()),
                 other => {
                     fail(&format!("{other:?} after a command past the window; expected its next one done"))
                 }
--- a/crates/scenario/src/rig.rs
+++ b/crates/scenario/src/rig.rs
@@ -4,7 +4,9 @@
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
 use std::str::FromStr;
-use tackmast_emulators::ways::{Caller, Datagrams, Front, Party, Ways, What};
+use tackmast_emulators::network_faults::{
+    CallerKind, DatagramProxies, Endpoint, Network, NetworkFault, Proxy,
+};
 use tackmast_trace::{Event, Recorder, Side};
 
 /// A second process of one number is known to the rig by its number and this.
@@ -101,10 +103,10 @@
 
 /// The ways of one day.
 pub struct Rig {
-    pub ways: Ways,
-    datagrams: Option<Datagrams>,
-    list: Option<Front>,
-    clients: BTreeMap<u32, Front>,
+    pub ways: Network,
+    datagrams: Option<DatagramProxies>,
+    list: Option<Proxy>,
+    clients: BTreeMap<u32, Proxy>,
     nodes: Option<()>,
     port: u16,
     recorder: Recorder,
@@ -117,23 +119,23 @@
 
 impl Rig {
     pub fn new(script: &Script, recorder: &Recorder) -> Result<Rig, String> {
-        let ways = Ways::default();
+        let ways = Network::default();
         let has = |is: &dyn Fn(&Who) -> bool| script.ways().any(is);
         let list = has(&|w| matches!(w, Who::List));
         let clients = has(&|w| matches!(w, Who::Clients));
         let nodes = has(&|w| matches!(w, Who::Nodes(_)));
         let failed = |e: std::io::Error| format!("ways: {e}");
-        let front = |caller, party| Front::start(&ways, caller, party, recorder).map_err(failed);
+        let front = |caller, party| Proxy::start(&ways, caller, party, recorder).map_err(failed);
         let datagrams = match script.day.members && script.ways().next().is_some() {
-            true => Some(Datagrams::start(ways.clone(), script.day.seed).map_err(failed)?),
+            true => Some(DatagramProxies::start(ways.clone(), script.day.seed).map_err(failed)?),
             false => None,
         };
         let hosts = if clients { 0..script.day.hosts } else { 0..0 };
         Ok(Rig {
             datagrams,
-            list: list.then(|| front(Caller::HostToList, Some(Party::List))).transpose()?,
+            list: list.then(|| front(CallerKind::HostToList, Some(Endpoint::List))).transpose()?,
             clients: hosts
-                .map(|h| Ok((h, front(Caller::Clients, Some(Party::Host(h)))?)))
+                .map(|h| Ok((h, front(CallerKind::Clients, Some(Endpoint::Host(h)))?)))
                 .collect::<Result<_, String>>()?,
             nodes: nodes.then_some(()),
             port: 20_000 + (std::process::id() % 20_000) as u16,
@@ -150,14 +152,14 @@
             return Ok(PeerPlace { listen: at(process, 0, port), advertise: None, seeds });
         };
         let (front, real) = (at(process, 0, port), at(process, 1, port));
-        d.front(process, front, real).map_err(|e| format!("way to host {process}: {e}"))?;
+        d.add_host(process, front, real).map_err(|e| format!("way to host {process}: {e}"))?;
         Ok(PeerPlace { listen: real, advertise: Some(front), seeds })
     }
 
     /// Where hosts reach the list.
     pub fn list(&self, real: SocketAddr) -> SocketAddr {
         self.list.as_ref().map_or(real, |f| {
-            f.leads_to(real);
+            f.set_target(real);
             f.address
         })
     }
@@ -165,48 +167,48 @@
     /// Where clients reach a host.
     pub fn host(&self, host: u32, real: SocketAddr) -> SocketAddr {
         self.clients.get(&host).map_or(real, |f| {
-            f.leads_to(real);
+            f.set_target(real);
             f.address
         })
     }
 
     /// A front for a node that is to be started, where nodes have them.
-    pub fn node(&self) -> Result<Option<Front>, String> {
-        let one = || Front::start(&self.ways, Caller::HostToNode, None, &self.recorder);
+    pub fn node(&self) -> Result<Option<Proxy>, String> {
+        let one = || Proxy::start(&self.ways, CallerKind::HostToNode, None, &self.recorder);
         self.nodes.map(|()| one()).transpose().map_err(|e| format!("way to a node: {e}"))
     }
 
     /// Begins it between these, and notes what the rules are to excuse.
-    pub fn begin(&self, from: &HashSet<Party>, to: &HashSet<Party>, what: What) -> u64 {
-        let id = self.ways.begin(from.clone(), to.clone(), what);
+    pub fn begin(&self, from: &HashSet<Endpoint>, to: &HashSet<Endpoint>, what: NetworkFault) -> u64 {
+        let id = self.ways.inject(from.clone(), to.clone(), what);
         self.note(from, to, what, true);
         id
     }
 
-    pub fn end(&self, id: u64, from: &HashSet<Party>, to: &HashSet<Party>, what: What) {
+    pub fn end(&self, id: u64, from: &HashSet<Endpoint>, to: &HashSet<Endpoint>, what: NetworkFault) {
         self.note(from, to, what, false);
-        self.ways.end(id);
+        self.ways.clear(id);
     }
 
-    fn note(&self, from: &HashSet<Party>, to: &HashSet<Party>, what: What, on: bool) {
-        if !matches!(what, What::Cut | What::Reset) {
+    fn note(&self, from: &HashSet<Endpoint>, to: &HashSet<Endpoint>, what: NetworkFault, on: bool) {
+        if !matches!(what, NetworkFault::Cut | NetworkFault::Reset) {
             return;
         }
-        let hosts = |all: &HashSet<Party>| -> Vec<u32> {
-            let host = |p: &Party| match p {
-                Party::Host(h) if *h < TWIN => Some(*h),
+        let hosts = |all: &HashSet<Endpoint>| -> Vec<u32> {
+            let host = |p: &Endpoint| match p {
+                Endpoint::Host(h) if *h < TWIN => Some(*h),
                 _ => None,
             };
             all.iter().filter_map(host).collect()
         };
         let note = |host: u32, side| self.recorder.note(Event::Cut { host, side, on });
-        if from.contains(&Party::Clients) {
+        if from.contains(&Endpoint::Clients) {
             hosts(to).into_iter().for_each(|h| note(h, Side::Clients));
         }
-        if to.contains(&Party::Clients) {
+        if to.contains(&Endpoint::Clients) {
             hosts(from).into_iter().for_each(|h| note(h, Side::Clients));
         }
-        if from.contains(&Party::List) {
+        if from.contains(&Endpoint::List) {
             hosts(to).into_iter().for_each(|h| note(h, Side::List));
         }
     }
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -6,9 +6,9 @@
 use tackmast_config::document::Place;
 use tackmast_config::{ConfigError, Document, HostSettings};
 use tackmast_emulators::list::ListFault;
-use tackmast_emulators::model::Nature;
+use tackmast_emulators::model::NodeBehavior;
+use tackmast_emulators::network_faults::NetworkFault;
 use tackmast_emulators::node::Fault;
-use tackmast_emulators::ways::What;
 use tackmast_overrides::{Kind, Target, TargetError};
 
 /// `day { ... }`
@@ -108,7 +108,7 @@
 
 impl Default for NodesBlock {
     fn default() -> Self {
-        let n = Nature::default();
+        let n = NodeBehavior::default();
         NodesBlock {
             shards: Vec::new(),
             zone: 0,
@@ -116,17 +116,17 @@
             speed: n.speed,
             unit_ms: n.unit_s * 1e3,
             queue: n.queue,
-            cold_from: n.cold_from,
-            warm_s: n.warm_s,
-            fall_multiple: n.fall_multiple,
-            fall_s: n.fall_s,
-            put_off: n.put_off,
-            flush_s: n.flush_s,
+            cold_from: n.initial_capacity,
+            warm_s: n.warm_up_s,
+            fall_multiple: n.overload_multiple,
+            fall_s: n.overload_window_s,
+            put_off: n.write_back_fraction,
+            flush_s: n.flush_interval_s,
             pause_ms: n.pause_s * 1e3,
-            pause_every_s: n.pause_every_s,
-            saved: n.saved,
-            remembers: n.remembers,
-            drops: n.drops,
+            pause_every_s: n.pause_interval_s,
+            saved: n.cache_savings,
+            remembers: n.cached_keys,
+            drops: n.drops_cancelled,
             report_ms: 100,
             cold: false,
             receive_bytes: 0,
@@ -135,23 +135,23 @@
 }
 
 impl NodesBlock {
-    pub fn nature(&self) -> Nature {
-        Nature {
+    pub fn nature(&self) -> NodeBehavior {
+        NodeBehavior {
             cores: self.cores.max(1),
             unit_s: self.unit_ms / 1e3,
             speed: self.speed,
             queue: self.queue,
-            cold_from: self.cold_from,
-            warm_s: self.warm_s,
-            fall_multiple: self.fall_multiple,
-            fall_s: self.fall_s,
-            put_off: self.put_off,
-            flush_s: self.flush_s,
+            initial_capacity: self.cold_from,
+            warm_up_s: self.warm_s,
+            overload_multiple: self.fall_multiple,
+            overload_window_s: self.fall_s,
+            write_back_fraction: self.put_off,
+            flush_interval_s: self.flush_s,
             pause_s: self.pause_ms / 1e3,
-            pause_every_s: self.pause_every_s,
-            saved: self.saved,
-            remembers: self.remembers,
-            drops: self.drops,
+            pause_interval_s: self.pause_every_s,
+            cache_savings: self.saved,
+            cached_keys: self.remembers,
+            drops_cancelled: self.drops,
         }
     }
 }
@@ -305,7 +305,7 @@
     Way {
         from: Vec<Who>,
         to: Vec<Who>,
-        what: What,
+        what: NetworkFault,
         one_way: bool,
     },
     /// All ways between these groups are cut.
@@ -723,11 +723,11 @@
             _ => Err(wrong()),
         };
         let what = match words.as_slice() {
-            ["cut"] => What::Cut,
-            ["reset"] => What::Reset,
-            ["lose", x] => What::Lose(amount(x, 1.0)?),
-            ["late", x] => What::Late(amount(x, 60.0)?),
-            ["double", x] => What::Double(amount(x, 1.0)?),
+            ["cut"] => NetworkFault::Cut,
+            ["reset"] => NetworkFault::Reset,
+            ["lose", x] => NetworkFault::Loss(amount(x, 1.0)?),
+            ["late", x] => NetworkFault::Delay(amount(x, 60.0)?),
+            ["double", x] => NetworkFault::Duplicate(amount(x, 1.0)?),
             _ => return Err(wrong()),
         };
         let (from, to) = (whom("from", &t.from)?, whom("to", &t.to)?);
@@ -792,7 +792,7 @@
             }
             ["deploy"] => Action::Deploy { nodes },
             _ => {
-                let fault = fault.parse().map_err(|e| ("fault", String::new(), e))?;
+                let fault = fault.parse::<Fault>().map_err(|e| ("fault", String::new(), e.to_string()))?;
                 Action::Nodes { nodes, fault }
             }
         });
--- a/crates/scenario/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tackmast::interface::Effect;
 use tackmast_config::{HostSettings, Volume};
-use tackmast_emulators::initiator::{Ask, AskWork, Initiator, Login, Reply};
+use tackmast_emulators::initiator::{Initiator, IoOperation, IoRequest, LabelledReply, Login, Reply};
 use tackmast_trace::{now_us, Recorder};
 use tackmast_wire::iscsi::Digests;
 
@@ -131,7 +131,7 @@
     over: AtomicBool,
     closed: AtomicBool,
     recorder: Recorder,
-    replies: Channel<(u64, Reply)>,
+    replies: Channel<LabelledReply>,
     again: Channel<Again>,
 }
 
@@ -247,7 +247,7 @@
             name: format!("iqn.2026-12.org.tackmast:client-{}", self.name),
             digests: Digests { header: self.block.digests, data: self.block.digests },
             deadline_ms: self.block.deadline_ms,
-            patience: Duration::from_secs(2),
+            timeout: Duration::from_secs(2),
         };
         Initiator::login(&login, host, self.replies.0.clone(), self.recorder.clone()).ok()
     }
@@ -370,16 +370,16 @@
         let (block, blocks) = (a.block, a.blocks);
         let version = if a.write { label } else { 0 };
         let work = match a.write {
-            true => AskWork::Write { data: Bytes::from(s.registers.write(now, block, blocks, version)) },
-            false => AskWork::Read { blocks },
+            true => IoOperation::Write { data: Bytes::from(s.registers.write(now, block, blocks, version)) },
+            false => IoOperation::Read { blocks },
         };
         let deadline = self.block.deadline_ms.map_or(st.deadline.secs(), |ms| f64::from(ms) / 1e3);
-        let ask = Ask {
+        let ask = IoRequest {
             lun: self.volume.lun,
             traffic_class: a.traffic_class as u32,
             block,
             block_bytes: self.volume.block_bytes,
-            work,
+            operation: work,
             deadline_us: (deadline * 1e6) as u64,
         };
         let latency_objective_us = (st.latency_objective.secs() * 1e6) as u64;
@@ -397,7 +397,7 @@
         let (abort, leave) =
             (s.chance.rand_float() < self.block.aborts, s.chance.rand_float() < self.block.leaves);
         drop(s);
-        match session.ask(label, &ask, Duration::ZERO) {
+        match session.submit(label, &ask, Duration::ZERO) {
             None => {
                 let mut s = lock(&self.state);
                 s.tallies[a.traffic_class].shut += 1;
@@ -415,19 +415,21 @@
                     s.registers.wrote(now, block, blocks, version, None);
                 }
             }
-            Some(_) if leave => session.leave(),
+            Some(_) if leave => session.close(),
             Some(_) => {}
         }
     }
 
     fn take_replies(&self) {
         let mut pruned = now_us();
-        while let Ok((label, reply)) = self.replies.1.recv_timeout(Duration::from_millis(100)).or_else(|e| {
-            match self.closed.load(Ordering::Acquire) {
-                true => Err(e),
-                false => Ok((0, Reply::Lost)),
-            }
-        }) {
+        while let Ok(LabelledReply { label, reply }) =
+            self.replies.1.recv_timeout(Duration::from_millis(100)).or_else(|e| {
+                match self.closed.load(Ordering::Acquire) {
+                    true => Err(e),
+                    false => Ok(LabelledReply { label: 0, reply: Reply::Lost }),
+                }
+            })
+        {
             let now = now_us();
             let mut s = lock(&self.state);
             if now - pruned > 500_000 {
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -22,7 +22,7 @@
 use tackmast::interface::{Instant, ListKind, NodeState, Outcome, ShardId, TimeDelta, ZoneId};
 use tackmast_client_core::{Op, Outcome as CallOutcome, Output as ClientOutput, Place};
 use tackmast_config::HostSettings;
-use tackmast_emulators::model::{How, Ills, Job, Model, Nature};
+use tackmast_emulators::model::{EndedJob, Job, JobOutcome, NodeBehavior, NodeFaults, NodeModel};
 use tackmast_host_core::{
     member_settings, AdminRequest, AdminResponse, Age, AttemptId, AttemptResult, AttemptWork, Begin,
     CommandRef, Core, ListEntry, NodeStart, OpaqueRequest, OpenCounts, Output, Peers, PersistBatch,
@@ -259,7 +259,7 @@
 }
 
 struct SimNode {
-    model: Model,
+    model: NodeModel,
     zone: u32,
     shard: u32,
     /// What it last told of the requests that wait there, and when; told anew after so long.
@@ -308,7 +308,7 @@
     hosts: Vec<Host>,
     nodes: Vec<SimNode>,
     partitions: BTreeMap<(u32, u32), Us>,
-    /// Marks that the nodes of a zone know, and when each ran.
+    /// IdempotencyKeys that the nodes of a zone know, and when each ran.
     marks: BTreeMap<(u32, u128), Us>,
     list_version: u64,
     list_late: Us,
@@ -368,19 +368,19 @@
     let like = |n: u32| match w.day.as_ref().and_then(|d| d.node(n)) {
         Some((block, shard)) => (block.nature(), block.zone, shard, block.cold, block.report_ms * 1000),
         None => {
-            let nature = Nature {
+            let nature = NodeBehavior {
                 cores: w.cores,
                 unit_s: w.unit_s,
                 queue: 400,
-                cold_from: w.cold_from,
-                warm_s: w.warm_s,
-                fall_multiple: w.fall_multiple,
-                fall_s: FALL_S,
-                saved: w.saved,
-                remembers: w.remembers,
-                put_off: w.put_off,
-                flush_s: w.flush_s,
-                ..Nature::default()
+                initial_capacity: w.cold_from,
+                warm_up_s: w.warm_s,
+                overload_multiple: w.fall_multiple,
+                overload_window_s: FALL_S,
+                cache_savings: w.saved,
+                cached_keys: w.remembers,
+                write_back_fraction: w.put_off,
+                flush_interval_s: w.flush_s,
+                ..NodeBehavior::default()
             };
             (nature, n % 3, n, false, 0)
         }
@@ -389,7 +389,7 @@
         let (nature, zone, shard, cold, report_us) = like(n);
         let started = if cold { START } else { 0 };
         SimNode {
-            model: Model::new(started, nature, w.seed * 1000 + u64::from(n), cold),
+            model: NodeModel::new(started, nature, w.seed * 1000 + u64::from(n), cold),
             zone,
             shard,
             told: (0, 0),
@@ -525,7 +525,7 @@
         self.note(Seen::Facts(facts));
         for n in 0..self.nodes.len() {
             let cold = self.nodes[n].started > 0;
-            self.note_node_up(n, if cold { self.nodes[n].model.nature.cold_from } else { 1.0 });
+            self.note_node_up(n, if cold { self.nodes[n].model.behavior().initial_capacity } else { 1.0 });
         }
         let start = self.now;
         for h in 0..self.w.hosts {
@@ -571,6 +571,6 @@
             self.run.stuck += commands + requests + attempts + h.core.key_queue_count();
         }
         self.run.stuck += self.clients.iter().map(|c| c.core.open()).sum::<usize>();
-        self.run.fallen = self.nodes.iter().filter(|n| n.model.is_fallen()).count();
+        self.run.fallen = self.nodes.iter().filter(|n| n.model.has_collapsed()).count();
     }
 }
--- a/crates/simulator/src/sim/events.rs
+++ b/crates/simulator/src/sim/events.rs
@@ -126,12 +126,12 @@
         let n = t.node;
         let node = n as usize;
         match t.kind {
-            Kind::Slow(x) => self.set(n, |ills| ills.slow = if on { x } else { 1.0 }),
-            Kind::Errors(x) => self.set(n, |ills| ills.errors = if on { x } else { 0.0 }),
-            Kind::Neighbour(x) => self.set(n, |ills| ills.neighbour = if on { x } else { 0.0 }),
-            Kind::Heavy(part, times) => {
-                self.set(n, |ills| ills.heavy = if on { (part, times) } else { (0.0, 1.0) })
-            }
+            Kind::Slow(x) => self.set(n, |faults| faults.slowdown = if on { x } else { 1.0 }),
+            Kind::Errors(x) => self.set(n, |faults| faults.error_rate = if on { x } else { 0.0 }),
+            Kind::Neighbour(x) => self.set(n, |faults| faults.neighbour_share = if on { x } else { 0.0 }),
+            Kind::Heavy(part, times) => self.set(n, |faults| {
+                (faults.heavy_fraction, faults.heavy_multiple) = if on { (part, times) } else { (0.0, 1.0) }
+            }),
             Kind::Pause if on => {
                 let now = self.now;
                 self.nodes[node].model.pause(now, t.for_us as f64 / 1e6);
--- a/crates/simulator/src/sim/nodes.rs
+++ b/crates/simulator/src/sim/nodes.rs
@@ -5,8 +5,8 @@
 impl Sim<'_> {
     pub(super) fn note_node_up(&mut self, n: usize, cold_from: f64) {
         let node = &self.nodes[n];
-        let (address, capacity) = (node.address.clone(), node.model.capacity());
-        let warm_us = if cold_from < 1.0 { (node.model.nature.warm_s * 1e6) as Us } else { 0 };
+        let (address, capacity) = (node.address.clone(), node.model.behavior().capacity());
+        let warm_us = if cold_from < 1.0 { (node.model.behavior().warm_up_s * 1e6) as Us } else { 0 };
         let (zone, shard) = (node.zone, node.shard);
         self.note(tackmast_trace::Event::NodeUp {
             node: address,
@@ -86,8 +86,8 @@
             let node = &mut self.nodes[n as usize];
             // The piece of data, as the stand-in nodes on loopback tell it.
             let key = attempt.key ^ attempt.offset << 8;
-            let job = Job { id, units, write, key, further: attempt.attempt_number > 0, until };
-            node.model.arrive(now, job);
+            let job = Job { id, units, write, key, is_retry: attempt.attempt_number > 0, deadline_us: until };
+            node.model.receive(now, job);
         }
         self.settle(n);
     }
@@ -100,29 +100,30 @@
             return;
         }
         node.model.advance(now);
-        let ended = node.model.ended();
-        for (id, how) in ended {
+        let ended = node.model.take_ended();
+        for EndedJob { id, outcome: how } in ended {
             let node = &mut self.nodes[n as usize];
             let Some(x) = node.held.remove(&id) else { continue };
             let (outcome, kind) = match how {
-                How::Done => (NodeOutcome::Done, AttemptEndKind::Done),
-                How::Error => (NodeOutcome::Error, AttemptEndKind::Error),
-                How::NeverRan => (NodeOutcome::Full, AttemptEndKind::NeverRan),
+                JobOutcome::Done => (NodeOutcome::Done, AttemptEndKind::Done),
+                JobOutcome::Error => (NodeOutcome::Error, AttemptEndKind::Error),
+                JobOutcome::NeverRan => (NodeOutcome::Full, AttemptEndKind::NeverRan),
             };
             let own = node.served.entry((x.volume, x.host)).or_default();
-            if how == How::Done {
+            if how == JobOutcome::Done {
                 own.0 += x.units;
                 *node.total.entry(x.volume).or_default() += x.units;
             }
             let others = node.total.get(&x.volume).copied().unwrap_or(0.0) - own.0;
             let elsewhere = (others - own.1).max(0.0) as f32;
             own.1 = others;
-            let data = if how == How::Done { Bytes::from(vec![0; x.read as usize]) } else { Bytes::new() };
+            let data =
+                if how == JobOutcome::Done { Bytes::from(vec![0; x.read as usize]) } else { Bytes::new() };
             if node.told.0 == 0 || now >= node.told.0 + node.report_us {
-                node.told = (now, node.model.waiting() as u32);
+                node.told = (now, node.model.waiting_count() as u32);
             }
             let (waiting, address, zone) = (node.told.1, node.address.clone(), node.zone);
-            let ran = how == How::Done && self.first_run(zone, x.mark);
+            let ran = how == JobOutcome::Done && self.first_run(zone, x.mark);
             self.note(tackmast_trace::Event::AttemptEnd { node: address, name: x.name, kind, ran });
             let answer =
                 Frame::Answer(Answer { attempt: x.attempt, outcome, waiting, elsewhere, data }).to_bytes();
@@ -132,7 +133,7 @@
             }
         }
         let node = &mut self.nodes[n as usize];
-        if let Some(t) = node.model.next_time().filter(|t| *t < node.wake) {
+        if let Some(t) = node.model.poll_timeout().filter(|t| *t < node.wake) {
             node.wake = t.max(now + 1);
             let t = node.wake;
             self.push(t, Event::NodeTime(n));
@@ -265,23 +266,23 @@
         if node.up {
             return;
         }
-        let ills = node.model.ills.clone();
-        node.model = Model::new(now, node.model.nature.clone(), self.w.seed ^ now, true);
-        node.model.ills = ills;
+        let faults = node.model.faults.clone();
+        node.model = NodeModel::new(now, node.model.behavior().clone(), self.w.seed ^ now, true);
+        node.model.faults = faults;
         (node.up, node.silent, node.started, node.wake) = (true, false, now, Us::MAX);
         node.served.clear();
         node.total.clear();
         (node.listed, node.listed_start) = (NodeState::Ready, now);
-        let from = self.nodes[n as usize].model.nature.cold_from;
+        let from = self.nodes[n as usize].model.behavior().initial_capacity;
         self.note_node_up(n as usize, from);
         self.tell();
     }
 
-    pub(super) fn set(&mut self, n: u32, change: impl Fn(&mut Ills)) {
+    pub(super) fn set(&mut self, n: u32, change: impl Fn(&mut NodeFaults)) {
         let now = self.now;
         let model = &mut self.nodes[n as usize].model;
         model.advance(now);
-        change(&mut model.ills);
+        change(&mut model.faults);
         self.settle(n);
     }
 }
