--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -106,6 +106,22 @@
         self.get(index).map(|entry| LogPosition { term: entry.term, index })
     }
 
+    /// The index after which a leader is to try next whose entry at `mismatch` this log lacks: the end of the log, or right
+    /// before the entries of the term that differs (Raft, end of section 5.3). One step back for each entry would take a
+    /// round trip each. Committed entries match, so it is never before them.
+    pub(crate) fn conflict_hint(&self, mismatch: u64, commit_index: u64) -> u64 {
+        let term_at = |index: u64| self.position_at(index).map(|position| position.term);
+        let mut index = self.last().index;
+        if index >= mismatch {
+            let conflicting_term = term_at(mismatch);
+            index = mismatch - 1;
+            while index > commit_index && term_at(index) == conflicting_term {
+                index -= 1;
+            }
+        }
+        index.max(commit_index)
+    }
+
     /// Appends an entry; its index.
     pub fn push(&mut self, entry: Entry) -> u64 {
         self.bytes += size(&entry);
--- a/crates/consensus/src/log/tests.rs
+++ b/crates/consensus/src/log/tests.rs
@@ -60,3 +60,16 @@
     assert!(log.compact(log.last().index, Bytes::new()));
     assert!(log.bytes <= MAX_KEPT_BYTES);
 }
+
+/// A follower's log differs from the leader's, or ends before it. The hint skips all entries of the term that differs, and
+/// never goes back before what is committed, which always matches.
+#[test]
+fn conflict_hint_skips_the_term_that_differs_but_no_committed_entry() {
+    let last = LogPosition { term: 1, index: 10 };
+    let snapshot = Snapshot { log_id: 3, last, voters: voters(1), state: Bytes::new() };
+    let log = Log::new(snapshot, vec![command(1, 11), command(2, 12), command(2, 13), command(2, 14)]);
+    // Index of the leader's entry that this log lacks, the commit index here, and the hint.
+    for (mismatch, commit_index, expected) in [(20, 11, 14), (14, 11, 11), (12, 11, 11), (14, 12, 12)] {
+        assert_eq!(log.conflict_hint(mismatch, commit_index), expected, "{mismatch} {commit_index}");
+    }
+}
--- a/crates/consensus/src/raft/commit.rs
+++ b/crates/consensus/src/raft/commit.rs
@@ -20,9 +20,7 @@
 
     /// Requests a snapshot of the state machine once the log has grown long.
     pub(super) fn request_snapshot_if_due(&mut self) {
-        let length = self.log.since_snapshot();
-        let is_long = length.entries >= self.settings.snapshot_after_entries
-            || length.bytes >= self.settings.snapshot_after_bytes;
+        let is_long = self.settings.is_snapshot_due(self.log.since_snapshot());
         let snapshot_index = self.log.snapshot().last.index;
         let is_requested = self.snapshot_requested.is_some_and(|index| index > snapshot_index);
         if is_long && !is_requested && self.commit_index > snapshot_index {
--- a/crates/consensus/src/raft/follower.rs
+++ b/crates/consensus/src/raft/follower.rs
@@ -33,7 +33,7 @@
         let matches =
             previous.index < snapshot_index || self.log.position_at(previous.index) == Some(previous);
         if !matches {
-            let index = self.conflict_hint(previous);
+            let index = self.log.conflict_hint(previous.index, self.commit_index);
             let response = self.append_response(round, false, index);
             return self.send_after_persist(from, response);
         }
@@ -56,21 +56,6 @@
         Message::AppendEntriesResponse { term, round, success, index, identity }
     }
 
-    /// The index after which the leader is to try next: the end of the log, or right before the entries of the term that
-    /// differs here (Raft, end of section 5.3). One step back for each entry would take a round trip each.
-    fn conflict_hint(&self, previous: LogPosition) -> u64 {
-        let term_at = |index: u64| self.log.position_at(index).map(|position| position.term);
-        let mut index = self.log.last().index;
-        if index >= previous.index {
-            let conflicting_term = term_at(previous.index);
-            index = previous.index - 1;
-            while index > self.commit_index && term_at(index) == conflicting_term {
-                index -= 1;
-            }
-        }
-        index.max(self.commit_index)
-    }
-
     /// Entries after `previous_index`, from the first one that the log lacks or has of another term. Entries that match stay:
     /// a late message would else remove entries after it that this server has acknowledged.
     fn select_new_entries(&self, previous_index: u64, entries: Vec<Entry>) -> NewEntries {
--- a/crates/consensus/src/raft/leader.rs
+++ b/crates/consensus/src/raft/leader.rs
@@ -1,13 +1,12 @@
 //! A leader's proposals and heartbeat rounds. A leader without responses of a majority for long steps down (thesis, section
 //! 6.2): clients would else wait for commits that can't come, while another leader may have been elected.
 
-use super::leader_state::{LeaderState, StoredReport};
+use super::leader_state::LeaderState;
 use super::progress::Progress;
 use super::{RaftNode, Role, MAX_APPEND_ENTRIES, MAX_UNCOMMITTED};
 use crate::error::ProposeError;
 use crate::event::ConsensusEvent;
 use bytes::Bytes;
-use std::collections::BTreeSet;
 use tackmast::interface::Instant;
 use tackmast_wire::consensus::{Entry, EntryPayload, Message, MAX_ENTRY};
 
@@ -88,10 +87,7 @@
     pub(super) fn notify_proposers(&mut self, now: Instant) {
         let commit_index = self.commit_index;
         let Role::Leader(leader) = &mut self.role else { return };
-        let uncommitted = leader.proposers.split_off(&(commit_index + 1));
-        let committed = std::mem::replace(&mut leader.proposers, uncommitted);
-        let hosts: BTreeSet<u32> = committed.into_values().collect();
-        for host in hosts {
+        for host in leader.take_committed_proposers(commit_index) {
             let Role::Leader(leader) = &self.role else { return };
             if leader.peers.contains_key(&host) {
                 self.send_append(now, host);
@@ -112,12 +108,7 @@
         if std::mem::replace(&mut leader.announced_commit, commit_index) >= commit_index {
             return;
         }
-        let is_behind = |host: &u32, report: &StoredReport| {
-            report.stored_index < commit_index && !leader.peers.contains_key(host)
-        };
-        let behind = leader.stored.iter().filter(|(host, report)| is_behind(host, report));
-        let behind: Vec<(u32, u64)> = behind.map(|(host, report)| (*host, report.stored_index)).collect();
-        for (host, stored_index) in behind {
+        for (host, stored_index) in leader.learners_behind(commit_index) {
             self.send_committed(host, stored_index);
         }
     }
@@ -126,8 +117,7 @@
         let quorum = self.quorum();
         let silent_for = self.settings.election_timeouts(QUORUM_LOSS_TIMEOUTS);
         let Role::Leader(leader) = &self.role else { return };
-        let responds = |progress: &&Progress| now - progress.last_response < silent_for;
-        let reachable = 1 + leader.peers.values().filter(responds).count();
+        let reachable = leader.reachable(now, silent_for);
         if reachable < quorum {
             self.emit(ConsensusEvent::QuorumLost { silent_for, reachable, quorum });
             return self.step_down(now, None);
--- a/crates/consensus/src/raft/leader_state.rs
+++ b/crates/consensus/src/raft/leader_state.rs
@@ -2,8 +2,8 @@
 
 use super::progress::Progress;
 use crate::status::FollowerStatus;
-use std::collections::BTreeMap;
-use tackmast::interface::Instant;
+use std::collections::{BTreeMap, BTreeSet};
+use tackmast::interface::{Instant, TimeDelta};
 
 /// What another replica reported with its last request for a lease.
 #[derive(Clone, Copy, Debug)]
@@ -65,6 +65,32 @@
         }
     }
 
+    /// Voters that have responded within that time, this server included.
+    pub(super) fn reachable(&self, now: Instant, silent_for: TimeDelta) -> usize {
+        let responds = |progress: &&Progress| now - progress.last_response < silent_for;
+        1 + self.peers.values().filter(responds).count()
+    }
+
+    /// The learners that reported fewer entries than are committed, with the index up to which they have them.
+    pub(super) fn learners_behind(&self, commit_index: u64) -> Vec<(u32, u64)> {
+        let is_learner = |host: &u32| !self.peers.contains_key(host);
+        let is_behind = |report: &StoredReport| report.stored_index < commit_index;
+        let behind = self.stored.iter().filter(|(host, report)| is_learner(host) && is_behind(report));
+        behind.map(|(host, report)| (*host, report.stored_index)).collect()
+    }
+
+    /// Removes the lease requests whose round a majority has responded to.
+    pub(super) fn take_confirmed_requests(&mut self, confirmed_round: u64) -> Vec<(u32, WaitingRequest)> {
+        let is_confirmed = |_: &u32, request: &mut WaitingRequest| request.round <= confirmed_round;
+        self.lease_requests.extract_if(.., is_confirmed).collect()
+    }
+
+    /// Removes the hosts whose proposals are committed.
+    pub(super) fn take_committed_proposers(&mut self, commit_index: u64) -> BTreeSet<u32> {
+        let uncommitted = self.proposers.split_off(&(commit_index + 1));
+        std::mem::replace(&mut self.proposers, uncommitted).into_values().collect()
+    }
+
     /// What other replicas have reported.
     pub(super) fn follower_status(&self, now: Instant) -> BTreeMap<u32, FollowerStatus> {
         let status = |report: &StoredReport| FollowerStatus {
--- a/crates/consensus/src/raft/leases.rs
+++ b/crates/consensus/src/raft/leases.rs
@@ -61,12 +61,7 @@
             rounds.push(leader.round);
         }
         let Some(confirmed_round) = nth_largest(rounds, quorum) else { return };
-        let due = leader.lease_requests.iter().filter(|(_, request)| request.round <= confirmed_round);
-        let due: Vec<(u32, WaitingRequest)> = due.map(|(host, request)| (*host, *request)).collect();
-        for (host, _) in &due {
-            leader.lease_requests.remove(host);
-        }
-        for (host, request) in due {
+        for (host, request) in leader.take_confirmed_requests(confirmed_round) {
             self.counters.granted += 1;
             self.send_lease(host, request);
         }
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -1,5 +1,6 @@
 //! Settings of a replica.
 
+use crate::log::LogLength;
 use crate::state::PersistentState;
 use std::collections::BTreeSet;
 use tackmast::interface::TimeDelta;
@@ -25,6 +26,12 @@
 }
 
 impl RaftSettings {
+    /// Whether the log has grown so long since its last snapshot that a new one is due.
+    pub(crate) fn is_snapshot_due(&self, since_snapshot: LogLength) -> bool {
+        since_snapshot.entries >= self.snapshot_after_entries
+            || since_snapshot.bytes >= self.snapshot_after_bytes
+    }
+
     pub(crate) fn heartbeats(&self, count: f64) -> TimeDelta {
         TimeDelta::from_secs(self.heartbeat_interval.secs() * count)
     }
