--- a/crates/consensus/src/chunks.rs
+++ b/crates/consensus/src/chunks.rs
@@ -217,7 +217,8 @@
 
     fn start_incoming(&mut self, now: Instant, from: SocketAddr, chunk: &Chunk) -> usize {
         if self.incoming.len() >= MAX_INCOMING {
-            let idle_longest = (0..self.incoming.len()).min_by_key(|i| self.incoming[*i].last_progress);
+            let idle_longest =
+                (0..self.incoming.len()).min_by_key(|index| self.incoming[*index].last_progress);
             if let Some(position) = idle_longest {
                 self.incoming.remove(position);
             }
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -171,8 +171,8 @@
         self.unanswered
     }
 
-    /// Entries up to `index` are here and committed. A lease begins once the entries that its grant covers are: before that,
-    /// this replica would treat an older state as the newest.
+    /// Entries up to `index` are here and committed. A lease begins once the entries that its grant covers are: before
+    /// that, this replica would treat an older state as the newest.
     pub fn on_committed(&mut self, index: u64) {
         let without_entries = self.has_fault(ConsensusFault::LeaseWithoutEntries);
         let is_usable = |awaiting: &mut Validity| awaiting.index <= index || without_entries;
--- a/crates/consensus/src/raft/disk_identity.rs
+++ b/crates/consensus/src/raft/disk_identity.rs
@@ -1,8 +1,9 @@
 //! Which disks vote. Raft as published takes stable storage for granted.
 //!
-//! A server that lost its disk has forgotten its vote and its entries. If it voted again in the same term, two leaders could
-//! be elected, or an entry that is committed could be lost. So a voter is a host number together with the id of its disk.
-//! An old copy of a disk has the same id; each opening of a disk is counted and reported, so that voters recognise the copy.
+//! A server that lost its disk has forgotten its vote and its entries. If it voted again in the same term, two leaders
+//! could be elected, or an entry that is committed could be lost. So a voter is a host number together with the id of its
+//! disk. An old copy of a disk has the same id; each opening of a disk is counted and reported, so that voters recognise
+//! the copy.
 
 use super::{RaftNode, Role};
 use crate::event::ConsensusEvent;
--- a/crates/consensus/src/raft/election.rs
+++ b/crates/consensus/src/raft/election.rs
@@ -171,7 +171,8 @@
             self.become_candidate();
             return self.count_votes(now);
         }
-        // This server's own vote has to be on disk as well. Votes of others arrive after that, but a single voter needs none.
+        // This server's own vote has to be on disk as well. Votes of others arrive after that, but a single voter needs
+        // none.
         if count == 1 && self.persisted_write < self.last_write {
             return;
         }
--- a/crates/consensus/src/raft/follower.rs
+++ b/crates/consensus/src/raft/follower.rs
@@ -56,8 +56,8 @@
         Message::AppendEntriesResponse { term, round, success, index, identity }
     }
 
-    /// Entries after `previous_index`, from the first one that the log lacks or has of another term. Entries that match stay:
-    /// a late message would else remove entries after it that this server has acknowledged.
+    /// Entries after `previous_index`, from the first one that the log lacks or has of another term. Entries that match
+    /// stay: a late message would else remove entries after it that this server has acknowledged.
     fn select_new_entries(&self, previous_index: u64, entries: Vec<Entry>) -> NewEntries {
         let snapshot_index = self.log.snapshot().last.index;
         let mut new = NewEntries { first_index: 0, entries: Vec::new() };
--- a/crates/consensus/src/raft/leader.rs
+++ b/crates/consensus/src/raft/leader.rs
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Begins a heartbeat round (thesis, section 6.4). A server that responds to it accepted this server as leader after now.
+    /// Begins a heartbeat round (thesis, section 6.4). A server that responds to it accepted this server as leader after
+    /// now.
     pub(super) fn start_round(&mut self, now: Instant) {
         let settings = self.settings;
         let Role::Leader(leader) = &mut self.role else { return };
--- a/crates/consensus/src/raft/membership.rs
+++ b/crates/consensus/src/raft/membership.rs
@@ -42,8 +42,9 @@
         Ok(self.append_entry(now, EntryPayload::Voters(voters)))
     }
 
-    /// The previous configuration has to be committed, and an entry of this term (the erratum of 2015 to section 4.1). With two
-    /// changes at once, majorities of the first and the last configuration need not overlap, and both could elect a leader.
+    /// The previous configuration has to be committed, and an entry of this term (the erratum of 2015 to section 4.1). With
+    /// two changes at once, majorities of the first and the last configuration need not overlap, and both could elect a
+    /// leader.
     fn check_can_change_voters(&self) -> Result<&LeaderState, ProposeError> {
         self.check_can_append()?;
         let Role::Leader(leader) = &self.role else {
--- a/crates/consensus/src/raft/persistence.rs
+++ b/crates/consensus/src/raft/persistence.rs
@@ -11,7 +11,8 @@
 use tackmast::interface::Instant;
 use tackmast_wire::consensus::{Entry, Message};
 
-/// Greatest number of messages that wait for the disk. Further ones are dropped, which Raft treats like a loss on the network.
+/// Greatest number of messages that wait for the disk. Further ones are dropped, which Raft treats like a loss on the
+/// network.
 const MAX_DELAYED_MESSAGES: usize = 4096;
 
 /// A write that is not done yet.
@@ -110,7 +111,8 @@
         self.request_snapshot_if_due();
     }
 
-    /// Removes the entry at `index` and all after it. Their writes that are not done yet no longer count as persisted entries.
+    /// Removes the entry at `index` and all after it. Their writes that are not done yet no longer count as persisted
+    /// entries.
     pub(super) fn truncate_log_from(&mut self, index: u64) {
         self.log.truncate_from(index);
         self.forget_persisted_after(index - 1);
--- a/crates/consensus/src/raft/progress.rs
+++ b/crates/consensus/src/raft/progress.rs
@@ -80,8 +80,8 @@
         self.next_index = self.next_index.max(self.match_index + 1);
     }
 
-    /// The peer's log does not match, and may match up to `hint`. While a large message is on its way, the response is one to
-    /// a message before it, and its hint is out of date.
+    /// The peer's log does not match, and may match up to `hint`. While a large message is on its way, the response is one
+    /// to a message before it, and its hint is out of date.
     pub(super) fn on_mismatch(&mut self, hint: u64, last_index: u64) {
         if self.large_sent_at.is_none() {
             self.next_index = (hint + 1).clamp(self.match_index + 1, last_index + 1);
--- a/crates/consensus/src/raft/recovery.rs
+++ b/crates/consensus/src/raft/recovery.rs
@@ -17,8 +17,8 @@
 const SILENT_ELECTION_TIMEOUTS: f64 = 10.0;
 
 impl RaftNode {
-    /// Begins a new log alone with what is committed here; its id. Replicas of the old log ignore messages of the new one, so
-    /// that entries of the two are never mixed. `state` is what all entries up to the last committed one led to.
+    /// Begins a new log alone with what is committed here; its id. Replicas of the old log ignore messages of the new one,
+    /// so that entries of the two are never mixed. `state` is what all entries up to the last committed one led to.
     pub(crate) fn force_new_log(&mut self, now: Instant, state: Bytes) -> Result<u64, RecoveryError> {
         if self.disk_failed || self.bootstrap.is_some() || self.log.snapshot().log_id == 0 {
             return Err(RecoveryError::NoLog);
--- a/crates/consensus/src/replica/lease_requests.rs
+++ b/crates/consensus/src/replica/lease_requests.rs
@@ -89,6 +89,6 @@
 
 /// The grant of a LeaseGranted message.
 pub(super) fn lease_grant(sequence: u32, index: u64, duration_ms: u32) -> LeaseGrant {
-    let duration = TimeDelta::from_secs(f64::from(duration_ms) / 1e3);
+    let duration = TimeDelta::from_millis(i64::from(duration_ms));
     LeaseGrant { sequence, index, duration }
 }
--- a/crates/consensus/tests/replica/raft_node.rs
+++ b/crates/consensus/tests/replica/raft_node.rs
@@ -77,8 +77,8 @@
     }
 }
 
-/// A voter that crashes after it sent a vote, and before the vote is on disk, could vote twice in a term. One that has contact
-/// with a leader must not vote at all, or a server that was cut off would depose the leader.
+/// A voter that crashes after it sent a vote, and before the vote is on disk, could vote twice in a term. One that has
+/// contact with a leader must not vote at all, or a server that was cut off would depose the leader.
 #[test]
 fn a_vote_is_sent_only_once_persisted_and_once_a_term() {
     let mut node = raft_node(0, 1, &[1]);
@@ -178,8 +178,8 @@
     }
 }
 
-/// A replica requests a lease while a response to an earlier heartbeat round is on its way. That response does not show that
-/// the server still leads; only one to a later round does.
+/// A replica requests a lease while a response to an earlier heartbeat round is on its way. That response does not show
+/// that the server still leads; only one to a later round does.
 #[test]
 fn a_lease_is_granted_only_after_a_later_heartbeat_round() {
     let mut node = leader_of_term_four(None);
@@ -218,8 +218,8 @@
     assert!(!node.is_leader());
 }
 
-/// A snapshot arrives late at a server that has acknowledged entries after it. If those were removed, a committed entry could
-/// be lost (Raft, figure 13, step 6).
+/// A snapshot arrives late at a server that has acknowledged entries after it. If those were removed, a committed entry
+/// could be lost (Raft, figure 13, step 6).
 #[test]
 fn a_snapshot_keeps_entries_after_it_that_match() {
     let install = |index: u64, term: u64| Message::InstallSnapshot {
--- a/crates/membership/src/catalog_replication.rs
+++ b/crates/membership/src/catalog_replication.rs
@@ -168,7 +168,7 @@
         }
         match message {
             CatalogMessage::Version { number, mark, remaining_ms } => {
-                let deadline = now + TimeDelta::from_secs(f64::from(*remaining_ms) / 1e3);
+                let deadline = now + TimeDelta::from_millis(i64::from(*remaining_ms));
                 self.record_announcement(slot, *number, deadline);
                 self.compare_version(now, from, slot, CatalogVersion { number: *number, mark: *mark });
             }
--- a/crates/membership/src/member/outputs.rs
+++ b/crates/membership/src/member/outputs.rs
@@ -11,8 +11,8 @@
 use tackmast_wire::peer::{Body, Datagram, MemberUpdate};
 
 impl Member {
-    /// Sends the view's messages. The view does not know of overrides, so their digest is filled in here. Beside each digest
-    /// go the versions of the catalog and of the node list.
+    /// Sends the view's messages. The view does not know of overrides, so their digest is filled in here. Beside each
+    /// digest go the versions of the catalog and of the node list.
     pub(super) fn flush_view_with_digests(&mut self, now: Instant) {
         let digest = self.overrides.digest(now);
         let transmits: Vec<Transmit> = std::iter::from_fn(|| self.view.poll_transmit()).collect();
--- a/crates/membership/src/member/receive.rs
+++ b/crates/membership/src/member/receive.rs
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Sends member updates, beginning where the last answer ended: a fleet of many hundreds has more than one answer holds.
+    /// Sends member updates, beginning where the last answer ended: a fleet of many hundreds has more than one answer
+    /// holds.
     fn send_members(&mut self, to: SocketAddr) {
         let mut pieces = self.view.all_updates();
         let first = self.next_piece % pieces.len().max(1);
--- a/crates/membership/src/node_list.rs
+++ b/crates/membership/src/node_list.rs
@@ -75,8 +75,8 @@
 }
 
 impl NodeListNotices {
-    /// This host's list has that version and removes these nodes. Returns whether it is newer than before, so that peers are
-    /// to learn of it.
+    /// This host's list has that version and removes these nodes. Returns whether it is newer than before, so that peers
+    /// are to learn of it.
     pub fn handle_list(&mut self, version: u64, removals: impl IntoIterator<Item = NodeRemoval>) -> bool {
         self.enabled = true;
         if version < self.version {
--- a/crates/membership/src/quota_leases.rs
+++ b/crates/membership/src/quota_leases.rs
@@ -221,7 +221,8 @@
     /// What is lent and borrowed of a volume's limit; none: it is not shared.
     pub fn balance(&self, now: Instant, volume: u32) -> Option<QuotaBalance> {
         let pool = self.pools.get(&volume)?;
-        let until = pool.next_expiration(now).map_or(self.next_round, |t| t.min(self.next_round)).max(now);
+        let until =
+            pool.next_expiration(now).map_or(self.next_round, |end| end.min(self.next_round)).max(now);
         if self.displaced || self.leaving {
             return Some(QuotaBalance { lent: pool.owned, borrowed: 0.0, until });
         }
@@ -267,7 +268,7 @@
                 if !self.is_own_generation(recipient_generation) => {}
             LeaseMessage::Grant { request_seq, seq, volume, share, term_ms, .. } => {
                 let share = f64::from(share);
-                let term = TimeDelta::from_secs(f64::from(term_ms) / 1e3);
+                let term = TimeDelta::from_millis(i64::from(term_ms));
                 let grant = borrower::Grant { from, request_seq, seq, volume, share, term };
                 self.handle_grant(now, grant);
             }
--- a/crates/membership/src/quota_leases/borrower.rs
+++ b/crates/membership/src/quota_leases/borrower.rs
@@ -91,9 +91,9 @@
         }
     }
 
-    /// Stops using what an earlier generation of the lender lent, and confirms that. The lender's generation stays recorded:
-    /// else a grant of the earlier generation that arrives after the confirmation would put its lease in force again, while
-    /// the lender uses the share.
+    /// Stops using what an earlier generation of the lender lent, and confirms that. The lender's generation stays
+    /// recorded: else a grant of the earlier generation that arrives after the confirmation would put its lease in force
+    /// again, while the lender uses the share.
     pub(super) fn handle_recall(&mut self, now: Instant, from: MemberId, volume: u32) {
         let Some(pool) = self.pools.get_mut(&volume).filter(|pool| pool.is_owner(from.slot)) else { return };
         let generation = from.generation;
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -269,8 +269,8 @@
         is_accused && is_due && self.settings.extensions.buddy_system
     }
 
-    /// The host leaves gracefully and gossips that. Two rounds make up for a lost datagram: after a leave that nobody learned
-    /// of, the host would be suspected and declared dead.
+    /// The host leaves gracefully and gossips that. Two rounds make up for a lost datagram: after a leave that nobody
+    /// learned of, the host would be suspected and declared dead.
     pub fn leave(&mut self) {
         self.me.health = Health::Left;
         self.broadcast(self.me.slot);
--- a/crates/membership/src/view/dissemination.rs
+++ b/crates/membership/src/view/dissemination.rs
@@ -56,8 +56,8 @@
         self.transmits.push_back(Transmit { to, body, recipient });
     }
 
-    /// All members' updates, split so that each part fits one datagram. Deaths that were declared in isolation are left out:
-    /// they are this host's guess.
+    /// All members' updates, split so that each part fits one datagram. Deaths that were declared in isolation are left
+    /// out: they are this host's guess.
     pub fn all_updates(&self) -> Vec<Vec<MemberUpdate>> {
         let shared = self.members.iter().filter(|(_, state)| !state.declared_in_isolation);
         let updates: Vec<MemberUpdate> =
--- a/crates/membership/src/view/local_health.rs
+++ b/crates/membership/src/view/local_health.rs
@@ -78,8 +78,9 @@
         self.events.extend(event);
     }
 
-    /// Whether this host counts itself as cut off, and so suspects nobody: neither a probed member nor a helper has answered
-    /// it for some periods. After a long time without any datagram it does not any more, as the others may really be dead.
+    /// Whether this host counts itself as cut off, and so suspects nobody: neither a probed member nor a helper has
+    /// answered it for some periods. After a long time without any datagram it does not any more, as the others may really
+    /// be dead.
     pub(super) fn is_cut_off(&self, now: Instant) -> bool {
         let is_unanswered = now - self.last_answered >= self.periods(SILENCE_PERIODS);
         let may_be_cut_off = self.settings.extensions.local_health && self.live_count() > 0 && is_unanswered;
--- a/crates/membership/src/view/sites.rs
+++ b/crates/membership/src/view/sites.rs
@@ -1,4 +1,5 @@
-//! Members by site: whether all hosts of a site failed together or one by one. Operators read it; no decision depends on it.
+//! Members by site: whether all hosts of a site failed together or one by one. Operators read it; no decision depends on
+//! it.
 
 use super::{MemberState, View, ViewEvent};
 use std::collections::BTreeMap;
--- a/crates/membership/src/view/suspicion.rs
+++ b/crates/membership/src/view/suspicion.rs
@@ -168,3 +168,6 @@
         !declared_in_isolation
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/membership/tests/member.rs
+++ b/crates/membership/tests/member.rs
@@ -214,7 +214,8 @@
         total_ms: 60_000,
         cleared,
     };
-    // When each record is merged, its remaining milliseconds and whether it is cleared; expected events to set and to clear.
+    // When each record is merged, its remaining milliseconds and whether it is cleared; expected events to set and to
+    // clear.
     type Step = (f64, u64, bool);
     let cases: &[(&str, &[Step], (usize, usize))] = &[
         ("once", &[(10.0, 60_000, false), (11.0, 59_000, false)], (1, 0)),
--- a/crates/membership/tests/quota_leases.rs
+++ b/crates/membership/tests/quota_leases.rs
@@ -254,9 +254,9 @@
     assert!(state_count > 1000, "{state_count}");
 }
 
-/// Clusters of two to four hosts go through thousands of random runs with losses, duplicates, restarts and leaves. Two faults
-/// were found by such runs: a second restart lost the marker of a leave (seed 264), and a lender's generation was forgotten
-/// with the end of its lease (seed 1686).
+/// Clusters of two to four hosts go through thousands of random runs with losses, duplicates, restarts and leaves. Two
+/// faults were found by such runs: a second restart lost the marker of a leave (seed 264), and a lender's generation was
+/// forgotten with the end of its lease (seed 1686).
 #[test]
 fn no_random_run_exceeds_the_limit() {
     let run_count = if cfg!(debug_assertions) { 2_000 } else { 40_000 };
