--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -26,9 +26,9 @@
 }
 
 impl EventKind {
-    /// The event that the bench calls by this word; none: the word is not known.
-    pub fn parse(word: &str) -> Option<Self> {
-        Some(match word {
+    /// The event that the bench calls by this name; none: the name is not known.
+    pub fn parse(name: &str) -> Option<Self> {
+        Some(match name {
             "Provision" => EventKind::HostStarted,
             "Detach" => EventKind::HostEnded,
             "Fleet" => EventKind::NodeList,
@@ -43,8 +43,8 @@
 }
 
 /// Whether an event answers what a host never asks for: probes and messages between hosts.
-pub fn is_ignored_event(word: &str) -> bool {
-    matches!(word, "Echo" | "Message")
+pub fn is_ignored_event(name: &str) -> bool {
+    matches!(name, "Echo" | "Message")
 }
 
 /// Names of fields, as errors quote them.
@@ -98,8 +98,8 @@
 }
 
 /// How an attempt ended.
-pub fn outcome(word: &str) -> Result<Outcome, LinkError> {
-    Ok(match word {
+pub fn outcome(name: &str) -> Result<Outcome, LinkError> {
+    Ok(match name {
         "done" => Outcome::Done,
         "err" => Outcome::Error,
         "busy" => Outcome::Full,
@@ -108,28 +108,28 @@
         "econnreset" => Outcome::Reset,
         "ecanceled" => Outcome::Cancelled,
         "skipped" => Outcome::Skipped,
-        _ => return Err(unknown("outcome", word, "one of the wire's eight")),
+        _ => return Err(unknown("outcome", name, "one of the wire's eight")),
     })
 }
 
 /// How an endpoint list came.
-pub fn list_kind(word: &str) -> Result<ListKind, LinkError> {
-    Ok(match word {
+pub fn list_kind(name: &str) -> Result<ListKind, LinkError> {
+    Ok(match name {
         "INCREMENTAL" => ListKind::Changes,
         "FULL" => ListKind::Complete,
         "SAVED" => ListKind::Saved,
         "FAILED" => ListKind::Failed,
-        _ => return Err(unknown("list kind", word, "INCREMENTAL, FULL, SAVED or FAILED")),
+        _ => return Err(unknown("list kind", name, "INCREMENTAL, FULL, SAVED or FAILED")),
     })
 }
 
 /// The state of a node.
-pub fn node_state(word: &str) -> Result<NodeState, LinkError> {
-    Ok(match word {
+pub fn node_state(name: &str) -> Result<NodeState, LinkError> {
+    Ok(match name {
         "ready" => NodeState::Ready,
         "draining" => NodeState::Draining,
         "gone" => NodeState::Gone,
-        _ => return Err(unknown(field::NODE_STATE, word, "ready, draining or gone")),
+        _ => return Err(unknown(field::NODE_STATE, name, "ready, draining or gone")),
     })
 }
 
