--- a/crates/host-core/src/attempt.rs
+++ b/crates/host-core/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts of requests, as the connections to nodes get them, and their results.
+//! Attempts of requests, as the connections to nodes receive them, and their results.
 
 use crate::command::CommandRef;
 use crate::placed::OpaqueRequest;
@@ -23,7 +23,7 @@
     Opaque(OpaqueRequest),
 }
 
-/// An attempt among all that this host has out.
+/// Names an attempt among all that this host has in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId(pub u64);
 
@@ -34,9 +34,9 @@
     pub node: NodeId,
     /// Its number among all attempts of this host.
     pub attempt: AttemptId,
-    /// The request's number in this generation of the host, the attempt's within the request.
+    /// The request's number in this generation of the host.
     pub request: u64,
-    /// Its number within the request, from 0.
+    /// The attempt's number within the request, from 0.
     pub attempt_number: u8,
     /// The command that it serves.
     pub from: CommandRef,
@@ -44,7 +44,8 @@
     pub part: u16,
     /// When nobody waits for its answer any more.
     pub until: Instant,
-    /// When a repeat may no longer be known for one: no first byte leaves from then on.
+    /// From then on its first byte must not be written: the node may have forgotten the idempotency key of the first attempt, and would
+    /// run the request a second time.
     pub begin_by: Option<Instant>,
     /// The idempotency key by which nodes recognise a retry; 0 where the traffic class has none.
     pub mark: u128,
@@ -65,24 +66,26 @@
 /// Whether an attempt's first byte may leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Begin {
-    /// It leaves now: claimed.
+    /// It is claimed, and is to be written now.
     Now,
-    /// It was withdrawn, and has had its end.
+    /// It was withdrawn, and has ended.
     Withdrawn,
-    /// Its time is over. It never leaves, and its link says that it never ran.
+    /// Its time is over. It is never written, and its connection reports that it did not run.
     TooLate,
 }
 
 impl SendAttempt {
-    /// Asked by its link once it could write, which may be long after the attempt was decided: against a connection that comes
-    /// up when nobody waits any more, and against a repeat that nodes no longer know for one.
+    /// Whether the attempt's first byte may be written now. Its connection calls this once it can write, which may be long after the attempt
+    /// was decided on: by then its client may have given up, or nodes may not recognise a retry any more.
     pub fn begin(&self, now: Instant) -> Begin {
-        let over = self.until <= now || self.begin_by.is_some_and(|t| t <= now);
-        match () {
-            () if over && self.ticket.withdraw() => Begin::TooLate,
-            () if !over && self.ticket.claim() => Begin::Now,
-            () => Begin::Withdrawn,
+        let is_too_late = self.until <= now || self.begin_by.is_some_and(|begin_by| begin_by <= now);
+        if is_too_late && self.ticket.withdraw() {
+            return Begin::TooLate;
         }
+        if !is_too_late && self.ticket.claim() {
+            return Begin::Now;
+        }
+        Begin::Withdrawn
     }
 }
 
--- a/crates/host-core/src/consensus.rs
+++ b/crates/host-core/src/consensus.rs
@@ -1,7 +1,10 @@
-//! Consensus within the host core: messages to and from peers, writes, committed changes of plans, and requests of
-//! operators. The decisions are those of `tackmast-consensus` and `tackmast-plans`.
+//! The replica of this host within the host core, with the transfer of its messages and the requests that wait for it. The decisions are
+//! those of `tackmast-consensus` and `tackmast-plans`.
+
+mod messages;
+
+pub use self::messages::{ConsensusRequest, ConsensusResponse, ConsensusStatus};
 
-use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_config::{ConsensusBlock, HostSettings};
@@ -11,130 +14,24 @@
 };
 use tackmast_wire::peer::Body;
 
-/// Entries, and bytes of them, after which a snapshot is taken.
+/// Entries of the log after which a snapshot is taken.
 const SNAPSHOT_AFTER_ENTRIES: u64 = 2_000;
+/// Bytes of entries after which a snapshot is taken.
 const SNAPSHOT_AFTER_BYTES: usize = 4 << 20;
-/// Reads that wait, at most, and for how long each does.
+/// Reads that may wait at a time.
 pub(crate) const MAX_WAITING_READS: usize = 256;
-pub(crate) const READ_TIMEOUT_S: f64 = 3.0;
-/// How often a leader checks whether all hosts have stored what a lower fallback limit waits for.
-pub(crate) const ACKNOWLEDGEMENT_CHECK_S: f64 = 0.5;
-/// Writes of the replicated log have request numbers from here on.
+/// How long a read waits at most until this host is up to date.
+pub(crate) const READ_TIMEOUT: TimeDelta = TimeDelta::from_millis(3000);
+/// The time between two checks of a leader whether all hosts have stored the version that a lower fallback limit waits for.
+pub(crate) const ACKNOWLEDGEMENT_CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(500);
+/// Spreads the generations of a host over the ids of its messages (a multiplicative hash), so that a restarted host does not use ids again
+/// of which peers still have chunks.
+const MESSAGE_ID_MULTIPLIER: u32 = 0x9e37_79b1;
+/// Bits of a request's number that tell whose write it is.
+const WRITER_BITS: u64 = 3 << 62;
+/// Writes of the replicated log have request numbers from this one on.
 pub(crate) const FIRST_WRITE_REQUEST: u64 = 1 << 62;
 
-/// What an operator asks of this host's consensus.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum ConsensusRequest {
-    /// The status of this host's replica.
-    Status,
-    /// Adds or removes a voter; for the leader.
-    Voter {
-        /// The voter's host.
-        host: u32,
-        /// Whether it votes from now on.
-        votes: bool,
-    },
-    /// The majority is gone for good: this host goes on alone, as a new log, from what it has.
-    Force {
-        /// Who asks.
-        who: String,
-        /// For what reason.
-        why: String,
-    },
-    /// This host forgets its log, to follow one that was forced elsewhere.
-    Forget {
-        /// Who asks.
-        who: String,
-        /// For what reason.
-        why: String,
-    },
-}
-
-/// The answer to a `ConsensusRequest`.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum ConsensusResponse {
-    /// The status of this host's replica.
-    Status(Box<ConsensusStatus>),
-    /// Done here, and written into the audit trail; of `Force`, the id of the new log.
-    Done {
-        /// The mark of the log that applies from now on; 0: none.
-        log: u64,
-    },
-    /// It is in the log at that place, and applies once a majority has stored it.
-    Taken {
-        /// The place in the log.
-        index: u64,
-    },
-    /// Nothing was done.
-    Refused {
-        /// Why not.
-        why: String,
-    },
-}
-
-/// The replica of a host as operators see it.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ConsensusStatus {
-    /// This host.
-    pub host: u32,
-    /// Its generation.
-    #[serde(rename = "life")]
-    pub generation: u64,
-    /// Leader, follower or candidate.
-    pub role: String,
-    /// The current term.
-    pub term: u64,
-    /// The leader, where one is known.
-    pub leader: Option<u32>,
-    /// The id of the log: hosts with different ones do not share one.
-    pub log: u64,
-    /// Hosts that vote.
-    pub voters: Vec<u32>,
-    /// Whether this host votes.
-    pub votes: bool,
-    /// Whether the log has its initial voters.
-    #[serde(rename = "founded")]
-    pub bootstrapped: bool,
-    /// Its disk takes no writes.
-    pub failed: bool,
-    /// The index of the last entry.
-    pub last: u64,
-    /// The index up to which entries are committed.
-    pub commit: u64,
-    /// The index up to which entries are in the snapshot.
-    #[serde(rename = "folded")]
-    pub snapshot_index: u64,
-    /// The version of the plans that apply here.
-    pub version: u64,
-    /// The newest version of the plans that is known to be stored on all hosts.
-    #[serde(rename = "told")]
-    pub acknowledged: u64,
-    /// `holds`, `past` or `never`.
-    pub lease: String,
-    /// Seconds until the lease ends, or since it did.
-    pub lease_s: f64,
-    /// Whether it is in degraded mode, by the fallback limits.
-    #[serde(rename = "posture")]
-    pub degraded: bool,
-    /// Seconds until all hosts go by the newest that this one has.
-    pub in_force_s: f64,
-    /// Where it leads: by host, the entries that it said it has, and seconds since.
-    pub has: BTreeMap<u32, (u64, f64)>,
-    /// Elections begun here.
-    pub elections: u64,
-    /// Entries committed here.
-    pub commits: u64,
-    /// Leases granted here.
-    pub granted: u64,
-    /// Messages rejected since they came from a voter's other disk.
-    #[serde(rename = "wrong_disks")]
-    pub rejected_disks: u64,
-    /// Messages dropped.
-    pub lost: u64,
-}
-
 /// What a host's disk has of consensus.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConsensusStart {
@@ -144,60 +41,75 @@
     pub persisted: PersistentState,
 }
 
-/// The replica of this host, with the transfer of its messages and whoever waits for it.
+/// Whether the number of a request is that of a write of the replicated log.
+pub(crate) fn is_log_write(request: u64) -> bool {
+    request & WRITER_BITS == FIRST_WRITE_REQUEST
+}
+
+/// A request about plans that waits until this host is up to date.
+pub(crate) struct WaitingRead {
+    /// The replica's number of the read.
+    pub read: u32,
+    /// It is answered by then, with what this host has.
+    pub deadline: Instant,
+    /// The number that the request came under.
+    pub request: u64,
+    pub plan_request: crate::PlanRequest,
+}
+
+/// The replica of this host, with the transfer of its messages and the requests that wait for it.
 pub struct ConsensusDriver {
     pub(crate) replica: Replica,
     pub(crate) chunks: ChunkedTransfer,
     pub(crate) settings: RaftSettings,
-    /// Changes of this host: their numbers, and who waits for what.
+    /// Changes that were proposed here, by number, with the request that waits for each.
     pub(crate) changes: BTreeMap<u32, u64>,
-    /// Reads that wait: number of the read, until when, number of the request, and the request.
-    pub(crate) reads: Vec<(u32, Instant, u64, crate::PlanRequest)>,
+    pub(crate) reads: Vec<WaitingRead>,
     /// The index of the newest change of plans.
     pub(crate) changed_at: u64,
     pub(crate) next_acknowledgement_check: Instant,
     me: u32,
 }
 
-/// The settings of Raft that the settings of a host amount to.
-pub(crate) fn raft_settings(s: &HostSettings, a: &ConsensusBlock) -> RaftSettings {
+/// The settings of Raft that follow from the settings of a host.
+fn raft_settings(settings: &HostSettings, block: &ConsensusBlock) -> RaftSettings {
     RaftSettings {
-        heartbeat_interval: TimeDelta::from_secs(a.heartbeat_interval_ms / 1e3),
-        election_timeout: TimeDelta::from_secs(a.election_timeout_ms / 1e3),
-        lease: TimeDelta::from_secs(a.lease_s),
-        max_clock_drift: a.drift,
-        host_count: s.host.hosts,
+        heartbeat_interval: TimeDelta::from_secs(block.heartbeat_interval_ms / 1e3),
+        election_timeout: TimeDelta::from_secs(block.election_timeout_ms / 1e3),
+        lease: TimeDelta::from_secs(block.lease_s),
+        max_clock_drift: block.drift,
+        host_count: settings.host.hosts,
         snapshot_after_entries: SNAPSHOT_AFTER_ENTRIES,
         snapshot_after_bytes: SNAPSHOT_AFTER_BYTES,
     }
 }
 
 impl ConsensusDriver {
-    /// A replica that goes on from what the disk has; `seed` is for chance in elections.
+    /// A replica that starts from what the disk has; `seed` is for chance in elections.
     pub fn new(
         now: Instant,
-        s: &HostSettings,
-        a: &ConsensusBlock,
+        settings: &HostSettings,
+        block: &ConsensusBlock,
         start: ConsensusStart,
         seed: u64,
     ) -> ConsensusDriver {
-        let (me, settings) = (s.host.number, raft_settings(s, a));
-        let first = (start.identity.generation as u32).wrapping_mul(0x9e37_79b1);
+        let (me, raft) = (settings.host.number, raft_settings(settings, block));
+        let first_message_id = (start.identity.generation as u32).wrapping_mul(MESSAGE_ID_MULTIPLIER);
         let replica = ReplicaSettings {
             me,
             identity: start.identity,
-            raft: settings,
-            initial_voters: a.voters.iter().copied().collect(),
+            raft,
+            initial_voters: block.voters.iter().copied().collect(),
             persisted: start.persisted,
             seed,
         };
         ConsensusDriver {
             replica: Replica::new(now, replica),
             chunks: ChunkedTransfer::new(
-                ChunkSettings { retry_interval: settings.heartbeat_interval },
-                first,
+                ChunkSettings { retry_interval: raft.heartbeat_interval },
+                first_message_id,
             ),
-            settings,
+            settings: raft,
             changes: BTreeMap::new(),
             reads: Vec::new(),
             changed_at: 0,
@@ -208,7 +120,7 @@
 
     /// When the replica wants to be called again.
     pub fn poll_timeout(&self, now: Instant) -> Instant {
-        let reads = self.reads.iter().map(|(_, until, _, _)| *until);
+        let reads = self.reads.iter().map(|read| read.deadline);
         let all = [Some(self.replica.poll_timeout(now)), self.chunks.poll_timeout()];
         all.into_iter().flatten().chain(reads).fold(self.replica.poll_timeout(now), Instant::min)
     }
@@ -236,7 +148,7 @@
         Message::decode(bytes).ok()
     }
 
-    /// Seconds from a change's commit until all hosts go by it.
+    /// How long after its commit a change applies at all hosts.
     pub fn settle(&self) -> TimeDelta {
         Lease::max_holdover(self.settings.lease, self.settings.max_clock_drift)
     }
@@ -248,8 +160,10 @@
 
     /// The replica as operators see it. The figures of the plans are filled in by the core.
     pub fn status(&self, now: Instant) -> ConsensusStatus {
-        let reported = |(host, f): (u32, FollowerStatus)| (host, (f.stored_index, f.silent_for.secs()));
-        let (s, c) = (self.replica.status(now), self.replica.raft.counters);
+        let reported = |(host, follower): (u32, FollowerStatus)| {
+            (host, (follower.stored_index, follower.silent_for.secs()))
+        };
+        let (status, counters) = (self.replica.status(now), self.replica.raft.counters);
         let (lease, lease_s) = match self.replica.lease_state(now) {
             LeaseState::Valid { until } => ("holds", (until - now).secs()),
             LeaseState::Expired { since } => ("past", (now - since).secs()),
@@ -258,29 +172,29 @@
         ConsensusStatus {
             host: self.me,
             generation: self.replica.raft.identity().generation,
-            role: s.role.to_string(),
-            term: s.term,
-            leader: s.leader,
+            role: status.role.to_string(),
+            term: status.term,
+            leader: status.leader,
             log: self.replica.raft.log().snapshot().log_id,
-            voters: s.voters.keys().copied().collect(),
-            votes: s.is_voter,
-            bootstrapped: s.bootstrapped,
-            failed: s.disk_failed,
-            last: s.last_index,
-            commit: s.commit_index,
-            snapshot_index: s.snapshot_index,
+            voters: status.voters.keys().copied().collect(),
+            votes: status.is_voter,
+            bootstrapped: status.bootstrapped,
+            failed: status.disk_failed,
+            last: status.last_index,
+            commit: status.commit_index,
+            snapshot_index: status.snapshot_index,
             version: 0,
             acknowledged: 0,
             lease: lease.into(),
             lease_s,
             degraded: false,
             in_force_s: (self.replica.effective_at(now) - now).secs(),
-            has: s.followers.into_iter().map(reported).collect(),
-            elections: c.elections,
-            commits: c.commits,
-            granted: c.granted,
-            rejected_disks: c.rejected_disks,
-            lost: c.dropped_messages + self.chunks.lost,
+            has: status.followers.into_iter().map(reported).collect(),
+            elections: counters.elections,
+            commits: counters.commits,
+            granted: counters.granted,
+            rejected_disks: counters.rejected_disks,
+            lost: counters.dropped_messages + self.chunks.lost,
         }
     }
 }
--- a/crates/host-core/src/core/admin.rs
+++ b/crates/host-core/src/core/admin.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Core {
-    /// Takes operators' overrides in. `batch` is what has become of those of an earlier generation.
+    /// Operators may set overrides from now on. `batch` is what is to be persisted of the overrides of an earlier generation.
     pub fn with_overrides(&mut self, now: Instant, overrides: Overrides, batch: PersistBatch) {
         self.override_requests = Some(OverrideRequests::new(now, overrides));
         if batch != PersistBatch::default() {
@@ -11,7 +11,7 @@
         }
     }
 
-    /// What the wall clock shows, now and then: audits carry it, and its steps move no end.
+    /// What the wall clock shows, now and then. Audit records have its time; a step of it changes the end of no override.
     pub fn handle_wall_clock(&mut self, now: Instant, wall_us: u64) {
         self.wall_offset_us = wall_us as i64 - (now.secs() * 1e6).round() as i64;
         let step = self.override_requests.as_mut().and_then(|o| o.overrides.handle_wall_clock(now, wall_us));
--- a/crates/host-core/src/core/consensus.rs
+++ b/crates/host-core/src/core/consensus.rs
@@ -1,13 +1,23 @@
 //! Consensus: messages, writes, committed changes, and the lease without which this host is in degraded mode.
 
 use super::*;
-use crate::consensus::{ConsensusRequest, ConsensusResponse, ACKNOWLEDGEMENT_CHECK_S, FIRST_WRITE_REQUEST};
+use crate::consensus::{
+    is_log_write, ConsensusRequest, ConsensusResponse, ACKNOWLEDGEMENT_CHECK_INTERVAL, FIRST_WRITE_REQUEST,
+};
 use crate::plans::CommittedChange;
 use std::net::SocketAddr;
 use tackmast_consensus::{ReplicaOutput, Transmit};
 use tackmast_plans::Command as PlanCommand;
 use tackmast_wire::peer::Body;
 
+/// The longest name, and the longest reason, of an audit record, in bytes.
+const MAX_AUDIT_TEXT_BYTES: usize = 200;
+
+/// Whether a text may stand in an audit record: not empty, not too long and printable.
+fn is_audit_text(text: &str) -> bool {
+    !text.trim().is_empty() && text.len() <= MAX_AUDIT_TEXT_BYTES && !text.contains(char::is_control)
+}
+
 /// What an operator may do where a majority is gone for good.
 #[derive(Clone, Copy)]
 enum RecoveryAction {
@@ -16,7 +26,7 @@
 }
 
 impl Core {
-    /// Changes of plans need consensus from here on. To be called before `with_plans`, by which the disk's state is applied.
+    /// Changes of plans need consensus from now on. To be called before `with_plans`, by which the disk's state is applied.
     pub fn with_consensus(&mut self, consensus: ConsensusDriver) {
         self.consensus = Some(consensus);
     }
@@ -40,13 +50,13 @@
         self.advance_consensus(now);
     }
 
-    /// Where a lower fallback limit waits for it: records in the log that all hosts have stored the newest version.
+    /// Where a lower fallback limit waits for it, proposes to record in the log that all hosts have stored the newest version.
     fn propose_stored_on_all(&mut self, now: Instant) {
         let (Some(consensus), Some(plans)) = (&mut self.consensus, &self.plans) else { return };
         if now < consensus.next_acknowledgement_check {
             return;
         }
-        consensus.next_acknowledgement_check = now + TimeDelta::from_secs(ACKNOWLEDGEMENT_CHECK_S);
+        consensus.next_acknowledgement_check = now + ACKNOWLEDGEMENT_CHECK_INTERVAL;
         let acknowledged = plans.acknowledged();
         let version = plans.version();
         if acknowledged.is_awaited
@@ -58,14 +68,14 @@
         }
     }
 
-    /// The store has written entries of the log, or could not; false: the request was none of the log's.
+    /// The store has written entries of the log, or could not. False: the request is not of the log.
     pub(super) fn handle_consensus_persisted(
         &mut self,
         now: Instant,
         request: u64,
         result: &Result<(), PersistError>,
     ) -> bool {
-        if request & (3 << 62) != FIRST_WRITE_REQUEST {
+        if !is_log_write(request) {
             return false;
         }
         if let Some(consensus) = &mut self.consensus {
@@ -74,14 +84,15 @@
                 Err(_) => consensus.replica.on_persist_failed(now),
             }
         }
-        if let Err(why) = result {
-            self.emit(HostEvent::ConsensusWriteFailed { error: why.clone() });
+        if let Err(error) = result {
+            self.emit(HostEvent::ConsensusWriteFailed { error: error.clone() });
         }
         self.advance_consensus(now);
         true
     }
 
-    /// Against acting by what may count no more: looked at before each decision.
+    /// Enters or leaves degraded mode by this host's lease. A host whose lease has expired may have outdated plans, with higher limits than
+    /// apply by now; so this is called before each decision.
     pub(super) fn update_degraded_mode(&mut self, now: Instant) {
         let (Some(consensus), Some(plans)) = (&self.consensus, &mut self.plans) else { return };
         let degraded = !consensus.replica.lease_state(now).is_valid();
@@ -94,17 +105,17 @@
     pub(super) fn process_consensus_outputs(&mut self, now: Instant) {
         loop {
             let Some(consensus) = &mut self.consensus else { return };
-            let Some(o) = consensus.replica.poll_output() else { break };
-            match o {
+            let Some(output) = consensus.replica.poll_output() else { break };
+            match output {
                 ReplicaOutput::Send { to, message } => {
                     let to = self.peers.as_ref().and_then(|peers| peers.member.view.address(to));
                     if let Some(to) = to {
                         consensus.chunks.send(to, message.to_bytes());
                     }
                 }
-                ReplicaOutput::Write(w) => {
-                    let request = FIRST_WRITE_REQUEST + w.write_id;
-                    let batch = PersistBatch { consensus: Some(Box::new(w)), ..PersistBatch::default() };
+                ReplicaOutput::Write(write) => {
+                    let request = FIRST_WRITE_REQUEST + write.write_id;
+                    let batch = PersistBatch { consensus: Some(Box::new(write)), ..PersistBatch::default() };
                     self.outputs.push_back(Output::Persist { request, batch });
                 }
                 ReplicaOutput::Committed { index, data, own_proposal } => {
@@ -129,7 +140,8 @@
         }
     }
 
-    /// Processes the outputs of consensus, and sends its messages. Not to be called while events of peers are processed.
+    /// Processes the outputs of consensus, and sends its messages. Not to be called while events of peers are processed, since it processes
+    /// these itself.
     pub(super) fn advance_consensus(&mut self, now: Instant) {
         self.process_consensus_outputs(now);
         self.process_peer_events(now);
@@ -143,36 +155,36 @@
         }
     }
 
-    fn handle_committed(&mut self, now: Instant, index: u64, data: &Bytes, mine: Option<u32>) {
+    fn handle_committed(&mut self, now: Instant, index: u64, data: &Bytes, own_proposal: Option<u32>) {
         let Some(plans) = &mut self.plans else { return };
         let command = serde_json::from_slice::<PlanCommand>(data).map_err(PlanError::Malformed);
         let is_change = matches!(command, Ok(PlanCommand::Change { .. }));
-        let applied = command.and_then(|c| plans.apply_committed(c));
+        let applied = command.and_then(|command| plans.apply_committed(command));
         let settle = self.consensus.as_ref().map_or(TimeDelta::ZERO, ConsensusDriver::settle);
         match applied {
             Ok(CommittedChange { updates, entry, lines }) => {
                 self.apply_plan_updates(now, &updates);
-                let Some(e) = entry else {
+                let Some(entry) = entry else {
                     let acknowledged = self.plans.as_ref().map_or(0, |plans| plans.acknowledged().version);
                     return self.emit(PlanEvent::StoredOnAllHosts { version: acknowledged });
                 };
                 if let Some(consensus) = &mut self.consensus {
                     consensus.changed_at = index;
                 }
-                self.emit(PlanEvent::change_applied(&e, updates.len()));
-                if let Some(number) = mine {
-                    let (number_, version, in_force_s) = (e.number, e.version, settle.secs());
+                self.emit(PlanEvent::change_applied(&entry, updates.len()));
+                if let Some(proposal) = own_proposal {
+                    let (number, version, in_force_s) = (entry.number, entry.version, settle.secs());
                     let response =
-                        PlanResponse::Applied { number: number_, version, lines, in_force_s, dry_run: false };
-                    self.respond_to_proposal(number, response);
+                        PlanResponse::Applied { number, version, lines, in_force_s, dry_run: false };
+                    self.respond_to_proposal(proposal, response);
                 }
             }
-            Err(why) => {
+            Err(error) => {
                 if is_change {
-                    self.emit(PlanEvent::ChangeRejected { change: None, error: why.to_string() });
+                    self.emit(PlanEvent::ChangeRejected { change: None, error: error.to_string() });
                 }
-                if let Some(number) = mine {
-                    self.respond_to_proposal(number, PlanResponse::Refused { why: why.to_string() });
+                if let Some(proposal) = own_proposal {
+                    self.respond_to_proposal(proposal, PlanResponse::Refused { why: error.to_string() });
                 }
             }
         }
@@ -184,7 +196,7 @@
             consensus.changed_at = index;
         }
         let restored = match state {
-            // A log's beginning: what the settings say.
+            // An empty snapshot is the beginning of a log: the plans are those of the settings.
             [] => Ok(plans.reset_to_settings()),
             state => plans.restore_snapshot(state),
         };
@@ -205,12 +217,13 @@
                 ConsensusResponse::Refused { why: "this host has no agreement block in its settings".into() }
             }
             (Some(consensus), ConsensusRequest::Status) => {
-                let mut s = consensus.status(now);
-                if let Some(p) = &self.plans {
-                    (s.version, s.acknowledged, s.degraded) =
-                        (p.version(), p.acknowledged().version, p.is_degraded());
+                let mut status = consensus.status(now);
+                if let Some(plans) = &self.plans {
+                    status.version = plans.version();
+                    status.acknowledged = plans.acknowledged().version;
+                    status.degraded = plans.is_degraded();
                 }
-                ConsensusResponse::Status(Box::new(s))
+                ConsensusResponse::Status(Box::new(status))
             }
             (Some(_), ConsensusRequest::Force { who, why }) => {
                 self.recover_by_operator(now, &who, &why, RecoveryAction::ForceNewLog)
@@ -225,7 +238,7 @@
                 };
                 match changed {
                     Ok(index) => ConsensusResponse::Taken { index },
-                    Err(r) => ConsensusResponse::Refused { why: r.to_string() },
+                    Err(error) => ConsensusResponse::Refused { why: error.to_string() },
                 }
             }
         };
@@ -234,7 +247,7 @@
         self.advance_consensus(now);
     }
 
-    /// What an operator does without a majority, with who and why in the audit trail before it is acknowledged.
+    /// What an operator does without a majority. Who did it and why is in the audit log before it is acknowledged.
     fn recover_by_operator(
         &mut self,
         now: Instant,
@@ -243,8 +256,7 @@
         action: RecoveryAction,
     ) -> ConsensusResponse {
         let at_us = self.wall_us(now);
-        let text = |t: &str| !t.trim().is_empty() && t.len() <= 200 && !t.contains(char::is_control);
-        if !text(who) || !text(why) {
+        if !is_audit_text(who) || !is_audit_text(why) {
             let why = format!("who {who:?}, why {why:?}; expected 1 to 200 printable bytes each");
             return ConsensusResponse::Refused { why };
         }
@@ -260,7 +272,7 @@
         };
         let log = match done {
             Ok(log) => log,
-            Err(r) => return ConsensusResponse::Refused { why: r.to_string() },
+            Err(error) => return ConsensusResponse::Refused { why: error.to_string() },
         };
         consensus.changed_at = consensus.replica.commit_index();
         let what = match action {
--- a/crates/host-core/src/core/replicated_plans.rs
+++ b/crates/host-core/src/core/replicated_plans.rs
@@ -1,7 +1,7 @@
 //! Requests about plans where changes need consensus: reads, previews and proposals.
 
 use super::*;
-use crate::consensus::{MAX_WAITING_READS, READ_TIMEOUT_S};
+use crate::consensus::{WaitingRead, MAX_WAITING_READS, READ_TIMEOUT};
 use crate::plans::ChangePreview;
 use tackmast_plans::{Change, Command as PlanCommand};
 
@@ -42,15 +42,15 @@
         self.advance_consensus(now);
     }
 
-    /// Never stale: answered once all that was committed before the request is here.
+    /// Begins a read that is never stale: it is answered once this host has all that was committed before the request.
     fn begin_read(&mut self, now: Instant, request: u64, plan_request: PlanRequest) -> Option<PlanResponse> {
         let consensus = self.consensus.as_mut()?;
         if consensus.reads.len() >= MAX_WAITING_READS {
             return Some(PlanResponse::Refused { why: format!("{MAX_WAITING_READS} asks wait already") });
         }
         let read = consensus.replica.request_read(now);
-        let until = now + TimeDelta::from_secs(READ_TIMEOUT_S);
-        consensus.reads.push((read, until, request, plan_request));
+        let deadline = now + READ_TIMEOUT;
+        consensus.reads.push(WaitingRead { read, deadline, request, plan_request });
         None
     }
 
@@ -83,25 +83,25 @@
     /// Answers reads that are up to date by now, or have waited long enough.
     pub(super) fn complete_reads(&mut self, now: Instant) {
         let (Some(consensus), Some(plans)) = (&mut self.consensus, &mut self.plans) else { return };
-        let mut i = 0;
-        while i < consensus.reads.len() {
-            let (read, until, request, _) = consensus.reads[i];
-            let known = consensus.replica.is_read_ready(read);
-            if !known && now < until {
-                i += 1;
+        let mut index = 0;
+        while index < consensus.reads.len() {
+            let waiting = &consensus.reads[index];
+            let is_ready = consensus.replica.is_read_ready(waiting.read);
+            if !is_ready && now < waiting.deadline {
+                index += 1;
                 continue;
             }
-            let (_, _, _, plan_request) = consensus.reads.swap_remove(i);
+            let WaitingRead { request, plan_request, .. } = consensus.reads.swap_remove(index);
             let response = match plans.handle_request(now, 0, request, plan_request) {
-                Some(PlanOutcome::Respond { response: PlanResponse::Shown(mut s), .. }) => {
-                    s.stale = !known;
-                    s.in_force_s = (consensus.replica.effective_at(now) - now).secs();
-                    s.settle_s = consensus.settle().secs();
+                Some(PlanOutcome::Respond { response: PlanResponse::Shown(mut status), .. }) => {
+                    status.stale = !is_ready;
+                    status.in_force_s = (consensus.replica.effective_at(now) - now).secs();
+                    status.settle_s = consensus.settle().secs();
                     let followers = consensus.replica.status(now).followers.into_iter();
-                    s.at = followers.map(|(host, f)| (host, f.stored_index)).collect();
-                    PlanResponse::Shown(s)
+                    status.at = followers.map(|(host, follower)| (host, follower.stored_index)).collect();
+                    PlanResponse::Shown(status)
                 }
-                Some(PlanOutcome::Respond { response: PlanResponse::Log { .. }, .. }) if !known => {
+                Some(PlanOutcome::Respond { response: PlanResponse::Log { .. }, .. }) if !is_ready => {
                     let why = "no word from those who agree on it: what this host has may be old".to_owned();
                     PlanResponse::Refused { why }
                 }
--- a/crates/host-core/src/event/plans.rs
+++ b/crates/host-core/src/event/plans.rs
@@ -6,7 +6,7 @@
 /// What became of a change of plans, or of what a peer sent of them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanEvent {
-    /// The host goes by a change from now on.
+    /// A change applies at this host from now on.
     ChangeApplied {
         /// The number of the change.
         change: u64,
--- a/crates/host-core/src/fair_queueing.rs
+++ b/crates/host-core/src/fair_queueing.rs
@@ -1,16 +1,16 @@
-//! How the sessions of one volume share it: a tag for each request, by which the scheduler orders those that wait
-//! for the same volume, traffic class and shard.
+//! How the sessions of one volume share it: a tag for each request, by which the scheduler orders requests that wait for the same volume,
+//! traffic class and shard.
 //!
-//! Start-time fair queueing: a request's tag is the virtual time at which its session's work before it would end, and
-//! no earlier than the tag that left last. So one session with thousands of requests waiting stands behind the first
-//! of each other session, and what nobody else wants is its own. Nothing is saved up while idle.
+//! This is start-time fair queueing. The tag of a request is the virtual time at which its session's earlier work would end, and no earlier
+//! than the tag of the request that was sent last. So if one session has thousands of requests waiting, the first request of each other
+//! session is sent before them; and a session may use all that no other wants. An idle session saves nothing up.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// The least number of sessions remembered by a queue before idle ones are evicted.
+/// A queue remembers at least this many sessions before it evicts those that are idle.
 const MIN_EVICTION_LEN: usize = 64;
 
-/// What waits for the same shard, volume and traffic class.
+/// Names a queue: requests that wait for the same shard, volume and traffic class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueKey {
     /// The shard.
@@ -21,14 +21,14 @@
     pub traffic_class: u32,
 }
 
-/// A request's place in its queue, to be returned once: by `sent` or by `cancelled`.
+/// A request's place in its queue. It is given back once: to `sent` or to `cancelled`.
 #[derive(Debug, PartialEq)]
 #[must_use]
 pub(crate) struct QueueTicket {
     queue: QueueKey,
     session: u32,
     units: f64,
-    /// By which requests of one queue leave: the lowest first.
+    /// Requests of one queue are sent in the order of their tags, the lowest first.
     pub tag: f64,
 }
 
@@ -37,23 +37,39 @@
     /// Virtual time, in units.
     virtual_time: f64,
     waiting: usize,
-    /// Where each session's work so far ends, and how many of its requests wait.
-    sessions: HashMap<u32, (f64, usize)>,
+    sessions: HashMap<u32, SessionShare>,
+    /// Idle sessions are evicted at this many sessions.
     evict_at: usize,
 }
 
+/// What a queue remembers of a session.
+#[derive(Debug)]
+struct SessionShare {
+    /// The virtual time at which the session's work so far ends.
+    end: f64,
+    /// How many of its requests wait.
+    waiting: usize,
+}
+
+impl SessionShare {
+    /// A session without requests whose work has ended would begin at the virtual time anyway, so it need not be remembered.
+    fn is_idle(&self, virtual_time: f64) -> bool {
+        self.waiting == 0 && self.end <= virtual_time
+    }
+}
+
 impl FairQueue {
     fn new() -> Self {
         FairQueue { virtual_time: 0.0, waiting: 0, sessions: HashMap::new(), evict_at: MIN_EVICTION_LEN }
     }
 
-    /// Sessions that would start at the virtual time anyway need no memory.
+    /// Sessions that come and go would let this table grow without bound; so those that are idle are evicted now and then.
     fn evict_idle(&mut self) {
         if self.sessions.len() < self.evict_at {
             return;
         }
         let virtual_time = self.virtual_time;
-        self.sessions.retain(|_, (end, waiting)| *waiting > 0 || *end > virtual_time);
+        self.sessions.retain(|_, session| !session.is_idle(virtual_time));
         self.evict_at = MIN_EVICTION_LEN.max(2 * self.sessions.len());
     }
 }
@@ -75,19 +91,20 @@
 
 impl FairQueueing {
     /// Enters a request of a session that costs so many units.
-    pub(crate) fn enqueue(&mut self, name: QueueKey, session: u32, units: f64) -> QueueTicket {
-        let queue = self.queues.entry(name).or_insert_with(FairQueue::new);
+    pub(crate) fn enqueue(&mut self, key: QueueKey, session: u32, units: f64) -> QueueTicket {
+        let queue = self.queues.entry(key).or_insert_with(FairQueue::new);
         queue.evict_idle();
         queue.waiting += 1;
         let virtual_time = queue.virtual_time;
-        let (end, waiting) = queue.sessions.entry(session).or_insert((virtual_time, 0));
-        let tag = end.max(virtual_time);
-        *end = tag + units;
-        *waiting += 1;
-        QueueTicket { queue: name, session, units, tag }
+        let new_session = SessionShare { end: virtual_time, waiting: 0 };
+        let share = queue.sessions.entry(session).or_insert(new_session);
+        let tag = share.end.max(virtual_time);
+        share.end = tag + units;
+        share.waiting += 1;
+        QueueTicket { queue: key, session, units, tag }
     }
 
-    /// Its first attempt left: virtual time is there.
+    /// The first attempt of the request was sent: virtual time advances to its tag.
     pub(crate) fn sent(&mut self, queue_ticket: QueueTicket) {
         if let Some(queue) = self.queues.get_mut(&queue_ticket.queue) {
             queue.virtual_time = queue.virtual_time.max(queue_ticket.tag);
@@ -95,30 +112,31 @@
         self.remove(&queue_ticket, 0.0);
     }
 
-    /// It ended without an attempt. What was never served isn't charged: else a session whose requests were all given up
-    /// would stand behind the others for as long as it would have taken to serve them.
+    /// The request ended without an attempt, so its session is not charged for it. Else a session whose requests were all given up would
+    /// stand behind the others for as long as it would have taken to serve them.
     pub(crate) fn cancelled(&mut self, queue_ticket: QueueTicket) {
         self.remove(&queue_ticket, queue_ticket.units);
     }
 
-    /// The session ended, all its tickets were returned: against sessions that come and go while virtual time stands
-    /// still, since each newcomer starts where it stands.
+    /// The session has ended, and all its tickets were given back. While nothing is sent, virtual time does not advance and no session
+    /// becomes idle; sessions that come and go would then let the queues grow, so an ended session is removed at once.
     pub(crate) fn session_closed(&mut self, session: u32) {
         for queue in self.queues.values_mut() {
-            if queue.sessions.get(&session).is_some_and(|(_, waiting)| *waiting == 0) {
+            if queue.sessions.get(&session).is_some_and(|share| share.waiting == 0) {
                 queue.sessions.remove(&session);
             }
         }
     }
 
-    fn remove(&mut self, queue_ticket: &QueueTicket, back: f64) {
+    /// Takes a request out of its queue; `refund` are units that its session is not charged.
+    fn remove(&mut self, queue_ticket: &QueueTicket, refund: f64) {
         let Some(queue) = self.queues.get_mut(&queue_ticket.queue) else { return };
         queue.waiting -= 1;
         let virtual_time = queue.virtual_time;
-        if let Some((end, waiting)) = queue.sessions.get_mut(&queue_ticket.session) {
-            *waiting -= 1;
-            *end -= back;
-            if *waiting == 0 && *end <= virtual_time {
+        if let Some(share) = queue.sessions.get_mut(&queue_ticket.session) {
+            share.waiting -= 1;
+            share.end -= refund;
+            if share.is_idle(virtual_time) {
                 queue.sessions.remove(&queue_ticket.session);
             }
         }
--- a/crates/host-core/src/layout.rs
+++ b/crates/host-core/src/layout.rs
@@ -2,7 +2,12 @@
 //! and its units.
 
 use tackmast::interface::{KeyId, ShardId};
-use tackmast_config::{HostSettings, Volume};
+use tackmast_config::{HostSettings, TrafficClass, Volume};
+
+/// Low bits of an order key that hold a block; the LUN is above them.
+const KEY_BLOCK_BITS: u32 = 48;
+/// The multiplier of the hash of an order key: 2^64 over the golden ratio.
+const KEY_HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The blocks of a command that lie in one extent.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -32,7 +37,8 @@
 #[derive(Debug, Default)]
 pub struct Layout {
     volumes: Vec<Volume>,
-    granules: Vec<Vec<Option<u64>>>, // by volume and traffic class: blocks that share an order key
+    /// By volume and traffic class: how many blocks share an order key; none: the class needs no order.
+    granules: Vec<Vec<Option<u64>>>,
     unit_bytes: f64,
     max_units: f64,
     max_parts: usize,
@@ -41,31 +47,32 @@
 
 impl Layout {
     /// The volumes of these settings.
-    pub fn new(s: &HostSettings) -> Self {
-        let granules = s.volumes.iter().map(|v| {
-            let order = |st: &tackmast_config::TrafficClass| {
-                st.in_order.then(|| st.order_blocks.unwrap_or(v.extent_blocks).min(v.extent_blocks))
+    pub fn new(settings: &HostSettings) -> Self {
+        let granules = settings.volumes.iter().map(|volume| {
+            let extent_blocks = volume.extent_blocks;
+            let granule = |class: &TrafficClass| {
+                class.in_order.then(|| class.order_blocks.unwrap_or(extent_blocks).min(extent_blocks))
             };
-            s.traffic_classes.iter().map(order).collect()
+            settings.traffic_classes.iter().map(granule).collect()
         });
         Layout {
             granules: granules.collect(),
-            volumes: s.volumes.clone(),
-            unit_bytes: f64::from(s.units.bytes),
-            max_units: s.units.max_per_request,
-            max_parts: s.bounds.parts,
-            command_bytes: s.bounds.command_bytes,
+            volumes: settings.volumes.clone(),
+            unit_bytes: f64::from(settings.units.bytes),
+            max_units: settings.units.max_per_request,
+            max_parts: settings.bounds.parts,
+            command_bytes: settings.bounds.command_bytes,
         }
     }
 
     /// The volume of a LUN.
     pub fn volume_of(&self, lun: u32) -> Option<usize> {
-        self.volumes.iter().position(|v| v.lun == lun)
+        self.volumes.iter().position(|volume| volume.lun == lun)
     }
 
     /// The volume of a name.
     pub fn volume_named(&self, name: &str) -> Option<usize> {
-        self.volumes.iter().position(|v| v.name == name)
+        self.volumes.iter().position(|volume| volume.name == name)
     }
 
     /// Puts a volume under a plan, by the scheduler's number of it.
@@ -85,59 +92,69 @@
 
     /// The traffic class of a command on so many blocks.
     pub fn traffic_class(&self, volume: usize, access: Access, blocks: u32) -> usize {
-        let v = &self.volumes[volume];
-        let read = v.large.filter(|l| blocks >= l.min_blocks).map_or(v.reads, |l| l.traffic_class);
-        match access {
-            Access::Write => v.writes as usize,
-            Access::Read => read as usize,
-        }
+        let volume = &self.volumes[volume];
+        let large = volume.large.filter(|large| blocks >= large.min_blocks);
+        let traffic_class = match access {
+            Access::Write => volume.writes,
+            Access::Read => large.map_or(volume.reads, |large| large.traffic_class),
+        };
+        traffic_class as usize
     }
 
-    /// Blocks of one command, at most: wherever it begins, it touches no more parts than the bound.
+    /// The most blocks of one command: wherever it begins, it has no more parts than the bound.
     pub fn max_blocks(&self, volume: usize) -> u32 {
-        let v = &self.volumes[volume];
-        let least =
-            self.granules[volume].iter().flatten().copied().chain([v.extent_blocks]).min().unwrap_or(1);
-        let by_parts = least.saturating_mul(self.max_parts as u64 - 1).max(1);
-        let by_bytes = u64::from(self.command_bytes / v.block_bytes).max(1);
+        let Volume { extent_blocks, block_bytes, .. } = self.volumes[volume];
+        let granules = self.granules[volume].iter().flatten().copied();
+        let min_part_blocks = granules.chain([extent_blocks]).min().unwrap_or(1);
+        let by_parts = min_part_blocks.saturating_mul(self.max_parts as u64 - 1).max(1);
+        let by_bytes = u64::from(self.command_bytes / block_bytes).max(1);
         u32::try_from(by_parts.min(by_bytes)).unwrap_or(u32::MAX)
     }
 
     /// The parts of a command, in the order of its blocks.
     pub fn parts(&self, volume: usize, traffic_class: usize, block: u64, blocks: u32) -> Vec<Part> {
-        let v = &self.volumes[volume];
         let granule = self.granules[volume][traffic_class];
+        let volume = &self.volumes[volume];
+        let end = block + u64::from(blocks);
         let mut parts = Vec::new();
-        let (mut at, end) = (block, block + u64::from(blocks));
-        while at < end {
-            let extent = at / v.extent_blocks;
-            let in_extent = at - extent * v.extent_blocks;
-            let mut until = (extent + 1) * v.extent_blocks;
-            if let Some(g) = granule {
-                until = until.min(extent * v.extent_blocks + (in_extent / g + 1) * g);
-            }
-            let until = until.min(end);
-            let blocks = (until - at) as u32;
-            // Ordered requests share a key within a granule; others are known by where they begin.
-            let first = granule.map_or(at, |g| extent * v.extent_blocks + in_extent / g * g);
-            let bytes = f64::from(blocks) * f64::from(v.block_bytes);
-            parts.push(Part {
-                block: at,
-                blocks,
-                shard: ShardId(v.shards[(extent % v.shards.len() as u64) as usize]),
-                key: (u64::from(v.lun) + 1) << 48 ^ first,
-                units: (bytes / self.unit_bytes).ceil().clamp(1.0, self.max_units),
-            });
-            at = until;
+        let mut block = block;
+        while block < end {
+            let part = self.part(volume, granule, block, end);
+            block += u64::from(part.blocks);
+            parts.push(part);
         }
         parts
     }
+
+    /// The part that begins at this block. It ends with the command, the extent or the granule, whichever is first.
+    fn part(&self, volume: &Volume, granule: Option<u64>, block: u64, command_end: u64) -> Part {
+        let extent = block / volume.extent_blocks;
+        let extent_start = extent * volume.extent_blocks;
+        let extent_end = extent_start + volume.extent_blocks;
+        // Requests that need an order share a key within a granule; the others have the key of their first block.
+        let (key_block, end) = match granule {
+            Some(granule) => {
+                let granule_start = extent_start + (block - extent_start) / granule * granule;
+                (granule_start, extent_end.min(granule_start + granule))
+            }
+            None => (block, extent_end),
+        };
+        let blocks = (end.min(command_end) - block) as u32;
+        let bytes = f64::from(blocks) * f64::from(volume.block_bytes);
+        Part {
+            block,
+            blocks,
+            shard: ShardId(volume.shards[(extent % volume.shards.len() as u64) as usize]),
+            key: (u64::from(volume.lun) + 1) << KEY_BLOCK_BITS ^ key_block,
+            units: (bytes / self.unit_bytes).ceil().clamp(1.0, self.max_units),
+        }
+    }
 }
 
-/// The scheduler knows keys by small numbers. Two that share one wait for each other: that costs a little
-/// time, and never order; nothing has to be remembered for as long as a key rests.
+/// The scheduler's number of an order key, by a multiplicative hash, so that nothing has to be remembered of keys. Two keys with the same
+/// number wait for each other: that costs a little time, and never order.
 pub(crate) fn key_id(key: u64) -> KeyId {
-    let mixed = (key ^ key >> 32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    let mixed = (key ^ key >> 32).wrapping_mul(KEY_HASH_MULTIPLIER);
     KeyId((mixed >> 32) as u32)
 }
 
--- a/crates/host-core/src/nodes.rs
+++ b/crates/host-core/src/nodes.rs
@@ -32,41 +32,40 @@
 /// By which clock the age is known. It may come out below zero.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Age {
-    /// The list's own, when it was sent: what it took to come makes the node look younger at most.
+    /// The list's own clock, when the list was sent. The delay of the message only makes the node look younger.
     ByListClock(TimeDelta),
     /// This host's wall clock, which may be wrong by minutes.
     ByHostClock(TimeDelta),
 }
 
-/// A list's time of a start and the node's own differ by the delay of a message; a smaller difference is no new start.
-const START_TOLERANCE: f64 = 0.5; // seconds
-/// A start that lies further back than this by the host's wall clock is long past, even where that clock is wrong.
-const LONG_RUNNING: f64 = 1800.0; // seconds
+/// A smaller difference between two reports of a start is no new start: the list's time and the node's own differ by the delay of a message.
+const START_TOLERANCE: TimeDelta = TimeDelta::from_millis(500);
+/// A start that lies further back than this by the host's wall clock is long past, even if that clock is wrong by minutes.
+const LONG_RUNNING: TimeDelta = TimeDelta::from_millis(1_800_000);
+/// Nodes that are gone and still remembered.
+const MAX_GONE_NODES: usize = 64;
 
-/// When a node of the list started, as far as that is certain: never earlier than it did. A host whose
-/// wall clock is ahead must not take a cold node for a warm one.
-fn started(now: Instant, s: NodeStart) -> Instant {
-    let age = match s.age {
+/// When a node of the list started, as far as that is certain: never earlier than it did. A host whose wall clock is ahead would take a node
+/// in slow start for one that is warmed up, and overload it.
+fn latest_start(now: Instant, start: NodeStart) -> Instant {
+    let age = match start.age {
         Age::ByListClock(age) => age,
-        Age::ByHostClock(age) if age.secs() >= LONG_RUNNING => age,
+        Age::ByHostClock(age) if age >= LONG_RUNNING => age,
         Age::ByHostClock(_) => TimeDelta::ZERO,
     };
     now - age.max(TimeDelta::ZERO)
 }
 
-/// Nodes known to this generation of the host. A number is never reused for another id: what the scheduler learned must
-/// not pass to a stranger. Those that are gone are remembered for a while, as the list may name them again.
+/// Nodes known to this generation of the host. A number is never reused for another id: else what the scheduler has learned of one node
+/// would be applied to another. Nodes that are gone are remembered for a while, as the list may name them again.
 #[derive(Debug, Default)]
 pub struct Nodes {
     numbers: HashMap<String, NodeId>,
     known: BTreeMap<NodeId, KnownNode>,
-    next: u32,
-    most: usize,
+    next_number: u32,
+    max_nodes: usize,
 }
 
-/// Gone nodes that are remembered, at most.
-const MAX_GONE_NODES: usize = 64;
-
 #[derive(Debug)]
 struct KnownNode {
     id: String,
@@ -78,96 +77,108 @@
 
 impl Nodes {
     /// A table of at most so many nodes.
-    pub fn new(most: usize) -> Self {
-        Nodes { most, ..Nodes::default() }
+    pub fn new(max_nodes: usize) -> Self {
+        Nodes { max_nodes, ..Nodes::default() }
     }
 
-    /// The entry under the node's number; none: the table is full.
-    pub fn upsert(&mut self, now: Instant, e: &ListEntry) -> Option<NodeEntry> {
-        let number = match self.numbers.get(&e.id) {
-            Some(n) => *n,
-            None if self.known.len() >= self.most => return None,
-            None => {
-                let n = NodeId(self.next);
-                self.next += 1;
-                self.numbers.insert(e.id.clone(), n);
-                n
-            }
-        };
-        let (known, name) = self.known.get(&number).map_or((None, 0), |k| (k.entry.up_since, k.start));
-        let new_start = e.start.filter(|s| s.name != name).map(|s| started(now, s));
-        // A late list must not revert a start that the node itself reported, nor report the same one again.
-        let up_since = match (known, new_start) {
-            (Some(k), Some(t)) if (t - k).secs() < START_TOLERANCE => Some(k),
-            (k, t) => t.or(k),
+    /// Takes an entry of the list in, and gives the node as the scheduler gets it; none: the table is full.
+    pub fn upsert(&mut self, now: Instant, listed: &ListEntry) -> Option<NodeEntry> {
+        let node = self.number_for(&listed.id)?;
+        let known = self.known.get(&node);
+        let known_start = known.map_or(0, |known| known.start);
+        let known_since = known.and_then(|known| known.entry.up_since);
+        let new_start = listed.start.filter(|start| start.name != known_start);
+        let listed_since = new_start.map(|start| latest_start(now, start));
+        // The node itself may have reported this start already. A list that reports it late must not move it back, nor make the node
+        // appear to have restarted once more.
+        let is_reported = |known: Instant, listed: Instant| listed - known < START_TOLERANCE;
+        let up_since = match (known_since, listed_since) {
+            (Some(known), Some(listed)) if is_reported(known, listed) => Some(known),
+            (known, listed) => listed.or(known),
         };
-        let start = e.start.map_or(name, |s| s.name);
-        let entry = NodeEntry { node: number, state: e.state, zone: e.zone, shard: e.shard, up_since };
-        let known = KnownNode { id: e.id.clone(), address: e.address.clone(), entry, start };
-        self.known.insert(number, known);
+        let ListEntry { state, zone, shard, .. } = *listed;
+        let entry = NodeEntry { node, state, zone, shard, up_since };
+        let start = listed.start.map_or(known_start, |start| start.name);
+        let known = KnownNode { id: listed.id.clone(), address: listed.address.clone(), entry, start };
+        self.known.insert(node, known);
         Some(entry)
     }
 
-    /// How long a node says it has been up; returns the changed entry if that is a new start.
-    pub fn started(&mut self, now: Instant, node: NodeId, up: TimeDelta) -> Option<NodeEntry> {
-        let up_since = now - up.max(TimeDelta::ZERO);
-        let k = self.known.get_mut(&node)?;
-        // One without a known start counts as long up. Hearing so must not pass for a start: what the scheduler has
-        // learned of it would be lost at the first link to each node, and what waits for the link sent anew.
-        let is_new = match k.entry.up_since {
-            Some(known) => (up_since - known).secs() >= START_TOLERANCE,
-            None => up.secs() < LONG_RUNNING,
+    /// The number of a node, perhaps a new one; none: the table is full.
+    fn number_for(&mut self, id: &str) -> Option<NodeId> {
+        if let Some(node) = self.numbers.get(id) {
+            return Some(*node);
+        }
+        if self.known.len() >= self.max_nodes {
+            return None;
+        }
+        let node = NodeId(self.next_number);
+        self.next_number += 1;
+        self.numbers.insert(id.to_owned(), node);
+        Some(node)
+    }
+
+    /// How long a node reports to have been up; returns the changed entry if that is a new start.
+    pub fn started(&mut self, now: Instant, node: NodeId, uptime: TimeDelta) -> Option<NodeEntry> {
+        let up_since = now - uptime.max(TimeDelta::ZERO);
+        let known = self.known.get_mut(&node)?;
+        // A node without a known start counts as long running. If the first report of each such node counted as a new start, the
+        // scheduler would lose what it has learned of the node at the first connection, and send anew what waits for that.
+        let is_new = match known.entry.up_since {
+            Some(known_since) => up_since - known_since >= START_TOLERANCE,
+            None => uptime < LONG_RUNNING,
         };
         if !is_new {
             return None;
         }
-        k.entry.up_since = Some(up_since);
-        Some(k.entry)
+        known.entry.up_since = Some(up_since);
+        Some(known.entry)
     }
 
-    /// What a complete list does not name is gone.
+    /// Nodes that a complete list does not name are gone.
     pub fn retain_listed(&mut self, named: &[NodeEntry]) {
-        let named: std::collections::HashSet<NodeId> = named.iter().map(|e| e.node).collect();
-        for k in self.known.values_mut().filter(|k| !named.contains(&k.entry.node)) {
-            k.entry.state = NodeState::Gone;
+        let named: std::collections::HashSet<NodeId> = named.iter().map(|entry| entry.node).collect();
+        for known in self.known.values_mut().filter(|known| !named.contains(&known.entry.node)) {
+            known.entry.state = NodeState::Gone;
         }
     }
 
     /// Where the node is reached.
     pub fn address(&self, node: NodeId) -> Option<&str> {
-        self.known.get(&node).map(|k| k.address.as_str())
+        self.known.get(&node).map(|known| known.address.as_str())
     }
 
-    /// As the list has it.
+    /// The node as the list has it.
     pub fn entry(&self, node: NodeId) -> Option<NodeEntry> {
-        self.known.get(&node).map(|k| k.entry)
+        self.known.get(&node).map(|known| known.entry)
     }
 
     /// The list's figure for the latest start; 0: none.
     pub fn start_id(&self, node: NodeId) -> u64 {
-        self.known.get(&node).map_or(0, |k| k.start)
+        self.known.get(&node).map_or(0, |known| known.start)
     }
 
-    /// By its id; where the list has no other, that is its address.
+    /// The number of a node by its id, which is its address where the list has no other.
     pub fn number(&self, id: &str) -> Option<NodeId> {
         self.numbers.get(id).copied()
     }
 
-    /// Against a table that fills under new ids without end: of the nodes that are gone and not in use, the longest known
-    /// are forgotten.
-    pub fn evict_gone(&mut self, in_use: impl Fn(NodeId) -> bool) {
-        let gone = |k: &&KnownNode| k.entry.state == NodeState::Gone && !in_use(k.entry.node);
-        let gone: Vec<NodeId> = self.known.values().filter(gone).map(|k| k.entry.node).collect();
+    /// A list that names replaced nodes by ever new ids would fill this table, and new nodes would not be used. So the nodes that are gone
+    /// and not in use are evicted, except those with the highest numbers.
+    pub fn evict_gone(&mut self, is_in_use: impl Fn(NodeId) -> bool) {
+        let entries = self.known.values().map(|known| known.entry);
+        let gone = entries.filter(|entry| entry.state == NodeState::Gone && !is_in_use(entry.node));
+        let gone: Vec<NodeId> = gone.map(|entry| entry.node).collect();
         for node in &gone[..gone.len().saturating_sub(MAX_GONE_NODES)] {
-            if let Some(k) = self.known.remove(node) {
-                self.numbers.remove(&k.id);
+            if let Some(known) = self.known.remove(node) {
+                self.numbers.remove(&known.id);
             }
         }
     }
 
     /// Address and entry of each node.
     pub fn entries(&self) -> impl Iterator<Item = (&str, &NodeEntry)> {
-        self.known.values().map(|k| (k.address.as_str(), &k.entry))
+        self.known.values().map(|known| (known.address.as_str(), &known.entry))
     }
 }
 
--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -1,6 +1,6 @@
-//! Plans as they apply to this host. One host of the fleet, the home, takes changes: it judges them one at a time, persists
-//! each before it applies, and all others replicate them in the home's order. The newest change that a host has applies to
-//! it; docs/plans.md argues why rule 7 is kept while hosts learn of a change at different times.
+//! Plans as they apply to this host. One host of the fleet, the home, accepts changes: it checks them one at a time and persists each before
+//! it applies, and all others replicate them in the home's order. The newest change that a host has applies to it; docs/plans.md argues
+//! why no volume exceeds its limit (rule 7) while hosts learn of a change at different times.
 
 mod changes;
 mod from_settings;
@@ -23,13 +23,13 @@
     ReplicatedPlans, Step,
 };
 
-/// Requests that may wait for the one before them to be written.
+/// Changes that may wait for the one before them to be persisted.
 const MAX_QUEUED: usize = 256;
-/// Plans that the scheduler knows by number: names that were ever used since this host's start.
+/// Names of plans that were ever used since this host's start: the scheduler knows plans by numbers, which are not given again.
 const MAX_PLAN_NAMES: usize = 100_000;
-/// A limit of zero, as the scheduler gets it: units a second.
+/// What the scheduler gets in place of a limit of zero, which would mean no limit; in units a second.
 const MIN_LIMIT: f64 = 1e-6;
-/// Bytes of a change log that fit one answer.
+/// The longest change log that fits one answer, in bytes.
 const MAX_LOG_BYTES: usize = 3 << 20;
 
 /// The plans of this host: the log of their changes, and the one change at a time that is being written.
@@ -37,7 +37,7 @@
     change_log: ChangeLog,
     /// In place of the change log, where changes need consensus.
     replicated: Option<ReplicatedPlans>,
-    /// Degraded mode: without a lease this host goes by the fallback limits.
+    /// In degraded mode, without a lease, the fallback limits apply to this host.
     degraded: bool,
     fleet: Fleet,
     me: u32,
@@ -51,9 +51,13 @@
     plan_ids: BTreeMap<String, PlanId>,
 }
 
-/// The first eight bytes of a digest.
+/// Hexadecimal digits of a digest that make its mark.
+const MARK_DIGITS: usize = 16;
+
+/// The first eight bytes of a digest, by which hosts compare their change logs.
 fn mark(digest: &str) -> u64 {
-    digest.get(..16).and_then(|h| u64::from_str_radix(h, 16).ok()).unwrap_or(0)
+    let digits = digest.get(..MARK_DIGITS).unwrap_or_default();
+    u64::from_str_radix(digits, 16).unwrap_or(0)
 }
 
 impl Plans {
@@ -103,7 +107,7 @@
         self.change_log().catalogue.version
     }
 
-    /// The change that takes an entry back.
+    /// The change that undoes an entry.
     pub fn undo_change(&self, number: u64, who: &str, why: &str) -> Result<Change, PlanError> {
         let found = self.change_log().undo_change(number, who, why);
         found.ok_or(PlanError::UnknownChange { number })
@@ -117,9 +121,9 @@
         self.updates(&nothing, &to)
     }
 
-    /// The figures of a plan for the scheduler. In degraded mode that is what no host may go below: the fallback limit,
-    /// and a burst that every plan of these volumes has to have.
-    fn figures(&self, name: &str, plan: &Plan, of: &Catalogue) -> Figures {
+    /// The figures of a plan for the scheduler. In degraded mode a newer change may have lowered them; so the host uses what no change can
+    /// have gone below: the fallback limit, and the least burst that any plan of these volumes must have.
+    fn figures(&self, name: &str, plan: &Plan, catalogue: &Catalogue) -> Figures {
         let fallback_limit = plan.fallback_limit();
         let (limit, burst, slack, reserve, weight) =
             (plan.limit, plan.burst, plan.slack, plan.reserve, plan.weight);
@@ -127,16 +131,14 @@
             return Figures { limit, burst, slack, reserve, weight };
         }
         if fallback_limit <= 0.0 {
-            // A limit of zero is passed on as a tiny one: zero would mean no limit. Without a burst nothing can be sent, and
-            // requests are rejected at once.
+            // Without a burst nothing can be sent, and requests are rejected at once.
             return Figures { limit: MIN_LIMIT, burst: 0.0, slack, reserve: 0.0, weight };
         }
-        let through =
-            of.volumes.values().filter(|volume| volume.plan == name).map(|volume| volume.through.len()).min();
-        let least = self.fleet.max_units * through.unwrap_or(0) as f64;
-        let (burst, reserve) =
-            (if burst > 0.0 { burst.min(least) } else { least }, reserve.min(fallback_limit));
-        Figures { limit: fallback_limit, burst, slack, reserve, weight }
+        let volumes = catalogue.volumes.values().filter(|volume| volume.plan == name);
+        let min_hosts = volumes.map(|volume| volume.through.len()).min().unwrap_or(0);
+        let min_burst = self.fleet.max_units * min_hosts as f64;
+        let burst = if burst > 0.0 { burst.min(min_burst) } else { min_burst };
+        Figures { limit: fallback_limit, burst, slack, reserve: reserve.min(fallback_limit), weight }
     }
 
     /// Number and mark of the newest change.
@@ -150,7 +152,7 @@
         self.change_log.entries.iter().map(|entry| (entry.number, entry.to_line()))
     }
 
-    /// Applies what an earlier generation had taken, on top of the settings.
+    /// Applies the changes that an earlier generation had persisted, on top of the settings.
     pub fn resume(&mut self) -> Vec<PlanUpdate> {
         let (from, to) = (self.change_log.checkpoint.catalogue.clone(), self.change_log.catalogue.clone());
         self.updates(&from, &to)
@@ -162,14 +164,14 @@
         bare.to_bytes()
     }
 
-    /// Whether clients are to wait; they do no longer once this host is up to date, or has waited long enough.
+    /// Whether clients are to wait. They wait no longer once this host is up to date, or has waited for as long as a change may take.
     pub fn must_wait_for_catalog(&mut self, now: Instant, up_to_date: bool) -> bool {
         self.clients_wait_until = self.clients_wait_until.filter(|until| now < *until && !up_to_date);
         self.clients_wait_until.is_some()
     }
 
-    /// Answers a request, or starts writing the change that it asks for. Each change is judged on what applies once the one
-    /// before it is written.
+    /// Answers a request, or begins to persist the change that it asks for. Each change is checked against what applies once the one before
+    /// it is persisted.
     pub fn handle_request(
         &mut self,
         now: Instant,
@@ -199,7 +201,7 @@
         Ok(PlanResponse::Log { text, fleet: self.fleet.clone() })
     }
 
-    /// A change: tried, queued behind the one that is being written, or given to the store.
+    /// A change: only tried, queued behind the one that is being persisted, or given to the store.
     fn handle_change(
         &mut self,
         wall_us: u64,
@@ -223,7 +225,7 @@
             self.queued.push_back((request, plan_request));
             return Ok(None);
         }
-        let (entry, next) = self.judge(wall_us, change)?;
+        let (entry, next) = self.check_change(wall_us, change)?;
         if dry_run {
             let lines = self.change_log.catalogue.diff(&next);
             let (number, version, in_force_s) = (entry.number, entry.version, self.settle.secs());
@@ -235,7 +237,8 @@
         Ok(Some(PlanOutcome::Persist { request, entry }))
     }
 
-    fn judge(&self, wall_us: u64, change: Change) -> Result<(Entry, Catalogue), PlanError> {
+    /// The entry that a change makes, and the catalogue that it leads to, if it may apply.
+    fn check_change(&self, wall_us: u64, change: Change) -> Result<(Entry, Catalogue), PlanError> {
         let Proposal { entry, catalogue: next } =
             self.change_log.propose(wall_us, change, &self.fleet).map_err(PlanError::Refused)?;
         self.change_log.catalogue.check_live_update(&next).map_err(PlanError::Refused)?;
@@ -254,7 +257,7 @@
         Ok((entry, next))
     }
 
-    /// The store has written a change, and it applies, or could not, and it never does.
+    /// The store has written a change, which applies from now on, or could not write it, and it never applies.
     pub fn handle_persisted(
         &mut self,
         now: Instant,
@@ -276,7 +279,7 @@
         Some(PersistedChange { response, applied })
     }
 
-    /// A change that another host has taken: it applies here from now on, if it is the next one.
+    /// A change that the home has accepted: it applies here from now on, if it is the next one.
     pub fn apply_peer_change(
         &mut self,
         text: &[u8],
@@ -315,7 +318,7 @@
         self.queued.pop_front()
     }
 
-    /// Plans first: a volume may move to one that is new.
+    /// What changes for the scheduler between two catalogues. Plans come first, since a volume may move to a new plan.
     fn updates(&mut self, from: &Catalogue, to: &Catalogue) -> Vec<PlanUpdate> {
         let mut updates = Vec::new();
         for (name, plan) in to.plans.iter().filter(|(name, plan)| from.plans.get(*name) != Some(*plan)) {
@@ -326,10 +329,10 @@
         let plan_of = |catalogue: &Catalogue, name: &String| {
             catalogue.volumes.get(name).map(|volume| volume.plan.clone())
         };
-        let has_moved = |(name, volume): &(&String, &tackmast_plans::Volume)| {
+        let has_changed_plan = |(name, volume): &(&String, &tackmast_plans::Volume)| {
             plan_of(from, name).as_ref() != Some(&volume.plan)
         };
-        for (name, volume) in to.volumes.iter().filter(has_moved) {
+        for (name, volume) in to.volumes.iter().filter(has_changed_plan) {
             let Some(plan) = self.plan_ids.get(&volume.plan) else { continue };
             updates.push(PlanUpdate::Volume { name: name.clone(), plan: *plan });
         }
--- a/crates/host-core/src/plans/from_settings.rs
+++ b/crates/host-core/src/plans/from_settings.rs
@@ -4,36 +4,50 @@
 use tackmast_plans::{Catalogue, Fleet, Plan, TrafficClass, Volume};
 
 /// What the settings say, as a catalogue.
-pub(super) fn catalog_of_settings(s: &HostSettings) -> Catalogue {
-    let mut c = Catalogue::default();
-    for p in &s.plans {
-        let (limit, burst, slack, reserve, weight) = (p.limit, p.burst, p.slack, p.reserve, p.weight);
-        c.plans.insert(p.name.clone(), Plan { limit, burst, slack, reserve, weight, floor: p.floor });
+pub(super) fn catalog_of_settings(settings: &HostSettings) -> Catalogue {
+    let mut catalogue = Catalogue::default();
+    for plan in &settings.plans {
+        let stored = Plan {
+            limit: plan.limit,
+            burst: plan.burst,
+            slack: plan.slack,
+            reserve: plan.reserve,
+            weight: plan.weight,
+            floor: plan.floor,
+        };
+        catalogue.plans.insert(plan.name.clone(), stored);
     }
-    for st in &s.traffic_classes {
-        let (latency_objective_ms, deadline_ms) =
-            (st.latency_objective.secs() * 1e3, st.deadline.secs() * 1e3);
-        c.traffic_classes.insert(st.name.clone(), TrafficClass { latency_objective_ms, deadline_ms });
+    for class in &settings.traffic_classes {
+        let stored = TrafficClass {
+            latency_objective_ms: class.latency_objective.secs() * 1e3,
+            deadline_ms: class.deadline.secs() * 1e3,
+        };
+        catalogue.traffic_classes.insert(class.name.clone(), stored);
     }
-    for v in &s.volumes {
-        let traffic_class = |i: u32| s.traffic_classes[i as usize].name.clone();
-        let volume = Volume {
-            lun: v.lun,
-            plan: s.plans[v.plan as usize].name.clone(),
-            blocks: v.blocks,
-            extent_blocks: v.extent_blocks,
-            shards: v.shards.clone(),
-            through: v.through.clone(),
-            reads: traffic_class(v.reads),
-            writes: traffic_class(v.writes),
+    let class_name = |index: u32| settings.traffic_classes[index as usize].name.clone();
+    for volume in &settings.volumes {
+        let stored = Volume {
+            lun: volume.lun,
+            plan: settings.plans[volume.plan as usize].name.clone(),
+            blocks: volume.blocks,
+            extent_blocks: volume.extent_blocks,
+            shards: volume.shards.clone(),
+            through: volume.through.clone(),
+            reads: class_name(volume.reads),
+            writes: class_name(volume.writes),
         };
-        c.volumes.insert(v.name.clone(), volume);
+        catalogue.volumes.insert(volume.name.clone(), stored);
     }
-    c
+    catalogue
 }
 
-pub(super) fn fleet(s: &HostSettings, b: &PlansBlock) -> Fleet {
-    let shards = s.volumes.iter().flat_map(|v| &v.shards);
-    let bears = shards.map(|n| (*n, b.bears.get(&n.to_string()).copied().unwrap_or(b.node_units)));
-    Fleet { hosts: s.host.hosts, max_units: s.units.max_per_request, bears: bears.collect() }
+/// What changes of plans are checked against: the hosts, the largest request, and by shard the units a second that its node bears.
+pub(super) fn fleet(settings: &HostSettings, block: &PlansBlock) -> Fleet {
+    let shards = settings.volumes.iter().flat_map(|volume| &volume.shards);
+    let node_units = |shard: &u32| block.bears.get(&shard.to_string()).copied().unwrap_or(block.node_units);
+    Fleet {
+        hosts: settings.host.hosts,
+        max_units: settings.units.max_per_request,
+        bears: shards.map(|shard| (*shard, node_units(shard))).collect(),
+    }
 }
--- a/crates/host-core/src/plans/replicated.rs
+++ b/crates/host-core/src/plans/replicated.rs
@@ -29,7 +29,7 @@
 }
 
 impl Plans {
-    /// Changes need consensus from here on; until it has a lease this host is in degraded mode.
+    /// Changes need consensus from now on. Until it has a lease, this host is in degraded mode.
     pub fn enable_consensus(&mut self) {
         self.replicated = Some(ReplicatedPlans::starting_with(self.change_log.checkpoint.catalogue.clone()));
         (self.degraded, self.clients_wait_until) = (true, None);
@@ -49,7 +49,7 @@
         self.replicated.as_ref().map(ReplicatedPlans::to_bytes).unwrap_or_default()
     }
 
-    /// Back to the beginning of a log.
+    /// Back to the plans of the settings, with which a log begins.
     pub fn reset_to_settings(&mut self) -> Vec<PlanUpdate> {
         let from = self.change_log().catalogue.clone();
         let degraded = self.degraded;
@@ -59,7 +59,7 @@
         self.updates(&from, &to)
     }
 
-    /// Goes on from a snapshot; returns what changes by that.
+    /// Installs a snapshot; returns what changes by that.
     pub fn restore_snapshot(&mut self, state: &[u8]) -> Result<Vec<PlanUpdate>, ChangeLogError> {
         let from = self.change_log().catalogue.clone();
         self.replicated = Some(ReplicatedPlans::from_bytes(state, &self.fleet)?);
@@ -75,7 +75,7 @@
         self.all_updates()
     }
 
-    /// Whether this host goes by the fallback limits.
+    /// Whether this host is in degraded mode, with the fallback limits.
     pub fn is_degraded(&self) -> bool {
         self.degraded
     }
