--- a/crates/plans/src/catalogue.rs
+++ b/crates/plans/src/catalogue.rs
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Goes back to before `entry`, which has to be the last one that led here.
+    /// Reverts `entry`, which must be the last one that led to this version.
     pub(crate) fn revert(&mut self, entry: &Entry, moved_before: &BTreeMap<String, u64>) {
         for step in &entry.undo {
             _ = self.execute(step);
--- a/crates/plans/src/change.rs
+++ b/crates/plans/src/change.rs
@@ -4,9 +4,9 @@
 use serde::{Deserialize, Serialize};
 use std::fmt::Display;
 
-/// Steps of one change, at most.
+/// The most steps of one change.
 const MAX_STEPS: usize = 10_000;
-/// Bytes of a name or a reason, at most.
+/// The longest name or reason, in bytes.
 const MAX_TEXT_LEN: usize = 200;
 
 /// One thing set or removed: `to` is its new value, none where it is removed.
@@ -58,12 +58,12 @@
     Conflict {
         /// The version that the change was made on.
         base: u64,
-        /// The version that holds.
+        /// The version now.
         now: u64,
         /// Titles of what was changed in between.
         moved: Vec<String>,
     },
-    /// A value that can't be.
+    /// A value that is not allowed.
     #[error("{place}: {found}; expected {expected}")]
     Invalid {
         /// Where it is.
--- a/crates/plans/src/change_log.rs
+++ b/crates/plans/src/change_log.rs
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// Bytes of one line, at most.
+/// The longest line, in bytes.
 const MAX_LINE_LEN: usize = 16 << 20;
 
 /// What entries were compacted into.
@@ -142,8 +142,8 @@
         bytes
     }
 
-    /// Reads what was stored. A last line that was cut was never acknowledged, and is left out; anything else that is not as
-    /// it was written is an error that names it.
+    /// Reads what was stored. A last line that was cut off was never acknowledged, and is left out; any other line that is not as it was
+    /// written is an error that names the line.
     pub fn from_bytes(bytes: &[u8], fleet: &Fleet) -> Result<ChangeLog, ChangeLogError> {
         let complete = bytes.iter().rposition(|byte| *byte == b'\n').map_or(0, |end| end + 1);
         let mut lines = (1..).zip(bytes[..complete].split_inclusive(|byte| *byte == b'\n'));
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Compacts all but the last `kept` entries into the checkpoint; whoever has its digest can prove the rest.
+    /// Compacts all but the last `kept` entries into the checkpoint, whose digest the rest of the chain continues.
     pub fn compact(&mut self, kept: usize) {
         let count = self.entries.len().saturating_sub(kept);
         let Some(last) = count.checked_sub(1).and_then(|index| self.entries.get(index)) else { return };
@@ -212,7 +212,7 @@
         for entry in &self.entries[..count] {
             moved.extend(entry.change.steps.iter().map(|step| (step.title(), entry.version)));
         }
-        // Going back from now over the entries that stay gives the catalogue at the checkpoint.
+        // Reverting the entries that are kept, the newest first, gives the catalogue at the checkpoint.
         let mut catalogue = self.catalogue.clone();
         for entry in self.entries[count..].iter().rev() {
             catalogue.revert(entry, &moved);
@@ -233,7 +233,7 @@
     serde_json::from_slice(text).map_err(|e| ChangeLogError::Line { line, problem: e.to_string() })
 }
 
-/// The entry of a line. Other bytes of the same meaning are not what was written either.
+/// The entry of a line. Bytes that parse to the same entry but were written otherwise are refused: the digest is over the bytes.
 fn parse_entry(line: usize, text: &[u8]) -> Result<Entry, ChangeLogError> {
     let entry: Entry = parse_json(line, text)?;
     if entry.to_line() != text {
--- a/crates/plans/src/model.rs
+++ b/crates/plans/src/model.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What volumes under it may use: rates in units a second, amounts in units.
+/// What each volume with this plan may use: rates in units a second, amounts in units.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
@@ -17,8 +17,8 @@
     pub reserve: f64,
     /// Share of what is beyond the reservations.
     pub weight: f64,
-    /// The fallback limit: units a second that no later limit goes below before all hosts are notified of a lower one; a host
-    /// whose lease has run out keeps to this. None: nothing, or, where there is no limit, that none comes.
+    /// The fallback limit, in units a second: a host whose lease has expired keeps to it, and no later limit goes below it before all hosts
+    /// have stored a lower one. None: 0 where there is a limit, and no limit where there is none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub floor: Option<f64>,
 }
@@ -69,7 +69,7 @@
     pub deadline_ms: f64,
 }
 
-/// What hosts and nodes have to bear.
+/// What changes of plans are checked against.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Fleet {
     /// Number of hosts.
--- a/crates/plans/src/replicated_plans.rs
+++ b/crates/plans/src/replicated_plans.rs
@@ -9,9 +9,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Entries of the change log that stay; older ones are compacted.
+/// Entries of the change log that are kept; older ones are compacted.
 const RETAINED_ENTRIES: usize = 1_000;
-/// How many entries more there are when they are compacted.
+/// Entries beyond these at which the log is compacted.
 const COMPACTION_SURPLUS: usize = 250;
 
 /// One command of the consensus log.
@@ -89,7 +89,7 @@
         self.notified_version
     }
 
-    /// The most that any host without a valid lease may use of that volume, units a second.
+    /// The most that any host without a valid lease may use of a volume, in units a second.
     pub fn fallback_limit(&self, volume: &str) -> f64 {
         let limits = self.fallback_limits.get(volume);
         limits.map_or(0.0, |limits| limits.iter().map(|entry| entry.limit).fold(0.0, f64::max))
@@ -108,7 +108,7 @@
         Ok(proposal)
     }
 
-    /// Whether no limit goes below a fallback limit that some host may still use.
+    /// No limit may go below a fallback limit that some host may still use: that host, without a valid lease, would exceed the new limit.
     fn check_limits(&self, next: &Catalogue) -> Result<(), Refusal> {
         for (name, volume) in &next.volumes {
             let (fallback, Some(plan)) = (self.fallback_limit(name), next.plans.get(&volume.plan)) else {
@@ -126,7 +126,7 @@
         Ok(())
     }
 
-    /// Executes a command of the consensus log: the same at every host. A change gives its entry.
+    /// Executes a command of the consensus log, with the same result at every host. A change gives its entry.
     pub fn apply(&mut self, command: Command, fleet: &Fleet) -> Result<Option<Entry>, Refusal> {
         match command {
             Command::Change { at_us, change } => self.apply_change(at_us, change, fleet).map(Some),
@@ -153,7 +153,7 @@
         }
         self.notified_version = version;
         for limits in self.fallback_limits.values_mut() {
-            // The newest of those up to that version counts, and all after it.
+            // No host uses a fallback limit from before the newest one up to that version any more.
             let newest = limits.iter().rposition(|entry| entry.version <= version).unwrap_or(0);
             limits.drain(..newest);
         }
@@ -161,7 +161,8 @@
 
     /// The stored form: a header line, then the change log.
     pub fn to_bytes(&self) -> Vec<u8> {
-        let pair = |entry: &VersionedLimit| (entry.version, Some(entry.limit).filter(|l| l.is_finite()));
+        let pair =
+            |entry: &VersionedLimit| (entry.version, Some(entry.limit).filter(|limit| limit.is_finite()));
         let pairs = |limits: &Vec<VersionedLimit>| limits.iter().map(pair).collect();
         let limits = self.fallback_limits.iter().map(|(name, limits)| (name.clone(), pairs(limits)));
         let header = Header { notified_version: self.notified_version, fallback_limits: limits.collect() };
--- a/crates/plans/src/validation.rs
+++ b/crates/plans/src/validation.rs
@@ -1,11 +1,11 @@
-//! Whether a version of the catalogue holds together and the fleet bears it.
+//! Whether a version of the catalogue is consistent and the fleet bears it: a function for each rule.
 
 use crate::catalogue::Catalogue;
 use crate::change::Refusal;
 use crate::model::{Fleet, Plan, TrafficClass, Volume};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Fraction of what a shard's node can serve that may be reserved.
+/// The fraction of what a shard's node can serve that volumes may reserve.
 const MAX_RESERVED_FRACTION: f64 = 0.9;
 
 impl Catalogue {
@@ -25,19 +25,19 @@
                 return Err(Refusal::invalid(format!("volume {name} lun"), volume.lun, &expected));
             }
             let plan = self.check_names_in_volume(name, volume)?;
-            check_volume(name, volume, plan, fleet)?;
+            check_sizes(name, volume)?;
+            check_hosts(name, volume, fleet.hosts)?;
+            check_burst_share(name, volume.through.len(), plan, fleet.max_units)?;
+            check_shards(name, volume, fleet)?;
+            let reserved_per_shard = plan.reserve / volume.shards.len() as f64;
             for shard in &volume.shards {
-                if !fleet.bears.contains_key(shard) {
-                    let place = format!("volume {name} shards");
-                    return Err(Refusal::invalid(place, shard, "a shard that some node holds"));
-                }
-                *reserved_by_shard.entry(*shard).or_default() += plan.reserve / volume.shards.len() as f64;
+                *reserved_by_shard.entry(*shard).or_default() += reserved_per_shard;
             }
         }
-        check_reservations(&reserved_by_shard, fleet)
+        check_reservations(&reserved_by_shard, &fleet.bears)
     }
 
-    /// The volume's plan, where that and its traffic classes exist.
+    /// The volume's plan, if the plan and the volume's traffic classes exist.
     fn check_names_in_volume(&self, name: &str, volume: &Volume) -> Result<&Plan, Refusal> {
         let Some(plan) = self.plans.get(&volume.plan) else {
             let (place, found) = (format!("volume {name} plan"), format!("{:?}", volume.plan));
@@ -53,9 +53,15 @@
     }
 }
 
+/// Whether a number can be a rate or an amount.
+fn is_valid(number: f64) -> bool {
+    number.is_finite() && number >= 0.0
+}
+
+/// The figures of a plan, by themselves and among each other. A fallback limit or a reservation above the limit would promise what the
+/// limit refuses.
 fn check_plan(name: &str, plan: &Plan) -> Result<(), Refusal> {
     let place = |field: &str| format!("plan {name} {field}");
-    let is_valid = |number: f64| number.is_finite() && number >= 0.0;
     let figures =
         [("limit", plan.limit), ("burst", plan.burst), ("slack", plan.slack), ("reserve", plan.reserve)];
     for (field, number) in figures {
@@ -78,6 +84,7 @@
     Ok(())
 }
 
+/// A latency objective after the deadline could never be missed by a request that is still wanted.
 fn check_traffic_class(name: &str, traffic_class: &TrafficClass) -> Result<(), Refusal> {
     let (objective, deadline) = (traffic_class.latency_objective_ms, traffic_class.deadline_ms);
     if objective > 0.0 && objective <= deadline && deadline.is_finite() {
@@ -88,31 +95,55 @@
     Err(Refusal::invalid(format!("stream {name}"), found, expected))
 }
 
-fn check_volume(name: &str, volume: &Volume, plan: &Plan, fleet: &Fleet) -> Result<(), Refusal> {
-    let place = |field: &str| format!("volume {name} {field}");
+fn check_sizes(name: &str, volume: &Volume) -> Result<(), Refusal> {
     if volume.blocks == 0 || volume.extent_blocks == 0 || volume.shards.is_empty() {
         let expected = "blocks, extents and shards, one or more each";
-        return Err(Refusal::invalid(place("blocks"), volume.blocks, expected));
+        return Err(Refusal::invalid(format!("volume {name} blocks"), volume.blocks, expected));
     }
+    Ok(())
+}
+
+/// Whether a volume comes through hosts of the fleet, each named once: a host that is named twice would have two shares of the limit.
+fn check_hosts(name: &str, volume: &Volume, host_count: u32) -> Result<(), Refusal> {
     let hosts: BTreeSet<u32> = volume.through.iter().copied().collect();
-    let has_unknown_host = hosts.iter().any(|host| *host >= fleet.hosts);
+    let has_unknown_host = hosts.iter().any(|host| *host >= host_count);
     if hosts.len() != volume.through.len() || hosts.is_empty() || has_unknown_host {
-        let expected = format!("different numbers below {}", fleet.hosts);
-        return Err(Refusal::invalid(place("through"), format!("{:?}", volume.through), &expected));
+        let expected = format!("different numbers below {host_count}");
+        let found = format!("{:?}", volume.through);
+        return Err(Refusal::invalid(format!("volume {name} through"), found, &expected));
     }
-    // More than a host's share of the burst never passes, so the largest request must fit into it.
-    let burst_share = plan.burst / hosts.len() as f64;
-    if plan.limit > 0.0 && burst_share < fleet.max_units {
-        let found = format!("{} hosts share a burst of {}", hosts.len(), plan.burst);
-        let expected = format!("{} units or more each", fleet.max_units);
-        return Err(Refusal::invalid(place("through"), found, &expected));
+    Ok(())
+}
+
+/// Hosts share a volume's burst evenly, and a request that costs more than its host's share can never be sent. So the largest request,
+/// of `max_units`, must fit into a share.
+fn check_burst_share(name: &str, host_count: usize, plan: &Plan, max_units: f64) -> Result<(), Refusal> {
+    let burst_share = plan.burst / host_count as f64;
+    if plan.limit > 0.0 && burst_share < max_units {
+        let found = format!("{host_count} hosts share a burst of {}", plan.burst);
+        let expected = format!("{max_units} units or more each");
+        return Err(Refusal::invalid(format!("volume {name} through"), found, &expected));
     }
     Ok(())
 }
 
-fn check_reservations(reserved_by_shard: &BTreeMap<u32, f64>, fleet: &Fleet) -> Result<(), Refusal> {
+fn check_shards(name: &str, volume: &Volume, fleet: &Fleet) -> Result<(), Refusal> {
+    match volume.shards.iter().find(|shard| !fleet.bears.contains_key(shard)) {
+        None => Ok(()),
+        Some(unknown) => {
+            let place = format!("volume {name} shards");
+            Err(Refusal::invalid(place, unknown, "a shard that some node holds"))
+        }
+    }
+}
+
+/// A reservation is a promise: all that volumes reserve at a shard, in units a second, must fit into what its node bears.
+fn check_reservations(
+    reserved_by_shard: &BTreeMap<u32, f64>,
+    bears: &BTreeMap<u32, f64>,
+) -> Result<(), Refusal> {
     for (shard, reserved) in reserved_by_shard {
-        let max = fleet.bears.get(shard).copied().unwrap_or(0.0) * MAX_RESERVED_FRACTION;
+        let max = bears.get(shard).copied().unwrap_or(0.0) * MAX_RESERVED_FRACTION;
         if *reserved > max {
             let found = format!("{reserved:.1} units a second reserved");
             let expected = format!("at most {max:.1}, {MAX_RESERVED_FRACTION} of what its node bears");
