--- a/crates/host-core/src/combine/tests.rs
+++ b/crates/host-core/src/combine/tests.rs
@@ -1,71 +1,115 @@
 use super::*;
 
+/// A command has several parts, which end in different ways. The client gets one answer, and a rejection promises
+/// that a retry of all parts is safe.
 #[test]
-fn parts_make_one_answer() {
-    let s = TimeDelta::from_secs;
-    let idempotent_by_key = |scope| Effect::IdempotentByKey { scope, window: s(3.0) };
-    let (re, un) = (Effect::Idempotent, Effect::NonIdempotent);
-    let (open, out) = (PartState::Open { ran: false }, PartState::Open { ran: true });
-    let late = |ran, wait: Option<f64>| PartState::Rejected { ran, retry_after: wait.map(s) };
-    let rejected = |wait: Option<f64>| Some(Combined::Rejected { retry_after: wait.map(s) });
+fn the_answer_of_a_command_follows_from_its_parts() {
+    let seconds = TimeDelta::from_secs;
+    let idempotent_by_key = |scope| Effect::IdempotentByKey { scope, window: seconds(3.0) };
+    let (idempotent, non_idempotent) = (Effect::Idempotent, Effect::NonIdempotent);
+    let (open, in_flight) = (PartState::Open { ran: false }, PartState::Open { ran: true });
+    let rejected_part = |ran, wait: Option<f64>| PartState::Rejected { ran, retry_after: wait.map(seconds) };
+    let rejected = |wait: Option<f64>| Some(Combined::Rejected { retry_after: wait.map(seconds) });
     let (done, failed) = (Some(Combined::Done), Some(Combined::Failed));
     type Case<'a> = (&'a str, Effect, bool, &'a [PartState], Option<Combined>);
     let cases: &[Case] = &[
-        ("all done", un, false, &[PartState::Done, PartState::Done], done),
-        ("one to come", re, false, &[PartState::Done, open], None),
-        ("one rejected settles it", re, false, &[open, late(false, Some(0.2))], rejected(Some(0.2))),
+        ("all done", non_idempotent, false, &[PartState::Done, PartState::Done], done),
+        ("one still open", idempotent, false, &[PartState::Done, open], None),
+        (
+            "one rejected part decides",
+            idempotent,
+            false,
+            &[open, rejected_part(false, Some(0.2))],
+            rejected(Some(0.2)),
+        ),
         (
             "the longest wait counts",
-            re,
+            idempotent,
             false,
-            &[late(true, Some(0.2)), late(true, Some(0.5))],
+            &[rejected_part(true, Some(0.2)), rejected_part(true, Some(0.5))],
             rejected(Some(0.5)),
         ),
-        ("no advice", re, false, &[late(true, None)], rejected(None)),
-        ("failed beats rejected", re, false, &[late(false, None), PartState::Failed { ran: true }], failed),
-        ("repeatable, one part done", re, false, &[PartState::Done, late(false, None)], rejected(None)),
-        ("unrepeatable, nothing ran", un, false, &[open, late(false, None)], rejected(None)),
-        ("unrepeatable, an attempt is out", un, false, &[out, late(false, None)], failed),
-        ("unrepeatable, one part done", un, false, &[PartState::Done, late(false, None)], failed),
-        ("given up, but nothing ever left", un, false, &[PartState::Failed { ran: false }], rejected(None)),
+        ("no retry-after", idempotent, false, &[rejected_part(true, None)], rejected(None)),
+        (
+            "failed beats rejected",
+            idempotent,
+            false,
+            &[rejected_part(false, None), PartState::Failed { ran: true }],
+            failed,
+        ),
+        (
+            "idempotent, one part done",
+            idempotent,
+            false,
+            &[PartState::Done, rejected_part(false, None)],
+            rejected(None),
+        ),
+        (
+            "non-idempotent, nothing ran",
+            non_idempotent,
+            false,
+            &[open, rejected_part(false, None)],
+            rejected(None),
+        ),
+        (
+            "non-idempotent, an attempt may have run",
+            non_idempotent,
+            false,
+            &[in_flight, rejected_part(false, None)],
+            failed,
+        ),
+        (
+            "non-idempotent, one part done",
+            non_idempotent,
+            false,
+            &[PartState::Done, rejected_part(false, None)],
+            failed,
+        ),
+        (
+            "failed, but no byte was written",
+            non_idempotent,
+            false,
+            &[PartState::Failed { ran: false }],
+            rejected(None),
+        ),
         (
-            "given up, and another part ran",
-            un,
+            "failed, and another part ran",
+            non_idempotent,
             false,
             &[PartState::Failed { ran: false }, PartState::Done],
             failed,
         ),
         (
-            "keyed, the client marks",
+            "by key, of the client",
             idempotent_by_key(DedupScope::All),
             true,
-            &[late(true, None)],
+            &[rejected_part(true, None)],
             rejected(None),
         ),
         (
-            "keyed, only the host marks",
+            "by key, of the host",
             idempotent_by_key(DedupScope::All),
             false,
-            &[late(true, None)],
+            &[rejected_part(true, None)],
             failed,
         ),
         (
-            "keyed, only the host marks, unseen",
+            "by key, of the host, nothing ran",
             idempotent_by_key(DedupScope::All),
             false,
-            &[late(false, None)],
+            &[rejected_part(false, None)],
             rejected(None),
         ),
         (
-            "keyed in a zone",
+            "by key in a zone",
             idempotent_by_key(DedupScope::Zone),
             true,
-            &[PartState::Done, late(false, None)],
+            &[PartState::Done, rejected_part(false, None)],
             failed,
         ),
     ];
-    for (name, effect, marks, parts, expected) in cases {
-        let key_source = if *marks { KeySource::Client } else { KeySource::Host };
+    for (name, effect, has_client_key, parts, expected) in cases {
+        let key_source = if *has_client_key { KeySource::Client } else { KeySource::Host };
         assert_eq!(combine(*effect, key_source, parts), *expected, "{name}");
     }
 }
--- a/crates/host-core/src/layout/tests.rs
+++ b/crates/host-core/src/layout/tests.rs
@@ -39,10 +39,12 @@
           large_from_blocks = 64 
         }"#;
 
+/// A part that crosses an extent would be sent to the wrong shard, and one that crosses a granule would have the
+/// order of another key.
 #[test]
-fn commands_fall_into_parts_at_extents_and_order_granules() {
-    let l = Layout::new(&HostSettings::parse("test", SETTINGS).unwrap());
-    // Stream, first block, blocks; expected: first block, blocks, shard, units of each part.
+fn a_command_is_split_at_extents_and_order_granules() {
+    let layout = Layout::new(&HostSettings::parse("test", SETTINGS).unwrap());
+    // Traffic class, first block, blocks; expected: first block, blocks, shard, units of each part.
     type Case<'a> = (usize, u64, u32, &'a [(u64, u32, u32, f64)]);
     let cases: &[Case] = &[
         (0, 10, 8, &[(10, 8, 5, 1.0)]),
@@ -52,18 +54,19 @@
         (1, 70, 40, &[(70, 10, 5, 2.0), (80, 20, 5, 3.0), (100, 10, 7, 2.0)]),
     ];
     for (traffic_class, block, blocks, expected) in cases {
-        let parts = l.parts(0, *traffic_class, *block, *blocks);
-        let found: Vec<_> = parts.iter().map(|p| (p.block, p.blocks, p.shard.0, p.units)).collect();
-        assert_eq!(&found, expected, "stream {traffic_class} at {block} for {blocks}");
+        let parts = layout.parts(0, *traffic_class, *block, *blocks);
+        let found: Vec<_> =
+            parts.iter().map(|part| (part.block, part.blocks, part.shard.0, part.units)).collect();
+        assert_eq!(&found, expected, "class {traffic_class} at {block} for {blocks}");
     }
-    assert_eq!(l.parts(0, 1, 41, 1)[0].key, l.parts(0, 1, 79, 1)[0].key, "one granule, one key");
-    assert_ne!(l.parts(0, 1, 39, 1)[0].key, l.parts(0, 1, 40, 1)[0].key);
-    assert_eq!(l.max_blocks(0), 120, "three whole granules of 40 and two cut ones are four parts");
+    assert_eq!(layout.parts(0, 1, 41, 1)[0].key, layout.parts(0, 1, 79, 1)[0].key, "one granule, one key");
+    assert_ne!(layout.parts(0, 1, 39, 1)[0].key, layout.parts(0, 1, 40, 1)[0].key);
+    assert_eq!(layout.max_blocks(0), 120, "three whole granules of 40 and two cut ones are four parts");
     assert_eq!(
         (
-            l.traffic_class(0, Access::Write, 64),
-            l.traffic_class(0, Access::Read, 63),
-            l.traffic_class(0, Access::Read, 64)
+            layout.traffic_class(0, Access::Write, 64),
+            layout.traffic_class(0, Access::Read, 63),
+            layout.traffic_class(0, Access::Read, 64)
         ),
         (1, 0, 1)
     );
--- a/crates/host-core/src/ticket/tests.rs
+++ b/crates/host-core/src/ticket/tests.rs
@@ -1,13 +1,15 @@
 use super::*;
 
+/// A connection begins to write an attempt at the moment when the core withdraws it. If both succeeded, a request
+/// that was answered as rejected could run.
 #[test]
 fn only_the_first_of_claim_and_withdraw_succeeds() {
     for claim_first in [true, false] {
-        let t = Ticket::default();
-        assert!(if claim_first { t.claim() } else { t.withdraw() });
-        assert!(!t.claim() && !t.withdraw());
-        assert_eq!((t.is_claimed(), t.is_stuck()), (claim_first, claim_first));
-        t.written();
-        assert_eq!((t.is_claimed(), t.is_stuck()), (claim_first, false));
+        let ticket = Ticket::default();
+        assert!(if claim_first { ticket.claim() } else { ticket.withdraw() });
+        assert!(!ticket.claim() && !ticket.withdraw());
+        assert_eq!((ticket.is_claimed(), ticket.is_stuck()), (claim_first, claim_first));
+        ticket.written();
+        assert_eq!((ticket.is_claimed(), ticket.is_stuck()), (claim_first, false));
     }
 }
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -1,4 +1,4 @@
-//! The host core alone, in virtual time: no sockets, links that do as the test says.
+//! The host core alone, in virtual time: without sockets; the test decides when connections write and nodes answer.
 
 use bytes::Bytes;
 use tackmast::interface::*;
@@ -49,7 +49,7 @@
 }
 "#;
 
-struct Rig {
+struct Fixture {
     core: Core,
     now: Instant,
     sent: Vec<SendAttempt>,
@@ -57,7 +57,7 @@
     other: Vec<Output>,
 }
 
-fn s(secs: f64) -> TimeDelta {
+fn seconds(secs: f64) -> TimeDelta {
     TimeDelta::from_secs(secs)
 }
 
@@ -72,21 +72,21 @@
     }
 }
 
-impl Rig {
-    fn new() -> Rig {
+impl Fixture {
+    fn new() -> Fixture {
         let settings = HostSettings::parse("test", SETTINGS).unwrap();
         let now = Instant::from_secs(10.0);
         let core = Core::new(now, &settings, 1, 99);
-        let mut rig = Rig { core, now, sent: vec![], answers: vec![], other: vec![] };
-        rig.pull();
+        let mut fixture = Fixture { core, now, sent: vec![], answers: vec![], other: vec![] };
+        fixture.poll_outputs();
         let both = [entry("a", 0, NodeState::Ready), entry("b", 1, NodeState::Ready)];
-        rig.core.handle_endpoint_list(rig.now, ListKind::Complete, 0, 5, &both);
-        rig.pull();
-        rig.other.clear();
-        rig
+        fixture.core.handle_endpoint_list(fixture.now, ListKind::Complete, 0, 5, &both);
+        fixture.poll_outputs();
+        fixture.other.clear();
+        fixture
     }
 
-    fn pull(&mut self) {
+    fn poll_outputs(&mut self) {
         self.core.handle_timeout(self.now);
         while let Some(o) = self.core.poll_output(self.now) {
             match o {
@@ -97,18 +97,18 @@
         }
     }
 
-    /// Lets time pass, stopping whenever the core wants to be woken.
-    fn pass(&mut self, secs: f64) {
-        let until = self.now + s(secs);
+    /// Advances the time, and calls the core at each of its timeouts.
+    fn run_for(&mut self, secs: f64) {
+        let until = self.now + seconds(secs);
         while let Some(t) = self.core.poll_timeout(self.now).filter(|t| *t <= until) {
             self.now = t.max(self.now + TimeDelta::from_secs(1e-6));
-            self.pull();
+            self.poll_outputs();
         }
         self.now = until;
-        self.pull();
+        self.poll_outputs();
     }
 
-    fn ask(&mut self, command: u32, block: u64, blocks: u32, write: bool) {
+    fn submit(&mut self, command: u32, block: u64, blocks: u32, write: bool) {
         let data = Bytes::from(vec![command as u8; blocks as usize * 512]);
         let work = if write { Work::Write { data } } else { Work::Read { blocks } };
         let from = CommandRef { session: 1, command };
@@ -124,28 +124,28 @@
                 idempotency_key: None,
             },
         );
-        self.pull();
+        self.poll_outputs();
     }
 
-    fn back(&mut self, attempt: AttemptId, outcome: Outcome, bytes: usize) {
+    fn finish_attempt(&mut self, attempt: AttemptId, outcome: Outcome, bytes: usize) {
         let data = Bytes::from(vec![1; bytes]);
         self.core.handle_attempt_result(
             self.now,
             AttemptResult { attempt, outcome, waiting: Some(0), elsewhere: Some(0.0), data },
         );
-        self.pull();
+        self.poll_outputs();
     }
 
-    /// The link writes all that it was given.
+    /// The connections write all attempts that they were given.
     fn write(&mut self) -> Vec<AttemptId> {
         let attempts = std::mem::take(&mut self.sent);
-        let claimed = attempts.into_iter().filter(|l| l.ticket.claim());
-        claimed.inspect(|l| l.ticket.written()).map(|l| l.attempt).collect()
+        let claimed = attempts.into_iter().filter(|attempt| attempt.ticket.claim());
+        claimed.inspect(|attempt| attempt.ticket.written()).map(|attempt| attempt.attempt).collect()
     }
 
-    fn list(&mut self, from: u64, to: u64, entries: &[ListEntry]) {
+    fn change_list(&mut self, from: u64, to: u64, entries: &[ListEntry]) {
         self.core.handle_endpoint_list(self.now, ListKind::Changes, from, to, entries);
-        self.pull();
+        self.poll_outputs();
     }
 
     fn is_empty(&self) -> bool {
@@ -153,16 +153,18 @@
     }
 }
 
-fn rejected(v: &Verdict) -> bool {
-    matches!(v, Verdict::Rejected { .. })
+fn rejected(verdict: &Verdict) -> bool {
+    matches!(verdict, Verdict::Rejected { .. })
 }
 
+/// A read spans three extents, and its parts are answered in reverse order. The client must get one answer, with
+/// the bytes in the order of the blocks.
 #[test]
-fn a_command_over_three_extents_is_one_answer_in_order() {
-    let mut r = Rig::new();
-    r.ask(1, 5, 20, false);
+fn a_command_over_three_extents_gets_one_answer_with_its_bytes_in_order() {
+    let mut fixture = Fixture::new();
+    fixture.submit(1, 5, 20, false);
     let attempts: Vec<(u64, AttemptWork, u16)> =
-        r.sent.iter().map(|l| (l.offset, l.work.clone(), l.part)).collect();
+        fixture.sent.iter().map(|attempt| (attempt.offset, attempt.work.clone(), attempt.part)).collect();
     let read = |blocks: u32| AttemptWork::Read { length: blocks * 512 };
     assert_eq!(attempts.len(), 3);
     assert!(
@@ -170,77 +172,84 @@
             && attempts.contains(&(5120, read(10), 1))
             && attempts.contains(&(10240, read(5), 2))
     );
-    let mut out = r.sent.clone();
-    out.sort_by_key(|l| std::cmp::Reverse(l.part));
-    r.write();
-    for (i, l) in out.iter().enumerate() {
-        assert!(r.answers.is_empty(), "not before the last part");
-        let data = Bytes::from(vec![l.part as u8; if l.part == 1 { 5120 } else { 2560 }]);
-        let back = AttemptResult {
-            attempt: l.attempt,
+    let mut in_flight = fixture.sent.clone();
+    in_flight.sort_by_key(|attempt| std::cmp::Reverse(attempt.part));
+    fixture.write();
+    for (i, attempt) in in_flight.iter().enumerate() {
+        assert!(fixture.answers.is_empty(), "not before the last part");
+        let data = Bytes::from(vec![attempt.part as u8; if attempt.part == 1 { 5120 } else { 2560 }]);
+        let result = AttemptResult {
+            attempt: attempt.attempt,
             outcome: Outcome::Done,
             waiting: None,
             elsewhere: None,
             data,
         };
-        r.core.handle_attempt_result(r.now, back);
-        r.pull();
-        assert_eq!(r.answers.len(), usize::from(i == 2));
+        fixture.core.handle_attempt_result(fixture.now, result);
+        fixture.poll_outputs();
+        assert_eq!(fixture.answers.len(), usize::from(i == 2));
     }
-    let Verdict::Done { data } = &r.answers[0].1 else { panic!("{:?}", r.answers) };
+    let Verdict::Done { data } = &fixture.answers[0].1 else { panic!("{:?}", fixture.answers) };
     assert_eq!(data[..], [vec![0; 2560], vec![1; 5120], vec![2; 2560]].concat());
-    assert!(r.is_empty());
+    assert!(fixture.is_empty());
 }
 
+/// A client sends more commands than the tables hold. A command that is dropped without an answer would cost its
+/// client the whole deadline.
 #[test]
-fn over_the_bound_is_deferred_with_a_time_and_nothing_is_lost() {
-    let mut r = Rig::new();
-    (0..15).for_each(|i| r.ask(i, u64::from(i) * 10, 1, false));
+fn commands_over_the_bound_are_rejected_with_a_retry_after_and_none_goes_unanswered() {
+    let mut fixture = Fixture::new();
+    (0..15).for_each(|i| fixture.submit(i, u64::from(i) * 10, 1, false));
     // One session and one volume may hold four and eight times what they leave free of the twelve.
-    let over: Vec<u32> = r.answers.iter().map(|(c, _)| *c).collect();
+    let over: Vec<u32> = fixture.answers.iter().map(|(command, _)| *command).collect();
     assert_eq!(over, [9, 10, 11, 12, 13, 14]);
-    for (_, v) in &r.answers {
-        assert!(matches!(v, Verdict::Rejected { retry_after: Some(w) } if *w > TimeDelta::ZERO), "{v:?}");
+    for (_, verdict) in &fixture.answers {
+        let Verdict::Rejected { retry_after: Some(wait) } = verdict else { panic!("{verdict:?}") };
+        assert!(*wait > TimeDelta::ZERO, "{verdict:?}");
     }
-    r.pass(1.5);
-    assert_eq!((r.answers.len(), r.core.counters.over_bound), (15, 6), "each gets one answer");
-    assert!(r.is_empty());
+    fixture.run_for(1.5);
+    assert_eq!((fixture.answers.len(), fixture.core.counters.over_bound), (15, 6), "each gets one answer");
+    assert!(fixture.is_empty());
 }
 
+/// A non-idempotent write times out while it waits behind a node that reads nothing, or after it was written. Only
+/// the one that was never written is safe to retry.
 #[test]
-fn what_was_never_written_never_ran() {
-    // An non-idempotent write whose attempt waits behind a node that takes no bytes, against one that was written.
+fn a_write_fails_only_if_a_byte_of_it_was_written() {
+    // A non-idempotent write whose attempt waits behind a node that takes no bytes, against one that was written.
     for written in [false, true] {
-        let mut r = Rig::new();
-        r.ask(1, 0, 1, true);
-        let ticket = r.sent[0].ticket.clone();
+        let mut fixture = Fixture::new();
+        fixture.submit(1, 0, 1, true);
+        let ticket = fixture.sent[0].ticket.clone();
         if written {
-            r.write();
+            fixture.write();
         }
-        r.pass(1.5);
-        let [(1, verdict)] = r.answers.as_slice() else { panic!("{:?}", r.answers) };
+        fixture.run_for(1.5);
+        let [(1, verdict)] = fixture.answers.as_slice() else { panic!("{:?}", fixture.answers) };
         assert_eq!(rejected(verdict), !written, "written {written}: {verdict:?}");
-        assert!(written || !ticket.claim(), "and it can't leave any more");
-        assert!(r.is_empty(), "written {written}");
+        assert!(written || !ticket.claim(), "and it can't be written any more");
+        assert!(fixture.is_empty(), "written {written}");
     }
 }
 
+/// A node drains while one attempt is written, one is half written and one waits. What the node reads after the
+/// grace would run at a node that is about to stop.
 #[test]
-fn a_drain_takes_back_what_waits_and_cuts_what_is_stuck() {
-    let mut r = Rig::new();
-    (0..3).for_each(|i| r.ask(i, u64::from(i) * 20, 1, false));
-    assert_eq!(r.sent.len(), 3, "all at node a");
+fn a_drain_withdraws_unwritten_attempts_and_cuts_stuck_ones() {
+    let mut fixture = Fixture::new();
+    (0..3).for_each(|i| fixture.submit(i, u64::from(i) * 20, 1, false));
+    assert_eq!(fixture.sent.len(), 3, "all at node a");
     // The first is written, the second half-way, the third waits.
-    let tickets: Vec<Ticket> = r.sent.iter().map(|l| l.ticket.clone()).collect();
+    let tickets: Vec<Ticket> = fixture.sent.iter().map(|attempt| attempt.ticket.clone()).collect();
     assert!(tickets[0].claim() && tickets[1].claim());
     tickets[0].written();
-    let stuck = r.sent[1].attempt;
-    r.sent.clear();
-    r.list(5, 6, &[entry("a", 0, NodeState::Draining)]);
-    assert!(!tickets[2].claim(), "taken back at once");
-    assert!(r.other.is_empty(), "the others have the grace");
-    r.pass(0.2);
-    let cuts: Vec<AttemptId> = r
+    let stuck = fixture.sent[1].attempt;
+    fixture.sent.clear();
+    fixture.change_list(5, 6, &[entry("a", 0, NodeState::Draining)]);
+    assert!(!tickets[2].claim(), "withdrawn at once");
+    assert!(fixture.other.is_empty(), "the others have the grace");
+    fixture.run_for(0.2);
+    let cuts: Vec<AttemptId> = fixture
         .other
         .iter()
         .filter_map(|o| match o {
@@ -249,132 +258,145 @@
         })
         .collect();
     assert_eq!(cuts, [stuck]);
-    r.pass(1.5);
-    assert!(r.sent.is_empty(), "nothing new to a node that drains");
-    assert_eq!(r.answers.len(), 3);
-    assert!(r.is_empty());
+    fixture.run_for(1.5);
+    assert!(fixture.sent.is_empty(), "nothing new to a node that drains");
+    assert_eq!(fixture.answers.len(), 3);
+    assert!(fixture.is_empty());
 }
 
+/// A client aborts a command, and then its session closes while attempts are in flight. The nodes must learn that
+/// nobody waits.
 #[test]
-fn a_client_that_left_is_owed_nothing_and_its_attempt_is_called_back() {
-    let mut r = Rig::new();
-    r.ask(1, 0, 1, false);
-    r.ask(2, 0, 1, false);
-    let attempts = r.write();
-    r.core.handle_abort(r.now, CommandRef { session: 1, command: 1 });
-    r.pull();
-    assert!(matches!(r.other.as_slice(), [Output::Cancel { attempt, .. }] if *attempt == attempts[0]));
-    r.core.handle_session_closed(r.now, 1);
-    r.pull();
-    assert_eq!((r.other.len(), r.core.counters.left), (2, 2));
-    // The attempts still count until they are back.
-    assert_eq!(r.core.open_counts(), OpenCounts { commands: 0, requests: 2, attempts: 2 });
-    r.back(attempts[0], Outcome::Done, 512);
-    r.back(attempts[1], Outcome::Full, 0);
-    assert!(r.is_empty() && r.answers.is_empty());
+fn a_client_that_left_gets_no_answer_and_its_attempts_are_cancelled() {
+    let mut fixture = Fixture::new();
+    fixture.submit(1, 0, 1, false);
+    fixture.submit(2, 0, 1, false);
+    let attempts = fixture.write();
+    fixture.core.handle_abort(fixture.now, CommandRef { session: 1, command: 1 });
+    fixture.poll_outputs();
+    assert!(matches!(fixture.other.as_slice(), [Output::Cancel { attempt, .. }] if *attempt == attempts[0]));
+    fixture.core.handle_session_closed(fixture.now, 1);
+    fixture.poll_outputs();
+    assert_eq!((fixture.other.len(), fixture.core.counters.left), (2, 2));
+    // The attempts count until they have ended.
+    assert_eq!(fixture.core.open_counts(), OpenCounts { commands: 0, requests: 2, attempts: 2 });
+    fixture.finish_attempt(attempts[0], Outcome::Done, 512);
+    fixture.finish_attempt(attempts[1], Outcome::Full, 0);
+    assert!(fixture.is_empty() && fixture.answers.is_empty());
 }
 
+/// A node answers a read with too few bytes, and then once more. Neither answer may reach the client as its data.
 #[test]
-fn an_answer_that_is_too_short_or_comes_again_is_not_taken() {
-    let mut r = Rig::new();
-    r.ask(1, 0, 2, false);
-    let attempts = r.write();
-    r.back(attempts[0], Outcome::Done, 512);
-    assert!(r.answers.is_empty(), "1024 bytes were asked for");
-    assert_eq!(r.core.counters.short_answers, 1);
-    r.back(attempts[0], Outcome::Done, 1024);
-    assert_eq!((r.answers.len(), r.core.counters.strays), (0, 1));
-    r.pass(0.1);
-    let again = r.write();
-    assert_eq!(again.len(), 1, "a repeatable read gets a retry");
-    r.back(again[0], Outcome::Done, 1024);
-    assert!(matches!(r.answers.as_slice(), [(1, Verdict::Done { .. })]));
-    assert!(r.is_empty());
+fn a_short_or_repeated_answer_is_not_accepted() {
+    let mut fixture = Fixture::new();
+    fixture.submit(1, 0, 2, false);
+    let attempts = fixture.write();
+    fixture.finish_attempt(attempts[0], Outcome::Done, 512);
+    assert!(fixture.answers.is_empty(), "1024 bytes were asked for");
+    assert_eq!(fixture.core.counters.short_answers, 1);
+    fixture.finish_attempt(attempts[0], Outcome::Done, 1024);
+    assert_eq!((fixture.answers.len(), fixture.core.counters.strays), (0, 1));
+    fixture.run_for(0.1);
+    let again = fixture.write();
+    assert_eq!(again.len(), 1, "an idempotent read gets a retry");
+    fixture.finish_attempt(again[0], Outcome::Done, 1024);
+    assert!(matches!(fixture.answers.as_slice(), [(1, Verdict::Done { .. })]));
+    assert!(fixture.is_empty());
 }
 
+/// One part of a non-idempotent write is rejected after the other part was done, or before it was sent. The command
+/// is safe to retry only if no part ran.
 #[test]
-fn a_rejected_part_settles_the_whole_command() {
-    // An non-idempotent write of two parts: the second is turned away after the first was done, or was never sent.
+fn a_rejected_part_decides_the_answer_of_the_whole_command() {
+    // A non-idempotent write of two parts: the second is rejected after the first was done, or was never sent.
     for first_done in [true, false] {
-        let mut r = Rig::new();
-        r.list(5, 6, &[entry("b", 1, NodeState::Draining)]);
-        r.ask(1, 8, 4, true);
-        assert_eq!(r.sent.len(), 1, "the part at b waits");
+        let mut fixture = Fixture::new();
+        fixture.change_list(5, 6, &[entry("b", 1, NodeState::Draining)]);
+        fixture.submit(1, 8, 4, true);
+        assert_eq!(fixture.sent.len(), 1, "the part at b waits");
         if first_done {
-            let attempts = r.write();
-            r.back(attempts[0], Outcome::Done, 0);
+            let attempts = fixture.write();
+            fixture.finish_attempt(attempts[0], Outcome::Done, 0);
         }
-        r.pass(1.5);
-        let [(1, verdict)] = r.answers.as_slice() else { panic!("{:?}", r.answers) };
+        fixture.run_for(1.5);
+        let [(1, verdict)] = fixture.answers.as_slice() else { panic!("{:?}", fixture.answers) };
         assert_eq!(rejected(verdict), !first_done, "{verdict:?}");
-        assert!(r.is_empty());
+        assert!(fixture.is_empty());
     }
 }
 
+/// The watch of the endpoint list loses changes. A drain among the later ones must apply at once, and the lost ones
+/// must be fetched.
 #[test]
-fn changes_after_a_gap_count_and_the_complete_list_is_asked_for() {
-    let mut r = Rig::new();
-    r.list(5, 6, &[]);
-    assert!(r.other.is_empty());
-    r.list(8, 9, &[entry("a", 0, NodeState::Draining)]);
-    assert!(matches!(r.other.as_slice(), [Output::FetchList]));
-    r.ask(1, 0, 1, false);
-    assert!(r.sent.is_empty(), "the drain is known");
+fn changes_after_a_gap_apply_and_the_complete_list_is_fetched() {
+    let mut fixture = Fixture::new();
+    fixture.change_list(5, 6, &[]);
+    assert!(fixture.other.is_empty());
+    fixture.change_list(8, 9, &[entry("a", 0, NodeState::Draining)]);
+    assert!(matches!(fixture.other.as_slice(), [Output::FetchList]));
+    fixture.submit(1, 0, 1, false);
+    assert!(fixture.sent.is_empty(), "the drain is known");
     // A complete list that no longer names b: it is gone; c takes its shard.
     let now = [entry("a", 0, NodeState::Ready), entry("c", 1, NodeState::Ready)];
-    r.core.handle_endpoint_list(r.now, ListKind::Complete, 0, 12, &now);
-    r.pull();
-    r.ask(2, 10, 1, false);
-    let nodes: Vec<&str> = r.sent.iter().map(|l| r.core.nodes().address(l.node).unwrap()).collect();
+    fixture.core.handle_endpoint_list(fixture.now, ListKind::Complete, 0, 12, &now);
+    fixture.poll_outputs();
+    fixture.submit(2, 10, 1, false);
+    let nodes: Vec<&str> =
+        fixture.sent.iter().map(|attempt| fixture.core.nodes().address(attempt.node).unwrap()).collect();
     assert_eq!(nodes, ["a", "c"]);
 }
 
+/// The list names more nodes than the table holds. An operator must be able to see that some are not used.
 #[test]
-fn nodes_over_the_bound_are_told_of() {
-    let mut r = Rig::new();
+fn nodes_over_the_bound_are_reported() {
+    let mut fixture = Fixture::new();
     let many: Vec<ListEntry> = (0..4).map(|i| entry(&format!("n{i}"), i, NodeState::Ready)).collect();
-    r.list(5, 6, &many);
-    assert_eq!(r.core.counters.nodes_over_bound, 2);
-    let told = r
+    fixture.change_list(5, 6, &many);
+    assert_eq!(fixture.core.counters.nodes_over_bound, 2);
+    let reported = fixture
         .other
         .iter()
         .filter(|o| {
             matches!(o, Output::Event(HostEvent::EndpointList(EndpointListEvent::NodeTableFull { .. })))
         })
         .count();
-    assert_eq!(told, 2);
+    assert_eq!(reported, 2);
 }
 
+/// A host shuts down with commands open. Each open command must be answered by what may have run, and new ones must
+/// go to another host.
 #[test]
-fn a_host_that_ends_rejects_what_comes_and_settles_what_is_open() {
-    let mut r = Rig::new();
-    // A read and two non-idempotent writes are open: one written, one that waits on its link.
-    r.ask(1, 0, 1, false);
-    r.ask(2, 20, 1, true);
-    let attempts = r.write();
-    r.ask(3, 40, 1, true);
-    r.core.drain();
-    r.ask(4, 60, 1, false);
-    assert!(matches!(r.answers.as_slice(), [(4, Verdict::Rejected { retry_after: Some(_) })]));
-    r.back(attempts[0], Outcome::Done, 512);
-    assert!(matches!(r.answers[1], (1, Verdict::Done { .. })), "what is open goes on");
-    r.core.close_open_commands(r.now);
-    r.pull();
-    assert_eq!(r.answers[2], (2, Verdict::Failed));
-    assert!(matches!(r.answers[3], (3, Verdict::Rejected { .. })), "it never left");
-    assert_eq!(r.core.open_counts().commands, 0);
-    r.pass(1.5);
-    assert!(r.is_empty() && r.answers.len() == 4);
+fn a_host_that_shuts_down_rejects_new_commands_and_answers_open_ones() {
+    let mut fixture = Fixture::new();
+    // A read and two non-idempotent writes are open: one written, one that waits in its connection.
+    fixture.submit(1, 0, 1, false);
+    fixture.submit(2, 20, 1, true);
+    let attempts = fixture.write();
+    fixture.submit(3, 40, 1, true);
+    fixture.core.drain();
+    fixture.submit(4, 60, 1, false);
+    assert!(matches!(fixture.answers.as_slice(), [(4, Verdict::Rejected { retry_after: Some(_) })]));
+    fixture.finish_attempt(attempts[0], Outcome::Done, 512);
+    assert!(matches!(fixture.answers[1], (1, Verdict::Done { .. })), "an open command is still worked on");
+    fixture.core.close_open_commands(fixture.now);
+    fixture.poll_outputs();
+    assert_eq!(fixture.answers[2], (2, Verdict::Failed));
+    assert!(matches!(fixture.answers[3], (3, Verdict::Rejected { .. })), "no byte of it was written");
+    assert_eq!(fixture.core.open_counts().commands, 0);
+    fixture.run_for(1.5);
+    assert!(fixture.is_empty() && fixture.answers.len() == 4);
 }
 
+/// One session queues a thousand commands before two others send a few. First come, first served would make the
+/// others wait for all of them.
 #[test]
-fn one_session_with_many_commands_stands_behind_the_first_of_each_other() {
+fn a_session_with_many_commands_waits_behind_the_first_commands_of_others() {
     let settings =
         HostSettings::parse("test", &SETTINGS.replace("transfers = 12", "transfers = 4000")).unwrap();
     let now = Instant::from_secs(10.0);
     let mut core = Core::new(now, &settings, 1, 99);
     core.handle_endpoint_list(now, ListKind::Complete, 0, 5, &[entry("a", 0, NodeState::Ready)]);
-    let mut ask = |session: u32, command: u32| {
+    let mut submit = |session: u32, command: u32| {
         let from = CommandRef { session, command };
         core.handle_command(
             now,
@@ -389,20 +411,20 @@
             },
         );
     };
-    (0..1000).for_each(|c| ask(1, c));
-    (0..3).for_each(|c| ask(2, c));
-    ask(3, 0);
+    (0..1000).for_each(|c| submit(1, c));
+    (0..3).for_each(|c| submit(2, c));
+    submit(3, 0);
     let (mut order, mut t) = (Vec::new(), now);
     for _ in 0..30 {
-        let mut out = Vec::new();
+        let mut in_flight = Vec::new();
         while let Some(o) = core.poll_output(t) {
             if let Output::Send(attempt) = o {
                 order.push(attempt.from.session);
-                out.push(attempt.attempt);
+                in_flight.push(attempt.attempt);
             }
         }
-        t = t + s(0.001);
-        for attempt in out {
+        t = t + seconds(0.001);
+        for attempt in in_flight {
             let (outcome, data) = (Outcome::Done, Bytes::from(vec![0; 512]));
             core.handle_attempt_result(
                 t,
@@ -416,21 +438,23 @@
     assert_eq!(core.fair_queue_counts(), FairQueueCounts::default());
 }
 
+/// A node restarts under an override, or another node gets its address. The override may not be meant for what runs
+/// there now, so the explanation names it.
 #[test]
-fn an_override_that_a_node_restarted_under_says_so() {
+fn an_explanation_names_an_override_under_which_its_node_restarted() {
     use tackmast_overrides::{Kind, Order, Overrides, Settings, Target};
     let address = "10.0.0.1:9003";
-    // When the node starts, against the override that is set at 10 s; whether it is told.
-    for (start, told) in [(5.0, false), (12.0, true)] {
-        let mut r = Rig::new();
+    // When the node starts, against the override that is set at 10 s; whether it is reported.
+    for (start, reported) in [(5.0, false), (12.0, true)] {
+        let mut fixture = Fixture::new();
         let (overrides, _) = Overrides::new(
-            r.now,
+            fixture.now,
             10_000_000,
             Settings { max_overrides: 10, max_zone_fraction: 1.0 },
             Vec::new(),
             1,
         );
-        r.core.with_overrides(r.now, overrides, PersistBatch::default());
+        fixture.core.with_overrides(fixture.now, overrides, PersistBatch::default());
         let order = Order {
             target: Target::Node(address.parse().unwrap()),
             kind: Kind::Weight(0.5),
@@ -439,25 +463,29 @@
             seconds: 60.0,
             origin: None,
         };
-        r.core.handle_admin_request(
-            r.now,
+        fixture.core.handle_admin_request(
+            fixture.now,
             1,
             AdminRequest::Set { order, force: false, dry_run: false, if_version: None },
         );
-        r.core.handle_persisted(r.now, 1, Ok(()));
-        r.now = Instant::from_secs(20.0);
+        fixture.core.handle_persisted(fixture.now, 1, Ok(()));
+        fixture.now = Instant::from_secs(20.0);
         let up = TimeDelta::from_secs(20.0 - start);
         let start = Some(NodeStart { name: 7, age: Age::ByListClock(up) });
-        r.list(5, 6, &[ListEntry { start, ..entry(address, 0, NodeState::Ready) }]);
-        r.other.clear();
-        r.core.handle_admin_request(r.now, 2, AdminRequest::Explain { address: address.parse().unwrap() });
-        r.pull();
-        let explained = r.other.iter().find_map(|o| match o {
+        fixture.change_list(5, 6, &[ListEntry { start, ..entry(address, 0, NodeState::Ready) }]);
+        fixture.other.clear();
+        fixture.core.handle_admin_request(
+            fixture.now,
+            2,
+            AdminRequest::Explain { address: address.parse().unwrap() },
+        );
+        fixture.poll_outputs();
+        let explained = fixture.other.iter().find_map(|o| match o {
             Output::AdminResponse { response: AdminResponse::Explain(e), .. } => Some(e.clone()),
             _ => None,
         });
         let e = explained.expect("an explanation");
         assert_eq!(e.up_s.map(f64::round), Some(up.secs().round()));
-        assert_eq!(!e.restarted_under().is_empty(), told, "{e:?}");
+        assert_eq!(!e.restarted_under().is_empty(), reported, "{e:?}");
     }
 }
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -995,8 +995,9 @@
     assert_eq!(hashes, expected);
 }
 
+/// A refactoring changes an output that no other test looks at. The hash over all outputs shows it, for few hosts.
 #[test]
-fn few_hosts_act_as_before() {
+fn few_hosts_give_the_recorded_outputs() {
     check(
         &FEW_HOSTS,
         [
@@ -1008,8 +1009,9 @@
     );
 }
 
+/// The same with many hosts, where concurrency limits fall below one and requests pause.
 #[test]
-fn many_hosts_act_as_before() {
+fn many_hosts_give_the_recorded_outputs() {
     check(
         &MANY_HOSTS,
         [
@@ -1021,8 +1023,9 @@
     );
 }
 
+/// The same with small tables, where most commands meet a bound.
 #[test]
-fn tight_bounds_act_as_before() {
+fn tight_bounds_give_the_recorded_outputs() {
     check(
         &TIGHT_BOUNDS,
         [
@@ -1034,6 +1037,7 @@
     );
 }
 
+/// An output that depends on the order of a hash map would make the recorded hashes useless.
 #[test]
 fn the_same_seed_gives_the_same_hash_twice() {
     let hash = |seed| Run::new(&FEW_HOSTS, seed).finish().0;
--- a/crates/host-core/tests/placed.rs
+++ b/crates/host-core/tests/placed.rs
@@ -1,4 +1,4 @@
-//! Requests that arrive already placed, in virtual time: one path with block commands.
+//! Requests that arrive already placed, in virtual time: on the same path as block commands.
 
 use bytes::Bytes;
 use tackmast::interface::*;
@@ -6,15 +6,15 @@
 use tackmast_config::TrafficClass;
 use tackmast_host_core::*;
 
-fn at(s: f64) -> Instant {
-    Instant::from_secs(s)
+fn at(secs: f64) -> Instant {
+    Instant::from_secs(secs)
 }
 
-fn span(s: f64) -> TimeDelta {
-    TimeDelta::from_secs(s)
+fn seconds(secs: f64) -> TimeDelta {
+    TimeDelta::from_secs(secs)
 }
 
-struct Rig {
+struct Fixture {
     core: Core,
     sent: Vec<SendAttempt>,
     answers: Vec<(u32, Verdict)>,
@@ -27,16 +27,16 @@
     Effect::IdempotentByKey { scope: DedupScope::Shard, window: TimeDelta::ZERO },
 ];
 
-impl Rig {
-    fn new(requests: usize, nodes: usize, volumes: usize) -> Rig {
+impl Fixture {
+    fn new(requests: usize, nodes: usize, volumes: usize) -> Fixture {
         let now = at(10.0);
-        let mut scheduler = Scheduler::new(now, 1, 1, span(0.002), 2.0);
+        let mut scheduler = Scheduler::new(now, 1, 1, seconds(0.002), 2.0);
         scheduler.add_plan(Plan { limit: 0.0, burst: 0.0, slack: 0.0, reserve: 0.0, weight: 1.0 });
         let traffic_classes: Vec<TrafficClass> = EFFECTS
             .iter()
             .map(|effect| {
-                scheduler.add_traffic_class(span(0.3), *effect, false);
-                let (name, latency_objective, deadline) = (String::new(), span(0.3), span(1.0));
+                scheduler.add_traffic_class(seconds(0.3), *effect, false);
+                let (name, latency_objective, deadline) = (String::new(), seconds(0.3), seconds(1.0));
                 TrafficClass {
                     name,
                     latency_objective,
@@ -47,8 +47,8 @@
                 }
             })
             .collect();
-        scheduler.set_attempt_limits(3, span(0.5), TimeDelta::ZERO);
-        let (reports_peer_service, longest_wait, grace) = (true, span(0.5), span(1.0));
+        scheduler.set_attempt_limits(3, seconds(0.5), TimeDelta::ZERO);
+        let (reports_peer_service, longest_wait, grace) = (true, seconds(0.5), seconds(1.0));
         let settings = PlacedSettings {
             traffic_classes,
             reports_service: reports_peer_service,
@@ -59,14 +59,14 @@
             nodes,
             volumes,
         };
-        let mut rig = Rig {
+        let mut fixture = Fixture {
             core: Core::placed(now, scheduler, settings, 1),
             sent: vec![],
             answers: vec![],
             cancelled: vec![],
         };
-        rig.list(now, ListKind::Saved, 0, &[("a", "1.1.1.1:1", 0, NodeState::Ready)]);
-        rig
+        fixture.list(now, ListKind::Saved, 0, &[("a", "1.1.1.1:1", 0, NodeState::Ready)]);
+        fixture
     }
 
     fn list(&mut self, now: Instant, kind: ListKind, version: u64, lines: &[(&str, &str, u32, NodeState)]) {
@@ -81,10 +81,10 @@
         let lines: Vec<ListEntry> = lines.iter().map(line).collect();
         let from = self.core.list_version();
         self.core.handle_endpoint_list(now, kind, from, version, &lines);
-        self.pull(now);
+        self.poll_outputs(now);
     }
 
-    fn ask(&mut self, now: Instant, command: u32, traffic_class: u32, volume: u64) {
+    fn submit(&mut self, now: Instant, command: u32, traffic_class: u32, volume: u64) {
         let placed = PlacedRequest {
             volume,
             plan: PlanId(0),
@@ -93,14 +93,14 @@
             key: u64::from(command),
             units: 1.0,
             hosts: 1,
-            left: span(1.0),
+            left: seconds(1.0),
             request: OpaqueRequest { head: Bytes::from_static(b"head"), body: Bytes::from_static(b"body") },
         };
         self.core.handle_placed_request(now, CommandRef { session: command, command }, placed);
-        self.pull(now);
+        self.poll_outputs(now);
     }
 
-    fn pull(&mut self, now: Instant) {
+    fn poll_outputs(&mut self, now: Instant) {
         self.core.handle_timeout(now);
         while let Some(o) = self.core.poll_output(now) {
             match o {
@@ -112,63 +112,66 @@
         }
     }
 
-    fn pass(&mut self, from: Instant, secs: f64) -> Instant {
-        let end = from + span(secs);
+    fn run_for(&mut self, from: Instant, secs: f64) -> Instant {
+        let end = from + seconds(secs);
         while let Some(t) = self.core.poll_timeout(from).filter(|t| *t <= end) {
-            self.pull(t);
+            self.poll_outputs(t);
         }
-        self.pull(end);
+        self.poll_outputs(end);
         end
     }
 
     fn write(&mut self) -> AttemptId {
-        let attempt = self.sent.pop().expect("an attempt is out");
+        let attempt = self.sent.pop().expect("an attempt is in flight");
         assert!(attempt.ticket.claim());
         attempt.ticket.written();
         attempt.attempt
     }
 
-    fn back(&mut self, now: Instant, attempt: AttemptId, outcome: Outcome, data: &'static [u8]) {
+    fn finish_attempt(&mut self, now: Instant, attempt: AttemptId, outcome: Outcome, data: &'static [u8]) {
         let data = Bytes::from_static(data);
         self.core.handle_attempt_result(
             now,
             AttemptResult { attempt, outcome, waiting: Some(1), elsewhere: Some(0.0), data },
         );
-        self.pull(now);
+        self.poll_outputs(now);
     }
 }
 
+/// The host does not know what a placed request means, so it must change neither its bytes nor those of its answer.
 #[test]
-fn a_request_goes_out_as_it_came_and_its_answer_comes_back_whole() {
-    let mut r = Rig::new(8, 8, 8);
-    r.ask(at(10.0), 1, 1, 77);
-    let AttemptWork::Opaque(request) = &r.sent[0].work else { panic!("{:?}", r.sent[0].work) };
+fn a_placed_request_and_its_answer_pass_unchanged() {
+    let mut fixture = Fixture::new(8, 8, 8);
+    fixture.submit(at(10.0), 1, 1, 77);
+    let AttemptWork::Opaque(request) = &fixture.sent[0].work else { panic!("{:?}", fixture.sent[0].work) };
     assert_eq!((&request.head[..], &request.body[..]), (&b"head"[..], &b"body"[..]));
-    assert_eq!(r.sent[0].until, at(11.0));
-    let attempt = r.write();
-    r.back(at(10.1), attempt, Outcome::Done, b"any length");
-    assert_eq!(r.answers, [(1, Verdict::Done { data: Bytes::from_static(b"any length") })]);
-    assert_eq!(r.core.open_counts(), OpenCounts::default());
+    assert_eq!(fixture.sent[0].until, at(11.0));
+    let attempt = fixture.write();
+    fixture.finish_attempt(at(10.1), attempt, Outcome::Done, b"any length");
+    assert_eq!(fixture.answers, [(1, Verdict::Done { data: Bytes::from_static(b"any length") })]);
+    assert_eq!(fixture.core.open_counts(), OpenCounts::default());
 }
 
+/// An attempt fails with or without a chance that it ran. A second run of a request that is not idempotent could
+/// take effect twice.
 #[test]
-fn what_may_have_run_decides_the_answer() {
-    // The outcome of the first attempt, and for each effect: sent again, or answered how.
+fn an_attempt_that_may_have_run_is_retried_only_if_that_is_safe() {
+    // The outcome of the first attempt, and for each effect: whether it is retried, or how it is answered.
     let cases = [
-        (Outcome::Error, ["again", "failed", "failed"]),
-        (Outcome::Reset, ["again", "failed", "failed"]),
-        (Outcome::Refused, ["again", "again", "again"]),
-        (Outcome::Full, ["again", "again", "again"]),
+        (Outcome::Error, ["retried", "failed", "failed"]),
+        (Outcome::Reset, ["retried", "failed", "failed"]),
+        (Outcome::Refused, ["retried", "retried", "retried"]),
+        (Outcome::Full, ["retried", "retried", "retried"]),
     ];
     for (outcome, expected) in cases {
         for (traffic_class, expected) in expected.into_iter().enumerate() {
-            let mut r = Rig::new(8, 8, 8);
-            r.ask(at(10.0), 1, traffic_class as u32, 77);
-            let attempt = r.write();
-            r.back(at(10.01), attempt, outcome, b"");
-            r.pass(at(10.01), 0.1);
-            let found = match (&r.answers[..], r.sent.len()) {
-                ([], 1) => "again",
+            let mut fixture = Fixture::new(8, 8, 8);
+            fixture.submit(at(10.0), 1, traffic_class as u32, 77);
+            let attempt = fixture.write();
+            fixture.finish_attempt(at(10.01), attempt, outcome, b"");
+            fixture.run_for(at(10.01), 0.1);
+            let found = match (&fixture.answers[..], fixture.sent.len()) {
+                ([], 1) => "retried",
                 ([(1, Verdict::Failed)], 0) => "failed",
                 ([(1, Verdict::Rejected { .. })], 0) => "rejected",
                 other => panic!("{outcome:?} {traffic_class}: {other:?}"),
@@ -178,45 +181,49 @@
     }
 }
 
+/// More requests arrive than the tables hold, and the node never answers. Each client must get one answer by its
+/// deadline.
 #[test]
-fn every_one_has_one_answer_by_its_time_and_full_tables_say_when_to_come_back() {
-    let mut r = Rig::new(4, 8, 2);
+fn each_request_gets_one_answer_by_its_deadline_and_full_tables_name_a_retry_after() {
+    let mut fixture = Fixture::new(4, 8, 2);
     let mut now = at(10.0);
     for command in 0..20 {
-        r.ask(now, command, 0, u64::from(command % 5));
+        fixture.submit(now, command, 0, u64::from(command % 5));
     }
-    let early = r.answers.len();
+    let early = fixture.answers.len();
     assert!(early >= 12, "the tables hold four: {early}");
-    let told = r
+    let has_retry_after = fixture
         .answers
         .iter()
         .all(|(_, v)| matches!(v, Verdict::Rejected { retry_after: Some(w) } if *w > TimeDelta::ZERO));
-    assert!(told, "{:?}", r.answers);
-    // A node that never answers: what is open ends with its client's time, and its attempts are called back.
-    let out = r.sent.drain(..).filter(|l| l.ticket.claim()).count();
-    now = r.pass(now, 1.2);
-    let mut ids: Vec<u32> = r.answers.iter().map(|(c, _)| *c).collect();
+    assert!(has_retry_after, "{:?}", fixture.answers);
+    // A node that never answers: open requests end at their deadlines, and their attempts are cancelled.
+    let claimed = fixture.sent.drain(..).filter(|attempt| attempt.ticket.claim()).count();
+    now = fixture.run_for(now, 1.2);
+    let mut ids: Vec<u32> = fixture.answers.iter().map(|(c, _)| *c).collect();
     ids.sort();
     assert_eq!(ids, (0..20).collect::<Vec<_>>(), "one answer each");
-    assert!(r.cancelled.len() >= out);
-    assert_eq!(r.core.open_counts(), OpenCounts::default());
-    // The longest unused volume gives way.
-    r.ask(now, 30, 0, 99);
-    assert_eq!(r.sent.len(), 1);
+    assert!(fixture.cancelled.len() >= claimed);
+    assert_eq!(fixture.core.open_counts(), OpenCounts::default());
+    // The volume that was unused longest is evicted.
+    fixture.submit(now, 30, 0, 99);
+    assert_eq!(fixture.sent.len(), 1);
 }
 
+/// A node moves to another address, and others are replaced again and again under new ids. What is known of the one
+/// must stay, and the table must not grow.
 #[test]
-fn a_node_keeps_its_number_when_it_moves_and_new_ids_without_end_are_bounded() {
-    let mut r = Rig::new(8, 100, 8);
-    let number = r.core.nodes().number("a").unwrap();
-    r.list(at(11.0), ListKind::Changes, 1, &[("a", "2.2.2.2:2", 0, NodeState::Ready)]);
-    assert_eq!(r.core.nodes().address(number), Some("2.2.2.2:2"));
+fn a_node_keeps_its_number_when_it_moves_and_replaced_nodes_are_evicted() {
+    let mut fixture = Fixture::new(8, 100, 8);
+    let number = fixture.core.nodes().number("a").unwrap();
+    fixture.list(at(11.0), ListKind::Changes, 1, &[("a", "2.2.2.2:2", 0, NodeState::Ready)]);
+    assert_eq!(fixture.core.nodes().address(number), Some("2.2.2.2:2"));
     for i in 0..500u32 {
         let (new, old) = (format!("n{}", i + 1), format!("n{i}"));
         let lines = [(&*new, "3.3.3.3:3", 1, NodeState::Ready), (&*old, "3.3.3.3:3", 1, NodeState::Gone)];
-        r.list(at(12.0 + f64::from(i)), ListKind::Changes, u64::from(i) + 2, &lines);
-        assert!(r.core.nodes().entries().count() <= 2 + 64 + 1);
+        fixture.list(at(12.0 + f64::from(i)), ListKind::Changes, u64::from(i) + 2, &lines);
+        assert!(fixture.core.nodes().entries().count() <= 2 + 64 + 1);
     }
-    assert!(r.core.nodes().number("n500").is_some() && r.core.nodes().number("n3").is_none());
-    assert_eq!(r.core.nodes().number("a"), Some(number));
+    assert!(fixture.core.nodes().number("n500").is_some() && fixture.core.nodes().number("n3").is_none());
+    assert_eq!(fixture.core.nodes().number("a"), Some(number));
 }
