--- /dev/null
+++ b/crates/host-core/src/event/log.rs
@@ -0,0 +1,51 @@
+//! The edge between events and the log of the process: each event becomes an event of `tracing` with the same fields.
+//!
+//! The shells of the core call `log_event` for each event that they poll. Times are in seconds. `host` is the number of this host in
+//! every event.
+
+mod consensus;
+mod endpoint_list;
+mod membership;
+mod overrides;
+mod plans;
+mod scheduler;
+
+use super::HostEvent;
+use crate::nodes::Nodes;
+use consensus::log_consensus_event;
+use endpoint_list::log_endpoint_list_event;
+use membership::log_membership_event;
+use overrides::log_overrides_event;
+use plans::log_plans_event;
+use scheduler::log_scheduler_event;
+use tackmast::interface::Decision;
+use tracing::{debug, info};
+
+/// Writes an event to the log of the process. `host` is the number of this host, where hosts have one; `nodes` gives the address of the
+/// node that the event is about.
+pub fn log_event(host: Option<u32>, nodes: &Nodes, event: &HostEvent) {
+    match event {
+        HostEvent::Scheduler(event) => {
+            let address = event.node().and_then(|node| nodes.address(node));
+            log_scheduler_event(host, address, event);
+        }
+        HostEvent::Consensus(event) => log_consensus_event(host, event),
+        HostEvent::ConsensusWriteFailed { error } => info!(host, %error, "{}", event.message()),
+        HostEvent::Membership(event) => log_membership_event(host, event),
+        HostEvent::EndpointList(event) => log_endpoint_list_event(host, event),
+        HostEvent::Override(event) => log_overrides_event(host, event),
+        HostEvent::Plan(event) => log_plans_event(host, event),
+    }
+}
+
+/// Writes at the level `debug` why a request was rejected or failed. Other decisions are not written.
+pub(crate) fn log_final_answer(decision: &Decision) {
+    match decision {
+        Decision::Reject { request, retry_after, reason } => {
+            let retry_after_secs = retry_after.map(|wait| wait.secs());
+            debug!(request = request.0, ?reason, retry_after_secs, "request rejected");
+        }
+        Decision::Fail { request, reason } => debug!(request = request.0, ?reason, "request failed"),
+        Decision::Send { .. } | Decision::FollowList | Decision::Event(_) => {}
+    }
+}
--- /dev/null
+++ b/crates/host-core/src/event/log/scheduler.rs
@@ -0,0 +1,26 @@
+//! Events of the scheduler as events of `tracing`.
+
+use tackmast::interface::SchedulerEvent;
+use tracing::info;
+
+/// Writes an event to the log of the process.
+pub(super) fn log_scheduler_event(host: Option<u32>, node: Option<&str>, event: &SchedulerEvent) {
+    let message = event.message();
+    match event {
+        SchedulerEvent::NodeUnhealthy { successes, failures, .. }
+        | SchedulerEvent::NodeHealthy { successes, failures, .. } => {
+            info!(host, node, successes, failures, "{message}");
+        }
+        SchedulerEvent::NodeRestarted { uptime, .. } => {
+            info!(host, node, uptime_secs = uptime.secs(), "{message}");
+        }
+        SchedulerEvent::AttemptsLost { lost, answered }
+        | SchedulerEvent::AttemptsArrive { lost, answered } => {
+            info!(host, lost, answered, "{message}");
+        }
+        SchedulerEvent::NodeListUnavailable { failures, retry_in } => {
+            info!(host, failures, retry_in_secs = retry_in.secs(), "{message}");
+        }
+        SchedulerEvent::NodeListRecovered { failures } => info!(host, failures, "{message}"),
+    }
+}
