--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -11,7 +11,7 @@
 //! | `error` | what can be wrong with a message |
 //! | `status` | reason phrases of status codes |
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 mod body;
 mod error;
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -6,8 +6,11 @@
 use crate::MessageError;
 use bytes::{Buf, Bytes, BytesMut};
 
+/// The status of an interim response that changes the protocol of the connection (RFC 9110, 15.2.2).
 const SWITCHING_PROTOCOLS: u16 = 101;
+/// The status of a response that never has a body (RFC 9110, 15.3.5).
 const NO_CONTENT: u16 = 204;
+/// The status of a response that never has a body (RFC 9110, 15.4.5).
 const NOT_MODIFIED: u16 = 304;
 
 /// A response.
@@ -50,7 +53,7 @@
         !self.buffer.is_empty()
     }
 
-    /// Whether the response's head is there, and its body goes on to the end of the connection.
+    /// Whether the response's head is complete and its body ends with the connection.
     pub fn ends_with_connection(&self) -> bool {
         self.incomplete.as_ref().is_some_and(|(_, reader)| reader.ends_with_connection())
     }
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -1,87 +1,93 @@
-//! Messages good and bad, whole and in pieces. Each case is read at once and split at every byte: the outcome must not
-//! depend on how the bytes came.
+//! Messages, valid and not, whole and in pieces. Each case is read at once and split at every byte: the result must not depend on how
+//! the bytes arrive.
 
 use proptest::prelude::*;
 use tackmast_http::{Limits, MessageError, Request, RequestReader, Response, ResponseReader};
 
-const SMALL: Limits = Limits { max_head_len: 512, max_body_len: 64 };
+/// Bounds that short messages reach.
+const SMALL_LIMITS: Limits = Limits { max_head_len: 512, max_body_len: 64 };
 
-/// All requests in these pieces, until none is whole or one is bad; and whether a part is left.
+/// All requests in these pieces, up to the first error; and whether a part of one is left.
 fn requests(pieces: &[&[u8]]) -> (Vec<Request>, Option<MessageError>, bool) {
-    let mut reader = RequestReader::new(SMALL);
-    let mut got = Vec::new();
+    let mut reader = RequestReader::new(SMALL_LIMITS);
+    let mut received = Vec::new();
     for piece in pieces {
         reader.push(piece);
         loop {
             match reader.next_request() {
-                Ok(Some(r)) => got.push(r),
+                Ok(Some(request)) => received.push(request),
                 Ok(None) => break,
-                Err(bad) => return (got, Some(bad), false),
+                Err(error) => return (received, Some(error), false),
             }
         }
     }
-    (got, None, reader.has_partial_request())
+    (received, None, reader.has_partial_request())
 }
 
+/// The first response in these pieces, or the error; and whether bytes follow it.
 fn response(pieces: &[&[u8]]) -> (Option<Response>, Option<MessageError>, bool) {
-    let mut reader = ResponseReader::new(SMALL);
-    let mut got = None;
+    let mut reader = ResponseReader::new(SMALL_LIMITS);
+    let mut received = None;
     for piece in pieces {
         reader.push(piece);
-        if got.is_none() {
+        if received.is_none() {
             match reader.next_response() {
-                Ok(a) => got = a,
-                Err(bad) => return (None, Some(bad), false),
+                Ok(response) => received = response,
+                Err(error) => return (None, Some(error), false),
             }
         }
     }
-    (got, None, reader.has_trailing_bytes())
+    (received, None, reader.has_trailing_bytes())
 }
 
-fn put(more: &str, body: &str) -> String {
-    format!("PUT /a HTTP/1.1\r\nHost: h\r\n{more}\r\n{body}")
+/// A request with these further header lines.
+fn put(header_lines: &str, body: &str) -> String {
+    format!("PUT /a HTTP/1.1\r\nHost: h\r\n{header_lines}\r\n{body}")
 }
 
+/// Requests arrive in one segment or byte by byte. Each must be read whole and in order, wherever they are split.
 #[test]
-fn requests_are_taken_in_turn_however_they_are_split() {
+fn requests_are_read_in_order_however_they_are_split() {
     let chunked = "Transfer-Encoding: chunked\r\n";
     let full = "x".repeat(64);
     let two = put("Content-Length: 3\r\n", "abc") + "GET /b HTTP/1.1\r\nHost: h\r\n\r\n";
     let cases: Vec<(&str, String, Vec<&str>, bool)> = vec![
-        ("nothing", String::new(), vec![], false),
+        ("no bytes", String::new(), vec![], false),
         ("no body", put("", ""), vec![""], false),
         ("a body", put("Content-Length: 3\r\n", "abc"), vec!["abc"], false),
         ("empty lines ahead", "\r\n\r\n".to_owned() + &put("", ""), vec![""], false),
-        ("two in turn", two, vec!["abc", ""], false),
+        ("two requests", two, vec!["abc", ""], false),
         ("chunks", put(chunked, "3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n"), vec!["abcde"], false),
         ("chunks and trailers", put(chunked, "1\r\na\r\n0\r\nA: b\r\nC: d\r\n\r\n"), vec!["a"], false),
         ("the largest body", put("Content-Length: 64\r\n", &full), vec![&full], false),
-        ("half a head", "PUT /a HTTP/1.1\r\nHo".into(), vec![], true),
-        ("half a body", put("Content-Length: 9\r\n", "abc"), vec![], true),
+        ("part of a head", "PUT /a HTTP/1.1\r\nHo".into(), vec![], true),
+        ("part of a body", put("Content-Length: 9\r\n", "abc"), vec![], true),
     ];
-    for (name, text, bodies, midway) in cases {
+    for (name, text, bodies, is_partial) in cases {
         let whole = requests(&[text.as_bytes()]);
-        let found: Vec<&[u8]> = whole.0.iter().map(|r| &r.body[..]).collect();
-        let expected: Vec<&[u8]> = bodies.iter().map(|b| b.as_bytes()).collect();
-        assert_eq!((found, whole.1, whole.2), (expected, None, midway), "{name}");
+        let found: Vec<&[u8]> = whole.0.iter().map(|request| &request.body[..]).collect();
+        let expected: Vec<&[u8]> = bodies.iter().map(|body| body.as_bytes()).collect();
+        assert_eq!((found, whole.1, whole.2), (expected, None, is_partial), "{name}");
         for at in 0..text.len() {
-            let (a, b) = text.as_bytes().split_at(at);
-            assert_eq!(requests(&[a, b]), whole, "{name}, split at {at}");
+            let (first, second) = text.as_bytes().split_at(at);
+            assert_eq!(requests(&[first, second]), whole, "{name}, split at {at}");
         }
         let bytes: Vec<&[u8]> = text.as_bytes().chunks(1).collect();
         assert_eq!(requests(&bytes), whole, "{name}, byte by byte");
     }
 }
 
+/// A client sends a message that two parsers could read differently, which is how a request is smuggled past the first of them. Each
+/// such message, and each one beyond the bounds, must be refused.
 #[test]
-fn what_two_readers_could_take_differently_is_refused() {
+fn ambiguous_or_oversized_requests_are_refused() {
     let long = format!("GET /{} HTTP/1.1\r\nHost: h\r\n\r\n", "x".repeat(600));
     let endless = format!("GET /a HTTP/1.1\r\nHost: h\r\nA: {}", "x".repeat(600));
     let fields = format!("GET /a HTTP/1.1\r\nHost: h\r\n{}\r\n", "A:\r\n".repeat(100));
     let chunked = "Transfer-Encoding: chunked\r\n";
     let chunk = format!("20\r\n{}\r\n", "x".repeat(32));
     let cases: Vec<(&str, String, MessageError)> = vec![
-        ("noise", "\x16\x03\x01 hello\r\n\r\n".into(), MessageError::Head),
+        ("garbage", "\x16\x03\x01 hello\r\n\r\n".into(), MessageError::Head),
         ("another version", "GET /a HTTP/3.7\r\nHost: h\r\n\r\n".into(), MessageError::Head),
         ("no host", "GET /a HTTP/1.1\r\n\r\n".into(), MessageError::Host),
         ("two hosts", put("Host: i\r\n", ""), MessageError::Host),
@@ -140,20 +146,21 @@
     }
 }
 
+/// A node's response ends at its length, or is not valid. A wrong end would give a client too little, or bytes of the next response.
 #[test]
-fn responses_end_where_they_say() {
-    let ok = |more: &str, body: &str| format!("HTTP/1.1 200 OK\r\n{more}\r\n{body}");
+fn response_ends_at_its_length() {
+    let ok = |header_lines: &str, body: &str| format!("HTTP/1.1 200 OK\r\n{header_lines}\r\n{body}");
     let length = "Content-Length: 3\r\n";
-    // What comes, the body that is taken, whether something follows it, whether the connection ends.
+    // The bytes, the body or error, whether bytes follow, whether the connection ends.
     type Case = (&'static str, String, Result<&'static str, MessageError>, bool, bool);
     let cases: Vec<Case> = vec![
         ("good", ok(length, "abc"), Ok("abc"), false, false),
         ("good, and closes", ok("Connection: close\r\nContent-Length: 3\r\n", "abc"), Ok("abc"), false, true),
         ("in chunks", ok("Transfer-Encoding: chunked\r\n", "3\r\nabc\r\n0\r\n\r\n"), Ok("abc"), false, false),
-        ("noise behind", ok(length, "abc#!?"), Ok("abc"), true, false),
-        ("a second copy behind", ok(length, "abc") + &ok(length, "abc"), Ok("abc"), true, false),
+        ("garbage after it", ok(length, "abc#!?"), Ok("abc"), true, false),
+        ("a second copy after it", ok(length, "abc") + &ok(length, "abc"), Ok("abc"), true, false),
         (
-            "interim ones ahead",
+            "after interim responses",
             "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n".to_owned()
                 + &ok(length, "abc"),
             Ok("abc"),
@@ -161,7 +168,7 @@
             false,
         ),
         ("no content", "HTTP/1.1 204 No Content\r\n\r\n".into(), Ok(""), false, false),
-        ("noise", "\u{1}\u{2}\u{3}\r\n\r\n".into(), Err(MessageError::Head), false, false),
+        ("garbage", "\u{1}\u{2}\u{3}\r\n\r\n".into(), Err(MessageError::Head), false, false),
         ("an odd status", "HTTP/1.1 2x0 OK\r\n\r\n".into(), Err(MessageError::Head), false, false),
         (
             "an endless head",
@@ -171,7 +178,7 @@
             false,
         ),
         (
-            "interim ones without end",
+            "interim responses without end",
             "HTTP/1.1 100 C\r\n\r\n".repeat(60),
             Err(MessageError::Head),
             false,
@@ -194,32 +201,35 @@
             false,
         ),
     ];
-    for (name, text, expected, more, closes) in cases {
+    for (name, text, expected, has_trailing, closes) in cases {
         let whole = response(&[text.as_bytes()]);
         match expected {
             Ok(body) => {
-                let a = whole.0.as_ref().expect(name);
-                assert_eq!((&a.body[..], a.closes, whole.2), (body.as_bytes(), closes, more), "{name}");
+                let response = whole.0.as_ref().expect(name);
+                let found = (&response.body[..], response.closes, whole.2);
+                assert_eq!(found, (body.as_bytes(), closes, has_trailing), "{name}");
             }
-            Err(bad) => assert_eq!(whole.1, Some(bad), "{name}"),
+            Err(error) => assert_eq!(whole.1, Some(error), "{name}"),
         }
         for at in 0..text.len() {
-            let (a, b) = text.as_bytes().split_at(at);
-            assert_eq!(response(&[a, b]), whole, "{name}, split at {at}");
+            let (first, second) = text.as_bytes().split_at(at);
+            assert_eq!(response(&[first, second]), whole, "{name}, split at {at}");
         }
     }
-    // Cut off anywhere, it is no response.
+    // A response that is cut off anywhere is not complete.
     let text = ok(length, "abc");
     for at in 0..text.len() {
         assert_eq!(response(&[&text.as_bytes()[..at]]).0, None, "cut at {at}");
     }
 }
 
+/// A response without a length ends with its connection. Before that it must not be taken for complete, and one with a length must not
+/// be completed by the end.
 #[test]
-fn a_response_without_a_length_is_whole_once_its_connection_ends_in_order_and_never_before() {
+fn response_without_length_is_complete_once_its_connection_ends() {
     let bounds = Limits { max_head_len: 500, max_body_len: 20 };
     let head = "HTTP/1.1 200 OK\r\nX-A: b\r\n\r\n";
-    // What came until the connection ended; what is there then.
+    // The bytes before the end of the connection, and the body.
     for (text, expected) in [
         (head.to_owned() + "abc", Ok(Some("abc"))),
         (head.to_owned(), Ok(Some(""))),
@@ -231,52 +241,55 @@
     ] {
         for at in 0..=text.len() {
             let mut reader = ResponseReader::new(bounds);
-            let mut come = Ok(None);
+            let mut response = Ok(None);
             for part in [&text[..at], &text[at..]] {
                 reader.push(part.as_bytes());
-                come = reader.next_response();
-                assert!(!matches!(come, Ok(Some(_))), "{text:?}: whole before its end");
-                if come.is_err() {
+                response = reader.next_response();
+                assert!(!matches!(response, Ok(Some(_))), "{text:?}: complete before its end");
+                if response.is_err() {
                     break;
                 }
             }
-            let end = come.and_then(|_| reader.handle_close()).map(|a| a.map(|a| (a.body, a.closes)));
-            let expected = expected.map(|e| e.map(|e| (e.as_bytes().to_vec().into(), true)));
+            let closed = response.and_then(|_| reader.handle_close());
+            let end = closed.map(|response| response.map(|response| (response.body, response.closes)));
+            let expected = expected.map(|body| body.map(|body| (body.as_bytes().to_vec().into(), true)));
             assert_eq!(end, expected, "{text:?} split at {at}");
-            assert!(end.is_err() || reader.handle_close() == Ok(None), "{text:?}: it is given once");
+            assert!(end.is_err() || reader.handle_close() == Ok(None), "{text:?}: it is returned once");
         }
     }
 }
 
 proptest! {
+    /// A peer sends any bytes. A reader must neither panic nor keep more than its bounds allow.
     #[test]
-    fn no_bytes_make_a_reader_panic_or_hold_without_bound(
+    fn no_bytes_make_a_reader_panic_or_exceed_its_bounds(
         pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 0..20),
         head in prop::sample::select(vec!["", "GET /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"]),
     ) {
         let mut all: Vec<&[u8]> = vec![head.as_bytes()];
-        all.extend(pieces.iter().map(|p| &p[..]));
-        let (got, _, _) = requests(&all);
-        prop_assert!(got.iter().all(|r| r.body.len() <= SMALL.max_body_len));
-        let (got, _, _) = response(&all);
-        prop_assert!(got.is_none_or(|a| a.body.len() <= SMALL.max_body_len));
+        all.extend(pieces.iter().map(|piece| &piece[..]));
+        let (received, _, _) = requests(&all);
+        prop_assert!(received.iter().all(|request| request.body.len() <= SMALL_LIMITS.max_body_len));
+        let (received, _, _) = response(&all);
+        prop_assert!(received.is_none_or(|response| response.body.len() <= SMALL_LIMITS.max_body_len));
     }
 
+    /// A request with any body arrives in any pieces. Its body must be read unchanged.
     #[test]
-    fn a_body_comes_back_as_it_was_sent(body in prop::collection::vec(any::<u8>(), 0..64), cuts in prop::collection::vec(1usize..9, 1..40)) {
+    fn body_is_read_as_it_was_sent(body in prop::collection::vec(any::<u8>(), 0..64), cuts in prop::collection::vec(1usize..9, 1..40)) {
         let mut text = format!("PUT /a HTTP/1.1\r\nHost: h\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes();
         text.extend_from_slice(&body);
         let mut pieces: Vec<&[u8]> = Vec::new();
         let mut rest = &text[..];
-        for n in cuts {
-            let (a, b) = rest.split_at(n.min(rest.len()));
-            pieces.push(a);
-            rest = b;
+        for len in cuts {
+            let (piece, remaining) = rest.split_at(len.min(rest.len()));
+            pieces.push(piece);
+            rest = remaining;
         }
         pieces.push(rest);
-        let (got, bad, midway) = requests(&pieces);
-        prop_assert_eq!((got.len(), bad, midway), (1, None, false));
-        prop_assert_eq!(&got[0].body[..], &body[..]);
+        let (received, error, is_partial) = requests(&pieces);
+        prop_assert_eq!((received.len(), error, is_partial), (1, None, false));
+        prop_assert_eq!(&received[0].body[..], &body[..]);
     }
 }
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -39,19 +39,20 @@
 
 impl List {
     /// Parses an answer of discovery. One that is not valid as a whole changes nothing.
-    pub fn parse(bytes: &[u8], s: &Settings) -> Result<Self, FieldError> {
-        let v: Value =
-            serde_json::from_slice(bytes).map_err(|e| FieldError::with_found("", e.to_string(), "JSON"))?;
-        List::from_value(&v, s)
+    pub fn parse(bytes: &[u8], settings: &Settings) -> Result<Self, FieldError> {
+        let not_json = |error: serde_json::Error| FieldError::with_found("", error.to_string(), "JSON");
+        List::from_value(&serde_json::from_slice(bytes).map_err(not_json)?, settings)
     }
 
     /// Reads a list out of a JSON value.
-    pub fn from_value(v: &Value, s: &Settings) -> Result<Self, FieldError> {
-        let version = integer(v.get("revision"), "revision")?;
-        let complete = v.get("complete").and_then(Value::as_bool);
+    pub fn from_value(value: &Value, settings: &Settings) -> Result<Self, FieldError> {
+        let version = integer(value.get("revision"), "revision")?;
+        let complete = value.get("complete").and_then(Value::as_bool);
         let complete = complete.ok_or_else(|| FieldError::new("complete", "true or false"))?;
-        let members = array(v.get("members"), "members")?.iter().enumerate();
-        let members = members.map(|(i, m)| member(m, s).map_err(|e| e.within(&format!("members[{i}]"))));
+        let members = array(value.get("members"), "members")?.iter().enumerate();
+        let members = members.map(|(index, value)| {
+            member(value, settings).map_err(|error| error.within(&format!("members[{index}]")))
+        });
         Ok(List {
             version: u64::try_from(version)
                 .map_err(|_| FieldError::with_found("revision", version.to_string(), "0 or more"))?,
@@ -69,32 +70,33 @@
     }
 }
 
-fn member(v: &Value, s: &Settings) -> Result<Member, FieldError> {
-    let id = text(v.get("id"), "id")?;
+fn member(value: &Value, settings: &Settings) -> Result<Member, FieldError> {
+    let id = text(value.get("id"), "id")?;
     if id.is_empty() || id.len() > MAX_ID_BYTES {
         let expected = format!("1 to {MAX_ID_BYTES} bytes");
-        return Err(FieldError::with_found("id", shown(v.get("id")), expected));
+        return Err(FieldError::with_found("id", shown(value.get("id")), expected));
     }
-    let address = text(v.get("host_port"), "host_port")?;
-    let wrong_address =
-        || FieldError::with_found("host_port", shown(v.get("host_port")), "an address and a port");
-    let zone = text(v.get("locality"), "locality")?;
+    let address = text(value.get("host_port"), "host_port")?;
+    let not_an_address =
+        || FieldError::with_found("host_port", shown(value.get("host_port")), "an address and a port");
+    let zone = text(value.get("locality"), "locality")?;
     Ok(Member {
         id: id.to_owned(),
-        address: address.parse().map_err(|_| wrong_address())?,
-        state: match text(v.get("phase"), "phase")? {
+        address: address.parse().map_err(|_| not_an_address())?,
+        state: match text(value.get("phase"), "phase")? {
             "Ready" => NodeState::Ready,
             "Terminating" => NodeState::Draining,
             "Gone" => NodeState::Gone,
             other => return Err(FieldError::with_found("phase", other, "Ready, Terminating or Gone")),
         },
-        // A zone that the settings do not name is like none of theirs.
-        zone: ZoneId(s.zone(zone).unwrap_or(u32::MAX)),
-        shard: ShardId(index(v.get("cell"), "cell")?),
-        up_since_ms: match v.get("up_since_ms") {
+        // A zone that the settings do not name differs from all of theirs.
+        zone: ZoneId(settings.zone(zone).unwrap_or(u32::MAX)),
+        shard: ShardId(index(value.get("cell"), "cell")?),
+        up_since_ms: match value.get("up_since_ms") {
             None | Some(Value::Null) => None,
-            some => {
-                Some(integer(some, "up_since_ms")?).and_then(|t| u64::try_from(t).ok()).filter(|t| *t > 0)
+            present => {
+                let ms = u64::try_from(integer(present, "up_since_ms")?).ok();
+                ms.filter(|ms| *ms > 0)
             }
         },
     })
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -18,7 +18,7 @@
 pub struct AttemptReport {
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// Requests that wait at the node, where it reported that.
+    /// Requests that wait at the node, if it reported that.
     pub waiting: Option<u32>,
     /// Units served for the volume through other hosts.
     pub elsewhere: Option<f64>,
@@ -34,14 +34,14 @@
 
 impl Reports {
     /// By the settings.
-    pub fn of(s: &Settings) -> Self {
-        Reports { waiting: s.waiting_at().is_some() }
+    pub fn of(settings: &Settings) -> Self {
+        Reports { waiting: settings.waiting_at().is_some() }
     }
 
     /// Reads an answer.
-    pub fn read(&self, a: Response) -> AttemptReport {
-        let never_ran = matches!(a.status, 503 | 504) && a.headers.first("x-rejected") == Some("1");
-        let outcome = match a.status {
+    pub fn read(&self, answer: Response) -> AttemptReport {
+        let never_ran = matches!(answer.status, 503 | 504) && answer.headers.first("x-rejected") == Some("1");
+        let outcome = match answer.status {
             200 => Outcome::Done,
             _ if never_ran => Outcome::Full,
             // The node could not use the request: no sign of its health, or malformed requests could make it an outlier. As
@@ -49,13 +49,13 @@
             400..=499 => Outcome::Cancelled,
             _ => Outcome::Error,
         };
-        let report = a.headers.first("x-load-report").filter(|_| self.waiting);
-        let elsewhere = a.headers.first("x-delta").and_then(|v| v.trim().parse::<f64>().ok());
+        let report = answer.headers.first("x-load-report").filter(|_| self.waiting);
+        let elsewhere = answer.headers.first("x-delta").and_then(|text| text.trim().parse::<f64>().ok());
         AttemptReport {
             outcome,
             waiting: report.and_then(waiting),
-            elsewhere: elsewhere.filter(|e| e.is_finite() && *e >= 0.0),
-            body: if outcome == Outcome::Done { a.body } else { Bytes::new() },
+            elsewhere: elsewhere.filter(|units| units.is_finite() && *units >= 0.0),
+            body: if outcome == Outcome::Done { answer.body } else { Bytes::new() },
         }
     }
 }
@@ -65,7 +65,8 @@
     let mut found = None;
     for pair in report.split(',') {
         let (name, value) = pair.split_once('=')?;
-        let value: f64 = value.trim().parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0)?;
+        let value: f64 =
+            value.trim().parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0)?;
         if matches!(name.trim(), "queue" | "q") {
             found = Some(value.min(f64::from(u32::MAX)) as u32);
         }
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -75,7 +75,7 @@
     pub zones: Vec<String>,
     /// For how long a draining node still accepts attempts.
     pub drain_grace: TimeDelta,
-    /// The time within which a connection to a node has to come up.
+    /// The time within which a connection to a node must be established.
     pub connect_timeout: TimeDelta,
     /// The time after which a node closes an idle connection; zero: unknown.
     pub conn_idle: TimeDelta,
@@ -96,14 +96,17 @@
         let (domain, rules, limits) = (part("domain"), part("guarantees"), part("limits"));
         let list = |name: &str| env.get(name).and_then(Value::as_array).into_iter().flatten().enumerate();
         let writes = domain.get("class_writes").and_then(Value::as_array).cloned().unwrap_or_default();
-        let writes = |i: usize| writes.get(i).and_then(Value::as_bool);
+        let writes = |index: usize| writes.get(index).and_then(Value::as_bool);
         let traffic_classes = list("request_classes")
-            .map(|(i, v)| traffic_class(v, writes(i)).map_err(|e| e.within(&format!("request_classes[{i}]"))))
+            .map(|(index, class)| {
+                let path = format!("request_classes[{index}]");
+                traffic_class(class, writes(index)).map_err(|error| error.within(&path))
+            })
             .collect::<Result<_, _>>()?;
         let plans = list("grades")
-            .map(|(i, v)| plan(v).map_err(|e| e.within(&format!("grades[{i}]"))))
+            .map(|(index, value)| plan(value).map_err(|error| error.within(&format!("grades[{index}]"))))
             .collect::<Result<_, _>>()?;
-        let asks_clients = limits.get("retry_after").and_then(Value::as_bool).unwrap_or(false);
+        let sends_retry_after = limits.get("retry_after").and_then(Value::as_bool).unwrap_or(false);
         let retry_budget = match rules.contains_key("look_back") {
             true => {
                 let (free, share) =
@@ -122,7 +125,7 @@
             traffic_classes,
             plans,
             max_attempts: number_or(&limits, "max_attempts", f64::from(u32::MAX))? as u32,
-            longest_wait: if asks_clients {
+            longest_wait: if sends_retry_after {
                 time_delta(&limits, "max_retry_after")?
             } else {
                 TimeDelta::ZERO
@@ -142,28 +145,28 @@
 
     /// A scheduler that is set up by these settings.
     pub fn scheduler(&self, now: Instant, seed: u64) -> Scheduler {
-        let mut s = Scheduler::new(now, seed, self.hosts, self.granularity, self.mean_units);
-        for st in &self.traffic_classes {
-            s.add_traffic_class(st.latency_objective, st.effect, st.in_order);
+        let mut scheduler = Scheduler::new(now, seed, self.hosts, self.granularity, self.mean_units);
+        for class in &self.traffic_classes {
+            scheduler.add_traffic_class(class.latency_objective, class.effect, class.in_order);
         }
-        for p in &self.plans {
-            s.add_plan(tackmast::interface::Plan {
-                limit: p.limit,
-                burst: p.burst,
-                slack: p.slack,
-                reserve: p.reserve,
-                weight: p.weight,
+        for plan in &self.plans {
+            scheduler.add_plan(tackmast::interface::Plan {
+                limit: plan.limit,
+                burst: plan.burst,
+                slack: plan.slack,
+                reserve: plan.reserve,
+                weight: plan.weight,
             });
         }
-        s.set_attempt_limits(self.max_attempts, self.longest_wait, self.settle);
+        scheduler.set_attempt_limits(self.max_attempts, self.longest_wait, self.settle);
         if let Some(budget) = self.retry_budget {
-            s.set_retry_budget(budget.free, budget.share, budget.window);
+            scheduler.set_retry_budget(budget.free, budget.share, budget.window);
         }
-        s.set_slow_start(self.slow_start);
+        scheduler.set_slow_start(self.slow_start);
         if self.polls_list {
-            s.subscribe_to_node_list();
+            scheduler.subscribe_to_node_list();
         }
-        s
+        scheduler
     }
 
     /// Whether the platform pushes endpoint lists to an agent on the host's machine.
@@ -173,12 +176,12 @@
 
     /// The position of the number of waiting requests in a load report.
     pub fn waiting_at(&self) -> Option<usize> {
-        self.report.iter().position(|f| f == "q")
+        self.report.iter().position(|field| field == "q")
     }
 
     /// The number of a zone.
     pub fn zone(&self, name: &str) -> Option<u32> {
-        self.zones.iter().position(|z| z == name).map(|i| i as u32)
+        self.zones.iter().position(|zone| zone == name).map(|index| index as u32)
     }
 }
 
@@ -196,13 +199,13 @@
 }
 
 /// The texts of an array; anything else is an empty text.
-fn texts(v: Option<&Value>) -> Vec<String> {
-    let all = v.and_then(Value::as_array).into_iter().flatten();
-    all.map(|v| v.as_str().unwrap_or_default().to_owned()).collect()
+fn texts(value: Option<&Value>) -> Vec<String> {
+    let all = value.and_then(Value::as_array).into_iter().flatten();
+    all.map(|text| text.as_str().unwrap_or_default().to_owned()).collect()
 }
 
-fn traffic_class(v: &Value, writes: Option<bool>) -> Result<TrafficClass, FieldError> {
-    let class = object(Some(v), "")?;
+fn traffic_class(value: &Value, writes: Option<bool>) -> Result<TrafficClass, FieldError> {
+    let class = object(Some(value), "")?;
     let effect = match text(class.get("effect"), "effect")? {
         "repeatable" => Effect::Idempotent,
         "once" => Effect::NonIdempotent,
@@ -227,8 +230,8 @@
     })
 }
 
-fn plan(v: &Value) -> Result<Plan, FieldError> {
-    let plan = object(Some(v), "")?;
+fn plan(value: &Value) -> Result<Plan, FieldError> {
+    let plan = object(Some(value), "")?;
     Ok(Plan {
         name: name(plan),
         limit: number_or(plan, "ceiling_rate", 0.0)?,
@@ -244,10 +247,10 @@
 }
 
 /// A whole number that is given either as a number or as text in hex.
-pub(crate) fn seed(v: Option<&Value>) -> Result<u64, FieldError> {
-    match v.and_then(Value::as_str) {
+pub(crate) fn seed(value: Option<&Value>) -> Result<u64, FieldError> {
+    match value.and_then(Value::as_str) {
         Some(hex) => u64::from_str_radix(hex, 16)
             .map_err(|_| FieldError::with_found("seed", hex, "up to 16 hex digits")),
-        None => index(v, "seed").map(u64::from),
+        None => index(value, "seed").map(u64::from),
     }
 }
--- a/crates/platform/src/values.rs
+++ b/crates/platform/src/values.rs
@@ -1,4 +1,4 @@
-//! An error says where the value stands, what was found and what was expected.
+//! Reads named values from JSON. An error names the path of the value, the value, and what was expected.
 
 use serde_json::{Map, Value};
 use std::fmt;
@@ -7,10 +7,10 @@
 /// Characters of a value that an error shows.
 const MAX_SHOWN_CHARS: usize = 60;
 
-/// A value that is not what its place asks for.
+/// A value that is not what its field requires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldError {
-    /// Where it stands, such as `settings.request_classes[0].target`; empty: the whole document.
+    /// Its path, such as `settings.request_classes[0].target`; empty: the whole document.
     pub path: String,
     /// The value, or a part of it, where the message shows it.
     pub found: Option<String>,
@@ -40,48 +40,48 @@
 }
 
 impl fmt::Display for FieldError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         if !self.path.is_empty() {
-            write!(f, "{}: ", self.path)?;
+            write!(formatter, "{}: ", self.path)?;
         }
         if let Some(found) = &self.found {
-            write!(f, "{found}; ")?;
+            write!(formatter, "{found}; ")?;
         }
-        write!(f, "expected {}", self.expected)
+        write!(formatter, "expected {}", self.expected)
     }
 }
 
 impl std::error::Error for FieldError {}
 
 /// A number.
-pub fn number(v: Option<&Value>, name: &str) -> Result<f64, FieldError> {
-    v.and_then(Value::as_f64).ok_or_else(|| FieldError::new(name, "a number"))
+pub fn number(value: Option<&Value>, name: &str) -> Result<f64, FieldError> {
+    value.and_then(Value::as_f64).ok_or_else(|| FieldError::new(name, "a number"))
 }
 
 /// A whole number.
-pub fn integer(v: Option<&Value>, name: &str) -> Result<i64, FieldError> {
-    v.and_then(Value::as_i64).ok_or_else(|| FieldError::new(name, "a whole number"))
+pub fn integer(value: Option<&Value>, name: &str) -> Result<i64, FieldError> {
+    value.and_then(Value::as_i64).ok_or_else(|| FieldError::new(name, "a whole number"))
 }
 
 /// A whole number from 0 that fits 32 bits.
-pub fn index(v: Option<&Value>, name: &str) -> Result<u32, FieldError> {
-    let n = v.and_then(Value::as_u64).and_then(|n| u32::try_from(n).ok());
-    n.ok_or_else(|| FieldError::new(name, "a whole number from 0"))
+pub fn index(value: Option<&Value>, name: &str) -> Result<u32, FieldError> {
+    let number = value.and_then(Value::as_u64).and_then(|number| u32::try_from(number).ok());
+    number.ok_or_else(|| FieldError::new(name, "a whole number from 0"))
 }
 
 /// A text.
-pub fn text<'a>(v: Option<&'a Value>, name: &str) -> Result<&'a str, FieldError> {
-    v.and_then(Value::as_str).ok_or_else(|| FieldError::new(name, "text"))
+pub fn text<'a>(value: Option<&'a Value>, name: &str) -> Result<&'a str, FieldError> {
+    value.and_then(Value::as_str).ok_or_else(|| FieldError::new(name, "text"))
 }
 
 /// An array.
-pub fn array<'a>(v: Option<&'a Value>, name: &str) -> Result<&'a Vec<Value>, FieldError> {
-    v.and_then(Value::as_array).ok_or_else(|| FieldError::new(name, "an array"))
+pub fn array<'a>(value: Option<&'a Value>, name: &str) -> Result<&'a Vec<Value>, FieldError> {
+    value.and_then(Value::as_array).ok_or_else(|| FieldError::new(name, "an array"))
 }
 
 /// An object.
-pub fn object<'a>(v: Option<&'a Value>, name: &str) -> Result<&'a Map<String, Value>, FieldError> {
-    v.and_then(Value::as_object).ok_or_else(|| FieldError::new(name, "an object"))
+pub fn object<'a>(value: Option<&'a Value>, name: &str) -> Result<&'a Map<String, Value>, FieldError> {
+    value.and_then(Value::as_object).ok_or_else(|| FieldError::new(name, "an object"))
 }
 
 /// A number that may be absent.
@@ -98,8 +98,8 @@
 }
 
 /// The value as an error shows it: enough to find it, however long it is.
-pub fn shown(v: Option<&Value>) -> String {
-    let text = v.map_or("nothing".to_owned(), Value::to_string);
+pub fn shown(value: Option<&Value>) -> String {
+    let text = value.map_or("nothing".to_owned(), Value::to_string);
     match text.char_indices().nth(MAX_SHOWN_CHARS) {
         Some((at, _)) => format!("{}...", &text[..at]),
         None => text,
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -1,10 +1,10 @@
-//! The operators' protocol, as tables: configuration, node list, requests, answers.
+//! The operators' protocol, as tables: configuration, endpoint list, requests, answers.
 
 use proptest::prelude::*;
 use serde_json::{json, Value};
 use tackmast::interface::*;
 use tackmast_http::{Limits, Request, RequestReader, ResponseReader};
-use tackmast_platform::{answer_head, attempt_head, Call, Configuration, List, Reports, Settings};
+use tackmast_platform::{answer_head, attempt_head, Call, Configuration, List, Refusal, Reports, Settings};
 
 fn settings() -> Value {
     json!({
@@ -39,19 +39,27 @@
     Settings::read(settings().as_object().unwrap()).unwrap()
 }
 
+/// An operator's configuration file has a mistake. The one line of the error must name the path, the value and what was expected, or the
+/// operator has to search the file.
 #[test]
-fn a_configuration_is_read_and_a_bad_one_names_place_value_and_what_was_expected() {
-    let c = Configuration::parse(config().to_string().as_bytes()).unwrap();
-    assert_eq!((c.name.as_str(), c.seed, c.limits.memory_bytes), ("n3", 0x8c1f_30d2_7a5b_e964, 32 << 20));
-    let known = c.known.unwrap();
+fn configuration_error_names_path_value_and_expectation() {
+    let configuration = Configuration::parse(config().to_string().as_bytes()).unwrap();
+    assert_eq!(
+        (configuration.name.as_str(), configuration.seed, configuration.limits.memory_bytes),
+        ("n3", 0x8c1f_30d2_7a5b_e964, 32 << 20)
+    );
+    let known = configuration.known.unwrap();
     assert_eq!(
         (known.version, known.members[0].id.as_str(), known.members[0].shard),
         (41, "s-1", ShardId(3))
     );
-    assert_eq!(known.members[0].up_since_ms, None, "0 is long ago");
-    let s = c.settings;
-    assert_eq!((s.hosts, s.longest_wait, s.waiting_at()), (4, TimeDelta::from_secs(0.5), Some(0)));
-    // Place, what stands there, and words of the one line that tells of it.
+    assert_eq!(known.members[0].up_since_ms, None, "0 stands for unknown");
+    let settings = configuration.settings;
+    assert_eq!(
+        (settings.hosts, settings.longest_wait, settings.waiting_at()),
+        (4, TimeDelta::from_secs(0.5), Some(0))
+    );
+    // The path, a wrong value, and parts of the error.
     let cases: [(&str, Value, [&str; 2]); 14] = [
         ("/listen", json!("nowhere"), ["listen: \"nowhere\"", "expected an address"]),
         ("/discovery", json!(7), ["discovery: 7", "expected an address"]),
@@ -80,18 +88,20 @@
             ["known.members[0].host_port: \"x\"", "expected an address"],
         ),
     ];
-    for (place, value, words) in cases {
+    for (path, value, parts) in cases {
         let mut all = config();
-        *all.pointer_mut(place).unwrap() = value;
-        let e = Configuration::parse(all.to_string().as_bytes()).unwrap_err().to_string();
-        assert!(words.iter().all(|w| e.contains(w)) && !e.contains('\n'), "{place}: {e}");
+        *all.pointer_mut(path).unwrap() = value;
+        let error = Configuration::parse(all.to_string().as_bytes()).unwrap_err().to_string();
+        let is_named = parts.iter().all(|part| error.contains(part));
+        assert!(is_named && !error.contains('\n'), "{path}: {error}");
     }
-    // Datagrams are there only where the settings allow them, and then their addresses must be good.
+    // Peers are read only where the settings allow datagrams, and then their addresses must be valid.
     let with = |allowed: bool, peers: Value, listen: Value| {
         let mut all = config();
         all["settings"]["limits"]["peers"] = json!(allowed);
         (all["peers"], all["peer_listen"]) = (peers, listen);
-        Configuration::parse(all.to_string().as_bytes()).map(|c| c.peers.map(|p| p.1.len()))
+        Configuration::parse(all.to_string().as_bytes())
+            .map(|configuration| configuration.peers.map(|(_, peers)| peers.len()))
     };
     let (two, here) = (json!(["127.0.0.1:1", "127.0.0.1:2"]), json!("127.0.0.1:1"));
     assert_eq!(with(true, two.clone(), here.clone()), Ok(Some(2)));
@@ -102,47 +112,53 @@
         (json!("all"), here, "peers: \"all\"; expected addresses"),
         (two, json!("x"), "peer_listen: \"x\"; expected an address"),
     ] {
-        let e = with(true, peers, listen).unwrap_err().to_string();
-        assert!(e.contains(part), "{e}");
+        let error = with(true, peers, listen).unwrap_err().to_string();
+        assert!(error.contains(part), "{error}");
     }
-    for (text, word) in [("", "expected JSON"), ("{\"a\":", "expected JSON"), ("[]", "expected an object")] {
-        assert!(Configuration::parse(text.as_bytes()).unwrap_err().to_string().contains(word), "{text}");
+    for (text, part) in [("", "expected JSON"), ("{\"a\":", "expected JSON"), ("[]", "expected an object")] {
+        assert!(Configuration::parse(text.as_bytes()).unwrap_err().to_string().contains(part), "{text}");
     }
 }
 
+/// Discovery sends a list with one member that is not valid. Applied in part, it would leave out nodes, so nothing of it may be applied.
 #[test]
-fn lists_are_read_whole_or_not_at_all() {
-    let line = |phase: &str, up: i64| json!({"id": "s-1", "host_port": "127.1.0.1:1", "locality": "b", "cell": 0, "phase": phase, "up_since_ms": up});
+fn list_is_applied_whole_or_not_at_all() {
+    let member = |phase: &str, up: i64| json!({"id": "s-1", "host_port": "127.1.0.1:1", "locality": "b", "cell": 0, "phase": phase, "up_since_ms": up});
     let list = |members: Value| json!({"revision": 43, "complete": false, "members": members}).to_string();
-    let s = read();
+    let settings = read();
     for (phase, state) in
         [("Ready", NodeState::Ready), ("Terminating", NodeState::Draining), ("Gone", NodeState::Gone)]
     {
-        let l = List::parse(list(json!([line(phase, 1234)])).as_bytes(), &s).unwrap();
-        let m = &l.members[0];
-        assert_eq!((l.version, l.complete, m.state, m.zone), (43, false, state, ZoneId(1)), "{phase}");
-        assert_eq!(m.up_since_ms, Some(1234));
+        let parsed = List::parse(list(json!([member(phase, 1234)])).as_bytes(), &settings).unwrap();
+        let node = &parsed.members[0];
+        assert_eq!(
+            (parsed.version, parsed.complete, node.state, node.zone),
+            (43, false, state, ZoneId(1)),
+            "{phase}"
+        );
+        assert_eq!(node.up_since_ms, Some(1234));
     }
-    assert!(List::parse(list(json!([])).as_bytes(), &s).unwrap().members.is_empty());
+    assert!(List::parse(list(json!([])).as_bytes(), &settings).unwrap().members.is_empty());
     let bad = [
         "".to_owned(),
         "nonsense".to_owned(),
         "{}".to_owned(),
         list(json!({})),
         list(json!([{}])),
-        list(json!([line("Ready", 0), line("Odd", 0)])),
-        list(json!([line("Ready", 0)])).replace("43", "-1"),
-        list(json!([line("Ready", 0)])).replace("\"cell\":0", "\"cell\":-1"),
-        list(json!([line("Ready", 0)])).replace("s-1", &"x".repeat(200)),
+        list(json!([member("Ready", 0), member("Odd", 0)])),
+        list(json!([member("Ready", 0)])).replace("43", "-1"),
+        list(json!([member("Ready", 0)])).replace("\"cell\":0", "\"cell\":-1"),
+        list(json!([member("Ready", 0)])).replace("s-1", &"x".repeat(200)),
     ];
     for text in bad {
-        assert!(List::parse(text.as_bytes(), &s).is_err(), "{text}");
+        assert!(List::parse(text.as_bytes(), &settings).is_err(), "{text}");
     }
     assert_eq!(List::target(None), "/registry/instances");
     assert_eq!(List::target(Some((41, 20))), "/registry/instances?after=41&wait_ms=20");
 }
 
-const GOOD: [(&str, &str); 6] = [
+/// The header fields of a valid request.
+const VALID_FIELDS: [(&str, &str); 6] = [
     ("X-Call-Id", "9b1f03aa5c7e2d41"),
     ("X-Call-Class", "read"),
     ("X-Storage-Class", "gold"),
@@ -153,38 +169,44 @@
 
 fn request(method: &str, target: &str, fields: &[(&str, &str)], body: &str) -> Request {
     let mut text = format!("{method} {target} HTTP/1.1\r\nHost: h\r\nContent-Length: {}\r\n", body.len());
-    fields.iter().for_each(|(n, v)| text += &format!("{n}: {v}\r\n"));
+    fields.iter().for_each(|(name, value)| text += &format!("{name}: {value}\r\n"));
     let mut reader = RequestReader::new(Limits::default());
     reader.push((text + "\r\n" + body).as_bytes());
     reader.next_request().unwrap().unwrap()
 }
 
-/// The good request with some fields changed; no value takes a field out.
+/// The valid fields with some changed; one without a value is removed.
 fn changed(changes: &[(&'static str, Option<&'static str>)]) -> Vec<(&'static str, &'static str)> {
-    let mut fields: Vec<(&str, &str)> = GOOD.to_vec();
+    let mut fields: Vec<(&str, &str)> = VALID_FIELDS.to_vec();
     for (name, value) in changes {
-        fields.retain(|(n, _)| n != name);
-        fields.extend(value.map(|v| (*name, v)));
+        fields.retain(|(field, _)| field != name);
+        fields.extend(value.map(|value| (*name, value)));
     }
     fields
 }
 
+/// A valid request target.
 const PATH: &str = "/api/00000003b4d60021/7f3A9c21e0b4d655?a=b";
 
+/// A valid request is written anew for its node. The node must get the same method, target, body and ids, and no field that this host
+/// does not know.
 #[test]
-fn a_good_request_passes_as_it_came() {
-    let c = Call::parse(request("PUT", PATH, &GOOD, "bytes"), &read()).unwrap();
-    assert_eq!((c.volume, c.key), (0x3b4d60021, 0x7f3a9c21e0b4d655));
+fn valid_request_reaches_its_node_unchanged() {
+    let call = Call::parse(request("PUT", PATH, &VALID_FIELDS, "bytes"), &read()).unwrap();
+    assert_eq!((call.volume, call.key), (0x3b4d60021, 0x7f3a9c21e0b4d655));
     assert_eq!(
-        (c.traffic_class, c.plan, c.time_left),
+        (call.traffic_class, call.plan, call.time_left),
         (TrafficClassId(0), PlanId(0), TimeDelta::from_secs(0.48))
     );
-    assert_eq!((c.units, c.shard, c.hosts, &c.body[..]), (2.0, Some(ShardId(5)), 3, &b"bytes"[..]));
-    let text = String::from_utf8(c.head.to_vec()).unwrap()
-        + &attempt_head("127.0.0.1:9".parse().unwrap(), c.time_left);
+    assert_eq!(
+        (call.units, call.shard, call.hosts, &call.body[..]),
+        (2.0, Some(ShardId(5)), 3, &b"bytes"[..])
+    );
+    let text = String::from_utf8(call.head.to_vec()).unwrap()
+        + &attempt_head("127.0.0.1:9".parse().unwrap(), call.time_left);
     let mut reader = RequestReader::new(Limits::default());
     reader.push(text.as_bytes());
-    reader.push(&c.body);
+    reader.push(&call.body);
     let attempt = reader.next_request().unwrap().unwrap();
     assert_eq!(
         (attempt.method.as_str(), attempt.target.as_str(), &attempt.body[..]),
@@ -193,29 +215,31 @@
     assert_eq!(attempt.headers.first("x-call-id"), Some("9b1f03aa5c7e2d41"));
     assert_eq!((attempt.headers.first("x-budget-ms"), attempt.headers.first("x-odd")), (Some("480"), None));
     let idempotent_by_key = changed(&[("X-Call-Class", Some("save")), ("Idempotency-Key", Some("k-1"))]);
-    let c = Call::parse(request("PUT", PATH, &idempotent_by_key, ""), &read()).unwrap();
-    assert!(String::from_utf8(c.head.to_vec()).unwrap().contains("Idempotency-Key: k-1\r\n"));
-    let new = changed(&[("X-Extent", Some("hosts=1, shard=-1, units=0.5, more=x"))]);
-    assert_eq!(Call::parse(request("GET", PATH, &new, ""), &read()).unwrap().shard, None);
+    let call = Call::parse(request("PUT", PATH, &idempotent_by_key, ""), &read()).unwrap();
+    assert!(String::from_utf8(call.head.to_vec()).unwrap().contains("Idempotency-Key: k-1\r\n"));
+    let any_shard = changed(&[("X-Extent", Some("hosts=1, shard=-1, units=0.5, more=x"))]);
+    assert_eq!(Call::parse(request("GET", PATH, &any_shard, ""), &read()).unwrap().shard, None);
 }
 
+/// A client sends a request that is not valid. It must get the status of its mistake and a body that says what was expected, and the
+/// request must not reach a node.
 #[test]
-fn a_bad_request_is_told_why() {
-    let field = |n, v| changed(&[(n, Some(v))]);
-    let without = |n| changed(&[(n, None)]);
-    let twice = |n, v| [&GOOD[..], &[(n, v)]].concat();
-    let good = GOOD.to_vec();
+fn bad_request_is_refused_with_its_status_and_the_expectation() {
+    let field = |name, value| changed(&[(name, Some(value))]);
+    let without = |name| changed(&[(name, None)]);
+    let twice = |name, value| [&VALID_FIELDS[..], &[(name, value)]].concat();
+    let valid = VALID_FIELDS.to_vec();
     type Case<'a> = (&'a str, &'a str, Vec<(&'a str, &'a str)>, &'a str, u16);
     let cases: Vec<Case> = vec![
-        ("POST", PATH, good.clone(), "", 405),
-        ("GET", PATH, good.clone(), "a body", 400),
-        ("GET", "/", good.clone(), "", 404),
-        ("GET", "/api/00000003b4d60021", good.clone(), "", 404),
-        ("GET", "/api/00000003b4d6002/7f3a9c21e0b4d655", good.clone(), "", 404),
-        ("GET", "/api/+0000003b4d60021/7f3a9c21e0b4d655", good.clone(), "", 404),
-        ("GET", "/../00000003b4d60021/7f3a9c21e0b4d655", good.clone(), "", 404),
-        ("GET", "/%2e%2e/00000003b4d60021/7f3a9c21e0b4d655", good.clone(), "", 404),
-        ("GET", "http://x/00000003b4d60021/7f3a9c21e0b4d655", good.clone(), "", 404),
+        ("POST", PATH, valid.clone(), "", 405),
+        ("GET", PATH, valid.clone(), "a body", 400),
+        ("GET", "/", valid.clone(), "", 404),
+        ("GET", "/api/00000003b4d60021", valid.clone(), "", 404),
+        ("GET", "/api/00000003b4d6002/7f3a9c21e0b4d655", valid.clone(), "", 404),
+        ("GET", "/api/+0000003b4d60021/7f3a9c21e0b4d655", valid.clone(), "", 404),
+        ("GET", "/../00000003b4d60021/7f3a9c21e0b4d655", valid.clone(), "", 404),
+        ("GET", "/%2e%2e/00000003b4d60021/7f3a9c21e0b4d655", valid.clone(), "", 404),
+        ("GET", "http://x/00000003b4d60021/7f3a9c21e0b4d655", valid.clone(), "", 404),
         ("GET", PATH, without("X-Call-Id"), "", 400),
         ("GET", PATH, twice("X-Call-Id", "9b1f03aa5c7e2d42"), "", 400),
         ("GET", PATH, field("X-Call-Id", "a b"), "", 400),
@@ -238,22 +262,24 @@
         ("GET", PATH, field("X-Extent", "units=2,shard=1,hosts=0"), "", 400),
         ("GET", PATH, field("X-Extent", "units=2,units=1,shard=1,hosts=1"), "", 400),
         ("GET", PATH, field("X-Extent", "units=2,shard=1"), "", 400),
-        ("PUT", PATH, field("X-Call-Class", "save"), "", 400), // idempotent by key, and no key
+        // Idempotent by key, without a key.
+        ("PUT", PATH, field("X-Call-Class", "save"), "", 400),
         ("GET", PATH, changed(&[("X-Call-Class", Some("save")), ("Idempotency-Key", Some("k"))]), "", 400),
         ("PUT", PATH, field("Idempotency-Key", "a b"), "", 400),
         ("PUT", PATH, twice("Idempotency-Key", ""), "", 400),
     ];
     for (method, target, fields, body, status) in cases {
-        let found =
-            Call::parse(request(method, target, &fields, body), &read()).map_err(|r| (r.status, r.why));
-        let (found, why) = found.expect_err(&format!("{method} {target} {fields:?}"));
-        assert_eq!(found, status, "{method} {target} {fields:?}: {why}");
+        let parsed = Call::parse(request(method, target, &fields, body), &read());
+        let Refusal { status: refused, why } = parsed.expect_err(&format!("{method} {target} {fields:?}"));
+        assert_eq!(refused, status, "{method} {target} {fields:?}: {why}");
         assert!(why.contains("expected"), "{why}");
     }
 }
 
+/// A node answers with each kind of status and report. An answer that was mistaken for "never ran" would be retried and could take effect
+/// twice; a report that is not valid must not count.
 #[test]
-fn answers_of_nodes_have_the_outcomes_of_the_protocol() {
+fn answer_of_a_node_has_the_outcome_of_the_protocol() {
     let reports = Reports::of(&read());
     type Case<'a> = (&'a str, &'a str, Outcome, Option<u32>, Option<f64>);
     let cases: Vec<Case> = vec![
@@ -278,41 +304,47 @@
     for (status, fields, outcome, waiting, elsewhere) in cases {
         let mut reader = ResponseReader::new(Limits::default());
         reader.push(format!("HTTP/1.1 {status}\r\nContent-Length: 2\r\n{fields}\r\nok").as_bytes());
-        let came = reports.read(reader.next_response().unwrap().unwrap());
+        let report = reports.read(reader.next_response().unwrap().unwrap());
         assert_eq!(
-            (came.outcome, came.waiting, came.elsewhere),
+            (report.outcome, report.waiting, report.elsewhere),
             (outcome, waiting, elsewhere),
             "{status} {fields}"
         );
-        assert_eq!(came.body.len(), if outcome == Outcome::Done { 2 } else { 0 });
+        assert_eq!(report.body.len(), if outcome == Outcome::Done { 2 } else { 0 });
     }
 }
 
+/// A client parses the answers of this host. Each must have its status, retry-after and body, and say whether the connection ends.
 #[test]
-fn answers_to_clients_can_be_read_again() {
+fn answer_to_a_client_is_valid_http() {
     for (status, wait, closes) in [(200, None, false), (503, Some(0.25), true), (502, None, true)] {
         let mut reader = ResponseReader::new(Limits::default());
         reader.push(answer_head(status, 2, wait.map(TimeDelta::from_secs), closes).as_bytes());
         reader.push(b"ok");
-        let a = reader.next_response().unwrap().unwrap();
-        let told = a.headers.first("retry-after").map(|v| v.parse::<f64>().unwrap());
-        assert_eq!((a.status, told, a.closes, &a.body[..]), (status, wait, closes, &b"ok"[..]));
+        let answer = reader.next_response().unwrap().unwrap();
+        let retry_after = answer.headers.first("retry-after").map(|text| text.parse::<f64>().unwrap());
+        assert_eq!(
+            (answer.status, retry_after, answer.closes, &answer.body[..]),
+            (status, wait, closes, &b"ok"[..])
+        );
     }
 }
 
 proptest! {
+    /// A client sends a header field that this host does not know. A node could act on it, so it must not be passed on.
     #[test]
-    fn no_words_of_a_client_reach_a_node_but_those_understood(name in "[A-Za-z-]{1,12}", value in "[ -~]{0,40}") {
-        let fields = [&GOOD[..], &[(name.as_str(), value.as_str())]].concat();
-        if let Ok(c) = Call::parse(request("GET", PATH, &fields, ""), &read()) {
-            let text = String::from_utf8(c.head.to_vec()).unwrap();
-            let names: Vec<&str> = text.lines().skip(1).filter_map(|l| l.split(':').next()).collect();
-            prop_assert!(names.iter().all(|n| ["X-Call-Id", "Idempotency-Key", "Content-Length"].contains(n)), "{text}");
+    fn unknown_header_fields_do_not_reach_a_node(name in "[A-Za-z-]{1,12}", value in "[ -~]{0,40}") {
+        let fields = [&VALID_FIELDS[..], &[(name.as_str(), value.as_str())]].concat();
+        if let Ok(call) = Call::parse(request("GET", PATH, &fields, ""), &read()) {
+            let text = String::from_utf8(call.head.to_vec()).unwrap();
+            let names: Vec<&str> = text.lines().skip(1).filter_map(|line| line.split(':').next()).collect();
+            prop_assert!(names.iter().all(|name| ["X-Call-Id", "Idempotency-Key", "Content-Length"].contains(name)), "{text}");
         }
     }
 
+    /// Discovery or an operator sends any text. The host must refuse it, not end.
     #[test]
-    fn no_list_makes_the_reader_panic(text in "[\\[\\]{}:,\"a-z0-9]{0,80}") {
+    fn no_text_makes_the_parser_panic(text in "[\\[\\]{}:,\"a-z0-9]{0,80}") {
         _ = List::parse(text.as_bytes(), &read());
         _ = Configuration::parse(text.as_bytes());
     }
