--- a/crates/platform-host/src/client_connection.rs
+++ b/crates/platform-host/src/client_connection.rs
@@ -17,15 +17,15 @@
 /// How long a client may take to read its answer before it counts as gone.
 const WRITE_TIMEOUT: TimeDelta = TimeDelta::from_millis(5000);
 /// How long the host reads on after the last answer: a close over unread bytes would reset the connection and lose the answer.
-pub const LINGER_TIMEOUT: TimeDelta = TimeDelta::from_millis(500);
+pub(crate) const LINGER_TIMEOUT: TimeDelta = TimeDelta::from_millis(500);
 /// Bytes that are read and discarded after the last answer; beyond, the connection is closed.
-pub const MAX_LINGER_BYTES: usize = 256 * 1024;
+pub(crate) const MAX_LINGER_BYTES: usize = 256 * 1024;
 /// Bytes that are read ahead while a request of the connection is in flight.
-pub const MAX_PIPELINED_BYTES: usize = 128 * 1024;
+pub(crate) const MAX_PIPELINED_BYTES: usize = 128 * 1024;
 
 /// A connection's state. It goes from `Reading` to `AwaitingResponse` and back, and from either down for good.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ConnectionState {
+pub(crate) enum ConnectionState {
     /// No request is open: one is awaited or partly received, or the answer to the one before is being written.
     Reading,
     /// The request of this number is in flight.
@@ -37,7 +37,7 @@
 }
 
 /// One connection of a client.
-pub struct ClientConnection {
+pub(crate) struct ClientConnection {
     /// Its socket.
     pub stream: TcpStream,
     /// Parses requests; holds the bytes that were read ahead.
@@ -62,7 +62,7 @@
 
 impl ClientConnection {
     /// A connection that was just accepted.
-    pub fn new(now: Instant, stream: TcpStream) -> Self {
+    pub(crate) fn new(now: Instant, stream: TcpStream) -> Self {
         ClientConnection {
             stream,
             reader: RequestReader::new(Limits::default()),
@@ -78,7 +78,7 @@
     }
 
     /// How much its client would lose if it were closed.
-    pub fn eviction_class(&self, now: Instant) -> EvictionClass {
+    pub(crate) fn eviction_class(&self, now: Instant) -> EvictionClass {
         let age = now - self.since;
         match self.state {
             ConnectionState::HalfClosed => EvictionClass::Over,
@@ -95,7 +95,7 @@
     }
 
     /// The time limit that the connection has exceeded, if any.
-    pub fn exceeded_timeout(&self, now: Instant) -> Option<ExceededTimeout> {
+    pub(crate) fn exceeded_timeout(&self, now: Instant) -> Option<ExceededTimeout> {
         let age = now - self.since;
         // While a request is in flight, its own deadline ends it.
         let is_writing =
@@ -112,19 +112,19 @@
     /// Whether a shutdown in this phase half-closes the connection. A new connection stays until the shutdown has settled, as its first
     /// request is on its way. One with bytes in its socket stays until they are read: they may be a request, which its client would
     /// lose.
-    pub fn is_half_closed_by(&self, phase: ShutdownPhase, now: Instant) -> bool {
+    pub(crate) fn is_half_closed_by(&self, phase: ShutdownPhase, now: Instant) -> bool {
         let is_settled = phase >= ShutdownPhase::Settled;
         let is_new = self.eviction_class(now) == EvictionClass::New;
         self.is_between_requests() && (is_settled || !is_new && sockets::has_no_input(&self.stream))
     }
 
     /// Whether a shutdown in this phase rejects the part of a request that the connection has received: there is no time left for it.
-    pub fn is_rejected_by(&self, phase: ShutdownPhase) -> bool {
+    pub(crate) fn is_rejected_by(&self, phase: ShutdownPhase) -> bool {
         phase >= ShutdownPhase::Settled && self.awaits_request() && !self.is_between_requests()
     }
 
     /// Takes in bytes of a request.
-    pub fn push_bytes(&mut self, now: Instant, bytes: &[u8]) {
+    pub(crate) fn push_bytes(&mut self, now: Instant, bytes: &[u8]) {
         let begins_request = self.state == ConnectionState::Reading && !self.reader.has_partial_request();
         // The time for a first request counts from when the client connected, or one that sends a byte now and then would stay.
         if begins_request && self.has_sent_request {
@@ -134,33 +134,33 @@
     }
 
     /// Counts bytes that were read and discarded after the last answer; whether they exceed the bound.
-    pub fn discard_bytes(&mut self, len: usize) -> bool {
+    pub(crate) fn discard_bytes(&mut self, len: usize) -> bool {
         self.lingered_bytes += len;
         self.lingered_bytes > MAX_LINGER_BYTES
     }
 
     /// Whether the client has sent more ahead of its turn than the host reads.
-    pub fn has_pipelined_too_much(&self) -> bool {
+    pub(crate) fn has_pipelined_too_much(&self) -> bool {
         self.reader.buffered_len() > MAX_PIPELINED_BYTES
     }
 
     /// No request is open, and no answer is being written.
-    pub fn awaits_request(&self) -> bool {
+    pub(crate) fn awaits_request(&self) -> bool {
         self.state == ConnectionState::Reading && self.outgoing.is_empty()
     }
 
     /// Its last answer was given.
-    pub fn is_over(&self) -> bool {
+    pub(crate) fn is_over(&self) -> bool {
         matches!(self.state, ConnectionState::Closing | ConnectionState::HalfClosed)
     }
 
     /// No request is open or partly received, and no answer is being written.
-    pub fn is_between_requests(&self) -> bool {
+    pub(crate) fn is_between_requests(&self) -> bool {
         self.awaits_request() && !self.reader.has_partial_request()
     }
 
     /// The socket events that its state waits for.
-    pub fn wanted_interest(&self) -> Interest {
+    pub(crate) fn wanted_interest(&self) -> Interest {
         match self.state {
             // A client that does not read its answers could fill the host's memory with them: its next request is read only once the
             // last answer is written.
@@ -175,7 +175,7 @@
 
     /// The host ends its sending and reads on. A close over unread bytes would reset the connection, and the client would lose its last
     /// answer.
-    pub fn half_close(&mut self, now: Instant) {
+    pub(crate) fn half_close(&mut self, now: Instant) {
         _ = self.stream.shutdown(Shutdown::Write);
         (self.state, self.since) = (ConnectionState::HalfClosed, now);
     }
--- a/crates/platform-host/src/client_connections.rs
+++ b/crates/platform-host/src/client_connections.rs
@@ -21,7 +21,7 @@
 const MAX_REJECTION_SLOTS: usize = 16;
 
 /// What became of a connection.
-pub enum ClientEvent {
+pub(crate) enum ClientEvent {
     /// A request was received.
     Request(Request),
     /// Its client has gone, with this request open.
@@ -46,7 +46,7 @@
 }
 
 /// All connections of clients, and the bounds on them.
-pub struct ClientConnections {
+pub(crate) struct ClientConnections {
     clients: BTreeMap<u32, ClientConnection>,
     last_id: u32,
     max_connections: usize,
@@ -66,7 +66,7 @@
 impl ClientConnections {
     /// At most `max_connections` connections, whose buffers together hold at most `max_buffered_bytes`. A rejected client gets
     /// this `retry_after`.
-    pub fn new(max_connections: usize, max_buffered_bytes: usize, retry_after: TimeDelta) -> Self {
+    pub(crate) fn new(max_connections: usize, max_buffered_bytes: usize, retry_after: TimeDelta) -> Self {
         let rejection_slots = (max_connections / CONNECTIONS_PER_REJECTION_SLOT).min(MAX_REJECTION_SLOTS);
         ClientConnections {
             clients: BTreeMap::new(),
@@ -82,12 +82,12 @@
     }
 
     /// Connections that are open.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.clients.len()
     }
 
     /// Takes in a connection that the listener accepted. If no other may be evicted for it, it is answered with 503.
-    pub fn accepted(&mut self, now: Instant, poller: &Poller, stream: TcpStream) {
+    pub(crate) fn accepted(&mut self, now: Instant, poller: &Poller, stream: TcpStream) {
         let has_capacity = self.clients.len() < self.max_connections || self.evict_one(now);
         if !has_capacity && self.clients.len() >= self.max_connections + self.rejection_slots {
             self.counters.rejected += 1;
@@ -112,7 +112,7 @@
 
     /// Closes one connection, if any may be evicted; whether it did. A connection with bytes in its socket stays: they may be a request
     /// that was sent before the close, which its client would lose.
-    pub fn evict_one(&mut self, now: Instant) -> bool {
+    pub(crate) fn evict_one(&mut self, now: Instant) -> bool {
         let candidates = self.clients.iter().map(|(id, client)| EvictionCandidate {
             id: *id,
             class: client.eviction_class(now),
@@ -146,17 +146,17 @@
     }
 
     /// Whether the client of a connection has gone, also where the poller has not reported it in this iteration.
-    pub fn has_disconnected(&self, id: u32) -> bool {
+    pub(crate) fn has_disconnected(&self, id: u32) -> bool {
         self.clients.get(&id).is_none_or(|client| sockets::has_ended(&client.stream))
     }
 
     /// The client of a connection has gone.
-    pub fn disconnected(&mut self, id: u32) -> ClientEvent {
+    pub(crate) fn disconnected(&mut self, id: u32) -> ClientEvent {
         ClientEvent::Gone(self.remove(id))
     }
 
     /// The socket of a connection is ready.
-    pub fn handle_ready(
+    pub(crate) fn handle_ready(
         &mut self,
         now: Instant,
         poller: &Poller,
@@ -218,14 +218,14 @@
     }
 
     /// Whether a connection without an open request has received a part of the next one, or more.
-    pub fn has_more(&self, id: u32) -> bool {
+    pub(crate) fn has_more(&self, id: u32) -> bool {
         let has_more =
             |client: &ClientConnection| client.awaits_request() && client.reader.has_partial_request();
         self.clients.get(&id).is_some_and(has_more)
     }
 
     /// The next request of a connection that has none open.
-    pub fn next_request(&mut self, now: Instant, poller: &Poller, id: u32) -> Option<ClientEvent> {
+    pub(crate) fn next_request(&mut self, now: Instant, poller: &Poller, id: u32) -> Option<ClientEvent> {
         let client = self.clients.get_mut(&id).filter(|client| client.awaits_request())?;
         let next = client.reader.next_request();
         if client.reader.take_expects_continue() {
@@ -254,7 +254,7 @@
     }
 
     /// A request was understood and accepted: its connection awaits the answer.
-    pub fn request_accepted(&mut self, now: Instant, id: u32, request: u32) {
+    pub(crate) fn request_accepted(&mut self, now: Instant, id: u32, request: u32) {
         let is_reading = |client: &&mut ClientConnection| client.state == ConnectionState::Reading;
         if let Some(client) = self.clients.get_mut(&id).filter(is_reading) {
             client.state = ConnectionState::AwaitingResponse(request);
@@ -264,7 +264,7 @@
     }
 
     /// Gives the last answer on a connection: why the host ends it.
-    pub fn close_with(
+    pub(crate) fn close_with(
         &mut self,
         now: Instant,
         poller: &Poller,
@@ -280,7 +280,7 @@
     }
 
     /// The answer to the request that is open on a connection, or was just read on it.
-    pub fn answer(
+    pub(crate) fn answer(
         &mut self,
         now: Instant,
         poller: &Poller,
@@ -324,7 +324,7 @@
     }
 
     /// Ends the connections that have exceeded a time limit. Gives those that were closed with a request open: connection and request.
-    pub fn handle_timeout(&mut self, now: Instant, poller: &Poller) -> Vec<(u32, u32)> {
+    pub(crate) fn handle_timeout(&mut self, now: Instant, poller: &Poller) -> Vec<(u32, u32)> {
         let exceeded = |(id, client): (&u32, &ClientConnection)| Some((*id, client.exceeded_timeout(now)?));
         let expired: Vec<(u32, ExceededTimeout)> = self.clients.iter().filter_map(exceeded).collect();
         let mut closed = Vec::new();
@@ -342,7 +342,7 @@
     }
 
     /// The host shuts down and has reached this phase, `Closing` or later: from now on each answer is the last on its connection.
-    pub fn begin_shutdown(&mut self, now: Instant, poller: &Poller, phase: ShutdownPhase) {
+    pub(crate) fn begin_shutdown(&mut self, now: Instant, poller: &Poller, phase: ShutdownPhase) {
         self.is_shutting_down = true;
         let ids: Vec<u32> = self.clients.keys().copied().collect();
         for id in ids {
--- a/crates/platform-host/src/close_reason.rs
+++ b/crates/platform-host/src/close_reason.rs
@@ -4,7 +4,7 @@
 
 /// Why a client's last answer on its connection is one of the host itself.
 #[derive(Debug)]
-pub enum CloseReason {
+pub(crate) enum CloseReason {
     /// All connections that the host may hold are busy.
     NoConnectionCapacity,
     /// The buffers of all client connections are full, and this one's request is not complete.
@@ -26,7 +26,7 @@
 
 impl CloseReason {
     /// The HTTP status of the last answer.
-    pub fn status(&self) -> u16 {
+    pub(crate) fn status(&self) -> u16 {
         match self {
             CloseReason::NoConnectionCapacity | CloseReason::NoBufferCapacity | CloseReason::ShuttingDown => {
                 503
@@ -38,7 +38,7 @@
     }
 
     /// The body of the last answer.
-    pub fn body(&self) -> String {
+    pub(crate) fn body(&self) -> String {
         match self {
             CloseReason::NoConnectionCapacity => "no room for the connection now".to_owned(),
             CloseReason::NoBufferCapacity => "no room for the request now".to_owned(),
@@ -52,7 +52,7 @@
 
 /// Which time limit a client's connection has exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ExceededTimeout {
+pub(crate) enum ExceededTimeout {
     /// The client did not end its side after the last answer.
     Linger,
     /// The client did not send a complete request.
--- a/crates/platform-host/src/eviction.rs
+++ b/crates/platform-host/src/eviction.rs
@@ -4,7 +4,7 @@
 
 /// How far a client's connection is, in the order in which connections are evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum EvictionClass {
+pub(crate) enum EvictionClass {
     /// Has its last answer; only its end is awaited.
     Over,
     /// Has not sent one valid request in a while: nothing, or a part of one.
@@ -22,14 +22,14 @@
 }
 
 /// How long a connection is between requests before it counts as idle.
-pub const IDLE_AFTER: TimeDelta = TimeDelta::from_millis(2000);
+pub(crate) const IDLE_AFTER: TimeDelta = TimeDelta::from_millis(2000);
 
 /// How long the first request of a new connection is expected before the connection counts as silent.
-pub const NEW_CONNECTION_GRACE: TimeDelta = TimeDelta::from_millis(300);
+pub(crate) const NEW_CONNECTION_GRACE: TimeDelta = TimeDelta::from_millis(300);
 
 /// A connection that may be evicted, as far as the order depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EvictionCandidate {
+pub(crate) struct EvictionCandidate {
     /// The connection.
     pub id: u32,
     /// How far it is.
@@ -40,7 +40,7 @@
 
 /// The connections that may be evicted, in order: by class, and within a class the longest there first, because its client is the least
 /// likely to use it next. A busy connection is never evicted: its client would lose an answer.
-pub fn eviction_order(connections: impl Iterator<Item = EvictionCandidate>) -> Vec<u32> {
+pub(crate) fn eviction_order(connections: impl Iterator<Item = EvictionCandidate>) -> Vec<u32> {
     let mut candidates: Vec<_> =
         connections.filter(|candidate| candidate.class < EvictionClass::Busy).collect();
     candidates.sort_by_key(|candidate| (candidate.class, candidate.since, candidate.id));
--- a/crates/platform-host/src/idle_connections.rs
+++ b/crates/platform-host/src/idle_connections.rs
@@ -12,7 +12,7 @@
 
 /// Idle connections to nodes, by node and by age.
 #[derive(Debug, Default)]
-pub struct IdleConnections {
+pub(crate) struct IdleConnections {
     /// Of each node, the one that became idle last at the end.
     by_node: BTreeMap<NodeId, Vec<IdleConnection>>,
     by_age: BTreeSet<(Instant, NodeId, u32)>,
@@ -20,14 +20,14 @@
 
 impl IdleConnections {
     /// A connection to a node has become idle.
-    pub fn put(&mut self, now: Instant, node: NodeId, id: u32) {
+    pub(crate) fn put(&mut self, now: Instant, node: NodeId, id: u32) {
         self.by_node.entry(node).or_default().push(IdleConnection { id, since: now });
         self.by_age.insert((now, node, id));
     }
 
     /// Takes a connection to a node that has been idle for at least `reuse_delay`. Of several it is the one used last, so that the
     /// others grow old and are closed when the load falls.
-    pub fn take(&mut self, node: NodeId, now: Instant, reuse_delay: TimeDelta) -> Option<u32> {
+    pub(crate) fn take(&mut self, node: NodeId, now: Instant, reuse_delay: TimeDelta) -> Option<u32> {
         let is_reusable = |idle: &&IdleConnection| now - idle.since >= reuse_delay;
         let idle = *self.by_node.get(&node)?.iter().rev().find(is_reusable)?;
         self.remove_at(idle.since, node, idle.id);
@@ -36,7 +36,7 @@
 
     /// When a connection to the node becomes reusable that no other attempt waits for; `attempts_ahead` attempts wait for the first
     /// ones. None if the node has too few connections.
-    pub fn reusable_at(
+    pub(crate) fn reusable_at(
         &self,
         node: NodeId,
         now: Instant,
@@ -50,14 +50,14 @@
     }
 
     /// A connection is not idle any more, or closed.
-    pub fn remove(&mut self, node: NodeId, id: u32) {
+    pub(crate) fn remove(&mut self, node: NodeId, id: u32) {
         if let Some(since) = self.since(node, id) {
             self.remove_at(since, node, id);
         }
     }
 
     /// Since when a connection is idle.
-    pub fn since(&self, node: NodeId, id: u32) -> Option<Instant> {
+    pub(crate) fn since(&self, node: NodeId, id: u32) -> Option<Instant> {
         let idle = self.by_node.get(&node)?.iter().find(|idle| idle.id == id)?;
         Some(idle.since)
     }
@@ -73,13 +73,13 @@
     }
 
     /// The connection that has been idle for longest, to whatever node, if it has been for at least `min_idle`.
-    pub fn oldest(&self, min_idle: TimeDelta, now: Instant) -> Option<(NodeId, u32)> {
+    pub(crate) fn oldest(&self, min_idle: TimeDelta, now: Instant) -> Option<(NodeId, u32)> {
         let (since, node, id) = self.by_age.first().copied()?;
         (now - since >= min_idle).then_some((node, id))
     }
 
     /// No connection is idle.
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.by_age.is_empty()
     }
 }
--- a/crates/platform-host/src/lib.rs
+++ b/crates/platform-host/src/lib.rs
@@ -2,7 +2,7 @@
 //! the watch of the endpoint list, and the process's signals. It moves bytes and reads the clock. Which request goes where,
 //! and when, is decided by the scheduler behind the core. docs/host.md says why there are no threads.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 mod client_connection;
 mod client_connections;
--- a/crates/platform-host/src/list_watch.rs
+++ b/crates/platform-host/src/list_watch.rs
@@ -31,7 +31,7 @@
 
 /// The result of a poll.
 #[derive(Debug)]
-pub enum WatchEvent {
+pub(crate) enum WatchEvent {
     /// The version that was polled from, and the list.
     List(u64, List),
     /// The poll failed, and why.
@@ -55,7 +55,7 @@
 }
 
 /// The watch of the endpoint list: at most one poll is open.
-pub struct Watch {
+pub(crate) struct Watch {
     address: SocketAddr,
     call: Option<Call>,
     /// A connection whose poll was answered, for the next one.
@@ -67,22 +67,27 @@
 
 impl Watch {
     /// A watch of the list at `address`; nothing is polled yet.
-    pub fn new(address: SocketAddr) -> Self {
+    pub(crate) fn new(address: SocketAddr) -> Self {
         Watch { address, call: None, idle_connection: None, last_number: 0, has_failed: false }
     }
 
     /// Whether a poll has no answer yet.
-    pub fn is_polling(&self) -> bool {
+    pub(crate) fn is_polling(&self) -> bool {
         self.call.is_some()
     }
 
     /// Where the list is polled.
-    pub fn address(&self) -> SocketAddr {
+    pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
     /// Asks for the changes after a version, or for the complete list.
-    pub fn poll(&mut self, now: Instant, poller: &Poller, after: Option<u64>) -> Result<(), WatchEvent> {
+    pub(crate) fn poll(
+        &mut self,
+        now: Instant,
+        poller: &Poller,
+        after: Option<u64>,
+    ) -> Result<(), WatchEvent> {
         let (wait_ms, answer_timeout) = if self.has_failed {
             (LONG_POLL_AFTER_FAILURE_MS, ANSWER_TIMEOUT_AFTER_FAILURE)
         } else {
@@ -125,7 +130,7 @@
     }
 
     /// The socket of a poll is ready. Gives the result of the poll, if it is known now.
-    pub fn handle_ready(
+    pub(crate) fn handle_ready(
         &mut self,
         now: Instant,
         poller: &Poller,
@@ -211,7 +216,7 @@
     }
 
     /// Gives up a poll that takes too long.
-    pub fn handle_timeout(&mut self, now: Instant, settings: &Settings) -> Option<WatchEvent> {
+    pub(crate) fn handle_timeout(&mut self, now: Instant, settings: &Settings) -> Option<WatchEvent> {
         if self.call.as_ref().is_none_or(|call| call.deadline > now) {
             return None;
         }
@@ -222,7 +227,7 @@
 
     /// The list is served at another address from now on. An answer that the old address has written by now is read first, as the host
     /// counts as notified of it. Nothing from there is read afterwards: it could be older than answers of the new address.
-    pub fn address_changed(&mut self, to: SocketAddr, settings: &Settings) -> Option<WatchEvent> {
+    pub(crate) fn address_changed(&mut self, to: SocketAddr, settings: &Settings) -> Option<WatchEvent> {
         let last = self.read(MAX_LIST_CHUNKS, settings);
         (self.address, self.call, self.idle_connection, self.has_failed) = (to, None, None, false);
         last.filter(|event| matches!(event, WatchEvent::List(..)))
--- a/crates/platform-host/src/memory_replication.rs
+++ b/crates/platform-host/src/memory_replication.rs
@@ -8,7 +8,7 @@
 use tackmast::interface::{Instant, ShardId, TimeDelta};
 
 /// Maximum size of a datagram in bytes, by the platform.
-pub const MAX_DATAGRAM_BYTES: usize = 256;
+pub(crate) const MAX_DATAGRAM_BYTES: usize = 256;
 /// Size of the header: two bytes of magic, the kind, the number of the datagram, and how many there are.
 const HEADER_BYTES: usize = 5;
 /// Size of an entry: the shard, and the upper half of its rate as a 32-bit float.
@@ -38,7 +38,7 @@
 
 /// A datagram to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Datagram {
+pub(crate) struct Datagram {
     /// The peer that it is for.
     pub to: SocketAddr,
     /// At most [`MAX_DATAGRAM_BYTES`].
@@ -52,7 +52,7 @@
 }
 
 /// What this host stores at its peers and for them.
-pub struct MemoryReplication {
+pub(crate) struct MemoryReplication {
     me: usize,
     peers: Vec<SocketAddr>,
     started_at: Instant,
@@ -72,7 +72,7 @@
 
 impl MemoryReplication {
     /// `peers` are all hosts by their numbers, `me` one of them.
-    pub fn new(now: Instant, me: usize, peers: Vec<SocketAddr>) -> Self {
+    pub(crate) fn new(now: Instant, me: usize, peers: Vec<SocketAddr>) -> Self {
         // Peers start together, and would otherwise all replicate at the same moment.
         let intervals = 1.0 + me as f64 / peers.len().max(1) as f64;
         let first = TimeDelta::from_secs(REPLICATION_INTERVAL.secs() * intervals);
@@ -100,7 +100,7 @@
     }
 
     /// Datagrams that are due now. `rates`: units a second of each shard.
-    pub fn handle_timeout(
+    pub(crate) fn handle_timeout(
         &mut self,
         now: Instant,
         rates: impl FnOnce() -> Vec<(ShardId, f64)>,
@@ -121,7 +121,7 @@
     }
 
     /// Stores the rates, in units a second, at each replica.
-    pub fn hand_off(&mut self, mut rates: Vec<(ShardId, f64)>) -> Vec<Datagram> {
+    pub(crate) fn hand_off(&mut self, mut rates: Vec<(ShardId, f64)>) -> Vec<Datagram> {
         self.handed_off = true;
         rates.retain(|(shard, rate)| shard.0 <= u32::from(u16::MAX) && is_valid_rate(*rate));
         rates.sort_by(|a, b| b.1.total_cmp(&a.1));
@@ -135,7 +135,7 @@
     }
 
     /// Takes in a datagram; gives the answers to it.
-    pub fn handle_datagram(&mut self, now: Instant, from: SocketAddr, bytes: &[u8]) -> Vec<Datagram> {
+    pub(crate) fn handle_datagram(&mut self, now: Instant, from: SocketAddr, bytes: &[u8]) -> Vec<Datagram> {
         let Some((peer, kind, number)) = self.parse_header(from, bytes) else {
             self.rejected_datagrams += 1;
             return Vec::new();
@@ -192,7 +192,7 @@
     }
 
     /// Rates of an earlier generation that were restored since the last poll, in units a second; each shard once.
-    pub fn poll_restored(&mut self) -> Vec<(ShardId, f64)> {
+    pub(crate) fn poll_restored(&mut self) -> Vec<(ShardId, f64)> {
         self.restored.values_mut().flat_map(std::mem::take).collect()
     }
 }
--- a/crates/platform-host/src/node_connection.rs
+++ b/crates/platform-host/src/node_connection.rs
@@ -7,7 +7,7 @@
 use tackmast_http::ResponseReader;
 
 /// Where a connection is in its protocol.
-pub enum State {
+pub(crate) enum State {
     /// It must be established by `until`, for this attempt.
     Connecting { until: Instant, attempt: Box<SendAttempt> },
     /// The attempt is being written, or its answer is awaited.
@@ -17,7 +17,7 @@
 }
 
 /// A connection to a node.
-pub struct Link {
+pub(crate) struct Link {
     /// The node.
     pub node: NodeId,
     /// Its address when the connection was opened.
--- a/crates/platform-host/src/node_connections.rs
+++ b/crates/platform-host/src/node_connections.rs
@@ -23,7 +23,7 @@
 const REUSE_DELAY: TimeDelta = TimeDelta::from_millis(10);
 
 /// All connections to nodes, and the attempts that wait for one.
-pub struct Links {
+pub(crate) struct Links {
     links: BTreeMap<u32, Link>,
     idle: IdleConnections,
     by_attempt: HashMap<AttemptId, u32>,
@@ -43,7 +43,7 @@
 impl Links {
     /// At most `max_connections` connections, each established within `connect_timeout`. `node_idle_timeout` is when nodes close an idle
     /// connection; zero if the settings do not say.
-    pub fn new(
+    pub(crate) fn new(
         max_connections: usize,
         connect_timeout: TimeDelta,
         node_idle_timeout: TimeDelta,
@@ -65,13 +65,13 @@
     }
 
     /// Connections that are established or being established.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.links.len()
     }
 
     /// Sends an attempt to a node at its present address. An attempt waits only once for a connection to become reusable: others could
     /// take that connection before it again and again, and it would wait until its deadline.
-    pub fn send(
+    pub(crate) fn send(
         &mut self,
         now: Instant,
         poller: &Poller,
@@ -186,7 +186,7 @@
     }
 
     /// The socket of a connection is ready.
-    pub fn handle_ready(
+    pub(crate) fn handle_ready(
         &mut self,
         now: Instant,
         poller: &Poller,
@@ -301,7 +301,7 @@
     }
 
     /// Cancels an attempt. Its connection is closed: there is no other way to take back what was sent.
-    pub fn cancel(&mut self, attempt: AttemptId) {
+    pub(crate) fn cancel(&mut self, attempt: AttemptId) {
         match self.by_attempt.remove(&attempt) {
             Some(id) => {
                 self.counters.cancelled += 1;
@@ -316,7 +316,7 @@
 
     /// Closes the connections on which no request has begun, except those to an address where their node is ready (`is_current`). An
     /// attempt that waits for such a connection would otherwise be written to a draining node, or to whatever has the old address now.
-    pub fn close_unused_unless(
+    pub(crate) fn close_unused_unless(
         &mut self,
         is_current: impl Fn(NodeId, SocketAddr) -> bool,
         results: &mut Vec<AttemptResult>,
@@ -334,7 +334,7 @@
     }
 
     /// The client whose request waits for this connection to be established.
-    pub fn connecting_client(&self, id: u32) -> Option<u32> {
+    pub(crate) fn connecting_client(&self, id: u32) -> Option<u32> {
         match &self.links.get(&id)?.state {
             State::Connecting { attempt, .. } => Some(attempt.from.session),
             _ => None,
@@ -342,7 +342,7 @@
     }
 
     /// Closes connections that were not established in time, and old idle ones.
-    pub fn handle_timeout(&mut self, now: Instant, results: &mut Vec<AttemptResult>) {
+    pub(crate) fn handle_timeout(&mut self, now: Instant, results: &mut Vec<AttemptResult>) {
         let is_late = |link: &Link| matches!(&link.state, State::Connecting { until, .. } if *until <= now);
         let late = self.links.iter().filter(|(_, link)| is_late(link));
         let late: Vec<u32> = late.map(|(id, _)| *id).collect();
@@ -356,18 +356,18 @@
     }
 
     /// When the next delayed attempt may be sent.
-    pub fn poll_timeout(&self) -> Option<Instant> {
+    pub(crate) fn poll_timeout(&self) -> Option<Instant> {
         self.delayed.iter().map(|(until, _)| *until).min()
     }
 
     /// A delayed attempt that may be sent now.
-    pub fn delayed_attempt(&mut self, now: Instant) -> Option<SendAttempt> {
+    pub(crate) fn delayed_attempt(&mut self, now: Instant) -> Option<SendAttempt> {
         let index = self.delayed.iter().position(|(until, _)| *until <= now)?;
         Some(self.delayed.remove(index).1)
     }
 
     /// The attempt that has waited longest for capacity, if there is some now.
-    pub fn next_queued(&mut self) -> Option<SendAttempt> {
+    pub(crate) fn next_queued(&mut self) -> Option<SendAttempt> {
         let has_capacity = self.links.len() < self.max_connections || !self.idle.is_empty();
         if has_capacity {
             self.waiting.pop_front()
--- a/crates/platform-host/src/poller.rs
+++ b/crates/platform-host/src/poller.rs
@@ -79,17 +79,17 @@
 
 /// Which events of a socket the poller waits for. The end of a connection is always reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Interest {
+pub(crate) struct Interest {
     pub read: bool,
     pub write: bool,
 }
 
 /// Wait for bytes to read.
-pub const READ: Interest = Interest { read: true, write: false };
+pub(crate) const READ: Interest = Interest { read: true, write: false };
 /// Wait for capacity to write.
-pub const WRITE: Interest = Interest { read: false, write: true };
+pub(crate) const WRITE: Interest = Interest { read: false, write: true };
 /// Wait for either.
-pub const BOTH: Interest = Interest { read: true, write: true };
+pub(crate) const BOTH: Interest = Interest { read: true, write: true };
 
 impl Interest {
     fn flags(self) -> EventFlags {
@@ -104,14 +104,14 @@
 const MAX_EVENTS_PER_ITERATION: usize = 256;
 
 /// An epoll instance.
-pub struct Poller {
+pub(crate) struct Poller {
     epoll: OwnedFd,
     events: Vec<Event>,
 }
 
 impl Poller {
     /// Makes an epoll instance.
-    pub fn new() -> std::io::Result<Self> {
+    pub(crate) fn new() -> std::io::Result<Self> {
         Ok(Poller {
             epoll: epoll::create(CreateFlags::CLOEXEC)?,
             events: Vec::with_capacity(MAX_EVENTS_PER_ITERATION),
@@ -119,17 +119,17 @@
     }
 
     /// Registers a socket.
-    pub fn add(&self, fd: impl AsFd, token: Token, interest: Interest) -> std::io::Result<()> {
+    pub(crate) fn add(&self, fd: impl AsFd, token: Token, interest: Interest) -> std::io::Result<()> {
         Ok(epoll::add(&self.epoll, fd, token.data(), interest.flags())?)
     }
 
     /// Changes which events are waited for. A socket is deregistered by being closed.
-    pub fn change(&self, fd: impl AsFd, token: Token, interest: Interest) {
+    pub(crate) fn change(&self, fd: impl AsFd, token: Token, interest: Interest) {
         _ = epoll::modify(&self.epoll, fd, token.data(), interest.flags());
     }
 
     /// Waits for at most `timeout`. Gives the sockets that are ready, in the order in which they are handled.
-    pub fn wait(&mut self, timeout: Duration, ready: &mut Vec<Ready>) {
+    pub(crate) fn wait(&mut self, timeout: Duration, ready: &mut Vec<Ready>) {
         self.events.clear();
         let timeout = rustix::event::Timespec {
             tv_sec: timeout.as_secs() as i64,
--- a/crates/platform-host/src/request_ids.rs
+++ b/crates/platform-host/src/request_ids.rs
@@ -11,7 +11,7 @@
 /// Ids of open requests, and for a while of finished ones. An id that comes again meanwhile is refused: nodes would take the request
 /// for a repeat of the one that they have seen.
 #[derive(Default)]
-pub struct RequestIds {
+pub(crate) struct RequestIds {
     /// The id of each open request, by its connection.
     pub open: HashMap<u32, String>,
     /// Ids of finished requests, the oldest first.
@@ -22,18 +22,18 @@
 
 impl RequestIds {
     /// Whether the id is that of an open or recent request.
-    pub fn is_in_use(&self, id: &str) -> bool {
+    pub(crate) fn is_in_use(&self, id: &str) -> bool {
         self.in_use.contains(id)
     }
 
     /// A request with this id was accepted on a connection.
-    pub fn insert(&mut self, connection: u32, id: String) {
+    pub(crate) fn insert(&mut self, connection: u32, id: String) {
         self.in_use.insert(id.clone());
         self.open.insert(connection, id);
     }
 
     /// The open request of a connection has its final answer.
-    pub fn finish(&mut self, now: Instant, connection: u32) {
+    pub(crate) fn finish(&mut self, now: Instant, connection: u32) {
         if let Some(id) = self.open.remove(&connection) {
             self.finished.push_back((now, id));
         }
--- a/crates/platform-host/src/resource_budget.rs
+++ b/crates/platform-host/src/resource_budget.rs
@@ -18,7 +18,7 @@
 
 /// What the host may hold, from the platform's limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ResourceBudget {
+pub(crate) struct ResourceBudget {
     /// Client connections.
     pub client_connections: usize,
     /// Connections to nodes.
@@ -31,7 +31,7 @@
 
 impl ResourceBudget {
     /// Splits the platform's limits.
-    pub fn of(limits: &Limits) -> Self {
+    pub(crate) fn of(limits: &Limits) -> Self {
         let free_descriptors = limits.sockets.saturating_sub(RESERVED_DESCRIPTORS);
         let client_connections = (free_descriptors as f64 * CLIENT_DESCRIPTOR_SHARE) as usize;
         let buffer_bytes = (limits.memory_bytes as f64 * BUFFER_MEMORY_SHARE) as usize;
--- a/crates/platform-host/src/shutdown_schedule.rs
+++ b/crates/platform-host/src/shutdown_schedule.rs
@@ -24,7 +24,7 @@
 
 /// Phases of the shutdown, in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ShutdownPhase {
+pub(crate) enum ShutdownPhase {
     /// The health check answers "not ready"; requests are served.
     Serving,
     /// The listener is closed; idle connections are half-closed, and each other one with its answer.
@@ -37,7 +37,7 @@
 
 /// When phases begin, counted from when the shutdown was asked for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ShutdownSchedule {
+pub(crate) struct ShutdownSchedule {
     closing: TimeDelta,
     settled: TimeDelta,
     finished: TimeDelta,
@@ -45,7 +45,7 @@
 
 impl ShutdownSchedule {
     /// `longest_deadline` is the longest of any traffic class.
-    pub fn new(longest_deadline: TimeDelta) -> Self {
+    pub(crate) fn new(longest_deadline: TimeDelta) -> Self {
         let kill = longest_deadline.clamp(TimeDelta::ZERO, MAX_DEADLINE) + KILL_MARGIN;
         // With short deadlines there is little time before the kill. New connections come first: a client that finds the listener
         // closed has no other host.
@@ -56,7 +56,7 @@
 
     /// The phase at a time `since` the shutdown was asked for. Without client connections there is nobody to wait for, so the host
     /// closes early.
-    pub fn phase(&self, since: TimeDelta, client_connections: usize) -> ShutdownPhase {
+    pub(crate) fn phase(&self, since: TimeDelta, client_connections: usize) -> ShutdownPhase {
         let closes_early = client_connections == 0 && since >= CLOSE_WITHOUT_CLIENTS_AFTER;
         if since >= self.finished {
             ShutdownPhase::Finished
--- a/crates/platform-host/src/sockets.rs
+++ b/crates/platform-host/src/sockets.rs
@@ -6,10 +6,10 @@
 use std::net::{SocketAddr, TcpStream};
 
 /// Bytes read from one socket in one iteration, at most.
-pub const READ_CHUNK_BYTES: usize = 16 * 1024;
+pub(crate) const READ_CHUNK_BYTES: usize = 16 * 1024;
 
 /// Begins to connect. The socket is writable once it is connected or has failed.
-pub fn connect(to: SocketAddr) -> std::io::Result<TcpStream> {
+pub(crate) fn connect(to: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = socket2::Socket::new(socket2::Domain::for_address(to), socket2::Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
     socket.set_tcp_nodelay(true)?;
@@ -23,7 +23,7 @@
 
 /// What a read of a socket gave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReadOutcome {
+pub(crate) enum ReadOutcome {
     /// This many bytes.
     Bytes(usize),
     /// No bytes for now.
@@ -35,7 +35,7 @@
 }
 
 /// Reads once.
-pub fn read(mut from: &TcpStream, into: &mut [u8]) -> ReadOutcome {
+pub(crate) fn read(mut from: &TcpStream, into: &mut [u8]) -> ReadOutcome {
     loop {
         return match from.read(into) {
             Ok(0) => ReadOutcome::End,
@@ -48,7 +48,7 @@
 }
 
 /// Writes as many bytes as the socket takes, and removes them. An error means that the connection is broken.
-pub fn write(mut to: &TcpStream, out: &mut BytesMut) -> std::io::Result<()> {
+pub(crate) fn write(mut to: &TcpStream, out: &mut BytesMut) -> std::io::Result<()> {
     while !out.is_empty() {
         match to.write(out) {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
@@ -64,13 +64,13 @@
 }
 
 /// Whether a connection has neither bytes to read nor ended.
-pub fn has_no_input(stream: &TcpStream) -> bool {
+pub(crate) fn has_no_input(stream: &TcpStream) -> bool {
     let mut byte = [0u8; 1];
     matches!(stream.peek(&mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock)
 }
 
 /// Whether the other side has ended its sending or the connection is broken, also while bytes before the end are unread.
-pub fn has_ended(stream: &TcpStream) -> bool {
+pub(crate) fn has_ended(stream: &TcpStream) -> bool {
     let ended = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     let mut one = [PollFd::new(stream, ended)];
     let now = Timespec { tv_sec: 0, tv_nsec: 0 };
