--- a/crates/platform-host/src/lib.rs
+++ b/crates/platform-host/src/lib.rs
@@ -2,7 +2,7 @@
 //! the watch of the endpoint list, and the process's signals. It moves bytes and reads the clock. Which request goes where,
 //! and when, is decided by the scheduler behind the core. docs/host.md says why there are no threads.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 mod client_connection;
 mod client_connections;
@@ -15,6 +15,7 @@
 mod node_connection;
 mod node_connections;
 mod poller;
+mod request_ids;
 mod resource_budget;
 mod shutdown_schedule;
 mod sockets;
