--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -14,7 +14,7 @@
 mod recovery;
 mod replication;
 
-use crate::event::Event;
+use crate::event::ConsensusEvent;
 use crate::fault::ConsensusFault;
 use crate::log::{Log, Snapshot};
 use crate::settings::{RaftSettings, ReplicaSettings};
@@ -62,7 +62,7 @@
         index: u64,
     },
     /// Operators are to know.
-    Event(Event),
+    Event(ConsensusEvent),
 }
 
 /// The state of a server (Raft, figure 4).
@@ -162,7 +162,7 @@
     }
 
     /// Index of the last entry that is committed and on this server's disk.
-    pub fn persisted_commit_index(&self) -> u64 {
+    pub(crate) fn persisted_commit_index(&self) -> u64 {
         self.commit_index.min(self.persisted_index)
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// Hosts that may know the leader.
-    pub fn voters_to_ask(&self) -> Vec<u32> {
+    pub(crate) fn voters_to_ask(&self) -> Vec<u32> {
         match &self.bootstrap {
             Some(bootstrap) => bootstrap.initial_voters.iter().copied().collect(),
             None => self.voters().keys().copied().collect(),
@@ -229,7 +229,7 @@
         self.hard_state.term
     }
 
-    fn emit(&mut self, event: Event) {
+    fn emit(&mut self, event: ConsensusEvent) {
         self.outputs.push_back(RaftOutput::Event(event));
     }
 
@@ -244,7 +244,7 @@
 
     fn step_down(&mut self, now: Instant, leader: Option<u32>) {
         if self.is_leader() {
-            self.emit(Event::SteppedDown { term: self.hard_state.term });
+            self.emit(ConsensusEvent::SteppedDown { term: self.hard_state.term });
             self.reset_election_timer(now);
         }
         self.role = Role::Follower { leader };
--- a/crates/consensus/src/raft/leader.rs
+++ b/crates/consensus/src/raft/leader.rs
@@ -61,7 +61,7 @@
     }
 
     /// When the next round is due.
-    pub fn poll_timeout(&self) -> Instant {
+    pub(super) fn poll_timeout(&self) -> Instant {
         match self.awaits_round() {
             true => self.next_round_at.min(self.heartbeat_due),
             false => self.heartbeat_due,
@@ -69,7 +69,7 @@
     }
 
     /// What other replicas have reported.
-    pub fn follower_status(&self, now: Instant) -> BTreeMap<u32, FollowerStatus> {
+    pub(super) fn follower_status(&self, now: Instant) -> BTreeMap<u32, FollowerStatus> {
         let status = |report: &StoredReport| FollowerStatus {
             stored_index: report.stored_index,
             silent_for: now - report.at,
@@ -85,7 +85,7 @@
         self.role = Role::Leader(Box::new(leader));
         self.counters.terms_led += 1;
         let (term, commit_index) = (self.hard_state.term, self.commit_index);
-        self.emit(Event::BecameLeader { term, last_index, commit_index });
+        self.emit(ConsensusEvent::BecameLeader { term, last_index, commit_index });
         self.append_entry(now, EntryPayload::Noop);
     }
 
@@ -190,7 +190,7 @@
         let responds = |progress: &&Progress| now - progress.last_response < silent_for;
         let reachable = 1 + leader.peers.values().filter(responds).count();
         if reachable < quorum {
-            self.emit(Event::QuorumLost { silent_for, reachable, quorum });
+            self.emit(ConsensusEvent::QuorumLost { silent_for, reachable, quorum });
             return self.step_down(now, None);
         }
         if now >= leader.heartbeat_due || (leader.awaits_round() && now >= leader.next_round_at) {
--- a/crates/host-core/src/peers.rs
+++ b/crates/host-core/src/peers.rs
@@ -9,9 +9,9 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_config::{HostSettings, MembershipBlock};
 use tackmast_membership::{
-    CatalogUpdate, Extensions, KnownPeer, LeaseSettings, Member, MemberSettings, NodeListEvent, Output,
-    OverrideEvent, OverrideKind, OverrideRecord, PersistedMembers, PreviousExit, QuotaBalance, SharedLimit,
-    ViewSettings,
+    CatalogUpdate, Extensions, KnownPeer, LeaseSettings, Member, MemberSettings, MembershipEvent,
+    NodeListEvent, Output, OverrideEvent, OverrideKind, OverrideRecord, PersistedMembers, PreviousExit,
+    QuotaBalance, SharedLimit, ViewSettings,
 };
 use tackmast_overrides::{Kind, Order, Origin, Override, OverrideId};
 use tackmast_wire::peer::Body;
@@ -45,7 +45,8 @@
         to: SocketAddr,
         bytes: Bytes,
     },
-    Mode(String),
+    /// For the log.
+    Event(MembershipEvent),
     AdminRequest {
         request: u64,
         admin_request: AdminRequest,
@@ -175,7 +176,7 @@
         if let Some(o) = self.member.poll_output() {
             return Some(match o {
                 Output::Send { to, bytes } => PeerEvent::Send { to, bytes },
-                Output::Log(line) => PeerEvent::Mode(line),
+                Output::Event(event) => PeerEvent::Event(event),
                 Output::CatalogUpdate(p) => PeerEvent::CatalogUpdate(p),
                 Output::Persist(r) => PeerEvent::Persist(r),
                 Output::NodeList(c) => PeerEvent::NodeList(c),
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -8,22 +8,24 @@
 //! timeout and the buddy system (its section 4). Beyond both stand anti-entropy by digests, rejoining after long
 //! partitions, damping of flapping members, and detection of pauses and of duplicate numbers.
 //!
-//! Four more protocols use the same datagrams. None of them depends on the view for correctness: a host that receives nothing
-//! goes on with what it knows.
+//! Four more protocols use the same datagrams. None of them depends on the view for correctness: a host that receives
+//! nothing keeps to what it knows.
 //!
 //! - `view`: which members run. SWIM and Lifeguard; its module comment names the file of each part.
 //! - `quota_leases`: leases on shares of a volume's limit, from an owner to one that has more demand.
 //! - `override_gossip`: operators' overrides, as a set that all hosts converge on.
 //! - `catalog_replication`: numbered catalog updates, fetched from any peer that has them.
 //! - `node_list`: versions of the node list, and the nodes that newer ones remove.
+//! - `event`: what a member reports to operators.
 //! - `member`: all of these as one host, which encodes and decodes datagrams.
 //!
 //! All machines have one calling shape: `handle_datagram`, `handle_message` and `handle_timeout` take input together with
-//! the time; `poll_output`, `poll_transmit` and `poll_event` are called until they return none; `poll_timeout` tells when
+//! the time; `poll_output`, `poll_transmit` and `poll_event` are called until they return none; `poll_timeout` returns when
 //! `handle_timeout` is due.
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 mod catalog_replication;
+mod event;
 mod member;
 mod node_list;
 mod override_gossip;
@@ -34,8 +36,9 @@
 use tackmast_wire::peer::Body;
 
 pub use catalog_replication::{
-    CatalogEvent, CatalogReplication, CatalogUpdate, CatalogVersion, MAX_CATALOG_UPDATES, MAX_UPDATE_LEN,
+    CatalogReplication, CatalogUpdate, CatalogVersion, MAX_CATALOG_UPDATES, MAX_UPDATE_LEN,
 };
+pub use event::MembershipEvent;
 pub use member::{Counters, Member, MemberSettings, Output, PersistedMembers};
 pub use node_list::{NodeListEvent, NodeListNotices};
 pub use override_gossip::{OverrideEvent, OverrideGossip};
--- a/crates/membership/src/member/settings.rs
+++ b/crates/membership/src/member/settings.rs
@@ -1,6 +1,7 @@
 //! Settings, outputs and counters of a member.
 
 use crate::catalog_replication::CatalogUpdate;
+use crate::event::MembershipEvent;
 use crate::node_list::NodeListEvent;
 use crate::override_gossip::OverrideEvent;
 use crate::quota_leases::{LeaseSettings, PreviousExit, SharedLimit};
@@ -30,7 +31,7 @@
     pub generation: u64,
     /// Where peers reach it.
     pub address: SocketAddr,
-    /// The site that it stands in.
+    /// The site that the host belongs to.
     pub site: Option<u32>,
     /// Addresses to contact at the start.
     pub seeds: Vec<SocketAddr>,
@@ -50,7 +51,7 @@
     pub seed: u64,
 }
 
-/// What a member wants done.
+/// What a host is to do for its member.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a datagram.
@@ -60,18 +61,18 @@
         /// Its bytes.
         bytes: Bytes,
     },
-    /// Write a line to the log.
-    Log(String),
+    /// Write this to the log; nothing else is to be done.
+    Event(MembershipEvent),
     /// Apply or clear an override that another host took.
     Override(OverrideEvent),
     /// Apply or reject a catalog update that has arrived.
     CatalogUpdate(CatalogUpdate),
     /// Persist this for the next generation, in place of what was before.
     Persist(PersistedMembers),
-    /// Act on the node lists that other hosts hold.
+    /// Act on what is known of other hosts' node lists.
     NodeList(NodeListEvent),
     /// Hand a consensus message, or a chunk of one, to the replica. It comes from the address at which its sender is
-    /// known.
+    /// known, so that it is not forged.
     Consensus {
         /// Address of the sender.
         from: SocketAddr,
--- a/crates/membership/src/quota_leases/pool.rs
+++ b/crates/membership/src/quota_leases/pool.rs
@@ -1,18 +1,44 @@
-//! The leases of one volume: granted and held, with the demand for it.
+//! The state of one volume's shared limit: its leases, granted and held, and the demand of this host's clients.
 
 use super::SharedLimit;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tackmast::interface::{Instant, TimeDelta};
 
-/// A host's need is its recent demand times this.
+/// A host needs this many times its recent demand: room for demand that rises before the next round.
 const DEMAND_HEADROOM: f64 = 1.25;
-/// Time constant over which demand is averaged, in seconds.
-const DEMAND_MEMORY_S: f64 = 2.0;
-/// Limits below this count as this, in units a second, so that nothing is divided by 0.
+/// Time constant of the exponential average of demand.
+const DEMAND_TIME_CONSTANT: TimeDelta = TimeDelta::from_millis(2_000);
+/// Least limit in units a second that demand is compared with, so that nothing is divided by 0.
 const MIN_LIMIT: f64 = 1e-9;
-/// Requests to one lender that may still be answered, and leases granted to one borrower that may still run.
+/// Greatest number of requests to one lender, and of leases granted to one borrower, that are remembered.
 const MAX_OPEN: usize = 16;
 
+/// The demand of this host's clients for a volume, as an exponential average.
+#[derive(Clone, Debug)]
+struct Demand {
+    /// Units a second as of `updated_at`.
+    rate: f64,
+    updated_at: Instant,
+}
+
+impl Demand {
+    /// Adds units that clients demanded.
+    fn record(&mut self, now: Instant, units: f64) {
+        self.rate = self.rate * self.decay(now) + units / DEMAND_TIME_CONSTANT.secs();
+        self.updated_at = now;
+    }
+
+    /// The factor by which the average has decayed since its last update.
+    fn decay(&self, now: Instant) -> f64 {
+        (-(now - self.updated_at).secs() / DEMAND_TIME_CONSTANT.secs()).exp()
+    }
+
+    /// The share of a limit, in units a second, that this demand needs.
+    fn needed_share(&self, now: Instant, limit: f64) -> f64 {
+        DEMAND_HEADROOM * self.rate * self.decay(now) / limit.max(MIN_LIMIT)
+    }
+}
+
 /// A lease that this host granted.
 #[derive(Clone, Debug)]
 pub(super) struct GrantedLease {
@@ -31,8 +57,8 @@
 }
 
 impl HeldLease {
-    /// What stands for a lender's earlier leases, so that none of them counts when it arrives late.
-    pub fn none(now: Instant, generation: u64) -> Self {
+    /// An ended lease in place of a lender's earlier ones, so that none of those counts when it arrives late.
+    pub(super) fn none(now: Instant, generation: u64) -> Self {
         HeldLease { generation, seq: 0, share: 0.0, until: now }
     }
 }
@@ -57,9 +83,7 @@
     pub limit: SharedLimit,
     /// This host's own share of the whole limit.
     pub owned: f64,
-    /// Units a second that clients demanded, as of `demand_at`.
-    demand: f64,
-    demand_at: Instant,
+    demand: Demand,
     /// By borrower, the leases that may still be in use.
     pub granted: BTreeMap<u32, Vec<GrantedLease>>,
     /// By lender, the latest lease.
@@ -70,18 +94,22 @@
     pub peer_requests: BTreeMap<u32, PeerRequest>,
     /// Peers that hold no lease of an earlier generation of this slot.
     pub returned: BTreeSet<u32>,
-    /// From when on this host may use its own share, as no lease of an earlier generation can be in use any more.
+    /// From when on this host may use its own share, as no peer can use a lease of an earlier generation any more.
     pub available_from: Instant,
 }
 
 impl SharedPool {
-    /// A volume without leases; `owned_part` is the part of the even share that this host owns.
-    pub fn new(now: Instant, limit: SharedLimit, owned_part: f64, available_from: Instant) -> Self {
+    /// A volume without leases; `owned_fraction` is the fraction of its even share that this host owns.
+    pub(super) fn new(
+        now: Instant,
+        limit: SharedLimit,
+        owned_fraction: f64,
+        available_from: Instant,
+    ) -> Self {
         SharedPool {
-            owned: owned_part / limit.owners.len() as f64,
+            owned: owned_fraction / limit.owners.len() as f64,
             limit,
-            demand: 0.0,
-            demand_at: now,
+            demand: Demand { rate: 0.0, updated_at: now },
             granted: BTreeMap::new(),
             held: BTreeMap::new(),
             sent_requests: BTreeMap::new(),
@@ -92,48 +120,43 @@
     }
 
     /// LUN of the volume.
-    pub fn volume(&self) -> u32 {
+    pub(super) fn volume(&self) -> u32 {
         self.limit.volume
     }
 
     /// Whether a host shares the volume's limit.
-    pub fn is_owner(&self, slot: u32) -> bool {
+    pub(super) fn is_owner(&self, slot: u32) -> bool {
         self.limit.owners.contains(&slot)
     }
 
     /// Sets the whole limit, 0 for none.
-    pub fn set_limit(&mut self, limit: f64) {
+    pub(super) fn set_limit(&mut self, limit: f64) {
         self.limit.limit = if limit > 0.0 { limit } else { f64::INFINITY };
     }
 
     /// Clients have demanded so many units.
-    pub fn record_demand(&mut self, now: Instant, units: f64) {
-        self.demand = self.demand * self.demand_decay(now) + units / DEMAND_MEMORY_S;
-        self.demand_at = now;
-    }
-
-    fn demand_decay(&self, now: Instant) -> f64 {
-        (-(now - self.demand_at).secs() / DEMAND_MEMORY_S).exp()
+    pub(super) fn record_demand(&mut self, now: Instant, units: f64) {
+        self.demand.record(now, units);
     }
 
     /// Share of the whole limit that this host needs by its recent demand.
-    pub fn needed(&self, now: Instant) -> f64 {
-        DEMAND_HEADROOM * self.demand * self.demand_decay(now) / self.limit.limit.max(MIN_LIMIT)
+    pub(super) fn needed(&self, now: Instant) -> f64 {
+        self.demand.needed_share(now, self.limit.limit)
     }
 
     /// Share that is lent to all peers.
-    pub fn lent(&self, now: Instant) -> f64 {
+    pub(super) fn lent(&self, now: Instant) -> f64 {
         self.granted.values().map(|leases| max_share(now, leases)).sum()
     }
 
     /// Share that is lent to all peers but one.
-    pub fn lent_to_others(&self, now: Instant, slot: u32) -> f64 {
+    pub(super) fn lent_to_others(&self, now: Instant, slot: u32) -> f64 {
         let others = self.granted.iter().filter(|(borrower, _)| **borrower != slot);
         others.map(|(_, leases)| max_share(now, leases)).sum()
     }
 
     /// Share of its own that this host can't use: what is lent, and at its start all of it.
-    pub fn unavailable(&self, now: Instant) -> f64 {
+    pub(super) fn unavailable(&self, now: Instant) -> f64 {
         if now < self.available_from {
             self.owned
         } else {
@@ -142,20 +165,22 @@
     }
 
     /// Share that is borrowed of all peers.
-    pub fn borrowed(&self, now: Instant) -> f64 {
+    pub(super) fn borrowed(&self, now: Instant) -> f64 {
         self.held.values().filter(|lease| lease.until > now).map(|lease| lease.share).sum()
     }
 
     /// The next moment at which a lease ends, or the own share becomes available.
-    pub fn next_expiration(&self, now: Instant) -> Option<Instant> {
+    pub(super) fn next_expiration(&self, now: Instant) -> Option<Instant> {
         let ends = self.held.values().map(|lease| lease.until).chain([self.available_from]);
         ends.filter(|end| *end > now).reduce(Instant::min)
     }
 
-    /// Forgets leases that have ended, and requests older than a term. What is held of a lender is never forgotten, nor
-    /// under which of its generations: an older lease that arrives late, of a generation that has recalled its leases,
-    /// must be known for that. There are no more of them than owners.
-    pub fn remove_ended(&mut self, now: Instant, term: TimeDelta) {
+    /// Forgets leases that have ended, and requests older than a term.
+    ///
+    /// The latest lease of each lender stays, also after its end. Without it, a grant of an earlier generation that arrives
+    /// late would count as new, although that lender has recalled it and uses the share itself. There are no more such
+    /// records than owners.
+    pub(super) fn remove_ended(&mut self, now: Instant, term: TimeDelta) {
         for leases in self.granted.values_mut() {
             leases.retain(|lease| lease.until > now);
         }
@@ -164,7 +189,7 @@
     }
 
     /// Remembers a request; the oldest is forgotten where too many are open.
-    pub fn add_sent_request(&mut self, to: u32, request: SentRequest) {
+    pub(super) fn add_sent_request(&mut self, to: u32, request: SentRequest) {
         let requests = self.sent_requests.entry(to).or_default();
         requests.push_back(request);
         if requests.len() > MAX_OPEN {
@@ -173,26 +198,29 @@
     }
 
     /// When the request of that number was sent.
-    pub fn request_sent_at(&self, to: u32, seq: u32) -> Option<Instant> {
+    pub(super) fn request_sent_at(&self, to: u32, seq: u32) -> Option<Instant> {
         let requests = self.sent_requests.get(&to)?;
         requests.iter().find(|request| request.seq == seq).map(|request| request.sent)
     }
 
-    /// Adds a lease to those of a borrower. A borrower that never confirms any must not make their number grow.
-    pub fn add_granted(&mut self, to: u32, lease: GrantedLease) {
+    /// Adds a lease to those of a borrower.
+    ///
+    /// A borrower that never confirms a lease would make this list grow without bound. Beyond the maximum the leases become
+    /// one with the greatest share and the latest end, which covers whichever of them the borrower uses. It has the last
+    /// one's number: a confirmation of an earlier one must not free a lease that may still arrive.
+    pub(super) fn add_granted(&mut self, to: u32, lease: GrantedLease) {
         let GrantedLease { seq, until, .. } = lease;
         let leases = self.granted.entry(to).or_default();
         leases.push(lease);
         if leases.len() > MAX_OPEN {
             let share = leases.iter().map(|lease| lease.share).reduce(f64::max).unwrap_or(0.0).max(0.0);
             let until = leases.iter().map(|lease| lease.until).max().unwrap_or(until);
-            // Under the last one's number: a confirmation of an earlier one must not free what may still arrive.
             *leases = vec![GrantedLease { seq, share, until }];
         }
     }
 }
 
-/// The greatest share of the leases that run: of several to one borrower it may act on any, but only on one.
+/// What a borrower may use: the greatest of its leases that run, as it may act on any of them, but only on one.
 fn max_share(now: Instant, leases: &[GrantedLease]) -> f64 {
     let shares = leases.iter().filter(|lease| lease.until > now).map(|lease| lease.share);
     shares.reduce(f64::max).unwrap_or(0.0).max(0.0)
--- a/crates/overrides/src/lib.rs
+++ b/crates/overrides/src/lib.rs
@@ -11,7 +11,7 @@
 //! | `recovery_ramp` | how nodes are given load again |
 //! | `timing_wheel` | timers of many overrides |
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 mod audit;
 mod explanation;
@@ -26,6 +26,6 @@
 pub use audit::{Audit, AuditKind, Ended};
 pub use explanation::Explanation;
 pub use order::{Kind, Order, Origin, Override, OverrideId, Target, TargetError};
-pub use overrides::{Effective, Overrides, Settings};
+pub use overrides::{ClockStep, Effective, Overrides, Settings};
 pub use precedence::{Applies, NodeFacts, OverrideEffect, Rank, Service, Superseded};
 pub use refusal::{Preview, Refusal};
