--- a/crates/wire/src/consensus/tests.rs
+++ b/crates/wire/src/consensus/tests.rs
@@ -47,8 +47,9 @@
     ]
 }
 
+/// Each kind of message is encoded and decoded. A message that is cut short or has a byte more is refused.
 #[test]
-fn each_message_comes_back_as_it_was_and_no_prefix_of_it_passes() {
+fn message_survives_a_round_trip_and_no_prefix_decodes() {
     for message in all_messages() {
         let bytes = message.to_bytes();
         assert_eq!(Message::decode(bytes.clone()), Ok(message.clone()));
@@ -61,8 +62,9 @@
 }
 
 proptest! {
+    /// A peer sends arbitrary bytes. The decoder may refuse them, and must not panic.
     #[test]
-    fn no_bytes_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn decoder_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         _ = Message::decode(Bytes::from(bytes));
     }
 }
--- a/crates/wire/src/iscsi/stream.rs
+++ b/crates/wire/src/iscsi/stream.rs
@@ -39,8 +39,9 @@
     }
 }
 
-fn padding(n: usize) -> usize {
-    n.wrapping_neg() & 3
+/// Bytes that fill so many up to a multiple of four.
+fn padding(length: usize) -> usize {
+    length.wrapping_neg() & 3
 }
 
 /// Cuts a byte stream into units. `max_data` bounds the data of one; further headers are bounded by their length's byte.
--- a/crates/wire/src/list.rs
+++ b/crates/wire/src/list.rs
@@ -83,12 +83,19 @@
 
 /// The bytes that tell kinds of frames apart.
 mod kind {
+    /// A host subscribes to changes.
     pub(super) const FOLLOW: u8 = 1;
+    /// A host asks for the complete list.
     pub(super) const FETCH: u8 = 2;
+    /// Changes since a version.
     pub(super) const CHANGES: u8 = 3;
+    /// The complete list.
     pub(super) const COMPLETE: u8 = 4;
+    /// The call could not be answered.
     pub(super) const FAILED: u8 = 5;
+    /// Changes, with the time at which they were sent.
     pub(super) const TIMED_CHANGES: u8 = 6;
+    /// The complete list, with the time at which it was sent.
     pub(super) const TIMED_COMPLETE: u8 = 7;
 }
 
--- a/crates/wire/src/node.rs
+++ b/crates/wire/src/node.rs
@@ -150,12 +150,19 @@
 
 /// The bytes that tell kinds of frames apart.
 mod kind {
+    /// The first frame of a host.
     pub(super) const HOST_HELLO: u8 = 1;
+    /// The first frame of a node.
     pub(super) const NODE_HELLO: u8 = 2;
+    /// An attempt.
     pub(super) const SEND: u8 = 3;
+    /// The answer to an attempt.
     pub(super) const ANSWER: u8 = 4;
+    /// The host cancels an attempt.
     pub(super) const CANCEL: u8 = 5;
+    /// The host asks whether the connection works.
     pub(super) const PING: u8 = 6;
+    /// The answer to a ping.
     pub(super) const PONG: u8 = 7;
 }
 
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -38,27 +38,49 @@
 
 /// The bytes that tell kinds of messages apart.
 mod kind {
+    /// A probe of a member.
     pub(super) const PING: u8 = 1;
+    /// The answer to a ping.
     pub(super) const ACK: u8 = 2;
+    /// A member is asked to probe another.
     pub(super) const PING_REQUEST: u8 = 3;
+    /// The answer to a ping request: the other member has answered.
     pub(super) const INDIRECT_ACK: u8 = 4;
+    /// What the sender knows, as digests.
     pub(super) const DIGEST: u8 = 5;
+    /// Updates of members alone.
     pub(super) const GOSSIP: u8 = 6;
+    /// A host asks for a quota lease.
     pub(super) const LEASE_REQUEST: u8 = 7;
+    /// A host grants a quota lease.
     pub(super) const LEASE_GRANT: u8 = 8;
+    /// A host that leaves lends its quota to whoever requests it.
     pub(super) const LEASE_OFFER: u8 = 9;
+    /// A host asks for what an earlier generation of it lent.
     pub(super) const LEASE_RECALL: u8 = 10;
+    /// The answer to a recall: the sender holds no such lease any more.
     pub(super) const LEASE_RETURNED: u8 = 11;
+    /// Operators' overrides.
     pub(super) const OVERRIDES: u8 = 12;
+    /// The version of the sender's catalog.
     pub(super) const CATALOG_VERSION: u8 = 13;
+    /// A request for a chunk of a catalog.
     pub(super) const CATALOG_CHUNK_REQUEST: u8 = 14;
+    /// A chunk of a catalog.
     pub(super) const CATALOG_CHUNK: u8 = 15;
+    /// The answer to a ping request: the other member did not answer either.
     pub(super) const NACK: u8 = 16;
+    /// A message of the consensus protocol.
     pub(super) const CONSENSUS: u8 = 17;
+    /// A chunk of such a message.
     pub(super) const CONSENSUS_CHUNK: u8 = 18;
+    /// A request for a chunk of such a message.
     pub(super) const CONSENSUS_CHUNK_REQUEST: u8 = 19;
+    /// The version of the sender's endpoint list.
     pub(super) const NODE_LIST_VERSION: u8 = 20;
+    /// A request for the removals of a list newer than a version.
     pub(super) const NODE_LIST_REQUEST: u8 = 21;
+    /// The nodes that the sender's list removes.
     pub(super) const NODE_REMOVALS: u8 = 22;
 }
 
--- a/crates/wire/src/peer/decode.rs
+++ b/crates/wire/src/peer/decode.rs
@@ -9,146 +9,152 @@
     /// Reads a datagram, which must have no bytes beyond its last field.
     pub fn decode(bytes: Bytes) -> Result<Datagram, WireError> {
         check_len("datagram", bytes.len(), MAX_DATAGRAM_LEN)?;
-        let mut f = Fields(bytes);
-        let magic = f.u16("magic")?;
+        let mut fields = Fields(bytes);
+        let magic = fields.u16("magic")?;
         if magic != MAGIC {
             return Err(WireError::Value { field: "magic", found: u64::from(magic), expected: "0x746d" });
         }
-        let version = f.u8("version")?;
+        let version = fields.u8("version")?;
         if version != VERSION {
             return Err(unexpected("version", version, "2"));
         }
-        let fleet = f.text("fleet")?;
+        let fleet = fields.text("fleet")?;
         check_len("fleet", fleet.len(), MAX_FLEET_LEN)?;
-        let sender = read_update(&mut f)?;
-        let body = read_body(&mut f)?;
-        let count = f.u8("updates")?;
+        let sender = read_update(&mut fields)?;
+        let body = read_body(&mut fields)?;
+        let count = fields.u8("updates")?;
         if usize::from(count) > MAX_UPDATES {
             return Err(unexpected("updates", count, "at most 28"));
         }
-        let updates = (0..count).map(|_| read_update(&mut f)).collect::<Result<_, _>>()?;
-        f.end("datagram")?;
+        let updates = (0..count).map(|_| read_update(&mut fields)).collect::<Result<_, _>>()?;
+        fields.end("datagram")?;
         Ok(Datagram { fleet, sender, body, updates })
     }
 }
 
-fn read_body(f: &mut Fields) -> Result<Body, WireError> {
-    let kind = f.u8("kind")?;
+fn read_body(fields: &mut Fields) -> Result<Body, WireError> {
+    let kind = fields.u8("kind")?;
     match kind {
         kind::PING | kind::ACK | kind::PING_REQUEST | kind::INDIRECT_ACK | kind::NACK => {
-            read_probe(f, kind).map(Body::Probe)
+            read_probe(fields, kind).map(Body::Probe)
+        }
+        kind::DIGEST => {
+            Ok(Body::Digest { members: fields.u32("members")?, overrides: fields.u32("overrides")? })
         }
-        kind::DIGEST => Ok(Body::Digest { members: f.u32("members")?, overrides: f.u32("overrides")? }),
         kind::GOSSIP => Ok(Body::Gossip),
-        kind::LEASE_REQUEST..=kind::LEASE_RETURNED => read_lease(f, kind).map(Body::Lease),
-        kind::OVERRIDES => read_overrides(f).map(Body::Overrides),
-        kind::CATALOG_VERSION..=kind::CATALOG_CHUNK => read_catalog(f, kind).map(Body::Catalog),
-        kind::CONSENSUS => Ok(Body::Consensus { bytes: read_piece(f)? }),
+        kind::LEASE_REQUEST..=kind::LEASE_RETURNED => read_lease(fields, kind).map(Body::Lease),
+        kind::OVERRIDES => read_overrides(fields).map(Body::Overrides),
+        kind::CATALOG_VERSION..=kind::CATALOG_CHUNK => read_catalog(fields, kind).map(Body::Catalog),
+        kind::CONSENSUS => Ok(Body::Consensus { bytes: read_piece(fields)? }),
         kind::CONSENSUS_CHUNK => {
-            let number = f.u32("number")?;
-            let (pieces, piece) = (f.u16("pieces")?, f.u16("piece")?);
+            let number = fields.u32("number")?;
+            let (pieces, piece) = (fields.u16("pieces")?, fields.u16("piece")?);
             check_position(piece, pieces)?;
-            Ok(Body::ConsensusChunk { number, pieces, piece, bytes: read_piece(f)? })
+            Ok(Body::ConsensusChunk { number, pieces, piece, bytes: read_piece(fields)? })
         }
         kind::CONSENSUS_CHUNK_REQUEST => {
-            Ok(Body::ConsensusChunkRequest { number: f.u32("number")?, piece: f.u16("piece")? })
+            Ok(Body::ConsensusChunkRequest { number: fields.u32("number")?, piece: fields.u16("piece")? })
         }
-        kind::NODE_LIST_VERSION..=kind::NODE_REMOVALS => read_node_list(f, kind).map(Body::NodeList),
+        kind::NODE_LIST_VERSION..=kind::NODE_REMOVALS => read_node_list(fields, kind).map(Body::NodeList),
         other => Err(unknown_kind(other)),
     }
 }
 
-fn read_probe(f: &mut Fields, kind: u8) -> Result<ProbeMessage, WireError> {
-    let seq = f.u32("number")?;
+fn read_probe(fields: &mut Fields, kind: u8) -> Result<ProbeMessage, WireError> {
+    let seq = fields.u32("number")?;
     Ok(match kind {
         kind::PING => ProbeMessage::Ping { seq },
         kind::ACK => ProbeMessage::Ack { seq },
-        kind::PING_REQUEST => ProbeMessage::PingRequest { seq, slot: f.u32("host")? },
-        kind::INDIRECT_ACK => ProbeMessage::IndirectAck { seq, slot: f.u32("host")? },
-        kind::NACK => ProbeMessage::Nack { seq, slot: f.u32("host")? },
+        kind::PING_REQUEST => ProbeMessage::PingRequest { seq, slot: fields.u32("host")? },
+        kind::INDIRECT_ACK => ProbeMessage::IndirectAck { seq, slot: fields.u32("host")? },
+        kind::NACK => ProbeMessage::Nack { seq, slot: fields.u32("host")? },
         other => return Err(unknown_kind(other)),
     })
 }
 
-fn read_lease(f: &mut Fields, kind: u8) -> Result<LeaseMessage, WireError> {
+fn read_lease(fields: &mut Fields, kind: u8) -> Result<LeaseMessage, WireError> {
     Ok(match kind {
         kind::LEASE_REQUEST => LeaseMessage::Request {
-            seq: f.u32("number")?,
-            active_seq: f.u32("active lease")?,
-            lender_generation: f.u64("generation")?,
-            volume: f.u32("volume")?,
-            share: read_share(f)?,
+            seq: fields.u32("number")?,
+            active_seq: fields.u32("active lease")?,
+            lender_generation: fields.u64("generation")?,
+            volume: fields.u32("volume")?,
+            share: read_share(fields)?,
         },
         kind::LEASE_GRANT => LeaseMessage::Grant {
-            request_seq: f.u32("request")?,
-            recipient_generation: f.u64("generation")?,
-            seq: f.u32("number")?,
-            volume: f.u32("volume")?,
-            share: read_share(f)?,
-            term_ms: f.u32("term")?,
+            request_seq: fields.u32("request")?,
+            recipient_generation: fields.u64("generation")?,
+            seq: fields.u32("number")?,
+            volume: fields.u32("volume")?,
+            share: read_share(fields)?,
+            term_ms: fields.u32("term")?,
+        },
+        kind::LEASE_OFFER => LeaseMessage::Offer { volume: fields.u32("volume")? },
+        kind::LEASE_RECALL => LeaseMessage::Recall { volume: fields.u32("volume")? },
+        kind::LEASE_RETURNED => LeaseMessage::Returned {
+            recipient_generation: fields.u64("generation")?,
+            volume: fields.u32("volume")?,
         },
-        kind::LEASE_OFFER => LeaseMessage::Offer { volume: f.u32("volume")? },
-        kind::LEASE_RECALL => LeaseMessage::Recall { volume: f.u32("volume")? },
-        kind::LEASE_RETURNED => {
-            LeaseMessage::Returned { recipient_generation: f.u64("generation")?, volume: f.u32("volume")? }
-        }
         other => return Err(unknown_kind(other)),
     })
 }
 
-fn read_catalog(f: &mut Fields, kind: u8) -> Result<CatalogMessage, WireError> {
-    let number = f.u64("update")?;
+fn read_catalog(fields: &mut Fields, kind: u8) -> Result<CatalogMessage, WireError> {
+    let number = fields.u64("update")?;
     Ok(match kind {
-        kind::CATALOG_VERSION => {
-            CatalogMessage::Version { number, mark: f.u64("mark")?, remaining_ms: f.u32("time left")? }
-        }
-        kind::CATALOG_CHUNK_REQUEST => CatalogMessage::ChunkRequest { number, piece: f.u16("piece")? },
+        kind::CATALOG_VERSION => CatalogMessage::Version {
+            number,
+            mark: fields.u64("mark")?,
+            remaining_ms: fields.u32("time left")?,
+        },
+        kind::CATALOG_CHUNK_REQUEST => CatalogMessage::ChunkRequest { number, piece: fields.u16("piece")? },
         kind::CATALOG_CHUNK => {
-            let (piece, pieces) = (f.u16("piece")?, f.u16("pieces")?);
+            let (piece, pieces) = (fields.u16("piece")?, fields.u16("pieces")?);
             check_position(piece, pieces)?;
-            CatalogMessage::Chunk { number, piece, pieces, bytes: read_piece(f)? }
+            CatalogMessage::Chunk { number, piece, pieces, bytes: read_piece(fields)? }
         }
         other => return Err(unknown_kind(other)),
     })
 }
 
-fn read_node_list(f: &mut Fields, kind: u8) -> Result<NodeListMessage, WireError> {
-    let version = f.u64("version")?;
+fn read_node_list(fields: &mut Fields, kind: u8) -> Result<NodeListMessage, WireError> {
+    let version = fields.u64("version")?;
     Ok(match kind {
         kind::NODE_LIST_VERSION => NodeListMessage::Version { version },
         kind::NODE_LIST_REQUEST => NodeListMessage::Request { version },
         kind::NODE_REMOVALS => {
-            let count = f.u8("nodes")?;
+            let count = fields.u8("nodes")?;
             if usize::from(count) > MAX_REMOVALS {
                 return Err(unexpected("nodes", count, "at most 18"));
             }
-            let removals = (0..count).map(|_| read_removal(f)).collect::<Result<_, _>>()?;
+            let removals = (0..count).map(|_| read_removal(fields)).collect::<Result<_, _>>()?;
             NodeListMessage::Removals { version, removals }
         }
         other => return Err(unknown_kind(other)),
     })
 }
 
-fn read_overrides(f: &mut Fields) -> Result<Vec<OverrideRecord>, WireError> {
-    let count = f.u8("overrides")?;
+fn read_overrides(fields: &mut Fields) -> Result<Vec<OverrideRecord>, WireError> {
+    let count = fields.u8("overrides")?;
     if usize::from(count) > MAX_OVERRIDES {
         return Err(unexpected("overrides", count, "at most 2"));
     }
-    (0..count).map(|_| read_override(f)).collect()
+    (0..count).map(|_| read_override(fields)).collect()
 }
 
-fn read_override(f: &mut Fields) -> Result<OverrideRecord, WireError> {
-    let (slot, generation, number) = (f.u32("host")?, f.u64("generation")?, f.u64("override")?);
-    let (kind, weight) = (f.u8("override kind")?, read_share(f)?);
+fn read_override(fields: &mut Fields) -> Result<OverrideRecord, WireError> {
+    let (slot, generation, number) =
+        (fields.u32("host")?, fields.u64("generation")?, fields.u64("override")?);
+    let (kind, weight) = (fields.u8("override kind")?, read_share(fields)?);
     let kind = match kind {
         0 => OverrideKind::Out,
         1 => OverrideKind::Pinned,
         2 => OverrideKind::Weight(weight),
         other => return Err(unexpected("override kind", other, "0 out, 1 pinned or 2 weight")),
     };
-    let (target, reason, who) = (f.text("target")?, f.text("reason")?, f.text("who")?);
-    let (remaining_ms, total_ms) = (f.u64("time left")?, f.u64("whole time")?);
-    let cleared = read_flag(f, "cleared")?;
+    let (target, reason, who) = (fields.text("target")?, fields.text("reason")?, fields.text("who")?);
+    let (remaining_ms, total_ms) = (fields.u64("time left")?, fields.u64("whole time")?);
+    let cleared = read_flag(fields, "cleared")?;
     Ok(OverrideRecord {
         slot,
         generation,
@@ -163,51 +169,52 @@
     })
 }
 
-fn read_update(f: &mut Fields) -> Result<MemberUpdate, WireError> {
-    let (slot, generation, incarnation) = (f.u32("host")?, f.u64("generation")?, f.u32("incarnation")?);
-    let health = match f.u8("health")? {
+fn read_update(fields: &mut Fields) -> Result<MemberUpdate, WireError> {
+    let (slot, generation, incarnation) =
+        (fields.u32("host")?, fields.u64("generation")?, fields.u32("incarnation")?);
+    let health = match fields.u8("health")? {
         0 => Health::Alive,
         1 => Health::Suspect,
         2 => Health::Dead,
         3 => Health::Left,
         other => return Err(unexpected("health", other, "0 alive, 1 suspect, 2 dead or 3 left")),
     };
-    let address = read_address(f)?;
-    let site = Some(f.u32("site")?).filter(|site| *site != NONE);
+    let address = read_address(fields)?;
+    let site = Some(fields.u32("site")?).filter(|site| *site != NONE);
     let suspected_by = match health {
-        Health::Suspect => Some(f.u32("suspected by")?).filter(|slot| *slot != NONE),
+        Health::Suspect => Some(fields.u32("suspected by")?).filter(|slot| *slot != NONE),
         Health::Alive | Health::Dead | Health::Left => None,
     };
     Ok(MemberUpdate { slot, generation, incarnation, health, address, site, suspected_by })
 }
 
-fn read_removal(f: &mut Fields) -> Result<NodeRemoval, WireError> {
-    let address = f.text("node")?;
+fn read_removal(fields: &mut Fields) -> Result<NodeRemoval, WireError> {
+    let address = fields.text("node")?;
     check_len("node", address.len(), MAX_TARGET_LEN)?;
-    Ok(NodeRemoval { address, gone: read_flag(f, "gone")? })
+    Ok(NodeRemoval { address, gone: read_flag(fields, "gone")? })
 }
 
-fn read_address(f: &mut Fields) -> Result<SocketAddr, WireError> {
-    let ip = match f.u8("address kind")? {
-        4 => IpAddr::V4(Ipv4Addr::from(f.u32("address")?)),
+fn read_address(fields: &mut Fields) -> Result<SocketAddr, WireError> {
+    let ip = match fields.u8("address kind")? {
+        4 => IpAddr::V4(Ipv4Addr::from(fields.u32("address")?)),
         6 => {
-            let (high, low) = (f.u64("address")?, f.u64("address")?);
+            let (high, low) = (fields.u64("address")?, fields.u64("address")?);
             IpAddr::V6(Ipv6Addr::from(u128::from(high) << 64 | u128::from(low)))
         }
         other => return Err(unexpected("address kind", other, "4 or 6")),
     };
-    Ok(SocketAddr::new(ip, f.u16("port")?))
+    Ok(SocketAddr::new(ip, fields.u16("port")?))
 }
 
-fn read_piece(f: &mut Fields) -> Result<Bytes, WireError> {
-    let len = usize::from(f.u16("bytes")?);
+fn read_piece(fields: &mut Fields) -> Result<Bytes, WireError> {
+    let len = usize::from(fields.u16("bytes")?);
     check_len("piece", len, MAX_PIECE)?;
-    f.bytes("piece", len)
+    fields.bytes("piece", len)
 }
 
 /// A share of a whole, from 0 to 1.
-fn read_share(f: &mut Fields) -> Result<f32, WireError> {
-    let share = f.amount("share")?;
+fn read_share(fields: &mut Fields) -> Result<f32, WireError> {
+    let share = fields.amount("share")?;
     if share > 1.0 {
         let found = u64::from(share.to_bits());
         return Err(WireError::Value { field: "share", found, expected: "an f32 up to 1" });
@@ -215,8 +222,8 @@
     Ok(share)
 }
 
-fn read_flag(f: &mut Fields, field: &'static str) -> Result<bool, WireError> {
-    match f.u8(field)? {
+fn read_flag(fields: &mut Fields, field: &'static str) -> Result<bool, WireError> {
+    match fields.u8(field)? {
         0 => Ok(false),
         1 => Ok(true),
         other => Err(unexpected(field, other, "0 or 1")),
--- a/crates/wire/src/reader.rs
+++ b/crates/wire/src/reader.rs
@@ -7,8 +7,8 @@
 pub struct Fields(pub Bytes);
 
 impl Fields {
-    fn require(&self, field: &'static str, n: usize) -> Result<(), WireError> {
-        match n.saturating_sub(self.0.len()) {
+    fn require(&self, field: &'static str, length: usize) -> Result<(), WireError> {
+        match length.saturating_sub(self.0.len()) {
             0 => Ok(()),
             missing => Err(WireError::Short { field, missing }),
         }
@@ -40,20 +40,22 @@
             }
         }
     }
-    /// The next `n` bytes.
-    pub fn bytes(&mut self, field: &'static str, n: usize) -> Result<Bytes, WireError> {
-        self.require(field, n).map(|()| self.0.split_to(n))
+    /// The next bytes, so many.
+    pub fn bytes(&mut self, field: &'static str, length: usize) -> Result<Bytes, WireError> {
+        self.require(field, length).map(|()| self.0.split_to(length))
     }
     /// Text with a length byte before it.
     pub fn text(&mut self, field: &'static str) -> Result<String, WireError> {
-        let n = usize::from(self.u8(field)?);
-        String::from_utf8(self.bytes(field, n)?.to_vec()).map_err(|_| WireError::Text { field })
+        let length = usize::from(self.u8(field)?);
+        String::from_utf8(self.bytes(field, length)?.to_vec()).map_err(|_| WireError::Text { field })
     }
-    /// Nothing may be left.
+    /// Checks that no bytes are left.
     pub fn end(&self, field: &'static str) -> Result<(), WireError> {
         match self.0.len() {
             0 => Ok(()),
-            n => Err(WireError::Value { field, found: n as u64, expected: "no bytes after the last field" }),
+            left => {
+                Err(WireError::Value { field, found: left as u64, expected: "no bytes after the last field" })
+            }
         }
     }
 }
@@ -80,7 +82,7 @@
         self.received.len()
     }
 
-    /// The next whole frame, without its length. After an error the stream can't be followed any further.
+    /// The next whole frame, without its length. After an error no further frame can be found.
     pub fn next_frame(&mut self) -> Result<Option<Bytes>, WireError> {
         let Some(head) = self.received.first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_be_bytes(*head) as usize;
--- a/crates/wire/src/scsi/response.rs
+++ b/crates/wire/src/scsi/response.rs
@@ -73,9 +73,10 @@
     Bytes::copy_from_slice(&limits)
 }
 
-fn padded(text: &str, n: usize) -> Vec<u8> {
+/// The text, filled up with spaces.
+fn padded(text: &str, length: usize) -> Vec<u8> {
     let mut bytes = text.as_bytes().to_vec();
-    bytes.resize(n, b' ');
+    bytes.resize(length, b' ');
     bytes
 }
 
--- a/crates/wire/tests/codecs.rs
+++ b/crates/wire/tests/codecs.rs
@@ -126,8 +126,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
+    /// Frames of the node protocol are sent and received in pieces of any size, as a socket delivers them. Each is decoded as
+    /// it was.
     #[test]
-    fn node_frames_come_back(sent in proptest::collection::vec(node_frame(), 1..5), cuts in proptest::collection::vec(1usize..300, 1..8)) {
+    fn node_frames_survive_a_round_trip(sent in proptest::collection::vec(node_frame(), 1..5), cuts in proptest::collection::vec(1usize..300, 1..8)) {
         let mut bytes = BytesMut::new();
         sent.iter().for_each(|f| f.encode(&mut bytes));
         let mut frames = node::frames(MAX);
@@ -142,8 +144,9 @@
         prop_assert_eq!(frames.partial(), 0);
     }
 
+    /// Frames of the list protocol are received in pieces of any size. Each is decoded as it was.
     #[test]
-    fn list_frames_come_back(sent in proptest::collection::vec(list_frame(), 1..5), cuts in proptest::collection::vec(1usize..300, 1..8)) {
+    fn list_frames_survive_a_round_trip(sent in proptest::collection::vec(list_frame(), 1..5), cuts in proptest::collection::vec(1usize..300, 1..8)) {
         let bytes: Vec<u8> = sent.iter().flat_map(|f| f.to_bytes().to_vec()).collect();
         let mut frames = list::frames();
         let mut found = Vec::new();
@@ -156,8 +159,9 @@
         prop_assert_eq!(found, sent);
     }
 
+    /// iSCSI units with and without digests are received in pieces of any size. Each is decoded as it was.
     #[test]
-    fn units_come_back(sent in proptest::collection::vec(pdu(), 1..5), header in any::<bool>(), data in any::<bool>(), cuts in proptest::collection::vec(1usize..300, 1..8)) {
+    fn iscsi_units_survive_a_round_trip(sent in proptest::collection::vec(pdu(), 1..5), header in any::<bool>(), data in any::<bool>(), cuts in proptest::collection::vec(1usize..300, 1..8)) {
         let digests = Digests { header, data };
         let mut bytes = BytesMut::new();
         sent.iter().for_each(|p| iscsi::encode(p, digests, &mut bytes));
@@ -173,8 +177,9 @@
         prop_assert_eq!(found, sent);
     }
 
+    /// One bit of an iSCSI unit is flipped on its way. With digests the unit must never be taken for a whole one.
     #[test]
-    fn a_flipped_bit_is_seen_by_the_digests(sent in pdu(), at in any::<prop::sample::Index>(), bit in 0u8..8) {
+    fn digests_find_a_flipped_bit(sent in pdu(), at in any::<prop::sample::Index>(), bit in 0u8..8) {
         prop_assume!(!sent.data.is_empty());
         let digests = Digests { header: true, data: true };
         let mut bytes = BytesMut::new();
@@ -191,8 +196,9 @@
         }
     }
 
+    /// A peer sends arbitrary bytes. No decoder panics, or keeps more data than its bound.
     #[test]
-    fn no_bytes_panic_or_fill_the_memory(bytes in proptest::collection::vec(any::<u8>(), 0..2000)) {
+    fn decoders_never_panic_or_exceed_their_bounds(bytes in proptest::collection::vec(any::<u8>(), 0..2000)) {
         let all = Bytes::from(bytes.clone());
         _ = Frame::decode(all.clone());
         _ = list::Frame::decode(all.clone());
@@ -212,8 +218,9 @@
         }
     }
 
+    /// A deadline is carried by an additional header of an iSCSI unit. It is found alone and behind a header of another type.
     #[test]
-    fn expiries_stand_among_other_headers(us in any::<u64>(), other in proptest::collection::vec(any::<u8>(), 0..30)) {
+    fn deadline_is_found_among_other_headers(us in any::<u64>(), other in proptest::collection::vec(any::<u8>(), 0..30)) {
         let mut pdu = Pdu::new(1, 0);
         pdu.set_deadline(us);
         prop_assert_eq!(pdu.deadline(), Some(us));
@@ -226,8 +233,9 @@
         prop_assert_eq!(pdu.deadline(), Some(us));
     }
 
+    /// NBD options, requests and replies are received in pieces of any size. Each is decoded as it was.
     #[test]
-    fn nbd_units_come_back(flags in any::<u16>(), cookie in any::<u64>(), offset in any::<u64>(), deadline in any::<Option<u64>>(), data in data(), cuts in proptest::collection::vec(1usize..300, 1..8)) {
+    fn nbd_units_survive_a_round_trip(flags in any::<u16>(), cookie in any::<u64>(), offset in any::<u64>(), deadline in any::<Option<u64>>(), data in data(), cuts in proptest::collection::vec(1usize..300, 1..8)) {
         let request = nbd::Request { flags: flags & !nbd::flag::DEADLINE, kind: nbd::command::WRITE, cookie, offset, length: data.len() as u32, deadline_us: deadline };
         let mut bytes = BytesMut::new();
         nbd::option(nbd::option::GO, &nbd::write_go("v", &[3]), &mut bytes);
@@ -265,8 +273,9 @@
         }
     }
 
+    /// A peer sends arbitrary bytes in each stage of an NBD session. No decoder panics.
     #[test]
-    fn no_bytes_break_the_nbd_units(bytes in proptest::collection::vec(any::<u8>(), 0..500)) {
+    fn nbd_decoders_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..500)) {
         for stage in [nbd::Stage::Flags, nbd::Stage::Options, nbd::Stage::Transmission] {
             let mut client = nbd::ClientUnits::new(MAX as u32);
             let mut server = nbd::ServerUnits::new(MAX as u32);
@@ -282,8 +291,9 @@
         _ = nbd::read_version(&all);
     }
 
+    /// Each SCSI command is written as a command block and parsed again.
     #[test]
-    fn commands_come_back(block in any::<u64>(), blocks in any::<u32>(), allocation_length in any::<u16>(), page in any::<Option<u8>>()) {
+    fn scsi_commands_survive_a_round_trip(block in any::<u64>(), blocks in any::<u32>(), allocation_length in any::<u16>(), page in any::<Option<u8>>()) {
         let allocation_length = u32::from(allocation_length);
         for c in [
             Command::Read { block, blocks },
@@ -303,8 +313,10 @@
     }
 }
 
+/// A peer sends a frame that is too long, of an unknown kind, with trailing bytes, or cut short. The error names the field,
+/// what was found and what was expected.
 #[test]
-fn what_a_peer_may_not_send_is_named() {
+fn refused_frames_are_named_in_the_error() {
     let encoded = Frame::Ping { number: 1 }.to_bytes();
     let long = [&[0xff, 0xff, 0xff, 0xff], &encoded[4..]].concat();
     let bad_kind = [&[0, 0, 0, 1], &[9u8][..]].concat();
@@ -324,8 +336,9 @@
     }
 }
 
+/// The digests of the examples in RFC 7143 are as printed there.
 #[test]
-fn digests_are_those_of_the_specification() {
+fn crc32c_matches_the_specification() {
     // RFC 7143, appendix A.4: 32 bytes of zeroes, of ones, and counting up.
     let counting: Vec<u8> = (0..32).collect();
     for (bytes, sum) in [
--- a/crates/wire/tests/golden_bytes.rs
+++ b/crates/wire/tests/golden_bytes.rs
@@ -88,8 +88,9 @@
     }
 }
 
+/// Hosts of an earlier and a later build talk to each other: each datagram between hosts has the bytes that it had.
 #[test]
-fn peer_datagrams() {
+fn peer_datagrams_keep_their_bytes() {
     let bytes = Bytes::from_static(b"piece");
     let stop = |address: &str, gone| NodeRemoval { address: address.into(), gone };
     let stops = vec![stop("10.0.0.1:3260", true), stop("10.0.0.2:3260", false)];
@@ -311,8 +312,8 @@
         ),
     ];
     let mut differences = Differences::default();
-    for (kind, body, news, expected) in cases {
-        let datagram = Datagram { fleet: "fleet-a".into(), sender: alive_host(), body, updates: news };
+    for (kind, body, updates, expected) in cases {
+        let datagram = Datagram { fleet: "fleet-a".into(), sender: alive_host(), body, updates };
         let encoded = datagram.to_bytes();
         let decoded = Datagram::decode(encoded.clone());
         differences.round_trip(kind, datagram, encoded, decoded, expected);
@@ -320,8 +321,9 @@
     differences.assert_none();
 }
 
+/// Hosts of an earlier and a later build talk to each other: each message of the consensus protocol has the bytes that it had.
 #[test]
-fn consensus_messages() {
+fn consensus_messages_keep_their_bytes() {
     let identity = DiskIdentity { disk: 0x0102_0304_0506_0708, boot: 2, generation: 3 };
     let voters: Voters = [(0, 100), (1, 101), (4, 104)].into();
     let entries = vec![
@@ -478,8 +480,9 @@
     node::Frame::Answer(node::Answer { attempt: 1, outcome, waiting: 2, elsewhere: 0.5, data })
 }
 
+/// Hosts of an earlier and a later build talk to each other: each frame between hosts and nodes has the bytes that it had.
 #[test]
-fn node_protocol_frames() {
+fn node_protocol_frames_keep_their_bytes() {
     use node::{Frame, NodeOutcome, Work};
     let cases: Vec<(&str, Frame, &str)> = vec![
         (
@@ -541,8 +544,9 @@
     differences.assert_none();
 }
 
+/// Hosts of an earlier and a later build talk to each other: each frame of the list protocol has the bytes that it had.
 #[test]
-fn node_list_frames() {
+fn node_list_frames_keep_their_bytes() {
     use list::{Entry, Frame, State};
     let entry =
         |address: &str, state| Entry { address: address.into(), state, zone: 1, shard: 2, started_us: 3 };
@@ -605,8 +609,9 @@
     nbd::Request { flags, kind, cookie: 0x0102_0304_0506_0708, offset: 4096, length: 512, deadline_us }
 }
 
+/// Hosts of an earlier and a later build talk to each other: each NBD unit of a client has the bytes that it had.
 #[test]
-fn nbd_client_units() {
+fn nbd_client_units_keep_their_bytes() {
     use nbd::{ClientUnit, ClientUnits, Stage};
     let mut option = BytesMut::new();
     nbd::option(nbd::option::GO, &nbd::write_go("volume-1", &[nbd::info::BLOCK_SIZE]), &mut option);
@@ -664,17 +669,18 @@
     differences.assert_none();
 }
 
+/// Hosts of an earlier and a later build talk to each other: each NBD unit of a server has the bytes that it had.
 #[test]
-fn nbd_server_units() {
+fn nbd_server_units_keep_their_bytes() {
     use nbd::{Reply, ServerUnit, ServerUnits, Stage};
     let greeting_unit = ServerUnit::Greeting { flags: nbd::FIXED_NEWSTYLE | nbd::NO_ZEROES };
-    let agreed = nbd::write_session(2, 3, 64);
-    assert_eq!(nbd::read_version(&agreed), Ok(2));
-    assert_eq!((nbd::read_session(&agreed), nbd::read_window(&agreed)), (Some(3), Some(64)));
+    let session_data = nbd::write_session(2, 3, 64);
+    assert_eq!(nbd::read_version(&session_data), Ok(2));
+    assert_eq!((nbd::read_session(&session_data), nbd::read_window(&session_data)), (Some(3), Some(64)));
     let mut option_reply = BytesMut::new();
-    nbd::option_reply(nbd::option::TACKMAST, nbd::reply::ACK, &agreed, &mut option_reply);
+    nbd::option_reply(nbd::option::TACKMAST, nbd::reply::ACK, &session_data, &mut option_reply);
     let option_unit =
-        ServerUnit::OptionReply { option: nbd::option::TACKMAST, kind: nbd::reply::ACK, data: agreed };
+        ServerUnit::OptionReply { option: nbd::option::TACKMAST, kind: nbd::reply::ACK, data: session_data };
     let cookie = 0x0102_0304_0506_0708;
     let data = Bytes::from_static(b"data");
     let simple = Reply::Simple { cookie, error: 0, data: data.clone() };
@@ -748,8 +754,9 @@
     differences.assert_none();
 }
 
+/// Hosts of an earlier and a later build talk to each other: each iSCSI unit has the bytes that it had.
 #[test]
-fn iscsi_units() {
+fn iscsi_units_keep_their_bytes() {
     use iscsi::{op, Digests, Pdu, Units};
     let mut command = Pdu::new(op::COMMAND, iscsi::FINAL | iscsi::READS);
     command.set_lun(300).set32(16, 0x0a0b_0c0d).set16(20, 7).set_deadline(250_000);
@@ -827,8 +834,9 @@
     differences.assert_none();
 }
 
+/// Hosts of an earlier and a later build talk to each other: each SCSI command block has the bytes that it had.
 #[test]
-fn scsi_command_blocks() {
+fn scsi_command_blocks_keep_their_bytes() {
     use scsi::Command;
     let cases: Vec<(&str, Command, &str)> = vec![
         ("test unit ready", Command::TestUnitReady, "00000000000000000000000000000000"),
@@ -877,8 +885,9 @@
     differences.assert_none();
 }
 
+/// Hosts of an earlier and a later build talk to each other: each SCSI response has the bytes that it had.
 #[test]
-fn scsi_response_data() {
+fn scsi_response_data_keep_their_bytes() {
     let unit = |lun| scsi::Unit {
         lun,
         name: "volume-1".into(),
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -34,8 +34,10 @@
     }
 }
 
+/// Each kind of message is encoded at its largest, with as many updates as it may carry. It fits a datagram and is decoded as
+/// it was.
 #[test]
-fn each_kind_comes_back_as_it_was_and_fits_its_bound() {
+fn message_survives_a_round_trip_within_the_datagram_limit() {
     let long = "x".repeat(MAX_TEXT_LEN);
     for body in [
         Body::Probe(ProbeMessage::Ping { seq: 1 }),
@@ -107,8 +109,9 @@
 }
 
 proptest! {
+    /// A peer sends arbitrary bytes, or a datagram that is cut short. The decoder does not panic, and refuses the latter.
     #[test]
-    fn no_bytes_panic_and_no_cut_passes(bytes in proptest::collection::vec(any::<u8>(), 0..200), cut in 0usize..60) {
+    fn decoder_never_panics_and_refuses_cut_datagrams(bytes in proptest::collection::vec(any::<u8>(), 0..200), cut in 0usize..60) {
         _ = Datagram::decode(Bytes::from(bytes));
         let d = Datagram { fleet: "fleet".into(), sender: updates(1)[0], body: Body::Overrides(vec![record("why")]), updates: updates(3) };
         let whole = d.to_bytes();
