--- a/crates/benchmarks/src/truth.rs
+++ b/crates/benchmarks/src/truth.rs
@@ -13,7 +13,7 @@
 use tackmast_simulator::{settings, World};
 use tackmast_trace::Recorder;
 use tackmast_wire::list::{Entry, State};
-use tackmast_workload::Load;
+use tackmast_workload::Workload;
 
 const PATIENCE: Duration = Duration::from_secs(10);
 /// Threads that ask at the same time for one host; a later arrival than all of them can take waits, and its wait counts.
@@ -42,7 +42,7 @@
 }
 
 /// The world that both play: no troubles, links as short as loopback's.
-pub fn world(load: &Load, hosts: u32, nodes: u32, unit_ms: f64) -> World {
+pub fn world(load: &Workload, hosts: u32, nodes: u32, unit_ms: f64) -> World {
     let mut w = World::draw(1, hosts);
     (w.nodes, w.seconds, w.unit_s, w.cores) = (nodes, load.seconds + 0.5, unit_ms / 1e3, 2);
     (w.delay_us, w.jitter_us, w.list_late_us) = (50, 20, 10_000);
@@ -53,7 +53,12 @@
 }
 
 /// Plays the load both ways.
-pub fn held_against_loopback(load: &Load, hosts: u32, nodes: u32, unit_ms: f64) -> Result<Vec<Both>, String> {
+pub fn held_against_loopback(
+    load: &Workload,
+    hosts: u32,
+    nodes: u32,
+    unit_ms: f64,
+) -> Result<Vec<Both>, String> {
     let w = world(load, hosts, nodes, unit_ms);
     let lab = in_lab(&w, load);
     let real = on_loopback(&w, load)?;
@@ -61,7 +66,7 @@
     Ok(flows.map(|((f, lab), loopback)| Both { flow: f.name.clone(), lab, loopback }).collect())
 }
 
-fn in_lab(w: &World, load: &Load) -> Vec<Figures> {
+fn in_lab(w: &World, load: &Workload) -> Vec<Figures> {
     let found = tackmast_simulator::play(w, None);
     let of = |f: &tackmast_workload::Flow| {
         // A flow is told by its plan here: each volume of a load that is held against loopback has one flow.
@@ -90,7 +95,7 @@
     Figures { p50_ms: at(0.5), p99_ms: at(0.99), ..f }
 }
 
-fn on_loopback(w: &World, load: &Load) -> Result<Vec<Figures>, String> {
+fn on_loopback(w: &World, load: &Workload) -> Result<Vec<Figures>, String> {
     let marks = Arc::new(IdempotencyKeys::default());
     let start = |shard: u32| {
         Node::start(NodeSettings {
--- a/crates/cli/src/planner.rs
+++ b/crates/cli/src/planner.rs
@@ -43,7 +43,7 @@
 }
 
 /// What a load asks, by volume, traffic class and shard.
-fn asked(s: &HostSettings, l: &tackmast_workload::Load, max_rate: f64) -> Vec<Asked> {
+fn asked(s: &HostSettings, l: &tackmast_workload::Workload, max_rate: f64) -> Vec<Asked> {
     let layout = Layout::new(s);
     let mut arrivals: BTreeMap<(usize, usize, u32), Vec<Arrival>> = BTreeMap::new();
     for a in l.arrivals(s.host.hosts) {
@@ -76,7 +76,7 @@
 
 /// How long a load may wait for its own plan's limit: the longest at any host, each of which has an even part of it and starts
 /// with what a host starts with. By volume; none where its plan has no limit.
-fn held_by_limit(s: &HostSettings, l: &tackmast_workload::Load) -> BTreeMap<usize, f64> {
+fn held_by_limit(s: &HostSettings, l: &tackmast_workload::Workload) -> BTreeMap<usize, f64> {
     let layout = Layout::new(s);
     let mut arrivals: BTreeMap<(usize, u32), Vec<Arrival>> = BTreeMap::new();
     for a in l.arrivals(s.host.hosts) {
@@ -126,7 +126,7 @@
 }
 
 impl Figures {
-    fn read(&self) -> Result<(HostSettings, tackmast_workload::Load, Node), String> {
+    fn read(&self) -> Result<(HostSettings, tackmast_workload::Workload, Node), String> {
         for (name, x) in [("node-units", self.node_units), ("unit-ms", self.unit_ms)] {
             if !(x.is_finite() && x > 0.0) {
                 return Err(format!("--{name} {x}; expected a number above 0"));
@@ -138,7 +138,7 @@
             }
         }
         let s = HostSettings::read(&self.config).map_err(|e| e.to_string())?;
-        let load = tackmast_workload::Load::read(&self.load).map_err(|e| e.to_string())?;
+        let load = tackmast_workload::Workload::read(&self.load).map_err(|e| e.to_string())?;
         if let Some(f) = load.flows.iter().find(|f| !s.volumes.iter().any(|v| v.name == f.volume)) {
             let at = self.load.display();
             return Err(format!(
@@ -259,7 +259,7 @@
         "load", "class", "objective", "bound", "p50", "p99", "p99.9", "most", "in time"
     );
     for file in files {
-        let load = tackmast_workload::Load::read(file).map_err(|e| e.to_string())?;
+        let load = tackmast_workload::Workload::read(file).map_err(|e| e.to_string())?;
         let mut w = World::draw(seed, hosts);
         w.troubles.clear();
         (w.nodes, w.clients, w.unit_s, w.saved) = (nodes, [0, 0], 0.004, 0.0);
--- a/crates/cli/src/simulator.rs
+++ b/crates/cli/src/simulator.rs
@@ -157,7 +157,7 @@
             world.rate = rate.unwrap_or(world.rate);
             world.troubles.retain(|t| !calm && t.node < world.nodes);
             if let Some(file) = file {
-                let load = tackmast_workload::Load::read(&file).map_err(|e| e.to_string())?;
+                let load = tackmast_workload::Workload::read(&file).map_err(|e| e.to_string())?;
                 world.seconds = seconds.unwrap_or(load.seconds + 0.5);
                 world.load = Some(std::sync::Arc::new(load));
             }
@@ -192,7 +192,7 @@
             if !(1..=8).contains(&hosts) || !(1..=60).contains(&nodes) || !(0.1..=100.0).contains(&unit_ms) {
                 return Err(format!("--hosts {hosts} --nodes {nodes} --unit-ms {unit_ms}; expected 1 to 8, 1 to 60, 0.1 to 100"));
             }
-            let load = tackmast_workload::Load::read(&file).map_err(|e| e.to_string())?;
+            let load = tackmast_workload::Workload::read(&file).map_err(|e| e.to_string())?;
             println!("{hosts} hosts, {nodes} nodes; models in virtual time, and stand-ins on loopback");
             println!(
                 "{:<12} {:<9} {:>7} {:>8} {:>9} {:>8} {:>9} {:>9}",
--- a/crates/simulator/src/draw.rs
+++ b/crates/simulator/src/draw.rs
@@ -91,7 +91,7 @@
     /// The list tells when it was sent; else hosts read it by their own wall clocks.
     pub timed_list: bool,
     /// Arrivals from a file, in place of those drawn.
-    pub load: Option<std::sync::Arc<tackmast_workload::Load>>,
+    pub load: Option<std::sync::Arc<tackmast_workload::Workload>>,
     /// Hosts know of each other: the part of their datagrams that is lost, or that comes twice.
     pub members: Option<f64>,
     /// Hosts through which the limited volume comes: the first so many.
--- a/crates/simulator/tests/lab.rs
+++ b/crates/simulator/tests/lab.rs
@@ -69,7 +69,7 @@
 fn a_light_load_from_a_file_is_served_at_once_by_nodes_that_keep_their_own_time() {
     // Found by holding the lab against loopback: nodes were looked at only when something came, so that a quiet node took
     // far too long, and the more so the more nodes there were.
-    let load = tackmast_workload::Load::parse(
+    let load = tackmast_workload::Workload::parse(
         "light",
         "load {\n seconds = 4\n seed = 1\n}\nflow \"f\" {\n volume = \"museum\"\n rate = 60\n writes = 0.3\n blocks = [1, 8]\n span = 50000\n}\n",
     );
