--- a/crates/membership/src/view/failure_detector.rs
+++ b/crates/membership/src/view/failure_detector.rs
@@ -135,10 +135,10 @@
         }
     }
 
-    /// Neither the member answered nor a helper for it.
+    /// A probe failed: neither the member answered nor a helper for it.
     ///
-    /// Without nacks, this host can't tell a dead member from its own broken link and would suspect all that it probes. A
-    /// nack shows that the host's own datagrams arrive; without any, the host lowers its own local health.
+    /// Without nacks this host could not tell a dead member from its own broken link, and would suspect all that it probes.
+    /// A nack shows that the host's own datagrams arrive. Without any the host counts the failure against itself too.
     fn probe_failed(&mut self, now: Instant, probe: &Probe) {
         let state = self.members.get(probe.slot).filter(|state| state.generation == probe.generation);
         let Some(state) = state else { return };
--- a/crates/membership/src/view/merge.rs
+++ b/crates/membership/src/view/merge.rs
@@ -8,7 +8,7 @@
 
 /// Greatest incarnation that is accepted: a member could not refute a greater one by a later one for ever.
 const MAX_INCARNATION: u32 = 1 << 30;
-/// Greatest generation that is accepted: no process could start with a later one.
+/// Greatest generation that is accepted: it leaves room for the generations of later starts.
 const MAX_GENERATION: u64 = u64::MAX - (1 << 20);
 /// Deaths that are kept for status output.
 const MAX_DEATHS: usize = 64;
@@ -55,20 +55,20 @@
     }
 
     fn supersedes(&self, update: &MemberUpdate, state: &MemberState) -> bool {
-        let (known, received) = (state.precedence(), precedence(update));
-        let is_same_generation = update.generation == state.generation;
-        // This host received nothing when it declared a death in isolation, so any peer's state of the same incarnation is
-        // better informed. Without this a refutation that the host missed meanwhile would never be accepted.
-        let replaces_guess = state.declared_in_isolation
-            && is_same_generation
-            && update.incarnation >= state.incarnation
-            && update.health != Health::Dead;
-        let ignores_incarnation =
-            self.has(ViewFault::IgnoresIncarnation) && known != received && is_same_generation;
+        precedence(update) > state.precedence()
+            || replaces_guess(update, state)
+            || self.supersedes_by_fault(update, state)
+    }
+
+    /// The deliberate faults of precedence.
+    fn supersedes_by_fault(&self, update: &MemberUpdate, state: &MemberState) -> bool {
+        let ignores_incarnation = self.has(ViewFault::IgnoresIncarnation)
+            && precedence(update) != state.precedence()
+            && update.generation == state.generation;
         let old_generation_wins = self.has(ViewFault::OldGenerationWins)
             && update.generation < state.generation
             && update.health == Health::Alive;
-        received > known || replaces_guess || ignores_incarnation || old_generation_wins
+        ignores_incarnation || old_generation_wins
     }
 
     /// Merges an update of the same generation, incarnation and health as what is known.
@@ -228,6 +228,17 @@
     }
 }
 
+/// Whether the update replaces a death that this host declared in isolation. The host received nothing then, and gossiped
+/// none of it, so its peers still have the member alive at the same incarnation. Without this rule their updates would
+/// lose against the guess, as worse health takes precedence.
+fn replaces_guess(update: &MemberUpdate, state: &MemberState) -> bool {
+    state.declared_in_isolation
+        && update.generation == state.generation
+        && update.incarnation >= state.incarnation
+        && update.health != Health::Dead
+}
+
+/// Which of two updates supersedes the other: a later generation, then a later incarnation, then worse health.
 fn precedence(update: &MemberUpdate) -> (u64, u32, Health) {
     (update.generation, update.incarnation, update.health)
 }
