--- a/crates/consensus/src/chunks.rs
+++ b/crates/consensus/src/chunks.rs
@@ -42,7 +42,7 @@
     pub bytes: Bytes,
 }
 
-/// A datagram's body, and where it goes.
+/// A datagram's body and its receiver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Transmit {
     /// The receiver.
@@ -199,7 +199,7 @@
         Some(self.incoming.remove(position).into_bytes())
     }
 
-    /// Where the chunk's message stands among the incoming ones: one of each sender at a time, begun by its first chunk.
+    /// Position of the chunk's message among the incoming ones. Each sender has one at a time, which its first chunk begins.
     fn incoming_position(&mut self, now: Instant, from: SocketAddr, chunk: &Chunk) -> Option<usize> {
         let Some(position) = self.incoming.iter().position(|message| message.from == from) else {
             return (chunk.index == 0).then(|| self.start_incoming(now, from, chunk));
--- a/crates/consensus/src/fault.rs
+++ b/crates/consensus/src/fault.rs
@@ -1,4 +1,4 @@
-//! Deliberate faults: tests plant one and have to find that something goes wrong.
+//! Deliberate faults. A test builds one in and must then find a violation; else the test would prove nothing.
 
 /// A mistake in the protocol or its implementation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/consensus/src/raft/bootstrap.rs
+++ b/crates/consensus/src/raft/bootstrap.rs
@@ -69,7 +69,7 @@
 }
 
 impl BootstrapState {
-    /// Of a server that may begin the log.
+    /// The state of a server that may begin the log.
     pub(super) fn new(initial_voters: BTreeSet<u32>, confirmed_voters: Option<Voters>) -> BootstrapState {
         let confirmation = match confirmed_voters {
             Some(voters) => Confirmation::Persisted { voters },
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Of a server that only waits for a log of others.
+    /// The state of a server that only waits for a log of others.
     pub(super) fn learner(initial_voters: BTreeSet<u32>) -> BootstrapState {
         BootstrapState { is_learner: true, ..BootstrapState::new(initial_voters, None) }
     }
--- a/crates/consensus/src/raft/progress.rs
+++ b/crates/consensus/src/raft/progress.rs
@@ -64,7 +64,7 @@
         self.large_sent_at = self.large_sent_at.filter(|at| !is_large_overdue(now, *at, settings));
     }
 
-    /// The peer has responded to that round, whatever it says of its log.
+    /// The peer has responded to that round, whether its log matches or not.
     pub(super) fn on_response(&mut self, now: Instant, round: u64) {
         self.last_response = now;
         self.round = self.round.max(round);
--- a/crates/consensus/tests/decision_hash.rs
+++ b/crates/consensus/tests/decision_hash.rs
@@ -1,6 +1,6 @@
 //! Guards the decisions of the consensus state machine: a seeded simulation of a small group of replicas, whose
 //! datagrams are lost, duplicated and reordered and whose hosts are isolated and restart from what they persisted. Every
-//! output is folded into a SHA-256 hash, which stands here as a constant. The hash covers encoded bytes and numbers
+//! output is folded into a SHA-256 hash, which is a constant here. The hash covers encoded bytes and numbers
 //! only, so that renaming a type or rewording a log line leaves it as it is, while any other decision moves it.
 
 use bytes::{Bytes, BytesMut};
@@ -12,8 +12,9 @@
 use tackmast_wire::consensus::encode_entry;
 use tackmast_wire::peer::{Body, Datagram, Health, MemberUpdate};
 
-/// Length of a step in virtual seconds, and steps of a run.
+/// Length of a step, in virtual seconds.
 const STEP: f64 = 0.01;
+/// Steps of a run.
 const STEPS: u64 = 6_000;
 /// Bytes of the replicated state: more than one datagram holds, so that a snapshot goes in chunks.
 const STATE_BYTES: usize = 3_000;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -5,14 +5,14 @@
 //! Gupta and Motivala, DSN 2002): randomised probing in rounds with indirect probes (sections 3.1 and 4.3), dissemination
 //! piggybacked on probes (4.1), suspicion and incarnations (4.2). Lifeguard ("Lifeguard: Local Health Awareness for More
 //! Accurate Failure Detection", Dadgar, Phillips and Currey, 2017) adds the local health multiplier, the dynamic suspicion
-//! timeout and the buddy system (its section 4). Beyond both stand anti-entropy by digests, rejoining after long
-//! partitions, damping of flapping members, and detection of pauses and of duplicate numbers.
+//! timeout and the buddy system (its section 4). Additions to both are anti-entropy by digests, rejoining after
+//! long partitions, damping of flapping members, and detection of pauses and of duplicate numbers.
 //!
 //! Four more protocols use the same datagrams. None of them depends on the view for correctness: a host that receives
 //! nothing keeps to what it knows.
 //!
 //! - `view`: which members run. SWIM and Lifeguard; its module comment names the file of each part.
-//! - `quota_leases`: leases on shares of a volume's limit, from an owner to one that has more demand.
+//! - `quota_leases`: leases on shares of a volume's limit, from an owner to another that has more demand.
 //! - `override_gossip`: operators' overrides, as a set that all hosts converge on.
 //! - `catalog_replication`: numbered catalog updates, fetched from any peer that has them.
 //! - `node_list`: versions of the node list, and the nodes that newer ones remove.
--- a/crates/membership/tests/decision_hash.rs
+++ b/crates/membership/tests/decision_hash.rs
@@ -1,7 +1,7 @@
 //! Guards the decisions of the membership state machine: a seeded simulation of a few members whose datagrams are lost,
 //! duplicated and reordered, and which are isolated, paused, leave, and restart from what they persisted. Failure
 //! detection, quota leases, operators' overrides, catalog updates and node list removals all run. Every output is folded
-//! into a SHA-256 hash, which stands here as a constant. The hash covers encoded bytes and numbers only, so that renaming
+//! into a SHA-256 hash, which is a constant here. The hash covers encoded bytes and numbers only, so that renaming
 //! a type or rewording a log line leaves it as it is, while any other decision moves it.
 
 use bytes::Bytes;
@@ -13,10 +13,13 @@
 use tackmast_overrides::Origin;
 use tackmast_wire::peer::Body;
 
-/// Length of a step in virtual seconds, and steps of a run.
+/// Length of a step, in virtual seconds.
 const STEP: f64 = 0.02;
+/// Steps of a run.
 const STEPS: u64 = 4_000;
+/// LUN of the shared volume.
 const VOLUME: u32 = 1;
+/// Its limit, in units a second.
 const LIMIT: f64 = 100.0;
 /// Bytes of one catalog update: more than one datagram holds.
 const UPDATE_BYTES: usize = 3_000;
