--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -16,7 +16,7 @@
         ));
     }
     if (clock_off_s, clock_pace) != (0.0, 1.0) {
-        tackmast_host::Clock::rehearse(clock_off_s, clock_pace);
+        tackmast_host::Clock::simulate_error(clock_off_s, clock_pace);
     }
     let settings = HostSettings::read(config).map_err(|e| e.to_string())?;
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(|e| format!("signals: {e}"))?;
--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -1,103 +1,67 @@
-//! The one thread that owns the host core. It takes events, carries the core's outputs out, and never waits for
-//! a peer: what can't be handed on at once comes back to the core as what it is.
+//! The one thread that owns the host core. It gathers events, executes the core's outputs, and never waits for a peer: what can't be
+//! handed on at once is reported to the core as failed.
+
+mod event;
+mod events;
+
+pub(crate) use event::Event;
 
-use crate::admin::ToStore;
 use crate::links::Links;
-use crate::list::ToList;
+use crate::list::{saved, ToList};
 use crate::peers::Peers;
 use crate::sessions::ToSession;
+use crate::store_writer::ToStore;
+use crate::thread::spawn;
 use crate::{Clock, StartError};
 use bytes::Bytes;
 use crossbeam_channel::{Receiver, Sender, TryRecvError, TrySendError};
 use std::collections::HashMap;
+use std::net::{Shutdown, TcpStream};
+use std::ops::ControlFlow;
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::Duration;
-use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, TimeDelta};
+use tackmast::interface::{Instant, ListKind, NodeState, Outcome};
 use tackmast_admin::Answer;
 use tackmast_config::HostSettings;
 use tackmast_host_core::{
-    AdminRequest, Age, AttemptResult, ClientCommand, CommandRef, Core, Counters, ListEntry, OpenCounts,
-    Output, PersistError, Work,
+    AttemptResult, CommandRef, Core, Counters, Output, PersistBatch, PersistError, SendAttempt, Verdict,
 };
 
-/// Events taken before the outputs they caused are carried out.
-const BATCH: usize = 256;
-const IDLE: Duration = Duration::from_secs(1);
-
-pub enum Event {
-    SessionOpen {
-        session: u32,
-        to: Sender<ToSession>,
-        close: Arc<std::net::TcpStream>,
-    },
-    Submit {
-        from: CommandRef,
-        lun: u32,
-        block: u64,
-        work: Work,
-        began: Instant,
-        asked: Option<TimeDelta>,
-    },
-    Abort {
-        from: CommandRef,
-    },
-    SessionGone {
-        session: u32,
-    },
-    AttemptResult(AttemptResult),
-    NodeUp {
-        node: NodeId,
-        up: TimeDelta,
-        /// Told once the core knows.
-        heard: Sender<()>,
-    },
-    /// `at` is when the list's bytes were read.
-    List {
-        at: Instant,
-        kind: ListKind,
-        from: u64,
-        to: u64,
-        entries: Vec<ListEntry>,
-    },
-    Status(Sender<Status>),
-    Admin {
-        ask: AdminRequest,
-        to: Sender<Answer>,
-    },
-    /// From another host.
-    Datagram {
-        from: std::net::SocketAddr,
-        bytes: Bytes,
-    },
-    /// Lends what it has to others, and says goodbye.
-    Leave,
-    Left,
-    /// Takes nothing new from here on, or answers what is open now.
-    Drain,
-    Settle,
-    /// What became of a write.
-    Kept {
-        request: u64,
-        result: Result<(), PersistError>,
-    },
-    Stop,
-}
+/// Events that are handled before the outputs that they caused are executed.
+const MAX_EVENTS_PER_ITERATION: usize = 256;
+/// The longest wait for an event.
+const MAX_WAIT: Duration = Duration::from_secs(1);
+/// How often the core is given the wall clock.
+const WALL_CLOCK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a host tells of itself.
+/// Figures of a host.
 #[derive(Clone, Debug, Default)]
 pub struct Status {
+    /// Commands and attempts by how they ended, since the start.
     pub counters: Counters,
+    /// Open sessions.
     pub sessions: usize,
+    /// Commands without an answer.
     pub commands: usize,
+    /// Requests without an answer.
     pub requests: usize,
+    /// Attempts in flight.
     pub attempts: usize,
+    /// Addresses of the nodes and their states in the list.
     pub nodes: Vec<(String, NodeState)>,
-    /// Seconds that the core's thread has spent in the core, and in the decision module's part of it.
+    /// Seconds that the core's thread has spent on events and outputs, the scheduler's decisions among them.
     pub core_seconds: f64,
 }
 
-struct Loop {
+/// How the core's thread reaches a session.
+struct SessionHandle {
+    writer: Sender<ToSession>,
+    connection: Arc<TcpStream>,
+}
+
+/// The core and what its thread reaches.
+pub(crate) struct CoreThread {
     core: Core,
     settings: Arc<HostSettings>,
     clock: Clock,
@@ -105,245 +69,145 @@
     list: Sender<ToList>,
     store: Option<Sender<ToStore>>,
     peers: Option<Peers>,
-    leaving: bool,
-    /// Who waits for an answer to which ask.
-    asks: HashMap<u64, Sender<Answer>>,
-    next_ask: u64,
-    wall_at: std::time::Instant,
-    sessions: HashMap<u32, (Sender<ToSession>, Arc<std::net::TcpStream>)>,
-    last: Instant,
-    busy: Duration,
+    is_leaving: bool,
+    /// Who waits for the answer to an operator's call, by its number.
+    admin_callers: HashMap<u64, Sender<Answer>>,
+    last_admin_request: u64,
+    wall_clock_given_at: std::time::Instant,
+    sessions: HashMap<u32, SessionHandle>,
+    /// The time of the present iteration.
+    now: Instant,
+    time_in_core: Duration,
 }
 
-#[allow(clippy::too_many_arguments)] // what the thread owns, one by one
-pub fn start(
-    core: Core,
-    settings: Arc<HostSettings>,
-    clock: Clock,
+/// Starts the thread; events of `urgent` are handled before others.
+pub(crate) fn start(
+    mut core_thread: CoreThread,
     urgent: Receiver<Event>,
     events: Receiver<Event>,
-    links: Links,
-    list: Sender<ToList>,
-    store: Option<Sender<ToStore>>,
-    peers: Option<Peers>,
 ) -> Result<JoinHandle<()>, StartError> {
-    let mut l = Loop {
-        core,
-        settings,
-        clock,
-        links,
-        list,
-        store,
-        peers,
-        leaving: false,
-        asks: HashMap::new(),
-        next_ask: 0,
-        wall_at: std::time::Instant::now(),
-        sessions: HashMap::new(),
-        last: clock.now(),
-        busy: Duration::ZERO,
-    };
-    // The core works on tables of any size, but its own stack use is small and bounded.
-    crate::thread("core".into(), move || l.run(&urgent, &events))
+    // The core works on tables of any size, but its own use of the stack is small and bounded.
+    spawn("core".into(), move || core_thread.run(&urgent, &events))
 }
 
-impl Loop {
+impl CoreThread {
+    /// A core that has not run yet.
+    pub(crate) fn new(
+        core: Core,
+        settings: Arc<HostSettings>,
+        clock: Clock,
+        links: Links,
+        list: Sender<ToList>,
+        store: Option<Sender<ToStore>>,
+        peers: Option<Peers>,
+    ) -> CoreThread {
+        CoreThread {
+            core,
+            settings,
+            clock,
+            links,
+            list,
+            store,
+            peers,
+            is_leaving: false,
+            admin_callers: HashMap::new(),
+            last_admin_request: 0,
+            wall_clock_given_at: std::time::Instant::now(),
+            sessions: HashMap::new(),
+            now: clock.now(),
+            time_in_core: Duration::ZERO,
+        }
+    }
+
     fn run(&mut self, urgent: &Receiver<Event>, events: &Receiver<Event>) {
-        self.saved();
-        self.outputs();
+        self.load_saved_list();
+        self.execute_outputs();
         loop {
-            let wait =
-                self.core.poll_timeout(self.clock.now()).map_or(IDLE, |t| self.clock.until(t)).min(IDLE);
             let first = crossbeam_channel::select! {
-                recv(urgent) -> e => e.ok(),
-                recv(events) -> e => e.ok(),
-                default(wait) => None,
+                recv(urgent) -> event => event.ok(),
+                recv(events) -> event => event.ok(),
+                default(self.wait()) => None,
             };
             let started = std::time::Instant::now();
-            self.last = self.clock.now().max(self.last);
-            if let Some(e) = first {
-                if !self.event(e) {
-                    return;
-                }
+            self.now = self.clock.now().max(self.now);
+            if self.handle_events(first, urgent, events).is_break() {
+                return;
             }
-            for _ in 0..BATCH {
-                // A list is looked at before all else: a drain counts from when its bytes were read.
-                let next = urgent.try_recv().or_else(|_| events.try_recv());
-                match next {
-                    Ok(e) => {
-                        if !self.event(e) {
-                            return;
-                        }
-                    }
-                    Err(TryRecvError::Empty) => break,
-                    Err(TryRecvError::Disconnected) => return,
-                }
-            }
-            if self.wall_at.elapsed() >= IDLE {
-                self.wall_at = std::time::Instant::now();
-                self.core.handle_wall_clock(self.last, Clock::wall_us());
-                let marked = !self.leaving && self.peers.as_ref().is_some_and(Peers::is_marked);
-                if marked && self.core.have_earlier_leases_ended(self.last) {
-                    self.peers.iter_mut().for_each(Peers::unmark);
-                }
+            self.handle_wall_clock();
+            self.core.handle_timeout(self.now);
+            self.execute_outputs();
+            self.time_in_core += started.elapsed();
+        }
+    }
+
+    /// How long to wait for an event before the timers are run again.
+    fn wait(&mut self) -> Duration {
+        let timeout = self.core.poll_timeout(self.clock.now());
+        timeout.map_or(MAX_WAIT, |at| self.clock.until(at)).min(MAX_WAIT)
+    }
+
+    /// Handles an event and those that wait behind it. Urgent ones come first: the list is among them, and a drain counts from when its
+    /// bytes were read.
+    fn handle_events(
+        &mut self,
+        first: Option<Event>,
+        urgent: &Receiver<Event>,
+        events: &Receiver<Event>,
+    ) -> ControlFlow<()> {
+        if let Some(event) = first {
+            self.handle_event(event)?;
+        }
+        for _ in 0..MAX_EVENTS_PER_ITERATION {
+            match urgent.try_recv().or_else(|_| events.try_recv()) {
+                Ok(event) => self.handle_event(event)?,
+                Err(TryRecvError::Empty) => break,
+                Err(TryRecvError::Disconnected) => return ControlFlow::Break(()),
             }
-            self.core.handle_timeout(self.last);
-            self.outputs();
-            self.busy += started.elapsed();
         }
+        ControlFlow::Continue(())
     }
 
-    /// The list that an earlier generation of this host saved, perhaps out of date.
-    fn saved(&mut self) {
-        let Some(path) = &self.settings.host.saved_list else { return };
-        match crate::list::load(path) {
-            Ok(entries) => self.core.handle_endpoint_list(self.last, ListKind::Saved, 0, 0, &entries),
-            Err(e) => tracing::warn!("saved list: {e}"),
+    /// Gives the core the wall clock now and then, and removes the mark of an earlier leave once nothing that was lent then can be in use.
+    fn handle_wall_clock(&mut self) {
+        if self.wall_clock_given_at.elapsed() < WALL_CLOCK_INTERVAL {
+            return;
+        }
+        self.wall_clock_given_at = std::time::Instant::now();
+        self.core.handle_wall_clock(self.now, Clock::wall_us());
+        let is_marked = !self.is_leaving && self.peers.as_ref().is_some_and(Peers::is_marked);
+        if is_marked && self.core.have_earlier_leases_ended(self.now) {
+            self.peers.iter_mut().for_each(Peers::unmark);
         }
     }
 
-    /// False: stop.
-    fn event(&mut self, e: Event) -> bool {
-        let now = self.last;
-        match e {
-            Event::SessionOpen { session, to, close } => _ = self.sessions.insert(session, (to, close)),
-            Event::Submit { from, lun, block, work, began, asked } => self.core.handle_command(
-                now,
-                ClientCommand {
-                    from,
-                    lun,
-                    block,
-                    work,
-                    received_at: began,
-                    timeout: asked,
-                    idempotency_key: None,
-                },
-            ),
-            Event::Abort { from } => self.core.handle_abort(now, from),
-            Event::SessionGone { session } => {
-                self.sessions.remove(&session);
-                self.core.handle_session_closed(now, session);
-            }
-            Event::AttemptResult(back) => self.core.handle_attempt_result(now, back),
-            Event::NodeUp { node, up, heard } => {
-                self.core.handle_node_uptime(now, node, up);
-                _ = heard.try_send(());
-            }
-            Event::List { at, kind, from, to, entries } => {
-                self.core.handle_endpoint_list(at.max(now), kind, from, to, &entries);
-                let gone = |core: &Core, n: NodeId| {
-                    let state = core.nodes().entries().find(|(_, e)| e.node == n).map(|(_, e)| e.state);
-                    state == Some(NodeState::Gone) && !core.has_attempts_at(n)
-                };
-                let core = &self.core;
-                self.links.drop_where(|n| gone(core, n));
-                if kind != ListKind::Failed && self.settings.host.saved_list.is_some() {
-                    let all = self.core.nodes().entries().filter(|(_, e)| e.state != NodeState::Gone);
-                    let keep = all.map(|(address, e)| ListEntry {
-                        id: address.to_owned(),
-                        address: address.to_owned(),
-                        state: e.state,
-                        zone: e.zone,
-                        shard: e.shard,
-                        start: crate::list::start_of(
-                            self.core.nodes().start_id(e.node),
-                            Age::ByHostClock(TimeDelta::ZERO),
-                        ),
-                    });
-                    _ = self.list.try_send(ToList::Save(keep.collect()));
-                }
-            }
-            Event::Status(to) => {
-                let OpenCounts { commands, requests, attempts } = self.core.open_counts();
-                let nodes = self.core.nodes().entries().map(|(a, e)| (a.to_owned(), e.state)).collect();
-                let status = Status {
-                    counters: self.core.counters,
-                    sessions: self.sessions.len(),
-                    commands,
-                    requests,
-                    attempts,
-                    nodes,
-                    core_seconds: self.busy.as_secs_f64(),
-                };
-                _ = to.try_send(status);
-            }
-            Event::Admin { ask, to } => {
-                self.next_ask += 1;
-                self.asks.insert(self.next_ask, to);
-                self.core.handle_admin_request(now, self.next_ask, ask);
-            }
-            Event::Datagram { from, bytes } => self.core.handle_datagram(now, from, bytes),
-            Event::Leave => {
-                self.leaving = true;
-                // The mark first: what is lent without it could be used twice by the next generation.
-                if self.peers.as_mut().is_some_and(Peers::mark_leave) {
-                    self.core.begin_leave(now);
-                }
-            }
-            Event::Left => self.core.announce_leave(now),
-            Event::Drain => self.core.drain(),
-            Event::Settle => self.core.close_open_commands(now),
-            Event::Kept { request, result } => self.core.handle_persisted(now, request, result),
-            Event::Stop => {
-                for (_, close) in self.sessions.values() {
-                    _ = close.shutdown(std::net::Shutdown::Both);
-                }
-                return false;
-            }
+    /// Gives the core the list that an earlier process of this host saved, which may be out of date.
+    fn load_saved_list(&mut self) {
+        let Some(path) = &self.settings.host.saved_list else { return };
+        match saved::load(path) {
+            Ok(entries) => self.core.handle_endpoint_list(self.now, ListKind::Saved, 0, 0, &entries),
+            Err(error) => tracing::warn!(%error, "saved node list not used"),
         }
-        true
     }
 
-    fn outputs(&mut self) {
-        let now = self.last;
-        while let Some(o) = self.core.poll_output(now) {
-            match o {
-                Output::Send(attempt) => {
-                    let (node, id) = (attempt.node, attempt.attempt);
-                    let address = self.core.nodes().address(node).map(str::to_owned);
-                    let sent = address.is_some_and(|a| self.links.send(node, &a, attempt));
-                    if !sent {
-                        // The link's queue is full: the attempt never left.
-                        let (waiting, elsewhere, data) = (None, None, Bytes::new());
-                        let back = AttemptResult {
-                            attempt: id,
-                            outcome: Outcome::Refused,
-                            waiting,
-                            elsewhere,
-                            data,
-                        };
-                        self.core.handle_attempt_result(now, back);
-                    }
-                }
+    fn execute_outputs(&mut self) {
+        let now = self.now;
+        while let Some(output) = self.core.poll_output(now) {
+            match output {
+                Output::Send(attempt) => self.send(attempt),
                 Output::Cancel { node, attempt } => self.links.cancel(node, attempt),
                 Output::Cut { node, attempt } => self.links.cut(node, attempt),
-                Output::Answer { to, verdict } => {
-                    let Some((sender, close)) = self.sessions.get(&to.session) else { continue };
-                    let full = sender.try_send(ToSession::Answer { command: to.command, verdict });
-                    if let Err(TrySendError::Full(_)) = full {
-                        // It has room for all that its window allows, so its client broke the window.
-                        tracing::warn!(session = to.session, "answers pile up; the session is closed");
-                        _ = close.shutdown(std::net::Shutdown::Both);
-                    }
-                }
+                Output::Answer { to, verdict } => self.answer(to, verdict),
                 Output::FollowList { since } => _ = self.list.try_send(ToList::Follow { since }),
                 Output::FetchList => _ = self.list.try_send(ToList::Fetch),
-                Output::Persist { request, batch } => {
-                    let sent =
-                        self.store.as_ref().map(|s| s.try_send(ToStore::Persist { request, batch }).is_ok());
-                    if sent != Some(true) {
-                        let why = "the store takes no more writes".to_owned();
-                        self.core.handle_persisted(now, request, Err(PersistError(why)));
-                    }
-                }
+                Output::Persist { request, batch } => self.persist(request, batch),
                 Output::AdminResponse { request, response } => {
-                    if let Some(to) = self.asks.remove(&request) {
-                        _ = to.try_send(Answer::AdminResponse(Box::new(response)));
+                    if let Some(answer_to) = self.admin_callers.remove(&request) {
+                        _ = answer_to.try_send(Answer::AdminResponse(Box::new(response)));
                     }
                 }
                 Output::Datagram { to, bytes } => {
-                    if let Some(p) = &self.peers {
-                        p.send(to, &bytes);
+                    if let Some(peers) = &self.peers {
+                        peers.send(to, &bytes);
                     }
                 }
                 Output::Log { node, line } => {
@@ -353,4 +217,36 @@
             }
         }
     }
+
+    /// Hands an attempt to its node's link. If the link's queue is full, the attempt was never sent.
+    fn send(&mut self, send: Box<SendAttempt>) {
+        let (node, attempt) = (send.node, send.attempt);
+        let address = self.core.nodes().address(node).map(str::to_owned);
+        if address.is_some_and(|address| self.links.send(node, &address, send)) {
+            return;
+        }
+        let (outcome, data) = (Outcome::Refused, Bytes::new());
+        let result = AttemptResult { attempt, outcome, waiting: None, elsewhere: None, data };
+        self.core.handle_attempt_result(self.now, result);
+    }
+
+    /// Hands an answer to its session. The queue holds every answer that the session's window allows, so a client with a full queue
+    /// has broken its window.
+    fn answer(&self, to: CommandRef, verdict: Verdict) {
+        let Some(session) = self.sessions.get(&to.session) else { return };
+        let sent = session.writer.try_send(ToSession::Answer { command: to.command, verdict });
+        if let Err(TrySendError::Full(_)) = sent {
+            tracing::warn!(session = to.session, "more answers than the window allows: session closed");
+            _ = session.connection.shutdown(Shutdown::Both);
+        }
+    }
+
+    fn persist(&mut self, request: u64, batch: PersistBatch) {
+        let message = ToStore::Persist { request, batch };
+        let sent = self.store.as_ref().map(|store| store.try_send(message).is_ok());
+        if sent != Some(true) {
+            let reason = "the store takes no more writes".to_owned();
+            self.core.handle_persisted(self.now, request, Err(PersistError(reason)));
+        }
+    }
 }
--- /dev/null
+++ b/crates/host/src/core_thread/event.rs
@@ -0,0 +1,73 @@
+//! What the other threads report to the core's thread.
+
+use super::Status;
+use crate::sessions::ToSession;
+use bytes::Bytes;
+use crossbeam_channel::Sender;
+use std::net::{SocketAddr, TcpStream};
+use std::sync::Arc;
+use tackmast::interface::{Instant, ListKind, NodeId, TimeDelta};
+use tackmast_admin::Answer;
+use tackmast_host_core::{AdminRequest, AttemptResult, CommandRef, ListEntry, PersistError, Work};
+
+/// An input of the core's thread.
+pub(crate) enum Event {
+    /// A client has connected.
+    SessionOpened {
+        session: u32,
+        writer: Sender<ToSession>,
+        /// By which the core's thread closes it.
+        connection: Arc<TcpStream>,
+    },
+    /// A client's command is complete.
+    Submit {
+        from: CommandRef,
+        lun: u32,
+        block: u64,
+        work: Work,
+        /// When its first bytes were received.
+        received_at: Instant,
+        /// The client's own, from then.
+        timeout: Option<TimeDelta>,
+    },
+    /// A client withdraws a command.
+    Abort { from: CommandRef },
+    /// A session has ended.
+    SessionClosed { session: u32 },
+    /// An attempt has ended.
+    AttemptResult(AttemptResult),
+    /// A node said at a connect for how long it has been up.
+    NodeUp {
+        node: NodeId,
+        uptime: TimeDelta,
+        /// Is sent to once the core knows.
+        applied: Sender<()>,
+    },
+    /// A part of the node list, or a failed call of it.
+    List {
+        /// When its bytes were read.
+        at: Instant,
+        kind: ListKind,
+        from: u64,
+        to: u64,
+        entries: Vec<ListEntry>,
+    },
+    /// A caller wants the host's figures.
+    Status { answer_to: Sender<Status> },
+    /// An operator's call.
+    AdminRequest { request: AdminRequest, answer_to: Sender<Answer> },
+    /// Bytes of another host.
+    Datagram { from: SocketAddr, bytes: Bytes },
+    /// Lend the host's quota to its peers.
+    BeginLeave,
+    /// Announce to the peers that the host has left.
+    AnnounceLeave,
+    /// Take no new command.
+    Drain,
+    /// Answer the commands that are still open.
+    CloseOpenCommands,
+    /// A write to the store has ended.
+    Persisted { request: u64, result: Result<(), PersistError> },
+    /// End at once.
+    Stop,
+}
--- /dev/null
+++ b/crates/host/src/core_thread/events.rs
@@ -0,0 +1,115 @@
+//! How the core's thread handles each event.
+
+use super::{CoreThread, Event, SessionHandle, Status};
+use crate::list::{node_start, ToList};
+use crate::peers::Peers;
+use std::net::Shutdown;
+use std::ops::ControlFlow;
+use tackmast::interface::{Instant, ListKind, NodeId, NodeState, TimeDelta};
+use tackmast_host_core::{Age, ClientCommand, Core, ListEntry, OpenCounts};
+
+impl CoreThread {
+    /// Handles an event; breaks at `Event::Stop`.
+    pub(super) fn handle_event(&mut self, event: Event) -> ControlFlow<()> {
+        let now = self.now;
+        match event {
+            Event::SessionOpened { session, writer, connection } => {
+                self.sessions.insert(session, SessionHandle { writer, connection });
+            }
+            Event::Submit { from, lun, block, work, received_at, timeout } => {
+                let idempotency_key = None;
+                let command = ClientCommand { from, lun, block, work, received_at, timeout, idempotency_key };
+                self.core.handle_command(now, command);
+            }
+            Event::Abort { from } => self.core.handle_abort(now, from),
+            Event::SessionClosed { session } => {
+                self.sessions.remove(&session);
+                self.core.handle_session_closed(now, session);
+            }
+            Event::AttemptResult(result) => self.core.handle_attempt_result(now, result),
+            Event::NodeUp { node, uptime, applied } => {
+                self.core.handle_node_uptime(now, node, uptime);
+                _ = applied.try_send(());
+            }
+            Event::List { at, kind, from, to, entries } => {
+                self.core.handle_endpoint_list(at.max(now), kind, from, to, &entries);
+                self.after_list(kind);
+            }
+            Event::Status { answer_to } => _ = answer_to.try_send(self.status()),
+            Event::AdminRequest { request, answer_to } => {
+                self.last_admin_request += 1;
+                self.admin_callers.insert(self.last_admin_request, answer_to);
+                self.core.handle_admin_request(now, self.last_admin_request, request);
+            }
+            Event::Datagram { from, bytes } => self.core.handle_datagram(now, from, bytes),
+            Event::BeginLeave => self.begin_leave(now),
+            Event::AnnounceLeave => self.core.announce_leave(now),
+            Event::Drain => self.core.drain(),
+            Event::CloseOpenCommands => self.core.close_open_commands(now),
+            Event::Persisted { request, result } => self.core.handle_persisted(now, request, result),
+            Event::Stop => {
+                self.close_sessions();
+                return ControlFlow::Break(());
+            }
+        }
+        ControlFlow::Continue(())
+    }
+
+    /// The mark is written first: quota that was lent without it could be used twice, by its borrower and by the next process of this
+    /// host.
+    fn begin_leave(&mut self, now: Instant) {
+        self.is_leaving = true;
+        if self.peers.as_mut().is_some_and(Peers::mark_leave) {
+            self.core.begin_leave(now);
+        }
+    }
+
+    /// Closes the links to nodes that are gone, and saves the list.
+    fn after_list(&mut self, kind: ListKind) {
+        let core = &self.core;
+        self.links.close_where(|node| is_gone(core, node));
+        if kind != ListKind::Failed && self.settings.host.saved_list.is_some() {
+            _ = self.list.try_send(ToList::Save(self.list_to_save()));
+        }
+    }
+
+    fn list_to_save(&self) -> Vec<ListEntry> {
+        let nodes = self.core.nodes();
+        let present = nodes.entries().filter(|(_, entry)| entry.state != NodeState::Gone);
+        let saved = present.map(|(address, entry)| ListEntry {
+            id: address.to_owned(),
+            address: address.to_owned(),
+            state: entry.state,
+            zone: entry.zone,
+            shard: entry.shard,
+            start: node_start(nodes.start_id(entry.node), Age::ByHostClock(TimeDelta::ZERO)),
+        });
+        saved.collect()
+    }
+
+    fn status(&self) -> Status {
+        let OpenCounts { commands, requests, attempts } = self.core.open_counts();
+        let entries = self.core.nodes().entries();
+        Status {
+            counters: self.core.counters,
+            sessions: self.sessions.len(),
+            commands,
+            requests,
+            attempts,
+            nodes: entries.map(|(address, entry)| (address.to_owned(), entry.state)).collect(),
+            core_seconds: self.time_in_core.as_secs_f64(),
+        }
+    }
+
+    fn close_sessions(&self) {
+        for session in self.sessions.values() {
+            _ = session.connection.shutdown(Shutdown::Both);
+        }
+    }
+}
+
+/// Whether the list says that a node is gone, and nothing is in flight there.
+fn is_gone(core: &Core, node: NodeId) -> bool {
+    let entry = core.nodes().entries().find(|(_, entry)| entry.node == node);
+    entry.is_some_and(|(_, entry)| entry.state == NodeState::Gone) && !core.has_attempts_at(node)
+}
--- /dev/null
+++ b/crates/host/src/links/handshake.rs
@@ -0,0 +1,113 @@
+//! Connecting to a node: both sides say who they are, and the core hears for how long the node has been up.
+
+use super::link::LinkContext;
+use crate::core_thread::Event;
+use crate::StartError;
+use std::io::{self, Read, Write};
+use std::net::TcpStream;
+use std::time::{Duration, Instant as Wall};
+use tackmast::interface::TimeDelta;
+use tackmast_wire::node::{self, Frame};
+use tackmast_wire::reader::Frames;
+use tackmast_wire::WireError;
+
+/// Bytes that one read takes at most during the handshake.
+const READ_BUFFER_BYTES: usize = 4096;
+
+/// Why a connection to a node could not be made.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum ConnectError {
+    #[error("connect: {0}")]
+    Connect(#[source] io::Error),
+    #[error("socket: {0}")]
+    Socket(#[source] io::Error),
+    #[error("hello: {0}")]
+    Hello(#[source] io::Error),
+    #[error("no hello in {timeout_ms} ms")]
+    NoHello { timeout_ms: u64 },
+    #[error("closed before the hello")]
+    ClosedBeforeHello,
+    #[error("{frame} came first; expected a hello")]
+    UnexpectedFrame { frame: String },
+    #[error(transparent)]
+    Wire(#[from] WireError),
+    #[error("hello: the core has not heard it in {timeout_ms} ms; expected it at once")]
+    CoreBusy { timeout_ms: u64 },
+    #[error(transparent)]
+    Thread(#[from] StartError),
+}
+
+/// A connection past its handshake, and the reader of its frames.
+pub(super) struct Handshaken {
+    pub(super) stream: TcpStream,
+    pub(super) frames: Frames,
+}
+
+/// Connects to the node and waits until the core knows how long it has been up.
+pub(super) fn connect(context: &LinkContext) -> Result<Handshaken, ConnectError> {
+    let bounds = &context.settings.bounds;
+    let timeout = Duration::from_millis(bounds.connect_ms);
+    let give_up_at = Wall::now() + timeout;
+    let mut stream = TcpStream::connect_timeout(&context.address, timeout).map_err(ConnectError::Connect)?;
+    // What a socket has taken can't be withdrawn any more, so its buffer is small.
+    _ = socket2::SockRef::from(&stream).set_send_buffer_size(bounds.link_bytes as usize / 2);
+    stream.set_nodelay(true).map_err(ConnectError::Socket)?;
+    stream.set_write_timeout(Some(context.silence_timeout())).map_err(ConnectError::Socket)?;
+    send_hello(context, &mut stream)?;
+    let mut frames = node::frames(bounds.command_bytes as usize);
+    let uptime = await_hello(context, &mut stream, &mut frames, give_up_at)?;
+    await_core(context, uptime)?;
+    Ok(Handshaken { stream, frames })
+}
+
+fn send_hello(context: &LinkContext, stream: &mut TcpStream) -> Result<(), ConnectError> {
+    let hello = Frame::HostHello {
+        version: node::VERSION,
+        host: context.settings.host.number,
+        generation: context.generation,
+        sent_us: context.clock.unix_us(context.clock.now()),
+    };
+    stream.write_all(&hello.to_bytes()).map_err(ConnectError::Hello)
+}
+
+/// Waits for the node's hello; gives for how long it has been up.
+fn await_hello(
+    context: &LinkContext,
+    stream: &mut TcpStream,
+    frames: &mut Frames,
+    give_up_at: Wall,
+) -> Result<TimeDelta, ConnectError> {
+    let mut buffer = [0; READ_BUFFER_BYTES];
+    loop {
+        let time_left = give_up_at.saturating_duration_since(Wall::now());
+        if time_left.is_zero() {
+            return Err(ConnectError::NoHello { timeout_ms: context.settings.bounds.connect_ms });
+        }
+        stream.set_read_timeout(Some(time_left)).map_err(ConnectError::Socket)?;
+        let length = match stream.read(&mut buffer) {
+            Ok(0) => return Err(ConnectError::ClosedBeforeHello),
+            Ok(length) => length,
+            Err(error) => return Err(ConnectError::Hello(error)),
+        };
+        frames.push(&buffer[..length]);
+        match node::next(frames)? {
+            Some(Frame::NodeHello { version, up_us, .. }) => {
+                node::negotiate_version(version)?;
+                return Ok(TimeDelta::from_secs(up_us as f64 / 1e6));
+            }
+            Some(other) => return Err(ConnectError::UnexpectedFrame { frame: format!("{other:?}") }),
+            None => {}
+        }
+    }
+}
+
+/// Reports the uptime to the core and waits until it is applied. Attempts that wait here may have been decided for a node that was up
+/// for longer: if they were written at once, a node that has just restarted would get more than its slow start allows. The core
+/// withdraws those that it now decides otherwise before this returns.
+fn await_core(context: &LinkContext, uptime: TimeDelta) -> Result<(), ConnectError> {
+    let timeout_ms = context.settings.bounds.connect_ms;
+    let (applied, is_applied) = crossbeam_channel::bounded(1);
+    _ = context.events.send(Event::NodeUp { node: context.node, uptime, applied });
+    let result = is_applied.recv_timeout(Duration::from_millis(timeout_ms));
+    result.map_err(|_| ConnectError::CoreBusy { timeout_ms })
+}
--- /dev/null
+++ b/crates/host/src/links/link.rs
@@ -0,0 +1,226 @@
+//! One link: the thread that writes attempts to its node, and connects when it has to.
+
+use super::handshake::{connect, ConnectError};
+use super::outstanding::{report, Outstanding};
+use super::reader::{Answers, ReaderContext};
+use crate::core_thread::Event;
+use crate::lock::lock;
+use crate::thread::spawn;
+use crate::Clock;
+use bytes::BytesMut;
+use crossbeam_channel::{Receiver, Sender};
+use std::io::Write;
+use std::net::{SocketAddr, TcpStream};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tackmast::interface::{NodeId, Outcome};
+use tackmast_config::HostSettings;
+use tackmast_host_core::{AttemptId, AttemptWork, Begin, OpaqueRequest, SendAttempt, Ticket};
+use tackmast_wire::node::{self, Frame, Origin};
+
+/// Bytes gathered for one write. What is gathered has been claimed and can't be withdrawn any more, so it is little.
+const MAX_GATHERED_BYTES: usize = 16 << 10;
+
+/// What the core's thread asks of a link.
+pub(super) enum ToLink {
+    /// Send an attempt, unless it is withdrawn until then.
+    Send(Box<SendAttempt>),
+    /// Ask the node to cancel an attempt.
+    Cancel(AttemptId),
+}
+
+/// The connection that a link has at the moment, for the core's thread, which may have to end it while the link writes.
+pub(super) type CurrentConnection = Arc<Mutex<Option<TcpStream>>>;
+
+/// What a link works with.
+pub(super) struct LinkContext {
+    pub(super) node: NodeId,
+    pub(super) address: SocketAddr,
+    pub(super) settings: Arc<HostSettings>,
+    pub(super) clock: Clock,
+    pub(super) events: Sender<Event>,
+    /// The host's, as nodes know it.
+    pub(super) generation: u64,
+}
+
+impl LinkContext {
+    /// How long a connection may be silent before it is looked at.
+    pub(super) fn silence_timeout(&self) -> Duration {
+        Duration::from_millis(self.settings.bounds.link_silence_ms)
+    }
+}
+
+/// An open connection.
+struct Connection {
+    stream: TcpStream,
+    outstanding: Outstanding,
+}
+
+/// The writer's side of a link.
+pub(super) struct Link {
+    context: LinkContext,
+    /// By this the reader asks for a ping, or reports that the connection is broken.
+    wake: Sender<()>,
+    woken: Receiver<()>,
+    pub(super) current: CurrentConnection,
+    /// Attempts whose bytes are gathered or being written.
+    writing: Vec<Ticket>,
+    connection: Option<Connection>,
+}
+
+impl Link {
+    /// A link without a connection.
+    pub(super) fn new(context: LinkContext) -> Self {
+        let (wake, woken) = crossbeam_channel::bounded(1);
+        let current = CurrentConnection::default();
+        Link { context, wake, woken, current, writing: Vec::new(), connection: None }
+    }
+
+    /// Writes until the node is gone.
+    pub(super) fn run(mut self, queue: &Receiver<ToLink>) {
+        let woken = self.woken.clone();
+        loop {
+            let first = crossbeam_channel::select! {
+                recv(queue) -> message => match message {
+                    Ok(message) => Some(message),
+                    // The node is gone and nothing is in flight: the reader sees that no writer is left.
+                    Err(_) => return,
+                },
+                recv(woken) -> _ => None,
+            };
+            let mut bytes = BytesMut::new();
+            if self.is_broken() {
+                self.drop_connection();
+            } else if first.is_none() && self.connection.is_some() {
+                Frame::Ping { number: 0 }.encode(&mut bytes);
+            }
+            let mut next = first;
+            while let Some(message) = next {
+                self.gather(message, &mut bytes);
+                next = if bytes.len() < MAX_GATHERED_BYTES { queue.try_recv().ok() } else { None };
+            }
+            self.write(&bytes);
+        }
+    }
+
+    fn is_broken(&self) -> bool {
+        self.connection.as_ref().is_some_and(|connection| connection.outstanding.is_broken())
+    }
+
+    /// Releases a broken connection. Only when nobody holds its socket any more does the peer see the reset, and is what the socket had
+    /// not sent dropped.
+    fn drop_connection(&mut self) {
+        self.connection = None;
+        lock(&self.current).take();
+    }
+
+    /// Writes what was gathered. The tickets are marked only after the whole write: until then the core counts their attempts as not
+    /// written.
+    fn write(&mut self, bytes: &BytesMut) {
+        let Some(connection) = &mut self.connection else { return };
+        if !bytes.is_empty() {
+            match connection.stream.write_all(bytes) {
+                Ok(()) => self.writing.iter().for_each(Ticket::written),
+                Err(error) => {
+                    tracing::debug!(node = %self.context.address, %error, "write to the node failed");
+                    connection.outstanding.break_off(&connection.stream, &self.context.events);
+                    self.drop_connection();
+                }
+            }
+        }
+        self.writing.clear();
+    }
+
+    fn gather(&mut self, message: ToLink, bytes: &mut BytesMut) {
+        match message {
+            ToLink::Send(attempt) => self.gather_attempt(*attempt, bytes),
+            ToLink::Cancel(attempt) => {
+                let connection = self.connection.as_ref();
+                if connection.is_some_and(|connection| connection.outstanding.contains(attempt)) {
+                    Frame::Cancel { attempt: attempt.0 }.encode(bytes);
+                }
+            }
+        }
+    }
+
+    fn gather_attempt(&mut self, attempt: SendAttempt, bytes: &mut BytesMut) {
+        if self.is_broken() {
+            self.drop_connection();
+            bytes.clear();
+        }
+        if let Err(error) = self.ensure_connected() {
+            tracing::debug!(node = %self.context.address, %error, "no connection to the node");
+            // The attempt provably never ran, unless the core has failed it before.
+            if attempt.ticket.withdraw() {
+                report(&self.context.events, attempt.attempt, Outcome::Refused);
+            }
+            return;
+        }
+        let Some(connection) = &self.connection else { return };
+        match attempt.begin(self.context.clock.now()) {
+            Begin::Now => {}
+            Begin::Withdrawn => return,
+            Begin::TooLate => return report(&self.context.events, attempt.attempt, Outcome::Refused),
+        }
+        if !connection.outstanding.insert(attempt.attempt) {
+            // The connection broke since it was looked at: the attempt is claimed, but no byte of it was sent.
+            return report(&self.context.events, attempt.attempt, Outcome::Refused);
+        }
+        self.writing.push(attempt.ticket.clone());
+        self.frame(attempt).encode(bytes);
+    }
+
+    fn frame(&self, attempt: SendAttempt) -> Frame {
+        let now = self.context.clock.now();
+        let time_left = (attempt.until - now).secs().max(0.0);
+        Frame::Send(node::SendAttempt {
+            attempt: attempt.attempt.0,
+            request: attempt.request,
+            attempt_number: attempt.attempt_number,
+            origin: Origin {
+                session: attempt.from.session,
+                command: attempt.from.command,
+                part: attempt.part,
+            },
+            sent_us: self.context.clock.unix_us(now),
+            left_us: (time_left * 1e6).min(f64::from(u32::MAX)) as u32,
+            mark: attempt.mark,
+            key: attempt.key,
+            volume: attempt.volume,
+            offset: attempt.offset,
+            units: attempt.units as f32,
+            work: match attempt.work {
+                AttemptWork::Read { length } => node::Work::Read { length },
+                AttemptWork::Write { data } | AttemptWork::Opaque(OpaqueRequest { body: data, .. }) => {
+                    node::Work::Write { data }
+                }
+            },
+        })
+    }
+
+    fn ensure_connected(&mut self) -> Result<(), ConnectError> {
+        if self.connection.is_none() {
+            self.connection = Some(self.connect()?);
+        }
+        Ok(())
+    }
+
+    /// Connects, and starts the reader of the connection.
+    fn connect(&self) -> Result<Connection, ConnectError> {
+        let handshaken = connect(&self.context)?;
+        let stream = handshaken.stream;
+        let outstanding = Outstanding::new();
+        let reading = stream.try_clone().map_err(ConnectError::Socket)?;
+        reading.set_read_timeout(Some(self.context.silence_timeout())).map_err(ConnectError::Socket)?;
+        let reader = Answers::new(ReaderContext {
+            stream: reading,
+            frames: handshaken.frames,
+            outstanding: outstanding.clone(),
+            events: self.context.events.clone(),
+            wake_writer: self.wake.clone(),
+        });
+        spawn(format!("answers {}", self.context.node.0), move || reader.run())?;
+        *lock(&self.current) = stream.try_clone().ok();
+        Ok(Connection { stream, outstanding })
+    }
+}
--- a/crates/host/src/list.rs
+++ b/crates/host/src/list.rs
@@ -1,12 +1,13 @@
-//! The connection to the node list: it follows changes, asks for the complete list, and tells of failed calls.
+//! The connection to the endpoint list: it follows changes, asks for the complete list, and reports failed calls.
+
+pub(crate) mod saved;
 
 use crate::core_thread::Event;
+use crate::thread::spawn;
 use crate::{Clock, StartError};
 use crossbeam_channel::{Receiver, Sender};
-use serde::{Deserialize, Serialize};
-use std::io::{ErrorKind, Read, Write};
+use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
-use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant as Wall};
@@ -15,228 +16,267 @@
 use tackmast_host_core::{Age, ListEntry, NodeStart};
 use tackmast_wire::list::{self, Frame, State, VERSION};
 use tackmast_wire::reader::Frames;
+use tackmast_wire::WireError;
 
-/// How often commands are looked for while the connection is read.
-const LOOK: Duration = Duration::from_millis(5);
+/// How often commands of the core are looked for while the connection is read.
+const COMMAND_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// How often the end of the host is looked for while there is no connection.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Commands of the core that may wait.
+const MAX_QUEUED_COMMANDS: usize = 64;
+/// Bytes that one read takes at most.
+const READ_BUFFER_BYTES: usize = 64 << 10;
 
-pub enum ToList {
-    Follow { since: u64 },
+/// What the core asks of the list's connection.
+pub(crate) enum ToList {
+    /// Follow changes after a version.
+    Follow {
+        /// The version.
+        since: u64,
+    },
+    /// Ask for the complete list.
     Fetch,
+    /// Save the list for the host's next start.
     Save(Vec<ListEntry>),
 }
 
-struct Follower {
+/// Why a call of the list failed.
+#[derive(Debug, thiserror::Error)]
+enum ListError {
+    #[error("connect: {0}")]
+    Connect(#[source] io::Error),
+    #[error("socket: {0}")]
+    Socket(#[source] io::Error),
+    #[error("write: {0}")]
+    Write(#[source] io::Error),
+    #[error("read: {0}")]
+    Read(#[source] io::Error),
+    #[error("the list closed the connection")]
+    Closed,
+    #[error("no answer for {silence_ms} ms")]
+    NoAnswer { silence_ms: u128 },
+    #[error("the list could not answer")]
+    CouldNotAnswer,
+    #[error("the list sent a host's frame")]
+    HostsFrame,
+    #[error(transparent)]
+    Wire(#[from] WireError),
+}
+
+/// A connection to the list.
+struct Connection {
+    stream: TcpStream,
+    frames: Frames,
+    /// Calls that are not answered.
+    owed_answers: u32,
+    /// When the last bytes were sent or received.
+    active_at: Wall,
+}
+
+struct ListClient {
     settings: Arc<HostSettings>,
     clock: Clock,
     events: Sender<Event>,
-    link: Option<(TcpStream, Frames)>,
-    /// Calls without an answer yet, and since when nothing has come.
-    owed: u32,
-    quiet: Wall,
+    connection: Option<Connection>,
+    /// The version that the host has.
     since: u64,
 }
 
-pub fn start(
+/// What a frame of the list says.
+struct ListUpdate {
+    kind: ListKind,
+    from: u64,
+    to: u64,
+    /// The list's clock, in microseconds of Unix time; 0: not known.
+    sent_us: u64,
+    entries: Vec<list::Entry>,
+}
+
+/// Starts the thread that speaks with the list.
+pub(crate) fn start(
     settings: Arc<HostSettings>,
     clock: Clock,
     events: Sender<Event>,
     stopping: Arc<AtomicBool>,
 ) -> Result<Sender<ToList>, StartError> {
-    let (to, commands) = crossbeam_channel::bounded(64);
-    let mut f = Follower { settings, clock, events, link: None, owed: 0, quiet: Wall::now(), since: 0 };
-    crate::thread("list".into(), move || f.run(&commands, &stopping))?;
-    Ok(to)
+    let (to_list, commands) = crossbeam_channel::bounded(MAX_QUEUED_COMMANDS);
+    let mut client = ListClient { settings, clock, events, connection: None, since: 0 };
+    spawn("list".into(), move || client.run(&commands, &stopping))?;
+    Ok(to_list)
 }
 
-impl Follower {
+impl ListClient {
     fn run(&mut self, commands: &Receiver<ToList>, stopping: &AtomicBool) {
-        let mut buffer = vec![0; 64 << 10];
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
         while !stopping.load(Ordering::Acquire) {
-            let next = match self.link {
+            let command = match self.connection {
                 Some(_) => commands.try_recv().ok(),
-                None => match commands.recv_timeout(Duration::from_millis(100)) {
-                    Ok(c) => Some(c),
-                    Err(e) if e.is_timeout() => continue,
+                None => match commands.recv_timeout(STOP_POLL_INTERVAL) {
+                    Ok(command) => Some(command),
+                    Err(error) if error.is_timeout() => continue,
                     Err(_) => return,
                 },
             };
-            let number = self.settings.host.number;
-            let sent = match next {
-                Some(ToList::Follow { since }) => {
-                    self.since = since;
-                    self.call(&Frame::Follow { version: VERSION, host: number, since })
-                }
-                Some(ToList::Fetch) => self.call(&Frame::Fetch { version: VERSION, host: number }),
-                Some(ToList::Save(entries)) => {
-                    self.save(&entries);
-                    Ok(())
-                }
-                None => Ok(()),
-            };
-            if let Err(e) = sent.and_then(|()| self.read(&mut buffer)) {
-                self.fail(&e);
+            let executed = self.execute(command);
+            if let Err(error) = executed.and_then(|()| self.read(&mut buffer)) {
+                self.fail(&error);
             }
         }
     }
 
-    fn call(&mut self, frame: &Frame) -> Result<(), String> {
-        let wait = Duration::from_millis(self.settings.bounds.connect_ms);
-        if self.link.is_none() {
-            let stream = TcpStream::connect_timeout(&self.settings.host.node_list, wait)
-                .map_err(|e| format!("connect: {e}"))?;
-            let ready =
-                stream.set_read_timeout(Some(LOOK)).and_then(|()| stream.set_write_timeout(Some(wait)));
-            ready.and_then(|()| stream.set_nodelay(true)).map_err(|e| format!("socket: {e}"))?;
-            self.link = Some((stream, list::frames()));
-            self.owed = 0;
-        }
-        self.quiet = Wall::now();
-        self.owed += 1;
-        match &mut self.link {
-            Some((stream, _)) => stream.write_all(&frame.to_bytes()).map_err(|e| format!("write: {e}")),
+    fn execute(&mut self, command: Option<ToList>) -> Result<(), ListError> {
+        match command {
+            Some(ToList::Follow { since }) => {
+                self.since = since;
+                self.follow()
+            }
+            Some(ToList::Fetch) => {
+                let host = self.settings.host.number;
+                self.call(&Frame::Fetch { version: VERSION, host })
+            }
+            Some(ToList::Save(entries)) => {
+                self.save(&entries);
+                Ok(())
+            }
             None => Ok(()),
         }
     }
 
-    fn read(&mut self, buffer: &mut [u8]) -> Result<(), String> {
-        let silence = Duration::from_millis(self.settings.bounds.link_silence_ms);
-        let Some((stream, frames)) = &mut self.link else { return Ok(()) };
-        let n = match stream.read(buffer) {
-            Ok(0) => return Err("the list closed the connection".into()),
-            Ok(n) => n,
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                // A dead connection looks like a list without changes: after a silence it is asked, and one
-                // that answers nothing has failed.
-                if self.quiet.elapsed() < silence {
-                    return Ok(());
-                }
-                if self.owed > 0 {
-                    return Err(format!("no answer for {} ms", silence.as_millis()));
-                }
-                let (host, since) = (self.settings.host.number, self.since);
-                return self.call(&Frame::Follow { version: VERSION, host, since });
-            }
-            Err(e) if e.kind() == ErrorKind::Interrupted => return Ok(()),
-            Err(e) => return Err(format!("read: {e}")),
+    fn follow(&mut self) -> Result<(), ListError> {
+        let (host, since) = (self.settings.host.number, self.since);
+        self.call(&Frame::Follow { version: VERSION, host, since })
+    }
+
+    /// Sends a call, over a new connection where there is none.
+    fn call(&mut self, frame: &Frame) -> Result<(), ListError> {
+        let mut connection = match self.connection.take() {
+            Some(connection) => connection,
+            None => self.connect()?,
+        };
+        connection.active_at = Wall::now();
+        connection.owed_answers += 1;
+        let written = connection.stream.write_all(&frame.to_bytes()).map_err(ListError::Write);
+        self.connection = Some(connection);
+        written
+    }
+
+    fn connect(&self) -> Result<Connection, ListError> {
+        let timeout = Duration::from_millis(self.settings.bounds.connect_ms);
+        let address = &self.settings.host.node_list;
+        let stream = TcpStream::connect_timeout(address, timeout).map_err(ListError::Connect)?;
+        stream.set_read_timeout(Some(COMMAND_POLL_INTERVAL)).map_err(ListError::Socket)?;
+        stream.set_write_timeout(Some(timeout)).map_err(ListError::Socket)?;
+        stream.set_nodelay(true).map_err(ListError::Socket)?;
+        Ok(Connection { stream, frames: list::frames(), owed_answers: 0, active_at: Wall::now() })
+    }
+
+    fn read(&mut self, buffer: &mut [u8]) -> Result<(), ListError> {
+        let Some(connection) = &mut self.connection else { return Ok(()) };
+        let length = match connection.stream.read(buffer) {
+            Ok(0) => return Err(ListError::Closed),
+            Ok(length) => length,
+            Err(error) => match error.kind() {
+                ErrorKind::WouldBlock | ErrorKind::TimedOut => return self.handle_silence(),
+                ErrorKind::Interrupted => return Ok(()),
+                _ => return Err(ListError::Read(error)),
+            },
         };
         let at = self.clock.now();
-        self.quiet = Wall::now();
-        frames.push(&buffer[..n]);
-        let mut came = Vec::new();
-        while let Some(frame) = list::next(frames).map_err(|e| e.to_string())? {
-            came.push(frame);
+        connection.active_at = Wall::now();
+        connection.frames.push(&buffer[..length]);
+        let mut frames = Vec::new();
+        while let Some(frame) = list::next(&mut connection.frames)? {
+            frames.push(frame);
         }
-        for frame in came {
-            self.owed = self.owed.saturating_sub(1);
-            let (kind, (from, to), sent_us, entries) = match frame {
-                Frame::Changes { from, to, sent_us, entries } => {
-                    (ListKind::Changes, (from, to), sent_us, entries)
-                }
-                Frame::Complete { to, sent_us, entries } => (ListKind::Complete, (0, to), sent_us, entries),
-                Frame::Failed => return Err("the list could not answer".into()),
-                Frame::Follow { .. } | Frame::Fetch { .. } => {
-                    return Err("the list sent a host's frame".into())
-                }
-            };
-            self.since = to;
-            let entries = entries.into_iter().map(|e| entry(e, sent_us)).collect();
-            _ = self.events.send(Event::List { at, kind, from, to, entries });
+        for frame in frames {
+            connection.owed_answers = connection.owed_answers.saturating_sub(1);
+            let update = ListUpdate::from_frame(frame)?;
+            self.since = update.to;
+            _ = self.events.send(update.into_event(at));
         }
         Ok(())
     }
 
-    fn fail(&mut self, why: &str) {
-        tracing::warn!(list = %self.settings.host.node_list, "node list: {why}");
-        self.link = None;
+    /// A dead connection looks like a list without changes, and the host would keep an old list without noticing. After a silence the
+    /// list is called; one that answers nothing within the same time again has failed.
+    fn handle_silence(&mut self) -> Result<(), ListError> {
+        let max_silence = Duration::from_millis(self.settings.bounds.link_silence_ms);
+        let Some(connection) = &self.connection else { return Ok(()) };
+        if connection.active_at.elapsed() < max_silence {
+            return Ok(());
+        }
+        if connection.owed_answers > 0 {
+            return Err(ListError::NoAnswer { silence_ms: max_silence.as_millis() });
+        }
+        self.follow()
+    }
+
+    fn fail(&mut self, error: &ListError) {
+        tracing::warn!(list = %self.settings.host.node_list, %error, "call of the node list failed");
+        self.connection = None;
         let (at, kind) = (self.clock.now(), ListKind::Failed);
         _ = self.events.send(Event::List { at, kind, from: 0, to: 0, entries: Vec::new() });
     }
 
     fn save(&self, entries: &[ListEntry]) {
         let Some(path) = &self.settings.host.saved_list else { return };
-        let saved: Vec<Saved> = entries.iter().map(Saved::of).collect();
-        let write = || -> std::io::Result<()> {
-            // A cut between the two leaves the old list whole.
-            let beside = path.with_extension("new");
-            let mut file = std::fs::File::create(&beside)?;
-            file.write_all(&serde_json::to_vec(&saved)?)?;
-            file.sync_all()?;
-            std::fs::rename(&beside, path)
-        };
-        if let Err(e) = write() {
-            tracing::warn!("saved list {}: {e}", path.display());
+        if let Err(error) = saved::save(path, entries) {
+            tracing::warn!(path = %path.display(), %error, "node list not saved");
         }
     }
 }
 
-/// A start under the list's figure for it; none where it is long past.
-pub fn start_of(started_us: u64, age: Age) -> Option<NodeStart> {
+impl ListUpdate {
+    fn from_frame(frame: Frame) -> Result<ListUpdate, ListError> {
+        match frame {
+            Frame::Changes { from, to, sent_us, entries } => {
+                Ok(ListUpdate { kind: ListKind::Changes, from, to, sent_us, entries })
+            }
+            Frame::Complete { to, sent_us, entries } => {
+                Ok(ListUpdate { kind: ListKind::Complete, from: 0, to, sent_us, entries })
+            }
+            Frame::Failed => Err(ListError::CouldNotAnswer),
+            Frame::Follow { .. } | Frame::Fetch { .. } => Err(ListError::HostsFrame),
+        }
+    }
+
+    /// `at` is when the bytes were read.
+    fn into_event(self, at: tackmast::interface::Instant) -> Event {
+        let ListUpdate { kind, from, to, sent_us, entries } = self;
+        let entries = entries.into_iter().map(|entry| list_entry(entry, sent_us)).collect();
+        Event::List { at, kind, from, to, entries }
+    }
+}
+
+/// A node's start as the list names it; none where the list does not know it.
+pub(crate) fn node_start(started_us: u64, age: Age) -> Option<NodeStart> {
     (started_us > 0).then_some(NodeStart { name: started_us, age })
 }
 
-fn by_wall(started_us: u64) -> Age {
-    Age::ByHostClock(since(Clock::wall_us(), started_us))
+/// How long ago a node started, by this host's wall clock.
+fn age_by_host_clock(started_us: u64) -> Age {
+    Age::ByHostClock(time_since(Clock::wall_us(), started_us))
 }
 
-fn since(now_us: u64, then_us: u64) -> TimeDelta {
+fn time_since(now_us: u64, then_us: u64) -> TimeDelta {
     TimeDelta::from_secs((now_us as f64 - then_us as f64) / 1e6)
 }
 
-fn entry(e: list::Entry, sent_us: u64) -> ListEntry {
-    let age =
-        if sent_us > 0 { Age::ByListClock(since(sent_us, e.started_us)) } else { by_wall(e.started_us) };
+fn list_entry(entry: list::Entry, sent_us: u64) -> ListEntry {
+    let age = match sent_us > 0 {
+        true => Age::ByListClock(time_since(sent_us, entry.started_us)),
+        false => age_by_host_clock(entry.started_us),
+    };
     ListEntry {
-        id: e.address.clone(),
-        address: e.address,
-        state: match e.state {
+        id: entry.address.clone(),
+        address: entry.address,
+        state: match entry.state {
             State::Ready => NodeState::Ready,
             State::Draining => NodeState::Draining,
             State::Gone => NodeState::Gone,
         },
-        zone: ZoneId(e.zone),
-        shard: ShardId(e.shard),
-        start: start_of(e.started_us, age),
+        zone: ZoneId(entry.zone),
+        shard: ShardId(entry.shard),
+        start: node_start(entry.started_us, age),
     }
 }
-
-#[derive(Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Saved {
-    address: String,
-    draining: bool,
-    zone: u32,
-    shard: u32,
-    started_us: u64,
-}
-
-impl Saved {
-    fn of(e: &ListEntry) -> Saved {
-        Saved {
-            address: e.address.clone(),
-            draining: e.state != NodeState::Ready,
-            zone: e.zone.0,
-            shard: e.shard.0,
-            started_us: e.start.map_or(0, |s| s.name),
-        }
-    }
-}
-
-/// The list that an earlier generation saved. A file that isn't there is an empty list.
-pub fn load(path: &Path) -> Result<Vec<ListEntry>, String> {
-    let bytes = match std::fs::read(path) {
-        Ok(b) => b,
-        Err(e) if e.kind() == ErrorKind::NotFound => return Ok(Vec::new()),
-        Err(e) => return Err(format!("{}: {e}", path.display())),
-    };
-    let saved: Vec<Saved> = serde_json::from_slice(&bytes)
-        .map_err(|e| format!("{}: {e}; expected a list saved by a host; starting without", path.display()))?;
-    let entry = |s: Saved| ListEntry {
-        id: s.address.clone(),
-        address: s.address,
-        state: if s.draining { NodeState::Draining } else { NodeState::Ready },
-        zone: ZoneId(s.zone),
-        shard: ShardId(s.shard),
-        start: start_of(s.started_us, by_wall(s.started_us)),
-    };
-    Ok(saved.into_iter().map(entry).collect())
-}
--- a/crates/host/src/peers.rs
+++ b/crates/host/src/peers.rs
@@ -1,11 +1,12 @@
 //! Datagrams of other hosts in and out, and the file that marks a leave.
 
 use crate::core_thread::Event;
+use crate::thread::spawn;
 use crate::{Clock, StartError};
 use bytes::Bytes;
 use crossbeam_channel::{Sender, TrySendError};
 use std::fs::File;
-use std::io::Write;
+use std::io::{self, Write};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,100 +17,128 @@
 use tackmast_wire::peer;
 
 /// How often the reader looks whether the host stops.
-const LOOK: Duration = Duration::from_millis(200);
-/// A datagram that can't be passed on by then is lost, as on any network.
-const SEND: Duration = Duration::from_millis(1);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// How long a datagram may wait for the socket; then it is lost, as on any network.
+const SEND_TIMEOUT: Duration = Duration::from_millis(1);
+/// What the file that marks a leave holds.
+const LEFT_FILE_TEXT: &[u8] =
+    b"This host has left in order; its next life starts with nothing that may be lent.\n";
 
-/// The way out, held by the core's thread.
-pub struct Peers {
+/// The sender's side, held by the core's thread.
+pub(crate) struct Peers {
     socket: UdpSocket,
+    /// Where the other hosts reach this one.
+    pub(crate) address: SocketAddr,
     left_file: Option<PathBuf>,
-    /// The mark of an earlier leave stands.
-    marked: bool,
+    /// Whether the file marks a leave.
+    is_marked: bool,
 }
 
-#[allow(clippy::too_many_arguments)] // what the room is given, one by one
-pub fn start(
-    s: &HostSettings,
-    m: &MembershipBlock,
-    core: &mut Core,
-    clock: Clock,
-    (generation, seed): (u64, u64),
-    recalled: Vec<KnownPeer>,
-    events: Sender<Event>,
-    stopping: Arc<AtomicBool>,
-) -> Result<(Peers, SocketAddr), StartError> {
-    let failed = |error| StartError::Listen { address: m.listen, error };
-    let socket = UdpSocket::bind(m.listen).map_err(failed)?;
-    let address = socket.local_addr().map_err(failed)?;
-    socket.set_read_timeout(Some(LOOK)).map_err(failed)?;
-    socket.set_write_timeout(Some(SEND)).map_err(failed)?;
-    let reader = socket.try_clone().map_err(failed)?;
-    let marked = m.left_file.as_ref().is_some_and(|f| f.exists());
-    let now = clock.now();
-    let previous_exit = if marked { PreviousExit::Graceful } else { PreviousExit::Unclean };
-    core.with_peers(
-        now,
-        tackmast_host_core::Peers::new(
-            now,
-            member_settings(s, m, address, generation, previous_exit, seed, recalled),
-        ),
-    );
-    crate::thread("peers".into(), move || read(&reader, &events, &stopping))?;
-    Ok((Peers { socket, left_file: m.left_file.clone(), marked }, address))
+/// Who this host is among its peers.
+pub(crate) struct PeerIdentity {
+    /// Number of this start of the host; larger is later.
+    pub(crate) generation: u64,
+    /// Seed of its random choices.
+    pub(crate) seed: u64,
+    /// Peers that an earlier process knew.
+    pub(crate) known_peers: Vec<KnownPeer>,
 }
 
-fn read(socket: &UdpSocket, events: &Sender<Event>, stopping: &AtomicBool) {
-    let mut room = vec![0; peer::MAX_DATAGRAM_LEN + 1];
-    while !stopping.load(Ordering::Acquire) {
-        let Ok((n, from)) = socket.recv_from(&mut room) else { continue };
-        let bytes = Bytes::copy_from_slice(&room[..n]);
-        if let Err(TrySendError::Disconnected(_)) = events.try_send(Event::Datagram { from, bytes }) {
-            return;
-        }
+impl Peers {
+    /// Binds the socket and marks whether an earlier process has left in order.
+    pub(crate) fn bind(block: &MembershipBlock) -> Result<Peers, StartError> {
+        let failed = |error| StartError::Listen { address: block.listen, error };
+        let socket = UdpSocket::bind(block.listen).map_err(failed)?;
+        let address = socket.local_addr().map_err(failed)?;
+        socket.set_read_timeout(Some(STOP_POLL_INTERVAL)).map_err(failed)?;
+        socket.set_write_timeout(Some(SEND_TIMEOUT)).map_err(failed)?;
+        let is_marked = block.left_file.as_ref().is_some_and(|file| file.exists());
+        Ok(Peers { socket, address, left_file: block.left_file.clone(), is_marked })
     }
-}
 
-impl Peers {
-    pub fn send(&self, to: SocketAddr, bytes: &Bytes) {
-        // Lost is what datagrams may be.
+    /// Gives the core its part in the membership.
+    pub(crate) fn join(
+        &self,
+        core: &mut Core,
+        clock: Clock,
+        settings: &HostSettings,
+        block: &MembershipBlock,
+        identity: PeerIdentity,
+    ) {
+        let now = clock.now();
+        let previous_exit = if self.is_marked { PreviousExit::Graceful } else { PreviousExit::Unclean };
+        let PeerIdentity { generation, seed, known_peers } = identity;
+        let members =
+            member_settings(settings, block, self.address, generation, previous_exit, seed, known_peers);
+        core.with_peers(now, tackmast_host_core::Peers::new(now, members));
+    }
+
+    /// Starts the thread that reads datagrams.
+    pub(crate) fn start_reader(
+        &self,
+        events: Sender<Event>,
+        stopping: Arc<AtomicBool>,
+    ) -> Result<(), StartError> {
+        let failed = |error| StartError::Listen { address: self.address, error };
+        let socket = self.socket.try_clone().map_err(failed)?;
+        spawn("peers".into(), move || read(&socket, &events, &stopping))?;
+        Ok(())
+    }
+
+    /// Sends a datagram, which may be lost like any other.
+    pub(crate) fn send(&self, to: SocketAddr, bytes: &Bytes) {
         _ = self.socket.send_to(bytes, to);
     }
 
-    /// Marks, so that it lasts, that all this host has may be lent for the longer term; false: it must not be.
-    pub fn mark_leave(&mut self) -> bool {
+    /// Marks on disk that all this host has may be lent for the longer term; false: it must not be.
+    pub(crate) fn mark_leave(&mut self) -> bool {
         let Some(file) = &self.left_file else { return false };
-        match mark(file) {
+        match write_mark(file) {
             Ok(()) => {
-                self.marked = true;
+                self.is_marked = true;
                 true
             }
-            Err(e) => {
-                tracing::warn!("left_file {}: {e}; nothing is lent at this leave", file.display());
+            Err(error) => {
+                tracing::warn!(path = %file.display(), %error, "leave not marked: no quota is lent at this leave");
                 false
             }
         }
     }
 
-    /// Nothing that was lent at an earlier leave can be out any more.
-    pub fn unmark(&mut self) {
-        if let Some(file) = self.left_file.as_ref().filter(|_| self.marked) {
+    /// Removes the mark, once nothing that was lent at an earlier leave can be in use any more.
+    pub(crate) fn unmark(&mut self) {
+        if let Some(file) = self.left_file.as_ref().filter(|_| self.is_marked) {
             match std::fs::remove_file(file) {
-                Ok(()) => self.marked = false,
-                Err(e) => tracing::warn!("left_file {}: {e}; expected to remove it", file.display()),
+                Ok(()) => self.is_marked = false,
+                Err(error) => {
+                    tracing::warn!(path = %file.display(), %error, "mark of an earlier leave not removed");
+                }
             }
         }
     }
 
-    pub fn is_marked(&self) -> bool {
-        self.marked
+    /// Whether the file marks a leave.
+    pub(crate) fn is_marked(&self) -> bool {
+        self.is_marked
+    }
+}
+
+fn read(socket: &UdpSocket, events: &Sender<Event>, stopping: &AtomicBool) {
+    let mut buffer = vec![0; peer::MAX_DATAGRAM_LEN + 1];
+    while !stopping.load(Ordering::Acquire) {
+        let Ok((length, from)) = socket.recv_from(&mut buffer) else { continue };
+        let bytes = Bytes::copy_from_slice(&buffer[..length]);
+        if let Err(TrySendError::Disconnected(_)) = events.try_send(Event::Datagram { from, bytes }) {
+            return;
+        }
     }
 }
 
-fn mark(file: &Path) -> std::io::Result<()> {
-    let mut f = File::create(file)?;
-    f.write_all(b"This host has left in order; its next life starts with nothing that may be lent.\n")?;
-    f.sync_all()?;
-    let folder = file.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+/// Writes the mark and its directory entry through to the disk.
+fn write_mark(path: &Path) -> io::Result<()> {
+    let mut file = File::create(path)?;
+    file.write_all(LEFT_FILE_TEXT)?;
+    file.sync_all()?;
+    let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
     File::open(folder)?.sync_all()
 }
--- /dev/null
+++ b/crates/host/src/sessions/reader.rs
@@ -0,0 +1,156 @@
+//! The reader of a session: bytes of the client become commands for the core.
+
+use super::shared::SharedSession;
+use super::{SessionHub, ToSession};
+use crate::core_thread::Event;
+use crossbeam_channel::Sender;
+use std::collections::HashMap;
+use std::io::{ErrorKind, Read};
+use std::net::TcpStream;
+use std::ops::ControlFlow;
+use tackmast::interface::{Instant, TimeDelta};
+use tackmast_host_core::{CommandRef, Work};
+use tackmast_target as target;
+
+/// Bytes that one read takes at most.
+const READ_BUFFER_BYTES: usize = 64 << 10;
+
+/// Which session, for events and logs.
+pub(super) struct SessionInfo {
+    pub(super) session: u32,
+    /// The client's address.
+    pub(super) client: String,
+}
+
+/// The reader's side of a session.
+pub(super) struct SessionReader<'a> {
+    hub: &'a SessionHub,
+    shared: &'a SharedSession,
+    writer: &'a Sender<ToSession>,
+    info: SessionInfo,
+    /// When the first bytes of a write were received whose data is not complete.
+    began_at: HashMap<u32, Instant>,
+    is_logged_in: bool,
+}
+
+impl<'a> SessionReader<'a> {
+    pub(super) fn new(
+        hub: &'a SessionHub,
+        shared: &'a SharedSession,
+        writer: &'a Sender<ToSession>,
+        info: SessionInfo,
+    ) -> Self {
+        SessionReader { hub, shared, writer, info, began_at: HashMap::new(), is_logged_in: false }
+    }
+
+    /// Reads until the session ends.
+    pub(super) fn run(&mut self, stream: &mut TcpStream) {
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
+        loop {
+            let length = match stream.read(&mut buffer) {
+                Ok(0) => return,
+                Ok(length) => length,
+                Err(error) if error.kind() == ErrorKind::Interrupted => continue,
+                Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
+                    let login_ms = self.hub.settings.bounds.login_ms;
+                    return tracing::warn!(
+                        client = self.info.client,
+                        login_ms,
+                        "no login in time: session closed"
+                    );
+                }
+                Err(_) => return,
+            };
+            if self.handle_bytes(stream, &buffer[..length]).is_break() {
+                return;
+            }
+        }
+    }
+
+    /// Handles bytes, and after each pause those that were received before it: they are commands that the client has sent already.
+    fn handle_bytes(&mut self, stream: &TcpStream, bytes: &[u8]) -> ControlFlow<()> {
+        let mut received = bytes;
+        loop {
+            self.handle_input(stream, received)?;
+            if !self.shared.wait_until_drained() {
+                return ControlFlow::Continue(());
+            }
+            received = &[];
+        }
+    }
+
+    fn handle_input(&mut self, stream: &TcpStream, bytes: &[u8]) -> ControlFlow<()> {
+        let now = self.hub.clock.now();
+        let mut session = self.shared.lock();
+        let handled = session.take(bytes);
+        let mut events = Vec::new();
+        while let Some(event) = session.next_event() {
+            events.push(event);
+        }
+        let has_output = session.pending() > 0;
+        let (is_logged_in, is_over) = (session.is_full(), session.is_over());
+        drop(session);
+        if is_logged_in && !self.is_logged_in {
+            self.is_logged_in = true;
+            _ = stream.set_read_timeout(None);
+        }
+        for event in events {
+            self.handle_event(now, event)?;
+        }
+        if has_output {
+            self.shared.wake_writer(self.writer);
+        }
+        if let Err(error) = handled {
+            let SessionInfo { session, client } = &self.info;
+            tracing::warn!(client, session, %error, "client broke the protocol: session closed");
+            return ControlFlow::Break(());
+        }
+        match is_over {
+            true => ControlFlow::Break(()),
+            false => ControlFlow::Continue(()),
+        }
+    }
+
+    /// Hands an event of the session to the core's thread; breaks where the host has stopped.
+    fn handle_event(&mut self, now: Instant, event: target::Event) -> ControlFlow<()> {
+        let SessionInfo { session, client } = &self.info;
+        let session = *session;
+        let event = match event {
+            target::Event::Begun { command } => {
+                self.began_at.insert(command, now);
+                return ControlFlow::Continue(());
+            }
+            target::Event::Submit { command, lun, block, work, deadline_ms } => Event::Submit {
+                from: CommandRef { session, command },
+                lun,
+                block,
+                work: host_work(work),
+                received_at: self.began_at.remove(&command).unwrap_or(now),
+                timeout: deadline_ms.map(|millis| TimeDelta::from_secs(f64::from(millis) / 1e3)),
+            },
+            target::Event::Abort { command } => {
+                self.began_at.remove(&command);
+                Event::Abort { from: CommandRef { session, command } }
+            }
+            target::Event::Close(ending) => {
+                tracing::debug!(client, session, ?ending, "session ends");
+                return ControlFlow::Continue(());
+            }
+            target::Event::Note(note) => {
+                tracing::warn!(client, session, note, "client did what it should not");
+                return ControlFlow::Continue(());
+            }
+        };
+        match self.hub.events.send(event) {
+            Ok(()) => ControlFlow::Continue(()),
+            Err(_) => ControlFlow::Break(()),
+        }
+    }
+}
+
+fn host_work(work: target::Work) -> Work {
+    match work {
+        target::Work::Read { blocks } => Work::Read { blocks },
+        target::Work::Write { data } => Work::Write { data },
+    }
+}
