--- a/crates/host/examples/changes.rs
+++ b/crates/host/examples/changes.rs
@@ -1,5 +1,5 @@
-//! Changes of plans: by one home, and agreed on by three voters, in one run on loopback. Latency of one change after the other, and
-//! changes a second with eight askers at once, each with a plan of its own. `cargo run --release -p tackmast-host --example changes`
+//! Measures changes of plans, taken by one home and committed by three voters, in one run on loopback: the latency of one change after
+//! the other, and changes a second with eight callers at once, each with a plan of its own. `cargo run --release -p tackmast-host --example changes`
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,18 +13,26 @@
 use tackmast_plans::{Change, Plan, Step};
 
 const HOSTS: u32 = 3;
-const ASKERS: u32 = 8;
-const ONE_BY_ONE: u32 = 200;
-const AT_ONCE: Duration = Duration::from_secs(5);
+/// Callers at once.
+const CALLERS: u32 = 8;
+/// Changes of the measurement of latency.
+const SEQUENTIAL_CHANGES: u32 = 200;
+/// Duration of the measurement with all callers.
+const CONCURRENT_TIME: Duration = Duration::from_secs(5);
 
-fn admin(dir: &Path, host: u32) -> PathBuf {
+fn admin_socket(dir: &Path, host: u32) -> PathBuf {
     dir.join(format!("{host}.admin"))
 }
 
-fn settings(dir: &Path, host: u32, seed: Option<SocketAddr>, agrees: bool) -> Result<HostSettings, String> {
-    let seeds = seed.map(|s| format!("\"{s}\"")).unwrap_or_default();
-    let agreement = if agrees { "agreement {\n  voters = [0, 1, 2]\n}\n" } else { "" };
-    let plans: String = (0..ASKERS).map(|i| format!("plan \"p{i}\" {{ }}\n")).collect();
+fn settings(
+    dir: &Path,
+    host: u32,
+    seed: Option<SocketAddr>,
+    uses_consensus: bool,
+) -> Result<HostSettings, String> {
+    let seeds = seed.map(|address| format!("\"{address}\"")).unwrap_or_default();
+    let consensus_block = if uses_consensus { "agreement {\n  voters = [0, 1, 2]\n}\n" } else { "" };
+    let plans: String = (0..CALLERS).map(|i| format!("plan \"p{i}\" {{ }}\n")).collect();
     let text = format!(
         r#"
 host {{
@@ -64,7 +72,7 @@
   settle_s = 1
   node_units = 500
 }}
-{agreement}
+{consensus_block}
 membership {{
   listen = "127.0.0.1:0"
   fleet = "measured"
@@ -73,27 +81,31 @@
 }}
 "#,
         store = dir.join(format!("{host}.redb")),
-        admin = admin(dir, host),
+        admin = admin_socket(dir, host),
     );
     HostSettings::parse("measured", &text).map_err(|e| e.to_string())
 }
 
-fn ask(dir: &Path, host: u32, ask: AdminRequest) -> Result<AdminResponse, String> {
-    match tackmast_admin::call(&admin(dir, host), &Call::AdminRequest(ask), Duration::from_secs(10))
-        .map_err(|e| e.to_string())?
+fn call(dir: &Path, host: u32, request: AdminRequest) -> Result<AdminResponse, String> {
+    match tackmast_admin::call(
+        &admin_socket(dir, host),
+        &Call::AdminRequest(request),
+        Duration::from_secs(10),
+    )
+    .map_err(|e| e.to_string())?
     {
-        Answer::AdminResponse(r) => Ok(*r),
+        Answer::AdminResponse(response) => Ok(*response),
         other => Err(format!("{other:?}")),
     }
 }
 
 /// One change of a plan's weight at a host, on the version that it shows.
-fn change(dir: &Path, host: u32, plan: u32, base: &mut u64, n: u32) -> Result<(), String> {
-    let weight = 1.0 + f64::from(n % 1_000) / 1_000.0;
+fn change(dir: &Path, host: u32, plan: u32, base: &mut u64, index: u32) -> Result<(), String> {
+    let weight = 1.0 + f64::from(index % 1_000) / 1_000.0;
     let to = Plan { limit: 0.0, burst: 0.0, slack: 0.0, reserve: 0.0, weight, floor: None };
     let steps = vec![Step::Plan { name: format!("p{plan}"), to: Some(to) }];
     let change = Change { base: *base, steps, who: "measured".into(), why: "measured".into() };
-    match ask(dir, host, AdminRequest::Plan(PlanRequest::Apply { change, dry_run: false }))? {
+    match call(dir, host, AdminRequest::Plan(PlanRequest::Apply { change, dry_run: false }))? {
         AdminResponse::Plan(PlanResponse::Applied { version, .. }) => {
             *base = version;
             Ok(())
@@ -102,77 +114,82 @@
     }
 }
 
-fn shown(dir: &Path, host: u32) -> Result<u64, String> {
-    match ask(dir, host, AdminRequest::Plan(PlanRequest::Show))? {
-        AdminResponse::Plan(PlanResponse::Shown(s)) if !s.clients_wait && !s.stale => Ok(s.catalogue.version),
+fn plan_version(dir: &Path, host: u32) -> Result<u64, String> {
+    match call(dir, host, AdminRequest::Plan(PlanRequest::Show))? {
+        AdminResponse::Plan(PlanResponse::Shown(status)) if !status.clients_wait && !status.stale => {
+            Ok(status.catalogue.version)
+        }
         other => Err(format!("{other:?}")),
     }
 }
 
-fn measure(agrees: bool) -> Result<(), String> {
+fn measure(uses_consensus: bool) -> Result<(), String> {
     let dir = tempfile::tempdir().map_err(|e| e.to_string())?;
     let dir = dir.path();
     let mut hosts: Vec<Host> = Vec::new();
-    for h in 0..HOSTS {
-        let seed = hosts.first().and_then(|h| h.peers);
-        hosts.push(Host::start(settings(dir, h, seed, agrees)?).map_err(|e| e.to_string())?);
+    for host in 0..HOSTS {
+        let seed = hosts.first().and_then(|first| first.peers);
+        hosts.push(Host::start(settings(dir, host, seed, uses_consensus)?).map_err(|e| e.to_string())?);
     }
     let began = Instant::now();
     let leader = loop {
-        let leads =
-            (0..HOSTS).find(|h| match ask(dir, *h, AdminRequest::Consensus(ConsensusRequest::Status)) {
-                Ok(AdminResponse::Consensus(ConsensusResponse::Status(s))) => {
-                    s.role == "leads" && s.lease == "holds"
+        let leads = (0..HOSTS).find(|host| {
+            match call(dir, *host, AdminRequest::Consensus(ConsensusRequest::Status)) {
+                Ok(AdminResponse::Consensus(ConsensusResponse::Status(status))) => {
+                    status.role == "leads" && status.lease == "holds"
                 }
                 _ => false,
-            });
+            }
+        });
         match leads {
-            Some(l) => break l,
-            None if !agrees && shown(dir, 0).is_ok() => break 0,
+            Some(leader) => break leader,
+            None if !uses_consensus && plan_version(dir, 0).is_ok() => break 0,
             None if began.elapsed() > Duration::from_secs(20) => return Err("no leader in 20 s".into()),
             None => std::thread::sleep(Duration::from_millis(50)),
         }
     };
     let other = (leader + 1) % HOSTS;
     let at: Vec<(&str, u32)> =
-        if agrees { vec![("leader", leader), ("another", other)] } else { vec![("home", 0)] };
+        if uses_consensus { vec![("leader", leader), ("another", other)] } else { vec![("home", 0)] };
     for (name, host) in at {
-        let mut base = shown(dir, host)?;
-        let mut took: Vec<f64> = Vec::new();
-        for n in 0..ONE_BY_ONE {
-            let t = Instant::now();
-            change(dir, host, 0, &mut base, n)?;
-            took.push(t.elapsed().as_secs_f64() * 1e3);
+        let mut base = plan_version(dir, host)?;
+        let mut latencies_ms: Vec<f64> = Vec::new();
+        for index in 0..SEQUENTIAL_CHANGES {
+            let started = Instant::now();
+            change(dir, host, 0, &mut base, index)?;
+            latencies_ms.push(started.elapsed().as_secs_f64() * 1e3);
         }
-        took.sort_by(f64::total_cmp);
-        let part = |p: f64| took[((took.len() - 1) as f64 * p) as usize];
+        latencies_ms.sort_by(f64::total_cmp);
+        let quantile = |quantile: f64| latencies_ms[((latencies_ms.len() - 1) as f64 * quantile) as usize];
         println!(
             "{:<9} at {name:<8} one by one: median {:.2} ms, p99 {:.2} ms, {:.0} a second",
-            if agrees { "agreed" } else { "one home" },
-            part(0.5),
-            part(0.99),
-            1e3 * took.len() as f64 / took.iter().sum::<f64>()
+            if uses_consensus { "agreed" } else { "one home" },
+            quantile(0.5),
+            quantile(0.99),
+            1e3 * latencies_ms.len() as f64 / latencies_ms.iter().sum::<f64>()
         );
     }
-    let version = shown(dir, leader)?;
+    let version = plan_version(dir, leader)?;
     let began = Instant::now();
-    let done: u32 = std::thread::scope(|s| {
-        let all: Vec<_> = (0..ASKERS)
+    let done: u32 = std::thread::scope(|scope| {
+        let all: Vec<_> = (0..CALLERS)
             .map(|plan| {
-                s.spawn(move || {
-                    let (mut base, mut n) = (version, 0);
-                    while began.elapsed() < AT_ONCE && change(dir, leader, plan, &mut base, n).is_ok() {
-                        n += 1;
+                scope.spawn(move || {
+                    let (mut base, mut changes) = (version, 0);
+                    while began.elapsed() < CONCURRENT_TIME
+                        && change(dir, leader, plan, &mut base, changes).is_ok()
+                    {
+                        changes += 1;
                     }
-                    n
+                    changes
                 })
             })
             .collect();
-        all.into_iter().map(|t| t.join().unwrap_or(0)).sum()
+        all.into_iter().map(|caller| caller.join().unwrap_or(0)).sum()
     });
     println!(
-        "{:<9} {ASKERS} askers at once: {:.0} a second",
-        if agrees { "agreed" } else { "one home" },
+        "{:<9} {CALLERS} callers at once: {:.0} a second",
+        if uses_consensus { "agreed" } else { "one home" },
         f64::from(done) / began.elapsed().as_secs_f64()
     );
     hosts.into_iter().for_each(Host::stop);
@@ -180,8 +197,8 @@
 }
 
 fn main() -> std::process::ExitCode {
-    for agrees in [false, true, false, true] {
-        if let Err(e) = measure(agrees) {
+    for uses_consensus in [false, true, false, true] {
+        if let Err(e) = measure(uses_consensus) {
             eprintln!("changes: {e}");
             return std::process::ExitCode::FAILURE;
         }
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A host between stand-ins, all on loopback.
+//! A host between emulated nodes, their list and its clients, all on loopback.
 #![allow(dead_code)] // each test file uses its own part
 
 use bytes::Bytes;
@@ -16,9 +16,11 @@
 use tackmast_wire::iscsi::Digests;
 use tackmast_wire::list::{Entry, State};
 
-pub const PATIENCE: Duration = Duration::from_secs(5);
+/// How long a test waits for what must happen soon.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-pub struct Pool {
+/// A host with two nodes and their list.
+pub struct TestCluster {
     pub recorder: Recorder,
     pub nodes: Vec<Node>,
     pub list: NodeList,
@@ -29,8 +31,8 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Settings of one host over shards 0 and 1; `more` is added as it is.
-pub fn settings(list: SocketAddr, more: &str) -> HostSettings {
+/// Settings of one host over shards 0 and 1.
+pub fn settings(list: SocketAddr) -> HostSettings {
     let text = format!(
         r#"
         host {{
@@ -83,58 +85,60 @@
           reads = "read"
           writes = "log"
         }}
-        {more}
         "#
     );
     HostSettings::parse("test", &text).unwrap()
 }
 
-pub fn entry(n: &Node) -> Entry {
+/// A node as the list shows it.
+fn entry(node: &Node) -> Entry {
     Entry {
-        address: n.address().to_string(),
+        address: node.address().to_string(),
         state: State::Ready,
-        zone: n.zone(),
-        shard: n.shard(),
-        started_us: n.started_us(),
+        zone: node.zone(),
+        shard: node.shard(),
+        started_us: node.started_us(),
     }
 }
 
-pub fn pool(nature: Nature, more: &str) -> Pool {
-    let recorder = Recorder::default();
-    let marks = Arc::new(Marks::default());
-    let node = |shard| {
-        Node::start(NodeSettings {
-            address: loopback(),
-            shard,
-            zone: 0,
-            nature: nature.clone(),
-            seed: u64::from(shard) + 1,
-            max_data: 1 << 20,
-            report_every: Duration::from_millis(50),
-            marks: marks.clone(),
-            window_s: 5.0,
-            cold: false,
-            store: Arc::default(),
-            receive_bytes: 0,
-            front: None,
-            recorder: recorder.clone(),
-        })
-        .unwrap()
-    };
-    let nodes: Vec<Node> = (0..2).map(node).collect();
-    let list = NodeList::start(loopback(), recorder.clone()).unwrap();
-    list.put(nodes.iter().map(entry));
-    let host = Host::start(settings(list.address, more)).unwrap();
-    // The list is asked at the start; clients before its answer would wait, which tests don't want.
-    let until = std::time::Instant::now() + PATIENCE;
-    while host.status().is_none_or(|s| s.nodes.len() < nodes.len()) {
-        assert!(std::time::Instant::now() < until, "no node list in {PATIENCE:?}");
-        std::thread::sleep(Duration::from_millis(2));
+impl TestCluster {
+    /// Starts it with nodes of this behavior; the host knows both when this returns.
+    pub fn start(nature: Nature) -> TestCluster {
+        let recorder = Recorder::default();
+        let marks = Arc::new(Marks::default());
+        let node = |shard| {
+            Node::start(NodeSettings {
+                address: loopback(),
+                shard,
+                zone: 0,
+                nature: nature.clone(),
+                seed: u64::from(shard) + 1,
+                max_data: 1 << 20,
+                report_every: Duration::from_millis(50),
+                marks: marks.clone(),
+                window_s: 5.0,
+                cold: false,
+                store: Arc::default(),
+                receive_bytes: 0,
+                front: None,
+                recorder: recorder.clone(),
+            })
+            .unwrap()
+        };
+        let nodes: Vec<Node> = (0..2).map(node).collect();
+        let list = NodeList::start(loopback(), recorder.clone()).unwrap();
+        list.put(nodes.iter().map(entry));
+        let host = Host::start(settings(list.address)).unwrap();
+        // Commands that came before the list's answer would wait, and tests with short deadlines would fail.
+        let give_up_at = std::time::Instant::now() + TEST_TIMEOUT;
+        while host.status().is_none_or(|status| status.nodes.len() < nodes.len()) {
+            assert!(std::time::Instant::now() < give_up_at, "no node list in {TEST_TIMEOUT:?}");
+            std::thread::sleep(Duration::from_millis(2));
+        }
+        TestCluster { recorder, nodes, list, host }
     }
-    Pool { recorder, nodes, list, host }
-}
 
-impl Pool {
+    /// A client that has logged in.
     pub fn client(&self, digests: Digests, deadline_ms: Option<u32>) -> Client {
         let login = Login {
             address: self.host.address,
@@ -142,46 +146,52 @@
             name: "iqn.2026-12.org.tackmast:test".into(),
             digests,
             deadline_ms,
-            patience: PATIENCE,
+            patience: TEST_TIMEOUT,
         };
-        let (to, replies) = crossbeam_channel::unbounded();
-        Client { initiator: Initiator::login(&login, 0, to, self.recorder.clone()).unwrap(), replies }
+        let (replies_to, replies) = crossbeam_channel::unbounded();
+        Client { initiator: Initiator::login(&login, 0, replies_to, self.recorder.clone()).unwrap(), replies }
     }
 
-    pub fn end(self) {
+    /// Stops all processes.
+    pub fn stop(self) {
         self.host.stop();
         self.list.stop();
         self.nodes.iter().for_each(Node::stop);
     }
 }
 
+/// An emulated initiator and the replies that it receives.
 pub struct Client {
     pub initiator: Initiator,
     pub replies: Receiver<(u64, Reply)>,
 }
 
 impl Client {
-    pub fn ask(&self, label: u64, lun: u32, block: u64, work: AskWork) -> Option<u32> {
+    fn send(&self, lun: u32, block: u64, work: AskWork) {
         let ask = Ask { lun, traffic_class: 0, block, block_bytes: 512, work, deadline_us: 1_500_000 };
-        self.initiator.ask(label, &ask, PATIENCE)
+        self.initiator.ask(0, &ask, TEST_TIMEOUT);
     }
-    pub fn reply(&self) -> (u64, Reply) {
-        self.replies.recv_timeout(PATIENCE).expect("an answer in time")
+
+    /// The next reply.
+    pub fn receive(&self) -> Reply {
+        self.replies.recv_timeout(TEST_TIMEOUT).expect("an answer in time").1
     }
+
     pub fn write(&self, lun: u32, block: u64, data: Vec<u8>) -> Reply {
-        self.ask(0, lun, block, AskWork::Write { data: data.into() });
-        self.reply().1
+        self.send(lun, block, AskWork::Write { data: data.into() });
+        self.receive()
     }
+
     pub fn read(&self, lun: u32, block: u64, blocks: u32) -> Reply {
-        self.ask(0, lun, block, AskWork::Read { blocks });
-        self.reply().1
+        self.send(lun, block, AskWork::Read { blocks });
+        self.receive()
     }
 }
 
-/// Bytes that tell where they belong.
+/// Random bytes, which differ between seeds.
 pub fn pattern(seed: u64, bytes: usize) -> Vec<u8> {
-    let mut chance = oorandom::Rand64::new(u128::from(seed));
-    (0..bytes).map(|_| chance.rand_u64() as u8).collect()
+    let mut random = oorandom::Rand64::new(u128::from(seed));
+    (0..bytes).map(|_| random.rand_u64() as u8).collect()
 }
 
 pub fn done(data: Vec<u8>) -> Reply {
--- a/crates/host/tests/members.rs
+++ b/crates/host/tests/members.rs
@@ -1,4 +1,4 @@
-//! A dozen hosts on loopback that know of each other: they find and miss each other, and operators' orders reach all.
+//! A dozen hosts on loopback that are peers: they find each other, notice one that ends, and share operators' overrides.
 
 use bytes::Bytes;
 use std::net::{SocketAddr, UdpSocket};
@@ -13,7 +13,7 @@
 const HOSTS: u32 = 12;
 
 fn settings(dir: &Path, host: u32, seed: Option<SocketAddr>) -> HostSettings {
-    let seeds = seed.map(|s| format!("\"{s}\"")).unwrap_or_default();
+    let seeds = seed.map(|address| format!("\"{address}\"")).unwrap_or_default();
     let text = format!(
         r#"
 host {{
@@ -56,58 +56,61 @@
 }}
 "#,
         store = dir.join(format!("{host}.redb")),
-        admin = admin(dir, host),
+        admin = admin_socket(dir, host),
     );
     HostSettings::parse("test", &text).unwrap()
 }
 
-fn admin(dir: &Path, host: u32) -> PathBuf {
+fn admin_socket(dir: &Path, host: u32) -> PathBuf {
     dir.join(format!("{host}.admin"))
 }
 
-fn ask(dir: &Path, host: u32, ask: AdminRequest) -> AdminResponse {
-    match tackmast_admin::call(&admin(dir, host), &Call::AdminRequest(ask), Duration::from_secs(5)) {
-        Ok(Answer::AdminResponse(r)) => *r,
+fn call(dir: &Path, host: u32, request: AdminRequest) -> AdminResponse {
+    match tackmast_admin::call(&admin_socket(dir, host), &Call::AdminRequest(request), Duration::from_secs(5))
+    {
+        Ok(Answer::AdminResponse(response)) => *response,
         other => panic!("host {host}: {other:?}"),
     }
 }
 
 fn members(dir: &Path, host: u32) -> MembersStatus {
-    match ask(dir, host, AdminRequest::Members) {
-        AdminResponse::Members(m) => *m,
+    match call(dir, host, AdminRequest::Members) {
+        AdminResponse::Members(status) => *status,
         other => panic!("{other:?}"),
     }
 }
 
-fn standing(dir: &Path, host: u32) -> Vec<Override> {
-    match ask(dir, host, AdminRequest::List) {
-        AdminResponse::List { standing, .. } => standing.into_iter().map(|(o, _)| o).collect(),
+fn overrides(dir: &Path, host: u32) -> Vec<Override> {
+    match call(dir, host, AdminRequest::List) {
+        AdminResponse::List { standing, .. } => standing.into_iter().map(|(standing, _)| standing).collect(),
         other => panic!("{other:?}"),
     }
 }
 
-fn until(what: &str, is: impl Fn() -> bool) {
-    let end = Instant::now() + Duration::from_secs(20);
-    while !is() {
-        assert!(Instant::now() < end, "not within 20 s: {what}");
+fn wait_until(what: &str, holds: impl Fn() -> bool) {
+    let give_up_at = Instant::now() + Duration::from_secs(20);
+    while !holds() {
+        assert!(Instant::now() < give_up_at, "not within 20 s: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
+/// Twelve hosts find each other and ignore datagrams of strangers. An override set at one is in force at all, also after one of them
+/// ended and came back, and cleared at another it is gone at all and does not return.
 #[test]
-fn a_dozen_hosts_find_each_other_and_share_what_operators_order() {
+fn hosts_find_each_other_and_share_overrides() {
     let folder = tempfile::tempdir().unwrap();
     let dir = folder.path();
     let first = Host::start(settings(dir, 0, None)).unwrap();
     let seed = first.peers;
     let mut hosts: Vec<Option<Host>> = vec![Some(first)];
-    hosts.extend((1..HOSTS).map(|h| Some(Host::start(settings(dir, h, seed)).unwrap())));
-    until("all know all", || (0..HOSTS).all(|h| members(dir, h).alive_hosts == HOSTS));
+    hosts.extend((1..HOSTS).map(|host| Some(Host::start(settings(dir, host, seed)).unwrap())));
+    wait_until("all hosts know all", || (0..HOSTS).all(|host| members(dir, host).alive_hosts == HOSTS));
 
-    // What is no datagram, and what is of another fleet, is dropped and counted.
+    // Bytes that are no datagram, and a datagram of another fleet, are dropped and counted.
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     let body = tackmast_wire::peer::Body::Probe(tackmast_wire::peer::ProbeMessage::Ping { seq: 1 });
-    let me = tackmast_wire::peer::MemberUpdate {
+    let sender = tackmast_wire::peer::MemberUpdate {
         slot: 3,
         generation: u64::MAX,
         incarnation: 0,
@@ -116,13 +119,13 @@
         site: None,
         suspected_by: None,
     };
-    let other = tackmast_wire::peer::Datagram { fleet: "other".into(), sender: me, body, updates: vec![] };
-    for bytes in [Bytes::from_static(b"hello"), other.to_bytes()] {
+    let other_fleet = tackmast_wire::peer::Datagram { fleet: "other".into(), sender, body, updates: vec![] };
+    for bytes in [Bytes::from_static(b"hello"), other_fleet.to_bytes()] {
         stranger.send_to(&bytes, seed.unwrap()).unwrap();
     }
-    until("strangers are counted", || members(dir, 0).dropped >= 2);
+    wait_until("strangers are counted", || members(dir, 0).dropped >= 2);
 
-    // An order at one host holds at all; cleared at another, it is gone at all, also at one that starts later.
+    // An override that is set at one host is in force at all.
     let order = Order {
         target: "zone:7".parse().unwrap(),
         kind: Kind::Weight(0.5),
@@ -132,30 +135,35 @@
         origin: None,
     };
     let set = AdminRequest::Set { order, force: false, dry_run: false, if_version: None };
-    assert!(matches!(ask(dir, 4, set), AdminResponse::Set { .. }));
-    until("the order holds at all", || (0..HOSTS).all(|h| standing(dir, h).len() == 1));
-    let held = standing(dir, 9).remove(0);
-    assert_eq!((held.who.as_str(), held.origin.map(|o| o.slot)), ("ann", Some(4)));
+    assert!(matches!(call(dir, 4, set), AdminResponse::Set { .. }));
+    wait_until("the override is in force at all hosts", || {
+        (0..HOSTS).all(|host| overrides(dir, host).len() == 1)
+    });
+    let received = overrides(dir, 9).remove(0);
+    assert_eq!((received.who.as_str(), received.origin.map(|origin| origin.slot)), ("ann", Some(4)));
 
-    // One ends without a word: it is missed, and comes back to the order that it had kept.
+    // One host ends without a leave and is found dead. The override is cleared at another host meanwhile.
     hosts[7].take().unwrap().stop();
-    until("it is missed", || members(dir, 0).alive_hosts == HOSTS - 1);
-    let id: OverrideId = standing(dir, 2)[0].id;
+    wait_until("the ended host is found dead", || members(dir, 0).alive_hosts == HOSTS - 1);
+    let id: OverrideId = overrides(dir, 2)[0].id;
     assert!(matches!(
-        ask(dir, 2, AdminRequest::Clear { id, who: "bob".into() }),
+        call(dir, 2, AdminRequest::Clear { id, who: "bob".into() }),
         AdminResponse::Cleared { .. }
     ));
-    until("cleared at all", || (0..HOSTS).filter(|h| *h != 7).all(|h| standing(dir, h).is_empty()));
-    // A process of its own would have let its files go; here its next generation has a copy of them.
-    let again = dir.join("again");
-    std::fs::create_dir(&again).unwrap();
-    std::fs::copy(dir.join("7.redb"), again.join("7.redb")).unwrap();
-    hosts[7] = Some(Host::start(settings(&again, 7, seed)).unwrap());
-    until("it is back, and the order is not", || {
-        members(dir, 0).alive_hosts == HOSTS && standing(&again, 7).is_empty()
+    wait_until("the override is cleared at all hosts", || {
+        (0..HOSTS).filter(|host| *host != 7).all(|host| overrides(dir, host).is_empty())
+    });
+    // The threads of the ended host may still hold its store, so its next start uses a copy. It comes back with the override that it
+    // had stored, and must learn that it was cleared.
+    let restored = dir.join("restored");
+    std::fs::create_dir(&restored).unwrap();
+    std::fs::copy(dir.join("7.redb"), restored.join("7.redb")).unwrap();
+    hosts[7] = Some(Host::start(settings(&restored, 7, seed)).unwrap());
+    wait_until("the host is back and the override is not", || {
+        members(dir, 0).alive_hosts == HOSTS && overrides(&restored, 7).is_empty()
     });
     std::thread::sleep(Duration::from_millis(500));
-    let others = (0..HOSTS).filter(|h| *h != 7).all(|h| standing(dir, h).is_empty());
-    assert!(others && standing(&again, 7).is_empty(), "what was cleared does not come back");
+    let is_cleared = (0..HOSTS).filter(|host| *host != 7).all(|host| overrides(dir, host).is_empty());
+    assert!(is_cleared && overrides(&restored, 7).is_empty(), "a cleared override came back");
     hosts.into_iter().flatten().for_each(Host::stop);
 }
--- a/crates/host/tests/path.rs
+++ b/crates/host/tests/path.rs
@@ -1,4 +1,4 @@
-//! One request's whole path: client, session, core, node link, node, and back.
+//! The whole way of a command: client, session, core, node link, node, and back.
 
 mod common;
 
@@ -8,16 +8,19 @@
 use tackmast_wire::iscsi::Digests;
 use tackmast_wire::scsi::{Command, Sense};
 
-fn quick() -> Nature {
+/// Nodes that add little to a command's time.
+fn fast_nodes() -> Nature {
     Nature { unit_s: 0.0002, ..Nature::default() }
 }
 
+/// A client writes and reads back ranges within an extent, across two and across many, with and without checksums. Each read returns
+/// what was written, and afterwards nothing is open.
 #[test]
-fn what_is_written_is_read_whatever_its_size_and_place() {
-    let pool = pool(quick(), "");
+fn reads_return_what_was_written_at_any_size_and_offset() {
+    let cluster = TestCluster::start(fast_nodes());
     for digests in [Digests::default(), Digests { header: true, data: true }] {
-        let client = pool.client(digests, None);
-        // Blocks and their number: within an extent, across one, across many; immediate and solicited data.
+        let client = cluster.client(digests, None);
+        // Within an extent, across two, across many; with immediate and with solicited data.
         for (block, blocks) in [(0, 1), (60, 8), (128, 64), (200, 500), (4096, 700)] {
             let data = pattern(block + blocks, blocks as usize * 512);
             assert_eq!(client.write(1, block, data.clone()), done(vec![]), "write {blocks} at {block}");
@@ -27,46 +30,48 @@
         assert_eq!(client.read(300, 0, 1), done(vec![0; 512]), "another volume has its own bytes");
         client.initiator.logout();
     }
-    let s = pool.host.status().unwrap();
-    assert_eq!((s.commands, s.requests, s.attempts), (0, 0, 0), "nothing is kept when nothing is open");
-    pool.end();
+    let status = cluster.host.status().unwrap();
+    assert_eq!((status.commands, status.requests, status.attempts), (0, 0, 0), "nothing is open");
+    cluster.stop();
 }
 
+/// A client asks what the target and its volumes are, and sends reads that no volume allows. Each wrong command gets the sense that
+/// names its fault, and the session stays usable.
 #[test]
-fn simple_commands_are_answered_and_wrong_ones_told_so() {
-    let pool = pool(quick(), "");
-    let client = pool.client(Digests::default(), None);
-    let ask = |lun, command, most| {
-        client.initiator.simple(0, lun, command, most).unwrap();
-        client.reply().1
+fn inquiries_are_answered_and_invalid_commands_get_their_sense() {
+    let cluster = TestCluster::start(fast_nodes());
+    let client = cluster.client(Digests::default(), None);
+    let send = |lun, command, max_bytes| {
+        client.initiator.simple(0, lun, command, max_bytes).unwrap();
+        client.receive()
     };
-    let first = |reply: Reply, n: usize| match reply {
-        Reply::Done(data) => data[..n.min(data.len())].to_vec(),
+    let first_bytes = |reply: Reply, count: usize| match reply {
+        Reply::Done(data) => data[..count.min(data.len())].to_vec(),
         other => panic!("{other:?}"),
     };
-    assert_eq!(ask(1, Command::TestUnitReady, 0), done(vec![]));
+    assert_eq!(send(1, Command::TestUnitReady, 0), done(vec![]));
     assert_eq!(
-        first(ask(1, Command::Inquiry { page: None, allocation_length: 96 }, 96), 16)[8..],
+        first_bytes(send(1, Command::Inquiry { page: None, allocation_length: 96 }, 96), 16)[8..],
         *b"TACKMAST"
     );
     assert_eq!(
-        first(ask(9, Command::Inquiry { page: None, allocation_length: 96 }, 96), 1),
+        first_bytes(send(9, Command::Inquiry { page: None, allocation_length: 96 }, 96), 1),
         [0x7f],
         "no such unit"
     );
-    let luns = first(ask(0, Command::ReportLuns { allocation_length: 64 }, 64), 64);
+    let luns = first_bytes(send(0, Command::ReportLuns { allocation_length: 64 }, 64), 64);
     assert_eq!((luns[3], luns[8..10].to_vec(), luns[16..18].to_vec()), (16, vec![0, 1], vec![0x41, 0x2c]));
-    let capacity = first(ask(1, Command::ReadCapacity16 { allocation_length: 32 }, 32), 12);
+    let capacity = first_bytes(send(1, Command::ReadCapacity16 { allocation_length: 32 }, 32), 12);
     assert_eq!(capacity, [0, 0, 0, 0, 0, 0, 0xff, 0xff, 0, 0, 2, 0]);
     let invalid =
-        |command, sense| assert_eq!(ask(1, command, 512), Reply::InvalidRequest(sense), "{command:?}");
+        |command, sense| assert_eq!(send(1, command, 512), Reply::InvalidRequest(sense), "{command:?}");
     invalid(Command::Read { block: 65_536, blocks: 1 }, Sense::OUT_OF_RANGE);
     invalid(Command::Read { block: u64::MAX, blocks: 2 }, Sense::OUT_OF_RANGE);
     invalid(Command::Read { block: 0, blocks: 60_000 }, Sense::INVALID_FIELD);
     assert_eq!(
-        ask(9, Command::Read { block: 0, blocks: 1 }, 512),
+        send(9, Command::Read { block: 0, blocks: 1 }, 512),
         Reply::InvalidRequest(Sense::NO_SUCH_UNIT)
     );
-    assert_eq!(client.read(1, 0, 1), done(vec![0; 512]), "the session goes on");
-    pool.end();
+    assert_eq!(client.read(1, 0, 1), done(vec![0; 512]), "the session stays usable");
+    cluster.stop();
 }
--- a/crates/host/tests/plans.rs
+++ b/crates/host/tests/plans.rs
@@ -1,5 +1,4 @@
-//! Plans that change while hosts run, on loopback: one host takes changes, all go by them, clients see the new limit, and
-//! the trail outlives restarts.
+//! Plans that change while hosts run, on loopback: one host takes changes, all hosts apply them, and the change log survives restarts.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,7 +12,7 @@
 const HOSTS: u32 = 4;
 
 fn settings(dir: &Path, host: u32, seed: Option<SocketAddr>, limit: u32) -> HostSettings {
-    let seeds = seed.map(|s| format!("\"{s}\"")).unwrap_or_default();
+    let seeds = seed.map(|address| format!("\"{address}\"")).unwrap_or_default();
     let text = format!(
         r#"
 host {{
@@ -67,104 +66,111 @@
 }}
 "#,
         store = dir.join(format!("{host}.redb")),
-        admin = admin(dir, host),
+        admin = admin_socket(dir, host),
     );
     HostSettings::parse("test", &text).unwrap()
 }
 
-fn admin(dir: &Path, host: u32) -> PathBuf {
+fn admin_socket(dir: &Path, host: u32) -> PathBuf {
     dir.join(format!("{host}.admin"))
 }
 
-fn ask(dir: &Path, host: u32, ask: PlanRequest) -> PlanResponse {
+fn call(dir: &Path, host: u32, request: PlanRequest) -> PlanResponse {
     match tackmast_admin::call(
-        &admin(dir, host),
-        &Call::AdminRequest(AdminRequest::Plan(ask)),
+        &admin_socket(dir, host),
+        &Call::AdminRequest(AdminRequest::Plan(request)),
         Duration::from_secs(5),
     ) {
-        Ok(Answer::AdminResponse(r)) => match *r {
-            AdminResponse::Plan(p) => p,
+        Ok(Answer::AdminResponse(response)) => match *response {
+            AdminResponse::Plan(response) => response,
             other => panic!("host {host}: {other:?}"),
         },
         other => panic!("host {host}: {other:?}"),
     }
 }
 
-fn shown(dir: &Path, host: u32) -> PlanStatus {
-    match ask(dir, host, PlanRequest::Show) {
-        PlanResponse::Shown(s) => *s,
+fn plan_status(dir: &Path, host: u32) -> PlanStatus {
+    match call(dir, host, PlanRequest::Show) {
+        PlanResponse::Shown(status) => *status,
         other => panic!("{other:?}"),
     }
 }
 
-fn basic(limit: f64) -> Step {
+/// A change of the limit of the plan `basic`.
+fn basic_limit(limit: f64) -> Step {
     let to = Some(Plan { limit, burst: 64.0, slack: 8.0, reserve: 0.0, weight: 1.0, floor: None });
     Step::Plan { name: "basic".into(), to }
 }
 
 fn apply(dir: &Path, host: u32, base: u64, step: Step) -> PlanResponse {
     let change = Change { base, steps: vec![step], who: "ann".into(), why: "a test".into() };
-    ask(dir, host, PlanRequest::Apply { change, dry_run: false })
+    call(dir, host, PlanRequest::Apply { change, dry_run: false })
 }
 
-fn refusal(reply: PlanResponse) -> String {
+fn refusal_reason(reply: PlanResponse) -> String {
     match reply {
         PlanResponse::Refused { why } => why,
         other => panic!("{other:?}"),
     }
 }
 
-fn until(what: &str, is: impl Fn() -> bool) {
-    let end = Instant::now() + Duration::from_secs(20);
-    while !is() {
-        assert!(Instant::now() < end, "not within 20 s: {what}");
+fn wait_until(what: &str, holds: impl Fn() -> bool) {
+    let give_up_at = Instant::now() + Duration::from_secs(20);
+    while !holds() {
+        assert!(Instant::now() < give_up_at, "not within 20 s: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// A host on what an earlier generation left, whose threads may still be ending.
-fn again(settings: impl Fn() -> HostSettings) -> Host {
-    let end = Instant::now() + Duration::from_secs(10);
+/// Starts a host on the store of an earlier process, whose threads may still hold it for some time.
+fn restart(settings: impl Fn() -> HostSettings) -> Host {
+    let give_up_at = Instant::now() + Duration::from_secs(10);
     loop {
         match Host::start(settings()) {
-            Ok(h) => return h,
-            Err(e) if Instant::now() > end => panic!("{e}"),
+            Ok(host) => return host,
+            Err(error) if Instant::now() > give_up_at => panic!("{error}"),
             Err(_) => std::thread::sleep(Duration::from_millis(20)),
         }
     }
 }
 
+/// Four hosts, one of which takes changes of plans. It refuses those that can't be; all hosts apply the others, also one that starts
+/// late, one that starts again and a home that lost its store, and all have the same change log.
 #[test]
-fn one_host_takes_changes_and_all_go_by_them() {
+fn changes_taken_by_one_host_are_applied_by_all_and_survive_restarts() {
     let folder = tempfile::tempdir().unwrap();
     let dir = folder.path();
     let home = Host::start(settings(dir, 0, None, 100)).unwrap();
     let seed = home.peers;
-    let mut others: Vec<Host> = (1..3).map(|h| Host::start(settings(dir, h, seed, 100)).unwrap()).collect();
-    until("none waits for word", || {
-        (0..3).all(|h| !shown(dir, h).clients_wait || shown(dir, h).at.len() >= 2)
+    let mut others: Vec<Host> =
+        (1..3).map(|host| Host::start(settings(dir, host, seed, 100)).unwrap()).collect();
+    wait_until("no host waits for the newest change", || {
+        (0..3).all(|host| !plan_status(dir, host).clients_wait || plan_status(dir, host).at.len() >= 2)
     });
 
-    // Wrong changes move nothing and say why; nor does one at a host that does not take them.
-    assert!(refusal(apply(dir, 1, 0, basic(50.0))).contains("host 0 takes changes"));
+    // A wrong change, or one at a host that takes none, is refused with its reason and changes nothing.
+    assert!(refusal_reason(apply(dir, 1, 0, basic_limit(50.0))).contains("host 0 takes changes"));
     let burst = Some(Plan { limit: 50.0, burst: 8.0, slack: 8.0, reserve: 0.0, weight: 1.0, floor: None });
     let small = Step::Plan { name: "basic".into(), to: burst };
-    assert!(refusal(apply(dir, 0, 0, small)).contains("volume v through"));
-    let gone = Step::Plan { name: "basic".into(), to: None };
-    assert!(refusal(apply(dir, 0, 0, gone)).contains("volume v plan"), "a plan with a volume under it stays");
-    let mut v = shown(dir, 0).catalogue.volumes["v"].clone();
-    v.shards = vec![0, 0];
-    let moved = Step::Volume { name: "v".into(), to: Some(v) };
-    assert!(refusal(apply(dir, 0, 0, moved)).contains("moved in more than its plan"));
-    assert_eq!(shown(dir, 0).number, 0);
-
-    // One change reaches all; of two made on the same version the second is told what moved.
-    assert!(matches!(apply(dir, 0, 0, basic(50.0)), PlanResponse::Applied { number: 1, .. }));
-    assert!(refusal(apply(dir, 0, 0, basic(70.0))).contains("plan basic"), "a conflict");
-    let limit = |h| shown(dir, h).catalogue.plans["basic"].limit;
-    until("all go by it", || (0..3).all(|h| limit(h) == 50.0));
-
-    // A change far larger than a datagram, and one that takes the first back.
+    assert!(refusal_reason(apply(dir, 0, 0, small)).contains("volume v through"));
+    let removed = Step::Plan { name: "basic".into(), to: None };
+    assert!(
+        refusal_reason(apply(dir, 0, 0, removed)).contains("volume v plan"),
+        "a plan that a volume uses can't be removed"
+    );
+    let mut volume = plan_status(dir, 0).catalogue.volumes["v"].clone();
+    volume.shards = vec![0, 0];
+    let moved = Step::Volume { name: "v".into(), to: Some(volume) };
+    assert!(refusal_reason(apply(dir, 0, 0, moved)).contains("moved in more than its plan"));
+    assert_eq!(plan_status(dir, 0).number, 0);
+
+    // One change reaches all hosts; of two that are based on the same version the second is refused as a conflict.
+    assert!(matches!(apply(dir, 0, 0, basic_limit(50.0)), PlanResponse::Applied { number: 1, .. }));
+    assert!(refusal_reason(apply(dir, 0, 0, basic_limit(70.0))).contains("plan basic"), "a conflict");
+    let limit = |host| plan_status(dir, host).catalogue.plans["basic"].limit;
+    wait_until("all hosts apply the change", || (0..3).all(|host| limit(host) == 50.0));
+
+    // A change far larger than a datagram, and one that undoes the first.
     let many = (0..300).map(|i| Step::Plan {
         name: format!("extra {i}"),
         to: Some(Plan {
@@ -177,47 +183,49 @@
         }),
     });
     let change = Change { base: 1, steps: many.collect(), who: "bob".into(), why: "many".into() };
-    let reply = ask(dir, 0, PlanRequest::Apply { change, dry_run: false });
+    let reply = call(dir, 0, PlanRequest::Apply { change, dry_run: false });
     assert!(matches!(reply, PlanResponse::Applied { number: 2, .. }), "{reply:?}");
     let undo = PlanRequest::Undo { number: 1, who: "ann".into(), why: "too little".into(), dry_run: false };
-    assert!(matches!(ask(dir, 0, undo), PlanResponse::Applied { number: 3, .. }));
-    until("all have all three", || (0..3).all(|h| shown(dir, h).number == 3 && limit(h) == 100.0));
+    assert!(matches!(call(dir, 0, undo), PlanResponse::Applied { number: 3, .. }));
+    wait_until("all hosts have applied three changes", || {
+        (0..3).all(|host| plan_status(dir, host).number == 3 && limit(host) == 100.0)
+    });
 
-    // A host that starts late has them before its clients are served, and one that starts again still has them.
+    // A host that starts late learns them, and one that starts again still has them.
     others.push(Host::start(settings(dir, 3, seed, 100)).unwrap());
-    until("the late one has them", || shown(dir, 3).number == 3);
+    wait_until("the late host has applied them", || plan_status(dir, 3).number == 3);
     others.remove(0).stop();
-    others.push(again(|| settings(dir, 1, seed, 100)));
-    assert_eq!(shown(dir, 1).number, 3, "kept over a restart");
+    others.push(restart(|| settings(dir, 1, seed, 100)));
+    assert_eq!(plan_status(dir, 1).number, 3, "lost at a restart");
 
-    // The same trail at all, byte for byte, and it proves itself.
+    // The change log is the same at all hosts, byte for byte, and its hashes are right.
     let logs: Vec<String> = (0..HOSTS)
-        .map(|h| match ask(dir, h, PlanRequest::Log) {
+        .map(|host| match call(dir, host, PlanRequest::Log) {
             PlanResponse::Log { text, fleet } => {
-                let trail = ChangeLog::from_bytes(text.as_bytes(), &fleet).unwrap();
-                assert_eq!(trail.catalogue, shown(dir, h).catalogue);
+                let change_log = ChangeLog::from_bytes(text.as_bytes(), &fleet).unwrap();
+                assert_eq!(change_log.catalogue, plan_status(dir, host).catalogue);
                 text
             }
             other => panic!("{other:?}"),
         })
         .collect();
-    assert!(logs.iter().all(|l| *l == logs[0]), "one trail");
+    assert!(logs.iter().all(|log| *log == logs[0]), "change logs differ");
 
-    // A home that has lost its store takes back what the others go by, before it takes a change of the same number.
+    // A home that has lost its store learns the changes from its peers, before it gives a number again.
     home.stop();
     std::fs::remove_file(dir.join("0.redb")).unwrap();
     let peers = others[0].peers;
-    let home = again(|| settings(dir, 0, peers, 100));
-    until("the home has them again", || shown(dir, 0).number == 3);
-    assert!(matches!(apply(dir, 0, 3, basic(60.0)), PlanResponse::Applied { number: 4, .. }));
-    until("and goes on", || (0..HOSTS).all(|h| limit(h) == 60.0));
+    let home = restart(|| settings(dir, 0, peers, 100));
+    wait_until("the home has applied them again", || plan_status(dir, 0).number == 3);
+    assert!(matches!(apply(dir, 0, 3, basic_limit(60.0)), PlanResponse::Applied { number: 4, .. }));
+    wait_until("all hosts apply the next change", || (0..HOSTS).all(|host| limit(host) == 60.0));
     home.stop();
     others.into_iter().for_each(Host::stop);
 
-    // Settings that the trail does not begin with are an error that says so.
-    until("it says so", || match Host::start(settings(dir, 0, None, 200)) {
-        Err(StartError::Plans(e)) => e.to_string().contains("other plans"),
+    // A host whose settings differ from those that its change log begins with does not start.
+    wait_until("the start fails with its reason", || match Host::start(settings(dir, 0, None, 200)) {
+        Err(StartError::Plans(error)) => error.to_string().contains("other plans"),
         Err(_) => false,
-        Ok(_) => panic!("it starts with other settings"),
+        Ok(_) => panic!("it started with other settings"),
     });
 }
--- a/crates/host/tests/rough.rs
+++ b/crates/host/tests/rough.rs
@@ -1,5 +1,5 @@
-//! Clients that leave in the middle, and clients that never read: a half-written extent is never seen, and the others are
-//! unharmed.
+//! Clients that close their connections within an upload, and clients that never read: no part of an upload is seen, and other clients
+//! are served.
 
 mod common;
 
@@ -14,20 +14,21 @@
 use tackmast_wire::nbd;
 use tackmast_wire::scsi::Command;
 
-fn quick() -> Nature {
+/// Nodes that add little to a command's time.
+fn fast_nodes() -> Nature {
     Nature { unit_s: 0.0002, ..Nature::default() }
 }
 
 /// An NBD connection past its handshake, over the public protocol.
-fn nbd_open(pool: &Pool, volume: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(pool.host.nbd.unwrap()).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+fn nbd_connect(cluster: &TestCluster, volume: &str) -> TcpStream {
+    let mut stream = TcpStream::connect(cluster.host.nbd.unwrap()).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let mut out = BytesMut::from(&3u32.to_be_bytes()[..]);
     nbd::option(nbd::option::EXPORT_NAME, volume.as_bytes(), &mut out);
     stream.write_all(&out).unwrap();
     // Greeting, size and flags.
-    let mut start = [0; 18 + 10];
-    stream.read_exact(&mut start).unwrap();
+    let mut handshake = [0; 18 + 10];
+    stream.read_exact(&mut handshake).unwrap();
     stream
 }
 
@@ -37,23 +38,25 @@
     out
 }
 
+/// Clients of both protocols close their connections after the header of a write, after half of its data, and a byte before its end.
+/// The volume still holds what it held, and nothing stays open.
 #[test]
-fn a_client_that_leaves_half_way_through_an_upload_has_written_nothing() {
-    let pool = pool(quick(), "");
-    let client = pool.client(Digests::default(), None);
+fn upload_that_ends_early_writes_nothing() {
+    let cluster = TestCluster::start(fast_nodes());
+    let client = cluster.client(Digests::default(), None);
     let old = pattern(1, 64 * 512);
     assert_eq!(client.write(1, 0, old.clone()), done(vec![]));
     // NBD: after the header, half of the data, all but a byte of it.
-    for part in [0, 16 * 1024, 32 * 1024 - 1] {
-        let mut stream = nbd_open(&pool, "museum");
+    for sent_bytes in [0, 16 * 1024, 32 * 1024 - 1] {
+        let mut stream = nbd_connect(&cluster, "museum");
         let mut bytes = request(nbd::command::WRITE, 7, 0, 32 * 1024);
-        bytes.extend_from_slice(&vec![0xee; part]);
+        bytes.extend_from_slice(&vec![0xee; sent_bytes]);
         stream.write_all(&bytes).unwrap();
         std::thread::sleep(Duration::from_millis(20));
     }
-    // iSCSI: with its immediate data, and with a part of what was solicited.
+    // iSCSI: after the immediate data, and after a part of the solicited data.
     for solicited in [0, 4096, 65_536] {
-        let other = pool.client(Digests::default(), None);
+        let other = cluster.client(Digests::default(), None);
         let number = other.initiator.next_number();
         let mut pdu = Pdu::new(op::COMMAND, FINAL | WRITES);
         pdu.set_lun(1).set32(16, number).set32(20, 256 * 512).set32(24, number);
@@ -72,30 +75,31 @@
         other.initiator.leave();
     }
     std::thread::sleep(Duration::from_millis(50));
-    assert_eq!(client.read(1, 0, 64), done(old), "not a byte of the uploads is there");
-    let s = pool.host.status().unwrap();
-    assert_eq!((s.commands, s.requests, s.attempts), (0, 0, 0));
-    pool.end();
+    assert_eq!(client.read(1, 0, 64), done(old), "a part of an upload was written");
+    let status = cluster.host.status().unwrap();
+    assert_eq!((status.commands, status.requests, status.attempts), (0, 0, 0));
+    cluster.stop();
 }
 
+/// A client asks for far more than its socket and its share of the host's memory hold, and reads nothing. The host stops reading
+/// from it, and answers the other client in time.
 #[test]
-fn a_client_that_never_reads_is_held_and_the_others_are_unharmed() {
-    let pool = pool(quick(), "");
-    let client = pool.client(Digests::default(), None);
-    // It asks for far more than its socket and its share of the host's memory hold.
-    let mut greedy = nbd_open(&pool, "museum");
-    greedy.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
+fn client_that_never_reads_is_paused_and_others_are_served() {
+    let cluster = TestCluster::start(fast_nodes());
+    let client = cluster.client(Digests::default(), None);
+    let mut unread = nbd_connect(&cluster, "museum");
+    unread.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
     let started = Instant::now();
-    let (mut sent, mut asks, mut rejected) = (0u64, 0, 0);
+    let (mut sent, mut reads, mut rejected) = (0u64, 0, 0);
     while started.elapsed() < Duration::from_secs(2) {
-        if greedy.write_all(&request(nbd::command::READ, sent, 0, 256 * 512)).is_err() {
+        if unread.write_all(&request(nbd::command::READ, sent, 0, 256 * 512)).is_err() {
             break;
         }
         sent += 1;
         if sent.is_multiple_of(100) {
-            let asked = Instant::now();
-            asks += 1;
-            // On a machine busy with other tests an answer may be late for its latency objective; it is told so at once.
+            let read_at = Instant::now();
+            reads += 1;
+            // On a machine busy with other tests a read may miss its latency objective; it is then rejected at once.
             match client.read(1, 5000, 1) {
                 Reply::Rejected { retry_after_us } => {
                     assert!(retry_after_us > 0);
@@ -103,13 +107,13 @@
                 }
                 answer => assert_eq!(answer, done(vec![0; 512])),
             }
-            assert!(asked.elapsed() < Duration::from_millis(800), "after {sent}: {:?}", asked.elapsed());
+            assert!(read_at.elapsed() < Duration::from_millis(800), "after {sent}: {:?}", read_at.elapsed());
         }
     }
-    assert!(asks > 0 && rejected * 4 <= asks, "{rejected} of {asks} rejected");
-    let s = pool.host.status().unwrap();
-    assert!(s.commands <= 200, "{} commands are open", s.commands);
-    drop(greedy);
+    assert!(reads > 0 && rejected * 4 <= reads, "{rejected} of {reads} rejected");
+    let status = cluster.host.status().unwrap();
+    assert!(status.commands <= 200, "{} commands are open", status.commands);
+    drop(unread);
     assert_eq!(client.read(1, 5000, 1), done(vec![0; 512]));
-    pool.end();
+    cluster.stop();
 }
--- a/crates/host/tests/saved_list.rs
+++ b/crates/host/tests/saved_list.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{loopback, settings, PATIENCE};
+use common::{loopback, settings, TEST_TIMEOUT};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 use tackmast::interface::NodeState;
@@ -13,24 +13,24 @@
 use tackmast_trace::Recorder;
 use tackmast_wire::list::{Entry, State};
 
-/// The form in which hosts have it on their disks.
+/// The list as hosts have it on their disks.
 const SAVED: &str = include_str!("fixtures/saved_list.json");
 const FIRST: &str = "127.0.0.1:1";
 const SECOND: &str = "127.0.0.1:2";
 
 fn settings_with(list: std::net::SocketAddr, saved: &Path) -> HostSettings {
-    let mut settings = settings(list, "");
+    let mut settings = settings(list);
     settings.host.saved_list = Some(saved.into());
     settings
 }
 
 fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + PATIENCE;
+    let give_up_at = Instant::now() + TEST_TIMEOUT;
     loop {
         if let Some(found) = poll() {
             return found;
         }
-        assert!(Instant::now() < end, "no {what} in {PATIENCE:?}");
+        assert!(Instant::now() < give_up_at, "no {what} in {TEST_TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -39,25 +39,29 @@
     folder.path().join("saved_list.json")
 }
 
+/// A host starts with a list that an earlier build saved, and the list service does not answer. The host knows the saved nodes, and
+/// leaves the file as it was.
 #[test]
-fn a_list_of_an_earlier_build_is_what_a_host_starts_with() {
+fn host_starts_with_the_list_that_an_earlier_build_saved() {
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(file_in(&folder), SAVED).unwrap();
     // Nothing answers there, so all that the host knows is from the file.
     let host = Host::start(settings_with("127.0.0.1:1".parse().unwrap(), &file_in(&folder))).unwrap();
-    let mut nodes = wait_for("nodes", || host.status().map(|s| s.nodes).filter(|n| n.len() == 2));
+    let mut nodes =
+        wait_for("nodes", || host.status().map(|status| status.nodes).filter(|nodes| nodes.len() == 2));
     nodes.sort_by(|a, b| a.0.cmp(&b.0));
     host.stop();
     assert_eq!(nodes, [(FIRST.to_owned(), NodeState::Ready), (SECOND.to_owned(), NodeState::Draining)]);
     assert_eq!(
         std::fs::read_to_string(file_in(&folder)).unwrap(),
         SAVED,
-        "a list that fails changes nothing"
+        "a failed call must not change the file"
     );
 }
 
+/// A host hears a list and saves it. The file has the same bytes as one that an earlier build saved.
 #[test]
-fn a_list_is_saved_as_an_earlier_build_did() {
+fn list_is_saved_in_the_form_of_an_earlier_build() {
     let folder = tempfile::tempdir().unwrap();
     let list = NodeList::start(loopback(), Recorder::default()).unwrap();
     let node = |address: &str, state, zone, shard, started_us| Entry {
