--- a/crates/client-core/src/iscsi.rs
+++ b/crates/client-core/src/iscsi.rs
@@ -8,7 +8,7 @@
 use bytes::{Bytes, BytesMut};
 use std::collections::{HashMap, VecDeque};
 use tackmast::interface::TimeDelta;
-use tackmast_wire::iscsi::{self, op, Digests, Pdu, Units, FINAL, READS, WRITES};
+use tackmast_wire::iscsi::{self, field, op, Digests, Pdu, Units, FINAL, READS, WRITES};
 use tackmast_wire::scsi::Command;
 
 /// Bytes of data in one message of the target, and in one call, at most.
@@ -22,26 +22,6 @@
 /// Distinguishes the task tag of an abort from those of commands.
 const ABORT_TAG_BIT: u32 = 0x8000_0000;
 
-/// Offsets in a message's header, in bytes (RFC 7143, section 11).
-mod field {
-    /// Initiator task tag.
-    pub(super) const TASK_TAG: usize = 16;
-    /// Expected data transfer length of a command; target transfer tag, or referenced task tag, elsewhere.
-    pub(super) const LENGTH_OR_TAG: usize = 20;
-    /// Command sequence number from the client, status sequence number from the target.
-    pub(super) const SEQUENCE: usize = 24;
-    /// Expected status sequence number from the client, expected command sequence number from the target.
-    pub(super) const EXPECTED_SEQUENCE: usize = 28;
-    /// The last command sequence number that the target takes; the referenced one in an abort.
-    pub(super) const MAX_COMMAND: usize = 32;
-    /// Number of a data message in its sequence.
-    pub(super) const DATA_NUMBER: usize = 36;
-    /// Offset of a message's data in the command's.
-    pub(super) const DATA_OFFSET: usize = 40;
-    /// Length of the data that the target asks for.
-    pub(super) const DESIRED_LENGTH: usize = 44;
-}
-
 /// A step of the session.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Phase {
--- a/crates/client-core/src/iscsi/login.rs
+++ b/crates/client-core/src/iscsi/login.rs
@@ -1,11 +1,11 @@
 //! The login: what the session asks for, and what the target agrees to.
 
-use super::{field, IscsiClient, Phase, IMMEDIATE};
+use super::{IscsiClient, Phase, IMMEDIATE};
 use crate::operation::VolumeAddress;
 use crate::transport::{SessionEvent, TransportError};
 use std::collections::HashMap;
 use tackmast::interface::TimeDelta;
-use tackmast_wire::iscsi::{self, op, Digests, Pdu, FINAL};
+use tackmast_wire::iscsi::{self, field, op, Digests, Pdu, FINAL};
 use tackmast_wire::scsi::Command;
 
 /// Bytes of data in one message that a side takes which names none (RFC 7143, section 13.12).
--- a/crates/client-core/src/iscsi/responses.rs
+++ b/crates/client-core/src/iscsi/responses.rs
@@ -1,11 +1,11 @@
 //! What the target sends once the session is logged in: data, requests for data, answers.
 
-use super::{field, IscsiClient, PendingCommand, Phase, IMMEDIATE, MAX_DATA};
+use super::{IscsiClient, PendingCommand, Phase, IMMEDIATE, MAX_DATA};
 use crate::operation::Outcome;
 use crate::transport::{SessionEvent, TransportError};
 use bytes::Bytes;
 use tackmast::interface::TimeDelta;
-use tackmast_wire::iscsi::{self, op, Pdu, FINAL, NO_TAG};
+use tackmast_wire::iscsi::{self, field, op, Pdu, FINAL, NO_TAG};
 use tackmast_wire::scsi::{status, Command, Sense};
 
 /// The page of limits of a logical unit (SBC-4, section 6.6.4).
--- a/crates/host/src/sessions/connection.rs
+++ b/crates/host/src/sessions/connection.rs
@@ -11,7 +11,7 @@
 use std::net::{Shutdown, TcpStream};
 use std::sync::Arc;
 use std::time::Duration;
-use tackmast_target::{AnySession, NbdSession, Session};
+use tackmast_target::{AnySession, IscsiSession, NbdSession};
 
 /// Answers that may wait for each command that a client can have open, and others beside.
 const QUEUED_ANSWERS_PER_COMMAND: usize = 3;
@@ -73,13 +73,13 @@
     fn new_session(&self, number: u16, protocol: Protocol, client: &str) -> AnySession {
         let (offer, units) = (self.offer.clone(), self.units.clone());
         let mut session = match protocol {
-            Protocol::Iscsi => AnySession::Iscsi(Session::new(offer, units, number)),
+            Protocol::Iscsi => AnySession::Iscsi(IscsiSession::new(offer, units, number)),
             Protocol::Nbd => AnySession::Nbd(NbdSession::new(offer, units, number)),
         };
         if number == REFUSED_SESSION {
             let max_sessions = self.settings.bounds.sessions;
             tracing::warn!(client, max_sessions, "session refused: the host has as many as it may");
-            session.turn_away();
+            session.refuse();
         }
         session
     }
--- a/crates/host/src/sessions/reader.rs
+++ b/crates/host/src/sessions/reader.rs
@@ -82,13 +82,13 @@
     fn handle_input(&mut self, stream: &TcpStream, bytes: &[u8]) -> ControlFlow<()> {
         let now = self.hub.clock.now();
         let mut session = self.shared.lock();
-        let handled = session.take(bytes);
+        let handled = session.handle_bytes(bytes);
         let mut events = Vec::new();
-        while let Some(event) = session.next_event() {
+        while let Some(event) = session.poll_event() {
             events.push(event);
         }
-        let has_output = session.pending() > 0;
-        let (is_logged_in, is_over) = (session.is_full(), session.is_over());
+        let has_output = session.pending_output() > 0;
+        let (is_logged_in, is_over) = (session.is_logged_in(), session.is_over());
         drop(session);
         if is_logged_in && !self.is_logged_in {
             self.is_logged_in = true;
@@ -137,7 +137,7 @@
                 return ControlFlow::Continue(());
             }
             target::Event::Note(note) => {
-                tracing::warn!(client, session, note, "client did what it should not");
+                tracing::warn!(client, session, %note, "client did what it should not");
                 return ControlFlow::Continue(());
             }
         };
--- a/crates/host/src/sessions/shared.rs
+++ b/crates/host/src/sessions/shared.rs
@@ -80,5 +80,5 @@
 }
 
 fn is_backed_up(session: &AnySession) -> bool {
-    session.pending() > MAX_PENDING_OUTPUT || session.is_paused()
+    session.pending_output() > MAX_PENDING_OUTPUT || session.is_paused()
 }
--- a/crates/host/src/sessions/writer.rs
+++ b/crates/host/src/sessions/writer.rs
@@ -24,7 +24,7 @@
                 }
             }
         }
-        let bytes = session.output();
+        let bytes = session.poll_transmit();
         shared.notify_drained();
         drop(session);
         if let Err(error) = stream.write_all(&bytes) {
--- a/crates/simulator/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -8,7 +8,7 @@
 use tackmast_client_core::{
     Bounds, Core, IscsiClient, NbdClient, RetryPolicy, Transport, VolumeAddress, ADDITIONS,
 };
-use tackmast_target::{AnySession, NbdSession, Offer, Session};
+use tackmast_target::{AnySession, IscsiSession, NbdSession, Offer};
 use tackmast_wire::iscsi::Digests;
 use tackmast_wire::scsi::Unit;
 
@@ -78,7 +78,7 @@
         let (offer, units) = (offer.clone(), units.clone());
         let session = match self.nbd {
             true => AnySession::Nbd(NbdSession::new(offer, units, number)),
-            false => AnySession::Iscsi(Session::new(offer, units, number)),
+            false => AnySession::Iscsi(IscsiSession::new(offer, units, number)),
         };
         Pipe { session, number: u32::from(number), last: [0; 2], began: BTreeMap::new() }
     }
--- a/crates/simulator/src/sim/clients.rs
+++ b/crates/simulator/src/sim/clients.rs
@@ -154,10 +154,10 @@
     pub(super) fn server_gets(&mut self, c: u32, slot: usize, generation: u64, bytes: &[u8]) {
         let (h, now) = (self.clients[c as usize].host, self.now);
         let Some(pipe) = self.clients[c as usize].pipe_of(slot, generation) else { return };
-        let failed = pipe.session.take(bytes).is_err();
+        let failed = pipe.session.handle_bytes(bytes).is_err();
         let session = pipe.number;
         let mut events = Vec::new();
-        while let Some(e) = pipe.session.next_event() {
+        while let Some(e) = pipe.session.poll_event() {
             events.push(e);
         }
         for e in events {
@@ -199,7 +199,7 @@
     /// What a session has to say goes on its way.
     pub(super) fn flush(&mut self, c: u32, slot: usize, generation: u64) {
         let Some(pipe) = self.clients[c as usize].pipe_of(slot, generation) else { return };
-        let bytes = pipe.session.output();
+        let bytes = pipe.session.poll_transmit();
         if !bytes.is_empty() {
             self.carry(c, slot, generation, &bytes, false);
         }
--- /dev/null
+++ b/crates/target/src/iscsi/negotiation.rs
@@ -0,0 +1,197 @@
+//! Text negotiation (RFC 7143, sections 6 and 13): the parameters of a session, and the answer to each key of its client.
+
+use crate::offer::Offer;
+use std::ops::RangeInclusive;
+use tackmast_wire::iscsi::Digests;
+
+/// Vendor key (section 6.2): milliseconds until the client gives a command up.
+const DEADLINE_KEY: &str = "X-org.tackmast.ExpiryMs";
+/// Vendor key: whether a rejection carries its retry-after in microseconds, in the response data.
+const DELAY_KEY: &str = "X-org.tackmast.ExactDelay";
+/// Vendor key: whether commands may carry a deadline of their own, in an additional header.
+const COMMAND_KEY: &str = "X-org.tackmast.CommandExpiry";
+
+/// Bytes of data in one unit to a client that declares nothing (section 13.12).
+const DEFAULT_SEGMENT_BYTES: u32 = 8192;
+/// Segment lengths that the RFC allows, in bytes (section 13.12).
+const SEGMENT_BYTES: RangeInclusive<u32> = 512..=0xff_ffff;
+/// Burst of a client that negotiates none, in bytes (section 13.14).
+const DEFAULT_FIRST_BURST_BYTES: u32 = 65_536;
+/// Solicited sequence of a client that negotiates none, in bytes (section 13.13).
+const DEFAULT_MAX_BURST_BYTES: u32 = 262_144;
+/// The shortest burst that the RFC allows, in bytes.
+const MIN_BURST_BYTES: u32 = 512;
+/// Seconds before a client may connect again: the default, and those that the RFC allows from there (section 13.15).
+const TIME_TO_WAIT_SECS: RangeInclusive<u32> = 2..=3600;
+/// The newest protocol level (RFC 7144, section 7).
+const MAX_PROTOCOL_LEVEL: u32 = 2;
+
+/// What a session has negotiated.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct NegotiatedParameters {
+    pub(super) digests: Digests,
+    /// Bytes of data in one unit to the client.
+    pub(super) max_segment_to_client: u32,
+    /// Whether data may go with its command.
+    pub(super) immediate_data: bool,
+    /// Bytes of that data.
+    pub(super) first_burst: u32,
+    /// Bytes of data that the target asks for at a time.
+    pub(super) max_burst: u32,
+    /// Of commands that carry none.
+    pub(super) deadline_ms: Option<u32>,
+    /// Whether a rejection carries its retry-after in microseconds.
+    pub(super) exact_delay: bool,
+    /// Whether commands may carry a deadline.
+    pub(super) command_deadlines: bool,
+    /// Protocol level of RFC 7144; from 2 on responses carry status qualifiers.
+    pub(super) protocol_level: u32,
+    /// The client's name.
+    pub(super) initiator: Option<String>,
+    /// The target that the client names.
+    pub(super) target: Option<String>,
+    /// Whether the session only discovers targets.
+    pub(super) is_discovery: bool,
+}
+
+impl NegotiatedParameters {
+    /// Values before any negotiation: the defaults of section 13.
+    pub(super) fn new(offer: &Offer) -> Self {
+        NegotiatedParameters {
+            digests: Digests::default(),
+            max_segment_to_client: DEFAULT_SEGMENT_BYTES,
+            immediate_data: true,
+            first_burst: offer.first_burst.min(DEFAULT_FIRST_BURST_BYTES),
+            max_burst: offer.max_burst.min(DEFAULT_MAX_BURST_BYTES),
+            deadline_ms: None,
+            exact_delay: false,
+            command_deadlines: false,
+            protocol_level: 1,
+            initiator: None,
+            target: None,
+            is_discovery: false,
+        }
+    }
+
+    /// Takes one key of the client; gives the answer to it, where it wants one.
+    pub(super) fn negotiate(
+        &mut self,
+        offer: &Offer,
+        key: &str,
+        value: &str,
+        is_login: bool,
+    ) -> Option<String> {
+        match key {
+            "InitiatorAlias" => None,
+            "MaxRecvDataSegmentLength" => self.declare_segment(offer, value),
+            "IFMarker" | "OFMarker" => Some("No".to_owned()),
+            "IFMarkInt" | "OFMarkInt" => Some("Irrelevant".to_owned()),
+            DELAY_KEY => agree_on_flag(value, &mut self.exact_delay),
+            COMMAND_KEY => agree_on_flag(value, &mut self.command_deadlines),
+            DEADLINE_KEY => self.agree_on_deadline(offer, value),
+            key if is_login => self.negotiate_at_login(offer, key, value),
+            _ => not_understood(),
+        }
+    }
+
+    fn negotiate_at_login(&mut self, offer: &Offer, key: &str, value: &str) -> Option<String> {
+        match key {
+            "InitiatorName" => {
+                self.initiator = Some(value.to_owned());
+                None
+            }
+            "TargetName" => {
+                self.target = Some(value.to_owned());
+                None
+            }
+            "SessionType" => self.choose_session_type(value),
+            "AuthMethod" => {
+                let offers_none = value.split(',').any(|method| method == "None");
+                Some(if offers_none { "None" } else { "Reject" }.to_owned())
+            }
+            "HeaderDigest" => choose_digest(value, &mut self.digests.header),
+            "DataDigest" => choose_digest(value, &mut self.digests.data),
+            "FirstBurstLength" => agree_on_burst(value, offer.first_burst, &mut self.first_burst),
+            "MaxBurstLength" => agree_on_burst(value, offer.max_burst, &mut self.max_burst),
+            "ImmediateData" => agree_on_flag(value, &mut self.immediate_data),
+            // Data beyond the immediate is solicited and in order, over one connection, without recovery within it.
+            "InitialR2T" | "DataPDUInOrder" | "DataSequenceInOrder" => Some("Yes".to_owned()),
+            "MaxConnections" | "MaxOutstandingR2T" => Some("1".to_owned()),
+            "ErrorRecoveryLevel" | "DefaultTime2Retain" => Some("0".to_owned()),
+            "DefaultTime2Wait" => {
+                let (min, max) = (*TIME_TO_WAIT_SECS.start(), *TIME_TO_WAIT_SECS.end());
+                Some(number(value).map_or(min, |secs| secs.clamp(min, max)).to_string())
+            }
+            "iSCSIProtocolLevel" => self.agree_on_level(value),
+            _ => not_understood(),
+        }
+    }
+
+    fn choose_session_type(&mut self, value: &str) -> Option<String> {
+        match value {
+            "Normal" | "Discovery" => {
+                self.is_discovery = value == "Discovery";
+                None
+            }
+            _ => reject(),
+        }
+    }
+
+    /// Each side declares for itself what it takes (section 13.12).
+    fn declare_segment(&mut self, offer: &Offer, value: &str) -> Option<String> {
+        let Some(length) = number(value).filter(|length| SEGMENT_BYTES.contains(length)) else {
+            return reject();
+        };
+        self.max_segment_to_client = length;
+        Some(offer.max_segment.to_string())
+    }
+
+    fn agree_on_level(&mut self, value: &str) -> Option<String> {
+        let Some(level) = number(value) else { return reject() };
+        self.protocol_level = level.clamp(1, MAX_PROTOCOL_LEVEL);
+        Some(self.protocol_level.to_string())
+    }
+
+    fn agree_on_deadline(&mut self, offer: &Offer, value: &str) -> Option<String> {
+        let Some(deadline_ms) = number(value).filter(|millis| *millis > 0) else { return reject() };
+        let deadline_ms = offer.clamp_deadline_ms(deadline_ms);
+        self.deadline_ms = Some(deadline_ms);
+        Some(deadline_ms.to_string())
+    }
+}
+
+fn number(value: &str) -> Option<u32> {
+    value.parse().ok()
+}
+
+fn reject() -> Option<String> {
+    Some("Reject".to_owned())
+}
+
+fn not_understood() -> Option<String> {
+    Some("NotUnderstood".to_owned())
+}
+
+fn agree_on_flag(value: &str, flag: &mut bool) -> Option<String> {
+    match value {
+        "Yes" | "No" => {
+            *flag = value == "Yes";
+            Some(value.to_owned())
+        }
+        _ => reject(),
+    }
+}
+
+/// The smaller of both sides' lengths counts.
+fn agree_on_burst(value: &str, offered: u32, agreed: &mut u32) -> Option<String> {
+    let Some(length) = number(value).filter(|length| *length >= MIN_BURST_BYTES) else { return reject() };
+    *agreed = length.min(offered);
+    Some(agreed.to_string())
+}
+
+/// The first of the client's choices that this side knows counts.
+fn choose_digest(value: &str, is_on: &mut bool) -> Option<String> {
+    let chosen = value.split(',').find(|digest| ["CRC32C", "None"].contains(digest));
+    *is_on = chosen == Some("CRC32C");
+    chosen.map_or_else(reject, |digest| Some(digest.to_owned()))
+}
--- a/crates/target/tests/damaged.rs
+++ b/crates/target/tests/damaged.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::sync::Arc;
-use tackmast_target::{AnySession, Event, NbdSession, Offer, Session, Verdict, Work};
+use tackmast_target::{AnySession, Event, IscsiSession, NbdSession, Offer, Verdict, Work};
 use tackmast_wire::iscsi::{self, op, Digests, Pdu, FINAL, READS, WRITES};
 use tackmast_wire::nbd;
 use tackmast_wire::scsi::{Command, Unit};
@@ -18,13 +18,14 @@
         max_burst: 8192,
         window: 8,
         max_command: 32 << 10,
-        deadline_ms: (50, 5000),
+        min_deadline_ms: 50,
+        max_deadline_ms: 5000,
     });
     let unit = Unit { lun: 0, name: "museum".into(), blocks: 1000, block_bytes: 512, max_blocks: 32 };
     let units = Arc::new(vec![unit]);
     match is_nbd {
         true => AnySession::Nbd(NbdSession::new(offer, units, 1)),
-        false => AnySession::Iscsi(Session::new(offer, units, 1)),
+        false => AnySession::Iscsi(IscsiSession::new(offer, units, 1)),
     }
 }
 
@@ -83,8 +84,8 @@
     let mut events = Vec::new();
     let mut out = 0;
     for piece in bytes.chunks(piece) {
-        let taken = s.take(piece);
-        while let Some(e) = s.next_event() {
+        let taken = s.handle_bytes(piece);
+        while let Some(e) = s.poll_event() {
             if let Event::Submit { command, work, .. } = &e {
                 let data = match work {
                     Work::Read { blocks } => Bytes::from(vec![1; *blocks as usize * 512]),
@@ -98,7 +99,7 @@
             }
             events.push(e);
         }
-        out += s.output().len();
+        out += s.poll_transmit().len();
         if taken.is_err() || s.is_over() {
             break;
         }
--- a/crates/target/tests/session.rs
+++ b/crates/target/tests/session.rs
@@ -7,7 +7,7 @@
 use tackmast_wire::scsi::{status, Command, Sense, Unit};
 
 struct Client {
-    session: Session,
+    session: IscsiSession,
     units: Units,
     digests: Digests,
     next: u32,
@@ -23,31 +23,32 @@
         max_burst: 2048,
         window: WINDOW,
         max_command: 64 << 10,
-        deadline_ms: (50, 5000),
+        min_deadline_ms: 50,
+        max_deadline_ms: 5000,
     }
 }
 
 impl Client {
     fn new() -> Client {
         let unit = Unit { lun: 3, name: "v".into(), blocks: 1000, block_bytes: 512, max_blocks: 32 };
-        let session = Session::new(Arc::new(offer()), Arc::new(vec![unit]), 9);
+        let session = IscsiSession::new(Arc::new(offer()), Arc::new(vec![unit]), 9);
         Client { session, units: Units::new(1 << 20), digests: Digests::default(), next: 1 }
     }
 
     fn send(&mut self, pdu: &Pdu) -> Result<(), SessionError> {
         let mut bytes = BytesMut::new();
         iscsi::encode(pdu, self.digests, &mut bytes);
-        self.session.take(&bytes)
+        self.session.handle_bytes(&bytes)
     }
 
     fn received(&mut self) -> Vec<Pdu> {
-        let out = self.session.output();
+        let out = self.session.poll_transmit();
         self.units.push(&out);
         std::iter::from_fn(|| self.units.next_unit().unwrap()).collect()
     }
 
     fn events(&mut self) -> Vec<Event> {
-        std::iter::from_fn(|| self.session.next_event()).collect()
+        std::iter::from_fn(|| self.session.poll_event()).collect()
     }
 
     fn login_with(&mut self, keys: &[(&str, &str)]) -> Vec<Pdu> {
@@ -142,7 +143,7 @@
         assert!(c.session.is_over());
     }
     let mut c = Client::new();
-    c.session.turn_away();
+    c.session.refuse();
     let reply = c.login_with(&[me, ("TargetName", "iqn.test:pool")]);
     assert_eq!((reply[0].head[36], reply[0].head[37]), (3, 2), "out of resources");
 }
@@ -254,8 +255,10 @@
     let open: Vec<u32> = (0..WINDOW).map(|_| c.command(read, 512, &[]).unwrap()).collect();
     assert_eq!(c.events().len(), WINDOW as usize);
     c.command(read, 512, &[]).unwrap();
-    assert!(matches!(c.events().as_slice(), [Event::Note(line)] if line.contains("outside the window")));
-    assert_eq!(c.session.open(), WINDOW as usize, "the others are unharmed");
+    assert!(
+        matches!(c.events().as_slice(), [Event::Note(note)] if note.to_string().contains("outside the window"))
+    );
+    assert_eq!(c.session.open_commands(), WINDOW as usize, "the others are unharmed");
     c.session.answer(open[0], Verdict::Failed);
     let reply = c.received();
     assert_eq!(reply[0].u32(32), reply[0].u32(28), "room for one more");
--- a/crates/wire/src/iscsi.rs
+++ b/crates/wire/src/iscsi.rs
@@ -1,6 +1,7 @@
 //! iSCSI protocol data units (RFC 7143, section 11) and their text keys (section 6). A unit is a 48-byte basic
 //! header, optional further headers, and data padded to four bytes; digests are CRC32C (section 13.1).
 
+pub mod field;
 mod stream;
 mod text_keys;
 
