--- a/crates/target/src/iscsi/login.rs
+++ b/crates/target/src/iscsi/login.rs
@@ -149,8 +149,8 @@
     pub(super) fn on_text(&mut self, pdu: &Pdu) -> Result<(), SessionError> {
         let continues = pdu.has(CONTINUES);
         let mut reply = Pdu::new(op::TEXT_RESPONSE, if continues { 0 } else { FINAL });
-        let transfer_tag = if continues { TEXT_CONTINUES_TAG } else { NO_TAG };
-        reply.set32(field::TASK_TAG, pdu.tag()).set32(field::LENGTH_OR_TAG, transfer_tag);
+        let continuation_tag = if continues { TEXT_CONTINUES_TAG } else { NO_TAG };
+        reply.set32(field::TASK_TAG, pdu.tag()).set32(field::LENGTH_OR_TAG, continuation_tag);
         if let Some(keys) = self.gather_text(pdu)? {
             reply.data = encode_keys(&self.negotiate(&keys, false));
         }
--- a/crates/target/src/iscsi/negotiation.rs
+++ b/crates/target/src/iscsi/negotiation.rs
@@ -86,9 +86,9 @@
             "MaxRecvDataSegmentLength" => self.declare_segment(offer, value),
             "IFMarker" | "OFMarker" => Some("No".to_owned()),
             "IFMarkInt" | "OFMarkInt" => Some("Irrelevant".to_owned()),
-            DELAY_KEY => agree_on_flag(value, &mut self.exact_delay),
-            COMMAND_KEY => agree_on_flag(value, &mut self.command_deadlines),
-            DEADLINE_KEY => self.agree_on_deadline(offer, value),
+            DELAY_KEY => negotiate_flag(value, &mut self.exact_delay),
+            COMMAND_KEY => negotiate_flag(value, &mut self.command_deadlines),
+            DEADLINE_KEY => self.negotiate_deadline(offer, value),
             key if is_login => self.negotiate_at_login(offer, key, value),
             _ => not_understood(),
         }
@@ -111,9 +111,9 @@
             }
             "HeaderDigest" => choose_digest(value, &mut self.digests.header),
             "DataDigest" => choose_digest(value, &mut self.digests.data),
-            "FirstBurstLength" => agree_on_burst(value, offer.first_burst, &mut self.first_burst),
-            "MaxBurstLength" => agree_on_burst(value, offer.max_burst, &mut self.max_burst),
-            "ImmediateData" => agree_on_flag(value, &mut self.immediate_data),
+            "FirstBurstLength" => negotiate_burst(value, offer.first_burst, &mut self.first_burst),
+            "MaxBurstLength" => negotiate_burst(value, offer.max_burst, &mut self.max_burst),
+            "ImmediateData" => negotiate_flag(value, &mut self.immediate_data),
             // Data beyond the immediate is solicited and in order, over one connection, without recovery within it.
             "InitialR2T" | "DataPDUInOrder" | "DataSequenceInOrder" => Some("Yes".to_owned()),
             "MaxConnections" | "MaxOutstandingR2T" => Some("1".to_owned()),
@@ -122,7 +122,7 @@
                 let (min, max) = (*TIME_TO_WAIT_SECS.start(), *TIME_TO_WAIT_SECS.end());
                 Some(number(value).map_or(min, |secs| secs.clamp(min, max)).to_string())
             }
-            "iSCSIProtocolLevel" => self.agree_on_level(value),
+            "iSCSIProtocolLevel" => self.negotiate_level(value),
             _ => not_understood(),
         }
     }
@@ -146,13 +146,13 @@
         Some(offer.max_segment.to_string())
     }
 
-    fn agree_on_level(&mut self, value: &str) -> Option<String> {
+    fn negotiate_level(&mut self, value: &str) -> Option<String> {
         let Some(level) = number(value) else { return reject() };
         self.protocol_level = level.clamp(1, MAX_PROTOCOL_LEVEL);
         Some(self.protocol_level.to_string())
     }
 
-    fn agree_on_deadline(&mut self, offer: &Offer, value: &str) -> Option<String> {
+    fn negotiate_deadline(&mut self, offer: &Offer, value: &str) -> Option<String> {
         let Some(deadline_ms) = number(value).filter(|millis| *millis > 0) else { return reject() };
         let deadline_ms = offer.clamp_deadline_ms(deadline_ms);
         self.deadline_ms = Some(deadline_ms);
@@ -172,7 +172,7 @@
     Some("NotUnderstood".to_owned())
 }
 
-fn agree_on_flag(value: &str, flag: &mut bool) -> Option<String> {
+fn negotiate_flag(value: &str, flag: &mut bool) -> Option<String> {
     match value {
         "Yes" | "No" => {
             *flag = value == "Yes";
@@ -183,10 +183,10 @@
 }
 
 /// The smaller of both sides' lengths counts.
-fn agree_on_burst(value: &str, offered: u32, agreed: &mut u32) -> Option<String> {
+fn negotiate_burst(value: &str, offered: u32, negotiated: &mut u32) -> Option<String> {
     let Some(length) = number(value).filter(|length| *length >= MIN_BURST_BYTES) else { return reject() };
-    *agreed = length.min(offered);
-    Some(agreed.to_string())
+    *negotiated = length.min(offered);
+    Some(negotiated.to_string())
 }
 
 /// The first of the client's choices that this side knows counts.
--- a/crates/target/src/nbd/requests.rs
+++ b/crates/target/src/nbd/requests.rs
@@ -26,7 +26,7 @@
             // A write is answered when its nodes have it, so there is nothing to flush.
             command::FLUSH => self.send_done(request.cookie),
             command::CANCEL if self.additions > 0 => self.on_cancel(&request),
-            command::READ | command::WRITE => self.on_transfer(&unit, &request, data),
+            command::READ | command::WRITE => self.on_read_or_write(&unit, &request, data),
             _ => self.send_error(request.cookie, error::INVAL, "this command is not served"),
         }
     }
@@ -40,7 +40,7 @@
         self.send_done(request.cookie);
     }
 
-    fn on_transfer(&mut self, unit: &Unit, request: &Request, data: Bytes) {
+    fn on_read_or_write(&mut self, unit: &Unit, request: &Request, data: Bytes) {
         let is_write = request.kind == command::WRITE;
         if let Err(RequestError { code, text }) = self.check_request(unit, request) {
             return self.send_error(request.cookie, code, text);
--- a/crates/target/tests/damaged.rs
+++ b/crates/target/tests/damaged.rs
@@ -1,5 +1,5 @@
-//! Valid streams of both protocols, damaged: no bytes make a session panic, answer a command twice, or keep more than it
-//! may. The streams of a first library are kept here as they were sent, byte by byte.
+//! Valid streams of both protocols, damaged: no bytes make a session panic, take two answers to a command, or keep more than it may.
+//! The streams of the first client library are kept here as it sent them, byte by byte.
 
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
@@ -31,13 +31,13 @@
 
 /// A login, a read, a write with immediate data, a NOP and a logout.
 fn iscsi_stream() -> Vec<u8> {
-    let mut out = BytesMut::new();
-    let mut put = |pdu: &Pdu| iscsi::encode(pdu, Digests::default(), &mut out);
+    let mut bytes = BytesMut::new();
+    let mut send = |pdu: &Pdu| iscsi::encode(pdu, Digests::default(), &mut bytes);
     let mut login = Pdu::new(op::LOGIN | 0x40, FINAL | 1 << 2 | 3);
     login.set32(16, 1).set32(24, 1);
     login.data = iscsi::write_keys([("InitiatorName", "iqn.test:old"), ("TargetName", "iqn.test:pool")]);
-    put(&login);
-    for (i, (command, flags, data)) in [
+    send(&login);
+    for (index, (command, flags, data)) in [
         (Command::Read { block: 3, blocks: 2 }, READS, vec![]),
         (Command::Write { block: 7, blocks: 2 }, WRITES, vec![9; 1024]),
     ]
@@ -45,18 +45,18 @@
     .enumerate()
     {
         let mut pdu = Pdu::new(op::COMMAND, FINAL | flags);
-        pdu.set32(16, 10 + i as u32).set32(20, 1024).set32(24, 1 + i as u32);
+        pdu.set32(16, 10 + index as u32).set32(20, 1024).set32(24, 1 + index as u32);
         pdu.head[32..].copy_from_slice(&command.to_cdb());
         pdu.data = Bytes::from(data);
-        put(&pdu);
+        send(&pdu);
     }
     let mut nop = Pdu::new(op::NOP_OUT, FINAL);
     nop.set32(16, 20).set32(20, u32::MAX).set32(24, 3);
-    put(&nop);
-    let mut out_unit = Pdu::new(op::LOGOUT | 0x40, FINAL);
-    out_unit.set32(16, 21).set32(24, 4);
-    put(&out_unit);
-    out.to_vec()
+    send(&nop);
+    let mut logout = Pdu::new(op::LOGOUT | 0x40, FINAL);
+    logout.set32(16, 21).set32(24, 4);
+    send(&logout);
+    bytes.to_vec()
 }
 
 /// What a library of the public NBD protocol sends: flags, GO, a read, a write, a flush, and its end.
@@ -79,14 +79,20 @@
     bytes
 }
 
-/// Feeds the bytes; each submitted command is answered, and a second answer must not be taken.
-fn feed(s: &mut AnySession, bytes: &[u8], piece: usize) -> (Vec<Event>, usize) {
+/// What a session gave for the bytes that it was fed.
+struct Fed {
+    events: Vec<Event>,
+    output_bytes: usize,
+}
+
+/// Feeds the bytes in pieces; each submitted command is answered, and a second answer must not be taken.
+fn feed(session: &mut AnySession, bytes: &[u8], piece_bytes: usize) -> Fed {
     let mut events = Vec::new();
-    let mut out = 0;
-    for piece in bytes.chunks(piece) {
-        let taken = s.handle_bytes(piece);
-        while let Some(e) = s.poll_event() {
-            if let Event::Submit { command, work, .. } = &e {
+    let mut output_bytes = 0;
+    for piece in bytes.chunks(piece_bytes) {
+        let handled = session.handle_bytes(piece);
+        while let Some(event) = session.poll_event() {
+            if let Event::Submit { command, work, .. } = &event {
                 let data = match work {
                     Work::Read { blocks } => Bytes::from(vec![1; *blocks as usize * 512]),
                     Work::Write { data } => {
@@ -94,55 +100,57 @@
                         Bytes::new()
                     }
                 };
-                s.answer(*command, Verdict::Done { data });
-                assert!(!s.answer(*command, Verdict::Failed), "answered twice");
+                session.answer(*command, Verdict::Done { data });
+                assert!(!session.answer(*command, Verdict::Failed), "answered twice");
             }
-            events.push(e);
+            events.push(event);
         }
-        out += s.poll_transmit().len();
-        if taken.is_err() || s.is_over() {
+        output_bytes += session.poll_transmit().len();
+        if handled.is_err() || session.is_over() {
             break;
         }
     }
-    (events, out)
+    Fed { events, output_bytes }
 }
 
+/// The first client library's streams are fed to sessions of today. Its read and its write are served, and its logout ends the session.
 #[test]
-fn the_first_libraries_bytes_are_served_as_they_were() {
+fn streams_of_the_first_library_are_served() {
     for is_nbd in [false, true] {
         let bytes = if is_nbd { nbd_stream() } else { iscsi_stream() };
-        let mut s = session(is_nbd);
-        let (events, out) = feed(&mut s, &bytes, 100);
+        let mut session = session(is_nbd);
+        let Fed { events, output_bytes } = feed(&mut session, &bytes, 100);
         let submitted: Vec<(u64, bool)> = events
             .iter()
-            .filter_map(|e| match e {
+            .filter_map(|event| match event {
                 Event::Submit { block, work, .. } => Some((*block, matches!(work, Work::Write { .. }))),
                 _ => None,
             })
             .collect();
         assert_eq!(submitted, [(3, false), (7, true)], "nbd {is_nbd}");
-        assert!(s.is_over() && out > 1024, "nbd {is_nbd}");
+        assert!(session.is_over() && output_bytes > 1024, "nbd {is_nbd}");
     }
 }
 
 /// Inputs that a fuzzer kept, since each reached code that none before it had: `fuzz/targets/sessions.rs` made them.
 #[test]
-fn what_the_fuzzer_kept_harms_nobody() {
+fn inputs_of_the_fuzzer_break_no_session() {
     let kept = include_str!("../../../fuzz/kept/sessions.txt");
     assert!(kept.lines().count() > 100);
     for line in kept.lines() {
-        let byte = |i: usize| u8::from_str_radix(&line[2 * i..2 * i + 2], 16).unwrap();
+        let byte = |index: usize| u8::from_str_radix(&line[2 * index..2 * index + 2], 16).unwrap();
         let bytes: Vec<u8> = (0..line.len() / 2).map(byte).collect();
-        let piece = 1 + usize::from(bytes[0] >> 1);
-        feed(&mut session(bytes[0] & 1 == 1), &bytes[1..], piece);
+        let piece_bytes = 1 + usize::from(bytes[0] >> 1);
+        feed(&mut session(bytes[0] & 1 == 1), &bytes[1..], piece_bytes);
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, rng_seed: RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
+    /// Valid streams with bytes changed and inserted break no session.
     #[test]
-    fn damaged_streams_harm_nobody(
+    fn damaged_streams_break_no_session(
         is_nbd in any::<bool>(),
         flips in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..6),
         cut in any::<prop::sample::Index>(),
@@ -150,21 +158,21 @@
     ) {
         let mut bytes = if is_nbd { nbd_stream() } else { iscsi_stream() };
         for (at, byte) in flips {
-            let i = at.index(bytes.len());
-            bytes[i] = byte;
+            let index = at.index(bytes.len());
+            bytes[index] = byte;
         }
         let at = cut.index(bytes.len());
         bytes.splice(at..at, insert);
         feed(&mut session(is_nbd), &bytes, 100);
     }
 
+    /// Any bytes at three points of the handshake, and at the start of a login, break no session.
     #[test]
-    fn any_bytes_after_the_greeting_harm_nobody(bytes in proptest::collection::vec(any::<u8>(), 0..600), stage in 0u8..3) {
+    fn any_bytes_in_the_handshake_break_no_session(bytes in proptest::collection::vec(any::<u8>(), 0..600), stage in 0u8..3) {
         let mut nbd = session(true);
-        // At any point of the handshake.
         let valid = nbd_stream();
-        let upto = [0, 4, 34][usize::from(stage)];
-        feed(&mut nbd, &valid[..upto], 100);
+        let handshake_bytes = [0, 4, 34][usize::from(stage)];
+        feed(&mut nbd, &valid[..handshake_bytes], 100);
         feed(&mut nbd, &bytes, 100);
         let mut iscsi = session(false);
         feed(&mut iscsi, &bytes, 100);
--- a/crates/target/tests/session.rs
+++ b/crates/target/tests/session.rs
@@ -1,4 +1,4 @@
-//! The session's state machine, driven unit by unit.
+//! The iSCSI session's state machine, driven unit by unit.
 
 use bytes::{Bytes, BytesMut};
 use std::sync::Arc;
@@ -6,13 +6,15 @@
 use tackmast_wire::iscsi::{self, op, Digests, Pdu, Units, FINAL, NO_TAG, READS, WRITES};
 use tackmast_wire::scsi::{status, Command, Sense, Unit};
 
+/// A client that encodes and decodes units by itself.
 struct Client {
     session: IscsiSession,
     units: Units,
     digests: Digests,
-    next: u32,
+    next_command: u32,
 }
 
+/// Commands that may be open.
 const WINDOW: u32 = 4;
 
 fn offer() -> Offer {
@@ -32,7 +34,7 @@
     fn new() -> Client {
         let unit = Unit { lun: 3, name: "v".into(), blocks: 1000, block_bytes: 512, max_blocks: 32 };
         let session = IscsiSession::new(Arc::new(offer()), Arc::new(vec![unit]), 9);
-        Client { session, units: Units::new(1 << 20), digests: Digests::default(), next: 1 }
+        Client { session, units: Units::new(1 << 20), digests: Digests::default(), next_command: 1 }
     }
 
     fn send(&mut self, pdu: &Pdu) -> Result<(), SessionError> {
@@ -41,9 +43,9 @@
         self.session.handle_bytes(&bytes)
     }
 
-    fn received(&mut self) -> Vec<Pdu> {
-        let out = self.session.poll_transmit();
-        self.units.push(&out);
+    fn receive(&mut self) -> Vec<Pdu> {
+        let bytes = self.session.poll_transmit();
+        self.units.push(&bytes);
         std::iter::from_fn(|| self.units.next_unit().unwrap()).collect()
     }
 
@@ -53,27 +55,27 @@
 
     fn login_with(&mut self, keys: &[(&str, &str)]) -> Vec<Pdu> {
         let mut pdu = Pdu::new(op::LOGIN | 0x40, FINAL | 1 << 2 | 3);
-        pdu.set32(16, 1).set32(24, self.next);
+        pdu.set32(16, 1).set32(24, self.next_command);
         pdu.data = iscsi::write_keys(keys.iter().copied());
         self.send(&pdu).unwrap();
-        self.received()
+        self.receive()
     }
 
     fn logged_in(keys: &[(&str, &str)]) -> Client {
-        let mut c = Client::new();
+        let mut client = Client::new();
         let names = [
             ("InitiatorName", "iqn.test:me"),
             ("TargetName", "iqn.test:pool"),
             ("MaxRecvDataSegmentLength", "4096"),
         ];
-        let reply = c.login_with(&[&names, keys].concat());
+        let reply = client.login_with(&[&names, keys].concat());
         assert_eq!((reply[0].head[36], reply[0].u16(14), reply[0].flags()), (0, 9, FINAL | 1 << 2 | 3));
-        c
+        client
     }
 
     fn command(&mut self, command: Command, expected: u32, data: &[u8]) -> Result<u32, SessionError> {
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_command;
+        self.next_command += 1;
         let direction = if matches!(command, Command::Write { .. }) { WRITES } else { READS };
         let mut pdu = Pdu::new(op::COMMAND, FINAL | direction);
         pdu.set_lun(3).set32(16, 1000 + number).set32(20, expected).set32(24, number);
@@ -97,12 +99,13 @@
     }
 }
 
-fn keys(pdu: &Pdu) -> Vec<(String, String)> {
+fn text_keys(pdu: &Pdu) -> Vec<(String, String)> {
     iscsi::read_keys(&pdu.data).unwrap().into_iter().map(|key| (key.name, key.value)).collect()
 }
 
+/// A client offers each key with a value that is right, too large, too small or unknown. The answer is the one that RFC 7143 asks for.
 #[test]
-fn negotiation_answers_as_the_specification_says() {
+fn each_key_gets_the_answer_that_the_rfc_asks_for() {
     for (key, value, answer) in [
         ("HeaderDigest", "CRC32C,None", Some("CRC32C")),
         ("DataDigest", "None", Some("None")),
@@ -120,202 +123,247 @@
         ("X-org.tackmast.ExpiryMs", "soon", Some("Reject")),
         ("X-com.example.Other", "1", Some("NotUnderstood")),
     ] {
-        let mut c = Client::new();
-        let all = [("InitiatorName", "iqn.test:me"), ("TargetName", "iqn.test:pool"), (key, value)];
-        let reply = c.login_with(&all);
-        let found = keys(&reply[0]).into_iter().find(|(k, _)| k == key).map(|(_, v)| v);
+        let mut client = Client::new();
+        let keys = [("InitiatorName", "iqn.test:me"), ("TargetName", "iqn.test:pool"), (key, value)];
+        let reply = client.login_with(&keys);
+        let answers = text_keys(&reply[0]);
+        let found = answers.into_iter().find(|(name, _)| name == key).map(|(_, value)| value);
         assert_eq!(found.as_deref(), answer, "{key}={value}");
     }
 }
 
+/// Logins without a name, without a target, with another target, and to a host that has as many sessions as it may. Each is refused
+/// with the status that names its reason, and ends the session.
 #[test]
-fn logins_that_can_not_be_are_refused_with_their_reason() {
-    let me = ("InitiatorName", "iqn.test:me");
+fn login_is_refused_with_its_reason() {
+    let initiator = ("InitiatorName", "iqn.test:me");
     for (name, keys, class, detail) in [
         ("no name", vec![("TargetName", "iqn.test:pool")], 2, 7),
-        ("no target", vec![me], 2, 7),
-        ("another target", vec![me, ("TargetName", "iqn.test:other")], 2, 3),
+        ("no target", vec![initiator], 2, 7),
+        ("another target", vec![initiator, ("TargetName", "iqn.test:other")], 2, 3),
     ] {
-        let mut c = Client::new();
-        let reply = c.login_with(&keys);
+        let mut client = Client::new();
+        let reply = client.login_with(&keys);
         assert_eq!((reply[0].head[36], reply[0].head[37]), (class, detail), "{name}");
-        assert_eq!(c.events(), [Event::Close(Ending::LoginRefused)], "{name}");
-        assert!(c.session.is_over());
+        assert_eq!(client.events(), [Event::Close(Ending::LoginRefused)], "{name}");
+        assert!(client.session.is_over());
     }
-    let mut c = Client::new();
-    c.session.refuse();
-    let reply = c.login_with(&[me, ("TargetName", "iqn.test:pool")]);
+    let mut client = Client::new();
+    client.session.refuse();
+    let reply = client.login_with(&[initiator, ("TargetName", "iqn.test:pool")]);
     assert_eq!((reply[0].head[36], reply[0].head[37]), (3, 2), "out of resources");
 }
 
+/// A discovery session asks for the targets and then sends a command. It learns the name, and the command ends it.
 #[test]
-fn a_discovery_session_names_the_target_and_serves_nothing() {
-    let mut c = Client::new();
-    c.login_with(&[("InitiatorName", "iqn.test:me"), ("SessionType", "Discovery")]);
+fn discovery_session_names_the_target_and_serves_no_command() {
+    let mut client = Client::new();
+    client.login_with(&[("InitiatorName", "iqn.test:me"), ("SessionType", "Discovery")]);
     let mut pdu = Pdu::new(op::TEXT, FINAL);
-    pdu.set32(16, 5).set32(20, NO_TAG).set32(24, c.next);
+    pdu.set32(16, 5).set32(20, NO_TAG).set32(24, client.next_command);
     pdu.data = iscsi::write_keys([("SendTargets", "All")]);
-    c.send(&pdu).unwrap();
-    c.next += 1;
-    assert_eq!(keys(&c.received()[0]), [("TargetName".to_owned(), "iqn.test:pool".to_owned())]);
-    assert!(c.command(Command::TestUnitReady, 0, &[]).is_err());
+    client.send(&pdu).unwrap();
+    client.next_command += 1;
+    assert_eq!(text_keys(&client.receive()[0]), [("TargetName".to_owned(), "iqn.test:pool".to_owned())]);
+    assert!(client.command(Command::TestUnitReady, 0, &[]).is_err());
 }
 
+/// A write comes with a part of its data. The rest is asked for a burst at a time, the command is submitted once with all of it, and a
+/// second answer is not taken.
 #[test]
-fn a_write_gathers_its_data_and_is_submitted_once() {
+fn write_is_submitted_once_when_all_its_data_is_received() {
     let data: Vec<u8> = (0..8192u32).map(|i| i as u8).collect();
-    let mut c = Client::logged_in(&[]);
-    let n = c.command(Command::Write { block: 5, blocks: 16 }, 8192, &data[..1024]).unwrap();
-    assert_eq!(c.events(), [Event::Begun { command: n }]);
-    let mut have = 1024;
-    while have < 8192 {
-        let asked = c.received();
-        let [r2t] = asked.as_slice() else { panic!("{asked:?}") };
-        assert_eq!((r2t.opcode(), r2t.u32(40) as usize), (op::R2T, have));
+    let mut client = Client::logged_in(&[]);
+    let number = client.command(Command::Write { block: 5, blocks: 16 }, 8192, &data[..1024]).unwrap();
+    assert_eq!(client.events(), [Event::Begun { command: number }]);
+    let mut sent = 1024;
+    while sent < 8192 {
+        let solicitations = client.receive();
+        let [r2t] = solicitations.as_slice() else { panic!("{solicitations:?}") };
+        assert_eq!((r2t.opcode(), r2t.u32(40) as usize), (op::R2T, sent));
         let length = r2t.u32(44) as usize;
-        assert!(length <= 2048, "one burst at a time");
+        assert!(length <= 2048, "more than one burst");
         let half = length / 2;
-        c.data_out(n, 0, have as u32, &data[have..have + half], false).unwrap();
-        assert_eq!(c.events(), []);
-        c.data_out(n, 1, (have + half) as u32, &data[have + half..have + length], true).unwrap();
-        have += length;
+        client.data_out(number, 0, sent as u32, &data[sent..sent + half], false).unwrap();
+        assert_eq!(client.events(), []);
+        client.data_out(number, 1, (sent + half) as u32, &data[sent + half..sent + length], true).unwrap();
+        sent += length;
     }
     let work = Work::Write { data: Bytes::from(data) };
-    assert_eq!(c.events(), [Event::Submit { command: n, lun: 3, block: 5, work, deadline_ms: None }]);
-    assert!(c.session.answer(n, Verdict::Done { data: Bytes::new() }));
-    assert!(!c.session.answer(n, Verdict::Failed), "one answer, and no second");
-    let reply = c.received();
+    assert_eq!(
+        client.events(),
+        [Event::Submit { command: number, lun: 3, block: 5, work, deadline_ms: None }]
+    );
+    assert!(client.session.answer(number, Verdict::Done { data: Bytes::new() }));
+    assert!(!client.session.answer(number, Verdict::Failed), "a second answer was taken");
+    let reply = client.receive();
     assert_eq!((reply.len(), reply[0].opcode(), reply[0].head[3]), (1, op::RESPONSE, status::GOOD));
 }
 
+/// Data of a write has a wrong number, a wrong offset, is too much or ends early: the session ends with an error that names it. A
+/// command with an old number is outside the window, and is noted.
 #[test]
-fn data_out_of_turn_ends_the_session_with_one_error() {
-    type Break = fn(&mut Client, u32) -> Result<(), SessionError>;
-    let cases: &[(&str, Break, &str)] = &[
-        ("number", |c, n| c.data_out(n, 1, 0, &[0; 512], false), "data number: 1; expected 0"),
-        ("offset", |c, n| c.data_out(n, 0, 512, &[0; 512], false), "data offset: 512; expected 0 to 2048"),
-        ("too much", |c, n| c.data_out(n, 0, 0, &[0; 2560], true), "data offset: 0; expected 0 to 2048"),
-        ("ends early", |c, n| c.data_out(n, 0, 0, &[0; 512], true), "data sequence end: 512; expected 2048"),
+fn data_out_of_order_ends_the_session_with_one_error() {
+    type Violation = fn(&mut Client, u32) -> Result<(), SessionError>;
+    let cases: &[(&str, Violation, &str)] = &[
+        (
+            "number",
+            |client, number| client.data_out(number, 1, 0, &[0; 512], false),
+            "data number: 1; expected 0",
+        ),
+        (
+            "offset",
+            |client, number| client.data_out(number, 0, 512, &[0; 512], false),
+            "data offset: 512; expected 0 to 2048",
+        ),
+        (
+            "too much",
+            |client, number| client.data_out(number, 0, 0, &[0; 2560], true),
+            "data offset: 0; expected 0 to 2048",
+        ),
+        (
+            "ends early",
+            |client, number| client.data_out(number, 0, 0, &[0; 512], true),
+            "data sequence end: 512; expected 2048",
+        ),
         (
             "again",
-            |c, n| {
-                c.command(Command::TestUnitReady, 0, &[]).and_then(|_| {
-                    c.next = n;
-                    c.command(Command::TestUnitReady, 0, &[]).map(|_| ())
+            |client, number| {
+                client.command(Command::TestUnitReady, 0, &[]).and_then(|_| {
+                    client.next_command = number;
+                    client.command(Command::TestUnitReady, 0, &[]).map(|_| ())
                 })
             },
             "",
         ),
     ];
-    for (name, break_it, expected) in cases {
-        let mut c = Client::logged_in(&[]);
-        let n = c.command(Command::Write { block: 0, blocks: 16 }, 8192, &[]).unwrap();
-        match break_it(&mut c, n) {
-            Err(e) => assert_eq!(e.to_string(), *expected, "{name}"),
-            // An old number lies outside the window: passed over, and noted.
-            Ok(()) => assert!(c.events().iter().any(|e| matches!(e, Event::Note(_))), "{name}"),
+    for (name, violate, expected) in cases {
+        let mut client = Client::logged_in(&[]);
+        let number = client.command(Command::Write { block: 0, blocks: 16 }, 8192, &[]).unwrap();
+        match violate(&mut client, number) {
+            Err(error) => assert_eq!(error.to_string(), *expected, "{name}"),
+            // An old number is outside the window: the command is ignored and noted.
+            Ok(()) => assert!(client.events().iter().any(|event| matches!(event, Event::Note(_))), "{name}"),
         }
     }
 }
 
+/// Three reads are answered as done, rejected and failed. Each answer has its own form and status number, and only a client that has
+/// negotiated the retry-after receives it.
 #[test]
-fn answers_have_a_form_each() {
-    let mut c = Client::logged_in(&[("iSCSIProtocolLevel", "2"), ("X-org.tackmast.ExactDelay", "Yes")]);
+fn each_verdict_has_its_own_form() {
+    let mut client = Client::logged_in(&[("iSCSIProtocolLevel", "2"), ("X-org.tackmast.ExactDelay", "Yes")]);
     let read = Command::Read { block: 0, blocks: 2 };
-    let n = c.command(read, 1024, &[]).unwrap();
-    c.session.answer(n, Verdict::Done { data: Bytes::from(vec![7; 1024]) });
-    let n = c.command(read, 1024, &[]).unwrap();
-    c.session.answer(n, Verdict::Rejected { retry_after_us: 250_001 });
-    let n = c.command(read, 1024, &[]).unwrap();
-    c.session.answer(n, Verdict::Failed);
-    let got = c.received();
-    assert_eq!((got[0].opcode(), got[0].head[3], got[0].data.len()), (op::DATA_IN, status::GOOD, 1024));
-    assert!(got[0].has(iscsi::STATUS_HERE));
-    // Busy, three steps of 100 ms, and the time to the microsecond behind an empty sense length.
-    assert_eq!((got[1].opcode(), got[1].head[3], got[1].u16(8)), (op::RESPONSE, status::BUSY, 3));
-    assert_eq!(got[1].data[..], [&[0, 0][..], &250_001u32.to_be_bytes()].concat());
+    let number = client.command(read, 1024, &[]).unwrap();
+    client.session.answer(number, Verdict::Done { data: Bytes::from(vec![7; 1024]) });
+    let number = client.command(read, 1024, &[]).unwrap();
+    client.session.answer(number, Verdict::Rejected { retry_after_us: 250_001 });
+    let number = client.command(read, 1024, &[]).unwrap();
+    client.session.answer(number, Verdict::Failed);
+    let received = client.receive();
+    assert_eq!(
+        (received[0].opcode(), received[0].head[3], received[0].data.len()),
+        (op::DATA_IN, status::GOOD, 1024)
+    );
+    assert!(received[0].has(iscsi::STATUS_HERE));
+    // Busy, three steps of 100 ms, and the retry-after to the microsecond behind an empty sense length.
     assert_eq!(
-        (got[2].head[3], Sense::from_segment(&got[2].data)),
+        (received[1].opcode(), received[1].head[3], received[1].u16(8)),
+        (op::RESPONSE, status::BUSY, 3)
+    );
+    assert_eq!(received[1].data[..], [&[0, 0][..], &250_001u32.to_be_bytes()].concat());
+    assert_eq!(
+        (received[2].head[3], Sense::from_segment(&received[2].data)),
         (status::CHECK_CONDITION, Some(Sense::FAILED))
     );
-    let numbers: Vec<u32> = got.iter().map(|p| p.u32(24)).collect();
-    assert_eq!(numbers, [numbers[0], numbers[0] + 1, numbers[0] + 2], "a status number each");
-    // A client that negotiated neither still sees a plain busy.
-    let mut c = Client::logged_in(&[]);
-    let n = c.command(read, 1024, &[]).unwrap();
-    c.session.answer(n, Verdict::Rejected { retry_after_us: 250_001 });
-    let got = c.received();
-    assert_eq!((got[0].head[3], got[0].u16(8), got[0].data.len()), (status::BUSY, 0, 0));
+    let numbers: Vec<u32> = received.iter().map(|pdu| pdu.u32(24)).collect();
+    assert_eq!(numbers, [numbers[0], numbers[0] + 1, numbers[0] + 2], "status numbers are not consecutive");
+    // A client that negotiated neither receives a plain busy.
+    let mut client = Client::logged_in(&[]);
+    let number = client.command(read, 1024, &[]).unwrap();
+    client.session.answer(number, Verdict::Rejected { retry_after_us: 250_001 });
+    let received = client.receive();
+    assert_eq!((received[0].head[3], received[0].u16(8), received[0].data.len()), (status::BUSY, 0, 0));
 }
 
+/// A client fills its window and sends one command more, which is ignored and noted. After an answer the same command is taken.
 #[test]
-fn the_window_shuts_and_opens_with_answers() {
-    let mut c = Client::logged_in(&[]);
+fn window_closes_when_full_and_opens_with_an_answer() {
+    let mut client = Client::logged_in(&[]);
     let read = Command::Read { block: 0, blocks: 1 };
-    let open: Vec<u32> = (0..WINDOW).map(|_| c.command(read, 512, &[]).unwrap()).collect();
-    assert_eq!(c.events().len(), WINDOW as usize);
-    c.command(read, 512, &[]).unwrap();
+    let open: Vec<u32> = (0..WINDOW).map(|_| client.command(read, 512, &[]).unwrap()).collect();
+    assert_eq!(client.events().len(), WINDOW as usize);
+    client.command(read, 512, &[]).unwrap();
     assert!(
-        matches!(c.events().as_slice(), [Event::Note(note)] if note.to_string().contains("outside the window"))
+        matches!(client.events().as_slice(), [Event::Note(note)] if note.to_string().contains("outside the window"))
     );
-    assert_eq!(c.session.open_commands(), WINDOW as usize, "the others are unharmed");
-    c.session.answer(open[0], Verdict::Failed);
-    let reply = c.received();
-    assert_eq!(reply[0].u32(32), reply[0].u32(28), "room for one more");
-    c.next -= 1;
-    c.command(read, 512, &[]).unwrap();
-    assert!(matches!(c.events().as_slice(), [Event::Submit { .. }]));
+    assert_eq!(client.session.open_commands(), WINDOW as usize, "the commands in the window");
+    client.session.answer(open[0], Verdict::Failed);
+    let reply = client.receive();
+    assert_eq!(reply[0].u32(32), reply[0].u32(28), "the window has not opened by one");
+    client.next_command -= 1;
+    client.command(read, 512, &[]).unwrap();
+    assert!(matches!(client.events().as_slice(), [Event::Submit { .. }]));
 }
 
+/// A client aborts a read, aborts it again, and aborts a task that never was. Only the first abort reaches the host, and the read has
+/// no answer.
 #[test]
-fn an_aborted_task_has_no_answer() {
-    let mut c = Client::logged_in(&[]);
-    let n = c.command(Command::Read { block: 0, blocks: 1 }, 512, &[]).unwrap();
-    c.events();
-    for (tag, response) in [(1000 + n, 0), (1000 + n, 1), (4, 1)] {
+fn aborted_task_has_no_answer() {
+    let mut client = Client::logged_in(&[]);
+    let number = client.command(Command::Read { block: 0, blocks: 1 }, 512, &[]).unwrap();
+    client.events();
+    for (tag, response) in [(1000 + number, 0), (1000 + number, 1), (4, 1)] {
         let mut pdu = Pdu::new(op::TASK | 0x40, FINAL | 1);
-        pdu.set32(16, 77).set32(20, tag).set32(24, c.next);
-        c.send(&pdu).unwrap();
-        assert_eq!(c.received()[0].head[2], response, "task {tag}");
+        pdu.set32(16, 77).set32(20, tag).set32(24, client.next_command);
+        client.send(&pdu).unwrap();
+        assert_eq!(client.receive()[0].head[2], response, "task {tag}");
     }
-    assert_eq!(c.events(), [Event::Abort { command: n }]);
-    assert!(!c.session.answer(n, Verdict::Done { data: Bytes::new() }));
-    assert!(c.received().is_empty());
+    assert_eq!(client.events(), [Event::Abort { command: number }]);
+    assert!(!client.session.answer(number, Verdict::Done { data: Bytes::new() }));
+    assert!(client.receive().is_empty());
 }
 
+/// A read of four segments is answered. Its units are in order, and the status is in the last.
 #[test]
-fn reads_larger_than_a_segment_come_in_order() {
-    let mut c = Client::logged_in(&[]);
+fn read_larger_than_a_segment_is_sent_in_order() {
+    let mut client = Client::logged_in(&[]);
     let data: Vec<u8> = (0..16384u32).map(|i| (i / 7) as u8).collect();
-    let n = c.command(Command::Read { block: 0, blocks: 32 }, 16384, &[]).unwrap();
-    c.session.answer(n, Verdict::Done { data: Bytes::from(data.clone()) });
-    let got = c.received();
-    assert_eq!(got.len(), 4);
-    let whole: Vec<u8> = got.iter().flat_map(|p| p.data.to_vec()).collect();
+    let number = client.command(Command::Read { block: 0, blocks: 32 }, 16384, &[]).unwrap();
+    client.session.answer(number, Verdict::Done { data: Bytes::from(data.clone()) });
+    let received = client.receive();
+    assert_eq!(received.len(), 4);
+    let whole: Vec<u8> = received.iter().flat_map(|pdu| pdu.data.to_vec()).collect();
     assert_eq!(whole, data);
-    assert!(got.iter().enumerate().all(|(i, p)| p.u32(36) == i as u32 && p.u32(40) == i as u32 * 4096));
-    assert!(got[3].has(iscsi::STATUS_HERE) && got[..3].iter().all(|p| !p.has(iscsi::STATUS_HERE)));
+    assert!(received
+        .iter()
+        .enumerate()
+        .all(|(index, pdu)| pdu.u32(36) == index as u32 && pdu.u32(40) == index as u32 * 4096));
+    assert!(
+        received[3].has(iscsi::STATUS_HERE) && received[..3].iter().all(|pdu| !pdu.has(iscsi::STATUS_HERE))
+    );
 }
 
+/// A ping is answered with its data, an unknown operation is rejected and noted, and a logout ends the session.
 #[test]
-fn logout_nop_and_what_is_not_served() {
-    let mut c = Client::logged_in(&[]);
+fn ping_unknown_operation_and_logout_are_answered() {
+    let mut client = Client::logged_in(&[]);
     let mut nop = Pdu::new(op::NOP_OUT, FINAL);
-    nop.set32(16, 8).set32(20, NO_TAG).set32(24, c.next);
+    nop.set32(16, 8).set32(20, NO_TAG).set32(24, client.next_command);
     nop.data = Bytes::from_static(b"there?");
-    c.send(&nop).unwrap();
-    c.next += 1;
-    let reply = c.received();
+    client.send(&nop).unwrap();
+    client.next_command += 1;
+    let reply = client.receive();
     assert_eq!((reply[0].opcode(), reply[0].tag(), &reply[0].data[..]), (op::NOP_IN, 8, &b"there?"[..]));
-    let mut odd = Pdu::new(0x10, FINAL);
-    odd.set32(24, c.next);
-    c.send(&odd).unwrap();
-    c.next += 1;
-    assert_eq!((c.received()[0].opcode(), c.events().len()), (op::REJECT, 1));
-    let mut out = Pdu::new(op::LOGOUT | 0x40, FINAL);
-    out.set32(16, 9).set32(24, c.next);
-    c.send(&out).unwrap();
-    assert_eq!(c.received()[0].opcode(), op::LOGOUT_RESPONSE);
-    assert_eq!(c.events(), [Event::Close(Ending::Logout)]);
-    assert!(c.session.is_over());
+    let mut unknown = Pdu::new(0x10, FINAL);
+    unknown.set32(24, client.next_command);
+    client.send(&unknown).unwrap();
+    client.next_command += 1;
+    assert_eq!((client.receive()[0].opcode(), client.events().len()), (op::REJECT, 1));
+    let mut logout = Pdu::new(op::LOGOUT | 0x40, FINAL);
+    logout.set32(16, 9).set32(24, client.next_command);
+    client.send(&logout).unwrap();
+    assert_eq!(client.receive()[0].opcode(), op::LOGOUT_RESPONSE);
+    assert_eq!(client.events(), [Event::Close(Ending::Logout)]);
+    assert!(client.session.is_over());
 }
