--- a/crates/consensus/src/replica/sessions.rs
+++ b/crates/consensus/src/replica/sessions.rs
@@ -1,33 +1,36 @@
-//! Client sessions (thesis, section 6.3): each proposal counts once, however often it was sent and appended. It carries its
-//! host, its process generation and its number; the last of each host is part of the snapshot.
+//! Client sessions (thesis, section 6.3): each proposal is applied once, however often it was sent and appended.
+//!
+//! A proposal whose response gets lost is sent again, and would otherwise be applied twice. Each carries its host, its
+//! process generation and its number; the last one of each host is part of the snapshot, so that replicas agree on it.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::collections::BTreeMap;
 
-/// Bytes before a proposal's own: host, generation, number and length.
-pub const PROPOSAL_HEADER_LEN: usize = 20;
-/// Bytes of a session in a snapshot.
+/// Length in bytes of a proposal's header: host, generation, number and length.
+pub(super) const PROPOSAL_HEADER_LEN: usize = 20;
+/// Length in bytes of a session in a snapshot: host, generation and number.
 const SESSION_LEN: usize = 16;
+/// Length in bytes of the number of sessions before them.
 const SESSION_COUNT_LEN: usize = 4;
 
-/// A proposal's place among all of its host. Ordered as they were made.
+/// Identifies a proposal among those of its host, in the order in which they were made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ProposalId {
+pub(super) struct ProposalId {
     pub generation: u64,
     pub number: u32,
 }
 
-/// A proposal as entries have it.
+/// A proposal as it is encoded in an entry.
 #[derive(Clone, Debug)]
-pub struct Proposal {
+pub(super) struct Proposal {
     pub host: u32,
     pub id: ProposalId,
     pub data: Bytes,
 }
 
 impl Proposal {
-    /// The command of its entry.
-    pub fn to_bytes(&self) -> Bytes {
+    /// Encodes it as the command of an entry.
+    pub(super) fn to_bytes(&self) -> Bytes {
         let mut out = BytesMut::with_capacity(self.data.len() + PROPOSAL_HEADER_LEN);
         out.put_u32(self.host);
         out.put_u64(self.id.generation);
@@ -37,8 +40,8 @@
         out.freeze()
     }
 
-    /// The proposal that an entry's command is.
-    pub fn decode(mut bytes: Bytes) -> Option<Proposal> {
+    /// Decodes an entry's command.
+    pub(super) fn decode(mut bytes: Bytes) -> Option<Proposal> {
         if bytes.len() < PROPOSAL_HEADER_LEN {
             return None;
         }
@@ -49,13 +52,13 @@
     }
 }
 
-/// The last proposal of each host that counted. There are no more of them than hosts.
+/// The last proposal of each host that was applied. There are no more of them than hosts.
 #[derive(Clone, Debug, Default)]
-pub struct Sessions(BTreeMap<u32, ProposalId>);
+pub(super) struct Sessions(BTreeMap<u32, ProposalId>);
 
 impl Sessions {
-    /// Whether the proposal counts: none does that was applied already, or comes after later ones of its host.
-    pub fn admit(&mut self, proposal: &Proposal) -> bool {
+    /// Whether the proposal is to be applied: not if it, or a later one of its host, was applied before.
+    pub(super) fn admit(&mut self, proposal: &Proposal) -> bool {
         if self.0.get(&proposal.host).is_some_and(|last| *last >= proposal.id) {
             return false;
         }
@@ -64,12 +67,12 @@
     }
 
     /// Forgets all, as the log is discarded.
-    pub fn clear(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.0.clear();
     }
 
     /// A snapshot's state: the sessions, and the state machine's own bytes.
-    pub fn encode_with(&self, state: &[u8]) -> Bytes {
+    pub(super) fn encode_with(&self, state: &[u8]) -> Bytes {
         let length = SESSION_COUNT_LEN + self.0.len() * SESSION_LEN + state.len();
         let mut out = BytesMut::with_capacity(length);
         out.put_u32(self.0.len() as u32);
@@ -82,8 +85,8 @@
         out.freeze()
     }
 
-    /// Takes the sessions of a snapshot's state in place of these; what is left are the state machine's own bytes.
-    pub fn restore_from(&mut self, mut state: Bytes) -> Bytes {
+    /// Replaces the sessions by those of a snapshot's state; returns the state machine's own bytes.
+    pub(super) fn restore_from(&mut self, mut state: Bytes) -> Bytes {
         self.clear();
         if state.len() < SESSION_COUNT_LEN {
             return state;
--- a/crates/host-core/src/output.rs
+++ b/crates/host-core/src/output.rs
@@ -1,8 +1,10 @@
 //! What the core makes its shell do, and its counters.
 
+use crate::admin_request::AdminResponse;
 use crate::attempt::{AttemptId, SendAttempt};
 use crate::command::{CommandRef, Verdict};
-use crate::override_requests::{AdminResponse, PersistBatch};
+use crate::event::HostEvent;
+use crate::persist_batch::PersistBatch;
 use bytes::Bytes;
 use tackmast::interface::NodeId;
 
@@ -61,13 +63,8 @@
         /// The datagram.
         bytes: Bytes,
     },
-    /// A change of mode, with its figures, and the node it is about.
-    Log {
-        /// The node, where it is about one.
-        node: Option<NodeId>,
-        /// The line, for the log.
-        line: String,
-    },
+    /// Something for the log; nothing is to be done.
+    Event(HostEvent),
 }
 
 /// What happened since the start, for metrics.
--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -25,7 +25,8 @@
 use tackmast_admin::Answer;
 use tackmast_config::HostSettings;
 use tackmast_host_core::{
-    AttemptResult, CommandRef, Core, Counters, Output, PersistBatch, PersistError, SendAttempt, Verdict,
+    log_event, AttemptResult, CommandRef, Core, Counters, Output, PersistBatch, PersistError, SendAttempt,
+    Verdict,
 };
 
 /// Events that are handled before the outputs that they caused are executed.
@@ -210,9 +211,8 @@
                         peers.send(to, &bytes);
                     }
                 }
-                Output::Log { node, line } => {
-                    let node = node.and_then(|n| self.core.nodes().address(n)).unwrap_or("-");
-                    tracing::info!(host = self.settings.host.number, node, "{line}");
+                Output::Event(event) => {
+                    log_event(Some(self.settings.host.number), self.core.nodes(), &event);
                 }
             }
         }
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tackmast_config::HostSettings;
-use tackmast_emulators::initiator::{Ask, AskWork, Initiator, Login, Reply};
+use tackmast_emulators::initiator::{Initiator, IoOperation, IoRequest, LabelledReply, Login, Reply};
 use tackmast_emulators::list::NodeList;
-use tackmast_emulators::model::Nature;
-use tackmast_emulators::node::{Marks, Node, NodeSettings};
+use tackmast_emulators::model::NodeBehavior;
+use tackmast_emulators::node::{IdempotencyKeys, Node, NodeSettings};
 use tackmast_host::Host;
 use tackmast_trace::Recorder;
 use tackmast_wire::iscsi::Digests;
@@ -103,24 +103,24 @@
 
 impl TestCluster {
     /// Starts it with nodes of this behavior; the host knows both when this returns.
-    pub fn start(nature: Nature) -> TestCluster {
+    pub fn start(behavior: NodeBehavior) -> TestCluster {
         let recorder = Recorder::default();
-        let marks = Arc::new(Marks::default());
+        let idempotency_keys = Arc::new(IdempotencyKeys::default());
         let node = |shard| {
             Node::start(NodeSettings {
                 address: loopback(),
                 shard,
                 zone: 0,
-                nature: nature.clone(),
+                behavior: behavior.clone(),
                 seed: u64::from(shard) + 1,
                 max_data: 1 << 20,
                 report_every: Duration::from_millis(50),
-                marks: marks.clone(),
+                idempotency_keys: idempotency_keys.clone(),
                 window_s: 5.0,
-                cold: false,
+                has_just_started: false,
                 store: Arc::default(),
                 receive_bytes: 0,
-                front: None,
+                advertised_address: None,
                 recorder: recorder.clone(),
             })
             .unwrap()
@@ -146,7 +146,7 @@
             name: "iqn.2026-12.org.tackmast:test".into(),
             digests,
             deadline_ms,
-            patience: TEST_TIMEOUT,
+            timeout: TEST_TIMEOUT,
         };
         let (replies_to, replies) = crossbeam_channel::unbounded();
         Client { initiator: Initiator::login(&login, 0, replies_to, self.recorder.clone()).unwrap(), replies }
@@ -163,27 +163,28 @@
 /// An emulated initiator and the replies that it receives.
 pub struct Client {
     pub initiator: Initiator,
-    pub replies: Receiver<(u64, Reply)>,
+    pub replies: Receiver<LabelledReply>,
 }
 
 impl Client {
-    fn send(&self, lun: u32, block: u64, work: AskWork) {
-        let ask = Ask { lun, traffic_class: 0, block, block_bytes: 512, work, deadline_us: 1_500_000 };
-        self.initiator.ask(0, &ask, TEST_TIMEOUT);
+    fn send(&self, lun: u32, block: u64, operation: IoOperation) {
+        let deadline_us = 1_500_000;
+        let request = IoRequest { lun, traffic_class: 0, block, block_bytes: 512, operation, deadline_us };
+        self.initiator.submit(0, &request, TEST_TIMEOUT);
     }
 
     /// The next reply.
     pub fn receive(&self) -> Reply {
-        self.replies.recv_timeout(TEST_TIMEOUT).expect("an answer in time").1
+        self.replies.recv_timeout(TEST_TIMEOUT).expect("an answer in time").reply
     }
 
     pub fn write(&self, lun: u32, block: u64, data: Vec<u8>) -> Reply {
-        self.send(lun, block, AskWork::Write { data: data.into() });
+        self.send(lun, block, IoOperation::Write { data: data.into() });
         self.receive()
     }
 
     pub fn read(&self, lun: u32, block: u64, blocks: u32) -> Reply {
-        self.send(lun, block, AskWork::Read { blocks });
+        self.send(lun, block, IoOperation::Read { blocks });
         self.receive()
     }
 }
--- a/crates/host/tests/path.rs
+++ b/crates/host/tests/path.rs
@@ -4,13 +4,13 @@
 
 use common::*;
 use tackmast_emulators::initiator::Reply;
-use tackmast_emulators::model::Nature;
+use tackmast_emulators::model::NodeBehavior;
 use tackmast_wire::iscsi::Digests;
 use tackmast_wire::scsi::{Command, Sense};
 
 /// Nodes that add little to a command's time.
-fn fast_nodes() -> Nature {
-    Nature { unit_s: 0.0002, ..Nature::default() }
+fn fast_nodes() -> NodeBehavior {
+    NodeBehavior { unit_s: 0.0002, ..NodeBehavior::default() }
 }
 
 /// A client writes and reads back ranges within an extent, across two and across many, with and without checksums. Each read returns
@@ -42,7 +42,7 @@
     let cluster = TestCluster::start(fast_nodes());
     let client = cluster.client(Digests::default(), None);
     let send = |lun, command, max_bytes| {
-        client.initiator.simple(0, lun, command, max_bytes).unwrap();
+        client.initiator.submit_command(0, lun, command, max_bytes).unwrap();
         client.receive()
     };
     let first_bytes = |reply: Reply, count: usize| match reply {
--- a/crates/host/tests/rough.rs
+++ b/crates/host/tests/rough.rs
@@ -9,14 +9,14 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 use tackmast_emulators::initiator::Reply;
-use tackmast_emulators::model::Nature;
+use tackmast_emulators::model::NodeBehavior;
 use tackmast_wire::iscsi::{op, Digests, Pdu, FINAL, WRITES};
 use tackmast_wire::nbd;
 use tackmast_wire::scsi::Command;
 
 /// Nodes that add little to a command's time.
-fn fast_nodes() -> Nature {
-    Nature { unit_s: 0.0002, ..Nature::default() }
+fn fast_nodes() -> NodeBehavior {
+    NodeBehavior { unit_s: 0.0002, ..NodeBehavior::default() }
 }
 
 /// An NBD connection past its handshake, over the public protocol.
@@ -70,9 +70,9 @@
             data.data = vec![0xee; solicited].into();
             tackmast_wire::iscsi::encode(&data, Digests::default(), &mut bytes);
         }
-        other.initiator.raw(&bytes);
+        other.initiator.send_raw(&bytes);
         std::thread::sleep(Duration::from_millis(20));
-        other.initiator.leave();
+        other.initiator.close();
     }
     std::thread::sleep(Duration::from_millis(50));
     assert_eq!(client.read(1, 0, 64), done(old), "a part of an upload was written");
