--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -1,6 +1,6 @@
 //! A connection to the gateway: one thread reads it, one writes it.
 
-use crate::event_loop::Event;
+use crate::event::{ConnectionId, Event};
 use crate::thread::spawn;
 use bytes::Bytes;
 use crossbeam_channel::{Receiver, Sender};
@@ -17,13 +17,6 @@
 /// Bytes that one read takes at most.
 const READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// Which connection an event is of. A slot has one connection after another, and their generations tell them apart.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct ConnectionId {
-    pub(crate) slot: usize,
-    pub(crate) generation: u64,
-}
-
 /// A connection that is open.
 pub(crate) struct Connection {
     writes: Sender<Bytes>,
--- a/crates/client/src/event_loop.rs
+++ b/crates/client/src/event_loop.rs
@@ -1,7 +1,8 @@
 //! The thread that owns the client's state machine: it gathers events of callers and connections, and does what is put out.
 
 use crate::clock::Clock;
-use crate::connection::{connect, Connection, ConnectionId};
+use crate::connection::{connect, Connection};
+use crate::event::{ConnectionId, Event, Opening};
 use crate::options::Options;
 use crate::thread::spawn;
 use bytes::Bytes;
@@ -12,7 +13,7 @@
 use std::ops::ControlFlow;
 use std::time::Duration;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_client_core::{Core, Op, Outcome, Output, Volume};
+use tackmast_client_core::{Core, Outcome, Output};
 
 /// Events that may wait.
 const MAX_QUEUED_EVENTS: usize = 4096;
@@ -27,30 +28,6 @@
 /// How much later a slot is connected again when the system has no thread left for its connect.
 const NO_THREAD_BACKOFF: TimeDelta = TimeDelta::from_millis(100);
 
-/// What callers and connections report.
-pub(crate) enum Event {
-    /// A caller makes a call.
-    Call { number: u64, op: Op, deadline: Instant, answer_to: Sender<Outcome> },
-    /// A caller no longer waits for a call.
-    Cancel { number: u64 },
-    /// A connection was made.
-    Connected { id: ConnectionId, stream: TcpStream },
-    /// Bytes of the gateway were received.
-    Received { id: ConnectionId, bytes: Bytes },
-    /// A connection ended, or none could be made.
-    Closed { id: ConnectionId },
-    /// The caller closes the volume.
-    Close,
-}
-
-/// What becomes of the first sessions.
-pub(crate) enum Opening {
-    /// The volume is open.
-    Ready(Volume),
-    /// The gateway does not serve it.
-    Refused { reason: String },
-}
-
 /// The ends of the event loop's channels that a client holds.
 pub(crate) struct EventLoopHandle {
     pub(crate) events: Sender<Event>,
--- a/crates/host/src/admin.rs
+++ b/crates/host/src/admin.rs
@@ -1,6 +1,6 @@
 //! The host's admin socket, which only its own user may open.
 
-use crate::core_thread::Event;
+use crate::messages::Event;
 use crate::store_writer::ToStore;
 use crate::thread::spawn;
 use crate::StartError;
--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -1,15 +1,12 @@
 //! The one thread that owns the host core. It gathers events, executes the core's outputs, and never waits for a peer: what can't be
 //! handed on at once is reported to the core as failed.
 
-mod event;
 mod events;
 
-pub(crate) use event::Event;
-
 use crate::links::Links;
 use crate::list::{saved, ToList};
+use crate::messages::{Event, ToSession};
 use crate::peers::Peers;
-use crate::sessions::ToSession;
 use crate::store_writer::ToStore;
 use crate::thread::spawn;
 use crate::{Clock, StartError};
@@ -21,12 +18,11 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::Duration;
-use tackmast::interface::{Instant, ListKind, NodeState, Outcome};
+use tackmast::interface::{Instant, ListKind, Outcome};
 use tackmast_admin::Answer;
 use tackmast_config::HostSettings;
 use tackmast_host_core::{
-    log_event, AttemptResult, CommandRef, Core, Counters, Output, PersistBatch, PersistError, SendAttempt,
-    Verdict,
+    log_event, AttemptResult, CommandRef, Core, Output, PersistBatch, PersistError, SendAttempt, Verdict,
 };
 
 /// Events that are handled before the outputs that they caused are executed.
@@ -36,25 +32,6 @@
 /// How often the core is given the wall clock.
 const WALL_CLOCK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Figures of a host.
-#[derive(Clone, Debug, Default)]
-pub struct Status {
-    /// Commands and attempts by how they ended, since the start.
-    pub counters: Counters,
-    /// Open sessions.
-    pub sessions: usize,
-    /// Commands without an answer.
-    pub commands: usize,
-    /// Requests without an answer.
-    pub requests: usize,
-    /// Attempts in flight.
-    pub attempts: usize,
-    /// Addresses of the nodes and their states in the list.
-    pub nodes: Vec<(String, NodeState)>,
-    /// Seconds that the core's thread has spent on events and outputs, the scheduler's decisions among them.
-    pub core_seconds: f64,
-}
-
 /// How the core's thread reaches a session.
 struct SessionHandle {
     writer: Sender<ToSession>,
--- a/crates/host/src/core_thread/events.rs
+++ b/crates/host/src/core_thread/events.rs
@@ -1,7 +1,8 @@
 //! How the core's thread handles each event.
 
-use super::{CoreThread, Event, SessionHandle, Status};
+use super::{CoreThread, SessionHandle};
 use crate::list::{node_start, ToList};
+use crate::messages::{Event, Status};
 use crate::peers::Peers;
 use std::net::Shutdown;
 use std::ops::ControlFlow;
--- a/crates/host/src/links.rs
+++ b/crates/host/src/links.rs
@@ -1,16 +1,18 @@
 //! Links to nodes: a bounded number of connections to each, opened when an attempt needs one, several attempts on each.
 
+mod context;
 mod handshake;
 mod link;
 mod outstanding;
 mod reader;
 
-use crate::core_thread::Event;
 use crate::lock::lock;
+use crate::messages::Event;
 use crate::thread::spawn;
 use crate::Clock;
+use context::LinkContext;
 use crossbeam_channel::Sender;
-use link::{CurrentConnection, Link, LinkContext, ToLink};
+use link::{CurrentConnection, Link, ToLink};
 use outstanding::reset;
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/host/src/links/handshake.rs
+++ b/crates/host/src/links/handshake.rs
@@ -1,7 +1,7 @@
 //! Connecting to a node: both sides say who they are, and the core hears for how long the node has been up.
 
-use super::link::LinkContext;
-use crate::core_thread::Event;
+use super::context::LinkContext;
+use crate::messages::Event;
 use crate::StartError;
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
--- a/crates/host/src/links/link.rs
+++ b/crates/host/src/links/link.rs
@@ -1,20 +1,17 @@
 //! One link: the thread that writes attempts to its node, and connects when it has to.
 
+use super::context::LinkContext;
 use super::handshake::{connect, ConnectError};
 use super::outstanding::{report, Outstanding};
 use super::reader::{Answers, ReaderContext};
-use crate::core_thread::Event;
 use crate::lock::lock;
 use crate::thread::spawn;
-use crate::Clock;
 use bytes::BytesMut;
 use crossbeam_channel::{Receiver, Sender};
 use std::io::Write;
-use std::net::{SocketAddr, TcpStream};
+use std::net::TcpStream;
 use std::sync::{Arc, Mutex};
-use std::time::Duration;
-use tackmast::interface::{NodeId, Outcome};
-use tackmast_config::HostSettings;
+use tackmast::interface::Outcome;
 use tackmast_host_core::{AttemptId, AttemptWork, Begin, OpaqueRequest, SendAttempt, Ticket};
 use tackmast_wire::node::{self, Frame, Origin};
 
@@ -32,24 +29,6 @@
 /// The connection that a link has at the moment, for the core's thread, which may have to end it while the link writes.
 pub(super) type CurrentConnection = Arc<Mutex<Option<TcpStream>>>;
 
-/// What a link works with.
-pub(super) struct LinkContext {
-    pub(super) node: NodeId,
-    pub(super) address: SocketAddr,
-    pub(super) settings: Arc<HostSettings>,
-    pub(super) clock: Clock,
-    pub(super) events: Sender<Event>,
-    /// The host's, as nodes know it.
-    pub(super) generation: u64,
-}
-
-impl LinkContext {
-    /// How long a connection may be silent before it is looked at.
-    pub(super) fn silence_timeout(&self) -> Duration {
-        Duration::from_millis(self.settings.bounds.link_silence_ms)
-    }
-}
-
 /// An open connection.
 struct Connection {
     stream: TcpStream,
--- a/crates/host/src/links/outstanding.rs
+++ b/crates/host/src/links/outstanding.rs
@@ -1,7 +1,7 @@
 //! The attempts of one connection that may have run, and what becomes of them when it ends.
 
-use crate::core_thread::Event;
 use crate::lock::lock;
+use crate::messages::Event;
 use bytes::Bytes;
 use crossbeam_channel::Sender;
 use std::collections::HashSet;
--- a/crates/host/src/links/reader.rs
+++ b/crates/host/src/links/reader.rs
@@ -1,7 +1,7 @@
 //! The reader of one connection: answers of the node, and the watch over a connection that falls silent.
 
 use super::outstanding::Outstanding;
-use crate::core_thread::Event;
+use crate::messages::Event;
 use crossbeam_channel::Sender;
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
--- a/crates/host/src/list.rs
+++ b/crates/host/src/list.rs
@@ -2,7 +2,7 @@
 
 pub(crate) mod saved;
 
-use crate::core_thread::Event;
+use crate::messages::Event;
 use crate::thread::spawn;
 use crate::{Clock, StartError};
 use crossbeam_channel::{Receiver, Sender};
--- a/crates/host/src/core_thread/event.rs
+++ b/crates/host/src/messages.rs
@@ -1,14 +1,14 @@
-//! What the other threads report to the core's thread.
+//! Messages between the core's thread and the others.
 
-use super::Status;
-use crate::sessions::ToSession;
 use bytes::Bytes;
 use crossbeam_channel::Sender;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
-use tackmast::interface::{Instant, ListKind, NodeId, TimeDelta};
+use tackmast::interface::{Instant, ListKind, NodeId, NodeState, TimeDelta};
 use tackmast_admin::Answer;
-use tackmast_host_core::{AdminRequest, AttemptResult, CommandRef, ListEntry, PersistError, Work};
+use tackmast_host_core::{
+    AdminRequest, AttemptResult, CommandRef, Counters, ListEntry, PersistError, Verdict, Work,
+};
 
 /// An input of the core's thread.
 pub(crate) enum Event {
@@ -71,3 +71,35 @@
     /// End at once.
     Stop,
 }
+
+/// What the core's thread hands to a session's writer.
+pub(crate) enum ToSession {
+    /// The answer to a command.
+    Answer {
+        /// The command's number in its session.
+        command: u32,
+        /// How it ended.
+        verdict: Verdict,
+    },
+    /// The session has output to write.
+    OutputReady,
+}
+
+/// Figures of a host.
+#[derive(Clone, Debug, Default)]
+pub struct Status {
+    /// Commands and attempts by how they ended, since the start.
+    pub counters: Counters,
+    /// Open sessions.
+    pub sessions: usize,
+    /// Commands without an answer.
+    pub commands: usize,
+    /// Requests without an answer.
+    pub requests: usize,
+    /// Attempts in flight.
+    pub attempts: usize,
+    /// Addresses of the nodes and their states in the list.
+    pub nodes: Vec<(String, NodeState)>,
+    /// Seconds that the core's thread has spent on events and outputs, the scheduler's decisions among them.
+    pub core_seconds: f64,
+}
--- a/crates/host/src/peers.rs
+++ b/crates/host/src/peers.rs
@@ -1,6 +1,6 @@
 //! Datagrams of other hosts in and out, and the file that marks a leave.
 
-use crate::core_thread::Event;
+use crate::messages::Event;
 use crate::thread::spawn;
 use crate::{Clock, StartError};
 use bytes::Bytes;
--- a/crates/host/src/sessions.rs
+++ b/crates/host/src/sessions.rs
@@ -7,8 +7,8 @@
 mod shared;
 mod writer;
 
-use crate::core_thread::Event;
 use crate::lock::lock;
+use crate::messages::Event;
 use crate::thread::spawn;
 use crate::{Clock, StartError};
 use crossbeam_channel::Sender;
@@ -19,7 +19,6 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 use tackmast_config::HostSettings;
-use tackmast_host_core::Verdict;
 use tackmast_target::Offer;
 use tackmast_wire::scsi::Unit;
 
@@ -31,19 +30,6 @@
 /// The number of a session that is only refused.
 const REFUSED_SESSION: u16 = 0;
 
-/// What the core's thread hands to a session's writer.
-pub(crate) enum ToSession {
-    /// The answer to a command.
-    Answer {
-        /// The command's number in its session.
-        command: u32,
-        /// How it ended.
-        verdict: Verdict,
-    },
-    /// The session has output to write.
-    OutputReady,
-}
-
 /// The protocol of a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Protocol {
--- a/crates/host/src/sessions/connection.rs
+++ b/crates/host/src/sessions/connection.rs
@@ -3,8 +3,8 @@
 use super::reader::{SessionInfo, SessionReader};
 use super::shared::SharedSession;
 use super::writer::write_until_end;
-use super::{Protocol, SessionHub, ToSession, REFUSED_SESSION};
-use crate::core_thread::Event;
+use super::{Protocol, SessionHub, REFUSED_SESSION};
+use crate::messages::{Event, ToSession};
 use crate::thread::spawn;
 use crossbeam_channel::Sender;
 use std::io;
--- a/crates/host/src/sessions/reader.rs
+++ b/crates/host/src/sessions/reader.rs
@@ -1,8 +1,8 @@
 //! The reader of a session: bytes of the client become commands for the core.
 
 use super::shared::SharedSession;
-use super::{SessionHub, ToSession};
-use crate::core_thread::Event;
+use super::SessionHub;
+use crate::messages::{Event, ToSession};
 use crossbeam_channel::Sender;
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read};
--- a/crates/host/src/sessions/shared.rs
+++ b/crates/host/src/sessions/shared.rs
@@ -1,7 +1,7 @@
 //! A session's state machine between its reader and its writer.
 
-use super::ToSession;
 use crate::lock::lock;
+use crate::messages::ToSession;
 use crossbeam_channel::{Sender, TrySendError};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
--- a/crates/host/src/sessions/writer.rs
+++ b/crates/host/src/sessions/writer.rs
@@ -1,7 +1,7 @@
 //! The writer of a session: answers of the core become bytes for the client.
 
 use super::shared::SharedSession;
-use super::ToSession;
+use crate::messages::ToSession;
 use crossbeam_channel::Receiver;
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
--- a/crates/host/src/startup.rs
+++ b/crates/host/src/startup.rs
@@ -1,15 +1,18 @@
 //! Starting a host: sockets, the store and what it held, the core, and the threads around them.
 
-use crate::core_thread::{self, CoreThread, Event};
+use crate::core_thread::{self, CoreThread};
 use crate::links::Links;
+use crate::messages::Event;
 use crate::peers::{PeerIdentity, Peers};
 use crate::sessions::{Protocol, SessionHub};
 use crate::store_writer::{self, ToStore};
-use crate::{admin, list, Clock, Host, StartError};
+use crate::{admin, list, Clock, StartError};
 use crossbeam_channel::Sender;
 use std::net::{SocketAddr, TcpListener};
+use std::path::PathBuf;
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
+use std::thread::JoinHandle;
 use tackmast_config::{ConsensusBlock, HostSettings, OverridesBlock, PlansBlock};
 use tackmast_host_core::{ConsensusDriver, Core, PersistBatch, PersistedMembers, Plans, StoredPlans};
 use tackmast_overrides::Overrides;
@@ -49,8 +52,26 @@
     stopping: Arc<AtomicBool>,
 }
 
+/// What a started host is held by.
+pub(crate) struct StartedHost {
+    /// Where iSCSI clients connect.
+    pub(crate) address: SocketAddr,
+    /// Where NBD clients connect.
+    pub(crate) nbd: Option<SocketAddr>,
+    /// Where other hosts reach it.
+    pub(crate) peers: Option<SocketAddr>,
+    /// Path of the admin socket.
+    pub(crate) admin: Option<PathBuf>,
+    /// Set when the host ends.
+    pub(crate) stopping: Arc<AtomicBool>,
+    /// Events that are handled before others.
+    pub(crate) urgent: Sender<Event>,
+    /// Threads that end with the host.
+    pub(crate) threads: Vec<JoinHandle<()>>,
+}
+
 /// Starts a host; clients are served as soon as this returns.
-pub(crate) fn start(settings: HostSettings) -> Result<Host, StartError> {
+pub(crate) fn start(settings: HostSettings) -> Result<StartedHost, StartError> {
     let clock = Clock::start();
     let iscsi = BoundListener::bind(settings.host.listen)?;
     let nbd = settings.host.listen_nbd.map(BoundListener::bind).transpose()?;
@@ -81,7 +102,7 @@
     }
     let address = iscsi.address;
     tracing::info!(%address, nbd = ?nbd_address, peers = ?peers_address, generation, "host listens");
-    Ok(Host {
+    Ok(StartedHost {
         address,
         nbd: nbd_address,
         peers: peers_address,
--- a/crates/host/src/store_writer.rs
+++ b/crates/host/src/store_writer.rs
@@ -1,6 +1,6 @@
 //! The thread that writes to the store: the core never waits for a disk.
 
-use crate::core_thread::Event;
+use crate::messages::Event;
 use crate::thread::spawn;
 use crate::StartError;
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
