--- a/crates/host/tests/start_errors.rs
+++ b/crates/host/tests/start_errors.rs
@@ -31,8 +31,11 @@
         ),
         (
             StartError::PlansWithoutConsensus { changes: 3 },
-            "agreement: the store keeps 3 changes of plans that one home took; expected none. Bring the settings of all \
-             hosts to what `plan show` says, move the stores away, and start the hosts anew",
+            concat!(
+                "agreement: the store keeps 3 changes of plans that one home took; expected none. ",
+                "Bring the settings of all hosts to what `plan show` says, move the stores away, ",
+                "and start the hosts anew",
+            ),
         ),
         (
             StartError::Thread { name: "core".into(), error: denied() },
