--- a/crates/overrides/src/order/tests.rs
+++ b/crates/overrides/src/order/tests.rs
@@ -2,8 +2,9 @@
 
 use super::*;
 
+/// An operator copies a target from a listing into a command. It must name the same nodes.
 #[test]
-fn targets_are_written_as_they_are_read() {
+fn a_target_is_written_as_it_is_read() {
     for (text, again) in [
         ("10.1.2.3:9003", Some("10.1.2.3:9003")),
         ("[::1]:9003", Some("[::1]:9003")),
@@ -17,7 +18,7 @@
         ("10.1.2.3/40", None),
         ("", None),
     ] {
-        let found = text.parse::<Target>().map(|t| t.to_string());
+        let found = text.parse::<Target>().map(|target| target.to_string());
         assert_eq!(found.as_deref().ok(), again, "{text:?}: {found:?}");
     }
 }
--- a/crates/overrides/src/precedence/tests.rs
+++ b/crates/overrides/src/precedence/tests.rs
@@ -2,11 +2,12 @@
 
 use super::*;
 
+/// Several overrides name the same node. An operator who sets one must be able to tell which applies.
 #[test]
-fn narrow_beats_wide_and_later_beats_earlier() {
+fn a_narrower_target_beats_a_wider_one_and_a_later_override_an_earlier_one() {
     use Kind::{OutOfService as Out, Pinned as Pin, Weight};
     let listed = Service::Listed;
-    // Overrides in the order they are set; what holds for 10.1.2.3:9000 in zone 1 with shard 5.
+    // Overrides in the order in which they are set; the effect on 10.1.2.3:9000 in zone 1 with shard 5.
     type Case<'a> = (&'a str, &'a [(&'a str, Kind)], Service, f64);
     let cases: &[Case] = &[
         ("none", &[], listed, 1.0),
@@ -41,7 +42,7 @@
         let mut index = TargetIndex::default();
         let mut all = BTreeMap::new();
         for (i, (target, kind)) in set.iter().enumerate() {
-            let o = Override {
+            let record = Override {
                 id: OverrideId(i as u64),
                 target: target.parse().unwrap(),
                 kind: *kind,
@@ -51,17 +52,17 @@
                 ends_us: 0,
                 origin: None,
             };
-            index.add(&o);
-            all.insert(o.id, o);
+            index.add(&record);
+            all.insert(record.id, record);
         }
         let (found, applies) = effect_on(&index, &all, &facts);
         assert_eq!((found.service, found.weight), (*service, *weight), "{name}");
-        // Each that names the node applies or is beaten by one that does.
+        // Each override that names the node applies, or is superseded by one that does.
         let named = index.naming(&facts).count();
         let applied = usize::from(applies.service.is_some()) + usize::from(applies.weight.is_some());
         assert_eq!(superseded(&index, &all, &facts).len() + applied, named, "{name}");
-        for o in all.values() {
-            index.remove(o);
+        for record in all.values() {
+            index.remove(record);
         }
         assert_eq!(index.naming(&facts).count(), 0, "{name}");
     }
--- a/crates/overrides/src/timing_wheel/tests.rs
+++ b/crates/overrides/src/timing_wheel/tests.rs
@@ -1,11 +1,12 @@
-//! The wheel against a plain sorted list.
+//! The wheel against a sorted map.
 
 use super::*;
 use std::collections::BTreeMap;
 
-/// The wheel against a plain map, over random puts, moves, removals and steps of time.
+/// The wheel against a sorted map, over random additions, removals and steps of time: an override must neither end
+/// early nor be forgotten.
 #[test]
-fn it_does_as_a_plain_map_does() {
+fn a_wheel_gives_what_a_sorted_map_gives() {
     for seed in 0..40u64 {
         let mut chance = oorandom::Rand64::new(u128::from(seed));
         let mut now = chance.rand_float() * 1e7;
--- a/crates/overrides/tests/json_forms.rs
+++ b/crates/overrides/tests/json_forms.rs
@@ -32,8 +32,10 @@
     Origin { slot: 2, generation: 77, number: 9 }
 }
 
+/// Stores and peers have these texts. Another form would make a host refuse the overrides on its disk after an
+/// upgrade.
 #[test]
-fn targets_kinds_and_ranks() {
+fn targets_kinds_and_ranks_have_these_json_forms() {
     for (text, form) in [
         ("10.1.2.3:9003", "\"10.1.2.3:9003\""),
         ("10.1.2.3/16", "\"10.1.0.0/16\""),
@@ -53,8 +55,9 @@
     assert_form(&OverrideId(7), "7");
 }
 
+/// The same for what operators send and what is stored.
 #[test]
-fn orders_and_records() {
+fn orders_and_records_have_these_json_forms() {
     let order = Order {
         target: "zone:1".parse().unwrap(),
         kind: Kind::OutOfService,
@@ -81,8 +84,9 @@
     );
 }
 
+/// Operators' scripts tell refusals apart by these keys.
 #[test]
-fn refusals() {
+fn refusals_have_these_json_forms() {
     let value = Refusal::Value { what: "weight".into(), found: "2".into(), expected: "at most 1".into() };
     assert_form(&value, r#"{"value":{"what":"weight","found":"2","expected":"at most 1"}}"#);
     assert_form(&Refusal::TooMany { most: 10 }, r#"{"too_many":{"most":10}}"#);
@@ -101,8 +105,9 @@
     assert_form(&Refusal::Unknown { id: OverrideId(8) }, r#"{"unknown":{"id":8}}"#);
 }
 
+/// Operators' scripts read previews and explanations, also those of hosts of an earlier build.
 #[test]
-fn previews_and_explanations() {
+fn previews_and_explanations_have_these_json_forms() {
     let out = OverrideEffect { service: Service::Out, weight: 0.5 };
     let preview = Preview {
         version: 3,
@@ -144,8 +149,9 @@
     );
 }
 
+/// Operators search the audit log years later, in lines of many builds.
 #[test]
-fn audit_lines() {
+fn audit_lines_have_these_json_forms() {
     let record = record(2, "10.1.0.0/16", Kind::Weight(0.25), None);
     assert_form(
         &Audit::set(&record, false),
--- a/crates/overrides/tests/overrides.rs
+++ b/crates/overrides/tests/overrides.rs
@@ -31,101 +31,113 @@
 }
 
 fn new(n: u32) -> Overrides {
-    let (mut o, ended) = Overrides::new(at(0.0), WALL, SETTINGS, Vec::new(), 1);
+    let (mut overrides, ended) = Overrides::new(at(0.0), WALL, SETTINGS, Vec::new(), 1);
     assert!(ended.is_empty());
-    o.handle_endpoint_list(at(0.0), facts(n));
-    o.poll_changed(at(0.0));
-    o
+    overrides.handle_endpoint_list(at(0.0), facts(n));
+    overrides.poll_changed(at(0.0));
+    overrides
 }
 
-fn set(o: &mut Overrides, now: f64, order: &Order) -> OverrideId {
-    let (record, _) = o.propose(wall(now), order, false, None).unwrap();
+fn set(overrides: &mut Overrides, now: f64, order: &Order) -> OverrideId {
+    let (record, _) = overrides.propose(wall(now), order, false, None).unwrap();
     let id = record.id;
-    o.put(at(now), record);
+    overrides.put(at(now), record);
     id
 }
 
-fn given(o: &Overrides, now: f64, i: u32) -> (NodeState, f64, bool) {
-    let e = o.effective(at(now), &address(i)).unwrap();
+fn given(overrides: &Overrides, now: f64, i: u32) -> (NodeState, f64, bool) {
+    let e = overrides.effective(at(now), &address(i)).unwrap();
     (e.state, (e.weight * 100.0).round() / 100.0, e.pinned)
 }
 
 const READY: (NodeState, f64, bool) = (NodeState::Ready, 1.0, false);
 
+/// An operator sets an override for ten seconds. It must apply to the named nodes only, and end by itself.
 #[test]
-fn each_kind_reaches_its_nodes_and_ends_on_time() {
+fn each_kind_applies_to_its_nodes_and_ends_on_time() {
     for (kind, during) in [
         (Kind::OutOfService, (NodeState::Draining, 1.0, false)),
         (Kind::Weight(0.25), (NodeState::Ready, 0.25, false)),
         (Kind::Pinned, (NodeState::Ready, 1.0, true)),
     ] {
-        let mut o = new(8);
-        set(&mut o, 1.0, &order("10.0.0.3:9000", kind, 10.0));
-        let changed: Vec<SocketAddr> = o.poll_changed(at(1.0)).into_iter().map(|(a, _)| a).collect();
+        let mut overrides = new(8);
+        set(&mut overrides, 1.0, &order("10.0.0.3:9000", kind, 10.0));
+        let changed: Vec<SocketAddr> =
+            overrides.poll_changed(at(1.0)).into_iter().map(|(address, _)| address).collect();
         assert_eq!(changed, [address(3)], "{kind}");
-        assert_eq!((given(&o, 1.0, 3), given(&o, 1.0, 2)), (during, READY), "{kind}");
-        assert!(o.handle_timeout(at(10.98), wall(10.98)).is_empty(), "{kind}: not before its end");
-        assert_eq!(o.len(), 1);
-        let ended = o.handle_timeout(at(11.01), wall(11.01));
-        assert_eq!((ended.len(), o.len(), ended[0].audit.kind), (1, 0, AuditKind::Ended), "{kind}");
-        assert!(o.poll_changed(at(11.01)).len() == 1 || kind == Kind::OutOfService);
+        assert_eq!((given(&overrides, 1.0, 3), given(&overrides, 1.0, 2)), (during, READY), "{kind}");
+        assert!(overrides.handle_timeout(at(10.98), wall(10.98)).is_empty(), "{kind}: not before its end");
+        assert_eq!(overrides.len(), 1);
+        let ended = overrides.handle_timeout(at(11.01), wall(11.01));
+        assert_eq!((ended.len(), overrides.len(), ended[0].audit.kind), (1, 0, AuditKind::Ended), "{kind}");
+        assert!(overrides.poll_changed(at(11.01)).len() == 1 || kind == Kind::OutOfService);
     }
 }
 
+/// An operator has pinned a node that the list shows as draining or gone. A host that kept it in service would lose
+/// requests.
 #[test]
-fn the_list_beats_every_order() {
+fn the_endpoint_list_beats_every_override() {
     for (listed, pinned) in
         [(NodeState::Draining, true), (NodeState::Gone, true), (NodeState::Draining, false)]
     {
-        let mut o = new(8);
-        set(&mut o, 0.0, &order("10.0.0.3", if pinned { Kind::Pinned } else { Kind::Weight(0.5) }, 100.0));
-        o.handle_endpoint_list(at(1.0), [NodeFacts { listed, ..facts(8)[3] }]);
-        assert_eq!(o.effective(at(1.0), &address(3)).unwrap().state, listed);
+        let mut overrides = new(8);
+        set(
+            &mut overrides,
+            0.0,
+            &order("10.0.0.3", if pinned { Kind::Pinned } else { Kind::Weight(0.5) }, 100.0),
+        );
+        overrides.handle_endpoint_list(at(1.0), [NodeFacts { listed, ..facts(8)[3] }]);
+        assert_eq!(overrides.effective(at(1.0), &address(3)).unwrap().state, listed);
     }
 }
 
+/// The node leaves the list and returns, and the host restarts meanwhile. The override must apply again, for the
+/// time that is left.
 #[test]
-fn an_override_outlives_its_nodes_absence_and_its_host() {
-    let mut o = new(8);
-    let id = set(&mut o, 0.0, &order("10.0.0.3:9000", Kind::OutOfService, 100.0));
-    o.handle_endpoint_list(at(1.0), [NodeFacts { listed: NodeState::Gone, ..facts(8)[3] }]);
-    assert_eq!(o.effective(at(1.0), &address(3)).unwrap().state, NodeState::Gone);
-    let record = o.get(id).unwrap().clone();
+fn an_override_survives_the_absence_of_its_node_and_a_restart_of_its_host() {
+    let mut overrides = new(8);
+    let id = set(&mut overrides, 0.0, &order("10.0.0.3:9000", Kind::OutOfService, 100.0));
+    overrides.handle_endpoint_list(at(1.0), [NodeFacts { listed: NodeState::Gone, ..facts(8)[3] }]);
+    assert_eq!(overrides.effective(at(1.0), &address(3)).unwrap().state, NodeState::Gone);
+    let record = overrides.get(id).unwrap().clone();
     // The host is down for 20 s; the node returns meanwhile. Its steady clock starts anew.
-    let (mut o, ended) = Overrides::new(at(500.0), wall(20.0), SETTINGS, vec![record.clone()], 1);
+    let (mut overrides, ended) = Overrides::new(at(500.0), wall(20.0), SETTINGS, vec![record.clone()], 1);
     assert!(ended.is_empty());
-    o.handle_endpoint_list(at(500.0), facts(8));
-    assert_eq!(o.effective(at(500.0), &address(3)).unwrap().state, NodeState::Draining);
-    assert!(o.handle_timeout(at(579.9), wall(99.9)).is_empty());
-    assert_eq!(o.handle_timeout(at(580.1), wall(100.1)).len(), 1);
-    // Down past its end: told as ended, and not in force for a moment.
-    let (o, ended) = Overrides::new(at(0.0), wall(101.0), SETTINGS, vec![record.clone()], 1);
-    assert_eq!((o.len(), ended[0].audit.kind), (0, AuditKind::EndedAway));
-    // A wall clock set back while it was down does not lengthen it past its whole time.
-    let (mut o, _) = Overrides::new(at(0.0), wall(-3600.0), SETTINGS, vec![record], 1);
-    assert_eq!(o.handle_timeout(at(100.1), wall(-3500.0)).len(), 1);
+    overrides.handle_endpoint_list(at(500.0), facts(8));
+    assert_eq!(overrides.effective(at(500.0), &address(3)).unwrap().state, NodeState::Draining);
+    assert!(overrides.handle_timeout(at(579.9), wall(99.9)).is_empty());
+    assert_eq!(overrides.handle_timeout(at(580.1), wall(100.1)).len(), 1);
+    // Down past its end: it is reported as ended, and never applies.
+    let (overrides, ended) = Overrides::new(at(0.0), wall(101.0), SETTINGS, vec![record.clone()], 1);
+    assert_eq!((overrides.len(), ended[0].audit.kind), (0, AuditKind::EndedAway));
+    // A wall clock that was set back meanwhile does not make it last longer than its whole duration.
+    let (mut overrides, _) = Overrides::new(at(0.0), wall(-3600.0), SETTINGS, vec![record], 1);
+    assert_eq!(overrides.handle_timeout(at(100.1), wall(-3500.0)).len(), 1);
 }
 
+/// Somebody sets the wall clock by hours or days. Overrides would end at once, or last for days more.
 #[test]
-fn a_step_of_the_wall_clock_moves_no_end_of_a_running_host() {
+fn a_step_of_the_wall_clock_changes_no_end_while_the_host_runs() {
     for step in [-3600.0, 3600.0, 86_400.0 * 400.0, 0.5] {
-        let mut o = new(8);
-        let id = set(&mut o, 0.0, &order("10.0.0.3:9000", Kind::OutOfService, 100.0));
-        let seen = o.handle_wall_clock(at(10.0), wall(10.0 + step));
+        let mut overrides = new(8);
+        let id = set(&mut overrides, 0.0, &order("10.0.0.3:9000", Kind::OutOfService, 100.0));
+        let seen = overrides.handle_wall_clock(at(10.0), wall(10.0 + step));
         assert_eq!(seen.is_some(), step.abs() > 1.0, "{step}");
         if let Some(ClockStep { records, audit, moved_by }) = seen {
             assert_eq!(audit.kind, AuditKind::ClockStepped);
             assert_eq!(moved_by.secs(), step, "{step}");
             assert_eq!(records[0].ends_us, wall(100.0 + step), "{step}: so that a restart agrees");
         }
-        assert!(o.handle_wall_clock(at(11.0), wall(11.0 + step)).is_none(), "{step}: told once");
-        assert!(o.handle_timeout(at(99.9), wall(99.9 + step)).is_empty());
-        assert_eq!(o.handle_timeout(at(100.1), wall(100.1 + step))[0].record.id, id, "{step}");
+        assert!(overrides.handle_wall_clock(at(11.0), wall(11.0 + step)).is_none(), "{step}: reported once");
+        assert!(overrides.handle_timeout(at(99.9), wall(99.9 + step)).is_empty());
+        assert_eq!(overrides.handle_timeout(at(100.1), wall(100.1 + step))[0].record.id, id, "{step}");
     }
 }
 
+/// An operator names a shard or a zone by mistake. Its data could not be reached, or the rest would be overloaded.
 #[test]
-fn what_would_take_too_much_is_refused_unless_forced() {
+fn an_override_that_takes_too_much_out_of_service_is_refused_unless_forced() {
     type Before<'a> = &'a [(&'a str, Kind)];
     let out = Kind::OutOfService;
     let cases: &[(&str, Before, &str, Kind, Option<&str>)] = &[
@@ -151,37 +163,38 @@
         ("nobody is there yet", &[], "192.168.0.0/16", out, None),
     ];
     for (name, before, target, kind, refused) in cases {
-        let mut o = new(16);
+        let mut overrides = new(16);
         for (t, k) in *before {
-            set(&mut o, 0.0, &order(t, *k, 100.0));
+            set(&mut overrides, 0.0, &order(t, *k, 100.0));
         }
-        let found = o.propose(WALL, &order(target, *kind, 100.0), false, None);
+        let found = overrides.propose(WALL, &order(target, *kind, 100.0), false, None);
         match (refused, found) {
             (None, found) => assert!(found.is_ok(), "{name}: {found:?}"),
             (Some(text), Err(e)) => {
                 assert!(e.to_string().contains(text), "{name}: {e}");
-                let (_, preview) = o.propose(WALL, &order(target, *kind, 100.0), true, None).unwrap();
+                let (_, preview) = overrides.propose(WALL, &order(target, *kind, 100.0), true, None).unwrap();
                 assert_eq!(preview.forced_past, Some(e), "{name}: force says what it passes");
             }
             (Some(_), Ok(_)) => panic!("{name}: taken"),
         }
     }
     // Nodes of their own shards: the zone alone is the bound.
-    let mut o = new(0);
-    o.handle_endpoint_list(
+    let mut overrides = new(0);
+    overrides.handle_endpoint_list(
         at(0.0),
         facts(8).into_iter().enumerate().map(|(i, f)| NodeFacts { shard: i as u32 / 4, ..f }),
     );
     for i in [0, 1, 4, 5] {
-        set(&mut o, 0.0, &order(&address(i).to_string(), out, 100.0));
+        set(&mut overrides, 0.0, &order(&address(i).to_string(), out, 100.0));
     }
-    let e = o.propose(WALL, &order("10.0.0.2:9000", out, 100.0), false, None).unwrap_err();
+    let e = overrides.propose(WALL, &order("10.0.0.2:9000", out, 100.0), false, None).unwrap_err();
     assert_eq!(e, Refusal::TooMuchOfZone { zone: 0, out: 5, of: 8, max_part: 0.5 });
 }
 
+/// An operator mistypes a value. The refusal must name the value and what would be allowed.
 #[test]
-fn orders_that_make_no_sense_name_the_value() {
-    let mut o = new(8);
+fn a_value_that_is_not_allowed_is_named() {
+    let mut overrides = new(8);
     for (kind, seconds, who, expected) in [
         (Kind::Weight(0.0), 1.0, "ann", "weight: 0; expected above 0"),
         (Kind::Weight(1.5), 1.0, "ann", "weight: 1.5; expected above 0"),
@@ -193,82 +206,89 @@
         (Kind::Pinned, 1.0, "a\nb", "who: \"a\\nb\"; expected 1 to 200"),
     ] {
         let order = Order { who: who.into(), ..order("zone:0", kind, seconds) };
-        let found = o.propose(WALL, &order, true, None).unwrap_err().to_string();
+        let found = overrides.propose(WALL, &order, true, None).unwrap_err().to_string();
         assert!(found.starts_with(expected), "{found}");
     }
 }
 
+/// Two operators set overrides of the same nodes. One who asked for the version that was seen must learn of the
+/// other change.
 #[test]
-fn two_operators_at_once_are_both_heard_or_one_is_told() {
-    let mut o = new(8);
-    let version = o.version();
+fn of_two_concurrent_overrides_both_apply_or_the_later_is_refused_with_what_changed() {
+    let mut overrides = new(8);
+    let version = overrides.version();
     let (first, _) =
-        o.propose(WALL, &order("zone:0", Kind::Weight(0.5), 10.0), false, Some(version)).unwrap();
-    o.put(at(0.0), first);
-    // Who asked for the version that was seen is told what moved; who did not is later, and holds.
+        overrides.propose(WALL, &order("zone:0", Kind::Weight(0.5), 10.0), false, Some(version)).unwrap();
+    overrides.put(at(0.0), first);
+    // One who asked for the version that was seen learns what changed; one who did not is later, and applies.
     let second = order("zone:0", Kind::Weight(0.8), 5.0);
-    let Err(Refusal::Moved { changes, .. }) = o.propose(WALL, &second, false, Some(version)) else {
+    let Err(Refusal::Moved { changes, .. }) = overrides.propose(WALL, &second, false, Some(version)) else {
         panic!()
     };
     assert_eq!(changes, ["ann set zone:0 weight 0.5"]);
-    set(&mut o, 0.0, &second);
-    assert_eq!(given(&o, 0.0, 1).1, 0.8);
-    // The later ends first: the earlier still stands and shows again.
-    o.handle_timeout(at(5.1), wall(5.1));
-    assert_eq!(given(&o, 5.1, 1).1, 0.5);
-    assert_eq!(o.explain(at(5.1), address(1)).weight_left_s.map(|s| s.round()), Some(5.0));
+    set(&mut overrides, 0.0, &second);
+    assert_eq!(given(&overrides, 0.0, 1).1, 0.8);
+    // The later ends first: the earlier is still active and applies again.
+    overrides.handle_timeout(at(5.1), wall(5.1));
+    assert_eq!(given(&overrides, 5.1, 1).1, 0.5);
+    assert_eq!(overrides.explain(at(5.1), address(1)).weight_left_s.map(|s| s.round()), Some(5.0));
 }
 
+/// The overrides of thirty nodes end at the same moment. If all got their full load at once, what waits for them
+/// would overload them.
 #[test]
-fn many_that_end_at_once_come_back_in_turn_and_slowly() {
-    let mut o = new(60);
+fn nodes_whose_overrides_end_at_once_get_their_load_back_in_steps() {
+    let mut overrides = new(60);
     let mut ids = Vec::new();
     for i in (0..60).step_by(2) {
-        let (record, _) =
-            o.propose(WALL, &order(&address(i).to_string(), Kind::OutOfService, 10.0), true, None).unwrap();
+        let (record, _) = overrides
+            .propose(WALL, &order(&address(i).to_string(), Kind::OutOfService, 10.0), true, None)
+            .unwrap();
         ids.push(record.id);
-        o.put(at(0.0), record);
+        overrides.put(at(0.0), record);
     }
-    o.poll_changed(at(0.0));
-    assert_eq!(o.handle_timeout(at(10.01), wall(10.01)).len(), 30);
-    assert!(o.is_empty(), "none is visible after its end");
-    let full = |o: &Overrides, t: f64| {
-        (0..60).step_by(2).map(|i| given(o, t, i)).filter(|g| g.0 == NodeState::Ready).count()
+    overrides.poll_changed(at(0.0));
+    assert_eq!(overrides.handle_timeout(at(10.01), wall(10.01)).len(), 30);
+    assert!(overrides.is_empty(), "none is visible after its end");
+    let full = |overrides: &Overrides, t: f64| {
+        (0..60).step_by(2).map(|i| given(overrides, t, i)).filter(|g| g.0 == NodeState::Ready).count()
     };
-    let share = |o: &Overrides, t: f64| {
+    let share = |overrides: &Overrides, t: f64| {
         (0..60)
             .step_by(2)
-            .map(|i| given(o, t, i))
+            .map(|i| given(overrides, t, i))
             .filter(|g| g.0 == NodeState::Ready)
             .map(|g| g.1)
             .sum::<f64>()
     };
     let mut last = 0.0;
     let mut now = 10.01;
-    while let Some(t) = o.poll_timeout(at(now)) {
+    while let Some(t) = overrides.poll_timeout(at(now)) {
         now = t.secs().max(now);
-        o.handle_timeout(at(now), wall(now));
-        o.poll_changed(at(now));
-        let sum = share(&o, now);
+        overrides.handle_timeout(at(now), wall(now));
+        overrides.poll_changed(at(now));
+        let sum = share(&overrides, now);
         assert!(sum >= last - 1e-9 && sum - last <= 3.5, "{now}: from {last} to {sum}");
         last = sum;
         now += 1e-6;
     }
-    assert_eq!((full(&o, now), last, o.returning().0), (30, 30.0, 0));
-    assert!(now - 10.01 <= o.returning().1 + 0.1, "within the stated bound: {now}");
-    // Out again in the middle of it: held at once.
-    let mut o = new(8);
-    let id = set(&mut o, 0.0, &order("10.0.0.3:9000", Kind::OutOfService, 10.0));
-    o.clear(at(5.0), id, "bob").unwrap();
-    assert_eq!(given(&o, 5.0, 3), (NodeState::Ready, 0.1, false));
-    set(&mut o, 6.0, &order("10.0.0.3:9000", Kind::OutOfService, 10.0));
-    assert_eq!(given(&o, 6.0, 3).0, NodeState::Draining);
-    assert!(o.clear(at(6.0), id, "bob").is_err(), "cleared once");
+    assert_eq!((full(&overrides, now), last, overrides.returning().0), (30, 30.0, 0));
+    assert!(now - 10.01 <= overrides.returning().1 + 0.1, "within the stated bound: {now}");
+    // Out of service again in the middle of its ramp: it gets nothing at once.
+    let mut overrides = new(8);
+    let id = set(&mut overrides, 0.0, &order("10.0.0.3:9000", Kind::OutOfService, 10.0));
+    overrides.clear(at(5.0), id, "bob").unwrap();
+    assert_eq!(given(&overrides, 5.0, 3), (NodeState::Ready, 0.1, false));
+    set(&mut overrides, 6.0, &order("10.0.0.3:9000", Kind::OutOfService, 10.0));
+    assert_eq!(given(&overrides, 6.0, 3).0, NodeState::Draining);
+    assert!(overrides.clear(at(6.0), id, "bob").is_err(), "cleared once");
 }
 
+/// Automation sets thousands of overrides on the same nodes. Each must be found by the explanation, and each must
+/// end.
 #[test]
-fn ten_thousand_stand_over_sixty_nodes_and_explain_themselves() {
-    let mut o = new(60);
+fn ten_thousand_overrides_apply_to_sixty_nodes_and_are_explained() {
+    let mut overrides = new(60);
     let mut chance = oorandom::Rand64::new(3);
     for i in 0..10_000u32 {
         let node = chance.rand_range(0..60) as u32;
@@ -280,16 +300,16 @@
         };
         let kind = if i % 3 == 0 { Kind::Pinned } else { Kind::Weight(0.1 + 0.8 * chance.rand_float()) };
         let seconds = 1.0 + chance.rand_float() * 1000.0;
-        let (record, _) = o.propose(WALL, &order(&target, kind, seconds), false, None).unwrap();
-        o.put(at(0.0), record);
+        let (record, _) = overrides.propose(WALL, &order(&target, kind, seconds), false, None).unwrap();
+        overrides.put(at(0.0), record);
     }
-    assert_eq!(o.len(), 10_000);
-    let e = o.explain(at(0.0), address(7));
+    assert_eq!(overrides.len(), 10_000);
+    let e = overrides.explain(at(0.0), address(7));
     assert!(e.service_by.is_some() && e.weight_by.is_some() && e.beaten.len() > 500, "{}", e.beaten.len());
     let mut ended = 0;
     for t in 1..=1002 {
-        ended += o.handle_timeout(at(f64::from(t)), wall(f64::from(t))).len();
+        ended += overrides.handle_timeout(at(f64::from(t)), wall(f64::from(t))).len();
     }
-    assert_eq!((ended, o.len()), (10_000, 0));
-    assert_eq!(given(&o, 1002.0, 7), READY);
+    assert_eq!((ended, overrides.len()), (10_000, 0));
+    assert_eq!(given(&overrides, 1002.0, 7), READY);
 }
--- a/crates/plans/tests/plans.rs
+++ b/crates/plans/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Changes judged whole, two edits at once, undoing, and a change log cut and altered at every byte.
+//! Changes that apply in full or not at all, concurrent changes, undoing, and a change log that is cut or altered at every byte.
 
 use tackmast_plans::*;
 
@@ -64,8 +64,10 @@
     log
 }
 
+/// One step of a change is not allowed. If the other steps applied all the same, volumes would have plans that
+/// nobody asked for.
 #[test]
-fn a_change_is_judged_whole_and_moves_all_or_nothing() {
+fn a_change_applies_in_full_or_not_at_all() {
     let far = Volume { through: vec![0, 9], ..volume(3, "basic") };
     let lost = Volume { shards: vec![7], ..volume(3, "basic") };
     let cases: Vec<(Vec<Step>, &str)> = vec![
@@ -95,7 +97,7 @@
         (vec![], "steps: 0; expected 1 to 10000"),
     ];
     for (mut steps, expected) in cases {
-        // Whatever else it holds, nothing of it moves.
+        // The change has another step, which must not apply either.
         if !steps.is_empty() {
             steps.insert(0, set_plan("more", Some(plan(10.0))));
         }
@@ -105,14 +107,16 @@
         assert_eq!(refused.to_string(), expected);
         assert_eq!(log, before);
     }
-    // A plan and the volumes on it go together.
+    // A plan can be removed together with the volumes on it moving to another.
     let mut log = short_log();
     let moved = vec![set_volume("school", Some(volume(1, "premium"))), set_plan("basic", None)];
     assert_eq!(put(&mut log, change(1, moved)), Ok(2));
 }
 
+/// Two operators change plans on the same version. Without a check the second would overwrite the first without
+/// having seen it.
 #[test]
-fn of_two_edits_at_once_one_wins_and_the_other_is_refused_with_what_changed() {
+fn of_two_concurrent_changes_the_later_is_refused_with_what_changed() {
     // The second one's steps, made on version 1 after another has changed plan basic; and what it is refused with.
     let cases = [
         (vec![set_plan("basic", Some(plan(30.0)))], Some("plan basic")),
@@ -123,15 +127,17 @@
         let mut log = short_log();
         put(&mut log, change(1, vec![set_plan("basic", Some(plan(25.0)))])).unwrap();
         let expected = match moved {
-            Some(m) => Err(Refusal::Conflict { base: 1, now: 2, moved: vec![m.to_owned()] }),
+            Some(title) => Err(Refusal::Conflict { base: 1, now: 2, moved: vec![title.to_owned()] }),
             None => Ok(3),
         };
         assert_eq!(put(&mut log, change(1, steps)), expected);
     }
 }
 
+/// An operator undoes a change on which another has built since. The undo must not revert the later change in
+/// silence.
 #[test]
-fn undoing_is_a_new_change_and_a_conflict_where_others_went_on() {
+fn an_undo_is_a_new_change_and_conflicts_with_later_ones() {
     let mut log = short_log();
     let before = log.catalogue.clone();
     put(&mut log, change(1, vec![set_plan("basic", Some(plan(25.0))), set_plan("new", Some(plan(10.0)))]))
@@ -157,8 +163,10 @@
     log
 }
 
+/// The host loses power while it writes the change log. Entries that were acknowledged must be there, and no
+/// partial one.
 #[test]
-fn a_log_cut_at_any_byte_holds_all_whole_entries_and_invents_none() {
+fn a_log_cut_at_any_byte_has_all_whole_entries_and_no_others() {
     let log = long_log();
     let bytes = log.to_bytes();
     assert!(ChangeLog::from_bytes(&bytes, &fleet()) == Ok(log.clone()));
@@ -170,25 +178,27 @@
     }
 }
 
+/// Somebody edits, removes or reorders entries of a stored log. Hosts that read it would have different plans.
 #[test]
-fn each_alteration_of_the_log_is_found() {
+fn each_alteration_of_the_log_is_detected() {
     let log = long_log();
     let bytes = log.to_bytes();
     let first = bytes.iter().position(|b| *b == b'\n').unwrap() + 1;
     // Every byte of every entry, changed; the last line's end aside, whose loss is a cut.
     for at in first..bytes.len() - 1 {
-        let mut b = bytes.clone();
-        b[at] = if b[at] == b'1' { b'2' } else { b'1' };
-        assert!(ChangeLog::from_bytes(&b, &fleet()).is_err(), "byte {at}");
+        let mut altered = bytes.clone();
+        altered[at] = if altered[at] == b'1' { b'2' } else { b'1' };
+        assert!(ChangeLog::from_bytes(&altered, &fleet()).is_err(), "byte {at}");
     }
-    // Entries taken out, put twice, or in another order.
+    // Entries that are removed, repeated, or in another order.
     let lines: Vec<&[u8]> = bytes.split_inclusive(|b| *b == b'\n').collect();
     for order in [vec![0, 1, 3, 4], vec![0, 1, 2, 2], vec![0, 2, 1], vec![1, 2]] {
-        let b: Vec<u8> = order.iter().flat_map(|i| lines[*i].iter().copied()).collect();
-        assert!(ChangeLog::from_bytes(&b, &fleet()).is_err(), "{order:?}");
+        let altered: Vec<u8> = order.iter().flat_map(|i| lines[*i].iter().copied()).collect();
+        assert!(ChangeLog::from_bytes(&altered, &fleet()).is_err(), "{order:?}");
     }
 }
 
+/// Old entries are compacted into the checkpoint. The rest must still verify, and lead to the same catalogue.
 #[test]
 fn compaction_keeps_the_chain_and_the_catalogue() {
     for keep in 0..8 {
@@ -204,21 +214,22 @@
     }
 }
 
+/// A host replays the log after a restart. If the replay led elsewhere, hosts would have different plans.
 #[test]
-fn random_edits_from_many_hands_replay_to_the_same_catalogue() {
-    let mut c = oorandom::Rand64::new(8);
+fn random_changes_replay_to_the_same_catalogue() {
+    let mut random = oorandom::Rand64::new(8);
     let mut log = short_log();
     let (mut passed, mut refused) = (0, 0);
     for _ in 0..400 {
-        let base = log.catalogue.version - c.rand_range(0..log.catalogue.version.min(4));
+        let base = log.catalogue.version - random.rand_range(0..log.catalogue.version.min(4));
         let names = ["basic", "premium", "x", "y"];
-        let name = names[c.rand_range(0..4) as usize];
-        let steps = match c.rand_range(0..4) {
-            0 => vec![set_plan(name, Some(plan(c.rand_float() * 50.0)))],
+        let name = names[random.rand_range(0..4) as usize];
+        let steps = match random.rand_range(0..4) {
+            0 => vec![set_plan(name, Some(plan(random.rand_float() * 50.0)))],
             1 => vec![set_plan(name, None)],
             2 => vec![set_volume(
                 name,
-                Some(volume(c.rand_range(0..6) as u32, names[c.rand_range(0..4) as usize])),
+                Some(volume(random.rand_range(0..6) as u32, names[random.rand_range(0..4) as usize])),
             )],
             _ => vec![set_volume(name, None), set_plan(name, Some(plan(9.0)))],
         };
--- a/crates/plans/tests/stored_format.rs
+++ b/crates/plans/tests/stored_format.rs
@@ -131,6 +131,7 @@
     state
 }
 
+/// Writes the fixtures, if the environment asks for it; else does nothing.
 #[test]
 fn write_fixtures() {
     if std::env::var_os(WRITE_FIXTURES).is_none() {
@@ -142,6 +143,8 @@
     std::fs::write(fixture_path(REPLICATED_STATE), replicated_state().to_bytes()).unwrap();
 }
 
+/// A field is renamed in Rust and its JSON key with it. Hosts would refuse the change log on their disks after an
+/// upgrade.
 #[test]
 fn a_change_log_of_an_earlier_build_reads_as_it_was_written() {
     let text = fixture(CHANGE_LOG);
@@ -149,7 +152,7 @@
     assert_eq!(log, change_log());
     assert_eq!(log.head(), LogHead { number: 4, digest: NEWEST_DIGEST });
     assert_eq!(log.checkpoint, Checkpoint::default());
-    let read: Vec<&Change> = log.entries.iter().map(|e| &e.change).collect();
+    let read: Vec<&Change> = log.entries.iter().map(|entry| &entry.change).collect();
     assert_eq!(read, changes().iter().collect::<Vec<_>>());
     let plans: Vec<&str> = log.catalogue.plans.keys().map(String::as_str).collect();
     assert_eq!((plans, log.catalogue.version), (vec!["basic", "premium"], 4));
@@ -157,6 +160,7 @@
     assert_eq!(String::from_utf8(change_log().to_bytes()).unwrap(), text);
 }
 
+/// The same for a log that begins with a checkpoint of earlier entries.
 #[test]
 fn a_compacted_log_of_an_earlier_build_reads_as_it_was_written() {
     let text = fixture(COMPACTED_LOG);
@@ -169,8 +173,9 @@
     assert_eq!(String::from_utf8(compacted_log().to_bytes()).unwrap(), text);
 }
 
+/// Hosts of two builds run together during an upgrade. Each must accept the entries of the other.
 #[test]
-fn each_entry_of_an_earlier_build_is_taken_from_another_host() {
+fn each_entry_of_an_earlier_build_is_accepted_from_another_host() {
     let text = fixture(CHANGE_LOG);
     let mut log = ChangeLog::default();
     for line in text.split_inclusive('\n').skip(1) {
@@ -179,6 +184,7 @@
     assert_eq!(log.head(), LogHead { number: 4, digest: NEWEST_DIGEST });
 }
 
+/// An entry of an earlier build is altered on disk. The digest of that build must still show it.
 #[test]
 fn an_altered_entry_of_an_earlier_build_breaks_the_chain() {
     let text = fixture(CHANGE_LOG).replacen("\"why\":\"move\"", "\"why\":\"mode\"", 1);
@@ -186,6 +192,7 @@
     assert!(problem.starts_with("entry 3: digest "), "{problem}");
 }
 
+/// A host installs a snapshot that a leader of an earlier build took. It must lead to the same state, to the byte.
 #[test]
 fn a_replicated_state_of_an_earlier_build_reads_as_it_was_written() {
     let text = fixture(REPLICATED_STATE);
@@ -207,8 +214,10 @@
     assert_eq!(&serde_json::from_str::<T>(text).unwrap(), value);
 }
 
+/// Commands are stored in the consensus log by every build. Another form could not be read by hosts that are not
+/// upgraded yet.
 #[test]
-fn commands_of_the_replicated_log() {
+fn commands_of_the_replicated_log_have_these_json_forms() {
     let all = commands();
     assert_form(
         &all[0],
@@ -221,8 +230,9 @@
     );
 }
 
+/// The digests of entries are over these texts. Another form of the same value would break the chain.
 #[test]
-fn plans_volumes_traffic_classes_and_fleets() {
+fn plans_volumes_traffic_classes_and_fleets_have_these_json_forms() {
     assert_form(&plan(20.0, None), r#"{"limit":20.0,"burst":60.0,"slack":8.5,"reserve":5.0,"weight":1.0}"#);
     assert_form(
         &plan(20.0, Some(4.5)),
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -121,7 +121,7 @@
 }
 
 fn ids(overrides: &[Override]) -> Vec<u64> {
-    overrides.iter().map(|o| o.id.0).collect()
+    overrides.iter().map(|record| record.id.0).collect()
 }
 
 /// Updates, and the overrides before the first and after each of them.
@@ -135,7 +135,7 @@
 /// The bytes of a disk that was cut off after `cut` operations. It may have taken all that was written since the last sync
 /// (`taken` 0), none of it (1), or every second operation (2).
 fn bytes_after_cut(ops: &[Op], cut: usize, taken: usize) -> Vec<u8> {
-    let synced = ops[..cut].iter().rposition(|o| matches!(o, Op::Sync)).map_or(0, |i| i + 1);
+    let synced = ops[..cut].iter().rposition(|op| matches!(op, Op::Sync)).map_or(0, |i| i + 1);
     let mut bytes = Vec::new();
     for (i, op) in ops[..cut].iter().enumerate() {
         // The length is kept with the data that needs it, as a journalled file system does.
@@ -177,8 +177,10 @@
     assert_eq!((last, snapshot.log_id), (hard_state.term, log_id), "cut {cut}");
 }
 
+/// The host loses power at any operation of its disk. What was acknowledged to an operator or a peer must be there,
+/// and nothing in part.
 #[test]
-fn a_cut_at_any_operation_loses_nothing_acknowledged_and_invents_nothing() {
+fn after_a_cut_at_any_operation_all_acknowledged_writes_are_there_and_no_partial_ones() {
     let (updates, expected) = steps();
     let disk = Disk::default();
     let store = Store::open_backend(disk.clone()).unwrap().store;
@@ -215,8 +217,10 @@
     assert!(cuts > 50, "{cuts} cuts");
 }
 
+/// The disk is full in the middle of a write. The operator must get an error, and the store must open again with
+/// whole updates.
 #[test]
-fn a_full_disk_is_an_error_and_what_it_refused_is_not_stored() {
+fn a_write_to_a_full_disk_is_an_error_and_stores_nothing_in_part() {
     let (updates, expected) = steps();
     let whole = Disk::default();
     let store = Store::open_backend(whole.clone()).unwrap().store;
--- a/crates/store/tests/store.rs
+++ b/crates/store/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store: what was kept is there after anything, and a file that can't be used says so.
+//! The store: what was written is there after a restart, and a file that can't be used is refused.
 
 use std::fs;
 use std::panic;
@@ -28,8 +28,10 @@
     }
 }
 
+/// A host restarts. Its overrides and their audit log must be as they were, and no number may be given to a second
+/// override.
 #[test]
-fn what_was_kept_is_there_after_it_is_opened_again() {
+fn what_was_written_is_there_after_the_store_is_opened_again() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("o.redb");
     let OpenedStore { store, state } = Store::open(&path).unwrap();
@@ -44,7 +46,7 @@
     store.write(&gone).unwrap();
     drop(store);
     let OpenedStore { store, state } = Store::open(&path).unwrap();
-    let ids: Vec<u64> = state.overrides.iter().map(|o| o.id.0).collect();
+    let ids: Vec<u64> = state.overrides.iter().map(|record| record.id.0).collect();
     assert_eq!((ids, state.next_override_id), (vec![1, 3, 4], 6), "a number is never given twice");
     let audit = store.audit(2).unwrap();
     assert_eq!(
@@ -54,8 +56,10 @@
     assert_eq!(store.audit(100).unwrap().len(), 6);
 }
 
+/// The file is open elsewhere, damaged, or of another program or format. The operator must learn which, and the
+/// file must not be changed.
 #[test]
-fn a_store_that_is_in_use_damaged_or_foreign_says_so_and_is_left_alone() {
+fn a_store_that_is_in_use_damaged_or_foreign_is_refused_and_left_unchanged() {
     let dir = tempfile::tempdir().unwrap();
     let good = dir.path().join("good.redb");
     let OpenedStore { store, .. } = Store::open(&good).unwrap();
@@ -112,8 +116,9 @@
     panic::set_hook(quiet);
 }
 
+/// The path of the store leads to no folder, or is one. The host must not start without its store.
 #[test]
-fn a_folder_that_takes_no_file_says_so() {
+fn a_store_in_a_missing_folder_is_refused() {
     let dir = tempfile::tempdir().unwrap();
     let missing = dir.path().join("no/such/folder/o.redb");
     assert!(Store::open(&missing).is_err());
--- a/crates/store/tests/stored_format.rs
+++ b/crates/store/tests/stored_format.rs
@@ -37,7 +37,7 @@
 fn encode_runs(bytes: &[u8]) -> String {
     let rows: Vec<&[u8]> = bytes.chunks(ROW_BYTES).collect();
     let line = |run: &[&[u8]]| {
-        let hex: String = run[0].iter().map(|b| format!("{b:02x}")).collect();
+        let hex: String = run[0].iter().map(|byte| format!("{byte:02x}")).collect();
         format!("{} {hex}\n", run.len())
     };
     rows.chunk_by(|a, b| a == b).map(line).collect()
@@ -179,6 +179,7 @@
     Entry { term: 4, payload: EntryPayload::Voters(voters(&[(0, 11), (4, 33)])) }
 }
 
+/// Writes the fixture, if the environment asks for it; else does nothing.
 #[test]
 fn write_fixture() {
     if std::env::var_os(WRITE_FIXTURE).is_none() {
@@ -222,8 +223,9 @@
     }
 }
 
+/// A renaming changes a stored key. After an upgrade a host would start without its overrides, plans or log.
 #[test]
-fn a_store_of_an_earlier_build_holds_what_was_written() {
+fn a_store_of_an_earlier_build_has_what_was_written() {
     let (_folder, path) = copy_of_fixture();
     let OpenedStore { store: _store, state } = Store::open(&path).unwrap();
     let expected = PersistedState {
@@ -236,6 +238,7 @@
     assert_eq!(state, expected);
 }
 
+/// The same for the audit log, which operators read long after.
 #[test]
 fn an_audit_log_of_an_earlier_build_reads_as_it_was_written() {
     let (_folder, path) = copy_of_fixture();
@@ -266,8 +269,9 @@
     assert_eq!(store.audit(100).unwrap(), expected);
 }
 
+/// A host of this build takes over the store of an earlier one. What both wrote must be there.
 #[test]
-fn a_store_of_an_earlier_build_is_opened_and_written_further() {
+fn a_store_of_an_earlier_build_can_be_written() {
     let (_folder, path) = copy_of_fixture();
     let OpenedStore { store, .. } = Store::open(&path).unwrap();
     assert_eq!(store.open_consensus_log(0xdead, 6_000_000).unwrap(), expected_log(2, 6_000_000));
@@ -287,7 +291,7 @@
     let named = TableDefinition::<&str, &[u8]>::new("agreed");
     let value_text = |bytes: &[u8]| match std::str::from_utf8(bytes) {
         Ok(text) if text.starts_with('{') => text.trim_end().to_owned(),
-        _ => bytes.iter().map(|b| format!("{b:02x}")).collect(),
+        _ => bytes.iter().map(|byte| format!("{byte:02x}")).collect(),
     };
     let database = redb::Database::open(path).unwrap();
     let read = database.begin_read().unwrap();
@@ -308,14 +312,15 @@
         }
     }
     let mut tables: Vec<String> =
-        read.list_tables().unwrap().map(|t| redb::TableHandle::name(&t).to_owned()).collect();
+        read.list_tables().unwrap().map(|table| redb::TableHandle::name(&table).to_owned()).collect();
     tables.sort_unstable();
     rows.push(format!("tables: {}", tables.join(", ")));
     rows
 }
 
+/// An operator goes back to the earlier build. It must find the rows that it knows, byte for byte.
 #[test]
-fn a_store_written_today_has_the_rows_of_an_earlier_build() {
+fn a_store_that_this_build_writes_has_the_rows_of_an_earlier_build() {
     let (folder, earlier) = copy_of_fixture();
     let today = folder.path().join("today.redb");
     write_store(&today);
