--- a/crates/client/tests/resumed.rs
+++ b/crates/client/tests/resumed.rs
@@ -5,7 +5,7 @@
 
 use common::{TestGateway, TEST_TIMEOUT};
 use tackmast_client::{Client, Outcome, Protocol};
-use tackmast_emulators::tap::Cut;
+use tackmast_emulators::recording_proxy::CutPoint;
 use tackmast_trace::Event;
 
 /// What was recorded of the writes at one offset.
@@ -42,11 +42,11 @@
     let mut writes = Vec::new();
     let mut offset = 0;
     for protocol in [Protocol::Iscsi, Protocol::Nbd] {
-        for cut in [Cut::Asked, Cut::Answer] {
+        for cut in [CutPoint::AfterRequest, CutPoint::BeforeAnswer] {
             let name = format!("{protocol:?} {cut:?}");
             let client = Client::open(gateway.options(protocol, "listening"), TEST_TIMEOUT).unwrap();
             offset += 4096;
-            gateway.cutter.order(cut);
+            gateway.cutter.cut_at(cut);
             assert_eq!(
                 client.write(offset, vec![9; 512]),
                 Outcome::Failed,
@@ -55,12 +55,14 @@
             // The same client is served again. A write that was answered is there; the other one is there whole or not at all.
             let Outcome::Done(found) = client.read(offset, 512) else { panic!("{name}: not resumed") };
             match cut {
-                Cut::Answer => assert_eq!(found, vec![9; 512], "{name}"),
-                Cut::Asked => assert!(found == vec![9; 512] || found == vec![0; 512], "{name}: a mix"),
+                CutPoint::BeforeAnswer => assert_eq!(found, vec![9; 512], "{name}"),
+                CutPoint::AfterRequest => {
+                    assert!(found == vec![9; 512] || found == vec![0; 512], "{name}: a mix")
+                }
             }
             assert_eq!(client.write(offset + 512, vec![8; 512]), Outcome::Done(vec![].into()), "{name}");
             // A read whose session ends is retried before its deadline.
-            gateway.cutter.order(cut);
+            gateway.cutter.cut_at(cut);
             assert_eq!(client.read(offset + 512, 512), Outcome::Done(vec![8; 512].into()), "{name}");
             client.close();
             writes.push((name, offset));
