--- a/crates/host-core/src/combine.rs
+++ b/crates/host-core/src/combine.rs
@@ -1,5 +1,5 @@
-//! One answer for a command of several parts. Parts are requests of their own to the scheduler; their
-//! client is owed one final answer, as early as it is certain.
+//! One answer for a command of several parts. Each part is a request of its own to the scheduler; the client gets one final answer, as
+//! soon as that is certain.
 
 use tackmast::interface::{DedupScope, Effect, TimeDelta};
 
@@ -13,15 +13,14 @@
     },
     /// It is done.
     Done,
-    /// It was given up before it was done.
+    /// The scheduler rejected it.
     Rejected {
         /// Whether an attempt may have had an effect.
         ran: bool,
         /// After how long a retry may succeed.
         retry_after: Option<TimeDelta>,
     },
-    /// The scheduler gave it up with an attempt out that may have run. Where the links have proof that none of it ever
-    /// left, it is as good as rejected.
+    /// The scheduler failed it, since an attempt in flight may have run. If no byte of any attempt was written, it counts as rejected.
     Failed {
         /// Whether an attempt may have had an effect.
         ran: bool,
@@ -51,8 +50,8 @@
     Host,
 }
 
-/// Whether running a command again after a part of it ran does no harm. One that is idempotent by key at all nodes is
-/// safe only with a key of its client: by a key of this host, the client's retry would run a second time.
+/// Whether running a command again after a part of it ran does no harm. A command that is idempotent by key at all nodes is safe only with
+/// a key of its client: this host gives the client's retry another key, so it would run a second time.
 fn is_retry_safe(effect: Effect, key_source: KeySource) -> bool {
     match effect {
         Effect::Idempotent => true,
@@ -61,9 +60,8 @@
     }
 }
 
-/// The command's answer, if it is certain by now. A rejected part settles it at once: a client that is answered
-/// early can come back early. Rejected promises that a retry is safe, so one part that may have run makes it
-/// failed where the effect does not bear a second run.
+/// The command's answer, if it is certain by now. A rejected part decides it at once: a client that is answered early can retry early.
+/// A rejection promises that a retry is safe, so if any part may have run and a second run could do harm, the command has failed.
 pub(crate) fn combine(effect: Effect, key_source: KeySource, parts: &[PartState]) -> Option<Combined> {
     let mut rejected = false;
     let mut retry_after: Option<TimeDelta> = None;
@@ -79,9 +77,9 @@
         }
     }
     if !rejected {
-        return parts.iter().all(|p| *p == PartState::Done).then_some(Combined::Done);
+        return parts.iter().all(|part| *part == PartState::Done).then_some(Combined::Done);
     }
-    let ran = parts.iter().any(|p| match p {
+    let ran = parts.iter().any(|part| match part {
         PartState::Open { ran } | PartState::Rejected { ran, .. } | PartState::Failed { ran } => *ran,
         PartState::Done => true,
     });
--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -5,10 +5,14 @@
 mod commands;
 mod consensus;
 mod endpoint_list;
+mod overrides;
 mod peers;
+mod persisted;
+mod plans;
 mod removed_nodes;
 mod replicated_plans;
 mod slow_start;
+mod status;
 mod tables;
 mod timeouts;
 
@@ -42,6 +46,8 @@
 use tackmast_config::{HostSettings, TrafficClass};
 use tackmast_overrides::{ClockStep, Effective, Ended, NodeFacts, Override, Overrides};
 
+/// The number of a write of which the store is to make no report.
+const UNREPORTED: u64 = 0;
 /// The fraction of the grace of a drain after which connections that still write to the node are cut.
 const CUT_FRACTION: f64 = 0.5;
 
@@ -237,6 +243,21 @@
 
 /// Outputs.
 impl Core {
+    /// Something for the log.
+    fn emit(&mut self, event: impl Into<HostEvent>) {
+        self.outputs.push_back(Output::Event(event.into()));
+    }
+
+    /// Answers a request of an operator.
+    fn respond(&mut self, request: u64, response: AdminResponse) {
+        self.outputs.push_back(Output::AdminResponse { request, response });
+    }
+
+    /// Has the store write something that nothing waits for.
+    fn persist(&mut self, batch: PersistBatch) {
+        self.outputs.push_back(Output::Persist { request: UNREPORTED, batch });
+    }
+
     /// What is to be done next; none: nothing more at this moment.
     pub fn poll_output(&mut self, now: Instant) -> Option<Output> {
         loop {
--- a/crates/host-core/src/core/consensus.rs
+++ b/crates/host-core/src/core/consensus.rs
@@ -150,8 +150,7 @@
     pub(super) fn respond_to_proposal(&mut self, number: u32, response: PlanResponse) {
         let request = self.consensus.as_mut().and_then(|consensus| consensus.changes.remove(&number));
         if let Some(request) = request {
-            self.outputs
-                .push_back(Output::AdminResponse { request, response: AdminResponse::Plan(response) });
+            self.respond(request, AdminResponse::Plan(response));
         }
     }
 
@@ -242,8 +241,7 @@
                 }
             }
         };
-        self.outputs
-            .push_back(Output::AdminResponse { request, response: AdminResponse::Consensus(response) });
+        self.respond(request, AdminResponse::Consensus(response));
         self.advance_consensus(now);
     }
 
@@ -289,7 +287,7 @@
             what,
         };
         let batch = PersistBatch { audits: vec![audit], ..PersistBatch::default() };
-        self.outputs.push_back(Output::Persist { request: 0, batch });
+        self.persist(batch);
         ConsensusResponse::Done { log }
     }
 }
--- a/crates/host-core/src/core/endpoint_list.rs
+++ b/crates/host-core/src/core/endpoint_list.rs
@@ -52,7 +52,7 @@
 
     /// Applies overrides, and removals by peers, to an entry of the list.
     pub(super) fn apply_overrides(&self, now: Instant, entry: &mut NodeEntry) {
-        let address = self.nodes.address(entry.node).and_then(|a| a.parse().ok());
+        let address = self.nodes.address(entry.node).and_then(|address| address.parse().ok());
         let requests = self.override_requests.as_ref();
         let effective =
             requests.zip(address).and_then(|(requests, address)| requests.overrides.effective(now, &address));
--- /dev/null
+++ b/crates/host-core/src/core/persisted.rs
@@ -0,0 +1,46 @@
+//! Completed writes of the store.
+
+use super::*;
+
+impl Core {
+    /// The store has written a `PersistBatch`, or could not.
+    pub fn handle_persisted(&mut self, now: Instant, request: u64, result: Result<(), PersistError>) {
+        if self.handle_consensus_persisted(now, request, &result) {
+            return;
+        }
+        self.handle_plan_persisted(now, request, result.clone());
+        self.handle_override_persisted(now, request, result);
+    }
+
+    /// Applies a change of plans that was persisted, and begins with the next one that waits.
+    fn handle_plan_persisted(&mut self, now: Instant, request: u64, result: Result<(), PersistError>) {
+        let Some(plans) = &mut self.plans else { return };
+        if let Some(PersistedChange { response, applied }) = plans.handle_persisted(now, request, result) {
+            if let Some(change) = applied {
+                self.apply_change(now, change);
+                self.process_peer_events(now);
+            }
+            self.respond(request, AdminResponse::Plan(response));
+        }
+        if let Some((request, plan_request)) = self.plans.as_mut().and_then(Plans::next_queued) {
+            self.handle_plan_request(now, request, plan_request);
+        }
+    }
+
+    /// Applies a change of overrides that was persisted, and begins with the next one that waits.
+    fn handle_override_persisted(&mut self, now: Instant, request: u64, result: Result<(), PersistError>) {
+        let Some(requests) = &mut self.override_requests else { return };
+        if let Some(PersistedOverride { response, event }) = requests.handle_persisted(now, request, result) {
+            if let Some(peers) = &mut self.peers {
+                peers.handle_override_response(now, &response);
+            }
+            self.emit(event);
+            self.apply_changed_overrides(now);
+            self.respond(request, response);
+        }
+        let queued = self.override_requests.as_mut().and_then(OverrideRequests::next_queued);
+        if let Some((request, admin_request)) = queued {
+            self.handle_admin_request(now, request, admin_request);
+        }
+    }
+}
--- a/crates/host-core/src/core/replicated_plans.rs
+++ b/crates/host-core/src/core/replicated_plans.rs
@@ -20,7 +20,7 @@
             PlanRequest::Show | PlanRequest::Log => {
                 if let Some(refused) = self.begin_read(now, request, plan_request) {
                     let response = AdminResponse::Plan(refused);
-                    return self.outputs.push_back(Output::AdminResponse { request, response });
+                    return self.respond(request, response);
                 }
                 None
             }
@@ -37,7 +37,7 @@
         };
         if let Some(response) = response {
             let response = AdminResponse::Plan(response);
-            self.outputs.push_back(Output::AdminResponse { request, response });
+            self.respond(request, response);
         }
         self.advance_consensus(now);
     }
@@ -108,8 +108,8 @@
                 Some(PlanOutcome::Respond { response, .. }) => response,
                 _ => continue,
             };
-            self.outputs
-                .push_back(Output::AdminResponse { request, response: AdminResponse::Plan(response) });
+            let response = AdminResponse::Plan(response);
+            self.outputs.push_back(Output::AdminResponse { request, response });
         }
     }
 }
--- a/crates/host-core/src/error.rs
+++ b/crates/host-core/src/error.rs
@@ -1,4 +1,4 @@
-//! What may go wrong, as typed errors. Their texts reach operators as they are.
+//! Errors of the host core. Operators see their texts as they are.
 
 use tackmast_membership::{MAX_CATALOG_UPDATES, MAX_UPDATE_LEN};
 use tackmast_plans::{ChangeLogError, Refusal};
@@ -8,7 +8,7 @@
 #[error("{0}")]
 pub struct PersistError(pub String);
 
-/// Why a change of plans is not taken.
+/// Why a change of plans is not accepted.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
     /// It does not fit the plans that apply, or the fleet.
@@ -17,16 +17,16 @@
     /// It does not follow the change log.
     #[error(transparent)]
     ChangeLog(#[from] ChangeLogError),
-    /// Its bytes are no command.
+    /// Its bytes are not a command.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// The change to take back is not known.
+    /// The change to undo is not known.
     #[error("change {number}: not in the trail; expected one that `log` shows")]
     UnknownChange {
         /// Its number.
         number: u64,
     },
-    /// Only hosts with consensus take it.
+    /// It needs consensus, which this host does not have.
     #[error("hosts do not agree on plans here")]
     NoConsensus,
     /// The change log is empty after a change.
@@ -47,10 +47,10 @@
         /// How many names it may remember.
         max: usize,
     },
-    /// Another host takes changes.
+    /// Another host accepts changes.
     #[error("host {home} takes changes of plans, and this is host {host}; ask it")]
     NotHome {
-        /// The host that takes changes.
+        /// The host that accepts changes.
         home: u32,
         /// This host.
         host: u32,
@@ -60,7 +60,7 @@
     LogTooLong {
         /// Its length.
         bytes: usize,
-        /// What an answer holds.
+        /// The longest that fits.
         max: usize,
     },
     /// Too many changes wait for the one before them to be written.
--- a/crates/host-core/src/lib.rs
+++ b/crates/host-core/src/lib.rs
@@ -10,8 +10,10 @@
 //! | `core::commands`, `core::attempts`, `core::timeouts` | commands of clients, attempts at nodes, time-outs |
 //! | `core::endpoint_list`, `core::removed_nodes` | the endpoint list, nodes that peers' newer lists remove |
 //! | `core::slow_start` | settings of slow start for the scheduler |
-//! | `core::admin` | requests of operators, completed writes |
-//! | `core::peers` | datagrams of peers, and changes of plans |
+//! | `core::admin`, `core::status` | requests of operators, the status of the host |
+//! | `core::overrides`, `core::plans` | overrides as time passes, plans that change |
+//! | `core::persisted` | completed writes of the store |
+//! | `core::peers` | datagrams of peers, and what follows from them |
 //! | `core::consensus`, `core::replicated_plans` | the replicated log, and requests about plans that it carries |
 //! | `command`, `admin_request`, `attempt`, `output`, `persist_batch`, `error` | messages to and from the shell that drives the core |
 //! | `event` | events for operators, and their way into the log |
--- a/crates/host-core/src/output.rs
+++ b/crates/host-core/src/output.rs
@@ -20,8 +20,8 @@
         /// The attempt.
         attempt: AttemptId,
     },
-    /// The same, and its link is still writing it to a node that takes no bytes: what has not left by now must
-    /// not leave later, so the connection ends here.
+    /// Nobody waits for this attempt any more, and its connection is still writing it to a node that may read nothing. What was not written
+    /// by now must not be written later, so the connection is closed.
     Cut {
         /// The node.
         node: NodeId,
@@ -35,16 +35,16 @@
         /// The answer.
         verdict: Verdict,
     },
-    /// Follow the node list from the version that is known.
+    /// Follow the endpoint list from the version that is known.
     FollowList {
         /// The version that is known.
         since: u64,
     },
     /// Ask for the complete list: a change is missing.
     FetchList,
-    /// To be written durably, all or nothing, and then reported by `handle_persisted` under this number; 0: no report is wanted.
+    /// Write this durably, all of it or nothing, and then report that by `handle_persisted` under this number; 0: no report is wanted.
     Persist {
-        /// The number under which `handle_persisted` tells of it.
+        /// The number of the report.
         request: u64,
         /// What is to be written.
         batch: PersistBatch,
@@ -56,7 +56,7 @@
         /// The answer.
         response: AdminResponse,
     },
-    /// To another host.
+    /// Send a datagram to another host.
     Datagram {
         /// Its address.
         to: std::net::SocketAddr,
@@ -72,7 +72,7 @@
 pub struct Counters {
     /// Commands received.
     pub taken: u64,
-    /// Commands rejected since a table was full.
+    /// Commands rejected because a table was full.
     pub over_bound: u64,
     /// Commands done.
     pub done: u64,
@@ -88,11 +88,11 @@
     pub retries: u64,
     /// Attempts that timed out.
     pub timed_out: u64,
-    /// Attempts withdrawn before their first byte left.
+    /// Attempts withdrawn before their first byte was written.
     pub withdrawn: u64,
     /// Attempts whose connections were cut.
     pub cut: u64,
-    /// Results of attempts that had their end before.
+    /// Results of attempts that had ended before.
     pub strays: u64,
     /// Answers of another length than was asked for.
     pub short_answers: u64,
--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -94,7 +94,7 @@
             clients_wait_until: (!alone).then_some(now + settle),
             pending: None,
             queued: VecDeque::new(),
-            plan_ids: (0..).zip(&settings.plans).map(|(i, plan)| (plan.name.clone(), PlanId(i))).collect(),
+            plan_ids: (0..).zip(&settings.plans).map(|(id, plan)| (plan.name.clone(), PlanId(id))).collect(),
         })
     }
 
--- a/crates/host-core/src/plans/messages.rs
+++ b/crates/host-core/src/plans/messages.rs
@@ -46,7 +46,7 @@
         version: u64,
         /// What changes, line by line.
         lines: Vec<String>,
-        /// Seconds until all hosts go by it.
+        /// Seconds until it applies at all hosts.
         in_force_s: f64,
         /// Whether it was only tried.
         dry_run: bool,
@@ -60,7 +60,7 @@
     Log {
         /// Its lines.
         text: String,
-        /// What changes are judged by.
+        /// What changes are checked against.
         fleet: Fleet,
     },
 }
@@ -70,19 +70,19 @@
 pub struct PlanStatus {
     /// The host.
     pub host: u32,
-    /// The host that takes changes, where there is no consensus.
+    /// The host that accepts changes, where there is no consensus.
     pub home: u32,
     /// The number of the newest change.
     pub number: u64,
     /// Its digest.
     pub digest: String,
-    /// Seconds until all hosts go by it.
+    /// Seconds until it applies at all hosts.
     pub in_force_s: f64,
-    /// Seconds that a change takes until all hosts go by it.
+    /// Seconds until a new change applies at all hosts.
     pub settle_s: f64,
     /// The plans, volumes and traffic classes.
     pub catalogue: Catalogue,
-    /// What changes are judged by.
+    /// What changes are checked against.
     pub fleet: Fleet,
     /// Whether clients wait until the newest change is known.
     #[serde(rename = "waits")]
--- a/crates/overrides/src/explanation.rs
+++ b/crates/overrides/src/explanation.rs
@@ -12,7 +12,7 @@
     pub address: SocketAddr,
     /// Its state in the endpoint list, or `no`.
     pub listed: String,
-    /// What holds for it by overrides alone.
+    /// The effect of the overrides on it.
     pub standing: OverrideEffect,
     /// The override that decides on its service.
     pub service_by: Option<Override>,
--- a/crates/overrides/src/lib.rs
+++ b/crates/overrides/src/lib.rs
@@ -4,10 +4,10 @@
 //!
 //! | file | job |
 //! | --- | --- |
-//! | `order` | what an operator orders, and its written form |
+//! | `order` | overrides as operators ask for them and as they are stored |
 //! | `precedence` | which of several overrides of a node applies |
-//! | `overrides` | the overrides of one host: set, cleared, ended |
-//! | `refusal`, `audit`, `explanation` | why an order is refused; the audit log; why a node is given what it is given |
+//! | `overrides` | the overrides of one host: proposed, set, cleared, ended, explained |
+//! | `refusal`, `audit`, `explanation` | why an override is refused; the audit log; why a node is given what it is given |
 //! | `recovery_ramp` | how nodes are given load again |
 //! | `timing_wheel` | timers of many overrides |
 
--- a/crates/overrides/src/overrides.rs
+++ b/crates/overrides/src/overrides.rs
@@ -27,7 +27,7 @@
     pub max_zone_fraction: f64,
 }
 
-/// What the scheduler has to be told of a node.
+/// What the scheduler is to know of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Effective {
     /// Ready, or draining where the list or an override says so.
--- a/crates/overrides/src/precedence.rs
+++ b/crates/overrides/src/precedence.rs
@@ -53,7 +53,7 @@
     pub address: SocketAddr,
     /// Its zone.
     pub zone: u32,
-    /// The shard that it holds.
+    /// Its shard.
     pub shard: u32,
     /// As the list has it, before any override.
     pub listed: NodeState,
@@ -71,7 +71,7 @@
     Pinned,
 }
 
-/// What holds for a node by the overrides alone.
+/// The effect of the overrides on a node.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OverrideEffect {
     /// Whether it is in service.
--- a/crates/overrides/src/refusal.rs
+++ b/crates/overrides/src/refusal.rs
@@ -82,7 +82,7 @@
 /// What a requested override would do.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Preview {
-    /// The version of the overrides that it was judged against.
+    /// The version of the overrides that it was checked against.
     pub version: u64,
     /// Listed nodes for which the effect changes: address, before, after.
     pub changes: Vec<(SocketAddr, OverrideEffect, OverrideEffect)>,
--- a/crates/overrides/src/timing_wheel.rs
+++ b/crates/overrides/src/timing_wheel.rs
@@ -41,7 +41,7 @@
     now: u64,
     /// A list of entries for each slot, level by level, and then the list of what is due.
     lists: Vec<Vec<u32>>,
-    /// A bit for each slot that holds something, by level.
+    /// By level: a bit for each slot that has entries.
     used: [u64; LEVELS],
     entries: Vec<Entry<K>>,
     free: Vec<u32>,
--- a/crates/plans/src/change_log.rs
+++ b/crates/plans/src/change_log.rs
@@ -230,7 +230,7 @@
     if text.len() > MAX_LINE_LEN {
         return Err(ChangeLogError::Line { line, problem: format!("{} bytes", text.len()) });
     }
-    serde_json::from_slice(text).map_err(|e| ChangeLogError::Line { line, problem: e.to_string() })
+    serde_json::from_slice(text).map_err(|error| ChangeLogError::Line { line, problem: error.to_string() })
 }
 
 /// The entry of a line. Bytes that parse to the same entry but were written otherwise are refused: the digest is over the bytes.
--- a/crates/plans/src/lib.rs
+++ b/crates/plans/src/lib.rs
@@ -6,7 +6,7 @@
 //! | `model` | plans, volumes, traffic classes, and the fleet that has to bear them |
 //! | `change` | what an operator changes, and why a change is refused |
 //! | `catalogue` | one version of everything, and the next one after a change |
-//! | `validation` | whether a version holds together and the fleet bears it |
+//! | `validation` | whether a version is consistent and the fleet bears it |
 //! | `difference` | what two versions differ in, and whether running hosts can go from one to the other |
 //! | `entry` | an entry of the change log, its digest and its line |
 //! | `change_log` | who changed what, when and why: a hash chain of entries behind a checkpoint |
--- a/crates/plans/src/model.rs
+++ b/crates/plans/src/model.rs
@@ -24,8 +24,8 @@
 }
 
 impl Plan {
-    /// The rate that a host may use while it can't know whether this plan still holds, units a second; infinite where no limit
-    /// may come.
+    /// The rate that a host may use while it can't know whether this plan still applies, in units a second; infinite where no change may
+    /// set a limit.
     pub fn fallback_limit(&self) -> f64 {
         match (self.floor, self.limit > 0.0) {
             (Some(floor), _) => floor,
--- a/crates/plans/src/replicated_plans.rs
+++ b/crates/plans/src/replicated_plans.rs
@@ -176,7 +176,7 @@
     pub fn from_bytes(bytes: &[u8], fleet: &Fleet) -> Result<ReplicatedPlans, ChangeLogError> {
         let end = bytes.iter().position(|byte| *byte == b'\n').unwrap_or(bytes.len());
         let header: Header = serde_json::from_slice(&bytes[..end])
-            .map_err(|e| ChangeLogError::Line { line: 1, problem: e.to_string() })?;
+            .map_err(|error| ChangeLogError::Line { line: 1, problem: error.to_string() })?;
         let change_log = ChangeLog::from_bytes(bytes.get(end + 1..).unwrap_or_default(), fleet)?;
         let entry = |(version, limit): (u64, Option<f64>)| VersionedLimit {
             version,
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -93,8 +93,8 @@
 fn is_missing_or_empty(path: &Path) -> Result<bool, StoreProblem> {
     match std::fs::metadata(path) {
         Ok(metadata) => Ok(metadata.len() == 0),
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(true),
-        Err(e) => Err(e.into()),
+        Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(true),
+        Err(error) => Err(error.into()),
     }
 }
 
