--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -55,9 +55,9 @@
         retries = s.core.retries,
         timed_out = s.core.timed_out,
         refused = s.refused,
-        malformed_answers = s.links.malformed_answers,
-        opened = s.links.opened,
-        reused = s.links.reused,
+        malformed_answers = s.node_counters.malformed_answers,
+        opened = s.node_counters.opened,
+        reused = s.node_counters.reused,
         "host has ended"
     );
     Ok(ExitCode::SUCCESS)
--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -13,7 +13,7 @@
 use crate::close_reason::CloseReason;
 use crate::list_watch::{Watch, WatchEvent};
 use crate::memory_replication::{self, MemoryReplication};
-use crate::node_connections::Links;
+use crate::node_connections::{NodeConnections, PendingAttempt};
 use crate::poller::{Poller, Ready, Token, READ};
 use crate::request_ids::RequestIds;
 use crate::resource_budget::ResourceBudget;
@@ -30,7 +30,7 @@
 use tackmast_host_core::{
     Age, AttemptResult, CommandRef, Core, ListEntry, Output, PlacedRequest, PlacedSettings,
 };
-use tackmast_host_core::{NodeStart, OpaqueRequest, SendAttempt, Verdict};
+use tackmast_host_core::{NodeStart, OpaqueRequest, Verdict};
 use tackmast_http::Request;
 use tackmast_platform::{Call, Configuration, List, Reports, Settings};
 
@@ -73,7 +73,7 @@
     poller: Poller,
     listener: Option<TcpListener>,
     clients: ClientConnections,
-    links: Links,
+    node_connections: NodeConnections,
     watch: Watch,
     /// The endpoint list is polled, one call after the other.
     follows_list: bool,
@@ -138,7 +138,7 @@
             poller,
             listener: Some(listener),
             clients: client_connections(&settings, &budget),
-            links: node_connections(&settings, &budget),
+            node_connections: node_connections(&settings, &budget),
             watch: Watch::new(configuration.discovery),
             follows_list: false,
             last_poll_at: now - MIN_POLL_INTERVAL,
@@ -183,11 +183,11 @@
     pub fn status(&self) -> Status {
         Status {
             core: self.core.counters,
-            clients: self.clients.counters,
-            links: self.links.counters,
+            client_counters: self.clients.counters,
+            node_counters: self.node_connections.counters,
             refused: self.refused,
             client_connections: self.clients.len(),
-            node_connections: self.links.len(),
+            node_connections: self.node_connections.len(),
             open: self.core.open_counts(),
             serves: self.shutdown_since.is_none(),
             listens: self.address(),
@@ -244,13 +244,13 @@
                     self.handle_signal(now, signal, reload);
                 }
             }
-            Token::Link(id) => {
+            Token::NodeConnection(id) => {
                 // The connection may just have been established. A client that has left meanwhile is looked for first, or its request
                 // would be written to the node.
-                if let Some(client) = self.links.connecting_client(id) {
+                if let Some(client) = self.node_connections.connecting_client(id) {
                     self.check_client(now, client);
                 }
-                self.links.handle_ready(now, &self.poller, id, ready, &mut self.attempt_results);
+                self.node_connections.handle_ready(now, &self.poller, id, ready, &mut self.attempt_results);
                 self.report_attempt_results(now);
             }
             Token::ClientConnection(id) => {
@@ -269,7 +269,7 @@
         }
         let now = self.clock.now();
         let next_check = self.timeouts_checked_at + TIMEOUT_CHECK_INTERVAL;
-        let timeouts = [self.core.poll_timeout(now), self.links.poll_timeout(), Some(next_check)];
+        let timeouts = [self.core.poll_timeout(now), self.node_connections.poll_timeout(), Some(next_check)];
         let next_timeout = timeouts.into_iter().flatten().min().unwrap_or(next_check);
         Duration::from_secs_f64((next_timeout - now).secs().max(0.0))
     }
@@ -306,7 +306,7 @@
         if self.follows_list && !self.watch.is_polling() && self.next_poll_at.is_some_and(|due| due <= now) {
             self.poll_list(now);
         }
-        self.links.handle_timeout(now, &mut self.attempt_results);
+        self.node_connections.handle_timeout(now, &mut self.attempt_results);
         self.report_attempt_results(now);
         for (id, open) in self.clients.handle_timeout(now, &self.poller) {
             self.client_gone(now, id, Some(open));
@@ -319,9 +319,9 @@
     ClientConnections::new(budget.client_connections, budget.buffer_bytes, settings.longest_wait)
 }
 
-fn node_connections(settings: &Settings, budget: &ResourceBudget) -> Links {
+fn node_connections(settings: &Settings, budget: &ResourceBudget) -> NodeConnections {
     let reports = Reports::of(settings);
-    Links::new(budget.node_connections, settings.connect_timeout, settings.conn_idle, reports)
+    NodeConnections::new(budget.node_connections, settings.connect_timeout, settings.conn_idle, reports)
 }
 
 fn bind_listener(address: SocketAddr, poller: &Poller) -> std::io::Result<TcpListener> {
--- a/crates/platform-host/src/host/attempts.rs
+++ b/crates/platform-host/src/host/attempts.rs
@@ -16,11 +16,9 @@
             while let Some(output) = self.core.poll_output(now) {
                 self.output(now, output);
             }
-            let delayed_attempt = self.links.delayed_attempt(now).map(|attempt| (attempt, true));
-            if let Some(next) =
-                delayed_attempt.or_else(|| self.links.next_queued().map(|attempt| (attempt, false)))
-            {
-                self.begin(now, next);
+            let delayed = self.node_connections.delayed_attempt(now);
+            if let Some(pending) = delayed.or_else(|| self.node_connections.next_queued()) {
+                self.begin(now, pending);
                 continue;
             }
             if self.attempt_results.is_empty() {
@@ -31,11 +29,11 @@
     }
 
     /// Sends an attempt to its node, unless it was cancelled meanwhile.
-    fn begin(&mut self, now: Instant, (attempt, has_waited): (SendAttempt, bool)) {
-        self.check_client(now, attempt.from.session);
-        if !attempt.ticket.is_withdrawn() {
-            let to = self.node_address(attempt.node);
-            self.links.send(now, &self.poller, to, (attempt, has_waited), &mut self.attempt_results);
+    fn begin(&mut self, now: Instant, pending: PendingAttempt) {
+        self.check_client(now, pending.attempt.from.session);
+        if !pending.attempt.ticket.is_withdrawn() {
+            let to = self.node_address(pending.attempt.node);
+            self.node_connections.send(now, &self.poller, to, pending, &mut self.attempt_results);
         }
     }
 
@@ -55,9 +53,11 @@
 
     fn output(&mut self, now: Instant, output: Output) {
         match output {
-            Output::Send(attempt) => self.begin(now, (*attempt, false)),
+            Output::Send(attempt) => {
+                self.begin(now, PendingAttempt { attempt: *attempt, has_waited: false });
+            }
             Output::Cancel { attempt, .. } | Output::Cut { attempt, .. } => {
-                self.links.cancel(attempt);
+                self.node_connections.cancel(attempt);
                 // The connection is closed, so no result will come from it: without this one, the attempt would count as in flight until
                 // its deadline.
                 if self.core.is_in_flight(attempt) {
--- a/crates/platform-host/src/host/endpoint_list.rs
+++ b/crates/platform-host/src/host/endpoint_list.rs
@@ -68,7 +68,7 @@
             let is_ready = nodes.entry(node).is_some_and(|entry| entry.state == NodeState::Ready);
             is_ready && nodes.address(node) == Some(&address.to_string())
         };
-        self.links.close_unused_unless(is_current, &mut self.attempt_results);
+        self.node_connections.close_unused_unless(is_current, &mut self.attempt_results);
         self.report_attempt_results(now);
     }
 
--- a/crates/platform-host/src/host/status.rs
+++ b/crates/platform-host/src/host/status.rs
@@ -1,7 +1,7 @@
 //! What a host tells of itself: its status, and why it did not start.
 
 use crate::client_connections::ClientCounters;
-use crate::node_connection::LinkCounters;
+use crate::node_connection::NodeConnectionCounters;
 use std::net::SocketAddr;
 use tackmast_host_core::Counters;
 pub use tackmast_host_core::OpenCounts;
@@ -12,9 +12,9 @@
     /// Counters of the host core.
     pub core: Counters,
     /// Counters of the client connections.
-    pub clients: ClientCounters,
+    pub client_counters: ClientCounters,
     /// Counters of the connections to nodes.
-    pub links: LinkCounters,
+    pub node_counters: NodeConnectionCounters,
     /// Requests that were malformed or not allowed.
     pub refused: u64,
     /// Client connections that are open.
--- a/crates/platform-host/src/host/tests.rs
+++ b/crates/platform-host/src/host/tests.rs
@@ -59,10 +59,11 @@
 fn connection_established_before_its_clients_close_is_reported_carries_nothing() {
     let (mut host, node) = fixture("");
     let client = send_request(&mut host, 1);
-    let link =
-        (0..8).find(|link| host.links.connecting_client(*link).is_some()).expect("its connection comes up");
+    let link = (0..8)
+        .find(|link| host.node_connections.connecting_client(*link).is_some())
+        .expect("its connection comes up");
     disconnect(&host, client);
-    let up = Ready { token: Token::Link(link), read: false, write: true, ended: false };
+    let up = Ready { token: Token::NodeConnection(link), read: false, write: true, ended: false };
     host.handle_ready_socket(up, &mut || Err(""));
     let mut connection = node.accept().unwrap().0;
     connection.set_nonblocking(true).unwrap();
@@ -82,10 +83,10 @@
     let (mut host, _node) = fixture(r#","ceiling_rate":4.0,"most_at_once":1.2,"slack":0.1"#);
     let _first = send_request(&mut host, 1);
     let second = send_request(&mut host, 2);
-    run_until(&mut host, |host| host.status().links.opened == 1);
+    run_until(&mut host, |host| host.status().node_counters.opened == 1);
     disconnect(&host, second);
     std::thread::sleep(Duration::from_millis(300));
     host.execute_outputs();
     let status = host.status();
-    assert_eq!((status.links.opened, status.core.left), (1, 1), "{status:?}");
+    assert_eq!((status.node_counters.opened, status.core.left), (1, 1), "{status:?}");
 }
--- a/crates/platform-host/src/lib.rs
+++ b/crates/platform-host/src/lib.rs
@@ -22,4 +22,4 @@
 
 pub use client_connections::ClientCounters;
 pub use host::{Host, OpenCounts, ProcessSignal, StartError, Status};
-pub use node_connection::LinkCounters;
+pub use node_connection::NodeConnectionCounters;
--- a/crates/platform-host/src/node_connection.rs
+++ b/crates/platform-host/src/node_connection.rs
@@ -17,7 +17,7 @@
 }
 
 /// A connection to a node.
-pub(crate) struct Link {
+pub(crate) struct NodeConnection {
     /// The node.
     pub node: NodeId,
     /// Its address when the connection was opened.
@@ -30,7 +30,7 @@
 
 /// What happened to connections to nodes since the start, for logs and tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LinkCounters {
+pub struct NodeConnectionCounters {
     /// Connections that were opened.
     pub opened: u64,
     /// Attempts that reused an idle connection.
--- a/crates/platform-host/src/node_connections.rs
+++ b/crates/platform-host/src/node_connections.rs
@@ -1,7 +1,7 @@
 //! Connections to nodes: one attempt at a time on each, idle ones are reused.
 
 use crate::idle_connections::IdleConnections;
-use crate::node_connection::{Link, LinkCounters, State};
+use crate::node_connection::{NodeConnection, NodeConnectionCounters, State};
 use crate::poller::{Poller, Ready, Token, BOTH, READ, WRITE};
 use crate::sockets::{self, ReadOutcome};
 use bytes::{Bytes, BytesMut};
@@ -22,9 +22,17 @@
 /// would be taken for the answer to the next request.
 const REUSE_DELAY: TimeDelta = TimeDelta::from_millis(10);
 
+/// An attempt that is to be sent.
+pub(crate) struct PendingAttempt {
+    /// The attempt.
+    pub attempt: SendAttempt,
+    /// It has waited for a connection to become reusable.
+    pub has_waited: bool,
+}
+
 /// All connections to nodes, and the attempts that wait for one.
-pub(crate) struct Links {
-    links: BTreeMap<u32, Link>,
+pub(crate) struct NodeConnections {
+    connections: BTreeMap<u32, NodeConnection>,
     idle: IdleConnections,
     by_attempt: HashMap<AttemptId, u32>,
     /// Attempts that wait for capacity, as all connections are in use.
@@ -37,10 +45,10 @@
     max_idle: TimeDelta,
     reports: Reports,
     /// What happened since the start.
-    pub counters: LinkCounters,
+    pub counters: NodeConnectionCounters,
 }
 
-impl Links {
+impl NodeConnections {
     /// At most `max_connections` connections, each established within `connect_timeout`. `node_idle_timeout` is when nodes close an idle
     /// connection; zero if the settings do not say.
     pub(crate) fn new(
@@ -49,8 +57,8 @@
         node_idle_timeout: TimeDelta,
         reports: Reports,
     ) -> Self {
-        Links {
-            links: BTreeMap::new(),
+        NodeConnections {
+            connections: BTreeMap::new(),
             idle: IdleConnections::default(),
             by_attempt: HashMap::new(),
             waiting: VecDeque::new(),
@@ -60,13 +68,13 @@
             connect_timeout,
             max_idle: max_idle(node_idle_timeout),
             reports,
-            counters: LinkCounters::default(),
+            counters: NodeConnectionCounters::default(),
         }
     }
 
     /// Connections that are established or being established.
     pub(crate) fn len(&self) -> usize {
-        self.links.len()
+        self.connections.len()
     }
 
     /// Sends an attempt to a node at its present address. An attempt waits only once for a connection to become reusable: others could
@@ -76,18 +84,21 @@
         now: Instant,
         poller: &Poller,
         to: Option<SocketAddr>,
-        (attempt, has_waited): (SendAttempt, bool),
+        pending: PendingAttempt,
         results: &mut Vec<AttemptResult>,
     ) {
+        let PendingAttempt { attempt, has_waited } = pending;
         let Some(to) = to else { return results.push(ended(attempt.attempt, Outcome::Refused)) };
         while let Some(id) = self.idle.take(attempt.node, now, REUSE_DELAY) {
-            let is_usable = |link: &Link| link.address == to && sockets::has_no_input(&link.stream);
-            if self.links.get(&id).is_some_and(is_usable) {
+            let is_usable = |connection: &NodeConnection| {
+                connection.address == to && sockets::has_no_input(&connection.stream)
+            };
+            if self.connections.get(&id).is_some_and(is_usable) {
                 self.counters.reused += 1;
                 return self.begin(now, poller, id, attempt, results);
             }
             // Its node has closed it while it was idle, or has moved.
-            self.links.remove(&id);
+            self.connections.remove(&id);
         }
         // Waiting a few milliseconds costs the client and the node less than a new connection.
         let attempts_ahead = self.delayed.iter().filter(|(_, delayed)| delayed.node == attempt.node).count();
@@ -104,12 +115,12 @@
 
     /// Whether one more connection may be opened; closes the oldest idle one for it if it must.
     fn has_capacity_for_one(&mut self, now: Instant) -> bool {
-        if self.links.len() >= self.max_connections {
+        if self.connections.len() >= self.max_connections {
             if let Some((node, id)) = self.idle.oldest(TimeDelta::ZERO, now) {
                 self.close(node, id);
             }
         }
-        self.links.len() < self.max_connections
+        self.connections.len() < self.max_connections
     }
 
     /// Opens a connection for an attempt.
@@ -123,7 +134,7 @@
     ) {
         let id = self.next_id;
         let stream = match sockets::connect(to) {
-            Ok(stream) if poller.add(&stream, Token::Link(id), WRITE).is_ok() => stream,
+            Ok(stream) if poller.add(&stream, Token::NodeConnection(id), WRITE).is_ok() => stream,
             _ => {
                 self.counters.connect_failures += 1;
                 return results.push(ended(attempt.attempt, Outcome::Refused));
@@ -134,7 +145,7 @@
         self.by_attempt.insert(attempt.attempt, id);
         let node = attempt.node;
         let state = State::Connecting { until: now + self.connect_timeout, attempt: Box::new(attempt) };
-        self.links.insert(id, Link { node, address: to, stream, state });
+        self.connections.insert(id, NodeConnection { node, address: to, stream, state });
     }
 
     /// The connection is established: writes the attempt, unless it was cancelled or is too late.
@@ -146,7 +157,7 @@
         attempt: SendAttempt,
         results: &mut Vec<AttemptResult>,
     ) {
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(connection) = self.connections.get_mut(&id) else { return };
         let begin = attempt.begin(now);
         if begin != Begin::Now {
             self.by_attempt.remove(&attempt.attempt);
@@ -154,11 +165,11 @@
                 self.counters.deadline_passed += 1;
                 results.push(ended(attempt.attempt, Outcome::Refused));
             }
-            link.state = State::Idle;
-            poller.change(&link.stream, Token::Link(id), READ);
-            return self.idle.put(now, link.node, id);
+            connection.state = State::Idle;
+            poller.change(&connection.stream, Token::NodeConnection(id), READ);
+            return self.idle.put(now, connection.node, id);
         }
-        let attempt_head = attempt_head(link.address, attempt.until - now);
+        let attempt_head = attempt_head(connection.address, attempt.until - now);
         let (head, body): (&[u8], &[u8]) = match &attempt.work {
             AttemptWork::Opaque(request) => (&request.head, &request.body),
             AttemptWork::Write { .. } | AttemptWork::Read { .. } => (&[], &[]),
@@ -167,21 +178,21 @@
         [head, attempt_head.as_bytes(), body].iter().for_each(|part| outgoing.extend_from_slice(part));
         self.by_attempt.insert(attempt.attempt, id);
         let answer = Box::new(ResponseReader::new(Limits::default()));
-        link.state = State::Busy { attempt: Box::new(attempt), outgoing, answer };
+        connection.state = State::Busy { attempt: Box::new(attempt), outgoing, answer };
         self.write(poller, id, results);
     }
 
     fn write(&mut self, poller: &Poller, id: u32, results: &mut Vec<AttemptResult>) {
-        let Some(link) = self.links.get_mut(&id) else { return };
-        let State::Busy { attempt, outgoing, .. } = &mut link.state else { return };
-        match sockets::write(&link.stream, outgoing) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let State::Busy { attempt, outgoing, .. } = &mut connection.state else { return };
+        match sockets::write(&connection.stream, outgoing) {
             // The node has not received the whole attempt, so it never ran.
             Err(_) => self.end(id, Outcome::Refused, results),
             Ok(()) if outgoing.is_empty() => {
                 attempt.ticket.written();
-                poller.change(&link.stream, Token::Link(id), READ);
+                poller.change(&connection.stream, Token::NodeConnection(id), READ);
             }
-            Ok(()) => poller.change(&link.stream, Token::Link(id), BOTH),
+            Ok(()) => poller.change(&connection.stream, Token::NodeConnection(id), BOTH),
         }
     }
 
@@ -194,10 +205,10 @@
         ready: Ready,
         results: &mut Vec<AttemptResult>,
     ) {
-        let Some(link) = self.links.get_mut(&id) else { return };
-        match &mut link.state {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        match &mut connection.state {
             State::Idle => {
-                let node = link.node;
+                let node = connection.node;
                 if !ready.ended {
                     self.counters.unsolicited_data += 1;
                     let idle_secs = self.idle.since(node, id).map(|since| (now - since).secs());
@@ -206,13 +217,15 @@
                 self.close(node, id);
             }
             State::Connecting { .. } => {
-                let has_failed =
-                    !matches!(link.stream.take_error(), Ok(None)) || link.stream.peer_addr().is_err();
+                let has_failed = !matches!(connection.stream.take_error(), Ok(None))
+                    || connection.stream.peer_addr().is_err();
                 if has_failed {
                     self.counters.connect_failures += 1;
                     return self.end(id, Outcome::Refused, results);
                 }
-                if let State::Connecting { attempt, .. } = std::mem::replace(&mut link.state, State::Idle) {
+                if let State::Connecting { attempt, .. } =
+                    std::mem::replace(&mut connection.state, State::Idle)
+                {
                     self.begin(now, poller, id, *attempt, results);
                 }
             }
@@ -228,11 +241,11 @@
     }
 
     fn read(&mut self, now: Instant, id: u32, results: &mut Vec<AttemptResult>) {
-        let Some(link) = self.links.get_mut(&id) else { return };
-        let State::Busy { outgoing, answer, .. } = &mut link.state else { return };
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let State::Busy { outgoing, answer, .. } = &mut connection.state else { return };
         let mut chunk = [0; sockets::READ_CHUNK_BYTES];
         let unsent = !outgoing.is_empty();
-        let answered = match sockets::read(&link.stream, &mut chunk) {
+        let answered = match sockets::read(&connection.stream, &mut chunk) {
             ReadOutcome::Nothing => return,
             // An answer without a length ends with its connection, if that ends in order. After a reset the rest may be missing.
             ReadOutcome::End if !unsent && answer.ends_with_connection() => answer.handle_close(),
@@ -250,7 +263,7 @@
             Ok(Some(answer)) => self.finish(now, id, answer, results),
             Err(error) => {
                 self.counters.malformed_answers += 1;
-                tracing::debug!(node = link.node.0, %error, "malformed answer of a node");
+                tracing::debug!(node = connection.node.0, %error, "malformed answer of a node");
                 self.end(id, Outcome::Error, results);
             }
         }
@@ -258,15 +271,15 @@
 
     /// The answer to the attempt on a connection is complete: reports it, and keeps the connection if it may be reused.
     fn finish(&mut self, now: Instant, id: u32, received: Response, results: &mut Vec<AttemptResult>) {
-        let Some(link) = self.links.get_mut(&id) else { return };
-        let State::Busy { attempt, outgoing, answer } = &mut link.state else { return };
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let State::Busy { attempt, outgoing, answer } = &mut connection.state else { return };
         let (closes, has_more, unsent) = (received.closes, answer.has_trailing_bytes(), !outgoing.is_empty());
         let mut report = self.reports.read(received);
         if unsent && report.outcome == Outcome::Done {
             // The node answered before it had the whole request, so the answer can't be for this request.
             report.outcome = Outcome::Error;
         }
-        let (number, node) = (attempt.attempt, link.node);
+        let (number, node) = (attempt.attempt, connection.node);
         results.push(AttemptResult {
             attempt: number,
             outcome: report.outcome,
@@ -277,17 +290,17 @@
         });
         self.by_attempt.remove(&number);
         if closes || has_more || unsent {
-            self.links.remove(&id);
+            self.connections.remove(&id);
         } else {
-            link.state = State::Idle;
+            connection.state = State::Idle;
             self.idle.put(now, node, id);
         }
     }
 
     /// Ends an attempt together with its connection.
     fn end(&mut self, id: u32, outcome: Outcome, results: &mut Vec<AttemptResult>) {
-        let Some(link) = self.links.remove(&id) else { return };
-        if let State::Busy { attempt, .. } | State::Connecting { attempt, .. } = link.state {
+        let Some(connection) = self.connections.remove(&id) else { return };
+        if let State::Busy { attempt, .. } | State::Connecting { attempt, .. } = connection.state {
             self.by_attempt.remove(&attempt.attempt);
             if !attempt.ticket.is_withdrawn() {
                 results.push(ended(attempt.attempt, outcome));
@@ -297,7 +310,7 @@
 
     fn close(&mut self, node: NodeId, id: u32) {
         self.idle.remove(node, id);
-        self.links.remove(&id);
+        self.connections.remove(&id);
     }
 
     /// Cancels an attempt. Its connection is closed: there is no other way to take back what was sent.
@@ -305,7 +318,7 @@
         match self.by_attempt.remove(&attempt) {
             Some(id) => {
                 self.counters.cancelled += 1;
-                self.links.remove(&id);
+                self.connections.remove(&id);
             }
             None => {
                 self.waiting.retain(|waiting| waiting.attempt != attempt);
@@ -321,13 +334,15 @@
         is_current: impl Fn(NodeId, SocketAddr) -> bool,
         results: &mut Vec<AttemptResult>,
     ) {
-        let is_unused =
-            |link: &Link| !matches!(link.state, State::Busy { .. }) && !is_current(link.node, link.address);
-        let unused = self.links.iter().filter(|(_, link)| is_unused(link));
+        let is_unused = |connection: &NodeConnection| {
+            !matches!(connection.state, State::Busy { .. })
+                && !is_current(connection.node, connection.address)
+        };
+        let unused = self.connections.iter().filter(|(_, connection)| is_unused(connection));
         let unused: Vec<u32> = unused.map(|(id, _)| *id).collect();
         for id in unused {
-            if let Some(link) = self.links.get(&id) {
-                self.idle.remove(link.node, id);
+            if let Some(connection) = self.connections.get(&id) {
+                self.idle.remove(connection.node, id);
             }
             self.end(id, Outcome::Refused, results);
         }
@@ -335,7 +350,7 @@
 
     /// The client whose request waits for this connection to be established.
     pub(crate) fn connecting_client(&self, id: u32) -> Option<u32> {
-        match &self.links.get(&id)?.state {
+        match &self.connections.get(&id)?.state {
             State::Connecting { attempt, .. } => Some(attempt.from.session),
             _ => None,
         }
@@ -343,8 +358,8 @@
 
     /// Closes connections that were not established in time, and old idle ones.
     pub(crate) fn handle_timeout(&mut self, now: Instant, results: &mut Vec<AttemptResult>) {
-        let is_late = |link: &Link| matches!(&link.state, State::Connecting { until, .. } if *until <= now);
-        let late = self.links.iter().filter(|(_, link)| is_late(link));
+        let is_late = |connection: &NodeConnection| matches!(&connection.state, State::Connecting { until, .. } if *until <= now);
+        let late = self.connections.iter().filter(|(_, connection)| is_late(connection));
         let late: Vec<u32> = late.map(|(id, _)| *id).collect();
         for id in late {
             self.counters.connect_failures += 1;
@@ -361,19 +376,20 @@
     }
 
     /// A delayed attempt that may be sent now.
-    pub(crate) fn delayed_attempt(&mut self, now: Instant) -> Option<SendAttempt> {
+    pub(crate) fn delayed_attempt(&mut self, now: Instant) -> Option<PendingAttempt> {
         let index = self.delayed.iter().position(|(until, _)| *until <= now)?;
-        Some(self.delayed.remove(index).1)
+        let (_, attempt) = self.delayed.remove(index);
+        Some(PendingAttempt { attempt, has_waited: true })
     }
 
     /// The attempt that has waited longest for capacity, if there is some now.
-    pub(crate) fn next_queued(&mut self) -> Option<SendAttempt> {
-        let has_capacity = self.links.len() < self.max_connections || !self.idle.is_empty();
-        if has_capacity {
-            self.waiting.pop_front()
-        } else {
-            None
+    pub(crate) fn next_queued(&mut self) -> Option<PendingAttempt> {
+        let has_capacity = self.connections.len() < self.max_connections || !self.idle.is_empty();
+        if !has_capacity {
+            return None;
         }
+        let attempt = self.waiting.pop_front()?;
+        Some(PendingAttempt { attempt, has_waited: false })
     }
 }
 
--- a/crates/platform-host/src/poller.rs
+++ b/crates/platform-host/src/poller.rs
@@ -11,7 +11,7 @@
     /// The node list comes first in an iteration: a change in it counts as notified from when it was written to this host.
     List(u32),
     Signal(u32),
-    Link(u32),
+    NodeConnection(u32),
     ClientConnection(u32),
     Listener,
     Peers,
@@ -22,7 +22,7 @@
         let (kind, number) = match self {
             Token::List(number) => (0, number),
             Token::Signal(number) => (1, number),
-            Token::Link(number) => (2, number),
+            Token::NodeConnection(number) => (2, number),
             Token::ClientConnection(number) => (3, number),
             Token::Listener => (4, 0),
             Token::Peers => (5, 0),
@@ -35,7 +35,7 @@
         match self {
             Token::List(_) => 0,
             Token::Signal(_) => 1,
-            Token::Link(_) => 3,
+            Token::NodeConnection(_) => 3,
             Token::ClientConnection(_) => 4,
             Token::Listener => 5,
             Token::Peers => 6,
@@ -56,7 +56,7 @@
         match data >> 32 {
             0 => Token::List(number),
             1 => Token::Signal(number),
-            2 => Token::Link(number),
+            2 => Token::NodeConnection(number),
             3 => Token::ClientConnection(number),
             5 => Token::Peers,
             _ => Token::Listener,
--- a/crates/platform-host/tests/clients.rs
+++ b/crates/platform-host/tests/clients.rs
@@ -150,7 +150,7 @@
         assert!(!matches!(client.receive(Duration::from_millis(2900)), Received::Nothing));
     }
     let status = cluster.shut_down();
-    assert!(status.clients.evicted > 200, "{status:?}");
+    assert!(status.client_counters.evicted > 200, "{status:?}");
     assert!(status.client_connections <= 64, "{status:?}");
 }
 
--- a/crates/platform-host/tests/crossings.rs
+++ b/crates/platform-host/tests/crossings.rs
@@ -21,7 +21,7 @@
 }
 
 fn accepted(status: &Status) -> u64 {
-    status.clients.accepted
+    status.client_counters.accepted
 }
 
 // Clients that disconnect.
@@ -82,7 +82,7 @@
     host.run_until("the first is at its node", |_| node.request_count() == 1);
     drop(client);
     host.run_until("the connection is closed", |host| host.status().client_connections == 0);
-    host.run_until("its attempt is cancelled", |host| host.status().links.cancelled == 1);
+    host.run_until("its attempt is cancelled", |host| host.status().node_counters.cancelled == 1);
     assert_eq!((node.request_count(), host.status().core.attempts), (1, 1));
 }
 
@@ -96,7 +96,7 @@
     let mut sent = 0;
     host.run_until("too much is pipelined", |host| {
         sent += client.send(&flood[sent..]);
-        host.status().clients.pipelined_too_much > 0
+        host.status().client_counters.pipelined_too_much > 0
     });
     host.run_until("the first is at its node", |_| node.request_count() == 1);
     node.connections[0].send(ok_response("its own").as_bytes());
@@ -131,7 +131,7 @@
     host.run_iteration();
     let status = host.status();
     assert!(
-        status.core.taken > 200 && status.links.opened > 200 && node.received_byte_count() == 0,
+        status.core.taken > 200 && status.node_counters.opened > 200 && node.received_byte_count() == 0,
         "{status:?}"
     );
     drop(clients);
@@ -198,9 +198,9 @@
         client.send(&text);
     }
     host.run_until("some requests wait for a connection", |host| {
-        host.status().core.taken == 18 && host.status().links.waited > 0
+        host.status().core.taken == 18 && host.status().node_counters.waited > 0
     });
-    let waits = host.status().links.waited as usize;
+    let waits = host.status().node_counters.waited as usize;
     host.run_until("the others are at the node", |_| node.request_count() == 18 - waits);
     // The answers, which free the connections, and the closes arrive in one iteration.
     node.connections.iter_mut().for_each(|connection| _ = connection.send(ok_response("x").as_bytes()));
@@ -247,7 +247,7 @@
     // The copy arrives: its connection is closed, and the request is sent on another one.
     node.connections[0].send(ok_response("first").as_bytes());
     host.run_until("at its node", |_| node.request_count() == answered + 1);
-    assert_eq!((node.connections.len(), host.status().links.unsolicited_data), (2, 1));
+    assert_eq!((node.connections.len(), host.status().node_counters.unsolicited_data), (2, 1));
     node.connections[1].send(ok_response("second").as_bytes());
     host.run_until("answered", |_| client.message_count() == answered + 1);
     assert!(client.receive().ends_with("second"), "{}", client.receive());
@@ -263,7 +263,7 @@
     host.run_until("at its node", |_| node.request_count() == answered + 1);
     node.connections[0].send(ok_response("second").as_bytes());
     host.run_until("answered", |_| client.message_count() == answered + 1);
-    assert_eq!((node.connections.len(), host.status().links.opened), (1, 1));
+    assert_eq!((node.connections.len(), host.status().node_counters.opened), (1, 1));
     // A client closes while its request waits: nothing is sent.
     let mut client = host.client();
     let text = host.request("read", 0, "x");
@@ -331,7 +331,7 @@
     let mut client = host.client();
     let text = host.request("read", 0, "x");
     client.send(&text);
-    host.run_until("the request waits for the connection", |host| host.status().links.opened == 1);
+    host.run_until("the request waits for the connection", |host| host.status().node_counters.opened == 1);
     let mut new = FakeServer::new();
     endpoint_list.connections[0]
         .send(ok_response(&list_json(2, false, &[member_json("s-0", new.address(), 0, "Ready")])).as_bytes());
@@ -354,7 +354,9 @@
         let mut client = host.client();
         let text = host.request("read", 0, "x");
         client.send(&text);
-        host.run_until("the request waits for the connection", |host| host.status().links.opened == 1);
+        host.run_until("the request waits for the connection", |host| {
+            host.status().node_counters.opened == 1
+        });
         endpoint_list.connections[0].send(
             ok_response(&list_json(2, false, &[member_json("s-0", node.address(), 0, phase)])).as_bytes(),
         );
@@ -373,7 +375,7 @@
     let mut client = host.client();
     let text = String::from_utf8(host.request("once", 0, "x")).unwrap().replace("Ms: 1500", "Ms: 700");
     client.send(text.as_bytes());
-    host.run_until("the request waits for the connection", |host| host.status().links.opened == 1);
+    host.run_until("the request waits for the connection", |host| host.status().node_counters.opened == 1);
     node.empty_backlog(filling);
     // The system connects after a second. No iteration runs until the deadline has passed, so both are handled in one.
     std::thread::sleep(Duration::from_millis(1300));
@@ -401,11 +403,11 @@
     );
     host.run_until("the move is applied", |host| host.status().version == 2);
     first.connections.remove(0).reset();
-    host.run_until("a retry waits for the connection", |host| host.status().links.opened == 2);
+    host.run_until("a retry waits for the connection", |host| host.status().node_counters.opened == 2);
     second.empty_backlog(filling);
     host.run_until("answered", |_| client.message_count() == 1);
     assert_eq!((client.statuses(), second.received_byte_count()), (vec![502], 0));
-    assert_eq!(host.status().links.deadline_passed, 1);
+    assert_eq!(host.status().node_counters.deadline_passed, 1);
 }
 
 // Shutdown.
@@ -706,7 +708,7 @@
         host.run_for(0.02);
     }
     let status = host.status();
-    assert!(status.client_connections <= 61 && status.clients.evicted > 100, "{status:?}");
+    assert!(status.client_connections <= 61 && status.client_counters.evicted > 100, "{status:?}");
     // The host answers, and reaches its node and the list once that is back.
     let mut client = host.client();
     client.send(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n");
--- a/crates/platform-host/tests/nodes.rs
+++ b/crates/platform-host/tests/nodes.rs
@@ -98,7 +98,7 @@
     cluster.nodes[0].set_idle_timeout(Duration::from_secs(30));
     assert_eq!(cluster.call("once", 0).status, 200);
     let status = cluster.shut_down();
-    assert_eq!((status.links.reset, status.core.retries), (0, 0), "{status:?}");
+    assert_eq!((status.node_counters.reset, status.core.retries), (0, 0), "{status:?}");
 }
 
 /// A node's process is gone and its port refuses connections. The request can't have run there, so the client must be told that a
