--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -1,4 +1,4 @@
-//! The state machine. Its inputs are in the submodules, by topic.
+//! The state machine of a host: its tables, its settings and its outputs. The inputs are in the submodules, by topic.
 
 mod admin;
 mod attempts;
@@ -17,34 +17,25 @@
 mod timeouts;
 
 use self::slow_start::slow_start_settings;
-use self::tables::*;
-use crate::admin_request::{AdminRequest, AdminResponse, HostStatus};
-use crate::admission::{Admission, Usage};
-use crate::attempt::{AttemptId, AttemptResult, AttemptWork, SendAttempt};
-use crate::combine::{combine, Combined, KeySource, PartState};
-use crate::command::{ClientCommand, CommandRef, Verdict, Work};
+use self::tables::{AttemptKey, OpenCommand, PendingRequest};
+use crate::admin_request::AdminResponse;
+use crate::admission::Admission;
+use crate::command::CommandRef;
 use crate::consensus::ConsensusDriver;
-use crate::error::{PersistError, PlanError};
-use crate::event::log::log_final_answer;
-use crate::event::{EndpointListEvent, HostEvent, OverrideEvent, PlanEvent};
-use crate::fair_queueing::{FairQueueCounts, FairQueueing, QueueKey, QueueTicket};
-use crate::layout::{key_id, Access, Layout};
-use crate::nodes::{ListEntry, Nodes};
+use crate::event::HostEvent;
+use crate::fair_queueing::{FairQueueCounts, FairQueueing};
+use crate::layout::Layout;
+use crate::nodes::Nodes;
 use crate::output::{Counters, OpenCounts, Output};
-use crate::override_requests::{OverrideOutcome, OverrideRequests, PersistedOverride};
-use crate::peers::{PeerEvent, Peers};
+use crate::override_requests::OverrideRequests;
+use crate::peers::Peers;
 use crate::persist_batch::PersistBatch;
-use crate::placed::{PlacedRequest, PlacedSettings, VolumeNames};
-use crate::plans::{
-    AppliedChange, PersistedChange, PlanOutcome, PlanRequest, PlanResponse, PlanUpdate, Plans, StoredPlans,
-};
-use crate::ticket::Ticket;
-use bytes::{Bytes, BytesMut};
+use crate::placed::{PlacedSettings, VolumeNames};
+use crate::plans::Plans;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-use tackmast::interface::*;
+use tackmast::interface::{Instant, NodeId, Plan, RequestId, ShardId, TimeDelta};
 use tackmast::scheduler::Scheduler;
 use tackmast_config::{HostSettings, TrafficClass};
-use tackmast_overrides::{ClockStep, Effective, Ended, NodeFacts, Override, Overrides};
 
 /// The number of a write of which the store is to make no report.
 const UNREPORTED: u64 = 0;
@@ -283,9 +274,3 @@
         [attempt, cut, overrides, peers, consensus, scheduler].into_iter().flatten().min()
     }
 }
-
-/// What overrides need to know of a node; none: its address is not one of the network.
-fn node_facts((address, entry): (&str, &NodeEntry)) -> Option<NodeFacts> {
-    let address = address.parse().ok()?;
-    Some(NodeFacts { address, zone: entry.zone.0, shard: entry.shard.0, listed: entry.state })
-}
--- a/crates/host-core/src/core/admin.rs
+++ b/crates/host-core/src/core/admin.rs
@@ -1,6 +1,12 @@
 //! Requests of operators.
 
-use super::*;
+use super::Core;
+use crate::admin_request::{AdminRequest, AdminResponse};
+use crate::event::OverrideEvent;
+use crate::output::Output;
+use crate::override_requests::OverrideOutcome;
+use crate::peers::Peers;
+use tackmast::interface::Instant;
 
 impl Core {
     /// A request of an operator, under a number of the caller's that is not 0.
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -1,6 +1,17 @@
 //! Attempts: sent, ended by results, withdrawn, cancelled.
 
-use super::*;
+use super::tables::{AttemptKey, InFlightAttempt, PendingRequest};
+use super::Core;
+use crate::attempt::{AttemptId, AttemptResult, SendAttempt};
+use crate::combine::PartState;
+use crate::event::log::log_final_answer;
+use crate::event::HostEvent;
+use crate::output::Output;
+use crate::ticket::Ticket;
+use bytes::Bytes;
+use tackmast::interface::{
+    AttemptEnd, AttemptNumber, Decision, Effect, Instant, NodeId, Outcome, RequestId, TimeDelta,
+};
 
 impl Core {
     /// Whether an attempt has not ended yet.
--- a/crates/host-core/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -1,7 +1,17 @@
 //! Commands of clients: admitted, rejected, aborted, and answered as soon as their parts allow.
 
-use super::*;
-use crate::layout::Part;
+use super::tables::{AttemptPayload, OpenCommand, OpenPart, PendingRequest, RequestIdentity};
+use super::Core;
+use crate::admission::Usage;
+use crate::attempt::AttemptWork;
+use crate::combine::{combine, Combined, KeySource, PartState};
+use crate::command::{ClientCommand, CommandRef, Verdict, Work};
+use crate::fair_queueing::QueueKey;
+use crate::layout::{key_id, Access, Part};
+use crate::output::Output;
+use crate::placed::PlacedRequest;
+use bytes::Bytes;
+use tackmast::interface::{Instant, NewRequest, PlanId, RequestId, TimeDelta, TrafficClassId, VolumeId};
 
 /// Where a command goes, and until when.
 struct CommandPlacement {
--- a/crates/host-core/src/core/consensus.rs
+++ b/crates/host-core/src/core/consensus.rs
@@ -1,11 +1,19 @@
 //! Consensus: messages, writes, committed changes, and the lease without which this host is in degraded mode.
 
-use super::*;
+use super::Core;
+use crate::admin_request::AdminResponse;
 use crate::consensus::{
-    is_log_write, ConsensusRequest, ConsensusResponse, ACKNOWLEDGEMENT_CHECK_INTERVAL, FIRST_WRITE_REQUEST,
+    is_log_write, ConsensusDriver, ConsensusRequest, ConsensusResponse, ACKNOWLEDGEMENT_CHECK_INTERVAL,
+    FIRST_WRITE_REQUEST,
 };
-use crate::plans::CommittedChange;
+use crate::error::{PersistError, PlanError};
+use crate::event::{HostEvent, PlanEvent};
+use crate::output::Output;
+use crate::persist_batch::PersistBatch;
+use crate::plans::{CommittedChange, PlanResponse, Plans};
+use bytes::Bytes;
 use std::net::SocketAddr;
+use tackmast::interface::{Instant, TimeDelta};
 use tackmast_consensus::{ReplicaOutput, Transmit};
 use tackmast_plans::Command as PlanCommand;
 use tackmast_wire::peer::Body;
--- a/crates/host-core/src/core/endpoint_list.rs
+++ b/crates/host-core/src/core/endpoint_list.rs
@@ -1,6 +1,11 @@
 //! The endpoint list, and the state of nodes that follows from it, from overrides and from peers' lists.
 
-use super::*;
+use super::Core;
+use crate::event::EndpointListEvent;
+use crate::nodes::ListEntry;
+use crate::output::Output;
+use tackmast::interface::{Instant, ListKind, NodeEntry, NodeId, NodeState, TimeDelta};
+use tackmast_overrides::{Effective, NodeFacts};
 
 impl Core {
     /// A complete list, or changes that begin at version `from`. What is known is brought to version `to`.
@@ -117,3 +122,9 @@
         }
     }
 }
+
+/// What overrides need to know of a node; none: its address is not one of the network.
+fn node_facts((address, entry): (&str, &NodeEntry)) -> Option<NodeFacts> {
+    let address = address.parse().ok()?;
+    Some(NodeFacts { address, zone: entry.zone.0, shard: entry.shard.0, listed: entry.state })
+}
--- a/crates/host-core/src/core/overrides.rs
+++ b/crates/host-core/src/core/overrides.rs
@@ -1,6 +1,11 @@
 //! Overrides as time passes: their ends, recovery ramps, and steps of the wall clock.
 
-use super::*;
+use super::Core;
+use crate::event::OverrideEvent;
+use crate::override_requests::OverrideRequests;
+use crate::persist_batch::PersistBatch;
+use tackmast::interface::Instant;
+use tackmast_overrides::{ClockStep, Ended, Override, Overrides};
 
 impl Core {
     /// Operators may set overrides from now on. `batch` is what is to be persisted of the overrides of an earlier generation.
--- a/crates/host-core/src/core/peers.rs
+++ b/crates/host-core/src/core/peers.rs
@@ -1,6 +1,12 @@
 //! Peers: datagrams, and what follows from them.
 
-use super::*;
+use super::Core;
+use crate::event::{HostEvent, PlanEvent};
+use crate::output::Output;
+use crate::peers::{PeerEvent, Peers};
+use crate::persist_batch::PersistBatch;
+use bytes::Bytes;
+use tackmast::interface::{Instant, LeaseChange, PlanId, QuotaLeases, VolumeId};
 use tackmast_membership::{CatalogUpdate, QuotaBalance};
 
 impl Core {
--- a/crates/host-core/src/core/persisted.rs
+++ b/crates/host-core/src/core/persisted.rs
@@ -1,6 +1,11 @@
 //! Completed writes of the store.
 
-use super::*;
+use super::Core;
+use crate::admin_request::AdminResponse;
+use crate::error::PersistError;
+use crate::override_requests::{OverrideRequests, PersistedOverride};
+use crate::plans::{PersistedChange, Plans};
+use tackmast::interface::Instant;
 
 impl Core {
     /// The store has written a `PersistBatch`, or could not.
--- a/crates/host-core/src/core/plans.rs
+++ b/crates/host-core/src/core/plans.rs
@@ -1,6 +1,12 @@
 //! Plans that change while the host runs.
 
-use super::*;
+use super::Core;
+use crate::admin_request::AdminResponse;
+use crate::output::Output;
+use crate::persist_batch::PersistBatch;
+use crate::plans::{AppliedChange, PlanOutcome, PlanRequest, PlanResponse, PlanUpdate, Plans, StoredPlans};
+use bytes::Bytes;
+use tackmast::interface::{Instant, VolumeId};
 
 impl Core {
     /// Whether clients are to wait until this host knows the newest change of plans. A host that restarts may have outdated plans: a lower
--- a/crates/host-core/src/core/removed_nodes.rs
+++ b/crates/host-core/src/core/removed_nodes.rs
@@ -4,7 +4,11 @@
 //! would go on sending to a node that is about to stop. So it sends nothing new to a node that a newer list of a peer shows as draining
 //! or gone.
 
-use super::*;
+use super::Core;
+use crate::event::EndpointListEvent;
+use crate::output::Output;
+use std::collections::BTreeMap;
+use tackmast::interface::{Instant, ListKind, NodeEntry, NodeState, TimeDelta};
 use tackmast_membership::{NodeListEvent, NodeRemoval};
 
 /// Nodes that may be removed by peers' lists at a time.
--- a/crates/host-core/src/core/replicated_plans.rs
+++ b/crates/host-core/src/core/replicated_plans.rs
@@ -1,8 +1,11 @@
 //! Requests about plans where changes need consensus: reads, previews and proposals.
 
-use super::*;
+use super::Core;
+use crate::admin_request::AdminResponse;
 use crate::consensus::{WaitingRead, MAX_WAITING_READS, READ_TIMEOUT};
-use crate::plans::ChangePreview;
+use crate::output::Output;
+use crate::plans::{ChangePreview, PlanOutcome, PlanRequest, PlanResponse};
+use tackmast::interface::Instant;
 use tackmast_plans::{Change, Command as PlanCommand};
 
 impl Core {
--- a/crates/host-core/src/core/status.rs
+++ b/crates/host-core/src/core/status.rs
@@ -1,6 +1,9 @@
 //! The status of a host, as operators see it.
 
-use super::*;
+use super::Core;
+use crate::admin_request::HostStatus;
+use tackmast::interface::{Instant, NodeEntry, NodeState};
+use tackmast_overrides::Overrides;
 
 impl Core {
     pub(super) fn status(&self, now: Instant) -> HostStatus {
--- a/crates/host-core/src/core/tables.rs
+++ b/crates/host-core/src/core/tables.rs
@@ -1,6 +1,13 @@
 //! The tables of the core: open commands, their requests and the attempts in flight.
 
-use super::*;
+use crate::attempt::{AttemptId, AttemptWork};
+use crate::combine::{KeySource, PartState};
+use crate::command::CommandRef;
+use crate::fair_queueing::QueueTicket;
+use crate::layout::Access;
+use crate::ticket::Ticket;
+use bytes::{Bytes, BytesMut};
+use tackmast::interface::{Instant, NodeId, RequestId};
 
 /// What every attempt of a request carries.
 pub(super) struct AttemptPayload {
--- a/crates/host-core/src/core/timeouts.rs
+++ b/crates/host-core/src/core/timeouts.rs
@@ -1,6 +1,10 @@
 //! Time: attempts that time out, and connections that are cut.
 
-use super::*;
+use super::tables::AttemptKey;
+use super::Core;
+use crate::output::Output;
+use bytes::Bytes;
+use tackmast::interface::{Instant, NodeId, Outcome};
 
 impl Core {
     /// Time has passed: what is due by now happens.
--- a/crates/store/src/consensus_log.rs
+++ b/crates/store/src/consensus_log.rs
@@ -62,7 +62,7 @@
     let mut start = read(&database.begin_read()?)?.unwrap_or_default();
     let identity = &mut start.identity;
     if identity.disk == 0 {
-        // Never 0, which stands for no id.
+        // Not 0, which stands for no id.
         identity.disk = random_id | 1;
     }
     identity.boot = identity.boot.saturating_add(1);
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -45,7 +45,7 @@
         open().map_err(|problem| unusable(path, problem))
     }
 
-    /// The same on any storage backend of the database library; a store is made where it is empty.
+    /// Opens the store on any storage backend of the database library; an empty one gets a new store.
     pub fn open_backend(backend: impl redb::StorageBackend) -> Result<OpenedStore, StoreError> {
         let path = Path::new(BACKEND_NAME);
         let open = || {
@@ -60,8 +60,9 @@
         open().map_err(|problem| unusable(path, problem))
     }
 
-    /// Opens the consensus log once more: `random_id` becomes the id of a disk that has none yet, and the count of starts goes
-    /// up by one. Both are on the disk when this returns, and no message about the log may be sent before.
+    /// Opens the consensus log for this start of the host: `random_id` becomes the id of a disk that has none yet, and the count of starts
+    /// is raised by one. Both are on the disk when this returns. No message about the log may be sent before: after a crash, the same count
+    /// would be used again, and peers could not tell an old copy of the disk from the disk itself.
     pub fn open_consensus_log(&self, random_id: u64, generation: u64) -> Result<ConsensusStart, StoreError> {
         consensus_log::open(&self.database, random_id, generation).map_err(|problem| self.access(problem))
     }
@@ -103,8 +104,8 @@
     Ok(opened?)
 }
 
-/// Runs `read`, and takes a panic of it for damage: the database library trusts the lengths that a file states, so a damaged
-/// file may make it panic.
+/// Runs `read`, and reports a panic of it as damage. The database library trusts the lengths in a file, so it may panic on a damaged one,
+/// and the host would end without telling its operator which file to move away.
 fn catch_damage<T>(
     read: impl FnOnce() -> Result<T, StoreProblem> + std::panic::UnwindSafe,
 ) -> Result<T, StoreProblem> {
--- a/crates/store/src/update.rs
+++ b/crates/store/src/update.rs
@@ -7,7 +7,7 @@
 use tackmast_host_core::{KnownPeer, PersistBatch, PersistedMembers};
 use tackmast_overrides::Audit;
 
-/// Lines of the audit log that are retained; the oldest go first.
+/// The most lines of the audit log; the oldest are removed first.
 const MAX_AUDIT_LINES: u64 = 100_000;
 
 /// Writes all parts of the update; the caller commits.
@@ -52,7 +52,8 @@
 
 fn write_members(transaction: &WriteTransaction, members: &PersistedMembers) -> Result<(), StoreProblem> {
     let mut meta = transaction.open_table(META)?;
-    // A generation's number never goes back, whatever clock it was drawn from.
+    // Generations are drawn from the wall clock, which may have been set back. A lower number would make the host's peers take it for
+    // an earlier process, so the highest number is kept.
     let stored = meta.get(GENERATION_KEY)?.map_or(0, |row| row.value());
     meta.insert(GENERATION_KEY, stored.max(members.generation))?;
     let mut table = transaction.open_table(MEMBERS)?;
