--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -18,7 +18,7 @@
     Length(u64),
     /// By a chunk of size 0.
     Chunked,
-    /// By the end of the connection (rule 8): a response only, and complete only where that ends in order.
+    /// By the end of the connection (rule 8 of that section): a response only, and complete only where that ends in order.
     UntilClose,
 }
 
@@ -143,7 +143,7 @@
     Ok(Some(State::Trailers(seen)))
 }
 
-/// One line without its end; none where it is not there in full.
+/// One line without its end; none if it is not complete.
 fn read_line(buffer: &mut BytesMut, max_len: usize) -> Result<Option<BytesMut>, MessageError> {
     let end = buffer.iter().take(max_len + LINE_END.len()).position(|byte| *byte == b'\n');
     let Some(end) = end else {
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -26,7 +26,7 @@
 pub(crate) struct ParsedHead<T> {
     /// The message, without its body.
     pub message: T,
-    /// How the body is framed, where the head says so.
+    /// How the body is framed, if a header field determines it.
     pub framing: Option<Framing>,
     /// Bytes of the head.
     pub len: usize,
--- a/crates/http/src/headers.rs
+++ b/crates/http/src/headers.rs
@@ -1,9 +1,9 @@
-//! Header fields, and what they say of the connection and the body.
+//! Header fields, and what they determine of the connection and the body.
 
 use crate::body::Framing;
 use crate::MessageError;
 
-/// The minor version of HTTP/1.0, whose connections end after each message unless it says otherwise.
+/// The minor version of HTTP/1.0, whose connections end after each message unless a field asks to keep them.
 pub(crate) const HTTP_1_0: u8 = 0;
 
 /// Header fields by name, of a head that was understood in full.
--- a/crates/platform-host/src/client_connection.rs
+++ b/crates/platform-host/src/client_connection.rs
@@ -23,7 +23,7 @@
 /// Bytes that are read ahead while a request of the connection is in flight.
 pub(crate) const MAX_PIPELINED_BYTES: usize = 128 * 1024;
 
-/// A connection's state. It goes from `Reading` to `AwaitingResponse` and back, and from either down for good.
+/// A connection's state. It alternates between `Reading` and `AwaitingResponse`; from either it becomes `Closing`, then `HalfClosed`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionState {
     /// No request is open: one is awaited or partly received, or the answer to the one before is being written.
@@ -54,7 +54,7 @@
     pub lingered_bytes: usize,
     /// It has sent a valid request.
     pub has_sent_request: bool,
-    /// When it came into its eviction class.
+    /// Since when it is in its eviction class.
     pub since: Instant,
     /// Bytes that its reader holds, as last counted.
     pub buffered_bytes: usize,
@@ -126,7 +126,8 @@
     /// Takes in bytes of a request.
     pub(crate) fn push_bytes(&mut self, now: Instant, bytes: &[u8]) {
         let begins_request = self.state == ConnectionState::Reading && !self.reader.has_partial_request();
-        // The time for a first request counts from when the client connected, or one that sends a byte now and then would stay.
+        // The time for a first request counts from the accept: a client that sends a byte now and then would otherwise hold a descriptor
+        // without end.
         if begins_request && self.has_sent_request {
             self.since = now;
         }
--- a/crates/platform-host/src/client_connections.rs
+++ b/crates/platform-host/src/client_connections.rs
@@ -1,5 +1,5 @@
 //! Connections of clients: their requests one after the other, one open at a time on each. docs/crossings.md has each state of a
-//! connection against each event that may come in it.
+//! connection against each event that it may meet.
 
 use crate::client_connection::{ClientConnection, ConnectionState};
 use crate::close_reason::{CloseReason, ExceededTimeout};
@@ -15,9 +15,9 @@
 
 /// The share of all buffer memory above which no connection is read ahead any more.
 const PIPELINED_BYTES_SHARE: f64 = 0.5;
-/// One connection in this many is kept for answering clients that there is no capacity for their connection.
+/// One connection in this many is reserved for rejecting clients for whose connection there is no capacity.
 const CONNECTIONS_PER_REJECTION_SLOT: usize = 8;
-/// The most connections that are kept for that.
+/// The most connections that are reserved for that.
 const MAX_REJECTION_SLOTS: usize = 16;
 
 /// What became of a connection.
--- a/crates/platform-host/src/host/status.rs
+++ b/crates/platform-host/src/host/status.rs
@@ -1,4 +1,4 @@
-//! What a host tells of itself: its status, and why it did not start.
+//! The status of a host, and why one did not start.
 
 use crate::client_connections::ClientCounters;
 use crate::node_connection::NodeConnectionCounters;
@@ -46,7 +46,7 @@
     Listen {
         /// The address from the configuration.
         address: SocketAddr,
-        /// What the system said.
+        /// The system's error.
         problem: std::io::Error,
     },
     /// The socket for datagrams of peers could not be opened.
@@ -54,7 +54,7 @@
     PeerListen {
         /// The address from the configuration.
         address: SocketAddr,
-        /// What the system said.
+        /// The system's error.
         problem: std::io::Error,
     },
 }
--- a/crates/platform-host/src/lib.rs
+++ b/crates/platform-host/src/lib.rs
@@ -1,6 +1,6 @@
 //! The host on the operators' platform: one readiness loop that owns the host core, the connections of clients and to nodes,
-//! the watch of the endpoint list, and the process's signals. It moves bytes and reads the clock. Which request goes where,
-//! and when, is decided by the scheduler behind the core. docs/host.md says why there are no threads.
+//! the watch of the endpoint list, and the process's signals. It moves bytes and reads the clock. The scheduler behind the core
+//! decides which request is sent to which node, and when. docs/host.md explains why there are no threads.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/platform-host/src/node_connections.rs
+++ b/crates/platform-host/src/node_connections.rs
@@ -15,7 +15,7 @@
 /// The host closes an idle connection after this share of the time after which nodes do. Nodes would otherwise close it while a request
 /// is on its way, which would then have no answer.
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
-/// When the host closes an idle connection if the settings do not say when nodes do.
+/// When the host closes an idle connection if the settings name no idle timeout of nodes.
 const DEFAULT_MAX_IDLE: TimeDelta = TimeDelta::from_millis(10_000);
 /// How long a connection is not reused after an answer. Nothing in an answer tells which request it is for, and a node may send a second
 /// copy some milliseconds late: within the delay the copy arrives on an idle connection, which is closed for it. After the delay it
@@ -50,7 +50,7 @@
 
 impl NodeConnections {
     /// At most `max_connections` connections, each established within `connect_timeout`. `node_idle_timeout` is when nodes close an idle
-    /// connection; zero if the settings do not say.
+    /// connection; zero if the settings name none.
     pub(crate) fn new(
         max_connections: usize,
         connect_timeout: TimeDelta,
@@ -313,7 +313,7 @@
         self.connections.remove(&id);
     }
 
-    /// Cancels an attempt. Its connection is closed: there is no other way to take back what was sent.
+    /// Cancels an attempt. Its connection is closed: HTTP/1.1 has no other way to withdraw a request.
     pub(crate) fn cancel(&mut self, attempt: AttemptId) {
         match self.by_attempt.remove(&attempt) {
             Some(id) => {
@@ -393,7 +393,7 @@
     }
 }
 
-/// When the host closes an idle connection, by when nodes do (zero: the settings do not say).
+/// When the host closes an idle connection, from the idle timeout of nodes (zero: the settings name none).
 fn max_idle(node_idle_timeout: TimeDelta) -> TimeDelta {
     if node_idle_timeout > TimeDelta::ZERO {
         TimeDelta::from_secs(node_idle_timeout.secs() * IDLE_TIMEOUT_SHARE)
--- a/crates/platform-host/src/request_ids.rs
+++ b/crates/platform-host/src/request_ids.rs
@@ -8,8 +8,8 @@
 /// Ids of finished requests that are remembered; the oldest is forgotten beyond.
 const MAX_FINISHED: usize = 4096;
 
-/// Ids of open requests, and for a while of finished ones. An id that comes again meanwhile is refused: nodes would take the request
-/// for a repeat of the one that they have seen.
+/// Ids of open requests, and for a while of finished ones. A request with one of these ids is refused: nodes would take it for a
+/// repeat of the one that they have received.
 #[derive(Default)]
 pub(crate) struct RequestIds {
     /// The id of each open request, by its connection.
--- a/crates/platform-host/src/sockets.rs
+++ b/crates/platform-host/src/sockets.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// What a read of a socket gave.
+/// The result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadOutcome {
     /// This many bytes.
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -38,7 +38,7 @@
 const MAX_ID_BYTES: usize = 128;
 
 impl List {
-    /// Parses an answer of discovery. One that is not valid as a whole changes nothing.
+    /// Parses an answer of discovery. An answer that is not valid as a whole changes nothing.
     pub fn parse(bytes: &[u8], settings: &Settings) -> Result<Self, FieldError> {
         let not_json = |error: serde_json::Error| FieldError::with_found("", error.to_string(), "JSON");
         List::from_value(&serde_json::from_slice(bytes).map_err(not_json)?, settings)
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -1,4 +1,4 @@
-//! The rest of an attempt's head, and what a node's answer means.
+//! The header fields of an attempt itself, and what a node's answer means.
 
 use crate::settings::Settings;
 use bytes::Bytes;
@@ -7,7 +7,7 @@
 use tackmast::interface::{Outcome, TimeDelta};
 use tackmast_http::Response;
 
-/// The rest of an attempt's head, behind that of its request: which node, and how long the host will wait.
+/// The end of an attempt's head, after the head of its request: the node, and how long the host will wait.
 pub fn attempt_head(node: SocketAddr, left: TimeDelta) -> String {
     let ms = (left.secs() * 1e3).floor().max(0.0) as u64;
     format!("Host: {node}\r\nX-Budget-Ms: {ms}\r\n\r\n")
@@ -44,8 +44,8 @@
         let outcome = match answer.status {
             200 => Outcome::Done,
             _ if never_ran => Outcome::Full,
-            // The node could not use the request: no sign of its health, or malformed requests could make it an outlier. As
-            // the protocol does not say that it never ran, it may have.
+            // The node could not use the request. That is no sign of its health: malformed requests could otherwise make it an outlier. The
+            // protocol does not promise that the request never ran, so it may have.
             400..=499 => Outcome::Cancelled,
             _ => Outcome::Error,
         };
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -18,7 +18,7 @@
     pub effect: Effect,
     /// Whether requests of one key have to run one at a time, in order.
     pub in_order: bool,
-    /// Whether it writes, where the settings say so.
+    /// Whether it writes, if the settings name it.
     pub writes: Option<bool>,
 }
 
@@ -39,7 +39,7 @@
     pub weight: f64,
 }
 
-/// The settings of a host, under the names of the bench's first message. What is absent there is zero, none or off here.
+/// The settings of a host, from the bench's first message or the configuration file. A field that is absent there is zero, none or off.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Hosts that share the nodes.
@@ -81,10 +81,12 @@
     pub conn_idle: TimeDelta,
 }
 
-/// Retries that are allowed: so many, and a share of the requests within a window.
+/// Retries that are allowed within a window: a number, and a share of the requests.
 #[derive(Clone, Copy, Debug)]
 struct RetryBudget {
+    /// Retries that are allowed without requests.
     free: f64,
+    /// Further retries for each request.
     share: f64,
     window: TimeDelta,
 }
