--- a/crates/consensus/src/raft/membership.rs
+++ b/crates/consensus/src/raft/membership.rs
@@ -1,9 +1,12 @@
 //! Changes of voters, one at a time (Ongaro's thesis, section 4.1): the majorities of two configurations that differ by one
 //! voter always overlap. A configuration counts from when it is appended, committed or not.
 
-use super::*;
+use super::leader_state::LeaderState;
+use super::{RaftNode, Role, MAX_UNCOMMITTED};
 use crate::error::{ProposeError, VoterChangeError};
-use tackmast_wire::consensus::MAX_VOTERS;
+use crate::fault::ConsensusFault;
+use tackmast::interface::Instant;
+use tackmast_wire::consensus::{EntryPayload, MAX_VOTERS};
 
 impl RaftNode {
     /// Makes `host` a voter, with the disk that it reported; the index of the entry with the new configuration.
@@ -39,8 +42,9 @@
         Ok(self.append_entry(now, EntryPayload::Voters(voters)))
     }
 
-    /// The previous configuration has to be committed, and an entry of this term (the erratum of 2015 to section 4.1). With two
-    /// changes at once, majorities of the first and the last configuration need not overlap, and both could elect a leader.
+    /// The previous configuration has to be committed, and an entry of this term (the erratum of 2015 to section 4.1). With
+    /// two changes at once, majorities of the first and the last configuration need not overlap, and both could elect a
+    /// leader.
     fn check_can_change_voters(&self) -> Result<&LeaderState, ProposeError> {
         self.check_can_append()?;
         let Role::Leader(leader) = &self.role else {
--- a/crates/consensus/src/raft/persistence.rs
+++ b/crates/consensus/src/raft/persistence.rs
@@ -5,9 +5,14 @@
 //! on. Writes are numbered and done in order; a message waits for the last write that was made before it, and so for all
 //! that it depends on.
 
-use super::*;
+use super::{RaftNode, RaftOutput, Role};
+use crate::event::ConsensusEvent;
+use crate::state::{LogSuffix, Write};
+use tackmast::interface::Instant;
+use tackmast_wire::consensus::{Entry, Message};
 
-/// Greatest number of messages that wait for the disk. Further ones are dropped, which Raft treats like a loss on the network.
+/// Greatest number of messages that wait for the disk. Further ones are dropped, which Raft treats like a loss on the
+/// network.
 const MAX_DELAYED_MESSAGES: usize = 4096;
 
 /// A write that is not done yet.
@@ -106,7 +111,8 @@
         self.request_snapshot_if_due();
     }
 
-    /// Removes the entry at `index` and all after it. Their writes that are not done yet no longer count as persisted entries.
+    /// Removes the entry at `index` and all after it. Their writes that are not done yet no longer count as persisted
+    /// entries.
     pub(super) fn truncate_log_from(&mut self, index: u64) {
         self.log.truncate_from(index);
         self.forget_persisted_after(index - 1);
--- a/crates/consensus/src/raft/recovery.rs
+++ b/crates/consensus/src/raft/recovery.rs
@@ -1,15 +1,24 @@
 //! What an operator does by hand after most voters are lost for good: one server begins a new log alone from what is
 //! committed on it, and the others discard theirs to follow it. Not part of Raft as published.
 
-use super::*;
+use super::bootstrap::BootstrapState;
+use super::learner::FetchState;
+use super::{RaftNode, Role};
 use crate::error::RecoveryError;
+use crate::event::ConsensusEvent;
+use crate::log::Snapshot;
+use crate::state::{HardState, LogSuffix, Write};
+use bytes::Bytes;
+use std::collections::BTreeSet;
+use tackmast::interface::Instant;
+use tackmast_wire::consensus::{LogPosition, Voters};
 
 /// Election timeouts without a leader before an operator may force a new log. A group that elects is not to be overridden.
 const SILENT_ELECTION_TIMEOUTS: f64 = 10.0;
 
 impl RaftNode {
-    /// Begins a new log alone with what is committed here; its id. Replicas of the old log ignore messages of the new one, so
-    /// that entries of the two are never mixed. `state` is what all entries up to the last committed one led to.
+    /// Begins a new log alone with what is committed here; its id. Replicas of the old log ignore messages of the new one,
+    /// so that entries of the two are never mixed. `state` is what all entries up to the last committed one led to.
     pub(crate) fn force_new_log(&mut self, now: Instant, state: Bytes) -> Result<u64, RecoveryError> {
         if self.disk_failed || self.bootstrap.is_some() || self.log.snapshot().log_id == 0 {
             return Err(RecoveryError::NoLog);
