--- a/crates/platform-host/src/memory_replication.rs
+++ b/crates/platform-host/src/memory_replication.rs
@@ -3,20 +3,15 @@
 //! remember does not grow by that, so the bound on warming-up nodes holds (docs/design.md). Datagrams may be late, duplicated or
 //! lost; a host that fetches nothing starts without rates. No I/O.
 
+mod datagram;
+
+pub(crate) use datagram::MAX_DATAGRAM_BYTES;
+
+use datagram::{fetch_datagram, parse_rates, restore_datagram, store_datagrams, Header, Kind};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, ShardId, TimeDelta};
 
-/// Maximum size of a datagram in bytes, by the platform.
-pub(crate) const MAX_DATAGRAM_BYTES: usize = 256;
-/// Size of the header: two bytes of magic, the kind, the number of the datagram, and how many there are.
-const HEADER_BYTES: usize = 5;
-/// Size of an entry: the shard, and the upper half of its rate as a 32-bit float.
-const ENTRY_BYTES: usize = 4;
-/// Entries that fit into a datagram.
-const ENTRIES_PER_DATAGRAM: usize = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / ENTRY_BYTES;
-/// Datagrams that hold the memory of one host. Shards that do not fit are left out, those with the lowest rates first.
-const MAX_DATAGRAMS: usize = 8;
 /// Peers that store the memory of one host. They are evenly apart in the order of hosts, as neighbours are restarted together.
 const REPLICAS: usize = 3;
 /// Interval between replications.
@@ -27,15 +22,6 @@
 const FETCH_TIMES: [TimeDelta; 3] =
     [TimeDelta::from_millis(0), TimeDelta::from_millis(300), TimeDelta::from_millis(1000)];
 
-/// The first bytes of each datagram.
-const MAGIC: [u8; 2] = *b"tk";
-/// Kind of a datagram with rates to store.
-const STORE: u8 = 1;
-/// Kind of a datagram that asks for the stored rates back.
-const FETCH: u8 = 2;
-/// Kind of a datagram with rates that were fetched.
-const RESTORE: u8 = 3;
-
 /// A datagram to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Datagram {
@@ -47,13 +33,16 @@
 
 /// A datagram that this host stores for a peer.
 struct Stored {
+    /// When it was received.
     at: Instant,
     bytes: Vec<u8>,
 }
 
 /// What this host stores at its peers and for them.
 pub(crate) struct MemoryReplication {
+    /// This host's number.
     me: usize,
+    /// All hosts by their numbers.
     peers: Vec<SocketAddr>,
     started_at: Instant,
     next_replication: Instant,
@@ -92,7 +81,7 @@
 
     fn replica_addresses(&self) -> Vec<SocketAddr> {
         let peer_count = self.peers.len();
-        let replica = |k: usize| (self.me + k * peer_count / (REPLICAS + 1)) % peer_count.max(1);
+        let replica = |index: usize| (self.me + index * peer_count / (REPLICAS + 1)) % peer_count.max(1);
         let mut replicas: Vec<usize> = (1..=REPLICAS).map(replica).collect();
         replicas.retain(|peer| *peer != self.me);
         replicas.dedup();
@@ -110,7 +99,7 @@
         let fetch_is_due = fetch_at.is_some_and(|after| now - self.started_at >= *after);
         if fetch_is_due && self.restored.is_empty() && !self.handed_off {
             self.fetches_sent += 1;
-            let fetch = |to| Datagram { to, bytes: header(FETCH, 0, 1) };
+            let fetch = |to| Datagram { to, bytes: fetch_datagram() };
             due.extend(self.replica_addresses().into_iter().map(fetch));
         }
         if now >= self.next_replication {
@@ -121,57 +110,37 @@
     }
 
     /// Stores the rates, in units a second, at each replica.
-    pub(crate) fn hand_off(&mut self, mut rates: Vec<(ShardId, f64)>) -> Vec<Datagram> {
+    pub(crate) fn hand_off(&mut self, rates: Vec<(ShardId, f64)>) -> Vec<Datagram> {
         self.handed_off = true;
-        rates.retain(|(shard, rate)| shard.0 <= u32::from(u16::MAX) && is_valid_rate(*rate));
-        rates.sort_by(|a, b| b.1.total_cmp(&a.1));
-        rates.truncate(ENTRIES_PER_DATAGRAM * MAX_DATAGRAMS);
-        let count = rates.len().div_ceil(ENTRIES_PER_DATAGRAM) as u8;
-        let chunks = rates.chunks(ENTRIES_PER_DATAGRAM).enumerate();
-        let datagrams: Vec<Vec<u8>> =
-            chunks.map(|(number, entries)| encode(number as u8, count, entries)).collect();
+        let datagrams = store_datagrams(rates);
         let to_replica = |to| datagrams.iter().map(move |bytes| Datagram { to, bytes: bytes.clone() });
         self.replica_addresses().into_iter().flat_map(to_replica).collect()
     }
 
     /// Takes in a datagram; gives the answers to it.
     pub(crate) fn handle_datagram(&mut self, now: Instant, from: SocketAddr, bytes: &[u8]) -> Vec<Datagram> {
-        let Some((peer, kind, number)) = self.parse_header(from, bytes) else {
+        let peer = self.peers.iter().position(|address| *address == from);
+        let (Some(peer), Some(Header { kind, number })) = (peer, Header::parse(bytes)) else {
             self.rejected_datagrams += 1;
             return Vec::new();
         };
         match kind {
             // Bounded by the number of peers and the datagrams of each.
-            STORE => {
+            Kind::Store => {
                 self.stored.insert((peer, number), Stored { at: now, bytes: bytes.to_vec() });
             }
-            FETCH => return self.stored_for(now, peer, from),
+            Kind::Fetch => return self.stored_for(now, peer, from),
             // Only from peers that were asked, and each datagram once: a duplicate would count twice.
-            RESTORE if self.awaits_restore(from, number) => self.restore(number, &bytes[HEADER_BYTES..]),
-            _ => self.rejected_datagrams += 1,
+            Kind::Restore if self.awaits_restore(from, number) => self.restore(number, bytes),
+            Kind::Restore => self.rejected_datagrams += 1,
         }
         Vec::new()
     }
 
-    /// Peer, kind and number of a datagram.
-    fn parse_header(&self, from: SocketAddr, bytes: &[u8]) -> Option<(usize, u8, u8)> {
-        let peer = self.peers.iter().position(|address| *address == from)?;
-        let [first, second, kind, number, _] = bytes.first_chunk::<HEADER_BYTES>()?;
-        let is_valid = [*first, *second] == MAGIC
-            && bytes.len() <= MAX_DATAGRAM_BYTES
-            && usize::from(*number) < MAX_DATAGRAMS;
-        is_valid.then_some((peer, *kind, *number))
-    }
-
     fn stored_for(&mut self, now: Instant, peer: usize, to: SocketAddr) -> Vec<Datagram> {
         self.stored.retain(|_, stored| now - stored.at < RETENTION);
         let of_peer = self.stored.range((peer, 0)..=(peer, u8::MAX));
-        let answers = of_peer.map(|(_, stored)| {
-            let mut bytes = stored.bytes.clone();
-            bytes[MAGIC.len()] = RESTORE;
-            Datagram { to, bytes }
-        });
-        answers.collect()
+        of_peer.map(|(_, stored)| Datagram { to, bytes: restore_datagram(&stored.bytes) }).collect()
     }
 
     fn awaits_restore(&self, from: SocketAddr, number: u8) -> bool {
@@ -181,14 +150,10 @@
             && !self.restored.contains_key(&number)
     }
 
-    fn restore(&mut self, number: u8, entries: &[u8]) {
-        let entries = entries.chunks_exact(ENTRY_BYTES).filter_map(|entry| {
-            let rate = f64::from(f32::from_be_bytes([entry[2], entry[3], 0, 0]));
-            let shard = ShardId(u32::from(u16::from_be_bytes([entry[0], entry[1]])));
-            is_valid_rate(rate).then_some((shard, rate))
-        });
+    fn restore(&mut self, number: u8, bytes: &[u8]) {
         let seen = &mut self.restored_shards;
-        self.restored.insert(number, entries.filter(|(shard, _)| seen.insert(*shard)).collect());
+        let unseen = parse_rates(bytes).filter(|(shard, _)| seen.insert(*shard));
+        self.restored.insert(number, unseen.collect());
     }
 
     /// Rates of an earlier generation that were restored since the last poll, in units a second; each shard once.
@@ -197,24 +162,5 @@
     }
 }
 
-/// A rate that may be sent or restored, in units a second. Any other would spoil the scheduler's figures.
-fn is_valid_rate(rate: f64) -> bool {
-    rate.is_finite() && rate > 0.0
-}
-
-fn header(kind: u8, number: u8, count: u8) -> Vec<u8> {
-    vec![MAGIC[0], MAGIC[1], kind, number, count]
-}
-
-fn encode(number: u8, count: u8, entries: &[(ShardId, f64)]) -> Vec<u8> {
-    let mut bytes = header(STORE, number, count);
-    for (shard, rate) in entries {
-        bytes.extend((shard.0 as u16).to_be_bytes());
-        // The upper half of a float is rounded down to three digits, never up: the sum over all hosts must not grow.
-        bytes.extend(&(*rate as f32).to_be_bytes()[..2]);
-    }
-    bytes
-}
-
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/platform-host/src/memory_replication/datagram.rs
@@ -0,0 +1,103 @@
+//! The datagrams of memory replication, to bytes and back. docs/protocols/platform.md has the format.
+
+use tackmast::interface::ShardId;
+
+/// Maximum size of a datagram in bytes, by the platform.
+pub(crate) const MAX_DATAGRAM_BYTES: usize = 256;
+/// Size of the header: two bytes of magic, the kind, the number of the datagram, and how many there are.
+const HEADER_BYTES: usize = 5;
+/// Size of an entry: the shard, and the upper half of its rate as a 32-bit float.
+const ENTRY_BYTES: usize = 4;
+/// Entries that fit into a datagram.
+const ENTRIES_PER_DATAGRAM: usize = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / ENTRY_BYTES;
+/// Datagrams that hold the memory of one host. Shards that do not fit are left out, those with the lowest rates first.
+const MAX_DATAGRAMS: usize = 8;
+/// The first bytes of each datagram.
+const MAGIC: [u8; 2] = *b"tk";
+
+/// What a datagram is for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Kind {
+    /// Rates to store for their host.
+    Store = 1,
+    /// Asks for the stored rates back.
+    Fetch = 2,
+    /// Rates that were fetched.
+    Restore = 3,
+}
+
+impl Kind {
+    fn from_byte(byte: u8) -> Option<Self> {
+        [Kind::Store, Kind::Fetch, Kind::Restore].into_iter().find(|kind| *kind as u8 == byte)
+    }
+}
+
+/// What the header of a datagram says.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct Header {
+    pub kind: Kind,
+    /// Number of the datagram among those of one host.
+    pub number: u8,
+}
+
+impl Header {
+    /// The header of a valid datagram.
+    pub(super) fn parse(bytes: &[u8]) -> Option<Self> {
+        let [first, second, kind, number, _] = bytes.first_chunk::<HEADER_BYTES>()?;
+        let is_valid = [*first, *second] == MAGIC
+            && bytes.len() <= MAX_DATAGRAM_BYTES
+            && usize::from(*number) < MAX_DATAGRAMS;
+        let kind = Kind::from_byte(*kind).filter(|_| is_valid)?;
+        Some(Header { kind, number: *number })
+    }
+}
+
+/// A rate that may be sent or restored, in units a second. Any other would spoil the scheduler's figures.
+fn is_valid_rate(rate: f64) -> bool {
+    rate.is_finite() && rate > 0.0
+}
+
+fn header_bytes(kind: Kind, number: u8, count: u8) -> Vec<u8> {
+    vec![MAGIC[0], MAGIC[1], kind as u8, number, count]
+}
+
+/// The datagram that asks for the stored rates.
+pub(super) fn fetch_datagram() -> Vec<u8> {
+    header_bytes(Kind::Fetch, 0, 1)
+}
+
+/// The datagrams that store rates, in units a second: the highest first, as far as they fit.
+pub(super) fn store_datagrams(mut rates: Vec<(ShardId, f64)>) -> Vec<Vec<u8>> {
+    rates.retain(|(shard, rate)| shard.0 <= u32::from(u16::MAX) && is_valid_rate(*rate));
+    rates.sort_by(|(_, left), (_, right)| right.total_cmp(left));
+    rates.truncate(ENTRIES_PER_DATAGRAM * MAX_DATAGRAMS);
+    let count = rates.len().div_ceil(ENTRIES_PER_DATAGRAM) as u8;
+    let chunks = rates.chunks(ENTRIES_PER_DATAGRAM).enumerate();
+    chunks.map(|(number, rates)| store_datagram(number as u8, count, rates)).collect()
+}
+
+fn store_datagram(number: u8, count: u8, rates: &[(ShardId, f64)]) -> Vec<u8> {
+    let mut bytes = header_bytes(Kind::Store, number, count);
+    for (shard, rate) in rates {
+        bytes.extend((shard.0 as u16).to_be_bytes());
+        // The upper half of a float is rounded down to three digits, never up: the sum over all hosts must not grow.
+        bytes.extend(&(*rate as f32).to_be_bytes()[..2]);
+    }
+    bytes
+}
+
+/// The datagram that gives the rates of a stored one back.
+pub(super) fn restore_datagram(stored: &[u8]) -> Vec<u8> {
+    let mut bytes = stored.to_vec();
+    bytes[MAGIC.len()] = Kind::Restore as u8;
+    bytes
+}
+
+/// The valid rates in a datagram, in units a second.
+pub(super) fn parse_rates(bytes: &[u8]) -> impl Iterator<Item = (ShardId, f64)> + '_ {
+    bytes[HEADER_BYTES..].chunks_exact(ENTRY_BYTES).filter_map(|entry| {
+        let rate = f64::from(f32::from_be_bytes([entry[2], entry[3], 0, 0]));
+        let shard = ShardId(u32::from(u16::from_be_bytes([entry[0], entry[1]])));
+        is_valid_rate(rate).then_some((shard, rate))
+    })
+}
--- a/crates/platform-host/src/memory_replication/tests.rs
+++ b/crates/platform-host/src/memory_replication/tests.rs
@@ -2,6 +2,10 @@
 
 use super::*;
 
+/// The kinds of datagrams, as they are on the wire.
+const STORE: u8 = 1;
+const RESTORE: u8 = 3;
+
 fn at(secs: f64) -> Instant {
     Instant::from_secs(secs)
 }
--- a/crates/platform-host/src/node_connection.rs
+++ b/crates/platform-host/src/node_connection.rs
@@ -3,8 +3,9 @@
 use bytes::BytesMut;
 use std::net::{SocketAddr, TcpStream};
 use tackmast::interface::{Instant, NodeId};
-use tackmast_host_core::SendAttempt;
+use tackmast_host_core::{AttemptWork, SendAttempt};
 use tackmast_http::ResponseReader;
+use tackmast_platform::attempt_head;
 
 /// Where a connection is in its protocol.
 pub(crate) enum State {
@@ -16,6 +17,14 @@
     Idle,
 }
 
+/// An attempt that is to be sent.
+pub(crate) struct PendingAttempt {
+    /// The attempt.
+    pub attempt: SendAttempt,
+    /// It has waited for a connection to become reusable.
+    pub has_waited: bool,
+}
+
 /// A connection to a node.
 pub(crate) struct NodeConnection {
     /// The node.
@@ -50,3 +59,15 @@
     /// Connections that were established too late for their attempt to begin.
     pub deadline_passed: u64,
 }
+
+/// The bytes of an attempt's request to the node at this address.
+pub(crate) fn request_bytes(now: Instant, address: SocketAddr, attempt: &SendAttempt) -> BytesMut {
+    let attempt_head = attempt_head(address, attempt.until - now);
+    let (head, body): (&[u8], &[u8]) = match &attempt.work {
+        AttemptWork::Opaque(request) => (&request.head, &request.body),
+        AttemptWork::Write { .. } | AttemptWork::Read { .. } => (&[], &[]),
+    };
+    let mut bytes = BytesMut::with_capacity(head.len() + attempt_head.len() + body.len());
+    [head, attempt_head.as_bytes(), body].iter().for_each(|part| bytes.extend_from_slice(part));
+    bytes
+}
--- a/crates/platform-host/src/node_connections.rs
+++ b/crates/platform-host/src/node_connections.rs
@@ -1,16 +1,16 @@
 //! Connections to nodes: one attempt at a time on each, idle ones are reused.
 
 use crate::idle_connections::IdleConnections;
-use crate::node_connection::{NodeConnection, NodeConnectionCounters, State};
+use crate::node_connection::{request_bytes, NodeConnection, NodeConnectionCounters, PendingAttempt, State};
 use crate::poller::{Poller, Ready, Token, BOTH, READ, WRITE};
 use crate::sockets::{self, ReadOutcome};
-use bytes::{Bytes, BytesMut};
+use bytes::Bytes;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, NodeId, Outcome, TimeDelta};
-use tackmast_host_core::{AttemptId, AttemptResult, AttemptWork, Begin, SendAttempt};
+use tackmast_host_core::{AttemptId, AttemptResult, Begin, SendAttempt};
 use tackmast_http::{Limits, Response, ResponseReader};
-use tackmast_platform::{attempt_head, Reports};
+use tackmast_platform::Reports;
 
 /// The host closes an idle connection after this share of the time after which nodes do. Nodes would otherwise close it while a request
 /// is on its way, which would then have no answer.
@@ -22,14 +22,6 @@
 /// would be taken for the answer to the next request.
 const REUSE_DELAY: TimeDelta = TimeDelta::from_millis(10);
 
-/// An attempt that is to be sent.
-pub(crate) struct PendingAttempt {
-    /// The attempt.
-    pub attempt: SendAttempt,
-    /// It has waited for a connection to become reusable.
-    pub has_waited: bool,
-}
-
 /// All connections to nodes, and the attempts that wait for one.
 pub(crate) struct NodeConnections {
     connections: BTreeMap<u32, NodeConnection>,
@@ -169,13 +161,7 @@
             poller.change(&connection.stream, Token::NodeConnection(id), READ);
             return self.idle.put(now, connection.node, id);
         }
-        let attempt_head = attempt_head(connection.address, attempt.until - now);
-        let (head, body): (&[u8], &[u8]) = match &attempt.work {
-            AttemptWork::Opaque(request) => (&request.head, &request.body),
-            AttemptWork::Write { .. } | AttemptWork::Read { .. } => (&[], &[]),
-        };
-        let mut outgoing = BytesMut::with_capacity(head.len() + attempt_head.len() + body.len());
-        [head, attempt_head.as_bytes(), body].iter().for_each(|part| outgoing.extend_from_slice(part));
+        let outgoing = request_bytes(now, connection.address, &attempt);
         self.by_attempt.insert(attempt.attempt, id);
         let answer = Box::new(ResponseReader::new(Limits::default()));
         connection.state = State::Busy { attempt: Box::new(attempt), outgoing, answer };
