--- a/crates/cli/src/simulator.rs
+++ b/crates/cli/src/simulator.rs
@@ -198,13 +198,14 @@
                 "{:<12} {:<9} {:>7} {:>8} {:>9} {:>8} {:>9} {:>9}",
                 "flow", "where", "asked", "in time", "rejected", "failed", "p50 ms", "p99 ms"
             );
-            for b in tackmast_benchmarks::held_against_loopback(&load, hosts, nodes, unit_ms)? {
-                for (place, f) in [("lab", &b.lab), ("loopback", &b.loopback)] {
-                    let part = |n: u64| n as f64 / f.asked.max(1) as f64;
+            let compared = tackmast_benchmarks::compare_with_loopback(&load, hosts, nodes, unit_ms);
+            for b in compared.map_err(|e| e.to_string())? {
+                for (place, f) in [("lab", &b.simulator), ("loopback", &b.loopback)] {
+                    let part = |n: u64| n as f64 / f.request_count.max(1) as f64;
                     println!(
                         "{:<12} {place:<9} {:>7} {:>8.3} {:>9.3} {:>8.3} {:>9.1} {:>9.1}",
                         b.flow,
-                        f.asked,
+                        f.request_count,
                         part(f.in_time),
                         part(f.rejected),
                         part(f.failed),
