--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -1,16 +1,20 @@
 //! One Raft server without I/O: a voter where its host number and disk are in the configuration, else a learner that only
-//! takes what is committed. This file has its state and hands inputs to the part that handles them.
+//! takes what is committed. This file has the server's state and its inputs; `dispatch` passes each message to the module
+//! that handles it.
 
 mod bootstrap;
 mod commit;
 mod disk_identity;
+mod dispatch;
 mod election;
 mod follower;
 mod leader;
+mod leader_state;
 mod learner;
 mod leases;
 mod membership;
 mod persistence;
+mod progress;
 mod recovery;
 mod replication;
 
@@ -18,21 +22,21 @@
 use crate::fault::ConsensusFault;
 use crate::log::{Log, Snapshot};
 use crate::settings::{RaftSettings, ReplicaSettings};
-use crate::state::{HardState, LogSuffix, Write};
-use crate::status::{Counters, FollowerStatus, ReplicaRole, Status};
+use crate::state::{HardState, Write};
+use crate::status::{Counters, ReplicaRole, Status};
 use bootstrap::BootstrapState;
-use bytes::Bytes;
-use leader::LeaderState;
+use leader_state::LeaderState;
 use learner::FetchState;
 use persistence::{DelayedMessage, PendingWrite};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tackmast::interface::Instant;
-use tackmast_wire::consensus::{DiskIdentity, Entry, EntryPayload, LogPosition, Message, Voters};
+use tackmast_wire::consensus::{DiskIdentity, EntryPayload, Message, Voters};
 
-/// Entries that are not committed yet, at most; a leader refuses those beyond.
+/// Greatest number of entries that are not committed yet. A leader refuses proposals beyond.
 const MAX_UNCOMMITTED: u64 = 1024;
-/// Entries of one AppendEntries message, and their bytes.
+/// Greatest number of entries of one AppendEntries message.
 const MAX_APPEND_ENTRIES: usize = 128;
+/// Greatest length in bytes of the entries of one AppendEntries message, unless a single entry is longer.
 const MAX_APPEND_BYTES: usize = 64 << 10;
 
 /// What a Raft server wants done.
@@ -61,7 +65,7 @@
         /// Index of the last committed entry.
         index: u64,
     },
-    /// Operators are to know.
+    /// A change for the log.
     Event(ConsensusEvent),
 }
 
@@ -87,7 +91,7 @@
     role: Role,
     last_leader_contact: Instant,
     election_deadline: Instant,
-    /// While the group has no log.
+    /// State of the bootstrap, until the group has a log.
     bootstrap: Option<BootstrapState>,
     known_disks: BTreeMap<u32, DiskIdentity>,
     known_disks_changed: bool,
@@ -146,7 +150,7 @@
         node
     }
 
-    /// The same server with a deliberate fault, for tests of the tests.
+    /// The same server with a deliberate fault, which tests have to find.
     pub fn with_fault(mut self, fault: ConsensusFault) -> RaftNode {
         self.fault = Some(fault);
         self
@@ -176,7 +180,7 @@
         self.log.configuration().voters
     }
 
-    /// Hosts that may know the leader.
+    /// Hosts to ask for the leader.
     pub(crate) fn voters_to_ask(&self) -> Vec<u32> {
         match &self.bootstrap {
             Some(bootstrap) => bootstrap.initial_voters.iter().copied().collect(),
@@ -212,10 +216,12 @@
             || (voting_disk.is_some() && self.has_fault(ConsensusFault::LostDiskVotes))
     }
 
+    /// Number of voters that make a majority.
     fn quorum(&self) -> usize {
+        let voter_count = self.voters().len();
         match self.has_fault(ConsensusFault::MinorityCommits) {
-            true => self.voters().len().div_ceil(2).max(1),
-            false => self.voters().len() / 2 + 1,
+            true => voter_count.div_ceil(2).max(1),
+            false => majority(voter_count),
         }
     }
 
@@ -250,64 +256,7 @@
         self.role = Role::Follower { leader };
     }
 
-    /// A message of another replica has arrived.
-    pub fn handle_message(&mut self, now: Instant, from: u32, message: Message) {
-        if self.disk_failed || self.is_of_other_log(&message) {
-            return;
-        }
-        match message {
-            Message::RequestVote { pre_vote, term, last_log, identity } => {
-                let request = election::VoteRequest { pre_vote, term, last_log, identity };
-                self.handle_request_vote(now, from, request)
-            }
-            Message::RequestVoteResponse { pre_vote, term, granted, identity } => {
-                let response = election::VoteResponse { pre_vote, term, granted, identity };
-                self.handle_vote_response(now, from, response)
-            }
-            Message::AppendEntries { term, round, previous, commit_index, entries, .. } => {
-                let request = follower::AppendRequest { term, round, previous, commit_index, entries };
-                self.handle_append_entries(now, from, request)
-            }
-            Message::AppendEntriesResponse { term, round, success, index, identity } => {
-                let response = replication::AppendResponse { term, round, success, index, identity };
-                self.handle_append_response(now, from, response)
-            }
-            Message::InstallSnapshot { term, log_id, last, voters, state } => {
-                self.handle_install_snapshot(now, from, term, Snapshot { log_id, last, voters, state })
-            }
-            Message::Propose { data, .. } => self.handle_proposal(now, from, data),
-            Message::RequestLease { sequence, stored_index, identity } => self.handle_lease_request(
-                now,
-                from,
-                leases::LeaseRequest { sequence, stored_index, identity },
-            ),
-            Message::FetchCommitted { stored_index } => self.send_committed(from, stored_index),
-            Message::CommittedEntries { after, entries, .. } => {
-                self.handle_committed_entries(now, after, entries)
-            }
-            Message::CommittedSnapshot { log_id, last, voters, state } => {
-                self.handle_committed_snapshot(now, Snapshot { log_id, last, voters, state })
-            }
-            Message::Bootstrap { identity, confirmed, bootstrapped, disks } => {
-                let announcement = bootstrap::Announcement { identity, confirmed, bootstrapped, disks };
-                self.handle_bootstrap(now, from, announcement)
-            }
-            Message::StaleDisk { identity } => self.handle_stale_disk(identity),
-            Message::LeaseGranted { .. } | Message::LeaderHint { .. } => {}
-        }
-    }
-
-    /// Whether the message is of a log that goes on elsewhere beside one that was forced.
-    fn is_of_other_log(&self, message: &Message) -> bool {
-        match message {
-            Message::AppendEntries { log_id, .. }
-            | Message::CommittedEntries { log_id, .. }
-            | Message::Propose { log_id, .. } => *log_id != self.log.snapshot().log_id,
-            _ => false,
-        }
-    }
-
-    /// Does what is due by now.
+    /// Does what is due.
     pub fn handle_timeout(&mut self, now: Instant) {
         if self.disk_failed {
             return;
@@ -363,3 +312,8 @@
         }
     }
 }
+
+/// The least number of voters such that any two sets of so many have one in common.
+fn majority(voter_count: usize) -> usize {
+    voter_count / 2 + 1
+}
--- a/crates/consensus/src/raft/commit.rs
+++ b/crates/consensus/src/raft/commit.rs
@@ -1,10 +1,11 @@
 //! Committed entries in order (Raft, section 5.3), and snapshots of what they led to (section 7).
 
-use super::*;
+use super::{RaftNode, RaftOutput};
+use bytes::Bytes;
 use tackmast_wire::consensus::MAX_STATE;
 
 impl RaftNode {
-    /// All entries up to `index` that are here are committed.
+    /// Entries up to `index` are committed, as far as they are in the log.
     pub(super) fn advance_commit_index(&mut self, index: u64) {
         let index = index.min(self.log.last().index);
         while self.commit_index < index {
@@ -17,11 +18,9 @@
         self.request_snapshot_if_due();
     }
 
-    /// Asks for a snapshot once the log has grown long.
+    /// Requests a snapshot of the state machine once the log has grown long.
     pub(super) fn request_snapshot_if_due(&mut self) {
-        let length = self.log.since_snapshot();
-        let is_long = length.entries >= self.settings.snapshot_after_entries
-            || length.bytes >= self.settings.snapshot_after_bytes;
+        let is_long = self.settings.is_snapshot_due(self.log.since_snapshot());
         let snapshot_index = self.log.snapshot().last.index;
         let is_requested = self.snapshot_requested.is_some_and(|index| index > snapshot_index);
         if is_long && !is_requested && self.commit_index > snapshot_index {
--- a/crates/consensus/src/raft/election.rs
+++ b/crates/consensus/src/raft/election.rs
@@ -1,7 +1,15 @@
-//! Leader election (Raft, section 5.2) with the restriction on logs (5.4.1) and pre-votes (thesis, section 9.6), so that a
-//! server which was cut off unseats nobody. Voters that hear a leader disregard requests for votes (thesis, 4.2.3).
+//! Leader election (Raft, section 5.2) with the restriction on logs (5.4.1).
+//!
+//! A server that was cut off has missed heartbeats, and with a higher term it would depose a working leader when it is
+//! connected again. Two rules prevent that: pre-votes (thesis, section 9.6), which raise no term, and voters that
+//! disregard requests for votes while they have contact with a leader (thesis, section 4.2.3).
 
-use super::*;
+use super::{RaftNode, Role};
+use crate::fault::ConsensusFault;
+use crate::state::HardState;
+use std::collections::BTreeSet;
+use tackmast::interface::Instant;
+use tackmast_wire::consensus::{DiskIdentity, LogPosition, Message};
 
 /// The fields of a RequestVote message.
 pub(super) struct VoteRequest {
@@ -19,8 +27,31 @@
     pub identity: DiskIdentity,
 }
 
+/// What decides whether a voter grants a pre-vote or a vote.
+struct VoteInputs {
+    /// Term that the candidate asks for.
+    candidate_term: u64,
+    /// Newest term that the voter has seen.
+    voter_term: u64,
+    /// Whether the candidate's log has all that the voter's log has, by its last entry (Raft, section 5.4.1).
+    is_log_up_to_date: bool,
+}
+
+impl VoteInputs {
+    /// A pre-vote answers whether a vote would be granted in that later term. It binds the voter to nothing.
+    fn allow_pre_vote(&self, has_leader_contact: bool) -> bool {
+        !has_leader_contact && self.is_log_up_to_date && self.candidate_term > self.voter_term
+    }
+
+    /// One vote in each term: `has_other_vote` is whether the voter has voted for another candidate in it, or leads it.
+    fn allow_vote(&self, has_other_vote: bool) -> bool {
+        self.candidate_term == self.voter_term && !has_other_vote && self.is_log_up_to_date
+    }
+}
+
 impl RaftNode {
-    /// Draws a new election timeout (Raft, section 9.3) that begins now.
+    /// Begins a new election timeout: between one and two times the configured one, at random, so that rarely two servers
+    /// start an election together and split the votes (Raft, section 9.3).
     pub(super) fn reset_election_timer(&mut self, now: Instant) {
         let timeouts = 1.0 + self.random.rand_float();
         self.election_deadline = now + self.settings.election_timeouts(timeouts);
@@ -61,17 +92,19 @@
             return self.respond_to_vote(from, pre_vote, self.hard_state.term, false);
         }
         let is_up_to_date = last_log >= self.log.last() || self.has_fault(ConsensusFault::NoLogCheck);
+        let has_leader_contact = self.has_leader_contact(now);
         if pre_vote {
-            let granted = !self.has_leader_contact(now) && is_up_to_date && term > self.hard_state.term;
+            let granted = self.vote_inputs(term, is_up_to_date).allow_pre_vote(has_leader_contact);
             let response_term = if granted { term } else { self.hard_state.term };
             return self.respond_to_vote(from, pre_vote, response_term, granted);
         }
-        if self.has_leader_contact(now) {
+        if has_leader_contact {
             return;
         }
         self.observe_term(now, term);
-        let is_free = self.hard_state.voted_for.is_none_or(|candidate| candidate == from);
-        let granted = term == self.hard_state.term && is_free && is_up_to_date && !self.is_leader();
+        let voted_for_other = self.hard_state.voted_for.is_some_and(|candidate| candidate != from);
+        let has_other_vote = voted_for_other || self.is_leader();
+        let granted = self.vote_inputs(term, is_up_to_date).allow_vote(has_other_vote);
         if granted {
             self.record_vote(from);
             self.reset_election_timer(now);
@@ -79,11 +112,18 @@
         self.respond_to_vote(from, pre_vote, self.hard_state.term, granted);
     }
 
+    fn vote_inputs(&self, candidate_term: u64, is_log_up_to_date: bool) -> VoteInputs {
+        VoteInputs { candidate_term, voter_term: self.hard_state.term, is_log_up_to_date }
+    }
+
+    /// Whether this server leads, or has had contact with one within the election timeout.
     fn has_leader_contact(&self, now: Instant) -> bool {
         let has_recent_contact = now - self.last_leader_contact < self.settings.election_timeout;
         self.is_leader() || (self.leader().is_some() && has_recent_contact)
     }
 
+    /// Records the vote on disk before the response is sent: after a restart the server would else vote for another
+    /// candidate in the same term, and two leaders could be elected.
     fn record_vote(&mut self, candidate: u32) {
         if self.hard_state.voted_for.is_some() {
             return;
@@ -131,7 +171,8 @@
             self.become_candidate();
             return self.count_votes(now);
         }
-        // The own vote has to be on disk as well: without others' votes it comes last.
+        // This server's own vote has to be on disk as well. Votes of others arrive after that, but a single voter needs
+        // none.
         if count == 1 && self.persisted_write < self.last_write {
             return;
         }
--- a/crates/consensus/src/raft/follower.rs
+++ b/crates/consensus/src/raft/follower.rs
@@ -1,6 +1,11 @@
 //! What a follower does with a leader's messages: AppendEntries (Raft, section 5.3) and InstallSnapshot (section 7).
 
-use super::*;
+use super::{RaftNode, RaftOutput, Role};
+use crate::event::ConsensusEvent;
+use crate::fault::ConsensusFault;
+use crate::log::Snapshot;
+use tackmast::interface::Instant;
+use tackmast_wire::consensus::{Entry, LogPosition, Message};
 
 /// The fields of an AppendEntries message.
 pub(super) struct AppendRequest {
@@ -23,12 +28,12 @@
         if self.bootstrap.is_some() || !self.accept_leader(now, from, term, round) {
             return;
         }
-        // What the snapshot covers is committed, and so is as the leader has it.
+        // What the snapshot covers is committed, so the leader has the same entries.
         let snapshot_index = self.log.snapshot().last.index;
         let matches =
             previous.index < snapshot_index || self.log.position_at(previous.index) == Some(previous);
         if !matches {
-            let index = self.conflict_hint(previous);
+            let index = self.log.conflict_hint(previous.index, self.commit_index);
             let response = self.append_response(round, false, index);
             return self.send_after_persist(from, response);
         }
@@ -51,22 +56,8 @@
         Message::AppendEntriesResponse { term, round, success, index, identity }
     }
 
-    /// After which index the leader is to try next: the end of the log, or right before the entries of the term that
-    /// differs here (Raft, end of section 5.3).
-    fn conflict_hint(&self, previous: LogPosition) -> u64 {
-        let term_at = |index: u64| self.log.position_at(index).map(|position| position.term);
-        let mut index = self.log.last().index;
-        if index >= previous.index {
-            let conflicting_term = term_at(previous.index);
-            index = previous.index - 1;
-            while index > self.commit_index && term_at(index) == conflicting_term {
-                index -= 1;
-            }
-        }
-        index.max(self.commit_index)
-    }
-
-    /// Entries after `previous_index` from the first on that is not here already.
+    /// Entries after `previous_index`, from the first one that the log lacks or has of another term. Entries that match
+    /// stay: a late message would else remove entries after it that this server has acknowledged.
     fn select_new_entries(&self, previous_index: u64, entries: Vec<Entry>) -> NewEntries {
         let snapshot_index = self.log.snapshot().last.index;
         let mut new = NewEntries { first_index: 0, entries: Vec::new() };
@@ -88,6 +79,7 @@
         new
     }
 
+    /// Replaces the log from the first new entry on.
     fn replace_suffix(&mut self, new: NewEntries) {
         self.truncate_log_from(new.first_index);
         for entry in &new.entries {
@@ -105,7 +97,7 @@
         }
         self.observe_term(now, term);
         if self.is_leader() {
-            // Two leaders of one term are not possible; a message that says so is not followed.
+            // One term has at most one leader, so the message is forged or damaged.
             return false;
         }
         if self.leader() != Some(from) {
@@ -125,7 +117,7 @@
         }
         let index = snapshot.last.index;
         self.install_snapshot(snapshot);
-        // What is here beyond the snapshot is the leader's only as far as it is committed.
+        // Entries after the snapshot are known to match the leader's only as far as they are committed.
         let response = self.append_response(round, true, index.max(self.commit_index));
         self.send_after_persist(from, response);
     }
--- a/crates/consensus/src/raft/leader.rs
+++ b/crates/consensus/src/raft/leader.rs
@@ -1,83 +1,20 @@
-//! A leader's state (Raft, figure 2), its proposals and its heartbeat rounds. A leader that hears no majority for long steps
-//! down (thesis, section 6.2).
+//! A leader's proposals and heartbeat rounds. A leader without responses of a majority for long steps down (thesis, section
+//! 6.2): clients would else wait for commits that can't come, while another leader may have been elected.
 
-use super::leases::WaitingRequest;
-use super::replication::Progress;
-use super::*;
+use super::leader_state::LeaderState;
+use super::progress::Progress;
+use super::{RaftNode, Role, MAX_APPEND_ENTRIES, MAX_UNCOMMITTED};
 use crate::error::ProposeError;
-use tackmast_wire::consensus::MAX_ENTRY;
+use crate::event::ConsensusEvent;
+use bytes::Bytes;
+use tackmast::interface::Instant;
+use tackmast_wire::consensus::{Entry, EntryPayload, Message, MAX_ENTRY};
 
-/// Heartbeat intervals between two rounds, at least, however many requests wait for one.
+/// Least number of heartbeat intervals between two rounds, however many requests wait for one.
 const MIN_ROUND_HEARTBEATS: f64 = 0.2;
 /// Election timeouts without responses of a majority after which a leader steps down.
 const QUORUM_LOSS_TIMEOUTS: f64 = 2.0;
 
-/// What another replica reported with its last request for a lease.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct StoredReport {
-    pub stored_index: u64,
-    pub at: Instant,
-}
-
-#[derive(Clone, Debug)]
-pub(super) struct LeaderState {
-    /// Index of the first entry of its own term: once that is committed, all before it are.
-    pub term_start_index: u64,
-    pub peers: BTreeMap<u32, Progress>,
-    /// Number of the last heartbeat round.
-    pub round: u64,
-    pub heartbeat_due: Instant,
-    /// The next round begins no sooner, whoever waits for it.
-    pub next_round_at: Instant,
-    pub lease_requests: BTreeMap<u32, WaitingRequest>,
-    pub stored: BTreeMap<u32, StoredReport>,
-    /// Ids of the replicas' disks as they reported them.
-    pub disks: BTreeMap<u32, u64>,
-    /// The commit index that learners were sent.
-    announced_commit: u64,
-    /// Hosts that proposed entries which are not committed yet, by index.
-    proposers: BTreeMap<u64, u32>,
-}
-
-impl LeaderState {
-    fn new(now: Instant, term_start_index: u64, commit_index: u64) -> LeaderState {
-        LeaderState {
-            term_start_index,
-            peers: BTreeMap::new(),
-            round: 0,
-            heartbeat_due: now,
-            next_round_at: now,
-            lease_requests: BTreeMap::new(),
-            stored: BTreeMap::new(),
-            disks: BTreeMap::new(),
-            announced_commit: commit_index,
-            proposers: BTreeMap::new(),
-        }
-    }
-
-    /// Whether a lease request waits for a round that has not begun.
-    fn awaits_round(&self) -> bool {
-        self.lease_requests.values().any(|request| request.round > self.round)
-    }
-
-    /// When the next round is due.
-    pub(super) fn poll_timeout(&self) -> Instant {
-        match self.awaits_round() {
-            true => self.next_round_at.min(self.heartbeat_due),
-            false => self.heartbeat_due,
-        }
-    }
-
-    /// What other replicas have reported.
-    pub(super) fn follower_status(&self, now: Instant) -> BTreeMap<u32, FollowerStatus> {
-        let status = |report: &StoredReport| FollowerStatus {
-            stored_index: report.stored_index,
-            silent_for: now - report.at,
-        };
-        self.stored.iter().map(|(host, report)| (*host, status(report))).collect()
-    }
-}
-
 impl RaftNode {
     pub(super) fn become_leader(&mut self, now: Instant) {
         let last_index = self.log.last().index;
@@ -99,7 +36,7 @@
         index
     }
 
-    /// Replicates to those who vote by the newest configuration.
+    /// Takes the voters of the newest configuration as peers.
     fn update_peers(&mut self, now: Instant) {
         let last_index = self.log.last().index;
         let voters = self.other_voters();
@@ -130,14 +67,14 @@
         }
     }
 
-    /// Another replica's proposal. It hears at once when the entry is committed.
+    /// Takes another replica's proposal. That replica is sent the entry as soon as it is committed.
     pub(super) fn handle_proposal(&mut self, now: Instant, from: u32, data: Bytes) {
         match self.propose(now, data) {
             Ok(index) => {
                 if let Role::Leader(leader) = &mut self.role {
                     leader.proposers.insert(index, from);
                 }
-                // Where this server alone is a majority the entry may be committed already.
+                // Where this server alone is a majority, the entry may be committed already.
                 self.notify_proposers(now);
             }
             Err(ProposeError::NotLeader { leader }) => {
@@ -150,10 +87,7 @@
     pub(super) fn notify_proposers(&mut self, now: Instant) {
         let commit_index = self.commit_index;
         let Role::Leader(leader) = &mut self.role else { return };
-        let uncommitted = leader.proposers.split_off(&(commit_index + 1));
-        let committed = std::mem::replace(&mut leader.proposers, uncommitted);
-        let hosts: BTreeSet<u32> = committed.into_values().collect();
-        for host in hosts {
+        for host in leader.take_committed_proposers(commit_index) {
             let Role::Leader(leader) = &self.role else { return };
             if leader.peers.contains_key(&host) {
                 self.send_append(now, host);
@@ -166,19 +100,15 @@
         }
     }
 
-    /// Learners are sent what was committed since the last round, once: one that misses it hears of it with its next lease.
+    /// Sends learners what was committed since the last round, once. A learner that misses it learns of the commit with its
+    /// next lease.
     fn notify_learners(&mut self) {
         let commit_index = self.commit_index;
         let Role::Leader(leader) = &mut self.role else { return };
         if std::mem::replace(&mut leader.announced_commit, commit_index) >= commit_index {
             return;
         }
-        let is_behind = |host: &u32, report: &StoredReport| {
-            report.stored_index < commit_index && !leader.peers.contains_key(host)
-        };
-        let behind = leader.stored.iter().filter(|(host, report)| is_behind(host, report));
-        let behind: Vec<(u32, u64)> = behind.map(|(host, report)| (*host, report.stored_index)).collect();
-        for (host, stored_index) in behind {
+        for (host, stored_index) in leader.learners_behind(commit_index) {
             self.send_committed(host, stored_index);
         }
     }
@@ -187,8 +117,7 @@
         let quorum = self.quorum();
         let silent_for = self.settings.election_timeouts(QUORUM_LOSS_TIMEOUTS);
         let Role::Leader(leader) = &self.role else { return };
-        let responds = |progress: &&Progress| now - progress.last_response < silent_for;
-        let reachable = 1 + leader.peers.values().filter(responds).count();
+        let reachable = leader.reachable(now, silent_for);
         if reachable < quorum {
             self.emit(ConsensusEvent::QuorumLost { silent_for, reachable, quorum });
             return self.step_down(now, None);
@@ -199,7 +128,8 @@
         }
     }
 
-    /// Begins a heartbeat round (thesis, section 6.4): whoever responds to it took this server for the leader after now.
+    /// Begins a heartbeat round (thesis, section 6.4). A server that responds to it accepted this server as leader after
+    /// now.
     pub(super) fn start_round(&mut self, now: Instant) {
         let settings = self.settings;
         let Role::Leader(leader) = &mut self.role else { return };
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,14 +1,18 @@
 //! One replica of the group: a Raft server, its lease, and its own proposals on their way to the leader. This is the state
 //! machine that a host drives: `handle_…` and `on_…` take inputs, `poll_…` gives outputs and the next timeout.
+//!
+//! `lease_requests` has its lease and reads, `proposals` its proposals, `sessions` keeps each proposal from being applied
+//! twice, `effective` knows when a commit is effective.
 
 mod effective;
+mod lease_requests;
 mod proposals;
 mod sessions;
 
-use crate::error::{ProposeError, RecoveryError};
+use crate::error::RecoveryError;
 use crate::event::ConsensusEvent;
 use crate::fault::ConsensusFault;
-use crate::lease::{Lease, LeaseGrant, LeaseState};
+use crate::lease::Lease;
 use crate::log::Snapshot;
 use crate::output::ReplicaOutput;
 use crate::raft::{RaftNode, RaftOutput};
@@ -16,18 +20,19 @@
 use crate::status::Status;
 use bytes::Bytes;
 use effective::CommitTimes;
+use lease_requests::lease_grant;
 use proposals::PendingProposal;
 use sessions::{Proposal, Sessions};
 use std::collections::{BTreeSet, VecDeque};
-use tackmast::interface::{Instant, TimeDelta};
+use tackmast::interface::Instant;
 use tackmast_wire::consensus::{EntryPayload, Message};
 
-/// Lease requests in a row without a response after which another voter is asked who leads.
+/// Lease requests in a row without a response after which the replica asks another voter for the leader.
 const MAX_UNANSWERED: u32 = 2;
-/// Fraction of a heartbeat interval within which commits count as learned together.
+/// Heartbeat intervals within which commits count as learned together.
 const COMMIT_BATCH_HEARTBEATS: f64 = 0.25;
 
-/// A snapshot that was asked for, and the sessions as of then.
+/// A snapshot that was requested, and the sessions as of its last entry.
 #[derive(Clone)]
 struct PendingSnapshot {
     index: u64,
@@ -42,7 +47,7 @@
     /// The Raft server.
     pub raft: RaftNode,
     lease: Lease,
-    /// Which voter to ask next for the leader.
+    /// Position of the voter to ask next for the leader.
     next_voter: usize,
     leader_hint: Option<u32>,
     sessions: Sessions,
@@ -92,30 +97,12 @@
         self
     }
 
-    /// Starts a read of what is newest now; a number for `is_read_ready`.
-    pub fn request_read(&mut self, now: Instant) -> u32 {
-        self.lease.request_now(now);
-        let sequence = self.request_lease_if_due(now);
-        self.drain_raft(now);
-        sequence
-    }
-
-    /// Whether all that was committed when the read was requested is here.
-    pub fn is_read_ready(&self, sequence: u32) -> bool {
-        self.lease.read_index(sequence).is_some_and(|index| self.raft.commit_index() >= index)
-    }
-
-    /// Whether what this replica has counts.
-    pub fn lease_state(&self, now: Instant) -> LeaseState {
-        self.lease.state(now)
-    }
-
     /// Index of the last entry that is committed as far as this replica knows.
     pub fn commit_index(&self) -> u64 {
         self.raft.commit_index()
     }
 
-    /// Index of the last entry that is effective: no replica, connected or not, goes by what was before it.
+    /// Index of the last entry that is effective: no replica, connected or not, acts on the state before it any more.
     pub fn effective_index(&self, now: Instant) -> u64 {
         self.commit_times.effective_index(now).unwrap_or(self.raft.commit_index())
     }
@@ -139,8 +126,8 @@
         self.raft.identity().generation
     }
 
-    /// Goes on alone after most voters are gone for good, with a new log; its id. `state` is the state machine's, as of the
-    /// last committed entry.
+    /// Begins a new log alone after most voters are lost for good; its id. `state` is the state machine's, as of the last
+    /// committed entry.
     pub fn force_new_log(&mut self, now: Instant, state: &[u8]) -> Result<u64, RecoveryError> {
         let log_id = self.raft.force_new_log(now, self.sessions.encode_with(state))?;
         self.reset_for_new_log(now);
@@ -183,7 +170,7 @@
         self.handle_timeout(now);
     }
 
-    /// Whether that is the id of another log than the one that this replica has entries of.
+    /// Whether that is the id of another log than this replica's, if it has any committed entries.
     fn is_of_other_log(&self, log_id: u64) -> bool {
         log_id != self.raft.log().snapshot().log_id && self.raft.commit_index() > 0
     }
@@ -194,25 +181,6 @@
         }
     }
 
-    fn on_lease_granted(&mut self, now: Instant, from: u32, grant: LeaseGrant) {
-        self.lease.on_granted(now, grant);
-        self.leader_hint = Some(from);
-        self.raft.on_commit_advertised(now, from, grant.index);
-    }
-
-    fn on_leader_hint(&mut self, now: Instant, from: u32, leader: Option<u32>) {
-        let named = leader.filter(|leader| *leader != from);
-        self.lease.on_response();
-        if named == self.leader_hint {
-            return;
-        }
-        self.leader_hint = named;
-        if named.is_some() {
-            self.lease.request_now(now);
-            self.retry_first_proposal(now);
-        }
-    }
-
     /// The write of that number and all before it are on disk.
     pub fn on_persisted(&mut self, now: Instant, write_id: u64) {
         self.raft.on_persisted(now, write_id);
@@ -227,17 +195,18 @@
 
     /// The state machine's state as of that entry, as asked for by `TakeSnapshot`.
     pub fn on_snapshot_taken(&mut self, now: Instant, index: u64, state: &[u8]) {
-        // With the sessions of then, whatever was committed since: the state is of then, too.
+        // The sessions are those as of the snapshot's last entry, like the state. With newer sessions, proposals that were
+        // committed since would count as applied although the state lacks them.
         let pending = self.pending_snapshot.take_if(|pending| pending.index == index);
         let Some(PendingSnapshot { sessions, .. }) = pending else { return };
         self.raft.on_snapshot_taken(index, sessions.encode_with(state));
         self.drain_raft(now);
     }
 
-    /// Does what is due by now.
+    /// Does what is due.
     pub fn handle_timeout(&mut self, now: Instant) {
         self.raft.handle_timeout(now);
-        // Without a response somebody else may lead by now.
+        // Without responses another replica may be leader by now.
         if self.lease.unanswered() >= MAX_UNANSWERED {
             self.leader_hint = None;
         }
@@ -259,26 +228,6 @@
         self.outputs.pop_front()
     }
 
-    /// The number of the request; 0 if none was due.
-    fn request_lease_if_due(&mut self, now: Instant) -> u32 {
-        let Some(sequence) = self.lease.poll_request(now) else { return 0 };
-        let (stored_index, identity) = (self.raft.persisted_commit_index(), self.raft.identity());
-        if let Some(to) = self.leader_or_next_voter() {
-            self.send(now, to, Message::RequestLease { sequence, stored_index, identity });
-        }
-        sequence
-    }
-
-    /// The leader as far as it is known; else one after the other of those that may know it.
-    fn leader_or_next_voter(&mut self) -> Option<u32> {
-        if let Some(leader) = self.leader() {
-            return Some(leader);
-        }
-        let voters = self.raft.voters_to_ask();
-        self.next_voter = self.next_voter.wrapping_add(1);
-        voters.get(self.next_voter % voters.len().max(1)).copied()
-    }
-
     fn send(&mut self, now: Instant, to: u32, message: Message) {
         if to != self.me {
             return self.outputs.push_back(ReplicaOutput::Send { to, message });
@@ -286,7 +235,7 @@
         self.raft.handle_message(now, to, message);
     }
 
-    /// Passes on what the Raft server wants done.
+    /// Passes on the outputs of the Raft server.
     fn drain_raft(&mut self, now: Instant) {
         while let Some(output) = self.raft.poll_output() {
             if let Some(output) = self.convert_output(now, output) {
@@ -317,13 +266,6 @@
         }
     }
 
-    /// A leader grants its own replica's lease, too.
-    fn on_message_to_itself(&mut self, now: Instant, message: Message) {
-        if let Message::LeaseGranted { sequence, index, duration_ms, .. } = message {
-            self.lease.on_granted(now, lease_grant(sequence, index, duration_ms));
-        }
-    }
-
     fn begin_snapshot(&mut self, index: u64) -> ReplicaOutput {
         let drops_sessions = self.fault == Some(ConsensusFault::SnapshotDropsSessions);
         let sessions = if drops_sessions { Sessions::default() } else { self.sessions.clone() };
@@ -337,7 +279,7 @@
         ReplicaOutput::RestoreSnapshot { index, state: self.sessions.restore_from(snapshot.state) }
     }
 
-    /// A committed command, if it counts.
+    /// The output for a committed command, unless it was applied before.
     fn apply(&mut self, now: Instant, index: u64, command: Bytes) -> Option<ReplicaOutput> {
         let proposal = Proposal::decode(command)?;
         if proposal.host >= self.settings.host_count || !self.sessions.admit(&proposal) {
@@ -351,22 +293,4 @@
         }
         Some(ReplicaOutput::Committed { index, data, own_proposal })
     }
-
-    fn report_lease_change(&mut self, now: Instant) {
-        let is_valid = self.lease.state(now).is_valid();
-        if is_valid == self.lease_was_valid {
-            return;
-        }
-        self.lease_was_valid = is_valid;
-        let commit_index = self.raft.commit_index();
-        self.outputs.push_back(ReplicaOutput::Event(match is_valid {
-            true => ConsensusEvent::LeaseValid { commit_index },
-            false => ConsensusEvent::LeaseExpired { commit_index },
-        }));
-    }
-}
-
-fn lease_grant(sequence: u32, index: u64, duration_ms: u32) -> LeaseGrant {
-    let duration = TimeDelta::from_secs(f64::from(duration_ms) / 1e3);
-    LeaseGrant { sequence, index, duration }
 }
--- a/crates/host-core/src/core/peers.rs
+++ b/crates/host-core/src/core/peers.rs
@@ -1,134 +1,26 @@
-//! Peers: datagrams, what follows from them, and plans that change.
+//! Peers: datagrams, and what follows from them.
 
 use super::*;
+use tackmast_membership::{CatalogUpdate, QuotaBalance};
 
 impl Core {
-    /// Against a host that restarts with outdated plans: a lower limit may apply by now.
-    pub(super) fn must_wait_for_catalog(&mut self, now: Instant) -> bool {
-        if self.consensus.is_some() {
-            // A host without a lease is in degraded mode, which covers this.
-            return false;
-        }
-        let Some(plans) = &mut self.plans else { return false };
-        let up_to_date = self.peers.as_ref().is_none_or(|peers| peers.member.catalog.is_up_to_date());
-        plans.must_wait_for_catalog(now, up_to_date)
-    }
-
-    /// Lets plans change while the host runs.
-    pub fn with_plans(&mut self, now: Instant, mut plans: Plans, stored: StoredPlans) {
-        let updates = plans.resume();
-        if stored == StoredPlans::Nothing {
-            let batch =
-                PersistBatch { changes: vec![(0, plans.checkpoint_line())], ..PersistBatch::default() };
-            self.outputs.push_back(Output::Persist { request: 0, batch });
-        }
-        if let Some(peers) = self.peers.as_mut().filter(|_| self.consensus.is_none()) {
-            peers.enable_catalog(&plans);
-        }
-        self.plans = Some(plans);
-        self.apply_plan_updates(now, &updates);
-        if self.consensus.is_some() {
-            // Until it has a lease this host is in degraded mode.
-            let updates = self.plans.as_mut().map(|p| p.all_updates()).unwrap_or_default();
-            self.apply_plan_updates(now, &updates);
-            self.process_consensus_outputs(now);
-        }
-    }
-
-    /// The plans that change while the host runs, where there are any.
-    pub fn plans(&self) -> Option<&Plans> {
-        self.plans.as_ref()
-    }
-
-    /// Passes changed plans to the scheduler, and changed limits to the quota leases.
-    pub(super) fn apply_plan_updates(&mut self, now: Instant, updates: &[PlanUpdate]) {
-        for m in updates {
-            match m {
-                PlanUpdate::Plan { plan, figures } => self.scheduler.plan_changed(now, *plan, *figures),
-                PlanUpdate::Volume { name, plan } => {
-                    let Some(volume) = self.layout.volume_named(name) else { continue };
-                    self.layout.set_plan(volume, plan.0);
-                    self.scheduler.volume_plan_changed(now, VolumeId(volume as u32), *plan);
-                }
-            }
-        }
-        let Some((peers, plans)) = self.peers.as_mut().zip(self.plans.as_ref()) else { return };
-        for v in self.layout.volumes() {
-            if let Some(limit) = plans.limit_of(&v.name) {
-                peers.member.leases.set_limit(v.lun, limit.limit);
-            }
-        }
-    }
-
-    /// A change applies here: it is replicated to peers.
-    pub(super) fn apply_change(&mut self, now: Instant, change: AppliedChange) {
-        self.emit(change.event);
-        self.apply_plan_updates(now, &change.updates);
-        if let Some(peers) = &mut self.peers {
-            let version = tackmast_membership::CatalogVersion { number: change.number, mark: change.mark };
-            let text = Bytes::from(change.text);
-            peers.member.handle_catalog_applied(now, version, text, change.effective_at);
-        }
-    }
-
-    /// The same for a change of a peer, which this host's store does not have yet.
-    fn apply_and_persist_change(&mut self, now: Instant, change: AppliedChange) {
-        let batch =
-            PersistBatch { changes: vec![(change.number, change.text.clone())], ..PersistBatch::default() };
-        self.apply_change(now, change);
-        self.outputs.push_back(Output::Persist { request: 0, batch });
-    }
-
-    pub(super) fn handle_plan_request(&mut self, now: Instant, request: u64, plan_request: PlanRequest) {
-        let wall_us = self.wall_us(now);
-        if self.consensus.is_some() {
-            return self.handle_replicated_plan_request(now, wall_us, request, plan_request);
-        }
-        // Against two changes of one number: a home that has lost what others go by takes that back first.
-        let writes = matches!(plan_request, PlanRequest::Apply { .. } | PlanRequest::Undo { .. });
-        if let Some(n) =
-            self.peers.as_ref().and_then(|peers| peers.member.catalog.missing()).filter(|_| writes)
-        {
-            let newest = self.plans.as_ref().map_or(0, Plans::newest);
-            let why =
-                format!("others go by change {n}, this host by {newest}; ask again when it has caught up");
-            let response = AdminResponse::Plan(PlanResponse::Refused { why });
-            return self.outputs.push_back(Output::AdminResponse { request, response });
-        }
-        let next = self.plans.as_mut().and_then(|p| p.handle_request(now, wall_us, request, plan_request));
-        match next {
-            None => {}
-            Some(PlanOutcome::Persist { request, entry }) => {
-                let batch = PersistBatch {
-                    changes: vec![(entry.number, entry.to_line())],
-                    ..PersistBatch::default()
-                };
-                self.outputs.push_back(Output::Persist { request, batch });
-            }
-            Some(PlanOutcome::Respond { request, mut response }) => {
-                if let (PlanResponse::Shown(s), Some(peers)) = (&mut response, &self.peers) {
-                    s.at = peers.member.catalog.peer_versions().clone();
-                }
-                self.outputs
-                    .push_back(Output::AdminResponse { request, response: AdminResponse::Plan(response) });
-            }
-        }
-    }
-
-    /// Takes this host in among others.
+    /// This host takes part in membership from now on.
     pub fn with_peers(&mut self, now: Instant, peers: Peers) {
         if let Some(override_requests) = &mut self.override_requests {
             override_requests.me = Some(peers.me());
         }
         self.peers = Some(peers);
-        let alone = self.consensus.is_none();
-        if let Some((peers, plans)) = self.peers.as_mut().zip(self.plans.as_ref()).filter(|_| alone) {
-            peers.enable_catalog(plans);
+        let is_replicated_by_peers = self.consensus.is_none();
+        if let Some((peers, plans)) = self.peers.as_mut().zip(self.plans.as_ref()) {
+            if is_replicated_by_peers {
+                peers.enable_catalog(plans);
+            }
         }
         self.apply_plan_updates(now, &[]);
-        let standing = self.override_requests.as_ref().map(|o| o.overrides.list(now)).unwrap_or_default();
+        let requests = self.override_requests.as_ref();
+        let active = requests.map(|requests| requests.overrides.list(now)).unwrap_or_default();
         if let Some(peers) = &mut self.peers {
-            standing.iter().for_each(|(o, announce_leave)| peers.add_override(now, o, *announce_leave));
+            active.iter().for_each(|(record, left_s)| peers.add_override(now, record, *left_s));
         }
         self.process_peer_events(now);
     }
@@ -141,7 +33,8 @@
         }
     }
 
-    /// The host leaves gracefully and lends its limits; that it leaves is already persisted.
+    /// The host leaves gracefully and lends its quota to others. That it leaves has been persisted: else its next generation would use
+    /// what is still lent.
     pub fn begin_leave(&mut self, now: Instant) {
         if let Some(peers) = &mut self.peers {
             peers.member.begin_leave(now);
@@ -162,7 +55,7 @@
         self.peers.as_ref().is_some_and(|peers| peers.member.leases.is_leaving())
     }
 
-    /// Whether the mark of an earlier leave may go: nothing that was lent can be out any more.
+    /// Whether the persisted mark of an earlier leave may be removed: all quota leases of then have ended.
     pub fn have_earlier_leases_ended(&self, now: Instant) -> bool {
         self.peers.as_ref().is_none_or(|peers| peers.member.leases.have_earlier_leases_ended(now))
     }
@@ -174,38 +67,49 @@
             let Some(next) = peers.next(now, &self.layout) else { return };
             match next {
                 PeerEvent::AliveHosts(hosts) => self.scheduler.alive_hosts_changed(hosts),
-                PeerEvent::QuotaMoved { volume, m } => {
-                    let v = self.layout.volume(volume);
-                    let (id, plan) = (VolumeId(volume as u32), PlanId(v.plan));
-                    let leases = QuotaLeases { lent: m.lent, borrowed: m.borrowed, until: m.until };
-                    let change = LeaseChange { volume: id, plan, hosts: v.hosts, leases };
-                    self.scheduler.quota_leases_changed(now, change);
+                PeerEvent::QuotaChanged { volume, balance } => {
+                    self.handle_quota_changed(now, volume, balance);
                 }
                 PeerEvent::Send { to, bytes } => self.outputs.push_back(Output::Datagram { to, bytes }),
                 PeerEvent::Event(event) => self.emit(HostEvent::Membership(event)),
                 PeerEvent::AdminRequest { request, admin_request } => {
                     self.handle_admin_request(now, request, admin_request)
                 }
-                PeerEvent::Persist(r) => {
-                    let batch = PersistBatch { members: Some(r), ..PersistBatch::default() };
-                    self.outputs.push_back(Output::Persist { request: 0, batch });
+                PeerEvent::Persist(members) => {
+                    let batch = PersistBatch { members: Some(members), ..PersistBatch::default() };
+                    self.persist(batch);
                 }
-                PeerEvent::NodeList(c) => self.handle_peer_node_list(now, c),
+                PeerEvent::NodeList(event) => self.handle_peer_node_list(now, event),
                 PeerEvent::ConsensusMessage { from, slot, body } => {
                     self.handle_consensus_message(now, from, slot, body)
                 }
-                PeerEvent::CatalogUpdate(p) => {
-                    let Some(plans) = &mut self.plans else { continue };
-                    let ends = peers.member.catalog.deadline(p.number, now);
-                    match plans.apply_peer_change(&p.text, ends) {
-                        Ok(change) => self.apply_and_persist_change(now, change),
-                        Err(why) => {
-                            peers.member.catalog.handle_rejected();
-                            let (change, error) = (Some(p.number), why.to_string());
-                            self.emit(PlanEvent::ChangeRejected { change, error });
-                        }
-                    }
-                }
+                PeerEvent::CatalogUpdate(update) => self.handle_catalog_update(now, &update),
+            }
+        }
+    }
+
+    fn handle_quota_changed(&mut self, now: Instant, volume: usize, balance: QuotaBalance) {
+        let QuotaBalance { lent, borrowed, until, .. } = balance;
+        let settings = self.layout.volume(volume);
+        let change = LeaseChange {
+            volume: VolumeId(volume as u32),
+            plan: PlanId(settings.plan),
+            hosts: settings.hosts,
+            leases: QuotaLeases { lent, borrowed, until },
+        };
+        self.scheduler.quota_leases_changed(now, change);
+    }
+
+    /// A change of plans that a peer sent: it applies here from now on, if it is the next one.
+    fn handle_catalog_update(&mut self, now: Instant, update: &CatalogUpdate) {
+        let (Some(peers), Some(plans)) = (&mut self.peers, &mut self.plans) else { return };
+        let effective_at = peers.member.catalog.deadline(update.number, now);
+        match plans.apply_peer_change(&update.text, effective_at) {
+            Ok(change) => self.apply_and_persist_change(now, change),
+            Err(error) => {
+                peers.member.catalog.handle_rejected();
+                let (change, error) = (Some(update.number), error.to_string());
+                self.emit(PlanEvent::ChangeRejected { change, error });
             }
         }
     }
--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -13,12 +13,13 @@
 use crate::close_reason::CloseReason;
 use crate::list_watch::{Watch, WatchEvent};
 use crate::memory_replication::{self, MemoryReplication};
-use crate::node_connections::Links;
+use crate::node_connections::{NodeConnections, PendingAttempt};
 use crate::poller::{Poller, Ready, Token, READ};
+use crate::request_ids::RequestIds;
 use crate::resource_budget::ResourceBudget;
 use crate::shutdown_schedule::{ShutdownPhase, ShutdownSchedule};
 use bytes::Bytes;
-use std::collections::{HashMap, HashSet, VecDeque};
+use std::collections::HashMap;
 use std::fmt::Display;
 use std::io::{ErrorKind, Read};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -29,7 +30,7 @@
 use tackmast_host_core::{
     Age, AttemptResult, CommandRef, Core, ListEntry, Output, PlacedRequest, PlacedSettings,
 };
-use tackmast_host_core::{NodeStart, OpaqueRequest, SendAttempt, Verdict};
+use tackmast_host_core::{NodeStart, OpaqueRequest, Verdict};
 use tackmast_http::Request;
 use tackmast_platform::{Call, Configuration, List, Reports, Settings};
 
@@ -41,10 +42,6 @@
 const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
 /// Minimum interval between polls of the endpoint list: well within the time after which a poll counts as a new watch.
 const MIN_POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(50);
-/// How long the id of a finished request is remembered.
-const REQUEST_ID_RETENTION: TimeDelta = TimeDelta::from_millis(5000);
-/// Ids of finished requests that are remembered; the oldest is forgotten beyond.
-const MAX_RECENT_IDS: usize = 4096;
 /// Nodes that the host core remembers.
 const MAX_NODES: usize = 1024;
 /// Volumes whose names the host core remembers.
@@ -76,7 +73,7 @@
     poller: Poller,
     listener: Option<TcpListener>,
     clients: ClientConnections,
-    links: Links,
+    node_connections: NodeConnections,
     watch: Watch,
     /// The endpoint list is polled, one call after the other.
     follows_list: bool,
@@ -87,12 +84,10 @@
     /// A poll of the list has ended, with whatever result.
     list_polled: bool,
     signals: HashMap<u32, (ProcessSignal, UnixStream)>,
-    /// The id of each open request, by its connection.
-    open_requests: HashMap<u32, String>,
-    request_ids: HashSet<String>,
-    /// Ids of requests that were answered lately, the oldest first; they stand in `request_ids` too.
-    recent_ids: VecDeque<(Instant, String)>,
+    request_ids: RequestIds,
+    /// Requests that were accepted; the last one's number.
     requests: u32,
+    /// Requests that were malformed or not allowed.
     refused: u64,
     /// Connections whose next request may have been received already.
     pipelined_clients: Vec<u32>,
@@ -129,10 +124,8 @@
         let settings = configuration.settings.clone();
         let budget = ResourceBudget::of(&configuration.limits);
         let poller = Poller::new().map_err(StartError::Poller)?;
-        let listen_error = |problem| StartError::Listen { address: configuration.listen, problem };
-        let listener = TcpListener::bind(configuration.listen).map_err(listen_error)?;
-        listener.set_nonblocking(true).map_err(listen_error)?;
-        poller.add(&listener, Token::Listener, READ).map_err(listen_error)?;
+        let listener = bind_listener(configuration.listen, &poller)
+            .map_err(|problem| StartError::Listen { address: configuration.listen, problem })?;
         let mut scheduler = settings.scheduler(now, configuration.seed);
         // Also where lists are pushed: the platform's agent is polled from the start. Without it the host would serve by the list in
         // its configuration file for as long as it lives.
@@ -144,17 +137,8 @@
             clock,
             poller,
             listener: Some(listener),
-            clients: ClientConnections::new(
-                budget.client_connections,
-                budget.buffer_bytes,
-                settings.longest_wait,
-            ),
-            links: Links::new(
-                budget.node_connections,
-                settings.connect_timeout,
-                settings.conn_idle,
-                Reports::of(&settings),
-            ),
+            clients: client_connections(&settings, &budget),
+            node_connections: node_connections(&settings, &budget),
             watch: Watch::new(configuration.discovery),
             follows_list: false,
             last_poll_at: now - MIN_POLL_INTERVAL,
@@ -162,9 +146,7 @@
             has_list: false,
             list_polled: false,
             signals: HashMap::new(),
-            open_requests: HashMap::new(),
-            request_ids: HashSet::new(),
-            recent_ids: VecDeque::new(),
+            request_ids: RequestIds::default(),
             requests: 0,
             refused: 0,
             pipelined_clients: Vec::new(),
@@ -201,11 +183,11 @@
     pub fn status(&self) -> Status {
         Status {
             core: self.core.counters,
-            clients: self.clients.counters,
-            links: self.links.counters,
+            client_counters: self.clients.counters,
+            node_counters: self.node_connections.counters,
             refused: self.refused,
             client_connections: self.clients.len(),
-            node_connections: self.links.len(),
+            node_connections: self.node_connections.len(),
             open: self.core.open_counts(),
             serves: self.shutdown_since.is_none(),
             listens: self.address(),
@@ -262,13 +244,13 @@
                     self.handle_signal(now, signal, reload);
                 }
             }
-            Token::Link(id) => {
+            Token::NodeConnection(id) => {
                 // The connection may just have been established. A client that has left meanwhile is looked for first, or its request
                 // would be written to the node.
-                if let Some(client) = self.links.connecting_client(id) {
+                if let Some(client) = self.node_connections.connecting_client(id) {
                     self.check_client(now, client);
                 }
-                self.links.handle_ready(now, &self.poller, id, ready, &mut self.attempt_results);
+                self.node_connections.handle_ready(now, &self.poller, id, ready, &mut self.attempt_results);
                 self.report_attempt_results(now);
             }
             Token::ClientConnection(id) => {
@@ -287,7 +269,7 @@
         }
         let now = self.clock.now();
         let next_check = self.timeouts_checked_at + TIMEOUT_CHECK_INTERVAL;
-        let timeouts = [self.core.poll_timeout(now), self.links.poll_timeout(), Some(next_check)];
+        let timeouts = [self.core.poll_timeout(now), self.node_connections.poll_timeout(), Some(next_check)];
         let next_timeout = timeouts.into_iter().flatten().min().unwrap_or(next_check);
         Duration::from_secs_f64((next_timeout - now).secs().max(0.0))
     }
@@ -324,7 +306,7 @@
         if self.follows_list && !self.watch.is_polling() && self.next_poll_at.is_some_and(|due| due <= now) {
             self.poll_list(now);
         }
-        self.links.handle_timeout(now, &mut self.attempt_results);
+        self.node_connections.handle_timeout(now, &mut self.attempt_results);
         self.report_attempt_results(now);
         for (id, open) in self.clients.handle_timeout(now, &self.poller) {
             self.client_gone(now, id, Some(open));
@@ -333,6 +315,22 @@
     }
 }
 
+fn client_connections(settings: &Settings, budget: &ResourceBudget) -> ClientConnections {
+    ClientConnections::new(budget.client_connections, budget.buffer_bytes, settings.longest_wait)
+}
+
+fn node_connections(settings: &Settings, budget: &ResourceBudget) -> NodeConnections {
+    let reports = Reports::of(settings);
+    NodeConnections::new(budget.node_connections, settings.connect_timeout, settings.conn_idle, reports)
+}
+
+fn bind_listener(address: SocketAddr, poller: &Poller) -> std::io::Result<TcpListener> {
+    let listener = TcpListener::bind(address)?;
+    listener.set_nonblocking(true)?;
+    poller.add(&listener, Token::Listener, READ)?;
+    Ok(listener)
+}
+
 fn placed_settings(settings: &Settings, budget: &ResourceBudget) -> PlacedSettings {
     let traffic_classes = settings.traffic_classes.iter().map(|class| TrafficClass {
         name: class.name.clone(),
--- a/crates/platform-host/src/node_connection.rs
+++ b/crates/platform-host/src/node_connection.rs
@@ -7,7 +7,7 @@
 use tackmast_http::ResponseReader;
 
 /// Where a connection is in its protocol.
-pub enum State {
+pub(crate) enum State {
     /// It must be established by `until`, for this attempt.
     Connecting { until: Instant, attempt: Box<SendAttempt> },
     /// The attempt is being written, or its answer is awaited.
@@ -17,7 +17,7 @@
 }
 
 /// A connection to a node.
-pub struct Link {
+pub(crate) struct NodeConnection {
     /// The node.
     pub node: NodeId,
     /// Its address when the connection was opened.
@@ -30,7 +30,7 @@
 
 /// What happened to connections to nodes since the start, for logs and tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LinkCounters {
+pub struct NodeConnectionCounters {
     /// Connections that were opened.
     pub opened: u64,
     /// Attempts that reused an idle connection.
--- a/crates/platform-host/src/poller.rs
+++ b/crates/platform-host/src/poller.rs
@@ -11,7 +11,7 @@
     /// The node list comes first in an iteration: a change in it counts as notified from when it was written to this host.
     List(u32),
     Signal(u32),
-    Link(u32),
+    NodeConnection(u32),
     ClientConnection(u32),
     Listener,
     Peers,
@@ -22,7 +22,7 @@
         let (kind, number) = match self {
             Token::List(number) => (0, number),
             Token::Signal(number) => (1, number),
-            Token::Link(number) => (2, number),
+            Token::NodeConnection(number) => (2, number),
             Token::ClientConnection(number) => (3, number),
             Token::Listener => (4, 0),
             Token::Peers => (5, 0),
@@ -35,7 +35,7 @@
         match self {
             Token::List(_) => 0,
             Token::Signal(_) => 1,
-            Token::Link(_) => 3,
+            Token::NodeConnection(_) => 3,
             Token::ClientConnection(_) => 4,
             Token::Listener => 5,
             Token::Peers => 6,
@@ -56,7 +56,7 @@
         match data >> 32 {
             0 => Token::List(number),
             1 => Token::Signal(number),
-            2 => Token::Link(number),
+            2 => Token::NodeConnection(number),
             3 => Token::ClientConnection(number),
             5 => Token::Peers,
             _ => Token::Listener,
@@ -79,17 +79,17 @@
 
 /// Which events of a socket the poller waits for. The end of a connection is always reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Interest {
+pub(crate) struct Interest {
     pub read: bool,
     pub write: bool,
 }
 
 /// Wait for bytes to read.
-pub const READ: Interest = Interest { read: true, write: false };
+pub(crate) const READ: Interest = Interest { read: true, write: false };
 /// Wait for capacity to write.
-pub const WRITE: Interest = Interest { read: false, write: true };
+pub(crate) const WRITE: Interest = Interest { read: false, write: true };
 /// Wait for either.
-pub const BOTH: Interest = Interest { read: true, write: true };
+pub(crate) const BOTH: Interest = Interest { read: true, write: true };
 
 impl Interest {
     fn flags(self) -> EventFlags {
@@ -104,14 +104,14 @@
 const MAX_EVENTS_PER_ITERATION: usize = 256;
 
 /// An epoll instance.
-pub struct Poller {
+pub(crate) struct Poller {
     epoll: OwnedFd,
     events: Vec<Event>,
 }
 
 impl Poller {
     /// Makes an epoll instance.
-    pub fn new() -> std::io::Result<Self> {
+    pub(crate) fn new() -> std::io::Result<Self> {
         Ok(Poller {
             epoll: epoll::create(CreateFlags::CLOEXEC)?,
             events: Vec::with_capacity(MAX_EVENTS_PER_ITERATION),
@@ -119,17 +119,17 @@
     }
 
     /// Registers a socket.
-    pub fn add(&self, fd: impl AsFd, token: Token, interest: Interest) -> std::io::Result<()> {
+    pub(crate) fn add(&self, fd: impl AsFd, token: Token, interest: Interest) -> std::io::Result<()> {
         Ok(epoll::add(&self.epoll, fd, token.data(), interest.flags())?)
     }
 
     /// Changes which events are waited for. A socket is deregistered by being closed.
-    pub fn change(&self, fd: impl AsFd, token: Token, interest: Interest) {
+    pub(crate) fn change(&self, fd: impl AsFd, token: Token, interest: Interest) {
         _ = epoll::modify(&self.epoll, fd, token.data(), interest.flags());
     }
 
     /// Waits for at most `timeout`. Gives the sockets that are ready, in the order in which they are handled.
-    pub fn wait(&mut self, timeout: Duration, ready: &mut Vec<Ready>) {
+    pub(crate) fn wait(&mut self, timeout: Duration, ready: &mut Vec<Ready>) {
         self.events.clear();
         let timeout = rustix::event::Timespec {
             tv_sec: timeout.as_secs() as i64,
