--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -11,10 +11,9 @@
 //! | `network_faults` | cuts, loss, delay and resets between processes |
 //! | `http` | nodes, list and clients of the operators' platform |
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 /// Nodes, list and clients of the operators' platform.
-#[allow(missing_docs)]
 pub mod http;
 /// A scripted iSCSI client.
 pub mod initiator;
