--- a/crates/benchmarks/src/simulator_comparison.rs
+++ b/crates/benchmarks/src/simulator_comparison.rs
@@ -66,12 +66,12 @@
 
 /// The world that both play: no faults, and links as short as those of loopback.
 fn world(workload: &Workload, host_count: u32, node_count: u32, unit_ms: f64) -> World {
-    let mut world = World::draw(1, host_count);
+    let mut world = World::generate(1, host_count);
     (world.nodes, world.cores) = (node_count, 2);
     (world.seconds, world.unit_s) = (workload.seconds + TAIL_S, unit_ms / 1e3);
     (world.delay_us, world.jitter_us, world.list_late_us) = (50, 20, 10_000);
     (world.clients, world.wall_off_s, world.drift) = ([0, 2], 0.0, 0.0);
-    world.troubles.clear();
+    world.faults.clear();
     world.load = Some(Arc::new(workload.clone()));
     world
 }
--- a/crates/cli/src/agreed.rs
+++ b/crates/cli/src/agreed.rs
@@ -1,7 +1,9 @@
 //! `tackmast simulator agree`: walks over the agreement in virtual time.
 
 use std::process::ExitCode;
-use tackmast_simulator::{agreed_fleet, explore, find_fault, walk, ConsensusFault, FleetTrial, Walk, Walked};
+use tackmast_simulator::{
+    explore, find_fault, run_random_walk, simulate_fleet, ConsensusFault, FleetTrial, RandomWalk, WalkResult,
+};
 
 #[derive(clap::Args)]
 pub struct AgreeArguments {
@@ -62,8 +64,9 @@
         }
         return Ok(ExitCode::from(u8::from(!good)));
     }
-    let all: Vec<Walked> = crate::views::each(&seeds, a.threads, |s| walk(&Walk::drawn(*s, a.steps, None)));
-    let sum = |f: fn(&Walked) -> u64| all.iter().map(f).sum::<u64>();
+    let all: Vec<WalkResult> =
+        crate::views::each(&seeds, a.threads, |s| run_random_walk(&RandomWalk::drawn(*s, a.steps, None)));
+    let sum = |f: fn(&WalkResult) -> u64| all.iter().map(f).sum::<u64>();
     let longest = all.iter().map(|w| w.longest).fold(0.0, f64::max);
     println!(
         "{} walks of {} steps from seed {}: {} entries agreed on, {} reads, longest by an older word {longest:.3} of a lease",
@@ -78,7 +81,7 @@
         if let Some((step, what)) = &w.broken {
             good = false;
             println!("BROKEN: walk {seed}, step {step}: {what}");
-            w.told.iter().for_each(|t| println!("    {t}"));
+            w.disk_and_voter_changes.iter().for_each(|t| println!("    {t}"));
         }
     }
     Ok(ExitCode::from(u8::from(!good)))
@@ -112,7 +115,7 @@
             (a.first..a.first + a.seeds).map(|seed| FleetTrial { hosts: *h, voters: 3, seed, loss: a.loss })
         })
         .collect();
-    let all = crate::views::each(&trials, a.threads, agreed_fleet);
+    let all = crate::views::each(&trials, a.threads, simulate_fleet);
     let mut good = true;
     for (t, f) in trials.iter().zip(all) {
         let pair = |(median, most): (f64, f64)| format!("{median:.3}, {most:.3}");
--- a/crates/cli/src/simulator.rs
+++ b/crates/cli/src/simulator.rs
@@ -5,7 +5,8 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 use tackmast_simulator::{
-    compare, page, play, shrink, shrink_worse, without_orders, worse_than, Change, Plain, Variant, World,
+    compare, page, play, shrink, shrink_worse, without_orders, worse_than, Change, ReferenceModel, Variant,
+    World,
 };
 
 #[derive(clap::Subcommand)]
@@ -151,11 +152,11 @@
             if !(1..=1000).contains(&hosts) || nodes.is_some_and(|n| !(1..=1000).contains(&n)) {
                 return Err(format!("--hosts {hosts}; expected 1 to 1000, and as many nodes at most"));
             }
-            let mut world = World::draw(seed, hosts);
+            let mut world = World::generate(seed, hosts);
             world.seconds = seconds.unwrap_or(world.seconds).clamp(0.1, 600.0);
             world.nodes = nodes.unwrap_or(world.nodes);
             world.rate = rate.unwrap_or(world.rate);
-            world.troubles.retain(|t| !calm && t.node < world.nodes);
+            world.faults.retain(|t| !calm && t.node < world.nodes);
             if let Some(file) = file {
                 let load = tackmast_workload::Workload::read(&file).map_err(|e| e.to_string())?;
                 world.seconds = seconds.unwrap_or(load.seconds + 0.5);
@@ -165,7 +166,7 @@
                 let script = tackmast_scenario::Script::read(&path).map_err(|e| e.to_string())?;
                 let (of_script, left_out) = World::of_script(script, seed);
                 world = of_script;
-                world.troubles.retain(|_| !calm);
+                world.faults.retain(|_| !calm);
                 left_out.iter().for_each(|l| println!("left out: {l}"));
             }
             let started = Instant::now();
@@ -230,7 +231,10 @@
             for l in compare(&va, &vb, first, seeds, hosts, threads) {
                 let interval =
                     l.interval.map_or("too few pairs".into(), |(x, y)| format!("{x:.3} to {y:.3}"));
-                println!("{:<24} {:>10.3} {:>10.3} {:>10.3}  {interval}", l.name, l.a, l.b, l.difference);
+                println!(
+                    "{:<24} {:>10.3} {:>10.3} {:>10.3}  {interval}",
+                    l.name, l.baseline, l.candidate, l.difference
+                );
             }
             Ok(ExitCode::SUCCESS)
         }
@@ -296,7 +300,7 @@
                     "--hosts {hosts} --scaled {scaled:?}; expected 1 to 300, and no more than that"
                 ));
             }
-            let world = World::draw(seed, hosts);
+            let world = World::generate(seed, hosts);
             print!("{}", world.scaled(scaled.unwrap_or(hosts)).to_script());
             Ok(ExitCode::SUCCESS)
         }
@@ -316,14 +320,14 @@
     let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
     let file: VariantFile = hcl::from_str(&text).map_err(|e| format!("{name}: {e}"))?;
     let plain = file.plain.as_deref().map(|p| plain_named(&format!("{name}: plain"), p)).transpose()?;
-    Ok(Variant { plain, change: file.change })
+    Ok(Variant { reference_model: plain, change: file.change })
 }
 
-fn plain_named(place: &str, name: &str) -> Result<Plain, String> {
+fn plain_named(place: &str, name: &str) -> Result<ReferenceModel, String> {
     match name {
-        "fcfs" => Ok(Plain::Fcfs),
-        "caps" => Ok(Plain::Caps),
-        "buckets" => Ok(Plain::Buckets),
+        "fcfs" => Ok(ReferenceModel::Fcfs),
+        "caps" => Ok(ReferenceModel::Caps),
+        "buckets" => Ok(ReferenceModel::Buckets),
         other => Err(format!("{place}: {other:?}; expected fcfs, caps or buckets")),
     }
 }
@@ -347,7 +351,7 @@
         world.fall_multiple,
         world.warm_s
     );
-    for t in &world.troubles {
+    for t in &world.faults {
         let host = t.host.map_or(String::new(), |h| format!(", host {h}"));
         let (at, long) = (t.at_us as f64 / 1e6, t.for_us as f64 / 1e6);
         _ = writeln!(out, "  at {at:.2} s for {long:.2} s: {:?}, node {}{host}", t.kind, t.node);
@@ -419,7 +423,7 @@
                 s.spawn(|| {
                     while !over.load(Ordering::Relaxed) && Instant::now() < until {
                         let seed = next.fetch_add(1, Ordering::Relaxed);
-                        if look(&World::draw(seed, 1 + (seed % u64::from(self.hosts)) as u32)) {
+                        if look(&World::generate(seed, 1 + (seed % u64::from(self.hosts)) as u32)) {
                             over.store(true, Ordering::Relaxed);
                         }
                     }
@@ -452,7 +456,7 @@
     }
 
     /// The world in which the core falls furthest behind a plain host.
-    fn worst(&self, plain: Plain) -> Result<ExitCode, String> {
+    fn worst(&self, plain: ReferenceModel) -> Result<ExitCode, String> {
         let all = Mutex::new(Vec::new());
         let played = self.over(|world| {
             let world = without_orders(world);
--- a/crates/simulator/src/agreed/explore.rs
+++ b/crates/simulator/src/consensus/explore.rs
@@ -22,13 +22,13 @@
     Change(usize),
 }
 
-fn steps(w: &World) -> Vec<Step> {
+fn steps(world: &World) -> Vec<Step> {
     let mut all = Vec::new();
-    for i in 0..w.letters.len().min(6) {
+    for i in 0..world.in_flight.len().min(6) {
         all.extend([Step::Deliver(i), Step::Lose(i), Step::Double(i)]);
     }
-    for h in 0..w.all.len() {
-        if !w.all[h].disk.pending.is_empty() {
+    for h in 0..world.all.len() {
+        if !world.all[h].disk.pending.is_empty() {
             all.push(Step::Sync(h));
         }
         all.extend([Step::Crash(h), Step::Stop(h)]);
@@ -37,29 +37,29 @@
     all
 }
 
-fn take(w: &mut World, s: Step) {
-    match s {
-        Step::Deliver(i) => w.deliver(i, false),
-        Step::Lose(i) => _ = w.letters.remove(i),
-        Step::Double(i) => w.deliver(i, true),
-        Step::Sync(h) => w.sync(h),
+fn take(world: &mut World, step: Step) {
+    match step {
+        Step::Deliver(i) => world.deliver(i, false),
+        Step::Lose(i) => _ = world.in_flight.remove(i),
+        Step::Double(i) => world.deliver(i, true),
+        Step::Sync(h) => world.sync(h),
         Step::Crash(h) => {
-            w.crash(h);
-            w.start(h);
+            world.crash(h);
+            world.start(h);
         }
-        Step::Stop(h) => w.all[h].stopped = !w.all[h].stopped,
-        Step::Pass(s) => w.pass(s),
-        Step::Change(h) => w.change(h),
+        Step::Stop(h) => world.all[h].stopped = !world.all[h].stopped,
+        Step::Pass(seconds) => world.pass(seconds),
+        Step::Change(h) => world.change(h),
     }
-    w.look_at_all();
+    world.check_all();
 }
 
-fn deeper(w: &World, depth: u32, found: &mut Explored) {
+fn deeper(world: &World, depth: u32, found: &mut Explored) {
     if depth == 0 || found.broken.is_some() {
         return;
     }
-    for s in steps(w) {
-        let mut next = w.clone();
+    for s in steps(world) {
+        let mut next = world.clone();
         take(&mut next, s);
         found.states += 1;
         if let Some(what) = next.broken.take() {
@@ -72,11 +72,11 @@
 
 /// Three voters, one of whom leads, a change that it has just taken, and all that can happen in so many steps.
 pub fn explore(depth: u32, fault: Option<ConsensusFault>) -> Explored {
-    let mut w = World::new(3, 0, fault, |_| 1.0);
-    w.begin();
-    w.letters.clear();
-    w.change(0);
+    let mut world = World::new(3, 0, fault, |_| 1.0);
+    world.begin();
+    world.in_flight.clear();
+    world.change(0);
     let mut found = Explored::default();
-    deeper(&w, depth, &mut found);
+    deeper(&world, depth, &mut found);
     found
 }
--- /dev/null
+++ b/crates/simulator/src/consensus/random_walk.rs
@@ -0,0 +1,272 @@
+//! Random walks: each next step is drawn from a seed, so that a violation can be replayed from its seed. Each walk draws how
+//! often each kind of step happens (swarm testing: Groce and others, 2012), so that some walks are mostly crashes and others
+//! mostly partitions.
+
+use super::world::{World, DRIFT};
+use tackmast_consensus::ConsensusFault;
+
+/// The settings of one random walk.
+#[derive(Clone, Copy, Debug)]
+pub struct RandomWalk {
+    /// Hosts that vote at first.
+    pub voters: u32,
+    /// Hosts that only follow.
+    pub followers: u32,
+    /// Steps until the walk ends.
+    pub steps: u32,
+    /// Seed of everything that is drawn.
+    pub seed: u64,
+    /// A deliberate fault in every replica.
+    pub fault: Option<ConsensusFault>,
+    /// Voters are added and removed; disks are lost or replaced by old copies.
+    pub moves: bool,
+}
+
+impl RandomWalk {
+    /// A walk with three or five voters; on every third seed voters and disks change.
+    pub fn drawn(seed: u64, steps: u32, fault: Option<ConsensusFault>) -> RandomWalk {
+        let voters = if seed.is_multiple_of(2) { 5 } else { 3 };
+        RandomWalk { voters, followers: 2, steps, seed, fault, moves: seed.is_multiple_of(3) }
+    }
+}
+
+/// What a random walk has shown.
+#[derive(Clone, Debug, Default)]
+pub struct WalkResult {
+    /// The step after which a safety property was violated, and how.
+    pub broken: Option<(u32, String)>,
+    /// Entries that were committed.
+    pub committed: u64,
+    /// The longest time, in seconds, for which a host with a valid lease had an older state.
+    pub longest: f64,
+    /// Reads that were answered.
+    pub reads: u64,
+    /// Steps at which disks were lost or replaced and voters changed, in words.
+    pub disk_and_voter_changes: Vec<String>,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum StepKind {
+    Deliver,
+    Sync,
+    Pass,
+    Change,
+    Read,
+    Lose,
+    Double,
+    Long,
+    Crash,
+    Stop,
+    Cut,
+    CutOneWay,
+    Heal,
+    CrashAll,
+    Voters,
+    Wipe,
+    Copy,
+    OldDisk,
+    Resume,
+}
+
+/// Each kind of step, its weight, and whether it is a fault.
+const STEP_KINDS: [(StepKind, f64, bool); 19] = [
+    (StepKind::Deliver, 400.0, false),
+    (StepKind::Sync, 150.0, false),
+    (StepKind::Pass, 100.0, false),
+    (StepKind::Change, 30.0, false),
+    (StepKind::Read, 20.0, false),
+    (StepKind::Lose, 40.0, true),
+    (StepKind::Double, 40.0, true),
+    (StepKind::Long, 40.0, true),
+    (StepKind::Crash, 30.0, true),
+    (StepKind::Stop, 30.0, true),
+    (StepKind::Cut, 20.0, true),
+    (StepKind::CutOneWay, 20.0, true),
+    (StepKind::Heal, 30.0, true),
+    (StepKind::CrashAll, 10.0, true),
+    (StepKind::Voters, 20.0, true),
+    (StepKind::Wipe, 7.0, true),
+    (StepKind::Copy, 8.0, true),
+    (StepKind::OldDisk, 8.0, true),
+    (StepKind::Resume, 5.0, true),
+];
+
+/// By one of these, drawn for each walk and kind of fault, the weight of the fault is multiplied.
+const FAULT_RATE_MULTIPLES: [f64; 4] = [0.0, 0.3, 1.0, 4.0];
+
+/// Plays one random walk to its end or its first violation.
+pub fn run_random_walk(settings: &RandomWalk) -> WalkResult {
+    let mut generator = oorandom::Rand64::new(u128::from(settings.seed) << 16 | 0x5eed);
+    // Within the drift that the settings allow.
+    let clock_rates: Vec<f64> = (0..settings.voters + settings.followers)
+        .map(|_| 1.0 + DRIFT * (2.0 * generator.rand_float() - 1.0))
+        .collect();
+    let mut world =
+        World::new(settings.voters, settings.followers, settings.fault, |h| clock_rates[h as usize]);
+    let hosts = u64::from(settings.voters + settings.followers);
+    let moves = [StepKind::Voters, StepKind::Wipe, StepKind::Copy, StepKind::OldDisk];
+    let weights: Vec<f64> = STEP_KINDS
+        .iter()
+        .map(|(kind, often, fault)| match fault {
+            _ if moves.contains(kind) && !settings.moves => 0.0,
+            false => *often,
+            true => often * FAULT_RATE_MULTIPLES[generator.rand_range(0..4) as usize],
+        })
+        .collect();
+    let slow_disks = generator.rand_range(0..3) == 0;
+    let total: f64 = weights.iter().sum();
+    let calm_total: f64 = weights.iter().take(5).sum();
+    // Some walks begin before anything is committed.
+    if !settings.seed.is_multiple_of(5) {
+        world.begin();
+    }
+    let mut disk_and_voter_changes = Vec::new();
+    let (mut old_disk, mut calm) = (false, 0u32);
+    for step in 0..settings.steps {
+        let host = generator.rand_range(0..hosts) as usize;
+        // Without stretches that are free of faults hardly anything would be committed.
+        calm = match calm {
+            0 if generator.rand_range(0..40) == 0 => 120,
+            n => n.saturating_sub(1),
+        };
+        if calm == 0 && generator.rand_range(0..150) == 0 {
+            world.cut.clear();
+            world.calm(0.3 + generator.rand_float());
+        }
+        let mut roll = generator.rand_float() * if calm > 0 { calm_total } else { total };
+        let kind = STEP_KINDS.iter().zip(&weights).find(|(_, weight)| {
+            roll -= **weight;
+            roll < 0.0
+        });
+        let message_count = world.in_flight.len() as u64;
+        match kind.map_or(StepKind::Resume, |((kind, _, _), _)| *kind) {
+            StepKind::Deliver if message_count > 0 => {
+                // Most arrive in the order in which they were sent.
+                let early = 1 + generator.rand_range(0..message_count);
+                world.deliver(generator.rand_range(0..early) as usize, false);
+            }
+            StepKind::Lose if message_count > 0 => {
+                _ = world.in_flight.remove(generator.rand_range(0..message_count) as usize)
+            }
+            StepKind::Double if message_count > 0 => {
+                world.deliver(generator.rand_range(0..message_count) as usize, true)
+            }
+            StepKind::Deliver | StepKind::Lose | StepKind::Double => {}
+            StepKind::Sync => {
+                world.sync(host);
+                if !slow_disks {
+                    let half = |h: &usize| *h % 2 == step as usize % 2;
+                    (0..world.all.len()).filter(half).for_each(|h| world.sync(h));
+                }
+            }
+            StepKind::Pass => world.pass(0.001 + 0.02 * generator.rand_float()),
+            StepKind::Long => world.pass(0.05 + 0.4 * generator.rand_float()),
+            StepKind::Change => world.change(host),
+            StepKind::Read => world.read(host),
+            StepKind::Crash => {
+                world.crash(host);
+                world.start(host);
+            }
+            StepKind::CrashAll => {
+                (0..world.all.len()).for_each(|h| world.crash(h));
+                (0..world.all.len()).for_each(|h| world.start(h));
+            }
+            StepKind::Stop => world.all[host].stopped = !world.all[host].stopped,
+            StepKind::Resume => world.all[host].stopped = false,
+            StepKind::Cut | StepKind::CutOneWay => {
+                let (a, b) = (host as u32, generator.rand_range(0..hosts) as u32);
+                let both = kind.is_some_and(|((kind, _, _), _)| *kind == StepKind::Cut);
+                for way in [(a, b), (b, a)].into_iter().take(1 + usize::from(both)) {
+                    if !world.cut.remove(&way) {
+                        world.cut.insert(way);
+                    }
+                }
+            }
+            StepKind::Heal => world.cut.clear(),
+            StepKind::Voters => {
+                let votes = generator.rand_range(0..2) == 0;
+                disk_and_voter_changes.push(format!("step {step}: host {host} votes: {votes}"));
+                world.move_voters(host as u32, votes);
+            }
+            // Host 0 keeps its disk. Were the disks of all initial voters lost, they would bootstrap a new group.
+            StepKind::Wipe if host > 0 && !old_disk => {
+                disk_and_voter_changes.push(format!("step {step}: the disk of host {host} is lost"));
+                world.wipe(host);
+            }
+            StepKind::Copy if world.all[host].old.is_none() => {
+                world.all[host].old = Some(world.all[host].disk.clone())
+            }
+            StepKind::OldDisk if world.is_old_disk_detectable(host) => {
+                if let Some(d) = world.all[host].old.take() {
+                    disk_and_voter_changes
+                        .push(format!("step {step}: an old disk of host {host} comes back"));
+                    old_disk = true;
+                    world.crash(host);
+                    world.all[host].disk = d;
+                    world.start(host);
+                }
+            }
+            StepKind::Wipe | StepKind::Copy | StepKind::OldDisk => {}
+        }
+        world.check_all();
+        if let Some(what) = world.broken.take() {
+            return result_of(&world, Some((step, what)), disk_and_voter_changes);
+        }
+    }
+    let broken = ends(&mut world, settings).map(|what| (settings.steps, what));
+    result_of(&world, broken, disk_and_voter_changes)
+}
+
+fn result_of(
+    world: &World,
+    broken: Option<(u32, String)>,
+    disk_and_voter_changes: Vec<String>,
+) -> WalkResult {
+    WalkResult {
+        broken,
+        committed: world.committed(),
+        longest: world.longest,
+        reads: world.reads_done,
+        disk_and_voter_changes,
+    }
+}
+
+/// Once all faults are over, every host must have all that was committed, and something new must be committed.
+fn ends(world: &mut World, settings: &RandomWalk) -> Option<String> {
+    world.cut.clear();
+    world.all.iter_mut().for_each(|p| p.stopped = false);
+    let (before, hosts) = (world.committed(), world.all.len());
+    for i in 0..60 {
+        world.change(i % hosts);
+        world.calm(0.2);
+        if let Some(what) = world.broken.take() {
+            return Some(what);
+        }
+        let all = world
+            .all
+            .iter()
+            .all(|p| p.replica.as_ref().is_some_and(|s| s.commit_index() == world.committed()));
+        if all && world.committed() > before + 1 && i > 8 {
+            break;
+        }
+    }
+    // Where disks were lost the quorum may be gone for good.
+    if settings.moves {
+        return None;
+    }
+    let behind = world.all.iter().position(|p| p.replica.as_ref().is_none_or(|s| s.commit_index() < before));
+    if let Some(h) = behind {
+        let commit = world.all[h].replica.as_ref().map(|s| s.commit_index());
+        return Some(format!("all is well again, and host {h} has {commit:?} of {before}"));
+    }
+    (world.committed() <= before)
+        .then(|| format!("all is well again, and nothing new is agreed on after {before}"))
+}
+
+/// The first walk, from a seed on, in which a deliberate fault shows.
+pub fn find_fault(fault: ConsensusFault, first: u64, walks: u64, steps: u32) -> Option<(u64, u32, String)> {
+    (first..first + walks).find_map(|seed| {
+        let found = run_random_walk(&RandomWalk::drawn(seed, steps, Some(fault)));
+        found.broken.map(|(step, what)| (seed, step, what))
+    })
+}
--- a/crates/simulator/src/agreed/world.rs
+++ b/crates/simulator/src/consensus/world.rs
@@ -12,7 +12,7 @@
 pub const LEASE: f64 = 1.0;
 pub const DRIFT: f64 = 0.02;
 /// Letters that wait; beyond that the oldest is lost.
-const LETTERS: usize = 60;
+const MAX_MESSAGES_IN_FLIGHT: usize = 60;
 
 /// What a disk has, and what was given to it and is not there yet.
 #[derive(Clone, Default)]
@@ -25,27 +25,27 @@
 
 impl Disk {
     /// As a store does it: all of one write or nothing.
-    pub fn take(&mut self, w: Write) {
-        let h = &mut self.persisted;
-        if let Some(hard_state) = w.hard_state {
-            h.hard_state = hard_state;
+    pub fn take(&mut self, write: Write) {
+        let persisted = &mut self.persisted;
+        if let Some(hard_state) = write.hard_state {
+            persisted.hard_state = hard_state;
         }
-        if let Some(snapshot) = w.snapshot {
-            h.snapshot = snapshot;
-            h.entries.clear();
+        if let Some(snapshot) = write.snapshot {
+            persisted.snapshot = snapshot;
+            persisted.entries.clear();
         }
-        if let Some(LogSuffix { first_index, entries }) = w.entries {
-            let at = first_index.saturating_sub(h.snapshot.last.index + 1) as usize;
-            h.entries.truncate(at);
-            h.entries.extend(entries);
+        if let Some(LogSuffix { first_index, entries }) = write.entries {
+            let at = first_index.saturating_sub(persisted.snapshot.last.index + 1) as usize;
+            persisted.entries.truncate(at);
+            persisted.entries.extend(entries);
         }
-        if w.confirmed_voters.is_some() {
-            h.confirmed_voters = w.confirmed_voters;
+        if write.confirmed_voters.is_some() {
+            persisted.confirmed_voters = write.confirmed_voters;
         }
-        if let Some(known_disks) = w.known_disks {
-            h.known_disks = known_disks;
+        if let Some(known_disks) = write.known_disks {
+            persisted.known_disks = known_disks;
         }
-        if let Some(mark) = w.disk {
+        if let Some(mark) = write.disk {
             self.mark = mark;
         }
     }
@@ -58,18 +58,18 @@
     pub old: Option<Disk>,
     pub stopped: bool,
     pub generation: u64,
-    pub pace: f64,
+    pub clock_rate: f64,
     offset: f64,
-    /// What its state machine has: texts in order.
+    /// The changes that its state machine has applied, in order.
     pub state: Vec<u64>,
-    /// Up to where its log was looked at.
-    looked: u64,
+    /// The log index up to which its entries have been checked.
+    checked_index: u64,
     /// Reads under way: their number, and what was known to be committed when they were asked.
     reads: Vec<(u32, u64)>,
 }
 
 #[derive(Clone, Debug)]
-pub struct Letter {
+pub struct MessageInFlight {
     pub from: u32,
     pub to: u32,
     pub message: Message,
@@ -80,13 +80,13 @@
     pub now: f64,
     pub all: Vec<Process>,
     pub voters: u32,
-    pub letters: Vec<Letter>,
+    pub in_flight: Vec<MessageInFlight>,
     /// Ways that are cut, from one to the other.
     pub cut: BTreeSet<(u32, u32)>,
     pub fault: Option<ConsensusFault>,
     pub settings: RaftSettings,
     generations: u64,
-    texts: u64,
+    proposal_count: u64,
     /// What holds at each place, and since when that was first known anywhere.
     pub ledger: BTreeMap<u64, ((u64, EntryPayload), f64)>,
     leaders: BTreeMap<u64, u32>,
@@ -107,7 +107,7 @@
         voters: u32,
         followers: u32,
         fault: Option<ConsensusFault>,
-        pace: impl Fn(u32) -> f64,
+        clock_rate: impl Fn(u32) -> f64,
     ) -> World {
         let settings = RaftSettings {
             heartbeat_interval: TimeDelta::from_secs(0.05),
@@ -124,159 +124,160 @@
             old: None,
             stopped: false,
             generation: 0,
-            pace: pace(i),
+            clock_rate: clock_rate(i),
             offset: 1_000.0 * f64::from(i),
             state: Vec::new(),
-            looked: 0,
+            checked_index: 0,
             reads: Vec::new(),
         };
-        let mut w = World {
+        let mut world = World {
             now: 10.0,
             all: (0..voters + followers).map(process).collect(),
             voters,
-            letters: Vec::new(),
+            in_flight: Vec::new(),
             cut: BTreeSet::new(),
             fault,
             settings,
             generations: 0,
-            texts: 0,
+            proposal_count: 0,
             ledger: BTreeMap::new(),
             leaders: BTreeMap::new(),
             broken: None,
             longest: 0.0,
             reads_done: 0,
         };
-        (0..w.all.len()).for_each(|h| w.start(h));
-        w
+        (0..world.all.len()).for_each(|h| world.start(h));
+        world
     }
 
-    pub fn clock(&self, h: usize) -> Instant {
-        Instant::from_secs(self.now * self.all[h].pace + self.all[h].offset)
+    pub fn clock(&self, host: usize) -> Instant {
+        Instant::from_secs(self.now * self.all[host].clock_rate + self.all[host].offset)
     }
 
-    pub fn start(&mut self, h: usize) {
+    pub fn start(&mut self, host: usize) {
         self.generations += 1;
         let (now, generation, settings, fault, voters) =
-            (self.clock(h), self.generations, self.settings, self.fault, self.voters);
-        let p = &mut self.all[h];
-        p.disk.pending.clear();
+            (self.clock(host), self.generations, self.settings, self.fault, self.voters);
+        let process = &mut self.all[host];
+        process.disk.pending.clear();
         // Written down before anything is said under it.
-        p.disk.boot += 1;
-        let identity = DiskIdentity { disk: p.disk.mark, boot: p.disk.boot, generation };
-        (p.generation, p.stopped) = (generation, false);
-        (p.state, p.reads, p.looked) = (Vec::new(), Vec::new(), 0);
-        let persisted = p.disk.persisted.clone();
+        process.disk.boot += 1;
+        let identity = DiskIdentity { disk: process.disk.mark, boot: process.disk.boot, generation };
+        (process.generation, process.stopped) = (generation, false);
+        (process.state, process.reads, process.checked_index) = (Vec::new(), Vec::new(), 0);
+        let persisted = process.disk.persisted.clone();
         let initial_voters = (0..voters).collect();
-        let s = ReplicaSettings {
-            me: h as u32,
+        let replica_settings = ReplicaSettings {
+            me: host as u32,
             identity,
             raft: settings,
             initial_voters,
             persisted,
             seed: generation,
         };
-        let mut replica = Replica::new(now, s);
+        let mut replica = Replica::new(now, replica_settings);
         if let Some(f) = fault {
             replica = replica.with_fault(f);
         }
-        p.replica = Some(replica);
-        self.collect(h);
+        process.replica = Some(replica);
+        self.collect(host);
     }
 
     /// What was not synced is gone.
-    pub fn crash(&mut self, h: usize) {
-        self.all[h].replica = None;
-        self.all[h].disk.pending.clear();
+    pub fn crash(&mut self, host: usize) {
+        self.all[host].replica = None;
+        self.all[host].disk.pending.clear();
     }
 
-    pub fn wipe(&mut self, h: usize) {
-        self.crash(h);
+    pub fn wipe(&mut self, host: usize) {
+        self.crash(host);
         self.generations += 1;
-        self.all[h].disk = Disk { mark: 1_000 + self.generations, ..Disk::default() };
-        self.start(h);
+        self.all[host].disk = Disk { mark: 1_000 + self.generations, ..Disk::default() };
+        self.start(host);
     }
 
-    pub fn runs(&self, h: usize) -> bool {
-        self.all[h].replica.is_some() && !self.all[h].stopped
+    pub fn runs(&self, host: usize) -> bool {
+        self.all[host].replica.is_some() && !self.all[host].stopped
     }
 
     pub fn pass(&mut self, seconds: f64) {
         self.now += seconds;
         for h in 0..self.all.len() {
-            self.tick(h);
+            self.handle_timeout(h);
         }
     }
 
-    pub fn tick(&mut self, h: usize) {
-        if !self.runs(h) {
+    pub fn handle_timeout(&mut self, host: usize) {
+        if !self.runs(host) {
             return;
         }
-        let now = self.clock(h);
+        let now = self.clock(host);
         let mut wakes = None;
-        if let Some(s) = &mut self.all[h].replica {
+        if let Some(s) = &mut self.all[host].replica {
             s.handle_timeout(now);
             wakes = Some(s.poll_timeout(now));
         }
         // A host that wants to be woken at once, again and again, does nothing else.
         if wakes.is_some_and(|w| w <= now) {
-            self.breaks(format!("host {h} wants to be woken at {wakes:?}, at {now:?}"));
+            self.report_violation(format!("host {host} wants to be woken at {wakes:?}, at {now:?}"));
         }
-        self.collect(h);
+        self.collect(host);
     }
 
     /// The oldest write of a host is on its disk.
-    pub fn sync(&mut self, h: usize) {
-        let now = self.clock(h);
-        let p = &mut self.all[h];
-        if p.disk.pending.is_empty() || p.stopped {
+    pub fn sync(&mut self, host: usize) {
+        let now = self.clock(host);
+        let process = &mut self.all[host];
+        if process.disk.pending.is_empty() || process.stopped {
             return;
         }
-        let w = p.disk.pending.remove(0);
-        let write_id = w.write_id;
-        p.disk.take(w);
-        if let Some(s) = &mut p.replica {
+        let write = process.disk.pending.remove(0);
+        let write_id = write.write_id;
+        process.disk.take(write);
+        if let Some(s) = &mut process.replica {
             s.on_persisted(now, write_id);
         }
-        self.collect(h);
+        self.collect(host);
     }
 
-    pub fn deliver(&mut self, i: usize, again: bool) {
-        let l = if again { self.letters[i].clone() } else { self.letters.remove(i) };
-        let to = l.to as usize;
-        if !self.runs(to) || self.cut.contains(&(l.from, l.to)) {
+    pub fn deliver(&mut self, message_index: usize, again: bool) {
+        let in_flight =
+            if again { self.in_flight[message_index].clone() } else { self.in_flight.remove(message_index) };
+        let to = in_flight.to as usize;
+        if !self.runs(to) || self.cut.contains(&(in_flight.from, in_flight.to)) {
             return;
         }
         let now = self.clock(to);
         // As on the wire.
-        let message = Message::decode(l.message.to_bytes());
+        let message = Message::decode(in_flight.message.to_bytes());
         if let (Some(s), Ok(message)) = (&mut self.all[to].replica, message) {
-            s.handle_message(now, l.from, message);
+            s.handle_message(now, in_flight.from, message);
         }
         self.collect(to);
     }
 
-    pub fn change(&mut self, h: usize) {
-        if !self.runs(h) {
+    pub fn change(&mut self, host: usize) {
+        if !self.runs(host) {
             return;
         }
-        self.texts += 1;
-        let (now, text) = (self.clock(h), self.texts);
-        if let Some(s) = &mut self.all[h].replica {
+        self.proposal_count += 1;
+        let (now, text) = (self.clock(host), self.proposal_count);
+        if let Some(s) = &mut self.all[host].replica {
             _ = s.propose(now, bytes_of(&[text]));
         }
-        self.collect(h);
+        self.collect(host);
     }
 
-    pub fn read(&mut self, h: usize) {
-        if !self.runs(h) {
+    pub fn read(&mut self, host: usize) {
+        if !self.runs(host) {
             return;
         }
-        let (now, newest) = (self.clock(h), self.ledger.keys().last().copied().unwrap_or(0));
-        if let Some(s) = &mut self.all[h].replica {
+        let (now, newest) = (self.clock(host), self.ledger.keys().last().copied().unwrap_or(0));
+        if let Some(s) = &mut self.all[host].replica {
             let seq = s.request_read(now);
-            self.all[h].reads.push((seq, newest));
+            self.all[host].reads.push((seq, newest));
         }
-        self.collect(h);
+        self.collect(host);
     }
 
     /// A voter more or one less, at whoever takes itself for the leader.
@@ -290,105 +291,110 @@
                         false => s.raft.remove_voter(now, host),
                     };
                 }
-                self.tick(h);
+                self.handle_timeout(h);
             }
         }
     }
 
-    fn collect(&mut self, h: usize) {
+    fn collect(&mut self, host: usize) {
         loop {
-            let now = self.clock(h);
-            let p = &mut self.all[h];
-            let Some(o) = p.replica.as_mut().and_then(Replica::poll_output) else { break };
+            let now = self.clock(host);
+            let process = &mut self.all[host];
+            let Some(o) = process.replica.as_mut().and_then(Replica::poll_output) else { break };
             match o {
                 ReplicaOutput::Send { to, message } => {
-                    if self.letters.len() >= LETTERS {
-                        self.letters.remove(0);
+                    if self.in_flight.len() >= MAX_MESSAGES_IN_FLIGHT {
+                        self.in_flight.remove(0);
                     }
-                    self.letters.push(Letter { from: h as u32, to, message });
+                    self.in_flight.push(MessageInFlight { from: host as u32, to, message });
                 }
-                ReplicaOutput::Write(w) => p.disk.pending.push(w),
-                ReplicaOutput::Committed { mut data, .. } => p.state.push(data.get_u64()),
+                ReplicaOutput::Write(w) => process.disk.pending.push(w),
+                ReplicaOutput::Committed { mut data, .. } => process.state.push(data.get_u64()),
                 ReplicaOutput::RestoreSnapshot { mut state, .. } => {
-                    p.state.clear();
+                    process.state.clear();
                     while state.len() >= 8 {
-                        p.state.push(state.get_u64());
+                        process.state.push(state.get_u64());
                     }
                 }
                 ReplicaOutput::TakeSnapshot { index } => {
-                    let state = bytes_of(&p.state);
-                    if let Some(s) = &mut p.replica {
+                    let state = bytes_of(&process.state);
+                    if let Some(s) = &mut process.replica {
                         s.on_snapshot_taken(now, index, &state);
                     }
                 }
                 ReplicaOutput::ProposalTimedOut { .. } | ReplicaOutput::Event(_) => {}
             }
         }
-        self.look(h);
+        self.check(host);
     }
 
-    fn breaks(&mut self, what: String) {
+    fn report_violation(&mut self, what: String) {
         self.broken.get_or_insert(what);
     }
 
     /// What must hold of one host, after anything that it did.
-    fn look(&mut self, h: usize) {
-        let Some(s) = self.all[h].replica.take() else { return };
-        self.look_at(h, &s);
-        self.all[h].replica = Some(s);
+    fn check(&mut self, host: usize) {
+        let Some(s) = self.all[host].replica.take() else { return };
+        self.check_replica(host, &s);
+        self.all[host].replica = Some(s);
     }
 
-    fn look_at(&mut self, h: usize, s: &Replica) {
-        let (now, commit) = (self.clock(h), s.commit_index());
+    fn check_replica(&mut self, host: usize, replica: &Replica) {
+        let (now, commit) = (self.clock(host), replica.commit_index());
         // One leader a term.
-        if s.raft.is_leader() {
-            let first = *self.leaders.entry(s.raft.term()).or_insert(h as u32);
-            if first != h as u32 {
-                self.breaks(format!("hosts {first} and {h} both lead term {}", s.raft.term()));
+        if replica.raft.is_leader() {
+            let first = *self.leaders.entry(replica.raft.term()).or_insert(host as u32);
+            if first != host as u32 {
+                self.report_violation(format!(
+                    "hosts {first} and {host} both lead term {}",
+                    replica.raft.term()
+                ));
             }
         }
         // One entry a place, for good.
-        let log = s.raft.log();
-        for index in (log.snapshot().last.index + 1).max(self.all[h].looked + 1)..=commit {
+        let log = replica.raft.log();
+        for index in (log.snapshot().last.index + 1).max(self.all[host].checked_index + 1)..=commit {
             let Some(e) = log.get(index) else { continue };
             let entry = (e.term, e.payload.clone());
             match self.ledger.get(&index) {
                 Some((known, _)) if *known != entry => {
                     let what =
-                        format!("two entries hold at {index}: {:?} and, at host {h}, {entry:?}", known);
-                    self.breaks(what);
+                        format!("two entries hold at {index}: {:?} and, at host {host}, {entry:?}", known);
+                    self.report_violation(what);
                 }
                 Some(_) => {}
                 None => _ = self.ledger.insert(index, (entry, self.now)),
             }
         }
-        let new = commit != self.all[h].looked;
-        self.all[h].looked = commit;
+        let new = commit != self.all[host].checked_index;
+        self.all[host].checked_index = commit;
         // Each change once.
-        let once: BTreeSet<u64> = self.all[h].state.iter().copied().filter(|_| new).collect();
-        if new && once.len() != self.all[h].state.len() {
-            self.breaks(format!("host {h} has a change twice: {:?}", self.all[h].state));
+        let once: BTreeSet<u64> = self.all[host].state.iter().copied().filter(|_| new).collect();
+        if new && once.len() != self.all[host].state.len() {
+            self.report_violation(format!("host {host} has a change twice: {:?}", self.all[host].state));
         }
         // Reads are never stale.
         let done: Vec<(u32, u64)> =
-            self.all[h].reads.iter().copied().filter(|(q, _)| s.is_read_ready(*q)).collect();
+            self.all[host].reads.iter().copied().filter(|(q, _)| replica.is_read_ready(*q)).collect();
         for (seq, newest) in done {
             self.reads_done += 1;
-            self.all[h].reads.retain(|(q, _)| *q != seq);
+            self.all[host].reads.retain(|(q, _)| *q != seq);
             if commit < newest {
-                self.breaks(format!("a read at host {h} has {commit}, and {newest} held when it was asked"));
+                self.report_violation(format!(
+                    "a read at host {host} has {commit}, and {newest} held when it was asked"
+                ));
             }
         }
-        self.all[h].reads.truncate(64);
+        self.all[host].reads.truncate(64);
         // No host goes by what is older than what holds for longer than the lease. Looked at what it would do now, whatever it
         // has been told; a host that stands still does nothing.
-        if !self.all[h].stopped && s.lease_state(now).is_valid() {
+        if !self.all[host].stopped && replica.lease_state(now).is_valid() {
             if let Some((_, (_, since))) = self.ledger.range(commit + 1..).next() {
                 let long = self.now - since;
                 self.longest = self.longest.max(long);
                 if long > LEASE + 1e-6 {
-                    self.breaks(format!(
-                        "host {h} goes by {commit} for {long:.3} s since another held; the lease is {LEASE} s"
+                    self.report_violation(format!(
+                        "host {host} goes by {commit} for {long:.3} s since another held; the lease is {LEASE} s"
                     ));
                 }
             }
@@ -396,8 +402,8 @@
     }
 
     /// All hosts as they would act now.
-    pub fn look_at_all(&mut self) {
-        (0..self.all.len()).for_each(|h| self.look(h));
+    pub fn check_all(&mut self) {
+        (0..self.all.len()).for_each(|h| self.check(h));
     }
 
     pub fn committed(&self) -> u64 {
@@ -406,7 +412,7 @@
 
     /// Whether a copy of that host's disk can be told from the disk: it was opened since the copy was made, and all other
     /// voters have that on their own disks. Else nobody is there who could know; docs/agreement.md says so.
-    pub fn old_can_be_told(&self, host: usize) -> bool {
+    pub fn is_old_disk_detectable(&self, host: usize) -> bool {
         let (boot, generation, mark) =
             (self.all[host].disk.boot, self.all[host].generation, self.all[host].disk.mark);
         let newest = Some(DiskIdentity { disk: mark, boot, generation });
@@ -419,18 +425,18 @@
     pub fn calm(&mut self, seconds: f64) {
         let end = self.now + seconds;
         while self.now < end && self.broken.is_none() {
-            for _ in 0..self.letters.len() {
+            for _ in 0..self.in_flight.len() {
                 for h in 0..self.all.len() {
                     while !self.all[h].disk.pending.is_empty() && self.runs(h) {
                         self.sync(h);
                     }
                 }
-                if !self.letters.is_empty() {
+                if !self.in_flight.is_empty() {
                     self.deliver(0, false);
                 }
             }
             self.pass(0.01);
-            self.look_at_all();
+            self.check_all();
         }
     }
 
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -66,7 +66,7 @@
     cut: Option<u32>,
     queue: BinaryHeap<Reverse<(Us, u64, Event)>>,
     number: u64,
-    chance: oorandom::Rand64,
+    generator: oorandom::Rand64,
     held: BTreeMap<u32, BTreeSet<u64>>,
     returned: u64,
     over: BTreeSet<u64>,
@@ -77,19 +77,19 @@
 }
 
 impl Fleet {
-    fn start(&mut self, h: u32) {
-        self.start_with(h, (0..3).map(peer_address).collect());
+    fn start(&mut self, host_index: u32) {
+        self.start_with(host_index, (0..3).map(peer_address).collect());
     }
 
-    fn start_with(&mut self, h: u32, seeds: Vec<std::net::SocketAddr>) {
+    fn start_with(&mut self, host_index: u32, seeds: Vec<std::net::SocketAddr>) {
         self.generations += 1;
         let secs = TimeDelta::from_secs;
         let settings = MemberSettings {
             fleet: "lab".into(),
-            slot: h,
+            slot: host_index,
             generation: self.generations,
-            address: peer_address(h),
-            site: Some(h % 3),
+            address: peer_address(host_index),
+            site: Some(host_index % 3),
             persisted: Vec::new(),
             seeds,
             allowed_networks: Vec::new(),
@@ -99,14 +99,14 @@
             previous_exit: PreviousExit::Unclean,
             seed: self.generations ^ u64::from(self.hosts) << 32,
         };
-        self.members.insert(h, Member::new(at(self.now), settings));
-        self.held.insert(h, BTreeSet::new());
-        self.push(self.now, Event::Wake(h));
+        self.members.insert(host_index, Member::new(at(self.now), settings));
+        self.held.insert(host_index, BTreeSet::new());
+        self.push(self.now, Event::Wake(host_index));
     }
 
-    fn push(&mut self, t: Us, e: Event) {
+    fn push(&mut self, due: Us, event: Event) {
         self.number += 1;
-        self.queue.push(Reverse((t, self.number, e)));
+        self.queue.push(Reverse((due, self.number, event)));
     }
 
     fn run_until(&mut self, end: Us) {
@@ -114,30 +114,30 @@
             let Some(Reverse((t, _, e))) = self.queue.pop() else { break };
             self.now = t;
             let now = at(t);
-            let h = match e {
-                Event::Wake(h) => {
-                    self.wakes.remove(&h);
-                    let Some(m) = self.members.get_mut(&h) else { continue };
+            let host_index = match e {
+                Event::Wake(host_index) => {
+                    self.wakes.remove(&host_index);
+                    let Some(m) = self.members.get_mut(&host_index) else { continue };
                     m.handle_timeout(now);
-                    h
+                    host_index
                 }
-                Event::Datagram(from, h, bytes) => {
-                    let Some(m) = self.members.get_mut(&h) else { continue };
+                Event::Datagram(from, host_index, bytes) => {
+                    let Some(m) = self.members.get_mut(&host_index) else { continue };
                     m.handle_datagram(now, peer_address(from), Bytes::from(bytes));
-                    h
+                    host_index
                 }
             };
-            self.pull(h);
+            self.pull(host_index);
         }
         self.now = end;
     }
 
-    fn pull(&mut self, h: u32) {
+    fn pull(&mut self, host_index: u32) {
         loop {
-            let Some(m) = self.members.get_mut(&h) else { return };
+            let Some(m) = self.members.get_mut(&host_index) else { return };
             let Some(o) = m.poll_output() else { break };
             match o {
-                Output::Send { to, bytes } => self.post(h, to, &bytes),
+                Output::Send { to, bytes } => self.post(host_index, to, &bytes),
                 Output::Event(_) | Output::Persist(_) | Output::Consensus { .. } | Output::NodeList(_) => {}
                 Output::CatalogUpdate(p) => {
                     let ends = m.catalog.deadline(p.number, at(self.now));
@@ -150,28 +150,29 @@
                 }
                 Output::Override(OverrideEvent::Set { origin, .. }) => {
                     self.returned += u64::from(self.over.contains(&origin.number));
-                    self.held.entry(h).or_default().insert(origin.number);
+                    self.held.entry(host_index).or_default().insert(origin.number);
                 }
                 Output::Override(OverrideEvent::Clear { origin }) => {
-                    _ = self.held.entry(h).or_default().remove(&origin.number)
+                    _ = self.held.entry(host_index).or_default().remove(&origin.number)
                 }
             }
         }
-        let Some(m) = self.members.get(&h) else { return };
+        let Some(m) = self.members.get(&host_index) else { return };
         let wake = ((m.poll_timeout().secs() * 1e6) as Us).max(self.now + 1);
-        if self.wakes.get(&h).is_none_or(|t| wake < *t) {
-            self.wakes.insert(h, wake);
-            self.push(wake, Event::Wake(h));
+        if self.wakes.get(&host_index).is_none_or(|t| wake < *t) {
+            self.wakes.insert(host_index, wake);
+            self.push(wake, Event::Wake(host_index));
         }
     }
 
     fn post(&mut self, from: u32, to: std::net::SocketAddr, bytes: &Bytes) {
         let Some(h) = (0..self.hosts).find(|h| peer_address(*h) == to) else { return };
-        if self.cut.is_some_and(|edge| (from < edge) != (h < edge)) || self.chance.rand_float() < self.loss {
+        if self.cut.is_some_and(|edge| (from < edge) != (h < edge)) || self.generator.rand_float() < self.loss
+        {
             return;
         }
-        let t = self.now + 500 + self.chance.rand_range(0..1000);
-        self.push(t, Event::Datagram(from, h, bytes.to_vec()));
+        let due = self.now + 500 + self.generator.rand_range(0..1000);
+        self.push(due, Event::Datagram(from, h, bytes.to_vec()));
     }
 
     /// Seconds until it is so.
@@ -187,8 +188,10 @@
     }
 
     fn all_know_all(&self) -> bool {
-        let n = self.members.len() as u32;
-        self.members.values().all(|m| m.live_count() == n && m.view.digest() == self.one().view.digest())
+        let member_count = self.members.len() as u32;
+        self.members
+            .values()
+            .all(|m| m.live_count() == member_count && m.view.digest() == self.one().view.digest())
     }
 
     fn one(&self) -> &Member {
@@ -226,12 +229,12 @@
         self.all_go_by(number).then_some(most as f64 / 1e6)
     }
 
-    fn order(&mut self, h: u32, number: u64, seconds: f64) {
+    fn order(&mut self, host_index: u32, number: u64, seconds: f64) {
         let remaining_ms = (seconds * 1e3) as u64;
         let (reason, who) = ("drawn".into(), "lab".into());
-        let generation = self.members.get(&h).map_or(0, |m| m.view.me().generation);
+        let generation = self.members.get(&host_index).map_or(0, |m| m.view.me().generation);
         let order = OverrideRecord {
-            slot: h,
+            slot: host_index,
             generation,
             number,
             kind: OverrideKind::Out,
@@ -243,16 +246,16 @@
             cleared: false,
         };
         let now = at(self.now);
-        if let Some(m) = self.members.get_mut(&h) {
+        if let Some(m) = self.members.get_mut(&host_index) {
             m.add_override(now, order);
         }
-        self.held.entry(h).or_default().insert(number);
+        self.held.entry(host_index).or_default().insert(number);
     }
 }
 
 /// Plays one fleet through all of it.
 pub fn fleet(hosts: u32, loss: f64, seed: u64) -> FleetFigures {
-    let mut f = Fleet {
+    let mut fleet = Fleet {
         now: 100 * SECOND,
         members: BTreeMap::new(),
         wakes: BTreeMap::new(),
@@ -262,85 +265,91 @@
         cut: None,
         queue: BinaryHeap::new(),
         number: 0,
-        chance: oorandom::Rand64::new(u128::from(seed)),
+        generator: oorandom::Rand64::new(u128::from(seed)),
         held: BTreeMap::new(),
         returned: 0,
         over: BTreeSet::new(),
     };
-    (0..hosts).for_each(|h| f.start(h));
-    let mut x =
-        FleetFigures { hosts, loss, all_known_s: f.until(Fleet::all_know_all), ..FleetFigures::default() };
+    (0..hosts).for_each(|h| fleet.start(h));
+    let mut figures = FleetFigures {
+        hosts,
+        loss,
+        all_known_s: fleet.until(Fleet::all_know_all),
+        ..FleetFigures::default()
+    };
     // A quiet minute, once the news of the start have been told.
-    f.run_until(f.now + 90 * SECOND);
-    let before = f.sums();
-    f.run_until(f.now + 60 * SECOND);
-    let after = f.sums();
-    x.bytes_a_second = (after.0 - before.0) as f64 / 60.0 / f64::from(hosts);
-    x.false_suspicions = (after.1 - before.1) as f64 * 60.0 / f64::from(hosts);
-    x.false_deaths = after.2 - before.2;
+    fleet.run_until(fleet.now + 90 * SECOND);
+    let before = fleet.sums();
+    fleet.run_until(fleet.now + 60 * SECOND);
+    let after = fleet.sums();
+    figures.bytes_a_second = (after.0 - before.0) as f64 / 60.0 / f64::from(hosts);
+    figures.false_suspicions = (after.1 - before.1) as f64 * 60.0 / f64::from(hosts);
+    figures.false_deaths = after.2 - before.2;
     // A third is killed at once.
     let killed: Vec<u32> = (0..hosts).filter(|h| h % 3 == 2).collect();
     for h in &killed {
-        f.members.remove(h);
+        fleet.members.remove(h);
     }
     let dead = |m: &Member, h: &u32| m.snapshot().get(h).is_some_and(|s| s.health == Health::Dead);
-    let start = f.now;
-    x.first_known_s = f.until(|f| f.members.values().any(|m| killed.iter().any(|h| dead(m, h))));
-    let spent = (f.now - start) as f64 / 1e6;
-    x.all_dead_s =
-        f.until(|f| f.members.values().all(|m| killed.iter().all(|h| dead(m, h)))).map(|s| s + spent);
+    let start = fleet.now;
+    figures.first_known_s =
+        fleet.until(|fleet| fleet.members.values().any(|m| killed.iter().any(|h| dead(m, h))));
+    let spent = (fleet.now - start) as f64 / 1e6;
+    figures.all_dead_s = fleet
+        .until(|fleet| fleet.members.values().all(|m| killed.iter().all(|h| dead(m, h))))
+        .map(|s| s + spent);
     for h in &killed {
-        f.start(*h);
+        fleet.start(*h);
     }
-    x.back_s = f.until(Fleet::all_know_all);
+    figures.back_s = fleet.until(Fleet::all_know_all);
     // The others call now and then at the address of one that they hold dead.
     let lost = hosts - 1;
-    f.members.remove(&lost);
-    _ = f.until(|f| f.members.values().all(|m| dead(m, &lost)));
-    f.start_with(lost, (900..903).map(peer_address).collect());
-    x.stale_seeds_s = f.until(Fleet::all_know_all);
+    fleet.members.remove(&lost);
+    _ = fleet.until(|fleet| fleet.members.values().all(|m| dead(m, &lost)));
+    fleet.start_with(lost, (900..903).map(peer_address).collect());
+    figures.stale_seeds_s = fleet.until(Fleet::all_know_all);
     // Half is cut off, with orders on both sides; one ends meanwhile, one is cleared.
-    f.cut = Some(hosts / 2);
+    fleet.cut = Some(hosts / 2);
     let (low, high) = (0, hosts - 1);
-    f.order(low, 1, 600.0);
-    f.order(high, 2, 600.0);
-    f.order(low, 3, 10.0);
-    f.order(high, 4, 600.0);
-    f.run_until(f.now + 20 * SECOND);
-    let name = |f: &Fleet, slot: u32, number| {
-        let generation = f.members.get(&slot).map_or(0, |m| m.view.me().generation);
+    fleet.order(low, 1, 600.0);
+    fleet.order(high, 2, 600.0);
+    fleet.order(low, 3, 10.0);
+    fleet.order(high, 4, 600.0);
+    fleet.run_until(fleet.now + 20 * SECOND);
+    let name = |fleet: &Fleet, slot: u32, number| {
+        let generation = fleet.members.get(&slot).map_or(0, |m| m.view.me().generation);
         tackmast_overrides::Origin { slot, generation, number }
     };
-    let cleared = name(&f, high, 4);
-    if let Some(m) = f.members.get_mut(&high) {
+    let cleared = name(&fleet, high, 4);
+    if let Some(m) = fleet.members.get_mut(&high) {
         m.clear_override(cleared);
     }
-    f.held.entry(high).or_default().remove(&4);
-    f.run_until(f.now + 10 * SECOND);
-    f.over.extend([3, 4]);
-    f.cut = None;
-    let heal = f.now;
-    x.orders_meet_s =
-        f.until(|f| f.held.values().all(|h| h.contains(&1) && h.contains(&2) && !h.contains(&4)));
-    let spent = (f.now - heal) as f64 / 1e6;
-    x.views_meet_s = f.until(Fleet::all_know_all).map(|s| s + spent);
-    f.run_until(f.now + 30 * SECOND);
-    x.returned = f.returned;
-    let before = f.sums().2;
+    fleet.held.entry(high).or_default().remove(&4);
+    fleet.run_until(fleet.now + 10 * SECOND);
+    fleet.over.extend([3, 4]);
+    fleet.cut = None;
+    let heal = fleet.now;
+    figures.orders_meet_s =
+        fleet.until(|fleet| fleet.held.values().all(|h| h.contains(&1) && h.contains(&2) && !h.contains(&4)));
+    let spent = (fleet.now - heal) as f64 / 1e6;
+    figures.views_meet_s = fleet.until(Fleet::all_know_all).map(|s| s + spent);
+    fleet.run_until(fleet.now + 30 * SECOND);
+    figures.returned = fleet.returned;
+    let before = fleet.sums().2;
     for _ in 0..15 {
-        f.cut = Some(hosts / 2);
-        f.run_until(f.now + SECOND);
-        f.cut = None;
-        f.run_until(f.now + SECOND);
+        fleet.cut = Some(hosts / 2);
+        fleet.run_until(fleet.now + SECOND);
+        fleet.cut = None;
+        fleet.run_until(fleet.now + SECOND);
     }
-    x.after_flaps_s = f.until(Fleet::all_know_all);
-    x.flap_deaths = f.sums().2 - before;
-    f.members.values_mut().for_each(|m| m.catalog.enable(CatalogVersion::default(), []));
-    x.plan_s = f.plan(1, 500);
-    x.large_plan_s = f.plan(2, 100_000);
-    f.cut = Some(hosts / 2);
-    let cut = f.plan_until(3, 500, Some(30 * SECOND));
-    f.cut = None;
-    x.plan_after_cut_s = if cut.is_none() { f.until(|f| f.all_go_by(3)) } else { cut };
-    x
+    figures.after_flaps_s = fleet.until(Fleet::all_know_all);
+    figures.flap_deaths = fleet.sums().2 - before;
+    fleet.members.values_mut().for_each(|m| m.catalog.enable(CatalogVersion::default(), []));
+    figures.plan_s = fleet.plan(1, 500);
+    figures.large_plan_s = fleet.plan(2, 100_000);
+    fleet.cut = Some(hosts / 2);
+    let cut = fleet.plan_until(3, 500, Some(30 * SECOND));
+    fleet.cut = None;
+    figures.plan_after_cut_s = if cut.is_none() { fleet.until(|fleet| fleet.all_go_by(3)) } else { cut };
+    figures
 }
--- a/crates/simulator/src/plain.rs
+++ b/crates/simulator/src/reference_model.rs
@@ -1,4 +1,4 @@
-//! Plain hosts to compare with: they take the same inputs and give the same outputs as the host core, and know none of
+//! Simple reference hosts to compare with: they take the same inputs and give the same outputs as the host core, and know none of
 //! its defences. They live here and nowhere in the product, and break rules that the product keeps.
 
 use bytes::{Bytes, BytesMut};
@@ -14,7 +14,7 @@
 const CAP: usize = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plain {
+pub enum ReferenceModel {
     /// First come, first served: all that is asked leaves at once.
     Fcfs,
     /// The same, and no more than a fixed number is out at a node.
@@ -24,13 +24,13 @@
 }
 
 /// What a simulated host runs.
-pub enum Heart {
+pub enum HostLogic {
     Core(Box<Core>),
-    Plain(Box<PlainHost>),
+    Reference(Box<ReferenceHost>),
 }
 
-pub struct PlainHost {
-    how: Plain,
+pub struct ReferenceHost {
+    how: ReferenceModel,
     layout: Layout,
     settings: HostSettings,
     nodes: Nodes,
@@ -60,9 +60,9 @@
     done: Option<Bytes>,
 }
 
-impl PlainHost {
-    pub fn new(how: Plain, settings: &HostSettings) -> Self {
-        PlainHost {
+impl ReferenceHost {
+    pub fn new(how: ReferenceModel, settings: &HostSettings) -> Self {
+        ReferenceHost {
             how,
             layout: Layout::new(settings),
             settings: settings.clone(),
@@ -142,15 +142,15 @@
         gone
     }
 
-    fn back(&mut self, b: AttemptResult) {
-        let id = b.attempt.0 >> 8;
+    fn back(&mut self, result: AttemptResult) {
+        let id = result.attempt.0 >> 8;
         let Some(x) = self.requests.get_mut(&id).filter(|x| x.node.is_some() && x.done.is_none()) else {
             return;
         };
         let from = x.from;
-        if b.outcome != Outcome::Done {
+        if result.outcome != Outcome::Done {
             // No second attempt: the client is told what is known.
-            let never = !b.outcome.may_have_run();
+            let never = !result.outcome.may_have_run();
             let alone = self.commands.get(&from).is_some_and(|ids| ids.len() == 1);
             let safe = never && alone
                 || self.settings.traffic_classes[x.traffic_class].effect
@@ -159,7 +159,7 @@
             return self
                 .answer(from, if safe { Verdict::Rejected { retry_after: None } } else { Verdict::Failed });
         }
-        x.done = Some(b.data);
+        x.done = Some(result.data);
         let shard = x.spec.shard;
         *self.out.entry(shard).or_default() -= 1;
         let all =
@@ -198,12 +198,13 @@
 
     /// Tokens for the request are there, and taken.
     fn draws(&mut self, now: Instant, volume: usize, units: f64) -> bool {
-        let v = self.layout.volume(volume);
-        let plan = &self.settings.plans[v.plan as usize];
-        if self.how != Plain::Buckets || plan.limit <= 0.0 {
+        let volume_layout = self.layout.volume(volume);
+        let plan = &self.settings.plans[volume_layout.plan as usize];
+        if self.how != ReferenceModel::Buckets || plan.limit <= 0.0 {
             return true;
         }
-        let (rate, burst) = (plan.limit / f64::from(v.hosts), plan.burst / f64::from(v.hosts));
+        let (rate, burst) =
+            (plan.limit / f64::from(volume_layout.hosts), plan.burst / f64::from(volume_layout.hosts));
         let (tokens, at) = self.tokens.entry(volume).or_insert((burst, now));
         *tokens = (*tokens + rate * (now - *at).secs()).min(burst);
         *at = now;
@@ -223,7 +224,7 @@
         let shards: Vec<ShardId> = self.queues.keys().copied().collect();
         for shard in shards {
             let Some(node) = self.serving.get(&shard).copied() else { continue };
-            if self.how == Plain::Caps && self.out.get(&shard).copied().unwrap_or(0) >= CAP {
+            if self.how == ReferenceModel::Caps && self.out.get(&shard).copied().unwrap_or(0) >= CAP {
                 continue;
             }
             while let Some(id) = self.queues.get(&shard).and_then(|q| q.front().copied()) {
@@ -245,28 +246,32 @@
     }
 
     fn send(&mut self, id: u64, shard: ShardId, node: NodeId) -> Option<Output> {
-        let x = self.requests.get_mut(&id)?;
-        x.node = Some(node);
+        let request = self.requests.get_mut(&id)?;
+        request.node = Some(node);
         *self.out.entry(shard).or_default() += 1;
-        let v = self.layout.volume(x.volume);
-        let work = match &x.data {
+        let volume_layout = self.layout.volume(request.volume);
+        let work = match &request.data {
             Some(data) => AttemptWork::Write { data: data.clone() },
-            None => AttemptWork::Read { length: x.spec.blocks * v.block_bytes },
+            None => AttemptWork::Read { length: request.spec.blocks * volume_layout.block_bytes },
         };
         Some(Output::Send(Box::new(SendAttempt {
             node,
             attempt: AttemptId(id << 8),
             request: id,
             attempt_number: 0,
-            from: x.from,
-            part: x.part,
-            until: x.deadline,
+            from: request.from,
+            part: request.part,
+            until: request.deadline,
             begin_by: None,
             mark: 0,
-            key: if self.settings.traffic_classes[x.traffic_class].in_order { x.spec.key } else { 0 },
-            volume: v.lun,
-            offset: x.spec.block * u64::from(v.block_bytes),
-            units: x.spec.units,
+            key: if self.settings.traffic_classes[request.traffic_class].in_order {
+                request.spec.key
+            } else {
+                0
+            },
+            volume: volume_layout.lun,
+            offset: request.spec.block * u64::from(volume_layout.block_bytes),
+            units: request.spec.units,
             work,
             ticket: Ticket::default(),
         })))
@@ -275,46 +280,46 @@
     fn wake(&self, now: Instant) -> Option<Instant> {
         let deadline = self.until.first().map(|(t, _)| *t);
         // Tokens come with time.
-        let tokens = (self.how == Plain::Buckets && !self.queues.is_empty())
+        let tokens = (self.how == ReferenceModel::Buckets && !self.queues.is_empty())
             .then(|| now + TimeDelta::from_secs(0.005));
         [deadline, tokens].into_iter().flatten().min()
     }
 }
 
 /// One face for both.
-impl Heart {
+impl HostLogic {
     pub fn core(&mut self) -> Option<&mut Core> {
         match self {
-            Heart::Core(c) => Some(c),
-            Heart::Plain(_) => None,
+            HostLogic::Core(c) => Some(c),
+            HostLogic::Reference(_) => None,
         }
     }
 
     pub fn layout(&self) -> &Layout {
         match self {
-            Heart::Core(c) => c.layout(),
-            Heart::Plain(p) => &p.layout,
+            HostLogic::Core(c) => c.layout(),
+            HostLogic::Reference(p) => &p.layout,
         }
     }
 
     pub fn nodes(&self) -> &Nodes {
         match self {
-            Heart::Core(c) => c.nodes(),
-            Heart::Plain(p) => &p.nodes,
+            HostLogic::Core(c) => c.nodes(),
+            HostLogic::Reference(p) => &p.nodes,
         }
     }
 
     pub fn key_queue_count(&self) -> usize {
         match self {
-            Heart::Core(c) => c.key_queue_count(),
-            Heart::Plain(_) => 0,
+            HostLogic::Core(c) => c.key_queue_count(),
+            HostLogic::Reference(_) => 0,
         }
     }
 
     pub fn open_counts(&self) -> OpenCounts {
         match self {
-            Heart::Core(c) => c.open_counts(),
-            Heart::Plain(p) => OpenCounts {
+            HostLogic::Core(c) => c.open_counts(),
+            HostLogic::Reference(p) => OpenCounts {
                 commands: p.commands.len(),
                 requests: p.requests.len(),
                 attempts: p.out.values().sum(),
@@ -334,7 +339,7 @@
         asked: Option<TimeDelta>,
     ) {
         match self {
-            Heart::Core(c) => c.handle_command(
+            HostLogic::Core(c) => c.handle_command(
                 now,
                 ClientCommand {
                     from,
@@ -346,21 +351,21 @@
                     idempotency_key: None,
                 },
             ),
-            Heart::Plain(p) => p.handle_command(now, from, lun, block, &work, asked),
+            HostLogic::Reference(p) => p.handle_command(now, from, lun, block, &work, asked),
         }
     }
 
     pub fn handle_abort(&mut self, now: Instant, from: CommandRef) {
         match self {
-            Heart::Core(c) => c.handle_abort(now, from),
-            Heart::Plain(p) => _ = p.forget(from),
+            HostLogic::Core(c) => c.handle_abort(now, from),
+            HostLogic::Reference(p) => _ = p.forget(from),
         }
     }
 
     pub fn handle_session_closed(&mut self, now: Instant, session: u32) {
         match self {
-            Heart::Core(c) => c.handle_session_closed(now, session),
-            Heart::Plain(p) => {
+            HostLogic::Core(c) => c.handle_session_closed(now, session),
+            HostLogic::Reference(p) => {
                 let open: Vec<CommandRef> =
                     p.commands.keys().filter(|c| c.session == session).copied().collect();
                 open.into_iter().for_each(|c| _ = p.forget(c));
@@ -370,8 +375,8 @@
 
     pub fn handle_attempt_result(&mut self, now: Instant, back: AttemptResult) {
         match self {
-            Heart::Core(c) => c.handle_attempt_result(now, back),
-            Heart::Plain(p) => p.back(back),
+            HostLogic::Core(c) => c.handle_attempt_result(now, back),
+            HostLogic::Reference(p) => p.back(back),
         }
     }
 
@@ -384,29 +389,29 @@
         entries: &[ListEntry],
     ) {
         match self {
-            Heart::Core(c) => c.handle_endpoint_list(now, kind, from, to, entries),
-            Heart::Plain(p) => p.list(now, kind, to, entries),
+            HostLogic::Core(c) => c.handle_endpoint_list(now, kind, from, to, entries),
+            HostLogic::Reference(p) => p.list(now, kind, to, entries),
         }
     }
 
     pub fn handle_timeout(&mut self, now: Instant) {
         match self {
-            Heart::Core(c) => c.handle_timeout(now),
-            Heart::Plain(p) => p.handle_timeout(now),
+            HostLogic::Core(c) => c.handle_timeout(now),
+            HostLogic::Reference(p) => p.handle_timeout(now),
         }
     }
 
     pub fn poll_output(&mut self, now: Instant) -> Option<Output> {
         match self {
-            Heart::Core(c) => c.poll_output(now),
-            Heart::Plain(p) => p.next(now),
+            HostLogic::Core(c) => c.poll_output(now),
+            HostLogic::Reference(p) => p.next(now),
         }
     }
 
     pub fn poll_timeout(&self, now: Instant) -> Option<Instant> {
         match self {
-            Heart::Core(c) => c.poll_timeout(now),
-            Heart::Plain(p) => p.wake(now),
+            HostLogic::Core(c) => c.poll_timeout(now),
+            HostLogic::Reference(p) => p.wake(now),
         }
     }
 }
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,8 +1,8 @@
 //! One page a run: service over time with the troubles marked, attempts out by node, the limited volume's store, and answer
 //! times as percentile curves. Pictures are drawn by plotters as SVG within the page.
 
-use crate::draw::{Kind, World};
 use crate::sim::Run;
+use crate::world::{FaultKind, World};
 use crate::Found;
 use plotters::prelude::*;
 use std::collections::BTreeMap;
@@ -47,7 +47,7 @@
         });
         let facts = facts.unwrap_or_default();
         let limited = facts.volumes.iter().find(|v| v.limit > 0.0).cloned();
-        let mut s = Series {
+        let mut series = Series {
             step,
             asked: vec![0.0; BUCKETS],
             in_time: vec![0.0; BUCKETS],
@@ -63,18 +63,20 @@
         for l in &run.trace {
             match &l.event {
                 Event::Submit { host, session, command, traffic_class, .. } => {
-                    s.asked[place(l.t)] += 1.0;
+                    series.asked[place(l.t)] += 1.0;
                     open.insert((*host, *session, *command), (l.t, *traffic_class as usize));
                 }
                 Event::Answer { host, session, command, kind, .. } => {
                     let Some((t, traffic_class)) = open.remove(&(*host, *session, *command)) else {
                         continue;
                     };
-                    let latency_objective =
-                        facts.traffic_classes.get(traffic_class).map_or(u64::MAX, |s| s.latency_objective_us);
-                    s.in_time[place(t)] +=
+                    let latency_objective = facts
+                        .traffic_classes
+                        .get(traffic_class)
+                        .map_or(u64::MAX, |class| class.latency_objective_us);
+                    series.in_time[place(t)] +=
                         f64::from(u8::from(*kind == AnswerKind::Done && l.t - t <= latency_objective));
-                    s.rejected[place(t)] += f64::from(u8::from(*kind == AnswerKind::Rejected));
+                    series.rejected[place(t)] += f64::from(u8::from(*kind == AnswerKind::Rejected));
                 }
                 Event::Attempt { node, name, left_us, volume, units, .. } => {
                     attempts.insert(*name, (l.t, node.clone(), l.t + left_us));
@@ -85,7 +87,7 @@
                         level = (level - v.limit * gone).max(0.0) + units;
                         level_at = l.t;
                         let part = level / (v.burst + v.slack).max(1e-9);
-                        s.store[place(l.t)] = s.store[place(l.t)].max(part);
+                        series.store[place(l.t)] = series.store[place(l.t)].max(part);
                     }
                 }
                 Event::AttemptEnd { name, .. } => {
@@ -109,19 +111,19 @@
         let order = |n: &String| n.parse::<std::net::SocketAddr>().map_err(|_| n.clone());
         nodes.sort_by_key(order);
         nodes.dedup();
-        s.out = vec![vec![0.0; BUCKETS]; nodes.len()];
+        series.out = vec![vec![0.0; BUCKETS]; nodes.len()];
         for (node, from, to) in spans {
             let Ok(n) = nodes.binary_search_by_key(&order(&node), order) else { continue };
             // Each bucket gets the part of it for which the attempt was out.
-            for (i, out) in s.out[n].iter_mut().enumerate().take(place(to) + 1).skip(place(from)) {
+            for (i, out) in series.out[n].iter_mut().enumerate().take(place(to) + 1).skip(place(from)) {
                 let (low, high) = (i as f64 * step, (i + 1) as f64 * step);
                 let from = ((from - first) as f64 / 1e6).max(low);
                 let to = ((to - first) as f64 / 1e6).min(high);
                 *out += (to - from).max(0.0) / step;
             }
         }
-        s.nodes = nodes;
-        s
+        series.nodes = nodes;
+        series
     }
 }
 
@@ -135,21 +137,21 @@
     run.classes.iter().filter(|(_, c)| c.done > 0).map(|(name, c)| (name.clone(), points(c))).collect()
 }
 
-fn failed(e: impl std::fmt::Display) -> String {
-    format!("picture: {e}")
+fn failed(error: impl std::fmt::Display) -> String {
+    format!("picture: {error}")
 }
 
 /// Bars of the troubles' times, under what is drawn after them.
-fn troubles(w: &World) -> Vec<(f64, f64, String)> {
-    let name = |k: &Kind| format!("{k:?}").split(['(', '{']).next().unwrap_or("").trim().to_owned();
-    let span = |t: &crate::Trouble| {
+fn troubles(world: &World) -> Vec<(f64, f64, String)> {
+    let name = |k: &FaultKind| format!("{k:?}").split(['(', '{']).next().unwrap_or("").trim().to_owned();
+    let span = |t: &crate::InjectedFault| {
         let at = t.at_us as f64 / 1e6;
         (at, at + t.for_us as f64 / 1e6, name(&t.kind))
     };
-    w.troubles.iter().map(span).collect()
+    world.faults.iter().map(span).collect()
 }
 
-fn over_time(title: &str, w: &World, lines: &[(&str, Vec<f64>)], step: f64) -> Result<String, String> {
+fn over_time(title: &str, world: &World, lines: &[(&str, Vec<f64>)], step: f64) -> Result<String, String> {
     let mut text = String::new();
     let most = lines.iter().flat_map(|l| l.1.iter().copied()).fold(0.0, f64::max).max(1e-9) * 1.1;
     let long = step * BUCKETS as f64;
@@ -164,7 +166,7 @@
             .build_cartesian_2d(0.0..long, 0.0..most)
             .map_err(failed)?;
         chart.configure_mesh().light_line_style(WHITE).x_desc("seconds").draw().map_err(failed)?;
-        let all = troubles(w);
+        let all = troubles(world);
         let rows = all.len().max(1) as f64;
         for (i, (from, to, name)) in all.iter().enumerate() {
             let top = most * (1.0 - i as f64 / rows);
@@ -201,15 +203,15 @@
 }
 
 /// Attempts out by node, dark where many are: one row a node, so that hundreds of hosts and dozens of nodes stay legible.
-fn by_node(s: &Series) -> Result<String, String> {
+fn by_node(series: &Series) -> Result<String, String> {
     let mut text = String::new();
-    let most = s.out.iter().flatten().copied().fold(0.0, f64::max).max(1e-9);
-    let rows = s.nodes.len().max(1);
+    let most = series.out.iter().flatten().copied().fold(0.0, f64::max).max(1e-9);
+    let rows = series.nodes.len().max(1);
     let height = 70 + (rows as u32 * 12).clamp(120, 1200);
     {
         let area = SVGBackend::with_string(&mut text, (SIZE.0, height)).into_drawing_area();
         area.fill(&WHITE).map_err(failed)?;
-        let long = s.step * BUCKETS as f64;
+        let long = series.step * BUCKETS as f64;
         let mut chart = ChartBuilder::on(&area)
             .caption(format!("attempts out by node (darkest: {most:.1})"), ("sans-serif", 16))
             .margin(8)
@@ -217,7 +219,7 @@
             .y_label_area_size(120)
             .build_cartesian_2d(0.0..long, 0.0..rows as f64)
             .map_err(failed)?;
-        let name = |y: &f64| s.nodes.get(*y as usize).cloned().unwrap_or_default();
+        let name = |y: &f64| series.nodes.get(*y as usize).cloned().unwrap_or_default();
         chart
             .configure_mesh()
             .disable_mesh()
@@ -227,11 +229,11 @@
             .y_label_style(("sans-serif", 9))
             .draw()
             .map_err(failed)?;
-        for (n, row) in s.out.iter().enumerate() {
+        for (n, row) in series.out.iter().enumerate() {
             let cells = row.iter().enumerate().filter(|(_, x)| **x > 0.0).map(|(i, x)| {
                 // By the root, so that a few attempts beside a flood can still be seen.
                 let colour = RGBColor(20, 60, 140).mix((x / most).sqrt()).filled();
-                let (from, to) = (i as f64 * s.step, (i + 1) as f64 * s.step);
+                let (from, to) = (i as f64 * series.step, (i + 1) as f64 * series.step);
                 Rectangle::new([(from, n as f64), (to, n as f64 + 0.9)], colour)
             });
             chart.draw_series(cells).map_err(failed)?;
@@ -292,34 +294,38 @@
     Ok(text)
 }
 
-fn plain_text(s: &str) -> String {
-    s.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
+fn plain_text(text: &str) -> String {
+    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
 /// The whole page, with the figures as text.
-pub fn page(w: &World, found: &Found, text: &str) -> Result<String, String> {
-    let s = Series::of(&found.run);
-    let rate = |v: &[f64]| v.iter().map(|x| x / s.step).collect::<Vec<f64>>();
-    let lines = [("asked", rate(&s.asked)), ("in time", rate(&s.in_time)), ("rejected", rate(&s.rejected))];
+pub fn page(world: &World, found: &Found, text: &str) -> Result<String, String> {
+    let series = Series::of(&found.run);
+    let rate = |v: &[f64]| v.iter().map(|x| x / series.step).collect::<Vec<f64>>();
+    let lines = [
+        ("asked", rate(&series.asked)),
+        ("in time", rate(&series.in_time)),
+        ("rejected", rate(&series.rejected)),
+    ];
     let pictures = [
-        over_time("requests a second, by when they were asked; troubles behind", w, &lines, s.step)?,
+        over_time("requests a second, by when they were asked; troubles behind", world, &lines, series.step)?,
         over_time(
             "the limited volume's store over its burst and slack",
-            w,
-            &[("store", s.store.clone())],
-            s.step,
+            world,
+            &[("store", series.store.clone())],
+            series.step,
         )?,
         percentiles(&found.run)?,
-        by_node(&s)?,
+        by_node(&series)?,
     ];
     Ok(format!(
         "<!doctype html>\n<meta charset=\"utf-8\">\n<title>seed {}</title>\n<body style=\"font-family: sans-serif\">\n\
          <h1>Seed {}: {} hosts, {} nodes, {:.1} s</h1>\n<p>Figures are of models in virtual time.</p>\n{}\n<pre>{}</pre>\n</body>\n",
-        w.seed,
-        w.seed,
-        w.hosts,
-        w.nodes,
-        w.seconds,
+        world.seed,
+        world.seed,
+        world.hosts,
+        world.nodes,
+        world.seconds,
         pictures.join("\n"),
         plain_text(text)
     ))
@@ -332,7 +338,7 @@
 
     #[test]
     fn a_report_counts_what_the_run_counted_and_repeats_to_the_byte() {
-        let w = World::draw(12, 4);
+        let w = World::generate(12, 4);
         let found = play(&w, None);
         let s = Series::of(&found.run);
         let sum = |v: &[f64]| v.iter().sum::<f64>();
--- a/crates/simulator/src/day.rs
+++ b/crates/simulator/src/scenario_script.rs
@@ -1,7 +1,7 @@
 //! Day scripts in virtual time: the script that `tackmast scenario` plays through sockets, with its nodes, settings, traffic and
 //! troubles, played by the lab. What only sockets have is named and left out.
 
-use crate::draw::{Kind, Trouble, World};
+use crate::world::{FaultKind, InjectedFault, World};
 use std::sync::Arc;
 use tackmast_emulators::list::ListFault;
 use tackmast_emulators::node::Fault;
@@ -13,22 +13,22 @@
 const JITTER_US: u64 = 20;
 
 #[derive(Clone)]
-pub struct DayScript(Arc<Script>);
+pub struct ScenarioScript(Arc<Script>);
 
-impl std::ops::Deref for DayScript {
+impl std::ops::Deref for ScenarioScript {
     type Target = Script;
     fn deref(&self) -> &Script {
         &self.0
     }
 }
 
-impl std::fmt::Debug for DayScript {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "script of {} hosts", self.0.day.hosts)
+impl std::fmt::Debug for ScenarioScript {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
+        write!(formatter, "script of {} hosts", self.0.day.hosts)
     }
 }
 
-impl PartialEq for DayScript {
+impl PartialEq for ScenarioScript {
     fn eq(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.0, &other.0)
     }
@@ -36,7 +36,7 @@
 
 /// One request of a script's traffic.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct ScriptRequest {
     /// Microseconds from when the traffic begins.
     pub at_us: u64,
     pub host: u32,
@@ -49,10 +49,10 @@
     pub waits: bool,
 }
 
-impl DayScript {
+impl ScenarioScript {
     /// The script's nodes in its order, one for each shard named: block and shard.
-    pub fn node(&self, n: u32) -> Option<(&NodesBlock, u32)> {
-        self.node_names().nth(n as usize).map(|(_, block, shard)| (block, shard))
+    pub fn node(&self, node_index: u32) -> Option<(&NodesBlock, u32)> {
+        self.node_names().nth(node_index as usize).map(|(_, block, shard)| (block, shard))
     }
 
     fn node_names(&self) -> impl Iterator<Item = (&str, &NodesBlock, u32)> {
@@ -69,8 +69,8 @@
     }
 
     /// All that the script's traffic asks, in order of time: as its clients on loopback would, from the same figures but
-    /// other chance.
-    pub fn asks(&self, seed: u64) -> Vec<Ask> {
+    /// other random numbers.
+    pub fn asks(&self, seed: u64) -> Vec<ScriptRequest> {
         let mut all = Vec::new();
         let mut places = std::collections::BTreeMap::new();
         for (i, (name, t)) in self.0.traffic.iter().enumerate() {
@@ -78,8 +78,8 @@
             let place: &mut u64 = places.entry(&t.volume).or_default();
             let base = *place * t.span_blocks;
             *place += 1;
-            let mut chance = oorandom::Rand64::new(u128::from(seed) * 1000 + i as u128 + 1);
-            self.flow(name, t, v.lun, base, &mut chance, &mut all);
+            let mut generator = oorandom::Rand64::new(u128::from(seed) * 1000 + i as u128 + 1);
+            self.flow(name, t, v.lun, base, &mut generator, &mut all);
         }
         all.sort_by_key(|a| a.at_us);
         all
@@ -91,25 +91,25 @@
         t: &TrafficBlock,
         lun: u32,
         base: u64,
-        chance: &mut oorandom::Rand64,
-        all: &mut Vec<Ask>,
+        generator: &mut oorandom::Rand64,
+        all: &mut Vec<ScriptRequest>,
     ) {
         let gap = |c: &mut oorandom::Rand64, mean_s: f64| -(1.0 - c.rand_float()).ln() * mean_s;
         // Stretches of its own surges, and the times at which the lead passes on.
         let until = t.for_s.map_or(self.0.day.seconds, |s| t.from_s + s).min(self.0.day.seconds);
         let (mut surges, mut moves) = (Vec::new(), Vec::new());
         if let Some((_, length, every)) = t.surges {
-            let mut at = t.from_s + gap(chance, every);
+            let mut at = t.from_s + gap(generator, every);
             while at < until {
                 surges.push((at, at + length));
-                at += gap(chance, every);
+                at += gap(generator, every);
             }
         }
         if let Some(every) = t.moves_s {
-            let mut at = t.from_s + gap(chance, every);
+            let mut at = t.from_s + gap(generator, every);
             while at < until {
                 moves.push(at);
-                at += gap(chance, every);
+                at += gap(generator, every);
             }
         }
         let hit = |names: &[String]| names.is_empty() || names.iter().any(|n| n == name);
@@ -131,18 +131,18 @@
         let mut at = t.from_s;
         while at < until {
             let (least, most) = t.blocks;
-            let blocks = chance.rand_range(u64::from(least)..u64::from(most) + 1) as u32;
-            let block = base + chance.rand_range(0..t.span_blocks - u64::from(blocks) + 1);
-            let write = chance.rand_float() >= t.reads;
+            let blocks = generator.rand_range(u64::from(least)..u64::from(most) + 1) as u32;
+            let block = base + generator.rand_range(0..t.span_blocks - u64::from(blocks) + 1);
+            let write = generator.rand_float() >= t.reads;
             let lead = moves.iter().filter(|m| **m <= at).count() % t.hosts.len();
-            let place = match chance.rand_float() < t.lead {
+            let place = match generator.rand_float() < t.lead {
                 true => lead,
-                false => (lead + 1 + chance.rand_range(0..t.hosts.len() as u64) as usize) % t.hosts.len(),
+                false => (lead + 1 + generator.rand_range(0..t.hosts.len() as u64) as usize) % t.hosts.len(),
             };
             let (at_us, host) = ((at * 1e6) as u64, t.hosts[place]);
             let (retries, waits) = (t.retries, t.waits);
-            all.push(Ask { at_us, host, lun, write, block, blocks, retries, waits });
-            at += gap(chance, 1.0 / (t.rate * times(at)).max(0.001));
+            all.push(ScriptRequest { at_us, host, lun, write, block, blocks, retries, waits });
+            at += gap(generator, 1.0 / (t.rate * times(at)).max(0.001));
         }
     }
 }
@@ -150,46 +150,51 @@
 impl World {
     /// A script's day in virtual time, and what of it the lab can't do.
     pub fn of_script(script: Script, seed: u64) -> (World, Vec<String>) {
-        let day = DayScript(Arc::new(script));
-        let mut w = World::draw(seed, day.day.hosts);
-        w.nodes = day.node_names().count() as u32;
-        w.seconds = day.day.seconds + 0.5;
-        (w.delay_us, w.jitter_us) = (DELAY_US, JITTER_US);
-        w.list_late_us = (day.list_late_s * 1e6) as u64;
-        (w.clients, w.wall_off_s, w.drift, w.timed_list) = ([0, 0], 0.0, 0.0, true);
-        w.troubles.clear();
+        let day = ScenarioScript(Arc::new(script));
+        let mut world = World::generate(seed, day.day.hosts);
+        world.nodes = day.node_names().count() as u32;
+        world.seconds = day.day.seconds + 0.5;
+        (world.delay_us, world.jitter_us) = (DELAY_US, JITTER_US);
+        world.list_late_us = (day.list_late_s * 1e6) as u64;
+        (world.clients, world.wall_off_s, world.drift, world.timed_list) = ([0, 0], 0.0, 0.0, true);
+        world.faults.clear();
         let mut left_out = Vec::new();
         for t in &day.troubles {
-            if let Err(what) = troubles(&day, t, &mut w.troubles) {
+            if let Err(what) = troubles(&day, t, &mut world.faults) {
                 left_out.push(format!("{}: {what}", t.name));
             }
         }
         for (name, t) in day.traffic.iter().filter(|(_, t)| t.aborts > 0.0 || t.leaves > 0.0) {
             left_out.push(format!("traffic {name}: aborts {} and leaves {}", t.aborts, t.leaves));
         }
-        w.members = day.day.members.then_some(0.0);
-        w.day = Some(day);
-        (w, left_out)
+        world.members = day.day.members.then_some(0.0);
+        world.scenario = Some(day);
+        (world, left_out)
     }
 }
 
 /// The lab's troubles for one of the script's.
-fn troubles(day: &DayScript, t: &tackmast_scenario::Trouble, all: &mut Vec<Trouble>) -> Result<(), String> {
+fn troubles(
+    day: &ScenarioScript,
+    script_fault: &tackmast_scenario::Trouble,
+    all: &mut Vec<InjectedFault>,
+) -> Result<(), String> {
     let us = |s: f64| (s * 1e6) as u64;
-    let (at, long) = (us(t.at_s), us(t.for_s));
-    let mut put = |at_us, for_us, kind, node, host| all.push(Trouble { at_us, for_us, kind, node, host });
-    match &t.action {
+    let (at, long) = (us(script_fault.at_s), us(script_fault.for_s));
+    let mut put =
+        |at_us, for_us, kind, node, host| all.push(InjectedFault { at_us, for_us, kind, node, host });
+    match &script_fault.action {
         Action::Nodes { nodes, fault } => {
             let (kind, long) = match fault {
-                Fault::Slow(x) => (Kind::Slow(*x), long),
-                Fault::Neighbour(x) => (Kind::Neighbour(*x), long),
-                Fault::Errors(x) => (Kind::Errors(*x), long),
-                Fault::Heavy(part, times) => (Kind::Heavy(*part, *times), long),
-                Fault::Pause(s) => (Kind::Pause, us(*s)),
-                Fault::Silent(_) => (Kind::Silent, long),
-                Fault::Restart(s) => (Kind::Restart, us(*s)),
-                Fault::Reset => (Kind::Resets, 0),
-                Fault::Die => (Kind::Restart, us(day.day.seconds * 10.0)),
+                Fault::Slow(x) => (FaultKind::Slow(*x), long),
+                Fault::Neighbour(x) => (FaultKind::Neighbour(*x), long),
+                Fault::Errors(x) => (FaultKind::Errors(*x), long),
+                Fault::Heavy(part, times) => (FaultKind::Heavy(*part, *times), long),
+                Fault::Pause(s) => (FaultKind::Pause, us(*s)),
+                Fault::Silent(_) => (FaultKind::Silent, long),
+                Fault::Restart(s) => (FaultKind::Restart, us(*s)),
+                Fault::Reset => (FaultKind::Resets, 0),
+                Fault::Die => (FaultKind::Restart, us(day.day.seconds * 10.0)),
                 other => return Err(format!("{other:?} is a fault of sockets")),
             };
             for n in day.named(nodes) {
@@ -201,33 +206,37 @@
                 let step = long / u64::from(AGEING_STEPS);
                 for i in 0..u64::from(AGEING_STEPS) {
                     let part = i as f64 / f64::from(AGEING_STEPS);
-                    put(at + i * step, step, Kind::Slow(times.powf(part)), n, None);
+                    put(at + i * step, step, FaultKind::Slow(times.powf(part)), n, None);
                 }
-                put(at + long, us(*down_s), Kind::Restart, n, None);
+                put(at + long, us(*down_s), FaultKind::Restart, n, None);
             }
         }
         Action::Pauses { nodes, pause_s, every_s } => {
             for n in day.named(nodes) {
-                let mut from = t.at_s;
-                while from < t.at_s + t.for_s {
-                    put(us(from), us(*pause_s), Kind::Pause, n, None);
+                let mut from = script_fault.at_s;
+                while from < script_fault.at_s + script_fault.for_s {
+                    put(us(from), us(*pause_s), FaultKind::Pause, n, None);
                     from += every_s.max(0.01);
                 }
             }
         }
-        Action::List(ListFault::Late(s)) => put(at, long, Kind::ListLate(*s), 0, None),
-        Action::List(ListFault::Fails(_) | ListFault::Silent(_)) => put(at, long, Kind::ListFails, 0, None),
-        Action::List(ListFault::Reset) => put(at, 1000, Kind::ListFails, 0, None),
+        Action::List(ListFault::Late(s)) => put(at, long, FaultKind::ListLate(*s), 0, None),
+        Action::List(ListFault::Fails(_) | ListFault::Silent(_)) => {
+            put(at, long, FaultKind::ListFails, 0, None)
+        }
+        Action::List(ListFault::Reset) => put(at, 1000, FaultKind::ListFails, 0, None),
         Action::List(other) => return Err(format!("{other:?}: the lab's list sends no versions")),
         Action::Deploy { nodes } => {
-            day.named(nodes).into_iter().for_each(|n| put(at, long, Kind::Deploy, n, None))
+            day.named(nodes).into_iter().for_each(|n| put(at, long, FaultKind::Deploy, n, None))
         }
         Action::Drain { nodes } => {
-            day.named(nodes).into_iter().for_each(|n| put(at, long, Kind::Drain, n, None))
+            day.named(nodes).into_iter().for_each(|n| put(at, long, FaultKind::Drain, n, None))
+        }
+        Action::KillHosts(hosts) => {
+            hosts.iter().for_each(|h| put(at, long, FaultKind::HostKill, 0, Some(*h)))
         }
-        Action::KillHosts(hosts) => hosts.iter().for_each(|h| put(at, long, Kind::HostKill, 0, Some(*h))),
         // The traffic itself has them; here they are marked for the report.
-        Action::Surge { times, .. } => put(at, long, Kind::Surge(*times), 0, None),
+        Action::Surge { times, .. } => put(at, long, FaultKind::Surge(*times), 0, None),
         Action::Move { .. } => {}
         Action::Plan { .. } => return Err("a change of plans".into()),
         Action::Hosts { how, .. } => return Err(format!("{how:?} of processes, which only sockets have")),
@@ -251,8 +260,10 @@
             named.extend((0..day.node_names().count() as u32).filter(in_set));
             for n in named {
                 match hosts.is_empty() {
-                    true => put(at, long, Kind::Order(*kind, true), n, Some(0)),
-                    false => hosts.iter().for_each(|h| put(at, long, Kind::Order(*kind, false), n, Some(*h))),
+                    true => put(at, long, FaultKind::Order(*kind, true), n, Some(0)),
+                    false => {
+                        hosts.iter().for_each(|h| put(at, long, FaultKind::Order(*kind, false), n, Some(*h)))
+                    }
                 }
             }
         }
--- a/crates/simulator/src/save.rs
+++ b/crates/simulator/src/script_export.rs
@@ -1,8 +1,8 @@
 //! A drawn world written as a day script, so that a find plays again on loopback and here; scaled down where loopback
 //! could not bear it.
 
-use crate::draw::{Kind, World};
 use crate::sim;
+use crate::world::{FaultKind, World};
 use std::fmt::Write;
 use tackmast_overrides::Kind as OrderKind;
 
@@ -16,18 +16,19 @@
 impl World {
     /// The same world with fewer hosts and nodes, each node as busy as before; troubles move to those that are left.
     pub fn scaled(&self, hosts: u32) -> World {
-        let mut w = self.clone();
+        let mut world = self.clone();
         if hosts >= self.hosts || hosts == 0 {
-            return w;
+            return world;
         }
-        w.hosts = hosts;
-        w.nodes = (self.nodes * hosts / self.hosts).clamp(3, self.nodes);
-        w.rate *= f64::from(self.hosts) / f64::from(hosts) * f64::from(w.nodes) / f64::from(self.nodes);
-        for t in &mut w.troubles {
-            t.node %= w.nodes;
+        world.hosts = hosts;
+        world.nodes = (self.nodes * hosts / self.hosts).clamp(3, self.nodes);
+        world.rate *=
+            f64::from(self.hosts) / f64::from(hosts) * f64::from(world.nodes) / f64::from(self.nodes);
+        for t in &mut world.faults {
+            t.node %= world.nodes;
             t.host = t.host.map(|h| h % hosts);
         }
-        w
+        world
     }
 
     /// The script, and as comments what it leaves out.
@@ -38,16 +39,16 @@
         out
     }
 
-    fn write_script(&self, o: &mut String) -> std::fmt::Result {
+    fn write_script(&self, out: &mut String) -> std::fmt::Result {
         let all: Vec<u32> = (0..self.hosts).collect();
         let mut still = self.clone();
-        still.troubles.retain(|t| !matches!(t.kind, Kind::Plan(..)));
-        writeln!(o, "# A world that the laboratory drew: seed {}.\n", self.seed)?;
+        still.faults.retain(|t| !matches!(t.kind, FaultKind::Plan(..)));
+        writeln!(out, "# A world that the laboratory drew: seed {}.\n", self.seed)?;
         if self.wall_off_s > 0.0 || self.drift > 0.0 {
-            writeln!(o, "# Left out: wall clocks off by up to {:.2} s, drift.", self.wall_off_s)?;
+            writeln!(out, "# Left out: wall clocks off by up to {:.2} s, drift.", self.wall_off_s)?;
         }
         writeln!(
-            o,
+            out,
             "day {{\n  seconds = {:.3}\n  hosts = {}\n  seed = {}\n  drain_grace_ms = 250\n}}\n{}",
             self.seconds,
             self.hosts,
@@ -56,7 +57,7 @@
         )?;
         for n in 0..self.nodes {
             writeln!(
-                o,
+                out,
                 "nodes \"n{n}\" {{\n  shards = [{n}]\n  zone = {}\n  cores = {}\n  unit_ms = {}\n  queue = 400\n  cold_from = {}\n  \
                  warm_s = {}\n  fall_multiple = {}\n  fall_s = 1\n  saved = {}\n  remembers = {}\n  put_off = {}\n  flush_s = {}\n}}\n",
                 n % 3,
@@ -71,12 +72,12 @@
                 self.flush_s
             )?;
         }
-        writeln!(o, "list {{\n  late_s = {}\n}}\n", self.list_late_us as f64 / 1e6)?;
+        writeln!(out, "list {{\n  late_s = {}\n}}\n", self.list_late_us as f64 / 1e6)?;
         let few: Vec<u32> = all.iter().copied().take(self.limited_hosts as usize).collect();
         let school = self.rate * SCHOOL * few.len() as f64;
         let museum = self.rate * f64::from(self.hosts) - school;
-        let leaves = self.troubles.iter().filter_map(|t| match t.kind {
-            Kind::Leave(x) => Some(x * (t.for_us as f64 / 1e6 / self.seconds).min(1.0)),
+        let leaves = self.faults.iter().filter_map(|t| match t.kind {
+            FaultKind::Leave(x) => Some(x * (t.for_us as f64 / 1e6 / self.seconds).min(1.0)),
             _ => None,
         });
         let aborts = leaves.sum::<f64>().min(1.0);
@@ -87,36 +88,36 @@
             ("school", "school", &few, school, READS, SPAN_BLOCKS),
         ] {
             writeln!(
-                o,
+                out,
                 "traffic \"{name}\" {{\n  volume = \"{volume}\"\n  hosts = {hosts:?}\n  lead = 0\n  rate = {:.3}\n  reads = {reads}\n  \
                  blocks = [1, 24]\n  span_blocks = {span}\n  aborts = {aborts:.4}\n}}\n",
                 rate.max(0.01)
             )?;
         }
-        for (i, t) in self.troubles.iter().enumerate() {
+        for (i, t) in self.faults.iter().enumerate() {
             let (at, long) = (t.at_us as f64 / 1e6, t.for_us as f64 / 1e6);
             let node = format!("nodes = [\"n{}\"]", t.node);
             let every: Vec<String> = (0..self.nodes).map(|n| format!("n{n}")).collect();
             let fault = |what: String| Some(format!("{node}\n  fault = \"{what}\""));
             let body = match t.kind {
-                Kind::Slow(x) => fault(format!("slow {x:.3}")),
-                Kind::Errors(x) => fault(format!("errors {x:.3}")),
-                Kind::Neighbour(x) => fault(format!("neighbour {x:.3}")),
-                Kind::Heavy(part, times) => fault(format!("heavy {part:.4} {times:.2}")),
-                Kind::Pause => fault(format!("pause {long:.3}")),
-                Kind::Silent => fault("silent on".into()),
-                Kind::Restart => fault(format!("restart {long:.3}")),
-                Kind::Deploy => fault("deploy".into()),
-                Kind::Resets => fault("reset".into()),
-                Kind::Drain => Some(format!("drain = [\"n{}\"]", t.node)),
-                Kind::MassRestart => {
+                FaultKind::Slow(x) => fault(format!("slow {x:.3}")),
+                FaultKind::Errors(x) => fault(format!("errors {x:.3}")),
+                FaultKind::Neighbour(x) => fault(format!("neighbour {x:.3}")),
+                FaultKind::Heavy(part, times) => fault(format!("heavy {part:.4} {times:.2}")),
+                FaultKind::Pause => fault(format!("pause {long:.3}")),
+                FaultKind::Silent => fault("silent on".into()),
+                FaultKind::Restart => fault(format!("restart {long:.3}")),
+                FaultKind::Deploy => fault("deploy".into()),
+                FaultKind::Resets => fault("reset".into()),
+                FaultKind::Drain => Some(format!("drain = [\"n{}\"]", t.node)),
+                FaultKind::MassRestart => {
                     Some(format!("nodes = {every:?}\n  fault = \"restart {:.3}\"", long / 2.0))
                 }
-                Kind::ListLate(s) => Some(format!("list = \"late {s:.3}\"")),
-                Kind::ListFails => Some("list = \"fails\"".into()),
-                Kind::HostKill => Some(format!("host = \"kill\"\n  hosts = [{}]", t.host.unwrap_or(0))),
-                Kind::Surge(x) => Some(format!("times = {x:.3}")),
-                Kind::Order(kind, everywhere) => {
+                FaultKind::ListLate(s) => Some(format!("list = \"late {s:.3}\"")),
+                FaultKind::ListFails => Some("list = \"fails\"".into()),
+                FaultKind::HostKill => Some(format!("host = \"kill\"\n  hosts = [{}]", t.host.unwrap_or(0))),
+                FaultKind::Surge(x) => Some(format!("times = {x:.3}")),
+                FaultKind::Order(kind, everywhere) => {
                     let order = match kind {
                         OrderKind::OutOfService => "out".to_owned(),
                         OrderKind::Pinned => "pin".to_owned(),
@@ -125,25 +126,28 @@
                     let hosts = if everywhere { String::new() } else { t.host.unwrap_or(0).to_string() };
                     Some(format!("{node}\n  order = \"{order}\"\n  force = true\n  hosts = [{hosts}]"))
                 }
-                Kind::Leave(_) => None,
-                Kind::Partition | Kind::Hangup(_) | Kind::Hot(_) => None,
-                Kind::Split(_) | Kind::HostLeaves | Kind::HostStands => None,
-                Kind::Busiest(..) | Kind::Plan(..) => None,
+                FaultKind::Leave(_) => None,
+                FaultKind::Partition | FaultKind::Hangup(_) | FaultKind::Hot(_) => None,
+                FaultKind::Split(_) | FaultKind::HostLeaves | FaultKind::HostStands => None,
+                FaultKind::Busiest(..) | FaultKind::Plan(..) => None,
             };
             match body {
                 Some(body) => {
-                    writeln!(o, "trouble \"{i}\" {{\n  at_s = {at:.3}\n  for_s = {long:.3}\n  {body}\n}}\n")?;
+                    writeln!(
+                        out,
+                        "trouble \"{i}\" {{\n  at_s = {at:.3}\n  for_s = {long:.3}\n  {body}\n}}\n"
+                    )?;
                     // A silent node comes back as a process that starts: what it had is gone.
-                    if t.kind == Kind::Silent {
+                    if t.kind == FaultKind::Silent {
                         let end = at + long;
                         writeln!(
-                            o,
+                            out,
                             "trouble \"{i} back\" {{\n  at_s = {end:.3}\n  {node}\n  fault = \"restart 0.05\"\n}}\n"
                         )?;
                     }
                 }
-                None if matches!(t.kind, Kind::Leave(_)) => {}
-                None => writeln!(o, "# Left out: {:?} at {at:.3} s for {long:.3} s\n", t.kind)?,
+                None if matches!(t.kind, FaultKind::Leave(_)) => {}
+                None => writeln!(out, "# Left out: {:?} at {at:.3} s for {long:.3} s\n", t.kind)?,
             }
         }
         Ok(())
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -13,9 +13,9 @@
 pub use settings::{blocks, settings};
 
 use crate::clients::{data, Call, Client};
-use crate::day::Ask as DayAsk;
-use crate::draw::{Kind, World};
-use crate::plain::{Heart, Plain, PlainHost};
+use crate::reference_model::{HostLogic, ReferenceHost, ReferenceModel};
+use crate::scenario_script::ScriptRequest;
+use crate::world::{FaultKind, World};
 use bytes::Bytes;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -155,7 +155,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Trouble(usize, bool),
+    FaultChange(usize, bool),
     Arrive(u32),
     /// The next arrival of the file's load, or of the script's traffic.
     Loaded,
@@ -231,7 +231,7 @@
 }
 
 struct Host {
-    core: Heart,
+    core: HostLogic,
     generation: u64,
     up: bool,
     wake: Us,
@@ -281,21 +281,21 @@
 
 /// What a script's traffic asked, and is asked again until it is done or its client has tried enough.
 struct Try {
-    ask: DayAsk,
+    ask: ScriptRequest,
     first: Us,
     tries: u32,
 }
 
 struct Sim<'a> {
-    w: &'a World,
+    world: &'a World,
     mutant: Option<Mutant>,
-    plain: Option<Plain>,
+    reference_model: Option<ReferenceModel>,
     clocks: Vec<Clock>,
     kept: Vec<Kept>,
     clients: Vec<Client>,
     clients_of: Vec<Vec<u32>>,
     arrivals: std::collections::VecDeque<tackmast_workload::Arrival>,
-    asks: std::collections::VecDeque<DayAsk>,
+    asks: std::collections::VecDeque<ScriptRequest>,
     tries: BTreeMap<u64, Try>,
     window_us: Us,
     offer: std::sync::Arc<target::Offer>,
@@ -304,7 +304,7 @@
     now: Us,
     queue: BinaryHeap<Reverse<(Us, u64, Event)>>,
     number: u64,
-    chance: oorandom::Rand64,
+    generator: oorandom::Rand64,
     hosts: Vec<Host>,
     nodes: Vec<SimNode>,
     partitions: BTreeMap<(u32, u32), Us>,
@@ -329,8 +329,8 @@
 }
 
 /// Where a host's peers reach it.
-pub fn peer_address(h: u32) -> std::net::SocketAddr {
-    std::net::SocketAddr::from(([10, 9, (h / 250) as u8, (h % 250) as u8], 7000))
+pub fn peer_address(host_index: u32) -> std::net::SocketAddr {
+    std::net::SocketAddr::from(([10, 9, (host_index / 250) as u8, (host_index % 250) as u8], 7000))
 }
 
 /// What hosts that know of each other are told of that.
@@ -352,34 +352,40 @@
     Instant::from_secs(us as f64 / 1e6)
 }
 
-fn us(t: Instant) -> Us {
-    (t.secs() * 1e6).round().max(0.0) as Us
+fn us(time: Instant) -> Us {
+    (time.secs() * 1e6).round().max(0.0) as Us
 }
 
-fn heart(now: Instant, s: &HostSettings, seed: u64, generation: u64, plain: Option<Plain>) -> Heart {
-    match plain {
-        Some(how) => Heart::Plain(Box::new(PlainHost::new(how, s))),
-        None => Heart::Core(Box::new(Core::new(now, s, seed, generation))),
+fn host_logic(
+    now: Instant,
+    settings: &HostSettings,
+    seed: u64,
+    generation: u64,
+    reference_model: Option<ReferenceModel>,
+) -> HostLogic {
+    match reference_model {
+        Some(how) => HostLogic::Reference(Box::new(ReferenceHost::new(how, settings))),
+        None => HostLogic::Core(Box::new(Core::new(now, settings, seed, generation))),
     }
 }
 
 /// Plays a world to its end, with the host core or with a plain host in its place.
-pub fn run(w: &World, mutant: Option<Mutant>, plain: Option<Plain>) -> Run {
-    let like = |n: u32| match w.day.as_ref().and_then(|d| d.node(n)) {
+pub fn run(world: &World, mutant: Option<Mutant>, reference_model: Option<ReferenceModel>) -> Run {
+    let like = |n: u32| match world.scenario.as_ref().and_then(|d| d.node(n)) {
         Some((block, shard)) => (block.nature(), block.zone, shard, block.cold, block.report_ms * 1000),
         None => {
             let nature = NodeBehavior {
-                cores: w.cores,
-                unit_s: w.unit_s,
+                cores: world.cores,
+                unit_s: world.unit_s,
                 queue: 400,
-                initial_capacity: w.cold_from,
-                warm_up_s: w.warm_s,
-                overload_multiple: w.fall_multiple,
+                initial_capacity: world.cold_from,
+                warm_up_s: world.warm_s,
+                overload_multiple: world.fall_multiple,
                 overload_window_s: FALL_S,
-                cache_savings: w.saved,
-                cached_keys: w.remembers,
-                write_back_fraction: w.put_off,
-                flush_interval_s: w.flush_s,
+                cache_savings: world.saved,
+                cached_keys: world.remembers,
+                write_back_fraction: world.put_off,
+                flush_interval_s: world.flush_s,
                 ..NodeBehavior::default()
             };
             (nature, n % 3, n, false, 0)
@@ -389,7 +395,7 @@
         let (nature, zone, shard, cold, report_us) = like(n);
         let started = if cold { START } else { 0 };
         SimNode {
-            model: NodeModel::new(started, nature, w.seed * 1000 + u64::from(n), cold),
+            model: NodeModel::new(started, nature, world.seed * 1000 + u64::from(n), cold),
             zone,
             shard,
             told: (0, 0),
@@ -408,27 +414,32 @@
             address_generation: 0,
         }
     };
-    let all: Vec<HostSettings> = (0..w.hosts).map(|h| settings(w, h, mutant)).collect();
-    let first = heart(at(START), &all[0], 0, 0, plain);
+    let all: Vec<HostSettings> = (0..world.hosts).map(|h| settings(world, h, mutant)).collect();
+    let first = host_logic(at(START), &all[0], 0, 0, reference_model);
     let units = target::units(&all[0], |v| first.layout().max_blocks(v));
-    let mut odd = oorandom::Rand64::new(u128::from(w.seed) ^ 0x0063_6c6f_636b);
+    let mut odd = oorandom::Rand64::new(u128::from(world.seed) ^ 0x0063_6c6f_636b);
     let mut clock = || {
-        let mut x = || 2.0 * odd.rand_float() - 1.0;
-        let (drift, wall_off_us) = (w.drift * x(), (w.wall_off_s * x() * 1e6) as i64);
-        Clock { offset_us: if w.drift > 0.0 { (40e6 * x()) as i64 } else { 0 }, drift, wall_off_us }
+        let mut signed_unit = || 2.0 * odd.rand_float() - 1.0;
+        let (drift, wall_off_us) =
+            (world.drift * signed_unit(), (world.wall_off_s * signed_unit() * 1e6) as i64);
+        Clock {
+            offset_us: if world.drift > 0.0 { (40e6 * signed_unit()) as i64 } else { 0 },
+            drift,
+            wall_off_us,
+        }
     };
     let mut sim = Sim {
-        w,
+        world,
         mutant,
-        plain,
-        clocks: (0..w.hosts).map(|_| clock()).collect(),
-        kept: (0..w.hosts).map(|_| Kept::default()).collect(),
+        reference_model,
+        clocks: (0..world.hosts).map(|_| clock()).collect(),
+        kept: (0..world.hosts).map(|_| Kept::default()).collect(),
         went: BTreeMap::new(),
         acknowledged: BTreeMap::new(),
         clients: Vec::new(),
-        clients_of: vec![Vec::new(); w.hosts as usize],
-        arrivals: w.load.iter().flat_map(|l| l.arrivals(w.hosts)).collect(),
-        asks: w.day.iter().flat_map(|d| d.asks(w.seed)).collect(),
+        clients_of: vec![Vec::new(); world.hosts as usize],
+        arrivals: world.load.iter().flat_map(|l| l.arrivals(world.hosts)).collect(),
+        asks: world.scenario.iter().flat_map(|d| d.asks(world.seed)).collect(),
         tries: BTreeMap::new(),
         window_us: MARKS,
         offer: std::sync::Arc::new(target::Offer::of(&all[0])),
@@ -437,13 +448,13 @@
         now: START,
         queue: BinaryHeap::new(),
         number: 0,
-        chance: oorandom::Rand64::new(u128::from(w.seed)),
+        generator: oorandom::Rand64::new(u128::from(world.seed)),
         hosts: Vec::new(),
-        nodes: (0..w.nodes).map(node).collect(),
+        nodes: (0..world.nodes).map(node).collect(),
         partitions: BTreeMap::new(),
         marks: BTreeMap::new(),
         list_version: 1,
-        list_late: w.list_late_us,
+        list_late: world.list_late_us,
         list_fails: false,
         surge: 1.0,
         leave: 0.0,
@@ -489,34 +500,34 @@
 
 impl Sim<'_> {
     /// What a host's steady clock shows.
-    fn time(&self, h: u32) -> Instant {
-        self.time_at(h, self.now)
+    fn time(&self, host_index: u32) -> Instant {
+        self.time_at(host_index, self.now)
     }
 
-    fn time_at(&self, h: u32, t: Us) -> Instant {
-        let c = self.clocks[h as usize];
-        let passed = t as i64 - START as i64;
-        at((t as i64 + c.offset_us + (passed as f64 * c.drift) as i64).max(0) as Us)
+    fn time_at(&self, host_index: u32, time: Us) -> Instant {
+        let clock = self.clocks[host_index as usize];
+        let passed = time as i64 - START as i64;
+        at((time as i64 + clock.offset_us + (passed as f64 * clock.drift) as i64).max(0) as Us)
     }
 
     /// When a host's steady clock will show that.
-    fn when(&self, h: u32, t: Instant) -> Us {
-        let c = self.clocks[h as usize];
-        let shown = us(t) as i64 - c.offset_us - START as i64;
-        (START as i64 + (shown as f64 / (1.0 + c.drift)).ceil() as i64).max(0) as Us
+    fn when(&self, host_index: u32, time: Instant) -> Us {
+        let clock = self.clocks[host_index as usize];
+        let shown = us(time) as i64 - clock.offset_us - START as i64;
+        (START as i64 + (shown as f64 / (1.0 + clock.drift)).ceil() as i64).max(0) as Us
     }
 
-    fn wall(&self, h: u32) -> Us {
-        (self.now as i64 + self.clocks[h as usize].wall_off_us).max(0) as Us
+    fn wall(&self, host_index: u32) -> Us {
+        (self.now as i64 + self.clocks[host_index as usize].wall_off_us).max(0) as Us
     }
 
     fn note(&mut self, event: tackmast_trace::Event) {
         self.run.trace.push(Line { t: self.now, event });
     }
 
-    fn push(&mut self, t: Us, e: Event) {
+    fn push(&mut self, due: Us, event: Event) {
         self.number += 1;
-        self.queue.push(Reverse((t.max(self.now), self.number, e)));
+        self.queue.push(Reverse((due.max(self.now), self.number, event)));
     }
 
     fn play(&mut self) {
@@ -528,14 +539,14 @@
             self.note_node_up(n, if cold { self.nodes[n].model.behavior().initial_capacity } else { 1.0 });
         }
         let start = self.now;
-        for h in 0..self.w.hosts {
+        for h in 0..self.world.hosts {
             let host = self.new_host(h);
             self.hosts.push(host);
             self.note(Seen::HostUp { host: h });
             self.add_clients(h);
             self.push(start, Event::HostTime(h));
-            let first = start + (self.chance.rand_float() * 20_000.0) as Us;
-            if self.w.load.is_none() && self.w.day.is_none() {
+            let first = start + (self.generator.rand_float() * 20_000.0) as Us;
+            if self.world.load.is_none() && self.world.scenario.is_none() {
                 self.push(first, Event::Arrive(h));
             }
         }
@@ -547,14 +558,14 @@
             self.push(start + LOAD_AFTER + a.at_us, Event::Asked);
         }
         // A script's troubles count from when its traffic begins.
-        let start = if self.w.day.is_some() { start + LOAD_AFTER } else { start };
-        for (i, t) in self.w.troubles.iter().enumerate() {
-            self.push(start + t.at_us, Event::Trouble(i, true));
-            self.push(start + t.at_us + t.for_us, Event::Trouble(i, false));
+        let start = if self.world.scenario.is_some() { start + LOAD_AFTER } else { start };
+        for (i, t) in self.world.faults.iter().enumerate() {
+            self.push(start + t.at_us, Event::FaultChange(i, true));
+            self.push(start + t.at_us + t.for_us, Event::FaultChange(i, false));
         }
         let longest = self.settings[0].traffic_classes.iter().map(|s| s.deadline.secs()).fold(0.0, f64::max);
         let after = AFTER.max((longest * 1e6) as Us + 1_300_000);
-        let end = start + (self.w.seconds * 1e6) as Us + after;
+        let end = start + (self.world.seconds * 1e6) as Us + after;
         while let Some(Reverse((t, _, e))) = self.queue.pop() {
             if t > end {
                 break;
--- a/crates/simulator/src/sim/account.rs
+++ b/crates/simulator/src/sim/account.rs
@@ -10,16 +10,20 @@
         let mut served: BTreeMap<(u32, u32, u32), f64> = BTreeMap::new();
         let (mut limited, mut classes) = (0.0, BTreeMap::<usize, Class>::new());
         let mut attempts: BTreeMap<AttemptName, (f64, u32)> = BTreeMap::new();
-        let s = &self.settings[0];
-        let traffic_classes = s.traffic_classes.len();
+        let settings = &self.settings[0];
+        let traffic_classes = settings.traffic_classes.len();
         let limit_of = |lun: u32| {
-            let v = s.volumes.iter().find(|v| v.lun == lun);
-            v.map_or(0.0, |v| s.plans[v.plan as usize].limit)
+            let volume_settings = settings.volumes.iter().find(|volume_settings| volume_settings.lun == lun);
+            volume_settings.map_or(0.0, |volume_settings| settings.plans[volume_settings.plan as usize].limit)
         };
         for l in &self.run.trace {
             match &l.event {
                 Seen::Submit { host, session, command, volume, traffic_class, .. } => {
-                    let plan = s.volumes.iter().find(|v| v.lun == *volume).map_or(0, |v| v.plan);
+                    let plan = settings
+                        .volumes
+                        .iter()
+                        .find(|volume_settings| volume_settings.lun == *volume)
+                        .map_or(0, |volume_settings| volume_settings.plan);
                     let class = plan as usize * traffic_classes + *traffic_class as usize;
                     classes.entry(class).or_default().asked += 1;
                     open.insert((*host, *session, *command), (l.t, class));
@@ -30,27 +34,29 @@
                     *served.entry((name.host, *session, *command)).or_default() += units;
                 }
                 Seen::AttemptEnd { name, kind: AttemptEndKind::Done, .. } => {
-                    limited +=
-                        attempts.get(name).filter(|(_, v)| limit_of(*v) > 0.0).map_or(0.0, |(u, _)| *u);
+                    limited += attempts
+                        .get(name)
+                        .filter(|(_, lun)| limit_of(*lun) > 0.0)
+                        .map_or(0.0, |(units, _)| *units);
                 }
                 Seen::Answer { host, session, command, kind, .. } if *kind != AnswerKind::Done => {
                     if let Some((_, class)) = open.remove(&(*host, *session, *command)) {
-                        let c = classes.entry(class).or_default();
+                        let client_index = classes.entry(class).or_default();
                         match kind {
-                            AnswerKind::Rejected => c.rejected += 1,
-                            _ => c.failed += 1,
+                            AnswerKind::Rejected => client_index.rejected += 1,
+                            _ => client_index.failed += 1,
                         }
                     }
                 }
                 Seen::Answer { host, session, command, .. } => {
                     if let Some((t, class)) = open.remove(&(*host, *session, *command)) {
-                        let c = classes.entry(class).or_default();
-                        c.done += 1;
+                        let client_index = classes.entry(class).or_default();
+                        client_index.done += 1;
                         let in_time = l.t - t
-                            <= (s.traffic_classes[class % traffic_classes].latency_objective.secs() * 1e6)
-                                as Us;
-                        c.in_time += u64::from(in_time);
-                        _ = c.times.record((l.t - t).max(1));
+                            <= (settings.traffic_classes[class % traffic_classes].latency_objective.secs()
+                                * 1e6) as Us;
+                        client_index.in_time += u64::from(in_time);
+                        _ = client_index.times.record((l.t - t).max(1));
                         if in_time {
                             served.remove(&(*host, *session, *command));
                         }
@@ -60,18 +66,24 @@
             }
         }
         self.run.wasted_units = served.values().sum();
-        let limit: f64 = s.volumes.iter().map(|v| limit_of(v.lun)).sum();
-        self.run.limit_used = limited / (limit * self.w.seconds).max(1e-9);
-        let name = |c: usize| {
-            format!("{} {}", s.plans[c / traffic_classes].name, s.traffic_classes[c % traffic_classes].name)
+        let limit: f64 = settings.volumes.iter().map(|volume_settings| limit_of(volume_settings.lun)).sum();
+        self.run.limit_used = limited / (limit * self.world.seconds).max(1e-9);
+        let name = |client_index: usize| {
+            format!(
+                "{} {}",
+                settings.plans[client_index / traffic_classes].name,
+                settings.traffic_classes[client_index % traffic_classes].name
+            )
         };
-        self.run.classes = classes.into_iter().map(|(c, x)| (name(c), x)).collect();
+        self.run.classes = classes.into_iter().map(|(client_index, x)| (name(client_index), x)).collect();
     }
 
     pub(super) fn facts(&self) -> Facts {
         // The way of a message, one way and back, and the jitter of both.
-        let skew_us = 2 * (self.w.delay_us + self.w.jitter_us) + 2000 + (self.w.drift * 4e7) as Us;
-        let grace_s = self.w.day.as_ref().map_or(DRAIN_GRACE as f64 / 1e6, |d| d.day.drain_grace_ms / 1e3);
-        tackmast_scenario::facts(&settings(self.w, 0, None), 0.001, grace_s, skew_us as f64 / 1e6)
+        let skew_us =
+            2 * (self.world.delay_us + self.world.jitter_us) + 2000 + (self.world.drift * 4e7) as Us;
+        let grace_s =
+            self.world.scenario.as_ref().map_or(DRAIN_GRACE as f64 / 1e6, |d| d.day.drain_grace_ms / 1e3);
+        tackmast_scenario::facts(&settings(self.world, 0, None), 0.001, grace_s, skew_us as f64 / 1e6)
     }
 }
--- a/crates/simulator/src/sim/arrivals.rs
+++ b/crates/simulator/src/sim/arrivals.rs
@@ -8,10 +8,10 @@
         if let Some(next) = self.arrivals.front() {
             self.push(self.now + (next.at_us - a.at_us), Event::Loaded);
         }
-        let volume = self.w.load.as_ref().map_or("", |l| l.flows[a.flow].volume.as_str());
+        let volume = self.world.load.as_ref().map_or("", |l| l.flows[a.flow].volume.as_str());
         let Some(v) = self.settings[0].volumes.iter().find(|v| v.name == volume) else { return };
         // A volume comes through its first hosts only, as it was told.
-        let (lun, h) = (v.lun, a.host % v.hosts.clamp(1, self.w.hosts));
+        let (lun, h) = (v.lun, a.host % v.hosts.clamp(1, self.world.hosts));
         if !self.hosts[h as usize].up || self.hosts[h as usize].stands > self.now {
             return;
         }
@@ -41,18 +41,24 @@
 
     /// Plan and traffic class, by name.
     pub(super) fn class_of(&self, lun: u32, write: bool, blocks: u32) -> String {
-        let s = &self.settings[0];
+        let settings = &self.settings[0];
         let (traffic_class, volume) = self.traffic_class_of(lun, write, blocks);
-        format!("{} {}", s.plans[s.volumes[volume].plan as usize].name, s.traffic_classes[traffic_class].name)
+        format!(
+            "{} {}",
+            settings.plans[settings.volumes[volume].plan as usize].name,
+            settings.traffic_classes[traffic_class].name
+        )
     }
 
     /// The traffic class of a command, and its volume's place.
     pub(super) fn traffic_class_of(&self, lun: u32, write: bool, blocks: u32) -> (usize, usize) {
-        let s = &self.settings[0];
-        let volume = s.volumes.iter().position(|v| v.lun == lun).unwrap_or(0);
-        let v = &s.volumes[volume];
-        let large = v.large.filter(|l| blocks >= l.min_blocks && !write).map(|l| l.traffic_class);
-        (large.unwrap_or(if write { v.writes } else { v.reads }) as usize, volume)
+        let settings = &self.settings[0];
+        let volume =
+            settings.volumes.iter().position(|volume_settings| volume_settings.lun == lun).unwrap_or(0);
+        let volume_settings = &settings.volumes[volume];
+        let large =
+            volume_settings.large.filter(|l| blocks >= l.min_blocks && !write).map(|l| l.traffic_class);
+        (large.unwrap_or(if write { volume_settings.writes } else { volume_settings.reads }) as usize, volume)
     }
 
     /// What a try's answer makes of it.
@@ -69,52 +75,55 @@
         let name = self.class_of(t.ask.lun, t.ask.write, t.ask.blocks);
         let (latency_objective, took) =
             (self.settings[0].traffic_classes[traffic_class].latency_objective, self.now - first);
-        let c = self.run.firsts.entry(name).or_default();
+        let client_index = self.run.firsts.entry(name).or_default();
         match kind {
             AnswerKind::Done => {
-                c.done += 1;
-                c.in_time += u64::from(took <= (latency_objective.secs() * 1e6) as Us);
-                _ = c.times.record(took.max(1));
+                client_index.done += 1;
+                client_index.in_time += u64::from(took <= (latency_objective.secs() * 1e6) as Us);
+                _ = client_index.times.record(took.max(1));
             }
-            AnswerKind::Rejected => c.rejected += 1,
-            _ => c.failed += 1,
+            AnswerKind::Rejected => client_index.rejected += 1,
+            _ => client_index.failed += 1,
         }
     }
 
-    pub(super) fn arrive(&mut self, h: u32, last: Us) {
-        let gap = -(1.0 - self.chance.rand_float()).ln() / (self.w.rate * self.surge).max(0.01);
+    pub(super) fn arrive(&mut self, host_index: u32, last: Us) {
+        let gap = -(1.0 - self.generator.rand_float()).ln() / (self.world.rate * self.surge).max(0.01);
         let next = self.now + (gap * 1e6) as Us + 1;
         if next < last {
-            self.push(next, Event::Arrive(h));
+            self.push(next, Event::Arrive(host_index));
         }
-        if !self.hosts[h as usize].up || self.hosts[h as usize].stands > self.now {
+        if !self.hosts[host_index as usize].up || self.hosts[host_index as usize].stands > self.now {
             return;
         }
         // The limited volume comes through the first hosts only, as it was told.
-        let mut lun = u32::from(h < self.w.limited_hosts.min(self.w.hosts) && self.chance.rand_float() < 0.4);
+        let mut lun = u32::from(
+            host_index < self.world.limited_hosts.min(self.world.hosts) && self.generator.rand_float() < 0.4,
+        );
         if let Some((part, busiest)) = self.busiest.filter(|_| lun == 1) {
             // What would come through the others asks for the other volume meanwhile.
-            lun = u32::from(h == busiest || self.chance.rand_float() >= part);
+            lun = u32::from(host_index == busiest || self.generator.rand_float() >= part);
         }
-        let write = self.chance.rand_float() < 0.4;
-        let blocks = self.chance.rand_range(1..25) as u32;
+        let write = self.generator.rand_float() < 0.4;
+        let blocks = self.generator.rand_range(1..25) as u32;
         let span = if write && lun == 0 { 640 } else { 50_000 };
-        let drawn = self.chance.rand_range(0..span);
-        let hot = self.hot > 0.0 && self.chance.rand_float() < self.hot;
+        let drawn = self.generator.rand_range(0..span);
+        let hot = self.hot > 0.0 && self.generator.rand_float() < self.hot;
         let block = if hot { 0 } else { drawn };
         // One that speaks a protocol, in its turn.
-        if !self.clients_of[h as usize].is_empty() {
-            let i = self.chance.rand_range(0..self.clients_of[h as usize].len() as u64 + 1) as usize;
-            if let Some(c) = self.clients_of[h as usize].get(i).copied() {
+        if !self.clients_of[host_index as usize].is_empty() {
+            let client_position =
+                self.generator.rand_range(0..self.clients_of[host_index as usize].len() as u64 + 1) as usize;
+            if let Some(c) = self.clients_of[host_index as usize].get(client_position).copied() {
                 return self.call(c, write, block, blocks);
             }
         }
-        self.beside(h, lun, write, block, blocks);
+        self.beside(host_index, lun, write, block, blocks);
     }
 
     /// A command that comes without a protocol.
-    pub(super) fn beside(&mut self, h: u32, lun: u32, write: bool, block: u64, blocks: u32) {
-        let host = &mut self.hosts[h as usize];
+    pub(super) fn beside(&mut self, host_index: u32, lun: u32, write: bool, block: u64, blocks: u32) {
+        let host = &mut self.hosts[host_index as usize];
         host.next += 1;
         let command = host.next;
         let generation = host.generation;
@@ -122,12 +131,12 @@
             true => Work::Write { data: data(blocks * 512) },
             false => Work::Read { blocks },
         };
-        self.submit(h, CommandRef { session: BESIDE, command }, lun, block, work, self.now, None);
-        if self.chance.rand_float() < self.leave {
-            let later = self.now + self.chance.rand_range(0..400_000);
-            self.push(later, Event::Leave(h, generation, command));
+        self.submit(host_index, CommandRef { session: BESIDE, command }, lun, block, work, self.now, None);
+        if self.generator.rand_float() < self.leave {
+            let later = self.now + self.generator.rand_range(0..400_000);
+            self.push(later, Event::Leave(host_index, generation, command));
         }
-        self.pull(h);
+        self.pull(host_index);
     }
 
     /// A command reaches its host, which knows it from `began` on.
@@ -170,7 +179,7 @@
         self.hosts[h as usize].core.handle_command(now, from, lun, block, work, began, asked);
     }
 
-    pub(super) fn answer(&mut self, h: u32, to: CommandRef, verdict: Verdict) {
+    pub(super) fn answer(&mut self, host_index: u32, to: CommandRef, verdict: Verdict) {
         self.answers += 1;
         let (kind, retry_after_us) = match &verdict {
             Verdict::Done { .. } => (0, 0),
@@ -178,19 +187,19 @@
             Verdict::Failed if self.mutant == Some(Mutant::FalseRejection) => (1, 0),
             Verdict::Failed => (2, 0),
         };
-        let generation = self.hosts[h as usize].generation;
+        let generation = self.hosts[host_index as usize].generation;
         let now = self.now;
         let (session, command) = (to.session, to.command);
         let odd = self.answers.is_multiple_of(50);
         match self.mutant {
             Some(Mutant::AnswerLost) if odd => return,
             Some(Mutant::AnswerLate) if odd => {
-                let late = Event::Answer(h, generation, (session, command), kind, retry_after_us);
+                let late = Event::Answer(host_index, generation, (session, command), kind, retry_after_us);
                 return self.push(now + 1_200_000, late);
             }
             Some(Mutant::AnswerTwice) if odd => {
                 self.note(tackmast_trace::Event::Answer {
-                    host: h,
+                    host: host_index,
                     session,
                     command,
                     kind: AnswerKind::Rejected,
@@ -200,8 +209,10 @@
             _ => {}
         }
         // Commands without a protocol come from beside the host: what their way costs is no part of this model.
-        self.answered(h, generation, (session, command), kind, retry_after_us);
-        let Some((c, slot, slot_generation)) = self.hosts[h as usize].sessions.get(&session).copied() else {
+        self.answered(host_index, generation, (session, command), kind, retry_after_us);
+        let Some((c, slot, slot_generation)) =
+            self.hosts[host_index as usize].sessions.get(&session).copied()
+        else {
             return;
         };
         let Some(pipe) = self.clients[c as usize].pipe_of(slot, slot_generation) else { return };
--- a/crates/simulator/src/sim/clients.rs
+++ b/crates/simulator/src/sim/clients.rs
@@ -3,31 +3,33 @@
 use super::*;
 
 impl Sim<'_> {
-    pub(super) fn add_clients(&mut self, h: u32) {
+    pub(super) fn add_clients(&mut self, host_index: u32) {
         for (i, nbd) in [(0, false), (1, true)] {
-            for _ in 0..self.w.clients[i] {
-                let lun =
-                    u32::from(h < self.w.limited_hosts.min(self.w.hosts) && self.clients.len() % 3 == 1);
-                let target = self.settings[h as usize].host.target.clone();
+            for _ in 0..self.world.clients[i] {
+                let lun = u32::from(
+                    host_index < self.world.limited_hosts.min(self.world.hosts)
+                        && self.clients.len() % 3 == 1,
+                );
+                let target = self.settings[host_index as usize].host.target.clone();
                 let name = if lun == 1 { "school" } else { "museum" }.into();
-                let c = self.clients.len() as u32;
-                let seed = self.w.seed << 16 | u64::from(c);
+                let client_index = self.clients.len() as u32;
+                let seed = self.world.seed << 16 | u64::from(client_index);
                 self.clients.push(Client::new(
                     at(self.now),
-                    h,
+                    host_index,
                     nbd,
                     VolumeAddress { target, lun, name },
                     seed,
                 ));
-                self.clients_of[h as usize].push(c);
-                self.push(self.now, Event::ClientTime(c));
+                self.clients_of[host_index as usize].push(client_index);
+                self.push(self.now, Event::ClientTime(client_index));
             }
         }
     }
 
-    pub(super) fn call(&mut self, c: u32, write: bool, block: u64, blocks: u32) {
+    pub(super) fn call(&mut self, client_index: u32, write: bool, block: u64, blocks: u32) {
         let now = self.now;
-        let client = &mut self.clients[c as usize];
+        let client = &mut self.clients[client_index as usize];
         client.next += 1;
         let (number, deadline) = (client.next, now + CALL);
         let op = match write {
@@ -37,123 +39,131 @@
         client.calls.insert(number, Call { deadline });
         client.core.submit(at(now), number, op, at(deadline));
         self.run.calls += 1;
-        self.client_pull(c);
+        self.client_pull(client_index);
     }
 
-    pub(super) fn client_pull(&mut self, c: u32) {
+    pub(super) fn client_pull(&mut self, client_index: u32) {
         let now = self.now;
-        self.clients[c as usize].core.handle_timeout(at(now));
-        while let Some(o) = self.clients[c as usize].core.poll_output() {
+        self.clients[client_index as usize].core.handle_timeout(at(now));
+        while let Some(o) = self.clients[client_index as usize].core.poll_output() {
             match o {
                 ClientOutput::Connect { slot } => {
                     self.number += 1;
                     let generation = self.number;
-                    self.clients[c as usize].slots[slot].generation = generation;
-                    self.push(now + 2 * self.w.delay_us, Event::Connected(c, slot, generation));
+                    self.clients[client_index as usize].slots[slot].generation = generation;
+                    self.push(
+                        now + 2 * self.world.delay_us,
+                        Event::Connected(client_index, slot, generation),
+                    );
                 }
                 ClientOutput::Write { slot, bytes } => {
-                    let generation = self.clients[c as usize].slots[slot].generation;
-                    self.carry(c, slot, generation, &bytes, true);
+                    let generation = self.clients[client_index as usize].slots[slot].generation;
+                    self.carry(client_index, slot, generation, &bytes, true);
                 }
                 ClientOutput::Close { slot } => {
-                    let generation = std::mem::take(&mut self.clients[c as usize].slots[slot].generation);
-                    self.drop_pipe(c, slot, generation);
+                    let generation =
+                        std::mem::take(&mut self.clients[client_index as usize].slots[slot].generation);
+                    self.drop_pipe(client_index, slot, generation);
                 }
                 ClientOutput::Answer { call, outcome } => {
-                    let Some(x) = self.clients[c as usize].calls.remove(&call) else { continue };
+                    let Some(x) = self.clients[client_index as usize].calls.remove(&call) else { continue };
                     self.run.calls_done += u64::from(matches!(outcome, CallOutcome::Done(_)));
                     self.run.calls_late += u64::from(now > x.deadline + 1000);
                 }
                 ClientOutput::Ready(_) | ClientOutput::Refused { .. } => {}
             }
         }
-        let client = &mut self.clients[c as usize];
-        if let Some(t) = client.core.poll_timeout(at(now)).map(us).filter(|t| *t < client.wake) {
-            client.wake = t.max(now + 1);
-            let t = client.wake;
-            self.push(t, Event::ClientTime(c));
+        let client = &mut self.clients[client_index as usize];
+        if let Some(due) = client.core.poll_timeout(at(now)).map(us).filter(|due| *due < client.wake) {
+            client.wake = due.max(now + 1);
+            let due = client.wake;
+            self.push(due, Event::ClientTime(client_index));
         }
     }
 
     /// Bytes of a client's connection go on their way, cut where it happens.
-    pub(super) fn carry(&mut self, c: u32, slot: usize, generation: u64, bytes: &[u8], up: bool) {
-        let cut = self.chance.rand_range(0..bytes.len() as u64 + 1) as usize;
+    pub(super) fn carry(&mut self, client_index: u32, slot: usize, generation: u64, bytes: &[u8], up: bool) {
+        let cut = self.generator.rand_range(0..bytes.len() as u64 + 1) as usize;
         let parts = [&bytes[..cut], &bytes[cut..]];
         for part in parts.into_iter().filter(|p| !p.is_empty()) {
-            let jitter = if self.w.jitter_us > 0 { self.chance.rand_range(0..self.w.jitter_us) } else { 0 };
-            let t = self.now + self.w.delay_us + jitter;
-            let Some(pipe) = self.clients[c as usize].pipe_of(slot, generation) else { return };
+            let jitter =
+                if self.world.jitter_us > 0 { self.generator.rand_range(0..self.world.jitter_us) } else { 0 };
+            let due = self.now + self.world.delay_us + jitter;
+            let Some(pipe) = self.clients[client_index as usize].pipe_of(slot, generation) else { return };
             let last = &mut pipe.last[usize::from(!up)];
-            *last = t.max(*last + 1);
-            let (t, bytes) = (*last, part.to_vec());
+            *last = due.max(*last + 1);
+            let (due, bytes) = (*last, part.to_vec());
             self.push(
-                t,
+                due,
                 if up {
-                    Event::ToServer(c, slot, generation, bytes)
+                    Event::ToServer(client_index, slot, generation, bytes)
                 } else {
-                    Event::ToClient(c, slot, generation, bytes)
+                    Event::ToClient(client_index, slot, generation, bytes)
                 },
             );
         }
     }
 
-    pub(super) fn connected(&mut self, c: u32, slot: usize, generation: u64) {
-        let client = &mut self.clients[c as usize];
+    pub(super) fn connected(&mut self, client_index: u32, slot: usize, generation: u64) {
+        let client = &mut self.clients[client_index as usize];
         if client.slots[slot].generation != generation {
             return;
         }
-        let h = client.host;
-        let host = &mut self.hosts[h as usize];
+        let host_index = client.host;
+        let host = &mut self.hosts[host_index as usize];
         if !host.up {
             client.slots[slot].generation = 0;
             client.core.handle_closed(at(self.now), slot);
-            return self.client_pull(c);
+            return self.client_pull(client_index);
         }
         host.numbers += 1;
         let number = host.numbers;
-        host.sessions.insert(u32::from(number), (c, slot, generation));
+        host.sessions.insert(u32::from(number), (client_index, slot, generation));
         let pipe = client.pipe(&self.offer, &self.units, number);
         client.slots[slot].pipe = Some(pipe);
         client.core.handle_connected(slot);
-        self.flush(c, slot, generation);
-        self.client_pull(c);
+        self.flush(client_index, slot, generation);
+        self.client_pull(client_index);
     }
 
     /// The connection is at its end for the client.
-    pub(super) fn closed(&mut self, c: u32, slot: usize, generation: u64) {
-        if self.clients[c as usize].slots[slot].generation != generation {
+    pub(super) fn closed(&mut self, client_index: u32, slot: usize, generation: u64) {
+        if self.clients[client_index as usize].slots[slot].generation != generation {
             return;
         }
-        self.clients[c as usize].slots[slot].generation = 0;
-        self.drop_pipe(c, slot, generation);
-        self.clients[c as usize].core.handle_closed(at(self.now), slot);
-        self.client_pull(c);
+        self.clients[client_index as usize].slots[slot].generation = 0;
+        self.drop_pipe(client_index, slot, generation);
+        self.clients[client_index as usize].core.handle_closed(at(self.now), slot);
+        self.client_pull(client_index);
     }
 
     /// The connection is at its end for the host: what it had open has nobody who waits.
-    pub(super) fn drop_pipe(&mut self, c: u32, slot: usize, generation: u64) {
-        let Some(pipe) = self.clients[c as usize].slots[slot].pipe.take() else { return };
-        let h = self.clients[c as usize].host;
-        let host = &mut self.hosts[h as usize];
-        if host.sessions.get(&pipe.number) != Some(&(c, slot, generation)) {
+    pub(super) fn drop_pipe(&mut self, client_index: u32, slot: usize, generation: u64) {
+        let Some(pipe) = self.clients[client_index as usize].slots[slot].pipe.take() else { return };
+        let host_index = self.clients[client_index as usize].host;
+        let host = &mut self.hosts[host_index as usize];
+        if host.sessions.get(&pipe.number) != Some(&(client_index, slot, generation)) {
             return;
         }
         host.sessions.remove(&pipe.number);
         let session = pipe.number;
-        let open: Vec<u32> =
-            host.submitted.range((session, 0)..(session + 1, 0)).map(|((_, c), _)| *c).collect();
+        let open: Vec<u32> = host
+            .submitted
+            .range((session, 0)..(session + 1, 0))
+            .map(|((_, client_index), _)| *client_index)
+            .collect();
         for command in open {
-            self.hosts[h as usize].submitted.remove(&(session, command));
-            self.note(tackmast_trace::Event::Left { host: h, session, command });
+            self.hosts[host_index as usize].submitted.remove(&(session, command));
+            self.note(tackmast_trace::Event::Left { host: host_index, session, command });
         }
-        let now = self.time(h);
-        self.hosts[h as usize].core.handle_session_closed(now, session);
-        self.pull(h);
+        let now = self.time(host_index);
+        self.hosts[host_index as usize].core.handle_session_closed(now, session);
+        self.pull(host_index);
     }
 
-    pub(super) fn server_gets(&mut self, c: u32, slot: usize, generation: u64, bytes: &[u8]) {
-        let (h, now) = (self.clients[c as usize].host, self.now);
-        let Some(pipe) = self.clients[c as usize].pipe_of(slot, generation) else { return };
+    pub(super) fn server_gets(&mut self, client_index: u32, slot: usize, generation: u64, bytes: &[u8]) {
+        let (h, now) = (self.clients[client_index as usize].host, self.now);
+        let Some(pipe) = self.clients[client_index as usize].pipe_of(slot, generation) else { return };
         let failed = pipe.session.handle_bytes(bytes).is_err();
         let session = pipe.number;
         let mut events = Vec::new();
@@ -163,12 +173,12 @@
         for e in events {
             match e {
                 target::Event::Begun { command } => {
-                    if let Some(pipe) = self.clients[c as usize].pipe_of(slot, generation) {
+                    if let Some(pipe) = self.clients[client_index as usize].pipe_of(slot, generation) {
                         pipe.began.insert(command, now);
                     }
                 }
                 target::Event::Submit { command, lun, block, work, deadline_ms } => {
-                    let pipe = self.clients[c as usize].pipe_of(slot, generation);
+                    let pipe = self.clients[client_index as usize].pipe_of(slot, generation);
                     let began = pipe.and_then(|p| p.began.remove(&command)).unwrap_or(now);
                     let work = match work {
                         target::Work::Read { blocks } => Work::Read { blocks },
@@ -187,21 +197,23 @@
                 target::Event::Close(_) | target::Event::Note(_) => {}
             }
         }
-        self.flush(c, slot, generation);
+        self.flush(client_index, slot, generation);
         self.pull(h);
-        let over = self.clients[c as usize].pipe_of(slot, generation).is_some_and(|p| p.session.is_over());
+        let over = self.clients[client_index as usize]
+            .pipe_of(slot, generation)
+            .is_some_and(|p| p.session.is_over());
         if failed || over {
-            self.drop_pipe(c, slot, generation);
-            self.push(now + self.w.delay_us, Event::Closed(c, slot, generation));
+            self.drop_pipe(client_index, slot, generation);
+            self.push(now + self.world.delay_us, Event::Closed(client_index, slot, generation));
         }
     }
 
     /// What a session has to say goes on its way.
-    pub(super) fn flush(&mut self, c: u32, slot: usize, generation: u64) {
-        let Some(pipe) = self.clients[c as usize].pipe_of(slot, generation) else { return };
+    pub(super) fn flush(&mut self, client_index: u32, slot: usize, generation: u64) {
+        let Some(pipe) = self.clients[client_index as usize].pipe_of(slot, generation) else { return };
         let bytes = pipe.session.poll_transmit();
         if !bytes.is_empty() {
-            self.carry(c, slot, generation, &bytes, false);
+            self.carry(client_index, slot, generation, &bytes, false);
         }
     }
 
@@ -210,7 +222,7 @@
         for c in 0..self.clients.len() as u32 {
             for slot in 0..self.clients[c as usize].slots.len() {
                 let generation = self.clients[c as usize].slots[slot].generation;
-                if generation > 0 && self.chance.rand_float() < part {
+                if generation > 0 && self.generator.rand_float() < part {
                     self.closed(c, slot, generation);
                 }
             }
--- a/crates/simulator/src/sim/events.rs
+++ b/crates/simulator/src/sim/events.rs
@@ -3,12 +3,12 @@
 use super::*;
 
 impl Sim<'_> {
-    pub(super) fn event(&mut self, e: Event, last: Us) {
-        if let Some(t) = self.stands_before(&e) {
-            return self.push(t, e);
+    pub(super) fn event(&mut self, pending: Event, last: Us) {
+        if let Some(t) = self.stands_before(&pending) {
+            return self.push(t, pending);
         }
-        match e {
-            Event::Trouble(i, on) => self.trouble(i, on),
+        match pending {
+            Event::FaultChange(i, on) => self.trouble(i, on),
             Event::Arrive(h) => self.arrive(h, last),
             Event::Loaded => self.loaded(),
             Event::Asked => {
@@ -110,109 +110,130 @@
     }
 
     /// The host that an event is for, where a process that stands still would only see it later.
-    pub(super) fn stands_before(&self, e: &Event) -> Option<Us> {
-        let h = match e {
-            Event::ToHost(h, ..) | Event::Refused(h, ..) | Event::List(h, ..) | Event::ListFailed(h, _) => *h,
-            Event::Datagram(_, h, _) | Event::Hello(h, ..) | Event::Gone(h, _) => *h,
+    pub(super) fn stands_before(&self, event: &Event) -> Option<Us> {
+        let host_index = match event {
+            Event::ToHost(host_index, ..)
+            | Event::Refused(host_index, ..)
+            | Event::List(host_index, ..)
+            | Event::ListFailed(host_index, _) => *host_index,
+            Event::Datagram(_, host_index, _) | Event::Hello(host_index, ..) | Event::Gone(host_index, _) => {
+                *host_index
+            }
             Event::ToServer(c, ..) | Event::Connected(c, ..) => self.clients[*c as usize].host,
             _ => return None,
         };
-        let host = &self.hosts[h as usize];
+        let host = &self.hosts[host_index as usize];
         (host.up && host.stands > self.now).then_some(host.stands)
     }
 
-    pub(super) fn trouble(&mut self, i: usize, on: bool) {
-        let t = self.w.troubles[i];
-        let n = t.node;
-        let node = n as usize;
-        match t.kind {
-            Kind::Slow(x) => self.set(n, |faults| faults.slowdown = if on { x } else { 1.0 }),
-            Kind::Errors(x) => self.set(n, |faults| faults.error_rate = if on { x } else { 0.0 }),
-            Kind::Neighbour(x) => self.set(n, |faults| faults.neighbour_share = if on { x } else { 0.0 }),
-            Kind::Heavy(part, times) => self.set(n, |faults| {
+    pub(super) fn trouble(&mut self, fault_index: usize, on: bool) {
+        let fault = self.world.faults[fault_index];
+        let node_index = fault.node;
+        let node = node_index as usize;
+        match fault.kind {
+            FaultKind::Slow(node_state) => {
+                self.set(node_index, |faults| faults.slowdown = if on { node_state } else { 1.0 })
+            }
+            FaultKind::Errors(node_state) => {
+                self.set(node_index, |faults| faults.error_rate = if on { node_state } else { 0.0 })
+            }
+            FaultKind::Neighbour(node_state) => {
+                self.set(node_index, |faults| faults.neighbour_share = if on { node_state } else { 0.0 })
+            }
+            FaultKind::Heavy(part, times) => self.set(node_index, |faults| {
                 (faults.heavy_fraction, faults.heavy_multiple) = if on { (part, times) } else { (0.0, 1.0) }
             }),
-            Kind::Pause if on => {
+            FaultKind::Pause if on => {
                 let now = self.now;
-                self.nodes[node].model.pause(now, t.for_us as f64 / 1e6);
-                self.settle(n);
+                self.nodes[node].model.pause(now, fault.for_us as f64 / 1e6);
+                self.settle(node_index);
             }
-            Kind::Silent if on => self.nodes[node].silent = true,
+            FaultKind::Silent if on => self.nodes[node].silent = true,
             // What it had is gone: it comes back as a process that starts.
-            Kind::Silent => {
-                self.node_dies(n);
-                self.push(self.now + 50_000, Event::NodeUp(n));
-            }
-            Kind::Restart if on => {
-                self.node_dies(n);
-                self.push(self.now + t.for_us, Event::NodeUp(n));
-            }
-            Kind::MassRestart if on => {
-                for n in 0..self.w.nodes {
-                    self.node_dies(n);
-                    self.push(self.now + t.for_us / 2, Event::NodeUp(n));
+            FaultKind::Silent => {
+                self.node_dies(node_index);
+                self.push(self.now + 50_000, Event::NodeUp(node_index));
+            }
+            FaultKind::Restart if on => {
+                self.node_dies(node_index);
+                self.push(self.now + fault.for_us, Event::NodeUp(node_index));
+            }
+            FaultKind::MassRestart if on => {
+                for node_index in 0..self.world.nodes {
+                    self.node_dies(node_index);
+                    self.push(self.now + fault.for_us / 2, Event::NodeUp(node_index));
                 }
             }
-            Kind::Drain | Kind::Deploy if on => {
+            FaultKind::Drain | FaultKind::Deploy if on => {
                 if self.nodes[node].listed == NodeState::Ready {
                     self.nodes[node].listed = NodeState::Draining;
                     self.tell();
                 }
             }
-            Kind::Drain => {
+            FaultKind::Drain => {
                 if self.nodes[node].listed == NodeState::Draining {
                     self.nodes[node].listed = NodeState::Ready;
                     self.tell();
                 }
             }
-            Kind::Deploy => {
-                self.node_dies(n);
-                let x = &mut self.nodes[node];
-                x.address_generation += 1;
-                x.address = format!("10.{}.{}.{}:9000", x.address_generation, n / 250, n % 250);
-                self.push(self.now + 100_000, Event::NodeUp(n));
-            }
-            Kind::ListLate(s) => {
-                self.list_late = if on { (s * 1e6) as Us } else { self.w.list_late_us };
-            }
-            Kind::ListFails => {
+            FaultKind::Deploy => {
+                self.node_dies(node_index);
+                let node_state = &mut self.nodes[node];
+                node_state.address_generation += 1;
+                node_state.address = format!(
+                    "10.{}.{}.{}:9000",
+                    node_state.address_generation,
+                    node_index / 250,
+                    node_index % 250
+                );
+                self.push(self.now + 100_000, Event::NodeUp(node_index));
+            }
+            FaultKind::ListLate(s) => {
+                self.list_late = if on { (s * 1e6) as Us } else { self.world.list_late_us };
+            }
+            FaultKind::ListFails => {
                 self.list_fails = on;
-                for h in 0..self.w.hosts {
-                    let host = &self.hosts[h as usize];
+                for host_index in 0..self.world.hosts {
+                    let host = &self.hosts[host_index as usize];
                     if on && host.following {
                         let generation = host.generation;
-                        self.push(self.now, Event::ListFailed(h, generation));
+                        self.push(self.now, Event::ListFailed(host_index, generation));
                     }
                 }
             }
-            Kind::HostKill => self.host_kill(t.host.unwrap_or(0), on),
-            Kind::Partition if on => {
-                let h = t.host.unwrap_or(0);
-                let until = self.now + t.for_us;
-                self.partitions.insert((h, n), until);
-                if let Some(generation) =
-                    self.hosts[h as usize].links.get(&n).map(|l| l.generation).filter(|_| t.for_us > SILENCE)
+            FaultKind::HostKill => self.host_kill(fault.host.unwrap_or(0), on),
+            FaultKind::Partition if on => {
+                let host_index = fault.host.unwrap_or(0);
+                let until = self.now + fault.for_us;
+                self.partitions.insert((host_index, node_index), until);
+                if let Some(generation) = self.hosts[host_index as usize]
+                    .links
+                    .get(&node_index)
+                    .map(|l| l.generation)
+                    .filter(|_| fault.for_us > SILENCE)
                 {
-                    self.push(self.now + SILENCE, Event::LinkDown(h, n, generation));
+                    self.push(self.now + SILENCE, Event::LinkDown(host_index, node_index, generation));
                 }
             }
-            Kind::Partition => _ = self.partitions.remove(&(t.host.unwrap_or(0), n)),
-            Kind::Resets if on => self.all_links_down(n),
-            Kind::Surge(x) => self.surge = if on { x } else { 1.0 },
-            Kind::Leave(x) => self.leave = if on { x } else { 0.0 },
-            Kind::Hot(x) => self.hot = if on { x } else { 0.0 },
-            Kind::Order(kind, all) if on => self.order(t.host.filter(|_| !all), n, kind, t.for_us),
-            Kind::Hangup(x) if on => self.hang_up(x),
-            Kind::Order(..) | Kind::Hangup(_) => {}
-            Kind::Split(x) => self.split = on.then_some(x),
-            Kind::Busiest(part, h) => self.busiest = on.then_some((part, h)),
-            Kind::Plan(limit, burst) if on => self.plan(limit, burst),
-            Kind::Plan(..) => self.plan(1.0, 1.0),
-            Kind::HostLeaves if on => self.host_leaves(t.host.unwrap_or(0)),
-            Kind::HostLeaves => self.push(self.now, Event::HostUp(t.host.unwrap_or(0))),
-            Kind::HostStands if on => self.host_stands(t.host.unwrap_or(0), t.for_us),
-            Kind::HostStands => {}
-            Kind::Pause | Kind::Restart | Kind::MassRestart | Kind::Resets => {}
+            FaultKind::Partition => _ = self.partitions.remove(&(fault.host.unwrap_or(0), node_index)),
+            FaultKind::Resets if on => self.all_links_down(node_index),
+            FaultKind::Surge(node_state) => self.surge = if on { node_state } else { 1.0 },
+            FaultKind::Leave(node_state) => self.leave = if on { node_state } else { 0.0 },
+            FaultKind::Hot(node_state) => self.hot = if on { node_state } else { 0.0 },
+            FaultKind::Order(kind, all) if on => {
+                self.order(fault.host.filter(|_| !all), node_index, kind, fault.for_us)
+            }
+            FaultKind::Hangup(node_state) if on => self.hang_up(node_state),
+            FaultKind::Order(..) | FaultKind::Hangup(_) => {}
+            FaultKind::Split(node_state) => self.split = on.then_some(node_state),
+            FaultKind::Busiest(part, host_index) => self.busiest = on.then_some((part, host_index)),
+            FaultKind::Plan(limit, burst) if on => self.plan(limit, burst),
+            FaultKind::Plan(..) => self.plan(1.0, 1.0),
+            FaultKind::HostLeaves if on => self.host_leaves(fault.host.unwrap_or(0)),
+            FaultKind::HostLeaves => self.push(self.now, Event::HostUp(fault.host.unwrap_or(0))),
+            FaultKind::HostStands if on => self.host_stands(fault.host.unwrap_or(0), fault.for_us),
+            FaultKind::HostStands => {}
+            FaultKind::Pause | FaultKind::Restart | FaultKind::MassRestart | FaultKind::Resets => {}
         }
     }
 }
--- a/crates/simulator/src/sim/hosts.rs
+++ b/crates/simulator/src/sim/hosts.rs
@@ -3,32 +3,38 @@
 use super::*;
 
 impl Sim<'_> {
-    pub(super) fn new_host(&mut self, h: u32) -> Host {
+    pub(super) fn new_host(&mut self, host_index: u32) -> Host {
         self.generations += 1;
-        let seed = self.w.seed ^ self.generations << 20;
-        let now = self.time(h);
-        let mut core = heart(now, &self.settings[h as usize], seed, self.generations, self.plain);
-        let wall = self.wall(h);
-        let kept = &mut self.kept[h as usize];
-        if let Some(core) = core.core().filter(|_| self.w.has_orders()) {
+        let seed = self.world.seed ^ self.generations << 20;
+        let now = self.time(host_index);
+        let mut core = host_logic(
+            now,
+            &self.settings[host_index as usize],
+            seed,
+            self.generations,
+            self.reference_model,
+        );
+        let wall = self.wall(host_index);
+        let kept = &mut self.kept[host_index as usize];
+        if let Some(core) = core.core().filter(|_| self.world.has_orders()) {
             let records = kept.overrides.values().cloned().collect();
             let (overrides, ended) = Overrides::new(now, wall, ORDERS, records, kept.next);
             ended.iter().for_each(|e| _ = kept.overrides.remove(&e.record.id));
             core.handle_wall_clock(now, wall);
             core.with_overrides(now, overrides, PersistBatch::default());
         }
-        if let Some((core, b)) = core.core().zip(self.settings[h as usize].plans_live.as_ref()) {
+        if let Some((core, b)) = core.core().zip(self.settings[host_index as usize].plans_live.as_ref()) {
             let trail: Vec<u8> = kept.changes.values().flatten().copied().collect();
-            let plans = Plans::new(now, &self.settings[h as usize], b, &trail)
+            let plans = Plans::new(now, &self.settings[host_index as usize], b, &trail)
                 .unwrap_or_else(|e| panic!("a trail that the lab kept: {e}"));
             let stored = if trail.is_empty() { StoredPlans::Nothing } else { StoredPlans::ChangeLog };
             core.with_plans(now, plans, stored);
         }
-        if let Some(core) = core.core().filter(|_| self.w.members.is_some()) {
-            let s = &self.settings[h as usize];
-            let address = peer_address(h);
+        if let Some(core) = core.core().filter(|_| self.world.members.is_some()) {
+            let settings = &self.settings[host_index as usize];
+            let address = peer_address(host_index);
             let member = member_settings(
-                s,
+                settings,
                 &MEMBERS,
                 address,
                 self.generations,
@@ -55,49 +61,51 @@
     }
 
     /// Carries out what the core wants done.
-    pub(super) fn pull(&mut self, h: u32) {
-        if !self.hosts[h as usize].up || self.hosts[h as usize].stands > self.now {
+    pub(super) fn pull(&mut self, host_index: u32) {
+        if !self.hosts[host_index as usize].up || self.hosts[host_index as usize].stands > self.now {
             return;
         }
-        let now = self.time(h);
-        self.hosts[h as usize].core.handle_timeout(now);
-        while let Some(o) = self.hosts[h as usize].core.poll_output(now) {
+        let now = self.time(host_index);
+        self.hosts[host_index as usize].core.handle_timeout(now);
+        while let Some(o) = self.hosts[host_index as usize].core.poll_output(now) {
             match o {
-                Output::Send(attempt) => self.send(h, *attempt),
+                Output::Send(attempt) => self.send(host_index, *attempt),
                 Output::Cancel { node, attempt } | Output::Cut { node, attempt } => {
                     let cancel = Frame::Cancel { attempt: attempt.0 }.to_bytes();
-                    self.pass_on(h, node.0, &cancel, true);
+                    self.pass_on(host_index, node.0, &cancel, true);
                 }
-                Output::Answer { to, verdict } => self.answer(h, to, verdict),
-                Output::FollowList { .. } | Output::FetchList => self.follow(h),
-                Output::Persist { request, batch } => self.keep(h, request, batch),
-                Output::AdminResponse { response, .. } => self.ordered(h, response),
-                Output::Datagram { to, bytes } => self.post(h, to, &bytes),
+                Output::Answer { to, verdict } => self.answer(host_index, to, verdict),
+                Output::FollowList { .. } | Output::FetchList => self.follow(host_index),
+                Output::Persist { request, batch } => self.keep(host_index, request, batch),
+                Output::AdminResponse { response, .. } => self.ordered(host_index, response),
+                Output::Datagram { to, bytes } => self.post(host_index, to, &bytes),
                 Output::Event(_) => {}
             }
         }
-        if let Some(core) = self.hosts[h as usize].core.core().filter(|_| self.w.members.is_some()) {
+        if let Some(core) =
+            self.hosts[host_index as usize].core.core().filter(|_| self.world.members.is_some())
+        {
             if core.have_earlier_leases_ended(now) && !core.is_leaving() {
-                self.kept[h as usize].left = false;
+                self.kept[host_index as usize].left = false;
             }
         }
-        let host = &mut self.hosts[h as usize];
+        let host = &mut self.hosts[host_index as usize];
         let open = host.core.open_counts();
         let most = &mut self.run.max_open;
         *most = (most.0.max(open.commands), most.1.max(open.requests), most.2.max(open.attempts));
         let wake = host.core.poll_timeout(now);
-        let wake = wake.map(|t| self.when(h, t));
-        let host = &mut self.hosts[h as usize];
-        if let Some(t) = wake.filter(|t| *t < host.wake) {
-            host.wake = t.max(self.now + 1);
-            let t = host.wake;
-            self.push(t, Event::HostTime(h));
+        let wake = wake.map(|due| self.when(host_index, due));
+        let host = &mut self.hosts[host_index as usize];
+        if let Some(due) = wake.filter(|due| *due < host.wake) {
+            host.wake = due.max(self.now + 1);
+            let due = host.wake;
+            self.push(due, Event::HostTime(host_index));
         }
     }
 
     /// The process is stopped. Its clients give up on what is open, and it hears so when it goes on.
-    pub(super) fn host_stands(&mut self, h: u32, for_us: Us) {
-        let host = &mut self.hosts[h as usize];
+    pub(super) fn host_stands(&mut self, host_index: u32, for_us: Us) {
+        let host = &mut self.hosts[host_index as usize];
         if !host.up || host.stands > self.now {
             return;
         }
@@ -106,57 +114,57 @@
         let open = std::mem::take(&mut host.submitted);
         host.asked.clear();
         for (session, command) in open.into_keys() {
-            self.note(tackmast_trace::Event::Left { host: h, session, command });
+            self.note(tackmast_trace::Event::Left { host: host_index, session, command });
         }
         for (c, slot, generation) in slots {
             self.closed(c, slot, generation);
         }
-        let now = self.time(h);
-        self.hosts[h as usize].core.handle_session_closed(now, BESIDE);
-        self.push(self.now + for_us, Event::HostTime(h));
+        let now = self.time(host_index);
+        self.hosts[host_index as usize].core.handle_session_closed(now, BESIDE);
+        self.push(self.now + for_us, Event::HostTime(host_index));
     }
 
     /// Nothing new is taken; what is open has half a second, and then what it has of limits goes to others.
-    pub(super) fn host_leaves(&mut self, h: u32) {
-        let (now, generation) = (self.time(h), self.hosts[h as usize].generation);
-        if !self.hosts[h as usize].up || self.plain.is_some() {
+    pub(super) fn host_leaves(&mut self, host_index: u32) {
+        let (now, generation) = (self.time(host_index), self.hosts[host_index as usize].generation);
+        if !self.hosts[host_index as usize].up || self.reference_model.is_some() {
             return;
         }
-        self.kept[h as usize].left = self.w.members.is_some();
-        if let Some(core) = self.hosts[h as usize].core.core() {
+        self.kept[host_index as usize].left = self.world.members.is_some();
+        if let Some(core) = self.hosts[host_index as usize].core.core() {
             core.drain();
             core.begin_leave(now);
         }
-        self.pull(h);
-        self.push(self.now + 500_000, Event::Gone(h, generation));
+        self.pull(host_index);
+        self.push(self.now + 500_000, Event::Gone(host_index, generation));
     }
 
     /// A datagram goes on its way, or is lost, or comes twice.
     pub(super) fn post(&mut self, from: u32, to: std::net::SocketAddr, bytes: &Bytes) {
-        let Some(h) = (0..self.w.hosts).find(|h| peer_address(*h) == to) else { return };
-        let loss = self.w.members.unwrap_or(0.0);
+        let Some(h) = (0..self.world.hosts).find(|h| peer_address(*h) == to) else { return };
+        let loss = self.world.members.unwrap_or(0.0);
         let apart = |x: f64| {
-            let edge = (x * f64::from(self.w.hosts)) as u32;
+            let edge = (x * f64::from(self.world.hosts)) as u32;
             (from < edge) != (h < edge)
         };
         if self.split.is_some_and(apart) {
             return;
         }
-        let copies = match self.chance.rand_float() {
+        let copies = match self.generator.rand_float() {
             x if x < loss => 0,
             x if x > 1.0 - loss / 4.0 => 2,
             _ => 1,
         };
         for _ in 0..copies {
-            let jitter = if loss > 0.0 { self.chance.rand_range(0..300_000) } else { 0 };
-            self.push(self.now + self.w.delay_us + jitter, Event::Datagram(from, h, bytes.to_vec()));
+            let jitter = if loss > 0.0 { self.generator.rand_range(0..300_000) } else { 0 };
+            self.push(self.now + self.world.delay_us + jitter, Event::Datagram(from, h, bytes.to_vec()));
         }
     }
 
-    pub(super) fn host_kill(&mut self, h: u32, on: bool) {
-        let host = &mut self.hosts[h as usize];
+    pub(super) fn host_kill(&mut self, host_index: u32, on: bool) {
+        let host = &mut self.hosts[host_index as usize];
         if !on {
-            return self.push(self.now, Event::HostUp(h));
+            return self.push(self.now, Event::HostUp(host_index));
         }
         if !host.up {
             return;
@@ -170,12 +178,12 @@
         for (n, l) in links {
             let node = self.nodes[n as usize].address.clone();
             let attempts = l.attempts.values().copied().collect();
-            self.note(tackmast_trace::Event::LinkDown { node, host: h, generation, attempts });
+            self.note(tackmast_trace::Event::LinkDown { node, host: host_index, generation, attempts });
         }
-        self.note(tackmast_trace::Event::HostDown { host: h });
+        self.note(tackmast_trace::Event::HostDown { host: host_index });
         for (c, slot, slot_generation) in sessions.into_values() {
             self.clients[c as usize].slots[slot].pipe = None;
-            self.push(self.now + self.w.delay_us, Event::Closed(c, slot, slot_generation));
+            self.push(self.now + self.world.delay_us, Event::Closed(c, slot, slot_generation));
         }
     }
 }
--- a/crates/simulator/src/sim/links.rs
+++ b/crates/simulator/src/sim/links.rs
@@ -3,36 +3,44 @@
 use super::*;
 
 impl Sim<'_> {
-    pub(super) fn send(&mut self, h: u32, attempt: SendAttempt) {
+    pub(super) fn send(&mut self, host_index: u32, attempt: SendAttempt) {
         self.sends += 1;
-        let n = self.node_of(h, attempt.node.0);
-        let generation = self.hosts[h as usize].generation;
-        let Some(n) = n.filter(|n| self.nodes[*n as usize].up) else {
+        let node_index = self.node_of(host_index, attempt.node.0);
+        let generation = self.hosts[host_index as usize].generation;
+        let Some(node_index) = node_index.filter(|node_index| self.nodes[*node_index as usize].up) else {
             // Nobody listens: the host hears so after a round trip.
-            let t = self.now + 2 * self.w.delay_us;
+            let due = self.now + 2 * self.world.delay_us;
             attempt.ticket.withdraw();
-            return self.push(t, Event::Refused(h, generation, attempt.attempt.0));
+            return self.push(due, Event::Refused(host_index, generation, attempt.attempt.0));
         };
-        self.open_link(h, n);
-        if let Some(waiting) = self.hosts[h as usize].links.get_mut(&n).and_then(|l| l.waiting.as_mut()) {
+        self.open_link(host_index, node_index);
+        if let Some(waiting) =
+            self.hosts[host_index as usize].links.get_mut(&node_index).and_then(|l| l.waiting.as_mut())
+        {
             return waiting.push(attempt);
         }
-        self.transmit(h, n, &attempt);
+        self.transmit(host_index, node_index, &attempt);
     }
 
     /// An attempt leaves its host, unless it was taken back.
-    pub(super) fn transmit(&mut self, h: u32, n: u32, attempt: &SendAttempt) {
-        let generation = self.hosts[h as usize].generation;
-        let now = self.time(h);
+    pub(super) fn transmit(&mut self, host_index: u32, node_index: u32, attempt: &SendAttempt) {
+        let generation = self.hosts[host_index as usize].generation;
+        let now = self.time(host_index);
         let left = ((attempt.until - now).secs() * 1e6).max(0.0) as Us;
         match attempt.begin(now) {
             Begin::Now => {}
             Begin::Withdrawn => return,
-            Begin::TooLate => return self.push(self.now, Event::Refused(h, generation, attempt.attempt.0)),
+            Begin::TooLate => {
+                return self.push(self.now, Event::Refused(host_index, generation, attempt.attempt.0))
+            }
         }
         attempt.ticket.written();
-        let name =
-            AttemptName { host: h, generation, request: attempt.request, attempt: attempt.attempt_number };
+        let name = AttemptName {
+            host: host_index,
+            generation,
+            request: attempt.request,
+            attempt: attempt.attempt_number,
+        };
         let frame = |attempt_number: u8| {
             Frame::Send(node::SendAttempt {
                 attempt: attempt.attempt.0,
@@ -66,7 +74,7 @@
                 (true, data.len() as u64)
             }
         };
-        let address = self.nodes[n as usize].address.clone();
+        let address = self.nodes[node_index as usize].address.clone();
         let seen = |attempt_number: u8| tackmast_trace::Event::Attempt {
             node: address.clone(),
             name: AttemptName { attempt: attempt_number, ..name },
@@ -90,35 +98,35 @@
         if twice.is_some() {
             self.note(second);
         }
-        if let Some(l) = self.hosts[h as usize].links.get_mut(&n) {
+        if let Some(l) = self.hosts[host_index as usize].links.get_mut(&node_index) {
             l.attempts.insert(attempt.attempt.0, name);
         }
-        self.pass(h, n, &bytes, true);
+        self.pass(host_index, node_index, &bytes, true);
         if let Some(again) = twice {
-            self.pass(h, n, &again, true);
+            self.pass(host_index, node_index, &again, true);
         }
     }
 
     /// The core's number of a node to the lab's.
-    pub(super) fn node_of(&self, h: u32, number: u32) -> Option<u32> {
-        let core = &self.hosts[h as usize].core;
+    pub(super) fn node_of(&self, host_index: u32, number: u32) -> Option<u32> {
+        let core = &self.hosts[host_index as usize].core;
         let address = core.nodes().address(tackmast::interface::NodeId(number))?;
         self.nodes.iter().position(|n| n.address == address).map(|n| n as u32)
     }
 
-    pub(super) fn pass_on(&mut self, h: u32, number: u32, bytes: &Bytes, to_node: bool) {
-        if let Some(n) = self.node_of(h, number) {
-            if self.hosts[h as usize].links.contains_key(&n) {
-                self.pass(h, n, bytes, to_node);
+    pub(super) fn pass_on(&mut self, host_index: u32, number: u32, bytes: &Bytes, to_node: bool) {
+        if let Some(n) = self.node_of(host_index, number) {
+            if self.hosts[host_index as usize].links.contains_key(&n) {
+                self.pass(host_index, n, bytes, to_node);
             }
         }
     }
 
-    pub(super) fn open_link(&mut self, h: u32, n: u32) {
+    pub(super) fn open_link(&mut self, host_index: u32, node_index: u32) {
         self.number += 1;
         let generation = self.number;
         // As the hello at the start of the link shows it.
-        let offset = self.now as i64 - us(self.time(h)) as i64 + self.w.delay_us as i64;
+        let offset = self.now as i64 - us(self.time(host_index)) as i64 + self.world.delay_us as i64;
         let new = || Link {
             generation,
             to_node: node::frames(1 << 20),
@@ -128,50 +136,53 @@
             waiting: Some(Vec::new()),
             attempts: BTreeMap::new(),
         };
-        let links = &mut self.hosts[h as usize].links;
-        if let std::collections::btree_map::Entry::Vacant(place) = links.entry(n) {
+        let links = &mut self.hosts[host_index as usize].links;
+        if let std::collections::btree_map::Entry::Vacant(place) = links.entry(node_index) {
             place.insert(new());
             let (host_generation, started) =
-                (self.hosts[h as usize].generation, self.nodes[n as usize].started);
-            let held_until = self.partitions.get(&(h, n)).copied().unwrap_or(0);
-            let t = self.now.max(held_until) + 2 * self.w.delay_us;
-            self.push(t, Event::Hello(h, host_generation, n, started));
+                (self.hosts[host_index as usize].generation, self.nodes[node_index as usize].started);
+            let held_until = self.partitions.get(&(host_index, node_index)).copied().unwrap_or(0);
+            let due = self.now.max(held_until) + 2 * self.world.delay_us;
+            self.push(due, Event::Hello(host_index, host_generation, node_index, started));
         }
     }
 
     /// Bytes go on their way, cut where it happens; each direction keeps its order.
-    pub(super) fn pass(&mut self, h: u32, n: u32, bytes: &Bytes, to_node: bool) {
-        let held_until = self.partitions.get(&(h, n)).copied().unwrap_or(0);
-        let cut = self.chance.rand_range(0..bytes.len() as u64 + 1) as usize;
-        let parts = if self.chance.rand_float() < 0.1 {
+    pub(super) fn pass(&mut self, host_index: u32, node_index: u32, bytes: &Bytes, to_node: bool) {
+        let held_until = self.partitions.get(&(host_index, node_index)).copied().unwrap_or(0);
+        let cut = self.generator.rand_range(0..bytes.len() as u64 + 1) as usize;
+        let parts = if self.generator.rand_float() < 0.1 {
             vec![&bytes[..cut], &bytes[cut..]]
         } else {
             vec![&bytes[..]]
         };
         for part in parts.into_iter().filter(|p| !p.is_empty()) {
-            let jitter = if self.w.jitter_us > 0 { self.chance.rand_range(0..self.w.jitter_us) } else { 0 };
-            let Some(l) = self.hosts[h as usize].links.get_mut(&n) else { return };
-            let t =
-                (self.now.max(held_until) + self.w.delay_us + jitter).max(l.last[usize::from(to_node)] + 1);
-            l.last[usize::from(to_node)] = t;
+            let jitter =
+                if self.world.jitter_us > 0 { self.generator.rand_range(0..self.world.jitter_us) } else { 0 };
+            let Some(l) = self.hosts[host_index as usize].links.get_mut(&node_index) else { return };
+            let due = (self.now.max(held_until) + self.world.delay_us + jitter)
+                .max(l.last[usize::from(to_node)] + 1);
+            l.last[usize::from(to_node)] = due;
             let generation = l.generation;
             let bytes = part.to_vec();
             self.push(
-                t,
+                due,
                 if to_node {
-                    Event::ToNode(h, n, generation, bytes)
+                    Event::ToNode(host_index, node_index, generation, bytes)
                 } else {
-                    Event::ToHost(h, n, generation, bytes)
+                    Event::ToHost(host_index, node_index, generation, bytes)
                 },
             );
         }
     }
 
-    pub(super) fn host_gets(&mut self, h: u32, n: u32, generation: u64, bytes: &[u8]) {
-        if !self.hosts[h as usize].up {
+    pub(super) fn host_gets(&mut self, host_index: u32, node_index: u32, generation: u64, bytes: &[u8]) {
+        if !self.hosts[host_index as usize].up {
             return;
         }
-        let Some(l) = self.hosts[h as usize].links.get_mut(&n).filter(|l| l.generation == generation) else {
+        let Some(l) =
+            self.hosts[host_index as usize].links.get_mut(&node_index).filter(|l| l.generation == generation)
+        else {
             return;
         };
         l.to_host.push(bytes);
@@ -183,7 +194,7 @@
                 }
             }
         }
-        let now = self.time(h);
+        let now = self.time(host_index);
         for a in backs {
             let outcome = match a.outcome {
                 NodeOutcome::Done => Outcome::Done,
@@ -194,12 +205,12 @@
             let (waiting, elsewhere) = (Some(a.waiting), Some(f64::from(a.elsewhere)));
             let back =
                 AttemptResult { attempt: AttemptId(a.attempt), outcome, waiting, elsewhere, data: a.data };
-            self.hosts[h as usize].core.handle_attempt_result(now, back);
+            self.hosts[host_index as usize].core.handle_attempt_result(now, back);
         }
-        self.pull(h);
+        self.pull(host_index);
     }
 
-    pub(super) fn back(&mut self, h: u32, attempt: u64, outcome: Outcome) {
+    pub(super) fn back(&mut self, host_index: u32, attempt: u64, outcome: Outcome) {
         let back = AttemptResult {
             attempt: AttemptId(attempt),
             outcome,
@@ -207,56 +218,57 @@
             elsewhere: None,
             data: Bytes::new(),
         };
-        let now = self.time(h);
-        self.hosts[h as usize].core.handle_attempt_result(now, back);
+        let now = self.time(host_index);
+        self.hosts[host_index as usize].core.handle_attempt_result(now, back);
     }
 
     /// A link ends for both sides: its attempts may have run.
-    pub(super) fn link_down(&mut self, h: u32, n: u32, generation: u64) {
-        let host = &mut self.hosts[h as usize];
-        if host.links.get(&n).is_none_or(|l| l.generation != generation) {
+    pub(super) fn link_down(&mut self, host_index: u32, node_index: u32, generation: u64) {
+        let host = &mut self.hosts[host_index as usize];
+        if host.links.get(&node_index).is_none_or(|l| l.generation != generation) {
             return;
         }
-        let Some(l) = host.links.remove(&n) else { return };
-        let (node, generation) = (self.nodes[n as usize].address.clone(), host.generation);
+        let Some(l) = host.links.remove(&node_index) else { return };
+        let (node, generation) = (self.nodes[node_index as usize].address.clone(), host.generation);
         let attempts: Vec<AttemptName> = l.attempts.values().copied().collect();
-        self.note(tackmast_trace::Event::LinkDown { node, host: h, generation, attempts });
+        self.note(tackmast_trace::Event::LinkDown { node, host: host_index, generation, attempts });
         for attempt in l.attempts.keys() {
-            self.back(h, *attempt, Outcome::Reset);
+            self.back(host_index, *attempt, Outcome::Reset);
         }
         for attempt in l.waiting.into_iter().flatten().filter(|attempt| attempt.ticket.withdraw()) {
-            self.back(h, attempt.attempt.0, Outcome::Refused);
+            self.back(host_index, attempt.attempt.0, Outcome::Refused);
         }
-        self.pull(h);
+        self.pull(host_index);
     }
 
-    pub(super) fn all_links_down(&mut self, n: u32) {
-        for h in 0..self.w.hosts {
-            if let Some(generation) = self.hosts[h as usize].links.get(&n).map(|l| l.generation) {
-                self.link_down(h, n, generation);
+    pub(super) fn all_links_down(&mut self, node_index: u32) {
+        for h in 0..self.world.hosts {
+            if let Some(generation) = self.hosts[h as usize].links.get(&node_index).map(|l| l.generation) {
+                self.link_down(h, node_index, generation);
             }
         }
     }
 
-    pub(super) fn hello(&mut self, h: u32, generation: u64, n: u32, started: Us) {
-        let node = &self.nodes[n as usize];
-        let host = &self.hosts[h as usize];
+    pub(super) fn hello(&mut self, host_index: u32, generation: u64, node_index: u32, started: Us) {
+        let node = &self.nodes[node_index as usize];
+        let host = &self.hosts[host_index as usize];
         if host.generation != generation
             || !host.up
             || node.started != started
-            || !host.links.contains_key(&n)
+            || !host.links.contains_key(&node_index)
         {
             return;
         }
         // One that was up when time began has been so for long.
         let up = if started == 0 { 86_400.0 } else { (self.now - started) as f64 / 1e6 };
-        let (now, number) = (self.time(h), host.core.nodes().number(&node.address));
-        if let Some((core, number)) = self.hosts[h as usize].core.core().zip(number) {
+        let (now, number) = (self.time(host_index), host.core.nodes().number(&node.address));
+        if let Some((core, number)) = self.hosts[host_index as usize].core.core().zip(number) {
             core.handle_node_uptime(now, number, TimeDelta::from_secs(up));
         }
-        self.pull(h);
+        self.pull(host_index);
         // What the core has not taken back now leaves.
-        let waiting = self.hosts[h as usize].links.get_mut(&n).and_then(|l| l.waiting.take());
-        waiting.into_iter().flatten().for_each(|attempt| self.transmit(h, n, &attempt));
+        let waiting =
+            self.hosts[host_index as usize].links.get_mut(&node_index).and_then(|l| l.waiting.take());
+        waiting.into_iter().flatten().for_each(|attempt| self.transmit(host_index, node_index, &attempt));
     }
 }
--- a/crates/simulator/src/sim/nodes.rs
+++ b/crates/simulator/src/sim/nodes.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Sim<'_> {
-    pub(super) fn note_node_up(&mut self, n: usize, cold_from: f64) {
-        let node = &self.nodes[n];
+    pub(super) fn note_node_up(&mut self, node_index: usize, cold_from: f64) {
+        let node = &self.nodes[node_index];
         let (address, capacity) = (node.address.clone(), node.model.behavior().capacity());
         let warm_us = if cold_from < 1.0 { (node.model.behavior().warm_up_s * 1e6) as Us } else { 0 };
         let (zone, shard) = (node.zone, node.shard);
@@ -18,8 +18,10 @@
         });
     }
 
-    pub(super) fn node_gets(&mut self, h: u32, n: u32, generation: u64, bytes: &[u8]) {
-        let Some(l) = self.hosts[h as usize].links.get_mut(&n).filter(|l| l.generation == generation) else {
+    pub(super) fn node_gets(&mut self, host_index: u32, node_index: u32, generation: u64, bytes: &[u8]) {
+        let Some(l) =
+            self.hosts[host_index as usize].links.get_mut(&node_index).filter(|l| l.generation == generation)
+        else {
             return;
         };
         l.to_node.push(bytes);
@@ -29,9 +31,9 @@
         }
         for f in frames {
             match f {
-                Frame::Send(attempt) => self.attempt_arrives(h, n, generation, attempt),
+                Frame::Send(attempt) => self.attempt_arrives(host_index, node_index, generation, attempt),
                 Frame::Cancel { attempt } => {
-                    let node = &mut self.nodes[n as usize];
+                    let node = &mut self.nodes[node_index as usize];
                     let found = node.held.iter().find(|(_, x)| x.link == generation && x.attempt == attempt);
                     if let Some((id, name)) = found.map(|(id, x)| (*id, x.name)) {
                         let address = node.address.clone();
@@ -39,7 +41,7 @@
                             node.model.cancel(self.now, id);
                         }
                         self.note(tackmast_trace::Event::Cancel { node: address, name });
-                        self.settle(n);
+                        self.settle(node_index);
                     }
                 }
                 _ => {}
@@ -47,16 +49,26 @@
         }
     }
 
-    pub(super) fn attempt_arrives(&mut self, h: u32, n: u32, link: u64, attempt: node::SendAttempt) {
-        let generation = self.hosts[h as usize].generation;
-        let name =
-            AttemptName { host: h, generation, request: attempt.request, attempt: attempt.attempt_number };
+    pub(super) fn attempt_arrives(
+        &mut self,
+        host_index: u32,
+        node_index: u32,
+        link: u64,
+        attempt: node::SendAttempt,
+    ) {
+        let generation = self.hosts[host_index as usize].generation;
+        let name = AttemptName {
+            host: host_index,
+            generation,
+            request: attempt.request,
+            attempt: attempt.attempt_number,
+        };
         let (write, bytes) = match &attempt.work {
             node::Work::Read { length } => (false, u64::from(*length)),
             node::Work::Write { data } => (true, data.len() as u64),
         };
         let now = self.now;
-        let node = &mut self.nodes[n as usize];
+        let node = &mut self.nodes[node_index as usize];
         if !node.up {
             return;
         }
@@ -65,7 +77,7 @@
         let read = if write { 0 } else { bytes as u32 };
         let units = f64::from(attempt.units);
         let held = Held {
-            host: h,
+            host: host_index,
             generation,
             link,
             attempt: attempt.attempt,
@@ -77,32 +89,32 @@
         };
         if !node.silent {
             node.held.insert(id, held);
-            let link = self.hosts[h as usize].links.get_mut(&n);
+            let link = self.hosts[host_index as usize].links.get_mut(&node_index);
             let offset = link.map_or(0, |l| {
                 l.offset = l.offset.min(now as i64 - attempt.sent_us as i64);
                 l.offset
             });
             let until = (attempt.sent_us as i64 + offset).max(0) as Us + u64::from(attempt.left_us);
-            let node = &mut self.nodes[n as usize];
+            let node = &mut self.nodes[node_index as usize];
             // The piece of data, as the stand-in nodes on loopback tell it.
             let key = attempt.key ^ attempt.offset << 8;
             let job = Job { id, units, write, key, is_retry: attempt.attempt_number > 0, deadline_us: until };
             node.model.receive(now, job);
         }
-        self.settle(n);
+        self.settle(node_index);
     }
 
     /// Answers of what has ended at a node, and its next time.
-    pub(super) fn settle(&mut self, n: u32) {
+    pub(super) fn settle(&mut self, node_index: u32) {
         let now = self.now;
-        let node = &mut self.nodes[n as usize];
+        let node = &mut self.nodes[node_index as usize];
         if !node.up || node.silent {
             return;
         }
         node.model.advance(now);
         let ended = node.model.take_ended();
         for EndedJob { id, outcome: how } in ended {
-            let node = &mut self.nodes[n as usize];
+            let node = &mut self.nodes[node_index as usize];
             let Some(x) = node.held.remove(&id) else { continue };
             let (outcome, kind) = match how {
                 JobOutcome::Done => (NodeOutcome::Done, AttemptEndKind::Done),
@@ -128,15 +140,17 @@
             let answer =
                 Frame::Answer(Answer { attempt: x.attempt, outcome, waiting, elsewhere, data }).to_bytes();
             let host = &self.hosts[x.host as usize];
-            if host.generation == x.generation && host.links.get(&n).is_some_and(|l| l.generation == x.link) {
-                self.pass(x.host, n, &answer, false);
+            if host.generation == x.generation
+                && host.links.get(&node_index).is_some_and(|l| l.generation == x.link)
+            {
+                self.pass(x.host, node_index, &answer, false);
             }
         }
-        let node = &mut self.nodes[n as usize];
-        if let Some(t) = node.model.poll_timeout().filter(|t| *t < node.wake) {
-            node.wake = t.max(now + 1);
-            let t = node.wake;
-            self.push(t, Event::NodeTime(n));
+        let node = &mut self.nodes[node_index as usize];
+        if let Some(due) = node.model.poll_timeout().filter(|due| *due < node.wake) {
+            node.wake = due.max(now + 1);
+            let due = node.wake;
+            self.push(due, Event::NodeTime(node_index));
         }
     }
 
@@ -149,15 +163,15 @@
         known.is_none_or(|t| t + self.window_us < self.now)
     }
 
-    pub(super) fn follow(&mut self, h: u32) {
-        let generation = self.hosts[h as usize].generation;
-        let t = self.now + 2 * self.w.delay_us;
+    pub(super) fn follow(&mut self, host_index: u32) {
+        let generation = self.hosts[host_index as usize].generation;
+        let due = self.now + 2 * self.world.delay_us;
         if self.list_fails {
-            return self.push(t, Event::ListFailed(h, generation));
+            return self.push(due, Event::ListFailed(host_index, generation));
         }
-        self.hosts[h as usize].following = true;
+        self.hosts[host_index as usize].following = true;
         let (version, entries) = self.entries();
-        self.push(t, Event::List(h, generation, version, entries));
+        self.push(due, Event::List(host_index, generation, version, entries));
     }
 
     pub(super) fn entries(&self) -> (u64, Vec<(String, u8, u32, u64)>) {
@@ -180,18 +194,24 @@
             return;
         }
         let (version, entries) = self.entries();
-        for h in 0..self.w.hosts {
+        for h in 0..self.world.hosts {
             if self.hosts[h as usize].following {
                 let generation = self.hosts[h as usize].generation;
-                let jitter = self.chance.rand_range(0..50_000);
-                let t = self.now + self.list_late + jitter;
-                self.push(t, Event::List(h, generation, version, entries.clone()));
+                let jitter = self.generator.rand_range(0..50_000);
+                let due = self.now + self.list_late + jitter;
+                self.push(due, Event::List(h, generation, version, entries.clone()));
             }
         }
     }
 
-    pub(super) fn list(&mut self, h: u32, generation: u64, version: u64, entries: &[(String, u8, u32, u64)]) {
-        if self.hosts[h as usize].generation != generation || !self.hosts[h as usize].up {
+    pub(super) fn list(
+        &mut self,
+        host_index: u32,
+        generation: u64,
+        version: u64,
+        entries: &[(String, u8, u32, u64)],
+    ) {
+        if self.hosts[host_index as usize].generation != generation || !self.hosts[host_index as usize].up {
             return;
         }
         let mut lines = Vec::new();
@@ -204,7 +224,7 @@
             };
             let started_us = *started;
             self.note(tackmast_trace::Event::Notified {
-                host: h,
+                host: host_index,
                 node: address.clone(),
                 state: told,
                 started_us,
@@ -212,9 +232,13 @@
             let ignored = self.mutant == Some(Mutant::GraceIgnored);
             let cold = (started_us > 0 && self.mutant != Some(Mutant::ColdIgnored)).then(|| {
                 // By the list's clock, or by this host's wall clock, right or wrong.
-                let shown = if self.w.timed_list { self.now - self.w.delay_us } else { self.wall(h) };
+                let shown = if self.world.timed_list {
+                    self.now - self.world.delay_us
+                } else {
+                    self.wall(host_index)
+                };
                 let age = TimeDelta::from_secs((shown as f64 - started_us as f64) / 1e6);
-                let age = if self.w.timed_list { Age::ByListClock(age) } else { Age::ByHostClock(age) };
+                let age = if self.world.timed_list { Age::ByListClock(age) } else { Age::ByHostClock(age) };
                 NodeStart { name: started_us, age }
             });
             lines.push(ListEntry {
@@ -228,7 +252,7 @@
         }
         // What the list no longer names is gone.
         let known: BTreeSet<&String> = entries.iter().map(|e| &e.0).collect();
-        let core = &self.hosts[h as usize].core;
+        let core = &self.hosts[host_index as usize].core;
         let gone: Vec<String> = core
             .nodes()
             .entries()
@@ -237,19 +261,25 @@
             .collect();
         for node in gone {
             self.note(tackmast_trace::Event::Notified {
-                host: h,
+                host: host_index,
                 node,
                 state: ListedState::Gone,
                 started_us: 0,
             });
         }
-        let now = self.time(h);
-        self.hosts[h as usize].core.handle_endpoint_list(now, ListKind::Complete, 0, version, &lines);
-        self.pull(h);
+        let now = self.time(host_index);
+        self.hosts[host_index as usize].core.handle_endpoint_list(
+            now,
+            ListKind::Complete,
+            0,
+            version,
+            &lines,
+        );
+        self.pull(host_index);
     }
 
-    pub(super) fn node_dies(&mut self, n: u32) {
-        let node = &mut self.nodes[n as usize];
+    pub(super) fn node_dies(&mut self, node_index: u32) {
+        let node = &mut self.nodes[node_index as usize];
         if !node.up {
             return;
         }
@@ -257,32 +287,32 @@
         node.held.clear();
         let address = node.address.clone();
         self.note(tackmast_trace::Event::NodeDown { node: address });
-        self.all_links_down(n);
+        self.all_links_down(node_index);
     }
 
-    pub(super) fn node_up(&mut self, n: u32) {
+    pub(super) fn node_up(&mut self, node_index: u32) {
         let now = self.now;
-        let node = &mut self.nodes[n as usize];
+        let node = &mut self.nodes[node_index as usize];
         if node.up {
             return;
         }
         let faults = node.model.faults.clone();
-        node.model = NodeModel::new(now, node.model.behavior().clone(), self.w.seed ^ now, true);
+        node.model = NodeModel::new(now, node.model.behavior().clone(), self.world.seed ^ now, true);
         node.model.faults = faults;
         (node.up, node.silent, node.started, node.wake) = (true, false, now, Us::MAX);
         node.served.clear();
         node.total.clear();
         (node.listed, node.listed_start) = (NodeState::Ready, now);
-        let from = self.nodes[n as usize].model.behavior().initial_capacity;
-        self.note_node_up(n as usize, from);
+        let from = self.nodes[node_index as usize].model.behavior().initial_capacity;
+        self.note_node_up(node_index as usize, from);
         self.tell();
     }
 
-    pub(super) fn set(&mut self, n: u32, change: impl Fn(&mut NodeFaults)) {
+    pub(super) fn set(&mut self, node_index: u32, change: impl Fn(&mut NodeFaults)) {
         let now = self.now;
-        let model = &mut self.nodes[n as usize].model;
+        let model = &mut self.nodes[node_index as usize].model;
         model.advance(now);
         change(&mut model.faults);
-        self.settle(n);
+        self.settle(node_index);
     }
 }
