--- a/crates/simulator/src/sim/orders.rs
+++ b/crates/simulator/src/sim/orders.rs
@@ -4,11 +4,11 @@
 
 impl Sim<'_> {
     /// An order at one host or at all.
-    pub(super) fn order(&mut self, host: Option<u32>, n: u32, kind: OrderKind, for_us: Us) {
-        let Ok(address) = self.nodes[n as usize].address.parse() else { return };
+    pub(super) fn order(&mut self, host: Option<u32>, node_index: u32, kind: OrderKind, for_us: Us) {
+        let Ok(address) = self.nodes[node_index as usize].address.parse() else { return };
         let (reason, who, seconds) = ("drawn".into(), "lab".into(), for_us as f64 / 1e6);
         let order = Order { target: Target::Node(address), kind, reason, who, seconds, origin: None };
-        for h in (0..self.w.hosts).filter(|h| host.is_none_or(|x| x == *h)) {
+        for h in (0..self.world.hosts).filter(|h| host.is_none_or(|x| x == *h)) {
             if !self.hosts[h as usize].up || self.hosts[h as usize].stands > self.now {
                 continue;
             }
@@ -23,8 +23,8 @@
     }
 
     /// The host's store takes all it is given.
-    pub(super) fn keep(&mut self, h: u32, request: u64, keep: PersistBatch) {
-        let kept = &mut self.kept[h as usize];
+    pub(super) fn keep(&mut self, host_index: u32, request: u64, keep: PersistBatch) {
+        let kept = &mut self.kept[host_index as usize];
         for o in keep.put {
             kept.next = kept.next.max(o.id.0 + 1);
             kept.overrides.insert(o.id, o);
@@ -35,10 +35,10 @@
         }
         for (number, line) in keep.changes {
             kept.changes.insert(number, line);
-            self.went.entry(number).or_default().entry(h).or_insert(self.now);
+            self.went.entry(number).or_default().entry(host_index).or_insert(self.now);
         }
-        let now = self.time(h);
-        if let Some(core) = self.hosts[h as usize].core.core().filter(|_| request > 0) {
+        let now = self.time(host_index);
+        if let Some(core) = self.hosts[host_index as usize].core.core().filter(|_| request > 0) {
             core.handle_persisted(now, request, Ok(()));
         }
     }
@@ -53,7 +53,7 @@
                     let node = node.to_string();
                     self.note(tackmast_trace::Event::Ordered { host, node: node.clone(), out: true });
                     // By the host's own steady clock, which may be a little early.
-                    let early = (left as f64 * self.w.drift) as Us;
+                    let early = (left as f64 * self.world.drift) as Us;
                     self.push(self.now + left - early, Event::OrderOver(host, node));
                 }
             }
@@ -81,18 +81,20 @@
             return;
         }
         let now = self.time(home as u32);
-        let p = &self.settings[home].plans[0];
-        let (name, weight) = (p.name.clone(), p.weight);
+        let plan_settings = &self.settings[home].plans[0];
+        let (name, weight) = (plan_settings.name.clone(), plan_settings.weight);
         let to = tackmast_plans::Plan {
-            limit: p.limit * limit_times,
-            burst: p.burst * burst_times,
-            slack: p.slack,
-            reserve: p.reserve,
+            limit: plan_settings.limit * limit_times,
+            burst: plan_settings.burst * burst_times,
+            slack: plan_settings.slack,
+            reserve: plan_settings.reserve,
             weight,
-            floor: p.floor,
+            floor: plan_settings.floor,
         };
         let Some(core) = self.hosts[home].core.core() else { return };
-        let Some(base) = core.plans().map(|p| p.status(now).catalogue.version) else { return };
+        let Some(base) = core.plans().map(|plans| plans.status(now).catalogue.version) else {
+            return;
+        };
         let steps = vec![tackmast_plans::Step::Plan { name, to: Some(to) }];
         let change = tackmast_plans::Change { base, steps, who: "lab".into(), why: "drawn".into() };
         core.handle_admin_request(now, 1, AdminRequest::Plan(PlanRequest::Apply { change, dry_run: false }));
@@ -102,7 +104,7 @@
     /// A change is in force once all hosts that its volume comes through go by it: one that was cut off learns late, and
     /// until then it may go by the one before. A host goes by a later one as well.
     pub(super) fn in_force(&mut self) {
-        let few = self.w.limited_hosts.min(self.w.hosts);
+        let few = self.world.limited_hosts.min(self.world.hosts);
         for (number, at) in &self.acknowledged {
             let when = |h: u32| {
                 let later = self.went.range(number..).filter_map(|(_, went)| went.get(&h));
--- a/crates/simulator/src/sim/settings.rs
+++ b/crates/simulator/src/sim/settings.rs
@@ -3,40 +3,40 @@
 use super::*;
 
 /// What each host of a world is told.
-pub fn settings(w: &World, host: u32, mutant: Option<Mutant>) -> HostSettings {
-    if let Some(day) = &w.day {
+pub fn settings(world: &World, host: u32, mutant: Option<Mutant>) -> HostSettings {
+    if let Some(day) = &world.scenario {
         let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
         let text = day.host_file(host, nowhere, nowhere, std::path::Path::new("unused"), "unused", None);
         return HostSettings::parse("day", &text).unwrap_or_else(|e| panic!("settings of a script: {e}"));
     }
     let text = format!(
         "host {{\n  number = {host}\n  hosts = {}\n  listen = \"127.0.0.1:0\"\n  node_list = \"127.0.0.1:1\"\n  seed = 1\n}}\n{}",
-        w.hosts,
-        blocks(w, mutant)
+        world.hosts,
+        blocks(world, mutant)
     );
     HostSettings::parse("lab", &text).unwrap_or_else(|e| panic!("the lab's own settings: {e}"))
 }
 
 /// The settings of a drawn world beside each host's own block.
-pub fn blocks(w: &World, mutant: Option<Mutant>) -> String {
-    let shards: Vec<String> = (0..w.nodes).map(|n| n.to_string()).collect();
+pub fn blocks(world: &World, mutant: Option<Mutant>) -> String {
+    let shards: Vec<String> = (0..world.nodes).map(|n| n.to_string()).collect();
     let shards = shards.join(", ");
-    let capacity = f64::from(w.cores) / w.unit_s;
+    let capacity = f64::from(world.cores) / world.unit_s;
     let budget = "further_legs {\n  free = 3\n  share = 0.25\n  window_s = 2\n}\n";
-    let (from, multiple, warm) = (w.cold_from, w.fall_multiple, w.warm_s);
+    let (from, multiple, warm) = (world.cold_from, world.fall_multiple, world.warm_s);
     let cold = format!(
         "cold_nodes {{\n  safe_units = {}\n  from = {from}\n  warm_s = {warm}\n  window_s = {FALL_S}\n  multiple = {multiple}\n}}\n",
         capacity * from * multiple * FALL_S
     );
-    let volume_hosts = w.limited_hosts.min(w.hosts);
+    let volume_hosts = world.limited_hosts.min(world.hosts);
     let told = if mutant == Some(Mutant::LimitAlone) { 1 } else { volume_hosts };
     // A store is named since settings ask for one; the lab keeps what hosts keep itself.
     let live = format!(
         "overrides {{\n  store = \"unused\"\n  admin = \"unused\"\n}}\nplans {{\n  home = 0\n  settle_s = {PLANS_SETTLE_S}\n  node_units = 1e9\n}}\n"
     );
-    let live = if w.has_plans() { live.as_str() } else { "" };
-    let all: Vec<u32> = (0..w.hosts).collect();
-    let museum = if w.has_plans() { format!("  through = {all:?}\n") } else { String::new() };
+    let live = if world.has_plans() { live.as_str() } else { "" };
+    let all: Vec<u32> = (0..world.hosts).collect();
+    let museum = if world.has_plans() { format!("  through = {all:?}\n") } else { String::new() };
     let burst = 16.0 * f64::from(volume_hosts) + 20.0;
     let text = format!(
         r#"
@@ -101,7 +101,7 @@
   writes = "save"
 }}
 "#,
-        hosts = w.hosts,
+        hosts = world.hosts,
         through =
             if told == volume_hosts { format!("{:?}", (0..told).collect::<Vec<u32>>()) } else { "[]".into() },
         limit = 30.0 * f64::from(volume_hosts),
@@ -112,7 +112,7 @@
     // Each line of an attribute that is set has its value.
     let line = |l: &str| {
         let name = l.split('=').next().unwrap_or("").trim();
-        w.set.get(name).map_or_else(|| l.to_owned(), |x| format!("  {name} = {x}"))
+        world.set.get(name).map_or_else(|| l.to_owned(), |x| format!("  {name} = {x}"))
     };
     text.lines().map(line).collect::<Vec<_>>().join("\n") + "\n"
 }
--- a/crates/simulator/src/views.rs
+++ b/crates/simulator/src/views.rs
@@ -48,8 +48,8 @@
     }
 }
 
-pub fn view(t: &Trial) -> Shown {
-    cases::play(t)
+pub fn view(trial: &Trial) -> Shown {
+    cases::play(trial)
 }
 
 /// The first seed of those by which a fault is found, and in which case: by a break, a view that does not settle, or more
@@ -113,7 +113,13 @@
 }
 
 /// The median difference of pairs by seed, and the interval that holds it with 95%.
-pub fn difference(a: &[Shown], b: &[Shown]) -> (f64, Option<(f64, f64)>) {
+pub fn difference(baseline: &[Shown], candidate: &[Shown]) -> (f64, Option<(f64, f64)>) {
     let late = |s: &Shown| s.settled.unwrap_or(cases::PATIENCE);
-    median_with_interval(a.iter().zip(b).map(|(a, b)| late(b) - late(a)).collect())
+    median_with_interval(
+        baseline
+            .iter()
+            .zip(candidate)
+            .map(|(baseline, candidate)| late(candidate) - late(baseline))
+            .collect(),
+    )
 }
--- a/crates/simulator/src/views/cases.rs
+++ b/crates/simulator/src/views/cases.rs
@@ -89,12 +89,12 @@
 impl std::str::FromStr for Case {
     type Err = String;
 
-    fn from_str(s: &str) -> Result<Case, String> {
+    fn from_str(text: &str) -> Result<Case, String> {
         let names = || Case::ALL.map(Case::name).join(", ");
         Case::ALL
             .into_iter()
-            .find(|c| c.name() == s)
-            .ok_or_else(|| format!("{s:?}; expected one of {}", names()))
+            .find(|c| c.name() == text)
+            .ok_or_else(|| format!("{text:?}; expected one of {}", names()))
     }
 }
 
@@ -103,165 +103,167 @@
     30.0 + 8.0 * f64::from(hosts.max(2)).log2()
 }
 
-pub fn play(t: &Trial) -> Shown {
-    let mut w = World::new(t);
-    let n = t.hosts;
-    let all: Vec<usize> = (0..n).map(|s| w.add(s, PORT)).collect();
-    let joins = if t.case == Case::HalfJoins { n / 2 } else { n };
-    all.iter().take(joins as usize).for_each(|p| w.start(*p));
+pub fn play(trial: &Trial) -> Shown {
+    let mut world = World::new(trial);
+    let host_count = trial.hosts;
+    let all: Vec<usize> = (0..host_count).map(|s| world.add(s, PORT)).collect();
+    let joins = if trial.case == Case::HalfJoins { host_count / 2 } else { host_count };
+    all.iter().take(joins as usize).for_each(|p| world.start(*p));
     // Known to all, and told to all.
-    if w.until_settled(PATIENCE).is_none() && t.fault.is_none() && t.extensions.rejoin {
-        w.shown.broken.push("not settled before the first fault".into());
+    if world.until_settled(PATIENCE).is_none() && trial.fault.is_none() && trial.extensions.rejoin {
+        world.shown.broken.push("not settled before the first fault".into());
     }
-    w.run(25.0);
-    let (began, sent) = (w.now, w.sent);
-    let victim = all[w.chance.rand_range(u64::from(n / 2)..u64::from(n)) as usize];
-    faults(&mut w, t, &all, victim);
-    w.shown.settled = w.until_settled(PATIENCE);
-    let periods = ((w.now - began) as f64 / PERIOD as f64).max(1.0);
-    w.shown.bytes = (w.sent - sent) as f64 / periods / f64::from(n);
+    world.run(25.0);
+    let (began, sent) = (world.now, world.sent);
+    let victim = all[world.generator.rand_range(u64::from(host_count / 2)..u64::from(host_count)) as usize];
+    faults(&mut world, trial, &all, victim);
+    world.shown.settled = world.until_settled(PATIENCE);
+    let periods = ((world.now - began) as f64 / PERIOD as f64).max(1.0);
+    world.shown.bytes = (world.sent - sent) as f64 / periods / f64::from(host_count);
     // What came late must not unsettle it again.
-    if w.shown.settled.is_some() && t.case != Case::Lossy {
-        w.run(40.0);
-        if !w.is_settled() {
-            w.shown.broken.push("it settled, and came apart again without a fault".into());
+    if world.shown.settled.is_some() && trial.case != Case::Lossy {
+        world.run(40.0);
+        if !world.is_settled() {
+            world.shown.broken.push("it settled, and came apart again without a fault".into());
         }
     }
-    w.shown.accused = w.accused();
-    std::mem::take(&mut w.shown)
+    world.shown.accused = world.accused();
+    std::mem::take(&mut world.shown)
 }
 
-fn faults(w: &mut World, t: &Trial, all: &[usize], victim: usize) {
-    let n = t.hosts;
+fn faults(world: &mut World, trial: &Trial, all: &[usize], victim: usize) {
+    let host_count = trial.hosts;
     let third: Vec<usize> = all.iter().copied().filter(|p| p % 3 == 2).collect();
-    match t.case {
-        Case::ThirdKilled => third.iter().for_each(|p| w.kill(*p)),
+    match trial.case {
+        Case::ThirdKilled => third.iter().for_each(|p| world.kill(*p)),
         Case::HalfJoins => {
             // Within a second.
-            for p in &all[(n / 2) as usize..] {
-                w.start(*p);
-                w.run(2.0 / f64::from(n - n / 2));
+            for p in &all[(host_count / 2) as usize..] {
+                world.start(*p);
+                world.run(2.0 / f64::from(host_count - host_count / 2));
             }
         }
         Case::TwoParts | Case::ThreeParts => {
-            let parts = if t.case == Case::TwoParts { 2 } else { 3 };
-            w.part(|s| s * parts / n);
-            w.run(long(n) / 2.0);
+            let parts = if trial.case == Case::TwoParts { 2 } else { 3 };
+            world.part(|s| s * parts / host_count);
+            world.run(long(host_count) / 2.0);
             // One ends on each side, and one ends and comes back, while nobody on the other can hear of it.
             for i in 0..parts {
-                let first = (i * n / parts) as usize + 1;
-                all.iter().skip(first).take(2).for_each(|p| w.kill(*p));
+                let first = (i * host_count / parts) as usize + 1;
+                all.iter().skip(first).take(2).for_each(|p| world.kill(*p));
             }
-            w.run(long(n) / 2.0);
-            (0..parts).filter_map(|i| all.get((i * n / parts) as usize + 1)).for_each(|p| w.start(*p));
-            w.run(5.0);
-            w.part(|_| 0);
+            world.run(long(host_count) / 2.0);
+            (0..parts)
+                .filter_map(|i| all.get((i * host_count / parts) as usize + 1))
+                .for_each(|p| world.start(*p));
+            world.run(5.0);
+            world.part(|_| 0);
         }
         Case::Mute | Case::Deaf => {
-            let slot = w.all[victim].slot as usize;
-            let is_mute = t.case == Case::Mute;
-            (w.mute[slot], w.deaf[slot]) = (is_mute, !is_mute);
-            w.run(long(n));
-            (w.mute[slot], w.deaf[slot]) = (false, false);
-            w.all_heard(slot as u32);
+            let slot = world.all[victim].slot as usize;
+            let is_mute = trial.case == Case::Mute;
+            (world.mute[slot], world.deaf[slot]) = (is_mute, !is_mute);
+            world.run(long(host_count));
+            (world.mute[slot], world.deaf[slot]) = (false, false);
+            world.all_heard(slot as u32);
         }
         Case::Stopped | Case::StoppedLong => {
-            w.stop(victim);
-            w.run(if t.case == Case::Stopped { 10.0 } else { long(n) });
-            w.go_on(victim);
+            world.stop(victim);
+            world.run(if trial.case == Case::Stopped { 10.0 } else { long(host_count) });
+            world.go_on(victim);
         }
         Case::StoppedInTurn => {
             let step = (all.len() / 12).max(1);
             for p in all.iter().step_by(step) {
-                w.stop(*p);
-                w.run(4.0);
-                w.go_on(*p);
+                world.stop(*p);
+                world.run(4.0);
+                world.go_on(*p);
             }
         }
         Case::AllAnew => {
-            all.iter().for_each(|p| w.kill(*p));
-            w.run(2.0);
+            all.iter().for_each(|p| world.kill(*p));
+            world.run(2.0);
             // The first seed is gone for good; the others have moved, and so has all that is known of them but one seed.
             for p in &all[1..] {
                 if *p != 1 {
-                    w.moves(*p, PORT + 1);
+                    world.moves(*p, PORT + 1);
                 }
-                w.start(*p);
+                world.start(*p);
             }
         }
         Case::Twins => {
-            let slot = w.all[victim].slot;
-            let second = w.add(slot, PORT + 9);
-            w.run(1.0);
-            w.start(second);
-            w.run(30.0);
-            w.kill(second);
+            let slot = world.all[victim].slot;
+            let second = world.add(slot, PORT + 9);
+            world.run(1.0);
+            world.start(second);
+            world.run(30.0);
+            world.kill(second);
         }
         Case::Lossy => {
-            (w.loss, w.jitter, w.doubled) = (0.2, 200_000, 0.05);
-            w.run(60.0);
-            w.kill(victim);
-            let (killed, slot) = (w.now, w.all[victim].slot);
-            while !w.all_miss(slot) && w.now < killed + 200 * PERIOD {
-                w.run(0.5);
+            (world.loss, world.jitter, world.doubled) = (0.2, 200_000, 0.05);
+            world.run(60.0);
+            world.kill(victim);
+            let (killed, slot) = (world.now, world.all[victim].slot);
+            while !world.all_miss(slot) && world.now < killed + 200 * PERIOD {
+                world.run(0.5);
             }
-            if w.all_miss(slot) {
-                w.shown.missed = Some((w.now - killed) as f64 / PERIOD as f64);
+            if world.all_miss(slot) {
+                world.shown.missed = Some((world.now - killed) as f64 / PERIOD as f64);
             }
-            (w.loss, w.jitter, w.doubled) = (0.0, 1_000, 0.0);
+            (world.loss, world.jitter, world.doubled) = (0.0, 1_000, 0.0);
         }
         Case::ClockBack => {
             let other = all[1];
             for p in [victim, other] {
-                w.kill(p);
-                w.all[p].wall_off = -10.0;
+                world.kill(p);
+                world.all[p].wall_off = -10.0;
             }
             // The disk of one is lost with what it knew of its generations.
-            w.all[victim].disk = Default::default();
-            w.run(6.0);
-            w.start(victim);
-            w.start(other);
+            world.all[victim].disk = Default::default();
+            world.run(6.0);
+            world.start(victim);
+            world.start(other);
         }
         Case::Flaps => {
             for _ in 0..8 {
-                w.kill(victim);
-                w.run(8.0);
-                w.start(victim);
-                w.run(4.0);
+                world.kill(victim);
+                world.run(8.0);
+                world.start(victim);
+                world.run(4.0);
             }
             // And ends for good: it has to be missed like any other.
-            w.kill(victim);
+            world.kill(victim);
         }
         Case::OneLeft => {
-            all.iter().filter(|p| **p != victim).for_each(|p| w.kill(*p));
-            w.run(30.0);
+            all.iter().filter(|p| **p != victim).for_each(|p| world.kill(*p));
+            world.run(30.0);
             let rest = all.iter().rev().filter(|p| **p != victim);
             let rest: Vec<usize> = rest.copied().collect();
             for p in rest {
-                w.start(p);
+                world.start(p);
             }
         }
         Case::Replaced => {
-            w.kill(victim);
-            w.run(3.0);
-            w.all[victim].disk = Default::default();
-            w.moves(victim, PORT + 2);
-            w.all[victim].site = (w.all[victim].site + 1) % 3;
-            w.start(victim);
+            world.kill(victim);
+            world.run(3.0);
+            world.all[victim].disk = Default::default();
+            world.moves(victim, PORT + 2);
+            world.all[victim].site = (world.all[victim].site + 1) % 3;
+            world.start(victim);
         }
         Case::SeedsGone => {
-            all.iter().for_each(|p| w.kill(*p));
-            w.run(2.0);
-            all.iter().skip(3).for_each(|p| w.start(*p));
+            all.iter().for_each(|p| world.kill(*p));
+            world.run(2.0);
+            all.iter().skip(3).for_each(|p| world.start(*p));
         }
         Case::NoSeed => {
-            w.part(|s| u32::from(s >= n / 2));
-            w.run(long(n) / 3.0);
-            all.iter().for_each(|p| w.kill(*p));
-            w.run(2.0);
-            all.iter().for_each(|p| w.start(*p));
-            w.run(long(n) / 3.0);
-            w.part(|_| 0);
+            world.part(|s| u32::from(s >= host_count / 2));
+            world.run(long(host_count) / 3.0);
+            all.iter().for_each(|p| world.kill(*p));
+            world.run(2.0);
+            all.iter().for_each(|p| world.start(*p));
+            world.run(long(host_count) / 3.0);
+            world.part(|_| 0);
         }
     }
 }
--- a/crates/simulator/src/views/world.rs
+++ b/crates/simulator/src/views/world.rs
@@ -63,7 +63,7 @@
     pub seeds: Vec<SocketAddr>,
     queue: BinaryHeap<Reverse<(Us, u64, usize, Event)>>,
     number: u64,
-    pub chance: oorandom::Rand64,
+    pub generator: oorandom::Rand64,
     trial: Trial,
     pub shown: Shown,
     parted: Us,
@@ -99,7 +99,7 @@
             seeds: (0..3).map(|s| address(s, 7400)).collect(),
             queue: BinaryHeap::new(),
             number: 0,
-            chance: oorandom::Rand64::new(u128::from(trial.seed) << 8 | trial.case as u128),
+            generator: oorandom::Rand64::new(u128::from(trial.seed) << 8 | trial.case as u128),
             trial: *trial,
             shown: Shown::default(),
             parted: 0,
@@ -132,27 +132,27 @@
         self.all.len() - 1
     }
 
-    pub fn moves(&mut self, p: usize, port: u16) {
-        self.by_address.remove(&self.all[p].address);
-        self.all[p].address = address(self.all[p].slot, port);
-        self.by_address.insert(self.all[p].address, p);
+    pub fn moves(&mut self, process_index: usize, port: u16) {
+        self.by_address.remove(&self.all[process_index].address);
+        self.all[process_index].address = address(self.all[process_index].slot, port);
+        self.by_address.insert(self.all[process_index].address, process_index);
     }
 
     /// Starts a process, as a host starts: its generation by its clock, but never below what its disk knows.
-    pub fn start(&mut self, p: usize) {
-        let x = &mut self.all[p];
-        let wall = (self.now as f64 + x.wall_off * 1e6).max(1.0) as u64;
-        x.generation = (wall << 12 | u64::from(x.slot & 0xfff)).max(x.disk.generation + 1);
-        x.disk.generation = x.generation;
+    pub fn start(&mut self, process_index: usize) {
+        let process = &mut self.all[process_index];
+        let wall = (self.now as f64 + process.wall_off * 1e6).max(1.0) as u64;
+        process.generation = (wall << 12 | u64::from(process.slot & 0xfff)).max(process.disk.generation + 1);
+        process.disk.generation = process.generation;
         let secs = TimeDelta::from_secs;
         let settings = MemberSettings {
             fleet: "lab".into(),
-            slot: x.slot,
-            generation: x.generation,
-            address: x.address,
-            site: Some(x.site),
+            slot: process.slot,
+            generation: process.generation,
+            address: process.address,
+            site: Some(process.site),
             seeds: self.seeds.clone(),
-            persisted: x.disk.peers.clone(),
+            persisted: process.disk.peers.clone(),
             allowed_networks: Vec::new(),
             view: ViewSettings {
                 protocol_period: secs(PERIOD as f64 / 1e6),
@@ -162,39 +162,41 @@
             leases: LeaseSettings { term: secs(2.0), leave_term: secs(60.0), drift: 0.001, owned: 0.9 },
             shared_limits: Vec::new(),
             previous_exit: PreviousExit::Unclean,
-            seed: x.generation ^ self.trial.seed << 40,
+            seed: process.generation ^ self.trial.seed << 40,
         };
-        let now = at(self.now, x.pace);
+        let now = at(self.now, process.pace);
         let member = match self.trial.fault {
             Some(f) => Member::with_fault(now, settings, f),
             None => Member::new(now, settings),
         };
-        (x.stopped, x.away, x.looked, x.best) = (false, self.now, self.now, BTreeMap::new());
-        x.held.clear();
+        (process.stopped, process.away, process.looked, process.best) =
+            (false, self.now, self.now, BTreeMap::new());
+        process.held.clear();
         if member.view.live_count() > 0 {
-            let what = format!("host {}: {} are there before a word came", x.slot, member.view.live_count());
+            let what =
+                format!("host {}: {} are there before a word came", process.slot, member.view.live_count());
             self.shown.broken.push(what);
         }
-        x.member = Some(member);
-        self.push(self.now, p, Event::Wake(0));
+        process.member = Some(member);
+        self.push(self.now, process_index, Event::Wake(0));
     }
 
-    pub fn kill(&mut self, p: usize) {
-        self.answered += self.all[p].member.take().map_or(0, |m| m.view.counters.accused);
-        self.all[p].away = self.now;
+    pub fn kill(&mut self, process_index: usize) {
+        self.answered += self.all[process_index].member.take().map_or(0, |m| m.view.counters.accused);
+        self.all[process_index].away = self.now;
     }
 
-    pub fn stop(&mut self, p: usize) {
-        self.all[p].stopped = true;
+    pub fn stop(&mut self, process_index: usize) {
+        self.all[process_index].stopped = true;
     }
 
     /// It goes on: what its socket held comes first, then its own time.
-    pub fn go_on(&mut self, p: usize) {
-        (self.all[p].stopped, self.all[p].away) = (false, self.now);
-        for (from, bytes) in std::mem::take(&mut self.all[p].held) {
-            self.get(p, from, bytes);
+    pub fn go_on(&mut self, process_index: usize) {
+        (self.all[process_index].stopped, self.all[process_index].away) = (false, self.now);
+        for (from, bytes) in std::mem::take(&mut self.all[process_index].held) {
+            self.get(process_index, from, bytes);
         }
-        self.push(self.now, p, Event::Wake(0));
+        self.push(self.now, process_index, Event::Wake(0));
     }
 
     /// All ways between groups are cut, or whole again.
@@ -209,9 +211,9 @@
         self.all.iter_mut().filter(|x| x.slot == slot).for_each(|x| x.away = now);
     }
 
-    fn push(&mut self, t: Us, p: usize, e: Event) {
+    fn push(&mut self, due: Us, process_index: usize, event: Event) {
         self.number += 1;
-        self.queue.push(Reverse((t, self.number, p, e)));
+        self.queue.push(Reverse((due, self.number, process_index, event)));
     }
 
     pub fn run(&mut self, periods: f64) {
@@ -229,12 +231,12 @@
             self.now = t;
             match e {
                 Event::Wake(_) => {
-                    let x = &mut self.all[p];
-                    if x.wake <= t {
-                        x.wake = Us::MAX;
+                    let process = &mut self.all[p];
+                    if process.wake <= t {
+                        process.wake = Us::MAX;
                     }
-                    let now = at(t, x.pace);
-                    if let Some(m) = x.member.as_mut().filter(|_| !x.stopped) {
+                    let now = at(t, process.pace);
+                    if let Some(m) = process.member.as_mut().filter(|_| !process.stopped) {
                         m.handle_timeout(now);
                         self.pull(p);
                     }
@@ -252,24 +254,26 @@
         self.now = end;
     }
 
-    fn get(&mut self, p: usize, from: SocketAddr, bytes: Vec<u8>) {
-        let x = &mut self.all[p];
-        let now = at(self.now, x.pace);
-        if let Some(m) = &mut x.member {
+    fn get(&mut self, process_index: usize, from: SocketAddr, bytes: Vec<u8>) {
+        let process = &mut self.all[process_index];
+        let now = at(self.now, process.pace);
+        if let Some(m) = &mut process.member {
             m.handle_datagram(now, from, Bytes::from(bytes));
-            self.pull(p);
+            self.pull(process_index);
         }
     }
 
-    fn pull(&mut self, p: usize) {
+    fn pull(&mut self, process_index: usize) {
         loop {
-            let Some(o) = self.all[p].member.as_mut().and_then(Member::poll_output) else { break };
+            let Some(o) = self.all[process_index].member.as_mut().and_then(Member::poll_output) else {
+                break;
+            };
             match o {
                 Output::Send { to, bytes } => {
                     self.sent += bytes.len() as u64;
-                    self.post(p, to, &bytes);
+                    self.post(process_index, to, &bytes);
                 }
-                Output::Persist(r) => self.all[p].disk = r,
+                Output::Persist(r) => self.all[process_index].disk = r,
                 Output::Event(_)
                 | Output::Override(_)
                 | Output::CatalogUpdate(_)
@@ -277,12 +281,12 @@
                 | Output::NodeList(_) => {}
             }
         }
-        let x = &mut self.all[p];
-        let Some(m) = &x.member else { return };
-        let wake = ((m.poll_timeout().secs() / x.pace * 1e6) as Us).max(self.now + 1);
-        if wake < x.wake {
-            x.wake = wake;
-            self.push(wake, p, Event::Wake(0));
+        let process = &mut self.all[process_index];
+        let Some(m) = &process.member else { return };
+        let wake = ((m.poll_timeout().secs() / process.pace * 1e6) as Us).max(self.now + 1);
+        if wake < process.wake {
+            process.wake = wake;
+            self.push(wake, process_index, Event::Wake(0));
         }
     }
 
@@ -292,13 +296,13 @@
         if self.groups[a] != self.groups[b] || self.mute[a] || self.deaf[b] {
             return;
         }
-        let times = 1 + usize::from(self.chance.rand_float() < self.doubled);
+        let times = 1 + usize::from(self.generator.rand_float() < self.doubled);
         for _ in 0..times {
-            if self.chance.rand_float() < self.loss {
+            if self.generator.rand_float() < self.loss {
                 continue;
             }
-            let t = self.now + 300 + self.chance.rand_range(0..self.jitter);
-            self.push(t, p, Event::Datagram(self.all[from].address, to, bytes.to_vec()));
+            let due = self.now + 300 + self.generator.rand_range(0..self.jitter);
+            self.push(due, p, Event::Datagram(self.all[from].address, to, bytes.to_vec()));
         }
     }
 
--- a/crates/simulator/tests/agreed.rs
+++ b/crates/simulator/tests/agreed.rs
@@ -1,13 +1,15 @@
 //! The agreement in virtual time: walks and all orders to a depth find nothing, and find each deliberate fault.
 
-use tackmast_simulator::{agreed_fleet, explore, find_fault, walk, ConsensusFault, FleetTrial, Walk};
+use tackmast_simulator::{
+    explore, find_fault, run_random_walk, simulate_fleet, ConsensusFault, FleetTrial, RandomWalk,
+};
 
 #[test]
 fn walks_find_nothing_that_must_not_be() {
     let mut committed = 0;
     for seed in 20_000..20_150 {
-        let w = walk(&Walk::drawn(seed, 800, None));
-        assert_eq!(w.broken, None, "walk {seed}, {:?}", w.told);
+        let w = run_random_walk(&RandomWalk::drawn(seed, 800, None));
+        assert_eq!(w.broken, None, "walk {seed}, {:?}", w.disk_and_voter_changes);
         committed += w.committed;
     }
     // They go somewhere: a walk on which nothing is agreed on shows nothing.
@@ -41,7 +43,7 @@
 
 #[test]
 fn a_fleet_agrees_soon_and_ends_contradictions_within_the_lease() {
-    let f = agreed_fleet(&FleetTrial { hosts: 20, voters: 3, seed: 5, loss: 0.02 });
+    let f = simulate_fleet(&FleetTrial { hosts: 20, voters: 3, seed: 5, loss: 0.02 });
     assert_eq!(f.broken, Vec::<String>::new());
     assert!(f.begins < 10.0 && f.all_know.0 < 1.0 && f.commits > 20.0 && f.leaderless < 10.0, "{f:?}");
     assert!(f.longest > 0.0, "the cut hosts held a lease for a while: {f:?}");
--- a/crates/simulator/tests/lab.rs
+++ b/crates/simulator/tests/lab.rs
@@ -1,11 +1,11 @@
 //! The laboratory itself: a seed replays to the byte, clean seeds stay clean, and deliberate faults are found.
 
 use tackmast_scenario::Script;
-use tackmast_simulator::{hunt, play, shrink, shrink_worse, worse_than, Mutant, Plain, World};
+use tackmast_simulator::{hunt, play, shrink, shrink_worse, worse_than, Mutant, ReferenceModel, World};
 
 #[test]
 fn a_seed_is_one_run_to_the_byte_on_any_thread() {
-    let digest = |seed| play(&World::draw(seed, 6), None).run.digest();
+    let digest = |seed| play(&World::generate(seed, 6), None).run.digest();
     let here: Vec<u32> = (1..5).map(digest).collect();
     let there: Vec<_> = (1..5).map(|s| std::thread::spawn(move || digest(s))).collect();
     let there: Vec<u32> = there.into_iter().map(|t| t.join().unwrap()).collect();
@@ -19,7 +19,7 @@
     // A debug build is ten times slower; CI runs this one optimised as well.
     let seeds = if cfg!(debug_assertions) { 40 } else { 300 };
     for seed in 1..=seeds {
-        let found = play(&World::draw(seed, 3 + seed as u32 % 8), None);
+        let found = play(&World::generate(seed, 3 + seed as u32 % 8), None);
         assert!(!found.is_bad(), "seed {seed}, {} stuck:\n{}", found.run.stuck, found.report);
         for r in &found.report.rules {
             exercised[usize::from(r.rule) - 1] += r.checked;
@@ -34,7 +34,7 @@
     // little more than it can do; hosts whose wall clocks are a minute off, and a list that does not tell its own; nodes
     // that are quick with a piece of data that all ask for.
     for (seed, hosts) in [(223, 10), (200_824, 5), (200_122, 23), (153, 34)] {
-        let found = play(&World::draw(seed, hosts), None);
+        let found = play(&World::generate(seed, hosts), None);
         assert!(!found.is_bad() && found.report.rule(4).checked > 100, "seed {seed}\n{}", found.report);
     }
 }
@@ -58,9 +58,9 @@
         let found = hunt(1, within, hosts, Some(mutant));
         let found = found.unwrap_or_else(|| panic!("{mutant:?}: not found within {within} seeds"));
         if mutant == Mutant::AnswerTwice {
-            let world = World::draw(found.seed, hosts);
+            let world = World::generate(found.seed, hosts);
             let less = shrink(&world, Some(mutant));
-            assert!(play(&less, Some(mutant)).is_bad() && less.troubles.len() <= world.troubles.len());
+            assert!(play(&less, Some(mutant)).is_bad() && less.faults.len() <= world.faults.len());
         }
     }
 }
@@ -74,8 +74,8 @@
         "load {\n seconds = 4\n seed = 1\n}\nflow \"f\" {\n volume = \"museum\"\n rate = 60\n writes = 0.3\n blocks = [1, 8]\n span = 50000\n}\n",
     );
     for (hosts, nodes, clients) in [(1, 8, [0, 0]), (3, 4, [1, 1]), (20, 20, [0, 0])] {
-        let mut w = World::draw(5, hosts);
-        w.troubles.clear();
+        let mut w = World::generate(5, hosts);
+        w.faults.clear();
         (w.nodes, w.clients, w.unit_s, w.seconds) = (nodes, clients, 0.004, 5.0);
         w.load = Some(std::sync::Arc::new(load.clone().unwrap()));
         let run = play(&w, None).run;
@@ -88,7 +88,7 @@
 fn a_world_kept_as_a_script_plays_like_the_world() {
     // Seed, hosts, and hosts it is scaled down to: all that it asks and how it is served stays near.
     for (seed, hosts, scaled) in [(12, 8, 8), (14, 6, 6), (12, 20, 4)] {
-        let mut w = World::draw(seed, hosts);
+        let mut w = World::generate(seed, hosts);
         w.clients = [0, 0];
         let small = w.scaled(scaled);
         let script = Script::parse("kept", &small.to_script()).unwrap_or_else(|e| panic!("{e}"));
@@ -106,7 +106,7 @@
 #[test]
 fn a_find_that_is_kept_is_one_again() {
     let found = hunt(1, 10, 6, Some(Mutant::AnswerTwice)).expect("found in the test above");
-    let less = shrink(&World::draw(found.seed, 6), Some(Mutant::AnswerTwice));
+    let less = shrink(&World::generate(found.seed, 6), Some(Mutant::AnswerTwice));
     let (again, _) = World::of_script(Script::parse("kept", &less.to_script()).unwrap(), found.seed);
     assert!(play(&again, Some(Mutant::AnswerTwice)).is_bad() && !play(&again, None).is_bad());
 }
@@ -134,18 +134,18 @@
 #[test]
 fn the_worst_service_against_a_plain_host_is_found_and_shrinks() {
     // A light load with nothing wrong: a host that holds nothing back can't be far ahead.
-    let mut calm = World::draw(3, 4);
-    calm.troubles.clear();
+    let mut calm = World::generate(3, 4);
+    calm.faults.clear();
     calm.rate *= 0.2;
     // It is held to the same limits, as the core is.
-    assert!(worse_than(&calm, Plain::Buckets) < 0.02);
+    assert!(worse_than(&calm, ReferenceModel::Buckets) < 0.02);
     // In an overload a plain host is far behind, and what of the world is not needed for that falls away.
-    let mut w = World::draw(3, 4);
+    let mut w = World::generate(3, 4);
     w.rate *= 4.0;
-    let worse = worse_than(&w, Plain::Fcfs);
+    let worse = worse_than(&w, ReferenceModel::Fcfs);
     assert!(worse < -0.05, "{worse}");
-    let less = shrink_worse(&w, Plain::Fcfs, worse * 1.5);
-    assert!(less.troubles.len() <= w.troubles.len() && worse_than(&less, Plain::Fcfs) >= worse * 1.5);
+    let less = shrink_worse(&w, ReferenceModel::Fcfs, worse * 1.5);
+    assert!(less.faults.len() <= w.faults.len() && worse_than(&less, ReferenceModel::Fcfs) >= worse * 1.5);
 }
 
 #[test]
@@ -179,8 +179,8 @@
     let hosts = if cfg!(debug_assertions) { &[4u32, 9][..] } else { &[4, 9, 30, 140] };
     for hosts in hosts {
         let few = if *hosts > 50 { 4 } else { 12 + 13 * usize::from(!cfg!(debug_assertions)) };
-        for seed in (9000..).filter(|s| World::draw(*s, *hosts).has_plans()).take(few) {
-            let found = play(&World::draw(seed, *hosts), None);
+        for seed in (9000..).filter(|s| World::generate(*s, *hosts).has_plans()).take(few) {
+            let found = play(&World::generate(seed, *hosts), None);
             assert!(!found.is_bad(), "seed {seed} of {hosts}, {} stuck:\n{}", found.run.stuck, found.report);
             acknowledged += found.run.plans.0;
             soon += found.run.plans.1;
