--- a/crates/simulator/src/consensus.rs
+++ b/crates/simulator/src/consensus.rs
@@ -4,6 +4,7 @@
 //! `random_walk` draws what happens next from a seed; `explore` tries all orders of steps up to a depth; `fleet` measures a
 //! fleet at full size.
 
+mod disk;
 mod explore;
 mod fleet;
 mod random_walk;
--- a/crates/simulator/src/consensus/fleet.rs
+++ b/crates/simulator/src/consensus/fleet.rs
@@ -1,7 +1,11 @@
 //! The consensus group at full size in virtual time: messages and disk writes take time. Measures what consensus costs and
 //! how soon a change is committed everywhere.
 
-use super::world::Disk;
+mod measurement;
+
+pub use measurement::simulate_fleet;
+
+use super::disk::Disk;
 use bytes::{Buf, Bytes};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -282,101 +286,3 @@
         self.hosts.iter().all(|x| x.replica.as_ref().is_some_and(|s| s.lease_state(now).is_valid()))
     }
 }
-
-fn max_median(mut values: Vec<f64>) -> (f64, f64) {
-    values.sort_by(f64::total_cmp);
-    (values.get(values.len() / 2).copied().unwrap_or(f64::NAN), values.last().copied().unwrap_or(f64::NAN))
-}
-
-/// Measures one fleet from its start through load, the death of its leader and a partition.
-pub fn simulate_fleet(trial: &FleetTrial) -> ConsensusFigures {
-    let mut fleet = Fleet::new(*trial);
-    let mut figures = ConsensusFigures::default();
-    let none = |broken: &mut Vec<String>, what: &str| {
-        broken.push(what.to_owned());
-        f64::NAN
-    };
-    figures.begins = fleet
-        .until(60.0, 0.02, Fleet::all_hold)
-        .unwrap_or_else(|| none(&mut figures.broken, "not all have a lease after 60 s"));
-    fleet.run(10.0);
-    // At rest.
-    fleet.bytes.iter_mut().for_each(|b| *b = 0);
-    fleet.run(20.0);
-    let leader = fleet.leader().unwrap_or(0) as usize;
-    figures.leader_bytes = fleet.bytes[leader] as f64 / 20.0;
-    figures.bytes = fleet.bytes.iter().sum::<u64>() as f64 / 20.0 / f64::from(trial.hosts);
-    // One change after the other, at random hosts.
-    let (mut known, mut all) = (Vec::new(), Vec::new());
-    for _ in 0..40 {
-        let host_index = fleet.generator.rand_range(0..u64::from(trial.hosts)) as u32;
-        let began = fleet.now;
-        let text = fleet.change(host_index);
-        fleet.run(4.0);
-        let at = |x: &Host| x.known.get(&text).map(|trial| (*trial - began) as f64 / 1e6);
-        known.extend(at(&fleet.hosts[host_index as usize]));
-        let each: Vec<f64> = fleet.hosts.iter().filter_map(at).collect();
-        match each.len() == fleet.hosts.len() {
-            true => all.push(each.into_iter().fold(0.0, f64::max)),
-            false => figures.broken.push(format!("{} hosts know of a change after 4 s", each.len())),
-        }
-    }
-    (figures.known, figures.all_know) = (max_median(known), max_median(all));
-    // As many changes as possible, with one open at each of up to sixteen hosts.
-    let askers = trial.hosts.min(16);
-    let (began, before) = (fleet.now, fleet.done.len());
-    (0..askers).for_each(|host_index| _ = fleet.change(host_index));
-    while fleet.now < began + 5_000_000 {
-        let seen = fleet.done.len();
-        fleet.run(0.001);
-        let again: Vec<u32> = fleet.done[seen..].iter().map(|(_, host_index, _)| *host_index).collect();
-        again.into_iter().for_each(|host_index| _ = fleet.change(host_index));
-    }
-    figures.commits = (fleet.done.len() - before) as f64 / 5.0;
-    fleet.run(3.0);
-    // The leader dies.
-    if let Some(l) = fleet.leader() {
-        fleet.hosts[l as usize].replica = None;
-        fleet.hosts[l as usize].disk.pending.clear();
-        let (began, host_index) = (fleet.now, (l + 1) % trial.voters);
-        let text = fleet.change(host_index);
-        let knows = |fleet: &Fleet| fleet.hosts[host_index as usize].known.contains_key(&text);
-        match fleet.until(30.0, 0.005, knows) {
-            Some(_) => figures.leaderless = (fleet.now - began) as f64 / 1e6,
-            None => figures.broken.push("nothing is agreed on 30 s after the leader ended".into()),
-        }
-        fleet.start(l);
-        fleet.run(8.0);
-    }
-    // A third is partitioned off, one voter among them, while changes go on elsewhere.
-    fleet.cut = (0..trial.hosts).map(|host_index| host_index % 3 == 2).collect();
-    let (began, newest) = (fleet.now, |fleet: &Fleet| {
-        fleet.hosts.iter().filter_map(|x| x.replica.as_ref()).map(Replica::commit_index).max()
-    });
-    let base = newest(&fleet).unwrap_or(0);
-    // When something newer was first known anywhere.
-    let mut first = None;
-    while fleet.now < began + 12_000_000 {
-        fleet.change(0);
-        fleet.run(0.05);
-        if newest(&fleet).unwrap_or(0) > base {
-            first.get_or_insert(fleet.now);
-        }
-        let now = at(fleet.now);
-        let behind = |x: &Host| {
-            x.replica.as_ref().is_some_and(|s| s.commit_index() <= base && s.lease_state(now).is_valid())
-        };
-        let cut_off = fleet.hosts.iter().zip(&fleet.cut).filter(|(_, c)| **c);
-        if let Some(trial) = first.filter(|_| cut_off.clone().any(|(x, _)| behind(x))) {
-            figures.longest = (fleet.now - trial) as f64 / 1e6;
-        }
-    }
-    if first.is_none() {
-        figures.broken.push("nothing is agreed on without a third".into());
-    }
-    let lease = fleet.settings.lease.secs();
-    if figures.longest > lease {
-        figures.broken.push(format!("an older word for {:.3} s; the lease is {lease} s", figures.longest));
-    }
-    figures
-}
--- a/crates/simulator/src/consensus/random_walk.rs
+++ b/crates/simulator/src/consensus/random_walk.rs
@@ -91,76 +91,103 @@
     (StepKind::Resume, 5.0, true),
 ];
 
+/// The first of `STEP_KINDS`: those that are no faults.
+const FAULT_FREE_KINDS: usize = 5;
+
 /// By one of these, drawn for each walk and kind of fault, the weight of the fault is multiplied.
 const FAULT_RATE_MULTIPLES: [f64; 4] = [0.0, 0.3, 1.0, 4.0];
 
 /// Plays one random walk to its end or its first violation.
 pub fn run_random_walk(settings: &RandomWalk) -> WalkResult {
-    let mut generator = oorandom::Rand64::new(u128::from(settings.seed) << 16 | 0x5eed);
-    // Within the drift that the settings allow.
-    let clock_rates: Vec<f64> = (0..settings.voters + settings.followers)
-        .map(|_| 1.0 + DRIFT * (2.0 * generator.rand_float() - 1.0))
-        .collect();
-    let mut world =
-        World::new(settings.voters, settings.followers, settings.fault, |h| clock_rates[h as usize]);
-    let hosts = u64::from(settings.voters + settings.followers);
-    let moves = [StepKind::Voters, StepKind::Wipe, StepKind::Copy, StepKind::OldDisk];
-    let weights: Vec<f64> = STEP_KINDS
-        .iter()
-        .map(|(kind, often, fault)| match fault {
-            _ if moves.contains(kind) && !settings.moves => 0.0,
-            false => *often,
-            true => often * FAULT_RATE_MULTIPLES[generator.rand_range(0..4) as usize],
-        })
-        .collect();
-    let slow_disks = generator.rand_range(0..3) == 0;
-    let total: f64 = weights.iter().sum();
-    let calm_total: f64 = weights.iter().take(5).sum();
-    // Some walks begin before anything is committed.
-    if !settings.seed.is_multiple_of(5) {
-        world.begin();
-    }
-    let mut disk_and_voter_changes = Vec::new();
-    let (mut old_disk, mut calm) = (false, 0u32);
+    let mut walk = WalkState::new(settings);
     for step in 0..settings.steps {
-        let host = generator.rand_range(0..hosts) as usize;
-        // Without stretches that are free of faults hardly anything would be committed.
-        calm = match calm {
-            0 if generator.rand_range(0..40) == 0 => 120,
-            n => n.saturating_sub(1),
+        let host = walk.generator.rand_range(0..walk.host_count) as usize;
+        walk.update_calm_stretch();
+        let kind = walk.draw_kind();
+        walk.take_step(step, kind, host);
+        walk.world.check_all();
+        if let Some(what) = walk.world.broken.take() {
+            return walk.into_result(Some((step, what)));
+        }
+    }
+    let broken = ends(&mut walk.world, settings).map(|what| (settings.steps, what));
+    walk.into_result(broken)
+}
+
+/// A random walk that is under way.
+struct WalkState {
+    generator: oorandom::Rand64,
+    world: World,
+    host_count: u64,
+    /// The weight of each of `STEP_KINDS` in this walk.
+    weights: Vec<f64>,
+    /// Writes stay unsynced for longer.
+    slow_disks: bool,
+    /// An old copy of a disk has come back.
+    old_disk: bool,
+    /// Steps that are left of a stretch without faults.
+    calm_steps: u32,
+    disk_and_voter_changes: Vec<String>,
+}
+
+impl WalkState {
+    fn new(settings: &RandomWalk) -> WalkState {
+        let mut generator = oorandom::Rand64::new(u128::from(settings.seed) << 16 | 0x5eed);
+        // Within the drift that the settings allow.
+        let clock_rates: Vec<f64> = (0..settings.voters + settings.followers)
+            .map(|_| 1.0 + DRIFT * (2.0 * generator.rand_float() - 1.0))
+            .collect();
+        let mut world = World::new(settings.voters, settings.followers, settings.fault, |host| {
+            clock_rates[host as usize]
+        });
+        let weights = draw_weights(&mut generator, settings.moves);
+        let slow_disks = generator.rand_range(0..3) == 0;
+        // Some walks begin before anything is committed.
+        if !settings.seed.is_multiple_of(5) {
+            world.begin();
+        }
+        WalkState {
+            generator,
+            world,
+            host_count: u64::from(settings.voters + settings.followers),
+            weights,
+            slow_disks,
+            old_disk: false,
+            calm_steps: 0,
+            disk_and_voter_changes: Vec::new(),
+        }
+    }
+
+    /// Begins and ends stretches without faults. Without them hardly anything would be committed.
+    fn update_calm_stretch(&mut self) {
+        self.calm_steps = match self.calm_steps {
+            0 if self.generator.rand_range(0..40) == 0 => 120,
+            left => left.saturating_sub(1),
         };
-        if calm == 0 && generator.rand_range(0..150) == 0 {
-            world.cut.clear();
-            world.calm(0.3 + generator.rand_float());
+        if self.calm_steps == 0 && self.generator.rand_range(0..150) == 0 {
+            self.world.cut.clear();
+            self.world.calm(0.3 + self.generator.rand_float());
         }
-        let mut roll = generator.rand_float() * if calm > 0 { calm_total } else { total };
-        let kind = STEP_KINDS.iter().zip(&weights).find(|(_, weight)| {
+    }
+
+    fn draw_kind(&mut self) -> StepKind {
+        let considered = if self.calm_steps > 0 { FAULT_FREE_KINDS } else { STEP_KINDS.len() };
+        let total: f64 = self.weights.iter().take(considered).sum();
+        let mut roll = self.generator.rand_float() * total;
+        let kind = STEP_KINDS.iter().zip(&self.weights).find(|(_, weight)| {
             roll -= **weight;
             roll < 0.0
         });
-        let message_count = world.in_flight.len() as u64;
-        match kind.map_or(StepKind::Resume, |((kind, _, _), _)| *kind) {
-            StepKind::Deliver if message_count > 0 => {
-                // Most arrive in the order in which they were sent.
-                let early = 1 + generator.rand_range(0..message_count);
-                world.deliver(generator.rand_range(0..early) as usize, false);
-            }
-            StepKind::Lose if message_count > 0 => {
-                _ = world.in_flight.remove(generator.rand_range(0..message_count) as usize)
-            }
-            StepKind::Double if message_count > 0 => {
-                world.deliver(generator.rand_range(0..message_count) as usize, true)
-            }
-            StepKind::Deliver | StepKind::Lose | StepKind::Double => {}
-            StepKind::Sync => {
-                world.sync(host);
-                if !slow_disks {
-                    let half = |h: &usize| *h % 2 == step as usize % 2;
-                    (0..world.all.len()).filter(half).for_each(|h| world.sync(h));
-                }
-            }
-            StepKind::Pass => world.pass(0.001 + 0.02 * generator.rand_float()),
-            StepKind::Long => world.pass(0.05 + 0.4 * generator.rand_float()),
+        kind.map_or(StepKind::Resume, |((kind, _, _), _)| *kind)
+    }
+
+    fn take_step(&mut self, step: u32, kind: StepKind, host: usize) {
+        let world = &mut self.world;
+        match kind {
+            StepKind::Deliver | StepKind::Lose | StepKind::Double => self.move_message(kind),
+            StepKind::Sync => self.sync_disks(step, host),
+            StepKind::Pass => world.pass(0.001 + 0.02 * self.generator.rand_float()),
+            StepKind::Long => world.pass(0.05 + 0.4 * self.generator.rand_float()),
             StepKind::Change => world.change(host),
             StepKind::Read => world.read(host),
             StepKind::Crash => {
@@ -168,67 +195,108 @@
                 world.start(host);
             }
             StepKind::CrashAll => {
-                (0..world.all.len()).for_each(|h| world.crash(h));
-                (0..world.all.len()).for_each(|h| world.start(h));
+                (0..world.all.len()).for_each(|host| world.crash(host));
+                (0..world.all.len()).for_each(|host| world.start(host));
             }
             StepKind::Stop => world.all[host].stopped = !world.all[host].stopped,
             StepKind::Resume => world.all[host].stopped = false,
-            StepKind::Cut | StepKind::CutOneWay => {
-                let (a, b) = (host as u32, generator.rand_range(0..hosts) as u32);
-                let both = kind.is_some_and(|((kind, _, _), _)| *kind == StepKind::Cut);
-                for way in [(a, b), (b, a)].into_iter().take(1 + usize::from(both)) {
-                    if !world.cut.remove(&way) {
-                        world.cut.insert(way);
-                    }
-                }
-            }
+            StepKind::Cut | StepKind::CutOneWay => self.toggle_partition(host, kind == StepKind::Cut),
             StepKind::Heal => world.cut.clear(),
+            StepKind::Voters | StepKind::Wipe | StepKind::Copy | StepKind::OldDisk => {
+                self.change_disk_or_voter(step, kind, host);
+            }
+        }
+    }
+
+    /// Delivers, loses or duplicates one message in flight, if there is any.
+    fn move_message(&mut self, kind: StepKind) {
+        let (world, generator) = (&mut self.world, &mut self.generator);
+        let message_count = world.in_flight.len() as u64;
+        if message_count == 0 {
+            return;
+        }
+        match kind {
+            StepKind::Lose => _ = world.in_flight.remove(generator.rand_range(0..message_count) as usize),
+            StepKind::Double => world.deliver(generator.rand_range(0..message_count) as usize, true),
+            _ => {
+                // Most arrive in the order in which they were sent.
+                let early = 1 + generator.rand_range(0..message_count);
+                world.deliver(generator.rand_range(0..early) as usize, false);
+            }
+        }
+    }
+
+    fn sync_disks(&mut self, step: u32, host: usize) {
+        self.world.sync(host);
+        if !self.slow_disks {
+            let is_in_half = |host: &usize| *host % 2 == step as usize % 2;
+            (0..self.world.all.len()).filter(is_in_half).for_each(|host| self.world.sync(host));
+        }
+    }
+
+    /// Cuts the link from a host to another one, or heals it; in both directions or one.
+    fn toggle_partition(&mut self, host: usize, both_directions: bool) {
+        let (from, to) = (host as u32, self.generator.rand_range(0..self.host_count) as u32);
+        let directions = [(from, to), (to, from)];
+        for direction in directions.into_iter().take(1 + usize::from(both_directions)) {
+            if !self.world.cut.remove(&direction) {
+                self.world.cut.insert(direction);
+            }
+        }
+    }
+
+    fn change_disk_or_voter(&mut self, step: u32, kind: StepKind, host: usize) {
+        let world = &mut self.world;
+        match kind {
             StepKind::Voters => {
-                let votes = generator.rand_range(0..2) == 0;
-                disk_and_voter_changes.push(format!("step {step}: host {host} votes: {votes}"));
+                let votes = self.generator.rand_range(0..2) == 0;
+                self.disk_and_voter_changes.push(format!("step {step}: host {host} votes: {votes}"));
                 world.move_voters(host as u32, votes);
             }
             // Host 0 keeps its disk. Were the disks of all initial voters lost, they would bootstrap a new group.
-            StepKind::Wipe if host > 0 && !old_disk => {
-                disk_and_voter_changes.push(format!("step {step}: the disk of host {host} is lost"));
+            StepKind::Wipe if host > 0 && !self.old_disk => {
+                self.disk_and_voter_changes.push(format!("step {step}: the disk of host {host} is lost"));
                 world.wipe(host);
             }
             StepKind::Copy if world.all[host].old.is_none() => {
-                world.all[host].old = Some(world.all[host].disk.clone())
+                world.all[host].old = Some(world.all[host].disk.clone());
             }
             StepKind::OldDisk if world.is_old_disk_detectable(host) => {
-                if let Some(d) = world.all[host].old.take() {
-                    disk_and_voter_changes
-                        .push(format!("step {step}: an old disk of host {host} comes back"));
-                    old_disk = true;
+                if let Some(disk) = world.all[host].old.take() {
+                    let change = format!("step {step}: an old disk of host {host} comes back");
+                    self.disk_and_voter_changes.push(change);
+                    self.old_disk = true;
                     world.crash(host);
-                    world.all[host].disk = d;
+                    world.all[host].disk = disk;
                     world.start(host);
                 }
             }
-            StepKind::Wipe | StepKind::Copy | StepKind::OldDisk => {}
+            _ => {}
         }
-        world.check_all();
-        if let Some(what) = world.broken.take() {
-            return result_of(&world, Some((step, what)), disk_and_voter_changes);
+    }
+
+    fn into_result(self, broken: Option<(u32, String)>) -> WalkResult {
+        WalkResult {
+            broken,
+            committed: self.world.committed(),
+            longest: self.world.longest,
+            reads: self.world.reads_done,
+            disk_and_voter_changes: self.disk_and_voter_changes,
         }
     }
-    let broken = ends(&mut world, settings).map(|what| (settings.steps, what));
-    result_of(&world, broken, disk_and_voter_changes)
 }
 
-fn result_of(
-    world: &World,
-    broken: Option<(u32, String)>,
-    disk_and_voter_changes: Vec<String>,
-) -> WalkResult {
-    WalkResult {
-        broken,
-        committed: world.committed(),
-        longest: world.longest,
-        reads: world.reads_done,
-        disk_and_voter_changes,
-    }
+/// Draws the weight of each kind of step. Disks and voters change only where `moves` allows it.
+fn draw_weights(generator: &mut oorandom::Rand64, moves: bool) -> Vec<f64> {
+    let moving_kinds = [StepKind::Voters, StepKind::Wipe, StepKind::Copy, StepKind::OldDisk];
+    STEP_KINDS
+        .iter()
+        .map(|(kind, weight, is_fault)| match is_fault {
+            _ if moving_kinds.contains(kind) && !moves => 0.0,
+            false => *weight,
+            true => weight * FAULT_RATE_MULTIPLES[generator.rand_range(0..4) as usize],
+        })
+        .collect()
 }
 
 /// Once all faults are over, every host must have all that was committed, and something new must be committed.
--- a/crates/simulator/src/consensus/world.rs
+++ b/crates/simulator/src/consensus/world.rs
@@ -1,56 +1,24 @@
-//! Processes with disks that lose what was not synced, clocks that run apart, letters that wait to be delivered, and what
-//! must hold of all of it at any moment.
+//! The world of a consensus group: processes with disks that lose what was not synced, clocks that drift, and messages in
+//! flight. `checks` has the safety properties.
 
+mod checks;
+
+use super::disk::Disk;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::collections::{BTreeMap, BTreeSet};
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_consensus::{
-    ConsensusFault, DiskIdentity, EntryPayload, LogSuffix, Message, PersistentState, RaftSettings, Replica,
-    ReplicaOutput, ReplicaSettings, Write,
+    ConsensusFault, DiskIdentity, EntryPayload, Message, RaftSettings, Replica, ReplicaOutput,
+    ReplicaSettings,
 };
 
+/// The term of a lease, in seconds.
 pub const LEASE: f64 = 1.0;
+/// The most by which the rate of a clock differs from real time, as a fraction.
 pub const DRIFT: f64 = 0.02;
-/// Letters that wait; beyond that the oldest is lost.
+/// Bound on messages in flight; beyond it the oldest message is lost.
 const MAX_MESSAGES_IN_FLIGHT: usize = 60;
 
-/// What a disk has, and what was given to it and is not there yet.
-#[derive(Clone, Default)]
-pub struct Disk {
-    pub mark: u64,
-    pub boot: u32,
-    pub persisted: PersistentState,
-    pub pending: Vec<Write>,
-}
-
-impl Disk {
-    /// As a store does it: all of one write or nothing.
-    pub fn take(&mut self, write: Write) {
-        let persisted = &mut self.persisted;
-        if let Some(hard_state) = write.hard_state {
-            persisted.hard_state = hard_state;
-        }
-        if let Some(snapshot) = write.snapshot {
-            persisted.snapshot = snapshot;
-            persisted.entries.clear();
-        }
-        if let Some(LogSuffix { first_index, entries }) = write.entries {
-            let at = first_index.saturating_sub(persisted.snapshot.last.index + 1) as usize;
-            persisted.entries.truncate(at);
-            persisted.entries.extend(entries);
-        }
-        if write.confirmed_voters.is_some() {
-            persisted.confirmed_voters = write.confirmed_voters;
-        }
-        if let Some(known_disks) = write.known_disks {
-            persisted.known_disks = known_disks;
-        }
-        if let Some(mark) = write.disk {
-            self.mark = mark;
-        }
-    }
-}
-
 #[derive(Clone)]
 pub struct Process {
     pub replica: Option<Replica>,
@@ -160,7 +128,7 @@
             (self.clock(host), self.generations, self.settings, self.fault, self.voters);
         let process = &mut self.all[host];
         process.disk.pending.clear();
-        // Written down before anything is said under it.
+        // Persisted before anything is sent under it.
         process.disk.boot += 1;
         let identity = DiskIdentity { disk: process.disk.mark, boot: process.disk.boot, generation };
         (process.generation, process.stopped) = (generation, false);
@@ -183,7 +151,7 @@
         self.collect(host);
     }
 
-    /// What was not synced is gone.
+    /// Ends a process. What was not synced is lost.
     pub fn crash(&mut self, host: usize) {
         self.all[host].replica = None;
         self.all[host].disk.pending.clear();
@@ -224,7 +192,7 @@
         self.collect(host);
     }
 
-    /// The oldest write of a host is on its disk.
+    /// Syncs the oldest pending write of a host.
     pub fn sync(&mut self, host: usize) {
         let now = self.clock(host);
         let process = &mut self.all[host];
@@ -280,7 +248,7 @@
         self.collect(host);
     }
 
-    /// A voter more or one less, at whoever takes itself for the leader.
+    /// Adds or removes a voter, at each host that believes itself to be the leader.
     pub fn move_voters(&mut self, host: u32, votes: bool) {
         for h in 0..self.all.len() {
             let now = self.clock(h);
@@ -328,100 +296,7 @@
         self.check(host);
     }
 
-    fn report_violation(&mut self, what: String) {
-        self.broken.get_or_insert(what);
-    }
-
-    /// What must hold of one host, after anything that it did.
-    fn check(&mut self, host: usize) {
-        let Some(s) = self.all[host].replica.take() else { return };
-        self.check_replica(host, &s);
-        self.all[host].replica = Some(s);
-    }
-
-    fn check_replica(&mut self, host: usize, replica: &Replica) {
-        let (now, commit) = (self.clock(host), replica.commit_index());
-        // One leader a term.
-        if replica.raft.is_leader() {
-            let first = *self.leaders.entry(replica.raft.term()).or_insert(host as u32);
-            if first != host as u32 {
-                self.report_violation(format!(
-                    "hosts {first} and {host} both lead term {}",
-                    replica.raft.term()
-                ));
-            }
-        }
-        // One entry a place, for good.
-        let log = replica.raft.log();
-        for index in (log.snapshot().last.index + 1).max(self.all[host].checked_index + 1)..=commit {
-            let Some(e) = log.get(index) else { continue };
-            let entry = (e.term, e.payload.clone());
-            match self.ledger.get(&index) {
-                Some((known, _)) if *known != entry => {
-                    let what =
-                        format!("two entries hold at {index}: {:?} and, at host {host}, {entry:?}", known);
-                    self.report_violation(what);
-                }
-                Some(_) => {}
-                None => _ = self.ledger.insert(index, (entry, self.now)),
-            }
-        }
-        let new = commit != self.all[host].checked_index;
-        self.all[host].checked_index = commit;
-        // Each change once.
-        let once: BTreeSet<u64> = self.all[host].state.iter().copied().filter(|_| new).collect();
-        if new && once.len() != self.all[host].state.len() {
-            self.report_violation(format!("host {host} has a change twice: {:?}", self.all[host].state));
-        }
-        // Reads are never stale.
-        let done: Vec<(u32, u64)> =
-            self.all[host].reads.iter().copied().filter(|(q, _)| replica.is_read_ready(*q)).collect();
-        for (seq, newest) in done {
-            self.reads_done += 1;
-            self.all[host].reads.retain(|(q, _)| *q != seq);
-            if commit < newest {
-                self.report_violation(format!(
-                    "a read at host {host} has {commit}, and {newest} held when it was asked"
-                ));
-            }
-        }
-        self.all[host].reads.truncate(64);
-        // No host goes by what is older than what holds for longer than the lease. Looked at what it would do now, whatever it
-        // has been told; a host that stands still does nothing.
-        if !self.all[host].stopped && replica.lease_state(now).is_valid() {
-            if let Some((_, (_, since))) = self.ledger.range(commit + 1..).next() {
-                let long = self.now - since;
-                self.longest = self.longest.max(long);
-                if long > LEASE + 1e-6 {
-                    self.report_violation(format!(
-                        "host {host} goes by {commit} for {long:.3} s since another held; the lease is {LEASE} s"
-                    ));
-                }
-            }
-        }
-    }
-
-    /// All hosts as they would act now.
-    pub fn check_all(&mut self) {
-        (0..self.all.len()).for_each(|h| self.check(h));
-    }
-
-    pub fn committed(&self) -> u64 {
-        self.ledger.keys().last().copied().unwrap_or(0)
-    }
-
-    /// Whether a copy of that host's disk can be told from the disk: it was opened since the copy was made, and all other
-    /// voters have that on their own disks. Else nobody is there who could know; docs/agreement.md says so.
-    pub fn is_old_disk_detectable(&self, host: usize) -> bool {
-        let (boot, generation, mark) =
-            (self.all[host].disk.boot, self.all[host].generation, self.all[host].disk.mark);
-        let newest = Some(DiskIdentity { disk: mark, boot, generation });
-        let known = |v: usize| self.all[v].disk.persisted.known_disks.get(&(host as u32)).copied() == newest;
-        self.all[host].old.as_ref().is_some_and(|d| d.mark == mark && d.boot < boot)
-            && (0..self.voters as usize).filter(|v| *v != host).all(known)
-    }
-
-    /// Nothing goes wrong for a while: letters arrive in order, disks write at once.
+    /// Runs without faults for a while: messages arrive in order, and disks sync at once.
     pub fn calm(&mut self, seconds: f64) {
         let end = self.now + seconds;
         while self.now < end && self.broken.is_none() {
@@ -440,7 +315,7 @@
         }
     }
 
-    /// Until somebody leads and the first entry holds.
+    /// Runs until there is a leader and the first entry is committed.
     pub fn begin(&mut self) {
         for _ in 0..40 {
             self.calm(0.1);
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -14,9 +14,9 @@
 type Us = u64;
 const SECOND: Us = 1_000_000;
 /// How often it is looked whether views have met.
-const LOOK: Us = 50_000;
+const CHECK_INTERVAL: Us = 50_000;
 /// Nothing is waited for longer.
-const PATIENCE: Us = 120 * SECOND;
+const WAIT_TIMEOUT: Us = 120 * SECOND;
 
 #[derive(Clone, Debug, Default)]
 pub struct FleetFigures {
@@ -178,11 +178,11 @@
     /// Seconds until it is so.
     fn until(&mut self, is: impl Fn(&Fleet) -> bool) -> Option<f64> {
         let start = self.now;
-        while self.now < start + PATIENCE {
+        while self.now < start + WAIT_TIMEOUT {
             if is(self) {
                 return Some((self.now - start) as f64 / 1e6);
             }
-            self.run_until(self.now + LOOK);
+            self.run_until(self.now + CHECK_INTERVAL);
         }
         None
     }
--- a/crates/simulator/src/reference_model.rs
+++ b/crates/simulator/src/reference_model.rs
@@ -1,13 +1,17 @@
 //! Simple reference hosts to compare with: they take the same inputs and give the same outputs as the host core, and know none of
 //! its defences. They live here and nowhere in the product, and break rules that the product keeps.
 
+mod host_logic;
+
+pub use host_logic::HostLogic;
+
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, ShardId, TimeDelta};
 use tackmast_config::HostSettings;
 use tackmast_host_core::{
-    Access, AttemptId, AttemptResult, AttemptWork, ClientCommand, CommandRef, Core, Layout, ListEntry, Nodes,
-    OpenCounts, Output, Part, SendAttempt, Ticket, Verdict, Work,
+    Access, AttemptId, AttemptResult, AttemptWork, CommandRef, Layout, ListEntry, Nodes, Output, Part,
+    SendAttempt, Ticket, Verdict, Work,
 };
 
 /// Attempts that `Caps` keeps out at a node, at most.
@@ -23,12 +27,6 @@
     Buckets,
 }
 
-/// What a simulated host runs.
-pub enum HostLogic {
-    Core(Box<Core>),
-    Reference(Box<ReferenceHost>),
-}
-
 pub struct ReferenceHost {
     how: ReferenceModel,
     layout: Layout,
@@ -149,7 +147,7 @@
         };
         let from = x.from;
         if result.outcome != Outcome::Done {
-            // No second attempt: the client is told what is known.
+            // A reference model does not retry: the client gets the answer that the outcome allows.
             let never = !result.outcome.may_have_run();
             let alone = self.commands.get(&from).is_some_and(|ids| ids.len() == 1);
             let safe = never && alone
@@ -285,133 +283,3 @@
         [deadline, tokens].into_iter().flatten().min()
     }
 }
-
-/// One face for both.
-impl HostLogic {
-    pub fn core(&mut self) -> Option<&mut Core> {
-        match self {
-            HostLogic::Core(c) => Some(c),
-            HostLogic::Reference(_) => None,
-        }
-    }
-
-    pub fn layout(&self) -> &Layout {
-        match self {
-            HostLogic::Core(c) => c.layout(),
-            HostLogic::Reference(p) => &p.layout,
-        }
-    }
-
-    pub fn nodes(&self) -> &Nodes {
-        match self {
-            HostLogic::Core(c) => c.nodes(),
-            HostLogic::Reference(p) => &p.nodes,
-        }
-    }
-
-    pub fn key_queue_count(&self) -> usize {
-        match self {
-            HostLogic::Core(c) => c.key_queue_count(),
-            HostLogic::Reference(_) => 0,
-        }
-    }
-
-    pub fn open_counts(&self) -> OpenCounts {
-        match self {
-            HostLogic::Core(c) => c.open_counts(),
-            HostLogic::Reference(p) => OpenCounts {
-                commands: p.commands.len(),
-                requests: p.requests.len(),
-                attempts: p.out.values().sum(),
-            },
-        }
-    }
-
-    #[allow(clippy::too_many_arguments)] // as the host core has them
-    pub fn handle_command(
-        &mut self,
-        now: Instant,
-        from: CommandRef,
-        lun: u32,
-        block: u64,
-        work: Work,
-        began: Instant,
-        asked: Option<TimeDelta>,
-    ) {
-        match self {
-            HostLogic::Core(c) => c.handle_command(
-                now,
-                ClientCommand {
-                    from,
-                    lun,
-                    block,
-                    work,
-                    received_at: began,
-                    timeout: asked,
-                    idempotency_key: None,
-                },
-            ),
-            HostLogic::Reference(p) => p.handle_command(now, from, lun, block, &work, asked),
-        }
-    }
-
-    pub fn handle_abort(&mut self, now: Instant, from: CommandRef) {
-        match self {
-            HostLogic::Core(c) => c.handle_abort(now, from),
-            HostLogic::Reference(p) => _ = p.forget(from),
-        }
-    }
-
-    pub fn handle_session_closed(&mut self, now: Instant, session: u32) {
-        match self {
-            HostLogic::Core(c) => c.handle_session_closed(now, session),
-            HostLogic::Reference(p) => {
-                let open: Vec<CommandRef> =
-                    p.commands.keys().filter(|c| c.session == session).copied().collect();
-                open.into_iter().for_each(|c| _ = p.forget(c));
-            }
-        }
-    }
-
-    pub fn handle_attempt_result(&mut self, now: Instant, back: AttemptResult) {
-        match self {
-            HostLogic::Core(c) => c.handle_attempt_result(now, back),
-            HostLogic::Reference(p) => p.back(back),
-        }
-    }
-
-    pub fn handle_endpoint_list(
-        &mut self,
-        now: Instant,
-        kind: ListKind,
-        from: u64,
-        to: u64,
-        entries: &[ListEntry],
-    ) {
-        match self {
-            HostLogic::Core(c) => c.handle_endpoint_list(now, kind, from, to, entries),
-            HostLogic::Reference(p) => p.list(now, kind, to, entries),
-        }
-    }
-
-    pub fn handle_timeout(&mut self, now: Instant) {
-        match self {
-            HostLogic::Core(c) => c.handle_timeout(now),
-            HostLogic::Reference(p) => p.handle_timeout(now),
-        }
-    }
-
-    pub fn poll_output(&mut self, now: Instant) -> Option<Output> {
-        match self {
-            HostLogic::Core(c) => c.poll_output(now),
-            HostLogic::Reference(p) => p.next(now),
-        }
-    }
-
-    pub fn poll_timeout(&self, now: Instant) -> Option<Instant> {
-        match self {
-            HostLogic::Core(c) => c.poll_timeout(now),
-            HostLogic::Reference(p) => p.wake(now),
-        }
-    }
-}
--- a/crates/simulator/src/scenario_script.rs
+++ b/crates/simulator/src/scenario_script.rs
@@ -8,8 +8,9 @@
 use tackmast_overrides::Target;
 use tackmast_scenario::{is_one_of, Action, NodesBlock, Script, TrafficBlock, AGEING_STEPS};
 
-/// Links as short as loopback's.
+/// Delay of a link, as short as on loopback, in microseconds.
 const DELAY_US: u64 = 50;
+/// Additional delay of up to this, drawn for each message, in microseconds.
 const JITTER_US: u64 = 20;
 
 #[derive(Clone)]
--- a/crates/simulator/src/script_export.rs
+++ b/crates/simulator/src/script_export.rs
@@ -6,11 +6,13 @@
 use std::fmt::Write;
 use tackmast_overrides::Kind as OrderKind;
 
-/// Blocks that ordered writes share, as the lab draws them.
+/// Blocks that ordered writes share, as the world generator has it.
 const LOG_BLOCKS: u64 = 640;
+/// Blocks that all other requests of a flow address.
 const SPAN_BLOCKS: u64 = 40_000;
-/// Of the limited volume's commands at each of its hosts, and of all commands, those that read: as the lab draws them.
+/// Fraction of a host's commands that go to the limited volume, as the world generator has it.
 const SCHOOL: f64 = 0.4;
+/// Fraction of commands that read, as the world generator has it.
 const READS: f64 = 0.6;
 
 impl World {
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -1,15 +1,21 @@
-//! The run: one queue of events by time, hosts, links, nodes, list and clients.
+//! One run in virtual time: a queue of events by time, and the hosts, links, nodes, endpoint list and clients that they act
+//! on. `state` has the records, `events` dispatches, and each other module handles the events of one part.
 
 mod account;
 mod arrivals;
 mod clients;
 mod events;
+mod figures;
 mod hosts;
 mod links;
+mod mutant;
 mod nodes;
 mod orders;
 mod settings;
+mod state;
 
+pub use figures::{Class, Run};
+pub use mutant::Mutant;
 pub use settings::{blocks, settings};
 
 use crate::clients::{data, Call, Client};
@@ -17,6 +23,7 @@
 use crate::scenario_script::ScriptRequest;
 use crate::world::{FaultKind, World};
 use bytes::Bytes;
+use state::{Clock, CommandOrd, Event, Host, Link, NodeAttempt, PersistedHost, ScriptAttempt, SimNode};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use tackmast::interface::{Instant, ListKind, NodeState, Outcome, ShardId, TimeDelta, ZoneId};
@@ -30,273 +37,47 @@
 };
 use tackmast_overrides::{Kind as OrderKind, Order, Override, OverrideId, Overrides, Target};
 use tackmast_target as target;
-use tackmast_trace::*;
+use tackmast_trace::{AnswerKind, AttemptEndKind, AttemptName, Facts, Line, ListedState};
 use tackmast_wire::node::{self, Answer, Frame, NodeOutcome, Origin};
 use tackmast_wire::reader::Frames;
 
 type Us = u64;
 
-/// A link on which nothing passes for so long is given up by its host.
-const SILENCE: Us = 600_000;
+/// A host closes a link on which nothing has passed for this long, in microseconds.
+const LINK_TIMEOUT: Us = 600_000;
+/// How long a node that is removed from the list may finish what is in flight, in microseconds.
 const DRAIN_GRACE: Us = 250_000;
-/// For how long nodes know a mark.
-const MARKS: Us = 2_000_000;
-/// After the last arrival, until all that was due is past its time.
-const AFTER: Us = 2_500_000;
-const FALL_S: f64 = 1.0;
-/// Virtual time begins late enough that what is long past has a place before it.
-const START: Us = 100_000_000;
-/// The session of commands that come without a protocol; those of clients have numbers above.
-const BESIDE: u32 = 1;
-/// A client's call; clients wait as long as their sessions allow.
-const CALL: Us = 900_000;
-/// From the start until a load from a file begins.
-const LOAD_AFTER: Us = 500_000;
-/// From a change of plans until all hosts go by it.
+/// For how long nodes remember an idempotency key, in microseconds.
+const IDEMPOTENCY_WINDOW: Us = 2_000_000;
+/// From the last arrival until every deadline has passed, in microseconds.
+const SETTLE_TIME: Us = 2_500_000;
+/// How long a node bears an overload before it collapses, in seconds.
+const OVERLOAD_WINDOW_S: f64 = 1.0;
+/// Where virtual time begins, in microseconds: late enough that there is a past before it.
+const START_TIME: Us = 100_000_000;
+/// The session of commands that come without a protocol; sessions of clients have higher numbers.
+const DIRECT_SESSION: u32 = 1;
+/// Deadline of a client's call, in microseconds.
+const CALL_TIMEOUT: Us = 900_000;
+/// From the start until the traffic of a workload or scenario begins, in microseconds.
+const TRAFFIC_START_DELAY: Us = 500_000;
+/// From a change of plans until all hosts must have adopted it, in seconds.
 const PLANS_SETTLE_S: f64 = 1.5;
-const ORDERS: tackmast_overrides::Settings =
+/// Bounds on the overrides of a host.
+const OVERRIDE_SETTINGS: tackmast_overrides::Settings =
     tackmast_overrides::Settings { max_overrides: 1000, max_zone_fraction: 0.7 };
 
-/// Deliberate faults, for the hunt to find.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mutant {
-    /// Drains and ends told by the list never reach the core.
-    GraceIgnored,
-    /// Every hundredth attempt leaves twice.
-    HedgeTooEarly,
-    /// Every fiftieth answer is lost, or given again.
-    AnswerLost,
-    AnswerTwice,
-    /// Answers leave half a second late.
-    AnswerLate,
-    /// What is failed is called rejected.
-    FalseRejection,
-    /// Starts of nodes never reach the core, and cold nodes have no guard. The caps alone keep cold nodes up in the
-    /// worlds drawn here, so no seed finds this one.
-    ColdIgnored,
-    /// Each host takes all of a limit for itself, at every start anew.
-    LimitAlone,
-    OrderIgnored,
-    BudgetIgnored,
-    /// A change of the limit is acknowledged and goes by under its number, but the limit stays.
-    PlanIgnored,
-}
-
-/// Answers of one plan and traffic class.
-#[derive(Clone, Debug)]
-pub struct Class {
-    pub asked: u64,
-    pub done: u64,
-    pub in_time: u64,
-    pub rejected: u64,
-    pub failed: u64,
-    /// Microseconds until done.
-    pub times: hdrhistogram::Histogram<u64>,
-}
-
-impl Default for Class {
-    fn default() -> Self {
-        let times = hdrhistogram::Histogram::new_with_bounds(1, 60_000_000, 2);
-        Class {
-            asked: 0,
-            done: 0,
-            in_time: 0,
-            rejected: 0,
-            failed: 0,
-            times: times.expect("the library takes these constants"),
-        }
-    }
-}
-
-pub struct Run {
-    /// By plan and traffic class.
-    pub classes: BTreeMap<String, Class>,
-    /// The same for first tries of a script's traffic, with what later tries made of them.
-    pub firsts: BTreeMap<String, Class>,
-    /// Nodes that fell over while cold.
-    pub fallen: usize,
-    /// Units of all attempts that left, and of those whose request was not done by them in time for its client.
-    pub sent_units: f64,
-    pub wasted_units: f64,
-    /// Units a second of the limited volume over its limit.
-    pub limit_used: f64,
-    pub trace: Vec<Line>,
-    pub asked: u64,
-    pub done: u64,
-    pub in_time: u64,
-    pub rejected: u64,
-    pub failed: u64,
-    /// Commands, attempts or calls left in the tables of hosts and clients after all is over.
-    pub stuck: usize,
-    /// Calls of clients that speak a protocol, those done, and those answered after their deadline.
-    pub calls: u64,
-    pub calls_done: u64,
-    pub calls_late: u64,
-    /// Overrides that hosts took, and refused.
-    pub orders: (u64, u64),
-    /// Changes of plans that were acknowledged, and how many of them all hosts went by within the settings' time.
-    pub plans: (u64, u64),
-    pub events: u64,
-    /// The most commands, requests and attempts that one host had open.
-    pub max_open: (usize, usize, usize),
-}
-
-impl Run {
-    /// Of the whole trace, to compare runs by.
-    pub fn digest(&self) -> u32 {
-        let mut sum = 0;
-        for line in &self.trace {
-            let text = serde_json::to_vec(line).unwrap_or_default();
-            sum = crc32c::crc32c_append(sum, &text);
-        }
-        sum
-    }
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Event {
-    FaultChange(usize, bool),
-    Arrive(u32),
-    /// The next arrival of the file's load, or of the script's traffic.
-    Loaded,
-    Asked,
-    /// A client's next try, by its number.
-    Again(u64),
-    /// Bytes for a node, or for a host, of a link's generation.
-    ToNode(u32, u32, u64, Vec<u8>),
-    ToHost(u32, u32, u64, Vec<u8>),
-    /// The host learns of a refused connection.
-    Refused(u32, u64, u64),
-    LinkDown(u32, u32, u64),
-    NodeTime(u32),
-    HostTime(u32),
-    /// A list as it was, told to a host's generation.
-    List(u32, u64, u64, Vec<(String, u8, u32, u64)>),
-    ListFailed(u32, u64),
-    NodeUp(u32),
-    HostUp(u32),
-    Leave(u32, u64, u32),
-    Answer(u32, u64, CommandOrd, AnswerKindOrd, u64),
-    /// A client's connection is made, ends, or brings bytes to the host or the client; of a slot's generation.
-    Connected(u32, usize, u64),
-    Closed(u32, usize, u64),
-    ToServer(u32, usize, u64, Vec<u8>),
-    ToClient(u32, usize, u64, Vec<u8>),
-    ClientTime(u32),
-    /// A node may be used again by its host: an override has ended.
-    OrderOver(u32, String),
-    /// The node's hello has come over a new link: how long it has been up.
-    Hello(u32, u64, u32, Us),
-    /// A datagram from one host to another.
-    Datagram(u32, u32, Vec<u8>),
-    /// A host that leaves ends now.
-    Gone(u32, u64),
-}
-
-/// The answer's kind and a command with an order, as events have one.
-type AnswerKindOrd = u8;
-type CommandOrd = (u32, u32);
-
-struct Link {
-    generation: u64,
-    to_node: Frames,
-    to_host: Frames,
-    /// When the last bytes of each direction arrive: they keep their order.
-    last: [Us; 2],
-    /// The least difference the node has seen between its clock and the host's, in microseconds.
-    offset: i64,
-    /// Attempts that wait for the node's hello; none once it has come.
-    waiting: Option<Vec<SendAttempt>>,
-    attempts: BTreeMap<u64, AttemptName>,
-}
-
-/// How a host's clocks go wrong: its steady one starts elsewhere and drifts, its wall clock is off.
-#[derive(Clone, Copy, Default)]
-struct Clock {
-    offset_us: i64,
-    drift: f64,
-    wall_off_us: i64,
-}
-
-/// What a host keeps over its generations.
-#[derive(Default)]
-struct Kept {
-    /// The mark of a leave.
-    left: bool,
-    overrides: BTreeMap<OverrideId, Override>,
-    next: u64,
-    /// Changes of plans, by number.
-    changes: BTreeMap<u64, Vec<u8>>,
-    members: Vec<tackmast_host_core::KnownPeer>,
-}
-
-struct Host {
-    core: HostLogic,
-    generation: u64,
-    up: bool,
-    wake: Us,
-    /// Until then it stands still, and what happens meanwhile waits.
-    stands: Us,
-    links: BTreeMap<u32, Link>,
-    following: bool,
-    next: u32,
-    submitted: BTreeMap<(u32, u32), (Us, Us)>, // session and command: when, latency objective
-    asked: BTreeMap<(u32, u32), u64>,          // the same, of a script's traffic: its number
-    sessions: BTreeMap<u32, (u32, usize, u64)>, // client, slot, its generation
-    numbers: u16,
-}
-
-struct Held {
-    host: u32,
-    generation: u64,
-    link: u64,
-    attempt: u64,
-    name: AttemptName,
-    volume: u32,
-    units: f64,
-    read: u32,
-    mark: u128,
-}
-
-struct SimNode {
-    model: NodeModel,
-    zone: u32,
-    shard: u32,
-    /// What it last told of the requests that wait there, and when; told anew after so long.
-    told: (Us, u32),
-    report_us: Us,
-    address: String,
-    up: bool,
-    silent: bool,
-    started: Us,
-    next: u64,
-    held: BTreeMap<u64, Held>,
-    served: BTreeMap<(u32, u32), (f64, f64)>, // volume, host: own units, told of others
-    total: BTreeMap<u32, f64>,
-    wake: Us,
-    listed: NodeState,
-    listed_start: Us,
-    address_generation: u32,
-}
-
-/// What a script's traffic asked, and is asked again until it is done or its client has tried enough.
-struct Try {
-    ask: ScriptRequest,
-    first: Us,
-    tries: u32,
-}
-
 struct Sim<'a> {
     world: &'a World,
     mutant: Option<Mutant>,
     reference_model: Option<ReferenceModel>,
     clocks: Vec<Clock>,
-    kept: Vec<Kept>,
+    kept: Vec<PersistedHost>,
     clients: Vec<Client>,
     clients_of: Vec<Vec<u32>>,
     arrivals: std::collections::VecDeque<tackmast_workload::Arrival>,
     asks: std::collections::VecDeque<ScriptRequest>,
-    tries: BTreeMap<u64, Try>,
+    tries: BTreeMap<u64, ScriptAttempt>,
     window_us: Us,
     offer: std::sync::Arc<target::Offer>,
     units: std::sync::Arc<Vec<tackmast_wire::scsi::Unit>>,
@@ -322,7 +103,7 @@
     sends: u64,
     answers: u64,
     /// By change of plans: when each host went by it first.
-    went: BTreeMap<u64, BTreeMap<u32, Us>>,
+    plan_adoption: BTreeMap<u64, BTreeMap<u32, Us>>,
     /// By the same, where the trace tells of it.
     acknowledged: BTreeMap<u64, usize>,
     run: Run,
@@ -333,8 +114,8 @@
     std::net::SocketAddr::from(([10, 9, (host_index / 250) as u8, (host_index % 250) as u8], 7000))
 }
 
-/// What hosts that know of each other are told of that.
-static MEMBERS: std::sync::LazyLock<tackmast_config::MembershipBlock> =
+/// The membership settings of hosts that know of each other.
+static MEMBERSHIP: std::sync::LazyLock<tackmast_config::MembershipBlock> =
     std::sync::LazyLock::new(|| tackmast_config::MembershipBlock {
         listen: peer_address(0),
         advertise: None,
@@ -381,7 +162,7 @@
                 initial_capacity: world.cold_from,
                 warm_up_s: world.warm_s,
                 overload_multiple: world.fall_multiple,
-                overload_window_s: FALL_S,
+                overload_window_s: OVERLOAD_WINDOW_S,
                 cache_savings: world.saved,
                 cached_keys: world.remembers,
                 write_back_fraction: world.put_off,
@@ -393,12 +174,12 @@
     };
     let node = |n: u32| {
         let (nature, zone, shard, cold, report_us) = like(n);
-        let started = if cold { START } else { 0 };
+        let started = if cold { START_TIME } else { 0 };
         SimNode {
             model: NodeModel::new(started, nature, world.seed * 1000 + u64::from(n), cold),
             zone,
             shard,
-            told: (0, 0),
+            reported_load: (0, 0),
             report_us,
             address: format!("10.0.{}.{}:9000", n / 250, n % 250),
             up: true,
@@ -415,7 +196,7 @@
         }
     };
     let all: Vec<HostSettings> = (0..world.hosts).map(|h| settings(world, h, mutant)).collect();
-    let first = host_logic(at(START), &all[0], 0, 0, reference_model);
+    let first = host_logic(at(START_TIME), &all[0], 0, 0, reference_model);
     let units = target::units(&all[0], |v| first.layout().max_blocks(v));
     let mut odd = oorandom::Rand64::new(u128::from(world.seed) ^ 0x0063_6c6f_636b);
     let mut clock = || {
@@ -433,19 +214,19 @@
         mutant,
         reference_model,
         clocks: (0..world.hosts).map(|_| clock()).collect(),
-        kept: (0..world.hosts).map(|_| Kept::default()).collect(),
-        went: BTreeMap::new(),
+        kept: (0..world.hosts).map(|_| PersistedHost::default()).collect(),
+        plan_adoption: BTreeMap::new(),
         acknowledged: BTreeMap::new(),
         clients: Vec::new(),
         clients_of: vec![Vec::new(); world.hosts as usize],
         arrivals: world.load.iter().flat_map(|l| l.arrivals(world.hosts)).collect(),
         asks: world.scenario.iter().flat_map(|d| d.asks(world.seed)).collect(),
         tries: BTreeMap::new(),
-        window_us: MARKS,
+        window_us: IDEMPOTENCY_WINDOW,
         offer: std::sync::Arc::new(target::Offer::of(&all[0])),
         units: std::sync::Arc::new(units),
         settings: all,
-        now: START,
+        now: START_TIME,
         queue: BinaryHeap::new(),
         number: 0,
         generator: oorandom::Rand64::new(u128::from(world.seed)),
@@ -491,10 +272,10 @@
         tackmast::interface::Effect::IdempotentByKey { window, .. } => Some((window.secs() * 1e6) as Us),
         _ => None,
     });
-    sim.window_us = windows.max().unwrap_or(MARKS);
+    sim.window_us = windows.max().unwrap_or(IDEMPOTENCY_WINDOW);
     sim.play();
     sim.run.trace.sort_by_key(|l| l.t);
-    sim.account();
+    sim.sum_up();
     sim.run
 }
 
@@ -506,22 +287,22 @@
 
     fn time_at(&self, host_index: u32, time: Us) -> Instant {
         let clock = self.clocks[host_index as usize];
-        let passed = time as i64 - START as i64;
+        let passed = time as i64 - START_TIME as i64;
         at((time as i64 + clock.offset_us + (passed as f64 * clock.drift) as i64).max(0) as Us)
     }
 
     /// When a host's steady clock will show that.
     fn when(&self, host_index: u32, time: Instant) -> Us {
         let clock = self.clocks[host_index as usize];
-        let shown = us(time) as i64 - clock.offset_us - START as i64;
-        (START as i64 + (shown as f64 / (1.0 + clock.drift)).ceil() as i64).max(0) as Us
+        let shown = us(time) as i64 - clock.offset_us - START_TIME as i64;
+        (START_TIME as i64 + (shown as f64 / (1.0 + clock.drift)).ceil() as i64).max(0) as Us
     }
 
     fn wall(&self, host_index: u32) -> Us {
         (self.now as i64 + self.clocks[host_index as usize].wall_off_us).max(0) as Us
     }
 
-    fn note(&mut self, event: tackmast_trace::Event) {
+    fn record(&mut self, event: tackmast_trace::Event) {
         self.run.trace.push(Line { t: self.now, event });
     }
 
@@ -533,7 +314,7 @@
     fn play(&mut self) {
         use tackmast_trace::Event as Seen;
         let facts = self.facts();
-        self.note(Seen::Facts(facts));
+        self.record(Seen::Facts(facts));
         for n in 0..self.nodes.len() {
             let cold = self.nodes[n].started > 0;
             self.note_node_up(n, if cold { self.nodes[n].model.behavior().initial_capacity } else { 1.0 });
@@ -542,7 +323,7 @@
         for h in 0..self.world.hosts {
             let host = self.new_host(h);
             self.hosts.push(host);
-            self.note(Seen::HostUp { host: h });
+            self.record(Seen::HostUp { host: h });
             self.add_clients(h);
             self.push(start, Event::HostTime(h));
             let first = start + (self.generator.rand_float() * 20_000.0) as Us;
@@ -552,19 +333,19 @@
         }
         // Hosts have the list by the time a load from a file begins.
         if let Some(a) = self.arrivals.front() {
-            self.push(start + LOAD_AFTER + a.at_us, Event::Loaded);
+            self.push(start + TRAFFIC_START_DELAY + a.at_us, Event::Loaded);
         }
         if let Some(a) = self.asks.front() {
-            self.push(start + LOAD_AFTER + a.at_us, Event::Asked);
+            self.push(start + TRAFFIC_START_DELAY + a.at_us, Event::Asked);
         }
         // A script's troubles count from when its traffic begins.
-        let start = if self.world.scenario.is_some() { start + LOAD_AFTER } else { start };
+        let start = if self.world.scenario.is_some() { start + TRAFFIC_START_DELAY } else { start };
         for (i, t) in self.world.faults.iter().enumerate() {
             self.push(start + t.at_us, Event::FaultChange(i, true));
             self.push(start + t.at_us + t.for_us, Event::FaultChange(i, false));
         }
         let longest = self.settings[0].traffic_classes.iter().map(|s| s.deadline.secs()).fold(0.0, f64::max);
-        let after = AFTER.max((longest * 1e6) as Us + 1_300_000);
+        let after = SETTLE_TIME.max((longest * 1e6) as Us + 1_300_000);
         let end = start + (self.world.seconds * 1e6) as Us + after;
         while let Some(Reverse((t, _, e))) = self.queue.pop() {
             if t > end {
@@ -572,11 +353,11 @@
             }
             self.now = t;
             self.run.events += 1;
-            self.event(e, end - after);
+            self.handle_event(e, end - after);
         }
         self.now = end;
-        self.in_force();
-        self.note(Seen::Fault { what: "end".into(), on: false });
+        self.record_plan_convergence();
+        self.record(Seen::Fault { what: "end".into(), on: false });
         for h in self.hosts.iter().filter(|h| h.up) {
             let OpenCounts { commands, requests, attempts } = h.core.open_counts();
             self.run.stuck += commands + requests + attempts + h.core.key_queue_count();
--- a/crates/simulator/src/sim/account.rs
+++ b/crates/simulator/src/sim/account.rs
@@ -4,7 +4,7 @@
 
 impl Sim<'_> {
     /// What the trace shows by class, of work, and of the limit.
-    pub(super) fn account(&mut self) {
+    pub(super) fn sum_up(&mut self) {
         use tackmast_trace::Event as Seen;
         let mut open: BTreeMap<(u32, u32, u32), (Us, usize)> = BTreeMap::new();
         let mut served: BTreeMap<(u32, u32, u32), f64> = BTreeMap::new();
--- a/crates/simulator/src/sim/arrivals.rs
+++ b/crates/simulator/src/sim/arrivals.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Sim<'_> {
-    pub(super) fn loaded(&mut self) {
+    pub(super) fn on_workload_arrival(&mut self) {
         let Some(a) = self.arrivals.pop_front() else { return };
         if let Some(next) = self.arrivals.front() {
             self.push(self.now + (next.at_us - a.at_us), Event::Loaded);
@@ -12,17 +12,17 @@
         let Some(v) = self.settings[0].volumes.iter().find(|v| v.name == volume) else { return };
         // A volume comes through its first hosts only, as it was told.
         let (lun, h) = (v.lun, a.host % v.hosts.clamp(1, self.world.hosts));
-        if !self.hosts[h as usize].up || self.hosts[h as usize].stands > self.now {
+        if !self.hosts[h as usize].up || self.hosts[h as usize].paused_until > self.now {
             return;
         }
         match self.clients_of[h as usize].iter().find(|c| self.clients[**c as usize].lun == lun).copied() {
-            Some(c) => self.call(c, a.write, a.block, a.blocks),
-            None => self.beside(h, lun, a.write, a.block, a.blocks),
+            Some(c) => self.start_call(c, a.write, a.block, a.blocks),
+            None => self.submit_directly(h, lun, a.write, a.block, a.blocks),
         }
     }
 
     /// A try of a script's traffic: at a host that is up, or not at all, as on loopback.
-    pub(super) fn ask(&mut self, number: u64) {
+    pub(super) fn send_script_request(&mut self, number: u64) {
         let Some(t) = self.tries.get(&number) else { return };
         let (first, h) = (t.tries == 0, t.ask.host);
         let (lun, write, block, blocks) = (t.ask.lun, t.ask.write, t.ask.block, t.ask.blocks);
@@ -35,8 +35,8 @@
             return;
         }
         let command = self.hosts[h as usize].next + 1;
-        self.hosts[h as usize].asked.insert((BESIDE, command), number);
-        self.beside(h, lun, write, block, blocks);
+        self.hosts[h as usize].asked.insert((DIRECT_SESSION, command), number);
+        self.submit_directly(h, lun, write, block, blocks);
     }
 
     /// Plan and traffic class, by name.
@@ -62,7 +62,7 @@
     }
 
     /// What a try's answer makes of it.
-    pub(super) fn tried(&mut self, number: u64, kind: AnswerKind, retry_after_us: Us) {
+    pub(super) fn on_script_answer(&mut self, number: u64, kind: AnswerKind, retry_after_us: Us) {
         let Some(t) = self.tries.get_mut(&number) else { return };
         let (again, first) = (kind == AnswerKind::Rejected && t.tries < t.ask.retries, t.first);
         if again {
@@ -87,13 +87,13 @@
         }
     }
 
-    pub(super) fn arrive(&mut self, host_index: u32, last: Us) {
+    pub(super) fn on_generated_arrival(&mut self, host_index: u32, last: Us) {
         let gap = -(1.0 - self.generator.rand_float()).ln() / (self.world.rate * self.surge).max(0.01);
         let next = self.now + (gap * 1e6) as Us + 1;
         if next < last {
             self.push(next, Event::Arrive(host_index));
         }
-        if !self.hosts[host_index as usize].up || self.hosts[host_index as usize].stands > self.now {
+        if !self.hosts[host_index as usize].up || self.hosts[host_index as usize].paused_until > self.now {
             return;
         }
         // The limited volume comes through the first hosts only, as it was told.
@@ -115,14 +115,21 @@
             let client_position =
                 self.generator.rand_range(0..self.clients_of[host_index as usize].len() as u64 + 1) as usize;
             if let Some(c) = self.clients_of[host_index as usize].get(client_position).copied() {
-                return self.call(c, write, block, blocks);
+                return self.start_call(c, write, block, blocks);
             }
         }
-        self.beside(host_index, lun, write, block, blocks);
+        self.submit_directly(host_index, lun, write, block, blocks);
     }
 
     /// A command that comes without a protocol.
-    pub(super) fn beside(&mut self, host_index: u32, lun: u32, write: bool, block: u64, blocks: u32) {
+    pub(super) fn submit_directly(
+        &mut self,
+        host_index: u32,
+        lun: u32,
+        write: bool,
+        block: u64,
+        blocks: u32,
+    ) {
         let host = &mut self.hosts[host_index as usize];
         host.next += 1;
         let command = host.next;
@@ -131,12 +138,20 @@
             true => Work::Write { data: data(blocks * 512) },
             false => Work::Read { blocks },
         };
-        self.submit(host_index, CommandRef { session: BESIDE, command }, lun, block, work, self.now, None);
+        self.submit(
+            host_index,
+            CommandRef { session: DIRECT_SESSION, command },
+            lun,
+            block,
+            work,
+            self.now,
+            None,
+        );
         if self.generator.rand_float() < self.leave {
             let later = self.now + self.generator.rand_range(0..400_000);
             self.push(later, Event::Leave(host_index, generation, command));
         }
-        self.pull(host_index);
+        self.poll_host(host_index);
     }
 
     /// A command reaches its host, which knows it from `began` on.
@@ -163,7 +178,7 @@
         let (session, command) = (from.session, from.command);
         let host = &mut self.hosts[h as usize];
         host.submitted.insert((session, command), (began, latency_objective));
-        self.note(tackmast_trace::Event::Submit {
+        self.record(tackmast_trace::Event::Submit {
             host: h,
             session,
             command,
@@ -198,7 +213,7 @@
                 return self.push(now + 1_200_000, late);
             }
             Some(Mutant::AnswerTwice) if odd => {
-                self.note(tackmast_trace::Event::Answer {
+                self.record(tackmast_trace::Event::Answer {
                     host: host_index,
                     session,
                     command,
@@ -209,7 +224,7 @@
             _ => {}
         }
         // Commands without a protocol come from beside the host: what their way costs is no part of this model.
-        self.answered(host_index, generation, (session, command), kind, retry_after_us);
+        self.record_answer(host_index, generation, (session, command), kind, retry_after_us);
         let Some((c, slot, slot_generation)) =
             self.hosts[host_index as usize].sessions.get(&session).copied()
         else {
@@ -231,7 +246,7 @@
         self.flush(c, slot, slot_generation);
     }
 
-    pub(super) fn answered(
+    pub(super) fn record_answer(
         &mut self,
         h: u32,
         generation: u64,
@@ -254,9 +269,9 @@
             _ => self.run.failed += 1,
         }
         let (session, command) = of;
-        self.note(tackmast_trace::Event::Answer { host: h, session, command, kind, retry_after_us });
+        self.record(tackmast_trace::Event::Answer { host: h, session, command, kind, retry_after_us });
         if let Some(number) = self.hosts[h as usize].asked.remove(&of) {
-            self.tried(number, kind, retry_after_us);
+            self.on_script_answer(number, kind, retry_after_us);
         }
     }
 }
--- a/crates/simulator/src/sim/clients.rs
+++ b/crates/simulator/src/sim/clients.rs
@@ -27,11 +27,11 @@
         }
     }
 
-    pub(super) fn call(&mut self, client_index: u32, write: bool, block: u64, blocks: u32) {
+    pub(super) fn start_call(&mut self, client_index: u32, write: bool, block: u64, blocks: u32) {
         let now = self.now;
         let client = &mut self.clients[client_index as usize];
         client.next += 1;
-        let (number, deadline) = (client.next, now + CALL);
+        let (number, deadline) = (client.next, now + CALL_TIMEOUT);
         let op = match write {
             true => Op::Write { offset: block * 512, data: data(blocks * 512) },
             false => Op::Read { offset: block * 512, length: blocks * 512 },
@@ -39,10 +39,10 @@
         client.calls.insert(number, Call { deadline });
         client.core.submit(at(now), number, op, at(deadline));
         self.run.calls += 1;
-        self.client_pull(client_index);
+        self.poll_client(client_index);
     }
 
-    pub(super) fn client_pull(&mut self, client_index: u32) {
+    pub(super) fn poll_client(&mut self, client_index: u32) {
         let now = self.now;
         self.clients[client_index as usize].core.handle_timeout(at(now));
         while let Some(o) = self.clients[client_index as usize].core.poll_output() {
@@ -58,12 +58,12 @@
                 }
                 ClientOutput::Write { slot, bytes } => {
                     let generation = self.clients[client_index as usize].slots[slot].generation;
-                    self.carry(client_index, slot, generation, &bytes, true);
+                    self.send_client_bytes(client_index, slot, generation, &bytes, true);
                 }
                 ClientOutput::Close { slot } => {
                     let generation =
                         std::mem::take(&mut self.clients[client_index as usize].slots[slot].generation);
-                    self.drop_pipe(client_index, slot, generation);
+                    self.close_session(client_index, slot, generation);
                 }
                 ClientOutput::Answer { call, outcome } => {
                     let Some(x) = self.clients[client_index as usize].calls.remove(&call) else { continue };
@@ -82,7 +82,14 @@
     }
 
     /// Bytes of a client's connection go on their way, cut where it happens.
-    pub(super) fn carry(&mut self, client_index: u32, slot: usize, generation: u64, bytes: &[u8], up: bool) {
+    pub(super) fn send_client_bytes(
+        &mut self,
+        client_index: u32,
+        slot: usize,
+        generation: u64,
+        bytes: &[u8],
+        up: bool,
+    ) {
         let cut = self.generator.rand_range(0..bytes.len() as u64 + 1) as usize;
         let parts = [&bytes[..cut], &bytes[cut..]];
         for part in parts.into_iter().filter(|p| !p.is_empty()) {
@@ -104,7 +111,7 @@
         }
     }
 
-    pub(super) fn connected(&mut self, client_index: u32, slot: usize, generation: u64) {
+    pub(super) fn on_connected(&mut self, client_index: u32, slot: usize, generation: u64) {
         let client = &mut self.clients[client_index as usize];
         if client.slots[slot].generation != generation {
             return;
@@ -114,7 +121,7 @@
         if !host.up {
             client.slots[slot].generation = 0;
             client.core.handle_closed(at(self.now), slot);
-            return self.client_pull(client_index);
+            return self.poll_client(client_index);
         }
         host.numbers += 1;
         let number = host.numbers;
@@ -123,22 +130,22 @@
         client.slots[slot].pipe = Some(pipe);
         client.core.handle_connected(slot);
         self.flush(client_index, slot, generation);
-        self.client_pull(client_index);
+        self.poll_client(client_index);
     }
 
     /// The connection is at its end for the client.
-    pub(super) fn closed(&mut self, client_index: u32, slot: usize, generation: u64) {
+    pub(super) fn on_connection_closed(&mut self, client_index: u32, slot: usize, generation: u64) {
         if self.clients[client_index as usize].slots[slot].generation != generation {
             return;
         }
         self.clients[client_index as usize].slots[slot].generation = 0;
-        self.drop_pipe(client_index, slot, generation);
+        self.close_session(client_index, slot, generation);
         self.clients[client_index as usize].core.handle_closed(at(self.now), slot);
-        self.client_pull(client_index);
+        self.poll_client(client_index);
     }
 
     /// The connection is at its end for the host: what it had open has nobody who waits.
-    pub(super) fn drop_pipe(&mut self, client_index: u32, slot: usize, generation: u64) {
+    pub(super) fn close_session(&mut self, client_index: u32, slot: usize, generation: u64) {
         let Some(pipe) = self.clients[client_index as usize].slots[slot].pipe.take() else { return };
         let host_index = self.clients[client_index as usize].host;
         let host = &mut self.hosts[host_index as usize];
@@ -154,14 +161,14 @@
             .collect();
         for command in open {
             self.hosts[host_index as usize].submitted.remove(&(session, command));
-            self.note(tackmast_trace::Event::Left { host: host_index, session, command });
+            self.record(tackmast_trace::Event::Left { host: host_index, session, command });
         }
         let now = self.time(host_index);
         self.hosts[host_index as usize].core.handle_session_closed(now, session);
-        self.pull(host_index);
+        self.poll_host(host_index);
     }
 
-    pub(super) fn server_gets(&mut self, client_index: u32, slot: usize, generation: u64, bytes: &[u8]) {
+    pub(super) fn on_server_bytes(&mut self, client_index: u32, slot: usize, generation: u64, bytes: &[u8]) {
         let (h, now) = (self.clients[client_index as usize].host, self.now);
         let Some(pipe) = self.clients[client_index as usize].pipe_of(slot, generation) else { return };
         let failed = pipe.session.handle_bytes(bytes).is_err();
@@ -189,7 +196,7 @@
                 }
                 target::Event::Abort { command } => {
                     if self.hosts[h as usize].submitted.remove(&(session, command)).is_some() {
-                        self.note(tackmast_trace::Event::Left { host: h, session, command });
+                        self.record(tackmast_trace::Event::Left { host: h, session, command });
                     }
                     let at_host = self.time(h);
                     self.hosts[h as usize].core.handle_abort(at_host, CommandRef { session, command });
@@ -198,32 +205,32 @@
             }
         }
         self.flush(client_index, slot, generation);
-        self.pull(h);
+        self.poll_host(h);
         let over = self.clients[client_index as usize]
             .pipe_of(slot, generation)
             .is_some_and(|p| p.session.is_over());
         if failed || over {
-            self.drop_pipe(client_index, slot, generation);
+            self.close_session(client_index, slot, generation);
             self.push(now + self.world.delay_us, Event::Closed(client_index, slot, generation));
         }
     }
 
-    /// What a session has to say goes on its way.
+    /// Sends what a session has to transmit.
     pub(super) fn flush(&mut self, client_index: u32, slot: usize, generation: u64) {
         let Some(pipe) = self.clients[client_index as usize].pipe_of(slot, generation) else { return };
         let bytes = pipe.session.poll_transmit();
         if !bytes.is_empty() {
-            self.carry(client_index, slot, generation, &bytes, false);
+            self.send_client_bytes(client_index, slot, generation, &bytes, false);
         }
     }
 
     /// A part of all connections ends at once, at both sides.
-    pub(super) fn hang_up(&mut self, part: f64) {
+    pub(super) fn close_connections(&mut self, part: f64) {
         for c in 0..self.clients.len() as u32 {
             for slot in 0..self.clients[c as usize].slots.len() {
                 let generation = self.clients[c as usize].slots[slot].generation;
                 if generation > 0 && self.generator.rand_float() < part {
-                    self.closed(c, slot, generation);
+                    self.on_connection_closed(c, slot, generation);
                 }
             }
         }
--- a/crates/simulator/src/sim/hosts.rs
+++ b/crates/simulator/src/sim/hosts.rs
@@ -18,7 +18,7 @@
         let kept = &mut self.kept[host_index as usize];
         if let Some(core) = core.core().filter(|_| self.world.has_orders()) {
             let records = kept.overrides.values().cloned().collect();
-            let (overrides, ended) = Overrides::new(now, wall, ORDERS, records, kept.next);
+            let (overrides, ended) = Overrides::new(now, wall, OVERRIDE_SETTINGS, records, kept.next);
             ended.iter().for_each(|e| _ = kept.overrides.remove(&e.record.id));
             core.handle_wall_clock(now, wall);
             core.with_overrides(now, overrides, PersistBatch::default());
@@ -35,7 +35,7 @@
             let address = peer_address(host_index);
             let member = member_settings(
                 settings,
-                &MEMBERS,
+                &MEMBERSHIP,
                 address,
                 self.generations,
                 if kept.left { PreviousExit::Graceful } else { PreviousExit::Unclean },
@@ -49,20 +49,20 @@
             generation: self.generations,
             up: true,
             wake: Us::MAX,
-            stands: 0,
+            paused_until: 0,
             links: BTreeMap::new(),
             following: false,
             next: 0,
             submitted: BTreeMap::new(),
             asked: BTreeMap::new(),
             sessions: BTreeMap::new(),
-            numbers: BESIDE as u16,
+            numbers: DIRECT_SESSION as u16,
         }
     }
 
     /// Carries out what the core wants done.
-    pub(super) fn pull(&mut self, host_index: u32) {
-        if !self.hosts[host_index as usize].up || self.hosts[host_index as usize].stands > self.now {
+    pub(super) fn poll_host(&mut self, host_index: u32) {
+        if !self.hosts[host_index as usize].up || self.hosts[host_index as usize].paused_until > self.now {
             return;
         }
         let now = self.time(host_index);
@@ -72,13 +72,13 @@
                 Output::Send(attempt) => self.send(host_index, *attempt),
                 Output::Cancel { node, attempt } | Output::Cut { node, attempt } => {
                     let cancel = Frame::Cancel { attempt: attempt.0 }.to_bytes();
-                    self.pass_on(host_index, node.0, &cancel, true);
+                    self.forward_to_node(host_index, node.0, &cancel, true);
                 }
                 Output::Answer { to, verdict } => self.answer(host_index, to, verdict),
-                Output::FollowList { .. } | Output::FetchList => self.follow(host_index),
-                Output::Persist { request, batch } => self.keep(host_index, request, batch),
-                Output::AdminResponse { response, .. } => self.ordered(host_index, response),
-                Output::Datagram { to, bytes } => self.post(host_index, to, &bytes),
+                Output::FollowList { .. } | Output::FetchList => self.follow_list(host_index),
+                Output::Persist { request, batch } => self.persist(host_index, request, batch),
+                Output::AdminResponse { response, .. } => self.on_admin_response(host_index, response),
+                Output::Datagram { to, bytes } => self.send_datagram(host_index, to, &bytes),
                 Output::Event(_) => {}
             }
         }
@@ -103,29 +103,29 @@
         }
     }
 
-    /// The process is stopped. Its clients give up on what is open, and it hears so when it goes on.
-    pub(super) fn host_stands(&mut self, host_index: u32, for_us: Us) {
+    /// Pauses the process of a host. Its clients close their connections, and the host notices that when it resumes.
+    pub(super) fn pause_host(&mut self, host_index: u32, for_us: Us) {
         let host = &mut self.hosts[host_index as usize];
-        if !host.up || host.stands > self.now {
+        if !host.up || host.paused_until > self.now {
             return;
         }
-        host.stands = self.now + for_us;
+        host.paused_until = self.now + for_us;
         let slots: Vec<(u32, usize, u64)> = host.sessions.values().copied().collect();
         let open = std::mem::take(&mut host.submitted);
         host.asked.clear();
         for (session, command) in open.into_keys() {
-            self.note(tackmast_trace::Event::Left { host: host_index, session, command });
+            self.record(tackmast_trace::Event::Left { host: host_index, session, command });
         }
         for (c, slot, generation) in slots {
-            self.closed(c, slot, generation);
+            self.on_connection_closed(c, slot, generation);
         }
         let now = self.time(host_index);
-        self.hosts[host_index as usize].core.handle_session_closed(now, BESIDE);
+        self.hosts[host_index as usize].core.handle_session_closed(now, DIRECT_SESSION);
         self.push(self.now + for_us, Event::HostTime(host_index));
     }
 
     /// Nothing new is taken; what is open has half a second, and then what it has of limits goes to others.
-    pub(super) fn host_leaves(&mut self, host_index: u32) {
+    pub(super) fn drain_host(&mut self, host_index: u32) {
         let (now, generation) = (self.time(host_index), self.hosts[host_index as usize].generation);
         if !self.hosts[host_index as usize].up || self.reference_model.is_some() {
             return;
@@ -135,12 +135,12 @@
             core.drain();
             core.begin_leave(now);
         }
-        self.pull(host_index);
+        self.poll_host(host_index);
         self.push(self.now + 500_000, Event::Gone(host_index, generation));
     }
 
-    /// A datagram goes on its way, or is lost, or comes twice.
-    pub(super) fn post(&mut self, from: u32, to: std::net::SocketAddr, bytes: &Bytes) {
+    /// Sends a datagram, which may be lost or duplicated.
+    pub(super) fn send_datagram(&mut self, from: u32, to: std::net::SocketAddr, bytes: &Bytes) {
         let Some(h) = (0..self.world.hosts).find(|h| peer_address(*h) == to) else { return };
         let loss = self.world.members.unwrap_or(0.0);
         let apart = |x: f64| {
@@ -161,7 +161,7 @@
         }
     }
 
-    pub(super) fn host_kill(&mut self, host_index: u32, on: bool) {
+    pub(super) fn kill_host(&mut self, host_index: u32, on: bool) {
         let host = &mut self.hosts[host_index as usize];
         if !on {
             return self.push(self.now, Event::HostUp(host_index));
@@ -178,9 +178,9 @@
         for (n, l) in links {
             let node = self.nodes[n as usize].address.clone();
             let attempts = l.attempts.values().copied().collect();
-            self.note(tackmast_trace::Event::LinkDown { node, host: host_index, generation, attempts });
+            self.record(tackmast_trace::Event::LinkDown { node, host: host_index, generation, attempts });
         }
-        self.note(tackmast_trace::Event::HostDown { host: host_index });
+        self.record(tackmast_trace::Event::HostDown { host: host_index });
         for (c, slot, slot_generation) in sessions.into_values() {
             self.clients[c as usize].slots[slot].pipe = None;
             self.push(self.now + self.world.delay_us, Event::Closed(c, slot, slot_generation));
--- a/crates/simulator/src/sim/links.rs
+++ b/crates/simulator/src/sim/links.rs
@@ -94,16 +94,16 @@
         let bytes = frame(attempt.attempt_number);
         let twice = (self.mutant == Some(Mutant::HedgeTooEarly) && self.sends.is_multiple_of(100))
             .then(|| frame(attempt.attempt_number + 1));
-        self.note(first);
+        self.record(first);
         if twice.is_some() {
-            self.note(second);
+            self.record(second);
         }
         if let Some(l) = self.hosts[host_index as usize].links.get_mut(&node_index) {
             l.attempts.insert(attempt.attempt.0, name);
         }
-        self.pass(host_index, node_index, &bytes, true);
+        self.send_link_bytes(host_index, node_index, &bytes, true);
         if let Some(again) = twice {
-            self.pass(host_index, node_index, &again, true);
+            self.send_link_bytes(host_index, node_index, &again, true);
         }
     }
 
@@ -114,10 +114,10 @@
         self.nodes.iter().position(|n| n.address == address).map(|n| n as u32)
     }
 
-    pub(super) fn pass_on(&mut self, host_index: u32, number: u32, bytes: &Bytes, to_node: bool) {
+    pub(super) fn forward_to_node(&mut self, host_index: u32, number: u32, bytes: &Bytes, to_node: bool) {
         if let Some(n) = self.node_of(host_index, number) {
             if self.hosts[host_index as usize].links.contains_key(&n) {
-                self.pass(host_index, n, bytes, to_node);
+                self.send_link_bytes(host_index, n, bytes, to_node);
             }
         }
     }
@@ -148,7 +148,7 @@
     }
 
     /// Bytes go on their way, cut where it happens; each direction keeps its order.
-    pub(super) fn pass(&mut self, host_index: u32, node_index: u32, bytes: &Bytes, to_node: bool) {
+    pub(super) fn send_link_bytes(&mut self, host_index: u32, node_index: u32, bytes: &Bytes, to_node: bool) {
         let held_until = self.partitions.get(&(host_index, node_index)).copied().unwrap_or(0);
         let cut = self.generator.rand_range(0..bytes.len() as u64 + 1) as usize;
         let parts = if self.generator.rand_float() < 0.1 {
@@ -176,7 +176,7 @@
         }
     }
 
-    pub(super) fn host_gets(&mut self, host_index: u32, node_index: u32, generation: u64, bytes: &[u8]) {
+    pub(super) fn on_host_bytes(&mut self, host_index: u32, node_index: u32, generation: u64, bytes: &[u8]) {
         if !self.hosts[host_index as usize].up {
             return;
         }
@@ -207,10 +207,10 @@
                 AttemptResult { attempt: AttemptId(a.attempt), outcome, waiting, elsewhere, data: a.data };
             self.hosts[host_index as usize].core.handle_attempt_result(now, back);
         }
-        self.pull(host_index);
+        self.poll_host(host_index);
     }
 
-    pub(super) fn back(&mut self, host_index: u32, attempt: u64, outcome: Outcome) {
+    pub(super) fn report_attempt_result(&mut self, host_index: u32, attempt: u64, outcome: Outcome) {
         let back = AttemptResult {
             attempt: AttemptId(attempt),
             outcome,
@@ -223,7 +223,7 @@
     }
 
     /// A link ends for both sides: its attempts may have run.
-    pub(super) fn link_down(&mut self, host_index: u32, node_index: u32, generation: u64) {
+    pub(super) fn close_link(&mut self, host_index: u32, node_index: u32, generation: u64) {
         let host = &mut self.hosts[host_index as usize];
         if host.links.get(&node_index).is_none_or(|l| l.generation != generation) {
             return;
@@ -231,25 +231,25 @@
         let Some(l) = host.links.remove(&node_index) else { return };
         let (node, generation) = (self.nodes[node_index as usize].address.clone(), host.generation);
         let attempts: Vec<AttemptName> = l.attempts.values().copied().collect();
-        self.note(tackmast_trace::Event::LinkDown { node, host: host_index, generation, attempts });
+        self.record(tackmast_trace::Event::LinkDown { node, host: host_index, generation, attempts });
         for attempt in l.attempts.keys() {
-            self.back(host_index, *attempt, Outcome::Reset);
+            self.report_attempt_result(host_index, *attempt, Outcome::Reset);
         }
         for attempt in l.waiting.into_iter().flatten().filter(|attempt| attempt.ticket.withdraw()) {
-            self.back(host_index, attempt.attempt.0, Outcome::Refused);
+            self.report_attempt_result(host_index, attempt.attempt.0, Outcome::Refused);
         }
-        self.pull(host_index);
+        self.poll_host(host_index);
     }
 
-    pub(super) fn all_links_down(&mut self, node_index: u32) {
+    pub(super) fn close_all_links(&mut self, node_index: u32) {
         for h in 0..self.world.hosts {
             if let Some(generation) = self.hosts[h as usize].links.get(&node_index).map(|l| l.generation) {
-                self.link_down(h, node_index, generation);
+                self.close_link(h, node_index, generation);
             }
         }
     }
 
-    pub(super) fn hello(&mut self, host_index: u32, generation: u64, node_index: u32, started: Us) {
+    pub(super) fn on_node_hello(&mut self, host_index: u32, generation: u64, node_index: u32, started: Us) {
         let node = &self.nodes[node_index as usize];
         let host = &self.hosts[host_index as usize];
         if host.generation != generation
@@ -265,7 +265,7 @@
         if let Some((core, number)) = self.hosts[host_index as usize].core.core().zip(number) {
             core.handle_node_uptime(now, number, TimeDelta::from_secs(up));
         }
-        self.pull(host_index);
+        self.poll_host(host_index);
         // What the core has not taken back now leaves.
         let waiting =
             self.hosts[host_index as usize].links.get_mut(&node_index).and_then(|l| l.waiting.take());
--- a/crates/simulator/src/sim/nodes.rs
+++ b/crates/simulator/src/sim/nodes.rs
@@ -3,22 +3,22 @@
 use super::*;
 
 impl Sim<'_> {
-    pub(super) fn note_node_up(&mut self, node_index: usize, cold_from: f64) {
+    pub(super) fn note_node_up(&mut self, node_index: usize, initial_capacity: f64) {
         let node = &self.nodes[node_index];
         let (address, capacity) = (node.address.clone(), node.model.behavior().capacity());
-        let warm_us = if cold_from < 1.0 { (node.model.behavior().warm_up_s * 1e6) as Us } else { 0 };
+        let warm_us = if initial_capacity < 1.0 { (node.model.behavior().warm_up_s * 1e6) as Us } else { 0 };
         let (zone, shard) = (node.zone, node.shard);
-        self.note(tackmast_trace::Event::NodeUp {
+        self.record(tackmast_trace::Event::NodeUp {
             node: address,
             zone,
             shard,
             capacity,
-            initial_capacity: cold_from,
+            initial_capacity,
             warm_us,
         });
     }
 
-    pub(super) fn node_gets(&mut self, host_index: u32, node_index: u32, generation: u64, bytes: &[u8]) {
+    pub(super) fn on_node_bytes(&mut self, host_index: u32, node_index: u32, generation: u64, bytes: &[u8]) {
         let Some(l) =
             self.hosts[host_index as usize].links.get_mut(&node_index).filter(|l| l.generation == generation)
         else {
@@ -31,7 +31,7 @@
         }
         for f in frames {
             match f {
-                Frame::Send(attempt) => self.attempt_arrives(host_index, node_index, generation, attempt),
+                Frame::Send(attempt) => self.on_attempt(host_index, node_index, generation, attempt),
                 Frame::Cancel { attempt } => {
                     let node = &mut self.nodes[node_index as usize];
                     let found = node.held.iter().find(|(_, x)| x.link == generation && x.attempt == attempt);
@@ -40,8 +40,8 @@
                         if !node.silent {
                             node.model.cancel(self.now, id);
                         }
-                        self.note(tackmast_trace::Event::Cancel { node: address, name });
-                        self.settle(node_index);
+                        self.record(tackmast_trace::Event::Cancel { node: address, name });
+                        self.process_node_events(node_index);
                     }
                 }
                 _ => {}
@@ -49,7 +49,7 @@
         }
     }
 
-    pub(super) fn attempt_arrives(
+    pub(super) fn on_attempt(
         &mut self,
         host_index: u32,
         node_index: u32,
@@ -76,7 +76,7 @@
         let id = node.next;
         let read = if write { 0 } else { bytes as u32 };
         let units = f64::from(attempt.units);
-        let held = Held {
+        let held = NodeAttempt {
             host: host_index,
             generation,
             link,
@@ -101,11 +101,11 @@
             let job = Job { id, units, write, key, is_retry: attempt.attempt_number > 0, deadline_us: until };
             node.model.receive(now, job);
         }
-        self.settle(node_index);
+        self.process_node_events(node_index);
     }
 
     /// Answers of what has ended at a node, and its next time.
-    pub(super) fn settle(&mut self, node_index: u32) {
+    pub(super) fn process_node_events(&mut self, node_index: u32) {
         let now = self.now;
         let node = &mut self.nodes[node_index as usize];
         if !node.up || node.silent {
@@ -131,19 +131,19 @@
             own.1 = others;
             let data =
                 if how == JobOutcome::Done { Bytes::from(vec![0; x.read as usize]) } else { Bytes::new() };
-            if node.told.0 == 0 || now >= node.told.0 + node.report_us {
-                node.told = (now, node.model.waiting_count() as u32);
+            if node.reported_load.0 == 0 || now >= node.reported_load.0 + node.report_us {
+                node.reported_load = (now, node.model.waiting_count() as u32);
             }
-            let (waiting, address, zone) = (node.told.1, node.address.clone(), node.zone);
+            let (waiting, address, zone) = (node.reported_load.1, node.address.clone(), node.zone);
             let ran = how == JobOutcome::Done && self.first_run(zone, x.mark);
-            self.note(tackmast_trace::Event::AttemptEnd { node: address, name: x.name, kind, ran });
+            self.record(tackmast_trace::Event::AttemptEnd { node: address, name: x.name, kind, ran });
             let answer =
                 Frame::Answer(Answer { attempt: x.attempt, outcome, waiting, elsewhere, data }).to_bytes();
             let host = &self.hosts[x.host as usize];
             if host.generation == x.generation
                 && host.links.get(&node_index).is_some_and(|l| l.generation == x.link)
             {
-                self.pass(x.host, node_index, &answer, false);
+                self.send_link_bytes(x.host, node_index, &answer, false);
             }
         }
         let node = &mut self.nodes[node_index as usize];
@@ -163,7 +163,7 @@
         known.is_none_or(|t| t + self.window_us < self.now)
     }
 
-    pub(super) fn follow(&mut self, host_index: u32) {
+    pub(super) fn follow_list(&mut self, host_index: u32) {
         let generation = self.hosts[host_index as usize].generation;
         let due = self.now + 2 * self.world.delay_us;
         if self.list_fails {
@@ -188,7 +188,7 @@
     }
 
     /// The list has changed: all that follow hear of it, late.
-    pub(super) fn tell(&mut self) {
+    pub(super) fn broadcast_list(&mut self) {
         self.list_version += 1;
         if self.list_fails {
             return;
@@ -204,7 +204,7 @@
         }
     }
 
-    pub(super) fn list(
+    pub(super) fn deliver_list(
         &mut self,
         host_index: u32,
         generation: u64,
@@ -223,7 +223,7 @@
                 NodeState::Gone => ListedState::Gone,
             };
             let started_us = *started;
-            self.note(tackmast_trace::Event::Notified {
+            self.record(tackmast_trace::Event::Notified {
                 host: host_index,
                 node: address.clone(),
                 state: told,
@@ -260,7 +260,7 @@
             .map(|(a, _)| a.to_owned())
             .collect();
         for node in gone {
-            self.note(tackmast_trace::Event::Notified {
+            self.record(tackmast_trace::Event::Notified {
                 host: host_index,
                 node,
                 state: ListedState::Gone,
@@ -275,10 +275,10 @@
             version,
             &lines,
         );
-        self.pull(host_index);
+        self.poll_host(host_index);
     }
 
-    pub(super) fn node_dies(&mut self, node_index: u32) {
+    pub(super) fn kill_node(&mut self, node_index: u32) {
         let node = &mut self.nodes[node_index as usize];
         if !node.up {
             return;
@@ -286,11 +286,11 @@
         node.up = false;
         node.held.clear();
         let address = node.address.clone();
-        self.note(tackmast_trace::Event::NodeDown { node: address });
-        self.all_links_down(node_index);
+        self.record(tackmast_trace::Event::NodeDown { node: address });
+        self.close_all_links(node_index);
     }
 
-    pub(super) fn node_up(&mut self, node_index: u32) {
+    pub(super) fn start_node(&mut self, node_index: u32) {
         let now = self.now;
         let node = &mut self.nodes[node_index as usize];
         if node.up {
@@ -305,14 +305,14 @@
         (node.listed, node.listed_start) = (NodeState::Ready, now);
         let from = self.nodes[node_index as usize].model.behavior().initial_capacity;
         self.note_node_up(node_index as usize, from);
-        self.tell();
+        self.broadcast_list();
     }
 
-    pub(super) fn set(&mut self, node_index: u32, change: impl Fn(&mut NodeFaults)) {
+    pub(super) fn change_node_faults(&mut self, node_index: u32, change: impl Fn(&mut NodeFaults)) {
         let now = self.now;
         let model = &mut self.nodes[node_index as usize].model;
         model.advance(now);
         change(&mut model.faults);
-        self.settle(node_index);
+        self.process_node_events(node_index);
     }
 }
--- a/crates/simulator/src/sim/orders.rs
+++ b/crates/simulator/src/sim/orders.rs
@@ -4,12 +4,12 @@
 
 impl Sim<'_> {
     /// An order at one host or at all.
-    pub(super) fn order(&mut self, host: Option<u32>, node_index: u32, kind: OrderKind, for_us: Us) {
+    pub(super) fn set_override(&mut self, host: Option<u32>, node_index: u32, kind: OrderKind, for_us: Us) {
         let Ok(address) = self.nodes[node_index as usize].address.parse() else { return };
         let (reason, who, seconds) = ("drawn".into(), "lab".into(), for_us as f64 / 1e6);
         let order = Order { target: Target::Node(address), kind, reason, who, seconds, origin: None };
         for h in (0..self.world.hosts).filter(|h| host.is_none_or(|x| x == *h)) {
-            if !self.hosts[h as usize].up || self.hosts[h as usize].stands > self.now {
+            if !self.hosts[h as usize].up || self.hosts[h as usize].paused_until > self.now {
                 continue;
             }
             let (now, order) = (self.time(h), order.clone());
@@ -18,12 +18,12 @@
             if let Some(core) = self.hosts[h as usize].core.core() {
                 core.handle_admin_request(now, 1, ask);
             }
-            self.pull(h);
+            self.poll_host(h);
         }
     }
 
     /// The host's store takes all it is given.
-    pub(super) fn keep(&mut self, host_index: u32, request: u64, keep: PersistBatch) {
+    pub(super) fn persist(&mut self, host_index: u32, request: u64, keep: PersistBatch) {
         let kept = &mut self.kept[host_index as usize];
         for o in keep.put {
             kept.next = kept.next.max(o.id.0 + 1);
@@ -35,7 +35,7 @@
         }
         for (number, line) in keep.changes {
             kept.changes.insert(number, line);
-            self.went.entry(number).or_default().entry(host_index).or_insert(self.now);
+            self.plan_adoption.entry(number).or_default().entry(host_index).or_insert(self.now);
         }
         let now = self.time(host_index);
         if let Some(core) = self.hosts[host_index as usize].core.core().filter(|_| request > 0) {
@@ -43,7 +43,7 @@
         }
     }
 
-    pub(super) fn ordered(&mut self, host: u32, reply: AdminResponse) {
+    pub(super) fn on_admin_response(&mut self, host: u32, reply: AdminResponse) {
         match reply {
             AdminResponse::Set { record, preview, dry_run: false } => {
                 self.run.orders.0 += 1;
@@ -51,7 +51,7 @@
                 for (node, _, _) in preview.changes.iter().filter(|_| record.kind == OrderKind::OutOfService)
                 {
                     let node = node.to_string();
-                    self.note(tackmast_trace::Event::Ordered { host, node: node.clone(), out: true });
+                    self.record(tackmast_trace::Event::Ordered { host, node: node.clone(), out: true });
                     // By the host's own steady clock, which may be a little early.
                     let early = (left as f64 * self.world.drift) as Us;
                     self.push(self.now + left - early, Event::OrderOver(host, node));
@@ -68,16 +68,16 @@
                 let limit = if self.mutant == Some(Mutant::PlanIgnored) { limit * 0.3 } else { limit };
                 self.acknowledged.insert(number, self.run.trace.len());
                 let in_force_us = self.now + (PLANS_SETTLE_S * 1e6) as Us;
-                self.note(tackmast_trace::Event::PlanMoved { volume: 1, limit, burst, slack, in_force_us });
+                self.record(tackmast_trace::Event::PlanMoved { volume: 1, limit, burst, slack, in_force_us });
             }
             _ => {}
         }
     }
 
     /// The host that takes changes is asked to make the limited volume's plan so many times what the settings say.
-    pub(super) fn plan(&mut self, limit_times: f64, burst_times: f64) {
+    pub(super) fn change_plan(&mut self, limit_times: f64, burst_times: f64) {
         let home = 0;
-        if !self.hosts[home].up || self.hosts[home].stands > self.now {
+        if !self.hosts[home].up || self.hosts[home].paused_until > self.now {
             return;
         }
         let now = self.time(home as u32);
@@ -98,16 +98,16 @@
         let steps = vec![tackmast_plans::Step::Plan { name, to: Some(to) }];
         let change = tackmast_plans::Change { base, steps, who: "lab".into(), why: "drawn".into() };
         core.handle_admin_request(now, 1, AdminRequest::Plan(PlanRequest::Apply { change, dry_run: false }));
-        self.pull(home as u32);
+        self.poll_host(home as u32);
     }
 
-    /// A change is in force once all hosts that its volume comes through go by it: one that was cut off learns late, and
-    /// until then it may go by the one before. A host goes by a later one as well.
-    pub(super) fn in_force(&mut self) {
+    /// Records when each change of plans was in force: once all hosts that serve its volume have adopted it or a later
+    /// one. A host that was partitioned off adopts it late, and applies the former plan until then.
+    pub(super) fn record_plan_convergence(&mut self) {
         let few = self.world.limited_hosts.min(self.world.hosts);
         for (number, at) in &self.acknowledged {
             let when = |h: u32| {
-                let later = self.went.range(number..).filter_map(|(_, went)| went.get(&h));
+                let later = self.plan_adoption.range(number..).filter_map(|(_, went)| went.get(&h));
                 later.min().copied().unwrap_or(Us::MAX)
             };
             let last = (0..few).map(when).max().unwrap_or(0);
--- a/crates/simulator/src/sim/settings.rs
+++ b/crates/simulator/src/sim/settings.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// What each host of a world is told.
+/// The settings of one host of a world.
 pub fn settings(world: &World, host: u32, mutant: Option<Mutant>) -> HostSettings {
     if let Some(day) = &world.scenario {
         let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
@@ -25,8 +25,8 @@
     let budget = "further_legs {\n  free = 3\n  share = 0.25\n  window_s = 2\n}\n";
     let (from, multiple, warm) = (world.cold_from, world.fall_multiple, world.warm_s);
     let cold = format!(
-        "cold_nodes {{\n  safe_units = {}\n  from = {from}\n  warm_s = {warm}\n  window_s = {FALL_S}\n  multiple = {multiple}\n}}\n",
-        capacity * from * multiple * FALL_S
+        "cold_nodes {{\n  safe_units = {}\n  from = {from}\n  warm_s = {warm}\n  window_s = {OVERLOAD_WINDOW_S}\n  multiple = {multiple}\n}}\n",
+        capacity * from * multiple * OVERLOAD_WINDOW_S
     );
     let volume_hosts = world.limited_hosts.min(world.hosts);
     let told = if mutant == Some(Mutant::LimitAlone) { 1 } else { volume_hosts };
--- a/crates/simulator/src/views.rs
+++ b/crates/simulator/src/views.rs
@@ -114,7 +114,7 @@
 
 /// The median difference of pairs by seed, and the interval that holds it with 95%.
 pub fn difference(baseline: &[Shown], candidate: &[Shown]) -> (f64, Option<(f64, f64)>) {
-    let late = |s: &Shown| s.settled.unwrap_or(cases::PATIENCE);
+    let late = |s: &Shown| s.settled.unwrap_or(cases::SETTLE_TIMEOUT_PERIODS);
     median_with_interval(
         baseline
             .iter()
--- a/crates/simulator/src/views/cases.rs
+++ b/crates/simulator/src/views/cases.rs
@@ -4,7 +4,8 @@
 use super::{Shown, Trial};
 
 /// Periods that a case may take to settle before it counts as one that does not.
-pub const PATIENCE: f64 = 400.0;
+pub const SETTLE_TIMEOUT_PERIODS: f64 = 400.0;
+/// The port of each host at first.
 const PORT: u16 = 7400;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -110,14 +111,17 @@
     let joins = if trial.case == Case::HalfJoins { host_count / 2 } else { host_count };
     all.iter().take(joins as usize).for_each(|p| world.start(*p));
     // Known to all, and told to all.
-    if world.until_settled(PATIENCE).is_none() && trial.fault.is_none() && trial.extensions.rejoin {
+    if world.until_settled(SETTLE_TIMEOUT_PERIODS).is_none()
+        && trial.fault.is_none()
+        && trial.extensions.rejoin
+    {
         world.shown.broken.push("not settled before the first fault".into());
     }
     world.run(25.0);
     let (began, sent) = (world.now, world.sent);
     let victim = all[world.generator.rand_range(u64::from(host_count / 2)..u64::from(host_count)) as usize];
     faults(&mut world, trial, &all, victim);
-    world.shown.settled = world.until_settled(PATIENCE);
+    world.shown.settled = world.until_settled(SETTLE_TIMEOUT_PERIODS);
     let periods = ((world.now - began) as f64 / PERIOD as f64).max(1.0);
     world.shown.bytes = (world.sent - sent) as f64 / periods / f64::from(host_count);
     // What came late must not unsettle it again.
@@ -145,7 +149,7 @@
         }
         Case::TwoParts | Case::ThreeParts => {
             let parts = if trial.case == Case::TwoParts { 2 } else { 3 };
-            world.part(|s| s * parts / host_count);
+            world.partition(|s| s * parts / host_count);
             world.run(long(host_count) / 2.0);
             // One ends on each side, and one ends and comes back, while nobody on the other can hear of it.
             for i in 0..parts {
@@ -157,7 +161,7 @@
                 .filter_map(|i| all.get((i * host_count / parts) as usize + 1))
                 .for_each(|p| world.start(*p));
             world.run(5.0);
-            world.part(|_| 0);
+            world.partition(|_| 0);
         }
         Case::Mute | Case::Deaf => {
             let slot = world.all[victim].slot as usize;
@@ -165,19 +169,19 @@
             (world.mute[slot], world.deaf[slot]) = (is_mute, !is_mute);
             world.run(long(host_count));
             (world.mute[slot], world.deaf[slot]) = (false, false);
-            world.all_heard(slot as u32);
+            world.mark_reachable_again(slot as u32);
         }
         Case::Stopped | Case::StoppedLong => {
             world.stop(victim);
             world.run(if trial.case == Case::Stopped { 10.0 } else { long(host_count) });
-            world.go_on(victim);
+            world.resume(victim);
         }
         Case::StoppedInTurn => {
             let step = (all.len() / 12).max(1);
             for p in all.iter().step_by(step) {
                 world.stop(*p);
                 world.run(4.0);
-                world.go_on(*p);
+                world.resume(*p);
             }
         }
         Case::AllAnew => {
@@ -186,7 +190,7 @@
             // The first seed is gone for good; the others have moved, and so has all that is known of them but one seed.
             for p in &all[1..] {
                 if *p != 1 {
-                    world.moves(*p, PORT + 1);
+                    world.change_address(*p, PORT + 1);
                 }
                 world.start(*p);
             }
@@ -247,7 +251,7 @@
             world.kill(victim);
             world.run(3.0);
             world.all[victim].disk = Default::default();
-            world.moves(victim, PORT + 2);
+            world.change_address(victim, PORT + 2);
             world.all[victim].site = (world.all[victim].site + 1) % 3;
             world.start(victim);
         }
@@ -257,13 +261,13 @@
             all.iter().skip(3).for_each(|p| world.start(*p));
         }
         Case::NoSeed => {
-            world.part(|s| u32::from(s >= host_count / 2));
+            world.partition(|s| u32::from(s >= host_count / 2));
             world.run(long(host_count) / 3.0);
             all.iter().for_each(|p| world.kill(*p));
             world.run(2.0);
             all.iter().for_each(|p| world.start(*p));
             world.run(long(host_count) / 3.0);
-            world.part(|_| 0);
+            world.partition(|_| 0);
         }
     }
 }
--- a/crates/simulator/src/views/world.rs
+++ b/crates/simulator/src/views/world.rs
@@ -1,5 +1,7 @@
 //! Hosts, datagrams and clocks of a trial.
 
+mod checks;
+
 use super::{Shown, Trial};
 use bytes::Bytes;
 use std::cmp::Reverse;
@@ -7,18 +9,18 @@
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_membership::{
-    Health, LeaseSettings, Member, MemberSettings, Output, PersistedMembers, PreviousExit, ViewSettings,
+    LeaseSettings, Member, MemberSettings, Output, PersistedMembers, PreviousExit, ViewSettings,
 };
 
 pub type Us = u64;
 /// Of a host's view, as its settings' default has it.
 pub const PERIOD: Us = 500_000;
 /// How often it is looked whether views have settled, and whether one did what none may.
-const LOOK: Us = 50_000;
+const CHECK_INTERVAL: Us = 50_000;
 /// Datagrams that a stopped host's socket holds.
-const SOCKET: usize = 200;
+const MAX_SOCKET_DATAGRAMS: usize = 200;
 /// For so many periods before a death its host must have been there and heard for the death to be false.
-const BEFORE: u64 = 70;
+const ALIVE_PERIODS_BEFORE_DEATH: u64 = 70;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
@@ -40,10 +42,10 @@
     pub disk: PersistedMembers,
     /// Seconds by which its wall clock is off, and the pace of its steady clock.
     pub wall_off: f64,
-    pub pace: f64,
+    pub clock_rate: f64,
     /// When it was last away, or could not be reached.
     away: Us,
-    looked: Us,
+    checked_until: Us,
     best: BTreeMap<u32, (u64, u32)>,
 }
 
@@ -67,7 +69,7 @@
     trial: Trial,
     pub shown: Shown,
     parted: Us,
-    next_look: Us,
+    next_check: Us,
     /// Accusations that processes answered which have ended.
     answered: u64,
     /// Bytes that all have sent.
@@ -78,8 +80,8 @@
     SocketAddr::from(([10, 1, (slot >> 8) as u8, slot as u8], port))
 }
 
-fn at(us: Us, pace: f64) -> Instant {
-    Instant::from_secs(us as f64 / 1e6 * pace)
+fn at(us: Us, clock_rate: f64) -> Instant {
+    Instant::from_secs(us as f64 / 1e6 * clock_rate)
 }
 
 impl World {
@@ -104,7 +106,7 @@
             shown: Shown::default(),
             parted: 0,
             sent: 0,
-            next_look: 0,
+            next_check: 0,
             answered: 0,
         }
     }
@@ -124,15 +126,15 @@
             wake: Us::MAX,
             disk: PersistedMembers::default(),
             wall_off: 0.0,
-            pace: 1.0,
+            clock_rate: 1.0,
             away: self.now,
-            looked: 0,
+            checked_until: 0,
             best: BTreeMap::new(),
         });
         self.all.len() - 1
     }
 
-    pub fn moves(&mut self, process_index: usize, port: u16) {
+    pub fn change_address(&mut self, process_index: usize, port: u16) {
         self.by_address.remove(&self.all[process_index].address);
         self.all[process_index].address = address(self.all[process_index].slot, port);
         self.by_address.insert(self.all[process_index].address, process_index);
@@ -164,12 +166,12 @@
             previous_exit: PreviousExit::Unclean,
             seed: process.generation ^ self.trial.seed << 40,
         };
-        let now = at(self.now, process.pace);
+        let now = at(self.now, process.clock_rate);
         let member = match self.trial.fault {
             Some(f) => Member::with_fault(now, settings, f),
             None => Member::new(now, settings),
         };
-        (process.stopped, process.away, process.looked, process.best) =
+        (process.stopped, process.away, process.checked_until, process.best) =
             (false, self.now, self.now, BTreeMap::new());
         process.held.clear();
         if member.view.live_count() > 0 {
@@ -190,23 +192,23 @@
         self.all[process_index].stopped = true;
     }
 
-    /// It goes on: what its socket held comes first, then its own time.
-    pub fn go_on(&mut self, process_index: usize) {
+    /// Resumes a stopped process: first it receives what its socket has buffered, then its timers fire.
+    pub fn resume(&mut self, process_index: usize) {
         (self.all[process_index].stopped, self.all[process_index].away) = (false, self.now);
         for (from, bytes) in std::mem::take(&mut self.all[process_index].held) {
-            self.get(process_index, from, bytes);
+            self.receive(process_index, from, bytes);
         }
         self.push(self.now, process_index, Event::Wake(0));
     }
 
     /// All ways between groups are cut, or whole again.
-    pub fn part(&mut self, group: impl Fn(u32) -> u32) {
+    pub fn partition(&mut self, group: impl Fn(u32) -> u32) {
         self.parted = self.now;
         self.groups = (0..self.hosts).map(group).collect();
     }
 
     /// That number is heard again from here on: it was away until now.
-    pub fn all_heard(&mut self, slot: u32) {
+    pub fn mark_reachable_again(&mut self, slot: u32) {
         let now = self.now;
         self.all.iter_mut().filter(|x| x.slot == slot).for_each(|x| x.away = now);
     }
@@ -219,9 +221,9 @@
     pub fn run(&mut self, periods: f64) {
         let end = self.now + (periods * PERIOD as f64) as Us;
         while self.now < end {
-            let next = (self.now + LOOK).min(end);
+            let next = (self.now + CHECK_INTERVAL).min(end);
             self.run_until(next);
-            self.look();
+            self.check_views();
         }
     }
 
@@ -235,7 +237,7 @@
                     if process.wake <= t {
                         process.wake = Us::MAX;
                     }
-                    let now = at(t, process.pace);
+                    let now = at(t, process.clock_rate);
                     if let Some(m) = process.member.as_mut().filter(|_| !process.stopped) {
                         m.handle_timeout(now);
                         self.pull(p);
@@ -243,8 +245,8 @@
                 }
                 Event::Datagram(from, to, bytes) if self.all[p].address == to => {
                     if !self.all[p].stopped {
-                        self.get(p, from, bytes);
-                    } else if self.all[p].held.len() < SOCKET {
+                        self.receive(p, from, bytes);
+                    } else if self.all[p].held.len() < MAX_SOCKET_DATAGRAMS {
                         self.all[p].held.push((from, bytes));
                     }
                 }
@@ -254,9 +256,9 @@
         self.now = end;
     }
 
-    fn get(&mut self, process_index: usize, from: SocketAddr, bytes: Vec<u8>) {
+    fn receive(&mut self, process_index: usize, from: SocketAddr, bytes: Vec<u8>) {
         let process = &mut self.all[process_index];
-        let now = at(self.now, process.pace);
+        let now = at(self.now, process.clock_rate);
         if let Some(m) = &mut process.member {
             m.handle_datagram(now, from, Bytes::from(bytes));
             self.pull(process_index);
@@ -283,7 +285,7 @@
         }
         let process = &mut self.all[process_index];
         let Some(m) = &process.member else { return };
-        let wake = ((m.poll_timeout().secs() / process.pace * 1e6) as Us).max(self.now + 1);
+        let wake = ((m.poll_timeout().secs() / process.clock_rate * 1e6) as Us).max(self.now + 1);
         if wake < process.wake {
             process.wake = wake;
             self.push(wake, process_index, Event::Wake(0));
@@ -306,111 +308,6 @@
         }
     }
 
-    /// Whether that number was away, or cut off from the other, lately.
-    fn was_away(&self, slot: u32, from: u32, since: Us) -> bool {
-        let of = self.all.iter().filter(|x| x.slot == slot);
-        of.clone().all(|x| x.member.is_none())
-            || of.into_iter().any(|x| x.away >= since || x.stopped)
-            || self.parted >= since
-            || self.groups[slot as usize] != self.groups[from as usize]
-            || self.mute[slot as usize]
-            || self.deaf[slot as usize]
-    }
-
-    /// What no view may do, and deaths of hosts that were there.
-    fn look(&mut self) {
-        // Each view has as many lines as there are hosts: large fleets are looked at once a period.
-        let every = match self.hosts {
-            0..=100 => LOOK,
-            101..=400 => PERIOD,
-            _ => 4 * PERIOD,
-        };
-        if self.now < self.next_look {
-            return;
-        }
-        self.next_look = self.now + every;
-        let running: HashMap<(u32, u64), SocketAddr> = self
-            .all
-            .iter()
-            .filter(|x| x.member.is_some())
-            .map(|x| ((x.slot, x.generation), x.address))
-            .collect();
-        for p in 0..self.all.len() {
-            if self.all[p].stopped {
-                continue;
-            }
-            let Some(m) = &self.all[p].member else { continue };
-            let (pace, looked, slot) = (self.all[p].pace, self.all[p].looked, self.all[p].slot);
-            let new = m.view.deaths().filter(|d| d.at > at(looked, pace));
-            let new: Vec<(u32, bool)> = new.map(|d| (d.slot, d.declared_here)).collect();
-            let mut broken = Vec::new();
-            let mut best = std::mem::take(&mut self.all[p].best);
-            for (k, s) in &self.all[p].member.as_ref().map(Member::snapshot).unwrap_or_default() {
-                let word = (s.generation, s.incarnation);
-                let known = best.entry(*k).or_insert(word);
-                if word < *known {
-                    broken.push(format!("host {slot} went back on host {k}: {known:?}, then {word:?}"));
-                }
-                *known = word;
-                if let Some(a) = running.get(&(*k, s.generation)).filter(|a| **a != s.address) {
-                    broken.push(format!("host {slot} has host {k} at {}, it is at {a}", s.address));
-                }
-            }
-            let seen = self.all[p].member.as_ref().map(Member::snapshot).unwrap_or_default();
-            for k in best.keys() {
-                if !seen.contains_key(k) {
-                    broken.push(format!("host {slot} has forgotten host {k}"));
-                }
-            }
-            self.all[p].best = best;
-            self.shown.broken.extend(broken);
-            self.shown.broken.truncate(20);
-            let since = self.now.saturating_sub(BEFORE * PERIOD);
-            for (k, own) in new {
-                if !self.was_away(k, slot, since) {
-                    self.shown.false_deaths += u64::from(own);
-                    self.shown.false_views += 1;
-                }
-            }
-            self.all[p].looked = self.now;
-        }
-    }
-
-    /// The process that has a number: the one of the latest generation that runs.
-    fn holder(&self, slot: u32) -> Option<&Process> {
-        let of = self.all.iter().filter(|x| x.slot == slot && x.member.is_some());
-        of.max_by_key(|x| x.member.as_ref().map(|m| m.view.me().generation))
-    }
-
-    /// Settled: all that run hold all that run alive, with their generations, addresses and sites, and the others not; and their
-    /// digests are one.
-    pub fn is_settled(&self) -> bool {
-        let holders: Vec<&Process> = (0..self.hosts).filter_map(|s| self.holder(s)).collect();
-        let digest = |x: &&Process| x.member.as_ref().map(|m| m.view.digest());
-        let Some(first) = holders.first() else { return true };
-        if holders.len() > 1 && digest(first) != holders.last().and_then(digest) {
-            return false;
-        }
-        if holders.iter().any(|x| digest(x) != digest(first)) {
-            return false;
-        }
-        // All digests are one, so one view is looked at whole, and each for its own number.
-        let Some(m) = &first.member else { return false };
-        let seen = m.snapshot();
-        let others = holders.iter().skip(1);
-        let all_right = others.clone().all(|x| {
-            let Some(own) = x.member.as_ref().map(|m| m.view.me()) else { return false };
-            seen.get(&x.slot).is_some_and(|s| {
-                let right = (s.generation, s.address, s.site) == (own.generation, x.address, Some(x.site));
-                right && s.health == Health::Alive && own.address == x.address
-            })
-        });
-        let displaced = holders.iter().any(|x| x.member.as_ref().is_some_and(|m| m.view.is_displaced()));
-        let away = |s: &tackmast_membership::MemberState| matches!(s.health, Health::Dead | Health::Left);
-        let others_away = seen.iter().all(|(k, s)| holders.iter().any(|x| x.slot == *k) || away(s));
-        all_right && others_away && !displaced
-    }
-
     /// Runs until it has settled; periods from now, none after the patience.
     pub fn until_settled(&mut self, patience: f64) -> Option<f64> {
         let start = self.now;
@@ -422,19 +319,7 @@
             if periods >= patience {
                 return None;
             }
-            self.run(LOOK as f64 / PERIOD as f64);
+            self.run(CHECK_INTERVAL as f64 / PERIOD as f64);
         }
     }
-
-    /// Accusations of hosts that were there, answered by them.
-    pub fn accused(&self) -> u64 {
-        let now = self.all.iter().filter_map(|x| x.member.as_ref()).map(|m| m.view.counters.accused);
-        self.answered + now.sum::<u64>()
-    }
-
-    /// Whether all that run hold that number dead.
-    pub fn all_miss(&self, slot: u32) -> bool {
-        let dead = |m: &Member| m.snapshot().get(&slot).is_some_and(|s| s.health == Health::Dead);
-        self.all.iter().filter(|x| x.slot != slot).filter_map(|x| x.member.as_ref()).all(dead)
-    }
 }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -43,7 +43,7 @@
     Split(f64),
     /// A host leaves in order, and its next generation starts at the end.
     HostLeaves,
-    /// A host stands still, and goes on at the end as if nothing had been.
+    /// A host is paused, and resumes at the end with the state that it had.
     HostStands,
     /// Of the limited volume's commands, so large a part comes through one of its hosts.
     Busiest(f64, u32),
--- a/crates/simulator/tests/agreed.rs
+++ b/crates/simulator/tests/agreed.rs
@@ -1,31 +1,37 @@
-//! The agreement in virtual time: walks and all orders to a depth find nothing, and find each deliberate fault.
+//! Consensus in virtual time: random walks and an exhaustive search of short orders find no violation in the replica, and
+//! find each deliberate fault.
 
 use tackmast_simulator::{
     explore, find_fault, run_random_walk, simulate_fleet, ConsensusFault, FleetTrial, RandomWalk,
 };
 
+/// Random walks of messages, crashes, partitions and lost disks over a consensus group. No step may violate a safety
+/// property, and the walks must commit enough entries for that to mean something.
 #[test]
-fn walks_find_nothing_that_must_not_be() {
+fn random_walks_violate_no_safety_property() {
     let mut committed = 0;
     for seed in 20_000..20_150 {
         let w = run_random_walk(&RandomWalk::drawn(seed, 800, None));
         assert_eq!(w.broken, None, "walk {seed}, {:?}", w.disk_and_voter_changes);
         committed += w.committed;
     }
-    // They go somewhere: a walk on which nothing is agreed on shows nothing.
+    // A walk on which nothing is committed shows nothing.
     assert!(committed > 150 * 10, "{committed}");
 }
 
+/// Three voters have a leader with a change under way. All orders of three steps are tried from there, and none may violate
+/// a safety property.
 #[test]
-fn all_orders_to_a_depth_of_three() {
+fn all_orders_of_three_steps_violate_no_safety_property() {
     let e = explore(3, None);
     assert_eq!(e.broken, None);
     assert!(e.states > 5_000, "{}", e.states);
 }
 
+/// A replica is given one deliberate fault at a time. Random walks must find each, or they would not find a real one either.
 #[test]
-fn deliberate_faults_are_found() {
-    // Those that take thousands of walks are looked for by `tackmast simulator agree --faults`.
+fn random_walks_find_deliberate_faults() {
+    // The others take thousands of walks: `tackmast simulator agree --faults` looks for them.
     let quick = [
         ConsensusFault::AckBeforePersist,
         ConsensusFault::StaleRead,
@@ -41,8 +47,10 @@
     }
 }
 
+/// Twenty hosts with three voters lose 2% of their messages, then their leader, then a third of the hosts by a partition.
+/// Changes are committed quickly all the while, and a host that is cut off acts on an older state for at most its lease.
 #[test]
-fn a_fleet_agrees_soon_and_ends_contradictions_within_the_lease() {
+fn fleet_commits_quickly_and_stale_state_ends_with_the_lease() {
     let f = simulate_fleet(&FleetTrial { hosts: 20, voters: 3, seed: 5, loss: 0.02 });
     assert_eq!(f.broken, Vec::<String>::new());
     assert!(f.begins < 10.0 && f.all_know.0 < 1.0 && f.commits > 20.0 && f.leaderless < 10.0, "{f:?}");
--- a/crates/simulator/tests/lab.rs
+++ b/crates/simulator/tests/lab.rs
@@ -1,10 +1,11 @@
-//! The laboratory itself: a seed replays to the byte, clean seeds stay clean, and deliberate faults are found.
+//! The simulator itself: a seed replays to the byte, clean seeds stay clean, and deliberate faults are found.
 
 use tackmast_scenario::Script;
 use tackmast_simulator::{hunt, play, shrink, shrink_worse, worse_than, Mutant, ReferenceModel, World};
 
+/// A violation is investigated by playing its seed again, so that a seed must give the same trace to the byte, on any thread.
 #[test]
-fn a_seed_is_one_run_to_the_byte_on_any_thread() {
+fn same_seed_gives_the_same_trace_on_any_thread() {
     let digest = |seed| play(&World::generate(seed, 6), None).run.digest();
     let here: Vec<u32> = (1..5).map(digest).collect();
     let there: Vec<_> = (1..5).map(|s| std::thread::spawn(move || digest(s))).collect();
@@ -13,8 +14,10 @@
     assert_ne!(here[0], here[1]);
 }
 
+/// Worlds with random faults are played seed after seed. No invariant may break, and when all is over no request, attempt
+/// or call may be left in a table.
 #[test]
-fn seeds_keep_all_rules_and_leave_nothing_behind() {
+fn seeds_break_no_invariant_and_leave_nothing_open() {
     let mut exercised = [0; 7];
     // A debug build is ten times slower; CI runs this one optimised as well.
     let seeds = if cfg!(debug_assertions) { 40 } else { 300 };
@@ -28,17 +31,21 @@
     assert!(exercised.iter().all(|n| *n > 50), "{exercised:?}");
 }
 
+/// Seeds that once broke the invariant on warming up: nodes that restart together, fail quickly, or start under wrong
+/// clocks got more load than they can bear. Found by the hunt.
 #[test]
-fn quick_errors_of_cold_nodes_do_not_let_more_through() {
-    // Found by the hunt: all nodes restart while one fails most of what it gets at once; the same where a node bears
-    // little more than it can do; hosts whose wall clocks are a minute off, and a list that does not tell its own; nodes
-    // that are quick with a piece of data that all ask for.
+fn warming_nodes_that_fail_quickly_get_no_more_load() {
+    // In order: all nodes restart while one fails most of its requests at once; the same where a node bears little more
+    // than its capacity; hosts whose wall clocks are a minute off, with an endpoint list without a clock; nodes that cache
+    // an object that all clients read.
     for (seed, hosts) in [(223, 10), (200_824, 5), (200_122, 23), (153, 34)] {
         let found = play(&World::generate(seed, hosts), None);
         assert!(!found.is_bad() && found.report.rule(4).checked > 100, "seed {seed}\n{}", found.report);
     }
 }
 
+/// The host core is given one deliberate fault at a time. The hunt must find each within its number of seeds, and shrinking
+/// a find must leave a find.
 #[test]
 fn deliberate_faults_are_found_and_shrink() {
     // The fault, hosts, and the seeds within which it must be found.
@@ -65,10 +72,10 @@
     }
 }
 
+/// A light workload over many nodes, each of which rarely gets a request. Nearly all requests must be done in time: a quiet
+/// node once took far too long, because the simulator advanced a node only when something arrived at it.
 #[test]
-fn a_light_load_from_a_file_is_served_at_once_by_nodes_that_keep_their_own_time() {
-    // Found by holding the lab against loopback: nodes were looked at only when something came, so that a quiet node took
-    // far too long, and the more so the more nodes there were.
+fn light_workload_is_served_in_time_by_many_quiet_nodes() {
     let load = tackmast_workload::Workload::parse(
         "light",
         "load {\n seconds = 4\n seed = 1\n}\nflow \"f\" {\n volume = \"museum\"\n rate = 60\n writes = 0.3\n blocks = [1, 8]\n span = 50000\n}\n",
@@ -84,8 +91,10 @@
     }
 }
 
+/// A generated world is scaled down, exported as a scenario script and read back. The script must ask for about as much and
+/// be served about as well.
 #[test]
-fn a_world_kept_as_a_script_plays_like_the_world() {
+fn exported_world_plays_like_the_world() {
     // Seed, hosts, and hosts it is scaled down to: all that it asks and how it is served stays near.
     for (seed, hosts, scaled) in [(12, 8, 8), (14, 6, 6), (12, 20, 4)] {
         let mut w = World::generate(seed, hosts);
@@ -103,16 +112,20 @@
     }
 }
 
+/// A find is shrunk and exported as a scenario script. Played from the script it must still be a find, and be clean without
+/// the deliberate fault.
 #[test]
-fn a_find_that_is_kept_is_one_again() {
+fn exported_find_is_found_again() {
     let found = hunt(1, 10, 6, Some(Mutant::AnswerTwice)).expect("found in the test above");
     let less = shrink(&World::generate(found.seed, 6), Some(Mutant::AnswerTwice));
     let (again, _) = World::of_script(Script::parse("kept", &less.to_script()).unwrap(), found.seed);
     assert!(play(&again, Some(Mutant::AnswerTwice)).is_bad() && !play(&again, None).is_bad());
 }
 
+/// The scenario scripts that are otherwise played through sockets are played in virtual time, with four seeds each. No
+/// invariant may break and no node may collapse.
 #[test]
-fn the_hard_days_play_in_virtual_time_with_all_rules_kept() {
+fn scenario_scripts_break_no_invariant_in_virtual_time() {
     let days = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios");
     let mut played = 0;
     for entry in std::fs::read_dir(&days).unwrap() {
@@ -131,15 +144,17 @@
     assert!(played >= 8, "{played} days");
 }
 
+/// The hunt for worlds in which a reference model serves better than the host core: under a light load it must find no
+/// difference, and in an overload the difference must survive shrinking.
 #[test]
-fn the_worst_service_against_a_plain_host_is_found_and_shrinks() {
-    // A light load with nothing wrong: a host that holds nothing back can't be far ahead.
+fn worlds_where_a_reference_model_does_better_are_found_and_shrink() {
+    // Under a light load without faults a host without any guard can't be far ahead.
     let mut calm = World::generate(3, 4);
     calm.faults.clear();
     calm.rate *= 0.2;
-    // It is held to the same limits, as the core is.
+    // The reference model is held to the same limits as the core.
     assert!(worse_than(&calm, ReferenceModel::Buckets) < 0.02);
-    // In an overload a plain host is far behind, and what of the world is not needed for that falls away.
+    // In an overload a reference model is far behind, and shrinking removes what is not needed for that.
     let mut w = World::generate(3, 4);
     w.rate *= 4.0;
     let worse = worse_than(&w, ReferenceModel::Fcfs);
@@ -148,8 +163,10 @@
     assert!(less.faults.len() <= w.faults.len() && worse_than(&less, ReferenceModel::Fcfs) >= worse * 1.5);
 }
 
+/// A comparison plays the same world under variants. A variant without a retry budget must retry nothing, one with a longer
+/// latency objective must be in time more often, and one with a node out of service must send nothing there.
 #[test]
-fn variants_by_setting_and_by_order_change_what_they_name() {
+fn variants_change_what_they_name() {
     use tackmast_simulator::Change;
     let of = |change: Change| {
         let mut w = Change { seconds: Some(5.0), ..change }.of(7, 6);
@@ -172,8 +189,10 @@
     assert!(at_first(&out) * 10 < at_first(&plain), "{} and {}", at_first(&plain), at_first(&out));
 }
 
+/// Operators change the limit of a volume while its hosts are killed, stopped and partitioned. All hosts together must keep
+/// to the limits that may be in force, and most changes must be adopted in time.
 #[test]
-fn limits_that_move_are_kept_by_all_hosts_together_on_every_seed() {
+fn changed_limits_are_kept_by_all_hosts_together() {
     // Hosts; of the seeds drawn for each, those on which operators move a plan. The rule checker judges by what may count.
     let (mut acknowledged, mut soon, mut checked) = (0, 0, 0);
     let hosts = if cfg!(debug_assertions) { &[4u32, 9][..] } else { &[4, 9, 30, 140] };
--- a/crates/simulator/tests/members.rs
+++ b/crates/simulator/tests/members.rs
@@ -1,10 +1,13 @@
-//! Hosts that know of each other, in virtual time.
+//! Membership among hosts, and quota leases between them, in virtual time.
 
 use tackmast_simulator::{fleet, play, Change, Found};
 
+/// Fleets of 3 to 40 hosts, with up to 15% of datagrams lost, go through a start, kills, a restart without reachable seeds,
+/// a partition, flapping links and changes of plans. Views and overrides must converge within the bounds, without a false
+/// death and without an override that comes back after its end.
 #[test]
-fn fleets_know_and_miss_each_other_and_orders_meet() {
-    // Hosts, and the part of datagrams that is lost.
+fn fleets_detect_failures_and_views_and_overrides_converge() {
+    // Hosts, and the fraction of datagrams that is lost.
     for (hosts, loss) in [(3, 0.0), (12, 0.0), (12, 0.15), (40, 0.02)] {
         let f = fleet(hosts, loss, 7);
         assert!(f.all_known_s.is_some_and(|s| s < 10.0), "{f:?}");
@@ -28,9 +31,10 @@
     play(&w, None)
 }
 
+/// Most requests of a limited volume come through one host of ten, or half of its hosts leave. With quota leases between
+/// hosts more of the limit must be used than without, and the limit must hold.
 #[test]
-fn what_is_lent_serves_more_and_passes_no_limit() {
-    // Most comes through one host of ten, which changes; half of the hosts leave.
+fn quota_leases_serve_more_within_the_limit() {
     for (name, change) in [
         (
             "busiest",
--- a/crates/simulator/tests/views.rs
+++ b/crates/simulator/tests/views.rs
@@ -1,5 +1,5 @@
-//! Views of fleets under faults, in virtual time: every case settles, no view does what none may, and each deliberate
-//! fault of the view is found.
+//! Membership views of fleets under faults, in virtual time: every case settles, no view does what it must never do, and
+//! each deliberate fault of the view is found.
 
 use tackmast_simulator::{find, view, Case, Extensions, Trial, ViewFault};
 
@@ -7,13 +7,15 @@
     Trial { case, hosts, seed, extensions: Extensions::all(), fault: None }
 }
 
+/// Fleets of 3 to 24 hosts go through each hard case: kills, partitions, restarts, lost datagrams. After the last fault all
+/// views must settle, none may do what a view must never do, and hosts that were alive must not be declared dead.
 #[test]
-fn every_case_settles_and_no_view_does_what_none_may() {
+fn every_case_settles_without_a_broken_view() {
     for case in Case::ALL {
         for (hosts, seed) in [(3, 1), (12, 1), (12, 2), (24, 3)] {
             let shown = view(&trial(case, hosts, seed));
             assert!(!shown.is_bad(), "{} of {hosts}, seed {seed}: {shown:?}", case.name());
-            // A host that hears nobody for long takes itself for alone; nobody else may find a false death.
+            // A host that receives nothing for long declares all others dead; no other host may declare a false death.
             let by_deaf = if case == Case::Deaf { u64::from(hosts) - 1 } else { 0 };
             let bound = if case == Case::Lossy { 2 } else { 0 } + by_deaf;
             assert!(shown.false_deaths <= bound, "{} of {hosts}, seed {seed}: {shown:?}", case.name());
@@ -21,25 +23,29 @@
     }
 }
 
+/// A failure is investigated by playing its seed again, so that one seed must give one run.
 #[test]
-fn the_same_seed_is_the_same_run() {
-    let words = |seed| format!("{:?}", view(&trial(Case::Lossy, 12, seed)));
-    assert_eq!(words(4), words(4));
-    assert_ne!(words(4), words(5));
+fn same_seed_gives_the_same_run() {
+    let shown = |seed| format!("{:?}", view(&trial(Case::Lossy, 12, seed)));
+    assert_eq!(shown(4), shown(4));
+    assert_ne!(shown(4), shown(5));
 }
 
+/// The view is given one deliberate fault at a time. The cases must find each within three seeds.
 #[test]
-fn each_fault_of_the_view_is_found_within_three_seeds() {
+fn each_deliberate_view_fault_is_found_within_three_seeds() {
     for fault in ViewFault::ALL {
         let found = find(fault, 12, 1, 3);
         assert!(found.is_some(), "{fault:?}");
     }
 }
 
+/// Each extension of SWIM is switched off in the case that it is for. The fleet must then settle later, or accuse and bury
+/// more hosts that were alive.
 #[test]
-fn each_addition_is_needed_where_it_is_for() {
-    // Without it: later, or more false deaths and accusations, over the same seeds. What a host's own pauses are for is shown
-    // by the view alone (crates/membership/tests/view.rs): here local health covers it.
+fn each_extension_improves_the_case_it_is_for() {
+    // Detection of a host's own pauses is tested on the view alone (crates/membership/tests/view.rs): here local health
+    // covers it.
     let all = Extensions::all();
     let cases = [
         ("local health", Case::Mute, Extensions { local_health: false, ..all }),
