--- a/crates/cli/src/planner.rs
+++ b/crates/cli/src/planner.rs
@@ -262,7 +262,7 @@
         let load = tackmast_workload::Workload::read(file).map_err(|e| e.to_string())?;
         let mut w = World::generate(seed, hosts);
         w.faults.clear();
-        (w.nodes, w.clients, w.unit_s, w.saved) = (nodes, [0, 0], 0.004, 0.0);
+        (w.nodes, w.clients, w.unit_s, w.cache_savings) = (nodes, [0, 0], 0.004, 0.0);
         (w.wall_off_s, w.drift, w.members) = (0.0, 0.0, None);
         w.seconds = load.seconds + 0.5;
         w.load = Some(std::sync::Arc::new(load.clone()));
--- a/crates/cli/src/simulator.rs
+++ b/crates/cli/src/simulator.rs
@@ -179,7 +179,7 @@
                     .map_err(|e| format!("{}: {e}", path.display()))?;
             }
             if let Some(path) = report {
-                std::fs::write(&path, page(&world, &found, &text)?)
+                std::fs::write(&path, page(&world, &found, &text).map_err(|error| error.to_string())?)
                     .map_err(|e| format!("{}: {e}", path.display()))?;
             }
             println!(
@@ -347,9 +347,9 @@
         world.wall_off_s,
         world.drift * 1e6,
         world.list_late_us as f64 / 1e3,
-        world.cold_from,
-        world.fall_multiple,
-        world.warm_s
+        world.initial_capacity,
+        world.overload_multiple,
+        world.warm_up_s
     );
     for t in &world.faults {
         let host = t.host.map_or(String::new(), |h| format!(", host {h}"));
--- a/crates/simulator/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -21,6 +21,7 @@
     pub deadline: u64,
 }
 
+/// A client of one volume: the core of the client library, and its connections.
 pub struct Client {
     pub host: u32,
     pub lun: u32,
@@ -39,6 +40,7 @@
     pub pipe: Option<Pipe>,
 }
 
+/// The open connection between a client and a session of its host.
 pub struct Pipe {
     pub session: AnySession,
     /// The session's number at the host.
@@ -50,6 +52,7 @@
 }
 
 impl Client {
+    /// A client without connections.
     pub fn new(now: Instant, host: u32, nbd: bool, volume: VolumeAddress, seed: u64) -> Client {
         let lun = volume.lun;
         let new = move || -> Box<dyn Transport> {
@@ -83,6 +86,7 @@
         Pipe { session, number: u32::from(number), last: [0; 2], began: BTreeMap::new() }
     }
 
+    /// The open connection of a slot, if the slot still has that generation.
     pub fn pipe_of(&mut self, slot: usize, generation: u64) -> Option<&mut Pipe> {
         self.slots.get_mut(slot).filter(|s| s.generation == generation).and_then(|s| s.pipe.as_mut())
     }
--- a/crates/simulator/src/compare.rs
+++ b/crates/simulator/src/compare.rs
@@ -46,6 +46,7 @@
 }
 
 impl Change {
+    /// The world of a seed, with these values in place of the generated ones.
     pub fn of(&self, seed: u64, hosts: u32) -> World {
         let mut world = World::generate(seed, self.hosts.unwrap_or(hosts));
         world.nodes = self.nodes.unwrap_or(world.nodes);
@@ -135,6 +136,7 @@
     (median, (k > 0).then(|| (values[k - 1], values[count - k])))
 }
 
+/// One metric under two variants: medians, and the median of the paired differences with its 95% interval.
 pub struct MetricComparison {
     pub name: String,
     pub baseline: f64,
--- a/crates/simulator/src/consensus/explore.rs
+++ b/crates/simulator/src/consensus/explore.rs
@@ -4,6 +4,7 @@
 use super::world::World;
 use tackmast_consensus::ConsensusFault;
 
+/// How many states were reached, and the first violation.
 #[derive(Clone, Debug, Default)]
 pub struct Explored {
     pub states: u64,
--- a/crates/simulator/src/consensus/fleet/measurement.rs
+++ b/crates/simulator/src/consensus/fleet/measurement.rs
@@ -1,4 +1,4 @@
-//! What a fleet is measured at: its start, at rest, under load, after the death of its leader and during a partition.
+//! The phases of a measurement: the start of the fleet, rest, load, the death of its leader, and a partition.
 
 use super::{at, ConsensusFigures, Fleet, FleetTrial, Host, Us};
 use tackmast_consensus::Replica;
--- a/crates/simulator/src/consensus/world.rs
+++ b/crates/simulator/src/consensus/world.rs
@@ -19,6 +19,7 @@
 /// Bound on messages in flight; beyond it the oldest message is lost.
 const MAX_MESSAGES_IN_FLIGHT: usize = 60;
 
+/// A host that runs a replica: its disk, its clock and what the checks remember of it.
 #[derive(Clone)]
 pub struct Process {
     pub replica: Option<Replica>,
@@ -36,6 +37,7 @@
     reads: Vec<(u32, u64)>,
 }
 
+/// A message that was sent and not delivered yet.
 #[derive(Clone, Debug)]
 pub struct MessageInFlight {
     pub from: u32,
@@ -43,6 +45,7 @@
     pub message: Message,
 }
 
+/// A consensus group in virtual time, and what is known of it across all hosts.
 #[derive(Clone)]
 pub struct World {
     pub now: f64,
@@ -71,6 +74,7 @@
 }
 
 impl World {
+    /// A group whose hosts have all just started. `clock_rate` gives the rate of each host's clock.
     pub fn new(
         voters: u32,
         followers: u32,
@@ -118,10 +122,12 @@
         world
     }
 
+    /// What a host's steady clock shows.
     pub fn clock(&self, host: usize) -> Instant {
         Instant::from_secs(self.now * self.all[host].clock_rate + self.all[host].offset)
     }
 
+    /// Starts the process of a host from its disk.
     pub fn start(&mut self, host: usize) {
         self.generations += 1;
         let (now, generation, settings, fault, voters) =
@@ -157,6 +163,7 @@
         self.all[host].disk.pending.clear();
     }
 
+    /// Restarts a host with an empty disk.
     pub fn wipe(&mut self, host: usize) {
         self.crash(host);
         self.generations += 1;
@@ -164,10 +171,12 @@
         self.start(host);
     }
 
+    /// Whether the process of a host is up and not stopped.
     pub fn runs(&self, host: usize) -> bool {
         self.all[host].replica.is_some() && !self.all[host].stopped
     }
 
+    /// Lets time pass, and fires the timers of all hosts.
     pub fn pass(&mut self, seconds: f64) {
         self.now += seconds;
         for h in 0..self.all.len() {
@@ -175,6 +184,7 @@
         }
     }
 
+    /// Fires the timers of one host that are due.
     pub fn handle_timeout(&mut self, host: usize) {
         if !self.runs(host) {
             return;
@@ -208,6 +218,7 @@
         self.collect(host);
     }
 
+    /// Delivers a message in flight; with `again` a copy of it stays in flight.
     pub fn deliver(&mut self, message_index: usize, again: bool) {
         let in_flight =
             if again { self.in_flight[message_index].clone() } else { self.in_flight.remove(message_index) };
@@ -224,6 +235,7 @@
         self.collect(to);
     }
 
+    /// Proposes a change at a host.
     pub fn change(&mut self, host: usize) {
         if !self.runs(host) {
             return;
@@ -236,6 +248,7 @@
         self.collect(host);
     }
 
+    /// Begins a linearizable read at a host.
     pub fn read(&mut self, host: usize) {
         if !self.runs(host) {
             return;
--- a/crates/simulator/src/consensus/world/checks.rs
+++ b/crates/simulator/src/consensus/world/checks.rs
@@ -83,6 +83,7 @@
         (0..self.all.len()).for_each(|h| self.check(h));
     }
 
+    /// The index of the newest entry that is known to be committed anywhere.
     pub fn committed(&self) -> u64 {
         self.ledger.keys().last().copied().unwrap_or(0)
     }
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -18,6 +18,7 @@
 /// Nothing is waited for longer.
 const WAIT_TIMEOUT: Us = 120 * SECOND;
 
+/// What a membership fleet has shown.
 #[derive(Clone, Debug, Default)]
 pub struct FleetFigures {
     pub hosts: u32,
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,5 +1,9 @@
-//! The laboratory: the very host core that `tackmast serve` runs, with the node protocol's codec, on simulated links and
-//! nodes, in virtual time. One seed gives one run, to the byte. Figures are of models.
+//! The simulator: the very host core that `tackmast serve` runs, with the node protocol's codec, on simulated links and
+//! nodes in virtual time. One seed gives one run, to the byte. Its figures are of models, not of machines.
+//!
+//! `world` generates a world from a seed, `sim` plays it, and the invariants judge the trace. `scenario_script` plays a
+//! scenario's script instead, and `script_export` writes a world as one. `compare` plays pairs of variants, `report` draws a
+//! page. `consensus`, `views` and `fleet` simulate those parts of a host alone.
 
 mod clients;
 mod compare;
@@ -18,12 +22,12 @@
 pub use consensus::{simulate_fleet, ConsensusFigures, FleetTrial};
 pub use fleet::{fleet, FleetFigures};
 pub use reference_model::ReferenceModel;
-pub use report::{curves, page, Series};
+pub use report::{curves, page, ReportError, Series};
 pub use scenario_script::ScenarioScript;
 pub use sim::{run, settings, Class, Mutant, Run};
 pub use tackmast_consensus::ConsensusFault;
 pub use tackmast_membership::{Extensions, ViewFault};
-pub use views::{difference, find, summary, view, Case, Shown, Summary, Trial};
+pub use views::{difference, find, summary, view, Case, Shown, Summary, Trial, UnknownCase};
 pub use world::{FaultKind, InjectedFault, World};
 
 use tackmast_invariants::{judge, Report};
@@ -35,33 +39,35 @@
     pub run: Run,
 }
 
+/// Plays a world, and judges its trace by the invariants.
 pub fn play(world: &World, mutant: Option<Mutant>) -> Found {
     play_with(world, mutant, None)
 }
 
-/// With a plain host in the core's place, where one is given.
+/// Plays a world with a reference model in the place of the host core, where one is given.
 pub fn play_with(world: &World, mutant: Option<Mutant>, reference_model: Option<ReferenceModel>) -> Found {
     let run = run(world, mutant, reference_model);
     Found { seed: world.seed, report: judge(&run.trace), run }
 }
 
-/// Plays seeds one after the other until one breaks a rule, leaves a request stuck, or the count is reached.
+/// Plays up to `count` seeds one after the other until one is a find (`Found::is_bad`).
 pub fn hunt(first: u64, count: u64, hosts: u32, mutant: Option<Mutant>) -> Option<Found> {
     (first..first + count).map(|seed| play(&World::generate(seed, hosts), mutant)).find(Found::is_bad)
 }
 
 impl Found {
+    /// Whether an invariant broke, something stayed open, or a call was answered after its deadline.
     pub fn is_bad(&self) -> bool {
         !self.report.is_clean() || self.run.stuck > 0 || self.run.calls_late > 0
     }
 }
 
-/// Takes troubles away one by one, and hosts, for as long as the find stays one.
+/// Removes faults one by one, and then hosts, for as long as the world still shows what was found.
 pub fn shrink(world: &World, mutant: Option<Mutant>) -> World {
     shrink_while(world, &|w| play(w, mutant).is_bad())
 }
 
-/// How much more of what is asked a plain host answers in time than the core does, in this world.
+/// The fraction of requests in time under a reference model, less that under the host core, in this world.
 pub fn worse_than(world: &World, reference_model: ReferenceModel) -> f64 {
     let in_time = |p| {
         let run = play_with(world, None, p).run;
@@ -70,14 +76,14 @@
     in_time(Some(reference_model)) - in_time(None)
 }
 
-/// The same world without orders of operators, which plain hosts do not obey: what they forbid is no lack of service.
+/// The same world without operators' overrides. Reference models ignore overrides, so that the two would not be comparable.
 pub fn without_orders(world: &World) -> World {
     let mut changed = world.clone();
     changed.faults.retain(|t| !matches!(t.kind, FaultKind::Order(..)));
     changed
 }
 
-/// The same, for as long as so much of the difference stays.
+/// Shrinks a world for as long as the difference to a reference model stays at least `least`.
 pub fn shrink_worse(world: &World, reference_model: ReferenceModel, least: f64) -> World {
     shrink_while(world, &|w| worse_than(w, reference_model) >= least)
 }
@@ -94,7 +100,7 @@
             fault_index += 1;
         }
     }
-    // A script's hosts are as it says.
+    // The number of hosts of a script is fixed.
     while best.hosts > 1 && best.scenario.is_none() {
         let mut less = best.clone();
         less.hosts -= (less.hosts / 2).max(1);
--- a/crates/simulator/src/reference_model.rs
+++ b/crates/simulator/src/reference_model.rs
@@ -17,6 +17,7 @@
 /// Attempts that `Caps` keeps out at a node, at most.
 const CAP: usize = 8;
 
+/// How a reference host decides when to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReferenceModel {
     /// First come, first served: all that is asked leaves at once.
@@ -27,6 +28,7 @@
     Buckets,
 }
 
+/// A host without the defences of the host core.
 pub struct ReferenceHost {
     how: ReferenceModel,
     layout: Layout,
@@ -59,6 +61,7 @@
 }
 
 impl ReferenceHost {
+    /// A host that has no endpoint list yet.
     pub fn new(how: ReferenceModel, settings: &HostSettings) -> Self {
         ReferenceHost {
             how,
--- a/crates/simulator/src/reference_model/host_logic.rs
+++ b/crates/simulator/src/reference_model/host_logic.rs
@@ -14,6 +14,7 @@
 
 /// One face for both.
 impl HostLogic {
+    /// The host core, unless a reference host runs.
     pub fn core(&mut self) -> Option<&mut Core> {
         match self {
             HostLogic::Core(c) => Some(c),
@@ -21,6 +22,7 @@
         }
     }
 
+    /// How volumes are split into parts.
     pub fn layout(&self) -> &Layout {
         match self {
             HostLogic::Core(c) => c.layout(),
@@ -28,6 +30,7 @@
         }
     }
 
+    /// The nodes that the host knows.
     pub fn nodes(&self) -> &Nodes {
         match self {
             HostLogic::Core(c) => c.nodes(),
@@ -35,6 +38,7 @@
         }
     }
 
+    /// Keys that are remembered.
     pub fn key_queue_count(&self) -> usize {
         match self {
             HostLogic::Core(c) => c.key_queue_count(),
@@ -42,6 +46,7 @@
         }
     }
 
+    /// Commands, requests and attempts that are open.
     pub fn open_counts(&self) -> OpenCounts {
         match self {
             HostLogic::Core(c) => c.open_counts(),
@@ -53,6 +58,7 @@
         }
     }
 
+    /// Takes a command of a client. `began` is when its first bytes arrived.
     #[allow(clippy::too_many_arguments)] // as the host core has them
     pub fn handle_command(
         &mut self,
@@ -81,6 +87,7 @@
         }
     }
 
+    /// A client has aborted a command.
     pub fn handle_abort(&mut self, now: Instant, from: CommandRef) {
         match self {
             HostLogic::Core(c) => c.handle_abort(now, from),
@@ -88,6 +95,7 @@
         }
     }
 
+    /// A session has ended, with all that it had open.
     pub fn handle_session_closed(&mut self, now: Instant, session: u32) {
         match self {
             HostLogic::Core(c) => c.handle_session_closed(now, session),
@@ -99,6 +107,7 @@
         }
     }
 
+    /// An attempt has ended.
     pub fn handle_attempt_result(&mut self, now: Instant, back: AttemptResult) {
         match self {
             HostLogic::Core(c) => c.handle_attempt_result(now, back),
@@ -106,6 +115,7 @@
         }
     }
 
+    /// A list of nodes, or its failure, has arrived.
     pub fn handle_endpoint_list(
         &mut self,
         now: Instant,
@@ -120,6 +130,7 @@
         }
     }
 
+    /// Fires the timers that are due.
     pub fn handle_timeout(&mut self, now: Instant) {
         match self {
             HostLogic::Core(c) => c.handle_timeout(now),
@@ -127,6 +138,7 @@
         }
     }
 
+    /// What the host is to do next.
     pub fn poll_output(&mut self, now: Instant) -> Option<Output> {
         match self {
             HostLogic::Core(c) => c.poll_output(now),
@@ -134,6 +146,7 @@
         }
     }
 
+    /// When `handle_timeout` should be called next.
     pub fn poll_timeout(&self, now: Instant) -> Option<Instant> {
         match self {
             HostLogic::Core(c) => c.poll_timeout(now),
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -137,8 +137,15 @@
     run.classes.iter().filter(|(_, c)| c.done > 0).map(|(name, c)| (name.clone(), points(c))).collect()
 }
 
-fn failed(error: impl std::fmt::Display) -> String {
-    format!("picture: {error}")
+/// A picture could not be drawn.
+#[derive(Debug, thiserror::Error)]
+#[error("picture: {reason}")]
+pub struct ReportError {
+    reason: String,
+}
+
+fn failed(error: impl std::fmt::Display) -> ReportError {
+    ReportError { reason: error.to_string() }
 }
 
 /// Bars of the troubles' times, under what is drawn after them.
@@ -151,7 +158,12 @@
     world.faults.iter().map(span).collect()
 }
 
-fn over_time(title: &str, world: &World, lines: &[(&str, Vec<f64>)], step: f64) -> Result<String, String> {
+fn over_time(
+    title: &str,
+    world: &World,
+    lines: &[(&str, Vec<f64>)],
+    step: f64,
+) -> Result<String, ReportError> {
     let mut text = String::new();
     let most = lines.iter().flat_map(|l| l.1.iter().copied()).fold(0.0, f64::max).max(1e-9) * 1.1;
     let long = step * BUCKETS as f64;
@@ -203,7 +215,7 @@
 }
 
 /// Attempts out by node, dark where many are: one row a node, so that hundreds of hosts and dozens of nodes stay legible.
-fn by_node(series: &Series) -> Result<String, String> {
+fn by_node(series: &Series) -> Result<String, ReportError> {
     let mut text = String::new();
     let most = series.out.iter().flatten().copied().fold(0.0, f64::max).max(1e-9);
     let rows = series.nodes.len().max(1);
@@ -243,7 +255,7 @@
     Ok(text)
 }
 
-fn percentiles(run: &Run) -> Result<String, String> {
+fn percentiles(run: &Run) -> Result<String, ReportError> {
     let mut text = String::new();
     let all = curves(run);
     let values = || all.iter().flat_map(|c| c.1.iter());
@@ -299,7 +311,7 @@
 }
 
 /// The whole page, with the figures as text.
-pub fn page(world: &World, found: &Found, text: &str) -> Result<String, String> {
+pub fn page(world: &World, found: &Found, text: &str) -> Result<String, ReportError> {
     let series = Series::of(&found.run);
     let rate = |v: &[f64]| v.iter().map(|x| x / series.step).collect::<Vec<f64>>();
     let lines = [
--- a/crates/simulator/src/scenario_script.rs
+++ b/crates/simulator/src/scenario_script.rs
@@ -13,6 +13,7 @@
 /// Additional delay of up to this, drawn for each message, in microseconds.
 const JITTER_US: u64 = 20;
 
+/// A script of `tackmast scenario`, shared by the worlds made of it.
 #[derive(Clone)]
 pub struct ScenarioScript(Arc<Script>);
 
@@ -174,12 +175,33 @@
     }
 }
 
-/// The lab's troubles for one of the script's.
+/// What a script asks for and the simulator does not model.
+#[derive(Debug, thiserror::Error)]
+enum UnsupportedAction {
+    #[error("{0} is a fault of sockets")]
+    SocketFault(String),
+    #[error("{0}: the lab's list sends no versions")]
+    ListVersions(String),
+    #[error("a change of plans")]
+    PlanChange,
+    #[error("{0} of processes, which only sockets have")]
+    Process(String),
+    #[error("ways, which only sockets have")]
+    Network,
+    #[error("an order that must be refused")]
+    RefusedOverride,
+    #[error("an address of loopback")]
+    LoopbackAddress,
+    #[error("a client that misuses its socket, {0}")]
+    ClientMisuse(String),
+}
+
+/// Adds the simulator's faults for one of the script's.
 fn troubles(
     day: &ScenarioScript,
     script_fault: &tackmast_scenario::Trouble,
     all: &mut Vec<InjectedFault>,
-) -> Result<(), String> {
+) -> Result<(), UnsupportedAction> {
     let us = |s: f64| (s * 1e6) as u64;
     let (at, long) = (us(script_fault.at_s), us(script_fault.for_s));
     let mut put =
@@ -196,7 +218,7 @@
                 Fault::Restart(s) => (FaultKind::Restart, us(*s)),
                 Fault::Reset => (FaultKind::Resets, 0),
                 Fault::Die => (FaultKind::Restart, us(day.day.seconds * 10.0)),
-                other => return Err(format!("{other:?} is a fault of sockets")),
+                other => return Err(UnsupportedAction::SocketFault(format!("{other:?}"))),
             };
             for n in day.named(nodes) {
                 put(at, long, kind, n, None);
@@ -226,7 +248,7 @@
             put(at, long, FaultKind::ListFails, 0, None)
         }
         Action::List(ListFault::Reset) => put(at, 1000, FaultKind::ListFails, 0, None),
-        Action::List(other) => return Err(format!("{other:?}: the lab's list sends no versions")),
+        Action::List(other) => return Err(UnsupportedAction::ListVersions(format!("{other:?}"))),
         Action::Deploy { nodes } => {
             day.named(nodes).into_iter().for_each(|n| put(at, long, FaultKind::Deploy, n, None))
         }
@@ -239,12 +261,12 @@
         // The traffic itself has them; here they are marked for the report.
         Action::Surge { times, .. } => put(at, long, FaultKind::Surge(*times), 0, None),
         Action::Move { .. } => {}
-        Action::Plan { .. } => return Err("a change of plans".into()),
-        Action::Hosts { how, .. } => return Err(format!("{how:?} of processes, which only sockets have")),
+        Action::Plan { .. } => return Err(UnsupportedAction::PlanChange),
+        Action::Hosts { how, .. } => return Err(UnsupportedAction::Process(format!("{how:?}"))),
         Action::Voter { .. } | Action::Way { .. } | Action::Apart(_) => {
-            return Err("ways, which only sockets have".into())
+            return Err(UnsupportedAction::Network)
         }
-        Action::Order { refused: true, .. } => return Err("an order that must be refused".into()),
+        Action::Order { refused: true, .. } => return Err(UnsupportedAction::RefusedOverride),
         Action::Order { hosts, kind, target, nodes, .. } => {
             let mut named = day.named(nodes);
             let in_set = |n: &u32| {
@@ -256,7 +278,7 @@
                 }
             };
             if matches!(target, Some(Target::Node(_) | Target::Net(_))) {
-                return Err("an address of loopback".into());
+                return Err(UnsupportedAction::LoopbackAddress);
             }
             named.extend((0..day.node_names().count() as u32).filter(in_set));
             for n in named {
@@ -268,7 +290,7 @@
                 }
             }
         }
-        Action::Client { how, .. } => return Err(format!("a client that misuses its socket, {how:?}")),
+        Action::Client { how, .. } => return Err(UnsupportedAction::ClientMisuse(format!("{how:?}"))),
     }
     Ok(())
 }
--- a/crates/simulator/src/script_export.rs
+++ b/crates/simulator/src/script_export.rs
@@ -65,13 +65,13 @@
                 n % 3,
                 self.cores,
                 self.unit_s * 1e3,
-                self.cold_from,
-                self.warm_s,
-                self.fall_multiple,
-                self.saved,
-                self.remembers,
-                self.put_off,
-                self.flush_s
+                self.initial_capacity,
+                self.warm_up_s,
+                self.overload_multiple,
+                self.cache_savings,
+                self.cached_keys,
+                self.write_back_fraction,
+                self.flush_interval_s
             )?;
         }
         writeln!(out, "list {{\n  late_s = {}\n}}\n", self.list_late_us as f64 / 1e6)?;
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -159,14 +159,14 @@
                 cores: world.cores,
                 unit_s: world.unit_s,
                 queue: 400,
-                initial_capacity: world.cold_from,
-                warm_up_s: world.warm_s,
-                overload_multiple: world.fall_multiple,
+                initial_capacity: world.initial_capacity,
+                warm_up_s: world.warm_up_s,
+                overload_multiple: world.overload_multiple,
                 overload_window_s: OVERLOAD_WINDOW_S,
-                cache_savings: world.saved,
-                cached_keys: world.remembers,
-                write_back_fraction: world.put_off,
-                flush_interval_s: world.flush_s,
+                cache_savings: world.cache_savings,
+                cached_keys: world.cached_keys,
+                write_back_fraction: world.write_back_fraction,
+                flush_interval_s: world.flush_interval_s,
                 ..NodeBehavior::default()
             };
             (nature, n % 3, n, false, 0)
--- a/crates/simulator/src/sim/figures.rs
+++ b/crates/simulator/src/sim/figures.rs
@@ -29,6 +29,7 @@
     }
 }
 
+/// The trace of a run, and its sums.
 pub struct Run {
     /// By plan and traffic class.
     pub classes: BTreeMap<String, Class>,
--- a/crates/simulator/src/sim/mutant.rs
+++ b/crates/simulator/src/sim/mutant.rs
@@ -16,11 +16,11 @@
     FalseRejection,
     /// Starts of nodes never reach the core, and cold nodes have no guard. The caps alone keep cold nodes up in the
     /// worlds drawn here, so no seed finds this one.
-    ColdIgnored,
+    WarmUpIgnored,
     /// Each host takes all of a limit for itself, at every start anew.
     LimitAlone,
     OrderIgnored,
     BudgetIgnored,
-    /// A change of the limit is acknowledged and goes by under its number, but the limit stays.
+    /// A change of the limit is acknowledged and adopted under its number, but the former limit stays in force.
     PlanIgnored,
 }
--- a/crates/simulator/src/sim/nodes.rs
+++ b/crates/simulator/src/sim/nodes.rs
@@ -230,7 +230,7 @@
                 started_us,
             });
             let ignored = self.mutant == Some(Mutant::GraceIgnored);
-            let cold = (started_us > 0 && self.mutant != Some(Mutant::ColdIgnored)).then(|| {
+            let cold = (started_us > 0 && self.mutant != Some(Mutant::WarmUpIgnored)).then(|| {
                 // By the list's clock, or by this host's wall clock, right or wrong.
                 let shown = if self.world.timed_list {
                     self.now - self.world.delay_us
--- a/crates/simulator/src/sim/settings.rs
+++ b/crates/simulator/src/sim/settings.rs
@@ -23,7 +23,7 @@
     let shards = shards.join(", ");
     let capacity = f64::from(world.cores) / world.unit_s;
     let budget = "further_legs {\n  free = 3\n  share = 0.25\n  window_s = 2\n}\n";
-    let (from, multiple, warm) = (world.cold_from, world.fall_multiple, world.warm_s);
+    let (from, multiple, warm) = (world.initial_capacity, world.overload_multiple, world.warm_up_s);
     let cold = format!(
         "cold_nodes {{\n  safe_units = {}\n  from = {from}\n  warm_s = {warm}\n  window_s = {OVERLOAD_WINDOW_S}\n  multiple = {multiple}\n}}\n",
         capacity * from * multiple * OVERLOAD_WINDOW_S
@@ -107,7 +107,7 @@
         limit = 30.0 * f64::from(volume_hosts),
         order = mutant != Some(Mutant::OrderIgnored),
         budget = if mutant == Some(Mutant::BudgetIgnored) { "" } else { budget },
-        cold = if mutant == Some(Mutant::ColdIgnored) { "" } else { &cold },
+        cold = if mutant == Some(Mutant::WarmUpIgnored) { "" } else { &cold },
     );
     // Each line of an attribute that is set has its value.
     let line = |l: &str| {
--- a/crates/simulator/src/views.rs
+++ b/crates/simulator/src/views.rs
@@ -5,7 +5,7 @@
 mod cases;
 mod world;
 
-pub use cases::Case;
+pub use cases::{Case, UnknownCase};
 
 use crate::compare::median_with_interval;
 use tackmast_membership::{Extensions, ViewFault};
@@ -48,6 +48,7 @@
     }
 }
 
+/// Plays one case of one seed.
 pub fn view(trial: &Trial) -> Shown {
     cases::play(trial)
 }
@@ -97,6 +98,7 @@
     all.get(all.len() / 2).copied().unwrap_or(f64::NAN)
 }
 
+/// Sums up the results of many seeds.
 pub fn summary(all: &[Shown]) -> Summary {
     // One that did not settle counts as later than any that did.
     let times: Vec<f64> = all.iter().map(|s| s.settled.unwrap_or(f64::INFINITY)).collect();
--- a/crates/simulator/src/views/cases.rs
+++ b/crates/simulator/src/views/cases.rs
@@ -8,6 +8,7 @@
 /// The port of each host at first.
 const PORT: u16 = 7400;
 
+/// A hard case for the membership of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Case {
     ThirdKilled,
@@ -42,6 +43,7 @@
 }
 
 impl Case {
+    /// All cases, in the order in which they are listed.
     pub const ALL: [Case; 18] = [
         Case::ThirdKilled,
         Case::HalfJoins,
@@ -63,6 +65,7 @@
         Case::SeedsGone,
     ];
 
+    /// The name by which commands know the case.
     pub fn name(self) -> &'static str {
         match self {
             Case::ThirdKilled => "third-killed",
@@ -87,15 +90,23 @@
     }
 }
 
+/// There is no case of that name.
+#[derive(Debug, thiserror::Error)]
+#[error("{name:?}; expected one of {expected}")]
+pub struct UnknownCase {
+    name: String,
+    expected: String,
+}
+
 impl std::str::FromStr for Case {
-    type Err = String;
+    type Err = UnknownCase;
 
-    fn from_str(text: &str) -> Result<Case, String> {
+    fn from_str(text: &str) -> Result<Case, UnknownCase> {
         let names = || Case::ALL.map(Case::name).join(", ");
         Case::ALL
             .into_iter()
             .find(|c| c.name() == text)
-            .ok_or_else(|| format!("{text:?}; expected one of {}", names()))
+            .ok_or_else(|| UnknownCase { name: text.to_owned(), expected: names() })
     }
 }
 
@@ -104,6 +115,7 @@
     30.0 + 8.0 * f64::from(hosts.max(2)).log2()
 }
 
+/// Plays a case: settles, injects its faults, and measures until the views have settled again.
 pub fn play(trial: &Trial) -> Shown {
     let mut world = World::new(trial);
     let host_count = trial.hosts;
--- a/crates/simulator/src/views/world.rs
+++ b/crates/simulator/src/views/world.rs
@@ -12,6 +12,7 @@
     LeaseSettings, Member, MemberSettings, Output, PersistedMembers, PreviousExit, ViewSettings,
 };
 
+/// Microseconds of virtual time.
 pub type Us = u64;
 /// Of a host's view, as its settings' default has it.
 pub const PERIOD: Us = 500_000;
@@ -49,6 +50,7 @@
     best: BTreeMap<u32, (u64, u32)>,
 }
 
+/// A fleet of membership processes in virtual time, and the network between them.
 pub struct World {
     pub now: Us,
     pub all: Vec<Process>,
@@ -76,6 +78,7 @@
     pub sent: u64,
 }
 
+/// The address of a slot.
 pub fn address(slot: u32, port: u16) -> SocketAddr {
     SocketAddr::from(([10, 1, (slot >> 8) as u8, slot as u8], port))
 }
@@ -85,6 +88,7 @@
 }
 
 impl World {
+    /// A fleet without processes.
     pub fn new(trial: &Trial) -> World {
         let hosts = trial.hosts;
         World {
@@ -134,6 +138,7 @@
         self.all.len() - 1
     }
 
+    /// Moves a process that does not run to another port.
     pub fn change_address(&mut self, process_index: usize, port: u16) {
         self.by_address.remove(&self.all[process_index].address);
         self.all[process_index].address = address(self.all[process_index].slot, port);
@@ -183,11 +188,13 @@
         self.push(self.now, process_index, Event::Wake(0));
     }
 
+    /// Kills a process.
     pub fn kill(&mut self, process_index: usize) {
         self.answered += self.all[process_index].member.take().map_or(0, |m| m.view.counters.accused);
         self.all[process_index].away = self.now;
     }
 
+    /// Stops a process without ending it.
     pub fn stop(&mut self, process_index: usize) {
         self.all[process_index].stopped = true;
     }
@@ -218,6 +225,7 @@
         self.queue.push(Reverse((due, self.number, process_index, event)));
     }
 
+    /// Runs for so many protocol periods.
     pub fn run(&mut self, periods: f64) {
         let end = self.now + (periods * PERIOD as f64) as Us;
         while self.now < end {
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -51,6 +51,7 @@
     Plan(f64, f64),
 }
 
+/// A fault with its time and place.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InjectedFault {
     pub at_us: u64,
@@ -60,6 +61,7 @@
     pub host: Option<u32>,
 }
 
+/// All that a run depends on: sizes, rates, what nodes and networks are like, and the faults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct World {
     pub seed: u64,
@@ -79,15 +81,15 @@
     pub wall_off_s: f64,
     pub drift: f64,
     /// What part of its capacity a node starts with, and the multiple of what it can do at the moment that pushes it over.
-    pub cold_from: f64,
-    pub fall_multiple: f64,
-    pub warm_s: f64,
+    pub initial_capacity: f64,
+    pub overload_multiple: f64,
+    pub warm_up_s: f64,
     /// Work that nodes save for a piece of data among the last few they took, and how many those are.
-    pub saved: f64,
-    pub remembers: usize,
+    pub cache_savings: f64,
+    pub cached_keys: usize,
     /// Part of a write's work that nodes put off, and how often they do it.
-    pub put_off: f64,
-    pub flush_s: f64,
+    pub write_back_fraction: f64,
+    pub flush_interval_s: f64,
     /// The list tells when it was sent; else hosts read it by their own wall clocks.
     pub timed_list: bool,
     /// Arrivals from a file, in place of those drawn.
@@ -127,13 +129,13 @@
             clients: [0; 2],
             wall_off_s: 0.0,
             drift: 0.0,
-            cold_from: 0.25,
-            fall_multiple: 2.0,
-            warm_s: 2.0,
-            saved: 0.0,
-            remembers: 0,
-            put_off: 0.0,
-            flush_s: 2.0,
+            initial_capacity: 0.25,
+            overload_multiple: 2.0,
+            warm_up_s: 2.0,
+            cache_savings: 0.0,
+            cached_keys: 0,
+            write_back_fraction: 0.0,
+            flush_interval_s: 2.0,
             timed_list: true,
             load: None,
             members: None,
@@ -192,9 +194,9 @@
             self.timed_list = generator.rand_float() < 0.5;
         }
         if generator.rand_float() < 0.5 {
-            self.cold_from = 0.04 + 0.2 * generator.rand_float();
-            self.fall_multiple = 1.2 + 0.8 * generator.rand_float();
-            self.warm_s = 2.0 + 6.0 * generator.rand_float();
+            self.initial_capacity = 0.04 + 0.2 * generator.rand_float();
+            self.overload_multiple = 1.2 + 0.8 * generator.rand_float();
+            self.warm_up_s = 2.0 + 6.0 * generator.rand_float();
             // A list that is nearly in time: hosts know of starts while nodes are at their coldest.
             self.list_late_us = generator.rand_range(1_000..100_000);
         }
@@ -227,9 +229,10 @@
         if generator.rand_float() >= 0.3 {
             return;
         }
-        self.saved = 0.3 + 0.5 * generator.rand_float();
-        self.remembers = generator.rand_range(1..5) as usize;
-        (self.put_off, self.flush_s) = (0.7 * generator.rand_float(), 1.0 + 3.0 * generator.rand_float());
+        self.cache_savings = 0.3 + 0.5 * generator.rand_float();
+        self.cached_keys = generator.rand_range(1..5) as usize;
+        (self.write_back_fraction, self.flush_interval_s) =
+            (0.7 * generator.rand_float(), 1.0 + 3.0 * generator.rand_float());
         while generator.rand_float() < 0.6 {
             let at_us = (generator.rand_float() * self.seconds * 0.6 * 1e6) as u64;
             let for_us = (generator.rand_float() * self.seconds * 1e6) as u64 + 200_000;
@@ -275,10 +278,12 @@
         }
     }
 
+    /// Whether operators change plans.
     pub fn has_plans(&self) -> bool {
         self.faults.iter().any(|t| matches!(t.kind, FaultKind::Plan(..)))
     }
 
+    /// Whether operators set overrides.
     pub fn has_orders(&self) -> bool {
         self.faults.iter().any(|t| matches!(t.kind, FaultKind::Order(..)))
     }
--- a/crates/simulator/tests/lab.rs
+++ b/crates/simulator/tests/lab.rs
@@ -59,7 +59,7 @@
         (Mutant::LimitAlone, 6, 40),
         (Mutant::OrderIgnored, 6, 10),
         (Mutant::BudgetIgnored, 12, 40),
-        (Mutant::ColdIgnored, 12, 100),
+        (Mutant::WarmUpIgnored, 12, 100),
         (Mutant::PlanIgnored, 6, 60),
     ] {
         let found = hunt(1, within, hosts, Some(mutant));
