--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -1,14 +1,18 @@
 //! Hosts that know of each other, without requests: how long until all know all, until a loss is known, what it costs,
 //! and how views and orders meet again after a partition. Models in virtual time; the very `Member` that hosts run.
 
+mod measurement;
+
+pub use measurement::fleet;
+
 use crate::sim::peer_address;
 use bytes::Bytes;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_membership::{
-    CatalogVersion, Extensions, Health, LeaseSettings, Member, MemberSettings, Output, OverrideEvent,
-    OverrideKind, OverrideRecord, PreviousExit, ViewSettings,
+    CatalogVersion, Extensions, LeaseSettings, Member, MemberSettings, Output, OverrideEvent, OverrideKind,
+    OverrideRecord, PreviousExit, ViewSettings,
 };
 
 type Us = u64;
@@ -78,6 +82,26 @@
 }
 
 impl Fleet {
+    fn new(hosts: u32, loss: f64, seed: u64) -> Fleet {
+        let mut fleet = Fleet {
+            now: 100 * SECOND,
+            members: BTreeMap::new(),
+            wakes: BTreeMap::new(),
+            generations: seed << 20,
+            hosts,
+            loss,
+            cut: None,
+            queue: BinaryHeap::new(),
+            number: 0,
+            generator: oorandom::Rand64::new(u128::from(seed)),
+            held: BTreeMap::new(),
+            returned: 0,
+            over: BTreeSet::new(),
+        };
+        (0..hosts).for_each(|host| fleet.start(host));
+        fleet
+    }
+
     fn start(&mut self, host_index: u32) {
         self.start_with(host_index, (0..3).map(peer_address).collect());
     }
@@ -253,104 +277,3 @@
         self.held.entry(host_index).or_default().insert(number);
     }
 }
-
-/// Plays one fleet through all of it.
-pub fn fleet(hosts: u32, loss: f64, seed: u64) -> FleetFigures {
-    let mut fleet = Fleet {
-        now: 100 * SECOND,
-        members: BTreeMap::new(),
-        wakes: BTreeMap::new(),
-        generations: seed << 20,
-        hosts,
-        loss,
-        cut: None,
-        queue: BinaryHeap::new(),
-        number: 0,
-        generator: oorandom::Rand64::new(u128::from(seed)),
-        held: BTreeMap::new(),
-        returned: 0,
-        over: BTreeSet::new(),
-    };
-    (0..hosts).for_each(|h| fleet.start(h));
-    let mut figures = FleetFigures {
-        hosts,
-        loss,
-        all_known_s: fleet.until(Fleet::all_know_all),
-        ..FleetFigures::default()
-    };
-    // A quiet minute, once the news of the start have been told.
-    fleet.run_until(fleet.now + 90 * SECOND);
-    let before = fleet.sums();
-    fleet.run_until(fleet.now + 60 * SECOND);
-    let after = fleet.sums();
-    figures.bytes_a_second = (after.0 - before.0) as f64 / 60.0 / f64::from(hosts);
-    figures.false_suspicions = (after.1 - before.1) as f64 * 60.0 / f64::from(hosts);
-    figures.false_deaths = after.2 - before.2;
-    // A third is killed at once.
-    let killed: Vec<u32> = (0..hosts).filter(|h| h % 3 == 2).collect();
-    for h in &killed {
-        fleet.members.remove(h);
-    }
-    let dead = |m: &Member, h: &u32| m.snapshot().get(h).is_some_and(|s| s.health == Health::Dead);
-    let start = fleet.now;
-    figures.first_known_s =
-        fleet.until(|fleet| fleet.members.values().any(|m| killed.iter().any(|h| dead(m, h))));
-    let spent = (fleet.now - start) as f64 / 1e6;
-    figures.all_dead_s = fleet
-        .until(|fleet| fleet.members.values().all(|m| killed.iter().all(|h| dead(m, h))))
-        .map(|s| s + spent);
-    for h in &killed {
-        fleet.start(*h);
-    }
-    figures.back_s = fleet.until(Fleet::all_know_all);
-    // The others call now and then at the address of one that they hold dead.
-    let lost = hosts - 1;
-    fleet.members.remove(&lost);
-    _ = fleet.until(|fleet| fleet.members.values().all(|m| dead(m, &lost)));
-    fleet.start_with(lost, (900..903).map(peer_address).collect());
-    figures.stale_seeds_s = fleet.until(Fleet::all_know_all);
-    // Half is cut off, with orders on both sides; one ends meanwhile, one is cleared.
-    fleet.cut = Some(hosts / 2);
-    let (low, high) = (0, hosts - 1);
-    fleet.order(low, 1, 600.0);
-    fleet.order(high, 2, 600.0);
-    fleet.order(low, 3, 10.0);
-    fleet.order(high, 4, 600.0);
-    fleet.run_until(fleet.now + 20 * SECOND);
-    let name = |fleet: &Fleet, slot: u32, number| {
-        let generation = fleet.members.get(&slot).map_or(0, |m| m.view.me().generation);
-        tackmast_overrides::Origin { slot, generation, number }
-    };
-    let cleared = name(&fleet, high, 4);
-    if let Some(m) = fleet.members.get_mut(&high) {
-        m.clear_override(cleared);
-    }
-    fleet.held.entry(high).or_default().remove(&4);
-    fleet.run_until(fleet.now + 10 * SECOND);
-    fleet.over.extend([3, 4]);
-    fleet.cut = None;
-    let heal = fleet.now;
-    figures.orders_meet_s =
-        fleet.until(|fleet| fleet.held.values().all(|h| h.contains(&1) && h.contains(&2) && !h.contains(&4)));
-    let spent = (fleet.now - heal) as f64 / 1e6;
-    figures.views_meet_s = fleet.until(Fleet::all_know_all).map(|s| s + spent);
-    fleet.run_until(fleet.now + 30 * SECOND);
-    figures.returned = fleet.returned;
-    let before = fleet.sums().2;
-    for _ in 0..15 {
-        fleet.cut = Some(hosts / 2);
-        fleet.run_until(fleet.now + SECOND);
-        fleet.cut = None;
-        fleet.run_until(fleet.now + SECOND);
-    }
-    figures.after_flaps_s = fleet.until(Fleet::all_know_all);
-    figures.flap_deaths = fleet.sums().2 - before;
-    fleet.members.values_mut().for_each(|m| m.catalog.enable(CatalogVersion::default(), []));
-    figures.plan_s = fleet.plan(1, 500);
-    figures.large_plan_s = fleet.plan(2, 100_000);
-    fleet.cut = Some(hosts / 2);
-    let cut = fleet.plan_until(3, 500, Some(30 * SECOND));
-    fleet.cut = None;
-    figures.plan_after_cut_s = if cut.is_none() { fleet.until(|fleet| fleet.all_go_by(3)) } else { cut };
-    figures
-}
