--- a/crates/simulator/src/consensus/world/checks.rs
+++ b/crates/simulator/src/consensus/world/checks.rs
@@ -17,45 +17,57 @@
     }
 
     fn check_replica(&mut self, host: usize, replica: &Replica) {
-        let (now, commit) = (self.clock(host), replica.commit_index());
-        // Election safety: at most one leader in a term.
-        if replica.raft.is_leader() {
-            let first = *self.leaders.entry(replica.raft.term()).or_insert(host as u32);
-            if first != host as u32 {
-                self.report_violation(format!(
-                    "hosts {first} and {host} both lead term {}",
-                    replica.raft.term()
-                ));
-            }
+        self.check_leader(host, replica);
+        self.check_committed_entries(host, replica);
+        self.check_reads(host, replica);
+        self.check_lease(host, replica);
+    }
+
+    /// Election safety: at most one leader in a term.
+    fn check_leader(&mut self, host: usize, replica: &Replica) {
+        if !replica.raft.is_leader() {
+            return;
+        }
+        let first = *self.leaders.entry(replica.raft.term()).or_insert(host as u32);
+        if first != host as u32 {
+            self.report_violation(format!("hosts {first} and {host} both lead term {}", replica.raft.term()));
         }
-        // State machine safety: one committed entry at an index, for good.
-        let log = replica.raft.log();
+    }
+
+    /// State machine safety: one committed entry at an index, for good, and each change applied once.
+    fn check_committed_entries(&mut self, host: usize, replica: &Replica) {
+        let (log, commit) = (replica.raft.log(), replica.commit_index());
         for index in (log.snapshot().last.index + 1).max(self.all[host].checked_index + 1)..=commit {
-            let Some(e) = log.get(index) else { continue };
-            let entry = (e.term, e.payload.clone());
+            let Some(entry) = log.get(index) else { continue };
+            let entry = (entry.term, entry.payload.clone());
             match self.ledger.get(&index) {
                 Some((known, _)) if *known != entry => {
                     let what =
-                        format!("two entries hold at {index}: {:?} and, at host {host}, {entry:?}", known);
+                        format!("two entries hold at {index}: {known:?} and, at host {host}, {entry:?}");
                     self.report_violation(what);
                 }
                 Some(_) => {}
                 None => _ = self.ledger.insert(index, (entry, self.now)),
             }
         }
-        let new = commit != self.all[host].checked_index;
+        if commit == self.all[host].checked_index {
+            return;
+        }
         self.all[host].checked_index = commit;
-        // Each change is applied once.
-        let once: BTreeSet<u64> = self.all[host].state.iter().copied().filter(|_| new).collect();
-        if new && once.len() != self.all[host].state.len() {
-            self.report_violation(format!("host {host} has a change twice: {:?}", self.all[host].state));
+        let applied = &self.all[host].state;
+        if applied.iter().collect::<BTreeSet<_>>().len() != applied.len() {
+            self.report_violation(format!("host {host} has a change twice: {applied:?}"));
         }
-        // Reads are never stale.
-        let done: Vec<(u32, u64)> =
-            self.all[host].reads.iter().copied().filter(|(q, _)| replica.is_read_ready(*q)).collect();
-        for (seq, newest) in done {
+    }
+
+    /// Linearizability: a read has all that was committed anywhere when it began.
+    fn check_reads(&mut self, host: usize, replica: &Replica) {
+        let commit = replica.commit_index();
+        let reads = self.all[host].reads.iter().copied();
+        let done: Vec<(u32, u64)> = reads.filter(|(read, _)| replica.is_read_ready(*read)).collect();
+        for (done_read, newest) in done {
             self.reads_done += 1;
-            self.all[host].reads.retain(|(q, _)| *q != seq);
+            self.all[host].reads.retain(|(read, _)| *read != done_read);
             if commit < newest {
                 self.report_violation(format!(
                     "a read at host {host} has {commit}, and {newest} held when it was asked"
@@ -63,18 +75,22 @@
             }
         }
         self.all[host].reads.truncate(64);
-        // A host with a valid lease acts on an older state for at most the term of a lease. A host that is stopped does
-        // nothing.
-        if !self.all[host].stopped && replica.lease_state(now).is_valid() {
-            if let Some((_, (_, since))) = self.ledger.range(commit + 1..).next() {
-                let long = self.now - since;
-                self.longest = self.longest.max(long);
-                if long > LEASE + 1e-6 {
-                    self.report_violation(format!(
-                        "host {host} goes by {commit} for {long:.3} s since another held; the lease is {LEASE} s"
-                    ));
-                }
-            }
+    }
+
+    /// A host with a valid lease acts on an older state for at most the term of a lease. A host that is stopped does
+    /// nothing.
+    fn check_lease(&mut self, host: usize, replica: &Replica) {
+        let commit = replica.commit_index();
+        if self.all[host].stopped || !replica.lease_state(self.clock(host)).is_valid() {
+            return;
+        }
+        let Some((_, (_, since))) = self.ledger.range(commit + 1..).next() else { return };
+        let long = self.now - since;
+        self.longest = self.longest.max(long);
+        if long > LEASE + 1e-6 {
+            self.report_violation(format!(
+                "host {host} goes by {commit} for {long:.3} s since another held; the lease is {LEASE} s"
+            ));
         }
     }
 
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -5,6 +5,7 @@
 mod arrivals;
 mod clients;
 mod events;
+mod faults;
 mod figures;
 mod hosts;
 mod links;
@@ -12,6 +13,7 @@
 mod nodes;
 mod orders;
 mod settings;
+mod setup;
 mod state;
 
 pub use figures::{Class, Run};
@@ -23,6 +25,7 @@
 use crate::scenario_script::ScriptRequest;
 use crate::world::{FaultKind, World};
 use bytes::Bytes;
+use setup::host_logic;
 use state::{Clock, CommandOrd, Event, Host, Link, NodeAttempt, PersistedHost, ScriptAttempt, SimNode};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -63,6 +66,8 @@
 const TRAFFIC_START_DELAY: Us = 500_000;
 /// From a change of plans until all hosts must have adopted it, in seconds.
 const PLANS_SETTLE_S: f64 = 1.5;
+/// Mixed into the seed for the clocks of hosts.
+const CLOCK_SEED: u128 = 0x0063_6c6f_636b;
 /// Bounds on the overrides of a host.
 const OVERRIDE_SETTINGS: tackmast_overrides::Settings =
     tackmast_overrides::Settings { max_overrides: 1000, max_zone_fraction: 0.7 };
@@ -137,144 +142,11 @@
     (time.secs() * 1e6).round().max(0.0) as Us
 }
 
-fn host_logic(
-    now: Instant,
-    settings: &HostSettings,
-    seed: u64,
-    generation: u64,
-    reference_model: Option<ReferenceModel>,
-) -> HostLogic {
-    match reference_model {
-        Some(how) => HostLogic::Reference(Box::new(ReferenceHost::new(how, settings))),
-        None => HostLogic::Core(Box::new(Core::new(now, settings, seed, generation))),
-    }
-}
-
-/// Plays a world to its end, with the host core or with a plain host in its place.
+/// Plays a world to its end, with the host core or with a reference model in its place.
 pub fn run(world: &World, mutant: Option<Mutant>, reference_model: Option<ReferenceModel>) -> Run {
-    let like = |n: u32| match world.scenario.as_ref().and_then(|d| d.node(n)) {
-        Some((block, shard)) => (block.nature(), block.zone, shard, block.cold, block.report_ms * 1000),
-        None => {
-            let nature = NodeBehavior {
-                cores: world.cores,
-                unit_s: world.unit_s,
-                queue: 400,
-                initial_capacity: world.initial_capacity,
-                warm_up_s: world.warm_up_s,
-                overload_multiple: world.overload_multiple,
-                overload_window_s: OVERLOAD_WINDOW_S,
-                cache_savings: world.cache_savings,
-                cached_keys: world.cached_keys,
-                write_back_fraction: world.write_back_fraction,
-                flush_interval_s: world.flush_interval_s,
-                ..NodeBehavior::default()
-            };
-            (nature, n % 3, n, false, 0)
-        }
-    };
-    let node = |n: u32| {
-        let (nature, zone, shard, cold, report_us) = like(n);
-        let started = if cold { START_TIME } else { 0 };
-        SimNode {
-            model: NodeModel::new(started, nature, world.seed * 1000 + u64::from(n), cold),
-            zone,
-            shard,
-            reported_load: (0, 0),
-            report_us,
-            address: format!("10.0.{}.{}:9000", n / 250, n % 250),
-            up: true,
-            silent: false,
-            started,
-            next: 0,
-            held: BTreeMap::new(),
-            served: BTreeMap::new(),
-            total: BTreeMap::new(),
-            wake: Us::MAX,
-            listed: NodeState::Ready,
-            listed_start: started,
-            address_generation: 0,
-        }
-    };
-    let all: Vec<HostSettings> = (0..world.hosts).map(|h| settings(world, h, mutant)).collect();
-    let first = host_logic(at(START_TIME), &all[0], 0, 0, reference_model);
-    let units = target::units(&all[0], |v| first.layout().max_blocks(v));
-    let mut odd = oorandom::Rand64::new(u128::from(world.seed) ^ 0x0063_6c6f_636b);
-    let mut clock = || {
-        let mut signed_unit = || 2.0 * odd.rand_float() - 1.0;
-        let (drift, wall_off_us) =
-            (world.drift * signed_unit(), (world.wall_off_s * signed_unit() * 1e6) as i64);
-        Clock {
-            offset_us: if world.drift > 0.0 { (40e6 * signed_unit()) as i64 } else { 0 },
-            drift,
-            wall_off_us,
-        }
-    };
-    let mut sim = Sim {
-        world,
-        mutant,
-        reference_model,
-        clocks: (0..world.hosts).map(|_| clock()).collect(),
-        kept: (0..world.hosts).map(|_| PersistedHost::default()).collect(),
-        plan_adoption: BTreeMap::new(),
-        acknowledged: BTreeMap::new(),
-        clients: Vec::new(),
-        clients_of: vec![Vec::new(); world.hosts as usize],
-        arrivals: world.load.iter().flat_map(|l| l.arrivals(world.hosts)).collect(),
-        asks: world.scenario.iter().flat_map(|d| d.asks(world.seed)).collect(),
-        tries: BTreeMap::new(),
-        window_us: IDEMPOTENCY_WINDOW,
-        offer: std::sync::Arc::new(target::Offer::of(&all[0])),
-        units: std::sync::Arc::new(units),
-        settings: all,
-        now: START_TIME,
-        queue: BinaryHeap::new(),
-        number: 0,
-        generator: oorandom::Rand64::new(u128::from(world.seed)),
-        hosts: Vec::new(),
-        nodes: (0..world.nodes).map(node).collect(),
-        partitions: BTreeMap::new(),
-        marks: BTreeMap::new(),
-        list_version: 1,
-        list_late: world.list_late_us,
-        list_fails: false,
-        surge: 1.0,
-        leave: 0.0,
-        hot: 0.0,
-        busiest: None,
-        split: None,
-        generations: 0,
-        sends: 0,
-        answers: 0,
-        run: Run {
-            classes: BTreeMap::new(),
-            firsts: BTreeMap::new(),
-            fallen: 0,
-            sent_units: 0.0,
-            wasted_units: 0.0,
-            limit_used: 0.0,
-            trace: Vec::new(),
-            asked: 0,
-            done: 0,
-            in_time: 0,
-            rejected: 0,
-            failed: 0,
-            stuck: 0,
-            calls: 0,
-            calls_done: 0,
-            calls_late: 0,
-            orders: (0, 0),
-            plans: (0, 0),
-            events: 0,
-            max_open: (0, 0, 0),
-        },
-    };
-    let windows = sim.settings[0].traffic_classes.iter().filter_map(|s| match s.effect {
-        tackmast::interface::Effect::IdempotentByKey { window, .. } => Some((window.secs() * 1e6) as Us),
-        _ => None,
-    });
-    sim.window_us = windows.max().unwrap_or(IDEMPOTENCY_WINDOW);
+    let mut sim = Sim::new(world, mutant, reference_model);
     sim.play();
-    sim.run.trace.sort_by_key(|l| l.t);
+    sim.run.trace.sort_by_key(|line| line.t);
     sim.sum_up();
     sim.run
 }
@@ -312,57 +184,68 @@
     }
 
     fn play(&mut self) {
-        use tackmast_trace::Event as Seen;
+        let start = self.now;
+        self.start_all();
+        // The faults of a script count from when its traffic begins.
+        let start = if self.world.scenario.is_some() { start + TRAFFIC_START_DELAY } else { start };
+        for (index, fault) in self.world.faults.iter().enumerate() {
+            self.push(start + fault.at_us, Event::FaultChange(index, true));
+            self.push(start + fault.at_us + fault.for_us, Event::FaultChange(index, false));
+        }
+        let deadlines = self.settings[0].traffic_classes.iter().map(|class| class.deadline.secs());
+        let after = SETTLE_TIME.max((deadlines.fold(0.0, f64::max) * 1e6) as Us + 1_300_000);
+        let end = start + (self.world.seconds * 1e6) as Us + after;
+        while let Some(Reverse((due, _, event))) = self.queue.pop() {
+            if due > end {
+                break;
+            }
+            self.now = due;
+            self.run.events += 1;
+            self.handle_event(event, end - after);
+        }
+        self.now = end;
+        self.finish();
+    }
+
+    /// Starts nodes, hosts, clients and traffic.
+    fn start_all(&mut self) {
         let facts = self.facts();
-        self.record(Seen::Facts(facts));
-        for n in 0..self.nodes.len() {
-            let cold = self.nodes[n].started > 0;
-            self.note_node_up(n, if cold { self.nodes[n].model.behavior().initial_capacity } else { 1.0 });
+        self.record(tackmast_trace::Event::Facts(facts));
+        for node in 0..self.nodes.len() {
+            let is_warming_up = self.nodes[node].started > 0;
+            let initial_capacity = self.nodes[node].model.behavior().initial_capacity;
+            self.note_node_up(node, if is_warming_up { initial_capacity } else { 1.0 });
         }
         let start = self.now;
-        for h in 0..self.world.hosts {
-            let host = self.new_host(h);
+        for host_index in 0..self.world.hosts {
+            let host = self.new_host(host_index);
             self.hosts.push(host);
-            self.record(Seen::HostUp { host: h });
-            self.add_clients(h);
-            self.push(start, Event::HostTime(h));
+            self.record(tackmast_trace::Event::HostUp { host: host_index });
+            self.add_clients(host_index);
+            self.push(start, Event::HostTime(host_index));
             let first = start + (self.generator.rand_float() * 20_000.0) as Us;
             if self.world.load.is_none() && self.world.scenario.is_none() {
-                self.push(first, Event::Arrive(h));
+                self.push(first, Event::Arrive(host_index));
             }
         }
-        // Hosts have the list by the time a load from a file begins.
-        if let Some(a) = self.arrivals.front() {
-            self.push(start + TRAFFIC_START_DELAY + a.at_us, Event::Loaded);
-        }
-        if let Some(a) = self.asks.front() {
-            self.push(start + TRAFFIC_START_DELAY + a.at_us, Event::Asked);
-        }
-        // A script's troubles count from when its traffic begins.
-        let start = if self.world.scenario.is_some() { start + TRAFFIC_START_DELAY } else { start };
-        for (i, t) in self.world.faults.iter().enumerate() {
-            self.push(start + t.at_us, Event::FaultChange(i, true));
-            self.push(start + t.at_us + t.for_us, Event::FaultChange(i, false));
+        // Hosts have the endpoint list by the time the traffic of a workload or script begins.
+        if let Some(arrival) = self.arrivals.front() {
+            self.push(start + TRAFFIC_START_DELAY + arrival.at_us, Event::Loaded);
         }
-        let longest = self.settings[0].traffic_classes.iter().map(|s| s.deadline.secs()).fold(0.0, f64::max);
-        let after = SETTLE_TIME.max((longest * 1e6) as Us + 1_300_000);
-        let end = start + (self.world.seconds * 1e6) as Us + after;
-        while let Some(Reverse((t, _, e))) = self.queue.pop() {
-            if t > end {
-                break;
-            }
-            self.now = t;
-            self.run.events += 1;
-            self.handle_event(e, end - after);
+        if let Some(request) = self.asks.front() {
+            self.push(start + TRAFFIC_START_DELAY + request.at_us, Event::Asked);
         }
-        self.now = end;
+    }
+
+    /// Counts what is left open at the end.
+    fn finish(&mut self) {
         self.record_plan_convergence();
-        self.record(Seen::Fault { what: "end".into(), on: false });
-        for h in self.hosts.iter().filter(|h| h.up) {
-            let OpenCounts { commands, requests, attempts } = h.core.open_counts();
-            self.run.stuck += commands + requests + attempts + h.core.key_queue_count();
+        self.record(tackmast_trace::Event::Fault { what: "end".into(), on: false });
+        for host in self.hosts.iter().filter(|host| host.up) {
+            let OpenCounts { commands, requests, attempts } = host.core.open_counts();
+            self.run.stuck += commands + requests + attempts + host.core.key_queue_count();
         }
-        self.run.stuck += self.clients.iter().map(|c| c.core.open_calls()).sum::<usize>();
-        self.run.fallen = self.nodes.iter().filter(|n| n.model.has_collapsed()).count();
+        self.run.stuck += self.clients.iter().map(|client| client.core.open_calls()).sum::<usize>();
+        self.run.fallen = self.nodes.iter().filter(|node| node.model.has_collapsed()).count();
     }
 }
--- /dev/null
+++ b/crates/simulator/src/sim/faults.rs
@@ -0,0 +1,144 @@
+//! Begins and ends the faults of a world.
+
+use super::*;
+use crate::world::InjectedFault;
+
+/// After this time a node that was silent starts again, in microseconds.
+const SILENT_RESTART_DELAY: Us = 50_000;
+/// After this time the replacement of a deployed node starts, in microseconds.
+const DEPLOY_RESTART_DELAY: Us = 100_000;
+
+impl Sim<'_> {
+    /// Begins or ends one fault.
+    pub(super) fn apply_fault(&mut self, fault_index: usize, on: bool) {
+        let fault = self.world.faults[fault_index];
+        match fault.kind {
+            FaultKind::Slow(_) | FaultKind::Errors(_) | FaultKind::Neighbour(_) | FaultKind::Heavy(..) => {
+                self.apply_node_load(fault, on);
+            }
+            FaultKind::Pause
+            | FaultKind::Silent
+            | FaultKind::Restart
+            | FaultKind::MassRestart
+            | FaultKind::Drain
+            | FaultKind::Deploy => self.apply_node_state(fault, on),
+            FaultKind::HostKill
+            | FaultKind::HostLeaves
+            | FaultKind::HostStands
+            | FaultKind::Partition
+            | FaultKind::Resets => self.apply_host_or_link(fault, on),
+            FaultKind::ListLate(seconds) => {
+                self.list_late = if on { (seconds * 1e6) as Us } else { self.world.list_late_us };
+            }
+            FaultKind::ListFails => self.set_list_failing(on),
+            FaultKind::Surge(times) => self.surge = if on { times } else { 1.0 },
+            FaultKind::Leave(fraction) => self.leave = if on { fraction } else { 0.0 },
+            FaultKind::Hot(fraction) => self.hot = if on { fraction } else { 0.0 },
+            FaultKind::Order(kind, all) if on => {
+                self.set_override(fault.host.filter(|_| !all), fault.node, kind, fault.for_us);
+            }
+            FaultKind::Hangup(fraction) if on => self.close_connections(fraction),
+            FaultKind::Order(..) | FaultKind::Hangup(_) => {}
+            FaultKind::Split(fraction) => self.split = on.then_some(fraction),
+            FaultKind::Busiest(fraction, host) => self.busiest = on.then_some((fraction, host)),
+            FaultKind::Plan(limit, burst) if on => self.change_plan(limit, burst),
+            FaultKind::Plan(..) => self.change_plan(1.0, 1.0),
+        }
+    }
+
+    fn apply_node_load(&mut self, fault: InjectedFault, on: bool) {
+        self.change_node_faults(fault.node, |faults| match fault.kind {
+            FaultKind::Slow(times) => faults.slowdown = if on { times } else { 1.0 },
+            FaultKind::Errors(rate) => faults.error_rate = if on { rate } else { 0.0 },
+            FaultKind::Neighbour(share) => faults.neighbour_share = if on { share } else { 0.0 },
+            FaultKind::Heavy(fraction, times) => {
+                (faults.heavy_fraction, faults.heavy_multiple) =
+                    if on { (fraction, times) } else { (0.0, 1.0) };
+            }
+            _ => {}
+        });
+    }
+
+    fn apply_node_state(&mut self, fault: InjectedFault, on: bool) {
+        let (node, now) = (fault.node, self.now);
+        match fault.kind {
+            FaultKind::Pause if on => {
+                self.nodes[node as usize].model.pause(now, fault.for_us as f64 / 1e6);
+                self.process_node_events(node);
+            }
+            FaultKind::Silent if on => self.nodes[node as usize].silent = true,
+            // What the node had in flight is lost: it comes back as a process that starts.
+            FaultKind::Silent => {
+                self.kill_node(node);
+                self.push(now + SILENT_RESTART_DELAY, Event::NodeUp(node));
+            }
+            FaultKind::Restart if on => {
+                self.kill_node(node);
+                self.push(now + fault.for_us, Event::NodeUp(node));
+            }
+            FaultKind::MassRestart if on => {
+                for node in 0..self.world.nodes {
+                    self.kill_node(node);
+                    self.push(now + fault.for_us / 2, Event::NodeUp(node));
+                }
+            }
+            FaultKind::Drain | FaultKind::Deploy if on => {
+                self.change_listed_state(node, NodeState::Ready, NodeState::Draining);
+            }
+            FaultKind::Drain => self.change_listed_state(node, NodeState::Draining, NodeState::Ready),
+            FaultKind::Deploy => self.replace_node(node),
+            _ => {}
+        }
+    }
+
+    /// Changes the state in which a node is listed, if it is `from`.
+    fn change_listed_state(&mut self, node: u32, from: NodeState, to: NodeState) {
+        if self.nodes[node as usize].listed == from {
+            self.nodes[node as usize].listed = to;
+            self.broadcast_list();
+        }
+    }
+
+    /// Ends a node; its replacement starts at another address.
+    fn replace_node(&mut self, number: u32) {
+        self.kill_node(number);
+        let node = &mut self.nodes[number as usize];
+        node.address_generation += 1;
+        node.address = format!("10.{}.{}.{}:9000", node.address_generation, number / 250, number % 250);
+        self.push(self.now + DEPLOY_RESTART_DELAY, Event::NodeUp(number));
+    }
+
+    fn apply_host_or_link(&mut self, fault: InjectedFault, on: bool) {
+        let host = fault.host.unwrap_or(0);
+        match fault.kind {
+            FaultKind::HostKill => self.kill_host(host, on),
+            FaultKind::HostLeaves if on => self.drain_host(host),
+            FaultKind::HostLeaves => self.push(self.now, Event::HostUp(host)),
+            FaultKind::HostStands if on => self.pause_host(host, fault.for_us),
+            FaultKind::Partition if on => self.partition(host, fault.node, fault.for_us),
+            FaultKind::Partition => _ = self.partitions.remove(&(host, fault.node)),
+            FaultKind::Resets if on => self.close_all_links(fault.node),
+            _ => {}
+        }
+    }
+
+    /// Nothing passes between a host and a node for a while. The host closes the link once it has been silent for long.
+    fn partition(&mut self, host: u32, node: u32, for_us: Us) {
+        self.partitions.insert((host, node), self.now + for_us);
+        let generation = self.hosts[host as usize].links.get(&node).map(|link| link.generation);
+        if let Some(generation) = generation.filter(|_| for_us > LINK_TIMEOUT) {
+            self.push(self.now + LINK_TIMEOUT, Event::LinkDown(host, node, generation));
+        }
+    }
+
+    fn set_list_failing(&mut self, on: bool) {
+        self.list_fails = on;
+        for host_index in 0..self.world.hosts {
+            let host = &self.hosts[host_index as usize];
+            if on && host.following {
+                let generation = host.generation;
+                self.push(self.now, Event::ListFailed(host_index, generation));
+            }
+        }
+    }
+}
--- a/crates/simulator/src/sim/figures.rs
+++ b/crates/simulator/src/sim/figures.rs
@@ -30,6 +30,7 @@
 }
 
 /// The trace of a run, and its sums.
+#[derive(Default)]
 pub struct Run {
     /// By plan and traffic class.
     pub classes: BTreeMap<String, Class>,
--- a/crates/simulator/src/sim/links.rs
+++ b/crates/simulator/src/sim/links.rs
@@ -2,6 +2,62 @@
 
 use super::*;
 
+/// The frame of an attempt on the wire.
+fn attempt_frame(attempt: &SendAttempt, attempt_number: u8, now: Instant, left_us: Us) -> Bytes {
+    let work = match &attempt.work {
+        AttemptWork::Read { length } => node::Work::Read { length: *length },
+        AttemptWork::Write { data } | AttemptWork::Opaque(OpaqueRequest { body: data, .. }) => {
+            node::Work::Write { data: data.clone() }
+        }
+    };
+    let (session, command) = (attempt.from.session, attempt.from.command);
+    Frame::Send(node::SendAttempt {
+        attempt: attempt.attempt.0,
+        request: attempt.request,
+        attempt_number,
+        origin: Origin { session, command, part: attempt.part },
+        sent_us: us(now),
+        left_us: left_us as u32,
+        mark: attempt.mark,
+        key: attempt.key,
+        volume: attempt.volume,
+        offset: attempt.offset,
+        units: attempt.units as f32,
+        work,
+    })
+    .to_bytes()
+}
+
+/// An attempt as the trace has it.
+fn attempt_record(
+    node: String,
+    name: AttemptName,
+    attempt: &SendAttempt,
+    left_us: Us,
+) -> tackmast_trace::Event {
+    let (write, bytes) = match &attempt.work {
+        AttemptWork::Read { length } => (false, u64::from(*length)),
+        AttemptWork::Write { data } | AttemptWork::Opaque(OpaqueRequest { body: data, .. }) => {
+            (true, data.len() as u64)
+        }
+    };
+    tackmast_trace::Event::Attempt {
+        node,
+        name,
+        session: attempt.from.session,
+        command: attempt.from.command,
+        part: attempt.part,
+        volume: attempt.volume,
+        write,
+        offset: attempt.offset,
+        bytes,
+        units: attempt.units,
+        key: attempt.key,
+        mark: format!("{:x}", attempt.mark),
+        left_us,
+    }
+}
+
 impl Sim<'_> {
     pub(super) fn send(&mut self, host_index: u32, attempt: SendAttempt) {
         self.sends += 1;
@@ -22,11 +78,11 @@
         self.transmit(host_index, node_index, &attempt);
     }
 
-    /// An attempt leaves its host, unless it was taken back.
+    /// Sends an attempt to its node, unless it was withdrawn or is too late.
     pub(super) fn transmit(&mut self, host_index: u32, node_index: u32, attempt: &SendAttempt) {
         let generation = self.hosts[host_index as usize].generation;
         let now = self.time(host_index);
-        let left = ((attempt.until - now).secs() * 1e6).max(0.0) as Us;
+        let left_us = ((attempt.until - now).secs() * 1e6).max(0.0) as Us;
         match attempt.begin(now) {
             Begin::Now => {}
             Begin::Withdrawn => return,
@@ -35,79 +91,28 @@
             }
         }
         attempt.ticket.written();
-        let name = AttemptName {
-            host: host_index,
-            generation,
-            request: attempt.request,
-            attempt: attempt.attempt_number,
-        };
-        let frame = |attempt_number: u8| {
-            Frame::Send(node::SendAttempt {
-                attempt: attempt.attempt.0,
-                request: attempt.request,
-                attempt_number,
-                origin: Origin {
-                    session: attempt.from.session,
-                    command: attempt.from.command,
-                    part: attempt.part,
-                },
-                sent_us: us(now),
-                left_us: left as u32,
-                mark: attempt.mark,
-                key: attempt.key,
-                volume: attempt.volume,
-                offset: attempt.offset,
-                units: attempt.units as f32,
-                work: match &attempt.work {
-                    AttemptWork::Read { length } => node::Work::Read { length: *length },
-                    AttemptWork::Write { data } | AttemptWork::Opaque(OpaqueRequest { body: data, .. }) => {
-                        node::Work::Write { data: data.clone() }
-                    }
-                },
-            })
-            .to_bytes()
-        };
-        // An attempt counts from when its host sends it: what the network holds back after that is no fault of its.
-        let (write, length) = match &attempt.work {
-            AttemptWork::Read { length } => (false, u64::from(*length)),
-            AttemptWork::Write { data } | AttemptWork::Opaque(OpaqueRequest { body: data, .. }) => {
-                (true, data.len() as u64)
-            }
-        };
+        let number = attempt.attempt_number;
+        let name = AttemptName { host: host_index, generation, request: attempt.request, attempt: number };
         let address = self.nodes[node_index as usize].address.clone();
-        let seen = |attempt_number: u8| tackmast_trace::Event::Attempt {
-            node: address.clone(),
-            name: AttemptName { attempt: attempt_number, ..name },
-            session: attempt.from.session,
-            command: attempt.from.command,
-            part: attempt.part,
-            volume: attempt.volume,
-            write,
-            offset: attempt.offset,
-            bytes: length,
-            units: attempt.units,
-            key: attempt.key,
-            mark: format!("{:x}", attempt.mark),
-            left_us: left,
-        };
-        let (first, second) = (seen(attempt.attempt_number), seen(attempt.attempt_number + 1));
-        let bytes = frame(attempt.attempt_number);
-        let twice = (self.mutant == Some(Mutant::HedgeTooEarly) && self.sends.is_multiple_of(100))
-            .then(|| frame(attempt.attempt_number + 1));
-        self.record(first);
-        if twice.is_some() {
-            self.record(second);
+        let is_doubled = self.mutant == Some(Mutant::HedgeTooEarly) && self.sends.is_multiple_of(100);
+        // An attempt counts from when its host sends it, whatever the network delays after that.
+        self.record(attempt_record(address.clone(), name, attempt, left_us));
+        if is_doubled {
+            let second = AttemptName { attempt: number + 1, ..name };
+            self.record(attempt_record(address, second, attempt, left_us));
         }
-        if let Some(l) = self.hosts[host_index as usize].links.get_mut(&node_index) {
-            l.attempts.insert(attempt.attempt.0, name);
+        if let Some(link) = self.hosts[host_index as usize].links.get_mut(&node_index) {
+            link.attempts.insert(attempt.attempt.0, name);
         }
+        let bytes = attempt_frame(attempt, number, now, left_us);
         self.send_link_bytes(host_index, node_index, &bytes, true);
-        if let Some(again) = twice {
-            self.send_link_bytes(host_index, node_index, &again, true);
+        if is_doubled {
+            let bytes = attempt_frame(attempt, number + 1, now, left_us);
+            self.send_link_bytes(host_index, node_index, &bytes, true);
         }
     }
 
-    /// The core's number of a node to the lab's.
+    /// The simulator's index of a node, from the core's number.
     pub(super) fn node_of(&self, host_index: u32, number: u32) -> Option<u32> {
         let core = &self.hosts[host_index as usize].core;
         let address = core.nodes().address(tackmast::interface::NodeId(number))?;
--- a/crates/simulator/src/sim/nodes.rs
+++ b/crates/simulator/src/sim/nodes.rs
@@ -204,6 +204,7 @@
         }
     }
 
+    /// An endpoint list reaches a host.
     pub(super) fn deliver_list(
         &mut self,
         host_index: u32,
@@ -214,68 +215,60 @@
         if self.hosts[host_index as usize].generation != generation || !self.hosts[host_index as usize].up {
             return;
         }
-        let mut lines = Vec::new();
-        for (address, state, i, started) in entries {
+        let mut list = Vec::new();
+        for (address, state, node_index, started_us) in entries {
             let state = [NodeState::Ready, NodeState::Draining, NodeState::Gone][usize::from(*state)];
-            let told = match state {
-                NodeState::Ready => ListedState::Ready,
-                NodeState::Draining => ListedState::Draining,
-                NodeState::Gone => ListedState::Gone,
-            };
-            let started_us = *started;
-            self.record(tackmast_trace::Event::Notified {
-                host: host_index,
-                node: address.clone(),
-                state: told,
-                started_us,
-            });
-            let ignored = self.mutant == Some(Mutant::GraceIgnored);
-            let cold = (started_us > 0 && self.mutant != Some(Mutant::WarmUpIgnored)).then(|| {
-                // By the list's clock, or by this host's wall clock, right or wrong.
-                let shown = if self.world.timed_list {
-                    self.now - self.world.delay_us
-                } else {
-                    self.wall(host_index)
-                };
-                let age = TimeDelta::from_secs((shown as f64 - started_us as f64) / 1e6);
-                let age = if self.world.timed_list { Age::ByListClock(age) } else { Age::ByHostClock(age) };
-                NodeStart { name: started_us, age }
-            });
-            lines.push(ListEntry {
+            self.record_notified(host_index, address, state, *started_us);
+            let is_ignored = self.mutant == Some(Mutant::GraceIgnored);
+            list.push(ListEntry {
                 id: address.clone(),
                 address: address.clone(),
-                state: if ignored { NodeState::Ready } else { state },
-                zone: ZoneId(self.nodes[*i as usize].zone),
-                shard: ShardId(self.nodes[*i as usize].shard),
-                start: cold,
+                state: if is_ignored { NodeState::Ready } else { state },
+                zone: ZoneId(self.nodes[*node_index as usize].zone),
+                shard: ShardId(self.nodes[*node_index as usize].shard),
+                start: self.listed_start(host_index, *started_us),
             });
         }
-        // What the list no longer names is gone.
-        let known: BTreeSet<&String> = entries.iter().map(|e| &e.0).collect();
-        let core = &self.hosts[host_index as usize].core;
-        let gone: Vec<String> = core
-            .nodes()
-            .entries()
-            .filter(|(a, e)| e.state != NodeState::Gone && !known.contains(&(*a).to_owned()))
-            .map(|(a, _)| a.to_owned())
+        self.record_unlisted(host_index, entries);
+        let now = self.time(host_index);
+        let core = &mut self.hosts[host_index as usize].core;
+        core.handle_endpoint_list(now, ListKind::Complete, 0, version, &list);
+        self.poll_host(host_index);
+    }
+
+    fn record_notified(&mut self, host: u32, node: &str, state: NodeState, started_us: u64) {
+        let state = match state {
+            NodeState::Ready => ListedState::Ready,
+            NodeState::Draining => ListedState::Draining,
+            NodeState::Gone => ListedState::Gone,
+        };
+        self.record(tackmast_trace::Event::Notified { host, node: node.to_owned(), state, started_us });
+    }
+
+    /// The start of a node as a host takes it from the list: its age by the list's clock, or by the host's own wall clock,
+    /// which may be wrong.
+    fn listed_start(&self, host_index: u32, started_us: u64) -> Option<NodeStart> {
+        if started_us == 0 || self.mutant == Some(Mutant::WarmUpIgnored) {
+            return None;
+        }
+        let by_list_clock = self.world.timed_list;
+        let shown = if by_list_clock { self.now - self.world.delay_us } else { self.wall(host_index) };
+        let age = TimeDelta::from_secs((shown as f64 - started_us as f64) / 1e6);
+        let age = if by_list_clock { Age::ByListClock(age) } else { Age::ByHostClock(age) };
+        Some(NodeStart { name: started_us, age })
+    }
+
+    /// Records that the nodes which a list no longer names are gone.
+    fn record_unlisted(&mut self, host_index: u32, entries: &[(String, u8, u32, u64)]) {
+        let listed: BTreeSet<&str> = entries.iter().map(|entry| entry.0.as_str()).collect();
+        let known = self.hosts[host_index as usize].core.nodes().entries();
+        let gone: Vec<String> = known
+            .filter(|(address, entry)| entry.state != NodeState::Gone && !listed.contains(&**address))
+            .map(|(address, _)| address.to_owned())
             .collect();
         for node in gone {
-            self.record(tackmast_trace::Event::Notified {
-                host: host_index,
-                node,
-                state: ListedState::Gone,
-                started_us: 0,
-            });
+            self.record_notified(host_index, &node, NodeState::Gone, 0);
         }
-        let now = self.time(host_index);
-        self.hosts[host_index as usize].core.handle_endpoint_list(
-            now,
-            ListKind::Complete,
-            0,
-            version,
-            &lines,
-        );
-        self.poll_host(host_index);
     }
 
     pub(super) fn kill_node(&mut self, node_index: u32) {
