--- a/crates/simulator/src/script_export.rs
+++ b/crates/simulator/src/script_export.rs
@@ -2,7 +2,7 @@
 //! could not bear it.
 
 use crate::sim;
-use crate::world::{FaultKind, World};
+use crate::world::{FaultKind, InjectedFault, World};
 use std::fmt::Write;
 use tackmast_overrides::Kind as OrderKind;
 
@@ -42,9 +42,8 @@
     }
 
     fn write_script(&self, out: &mut String) -> std::fmt::Result {
-        let all: Vec<u32> = (0..self.hosts).collect();
-        let mut still = self.clone();
-        still.faults.retain(|t| !matches!(t.kind, FaultKind::Plan(..)));
+        let mut without_plans = self.clone();
+        without_plans.faults.retain(|fault| !matches!(fault.kind, FaultKind::Plan(..)));
         writeln!(out, "# A world that the laboratory drew: seed {}.\n", self.seed)?;
         if self.wall_off_s > 0.0 || self.drift > 0.0 {
             writeln!(out, "# Left out: wall clocks off by up to {:.2} s, drift.", self.wall_off_s)?;
@@ -55,8 +54,15 @@
             self.seconds,
             self.hosts,
             self.seed,
-            sim::blocks(&still, None)
+            sim::blocks(&without_plans, None)
         )?;
+        self.write_nodes(out)?;
+        writeln!(out, "list {{\n  late_s = {}\n}}\n", self.list_late_us as f64 / 1e6)?;
+        self.write_traffic(out)?;
+        self.faults.iter().enumerate().try_for_each(|(index, fault)| self.write_fault(out, index, fault))
+    }
+
+    fn write_nodes(&self, out: &mut String) -> std::fmt::Result {
         for n in 0..self.nodes {
             writeln!(
                 out,
@@ -74,12 +80,18 @@
                 self.flush_interval_s
             )?;
         }
-        writeln!(out, "list {{\n  late_s = {}\n}}\n", self.list_late_us as f64 / 1e6)?;
+        Ok(())
+    }
+
+    fn write_traffic(&self, out: &mut String) -> std::fmt::Result {
+        let all: Vec<u32> = (0..self.hosts).collect();
         let few: Vec<u32> = all.iter().copied().take(self.limited_hosts as usize).collect();
         let school = self.rate * SCHOOL * few.len() as f64;
         let museum = self.rate * f64::from(self.hosts) - school;
-        let leaves = self.faults.iter().filter_map(|t| match t.kind {
-            FaultKind::Leave(x) => Some(x * (t.for_us as f64 / 1e6 / self.seconds).min(1.0)),
+        let leaves = self.faults.iter().filter_map(|fault| match fault.kind {
+            FaultKind::Leave(fraction) => {
+                Some(fraction * (fault.for_us as f64 / 1e6 / self.seconds).min(1.0))
+            }
             _ => None,
         });
         let aborts = leaves.sum::<f64>().min(1.0);
@@ -96,61 +108,70 @@
                 rate.max(0.01)
             )?;
         }
-        for (i, t) in self.faults.iter().enumerate() {
-            let (at, long) = (t.at_us as f64 / 1e6, t.for_us as f64 / 1e6);
-            let node = format!("nodes = [\"n{}\"]", t.node);
-            let every: Vec<String> = (0..self.nodes).map(|n| format!("n{n}")).collect();
-            let fault = |what: String| Some(format!("{node}\n  fault = \"{what}\""));
-            let body = match t.kind {
-                FaultKind::Slow(x) => fault(format!("slow {x:.3}")),
-                FaultKind::Errors(x) => fault(format!("errors {x:.3}")),
-                FaultKind::Neighbour(x) => fault(format!("neighbour {x:.3}")),
-                FaultKind::Heavy(part, times) => fault(format!("heavy {part:.4} {times:.2}")),
-                FaultKind::Pause => fault(format!("pause {long:.3}")),
-                FaultKind::Silent => fault("silent on".into()),
-                FaultKind::Restart => fault(format!("restart {long:.3}")),
-                FaultKind::Deploy => fault("deploy".into()),
-                FaultKind::Resets => fault("reset".into()),
-                FaultKind::Drain => Some(format!("drain = [\"n{}\"]", t.node)),
-                FaultKind::MassRestart => {
-                    Some(format!("nodes = {every:?}\n  fault = \"restart {:.3}\"", long / 2.0))
-                }
-                FaultKind::ListLate(s) => Some(format!("list = \"late {s:.3}\"")),
-                FaultKind::ListFails => Some("list = \"fails\"".into()),
-                FaultKind::HostKill => Some(format!("host = \"kill\"\n  hosts = [{}]", t.host.unwrap_or(0))),
-                FaultKind::Surge(x) => Some(format!("times = {x:.3}")),
-                FaultKind::Order(kind, everywhere) => {
-                    let order = match kind {
-                        OrderKind::OutOfService => "out".to_owned(),
-                        OrderKind::Pinned => "pin".to_owned(),
-                        OrderKind::Weight(x) => format!("weight {x:.3}"),
-                    };
-                    let hosts = if everywhere { String::new() } else { t.host.unwrap_or(0).to_string() };
-                    Some(format!("{node}\n  order = \"{order}\"\n  force = true\n  hosts = [{hosts}]"))
-                }
-                FaultKind::Leave(_) => None,
-                FaultKind::Partition | FaultKind::Hangup(_) | FaultKind::Hot(_) => None,
-                FaultKind::Split(_) | FaultKind::HostLeaves | FaultKind::HostStands => None,
-                FaultKind::Busiest(..) | FaultKind::Plan(..) => None,
-            };
-            match body {
-                Some(body) => {
+        Ok(())
+    }
+
+    /// The words of the script for a fault, without its time. None: a script has no words for it.
+    fn fault_words(&self, fault: &InjectedFault) -> Option<String> {
+        let long = fault.for_us as f64 / 1e6;
+        let node = format!("nodes = [\"n{}\"]", fault.node);
+        let every: Vec<String> = (0..self.nodes).map(|node| format!("n{node}")).collect();
+        let host = fault.host.unwrap_or(0);
+        let node_fault = |what: String| Some(format!("{node}\n  fault = \"{what}\""));
+        match fault.kind {
+            FaultKind::Slow(x) => node_fault(format!("slow {x:.3}")),
+            FaultKind::Errors(x) => node_fault(format!("errors {x:.3}")),
+            FaultKind::Neighbour(x) => node_fault(format!("neighbour {x:.3}")),
+            FaultKind::Heavy(part, times) => node_fault(format!("heavy {part:.4} {times:.2}")),
+            FaultKind::Pause => node_fault(format!("pause {long:.3}")),
+            FaultKind::Silent => node_fault("silent on".into()),
+            FaultKind::Restart => node_fault(format!("restart {long:.3}")),
+            FaultKind::Deploy => node_fault("deploy".into()),
+            FaultKind::Resets => node_fault("reset".into()),
+            FaultKind::Drain => Some(format!("drain = [\"n{}\"]", fault.node)),
+            FaultKind::MassRestart => {
+                Some(format!("nodes = {every:?}\n  fault = \"restart {:.3}\"", long / 2.0))
+            }
+            FaultKind::ListLate(s) => Some(format!("list = \"late {s:.3}\"")),
+            FaultKind::ListFails => Some("list = \"fails\"".into()),
+            FaultKind::HostKill => Some(format!("host = \"kill\"\n  hosts = [{}]", host)),
+            FaultKind::Surge(x) => Some(format!("times = {x:.3}")),
+            FaultKind::Order(kind, everywhere) => {
+                let order = match kind {
+                    OrderKind::OutOfService => "out".to_owned(),
+                    OrderKind::Pinned => "pin".to_owned(),
+                    OrderKind::Weight(x) => format!("weight {x:.3}"),
+                };
+                let hosts = if everywhere { String::new() } else { host.to_string() };
+                Some(format!("{node}\n  order = \"{order}\"\n  force = true\n  hosts = [{hosts}]"))
+            }
+            FaultKind::Leave(_) => None,
+            FaultKind::Partition | FaultKind::Hangup(_) | FaultKind::Hot(_) => None,
+            FaultKind::Split(_) | FaultKind::HostLeaves | FaultKind::HostStands => None,
+            FaultKind::Busiest(..) | FaultKind::Plan(..) => None,
+        }
+    }
+
+    fn write_fault(&self, out: &mut String, index: usize, fault: &InjectedFault) -> std::fmt::Result {
+        let (at, long) = (fault.at_us as f64 / 1e6, fault.for_us as f64 / 1e6);
+        let node = format!("nodes = [\"n{}\"]", fault.node);
+        match self.fault_words(fault) {
+            Some(body) => {
+                writeln!(
+                    out,
+                    "trouble \"{index}\" {{\n  at_s = {at:.3}\n  for_s = {long:.3}\n  {body}\n}}\n"
+                )?;
+                // A silent node comes back as a process that starts: what it had is gone.
+                if fault.kind == FaultKind::Silent {
+                    let end = at + long;
                     writeln!(
-                        out,
-                        "trouble \"{i}\" {{\n  at_s = {at:.3}\n  for_s = {long:.3}\n  {body}\n}}\n"
-                    )?;
-                    // A silent node comes back as a process that starts: what it had is gone.
-                    if t.kind == FaultKind::Silent {
-                        let end = at + long;
-                        writeln!(
                             out,
-                            "trouble \"{i} back\" {{\n  at_s = {end:.3}\n  {node}\n  fault = \"restart 0.05\"\n}}\n"
+                            "trouble \"{index} back\" {{\n  at_s = {end:.3}\n  {node}\n  fault = \"restart 0.05\"\n}}\n"
                         )?;
-                    }
                 }
-                None if matches!(t.kind, FaultKind::Leave(_)) => {}
-                None => writeln!(out, "# Left out: {:?} at {at:.3} s for {long:.3} s\n", t.kind)?,
             }
+            None if matches!(fault.kind, FaultKind::Leave(_)) => {}
+            None => writeln!(out, "# Left out: {:?} at {at:.3} s for {long:.3} s\n", fault.kind)?,
         }
         Ok(())
     }
--- a/crates/simulator/src/views/world/checks.rs
+++ b/crates/simulator/src/views/world/checks.rs
@@ -17,10 +17,10 @@
             || self.deaf[slot as usize]
     }
 
-    /// What no view may do, and deaths of hosts that were there.
+    /// Checks all views for what they must never do, and counts deaths of hosts that were alive.
     pub(super) fn check_views(&mut self) {
-        // Each view has as many lines as there are hosts: large fleets are looked at once a period.
-        let every = match self.hosts {
+        // A view has an entry for each host: large fleets are checked less often.
+        let interval = match self.hosts {
             0..=100 => CHECK_INTERVAL,
             101..=400 => PERIOD,
             _ => 4 * PERIOD,
@@ -28,52 +28,60 @@
         if self.now < self.next_check {
             return;
         }
-        self.next_check = self.now + every;
+        self.next_check = self.now + interval;
         let running: HashMap<(u32, u64), SocketAddr> = self
             .all
             .iter()
-            .filter(|x| x.member.is_some())
-            .map(|x| ((x.slot, x.generation), x.address))
+            .filter(|process| process.member.is_some())
+            .map(|process| ((process.slot, process.generation), process.address))
             .collect();
-        for p in 0..self.all.len() {
-            if self.all[p].stopped {
-                continue;
+        for index in 0..self.all.len() {
+            if !self.all[index].stopped && self.all[index].member.is_some() {
+                self.check_entries(index, &running);
+                self.count_false_deaths(index);
+                self.all[index].checked_until = self.now;
             }
-            let Some(m) = &self.all[p].member else { continue };
-            let (clock_rate, checked_until, slot) =
-                (self.all[p].clock_rate, self.all[p].checked_until, self.all[p].slot);
-            let new = m.view.deaths().filter(|d| d.at > at(checked_until, clock_rate));
-            let new: Vec<(u32, bool)> = new.map(|d| (d.slot, d.declared_here)).collect();
-            let mut broken = Vec::new();
-            let mut best = std::mem::take(&mut self.all[p].best);
-            for (k, s) in &self.all[p].member.as_ref().map(Member::snapshot).unwrap_or_default() {
-                let word = (s.generation, s.incarnation);
-                let known = best.entry(*k).or_insert(word);
-                if word < *known {
-                    broken.push(format!("host {slot} went back on host {k}: {known:?}, then {word:?}"));
-                }
-                *known = word;
-                if let Some(a) = running.get(&(*k, s.generation)).filter(|a| **a != s.address) {
-                    broken.push(format!("host {slot} has host {k} at {}, it is at {a}", s.address));
-                }
+        }
+    }
+
+    /// An entry must never go back to an older incarnation, be forgotten, or have a wrong address.
+    fn check_entries(&mut self, index: usize, running: &HashMap<(u32, u64), SocketAddr>) {
+        let slot = self.all[index].slot;
+        let seen = self.all[index].member.as_ref().map(Member::snapshot).unwrap_or_default();
+        let mut newest = std::mem::take(&mut self.all[index].best);
+        let mut broken = Vec::new();
+        for (host, state) in &seen {
+            let version = (state.generation, state.incarnation);
+            let known = newest.entry(*host).or_insert(version);
+            if version < *known {
+                broken.push(format!("host {slot} went back on host {host}: {known:?}, then {version:?}"));
             }
-            let seen = self.all[p].member.as_ref().map(Member::snapshot).unwrap_or_default();
-            for k in best.keys() {
-                if !seen.contains_key(k) {
-                    broken.push(format!("host {slot} has forgotten host {k}"));
-                }
+            *known = version;
+            let address = running.get(&(*host, state.generation));
+            if let Some(address) = address.filter(|address| **address != state.address) {
+                broken.push(format!("host {slot} has host {host} at {}, it is at {address}", state.address));
             }
-            self.all[p].best = best;
-            self.shown.broken.extend(broken);
-            self.shown.broken.truncate(20);
-            let since = self.now.saturating_sub(ALIVE_PERIODS_BEFORE_DEATH * PERIOD);
-            for (k, own) in new {
-                if !self.was_away(k, slot, since) {
-                    self.shown.false_deaths += u64::from(own);
-                    self.shown.false_views += 1;
-                }
+        }
+        for host in newest.keys().filter(|host| !seen.contains_key(*host)) {
+            broken.push(format!("host {slot} has forgotten host {host}"));
+        }
+        self.all[index].best = newest;
+        self.shown.broken.extend(broken);
+        self.shown.broken.truncate(20);
+    }
+
+    fn count_false_deaths(&mut self, index: usize) {
+        let process = &self.all[index];
+        let Some(member) = &process.member else { return };
+        let (slot, checked_until) = (process.slot, at(process.checked_until, process.clock_rate));
+        let new = member.view.deaths().filter(|death| death.at > checked_until);
+        let new: Vec<(u32, bool)> = new.map(|death| (death.slot, death.declared_here)).collect();
+        let since = self.now.saturating_sub(ALIVE_PERIODS_BEFORE_DEATH * PERIOD);
+        for (host, declared_here) in new {
+            if !self.was_away(host, slot, since) {
+                self.shown.false_deaths += u64::from(declared_here);
+                self.shown.false_views += 1;
             }
-            self.all[p].checked_until = self.now;
         }
     }
 
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -144,10 +144,19 @@
             scenario: None,
             faults: Vec::new(),
         };
+        world.generate_faults(&mut generator);
+        world.generate_more(&mut generator);
+        world.generate_hot(&mut generator);
+        world.generate_members(&mut generator);
+        world.generate_plans(&mut generator);
+        world
+    }
+
+    /// Each kind of fault is in a third of the worlds, in some of them several times.
+    fn generate_faults(&mut self, generator: &mut oorandom::Rand64) {
         for number in 0..17u32 {
-            // Each kind is in a third of the runs, some of them several times.
             while generator.rand_float() < 0.33 {
-                let at_us = (generator.rand_float() * seconds * 0.8 * 1e6) as u64;
+                let at_us = (generator.rand_float() * self.seconds * 0.8 * 1e6) as u64;
                 let for_us = (generator.rand_float() * 2.5e6) as u64 + 50_000;
                 let strength = generator.rand_float();
                 let kind = match number {
@@ -169,17 +178,12 @@
                     15 => FaultKind::Surge(1.5 + 3.0 * strength),
                     _ => FaultKind::Leave(0.2 * strength),
                 };
-                let node = generator.rand_range(0..u64::from(nodes)) as u32;
+                let node = generator.rand_range(0..u64::from(self.nodes)) as u32;
                 let at_host = matches!(kind, FaultKind::HostKill | FaultKind::Partition);
-                let host = at_host.then(|| generator.rand_range(0..u64::from(hosts)) as u32);
-                world.faults.push(InjectedFault { at_us, for_us, kind, node, host });
+                let host = at_host.then(|| generator.rand_range(0..u64::from(self.hosts)) as u32);
+                self.faults.push(InjectedFault { at_us, for_us, kind, node, host });
             }
         }
-        world.generate_more(&mut generator);
-        world.generate_hot(&mut generator);
-        world.generate_members(&mut generator);
-        world.generate_plans(&mut generator);
-        world
     }
 
     /// Drawn after the rest, so that older seeds keep their troubles.
