--- a/crates/simulator/src/scenario_script.rs
+++ b/crates/simulator/src/scenario_script.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use tackmast_emulators::list::ListFault;
 use tackmast_emulators::node::Fault;
-use tackmast_overrides::Target;
+use tackmast_overrides::{Kind as OrderKind, Target};
 use tackmast_scenario::{is_one_of, Action, NodesBlock, Script, TrafficBlock, AGEING_STEPS};
 
 /// Delay of a link, as short as on loopback, in microseconds.
@@ -51,6 +51,27 @@
     pub waits: bool,
 }
 
+/// The gap to the next event of a Poisson process, in seconds.
+fn exponential_gap(generator: &mut oorandom::Rand64, mean_s: f64) -> f64 {
+    -(1.0 - generator.rand_float()).ln() * mean_s
+}
+
+/// The times of a Poisson process between `from` and `until`, in seconds.
+fn event_times(generator: &mut oorandom::Rand64, from: f64, until: f64, mean_s: f64) -> Vec<f64> {
+    let mut times = Vec::new();
+    let mut at = from + exponential_gap(generator, mean_s);
+    while at < until {
+        times.push(at);
+        at += exponential_gap(generator, mean_s);
+    }
+    times
+}
+
+/// Whether a list of flows names one; an empty list names all.
+fn names_flow(names: &[String], flow: &str) -> bool {
+    names.is_empty() || names.iter().any(|name| name == flow)
+}
+
 impl ScenarioScript {
     /// The script's nodes in its order, one for each shard named: block and shard.
     pub fn node(&self, node_index: u32) -> Option<(&NodesBlock, u32)> {
@@ -87,6 +108,39 @@
         all
     }
 
+    /// When the host that gets most of a flow changes.
+    fn lead_moves(
+        &self,
+        name: &str,
+        traffic: &TrafficBlock,
+        until: f64,
+        generator: &mut oorandom::Rand64,
+    ) -> Vec<f64> {
+        let mut moves = match traffic.moves_s {
+            Some(every) => event_times(generator, traffic.from_s, until, every),
+            None => Vec::new(),
+        };
+        for trouble in &self.0.troubles {
+            if let Action::Move { traffic } = &trouble.action {
+                moves.extend(names_flow(traffic, name).then_some(trouble.at_s));
+            }
+        }
+        moves
+    }
+
+    /// By how much the rate of a flow is multiplied at a time: by its own surges and by those of the script.
+    fn surge_factor(&self, name: &str, traffic: &TrafficBlock, surges: &[(f64, f64)], at: f64) -> f64 {
+        let own = traffic.surges.filter(|_| surges.iter().any(|(from, to)| at >= *from && at < *to));
+        let scripted = self.0.troubles.iter().filter_map(|trouble| match &trouble.action {
+            Action::Surge { traffic, times } if names_flow(traffic, name) => {
+                (at >= trouble.at_s && at < trouble.at_s + trouble.for_s).then_some(*times)
+            }
+            _ => None,
+        });
+        own.map_or(1.0, |surge| surge.0) * scripted.fold(1.0, |_, times| times)
+    }
+
+    /// Appends the requests of one flow. `base` is the first of its blocks.
     fn flow(
         &self,
         name: &str,
@@ -96,40 +150,15 @@
         generator: &mut oorandom::Rand64,
         all: &mut Vec<ScriptRequest>,
     ) {
-        let gap = |c: &mut oorandom::Rand64, mean_s: f64| -(1.0 - c.rand_float()).ln() * mean_s;
-        // Stretches of its own surges, and the times at which the lead passes on.
         let until = t.for_s.map_or(self.0.day.seconds, |s| t.from_s + s).min(self.0.day.seconds);
-        let (mut surges, mut moves) = (Vec::new(), Vec::new());
-        if let Some((_, length, every)) = t.surges {
-            let mut at = t.from_s + gap(generator, every);
-            while at < until {
-                surges.push((at, at + length));
-                at += gap(generator, every);
-            }
-        }
-        if let Some(every) = t.moves_s {
-            let mut at = t.from_s + gap(generator, every);
-            while at < until {
-                moves.push(at);
-                at += gap(generator, every);
+        let surges = match t.surges {
+            Some((_, length, every)) => {
+                let starts = event_times(generator, t.from_s, until, every);
+                starts.into_iter().map(|start| (start, start + length)).collect()
             }
-        }
-        let hit = |names: &[String]| names.is_empty() || names.iter().any(|n| n == name);
-        for trouble in &self.0.troubles {
-            if let Action::Move { traffic } = &trouble.action {
-                moves.extend(hit(traffic).then_some(trouble.at_s));
-            }
-        }
-        let times = |at: f64| {
-            let own = t.surges.filter(|_| surges.iter().any(|(from, to)| at >= *from && at < *to));
-            let all = self.0.troubles.iter().filter_map(|x| match &x.action {
-                Action::Surge { traffic, times } if hit(traffic) => {
-                    (at >= x.at_s && at < x.at_s + x.for_s).then_some(*times)
-                }
-                _ => None,
-            });
-            own.map_or(1.0, |s| s.0) * all.fold(1.0, |_, x| x)
+            None => Vec::new(),
         };
+        let moves = self.lead_moves(name, t, until, generator);
         let mut at = t.from_s;
         while at < until {
             let (least, most) = t.blocks;
@@ -144,7 +173,10 @@
             let (at_us, host) = ((at * 1e6) as u64, t.hosts[place]);
             let (retries, waits) = (t.retries, t.waits);
             all.push(ScriptRequest { at_us, host, lun, write, block, blocks, retries, waits });
-            at += gap(generator, 1.0 / (t.rate * times(at)).max(0.001));
+            at += exponential_gap(
+                generator,
+                1.0 / (t.rate * self.surge_factor(name, t, &surges, at)).max(0.001),
+            );
         }
     }
 }
@@ -162,7 +194,9 @@
         world.faults.clear();
         let mut left_out = Vec::new();
         for t in &day.troubles {
-            if let Err(what) = troubles(&day, t, &mut world.faults) {
+            let (at_us, for_us) = (to_us(t.at_s), to_us(t.for_s));
+            let all = &mut world.faults;
+            if let Err(what) = (FaultTranslation { script: &day, at_us, for_us, all }).translate(t) {
                 left_out.push(format!("{}: {what}", t.name));
             }
         }
@@ -196,101 +230,140 @@
     ClientMisuse(String),
 }
 
-/// Adds the simulator's faults for one of the script's.
-fn troubles(
-    day: &ScenarioScript,
-    script_fault: &tackmast_scenario::Trouble,
-    all: &mut Vec<InjectedFault>,
-) -> Result<(), UnsupportedAction> {
-    let us = |s: f64| (s * 1e6) as u64;
-    let (at, long) = (us(script_fault.at_s), us(script_fault.for_s));
-    let mut put =
-        |at_us, for_us, kind, node, host| all.push(InjectedFault { at_us, for_us, kind, node, host });
-    match &script_fault.action {
-        Action::Nodes { nodes, fault } => {
-            let (kind, long) = match fault {
-                Fault::Slow(x) => (FaultKind::Slow(*x), long),
-                Fault::Neighbour(x) => (FaultKind::Neighbour(*x), long),
-                Fault::Errors(x) => (FaultKind::Errors(*x), long),
-                Fault::Heavy(part, times) => (FaultKind::Heavy(*part, *times), long),
-                Fault::Pause(s) => (FaultKind::Pause, us(*s)),
-                Fault::Silent(_) => (FaultKind::Silent, long),
-                Fault::Restart(s) => (FaultKind::Restart, us(*s)),
-                Fault::Reset => (FaultKind::Resets, 0),
-                Fault::Die => (FaultKind::Restart, us(day.day.seconds * 10.0)),
-                other => return Err(UnsupportedAction::SocketFault(format!("{other:?}"))),
-            };
-            for n in day.named(nodes) {
-                put(at, long, kind, n, None);
+fn to_us(seconds: f64) -> u64 {
+    (seconds * 1e6) as u64
+}
+
+/// Translates one fault of a script to the simulator's.
+struct FaultTranslation<'a> {
+    script: &'a ScenarioScript,
+    at_us: u64,
+    for_us: u64,
+    all: &'a mut Vec<InjectedFault>,
+}
+
+impl FaultTranslation<'_> {
+    fn add(&mut self, kind: FaultKind, node: u32, host: Option<u32>) {
+        self.add_at(self.at_us, self.for_us, kind, node, host);
+    }
+
+    fn add_at(&mut self, at_us: u64, for_us: u64, kind: FaultKind, node: u32, host: Option<u32>) {
+        self.all.push(InjectedFault { at_us, for_us, kind, node, host });
+    }
+
+    fn translate(&mut self, fault: &tackmast_scenario::Trouble) -> Result<(), UnsupportedAction> {
+        match &fault.action {
+            Action::Nodes { nodes, fault } => self.add_node_fault(nodes, fault)?,
+            Action::Ageing { nodes, times, down_s } => self.add_ageing(nodes, *times, *down_s),
+            Action::Pauses { nodes, pause_s, every_s } => {
+                self.add_pauses(nodes, *pause_s, *every_s, (fault.at_s, fault.at_s + fault.for_s));
             }
-        }
-        Action::Ageing { nodes, times, down_s } => {
-            for n in day.named(nodes) {
-                let step = long / u64::from(AGEING_STEPS);
-                for i in 0..u64::from(AGEING_STEPS) {
-                    let part = i as f64 / f64::from(AGEING_STEPS);
-                    put(at + i * step, step, FaultKind::Slow(times.powf(part)), n, None);
-                }
-                put(at + long, us(*down_s), FaultKind::Restart, n, None);
+            Action::List(list_fault) => self.add_list_fault(list_fault)?,
+            Action::Deploy { nodes } => {
+                self.script.named(nodes).into_iter().for_each(|node| self.add(FaultKind::Deploy, node, None));
             }
-        }
-        Action::Pauses { nodes, pause_s, every_s } => {
-            for n in day.named(nodes) {
-                let mut from = script_fault.at_s;
-                while from < script_fault.at_s + script_fault.for_s {
-                    put(us(from), us(*pause_s), FaultKind::Pause, n, None);
-                    from += every_s.max(0.01);
-                }
+            Action::Drain { nodes } => {
+                self.script.named(nodes).into_iter().for_each(|node| self.add(FaultKind::Drain, node, None));
+            }
+            Action::KillHosts(hosts) => {
+                hosts.iter().for_each(|host| self.add(FaultKind::HostKill, 0, Some(*host)));
             }
+            // The traffic itself has the surge; the fault marks it in the report.
+            Action::Surge { times, .. } => self.add(FaultKind::Surge(*times), 0, None),
+            Action::Move { .. } => {}
+            Action::Plan { .. } => return Err(UnsupportedAction::PlanChange),
+            Action::Hosts { how, .. } => return Err(UnsupportedAction::Process(format!("{how:?}"))),
+            Action::Voter { .. } | Action::Way { .. } | Action::Apart(_) => {
+                return Err(UnsupportedAction::Network)
+            }
+            Action::Order { refused: true, .. } => return Err(UnsupportedAction::RefusedOverride),
+            Action::Order { hosts, kind, target, nodes, .. } => {
+                self.add_override(hosts, *kind, target.as_ref(), nodes)?;
+            }
+            Action::Client { how, .. } => return Err(UnsupportedAction::ClientMisuse(format!("{how:?}"))),
         }
-        Action::List(ListFault::Late(s)) => put(at, long, FaultKind::ListLate(*s), 0, None),
-        Action::List(ListFault::Fails(_) | ListFault::Silent(_)) => {
-            put(at, long, FaultKind::ListFails, 0, None)
+        Ok(())
+    }
+
+    fn add_node_fault(&mut self, nodes: &[String], fault: &Fault) -> Result<(), UnsupportedAction> {
+        let (kind, for_us) = match fault {
+            Fault::Slow(times) => (FaultKind::Slow(*times), self.for_us),
+            Fault::Neighbour(share) => (FaultKind::Neighbour(*share), self.for_us),
+            Fault::Errors(rate) => (FaultKind::Errors(*rate), self.for_us),
+            Fault::Heavy(fraction, times) => (FaultKind::Heavy(*fraction, *times), self.for_us),
+            Fault::Pause(seconds) => (FaultKind::Pause, to_us(*seconds)),
+            Fault::Silent(_) => (FaultKind::Silent, self.for_us),
+            Fault::Restart(seconds) => (FaultKind::Restart, to_us(*seconds)),
+            Fault::Reset => (FaultKind::Resets, 0),
+            Fault::Die => (FaultKind::Restart, to_us(self.script.day.seconds * 10.0)),
+            other => return Err(UnsupportedAction::SocketFault(format!("{other:?}"))),
+        };
+        for node in self.script.named(nodes) {
+            self.add_at(self.at_us, for_us, kind, node, None);
         }
-        Action::List(ListFault::Reset) => put(at, 1000, FaultKind::ListFails, 0, None),
-        Action::List(other) => return Err(UnsupportedAction::ListVersions(format!("{other:?}"))),
-        Action::Deploy { nodes } => {
-            day.named(nodes).into_iter().for_each(|n| put(at, long, FaultKind::Deploy, n, None))
+        Ok(())
+    }
+
+    /// Nodes that become slower in steps, and then restart.
+    fn add_ageing(&mut self, nodes: &[String], times: f64, down_s: f64) {
+        for node in self.script.named(nodes) {
+            let step_us = self.for_us / u64::from(AGEING_STEPS);
+            for step in 0..u64::from(AGEING_STEPS) {
+                let fraction = step as f64 / f64::from(AGEING_STEPS);
+                let kind = FaultKind::Slow(times.powf(fraction));
+                self.add_at(self.at_us + step * step_us, step_us, kind, node, None);
+            }
+            self.add_at(self.at_us + self.for_us, to_us(down_s), FaultKind::Restart, node, None);
         }
-        Action::Drain { nodes } => {
-            day.named(nodes).into_iter().for_each(|n| put(at, long, FaultKind::Drain, n, None))
+    }
+
+    fn add_pauses(&mut self, nodes: &[String], pause_s: f64, every_s: f64, (from_s, until_s): (f64, f64)) {
+        for node in self.script.named(nodes) {
+            let mut at_s = from_s;
+            while at_s < until_s {
+                self.add_at(to_us(at_s), to_us(pause_s), FaultKind::Pause, node, None);
+                at_s += every_s.max(0.01);
+            }
         }
-        Action::KillHosts(hosts) => {
-            hosts.iter().for_each(|h| put(at, long, FaultKind::HostKill, 0, Some(*h)))
+    }
+
+    fn add_list_fault(&mut self, fault: &ListFault) -> Result<(), UnsupportedAction> {
+        match fault {
+            ListFault::Late(seconds) => self.add(FaultKind::ListLate(*seconds), 0, None),
+            ListFault::Fails(_) | ListFault::Silent(_) => self.add(FaultKind::ListFails, 0, None),
+            ListFault::Reset => self.add_at(self.at_us, 1000, FaultKind::ListFails, 0, None),
+            other => return Err(UnsupportedAction::ListVersions(format!("{other:?}"))),
         }
-        // The traffic itself has them; here they are marked for the report.
-        Action::Surge { times, .. } => put(at, long, FaultKind::Surge(*times), 0, None),
-        Action::Move { .. } => {}
-        Action::Plan { .. } => return Err(UnsupportedAction::PlanChange),
-        Action::Hosts { how, .. } => return Err(UnsupportedAction::Process(format!("{how:?}"))),
-        Action::Voter { .. } | Action::Way { .. } | Action::Apart(_) => {
-            return Err(UnsupportedAction::Network)
+        Ok(())
+    }
+
+    fn add_override(
+        &mut self,
+        hosts: &[u32],
+        kind: OrderKind,
+        target: Option<&Target>,
+        nodes: &[String],
+    ) -> Result<(), UnsupportedAction> {
+        if matches!(target, Some(Target::Node(_) | Target::Net(_))) {
+            return Err(UnsupportedAction::LoopbackAddress);
         }
-        Action::Order { refused: true, .. } => return Err(UnsupportedAction::RefusedOverride),
-        Action::Order { hosts, kind, target, nodes, .. } => {
-            let mut named = day.named(nodes);
-            let in_set = |n: &u32| {
-                let Some((block, shard)) = day.node(*n) else { return false };
-                match target {
-                    Some(Target::Shard(s)) => *s == shard,
-                    Some(Target::Zone(z)) => *z == block.zone,
-                    _ => false,
-                }
-            };
-            if matches!(target, Some(Target::Node(_) | Target::Net(_))) {
-                return Err(UnsupportedAction::LoopbackAddress);
+        let script = self.script;
+        let is_in_target = |node: &u32| {
+            let Some((block, shard)) = script.node(*node) else { return false };
+            match target {
+                Some(Target::Shard(target)) => *target == shard,
+                Some(Target::Zone(zone)) => *zone == block.zone,
+                _ => false,
             }
-            named.extend((0..day.node_names().count() as u32).filter(in_set));
-            for n in named {
-                match hosts.is_empty() {
-                    true => put(at, long, FaultKind::Order(*kind, true), n, Some(0)),
-                    false => {
-                        hosts.iter().for_each(|h| put(at, long, FaultKind::Order(*kind, false), n, Some(*h)))
-                    }
-                }
+        };
+        let mut named = script.named(nodes);
+        named.extend((0..script.node_names().count() as u32).filter(is_in_target));
+        for node in named {
+            if hosts.is_empty() {
+                self.add(FaultKind::Order(kind, true), node, Some(0));
             }
+            hosts.iter().for_each(|host| self.add(FaultKind::Order(kind, false), node, Some(*host)));
         }
-        Action::Client { how, .. } => return Err(UnsupportedAction::ClientMisuse(format!("{how:?}"))),
+        Ok(())
     }
-    Ok(())
 }
--- a/crates/simulator/src/sim/hosts.rs
+++ b/crates/simulator/src/sim/hosts.rs
@@ -3,46 +3,17 @@
 use super::*;
 
 impl Sim<'_> {
+    /// Starts the process of a host, from what it has persisted.
     pub(super) fn new_host(&mut self, host_index: u32) -> Host {
         self.generations += 1;
         let seed = self.world.seed ^ self.generations << 20;
         let now = self.time(host_index);
-        let mut core = host_logic(
-            now,
-            &self.settings[host_index as usize],
-            seed,
-            self.generations,
-            self.reference_model,
-        );
-        let wall = self.wall(host_index);
-        let kept = &mut self.kept[host_index as usize];
-        if let Some(core) = core.core().filter(|_| self.world.has_orders()) {
-            let records = kept.overrides.values().cloned().collect();
-            let (overrides, ended) = Overrides::new(now, wall, OVERRIDE_SETTINGS, records, kept.next);
-            ended.iter().for_each(|e| _ = kept.overrides.remove(&e.record.id));
-            core.handle_wall_clock(now, wall);
-            core.with_overrides(now, overrides, PersistBatch::default());
-        }
-        if let Some((core, b)) = core.core().zip(self.settings[host_index as usize].plans_live.as_ref()) {
-            let trail: Vec<u8> = kept.changes.values().flatten().copied().collect();
-            let plans = Plans::new(now, &self.settings[host_index as usize], b, &trail)
-                .unwrap_or_else(|e| panic!("a trail that the lab kept: {e}"));
-            let stored = if trail.is_empty() { StoredPlans::Nothing } else { StoredPlans::ChangeLog };
-            core.with_plans(now, plans, stored);
-        }
-        if let Some(core) = core.core().filter(|_| self.world.members.is_some()) {
-            let settings = &self.settings[host_index as usize];
-            let address = peer_address(host_index);
-            let member = member_settings(
-                settings,
-                &MEMBERSHIP,
-                address,
-                self.generations,
-                if kept.left { PreviousExit::Graceful } else { PreviousExit::Unclean },
-                seed,
-                kept.members.clone(),
-            );
-            core.with_peers(now, Peers::new(now, member));
+        let settings = &self.settings[host_index as usize];
+        let mut core = host_logic(now, settings, seed, self.generations, self.reference_model);
+        if let Some(core) = core.core() {
+            self.restore_overrides(core, host_index, now);
+            self.restore_plans(core, host_index, now);
+            self.join_peers(core, host_index, now, seed);
         }
         Host {
             core,
@@ -60,6 +31,47 @@
         }
     }
 
+    fn restore_overrides(&mut self, core: &mut Core, host_index: u32, now: Instant) {
+        if !self.world.has_orders() {
+            return;
+        }
+        let wall = self.wall(host_index);
+        let kept = &mut self.kept[host_index as usize];
+        let records = kept.overrides.values().cloned().collect();
+        let (overrides, ended) = Overrides::new(now, wall, OVERRIDE_SETTINGS, records, kept.next);
+        ended.iter().for_each(|ended| _ = kept.overrides.remove(&ended.record.id));
+        core.handle_wall_clock(now, wall);
+        core.with_overrides(now, overrides, PersistBatch::default());
+    }
+
+    fn restore_plans(&self, core: &mut Core, host_index: u32, now: Instant) {
+        let settings = &self.settings[host_index as usize];
+        let Some(block) = settings.plans_live.as_ref() else { return };
+        let change_log: Vec<u8> =
+            self.kept[host_index as usize].changes.values().flatten().copied().collect();
+        let plans = Plans::new(now, settings, block, &change_log)
+            .unwrap_or_else(|error| panic!("a trail that the lab kept: {error}"));
+        let stored = if change_log.is_empty() { StoredPlans::Nothing } else { StoredPlans::ChangeLog };
+        core.with_plans(now, plans, stored);
+    }
+
+    fn join_peers(&self, core: &mut Core, host_index: u32, now: Instant, seed: u64) {
+        if self.world.members.is_none() {
+            return;
+        }
+        let kept = &self.kept[host_index as usize];
+        let member = member_settings(
+            &self.settings[host_index as usize],
+            &MEMBERSHIP,
+            peer_address(host_index),
+            self.generations,
+            if kept.left { PreviousExit::Graceful } else { PreviousExit::Unclean },
+            seed,
+            kept.members.clone(),
+        );
+        core.with_peers(now, Peers::new(now, member));
+    }
+
     /// Carries out what the core wants done.
     pub(super) fn poll_host(&mut self, host_index: u32) {
         if !self.hosts[host_index as usize].up || self.hosts[host_index as usize].paused_until > self.now {
