--- a/crates/host-core/src/override_requests.rs
+++ b/crates/host-core/src/override_requests.rs
@@ -202,7 +202,7 @@
             return Vec::new();
         }
         self.next_report_at = now + REPORT_INTERVAL;
-        let standing = self.overrides.list(now);
+        let overrides = self.overrides.list(now);
         let active = |(record, left_secs): &(Override, f64)| OverrideEvent::Active {
             id: record.id,
             target: record.target,
@@ -211,9 +211,9 @@
             who: record.who.clone(),
             reason: record.reason.clone(),
         };
-        let mut events: Vec<_> = standing.iter().take(MAX_REPORTED_OVERRIDES).map(active).collect();
-        if standing.len() > MAX_REPORTED_OVERRIDES {
-            events.push(OverrideEvent::MoreActive { count: standing.len() - MAX_REPORTED_OVERRIDES });
+        let mut events: Vec<_> = overrides.iter().take(MAX_REPORTED_OVERRIDES).map(active).collect();
+        if overrides.len() > MAX_REPORTED_OVERRIDES {
+            events.push(OverrideEvent::MoreActive { count: overrides.len() - MAX_REPORTED_OVERRIDES });
         }
         events
     }
