--- a/crates/host-core/src/override_requests.rs
+++ b/crates/host-core/src/override_requests.rs
@@ -27,7 +27,9 @@
 pub(crate) struct OverrideRequests {
     /// The overrides that are set.
     pub overrides: Overrides,
+    /// The change that is being persisted, with the number that its request came under.
     pending: Option<(u64, Pending)>,
+    /// Requests that wait for it, each with the number that it came under.
     queued: VecDeque<(u64, AdminRequest)>,
     next_report_at: Instant,
     /// Host and generation that name overrides set here, where hosts replicate theirs.
--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -46,11 +46,21 @@
     effective_at: Instant,
     /// Until when clients wait for the newest change, at most.
     clients_wait_until: Option<Instant>,
-    pending: Option<(u64, Box<Entry>, Catalogue)>,
+    pending: Option<PendingChange>,
+    /// Changes that wait for the pending one, each with the number that it came under.
     queued: VecDeque<(u64, PlanRequest)>,
     plan_ids: BTreeMap<String, PlanId>,
 }
 
+/// A change that is being persisted.
+struct PendingChange {
+    /// The number that the request came under.
+    request: u64,
+    entry: Box<Entry>,
+    /// The catalogue that it leads to.
+    catalogue: Catalogue,
+}
+
 /// Hexadecimal digits of a digest that make its mark.
 const MARK_DIGITS: usize = 16;
 
@@ -233,7 +243,7 @@
             return Ok(Some(PlanOutcome::Respond { request, response: applied }));
         }
         let entry = Box::new(entry);
-        self.pending = Some((request, entry.clone(), next));
+        self.pending = Some(PendingChange { request, entry: entry.clone(), catalogue: next });
         Ok(Some(PlanOutcome::Persist { request, entry }))
     }
 
@@ -264,7 +274,8 @@
         request: u64,
         result: Result<(), PersistError>,
     ) -> Option<PersistedChange> {
-        let (_, entry, next) = self.pending.take_if(|(pending, _, _)| *pending == request)?;
+        let pending = self.pending.take_if(|pending| pending.request == request)?;
+        let PendingChange { entry, catalogue: next, .. } = pending;
         if let Err(error) = result {
             let why = PlanError::NotPersisted(error).to_string();
             return Some(PersistedChange { response: PlanResponse::Refused { why }, applied: None });
