--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -358,10 +358,10 @@
     configuration: &Configuration,
     poller: &Poller,
 ) -> Result<Option<PeerLink>, StartError> {
-    let Some((address, peers)) = &configuration.peers else { return Ok(None) };
-    let socket = bind_peer_socket(*address, poller)
-        .map_err(|problem| StartError::PeerListen { address: *address, problem })?;
-    let memory = MemoryReplication::new(now, configuration.settings.me as usize, peers.clone());
+    let Some(peers) = &configuration.peers else { return Ok(None) };
+    let socket = bind_peer_socket(peers.listen, poller)
+        .map_err(|problem| StartError::PeerListen { address: peers.listen, problem })?;
+    let memory = MemoryReplication::new(now, configuration.settings.me as usize, peers.hosts.clone());
     Ok(Some(PeerLink { socket, memory }))
 }
 
--- a/crates/platform-host/src/host/endpoint_list.rs
+++ b/crates/platform-host/src/host/endpoint_list.rs
@@ -26,9 +26,9 @@
             }
             // An older version than this host has: the answer was delayed, or the list has lost its memory. Applied, it could make a
             // draining node ready again. The complete list decides.
-            Some(WatchEvent::List(from, list)) if self.has_list && list.version < from => {
+            Some(WatchEvent::List { after, list }) if self.has_list && list.version < after => {
                 tracing::info!(
-                    from,
+                    from = after,
                     version = list.version,
                     "endpoint list went back to an older version: polling the complete list"
                 );
@@ -36,9 +36,9 @@
                 self.follows_list = true;
                 self.poll_list(now);
             }
-            Some(WatchEvent::List(from, list)) => {
+            Some(WatchEvent::List { after, list }) => {
                 self.list_polled = true;
-                self.apply_list(now, kind(&list), from, &list);
+                self.apply_list(now, kind(&list), after, &list);
                 if self.follows_list {
                     self.poll_list(now);
                 }
@@ -80,8 +80,8 @@
         } else {
             tracing::info!(list = %to, "configuration reloaded: discovery moved");
         }
-        if let Some(WatchEvent::List(from, list)) = self.watch.address_changed(to, &self.settings) {
-            self.apply_list(now, kind(&list), from, &list);
+        if let Some(WatchEvent::List { after, list }) = self.watch.address_changed(to, &self.settings) {
+            self.apply_list(now, kind(&list), after, &list);
         }
         self.follows_list = true;
         self.poll_list(now);
--- a/crates/platform-host/src/list_watch.rs
+++ b/crates/platform-host/src/list_watch.rs
@@ -32,8 +32,13 @@
 /// The result of a poll.
 #[derive(Debug)]
 pub(crate) enum WatchEvent {
-    /// The version that was polled from, and the list.
-    List(u64, List),
+    /// The poll was answered.
+    List {
+        /// The version that was polled from; 0 for the complete list.
+        after: u64,
+        /// The answer.
+        list: List,
+    },
     /// The poll failed, and why.
     Failed(String),
 }
@@ -203,7 +208,7 @@
                     self.idle_connection = Some((call.number, call.stream));
                 }
                 self.has_failed = false;
-                Some(WatchEvent::List(call.after.unwrap_or(0), list))
+                Some(WatchEvent::List { after: call.after.unwrap_or(0), list })
             }
         }
     }
@@ -230,7 +235,7 @@
     pub(crate) fn address_changed(&mut self, to: SocketAddr, settings: &Settings) -> Option<WatchEvent> {
         let last = self.read(MAX_LIST_CHUNKS, settings);
         (self.address, self.call, self.idle_connection, self.has_failed) = (to, None, None, false);
-        last.filter(|event| matches!(event, WatchEvent::List(..)))
+        last.filter(|event| matches!(event, WatchEvent::List { .. }))
     }
 }
 
--- a/crates/platform/src/configuration.rs
+++ b/crates/platform/src/configuration.rs
@@ -34,8 +34,17 @@
     pub known: Option<List>,
     /// The settings that all hosts have.
     pub settings: Settings,
-    /// Where datagrams of peers are received, and all hosts by their numbers; none where the settings allow no datagrams.
-    pub peers: Option<(SocketAddr, Vec<SocketAddr>)>,
+    /// Where hosts receive each other's datagrams; none where the settings allow no datagrams.
+    pub peers: Option<PeerAddresses>,
+}
+
+/// Where hosts receive each other's datagrams.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PeerAddresses {
+    /// This host.
+    pub listen: SocketAddr,
+    /// All hosts by their numbers.
+    pub hosts: Vec<SocketAddr>,
 }
 
 /// The fewest descriptors with which a host runs.
@@ -70,8 +79,8 @@
         let peers = match (settings.peers, all.get("peers")) {
             (false, _) | (true, None | Some(Value::Null)) => None,
             (true, Some(addresses)) => {
-                let peers = peer_addresses(addresses)?;
-                Some((address(all, "peer_listen")?, peers))
+                let hosts = peer_addresses(addresses)?;
+                Some(PeerAddresses { listen: address(all, "peer_listen")?, hosts })
             }
         };
         Ok(Configuration {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod values;
 
 pub use call::{Call, Refusal};
-pub use configuration::{Configuration, Limits};
+pub use configuration::{Configuration, Limits, PeerAddresses};
 pub use list::{List, Member};
 pub use outcome::{answer_head, attempt_head, AttemptReport, Reports};
 pub use settings::{Plan, Settings, TrafficClass};
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -101,7 +101,7 @@
         all["settings"]["limits"]["peers"] = json!(allowed);
         (all["peers"], all["peer_listen"]) = (peers, listen);
         Configuration::parse(all.to_string().as_bytes())
-            .map(|configuration| configuration.peers.map(|(_, peers)| peers.len()))
+            .map(|configuration| configuration.peers.map(|peers| peers.hosts.len()))
     };
     let (two, here) = (json!(["127.0.0.1:1", "127.0.0.1:2"]), json!("127.0.0.1:1"));
     assert_eq!(with(true, two.clone(), here.clone()), Ok(Some(2)));
