--- a/crates/benchlink/src/host.rs
+++ b/crates/benchlink/src/host.rs
@@ -108,7 +108,7 @@
             if self.reports_others {
                 self.scheduler.service_reported(now, request, outcome == Outcome::Done, others);
             }
-            let end = AttemptEnd { request, number: attempt, outcome, latency, is_over };
+            let end = AttemptEnd { request, number: attempt, outcome, latency, request_is_over: is_over };
             self.scheduler.attempt_ended(now, end);
         }
         Ok(())
--- a/crates/benchmarks/src/core_cost/scheduler.rs
+++ b/crates/benchmarks/src/core_cost/scheduler.rs
@@ -85,5 +85,5 @@
 }
 
 fn done_attempt(request: RequestId, latency: TimeDelta) -> AttemptEnd {
-    AttemptEnd { request, number: AttemptNumber(0), outcome: Outcome::Done, latency, is_over: true }
+    AttemptEnd { request, number: AttemptNumber(0), outcome: Outcome::Done, latency, request_is_over: true }
 }
--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -117,7 +117,7 @@
         scheduler.set_slow_start(slow_start_settings(slow_start));
         scheduler.set_cache_savings(slow_start.saved);
     }
-    scheduler.subscribe_to_node_list();
+    scheduler.watch_endpoint_list();
     scheduler
 }
 
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -130,7 +130,7 @@
             number: AttemptNumber(key.number),
             outcome,
             latency: now - attempt.sent_at,
-            is_over: was_answered || is_done,
+            request_is_over: was_answered || is_done,
         };
         self.scheduler.attempt_ended(now, end);
         if is_done && !was_answered {
--- a/crates/host-core/src/event/log/scheduler.rs
+++ b/crates/host-core/src/event/log/scheduler.rs
@@ -14,13 +14,13 @@
         SchedulerEvent::NodeRestarted { uptime, .. } => {
             info!(host, node, uptime_secs = uptime.secs(), "{message}");
         }
-        SchedulerEvent::AttemptsLost { lost, answered }
-        | SchedulerEvent::AttemptsArrive { lost, answered } => {
+        SchedulerEvent::AttemptLossBegan { lost, answered }
+        | SchedulerEvent::AttemptLossEnded { lost, answered } => {
             info!(host, lost, answered, "{message}");
         }
-        SchedulerEvent::NodeListUnavailable { failures, retry_in } => {
+        SchedulerEvent::EndpointListUnavailable { failures, retry_in } => {
             info!(host, failures, retry_in_secs = retry_in.secs(), "{message}");
         }
-        SchedulerEvent::NodeListRecovered { failures } => info!(host, failures, "{message}"),
+        SchedulerEvent::EndpointListRecovered { failures } => info!(host, failures, "{message}"),
     }
 }
--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -130,7 +130,7 @@
         let mut scheduler = settings.scheduler(now, configuration.seed);
         // Also where lists are pushed: the platform's agent is polled from the start. Without it the host would serve by the list in
         // its configuration file for as long as it lives.
-        scheduler.subscribe_to_node_list();
+        scheduler.watch_endpoint_list();
         let core = Core::placed(now, scheduler, placed_settings(&settings, &budget), configuration.seed);
         let peers = open_peer_link(now, configuration, &poller)?;
         let mut host = Host {
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -166,7 +166,7 @@
         }
         scheduler.set_slow_start(self.slow_start);
         if self.polls_list {
-            scheduler.subscribe_to_node_list();
+            scheduler.watch_endpoint_list();
         }
         scheduler
     }
--- a/src/histogram.rs
+++ b/src/histogram.rs
@@ -1,4 +1,4 @@
-//! A small histogram of positive numbers: a few coarse bins, halved once enough has been seen.
+//! A small histogram of positive numbers: a few coarse bins, halved once enough has been seen; and the mean of some.
 
 /// Bins of a histogram; with `GROWTH` they span a factor of some ten thousand.
 const BINS: usize = 24;
@@ -52,3 +52,13 @@
         Some(self.first * GROWTH.powi(BINS as i32 - 1))
     }
 }
+
+/// The mean of the values; zero of none.
+pub(crate) fn mean(values: impl Iterator<Item = f64>) -> f64 {
+    let (sum, count) = values.fold((0.0, 0.0), |(sum, count), value| (sum + value, count + 1.0));
+    if count > 0.0 {
+        sum / count
+    } else {
+        0.0
+    }
+}
--- a/src/interface/decision.rs
+++ b/src/interface/decision.rs
@@ -50,7 +50,10 @@
     },
     /// It can't be answered within its latency objective any more, and no late request is wanted: its volume has a limit, or as
     /// many late requests wait at the node as may be in flight there.
-    TooLate,
+    TooLate {
+        /// The guard that held it when it was last looked at; none: it waited behind others.
+        held_by: Option<HoldReason>,
+    },
     /// It costs more than this host's share of its volume's burst, so no wait would let it pass.
     ExceedsBurst,
     /// An attempt may have run, and running the request again is not safe.
@@ -64,6 +67,8 @@
 /// Which guard holds a request. The guards are asked in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldReason {
+    /// The shard has no node that takes requests.
+    NoReadyNode,
     /// The node has as many attempts in flight as its concurrency limit allows.
     ConcurrencyLimit,
     /// The node's concurrency limit is below one, and the pause since the last attempt is not over.
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -32,28 +32,28 @@
         uptime: TimeDelta,
     },
     /// Attempts or their answers get lost on the way; attempts have timeouts meanwhile.
-    AttemptsLost {
+    AttemptLossBegan {
         /// Attempts that were lost, the older counting less.
         lost: f64,
         /// Attempts that were answered, the older counting less.
         answered: f64,
     },
     /// Attempts do not get lost any more.
-    AttemptsArrive {
+    AttemptLossEnded {
         /// Attempts that were lost, the older counting less.
         lost: f64,
         /// Attempts that were answered, the older counting less.
         answered: f64,
     },
     /// A call for the endpoint list failed, or following it broke off.
-    NodeListUnavailable {
+    EndpointListUnavailable {
         /// Failures in a row, with this one.
         failures: u32,
         /// When the next call is made.
         retry_in: TimeDelta,
     },
     /// The endpoint list is followed again.
-    NodeListRecovered {
+    EndpointListRecovered {
         /// Failures in a row before.
         failures: u32,
     },
@@ -66,10 +66,10 @@
             SchedulerEvent::NodeUnhealthy { .. } => "node unhealthy",
             SchedulerEvent::NodeHealthy { .. } => "node healthy",
             SchedulerEvent::NodeRestarted { .. } => "node restarted: slow start",
-            SchedulerEvent::AttemptsLost { .. } => "attempts get lost",
-            SchedulerEvent::AttemptsArrive { .. } => "attempts arrive",
-            SchedulerEvent::NodeListUnavailable { .. } => "node list unavailable",
-            SchedulerEvent::NodeListRecovered { .. } => "node list recovered",
+            SchedulerEvent::AttemptLossBegan { .. } => "attempts get lost",
+            SchedulerEvent::AttemptLossEnded { .. } => "attempts arrive",
+            SchedulerEvent::EndpointListUnavailable { .. } => "node list unavailable",
+            SchedulerEvent::EndpointListRecovered { .. } => "node list recovered",
         }
     }
 
@@ -79,10 +79,10 @@
             SchedulerEvent::NodeUnhealthy { node, .. }
             | SchedulerEvent::NodeHealthy { node, .. }
             | SchedulerEvent::NodeRestarted { node, .. } => Some(*node),
-            SchedulerEvent::AttemptsLost { .. }
-            | SchedulerEvent::AttemptsArrive { .. }
-            | SchedulerEvent::NodeListUnavailable { .. }
-            | SchedulerEvent::NodeListRecovered { .. } => None,
+            SchedulerEvent::AttemptLossBegan { .. }
+            | SchedulerEvent::AttemptLossEnded { .. }
+            | SchedulerEvent::EndpointListUnavailable { .. }
+            | SchedulerEvent::EndpointListRecovered { .. } => None,
         }
     }
 }
@@ -100,14 +100,14 @@
                 write!(out, " successes={successes:.1} failures={failures:.1}")
             }
             SchedulerEvent::NodeRestarted { uptime, .. } => write!(out, " uptime_secs={:.1}", uptime.secs()),
-            SchedulerEvent::AttemptsLost { lost, answered }
-            | SchedulerEvent::AttemptsArrive { lost, answered } => {
+            SchedulerEvent::AttemptLossBegan { lost, answered }
+            | SchedulerEvent::AttemptLossEnded { lost, answered } => {
                 write!(out, " lost={lost:.1} answered={answered:.1}")
             }
-            SchedulerEvent::NodeListUnavailable { failures, retry_in } => {
+            SchedulerEvent::EndpointListUnavailable { failures, retry_in } => {
                 write!(out, " failures={failures} retry_in_secs={:.2}", retry_in.secs())
             }
-            SchedulerEvent::NodeListRecovered { failures } => write!(out, " failures={failures}"),
+            SchedulerEvent::EndpointListRecovered { failures } => write!(out, " failures={failures}"),
         }
     }
 }
--- a/src/interface/inputs.rs
+++ b/src/interface/inputs.rs
@@ -39,11 +39,11 @@
     Full,
     /// Not answered within its timeout, or by its client's deadline.
     TimedOut,
-    /// No connection was made.
+    /// No connection was made, or no byte of the attempt was written in time. It counts as a failure of the node.
     Refused,
     /// The connection broke off.
     Reset,
-    /// Given up by this host or its client.
+    /// Given up by this host or its client, or answered as a request that the node can't use.
     Cancelled,
     /// Never sent: the request was over, or the node does not hold its shard.
     Skipped,
@@ -73,7 +73,7 @@
     /// How long it took.
     pub latency: TimeDelta,
     /// The request is over as well, whatever the outcome.
-    pub is_over: bool,
+    pub request_is_over: bool,
 }
 
 /// Shares of a volume's limit that hosts lend each other, as fractions of the whole limit.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -6,8 +6,8 @@
 //! | question | module |
 //! | --- | --- |
 //! | Which shard does a new object get? | `placement` |
-//! | Which request is sent next? | `priority` |
-//! | Is it still worth sending? | `lateness` |
+//! | Which request is sent next? | `priority`, `traffic_class` |
+//! | Is it still worth sending? | `request_fate` |
 //! | Has its node capacity? | `concurrency_limit`, `slow_start` |
 //! | Is its node well? | `outlier_detection` |
 //! | Has its volume units left? | `volume_limit`, `measured_share` |
@@ -17,13 +17,12 @@
 //! | What is remembered? | `retention`, `service_rate`, `latency` |
 //! | What may an operator change? | `node_override` |
 //!
-//! `hold` says why a request waits. docs/design.md tells where the mechanisms come from, docs/capacity.md where the figures do.
+//! `hold` says why a request waits. Rule numbers are those of docs/design.md, "The seven rules". docs/design.md tells where the mechanisms come from, docs/capacity.md where the figures do.
 
 pub(crate) mod attempt_timeout;
 pub(crate) mod concurrency_limit;
 pub(crate) mod hold;
 pub(crate) mod latency;
-pub(crate) mod lateness;
 pub(crate) mod list_backoff;
 pub(crate) mod loss_detection;
 pub(crate) mod measured_share;
@@ -31,12 +30,14 @@
 pub(crate) mod outlier_detection;
 pub(crate) mod placement;
 pub(crate) mod priority;
+pub(crate) mod request_fate;
 pub(crate) mod retention;
 pub(crate) mod retry_budget;
 pub(crate) mod retry_credit;
 pub(crate) mod retry_safety;
 pub(crate) mod service_rate;
 pub(crate) mod slow_start;
+pub(crate) mod traffic_class;
 pub(crate) mod volume_limit;
 
 pub(crate) use hold::Hold;
--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -4,7 +4,7 @@
 //! takes far longer than usual must not keep its place under the concurrency limit; and at a crowded node an attempt has until its latency
 //! objective, so that the node can drop what is late.
 
-use super::priority::TrafficClass;
+use super::traffic_class::TrafficClass;
 use crate::histogram::Histogram;
 use crate::interface::{Effect, TimeDelta};
 
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -4,7 +4,8 @@
 //! node (queues, pauses, costly work, a neighbour) whatever its cause. Many hosts that each keep one attempt in flight can still
 //! fill a node, so below one the limit acts in time: the host pauses between two attempts.
 
-use super::priority::{Priority, TrafficClass};
+use super::priority::Priority;
+use super::traffic_class::TrafficClass;
 use crate::interface::{HoldReason, Instant, Outcome, TimeDelta};
 use crate::policy::Hold;
 
@@ -22,12 +23,15 @@
 const MAX_DECREASE_FACTOR: f64 = 0.9;
 /// An answer that takes longer than this fraction of its latency objective cuts the limit.
 const FAST_FRACTION: f64 = 0.5;
-/// The longest pause between two attempts while the limit is below one, for up to `FEW_HOSTS` hosts.
+/// The longest pause between two attempts while the effective limit is below one; times the square root of the hosts over `FEW_HOSTS` where
+/// there are more.
 const MAX_SEND_PAUSE: TimeDelta = TimeDelta::from_millis(2000);
 /// The fraction of the limit that units beyond the reservation may use.
 const BEST_EFFORT_FRACTION: f64 = 0.7;
-/// The fraction of the limit that lower priorities may use while a higher one is in flight, and that late requests may use.
+/// The fraction of the limit that lower priorities may use while a higher one is in flight.
 const LOWER_PRIORITY_FRACTION: f64 = 0.5;
+/// The tightness of late requests, which scales a limit below one.
+const LATE_TIGHTNESS: f64 = 0.5;
 /// Requests that a node may report to wait before they divide the limit for reserved units.
 const RESERVED_NODE_QUEUE: f64 = 8.0;
 /// Requests that a node may report to wait before they divide the limit for units beyond the reservation.
@@ -45,9 +49,9 @@
     latency_objective.secs() <= JUDGING_MULTIPLE * tightest_objective.secs()
 }
 
-/// The priority with which a late request asks for capacity: of its class, but with less of the limit.
+/// The priority with which a late request asks for capacity: of the rank of its class, and with a tightness of its own in place of the class's.
 pub fn late_priority(class: &TrafficClass) -> Priority {
-    Priority { rank: class.priority.rank, tightness: LOWER_PRIORITY_FRACTION, is_reserved: false }
+    Priority { rank: class.priority.rank, tightness: LATE_TIGHTNESS, is_reserved: false }
 }
 
 /// The lowest limit that a node can get, in attempts, among `alive_hosts` hosts.
@@ -181,7 +185,8 @@
         self.reported_queue = requests;
     }
 
-    /// Whether one more attempt beside those in flight is held back by the limit rather than by a lack of requests. Only such
+    /// Whether one more attempt beside those in flight is held back by the limit rather than by a lack of requests. Best effort is held back first,
+    /// so its part of the limit decides. Only such
     /// attempts may raise the limit: a node that is asked little shows nothing of what it could do.
     pub fn is_at_limit(&self, in_flight: &InFlight) -> bool {
         (in_flight.attempts + 1) as f64 >= self.limit * BEST_EFFORT_FRACTION
@@ -209,7 +214,9 @@
             Outcome::Done if sample.was_at_limit => self.raise(),
             Outcome::TimedOut if sample.timeout_shows_overload() => self.cut(now, MIN_DECREASE_FACTOR),
             Outcome::Full => self.cut(now, MIN_DECREASE_FACTOR),
-            _ => {}
+            // These say nothing of the node's load.
+            Outcome::Done | Outcome::TimedOut => {}
+            Outcome::Error | Outcome::Refused | Outcome::Reset | Outcome::Cancelled | Outcome::Skipped => {}
         }
     }
 
--- a/src/policy/loss_detection.rs
+++ b/src/policy/loss_detection.rs
@@ -35,8 +35,8 @@
         let was_lossy = std::mem::replace(&mut self.is_lossy, is_lossy);
         let (lost, answered) = (self.lost, self.answered);
         match (was_lossy, is_lossy) {
-            (false, true) => Some(SchedulerEvent::AttemptsLost { lost, answered }),
-            (true, false) => Some(SchedulerEvent::AttemptsArrive { lost, answered }),
+            (false, true) => Some(SchedulerEvent::AttemptLossBegan { lost, answered }),
+            (true, false) => Some(SchedulerEvent::AttemptLossEnded { lost, answered }),
             _ => None,
         }
     }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,7 +1,8 @@
 //! Ejects nodes that answer nearly nothing well, and finds their recovery by probes.
 //!
-//! Errors, silence and refused connections count alike. An ejected node still gets one attempt each probe interval; as soon as
-//! enough of its answers are good it is back on its ordinary concurrency limit.
+//! Errors, silence and refused connections count alike. An ejected node still gets probes: one attempt at a time, and no sooner
+//! than a probe interval after the last. A single good answer brings it back on its ordinary concurrency limit, since the counts that fade
+//! stay below `WINDOW`.
 
 use crate::interface::{Instant, Outcome, TimeDelta};
 
--- a/src/policy/priority.rs
+++ b/src/policy/priority.rs
@@ -1,9 +1,6 @@
 //! How waiting requests rank: by latency objective, then by reservation, then by weighted fair queueing.
 
-use crate::interface::{Effect, TimeDelta};
-
-/// Keeps the tightness of a class with a latency objective of zero finite, in seconds.
-const MIN_OBJECTIVE_SECS: f64 = 1e-6;
+use crate::interface::TimeDelta;
 
 /// How a request ranks among others.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -21,19 +18,7 @@
     pub const HIGHEST: Priority = Priority { rank: 0, tightness: 1.0, is_reserved: false };
 }
 
-/// Requests with one latency objective and one effect.
-pub struct TrafficClass {
-    /// Time within which an answer has its full worth.
-    pub latency_objective: TimeDelta,
-    /// Among the other classes.
-    pub priority: Priority,
-    /// What a retry may do.
-    pub effect: Effect,
-    /// Whether requests on one key are served in order of arrival.
-    pub in_order: bool,
-}
-
-/// The order in which requests are sent; the lowest first.
+/// The order in which requests are sent, the lowest first. The fields are compared one after the other, in this order.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Score {
     /// Of the traffic class, the tighter first.
@@ -44,22 +29,6 @@
     pub start_tag: f64,
 }
 
-/// Ranks traffic classes by latency objective, the tighter first; gives the tightest.
-pub fn rank_by_latency_objective(classes: &mut [TrafficClass]) -> TimeDelta {
-    let mut objectives: Vec<TimeDelta> = classes.iter().map(|class| class.latency_objective).collect();
-    objectives.sort();
-    objectives.dedup();
-    let tightest = objectives.first().copied().unwrap_or_default();
-    for class in classes {
-        class.priority = Priority {
-            rank: objectives.iter().position(|objective| *objective == class.latency_objective).unwrap_or(0),
-            tightness: tightest.secs() / class.latency_objective.secs().max(MIN_OBJECTIVE_SECS),
-            is_reserved: false,
-        };
-    }
-    tightest
-}
-
 /// The priority of a request now. Once a reserved request has no more time left than the tightest latency objective, it is as tight
 /// as the tightest: else the best effort of tighter classes could starve what a loose class has reserved.
 pub fn current_priority(
--- a/src/policy/lateness.rs
+++ b/src/policy/request_fate.rs
@@ -1,13 +1,16 @@
-//! What becomes of the request at the head of a queue: sent, moved, set aside as late, or rejected.
+//! The fate of the request at the head of a queue: sent, moved, set aside as late, or rejected.
 //!
 //! A request that can't be answered within its latency objective any more earns little. It must not displace work that can still be in
 //! time, so it is set aside and sent only when nothing in time waits at its shard, and a node's worth of such requests is enough.
 
-use crate::interface::{FailureReason, Instant, TimeDelta};
+use crate::interface::{FailureReason, HoldReason, Instant, TimeDelta};
 
 /// Final answers are given this long before the deadline, beside two steps of the clock.
 pub const DEADLINE_MARGIN: TimeDelta = TimeDelta::from_millis(1);
 
+/// How many expected latencies the client of a late request is asked to stay away: the node may have caught up by then.
+const TOO_LATE_RETRY_LATENCIES: usize = 2;
+
 /// What the fate of a queue's head depends on.
 pub struct QueueHead {
     /// When its latency objective ends.
@@ -26,6 +29,8 @@
     pub exceeds_burst: bool,
     /// Its volume has a limit.
     pub is_limited: bool,
+    /// The guard that held it when it was last looked at.
+    pub held_by: Option<HoldReason>,
     /// Late requests that are set aside at its shard.
     pub late_requests: usize,
     /// The concurrency limit of the shard's node, in attempts; zero without a node.
@@ -64,16 +69,22 @@
             // Held, it would block all that wait behind it until it is late.
             Some(reason) => QueueHeadFate::Reject { reason, retry_after: self.max_retry_after },
             None if is_in_time => QueueHeadFate::Send,
+            // A late request of a limited volume would use up units that requests in time need.
             None if self.is_limited || self.late_requests as f64 >= self.concurrency_limit => {
                 QueueHeadFate::Reject {
-                    reason: FailureReason::TooLate,
-                    retry_after: self.expected_latency + self.expected_latency,
+                    reason: FailureReason::TooLate { held_by: self.held_by },
+                    retry_after: self.too_late_retry_after(),
                 }
             }
             None => QueueHeadFate::SetAside,
         }
     }
 
+    fn too_late_retry_after(&self) -> TimeDelta {
+        std::iter::repeat_n(self.expected_latency, TOO_LATE_RETRY_LATENCIES)
+            .fold(TimeDelta::ZERO, |sum, latency| sum + latency)
+    }
+
     fn reason_never_to_send(&self) -> Option<FailureReason> {
         if !self.is_retry_safe {
             Some(FailureReason::RetryUnsafe)
@@ -84,30 +95,3 @@
         }
     }
 }
-
-/// A failed attempt's request, as far as the decision on a retry goes.
-pub struct FailedAttempt {
-    /// Attempts that the request has had.
-    pub attempts: u32,
-    /// Attempts that the settings allow.
-    pub max_attempts: u32,
-    /// When the request's latency objective ends.
-    pub objective_at: Instant,
-    /// A retry would do no harm at some node.
-    pub is_retry_safe: bool,
-}
-
-impl FailedAttempt {
-    /// Why there is no retry; none: there is one, as soon as the guards allow it.
-    pub fn reason_not_to_retry(&self, now: Instant) -> Option<FailureReason> {
-        if self.attempts >= self.max_attempts {
-            Some(FailureReason::AttemptsExhausted)
-        } else if self.objective_at <= now {
-            Some(FailureReason::RetryTooLate)
-        } else if !self.is_retry_safe {
-            Some(FailureReason::RetryUnsafe)
-        } else {
-            None
-        }
-    }
-}
--- a/src/policy/retention.rs
+++ b/src/policy/retention.rs
@@ -1,4 +1,4 @@
-//! For how long, and how much of, what is not in use is remembered.
+//! For how long, and how much, is remembered of what is not in use, and how much of it is searched.
 
 use crate::interface::TimeDelta;
 
@@ -10,6 +10,6 @@
 /// table without bound.
 pub const MAX_IDLE_VOLUMES: usize = 512;
 /// Pieces of a shard's data that are recognised when they are asked for again: a node may have them cached.
-pub const RECENT_KEYS: usize = 16;
+pub const MAX_RECENT_KEYS: usize = 16;
 /// Requests of a queue that are searched for one which no guard of its own holds.
-pub const QUEUE_SCAN: usize = 16;
+pub const MAX_SCANNED_REQUESTS: usize = 16;
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -6,8 +6,8 @@
 use crate::interface::{Instant, TimeDelta};
 use std::collections::VecDeque;
 
-/// By how much the window is read wider for retries and narrower for requests: a host's clock and its judge's may differ by
-/// some milliseconds, and neither reading may then exceed the budget.
+/// By how much the window is read wider for retries and narrower for requests: a host's clock and that of whoever checks the rule may differ
+/// by some milliseconds, and neither reading may then exceed the budget.
 const WINDOW_MARGIN: TimeDelta = TimeDelta::from_millis(20);
 
 /// What the budget allows over any `window`.
--- a/src/policy/retry_safety.rs
+++ b/src/policy/retry_safety.rs
@@ -1,9 +1,9 @@
-//! When a retry can do no harm (rule 2), and what a request that was not done is answered with.
+//! When a retry can do no harm (rule 2), whether a failed attempt's request gets one, and what a request that was not done is answered with.
 //!
 //! An attempt that may have run must not take effect twice. The first attempt of a request that may have had an effect is remembered
 //! with its node and time until an outcome proves that it did not run.
 
-use crate::interface::{DedupScope, Effect, Instant, ShardId, TimeDelta, ZoneId};
+use crate::interface::{DedupScope, Effect, FailureReason, Instant, ShardId, TimeDelta, ZoneId};
 
 /// How long before the end of the nodes' dedup window an attempt must have begun: clocks and delays on the way may differ by this.
 const DEDUP_WINDOW_MARGIN: TimeDelta = TimeDelta::from_millis(20);
@@ -82,3 +82,30 @@
         DedupScope::Shard => node.map(|node| node.shard) == first.map(|node| node.shard),
     }
 }
+
+/// A failed attempt's request, as far as the decision on a retry goes.
+pub struct FailedAttempt {
+    /// Attempts that the request has had.
+    pub attempts: u32,
+    /// Attempts that the settings allow.
+    pub max_attempts: u32,
+    /// When the request's latency objective ends.
+    pub objective_at: Instant,
+    /// A retry would do no harm at some node.
+    pub is_retry_safe: bool,
+}
+
+impl FailedAttempt {
+    /// Why there is no retry; none: there is one, as soon as the guards allow it.
+    pub fn reason_not_to_retry(&self, now: Instant) -> Option<FailureReason> {
+        if self.attempts >= self.max_attempts {
+            Some(FailureReason::AttemptsExhausted)
+        } else if self.objective_at <= now {
+            Some(FailureReason::RetryTooLate)
+        } else if !self.is_retry_safe {
+            Some(FailureReason::RetryUnsafe)
+        } else {
+            None
+        }
+    }
+}
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -126,7 +126,7 @@
             SERVICE_RATE_FRACTION * limits.0.overload_multiple * warmth * request.service_rate;
         let drain_rate = freed_by_time + freed_by_service;
         let max_unanswered = IN_FLIGHT_FRACTION * safe_units;
-        match self.unanswered.wait(now, drain_rate, max_unanswered, request.units) {
+        match self.unanswered.time_until_fits(now, drain_rate, max_unanswered, request.units) {
             TimeDelta::ZERO => Ok(()),
             wait => Err(Hold::until(HoldReason::SlowStart, now + wait.min(GUARD_RECHECK_INTERVAL))),
         }
--- a/src/policy/volume_limit.rs
+++ b/src/policy/volume_limit.rs
@@ -1,4 +1,5 @@
-//! Holds each volume to its plan: a token bucket at this host's share of the limit (rule 7), and one at its share of the reservation.
+//! Holds each volume to its plan: a leaky bucket that drains at this host's share of the limit (rule 7), and one that drains at its share
+//! of the reservation. Both fill by use, so a full one lets nothing pass.
 //!
 //! Several hosts share a volume and can't agree at run time, so each keeps to a share of the rate that never sums to more than the whole:
 //! an even one, adjusted by what nodes report of the volume's service (`measured_share`) and by quota leases.
@@ -39,7 +40,7 @@
 
 impl VolumeLimit {
     /// The limit of a volume that this host has no record of. An earlier generation of the host may have used the burst, so the bucket
-    /// starts full but for this host's part of the slack: else each restart would hand out a second burst.
+    /// starts as if the burst had been used, but for this host's part of half of the slack: else each restart would hand out a second burst.
     pub fn new(now: Instant, plan: &Plan, host_count: f64) -> Self {
         let level = (plan.burst - plan.slack * STARTUP_SLACK_FRACTION) / host_count;
         VolumeLimit {
@@ -77,17 +78,18 @@
     }
 
     /// How long until a request fits under the limit. `cost_units` is its cost.
-    pub fn wait(&mut self, now: Instant, plan: &Plan, cost_units: f64) -> TimeDelta {
+    pub fn time_until_fits(&mut self, now: Instant, plan: &Plan, cost_units: f64) -> TimeDelta {
         let rate = plan.limit * self.share(now);
         let burst_units = plan.burst / self.host_count;
-        self.limit.wait(now, rate, burst_units, cost_units)
+        self.limit.time_until_fits(now, rate, burst_units, cost_units)
     }
 
-    /// Whether a request fits into the reservation now. `cost_units` is its cost.
+    /// Whether a request fits into the reservation now, after the bucket is brought up to date. `cost_units` is its cost.
     pub fn is_reserved(&mut self, now: Instant, plan: &Plan, cost_units: f64) -> bool {
         let rate = plan.reserve * self.share(now);
         let burst_units = rate * RESERVATION_BURST.secs() + cost_units;
-        plan.reserve > 0.0 && self.reservation.wait(now, rate, burst_units, cost_units) == TimeDelta::ZERO
+        plan.reserve > 0.0
+            && self.reservation.time_until_fits(now, rate, burst_units, cost_units) == TimeDelta::ZERO
     }
 
     /// Counts the first attempt of a request against the limit. A retry has been counted with it.
@@ -121,8 +123,8 @@
         let share = self.share(now);
         self.limit.drain(now, old.limit * share);
         self.reservation.drain(now, old.reserve * share);
-        let full = new.burst / self.host_count;
+        let used_up = new.burst / self.host_count;
         let level = self.limit.level + (new.burst - old.burst) / self.host_count;
-        self.limit.level = if is_limited(old) { level.clamp(0.0, full) } else { full };
+        self.limit.level = if is_limited(old) { level.clamp(0.0, used_up) } else { used_up };
     }
 }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -15,8 +15,10 @@
 mod final_answer;
 mod guards;
 mod node;
+mod placement;
 mod rejected_requests;
 mod request;
+mod service_rates;
 mod settings;
 mod shard;
 mod volume;
@@ -27,8 +29,8 @@
     Decision, Instant, KeyId, NodeId, RequestId, SchedulerEvent, ShardId, TrafficClassId, VolumeId,
 };
 use crate::policy::loss_detection::LossDetector;
-use crate::policy::priority::TrafficClass;
 use crate::policy::retry_budget::RetryBudget;
+use crate::policy::traffic_class::TrafficClass;
 use crate::state::{KeyQueue, Random, Timer, Timers};
 use node::Node;
 use rejected_requests::RejectedRequests;
@@ -97,7 +99,7 @@
             Timer::Deadline(id) => self.on_deadline(id),
             Timer::Shard(shard) => _ = self.pending_shards.insert(shard),
             Timer::KeySettled(key) => self.forget_idle_key(key),
-            Timer::NodeList => self.request_list(),
+            Timer::EndpointList => self.request_list(),
         }
     }
 
--- a/src/scheduler/arrival.rs
+++ b/src/scheduler/arrival.rs
@@ -3,17 +3,13 @@
 use super::request::Request;
 use super::shard::QueueEnd;
 use super::Scheduler;
-use crate::interface::{Instant, NewRequest, NodeState, RequestId, ShardId, TimeDelta};
-use crate::policy::concurrency_limit::CapacityRequest;
-use crate::policy::placement::{next_in_rotation, PlacementCandidate, PlacementWeight};
-use crate::policy::priority::Priority;
+use crate::interface::{Instant, NewRequest, RequestId, ShardId, TimeDelta};
 use crate::state::Timer;
 
-use super::node::{mean, Node};
-
 impl Scheduler {
     /// A client has sent a request.
     pub fn request_arrived(&mut self, now: Instant, new: NewRequest) {
+        self.now = now;
         self.volume_plan_changed(now, new.volume, new.plan);
         self.forget_idle_volumes(new.volume);
         let host_count = f64::from(new.hosts.max(1));
@@ -99,63 +95,8 @@
         }
     }
 
-    /// The shard of a new object: of the nodes that have capacity, or if none has, of those in service.
-    fn place_new_object(&mut self) -> Option<ShardId> {
-        let (now, mean_units) = (self.now, self.settings.mean_units);
-        let is_able = |node: &Node| node.state == NodeState::Ready && !node.is_ejected();
-        let has_capacity = |node: &Node| {
-            let request = capacity_request(node, Priority::HIGHEST, mean_units);
-            is_able(node) && node.limiter.check(now, &request).is_ok()
-        };
-        let any_capacity = self.nodes.values().any(has_capacity);
-        let able_nodes = self.nodes.values().filter(|node| is_able(node));
-        let mean_latency_secs = mean(able_nodes.filter_map(Node::usual_latency_secs));
-        let slow_start = &self.settings.slow_start;
-        let mut candidates = Vec::new();
-        for node in self.nodes.values_mut() {
-            if !(if any_capacity { has_capacity(node) } else { is_able(node) }) {
-                continue;
-            }
-            let is_warming_up = slow_start.is_warming_up(now, node.up_since);
-            let weight = PlacementWeight {
-                concurrency_limit: node.limiter.limit(),
-                warmth: if is_warming_up { slow_start.initial_capacity() } else { 1.0 },
-                latency_secs: node.usual_latency_secs(),
-                mean_latency_secs,
-                operator_weight: node.operator_override.weight,
-            };
-            let (shard, weight) = (node.shard, weight.weight());
-            candidates.push(PlacementCandidate { shard, rotation: &mut node.rotation, weight });
-        }
-        next_in_rotation(candidates)
-    }
-
-    /// A streamed answer has begun: its client has it, and nothing is owed by a set time any more.
-    pub fn response_started(&mut self, now: Instant, id: RequestId) {
-        self.now = now;
-        self.requests.entry(id).and_modify(|request| request.response_started = true);
-    }
-
-    /// The client has left, or the request was ended for us.
-    pub fn request_cancelled(&mut self, now: Instant, id: RequestId) {
-        self.now = now;
-        self.finish(id);
-    }
-
     /// How long until then.
     pub(super) fn time_until(&self, at: Instant) -> TimeDelta {
         at - self.now
     }
 }
-
-/// What a request of this priority asks of a node's concurrency limiter.
-pub fn capacity_request(node: &Node, priority: Priority, mean_units: f64) -> CapacityRequest<'_> {
-    CapacityRequest {
-        priority,
-        in_flight: &node.in_flight,
-        last_sent_at: node.last_sent_at,
-        weight: node.operator_override.weight,
-        is_ejected: node.is_ejected(),
-        mean_units,
-    }
-}
--- a/src/scheduler/attempt_end.rs
+++ b/src/scheduler/attempt_end.rs
@@ -3,12 +3,11 @@
 use super::request::{forget_if_over, AttemptResult};
 use super::shard::QueueEnd;
 use super::Scheduler;
-use crate::interface::{AttemptEnd, Instant, KeyId, NodeId, Outcome, RequestId, SchedulerEvent, ShardId};
+use crate::interface::{AttemptEnd, Instant, KeyId, NodeId, Outcome, RequestId, SchedulerEvent};
 use crate::policy::concurrency_limit::{is_fast, judges_nodes, LimitSample};
-use crate::policy::lateness::FailedAttempt;
 use crate::policy::loss_detection::LossSample;
 use crate::policy::outlier_detection::HealthChange;
-use crate::policy::retry_safety::RETRY_BACKOFF;
+use crate::policy::retry_safety::{FailedAttempt, RETRY_BACKOFF};
 use crate::state::Timer;
 
 impl Scheduler {
@@ -25,7 +24,7 @@
         if let Some(event) = self.loss_detector.record(is_lost, is_done) {
             self.emit(event);
         }
-        if end.is_over || is_done {
+        if end.request_is_over || is_done {
             self.finish(end.request);
         } else {
             self.retry_or_answer(end.request);
@@ -113,18 +112,6 @@
             self.timers.set(settled_at, Timer::KeySettled(key));
         }
     }
-
-    /// What an earlier generation of this host saw a shard serve for it, units a second.
-    pub fn service_rate_restored(&mut self, now: Instant, id: ShardId, rate: f64) {
-        self.now = now;
-        self.shards.entry(id).or_default().service_rate.restore(now, rate);
-        self.pending_shards.insert(id);
-    }
-
-    /// The same of each shard in this generation, for the next one.
-    pub fn service_rates(&self, now: Instant) -> Vec<(ShardId, f64)> {
-        self.shards.iter().map(|(id, shard)| (*id, shard.service_rate.rate(now))).collect()
-    }
 }
 
 fn health_event(node: NodeId, change: &HealthChange) -> SchedulerEvent {
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -3,13 +3,13 @@
 use super::request::{is_waiting_at, SentAttempt};
 use super::shard::{Candidate, Dispatch, QueueEnd, QueueId};
 use super::Scheduler;
-use crate::interface::{Decision, Instant, NodeId, NodeState, RequestId, ShardId, TimeDelta};
+use crate::interface::{Decision, HoldReason, Instant, NodeId, NodeState, RequestId, ShardId, TimeDelta};
 use crate::policy::attempt_timeout::AttemptTimeout;
 use crate::policy::concurrency_limit::late_priority;
 use crate::policy::hold::MIN_RECHECK_INTERVAL;
-use crate::policy::lateness::{QueueHead, QueueHeadFate};
 use crate::policy::priority::{current_priority, weighted_cost, Score};
-use crate::policy::retention::{QUEUE_SCAN, RECENT_KEYS};
+use crate::policy::request_fate::{QueueHead, QueueHeadFate};
+use crate::policy::retention::{MAX_RECENT_KEYS, MAX_SCANNED_REQUESTS};
 use crate::policy::volume_limit::is_limited;
 use crate::policy::Hold;
 use crate::state::Timer;
@@ -24,13 +24,16 @@
         let mut best: Option<Candidate> = None;
         let mut recheck_at: Option<Instant> = None;
         for queue in queues {
-            let Some(request) = self.first_on_time(id, queue, node) else { continue };
-            let Some(node) = node else { continue };
+            let Some(request) = self.settle_heads_and_pick(id, queue, node) else { continue };
+            let Some(node) = node else {
+                self.record_hold(request, HoldReason::NoReadyNode);
+                continue;
+            };
             match self.check_request(id, request, node) {
                 Ok(found) if best.is_none_or(|best| found.score < best.score) => best = Some(found),
                 Ok(_) => {}
                 Err(hold) => {
-                    self.record_hold(request, hold);
+                    self.record_hold(request, hold.reason);
                     recheck_at = recheck_at.into_iter().chain(hold.until).min();
                 }
             }
@@ -43,9 +46,9 @@
     }
 
     /// Remembers what holds a request, for the reason of its final answer.
-    fn record_hold(&mut self, id: RequestId, hold: Hold) {
+    fn record_hold(&mut self, id: RequestId, reason: HoldReason) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.held_by = Some(hold.reason);
+            request.held_by = Some(reason);
         }
     }
 
@@ -73,9 +76,14 @@
         volume.limit.is_reserved(self.now, plan, request.units)
     }
 
-    /// The first request of a queue that can still be answered in time, past any that its own guards hold; the fate of those before it
-    /// is decided on the way.
-    fn first_on_time(&mut self, shard: ShardId, queue: QueueId, node: Option<NodeId>) -> Option<RequestId> {
+    /// Decides the fate of a queue's heads until one is to be sent, and gives the first request that no guard of its own holds. Only the head is
+    /// known to be in time.
+    fn settle_heads_and_pick(
+        &mut self,
+        shard: ShardId,
+        queue: QueueId,
+        node: Option<NodeId>,
+    ) -> Option<RequestId> {
         loop {
             let waiting = self.shards.get_mut(&shard)?;
             let head = waiting.first_waiting(queue, |id| is_waiting_at(&self.requests, id, shard))?;
@@ -111,6 +119,7 @@
             is_retry_safe: self.retry_safety(request).allows_retry(self.now),
             exceeds_burst: self.exceeds_burst(request),
             is_limited: is_limited(self.plan(request.plan)),
+            held_by: request.held_by,
             late_requests: self.shards.get(&shard)?.late_requests.len(),
             concurrency_limit: node.map_or(0.0, |node| node.limiter.limit()),
             max_retry_after: self.settings.max_retry_after,
@@ -127,7 +136,7 @@
             })
         };
         let queue = self.shards.get(&shard)?.queues.get(&queue)?;
-        queue.iter().take(QUEUE_SCAN).find(is_ready).copied()
+        queue.iter().take(MAX_SCANNED_REQUESTS).find(is_ready).copied()
     }
 
     /// A late request earns little: it is sent only when nothing waits that is in time.
@@ -141,7 +150,7 @@
         match self.check_guards(request, node, priority) {
             Ok(()) => Some(Dispatch { request, node, is_reserved: false }),
             Err(hold) => {
-                self.record_hold(request, hold);
+                self.record_hold(request, hold.reason);
                 None
             }
         }
@@ -196,7 +205,7 @@
             self.retry_budget.record_retry(self.now);
         }
         if let Some(key) = request.key {
-            request.is_repeat = shard.record_key(key, RECENT_KEYS);
+            request.is_repeat = shard.record_key(key, MAX_RECENT_KEYS);
         }
         let attempt = SentAttempt {
             node: sent.node,
--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -20,7 +20,7 @@
             return self.retry_list();
         }
         if kind != ListKind::Saved && self.list_failures > 0 {
-            self.emit(SchedulerEvent::NodeListRecovered { failures: self.list_failures });
+            self.emit(SchedulerEvent::EndpointListRecovered { failures: self.list_failures });
             self.list_failures = 0;
         }
         if kind != ListKind::Changes {
@@ -48,9 +48,9 @@
         let backoff = list_backoff(self.list_failures, self.random.fraction());
         self.list_failures += 1;
         self.list_requested = false;
-        self.timers.set(self.now + backoff, Timer::NodeList);
+        self.timers.set(self.now + backoff, Timer::EndpointList);
         let failures = self.list_failures;
-        self.emit(SchedulerEvent::NodeListUnavailable { failures, retry_in: backoff });
+        self.emit(SchedulerEvent::EndpointListUnavailable { failures, retry_in: backoff });
     }
 
     fn update_node(&mut self, entry: &NodeEntry) {
--- a/src/scheduler/final_answer.rs
+++ b/src/scheduler/final_answer.rs
@@ -3,7 +3,7 @@
 use super::rejected_requests::RejectedRequest;
 use super::request::{finish_request, Request};
 use super::Scheduler;
-use crate::interface::{Decision, FailureReason, RequestId, TimeDelta};
+use crate::interface::{Decision, FailureReason, Instant, RequestId, TimeDelta};
 use crate::policy::retention::REJECTED_REQUEST_RETENTION;
 use crate::policy::retry_safety::RetrySafety;
 
@@ -38,6 +38,18 @@
         self.finish(id);
     }
 
+    /// A streamed answer has begun: its client has it, and nothing is owed by a set time any more.
+    pub fn response_started(&mut self, now: Instant, id: RequestId) {
+        self.now = now;
+        self.requests.entry(id).and_modify(|request| request.response_started = true);
+    }
+
+    /// The client has left, or the request was ended for us.
+    pub fn request_cancelled(&mut self, now: Instant, id: RequestId) {
+        self.now = now;
+        self.finish(id);
+    }
+
     /// The request is over; whoever has its key next may be ready.
     pub(super) fn finish(&mut self, id: RequestId) {
         let next = finish_request(&mut self.requests, &mut self.key_queues, id, self.now);
--- a/src/scheduler/guards.rs
+++ b/src/scheduler/guards.rs
@@ -1,6 +1,5 @@
 //! The guards of a request that waits to be sent: each rule that can hold it, in the order in which they are asked.
 
-use super::arrival::capacity_request;
 use super::node::Node;
 use super::request::Request;
 use super::Scheduler;
@@ -35,7 +34,7 @@
 
     /// The node has as many attempts in flight as its limit allows, or pauses between them.
     fn check_concurrency_limit(&self, node: &Node, priority: Priority) -> Result<(), Hold> {
-        node.limiter.check(self.now, &capacity_request(node, priority, self.settings.mean_units))
+        node.limiter.check(self.now, &node.capacity_request(priority, self.settings.mean_units))
     }
 
     /// A failed attempt's request waits a moment before its retry.
@@ -43,7 +42,8 @@
         Hold::check(HoldReason::Backoff, request.not_before, self.now)
     }
 
-    /// A request that may have run is not run again where that could take effect twice (rule 2).
+    /// A request that may have run is not run again where that could take effect twice (rule 2). Reached by requests behind a queue's head and by
+    /// late ones: a head that can never be sent is rejected before (`policy::request_fate`).
     fn check_retry_safety(&self, request: &Request, node: &Node) -> Result<(), Hold> {
         if !self.retry_safety(request).allows_attempt_at(self.now, Some(node.location())) {
             return Err(Hold::until(HoldReason::RetryUnsafe, request.deadline));
@@ -83,7 +83,7 @@
         Err(Hold::until(HoldReason::KeyOrder, free_at.max(recheck_at)))
     }
 
-    /// A request that costs more than this host's share of the burst can never be sent.
+    /// A request that costs more than this host's share of the burst can never be sent. Reached as `check_retry_safety` is.
     fn check_burst(&self, request: &Request) -> Result<(), Hold> {
         if self.exceeds_burst(request) {
             return Err(Hold::until(HoldReason::ExceedsBurst, request.deadline));
@@ -99,7 +99,7 @@
             return Ok(());
         }
         let Some(volume) = self.volumes.get_mut(&request.volume) else { return Ok(()) };
-        match volume.limit.wait(self.now, plan, request.units) {
+        match volume.limit.time_until_fits(self.now, plan, request.units) {
             TimeDelta::ZERO => Ok(()),
             wait => Err(Hold::until(HoldReason::VolumeLimit, self.now + wait)),
         }
--- a/src/scheduler/node.rs
+++ b/src/scheduler/node.rs
@@ -1,12 +1,13 @@
 //! A node of the endpoint list, as this host sees it.
 
-use crate::histogram::Histogram;
+use crate::histogram::{mean, Histogram};
 use crate::interface::{Instant, NodeEntry, NodeId, NodeState, ShardId, TrafficClassId, ZoneId};
-use crate::policy::concurrency_limit::{ConcurrencyLimiter, InFlight};
+use crate::policy::concurrency_limit::{CapacityRequest, ConcurrencyLimiter, InFlight};
 use crate::policy::latency::median_secs;
 use crate::policy::loss_detection::UnexplainedTimeout;
 use crate::policy::node_override::NodeOverride;
 use crate::policy::outlier_detection::OutlierDetector;
+use crate::policy::priority::Priority;
 use crate::policy::retry_credit::RetryCredit;
 use crate::policy::retry_safety::NodeLocation;
 use crate::policy::slow_start::SlowStart;
@@ -103,6 +104,18 @@
         self.outlier_detector.is_ejected(self.operator_override.is_pinned)
     }
 
+    /// What a request of this priority asks of the node's concurrency limiter.
+    pub fn capacity_request(&self, priority: Priority, mean_units: f64) -> CapacityRequest<'_> {
+        CapacityRequest {
+            priority,
+            in_flight: &self.in_flight,
+            last_sent_at: self.last_sent_at,
+            weight: self.operator_override.weight,
+            is_ejected: self.is_ejected(),
+            mean_units,
+        }
+    }
+
     /// Counts an attempt that is sent.
     pub fn attempt_started(&mut self, now: Instant, rank: usize, units: f64) {
         self.in_flight.add(rank, units);
@@ -129,16 +142,6 @@
     }
 }
 
-/// The mean of the values; zero of none.
-pub fn mean(values: impl Iterator<Item = f64>) -> f64 {
-    let (sum, count) = values.fold((0.0, 0.0), |(sum, count), value| (sum + value, count + 1.0));
-    if count > 0.0 {
-        sum / count
-    } else {
-        0.0
-    }
-}
-
 /// Nodes that a complete list does not name are gone.
 pub fn mark_unlisted_gone(nodes: &mut BTreeMap<NodeId, Node>, entries: &[NodeEntry]) {
     let listed: BTreeSet<NodeId> = entries.iter().map(|entry| entry.node).collect();
--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -3,11 +3,12 @@
 use super::Scheduler;
 use crate::interface::{Effect, Instant, Plan, PlanId, SlowStartSettings, TimeDelta, TrafficClassId};
 use crate::policy::latency::no_latencies;
-use crate::policy::lateness::DEADLINE_MARGIN;
 use crate::policy::loss_detection::LossDetector;
-use crate::policy::priority::{rank_by_latency_objective, Priority, TrafficClass};
+use crate::policy::priority::Priority;
+use crate::policy::request_fate::DEADLINE_MARGIN;
 use crate::policy::retry_budget::{RetryBudget, RetryBudgetSettings};
 use crate::policy::slow_start::SlowStartLimits;
+use crate::policy::traffic_class::{rank_by_latency_objective, TrafficClass};
 use crate::state::{Random, Timer, Timers};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -121,8 +122,8 @@
     }
 
     /// The host has to call for the endpoint list.
-    pub fn subscribe_to_node_list(&mut self) {
-        self.timers.set(self.now, Timer::NodeList);
+    pub fn watch_endpoint_list(&mut self) {
+        self.timers.set(self.now, Timer::EndpointList);
     }
 
     /// Whether the settings named this traffic class and plan.
--- a/src/scheduler/volumes.rs
+++ b/src/scheduler/volumes.rs
@@ -12,6 +12,7 @@
     /// An answer reported the volume's service at this node: the request's units if it is `done`, and units
     /// through `others`, the other hosts, since the node's last answer to this one.
     pub fn service_reported(&mut self, now: Instant, id: RequestId, done: bool, others: f64) {
+        self.now = now;
         let Some(request) = self.requests.get(&id) else { return };
         let Some(shard) = request.shard else { return };
         let Some(volume) = self.volumes.get_mut(&request.volume) else { return };
--- a/src/state/bucket.rs
+++ b/src/state/bucket.rs
@@ -26,7 +26,7 @@
     }
 
     /// How long until `units` fit under `burst`, both in units; zero when they fit now. `rate` is in units a second.
-    pub fn wait(&mut self, now: Instant, rate: f64, burst: f64, units: f64) -> TimeDelta {
+    pub fn time_until_fits(&mut self, now: Instant, rate: f64, burst: f64, units: f64) -> TimeDelta {
         self.drain(now, rate);
         let overflow = self.level + units.min(burst) - burst;
         if overflow <= ROUNDING_UNITS {
--- a/src/state/timers.rs
+++ b/src/state/timers.rs
@@ -13,8 +13,8 @@
     Shard(ShardId),
     /// An attempt on this key can't be running any more.
     KeySettled(KeyId),
-    /// Ask for the node list.
-    NodeList,
+    /// Ask for the endpoint list.
+    EndpointList,
 }
 
 /// Timers by time.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -104,7 +104,7 @@
             number: AttemptNumber(attempt),
             outcome,
             latency: secs(latency),
-            is_over: outcome == Outcome::Done,
+            request_is_over: outcome == Outcome::Done,
         };
         self.scheduler.attempt_ended(self.instant(), end);
     }
--- a/tests/decision_hash.rs
+++ b/tests/decision_hash.rs
@@ -172,7 +172,7 @@
         overload_multiple: 2.0,
     });
     scheduler.set_cache_savings(0.5);
-    scheduler.subscribe_to_node_list();
+    scheduler.watch_endpoint_list();
     scheduler
 }
 
@@ -261,7 +261,7 @@
             number: attempt.number,
             outcome: attempt.outcome,
             latency: took,
-            is_over,
+            request_is_over: is_over,
         };
         self.scheduler.attempt_ended(self.now, end);
         if done || is_over {
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -354,7 +354,7 @@
 #[test]
 fn a_failed_node_list_call_is_retried() {
     let mut host = TestHost::new(1, Effect::Idempotent, false);
-    host.scheduler.subscribe_to_node_list();
+    host.scheduler.watch_endpoint_list();
     assert_eq!(host.poll(), [Decision::FollowList]);
     let mut asked = 0;
     for _ in 0..5 {
--- a/tests/reasons.rs
+++ b/tests/reasons.rs
@@ -36,7 +36,10 @@
 fn a_request_without_a_node_is_too_late() {
     let mut host = TestHost::new(1, Effect::Idempotent, false);
     let id = host.submit(0, 2, 0, 1.0, 0, 0);
-    assert_eq!(final_answer(&mut host, id), Some((true, FailureReason::TooLate)));
+    assert_eq!(
+        final_answer(&mut host, id),
+        Some((true, FailureReason::TooLate { held_by: Some(HoldReason::NoReadyNode) }))
+    );
 }
 
 /// A client asks for more than its volume's burst at this host. No wait would help, so the answer comes at once.
