--- a/crates/cli/src/consensus.rs
+++ b/crates/cli/src/consensus.rs
@@ -1,6 +1,9 @@
 //! `tackmast consensus`: who votes, who leads, and how each host stands to what is agreed on.
 
-use crate::orders::PATIENCE;
+#[cfg(test)]
+mod tests;
+
+use crate::admin_calls::{Hosts, ADMIN_TIMEOUT};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use tackmast_admin::{Answer, Call};
@@ -11,7 +14,7 @@
     /// Shows leader, term, voters, versions by host, and who is past its lease and in what posture.
     Status {
         #[command(flatten)]
-        hosts: crate::orders::Hosts,
+        hosts: Hosts,
     },
     /// Changes who votes, one host at a time; asked of the host that leads.
     #[command(subcommand)]
@@ -51,7 +54,7 @@
 }
 
 fn ask(host: &Path, ask: ConsensusRequest) -> Result<ConsensusResponse, String> {
-    match tackmast_admin::call(host, &Call::AdminRequest(AdminRequest::Consensus(ask)), PATIENCE)
+    match tackmast_admin::call(host, &Call::AdminRequest(AdminRequest::Consensus(ask)), ADMIN_TIMEOUT)
         .map_err(|e| e.to_string())?
     {
         Answer::AdminResponse(r) => match *r {
@@ -159,31 +162,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_a_host_says_of_itself() {
-        let status = ConsensusStatus {
-            host: 3,
-            role: "leads".into(),
-            leader: Some(3),
-            voters: vec![0, 1, 3],
-            votes: true,
-            bootstrapped: true,
-            commit: 9,
-            lease: "holds".into(),
-            has: [(1, (9, 0.1)), (2, (4, 2.5))].into(),
-            ..ConsensusStatus::default()
-        };
-        let text = one(&status);
-        assert!(
-            text.contains("voters 0, 1, 3; votes") && text.contains("behind: 2 has 4, said 2.5 s ago"),
-            "{text}"
-        );
-        let past = ConsensusStatus { lease: "past".into(), degraded: true, votes: false, ..status };
-        assert!(one(&past).contains("past its lease for 0.00 s; goes by the floors"), "{}", one(&past));
-    }
-}
--- a/crates/cli/src/agreed.rs
+++ b/crates/cli/src/consensus_walks.rs
@@ -1,8 +1,9 @@
-//! `tackmast simulator agree`: walks over the agreement in virtual time.
+//! `tackmast simulator agree`: random walks over the states of consensus, in virtual time.
 
 use std::process::ExitCode;
 use tackmast_simulator::{agreed_fleet, explore, find_fault, walk, ConsensusFault, FleetTrial, Walk, Walked};
 
+/// Arguments of `tackmast simulator agree`.
 #[derive(clap::Args)]
 pub struct AgreeArguments {
     /// Walks, each from a seed of its own.
@@ -31,6 +32,7 @@
     threads: usize,
 }
 
+/// Runs the walks or fleets that the arguments ask for.
 pub fn run(a: &AgreeArguments) -> Result<ExitCode, String> {
     if !(1..=1_000_000).contains(&a.steps) || a.depth.is_some_and(|d| d > 8) {
         return Err(format!("--steps {} --depth {:?}; expected 1 to 1000000, and up to 8", a.steps, a.depth));
@@ -47,7 +49,7 @@
     }
     let seeds: Vec<u64> = (a.first..a.first + a.walks).collect();
     if a.faults {
-        let found = crate::views::each(&ConsensusFault::ALL, a.threads, |f| {
+        let found = crate::parallel::map(&ConsensusFault::ALL, a.threads, |f| {
             find_fault(*f, a.first, a.walks, a.steps)
         });
         let mut good = true;
@@ -62,7 +64,7 @@
         }
         return Ok(ExitCode::from(u8::from(!good)));
     }
-    let all: Vec<Walked> = crate::views::each(&seeds, a.threads, |s| walk(&Walk::drawn(*s, a.steps, None)));
+    let all: Vec<Walked> = crate::parallel::map(&seeds, a.threads, |s| walk(&Walk::drawn(*s, a.steps, None)));
     let sum = |f: fn(&Walked) -> u64| all.iter().map(f).sum::<u64>();
     let longest = all.iter().map(|w| w.longest).fold(0.0, f64::max);
     println!(
@@ -112,7 +114,7 @@
             (a.first..a.first + a.seeds).map(|seed| FleetTrial { hosts: *h, voters: 3, seed, loss: a.loss })
         })
         .collect();
-    let all = crate::views::each(&trials, a.threads, agreed_fleet);
+    let all = crate::parallel::map(&trials, a.threads, agreed_fleet);
     let mut good = true;
     for (t, f) in trials.iter().zip(all) {
         let pair = |(median, most): (f64, f64)| format!("{median:.3}, {most:.3}");
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,20 +1,24 @@
 //! The `tackmast` command: it reads arguments, settings and signals, and hands on.
 
-mod agreed;
+mod admin_calls;
 mod benchmark;
 mod consensus;
+mod consensus_walks;
 mod emulators;
 mod io;
 mod log;
 mod members;
-mod orders;
+mod membership_views;
+mod overrides;
+mod parallel;
 mod planner;
 mod plans;
 mod platform;
 mod scenario;
 mod serve;
 mod simulator;
-mod views;
+mod status;
+mod time_format;
 
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
@@ -72,7 +76,7 @@
     Io(io::IoCommand),
     /// Orders of operators that end by themselves: a weight, out of service, pinned in service.
     #[command(subcommand)]
-    Override(orders::OverrideCommand),
+    Override(overrides::OverrideCommand),
     /// Plans, and which volume is under which, changed while hosts run; with a trail that can be proved.
     #[command(subcommand)]
     Plan(plans::PlanCommand),
@@ -83,7 +87,7 @@
     /// Shows what hosts are doing, and what each node is given.
     Status {
         #[command(flatten)]
-        hosts: orders::Hosts,
+        hosts: admin_calls::Hosts,
     },
     /// Shows which hosts a host thinks are there, by site, and what of limits it has lent and borrowed.
     Members(members::MembersArguments),
@@ -140,10 +144,10 @@
         Command::Node(a) => emulators::node(&a),
         Command::NodeList { listen } => emulators::node_list(listen),
         Command::Io(c) => io::run(c),
-        Command::Override(c) => orders::run(c),
+        Command::Override(c) => overrides::run(c),
         Command::Plan(c) => plans::run(c),
         Command::Consensus(c) => consensus::run(c),
-        Command::Status { hosts } => orders::status(&hosts),
+        Command::Status { hosts } => status::run(&hosts),
         Command::Members(a) => members::run(&a),
         Command::Scenario(a) => scenario::day(&a),
         Command::ScenarioImport { file, seed } => scenario::import(&file, seed),
--- a/crates/cli/src/views.rs
+++ b/crates/cli/src/membership_views.rs
@@ -1,10 +1,10 @@
-//! `tackmast simulator view`: views of fleets under faults, in virtual time.
+//! `tackmast simulator view`: the membership views of fleets under faults, in virtual time.
 
+use crate::parallel;
 use std::process::ExitCode;
-use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::{Mutex, PoisonError};
 use tackmast_simulator::{difference, find, summary, view, Case, Extensions, Shown, Trial, ViewFault};
 
+/// Arguments of `tackmast simulator view`.
 #[derive(clap::Args)]
 pub struct ViewArguments {
     /// Hosts; given several times, each in turn.
@@ -50,25 +50,7 @@
     })
 }
 
-/// Does all of it on so many threads, and gives the results in order.
-pub fn each<T: Sync, R: Send>(all: &[T], threads: usize, run: impl Fn(&T) -> R + Sync) -> Vec<R> {
-    let next = AtomicUsize::new(0);
-    let done: Mutex<Vec<(usize, R)>> = Mutex::new(Vec::new());
-    std::thread::scope(|s| {
-        for _ in 0..threads.clamp(1, 64) {
-            s.spawn(|| loop {
-                let i = next.fetch_add(1, Ordering::Relaxed);
-                let Some(x) = all.get(i) else { return };
-                let r = run(x);
-                done.lock().unwrap_or_else(PoisonError::into_inner).push((i, r));
-            });
-        }
-    });
-    let mut done = done.into_inner().unwrap_or_else(PoisonError::into_inner);
-    done.sort_by_key(|(i, _)| *i);
-    done.into_iter().map(|(_, r)| r).collect()
-}
-
+/// Runs the cases that the arguments ask for.
 pub fn run(a: &ViewArguments) -> Result<ExitCode, String> {
     if a.hosts.iter().any(|h| !(3..=1000).contains(h)) || !(1..=10_000).contains(&a.seeds) {
         return Err(format!("--hosts {:?} --seeds {}; expected 3 to 1000, and 1 to 10000", a.hosts, a.seeds));
@@ -95,7 +77,7 @@
         for case in &cases {
             let play = |extensions| {
                 let seeds: Vec<u64> = (a.first..a.first + a.seeds).collect();
-                each(&seeds, a.threads, |seed| {
+                parallel::map(&seeds, a.threads, |seed| {
                     view(&Trial { case: *case, hosts: *hosts, seed: *seed, extensions, fault: None })
                 })
             };
@@ -142,7 +124,7 @@
         "models in virtual time, {hosts} hosts, up to {} seeds from {}, all cases of each",
         a.seeds, a.first
     );
-    let found = each(&ViewFault::ALL, a.threads, |f| find(*f, hosts, a.first, a.seeds));
+    let found = parallel::map(&ViewFault::ALL, a.threads, |f| find(*f, hosts, a.first, a.seeds));
     let mut good = true;
     for (f, found) in ViewFault::ALL.iter().zip(found) {
         match found {
--- a/crates/cli/src/plans.rs
+++ b/crates/cli/src/plans.rs
@@ -1,19 +1,20 @@
 //! `tackmast plan`: plans that change while hosts run, over the admin socket of the host that takes changes.
 
-use crate::orders::time;
+#[cfg(test)]
+mod tests;
+
+use crate::admin_calls::ADMIN_TIMEOUT;
+use crate::time_format::timestamp;
 use hcl::{Block, Body};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use std::time::Duration;
 use tackmast_admin::{Answer, Call};
 use tackmast_config::{Document, Place};
 use tackmast_host_core::{AdminRequest, AdminResponse, PlanRequest, PlanResponse, PlanStatus};
 use tackmast_plans::{Catalogue, Change, ChangeLog, Fleet, LogHead, Plan, Step};
 
-const PATIENCE: Duration = Duration::from_secs(15);
-
 #[derive(clap::Args)]
 pub struct Home {
     /// Admin socket of a host. Changes are taken by one of them alone; another names it.
@@ -100,7 +101,7 @@
 }
 
 fn ask(host: &Path, ask: PlanRequest) -> Result<PlanResponse, String> {
-    match tackmast_admin::call(host, &Call::AdminRequest(AdminRequest::Plan(ask)), PATIENCE)
+    match tackmast_admin::call(host, &Call::AdminRequest(AdminRequest::Plan(ask)), ADMIN_TIMEOUT)
         .map_err(|e| e.to_string())?
     {
         Answer::AdminResponse(r) => match *r {
@@ -183,7 +184,7 @@
     let trail = ChangeLog::from_bytes(text.as_bytes(), fleet).map_err(|e| format!("the trail: {e}"))?;
     let mut at = trail.checkpoint.catalogue.clone();
     for e in &trail.entries {
-        println!("{:>6}  {}  {:<10} {}", e.number, time(e.at_us), e.change.who, e.change.why);
+        println!("{:>6}  {}  {:<10} {}", e.number, timestamp(e.at_us), e.change.who, e.change.why);
         let next = at.apply(&e.change, fleet).map_err(|r| r.to_string())?.catalogue;
         at.diff(&next).iter().for_each(|l| println!("        {l}"));
         at = next;
@@ -291,51 +292,3 @@
         _ => Ok(ExitCode::SUCCESS),
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_file_moves_what_it_says_otherwise_and_names_what_is_wrong() {
-        let mut now = Catalogue::default();
-        now.plans.insert(
-            "a".into(),
-            Plan { limit: 1.0, burst: 9.0, slack: 1.0, reserve: 0.0, weight: 1.0, floor: None },
-        );
-        let v = tackmast_plans::Volume {
-            lun: 0,
-            plan: "a".into(),
-            blocks: 1,
-            extent_blocks: 1,
-            shards: vec![0],
-            through: vec![0],
-            reads: "s".into(),
-            writes: "s".into(),
-        };
-        now.volumes.insert("v".into(), v);
-        let plan = |limit: u32| {
-            format!(
-                "plan \"a\" {{\n limit = {limit}\n burst = 9\n slack = 1\n reserve = 0\n weight = 1\n}}\n"
-            )
-        };
-        // The file, what is taken away, and how many steps it makes, or a part of its error.
-        for (text, remove, expected) in [
-            (plan(1), vec![], Ok(0)),
-            (plan(2), vec![], Ok(1)),
-            (plan(1), vec!["b".to_owned()], Ok(1)),
-            ("volume \"v\" {\n plan = \"b\"\n}".into(), vec![], Ok(1)),
-            ("volume \"w\" {\n plan = \"b\"\n}".into(), vec![], Err("no such volume")),
-            ("volume \"v\" {\n size = 3\n}".into(), vec![], Err("size")),
-            ("plan \"a\" {\n limit = \"x\"\n}".into(), vec![], Err("limit")),
-            ("host \"a\" { }".into(), vec![], Err("host")),
-            ("plan {".into(), vec![], Err("expected an HCL document")),
-        ] {
-            match (steps("f.hcl", &text, &now, &remove), expected) {
-                (Ok(s), Ok(n)) => assert_eq!(s.len(), n, "{text}"),
-                (Err(e), Err(part)) => assert!(e.contains("f.hcl:") && e.contains(part), "{text}: {e}"),
-                (found, _) => panic!("{text}: {found:?}"),
-            }
-        }
-    }
-}
--- a/crates/cli/src/simulator.rs
+++ b/crates/cli/src/simulator.rs
@@ -114,9 +114,9 @@
     },
     /// Plays the views of fleets under faults: time to settle after the last one, false deaths, bytes; beside the former
     /// view or without one addition, in pairs; and deliberate faults of the view that have to be found.
-    View(crate::views::ViewArguments),
+    View(crate::membership_views::ViewArguments),
     /// Walks by chance over the agreement: voters, disks, clocks and ways; what must never be is looked for after each step.
-    Agree(crate::agreed::AgreeArguments),
+    Agree(crate::consensus_walks::AgreeArguments),
     /// Prints the world of one seed as a day script, for `tackmast scenario` and for `tackmast simulator play --day`.
     Script {
         #[arg(long, default_value_t = 1)]
@@ -249,8 +249,8 @@
             }
             crate::planner::beside_lab(&loads, hosts, nodes, seed, ahead)
         }
-        SimulatorCommand::View(a) => crate::views::run(&a),
-        SimulatorCommand::Agree(a) => crate::agreed::run(&a),
+        SimulatorCommand::View(a) => crate::membership_views::run(&a),
+        SimulatorCommand::Agree(a) => crate::consensus_walks::run(&a),
         SimulatorCommand::Fleet { hosts, loss, seed } => {
             if hosts.iter().any(|h| !(3..=1000).contains(h)) || loss.iter().any(|l| !(0.0..=0.9).contains(l))
             {
