--- a/crates/platform-host/src/node_connections.rs
+++ b/crates/platform-host/src/node_connections.rs
@@ -1,35 +1,27 @@
 //! Connections to nodes: one attempt at a time on each, idle ones are reused.
 
 use crate::idle_connections::IdleConnections;
-use crate::node_connection::{NodeConnection, NodeConnectionCounters, State};
+use crate::node_connection::{request_bytes, NodeConnection, NodeConnectionCounters, PendingAttempt, State};
 use crate::poller::{Poller, Ready, Token, BOTH, READ, WRITE};
 use crate::sockets::{self, ReadOutcome};
-use bytes::{Bytes, BytesMut};
+use bytes::Bytes;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, NodeId, Outcome, TimeDelta};
-use tackmast_host_core::{AttemptId, AttemptResult, AttemptWork, Begin, SendAttempt};
+use tackmast_host_core::{AttemptId, AttemptResult, Begin, SendAttempt};
 use tackmast_http::{Limits, Response, ResponseReader};
-use tackmast_platform::{attempt_head, Reports};
+use tackmast_platform::Reports;
 
 /// The host closes an idle connection after this share of the time after which nodes do. Nodes would otherwise close it while a request
 /// is on its way, which would then have no answer.
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
-/// When the host closes an idle connection if the settings do not say when nodes do.
+/// When the host closes an idle connection if the settings name no idle timeout of nodes.
 const DEFAULT_MAX_IDLE: TimeDelta = TimeDelta::from_millis(10_000);
 /// How long a connection is not reused after an answer. Nothing in an answer tells which request it is for, and a node may send a second
 /// copy some milliseconds late: within the delay the copy arrives on an idle connection, which is closed for it. After the delay it
 /// would be taken for the answer to the next request.
 const REUSE_DELAY: TimeDelta = TimeDelta::from_millis(10);
 
-/// An attempt that is to be sent.
-pub(crate) struct PendingAttempt {
-    /// The attempt.
-    pub attempt: SendAttempt,
-    /// It has waited for a connection to become reusable.
-    pub has_waited: bool,
-}
-
 /// All connections to nodes, and the attempts that wait for one.
 pub(crate) struct NodeConnections {
     connections: BTreeMap<u32, NodeConnection>,
@@ -50,7 +42,7 @@
 
 impl NodeConnections {
     /// At most `max_connections` connections, each established within `connect_timeout`. `node_idle_timeout` is when nodes close an idle
-    /// connection; zero if the settings do not say.
+    /// connection; zero if the settings name none.
     pub(crate) fn new(
         max_connections: usize,
         connect_timeout: TimeDelta,
@@ -169,13 +161,7 @@
             poller.change(&connection.stream, Token::NodeConnection(id), READ);
             return self.idle.put(now, connection.node, id);
         }
-        let attempt_head = attempt_head(connection.address, attempt.until - now);
-        let (head, body): (&[u8], &[u8]) = match &attempt.work {
-            AttemptWork::Opaque(request) => (&request.head, &request.body),
-            AttemptWork::Write { .. } | AttemptWork::Read { .. } => (&[], &[]),
-        };
-        let mut outgoing = BytesMut::with_capacity(head.len() + attempt_head.len() + body.len());
-        [head, attempt_head.as_bytes(), body].iter().for_each(|part| outgoing.extend_from_slice(part));
+        let outgoing = request_bytes(now, connection.address, &attempt);
         self.by_attempt.insert(attempt.attempt, id);
         let answer = Box::new(ResponseReader::new(Limits::default()));
         connection.state = State::Busy { attempt: Box::new(attempt), outgoing, answer };
@@ -313,7 +299,7 @@
         self.connections.remove(&id);
     }
 
-    /// Cancels an attempt. Its connection is closed: there is no other way to take back what was sent.
+    /// Cancels an attempt. Its connection is closed: HTTP/1.1 has no other way to withdraw a request.
     pub(crate) fn cancel(&mut self, attempt: AttemptId) {
         match self.by_attempt.remove(&attempt) {
             Some(id) => {
@@ -393,7 +379,7 @@
     }
 }
 
-/// When the host closes an idle connection, by when nodes do (zero: the settings do not say).
+/// When the host closes an idle connection, from the idle timeout of nodes (zero: the settings name none).
 fn max_idle(node_idle_timeout: TimeDelta) -> TimeDelta {
     if node_idle_timeout > TimeDelta::ZERO {
         TimeDelta::from_secs(node_idle_timeout.secs() * IDLE_TIMEOUT_SHARE)
