--- a/crates/cli/src/consensus.rs
+++ b/crates/cli/src/consensus.rs
@@ -9,6 +9,7 @@
 use tackmast_admin::{Answer, Call};
 use tackmast_host_core::{AdminRequest, AdminResponse, ConsensusRequest, ConsensusResponse, ConsensusStatus};
 
+/// Arguments of `tackmast consensus`.
 #[derive(clap::Subcommand)]
 pub enum ConsensusCommand {
     /// Shows leader, term, voters, versions by host, and who is past its lease and in what posture.
@@ -26,6 +27,7 @@
     Forget(ByForce),
 }
 
+/// Which host is changed by force, by whom and why.
 #[derive(clap::Args)]
 pub struct ByForce {
     #[arg(long = "host", value_name = "SOCKET")]
@@ -37,6 +39,7 @@
     why: String,
 }
 
+/// Arguments of `tackmast consensus voter`.
 #[derive(clap::Subcommand)]
 pub enum VoterCommand {
     /// A host that runs and follows votes from now on, with the disk that it has.
@@ -53,61 +56,63 @@
     },
 }
 
-fn ask(host: &Path, ask: ConsensusRequest) -> Result<ConsensusResponse, String> {
-    match tackmast_admin::call(host, &Call::AdminRequest(AdminRequest::Consensus(ask)), ADMIN_TIMEOUT)
-        .map_err(|e| e.to_string())?
+fn call(host: &Path, request: ConsensusRequest) -> Result<ConsensusResponse, String> {
+    match tackmast_admin::call(host, &Call::AdminRequest(AdminRequest::Consensus(request)), ADMIN_TIMEOUT)
+        .map_err(|error| error.to_string())?
     {
-        Answer::AdminResponse(r) => match *r {
-            AdminResponse::Consensus(a) => Ok(a),
+        Answer::AdminResponse(response) => match *response {
+            AdminResponse::Consensus(response) => Ok(response),
             AdminResponse::NotKept { why } => Err(why),
             other => Err(format!("host {}: {other:?}; expected word of the agreement", host.display())),
         },
-        Answer::Error(e) => Err(e),
+        Answer::Error(error) => Err(error),
         Answer::Audit(_) => Err(format!("host {}: an audit; expected word of the agreement", host.display())),
     }
 }
 
-/// One host's lines.
-pub fn one(s: &ConsensusStatus) -> String {
-    let leader = s.leader.map_or("no leader is known".to_owned(), |l| format!("host {l} leads"));
-    let place = match (s.bootstrapped, s.votes, s.failed) {
+/// The status of one host.
+fn status_text(status: &ConsensusStatus) -> String {
+    let leader =
+        status.leader.map_or("no leader is known".to_owned(), |leader| format!("host {leader} leads"));
+    let place = match (status.bootstrapped, status.votes, status.failed) {
         (_, _, true) => "its disk takes no writes: it neither votes nor leads",
         (false, _, _) => "nothing is agreed on yet: it waits for all who begin",
         (_, true, _) => "votes",
         (_, false, _) => "does not vote",
     };
-    let lease = match s.lease.as_str() {
-        "holds" => format!("lease for {:.2} s more", s.lease_s),
-        "past" => format!("past its lease for {:.2} s", s.lease_s),
+    let lease = match status.lease.as_str() {
+        "holds" => format!("lease for {:.2} s more", status.lease_s),
+        "past" => format!("past its lease for {:.2} s", status.lease_s),
         _ => "never had a lease in this life".to_owned(),
     };
-    let posture = if s.degraded { "; goes by the floors" } else { "" };
-    let voters: Vec<String> = s.voters.iter().map(u32::to_string).collect();
-    let mut out = format!(
-        "host {}: {}, term {} of log {:x}; {leader}; voters {}; {place}\n    plans version {}, all have {}; {lease}{posture}; {} entries, {} agreed on, {} folded; in force in {:.1} s\n",
-        s.host,
-        s.role,
-        s.term,
-        s.log,
+    let limits = if status.degraded { "; goes by the floors" } else { "" };
+    let voters: Vec<String> = status.voters.iter().map(u32::to_string).collect();
+    let mut text = format!(
+        "host {}: {}, term {} of log {:x}; {leader}; voters {}; {place}\n    plans version {}, all have {}; {lease}{limits}; {} entries, {} agreed on, {} folded; in force in {:.1} s\n",
+        status.host,
+        status.role,
+        status.term,
+        status.log,
         if voters.is_empty() { "none".into() } else { voters.join(", ") },
-        s.version,
-        s.acknowledged,
-        s.last,
-        s.commit,
-        s.snapshot_index,
-        s.in_force_s.max(0.0)
+        status.version,
+        status.acknowledged,
+        status.last,
+        status.commit,
+        status.snapshot_index,
+        status.in_force_s.max(0.0)
     );
-    let behind = s.has.iter().filter(|(_, (has, _))| *has < s.commit);
+    let behind = status.has.iter().filter(|(_, (has, _))| *has < status.commit);
     let behind: Vec<String> =
-        behind.map(|(h, (has, ago))| format!("{h} has {has}, said {ago:.1} s ago")).collect();
+        behind.map(|(host, (has, ago))| format!("{host} has {has}, said {ago:.1} s ago")).collect();
     if !behind.is_empty() {
-        out += &format!("    behind: {}\n", behind.join("; "));
+        text += &format!("    behind: {}\n", behind.join("; "));
     }
-    out
+    text
 }
 
-fn told(reply: ConsensusResponse) -> Result<ExitCode, String> {
-    match reply {
+/// Prints the answer to a change.
+fn print_response(response: ConsensusResponse) -> Result<ExitCode, String> {
+    match response {
         ConsensusResponse::Taken { index } => {
             println!("entry {index}: it holds once most voters have it, which `status` shows");
             Ok(ExitCode::SUCCESS)
@@ -121,44 +126,47 @@
             Ok(ExitCode::SUCCESS)
         }
         ConsensusResponse::Refused { why } => Err(format!("refused: {why}")),
-        ConsensusResponse::Status(s) => {
-            print!("{}", one(&s));
+        ConsensusResponse::Status(status) => {
+            print!("{}", status_text(&status));
             Ok(ExitCode::SUCCESS)
         }
     }
 }
 
+/// Calls the hosts, and prints their answers.
 pub fn run(command: ConsensusCommand) -> Result<ExitCode, String> {
     match command {
         ConsensusCommand::Status { hosts } => {
-            let mut good = true;
+            let mut all_hold = true;
             for host in &hosts.hosts {
-                match ask(host, ConsensusRequest::Status) {
-                    Ok(ConsensusResponse::Status(s)) if hosts.json => {
-                        println!("{}", serde_json::to_string(&*s).map_err(|e| e.to_string())?)
+                match call(host, ConsensusRequest::Status) {
+                    Ok(ConsensusResponse::Status(status)) if hosts.json => {
+                        println!("{}", serde_json::to_string(&*status).map_err(|error| error.to_string())?)
                     }
-                    Ok(ConsensusResponse::Status(s)) => {
-                        good &= s.lease == "holds";
-                        print!("{}", one(&s));
+                    Ok(ConsensusResponse::Status(status)) => {
+                        all_hold &= status.lease == "holds";
+                        print!("{}", status_text(&status));
                     }
                     Ok(ConsensusResponse::Refused { why }) | Err(why) => {
-                        good = false;
+                        all_hold = false;
                         eprintln!("{}: {why}", host.display());
                     }
                     Ok(other) => return Err(format!("{}: {other:?}; expected a status", host.display())),
                 }
             }
-            Ok(ExitCode::from(u8::from(!good)))
+            Ok(ExitCode::from(u8::from(!all_hold)))
         }
-        ConsensusCommand::Force(f) => told(ask(&f.host, ConsensusRequest::Force { who: f.who, why: f.why })?),
-        ConsensusCommand::Forget(f) => {
-            told(ask(&f.host, ConsensusRequest::Forget { who: f.who, why: f.why })?)
+        ConsensusCommand::Force(ByForce { host, who, why }) => {
+            print_response(call(&host, ConsensusRequest::Force { who, why })?)
+        }
+        ConsensusCommand::Forget(ByForce { host, who, why }) => {
+            print_response(call(&host, ConsensusRequest::Forget { who, why })?)
         }
         ConsensusCommand::Voter(VoterCommand::Add { number, host }) => {
-            told(ask(&host, ConsensusRequest::Voter { host: number, votes: true })?)
+            print_response(call(&host, ConsensusRequest::Voter { host: number, votes: true })?)
         }
         ConsensusCommand::Voter(VoterCommand::Remove { number, host }) => {
-            told(ask(&host, ConsensusRequest::Voter { host: number, votes: false })?)
+            print_response(call(&host, ConsensusRequest::Voter { host: number, votes: false })?)
         }
     }
 }
--- a/crates/cli/src/consensus/tests.rs
+++ b/crates/cli/src/consensus/tests.rs
@@ -18,11 +18,15 @@
         has: [(1, (9, 0.1)), (2, (4, 2.5))].into(),
         ..ConsensusStatus::default()
     };
-    let text = one(&status);
+    let text = status_text(&status);
     assert!(
         text.contains("voters 0, 1, 3; votes") && text.contains("behind: 2 has 4, said 2.5 s ago"),
         "{text}"
     );
     let past = ConsensusStatus { lease: "past".into(), degraded: true, votes: false, ..status };
-    assert!(one(&past).contains("past its lease for 0.00 s; goes by the floors"), "{}", one(&past));
+    assert!(
+        status_text(&past).contains("past its lease for 0.00 s; goes by the floors"),
+        "{}",
+        status_text(&past)
+    );
 }
--- a/crates/cli/src/io.rs
+++ b/crates/cli/src/io.rs
@@ -9,8 +9,9 @@
 use std::time::{Duration, Instant};
 use tackmast_client::{Client, Op, Options, Outcome, Protocol};
 
-/// Bytes of one call of a copy, and calls that are open at a time.
+/// Bytes of one call of a copy.
 const PIECE: u32 = 256 << 10;
+/// Commands that are open at the same time.
 const OPEN: usize = 16;
 /// Longest load, in seconds.
 const LONGEST: f64 = 3600.0;
@@ -21,6 +22,7 @@
     Nbd,
 }
 
+/// The volume that is used, and how it is reached.
 #[derive(clap::Args)]
 pub struct Volume {
     /// Where the gateway listens for this protocol.
@@ -43,6 +45,7 @@
     timeout: humantime::Duration,
 }
 
+/// Arguments of `tackmast io`.
 #[derive(clap::Subcommand)]
 pub enum IoCommand {
     /// Reads bytes to standard output.
@@ -119,6 +122,7 @@
     }
 }
 
+/// Opens the volume, and does what the arguments ask for.
 pub fn run(command: IoCommand) -> Result<ExitCode, String> {
     match command {
         IoCommand::Read { offset, length, volume } => {
--- a/crates/cli/src/log.rs
+++ b/crates/cli/src/log.rs
@@ -2,12 +2,14 @@
 
 use tracing_subscriber::EnvFilter;
 
+/// The form of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Form {
     Text,
     Json,
 }
 
+/// Starts to write log lines.
 pub fn start(form: Form, level: &str) -> Result<(), String> {
     let filter = EnvFilter::try_new(level).map_err(|e| format!("--log-level {level:?}: {e}"))?;
     let lines = tracing_subscriber::fmt()
--- a/crates/cli/src/planner.rs
+++ b/crates/cli/src/planner.rs
@@ -12,6 +12,7 @@
 };
 use tackmast_simulator::World;
 
+/// The deployment that is planned, and what its nodes bear.
 #[derive(clap::Args)]
 pub struct Figures {
     /// Settings of a host, in HCL: volumes, traffic classes, shards.
--- a/crates/cli/src/plans.rs
+++ b/crates/cli/src/plans.rs
@@ -15,6 +15,7 @@
 use tackmast_host_core::{AdminRequest, AdminResponse, PlanRequest, PlanResponse, PlanStatus};
 use tackmast_plans::{Catalogue, Change, ChangeLog, Fleet, LogHead, Plan, Step};
 
+/// The host that is called.
 #[derive(clap::Args)]
 pub struct Home {
     /// Admin socket of a host. Changes are taken by one of them alone; another names it.
@@ -25,6 +26,7 @@
     json: bool,
 }
 
+/// Who makes a change, and why.
 #[derive(clap::Args)]
 pub struct By {
     /// Who changes it.
@@ -38,6 +40,7 @@
     dry_run: bool,
 }
 
+/// Arguments of `tackmast plan`.
 #[derive(clap::Subcommand)]
 pub enum PlanCommand {
     /// Prints the plans and the volumes under them, as HCL that `apply` takes.
@@ -121,6 +124,7 @@
     }
 }
 
+/// Calls the host, and prints its answer.
 pub fn run(command: PlanCommand) -> Result<ExitCode, String> {
     match command {
         PlanCommand::Show { home } => {
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -16,6 +16,7 @@
     Configuration::parse(&bytes).map_err(|e| format!("{path}: {e}"))
 }
 
+/// Runs a host on the operators' platform until it gets SIGTERM.
 pub fn serve() -> Result<ExitCode, String> {
     // Before anything else: an order that comes while the host starts waits in its pipe, and must not end the process.
     let mut orders = Vec::new();
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -6,6 +6,7 @@
 use std::process::ExitCode;
 use tackmast_scenario::Script;
 
+/// Arguments of `tackmast scenario`.
 #[derive(clap::Args)]
 pub struct ScenarioArguments {
     /// Script of the day, in HCL.
@@ -179,6 +180,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
+/// Plays a scenario, a number of seeds of it, or a hunt.
 pub fn day(a: &ScenarioArguments) -> Result<ExitCode, String> {
     if let Some(minutes) = a.hunt {
         return hunt(a, minutes);
@@ -223,6 +225,7 @@
         .map_err(|e| format!("report.json: {e}"))
 }
 
+/// Judges the rules from a recorded trace.
 pub fn rules(trace: &Path, json: bool) -> Result<ExitCode, String> {
     let at = |e: String| format!("{}: {e}", trace.display());
     let file = File::open(trace).map_err(|e| at(e.to_string()))?;
@@ -235,6 +238,7 @@
     Ok(ExitCode::from(u8::from(!report.is_clean())))
 }
 
+/// Prints a day of the bench as a scenario.
 pub fn import(file: &Path, seed: u64) -> Result<ExitCode, String> {
     let at = |e: String| format!("{}: {e}", file.display());
     let text = std::fs::read_to_string(file).map_err(|e| at(e.to_string()))?;
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -9,6 +9,7 @@
 use tackmast_config::HostSettings;
 use tackmast_host::Host;
 
+/// Runs a host until it gets SIGTERM or SIGINT.
 pub fn serve(config: &Path, (clock_off_s, clock_pace): (f64, f64)) -> Result<ExitCode, String> {
     if !(-1e9..=1e9).contains(&clock_off_s) || !(0.5..=2.0).contains(&clock_pace) {
         return Err(format!(
@@ -57,6 +58,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
+/// Checks the settings of a host, and prints what they hold.
 pub fn check(file: &Path) -> Result<ExitCode, String> {
     let s = HostSettings::read(file).map_err(|e| e.to_string())?;
     println!(
