--- a/crates/cli/tests/plans.rs
+++ b/crates/cli/tests/plans.rs
@@ -35,8 +35,10 @@
     String::from_utf8_lossy(&o.stdout).into_owned()
 }
 
+/// An operator prints the plans of a running host, applies a change, undoes it and tries some that are refused. What was printed can be
+/// applied again, and the change log is proved from its own text, unless a word of it is altered.
 #[test]
-fn what_is_shown_is_taken_and_the_trail_proves_itself() {
+fn shown_plans_can_be_applied_and_the_change_log_is_proved() {
     let dir = tempfile::tempdir().unwrap();
     let at = |name: &str| dir.path().join(name).display().to_string();
     std::fs::write(at("host.hcl"), settings(dir.path())).unwrap();
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -50,8 +50,10 @@
     }
 }
 
+/// The platform starts a host, sends it requests, moves its discovery with SIGHUP and ends it with SIGTERM. The host serves all the
+/// time, and logs few lines.
 #[test]
-fn a_host_starts_serves_reloads_and_ends_by_signals() {
+fn host_serves_reloads_and_ends_by_signals() {
     let (node, list, next) =
         (HttpNode::start().unwrap(), HttpEndpointList::start().unwrap(), HttpEndpointList::start().unwrap());
     let line =
@@ -100,8 +102,9 @@
     assert!(text.lines().count() <= 12, "sparse: {text}");
 }
 
+/// SIGTERM is sent while the host still starts. It ends as it would later, without an error.
 #[test]
-fn an_order_to_end_while_the_host_starts_ends_it_in_order() {
+fn sigterm_during_the_start_ends_the_host_in_order() {
     let (node, list) = (HttpNode::start().unwrap(), HttpEndpointList::start().unwrap());
     let address = node.address();
     list.add_initial(ListMember { id: "s-0".into(), address, shard: 0, phase: "Ready", up_since_ms: 0 });
@@ -126,8 +129,9 @@
     assert!(text.contains("host serves") && text.contains("host has ended taken=0"), "{text}");
 }
 
+/// The settings file is wrong. The host does not start, and says why in one line.
 #[test]
-fn a_file_that_makes_no_sense_ends_the_start_with_one_line() {
+fn wrong_settings_end_the_start_with_one_line() {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("config.json");
     let list = HttpEndpointList::start().unwrap();
--- a/crates/cli/tests/scenarios.rs
+++ b/crates/cli/tests/scenarios.rs
@@ -1,35 +1,37 @@
-//! The hard cases as days: each must keep every rule, return the right bytes, and exercise what it is for. One at a
-//! time, so that a busy machine does not become a trouble of its own.
+//! The hard cases as scenarios: each must keep every rule, return the right bytes, and exercise what it is for. They run one at a
+//! time, so that a busy machine does not become a fault of its own.
 
 use std::path::Path;
 use std::process::Command;
 use std::sync::{Mutex, PoisonError};
 
-static ONE: Mutex<()> = Mutex::new(());
+/// Held by the scenario that runs.
+static RUNNING: Mutex<()> = Mutex::new(());
 
-fn plays(day: &str) {
-    let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
+fn assert_scenario_passes(name: &str) {
+    let _running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let out = Command::new(env!("CARGO_BIN_EXE_tackmast"))
         .current_dir(root)
-        .args(["scenario", &format!("scenarios/{day}.hcl")])
+        .args(["scenario", &format!("scenarios/{name}.hcl")])
         .output()
         .expect("the command runs");
     let text = String::from_utf8_lossy(&out.stdout);
     let errors = String::from_utf8_lossy(&out.stderr);
-    assert!(out.status.success(), "{day}:\n{text}\n{errors}");
+    assert!(out.status.success(), "{name}:\n{text}\n{errors}");
 }
 
-macro_rules! days {
+macro_rules! scenarios {
     ($($name:ident = $file:literal),* $(,)?) => {$(
+        /// Plays the scenario of this name, whose file tells its story.
         #[test]
         fn $name() {
-            plays($file);
+            assert_scenario_passes($file);
         }
     )*};
 }
 
-days! {
+scenarios! {
     the_first_day = "first",
     a_drain_with_requests_queued_and_on_the_wire = "drain",
     hedged_requests_never_overlap_nor_repeat_an_effect = "second-leg",
@@ -58,8 +60,9 @@
     operators_whose_changes_have_one_order = "agree/operators",
 }
 
+/// A script or a settings file is wrong. The command ends with one line that names the place.
 #[test]
-fn a_wrong_script_and_wrong_settings_get_one_clear_error() {
+fn wrong_files_are_refused_with_one_line() {
     let dir = tempfile::tempdir().unwrap();
     let case = |name: &str, text: &str, args: &[&str]| {
         let file = dir.path().join(name);
@@ -89,8 +92,9 @@
     );
 }
 
+/// Whoever started a host stops reading its output and closes the pipe. The host must continue to serve.
 #[test]
-fn a_host_goes_on_when_nobody_reads_its_output() {
+fn host_serves_when_nobody_reads_its_output() {
     use std::io::Write;
     use std::time::Duration;
     // Found by a day of twelve hosts: the day read the first line only, and hosts ended at the next.
