--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -37,7 +37,7 @@
 impl ScenarioArguments {
     fn script(&self) -> Result<Script, String> {
         let mut script = Script::read_sized(&self.file, self.hosts).map_err(|e| e.to_string())?;
-        script.day.seed = self.seed.unwrap_or(script.day.seed);
+        script.scenario.seed = self.seed.unwrap_or(script.scenario.seed);
         if self.alone && script.settings.consensus.is_some() {
             return Err(format!(
                 "{}: --alone, and a block agreement; expected a day whose hosts need not hear each other",
@@ -45,50 +45,50 @@
             ));
         }
         if self.alone {
-            (script.day.members, script.day.settled_within) = (false, 0.0);
+            (script.scenario.members, script.scenario.settled_within) = (false, 0.0);
         }
         Ok(script)
     }
 }
 
 /// Plays it in a folder of its own, which goes afterwards.
-fn play_once(script: &Script) -> Result<tackmast_scenario::Played, String> {
+fn play_once(script: &Script) -> Result<tackmast_scenario::ScenarioRun, String> {
     let own = std::env::temp_dir().join(format!("tackmast-day-{}", std::process::id()));
     std::fs::create_dir_all(&own).map_err(|e| format!("{}: {e}", own.display()))?;
     let binary = std::env::current_exe().map_err(|e| format!("own program: {e}"))?;
-    let played = tackmast_scenario::play(script, &binary, &own, script.day.seed);
+    let played = tackmast_scenario::run(script, &binary, &own, script.scenario.seed);
     std::fs::remove_dir_all(&own).map_err(|e| format!("{}: {e}", own.display()))?;
-    played
+    played.map_err(|e| e.to_string())
 }
 
 /// Part of the first tries that were done in time.
 fn in_time(r: &tackmast_scenario::Report) -> f64 {
     let (asked, good) =
-        r.served.iter().fold((0, 0.0), |(a, g), s| (a + s.asked, g + s.in_time * s.asked as f64));
+        r.served.iter().fold((0, 0.0), |(a, g), s| (a + s.requests, g + s.in_time * s.requests as f64));
     good / asked.max(1) as f64
 }
 
 fn seeds(a: &ScenarioArguments, count: u64) -> Result<ExitCode, String> {
     let mut script = a.script()?;
-    let (first, mut good) = (script.day.seed, true);
+    let (first, mut good) = (script.scenario.seed, true);
     let (mut periods, mut served, mut cost) = (Vec::new(), Vec::new(), Vec::new());
     let (mut false_deaths, mut unsettled) = (0, 0);
-    let mut agreed: Vec<tackmast_scenario::AgreedSeen> = Vec::new();
+    let mut agreed: Vec<tackmast_scenario::ConsensusObservations> = Vec::new();
     let mut by_fault: std::collections::BTreeMap<(usize, String), Vec<Option<f64>>> = Default::default();
     println!(
         "{} with {} hosts; stand-ins on loopback; periods from the last fault until settled",
         a.file.display(),
-        script.day.hosts
+        script.scenario.hosts
     );
     println!(
         "{:>6} {:>8} {:>7} {:>6} {:>12} {:>8} {:>8}  wrong",
         "seed", "settled", "deaths", "false", "bytes/s host", "cpu", "in time"
     );
     for seed in first..first + count.clamp(1, 1000) {
-        script.day.seed = seed;
+        script.scenario.seed = seed;
         let r = play_once(&script)?.report;
         let v = r.view.clone().unwrap_or_default();
-        let last = v.last();
+        let last = v.last_convergence_periods();
         let wrong = r.failures.len() + r.rules.rules.iter().map(|r| r.violations.len()).sum::<usize>();
         good &= r.is_good();
         println!(
@@ -96,8 +96,8 @@
             last.map_or("-".into(), |p| format!("{p:.1}")),
             v.deaths,
             v.false_deaths,
-            v.bytes,
-            v.cpu * 100.0,
+            v.bytes_per_s,
+            v.cpu_share * 100.0,
             in_time(&r),
             if r.is_good() { String::new() } else { format!("{wrong} things") }
         );
@@ -107,7 +107,7 @@
         if !r.rules.is_clean() {
             print!("{}", r.rules);
         }
-        for (i, a) in v.after.iter().enumerate() {
+        for (i, a) in v.convergences.iter().enumerate() {
             let p = a.settled_s.map(|s| s / v.period_s.max(1e-9));
             by_fault.entry((i, a.fault.clone())).or_default().push(p);
         }
@@ -117,8 +117,8 @@
         }
         false_deaths += v.false_deaths;
         served.push(in_time(&r));
-        agreed.extend(r.agreed.clone());
-        cost.push((v.bytes, v.cpu));
+        agreed.extend(r.consensus.clone());
+        cost.push((v.bytes_per_s, v.cpu_share));
     }
     let median = |mut x: Vec<f64>| {
         x.sort_by(f64::total_cmp);
@@ -135,14 +135,16 @@
         );
     }
     if !agreed.is_empty() {
-        let most = |f: fn(&tackmast_scenario::AgreedSeen) -> f64| agreed.iter().map(f).fold(0.0, f64::max);
+        let most = |f: fn(&tackmast_scenario::ConsensusObservations) -> f64| {
+            agreed.iter().map(f).fold(0.0, f64::max)
+        };
         println!(
             "agreement: {} changes of the day, an older version gone by for {:.3} s at most of {:.3} allowed; no leader for {:.2} s at most; {} calls of operators in an order",
             agreed.iter().map(|a| a.changes).sum::<usize>(),
-            most(|a| a.longest_s),
+            most(|a| a.max_outdated_s),
             most(|a| a.allowed_s),
             most(|a| a.leaderless_s),
-            agreed.iter().map(|a| a.history).sum::<usize>()
+            agreed.iter().map(|a| a.operator_call_count).sum::<usize>()
         );
     }
     println!(
@@ -160,20 +162,20 @@
     let script = a.script()?;
     let until =
         std::time::Instant::now() + std::time::Duration::from_secs_f64(minutes.clamp(0.01, 1440.0) * 60.0);
-    let mut seed = script.day.seed;
+    let mut seed = script.scenario.seed;
     let is_bad = |s: &Script| play_once(s).map(|p| (!p.report.is_good()).then_some(p.report));
     while std::time::Instant::now() < until {
-        let drawn = tackmast_scenario::draw(&script, seed);
+        let drawn = tackmast_scenario::add_generated_faults(&script, seed);
         if let Some(report) = is_bad(&drawn)? {
             println!(
                 "seed {seed}: something is wrong\n{report}\ndrawn:\n{}",
-                tackmast_scenario::troubles_text(&drawn)
+                tackmast_scenario::faults_text(&drawn)
             );
-            let small = tackmast_scenario::smaller(drawn, |s| Ok::<_, String>(is_bad(s)?.is_some()))?;
-            println!("made smaller:\n{}", tackmast_scenario::troubles_text(&small));
+            let small = tackmast_scenario::shrink(drawn, |s| Ok::<_, String>(is_bad(s)?.is_some()))?;
+            println!("made smaller:\n{}", tackmast_scenario::faults_text(&small));
             return Ok(ExitCode::from(1));
         }
-        println!("seed {seed}: {} troubles, nothing wrong", drawn.troubles.len());
+        println!("seed {seed}: {} troubles, nothing wrong", drawn.faults.len());
         seed += 1;
     }
     Ok(ExitCode::SUCCESS)
@@ -192,20 +194,21 @@
     let dir = kept.unwrap_or(&own);
     std::fs::create_dir_all(dir).map_err(|e| format!("--out {}: {e}", dir.display()))?;
     let binary = std::env::current_exe().map_err(|e| format!("own program: {e}"))?;
-    let seed = script.day.seed;
-    let played = tackmast_scenario::play(&script, &binary, dir, seed);
+    let seed = script.scenario.seed;
+    let played = tackmast_scenario::run(&script, &binary, dir, seed);
     let kept = match (&played, kept) {
         (Ok(p), Some(dir)) => save(dir, p),
         (_, Some(_)) => Ok(()),
         (_, None) => std::fs::remove_dir_all(&own).map_err(|e| e.to_string()),
     };
-    let played = played?;
+    let played = played.map_err(|e| e.to_string())?;
     kept?;
     match a.json {
         true => println!("{}", serde_json::to_string_pretty(&played.report).map_err(|e| e.to_string())?),
         false => {
             print!("{}", played.report);
-            for (i, (cpu, memory, threads)) in played.hosts.iter().enumerate() {
+            for (i, used) in played.host_resources.iter().enumerate() {
+                let (cpu, memory, threads) = (used.cpu_s, used.memory_mib, used.threads);
                 println!("host {i}: {cpu:.2} s of CPU, {memory:.0} MiB, {threads} threads");
             }
         }
@@ -213,7 +216,7 @@
     Ok(ExitCode::from(u8::from(!played.report.is_good())))
 }
 
-fn save(dir: &Path, played: &tackmast_scenario::Played) -> Result<(), String> {
+fn save(dir: &Path, played: &tackmast_scenario::ScenarioRun) -> Result<(), String> {
     let file = |name: &str| {
         let path = dir.join(name);
         File::create(&path).map(BufWriter::new).map_err(|e| format!("{}: {e}", path.display()))
@@ -238,6 +241,6 @@
 pub fn import(file: &Path, seed: u64) -> Result<ExitCode, String> {
     let at = |e: String| format!("{}: {e}", file.display());
     let text = std::fs::read_to_string(file).map_err(|e| at(e.to_string()))?;
-    print!("{}", tackmast_scenario::import(&text, seed).map_err(at)?);
+    print!("{}", tackmast_scenario::import_bench_day(&text, seed).map_err(|e| at(e.to_string()))?);
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/simulator/src/day.rs
+++ b/crates/simulator/src/day.rs
@@ -6,7 +6,7 @@
 use tackmast_emulators::list::ListFault;
 use tackmast_emulators::node::Fault;
 use tackmast_overrides::Target;
-use tackmast_scenario::{is_one_of, Action, NodesBlock, Script, TrafficBlock, AGEING_STEPS};
+use tackmast_scenario::{names_node_of, Action, NodesBlock, Script, TrafficBlock, DEGRADATION_STEPS};
 
 /// Links as short as loopback's.
 const DELAY_US: u64 = 50;
@@ -24,7 +24,7 @@
 
 impl std::fmt::Debug for DayScript {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "script of {} hosts", self.0.day.hosts)
+        write!(f, "script of {} hosts", self.0.scenario.hosts)
     }
 }
 
@@ -62,7 +62,9 @@
     /// Places of the nodes that a trouble names, by block or by `block/shard`.
     fn named(&self, names: &[String]) -> Vec<u32> {
         let is = |name: &str, block: &NodesBlock, shard: u32| {
-            names.iter().any(|n| n == name || is_one_of(n, name, block) && n.ends_with(&format!("/{shard}")))
+            names
+                .iter()
+                .any(|n| n == name || names_node_of(n, name, block) && n.ends_with(&format!("/{shard}")))
         };
         let all = self.node_names().enumerate();
         all.filter(|(_, (name, block, shard))| is(name, block, *shard)).map(|(i, _)| i as u32).collect()
@@ -96,7 +98,7 @@
     ) {
         let gap = |c: &mut oorandom::Rand64, mean_s: f64| -(1.0 - c.rand_float()).ln() * mean_s;
         // Stretches of its own surges, and the times at which the lead passes on.
-        let until = t.for_s.map_or(self.0.day.seconds, |s| t.from_s + s).min(self.0.day.seconds);
+        let until = t.for_s.map_or(self.0.scenario.seconds, |s| t.from_s + s).min(self.0.scenario.seconds);
         let (mut surges, mut moves) = (Vec::new(), Vec::new());
         if let Some((_, length, every)) = t.surges {
             let mut at = t.from_s + gap(chance, every);
@@ -105,7 +107,7 @@
                 at += gap(chance, every);
             }
         }
-        if let Some(every) = t.moves_s {
+        if let Some(every) = t.primary_change_interval_s {
             let mut at = t.from_s + gap(chance, every);
             while at < until {
                 moves.push(at);
@@ -113,14 +115,14 @@
             }
         }
         let hit = |names: &[String]| names.is_empty() || names.iter().any(|n| n == name);
-        for trouble in &self.0.troubles {
-            if let Action::Move { traffic } = &trouble.action {
+        for trouble in &self.0.faults {
+            if let Action::ChangePrimary { traffic } = &trouble.action {
                 moves.extend(hit(traffic).then_some(trouble.at_s));
             }
         }
         let times = |at: f64| {
             let own = t.surges.filter(|_| surges.iter().any(|(from, to)| at >= *from && at < *to));
-            let all = self.0.troubles.iter().filter_map(|x| match &x.action {
+            let all = self.0.faults.iter().filter_map(|x| match &x.action {
                 Action::Surge { traffic, times } if hit(traffic) => {
                     (at >= x.at_s && at < x.at_s + x.for_s).then_some(*times)
                 }
@@ -133,14 +135,14 @@
             let (least, most) = t.blocks;
             let blocks = chance.rand_range(u64::from(least)..u64::from(most) + 1) as u32;
             let block = base + chance.rand_range(0..t.span_blocks - u64::from(blocks) + 1);
-            let write = chance.rand_float() >= t.reads;
+            let write = chance.rand_float() >= t.read_share;
             let lead = moves.iter().filter(|m| **m <= at).count() % t.hosts.len();
-            let place = match chance.rand_float() < t.lead {
+            let place = match chance.rand_float() < t.primary_share {
                 true => lead,
                 false => (lead + 1 + chance.rand_range(0..t.hosts.len() as u64) as usize) % t.hosts.len(),
             };
             let (at_us, host) = ((at * 1e6) as u64, t.hosts[place]);
-            let (retries, waits) = (t.retries, t.waits);
+            let (retries, waits) = (t.retries, t.honors_retry_after);
             all.push(Ask { at_us, host, lun, write, block, blocks, retries, waits });
             at += gap(chance, 1.0 / (t.rate * times(at)).max(0.001));
         }
@@ -151,30 +153,35 @@
     /// A script's day in virtual time, and what of it the lab can't do.
     pub fn of_script(script: Script, seed: u64) -> (World, Vec<String>) {
         let day = DayScript(Arc::new(script));
-        let mut w = World::draw(seed, day.day.hosts);
+        let mut w = World::draw(seed, day.scenario.hosts);
         w.nodes = day.node_names().count() as u32;
-        w.seconds = day.day.seconds + 0.5;
+        w.seconds = day.scenario.seconds + 0.5;
         (w.delay_us, w.jitter_us) = (DELAY_US, JITTER_US);
-        w.list_late_us = (day.list_late_s * 1e6) as u64;
+        w.list_late_us = (day.list_delay_s * 1e6) as u64;
         (w.clients, w.wall_off_s, w.drift, w.timed_list) = ([0, 0], 0.0, 0.0, true);
         w.troubles.clear();
         let mut left_out = Vec::new();
-        for t in &day.troubles {
+        for t in &day.faults {
             if let Err(what) = troubles(&day, t, &mut w.troubles) {
                 left_out.push(format!("{}: {what}", t.name));
             }
         }
-        for (name, t) in day.traffic.iter().filter(|(_, t)| t.aborts > 0.0 || t.leaves > 0.0) {
-            left_out.push(format!("traffic {name}: aborts {} and leaves {}", t.aborts, t.leaves));
+        for (name, t) in day.traffic.iter().filter(|(_, t)| t.abort_share > 0.0 || t.disconnect_share > 0.0) {
+            left_out
+                .push(format!("traffic {name}: aborts {} and leaves {}", t.abort_share, t.disconnect_share));
         }
-        w.members = day.day.members.then_some(0.0);
+        w.members = day.scenario.members.then_some(0.0);
         w.day = Some(day);
         (w, left_out)
     }
 }
 
 /// The lab's troubles for one of the script's.
-fn troubles(day: &DayScript, t: &tackmast_scenario::Trouble, all: &mut Vec<Trouble>) -> Result<(), String> {
+fn troubles(
+    day: &DayScript,
+    t: &tackmast_scenario::ScheduledFault,
+    all: &mut Vec<Trouble>,
+) -> Result<(), String> {
     let us = |s: f64| (s * 1e6) as u64;
     let (at, long) = (us(t.at_s), us(t.for_s));
     let mut put = |at_us, for_us, kind, node, host| all.push(Trouble { at_us, for_us, kind, node, host });
@@ -189,7 +196,7 @@
                 Fault::Silent(_) => (Kind::Silent, long),
                 Fault::Restart(s) => (Kind::Restart, us(*s)),
                 Fault::Reset => (Kind::Resets, 0),
-                Fault::Die => (Kind::Restart, us(day.day.seconds * 10.0)),
+                Fault::Die => (Kind::Restart, us(day.scenario.seconds * 10.0)),
                 other => return Err(format!("{other:?} is a fault of sockets")),
             };
             for n in day.named(nodes) {
@@ -198,9 +205,9 @@
         }
         Action::Ageing { nodes, times, down_s } => {
             for n in day.named(nodes) {
-                let step = long / u64::from(AGEING_STEPS);
-                for i in 0..u64::from(AGEING_STEPS) {
-                    let part = i as f64 / f64::from(AGEING_STEPS);
+                let step = long / u64::from(DEGRADATION_STEPS);
+                for i in 0..u64::from(DEGRADATION_STEPS) {
+                    let part = i as f64 / f64::from(DEGRADATION_STEPS);
                     put(at + i * step, step, Kind::Slow(times.powf(part)), n, None);
                 }
                 put(at + long, us(*down_s), Kind::Restart, n, None);
@@ -228,14 +235,16 @@
         Action::KillHosts(hosts) => hosts.iter().for_each(|h| put(at, long, Kind::HostKill, 0, Some(*h))),
         // The traffic itself has them; here they are marked for the report.
         Action::Surge { times, .. } => put(at, long, Kind::Surge(*times), 0, None),
-        Action::Move { .. } => {}
+        Action::ChangePrimary { .. } => {}
         Action::Plan { .. } => return Err("a change of plans".into()),
-        Action::Hosts { how, .. } => return Err(format!("{how:?} of processes, which only sockets have")),
-        Action::Voter { .. } | Action::Way { .. } | Action::Apart(_) => {
+        Action::Hosts { fault, .. } => {
+            return Err(format!("{fault:?} of processes, which only sockets have"))
+        }
+        Action::Voter { .. } | Action::Network { .. } | Action::Partition(_) => {
             return Err("ways, which only sockets have".into())
         }
-        Action::Order { refused: true, .. } => return Err("an order that must be refused".into()),
-        Action::Order { hosts, kind, target, nodes, .. } => {
+        Action::Override { refused: true, .. } => return Err("an order that must be refused".into()),
+        Action::Override { hosts, kind, target, nodes, .. } => {
             let mut named = day.named(nodes);
             let in_set = |n: &u32| {
                 let Some((block, shard)) = day.node(*n) else { return false };
@@ -256,7 +265,7 @@
                 }
             }
         }
-        Action::Client { how, .. } => return Err(format!("a client that misuses its socket, {how:?}")),
+        Action::Client { misuse, .. } => return Err(format!("a client that misuses its socket, {misuse:?}")),
     }
     Ok(())
 }
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -366,7 +366,13 @@
 /// Plays a world to its end, with the host core or with a plain host in its place.
 pub fn run(w: &World, mutant: Option<Mutant>, plain: Option<Plain>) -> Run {
     let like = |n: u32| match w.day.as_ref().and_then(|d| d.node(n)) {
-        Some((block, shard)) => (block.nature(), block.zone, shard, block.cold, block.report_ms * 1000),
+        Some((block, shard)) => (
+            block.node_behavior(),
+            block.zone,
+            shard,
+            block.has_just_started,
+            block.report_interval_ms * 1000,
+        ),
         None => {
             let nature = NodeBehavior {
                 cores: w.cores,
--- a/crates/simulator/src/sim/account.rs
+++ b/crates/simulator/src/sim/account.rs
@@ -71,7 +71,8 @@
     pub(super) fn facts(&self) -> Facts {
         // The way of a message, one way and back, and the jitter of both.
         let skew_us = 2 * (self.w.delay_us + self.w.jitter_us) + 2000 + (self.w.drift * 4e7) as Us;
-        let grace_s = self.w.day.as_ref().map_or(DRAIN_GRACE as f64 / 1e6, |d| d.day.drain_grace_ms / 1e3);
+        let grace_s =
+            self.w.day.as_ref().map_or(DRAIN_GRACE as f64 / 1e6, |d| d.scenario.drain_grace_ms / 1e3);
         tackmast_scenario::facts(&settings(self.w, 0, None), 0.001, grace_s, skew_us as f64 / 1e6)
     }
 }
--- a/crates/simulator/src/sim/settings.rs
+++ b/crates/simulator/src/sim/settings.rs
@@ -6,7 +6,8 @@
 pub fn settings(w: &World, host: u32, mutant: Option<Mutant>) -> HostSettings {
     if let Some(day) = &w.day {
         let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-        let text = day.host_file(host, nowhere, nowhere, std::path::Path::new("unused"), "unused", None);
+        let addresses = tackmast_scenario::HostAddresses { listen: nowhere, list: nowhere, peers: None };
+        let text = day.host_file(host, &addresses, std::path::Path::new("unused"), "unused");
         return HostSettings::parse("day", &text).unwrap_or_else(|e| panic!("settings of a script: {e}"));
     }
     let text = format!(
