--- a/crates/scenario/src/bench_import.rs
+++ b/crates/scenario/src/bench_import.rs
@@ -12,8 +12,9 @@
 const BLOCK_BYTES: f64 = 512.0;
 /// Mean seconds between surges of a volume, as the bench's page tells it.
 const SURGE_INTERVAL_S: f64 = 30.0;
-/// Microseconds per second, and per millisecond.
+/// Microseconds per second.
 const US_PER_S: f64 = 1e6;
+/// Microseconds per millisecond.
 const US_PER_MS: f64 = 1e3;
 /// First lines of an imported script.
 const HEADER: &str = "# From a bench day. Not carried over: the spread of work within a size, the zipf of keys, slots beside cores,\n\
--- a/crates/scenario/src/fault_generator.rs
+++ b/crates/scenario/src/fault_generator.rs
@@ -13,8 +13,9 @@
 const QUIET_END_S: f64 = 1.5;
 /// Earliest begin of a fault, in seconds.
 const MIN_START_S: f64 = 0.5;
-/// Shortest fault, and the least upper bound of its length, in seconds.
+/// Shortest fault, in seconds.
 const MIN_LENGTH_S: f64 = 0.2;
+/// Least upper bound of a fault's length, in seconds.
 const MIN_LENGTH_BOUND_S: f64 = 0.3;
 /// Furthest that a generated wall clock is off, in seconds.
 const MAX_CLOCK_OFFSET_S: f64 = 20.0;
--- a/crates/scenario/src/host_process.rs
+++ b/crates/scenario/src/host_process.rs
@@ -14,8 +14,9 @@
 
 /// How long a host may take until it listens.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a host is asked whether it has ended, and how many times.
+/// How often it is checked whether a host has ended.
 const END_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How many times it is checked.
 const END_POLLS: u32 = 200;
 
 /// What all host processes of a scenario are started with.
--- a/crates/scenario/src/report.rs
+++ b/crates/scenario/src/report.rs
@@ -6,6 +6,11 @@
 use serde::Serialize;
 use std::fmt::{self, Formatter};
 
+/// Descriptions of false deaths that are printed.
+const PRINTED_FALSE_DEATHS: usize = 5;
+/// Failures that are printed.
+const PRINTED_FAILURES: usize = 10;
+
 /// Service of one plan and traffic class.
 #[derive(Clone, Debug, Serialize)]
 pub struct Served {
@@ -79,20 +84,15 @@
     pub consensus: Option<ConsensusObservations>,
 }
 
-/// Descriptions of false deaths that are printed.
-const PRINTED_FALSE_DEATHS: usize = 5;
-/// Failures that are printed.
-const PRINTED_FAILURES: usize = 10;
-
 impl Report {
     /// Whether nothing went wrong.
     pub fn is_good(&self) -> bool {
         self.failures.is_empty() && self.rules.is_clean()
     }
 
-    fn fmt_served(&self, f: &mut Formatter) -> fmt::Result {
+    fn fmt_served(&self, formatter: &mut Formatter) -> fmt::Result {
         writeln!(
-            f,
+            formatter,
             "{:<12} {:<14} {:>8} {:>8} {:>7} {:>8} {:>9} {:>5} {:>9} {:>5} {:>9} {:>9}",
             "plan",
             "traffic class",
@@ -109,7 +109,7 @@
         )?;
         for served in &self.served {
             writeln!(
-                f,
+                formatter,
                 "{:<12} {:<14} {:>8} {:>8.3} {:>7} {:>8} {:>9} {:>5} {:>9} {:>5} {:>9.2} {:>9.2}",
                 served.plan,
                 served.traffic_class,
@@ -129,9 +129,9 @@
     }
 }
 
-fn fmt_view(view: &ViewObservations, f: &mut Formatter) -> fmt::Result {
+fn fmt_view(view: &ViewObservations, formatter: &mut Formatter) -> fmt::Result {
     writeln!(
-        f,
+        formatter,
         "view of {} hosts: {} deaths found, {} of them false; {:.0} bytes a second and {:.1}% of a core a host",
         view.hosts,
         view.deaths,
@@ -140,24 +140,24 @@
         view.cpu_share * 100.0
     )?;
     for description in view.false_death_descriptions.iter().take(PRINTED_FALSE_DEATHS) {
-        writeln!(f, "    false: {description}")?;
+        writeln!(formatter, "    false: {description}")?;
     }
     for convergence in &view.convergences {
         let fault = &convergence.fault;
         match convergence.settled_s {
             Some(settled_s) => {
                 let periods = settled_s / view.period_s;
-                writeln!(f, "    settled {settled_s:.2} s after {fault}: {periods:.1} periods")?;
+                writeln!(formatter, "    settled {settled_s:.2} s after {fault}: {periods:.1} periods")?;
             }
-            None => writeln!(f, "    not settled after {fault}")?,
+            None => writeln!(formatter, "    not settled after {fault}")?,
         }
     }
     Ok(())
 }
 
-fn fmt_consensus(consensus: &ConsensusObservations, f: &mut Formatter) -> fmt::Result {
+fn fmt_consensus(consensus: &ConsensusObservations, formatter: &mut Formatter) -> fmt::Result {
     writeln!(
-        f,
+        formatter,
         "consensus: {} changes, an older version applied for {:.3} s at most of {:.3} allowed; no leader for {:.2} s; {} answers; {} calls of operators in an order",
         consensus.changes,
         consensus.max_outdated_s,
@@ -169,18 +169,18 @@
 }
 
 impl fmt::Display for Report {
-    fn fmt(&self, f: &mut Formatter) -> fmt::Result {
-        writeln!(f, "seed {}; nodes and clients are emulators on loopback", self.seed)?;
-        self.fmt_served(f)?;
-        writeln!(f, "{} blocks read were checked against what was written", self.blocks_checked)?;
-        write!(f, "{}", self.rules)?;
-        self.view.iter().try_for_each(|view| fmt_view(view, f))?;
-        self.consensus.iter().try_for_each(|consensus| fmt_consensus(consensus, f))?;
+    fn fmt(&self, formatter: &mut Formatter) -> fmt::Result {
+        writeln!(formatter, "seed {}; nodes and clients are emulators on loopback", self.seed)?;
+        self.fmt_served(formatter)?;
+        writeln!(formatter, "{} blocks read were checked against what was written", self.blocks_checked)?;
+        write!(formatter, "{}", self.rules)?;
+        self.view.iter().try_for_each(|view| fmt_view(view, formatter))?;
+        self.consensus.iter().try_for_each(|consensus| fmt_consensus(consensus, formatter))?;
         for failure in self.failures.iter().take(PRINTED_FAILURES) {
-            writeln!(f, "FAILED: {failure}")?;
+            writeln!(formatter, "FAILED: {failure}")?;
         }
         if self.failures.len() > PRINTED_FAILURES {
-            writeln!(f, "and {} more failures", self.failures.len() - PRINTED_FAILURES)?;
+            writeln!(formatter, "and {} more failures", self.failures.len() - PRINTED_FAILURES)?;
         }
         Ok(())
     }
--- a/crates/scenario/src/runner/misuse.rs
+++ b/crates/scenario/src/runner/misuse.rs
@@ -20,15 +20,17 @@
 const GARBAGE: [u8; 512] = [0xa5; 512];
 /// The bytes of a PDU's head that hold the length of its data.
 const DATA_LENGTH_BYTES: std::ops::Range<usize> = 5..8;
-/// Offsets of the task tag and of the command number in a PDU's head.
+/// Offset of the task tag in a PDU's head.
 const TASK_TAG_OFFSET: usize = 16;
+/// Offset of the command number in a PDU's head.
 const COMMAND_NUMBER_OFFSET: usize = 24;
 /// A task tag that no other command of the session has.
 const UNUSED_TASK_TAG: u32 = 77;
 /// How far past the next command number a command is sent.
 const PAST_WINDOW: u32 = 100_000;
-/// Label and allocation length of the command that must still be answered.
+/// Label of the command that must still be answered.
 const PROBE_LABEL: u64 = 1;
+/// Bytes that its answer may have.
 const PROBE_BYTES: u32 = 64;
 
 /// Where a client connects.
--- a/crates/scenario/src/runner/schedule.rs
+++ b/crates/scenario/src/runner/schedule.rs
@@ -19,12 +19,13 @@
     steps: BTreeMap<usize, u32>,
 }
 
-/// When the last fault of processes and of the network is undone, in seconds. The scenario lasts at least so long.
+/// When the last fault of processes and of the network is undone, in seconds. The scenario lasts at least so long, however many
+/// hosts a fault affects one after the other.
 fn last_undo_s(script: &Script) -> f64 {
-    let is_undone_late = |fault: &&ScheduledFault| {
+    let is_always_reverted = |fault: &&ScheduledFault| {
         matches!(fault.action, Action::Hosts { .. } | Action::Network { .. } | Action::Partition(_))
     };
-    script.faults.iter().filter(is_undone_late).map(ScheduledFault::ends_s).fold(0.0, f64::max)
+    script.faults.iter().filter(is_always_reverted).map(ScheduledFault::ends_s).fold(0.0, f64::max)
 }
 
 impl Runner<'_> {
--- a/crates/scenario/src/runner/start.rs
+++ b/crates/scenario/src/runner/start.rs
@@ -27,8 +27,8 @@
 /// Hosts, and the addresses under which they are reached.
 struct StartedHosts {
     processes: Vec<Option<HostProcess>>,
-    /// Where each host listens.
-    listen: Vec<SocketAddr>,
+    /// Where each host will listen that starts late.
+    late: BTreeMap<u32, SocketAddr>,
     /// Where clients reach each host.
     reached_at: Vec<SocketAddr>,
 }
@@ -48,20 +48,12 @@
         let list_address = network.list_address(list.address);
         let launch = LaunchSettings { binary, script, list: list_address, directory, recorder: &recorder };
         let hosts = start_hosts(&launch, &network)?;
-        let late_hosts = script.late_hosts().into_iter().map(|host| (host, hosts.listen[host as usize]));
         let host_addresses = Arc::new(RwLock::new(hosts.reached_at));
         let scenario = &script.scenario;
         let view_watcher = scenario.members.then(|| ViewWatcher::start(scenario.period_ms / 1e3));
-        let has_consensus = script.settings.consensus.is_some() && scenario.members;
-        let consensus_watcher =
-            has_consensus.then(|| ConsensusWatcher::start(admin_sockets(script, directory)));
+        let consensus_watcher = start_consensus_watcher(script, directory);
         let operators = start_operators(script, directory, seed);
-        let shared = SharedSettings {
-            settings: Arc::new(script.settings.clone()),
-            host_addresses: host_addresses.clone(),
-            recorder: recorder.clone(),
-        };
-        let traffic = start_traffic(script, seed, &shared)?;
+        let traffic = start_traffic(script, seed, &host_addresses, &recorder)?;
         let node_starts = nodes.by_name.iter().map(|(name, node)| (name.clone(), node.node.started_us()));
         let mut runner = Runner {
             script,
@@ -80,7 +72,7 @@
             duplicates: BTreeMap::new(),
             shutting_down: BTreeSet::new(),
             move_counts: BTreeMap::new(),
-            late_hosts: late_hosts.collect(),
+            late_hosts: hosts.late,
             path_faults: BTreeMap::new(),
             host_addresses,
             traffic,
@@ -125,16 +117,18 @@
         let number = process.settings.number as usize;
         processes[number] = Some(process);
     }
-    let (mut listen, mut reached_at) = (Vec::new(), Vec::new());
+    let (mut late, mut reached_at) = (BTreeMap::new(), Vec::new());
     for (number, process) in (0..).zip(&processes) {
         let address = match process {
             Some(process) => process.address,
             None => free_address()?,
         };
-        listen.push(address);
+        if late_hosts.contains(&number) {
+            late.insert(number, address);
+        }
         reached_at.push(network.host_address(number, address));
     }
-    Ok(StartedHosts { processes, listen, reached_at })
+    Ok(StartedHosts { processes, late, reached_at })
 }
 
 /// An address that is unused at the moment, for a host that starts late.
@@ -147,6 +141,11 @@
     (0..script.scenario.hosts).map(|host| admin_socket(directory, host)).collect()
 }
 
+fn start_consensus_watcher(script: &Script, directory: &Path) -> Option<ConsensusWatcher> {
+    let is_needed = script.settings.consensus.is_some() && script.scenario.members;
+    is_needed.then(|| ConsensusWatcher::start(admin_sockets(script, directory)))
+}
+
 fn start_operators(script: &Script, directory: &Path, seed: u64) -> Option<Operators> {
     let scenario = &script.scenario;
     let plan = script.settings.plans.first().map(|plan| plan.name.clone()).unwrap_or_default();
@@ -158,8 +157,14 @@
 fn start_traffic(
     script: &Script,
     seed: u64,
-    shared: &SharedSettings,
+    host_addresses: &Arc<RwLock<Vec<SocketAddr>>>,
+    recorder: &Recorder,
 ) -> Result<Vec<Arc<Traffic>>, ScenarioError> {
+    let shared = SharedSettings {
+        settings: Arc::new(script.settings.clone()),
+        host_addresses: host_addresses.clone(),
+        recorder: recorder.clone(),
+    };
     let mut all = Vec::new();
     let mut positions: BTreeMap<&str, u64> = BTreeMap::new();
     for (number, (name, block)) in (1..).zip(&script.traffic) {
--- a/crates/scenario/src/script/fault_target.rs
+++ b/crates/scenario/src/script/fault_target.rs
@@ -71,17 +71,17 @@
 }
 
 impl std::fmt::Display for FaultTarget {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            FaultTarget::Hosts => f.write_str("hosts"),
-            FaultTarget::Host(host) => write!(f, "host/{host}"),
-            FaultTarget::Part(index, count) => write!(f, "part/{index}/{count}"),
-            FaultTarget::Every(index, count) => write!(f, "every/{index}/{count}"),
-            FaultTarget::Site(site) => write!(f, "site/{site}"),
-            FaultTarget::List => f.write_str("list"),
-            FaultTarget::Nodes(None) => f.write_str("nodes"),
-            FaultTarget::Nodes(Some(name)) => write!(f, "nodes/{name}"),
-            FaultTarget::Clients => f.write_str("clients"),
+            FaultTarget::Hosts => formatter.write_str("hosts"),
+            FaultTarget::Host(host) => write!(formatter, "host/{host}"),
+            FaultTarget::Part(index, count) => write!(formatter, "part/{index}/{count}"),
+            FaultTarget::Every(index, count) => write!(formatter, "every/{index}/{count}"),
+            FaultTarget::Site(site) => write!(formatter, "site/{site}"),
+            FaultTarget::List => formatter.write_str("list"),
+            FaultTarget::Nodes(None) => formatter.write_str("nodes"),
+            FaultTarget::Nodes(Some(name)) => write!(formatter, "nodes/{name}"),
+            FaultTarget::Clients => formatter.write_str("clients"),
         }
     }
 }
