--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -53,7 +53,7 @@
     /// An initial voter's disk was replaced during bootstrap.
     BootstrapDiskChanged {
         /// The voter.
-        host: u32,
+        peer: u32,
     },
     /// This replica's disk is an old copy, or was opened twice.
     StaleDisk {
@@ -79,7 +79,7 @@
     /// Another replica has a different log.
     OtherLog {
         /// That replica.
-        host: u32,
+        peer: u32,
     },
     /// This replica has a valid lease again.
     LeaseValid {
@@ -146,10 +146,12 @@
             }
             ConsensusEvent::FollowsLeader { leader, term } => write!(out, " leader={leader} term={term}"),
             ConsensusEvent::Bootstrapped { voters } => write!(out, " voters={voters}"),
-            ConsensusEvent::NotBootstrappedWithDisk { host }
-            | ConsensusEvent::BootstrapDiskChanged { host }
-            | ConsensusEvent::StaleDisk { host }
-            | ConsensusEvent::OtherLog { host } => write!(out, " host={host}"),
+            ConsensusEvent::NotBootstrappedWithDisk { host } | ConsensusEvent::StaleDisk { host } => {
+                write!(out, " host={host}")
+            }
+            ConsensusEvent::BootstrapDiskChanged { peer } | ConsensusEvent::OtherLog { peer } => {
+                write!(out, " peer={peer}")
+            }
             ConsensusEvent::LogForced { host, commit_index, log_id } => {
                 write!(out, " host={host} commit_index={commit_index} log_id={log_id:x}")
             }
--- a/crates/consensus/src/raft/bootstrap.rs
+++ b/crates/consensus/src/raft/bootstrap.rs
@@ -185,7 +185,7 @@
         let Some(bootstrap) = &mut self.bootstrap else { return };
         if bootstrap.has_changed_disk(from, identity.disk) && !bootstrap.is_reported {
             bootstrap.is_reported = true;
-            return self.emit(ConsensusEvent::BootstrapDiskChanged { host: from });
+            return self.emit(ConsensusEvent::BootstrapDiskChanged { peer: from });
         }
         bootstrap.disks.insert(from, identity.disk);
         if confirmed && bootstrap.confirmation.voters() == Some(&disks) {
--- a/crates/consensus/src/raft/replication.rs
+++ b/crates/consensus/src/raft/replication.rs
@@ -10,6 +10,7 @@
 
 /// Bytes of commands above which a message counts as large, as it takes many datagrams.
 const LARGE_APPEND_BYTES: usize = 8 << 10;
+
 /// The fields of an AppendEntriesResponse message.
 pub(super) struct AppendResponse {
     pub term: u64,
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -177,7 +177,7 @@
 
     fn report_other_log(&mut self, host: u32) {
         if !std::mem::replace(&mut self.other_log_reported, true) {
-            self.outputs.push_back(ReplicaOutput::Event(ConsensusEvent::OtherLog { host }));
+            self.outputs.push_back(ReplicaOutput::Event(ConsensusEvent::OtherLog { peer: host }));
         }
     }
 
--- a/crates/host-core/src/core/slow_start.rs
+++ b/crates/host-core/src/core/slow_start.rs
@@ -5,10 +5,10 @@
 
 /// The fraction of the configured safe units that the scheduler gets.
 ///
-/// Within one window the scheduler sends its share of the safe units at once, a quarter of them again over time, and four fifths of the
-/// overload multiple for what it saw a node do: at most 1.25 times the safe units and 0.8 times the multiple. If operators state both
-/// without any margin, the sum overloads a node in slow start while its answers are quick errors. With these two fractions it can't:
-/// 1.25 x 0.4 + 0.8 x 0.6 is below 1.
+/// Operators may state the safe units and the overload multiple without any margin, and their sum then overloads a node in slow start
+/// while its answers are quick errors. The scheduler keeps a margin of its own (`src/policy/slow_start.rs`: 0.3 of the safe units at
+/// once, 0.1 in each window, 0.6 of the multiple); these two fractions are a second margin on top of it. The platform's host, whose
+/// settings have a margin, passes them on as they are.
 const SAFE_UNITS_FRACTION: f64 = 0.4;
 /// The fraction of the configured overload multiple that the scheduler gets; see `SAFE_UNITS_FRACTION`.
 const OVERLOAD_MULTIPLE_FRACTION: f64 = 0.6;
--- a/crates/host-core/src/event/log/consensus.rs
+++ b/crates/host-core/src/event/log/consensus.rs
@@ -20,7 +20,7 @@
         ConsensusEvent::NotBootstrappedWithDisk { .. } | ConsensusEvent::StaleDisk { .. } => {
             info!(host, "{message}");
         }
-        ConsensusEvent::BootstrapDiskChanged { host: peer } | ConsensusEvent::OtherLog { host: peer } => {
+        ConsensusEvent::BootstrapDiskChanged { peer } | ConsensusEvent::OtherLog { peer } => {
             info!(host, peer, "{message}");
         }
         ConsensusEvent::LogForced { commit_index, log_id, .. } => {
--- a/crates/host-core/src/plans/replicated.rs
+++ b/crates/host-core/src/plans/replicated.rs
@@ -2,10 +2,13 @@
 
 use super::*;
 
-/// A committed command: what changes here, the entry of the change log that it made, and the lines for whoever proposed it.
+/// What a committed command did.
 pub struct CommittedChange {
+    /// What changes for the scheduler.
     pub updates: Vec<PlanUpdate>,
+    /// The entry of the change log, if one was made.
     pub entry: Option<Entry>,
+    /// What the proposer is shown.
     pub lines: Vec<String>,
 }
 
--- a/crates/platform-host/src/shutdown_schedule.rs
+++ b/crates/platform-host/src/shutdown_schedule.rs
@@ -16,8 +16,8 @@
 const KILL_MARGIN: TimeDelta = TimeDelta::from_millis(700);
 /// When `ShutdownPhase::Closing` begins, from the kill on; negative is before it.
 const CLOSING_FROM_KILL: TimeDelta = TimeDelta::from_millis(-500);
-/// When `ShutdownPhase::Settled` begins, from the kill on: whatever arrived later than 0.7 s after SIGTERM must have its answer by
-/// the kill.
+/// When `ShutdownPhase::Settled` begins, from the kill on: a request that arrived later than `KILL_MARGIN` after SIGTERM has a deadline
+/// after the kill, so it is answered now.
 const SETTLED_FROM_KILL: TimeDelta = TimeDelta::from_millis(-250);
 /// When `ShutdownPhase::Finished` begins, from the kill on.
 const FINISHED_FROM_KILL: TimeDelta = TimeDelta::from_millis(-100);
@@ -25,7 +25,7 @@
 /// Phases of the shutdown, in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ShutdownPhase {
-    /// The health check answers "not ready"; requests are served.
+    /// Requests are served. Also the phase before a shutdown; after SIGTERM the health check answers "not ready".
     Serving,
     /// The listener is closed; idle connections are half-closed, and each other one with its answer.
     Closing,
