--- a/crates/cli/src/consensus_walks.rs
+++ b/crates/cli/src/consensus_walks.rs
@@ -1,8 +1,12 @@
 //! `tackmast simulator agree`: random walks over the states of consensus, in virtual time.
 
+use crate::parallel;
 use std::process::ExitCode;
 use tackmast_simulator::{agreed_fleet, explore, find_fault, walk, ConsensusFault, FleetTrial, Walk, Walked};
 
+/// Steps that all orders are explored to at most.
+const MAX_DEPTH: u32 = 8;
+
 /// Arguments of `tackmast simulator agree`.
 #[derive(clap::Args)]
 pub struct AgreeArguments {
@@ -33,66 +37,85 @@
 }
 
 /// Runs the walks or fleets that the arguments ask for.
-pub fn run(a: &AgreeArguments) -> Result<ExitCode, String> {
-    if !(1..=1_000_000).contains(&a.steps) || a.depth.is_some_and(|d| d > 8) {
-        return Err(format!("--steps {} --depth {:?}; expected 1 to 1000000, and up to 8", a.steps, a.depth));
+pub fn run(arguments: &AgreeArguments) -> Result<ExitCode, String> {
+    let AgreeArguments { steps, depth, .. } = arguments;
+    if !(1..=1_000_000).contains(steps) || depth.is_some_and(|depth| depth > MAX_DEPTH) {
+        return Err(format!("--steps {steps} --depth {depth:?}; expected 1 to 1000000, and up to 8"));
     }
-    if let Some(depth) = a.depth {
-        let e = explore(depth, None);
-        println!("three voters, {} states to a depth of {depth}", e.states);
-        let good = e.broken.is_none();
-        e.broken.into_iter().for_each(|b| println!("BROKEN: {b}"));
-        return Ok(ExitCode::from(u8::from(!good)));
+    if let Some(depth) = depth {
+        return Ok(explore_all_orders(*depth));
     }
-    if !a.fleets.is_empty() {
-        return fleets(a);
+    if !arguments.fleets.is_empty() {
+        return fleets(arguments);
     }
-    let seeds: Vec<u64> = (a.first..a.first + a.walks).collect();
-    if a.faults {
-        let found = crate::parallel::map(&ConsensusFault::ALL, a.threads, |f| {
-            find_fault(*f, a.first, a.walks, a.steps)
-        });
-        let mut good = true;
-        for (f, found) in ConsensusFault::ALL.iter().zip(found) {
-            match found {
-                Some((seed, step, what)) => println!("{f:?}: walk {seed}, step {step}: {what}"),
-                None => {
-                    good = false;
-                    println!("{f:?}: not found in {} walks", a.walks);
-                }
+    Ok(if arguments.faults { find_faults(arguments) } else { run_walks(arguments) })
+}
+
+/// Explores all orders of steps from one state.
+fn explore_all_orders(depth: u32) -> ExitCode {
+    let explored = explore(depth, None);
+    println!("three voters, {} states to a depth of {depth}", explored.states);
+    let holds = explored.broken.is_none();
+    explored.broken.into_iter().for_each(|broken| println!("BROKEN: {broken}"));
+    exit_code(holds)
+}
+
+/// Looks for each deliberate fault.
+fn find_faults(arguments: &AgreeArguments) -> ExitCode {
+    let AgreeArguments { first, walks, steps, threads, .. } = *arguments;
+    let found = parallel::map(&ConsensusFault::ALL, threads, |fault| find_fault(*fault, first, walks, steps));
+    let mut all_found = true;
+    for (fault, found) in ConsensusFault::ALL.iter().zip(found) {
+        match found {
+            Some((seed, step, what)) => println!("{fault:?}: walk {seed}, step {step}: {what}"),
+            None => {
+                all_found = false;
+                println!("{fault:?}: not found in {walks} walks");
             }
         }
-        return Ok(ExitCode::from(u8::from(!good)));
     }
-    let all: Vec<Walked> = crate::parallel::map(&seeds, a.threads, |s| walk(&Walk::drawn(*s, a.steps, None)));
-    let sum = |f: fn(&Walked) -> u64| all.iter().map(f).sum::<u64>();
-    let longest = all.iter().map(|w| w.longest).fold(0.0, f64::max);
+    exit_code(all_found)
+}
+
+/// Walks from each seed, and prints what was violated.
+fn run_walks(arguments: &AgreeArguments) -> ExitCode {
+    let AgreeArguments { first, walks, steps, threads, .. } = *arguments;
+    let seeds: Vec<u64> = (first..first + walks).collect();
+    let walked: Vec<Walked> = parallel::map(&seeds, threads, |seed| walk(&Walk::drawn(*seed, steps, None)));
+    let sum = |figure: fn(&Walked) -> u64| walked.iter().map(figure).sum::<u64>();
+    let (committed, reads) = (sum(|walked| walked.committed), sum(|walked| walked.reads));
+    let longest = walked.iter().map(|walked| walked.longest).fold(0.0, f64::max);
     println!(
-        "{} walks of {} steps from seed {}: {} entries agreed on, {} reads, longest by an older word {longest:.3} of a lease",
-        a.walks,
-        a.steps,
-        a.first,
-        sum(|w| w.committed),
-        sum(|w| w.reads)
+        "{walks} walks of {steps} steps from seed {first}: {committed} entries agreed on, {reads} reads, longest by an older word {longest:.3} of a lease"
     );
-    let mut good = true;
-    for (seed, w) in seeds.iter().zip(&all) {
-        if let Some((step, what)) = &w.broken {
-            good = false;
+    let mut all_hold = true;
+    for (seed, walked) in seeds.iter().zip(&walked) {
+        if let Some((step, what)) = &walked.broken {
+            all_hold = false;
             println!("BROKEN: walk {seed}, step {step}: {what}");
-            w.told.iter().for_each(|t| println!("    {t}"));
+            walked.told.iter().for_each(|line| println!("    {line}"));
         }
     }
-    Ok(ExitCode::from(u8::from(!good)))
+    exit_code(all_hold)
+}
+
+fn exit_code(is_good: bool) -> ExitCode {
+    ExitCode::from(u8::from(!is_good))
 }
 
-fn fleets(a: &AgreeArguments) -> Result<ExitCode, String> {
-    if a.fleets.iter().any(|h| !(3..=2_000).contains(h)) || !(0.0..=0.9).contains(&a.loss) {
-        return Err(format!("--fleet {:?} --loss {}; expected 3 to 2000, and 0 to 0.9", a.fleets, a.loss));
+/// Runs fleets, and prints what consensus costs them and how soon changes are known.
+fn fleets(arguments: &AgreeArguments) -> Result<ExitCode, String> {
+    if arguments.fleets.iter().any(|hosts| !(3..=2_000).contains(hosts))
+        || !(0.0..=0.9).contains(&arguments.loss)
+    {
+        return Err(format!(
+            "--fleet {:?} --loss {}; expected 3 to 2000, and 0 to 0.9",
+            arguments.fleets, arguments.loss
+        ));
     }
     println!(
         "models in virtual time, three voters, beats of 0.1 s, leases of 5 s, {} seeds from {}, {} lost",
-        a.seeds, a.first, a.loss
+        arguments.seeds, arguments.first, arguments.loss
     );
     println!(
         "{:>5} {:>5} {:>7} {:>9} {:>11} {:>15} {:>15} {:>10} {:>10} {:>8}",
@@ -107,32 +130,37 @@
         "no leader",
         "longest"
     );
-    let trials: Vec<FleetTrial> = a
+    let trials: Vec<FleetTrial> = arguments
         .fleets
         .iter()
-        .flat_map(|h| {
-            (a.first..a.first + a.seeds).map(|seed| FleetTrial { hosts: *h, voters: 3, seed, loss: a.loss })
+        .flat_map(|hosts| {
+            (arguments.first..arguments.first + arguments.seeds).map(|seed| FleetTrial {
+                hosts: *hosts,
+                voters: 3,
+                seed,
+                loss: arguments.loss,
+            })
         })
         .collect();
-    let all = crate::parallel::map(&trials, a.threads, agreed_fleet);
-    let mut good = true;
-    for (t, f) in trials.iter().zip(all) {
+    let all = parallel::map(&trials, arguments.threads, agreed_fleet);
+    let mut all_hold = true;
+    for (trial, figures) in trials.iter().zip(all) {
         let pair = |(median, most): (f64, f64)| format!("{median:.3}, {most:.3}");
         println!(
             "{:>5} {:>5} {:>7.2} {:>9.0} {:>11.0} {:>15} {:>15} {:>10.0} {:>10.2} {:>8.3}",
-            t.hosts,
-            t.seed,
-            f.begins,
-            f.bytes,
-            f.leader_bytes,
-            pair(f.known),
-            pair(f.all_know),
-            f.commits,
-            f.leaderless,
-            f.longest
+            trial.hosts,
+            trial.seed,
+            figures.begins,
+            figures.bytes,
+            figures.leader_bytes,
+            pair(figures.known),
+            pair(figures.all_know),
+            figures.commits,
+            figures.leaderless,
+            figures.longest
         );
-        good &= f.broken.is_empty();
-        f.broken.iter().take(3).for_each(|b| println!("      BROKEN: {b}"));
+        all_hold &= figures.broken.is_empty();
+        figures.broken.iter().take(3).for_each(|broken| println!("      BROKEN: {broken}"));
     }
-    Ok(ExitCode::from(u8::from(!good)))
+    Ok(exit_code(all_hold))
 }
