--- a/crates/cli/src/membership_views.rs
+++ b/crates/cli/src/membership_views.rs
@@ -4,6 +4,9 @@
 use std::process::ExitCode;
 use tackmast_simulator::{difference, find, summary, view, Case, Extensions, Shown, Trial, ViewFault};
 
+/// Hosts of the search for deliberate faults, where none are named.
+const DEFAULT_FAULT_HOSTS: u32 = 12;
+
 /// Arguments of `tackmast simulator view`.
 #[derive(clap::Args)]
 pub struct ViewArguments {
@@ -51,89 +54,112 @@
 }
 
 /// Runs the cases that the arguments ask for.
-pub fn run(a: &ViewArguments) -> Result<ExitCode, String> {
-    if a.hosts.iter().any(|h| !(3..=1000).contains(h)) || !(1..=10_000).contains(&a.seeds) {
-        return Err(format!("--hosts {:?} --seeds {}; expected 3 to 1000, and 1 to 10000", a.hosts, a.seeds));
+pub fn run(arguments: &ViewArguments) -> Result<ExitCode, String> {
+    let ViewArguments { hosts, seeds, first, .. } = arguments;
+    if hosts.iter().any(|hosts| !(3..=1000).contains(hosts)) || !(1..=10_000).contains(seeds) {
+        return Err(format!("--hosts {hosts:?} --seeds {seeds}; expected 3 to 1000, and 1 to 10000"));
     }
-    if a.faults {
-        return faults(a);
+    if arguments.faults {
+        return Ok(find_faults(arguments));
     }
-    let other = match (&a.without, a.former) {
-        (Some(name), _) => Some((format!("without {name}"), without(name)?)),
-        (None, true) => Some(("former".to_owned(), Extensions::none())),
-        (None, false) => None,
-    };
-    let cases = if a.cases.is_empty() { Case::ALL.to_vec() } else { a.cases.clone() };
+    let other = other_view(arguments)?;
+    let cases = if arguments.cases.is_empty() { Case::ALL.to_vec() } else { arguments.cases.clone() };
     println!(
-        "models in virtual time, {} seeds from {}; times in periods from the last fault until settled",
-        a.seeds, a.first
+        "models in virtual time, {seeds} seeds from {first}; times in periods from the last fault until settled"
     );
     println!(
         "{:>5} {:<16} {:<18} {:>7} {:>7} {:>9} {:>6} {:>6} {:>10}  difference, 95%",
         "hosts", "case", "view", "median", "most", "unsettled", "false", "held", "bytes/host"
     );
-    let mut good = true;
-    for hosts in &a.hosts {
+    let mut all_settled = true;
+    for hosts in hosts {
         for case in &cases {
-            let play = |extensions| {
-                let seeds: Vec<u64> = (a.first..a.first + a.seeds).collect();
-                parallel::map(&seeds, a.threads, |seed| {
-                    view(&Trial { case: *case, hosts: *hosts, seed: *seed, extensions, fault: None })
-                })
-            };
-            let now = play(Extensions::all());
-            good &= now.iter().all(|s| s.broken.is_empty() && s.settled.is_some());
-            let line = |name: &str, all: &[Shown], end: &str| {
-                let s = summary(all);
-                println!(
-                    "{hosts:>5} {:<16} {name:<18} {:>7.1} {:>7.1} {:>9} {:>6} {:>6} {:>10.0}  {end}",
-                    case.name(),
-                    s.median,
-                    s.most,
-                    s.unsettled,
-                    s.false_deaths,
-                    s.false_views,
-                    s.bytes
-                );
-                for (what, n) in s.broken.iter().take(3).zip(1..) {
-                    println!("      broken {n}: {what}");
-                }
-            };
-            let missed: Vec<f64> = now.iter().filter_map(|s| s.missed).collect();
-            let most = missed.iter().copied().fold(0.0, f64::max);
-            let end = if missed.is_empty() {
-                String::new()
-            } else {
-                format!("missed by all after {most:.1} at most")
-            };
-            line("now", &now, &end);
-            if let Some((name, extensions)) = &other {
-                let then = play(*extensions);
-                let (d, interval) = difference(&now, &then);
-                let interval = interval.map_or("too few pairs".into(), |(x, y)| format!("{x:.1} to {y:.1}"));
-                line(name, &then, &format!("{d:+.1} ({interval})"));
-            }
+            all_settled &= compare_case(arguments, *hosts, *case, other.as_ref());
         }
     }
-    Ok(ExitCode::from(u8::from(!good)))
+    Ok(exit_code(all_settled))
+}
+
+/// A view with other extensions, which is compared with the one in use.
+struct OtherView {
+    name: String,
+    extensions: Extensions,
+}
+
+fn other_view(arguments: &ViewArguments) -> Result<Option<OtherView>, String> {
+    Ok(match (&arguments.without, arguments.former) {
+        (Some(name), _) => Some(OtherView { name: format!("without {name}"), extensions: without(name)? }),
+        (None, true) => Some(OtherView { name: "former".to_owned(), extensions: Extensions::none() }),
+        (None, false) => None,
+    })
+}
+
+/// Plays a case with so many hosts, and prints its lines. Returns whether all views have settled.
+fn compare_case(arguments: &ViewArguments, hosts: u32, case: Case, other: Option<&OtherView>) -> bool {
+    let seeds: Vec<u64> = (arguments.first..arguments.first + arguments.seeds).collect();
+    let play = |extensions| {
+        parallel::map(&seeds, arguments.threads, |seed| {
+            view(&Trial { case, hosts, seed: *seed, extensions, fault: None })
+        })
+    };
+    let now = play(Extensions::all());
+    print_line(hosts, case, "now", &now, &missed_text(&now));
+    if let Some(OtherView { name, extensions }) = other {
+        let then = play(*extensions);
+        let (median, interval) = difference(&now, &then);
+        let interval =
+            interval.map_or("too few pairs".into(), |(low, high)| format!("{low:.1} to {high:.1}"));
+        print_line(hosts, case, name, &then, &format!("{median:+.1} ({interval})"));
+    }
+    now.iter().all(|shown| shown.broken.is_empty() && shown.settled.is_some())
+}
+
+/// When all hosts knew of those that are missed, at the latest.
+fn missed_text(shown: &[Shown]) -> String {
+    let missed: Vec<f64> = shown.iter().filter_map(|shown| shown.missed).collect();
+    if missed.is_empty() {
+        return String::new();
+    }
+    let latest = missed.iter().copied().fold(0.0, f64::max);
+    format!("missed by all after {latest:.1} at most")
 }
 
-fn faults(a: &ViewArguments) -> Result<ExitCode, String> {
-    let hosts = a.hosts.first().copied().unwrap_or(12);
+fn print_line(hosts: u32, case: Case, name: &str, shown: &[Shown], end: &str) {
+    let summary = summary(shown);
     println!(
-        "models in virtual time, {hosts} hosts, up to {} seeds from {}, all cases of each",
-        a.seeds, a.first
+        "{hosts:>5} {:<16} {name:<18} {:>7.1} {:>7.1} {:>9} {:>6} {:>6} {:>10.0}  {end}",
+        case.name(),
+        summary.median,
+        summary.most,
+        summary.unsettled,
+        summary.false_deaths,
+        summary.false_views,
+        summary.bytes
     );
-    let found = parallel::map(&ViewFault::ALL, a.threads, |f| find(*f, hosts, a.first, a.seeds));
-    let mut good = true;
-    for (f, found) in ViewFault::ALL.iter().zip(found) {
+    for (what, number) in summary.broken.iter().take(3).zip(1..) {
+        println!("      broken {number}: {what}");
+    }
+}
+
+/// Looks for each deliberate fault of the view.
+fn find_faults(arguments: &ViewArguments) -> ExitCode {
+    let ViewArguments { first, seeds, threads, .. } = *arguments;
+    let hosts = arguments.hosts.first().copied().unwrap_or(DEFAULT_FAULT_HOSTS);
+    println!("models in virtual time, {hosts} hosts, up to {seeds} seeds from {first}, all cases of each");
+    let found = parallel::map(&ViewFault::ALL, threads, |fault| find(*fault, hosts, first, seeds));
+    let mut all_found = true;
+    for (fault, found) in ViewFault::ALL.iter().zip(found) {
         match found {
-            Some((seed, case, what)) => println!("{f:?}: seed {seed}, {}: {what}", case.name()),
+            Some((seed, case, what)) => println!("{fault:?}: seed {seed}, {}: {what}", case.name()),
             None => {
-                good = false;
-                println!("{f:?}: not found");
+                all_found = false;
+                println!("{fault:?}: not found");
             }
         }
     }
-    Ok(ExitCode::from(u8::from(!good)))
+    exit_code(all_found)
+}
+
+fn exit_code(is_good: bool) -> ExitCode {
+    ExitCode::from(u8::from(!is_good))
 }
