--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -14,7 +14,6 @@
 #![warn(missing_docs)]
 
 /// Nodes, list and clients of the operators' platform.
-#[allow(missing_docs)]
 pub mod http;
 /// A scripted iSCSI client.
 pub mod initiator;
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -1,6 +1,17 @@
 //! Attempts: sent, ended by results, withdrawn, cancelled.
 
-use super::*;
+use super::tables::{AttemptKey, InFlightAttempt, PendingRequest};
+use super::Core;
+use crate::attempt::{AttemptId, AttemptResult, SendAttempt};
+use crate::combine::PartState;
+use crate::event::log::log_final_answer;
+use crate::event::HostEvent;
+use crate::output::Output;
+use crate::ticket::Ticket;
+use bytes::Bytes;
+use tackmast::interface::{
+    AttemptEnd, AttemptNumber, Decision, Effect, Instant, NodeId, Outcome, RequestId, TimeDelta,
+};
 
 impl Core {
     /// Whether an attempt has not ended yet.
@@ -119,7 +130,7 @@
             number: AttemptNumber(key.number),
             outcome,
             latency: now - attempt.sent_at,
-            is_over: was_answered || is_done,
+            request_is_over: was_answered || is_done,
         };
         self.scheduler.attempt_ended(now, end);
         if is_done && !was_answered {
--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -13,7 +13,8 @@
 use crate::close_reason::CloseReason;
 use crate::list_watch::{Watch, WatchEvent};
 use crate::memory_replication::{self, MemoryReplication};
-use crate::node_connections::{NodeConnections, PendingAttempt};
+use crate::node_connection::PendingAttempt;
+use crate::node_connections::NodeConnections;
 use crate::poller::{Poller, Ready, Token, READ};
 use crate::request_ids::RequestIds;
 use crate::resource_budget::ResourceBudget;
@@ -129,7 +130,7 @@
         let mut scheduler = settings.scheduler(now, configuration.seed);
         // Also where lists are pushed: the platform's agent is polled from the start. Without it the host would serve by the list in
         // its configuration file for as long as it lives.
-        scheduler.subscribe_to_node_list();
+        scheduler.watch_endpoint_list();
         let core = Core::placed(now, scheduler, placed_settings(&settings, &budget), configuration.seed);
         let peers = open_peer_link(now, configuration, &poller)?;
         let mut host = Host {
@@ -357,10 +358,10 @@
     configuration: &Configuration,
     poller: &Poller,
 ) -> Result<Option<PeerLink>, StartError> {
-    let Some((address, peers)) = &configuration.peers else { return Ok(None) };
-    let socket = bind_peer_socket(*address, poller)
-        .map_err(|problem| StartError::PeerListen { address: *address, problem })?;
-    let memory = MemoryReplication::new(now, configuration.settings.me as usize, peers.clone());
+    let Some(peers) = &configuration.peers else { return Ok(None) };
+    let socket = bind_peer_socket(peers.listen, poller)
+        .map_err(|problem| StartError::PeerListen { address: peers.listen, problem })?;
+    let memory = MemoryReplication::new(now, configuration.settings.me as usize, peers.hosts.clone());
     Ok(Some(PeerLink { socket, memory }))
 }
 
