--- a/crates/simulator/src/scenario_script.rs
+++ b/crates/simulator/src/scenario_script.rs
@@ -6,7 +6,7 @@
 use tackmast_emulators::list::ListFault;
 use tackmast_emulators::node::Fault;
 use tackmast_overrides::{Kind as OrderKind, Target};
-use tackmast_scenario::{is_one_of, Action, NodesBlock, Script, TrafficBlock, AGEING_STEPS};
+use tackmast_scenario::{names_node_of, Action, NodesBlock, Script, TrafficBlock, DEGRADATION_STEPS};
 
 /// Delay of a link, as short as on loopback, in microseconds.
 const DELAY_US: u64 = 50;
@@ -26,7 +26,7 @@
 
 impl std::fmt::Debug for ScenarioScript {
     fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(formatter, "script of {} hosts", self.0.day.hosts)
+        write!(formatter, "script of {} hosts", self.0.scenario.hosts)
     }
 }
 
@@ -85,7 +85,9 @@
     /// Places of the nodes that a trouble names, by block or by `block/shard`.
     fn named(&self, names: &[String]) -> Vec<u32> {
         let is = |name: &str, block: &NodesBlock, shard: u32| {
-            names.iter().any(|n| n == name || is_one_of(n, name, block) && n.ends_with(&format!("/{shard}")))
+            names
+                .iter()
+                .any(|n| n == name || names_node_of(n, name, block) && n.ends_with(&format!("/{shard}")))
         };
         let all = self.node_names().enumerate();
         all.filter(|(_, (name, block, shard))| is(name, block, *shard)).map(|(i, _)| i as u32).collect()
@@ -116,12 +118,12 @@
         until: f64,
         generator: &mut oorandom::Rand64,
     ) -> Vec<f64> {
-        let mut moves = match traffic.moves_s {
+        let mut moves = match traffic.primary_change_interval_s {
             Some(every) => event_times(generator, traffic.from_s, until, every),
             None => Vec::new(),
         };
-        for trouble in &self.0.troubles {
-            if let Action::Move { traffic } = &trouble.action {
+        for trouble in &self.0.faults {
+            if let Action::ChangePrimary { traffic } = &trouble.action {
                 moves.extend(names_flow(traffic, name).then_some(trouble.at_s));
             }
         }
@@ -131,7 +133,7 @@
     /// By how much the rate of a flow is multiplied at a time: by its own surges and by those of the script.
     fn surge_factor(&self, name: &str, traffic: &TrafficBlock, surges: &[(f64, f64)], at: f64) -> f64 {
         let own = traffic.surges.filter(|_| surges.iter().any(|(from, to)| at >= *from && at < *to));
-        let scripted = self.0.troubles.iter().filter_map(|trouble| match &trouble.action {
+        let scripted = self.0.faults.iter().filter_map(|trouble| match &trouble.action {
             Action::Surge { traffic, times } if names_flow(traffic, name) => {
                 (at >= trouble.at_s && at < trouble.at_s + trouble.for_s).then_some(*times)
             }
@@ -150,7 +152,7 @@
         generator: &mut oorandom::Rand64,
         all: &mut Vec<ScriptRequest>,
     ) {
-        let until = t.for_s.map_or(self.0.day.seconds, |s| t.from_s + s).min(self.0.day.seconds);
+        let until = t.for_s.map_or(self.0.scenario.seconds, |s| t.from_s + s).min(self.0.scenario.seconds);
         let surges = match t.surges {
             Some((_, length, every)) => {
                 let starts = event_times(generator, t.from_s, until, every);
@@ -164,14 +166,14 @@
             let (least, most) = t.blocks;
             let blocks = generator.rand_range(u64::from(least)..u64::from(most) + 1) as u32;
             let block = base + generator.rand_range(0..t.span_blocks - u64::from(blocks) + 1);
-            let write = generator.rand_float() >= t.reads;
+            let write = generator.rand_float() >= t.read_share;
             let lead = moves.iter().filter(|m| **m <= at).count() % t.hosts.len();
-            let place = match generator.rand_float() < t.lead {
+            let place = match generator.rand_float() < t.primary_share {
                 true => lead,
                 false => (lead + 1 + generator.rand_range(0..t.hosts.len() as u64) as usize) % t.hosts.len(),
             };
             let (at_us, host) = ((at * 1e6) as u64, t.hosts[place]);
-            let (retries, waits) = (t.retries, t.waits);
+            let (retries, waits) = (t.retries, t.honors_retry_after);
             all.push(ScriptRequest { at_us, host, lun, write, block, blocks, retries, waits });
             at += exponential_gap(
                 generator,
@@ -185,25 +187,26 @@
     /// A script's day in virtual time, and what of it the lab can't do.
     pub fn of_script(script: Script, seed: u64) -> (World, Vec<String>) {
         let day = ScenarioScript(Arc::new(script));
-        let mut world = World::generate(seed, day.day.hosts);
+        let mut world = World::generate(seed, day.scenario.hosts);
         world.nodes = day.node_names().count() as u32;
-        world.seconds = day.day.seconds + 0.5;
+        world.seconds = day.scenario.seconds + 0.5;
         (world.delay_us, world.jitter_us) = (DELAY_US, JITTER_US);
-        world.list_late_us = (day.list_late_s * 1e6) as u64;
+        world.list_late_us = (day.list_delay_s * 1e6) as u64;
         (world.clients, world.wall_off_s, world.drift, world.timed_list) = ([0, 0], 0.0, 0.0, true);
         world.faults.clear();
         let mut left_out = Vec::new();
-        for t in &day.troubles {
+        for t in &day.faults {
             let (at_us, for_us) = (to_us(t.at_s), to_us(t.for_s));
             let all = &mut world.faults;
             if let Err(what) = (FaultTranslation { script: &day, at_us, for_us, all }).translate(t) {
                 left_out.push(format!("{}: {what}", t.name));
             }
         }
-        for (name, t) in day.traffic.iter().filter(|(_, t)| t.aborts > 0.0 || t.leaves > 0.0) {
-            left_out.push(format!("traffic {name}: aborts {} and leaves {}", t.aborts, t.leaves));
+        for (name, t) in day.traffic.iter().filter(|(_, t)| t.abort_share > 0.0 || t.disconnect_share > 0.0) {
+            left_out
+                .push(format!("traffic {name}: aborts {} and leaves {}", t.abort_share, t.disconnect_share));
         }
-        world.members = day.day.members.then_some(0.0);
+        world.members = day.scenario.members.then_some(0.0);
         world.scenario = Some(day);
         (world, left_out)
     }
@@ -251,7 +254,7 @@
         self.all.push(InjectedFault { at_us, for_us, kind, node, host });
     }
 
-    fn translate(&mut self, fault: &tackmast_scenario::Trouble) -> Result<(), UnsupportedAction> {
+    fn translate(&mut self, fault: &tackmast_scenario::ScheduledFault) -> Result<(), UnsupportedAction> {
         match &fault.action {
             Action::Nodes { nodes, fault } => self.add_node_fault(nodes, fault)?,
             Action::Ageing { nodes, times, down_s } => self.add_ageing(nodes, *times, *down_s),
@@ -270,17 +273,19 @@
             }
             // The traffic itself has the surge; the fault marks it in the report.
             Action::Surge { times, .. } => self.add(FaultKind::Surge(*times), 0, None),
-            Action::Move { .. } => {}
+            Action::ChangePrimary { .. } => {}
             Action::Plan { .. } => return Err(UnsupportedAction::PlanChange),
-            Action::Hosts { how, .. } => return Err(UnsupportedAction::Process(format!("{how:?}"))),
-            Action::Voter { .. } | Action::Way { .. } | Action::Apart(_) => {
+            Action::Hosts { fault, .. } => return Err(UnsupportedAction::Process(format!("{fault:?}"))),
+            Action::Voter { .. } | Action::Network { .. } | Action::Partition(_) => {
                 return Err(UnsupportedAction::Network)
             }
-            Action::Order { refused: true, .. } => return Err(UnsupportedAction::RefusedOverride),
-            Action::Order { hosts, kind, target, nodes, .. } => {
+            Action::Override { refused: true, .. } => return Err(UnsupportedAction::RefusedOverride),
+            Action::Override { hosts, kind, target, nodes, .. } => {
                 self.add_override(hosts, *kind, target.as_ref(), nodes)?;
             }
-            Action::Client { how, .. } => return Err(UnsupportedAction::ClientMisuse(format!("{how:?}"))),
+            Action::Client { misuse, .. } => {
+                return Err(UnsupportedAction::ClientMisuse(format!("{misuse:?}")))
+            }
         }
         Ok(())
     }
@@ -295,7 +300,7 @@
             Fault::Silent(_) => (FaultKind::Silent, self.for_us),
             Fault::Restart(seconds) => (FaultKind::Restart, to_us(*seconds)),
             Fault::Reset => (FaultKind::Resets, 0),
-            Fault::Die => (FaultKind::Restart, to_us(self.script.day.seconds * 10.0)),
+            Fault::Die => (FaultKind::Restart, to_us(self.script.scenario.seconds * 10.0)),
             other => return Err(UnsupportedAction::SocketFault(format!("{other:?}"))),
         };
         for node in self.script.named(nodes) {
@@ -307,9 +312,9 @@
     /// Nodes that become slower in steps, and then restart.
     fn add_ageing(&mut self, nodes: &[String], times: f64, down_s: f64) {
         for node in self.script.named(nodes) {
-            let step_us = self.for_us / u64::from(AGEING_STEPS);
-            for step in 0..u64::from(AGEING_STEPS) {
-                let fraction = step as f64 / f64::from(AGEING_STEPS);
+            let step_us = self.for_us / u64::from(DEGRADATION_STEPS);
+            for step in 0..u64::from(DEGRADATION_STEPS) {
+                let fraction = step as f64 / f64::from(DEGRADATION_STEPS);
                 let kind = FaultKind::Slow(times.powf(fraction));
                 self.add_at(self.at_us + step * step_us, step_us, kind, node, None);
             }
--- a/crates/simulator/src/sim/setup.rs
+++ b/crates/simulator/src/sim/setup.rs
@@ -27,8 +27,14 @@
 
 fn node_placement(world: &World, number: u32) -> NodePlacement {
     if let Some((block, shard)) = world.scenario.as_ref().and_then(|scenario| scenario.node(number)) {
-        let (behavior, zone, is_warming_up) = (block.nature(), block.zone, block.cold);
-        return NodePlacement { behavior, zone, shard, is_warming_up, report_us: block.report_ms * 1000 };
+        let (behavior, zone, is_warming_up) = (block.node_behavior(), block.zone, block.has_just_started);
+        return NodePlacement {
+            behavior,
+            zone,
+            shard,
+            is_warming_up,
+            report_us: block.report_interval_ms * 1000,
+        };
     }
     let behavior = NodeBehavior {
         cores: world.cores,
