--- a/crates/simulator/src/reference_model.rs
+++ b/crates/simulator/src/reference_model.rs
@@ -14,8 +14,8 @@
     SendAttempt, Ticket, Verdict, Work,
 };
 
-/// Attempts that `Caps` keeps out at a node, at most.
-const CAP: usize = 8;
+/// Bound on attempts in flight at a node under `Caps`.
+const MAX_ATTEMPTS_PER_NODE: usize = 8;
 
 /// How a reference host decides when to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -225,7 +225,9 @@
         let shards: Vec<ShardId> = self.queues.keys().copied().collect();
         for shard in shards {
             let Some(node) = self.serving.get(&shard).copied() else { continue };
-            if self.how == ReferenceModel::Caps && self.out.get(&shard).copied().unwrap_or(0) >= CAP {
+            if self.how == ReferenceModel::Caps
+                && self.out.get(&shard).copied().unwrap_or(0) >= MAX_ATTEMPTS_PER_NODE
+            {
                 continue;
             }
             while let Some(id) = self.queues.get(&shard).and_then(|q| q.front().copied()) {
--- a/crates/simulator/src/script_export.rs
+++ b/crates/simulator/src/script_export.rs
@@ -112,7 +112,7 @@
     }
 
     /// The words of the script for a fault, without its time. None: a script has no words for it.
-    fn fault_words(&self, fault: &InjectedFault) -> Option<String> {
+    fn fault_attributes(&self, fault: &InjectedFault) -> Option<String> {
         let long = fault.for_us as f64 / 1e6;
         let node = format!("nodes = [\"n{}\"]", fault.node);
         let every: Vec<String> = (0..self.nodes).map(|node| format!("n{node}")).collect();
@@ -155,7 +155,7 @@
     fn write_fault(&self, out: &mut String, index: usize, fault: &InjectedFault) -> std::fmt::Result {
         let (at, long) = (fault.at_us as f64 / 1e6, fault.for_us as f64 / 1e6);
         let node = format!("nodes = [\"n{}\"]", fault.node);
-        match self.fault_words(fault) {
+        match self.fault_attributes(fault) {
             Some(body) => {
                 writeln!(
                     out,
--- a/crates/simulator/src/sim/settings.rs
+++ b/crates/simulator/src/sim/settings.rs
@@ -30,7 +30,7 @@
         capacity * from * multiple * OVERLOAD_WINDOW_S
     );
     let volume_hosts = world.limited_hosts.min(world.hosts);
-    let told = if mutant == Some(Mutant::LimitAlone) { 1 } else { volume_hosts };
+    let configured_hosts = if mutant == Some(Mutant::LimitAlone) { 1 } else { volume_hosts };
     // A store is named since settings ask for one; the lab keeps what hosts keep itself.
     let live = format!(
         "overrides {{\n  store = \"unused\"\n  admin = \"unused\"\n}}\nplans {{\n  home = 0\n  settle_s = {PLANS_SETTLE_S}\n  node_units = 1e9\n}}\n"
@@ -96,15 +96,18 @@
   blocks = 100000
   extent_blocks = 64
   shards = [{shards}]
-  hosts = {told}
+  hosts = {configured_hosts}
   through = {through}
   reads = "read"
   writes = "save"
 }}
 "#,
         hosts = world.hosts,
-        through =
-            if told == volume_hosts { format!("{:?}", (0..told).collect::<Vec<u32>>()) } else { "[]".into() },
+        through = if configured_hosts == volume_hosts {
+            format!("{:?}", (0..configured_hosts).collect::<Vec<u32>>())
+        } else {
+            "[]".into()
+        },
         limit = 30.0 * f64::from(volume_hosts),
         order = mutant != Some(Mutant::OrderIgnored),
         budget = if mutant == Some(Mutant::BudgetIgnored) { "" } else { budget },
