--- a/crates/host-core/src/event/log.rs
+++ b/crates/host-core/src/event/log.rs
@@ -19,7 +19,7 @@
 use plans::log_plans_event;
 use scheduler::log_scheduler_event;
 use tackmast::interface::Decision;
-use tracing::{debug, info};
+use tracing::{debug, field, info};
 
 /// Writes an event to the log of the process. `host` is the number of this host, where hosts have one; `nodes` gives the address of the
 /// node that the event is about.
@@ -43,9 +43,19 @@
     match decision {
         Decision::Reject { request, retry_after, reason } => {
             let retry_after_secs = retry_after.map(|wait| wait.secs());
-            debug!(request = request.0, ?reason, retry_after_secs, "request rejected");
+            let held_by = reason.held_by().map(field::debug);
+            debug!(
+                request = request.0,
+                reason = reason.name(),
+                held_by,
+                retry_after_secs,
+                "request rejected"
+            );
+        }
+        Decision::Fail { request, reason } => {
+            let held_by = reason.held_by().map(field::debug);
+            debug!(request = request.0, reason = reason.name(), held_by, "request failed");
         }
-        Decision::Fail { request, reason } => debug!(request = request.0, ?reason, "request failed"),
         Decision::Send { .. } | Decision::FollowList | Decision::Event(_) => {}
     }
 }
--- a/crates/host-core/tests/log.rs
+++ b/crates/host-core/tests/log.rs
@@ -150,5 +150,6 @@
     assert_eq!(rejected[0]["level"], "DEBUG");
     // There is no node, so the request waits until it is too late for its latency objective.
     assert_eq!(rejected[0]["fields"]["reason"], "TooLate");
+    assert_eq!(rejected[0]["fields"]["held_by"], "NoReadyNode");
     assert_eq!(core.counters.rejected, 1);
 }
--- a/src/interface/decision.rs
+++ b/src/interface/decision.rs
@@ -64,6 +64,31 @@
     RetryTooLate,
 }
 
+impl FailureReason {
+    /// The reason's name, without the guard.
+    pub fn name(&self) -> &'static str {
+        match self {
+            FailureReason::DeadlineReached { .. } => "DeadlineReached",
+            FailureReason::TooLate { .. } => "TooLate",
+            FailureReason::ExceedsBurst => "ExceedsBurst",
+            FailureReason::RetryUnsafe => "RetryUnsafe",
+            FailureReason::AttemptsExhausted => "AttemptsExhausted",
+            FailureReason::RetryTooLate => "RetryTooLate",
+        }
+    }
+
+    /// The guard that held the request when it was last looked at, where the reason depends on it.
+    pub fn held_by(&self) -> Option<HoldReason> {
+        match self {
+            FailureReason::DeadlineReached { held_by } | FailureReason::TooLate { held_by } => *held_by,
+            FailureReason::ExceedsBurst
+            | FailureReason::RetryUnsafe
+            | FailureReason::AttemptsExhausted
+            | FailureReason::RetryTooLate => None,
+        }
+    }
+}
+
 /// Which guard holds a request. The guards are asked in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldReason {
