--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -2,6 +2,8 @@
 //! handed on at once is reported to the core as failed.
 
 mod events;
+#[cfg(test)]
+mod tests;
 
 use crate::links::Links;
 use crate::list::{saved, ToList};
@@ -53,7 +55,7 @@
     last_admin_request: u64,
     wall_clock_given_at: std::time::Instant,
     sessions: HashMap<u32, SessionHandle>,
-    /// The time of the present iteration.
+    /// The last reading of the clock.
     now: Instant,
     time_in_core: Duration,
 }
@@ -107,10 +109,10 @@
                 default(self.wait()) => None,
             };
             let started = std::time::Instant::now();
-            self.now = self.clock.now().max(self.now);
             if self.handle_events(first, urgent, events).is_break() {
                 return;
             }
+            self.read_clock();
             self.handle_wall_clock();
             self.core.handle_timeout(self.now);
             self.execute_outputs();
@@ -118,6 +120,13 @@
         }
     }
 
+    /// To be called once an event is taken from its queue, and before each decision. By an earlier reading, a host that is paused within an
+    /// iteration and then continues would still believe that its lease is valid: it would report, and act on, plans that may have been
+    /// replaced.
+    fn read_clock(&mut self) {
+        self.now = self.clock.now().max(self.now);
+    }
+
     /// How long to wait for an event before the timers are run again.
     fn wait(&mut self) -> Duration {
         let timeout = self.core.poll_timeout(self.clock.now());
@@ -133,11 +142,15 @@
         events: &Receiver<Event>,
     ) -> ControlFlow<()> {
         if let Some(event) = first {
+            self.read_clock();
             self.handle_event(event)?;
         }
         for _ in 0..MAX_EVENTS_PER_ITERATION {
             match urgent.try_recv().or_else(|_| events.try_recv()) {
-                Ok(event) => self.handle_event(event)?,
+                Ok(event) => {
+                    self.read_clock();
+                    self.handle_event(event)?;
+                }
                 Err(TryRecvError::Empty) => break,
                 Err(TryRecvError::Disconnected) => return ControlFlow::Break(()),
             }
@@ -167,9 +180,14 @@
         }
     }
 
+    /// The core decides within `poll_output`, so the clock is read before each.
+    fn poll_output(&mut self) -> Option<Output> {
+        self.read_clock();
+        self.core.poll_output(self.now)
+    }
+
     fn execute_outputs(&mut self) {
-        let now = self.now;
-        while let Some(output) = self.core.poll_output(now) {
+        while let Some(output) = self.poll_output() {
             match output {
                 Output::Send(attempt) => self.send(attempt),
                 Output::Cancel { node, attempt } => self.links.cancel(node, attempt),
--- /dev/null
+++ b/crates/host/src/core_thread/tests.rs
@@ -0,0 +1,79 @@
+//! What time the core's thread gives to the core.
+
+use super::CoreThread;
+use crate::links::Links;
+use crate::messages::Event;
+use crate::Clock;
+use crossbeam_channel::Receiver;
+use std::sync::Arc;
+use tackmast_config::HostSettings;
+use tackmast_host_core::Core;
+
+const SETTINGS: &str = r#"
+host {
+  number = 0
+  hosts = 1
+  listen = "127.0.0.1:0"
+  node_list = "127.0.0.1:1"
+}
+units {
+  bytes = 4096
+  most = 8
+  mean = 2
+}
+plan "basic" {}
+stream "s" {
+  slo_ms = 200
+  expiry_ms = 1000
+  effect = "repeatable"
+}
+volume "v" {
+  lun = 0
+  plan = "basic"
+  blocks = 1000
+  extent_blocks = 64
+  shards = [0]
+  hosts = 1
+  reads = "s"
+  writes = "s"
+}
+"#;
+
+/// A core's thread that has not begun to run, and the queue of its links' events.
+fn core_thread(clock: Clock) -> (CoreThread, Receiver<Event>) {
+    let settings = Arc::new(HostSettings::parse("test", SETTINGS).unwrap());
+    let core = Core::new(clock.now(), &settings, 1, 1);
+    let (link_events, from_links) = crossbeam_channel::unbounded();
+    let (to_list, _) = crossbeam_channel::unbounded();
+    let links = Links::new(settings.clone(), clock, link_events, 1);
+    (CoreThread::new(core, settings, clock, links, to_list, None, None), from_links)
+}
+
+/// A host is suspended while its core's thread goes through the queue, for longer than its lease; meanwhile an operator asks for the
+/// status. When the process continues, the thread finds that call in the queue within the same iteration. Handled by the time at which the
+/// iteration began, the lease would still be reported as valid, and with it plans that other hosts have long replaced.
+#[test]
+fn events_are_handled_no_earlier_than_they_were_queued() {
+    let clock = Clock::start();
+    let (mut core_thread, events) = core_thread(clock);
+    let (to_urgent, urgent) = crossbeam_channel::unbounded();
+    let iteration_began_at = core_thread.now;
+    let (answer_to, status) = crossbeam_channel::bounded(1);
+    to_urgent.send(Event::Status { answer_to }).unwrap();
+    let queued_at = clock.now();
+    assert!(queued_at > iteration_began_at, "the clock stands still");
+    assert!(core_thread.handle_events(None, &urgent, &events).is_continue());
+    status.try_recv().expect("the call was answered");
+    assert!(core_thread.now >= queued_at, "handled by a time before it was queued");
+}
+
+/// A host is suspended after it has handled its events and before it executes what they caused. The core makes its decisions while its
+/// outputs are taken, so a lease that ended during the pause must not be used for them.
+#[test]
+fn decisions_are_made_by_the_time_after_a_pause() {
+    let clock = Clock::start();
+    let (mut core_thread, _events) = core_thread(clock);
+    let continued_at = clock.now();
+    core_thread.execute_outputs();
+    assert!(core_thread.now >= continued_at, "decided by a time before the pause");
+}
