--- a/crates/cli/tests/scenarios.rs
+++ b/crates/cli/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! The hard cases as scenarios: each must keep every rule, return the right bytes, and exercise what it is for. They run one at a
-//! time, so that a busy machine does not become a fault of its own.
+//! The hard cases as scenarios: each must keep every invariant, return the right bytes, and exercise the invariants that it names.
+//! They run one at a time, so that a busy machine does not become a fault of its own.
 
 use std::path::Path;
 use std::process::Command;
@@ -23,7 +23,7 @@
 
 macro_rules! scenarios {
     ($($name:ident = $file:literal),* $(,)?) => {$(
-        /// Plays the scenario of this name, whose file tells its story.
+        /// Plays the scenario in this file; the comment at its top describes the failure.
         #[test]
         fn $name() {
             assert_scenario_passes($file);
@@ -32,32 +32,32 @@
 }
 
 scenarios! {
-    the_first_day = "first",
-    a_drain_with_requests_queued_and_on_the_wire = "drain",
-    hedged_requests_never_overlap_nor_repeat_an_effect = "second-leg",
-    hosts_killed_and_restarted_under_load = "host-kill",
-    all_nodes_restart_while_the_list_is_stale = "mass-restart",
-    clients_that_leave_and_break_the_protocol = "bad-clients",
-    order_with_time_outs_in_the_middle = "order",
-    what_only_sockets_have = "sockets",
-    overrides_that_end_through_restarts_and_surges = "overrides",
-    hosts_that_lend_each_other_parts_of_a_limit = "members",
-    limits_that_move_under_load = "plans",
-    hosts_cut_off_from_clients_list_and_nodes = "view/cut-off",
-    a_third_of_the_fleet_is_killed_at_once = "view/third-killed",
-    half_of_the_fleet_joins_within_a_moment = "view/half-joins",
-    two_parts_that_meet_again = "view/parted",
-    three_parts_that_meet_again = "view/three-parts",
-    ways_that_are_cut_in_one_direction = "view/one-way",
-    hosts_that_stand_still_and_go_on = "view/stopped",
-    all_hosts_started_anew_elsewhere = "view/all-anew",
-    two_processes_of_one_number = "view/twins",
-    datagrams_lost_late_and_doubled = "view/lossy",
-    clocks_and_disks_that_go_back = "view/clock-back",
-    hosts_cut_off_while_a_limit_falls = "agree/cut-off",
-    hosts_that_stand_still_past_their_lease = "agree/stopped",
-    voters_killed_one_by_one_and_all_at_once = "agree/voters-killed",
-    operators_whose_changes_have_one_order = "agree/operators",
+    two_hosts_serve_through_a_drain_and_failing_attempts = "quickstart",
+    drain_with_requests_queued_and_in_flight = "drain",
+    retries_never_overlap_nor_repeat_an_effect = "retries",
+    hosts_crash_and_restart_under_load = "host-crash",
+    all_nodes_restart_while_the_endpoint_list_is_stale = "mass-restart",
+    clients_abort_and_violate_the_protocol = "misbehaving-clients",
+    per_key_ordering_survives_timeouts = "per-key-ordering",
+    malformed_frames_and_stalled_sockets = "socket-faults",
+    overrides_end_through_restarts_and_surges = "overrides",
+    hosts_with_quota_leases_keep_the_limit = "quota-leases",
+    limits_change_under_load = "plan-changes",
+    hosts_isolated_from_clients_endpoint_list_and_nodes = "membership/network-isolation",
+    third_of_the_hosts_crashes_at_once = "membership/mass-crash",
+    half_of_the_hosts_joins_at_once = "membership/mass-join",
+    two_way_partition_heals = "membership/partition",
+    three_way_partition_heals = "membership/three-way-partition",
+    datagrams_are_lost_in_one_direction = "membership/asymmetric-partition",
+    paused_hosts_resume = "membership/process-pauses",
+    all_hosts_restart_at_other_addresses = "membership/full-restart",
+    two_processes_have_the_same_host_number = "membership/duplicate-id",
+    datagrams_are_lost_delayed_and_duplicated = "membership/packet-loss",
+    clocks_and_disks_are_rolled_back = "membership/clock-and-disk-rollback",
+    minority_partition_keeps_a_lowered_limit = "consensus/minority-partition",
+    hosts_paused_past_their_lease = "consensus/paused-past-lease",
+    voters_crash_one_by_one_and_all_at_once = "consensus/voter-crashes",
+    concurrent_changes_are_linearizable = "consensus/concurrent-changes",
 }
 
 /// A script or a settings file is wrong. The command ends with one line that names the place.
@@ -71,10 +71,10 @@
         assert_eq!(out.status.code(), Some(2), "{name}");
         String::from_utf8_lossy(&out.stderr).trim().replace(&format!("{}", file.display()), name)
     };
-    let day = |text: &str| case("d.hcl", text, &["day"]);
+    let scenario = |text: &str| case("d.hcl", text, &["day"]);
     let config = |text: &str| case("c.hcl", text, &["config", "check"]);
     assert_eq!(
-        day("day {\n  seconds = 0\n  hosts = 1\n}"),
+        scenario("day {\n  seconds = 0\n  hosts = 1\n}"),
         "tackmast: d.hcl:2: day seconds: 0; expected a number from 0.1 to 3600"
     );
     assert_eq!(
@@ -97,7 +97,7 @@
 fn host_serves_when_nobody_reads_its_output() {
     use std::io::Write;
     use std::time::Duration;
-    // Found by a day of twelve hosts: the day read the first line only, and hosts ended at the next.
+    // Found by a scenario of twelve hosts: its runner read only the first line, and the hosts ended when they wrote the next.
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("host.hcl");
     let mut f = std::fs::File::create(&file).unwrap();
--- a/crates/scenario/src/fault_generator/tests.rs
+++ b/crates/scenario/src/fault_generator/tests.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-const BASE_FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/view/base.hcl");
+const BASE_FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/membership/base.hcl");
 
-pub(crate) fn third_killed_script() -> Script {
-    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/view/third-killed.hcl");
+pub(crate) fn mass_crash_script() -> Script {
+    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/membership/mass-crash.hcl");
     Script::read(&file).unwrap_or_else(|error| panic!("{error}"))
 }
 
@@ -21,7 +21,7 @@
 /// the printed text as a script.
 #[test]
 fn seed_and_printed_script_give_the_same_faults_again() {
-    let script = third_killed_script();
+    let script = mass_crash_script();
     let base = std::fs::read_to_string(BASE_FILE).unwrap_or_else(|error| panic!("{error}"));
     let mut kinds = BTreeSet::new();
     for seed in 0..200 {
--- a/crates/scenario/src/shrink/tests.rs
+++ b/crates/scenario/src/shrink/tests.rs
@@ -1,14 +1,14 @@
 //! Tests of how a failing scenario is made smaller.
 
 use super::*;
-use crate::fault_generator::tests::third_killed_script;
+use crate::fault_generator::tests::mass_crash_script;
 use crate::{add_generated_faults, ScheduledFault};
 
 /// A hunt finds a scenario that fails because of one of its many faults. The developer gets the scenario with that fault alone, and
 /// the search runs the scenario no more than about once for each fault.
 #[test]
 fn only_the_fault_that_makes_the_scenario_fail_is_left() {
-    let mut script = add_generated_faults(&third_killed_script(), 3);
+    let mut script = add_generated_faults(&mass_crash_script(), 3);
     let template = script.faults[0].clone();
     let extra = |index| ScheduledFault { name: format!("extra {index}"), ..template.clone() };
     script.faults.extend((0..4).map(extra));
--- a/scenarios/measure/members-12.hcl
+++ b/scenarios/benchmarks/quota-leases-12-hosts.hcl
@@ -1,7 +1,7 @@
-# Twelve hosts on loopback that lend each other parts of one limit; a third is killed at once in a surge.
+# Twelve hosts on loopback share one limit and lend each other quota. A third of the hosts crashes at once in a surge.
 
 day {
-  base       = "../members.hcl"
+  base       = "../quota-leases.hcl"
   seconds    = 10
   hosts      = 12
   seed       = 21
--- a/scenarios/measure/return-list.hcl
+++ b/scenarios/benchmarks/recovery-after-drain.hcl
@@ -1,5 +1,6 @@
-# Measures how a node comes back in a surge: with `return-order` it was out by an operator's order and comes back
-# slowly; with `return-list` the list had it drained and it is ready at once. All else is the same.
+# Measures how a node returns to service during a surge. In recovery-after-override*.hcl an operator's override takes the node out
+# and its recovery ramp follows; in recovery-after-drain*.hcl the endpoint list drains it and it is ready at once. In the files
+# that end in still-slow.hcl the node is still slow when it returns. All else is the same.
 
 day {
   base    = "../pool.hcl"
--- a/scenarios/measure/alone-12.hcl
+++ b/scenarios/benchmarks/without-quota-leases-12-hosts.hcl
@@ -1,7 +1,8 @@
-# The same as members-12.hcl, with hosts that know nothing of each other; a third is killed at once in a surge.
+# The same as quota-leases-12-hosts.hcl without membership: each host keeps to its even share of the limit. A third of the hosts
+# crashes at once in a surge.
 
 day {
-  base       = "../members.hcl"
+  base       = "../quota-leases.hcl"
   seconds    = 10
   hosts      = 12
   seed       = 21
--- a/scenarios/agree/base.hcl
+++ b/scenarios/consensus/base.hcl
@@ -1,5 +1,5 @@
-# What the days of the agreement have in common: five hosts, three of which vote; a limited volume that asks for more than its
-# limit, and one without a limit.
+# What the consensus scenarios have in common: five hosts, three of which are voters; a limited volume whose demand is above its
+# limit, and a volume without a limit.
 
 load {
   longest_wait_s = 0.5
--- a/scenarios/agree/clocks.hcl
+++ b/scenarios/consensus/clock-skew.hcl
@@ -1,5 +1,5 @@
-# Clocks that are wrong: a voter's wall clock ten seconds behind, one that follows runs within the drift that is told, and one a twentieth
-# too slow, whose lease lasts so much longer.
+# Clocks are wrong: a voter's wall clock is ten seconds behind, one learner's clock is off within the allowed drift, and
+# another's runs 5% slow, so that its lease lasts longer. Both learners are then partitioned from the voters while a limit falls.
 
 day {
   base              = "base.hcl"
--- a/scenarios/agree/operators.hcl
+++ b/scenarios/consensus/concurrent-changes.hcl
@@ -1,5 +1,5 @@
-# Three operators read and change plans at all hosts while the leader's way to the others is cut one way, a voter stands still and
-# another is killed; what they see must be what one after the other would have seen.
+# Three operators read and change plans at all hosts while one voter's datagrams are lost in one direction, another voter is
+# paused, and a third crashes. The operators' calls must be linearizable.
 
 day {
   base              = "base.hcl"
--- a/scenarios/agree/disks.hcl
+++ b/scenarios/consensus/disk-loss-and-rollback.hcl
@@ -1,5 +1,5 @@
-# A voter's disk is lost and another's comes back old: neither votes as before, the third alone is no majority, floors hold, and nothing
-# that was agreed on is gone.
+# One voter restarts with an old copy of its disk and another with an empty disk. Neither may vote as before, and the third voter
+# alone is no majority. Fallback limits apply meanwhile, and no committed change may be lost.
 
 day {
   base              = "base.hcl"
--- a/scenarios/agree/base-hunt.hcl
+++ b/scenarios/consensus/generated-faults.hcl
@@ -1,4 +1,5 @@
-# A day for `tackmast day --hunt` over the agreement: operators read and change plans at hosts by chance; drawn troubles come on top.
+# A base for `tackmast scenario --hunt`, which adds generated faults: operators read and change plans at random hosts of a
+# consensus group.
 
 day {
   base              = "base.hcl"
--- a/scenarios/agree/cut-off.hcl
+++ b/scenarios/consensus/minority-partition.hcl
@@ -1,5 +1,5 @@
-# Hosts 2 (a voter) and 4 are cut off from all others, not from their clients and nodes, while a limit falls to a tenth: once
-# their lease is over they send nothing more of the limited volume, and the other one goes on.
+# A voter and a learner are partitioned from all other hosts, but not from their clients and nodes, while a limit falls to a tenth.
+# Once their leases expire they must send nothing more of the limited volume; the majority continues.
 
 day {
   base       = "base.hcl"
--- a/scenarios/agree/lossy.hcl
+++ b/scenarios/consensus/packet-loss.hcl
@@ -1,4 +1,5 @@
-# A fifth of all datagrams lost, up to 200 ms late, some doubled; changes go on.
+# A fifth of the datagrams between hosts is lost, the others are delayed by up to 200 ms, and a tenth is duplicated. Operators'
+# changes must still commit, and their calls must be linearizable.
 
 day {
   base              = "base.hcl"
--- a/scenarios/agree/parted.hcl
+++ b/scenarios/consensus/partitions.hcl
@@ -1,5 +1,5 @@
-# Parted twice, first two voters with one host and one voter with the others, then each voter by itself; operators on all sides. What
-# they see must be what one after the other would have seen, and the limit falls meanwhile where most voters are.
+# Two partitions: first two voters on one side and one voter with the other hosts, then each voter in a group of its own.
+# Operators work on all sides, and their calls must be linearizable.
 
 day {
   base              = "base.hcl"
--- a/scenarios/agree/stopped.hcl
+++ b/scenarios/consensus/paused-past-lease.hcl
@@ -1,5 +1,5 @@
-# Two hosts stand still past their leases, a voter and one that only follows, while a limit falls and rises again; what they
-# had counts no more when they go on.
+# A voter and a learner are paused past their leases while a limit falls to a tenth and rises again. When they resume, they must
+# not use the version that they had.
 
 day {
   base       = "base.hcl"
@@ -9,7 +9,7 @@
   members    = true
   exercises  = [1, 7]
   least_done = 0.2
-  # What lay in sockets meanwhile is read at once.
+  # Bytes that arrived during the pause are read when the host resumes.
   answer_slack_ms = 200
 }
 
--- a/scenarios/agree/in-turn.hcl
+++ b/scenarios/consensus/rolling-pauses.hcl
@@ -1,5 +1,5 @@
-# Each voter stands still in turn for longer than its lease, so that the one that leads does too and goes on believing; then a
-# limit is lowered right after the last went on.
+# Each voter in turn is paused for longer than its lease, so a leader resumes that still believes it leads. A limit is lowered
+# right after the last voter resumes; no host may use the old limit under an expired lease.
 
 day {
   base              = "base.hcl"
--- a/scenarios/agree/lists.hcl
+++ b/scenarios/consensus/stale-endpoint-lists.hcl
@@ -1,5 +1,5 @@
-# Three of five hosts do not hear the list while a node drains and comes back, and later while two more do: what the other two were told
-# holds for all within half a second. The list's service is silent to them, not their fellows.
+# Three of five hosts receive no updates of the endpoint list while nodes drain and return, but can still reach their peers.
+# Half a second after any host was notified of a drain, no host may send an attempt to that node.
 
 day {
   base           = "base.hcl"
--- a/scenarios/agree/voters-killed.hcl
+++ b/scenarios/consensus/voter-crashes.hcl
@@ -1,4 +1,5 @@
-# Each voter is killed once, then all of them at once; changes go on between, and all that was acknowledged holds.
+# Each voter crashes once, and later all voters crash at once. Changes are made between the crashes, and every acknowledged change
+# must survive.
 
 day {
   base       = "base.hcl"
--- a/scenarios/agree/replaced.hcl
+++ b/scenarios/consensus/voter-replacement.hcl
@@ -1,5 +1,5 @@
-# A voter's disk is lost under load; it is taken out and added again with its new disk, while operators go on. Then another is killed for
-# good: the new one is part of the majority.
+# A voter loses its disk under load, is removed from the voters, and is added again with its empty disk while operators continue.
+# Then another voter crashes and stays away: the replaced voter must be part of the majority.
 
 day {
   base              = "base.hcl"
--- a/scenarios/drain.hcl
+++ b/scenarios/drain.hcl
@@ -1,5 +1,5 @@
-# A node is told to drain with transfers in its queue, on the wire, and behind a link whose node takes no bytes:
-# nothing new may reach it later than 250 ms after the host learned of it.
+# Nodes drain while requests are queued in them, in flight, and behind a connection whose node does not read. A host that goes on
+# sending after it was notified breaks rule 3: nothing new may reach a draining node later than 250 ms after the notification.
 
 day {
   base      = "pool.hcl"
--- a/scenarios/host-kill.hcl
+++ b/scenarios/host-crash.hcl
@@ -1,5 +1,5 @@
-# Hosts are killed and start again under load, one while a node is cold: the limits of all lives together and the
-# cold node's bound still hold, and a new life owes nothing for the old.
+# Hosts crash and restart under load, one of them while a node is warming up. A restarted host must neither grant a volume a
+# second burst nor overload the node in slow start. It owes no answers for requests of the crashed process.
 
 day {
   base      = "pool.hcl"
--- a/scenarios/mass-restart.hcl
+++ b/scenarios/mass-restart.hcl
@@ -1,4 +1,5 @@
-# All nodes restart at once while the list is seconds stale, then one goes silent without closing anything.
+# All nodes restart at once while the endpoint list is two seconds stale. Later one node goes silent without closing its
+# connections, and the endpoint list fails. Hosts must not overload the nodes, which are all in slow start.
 
 day {
   base      = "pool.hcl"
--- a/scenarios/view/one-way.hcl
+++ b/scenarios/membership/asymmetric-partition.hcl
@@ -1,4 +1,5 @@
-# One host is heard by nobody, then another hears nobody; each for longer than deaths take.
+# First no peer receives datagrams of one host, then another host receives none; each for longer than it takes to declare a host
+# dead.
 
 day {
   base           = "base.hcl"
--- a/scenarios/view/base.hcl
+++ b/scenarios/membership/base.hcl
@@ -1,4 +1,4 @@
-# What the days of the view have in common: a little traffic through two hosts, and nodes that bear it with ease.
+# What the membership scenarios have in common: light traffic through two hosts, and nodes with ample capacity.
 
 load {
   longest_wait_s = 0.5
--- a/scenarios/view/clock-back.hcl
+++ b/scenarios/membership/clock-and-disk-rollback.hcl
@@ -1,4 +1,5 @@
-# Hosts restart with a wall clock ten seconds behind: one with its disk, one without, one with an old disk; one runs too fast.
+# Hosts restart with wrong clocks or old disks: a wall clock ten seconds behind, the same host again with an empty disk, another
+# host with an old copy of its disk, and clocks that run fast beyond and within the allowed drift. Generations must not go back.
 
 day {
   base           = "base.hcl"
--- a/scenarios/view/twins.hcl
+++ b/scenarios/membership/duplicate-id.hcl
@@ -1,4 +1,5 @@
-# A second process of one number runs elsewhere for a while; the first yields, and takes its number back.
+# A second process with the same host number runs at another address for a while. The first process yields to it, and takes its
+# number back when the duplicate ends.
 
 day {
   base           = "base.hcl"
--- a/scenarios/view/all-anew.hcl
+++ b/scenarios/membership/full-restart.hcl
@@ -1,4 +1,5 @@
-# All hosts are started anew at once, most of them at other addresses; one seed comes much later.
+# All hosts crash at once. Most of them restart at other addresses, and one seed stays away much longer than the others. The
+# membership views must converge again.
 
 day {
   base           = "base.hcl"
--- a/scenarios/view/base-hunt.hcl
+++ b/scenarios/membership/generated-faults.hcl
@@ -1,4 +1,4 @@
-# A quiet day for `tackmast day --hunt`: drawn troubles come on top.
+# A base for `tackmast scenario --hunt`, which adds generated faults: eight hosts of two sites under light traffic.
 
 day {
   base           = "base.hcl"
--- a/scenarios/view/third-killed.hcl
+++ b/scenarios/membership/mass-crash.hcl
@@ -1,4 +1,4 @@
-# A third of the hosts is killed at once and stays away; then they come back at once.
+# A third of the hosts crashes at once and stays away for four seconds; then all of these hosts restart at once.
 
 day {
   base           = "base.hcl"
--- a/scenarios/view/cut-off.hcl
+++ b/scenarios/membership/network-isolation.hcl
@@ -1,4 +1,5 @@
-# Hosts cut off from clients, from the list and from nodes, while a node drains; connections reset; hosts that stand still.
+# Hosts are isolated from their clients, from the endpoint list and from nodes, one path after the other, while a node drains.
+# Then connections are reset, one host is paused and the other shuts down gracefully.
 
 day {
   base      = "../pool.hcl"
--- a/scenarios/view/lossy.hcl
+++ b/scenarios/membership/packet-loss.hcl
@@ -1,4 +1,5 @@
-# A fifth of all datagrams between hosts is lost, the others are late by up to a period and some come twice; one host is killed.
+# A fifth of the datagrams between hosts is lost, the others are delayed by up to a protocol period and so reordered, and some are
+# duplicated. One host crashes meanwhile.
 
 day {
   base           = "base.hcl"
--- a/scenarios/view/parted.hcl
+++ b/scenarios/membership/partition.hcl
@@ -1,4 +1,5 @@
-# Two halves cannot reach each other for longer than deaths take; on each side one host ends and another joins meanwhile.
+# Two halves are partitioned for longer than it takes to declare a host dead. On each side one host crashes and another joins
+# meanwhile; afterwards the membership views must merge.
 
 day {
   base           = "base.hcl"
--- a/scenarios/view/stopped.hcl
+++ b/scenarios/membership/process-pauses.hcl
@@ -1,4 +1,4 @@
-# A host stands still for longer than its death takes, and goes on; then one after the other stands still for a moment.
+# One host is paused for longer than it takes to declare it dead, and resumes. Then each host in turn is paused for a moment.
 
 day {
   base           = "base.hcl"
--- a/scenarios/view/three-parts.hcl
+++ b/scenarios/membership/three-way-partition.hcl
@@ -1,4 +1,5 @@
-# Three parts cannot reach each other; one of each is killed and comes back after the ways are whole.
+# Three groups of hosts are partitioned from each other. One host of each group crashes and restarts after the partition has
+# healed.
 
 day {
   base           = "base.hcl"
--- a/scenarios/bad-clients.hcl
+++ b/scenarios/misbehaving-clients.hcl
@@ -1,4 +1,5 @@
-# Clients leave in the middle of writes, abort, and break the protocol: one error each, and the others unharmed.
+# Clients close their connections in the middle of writes, abort commands, and violate the protocol with garbage, over-long
+# frames, half a frame, too many commands, or silence. Each gets one error, and other clients are served as before.
 
 day {
   base       = "pool.hcl"
--- a/scenarios/overrides.hcl
+++ b/scenarios/overrides.hcl
@@ -1,5 +1,6 @@
-# Orders of operators that end by themselves: one on a node that leaves the list and returns while a host restarts,
-# one that expires in a surge, pins against drain and against gone, and the last node of a shard.
+# Operators' overrides with an end: one on a node that leaves the endpoint list and returns while a host restarts, one that ends
+# during a surge, half the weight for a zone, pins that must yield to a drain and to a removed node, and one that is refused because
+# it would leave a shard without a node.
 
 day {
   base      = "pool.hcl"
@@ -9,7 +10,7 @@
   exercises = [1, 3, 4, 5, 7]
 }
 
-# Each shard has a second node, so that one of them may go; the one listed last serves while it is ready.
+# Each shard has two nodes, so that one of them may be taken out; the one listed last serves while it is ready.
 nodes "a" {
   shards  = [0, 1]
   zone    = 0
--- a/scenarios/order.hcl
+++ b/scenarios/per-key-ordering.hcl
@@ -1,4 +1,5 @@
-# Transfers of one key run in turn, with time-outs, cancelled legs and lost answers in the middle.
+# A node pauses, another goes silent, answers are cut off and attempts fail, while clients abort requests and deadlines pass.
+# Requests of one order key must still run one at a time, in the order in which their host received them (rule 5).
 
 day {
   base      = "pool.hcl"
--- a/scenarios/plans.hcl
+++ b/scenarios/plan-changes.hcl
@@ -1,8 +1,9 @@
-# Plans that change under load: a limit is lowered to a fifth while its volume asks for far more, raised, and set back; one
-# host is killed while a change is made and takes clients again only when it has it. No sum ever passes what counts.
+# A plan changes under load: its limit falls to a fifth while clients demand far more, doubles later, and is set back. A host that
+# crashes during the first change must have the newest version before it accepts clients again. All hosts together must stay within the
+# limits that count at each moment (rule 7).
 
 day {
-  base       = "members.hcl"
+  base       = "quota-leases.hcl"
   seconds    = 11
   hosts      = 3
   seed       = 12
--- a/scenarios/pool.hcl
+++ b/scenarios/pool.hcl
@@ -1,4 +1,4 @@
-# What the hard days have in common: three plans, five stream types, four shards in two zones.
+# What many scenarios have in common: three plans, five traffic classes, four shards in two zones.
 
 load {
   most_legs      = 4
--- a/scenarios/first.hcl
+++ b/scenarios/quickstart.hcl
@@ -1,5 +1,5 @@
-# The first day: two hosts, four nodes, reads and writes of three plans; one node drains in the middle of it, and
-# another fails half of its transfers for a while.
+# Two hosts and four nodes serve two volumes. One node drains and returns, and later another node answers half of its
+# attempts with errors.
 
 day {
   seconds    = 4
--- a/scenarios/members.hcl
+++ b/scenarios/quota-leases.hcl
@@ -1,5 +1,5 @@
-# Hosts that lend each other parts of a limit: most of a limited volume comes through one host, which changes; one host is
-# killed and comes back, and the sum of what all send never passes the limit.
+# Three hosts share a volume's limit and lend each other quota. Most requests come through one host, and every three seconds
+# through another one; one host crashes and restarts. All hosts together must never pass the limit (rule 7).
 
 day {
   seconds    = 9
--- a/scenarios/second-leg.hcl
+++ b/scenarios/retries.hcl
@@ -1,5 +1,6 @@
-# A transfer needs a second leg: after an error, a refused connection, a reset in the middle of an answer. It never
-# overlaps the first, and keyed and unrepeatable transfers get one only where the rules allow it.
+# Attempts fail: nodes answer with errors, reset connections in the middle of an answer, and refuse connections. A retry may
+# start only after the failed attempt has ended, and requests that are idempotent by key or not idempotent are retried only where
+# no effect can happen twice.
 
 day {
   base      = "pool.hcl"
--- a/scenarios/sockets.hcl
+++ b/scenarios/socket-faults.hcl
@@ -1,5 +1,5 @@
-# What only sockets have, several at once: bytes one at a time, frames cut short, bytes that are no frame, a peer
-# that stops reading, half-open links.
+# Faults that only real sockets have, several at once: a node that writes single bytes, bytes that are no frame, frames that are
+# cut off, a peer that stops reading, a gap in the endpoint list's updates, and a list service that goes silent.
 
 day {
   base      = "pool.hcl"
