--- a/crates/host-core/src/core/removed_nodes.rs
+++ b/crates/host-core/src/core/removed_nodes.rs
@@ -4,6 +4,9 @@
 //! would go on sending to a node that is about to stop. So it sends nothing new to a node that a newer list of a peer shows as draining
 //! or gone.
 
+#[cfg(test)]
+mod tests;
+
 use super::Core;
 use crate::event::EndpointListEvent;
 use crate::output::Output;
@@ -36,7 +39,7 @@
 #[derive(Default)]
 pub(super) struct RemovedNodes {
     by_address: BTreeMap<String, Removal>,
-    /// It has been reported that no more removals are accepted.
+    /// It has been reported that no more removals are accepted, and none has ended since.
     reported_full: bool,
 }
 
@@ -98,7 +101,7 @@
         let over = by_address.iter().filter(|(_, removal)| removal.is_over(now, version));
         let ended: Vec<String> = over.map(|(address, _)| address.clone()).collect();
         by_address.retain(|_, removal| !removal.is_over(now, version));
-        self.removed_nodes.reported_full &= !ended.is_empty();
+        self.removed_nodes.reported_full &= ended.is_empty();
         self.refresh_nodes(now, &ended);
         let Some(peers) = &mut self.peers else { return };
         let not_ready = self.nodes.entries().filter(|(_, entry)| entry.state != NodeState::Ready);
