--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -210,12 +210,13 @@
         });
     }
 
-    /// Withdraws the attempts at a node of which no byte was written.
+    /// Withdraws the attempts at a node of which no byte was written. They say nothing of the node: as failures, those that waited for a
+    /// connection would eject a node that has just restarted.
     pub(super) fn withdraw_unsent_at(&mut self, now: Instant, node: NodeId) {
         for key in self.attempts_at_node.get(&node).cloned().unwrap_or_default() {
             if self.in_flight(key).is_some_and(|attempt| attempt.ticket.withdraw()) {
                 self.counters.withdrawn += 1;
-                self.finish_attempt(now, key, Outcome::Refused, None, Bytes::new());
+                self.finish_attempt(now, key, Outcome::Skipped, None, Bytes::new());
             }
         }
     }
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -74,7 +74,11 @@
 
 impl Fixture {
     fn new() -> Fixture {
-        let settings = HostSettings::parse("test", SETTINGS).unwrap();
+        Fixture::with_settings(SETTINGS)
+    }
+
+    fn with_settings(text: &str) -> Fixture {
+        let settings = HostSettings::parse("test", text).unwrap();
         let now = Instant::from_secs(10.0);
         let core = Core::new(now, &settings, 1, 99);
         let mut fixture = Fixture { core, now, sent: vec![], answers: vec![], other: vec![] };
@@ -148,6 +152,15 @@
         self.poll_outputs();
     }
 
+    /// The events so far, a line each.
+    fn events(&self) -> String {
+        let event = |output: &Output| match output {
+            Output::Event(event) => Some(format!("{event}\n")),
+            _ => None,
+        };
+        self.other.iter().filter_map(event).collect()
+    }
+
     fn is_empty(&self) -> bool {
         self.core.open_counts() == OpenCounts::default()
     }
@@ -264,6 +277,24 @@
     assert!(fixture.is_empty());
 }
 
+/// A node restarts while requests wait for a connection to it; at the connect it reports how long it has been up. The host withdraws what
+/// waited, since it was meant for a node that was warmed up. If the withdrawn attempts counted as failures of the node, it would be ejected
+/// and given one attempt at a time before it was asked for anything.
+#[test]
+fn a_restarted_node_is_not_ejected_for_attempts_that_the_host_withdrew() {
+    // With a reservation, eight attempts are sent to a node of which no answer is known.
+    let reserved = SETTINGS.replace("plan \"basic\" {}", "plan \"basic\" {\n  reserve = 1000\n}");
+    let mut fixture = Fixture::with_settings(&reserved);
+    (0..8).for_each(|i| fixture.submit(i, u64::from(i) * 20, 1, false));
+    let withdrawn = std::mem::take(&mut fixture.sent);
+    assert!(withdrawn.len() >= 6, "as many as would eject a node: {}", withdrawn.len());
+    let node = withdrawn[0].node;
+    fixture.core.handle_node_uptime(fixture.now, node, seconds(1.0));
+    assert!(withdrawn.iter().all(|attempt| !attempt.ticket.claim()), "all are withdrawn");
+    fixture.run_for(0.5);
+    assert!(!fixture.events().contains("node unhealthy"), "{}", fixture.events());
+}
+
 /// A client aborts a command, and then its session closes while attempts are in flight. The nodes must learn that
 /// nobody waits.
 #[test]
