--- a/crates/scenario/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -7,6 +7,7 @@
 //! | `sending` | sends one request |
 //! | `replies` | what an answer means for the counts and for the reference model |
 //! | `sessions` | keeps sessions with the hosts open |
+//! | `state` | requests in flight, their counts, and the reference model |
 //! | `tally` | counts |
 
 mod arrivals;
@@ -14,18 +15,18 @@
 mod request;
 mod sending;
 mod sessions;
+mod state;
 mod tally;
 
 pub(crate) use tally::Tally;
 
 use crate::lock::lock;
-use crate::registers::Registers;
 use crate::script::TrafficBlock;
 use crate::ScenarioError;
 use crossbeam_channel::{Receiver, Sender};
-use request::{DueRequest, RequestInFlight};
+use request::DueRequest;
 use sessions::HostSessions;
-use std::collections::HashMap;
+use state::TrafficState;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, RwLock};
@@ -51,18 +52,6 @@
     }
 }
 
-struct TrafficState {
-    registers: Registers,
-    /// Requests in flight by their label.
-    in_flight: HashMap<u64, RequestInFlight>,
-    last_label: u64,
-    random: oorandom::Rand64,
-    /// By traffic class.
-    tallies: Vec<Tally>,
-    /// Descriptions of wrong answers.
-    errors: Vec<String>,
-}
-
 /// What all traffic of a scenario shares.
 #[derive(Clone)]
 pub(crate) struct SharedSettings {
@@ -122,14 +111,8 @@
             let (traffic, span_blocks) = (name.to_owned(), block.span_blocks);
             return Err(ScenarioError::TooFewBlocks { traffic, span_blocks });
         }
-        let state = TrafficState {
-            registers: Registers::new(seed, volume.block_bytes as usize),
-            in_flight: HashMap::new(),
-            last_label: 0,
-            random: oorandom::Rand64::new(u128::from(seed)),
-            tallies: shared.settings.traffic_classes.iter().map(|_| Tally::new()).collect(),
-            errors: Vec::new(),
-        };
+        let traffic_class_count = shared.settings.traffic_classes.len();
+        let state = TrafficState::new(traffic_class_count, volume.block_bytes as usize, seed);
         let traffic = Arc::new(Traffic {
             name: name.to_owned(),
             volume,
--- a/crates/scenario/src/traffic/replies.rs
+++ b/crates/scenario/src/traffic/replies.rs
@@ -1,7 +1,8 @@
 //! What an answer means for the counts and for the reference model.
 
 use super::request::{DueRequest, RequestInFlight};
-use super::{Traffic, TrafficState};
+use super::state::TrafficState;
+use super::Traffic;
 use crate::lock::lock;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -73,8 +74,7 @@
             }
         };
         if request.is_write {
-            let (blocks, version) = (request.blocks, in_flight.version);
-            state.registers.wrote(now, blocks.first, blocks.count, version, ran);
+            state.record_write(in_flight, now, ran);
         }
     }
 
--- a/crates/scenario/src/traffic/sending.rs
+++ b/crates/scenario/src/traffic/sending.rs
@@ -1,7 +1,8 @@
 //! Sends one request over one of the sessions.
 
 use super::request::{DueRequest, RequestInFlight};
-use super::{Traffic, TrafficState};
+use super::state::TrafficState;
+use super::Traffic;
 use crate::lock::lock;
 use bytes::Bytes;
 use std::sync::atomic::Ordering;
@@ -37,8 +38,7 @@
         let io_request = self.io_request(&mut state, &request, now, version);
         let class = &self.shared.settings.traffic_classes[request.traffic_class];
         let latency_objective_us = (class.latency_objective.secs() * US_PER_S) as u64;
-        let in_flight =
-            RequestInFlight { request: request.clone(), sent_us: now, latency_objective_us, version };
+        let in_flight = RequestInFlight { request, sent_us: now, latency_objective_us, version };
         state.in_flight.insert(label, in_flight);
         let behavior = ClientBehavior {
             aborts: state.random.rand_float() < self.block.abort_share,
@@ -46,10 +46,10 @@
         };
         drop(state);
         match session.submit(label, &io_request, Duration::ZERO) {
-            None => self.window_was_full(label, &request, now, version),
+            None => lock(&self.state).on_full_window(label, now),
             Some(command) if behavior.aborts => {
                 session.abort(command);
-                self.was_aborted(label, &request, now, version);
+                lock(&self.state).on_abort(label, now);
             }
             Some(_) if behavior.disconnects => session.close(),
             Some(_) => {}
@@ -93,25 +93,4 @@
             deadline_us: (deadline_s * US_PER_S) as u64,
         }
     }
-
-    /// The session's command window was full, so the request was not sent.
-    fn window_was_full(&self, label: u64, request: &DueRequest, now: u64, version: u64) {
-        let mut state = lock(&self.state);
-        state.tallies[request.traffic_class].shut += 1;
-        state.in_flight.remove(&label);
-        if request.is_write {
-            let blocks = request.blocks;
-            state.registers.wrote(now, blocks.first, blocks.count, version, Some(false));
-        }
-    }
-
-    /// The client has aborted the request and gets no answer, so it does not know whether a write has run.
-    fn was_aborted(&self, label: u64, request: &DueRequest, now: u64, version: u64) {
-        let mut state = lock(&self.state);
-        if state.in_flight.remove(&label).is_some() {
-            state.tallies[request.traffic_class].lost += 1;
-            let blocks = request.blocks;
-            state.registers.wrote(now, blocks.first, blocks.count, version, None);
-        }
-    }
 }
