--- a/crates/scenario/src/traffic/replies.rs
+++ b/crates/scenario/src/traffic/replies.rs
@@ -73,9 +73,7 @@
                 Some(false)
             }
         };
-        if request.is_write {
-            state.record_write(in_flight, now, ran);
-        }
+        state.record_outcome(in_flight, now, ran);
     }
 
     fn check_read(&self, state: &mut TrafficState, in_flight: &RequestInFlight, data: &[u8], now: u64) {
--- a/crates/scenario/src/traffic/request.rs
+++ b/crates/scenario/src/traffic/request.rs
@@ -47,6 +47,6 @@
     pub(super) request: DueRequest,
     pub(super) sent_us: u64,
     pub(super) latency_objective_us: u64,
-    /// The version that a write sets; 0 for a read.
-    pub(super) version: u64,
+    /// The version that a write sets; `None` for a read.
+    pub(super) written_version: Option<u64>,
 }
--- a/crates/scenario/src/traffic/sending.rs
+++ b/crates/scenario/src/traffic/sending.rs
@@ -34,11 +34,11 @@
         };
         state.last_label += 1;
         let label = state.last_label;
-        let version = if request.is_write { label } else { 0 };
-        let io_request = self.io_request(&mut state, &request, now, version);
+        let written_version = request.is_write.then_some(label);
+        let io_request = self.io_request(&mut state, &request, now, written_version);
         let class = &self.shared.settings.traffic_classes[request.traffic_class];
         let latency_objective_us = (class.latency_objective.secs() * US_PER_S) as u64;
-        let in_flight = RequestInFlight { request, sent_us: now, latency_objective_us, version };
+        let in_flight = RequestInFlight { request, sent_us: now, latency_objective_us, written_version };
         state.in_flight.insert(label, in_flight);
         let behavior = ClientBehavior {
             aborts: state.random.rand_float() < self.block.abort_share,
@@ -73,14 +73,14 @@
         state: &mut TrafficState,
         request: &DueRequest,
         now: u64,
-        version: u64,
+        written_version: Option<u64>,
     ) -> IoRequest {
         let (first, count) = (request.blocks.first, request.blocks.count);
-        let operation = match request.is_write {
-            true => {
+        let operation = match written_version {
+            Some(version) => {
                 IoOperation::Write { data: Bytes::from(state.registers.write(now, first, count, version)) }
             }
-            false => IoOperation::Read { blocks: count },
+            None => IoOperation::Read { blocks: count },
         };
         let class = &self.shared.settings.traffic_classes[request.traffic_class];
         let deadline_s = self.block.deadline_ms.map_or(class.deadline.secs(), |ms| f64::from(ms) / 1e3);
--- a/crates/scenario/src/traffic/state.rs
+++ b/crates/scenario/src/traffic/state.rs
@@ -1,5 +1,8 @@
 //! What the threads of one traffic block share: requests in flight, their counts, and the reference model.
 
+#[cfg(test)]
+mod tests;
+
 use super::request::RequestInFlight;
 use super::Tally;
 use crate::registers::Registers;
@@ -35,21 +38,21 @@
     pub(super) fn on_full_window(&mut self, label: u64, now: u64) {
         let Some(in_flight) = self.in_flight.remove(&label) else { return };
         self.tallies[in_flight.request.traffic_class].shut += 1;
-        if in_flight.request.is_write {
-            self.record_write(&in_flight, now, Some(false));
-        }
+        self.record_outcome(&in_flight, now, Some(false));
     }
 
     /// The client has aborted the request and gets no answer, so it does not know whether a write has run.
     pub(super) fn on_abort(&mut self, label: u64, now: u64) {
         let Some(in_flight) = self.in_flight.remove(&label) else { return };
         self.tallies[in_flight.request.traffic_class].lost += 1;
-        self.record_write(&in_flight, now, None);
+        self.record_outcome(&in_flight, now, None);
     }
 
-    /// Notes how a write ended in the reference model. `ran` is whether it has run; `None`: unknown.
-    pub(super) fn record_write(&mut self, in_flight: &RequestInFlight, now: u64, ran: Option<bool>) {
+    /// Notes in the reference model how a request ended. `ran` is whether it has run; `None`: unknown. A read changes no block,
+    /// so the model must not hold anything for possible on its account.
+    pub(super) fn record_outcome(&mut self, in_flight: &RequestInFlight, now: u64, ran: Option<bool>) {
+        let Some(version) = in_flight.written_version else { return };
         let blocks = in_flight.request.blocks;
-        self.registers.wrote(now, blocks.first, blocks.count, in_flight.version, ran);
+        self.registers.wrote(now, blocks.first, blocks.count, version, ran);
     }
 }
