--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -6,12 +6,12 @@
 //! | `line` | lines of JSON: read, parsed, written |
 //! | `client` | calls a host over its socket |
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 mod client;
 mod line;
 mod message;
 
 pub use client::{call, CallError};
-pub use line::{parse_call, read_line, write_line, Line, ParseError, MAX_LINE_LEN};
+pub use line::{parse_call, read_line, write_line, Line, ParseError};
 pub use message::{Answer, Call, VERSION};
--- a/crates/admin/src/line.rs
+++ b/crates/admin/src/line.rs
@@ -5,7 +5,7 @@
 use std::io::{BufRead, Read, Write};
 
 /// Bytes of one line, at most.
-pub const MAX_LINE_LEN: u64 = 4 << 20;
+pub(crate) const MAX_LINE_LEN: u64 = 4 << 20;
 
 /// A line of the protocol.
 #[derive(Serialize, Deserialize)]
--- a/crates/benchlink/src/host.rs
+++ b/crates/benchlink/src/host.rs
@@ -10,7 +10,7 @@
 use tackmast_platform::{FieldError, Settings};
 
 /// A scheduler, and what its numbers stand for on the wire.
-pub struct Host {
+pub(crate) struct Host {
     scheduler: Scheduler,
     requests: Names,
     nodes: Names,
@@ -28,7 +28,7 @@
 
 impl Host {
     /// A host with these settings, as the bench words them.
-    pub fn new(now: Instant, seed: u64, settings: &Map<String, Value>) -> Result<Self, LinkError> {
+    pub(crate) fn new(now: Instant, seed: u64, settings: &Map<String, Value>) -> Result<Self, LinkError> {
         let settings = Settings::read(settings)?;
         Ok(Host {
             scheduler: settings.scheduler(now, seed),
@@ -44,7 +44,7 @@
     }
 
     /// Takes an event; `values` begin with the host's number.
-    pub fn event(&mut self, now: Instant, kind: EventKind, values: &[Value]) -> Result<(), LinkError> {
+    pub(crate) fn event(&mut self, now: Instant, kind: EventKind, values: &[Value]) -> Result<(), LinkError> {
         match kind {
             EventKind::RequestArrived => self.on_request(now, values),
             EventKind::AttemptEnded => self.on_attempt_end(now, values),
@@ -150,7 +150,7 @@
     }
 
     /// Adds all that the host is to do now to the decisions of the reply.
-    pub fn decide(&mut self, now: Instant, number: i64, decisions: &mut Vec<Value>) {
+    pub(crate) fn decide(&mut self, now: Instant, number: i64, decisions: &mut Vec<Value>) {
         let writer = DecisionWriter { host: number };
         while let Some(decision) = self.scheduler.poll_decision(now) {
             decisions.push(self.write_decision(&writer, decision));
--- a/crates/benchlink/src/lib.rs
+++ b/crates/benchlink/src/lib.rs
@@ -1,6 +1,6 @@
 //! Translates between the bench's lines and the decision module. Decides nothing.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 mod error;
 mod host;
--- a/crates/benchlink/src/names.rs
+++ b/crates/benchlink/src/names.rs
@@ -4,14 +4,14 @@
 
 /// Text of the wire to a small number and back; each text is kept once.
 #[derive(Default)]
-pub struct Names {
+pub(crate) struct Names {
     numbers: HashMap<String, u32>,
     texts: Vec<String>,
 }
 
 impl Names {
     /// The number of a text; a new text gets the next one.
-    pub fn number(&mut self, text: &str) -> u32 {
+    pub(crate) fn number(&mut self, text: &str) -> u32 {
         if let Some(number) = self.numbers.get(text) {
             return *number;
         }
@@ -22,12 +22,12 @@
     }
 
     /// The number of a text that was seen before.
-    pub fn known(&self, text: &str) -> Option<u32> {
+    pub(crate) fn known(&self, text: &str) -> Option<u32> {
         self.numbers.get(text).copied()
     }
 
     /// The text of a number that was given out.
-    pub fn text(&self, number: u32) -> &str {
+    pub(crate) fn text(&self, number: u32) -> &str {
         &self.texts[number as usize]
     }
 }
--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -6,7 +6,7 @@
 
 /// An event that is of use to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EventKind {
+pub(crate) enum EventKind {
     /// A host starts.
     HostStarted,
     /// A host ends.
@@ -27,7 +27,7 @@
 
 impl EventKind {
     /// The event that the bench calls by this name; none: the name is not known.
-    pub fn parse(name: &str) -> Option<Self> {
+    pub(crate) fn parse(name: &str) -> Option<Self> {
         Some(match name {
             "Provision" => EventKind::HostStarted,
             "Detach" => EventKind::HostEnded,
@@ -43,62 +43,62 @@
 }
 
 /// Whether an event answers what a host never asks for: probes and messages between hosts.
-pub fn is_ignored_event(name: &str) -> bool {
+pub(crate) fn is_ignored_event(name: &str) -> bool {
     matches!(name, "Echo" | "Message")
 }
 
 /// Names of fields, as errors quote them.
-pub mod field {
+pub(crate) mod field {
     /// The time of a batch.
-    pub const TIME: &str = "wall";
+    pub(crate) const TIME: &str = "wall";
     /// The events of a batch.
-    pub const EVENTS: &str = "events";
+    pub(crate) const EVENTS: &str = "events";
     /// The decisions of a reply.
-    pub const DECISIONS: &str = "orders";
+    pub(crate) const DECISIONS: &str = "orders";
     /// The seed of a host's random numbers.
-    pub const SEED: &str = "init_seed";
+    pub(crate) const SEED: &str = "init_seed";
     /// The settings of a host.
-    pub const SETTINGS: &str = "env";
+    pub(crate) const SETTINGS: &str = "env";
     /// The id of a request.
-    pub const REQUEST: &str = "tid";
+    pub(crate) const REQUEST: &str = "tid";
     /// The number of a traffic class.
-    pub const TRAFFIC_CLASS: &str = "service";
+    pub(crate) const TRAFFIC_CLASS: &str = "service";
     /// The number of a plan.
-    pub const PLAN: &str = "qos_class";
+    pub(crate) const PLAN: &str = "qos_class";
     /// The time that a client still waits.
-    pub const TIME_LEFT: &str = "budget";
+    pub(crate) const TIME_LEFT: &str = "budget";
     /// The name of a volume.
-    pub const VOLUME: &str = "store_user";
+    pub(crate) const VOLUME: &str = "store_user";
     /// The cost of a request.
-    pub const UNITS: &str = "weight";
+    pub(crate) const UNITS: &str = "weight";
     /// The shard that holds a piece of data.
-    pub const SHARD_OF_REQUEST: &str = "lies_in";
+    pub(crate) const SHARD_OF_REQUEST: &str = "lies_in";
     /// How many hosts share a volume.
-    pub const HOSTS: &str = "hosts";
+    pub(crate) const HOSTS: &str = "hosts";
     /// The number of an attempt within its request.
-    pub const ATTEMPT: &str = "try";
+    pub(crate) const ATTEMPT: &str = "try";
     /// The address of a node.
-    pub const NODE: &str = "brick";
+    pub(crate) const NODE: &str = "brick";
     /// How an attempt ended, or a list came.
-    pub const HOW: &str = "how";
+    pub(crate) const HOW: &str = "how";
     /// How long an attempt took.
-    pub const LATENCY: &str = "elapsed";
+    pub(crate) const LATENCY: &str = "elapsed";
     /// Whether the request is over as well.
-    pub const IS_OVER: &str = "ended";
+    pub(crate) const IS_OVER: &str = "ended";
     /// The entries of an endpoint list.
-    pub const ENTRIES: &str = "elements";
+    pub(crate) const ENTRIES: &str = "elements";
     /// The state of a node.
-    pub const NODE_STATE: &str = "status";
+    pub(crate) const NODE_STATE: &str = "status";
     /// The zone of a node.
-    pub const ZONE: &str = "hall";
+    pub(crate) const ZONE: &str = "hall";
     /// The shard of a node.
-    pub const SHARD_OF_NODE: &str = "cell";
+    pub(crate) const SHARD_OF_NODE: &str = "cell";
     /// The number of a timer.
-    pub const TIMER: &str = "token";
+    pub(crate) const TIMER: &str = "token";
 }
 
 /// How an attempt ended.
-pub fn outcome(name: &str) -> Result<Outcome, LinkError> {
+pub(crate) fn outcome(name: &str) -> Result<Outcome, LinkError> {
     Ok(match name {
         "done" => Outcome::Done,
         "err" => Outcome::Error,
@@ -113,7 +113,7 @@
 }
 
 /// How an endpoint list came.
-pub fn list_kind(name: &str) -> Result<ListKind, LinkError> {
+pub(crate) fn list_kind(name: &str) -> Result<ListKind, LinkError> {
     Ok(match name {
         "INCREMENTAL" => ListKind::Changes,
         "FULL" => ListKind::Complete,
@@ -124,7 +124,7 @@
 }
 
 /// The state of a node.
-pub fn node_state(name: &str) -> Result<NodeState, LinkError> {
+pub(crate) fn node_state(name: &str) -> Result<NodeState, LinkError> {
     Ok(match name {
         "ready" => NodeState::Ready,
         "draining" => NodeState::Draining,
@@ -138,39 +138,39 @@
 }
 
 /// A decision of one host, as the bench reads it. Times are in seconds; 0 stands for none.
-pub struct DecisionWriter {
+pub(crate) struct DecisionWriter {
     /// The number of the host.
-    pub host: i64,
+    pub(crate) host: i64,
 }
 
 impl DecisionWriter {
     /// Send an attempt of a request to a node.
-    pub fn send(&self, request: &str, node: &str, timeout: Option<TimeDelta>) -> Value {
+    pub(crate) fn send(&self, request: &str, node: &str, timeout: Option<TimeDelta>) -> Value {
         json!(["Transmit", self.host, request, node, timeout.map_or(0.0, TimeDelta::secs)])
     }
 
     /// A request is rejected.
-    pub fn reject(&self, request: &str, retry_after: Option<TimeDelta>) -> Value {
+    pub(crate) fn reject(&self, request: &str, retry_after: Option<TimeDelta>) -> Value {
         json!(["TurnAway", self.host, request, retry_after.map_or(0.0, TimeDelta::secs)])
     }
 
     /// A request has failed.
-    pub fn fail(&self, request: &str) -> Value {
+    pub(crate) fn fail(&self, request: &str) -> Value {
         json!(["ReportFailure", self.host, request])
     }
 
     /// Follow the endpoint list.
-    pub fn follow_list(&self) -> Value {
+    pub(crate) fn follow_list(&self) -> Value {
         json!(["Follow", self.host, true])
     }
 
     /// Write a line to the log.
-    pub fn log(&self, line: &str) -> Value {
+    pub(crate) fn log(&self, line: &str) -> Value {
         json!(["SayLog", self.host, line])
     }
 
     /// Set a timer.
-    pub fn set_timer(&self, after: TimeDelta, number: u64) -> Value {
+    pub(crate) fn set_timer(&self, after: TimeDelta, number: u64) -> Value {
         json!(["NotifyMe", self.host, after.secs().max(0.0), number])
     }
 }
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -121,7 +121,7 @@
     }
 
     /// The one block of a kind without a label, if it is there.
-    pub fn optional_block<T: DeserializeOwned>(&self, kind: &str) -> Result<Option<T>, ConfigError> {
+    pub(crate) fn optional_block<T: DeserializeOwned>(&self, kind: &str) -> Result<Option<T>, ConfigError> {
         Ok(self.blocks(kind, Labels::None)?.pop().map(|block| block.value))
     }
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -9,7 +9,7 @@
 //! | `blocks` | one file a settings block: its fields, defaults and checks |
 //! | `settings` | all settings of a host: which blocks there are, and in which order they are read and checked |
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 mod blocks;
 mod checks;
--- a/crates/emulators/src/http/acceptor.rs
+++ b/crates/emulators/src/http/acceptor.rs
@@ -15,7 +15,7 @@
 const BACKLOG: i32 = 128;
 
 /// The thread that accepts the connections of an emulated server, until it is stopped or dropped.
-pub struct Acceptor {
+pub(crate) struct Acceptor {
     port: ReservedPort,
     listener: TcpListener,
     stopped: Arc<AtomicBool>,
@@ -24,7 +24,7 @@
 
 impl Acceptor {
     /// Calls `serve` in a thread of its own for each connection. The connection ends when it returns.
-    pub fn start(serve: impl Fn(Connection) + Send + Sync + 'static) -> std::io::Result<Self> {
+    pub(crate) fn start(serve: impl Fn(Connection) + Send + Sync + 'static) -> std::io::Result<Self> {
         let port = ReservedPort::new()?;
         let listener = port.listen(BACKLOG)?;
         let accepting = listener.try_clone()?;
@@ -46,12 +46,12 @@
     }
 
     /// Where it accepts connections.
-    pub fn address(&self) -> SocketAddr {
+    pub(crate) fn address(&self) -> SocketAddr {
         self.port.address()
     }
 
     /// Accepts no connection any more. The port stays reserved, so that a connect is refused.
-    pub fn stop(&mut self) {
+    pub(crate) fn stop(&mut self) {
         self.stopped.store(true, Ordering::SeqCst);
         // Ends the listening for both handles, and wakes the thread from `accept` without a connection, which might find no
         // descriptor. The thread is joined, or a client could still be accepted after this call.
@@ -73,9 +73,9 @@
 }
 
 /// A connection that was accepted.
-pub struct Connection {
+pub(crate) struct Connection {
     /// Its socket.
-    pub stream: TcpStream,
+    pub(crate) stream: TcpStream,
     reader: RequestReader,
     stopped: Arc<AtomicBool>,
 }
@@ -88,12 +88,12 @@
     }
 
     /// The server was stopped: the connection should end.
-    pub fn is_stopped(&self) -> bool {
+    pub(crate) fn is_stopped(&self) -> bool {
         self.stopped.load(Ordering::SeqCst)
     }
 
     /// The next request; none: the connection has ended or was idle for `idle_timeout`, or the server was stopped.
-    pub fn next_request(&mut self, idle_timeout: Duration) -> Option<Request> {
+    pub(crate) fn next_request(&mut self, idle_timeout: Duration) -> Option<Request> {
         let since = Instant::now();
         let mut chunk = [0; READ_CHUNK_BYTES];
         loop {
@@ -117,7 +117,7 @@
     }
 
     /// Makes the connection end with a reset when it is dropped.
-    pub fn reset_on_close(&self) {
+    pub(crate) fn reset_on_close(&self) {
         _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 }
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -11,7 +11,7 @@
 //! | `network_faults` | cuts, loss, delay and resets between processes |
 //! | `http` | nodes, list and clients of the operators' platform |
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 /// Nodes, list and clients of the operators' platform.
 pub mod http;
--- a/crates/emulators/src/model.rs
+++ b/crates/emulators/src/model.rs
@@ -316,7 +316,7 @@
     }
 
     /// Jobs that wait or run: lost when the process dies.
-    pub fn pending_jobs(&self) -> Vec<u64> {
+    pub(crate) fn pending_jobs(&self) -> Vec<u64> {
         let running = self.running.values().filter_map(|task| match task {
             Task::Job { id } => Some(*id),
             Task::Flush => None,
--- a/crates/planner/src/curve.rs
+++ b/crates/planner/src/curve.rs
@@ -93,7 +93,7 @@
     }
 
     /// The lowest rate; 0 where there were no arrivals.
-    pub fn min_rate(&self) -> f64 {
+    pub(crate) fn min_rate(&self) -> f64 {
         self.first().map_or(0.0, |point| point.rate)
     }
 }
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -9,7 +9,7 @@
 //! | `fit` | rates and bursts under which all latency objectives hold, by a linear program |
 //! | `placement` | loads onto nodes |
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 mod curve;
 mod fit;
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -45,7 +45,7 @@
     }
 
     /// Reads a list out of a JSON value.
-    pub fn from_value(value: &Value, settings: &Settings) -> Result<Self, FieldError> {
+    pub(crate) fn from_value(value: &Value, settings: &Settings) -> Result<Self, FieldError> {
         let version = integer(value.get("revision"), "revision")?;
         let complete = value.get("complete").and_then(Value::as_bool);
         let complete = complete.ok_or_else(|| FieldError::new("complete", "true or false"))?;
--- a/crates/platform/src/values.rs
+++ b/crates/platform/src/values.rs
@@ -85,7 +85,7 @@
 }
 
 /// A number that may be absent.
-pub fn number_or(map: &Map<String, Value>, name: &str, absent: f64) -> Result<f64, FieldError> {
+pub(crate) fn number_or(map: &Map<String, Value>, name: &str, absent: f64) -> Result<f64, FieldError> {
     match map.get(name) {
         None | Some(Value::Null) => Ok(absent),
         found => number(found, name),
@@ -93,7 +93,7 @@
 }
 
 /// A length of time in seconds; zero where it is absent.
-pub fn time_delta(map: &Map<String, Value>, name: &str) -> Result<TimeDelta, FieldError> {
+pub(crate) fn time_delta(map: &Map<String, Value>, name: &str) -> Result<TimeDelta, FieldError> {
     Ok(TimeDelta::from_secs(number_or(map, name, 0.0)?))
 }
 
--- a/crates/scenario/src/registers.rs
+++ b/crates/scenario/src/registers.rs
@@ -165,7 +165,7 @@
     }
 
     /// Forgets versions that no read can return which begins at `before` or later.
-    pub fn prune(&mut self, before: u64) {
+    pub(crate) fn prune(&mut self, before: u64) {
         for writes in self.writes.values_mut() {
             let done = |write: &Write| matches!(write.state, WriteState::Done(end) if end < before);
             let starts: Vec<u64> =
--- a/crates/wire/src/consensus.rs
+++ b/crates/wire/src/consensus.rs
@@ -22,7 +22,7 @@
 /// Voters of one group, at most.
 pub const MAX_VOTERS: usize = 7;
 /// Entries of one message, at most.
-pub const MAX_ENTRIES: usize = 256;
+const MAX_ENTRIES: usize = 256;
 
 /// The index of an entry and the term in which a leader appended it. Ordered as Raft compares logs: by term, then by
 /// index.
--- a/crates/wire/src/iscsi.rs
+++ b/crates/wire/src/iscsi.rs
@@ -11,7 +11,7 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
 /// Bytes of a basic header.
-pub const BHS: usize = 48;
+const BHS: usize = 48;
 /// The tag of no task.
 pub const NO_TAG: u32 = 0xffff_ffff;
 /// Second byte of many units: the last of its sequence.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
 //! Codecs: bytes to values and back, without I/O. Every length that a peer names is checked against a bound
 //! before anything is allocated, and no input panics.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 /// The consensus protocol between hosts.
 pub mod consensus;
--- a/crates/wire/src/nbd.rs
+++ b/crates/wire/src/nbd.rs
@@ -29,17 +29,17 @@
 use bytes::{Bytes, BytesMut};
 
 /// First bytes of a server's greeting: `NBDMAGIC`.
-pub const MAGIC: u64 = 0x4e42_444d_4147_4943;
+const MAGIC: u64 = 0x4e42_444d_4147_4943;
 /// First bytes of an option, and second word of the greeting: `IHAVEOPT`.
-pub const IHAVEOPT: u64 = 0x4948_4156_454f_5054;
+const IHAVEOPT: u64 = 0x4948_4156_454f_5054;
 /// First bytes of a reply to an option.
-pub const OPTION_REPLY: u64 = 0x0003_e889_0455_65a9;
+const OPTION_REPLY: u64 = 0x0003_e889_0455_65a9;
 /// First bytes of a request.
-pub const REQUEST: u32 = 0x2560_9513;
+const REQUEST: u32 = 0x2560_9513;
 /// First bytes of a simple reply.
-pub const SIMPLE_REPLY: u32 = 0x6744_6698;
+const SIMPLE_REPLY: u32 = 0x6744_6698;
 /// First bytes of a chunk of a structured reply.
-pub const STRUCTURED_REPLY: u32 = 0x668e_33ef;
+const STRUCTURED_REPLY: u32 = 0x668e_33ef;
 
 /// Handshake flag of the server, which the client echoes: the fixed newstyle handshake.
 pub const FIXED_NEWSTYLE: u16 = 1;
@@ -49,7 +49,7 @@
 pub const DONE: u16 = 1;
 
 /// Bytes of an option's data, at most.
-pub const MAX_OPTION: u32 = 64 << 10;
+const MAX_OPTION: u32 = 64 << 10;
 
 /// Which units come next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/wire/src/nbd/numbers.rs
+++ b/crates/wire/src/nbd/numbers.rs
@@ -37,16 +37,12 @@
     pub const ERR_UNKNOWN: u32 = 0x8000_0006;
     /// The server is shutting down.
     pub const ERR_SHUTDOWN: u32 = 0x8000_0007;
-    /// The option is too long.
-    pub const ERR_TOO_BIG: u32 = 0x8000_0009;
 }
 
 /// Information about an export.
 pub mod info {
     /// Size and transmission flags.
     pub const EXPORT: u16 = 0;
-    /// Name.
-    pub const NAME: u16 = 1;
     /// Block sizes.
     pub const BLOCK_SIZE: u16 = 3;
 }
@@ -71,10 +67,6 @@
     pub const DISCONNECT: u16 = 2;
     /// Waits until what was written is durable.
     pub const FLUSH: u16 = 3;
-    /// Discards data.
-    pub const TRIM: u16 = 4;
-    /// Asks for the status of a range.
-    pub const BLOCK_STATUS: u16 = 7;
     /// This project's, sent only where its option was accepted: cancels a command.
     pub const CANCEL: u16 = 0x7463;
 }
@@ -105,8 +97,6 @@
     pub const PERM: u32 = 1;
     /// Input or output failed.
     pub const IO: u32 = 5;
-    /// Out of memory.
-    pub const NOMEM: u32 = 12;
     /// Invalid argument.
     pub const INVAL: u32 = 22;
     /// No space left.
--- a/crates/wire/src/node.rs
+++ b/crates/wire/src/node.rs
@@ -10,9 +10,9 @@
 /// Newest version of the protocol.
 pub const VERSION: u16 = 1;
 /// Oldest version that is still spoken.
-pub const OLDEST: u16 = 1;
+const OLDEST: u16 = 1;
 /// Bytes of a frame beside its data, at most.
-pub const OVERHEAD: usize = 128;
+const OVERHEAD: usize = 128;
 
 /// Where an attempt's request came from, as its client can name it too: target session, command number within it,
 /// and the part, where a command touches several extents.
--- a/crates/wire/src/reader.rs
+++ b/crates/wire/src/reader.rs
@@ -83,7 +83,7 @@
     }
 
     /// The next whole frame, without its length. After an error no further frame can be found.
-    pub fn next_frame(&mut self) -> Result<Option<Bytes>, WireError> {
+    pub(crate) fn next_frame(&mut self) -> Result<Option<Bytes>, WireError> {
         let Some(head) = self.received.first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_be_bytes(*head) as usize;
         if length > self.max {
--- a/crates/wire/src/scsi.rs
+++ b/crates/wire/src/scsi.rs
@@ -18,6 +18,4 @@
     pub const CHECK_CONDITION: u8 = 0x02;
     /// The command was rejected; it may be sent again.
     pub const BUSY: u8 = 0x08;
-    /// The command was aborted.
-    pub const TASK_ABORTED: u8 = 0x40;
 }
--- a/crates/wire/src/scsi/sense.rs
+++ b/crates/wire/src/scsi/sense.rs
@@ -8,7 +8,7 @@
 
 impl Sense {
     /// Invalid command operation code.
-    pub const UNKNOWN_COMMAND: Sense = Sense(0x05, 0x20, 0x00);
+    pub(crate) const UNKNOWN_COMMAND: Sense = Sense(0x05, 0x20, 0x00);
     /// Invalid field in the command block.
     pub const INVALID_FIELD: Sense = Sense(0x05, 0x24, 0x00);
     /// Logical block address out of range.
--- a/tests/withdrawn_words.rs
+++ b/tests/withdrawn_words.rs
@@ -1,6 +1,6 @@
 //! Keeps words of an earlier house style out of the packages that are whole: no identifier may hold one of them, and each
-//! of these packages warns of missing documentation, which the linter in CI makes an error. docs/glossary.md has the terms
-//! that stand in their place; docs/ROADMAP.md lists the packages that are left.
+//! of these packages warns of missing documentation and of unreachable public items, which the linter in CI makes errors.
+//! docs/glossary.md has the terms that stand in their place; docs/ROADMAP.md lists the packages that are left.
 
 use std::path::{Path, PathBuf};
 
@@ -33,6 +33,9 @@
     "crates/workload",
 ];
 
+/// Whole folders that do not warn of unreachable public items yet.
+const REACHABILITY_NOT_CHECKED: [&str; 1] = ["src"];
+
 /// Parts of identifiers that are withdrawn.
 const WITHDRAWN: [&str; 56] = [
     "xfer",
@@ -220,6 +223,20 @@
     }
 }
 
+/// A package that was narrowed gets a public item that nothing outside it can reach, which hides that the item is unused.
+#[test]
+fn whole_packages_warn_of_unreachable_public_items() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    for folder in WHOLE.iter().filter(|folder| !REACHABILITY_NOT_CHECKED.contains(folder)) {
+        let text = std::fs::read_to_string(root.join(folder).join("src/lib.rs")).unwrap();
+        let mut warnings = text.lines().filter(|line| line.starts_with("#![warn("));
+        assert!(
+            warnings.any(|line| line.contains("unreachable_pub")),
+            "{folder}/src/lib.rs does not warn of unreachable public items"
+        );
+    }
+}
+
 /// The check itself must see identifiers and nothing else.
 #[test]
 fn the_check_finds_a_withdrawn_term_and_passes_over_texts_and_comments() {
