--- a/crates/wire/src/consensus/decode.rs
+++ b/crates/wire/src/consensus/decode.rs
@@ -2,7 +2,7 @@
 
 use super::{kind, DiskIdentity, Entry, EntryPayload, LogPosition, Message, Voters};
 use super::{MAX_ENTRIES, MAX_ENTRY, MAX_STATE, MAX_VOTERS};
-use crate::reader::Fields;
+use crate::reader::{check_len, Fields};
 use crate::WireError;
 use bytes::Bytes;
 
@@ -15,26 +15,16 @@
     Ok(DiskIdentity { disk, boot, generation: fields.u64("life")? })
 }
 
-fn flag(fields: &mut Fields, field: &'static str) -> Result<bool, WireError> {
-    match fields.u8(field)? {
-        0 => Ok(false),
-        1 => Ok(true),
-        other => Err(WireError::Value { field, found: u64::from(other), expected: "0 or 1" }),
-    }
-}
-
 fn voters(fields: &mut Fields) -> Result<Voters, WireError> {
     let count = fields.u8("voters")?;
     if usize::from(count) > MAX_VOTERS {
-        let found = u64::from(count);
-        return Err(WireError::Value { field: "voters", found, expected: "at most 7" });
+        return Err(WireError::unexpected("voters", count, "at most 7"));
     }
     let mut voters = Voters::new();
     for _ in 0..count {
         let (host, disk) = (fields.u32("voter")?, fields.u64("disk")?);
         if voters.insert(host, disk).is_some() {
-            let expected = "a host named once";
-            return Err(WireError::Value { field: "voter", found: u64::from(host), expected });
+            return Err(WireError::unexpected("voter", host, "a host named once"));
         }
     }
     Ok(voters)
@@ -42,9 +32,7 @@
 
 fn bytes_up_to(fields: &mut Fields, field: &'static str, max: usize) -> Result<Bytes, WireError> {
     let length = fields.u32(field)? as usize;
-    if length > max {
-        return Err(WireError::TooLong { field, found: length as u64, max: max as u64 });
-    }
+    check_len(field, length, max)?;
     fields.bytes(field, length)
 }
 
@@ -56,8 +44,7 @@
         kind::ENTRY_COMMAND => EntryPayload::Command(bytes_up_to(fields, "entry", MAX_ENTRY)?),
         kind::ENTRY_VOTERS => EntryPayload::Voters(voters(fields)?),
         other => {
-            let expected = "0 nothing, 1 data or 2 voters";
-            return Err(WireError::Value { field: "entry kind", found: u64::from(other), expected });
+            return Err(WireError::unexpected("entry kind", other, "0 nothing, 1 data or 2 voters"));
         }
     };
     Ok(Entry { term, payload })
@@ -66,15 +53,14 @@
 fn entries(fields: &mut Fields) -> Result<Vec<Entry>, WireError> {
     let count = fields.u16("entries")?;
     if usize::from(count) > MAX_ENTRIES {
-        let found = u64::from(count);
-        return Err(WireError::Value { field: "entries", found, expected: "at most 256" });
+        return Err(WireError::unexpected("entries", count, "at most 256"));
     }
     (0..count).map(|_| decode_entry(fields)).collect()
 }
 
 fn request_vote(fields: &mut Fields) -> Result<Message, WireError> {
     Ok(Message::RequestVote {
-        pre_vote: flag(fields, "pre")?,
+        pre_vote: fields.flag("pre")?,
         term: fields.u64("term")?,
         last_log: position(fields)?,
         identity: identity(fields)?,
@@ -83,9 +69,9 @@
 
 fn request_vote_response(fields: &mut Fields) -> Result<Message, WireError> {
     Ok(Message::RequestVoteResponse {
-        pre_vote: flag(fields, "pre")?,
+        pre_vote: fields.flag("pre")?,
         term: fields.u64("term")?,
-        granted: flag(fields, "granted")?,
+        granted: fields.flag("granted")?,
         identity: identity(fields)?,
     })
 }
@@ -105,7 +91,7 @@
     Ok(Message::AppendEntriesResponse {
         term: fields.u64("term")?,
         round: fields.u64("round")?,
-        success: flag(fields, "matches")?,
+        success: fields.flag("matches")?,
         index: fields.u64("index")?,
         identity: identity(fields)?,
     })
@@ -169,8 +155,8 @@
 fn bootstrap(fields: &mut Fields) -> Result<Message, WireError> {
     Ok(Message::Bootstrap {
         identity: identity(fields)?,
-        confirmed: flag(fields, "sealed")?,
-        bootstrapped: flag(fields, "founded")?,
+        confirmed: fields.flag("sealed")?,
+        bootstrapped: fields.flag("founded")?,
         disks: voters(fields)?,
     })
 }
@@ -195,10 +181,7 @@
             kind::COMMITTED_SNAPSHOT => committed_snapshot(fields)?,
             kind::BOOTSTRAP => bootstrap(fields)?,
             kind::STALE_DISK => Message::StaleDisk { identity: identity(fields)? },
-            other => {
-                let expected = "a word from 1 to 14";
-                return Err(WireError::Value { field: "word", found: u64::from(other), expected });
-            }
+            other => return Err(WireError::unexpected("word", other, "a word from 1 to 14")),
         };
         fields.end("word")?;
         Ok(message)
--- a/crates/wire/src/iscsi/stream.rs
+++ b/crates/wire/src/iscsi/stream.rs
@@ -1,6 +1,7 @@
 //! Units in a byte stream: their padding and digests.
 
 use super::{Pdu, BHS};
+use crate::reader::check_len;
 use crate::WireError;
 use bytes::{Buf, BufMut, BytesMut};
 
@@ -90,10 +91,7 @@
 
     fn lengths(&self, head: &[u8; BHS]) -> Result<Lengths, WireError> {
         let data = usize::from(head[5]) << 16 | usize::from(head[6]) << 8 | usize::from(head[7]);
-        if data > self.max_data {
-            let (found, max) = (data as u64, self.max_data as u64);
-            return Err(WireError::TooLong { field: "data segment length", found, max });
-        }
+        check_len("data segment length", data, self.max_data)?;
         Ok(Lengths {
             headers: BHS + usize::from(head[4]) * 4,
             header_digest: if self.digests.header { DIGEST_LEN } else { 0 },
--- a/crates/wire/src/iscsi/text_keys.rs
+++ b/crates/wire/src/iscsi/text_keys.rs
@@ -23,10 +23,7 @@
         Some((name, value)) if !name.is_empty() => {
             Ok(TextKey { name: name.to_owned(), value: value.to_owned() })
         }
-        _ => {
-            let found = pair.len() as u64;
-            Err(WireError::Value { field: "text key", found, expected: "key=value" })
-        }
+        _ => Err(WireError::unexpected("text key", pair.len() as u64, "key=value")),
     }
 }
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -68,3 +68,14 @@
         field: &'static str,
     },
 }
+
+impl WireError {
+    /// An error about a value that the protocol does not have there.
+    pub(crate) fn unexpected(
+        field: &'static str,
+        found: impl Into<u64>,
+        expected: &'static str,
+    ) -> WireError {
+        WireError::Value { field, found: found.into(), expected }
+    }
+}
--- a/crates/wire/src/list.rs
+++ b/crates/wire/src/list.rs
@@ -158,10 +158,7 @@
                 entries: entries(&mut fields)?,
             },
             kind::FAILED => Frame::Failed,
-            other => {
-                let (field, found) = ("kind", u64::from(other));
-                return Err(WireError::Value { field, found, expected: "a frame kind from 1 to 7" });
-            }
+            other => return Err(WireError::unexpected("kind", other, "a frame kind from 1 to 7")),
         };
         fields.end("frame")?;
         Ok(found)
@@ -203,8 +200,7 @@
                 1 => State::Draining,
                 2 => State::Gone,
                 other => {
-                    let (field, found) = ("state", u64::from(other));
-                    return Err(WireError::Value { field, found, expected: "0 ready, 1 draining or 2 gone" });
+                    return Err(WireError::unexpected("state", other, "0 ready, 1 draining or 2 gone"));
                 }
             },
             zone: fields.u32("zone")?,
--- a/crates/wire/src/nbd.rs
+++ b/crates/wire/src/nbd.rs
@@ -24,7 +24,7 @@
 pub use server_units::{ServerUnit, ServerUnits};
 pub use transmission::{Reply, Request};
 
-use crate::reader::Fields;
+use crate::reader::{check_len, Fields};
 use crate::WireError;
 use bytes::{Bytes, BytesMut};
 
@@ -62,15 +62,9 @@
     Transmission,
 }
 
-fn unexpected(field: &'static str, found: impl Into<u64>, expected: &'static str) -> WireError {
-    WireError::Value { field, found: found.into(), expected }
-}
-
 fn bounded(field: &'static str, found: u32, max: u32) -> Result<usize, WireError> {
-    match found <= max {
-        true => Ok(found as usize),
-        false => Err(WireError::TooLong { field, found: u64::from(found), max: u64::from(max) }),
-    }
+    check_len(field, found as usize, max as usize)?;
+    Ok(found as usize)
 }
 
 /// The fields of the first `length` bytes of a stream, if all of them have been received.
--- a/crates/wire/src/nbd/client_units.rs
+++ b/crates/wire/src/nbd/client_units.rs
@@ -1,6 +1,6 @@
 //! Cuts a client's stream into units.
 
-use super::{bounded, command, flag, peek, unexpected, Request, Stage, IHAVEOPT, MAX_OPTION, REQUEST};
+use super::{bounded, command, flag, peek, Request, Stage, IHAVEOPT, MAX_OPTION, REQUEST};
 use crate::WireError;
 use bytes::{Buf, Bytes, BytesMut};
 
@@ -72,7 +72,7 @@
         let Some(mut header) = peek(&self.received, OPTION_HEADER_LEN) else { return Ok(None) };
         let magic = header.u64("option magic")?;
         if magic != IHAVEOPT {
-            return Err(unexpected("option magic", magic, "IHAVEOPT"));
+            return Err(WireError::unexpected("option magic", magic, "IHAVEOPT"));
         }
         let (option, length) = (header.u32("option")?, header.u32("option length")?);
         let length = bounded("option length", length, MAX_OPTION)?;
@@ -87,7 +87,7 @@
         let Some(mut header) = peek(&self.received, REQUEST_HEADER_LEN) else { return Ok(None) };
         let magic = header.u32("request magic")?;
         if magic != REQUEST {
-            return Err(unexpected("request magic", magic, "0x25609513"));
+            return Err(WireError::unexpected("request magic", magic, "0x25609513"));
         }
         let (flags, kind) = (header.u16("flags")?, header.u16("command")?);
         let (cookie, offset) = (header.u64("cookie")?, header.u64("offset")?);
--- a/crates/wire/src/nbd/server_units.rs
+++ b/crates/wire/src/nbd/server_units.rs
@@ -1,8 +1,7 @@
 //! Cuts a server's stream into units.
 
 use super::{
-    bounded, peek, unexpected, Reply, Stage, IHAVEOPT, MAGIC, MAX_OPTION, OPTION_REPLY, SIMPLE_REPLY,
-    STRUCTURED_REPLY,
+    bounded, peek, Reply, Stage, IHAVEOPT, MAGIC, MAX_OPTION, OPTION_REPLY, SIMPLE_REPLY, STRUCTURED_REPLY,
 };
 use crate::WireError;
 use bytes::{Buf, Bytes, BytesMut};
@@ -74,7 +73,7 @@
         for (field, magic) in [("greeting", MAGIC), ("second greeting", IHAVEOPT)] {
             let found = header.u64(field)?;
             if found != magic {
-                return Err(unexpected(field, found, "a server of the fixed newstyle handshake"));
+                return Err(WireError::unexpected(field, found, "a server of the fixed newstyle handshake"));
             }
         }
         self.received.advance(GREETING_LEN);
@@ -85,7 +84,7 @@
         let Some(mut header) = peek(&self.received, OPTION_REPLY_HEADER_LEN) else { return Ok(None) };
         let magic = header.u64("reply magic")?;
         if magic != OPTION_REPLY {
-            return Err(unexpected("reply magic", magic, "0x3e889045565a9"));
+            return Err(WireError::unexpected("reply magic", magic, "0x3e889045565a9"));
         }
         let (option, kind) = (header.u32("option")?, header.u32("reply")?);
         let length = bounded("reply length", header.u32("reply length")?, MAX_OPTION)?;
@@ -102,7 +101,7 @@
         match header.u32("reply magic")? {
             SIMPLE_REPLY => self.next_simple_reply(expects),
             STRUCTURED_REPLY => self.next_chunk(),
-            other => Err(unexpected("reply magic", other, "a simple or a structured reply")),
+            other => Err(WireError::unexpected("reply magic", other, "a simple or a structured reply")),
         }
     }
 
--- a/crates/wire/src/node.rs
+++ b/crates/wire/src/node.rs
@@ -170,11 +170,7 @@
 pub fn negotiate_version(theirs: u16) -> Result<u16, WireError> {
     match theirs.min(VERSION) {
         v if v >= OLDEST => Ok(v),
-        _ => Err(WireError::Value {
-            field: "version",
-            found: u64::from(theirs),
-            expected: "version 1 or later",
-        }),
+        _ => Err(WireError::unexpected("version", theirs, "version 1 or later")),
     }
 }
 
--- a/crates/wire/src/node/decode.rs
+++ b/crates/wire/src/node/decode.rs
@@ -28,7 +28,7 @@
             kind::CANCEL => Frame::Cancel { attempt: fields.u64("attempt")? },
             kind::PING => Frame::Ping { number: fields.u64("number")? },
             kind::PONG => Frame::Pong { number: fields.u64("number")? },
-            other => return Err(unknown("kind", other, "a frame kind from 1 to 7")),
+            other => return Err(WireError::unexpected("kind", other, "a frame kind from 1 to 7")),
         };
         fields.end("frame")?;
         Ok(found)
@@ -60,7 +60,7 @@
     match fields.u8("work")? {
         0 => Ok(Work::Read { length: fields.u32("length")? }),
         1 => Ok(Work::Write { data: data(fields)? }),
-        other => Err(unknown("work", other, "0 (read) or 1 (write)")),
+        other => Err(WireError::unexpected("work", other, "0 (read) or 1 (write)")),
     }
 }
 
@@ -80,7 +80,7 @@
         1 => Ok(NodeOutcome::Error),
         2 => Ok(NodeOutcome::Full),
         3 => Ok(NodeOutcome::NotHere),
-        other => Err(unknown("outcome", other, "0 to 3")),
+        other => Err(WireError::unexpected("outcome", other, "0 to 3")),
     }
 }
 
@@ -88,7 +88,3 @@
     let length = fields.u32("data length")? as usize;
     fields.bytes("data", length)
 }
-
-fn unknown(field: &'static str, found: u8, expected: &'static str) -> WireError {
-    WireError::Value { field, found: u64::from(found), expected }
-}
--- a/crates/wire/src/peer/decode.rs
+++ b/crates/wire/src/peer/decode.rs
@@ -1,7 +1,7 @@
 //! Bytes to datagrams. Each length and each kind is checked.
 
 use super::*;
-use crate::reader::Fields;
+use crate::reader::{check_len, Fields};
 use crate::WireError;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
@@ -12,11 +12,11 @@
         let mut fields = Fields(bytes);
         let magic = fields.u16("magic")?;
         if magic != MAGIC {
-            return Err(WireError::Value { field: "magic", found: u64::from(magic), expected: "0x746d" });
+            return Err(WireError::unexpected("magic", magic, "0x746d"));
         }
         let version = fields.u8("version")?;
         if version != VERSION {
-            return Err(unexpected("version", version, "2"));
+            return Err(WireError::unexpected("version", version, "2"));
         }
         let fleet = fields.text("fleet")?;
         check_len("fleet", fleet.len(), MAX_FLEET_LEN)?;
@@ -24,7 +24,7 @@
         let body = read_body(&mut fields)?;
         let count = fields.u8("updates")?;
         if usize::from(count) > MAX_UPDATES {
-            return Err(unexpected("updates", count, "at most 28"));
+            return Err(WireError::unexpected("updates", count, "at most 28"));
         }
         let updates = (0..count).map(|_| read_update(&mut fields)).collect::<Result<_, _>>()?;
         fields.end("datagram")?;
@@ -125,7 +125,7 @@
         kind::NODE_REMOVALS => {
             let count = fields.u8("nodes")?;
             if usize::from(count) > MAX_REMOVALS {
-                return Err(unexpected("nodes", count, "at most 18"));
+                return Err(WireError::unexpected("nodes", count, "at most 18"));
             }
             let removals = (0..count).map(|_| read_removal(fields)).collect::<Result<_, _>>()?;
             NodeListMessage::Removals { version, removals }
@@ -137,7 +137,7 @@
 fn read_overrides(fields: &mut Fields) -> Result<Vec<OverrideRecord>, WireError> {
     let count = fields.u8("overrides")?;
     if usize::from(count) > MAX_OVERRIDES {
-        return Err(unexpected("overrides", count, "at most 2"));
+        return Err(WireError::unexpected("overrides", count, "at most 2"));
     }
     (0..count).map(|_| read_override(fields)).collect()
 }
@@ -150,11 +150,11 @@
         0 => OverrideKind::Out,
         1 => OverrideKind::Pinned,
         2 => OverrideKind::Weight(weight),
-        other => return Err(unexpected("override kind", other, "0 out, 1 pinned or 2 weight")),
+        other => return Err(WireError::unexpected("override kind", other, "0 out, 1 pinned or 2 weight")),
     };
     let (target, reason, who) = (fields.text("target")?, fields.text("reason")?, fields.text("who")?);
     let (remaining_ms, total_ms) = (fields.u64("time left")?, fields.u64("whole time")?);
-    let cleared = read_flag(fields, "cleared")?;
+    let cleared = fields.flag("cleared")?;
     Ok(OverrideRecord {
         slot,
         generation,
@@ -177,7 +177,7 @@
         1 => Health::Suspect,
         2 => Health::Dead,
         3 => Health::Left,
-        other => return Err(unexpected("health", other, "0 alive, 1 suspect, 2 dead or 3 left")),
+        other => return Err(WireError::unexpected("health", other, "0 alive, 1 suspect, 2 dead or 3 left")),
     };
     let address = read_address(fields)?;
     let site = Some(fields.u32("site")?).filter(|site| *site != NONE);
@@ -191,7 +191,7 @@
 fn read_removal(fields: &mut Fields) -> Result<NodeRemoval, WireError> {
     let address = fields.text("node")?;
     check_len("node", address.len(), MAX_TARGET_LEN)?;
-    Ok(NodeRemoval { address, gone: read_flag(fields, "gone")? })
+    Ok(NodeRemoval { address, gone: fields.flag("gone")? })
 }
 
 fn read_address(fields: &mut Fields) -> Result<SocketAddr, WireError> {
@@ -201,7 +201,7 @@
             let (high, low) = (fields.u64("address")?, fields.u64("address")?);
             IpAddr::V6(Ipv6Addr::from(u128::from(high) << 64 | u128::from(low)))
         }
-        other => return Err(unexpected("address kind", other, "4 or 6")),
+        other => return Err(WireError::unexpected("address kind", other, "4 or 6")),
     };
     Ok(SocketAddr::new(ip, fields.u16("port")?))
 }
@@ -216,39 +216,18 @@
 fn read_share(fields: &mut Fields) -> Result<f32, WireError> {
     let share = fields.amount("share")?;
     if share > 1.0 {
-        let found = u64::from(share.to_bits());
-        return Err(WireError::Value { field: "share", found, expected: "an f32 up to 1" });
+        return Err(WireError::unexpected("share", share.to_bits(), "an f32 up to 1"));
     }
     Ok(share)
 }
 
-fn read_flag(fields: &mut Fields, field: &'static str) -> Result<bool, WireError> {
-    match fields.u8(field)? {
-        0 => Ok(false),
-        1 => Ok(true),
-        other => Err(unexpected(field, other, "0 or 1")),
-    }
-}
-
 fn check_position(piece: u16, pieces: u16) -> Result<(), WireError> {
     if piece < pieces {
         return Ok(());
     }
-    let expected = "a number below that of pieces";
-    Err(WireError::Value { field: "piece", found: u64::from(piece), expected })
-}
-
-fn check_len(field: &'static str, len: usize, max_len: usize) -> Result<(), WireError> {
-    if len <= max_len {
-        return Ok(());
-    }
-    Err(WireError::TooLong { field, found: len as u64, max: max_len as u64 })
-}
-
-fn unexpected(field: &'static str, found: u8, expected: &'static str) -> WireError {
-    WireError::Value { field, found: u64::from(found), expected }
+    Err(WireError::unexpected("piece", piece, "a number below that of pieces"))
 }
 
 fn unknown_kind(kind: u8) -> WireError {
-    unexpected("kind", kind, "a kind from 1 to 22")
+    WireError::unexpected("kind", kind, "a kind from 1 to 22")
 }
--- a/crates/wire/src/reader.rs
+++ b/crates/wire/src/reader.rs
@@ -35,9 +35,15 @@
         let value = f32::from_bits(bits);
         match value.is_finite() && value >= 0.0 {
             true => Ok(value),
-            false => {
-                Err(WireError::Value { field, found: u64::from(bits), expected: "a finite f32 of 0 or more" })
-            }
+            false => Err(WireError::unexpected(field, bits, "a finite f32 of 0 or more")),
+        }
+    }
+    /// A byte that is 0 or 1.
+    pub(crate) fn flag(&mut self, field: &'static str) -> Result<bool, WireError> {
+        match self.u8(field)? {
+            0 => Ok(false),
+            1 => Ok(true),
+            other => Err(WireError::unexpected(field, other, "0 or 1")),
         }
     }
     /// The next bytes, so many.
@@ -53,13 +59,19 @@
     pub fn end(&self, field: &'static str) -> Result<(), WireError> {
         match self.0.len() {
             0 => Ok(()),
-            left => {
-                Err(WireError::Value { field, found: left as u64, expected: "no bytes after the last field" })
-            }
+            left => Err(WireError::unexpected(field, left as u64, "no bytes after the last field")),
         }
     }
 }
 
+/// Checks a length against its bound; `field` is what an error calls it.
+pub(crate) fn check_len(field: &'static str, length: usize, max: usize) -> Result<(), WireError> {
+    if length <= max {
+        return Ok(());
+    }
+    Err(WireError::TooLong { field, found: length as u64, max: max as u64 })
+}
+
 /// Cuts a stream into frames that begin with their length: four bytes, big-endian, not counting themselves.
 pub struct Frames {
     received: BytesMut,
@@ -86,10 +98,7 @@
     pub(crate) fn next_frame(&mut self) -> Result<Option<Bytes>, WireError> {
         let Some(head) = self.received.first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_be_bytes(*head) as usize;
-        if length > self.max {
-            let (found, max) = (length as u64, self.max as u64);
-            return Err(WireError::TooLong { field: "frame length", found, max });
-        }
+        check_len("frame length", length, self.max)?;
         if self.received.len() < 4 + length {
             return Ok(None);
         }
