--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -6,6 +6,7 @@
 use serde::de::DeserializeOwned;
 use std::fmt::Display;
 use std::ops::Range;
+use std::path::Path;
 
 /// A parsed document of blocks, each with at most one label.
 pub struct Document {
@@ -14,6 +15,16 @@
     body: Body,
 }
 
+/// The text of a file; `expected` is what an error says the file should be.
+pub fn read_text(path: &Path, expected: &str) -> Result<String, ConfigError> {
+    std::fs::read_to_string(path).map_err(|error| ConfigError {
+        file: path.display().to_string(),
+        line: 0,
+        place: "file".to_owned(),
+        problem: format!("{error}; expected {expected}"),
+    })
+}
+
 /// Where a value stands.
 #[derive(Clone, Debug)]
 pub struct Place<'a> {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -13,8 +13,7 @@
 
 mod blocks;
 mod checks;
-/// An HCL document.
-pub mod document;
+mod document;
 mod error;
 mod settings;
 
@@ -22,6 +21,6 @@
     Bounds, ConsensusBlock, Identity, LargeReads, Load, MembershipBlock, OverridesBlock, Plan, PlansBlock,
     RetryBudget, SlowStartBlock, TrafficClass, Units, Volume,
 };
-pub use document::{Document, Place};
+pub use document::{read_text, Document, LabelledBlock, Place};
 pub use error::ConfigError;
 pub use settings::HostSettings;
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -5,7 +5,7 @@
     SlowStartBlock, TrafficClass, Units, Volume, VolumeContext,
 };
 use crate::checks::BlockChecks;
-use crate::{ConfigError, Document};
+use crate::{read_text, ConfigError, Document};
 use std::path::Path;
 
 /// The kinds of blocks that a file of settings may have.
@@ -59,14 +59,8 @@
 impl HostSettings {
     /// Reads a file of settings.
     pub fn read(path: &Path) -> Result<HostSettings, ConfigError> {
-        let file = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|error| ConfigError {
-            file: file.clone(),
-            line: 0,
-            place: "file".to_owned(),
-            problem: format!("{error}; expected a file of settings"),
-        })?;
-        HostSettings::parse(&file, &text)
+        let text = read_text(path, "a file of settings")?;
+        HostSettings::parse(&path.display().to_string(), &text)
     }
 
     /// Parses and checks a text; `file` is what errors call it. Where several values are wrong, the error is about the
--- a/crates/scenario/src/script/invalid_value.rs
+++ b/crates/scenario/src/script/invalid_value.rs
@@ -1,7 +1,6 @@
 //! A value of a script that can't be used.
 
-use tackmast_config::document::Place;
-use tackmast_config::{ConfigError, Document};
+use tackmast_config::{ConfigError, Document, Place};
 
 /// A value that a script gives to a key, and what is expected there.
 #[derive(Debug)]
--- a/crates/scenario/src/script/read.rs
+++ b/crates/scenario/src/script/read.rs
@@ -10,7 +10,7 @@
 use super::{names_node_of, Script};
 use serde::Deserialize;
 use std::path::Path;
-use tackmast_config::{ConfigError, Document, HostSettings};
+use tackmast_config::{read_text, ConfigError, Document, HostSettings};
 
 /// Blocks of a script that go into the settings of each host.
 const HOST_BLOCKS: [&str; 10] = [
@@ -81,12 +81,7 @@
     /// Reads a script; `hosts` replaces its number of hosts.
     pub fn read_sized(path: &Path, hosts: Option<u32>) -> Result<Script, ConfigError> {
         let file = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|error| ConfigError {
-            file: file.clone(),
-            line: 0,
-            place: "file".into(),
-            problem: format!("{error}; expected the script of a day"),
-        })?;
+        let text = read_text(path, "the script of a day")?;
         let document = Document::parse(&file, &text)?;
         let scenario: ScenarioBlock = document.block("day")?;
         match scenario.base {
--- a/crates/workload/src/workload.rs
+++ b/crates/workload/src/workload.rs
@@ -3,7 +3,7 @@
 use crate::{Arrivals, Flow};
 use serde::Deserialize;
 use std::path::Path;
-use tackmast_config::{ConfigError, Document, Place};
+use tackmast_config::{read_text, ConfigError, Document, Place};
 
 /// Seconds that a workload, and each time in it, may have at most.
 const MAX_SECONDS: f64 = 86_400.0;
@@ -38,14 +38,8 @@
 impl Workload {
     /// Reads a file.
     pub fn read(path: &Path) -> Result<Workload, ConfigError> {
-        let file = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|error| ConfigError {
-            file: file.clone(),
-            line: 0,
-            place: "file".into(),
-            problem: format!("{error}; expected the file of a load"),
-        })?;
-        Workload::parse(&file, &text)
+        let text = read_text(path, "the file of a load")?;
+        Workload::parse(&path.display().to_string(), &text)
     }
 
     /// Checks a text; an error names the place, what was found and what was expected.
