--- a/crates/benchmarks/src/simulator_comparison/loopback.rs
+++ b/crates/benchmarks/src/simulator_comparison/loopback.rs
@@ -1,7 +1,7 @@
 //! The workload through real hosts, sockets and emulated nodes.
 
 use super::{new_histogram, with_latencies, FlowFigures};
-use crate::testbed::{list_entry, loopback};
+use crate::testbed::loopback;
 use crate::BenchmarkError;
 use crossbeam_channel::{Receiver, Sender};
 use hdrhistogram::Histogram;
@@ -67,7 +67,7 @@
 pub(super) fn play(world: &World, workload: &Workload) -> Result<Vec<FlowFigures>, BenchmarkError> {
     let nodes = start_nodes(world)?;
     let list = NodeList::start(loopback(), Recorder::off()).map_err(BenchmarkError::NodeList)?;
-    list.put(nodes.iter().map(|node| list_entry(node, node.shard() % ZONE_COUNT)));
+    list.put(nodes.iter().map(Node::list_entry));
     let hosts = start_hosts(world, list.address)?;
     std::thread::sleep(SETTLE_TIME);
     let clients: Vec<HostClients> = hosts.iter().map(HostClients::open).collect::<Result<_, _>>()?;
@@ -98,8 +98,6 @@
     let idempotency_keys = Arc::new(IdempotencyKeys::default());
     let start = |shard: u32| {
         Node::start(NodeSettings {
-            address: loopback(),
-            shard,
             zone: shard % ZONE_COUNT,
             behavior: NodeBehavior {
                 unit_s: world.unit_s,
@@ -108,15 +106,9 @@
                 ..NodeBehavior::default()
             },
             seed: u64::from(shard),
-            max_data: 1 << 20,
-            report_every: Duration::from_millis(100),
             idempotency_keys: idempotency_keys.clone(),
             window_s: 2.0,
-            has_just_started: false,
-            store: Arc::default(),
-            receive_bytes: 0,
-            advertised_address: None,
-            recorder: Recorder::off(),
+            ..NodeSettings::on_loopback(shard, Recorder::off())
         })
     };
     (0..world.nodes).map(start).collect::<Result<_, _>>().map_err(BenchmarkError::Node)
--- a/crates/benchmarks/src/testbed.rs
+++ b/crates/benchmarks/src/testbed.rs
@@ -11,7 +11,6 @@
 use tackmast_emulators::model::NodeBehavior;
 use tackmast_emulators::node::{IdempotencyKeys, Node, NodeSettings};
 use tackmast_trace::Recorder;
-use tackmast_wire::list::{Entry, State};
 
 /// How long the host gets to connect to its nodes.
 const SETTLE_TIME: Duration = Duration::from_millis(300);
@@ -99,7 +98,7 @@
             (0..node_count).map(|shard| start_idle_node(shard, keys.clone())).collect();
         let nodes = nodes.map_err(BenchmarkError::Node)?;
         let list = NodeList::start(loopback(), Recorder::off()).map_err(BenchmarkError::NodeList)?;
-        list.put(nodes.iter().map(|node| list_entry(node, 0)));
+        list.put(nodes.iter().map(Node::list_entry));
         let file = folder.join("host.hcl");
         let file_error = |path: &Path| {
             let path = path.to_owned();
@@ -151,34 +150,13 @@
 /// A node whose work costs nothing.
 fn start_idle_node(shard: usize, idempotency_keys: Arc<IdempotencyKeys>) -> std::io::Result<Node> {
     Node::start(NodeSettings {
-        address: loopback(),
-        shard: shard as u32,
-        zone: 0,
         behavior: NodeBehavior { unit_s: 0.0, queue: 100_000, ..NodeBehavior::default() },
-        seed: 1,
-        max_data: 1 << 20,
-        report_every: Duration::from_millis(100),
         idempotency_keys,
         window_s: 1.0,
-        has_just_started: false,
-        store: Arc::default(),
-        receive_bytes: 0,
-        advertised_address: None,
-        recorder: Recorder::off(),
+        ..NodeSettings::on_loopback(shard as u32, Recorder::off())
     })
 }
 
-/// A node that is ready, as the list has it.
-pub(crate) fn list_entry(node: &Node, zone: u32) -> Entry {
-    Entry {
-        address: node.address().to_string(),
-        state: State::Ready,
-        zone,
-        shard: node.shard(),
-        started_us: 0,
-    }
-}
-
 /// Reads a line of the host's output that has its address.
 fn read_address(
     output: &mut BufReader<ChildStdout>,
--- a/crates/client/tests/common/mod.rs
+++ b/crates/client/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A host between emulated nodes and recording proxies, for tests of the libraries.
 #![allow(dead_code)] // each test file uses its own part
 
-use std::net::SocketAddr;
+use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tackmast_client::{Options, Protocol};
@@ -12,7 +12,6 @@
 use tackmast_emulators::recording_proxy;
 use tackmast_host::Host;
 use tackmast_trace::{EffectKind, Event, Facts, Recorder, TrafficClassFacts};
-use tackmast_wire::list::{Entry, State};
 
 /// How long a test waits for what must happen soon.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(5);
@@ -27,10 +26,6 @@
     pub cutter: recording_proxy::Cutter,
 }
 
-fn loopback() -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 0))
-}
-
 impl TestGateway {
     /// Starts it; the host knows both nodes when this returns.
     pub fn start() -> TestGateway {
@@ -39,32 +34,16 @@
         let idempotency_keys = Arc::new(IdempotencyKeys::default());
         let node = |shard| {
             Node::start(NodeSettings {
-                address: loopback(),
-                shard,
-                zone: 0,
                 behavior: NodeBehavior { unit_s: 0.0005, cores: 2, ..NodeBehavior::default() },
-                seed: 1,
-                max_data: 1 << 20,
                 report_every: Duration::from_millis(50),
                 idempotency_keys: idempotency_keys.clone(),
-                window_s: 5.0,
-                has_just_started: false,
-                store: Arc::default(),
-                receive_bytes: 0,
-                advertised_address: None,
-                recorder: recorder.clone(),
+                ..NodeSettings::on_loopback(shard, recorder.clone())
             })
             .unwrap()
         };
         let nodes: Vec<Node> = (0..2).map(node).collect();
-        let list = NodeList::start(loopback(), recorder.clone()).unwrap();
-        list.put(nodes.iter().map(|n| Entry {
-            address: n.address().to_string(),
-            state: State::Ready,
-            zone: 0,
-            shard: n.shard(),
-            started_us: 0,
-        }));
+        let list = NodeList::start(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), recorder.clone()).unwrap();
+        list.put(nodes.iter().map(Node::list_entry));
         let text = format!(
             r#"
             host {{
--- a/crates/emulators/src/http.rs
+++ b/crates/emulators/src/http.rs
@@ -12,15 +12,9 @@
 pub use node::{HttpNode, NodeFault, ReceivedRequest};
 pub use reserved_port::ReservedPort;
 
-use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 /// Bytes read from a socket at once.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 /// How long a thread waits for bytes, or for a change, before it looks at its other conditions again.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(2);
-
-/// The value of a mutex, also after a test thread has panicked with it: the emulators go on until they are dropped.
-fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
--- a/crates/emulators/src/http/endpoint_list.rs
+++ b/crates/emulators/src/http/endpoint_list.rs
@@ -1,7 +1,8 @@
 //! The emulator of the endpoint list.
 
 use super::acceptor::{Acceptor, Connection};
-use super::{locked, RECHECK_INTERVAL};
+use super::RECHECK_INTERVAL;
+use crate::threads::lock;
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -119,46 +120,46 @@
 
     /// Adds a member without a new version, as if it had been there from the start.
     pub fn add_initial(&self, member: ListMember) {
-        locked(&self.state.members).insert(member);
+        lock(&self.state.members).insert(member);
     }
 
     /// Adds or changes a member, in a new version.
     pub fn update(&self, member: ListMember) {
-        let mut members = locked(&self.state.members);
+        let mut members = lock(&self.state.members);
         members.version += 1;
         members.insert(member);
     }
 
     /// Applies a fault to all polls from now on.
     pub fn set_fault(&self, fault: EndpointListFault) {
-        *locked(&self.state.fault) = fault;
+        *lock(&self.state.fault) = fault;
     }
 
     /// The version of the last change.
     pub fn version(&self) -> u64 {
-        locked(&self.state.members).version
+        lock(&self.state.members).version
     }
 
     /// The polls that the list has received, in order.
     pub fn polls(&self) -> Vec<Poll> {
-        locked(&self.state.members).polls.clone()
+        lock(&self.state.members).polls.clone()
     }
 
     /// The complete list, as a host's configuration holds it.
     pub fn to_json(&self) -> String {
-        locked(&self.state.members).to_json(None)
+        lock(&self.state.members).to_json(None)
     }
 }
 
 impl ListState {
     fn fault(&self) -> EndpointListFault {
-        *locked(&self.fault)
+        *lock(&self.fault)
     }
 
     fn serve(&self, mut connection: Connection) -> std::io::Result<()> {
         while let Some(request) = connection.next_request(IDLE_TIMEOUT) {
             let target = request.target;
-            locked(&self.members).polls.push(Poll { at: Instant::now(), target: target.clone() });
+            lock(&self.members).polls.push(Poll { at: Instant::now(), target: target.clone() });
             let after = query_number(&target, "after");
             let wait = Duration::from_millis(query_number(&target, "wait_ms").unwrap_or(0));
             if let Some(after) = after {
@@ -166,7 +167,7 @@
             }
             let body = match self.fault() {
                 EndpointListFault::Healthy | EndpointListFault::AnswersAtOnce => {
-                    locked(&self.members).to_json(after)
+                    lock(&self.members).to_json(after)
                 }
                 EndpointListFault::Garbage => "{\"revision\":".to_owned(),
                 EndpointListFault::Unavailable => {
@@ -189,7 +190,7 @@
     /// Waits until the list has a later version than this, for at most `max_wait`.
     fn wait_for_change(&self, connection: &Connection, version: u64, max_wait: Duration) {
         let until = Instant::now() + max_wait;
-        while locked(&self.members).version <= version && Instant::now() < until {
+        while lock(&self.members).version <= version && Instant::now() < until {
             if connection.is_stopped() || self.fault() != EndpointListFault::Healthy {
                 return;
             }
--- a/crates/emulators/src/http/node.rs
+++ b/crates/emulators/src/http/node.rs
@@ -1,7 +1,7 @@
 //! The emulator of a node.
 
 use super::acceptor::{Acceptor, Connection};
-use super::locked;
+use crate::threads::lock;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -140,22 +140,22 @@
 
     /// Applies a fault to this many requests from now on; then the node is healthy again.
     pub fn set_fault(&self, fault: NodeFault, requests: usize) {
-        *locked(&self.state.fault) = ActiveFault { fault, remaining: requests };
+        *lock(&self.state.fault) = ActiveFault { fault, remaining: requests };
     }
 
     /// Delays each answer from now on.
     pub fn set_delay(&self, delay: Duration) {
-        *locked(&self.state.delay) = delay;
+        *lock(&self.state.delay) = delay;
     }
 
     /// Closes connections that are idle for this long, from now on.
     pub fn set_idle_timeout(&self, timeout: Duration) {
-        *locked(&self.state.idle_timeout) = timeout;
+        *lock(&self.state.idle_timeout) = timeout;
     }
 
     /// The requests that the node has received, in order.
     pub fn received_requests(&self) -> Vec<ReceivedRequest> {
-        locked(&self.state.received).clone()
+        lock(&self.state.received).clone()
     }
 
     /// Connections that the node has accepted since its start.
@@ -178,17 +178,17 @@
 impl NodeState {
     fn serve(&self, mut connection: Connection) -> std::io::Result<()> {
         let number = self.accepted_connections.fetch_add(1, Ordering::SeqCst);
-        if locked(&self.fault).fault == NodeFault::ResetOnAccept {
+        if lock(&self.fault).fault == NodeFault::ResetOnAccept {
             connection.reset_on_close();
             return Ok(());
         }
         loop {
-            let idle_timeout = *locked(&self.idle_timeout);
+            let idle_timeout = *lock(&self.idle_timeout);
             let Some(request) = connection.next_request(idle_timeout) else { return Ok(()) };
-            let fault = locked(&self.fault).take();
+            let fault = lock(&self.fault).take();
             let body = answer_body(&request);
             self.remember(request, number);
-            std::thread::sleep(*locked(&self.delay));
+            std::thread::sleep(*lock(&self.delay));
             if let AfterAnswer::Close = answer(&mut connection, fault, &body)? {
                 return Ok(());
             }
@@ -196,7 +196,7 @@
     }
 
     fn remember(&self, request: Request, connection: usize) {
-        let mut received = locked(&self.received);
+        let mut received = lock(&self.received);
         if received.len() < MAX_RECEIVED_REQUESTS {
             received.push(ReceivedRequest { request, at: Instant::now(), connection });
         }
--- a/crates/emulators/src/node.rs
+++ b/crates/emulators/src/node.rs
@@ -30,6 +30,7 @@
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
+use tackmast_wire::list::{Entry, State};
 
 /// A running node, until `stop` is called.
 #[derive(Clone)]
@@ -76,6 +77,17 @@
         self.0.settings.zone
     }
 
+    /// The node's entry in the endpoint list, where it is ready.
+    pub fn list_entry(&self) -> Entry {
+        Entry {
+            address: self.address().to_string(),
+            state: State::Ready,
+            zone: self.zone(),
+            shard: self.shard(),
+            started_us: self.started_us(),
+        }
+    }
+
     /// Injects a fault.
     pub fn set(&self, fault: &Fault) {
         self.0.set(fault);
--- a/crates/emulators/src/node/settings.rs
+++ b/crates/emulators/src/node/settings.rs
@@ -3,11 +3,18 @@
 use super::IdempotencyKeys;
 use crate::model::NodeBehavior;
 use crate::store::Store;
-use std::net::SocketAddr;
+use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tackmast_trace::Recorder;
 
+/// Bytes of one attempt at most, where a test or measurement names no bound.
+const DEFAULT_MAX_DATA: usize = 1 << 20;
+/// How often the load report is renewed there.
+const DEFAULT_REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Seconds for which a key is known there.
+const DEFAULT_WINDOW_S: f64 = 5.0;
+
 /// What a node is started with.
 #[derive(Clone)]
 pub struct NodeSettings {
@@ -40,3 +47,25 @@
     /// Where events are recorded.
     pub recorder: Recorder,
 }
+
+impl NodeSettings {
+    /// A node on any port of loopback that has been up for long and shares neither keys nor bytes with other nodes.
+    pub fn on_loopback(shard: u32, recorder: Recorder) -> NodeSettings {
+        NodeSettings {
+            address: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
+            shard,
+            zone: 0,
+            behavior: NodeBehavior::default(),
+            seed: 1,
+            max_data: DEFAULT_MAX_DATA,
+            report_every: DEFAULT_REPORT_INTERVAL,
+            idempotency_keys: Arc::default(),
+            window_s: DEFAULT_WINDOW_S,
+            has_just_started: false,
+            store: Arc::default(),
+            receive_bytes: 0,
+            advertised_address: None,
+            recorder,
+        }
+    }
+}
--- a/crates/emulators/src/node/tests.rs
+++ b/crates/emulators/src/node/tests.rs
@@ -1,7 +1,6 @@
 //! A node on its own socket.
 
 use super::*;
-use crate::model::NodeBehavior;
 use std::io::Write;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -17,20 +16,9 @@
 fn delayed_attempt_has_less_time_left() {
     let recorder = Recorder::default();
     let node = Node::start(NodeSettings {
-        address: SocketAddr::from(([127, 0, 0, 1], 0)),
-        shard: 0,
-        zone: 0,
-        behavior: NodeBehavior::default(),
-        seed: 1,
         max_data: 1 << 16,
         report_every: Duration::from_secs(1),
-        idempotency_keys: Arc::default(),
-        window_s: 5.0,
-        has_just_started: false,
-        store: Arc::default(),
-        receive_bytes: 0,
-        advertised_address: None,
-        recorder: recorder.clone(),
+        ..NodeSettings::on_loopback(0, recorder.clone())
     })
     .unwrap();
     let mut link = TcpStream::connect(node.address()).unwrap();
--- a/crates/scenario/src/node_fleet.rs
+++ b/crates/scenario/src/node_fleet.rs
@@ -12,7 +12,7 @@
 use tackmast_emulators::node::{Fault, IdempotencyKeys, Node, NodeSettings};
 use tackmast_emulators::store::Store;
 use tackmast_trace::Recorder;
-use tackmast_wire::list::{Entry, State};
+use tackmast_wire::list::State;
 
 /// Seeds of nodes begin at this multiple of the scenario's seed.
 const SEED_FACTOR: u64 = 1000;
@@ -167,18 +167,7 @@
         old.stop();
         list.set_state(&old.address().to_string(), State::Gone);
         self.start_node(full_name, block, shard, true, network)?;
-        list.put(self.node(full_name).map(list_entry));
+        list.put(self.node(full_name).map(Node::list_entry));
         Ok(())
     }
 }
-
-/// The node's entry in the endpoint list.
-pub(crate) fn list_entry(node: &Node) -> Entry {
-    Entry {
-        address: node.address().to_string(),
-        state: State::Ready,
-        zone: node.zone(),
-        shard: node.shard(),
-        started_us: node.started_us(),
-    }
-}
--- a/crates/scenario/src/runner/start.rs
+++ b/crates/scenario/src/runner/start.rs
@@ -5,7 +5,7 @@
 use crate::consensus_watcher::ConsensusWatcher;
 use crate::facts::facts;
 use crate::host_process::{ClockSettings, HostProcess, LaunchSettings, ProcessSettings};
-use crate::node_fleet::{list_entry, NodeFleet};
+use crate::node_fleet::NodeFleet;
 use crate::operators::Operators;
 use crate::script::{admin_socket, Script};
 use crate::traffic::{SharedSettings, Traffic};
@@ -97,7 +97,7 @@
 fn start_list(script: &Script, nodes: &NodeFleet, recorder: &Recorder) -> Result<NodeList, ScenarioError> {
     let list = NodeList::start(ANY_LOOPBACK_PORT, recorder.clone()).map_err(ScenarioError::EndpointList)?;
     list.set(&ListFault::Late(script.list_delay_s));
-    list.put(nodes.by_name.values().map(|node| list_entry(&node.node)));
+    list.put(nodes.by_name.values().map(|node| node.node.list_entry()));
     std::thread::sleep(Duration::from_secs_f64(script.list_delay_s));
     Ok(list)
 }
