--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
 //! Codecs: bytes to values and back, without I/O. Every length that a peer names is checked against a bound
 //! before anything is allocated, and no input panics.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 /// The consensus protocol between hosts.
 pub mod consensus;
@@ -68,3 +68,14 @@
         field: &'static str,
     },
 }
+
+impl WireError {
+    /// An error about a value that the protocol does not have there.
+    pub(crate) fn unexpected(
+        field: &'static str,
+        found: impl Into<u64>,
+        expected: &'static str,
+    ) -> WireError {
+        WireError::Value { field, found: found.into(), expected }
+    }
+}
