--- a/crates/client/tests/common/mod.rs
+++ b/crates/client/tests/common/mod.rs
@@ -16,6 +16,67 @@
 /// How long a test waits for what must happen soon.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 
+/// Settings of one host over shards 0 and 1.
+fn host_settings(list: SocketAddr) -> HostSettings {
+    let text = format!(
+        r#"
+        host {{
+          number = 0
+          hosts = 1
+          listen = "127.0.0.1:0"
+          listen_nbd = "127.0.0.1:0"
+          node_list = "{list}"
+          seed = 7
+        }}
+        bounds {{
+          window = 16
+        }}
+        units {{
+          bytes = 4096
+          most = 8
+          mean = 2
+        }}
+        plan "basic" {{}}
+        stream "read" {{
+          slo_ms = 300
+          expiry_ms = 1000
+          effect = "repeatable"
+        }}
+        stream "write" {{
+          slo_ms = 300
+          expiry_ms = 1000
+          effect = "repeatable"
+        }}
+        stream "log" {{
+          slo_ms = 300
+          expiry_ms = 1000
+          effect = "unrepeatable"
+        }}
+        volume "museum" {{
+          lun = 0
+          plan = "basic"
+          blocks = 16384
+          extent_blocks = 64
+          shards = [0, 1]
+          hosts = 1
+          reads = "read"
+          writes = "write"
+        }}
+        volume "listening" {{
+          lun = 1
+          plan = "basic"
+          blocks = 16384
+          extent_blocks = 64
+          shards = [0, 1]
+          hosts = 1
+          reads = "read"
+          writes = "log"
+        }}
+        "#
+    );
+    HostSettings::parse("test", &text).unwrap()
+}
+
 /// A host with two nodes and their list, whose traffic is recorded.
 pub struct TestGateway {
     pub recorder: Recorder,
@@ -44,64 +105,7 @@
         let nodes: Vec<Node> = (0..2).map(node).collect();
         let list = NodeList::start(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), recorder.clone()).unwrap();
         list.put(nodes.iter().map(Node::list_entry));
-        let text = format!(
-            r#"
-            host {{
-              number = 0
-              hosts = 1
-              listen = "127.0.0.1:0"
-              listen_nbd = "127.0.0.1:0"
-              node_list = "{}"
-              seed = 7
-            }}
-            bounds {{
-              window = 16
-            }}
-            units {{
-              bytes = 4096
-              most = 8
-              mean = 2
-            }}
-            plan "basic" {{}}
-            stream "read" {{
-              slo_ms = 300
-              expiry_ms = 1000
-              effect = "repeatable"
-            }}
-            stream "write" {{
-              slo_ms = 300
-              expiry_ms = 1000
-              effect = "repeatable"
-            }}
-            stream "log" {{
-              slo_ms = 300
-              expiry_ms = 1000
-              effect = "unrepeatable"
-            }}
-            volume "museum" {{
-              lun = 0
-              plan = "basic"
-              blocks = 16384
-              extent_blocks = 64
-              shards = [0, 1]
-              hosts = 1
-              reads = "read"
-              writes = "write"
-            }}
-            volume "listening" {{
-              lun = 1
-              plan = "basic"
-              blocks = 16384
-              extent_blocks = 64
-              shards = [0, 1]
-              hosts = 1
-              reads = "read"
-              writes = "log"
-            }}
-            "#,
-            list.address
-        );
-        let host = Host::start(HostSettings::parse("test", &text).unwrap()).unwrap();
+        let host = Host::start(host_settings(list.address)).unwrap();
         let give_up_at = Instant::now() + TEST_TIMEOUT;
         while host.status().is_none_or(|s| s.nodes.len() < 2) {
             assert!(Instant::now() < give_up_at, "no node list");
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -96,27 +96,10 @@
     pub fn read(env: &Map<String, Value>) -> Result<Self, FieldError> {
         let part = |name: &str| env.get(name).and_then(Value::as_object).cloned().unwrap_or_default();
         let (domain, rules, limits) = (part("domain"), part("guarantees"), part("limits"));
-        let list = |name: &str| env.get(name).and_then(Value::as_array).into_iter().flatten().enumerate();
-        let writes = domain.get("class_writes").and_then(Value::as_array).cloned().unwrap_or_default();
-        let writes = |index: usize| writes.get(index).and_then(Value::as_bool);
-        let traffic_classes = list("request_classes")
-            .map(|(index, class)| {
-                let path = format!("request_classes[{index}]");
-                traffic_class(class, writes(index)).map_err(|error| error.within(&path))
-            })
-            .collect::<Result<_, _>>()?;
-        let plans = list("grades")
-            .map(|(index, value)| plan(value).map_err(|error| error.within(&format!("grades[{index}]"))))
-            .collect::<Result<_, _>>()?;
+        let traffic_classes = traffic_classes(env, &domain)?;
+        let plans = plans(env)?;
+        let retry_budget = retry_budget(&rules)?;
         let sends_retry_after = limits.get("retry_after").and_then(Value::as_bool).unwrap_or(false);
-        let retry_budget = match rules.contains_key("look_back") {
-            true => {
-                let (free, share) =
-                    (number_or(&rules, "extra_floor", 0.0)?, number_or(&rules, "further_ratio", 0.0)?);
-                Some(RetryBudget { free, share, window: time_delta(&rules, "look_back")? })
-            }
-            false => None,
-        };
         Ok(Settings {
             hosts: number_or(env, "balancers", 1.0)? as u32,
             me: number_or(env, "me", 0.0)? as u32,
@@ -187,6 +170,42 @@
     }
 }
 
+/// The values of an array with their positions; none where there is no array.
+fn entries<'a>(env: &'a Map<String, Value>, name: &str) -> impl Iterator<Item = (usize, &'a Value)> {
+    env.get(name).and_then(Value::as_array).into_iter().flatten().enumerate()
+}
+
+fn traffic_classes(
+    env: &Map<String, Value>,
+    domain: &Map<String, Value>,
+) -> Result<Vec<TrafficClass>, FieldError> {
+    let writes = domain.get("class_writes").and_then(Value::as_array);
+    let writes = |index: usize| writes.and_then(|writes| writes.get(index)).and_then(Value::as_bool);
+    entries(env, "request_classes")
+        .map(|(index, class)| {
+            let path = format!("request_classes[{index}]");
+            traffic_class(class, writes(index)).map_err(|error| error.within(&path))
+        })
+        .collect()
+}
+
+fn plans(env: &Map<String, Value>) -> Result<Vec<Plan>, FieldError> {
+    entries(env, "grades")
+        .map(|(index, value)| plan(value).map_err(|error| error.within(&format!("grades[{index}]"))))
+        .collect()
+}
+
+fn retry_budget(rules: &Map<String, Value>) -> Result<Option<RetryBudget>, FieldError> {
+    if !rules.contains_key("look_back") {
+        return Ok(None);
+    }
+    Ok(Some(RetryBudget {
+        free: number_or(rules, "extra_floor", 0.0)?,
+        share: number_or(rules, "further_ratio", 0.0)?,
+        window: time_delta(rules, "look_back")?,
+    }))
+}
+
 fn slow_start(
     domain: &Map<String, Value>,
     rules: &Map<String, Value>,
