--- a/crates/cli/src/admin_calls.rs
+++ b/crates/cli/src/admin_calls.rs
@@ -1,10 +1,14 @@
 //! Calls over the admin sockets of one host or many.
 
-use std::path::PathBuf;
+mod error;
+
+pub use error::AdminCallError;
+
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 use tackmast_admin::{Answer, Call};
-use tackmast_host_core::AdminResponse;
+use tackmast_host_core::{AdminRequest, AdminResponse};
 
 /// How long a host may take to answer a call.
 pub const ADMIN_TIMEOUT: Duration = Duration::from_secs(15);
@@ -12,16 +16,32 @@
 /// The hosts that are called.
 #[derive(clap::Args)]
 pub struct Hosts {
-    /// Admin socket of a host; given several times, each is called in turn.
+    /// Admin socket of a host; if given several times, the hosts are called one after the other.
     #[arg(long = "host", value_name = "SOCKET", required = true)]
     pub hosts: Vec<PathBuf>,
-    /// Prints the answers as JSON, a line a host.
+    /// Prints the answers as JSON, one line for each host.
     #[arg(long)]
     pub json: bool,
 }
 
-/// Calls every host, also after one has failed, and prints each answer. The exit code says whether all did as requested.
-pub fn call_each(hosts: &Hosts, call: &Call, print: impl Fn(&Answer)) -> Result<ExitCode, String> {
+/// Sends a request to one host and returns its response. `expected` says in errors what the command waits for.
+pub fn request(
+    host: &Path,
+    request: AdminRequest,
+    expected: &'static str,
+) -> Result<AdminResponse, AdminCallError> {
+    match tackmast_admin::call(host, &Call::AdminRequest(request), ADMIN_TIMEOUT)? {
+        Answer::AdminResponse(response) => match *response {
+            AdminResponse::NotKept { why } => Err(AdminCallError::NotPersisted { why }),
+            response => Ok(response),
+        },
+        Answer::Error(error) => Err(AdminCallError::Host(error)),
+        Answer::Audit(lines) => Err(AdminCallError::unexpected(host, &lines, expected)),
+    }
+}
+
+/// Calls every host, even after one has failed, and prints each answer. The exit code says whether all did as requested.
+pub fn call_each(hosts: &Hosts, call: &Call, print: impl Fn(&Answer)) -> Result<ExitCode, AdminCallError> {
     let mut all_done = true;
     for socket in &hosts.hosts {
         if hosts.hosts.len() > 1 && !hosts.json {
@@ -37,7 +57,7 @@
         };
         all_done &= is_done(&answer);
         if hosts.json {
-            println!("{}", serde_json::to_string(&answer).map_err(|error| error.to_string())?);
+            println!("{}", serde_json::to_string(&answer)?);
         } else if !print_failure(&answer) {
             print(&answer);
         }
@@ -62,7 +82,9 @@
         Answer::Error(error) => eprintln!("tackmast: {error}"),
         Answer::AdminResponse(response) => match &**response {
             AdminResponse::Refused(refusal) => eprintln!("tackmast: refused: {refusal}"),
-            AdminResponse::NotKept { why } => eprintln!("tackmast: not kept, so it does not hold: {why}"),
+            AdminResponse::NotKept { why } => {
+                eprintln!("tackmast: not persisted, so the change does not apply: {why}")
+            }
             _ => return false,
         },
         Answer::Audit(_) => return false,
--- a/crates/cli/src/consensus.rs
+++ b/crates/cli/src/consensus.rs
@@ -1,40 +1,49 @@
-//! `tackmast consensus`: who votes, who leads, and how each host stands to what is agreed on.
+//! `tackmast consensus`: the consensus group as its hosts see it, and changes of its voters.
 
 #[cfg(test)]
 mod tests;
 
-use crate::admin_calls::{Hosts, ADMIN_TIMEOUT};
+use crate::admin_calls::{self, AdminCallError, Hosts};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use tackmast_admin::{Answer, Call};
 use tackmast_host_core::{AdminRequest, AdminResponse, ConsensusRequest, ConsensusResponse, ConsensusStatus};
 
+/// The state of a lease that is valid, as hosts report it.
+const LEASE_VALID: &str = "holds";
+/// The state of a lease that has expired, as hosts report it.
+const LEASE_EXPIRED: &str = "past";
+
 /// Arguments of `tackmast consensus`.
 #[derive(clap::Subcommand)]
 pub enum ConsensusCommand {
-    /// Shows leader, term, voters, versions by host, and who is past its lease and in what posture.
+    /// Shows leader, term, voters, what each host has, and which hosts are without a lease and in degraded mode.
     Status {
+        /// The hosts that are called.
         #[command(flatten)]
         hosts: Hosts,
     },
-    /// Changes who votes, one host at a time; asked of the host that leads.
+    /// Changes the voters, one host at a time, at the leader.
     #[command(subcommand)]
     Voter(VoterCommand),
-    /// Most voters are gone for good: this host goes on alone from what it has, as a log of its own. What only the others had
-    /// is lost. Refused while a leader is heard. Other hosts keep to their floors until they `forget`.
-    Force(ByForce),
-    /// This host forgets its log and follows the one that others have; it votes no more until it is made a voter.
-    Forget(ByForce),
+    /// Starts a new log at this host alone, when a majority of the voters is lost for good.
+    ///
+    /// What only the lost voters had is lost. Refused while the host receives heartbeats of a leader. The other hosts keep
+    /// their fallback limits until they `forget`.
+    Force(ForcedChange),
+    /// Makes this host forget its log and follow that of its peers. It does not vote until it is added as a voter.
+    Forget(ForcedChange),
 }
 
-/// Which host is changed by force, by whom and why.
+/// The host whose log is replaced, by whom and why.
 #[derive(clap::Args)]
-pub struct ByForce {
+pub struct ForcedChange {
+    /// Admin socket of the host.
     #[arg(long = "host", value_name = "SOCKET")]
     host: PathBuf,
-    /// Who does it, and why; both stay in the audit trail.
+    /// Who makes the change, for the audit log.
     #[arg(long, env = "USER")]
     who: String,
+    /// Why, for the audit log.
     #[arg(long)]
     why: String,
 }
@@ -42,131 +51,157 @@
 /// Arguments of `tackmast consensus voter`.
 #[derive(clap::Subcommand)]
 pub enum VoterCommand {
-    /// A host that runs and follows votes from now on, with the disk that it has.
+    /// Makes a running follower a voter, with the disk that it has.
     Add {
+        /// Number of the host that becomes a voter.
         number: u32,
+        /// Admin socket of the leader.
         #[arg(long = "host", value_name = "SOCKET")]
         host: PathBuf,
     },
-    /// A host votes no more; it goes on following. The way to replace a lost disk is to remove its host and add it again.
+    /// Makes a voter a follower without a vote.
+    ///
+    /// To replace a lost disk, remove its host and add it again.
     Remove {
+        /// Number of the host that is no longer a voter.
         number: u32,
+        /// Admin socket of the leader.
         #[arg(long = "host", value_name = "SOCKET")]
         host: PathBuf,
     },
 }
 
-fn call(host: &Path, request: ConsensusRequest) -> Result<ConsensusResponse, String> {
-    match tackmast_admin::call(host, &Call::AdminRequest(AdminRequest::Consensus(request)), ADMIN_TIMEOUT)
-        .map_err(|error| error.to_string())?
-    {
-        Answer::AdminResponse(response) => match *response {
-            AdminResponse::Consensus(response) => Ok(response),
-            AdminResponse::NotKept { why } => Err(why),
-            other => Err(format!("host {}: {other:?}; expected word of the agreement", host.display())),
-        },
-        Answer::Error(error) => Err(error),
-        Answer::Audit(_) => Err(format!("host {}: an audit; expected word of the agreement", host.display())),
+fn call(host: &Path, request: ConsensusRequest) -> Result<ConsensusResponse, AdminCallError> {
+    const EXPECTED: &str = "an answer about consensus";
+    match admin_calls::request(host, AdminRequest::Consensus(request), EXPECTED)? {
+        AdminResponse::Consensus(response) => Ok(response),
+        other => Err(AdminCallError::unexpected(host, &other, EXPECTED)),
     }
 }
 
 /// The status of one host.
 fn status_text(status: &ConsensusStatus) -> String {
-    let leader =
-        status.leader.map_or("no leader is known".to_owned(), |leader| format!("host {leader} leads"));
-    let place = match (status.bootstrapped, status.votes, status.failed) {
-        (_, _, true) => "its disk takes no writes: it neither votes nor leads",
-        (false, _, _) => "nothing is agreed on yet: it waits for all who begin",
-        (_, true, _) => "votes",
-        (_, false, _) => "does not vote",
-    };
-    let lease = match status.lease.as_str() {
-        "holds" => format!("lease for {:.2} s more", status.lease_s),
-        "past" => format!("past its lease for {:.2} s", status.lease_s),
-        _ => "never had a lease in this life".to_owned(),
-    };
-    let limits = if status.degraded { "; goes by the floors" } else { "" };
     let voters: Vec<String> = status.voters.iter().map(u32::to_string).collect();
+    let voters = if voters.is_empty() { "none".to_owned() } else { voters.join(", ") };
+    let degraded = if status.degraded { "; degraded mode: fallback limits" } else { "" };
     let mut text = format!(
-        "host {}: {}, term {} of log {:x}; {leader}; voters {}; {place}\n    plans version {}, all have {}; {lease}{limits}; {} entries, {} agreed on, {} folded; in force in {:.1} s\n",
+        "host {}: {}, term {} of log {:x}; {}; voters {voters}; {}\n",
         status.host,
         status.role,
         status.term,
         status.log,
-        if voters.is_empty() { "none".into() } else { voters.join(", ") },
+        leader_text(status),
+        vote_text(status)
+    );
+    text += &format!(
+        "    plans version {}, acknowledged by all {}; {}{degraded}; {} log entries, {} committed, {} compacted; in force in {:.1} s\n",
         status.version,
         status.acknowledged,
+        lease_text(status),
         status.last,
         status.commit,
         status.snapshot_index,
         status.in_force_s.max(0.0)
     );
-    let behind = status.has.iter().filter(|(_, (has, _))| *has < status.commit);
-    let behind: Vec<String> =
-        behind.map(|(host, (has, ago))| format!("{host} has {has}, said {ago:.1} s ago")).collect();
-    if !behind.is_empty() {
-        text += &format!("    behind: {}\n", behind.join("; "));
+    text + &lagging_text(status)
+}
+
+fn leader_text(status: &ConsensusStatus) -> String {
+    status.leader.map_or("no known leader".to_owned(), |leader| format!("leader is host {leader}"))
+}
+
+/// Whether the host votes, and why not.
+fn vote_text(status: &ConsensusStatus) -> &'static str {
+    match (status.bootstrapped, status.votes, status.failed) {
+        (_, _, true) => "its disk rejects writes: neither votes nor leads",
+        (false, _, _) => "nothing is agreed on yet: it waits for all who begin",
+        (_, true, _) => "votes",
+        (_, false, _) => "does not vote",
+    }
+}
+
+fn lease_text(status: &ConsensusStatus) -> String {
+    match status.lease.as_str() {
+        LEASE_VALID => format!("lease valid for {:.2} s", status.lease_s),
+        LEASE_EXPIRED => format!("lease expired {:.2} s ago", status.lease_s),
+        _ => "no lease since its start".to_owned(),
+    }
+}
+
+/// A line with the hosts that do not have all committed entries; empty where there are none.
+fn lagging_text(status: &ConsensusStatus) -> String {
+    let lagging = status.has.iter().filter(|(_, (index, _))| *index < status.commit);
+    let lagging: Vec<String> =
+        lagging.map(|(host, (index, age_s))| format!("host {host} at {index}, {age_s:.1} s ago")).collect();
+    if lagging.is_empty() {
+        return String::new();
     }
-    text
+    format!("    behind: {}\n", lagging.join("; "))
 }
 
 /// Prints the answer to a change.
-fn print_response(response: ConsensusResponse) -> Result<ExitCode, String> {
+fn print_response(response: ConsensusResponse) -> Result<ExitCode, AdminCallError> {
     match response {
         ConsensusResponse::Taken { index } => {
-            println!("entry {index}: it holds once most voters have it, which `status` shows");
-            Ok(ExitCode::SUCCESS)
+            println!("entry {index}: in force once it is committed, which `status` shows");
         }
         ConsensusResponse::Done { log: 0 } => {
-            println!("forgotten: it follows what others have, once it hears of it");
-            Ok(ExitCode::SUCCESS)
+            println!("log forgotten: the host follows the log of its peers once it receives it");
         }
         ConsensusResponse::Done { log } => {
-            println!("it goes on alone, as log {log:x}: now `forget` at each other host, then `voter add`");
-            Ok(ExitCode::SUCCESS)
-        }
-        ConsensusResponse::Refused { why } => Err(format!("refused: {why}")),
-        ConsensusResponse::Status(status) => {
-            print!("{}", status_text(&status));
-            Ok(ExitCode::SUCCESS)
+            println!(
+                "the host continues alone, as log {log:x}: now `forget` at each other host, then `voter add`"
+            );
         }
+        ConsensusResponse::Refused { why } => return Err(AdminCallError::Refused { why }),
+        ConsensusResponse::Status(status) => print!("{}", status_text(&status)),
     }
+    Ok(ExitCode::SUCCESS)
 }
 
 /// Calls the hosts, and prints their answers.
-pub fn run(command: ConsensusCommand) -> Result<ExitCode, String> {
-    match command {
-        ConsensusCommand::Status { hosts } => {
-            let mut all_hold = true;
-            for host in &hosts.hosts {
-                match call(host, ConsensusRequest::Status) {
-                    Ok(ConsensusResponse::Status(status)) if hosts.json => {
-                        println!("{}", serde_json::to_string(&*status).map_err(|error| error.to_string())?)
-                    }
-                    Ok(ConsensusResponse::Status(status)) => {
-                        all_hold &= status.lease == "holds";
-                        print!("{}", status_text(&status));
-                    }
-                    Ok(ConsensusResponse::Refused { why }) | Err(why) => {
-                        all_hold = false;
-                        eprintln!("{}: {why}", host.display());
-                    }
-                    Ok(other) => return Err(format!("{}: {other:?}; expected a status", host.display())),
-                }
-            }
-            Ok(ExitCode::from(u8::from(!all_hold)))
-        }
-        ConsensusCommand::Force(ByForce { host, who, why }) => {
-            print_response(call(&host, ConsensusRequest::Force { who, why })?)
+pub fn run(command: ConsensusCommand) -> Result<ExitCode, AdminCallError> {
+    let (host, request) = match command {
+        ConsensusCommand::Status { hosts } => return print_statuses(&hosts),
+        ConsensusCommand::Force(ForcedChange { host, who, why }) => {
+            (host, ConsensusRequest::Force { who, why })
         }
-        ConsensusCommand::Forget(ByForce { host, who, why }) => {
-            print_response(call(&host, ConsensusRequest::Forget { who, why })?)
+        ConsensusCommand::Forget(ForcedChange { host, who, why }) => {
+            (host, ConsensusRequest::Forget { who, why })
         }
         ConsensusCommand::Voter(VoterCommand::Add { number, host }) => {
-            print_response(call(&host, ConsensusRequest::Voter { host: number, votes: true })?)
+            (host, ConsensusRequest::Voter { host: number, votes: true })
         }
         ConsensusCommand::Voter(VoterCommand::Remove { number, host }) => {
-            print_response(call(&host, ConsensusRequest::Voter { host: number, votes: false })?)
+            (host, ConsensusRequest::Voter { host: number, votes: false })
+        }
+    };
+    print_response(call(&host, request)?)
+}
+
+/// Prints the status of each host. The exit code says whether all were read and have a valid lease.
+fn print_statuses(hosts: &Hosts) -> Result<ExitCode, AdminCallError> {
+    let mut all_valid = true;
+    for host in &hosts.hosts {
+        let response = match call(host, ConsensusRequest::Status) {
+            Ok(ConsensusResponse::Refused { why }) => Err(why),
+            Ok(response) => Ok(response),
+            Err(error) => Err(error.to_string()),
+        };
+        match response {
+            Ok(ConsensusResponse::Status(status)) if hosts.json => {
+                println!("{}", serde_json::to_string(&*status)?);
+            }
+            Ok(ConsensusResponse::Status(status)) => {
+                all_valid &= status.lease == LEASE_VALID;
+                print!("{}", status_text(&status));
+            }
+            Ok(other) => return Err(AdminCallError::unexpected(host, &other, "a status")),
+            Err(why) => {
+                all_valid = false;
+                eprintln!("{}: {why}", host.display());
+            }
         }
     }
+    Ok(ExitCode::from(u8::from(!all_valid)))
 }
--- a/crates/cli/src/consensus/tests.rs
+++ b/crates/cli/src/consensus/tests.rs
@@ -20,12 +20,12 @@
     };
     let text = status_text(&status);
     assert!(
-        text.contains("voters 0, 1, 3; votes") && text.contains("behind: 2 has 4, said 2.5 s ago"),
+        text.contains("voters 0, 1, 3; votes") && text.contains("behind: host 2 at 4, 2.5 s ago"),
         "{text}"
     );
     let past = ConsensusStatus { lease: "past".into(), degraded: true, votes: false, ..status };
     assert!(
-        status_text(&past).contains("past its lease for 0.00 s; goes by the floors"),
+        status_text(&past).contains("lease expired 0.00 s ago; degraded mode: fallback limits"),
         "{}",
         status_text(&past)
     );
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -1,11 +1,11 @@
-//! `tackmast members`: the view of one host, of many beside each other, and how it changes.
+//! `tackmast members`: the membership view of one host, the views of several hosts side by side, and how a view changes.
 
 mod comparison;
 mod one_host;
 #[cfg(test)]
 mod tests;
 
-use crate::admin_calls::{call_each, Hosts, ADMIN_TIMEOUT};
+use crate::admin_calls::{self, call_each, AdminCallError, Hosts};
 use crate::time_format::timestamp;
 use comparison::Comparison;
 use std::path::Path;
@@ -14,7 +14,7 @@
 use tackmast_admin::{Answer, Call};
 use tackmast_host_core::{AdminRequest, AdminResponse, MembersStatus};
 
-/// How often the hosts are asked at most.
+/// Shortest time between two calls to the same host.
 const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Arguments of `tackmast members`.
@@ -22,24 +22,24 @@
 pub struct MembersArguments {
     #[command(flatten)]
     hosts: Hosts,
-    /// All the hosts named beside each other: what each thinks of each where they differ, and whether the view has settled.
+    /// Compares the views of all hosts that are named: where they differ, and whether they have converged.
     #[arg(long)]
     all: bool,
-    /// Looks again every so often, such as 1s, and tells what has changed; ends with the process.
+    /// Calls the hosts again at this interval, such as 1s, and prints what has changed, until the process ends.
     #[arg(long, value_name = "TIME")]
     watch: Option<humantime::Duration>,
 }
 
 /// What one host has answered.
 struct HostAnswer {
-    /// Path of its admin socket.
+    /// Path of the host's admin socket.
     socket: String,
-    /// Its view, or why there is none.
-    view: Result<MembersStatus, String>,
+    /// The host's view, or why it could not be read.
+    view: Result<MembersStatus, AdminCallError>,
 }
 
 /// Prints what the arguments ask for.
-pub fn run(arguments: &MembersArguments) -> Result<ExitCode, String> {
+pub fn run(arguments: &MembersArguments) -> Result<ExitCode, AdminCallError> {
     match (arguments.all, arguments.watch) {
         (false, None) => call_each(&arguments.hosts, &Call::AdminRequest(AdminRequest::Members), print),
         (_, Some(interval)) => watch(&arguments.hosts, interval.into()),
@@ -48,7 +48,7 @@
             let comparison = Comparison::new(&answers);
             print!("{}", comparison.text());
             let all_answered = answers.iter().all(|answer| answer.view.is_ok());
-            Ok(ExitCode::from(u8::from(!(all_answered && comparison.is_settled()))))
+            Ok(ExitCode::from(u8::from(!(all_answered && comparison.is_converged()))))
         }
     }
 }
@@ -68,20 +68,16 @@
     hosts.hosts.iter().map(ask).collect()
 }
 
-fn ask_view(socket: &Path) -> Result<MembersStatus, String> {
-    let call = Call::AdminRequest(AdminRequest::Members);
-    match tackmast_admin::call(socket, &call, ADMIN_TIMEOUT) {
-        Ok(Answer::AdminResponse(response)) => match *response {
-            AdminResponse::Members(view) => Ok(*view),
-            other => Err(format!("{other:?}; expected what it knows of members")),
-        },
-        Ok(other) => Err(format!("{other:?}")),
-        Err(error) => Err(error.to_string()),
+fn ask_view(socket: &Path) -> Result<MembersStatus, AdminCallError> {
+    const EXPECTED: &str = "a membership view";
+    match admin_calls::request(socket, AdminRequest::Members, EXPECTED)? {
+        AdminResponse::Members(view) => Ok(*view),
+        other => Err(AdminCallError::unexpected(socket, &other, EXPECTED)),
     }
 }
 
 /// Prints the view whenever it has changed.
-fn watch(hosts: &Hosts, interval: Duration) -> Result<ExitCode, String> {
+fn watch(hosts: &Hosts, interval: Duration) -> ! {
     let mut before = String::new();
     loop {
         let now = watched_text(&ask_all(hosts));
@@ -95,14 +91,14 @@
     }
 }
 
-/// What is watched of the answers; figures that change all the time are left out.
+/// The part of the answers that is watched, without figures that change all the time.
 fn watched_text(answers: &[HostAnswer]) -> String {
     if let [HostAnswer { socket, view }] = answers {
         return view.as_ref().map_or_else(|error| format!("{socket}: {error}\n"), one_host::watched_text);
     }
     let comparison = Comparison::new(answers);
-    let settled = if comparison.is_settled() { "settled\n" } else { "" };
+    let converged = if comparison.is_converged() { "converged\n" } else { "" };
     let text = comparison.text();
-    let lines = text.lines().filter(|line| !line.starts_with("settled"));
-    lines.fold(settled.to_owned(), |text, line| text + line + "\n")
+    let lines = text.lines().filter(|line| !line.starts_with("converged"));
+    lines.fold(converged.to_owned(), |text, line| text + line + "\n")
 }
--- a/crates/cli/src/members/comparison.rs
+++ b/crates/cli/src/members/comparison.rs
@@ -1,4 +1,4 @@
-//! The views of many hosts beside each other.
+//! The views of several hosts side by side, and where they differ.
 
 use super::one_host::site_name;
 use super::HostAnswer;
@@ -7,22 +7,22 @@
 use std::fmt::Write;
 use tackmast_host_core::MembersStatus;
 
-/// Hosts up to which a matrix has a row each; beyond, what differs is summed up.
+/// Largest number of hosts for which a matrix is printed; the differences among more hosts are summed up.
 const MAX_MATRIX_ROWS: usize = 24;
-/// Lines of differences that are printed.
+/// Largest number of lines of differences that are printed.
 const MAX_LINES: usize = 20;
-/// Characters of a column of the matrix.
+/// Width of a column of the matrix, in characters.
 const COLUMN_WIDTH: usize = 5;
 
-/// What hosts think of one host, and which hosts think so.
+/// The opinions about one host, each with the hosts that hold it.
 type Opinions = BTreeMap<String, Vec<u32>>;
 
-/// The views of many hosts beside each other.
+/// The views of several hosts side by side.
 pub(super) struct Comparison<'a> {
     answers: &'a [HostAnswer],
     /// The views of the hosts that have answered.
     views: Vec<&'a MembersStatus>,
-    /// The hosts of whom the others think differently.
+    /// The hosts about which the others differ.
     differences: BTreeMap<u32, Opinions>,
 }
 
@@ -34,8 +34,8 @@
         Comparison { answers, views, differences }
     }
 
-    /// Whether all hosts that have answered think alike.
-    pub(super) fn is_settled(&self) -> bool {
+    /// Whether all hosts that have answered have the same view.
+    pub(super) fn is_converged(&self) -> bool {
         self.differences.is_empty()
     }
 
@@ -48,7 +48,7 @@
         }
         self.write_digests(&mut text);
         self.write_sites(&mut text);
-        if self.views.len() <= MAX_MATRIX_ROWS && !self.is_settled() {
+        if self.views.len() <= MAX_MATRIX_ROWS && !self.is_converged() {
             self.write_matrix(&mut text);
         } else {
             self.write_differences(&mut text);
@@ -59,19 +59,19 @@
     fn write_digests(&self, text: &mut String) {
         let mut digests: BTreeMap<u32, Vec<u32>> = BTreeMap::new();
         self.views.iter().for_each(|view| digests.entry(view.digest).or_default().extend(view.host));
-        let still_s = self.views.iter().map(|view| view.still_s).fold(f64::INFINITY, f64::min);
+        let unchanged_s = self.views.iter().map(|view| view.still_s).fold(f64::INFINITY, f64::min);
         match digests.first_key_value() {
             None => _ = writeln!(text, "no host answered"),
-            Some((digest, hosts)) if digests.len() == 1 && self.is_settled() => {
-                let (count, still) = (hosts.len(), duration(still_s));
+            Some((digest, hosts)) if digests.len() == 1 && self.is_converged() => {
+                let (count, unchanged) = (hosts.len(), duration(unchanged_s));
                 _ = writeln!(
                     text,
-                    "settled: {count} hosts with digest {digest:08x}, nothing changed for {still}"
+                    "converged: {count} hosts with digest {digest:08x}, unchanged for {unchanged}"
                 );
             }
             Some(_) => {
                 let (digest_count, host_count) = (digests.len(), self.views.len());
-                _ = writeln!(text, "not settled: {digest_count} digests among {host_count} hosts");
+                _ = writeln!(text, "not converged: {digest_count} digests among {host_count} hosts");
                 for (digest, hosts) in digests.iter().take(MAX_LINES) {
                     _ = writeln!(text, "  {digest:08x}: hosts {}", ranges(hosts));
                 }
@@ -83,14 +83,20 @@
         let mut sites: BTreeMap<Option<u32>, Vec<&MembersStatus>> = BTreeMap::new();
         self.views.iter().for_each(|view| sites.entry(view.site).or_default().push(view));
         for (site, views) in &sites {
-            let strained = views.iter().filter(|view| view.local_health > 0).count();
+            let impaired = views.iter().filter(|view| view.local_health > 0).count();
             let (name, count) = (site_name(*site), views.len());
-            _ = writeln!(text, "{name}: {count} answer, {strained} of them under strain");
+            _ = writeln!(
+                text,
+                "{name}: {count} hosts answered, {impaired} of them with impaired local health"
+            );
         }
     }
 
     fn write_matrix(&self, text: &mut String) {
-        _ = writeln!(text, "rows think of columns: a alive, s suspect, D dead, L left, ? unknown, o itself, ! yields; with the number of the word");
+        _ = writeln!(
+            text,
+            "each row is a host's view of the columns: a alive, s suspect, D dead, L left, ? unknown, o itself, ! displaced; with the incarnation"
+        );
         _ = write!(text, "{:>6}", "");
         for column in self.differences.keys() {
             _ = write!(text, "{column:>COLUMN_WIDTH$}");
@@ -114,12 +120,12 @@
         }
         if self.differences.len() > MAX_LINES {
             let count = self.differences.len() - MAX_LINES;
-            _ = writeln!(text, "and {count} more hosts of whom they think differently");
+            _ = writeln!(text, "and {count} more hosts about which views differ");
         }
     }
 }
 
-/// What a host thinks of another, as a letter and the incarnation that it knows.
+/// The opinion of one host about another: a letter, and the incarnation that the host knows.
 fn opinion(view: &MembersStatus, of: u32) -> String {
     if view.host == Some(of) {
         return if view.displaced { "!".into() } else { "o".into() };
@@ -137,7 +143,7 @@
     }
 }
 
-/// The hosts of whom the others think differently, or otherwise than they do themselves.
+/// The hosts about which the others differ, or which the others see otherwise than they see themselves.
 fn differences(views: &[&MembersStatus]) -> BTreeMap<u32, Opinions> {
     let hosts: BTreeSet<u32> =
         views.iter().flat_map(|view| view.peers.iter().map(|peer| peer.host).chain(view.host)).collect();
@@ -153,13 +159,13 @@
     for view in views.iter().filter(|view| view.host != Some(host)) {
         let peer = view.peers.iter().find(|peer| peer.host == host);
         let generation = peer.map_or(0, |peer| peer.generation);
-        let text = format!("{} of life {generation:x}", opinion(view, host));
+        let text = format!("{} of generation {generation:x}", opinion(view, host));
         opinions.entry(text).or_default().extend(view.host);
     }
     opinions
 }
 
-/// Whether a host that answers is not known as alive in its generation.
+/// Whether a host that has answered is not known to all others as alive in its generation.
 fn is_misjudged(views: &[&MembersStatus], host: u32, opinions: &Opinions) -> bool {
     let own = views.iter().find(|view| view.host == Some(host) && !view.displaced);
     own.is_some_and(|own| {
@@ -168,7 +174,7 @@
     })
 }
 
-/// Numbers as ranges, such as 0-3, 7.
+/// Numbers as ranges, such as `0-3, 7`.
 pub(super) fn ranges(numbers: &[u32]) -> String {
     let mut sorted = numbers.to_vec();
     sorted.sort_unstable();
--- a/crates/cli/src/members/one_host.rs
+++ b/crates/cli/src/members/one_host.rs
@@ -1,10 +1,13 @@
-//! The view of one host, as text.
+//! The membership view of one host, as text.
 
 use crate::time_format::duration;
 use std::fmt::Write;
 use tackmast_host_core::{MembersStatus, PeerStatus, SiteStatus};
 
-/// All of it.
+/// The state of a site whose hosts are reachable, as hosts report it.
+const SITE_REACHABLE: &str = "there";
+
+/// The whole view.
 pub fn text(view: &MembersStatus) -> String {
     let mut text = String::new();
     let Some(host) = view.host else { return "this host has no membership block in its settings\n".into() };
@@ -12,12 +15,12 @@
     if view.displaced {
         _ = writeln!(
             text,
-            "another life of this host's number was heard of: it uses nothing that hosts share"
+            "another generation of this host's number is running: this host uses nothing that hosts share"
         );
     }
     if view.taken_over > 0 {
         let count = view.taken_over;
-        _ = writeln!(text, "it took its number back from a later life that does not run: {count} times");
+        _ = writeln!(text, "took its number back from a later generation that does not run: {count} times");
     }
     view.sites.iter().for_each(|site| write_site(&mut text, site));
     view.peers.iter().for_each(|peer| write_peer(&mut text, peer));
@@ -34,7 +37,7 @@
     let site = view.site.map_or(String::new(), |site| format!(" of site {site}"));
     _ = writeln!(
         text,
-        "host {host}{site} at {}: {} hosts are there; digest {:08x}, still for {}",
+        "host {host}{site} at {}: {} hosts alive; digest {:08x}, unchanged for {}",
         view.address,
         view.alive_hosts,
         view.digest,
@@ -42,12 +45,12 @@
     );
     _ = writeln!(
         text,
-        "{} datagrams sent ({} bytes), {} taken, {} dropped; strain {}, stood still {} times, accused {} times",
+        "{} datagrams sent ({} bytes), {} accepted, {} dropped; local health score {}, paused {} times, suspected by peers {} times",
         view.sent, view.sent_bytes, view.taken, view.dropped, view.local_health, view.pauses, view.accused
     );
     _ = writeln!(
         text,
-        "{} suspicions begun here, {} taken back, {} deaths found, {} words of hosts beyond the told number, {} changes of hosts that flap",
+        "{} suspicions started, {} refuted, {} hosts found dead, {} updates about hosts beyond the configured number, {} changes damped for flapping",
         view.suspected, view.refuted, view.found_dead, view.beyond, view.damped
     );
 }
@@ -60,19 +63,20 @@
 
 fn write_peer(text: &mut String, peer: &PeerStatus) {
     let site = peer.site.map_or("-".to_owned(), |site| site.to_string());
-    let flaps = if peer.flaps { ", comes and goes" } else { "" };
+    let flaps = if peer.flaps { ", flapping" } else { "" };
     let since = duration(peer.since_s);
     let PeerStatus { host, health, address, .. } = peer;
     _ = writeln!(text, "{host:>6}  site {site:<4} {health:<8} {address:<24} for {since}{flaps}");
 }
 
-/// What is worth a line when it changes.
+/// The part of the view whose changes are printed.
 pub fn watched_text(view: &MembersStatus) -> String {
     let mut text = format!(
-        "{} hosts are there, strain {}, displaced {}\n",
+        "{} hosts alive, local health score {}, displaced {}\n",
         view.alive_hosts, view.local_health, view.displaced
     );
-    for site in view.sites.iter().filter(|site| site.state != "there" || site.suspect + site.dead > 0) {
+    let is_degraded = |site: &&SiteStatus| site.state != SITE_REACHABLE || site.suspect + site.dead > 0;
+    for site in view.sites.iter().filter(is_degraded) {
         let SiteStatus { state, alive, suspect, dead, .. } = site;
         let name = site_name(site.site);
         _ = writeln!(text, "{name} {state}: {alive} alive, {suspect} suspect, {dead} dead");
@@ -83,7 +87,7 @@
     text
 }
 
-/// What a site is called.
+/// The name of a site in the output.
 pub fn site_name(site: Option<u32>) -> String {
-    site.map_or("no site told".to_owned(), |site| format!("site {site}"))
+    site.map_or("no site".to_owned(), |site| format!("site {site}"))
 }
--- a/crates/cli/src/members/tests.rs
+++ b/crates/cli/src/members/tests.rs
@@ -1,4 +1,4 @@
-//! Many hosts beside each other.
+//! The views of several hosts side by side.
 
 use super::comparison::{ranges, Comparison};
 use super::*;
@@ -18,21 +18,21 @@
     HostAnswer { socket: format!("host {host}"), view: Ok(view) }
 }
 
-/// An operator compares hosts that think alike, three that do not, and three hundred of which some think one host dead. The text is one
-/// line, a matrix of opinions, or a summary.
+/// An operator compares hosts with the same view, three with different views, and three hundred of which some hold one host dead. The
+/// text is one line, a matrix of opinions, or a summary.
 #[test]
-fn comparison_shows_who_thinks_differently() {
-    let settled = [answer(0, 5, &[(1, "alive", 0)]), answer(1, 5, &[(0, "alive", 0)])];
-    assert!(Comparison::new(&settled)
+fn comparison_shows_which_views_differ() {
+    let converged = [answer(0, 5, &[(1, "alive", 0)]), answer(1, 5, &[(0, "alive", 0)])];
+    assert!(Comparison::new(&converged)
         .text()
-        .starts_with("settled: 2 hosts with digest 00000005, nothing changed for 3s"));
-    let parted = [
+        .starts_with("converged: 2 hosts with digest 00000005, unchanged for 3s"));
+    let partitioned = [
         answer(0, 5, &[(1, "alive", 0), (2, "dead", 3)]),
         answer(1, 5, &[(0, "alive", 0), (2, "suspect", 3)]),
         answer(2, 6, &[(0, "alive", 0)]),
     ];
-    let text = Comparison::new(&parted).text();
-    assert!(text.starts_with("not settled: 2 digests among 3 hosts\n  00000005: hosts 0-1\n"), "{text}");
+    let text = Comparison::new(&partitioned).text();
+    assert!(text.starts_with("not converged: 2 digests among 3 hosts\n  00000005: hosts 0-1\n"), "{text}");
     let rows: Vec<Vec<&str>> =
         text.lines().rev().take(4).map(|line| line.split_whitespace().collect()).collect();
     assert_eq!(
@@ -44,11 +44,14 @@
     let many: Vec<HostAnswer> =
         (0..300).map(|host| answer(host, 5, &[(1, if host < 100 { "dead" } else { "alive" }, 0)])).collect();
     let text = Comparison::new(&many).text();
-    assert!(text.contains("host 1: D of life 7 by 99 (0, 2-99); a of life 7 by 200 (100-299)"), "{text}");
+    assert!(
+        text.contains("host 1: D of generation 7 by 99 (0, 2-99); a of generation 7 by 200 (100-299)"),
+        "{text}"
+    );
     assert!(text.lines().count() < 40, "{text}");
 }
 
-/// Numbers of hosts are printed as short as possible.
+/// Host numbers are printed as ranges wherever they follow each other.
 #[test]
 fn numbers_are_printed_as_ranges() {
     for (numbers, text) in
--- a/crates/cli/src/overrides.rs
+++ b/crates/cli/src/overrides.rs
@@ -1,8 +1,8 @@
-//! `tackmast override`: overrides of nodes by operators.
+//! `tackmast override`: operators' overrides of nodes, each of which ends by itself.
 
 mod print;
 
-use crate::admin_calls::{call_each, Hosts};
+use crate::admin_calls::{call_each, AdminCallError, Hosts};
 use std::process::ExitCode;
 use tackmast_admin::Call;
 use tackmast_host_core::AdminRequest;
@@ -11,60 +11,70 @@
 /// Arguments of `tackmast override`.
 #[derive(clap::Subcommand)]
 pub enum OverrideCommand {
-    /// Orders something of one node or a set of them, until it ends by itself.
+    /// Overrides one node or a set of nodes for a time.
     ///
-    /// TARGET is an address and port, an address, a prefix such as 10.1.0.0/16, shard:N or zone:N. A narrower target
-    /// beats a wider one, and of two of one width the later holds. Nothing makes a host send to a node that drains
-    /// or is gone, or past what a cold node bears.
+    /// TARGET is an address and port, an address, a prefix such as 10.1.0.0/16, shard:N or zone:N. The narrower target takes
+    /// precedence; of two targets of one width, the later override does. No override makes a host send to a node that
+    /// drains or has left, or more than slow start allows to a node that is warming up.
     Set {
+        /// The nodes that are overridden.
         target: Target,
+        /// What the override does.
         #[command(flatten)]
         kind: KindArguments,
-        /// How long it holds, such as 30s, 10m or 2h.
+        /// How long the override is in force, such as 30s, 10m or 2h.
         #[arg(long = "for", value_name = "TIME")]
         lasts: humantime::Duration,
-        /// Why; everyone who looks will see it.
+        /// Why; shown to everyone who lists overrides.
         #[arg(long)]
         reason: String,
-        /// Who orders it.
+        /// Who sets the override.
         #[arg(long, env = "USER")]
         who: String,
-        /// Also where a shard would be left without a node, or too much of a zone would be out.
+        /// Sets the override even where a shard would be left without a node, or too much of a zone would be out.
         #[arg(long)]
         force: bool,
-        /// Only tells what would change.
+        /// Only shows what would change.
         #[arg(long)]
         dry_run: bool,
-        /// Only if nothing has changed since this version, as `list` showed it.
+        /// Sets the override only if nothing has changed since this version, as shown by `list`.
         #[arg(long, value_name = "VERSION")]
         if_version: Option<u64>,
+        /// The hosts that are called.
         #[command(flatten)]
         hosts: Hosts,
     },
-    /// Takes an override back.
+    /// Removes an override before its end.
     Clear {
+        /// Number of the override, as shown by `list`.
         id: u64,
+        /// Who removes the override.
         #[arg(long, env = "USER")]
         who: String,
+        /// The hosts that are called.
         #[command(flatten)]
         hosts: Hosts,
     },
-    /// Shows what stands.
+    /// Lists the overrides in force.
     List {
+        /// The hosts that are called.
         #[command(flatten)]
         hosts: Hosts,
     },
-    /// Tells what holds for a node, why, what it beats, and the time left.
+    /// Shows which overrides apply to a node, why, which others they replace, and the time left.
     Explain {
         /// Address and port of the node.
         node: std::net::SocketAddr,
+        /// The hosts that are called.
         #[command(flatten)]
         hosts: Hosts,
     },
-    /// Shows the last lines of the audit trail.
+    /// Shows the last lines of the audit log.
     Audit {
-        #[arg(long, default_value_t = 50)]
-        most: usize,
+        /// Largest number of lines that are shown.
+        #[arg(long = "most", default_value_t = 50)]
+        max_lines: usize,
+        /// The hosts that are called.
         #[command(flatten)]
         hosts: Hosts,
     },
@@ -74,19 +84,19 @@
 #[derive(clap::Args)]
 #[group(required = true, multiple = false)]
 pub struct KindArguments {
-    /// Nothing new is sent to the nodes.
+    /// Takes the nodes out of service: they receive no new requests.
     #[arg(long)]
     out: bool,
-    /// Kept in service whatever their health.
+    /// Keeps the nodes in service whatever their health.
     #[arg(long)]
     pin: bool,
-    /// Part of what they would be given otherwise, above 0 and up to 1.
-    #[arg(long, value_name = "PART")]
+    /// Fraction of the load that the nodes would otherwise receive, above 0 and up to 1.
+    #[arg(long, value_name = "FRACTION")]
     weight: Option<f64>,
 }
 
 /// Calls the hosts, and prints their answers.
-pub fn run(command: OverrideCommand) -> Result<ExitCode, String> {
+pub fn run(command: OverrideCommand) -> Result<ExitCode, AdminCallError> {
     let (hosts, call) = match command {
         OverrideCommand::Set { target, kind, lasts, reason, who, force, dry_run, if_version, hosts } => {
             let kind = match kind.weight {
@@ -104,7 +114,7 @@
         OverrideCommand::Explain { node, hosts } => {
             (hosts, Call::AdminRequest(AdminRequest::Explain { address: node }))
         }
-        OverrideCommand::Audit { most, hosts } => (hosts, Call::Audit { max_lines: most }),
+        OverrideCommand::Audit { max_lines, hosts } => (hosts, Call::Audit { max_lines }),
     };
     call_each(&hosts, &call, print::answer)
 }
--- a/crates/cli/src/overrides/print.rs
+++ b/crates/cli/src/overrides/print.rs
@@ -22,7 +22,9 @@
             AdminResponse::List { version, standing, returning, returning_within_s } => {
                 list(*version, standing);
                 if *returning > 0 {
-                    println!("{returning} nodes are on their way back, all within {returning_within_s:.0} s of their ends");
+                    println!(
+                        "{returning} nodes recovering, all within {returning_within_s:.0} s of the end of their overrides"
+                    );
                 }
             }
             AdminResponse::Explain(explanation) => explain(explanation),
@@ -33,9 +35,9 @@
 
 /// The overrides in force, with the seconds that each has left.
 fn list(version: u64, standing: &[(Override, f64)]) {
-    println!("version {version}, {} stand", standing.len());
+    println!("version {version}, {} in force", standing.len());
     if !standing.is_empty() {
-        println!("{:>6}  {:<24} {:<18} {:>12}  {:<10} reason", "id", "target", "order", "left", "who");
+        println!("{:>6}  {:<24} {:<18} {:>12}  {:<10} reason", "id", "target", "override", "left", "who");
     }
     for (record, left_s) in standing {
         let (target, kind) = (record.target.to_string(), record.kind.to_string());
@@ -61,22 +63,22 @@
 fn set(record: &Override, preview: &Preview, dry_run: bool) {
     let does = if dry_run { "would change" } else { "changes" };
     let (named, changed) = (preview.named, preview.changes.len());
-    println!("{} {}: names {named} nodes, {does} {changed}", record.target, record.kind);
+    println!("{} {}: matches {named} nodes, {does} {changed}", record.target, record.kind);
     for (address, before, after) in &preview.changes {
         println!("  {address:<24} {} -> {}", effect_text(before), effect_text(after));
     }
     if let Some(forced_past) = &preview.forced_past {
-        println!("forced past: {forced_past}");
+        println!("forced despite: {forced_past}");
     }
     if !dry_run {
-        println!("override {} stands until {}", record.id.0, timestamp(record.ends_us));
+        println!("override {} is in force until {}", record.id.0, timestamp(record.ends_us));
     }
 }
 
 fn explain(explanation: &Explanation) {
     let standing = effect_text(&explanation.standing);
-    println!("{}: listed {}, {standing}", explanation.address, explanation.listed);
-    println!("  is given {}", explanation.given);
+    println!("{}: listed as {}, {standing}", explanation.address, explanation.listed);
+    println!("  receives {}", explanation.given);
     if let Some(up_s) = explanation.up_s {
         let restarted_under = explanation.restarted_under();
         let restarted_under: Vec<String> = restarted_under.iter().map(|id| id.0.to_string()).collect();
@@ -92,10 +94,10 @@
     effective("weight", explanation.weight_by.as_ref(), explanation.weight_left_s);
     for (record, beaten) in &explanation.beaten {
         let (id, target, kind) = (record.id.0, &record.target, &record.kind);
-        println!("  beats override {id} on {target} {kind}: {} by {}", beaten.why, beaten.by.0);
+        println!("  replaces override {id} on {target} {kind}: {} by {}", beaten.why, beaten.by.0);
     }
     if let Some((wait_s, share)) = explanation.returning {
-        println!("  on its way back: its turn in {wait_s:.1} s, share {share:.2}");
+        println!("  recovering: starts in {wait_s:.1} s, share {share:.2}");
     }
 }
 
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -1,12 +1,12 @@
-//! `tackmast status`.
+//! `tackmast status`: what hosts are doing, and what each node is given.
 
-use crate::admin_calls::{call_each, Hosts};
+use crate::admin_calls::{call_each, AdminCallError, Hosts};
 use std::process::ExitCode;
 use tackmast_admin::{Answer, Call};
 use tackmast_host_core::{AdminRequest, AdminResponse};
 
 /// Prints what hosts are doing.
-pub fn run(hosts: &Hosts) -> Result<ExitCode, String> {
+pub fn run(hosts: &Hosts) -> Result<ExitCode, AdminCallError> {
     call_each(hosts, &Call::AdminRequest(AdminRequest::Status), print)
 }
 
@@ -14,7 +14,7 @@
     let Answer::AdminResponse(response) = answer else { return };
     let AdminResponse::Status(status) = &**response else { return };
     println!(
-        "host {}: {} commands open, {} attempts out; taken {}, done {}, rejected {}, failed {}",
+        "host {}: {} commands open, {} attempts in flight; taken {}, done {}, rejected {}, failed {}",
         status.host,
         status.commands,
         status.attempts,
@@ -24,15 +24,15 @@
         status.failed
     );
     println!(
-        "overrides: {} stand, version {}, {} nodes on their way back",
+        "overrides: {} in force, version {}, {} nodes recovering",
         status.overrides, status.version, status.returning
     );
     match status.alive_hosts {
-        0 => println!("members: this host hears of no other"),
-        count => println!("members: {count} hosts are there"),
+        0 => println!("members: this host knows of no peer"),
+        count => println!("members: {count} hosts alive"),
     }
     for (address, listed, given) in &status.nodes {
-        let note = if listed == given { String::new() } else { format!(", by order {given}") };
+        let note = if listed == given { String::new() } else { format!(", overridden: {given}") };
         println!("{address:<24} {listed}{note}");
     }
 }
