--- a/crates/cli/src/emulators.rs
+++ b/crates/cli/src/emulators.rs
@@ -1,140 +1,133 @@
 //! `tackmast node` and `tackmast node-list`: emulators as processes of their own.
 
+mod error;
+mod list_command;
+#[cfg(test)]
+mod tests;
+
+pub use error::EmulatorError;
+
+use list_command::ListCommand;
 use std::io::{BufRead, Write};
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
-use tackmast_emulators::list::{ListFault, NodeList};
+use tackmast_emulators::list::NodeList;
 use tackmast_emulators::model::NodeBehavior;
 use tackmast_emulators::node::{Fault, IdempotencyKeys, Node, NodeSettings};
 use tackmast_trace::Recorder;
-use tackmast_wire::list::{Entry, State};
+
+/// Largest data of one command, in bytes.
+const MAX_DATA_BYTES: usize = 8 << 20;
+/// How often a node reports its load.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a node remembers idempotency keys, in seconds.
+const IDEMPOTENCY_WINDOW_S: f64 = 5.0;
 
 /// Arguments of `tackmast node`.
 #[derive(clap::Args)]
 pub struct NodeArguments {
+    /// Loopback address on which the node listens; port 0 takes any free port.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
+    /// The shard that the node serves.
     #[arg(long, default_value_t = 0)]
     shard: u32,
+    /// The zone that the node is in.
     #[arg(long, default_value_t = 0)]
     zone: u32,
-    /// Cores that serve at the same time, and their speed.
+    /// Cores that serve requests at the same time.
     #[arg(long, default_value_t = 2)]
     cores: u32,
+    /// Speed of a core; 1 is normal.
     #[arg(long, default_value_t = 1.0)]
     speed: f64,
-    /// Milliseconds of one core's work in a unit, at speed 1.
+    /// Milliseconds that one core works on a unit, at speed 1.
     #[arg(long, default_value_t = 1.0)]
     unit_ms: f64,
     /// Requests that may wait.
     #[arg(long, default_value_t = 256)]
     queue: usize,
-    /// Starts cold: at a fifth of its capacity, warm after five seconds.
-    #[arg(long)]
-    cold: bool,
+    /// Starts the node as if it had just restarted: at a fifth of its capacity, with all of it after five seconds.
+    #[arg(long = "cold")]
+    has_just_started: bool,
+    /// Seed of the node's random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
-/// Refuses an address that is not on loopback.
-pub fn loopback_only(address: SocketAddr) -> Result<(), String> {
-    match address.ip().is_loopback() {
-        true => Ok(()),
-        false => Err(format!("--listen {address}; expected a loopback address: stand-ins serve no other")),
+impl NodeArguments {
+    fn settings(&self) -> NodeSettings {
+        NodeSettings {
+            address: self.listen,
+            shard: self.shard,
+            zone: self.zone,
+            behavior: NodeBehavior {
+                cores: self.cores.max(1),
+                speed: self.speed,
+                unit_s: self.unit_ms / 1e3,
+                queue: self.queue,
+                ..NodeBehavior::default()
+            },
+            seed: self.seed,
+            max_data: MAX_DATA_BYTES,
+            report_every: REPORT_INTERVAL,
+            idempotency_keys: Arc::new(IdempotencyKeys::default()),
+            window_s: IDEMPOTENCY_WINDOW_S,
+            has_just_started: self.has_just_started,
+            store: Arc::default(),
+            receive_bytes: 0,
+            advertised_address: None,
+            recorder: Recorder::default(),
+        }
     }
 }
 
-/// Runs a node, and injects a fault for each line of standard input until it ends.
-pub fn node(arguments: &NodeArguments) -> Result<ExitCode, String> {
-    loopback_only(arguments.listen)?;
-    let behavior = NodeBehavior {
-        cores: arguments.cores.max(1),
-        speed: arguments.speed,
-        unit_s: arguments.unit_ms / 1e3,
-        queue: arguments.queue,
-        ..NodeBehavior::default()
-    };
-    let node = Node::start(NodeSettings {
-        address: arguments.listen,
-        shard: arguments.shard,
-        zone: arguments.zone,
-        behavior,
-        seed: arguments.seed,
-        max_data: 8 << 20,
-        report_every: Duration::from_millis(100),
-        idempotency_keys: Arc::new(IdempotencyKeys::default()),
-        window_s: 5.0,
-        has_just_started: arguments.cold,
-        store: Arc::default(),
-        receive_bytes: 0,
-        advertised_address: None,
-        recorder: Recorder::default(),
-    })
-    .map_err(|error| format!("--listen {}: {error}", arguments.listen))?;
-    println!("listening {}", node.address());
-    _ = std::io::stdout().flush();
-    for line in std::io::stdin().lock().lines().map_while(Result::ok).filter(|line| !line.trim().is_empty()) {
-        match line.parse::<Fault>() {
-            Ok(fault) => node.set(&fault),
-            Err(error) => eprintln!("{error}"),
-        }
-    }
+/// Runs a node, and injects a fault for each line of standard input until the input ends.
+pub fn node(arguments: &NodeArguments) -> Result<ExitCode, EmulatorError> {
+    require_loopback(arguments.listen)?;
+    let node = Node::start(arguments.settings())
+        .map_err(|source| EmulatorError::Listen { address: arguments.listen, source })?;
+    print_address(node.address());
+    for_each_line(|line| match line.parse::<Fault>() {
+        Ok(fault) => node.set(&fault),
+        Err(error) => eprintln!("{error}"),
+    });
     node.stop();
     Ok(ExitCode::SUCCESS)
 }
 
-/// Runs an endpoint list, and changes it by each line of standard input until it ends.
-pub fn node_list(listen: SocketAddr) -> Result<ExitCode, String> {
-    loopback_only(listen)?;
-    let list = NodeList::start(listen, Recorder::default()).map_err(|e| format!("--listen {listen}: {e}"))?;
-    println!("listening {}", list.address);
-    _ = std::io::stdout().flush();
-    for line in std::io::stdin().lock().lines().map_while(Result::ok).filter(|l| !l.trim().is_empty()) {
-        if let Err(e) = apply_list_command(&list, &line) {
-            eprintln!("{e}");
-        }
-    }
+/// Runs an endpoint list, and changes it by each line of standard input until the input ends.
+pub fn node_list(listen: SocketAddr) -> Result<ExitCode, EmulatorError> {
+    require_loopback(listen)?;
+    let list = NodeList::start(listen, Recorder::default())
+        .map_err(|source| EmulatorError::Listen { address: listen, source })?;
+    print_address(list.address);
+    for_each_line(|line| match line.parse::<ListCommand>() {
+        Ok(command) => command.apply(&list),
+        Err(error) => eprintln!("{error}"),
+    });
     list.stop();
     Ok(ExitCode::SUCCESS)
 }
 
-/// Changes the list by one command.
-fn apply_list_command(list: &NodeList, line: &str) -> Result<(), String> {
-    let parts: Vec<&str> = line.split_whitespace().collect();
-    let wrong = || {
-        format!(
-            "{line:?}; expected put ADDRESS SHARD ZONE, drain ADDRESS, gone ADDRESS, late SECONDS, \
-             fails on|off, silent on|off or reset"
-        )
-    };
-    let number =
-        |position: usize| parts.get(position).and_then(|part| part.parse::<u32>().ok()).ok_or_else(wrong);
-    let switch = || match parts.get(1) {
-        Some(&"on") => Ok(true),
-        Some(&"off") => Ok(false),
-        _ => Err(wrong()),
-    };
-    match parts.as_slice() {
-        ["put", address, ..] => list.put([Entry {
-            address: (*address).to_owned(),
-            state: State::Ready,
-            shard: number(2)?,
-            zone: number(3)?,
-            started_us: 0,
-        }]),
-        ["drain", address] => list.set_state(address, State::Draining),
-        ["gone", address] => list.set_state(address, State::Gone),
-        ["late", seconds] => {
-            let seconds = seconds.parse::<f64>().ok();
-            let seconds = seconds.filter(|seconds| seconds.is_finite() && *seconds >= 0.0);
-            list.set(&ListFault::Late(seconds.ok_or_else(wrong)?));
-        }
-        ["fails", _] => list.set(&ListFault::Fails(switch()?)),
-        ["silent", _] => list.set(&ListFault::Silent(switch()?)),
-        ["reset"] => list.set(&ListFault::Reset),
-        _ => return Err(wrong()),
+/// Refuses an address that is not on loopback.
+fn require_loopback(address: SocketAddr) -> Result<(), EmulatorError> {
+    match address.ip().is_loopback() {
+        true => Ok(()),
+        false => Err(EmulatorError::NotLoopback { address }),
     }
-    Ok(())
+}
+
+/// Prints the address for whoever started the emulator, which may not read it.
+fn print_address(address: SocketAddr) {
+    println!("listening {address}");
+    _ = std::io::stdout().flush();
+}
+
+/// Hands on each line of standard input that is not blank, until the input ends.
+fn for_each_line(mut handle: impl FnMut(&str)) {
+    let lines = std::io::stdin().lock().lines().map_while(Result::ok);
+    lines.filter(|line| !line.trim().is_empty()).for_each(|line| handle(&line));
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -138,12 +138,13 @@
     }
     let outcome = match arguments.command {
         Command::Serve { config: Some(config), clock_off_s, clock_pace, .. } => {
-            serve::serve(&config, (clock_off_s, clock_pace))
+            serve::serve(&config, serve::ClockError { offset_s: clock_off_s, rate: clock_pace })
+                .map_err(|error| error.to_string())
         }
-        Command::Serve { config: None, .. } => platform::serve(),
-        Command::Node(a) => emulators::node(&a),
-        Command::NodeList { listen } => emulators::node_list(listen),
-        Command::Io(c) => io::run(c),
+        Command::Serve { config: None, .. } => platform::serve().map_err(|error| error.to_string()),
+        Command::Node(a) => emulators::node(&a).map_err(|error| error.to_string()),
+        Command::NodeList { listen } => emulators::node_list(listen).map_err(|error| error.to_string()),
+        Command::Io(c) => io::run(c).map_err(|error| error.to_string()),
         Command::Override(c) => overrides::run(c).map_err(|error| error.to_string()),
         Command::Plan(c) => plans::run(c),
         Command::Consensus(c) => consensus::run(c).map_err(|error| error.to_string()),
@@ -154,7 +155,9 @@
         Command::Rules { trace, json } => scenario::rules(&trace, json),
         Command::Simulator(c) => simulator::run(c),
         Command::Benchmark(a) => benchmark::measure(&a),
-        Command::Config(ConfigCommand::Check { file }) => serve::check(&file),
+        Command::Config(ConfigCommand::Check { file }) => {
+            serve::check(&file).map_err(|error| error.to_string())
+        }
     };
     match outcome {
         Ok(code) => code,
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -1,4 +1,8 @@
-//! `tackmast serve --platform`.
+//! `tackmast serve --platform`: a host as the operators' platform runs it, with its configuration file and signals.
+
+mod error;
+
+pub use error::PlatformError;
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::os::unix::net::UnixStream;
@@ -6,60 +10,73 @@
 use tackmast_platform::Configuration;
 use tackmast_platform_host::{Host, ProcessSignal};
 
-/// Where the platform says which file holds a host's configuration.
-const CONFIG: &str = "NODE_CONFIG";
+/// The environment variable that names the file with the host's configuration.
+const CONFIG_VARIABLE: &str = "NODE_CONFIG";
 
-fn read() -> Result<Configuration, String> {
-    let path =
-        std::env::var(CONFIG).map_err(|_| format!("{CONFIG}: not set; expected the path of a file"))?;
-    let bytes = std::fs::read(&path).map_err(|e| format!("{path}: {e}; expected a file that can be read"))?;
-    Configuration::parse(&bytes).map_err(|e| format!("{path}: {e}"))
-}
+/// The signals that the host handles, and what each asks for.
+const SIGNALS: [(i32, ProcessSignal); 3] =
+    [(SIGTERM, ProcessSignal::Shutdown), (SIGINT, ProcessSignal::Shutdown), (SIGHUP, ProcessSignal::Reload)];
 
-/// Runs a host on the operators' platform until it gets SIGTERM.
-pub fn serve() -> Result<ExitCode, String> {
-    // Before anything else: an order that comes while the host starts waits in its pipe, and must not end the process.
-    let mut orders = Vec::new();
-    for (signal, order) in [
-        (SIGTERM, ProcessSignal::Shutdown),
-        (SIGINT, ProcessSignal::Shutdown),
-        (SIGHUP, ProcessSignal::Reload),
-    ] {
-        let failed = |e: std::io::Error| format!("signals: {e}");
-        let (ours, theirs) = UnixStream::pair().map_err(failed)?;
-        signal_hook::low_level::pipe::register(signal, theirs).map_err(failed)?;
-        orders.push((order, ours));
-    }
-    let c = read()?;
-    let mut host = Host::start(&c).map_err(|e| e.to_string())?;
-    for (order, from) in orders {
-        host.register_signal(order, from).map_err(|e| format!("signals: {e}"))?;
+/// Runs a host on the operators' platform until it receives SIGTERM.
+pub fn serve() -> Result<ExitCode, PlatformError> {
+    // Signals come first: one that arrives while the host starts waits in its pipe and must not end the process.
+    let pipes = register_signals()?;
+    let configuration = read_configuration()?;
+    let mut host = Host::start(&configuration)?;
+    for (signal, pipe) in pipes {
+        host.register_signal(signal, pipe).map_err(PlatformError::Signals)?;
     }
-    let limits = c.limits;
+    log_start(&configuration, &host);
+    host.run(read_configuration);
+    log_end(&host);
+    Ok(ExitCode::SUCCESS)
+}
+
+/// Makes a pipe for each signal, into which the signal writes when it arrives.
+fn register_signals() -> Result<Vec<(ProcessSignal, UnixStream)>, PlatformError> {
+    let register = |(number, signal)| -> std::io::Result<_> {
+        let (reader, writer) = UnixStream::pair()?;
+        signal_hook::low_level::pipe::register(number, writer)?;
+        Ok((signal, reader))
+    };
+    SIGNALS.into_iter().map(register).collect::<std::io::Result<_>>().map_err(PlatformError::Signals)
+}
+
+fn read_configuration() -> Result<Configuration, PlatformError> {
+    let path = std::env::var(CONFIG_VARIABLE).map_err(|_| PlatformError::NoConfiguration)?;
+    let bytes = match std::fs::read(&path) {
+        Ok(bytes) => bytes,
+        Err(source) => return Err(PlatformError::UnreadableConfiguration { path, source }),
+    };
+    Configuration::parse(&bytes).map_err(|problem| PlatformError::InvalidConfiguration { path, problem })
+}
+
+fn log_start(configuration: &Configuration, host: &Host) {
     tracing::info!(
-        name = c.name,
-        listen = %host.address().unwrap_or(c.listen),
-        list = %c.discovery,
-        sockets = limits.sockets,
-        memory_bytes = limits.memory_bytes,
+        name = configuration.name,
+        listen = %host.address().unwrap_or(configuration.listen),
+        list = %configuration.discovery,
+        sockets = configuration.limits.sockets,
+        memory_bytes = configuration.limits.memory_bytes,
         "host serves"
     );
-    host.run(read);
-    let s = host.status();
+}
+
+fn log_end(host: &Host) {
+    let status = host.status();
     tracing::info!(
-        taken = s.core.taken,
-        done = s.core.done,
-        rejected = s.core.rejected,
-        failed = s.core.failed,
-        left = s.core.left,
-        attempts = s.core.attempts,
-        retries = s.core.retries,
-        timed_out = s.core.timed_out,
-        refused = s.refused,
-        malformed_answers = s.node_counters.malformed_answers,
-        opened = s.node_counters.opened,
-        reused = s.node_counters.reused,
+        taken = status.core.taken,
+        done = status.core.done,
+        rejected = status.core.rejected,
+        failed = status.core.failed,
+        left = status.core.left,
+        attempts = status.core.attempts,
+        retries = status.core.retries,
+        timed_out = status.core.timed_out,
+        refused = status.refused,
+        malformed_answers = status.node_counters.malformed_answers,
+        opened = status.node_counters.opened,
+        reused = status.node_counters.reused,
         "host has ended"
     );
-    Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,5 +1,9 @@
 //! `tackmast serve` and `tackmast config check`.
 
+mod error;
+
+pub use error::ServeError;
+
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::io::Write;
@@ -9,82 +13,111 @@
 use tackmast_config::HostSettings;
 use tackmast_host::Host;
 
-/// Runs a host until it gets SIGTERM or SIGINT.
-pub fn serve(config: &Path, (clock_off_s, clock_pace): (f64, f64)) -> Result<ExitCode, String> {
-    if !(-1e9..=1e9).contains(&clock_off_s) || !(0.5..=2.0).contains(&clock_pace) {
-        return Err(format!(
-            "--clock-off-s {clock_off_s} --clock-pace {clock_pace}; expected seconds, and 0.5 to 2"
-        ));
-    }
-    if (clock_off_s, clock_pace) != (0.0, 1.0) {
-        tackmast_host::Clock::simulate_error(clock_off_s, clock_pace);
+/// A simulated error of the clocks, for tests.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ClockError {
+    /// Seconds by which the wall clock is wrong.
+    pub offset_s: f64,
+    /// Rate at which all clocks run.
+    pub rate: f64,
+}
+
+impl ClockError {
+    /// Clocks that are right.
+    const NONE: ClockError = ClockError { offset_s: 0.0, rate: 1.0 };
+
+    /// Makes the clocks of this process wrong.
+    fn simulate(self) -> Result<(), ServeError> {
+        let ClockError { offset_s, rate } = self;
+        if !(-1e9..=1e9).contains(&offset_s) || !(0.5..=2.0).contains(&rate) {
+            return Err(ServeError::Clock { offset_s, rate });
+        }
+        if self != ClockError::NONE {
+            tackmast_host::Clock::simulate_error(offset_s, rate);
+        }
+        Ok(())
     }
-    let settings = HostSettings::read(config).map_err(|e| e.to_string())?;
-    let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(|e| format!("signals: {e}"))?;
-    let patience = Duration::from_millis(settings.bounds.drain_ms);
-    let host = Host::start(settings).map_err(|e| e.to_string())?;
-    // Whoever started this reads the addresses here, as port 0 takes any that is free. It may stop reading after the first
-    // line: a host must not end for that.
+}
+
+/// Runs a host until it receives SIGTERM or SIGINT.
+pub fn serve(config: &Path, clock_error: ClockError) -> Result<ExitCode, ServeError> {
+    clock_error.simulate()?;
+    let settings = HostSettings::read(config)?;
+    let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(ServeError::Signals)?;
+    let drain_timeout = Duration::from_millis(settings.bounds.drain_ms);
+    let host = Host::start(settings)?;
+    print_addresses(&host);
+    let signal = signals.forever().next();
+    exit_on_second_signal(signals);
+    tracing::info!(signal, "host drains");
+    log_end(&host, signal);
+    let all = host.drain(drain_timeout);
+    tracing::info!(all, "host has ended");
+    Ok(ExitCode::SUCCESS)
+}
+
+/// Prints the addresses for whoever started the host, as port 0 takes any that is free. That process may stop reading after
+/// the first line, and the host must not end for that.
+fn print_addresses(host: &Host) {
     let mut text = format!("listening {}\n", host.address);
     for (name, address) in [("nbd", host.nbd), ("peers", host.peers)] {
-        text += &address.map_or(String::new(), |a| format!("listening-{name} {a}\n"));
+        text += &address.map_or(String::new(), |address| format!("listening-{name} {address}\n"));
     }
-    let mut out = std::io::stdout();
-    _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
-    let signal = signals.forever().next();
-    // A second signal ends the host at once, whatever is open.
+    let mut output = std::io::stdout();
+    _ = output.write_all(text.as_bytes()).and_then(|()| output.flush());
+}
+
+/// Ends the host at once on the next signal, whatever is open.
+fn exit_on_second_signal(mut signals: Signals) {
     std::thread::spawn(move || {
         signals.forever().next();
         tracing::warn!("second signal: the host ends at once");
         std::process::exit(1);
     });
-    tracing::info!(signal, "host drains");
-    if let Some(s) = host.status() {
-        let c = s.counters;
-        tracing::info!(
-            signal,
-            taken = c.taken,
-            done = c.done,
-            rejected = c.rejected,
-            failed = c.failed,
-            attempts = c.attempts,
-            retries = c.retries,
-            core_seconds = s.core_seconds,
-            "host ends"
-        );
-    }
-    let all = host.drain(patience);
-    tracing::info!(all, "host has ended");
-    Ok(ExitCode::SUCCESS)
 }
 
-/// Checks the settings of a host, and prints what they hold.
-pub fn check(file: &Path) -> Result<ExitCode, String> {
-    let s = HostSettings::read(file).map_err(|e| e.to_string())?;
-    println!(
-        "{}: host {} of {}, listening on {}",
-        file.display(),
-        s.host.number,
-        s.host.hosts,
-        s.host.listen
+fn log_end(host: &Host, signal: Option<i32>) {
+    let Some(status) = host.status() else { return };
+    let counters = status.counters;
+    tracing::info!(
+        signal,
+        taken = counters.taken,
+        done = counters.done,
+        rejected = counters.rejected,
+        failed = counters.failed,
+        attempts = counters.attempts,
+        retries = counters.retries,
+        core_seconds = status.core_seconds,
+        "host ends"
     );
-    for p in &s.plans {
-        let limit =
-            if p.limit > 0.0 { format!("limit {} burst {}", p.limit, p.burst) } else { "no limit".into() };
-        println!("plan {}: {limit}, reserve {}, weight {}", p.name, p.reserve, p.weight);
+}
+
+/// Checks the settings of a host, and prints what they hold.
+pub fn check(file: &Path) -> Result<ExitCode, ServeError> {
+    let settings = HostSettings::read(file)?;
+    let host = &settings.host;
+    println!("{}: host {} of {}, listening on {}", file.display(), host.number, host.hosts, host.listen);
+    for plan in &settings.plans {
+        let limit = match plan.limit > 0.0 {
+            true => format!("limit {} burst {}", plan.limit, plan.burst),
+            false => "no limit".to_owned(),
+        };
+        println!("plan {}: {limit}, reserve {}, weight {}", plan.name, plan.reserve, plan.weight);
     }
-    for st in &s.traffic_classes {
-        let (latency_objective, deadline) = (st.latency_objective.secs() * 1e3, st.deadline.secs() * 1e3);
+    for class in &settings.traffic_classes {
         println!(
-            "traffic class {}: latency objective {latency_objective} ms, deadline {deadline} ms, {:?}",
-            st.name, st.effect
+            "traffic class {}: latency objective {} ms, deadline {} ms, {:?}",
+            class.name,
+            class.latency_objective.secs() * 1e3,
+            class.deadline.secs() * 1e3,
+            class.effect
         );
     }
-    for v in &s.volumes {
-        let plan = &s.plans[v.plan as usize].name;
+    for volume in &settings.volumes {
+        let plan = &settings.plans[volume.plan as usize].name;
         println!(
             "volume {}: LUN {}, plan {plan}, {} blocks on shards {:?}",
-            v.name, v.lun, v.blocks, v.shards
+            volume.name, volume.lun, volume.blocks, volume.shards
         );
     }
     Ok(ExitCode::SUCCESS)
