--- a/crates/cli/src/benchmark.rs
+++ b/crates/cli/src/benchmark.rs
@@ -1,6 +1,10 @@
-//! `tackmast benchmark`.
+//! `tackmast benchmark`: what a host adds to the same load sent straight to emulated nodes.
 
-use std::path::PathBuf;
+mod error;
+
+pub use error::BenchmarkCommandError;
+
+use crate::temporary_folder::TemporaryFolder;
 use std::process::ExitCode;
 use tackmast_benchmarks::{
     core_cost, measure_beside_greedy, measure_sessions, override_cost, timer_costs, BenchmarkError,
@@ -8,110 +12,120 @@
 };
 use tackmast_client::{Options, Protocol};
 
-/// Requests of each measurement without I/O.
+/// Requests in each measurement without I/O.
 const CORE_REQUESTS: u64 = 200_000;
-/// Timers of the measurement of the timing wheel.
+/// Timers in the measurement of the timing wheel.
 const TIMER_COUNT: usize = 100_000;
-/// Overrides of the measurement of what they cost.
+/// Overrides in the measurement of their cost.
 const OVERRIDE_COUNT: u32 = 10_000;
 /// Calls that the greedy client keeps open.
 const GREEDY_CALLS: usize = 2000;
 
+/// Shortest and longest load, in seconds.
+const SECONDS_RANGE: std::ops::RangeInclusive<f64> = 0.1..=60.0;
+/// Name of the volume that the testbed serves.
+const VOLUME: &str = "v";
+/// Numbers of client sessions that `--service` measures.
+const SERVICE_SESSIONS: [usize; 3] = [1, 64, 2000];
+/// Largest number of sessions straight to the nodes.
+const MAX_DIRECT_SESSIONS: usize = 64;
+
 /// Arguments of `tackmast benchmark`.
 #[derive(clap::Args)]
 pub struct BenchmarkArguments {
-    /// Seconds of each of the loads.
+    /// Seconds for which each load runs.
     #[arg(long, default_value_t = 3.0)]
     seconds: f64,
+    /// Number of emulated nodes.
     #[arg(long, default_value_t = 4)]
     nodes: usize,
+    /// Number of client sessions.
     #[arg(long, default_value_t = 8)]
     sessions: usize,
-    /// Commands open in each session.
+    /// Commands open at the same time in each session.
     #[arg(long, default_value_t = 32)]
     depth: usize,
-    /// Blocks of 512 bytes in a read.
+    /// Blocks of 512 bytes in each read.
     #[arg(long, default_value_t = 8)]
     blocks: u32,
-    /// Measures what overrides cost instead.
+    /// Measures instead what overrides cost.
     #[arg(long)]
     overrides: bool,
-    /// Measures both protocols through the client libraries instead, and a polite client beside a greedy one.
+    /// Measures instead both protocols through the client libraries, and a moderate client beside a greedy one.
     #[arg(long)]
     service: bool,
 }
 
-/// Runs the measurement that the arguments ask for, and prints it.
-pub fn measure(arguments: &BenchmarkArguments) -> Result<ExitCode, String> {
+/// Runs the measurement that the arguments select, and prints it.
+pub fn run(arguments: &BenchmarkArguments) -> Result<ExitCode, BenchmarkCommandError> {
     if arguments.overrides {
-        print_overrides().map_err(|error| error.to_string())?;
+        print_overrides()?;
         return Ok(ExitCode::SUCCESS);
     }
-    if !(0.1..=60.0).contains(&arguments.seconds) {
-        return Err(format!("--seconds {}; expected 0.1 to 60", arguments.seconds));
+    if !SECONDS_RANGE.contains(&arguments.seconds) {
+        return Err(BenchmarkCommandError::Seconds(arguments.seconds));
     }
-    let folder = TemporaryFolder::create().map_err(|error| error.to_string())?;
-    let binary = std::env::current_exe().map_err(|error| error.to_string())?;
-    let testbed = Testbed::start(&binary, &folder.0, arguments.nodes).map_err(|error| error.to_string())?;
-    let printed = if arguments.service {
-        print_service(&testbed, arguments.seconds)
+    let folder = TemporaryFolder::create("measure").map_err(BenchmarkCommandError::TemporaryFolder)?;
+    let binary = std::env::current_exe().map_err(BenchmarkCommandError::OwnProgram)?;
+    let testbed = Testbed::start(&binary, folder.path(), arguments.nodes)?;
+    if arguments.service {
+        print_service(&testbed, arguments.seconds)?;
     } else {
-        print_routes(&testbed, arguments).and_then(|()| {
-            drop(testbed);
-            print_core()
-        })
-    };
-    printed.map_err(|error| error.to_string())?;
-    Ok(ExitCode::SUCCESS)
-}
-
-/// The folder of the host's settings, removed in the end.
-struct TemporaryFolder(PathBuf);
-
-impl TemporaryFolder {
-    fn create() -> std::io::Result<Self> {
-        let path = std::env::temp_dir().join(format!("tackmast-measure-{}", std::process::id()));
-        std::fs::create_dir_all(&path)?;
-        Ok(TemporaryFolder(path))
-    }
-}
-
-impl Drop for TemporaryFolder {
-    fn drop(&mut self) {
-        _ = std::fs::remove_dir_all(&self.0);
+        print_routes(&testbed, arguments)?;
+        drop(testbed);
+        print_core()?;
     }
+    Ok(ExitCode::SUCCESS)
 }
 
 fn print_service(testbed: &Testbed, seconds: f64) -> Result<(), BenchmarkError> {
-    let options = |protocol, address| Options::new(protocol, address, "v", 0);
+    let options = |protocol, address| Options::new(protocol, address, VOLUME, 0);
     let protocols =
         [("iSCSI", options(Protocol::Iscsi, testbed.host)), ("NBD", options(Protocol::Nbd, testbed.nbd))];
     println!("{:<28} {:>10} {:>8} {:>8} {:>9}", "load and route", "done/s", "p50 us", "p99 us", "not done");
-    for sessions in [1, 64, 2000] {
-        let load = ClosedLoop { sessions: sessions.min(64), depth: 1, blocks: 8, seconds, think_us: 0 };
-        let direct = load.run(&direct_route(testbed))?;
-        print_service_row(&format!("{} straight", load.sessions), &direct);
-        for (name, options) in &protocols {
-            let measured = measure_sessions(options, sessions, seconds)?;
-            print_service_row(&format!("{sessions} sessions, {name}"), &measured);
-            println!("    ratio to straight {:.2}", measured.per_s / direct.per_s);
-        }
-        if let Some(usage) = testbed.host_usage() {
-            println!("    host: {:.0} MiB, {} threads", usage.memory_mib, usage.threads);
-        }
+    for sessions in SERVICE_SESSIONS {
+        print_service_sessions(testbed, &protocols, sessions, seconds)?;
     }
     for (name, options) in &protocols {
-        let alone = measure_beside_greedy(options, 0, seconds)?;
-        let beside = measure_beside_greedy(options, GREEDY_CALLS, seconds)?;
-        print_service_row(&format!("polite alone, {name}"), &alone);
-        print_service_row(&format!("beside {GREEDY_CALLS} open, {name}"), &beside);
-        let p50 = beside.p50_us as f64 / alone.p50_us as f64;
-        let p99 = beside.p99_us as f64 / alone.p99_us as f64;
-        println!("    median {p50:.1} times, p99 {p99:.1} times");
+        print_beside_greedy(name, options, seconds)?;
     }
     Ok(())
 }
 
+/// Measures so many sessions straight to the nodes and over each protocol.
+fn print_service_sessions(
+    testbed: &Testbed,
+    protocols: &[(&str, Options)],
+    sessions: usize,
+    seconds: f64,
+) -> Result<(), BenchmarkError> {
+    let direct_sessions = sessions.min(MAX_DIRECT_SESSIONS);
+    let load = ClosedLoop { sessions: direct_sessions, depth: 1, blocks: 8, seconds, think_us: 0 };
+    let direct = load.run(&direct_route(testbed))?;
+    print_service_row(&format!("{direct_sessions} straight"), &direct);
+    for (name, options) in protocols {
+        let measured = measure_sessions(options, sessions, seconds)?;
+        print_service_row(&format!("{sessions} sessions, {name}"), &measured);
+        println!("    ratio to straight {:.2}", measured.per_s / direct.per_s);
+    }
+    if let Some(usage) = testbed.host_usage() {
+        println!("    host: {:.0} MiB, {} threads", usage.memory_mib, usage.threads);
+    }
+    Ok(())
+}
+
+/// Measures a moderate client alone and beside a greedy one.
+fn print_beside_greedy(name: &str, options: &Options, seconds: f64) -> Result<(), BenchmarkError> {
+    let alone = measure_beside_greedy(options, 0, seconds)?;
+    let beside = measure_beside_greedy(options, GREEDY_CALLS, seconds)?;
+    print_service_row(&format!("moderate alone, {name}"), &alone);
+    print_service_row(&format!("beside {GREEDY_CALLS} open, {name}"), &beside);
+    let p50 = beside.p50_us as f64 / alone.p50_us as f64;
+    let p99 = beside.p99_us as f64 / alone.p99_us as f64;
+    println!("    median {p50:.1} times, p99 {p99:.1} times");
+    Ok(())
+}
+
 fn print_service_row(name: &str, measured: &Measurement) {
     let Measurement { per_s, p50_us, p99_us, not_done, .. } = measured;
     println!("{name:<28} {per_s:>10.0} {p50_us:>8} {p99_us:>8} {not_done:>9}");
@@ -120,7 +134,7 @@
 fn print_overrides() -> Result<(), BenchmarkError> {
     println!("{:<10} {:>12} {:>12} {:>7}", "timers", "wheel ns", "heap ns", "ratio");
     let costs = timer_costs(TIMER_COUNT);
-    for (name, cost) in [("put", costs.insert), ("remove", costs.remove), ("come out", costs.expire)] {
+    for (name, cost) in [("insert", costs.insert), ("remove", costs.remove), ("expire", costs.expire)] {
         let ratio = cost.wheel_ns / cost.heap_ns;
         println!("{name:<10} {:>12.0} {:>12.0} {ratio:>7.2}", cost.wheel_ns, cost.heap_ns);
     }
@@ -138,15 +152,15 @@
     Route::Nodes(testbed.nodes.iter().map(|node| node.address()).collect())
 }
 
-/// Measures the same loads straight to the nodes and through the host: as much as it does, one command at a time, and half.
+/// Measures the same loads straight to the nodes and through the host: as many commands as possible, one at a time, and half of that.
 fn print_routes(testbed: &Testbed, arguments: &BenchmarkArguments) -> Result<(), BenchmarkError> {
     let &BenchmarkArguments { seconds, nodes, sessions, depth, blocks, .. } = arguments;
     let (direct, host) = (direct_route(testbed), Route::Host(testbed.host));
     let full = ClosedLoop { sessions, depth, blocks, seconds, think_us: 0 };
-    println!("nodes are stand-ins that do no work; {nodes} of them, {blocks} blocks a read");
+    println!("nodes are emulators that do no work; {nodes} of them, {blocks} blocks a read");
     println!(
         "{:<34} {:>10} {:>8} {:>8} {:>12}",
-        "load and route", "done/s", "p50 us", "p99 us", "host us/xfer"
+        "load and route", "done/s", "p50 us", "p99 us", "host us/req"
     );
     let run = |name: &str, route: &Route, load: &ClosedLoop| measure_route(testbed, name, route, load);
     let straight = run(&format!("{sessions} sessions x {depth}, straight"), &direct, &full)?;
@@ -201,7 +215,7 @@
 fn print_core() -> Result<(), BenchmarkError> {
     let cost = core_cost(CORE_REQUESTS)?;
     println!(
-        "without I/O, one thread: host core {:.2} us a request, of which the module {:.2} us ({:.0}%)",
+        "without I/O, one thread: host core {:.2} us a request, of which the scheduler {:.2} us ({:.0}%)",
         cost.core_us,
         cost.scheduler_us,
         100.0 * cost.scheduler_us / cost.core_us
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -18,6 +18,7 @@
 mod serve;
 mod simulator;
 mod status;
+mod temporary_folder;
 mod time_format;
 
 use clap::{Parser, Subcommand};
@@ -150,11 +151,15 @@
         Command::Consensus(c) => consensus::run(c).map_err(|error| error.to_string()),
         Command::Status { hosts } => status::run(&hosts).map_err(|error| error.to_string()),
         Command::Members(a) => members::run(&a).map_err(|error| error.to_string()),
-        Command::Scenario(a) => scenario::day(&a),
-        Command::ScenarioImport { file, seed } => scenario::import(&file, seed),
-        Command::Rules { trace, json } => scenario::rules(&trace, json),
+        Command::Scenario(a) => scenario::run(&a).map_err(|error| error.to_string()),
+        Command::ScenarioImport { file, seed } => {
+            scenario::import(&file, seed).map_err(|error| error.to_string())
+        }
+        Command::Rules { trace, json } => {
+            scenario::check_trace(&trace, json).map_err(|error| error.to_string())
+        }
         Command::Simulator(c) => simulator::run(c),
-        Command::Benchmark(a) => benchmark::measure(&a),
+        Command::Benchmark(a) => benchmark::run(&a).map_err(|error| error.to_string()),
         Command::Config(ConfigCommand::Check { file }) => {
             serve::check(&file).map_err(|error| error.to_string())
         }
