--- a/crates/cli/src/admin_calls.rs
+++ b/crates/cli/src/admin_calls.rs
@@ -11,7 +11,7 @@
 use tackmast_host_core::{AdminRequest, AdminResponse};
 
 /// How long a host may take to answer a call.
-pub const ADMIN_TIMEOUT: Duration = Duration::from_secs(15);
+const ADMIN_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// The hosts that are called.
 #[derive(clap::Args)]
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -3,12 +3,10 @@
 mod admin_calls;
 mod benchmark;
 mod consensus;
-mod consensus_walks;
 mod emulators;
 mod io;
 mod log;
 mod members;
-mod membership_views;
 mod overrides;
 mod parallel;
 mod planner;
@@ -147,7 +145,7 @@
         Command::NodeList { listen } => emulators::node_list(listen).map_err(|error| error.to_string()),
         Command::Io(c) => io::run(c).map_err(|error| error.to_string()),
         Command::Override(c) => overrides::run(c).map_err(|error| error.to_string()),
-        Command::Plan(c) => plans::run(c),
+        Command::Plan(c) => plans::run(c).map_err(|error| error.to_string()),
         Command::Consensus(c) => consensus::run(c).map_err(|error| error.to_string()),
         Command::Status { hosts } => status::run(&hosts).map_err(|error| error.to_string()),
         Command::Members(a) => members::run(&a).map_err(|error| error.to_string()),
@@ -158,7 +156,7 @@
         Command::Rules { trace, json } => {
             scenario::check_trace(&trace, json).map_err(|error| error.to_string())
         }
-        Command::Simulator(c) => simulator::run(c),
+        Command::Simulator(c) => simulator::run(c).map_err(|error| error.to_string()),
         Command::Benchmark(a) => benchmark::run(&a).map_err(|error| error.to_string()),
         Command::Config(ConfigCommand::Check { file }) => {
             serve::check(&file).map_err(|error| error.to_string())
--- a/crates/cli/src/plans/tests.rs
+++ b/crates/cli/src/plans/tests.rs
@@ -1,6 +1,7 @@
 //! Files of plans.
 
-use super::*;
+use super::file::steps;
+use tackmast_plans::{Catalogue, Plan};
 
 /// An operator applies a file of plans. It makes a step for each difference from the plans in force, and an error names the place.
 #[test]
@@ -10,7 +11,7 @@
         "a".into(),
         Plan { limit: 1.0, burst: 9.0, slack: 1.0, reserve: 0.0, weight: 1.0, floor: None },
     );
-    let v = tackmast_plans::Volume {
+    let volume = tackmast_plans::Volume {
         lun: 0,
         plan: "a".into(),
         blocks: 1,
@@ -20,7 +21,7 @@
         reads: "s".into(),
         writes: "s".into(),
     };
-    now.volumes.insert("v".into(), v);
+    now.volumes.insert("v".into(), volume);
     let plan = |limit: u32| {
         format!("plan \"a\" {{\n limit = {limit}\n burst = 9\n slack = 1\n reserve = 0\n weight = 1\n}}\n")
     };
@@ -37,8 +38,11 @@
         ("plan {".into(), vec![], Err("expected an HCL document")),
     ] {
         match (steps("f.hcl", &text, &now, &remove), expected) {
-            (Ok(s), Ok(n)) => assert_eq!(s.len(), n, "{text}"),
-            (Err(e), Err(part)) => assert!(e.contains("f.hcl:") && e.contains(part), "{text}: {e}"),
+            (Ok(steps), Ok(count)) => assert_eq!(steps.len(), count, "{text}"),
+            (Err(error), Err(part)) => {
+                let error = error.to_string();
+                assert!(error.contains("f.hcl:") && error.contains(part), "{text}: {error}");
+            }
             (found, _) => panic!("{text}: {found:?}"),
         }
     }
--- a/crates/cli/src/membership_views.rs
+++ b/crates/cli/src/simulator/membership_views.rs
@@ -1,40 +1,45 @@
 //! `tackmast simulator view`: the membership views of fleets under faults, in virtual time.
 
+use super::SimulatorError;
 use crate::parallel;
 use std::process::ExitCode;
 use tackmast_simulator::{difference, find, summary, view, Case, Extensions, Shown, Trial, ViewFault};
 
-/// Hosts of the search for deliberate faults, where none are named.
+/// Number of hosts in the search for deliberate faults, where none is given.
 const DEFAULT_FAULT_HOSTS: u32 = 12;
 
 /// Arguments of `tackmast simulator view`.
 #[derive(clap::Args)]
 pub struct ViewArguments {
-    /// Hosts; given several times, each in turn.
+    /// Number of hosts; if given several times, each is played.
     #[arg(long, default_values_t = [12, 48])]
     hosts: Vec<u32>,
-    /// Cases, all without it.
+    /// The cases that are played; all by default.
     #[arg(long = "case")]
     cases: Vec<Case>,
+    /// Number of seeds.
     #[arg(long, default_value_t = 5)]
     seeds: u64,
+    /// The first seed.
     #[arg(long, default_value_t = 1)]
     first: u64,
-    /// Beside the view as it was before this one's additions, in the same worlds, in pairs by seed.
+    /// Compares with the view without any extension, in pairs by seed.
     #[arg(long)]
     former: bool,
-    /// Without one of the additions: local-health, confirm, own-pause, told-back, own-word, recall, damp or twin; beside
-    /// the whole, in pairs by seed.
-    #[arg(long, value_name = "ADDITION")]
+    /// Compares with the view without one extension, in pairs by seed: local-health, confirm, own-pause, told-back,
+    /// own-word, recall, damp or twin.
+    #[arg(long, value_name = "EXTENSION")]
     without: Option<String>,
-    /// Looks for each deliberate fault of the view, up to so many seeds, and tells by which seed and case it is found.
+    /// Searches for each deliberate fault of the view, in up to so many seeds, and prints the seed and case that find it.
     #[arg(long)]
     faults: bool,
+    /// Number of threads.
     #[arg(long, default_value_t = 4)]
     threads: usize,
 }
 
-fn without(name: &str) -> Result<Extensions, String> {
+/// All extensions of the view but one.
+fn without(name: &str) -> Result<Extensions, SimulatorError> {
     let all = Extensions::all();
     Ok(match name {
         "local-health" => Extensions { local_health: false, ..all },
@@ -45,20 +50,18 @@
         "recall" => Extensions { rejoin: false, ..all },
         "damp" => Extensions { flap_damping: false, ..all },
         "twin" => Extensions { duplicate_id_check: false, ..all },
-        other => {
-            return Err(format!(
-                "--without {other:?}; expected local-health, confirm, own-pause, told-back, own-word, recall, damp or twin"
-            ))
-        }
+        other => return Err(SimulatorError::UnknownExtension(other.to_owned())),
     })
 }
 
-/// Runs the cases that the arguments ask for.
-pub fn run(arguments: &ViewArguments) -> Result<ExitCode, String> {
+/// Plays the cases that the arguments select.
+pub(super) fn run(arguments: &ViewArguments) -> Result<ExitCode, SimulatorError> {
     let ViewArguments { hosts, seeds, first, .. } = arguments;
-    if hosts.iter().any(|hosts| !(3..=1000).contains(hosts)) || !(1..=10_000).contains(seeds) {
-        return Err(format!("--hosts {hosts:?} --seeds {seeds}; expected 3 to 1000, and 1 to 10000"));
-    }
+    SimulatorError::require_bounds(
+        hosts.iter().all(|hosts| (3..=1000).contains(hosts)) && (1..=10_000).contains(seeds),
+        || format!("--hosts {hosts:?} --seeds {seeds}"),
+        "3 to 1000, and 1 to 10000",
+    )?;
     if arguments.faults {
         return Ok(find_faults(arguments));
     }
@@ -69,7 +72,7 @@
     );
     println!(
         "{:>5} {:<16} {:<18} {:>7} {:>7} {:>9} {:>6} {:>6} {:>10}  difference, 95%",
-        "hosts", "case", "view", "median", "most", "unsettled", "false", "held", "bytes/host"
+        "hosts", "case", "view", "median", "max", "unsettled", "false", "held", "bytes/host"
     );
     let mut all_settled = true;
     for hosts in hosts {
@@ -86,7 +89,7 @@
     extensions: Extensions,
 }
 
-fn other_view(arguments: &ViewArguments) -> Result<Option<OtherView>, String> {
+fn other_view(arguments: &ViewArguments) -> Result<Option<OtherView>, SimulatorError> {
     Ok(match (&arguments.without, arguments.former) {
         (Some(name), _) => Some(OtherView { name: format!("without {name}"), extensions: without(name)? }),
         (None, true) => Some(OtherView { name: "former".to_owned(), extensions: Extensions::none() }),
@@ -114,14 +117,14 @@
     now.iter().all(|shown| shown.broken.is_empty() && shown.settled.is_some())
 }
 
-/// When all hosts knew of those that are missed, at the latest.
+/// The latest time at which all hosts knew of a death.
 fn missed_text(shown: &[Shown]) -> String {
     let missed: Vec<f64> = shown.iter().filter_map(|shown| shown.missed).collect();
     if missed.is_empty() {
         return String::new();
     }
     let latest = missed.iter().copied().fold(0.0, f64::max);
-    format!("missed by all after {latest:.1} at most")
+    format!("known to be dead by all after {latest:.1} at most")
 }
 
 fn print_line(hosts: u32, case: Case, name: &str, shown: &[Shown], end: &str) {
@@ -137,11 +140,11 @@
         summary.bytes
     );
     for (what, number) in summary.broken.iter().take(3).zip(1..) {
-        println!("      broken {number}: {what}");
+        println!("      violation {number}: {what}");
     }
 }
 
-/// Looks for each deliberate fault of the view.
+/// Searches for each deliberate fault of the view.
 fn find_faults(arguments: &ViewArguments) -> ExitCode {
     let ViewArguments { first, seeds, threads, .. } = *arguments;
     let hosts = arguments.hosts.first().copied().unwrap_or(DEFAULT_FAULT_HOSTS);
