--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,9 +1,24 @@
-//! The `tackmast` command: it reads arguments, settings and signals, and hands on.
+//! The `tackmast` command: it parses arguments, runs the command they name and prints why it failed.
+//!
+//! | modules | contents |
+//! | --- | --- |
+//! | `serve`, `platform` | running a host, with settings of its own or on the operators' platform |
+//! | `admin_calls`, `overrides`, `plans`, `consensus`, `members`, `status` | operators' commands, sent to running hosts over admin sockets |
+//! | `planner` | whether plans fit a recorded workload |
+//! | `io` | reads, writes and load over the client library |
+//! | `emulators`, `scenario`, `simulator`, `benchmark` | tests and measurements |
+//! | `error` | what each command's errors become here |
+//! | `log`, `parallel`, `temporary_folder`, `time_format` | log lines, work on several threads, files of one run, times as text |
+//!
+//! `missing_docs` sees nothing of a program's modules but their names; Clippy's lint covers the items that are visible in
+//! the whole program, as `clippy.toml` says.
+#![warn(missing_docs, clippy::missing_docs_in_private_items)]
 
 mod admin_calls;
 mod benchmark;
 mod consensus;
 mod emulators;
+mod error;
 mod io;
 mod log;
 mod members;
@@ -20,153 +35,160 @@
 mod time_format;
 
 use clap::{Parser, Subcommand};
+use error::CommandError;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// A storage gateway: it schedules a host's reads and writes over a shared pool of storage nodes.
+/// Exit code of a command that could not do its work. Commands that did it and found something wrong exit with 1.
+const EXIT_FAILURE: u8 = 2;
+
+/// A storage gateway: schedules a host's reads and writes over a shared pool of storage nodes.
 #[derive(Parser)]
 #[command(version, arg_required_else_help = true)]
 struct Arguments {
-    /// How log lines are written, on standard error.
+    /// Form of the log lines on standard error.
     #[arg(long, global = true, value_enum, default_value_t = log::Form::Text)]
     log: log::Form,
-    /// Which lines are written, as for the environment variable RUST_LOG: error, warn, info, debug, or by
+    /// Which log lines are written, as in the environment variable RUST_LOG: error, warn, info, debug, or by
     /// module, such as tackmast_host=debug.
     #[arg(long, global = true, default_value = "info")]
     log_level: String,
+    /// The command to run.
     #[command(subcommand)]
     command: Command,
 }
 
+/// The commands.
 #[derive(Subcommand)]
 enum Command {
-    /// Runs a host: clients reach its volumes over iSCSI, and it reaches the nodes.
+    /// Runs a host: clients reach its volumes over iSCSI, and the host reaches the nodes.
     ///
     /// Ends on SIGTERM or SIGINT. Prints `listening ADDRESS` on standard output once it serves clients.
     Serve {
         /// Settings of the host, in HCL.
         #[arg(long, value_name = "FILE", required_unless_present = "platform")]
         config: Option<PathBuf>,
-        /// Runs on the operators' platform instead: settings are the JSON file that NODE_CONFIG names, clients and nodes
-        /// speak HTTP/1.1. SIGHUP reads the file again. docs/operating.md tells more.
+        /// Runs the host on the operators' platform instead: settings are in the JSON file that NODE_CONFIG names, and clients
+        /// and nodes speak HTTP/1.1. SIGHUP reloads the file. See docs/operating.md.
         #[arg(long, conflicts_with = "config")]
         platform: bool,
-        /// For rehearsals: the wall clock is wrong by so many seconds.
-        #[arg(long, default_value_t = 0.0, allow_negative_numbers = true, hide = true)]
-        clock_off_s: f64,
-        /// For rehearsals: all clocks run at this pace.
-        #[arg(long, default_value_t = 1.0, hide = true)]
-        clock_pace: f64,
+        /// For tests: seconds by which the wall clock is wrong.
+        #[arg(long = "clock-off-s", default_value_t = 0.0, allow_negative_numbers = true, hide = true)]
+        clock_offset_s: f64,
+        /// For tests: rate at which all clocks run.
+        #[arg(long = "clock-pace", default_value_t = 1.0, hide = true)]
+        clock_rate: f64,
     },
-    /// Runs a stand-in for a storage node, on loopback, that keeps its bytes in memory.
+    /// Runs an emulated storage node on loopback, which keeps its data in memory.
     ///
-    /// Each line of standard input is a fault to set, such as `slow 5`, `silent on`, `restart 2` or `well`.
+    /// Each line of standard input is a fault to inject, such as `slow 5`, `silent on`, `restart 2` or `well`.
     Node(emulators::NodeArguments),
-    /// Runs a stand-in for the node list, on loopback.
+    /// Runs an emulated endpoint list on loopback.
     ///
     /// Each line of standard input changes the list: `put ADDRESS SHARD ZONE`, `drain ADDRESS`, `gone ADDRESS`,
     /// `late SECONDS`, `fails on|off`, `silent on|off`, `reset`.
     NodeList {
+        /// Loopback address on which the list listens; port 0 takes any free port.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: std::net::SocketAddr,
     },
-    /// Reads, writes, copies, verifies and loads a volume over the client library, by either protocol.
+    /// Reads, writes, copies, verifies and loads a volume over the client library, with either protocol.
     #[command(subcommand)]
     Io(io::IoCommand),
-    /// Orders of operators that end by themselves: a weight, out of service, pinned in service.
+    /// Operators' overrides of nodes, which end by themselves: a weight, out of service, pinned in service.
     #[command(subcommand)]
     Override(overrides::OverrideCommand),
-    /// Plans, and which volume is under which, changed while hosts run; with a trail that can be proved.
+    /// Plans and the volumes under them, changed while hosts run, with a change log that can be verified.
     #[command(subcommand)]
     Plan(plans::PlanCommand),
-    /// What all hosts go by: who leads and votes, leases, and how each host stands.
+    /// The consensus group of the hosts: leader, voters, leases, and the state of each host.
     #[command(subcommand)]
     #[command(alias = "agreement")]
     Consensus(consensus::ConsensusCommand),
-    /// Shows what hosts are doing, and what each node is given.
+    /// Shows what hosts are doing, and the load that each node receives.
     Status {
+        /// The hosts that are called.
         #[command(flatten)]
         hosts: admin_calls::Hosts,
     },
-    /// Shows which hosts a host thinks are there, by site, and what of limits it has lent and borrowed.
+    /// Shows which peers a host holds alive, by site, and its quota leases.
     Members(members::MembersArguments),
-    /// Plays a scripted day on loopback: hosts, stand-ins, traffic and troubles.
+    /// Runs a scenario on loopback: hosts, emulators, traffic and faults, as a script says.
     ///
-    /// Prints the seed, service by plan and traffic class, and each of the seven rules with what was checked. Exits
-    /// with 0 only if every rule held, every byte read was right, and the script's own expectations were met.
+    /// Prints the seed, the service by plan and traffic class, and each of the seven invariants with what was checked. Exits
+    /// with 0 only if every invariant held, every byte read was right, and the script's own expectations were met.
     #[command(alias = "day")]
     Scenario(scenario::ScenarioArguments),
-    /// Writes a day of the bench as a script for loopback, on standard output.
+    /// Prints a day of the bench as a scenario script.
     #[command(alias = "day-import")]
     ScenarioImport {
         /// A day file of the bench, as JSON.
         file: PathBuf,
+        /// Seed of the scenario.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Judges the seven rules from a recorded trace alone; exits with 1 if one is broken.
+    /// Checks the seven invariants on a recorded trace alone; exits with 1 if one is violated.
     Rules {
+        /// The trace, as `scenario --out` and `simulator play --trace` write it.
         trace: PathBuf,
         /// Prints the findings as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// The host core by the hundred in virtual time: plays seeds, and hunts for a broken rule.
+    /// Runs many hosts in virtual time: single seeds, comparisons, and searches for a violated invariant.
     #[command(subcommand)]
     #[command(alias = "lab")]
     Simulator(simulator::SimulatorCommand),
-    /// Measures what the host adds, against the same clients straight at the stand-in nodes, in one run.
+    /// Measures what the host adds to the same load sent straight to emulated nodes, in one run.
     #[command(alias = "measure")]
     Benchmark(benchmark::BenchmarkArguments),
-    /// Looks at settings without running anything.
+    /// Checks settings without running anything.
     #[command(subcommand)]
     Config(ConfigCommand),
 }
 
+/// Arguments of `tackmast config`.
 #[derive(Subcommand)]
 enum ConfigCommand {
     /// Checks a host's settings: prints what they hold, or one error with file, line, value and what was expected.
-    Check { file: PathBuf },
+    Check {
+        /// Settings of the host, in HCL.
+        file: PathBuf,
+    },
 }
 
 fn main() -> ExitCode {
-    let arguments = Arguments::parse();
-    if let Err(e) = log::start(arguments.log, &arguments.log_level) {
-        eprintln!("tackmast: {e}");
-        return ExitCode::from(2);
-    }
-    let outcome = match arguments.command {
-        Command::Serve { config: Some(config), clock_off_s, clock_pace, .. } => {
-            serve::serve(&config, serve::ClockError { offset_s: clock_off_s, rate: clock_pace })
-                .map_err(|error| error.to_string())
-        }
-        Command::Serve { config: None, .. } => platform::serve().map_err(|error| error.to_string()),
-        Command::Node(a) => emulators::node(&a).map_err(|error| error.to_string()),
-        Command::NodeList { listen } => emulators::node_list(listen).map_err(|error| error.to_string()),
-        Command::Io(c) => io::run(c).map_err(|error| error.to_string()),
-        Command::Override(c) => overrides::run(c).map_err(|error| error.to_string()),
-        Command::Plan(c) => plans::run(c).map_err(|error| error.to_string()),
-        Command::Consensus(c) => consensus::run(c).map_err(|error| error.to_string()),
-        Command::Status { hosts } => status::run(&hosts).map_err(|error| error.to_string()),
-        Command::Members(a) => members::run(&a).map_err(|error| error.to_string()),
-        Command::Scenario(a) => scenario::run(&a).map_err(|error| error.to_string()),
-        Command::ScenarioImport { file, seed } => {
-            scenario::import(&file, seed).map_err(|error| error.to_string())
-        }
-        Command::Rules { trace, json } => {
-            scenario::check_trace(&trace, json).map_err(|error| error.to_string())
-        }
-        Command::Simulator(c) => simulator::run(c).map_err(|error| error.to_string()),
-        Command::Benchmark(a) => benchmark::run(&a).map_err(|error| error.to_string()),
-        Command::Config(ConfigCommand::Check { file }) => {
-            serve::check(&file).map_err(|error| error.to_string())
-        }
-    };
-    match outcome {
+    match run(Arguments::parse()) {
         Ok(code) => code,
-        Err(e) => {
-            eprintln!("tackmast: {e}");
-            ExitCode::from(2)
+        Err(error) => {
+            eprintln!("tackmast: {error}");
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
+
+/// Starts the log and runs the command.
+fn run(arguments: Arguments) -> Result<ExitCode, CommandError> {
+    log::start(arguments.log, &arguments.log_level)?;
+    Ok(match arguments.command {
+        Command::Serve { config: Some(config), clock_offset_s: offset_s, clock_rate: rate, .. } => {
+            serve::serve(&config, serve::ClockError { offset_s, rate })?
+        }
+        Command::Serve { config: None, .. } => platform::serve()?,
+        Command::Node(arguments) => emulators::node(&arguments)?,
+        Command::NodeList { listen } => emulators::node_list(listen)?,
+        Command::Io(command) => io::run(command)?,
+        Command::Override(command) => overrides::run(command)?,
+        Command::Plan(command) => plans::run(command)?,
+        Command::Consensus(command) => consensus::run(command)?,
+        Command::Status { hosts } => status::run(&hosts)?,
+        Command::Members(arguments) => members::run(&arguments)?,
+        Command::Scenario(arguments) => scenario::run(&arguments)?,
+        Command::ScenarioImport { file, seed } => scenario::import(&file, seed)?,
+        Command::Rules { trace, json } => scenario::check_trace(&trace, json)?,
+        Command::Simulator(command) => simulator::run(command)?,
+        Command::Benchmark(arguments) => benchmark::run(&arguments)?,
+        Command::Config(ConfigCommand::Check { file }) => serve::check(&file)?,
+    })
+}
