--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -7,7 +7,8 @@
 use std::time::{Duration, Instant};
 use tackmast_emulators::http::{HttpClient, HttpEndpointList, HttpNode, ListMember, Received};
 
-const PATIENCE: Duration = Duration::from_secs(6);
+/// How long a test waits for what it expects.
+const TEST_TIMEOUT: Duration = Duration::from_secs(6);
 
 fn config(listen: SocketAddr, list: &HttpEndpointList) -> String {
     format!(
@@ -33,19 +34,20 @@
     assert!(sent.success());
 }
 
-fn asked(to: SocketAddr, text: &str) -> Option<u16> {
-    let mut client = HttpClient::connect(to).ok()?;
-    client.send(text.as_bytes());
-    match client.receive(PATIENCE) {
+/// The status that the host answers to a request; none without an answer.
+fn response_status(host: SocketAddr, request: &str) -> Option<u16> {
+    let mut client = HttpClient::connect(host).ok()?;
+    client.send(request.as_bytes());
+    match client.receive(TEST_TIMEOUT) {
         Received::Response(response) => Some(response.status),
         _ => None,
     }
 }
 
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let since = Instant::now();
+fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+    let start = Instant::now();
     while !holds() {
-        assert!(since.elapsed() < PATIENCE, "{what}");
+        assert!(start.elapsed() < TEST_TIMEOUT, "{what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
@@ -65,14 +67,14 @@
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     std::fs::write(&file, config(any, &list)).unwrap();
     let mut host = serve(&file);
-    // It says where it listens.
-    let mut said = BufReader::new(host.stderr.take().unwrap());
+    // The first log line names the address at which the host listens.
+    let mut log = BufReader::new(host.stderr.take().unwrap());
     let mut text = String::new();
-    said.read_line(&mut text).unwrap();
+    log.read_line(&mut text).unwrap();
     let listen = text.split("listen=").nth(1).and_then(|t| t.split(' ').next()).expect("an address");
     let listen: SocketAddr = listen.parse().expect(&text);
     let ready = "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n";
-    until("ready", || asked(listen, ready) == Some(200));
+    wait_until("ready", || response_status(listen, ready) == Some(200));
     let mut call = 0;
     let mut get = || {
         call += 1;
@@ -80,24 +82,24 @@
             "GET /api/00000000000000aa/00000000000000bb HTTP/1.1\r\nHost: h\r\nX-Call-Id: {call:016x}\r\n\
              X-Call-Class: read\r\nX-Storage-Class: gold\r\nX-Budget-Ms: 1000\r\nX-Extent: units=1,shard=0,hosts=1\r\n\r\n"
         );
-        asked(listen, &text)
+        response_status(listen, &text)
     };
     assert_eq!(get(), Some(200));
-    // A file that makes no sense changes nothing; one that names another list moves the watch.
+    // An invalid file changes nothing; one that names another list moves the watch.
     std::fs::write(&file, "{").unwrap();
     signal(&host, "-HUP");
     std::thread::sleep(Duration::from_millis(100));
     assert_eq!(get(), Some(200));
     std::fs::write(&file, config(any, &next)).unwrap();
     signal(&host, "-HUP");
-    until("the new list is asked", || !next.polls().is_empty());
+    wait_until("the new list is polled", || !next.polls().is_empty());
     assert_eq!(get(), Some(200));
     signal(&host, "-TERM");
-    until("ends", || host.try_wait().unwrap().is_some());
+    wait_until("the host ends", || host.try_wait().unwrap().is_some());
     assert!(host.wait().unwrap().success());
-    said.read_to_string(&mut text).unwrap();
-    for words in ["host serves", "the old one stays", "discovery moved", "host has ended taken=3 done=3"] {
-        assert!(text.contains(words), "{words}: {text}");
+    log.read_to_string(&mut text).unwrap();
+    for message in ["host serves", "the old one stays", "discovery moved", "host has ended taken=3 done=3"] {
+        assert!(text.contains(message), "{message}: {text}");
     }
     assert!(text.lines().count() <= 12, "sparse: {text}");
 }
@@ -108,21 +110,21 @@
     let (node, list) = (HttpNode::start().unwrap(), HttpEndpointList::start().unwrap());
     let address = node.address();
     list.add_initial(ListMember { id: "s-0".into(), address, shard: 0, phase: "Ready", up_since_ms: 0 });
-    // A file that is only there once it is written: until then the start waits.
+    // A pipe in place of the file: the start waits until something is written into it.
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("config.json");
     assert!(Command::new("mkfifo").arg(&file).status().unwrap().success());
     let mut host = serve(&file);
-    let caught = || {
+    let handles_sigterm = || {
         let status = std::fs::read_to_string(format!("/proc/{}/status", host.id())).unwrap_or_default();
         let mask =
             status.lines().find_map(|l| l.strip_prefix("SigCgt:")).unwrap_or_default().trim().to_owned();
         u64::from_str_radix(&mask, 16).unwrap_or(0) >> 14 & 1 == 1 // SIGTERM is 15
     };
-    until("it hears orders", caught);
+    wait_until("the host handles SIGTERM", handles_sigterm);
     signal(&host, "-TERM");
     std::fs::write(&file, config(SocketAddr::from(([127, 0, 0, 1], 0)), &list)).unwrap();
-    until("ends", || host.try_wait().unwrap().is_some());
+    wait_until("the host ends", || host.try_wait().unwrap().is_some());
     assert!(host.wait().unwrap().success());
     let mut text = String::new();
     host.stderr.take().unwrap().read_to_string(&mut text).unwrap();
@@ -136,7 +138,7 @@
     let file = dir.path().join("config.json");
     let list = HttpEndpointList::start().unwrap();
     let good = config("127.0.0.1:1".parse().unwrap(), &list);
-    for (text, word) in [
+    for (text, expected) in [
         (None, "expected a file that can be read"),
         (Some("{".to_owned()), "expected JSON"),
         (Some(good.replace("repeatable", "odd")), "settings.request_classes[0].effect: odd; expected"),
@@ -147,8 +149,8 @@
             None => _ = std::fs::remove_file(&file),
         }
         let out = serve(&file).wait_with_output().unwrap();
-        let said = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert!(!out.status.success() && said.contains(word), "{word}: {said}");
-        assert_eq!(said.lines().count(), 1, "{said}");
+        let errors = String::from_utf8_lossy(&out.stderr).into_owned();
+        assert!(!out.status.success() && errors.contains(expected), "{expected}: {errors}");
+        assert_eq!(errors.lines().count(), 1, "{errors}");
     }
 }
