--- a/tests/withdrawn_words.rs
+++ b/tests/withdrawn_words.rs
@@ -5,11 +5,12 @@
 use std::path::{Path, PathBuf};
 
 /// Folders whose code is whole.
-const WHOLE: [&str; 25] = [
+const WHOLE: [&str; 26] = [
     "src",
     "crates/admin",
     "crates/benchlink",
     "crates/benchmarks",
+    "crates/cli",
     "crates/client",
     "crates/client-core",
     "crates/config",
@@ -205,18 +206,35 @@
     assert!(places.is_empty(), "withdrawn words (docs/glossary.md has the terms):\n{}", places.join("\n"));
 }
 
-/// A package that was documented gets a public item without a doc comment.
+/// Whether the root module of a package warns by this lint.
+fn warns(root_module: &str, lint: &str) -> bool {
+    let is_warning = |line: &str| {
+        let lints = line.strip_prefix("#![warn(").and_then(|rest| rest.strip_suffix(")]"));
+        lints.is_some_and(|lints| lints.split(", ").any(|warned| warned == lint))
+    };
+    root_module.lines().any(is_warning)
+}
+
+/// A package that was documented gets a public item without a doc comment. A program has no items that are public in the sense of
+/// `missing_docs`: there Clippy's lint warns of those that the whole program sees.
 #[test]
 fn whole_packages_warn_of_missing_documentation() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     for folder in WHOLE {
-        let source = if folder == "src" { root.join(folder) } else { root.join(folder).join("src") };
-        let text = std::fs::read_to_string(source.join("lib.rs")).unwrap();
-        let warnings: Vec<&str> = text.lines().filter(|line| line.starts_with("#![warn(")).collect();
-        assert!(
-            warnings.iter().any(|line| line.contains("missing_docs")),
-            "{folder}/lib.rs does not warn of missing documentation"
-        );
+        let package = if folder == "src" { root.to_owned() } else { root.join(folder) };
+        let library = package.join("src/lib.rs");
+        let program = package.join("src/main.rs");
+        let is_library = library.exists();
+        let text = std::fs::read_to_string(if is_library { library } else { program }).unwrap();
+        assert!(warns(&text, "missing_docs"), "{folder} does not warn of missing documentation");
+        if !is_library {
+            let lint = "clippy::missing_docs_in_private_items";
+            assert!(warns(&text, lint), "{folder} does not warn of missing documentation inside the program");
+            let settings = std::fs::read_to_string(package.join("clippy.toml")).unwrap();
+            let covers_crate_items =
+                settings.lines().any(|line| line == "missing-docs-in-crate-items = true");
+            assert!(covers_crate_items, "{folder}/clippy.toml does not name the items that the lint covers");
+        }
     }
 }
 
