--- a/crates/cli/src/admin_calls.rs
+++ b/crates/cli/src/admin_calls.rs
@@ -4,6 +4,7 @@
 
 pub use error::AdminCallError;
 
+use crate::exit_code;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
@@ -62,7 +63,7 @@
             print(&answer);
         }
     }
-    Ok(ExitCode::from(u8::from(!all_done)))
+    Ok(exit_code::of_result(all_done))
 }
 
 /// Whether the host did as requested.
--- a/crates/cli/src/consensus.rs
+++ b/crates/cli/src/consensus.rs
@@ -4,6 +4,7 @@
 mod tests;
 
 use crate::admin_calls::{self, AdminCallError, Hosts};
+use crate::exit_code;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use tackmast_host_core::{AdminRequest, AdminResponse, ConsensusRequest, ConsensusResponse, ConsensusStatus};
@@ -203,5 +204,5 @@
             }
         }
     }
-    Ok(ExitCode::from(u8::from(!all_valid)))
+    Ok(exit_code::of_result(all_valid))
 }
--- a/crates/cli/src/io.rs
+++ b/crates/cli/src/io.rs
@@ -7,6 +7,7 @@
 pub use error::IoError;
 pub use load::LoadArguments;
 
+use crate::exit_code;
 use ranges::{read_all, write_all};
 use std::fs::File;
 use std::io::{Read, Write};
@@ -173,7 +174,7 @@
         }
         Some(byte) => {
             eprintln!("data differs from byte {byte} on");
-            Ok(ExitCode::from(1))
+            Ok(exit_code::of_result(false))
         }
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -7,7 +7,7 @@
 //! | `planner` | whether plans fit a recorded workload |
 //! | `io` | reads, writes and load over the client library |
 //! | `emulators`, `scenario`, `simulator`, `benchmark` | tests and measurements |
-//! | `error` | what each command's errors become here |
+//! | `error`, `exit_code` | what each command's errors become here, and the exit codes |
 //! | `log`, `parallel`, `temporary_folder`, `time_format` | log lines, work on several threads, files of one run, times as text |
 //!
 //! `missing_docs` sees nothing of a program's modules but their names; Clippy's lint covers the items that are visible in
@@ -19,6 +19,7 @@
 mod consensus;
 mod emulators;
 mod error;
+mod exit_code;
 mod io;
 mod log;
 mod members;
@@ -39,9 +40,6 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit code of a command that could not do its work. Commands that did it and found something wrong exit with 1.
-const EXIT_FAILURE: u8 = 2;
-
 /// A storage gateway: schedules a host's reads and writes over a shared pool of storage nodes.
 #[derive(Parser)]
 #[command(version, arg_required_else_help = true)]
@@ -163,7 +161,7 @@
         Ok(code) => code,
         Err(error) => {
             eprintln!("tackmast: {error}");
-            ExitCode::from(EXIT_FAILURE)
+            exit_code::of_error()
         }
     }
 }
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -6,6 +6,7 @@
 mod tests;
 
 use crate::admin_calls::{self, call_each, AdminCallError, Hosts};
+use crate::exit_code;
 use crate::time_format::timestamp;
 use comparison::Comparison;
 use std::path::Path;
@@ -48,7 +49,7 @@
             let comparison = Comparison::new(&answers);
             print!("{}", comparison.text());
             let all_answered = answers.iter().all(|answer| answer.view.is_ok());
-            Ok(ExitCode::from(u8::from(!(all_answered && comparison.is_converged()))))
+            Ok(exit_code::of_result(all_answered && comparison.is_converged()))
         }
     }
 }
--- a/crates/cli/src/planner.rs
+++ b/crates/cli/src/planner.rs
@@ -8,6 +8,7 @@
 pub use bound_comparison::{compare as compare_bound, BoundArguments};
 pub use error::PlannerError;
 
+use crate::exit_code;
 use demand::{demands, limit_waits, plan_shards, Demand, PlannedDemand, ShardPlan};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -121,7 +122,7 @@
         true => println!("all latency objectives are met by the bound"),
         false => println!("at risk by the bound: {}", at_risk.join(", ")),
     }
-    Ok(ExitCode::from(u8::from(!at_risk.is_empty())))
+    Ok(exit_code::of_result(at_risk.is_empty()))
 }
 
 /// Prints the line of a shard. Returns what is at risk where plans reserve more than its node can do.
@@ -166,7 +167,7 @@
     let demands = deployment.demands();
     print_limits(&deployment, &demands);
     let all_placed = print_placement(&deployment, &demands, node_count);
-    Ok(ExitCode::from(u8::from(!all_placed)))
+    Ok(exit_code::of_result(all_placed))
 }
 
 /// Sums over the shards of a volume.
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -6,6 +6,7 @@
 
 pub use error::ScenarioCommandError;
 
+use crate::exit_code;
 use crate::temporary_folder::TemporaryFolder;
 use std::fs::File;
 use std::io::{BufReader, BufWriter};
@@ -79,7 +80,7 @@
         true => println!("{}", serde_json::to_string_pretty(&run.report)?),
         false => print_run(&run),
     }
-    Ok(ExitCode::from(u8::from(!run.report.is_good())))
+    Ok(exit_code::of_result(run.report.is_good()))
 }
 
 /// Runs a script in a temporary folder.
@@ -137,7 +138,7 @@
         true => println!("{}", serde_json::to_string_pretty(&report)?),
         false => print!("{report}"),
     }
-    Ok(ExitCode::from(u8::from(!report.is_clean())))
+    Ok(exit_code::of_result(report.is_clean()))
 }
 
 /// Prints a day of the bench as a scenario script.
--- a/crates/cli/src/scenario/hunt.rs
+++ b/crates/cli/src/scenario/hunt.rs
@@ -1,6 +1,7 @@
 //! `tackmast scenario --hunt`: generated faults, seed after seed, until a run fails.
 
 use super::{run_once, ScenarioArguments, ScenarioCommandError};
+use crate::exit_code;
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 use tackmast_scenario::{add_generated_faults, faults_text, shrink, Report, Script};
@@ -21,7 +22,7 @@
             println!("seed {seed}: the run failed\n{report}\ngenerated:\n{}", faults_text(&generated));
             let smallest = shrink(generated, |script| failed_report(script).map(|report| report.is_some()))?;
             println!("reduced:\n{}", faults_text(&smallest));
-            return Ok(ExitCode::from(1));
+            return Ok(exit_code::of_result(false));
         }
         println!("seed {seed}: {} faults, nothing failed", generated.faults.len());
         seed += 1;
--- a/crates/cli/src/scenario/seeds.rs
+++ b/crates/cli/src/scenario/seeds.rs
@@ -1,6 +1,7 @@
 //! `tackmast scenario --seeds`: a scenario with one seed after the other, and a summary.
 
 use super::{run_once, ScenarioArguments, ScenarioCommandError};
+use crate::exit_code;
 use std::collections::BTreeMap;
 use std::process::ExitCode;
 use tackmast_scenario::{ConsensusObservations, Report, Script};
@@ -23,7 +24,7 @@
         summary.add(&report);
     }
     summary.print();
-    Ok(ExitCode::from(u8::from(summary.failed_runs > 0)))
+    Ok(exit_code::of_result(summary.failed_runs == 0))
 }
 
 fn print_header(arguments: &ScenarioArguments, script: &Script) {
--- a/crates/cli/src/simulator/consensus_walks.rs
+++ b/crates/cli/src/simulator/consensus_walks.rs
@@ -1,6 +1,7 @@
 //! `tackmast simulator agree`: random walks over the states of consensus, in virtual time.
 
 use super::SimulatorError;
+use crate::exit_code;
 use crate::parallel;
 use std::process::ExitCode;
 use tackmast_simulator::{
@@ -70,7 +71,7 @@
     println!("three voters, {} states to a depth of {depth}", explored.states);
     let holds = explored.broken.is_none();
     explored.broken.into_iter().for_each(|broken| println!("VIOLATED: {broken}"));
-    exit_code(holds)
+    exit_code::of_result(holds)
 }
 
 /// Searches for each deliberate fault.
@@ -87,7 +88,7 @@
             }
         }
     }
-    exit_code(all_found)
+    exit_code::of_result(all_found)
 }
 
 /// Walks from each seed, and prints what was violated.
@@ -110,11 +111,7 @@
             walked.disk_and_voter_changes.iter().for_each(|line| println!("    {line}"));
         }
     }
-    exit_code(all_hold)
-}
-
-fn exit_code(is_good: bool) -> ExitCode {
-    ExitCode::from(u8::from(!is_good))
+    exit_code::of_result(all_hold)
 }
 
 /// Plays fleets, and prints what consensus costs them and how soon changes are known.
@@ -147,7 +144,7 @@
         print_fleet(trial, &figures);
         all_hold &= figures.broken.is_empty();
     }
-    Ok(exit_code(all_hold))
+    Ok(exit_code::of_result(all_hold))
 }
 
 /// Each size of fleet with each seed.
--- a/crates/cli/src/simulator/hunt.rs
+++ b/crates/cli/src/simulator/hunt.rs
@@ -2,6 +2,7 @@
 
 use super::run_text::run_text;
 use super::{reference_model, SimulatorError};
+use crate::exit_code;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -118,7 +119,7 @@
     let reduced = shrink(&world, None);
     print!("{}", run_text(&reduced, &play(&reduced, None)));
     arguments.save(&reduced)?;
-    Ok(ExitCode::from(1))
+    Ok(exit_code::of_result(false))
 }
 
 /// A world, and by which fraction of requests in time the host core is worse than a reference model.
--- a/crates/cli/src/simulator/membership_views.rs
+++ b/crates/cli/src/simulator/membership_views.rs
@@ -1,6 +1,7 @@
 //! `tackmast simulator view`: the membership views of fleets under faults, in virtual time.
 
 use super::SimulatorError;
+use crate::exit_code;
 use crate::parallel;
 use std::process::ExitCode;
 use tackmast_simulator::{difference, find, summary, view, Case, Extensions, Shown, Trial, ViewFault};
@@ -80,7 +81,7 @@
             all_settled &= compare_case(arguments, *hosts, *case, other.as_ref());
         }
     }
-    Ok(exit_code(all_settled))
+    Ok(exit_code::of_result(all_settled))
 }
 
 /// A view with other extensions, which is compared with the one in use.
@@ -160,9 +161,5 @@
             }
         }
     }
-    exit_code(all_found)
-}
-
-fn exit_code(is_good: bool) -> ExitCode {
-    ExitCode::from(u8::from(!is_good))
+    exit_code::of_result(all_found)
 }
--- a/crates/cli/src/simulator/play.rs
+++ b/crates/cli/src/simulator/play.rs
@@ -2,6 +2,7 @@
 
 use super::run_text::run_text;
 use super::SimulatorError;
+use crate::exit_code;
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -106,7 +107,7 @@
             .map_err(|source| SimulatorError::File { path: path.clone(), source })?;
     }
     println!("{:.2} s of wall time, trace digest {:08x}", start.elapsed().as_secs_f64(), found.run.digest());
-    Ok(ExitCode::from(u8::from(found.is_bad())))
+    Ok(exit_code::of_result(!found.is_bad()))
 }
 
 fn write_trace(path: &Path, found: &Found) -> std::io::Result<()> {
