--- a/crates/cli/src/parallel.rs
+++ b/crates/cli/src/parallel.rs
@@ -13,7 +13,7 @@
 }
 
 /// Runs a function on all items, on so many threads; returns the results in the order of the items.
-pub fn map<T: Sync, R: Send>(items: &[T], threads: usize, run: impl Fn(&T) -> R + Sync) -> Vec<R> {
+pub(crate) fn map<T: Sync, R: Send>(items: &[T], threads: usize, run: impl Fn(&T) -> R + Sync) -> Vec<R> {
     let next = AtomicUsize::new(0);
     let finished: Mutex<Vec<Finished<R>>> = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
--- a/crates/cli/tests/scenarios.rs
+++ b/crates/cli/tests/scenarios.rs
@@ -11,14 +11,14 @@
 fn assert_scenario_passes(name: &str) {
     let _running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let out = Command::new(env!("CARGO_BIN_EXE_tackmast"))
+    let output = Command::new(env!("CARGO_BIN_EXE_tackmast"))
         .current_dir(root)
         .args(["scenario", &format!("scenarios/{name}.hcl")])
         .output()
         .expect("the command runs");
-    let text = String::from_utf8_lossy(&out.stdout);
-    let errors = String::from_utf8_lossy(&out.stderr);
-    assert!(out.status.success(), "{name}:\n{text}\n{errors}");
+    let text = String::from_utf8_lossy(&output.stdout);
+    let errors = String::from_utf8_lossy(&output.stderr);
+    assert!(output.status.success(), "{name}:\n{text}\n{errors}");
 }
 
 macro_rules! scenarios {
@@ -67,9 +67,9 @@
     let case = |name: &str, text: &str, args: &[&str]| {
         let file = dir.path().join(name);
         std::fs::write(&file, text).unwrap();
-        let out = Command::new(env!("CARGO_BIN_EXE_tackmast")).args(args).arg(&file).output().unwrap();
-        assert_eq!(out.status.code(), Some(2), "{name}");
-        String::from_utf8_lossy(&out.stderr).trim().replace(&format!("{}", file.display()), name)
+        let output = Command::new(env!("CARGO_BIN_EXE_tackmast")).args(args).arg(&file).output().unwrap();
+        assert_eq!(output.status.code(), Some(2), "{name}");
+        String::from_utf8_lossy(&output.stderr).trim().replace(&format!("{}", file.display()), name)
     };
     let scenario = |text: &str| case("d.hcl", text, &["day"]);
     let config = |text: &str| case("c.hcl", text, &["config", "check"]);
@@ -100,8 +100,8 @@
     // Found by a scenario of twelve hosts: its runner read only the first line, and the hosts ended when they wrote the next.
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("host.hcl");
-    let mut f = std::fs::File::create(&file).unwrap();
-    f.write_all(
+    let mut settings = std::fs::File::create(&file).unwrap();
+    settings.write_all(
         b"host {\n number = 0\n hosts = 1\n listen = \"127.0.0.1:0\"\n listen_nbd = \"127.0.0.1:0\"\n node_list = \"127.0.0.1:1\"\n}\nunits {\n bytes = 4096\n most = 8\n mean = 2\n}\nplan \"p\" {}\nstream \"s\" {\n slo_ms = 100\n expiry_ms = 1000\n effect = \"repeatable\"\n}\nvolume \"v\" {\n lun = 0\n plan = \"p\"\n blocks = 64\n extent_blocks = 64\n shards = [0]\n hosts = 1\n reads = \"s\"\n writes = \"s\"\n}\n",
     )
     .unwrap();
@@ -114,7 +114,7 @@
         .unwrap();
     drop(host.stdout.take());
     std::thread::sleep(Duration::from_millis(500));
-    assert_eq!(host.try_wait().unwrap(), None, "it runs on");
+    assert_eq!(host.try_wait().unwrap(), None, "the host has ended");
     host.kill().unwrap();
     host.wait().unwrap();
 }
