--- a/crates/benchmarks/src/core_cost/scheduler.rs
+++ b/crates/benchmarks/src/core_cost/scheduler.rs
@@ -47,13 +47,7 @@
         scheduler.add_traffic_class(class.latency_objective, class.effect, class.in_order);
     }
     for plan in &settings.plans {
-        scheduler.add_plan(Plan {
-            limit: plan.limit,
-            burst: plan.burst,
-            slack: plan.slack,
-            reserve: plan.reserve,
-            weight: plan.weight,
-        });
+        scheduler.add_plan(plan.into());
     }
     let nodes: Vec<NodeEntry> = (0..NODE_COUNT).map(node_entry).collect();
     scheduler.nodes_changed(time_of(0), ListKind::Complete, &nodes);
--- a/crates/config/src/blocks/plan.rs
+++ b/crates/config/src/blocks/plan.rs
@@ -25,6 +25,13 @@
     pub floor: Option<f64>,
 }
 
+impl From<&Plan> for tackmast::interface::Plan {
+    fn from(plan: &Plan) -> Self {
+        let Plan { name: _, limit, burst, slack, reserve, weight, floor: _ } = *plan;
+        tackmast::interface::Plan { limit, burst, slack, reserve, weight }
+    }
+}
+
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PlanBlock {
--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -33,7 +33,7 @@
 use crate::placed::{PlacedSettings, VolumeNames};
 use crate::plans::Plans;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-use tackmast::interface::{Instant, NodeId, Plan, RequestId, ShardId, TimeDelta};
+use tackmast::interface::{Instant, NodeId, RequestId, ShardId, TimeDelta};
 use tackmast::scheduler::Scheduler;
 use tackmast_config::{HostSettings, TrafficClass};
 
@@ -99,13 +99,7 @@
         scheduler.add_traffic_class(class.latency_objective, class.effect, class.in_order);
     }
     for plan in &settings.plans {
-        scheduler.add_plan(Plan {
-            limit: plan.limit,
-            burst: plan.burst,
-            slack: plan.slack,
-            reserve: plan.reserve,
-            weight: plan.weight,
-        });
+        scheduler.add_plan(plan.into());
     }
     let load = &settings.load;
     let longest_wait = TimeDelta::from_secs(load.longest_wait_s);
