--- a/tests/withdrawn_words.rs
+++ b/tests/withdrawn_words.rs
@@ -27,6 +27,7 @@
     "crates/platform",
     "crates/platform-host",
     "crates/scenario",
+    "crates/simulator",
     "crates/store",
     "crates/target",
     "crates/trace",
