--- a/crates/platform-host/src/host/shutdown.rs
+++ b/crates/platform-host/src/host/shutdown.rs
@@ -43,21 +43,38 @@
         }
     }
 
-    /// Moves the shutdown on to the phase that is due; it never goes back, also when a client connects after the host closed early.
+    /// Does what the phase of the shutdown that is due asks for; nothing while no shutdown was asked for.
     pub(super) fn advance_shutdown(&mut self, now: Instant) {
         let Some(since) = self.shutdown_since else { return };
-        let due_phase = self.shutdown_schedule.phase(now - since, self.clients.len());
-        let phase = due_phase.max(self.shutdown_phase);
-        if phase != self.shutdown_phase {
-            let (open, clients) = (self.core.open_counts().commands, self.clients.len());
-            tracing::info!(?phase, open, clients, "shutdown: next phase");
-            self.shutdown_phase = phase;
-        }
+        self.enter_due_phase(now - since);
+        let phase = self.shutdown_phase;
         if phase < ShutdownPhase::Closing {
             return;
         }
-        // The system has accepted the connections in the backlog already. Closing the listener would reset them, and their clients
-        // would lose requests that they have sent.
+        self.close_listener(now);
+        if phase >= ShutdownPhase::Settled {
+            self.answer_open_requests(now);
+        }
+        self.clients.begin_shutdown(now, &self.poller, phase);
+    }
+
+    /// Enters the phase that is due a time `since` the shutdown was asked for. A host without clients closes early; a client that is
+    /// accepted from the backlog then must not take the host back to serving, with its listener closed. So no phase is left for an
+    /// earlier one.
+    fn enter_due_phase(&mut self, since: TimeDelta) {
+        let clients = self.clients.len();
+        let phase = self.shutdown_schedule.phase(since, clients).max(self.shutdown_phase);
+        if phase == self.shutdown_phase {
+            return;
+        }
+        let open = self.core.open_counts().commands;
+        tracing::info!(?phase, open, clients, "shutdown: next phase");
+        self.shutdown_phase = phase;
+    }
+
+    /// Accepts the connections in the listener's backlog, then closes it. The system has accepted these connections already: closing
+    /// the listener would reset them, and their clients would lose requests that they have sent.
+    fn close_listener(&mut self, now: Instant) {
         for _ in 0..MAX_BACKLOG_ROUNDS {
             let accepted = self.clients.counters.accepted;
             self.accept(now);
@@ -66,11 +83,13 @@
             }
         }
         self.listener = None;
-        if phase >= ShutdownPhase::Settled {
-            self.core.close_open_commands(now);
-            self.execute_outputs();
-        }
-        self.clients.begin_shutdown(now, &self.poller, phase);
+    }
+
+    /// Answers each request that is still open: the platform kills the process before their deadlines, and clients without an answer
+    /// would wait until then.
+    fn answer_open_requests(&mut self, now: Instant) {
+        self.core.close_open_commands(now);
+        self.execute_outputs();
     }
 
     /// Each accepted request has its answer and each client has read it to its end; or there is no more time. Without waiting for the
