--- a/crates/host-core/src/attempt.rs
+++ b/crates/host-core/src/attempt.rs
@@ -1,7 +1,7 @@
 //! Attempts of requests, as the connections to nodes receive them, and their results.
 
 use crate::command::CommandRef;
-use crate::placed::OpaqueRequest;
+use crate::object_request::OpaqueRequest;
 use crate::ticket::Ticket;
 use bytes::Bytes;
 use tackmast::interface::{Instant, NodeId, Outcome};
@@ -19,7 +19,7 @@
         /// The bytes.
         data: Bytes,
     },
-    /// A request as its client sent it; the host only places it.
+    /// A request for an object, as its client sent it.
     Opaque(OpaqueRequest),
 }
 
--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -11,11 +11,13 @@
 mod plans;
 mod removed_nodes;
 mod replicated_plans;
+mod settings;
 mod slow_start;
 mod status;
 mod tables;
 mod timeouts;
 
+pub use self::settings::CoreSettings;
 use self::slow_start::slow_start_settings;
 use self::tables::{AttemptKey, OpenCommand, PendingRequest};
 use crate::admin_request::AdminResponse;
@@ -30,8 +32,8 @@
 use crate::override_requests::OverrideRequests;
 use crate::peers::Peers;
 use crate::persist_batch::PersistBatch;
-use crate::placed::{PlacedSettings, VolumeNames};
 use crate::plans::Plans;
+use crate::volume_names::VolumeNames;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use tackmast::interface::{Instant, NodeId, Plan, RequestId, ShardId, TimeDelta};
 use tackmast::scheduler::Scheduler;
@@ -124,7 +126,7 @@
 impl Core {
     /// `generation` differs between all generations of all hosts; `seed` is for chance in decisions.
     pub fn new(now: Instant, settings: &HostSettings, seed: u64, generation: u64) -> Self {
-        let placed = PlacedSettings {
+        let core_settings = CoreSettings {
             traffic_classes: settings.traffic_classes.clone(),
             reports_service: settings.load.reports_peer_service,
             longest_wait: TimeDelta::from_secs(settings.load.longest_wait_s),
@@ -138,13 +140,18 @@
             layout: Layout::new(settings),
             answer_lead: TimeDelta::from_secs(settings.host.answer_lead_ms / 1e3),
             number: settings.host.number,
-            ..Core::placed(now, configured_scheduler(now, settings, seed), placed, generation)
+            ..Core::with_scheduler(now, configured_scheduler(now, settings, seed), core_settings, generation)
         }
     }
 
-    /// A host whose requests arrive already placed, around a scheduler that has its settings.
-    pub fn placed(now: Instant, scheduler: Scheduler, settings: PlacedSettings, generation: u64) -> Self {
-        let PlacedSettings { requests, bytes, longest_wait, .. } = settings;
+    /// A host without volumes of its own, around a scheduler that has its settings: its work arrives as requests for objects.
+    pub fn with_scheduler(
+        now: Instant,
+        scheduler: Scheduler,
+        settings: CoreSettings,
+        generation: u64,
+    ) -> Self {
+        let CoreSettings { requests, bytes, longest_wait, .. } = settings;
         Core {
             scheduler,
             layout: Layout::default(),
--- a/crates/host-core/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -8,13 +8,13 @@
 use crate::command::{ClientCommand, CommandRef, Verdict, Work};
 use crate::fair_queueing::QueueKey;
 use crate::layout::{key_id, Access, Part};
+use crate::object_request::ObjectRequest;
 use crate::output::Output;
-use crate::placed::PlacedRequest;
 use bytes::Bytes;
 use tackmast::interface::{Instant, NewRequest, PlanId, RequestId, TimeDelta, TrafficClassId, VolumeId};
 
-/// Where a command goes, and until when.
-struct CommandPlacement {
+/// A block command, mapped onto the extents that it touches.
+struct MappedCommand {
     volume: usize,
     access: Access,
     traffic_class: usize,
@@ -31,25 +31,25 @@
         let Some(volume) = self.layout.volume_of(command.lun) else {
             return self.reject(from, None);
         };
-        let placement = self.place_command(volume, &command);
+        let mapped = self.map_command(volume, &command);
         if self.draining || self.must_wait_for_catalog(now) {
             return self.reject(from, Some(self.longest_wait));
         }
         let known = self.commands.contains_key(&from);
-        if placement.deadline <= now || placement.parts.is_empty() || known {
+        if mapped.deadline <= now || mapped.parts.is_empty() || known {
             return self.reject(from, None);
         }
         // A client that meets a full table gets an answer at once, with a retry-after: without an answer it would wait for its deadline.
-        let usage = Usage { requests: placement.parts.len(), bytes: placement.bytes };
+        let usage = Usage { requests: mapped.parts.len(), bytes: mapped.bytes };
         if let Err(wait) = self.admission.admit(now, from.session, volume, usage) {
             self.counters.over_bound += 1;
             return self.reject(from, Some(wait));
         }
-        self.open_command(now, command, &placement);
+        self.open_command(now, command, &mapped);
     }
 
-    /// Traffic class, deadline and parts of a command.
-    fn place_command(&self, volume: usize, command: &ClientCommand) -> CommandPlacement {
+    /// Maps a command onto extents: its traffic class, its deadline, and a part for each extent.
+    fn map_command(&self, volume: usize, command: &ClientCommand) -> MappedCommand {
         let block_bytes = self.layout.volume(volume).block_bytes;
         let (access, blocks) = match &command.work {
             Work::Read { blocks } => (Access::Read, *blocks),
@@ -57,7 +57,7 @@
         };
         let traffic_class = self.layout.traffic_class(volume, access, blocks);
         let timeout = command.timeout.unwrap_or(self.traffic_classes[traffic_class].deadline);
-        CommandPlacement {
+        MappedCommand {
             volume,
             access,
             traffic_class,
@@ -68,19 +68,19 @@
     }
 
     /// Enters an admitted command in the tables, and reports a request for each of its parts to the scheduler.
-    fn open_command(&mut self, now: Instant, command: ClientCommand, placement: &CommandPlacement) {
+    fn open_command(&mut self, now: Instant, command: ClientCommand, mapped: &MappedCommand) {
         let from = command.from;
-        let ids: Vec<RequestId> = placement.parts.iter().map(|_| self.new_id()).collect();
+        let ids: Vec<RequestId> = mapped.parts.iter().map(|_| self.new_id()).collect();
         let open = OpenCommand {
             parts: ids.iter().map(|id| OpenPart::new(*id)).collect(),
-            traffic_class: placement.traffic_class,
-            volume: placement.volume,
+            traffic_class: mapped.traffic_class,
+            volume: mapped.volume,
             key_source: match command.idempotency_key {
                 Some(_) => KeySource::Client,
                 None => KeySource::Host,
             },
-            bytes: placement.bytes,
-            access: placement.access,
+            bytes: mapped.bytes,
+            access: mapped.access,
         };
         self.commands.insert(from, open);
         self.sessions.entry(from.session).or_default().insert(from.command);
@@ -88,8 +88,8 @@
             Work::Write { data } => Some(data),
             Work::Read { .. } => None,
         };
-        let block_bytes = self.layout.volume(placement.volume).block_bytes;
-        for (index, (id, part)) in ids.iter().zip(&placement.parts).enumerate() {
+        let block_bytes = self.layout.volume(mapped.volume).block_bytes;
+        for (index, (id, part)) in ids.iter().zip(&mapped.parts).enumerate() {
             let length = part.blocks * block_bytes;
             let work = match &mut data {
                 Some(data) => AttemptWork::Write { data: data.split_to(length as usize) },
@@ -97,7 +97,7 @@
             };
             let serial = self.serial - (ids.len() - 1 - index) as u64;
             let identity = RequestIdentity { serial, from, part: index as u16 };
-            self.open_request(now, *id, identity, placement, part, work);
+            self.open_request(now, *id, identity, mapped, part, work);
         }
     }
 
@@ -107,20 +107,20 @@
         now: Instant,
         id: RequestId,
         identity: RequestIdentity,
-        placement: &CommandPlacement,
+        mapped: &MappedCommand,
         part: &Part,
         work: AttemptWork,
     ) {
-        let (volume, traffic_class) = (placement.volume as u32, placement.traffic_class as u32);
+        let (volume, traffic_class) = (mapped.volume as u32, mapped.traffic_class as u32);
         let queue = QueueKey { shard: part.shard.0, volume, traffic_class };
         let queue_ticket = self.fair_queueing.enqueue(queue, identity.from.session, part.units);
         let tag = queue_ticket.tag;
-        let settings = self.layout.volume(placement.volume);
+        let settings = self.layout.volume(mapped.volume);
         if let Some(peers) = &mut self.peers {
             peers.member.record_demand(now, settings.lun, part.units);
         }
         let payload = AttemptPayload {
-            key: if self.traffic_classes[placement.traffic_class].in_order { part.key } else { 0 },
+            key: if self.traffic_classes[mapped.traffic_class].in_order { part.key } else { 0 },
             volume: settings.lun,
             offset: part.block * u64::from(settings.block_bytes),
             units: part.units,
@@ -131,81 +131,76 @@
             class: TrafficClassId(traffic_class),
             plan: PlanId(settings.plan),
             key: Some(key_id(part.key)),
-            time_left: placement.deadline - now,
+            time_left: mapped.deadline - now,
             volume: VolumeId(volume),
             units: part.units,
             shard: Some(part.shard),
             hosts: settings.hosts,
         };
-        let pending = PendingRequest::new(
-            identity,
-            payload,
-            placement.traffic_class,
-            placement.deadline,
-            Some(queue_ticket),
-        );
+        let pending =
+            PendingRequest::new(identity, payload, mapped.traffic_class, mapped.deadline, Some(queue_ticket));
         self.requests.insert(id, pending);
         self.scheduler.request_arrived(now, request);
         self.scheduler.request_tagged(id, tag);
     }
 
-    /// A request that its client has placed already. It gets one answer. Volumes, keys and shards are as the client names them.
-    pub fn handle_placed_request(&mut self, now: Instant, from: CommandRef, placed: PlacedRequest) {
+    /// A request for an object. It gets one answer. Volumes, keys and shards are as the client names them.
+    pub fn handle_object_request(&mut self, now: Instant, from: CommandRef, request: ObjectRequest) {
         self.counters.taken += 1;
         if self.draining {
             return self.reject(from, Some(self.longest_wait));
         }
-        let configured = self.scheduler.is_configured(placed.traffic_class, placed.plan);
-        if !configured || placed.left <= TimeDelta::ZERO || self.commands.contains_key(&from) {
+        let configured = self.scheduler.is_configured(request.traffic_class, request.plan);
+        if !configured || request.time_left <= TimeDelta::ZERO || self.commands.contains_key(&from) {
             return self.reject(from, None);
         }
         let is_in_use = |volume: usize| self.commands.values().any(|command| command.volume == volume);
-        let Some(volume) = self.volume_names.number(now, placed.volume, is_in_use) else {
+        let Some(volume) = self.volume_names.number(now, request.volume, is_in_use) else {
             self.counters.over_bound += 1;
             return self.reject(from, Some(self.longest_wait));
         };
-        let usage = Usage { requests: 1, bytes: placed.request.bytes() };
+        let usage = Usage { requests: 1, bytes: request.payload.bytes() };
         if let Err(wait) = self.admission.admit(now, from.session, volume, usage) {
             self.counters.over_bound += 1;
             return self.reject(from, Some(wait));
         }
-        self.open_placed_request(now, from, volume, placed);
+        self.open_object_request(now, from, volume, request);
     }
 
-    /// Enters an admitted request that its client placed in the tables, and reports it to the scheduler.
-    fn open_placed_request(&mut self, now: Instant, from: CommandRef, volume: usize, placed: PlacedRequest) {
-        let (id, traffic_class) = (self.new_id(), placed.traffic_class.0 as usize);
+    /// Enters an admitted request for an object in the tables, and reports it to the scheduler.
+    fn open_object_request(&mut self, now: Instant, from: CommandRef, volume: usize, object: ObjectRequest) {
+        let (id, traffic_class) = (self.new_id(), object.traffic_class.0 as usize);
         let command = OpenCommand {
             parts: vec![OpenPart::new(id)],
             traffic_class,
             volume,
             // The client's own key is part of the request: it is the same at each of its retries.
             key_source: KeySource::Client,
-            bytes: placed.request.bytes(),
+            bytes: object.payload.bytes(),
             access: Access::Read,
         };
         self.commands.insert(from, command);
         self.sessions.entry(from.session).or_default().insert(from.command);
         let request = NewRequest {
             id,
-            class: placed.traffic_class,
-            plan: placed.plan,
-            key: Some(key_id(placed.key)),
-            time_left: placed.left,
+            class: object.traffic_class,
+            plan: object.plan,
+            key: Some(key_id(object.key)),
+            time_left: object.time_left,
             volume: VolumeId(volume as u32),
-            units: placed.units,
-            shard: placed.shard,
-            hosts: placed.hosts,
+            units: object.units,
+            shard: object.shard,
+            hosts: object.hosts,
         };
         let payload = AttemptPayload {
             key: 0,
             volume: volume as u32,
             offset: 0,
-            units: placed.units,
-            work: AttemptWork::Opaque(placed.request),
+            units: object.units,
+            work: AttemptWork::Opaque(object.payload),
         };
         let identity = RequestIdentity { serial: self.serial, from, part: 0 };
-        let pending = PendingRequest::new(identity, payload, traffic_class, now + placed.left, None);
+        let pending = PendingRequest::new(identity, payload, traffic_class, now + object.time_left, None);
         self.requests.insert(id, pending);
         self.scheduler.request_arrived(now, request);
     }
--- a/crates/host-core/src/lib.rs
+++ b/crates/host-core/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `core` | the state machine, its tables and settings |
+//! | `core`, `core::settings` | the state machine, its tables and settings |
 //! | `core::commands`, `core::attempts`, `core::timeouts` | commands of clients, attempts at nodes, time-outs |
 //! | `core::endpoint_list`, `core::removed_nodes` | the endpoint list, nodes that peers' newer lists remove |
 //! | `core::slow_start` | settings of slow start for the scheduler |
@@ -20,7 +20,8 @@
 //! | `admission` | bounds of the tables, by session and volume |
 //! | `combine` | one answer for a command of several parts |
 //! | `fair_queueing` | start-time fair queueing among the sessions of a volume |
-//! | `layout`, `placed` | where blocks of volumes lie; requests that clients have placed themselves |
+//! | `layout` | onto which extents and shards a block command is mapped |
+//! | `object_request`, `volume_names` | requests for objects; clients' names of volumes |
 //! | `nodes` | addresses, numbers and starts of nodes |
 //! | `peers` | the other hosts: membership, quota leases, replicated overrides |
 //! | `members_status` | what a host knows of the others, as operators see it |
@@ -44,15 +45,16 @@
 mod layout;
 mod members_status;
 mod nodes;
+mod object_request;
 mod output;
 mod override_requests;
 mod peers;
 mod persist_batch;
-mod placed;
 mod plans;
 mod ticket;
+mod volume_names;
 
-pub use crate::core::Core;
+pub use crate::core::{Core, CoreSettings};
 pub use admin_request::{AdminRequest, AdminResponse, HostStatus};
 pub use attempt::{AttemptId, AttemptResult, AttemptWork, Begin, SendAttempt};
 pub use command::{ClientCommand, CommandRef, Verdict, Work};
@@ -64,10 +66,10 @@
 pub use layout::{Access, Layout, Part};
 pub use members_status::{DeathStatus, MembersStatus, PeerStatus, SiteStatus};
 pub use nodes::{Age, ListEntry, NodeStart, Nodes};
+pub use object_request::{ObjectRequest, OpaqueRequest};
 pub use output::{Counters, OpenCounts, Output};
 pub use peers::{member_settings, Peers};
 pub use persist_batch::PersistBatch;
-pub use placed::{OpaqueRequest, PlacedRequest, PlacedSettings};
 pub use plans::{PlanRequest, PlanResponse, PlanStatus, Plans, StoredPlans, VolumeLimit};
 pub use tackmast_membership::{KnownPeer, PersistedMembers, PreviousExit};
 pub use ticket::Ticket;
--- a/crates/host-core/tests/placed.rs
+++ b/crates/host-core/tests/object_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that arrive already placed, in virtual time: on the same path as block commands.
+//! Requests for objects, in virtual time: on the same path as block commands.
 
 use bytes::Bytes;
 use tackmast::interface::*;
@@ -49,7 +49,7 @@
             .collect();
         scheduler.set_attempt_limits(3, seconds(0.5), TimeDelta::ZERO);
         let (reports_peer_service, longest_wait, grace) = (true, seconds(0.5), seconds(1.0));
-        let settings = PlacedSettings {
+        let settings = CoreSettings {
             traffic_classes,
             reports_service: reports_peer_service,
             longest_wait,
@@ -60,7 +60,7 @@
             volumes,
         };
         let mut fixture = Fixture {
-            core: Core::placed(now, scheduler, settings, 1),
+            core: Core::with_scheduler(now, scheduler, settings, 1),
             sent: vec![],
             answers: vec![],
             cancelled: vec![],
@@ -85,7 +85,7 @@
     }
 
     fn submit(&mut self, now: Instant, command: u32, traffic_class: u32, volume: u64) {
-        let placed = PlacedRequest {
+        let request = ObjectRequest {
             volume,
             plan: PlanId(0),
             traffic_class: TrafficClassId(traffic_class),
@@ -93,10 +93,10 @@
             key: u64::from(command),
             units: 1.0,
             hosts: 1,
-            left: seconds(1.0),
-            request: OpaqueRequest { head: Bytes::from_static(b"head"), body: Bytes::from_static(b"body") },
+            time_left: seconds(1.0),
+            payload: OpaqueRequest { head: Bytes::from_static(b"head"), body: Bytes::from_static(b"body") },
         };
-        self.core.handle_placed_request(now, CommandRef { session: command, command }, placed);
+        self.core.handle_object_request(now, CommandRef { session: command, command }, request);
         self.poll_outputs(now);
     }
 
@@ -138,9 +138,9 @@
     }
 }
 
-/// The host does not know what a placed request means, so it must change neither its bytes nor those of its answer.
+/// The host does not know what a request for an object means, so it must change neither its bytes nor those of its answer.
 #[test]
-fn a_placed_request_and_its_answer_pass_unchanged() {
+fn an_object_request_and_its_answer_pass_unchanged() {
     let mut fixture = Fixture::new(8, 8, 8);
     fixture.submit(at(10.0), 1, 1, 77);
     let AttemptWork::Opaque(request) = &fixture.sent[0].work else { panic!("{:?}", fixture.sent[0].work) };
--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -29,7 +29,7 @@
 use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, TimeDelta};
 use tackmast_config::TrafficClass;
 use tackmast_host_core::{
-    Age, AttemptResult, CommandRef, Core, ListEntry, Output, PlacedRequest, PlacedSettings,
+    Age, AttemptResult, CommandRef, Core, CoreSettings, ListEntry, ObjectRequest, Output,
 };
 use tackmast_host_core::{NodeStart, OpaqueRequest, Verdict};
 use tackmast_http::Request;
@@ -131,7 +131,8 @@
         // Also where lists are pushed: the platform's agent is polled from the start. Without it the host would serve by the list in
         // its configuration file for as long as it lives.
         scheduler.watch_endpoint_list();
-        let core = Core::placed(now, scheduler, placed_settings(&settings, &budget), configuration.seed);
+        let core =
+            Core::with_scheduler(now, scheduler, core_settings(&settings, &budget), configuration.seed);
         let peers = open_peer_link(now, configuration, &poller)?;
         let mut host = Host {
             core,
@@ -332,7 +333,7 @@
     Ok(listener)
 }
 
-fn placed_settings(settings: &Settings, budget: &ResourceBudget) -> PlacedSettings {
+fn core_settings(settings: &Settings, budget: &ResourceBudget) -> CoreSettings {
     let traffic_classes = settings.traffic_classes.iter().map(|class| TrafficClass {
         name: class.name.clone(),
         latency_objective: class.latency_objective,
@@ -341,7 +342,7 @@
         in_order: class.in_order,
         order_blocks: None,
     });
-    PlacedSettings {
+    CoreSettings {
         traffic_classes: traffic_classes.collect(),
         reports_service: settings.reports_peer_service,
         longest_wait: settings.longest_wait,
--- a/crates/platform-host/src/host/requests.rs
+++ b/crates/platform-host/src/host/requests.rs
@@ -73,7 +73,7 @@
         self.requests = self.requests.wrapping_add(1);
         self.clients.request_accepted(now, id, self.requests);
         self.request_ids.insert(id, call.id);
-        let placed = PlacedRequest {
+        let request = ObjectRequest {
             volume: call.volume,
             plan: call.plan,
             traffic_class: call.traffic_class,
@@ -81,10 +81,10 @@
             key: call.key,
             units: call.units,
             hosts: call.hosts,
-            left: call.time_left,
-            request: OpaqueRequest { head: call.head, body: call.body },
+            time_left: call.time_left,
+            payload: OpaqueRequest { head: call.head, body: call.body },
         };
-        self.core.handle_placed_request(now, CommandRef { session: id, command: self.requests }, placed);
+        self.core.handle_object_request(now, CommandRef { session: id, command: self.requests }, request);
     }
 
     pub(super) fn queue_pipelined(&mut self, id: u32) {
