--- a/crates/admin/tests/json_forms.rs
+++ b/crates/admin/tests/json_forms.rs
@@ -9,8 +9,8 @@
     HostStatus, MembersStatus, PeerStatus, PlanRequest, PlanResponse, PlanStatus, SiteStatus,
 };
 use tackmast_overrides::{
-    Audit, AuditKind, Explanation, Kind, Order, Origin, Override, OverrideEffect, OverrideId, Preview,
-    Refusal, Service, Superseded,
+    Audit, AuditKind, Explanation, Kind, Origin, Override, OverrideEffect, OverrideId, OverrideRequest,
+    Preview, Refusal, Service, Superseded,
 };
 use tackmast_plans::{Catalogue, Change, Fleet, Plan, Step, TrafficClass, Volume};
 
@@ -71,7 +71,7 @@
 /// A command of another build sets, clears or lists overrides. The host has to read its lines as they were.
 #[test]
 fn calls_about_overrides() {
-    let order = Order {
+    let override_request = OverrideRequest {
         target: "zone:1".parse().unwrap(),
         kind: Kind::Weight(0.25),
         reason: "power".into(),
@@ -79,12 +79,17 @@
         seconds: 90.5,
         origin: None,
     };
-    let set = AdminRequest::Set { order: order.clone(), force: true, dry_run: false, if_version: Some(4) };
+    let set = AdminRequest::Set {
+        override_request: override_request.clone(),
+        force: true,
+        dry_run: false,
+        if_version: Some(4),
+    };
     assert_form(
         &Call::AdminRequest(set),
         r#"{"ask":{"set":{"order":{"target":"zone:1","kind":{"weight":0.25},"reason":"power","who":"ann","seconds":90.5},"force":true,"dry_run":false,"if_version":4}}}"#,
     );
-    let dry = AdminRequest::Set { order, force: false, dry_run: true, if_version: None };
+    let dry = AdminRequest::Set { override_request, force: false, dry_run: true, if_version: None };
     assert_form(
         &Call::AdminRequest(dry),
         r#"{"ask":{"set":{"order":{"target":"zone:1","kind":{"weight":0.25},"reason":"power","who":"ann","seconds":90.5},"force":false,"dry_run":true,"if_version":null}}}"#,
--- a/crates/cli/src/overrides.rs
+++ b/crates/cli/src/overrides.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 use tackmast_admin::Call;
 use tackmast_host_core::AdminRequest;
-use tackmast_overrides::{Kind, Order, OverrideId, Target};
+use tackmast_overrides::{Kind, OverrideId, OverrideRequest, Target};
 
 /// Arguments of `tackmast override`.
 #[derive(clap::Subcommand)]
@@ -94,8 +94,9 @@
                 None if kind.out => Kind::OutOfService,
                 None => Kind::Pinned,
             };
-            let order = Order { target, kind, reason, who, seconds: lasts.as_secs_f64(), origin: None };
-            (hosts, Call::AdminRequest(AdminRequest::Set { order, force, dry_run, if_version }))
+            let override_request =
+                OverrideRequest { target, kind, reason, who, seconds: lasts.as_secs_f64(), origin: None };
+            (hosts, Call::AdminRequest(AdminRequest::Set { override_request, force, dry_run, if_version }))
         }
         OverrideCommand::Clear { id, who, hosts } => {
             (hosts, Call::AdminRequest(AdminRequest::Clear { id: OverrideId(id), who }))
--- a/crates/host-core/src/admin_request.rs
+++ b/crates/host-core/src/admin_request.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
-use tackmast_overrides::{Explanation, Order, Override, OverrideId, Preview, Refusal};
+use tackmast_overrides::{Explanation, Override, OverrideId, OverrideRequest, Preview, Refusal};
 
 /// What an operator asks of one host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -11,7 +11,8 @@
     /// Set an override.
     Set {
         /// What is overridden, how, and for how long.
-        order: Order,
+        #[serde(rename = "order")]
+        override_request: OverrideRequest,
         /// Whether it is set even where a shard would lose its last node.
         force: bool,
         /// Whether to tell only what would change.
--- a/crates/host-core/src/override_requests.rs
+++ b/crates/host-core/src/override_requests.rs
@@ -91,8 +91,8 @@
             why: format!("this host has no {block} block in its settings"),
         };
         let response = match admin_request {
-            AdminRequest::Set { order, force, dry_run, if_version } => {
-                let proposed = self.overrides.propose(wall_us, &order, force, if_version);
+            AdminRequest::Set { override_request, force, dry_run, if_version } => {
+                let proposed = self.overrides.propose(wall_us, &override_request, force, if_version);
                 return Some(match proposed {
                     Err(refusal) => {
                         OverrideOutcome::Respond { request, response: AdminResponse::Refused(refusal) }
--- a/crates/host-core/src/peers.rs
+++ b/crates/host-core/src/peers.rs
@@ -15,7 +15,7 @@
     NodeListEvent, Output, OverrideEvent, OverrideKind, OverrideRecord, PersistedMembers, PreviousExit,
     QuotaBalance, SharedLimit, ViewSettings,
 };
-use tackmast_overrides::{Kind, Order, Origin, Override, OverrideId};
+use tackmast_overrides::{Kind, Origin, Override, OverrideId, OverrideRequest};
 use tackmast_wire::peer::Body;
 
 /// Requests that follow from peers' overrides have numbers from this one on.
@@ -225,10 +225,10 @@
                 };
                 let target = record.target.parse().ok()?;
                 let (reason, who, origin) = (record.reason, record.who, Some(origin));
-                let order = Order { target, kind, reason, who, seconds, origin };
+                let override_request = OverrideRequest { target, kind, reason, who, seconds, origin };
                 // The host where the override was set has checked what it would take out of service. It must apply here as there, even if
                 // this host would refuse it.
-                Some(AdminRequest::Set { order, force: true, dry_run: false, if_version: None })
+                Some(AdminRequest::Set { override_request, force: true, dry_run: false, if_version: None })
             }
             OverrideEvent::Clear { origin } => {
                 let mut origins = self.origins.iter();
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -442,7 +442,7 @@
 /// there now, so the explanation names it.
 #[test]
 fn an_explanation_names_an_override_under_which_its_node_restarted() {
-    use tackmast_overrides::{Kind, Order, Overrides, Settings, Target};
+    use tackmast_overrides::{Kind, OverrideRequest, Overrides, Settings, Target};
     let address = "10.0.0.1:9003";
     // When the node starts, against the override that is set at 10 s; whether it is reported.
     for (start, reported) in [(5.0, false), (12.0, true)] {
@@ -455,7 +455,7 @@
             1,
         );
         fixture.core.with_overrides(fixture.now, overrides, PersistBatch::default());
-        let order = Order {
+        let override_request = OverrideRequest {
             target: Target::Node(address.parse().unwrap()),
             kind: Kind::Weight(0.5),
             reason: "r".into(),
@@ -466,7 +466,7 @@
         fixture.core.handle_admin_request(
             fixture.now,
             1,
-            AdminRequest::Set { order, force: false, dry_run: false, if_version: None },
+            AdminRequest::Set { override_request, force: false, dry_run: false, if_version: None },
         );
         fixture.core.handle_persisted(fixture.now, 1, Ok(()));
         fixture.now = Instant::from_secs(20.0);
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -15,7 +15,7 @@
 use tackmast::interface::*;
 use tackmast_config::HostSettings;
 use tackmast_host_core::*;
-use tackmast_overrides::{Kind, Order, OverrideId, Overrides, Settings, Target};
+use tackmast_overrides::{Kind, OverrideId, OverrideRequest, Overrides, Settings, Target};
 use tackmast_plans::{Change, Plan as CatalogPlan, Step};
 
 const INPUTS: u32 = 10_000;
@@ -904,7 +904,7 @@
             1 => Kind::Pinned,
             _ => Kind::Weight(0.1 + 0.9 * self.fraction()),
         };
-        let order = Order {
+        let override_request = OverrideRequest {
             target,
             kind,
             reason: "maintenance".into(),
@@ -913,7 +913,7 @@
             origin: None,
         };
         let (force, dry_run) = (self.below(3) == 0, self.below(8) == 0);
-        self.ask(host, AdminRequest::Set { order, force, dry_run, if_version: None });
+        self.ask(host, AdminRequest::Set { override_request, force, dry_run, if_version: None });
     }
 
     fn clear_override(&mut self, host: usize) {
--- a/crates/host/tests/members.rs
+++ b/crates/host/tests/members.rs
@@ -8,7 +8,7 @@
 use tackmast_config::HostSettings;
 use tackmast_host::Host;
 use tackmast_host_core::{AdminRequest, AdminResponse, MembersStatus};
-use tackmast_overrides::{Kind, Order, Override, OverrideId};
+use tackmast_overrides::{Kind, Override, OverrideId, OverrideRequest};
 
 const HOSTS: u32 = 12;
 
@@ -126,7 +126,7 @@
     wait_until("strangers are counted", || members(dir, 0).dropped >= 2);
 
     // An override that is set at one host is in force at all.
-    let order = Order {
+    let override_request = OverrideRequest {
         target: "zone:7".parse().unwrap(),
         kind: Kind::Weight(0.5),
         reason: "test".into(),
@@ -134,7 +134,7 @@
         seconds: 600.0,
         origin: None,
     };
-    let set = AdminRequest::Set { order, force: false, dry_run: false, if_version: None };
+    let set = AdminRequest::Set { override_request, force: false, dry_run: false, if_version: None };
     assert!(matches!(call(dir, 4, set), AdminResponse::Set { .. }));
     wait_until("the override is in force at all hosts", || {
         (0..HOSTS).all(|host| overrides(dir, host).len() == 1)
--- a/crates/overrides/src/audit.rs
+++ b/crates/overrides/src/audit.rs
@@ -1,6 +1,6 @@
 //! The audit log of overrides.
 
-use crate::order::{Override, OverrideId};
+use crate::record::{Override, OverrideId};
 use serde::{Deserialize, Serialize};
 
 /// What an audit record is about.
--- a/crates/overrides/src/explanation.rs
+++ b/crates/overrides/src/explanation.rs
@@ -1,7 +1,7 @@
 //! Why a node is given what it is given.
 
-use crate::order::{Override, OverrideId};
 use crate::precedence::{OverrideEffect, Superseded};
+use crate::record::{Override, OverrideId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/crates/overrides/src/lib.rs
+++ b/crates/overrides/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! | file | job |
 //! | --- | --- |
-//! | `order` | overrides as operators ask for them and as they are stored |
+//! | `record`, `target` | overrides as operators ask for them and as they are stored; the nodes that they name |
 //! | `precedence` | which of several overrides of a node applies |
 //! | `overrides` | the overrides of one host: proposed, set, cleared, ended, explained |
 //! | `refusal`, `audit`, `explanation` | why an override is refused; the audit log; why a node is given what it is given |
@@ -15,17 +15,19 @@
 
 mod audit;
 mod explanation;
-mod order;
 mod overrides;
 mod precedence;
+mod record;
 mod recovery_ramp;
 mod refusal;
+mod target;
 /// Timers of many overrides.
 pub mod timing_wheel;
 
 pub use audit::{Audit, AuditKind, Ended};
 pub use explanation::Explanation;
-pub use order::{Kind, Order, Origin, Override, OverrideId, Target, TargetError};
 pub use overrides::{ClockStep, Effective, Overrides, Settings};
 pub use precedence::{Applies, NodeFacts, OverrideEffect, Rank, Service, Superseded};
+pub use record::{Kind, Origin, Override, OverrideId, OverrideRequest};
 pub use refusal::{Preview, Refusal};
+pub use target::{Target, TargetError};
--- a/crates/overrides/src/overrides.rs
+++ b/crates/overrides/src/overrides.rs
@@ -4,10 +4,11 @@
 mod proposal;
 
 use crate::audit::{Audit, AuditKind, Ended};
-use crate::order::{Override, OverrideId, Target};
 use crate::precedence::{effect_on, NodeFacts, Service, TargetIndex};
+use crate::record::{Override, OverrideId};
 use crate::recovery_ramp::{RecoveryRamps, MAX_STAGGER, RAMP_DURATION};
 use crate::refusal::Refusal;
+use crate::target::Target;
 use crate::timing_wheel::{Handle, TimingWheel};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
--- a/crates/overrides/src/overrides/explain.rs
+++ b/crates/overrides/src/overrides/explain.rs
@@ -2,8 +2,8 @@
 
 use super::{Effective, Overrides};
 use crate::explanation::Explanation;
-use crate::order::{Override, OverrideId};
 use crate::precedence::{effect_on, superseded, Applies, NodeFacts, Superseded};
+use crate::record::{Override, OverrideId};
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, NodeState};
 
--- a/crates/overrides/src/overrides/proposal.rs
+++ b/crates/overrides/src/overrides/proposal.rs
@@ -1,8 +1,8 @@
 //! Checks a requested override before it is persisted: its values, conflicts with other changes, and what must stay in service.
 
 use super::Overrides;
-use crate::order::{Kind, Order, Override, OverrideId};
 use crate::precedence::{effect_on, NodeFacts, OverrideEffect, Service};
+use crate::record::{Kind, Override, OverrideId, OverrideRequest};
 use crate::refusal::{Preview, Refusal};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -24,11 +24,11 @@
     pub fn propose(
         &mut self,
         wall_us: u64,
-        order: &Order,
+        request: &OverrideRequest,
         force: bool,
         if_version: Option<u64>,
     ) -> Result<(Override, Preview), Refusal> {
-        check_values(order)?;
+        check_values(request)?;
         if let Some(asked) = if_version.filter(|version| *version != self.version) {
             let since = self.recent_changes.iter().filter(|(version, _)| *version > asked);
             let changes = since.map(|(_, change)| change.clone()).collect();
@@ -39,13 +39,13 @@
         }
         let new = Override {
             id: OverrideId(self.next),
-            target: order.target,
-            kind: order.kind,
-            reason: order.reason.clone(),
-            who: order.who.clone(),
+            target: request.target,
+            kind: request.kind,
+            reason: request.reason.clone(),
+            who: request.who.clone(),
             set_us: wall_us,
-            ends_us: wall_us + (order.seconds * 1e6) as u64,
-            origin: order.origin,
+            ends_us: wall_us + (request.seconds * 1e6) as u64,
+            origin: request.origin,
         };
         let before = self.effects();
         let after = self.effects_with(&new);
@@ -135,11 +135,11 @@
 }
 
 /// Checks the values of a requested override by themselves.
-fn check_values(order: &Order) -> Result<(), Refusal> {
+fn check_values(request: &OverrideRequest) -> Result<(), Refusal> {
     let refuse = |what: &str, found: String, expected: &str| {
         Err(Refusal::Value { what: what.into(), found, expected: expected.into() })
     };
-    if let Kind::Weight(weight) = order.kind {
+    if let Kind::Weight(weight) = request.kind {
         if !(weight > 0.0 && weight <= 1.0) {
             return refuse(
                 "weight",
@@ -148,11 +148,11 @@
             );
         }
     }
-    if !(MIN_DURATION_S..=MAX_DURATION_S).contains(&order.seconds) {
+    if !(MIN_DURATION_S..=MAX_DURATION_S).contains(&request.seconds) {
         let expected = "from 0.1 up to 366 days: every override ends";
-        return refuse("seconds", order.seconds.to_string(), expected);
+        return refuse("seconds", request.seconds.to_string(), expected);
     }
-    for (what, text) in [("who", &order.who), ("reason", &order.reason)] {
+    for (what, text) in [("who", &request.who), ("reason", &request.reason)] {
         let is_too_long = text.chars().count() > MAX_TEXT_CHARS;
         if text.trim().is_empty() || is_too_long || text.contains(char::is_control) {
             return refuse(what, format!("{text:?}"), "1 to 200 printable characters");
--- a/crates/overrides/src/precedence.rs
+++ b/crates/overrides/src/precedence.rs
@@ -13,7 +13,8 @@
 //! Service (out of service, pinned) and weight are judged apart: a weight that is set on a zone still applies to a node that is
 //! pinned by its address.
 
-use crate::order::{Kind, Override, OverrideId, Target};
+use crate::record::{Kind, Override, OverrideId};
+use crate::target::Target;
 use ipnet::IpNet;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/crates/overrides/src/refusal.rs
+++ b/crates/overrides/src/refusal.rs
@@ -1,12 +1,12 @@
-//! Why an order is refused, and what it would do.
+//! Why a requested override is refused, and what it would do.
 
-use crate::order::OverrideId;
 use crate::precedence::OverrideEffect;
+use crate::record::OverrideId;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Why an order is refused.
+/// Why a requested override is refused.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
--- a/crates/overrides/tests/json_forms.rs
+++ b/crates/overrides/tests/json_forms.rs
@@ -4,8 +4,8 @@
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 use tackmast_overrides::{
-    Audit, AuditKind, Explanation, Kind, Order, Origin, Override, OverrideEffect, OverrideId, Preview, Rank,
-    Refusal, Service, Superseded, Target,
+    Audit, AuditKind, Explanation, Kind, Origin, Override, OverrideEffect, OverrideId, OverrideRequest,
+    Preview, Rank, Refusal, Service, Superseded, Target,
 };
 
 /// The value is written as the literal text, and the literal is read back as the value.
@@ -57,8 +57,8 @@
 
 /// The same for what operators send and what is stored.
 #[test]
-fn orders_and_records_have_these_json_forms() {
-    let order = Order {
+fn requested_and_stored_overrides_have_these_json_forms() {
+    let override_request = OverrideRequest {
         target: "zone:1".parse().unwrap(),
         kind: Kind::OutOfService,
         reason: "power".into(),
@@ -67,11 +67,11 @@
         origin: None,
     };
     assert_form(
-        &order,
+        &override_request,
         r#"{"target":"zone:1","kind":"out_of_service","reason":"power","who":"ann","seconds":90.5}"#,
     );
     assert_form(
-        &Order { origin: Some(origin()), ..order },
+        &OverrideRequest { origin: Some(origin()), ..override_request },
         r#"{"target":"zone:1","kind":"out_of_service","reason":"power","who":"ann","seconds":90.5,"origin":{"slot":2,"life":77,"number":9}}"#,
     );
     assert_form(
--- a/crates/overrides/tests/overrides.rs
+++ b/crates/overrides/tests/overrides.rs
@@ -25,9 +25,9 @@
     (0..n).map(one).collect()
 }
 
-fn order(target: &str, kind: Kind, seconds: f64) -> Order {
+fn override_request(target: &str, kind: Kind, seconds: f64) -> OverrideRequest {
     let (reason, who) = ("it smokes".into(), "ann".into());
-    Order { target: target.parse().unwrap(), kind, reason, who, seconds, origin: None }
+    OverrideRequest { target: target.parse().unwrap(), kind, reason, who, seconds, origin: None }
 }
 
 fn new(n: u32) -> Overrides {
@@ -38,8 +38,8 @@
     overrides
 }
 
-fn set(overrides: &mut Overrides, now: f64, order: &Order) -> OverrideId {
-    let (record, _) = overrides.propose(wall(now), order, false, None).unwrap();
+fn set(overrides: &mut Overrides, now: f64, override_request: &OverrideRequest) -> OverrideId {
+    let (record, _) = overrides.propose(wall(now), override_request, false, None).unwrap();
     let id = record.id;
     overrides.put(at(now), record);
     id
@@ -61,7 +61,7 @@
         (Kind::Pinned, (NodeState::Ready, 1.0, true)),
     ] {
         let mut overrides = new(8);
-        set(&mut overrides, 1.0, &order("10.0.0.3:9000", kind, 10.0));
+        set(&mut overrides, 1.0, &override_request("10.0.0.3:9000", kind, 10.0));
         let changed: Vec<SocketAddr> =
             overrides.poll_changed(at(1.0)).into_iter().map(|(address, _)| address).collect();
         assert_eq!(changed, [address(3)], "{kind}");
@@ -85,7 +85,7 @@
         set(
             &mut overrides,
             0.0,
-            &order("10.0.0.3", if pinned { Kind::Pinned } else { Kind::Weight(0.5) }, 100.0),
+            &override_request("10.0.0.3", if pinned { Kind::Pinned } else { Kind::Weight(0.5) }, 100.0),
         );
         overrides.handle_endpoint_list(at(1.0), [NodeFacts { listed, ..facts(8)[3] }]);
         assert_eq!(overrides.effective(at(1.0), &address(3)).unwrap().state, listed);
@@ -97,7 +97,7 @@
 #[test]
 fn an_override_survives_the_absence_of_its_node_and_a_restart_of_its_host() {
     let mut overrides = new(8);
-    let id = set(&mut overrides, 0.0, &order("10.0.0.3:9000", Kind::OutOfService, 100.0));
+    let id = set(&mut overrides, 0.0, &override_request("10.0.0.3:9000", Kind::OutOfService, 100.0));
     overrides.handle_endpoint_list(at(1.0), [NodeFacts { listed: NodeState::Gone, ..facts(8)[3] }]);
     assert_eq!(overrides.effective(at(1.0), &address(3)).unwrap().state, NodeState::Gone);
     let record = overrides.get(id).unwrap().clone();
@@ -121,7 +121,7 @@
 fn a_step_of_the_wall_clock_changes_no_end_while_the_host_runs() {
     for step in [-3600.0, 3600.0, 86_400.0 * 400.0, 0.5] {
         let mut overrides = new(8);
-        let id = set(&mut overrides, 0.0, &order("10.0.0.3:9000", Kind::OutOfService, 100.0));
+        let id = set(&mut overrides, 0.0, &override_request("10.0.0.3:9000", Kind::OutOfService, 100.0));
         let seen = overrides.handle_wall_clock(at(10.0), wall(10.0 + step));
         assert_eq!(seen.is_some(), step.abs() > 1.0, "{step}");
         if let Some(ClockStep { records, audit, moved_by }) = seen {
@@ -165,14 +165,15 @@
     for (name, before, target, kind, refused) in cases {
         let mut overrides = new(16);
         for (t, k) in *before {
-            set(&mut overrides, 0.0, &order(t, *k, 100.0));
+            set(&mut overrides, 0.0, &override_request(t, *k, 100.0));
         }
-        let found = overrides.propose(WALL, &order(target, *kind, 100.0), false, None);
+        let found = overrides.propose(WALL, &override_request(target, *kind, 100.0), false, None);
         match (refused, found) {
             (None, found) => assert!(found.is_ok(), "{name}: {found:?}"),
             (Some(text), Err(e)) => {
                 assert!(e.to_string().contains(text), "{name}: {e}");
-                let (_, preview) = overrides.propose(WALL, &order(target, *kind, 100.0), true, None).unwrap();
+                let (_, preview) =
+                    overrides.propose(WALL, &override_request(target, *kind, 100.0), true, None).unwrap();
                 assert_eq!(preview.forced_past, Some(e), "{name}: force says what it passes");
             }
             (Some(_), Ok(_)) => panic!("{name}: taken"),
@@ -185,9 +186,9 @@
         facts(8).into_iter().enumerate().map(|(i, f)| NodeFacts { shard: i as u32 / 4, ..f }),
     );
     for i in [0, 1, 4, 5] {
-        set(&mut overrides, 0.0, &order(&address(i).to_string(), out, 100.0));
+        set(&mut overrides, 0.0, &override_request(&address(i).to_string(), out, 100.0));
     }
-    let e = overrides.propose(WALL, &order("10.0.0.2:9000", out, 100.0), false, None).unwrap_err();
+    let e = overrides.propose(WALL, &override_request("10.0.0.2:9000", out, 100.0), false, None).unwrap_err();
     assert_eq!(e, Refusal::TooMuchOfZone { zone: 0, out: 5, of: 8, max_part: 0.5 });
 }
 
@@ -205,8 +206,9 @@
         (Kind::Pinned, 1.0, " ", "who: \" \"; expected 1 to 200"),
         (Kind::Pinned, 1.0, "a\nb", "who: \"a\\nb\"; expected 1 to 200"),
     ] {
-        let order = Order { who: who.into(), ..order("zone:0", kind, seconds) };
-        let found = overrides.propose(WALL, &order, true, None).unwrap_err().to_string();
+        let override_request =
+            OverrideRequest { who: who.into(), ..override_request("zone:0", kind, seconds) };
+        let found = overrides.propose(WALL, &override_request, true, None).unwrap_err().to_string();
         assert!(found.starts_with(expected), "{found}");
     }
 }
@@ -217,11 +219,12 @@
 fn of_two_concurrent_overrides_both_apply_or_the_later_is_refused_with_what_changed() {
     let mut overrides = new(8);
     let version = overrides.version();
-    let (first, _) =
-        overrides.propose(WALL, &order("zone:0", Kind::Weight(0.5), 10.0), false, Some(version)).unwrap();
+    let (first, _) = overrides
+        .propose(WALL, &override_request("zone:0", Kind::Weight(0.5), 10.0), false, Some(version))
+        .unwrap();
     overrides.put(at(0.0), first);
     // One who asked for the version that was seen learns what changed; one who did not is later, and applies.
-    let second = order("zone:0", Kind::Weight(0.8), 5.0);
+    let second = override_request("zone:0", Kind::Weight(0.8), 5.0);
     let Err(Refusal::Moved { changes, .. }) = overrides.propose(WALL, &second, false, Some(version)) else {
         panic!()
     };
@@ -242,7 +245,7 @@
     let mut ids = Vec::new();
     for i in (0..60).step_by(2) {
         let (record, _) = overrides
-            .propose(WALL, &order(&address(i).to_string(), Kind::OutOfService, 10.0), true, None)
+            .propose(WALL, &override_request(&address(i).to_string(), Kind::OutOfService, 10.0), true, None)
             .unwrap();
         ids.push(record.id);
         overrides.put(at(0.0), record);
@@ -276,10 +279,10 @@
     assert!(now - 10.01 <= overrides.returning().1 + 0.1, "within the stated bound: {now}");
     // Out of service again in the middle of its ramp: it gets nothing at once.
     let mut overrides = new(8);
-    let id = set(&mut overrides, 0.0, &order("10.0.0.3:9000", Kind::OutOfService, 10.0));
+    let id = set(&mut overrides, 0.0, &override_request("10.0.0.3:9000", Kind::OutOfService, 10.0));
     overrides.clear(at(5.0), id, "bob").unwrap();
     assert_eq!(given(&overrides, 5.0, 3), (NodeState::Ready, 0.1, false));
-    set(&mut overrides, 6.0, &order("10.0.0.3:9000", Kind::OutOfService, 10.0));
+    set(&mut overrides, 6.0, &override_request("10.0.0.3:9000", Kind::OutOfService, 10.0));
     assert_eq!(given(&overrides, 6.0, 3).0, NodeState::Draining);
     assert!(overrides.clear(at(6.0), id, "bob").is_err(), "cleared once");
 }
@@ -300,7 +303,8 @@
         };
         let kind = if i % 3 == 0 { Kind::Pinned } else { Kind::Weight(0.1 + 0.8 * chance.rand_float()) };
         let seconds = 1.0 + chance.rand_float() * 1000.0;
-        let (record, _) = overrides.propose(WALL, &order(&target, kind, seconds), false, None).unwrap();
+        let (record, _) =
+            overrides.propose(WALL, &override_request(&target, kind, seconds), false, None).unwrap();
         overrides.put(at(0.0), record);
     }
     assert_eq!(overrides.len(), 10_000);
--- a/crates/scenario/src/runner/overrides.rs
+++ b/crates/scenario/src/runner/overrides.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tackmast_admin::{Answer, Call};
 use tackmast_host_core::{AdminRequest, AdminResponse};
-use tackmast_overrides::{Kind, Order, Target};
+use tackmast_overrides::{Kind, OverrideRequest, Target};
 use tackmast_trace::{now_us, Event};
 
 /// How long a host may take to answer.
@@ -43,15 +43,16 @@
         let options = SetOptions { must_be_refused: *refused, force: *force };
         for target in targets {
             let (reason, who) = ("the script says so".to_owned(), "day".to_owned());
-            let order = Order { target, kind: *kind, reason, who, seconds, origin: None };
-            hosts.iter().for_each(|host| self.set_override(*host, &order, options));
+            let override_request =
+                OverrideRequest { target, kind: *kind, reason, who, seconds, origin: None };
+            hosts.iter().for_each(|host| self.set_override(*host, &override_request, options));
         }
     }
 
     /// Sets an override at one host, and records which nodes it takes out of service.
-    fn set_override(&mut self, host: u32, order: &Order, options: SetOptions) {
-        let (order, force) = (order.clone(), options.force);
-        let request = AdminRequest::Set { order, force, dry_run: false, if_version: None };
+    fn set_override(&mut self, host: u32, override_request: &OverrideRequest, options: SetOptions) {
+        let (override_request, force) = (override_request.clone(), options.force);
+        let request = AdminRequest::Set { override_request, force, dry_run: false, if_version: None };
         let socket = admin_socket(&self.directory, host);
         let response = match tackmast_admin::call(&socket, &Call::AdminRequest(request), CALL_TIMEOUT) {
             Ok(Answer::AdminResponse(response)) => *response,
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -38,7 +38,7 @@
     CommandRef, Core, ListEntry, NodeStart, OpaqueRequest, OpenCounts, Output, Peers, PersistBatch,
     PlanRequest, PlanResponse, Plans, PreviousExit, SendAttempt, StoredPlans, Verdict, VolumeLimit, Work,
 };
-use tackmast_overrides::{Kind as OrderKind, Order, Override, OverrideId, Overrides, Target};
+use tackmast_overrides::{Kind as OrderKind, Override, OverrideId, OverrideRequest, Overrides, Target};
 use tackmast_target as target;
 use tackmast_trace::{AnswerKind, AttemptEndKind, AttemptName, Facts, Line, ListedState};
 use tackmast_wire::node::{self, Answer, Frame, NodeOutcome, Origin};
--- a/crates/simulator/src/sim/orders.rs
+++ b/crates/simulator/src/sim/orders.rs
@@ -7,14 +7,15 @@
     pub(super) fn set_override(&mut self, host: Option<u32>, node_index: u32, kind: OrderKind, for_us: Us) {
         let Ok(address) = self.nodes[node_index as usize].address.parse() else { return };
         let (reason, who, seconds) = ("drawn".into(), "lab".into(), for_us as f64 / 1e6);
-        let order = Order { target: Target::Node(address), kind, reason, who, seconds, origin: None };
+        let override_request =
+            OverrideRequest { target: Target::Node(address), kind, reason, who, seconds, origin: None };
         for h in (0..self.world.hosts).filter(|h| host.is_none_or(|x| x == *h)) {
             if !self.hosts[h as usize].up || self.hosts[h as usize].paused_until > self.now {
                 continue;
             }
-            let (now, order) = (self.time(h), order.clone());
+            let (now, override_request) = (self.time(h), override_request.clone());
             // Each shard has one node here: taking it out of service needs force.
-            let ask = AdminRequest::Set { order, force: true, dry_run: false, if_version: None };
+            let ask = AdminRequest::Set { override_request, force: true, dry_run: false, if_version: None };
             if let Some(core) = self.hosts[h as usize].core.core() {
                 core.handle_admin_request(now, 1, ask);
             }
