--- a/crates/admin/tests/json_forms.rs
+++ b/crates/admin/tests/json_forms.rs
@@ -210,7 +210,7 @@
         alive_hosts: 5,
         commands: 6,
         attempts: 7,
-        taken: 8,
+        commands_received: 8,
         done: 9,
         rejected: 10,
         failed: 11,
@@ -254,7 +254,7 @@
         displaced: true,
         sent: 3,
         sent_bytes: 4,
-        taken: 5,
+        received: 5,
         dropped: 6,
         generation: 1_000_001,
         incarnation: 7,
@@ -307,7 +307,7 @@
         peers: vec![peer],
         sent: 1,
         sent_bytes: 2,
-        taken: 3,
+        received: 3,
         dropped: 4,
         ..MembersStatus::default()
     };
--- a/crates/cli/src/members/one_host.rs
+++ b/crates/cli/src/members/one_host.rs
@@ -43,7 +43,7 @@
     _ = writeln!(
         text,
         "{} datagrams sent ({} bytes), {} taken, {} dropped; strain {}, stood still {} times, accused {} times",
-        view.sent, view.sent_bytes, view.taken, view.dropped, view.local_health, view.pauses, view.accused
+        view.sent, view.sent_bytes, view.received, view.dropped, view.local_health, view.pauses, view.accused
     );
     _ = writeln!(
         text,
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -47,11 +47,11 @@
     host.run(read);
     let s = host.status();
     tracing::info!(
-        taken = s.core.taken,
-        done = s.core.done,
-        rejected = s.core.rejected,
-        failed = s.core.failed,
-        left = s.core.left,
+        taken = s.core.commands_received,
+        done = s.core.commands_done,
+        rejected = s.core.commands_rejected,
+        failed = s.core.commands_failed,
+        left = s.core.commands_aborted,
         attempts = s.core.attempts,
         retries = s.core.retries,
         timed_out = s.core.timed_out,
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -43,10 +43,10 @@
         let c = s.counters;
         tracing::info!(
             signal,
-            taken = c.taken,
-            done = c.done,
-            rejected = c.rejected,
-            failed = c.failed,
+            taken = c.commands_received,
+            done = c.commands_done,
+            rejected = c.commands_rejected,
+            failed = c.commands_failed,
             attempts = c.attempts,
             retries = c.retries,
             core_seconds = s.core_seconds,
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -18,7 +18,7 @@
         status.host,
         status.commands,
         status.attempts,
-        status.taken,
+        status.commands_received,
         status.done,
         status.rejected,
         status.failed
--- a/crates/host-core/src/admin_request.rs
+++ b/crates/host-core/src/admin_request.rs
@@ -115,7 +115,8 @@
     #[serde(rename = "legs")]
     pub attempts: usize,
     /// Commands received.
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub commands_received: u64,
     /// Commands done.
     pub done: u64,
     /// Commands rejected.
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -27,7 +27,7 @@
     pub fn handle_attempt_result(&mut self, now: Instant, result: AttemptResult) {
         let key = AttemptKey::of(result.attempt);
         let Some(node) = self.in_flight(key).map(|attempt| attempt.node) else {
-            self.counters.strays += 1;
+            self.counters.late_results += 1;
             return;
         };
         if let Some(waiting) = result.waiting {
--- a/crates/host-core/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -26,7 +26,7 @@
 impl Core {
     /// A client's command. It gets one answer. The caller has checked that the volume exists and holds the blocks.
     pub fn handle_command(&mut self, now: Instant, command: ClientCommand) {
-        self.counters.taken += 1;
+        self.counters.commands_received += 1;
         let from = command.from;
         let Some(volume) = self.layout.volume_of(command.lun) else {
             return self.reject(from, None);
@@ -42,7 +42,7 @@
         // A client that meets a full table gets an answer at once, with a retry-after: without an answer it would wait for its deadline.
         let usage = Usage { requests: mapped.parts.len(), bytes: mapped.bytes };
         if let Err(wait) = self.admission.admit(now, from.session, volume, usage) {
-            self.counters.over_bound += 1;
+            self.counters.commands_over_bound += 1;
             return self.reject(from, Some(wait));
         }
         self.open_command(now, command, &mapped);
@@ -146,7 +146,7 @@
 
     /// A request for an object. It gets one answer. Volumes, keys and shards are as the client names them.
     pub fn handle_object_request(&mut self, now: Instant, from: CommandRef, request: ObjectRequest) {
-        self.counters.taken += 1;
+        self.counters.commands_received += 1;
         if self.draining {
             return self.reject(from, Some(self.longest_wait));
         }
@@ -156,12 +156,12 @@
         }
         let is_in_use = |volume: usize| self.commands.values().any(|command| command.volume == volume);
         let Some(volume) = self.volume_names.number(now, request.volume, is_in_use) else {
-            self.counters.over_bound += 1;
+            self.counters.commands_over_bound += 1;
             return self.reject(from, Some(self.longest_wait));
         };
         let usage = Usage { requests: 1, bytes: request.payload.bytes() };
         if let Err(wait) = self.admission.admit(now, from.session, volume, usage) {
-            self.counters.over_bound += 1;
+            self.counters.commands_over_bound += 1;
             return self.reject(from, Some(wait));
         }
         self.open_object_request(now, from, volume, request);
@@ -217,7 +217,7 @@
     }
 
     pub(super) fn reject(&mut self, to: CommandRef, retry_after: Option<TimeDelta>) {
-        self.counters.rejected += 1;
+        self.counters.commands_rejected += 1;
         self.outputs.push_back(Output::Answer { to, verdict: Verdict::Rejected { retry_after } });
     }
 
@@ -244,7 +244,7 @@
     /// The client has aborted the command; no answer is wanted.
     pub fn handle_abort(&mut self, now: Instant, from: CommandRef) {
         if let Some(command) = self.commands.remove(&from) {
-            self.counters.left += 1;
+            self.counters.commands_aborted += 1;
             self.forget_command(now, from, &command);
             for id in command.request_ids() {
                 self.release_request(now, id);
@@ -306,15 +306,15 @@
         self.forget_command(now, from, &command);
         let verdict = match combined {
             Combined::Done => {
-                self.counters.done += 1;
+                self.counters.commands_done += 1;
                 Verdict::Done { data: command.answer_data() }
             }
             Combined::Rejected { retry_after } => {
-                self.counters.rejected += 1;
+                self.counters.commands_rejected += 1;
                 Verdict::Rejected { retry_after }
             }
             Combined::Failed => {
-                self.counters.failed += 1;
+                self.counters.commands_failed += 1;
                 Verdict::Failed
             }
         };
--- a/crates/host-core/src/core/status.rs
+++ b/crates/host-core/src/core/status.rs
@@ -21,10 +21,10 @@
             alive_hosts: self.peers.as_ref().map_or(0, |peers| peers.member.live_count()),
             commands: self.commands.len(),
             attempts: self.attempt_deadlines.len(),
-            taken: self.counters.taken,
-            done: self.counters.done,
-            rejected: self.counters.rejected,
-            failed: self.counters.failed,
+            commands_received: self.counters.commands_received,
+            done: self.counters.commands_done,
+            rejected: self.counters.commands_rejected,
+            failed: self.counters.commands_failed,
             nodes: self.nodes.entries().filter_map(node).collect(),
         }
     }
--- a/crates/host-core/src/members_status.rs
+++ b/crates/host-core/src/members_status.rs
@@ -81,7 +81,8 @@
     /// Bytes of them.
     pub sent_bytes: u64,
     /// Datagrams received.
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub received: u64,
     /// Datagrams dropped, for whatever reason.
     pub dropped: u64,
     /// This host's generation.
--- a/crates/host-core/src/output.rs
+++ b/crates/host-core/src/output.rs
@@ -70,18 +70,18 @@
 /// What happened since the start, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Commands received.
-    pub taken: u64,
-    /// Commands rejected because a table was full.
-    pub over_bound: u64,
-    /// Commands done.
-    pub done: u64,
-    /// Commands rejected.
-    pub rejected: u64,
-    /// Commands failed.
-    pub failed: u64,
-    /// Commands that their clients aborted.
-    pub left: u64,
+    /// Commands, and requests for objects, that clients have sent to this host.
+    pub commands_received: u64,
+    /// Those of them that were rejected because a table was full; also counted as rejected.
+    pub commands_over_bound: u64,
+    /// Commands that were answered as done.
+    pub commands_done: u64,
+    /// Commands that were answered as rejected, for whatever reason.
+    pub commands_rejected: u64,
+    /// Commands that were answered as failed.
+    pub commands_failed: u64,
+    /// Commands that their clients aborted, or whose connections closed, before the answer.
+    pub commands_aborted: u64,
     /// Attempts sent.
     pub attempts: u64,
     /// Attempts after the first of a request.
@@ -92,8 +92,8 @@
     pub withdrawn: u64,
     /// Attempts whose connections were cut.
     pub cut: u64,
-    /// Results of attempts that had ended before.
-    pub strays: u64,
+    /// Results that a node's connection reported for attempts that had ended before, as an answer after the time-out.
+    pub late_results: u64,
     /// Answers of another length than was asked for.
     pub short_answers: u64,
     /// Nodes that did not fit the table.
--- a/crates/host-core/src/peers/status.rs
+++ b/crates/host-core/src/peers/status.rs
@@ -23,7 +23,7 @@
             displaced: view.is_displaced(),
             sent: datagrams.sent,
             sent_bytes: datagrams.sent_bytes,
-            taken: datagrams.received,
+            received: datagrams.received,
             dropped,
             generation: me.generation,
             incarnation: me.incarnation,
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -208,7 +208,11 @@
         assert!(*wait > TimeDelta::ZERO, "{verdict:?}");
     }
     fixture.run_for(1.5);
-    assert_eq!((fixture.answers.len(), fixture.core.counters.over_bound), (15, 6), "each gets one answer");
+    assert_eq!(
+        (fixture.answers.len(), fixture.core.counters.commands_over_bound),
+        (15, 6),
+        "each gets one answer"
+    );
     assert!(fixture.is_empty());
 }
 
@@ -277,7 +281,7 @@
     assert!(matches!(fixture.other.as_slice(), [Output::Cancel { attempt, .. }] if *attempt == attempts[0]));
     fixture.core.handle_session_closed(fixture.now, 1);
     fixture.poll_outputs();
-    assert_eq!((fixture.other.len(), fixture.core.counters.left), (2, 2));
+    assert_eq!((fixture.other.len(), fixture.core.counters.commands_aborted), (2, 2));
     // The attempts count until they have ended.
     assert_eq!(fixture.core.open_counts(), OpenCounts { commands: 0, requests: 2, attempts: 2 });
     fixture.finish_attempt(attempts[0], Outcome::Done, 512);
@@ -295,7 +299,7 @@
     assert!(fixture.answers.is_empty(), "1024 bytes were asked for");
     assert_eq!(fixture.core.counters.short_answers, 1);
     fixture.finish_attempt(attempts[0], Outcome::Done, 1024);
-    assert_eq!((fixture.answers.len(), fixture.core.counters.strays), (0, 1));
+    assert_eq!((fixture.answers.len(), fixture.core.counters.late_results), (0, 1));
     fixture.run_for(0.1);
     let again = fixture.write();
     assert_eq!(again.len(), 1, "an idempotent read gets a retry");
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -581,18 +581,18 @@
         let core = &self.hosts[host].core;
         let counters = core.counters;
         let numbers = [
-            counters.taken,
-            counters.over_bound,
-            counters.done,
-            counters.rejected,
-            counters.failed,
-            counters.left,
+            counters.commands_received,
+            counters.commands_over_bound,
+            counters.commands_done,
+            counters.commands_rejected,
+            counters.commands_failed,
+            counters.commands_aborted,
             counters.attempts,
             counters.retries,
             counters.timed_out,
             counters.withdrawn,
             counters.cut,
-            counters.strays,
+            counters.late_results,
             counters.short_answers,
             counters.nodes_over_bound,
         ];
--- a/crates/host-core/tests/log.rs
+++ b/crates/host-core/tests/log.rs
@@ -151,5 +151,5 @@
     // There is no node, so the request waits until it is too late for its latency objective.
     assert_eq!(rejected[0]["fields"]["reason"], "TooLate");
     assert_eq!(rejected[0]["fields"]["held_by"], "NoReadyNode");
-    assert_eq!(core.counters.rejected, 1);
+    assert_eq!(core.counters.commands_rejected, 1);
 }
--- a/crates/platform-host/src/host/tests.rs
+++ b/crates/platform-host/src/host/tests.rs
@@ -38,8 +38,8 @@
          X-Storage-Class: gold\r\nX-Budget-Ms: 1000\r\nX-Extent: units=1,shard=0,hosts=1\r\n\r\n"
     );
     client.write_all(text.as_bytes()).unwrap();
-    let before = host.status().core.taken;
-    run_until(host, |host| host.status().core.taken > before);
+    let before = host.status().core.commands_received;
+    run_until(host, |host| host.status().core.commands_received > before);
     client
 }
 
@@ -70,7 +70,7 @@
     assert_eq!(connection.read(&mut [0; 9]).unwrap_err().kind(), ErrorKind::WouldBlock, "not a byte");
     let status = host.status();
     assert_eq!(
-        (status.core.left, status.core.withdrawn, status.open),
+        (status.core.commands_aborted, status.core.withdrawn, status.open),
         (1, 1, OpenCounts::default()),
         "{status:?}"
     );
@@ -88,5 +88,5 @@
     std::thread::sleep(Duration::from_millis(300));
     host.execute_outputs();
     let status = host.status();
-    assert_eq!((status.node_counters.opened, status.core.left), (1, 1), "{status:?}");
+    assert_eq!((status.node_counters.opened, status.core.commands_aborted), (1, 1), "{status:?}");
 }
--- a/crates/platform-host/tests/clients.rs
+++ b/crates/platform-host/tests/clients.rs
@@ -39,7 +39,10 @@
     let left: u64 = received.headers.first("x-budget-ms").unwrap().parse().unwrap();
     assert!((900..=1000).contains(&left), "{left}");
     let status = cluster.shut_down();
-    assert_eq!((status.core.taken, status.core.done, status.open), (4, 4, OpenCounts::default()));
+    assert_eq!(
+        (status.core.commands_received, status.core.commands_done, status.open),
+        (4, 4, OpenCounts::default())
+    );
 }
 
 /// Clients send what is no valid request: garbage, wrong lengths, hidden requests, or nothing at all. Each must get its status or
@@ -204,5 +207,5 @@
     // It does not hold up the next request.
     assert_eq!(cluster.call("read", 0).status, 200);
     let status = cluster.shut_down();
-    assert_eq!((status.core.left, status.open), (1, OpenCounts::default()), "{status:?}");
+    assert_eq!((status.core.commands_aborted, status.open), (1, OpenCounts::default()), "{status:?}");
 }
--- a/crates/platform-host/tests/crossings.rs
+++ b/crates/platform-host/tests/crossings.rs
@@ -44,7 +44,7 @@
         });
         host.run_for(0.05);
     }
-    assert_eq!((node.received_byte_count(), host.status().core.taken), (0, 0));
+    assert_eq!((node.received_byte_count(), host.status().core.commands_received), (0, 0));
 }
 
 /// A client pipelines five requests and closes; the first one's answer arrives in the same iteration as the close. Handled in the
@@ -131,7 +131,9 @@
     host.run_iteration();
     let status = host.status();
     assert!(
-        status.core.taken > 200 && status.node_counters.opened > 200 && node.received_byte_count() == 0,
+        status.core.commands_received > 200
+            && status.node_counters.opened > 200
+            && node.received_byte_count() == 0,
         "{status:?}"
     );
     drop(clients);
@@ -158,7 +160,7 @@
     std::thread::sleep(Duration::from_millis(60));
     host.run_for(0.1);
     assert_eq!(
-        (node.request_count(), host.status().core.attempts, host.status().core.left),
+        (node.request_count(), host.status().core.attempts, host.status().core.commands_aborted),
         (1, attempts, 1)
     );
 }
@@ -174,13 +176,13 @@
     first.send(&texts[0]);
     host.run_until("the first is at its node", |_| node.request_count() == 1);
     second.send(&texts[1]);
-    host.run_until("the second waits", |host| host.status().core.taken == 2);
+    host.run_until("the second waits", |host| host.status().core.commands_received == 2);
     assert_eq!(node.request_count(), 1);
     drop(second);
     // No iteration runs until the bucket has refilled.
     std::thread::sleep(Duration::from_millis(400));
     host.run_for(0.1);
-    assert_eq!((node.request_count(), host.status().core.left), (1, 1));
+    assert_eq!((node.request_count(), host.status().core.commands_aborted), (1, 1));
 }
 
 /// All connections to nodes are in use and requests wait for one. They become free in the same iteration in which all clients
@@ -198,7 +200,7 @@
         client.send(&text);
     }
     host.run_until("some requests wait for a connection", |host| {
-        host.status().core.taken == 18 && host.status().node_counters.waited > 0
+        host.status().core.commands_received == 18 && host.status().node_counters.waited > 0
     });
     let waits = host.status().node_counters.waited as usize;
     host.run_until("the others are at the node", |_| node.request_count() == 18 - waits);
@@ -227,9 +229,9 @@
         host.run_until("at its node", |_| node.request_count() == answered);
         node.connections[0].send(ok_response("first").as_bytes());
         host.run_until("answered", |_| client.message_count() == answered);
-        let (text, taken) = (host.request("read", 0, "x"), host.status().core.taken);
+        let (text, taken) = (host.request("read", 0, "x"), host.status().core.commands_received);
         client.send(&text);
-        host.run_until("the request is accepted", |host| host.status().core.taken > taken);
+        host.run_until("the request is accepted", |host| host.status().core.commands_received > taken);
         if node.request_count() == answered {
             return answered;
         }
@@ -271,9 +273,9 @@
     host.run_until("at its node", |_| node.request_count() == answered + 2);
     node.connections[0].send(ok_response("third").as_bytes());
     host.run_until("answered", |_| client.message_count() == 1);
-    let (text, taken) = (host.request("read", 0, "x"), host.status().core.taken);
+    let (text, taken) = (host.request("read", 0, "x"), host.status().core.commands_received);
     client.send(&text);
-    host.run_until("the request is accepted", |host| host.status().core.taken > taken);
+    host.run_until("the request is accepted", |host| host.status().core.commands_received > taken);
     let before = node.request_count();
     drop(client);
     // No iteration runs until the delay is over, so its end and the close are handled in one.
@@ -743,7 +745,7 @@
             });
         }
     }
-    assert_eq!((node.received_byte_count(), host.status().core.taken), (0, 0));
+    assert_eq!((node.received_byte_count(), host.status().core.commands_received), (0, 0));
 }
 
 /// A node sends an answer without an end, fast or a byte at a time. The host must end it by its size or by the request's
