--- a/crates/benchmarks/src/closed_loop/direct.rs
+++ b/crates/benchmarks/src/closed_loop/direct.rs
@@ -98,7 +98,7 @@
             origin: Origin { session: 0, command: self.last_attempt as u32, part: 0 },
             sent_us,
             left_us: DEADLINE_US,
-            mark: 0,
+            idempotency_key: 0,
             key: 0,
             volume: 0,
             offset: draw_extent(&mut self.random) * extent_bytes * self.node_count,
--- a/crates/emulators/src/node/answers.rs
+++ b/crates/emulators/src/node/answers.rs
@@ -82,7 +82,7 @@
     pub(super) fn apply(&self, attempt: &SendAttempt) -> bool {
         let window_us = (self.settings.window_s * 1e6) as u64;
         let keys = &self.settings.idempotency_keys;
-        if attempt.mark != 0 && !keys.insert(now_us(), attempt.mark, window_us) {
+        if attempt.idempotency_key != 0 && !keys.insert(now_us(), attempt.idempotency_key, window_us) {
             return false;
         }
         if let Work::Write { data } = &attempt.work {
--- a/crates/emulators/src/node/frames.rs
+++ b/crates/emulators/src/node/frames.rs
@@ -135,7 +135,7 @@
             bytes: size.bytes,
             units: f64::from(attempt.units),
             key: attempt.key,
-            mark: format!("{:x}", attempt.mark),
+            idempotency_key: format!("{:x}", attempt.idempotency_key),
             // The attempt is over at its host's deadline, however long its bytes were on their way. By the time that was left when
             // it was sent, it would seem to be in flight longer, and the next attempt of its key to be sent too early.
             left_us: deadline_us.saturating_sub(times.received_us),
--- a/crates/emulators/src/node/tests.rs
+++ b/crates/emulators/src/node/tests.rs
@@ -40,7 +40,8 @@
         let origin = Origin { session: 1, command: 1, part: 0 };
         let work = Work::Read { length: 512 };
         let (sent_us, left_us) = (now_us(), 400_000);
-        let (request, attempt_number, mark, key, volume, offset, units) = (attempt, 0, 0, 0, 0, 0, 1.0);
+        let (request, attempt_number, idempotency_key, key, volume, offset, units) =
+            (attempt, 0, 0, 0, 0, 0, 1.0);
         let attempt = SendAttempt {
             attempt,
             request,
@@ -48,7 +49,7 @@
             origin,
             sent_us,
             left_us,
-            mark,
+            idempotency_key,
             key,
             volume,
             offset,
--- a/crates/host-core/src/attempt.rs
+++ b/crates/host-core/src/attempt.rs
@@ -48,7 +48,7 @@
     /// run the request a second time.
     pub begin_by: Option<Instant>,
     /// The idempotency key by which nodes recognise a retry; 0 where the traffic class has none.
-    pub mark: u128,
+    pub idempotency_key: u128,
     /// Order key; 0 where the traffic class needs no order.
     pub key: u64,
     /// The volume.
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -84,7 +84,7 @@
             part: identity.part,
             until: deadline,
             begin_by,
-            mark: idempotency_key(effect, self.generation, identity.serial),
+            idempotency_key: idempotency_key(effect, self.generation, identity.serial),
             key: request.payload.key,
             volume: request.payload.volume,
             offset: request.payload.offset,
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -303,7 +303,7 @@
         self.number(u64::from(attempt.part));
         self.seconds(attempt.until.secs());
         self.optional_seconds(attempt.begin_by.map(Instant::secs));
-        self.0.update(attempt.mark.to_le_bytes());
+        self.0.update(attempt.idempotency_key.to_le_bytes());
         self.number(attempt.key);
         self.number(u64::from(attempt.volume));
         self.number(attempt.offset);
@@ -796,19 +796,11 @@
         };
         let began = self.now - seconds(0.01 * self.fraction());
         let asked = (self.below(4) == 0).then_some(seconds(0.05 + self.fraction()));
-        let mark = (self.below(3) == 0).then_some(u128::from(from.command) << 64 | 7);
+        let idempotency_key = (self.below(3) == 0).then_some(u128::from(from.command) << 64 | 7);
         self.hosts[host].open.insert(from);
         self.hosts[host].core.handle_command(
             self.now,
-            ClientCommand {
-                from,
-                lun,
-                block,
-                work,
-                received_at: began,
-                timeout: asked,
-                idempotency_key: mark,
-            },
+            ClientCommand { from, lun, block, work, received_at: began, timeout: asked, idempotency_key },
         );
     }
 
--- a/crates/host/src/links/link.rs
+++ b/crates/host/src/links/link.rs
@@ -163,7 +163,7 @@
             },
             sent_us: self.context.clock.unix_us(now),
             left_us: (time_left * 1e6).min(f64::from(u32::MAX)) as u32,
-            mark: attempt.mark,
+            idempotency_key: attempt.idempotency_key,
             key: attempt.key,
             volume: attempt.volume,
             offset: attempt.offset,
--- a/crates/invariants/src/dissemination/tests.rs
+++ b/crates/invariants/src/dissemination/tests.rs
@@ -14,7 +14,7 @@
 fn attempt(time_us: u64, host: u32) -> Line {
     let name = AttemptName { host, generation: 1, request: time_us, attempt: 1 };
     let (session, command, part, volume, write) = (1, 1, 0, 1, false);
-    let (offset, bytes, units, key, mark, left_us) = (0, 512, 1.0, 0, String::new(), 0);
+    let (offset, bytes, units, key, idempotency_key, left_us) = (0, 512, 1.0, 0, String::new(), 0);
     let node = "a".into();
     let event = Event::Attempt {
         node,
@@ -28,7 +28,7 @@
         bytes,
         units,
         key,
-        mark,
+        idempotency_key,
         left_us,
     };
     Line { t: time_us, event }
--- a/crates/invariants/tests/doctored.rs
+++ b/crates/invariants/tests/doctored.rs
@@ -109,7 +109,7 @@
                 bytes,
                 units,
                 key,
-                mark: "0".into(),
+                idempotency_key: "0".into(),
                 left_us: 900_000,
             },
         )
--- a/crates/simulator/src/reference_model.rs
+++ b/crates/simulator/src/reference_model.rs
@@ -266,7 +266,7 @@
             part: request.part,
             until: request.deadline,
             begin_by: None,
-            mark: 0,
+            idempotency_key: 0,
             key: if self.settings.traffic_classes[request.traffic_class].in_order {
                 request.spec.key
             } else {
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -95,7 +95,7 @@
     nodes: Vec<SimNode>,
     partitions: BTreeMap<(u32, u32), Us>,
     /// IdempotencyKeys that the nodes of a zone know, and when each ran.
-    marks: BTreeMap<(u32, u128), Us>,
+    seen_keys: BTreeMap<(u32, u128), Us>,
     list_version: u64,
     list_late: Us,
     list_fails: bool,
--- a/crates/simulator/src/sim/links.rs
+++ b/crates/simulator/src/sim/links.rs
@@ -18,7 +18,7 @@
         origin: Origin { session, command, part: attempt.part },
         sent_us: us(now),
         left_us: left_us as u32,
-        mark: attempt.mark,
+        idempotency_key: attempt.idempotency_key,
         key: attempt.key,
         volume: attempt.volume,
         offset: attempt.offset,
@@ -53,7 +53,7 @@
         bytes,
         units: attempt.units,
         key: attempt.key,
-        mark: format!("{:x}", attempt.mark),
+        idempotency_key: format!("{:x}", attempt.idempotency_key),
         left_us,
     }
 }
--- a/crates/simulator/src/sim/nodes.rs
+++ b/crates/simulator/src/sim/nodes.rs
@@ -85,7 +85,7 @@
             volume: attempt.volume,
             units,
             read,
-            mark: attempt.mark,
+            idempotency_key: attempt.idempotency_key,
         };
         if !node.silent {
             node.held.insert(id, held);
@@ -135,7 +135,7 @@
                 node.reported_load = (now, node.model.waiting_count() as u32);
             }
             let (waiting, address, zone) = (node.reported_load.1, node.address.clone(), node.zone);
-            let ran = how == JobOutcome::Done && self.first_run(zone, x.mark);
+            let ran = how == JobOutcome::Done && self.first_run(zone, x.idempotency_key);
             self.record(tackmast_trace::Event::AttemptEnd { node: address, name: x.name, kind, ran });
             let answer =
                 Frame::Answer(Answer { attempt: x.attempt, outcome, waiting, elsewhere, data }).to_bytes();
@@ -154,12 +154,12 @@
         }
     }
 
-    /// Whether a mark runs for the first time within its window; a repeat is dropped.
-    pub(super) fn first_run(&mut self, zone: u32, mark: u128) -> bool {
-        if mark == 0 {
+    /// Whether a request with this key runs for the first time within its window; a repeat is dropped.
+    pub(super) fn first_run(&mut self, zone: u32, idempotency_key: u128) -> bool {
+        if idempotency_key == 0 {
             return true;
         }
-        let known = self.marks.insert((zone, mark), self.now);
+        let known = self.seen_keys.insert((zone, idempotency_key), self.now);
         known.is_none_or(|t| t + self.window_us < self.now)
     }
 
--- a/crates/simulator/src/sim/setup.rs
+++ b/crates/simulator/src/sim/setup.rs
@@ -136,7 +136,7 @@
             hosts: Vec::new(),
             nodes: (0..world.nodes).map(|node| new_node(world, node)).collect(),
             partitions: BTreeMap::new(),
-            marks: BTreeMap::new(),
+            seen_keys: BTreeMap::new(),
             list_version: 1,
             list_late: world.list_late_us,
             list_fails: false,
--- a/crates/simulator/src/sim/state.rs
+++ b/crates/simulator/src/sim/state.rs
@@ -105,7 +105,7 @@
     pub(super) volume: u32,
     pub(super) units: f64,
     pub(super) read: u32,
-    pub(super) mark: u128,
+    pub(super) idempotency_key: u128,
 }
 
 pub(super) struct SimNode {
--- a/crates/trace/src/event.rs
+++ b/crates/trace/src/event.rs
@@ -212,7 +212,8 @@
         /// Its order key.
         key: u64,
         /// Its idempotency key.
-        mark: String,
+        #[serde(rename = "mark")]
+        idempotency_key: String,
         /// Time left until its deadline.
         left_us: u64,
     },
--- a/crates/trace/tests/json_forms.rs
+++ b/crates/trace/tests/json_forms.rs
@@ -199,7 +199,7 @@
         bytes: 7,
         units: 1.5,
         key: u64::MAX,
-        mark: "a0b1".into(),
+        idempotency_key: "a0b1".into(),
         left_us: 8,
     };
     assert_event(
--- a/crates/wire/src/node.rs
+++ b/crates/wire/src/node.rs
@@ -58,8 +58,8 @@
     pub sent_us: u64,
     /// Microseconds from then until nobody waits for the answer.
     pub left_us: u32,
-    /// A repeat of the same mark within the node's window must not run again; 0: none.
-    pub mark: u128,
+    /// The key by which the node recognises a retry: within its window a request with the same key must not run again; 0: none.
+    pub idempotency_key: u128,
     /// Order key of the request; 0: none.
     pub key: u64,
     /// The volume's number.
--- a/crates/wire/src/node/decode.rs
+++ b/crates/wire/src/node/decode.rs
@@ -47,7 +47,7 @@
         },
         sent_us: fields.u64("time sent")?,
         left_us: fields.u32("time left")?,
-        mark: u128::from(fields.u64("mark")?) << 64 | u128::from(fields.u64("mark")?),
+        idempotency_key: u128::from(fields.u64("mark")?) << 64 | u128::from(fields.u64("mark")?),
         key: fields.u64("key")?,
         volume: fields.u32("volume")?,
         offset: fields.u64("offset")?,
--- a/crates/wire/src/node/encode.rs
+++ b/crates/wire/src/node/encode.rs
@@ -55,7 +55,7 @@
     out.put_u16(attempt.origin.part);
     out.put_u64(attempt.sent_us);
     out.put_u32(attempt.left_us);
-    out.put_u128(attempt.mark);
+    out.put_u128(attempt.idempotency_key);
     out.put_u64(attempt.key);
     out.put_u32(attempt.volume);
     out.put_u64(attempt.offset);
--- a/crates/wire/tests/codecs.rs
+++ b/crates/wire/tests/codecs.rs
@@ -30,7 +30,7 @@
     (first, second).prop_map(
         |(
             (attempt, request, attempt_number, origin, sent_us, left_us),
-            (mark, key, volume, offset, units, work),
+            (idempotency_key, key, volume, offset, units, work),
         )| {
             Frame::Send(SendAttempt {
                 attempt,
@@ -39,7 +39,7 @@
                 origin,
                 sent_us,
                 left_us,
-                mark,
+                idempotency_key,
                 key,
                 volume,
                 offset,
--- a/crates/wire/tests/golden_bytes.rs
+++ b/crates/wire/tests/golden_bytes.rs
@@ -466,7 +466,7 @@
         origin: node::Origin { session: 4, command: 5, part: 6 },
         sent_us: 7,
         left_us: 8,
-        mark: 0x0102_0304_0506_0708_090a_0b0c_0d0e_0f10,
+        idempotency_key: 0x0102_0304_0506_0708_090a_0b0c_0d0e_0f10,
         key: 9,
         volume: 10,
         offset: 4096,
