--- a/crates/cli/src/members/one_host.rs
+++ b/crates/cli/src/members/one_host.rs
@@ -46,7 +46,7 @@
     _ = writeln!(
         text,
         "{} datagrams sent ({} bytes), {} accepted, {} dropped; local health score {}, paused {} times, suspected by peers {} times",
-        view.sent, view.sent_bytes, view.taken, view.dropped, view.local_health, view.pauses, view.accused
+        view.sent, view.sent_bytes, view.received, view.dropped, view.local_health, view.pauses, view.accused
     );
     _ = writeln!(
         text,
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -65,11 +65,11 @@
 fn log_end(host: &Host) {
     let status = host.status();
     tracing::info!(
-        taken = status.core.taken,
-        done = status.core.done,
-        rejected = status.core.rejected,
-        failed = status.core.failed,
-        left = status.core.left,
+        taken = status.core.commands_received,
+        done = status.core.commands_done,
+        rejected = status.core.commands_rejected,
+        failed = status.core.commands_failed,
+        left = status.core.commands_aborted,
         attempts = status.core.attempts,
         retries = status.core.retries,
         timed_out = status.core.timed_out,
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -81,10 +81,10 @@
     let counters = status.counters;
     tracing::info!(
         signal,
-        taken = counters.taken,
-        done = counters.done,
-        rejected = counters.rejected,
-        failed = counters.failed,
+        taken = counters.commands_received,
+        done = counters.commands_done,
+        rejected = counters.commands_rejected,
+        failed = counters.commands_failed,
         attempts = counters.attempts,
         retries = counters.retries,
         core_seconds = status.core_seconds,
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -221,7 +221,11 @@
         assert!(*wait > TimeDelta::ZERO, "{verdict:?}");
     }
     fixture.run_for(1.5);
-    assert_eq!((fixture.answers.len(), fixture.core.counters.over_bound), (15, 6), "each gets one answer");
+    assert_eq!(
+        (fixture.answers.len(), fixture.core.counters.commands_over_bound),
+        (15, 6),
+        "each gets one answer"
+    );
     assert!(fixture.is_empty());
 }
 
@@ -308,7 +312,7 @@
     assert!(matches!(fixture.other.as_slice(), [Output::Cancel { attempt, .. }] if *attempt == attempts[0]));
     fixture.core.handle_session_closed(fixture.now, 1);
     fixture.poll_outputs();
-    assert_eq!((fixture.other.len(), fixture.core.counters.left), (2, 2));
+    assert_eq!((fixture.other.len(), fixture.core.counters.commands_aborted), (2, 2));
     // The attempts count until they have ended.
     assert_eq!(fixture.core.open_counts(), OpenCounts { commands: 0, requests: 2, attempts: 2 });
     fixture.finish_attempt(attempts[0], Outcome::Done, 512);
@@ -326,7 +330,7 @@
     assert!(fixture.answers.is_empty(), "1024 bytes were asked for");
     assert_eq!(fixture.core.counters.short_answers, 1);
     fixture.finish_attempt(attempts[0], Outcome::Done, 1024);
-    assert_eq!((fixture.answers.len(), fixture.core.counters.strays), (0, 1));
+    assert_eq!((fixture.answers.len(), fixture.core.counters.late_results), (0, 1));
     fixture.run_for(0.1);
     let again = fixture.write();
     assert_eq!(again.len(), 1, "an idempotent read gets a retry");
@@ -473,7 +477,7 @@
 /// there now, so the explanation names it.
 #[test]
 fn an_explanation_names_an_override_under_which_its_node_restarted() {
-    use tackmast_overrides::{Kind, Order, Overrides, Settings, Target};
+    use tackmast_overrides::{Kind, OverrideRequest, Overrides, Settings, Target};
     let address = "10.0.0.1:9003";
     // When the node starts, against the override that is set at 10 s; whether it is reported.
     for (start, reported) in [(5.0, false), (12.0, true)] {
@@ -486,7 +490,7 @@
             1,
         );
         fixture.core.with_overrides(fixture.now, overrides, PersistBatch::default());
-        let order = Order {
+        let override_request = OverrideRequest {
             target: Target::Node(address.parse().unwrap()),
             kind: Kind::Weight(0.5),
             reason: "r".into(),
@@ -497,7 +501,7 @@
         fixture.core.handle_admin_request(
             fixture.now,
             1,
-            AdminRequest::Set { order, force: false, dry_run: false, if_version: None },
+            AdminRequest::Set { override_request, force: false, dry_run: false, if_version: None },
         );
         fixture.core.handle_persisted(fixture.now, 1, Ok(()));
         fixture.now = Instant::from_secs(20.0);
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -15,7 +15,7 @@
 use tackmast::interface::*;
 use tackmast_config::HostSettings;
 use tackmast_host_core::*;
-use tackmast_overrides::{Kind, Order, OverrideId, Overrides, Settings, Target};
+use tackmast_overrides::{Kind, OverrideId, OverrideRequest, Overrides, Settings, Target};
 use tackmast_plans::{Change, Plan as CatalogPlan, Step};
 
 const INPUTS: u32 = 10_000;
@@ -303,7 +303,7 @@
         self.number(u64::from(attempt.part));
         self.seconds(attempt.until.secs());
         self.optional_seconds(attempt.begin_by.map(Instant::secs));
-        self.0.update(attempt.mark.to_le_bytes());
+        self.0.update(attempt.idempotency_key.to_le_bytes());
         self.number(attempt.key);
         self.number(u64::from(attempt.volume));
         self.number(attempt.offset);
@@ -581,18 +581,18 @@
         let core = &self.hosts[host].core;
         let counters = core.counters;
         let numbers = [
-            counters.taken,
-            counters.over_bound,
-            counters.done,
-            counters.rejected,
-            counters.failed,
-            counters.left,
+            counters.commands_received,
+            counters.commands_over_bound,
+            counters.commands_done,
+            counters.commands_rejected,
+            counters.commands_failed,
+            counters.commands_aborted,
             counters.attempts,
             counters.retries,
             counters.timed_out,
             counters.withdrawn,
             counters.cut,
-            counters.strays,
+            counters.late_results,
             counters.short_answers,
             counters.nodes_over_bound,
         ];
@@ -796,19 +796,11 @@
         };
         let began = self.now - seconds(0.01 * self.fraction());
         let asked = (self.below(4) == 0).then_some(seconds(0.05 + self.fraction()));
-        let mark = (self.below(3) == 0).then_some(u128::from(from.command) << 64 | 7);
+        let idempotency_key = (self.below(3) == 0).then_some(u128::from(from.command) << 64 | 7);
         self.hosts[host].open.insert(from);
         self.hosts[host].core.handle_command(
             self.now,
-            ClientCommand {
-                from,
-                lun,
-                block,
-                work,
-                received_at: began,
-                timeout: asked,
-                idempotency_key: mark,
-            },
+            ClientCommand { from, lun, block, work, received_at: began, timeout: asked, idempotency_key },
         );
     }
 
@@ -904,7 +896,7 @@
             1 => Kind::Pinned,
             _ => Kind::Weight(0.1 + 0.9 * self.fraction()),
         };
-        let order = Order {
+        let override_request = OverrideRequest {
             target,
             kind,
             reason: "maintenance".into(),
@@ -913,7 +905,7 @@
             origin: None,
         };
         let (force, dry_run) = (self.below(3) == 0, self.below(8) == 0);
-        self.ask(host, AdminRequest::Set { order, force, dry_run, if_version: None });
+        self.ask(host, AdminRequest::Set { override_request, force, dry_run, if_version: None });
     }
 
     fn clear_override(&mut self, host: usize) {
--- a/crates/simulator/src/reference_model.rs
+++ b/crates/simulator/src/reference_model.rs
@@ -320,7 +320,7 @@
             part: request.part,
             until: request.deadline,
             begin_by: None,
-            mark: 0,
+            idempotency_key: 0,
             key: if in_order { request.spec.key } else { 0 },
             volume: volume_layout.lun,
             offset: request.spec.block * u64::from(volume_layout.block_bytes),
--- a/crates/simulator/src/sim/nodes.rs
+++ b/crates/simulator/src/sim/nodes.rs
@@ -109,7 +109,7 @@
             volume: attempt.volume,
             units: f64::from(attempt.units),
             read_bytes,
-            idempotency_key: attempt.mark,
+            idempotency_key: attempt.idempotency_key,
         }
     }
 
--- a/crates/simulator/src/sim/operators.rs
+++ b/crates/simulator/src/sim/operators.rs
@@ -3,7 +3,7 @@
 use super::event::Event;
 use super::{Mutant, Sim, Us, LIMITED_LUN, LIMITED_VOLUME};
 use tackmast_host_core::{AdminRequest, AdminResponse, PersistBatch, PlanRequest, PlanResponse, VolumeLimit};
-use tackmast_overrides::{Kind, Order, Override, Target};
+use tackmast_overrides::{Kind, Override, OverrideRequest, Target};
 
 /// From a change of plans until all hosts must have adopted it, in seconds.
 pub(super) const PLANS_SETTLE_S: f64 = 1.5;
@@ -17,14 +17,16 @@
     pub(super) fn set_override(&mut self, host: Option<u32>, node_index: u32, kind: Kind, duration: Us) {
         let Ok(address) = self.nodes[node_index as usize].address.parse() else { return };
         let (reason, who, seconds) = ("drawn".into(), "lab".into(), duration as f64 / 1e6);
-        let order = Order { target: Target::Node(address), kind, reason, who, seconds, origin: None };
+        let override_request =
+            OverrideRequest { target: Target::Node(address), kind, reason, who, seconds, origin: None };
         for host_index in (0..self.world.hosts).filter(|index| host.is_none_or(|host| host == *index)) {
             if !self.is_running(host_index) {
                 continue;
             }
-            let (now, order) = (self.steady_clock(host_index), order.clone());
+            let (now, override_request) = (self.steady_clock(host_index), override_request.clone());
             // Each shard has one node here: taking it out of service needs force.
-            let request = AdminRequest::Set { order, force: true, dry_run: false, if_version: None };
+            let request =
+                AdminRequest::Set { override_request, force: true, dry_run: false, if_version: None };
             if let Some(core) = self.hosts[host_index as usize].core.core() {
                 core.handle_admin_request(now, 1, request);
             }
--- a/tests/withdrawn_words.rs
+++ b/tests/withdrawn_words.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 /// Folders whose code is whole.
-const WHOLE: [&str; 26] = [
+const WHOLE: [&str; 27] = [
     "src",
     "crates/admin",
     "crates/benchlink",
