--- a/crates/client/src/event_loop.rs
+++ b/crates/client/src/event_loop.rs
@@ -38,21 +38,7 @@
 pub(crate) fn start(clock: Clock, options: Options) -> io::Result<EventLoopHandle> {
     let (events, incoming) = crossbeam_channel::bounded(MAX_QUEUED_EVENTS);
     let (openings_to, openings) = crossbeam_channel::bounded(MAX_QUEUED_OPENINGS);
-    let (address, bounds) = (options.address, options.bounds());
-    let (retry_policy, seed) = (options.retry_policy, options.seed);
-    let new_session = Box::new(move || options.new_session());
-    let core = Core::new(clock.now(), bounds, retry_policy, seed, new_session);
-    let mut event_loop = EventLoop {
-        core,
-        clock,
-        address,
-        events: events.clone(),
-        openings_to,
-        callers: HashMap::new(),
-        connections: HashMap::new(),
-        last_generation: 0,
-        generations: HashMap::new(),
-    };
+    let mut event_loop = EventLoop::new(clock, options, events.clone(), openings_to);
     spawn("client core", move || event_loop.run(&incoming))?;
     Ok(EventLoopHandle { events, openings })
 }
@@ -74,6 +60,23 @@
 }
 
 impl EventLoop {
+    fn new(clock: Clock, options: Options, events: Sender<Event>, openings_to: Sender<Opening>) -> EventLoop {
+        let (address, bounds) = (options.address, options.bounds());
+        let (retry_policy, seed) = (options.retry_policy, options.seed);
+        let new_session = Box::new(move || options.new_session());
+        EventLoop {
+            core: Core::new(clock.now(), bounds, retry_policy, seed, new_session),
+            clock,
+            address,
+            events,
+            openings_to,
+            callers: HashMap::new(),
+            connections: HashMap::new(),
+            last_generation: 0,
+            generations: HashMap::new(),
+        }
+    }
+
     fn run(&mut self, incoming: &Receiver<Event>) {
         loop {
             let now = self.clock.now();
@@ -100,19 +103,12 @@
 
     /// Handles an event and those that wait behind it.
     fn handle_events(&mut self, first: Event, incoming: &Receiver<Event>) -> ControlFlow<()> {
-        let mut next = Some(first);
-        for _ in 0..MAX_EVENTS_PER_ITERATION {
-            match next {
-                Some(Event::Close) => {
-                    self.close();
-                    return ControlFlow::Break(());
-                }
-                Some(event) => self.handle_event(event),
-                None => return ControlFlow::Continue(()),
+        let events = std::iter::once(first).chain(incoming.try_iter());
+        for event in events.take(MAX_EVENTS_PER_ITERATION) {
+            if matches!(event, Event::Close) {
+                self.close();
+                return ControlFlow::Break(());
             }
-            next = incoming.try_recv().ok();
-        }
-        if let Some(event) = next {
             self.handle_event(event);
         }
         ControlFlow::Continue(())
@@ -207,3 +203,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
