--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -1,7 +1,7 @@
 //! A connection to the gateway: one thread reads it, one writes it.
 
 use crate::event::{ConnectionId, Event};
-use crate::thread::spawn;
+use crate::thread::{spawn, Spawn};
 use bytes::Bytes;
 use crossbeam_channel::{Receiver, Sender};
 use std::io::{self, Read, Write};
@@ -14,6 +14,8 @@
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Writes that may wait for one connection.
 const MAX_QUEUED_WRITES: usize = 4096;
+/// Name of the threads that write.
+pub(crate) const WRITER_THREAD: &str = "client calls";
 /// Bytes that one read takes at most.
 const READ_BUFFER_BYTES: usize = 64 << 10;
 
@@ -29,14 +31,20 @@
         id: ConnectionId,
         stream: TcpStream,
         events: Sender<Event>,
+        spawn: Spawn,
     ) -> io::Result<Connection> {
         stream.set_nodelay(true)?;
         stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
         let (reader, writer) = (stream.try_clone()?, stream.try_clone()?);
         let (writes, queued_writes) = crossbeam_channel::bounded(MAX_QUEUED_WRITES);
-        spawn("client answers", move || read_until_end(id, reader, &events))?;
-        spawn("client calls", move || write_until_end(writer, &queued_writes))?;
-        Ok(Connection { writes, stream })
+        spawn("client answers", Box::new(move || read_until_end(id, reader, &events)))?;
+        let connection = Connection { writes, stream };
+        if let Err(error) = spawn(WRITER_THREAD, Box::new(move || write_until_end(writer, &queued_writes))) {
+            // The reader holds the socket too, and would keep it open until the gateway closes it.
+            connection.close();
+            return Err(error);
+        }
+        Ok(connection)
     }
 
     /// Queues bytes to be written; false: the queue is full, or the writer has ended.
--- a/crates/client/src/event_loop.rs
+++ b/crates/client/src/event_loop.rs
@@ -4,7 +4,7 @@
 use crate::connection::{connect, Connection};
 use crate::event::{ConnectionId, Event, Opening};
 use crate::options::Options;
-use crate::thread::spawn;
+use crate::thread::{spawn, Spawn};
 use bytes::Bytes;
 use crossbeam_channel::{Receiver, Sender};
 use std::collections::HashMap;
@@ -57,6 +57,8 @@
     /// The generation of each slot's present connection. An event of an earlier connection would be taken for one of its successor
     /// and end it; it is known by its generation and ignored.
     generations: HashMap<usize, u64>,
+    /// How the threads of connections are started.
+    spawn: Spawn,
 }
 
 impl EventLoop {
@@ -74,6 +76,7 @@
             connections: HashMap::new(),
             last_generation: 0,
             generations: HashMap::new(),
+            spawn: |name, run| spawn(name, run),
         }
     }
 
@@ -150,12 +153,16 @@
     }
 
     fn on_connected(&mut self, now: Instant, id: ConnectionId, stream: TcpStream) {
-        match Connection::start(id, stream, self.events.clone()) {
+        match Connection::start(id, stream, self.events.clone(), self.spawn) {
             Ok(connection) => {
                 self.connections.insert(id.slot, connection);
                 self.core.handle_connected(id.slot);
             }
-            Err(_) => self.core.handle_closed(now, id.slot),
+            Err(_) => {
+                // Its reader may run and report the end too, which would count the failure twice.
+                self.generations.remove(&id.slot);
+                self.core.handle_closed(now, id.slot);
+            }
         }
     }
 
--- a/crates/client/src/thread.rs
+++ b/crates/client/src/thread.rs
@@ -10,3 +10,6 @@
     let builder = std::thread::Builder::new().name(name.into()).stack_size(STACK_BYTES);
     builder.spawn(run).map(|_| ())
 }
+
+/// How the threads of a connection are started: `spawn`, or in tests one that fails.
+pub(crate) type Spawn = fn(&str, Box<dyn FnOnce() + Send>) -> io::Result<()>;
