--- a/crates/host/src/sessions.rs
+++ b/crates/host/src/sessions.rs
@@ -9,7 +9,7 @@
 
 use crate::lock::lock;
 use crate::messages::Event;
-use crate::thread::spawn;
+use crate::thread::{spawn, Spawn};
 use crate::{Clock, StartError};
 use crossbeam_channel::Sender;
 use numbers::SessionNumbers;
@@ -48,6 +48,8 @@
     numbers: Mutex<SessionNumbers>,
     /// Sessions that are being refused.
     refusals: Mutex<usize>,
+    /// How the thread of a session is started.
+    spawn: Spawn,
 }
 
 impl SessionHub {
@@ -60,7 +62,8 @@
     ) -> Arc<SessionHub> {
         let offer = Arc::new(Offer::of(&settings));
         let (numbers, refusals) = (Mutex::default(), Mutex::default());
-        Arc::new(SessionHub { settings, units, offer, clock, events, numbers, refusals })
+        let spawn: Spawn = |name, run| spawn(name, run);
+        Arc::new(SessionHub { settings, units, offer, clock, events, numbers, refusals, spawn })
     }
 
     /// Starts the thread of a listener.
@@ -94,9 +97,9 @@
             hub.serve(stream, number, protocol);
             hub.release_number(number);
         };
-        if let Err(error) = spawn(format!("session {number}"), run) {
+        if let Err(error) = (self.spawn)(format!("session {number}"), Box::new(run)) {
             tracing::warn!(%error, "session not started");
-            lock(&self.numbers).release(number);
+            self.release_number(number);
         }
     }
 
@@ -121,3 +124,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/host/src/thread.rs
+++ b/crates/host/src/thread.rs
@@ -11,3 +11,6 @@
     let builder = std::thread::Builder::new().name(name.clone()).stack_size(STACK_BYTES);
     builder.spawn(run).map_err(|error| StartError::Thread { name, error })
 }
+
+/// How the threads of sessions are started: `spawn`, or in tests one that fails.
+pub(crate) type Spawn = fn(String, Box<dyn FnOnce() + Send>) -> Result<JoinHandle<()>, StartError>;
