--- a/crates/host/src/links/link.rs
+++ b/crates/host/src/links/link.rs
@@ -86,10 +86,11 @@
         self.connection.as_ref().is_some_and(|connection| connection.outstanding.is_broken())
     }
 
-    /// Releases a broken connection. Only when nobody holds its socket any more does the peer see the reset, and is what the socket had
-    /// not sent dropped.
+    /// Releases a broken connection, and forgets the attempts that were gathered for it: they have been reported. Only when nobody holds
+    /// its socket any more does the peer see the reset, and is what the socket had not sent dropped.
     fn drop_connection(&mut self) {
         self.connection = None;
+        self.writing.clear();
         lock(&self.current).take();
     }
 
@@ -97,6 +98,9 @@
     /// written.
     fn write(&mut self, bytes: &BytesMut) {
         let Some(connection) = &mut self.connection else { return };
+        if !connection.outstanding.begin_write() {
+            return self.drop_connection();
+        }
         if !bytes.is_empty() {
             match connection.stream.write_all(bytes) {
                 Ok(()) => self.writing.iter().for_each(Ticket::written),
@@ -203,3 +207,6 @@
         Ok(Connection { stream, outstanding })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/host/src/links/link/tests.rs
@@ -0,0 +1,227 @@
+//! Connections that break between the steps of one write, which a test of the whole host can't force.
+
+use super::*;
+use crate::messages::Event;
+use crate::Clock;
+use bytes::Bytes;
+use std::io::{ErrorKind, Read};
+use std::net::TcpListener;
+use std::sync::Arc;
+use std::thread::JoinHandle;
+use std::time::Duration;
+use tackmast::interface::{Instant, NodeId};
+use tackmast_config::HostSettings;
+use tackmast_host_core::CommandRef;
+
+/// How long a test waits for what must happen soon.
+const TEST_TIMEOUT: Duration = Duration::from_secs(5);
+
+const SETTINGS: &str = r#"
+host {
+  number = 0
+  hosts = 1
+  listen = "127.0.0.1:0"
+  node_list = "127.0.0.1:1"
+}
+units {
+  bytes = 4096
+  most = 8
+  mean = 2
+}
+plan "basic" {}
+stream "s" {
+  slo_ms = 200
+  expiry_ms = 1000
+  effect = "unrepeatable"
+}
+volume "v" {
+  lun = 0
+  plan = "basic"
+  blocks = 1000
+  extent_blocks = 64
+  shards = [0]
+  hosts = 1
+  reads = "s"
+  writes = "s"
+}
+"#;
+
+/// The node's side of a connection, past the handshake.
+struct NodeConnection {
+    stream: TcpStream,
+    frames: tackmast_wire::reader::Frames,
+}
+
+impl NodeConnection {
+    /// Accepts a connection, and answers its hello.
+    fn accept(listener: &TcpListener) -> NodeConnection {
+        let (stream, _) = listener.accept().unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        let mut connection = NodeConnection { stream, frames: node::frames(1 << 20) };
+        assert!(matches!(connection.next_frame(), Some(Frame::HostHello { .. })));
+        let hello =
+            Frame::NodeHello { version: node::VERSION, shard: 0, zone: 0, started_us: 1, up_us: 1_000_000 };
+        connection.stream.write_all(&hello.to_bytes()).unwrap();
+        connection
+    }
+
+    /// The next frame; none: the host has ended the connection.
+    fn next_frame(&mut self) -> Option<Frame> {
+        loop {
+            if let Some(frame) = node::next(&mut self.frames).unwrap() {
+                return Some(frame);
+            }
+            let mut buffer = [0; 4096];
+            match self.stream.read(&mut buffer) {
+                Ok(0) => return None,
+                Ok(length) => self.frames.push(&buffer[..length]),
+                Err(error) if error.kind() == ErrorKind::ConnectionReset => return None,
+                Err(error) => panic!("no frame in time: {error}"),
+            }
+        }
+    }
+
+    /// Asserts that the next frame is this attempt.
+    fn expect_attempt(&mut self, number: u64) {
+        match self.next_frame() {
+            Some(Frame::Send(attempt)) => assert_eq!(attempt.attempt, number),
+            other => panic!("expected attempt {number}, received {other:?}"),
+        }
+    }
+}
+
+/// A link whose steps the test takes itself, the events that it reports, and its node.
+struct Fixture {
+    link: Link,
+    events: Receiver<Event>,
+    node: TcpListener,
+    bytes: BytesMut,
+}
+
+impl Fixture {
+    fn new() -> Fixture {
+        let node = TcpListener::bind("127.0.0.1:0").unwrap();
+        let (to_core, events) = crossbeam_channel::unbounded();
+        let link = Link::new(LinkContext {
+            node: NodeId(1),
+            address: node.local_addr().unwrap(),
+            settings: Arc::new(HostSettings::parse("test", SETTINGS).unwrap()),
+            clock: Clock::start(),
+            events: to_core,
+            generation: 1,
+        });
+        Fixture { link, events, node, bytes: BytesMut::new() }
+    }
+
+    /// Gathers an attempt for the next write; gives its ticket.
+    fn gather(&mut self, number: u64) -> Ticket {
+        let attempt = attempt(number);
+        let ticket = attempt.ticket.clone();
+        self.link.gather(ToLink::Send(Box::new(attempt)), &mut self.bytes);
+        ticket
+    }
+
+    /// Gathers an attempt for which the link has to connect; gives its ticket, and the node's side of the connection.
+    fn gather_and_connect(&mut self, number: u64) -> (Ticket, NodeConnection) {
+        let (listener, events) = (self.node.try_clone().unwrap(), self.events.clone());
+        let node: JoinHandle<NodeConnection> = std::thread::spawn(move || {
+            let connection = NodeConnection::accept(&listener);
+            // The core applies the uptime of the node.
+            match events.recv_timeout(TEST_TIMEOUT) {
+                Ok(Event::NodeUp { applied, .. }) => applied.send(()).unwrap(),
+                _ => panic!("the uptime is not reported"),
+            }
+            connection
+        });
+        let ticket = self.gather(number);
+        (ticket, node.join().unwrap())
+    }
+
+    fn write(&mut self) {
+        self.link.write(&self.bytes);
+        self.bytes.clear();
+    }
+
+    /// The node ends a connection, and the link's reader has found it broken.
+    fn break_connection(&self, connection: NodeConnection) {
+        drop(connection);
+        self.link.woken.recv_timeout(TEST_TIMEOUT).expect("the reader ends");
+        assert!(self.link.is_broken());
+    }
+
+    /// The ends of so many attempts, as they are reported, by the attempts' numbers.
+    fn outcomes(&self, count: usize) -> Vec<(u64, Outcome)> {
+        let next = || match self.events.recv_timeout(TEST_TIMEOUT) {
+            Ok(Event::AttemptResult(result)) => (result.attempt.0, result.outcome),
+            _ => panic!("the end of an attempt is not reported"),
+        };
+        let mut outcomes: Vec<(u64, Outcome)> = (0..count).map(|_| next()).collect();
+        outcomes.sort_by_key(|(number, _)| *number);
+        outcomes
+    }
+}
+
+fn attempt(number: u64) -> SendAttempt {
+    SendAttempt {
+        node: NodeId(1),
+        attempt: AttemptId(number),
+        request: number,
+        attempt_number: 0,
+        from: CommandRef { session: 1, command: 1 },
+        part: 0,
+        until: Instant::from_secs(1e6),
+        begin_by: None,
+        mark: 0,
+        key: 0,
+        volume: 0,
+        offset: 0,
+        units: 1.0,
+        work: AttemptWork::Write { data: Bytes::from_static(b"data") },
+        ticket: Ticket::default(),
+    }
+}
+
+/// A connection breaks after an attempt was gathered for a write and before the next one is, which goes to a new connection. No byte of
+/// the first attempt was sent, so it never ran, and its request may be retried whatever its effect; reported as reset, a non-idempotent
+/// request would fail.
+#[test]
+fn attempt_gathered_for_a_connection_that_breaks_is_reported_as_refused() {
+    let mut fixture = Fixture::new();
+    let (first, broken) = fixture.gather_and_connect(1);
+    fixture.break_connection(broken);
+    assert_eq!(fixture.outcomes(1), [(1, Outcome::Refused)]);
+    let (second, mut node) = fixture.gather_and_connect(2);
+    fixture.write();
+    node.expect_attempt(2);
+    assert!(second.is_claimed() && !second.is_stuck(), "the second attempt is written");
+    assert!(first.is_stuck(), "the first attempt is marked as written");
+}
+
+/// A connection breaks after attempts were gathered for a write, and nothing else is gathered. The write must not begin: the attempts are
+/// reported as never run already, and are retried elsewhere.
+#[test]
+fn write_does_not_begin_on_a_connection_that_broke_while_it_was_gathered() {
+    let mut fixture = Fixture::new();
+    let (first, broken) = fixture.gather_and_connect(1);
+    let second = fixture.gather(2);
+    fixture.break_connection(broken);
+    assert_eq!(fixture.outcomes(2), [(1, Outcome::Refused), (2, Outcome::Refused)]);
+    fixture.write();
+    assert!(first.is_stuck() && second.is_stuck(), "an attempt is marked as written");
+    assert!(fixture.link.connection.is_none(), "the broken connection is kept");
+    let (_, mut node) = fixture.gather_and_connect(3);
+    fixture.write();
+    node.expect_attempt(3);
+}
+
+/// A connection breaks while a written attempt waits for its answer and another is gathered. Only the first may have run.
+#[test]
+fn only_attempts_whose_write_began_are_reported_as_reset() {
+    let mut fixture = Fixture::new();
+    let (_, mut node) = fixture.gather_and_connect(1);
+    fixture.write();
+    node.expect_attempt(1);
+    fixture.gather(2);
+    fixture.break_connection(node);
+    assert_eq!(fixture.outcomes(2), [(1, Outcome::Reset), (2, Outcome::Refused)]);
+}
--- a/crates/host/src/links/outstanding.rs
+++ b/crates/host/src/links/outstanding.rs
@@ -1,4 +1,4 @@
-//! The attempts of one connection that may have run, and what becomes of them when it ends.
+//! The attempts of one connection that are not answered, and what becomes of them when it ends.
 
 use crate::lock::lock;
 use crate::messages::Event;
@@ -14,11 +14,19 @@
 /// Attempts that were claimed for a connection and are not answered. Its writer and its reader share them; whichever finds the
 /// connection broken takes them all, so that each is reported once.
 #[derive(Clone)]
-pub(super) struct Outstanding(Arc<Mutex<Option<HashSet<AttemptId>>>>);
+pub(super) struct Outstanding(Arc<Mutex<Option<Attempts>>>);
+
+#[derive(Default)]
+struct Attempts {
+    /// Gathered for the next write. No byte of them was written.
+    gathered: HashSet<AttemptId>,
+    /// Their write has begun: they may have run.
+    begun: HashSet<AttemptId>,
+}
 
 impl Outstanding {
     pub(super) fn new() -> Self {
-        Outstanding(Arc::new(Mutex::new(Some(HashSet::new()))))
+        Outstanding(Arc::new(Mutex::new(Some(Attempts::default()))))
     }
 
     /// Whether the connection is broken.
@@ -26,26 +34,44 @@
         lock(&self.0).is_none()
     }
 
-    /// Adds an attempt; false: the connection is broken.
+    /// Adds an attempt to the next write; false: the connection is broken.
     pub(super) fn insert(&self, attempt: AttemptId) -> bool {
         let mut attempts = lock(&self.0);
         let Some(attempts) = attempts.as_mut() else { return false };
-        attempts.insert(attempt);
+        attempts.gathered.insert(attempt);
+        true
+    }
+
+    /// The gathered attempts are written from now on, and may have run. False: the connection is broken, and they were reported as never
+    /// run, so no byte of them may be written.
+    pub(super) fn begin_write(&self) -> bool {
+        let mut attempts = lock(&self.0);
+        let Some(Attempts { gathered, begun }) = attempts.as_mut() else { return false };
+        begun.extend(gathered.drain());
         true
     }
 
     pub(super) fn contains(&self, attempt: AttemptId) -> bool {
-        lock(&self.0).as_ref().is_some_and(|attempts| attempts.contains(&attempt))
+        let attempts = lock(&self.0);
+        attempts.as_ref().is_some_and(|Attempts { gathered, begun }| {
+            gathered.contains(&attempt) || begun.contains(&attempt)
+        })
     }
 
     /// Removes an attempt that is answered; false: there was none.
     pub(super) fn remove(&self, attempt: AttemptId) -> bool {
-        lock(&self.0).as_mut().is_some_and(|attempts| attempts.remove(&attempt))
+        let mut attempts = lock(&self.0);
+        attempts
+            .as_mut()
+            .is_some_and(|Attempts { gathered, begun }| gathered.remove(&attempt) || begun.remove(&attempt))
     }
 
     /// Whether an attempt waits for its answer.
     pub(super) fn has_any(&self) -> bool {
-        lock(&self.0).as_ref().is_some_and(|attempts| !attempts.is_empty())
+        let attempts = lock(&self.0);
+        attempts
+            .as_ref()
+            .is_some_and(|Attempts { gathered, begun }| !gathered.is_empty() || !begun.is_empty())
     }
 
     /// Whether the reader or the writer has ended, and the other is the last to hold them.
@@ -53,13 +79,17 @@
         Arc::strong_count(&self.0) == 1
     }
 
-    /// Resets the connection. All attempts that were claimed may have run, so each is reported as reset.
+    /// Resets the connection. Attempts whose write has begun may have run, so each is reported as reset; those that were only gathered
+    /// never ran.
     pub(super) fn break_off(&self, stream: &TcpStream, events: &Sender<Event>) {
         reset(stream);
-        let attempts = lock(&self.0).take();
-        for attempt in attempts.into_iter().flatten() {
+        let Attempts { gathered, begun } = lock(&self.0).take().unwrap_or_default();
+        for attempt in begun {
             report(events, attempt, Outcome::Reset);
         }
+        for attempt in gathered {
+            report(events, attempt, Outcome::Refused);
+        }
     }
 }
 
