--- a/crates/platform-host/src/client_connections/tests.rs
+++ b/crates/platform-host/src/client_connections/tests.rs
@@ -230,3 +230,86 @@
     let client = &fixture.clients.clients[&id];
     assert!(client.closes && !client.interest.read && client.state == ConnectionState::AwaitingResponse(7));
 }
+
+/// An answer that does not fit in the sockets of a client that does not read.
+const LONG_ANSWER: &[u8] = &[b'x'; 1 << 20];
+/// Size of the socket buffers of such a client, in bytes.
+const SMALL_BUFFER: usize = 8 * 1024;
+
+impl Fixture {
+    /// A client that has a long answer, of which it has read nothing; the sockets are full.
+    fn client_with_unread_answer(&mut self, now: f64) -> (u32, TcpStream) {
+        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        socket.set_recv_buffer_size(SMALL_BUFFER).unwrap();
+        socket.connect(&self.listener.local_addr().unwrap().into()).unwrap();
+        socket.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+        let (accepted, _) = self.listener.accept().unwrap();
+        socket2::SockRef::from(&accepted).set_send_buffer_size(SMALL_BUFFER).unwrap();
+        self.clients.accepted(at(now), &self.poller, accepted);
+        let id = self.clients.last_id;
+        self.clients.request_accepted(at(now), id, id);
+        assert!(self.clients.answer(at(now), &self.poller, id, 200, LONG_ANSWER, None).is_none());
+        assert!(!self.clients.clients[&id].outgoing.is_empty(), "the sockets hold the whole answer");
+        (id, socket.into())
+    }
+
+    /// Handles the sockets that the poller reports as ready within `timeout`; gives the requests that were received.
+    fn handle_ready_sockets(&mut self, now: f64, timeout: Duration) -> Vec<Request> {
+        let (mut ready, mut requests) = (Vec::new(), Vec::new());
+        self.poller.wait(timeout, &mut ready);
+        for socket in ready {
+            let Token::ClientConnection(id) = socket.token else { panic!("{socket:?}") };
+            match self.clients.handle_ready(at(now), &self.poller, id, socket) {
+                Some(ClientEvent::Request(request)) => requests.push(request),
+                Some(ClientEvent::Gone(_)) => panic!("client {id} has gone"),
+                None => {}
+            }
+        }
+        requests
+    }
+}
+
+/// A client sends request after request and reads no answer. Its bytes must stay in the sockets, or the host's memory would fill with
+/// requests and their answers. Once the client has read its answer, the next request is accepted.
+#[test]
+fn next_request_stays_unread_until_the_answer_before_it_is_written() {
+    let mut fixture = Fixture::new(3);
+    let (id, mut client) = fixture.client_with_unread_answer(1.0);
+    client.write_all(REQUEST).unwrap();
+    fixture.wait_for_input(id);
+    for _ in 0..100 {
+        assert!(fixture.handle_ready_sockets(1.0, Duration::ZERO).is_empty(), "a request is accepted");
+        assert_eq!(fixture.clients.clients[&id].reader.buffered_len(), 0, "bytes are read");
+    }
+    let (mut received_bytes, mut chunk) = (0, [0; SMALL_BUFFER]);
+    let mut requests = Vec::new();
+    let since = Wall::now();
+    while requests.is_empty() {
+        assert!(since.elapsed() < Duration::from_secs(5), "{received_bytes} bytes received");
+        if !fixture.clients.clients[&id].outgoing.is_empty() {
+            received_bytes += client.read(&mut chunk).unwrap();
+        }
+        requests = fixture.handle_ready_sockets(1.0, Duration::from_millis(1));
+    }
+    assert_eq!(requests.len(), 1);
+    assert!(received_bytes > LONG_ANSWER.len() / 2, "accepted after {received_bytes} bytes of the answer");
+}
+
+/// A client never reads its answer, or its last one. The host must not hold the answer and a descriptor for it without end, so it closes
+/// the connection after a time, and not before.
+#[test]
+fn connection_is_closed_when_its_answer_is_not_read_in_time() {
+    for (is_last, state) in [(false, ConnectionState::Reading), (true, ConnectionState::Closing)] {
+        let mut fixture = Fixture::new(3);
+        fixture.clients.is_shutting_down = is_last;
+        let (id, client) = fixture.client_with_unread_answer(1.0);
+        assert_eq!(fixture.state(id), state);
+        assert!(fixture.clients.handle_timeout(at(5.99), &fixture.poller).is_empty());
+        assert!(fixture.contains(id), "{state:?}: closed too early");
+        assert!(fixture.clients.handle_timeout(at(6.0), &fixture.poller).is_empty(), "no request is open");
+        assert!(!fixture.contains(id), "{state:?}: still held");
+        let mut received_bytes = Vec::new();
+        _ = (&client).read_to_end(&mut received_bytes);
+        assert!(received_bytes.len() < LONG_ANSWER.len(), "the whole answer was written");
+    }
+}
--- a/crates/platform-host/src/list_watch.rs
+++ b/crates/platform-host/src/list_watch.rs
@@ -250,3 +250,6 @@
         Ok(())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/platform-host/src/list_watch/tests.rs
@@ -0,0 +1,175 @@
+//! Events of a poll that a test of the whole host can't force, or only by waiting.
+
+use super::*;
+use std::io::{Read, Write};
+use std::net::TcpListener;
+use std::time::{Duration, Instant as Wall};
+use tackmast_platform::Configuration;
+
+/// How long a test waits for what must happen soon.
+const TEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// A connect that takes longer than this on loopback is not established.
+const FULL_BACKLOG_TIMEOUT: Duration = Duration::from_millis(100);
+/// The most connections that fill a backlog of zero.
+const MAX_FILLING: usize = 16;
+
+fn at(secs: f64) -> Instant {
+    Instant::from_secs(secs)
+}
+
+fn settings() -> Settings {
+    let text = r#"{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7",
+        "limits":{"cores":1.0,"memory_mb":32,"sockets":256},"known":{"revision":1,"complete":true,"members":[]},
+        "settings":{"balancers":1,"granularity":0.002,"areas":["a"],"registry_mode":"ask","domain":{"unit_mean":2.0},
+          "request_classes":[{"name":"once","effect":"once","target":1.0,"give_up":1.5}],
+          "grades":[{"name":"gold"}]}}"#;
+    Configuration::parse(text.as_bytes()).unwrap().settings
+}
+
+/// A watch, and the list that it polls.
+struct Fixture {
+    list: TcpListener,
+    poller: Poller,
+    settings: Settings,
+    watch: Watch,
+}
+
+impl Fixture {
+    fn new(backlog: i32) -> Fixture {
+        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        // An accept fails after this time too.
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        socket.listen(backlog).unwrap();
+        let list: TcpListener = socket.into();
+        let watch = Watch::new(list.local_addr().unwrap());
+        Fixture { list, poller: Poller::new().unwrap(), settings: settings(), watch }
+    }
+
+    fn poll(&mut self, now: f64) {
+        self.watch.poll(at(now), &self.poller, Some(1)).unwrap();
+    }
+
+    fn accept(&self) -> TcpStream {
+        let (stream, _) = self.list.accept().unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        stream
+    }
+
+    /// Waits until the poller reports a socket of the watch, and handles it.
+    fn handle_ready_socket(&mut self, now: f64) -> Option<WatchEvent> {
+        let (since, mut ready) = (Wall::now(), Vec::new());
+        while ready.is_empty() {
+            assert!(since.elapsed() < TEST_TIMEOUT, "no socket is ready");
+            self.poller.wait(Duration::from_millis(10), &mut ready);
+        }
+        let Token::List(number) = ready[0].token else { panic!("{ready:?}") };
+        self.watch.handle_ready(at(now), &self.poller, number, ready[0], &self.settings)
+    }
+
+    /// Polls the list on a new connection, and has the poll answered; gives the list's side of the connection, which is idle now.
+    fn poll_and_answer(&mut self, now: f64) -> TcpStream {
+        self.poll(now);
+        let mut connection = self.accept();
+        self.answer(now, &mut connection);
+        connection
+    }
+
+    /// Reads the poll on a connection and answers it.
+    fn answer(&mut self, now: f64, connection: &mut TcpStream) {
+        let since = Wall::now();
+        while self.watch.call.as_ref().is_some_and(|call| !call.outgoing.is_empty()) {
+            assert!(since.elapsed() < TEST_TIMEOUT, "the poll is not written");
+            assert!(self.handle_ready_socket(now).is_none());
+        }
+        assert!(connection.read(&mut [0; 4096]).unwrap() > 0);
+        let body = r#"{"revision":1,"complete":false,"members":[]}"#;
+        write!(connection, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).unwrap();
+        let mut event = None;
+        while event.is_none() {
+            assert!(since.elapsed() < TEST_TIMEOUT, "the answer is not applied");
+            event = self.handle_ready_socket(now);
+        }
+        assert!(matches!(event, Some(WatchEvent::List { .. })), "{event:?}");
+    }
+}
+
+/// What a list does to a connection without a poll.
+#[derive(Clone, Copy, Debug)]
+enum IdleFault {
+    StrayBytes,
+    Close,
+}
+
+impl IdleFault {
+    const ALL: [IdleFault; 2] = [IdleFault::StrayBytes, IdleFault::Close];
+
+    /// Does it; gives the connection where it is still open.
+    fn apply(self, mut connection: TcpStream) -> Option<TcpStream> {
+        match self {
+            IdleFault::StrayBytes => {
+                connection.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
+                Some(connection)
+            }
+            IdleFault::Close => None,
+        }
+    }
+}
+
+/// The list's address takes no connection. The poll must fail after a time: until then nothing else is asked, and the host does not learn
+/// of changes.
+#[test]
+fn poll_that_is_not_connected_in_time_fails() {
+    let mut fixture = Fixture::new(0);
+    let mut filling = Vec::new();
+    while let Ok(stream) = TcpStream::connect_timeout(&fixture.watch.address(), FULL_BACKLOG_TIMEOUT) {
+        filling.push(stream);
+        assert!(filling.len() < MAX_FILLING);
+    }
+    fixture.poll(1.0);
+    let is_connected = |call: &Call| call.stream.peer_addr().is_ok();
+    assert!(!fixture.watch.call.as_ref().is_some_and(is_connected), "the backlog is not full");
+    assert!(fixture.watch.handle_timeout(at(1.69), &fixture.settings).is_none());
+    assert!(fixture.watch.is_polling(), "given up too early");
+    let event = fixture.watch.handle_timeout(at(1.7), &fixture.settings);
+    assert!(matches!(event, Some(WatchEvent::Failed(_))), "{event:?}");
+    assert!(!fixture.watch.is_polling());
+}
+
+/// A connection to the list is used by one poll after the other as long as nothing happens between them.
+#[test]
+fn next_poll_uses_the_idle_connection() {
+    let mut fixture = Fixture::new(8);
+    let mut connection = fixture.poll_and_answer(1.0);
+    fixture.poll(1.1);
+    fixture.answer(1.1, &mut connection);
+}
+
+/// Between two polls the list sends bytes, or closes the connection, and the poller reports it. The connection must be dropped: the bytes
+/// would be taken for the answer to the next poll, and after a close that poll would fail.
+#[test]
+fn idle_connection_is_dropped_when_bytes_or_its_close_are_reported() {
+    for fault in IdleFault::ALL {
+        let mut fixture = Fixture::new(8);
+        let connection = fixture.poll_and_answer(1.0);
+        let _open = fault.apply(connection);
+        assert!(fixture.handle_ready_socket(1.0).is_none(), "{fault:?}");
+        assert!(fixture.watch.idle_connection.is_none(), "{fault:?}: kept");
+        fixture.poll_and_answer(1.1);
+    }
+}
+
+/// The same happens after the iteration began in which the next poll is sent, so it is not reported. The next poll must look for it.
+#[test]
+fn idle_connection_with_unreported_input_is_not_polled_on() {
+    for fault in IdleFault::ALL {
+        let mut fixture = Fixture::new(8);
+        let connection = fixture.poll_and_answer(1.0);
+        let _open = fault.apply(connection);
+        let since = Wall::now();
+        while sockets::has_no_input(&fixture.watch.idle_connection.as_ref().unwrap().1) {
+            assert!(since.elapsed() < TEST_TIMEOUT);
+        }
+        fixture.poll_and_answer(1.1);
+    }
+}
--- a/crates/platform-host/src/node_connections.rs
+++ b/crates/platform-host/src/node_connections.rs
@@ -391,3 +391,6 @@
 fn ended(attempt: AttemptId, outcome: Outcome) -> AttemptResult {
     AttemptResult { attempt, outcome, waiting: None, elsewhere: Some(0.0), data: Bytes::new() }
 }
+
+#[cfg(test)]
+mod tests;
