--- a/crates/client/src/event_loop.rs
+++ b/crates/client/src/event_loop.rs
@@ -4,7 +4,7 @@
 use crate::connection::{connect, Connection};
 use crate::event::{ConnectionId, Event, Opening};
 use crate::options::Options;
-use crate::thread::spawn;
+use crate::thread::{spawn, Spawn};
 use bytes::Bytes;
 use crossbeam_channel::{Receiver, Sender};
 use std::collections::HashMap;
@@ -38,21 +38,7 @@
 pub(crate) fn start(clock: Clock, options: Options) -> io::Result<EventLoopHandle> {
     let (events, incoming) = crossbeam_channel::bounded(MAX_QUEUED_EVENTS);
     let (openings_to, openings) = crossbeam_channel::bounded(MAX_QUEUED_OPENINGS);
-    let (address, bounds) = (options.address, options.bounds());
-    let (retry_policy, seed) = (options.retry_policy, options.seed);
-    let new_session = Box::new(move || options.new_session());
-    let core = Core::new(clock.now(), bounds, retry_policy, seed, new_session);
-    let mut event_loop = EventLoop {
-        core,
-        clock,
-        address,
-        events: events.clone(),
-        openings_to,
-        callers: HashMap::new(),
-        connections: HashMap::new(),
-        last_generation: 0,
-        generations: HashMap::new(),
-    };
+    let mut event_loop = EventLoop::new(clock, options, events.clone(), openings_to);
     spawn("client core", move || event_loop.run(&incoming))?;
     Ok(EventLoopHandle { events, openings })
 }
@@ -71,9 +57,29 @@
     /// The generation of each slot's present connection. An event of an earlier connection would be taken for one of its successor
     /// and end it; it is known by its generation and ignored.
     generations: HashMap<usize, u64>,
+    /// How the threads of connections are started.
+    spawn: Spawn,
 }
 
 impl EventLoop {
+    fn new(clock: Clock, options: Options, events: Sender<Event>, openings_to: Sender<Opening>) -> EventLoop {
+        let (address, bounds) = (options.address, options.bounds());
+        let (retry_policy, seed) = (options.retry_policy, options.seed);
+        let new_session = Box::new(move || options.new_session());
+        EventLoop {
+            core: Core::new(clock.now(), bounds, retry_policy, seed, new_session),
+            clock,
+            address,
+            events,
+            openings_to,
+            callers: HashMap::new(),
+            connections: HashMap::new(),
+            last_generation: 0,
+            generations: HashMap::new(),
+            spawn: |name, run| spawn(name, run),
+        }
+    }
+
     fn run(&mut self, incoming: &Receiver<Event>) {
         loop {
             let now = self.clock.now();
@@ -100,19 +106,12 @@
 
     /// Handles an event and those that wait behind it.
     fn handle_events(&mut self, first: Event, incoming: &Receiver<Event>) -> ControlFlow<()> {
-        let mut next = Some(first);
-        for _ in 0..MAX_EVENTS_PER_ITERATION {
-            match next {
-                Some(Event::Close) => {
-                    self.close();
-                    return ControlFlow::Break(());
-                }
-                Some(event) => self.handle_event(event),
-                None => return ControlFlow::Continue(()),
+        let events = std::iter::once(first).chain(incoming.try_iter());
+        for event in events.take(MAX_EVENTS_PER_ITERATION) {
+            if matches!(event, Event::Close) {
+                self.close();
+                return ControlFlow::Break(());
             }
-            next = incoming.try_recv().ok();
-        }
-        if let Some(event) = next {
             self.handle_event(event);
         }
         ControlFlow::Continue(())
@@ -154,12 +153,16 @@
     }
 
     fn on_connected(&mut self, now: Instant, id: ConnectionId, stream: TcpStream) {
-        match Connection::start(id, stream, self.events.clone()) {
+        match Connection::start(id, stream, self.events.clone(), self.spawn) {
             Ok(connection) => {
                 self.connections.insert(id.slot, connection);
                 self.core.handle_connected(id.slot);
             }
-            Err(_) => self.core.handle_closed(now, id.slot),
+            Err(_) => {
+                // Its reader may run and report the end too, which would count the failure twice.
+                self.generations.remove(&id.slot);
+                self.core.handle_closed(now, id.slot);
+            }
         }
     }
 
@@ -207,3 +210,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
