--- a/crates/host/src/links/link/tests.rs
+++ b/crates/host/src/links/link/tests.rs
@@ -171,7 +171,7 @@
         part: 0,
         until: Instant::from_secs(1e6),
         begin_by: None,
-        mark: 0,
+        idempotency_key: 0,
         key: 0,
         volume: 0,
         offset: 0,
--- a/crates/platform-host/src/node_connections/tests.rs
+++ b/crates/platform-host/src/node_connections/tests.rs
@@ -41,7 +41,7 @@
         part: 0,
         until: at(100.0),
         begin_by: None,
-        mark: 0,
+        idempotency_key: 0,
         key: 0,
         volume: 0,
         offset: 0,
