--- a/crates/simulator/src/consensus/fleet.rs
+++ b/crates/simulator/src/consensus/fleet.rs
@@ -1,8 +1,10 @@
 //! The consensus group at full size in virtual time: messages and disk writes take time. Measures what consensus costs and
 //! how soon a change is committed everywhere.
 
+mod figures;
 mod measurement;
 
+pub use figures::{ConsensusFigures, FleetTrial};
 pub use measurement::simulate_fleet;
 
 use super::disk::Disk;
@@ -31,43 +33,6 @@
 /// Marks of disks begin here.
 const FIRST_DISK_MARK: u64 = 100;
 
-/// The fleet that one trial simulates.
-#[derive(Clone, Copy, Debug)]
-pub struct FleetTrial {
-    /// Hosts in all, voters among them.
-    pub hosts: u32,
-    /// Hosts that vote: the first ones.
-    pub voters: u32,
-    /// Seed of everything that is drawn.
-    pub seed: u64,
-    /// Fraction of messages that is lost.
-    pub loss: f64,
-}
-
-/// What a trial has measured. Times are in seconds.
-#[derive(Clone, Debug, Default)]
-pub struct ConsensusFigures {
-    /// From the start of all hosts until each has a lease.
-    pub begins: f64,
-    /// Bytes a second that a host sends at rest, on average.
-    pub bytes: f64,
-    /// Bytes a second that the leader sends at rest.
-    pub leader_bytes: f64,
-    /// From a change proposed at a random host until that host knows that it is committed: median and maximum.
-    pub known: (f64, f64),
-    /// The same until all hosts know: median and maximum.
-    pub all_know: (f64, f64),
-    /// Committed changes a second, with one proposal open at each of up to 16 hosts.
-    pub commits: f64,
-    /// From the death of the leader until a change is committed again.
-    pub leaderless: f64,
-    /// With a third of the hosts partitioned off while changes go on: the longest time for which one of them had a valid
-    /// lease and an older state.
-    pub longest: f64,
-    /// What did not happen as it must, in words.
-    pub broken: Vec<String>,
-}
-
 enum Event {
     Message { from: u32, to: u32, bytes: Bytes },
     DiskWritten { host: u32, write_id: u64 },
--- a/crates/simulator/src/consensus/random_walk.rs
+++ b/crates/simulator/src/consensus/random_walk.rs
@@ -2,7 +2,10 @@
 //! often each kind of step happens (swarm testing: Groce and others, 2012), so that some walks are mostly crashes and others
 //! mostly partitions.
 
+mod step_kind;
+
 use super::world::{Process, World, DRIFT};
+use step_kind::{StepKind, StepWeights};
 use tackmast_consensus::ConsensusFault;
 
 /// The settings of one random walk.
@@ -45,55 +48,6 @@
     pub disk_and_voter_changes: Vec<String>,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum StepKind {
-    Deliver,
-    Sync,
-    Pass,
-    Change,
-    Read,
-    Lose,
-    Duplicate,
-    PassLong,
-    Crash,
-    Stop,
-    Cut,
-    CutOneWay,
-    Heal,
-    CrashAll,
-    Voters,
-    Wipe,
-    Copy,
-    OldDisk,
-    Resume,
-}
-
-/// Each kind of step, its weight, and whether it is a fault.
-const STEP_KINDS: [(StepKind, f64, bool); 19] = [
-    (StepKind::Deliver, 400.0, false),
-    (StepKind::Sync, 150.0, false),
-    (StepKind::Pass, 100.0, false),
-    (StepKind::Change, 30.0, false),
-    (StepKind::Read, 20.0, false),
-    (StepKind::Lose, 40.0, true),
-    (StepKind::Duplicate, 40.0, true),
-    (StepKind::PassLong, 40.0, true),
-    (StepKind::Crash, 30.0, true),
-    (StepKind::Stop, 30.0, true),
-    (StepKind::Cut, 20.0, true),
-    (StepKind::CutOneWay, 20.0, true),
-    (StepKind::Heal, 30.0, true),
-    (StepKind::CrashAll, 10.0, true),
-    (StepKind::Voters, 20.0, true),
-    (StepKind::Wipe, 7.0, true),
-    (StepKind::Copy, 8.0, true),
-    (StepKind::OldDisk, 8.0, true),
-    (StepKind::Resume, 5.0, true),
-];
-
-/// The first of `STEP_KINDS`: those that are no faults.
-const FAULT_FREE_KINDS: usize = 5;
-
 /// Rounds of a change and some time without faults after a walk, until all must have recovered.
 const MAX_RECOVERY_ROUNDS: usize = 60;
 /// So many rounds are played in any case.
@@ -101,16 +55,13 @@
 /// Length of such a round, in seconds.
 const RECOVERY_ROUND_S: f64 = 0.2;
 
-/// By one of these, drawn for each walk and kind of fault, the weight of the fault is multiplied.
-const FAULT_RATE_MULTIPLES: [f64; 4] = [0.0, 0.3, 1.0, 4.0];
-
 /// Plays one random walk to its end or its first violation.
 pub fn run_random_walk(settings: &RandomWalk) -> WalkResult {
     let mut walk = WalkState::new(settings);
     for step in 0..settings.steps {
         let host = walk.generator.rand_range(0..walk.host_count) as usize;
         walk.update_calm_stretch();
-        let kind = walk.draw_kind();
+        let kind = walk.weights.draw_kind(&mut walk.generator, walk.calm_steps > 0);
         walk.take_step(step, kind, host);
         walk.world.check_all();
         if let Some(what) = walk.world.broken.take() {
@@ -126,8 +77,7 @@
     generator: oorandom::Rand64,
     world: World,
     host_count: u64,
-    /// The weight of each of `STEP_KINDS` in this walk.
-    weights: Vec<f64>,
+    weights: StepWeights,
     /// Writes stay unsynced for longer.
     slow_disks: bool,
     /// An old copy of a disk has come back.
@@ -147,7 +97,7 @@
         let mut world = World::new(settings.voters, settings.followers, settings.fault, |host| {
             clock_rates[host as usize]
         });
-        let weights = draw_weights(&mut generator, settings.moves);
+        let weights = StepWeights::draw(&mut generator, settings.moves);
         let slow_disks = generator.rand_range(0..3) == 0;
         // Some walks begin before anything is committed.
         if !settings.seed.is_multiple_of(5) {
@@ -177,17 +127,6 @@
         }
     }
 
-    fn draw_kind(&mut self) -> StepKind {
-        let considered = if self.calm_steps > 0 { FAULT_FREE_KINDS } else { STEP_KINDS.len() };
-        let total: f64 = self.weights.iter().take(considered).sum();
-        let mut roll = self.generator.rand_float() * total;
-        let kind = STEP_KINDS.iter().zip(&self.weights).find(|(_, weight)| {
-            roll -= **weight;
-            roll < 0.0
-        });
-        kind.map_or(StepKind::Resume, |((kind, _, _), _)| *kind)
-    }
-
     fn take_step(&mut self, step: u32, kind: StepKind, host: usize) {
         let world = &mut self.world;
         match kind {
@@ -293,19 +232,6 @@
     }
 }
 
-/// Draws the weight of each kind of step. Disks and voters change only where `moves` allows it.
-fn draw_weights(generator: &mut oorandom::Rand64, moves: bool) -> Vec<f64> {
-    let moving_kinds = [StepKind::Voters, StepKind::Wipe, StepKind::Copy, StepKind::OldDisk];
-    STEP_KINDS
-        .iter()
-        .map(|(kind, weight, is_fault)| match is_fault {
-            _ if moving_kinds.contains(kind) && !moves => 0.0,
-            false => *weight,
-            true => weight * FAULT_RATE_MULTIPLES[generator.rand_range(0..4) as usize],
-        })
-        .collect()
-}
-
 /// Once all faults are over, every host must have all that was committed, and something new must be committed.
 fn check_recovery(world: &mut World, settings: &RandomWalk) -> Option<String> {
     world.cut.clear();
--- a/crates/simulator/src/consensus/world.rs
+++ b/crates/simulator/src/consensus/world.rs
@@ -2,15 +2,16 @@
 //! flight. `checks` has the safety properties.
 
 mod checks;
+mod process;
+
+pub(super) use process::Process;
 
 use super::disk::Disk;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
+use process::ProcessStart;
 use std::collections::{BTreeMap, BTreeSet};
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_consensus::{
-    ConsensusFault, DiskIdentity, EntryPayload, Message, RaftSettings, Replica, ReplicaOutput,
-    ReplicaSettings,
-};
+use tackmast_consensus::{ConsensusFault, EntryPayload, Message, RaftSettings, Replica, ReplicaOutput};
 
 /// The term of a lease, in seconds.
 pub(super) const LEASE: f64 = 1.0;
@@ -18,44 +19,11 @@
 pub(super) const DRIFT: f64 = 0.02;
 /// Bound on messages in flight; beyond it the oldest message is lost.
 const MAX_MESSAGES_IN_FLIGHT: usize = 60;
-/// The steady clock of each host is ahead of the one before by this, in seconds.
-const CLOCK_OFFSET_S: f64 = 1_000.0;
-/// Marks of the disks that hosts start with begin here.
-const FIRST_DISK_MARK: u64 = 100;
 /// Marks of disks in place of lost ones begin here.
 const FIRST_NEW_DISK_MARK: u64 = 1_000;
 /// Length of a step without faults, in seconds.
 const CALM_STEP_S: f64 = 0.01;
 
-/// A host that runs a replica: its disk, its clock and what the checks remember of it.
-#[derive(Clone)]
-pub(super) struct Process {
-    /// None: the process does not run.
-    pub replica: Option<Replica>,
-    pub disk: Disk,
-    /// An old copy of its disk.
-    pub old_disk: Option<Disk>,
-    pub stopped: bool,
-    pub generation: u64,
-    /// The rate of its steady clock, where 1 is that of virtual time.
-    pub clock_rate: f64,
-    /// By how much its steady clock is ahead at first, in seconds.
-    clock_offset_s: f64,
-    /// The changes that its state machine has applied, in order.
-    pub state: Vec<u64>,
-    /// The log index up to which its entries have been checked.
-    checked_index: u64,
-    /// Reads under way: their number, and what was known to be committed when they were asked.
-    reads: Vec<(u32, u64)>,
-}
-
-impl Process {
-    /// The log index up to which its replica knows entries to be committed; none while the process does not run.
-    pub(super) fn commit_index(&self) -> Option<u64> {
-        self.replica.as_ref().map(Replica::commit_index)
-    }
-}
-
 /// A message that was sent and not delivered yet.
 #[derive(Clone, Debug)]
 pub(super) struct MessageInFlight {
@@ -125,21 +93,9 @@
             snapshot_after_entries: 6,
             snapshot_after_bytes: 1 << 20,
         };
-        let process = |host: u32| Process {
-            replica: None,
-            disk: Disk { mark: u64::from(host) + FIRST_DISK_MARK, ..Disk::default() },
-            old_disk: None,
-            stopped: false,
-            generation: 0,
-            clock_rate: clock_rate(host),
-            clock_offset_s: CLOCK_OFFSET_S * f64::from(host),
-            state: Vec::new(),
-            checked_index: 0,
-            reads: Vec::new(),
-        };
         let mut world = World {
             now: 10.0,
-            all: (0..voters + followers).map(process).collect(),
+            all: (0..voters + followers).map(|host| Process::new(host, clock_rate(host))).collect(),
             voters,
             in_flight: Vec::new(),
             cut: BTreeSet::new(),
@@ -159,33 +115,20 @@
 
     /// What a host's steady clock shows.
     pub(super) fn clock(&self, host: usize) -> Instant {
-        Instant::from_secs(self.now * self.all[host].clock_rate + self.all[host].clock_offset_s)
+        self.all[host].steady_clock(self.now)
     }
 
     /// Starts the process of a host from its disk.
     pub(super) fn start(&mut self, host: usize) {
         self.generation += 1;
-        let (now, generation) = (self.clock(host), self.generation);
-        let process = &mut self.all[host];
-        process.disk.pending.clear();
-        // The boot is persisted before the process sends anything under it.
-        process.disk.boot += 1;
-        let identity = DiskIdentity { disk: process.disk.mark, boot: process.disk.boot, generation };
-        (process.generation, process.stopped) = (generation, false);
-        (process.state, process.reads, process.checked_index) = (Vec::new(), Vec::new(), 0);
-        let settings = ReplicaSettings {
-            me: host as u32,
-            identity,
+        let start = ProcessStart {
+            generation: self.generation,
             raft: self.settings,
-            initial_voters: (0..self.voters).collect(),
-            persisted: process.disk.persisted.clone(),
-            seed: generation,
+            voters: self.voters,
+            fault: self.fault,
         };
-        let replica = Replica::new(now, settings);
-        process.replica = Some(match self.fault {
-            Some(fault) => replica.with_fault(fault),
-            None => replica,
-        });
+        let now = self.clock(host);
+        self.all[host].start(now, host as u32, &start);
         self.poll_replica(host);
     }
 
--- a/crates/simulator/src/reference_model.rs
+++ b/crates/simulator/src/reference_model.rs
@@ -2,6 +2,7 @@
 //! defences, and break invariants that the host core keeps. Only the simulator has them.
 
 mod host_logic;
+mod token_bucket;
 
 pub(crate) use host_logic::HostLogic;
 
@@ -13,6 +14,7 @@
     Access, AttemptId, AttemptResult, AttemptWork, ClientCommand, CommandRef, Layout, ListEntry, Nodes,
     OpenCounts, Output, Part, SendAttempt, Ticket, Verdict, Work,
 };
+use token_bucket::TokenBucket;
 
 /// Bound on attempts in flight at a node under `Caps`.
 const MAX_ATTEMPTS_PER_NODE: usize = 8;
@@ -32,12 +34,6 @@
     Buckets,
 }
 
-/// A token bucket of one volume.
-struct TokenBucket {
-    tokens: f64,
-    refilled_at: Instant,
-}
-
 /// A host without the defences of the host core.
 pub(crate) struct ReferenceHost {
     model: ReferenceModel,
@@ -253,15 +249,8 @@
         }
         let host_count = f64::from(volume_layout.hosts);
         let (rate, burst) = (plan.limit / host_count, plan.burst / host_count);
-        let full = TokenBucket { tokens: burst, refilled_at: now };
-        let bucket = self.buckets.entry(volume).or_insert(full);
-        bucket.tokens = (bucket.tokens + rate * (now - bucket.refilled_at).secs()).min(burst);
-        bucket.refilled_at = now;
-        if bucket.tokens < units {
-            return false;
-        }
-        bucket.tokens -= units;
-        true
+        let bucket = self.buckets.entry(volume).or_insert_with(|| TokenBucket::full(now, rate, burst));
+        bucket.take(now, units)
     }
 
     fn poll_output(&mut self, now: Instant) -> Option<Output> {
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -3,6 +3,7 @@
 //! handles the events of one part.
 
 mod arrivals;
+mod attempts;
 mod clients;
 mod clocks;
 mod commands;
--- a/crates/simulator/src/views/cases/faults.rs
+++ b/crates/simulator/src/views/cases/faults.rs
@@ -73,9 +73,9 @@
     fn cut_one_direction(&mut self, is_mute: bool) {
         let world = &mut *self.world;
         let slot = world.all[self.victim].slot as usize;
-        (world.mute[slot], world.deaf[slot]) = (is_mute, !is_mute);
+        (world.network.mute[slot], world.network.deaf[slot]) = (is_mute, !is_mute);
         world.run(periods_until_declared_dead(self.trial.hosts));
-        (world.mute[slot], world.deaf[slot]) = (false, false);
+        (world.network.mute[slot], world.network.deaf[slot]) = (false, false);
         world.mark_reachable_again(slot as u32);
     }
 
@@ -118,7 +118,7 @@
 
     fn kill_in_lossy_network(&mut self) {
         let world = &mut *self.world;
-        (world.loss, world.jitter, world.duplicated) = (0.2, 200_000, 0.05);
+        world.network.degrade();
         world.run(60.0);
         world.kill(self.victim);
         let (killed, slot) = (world.now, world.all[self.victim].slot);
@@ -128,7 +128,7 @@
         if world.do_all_hold_dead(slot) {
             world.shown.missed = Some((world.now - killed) as f64 / PERIOD as f64);
         }
-        (world.loss, world.jitter, world.duplicated) = (0.0, 1_000, 0.0);
+        world.network.recover();
     }
 
     /// Two hosts restart with wall clocks ten seconds behind. The victim has lost its disk, and its generation with it.
--- a/crates/simulator/src/views/world.rs
+++ b/crates/simulator/src/views/world.rs
@@ -1,33 +1,31 @@
-//! The processes, disks and clocks of a trial, and the network between them. `checks` has what a view must never do.
+//! The world of a trial: events of processes and of the network between them in virtual time. `checks` has what a view must
+//! never do.
 
 mod checks;
+mod network;
+mod process;
 
 use super::{Shown, Trial};
 use bytes::Bytes;
+use network::Network;
+use process::Process;
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap, HashMap};
+use std::collections::{BinaryHeap, HashMap};
 use std::net::SocketAddr;
-use tackmast::interface::{Instant, TimeDelta};
-use tackmast_membership::{
-    LeaseSettings, Member, MemberSettings, Output, PersistedMembers, PreviousExit, ViewSettings,
-};
+use tackmast_membership::{Member, Output};
 
 /// Microseconds of virtual time.
 pub(super) type Us = u64;
 /// The protocol period, which is the default of the settings, in microseconds.
 pub(super) const PERIOD: Us = 500_000;
+/// Where virtual time begins, in microseconds.
+const START_TIME: Us = 100_000_000;
 /// How often the views are checked, in microseconds.
 const CHECK_INTERVAL: Us = 50_000;
-/// Datagrams that the socket of a stopped process buffers.
-const MAX_SOCKET_DATAGRAMS: usize = 200;
 /// A death is false if its host was alive and reachable for this time before it, in periods.
 const ALIVE_PERIODS_BEFORE_DEATH: u64 = 70;
 /// The shortest delay of a datagram, in microseconds.
 const MIN_DELAY: Us = 300;
-/// Hosts that all processes start from.
-const SEED_COUNT: u32 = 3;
-/// The port of seeds.
-const SEED_PORT: u16 = 7400;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
@@ -35,59 +33,19 @@
     Datagram { from: SocketAddr, to: SocketAddr, bytes: Vec<u8> },
 }
 
-/// A process of a host. Several may have the same number.
-pub(super) struct Process {
-    pub slot: u32,
-    pub address: SocketAddr,
-    pub site: u32,
-    /// None: the process does not run.
-    member: Option<Member>,
-    pub generation: u64,
-    stopped: bool,
-    /// Datagrams in its socket while it is stopped.
-    buffered: Vec<(SocketAddr, Vec<u8>)>,
-    /// When its timer is due.
-    wake: Us,
-    /// What its disk has.
-    pub disk: PersistedMembers,
-    /// By how much its wall clock is ahead, in seconds.
-    pub wall_offset_s: f64,
-    /// The rate of its steady clock, where 1 is that of virtual time.
-    pub clock_rate: f64,
-    /// When it last did not run, or could not be reached.
-    unreachable_at: Us,
-    checked_until: Us,
-    /// The newest generation and incarnation that its view had of each host.
-    newest: BTreeMap<u32, (u64, u32)>,
-}
-
 /// A fleet of membership processes in virtual time, and the network between them.
 pub(super) struct World {
     pub now: Us,
     pub all: Vec<Process>,
     by_address: HashMap<SocketAddr, usize>,
     pub hosts: u32,
-    /// Fraction of datagrams that is lost.
-    pub loss: f64,
-    /// A datagram takes up to this much longer, in microseconds.
-    pub jitter: Us,
-    /// Fraction of datagrams that is duplicated.
-    pub duplicated: f64,
-    /// The group of each host, by its number. Datagrams between groups are lost.
-    pub groups: Vec<u32>,
-    /// Hosts of which no datagram arrives, by their number.
-    pub mute: Vec<bool>,
-    /// Hosts at which no datagram arrives, by their number.
-    pub deaf: Vec<bool>,
-    pub seeds: Vec<SocketAddr>,
+    pub network: Network,
     /// Events by time, with a number that keeps the order of those of one time, and the process.
     queue: BinaryHeap<Reverse<(Us, u64, usize, Event)>>,
     sequence: u64,
     pub generator: oorandom::Rand64,
     trial: Trial,
     pub shown: Shown,
-    /// When the network was last partitioned or healed.
-    partition_changed: Us,
     next_check: Us,
     /// Accusations that were answered by processes which have ended.
     answered: u64,
@@ -95,37 +53,21 @@
     pub sent: u64,
 }
 
-/// The address of a slot.
-pub(super) fn address(slot: u32, port: u16) -> SocketAddr {
-    SocketAddr::from(([10, 1, (slot >> 8) as u8, slot as u8], port))
-}
-
-fn at(us: Us, clock_rate: f64) -> Instant {
-    Instant::from_secs(us as f64 / 1e6 * clock_rate)
-}
-
 impl World {
     /// A fleet without processes.
     pub(super) fn new(trial: &Trial) -> World {
         let hosts = trial.hosts;
         World {
-            now: 100_000_000,
+            now: START_TIME,
             all: Vec::new(),
             by_address: HashMap::new(),
             hosts,
-            loss: 0.0,
-            jitter: 1_000,
-            duplicated: 0.0,
-            groups: vec![0; hosts as usize],
-            mute: vec![false; hosts as usize],
-            deaf: vec![false; hosts as usize],
-            seeds: (0..SEED_COUNT).map(|slot| address(slot, SEED_PORT)).collect(),
+            network: Network::new(hosts),
             queue: BinaryHeap::new(),
             sequence: 0,
             generator: oorandom::Rand64::new(u128::from(trial.seed) << 8 | trial.case as u128),
             trial: *trial,
             shown: Shown::default(),
-            partition_changed: 0,
             sent: 0,
             next_check: 0,
             answered: 0,
@@ -134,75 +76,28 @@
 
     /// A process that does not run yet.
     pub(super) fn add(&mut self, slot: u32, port: u16) -> usize {
-        let address = address(slot, port);
-        self.by_address.insert(address, self.all.len());
-        self.all.push(Process {
-            slot,
-            address,
-            site: slot * 3 / self.hosts.max(1),
-            member: None,
-            generation: 0,
-            stopped: false,
-            buffered: Vec::new(),
-            wake: Us::MAX,
-            disk: PersistedMembers::default(),
-            wall_offset_s: 0.0,
-            clock_rate: 1.0,
-            unreachable_at: self.now,
-            checked_until: 0,
-            newest: BTreeMap::new(),
-        });
+        let process = Process::new(slot, port, self.hosts, self.now);
+        self.by_address.insert(process.address, self.all.len());
+        self.all.push(process);
         self.all.len() - 1
     }
 
     /// Moves a process that does not run to another port.
     pub(super) fn change_address(&mut self, process_index: usize, port: u16) {
-        self.by_address.remove(&self.all[process_index].address);
-        self.all[process_index].address = address(self.all[process_index].slot, port);
-        self.by_address.insert(self.all[process_index].address, process_index);
+        let process = &mut self.all[process_index];
+        self.by_address.remove(&process.address);
+        process.address = process::address(process.slot, port);
+        self.by_address.insert(process.address, process_index);
     }
 
-    /// Starts a process, as a host starts: its generation by its clock, but never below what its disk knows.
+    /// Starts a process. It must not know any other host before it has received a message.
     pub(super) fn start(&mut self, process_index: usize) {
         let process = &mut self.all[process_index];
-        let wall = (self.now as f64 + process.wall_offset_s * 1e6).max(1.0) as u64;
-        process.generation = (wall << 12 | u64::from(process.slot & 0xfff)).max(process.disk.generation + 1);
-        process.disk.generation = process.generation;
-        let secs = TimeDelta::from_secs;
-        let settings = MemberSettings {
-            fleet: "lab".into(),
-            slot: process.slot,
-            generation: process.generation,
-            address: process.address,
-            site: Some(process.site),
-            seeds: self.seeds.clone(),
-            persisted: process.disk.peers.clone(),
-            allowed_networks: Vec::new(),
-            view: ViewSettings {
-                protocol_period: secs(PERIOD as f64 / 1e6),
-                max_hosts: self.hosts as usize,
-                extensions: self.trial.extensions,
-            },
-            leases: LeaseSettings { term: secs(2.0), leave_term: secs(60.0), drift: 0.001, owned: 0.9 },
-            shared_limits: Vec::new(),
-            previous_exit: PreviousExit::Unclean,
-            seed: process.generation ^ self.trial.seed << 40,
-        };
-        let now = at(self.now, process.clock_rate);
-        let member = match self.trial.fault {
-            Some(fault) => Member::with_fault(now, settings, fault),
-            None => Member::new(now, settings),
-        };
-        process.stopped = false;
-        (process.unreachable_at, process.checked_until) = (self.now, self.now);
-        process.newest.clear();
-        process.buffered.clear();
-        let live_count = member.view.live_count();
+        let live_count = process.start(self.now, &self.trial);
         if live_count > 0 {
             let slot = process.slot;
             self.shown.broken.push(format!("host {slot} has {live_count} live hosts before any message"));
         }
-        process.member = Some(member);
         self.schedule(self.now, process_index, Event::Timer);
     }
 
@@ -230,8 +125,8 @@
 
     /// Partitions the network into groups, or heals it with a single group.
     pub(super) fn partition(&mut self, group: impl Fn(u32) -> u32) {
-        self.partition_changed = self.now;
-        self.groups = (0..self.hosts).map(group).collect();
+        self.network.partition_changed = self.now;
+        self.network.groups = (0..self.hosts).map(group).collect();
     }
 
     /// The processes of a number, which were unreachable, can be reached from now on.
@@ -273,7 +168,7 @@
         if process.wake <= self.now {
             process.wake = Us::MAX;
         }
-        let now = at(self.now, process.clock_rate);
+        let now = process.steady_clock(self.now);
         if let Some(member) = process.member.as_mut().filter(|_| !process.stopped) {
             member.handle_timeout(now);
             self.poll_member(process_index);
@@ -288,14 +183,14 @@
         }
         if !process.stopped {
             self.receive(process_index, from, bytes);
-        } else if process.buffered.len() < MAX_SOCKET_DATAGRAMS {
-            process.buffered.push((from, bytes));
+        } else {
+            process.buffer(from, bytes);
         }
     }
 
     fn receive(&mut self, process_index: usize, from: SocketAddr, bytes: Vec<u8>) {
         let process = &mut self.all[process_index];
-        let now = at(self.now, process.clock_rate);
+        let now = process.steady_clock(self.now);
         if let Some(member) = &mut process.member {
             member.handle_datagram(now, from, Bytes::from(bytes));
             self.poll_member(process_index);
@@ -329,25 +224,20 @@
 
     fn send_datagram(&mut self, sender: usize, to: SocketAddr, bytes: &Bytes) {
         let Some(receiver) = self.by_address.get(&to).copied() else { return };
-        if !self.passes(self.all[sender].slot as usize, self.all[receiver].slot as usize) {
+        if !self.network.passes(self.all[sender].slot as usize, self.all[receiver].slot as usize) {
             return;
         }
         let from = self.all[sender].address;
-        let copies = 1 + usize::from(self.generator.rand_float() < self.duplicated);
+        let copies = 1 + usize::from(self.generator.rand_float() < self.network.duplicated);
         for _ in 0..copies {
-            if self.generator.rand_float() < self.loss {
+            if self.generator.rand_float() < self.network.loss {
                 continue;
             }
-            let due = self.now + MIN_DELAY + self.generator.rand_range(0..self.jitter);
+            let due = self.now + MIN_DELAY + self.generator.rand_range(0..self.network.jitter);
             self.schedule(due, receiver, Event::Datagram { from, to, bytes: bytes.to_vec() });
         }
     }
 
-    /// Whether datagrams from one number arrive at another one.
-    fn passes(&self, sender: usize, receiver: usize) -> bool {
-        self.groups[sender] == self.groups[receiver] && !self.mute[sender] && !self.deaf[receiver]
-    }
-
     /// Runs until the views have settled, and returns the time in periods; none after `timeout` periods.
     pub(super) fn until_settled(&mut self, timeout: f64) -> Option<f64> {
         let start = self.now;
--- a/crates/simulator/src/views/world/checks.rs
+++ b/crates/simulator/src/views/world/checks.rs
@@ -1,6 +1,6 @@
 //! What a view must never do, deaths of hosts that were alive, and whether all views have settled.
 
-use super::{at, Process, Us, World, ALIVE_PERIODS_BEFORE_DEATH, CHECK_INTERVAL, PERIOD};
+use super::{Process, Us, World, ALIVE_PERIODS_BEFORE_DEATH, CHECK_INTERVAL, PERIOD};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use tackmast_membership::{Health, Member, MemberState};
@@ -15,10 +15,10 @@
         let is_down = processes.clone().all(|process| process.member.is_none());
         is_down
             || processes.any(|process| process.unreachable_at >= since || process.stopped)
-            || self.partition_changed >= since
-            || self.groups[slot as usize] != self.groups[observer as usize]
-            || self.mute[slot as usize]
-            || self.deaf[slot as usize]
+            || self.network.partition_changed >= since
+            || self.network.groups[slot as usize] != self.network.groups[observer as usize]
+            || self.network.mute[slot as usize]
+            || self.network.deaf[slot as usize]
     }
 
     /// Checks all views for what they must never do, and counts deaths of hosts that were alive.
@@ -82,7 +82,7 @@
     fn count_false_deaths(&mut self, index: usize) {
         let process = &self.all[index];
         let Some(member) = &process.member else { return };
-        let (slot, checked_until) = (process.slot, at(process.checked_until, process.clock_rate));
+        let (slot, checked_until) = (process.slot, process.steady_clock(process.checked_until));
         let new = member.view.deaths().filter(|death| death.at > checked_until);
         let new: Vec<(u32, bool)> = new.map(|death| (death.slot, death.declared_here)).collect();
         let since = self.now.saturating_sub(ALIVE_PERIODS_BEFORE_DEATH * PERIOD);
