--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -35,18 +35,21 @@
         let values = counts.iter().map(|count| count / series.step).collect();
         Line { name, values }
     };
-    let rates =
-        [line("asked", &series.sent), line("in time", &series.in_time), line("rejected", &series.rejected)];
-    let levels = [Line { name: "store", values: series.bucket_level.clone() }];
+    let rates = [
+        line("submitted", &series.submitted),
+        line("in time", &series.in_time),
+        line("rejected", &series.rejected),
+    ];
+    let levels = [Line { name: "level", values: series.bucket_level.clone() }];
     let pictures = [
         pictures::over_time(
-            "requests a second, by when they were asked; troubles behind",
+            "commands a second, by when they were submitted; faults in the background",
             world,
             &rates,
             series.step,
         )?,
         pictures::over_time(
-            "the limited volume's store over its burst and slack",
+            "token bucket of the limited volume, as a fraction of its burst and slack",
             world,
             &levels,
             series.step,
--- a/crates/simulator/src/report/pictures.rs
+++ b/crates/simulator/src/report/pictures.rs
@@ -132,7 +132,7 @@
         area.fill(&WHITE).map_err(failed)?;
         let length_s = series.step * BUCKET_COUNT as f64;
         let mut chart = ChartBuilder::on(&area)
-            .caption(format!("attempts out by node (darkest: {highest:.1})"), ("sans-serif", 16))
+            .caption(format!("attempts in flight by node (darkest: {highest:.1})"), ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(120)
@@ -193,7 +193,7 @@
         let area = SVGBackend::with_string(&mut text, SIZE).into_drawing_area();
         area.fill(&WHITE).map_err(failed)?;
         let mut chart = ChartBuilder::on(&area)
-            .caption("answer times of what was done, ms", ("sans-serif", 16))
+            .caption("latency of the commands that were done, ms", ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(60)
--- a/crates/simulator/src/report/series.rs
+++ b/crates/simulator/src/report/series.rs
@@ -12,8 +12,8 @@
 pub struct Series {
     /// Length of a bucket, in seconds.
     pub step: f64,
-    /// Commands that clients sent.
-    pub sent: Vec<f64>,
+    /// Commands that were submitted.
+    pub submitted: Vec<f64>,
     /// Of these, the ones that were done within their latency objective.
     pub in_time: Vec<f64>,
     /// Of these, the ones that were rejected.
@@ -103,7 +103,7 @@
     axis: TimeAxis,
     facts: Facts,
     series: Series,
-    /// By host, session and command: when the command was sent, and its traffic class.
+    /// By host, session and command: when the command was submitted, and its traffic class.
     open_commands: BTreeMap<(u32, u32, u32), (u64, usize)>,
     open_attempts: BTreeMap<AttemptName, OpenAttempt>,
     intervals: Vec<InFlightInterval>,
@@ -128,7 +128,7 @@
         let empty = || vec![0.0; BUCKET_COUNT];
         let series = Series {
             step: axis.step,
-            sent: empty(),
+            submitted: empty(),
             in_time: empty(),
             rejected: empty(),
             in_flight: Vec::new(),
@@ -150,7 +150,7 @@
         let time = line.t;
         match &line.event {
             Event::Submit { host, session, command, traffic_class, .. } => {
-                self.series.sent[self.axis.bucket(time)] += 1.0;
+                self.series.submitted[self.axis.bucket(time)] += 1.0;
                 self.open_commands.insert((*host, *session, *command), (time, *traffic_class as usize));
             }
             Event::Answer { host, session, command, kind, .. } => {
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Counts an answer in the bucket in which its command was sent.
+    /// Counts an answer in the bucket in which its command was submitted.
     fn add_answer(&mut self, time: u64, command: (u32, u32, u32), kind: AnswerKind) {
         let Some((sent_at, traffic_class)) = self.open_commands.remove(&command) else { return };
         let class = self.facts.traffic_classes.get(traffic_class);
--- a/crates/simulator/src/report/tests.rs
+++ b/crates/simulator/src/report/tests.rs
@@ -8,7 +8,7 @@
     let found = play(&world, None);
     let series = Series::of(&found.run);
     let sum = |values: &[f64]| values.iter().sum::<f64>();
-    assert_eq!(sum(&series.sent), found.run.asked as f64);
+    assert_eq!(sum(&series.submitted), found.run.asked as f64);
     assert_eq!(sum(&series.rejected), found.run.rejected as f64);
     assert_eq!(series.in_flight.len(), series.nodes.len());
     assert!(!series.nodes.is_empty() && series.in_flight.iter().flatten().any(|mean| *mean > 0.0));
--- a/crates/simulator/src/scenario_script/fault_translation.rs
+++ b/crates/simulator/src/scenario_script/fault_translation.rs
@@ -21,7 +21,7 @@
     #[error("{0} is a fault of sockets")]
     SocketFault(String),
     /// A fault of the endpoint list's versions.
-    #[error("{0}: the lab's list sends no versions")]
+    #[error("{0}: the simulated list sends no versions")]
     ListVersions(String),
     /// A change of plans by operators.
     #[error("a change of plans")]
@@ -30,10 +30,10 @@
     #[error("{0} of processes, which only sockets have")]
     Process(String),
     /// A fault of the network between processes.
-    #[error("ways, which only sockets have")]
+    #[error("network faults, which only sockets have")]
     Network,
     /// An override that the hosts must refuse.
-    #[error("an order that must be refused")]
+    #[error("an override that must be refused")]
     RefusedOverride,
     /// An override on an address.
     #[error("an address of loopback")]
--- a/crates/simulator/src/script_export.rs
+++ b/crates/simulator/src/script_export.rs
@@ -44,7 +44,7 @@
     fn write_script(&self, out: &mut String) -> std::fmt::Result {
         let mut without_plans = self.clone();
         without_plans.faults.retain(|fault| !matches!(fault.kind, FaultKind::Plan(..)));
-        writeln!(out, "# A world that the laboratory drew: seed {}.\n", self.seed)?;
+        writeln!(out, "# A generated world: seed {}.\n", self.seed)?;
         if self.wall_off_s > 0.0 || self.drift > 0.0 {
             writeln!(out, "# Left out: wall clocks off by up to {:.2} s, drift.", self.wall_off_s)?;
         }
