--- a/crates/simulator/src/sim/state.rs
+++ b/crates/simulator/src/sim/state.rs
@@ -83,7 +83,7 @@
 #[derive(Default)]
 pub(super) struct ServedUnits {
     pub(super) own: f64,
-    /// What the host was told of the units served for other hosts.
+    /// What has been reported to the host of the units served for other hosts.
     pub(super) reported_elsewhere: f64,
 }
 
--- a/crates/simulator/src/world/generator.rs
+++ b/crates/simulator/src/world/generator.rs
@@ -7,7 +7,7 @@
 
 /// Mixed into the seed of a world.
 const WORLD_SEED: u128 = 0x006c_6162;
-/// The rate at which a fault of a kind is drawn again.
+/// The probability that a world has one more fault of a kind.
 const FAULT_PROBABILITY: f64 = 0.33;
 
 /// A world with that number of hosts. The number of nodes follows from it.
