--- a/crates/benchlink/src/host.rs
+++ b/crates/benchlink/src/host.rs
@@ -173,7 +173,7 @@
                 writer.reject(self.requests.text(request.0), retry_after)
             }
             Decision::Fail { request, reason: _ } => writer.fail(self.requests.text(request.0)),
-            Decision::FollowList => writer.follow_list(),
+            Decision::WatchEndpointList => writer.watch_endpoint_list(),
             Decision::Event(event) => writer.log(&event.to_string()),
         }
     }
--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -159,8 +159,8 @@
         json!(["ReportFailure", self.host, request])
     }
 
-    /// Follow the endpoint list.
-    pub fn follow_list(&self) -> Value {
+    /// Watch the endpoint list.
+    pub fn watch_endpoint_list(&self) -> Value {
         json!(["Follow", self.host, true])
     }
 
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -49,7 +49,9 @@
             Decision::Fail { request, reason: _ } => {
                 self.finish_part(now, request, PartState::Failed { ran: true }, Bytes::new());
             }
-            Decision::FollowList => self.outputs.push_back(Output::FollowList { since: self.list_version }),
+            Decision::WatchEndpointList => {
+                self.outputs.push_back(Output::WatchEndpointList { since: self.list_version })
+            }
             Decision::Event(event) => self.emit(HostEvent::Scheduler(event)),
         }
     }
--- a/crates/host-core/src/core/endpoint_list.rs
+++ b/crates/host-core/src/core/endpoint_list.rs
@@ -21,7 +21,9 @@
             ListKind::Failed => return self.scheduler.nodes_changed(now, kind, &[]),
             // Changes are missing before these. These are applied all the same, since a drain among them must not wait; the complete
             // list is fetched for what is missing.
-            ListKind::Changes if from != self.list_version => self.outputs.push_back(Output::FetchList),
+            ListKind::Changes if from != self.list_version => {
+                self.outputs.push_back(Output::FetchEndpointList)
+            }
             _ => {}
         }
         self.list_version = to;
--- a/crates/host-core/src/core/removed_nodes.rs
+++ b/crates/host-core/src/core/removed_nodes.rs
@@ -51,7 +51,7 @@
     /// What peers report of their endpoint lists. It only ever removes nodes.
     pub(super) fn handle_peer_node_list(&mut self, now: Instant, event: NodeListEvent) {
         match event {
-            NodeListEvent::Behind { .. } => self.outputs.push_back(Output::FetchList),
+            NodeListEvent::Behind { .. } => self.outputs.push_back(Output::FetchEndpointList),
             NodeListEvent::RolledBack { from, to } => {
                 self.emit(EndpointListEvent::PeerListRolledBack { from, to, kept_for: MAX_REMOVAL });
             }
--- a/crates/host-core/src/event/log.rs
+++ b/crates/host-core/src/event/log.rs
@@ -56,6 +56,6 @@
             let held_by = reason.held_by().map(field::debug);
             debug!(request = request.0, reason = reason.name(), held_by, "request failed");
         }
-        Decision::Send { .. } | Decision::FollowList | Decision::Event(_) => {}
+        Decision::Send { .. } | Decision::WatchEndpointList | Decision::Event(_) => {}
     }
 }
--- a/crates/host-core/src/output.rs
+++ b/crates/host-core/src/output.rs
@@ -35,13 +35,13 @@
         /// The answer.
         verdict: Verdict,
     },
-    /// Follow the endpoint list from the version that is known.
-    FollowList {
+    /// Watch the endpoint list: ask for its changes since the version that is known.
+    WatchEndpointList {
         /// The version that is known.
         since: u64,
     },
-    /// Ask for the complete list: a change is missing.
-    FetchList,
+    /// Ask for the complete endpoint list: a change is missing.
+    FetchEndpointList,
     /// Write this durably, all of it or nothing, and then report that by `handle_persisted` under this number; 0: no report is wanted.
     Persist {
         /// The number of the report.
--- a/crates/host-core/tests/consensus.rs
+++ b/crates/host-core/tests/consensus.rs
@@ -177,7 +177,7 @@
                         }
                         Output::Answer { verdict, .. } => self.answers.push((h, verdict)),
                         Output::Send(attempt) => self.attempts.push((h, *attempt)),
-                        Output::FetchList => self.fetches.push(h),
+                        Output::FetchEndpointList => self.fetches.push(h),
                         _ => {}
                     }
                 }
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -337,7 +337,7 @@
     fixture.change_list(5, 6, &[]);
     assert!(fixture.other.is_empty());
     fixture.change_list(8, 9, &[entry("a", 0, NodeState::Draining)]);
-    assert!(matches!(fixture.other.as_slice(), [Output::FetchList]));
+    assert!(matches!(fixture.other.as_slice(), [Output::FetchEndpointList]));
     fixture.submit(1, 0, 1, false);
     assert!(fixture.sent.is_empty(), "the drain is known");
     // A complete list that no longer names b: it is gone; c takes its shard.
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -268,11 +268,11 @@
                 self.command(*to);
                 self.verdict(verdict);
             }
-            Output::FollowList { since } => {
+            Output::WatchEndpointList { since } => {
                 self.kind(5);
                 self.number(*since);
             }
-            Output::FetchList => self.kind(6),
+            Output::FetchEndpointList => self.kind(6),
             Output::Persist { request, batch } => {
                 self.kind(7);
                 self.number(*request);
@@ -688,7 +688,7 @@
                     Verdict::Failed => self.counts.failed += 1,
                 }
             }
-            Output::FollowList { .. } | Output::FetchList => self.counts.list_calls += 1,
+            Output::WatchEndpointList { .. } | Output::FetchEndpointList => self.counts.list_calls += 1,
             Output::Persist { request, .. } => {
                 self.counts.writes_to_store += 1;
                 self.hosts[host].unacknowledged.push(request);
--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -175,8 +175,8 @@
                 Output::Cancel { node, attempt } => self.links.cancel(node, attempt),
                 Output::Cut { node, attempt } => self.links.cut(node, attempt),
                 Output::Answer { to, verdict } => self.answer(to, verdict),
-                Output::FollowList { since } => _ = self.list.try_send(ToList::Follow { since }),
-                Output::FetchList => _ = self.list.try_send(ToList::Fetch),
+                Output::WatchEndpointList { since } => _ = self.list.try_send(ToList::Follow { since }),
+                Output::FetchEndpointList => _ = self.list.try_send(ToList::Fetch),
                 Output::Persist { request, batch } => self.persist(request, batch),
                 Output::AdminResponse { request, response } => {
                     if let Some(answer_to) = self.admin_callers.remove(&request) {
--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -77,7 +77,7 @@
     node_connections: NodeConnections,
     watch: Watch,
     /// The endpoint list is polled, one call after the other.
-    follows_list: bool,
+    watches_list: bool,
     last_poll_at: Instant,
     /// When the next poll is due, where it has to wait.
     next_poll_at: Option<Instant>,
@@ -142,7 +142,7 @@
             clients: client_connections(&settings, &budget),
             node_connections: node_connections(&settings, &budget),
             watch: Watch::new(configuration.discovery),
-            follows_list: false,
+            watches_list: false,
             last_poll_at: now - MIN_POLL_INTERVAL,
             next_poll_at: None,
             has_list: false,
@@ -305,7 +305,7 @@
         }
         let late = self.watch.handle_timeout(now, &self.settings);
         self.handle_watch_event(now, late);
-        if self.follows_list && !self.watch.is_polling() && self.next_poll_at.is_some_and(|due| due <= now) {
+        if self.watches_list && !self.watch.is_polling() && self.next_poll_at.is_some_and(|due| due <= now) {
             self.poll_list(now);
         }
         self.node_connections.handle_timeout(now, &mut self.attempt_results);
--- a/crates/platform-host/src/host/attempts.rs
+++ b/crates/platform-host/src/host/attempts.rs
@@ -80,8 +80,8 @@
                 self.handle_client_event(now, id, event);
                 self.queue_pipelined(id);
             }
-            Output::FollowList { .. } | Output::FetchList => {
-                self.follows_list = true;
+            Output::WatchEndpointList { .. } | Output::FetchEndpointList => {
+                self.watches_list = true;
                 if !self.watch.is_polling() {
                     self.poll_list(now);
                 }
--- a/crates/platform-host/src/host/endpoint_list.rs
+++ b/crates/platform-host/src/host/endpoint_list.rs
@@ -21,7 +21,7 @@
             None => {}
             Some(WatchEvent::Failed(why)) => {
                 tracing::debug!(why, "poll of the endpoint list failed");
-                (self.follows_list, self.list_polled) = (false, true);
+                (self.watches_list, self.list_polled) = (false, true);
                 self.core.handle_endpoint_list(now, ListKind::Failed, 0, 0, &[]);
             }
             // An older version than this host has: the answer was delayed, or the list has lost its memory. Applied, it could make a
@@ -33,13 +33,13 @@
                     "endpoint list went back to an older version: polling the complete list"
                 );
                 (self.list_polled, self.has_list) = (true, false);
-                self.follows_list = true;
+                self.watches_list = true;
                 self.poll_list(now);
             }
             Some(WatchEvent::List { after, list }) => {
                 self.list_polled = true;
                 self.apply_list(now, kind(&list), after, &list);
-                if self.follows_list {
+                if self.watches_list {
                     self.poll_list(now);
                 }
             }
@@ -83,7 +83,7 @@
         if let Some(WatchEvent::List { after, list }) = self.watch.address_changed(to, &self.settings) {
             self.apply_list(now, kind(&list), after, &list);
         }
-        self.follows_list = true;
+        self.watches_list = true;
         self.poll_list(now);
     }
 }
--- a/crates/simulator/src/reference_model.rs
+++ b/crates/simulator/src/reference_model.rs
@@ -220,7 +220,7 @@
         }
         if !self.listed && self.version == 0 {
             self.version = 1;
-            return Some(Output::FollowList { since: 0 });
+            return Some(Output::WatchEndpointList { since: 0 });
         }
         let shards: Vec<ShardId> = self.queues.keys().copied().collect();
         for shard in shards {
--- a/crates/simulator/src/sim/hosts.rs
+++ b/crates/simulator/src/sim/hosts.rs
@@ -87,7 +87,9 @@
                     self.forward_to_node(host_index, node.0, &cancel, true);
                 }
                 Output::Answer { to, verdict } => self.answer(host_index, to, verdict),
-                Output::FollowList { .. } | Output::FetchList => self.follow_list(host_index),
+                Output::WatchEndpointList { .. } | Output::FetchEndpointList => {
+                    self.watch_endpoint_list(host_index)
+                }
                 Output::Persist { request, batch } => self.persist(host_index, request, batch),
                 Output::AdminResponse { response, .. } => self.on_admin_response(host_index, response),
                 Output::Datagram { to, bytes } => self.send_datagram(host_index, to, &bytes),
--- a/crates/simulator/src/sim/nodes.rs
+++ b/crates/simulator/src/sim/nodes.rs
@@ -163,7 +163,7 @@
         known.is_none_or(|t| t + self.window_us < self.now)
     }
 
-    pub(super) fn follow_list(&mut self, host_index: u32) {
+    pub(super) fn watch_endpoint_list(&mut self, host_index: u32) {
         let generation = self.hosts[host_index as usize].generation;
         let due = self.now + 2 * self.world.delay_us;
         if self.list_fails {
--- a/src/interface/decision.rs
+++ b/src/interface/decision.rs
@@ -34,7 +34,7 @@
         reason: FailureReason,
     },
     /// Subscribe to changes of the endpoint list.
-    FollowList,
+    WatchEndpointList,
     /// Something for the log; nothing is to be done.
     Event(SchedulerEvent),
 }
--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -40,7 +40,7 @@
     pub(super) fn request_list(&mut self) {
         if !self.list_requested {
             self.list_requested = true;
-            self.decisions.push_back(Decision::FollowList);
+            self.decisions.push_back(Decision::WatchEndpointList);
         }
     }
 
--- a/tests/decision_hash.rs
+++ b/tests/decision_hash.rs
@@ -82,7 +82,7 @@
                 self.kind(3);
                 self.number(i64::from(request.0));
             }
-            Decision::FollowList => self.kind(4),
+            Decision::WatchEndpointList => self.kind(4),
             Decision::Event(_) => self.kind(5),
         }
     }
@@ -296,7 +296,7 @@
                 self.open.remove(&request.0);
                 self.counts.failed += 1;
             }
-            Decision::FollowList => self.counts.list_calls += 1,
+            Decision::WatchEndpointList => self.counts.list_calls += 1,
             Decision::Event(_) => self.counts.log_lines += 1,
         }
     }
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -355,14 +355,14 @@
 fn a_failed_node_list_call_is_retried() {
     let mut host = TestHost::new(1, Effect::Idempotent, false);
     host.scheduler.watch_endpoint_list();
-    assert_eq!(host.poll(), [Decision::FollowList]);
+    assert_eq!(host.poll(), [Decision::WatchEndpointList]);
     let mut asked = 0;
     for _ in 0..5 {
         host.send_list(ListKind::Failed, &[]);
         asked += host
             .run_until(host.now + 7.0)
             .iter()
-            .filter(|(_, decision)| *decision == Decision::FollowList)
+            .filter(|(_, decision)| *decision == Decision::WatchEndpointList)
             .count();
     }
     assert_eq!(asked, 5, "once for each failure");
