--- a/crates/host-core/src/core/endpoint_list.rs
+++ b/crates/host-core/src/core/endpoint_list.rs
@@ -53,7 +53,7 @@
         self.apply_changed_overrides(now);
         self.withdraw_from_unavailable_nodes(now);
         if self.peers.is_some() {
-            self.handle_own_node_list(now);
+            self.handle_own_endpoint_list(now);
         }
     }
 
--- a/crates/host-core/src/core/peers.rs
+++ b/crates/host-core/src/core/peers.rs
@@ -85,7 +85,7 @@
                     let batch = PersistBatch { members: Some(members), ..PersistBatch::default() };
                     self.persist(batch);
                 }
-                PeerEvent::NodeList(event) => self.handle_peer_node_list(now, event),
+                PeerEvent::EndpointList(event) => self.handle_peer_list_notice(now, event),
                 PeerEvent::ConsensusMessage { from, slot, body } => {
                     self.handle_consensus_message(now, from, slot, body)
                 }
--- a/crates/host-core/src/core/removed_nodes.rs
+++ b/crates/host-core/src/core/removed_nodes.rs
@@ -9,7 +9,7 @@
 use crate::output::Output;
 use std::collections::BTreeMap;
 use tackmast::interface::{Instant, ListKind, NodeEntry, NodeState, TimeDelta};
-use tackmast_membership::{NodeListEvent, NodeRemoval};
+use tackmast_membership::{EndpointListNotice, NodeRemoval};
 
 /// Nodes that may be removed by peers' lists at a time.
 const MAX_REMOVED_NODES: usize = 4_096;
@@ -49,13 +49,13 @@
 
 impl Core {
     /// What peers report of their endpoint lists. It only ever removes nodes.
-    pub(super) fn handle_peer_node_list(&mut self, now: Instant, event: NodeListEvent) {
+    pub(super) fn handle_peer_list_notice(&mut self, now: Instant, event: EndpointListNotice) {
         match event {
-            NodeListEvent::Behind { .. } => self.outputs.push_back(Output::FetchEndpointList),
-            NodeListEvent::RolledBack { from, to } => {
+            EndpointListNotice::Behind { .. } => self.outputs.push_back(Output::FetchEndpointList),
+            EndpointListNotice::RolledBack { from, to } => {
                 self.emit(EndpointListEvent::PeerListRolledBack { from, to, kept_for: MAX_REMOVAL });
             }
-            NodeListEvent::Removed { version, removal } => self.remove_by_peer(now, version, removal),
+            EndpointListNotice::Removed { version, removal } => self.remove_by_peer(now, version, removal),
         }
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// This host's own list has changed: removals by older versions end, and peers learn the version of the list.
-    pub(super) fn handle_own_node_list(&mut self, now: Instant) {
+    pub(super) fn handle_own_endpoint_list(&mut self, now: Instant) {
         let version = self.list_version;
         let by_address = &mut self.removed_nodes.by_address;
         let over = by_address.iter().filter(|(_, removal)| removal.is_over(now, version));
@@ -106,7 +106,7 @@
             address: address.to_owned(),
             gone: entry.state == NodeState::Gone,
         };
-        peers.member.handle_node_list(now, version, not_ready.map(removal));
+        peers.member.handle_endpoint_list(now, version, not_ready.map(removal));
         self.process_peer_events(now);
     }
 }
--- a/crates/host-core/src/lib.rs
+++ b/crates/host-core/src/lib.rs
@@ -1,5 +1,5 @@
 //! One host without sockets, threads or clocks. Inputs (`handle_...`) are commands of clients, results of attempts, the
-//! node list, messages of peers, completed writes and the time; outputs are taken one by one by `Core::poll_output`, and
+//! endpoint list, messages of peers, completed writes and the time; outputs are taken one by one by `Core::poll_output`, and
 //! `Core::poll_timeout` says when to call again. Which request is sent when, to which node, and how its client is answered
 //! is decided by the scheduler alone (`tackmast::scheduler`, its rules in `tackmast::policy`); this package keeps what ties clients, requests and attempts together, and
 //! combines the answers of commands of several parts. docs/host.md describes it.
--- a/crates/host-core/src/nodes.rs
+++ b/crates/host-core/src/nodes.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use tackmast::interface::{Instant, NodeEntry, NodeId, NodeState, ShardId, TimeDelta, ZoneId};
 
-/// One entry of a node list, as it was received.
+/// One entry of an endpoint list, as it was received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEntry {
     /// What the list calls the node; the same at all hosts and for good.
--- a/crates/host-core/src/peers.rs
+++ b/crates/host-core/src/peers.rs
@@ -11,8 +11,8 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_config::{HostSettings, MembershipBlock};
 use tackmast_membership::{
-    CatalogUpdate, Extensions, KnownPeer, LeaseSettings, Member, MemberSettings, MembershipEvent,
-    NodeListEvent, Output, OverrideEvent, OverrideKind, OverrideRecord, PersistedMembers, PreviousExit,
+    CatalogUpdate, EndpointListNotice, Extensions, KnownPeer, LeaseSettings, Member, MemberSettings,
+    MembershipEvent, Output, OverrideEvent, OverrideKind, OverrideRecord, PersistedMembers, PreviousExit,
     QuotaBalance, SharedLimit, ViewSettings,
 };
 use tackmast_overrides::{Kind, Origin, Override, OverrideId, OverrideRequest};
@@ -57,7 +57,7 @@
     CatalogUpdate(CatalogUpdate),
     /// To be written down for the next generation.
     Persist(PersistedMembers),
-    NodeList(NodeListEvent),
+    EndpointList(EndpointListNotice),
     ConsensusMessage {
         from: SocketAddr,
         slot: u32,
@@ -181,7 +181,7 @@
                 Output::Event(event) => PeerEvent::Event(event),
                 Output::CatalogUpdate(update) => PeerEvent::CatalogUpdate(update),
                 Output::Persist(members) => PeerEvent::Persist(members),
-                Output::NodeList(event) => PeerEvent::NodeList(event),
+                Output::EndpointList(event) => PeerEvent::EndpointList(event),
                 Output::Consensus { from, slot, body } => PeerEvent::ConsensusMessage { from, slot, body },
                 Output::Override(event) => match self.request_of_event(event) {
                     Some(admin_request) => {
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -1,6 +1,6 @@
 //! Guards the host core's behaviour as a whole against refactorings that must not change it, above all large
 //! renamings. Seeded runs feed some 10,000 inputs into a `Core`: commands of several sessions, ends of attempts,
-//! node lists, orders of administrators, plan changes, datagrams, time, and the host's shutdown. Every output and
+//! endpoint lists, requests of operators, plan changes, datagrams, time, and the host's shutdown. Every output and
 //! every wake-up time is folded into a SHA-256 hash which is compared with a constant. Only numbers and stable
 //! bytes are folded, never `Debug` output, so new names of types and fields move nothing. Lines for the log
 //! count, their wording does not.
--- a/crates/membership/src/catalog_replication.rs
+++ b/crates/membership/src/catalog_replication.rs
@@ -19,7 +19,7 @@
 pub const MAX_CATALOG_UPDATES: usize = 20_000;
 /// Greatest length of one update in bytes.
 pub const MAX_UPDATE_LEN: usize = 1 << 20;
-/// Peers that the version of a new update, or of a new node list, is sent to at once.
+/// Peers that the version of a new update, or of a new endpoint list, is sent to at once.
 pub(crate) const FANOUT: usize = 3;
 /// Greatest number of peers whose versions are remembered.
 const MAX_PEERS: usize = 100_000;
--- a/crates/membership/src/node_list.rs
+++ b/crates/membership/src/endpoint_list_exchange.rs
@@ -1,4 +1,4 @@
-//! Notices of newer node lists. Hosts exchange which version of the list they hold, and a host with a newer version sends
+//! Notices of newer endpoint lists. Hosts exchange which version of the list they hold, and a host with a newer version sends
 //! which nodes it removes.
 //!
 //! A host whose own watch of the list is silent would keep using nodes that have drained or are gone. By these notices it
@@ -9,7 +9,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_wire::peer::{Body, NodeListMessage, NodeRemoval, MAX_REMOVALS};
+use tackmast_wire::peer::{Body, EndpointListMessage, NodeRemoval, MAX_REMOVALS};
 
 /// Greatest number of removals that a host announces, the first ones by address.
 const MAX_KNOWN_REMOVALS: usize = 2_000;
@@ -24,9 +24,9 @@
 /// Greatest number of events that wait to be polled.
 const MAX_EVENTS: usize = 4_096;
 
-/// What a host learns of the node lists that others hold.
+/// What a host learns of the endpoint lists that others hold.
 #[derive(Clone, Debug, PartialEq)]
-pub enum NodeListEvent {
+pub enum EndpointListNotice {
     /// Others hold a newer list: the service is to be asked.
     Behind {
         /// The newer version.
@@ -48,9 +48,9 @@
     },
 }
 
-/// The versions of the node list that this host and its peers hold.
+/// The versions of the endpoint list that this host and its peers hold.
 #[derive(Clone, Debug, Default)]
-pub struct NodeListNotices {
+pub struct EndpointListExchange {
     enabled: bool,
     /// The newest version that this host ever held in this generation.
     version: u64,
@@ -59,7 +59,7 @@
     last_request: Option<Instant>,
     /// Requests since this host's list last changed.
     requests: u32,
-    events: VecDeque<NodeListEvent>,
+    events: VecDeque<EndpointListNotice>,
     transmits: VecDeque<Transmit>,
     /// Requests of this host while it was behind.
     pub behind: u64,
@@ -74,7 +74,7 @@
     TimeDelta::from_secs((min * factor).clamp(min, max))
 }
 
-impl NodeListNotices {
+impl EndpointListExchange {
     /// This host's list has that version and removes these nodes. Returns whether it is newer than before, so that peers
     /// are to learn of it.
     pub fn handle_list(&mut self, version: u64, removals: impl IntoIterator<Item = NodeRemoval>) -> bool {
@@ -96,43 +96,43 @@
     /// stay removed: they may be shut down already, and requests to them would fail.
     fn roll_back(&mut self, to: u64) {
         let from = self.version;
-        self.push_event(NodeListEvent::RolledBack { from, to });
+        self.push_event(EndpointListNotice::RolledBack { from, to });
         for removal in self.removals.clone() {
-            self.push_event(NodeListEvent::Removed { version: from, removal });
+            self.push_event(EndpointListNotice::Removed { version: from, removal });
         }
     }
 
-    /// Whether this host has a node list at all.
+    /// Whether this host has an endpoint list at all.
     pub(crate) fn is_enabled(&self) -> bool {
         self.enabled
     }
 
     /// The message with the version that this host holds.
-    pub fn version_message(&self) -> NodeListMessage {
-        NodeListMessage::Version { version: self.version }
+    pub fn version_message(&self) -> EndpointListMessage {
+        EndpointListMessage::Version { version: self.version }
     }
 
     /// A peer has sent a message.
-    pub fn handle_message(&mut self, now: Instant, from: SocketAddr, message: NodeListMessage) {
+    pub fn handle_message(&mut self, now: Instant, from: SocketAddr, message: EndpointListMessage) {
         if !self.enabled {
             return;
         }
         match message {
-            NodeListMessage::Version { version } if version > self.version => {
+            EndpointListMessage::Version { version } if version > self.version => {
                 self.handle_newer_version(now, from, version);
             }
-            NodeListMessage::Version { version } if version < self.version => {
+            EndpointListMessage::Version { version } if version < self.version => {
                 self.send(from, self.version_message());
             }
-            NodeListMessage::Request { version } if version < self.version => self.send_removals(from),
-            NodeListMessage::Removals { version, removals } if version > self.version => {
+            EndpointListMessage::Request { version } if version < self.version => self.send_removals(from),
+            EndpointListMessage::Removals { version, removals } if version > self.version => {
                 for removal in removals {
-                    self.push_event(NodeListEvent::Removed { version, removal });
+                    self.push_event(EndpointListNotice::Removed { version, removal });
                 }
             }
-            NodeListMessage::Version { .. }
-            | NodeListMessage::Request { .. }
-            | NodeListMessage::Removals { .. } => {}
+            EndpointListMessage::Version { .. }
+            | EndpointListMessage::Request { .. }
+            | EndpointListMessage::Removals { .. } => {}
         }
     }
 
@@ -144,23 +144,23 @@
         self.last_request = Some(now);
         self.requests += 1;
         self.behind += 1;
-        self.push_event(NodeListEvent::Behind { version });
-        self.send(from, NodeListMessage::Request { version: self.version });
+        self.push_event(EndpointListNotice::Behind { version });
+        self.send(from, EndpointListMessage::Request { version: self.version });
     }
 
     fn send_removals(&mut self, to: SocketAddr) {
         let version = self.version;
         for removals in self.removals.chunks(MAX_REMOVALS) {
-            let message = NodeListMessage::Removals { version, removals: removals.to_vec() };
-            self.transmits.push_back(Transmit::to_address(to, Body::NodeList(message)));
+            let message = EndpointListMessage::Removals { version, removals: removals.to_vec() };
+            self.transmits.push_back(Transmit::to_address(to, Body::EndpointList(message)));
         }
     }
 
-    fn send(&mut self, to: SocketAddr, message: NodeListMessage) {
-        self.transmits.push_back(Transmit::to_address(to, Body::NodeList(message)));
+    fn send(&mut self, to: SocketAddr, message: EndpointListMessage) {
+        self.transmits.push_back(Transmit::to_address(to, Body::EndpointList(message)));
     }
 
-    fn push_event(&mut self, event: NodeListEvent) {
+    fn push_event(&mut self, event: EndpointListNotice) {
         if self.events.len() < MAX_EVENTS {
             self.events.push_back(event);
         } else {
@@ -169,7 +169,7 @@
     }
 
     /// The next event.
-    pub fn poll_event(&mut self) -> Option<NodeListEvent> {
+    pub fn poll_event(&mut self) -> Option<EndpointListNotice> {
         self.events.pop_front()
     }
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -15,7 +15,7 @@
 //! - `quota_leases`: leases on shares of a volume's limit, from an owner to another that has more demand.
 //! - `override_gossip`: operators' overrides, as a set that all hosts converge on.
 //! - `catalog_replication`: numbered catalog updates, fetched from any peer that has them.
-//! - `node_list`: versions of the node list, and the nodes that newer ones remove.
+//! - `endpoint_list_exchange`: versions of the endpoint list, and the nodes that newer ones remove.
 //! - `event`: what a member reports to operators.
 //! - `member`: all of these as one host, which encodes and decodes datagrams.
 //!
@@ -26,9 +26,9 @@
 #![warn(unreachable_pub)]
 
 mod catalog_replication;
+mod endpoint_list_exchange;
 mod event;
 mod member;
-mod node_list;
 mod override_gossip;
 mod quota_leases;
 mod view;
@@ -39,9 +39,9 @@
 pub use catalog_replication::{
     CatalogReplication, CatalogUpdate, CatalogVersion, MAX_CATALOG_UPDATES, MAX_UPDATE_LEN,
 };
+pub use endpoint_list_exchange::{EndpointListExchange, EndpointListNotice};
 pub use event::MembershipEvent;
 pub use member::{Counters, Member, MemberSettings, Output, PersistedMembers};
-pub use node_list::{NodeListEvent, NodeListNotices};
 pub use override_gossip::{OverrideEvent, OverrideGossip};
 pub use quota_leases::{
     LeaseFault, LeaseSettings, LeaseStatus, LeaseTransmit, PreviousExit, QuotaBalance, QuotaLeases,
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -13,7 +13,7 @@
 pub use settings::{Counters, MemberSettings, Output, PersistedMembers};
 
 use crate::catalog_replication::{CatalogReplication, CatalogVersion};
-use crate::node_list::NodeListNotices;
+use crate::endpoint_list_exchange::EndpointListExchange;
 use crate::override_gossip::OverrideGossip;
 use crate::quota_leases::{LeaseSettings, QuotaBalance, QuotaLeases, SharedLimit};
 use crate::view::{MemberState, View, ViewFault};
@@ -44,7 +44,7 @@
     pub overrides: OverrideGossip,
     /// Catalog updates.
     pub catalog: CatalogReplication,
-    node_list: NodeListNotices,
+    endpoint_lists: EndpointListExchange,
     lease_settings: LeaseSettings,
     shared_limits: Vec<SharedLimit>,
     /// Another generation of this slot may use the shared quota, so this one never does.
@@ -100,7 +100,7 @@
             leases: QuotaLeases::new(now, id, settings.leases, limits, settings.previous_exit),
             overrides: OverrideGossip::default(),
             catalog: CatalogReplication::default(),
-            node_list: NodeListNotices::default(),
+            endpoint_lists: EndpointListExchange::default(),
             lease_settings: settings.leases,
             shared_limits: settings.shared_limits,
             yields_quota: false,
@@ -200,16 +200,16 @@
         self.flush(now);
     }
 
-    /// This host's node list has that version and removes these nodes. A newer version is sent to a few peers at once.
-    pub fn handle_node_list(
+    /// This host's endpoint list has that version and removes these nodes. A newer version is sent to a few peers at once.
+    pub fn handle_endpoint_list(
         &mut self,
         now: Instant,
         version: u64,
         removals: impl IntoIterator<Item = NodeRemoval>,
     ) {
-        if self.node_list.handle_list(version, removals) {
-            let message = self.node_list.version_message();
-            self.send_to_some(now, &Body::NodeList(message));
+        if self.endpoint_lists.handle_list(version, removals) {
+            let message = self.endpoint_lists.version_message();
+            self.send_to_some(now, &Body::EndpointList(message));
         }
         self.flush(now);
     }
--- a/crates/membership/src/member/outputs.rs
+++ b/crates/membership/src/member/outputs.rs
@@ -12,7 +12,7 @@
 
 impl Member {
     /// Sends the view's messages. The view does not know of overrides, so their digest is filled in here. Beside each
-    /// digest go the versions of the catalog and of the node list.
+    /// digest go the versions of the catalog and of the endpoint list.
     pub(super) fn flush_view_with_digests(&mut self, now: Instant) {
         let digest = self.overrides.digest(now);
         let transmits: Vec<Transmit> = std::iter::from_fn(|| self.view.poll_transmit()).collect();
@@ -26,8 +26,8 @@
             if self.catalog.is_enabled() {
                 self.send(to, Body::Catalog(self.catalog.version_message(now)));
             }
-            if self.node_list.is_enabled() {
-                self.send(to, Body::NodeList(self.node_list.version_message()));
+            if self.endpoint_lists.is_enabled() {
+                self.send(to, Body::EndpointList(self.endpoint_lists.version_message()));
             }
         }
     }
@@ -54,11 +54,11 @@
         while let Some(transmit) = self.catalog.poll_transmit() {
             self.send(transmit.to, transmit.body);
         }
-        while let Some(transmit) = self.node_list.poll_transmit() {
+        while let Some(transmit) = self.endpoint_lists.poll_transmit() {
             self.send(transmit.to, transmit.body);
         }
-        while let Some(event) = self.node_list.poll_event() {
-            self.outputs.push_back(Output::NodeList(event));
+        while let Some(event) = self.endpoint_lists.poll_event() {
+            self.outputs.push_back(Output::EndpointList(event));
         }
         while let Some(event) = self.catalog.poll_event() {
             self.outputs.push_back(match event {
--- a/crates/membership/src/member/receive.rs
+++ b/crates/membership/src/member/receive.rs
@@ -118,7 +118,7 @@
                 records.into_iter().for_each(|record| self.overrides.merge(now, record));
             }
             Body::Catalog(message) => self.catalog.handle_message(now, from, id.slot, &message),
-            Body::NodeList(message) => self.node_list.handle_message(now, from, message),
+            Body::EndpointList(message) => self.endpoint_lists.handle_message(now, from, message),
             Body::Consensus { .. } | Body::ConsensusChunk { .. } | Body::ConsensusChunkRequest { .. } => {
                 self.handle_consensus(from, id.slot, body);
             }
--- a/crates/membership/src/member/settings.rs
+++ b/crates/membership/src/member/settings.rs
@@ -1,8 +1,8 @@
 //! Settings, outputs and counters of a member.
 
 use crate::catalog_replication::CatalogUpdate;
+use crate::endpoint_list_exchange::EndpointListNotice;
 use crate::event::MembershipEvent;
-use crate::node_list::NodeListEvent;
 use crate::override_gossip::OverrideEvent;
 use crate::quota_leases::{LeaseSettings, PreviousExit, SharedLimit};
 use crate::view::{KnownPeer, ViewSettings};
@@ -69,8 +69,8 @@
     CatalogUpdate(CatalogUpdate),
     /// Persist this for the next generation, in place of what was before.
     Persist(PersistedMembers),
-    /// Act on what is known of other hosts' node lists.
-    NodeList(NodeListEvent),
+    /// Act on what is known of other hosts' endpoint lists.
+    EndpointList(EndpointListNotice),
     /// Hand a consensus message, or a chunk of one, to the replica. It comes from the address at which its sender is
     /// known, so that it is not forged.
     Consensus {
--- a/crates/membership/tests/decision_hash.rs
+++ b/crates/membership/tests/decision_hash.rs
@@ -1,6 +1,6 @@
 //! Guards the decisions of the membership state machine: a seeded simulation of a few members whose datagrams are lost,
 //! duplicated and reordered, and which are isolated, paused, leave, and restart from what they persisted. Failure
-//! detection, quota leases, operators' overrides, catalog updates and node list removals all run. Every output is folded
+//! detection, quota leases, operators' overrides, catalog updates and endpoint list removals all run. Every output is folded
 //! into a SHA-256 hash, which is a constant here. The hash covers encoded bytes and numbers only, so that renaming
 //! a type or rewording a log line leaves it as it is, while any other decision moves it.
 
@@ -266,7 +266,7 @@
                 self.totals.persisted_members += 1;
                 self.host(host).persisted_members = persisted_members;
             }
-            Output::NodeList(event) => self.on_list_event(event),
+            Output::EndpointList(event) => self.on_list_event(event),
             Output::Consensus { from, slot, body } => {
                 self.hash.number(8);
                 self.hash.address(from);
@@ -277,16 +277,16 @@
         }
     }
 
-    fn on_list_event(&mut self, event: NodeListEvent) {
+    fn on_list_event(&mut self, event: EndpointListNotice) {
         self.hash.number(7);
         match event {
-            NodeListEvent::Behind { version } => self.hash.numbers([1, version]),
-            NodeListEvent::Removed { version, removal } => {
+            EndpointListNotice::Behind { version } => self.hash.numbers([1, version]),
+            EndpointListNotice::Removed { version, removal } => {
                 self.hash.numbers([2, version, u64::from(removal.gone)]);
                 self.hash.bytes(removal.address.as_bytes());
                 self.totals.nodes_removed += 1;
             }
-            NodeListEvent::RolledBack { from, to } => self.hash.numbers([3, from, to]),
+            EndpointListNotice::RolledBack { from, to } => self.hash.numbers([3, from, to]),
         }
     }
 
@@ -446,7 +446,7 @@
         }
     }
 
-    /// Clients' demand, operators' overrides, catalog updates, node lists and consensus traffic.
+    /// Clients' demand, operators' overrides, catalog updates, endpoint lists and consensus traffic.
     fn run_inputs(&mut self) {
         for host in 0..self.group.members {
             if self.chance(0.01) {
@@ -518,14 +518,14 @@
         self.apply_update(host, self.update_number);
     }
 
-    /// A host receives a newer version of its node list, and rarely an older one.
+    /// A host receives a newer version of its endpoint list, and rarely an older one.
     fn receive_list(&mut self, host: u32) {
         self.list_version += 1;
         let version = if self.chance(0.1) { self.list_version / 2 } else { self.list_version };
         let removal =
             |node: u64| NodeRemoval { address: format!("10.1.0.{node}:3260"), gone: node.is_multiple_of(2) };
         let removals: Vec<NodeRemoval> = (0..version % 25).map(removal).collect();
-        self.input(host, |member, now| member.handle_node_list(now, version, removals));
+        self.input(host, |member, now| member.handle_endpoint_list(now, version, removals));
     }
 
     fn hash_status(&mut self) {
--- a/crates/membership/tests/node_list.rs
+++ b/crates/membership/tests/endpoint_list_exchange.rs
@@ -1,10 +1,10 @@
-//! Notices of newer node lists between two hosts: a host that is behind asks, removed nodes stay removed, and no peer is
+//! Notices of newer endpoint lists between two hosts: a host that is behind asks, removed nodes stay removed, and no peer is
 //! asked endlessly.
 
 use std::net::SocketAddr;
 use tackmast::interface::Instant;
-use tackmast_membership::{NodeListEvent, NodeListNotices, NodeRemoval, Transmit};
-use tackmast_wire::peer::{Body, NodeListMessage};
+use tackmast_membership::{EndpointListExchange, EndpointListNotice, NodeRemoval, Transmit};
+use tackmast_wire::peer::{Body, EndpointListMessage};
 
 fn removal(node: usize) -> NodeRemoval {
     NodeRemoval { address: format!("10.0.0.{node}:7"), gone: node.is_multiple_of(2) }
@@ -14,9 +14,9 @@
     Instant::from_secs(seconds)
 }
 
-fn node_list_message(body: Body) -> NodeListMessage {
+fn endpoint_list_message(body: Body) -> EndpointListMessage {
     match body {
-        Body::NodeList(message) => message,
+        Body::EndpointList(message) => message,
         other => panic!("{other:?}"),
     }
 }
@@ -27,31 +27,32 @@
 
 /// Two hosts exchange messages until none is left, beginning with the sender's version; the events at the receiver.
 fn exchange(
-    sender: &mut NodeListNotices,
-    receiver: &mut NodeListNotices,
+    sender: &mut EndpointListExchange,
+    receiver: &mut EndpointListExchange,
     now: Instant,
-) -> Vec<NodeListEvent> {
+) -> Vec<EndpointListNotice> {
     receiver.handle_message(now, address(1), sender.version_message());
     for _ in 0..10 {
         while let Some(Transmit { body, .. }) = receiver.poll_transmit() {
-            sender.handle_message(now, address(2), node_list_message(body));
+            sender.handle_message(now, address(2), endpoint_list_message(body));
         }
         while let Some(Transmit { body, .. }) = sender.poll_transmit() {
-            receiver.handle_message(now, address(1), node_list_message(body));
+            receiver.handle_message(now, address(1), endpoint_list_message(body));
         }
     }
     std::iter::from_fn(|| receiver.poll_event()).collect()
 }
 
-/// A host's watch of the node list is silent, and a peer has a newer version that removes ninety nodes. The host must learn
+/// A host's watch of the endpoint list is silent, and a peer has a newer version that removes ninety nodes. The host must learn
 /// of all of them, over several datagrams, and must not ask again at once.
 #[test]
 fn a_host_that_is_behind_learns_what_a_newer_list_removes() {
-    let (mut newer, mut older) = (NodeListNotices::default(), NodeListNotices::default());
+    let (mut newer, mut older) = (EndpointListExchange::default(), EndpointListExchange::default());
     assert!(newer.handle_list(7, (0..90).map(removal)) && older.handle_list(5, []));
     let events = exchange(&mut newer, &mut older, at(1.0));
-    assert_eq!(events.first(), Some(&NodeListEvent::Behind { version: 7 }));
-    let removed = events.iter().filter(|event| matches!(event, NodeListEvent::Removed { version: 7, .. }));
+    assert_eq!(events.first(), Some(&EndpointListNotice::Behind { version: 7 }));
+    let removed =
+        events.iter().filter(|event| matches!(event, EndpointListNotice::Removed { version: 7, .. }));
     assert_eq!(removed.count(), 90, "over several datagrams");
     // The host does not ask again at once, and not at all once it is no longer behind.
     assert!(exchange(&mut newer, &mut older, at(1.1)).is_empty());
@@ -60,7 +61,7 @@
     // A host that is ahead takes nothing from one that is behind.
     assert!(newer.handle_list(8, []) && exchange(&mut older, &mut newer, at(10.0)).is_empty());
     // A host without a list takes part in nothing.
-    let mut without_list = NodeListNotices::default();
+    let mut without_list = EndpointListExchange::default();
     assert!(exchange(&mut newer, &mut without_list, at(11.0)).is_empty());
 }
 
@@ -68,7 +69,7 @@
 /// it would ask the peer and its service ten times a second.
 #[test]
 fn asks_ever_less_often_while_nothing_newer_comes() {
-    let (mut newer, mut older) = (NodeListNotices::default(), NodeListNotices::default());
+    let (mut newer, mut older) = (EndpointListExchange::default(), EndpointListExchange::default());
     newer.handle_list(70, []);
     older.handle_list(5, []);
     let mut request_count = 0;
@@ -87,13 +88,16 @@
 /// down already, so they stay removed, and peers still learn the newer version.
 #[test]
 fn a_service_that_rolls_back_restores_no_node() {
-    let mut notices = NodeListNotices::default();
-    notices.handle_list(7, [removal(1), removal(2)]);
-    assert!(!notices.handle_list(3, []));
-    let events: Vec<NodeListEvent> = std::iter::from_fn(|| notices.poll_event()).collect();
-    assert_eq!(events[0], NodeListEvent::RolledBack { from: 7, to: 3 });
-    assert_eq!(events[1..], [1, 2].map(|node| NodeListEvent::Removed { version: 7, removal: removal(node) }));
+    let mut exchange = EndpointListExchange::default();
+    exchange.handle_list(7, [removal(1), removal(2)]);
+    assert!(!exchange.handle_list(3, []));
+    let events: Vec<EndpointListNotice> = std::iter::from_fn(|| exchange.poll_event()).collect();
+    assert_eq!(events[0], EndpointListNotice::RolledBack { from: 7, to: 3 });
+    assert_eq!(
+        events[1..],
+        [1, 2].map(|node| EndpointListNotice::Removed { version: 7, removal: removal(node) })
+    );
     // Peers still learn of the newer version.
-    assert_eq!(notices.version_message(), NodeListMessage::Version { version: 7 });
-    assert!(notices.handle_list(8, []));
+    assert_eq!(exchange.version_message(), EndpointListMessage::Version { version: 7 });
+    assert!(exchange.handle_list(8, []));
 }
--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -1,5 +1,5 @@
 //! The host and its readiness loop. Its parts: `requests` (from clients), `attempts` (at nodes), `endpoint_list` (the watch of the
-//! node list) and `shutdown`.
+//! endpoint list) and `shutdown`.
 
 mod attempts;
 mod endpoint_list;
--- a/crates/platform-host/src/poller.rs
+++ b/crates/platform-host/src/poller.rs
@@ -8,7 +8,7 @@
 /// Who a socket belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Token {
-    /// The node list comes first in an iteration: a change in it counts as notified from when it was written to this host.
+    /// The endpoint list comes first in an iteration: a change in it counts as notified from when it was written to this host.
     List(u32),
     Signal(u32),
     NodeConnection(u32),
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -163,7 +163,10 @@
             let Some(o) = m.poll_output() else { break };
             match o {
                 Output::Send { to, bytes } => self.post(host_index, to, &bytes),
-                Output::Event(_) | Output::Persist(_) | Output::Consensus { .. } | Output::NodeList(_) => {}
+                Output::Event(_)
+                | Output::Persist(_)
+                | Output::Consensus { .. }
+                | Output::EndpointList(_) => {}
                 Output::CatalogUpdate(p) => {
                     let ends = m.catalog.deadline(p.number, at(self.now));
                     m.handle_catalog_applied(
--- a/crates/simulator/src/views/world.rs
+++ b/crates/simulator/src/views/world.rs
@@ -288,7 +288,7 @@
                 | Output::Override(_)
                 | Output::CatalogUpdate(_)
                 | Output::Consensus { .. }
-                | Output::NodeList(_) => {}
+                | Output::EndpointList(_) => {}
             }
         }
         let process = &mut self.all[process_index];
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -6,7 +6,7 @@
 mod message;
 
 pub use message::{
-    CatalogMessage, Health, LeaseMessage, MemberUpdate, NodeListMessage, NodeRemoval, OverrideKind,
+    CatalogMessage, EndpointListMessage, Health, LeaseMessage, MemberUpdate, NodeRemoval, OverrideKind,
     OverrideRecord, ProbeMessage,
 };
 
@@ -77,9 +77,9 @@
     /// A request for a chunk of such a message.
     pub(super) const CONSENSUS_CHUNK_REQUEST: u8 = 19;
     /// The version of the sender's endpoint list.
-    pub(super) const NODE_LIST_VERSION: u8 = 20;
+    pub(super) const ENDPOINT_LIST_VERSION: u8 = 20;
     /// A request for the removals of a list newer than a version.
-    pub(super) const NODE_LIST_REQUEST: u8 = 21;
+    pub(super) const ENDPOINT_LIST_REQUEST: u8 = 21;
     /// The nodes that the sender's list removes.
     pub(super) const NODE_REMOVALS: u8 = 22;
 }
@@ -127,8 +127,8 @@
         /// Position of the chunk.
         piece: u16,
     },
-    /// Versions of the node list.
-    NodeList(NodeListMessage),
+    /// Versions of the endpoint list.
+    EndpointList(EndpointListMessage),
 }
 
 /// One datagram between two hosts.
--- a/crates/wire/src/peer/decode.rs
+++ b/crates/wire/src/peer/decode.rs
@@ -55,7 +55,9 @@
         kind::CONSENSUS_CHUNK_REQUEST => {
             Ok(Body::ConsensusChunkRequest { number: fields.u32("number")?, piece: fields.u16("piece")? })
         }
-        kind::NODE_LIST_VERSION..=kind::NODE_REMOVALS => read_node_list(fields, kind).map(Body::NodeList),
+        kind::ENDPOINT_LIST_VERSION..=kind::NODE_REMOVALS => {
+            read_endpoint_list(fields, kind).map(Body::EndpointList)
+        }
         other => Err(unknown_kind(other)),
     }
 }
@@ -117,18 +119,18 @@
     })
 }
 
-fn read_node_list(fields: &mut Fields, kind: u8) -> Result<NodeListMessage, WireError> {
+fn read_endpoint_list(fields: &mut Fields, kind: u8) -> Result<EndpointListMessage, WireError> {
     let version = fields.u64("version")?;
     Ok(match kind {
-        kind::NODE_LIST_VERSION => NodeListMessage::Version { version },
-        kind::NODE_LIST_REQUEST => NodeListMessage::Request { version },
+        kind::ENDPOINT_LIST_VERSION => EndpointListMessage::Version { version },
+        kind::ENDPOINT_LIST_REQUEST => EndpointListMessage::Request { version },
         kind::NODE_REMOVALS => {
             let count = fields.u8("nodes")?;
             if usize::from(count) > MAX_REMOVALS {
                 return Err(unexpected("nodes", count, "at most 18"));
             }
             let removals = (0..count).map(|_| read_removal(fields)).collect::<Result<_, _>>()?;
-            NodeListMessage::Removals { version, removals }
+            EndpointListMessage::Removals { version, removals }
         }
         other => return Err(unknown_kind(other)),
     })
--- a/crates/wire/src/peer/encode.rs
+++ b/crates/wire/src/peer/encode.rs
@@ -55,7 +55,7 @@
             out.put_u32(*number);
             out.put_u16(*piece);
         }
-        Body::NodeList(message) => put_node_list(out, message),
+        Body::EndpointList(message) => put_endpoint_list(out, message),
     }
 }
 
@@ -132,17 +132,17 @@
     }
 }
 
-fn put_node_list(out: &mut BytesMut, message: &NodeListMessage) {
+fn put_endpoint_list(out: &mut BytesMut, message: &EndpointListMessage) {
     match message {
-        NodeListMessage::Version { version } => {
-            out.put_u8(kind::NODE_LIST_VERSION);
+        EndpointListMessage::Version { version } => {
+            out.put_u8(kind::ENDPOINT_LIST_VERSION);
             out.put_u64(*version);
         }
-        NodeListMessage::Request { version } => {
-            out.put_u8(kind::NODE_LIST_REQUEST);
+        EndpointListMessage::Request { version } => {
+            out.put_u8(kind::ENDPOINT_LIST_REQUEST);
             out.put_u64(*version);
         }
-        NodeListMessage::Removals { version, removals } => {
+        EndpointListMessage::Removals { version, removals } => {
             out.put_u8(kind::NODE_REMOVALS);
             out.put_u64(*version);
             out.put_u8(removals.len().min(MAX_REMOVALS) as u8);
--- a/crates/wire/src/peer/message.rs
+++ b/crates/wire/src/peer/message.rs
@@ -209,9 +209,9 @@
     },
 }
 
-/// Which version of the node list hosts hold, and which nodes a newer one removes.
+/// Which version of the endpoint list hosts hold, and which nodes a newer one removes.
 #[derive(Clone, Debug, PartialEq)]
-pub enum NodeListMessage {
+pub enum EndpointListMessage {
     /// The newest version that the sender held.
     Version {
         /// Version of the list.
--- a/crates/wire/tests/golden_bytes.rs
+++ b/crates/wire/tests/golden_bytes.rs
@@ -6,7 +6,7 @@
 use std::fmt::Debug;
 use tackmast_wire::consensus::{DiskIdentity, Entry, EntryPayload, LogPosition, Message, Voters};
 use tackmast_wire::peer::{
-    Body, CatalogMessage, Datagram, Health, LeaseMessage, MemberUpdate, NodeListMessage, NodeRemoval,
+    Body, CatalogMessage, Datagram, EndpointListMessage, Health, LeaseMessage, MemberUpdate, NodeRemoval,
     OverrideKind, OverrideRecord, ProbeMessage,
 };
 use tackmast_wire::{iscsi, list, nbd, node, scsi, WireError};
@@ -288,7 +288,7 @@
         ),
         (
             "node list version",
-            Body::NodeList(NodeListMessage::Version { version: 35 }),
+            Body::EndpointList(EndpointListMessage::Version { version: 35 }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000214\
@@ -296,7 +296,7 @@
         ),
         (
             "node list request",
-            Body::NodeList(NodeListMessage::Request { version: 36 }),
+            Body::EndpointList(EndpointListMessage::Request { version: 36 }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000215\
@@ -304,7 +304,7 @@
         ),
         (
             "node list removals",
-            Body::NodeList(NodeListMessage::Removals { version: 37, removals: stops }),
+            Body::EndpointList(EndpointListMessage::Removals { version: 37, removals: stops }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000216\
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -77,9 +77,9 @@
         Body::Consensus { bytes: Bytes::from(vec![7; MAX_PIECE]) },
         Body::ConsensusChunk { number: 30, pieces: 32, piece: 31, bytes: Bytes::from(vec![7; MAX_PIECE]) },
         Body::ConsensusChunkRequest { number: 33, piece: 34 },
-        Body::NodeList(NodeListMessage::Version { version: 35 }),
-        Body::NodeList(NodeListMessage::Request { version: 36 }),
-        Body::NodeList(NodeListMessage::Removals {
+        Body::EndpointList(EndpointListMessage::Version { version: 35 }),
+        Body::EndpointList(EndpointListMessage::Request { version: 36 }),
+        Body::EndpointList(EndpointListMessage::Removals {
             version: 37,
             removals: vec![NodeRemoval { address: "x".repeat(MAX_TARGET_LEN), gone: true }; MAX_REMOVALS],
         }),
@@ -90,7 +90,7 @@
                 | Body::Catalog(CatalogMessage::Chunk { .. })
                 | Body::Consensus { .. }
                 | Body::ConsensusChunk { .. }
-                | Body::NodeList(NodeListMessage::Removals { .. })
+                | Body::EndpointList(EndpointListMessage::Removals { .. })
         ) {
             0
         } else {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -49,7 +49,7 @@
         Instant::from_secs(self.now)
     }
 
-    /// Reports a node list: one node a shard, under the shard's number.
+    /// Reports an endpoint list: one node a shard, under the shard's number.
     pub fn send_list(&mut self, kind: ListKind, nodes: &[(u32, NodeState, Option<f64>)]) {
         let entry = |&(n, state, up): &(u32, NodeState, Option<f64>)| NodeEntry {
             node: NodeId(n),
--- a/tests/node_overrides.rs
+++ b/tests/node_overrides.rs
@@ -1,5 +1,5 @@
 //! Operators' overrides of nodes: a weight scales what a node is given, a pin keeps an unhealthy node in
-//! service, and neither sends anything that the node list or slow start forbids.
+//! service, and neither sends anything that the endpoint list or slow start forbids.
 
 mod common;
 use common::{secs, TestHost};
