--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -1,18 +1,19 @@
 //! The host and its readiness loop. Its parts: `requests` (from clients), `attempts` (at nodes), `endpoint_list` (the watch of the
-//! endpoint list) and `shutdown`.
+//! endpoint list), `peer_link` (datagrams of peers) and `shutdown`.
 
 mod attempts;
 mod endpoint_list;
+mod peer_link;
 mod requests;
 mod shutdown;
 mod status;
 
+use peer_link::PeerLink;
 pub use status::{OpenCounts, StartError, Status};
 
 use crate::client_connections::{ClientConnections, ClientEvent};
 use crate::close_reason::CloseReason;
 use crate::list_watch::{Watch, WatchEvent};
-use crate::memory_replication::{self, MemoryReplication};
 use crate::node_connection::PendingAttempt;
 use crate::node_connections::NodeConnections;
 use crate::poller::{Poller, Ready, Token, READ};
@@ -23,7 +24,7 @@
 use std::collections::HashMap;
 use std::fmt::Display;
 use std::io::{ErrorKind, Read};
-use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::net::{SocketAddr, TcpListener};
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, TimeDelta};
@@ -39,8 +40,6 @@
 const TIMEOUT_CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(20);
 /// Connections accepted in one iteration of the loop.
 const MAX_ACCEPTS_PER_ITERATION: usize = 32;
-/// Datagrams received in one iteration of the loop.
-const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
 /// Minimum interval between polls of the endpoint list: well within the time after which a poll counts as a new watch.
 const MIN_POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(50);
 /// Nodes that the host core remembers.
@@ -102,21 +101,6 @@
     restored_shards: usize,
 }
 
-/// The datagram socket towards peers, and what is replicated over it.
-struct PeerLink {
-    socket: UdpSocket,
-    memory: MemoryReplication,
-}
-
-impl PeerLink {
-    fn send(&self, datagrams: Vec<memory_replication::Datagram>) {
-        for datagram in datagrams {
-            // A datagram that is lost here is lost like any other.
-            _ = self.socket.send_to(&datagram.bytes, datagram.to);
-        }
-    }
-}
-
 impl Host {
     /// Opens the sockets that the configuration names.
     pub fn start(configuration: &Configuration) -> Result<Self, StartError> {
@@ -133,7 +117,7 @@
         scheduler.watch_endpoint_list();
         let core =
             Core::with_scheduler(now, scheduler, core_settings(&settings, &budget), configuration.seed);
-        let peers = open_peer_link(now, configuration, &poller)?;
+        let peers = PeerLink::open(now, configuration, &poller)?;
         let mut host = Host {
             core,
             clock,
@@ -196,6 +180,7 @@
             nodes: self.core.nodes().entries().count(),
             version: self.core.list_version(),
             restored_shards: self.restored_shards,
+            rejected_datagrams: self.peers.as_ref().map_or(0, PeerLink::rejected_datagrams),
         }
     }
 
@@ -276,32 +261,9 @@
         Duration::from_secs_f64((next_timeout - now).secs().max(0.0))
     }
 
-    /// Receives datagrams of peers, a bounded number in each iteration.
-    fn receive_peer_datagrams(&mut self, now: Instant) {
-        let Some(peers) = &mut self.peers else { return };
-        let mut bytes = [0; memory_replication::MAX_DATAGRAM_BYTES + 1];
-        for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
-            let Ok((len, from)) = peers.socket.recv_from(&mut bytes) else { break };
-            let answers = peers.memory.handle_datagram(now, from, &bytes[..len]);
-            peers.send(answers);
-        }
-        let restored = peers.memory.poll_restored();
-        if !restored.is_empty() {
-            tracing::info!(
-                shards = restored.len(),
-                "service rates of shards restored from peers after a restart"
-            );
-        }
-        self.restored_shards += restored.len();
-        for (shard, rate) in restored {
-            self.core.restore_service_rate(now, shard, rate);
-        }
-    }
-
     fn check_timeouts(&mut self, now: Instant) {
         if let Some(peers) = &mut self.peers {
-            let datagrams = peers.memory.handle_timeout(now, || self.core.service_rates(now));
-            peers.send(datagrams);
+            peers.handle_timeout(now, || self.core.service_rates(now));
         }
         let late = self.watch.handle_timeout(now, &self.settings);
         self.handle_watch_event(now, late);
@@ -354,28 +316,9 @@
     }
 }
 
-fn open_peer_link(
-    now: Instant,
-    configuration: &Configuration,
-    poller: &Poller,
-) -> Result<Option<PeerLink>, StartError> {
-    let Some(peers) = &configuration.peers else { return Ok(None) };
-    let socket = bind_peer_socket(peers.listen, poller)
-        .map_err(|problem| StartError::PeerListen { address: peers.listen, problem })?;
-    let memory = MemoryReplication::new(now, configuration.settings.me as usize, peers.hosts.clone());
-    Ok(Some(PeerLink { socket, memory }))
-}
-
 fn longest_deadline(settings: &Settings) -> TimeDelta {
     settings.traffic_classes.iter().map(|class| class.deadline).max().unwrap_or(TimeDelta::ZERO)
 }
 
-fn bind_peer_socket(address: SocketAddr, poller: &Poller) -> std::io::Result<UdpSocket> {
-    let socket = UdpSocket::bind(address)?;
-    socket.set_nonblocking(true)?;
-    poller.add(&socket, Token::Peers, READ)?;
-    Ok(socket)
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/platform-host/src/host/shutdown.rs
+++ b/crates/platform-host/src/host/shutdown.rs
@@ -25,8 +25,7 @@
             ProcessSignal::Shutdown if self.shutdown_since.is_none() => {
                 self.shutdown_since = Some(now);
                 if let Some(peers) = &mut self.peers {
-                    let datagrams = peers.memory.hand_off(self.core.service_rates(now));
-                    peers.send(datagrams);
+                    peers.hand_off(self.core.service_rates(now));
                 }
                 tracing::info!(
                     open = self.core.open_counts().commands,
--- a/crates/platform-host/src/host/status.rs
+++ b/crates/platform-host/src/host/status.rs
@@ -33,6 +33,8 @@
     pub version: u64,
     /// Shards whose service rate was restored from peers after a restart.
     pub restored_shards: usize,
+    /// Datagrams of peers that were malformed, from no peer, or not asked for.
+    pub rejected_datagrams: u64,
 }
 
 /// Why a host did not start.
--- a/crates/platform-host/src/lib.rs
+++ b/crates/platform-host/src/lib.rs
@@ -11,12 +11,12 @@
 mod host;
 mod idle_connections;
 mod list_watch;
-mod memory_replication;
 mod node_connection;
 mod node_connections;
 mod poller;
 mod request_ids;
 mod resource_budget;
+mod service_rate_replication;
 mod shutdown_schedule;
 mod sockets;
 
--- a/crates/platform-host/src/memory_replication.rs
+++ b/crates/platform-host/src/service_rate_replication.rs
@@ -1,6 +1,6 @@
-//! Replication of what a host remembers of its shards. Hosts of the platform have no disk, so a host stores the service rate of each
-//! shard at three peers at an interval and when it shuts down, and its next generation fetches it back. The sum of what all hosts
-//! remember does not grow by that, so the bound on warming-up nodes holds (docs/design.md). Datagrams may be late, duplicated or
+//! Replication of the service rates of shards. Hosts of the platform have no disk, so a host stores the service rate of each shard
+//! at three peers at an interval and when it shuts down, and its next generation fetches them back. The sum of the rates that all
+//! hosts remember does not grow by that, so the bound on warming-up nodes holds (docs/design.md). Datagrams may be late, duplicated or
 //! lost; a host that fetches nothing starts without rates. No I/O.
 
 mod datagram;
@@ -12,12 +12,12 @@
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, ShardId, TimeDelta};
 
-/// Peers that store the memory of one host. They are evenly apart in the order of hosts, as neighbours are restarted together.
+/// Peers that store the rates of one host. They are evenly apart in the order of hosts, as neighbours are restarted together.
 const REPLICAS: usize = 3;
 /// Interval between replications.
 const REPLICATION_INTERVAL: TimeDelta = TimeDelta::from_millis(5000);
-/// How long stored memory is kept for its host: older rates no longer describe the shards.
-const RETENTION: TimeDelta = TimeDelta::from_millis(30_000);
+/// How long the rates of a peer are stored for it: older ones no longer describe the shards.
+const STORED_RATE_RETENTION: TimeDelta = TimeDelta::from_millis(30_000);
 /// When a new generation fetches, after its start, until it has an answer.
 const FETCH_TIMES: [TimeDelta; 3] =
     [TimeDelta::from_millis(0), TimeDelta::from_millis(300), TimeDelta::from_millis(1000)];
@@ -38,8 +38,8 @@
     bytes: Vec<u8>,
 }
 
-/// What this host stores at its peers and for them.
-pub(crate) struct MemoryReplication {
+/// The service rates that this host stores at its peers, and those that it stores for them.
+pub(crate) struct ServiceRateReplication {
     /// This host's number.
     me: usize,
     /// All hosts by their numbers.
@@ -59,13 +59,13 @@
     pub rejected_datagrams: u64,
 }
 
-impl MemoryReplication {
+impl ServiceRateReplication {
     /// `peers` are all hosts by their numbers, `me` one of them.
     pub(crate) fn new(now: Instant, me: usize, peers: Vec<SocketAddr>) -> Self {
         // Peers start together, and would otherwise all replicate at the same moment.
         let intervals = 1.0 + me as f64 / peers.len().max(1) as f64;
         let first = TimeDelta::from_secs(REPLICATION_INTERVAL.secs() * intervals);
-        MemoryReplication {
+        ServiceRateReplication {
             me,
             peers,
             started_at: now,
@@ -138,7 +138,7 @@
     }
 
     fn stored_for(&mut self, now: Instant, peer: usize, to: SocketAddr) -> Vec<Datagram> {
-        self.stored.retain(|_, stored| now - stored.at < RETENTION);
+        self.stored.retain(|_, stored| now - stored.at < STORED_RATE_RETENTION);
         let of_peer = self.stored.range((peer, 0)..=(peer, u8::MAX));
         of_peer.map(|(_, stored)| Datagram { to, bytes: restore_datagram(&stored.bytes) }).collect()
     }
--- a/crates/platform-host/src/memory_replication/datagram.rs
+++ b/crates/platform-host/src/service_rate_replication/datagram.rs
@@ -1,4 +1,4 @@
-//! The datagrams of memory replication, to bytes and back. docs/protocols/platform.md has the format.
+//! The datagrams of service rate replication, to bytes and back. docs/protocols/platform.md has the format.
 
 use tackmast::interface::ShardId;
 
@@ -10,7 +10,7 @@
 const ENTRY_BYTES: usize = 4;
 /// Entries that fit into a datagram.
 const ENTRIES_PER_DATAGRAM: usize = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / ENTRY_BYTES;
-/// Datagrams that hold the memory of one host. Shards that do not fit are left out, those with the lowest rates first.
+/// Datagrams that hold the rates of one host. Shards that do not fit are left out, those with the lowest rates first.
 const MAX_DATAGRAMS: usize = 8;
 /// The first bytes of each datagram.
 const MAGIC: [u8; 2] = *b"tk";
--- a/crates/platform-host/src/memory_replication/tests.rs
+++ b/crates/platform-host/src/service_rate_replication/tests.rs
@@ -28,15 +28,16 @@
         (2, 3, 4.0, 3),
     ] {
         let all = peers(host_count);
-        let mut hosts: Vec<MemoryReplication> =
-            (0..host_count).map(|me| MemoryReplication::new(at(0.0), usize::from(me), all.clone())).collect();
+        let mut hosts: Vec<ServiceRateReplication> = (0..host_count)
+            .map(|me| ServiceRateReplication::new(at(0.0), usize::from(me), all.clone()))
+            .collect();
         let rates: Vec<_> = (0..shards).map(|shard| (ShardId(shard), 1.0 + f64::from(shard) / 7.0)).collect();
         let index = |address: &SocketAddr| usize::from(address.port() - 1000);
         for Datagram { to, bytes } in hosts[0].hand_off(rates.clone()) {
             assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             hosts[index(&to)].handle_datagram(at(1.0), all[0], &bytes);
         }
-        hosts[0] = MemoryReplication::new(at(1.0 + downtime), 0, all.clone());
+        hosts[0] = ServiceRateReplication::new(at(1.0 + downtime), 0, all.clone());
         let fetches = hosts[0].handle_timeout(at(1.0 + downtime), Vec::new);
         for Datagram { to, bytes } in fetches {
             for Datagram { bytes: answer, .. } in
@@ -64,7 +65,7 @@
 #[test]
 fn malformed_or_unrequested_datagrams_change_nothing() {
     let all = peers(4);
-    let mut replication = MemoryReplication::new(at(0.0), 0, all.clone());
+    let mut replication = ServiceRateReplication::new(at(0.0), 0, all.clone());
     let stranger: SocketAddr = "127.0.0.1:9".parse().unwrap();
     let valid = vec![b't', b'k', STORE, 0, 1, 0, 7, 0x40, 0];
     for (from, bytes) in [
@@ -91,7 +92,7 @@
     assert_eq!(sent, 3 * 3 + 3, "three fetches and one replication to three peers");
     // A host that is not among its peers, or has none.
     for (me, peer_count) in [(3, 0), (9, 4), (0, 1)] {
-        let mut odd = MemoryReplication::new(at(0.0), me, peers(peer_count));
+        let mut odd = ServiceRateReplication::new(at(0.0), me, peers(peer_count));
         let sent = odd.handle_timeout(at(9.0 * 9.0), || vec![(ShardId(1), 2.0)]).len();
         assert!(sent == 0 || peer_count > 1, "{me} of {peer_count}: {sent}");
     }
@@ -100,7 +101,7 @@
     replication.handle_datagram(at(6.2), all[1], &restore);
     assert!(replication.poll_restored().is_empty());
     // Rates that are not finite or not positive are left out.
-    let mut replication = MemoryReplication::new(at(0.0), 0, all.clone());
+    let mut replication = ServiceRateReplication::new(at(0.0), 0, all.clone());
     replication.handle_timeout(at(0.1), Vec::new);
     replication.handle_datagram(at(0.2), all[1], &restore);
     assert_eq!(replication.poll_restored(), [(ShardId(9), 2.0)]);
--- a/crates/platform-host/tests/memory_replication.rs
+++ b/crates/platform-host/tests/service_rate_replication.rs
@@ -111,7 +111,9 @@
         restarted.call(1000 + since.elapsed().as_millis() as u32);
         std::thread::sleep(Duration::from_millis(100));
     }
-    assert_eq!(restarted.shut_down().restored_shards, 1, "the shard that it had called");
+    let status = restarted.shut_down();
+    assert_eq!(status.restored_shards, 1, "the shard that it had called");
+    assert!(status.rejected_datagrams >= 1, "the stranger's");
     assert_eq!(
         (second.shut_down().restored_shards, third.shut_down().restored_shards),
         (0, 0),
