--- a/crates/consensus/src/chunks.rs
+++ b/crates/consensus/src/chunks.rs
@@ -18,7 +18,7 @@
 /// Chunks that are requested beyond those received.
 const CHUNKS_AHEAD: u16 = 8;
 /// Retries without a chunk after which a message is given up.
-const MAX_RETRIES: u32 = 30;
+const MAX_MESSAGE_RETRIES: u32 = 30;
 /// Retries after which a sender's newer message replaces one that is more than half received.
 const RETRIES_BEFORE_REPLACED: u32 = 2;
 
@@ -257,7 +257,7 @@
     /// Requests missing chunks again, and gives up messages that make no progress.
     pub fn handle_timeout(&mut self, now: Instant) {
         let before = self.incoming.len();
-        self.incoming.retain(|message| message.retries < MAX_RETRIES);
+        self.incoming.retain(|message| message.retries < MAX_MESSAGE_RETRIES);
         self.lost += (before - self.incoming.len()) as u64;
         let retry_interval = self.settings.retry_interval;
         let is_due = |message: &&mut IncomingMessage| now - message.last_progress >= retry_interval;
--- a/crates/consensus/src/raft/learner.rs
+++ b/crates/consensus/src/raft/learner.rs
@@ -7,7 +7,7 @@
 use tackmast_wire::consensus::{Entry, Message};
 
 /// Heartbeat intervals without a response after which a learner sends its request again.
-const RETRY_HEARTBEATS: f64 = 3.0;
+const FETCH_RETRY_HEARTBEATS: f64 = 3.0;
 
 /// What a learner still lacks, and where it asks for it.
 #[derive(Clone, Debug, Default)]
@@ -64,7 +64,7 @@
     }
 
     fn fetch_committed(&mut self, now: Instant) {
-        self.fetch.retry_at = Some(now + self.settings.heartbeats(RETRY_HEARTBEATS));
+        self.fetch.retry_at = Some(now + self.settings.heartbeats(FETCH_RETRY_HEARTBEATS));
         let Some(source) = self.fetch.source else { return };
         self.send(source, Message::FetchCommitted { stored_index: self.commit_index });
     }
--- a/crates/consensus/src/replica/proposals.rs
+++ b/crates/consensus/src/replica/proposals.rs
@@ -14,7 +14,7 @@
 /// Election timeouts after which a proposal is given up. It may still be committed later.
 const PROPOSAL_TIMEOUTS: f64 = 12.0;
 /// Heartbeat intervals after which a proposal without a result is sent again.
-const RETRY_HEARTBEATS: f64 = 4.0;
+const PROPOSAL_RETRY_HEARTBEATS: f64 = 4.0;
 
 /// A proposal that is not known to be committed.
 #[derive(Clone)]
@@ -76,7 +76,7 @@
                 None
             }
         };
-        let retry_at = now + self.settings.heartbeats(RETRY_HEARTBEATS);
+        let retry_at = now + self.settings.heartbeats(PROPOSAL_RETRY_HEARTBEATS);
         if let Some(proposal) = self.proposals.front_mut() {
             proposal.retry_at = retry_at;
             proposal.appended_in_term = appended_in_term;
--- a/crates/host-core/src/core/plans.rs
+++ b/crates/host-core/src/core/plans.rs
@@ -7,6 +7,7 @@
 use crate::plans::{AppliedChange, PlanOutcome, PlanRequest, PlanResponse, PlanUpdate, Plans, StoredPlans};
 use bytes::Bytes;
 use tackmast::interface::{Instant, VolumeId};
+use tackmast_membership::CatalogVersion;
 
 impl Core {
     /// Whether clients are to wait until this host knows the newest change of plans. A host that restarts may have outdated plans: a lower
@@ -72,7 +73,8 @@
         self.emit(change.event);
         self.apply_plan_updates(now, &change.updates);
         if let Some(peers) = &mut self.peers {
-            let version = tackmast_membership::CatalogVersion { number: change.number, mark: change.mark };
+            let (number, digest_prefix) = (change.number, change.digest_prefix);
+            let version = CatalogVersion { number, digest_prefix };
             let text = Bytes::from(change.text);
             peers.member.handle_catalog_applied(now, version, text, change.effective_at);
         }
--- a/crates/host-core/src/override_requests.rs
+++ b/crates/host-core/src/override_requests.rs
@@ -11,7 +11,7 @@
 use tackmast_overrides::{Audit, Origin, Override, OverrideId, Overrides, Preview, Refusal};
 
 /// Requests that may wait for the one before them to be persisted.
-const MAX_QUEUED: usize = 256;
+const MAX_QUEUED_REQUESTS: usize = 256;
 /// The time between two reports of active overrides in the log.
 const REPORT_INTERVAL: TimeDelta = TimeDelta::from_millis(3_600_000);
 /// Active overrides that such a report names one by one.
@@ -80,8 +80,8 @@
         let writes =
             matches!(admin_request, AdminRequest::Clear { .. } | AdminRequest::Set { dry_run: false, .. });
         if writes && self.pending.is_some() {
-            if self.queued.len() >= MAX_QUEUED {
-                let why = format!("{MAX_QUEUED} orders wait already");
+            if self.queued.len() >= MAX_QUEUED_REQUESTS {
+                let why = format!("{MAX_QUEUED_REQUESTS} orders wait already");
                 return Some(OverrideOutcome::Respond { request, response: AdminResponse::NotKept { why } });
             }
             self.queued.push_back((request, admin_request));
--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -24,11 +24,11 @@
 };
 
 /// Changes that may wait for the one before them to be persisted.
-const MAX_QUEUED: usize = 256;
+const MAX_QUEUED_CHANGES: usize = 256;
 /// Names of plans that were ever used since this host's start: the scheduler knows plans by numbers, which are not given again.
 const MAX_PLAN_NAMES: usize = 100_000;
 /// What the scheduler gets in place of a limit of zero, which would mean no limit; in units a second.
-const MIN_LIMIT: f64 = 1e-6;
+const LIMIT_IN_PLACE_OF_ZERO: f64 = 1e-6;
 /// The longest change log that fits one answer, in bytes.
 const MAX_LOG_BYTES: usize = 3 << 20;
 
@@ -61,12 +61,12 @@
     catalogue: Catalogue,
 }
 
-/// Hexadecimal digits of a digest that make its mark.
-const MARK_DIGITS: usize = 16;
+/// Hexadecimal digits of a digest that make its prefix.
+const PREFIX_DIGITS: usize = 16;
 
 /// The first eight bytes of a digest, by which hosts compare their change logs.
-fn mark(digest: &str) -> u64 {
-    let digits = digest.get(..MARK_DIGITS).unwrap_or_default();
+fn digest_prefix(digest: &str) -> u64 {
+    let digits = digest.get(..PREFIX_DIGITS).unwrap_or_default();
     u64::from_str_radix(digits, 16).unwrap_or(0)
 }
 
@@ -142,7 +142,7 @@
         }
         if fallback_limit <= 0.0 {
             // Without a burst nothing can be sent, and requests are rejected at once.
-            return Figures { limit: MIN_LIMIT, burst: 0.0, slack, reserve: 0.0, weight };
+            return Figures { limit: LIMIT_IN_PLACE_OF_ZERO, burst: 0.0, slack, reserve: 0.0, weight };
         }
         let volumes = catalogue.volumes.values().filter(|volume| volume.plan == name);
         let min_hosts = volumes.map(|volume| volume.through.len()).min().unwrap_or(0);
@@ -151,10 +151,10 @@
         Figures { limit: fallback_limit, burst, slack, reserve: reserve.min(fallback_limit), weight }
     }
 
-    /// Number and mark of the newest change.
+    /// Number of the newest change, and the prefix of its digest.
     pub fn newest_version(&self) -> CatalogVersion {
         let LogHead { number, digest } = self.change_log().head();
-        CatalogVersion { number, mark: mark(digest) }
+        CatalogVersion { number, digest_prefix: digest_prefix(digest) }
     }
 
     /// Each change as a text, for peers that request it.
@@ -229,8 +229,8 @@
             return Err(PlanError::NotHome { home: self.home, host: self.me });
         }
         if self.pending.is_some() && !dry_run {
-            if self.queued.len() >= MAX_QUEUED {
-                return Err(PlanError::QueueFull { max: MAX_QUEUED });
+            if self.queued.len() >= MAX_QUEUED_CHANGES {
+                return Err(PlanError::QueueFull { max: MAX_QUEUED_CHANGES });
             }
             self.queued.push_back((request, plan_request));
             return Ok(None);
@@ -314,7 +314,7 @@
         Some(AppliedChange {
             updates,
             number: entry.number,
-            mark: mark(&entry.digest),
+            digest_prefix: digest_prefix(&entry.digest),
             text: entry.to_line(),
             effective_at: self.effective_at,
             event,
--- a/crates/host-core/src/plans/changes.rs
+++ b/crates/host-core/src/plans/changes.rs
@@ -76,8 +76,8 @@
     pub updates: Vec<PlanUpdate>,
     /// Its number.
     pub number: u64,
-    /// The mark of all changes up to it.
-    pub mark: u64,
+    /// The prefix of the digest of all changes up to it.
+    pub digest_prefix: u64,
     /// As it is stored and replicated.
     pub text: Vec<u8>,
     /// When all hosts go by it.
--- a/crates/membership/src/catalog_replication.rs
+++ b/crates/membership/src/catalog_replication.rs
@@ -19,8 +19,6 @@
 pub const MAX_CATALOG_UPDATES: usize = 20_000;
 /// Greatest length of one update in bytes.
 pub const MAX_UPDATE_LEN: usize = 1 << 20;
-/// Peers that the version of a new update, or of a new endpoint list, is sent to at once.
-pub(crate) const FANOUT: usize = 3;
 /// Greatest number of peers whose versions are remembered.
 const MAX_PEERS: usize = 100_000;
 
@@ -38,8 +36,8 @@
 pub struct CatalogVersion {
     /// Number of the last update.
     pub number: u64,
-    /// Digest of all updates up to it.
-    pub mark: u64,
+    /// The first eight bytes of the digest of all updates up to it.
+    pub digest_prefix: u64,
 }
 
 /// What a host learns of the catalog.
@@ -123,7 +121,8 @@
     /// The message with the newest update that this host has applied.
     pub(crate) fn version_message(&self, now: Instant) -> CatalogMessage {
         let remaining_ms = ((self.deadline - now).secs().max(0.0) * 1e3).ceil() as u32;
-        CatalogMessage::Version { number: self.newest.number, mark: self.newest.mark, remaining_ms }
+        let CatalogVersion { number, digest_prefix } = self.newest;
+        CatalogMessage::Version { number, digest_prefix, remaining_ms }
     }
 
     /// Number of the newest update that is applied here.
@@ -167,10 +166,11 @@
             return;
         }
         match message {
-            CatalogMessage::Version { number, mark, remaining_ms } => {
+            CatalogMessage::Version { number, digest_prefix, remaining_ms } => {
                 let deadline = now + TimeDelta::from_millis(i64::from(*remaining_ms));
                 self.record_announcement(slot, *number, deadline);
-                self.compare_version(now, from, slot, CatalogVersion { number: *number, mark: *mark });
+                let theirs = CatalogVersion { number: *number, digest_prefix: *digest_prefix };
+                self.compare_version(now, from, slot, theirs);
             }
             CatalogMessage::ChunkRequest { number, piece } => self.send_chunk(from, *number, *piece),
             CatalogMessage::Chunk { .. } => self.handle_chunk(now, from, message),
@@ -198,7 +198,7 @@
         } else if theirs.number < self.newest.number {
             let message = self.version_message(now);
             self.send(from, message);
-        } else if theirs.mark != self.newest.mark && self.reported_fork < theirs.number {
+        } else if theirs.digest_prefix != self.newest.digest_prefix && self.reported_fork < theirs.number {
             self.reported_fork = theirs.number;
             self.fork = Some(CatalogEvent::Fork { slot, number: theirs.number });
         }
--- a/crates/membership/src/catalog_replication/fetch.rs
+++ b/crates/membership/src/catalog_replication/fetch.rs
@@ -8,9 +8,9 @@
 
 /// How long a requested chunk may take. It is then requested again: from the next peer that announces the update, else from
 /// the same one.
-const RETRY_INTERVAL: TimeDelta = TimeDelta::from_millis(100);
+const CHUNK_TIMEOUT: TimeDelta = TimeDelta::from_millis(100);
 /// Retries of one chunk after which a fetch is given up.
-const MAX_RETRIES: u32 = 20;
+const MAX_CHUNK_RETRIES: u32 = 20;
 
 /// What a chunk did for a fetch.
 pub(super) enum FetchProgress {
@@ -64,17 +64,17 @@
 
     /// Whether the chunk that was requested may still arrive in time.
     pub(super) fn is_waiting(&self, now: Instant) -> bool {
-        now - self.requested_at < RETRY_INTERVAL
+        now - self.requested_at < CHUNK_TIMEOUT
     }
 
     /// Whether a chunk was requested too often.
     pub(super) fn is_exhausted(&self) -> bool {
-        self.retries >= MAX_RETRIES
+        self.retries >= MAX_CHUNK_RETRIES
     }
 
     /// When the chunk is to be requested again; none: the fetch is given up.
     pub(super) fn retry_at(&self) -> Option<Instant> {
-        let at = self.requested_at + RETRY_INTERVAL;
+        let at = self.requested_at + CHUNK_TIMEOUT;
         (!self.is_exhausted()).then_some(at)
     }
 
--- a/crates/membership/src/endpoint_list_exchange.rs
+++ b/crates/membership/src/endpoint_list_exchange.rs
@@ -22,7 +22,7 @@
 /// Greatest number of doublings that are computed; the interval has reached its maximum long before.
 const MAX_DOUBLINGS: u32 = 16;
 /// Greatest number of events that wait to be polled.
-const MAX_EVENTS: usize = 4_096;
+const MAX_QUEUED_NOTICES: usize = 4_096;
 
 /// What a host learns of the endpoint lists that others hold.
 #[derive(Clone, Debug, PartialEq)]
@@ -161,7 +161,7 @@
     }
 
     fn push_event(&mut self, event: EndpointListNotice) {
-        if self.events.len() < MAX_EVENTS {
+        if self.events.len() < MAX_QUEUED_NOTICES {
             self.events.push_back(event);
         } else {
             self.dropped += 1;
--- a/crates/membership/src/member/outputs.rs
+++ b/crates/membership/src/member/outputs.rs
@@ -1,7 +1,7 @@
 //! Collects what the machines of a member have to send and to report.
 
 use super::{Member, Output, MAX_OUTPUTS};
-use crate::catalog_replication::{CatalogEvent, FANOUT};
+use crate::catalog_replication::CatalogEvent;
 use crate::event::MembershipEvent;
 use crate::quota_leases::{LeaseTransmit, PreviousExit, QuotaLeases};
 use crate::view::{SiteHealth, TakeOver, ViewEvent};
@@ -10,6 +10,9 @@
 use tackmast::interface::Instant;
 use tackmast_wire::peer::{Body, Datagram, MemberUpdate};
 
+/// Peers that the version of a new catalog update, or of a new endpoint list, is sent to at once.
+const VERSION_FANOUT: usize = 3;
+
 impl Member {
     /// Sends the view's messages. The view does not know of overrides, so their digest is filled in here. Beside each
     /// digest go the versions of the catalog and of the endpoint list.
@@ -108,7 +111,7 @@
 
     /// Sends a message to a few random members.
     pub(super) fn send_to_some(&mut self, now: Instant, body: &Body) {
-        for slot in self.view.pick(now, FANOUT, None) {
+        for slot in self.view.pick(now, VERSION_FANOUT, None) {
             if let Some(to) = self.view.address(slot) {
                 self.send(to, body.clone());
             }
--- a/crates/membership/src/override_gossip.rs
+++ b/crates/membership/src/override_gossip.rs
@@ -15,7 +15,7 @@
 /// Greatest number of known overrides, ended ones included.
 const MAX_KNOWN: usize = 20_000;
 /// How long an override is remembered after its end, beside a fraction of its duration: peers' clocks may be slower.
-const RETENTION: TimeDelta = TimeDelta::from_millis(60_000);
+const RETENTION_AFTER_END: TimeDelta = TimeDelta::from_millis(60_000);
 /// Fraction of an override's duration for which it is remembered longer after its end.
 const RETENTION_FRACTION: f64 = 0.02;
 /// Overrides with no more time left than this are not in the digest: hosts may differ on whether they have ended.
@@ -23,7 +23,7 @@
 /// Overrides with less time left than this count as ended.
 const MIN_REMAINING: TimeDelta = TimeDelta::from_millis(50);
 /// Bytes that an override's checksum is computed of.
-const CHECKSUM_INPUT_LEN: usize = 21;
+const OVERRIDE_CHECKSUM_INPUT_LEN: usize = 21;
 
 /// What this host is to do about an override that another host took.
 #[derive(Clone, Debug, PartialEq)]
@@ -150,11 +150,11 @@
 
 /// How long an override of so many seconds is remembered after its end.
 fn retention_time(duration_secs: f64) -> TimeDelta {
-    TimeDelta::from_secs(RETENTION.secs() + RETENTION_FRACTION * duration_secs)
+    TimeDelta::from_secs(RETENTION_AFTER_END.secs() + RETENTION_FRACTION * duration_secs)
 }
 
 fn checksum(origin: &Origin, cleared: bool) -> u32 {
-    let mut bytes = [0u8; CHECKSUM_INPUT_LEN];
+    let mut bytes = [0u8; OVERRIDE_CHECKSUM_INPUT_LEN];
     bytes[..4].copy_from_slice(&origin.slot.to_be_bytes());
     bytes[4..12].copy_from_slice(&origin.generation.to_be_bytes());
     bytes[12..20].copy_from_slice(&origin.number.to_be_bytes());
--- a/crates/membership/src/quota_leases/pool.rs
+++ b/crates/membership/src/quota_leases/pool.rs
@@ -9,7 +9,7 @@
 /// Time constant of the exponential average of demand.
 const DEMAND_TIME_CONSTANT: TimeDelta = TimeDelta::from_millis(2_000);
 /// Least limit in units a second that demand is compared with, so that nothing is divided by 0.
-const MIN_LIMIT: f64 = 1e-9;
+const MIN_COMPARED_LIMIT: f64 = 1e-9;
 /// Greatest number of requests to one lender, and of leases granted to one borrower, that are remembered.
 const MAX_OPEN: usize = 16;
 
@@ -35,7 +35,7 @@
 
     /// The share of a limit, in units a second, that this demand needs.
     fn needed_share(&self, now: Instant, limit: f64) -> f64 {
-        DEMAND_HEADROOM * self.rate * self.decay(now) / limit.max(MIN_LIMIT)
+        DEMAND_HEADROOM * self.rate * self.decay(now) / limit.max(MIN_COMPARED_LIMIT)
     }
 }
 
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -244,7 +244,7 @@
     pub fn handle_received(&mut self, now: Instant, slot: u32, generation: u64) {
         let silence = now - self.last_received;
         self.last_received = now;
-        if silence >= self.periods(local_health::SILENCE_PERIODS) {
+        if silence >= self.periods(local_health::CUT_OFF_PERIODS) {
             self.end_isolation(now);
         }
         let state = self.members.get(slot).filter(|state| state.generation == generation);
--- a/crates/membership/src/view/dissemination.rs
+++ b/crates/membership/src/view/dissemination.rs
@@ -11,7 +11,7 @@
 /// Greatest number of queued updates that are piggybacked on one message.
 const MAX_PIGGYBACKED: usize = 8;
 /// Members that an urgent update is gossiped to at once.
-const FANOUT: usize = 3;
+const URGENT_GOSSIP_FANOUT: usize = 3;
 
 impl View {
     /// The updates to piggyback on a message: those sent least often first. A message to a member that is suspected or held
@@ -37,7 +37,7 @@
     /// Sends queued updates to a few random members at once.
     pub(super) fn gossip_now(&mut self) {
         let mut live = self.live().to_vec();
-        for _ in 0..FANOUT.min(live.len()) {
+        for _ in 0..URGENT_GOSSIP_FANOUT.min(live.len()) {
             let index = self.random.rand_range(0..live.len() as u64) as usize;
             let slot = live.swap_remove(index);
             if let Some(to) = self.address(slot) {
--- a/crates/membership/src/view/local_health.rs
+++ b/crates/membership/src/view/local_health.rs
@@ -13,7 +13,7 @@
 /// By how much a pause raises the score.
 const PAUSE_SCORE: u32 = 2;
 /// Protocol periods without any answer, or without any datagram, after which a host counts itself as cut off.
-pub(super) const SILENCE_PERIODS: f64 = 3.0;
+pub(super) const CUT_OFF_PERIODS: f64 = 3.0;
 /// Protocol periods without any datagram after which it declares the others dead all the same.
 const LONG_SILENCE_PERIODS: f64 = 25.0;
 /// Protocol periods from the first datagram after an isolation until deaths that were declared in it are gossiped.
@@ -82,7 +82,7 @@
     /// answered it for some periods. After a long time without any datagram it does not any more, as the others may really
     /// be dead.
     pub(super) fn is_cut_off(&self, now: Instant) -> bool {
-        let is_unanswered = now - self.last_answered >= self.periods(SILENCE_PERIODS);
+        let is_unanswered = now - self.last_answered >= self.periods(CUT_OFF_PERIODS);
         let may_be_cut_off = self.settings.extensions.local_health && self.live_count() > 0 && is_unanswered;
         may_be_cut_off && now - self.last_received < self.periods(LONG_SILENCE_PERIODS)
     }
@@ -90,7 +90,7 @@
     /// Whether this host receives no datagrams. Deaths that it declares now are not gossiped, and any peer's update
     /// supersedes them.
     pub(super) fn is_isolated(&self, now: Instant) -> bool {
-        let is_silent = now - self.last_received >= self.periods(SILENCE_PERIODS);
+        let is_silent = now - self.last_received >= self.periods(CUT_OFF_PERIODS);
         self.settings.extensions.local_health && is_silent
     }
 
--- a/crates/membership/src/view/member_table.rs
+++ b/crates/membership/src/view/member_table.rs
@@ -99,11 +99,11 @@
 }
 
 /// Bytes that a member's checksum is computed of.
-const CHECKSUM_INPUT_LEN: usize = 39;
+const MEMBER_CHECKSUM_INPUT_LEN: usize = 39;
 
 /// Checksum of one member's state; a digest is the sum of all.
 pub(super) fn checksum(update: &MemberUpdate) -> u32 {
-    let mut bytes = [0u8; CHECKSUM_INPUT_LEN];
+    let mut bytes = [0u8; MEMBER_CHECKSUM_INPUT_LEN];
     bytes[..4].copy_from_slice(&update.slot.to_be_bytes());
     bytes[4..12].copy_from_slice(&update.generation.to_be_bytes());
     bytes[12..16].copy_from_slice(&update.incarnation.to_be_bytes());
--- a/crates/membership/src/view/sites.rs
+++ b/crates/membership/src/view/sites.rs
@@ -9,7 +9,7 @@
 /// Protocol periods between the first and the last failure of a site's hosts, at most, if they failed together.
 const TOGETHER_PERIODS: f64 = 12.0;
 /// Protocol periods without any datagram after which a host reports no site.
-const SILENCE_PERIODS: f64 = 4.0;
+const SITE_SILENCE_PERIODS: f64 = 4.0;
 
 /// Health of a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -81,7 +81,7 @@
     /// Reports sites whose health has changed. A host that receives nothing reports none: it is as likely cut off itself,
     /// and would report every site as down.
     pub(super) fn report_sites(&mut self, now: Instant) {
-        if now - self.last_received > self.periods(SILENCE_PERIODS) {
+        if now - self.last_received > self.periods(SITE_SILENCE_PERIODS) {
             return;
         }
         for state in self.sites() {
--- a/crates/membership/tests/decision_hash.rs
+++ b/crates/membership/tests/decision_hash.rs
@@ -166,7 +166,7 @@
 }
 
 /// Takes the place of the hash chain over all updates up to that one.
-fn update_mark(number: u64) -> u64 {
+fn update_digest_prefix(number: u64) -> u64 {
     number * 1_000_003
 }
 
@@ -296,7 +296,7 @@
         self.host(host).updates.insert(number, text.clone());
         self.input(host, |member, now| {
             let ends = member.catalog.deadline(number, now);
-            let version = CatalogVersion { number, mark: update_mark(number) };
+            let version = CatalogVersion { number, digest_prefix: update_digest_prefix(number) };
             member.handle_catalog_applied(now, version, text, ends);
         });
     }
@@ -368,10 +368,10 @@
         };
         let mut member = Member::new(now, settings);
         let newest = host.updates.keys().last().copied().unwrap_or(0);
-        let mark = if newest > 0 { update_mark(newest) } else { 0 };
+        let digest_prefix = if newest > 0 { update_digest_prefix(newest) } else { 0 };
         let updates = host.updates.iter();
         let updates = updates.map(|(number, text)| CatalogUpdate { number: *number, text: text.clone() });
-        member.catalog.enable(CatalogVersion { number: newest, mark }, updates);
+        member.catalog.enable(CatalogVersion { number: newest, digest_prefix }, updates);
         host.member = Some(member);
         host.dead.clear();
         host.overrides.clear();
--- a/crates/membership/tests/member.rs
+++ b/crates/membership/tests/member.rs
@@ -291,7 +291,7 @@
     member.catalog.enable(CatalogVersion::default(), []);
     let at = |seconds: f64| Instant::from_secs(10.0 + seconds);
     let version =
-        |number| Body::Catalog(CatalogMessage::Version { number, mark: number, remaining_ms: 5000 });
+        |number| Body::Catalog(CatalogMessage::Version { number, digest_prefix: number, remaining_ms: 5000 });
     member.handle_datagram(at(0.0), address(1), datagram(1, 1, version(u64::MAX), vec![]));
     assert_eq!((member.catalog.missing(), member.catalog.is_up_to_date()), (Some(u64::MAX), false));
     (1..40).for_each(|tenth| member.handle_timeout(at(f64::from(tenth) * 0.1)));
@@ -325,7 +325,7 @@
     assert_eq!(received, [CatalogUpdate { number: 1, text: Bytes::from(text) }]);
     member.handle_catalog_applied(
         at(5.1),
-        CatalogVersion { number: 1, mark: 1 },
+        CatalogVersion { number: 1, digest_prefix: 1 },
         received[0].text.clone(),
         at(9.0),
     );
--- a/crates/platform-host/src/request_ids.rs
+++ b/crates/platform-host/src/request_ids.rs
@@ -4,7 +4,7 @@
 use tackmast::interface::{Instant, TimeDelta};
 
 /// How long the id of a finished request is remembered.
-const RETENTION: TimeDelta = TimeDelta::from_millis(5000);
+const FINISHED_ID_RETENTION: TimeDelta = TimeDelta::from_millis(5000);
 /// Ids of finished requests that are remembered; the oldest is forgotten beyond.
 const MAX_FINISHED: usize = 4096;
 
@@ -37,7 +37,7 @@
         if let Some(id) = self.open.remove(&connection) {
             self.finished.push_back((now, id));
         }
-        let is_old = |finished: &mut (Instant, String)| now - finished.0 > RETENTION;
+        let is_old = |finished: &mut (Instant, String)| now - finished.0 > FINISHED_ID_RETENTION;
         while let Some((_, id)) = self.finished.pop_front_if(is_old) {
             self.in_use.remove(&id);
         }
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -171,7 +171,7 @@
                     let ends = m.catalog.deadline(p.number, at(self.now));
                     m.handle_catalog_applied(
                         at(self.now),
-                        CatalogVersion { number: p.number, mark: p.number },
+                        CatalogVersion { number: p.number, digest_prefix: p.number },
                         p.text,
                         ends,
                     );
@@ -246,7 +246,7 @@
         if let Some(m) = self.members.get_mut(&0) {
             m.handle_catalog_applied(
                 now,
-                CatalogVersion { number, mark: number },
+                CatalogVersion { number, digest_prefix: number },
                 Bytes::from(vec![0; bytes]),
                 now + TimeDelta::from_secs(5.0),
             );
--- a/crates/wire/src/peer/decode.rs
+++ b/crates/wire/src/peer/decode.rs
@@ -106,7 +106,7 @@
     Ok(match kind {
         kind::CATALOG_VERSION => CatalogMessage::Version {
             number,
-            mark: fields.u64("mark")?,
+            digest_prefix: fields.u64("mark")?,
             remaining_ms: fields.u32("time left")?,
         },
         kind::CATALOG_CHUNK_REQUEST => CatalogMessage::ChunkRequest { number, piece: fields.u16("piece")? },
--- a/crates/wire/src/peer/encode.rs
+++ b/crates/wire/src/peer/encode.rs
@@ -111,10 +111,10 @@
 
 fn put_catalog(out: &mut BytesMut, message: &CatalogMessage) {
     match message {
-        CatalogMessage::Version { number, mark, remaining_ms } => {
+        CatalogMessage::Version { number, digest_prefix, remaining_ms } => {
             out.put_u8(kind::CATALOG_VERSION);
             out.put_u64(*number);
-            out.put_u64(*mark);
+            out.put_u64(*digest_prefix);
             out.put_u32(*remaining_ms);
         }
         CatalogMessage::ChunkRequest { number, piece } => {
--- a/crates/wire/src/peer/message.rs
+++ b/crates/wire/src/peer/message.rs
@@ -184,8 +184,8 @@
     Version {
         /// Number of the update.
         number: u64,
-        /// Digest of all updates up to it.
-        mark: u64,
+        /// The first eight bytes of the digest of all updates up to it.
+        digest_prefix: u64,
         /// Milliseconds until every host must have applied it.
         remaining_ms: u32,
     },
--- a/crates/wire/tests/golden_bytes.rs
+++ b/crates/wire/tests/golden_bytes.rs
@@ -240,7 +240,7 @@
         ),
         (
             "catalog version",
-            Body::Catalog(CatalogMessage::Version { number: 22, mark: 23, remaining_ms: 24 }),
+            Body::Catalog(CatalogMessage::Version { number: 22, digest_prefix: 23, remaining_ms: 24 }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a000000020d\
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -66,7 +66,7 @@
         Body::Lease(LeaseMessage::Recall { volume: 17 }),
         Body::Lease(LeaseMessage::Returned { recipient_generation: 21, volume: 18 }),
         Body::Overrides(vec![record(&long), record("")]),
-        Body::Catalog(CatalogMessage::Version { number: 22, mark: 23, remaining_ms: 24 }),
+        Body::Catalog(CatalogMessage::Version { number: 22, digest_prefix: 23, remaining_ms: 24 }),
         Body::Catalog(CatalogMessage::ChunkRequest { number: 25, piece: 26 }),
         Body::Catalog(CatalogMessage::Chunk {
             number: 27,
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -6,13 +6,13 @@
 /// The upper edge of the lowest bin.
 const LOWEST_LATENCY: TimeDelta = TimeDelta::from_millis(2);
 /// Answers after which the counts are halved.
-const WINDOW: f64 = 64.0;
+const LATENCY_WINDOW: f64 = 64.0;
 /// The quantile that stands for the usual latency.
 const MEDIAN: f64 = 0.5;
 
 /// Latencies of which none is known.
 pub fn no_latencies() -> Histogram {
-    Histogram::new(LOWEST_LATENCY.secs(), WINDOW)
+    Histogram::new(LOWEST_LATENCY.secs(), LATENCY_WINDOW)
 }
 
 /// The median latency, in seconds; none without an answer.
--- a/src/policy/loss_detection.rs
+++ b/src/policy/loss_detection.rs
@@ -7,7 +7,7 @@
 use crate::interface::SchedulerEvent;
 
 /// Attempts, lost and answered, after which the counts are halved.
-const WINDOW: f64 = 128.0;
+const LOSS_WINDOW: f64 = 128.0;
 /// Lost attempts that are needed before attempts count as getting lost.
 const MIN_LOST: f64 = 2.0;
 /// Attempts count as getting lost while more than this fraction of them is.
@@ -26,7 +26,7 @@
     pub fn record(&mut self, is_lost: bool, is_answered: bool) -> Option<SchedulerEvent> {
         self.lost += f64::from(u8::from(is_lost));
         self.answered += f64::from(u8::from(is_answered));
-        if self.lost + self.answered >= WINDOW {
+        if self.lost + self.answered >= LOSS_WINDOW {
             self.lost /= 2.0;
             self.answered /= 2.0;
         }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -2,12 +2,12 @@
 //!
 //! Errors, silence and refused connections count alike. An ejected node still gets probes: one attempt at a time, and no sooner
 //! than a probe interval after the last. A single good answer brings it back on its ordinary concurrency limit, since the counts that fade
-//! stay below `WINDOW`.
+//! stay below `OUTCOME_WINDOW`.
 
 use crate::interface::{Instant, Outcome, TimeDelta};
 
 /// Answers after which the counts are halved, so that old ones fade.
-const WINDOW: f64 = 16.0;
+const OUTCOME_WINDOW: f64 = 16.0;
 /// Bad answers that are needed before a node is ejected.
 const MIN_FAILURES: f64 = 6.0;
 /// A node is ejected while less than this fraction of its answers is good.
@@ -42,7 +42,7 @@
             // Neither says whether the node is well: a full node works, and the others did not reach it.
             Outcome::Full | Outcome::Cancelled | Outcome::Skipped => {}
         }
-        if self.successes + self.failures >= WINDOW {
+        if self.successes + self.failures >= OUTCOME_WINDOW {
             self.successes /= 2.0;
             self.failures /= 2.0;
         }
