--- a/crates/host-core/src/core/removed_nodes/tests.rs
+++ b/crates/host-core/src/core/removed_nodes/tests.rs
@@ -6,7 +6,7 @@
 use crate::output::Output;
 use tackmast::interface::Instant;
 use tackmast_config::HostSettings;
-use tackmast_membership::{NodeListEvent, NodeRemoval};
+use tackmast_membership::{EndpointListNotice, NodeRemoval};
 
 const SETTINGS: &str = r#"
 host {
@@ -47,7 +47,7 @@
 fn remove_nodes(core: &mut Core, version: u64, count: usize) {
     for node in 0..count {
         let removal = NodeRemoval { address: format!("v{version} node {node}"), gone: true };
-        core.handle_peer_node_list(now(), NodeListEvent::Removed { version, removal });
+        core.handle_peer_list_notice(now(), EndpointListNotice::Removed { version, removal });
     }
 }
 
@@ -68,12 +68,12 @@
     remove_nodes(&mut core, 2, MAX_REMOVED_NODES + 1);
     assert_eq!(take_full_reports(&mut core), 1);
     for _ in 0..3 {
-        core.handle_own_node_list(now());
+        core.handle_own_endpoint_list(now());
         remove_nodes(&mut core, 3, 1);
     }
     assert_eq!(take_full_reports(&mut core), 0, "none has ended");
     core.list_version = 2;
-    core.handle_own_node_list(now());
+    core.handle_own_endpoint_list(now());
     remove_nodes(&mut core, 3, MAX_REMOVED_NODES + 1);
     assert_eq!(take_full_reports(&mut core), 1, "full again");
 }
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -1,6 +1,6 @@
 //! Guards the host core's behaviour as a whole against refactorings that must not change it, above all large
 //! renamings. Seeded runs feed some 10,000 inputs into a `Core`: commands of several sessions, ends of attempts,
-//! node lists, orders of administrators, plan changes, datagrams, time, and the host's shutdown. Every output and
+//! endpoint lists, requests of operators, plan changes, datagrams, time, and the host's shutdown. Every output and
 //! every wake-up time is folded into a SHA-256 hash which is compared with a constant. Only numbers and stable
 //! bytes are folded, never `Debug` output, so new names of types and fields move nothing. Lines for the log
 //! count, their wording does not.
@@ -268,11 +268,11 @@
                 self.command(*to);
                 self.verdict(verdict);
             }
-            Output::FollowList { since } => {
+            Output::WatchEndpointList { since } => {
                 self.kind(5);
                 self.number(*since);
             }
-            Output::FetchList => self.kind(6),
+            Output::FetchEndpointList => self.kind(6),
             Output::Persist { request, batch } => {
                 self.kind(7);
                 self.number(*request);
@@ -688,7 +688,7 @@
                     Verdict::Failed => self.counts.failed += 1,
                 }
             }
-            Output::FollowList { .. } | Output::FetchList => self.counts.list_calls += 1,
+            Output::WatchEndpointList { .. } | Output::FetchEndpointList => self.counts.list_calls += 1,
             Output::Persist { request, .. } => {
                 self.counts.writes_to_store += 1;
                 self.hosts[host].unacknowledged.push(request);
--- a/crates/membership/src/member/outputs.rs
+++ b/crates/membership/src/member/outputs.rs
@@ -1,7 +1,7 @@
 //! Collects what the machines of a member have to send and to report.
 
 use super::{Member, Output, MAX_OUTPUTS};
-use crate::catalog_replication::{CatalogEvent, FANOUT};
+use crate::catalog_replication::CatalogEvent;
 use crate::event::MembershipEvent;
 use crate::quota_leases::{LeaseTransmit, PreviousExit, QuotaLeases};
 use crate::view::{SiteHealth, TakeOver, ViewEvent};
@@ -10,9 +10,12 @@
 use tackmast::interface::Instant;
 use tackmast_wire::peer::{Body, Datagram, MemberUpdate};
 
+/// Peers that the version of a new catalog update, or of a new endpoint list, is sent to at once.
+const VERSION_FANOUT: usize = 3;
+
 impl Member {
     /// Sends the view's messages. The view does not know of overrides, so their digest is filled in here. Beside each
-    /// digest go the versions of the catalog and of the node list.
+    /// digest go the versions of the catalog and of the endpoint list.
     pub(super) fn flush_view_with_digests(&mut self, now: Instant) {
         let digest = self.overrides.digest(now);
         let transmits: Vec<Transmit> = std::iter::from_fn(|| self.view.poll_transmit()).collect();
@@ -26,8 +29,8 @@
             if self.catalog.is_enabled() {
                 self.send(to, Body::Catalog(self.catalog.version_message(now)));
             }
-            if self.node_list.is_enabled() {
-                self.send(to, Body::NodeList(self.node_list.version_message()));
+            if self.endpoint_lists.is_enabled() {
+                self.send(to, Body::EndpointList(self.endpoint_lists.version_message()));
             }
         }
     }
@@ -54,11 +57,11 @@
         while let Some(transmit) = self.catalog.poll_transmit() {
             self.send(transmit.to, transmit.body);
         }
-        while let Some(transmit) = self.node_list.poll_transmit() {
+        while let Some(transmit) = self.endpoint_lists.poll_transmit() {
             self.send(transmit.to, transmit.body);
         }
-        while let Some(event) = self.node_list.poll_event() {
-            self.outputs.push_back(Output::NodeList(event));
+        while let Some(event) = self.endpoint_lists.poll_event() {
+            self.outputs.push_back(Output::EndpointList(event));
         }
         while let Some(event) = self.catalog.poll_event() {
             self.outputs.push_back(match event {
@@ -108,7 +111,7 @@
 
     /// Sends a message to a few random members.
     pub(super) fn send_to_some(&mut self, now: Instant, body: &Body) {
-        for slot in self.view.pick(now, FANOUT, None) {
+        for slot in self.view.pick(now, VERSION_FANOUT, None) {
             if let Some(to) = self.view.address(slot) {
                 self.send(to, body.clone());
             }
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -182,11 +182,11 @@
         let now = at(self.now);
         match output {
             Output::Send { to, bytes } => self.send_datagram(host_index, to, &bytes),
-            Output::Event(_) | Output::Persist(_) | Output::Consensus { .. } | Output::NodeList(_) => {}
+            Output::Event(_) | Output::Persist(_) | Output::Consensus { .. } | Output::EndpointList(_) => {}
             Output::CatalogUpdate(update) => {
                 let Some(member) = self.members.get_mut(&host_index) else { return };
                 let deadline = member.catalog.deadline(update.number, now);
-                let version = CatalogVersion { number: update.number, mark: update.number };
+                let version = CatalogVersion { number: update.number, digest_prefix: update.number };
                 member.handle_catalog_applied(now, version, update.text, deadline);
             }
             Output::Override(OverrideEvent::Set { origin, .. }) => {
@@ -257,7 +257,7 @@
     fn apply_plan_change(&mut self, number: u64, bytes: usize) {
         let now = at(self.now);
         if let Some(member) = self.members.get_mut(&0) {
-            let version = CatalogVersion { number, mark: number };
+            let version = CatalogVersion { number, digest_prefix: number };
             let deadline = now + TimeDelta::from_secs(PLAN_DEADLINE_S);
             member.handle_catalog_applied(now, version, Bytes::from(vec![0; bytes]), deadline);
         }
--- a/crates/simulator/src/reference_model.rs
+++ b/crates/simulator/src/reference_model.rs
@@ -259,7 +259,7 @@
         }
         if !self.has_list && self.list_version == 0 {
             self.list_version = 1;
-            return Some(Output::FollowList { since: 0 });
+            return Some(Output::WatchEndpointList { since: 0 });
         }
         let shards: Vec<ShardId> = self.queues.keys().copied().collect();
         shards.into_iter().find_map(|shard| self.send_next(now, shard))
--- a/crates/simulator/src/sim/endpoint_list.rs
+++ b/crates/simulator/src/sim/endpoint_list.rs
@@ -12,7 +12,7 @@
 
 impl Sim<'_> {
     /// A host begins to follow the list, and gets it as it is now.
-    pub(super) fn follow_list(&mut self, host_index: u32) {
+    pub(super) fn watch_endpoint_list(&mut self, host_index: u32) {
         let process = self.process_of(host_index);
         let due = self.now + 2 * self.world.delay_us;
         if self.is_list_failing {
--- a/crates/wire/src/peer/message.rs
+++ b/crates/wire/src/peer/message.rs
@@ -184,8 +184,8 @@
     Version {
         /// Number of the update.
         number: u64,
-        /// Digest of all updates up to it.
-        mark: u64,
+        /// The first eight bytes of the digest of all updates up to it.
+        digest_prefix: u64,
         /// Milliseconds until every host must have applied it.
         remaining_ms: u32,
     },
@@ -209,9 +209,9 @@
     },
 }
 
-/// Which version of the node list hosts hold, and which nodes a newer one removes.
+/// Which version of the endpoint list hosts hold, and which nodes a newer one removes.
 #[derive(Clone, Debug, PartialEq)]
-pub enum NodeListMessage {
+pub enum EndpointListMessage {
     /// The newest version that the sender held.
     Version {
         /// Version of the list.
--- a/crates/wire/tests/golden_bytes/peer_datagrams.rs
+++ b/crates/wire/tests/golden_bytes/peer_datagrams.rs
@@ -3,7 +3,7 @@
 use crate::Differences;
 use bytes::Bytes;
 use tackmast_wire::peer::{
-    Body, CatalogMessage, Datagram, Health, LeaseMessage, MemberUpdate, NodeListMessage, NodeRemoval,
+    Body, CatalogMessage, Datagram, EndpointListMessage, Health, LeaseMessage, MemberUpdate, NodeRemoval,
     OverrideKind, OverrideRecord, ProbeMessage,
 };
 
@@ -202,7 +202,7 @@
         ),
         (
             "catalog version",
-            Body::Catalog(CatalogMessage::Version { number: 22, mark: 23, remaining_ms: 24 }),
+            Body::Catalog(CatalogMessage::Version { number: 22, digest_prefix: 23, remaining_ms: 24 }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a000000020d\
@@ -250,7 +250,7 @@
         ),
         (
             "node list version",
-            Body::NodeList(NodeListMessage::Version { version: 35 }),
+            Body::EndpointList(EndpointListMessage::Version { version: 35 }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000214\
@@ -258,7 +258,7 @@
         ),
         (
             "node list request",
-            Body::NodeList(NodeListMessage::Request { version: 36 }),
+            Body::EndpointList(EndpointListMessage::Request { version: 36 }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000215\
@@ -266,7 +266,7 @@
         ),
         (
             "node list removals",
-            Body::NodeList(NodeListMessage::Removals { version: 37, removals: stops }),
+            Body::EndpointList(EndpointListMessage::Removals { version: 37, removals: stops }),
             vec![],
             "\
              746d0207666c6565742d610000000301020304050607080000000900040a0102031f0a0000000216\
