--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -19,8 +19,8 @@
 use tackmast_config::{HostSettings, PlansBlock};
 use tackmast_membership::{CatalogVersion, MAX_CATALOG_UPDATES, MAX_UPDATE_LEN};
 use tackmast_plans::{
-    Catalogue, Change, ChangeLog, ChangeLogError, Command, Entry, Fleet, LogHead, Plan, Proposal,
-    ReplicatedPlans, Step,
+    Catalogue, Change, ChangeLog, ChangeLogError, Entry, Fleet, LogHead, Plan, Proposal, ReplicatedPlans,
+    Step,
 };
 
 /// Changes that may wait for the one before them to be persisted.
--- a/crates/host-core/src/plans/replicated.rs
+++ b/crates/host-core/src/plans/replicated.rs
@@ -1,6 +1,9 @@
 //! Plans that hosts change by consensus: committed commands, snapshots, and degraded mode without a lease.
 
-use super::*;
+use super::changes::PlanUpdate;
+use super::Plans;
+use crate::error::PlanError;
+use tackmast_plans::{Change, ChangeLogError, Command, Entry, Proposal, ReplicatedPlans};
 
 /// What a committed command did.
 pub struct CommittedChange {
--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -8,40 +8,29 @@
 mod shutdown;
 mod status;
 
-use peer_link::PeerLink;
 pub use status::{OpenCounts, StartError, Status};
 
-use crate::client_connections::{ClientConnections, ClientEvent};
-use crate::close_reason::CloseReason;
-use crate::list_watch::{Watch, WatchEvent};
-use crate::node_connection::PendingAttempt;
+use self::endpoint_list::MIN_POLL_INTERVAL;
+use self::peer_link::PeerLink;
+use crate::client_connections::ClientConnections;
+use crate::list_watch::Watch;
 use crate::node_connections::NodeConnections;
 use crate::poller::{Poller, Ready, Token, READ};
 use crate::request_ids::RequestIds;
 use crate::resource_budget::ResourceBudget;
 use crate::shutdown_schedule::{ShutdownPhase, ShutdownSchedule};
-use bytes::Bytes;
 use std::collections::HashMap;
 use std::fmt::Display;
-use std::io::{ErrorKind, Read};
 use std::net::{SocketAddr, TcpListener};
 use std::os::unix::net::UnixStream;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use tackmast::interface::{Instant, ListKind, NodeId, NodeState, Outcome, TimeDelta};
+use std::time::Duration;
+use tackmast::interface::{Instant, ListKind, TimeDelta};
 use tackmast_config::TrafficClass;
-use tackmast_host_core::{
-    Age, AttemptResult, CommandRef, Core, CoreSettings, ListEntry, ObjectRequest, Output,
-};
-use tackmast_host_core::{NodeStart, OpaqueRequest, Verdict};
-use tackmast_http::Request;
-use tackmast_platform::{Call, Configuration, List, Reports, Settings};
+use tackmast_host_core::{AttemptResult, Core, CoreSettings};
+use tackmast_platform::{Configuration, Reports, Settings};
 
 /// Interval between checks of the connections' timeouts.
 const TIMEOUT_CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(20);
-/// Connections accepted in one iteration of the loop.
-const MAX_ACCEPTS_PER_ITERATION: usize = 32;
-/// Minimum interval between polls of the endpoint list: well within the time after which a poll counts as a new watch.
-const MIN_POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(50);
 /// Nodes that the host core remembers.
 const MAX_NODES: usize = 1024;
 /// Volumes whose names the host core remembers.
--- a/crates/platform-host/src/host/attempts.rs
+++ b/crates/platform-host/src/host/attempts.rs
@@ -1,6 +1,11 @@
 //! Outputs of the host core towards nodes and clients, and the results of attempts back to it.
 
-use super::*;
+use super::Host;
+use crate::node_connection::PendingAttempt;
+use bytes::Bytes;
+use std::net::SocketAddr;
+use tackmast::interface::{Instant, NodeId, Outcome};
+use tackmast_host_core::{AttemptResult, Output, Verdict};
 
 impl Host {
     pub(super) fn report_attempt_results(&mut self, now: Instant) {
--- a/crates/platform-host/src/host/endpoint_list.rs
+++ b/crates/platform-host/src/host/endpoint_list.rs
@@ -1,6 +1,15 @@
 //! The endpoint list: polling it, applying it, and its move to another address.
 
-use super::*;
+use super::Host;
+use crate::list_watch::WatchEvent;
+use std::net::SocketAddr;
+use std::time::{SystemTime, UNIX_EPOCH};
+use tackmast::interface::{Instant, ListKind, NodeState, TimeDelta};
+use tackmast_host_core::{Age, ListEntry, NodeStart};
+use tackmast_platform::List;
+
+/// Minimum interval between polls of the endpoint list: well within the time after which a poll counts as a new watch.
+pub(super) const MIN_POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(50);
 
 impl Host {
     pub(super) fn poll_list(&mut self, now: Instant) {
--- a/crates/platform-host/src/host/peer_link.rs
+++ b/crates/platform-host/src/host/peer_link.rs
@@ -1,9 +1,11 @@
 //! Datagrams of peers: the service rates of shards, which hosts store for each other.
 
-use super::*;
+use super::{Host, StartError};
+use crate::poller::{Poller, Token, READ};
 use crate::service_rate_replication::{Datagram, ServiceRateReplication, MAX_DATAGRAM_BYTES};
-use std::net::UdpSocket;
-use tackmast::interface::ShardId;
+use std::net::{SocketAddr, UdpSocket};
+use tackmast::interface::{Instant, ShardId};
+use tackmast_platform::Configuration;
 
 /// Datagrams received in one iteration of the loop.
 const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
--- a/crates/platform-host/src/host/requests.rs
+++ b/crates/platform-host/src/host/requests.rs
@@ -1,6 +1,17 @@
 //! Requests of clients, from their connections to the host core.
 
-use super::*;
+use super::Host;
+use crate::client_connections::ClientEvent;
+use crate::close_reason::CloseReason;
+use crate::shutdown_schedule::ShutdownPhase;
+use std::io::ErrorKind;
+use tackmast::interface::{Instant, NodeState};
+use tackmast_host_core::{CommandRef, ObjectRequest, OpaqueRequest};
+use tackmast_http::Request;
+use tackmast_platform::Call;
+
+/// Connections accepted in one iteration of the loop.
+const MAX_ACCEPTS_PER_ITERATION: usize = 32;
 
 impl Host {
     pub(super) fn accept(&mut self, now: Instant) {
--- a/crates/platform-host/src/host/shutdown.rs
+++ b/crates/platform-host/src/host/shutdown.rs
@@ -1,6 +1,11 @@
 //! Signals to the process, and the graceful shutdown. docs/crossings.md has each phase against each event.
 
-use super::*;
+use super::{Host, ProcessSignal};
+use crate::shutdown_schedule::ShutdownPhase;
+use std::fmt::Display;
+use std::io::Read;
+use tackmast::interface::{Instant, TimeDelta};
+use tackmast_platform::Configuration;
 
 /// Rounds of accepting the connections in the listener's backlog before it closes.
 const MAX_BACKLOG_ROUNDS: usize = 128;
--- a/crates/platform-host/src/host/tests.rs
+++ b/crates/platform-host/src/host/tests.rs
@@ -1,7 +1,7 @@
 //! Clients that disconnect after an iteration began, so that the iteration does not report it.
 
 use super::*;
-use std::io::Write;
+use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::time::Instant as Wall;
 
