--- a/crates/cli/src/simulator/error.rs
+++ b/crates/cli/src/simulator/error.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use tackmast_benchmarks::BenchmarkError;
 use tackmast_config::ConfigError;
-use tackmast_simulator::ReportError;
+use tackmast_simulator::{ReportError, UnsupportedScript};
 
 /// Why a run in virtual time could not be made.
 #[derive(Debug, thiserror::Error)]
@@ -34,6 +34,14 @@
     /// A workload or a script is wrong.
     #[error(transparent)]
     Config(#[from] ConfigError),
+    /// The script can't be played in virtual time.
+    #[error("{}: {source}", path.display())]
+    Script {
+        /// The file.
+        path: PathBuf,
+        /// What is not simulated.
+        source: UnsupportedScript,
+    },
     /// A file could not be read or written.
     #[error("{}: {source}", path.display())]
     File {
--- a/crates/cli/src/simulator/play.rs
+++ b/crates/cli/src/simulator/play.rs
@@ -85,7 +85,8 @@
 
     /// The world of a scenario script. Prints what of the script has no counterpart in virtual time.
     fn scenario_world(&self, file: &Path) -> Result<World, SimulatorError> {
-        let (mut world, left_out) = World::of_script(Script::read(file)?, self.seed);
+        let unsupported = |source| SimulatorError::Script { path: file.to_owned(), source };
+        let (mut world, left_out) = World::of_script(Script::read(file)?, self.seed).map_err(unsupported)?;
         world.faults.retain(|_| !self.calm);
         left_out.iter().for_each(|line| println!("left out: {line}"));
         Ok(world)
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -28,7 +28,7 @@
 pub use hunt::{hunt, shrink, shrink_worse, without_orders, worse_than};
 pub use reference_model::ReferenceModel;
 pub use report::{curves, page, LatencyCurve, ReportError, Series};
-pub use scenario_script::{ScenarioScript, ScriptRequest};
+pub use scenario_script::{ScenarioScript, ScriptRequest, UnsupportedScript};
 pub use sim::{run, settings, Class, Mutant, Run};
 pub use tackmast_consensus::ConsensusFault;
 pub use tackmast_membership::{Extensions, ViewFault};
--- a/crates/simulator/src/scenario_script.rs
+++ b/crates/simulator/src/scenario_script.rs
@@ -18,6 +18,14 @@
 /// A world ends this long after the last traffic of its script, in seconds.
 const TAIL_S: f64 = 0.5;
 
+/// Why a script can't be played in virtual time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum UnsupportedScript {
+    /// Its hosts change plans by consensus.
+    #[error("a script with the block agreement; expected one without: consensus is not simulated here, `tackmast scenario` plays it")]
+    Consensus,
+}
+
 /// A script of `tackmast scenario`, shared by the worlds made of it.
 #[derive(Clone)]
 pub struct ScenarioScript(Arc<Script>);
@@ -77,8 +85,12 @@
 }
 
 impl World {
-    /// A script as a world, and what of it the simulator does not model.
-    pub fn of_script(script: Script, seed: u64) -> (World, Vec<String>) {
+    /// A script as a world, and what of it the simulator does not model. Consensus can't be left out: without it the script's hosts
+    /// would refuse their settings.
+    pub fn of_script(script: Script, seed: u64) -> Result<(World, Vec<String>), UnsupportedScript> {
+        if script.settings.consensus.is_some() {
+            return Err(UnsupportedScript::Consensus);
+        }
         let script = ScenarioScript(Arc::new(script));
         let mut world = World::generate(seed, script.scenario.hosts);
         world.nodes = script.named_nodes().count() as u32;
@@ -101,6 +113,6 @@
         }
         world.members = script.scenario.members.then_some(0.0);
         world.scenario = Some(script);
-        (world, left_out)
+        Ok((world, left_out))
     }
 }
--- a/crates/simulator/tests/simulation.rs
+++ b/crates/simulator/tests/simulation.rs
@@ -3,7 +3,7 @@
 use tackmast_scenario::Script;
 use tackmast_simulator::{
     hunt, play, play_with, shrink, shrink_worse, worse_than, Change, Found, Mutant, ReferenceModel, Run,
-    World,
+    UnsupportedScript, World,
 };
 use tackmast_trace::{Event, Line};
 
@@ -121,7 +121,7 @@
         world.clients = [0, 0];
         let small = world.scaled(scaled);
         let script = Script::parse("kept", &small.to_script()).unwrap_or_else(|e| panic!("{e}"));
-        let (again, _) = World::of_script(script, seed);
+        let (again, _) = World::of_script(script, seed).unwrap();
         assert_eq!((again.hosts, again.nodes), (small.hosts, small.nodes));
         let (generated, exported) = (play(&small, None), play(&again, None));
         assert!(
@@ -144,7 +144,8 @@
 fn exported_find_is_found_again() {
     let found = hunt(1, 10, 6, Some(Mutant::AnswerTwice)).expect("found in the test above");
     let smaller = shrink(&World::generate(found.seed, 6), Some(Mutant::AnswerTwice));
-    let (again, _) = World::of_script(Script::parse("kept", &smaller.to_script()).unwrap(), found.seed);
+    let (again, _) =
+        World::of_script(Script::parse("kept", &smaller.to_script()).unwrap(), found.seed).unwrap();
     assert!(play(&again, Some(Mutant::AnswerTwice)).is_bad() && !play(&again, None).is_bad());
 }
 
@@ -162,7 +163,7 @@
         }
         for seed in 1..5 {
             let script = Script::read(&path).unwrap_or_else(|error| panic!("{error}"));
-            let (world, _) = World::of_script(script, seed);
+            let (world, _) = World::of_script(script, seed).unwrap();
             let found = play(&world, None);
             assert!(!found.is_bad() && found.run.fallen == 0, "{} {seed}\n{}", path.display(), found.report);
         }
@@ -171,6 +172,16 @@
     assert!(played >= 8, "{played} scenarios");
 }
 
+/// A developer plays a script in virtual time whose hosts use consensus, which is not simulated. The command used to panic on the settings of
+/// the first host; it has to say what is not supported.
+#[test]
+fn script_with_consensus_is_refused() {
+    let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../../scenarios/consensus/minority-partition.hcl");
+    let script = Script::read(&path).unwrap_or_else(|error| panic!("{error}"));
+    assert_eq!(World::of_script(script, 1).map(|_| ()), Err(UnsupportedScript::Consensus));
+}
+
 /// The hunt for worlds in which a reference model serves better than the host core: under a light load it must find no
 /// difference, and in an overload the difference must survive shrinking.
 #[test]
