--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -141,10 +141,11 @@
     /// A host without volumes of its own, around a scheduler that has its settings: its work arrives as requests for objects.
     pub fn with_scheduler(
         now: Instant,
-        scheduler: Scheduler,
+        mut scheduler: Scheduler,
         settings: CoreSettings,
         generation: u64,
     ) -> Self {
+        scheduler.bound_attempts(tables::MAX_ATTEMPTS);
         let CoreSettings { requests, bytes, longest_wait, .. } = settings;
         Core {
             scheduler,
--- a/crates/host-core/src/core/tables.rs
+++ b/crates/host-core/src/core/tables.rs
@@ -38,6 +38,8 @@
 
 /// How many low bits of an `AttemptId` hold the number of the attempt; the bits above hold the request.
 const ATTEMPT_NUMBER_BITS: u32 = 8;
+/// Attempts of one request that their ids distinguish. One more would have the id of the first, and its answer would be dropped as a late one.
+pub(super) const MAX_ATTEMPTS: u32 = 1 << ATTEMPT_NUMBER_BITS;
 /// Selects the number of the attempt in an `AttemptId`.
 const ATTEMPT_NUMBER_MASK: u64 = (1 << ATTEMPT_NUMBER_BITS) - 1;
 
--- a/crates/host-core/tests/object_requests.rs
+++ b/crates/host-core/tests/object_requests.rs
@@ -1,6 +1,7 @@
 //! Requests for objects, in virtual time: on the same path as block commands.
 
 use bytes::Bytes;
+use std::collections::BTreeSet;
 use tackmast::interface::*;
 use tackmast::scheduler::Scheduler;
 use tackmast_config::TrafficClass;
@@ -19,6 +20,8 @@
     sent: Vec<SendAttempt>,
     answers: Vec<(u32, Verdict)>,
     cancelled: Vec<AttemptId>,
+    /// How long clients wait.
+    time_left: TimeDelta,
 }
 
 const EFFECTS: [Effect; 3] = [
@@ -29,14 +32,24 @@
 
 impl Fixture {
     fn new(requests: usize, nodes: usize, volumes: usize) -> Fixture {
+        Fixture::with_attempts(3, seconds(0.3), requests, nodes, volumes)
+    }
+
+    fn with_attempts(
+        max_attempts: u32,
+        latency_objective: TimeDelta,
+        requests: usize,
+        nodes: usize,
+        volumes: usize,
+    ) -> Fixture {
         let now = at(10.0);
         let mut scheduler = Scheduler::new(now, 1, 1, seconds(0.002), 2.0);
         scheduler.add_plan(Plan { limit: 0.0, burst: 0.0, slack: 0.0, reserve: 0.0, weight: 1.0 });
         let traffic_classes: Vec<TrafficClass> = EFFECTS
             .iter()
             .map(|effect| {
-                scheduler.add_traffic_class(seconds(0.3), *effect, false);
-                let (name, latency_objective, deadline) = (String::new(), seconds(0.3), seconds(1.0));
+                scheduler.add_traffic_class(latency_objective, *effect, false);
+                let (name, deadline) = (String::new(), seconds(1.0));
                 TrafficClass {
                     name,
                     latency_objective,
@@ -47,7 +60,7 @@
                 }
             })
             .collect();
-        scheduler.set_attempt_limits(3, seconds(0.5), TimeDelta::ZERO);
+        scheduler.set_attempt_limits(max_attempts, seconds(0.5), TimeDelta::ZERO);
         let (reports_peer_service, longest_wait, grace) = (true, seconds(0.5), seconds(1.0));
         let settings = CoreSettings {
             traffic_classes,
@@ -64,6 +77,7 @@
             sent: vec![],
             answers: vec![],
             cancelled: vec![],
+            time_left: seconds(1.0),
         };
         fixture.list(now, ListKind::Saved, 0, &[("a", "1.1.1.1:1", 0, NodeState::Ready)]);
         fixture
@@ -93,7 +107,7 @@
             key: u64::from(command),
             units: 1.0,
             hosts: 1,
-            time_left: seconds(1.0),
+            time_left: self.time_left,
             payload: OpaqueRequest { head: Bytes::from_static(b"head"), body: Bytes::from_static(b"body") },
         };
         self.core.handle_object_request(now, CommandRef { session: command, command }, request);
@@ -227,3 +241,27 @@
     assert!(fixture.core.nodes().number("n500").is_some() && fixture.core.nodes().number("n3").is_none());
     assert_eq!(fixture.core.nodes().number("a"), Some(number));
 }
+
+/// A node fails each attempt at once, the client waits for ten minutes, and the settings name no bound on attempts. The id of an attempt has
+/// eight bits for its number: the 257th would have the id of the first, and the answer to it would be taken for a late one. So a request
+/// has no more attempts than their ids distinguish, and is answered after them.
+#[test]
+fn a_request_has_no_more_attempts_than_their_ids_distinguish() {
+    let mut fixture = Fixture::with_attempts(u32::MAX, seconds(600.0), 8, 8, 8);
+    fixture.time_left = seconds(600.0);
+    let mut now = at(10.0);
+    fixture.submit(now, 1, 0, 77);
+    let mut ids = BTreeSet::new();
+    while fixture.answers.is_empty() {
+        assert!(now < at(600.0), "no answer after {} attempts", ids.len());
+        if fixture.sent.is_empty() {
+            now = fixture.run_for(now, 0.1);
+            continue;
+        }
+        let attempt = fixture.write();
+        assert!(ids.insert(attempt), "attempt {} has the id of an earlier one", ids.len());
+        fixture.finish_attempt(now, attempt, Outcome::Error, b"");
+    }
+    assert_eq!(ids.len(), 256);
+    assert!(matches!(fixture.answers[..], [(1, Verdict::Rejected { .. })]), "{:?}", fixture.answers);
+}
--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -105,6 +105,11 @@
         self.settings.key_settle_time = settle;
     }
 
+    /// No request has more attempts than this, whatever `set_attempt_limits` allows; to be called after it.
+    pub fn bound_attempts(&mut self, max_attempts: u32) {
+        self.settings.max_attempts = self.settings.max_attempts.min(max_attempts);
+    }
+
     /// Retries over any `window`: `free` ones, and `share` of the requests received.
     pub fn set_retry_budget(&mut self, free: f64, share: f64, window: TimeDelta) {
         let settings = RetryBudgetSettings { free_retries: free, retries_per_request: share, window };
