--- a/crates/store/src/consensus_log.rs
+++ b/crates/store/src/consensus_log.rs
@@ -1,4 +1,4 @@
-//! Reads and writes the rows of the consensus log; docs/agreement.md lists them.
+//! Reads and writes the rows of the consensus log; docs/consensus.md describes the log.
 
 use crate::error::StoreProblem;
 use crate::log_rows::*;
--- a/crates/wire/src/consensus.rs
+++ b/crates/wire/src/consensus.rs
@@ -1,5 +1,5 @@
 //! Messages of the consensus protocol (Raft with pre-vote and leases), described byte by byte in
-//! docs/protocols/agreement.md. A message may be longer than a datagram; `peer` carries it in chunks then.
+//! docs/protocols/consensus.md. A message may be longer than a datagram; `peer` carries it in chunks then.
 
 #![warn(missing_docs)]
 
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -39,7 +39,7 @@
         match outcome {
             Outcome::Done => self.successes += 1.0,
             Outcome::TimedOut | Outcome::Error | Outcome::Refused | Outcome::Reset => self.failures += 1.0,
-            // Neither says whether the node is well: a full node works, and the others did not reach it.
+            // None of these says whether the node is well.
             Outcome::Full | Outcome::Cancelled | Outcome::Skipped => {}
         }
         if self.successes + self.failures >= OUTCOME_WINDOW {
