--- a/crates/cli/src/admin_calls.rs
+++ b/crates/cli/src/admin_calls.rs
@@ -36,38 +36,41 @@
             AdminResponse::NotKept { why } => Err(AdminCallError::NotPersisted { why }),
             response => Ok(response),
         },
-        Answer::Error(error) => Err(AdminCallError::Host(error)),
+        Answer::Error(why) => Err(AdminCallError::Host { host: host.to_owned(), why }),
         Answer::Audit(lines) => Err(AdminCallError::unexpected(host, &lines, expected)),
     }
 }
 
 /// Calls every host, even after one has failed, and prints each answer. The exit code says whether all did as requested.
-pub(crate) fn call_each(
-    hosts: &Hosts,
-    call: &Call,
-    print: impl Fn(&Answer),
-) -> Result<ExitCode, AdminCallError> {
-    let mut all_done = true;
-    for socket in &hosts.hosts {
+pub(crate) fn call_each(hosts: &Hosts, call: &Call, print: impl Fn(&Answer)) -> ExitCode {
+    for_each_host(hosts, |socket| {
         if hosts.hosts.len() > 1 && !hosts.json {
             println!("host {}", socket.display());
         }
-        let answer = match tackmast_admin::call(socket, call, ADMIN_TIMEOUT) {
-            Ok(answer) => answer,
-            Err(error) => {
-                eprintln!("tackmast: {error}");
-                all_done = false;
-                continue;
-            }
-        };
-        all_done &= is_done(&answer);
+        let answer = tackmast_admin::call(socket, call, ADMIN_TIMEOUT)?;
         if hosts.json {
             println!("{}", serde_json::to_string(&answer)?);
         } else if !print_failure(&answer) {
             print(&answer);
         }
+        Ok(is_done(&answer))
+    })
+}
+
+/// Visits every host, even after one has failed, and prints the errors. `visit` returns whether the host is as it should be,
+/// and the exit code says whether all are.
+pub(crate) fn for_each_host(
+    hosts: &Hosts,
+    visit: impl Fn(&Path) -> Result<bool, AdminCallError>,
+) -> ExitCode {
+    let mut all_good = true;
+    for socket in &hosts.hosts {
+        all_good &= visit(socket).unwrap_or_else(|error| {
+            eprintln!("tackmast: {error}");
+            false
+        });
     }
-    Ok(exit_code::of_result(all_done))
+    exit_code::of_result(all_good)
 }
 
 /// Whether the host did as requested.
--- a/crates/cli/src/admin_calls/error.rs
+++ b/crates/cli/src/admin_calls/error.rs
@@ -11,8 +11,13 @@
     #[error(transparent)]
     Call(#[from] CallError),
     /// The host could not process the call.
-    #[error("{0}")]
-    Host(String),
+    #[error("host {}: {why}", host.display())]
+    Host {
+        /// The host's admin socket.
+        host: PathBuf,
+        /// The host's reason.
+        why: String,
+    },
     /// The host could not persist the change, so the change does not apply.
     #[error("{why}")]
     NotPersisted {
--- a/crates/cli/src/consensus.rs
+++ b/crates/cli/src/consensus.rs
@@ -3,8 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::admin_calls::{self, AdminCallError, Hosts};
-use crate::exit_code;
+use crate::admin_calls::{self, for_each_host, AdminCallError, Hosts};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use tackmast_host_core::{AdminRequest, AdminResponse, ConsensusRequest, ConsensusResponse, ConsensusStatus};
@@ -18,6 +17,8 @@
 #[derive(clap::Subcommand)]
 pub(crate) enum ConsensusCommand {
     /// Shows leader, term, voters, what each host has, and which hosts are without a lease and in degraded mode.
+    ///
+    /// Exits with 0 only if every host has answered and has a valid lease, with `--json` too.
     Status {
         /// The hosts that are called.
         #[command(flatten)]
@@ -163,7 +164,9 @@
 /// Calls the hosts, and prints their answers.
 pub(crate) fn run(command: ConsensusCommand) -> Result<ExitCode, AdminCallError> {
     let (host, request) = match command {
-        ConsensusCommand::Status { hosts } => return print_statuses(&hosts),
+        ConsensusCommand::Status { hosts } => {
+            return Ok(for_each_host(&hosts, |host| print_status(host, hosts.json)));
+        }
         ConsensusCommand::Force(ForcedChange { host, who, why }) => {
             (host, ConsensusRequest::Force { who, why })
         }
@@ -180,29 +183,18 @@
     print_response(call(&host, request)?)
 }
 
-/// Prints the status of each host. The exit code says whether all were read and have a valid lease.
-fn print_statuses(hosts: &Hosts) -> Result<ExitCode, AdminCallError> {
-    let mut all_valid = true;
-    for host in &hosts.hosts {
-        let response = match call(host, ConsensusRequest::Status) {
-            Ok(ConsensusResponse::Refused { why }) => Err(why),
-            Ok(response) => Ok(response),
-            Err(error) => Err(error.to_string()),
-        };
-        match response {
-            Ok(ConsensusResponse::Status(status)) if hosts.json => {
-                println!("{}", serde_json::to_string(&*status)?);
-            }
-            Ok(ConsensusResponse::Status(status)) => {
-                all_valid &= status.lease == LEASE_VALID;
-                print!("{}", status_text(&status));
-            }
-            Ok(other) => return Err(AdminCallError::unexpected(host, &other, "a status")),
-            Err(why) => {
-                all_valid = false;
-                eprintln!("{}: {why}", host.display());
-            }
+/// Prints the status of one host. Returns whether the host has a valid lease.
+fn print_status(host: &Path, json: bool) -> Result<bool, AdminCallError> {
+    let status = match call(host, ConsensusRequest::Status)? {
+        ConsensusResponse::Status(status) => status,
+        ConsensusResponse::Refused { why } => {
+            return Err(AdminCallError::Host { host: host.to_owned(), why })
         }
+        other => return Err(AdminCallError::unexpected(host, &other, "a status")),
+    };
+    match json {
+        true => println!("{}", serde_json::to_string(&*status)?),
+        false => print!("{}", status_text(&status)),
     }
-    Ok(exit_code::of_result(all_valid))
+    Ok(status.lease == LEASE_VALID)
 }
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -31,16 +31,11 @@
     watch: Option<humantime::Duration>,
 }
 
-/// What one host has answered.
-struct HostAnswer {
-    /// Path of the host's admin socket.
-    socket: String,
-    /// The host's view, or why it could not be read.
-    view: Result<MembersStatus, AdminCallError>,
-}
+/// The view of one host, or why it could not be read. The error names the host.
+type HostAnswer = Result<MembersStatus, AdminCallError>;
 
 /// Prints what the arguments ask for.
-pub(crate) fn run(arguments: &MembersArguments) -> Result<ExitCode, AdminCallError> {
+pub(crate) fn run(arguments: &MembersArguments) -> ExitCode {
     match (arguments.all, arguments.watch) {
         (false, None) => call_each(&arguments.hosts, &Call::AdminRequest(AdminRequest::Members), print),
         (_, Some(interval)) => watch(&arguments.hosts, interval.into()),
@@ -48,8 +43,8 @@
             let answers = ask_all(&arguments.hosts);
             let comparison = Comparison::new(&answers);
             print!("{}", comparison.text());
-            let all_answered = answers.iter().all(|answer| answer.view.is_ok());
-            Ok(exit_code::of_result(all_answered && comparison.is_converged()))
+            let all_answered = answers.iter().all(Result::is_ok);
+            exit_code::of_result(all_answered && comparison.is_converged())
         }
     }
 }
@@ -62,14 +57,10 @@
 }
 
 fn ask_all(hosts: &Hosts) -> Vec<HostAnswer> {
-    let ask = |socket: &std::path::PathBuf| HostAnswer {
-        socket: socket.display().to_string(),
-        view: ask_view(socket),
-    };
-    hosts.hosts.iter().map(ask).collect()
+    hosts.hosts.iter().map(|socket| ask_view(socket)).collect()
 }
 
-fn ask_view(socket: &Path) -> Result<MembersStatus, AdminCallError> {
+fn ask_view(socket: &Path) -> HostAnswer {
     const EXPECTED: &str = "a membership view";
     match admin_calls::request(socket, AdminRequest::Members, EXPECTED)? {
         AdminResponse::Members(view) => Ok(*view),
@@ -94,8 +85,8 @@
 
 /// The part of the answers that is watched, without figures that change all the time.
 fn watched_text(answers: &[HostAnswer]) -> String {
-    if let [HostAnswer { socket, view }] = answers {
-        return view.as_ref().map_or_else(|error| format!("{socket}: {error}\n"), one_host::watched_text);
+    if let [view] = answers {
+        return view.as_ref().map_or_else(|error| format!("{error}\n"), one_host::watched_text);
     }
     let comparison = Comparison::new(answers);
     let converged = if comparison.is_converged() { "converged\n" } else { "" };
--- a/crates/cli/src/members/comparison.rs
+++ b/crates/cli/src/members/comparison.rs
@@ -28,8 +28,7 @@
 
 impl<'a> Comparison<'a> {
     pub(super) fn new(answers: &'a [HostAnswer]) -> Self {
-        let views: Vec<&MembersStatus> =
-            answers.iter().filter_map(|answer| answer.view.as_ref().ok()).collect();
+        let views: Vec<&MembersStatus> = answers.iter().filter_map(|answer| answer.as_ref().ok()).collect();
         let differences = differences(&views);
         Comparison { answers, views, differences }
     }
@@ -41,10 +40,8 @@
 
     pub(super) fn text(&self) -> String {
         let mut text = String::new();
-        for HostAnswer { socket, view } in self.answers {
-            if let Err(error) = view {
-                _ = writeln!(text, "{socket}: {error}");
-            }
+        for error in self.answers.iter().filter_map(|answer| answer.as_ref().err()) {
+            _ = writeln!(text, "{error}");
         }
         self.write_digests(&mut text);
         self.write_sites(&mut text);
--- a/crates/cli/src/members/tests.rs
+++ b/crates/cli/src/members/tests.rs
@@ -13,9 +13,7 @@
         ..PeerStatus::default()
     };
     let peers = peers.iter().map(peer).collect();
-    let view =
-        MembersStatus { host: Some(host), digest, generation: 7, peers, still_s: 3.0, ..Default::default() };
-    HostAnswer { socket: format!("host {host}"), view: Ok(view) }
+    Ok(MembersStatus { host: Some(host), digest, generation: 7, peers, still_s: 3.0, ..Default::default() })
 }
 
 /// An operator compares hosts with the same view, three with different views, and three hundred of which some hold one host dead. The
@@ -60,3 +58,15 @@
         assert_eq!(ranges(&numbers), text);
     }
 }
+
+/// One of two hosts does not run. The comparison names it once, by the path of its socket.
+#[test]
+fn host_without_an_answer_is_named_once() {
+    let folder = tempfile::tempdir().unwrap();
+    let socket = folder.path().join("admin");
+    let path = socket.display().to_string();
+    let answers = [answer(0, 5, &[]), ask_view(&socket)];
+    let text = Comparison::new(&answers).text();
+    assert_eq!(text.matches(&path).count(), 1, "{text}");
+    assert_eq!(watched_text(&answers[1..]).matches(&path).count(), 1);
+}
--- a/crates/cli/src/overrides.rs
+++ b/crates/cli/src/overrides.rs
@@ -2,7 +2,7 @@
 
 mod print;
 
-use crate::admin_calls::{call_each, AdminCallError, Hosts};
+use crate::admin_calls::{call_each, Hosts};
 use std::process::ExitCode;
 use tackmast_admin::Call;
 use tackmast_host_core::AdminRequest;
@@ -96,7 +96,7 @@
 }
 
 /// Calls the hosts, and prints their answers.
-pub(crate) fn run(command: OverrideCommand) -> Result<ExitCode, AdminCallError> {
+pub(crate) fn run(command: OverrideCommand) -> ExitCode {
     let (hosts, call) = match command {
         OverrideCommand::Set { target, kind, lasts, reason, who, force, dry_run, if_version, hosts } => {
             let kind = match kind.weight {
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -1,12 +1,12 @@
 //! `tackmast status`: what hosts are doing, and what each node is given.
 
-use crate::admin_calls::{call_each, AdminCallError, Hosts};
+use crate::admin_calls::{call_each, Hosts};
 use std::process::ExitCode;
 use tackmast_admin::{Answer, Call};
 use tackmast_host_core::{AdminRequest, AdminResponse};
 
 /// Prints what hosts are doing.
-pub(crate) fn run(hosts: &Hosts) -> Result<ExitCode, AdminCallError> {
+pub(crate) fn run(hosts: &Hosts) -> ExitCode {
     call_each(hosts, &Call::AdminRequest(AdminRequest::Status), print)
 }
 
