--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 use tackmast_config::HostSettings;
-use tackmast_host::Host;
+use tackmast_host::{DrainOutcome, Host, Status};
 
 /// A simulated error of the clocks, for tests.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -50,9 +50,11 @@
     let signal = signals.forever().next();
     exit_on_second_signal(signals);
     tracing::info!(signal, "host drains");
-    log_end(&host, signal);
-    let all = host.drain(drain_timeout);
-    tracing::info!(all, "host has ended");
+    let DrainOutcome { all_answered, status } = host.drain(drain_timeout);
+    if let Some(status) = status {
+        log_totals(signal, &status);
+    }
+    tracing::info!(all = all_answered, "host has ended");
     Ok(ExitCode::SUCCESS)
 }
 
@@ -76,8 +78,7 @@
     });
 }
 
-fn log_end(host: &Host, signal: Option<i32>) {
-    let Some(status) = host.status() else { return };
+fn log_totals(signal: Option<i32>, status: &Status) {
     let counters = status.counters;
     tracing::info!(
         signal,
--- a/crates/client/tests/histories.rs
+++ b/crates/client/tests/histories.rs
@@ -138,7 +138,7 @@
         std::thread::sleep(Duration::from_millis(50));
         let started = Instant::now();
         assert!(
-            gateway.host.drain(Duration::from_secs(3)),
+            gateway.host.drain(Duration::from_secs(3)).all_answered,
             "{protocol:?}: calls were open at the end of the drain"
         );
         assert!(started.elapsed() < Duration::from_secs(3));
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -24,6 +24,15 @@
 /// How long a connection that only wakes a listener may take.
 const WAKE_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// How a drain ended.
+#[derive(Debug)]
+pub struct DrainOutcome {
+    /// Whether each open command had its answer before the drain timed out.
+    pub all_answered: bool,
+    /// Figures once the last command was answered; none where the host had stopped.
+    pub status: Option<Status>,
+}
+
 /// A running host.
 pub struct Host {
     /// Where iSCSI clients connect.
@@ -52,9 +61,8 @@
         answer.recv_timeout(STATUS_TIMEOUT).ok()
     }
 
-    /// Ends in order: no new sessions, no new commands, and each open command gets its one answer, by `timeout` at the latest. True: all
-    /// had it before.
-    pub fn drain(self, timeout: Duration) -> bool {
+    /// Ends in order: no new sessions, no new commands, and each open command gets its one answer, by `timeout` at the latest.
+    pub fn drain(self, timeout: Duration) -> DrainOutcome {
         self.stopping.store(true, Ordering::Release);
         self.wake_listeners();
         _ = self.urgent.send(Event::Drain);
@@ -66,13 +74,13 @@
         let all_answered = open_commands() == 0;
         _ = self.urgent.send(Event::CloseOpenCommands);
         // Once the status is answered, the answers are with the sessions' threads, which need some time to write them.
-        _ = self.status();
+        let status = self.status();
         std::thread::sleep(FLUSH_TIME);
         if self.peers.is_some() {
             self.leave();
         }
         self.stop();
-        all_answered
+        DrainOutcome { all_answered, status }
     }
 
     /// Lends this host's quota to peers that ask for it, and announces the leave.
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -21,5 +21,5 @@
 pub use admin::AdminSocketError;
 pub use clock::Clock;
 pub use error::StartError;
-pub use host::Host;
+pub use host::{DrainOutcome, Host};
 pub use messages::Status;
