--- a/crates/host/src/sessions.rs
+++ b/crates/host/src/sessions.rs
@@ -105,9 +105,9 @@
 
     /// A number for a new session, or that of a session that is refused; none: too many are being refused.
     fn reserve_number(&self) -> Option<u16> {
-        let is_full = lock(&self.numbers).len() >= self.settings.bounds.sessions;
-        if !is_full {
-            return Some(lock(&self.numbers).reserve());
+        let session = lock(&self.numbers).try_reserve(self.settings.bounds.sessions);
+        if session.is_some() {
+            return session;
         }
         let mut refusals = lock(&self.refusals);
         if *refusals >= MAX_REFUSALS {
--- a/crates/host/src/sessions/numbers.rs
+++ b/crates/host/src/sessions/numbers.rs
@@ -11,16 +11,20 @@
 
 impl SessionNumbers {
     /// How many are in use.
+    #[cfg(test)]
     pub(super) fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// A number, from 1, that no open session has. There must be one.
-    pub(super) fn reserve(&mut self) -> u16 {
+    /// A number, from 1, that no open session has; none: `max_sessions` are open. That must be below the number of numbers.
+    pub(super) fn try_reserve(&mut self, max_sessions: usize) -> Option<u16> {
+        if self.open.len() >= max_sessions {
+            return None;
+        }
         loop {
             self.last = self.last.wrapping_add(1).max(1);
             if self.open.insert(self.last) {
-                return self.last;
+                return Some(self.last);
             }
         }
     }
--- a/crates/host/src/sessions/tests.rs
+++ b/crates/host/src/sessions/tests.rs
@@ -1,7 +1,8 @@
-//! Sessions whose threads can't be started.
+//! Sessions whose threads can't be started, and the bound of sessions.
 
 use super::*;
 use std::io::ErrorKind;
+use std::sync::atomic::AtomicUsize;
 
 const SETTINGS: &str = r#"
 host {
@@ -82,3 +83,28 @@
     }
     assert!(hub.reserve_number().is_some_and(|number| number != REFUSED_SESSION));
 }
+
+/// The two listeners, of iSCSI and of NBD, admit clients at the same time while one more session may be open. Only one of two clients
+/// gets it. Repeated, because the listeners rarely meet within the same microsecond.
+#[test]
+fn listeners_together_admit_no_more_sessions_than_the_bound() {
+    const SPINS_OF_A_SESSION: u32 = 100;
+    let hub = hub_without_threads();
+    let open_sessions = AtomicUsize::new(0);
+    let listen = || {
+        for _ in 0..300_000 {
+            let Some(number) = hub.reserve_number() else { continue };
+            if number != REFUSED_SESSION {
+                assert_eq!(open_sessions.fetch_add(1, Ordering::SeqCst), 0, "a second session is open");
+                // Long enough for the other listener to admit a client too, if it has seen the capacity before.
+                (0..SPINS_OF_A_SESSION).for_each(|_| std::hint::spin_loop());
+                open_sessions.fetch_sub(1, Ordering::SeqCst);
+            }
+            hub.release_number(number);
+        }
+    };
+    std::thread::scope(|scope| {
+        scope.spawn(listen);
+        scope.spawn(listen);
+    });
+}
