--- a/crates/client/src/event_loop.rs
+++ b/crates/client/src/event_loop.rs
@@ -25,7 +25,7 @@
 const MAX_WAIT: Duration = Duration::from_secs(1);
 /// The shortest wait for an event, so that timers which are due at once can't make the thread spin.
 const MIN_WAIT: Duration = Duration::from_micros(100);
-/// How much later a slot is connected again when the system has no thread left for its connect.
+/// How much later a slot is connected again when the system has no thread left for its connect or its connection.
 const NO_THREAD_BACKOFF: TimeDelta = TimeDelta::from_millis(100);
 
 /// The ends of the event loop's channels that a client holds.
@@ -161,7 +161,7 @@
             Err(_) => {
                 // Its reader may run and report the end too, which would count the failure twice.
                 self.generations.remove(&id.slot);
-                self.core.handle_closed(now, id.slot);
+                self.core.handle_closed(now + NO_THREAD_BACKOFF, id.slot);
             }
         }
     }
--- a/crates/client/src/event_loop/tests.rs
+++ b/crates/client/src/event_loop/tests.rs
@@ -104,3 +104,15 @@
     fixture.event_loop.handle_event(connected);
     assert_eq!(gateway.read(&mut [0; 1]).expect("an end in time"), 0);
 }
+
+/// Connections are made and the system has no thread left for them. The next connect must wait as long as one that no thread was left
+/// for: sooner, it would ask the gateway for one more session that can't be used.
+#[test]
+fn connection_without_a_writer_is_made_again_after_the_pause_for_threads() {
+    let mut fixture = Fixture::new();
+    fixture.event_loop.spawn = spawn_all_but_writers;
+    let (_gateway, connected) = fixture.connect();
+    let failed_at = fixture.event_loop.clock.now();
+    fixture.event_loop.handle_event(connected);
+    assert!(fixture.next_connect().is_some_and(|at| at > failed_at + NO_THREAD_BACKOFF));
+}
