--- a/crates/cli/src/simulator.rs
+++ b/crates/cli/src/simulator.rs
@@ -4,7 +4,7 @@
 //! | --- | --- |
 //! | `play`, `run_text` | one world, and its figures as text |
 //! | `variant_comparison`, `reference_model` | the same worlds under two variants |
-//! | `hunt` | searches for a violated invariant, or for worlds that are served badly |
+//! | `hunt` | searches for a run that fails, or for worlds that are served badly |
 //! | `loopback_comparison` | a workload in virtual time and on loopback |
 //! | `gossip_fleet`, `membership_views` | membership without requests |
 //! | `consensus_walks` | random walks over the states of consensus, and fleets of replicas |
@@ -54,9 +54,10 @@
     /// (fcfs, caps or buckets, a reference model in place of the host core) and a block `change` of values in place of those
     /// generated.
     Compare(CompareArguments),
-    /// Plays one seed after the other on several threads, until an invariant is violated or the time is up.
+    /// Plays one seed after the other on several threads, until a run fails or the time is up.
     ///
-    /// The world that violates an invariant is reduced and printed with its seed.
+    /// A run fails if an invariant is violated, something is left in a table, or a call is answered late. Prints what has
+    /// failed, the command that replays the world, and the world reduced to what the failure needs.
     Hunt(HuntArguments),
     /// Plays fleets of hosts with membership but without requests.
     ///
