--- a/crates/admin/tests/json_forms.rs
+++ b/crates/admin/tests/json_forms.rs
@@ -197,6 +197,10 @@
         AdminResponse::NotKept { why: "disk full".into() },
         r#"{"reply":{"not_kept":{"why":"disk full"}}}"#,
     );
+    assert_reply(
+        AdminResponse::Unavailable { why: "this host has no plans block in its settings".into() },
+        r#"{"reply":{"unavailable":{"why":"this host has no plans block in its settings"}}}"#,
+    );
 }
 
 /// A script reads the status of a host and its counters.
--- a/crates/cli/src/admin_calls.rs
+++ b/crates/cli/src/admin_calls.rs
@@ -1,6 +1,8 @@
 //! Calls over the admin sockets of one host or many.
 
 mod error;
+#[cfg(test)]
+mod tests;
 
 pub(crate) use error::AdminCallError;
 
@@ -34,6 +36,7 @@
     match tackmast_admin::call(host, &Call::AdminRequest(request), ADMIN_TIMEOUT)? {
         Answer::AdminResponse(response) => match *response {
             AdminResponse::NotKept { why } => Err(AdminCallError::NotPersisted { why }),
+            AdminResponse::Unavailable { why } => Err(AdminCallError::Host { host: host.to_owned(), why }),
             response => Ok(response),
         },
         Answer::Error(why) => Err(AdminCallError::Host { host: host.to_owned(), why }),
@@ -77,9 +80,10 @@
 fn is_done(answer: &Answer) -> bool {
     match answer {
         Answer::Error(_) => false,
-        Answer::AdminResponse(response) => {
-            !matches!(**response, AdminResponse::Refused(_) | AdminResponse::NotKept { .. })
-        }
+        Answer::AdminResponse(response) => !matches!(
+            **response,
+            AdminResponse::Refused(_) | AdminResponse::NotKept { .. } | AdminResponse::Unavailable { .. }
+        ),
         Answer::Audit(_) => true,
     }
 }
@@ -93,6 +97,7 @@
             AdminResponse::NotKept { why } => {
                 eprintln!("tackmast: not persisted, so the change does not apply: {why}")
             }
+            AdminResponse::Unavailable { why } => eprintln!("tackmast: {why}"),
             _ => return false,
         },
         Answer::Audit(_) => return false,
--- a/crates/cli/tests/serve.rs
+++ b/crates/cli/tests/serve.rs
@@ -1,4 +1,4 @@
-//! `tackmast serve` as a process: what it logs when it ends.
+//! `tackmast serve` as a process: what it logs when it ends, and what it answers where its settings lack a block.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -98,3 +98,20 @@
     assert!(field(totals, "taken") > 0, "{totals}");
     assert_eq!(field(totals, "taken"), answered, "{totals}");
 }
+
+/// An operator asks for the plans of a host that has no plans block. The error is that reason with the host, not that of a change which
+/// could not be written.
+#[test]
+fn question_without_its_block_is_answered_by_that_reason() {
+    let folder = tempfile::tempdir().unwrap();
+    let file = folder.path().join("host.hcl");
+    std::fs::write(&file, settings(folder.path())).unwrap();
+    let mut host = HostProcess::start(&file);
+    host.address();
+    let admin = folder.path().join("admin");
+    let mut command = Command::new(env!("CARGO_BIN_EXE_tackmast"));
+    let output = command.args(["plan", "show", "--host"]).arg(&admin).output().unwrap();
+    let expected =
+        format!("tackmast: host {}: this host has no plans block in its settings\n", admin.display());
+    assert_eq!(String::from_utf8_lossy(&output.stderr), expected);
+}
--- a/crates/host-core/src/admin_request.rs
+++ b/crates/host-core/src/admin_request.rs
@@ -92,6 +92,11 @@
         /// Why not.
         why: String,
     },
+    /// The host can't process the request, or not now. Nothing has changed.
+    Unavailable {
+        /// Why not.
+        why: String,
+    },
 }
 
 /// A host as operators see it.
--- a/crates/host-core/src/core/admin.rs
+++ b/crates/host-core/src/core/admin.rs
@@ -23,7 +23,7 @@
         let wall_us = self.wall_us(now);
         let Some(override_requests) = &mut self.override_requests else {
             let why = "this host has no overrides block in its settings".to_owned();
-            return self.respond(request, AdminResponse::NotKept { why });
+            return self.respond(request, AdminResponse::Unavailable { why });
         };
         match override_requests.handle_request(now, wall_us, request, admin_request) {
             None => {}
--- a/crates/host-core/src/override_requests.rs
+++ b/crates/host-core/src/override_requests.rs
@@ -81,13 +81,16 @@
             matches!(admin_request, AdminRequest::Clear { .. } | AdminRequest::Set { dry_run: false, .. });
         if writes && self.pending.is_some() {
             if self.queued.len() >= MAX_QUEUED_REQUESTS {
-                let why = format!("{MAX_QUEUED_REQUESTS} orders wait already");
-                return Some(OverrideOutcome::Respond { request, response: AdminResponse::NotKept { why } });
+                let why = format!("{MAX_QUEUED_REQUESTS} changes of overrides wait already; try again later");
+                return Some(OverrideOutcome::Respond {
+                    request,
+                    response: AdminResponse::Unavailable { why },
+                });
             }
             self.queued.push_back((request, admin_request));
             return None;
         }
-        let no_block = |block: &str| AdminResponse::NotKept {
+        let no_block = |block: &str| AdminResponse::Unavailable {
             why: format!("this host has no {block} block in its settings"),
         };
         let response = match admin_request {
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -524,3 +524,62 @@
         assert_eq!(!e.restarted_under().is_empty(), reported, "{e:?}");
     }
 }
+
+/// Why the host can't process the request with this number, if it has answered so.
+fn unavailable_reason(fixture: &Fixture, number: u64) -> Option<&str> {
+    fixture.other.iter().find_map(|output| match output {
+        Output::AdminResponse { request, response: AdminResponse::Unavailable { why } }
+            if *request == number =>
+        {
+            Some(why.as_str())
+        }
+        _ => None,
+    })
+}
+
+/// An operator asks a host for something that its settings lack the block of. Nothing was to be changed, so the answer must not read as a
+/// change that the store could not write.
+#[test]
+fn request_without_its_block_is_unavailable() {
+    use tackmast_overrides::{Overrides, Settings};
+    let mut fixture = Fixture::new();
+    fixture.core.handle_admin_request(fixture.now, 1, AdminRequest::List);
+    let bounds = Settings { max_overrides: 10, max_zone_fraction: 1.0 };
+    let (overrides, _) = Overrides::new(fixture.now, 10_000_000, bounds, Vec::new(), 1);
+    fixture.core.with_overrides(fixture.now, overrides, PersistBatch::default());
+    fixture.core.handle_admin_request(fixture.now, 2, AdminRequest::Plan(PlanRequest::Show));
+    fixture.poll_outputs();
+    let reason = |number| unavailable_reason(&fixture, number);
+    assert_eq!(reason(1), Some("this host has no overrides block in its settings"));
+    assert_eq!(reason(2), Some("this host has no plans block in its settings"));
+}
+
+/// The store is slow, and scripts set overrides faster than it writes them. The one that finds the queue full was never given to the
+/// store; its answer says so, and that a retry makes sense.
+#[test]
+fn override_that_finds_the_queue_full_is_unavailable() {
+    use tackmast_overrides::{Kind, OverrideRequest, Overrides, Settings, Target};
+    const QUEUED: u64 = 256;
+    let mut fixture = Fixture::new();
+    let bounds = Settings { max_overrides: 1000, max_zone_fraction: 1.0 };
+    let (overrides, _) = Overrides::new(fixture.now, 10_000_000, bounds, Vec::new(), 1);
+    fixture.core.with_overrides(fixture.now, overrides, PersistBatch::default());
+    let override_request = OverrideRequest {
+        target: Target::Node("10.0.0.1:9003".parse().unwrap()),
+        kind: Kind::Weight(0.5),
+        reason: "r".into(),
+        who: "w".into(),
+        seconds: 60.0,
+        origin: None,
+    };
+    let set = AdminRequest::Set { override_request, force: false, dry_run: false, if_version: None };
+    // One is being written, and as many wait for it as may.
+    let first_too_many = 1 + QUEUED + 1;
+    for number in 1..=first_too_many {
+        fixture.core.handle_admin_request(fixture.now, number, set.clone());
+    }
+    fixture.poll_outputs();
+    let expected = "256 changes of overrides wait already; try again later";
+    assert_eq!(unavailable_reason(&fixture, first_too_many), Some(expected));
+    assert_eq!(unavailable_reason(&fixture, first_too_many - 1), None);
+}
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -385,6 +385,7 @@
             AdminResponse::Consensus(_) => self.kind(8),
             AdminResponse::Refused(_) => self.kind(9),
             AdminResponse::NotKept { .. } => self.kind(10),
+            AdminResponse::Unavailable { .. } => self.kind(11),
         }
     }
 
--- a/crates/host/src/admin.rs
+++ b/crates/host/src/admin.rs
@@ -1,10 +1,13 @@
 //! The host's admin socket, which only its own user may open.
 
+#[cfg(test)]
+mod tests;
+
 use crate::messages::Event;
 use crate::store_writer::ToStore;
 use crate::thread::spawn;
 use crate::StartError;
-use crossbeam_channel::Sender;
+use crossbeam_channel::{RecvTimeoutError, Sender};
 use std::io::{self, BufReader};
 use std::os::fd::OwnedFd;
 use std::os::unix::fs::FileTypeExt;
@@ -14,6 +17,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tackmast_admin::{Answer, Call};
+use tackmast_host_core::{AdminRequest, ConsensusRequest, PlanRequest};
 
 /// Calls that may be open at a time.
 const MAX_CALLS: usize = 64;
@@ -74,11 +78,59 @@
     std::fs::remove_file(path).map_err(|error| AdminSocketError::Io { path: path.into(), error })
 }
 
+/// Why a call has no answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+enum NoAnswerReason {
+    /// It has not come within the timeout.
+    #[error("no answer in {} s", .0.as_secs_f64())]
+    Late(Duration),
+    /// The thread that answers has ended.
+    #[error("the host is stopping")]
+    Stopping,
+}
+
+/// A call that has no answer.
+#[derive(Debug, PartialEq, Eq)]
+struct NoAnswer {
+    reason: NoAnswerReason,
+    /// The command that shows whether the change has applied; none: the call can't have changed anything.
+    change_shown_by: Option<&'static str>,
+}
+
+impl std::fmt::Display for NoAnswer {
+    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+        write!(f, "{}", self.reason)?;
+        match self.change_shown_by {
+            Some(command) => write!(f, "; `{command}` shows whether it applied"),
+            None => Ok(()),
+        }
+    }
+}
+
+/// The command that shows whether the change of a call has applied; none: the call asks for no change.
+fn command_that_shows_change(call: &Call) -> Option<&'static str> {
+    let Call::AdminRequest(request) = call else { return None };
+    match request {
+        AdminRequest::Set { dry_run: false, .. } | AdminRequest::Clear { .. } => {
+            Some("tackmast override list")
+        }
+        AdminRequest::Plan(
+            PlanRequest::Apply { dry_run: false, .. } | PlanRequest::Undo { dry_run: false, .. },
+        ) => Some("tackmast plan log"),
+        AdminRequest::Consensus(
+            ConsensusRequest::Voter { .. } | ConsensusRequest::Force { .. } | ConsensusRequest::Forget { .. },
+        ) => Some("tackmast consensus status"),
+        _ => None,
+    }
+}
+
 /// Where calls are answered.
 #[derive(Clone)]
 struct CallHandlers {
     core: Sender<Event>,
     store: Sender<ToStore>,
+    /// How long a call may wait for its answer.
+    timeout: Duration,
 }
 
 /// Starts the thread that accepts operators' calls.
@@ -89,7 +141,7 @@
     stopping: Arc<AtomicBool>,
 ) -> Result<(), StartError> {
     let listener = bind(path)?;
-    let handlers = CallHandlers { core, store };
+    let handlers = CallHandlers { core, store, timeout: CALL_TIMEOUT };
     let open_calls = Arc::new(AtomicUsize::new(0));
     spawn("admin".into(), move || {
         for stream in listener.incoming() {
@@ -137,20 +189,31 @@
 }
 
 impl CallHandlers {
-    /// Waits for the answer to a call.
+    /// The answer to a line.
     fn call(&self, line: &str) -> Answer {
+        match tackmast_admin::parse_call(line) {
+            Ok(call) => self.answer(call).unwrap_or_else(|no_answer| Answer::Error(no_answer.to_string())),
+            Err(error) => Answer::Error(error.to_string()),
+        }
+    }
+
+    /// Hands a call to the thread that answers it, and waits for the answer.
+    fn answer(&self, call: Call) -> Result<Answer, NoAnswer> {
+        let change_shown_by = command_that_shows_change(&call);
         let (answer_to, answer) = crossbeam_channel::bounded(1);
-        let is_sent = match tackmast_admin::parse_call(line) {
-            Err(error) => return Answer::Error(error.to_string()),
-            Ok(Call::AdminRequest(request)) => {
-                self.core.send(Event::AdminRequest { request, answer_to }).is_ok()
-            }
-            Ok(Call::Audit { max_lines }) => self.store.send(ToStore::Audit { max_lines, answer_to }).is_ok(),
+        let is_sent = match call {
+            Call::AdminRequest(request) => self.core.send(Event::AdminRequest { request, answer_to }).is_ok(),
+            Call::Audit { max_lines } => self.store.send(ToStore::Audit { max_lines, answer_to }).is_ok(),
         };
-        let late = || Answer::Error("no answer in time; whether it holds, a list tells".into());
-        match is_sent {
-            true => answer.recv_timeout(CALL_TIMEOUT).unwrap_or_else(|_| late()),
-            false => late(),
+        if !is_sent {
+            return Err(NoAnswer { reason: NoAnswerReason::Stopping, change_shown_by: None });
         }
+        answer.recv_timeout(self.timeout).map_err(|error| {
+            let reason = match error {
+                RecvTimeoutError::Timeout => NoAnswerReason::Late(self.timeout),
+                RecvTimeoutError::Disconnected => NoAnswerReason::Stopping,
+            };
+            NoAnswer { reason, change_shown_by }
+        })
     }
 }
