--- a/crates/cli/src/plans.rs
+++ b/crates/cli/src/plans.rs
@@ -1,4 +1,4 @@
-//! `tackmast plan`: plans that change while hosts run, over the admin socket of the host that takes changes.
+//! `tackmast plan`: plans that change while hosts run, over the admin socket of a host that takes changes.
 
 mod change_log;
 mod error;
@@ -19,7 +19,7 @@
 /// The host that is called.
 #[derive(clap::Args)]
 pub(crate) struct HostArguments {
-    /// Admin socket of a host. Only one host takes changes; the others name it.
+    /// Admin socket of a host. With consensus any host takes changes; without it only the home host does, which the others name.
     #[arg(long = "host", value_name = "SOCKET")]
     socket: PathBuf,
     /// Prints the answer as JSON.
