--- a/crates/host-core/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -11,6 +11,8 @@
 use crate::object_request::ObjectRequest;
 use crate::output::Output;
 use bytes::Bytes;
+use std::cell::LazyCell;
+use std::collections::HashSet;
 use tackmast::interface::{Instant, NewRequest, PlanId, RequestId, TimeDelta, TrafficClassId, VolumeId};
 
 /// A block command, mapped onto the extents that it touches.
@@ -154,7 +156,10 @@
         if !configured || request.time_left <= TimeDelta::ZERO || self.commands.contains_key(&from) {
             return self.reject(from, None);
         }
-        let is_in_use = |volume: usize| self.commands.values().any(|command| command.volume == volume);
+        // Gathered only where the table of names is full, and then once for all its volumes.
+        let volumes_in_use: LazyCell<HashSet<usize>, _> =
+            LazyCell::new(|| self.commands.values().map(|command| command.volume).collect());
+        let is_in_use = |volume: usize| volumes_in_use.contains(&volume);
         let Some(volume) = self.volume_names.number(now, request.volume, is_in_use) else {
             self.counters.commands_over_bound += 1;
             return self.reject(from, Some(self.longest_wait));
--- a/crates/host-core/src/volume_names.rs
+++ b/crates/host-core/src/volume_names.rs
@@ -27,8 +27,8 @@
     /// The volume's number; none: the table is full of volumes that are in use.
     ///
     /// A client that names a new volume in each request would grow this table without bound, which shows as rising memory. So in a
-    /// full table the volume that was used longest ago is evicted, unless it is in use. A number never passes to another volume:
-    /// else what the scheduler has learned of one volume would be applied to another.
+    /// full table the volume that was used longest ago is evicted, of those that are not in use. A number never passes to another
+    /// volume: else what the scheduler has learned of one volume would be applied to another.
     pub(crate) fn number(
         &mut self,
         now: Instant,
@@ -40,11 +40,9 @@
             return Some(volume.number);
         }
         if self.volumes.len() >= self.max_volumes {
+            let is_unused = |(_, volume): &(&u64, &NumberedVolume)| !is_in_use(volume.number);
             let by_last_use = |(name, volume): &(&u64, &NumberedVolume)| (volume.last_used, **name);
-            let (oldest, volume) = self.volumes.iter().min_by_key(by_last_use)?;
-            if is_in_use(volume.number) {
-                return None;
-            }
+            let (oldest, _) = self.volumes.iter().filter(is_unused).min_by_key(by_last_use)?;
             let oldest = *oldest;
             self.volumes.remove(&oldest);
         }
