--- a/crates/platform-host/src/host/endpoint_list.rs
+++ b/crates/platform-host/src/host/endpoint_list.rs
@@ -33,21 +33,9 @@
                 (self.watches_list, self.list_polled) = (false, true);
                 self.core.handle_endpoint_list(now, ListKind::Failed, 0, 0, &[]);
             }
-            // An older version than this host has: the answer was delayed, or the list has lost its memory. Applied, it could make a
-            // draining node ready again. The complete list decides.
-            Some(WatchEvent::List { after, list }) if self.has_list && list.version < after => {
-                tracing::info!(
-                    from = after,
-                    version = list.version,
-                    "endpoint list went back to an older version: polling the complete list"
-                );
-                (self.list_polled, self.has_list) = (true, false);
-                self.watches_list = true;
-                self.poll_list(now);
-            }
             Some(WatchEvent::List { after, list }) => {
                 self.list_polled = true;
-                self.apply_list(now, kind(&list), after, &list);
+                self.handle_list_answer(now, after, &list);
                 if self.watches_list {
                     self.poll_list(now);
                 }
@@ -55,6 +43,21 @@
         }
     }
 
+    /// Applies the answer to a poll after a version, unless it is an older version: then it was delayed, or the list has lost its memory.
+    /// Applied, it could make a draining node ready again. So the complete list is to be polled next, which decides.
+    fn handle_list_answer(&mut self, now: Instant, after: u64, list: &List) {
+        if self.has_list && list.version < after {
+            tracing::info!(
+                from = after,
+                version = list.version,
+                "endpoint list went back to an older version: polling the complete list"
+            );
+            (self.has_list, self.watches_list) = (false, true);
+            return;
+        }
+        self.apply_list(now, kind(list), after, list);
+    }
+
     pub(super) fn apply_list(&mut self, now: Instant, kind: ListKind, from: u64, list: &List) {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
         let entries = list.members.iter().map(|member| ListEntry {
@@ -90,7 +93,7 @@
             tracing::info!(list = %to, "configuration reloaded: discovery moved");
         }
         if let Some(WatchEvent::List { after, list }) = self.watch.address_changed(to, &self.settings) {
-            self.apply_list(now, kind(&list), after, &list);
+            self.handle_list_answer(now, after, &list);
         }
         self.watches_list = true;
         self.poll_list(now);
--- a/crates/platform-host/tests/crossings.rs
+++ b/crates/platform-host/tests/crossings.rs
@@ -668,6 +668,38 @@
     host.run_until("served again", |_| node.request_count() == 1);
 }
 
+/// The list service has restarted with an older copy, in which a draining node is still ready, and its long answer is in the socket when
+/// the list moves. The old address is read to its end, but an older answer must not restore the node.
+#[test]
+fn older_list_version_of_the_old_address_is_not_applied_at_a_reload() {
+    let (mut host, mut endpoint_list, mut node) = default_fixture();
+    host.run_until("the list is polled", |_| endpoint_list.request_count() == 1);
+    let ready = [member_json("s-0", node.address(), 0, "Ready")];
+    let draining = [member_json("s-0", node.address(), 0, "Terminating")];
+    endpoint_list.connections[0].send(ok_response(&list_json(9, false, &draining)).as_bytes());
+    host.run_until("the update is applied", |host| host.status().version == 9);
+    host.run_until("the list is polled on", |_| endpoint_list.request_count() == 2);
+    let mut new = FakeServer::new();
+    // An answer of many chunks, of which the iteration reads one before it comes to the signal.
+    let mut members: Vec<String> =
+        (1..400).map(|shard| member_json(&format!("s-{shard}"), node.address(), shard, "Ready")).collect();
+    members.extend(ready.clone());
+    endpoint_list.connections[0].send(ok_response(&list_json(3, true, &members)).as_bytes());
+    host.reload(&endpoint_list.address().to_string(), &new.address().to_string());
+    host.run_until("the new address is polled", |_| new.request_count() == 1);
+    assert_eq!(host.status().version, 9, "an older version was applied");
+    let poll = new.connections[0].receive().to_owned();
+    assert!(poll.contains("GET /registry/instances HTTP/1.1"), "not the complete list: {poll}");
+    let mut client = host.client();
+    let text = host.request("read", 0, "x");
+    client.send(&text);
+    host.run_for(0.1);
+    assert_eq!(node.received_byte_count(), 0, "a request was sent to a draining node");
+    // The complete list of the new address decides.
+    new.connections[0].send(ok_response(&list_json(3, true, &ready)).as_bytes());
+    host.run_until("served again", |_| node.request_count() == 1);
+}
+
 /// Where the platform pushes lists to an agent, a new process counts as notified of what the agent has. A host that was ready
 /// before it has polled the agent would send requests to draining nodes; one whose agent is unreachable must still serve.
 #[test]
