--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -76,6 +76,8 @@
     /// When the connections that still write to a node are cut.
     cut_deadlines: BTreeSet<(Instant, NodeId)>,
     list_version: u64,
+    /// Changes of the endpoint list are missing since the last complete one.
+    is_list_incomplete: bool,
     removed_nodes: removed_nodes::RemovedNodes,
     override_requests: Option<OverrideRequests>,
     peers: Option<Peers>,
@@ -167,6 +169,7 @@
             cut_delay: TimeDelta::from_secs(settings.grace.secs() * CUT_FRACTION),
             cut_deadlines: BTreeSet::new(),
             list_version: 0,
+            is_list_incomplete: false,
             removed_nodes: removed_nodes::RemovedNodes::default(),
             override_requests: None,
             peers: None,
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -50,7 +50,8 @@
                 self.finish_part(now, request, PartState::Failed { ran: true }, Bytes::new());
             }
             Decision::WatchEndpointList => {
-                self.outputs.push_back(Output::WatchEndpointList { since: self.list_version })
+                let since = self.version_to_watch_from();
+                self.outputs.push_back(Output::WatchEndpointList { since });
             }
             Decision::Event(event) => self.emit(HostEvent::Scheduler(event)),
         }
--- a/crates/host-core/src/core/endpoint_list.rs
+++ b/crates/host-core/src/core/endpoint_list.rs
@@ -22,9 +22,11 @@
             // Changes are missing before these. These are applied all the same, since a drain among them must not wait; the complete
             // list is fetched for what is missing.
             ListKind::Changes if from != self.list_version => {
-                self.outputs.push_back(Output::FetchEndpointList)
+                self.is_list_incomplete = true;
+                self.outputs.push_back(Output::FetchEndpointList);
             }
-            _ => {}
+            ListKind::Complete => self.is_list_incomplete = false,
+            ListKind::Changes | ListKind::Saved => {}
         }
         self.list_version = to;
         let mut known: Vec<NodeEntry> = Vec::with_capacity(entries.len());
@@ -57,6 +59,16 @@
         }
     }
 
+    /// The version from which changes are to be watched; 0 asks for the complete list. A fetch of the complete list may fail or be lost.
+    /// A watch from the version of the last change would then never bring the changes that are missing before it, which may be drains.
+    pub(super) fn version_to_watch_from(&self) -> u64 {
+        if self.is_list_incomplete {
+            0
+        } else {
+            self.list_version
+        }
+    }
+
     /// Applies overrides, and removals by peers, to an entry of the list.
     pub(super) fn apply_overrides(&self, now: Instant, entry: &mut NodeEntry) {
         let address = self.nodes.address(entry.node).and_then(|address| address.parse().ok());
--- a/crates/host-core/src/output.rs
+++ b/crates/host-core/src/output.rs
@@ -37,7 +37,7 @@
     },
     /// Watch the endpoint list: ask for its changes since the version that is known.
     WatchEndpointList {
-        /// The version that is known.
+        /// The version that is known; 0 asks for the complete list.
         since: u64,
     },
     /// Ask for the complete endpoint list: a change is missing.
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -147,6 +147,18 @@
         claimed.inspect(|attempt| attempt.ticket.written()).map(|attempt| attempt.attempt).collect()
     }
 
+    /// A call of the list fails; gives the version from which the next watch asks for changes.
+    fn watched_version_after_a_failure(&mut self) -> u64 {
+        self.other.clear();
+        self.core.handle_endpoint_list(self.now, ListKind::Failed, 0, 0, &[]);
+        self.run_for(2.0);
+        let watched = self.other.iter().find_map(|output| match output {
+            Output::WatchEndpointList { since } => Some(*since),
+            _ => None,
+        });
+        watched.expect("the list is watched again")
+    }
+
     fn change_list(&mut self, from: u64, to: u64, entries: &[ListEntry]) {
         self.core.handle_endpoint_list(self.now, ListKind::Changes, from, to, entries);
         self.poll_outputs();
@@ -381,6 +393,20 @@
     assert_eq!(nodes, ["a", "c"]);
 }
 
+/// Changes are missing, and the fetch of the complete list fails. The watch that follows must ask for the complete list: one from the
+/// version of the last change would never bring the missing ones, and a node that drains by them would get requests for good.
+#[test]
+fn watch_asks_for_the_complete_list_until_one_is_received_after_a_gap() {
+    let mut fixture = Fixture::new();
+    fixture.change_list(8, 9, &[]);
+    // Later changes without a gap do not bring the missing ones either.
+    fixture.change_list(9, 10, &[]);
+    assert_eq!(fixture.watched_version_after_a_failure(), 0);
+    let both = [entry("a", 0, NodeState::Ready), entry("b", 1, NodeState::Ready)];
+    fixture.core.handle_endpoint_list(fixture.now, ListKind::Complete, 0, 12, &both);
+    assert_eq!(fixture.watched_version_after_a_failure(), 12);
+}
+
 /// The list names more nodes than the table holds. An operator must be able to see that some are not used.
 #[test]
 fn nodes_over_the_bound_are_reported() {
--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -193,8 +193,8 @@
                 Output::Cancel { node, attempt } => self.links.cancel(node, attempt),
                 Output::Cut { node, attempt } => self.links.cut(node, attempt),
                 Output::Answer { to, verdict } => self.answer(to, verdict),
-                Output::WatchEndpointList { since } => _ = self.list.try_send(ToList::Follow { since }),
-                Output::FetchEndpointList => _ = self.list.try_send(ToList::Fetch),
+                Output::WatchEndpointList { since } => self.call_list(ToList::Follow { since }),
+                Output::FetchEndpointList => self.call_list(ToList::Fetch),
                 Output::Persist { request, batch } => self.persist(request, batch),
                 Output::AdminResponse { request, response } => {
                     if let Some(answer_to) = self.admin_callers.remove(&request) {
@@ -225,6 +225,14 @@
         self.core.handle_attempt_result(self.now, result);
     }
 
+    /// Hands a call to the list's thread. A call that finds the queue full has failed, and the core asks again after its backoff: else a
+    /// change of the list could stay unknown for good.
+    fn call_list(&mut self, call: ToList) {
+        if self.list.try_send(call).is_err() {
+            self.core.handle_endpoint_list(self.now, ListKind::Failed, 0, 0, &[]);
+        }
+    }
+
     /// Hands an answer to its session. The queue holds every answer that the session's window allows, so a client with a full queue
     /// has broken its window.
     fn answer(&self, to: CommandRef, verdict: Verdict) {
--- a/crates/host/src/core_thread/tests.rs
+++ b/crates/host/src/core_thread/tests.rs
@@ -1,11 +1,14 @@
-//! What time the core's thread gives to the core.
+//! What time the core's thread gives to the core, and what it does with outputs that can't be handed on.
 
 use super::CoreThread;
 use crate::links::Links;
+use crate::list::ToList;
 use crate::messages::Event;
 use crate::Clock;
-use crossbeam_channel::Receiver;
+use crossbeam_channel::{Receiver, Sender};
 use std::sync::Arc;
+use std::time::{Duration, Instant as Wall};
+use tackmast::interface::ListKind;
 use tackmast_config::HostSettings;
 use tackmast_host_core::Core;
 
@@ -41,10 +44,14 @@
 
 /// A core's thread that has not begun to run, and the queue of its links' events.
 fn core_thread(clock: Clock) -> (CoreThread, Receiver<Event>) {
+    core_thread_with_list(clock, crossbeam_channel::unbounded().0)
+}
+
+/// The same, with this queue towards the endpoint list.
+fn core_thread_with_list(clock: Clock, to_list: Sender<ToList>) -> (CoreThread, Receiver<Event>) {
     let settings = Arc::new(HostSettings::parse("test", SETTINGS).unwrap());
     let core = Core::new(clock.now(), &settings, 1, 1);
     let (link_events, from_links) = crossbeam_channel::unbounded();
-    let (to_list, _) = crossbeam_channel::unbounded();
     let links = Links::new(settings.clone(), clock, link_events, 1);
     (CoreThread::new(core, settings, clock, links, to_list, None, None), from_links)
 }
@@ -77,3 +84,26 @@
     core_thread.execute_outputs();
     assert!(core_thread.now >= continued_at, "decided by a time before the pause");
 }
+
+/// Changes are missing, and the queue towards the list is full when the complete list is to be fetched. The fetch is lost, so the list must be
+/// asked again once there is room; until then the host does not know of a drain among the missing changes.
+#[test]
+fn list_is_asked_again_after_a_fetch_that_found_its_queue_full() {
+    let clock = Clock::start();
+    let (to_list, commands) = crossbeam_channel::bounded(1);
+    let (mut core_thread, _events) = core_thread_with_list(clock, to_list);
+    core_thread.execute_outputs();
+    assert!(commands.is_full(), "the watch waits in the queue");
+    core_thread.core.handle_endpoint_list(clock.now(), ListKind::Changes, 7, 9, &[]);
+    core_thread.execute_outputs();
+    assert!(matches!(commands.try_recv(), Ok(ToList::Follow { since: 0 })));
+    let since = Wall::now();
+    while commands.is_empty() {
+        assert!(since.elapsed() < Duration::from_secs(5), "the list is not asked again");
+        std::thread::sleep(Duration::from_millis(5));
+        core_thread.read_clock();
+        core_thread.core.handle_timeout(core_thread.now);
+        core_thread.execute_outputs();
+    }
+    assert!(matches!(commands.try_recv(), Ok(ToList::Follow { since: 0 })), "not the complete list");
+}
--- a/crates/host/src/list.rs
+++ b/crates/host/src/list.rs
@@ -1,6 +1,8 @@
 //! The connection to the endpoint list: it follows changes, asks for the complete list, and reports failed calls.
 
 pub(crate) mod saved;
+#[cfg(test)]
+mod tests;
 
 use crate::messages::Event;
 use crate::thread::spawn;
@@ -78,7 +80,7 @@
     clock: Clock,
     events: Sender<Event>,
     connection: Option<Connection>,
-    /// The version that the host has.
+    /// The version that the host has; 0 where changes are missing, so that the complete list is asked for.
     since: u64,
 }
 
@@ -191,7 +193,7 @@
         for frame in frames {
             connection.owed_answers = connection.owed_answers.saturating_sub(1);
             let update = ListUpdate::from_frame(frame)?;
-            self.since = update.to;
+            self.since = update.version_to_follow_from(self.since);
             _ = self.events.send(update.into_event(at));
         }
         Ok(())
@@ -240,6 +242,15 @@
         }
     }
 
+    /// The version from which changes are to be followed after this update, where they were followed from `since` before it. Where changes
+    /// are missing, it is 0 until a complete list arrives: changes after this update's version would not bring them.
+    fn version_to_follow_from(&self, since: u64) -> u64 {
+        match self.kind {
+            ListKind::Changes if self.from != since => 0,
+            _ => self.to,
+        }
+    }
+
     /// `at` is when the bytes were read.
     fn into_event(self, at: tackmast::interface::Instant) -> Event {
         let ListUpdate { kind, from, to, sent_us, entries } = self;
