--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -69,7 +69,8 @@
     last_poll_at: Instant,
     /// When the next poll is due, where it has to wait.
     next_poll_at: Option<Instant>,
-    has_list: bool,
+    /// A complete list was applied, and no change is missing since. Else the complete list is polled.
+    has_complete_list: bool,
     /// A poll of the list has ended, with whatever result.
     list_polled: bool,
     signals: HashMap<u32, (ProcessSignal, UnixStream)>,
@@ -118,7 +119,7 @@
             watches_list: false,
             last_poll_at: now - MIN_POLL_INTERVAL,
             next_poll_at: None,
-            has_list: false,
+            has_complete_list: false,
             list_polled: false,
             signals: HashMap::new(),
             request_ids: RequestIds::default(),
--- a/crates/platform-host/src/host/attempts.rs
+++ b/crates/platform-host/src/host/attempts.rs
@@ -85,12 +85,8 @@
                 self.handle_client_event(now, id, event);
                 self.queue_pipelined(id);
             }
-            Output::WatchEndpointList { .. } | Output::FetchEndpointList => {
-                self.watches_list = true;
-                if !self.watch.is_polling() {
-                    self.poll_list(now);
-                }
-            }
+            Output::WatchEndpointList { .. } => self.watch_list(now),
+            Output::FetchEndpointList => self.fetch_complete_list(now),
             Output::Event(event) => tackmast_host_core::log_event(None, self.core.nodes(), &event),
             // This host takes no operators' overrides and has no membership.
             Output::Persist { .. } | Output::AdminResponse { .. } | Output::Datagram { .. } => {}
--- a/crates/platform-host/src/host/endpoint_list.rs
+++ b/crates/platform-host/src/host/endpoint_list.rs
@@ -20,11 +20,25 @@
             return self.next_poll_at = Some(due);
         }
         (self.last_poll_at, self.next_poll_at) = (now, None);
-        let after = self.has_list.then(|| self.core.list_version());
+        let after = self.has_complete_list.then(|| self.core.list_version());
         let failed = self.watch.poll(now, &self.poller, after).err();
         self.handle_watch_event(now, failed);
     }
 
+    /// Changes are missing from what is known: the complete list is polled, at once or after the poll that is open.
+    pub(super) fn fetch_complete_list(&mut self, now: Instant) {
+        self.has_complete_list = false;
+        self.watch_list(now);
+    }
+
+    /// Polls the list from now on, one call after the other.
+    pub(super) fn watch_list(&mut self, now: Instant) {
+        self.watches_list = true;
+        if !self.watch.is_polling() {
+            self.poll_list(now);
+        }
+    }
+
     pub(super) fn handle_watch_event(&mut self, now: Instant, event: Option<WatchEvent>) {
         match event {
             None => {}
@@ -46,13 +60,13 @@
     /// Applies the answer to a poll after a version, unless it is an older version: then it was delayed, or the list has lost its memory.
     /// Applied, it could make a draining node ready again. So the complete list is to be polled next, which decides.
     fn handle_list_answer(&mut self, now: Instant, after: u64, list: &List) {
-        if self.has_list && list.version < after {
+        if list.version < after {
             tracing::info!(
                 from = after,
                 version = list.version,
                 "endpoint list went back to an older version: polling the complete list"
             );
-            (self.has_list, self.watches_list) = (false, true);
+            (self.has_complete_list, self.watches_list) = (false, true);
             return;
         }
         self.apply_list(now, kind(list), after, list);
@@ -74,7 +88,8 @@
         });
         let entries: Vec<ListEntry> = entries.collect();
         self.core.handle_endpoint_list(now, kind, from, list.version, &entries);
-        self.has_list = true;
+        // Changes do not bring what is missing before them.
+        self.has_complete_list |= kind != ListKind::Changes;
         let nodes = self.core.nodes();
         let is_current = |node, address: SocketAddr| {
             let is_ready = nodes.entry(node).is_some_and(|entry| entry.state == NodeState::Ready);
--- a/crates/platform-host/src/host/tests.rs
+++ b/crates/platform-host/src/host/tests.rs
@@ -1,16 +1,25 @@
-//! Clients that disconnect after an iteration began, so that the iteration does not report it.
+//! Events that a test outside of the host can't bring about: clients that disconnect after an iteration began, so that the iteration does
+//! not report it, and outputs of the core.
 
 use super::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::time::Instant as Wall;
 
+/// An address at which nothing listens.
+const UNREACHABLE: &str = "127.0.0.1:1";
+
 /// A host with one node that does not read; its list is unreachable.
 fn fixture(plan: &str) -> (Host, TcpListener) {
+    fixture_with_list(plan, UNREACHABLE)
+}
+
+/// A host with one node that does not read; its list is at that address.
+fn fixture_with_list(plan: &str, list_address: &str) -> (Host, TcpListener) {
     let node = TcpListener::bind("127.0.0.1:0").unwrap();
     node.set_nonblocking(true).unwrap();
     let text = format!(
-        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7",
+        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{list_address}","seed":"7",
         "limits":{{"cores":1.0,"memory_mb":32,"sockets":256}},
         "known":{{"revision":1,"complete":true,"members":[{{"id":"s","host_port":"{}","locality":"a","flavor":"m","cell":0,"phase":"Ready"}}]}},
         "settings":{{"balancers":1,"granularity":0.002,"areas":["a"],"registry_mode":"ask","domain":{{"unit_mean":2.0}},
@@ -90,3 +99,45 @@
     let status = host.status();
     assert_eq!((status.node_counters.opened, status.core.commands_aborted), (1, 1), "{status:?}");
 }
+
+/// Runs the host until a poll of the list has arrived on the connection, and gives its request line.
+fn receive_poll(host: &mut Host, connection: &mut TcpStream) -> String {
+    connection.set_nonblocking(true).unwrap();
+    let (since, mut poll) = (Wall::now(), Vec::new());
+    while !poll.ends_with(b"\r\n\r\n") {
+        assert!(since.elapsed() < Duration::from_secs(5), "the list is not polled");
+        host.run_iteration(&mut Vec::new(), &mut || Err("nothing to read again"));
+        // Fails for what has not arrived yet, and keeps what has.
+        _ = connection.read_to_end(&mut poll);
+    }
+    String::from_utf8(poll).unwrap().lines().next().unwrap().to_owned()
+}
+
+/// Changes are missing from what the host knows, and the core asks for the complete list, while no poll is open. A poll for changes would
+/// begin after the missing ones, which may be a drain.
+#[test]
+fn complete_list_is_polled_when_the_core_fetches_it() {
+    let list = TcpListener::bind("127.0.0.1:0").unwrap();
+    let (mut host, _node) = fixture_with_list("", &list.local_addr().unwrap().to_string());
+    let now = host.clock.now();
+    host.core.handle_endpoint_list(now, ListKind::Changes, 7, 9, &[]);
+    host.execute_outputs();
+    assert!(host.watch.is_polling());
+    let mut connection = list.accept().unwrap().0;
+    assert_eq!(receive_poll(&mut host, &mut connection), "GET /registry/instances HTTP/1.1");
+}
+
+/// The same while a poll for changes is open. Its answer has changes only, so the complete list must still be polled.
+#[test]
+fn complete_list_is_polled_after_a_poll_that_is_open_at_the_fetch() {
+    let list = TcpListener::bind("127.0.0.1:0").unwrap();
+    let (mut host, _node) = fixture_with_list("", &list.local_addr().unwrap().to_string());
+    run_until(&mut host, |host| host.watch.is_polling());
+    let mut connection = list.accept().unwrap().0;
+    assert!(receive_poll(&mut host, &mut connection).contains("after=1&"));
+    let now = host.clock.now();
+    host.fetch_complete_list(now);
+    let body = r#"{"revision":2,"complete":false,"members":[]}"#;
+    write!(connection, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).unwrap();
+    assert_eq!(receive_poll(&mut host, &mut connection), "GET /registry/instances HTTP/1.1");
+}
--- a/crates/platform-host/tests/crossings.rs
+++ b/crates/platform-host/tests/crossings.rs
@@ -700,6 +700,25 @@
     host.run_until("served again", |_| node.request_count() == 1);
 }
 
+/// The host asks for the complete list after an older version, and is sent changes only. What it has may lack changes, such as a drain, so
+/// it must go on asking for the complete list.
+#[test]
+fn complete_list_is_polled_until_it_is_received() {
+    let (mut host, mut endpoint_list, node) = default_fixture();
+    host.run_until("the list is polled", |_| endpoint_list.request_count() == 1);
+    let members = [member_json("s-0", node.address(), 0, "Ready")];
+    endpoint_list.connections[0].send(ok_response(&list_json(0, true, &members)).as_bytes());
+    host.run_until("the complete list is polled", |_| endpoint_list.request_count() == 2);
+    endpoint_list.connections[0].send(ok_response(&list_json(5, false, &members)).as_bytes());
+    host.run_until("the list is polled once more", |_| endpoint_list.request_count() == 3);
+    assert_eq!(host.status().version, 5, "the changes are applied");
+    let last_poll = endpoint_list.connections[0].receive().rsplit("GET ").next().unwrap().to_owned();
+    assert!(last_poll.starts_with("/registry/instances HTTP/1.1"), "not the complete list: {last_poll}");
+    endpoint_list.connections[0].send(ok_response(&list_json(6, true, &members)).as_bytes());
+    host.run_until("changes are polled again", |_| endpoint_list.request_count() == 4);
+    assert!(endpoint_list.connections[0].receive().contains("after=6"));
+}
+
 /// Where the platform pushes lists to an agent, a new process counts as notified of what the agent has. A host that was ready
 /// before it has polled the agent would send requests to draining nodes; one whose agent is unreachable must still serve.
 #[test]
