--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -274,7 +274,8 @@
         let overrides = self.override_requests.as_ref().and_then(|requests| requests.poll_timeout(now));
         let peers = self.peers.as_ref().map(|peers| peers.member.poll_timeout());
         let consensus = self.consensus.as_ref().map(|consensus| consensus.poll_timeout(now));
+        let removal = self.removed_nodes.poll_timeout();
         let scheduler = self.scheduler.poll_timeout();
-        [attempt, cut, overrides, peers, consensus, scheduler].into_iter().flatten().min()
+        [attempt, cut, overrides, peers, consensus, removal, scheduler].into_iter().flatten().min()
     }
 }
--- a/crates/host-core/src/core/endpoint_list.rs
+++ b/crates/host-core/src/core/endpoint_list.rs
@@ -79,7 +79,7 @@
             entry.state = state;
         }
         // A newer list of a peer only removes nodes: what it adds is not known to be warmed up.
-        let is_removed = |address: &str| self.removed_nodes.contains(address, self.list_version);
+        let is_removed = |address: &str| self.removed_nodes.contains(now, address, self.list_version);
         if entry.state == NodeState::Ready && self.nodes.address(entry.node).is_some_and(is_removed) {
             entry.state = NodeState::Draining;
         }
--- a/crates/host-core/src/core/removed_nodes.rs
+++ b/crates/host-core/src/core/removed_nodes.rs
@@ -39,14 +39,40 @@
 #[derive(Default)]
 pub(super) struct RemovedNodes {
     by_address: BTreeMap<String, Removal>,
+    /// No removal ends by its time before this; none: there are no removals.
+    next_end: Option<Instant>,
     /// It has been reported that no more removals are accepted, and none has ended since.
     reported_full: bool,
 }
 
 impl RemovedNodes {
     /// Whether a node is removed for a host whose own list is at that version.
-    pub(super) fn contains(&self, address: &str, own_version: u64) -> bool {
-        self.by_address.get(address).is_some_and(|removal| removal.version > own_version)
+    pub(super) fn contains(&self, now: Instant, address: &str, own_version: u64) -> bool {
+        self.by_address.get(address).is_some_and(|removal| !removal.is_over(now, own_version))
+    }
+
+    /// When removals may end by their time.
+    pub(super) fn poll_timeout(&self) -> Option<Instant> {
+        self.next_end
+    }
+
+    /// Adds a removal by a list of that version. One by a newer list that is known stays by that list's version: else the host's own list
+    /// could end it while it is still older than the drain.
+    fn insert(&mut self, now: Instant, address: String, version: u64) {
+        let known_version = self.by_address.get(&address).map_or(0, |known| known.version);
+        let removal = Removal { version: version.max(known_version), ends: now + MAX_REMOVAL };
+        self.next_end = Some(self.next_end.map_or(removal.ends, |next_end| next_end.min(removal.ends)));
+        self.by_address.insert(address, removal);
+    }
+
+    /// Drops the removals that are over for a host whose own list is at that version, and gives the addresses of their nodes.
+    fn take_ended(&mut self, now: Instant, own_version: u64) -> Vec<String> {
+        let over = self.by_address.iter().filter(|(_, removal)| removal.is_over(now, own_version));
+        let ended: Vec<String> = over.map(|(address, _)| address.clone()).collect();
+        self.by_address.retain(|_, removal| !removal.is_over(now, own_version));
+        self.next_end = self.by_address.values().map(|removal| removal.ends).min();
+        self.reported_full &= ended.is_empty();
+        ended
     }
 }
 
@@ -74,8 +100,7 @@
             }
             return;
         }
-        let removal = Removal { version, ends: now + MAX_REMOVAL };
-        removed_nodes.by_address.insert(removed.address.clone(), removal);
+        removed_nodes.insert(now, removed.address.clone(), version);
         if !is_known {
             let (address, is_gone) = (removed.address.clone(), removed.gone);
             self.emit(EndpointListEvent::NodeRemovedByPeer { address, is_gone, version });
@@ -94,15 +119,22 @@
         self.withdraw_from_unavailable_nodes(now);
     }
 
+    /// Ends removals whose time is over. This host's own list may fail for longer than that, so no list would end them.
+    pub(super) fn handle_removal_timeout(&mut self, now: Instant) {
+        if self.removed_nodes.poll_timeout().is_some_and(|next_end| next_end <= now) {
+            self.end_removals(now);
+        }
+    }
+
+    fn end_removals(&mut self, now: Instant) {
+        let ended = self.removed_nodes.take_ended(now, self.list_version);
+        self.refresh_nodes(now, &ended);
+    }
+
     /// This host's own list has changed: removals by older versions end, and peers learn the version of the list.
     pub(super) fn handle_own_endpoint_list(&mut self, now: Instant) {
+        self.end_removals(now);
         let version = self.list_version;
-        let by_address = &mut self.removed_nodes.by_address;
-        let over = by_address.iter().filter(|(_, removal)| removal.is_over(now, version));
-        let ended: Vec<String> = over.map(|(address, _)| address.clone()).collect();
-        by_address.retain(|_, removal| !removal.is_over(now, version));
-        self.removed_nodes.reported_full &= ended.is_empty();
-        self.refresh_nodes(now, &ended);
         let Some(peers) = &mut self.peers else { return };
         let not_ready = self.nodes.entries().filter(|(_, entry)| entry.state != NodeState::Ready);
         let removal = |(address, entry): (&str, &NodeEntry)| NodeRemoval {
--- a/crates/host-core/src/core/timeouts.rs
+++ b/crates/host-core/src/core/timeouts.rs
@@ -12,6 +12,7 @@
         self.handle_override_timeout(now);
         self.handle_consensus_timeout(now);
         self.handle_peer_timeout(now);
+        self.handle_removal_timeout(now);
         while let Some((_, node)) = self.cut_deadlines.first().copied().filter(|(due, _)| *due <= now) {
             self.cut_deadlines.pop_first();
             self.cut_stuck_attempts(now, node);
