--- a/crates/platform-host/src/host/endpoint_list.rs
+++ b/crates/platform-host/src/host/endpoint_list.rs
@@ -20,11 +20,25 @@
             return self.next_poll_at = Some(due);
         }
         (self.last_poll_at, self.next_poll_at) = (now, None);
-        let after = self.has_list.then(|| self.core.list_version());
+        let after = self.has_complete_list.then(|| self.core.list_version());
         let failed = self.watch.poll(now, &self.poller, after).err();
         self.handle_watch_event(now, failed);
     }
 
+    /// Changes are missing from what is known: the complete list is polled, at once or after the poll that is open.
+    pub(super) fn fetch_complete_list(&mut self, now: Instant) {
+        self.has_complete_list = false;
+        self.watch_list(now);
+    }
+
+    /// Polls the list from now on, one call after the other.
+    pub(super) fn watch_list(&mut self, now: Instant) {
+        self.watches_list = true;
+        if !self.watch.is_polling() {
+            self.poll_list(now);
+        }
+    }
+
     pub(super) fn handle_watch_event(&mut self, now: Instant, event: Option<WatchEvent>) {
         match event {
             None => {}
@@ -33,21 +47,9 @@
                 (self.watches_list, self.list_polled) = (false, true);
                 self.core.handle_endpoint_list(now, ListKind::Failed, 0, 0, &[]);
             }
-            // An older version than this host has: the answer was delayed, or the list has lost its memory. Applied, it could make a
-            // draining node ready again. The complete list decides.
-            Some(WatchEvent::List { after, list }) if self.has_list && list.version < after => {
-                tracing::info!(
-                    from = after,
-                    version = list.version,
-                    "endpoint list went back to an older version: polling the complete list"
-                );
-                (self.list_polled, self.has_list) = (true, false);
-                self.watches_list = true;
-                self.poll_list(now);
-            }
             Some(WatchEvent::List { after, list }) => {
                 self.list_polled = true;
-                self.apply_list(now, kind(&list), after, &list);
+                self.handle_list_answer(now, after, &list);
                 if self.watches_list {
                     self.poll_list(now);
                 }
@@ -55,6 +57,21 @@
         }
     }
 
+    /// Applies the answer to a poll after a version, unless it is an older version: then it was delayed, or the list has lost its memory.
+    /// Applied, it could make a draining node ready again. So the complete list is to be polled next, which decides.
+    fn handle_list_answer(&mut self, now: Instant, after: u64, list: &List) {
+        if list.version < after {
+            tracing::info!(
+                from = after,
+                version = list.version,
+                "endpoint list went back to an older version: polling the complete list"
+            );
+            (self.has_complete_list, self.watches_list) = (false, true);
+            return;
+        }
+        self.apply_list(now, kind(list), after, list);
+    }
+
     pub(super) fn apply_list(&mut self, now: Instant, kind: ListKind, from: u64, list: &List) {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
         let entries = list.members.iter().map(|member| ListEntry {
@@ -71,7 +88,8 @@
         });
         let entries: Vec<ListEntry> = entries.collect();
         self.core.handle_endpoint_list(now, kind, from, list.version, &entries);
-        self.has_list = true;
+        // Changes do not bring what is missing before them.
+        self.has_complete_list |= kind != ListKind::Changes;
         let nodes = self.core.nodes();
         let is_current = |node, address: SocketAddr| {
             let is_ready = nodes.entry(node).is_some_and(|entry| entry.state == NodeState::Ready);
@@ -90,7 +108,7 @@
             tracing::info!(list = %to, "configuration reloaded: discovery moved");
         }
         if let Some(WatchEvent::List { after, list }) = self.watch.address_changed(to, &self.settings) {
-            self.apply_list(now, kind(&list), after, &list);
+            self.handle_list_answer(now, after, &list);
         }
         self.watches_list = true;
         self.poll_list(now);
