--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -133,8 +133,9 @@
         timeout.map_or(MAX_WAIT, |at| self.clock.until(at)).min(MAX_WAIT)
     }
 
-    /// Handles an event and those that wait behind it. Urgent ones come first: the list is among them, and a drain counts from when its
-    /// bytes were read.
+    /// Handles an event and those that wait behind it. Urgent ones come first: the list is among them. The core counts a drain and a node's
+    /// age from when it handles the list. An earlier time, as when the bytes were read, would take its clock back; the delay makes a node
+    /// look younger at most, and what is not sent yet is withdrawn from a draining node at once.
     fn handle_events(
         &mut self,
         first: Option<Event>,
--- a/crates/host/src/core_thread/events.rs
+++ b/crates/host/src/core_thread/events.rs
@@ -32,8 +32,8 @@
                 self.core.handle_node_uptime(now, node, uptime);
                 _ = applied.try_send(());
             }
-            Event::List { at, kind, from, to, entries } => {
-                self.core.handle_endpoint_list(at.max(now), kind, from, to, &entries);
+            Event::List { kind, from, to, entries } => {
+                self.core.handle_endpoint_list(now, kind, from, to, &entries);
                 self.after_list(kind);
             }
             Event::Status { answer_to } => _ = answer_to.try_send(self.status()),
--- a/crates/host/src/list.rs
+++ b/crates/host/src/list.rs
@@ -77,7 +77,6 @@
 
 struct ListClient {
     settings: Arc<HostSettings>,
-    clock: Clock,
     events: Sender<Event>,
     connection: Option<Connection>,
     /// The version that the host has; 0 where changes are missing, so that the complete list is asked for.
@@ -97,12 +96,11 @@
 /// Starts the thread that speaks with the list.
 pub(crate) fn start(
     settings: Arc<HostSettings>,
-    clock: Clock,
     events: Sender<Event>,
     stopping: Arc<AtomicBool>,
 ) -> Result<Sender<ToList>, StartError> {
     let (to_list, commands) = crossbeam_channel::bounded(MAX_QUEUED_COMMANDS);
-    let mut client = ListClient { settings, clock, events, connection: None, since: 0 };
+    let mut client = ListClient { settings, events, connection: None, since: 0 };
     spawn("list".into(), move || client.run(&commands, &stopping))?;
     Ok(to_list)
 }
@@ -183,7 +181,6 @@
                 _ => return Err(ListError::Read(error)),
             },
         };
-        let at = self.clock.now();
         connection.active_at = Wall::now();
         connection.frames.push(&buffer[..length]);
         let mut frames = Vec::new();
@@ -194,7 +191,7 @@
             connection.owed_answers = connection.owed_answers.saturating_sub(1);
             let update = ListUpdate::from_frame(frame)?;
             self.since = update.version_to_follow_from(self.since);
-            _ = self.events.send(update.into_event(at));
+            _ = self.events.send(update.into_event());
         }
         Ok(())
     }
@@ -216,8 +213,8 @@
     fn fail(&mut self, error: &ListError) {
         tracing::warn!(list = %self.settings.host.node_list, %error, "call of the node list failed");
         self.connection = None;
-        let (at, kind) = (self.clock.now(), ListKind::Failed);
-        _ = self.events.send(Event::List { at, kind, from: 0, to: 0, entries: Vec::new() });
+        let failed = Event::List { kind: ListKind::Failed, from: 0, to: 0, entries: Vec::new() };
+        _ = self.events.send(failed);
     }
 
     fn save(&self, entries: &[ListEntry]) {
@@ -251,11 +248,10 @@
         }
     }
 
-    /// `at` is when the bytes were read.
-    fn into_event(self, at: tackmast::interface::Instant) -> Event {
+    fn into_event(self) -> Event {
         let ListUpdate { kind, from, to, sent_us, entries } = self;
         let entries = entries.into_iter().map(|entry| list_entry(entry, sent_us)).collect();
-        Event::List { at, kind, from, to, entries }
+        Event::List { kind, from, to, entries }
     }
 }
 
--- a/crates/host/src/messages.rs
+++ b/crates/host/src/messages.rs
@@ -44,14 +44,7 @@
         applied: Sender<()>,
     },
     /// A part of the node list, or a failed call of it.
-    List {
-        /// When its bytes were read.
-        at: Instant,
-        kind: ListKind,
-        from: u64,
-        to: u64,
-        entries: Vec<ListEntry>,
-    },
+    List { kind: ListKind, from: u64, to: u64, entries: Vec<ListEntry> },
     /// A caller wants the host's figures.
     Status { answer_to: Sender<Status> },
     /// An operator's call.
--- a/crates/host/src/startup.rs
+++ b/crates/host/src/startup.rs
@@ -86,7 +86,7 @@
     let startup = Startup { settings: Arc::new(settings), clock, generation, seed, urgent, events, stopping };
     let settings = startup.settings.clone();
     let units = Arc::new(tackmast_target::units(&settings, |volume| core.layout().max_blocks(volume)));
-    let list = list::start(settings.clone(), clock, startup.urgent.clone(), startup.stopping.clone())?;
+    let list = list::start(settings.clone(), startup.urgent.clone(), startup.stopping.clone())?;
     let to_store = startup.start_store(&mut core, store)?;
     let peers = startup.start_peers(&mut core, members)?;
     let peers_address = peers.as_ref().map(|peers| peers.address);
