--- a/crates/host/src/core_thread/tests.rs
+++ b/crates/host/src/core_thread/tests.rs
@@ -94,8 +94,8 @@
     let (to_events, events) = crossbeam_channel::unbounded();
     to_events.send(Event::SessionClosed { session: 1 }).unwrap();
     for repetition in 0..64 {
-        let (at, kind, entries) = (core_thread.now, ListKind::Changes, Vec::new());
-        to_urgent.send(Event::List { at, kind, from: 1, to: 2, entries }).unwrap();
+        let (kind, entries) = (ListKind::Changes, Vec::new());
+        to_urgent.send(Event::List { kind, from: 1, to: 2, entries }).unwrap();
         let first = core_thread.wait_for_event(&urgent, &events);
         assert!(matches!(first, Some(Event::List { .. })), "repetition {repetition}");
     }
