--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -5,7 +5,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::links::Links;
+use crate::links::{LinkError, Links};
 use crate::list::{saved, ToList};
 use crate::messages::{Event, ToSession};
 use crate::peers::Peers;
@@ -20,7 +20,7 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::Duration;
-use tackmast::interface::{Instant, ListKind, Outcome};
+use tackmast::interface::{Instant, ListKind};
 use tackmast_admin::Answer;
 use tackmast_config::HostSettings;
 use tackmast_host_core::{
@@ -213,16 +213,19 @@
         }
     }
 
-    /// Hands an attempt to its node's link. If the link's queue is full, the attempt was never sent.
+    /// Hands an attempt to its node's link. If the link does not take it, the attempt was never sent.
     fn send(&mut self, send: Box<SendAttempt>) {
         let (node, attempt) = (send.node, send.attempt);
-        let address = self.core.nodes().address(node).map(str::to_owned);
-        if address.is_some_and(|address| self.links.send(node, &address, send)) {
-            return;
+        let sent = match self.core.nodes().address(node).map(str::to_owned) {
+            Some(address) => self.links.send(node, &address, send),
+            None => Err(LinkError::UnknownAddress),
+        };
+        if let Err(error) = sent {
+            tracing::debug!(node = node.0, %error, "attempt not handed to a link of the node");
+            let (outcome, data) = (error.outcome(), Bytes::new());
+            let result = AttemptResult { attempt, outcome, waiting: None, elsewhere: None, data };
+            self.core.handle_attempt_result(self.now, result);
         }
-        let (outcome, data) = (Outcome::Refused, Bytes::new());
-        let result = AttemptResult { attempt, outcome, waiting: None, elsewhere: None, data };
-        self.core.handle_attempt_result(self.now, result);
     }
 
     /// Hands an answer to its session. The queue holds every answer that the session's window allows, so a client with a full queue
--- a/crates/host/src/core_thread/tests.rs
+++ b/crates/host/src/core_thread/tests.rs
@@ -1,13 +1,21 @@
-//! What time the core's thread gives to the core.
+//! What time the core's thread gives to the core, and what it reports of attempts that it can't hand to a link.
 
 use super::CoreThread;
 use crate::links::Links;
 use crate::messages::Event;
 use crate::Clock;
 use crossbeam_channel::Receiver;
+use std::net::TcpListener;
 use std::sync::Arc;
+use tackmast::interface::{ListKind, NodeState, ShardId, ZoneId};
 use tackmast_config::HostSettings;
-use tackmast_host_core::Core;
+use tackmast_host_core::{ClientCommand, CommandRef, Core, ListEntry, Work};
+
+/// Failures for which a node is ejected that has answered nothing well.
+const FAILURES_TO_EJECT: u64 = 6;
+/// Of so many commands, the last is not sent to a node that was ejected for the attempts of those before it: at most two of these are
+/// taken by the link and its queue. Many more would wait for the retries of the first, whatever the node's health.
+const COMMAND_COUNT: u32 = 9;
 
 const SETTINGS: &str = r#"
 host {
@@ -16,6 +24,11 @@
   listen = "127.0.0.1:0"
   node_list = "127.0.0.1:1"
 }
+bounds {
+  links = 1
+  link_queue = 1
+  connect_ms = 60000
+}
 units {
   bytes = 4096
   most = 8
@@ -49,6 +62,36 @@
     (CoreThread::new(core, settings, clock, links, to_list, None, None), from_links)
 }
 
+/// Lists one node, at this address.
+fn list_node(core_thread: &mut CoreThread, address: &str) {
+    let entry = ListEntry {
+        id: address.to_owned(),
+        address: address.to_owned(),
+        state: NodeState::Ready,
+        zone: ZoneId(0),
+        shard: ShardId(0),
+        start: None,
+    };
+    core_thread.core.handle_endpoint_list(core_thread.now, ListKind::Complete, 0, 1, &[entry]);
+}
+
+/// A client reads one block, which no other command reads.
+fn read_block(core_thread: &mut CoreThread, command: u32) {
+    core_thread.core.handle_command(
+        core_thread.now,
+        ClientCommand {
+            from: CommandRef { session: 1, command },
+            lun: 0,
+            block: u64::from(command),
+            work: Work::Read { blocks: 1 },
+            received_at: core_thread.now,
+            timeout: None,
+            idempotency_key: None,
+        },
+    );
+    core_thread.execute_outputs();
+}
+
 /// A host is suspended while its core's thread goes through the queue, for longer than its lease; meanwhile an operator asks for the
 /// status. When the process continues, the thread finds that call in the queue within the same iteration. Handled by the time at which the
 /// iteration began, the lease would still be reported as valid, and with it plans that other hosts have long replaced.
@@ -77,3 +120,24 @@
     core_thread.execute_outputs();
     assert!(core_thread.now >= continued_at, "decided by a time before the pause");
 }
+
+/// The link to a node waits for the node's hello, and its queue is full. The attempts that the queue can't take never reach the node, and
+/// say nothing of it: counted as failures, they would eject a node that may be well.
+#[test]
+fn a_full_link_queue_does_not_eject_the_node() {
+    let (mut core_thread, _events) = core_thread(Clock::start());
+    let node = TcpListener::bind("127.0.0.1:0").unwrap();
+    list_node(&mut core_thread, &node.local_addr().unwrap().to_string());
+    (0..COMMAND_COUNT).for_each(|command| read_block(&mut core_thread, command));
+    let attempts = core_thread.core.counters.attempts;
+    assert!(attempts >= u64::from(COMMAND_COUNT), "{attempts} attempts: the node is ejected");
+}
+
+/// A node's address is not one to connect to. No attempt can reach the node, so it is ejected as any other that takes no connection.
+#[test]
+fn a_node_without_a_usable_address_is_ejected() {
+    let (mut core_thread, _events) = core_thread(Clock::start());
+    list_node(&mut core_thread, "node-of-no-address");
+    (0..COMMAND_COUNT).for_each(|command| read_block(&mut core_thread, command));
+    assert_eq!(core_thread.core.counters.attempts, FAILURES_TO_EJECT);
+}
--- a/crates/host/src/links.rs
+++ b/crates/host/src/links.rs
@@ -9,7 +9,7 @@
 use crate::lock::lock;
 use crate::messages::Event;
 use crate::thread::spawn;
-use crate::Clock;
+use crate::{Clock, StartError};
 use context::LinkContext;
 use crossbeam_channel::Sender;
 use link::{CurrentConnection, Link, ToLink};
@@ -17,10 +17,34 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use tackmast::interface::NodeId;
+use tackmast::interface::{NodeId, Outcome};
 use tackmast_config::HostSettings;
 use tackmast_host_core::{AttemptId, SendAttempt};
 
+/// Why an attempt was not handed to a link of its node.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum LinkError {
+    #[error("its address is not known")]
+    UnknownAddress,
+    #[error("its address {address} is not an IP address and a port")]
+    InvalidAddress { address: String },
+    #[error("link not started: {0}")]
+    Thread(#[from] StartError),
+    #[error("the queue of the link is full")]
+    QueueFull,
+}
+
+impl LinkError {
+    /// How the attempt has ended. Only what keeps every host from reaching the node counts against the node: what this host lacks would
+    /// eject nodes that are well.
+    pub(crate) fn outcome(&self) -> Outcome {
+        match self {
+            LinkError::UnknownAddress | LinkError::InvalidAddress { .. } => Outcome::Refused,
+            LinkError::Thread(_) | LinkError::QueueFull => Outcome::Skipped,
+        }
+    }
+}
+
 /// The queue of one link, and the connection that it has at the moment.
 struct LinkHandle {
     queue: Sender<ToLink>,
@@ -52,14 +76,22 @@
         (attempt.0 >> 8) as usize % self.settings.bounds.links
     }
 
-    /// Hands the attempt to a link of its node; false: the link's queue is full, or it could not be opened.
-    pub(crate) fn send(&mut self, node: NodeId, address: &str, attempt: Box<SendAttempt>) -> bool {
+    /// Hands the attempt to a link of its node, and opens the node's links if it must.
+    pub(crate) fn send(
+        &mut self,
+        node: NodeId,
+        address: &str,
+        attempt: Box<SendAttempt>,
+    ) -> Result<(), LinkError> {
         let index = self.link_index(attempt.attempt);
         if !self.nodes.contains_key(&node) {
-            let Some(links) = self.open(node, address) else { return false };
+            let links = self.open(node, address)?;
             self.nodes.insert(node, links);
         }
-        self.nodes.get(&node).is_some_and(|links| links[index].queue.try_send(ToLink::Send(attempt)).is_ok())
+        let message = ToLink::Send(attempt);
+        let is_queued =
+            self.nodes.get(&node).is_some_and(|links| links[index].queue.try_send(message).is_ok());
+        is_queued.then_some(()).ok_or(LinkError::QueueFull)
     }
 
     /// Asks the node to cancel an attempt that the core has ended.
@@ -85,16 +117,16 @@
         self.nodes.retain(|node, _| !is_gone(*node));
     }
 
-    fn open(&self, node: NodeId, address: &str) -> Option<Vec<LinkHandle>> {
+    fn open(&self, node: NodeId, address: &str) -> Result<Vec<LinkHandle>, LinkError> {
         let Ok(parsed) = address.parse::<SocketAddr>() else {
             tracing::warn!(node = address, "node address is not an IP address and a port");
-            return None;
+            return Err(LinkError::InvalidAddress { address: address.to_owned() });
         };
         let open_one = |index| self.open_one(node, parsed, index);
         (0..self.settings.bounds.links).map(open_one).collect()
     }
 
-    fn open_one(&self, node: NodeId, address: SocketAddr, index: usize) -> Option<LinkHandle> {
+    fn open_one(&self, node: NodeId, address: SocketAddr, index: usize) -> Result<LinkHandle, LinkError> {
         let (queue, queued) = crossbeam_channel::bounded(self.settings.bounds.link_queue);
         let link = Link::new(LinkContext {
             node,
@@ -105,12 +137,10 @@
             generation: self.generation,
         });
         let current = link.current.clone();
-        match spawn(format!("link {} {index}", node.0), move || link.run(&queued)) {
-            Ok(_) => Some(LinkHandle { queue, current }),
-            Err(error) => {
-                tracing::warn!(node = %address, %error, "link to the node not started");
-                None
-            }
+        if let Err(error) = spawn(format!("link {} {index}", node.0), move || link.run(&queued)) {
+            tracing::warn!(node = %address, %error, "link to the node not started");
+            return Err(LinkError::Thread(error));
         }
+        Ok(LinkHandle { queue, current })
     }
 }
--- a/crates/host/src/links/handshake.rs
+++ b/crates/host/src/links/handshake.rs
@@ -6,7 +6,7 @@
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant as Wall};
-use tackmast::interface::TimeDelta;
+use tackmast::interface::{Outcome, TimeDelta};
 use tackmast_wire::node::{self, Frame};
 use tackmast_wire::reader::Frames;
 use tackmast_wire::WireError;
@@ -37,6 +37,23 @@
     Thread(#[from] StartError),
 }
 
+impl ConnectError {
+    /// How an attempt has ended that waited for this connection. What the host itself lacks says nothing of the node: while its core is
+    /// busy, the attempts that wait would eject a node that is well.
+    pub(super) fn outcome(&self) -> Outcome {
+        match self {
+            ConnectError::CoreBusy { .. } | ConnectError::Thread(_) => Outcome::Skipped,
+            ConnectError::Connect(_)
+            | ConnectError::Socket(_)
+            | ConnectError::Hello(_)
+            | ConnectError::NoHello { .. }
+            | ConnectError::ClosedBeforeHello
+            | ConnectError::UnexpectedFrame { .. }
+            | ConnectError::Wire(_) => Outcome::Refused,
+        }
+    }
+}
+
 /// A connection past its handshake, and the reader of its frames.
 pub(super) struct Handshaken {
     pub(super) stream: TcpStream,
--- a/crates/host/src/links/link.rs
+++ b/crates/host/src/links/link.rs
@@ -135,7 +135,7 @@
             tracing::debug!(node = %self.context.address, %error, "no connection to the node");
             // The attempt provably never ran, unless the core has failed it before.
             if attempt.ticket.withdraw() {
-                report(&self.context.events, attempt.attempt, Outcome::Refused);
+                report(&self.context.events, attempt.attempt, error.outcome());
             }
             return;
         }
--- a/crates/host/src/links/link/tests.rs
+++ b/crates/host/src/links/link/tests.rs
@@ -23,6 +23,9 @@
   listen = "127.0.0.1:0"
   node_list = "127.0.0.1:1"
 }
+bounds {
+  connect_ms = 1000
+}
 units {
   bytes = 4096
   most = 8
@@ -214,6 +217,31 @@
     node.expect_attempt(3);
 }
 
+/// The node answers the hello, but the core is busy for longer than a connection may take, so the attempt is not sent. The node is well:
+/// reported as refused, the attempts that wait for a busy core would eject it.
+#[test]
+fn attempt_that_waits_for_a_busy_core_is_reported_as_skipped() {
+    let mut fixture = Fixture::new();
+    let listener = fixture.node.try_clone().unwrap();
+    let node = std::thread::spawn(move || NodeConnection::accept(&listener));
+    fixture.gather(1);
+    let uptime = fixture.events.recv_timeout(TEST_TIMEOUT).expect("the uptime is reported");
+    assert!(matches!(uptime, Event::NodeUp { .. }));
+    assert_eq!(fixture.outcomes(1), [(1, Outcome::Skipped)]);
+    drop(node.join().unwrap());
+}
+
+/// The node closes the connection before its hello. That is its own failure, and must count against it.
+#[test]
+fn attempt_whose_node_ends_the_handshake_is_reported_as_refused() {
+    let mut fixture = Fixture::new();
+    let listener = fixture.node.try_clone().unwrap();
+    let node = std::thread::spawn(move || drop(listener.accept().unwrap()));
+    fixture.gather(1);
+    assert_eq!(fixture.outcomes(1), [(1, Outcome::Refused)]);
+    node.join().unwrap();
+}
+
 /// A connection breaks while a written attempt waits for its answer and another is gathered. Only the first may have run.
 #[test]
 fn only_attempts_whose_write_began_are_reported_as_reset() {
--- a/src/interface/inputs.rs
+++ b/src/interface/inputs.rs
@@ -45,7 +45,8 @@
     Reset,
     /// Given up by this host or its client, or answered as a request that the node can't use.
     Cancelled,
-    /// Never sent: the request was over, the host withdrew the attempt, or the node does not hold its shard.
+    /// Never sent: the request was over, the host withdrew the attempt or could not send it for a reason of its own, or the node does not
+    /// hold its shard. It says nothing of the node's health.
     Skipped,
 }
 
