--- a/crates/host-core/src/attempt.rs
+++ b/crates/host-core/src/attempt.rs
@@ -27,6 +27,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId(pub u64);
 
+/// How many low bits of an `AttemptId` hold the number of the attempt; the bits above hold the request.
+const ATTEMPT_NUMBER_BITS: u32 = 8;
+/// Selects the number of the attempt in an `AttemptId`.
+const ATTEMPT_NUMBER_MASK: u64 = (1 << ATTEMPT_NUMBER_BITS) - 1;
+
+impl AttemptId {
+    /// The name of a request's attempt; `number` counts the attempts of the request from 0, and its low bits are kept.
+    pub fn new(request: u64, number: u32) -> AttemptId {
+        AttemptId(request << ATTEMPT_NUMBER_BITS | u64::from(number) & ATTEMPT_NUMBER_MASK)
+    }
+
+    /// The number of its request.
+    pub fn request(self) -> u64 {
+        self.0 >> ATTEMPT_NUMBER_BITS
+    }
+
+    /// Its number within the request, from 0.
+    pub fn number(self) -> u32 {
+        (self.0 & ATTEMPT_NUMBER_MASK) as u32
+    }
+}
+
 /// An attempt, for the connection to its node.
 #[derive(Clone, Debug)]
 pub struct SendAttempt {
--- a/crates/host-core/src/core/tables.rs
+++ b/crates/host-core/src/core/tables.rs
@@ -36,20 +36,13 @@
     pub number: u32,
 }
 
-/// How many low bits of an `AttemptId` hold the number of the attempt; the bits above hold the request.
-const ATTEMPT_NUMBER_BITS: u32 = 8;
-/// Selects the number of the attempt in an `AttemptId`.
-const ATTEMPT_NUMBER_MASK: u64 = (1 << ATTEMPT_NUMBER_BITS) - 1;
-
 impl AttemptKey {
     pub(super) fn of(attempt: AttemptId) -> AttemptKey {
-        let request = RequestId((attempt.0 >> ATTEMPT_NUMBER_BITS) as u32);
-        AttemptKey { request, number: (attempt.0 & ATTEMPT_NUMBER_MASK) as u32 }
+        AttemptKey { request: RequestId(attempt.request() as u32), number: attempt.number() }
     }
 
     pub(super) fn id(self) -> AttemptId {
-        let number = u64::from(self.number) & ATTEMPT_NUMBER_MASK;
-        AttemptId(u64::from(self.request.0) << ATTEMPT_NUMBER_BITS | number)
+        AttemptId::new(u64::from(self.request.0), self.number)
     }
 }
 
--- a/crates/host/src/links.rs
+++ b/crates/host/src/links.rs
@@ -73,7 +73,7 @@
 
     /// Which of a node's links carries an attempt.
     fn link_index(&self, attempt: AttemptId) -> usize {
-        (attempt.0 >> 8) as usize % self.settings.bounds.links
+        attempt.request() as usize % self.settings.bounds.links
     }
 
     /// Hands the attempt to a link of its node, and opens the node's links if it must.
--- a/crates/simulator/src/reference_model.rs
+++ b/crates/simulator/src/reference_model.rs
@@ -20,8 +20,6 @@
 const MAX_ATTEMPTS_PER_NODE: usize = 8;
 /// How often token buckets are looked at again while requests wait, in seconds.
 const TOKEN_CHECK_INTERVAL_S: f64 = 0.005;
-/// The identifier of an attempt is that of its request, shifted by this many bits.
-const ATTEMPT_BITS: u32 = 8;
 
 /// How a reference host decides when to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -163,7 +161,7 @@
             self.deadlines.remove(&(request.deadline, id));
             if let Some(node) = request.node.filter(|_| request.done.is_none()) {
                 *self.in_flight.entry(request.spec.shard).or_default() -= 1;
-                self.outputs.push_back(Output::Cancel { node, attempt: AttemptId(id << ATTEMPT_BITS) });
+                self.outputs.push_back(Output::Cancel { node, attempt: AttemptId::new(id, 0) });
             }
             closed.push(request);
         }
@@ -179,7 +177,7 @@
     }
 
     fn handle_attempt_result(&mut self, result: AttemptResult) {
-        let id = result.attempt.0 >> ATTEMPT_BITS;
+        let id = result.attempt.request();
         let request = self.requests.get_mut(&id);
         let in_flight = request.filter(|request| request.node.is_some() && request.done.is_none());
         let Some(request) = in_flight else { return };
@@ -302,7 +300,7 @@
         let in_order = self.settings.traffic_classes[request.traffic_class].in_order;
         Some(Output::Send(Box::new(SendAttempt {
             node,
-            attempt: AttemptId(id << ATTEMPT_BITS),
+            attempt: AttemptId::new(id, 0),
             request: id,
             attempt_number: 0,
             from: request.from,
