--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -22,6 +22,7 @@
 use self::tables::{AttemptKey, OpenCommand, PendingRequest};
 use crate::admin_request::AdminResponse;
 use crate::admission::Admission;
+use crate::attempt::MAX_ATTEMPTS;
 use crate::command::CommandRef;
 use crate::consensus::ConsensusDriver;
 use crate::event::HostEvent;
@@ -147,7 +148,7 @@
         settings: CoreSettings,
         generation: u64,
     ) -> Self {
-        scheduler.bound_attempts(tables::MAX_ATTEMPTS);
+        scheduler.bound_attempts(MAX_ATTEMPTS);
         let CoreSettings { requests, bytes, longest_wait, .. } = settings;
         Core {
             scheduler,
