--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -23,6 +23,7 @@
 mod rules;
 
 pub use report::{Report, RuleReport, Violation};
+pub use rules::RULE_COUNT;
 
 use index::Index;
 use tackmast_trace::Line;
--- a/crates/invariants/src/rules.rs
+++ b/crates/invariants/src/rules.rs
@@ -13,6 +13,8 @@
 use crate::index::Index;
 use crate::report::RuleReport;
 
+/// How many rules there are. They are numbered from 1.
+pub const RULE_COUNT: u8 = 7;
 /// Units by which a sum of many floats may be off.
 const ROUNDING_UNITS: f64 = 1e-6;
 
@@ -36,7 +38,7 @@
 }
 
 impl Rule {
-    const ALL: [Rule; 7] = [
+    const ALL: [Rule; RULE_COUNT as usize] = [
         Rule::OneAnswer,
         Rule::NoDoubleEffect,
         Rule::Drain,
--- a/crates/scenario/src/runner/finish.rs
+++ b/crates/scenario/src/runner/finish.rs
@@ -1,5 +1,8 @@
 //! Ends everything that runs, and makes the report.
 
+#[cfg(test)]
+mod tests;
+
 use super::{Runner, ScenarioRun, CHECK_INTERVAL};
 use crate::consensus_watcher::{ConsensusObservations, ConsensusWatcher};
 use crate::host_process::HostProcess;
@@ -21,12 +24,26 @@
 const RECORD_GRACE: Duration = Duration::from_millis(20);
 /// Violations of the dissemination bound that are reported.
 const MAX_DISSEMINATION_FAILURES: usize = 10;
-/// Number of the invariants.
-const INVARIANT_COUNT: usize = 7;
 
 /// Tallies by index of the plan and of the traffic class.
 type TalliesByClass = BTreeMap<(usize, usize), Tally>;
 
+/// A failure for each rule that the script says this scenario exercises, and that the trace does not show to be exercised.
+fn exercise_failures(numbers: &[u8], report: &tackmast_invariants::Report) -> Vec<String> {
+    numbers.iter().filter_map(|number| exercise_failure(*number, report)).collect()
+}
+
+fn exercise_failure(number: u8, report: &tackmast_invariants::Report) -> Option<String> {
+    let rule = report.rules.iter().find(|rule| rule.rule == number);
+    match rule.map(|rule| rule.checked) {
+        None => {
+            Some(format!("rule {number} was not judged; the script says that this scenario exercises it"))
+        }
+        Some(0) => Some(format!("rule {number} was not exercised; the script says that this scenario does")),
+        Some(_) => None,
+    }
+}
+
 impl Runner<'_> {
     pub(super) fn finish(mut self, seed: u64) -> ScenarioRun {
         self.wait_for_view();
@@ -43,7 +60,7 @@
         self.stop_processes();
         let rules = tackmast_invariants::judge(&trace);
         self.check_dissemination(&trace);
-        self.check_exercised(&rules);
+        self.failures.extend(exercise_failures(&self.script.scenario.exercises, &rules));
         self.failures.extend(consensus.iter().flat_map(|consensus| consensus.violations.clone()));
         let (tallies, blocks_checked) = self.collect_tallies();
         self.check_min_done(&tallies);
@@ -126,16 +143,6 @@
         }
     }
 
-    fn check_exercised(&mut self, rules: &tackmast_invariants::Report) {
-        for number in &self.script.scenario.exercises {
-            if rules.rules.len() == INVARIANT_COUNT && rules.rule(*number).checked == 0 {
-                let failure =
-                    format!("rule {number} was not exercised; the script says that this scenario does");
-                self.failures.push(failure);
-            }
-        }
-    }
-
     /// The tallies of all traffic, and how many blocks were compared.
     fn collect_tallies(&mut self) -> (TalliesByClass, u64) {
         let mut tallies = TalliesByClass::new();
--- a/crates/scenario/src/script/scenario_block.rs
+++ b/crates/scenario/src/script/scenario_block.rs
@@ -2,6 +2,7 @@
 
 use super::invalid_value::InvalidValue;
 use serde::Deserialize;
+use tackmast_invariants::RULE_COUNT;
 
 /// Seconds that a scenario may last.
 const SECONDS_RANGE: std::ops::RangeInclusive<f64> = 0.1..=3600.0;
@@ -10,7 +11,7 @@
 /// Protocol periods of membership that a scenario may set, in milliseconds.
 const PERIOD_MS_RANGE: std::ops::RangeInclusive<f64> = 20.0..=10_000.0;
 /// Numbers of the invariants.
-const INVARIANT_RANGE: std::ops::RangeInclusive<u8> = 1..=7;
+const INVARIANT_RANGE: std::ops::RangeInclusive<u8> = 1..=RULE_COUNT;
 
 /// `day { ... }`
 #[derive(Debug, Clone, Deserialize)]
@@ -105,7 +106,8 @@
             return invalid("period_ms", self.period_ms.to_string(), "a number from 20 to 10000");
         }
         if let Some(number) = self.exercises.iter().find(|number| !INVARIANT_RANGE.contains(*number)) {
-            return invalid("exercises", number.to_string(), "numbers of rules, 1 to 7");
+            let expected = format!("numbers of rules, 1 to {RULE_COUNT}");
+            return invalid("exercises", number.to_string(), &expected);
         }
         Ok(())
     }
