--- a/crates/simulator/src/consensus/world/checks.rs
+++ b/crates/simulator/src/consensus/world/checks.rs
@@ -1,11 +1,14 @@
 //! The safety properties of consensus, checked on each replica after each step.
 
+#[cfg(test)]
+mod tests;
+
 use super::{CommittedEntry, World, LEASE};
 use crate::consensus::disk::Disk;
 use std::collections::BTreeSet;
 use tackmast_consensus::{DiskIdentity, Replica};
 
-/// Reads of a host that are remembered.
+/// Reads of a host that are remembered: the newest ones, which must have the most.
 const MAX_READS: usize = 64;
 /// Tolerance for the rounding of times, in seconds.
 const ROUNDING_S: f64 = 1e-6;
@@ -83,7 +86,8 @@
                 ));
             }
         }
-        self.all[host].reads.truncate(MAX_READS);
+        let reads = &mut self.all[host].reads;
+        reads.drain(..reads.len().saturating_sub(MAX_READS));
     }
 
     /// A host with a valid lease acts on an older state for at most the term of a lease. A host that is stopped does
