--- a/crates/scenario/src/traffic/sending.rs
+++ b/crates/scenario/src/traffic/sending.rs
@@ -1,5 +1,8 @@
 //! Sends one request over one of the sessions.
 
+#[cfg(test)]
+mod tests;
+
 use super::request::{DueRequest, RequestInFlight};
 use super::state::TrafficState;
 use super::Traffic;
@@ -21,6 +24,12 @@
     disconnects: bool,
 }
 
+/// A host that is not the primary, if there is any other.
+fn other_host(primary: usize, selector: usize, host_count: usize) -> usize {
+    let other_count = (host_count - 1).max(1);
+    (primary + 1 + selector % other_count) % host_count
+}
+
 impl Traffic {
     pub(super) fn send(&self, request: DueRequest) {
         let mut state = lock(&self.state);
@@ -63,7 +72,7 @@
         let (share, selector) = (state.random.rand_float(), state.random.rand_u64() as usize);
         let host = match share < self.block.primary_share {
             true => primary,
-            false => (primary + 1 + selector % host_count) % host_count,
+            false => other_host(primary, selector, host_count),
         };
         self.sessions[host].open_session(selector / SESSION_DIVISOR)
     }
