--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -210,16 +210,19 @@
         let longest_deadline = (deadlines.fold(0.0, f64::max) * 1e6) as Us;
         let settle_time = MIN_SETTLE_TIME.max(longest_deadline + TIME_AFTER_DEADLINES);
         let end = start + (self.world.seconds * 1e6) as Us + settle_time;
-        while let Some(Reverse(ScheduledEvent { due, event, .. })) = self.queue.pop() {
-            if due > end {
-                break;
-            }
+        self.run_until(end, end - settle_time);
+        self.finish();
+    }
+
+    /// Handles all events up to `end`. Traffic is generated until `last_arrival`.
+    fn run_until(&mut self, end: Us, last_arrival: Us) {
+        while self.queue.peek().is_some_and(|Reverse(next)| next.due <= end) {
+            let Some(Reverse(ScheduledEvent { due, event, .. })) = self.queue.pop() else { break };
             self.now = due;
             self.run.events += 1;
-            self.handle_event(event, end - settle_time);
+            self.handle_event(event, last_arrival);
         }
         self.now = end;
-        self.finish();
     }
 
     /// Starts nodes, hosts, clients and traffic.
--- a/crates/simulator/src/sim/dispatch.rs
+++ b/crates/simulator/src/sim/dispatch.rs
@@ -52,7 +52,7 @@
         match event {
             Event::BytesToHost { link, bytes } => self.on_host_bytes(link, &bytes),
             Event::Refused { process, attempt } => self.on_refused(process, attempt),
-            Event::NodeHello { process, node, started } => self.on_node_hello(process, node, started),
+            Event::NodeHello { link, started } => self.on_node_hello(link, started),
             Event::HostTimer { host } => {
                 self.hosts[host as usize].wake = Us::MAX;
                 self.poll_host(host);
@@ -171,11 +171,10 @@
     /// When the host that an event is for resumes, if it is paused.
     fn paused_until(&self, event: &Event) -> Option<Us> {
         let host_index = match event {
-            Event::BytesToHost { link, .. } => link.host,
+            Event::BytesToHost { link, .. } | Event::NodeHello { link, .. } => link.host,
             Event::Refused { process, .. }
             | Event::EndpointList { process, .. }
             | Event::ListFailed { process }
-            | Event::NodeHello { process, .. }
             | Event::DrainEnded { process } => process.host,
             Event::Datagram { to, .. } => *to,
             Event::BytesToServer { connection, .. } | Event::Connected { connection } => {
--- a/crates/simulator/src/sim/event.rs
+++ b/crates/simulator/src/sim/event.rs
@@ -90,7 +90,7 @@
     /// A host notices that a link is down.
     LinkDown { link: LinkId },
     /// The hello of a node that started at that time reaches a host.
-    NodeHello { process: HostProcess, node: u32, started: Us },
+    NodeHello { link: LinkId, started: Us },
     /// The timer of a node fires.
     NodeTimer { node: u32 },
     /// The timer of a host fires.
--- a/crates/simulator/src/sim/links.rs
+++ b/crates/simulator/src/sim/links.rs
@@ -1,7 +1,10 @@
 //! Links between hosts and nodes: opened, closed, and the bytes on them.
 
+#[cfg(test)]
+mod tests;
+
 use super::attempts::attempt_result;
-use super::event::{Event, HostProcess, LinkId};
+use super::event::{Event, LinkId};
 use super::state::Link;
 use super::{microseconds, Sim, Us};
 use bytes::Bytes;
@@ -39,10 +42,10 @@
     }
 
     pub(super) fn open_link(&mut self, host_index: u32, node_index: u32) {
-        let generation = self.next_sequence();
         if self.hosts[host_index as usize].links.contains_key(&node_index) {
             return;
         }
+        let generation = self.next_sequence();
         // As the hello at the start of the link shows it.
         let host_clock_us = microseconds(self.steady_clock(host_index)) as i64;
         let clock_offset_us = self.now as i64 - host_clock_us + self.world.delay_us as i64;
@@ -56,10 +59,10 @@
             attempts: BTreeMap::new(),
         };
         self.hosts[host_index as usize].links.insert(node_index, link);
-        let process = self.process_of(host_index);
+        let link = LinkId { host: host_index, node: node_index, generation };
         let started = self.nodes[node_index as usize].started;
         let due = self.now.max(self.partitioned_until(host_index, node_index)) + 2 * self.world.delay_us;
-        self.schedule(due, Event::NodeHello { process, node: node_index, started });
+        self.schedule(due, Event::NodeHello { link, started });
     }
 
     pub(super) fn send_to_node(&mut self, host_index: u32, node_index: u32, bytes: &Bytes) {
@@ -147,12 +150,12 @@
     }
 
     /// The hello of a node has arrived on a new link: the host learns the node's uptime, and sends what has waited.
-    pub(super) fn on_node_hello(&mut self, process: HostProcess, node_index: u32, started: Us) {
-        let host_index = process.host;
+    pub(super) fn on_node_hello(&mut self, link_id: LinkId, started: Us) {
+        let LinkId { host: host_index, node: node_index, generation } = link_id;
         let node = &self.nodes[node_index as usize];
         let host = &self.hosts[host_index as usize];
-        let is_link_open = host.up && host.links.contains_key(&node_index);
-        if !self.is_current(process) || !is_link_open || node.started != started {
+        let is_link_open = host.links.get(&node_index).is_some_and(|link| link.generation == generation);
+        if !host.up || !is_link_open || node.started != started {
             return;
         }
         let uptime_s = if started == 0 { LONG_UPTIME_S } else { (self.now - started) as f64 / 1e6 };
