--- a/crates/scenario/src/runner/schedule.rs
+++ b/crates/scenario/src/runner/schedule.rs
@@ -39,14 +39,12 @@
         let start = Instant::now();
         let mut progress = Progress::default();
         let last_undo = Duration::from_secs_f64(last_undo_s(self.script)) + CHECK_INTERVAL;
-        let mut end = length.max(last_undo);
+        let end = length.max(last_undo);
         while start.elapsed() < end {
             let elapsed_s = start.elapsed().as_secs_f64();
             let script = self.script;
             for (index, fault) in script.faults.iter().enumerate() {
-                if self.advance_fault(index, fault, elapsed_s, &mut progress) {
-                    end = end.max(start.elapsed());
-                }
+                self.advance_fault(index, fault, elapsed_s, &mut progress);
             }
             self.announce_restarted_nodes();
             self.check_ended_overrides();
@@ -58,31 +56,30 @@
         Ok(())
     }
 
-    /// Begins, continues or ends a fault. Returns whether it has ended now.
+    /// Begins, continues or ends a fault.
     fn advance_fault(
         &mut self,
         index: usize,
         fault: &ScheduledFault,
         elapsed_s: f64,
         progress: &mut Progress,
-    ) -> bool {
+    ) {
         if elapsed_s >= fault.at_s && progress.begun.insert(index) {
             self.recorder.note(Event::Fault { what: fault.name.clone(), on: true });
             self.begin_fault(index, fault);
         }
         if !progress.begun.contains(&index) || progress.ended.contains(&index) {
-            return false;
+            return;
         }
         let fault_elapsed_s = elapsed_s - fault.at_s;
         let share = (fault_elapsed_s / fault.for_s.max(MIN_FAULT_LENGTH_S)).min(1.0);
         let step = progress.steps.entry(index).or_default();
         self.continue_fault(&fault.action, share, fault_elapsed_s, step);
         if elapsed_s < fault.ends_s() {
-            return false;
+            return;
         }
         progress.ended.insert(index);
         self.recorder.note(Event::Fault { what: fault.name.clone(), on: false });
         self.end_fault(index, fault);
-        true
     }
 }
--- a/crates/simulator/src/consensus/random_walk.rs
+++ b/crates/simulator/src/consensus/random_walk.rs
@@ -51,7 +51,7 @@
 /// Rounds of a change and some time without faults after a walk, until all must have recovered.
 const MAX_RECOVERY_ROUNDS: usize = 60;
 /// So many rounds are played in any case.
-const MIN_RECOVERY_ROUNDS: usize = 9;
+const MIN_RECOVERY_ROUNDS: usize = 10;
 /// Length of such a round, in seconds.
 const RECOVERY_ROUND_S: f64 = 0.2;
 
@@ -245,7 +245,7 @@
         }
         let newest = world.committed();
         let has_newest = |process: &Process| process.commit_index() == Some(newest);
-        if world.all.iter().all(has_newest) && newest > before + 1 && round >= MIN_RECOVERY_ROUNDS {
+        if world.all.iter().all(has_newest) && newest > before + 1 && round + 1 >= MIN_RECOVERY_ROUNDS {
             break;
         }
     }
