--- a/crates/scenario/src/runner.rs
+++ b/crates/scenario/src/runner.rs
@@ -31,7 +31,7 @@
 use crate::traffic::Traffic;
 use crate::view_watcher::ViewWatcher;
 use crate::ScenarioError;
-use overrides::OverrideInForce;
+use overrides::HostOverrides;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -93,7 +93,7 @@
     traffic: Vec<Arc<Traffic>>,
     /// Start times of nodes, as the endpoint list has them.
     node_starts: BTreeMap<String, u64>,
-    overrides: Vec<OverrideInForce>,
+    overrides: HostOverrides,
     started: Instant,
     failures: Vec<String>,
     misuses: Vec<std::thread::JoinHandle<Option<String>>>,
--- a/crates/scenario/src/runner/overrides.rs
+++ b/crates/scenario/src/runner/overrides.rs
@@ -1,6 +1,9 @@
 //! Overrides that the script sets at hosts, as an operator would.
 
-use super::Runner;
+#[cfg(test)]
+mod tests;
+
+use super::{Runner, CHECK_INTERVAL};
 use crate::script::{admin_socket, Action};
 use std::time::Duration;
 use tackmast_admin::{Answer, Call};
@@ -10,11 +13,11 @@
 
 /// How long a host may take to answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long after its end an override may still be visible.
-const VISIBILITY_GRACE: Duration = Duration::from_millis(100);
+/// How long after its end an override may still be visible, in microseconds.
+const VISIBILITY_GRACE_US: u64 = 100_000;
 
-/// An override in force at a host.
-pub(super) struct OverrideInForce {
+/// An override at a host.
+struct HostOverride {
     id: u64,
     host: u32,
     ends_us: u64,
@@ -23,6 +26,28 @@
     is_out_of_service: bool,
 }
 
+/// The overrides that the script has set, each until it was checked after its end.
+#[derive(Default)]
+pub(super) struct HostOverrides {
+    in_force: Vec<HostOverride>,
+    /// Overrides that have ended, and may still be visible.
+    ended: Vec<HostOverride>,
+}
+
+impl HostOverrides {
+    /// Ends the overrides whose end has come by now, and returns these.
+    fn end_due(&mut self, now_us: u64) -> &[HostOverride] {
+        let first_new = self.ended.len();
+        self.ended.extend(self.in_force.extract_if(.., |entry| entry.ends_us <= now_us));
+        &self.ended[first_new..]
+    }
+
+    /// Removes and returns the overrides that must not be visible any more.
+    fn take_invisible(&mut self, now_us: u64) -> Vec<HostOverride> {
+        self.ended.extract_if(.., |entry| entry.ends_us + VISIBILITY_GRACE_US <= now_us).collect()
+    }
+}
+
 /// How an override is set.
 #[derive(Clone, Copy)]
 struct SetOptions {
@@ -67,35 +92,42 @@
                     self.recorder.note(Event::Ordered { host, node: node.clone(), out: true });
                 }
                 let (id, ends_us) = (record.id.0, record.ends_us);
-                self.overrides.push(OverrideInForce { id, host, ends_us, nodes, is_out_of_service });
+                self.overrides.in_force.push(HostOverride { id, host, ends_us, nodes, is_out_of_service });
             }
             AdminResponse::Refused(_) if options.must_be_refused => {}
             other => self.fail(format!("order at host {host}: {other:?}")),
         }
     }
 
-    /// Checks that overrides whose end has come are not visible any more, and records that their nodes may be used again.
-    pub(super) fn check_ended_overrides(&mut self) {
-        let now = now_us();
-        let (ended, in_force) =
-            std::mem::take(&mut self.overrides).into_iter().partition(|entry| entry.ends_us <= now);
-        self.overrides = in_force;
-        let ended: Vec<OverrideInForce> = ended;
-        for entry in ended {
+    /// Records that the nodes of overrides whose end has come may be used again.
+    pub(super) fn record_ended_overrides(&mut self) {
+        for entry in self.overrides.end_due(now_us()) {
             for node in entry.nodes.iter().filter(|_| entry.is_out_of_service) {
                 // The nodes may be used from the override's end on, not only from this check on.
                 let event = Event::Ordered { host: entry.host, node: node.clone(), out: false };
                 self.recorder.note_at(entry.ends_us, event);
             }
+        }
+    }
+
+    /// Checks that overrides which ended some time ago are not visible any more.
+    pub(super) fn check_ended_overrides(&mut self) {
+        for entry in self.overrides.take_invisible(now_us()) {
             if self.running_host(entry.host).is_some() {
-                let since_end = Duration::from_micros(now - entry.ends_us);
-                std::thread::sleep(VISIBILITY_GRACE.saturating_sub(since_end));
                 self.check_not_visible(&entry);
             }
         }
     }
 
-    fn check_not_visible(&mut self, entry: &OverrideInForce) {
+    /// Waits until all overrides that have ended were checked.
+    pub(super) fn check_last_overrides(&mut self) {
+        while !self.overrides.ended.is_empty() {
+            std::thread::sleep(CHECK_INTERVAL);
+            self.check_ended_overrides();
+        }
+    }
+
+    fn check_not_visible(&mut self, entry: &HostOverride) {
         let call = Call::AdminRequest(AdminRequest::List);
         match tackmast_admin::call(&admin_socket(&self.directory, entry.host), &call, CALL_TIMEOUT) {
             Ok(Answer::AdminResponse(response)) => {
--- a/crates/scenario/src/runner/schedule.rs
+++ b/crates/scenario/src/runner/schedule.rs
@@ -47,12 +47,14 @@
                 self.advance_fault(index, fault, elapsed_s, &mut progress);
             }
             self.announce_restarted_nodes();
+            self.record_ended_overrides();
             self.check_ended_overrides();
             self.check_shutdowns();
             std::thread::sleep(CHECK_INTERVAL);
         }
         self.traffic.iter().for_each(|traffic| traffic.stop());
         arrivals.into_iter().for_each(|thread| _ = thread.join());
+        self.check_last_overrides();
         Ok(())
     }
 
--- a/crates/scenario/src/runner/start.rs
+++ b/crates/scenario/src/runner/start.rs
@@ -1,5 +1,6 @@
 //! Starts everything that a scenario needs.
 
+use super::overrides::HostOverrides;
 use super::{Runner, ANY_LOOPBACK_PORT};
 use crate::cluster_network::ClusterNetwork;
 use crate::consensus_watcher::ConsensusWatcher;
@@ -76,7 +77,7 @@
             path_faults: BTreeMap::new(),
             host_addresses,
             traffic,
-            overrides: Vec::new(),
+            overrides: HostOverrides::default(),
             started: Instant::now(),
             failures: Vec::new(),
             misuses: Vec::new(),
