--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -2,6 +2,7 @@
 //! on. `event` has the events and `state` the records, `dispatch` hands each event to its handler, and each other module
 //! handles the events of one part.
 
+mod active_faults;
 mod arrivals;
 mod attempts;
 mod clients;
@@ -32,6 +33,7 @@
 use crate::reference_model::ReferenceModel;
 use crate::scenario_script::ScriptRequest;
 use crate::world::World;
+use active_faults::ActiveFaults;
 use clocks::Clock;
 use event::{Event, HostProcess, ScheduledEvent};
 use state::{BusiestHost, Host, PersistedHost, ScriptAttempt, SimNode};
@@ -100,6 +102,9 @@
     generator: oorandom::Rand64,
     hosts: Vec<Host>,
     nodes: Vec<SimNode>,
+    active_faults: ActiveFaults,
+    /// Until then a restart of all nodes keeps them down.
+    mass_restart_until: Us,
     /// By host and node: until when nothing passes between them.
     partitions: BTreeMap<(u32, u32), Us>,
     /// By zone and idempotency key: when the key was last received by a node of the zone.
@@ -201,11 +206,7 @@
         self.start_all();
         // The faults of a script count from when its traffic begins.
         let start = if self.world.scenario.is_some() { start + TRAFFIC_START_DELAY } else { start };
-        for (fault_index, fault) in self.world.faults.iter().enumerate() {
-            let change = |on| Event::FaultChange { fault: fault_index, on };
-            self.schedule(start + fault.at_us, change(true));
-            self.schedule(start + fault.at_us + fault.for_us, change(false));
-        }
+        self.schedule_faults(start);
         let deadlines = self.settings[0].traffic_classes.iter().map(|class| class.deadline.secs());
         let longest_deadline = (deadlines.fold(0.0, f64::max) * 1e6) as Us;
         let settle_time = MIN_SETTLE_TIME.max(longest_deadline + TIME_AFTER_DEADLINES);
--- a/crates/simulator/src/sim/dispatch.rs
+++ b/crates/simulator/src/sim/dispatch.rs
@@ -14,7 +14,8 @@
             return self.schedule(resumes, event);
         }
         match event {
-            Event::FaultChange { fault, on } => self.apply_fault(fault, on),
+            Event::FaultChange { fault, on: true } => self.begin_fault(fault),
+            Event::FaultChange { fault, on: false } => self.end_fault(fault),
             Event::GeneratedArrival { host } => self.on_generated_arrival(host, last),
             Event::WorkloadArrival => self.on_workload_arrival(),
             Event::ScriptRequest => self.on_script_request(),
@@ -26,6 +27,7 @@
                 self.process_node_events(node);
             }
             Event::NodeUp { node } => self.start_node(node),
+            Event::MassRestartEnded => self.start_all_nodes(),
             Event::OverrideEnded { host, node } => {
                 self.record(tackmast_trace::Event::Ordered { host, node, out: false });
             }
@@ -131,8 +133,9 @@
         }
     }
 
+    /// Starts a host that is down, unless a fault still keeps it down.
     fn restart_host(&mut self, host: u32) {
-        if !self.hosts[host as usize].up {
+        if !self.hosts[host as usize].up && !self.active_faults.keep_host_down(host) {
             self.hosts[host as usize] = self.new_host(host);
             self.record(tackmast_trace::Event::HostUp { host });
             self.poll_host(host);
@@ -147,7 +150,7 @@
                 core.announce_leave(now);
             }
             self.poll_host(process.host);
-            self.kill_host(process.host, true);
+            self.kill_host(process.host);
         }
     }
 
--- a/crates/simulator/src/sim/event.rs
+++ b/crates/simulator/src/sim/event.rs
@@ -101,6 +101,8 @@
     ListFailed { process: HostProcess },
     /// A node starts.
     NodeUp { node: u32 },
+    /// The nodes start that a restart of all has killed.
+    MassRestartEnded,
     /// A host starts.
     HostUp { host: u32 },
     /// A client without a protocol aborts its command.
--- a/crates/simulator/src/sim/faults.rs
+++ b/crates/simulator/src/sim/faults.rs
@@ -1,5 +1,9 @@
 //! Begins and ends the faults of a world.
 
+#[cfg(test)]
+mod tests;
+
+use super::active_faults::FaultEnd;
 use super::event::{Event, LinkId};
 use super::state::BusiestHost;
 use super::{Sim, Us};
@@ -14,9 +18,34 @@
 const LINK_TIMEOUT: Us = 600_000;
 
 impl Sim<'_> {
-    /// Begins or ends one fault.
-    pub(super) fn apply_fault(&mut self, fault_index: usize, on: bool) {
+    /// Schedules the faults of the world, whose times count from `start`.
+    pub(super) fn schedule_faults(&mut self, start: Us) {
+        for (fault_index, fault) in self.world.faults.iter().enumerate() {
+            let change = |on| Event::FaultChange { fault: fault_index, on };
+            self.schedule(start + fault.at_us, change(true));
+            self.schedule(start + fault.at_us + fault.for_us, change(false));
+        }
+    }
+
+    /// Begins a fault.
+    pub(super) fn begin_fault(&mut self, fault_index: usize) {
         let fault = self.world.faults[fault_index];
+        self.active_faults.begin(fault_index, fault);
+        self.apply_fault(fault, true);
+    }
+
+    /// Ends a fault. What other faults of its kind do at the same place goes on.
+    pub(super) fn end_fault(&mut self, fault_index: usize) {
+        let fault = self.world.faults[fault_index];
+        match self.active_faults.end(fault_index) {
+            FaultEnd::Undo => self.apply_fault(fault, false),
+            FaultEnd::Restore(other) if other.kind.has_strength() => self.apply_fault(other, true),
+            FaultEnd::Restore(_) | FaultEnd::NoChange => {}
+        }
+    }
+
+    /// Makes the change of a fault, or undoes it.
+    fn apply_fault(&mut self, fault: InjectedFault, on: bool) {
         match fault.kind {
             FaultKind::Slow(_) | FaultKind::Errors(_) | FaultKind::Neighbour(_) | FaultKind::Heavy(..) => {
                 self.apply_node_load(fault, on);
@@ -81,16 +110,9 @@
                 self.kill_node(node);
                 self.schedule(now + SILENT_RESTART_DELAY, Event::NodeUp { node });
             }
-            FaultKind::Restart if on => {
-                self.kill_node(node);
-                self.schedule(now + fault.for_us, Event::NodeUp { node });
-            }
-            FaultKind::MassRestart if on => {
-                for node in 0..self.world.nodes {
-                    self.kill_node(node);
-                    self.schedule(now + fault.for_us / 2, Event::NodeUp { node });
-                }
-            }
+            FaultKind::Restart if on => self.kill_node(node),
+            FaultKind::Restart => self.schedule(now, Event::NodeUp { node }),
+            FaultKind::MassRestart if on => self.restart_all_nodes(fault.for_us / 2),
             FaultKind::Drain | FaultKind::Deploy if on => {
                 self.change_listed_state(node, NodeState::Ready, NodeState::Draining);
             }
@@ -108,6 +130,14 @@
         }
     }
 
+    /// Kills all nodes, and starts them again after that time.
+    fn restart_all_nodes(&mut self, down_time: Us) {
+        let starts = self.now + down_time;
+        self.mass_restart_until = self.mass_restart_until.max(starts);
+        (0..self.world.nodes).for_each(|node| self.kill_node(node));
+        self.schedule(starts, Event::MassRestartEnded);
+    }
+
     /// Ends a node; its replacement starts at another address.
     fn replace_node(&mut self, node_index: u32) {
         self.kill_node(node_index);
@@ -121,9 +151,9 @@
     fn apply_host_or_link(&mut self, fault: InjectedFault, on: bool) {
         let host = fault.host.unwrap_or(0);
         match fault.kind {
-            FaultKind::HostKill => self.kill_host(host, on),
+            FaultKind::HostKill if on => self.kill_host(host),
             FaultKind::HostLeaves if on => self.drain_host(host),
-            FaultKind::HostLeaves => self.schedule(self.now, Event::HostUp { host }),
+            FaultKind::HostKill | FaultKind::HostLeaves => self.schedule(self.now, Event::HostUp { host }),
             FaultKind::HostStands if on => self.pause_host(host, fault.for_us),
             FaultKind::Partition if on => self.partition(host, fault.node, fault.for_us),
             FaultKind::Partition => _ = self.partitions.remove(&(host, fault.node)),
@@ -134,7 +164,8 @@
 
     /// Nothing passes between a host and a node for a while. The host closes the link once it has been silent for long.
     fn partition(&mut self, host: u32, node: u32, duration: Us) {
-        self.partitions.insert((host, node), self.now + duration);
+        let until = self.partitions.entry((host, node)).or_default();
+        *until = (self.now + duration).max(*until);
         let generation = self.hosts[host as usize].links.get(&node).map(|link| link.generation);
         if let Some(generation) = generation.filter(|_| duration > LINK_TIMEOUT) {
             let link = LinkId { host, node, generation };
--- a/crates/simulator/src/sim/hosts.rs
+++ b/crates/simulator/src/sim/hosts.rs
@@ -169,11 +169,18 @@
 
     /// Pauses the process of a host. Its clients close their connections, and the host notices that when it resumes.
     pub(super) fn pause_host(&mut self, host_index: u32, duration: Us) {
-        if !self.is_running(host_index) {
+        let (now, resumes) = (self.now, self.now + duration);
+        let host = &mut self.hosts[host_index as usize];
+        if !host.up || host.paused_until >= resumes {
+            return;
+        }
+        let was_paused = host.paused_until > now;
+        host.paused_until = resumes;
+        self.schedule(resumes, Event::HostTimer { host: host_index });
+        if was_paused {
             return;
         }
         let host = &mut self.hosts[host_index as usize];
-        host.paused_until = self.now + duration;
         let connections: Vec<Connection> = host.sessions.values().copied().collect();
         let submitted = std::mem::take(&mut host.submitted);
         host.script_numbers.clear();
@@ -185,7 +192,6 @@
         }
         let now = self.steady_clock(host_index);
         self.hosts[host_index as usize].core.handle_session_closed(now, DIRECT_SESSION);
-        self.schedule(self.now + duration, Event::HostTimer { host: host_index });
     }
 
     /// A host leaves its peers: it takes nothing new, may finish what it has open, and ends.
@@ -229,12 +235,9 @@
         (one < first_of_rest) != (other < first_of_rest)
     }
 
-    /// Kills the process of a host, or starts the host again.
-    pub(super) fn kill_host(&mut self, host_index: u32, on: bool) {
+    /// Kills the process of a host.
+    pub(super) fn kill_host(&mut self, host_index: u32) {
         let host = &mut self.hosts[host_index as usize];
-        if !on {
-            return self.schedule(self.now, Event::HostUp { host: host_index });
-        }
         if !host.up {
             return;
         }
--- a/crates/simulator/src/sim/nodes.rs
+++ b/crates/simulator/src/sim/nodes.rs
@@ -201,6 +201,13 @@
         self.close_all_links(node_index);
     }
 
+    /// Starts all nodes that are down, unless another restart of all keeps them down for longer.
+    pub(super) fn start_all_nodes(&mut self) {
+        if self.now >= self.mass_restart_until {
+            (0..self.world.nodes).for_each(|node| self.start_node(node));
+        }
+    }
+
     /// Starts a node that is down. It begins with its initial capacity, and the faults that it had go on.
     pub(super) fn start_node(&mut self, node_index: u32) {
         let now = self.now;
--- a/crates/simulator/src/sim/setup.rs
+++ b/crates/simulator/src/sim/setup.rs
@@ -1,5 +1,6 @@
 //! The state of a run before its first event.
 
+use super::active_faults::ActiveFaults;
 use super::clocks::Clock;
 use super::settings::{settings, OVERLOAD_WINDOW_S};
 use super::state::{LoadReport, PersistedHost, SimNode};
@@ -143,6 +144,8 @@
             generator: oorandom::Rand64::new(u128::from(world.seed)),
             hosts: Vec::new(),
             nodes: (0..world.nodes).map(|node| new_node(world, node)).collect(),
+            active_faults: ActiveFaults::default(),
+            mass_restart_until: 0,
             partitions: BTreeMap::new(),
             idempotency_keys: BTreeMap::new(),
             list_version: 1,
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -64,6 +64,26 @@
     Plan(f64, f64),
 }
 
+impl FaultKind {
+    /// Whether faults of this kind differ in a strength, of which one is in effect at a time.
+    pub(crate) fn has_strength(&self) -> bool {
+        matches!(
+            self,
+            FaultKind::Slow(_)
+                | FaultKind::Errors(_)
+                | FaultKind::Neighbour(_)
+                | FaultKind::Heavy(..)
+                | FaultKind::ListLate(_)
+                | FaultKind::Surge(_)
+                | FaultKind::Leave(_)
+                | FaultKind::Hot(_)
+                | FaultKind::Split(_)
+                | FaultKind::Busiest(..)
+                | FaultKind::Plan(..)
+        )
+    }
+}
+
 /// A fault with its time and place.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InjectedFault {
