--- a/crates/simulator/src/sim/dispatch.rs
+++ b/crates/simulator/src/sim/dispatch.rs
@@ -14,7 +14,8 @@
             return self.schedule(resumes, event);
         }
         match event {
-            Event::FaultChange { fault, on } => self.apply_fault(fault, on),
+            Event::FaultChange { fault, on: true } => self.begin_fault(fault),
+            Event::FaultChange { fault, on: false } => self.end_fault(fault),
             Event::GeneratedArrival { host } => self.on_generated_arrival(host, last),
             Event::WorkloadArrival => self.on_workload_arrival(),
             Event::ScriptRequest => self.on_script_request(),
@@ -26,6 +27,7 @@
                 self.process_node_events(node);
             }
             Event::NodeUp { node } => self.start_node(node),
+            Event::MassRestartEnded => self.start_all_nodes(),
             Event::OverrideEnded { host, node } => {
                 self.record(tackmast_trace::Event::Ordered { host, node, out: false });
             }
@@ -52,7 +54,7 @@
         match event {
             Event::BytesToHost { link, bytes } => self.on_host_bytes(link, &bytes),
             Event::Refused { process, attempt } => self.on_refused(process, attempt),
-            Event::NodeHello { process, node, started } => self.on_node_hello(process, node, started),
+            Event::NodeHello { link, started } => self.on_node_hello(link, started),
             Event::HostTimer { host } => {
                 self.hosts[host as usize].wake = Us::MAX;
                 self.poll_host(host);
@@ -131,8 +133,9 @@
         }
     }
 
+    /// Starts a host that is down, unless a fault still keeps it down.
     fn restart_host(&mut self, host: u32) {
-        if !self.hosts[host as usize].up {
+        if !self.hosts[host as usize].up && !self.active_faults.keep_host_down(host) {
             self.hosts[host as usize] = self.new_host(host);
             self.record(tackmast_trace::Event::HostUp { host });
             self.poll_host(host);
@@ -147,7 +150,7 @@
                 core.announce_leave(now);
             }
             self.poll_host(process.host);
-            self.kill_host(process.host, true);
+            self.kill_host(process.host);
         }
     }
 
@@ -171,11 +174,10 @@
     /// When the host that an event is for resumes, if it is paused.
     fn paused_until(&self, event: &Event) -> Option<Us> {
         let host_index = match event {
-            Event::BytesToHost { link, .. } => link.host,
+            Event::BytesToHost { link, .. } | Event::NodeHello { link, .. } => link.host,
             Event::Refused { process, .. }
             | Event::EndpointList { process, .. }
             | Event::ListFailed { process }
-            | Event::NodeHello { process, .. }
             | Event::DrainEnded { process } => process.host,
             Event::Datagram { to, .. } => *to,
             Event::BytesToServer { connection, .. } | Event::Connected { connection } => {
