--- a/crates/host-core/src/attempt.rs
+++ b/crates/host-core/src/attempt.rs
@@ -125,3 +125,10 @@
     /// What was read.
     pub data: Bytes,
 }
+
+impl AttemptResult {
+    /// The end of an attempt that its node has not answered.
+    pub fn unanswered(attempt: AttemptId, outcome: Outcome) -> AttemptResult {
+        AttemptResult { attempt, outcome, waiting: None, elsewhere: None, data: Bytes::new() }
+    }
+}
--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -12,7 +12,6 @@
 use crate::store_writer::ToStore;
 use crate::thread::spawn;
 use crate::{Clock, StartError};
-use bytes::Bytes;
 use crossbeam_channel::{Receiver, Sender, TryRecvError, TrySendError};
 use std::collections::HashMap;
 use std::net::{Shutdown, TcpStream};
@@ -222,8 +221,7 @@
         };
         if let Err(error) = sent {
             tracing::debug!(node = node.0, %error, "attempt not handed to a link of the node");
-            let (outcome, data) = (error.outcome(), Bytes::new());
-            let result = AttemptResult { attempt, outcome, waiting: None, elsewhere: None, data };
+            let result = AttemptResult::unanswered(attempt, error.outcome());
             self.core.handle_attempt_result(self.now, result);
         }
     }
--- a/crates/host/src/links/outstanding.rs
+++ b/crates/host/src/links/outstanding.rs
@@ -2,7 +2,6 @@
 
 use crate::lock::lock;
 use crate::messages::Event;
-use bytes::Bytes;
 use crossbeam_channel::Sender;
 use std::collections::HashSet;
 use std::net::{Shutdown, TcpStream};
@@ -95,8 +94,7 @@
 
 /// Reports how an attempt ended without an answer of its node.
 pub(super) fn report(events: &Sender<Event>, attempt: AttemptId, outcome: Outcome) {
-    let result = AttemptResult { attempt, outcome, waiting: None, elsewhere: None, data: Bytes::new() };
-    _ = events.send(Event::AttemptResult(result));
+    _ = events.send(Event::AttemptResult(AttemptResult::unanswered(attempt, outcome)));
 }
 
 /// Ends a connection, and drops what the socket has not sent: a plain shutdown would still deliver it, and the node would run what the
--- a/crates/platform-host/src/host/attempts.rs
+++ b/crates/platform-host/src/host/attempts.rs
@@ -2,7 +2,6 @@
 
 use super::Host;
 use crate::node_connection::PendingAttempt;
-use bytes::Bytes;
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, NodeId, Outcome};
 use tackmast_host_core::{AttemptResult, Output, Verdict};
@@ -66,11 +65,8 @@
                 // The connection is closed, so no result will come from it: without this one, the attempt would count as in flight until
                 // its deadline.
                 if self.core.is_in_flight(attempt) {
-                    let (outcome, data) = (Outcome::Cancelled, Bytes::new());
-                    self.core.handle_attempt_result(
-                        now,
-                        AttemptResult { attempt, outcome, waiting: None, elsewhere: None, data },
-                    );
+                    let result = AttemptResult::unanswered(attempt, Outcome::Cancelled);
+                    self.core.handle_attempt_result(now, result);
                 }
             }
             Output::Answer { to, verdict } => {
--- a/crates/platform-host/src/node_connections.rs
+++ b/crates/platform-host/src/node_connections.rs
@@ -4,7 +4,6 @@
 use crate::node_connection::{request_bytes, NodeConnection, NodeConnectionCounters, PendingAttempt, State};
 use crate::poller::{Poller, Ready, Token, BOTH, READ, WRITE};
 use crate::sockets::{self, ReadOutcome};
-use bytes::Bytes;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, NodeId, Outcome, TimeDelta};
@@ -388,8 +387,9 @@
     }
 }
 
+/// The end of an attempt that its node has not answered. As in an answer without a report, no service through other hosts is known of.
 fn ended(attempt: AttemptId, outcome: Outcome) -> AttemptResult {
-    AttemptResult { attempt, outcome, waiting: None, elsewhere: Some(0.0), data: Bytes::new() }
+    AttemptResult { elsewhere: Some(0.0), ..AttemptResult::unanswered(attempt, outcome) }
 }
 
 #[cfg(test)]
--- a/crates/simulator/src/sim/attempts.rs
+++ b/crates/simulator/src/sim/attempts.rs
@@ -143,13 +143,7 @@
 
     /// Reports an attempt that ended without an answer of its node.
     pub(super) fn report_attempt_result(&mut self, host_index: u32, attempt: u64, outcome: Outcome) {
-        let result = AttemptResult {
-            attempt: AttemptId(attempt),
-            outcome,
-            waiting: None,
-            elsewhere: None,
-            data: Bytes::new(),
-        };
+        let result = AttemptResult::unanswered(AttemptId(attempt), outcome);
         let now = self.steady_clock(host_index);
         self.hosts[host_index as usize].core.handle_attempt_result(now, result);
     }
