--- a/crates/simulator/src/sim/dispatch.rs
+++ b/crates/simulator/src/sim/dispatch.rs
@@ -142,15 +142,16 @@
         }
     }
 
-    /// Ends a host whose drain is over.
+    /// Ends a host whose drain is over. Its next process starts at the end of the fault, or now if that has come already.
     fn end_drained_host(&mut self, process: HostProcess) {
-        if self.is_current(process) {
+        if self.is_current(process) && self.hosts[process.host as usize].up {
             let now = self.steady_clock(process.host);
             if let Some(core) = self.hosts[process.host as usize].core.core() {
                 core.announce_leave(now);
             }
             self.poll_host(process.host);
             self.kill_host(process.host);
+            self.schedule(self.now, Event::HostUp { host: process.host });
         }
     }
 
--- a/crates/simulator/src/sim/faults/tests.rs
+++ b/crates/simulator/src/sim/faults/tests.rs
@@ -125,3 +125,23 @@
         assert_eq!(found_at_each_time(&faults, is_paused), [true, true, false]);
     }
 }
+
+/// A host leaves for less time than its drain takes. It must drain to the end, and then its next process must start.
+#[test]
+fn host_that_leaves_for_less_than_its_drain_starts_after_it() {
+    let faults = [fault(FaultKind::HostLeaves, 200_000, 250_000)];
+    let first_generation = found_at_each_time(&[], |sim| sim.hosts[HOST as usize].generation)[0];
+    let has_restarted = |sim: &Sim| {
+        let host = &sim.hosts[HOST as usize];
+        (host.up, host.generation > first_generation)
+    };
+    // The drain ends at 700 ms.
+    assert_eq!(found_at_each_time(&faults, has_restarted), [(true, false), (true, false), (true, true)]);
+}
+
+/// A host leaves for longer than its drain takes. Its next process must start at the end of the fault.
+#[test]
+fn host_that_leaves_is_down_until_the_end_of_the_fault() {
+    let faults = [fault(FaultKind::HostLeaves, 50_000, 1_000_000)];
+    assert_eq!(found_at_each_time(&faults, |sim| sim.hosts[HOST as usize].up), [true, false, true]);
+}
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -54,7 +54,7 @@
     Hot(f64),
     /// Hosts below this fraction of all are partitioned from the other hosts.
     Split(f64),
-    /// A host leaves its peers and ends; its next process starts at the end.
+    /// A host leaves its peers and ends; its next process starts at the end, or after the drain if that takes longer.
     HostLeaves,
     /// The process of a host is paused, and resumes at the end with the state that it had.
     HostStands,
