--- a/crates/simulator/src/sim/attempts.rs
+++ b/crates/simulator/src/sim/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts: sent to their node, and their results at the host.
 
-use super::event::{Event, HostProcess};
+use super::event::{Event, FailedAttempt, HostProcess};
 use super::{microseconds, Mutant, Sim, Us};
 use bytes::Bytes;
 use tackmast::interface::{Instant, Outcome};
@@ -67,6 +67,12 @@
     }
 }
 
+/// A node has refused the connection for an attempt.
+fn refused_event(process: HostProcess, attempt: &SendAttempt) -> Event {
+    let refused = FailedAttempt { attempt: attempt.attempt.0, outcome: Outcome::Refused };
+    Event::AttemptsFailed { process, attempts: vec![refused] }
+}
+
 /// The result of an attempt, from the node's answer.
 pub(super) fn attempt_result(answer: Answer) -> AttemptResult {
     let outcome = match answer.outcome {
@@ -94,7 +100,7 @@
             let due = self.now + 2 * self.world.delay_us;
             attempt.ticket.withdraw();
             let process = self.process_of(host_index);
-            return self.schedule(due, Event::Refused { process, attempt: attempt.attempt.0 });
+            return self.schedule(due, refused_event(process, &attempt));
         };
         self.open_link(host_index, node_index);
         let link = self.hosts[host_index as usize].links.get_mut(&node_index);
@@ -113,8 +119,7 @@
             Begin::Now => {}
             Begin::Withdrawn => return,
             Begin::TooLate => {
-                let refused = Event::Refused { process, attempt: attempt.attempt.0 };
-                return self.schedule(self.now, refused);
+                return self.schedule(self.now, refused_event(process, attempt));
             }
         }
         attempt.ticket.written();
--- a/crates/simulator/src/sim/clients.rs
+++ b/crates/simulator/src/sim/clients.rs
@@ -166,7 +166,7 @@
         self.poll_client(client_index);
     }
 
-    /// The connection has ended for the host: nobody waits for the commands that were open.
+    /// The connection has ended, which a host that is paused notices when it resumes: nobody waits for the commands that were open.
     pub(super) fn close_session(&mut self, connection: Connection) {
         let client = &mut self.clients[connection.client as usize];
         let Some(pipe) = client.slots[connection.slot].pipe.take() else { return };
@@ -182,8 +182,8 @@
             self.hosts[host_index as usize].submitted.remove(&(session, command));
             self.record(tackmast_trace::Event::Left { host: host_index, session, command });
         }
-        let now = self.steady_clock(host_index);
-        self.hosts[host_index as usize].core.handle_session_closed(now, session);
+        let process = self.process_of(host_index);
+        self.notify_host(Event::SessionClosed { process, session });
         self.poll_host(host_index);
     }
 
--- a/crates/simulator/src/sim/dispatch.rs
+++ b/crates/simulator/src/sim/dispatch.rs
@@ -1,10 +1,10 @@
 //! Hands each event to its handler.
 
-use super::event::{Connection, Event, HostProcess};
+use super::event::{Connection, Event, FailedAttempt, HostProcess};
 use super::state::ScriptAttempt;
 use super::{instant_at, peer_address, Sim, Us, DIRECT_SESSION};
 use bytes::Bytes;
-use tackmast::interface::{ListKind, Outcome};
+use tackmast::interface::ListKind;
 use tackmast_host_core::CommandRef;
 
 impl Sim<'_> {
@@ -32,10 +32,12 @@
                 self.record(tackmast_trace::Event::Ordered { host, node, out: false });
             }
             host_event @ (Event::BytesToHost { .. }
-            | Event::Refused { .. }
+            | Event::AttemptsFailed { .. }
+            | Event::SessionClosed { .. }
             | Event::NodeHello { .. }
             | Event::HostTimer { .. }
             | Event::HostUp { .. }
+            | Event::DrainBegun { .. }
             | Event::DrainEnded { .. }
             | Event::EndpointList { .. }
             | Event::ListFailed { .. }
@@ -50,16 +52,26 @@
         }
     }
 
+    /// Hands an event to its host now, or when the host resumes if it is paused.
+    pub(super) fn notify_host(&mut self, event: Event) {
+        match self.paused_until(&event) {
+            Some(resumes) => self.schedule(resumes, event),
+            None => self.handle_host_event(event),
+        }
+    }
+
     fn handle_host_event(&mut self, event: Event) {
         match event {
             Event::BytesToHost { link, bytes } => self.on_host_bytes(link, &bytes),
-            Event::Refused { process, attempt } => self.on_refused(process, attempt),
+            Event::AttemptsFailed { process, attempts } => self.on_attempts_failed(process, &attempts),
+            Event::SessionClosed { process, session } => self.on_session_closed(process, session),
             Event::NodeHello { link, started } => self.on_node_hello(link, started),
             Event::HostTimer { host } => {
                 self.hosts[host as usize].wake = Us::MAX;
                 self.poll_host(host);
             }
             Event::HostUp { host } => self.restart_host(host),
+            Event::DrainBegun { process } => self.drain_host(process),
             Event::DrainEnded { process } => self.end_drained_host(process),
             Event::EndpointList { process, version, nodes } => self.deliver_list(process, version, &nodes),
             Event::ListFailed { process } => self.on_list_failed(process),
@@ -115,13 +127,24 @@
         self.send_script_request(number);
     }
 
-    fn on_refused(&mut self, process: HostProcess, attempt: u64) {
+    fn on_attempts_failed(&mut self, process: HostProcess, attempts: &[FailedAttempt]) {
         if self.is_current(process) {
-            self.report_attempt_result(process.host, attempt, Outcome::Refused);
+            for failed in attempts {
+                self.report_attempt_result(process.host, failed.attempt, failed.outcome);
+            }
             self.poll_host(process.host);
         }
     }
 
+    /// The host is polled once it has noticed all sessions that ended together: a timer that fires between two of them could
+    /// send an attempt for a client that has left.
+    fn on_session_closed(&mut self, process: HostProcess, session: u32) {
+        if self.is_current(process) {
+            let now = self.steady_clock(process.host);
+            self.hosts[process.host as usize].core.handle_session_closed(now, session);
+        }
+    }
+
     fn on_list_failed(&mut self, process: HostProcess) {
         let host_index = process.host;
         if self.is_current(process) && self.hosts[host_index as usize].up {
@@ -176,9 +199,12 @@
     fn paused_until(&self, event: &Event) -> Option<Us> {
         let host_index = match event {
             Event::BytesToHost { link, .. } | Event::NodeHello { link, .. } => link.host,
-            Event::Refused { process, .. }
+            Event::HostTimer { host } => *host,
+            Event::AttemptsFailed { process, .. }
+            | Event::SessionClosed { process, .. }
             | Event::EndpointList { process, .. }
             | Event::ListFailed { process }
+            | Event::DrainBegun { process }
             | Event::DrainEnded { process } => process.host,
             Event::Datagram { to, .. } => *to,
             Event::BytesToServer { connection, .. } | Event::Connected { connection } => {
--- a/crates/simulator/src/sim/event.rs
+++ b/crates/simulator/src/sim/event.rs
@@ -2,7 +2,7 @@
 
 use super::Us;
 use std::cmp::Ordering;
-use tackmast::interface::NodeState;
+use tackmast::interface::{NodeState, Outcome};
 use tackmast_trace::AnswerKind;
 
 /// An event and its time. Events of the same time happen in the order in which they were scheduled.
@@ -56,6 +56,13 @@
     pub(super) generation: u64,
 }
 
+/// An attempt that has ended without an answer of its node.
+#[derive(Clone, Copy)]
+pub(super) struct FailedAttempt {
+    pub(super) attempt: u64,
+    pub(super) outcome: Outcome,
+}
+
 /// A session of a host and the command within it.
 pub(super) type CommandKey = (u32, u32);
 
@@ -85,8 +92,10 @@
     BytesToNode { link: LinkId, bytes: Vec<u8> },
     /// Bytes of a node reach a host.
     BytesToHost { link: LinkId, bytes: Vec<u8> },
-    /// A host learns that a node refused the connection for an attempt.
-    Refused { process: HostProcess, attempt: u64 },
+    /// A host learns that attempts have ended without an answer of their node.
+    AttemptsFailed { process: HostProcess, attempts: Vec<FailedAttempt> },
+    /// A host notices that a session has ended.
+    SessionClosed { process: HostProcess, session: u32 },
     /// A host notices that a link is down.
     LinkDown { link: LinkId },
     /// The hello of a node that started at that time reaches a host.
@@ -123,6 +132,8 @@
     OverrideEnded { host: u32, node: String },
     /// A datagram from one host to another.
     Datagram { from: u32, to: u32, bytes: Vec<u8> },
+    /// A host begins to leave its peers.
+    DrainBegun { process: HostProcess },
     /// A host that drains ends.
     DrainEnded { process: HostProcess },
 }
--- a/crates/simulator/src/sim/faults.rs
+++ b/crates/simulator/src/sim/faults.rs
@@ -152,7 +152,10 @@
         let host = fault.host.unwrap_or(0);
         match fault.kind {
             FaultKind::HostKill if on => self.kill_host(host),
-            FaultKind::HostLeaves if on => self.drain_host(host),
+            FaultKind::HostLeaves if on => {
+                let process = self.process_of(host);
+                self.notify_host(Event::DrainBegun { process });
+            }
             FaultKind::HostKill | FaultKind::HostLeaves => self.schedule(self.now, Event::HostUp { host }),
             FaultKind::HostStands if on => self.pause_host(host, fault.for_us),
             FaultKind::Partition if on => self.partition(host, fault.node, fault.for_us),
--- a/crates/simulator/src/sim/hosts.rs
+++ b/crates/simulator/src/sim/hosts.rs
@@ -1,6 +1,9 @@
 //! Processes of hosts: started, polled, paused, drained and killed; and the datagrams between them.
 
-use super::event::{Connection, Event};
+#[cfg(test)]
+mod tests;
+
+use super::event::{Connection, Event, HostProcess};
 use super::setup::host_logic;
 use super::state::Host;
 use super::{peer_address, Sim, Us, DIRECT_SESSION};
@@ -176,7 +179,6 @@
         }
         let was_paused = host.paused_until > now;
         host.paused_until = resumes;
-        self.schedule(resumes, Event::HostTimer { host: host_index });
         if was_paused {
             return;
         }
@@ -190,15 +192,17 @@
         for connection in connections {
             self.on_connection_closed(connection);
         }
-        let now = self.steady_clock(host_index);
-        self.hosts[host_index as usize].core.handle_session_closed(now, DIRECT_SESSION);
+        let process = self.process_of(host_index);
+        self.notify_host(Event::SessionClosed { process, session: DIRECT_SESSION });
+        self.schedule(resumes, Event::HostTimer { host: host_index });
     }
 
     /// A host leaves its peers: it takes nothing new, may finish what it has open, and ends.
-    pub(super) fn drain_host(&mut self, host_index: u32) {
+    pub(super) fn drain_host(&mut self, process: HostProcess) {
+        let host_index = process.host;
         let now = self.steady_clock(host_index);
-        let process = self.process_of(host_index);
-        if !self.hosts[host_index as usize].up || self.reference_model.is_some() {
+        let is_up = self.is_current(process) && self.hosts[host_index as usize].up;
+        if !is_up || self.reference_model.is_some() {
             return;
         }
         self.persisted[host_index as usize].has_left = self.world.members.is_some();
--- a/crates/simulator/src/sim/links.rs
+++ b/crates/simulator/src/sim/links.rs
@@ -4,7 +4,7 @@
 mod tests;
 
 use super::attempts::attempt_result;
-use super::event::{Event, LinkId};
+use super::event::{Event, FailedAttempt, LinkId};
 use super::state::Link;
 use super::{microseconds, Sim, Us};
 use bytes::Bytes;
@@ -119,7 +119,7 @@
         self.poll_host(link_id.host);
     }
 
-    /// A link goes down for both sides: its attempts may have run.
+    /// A link goes down for both sides: its attempts may have run. A host that is paused notices it when it resumes.
     pub(super) fn close_link(&mut self, link_id: LinkId) {
         let LinkId { host: host_index, node: node_index, generation } = link_id;
         let host = &mut self.hosts[host_index as usize];
@@ -130,13 +130,13 @@
         let (node, generation) = (self.nodes[node_index as usize].address.clone(), host.generation);
         let attempts: Vec<AttemptName> = link.attempts.values().copied().collect();
         self.record(tackmast_trace::Event::LinkDown { node, host: host_index, generation, attempts });
-        for attempt in link.attempts.keys() {
-            self.report_attempt_result(host_index, *attempt, Outcome::Reset);
-        }
-        for attempt in link.waiting.into_iter().flatten().filter(|attempt| attempt.ticket.withdraw()) {
-            self.report_attempt_result(host_index, attempt.attempt.0, Outcome::Refused);
-        }
-        self.poll_host(host_index);
+        let reset =
+            link.attempts.keys().map(|attempt| FailedAttempt { attempt: *attempt, outcome: Outcome::Reset });
+        let waiting = link.waiting.into_iter().flatten().filter(|attempt| attempt.ticket.withdraw());
+        let refused =
+            waiting.map(|attempt| FailedAttempt { attempt: attempt.attempt.0, outcome: Outcome::Refused });
+        let (process, attempts) = (self.process_of(host_index), reset.chain(refused).collect());
+        self.notify_host(Event::AttemptsFailed { process, attempts });
     }
 
     /// The links of a node with all hosts go down.
