--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -22,6 +22,7 @@
 use self::tables::{AttemptKey, OpenCommand, PendingRequest};
 use crate::admin_request::AdminResponse;
 use crate::admission::Admission;
+use crate::attempt::MAX_ATTEMPTS;
 use crate::command::CommandRef;
 use crate::consensus::ConsensusDriver;
 use crate::event::HostEvent;
@@ -76,6 +77,8 @@
     /// When the connections that still write to a node are cut.
     cut_deadlines: BTreeSet<(Instant, NodeId)>,
     list_version: u64,
+    /// Changes of the endpoint list are missing since the last complete one.
+    is_list_incomplete: bool,
     removed_nodes: removed_nodes::RemovedNodes,
     override_requests: Option<OverrideRequests>,
     peers: Option<Peers>,
@@ -145,7 +148,7 @@
         settings: CoreSettings,
         generation: u64,
     ) -> Self {
-        scheduler.bound_attempts(tables::MAX_ATTEMPTS);
+        scheduler.bound_attempts(MAX_ATTEMPTS);
         let CoreSettings { requests, bytes, longest_wait, .. } = settings;
         Core {
             scheduler,
@@ -168,6 +171,7 @@
             cut_delay: TimeDelta::from_secs(settings.grace.secs() * CUT_FRACTION),
             cut_deadlines: BTreeSet::new(),
             list_version: 0,
+            is_list_incomplete: false,
             removed_nodes: removed_nodes::RemovedNodes::default(),
             override_requests: None,
             peers: None,
@@ -272,7 +276,8 @@
         let overrides = self.override_requests.as_ref().and_then(|requests| requests.poll_timeout(now));
         let peers = self.peers.as_ref().map(|peers| peers.member.poll_timeout());
         let consensus = self.consensus.as_ref().map(|consensus| consensus.poll_timeout(now));
+        let removal = self.removed_nodes.poll_timeout();
         let scheduler = self.scheduler.poll_timeout();
-        [attempt, cut, overrides, peers, consensus, scheduler].into_iter().flatten().min()
+        [attempt, cut, overrides, peers, consensus, removal, scheduler].into_iter().flatten().min()
     }
 }
--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -5,14 +5,13 @@
 #[cfg(test)]
 mod tests;
 
-use crate::links::Links;
+use crate::links::{LinkError, Links};
 use crate::list::{saved, ToList};
 use crate::messages::{Event, ToSession};
 use crate::peers::Peers;
 use crate::store_writer::ToStore;
 use crate::thread::spawn;
 use crate::{Clock, StartError};
-use bytes::Bytes;
 use crossbeam_channel::{Receiver, Sender, TryRecvError, TrySendError};
 use std::collections::HashMap;
 use std::net::{Shutdown, TcpStream};
@@ -20,7 +19,7 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::Duration;
-use tackmast::interface::{Instant, ListKind, Outcome};
+use tackmast::interface::{Instant, ListKind};
 use tackmast_admin::Answer;
 use tackmast_config::HostSettings;
 use tackmast_host_core::{
@@ -138,8 +137,9 @@
         }
     }
 
-    /// Handles an event and those that wait behind it. Urgent ones come first: the list is among them, and a drain counts from when its
-    /// bytes were read.
+    /// Handles an event and those that wait behind it. Urgent ones come first: the list is among them. The core counts a drain and a node's
+    /// age from when it handles the list. An earlier time, as when the bytes were read, would take its clock back; the delay makes a node
+    /// look younger at most, and what is not sent yet is withdrawn from a draining node at once.
     fn handle_events(
         &mut self,
         first: Option<Event>,
@@ -198,8 +198,8 @@
                 Output::Cancel { node, attempt } => self.links.cancel(node, attempt),
                 Output::Cut { node, attempt } => self.links.cut(node, attempt),
                 Output::Answer { to, verdict } => self.answer(to, verdict),
-                Output::WatchEndpointList { since } => _ = self.list.try_send(ToList::Follow { since }),
-                Output::FetchEndpointList => _ = self.list.try_send(ToList::Fetch),
+                Output::WatchEndpointList { since } => self.call_list(ToList::Follow { since }),
+                Output::FetchEndpointList => self.call_list(ToList::Fetch),
                 Output::Persist { request, batch } => self.persist(request, batch),
                 Output::AdminResponse { request, response } => {
                     if let Some(answer_to) = self.admin_callers.remove(&request) {
@@ -218,16 +218,26 @@
         }
     }
 
-    /// Hands an attempt to its node's link. If the link's queue is full, the attempt was never sent.
+    /// Hands an attempt to its node's link. If the link does not take it, the attempt was never sent.
     fn send(&mut self, send: Box<SendAttempt>) {
         let (node, attempt) = (send.node, send.attempt);
-        let address = self.core.nodes().address(node).map(str::to_owned);
-        if address.is_some_and(|address| self.links.send(node, &address, send)) {
-            return;
+        let sent = match self.core.nodes().address(node).map(str::to_owned) {
+            Some(address) => self.links.send(node, &address, send),
+            None => Err(LinkError::UnknownAddress),
+        };
+        if let Err(error) = sent {
+            tracing::debug!(node = node.0, %error, "attempt not handed to a link of the node");
+            let result = AttemptResult::unanswered(attempt, error.outcome());
+            self.core.handle_attempt_result(self.now, result);
+        }
+    }
+
+    /// Hands a call to the list's thread. A call that finds the queue full has failed, and the core asks again after its backoff: else a
+    /// change of the list could stay unknown for good.
+    fn call_list(&mut self, call: ToList) {
+        if self.list.try_send(call).is_err() {
+            self.core.handle_endpoint_list(self.now, ListKind::Failed, 0, 0, &[]);
         }
-        let (outcome, data) = (Outcome::Refused, Bytes::new());
-        let result = AttemptResult { attempt, outcome, waiting: None, elsewhere: None, data };
-        self.core.handle_attempt_result(self.now, result);
     }
 
     /// Hands an answer to its session. The queue holds every answer that the session's window allows, so a client with a full queue
--- a/crates/host/src/core_thread/tests.rs
+++ b/crates/host/src/core_thread/tests.rs
@@ -1,14 +1,23 @@
-//! What time the core's thread gives to the core, and which event it takes first.
+//! What time the core's thread gives to the core, which event it takes first, and what it does with outputs that can't be handed on.
 
 use super::CoreThread;
 use crate::links::Links;
+use crate::list::ToList;
 use crate::messages::Event;
 use crate::Clock;
-use crossbeam_channel::Receiver;
+use crossbeam_channel::{Receiver, Sender};
+use std::net::TcpListener;
 use std::sync::Arc;
-use tackmast::interface::ListKind;
+use std::time::{Duration, Instant as Wall};
+use tackmast::interface::{ListKind, NodeState, ShardId, ZoneId};
 use tackmast_config::HostSettings;
-use tackmast_host_core::Core;
+use tackmast_host_core::{ClientCommand, CommandRef, Core, ListEntry, Work};
+
+/// Failures for which a node is ejected that has answered nothing well.
+const FAILURES_TO_EJECT: u64 = 6;
+/// Of so many commands, the last is not sent to a node that was ejected for the attempts of those before it: at most two of these are
+/// taken by the link and its queue. Many more would wait for the retries of the first, whatever the node's health.
+const COMMAND_COUNT: u32 = 9;
 
 const SETTINGS: &str = r#"
 host {
@@ -17,6 +26,11 @@
   listen = "127.0.0.1:0"
   node_list = "127.0.0.1:1"
 }
+bounds {
+  links = 1
+  link_queue = 1
+  connect_ms = 60000
+}
 units {
   bytes = 4096
   most = 8
@@ -42,14 +56,48 @@
 
 /// A core's thread that has not begun to run, and the queue of its links' events.
 fn core_thread(clock: Clock) -> (CoreThread, Receiver<Event>) {
+    core_thread_with_list(clock, crossbeam_channel::unbounded().0)
+}
+
+/// The same, with this queue towards the endpoint list.
+fn core_thread_with_list(clock: Clock, to_list: Sender<ToList>) -> (CoreThread, Receiver<Event>) {
     let settings = Arc::new(HostSettings::parse("test", SETTINGS).unwrap());
     let core = Core::new(clock.now(), &settings, 1, 1);
     let (link_events, from_links) = crossbeam_channel::unbounded();
-    let (to_list, _) = crossbeam_channel::unbounded();
     let links = Links::new(settings.clone(), clock, link_events, 1);
     (CoreThread::new(core, settings, clock, links, to_list, None, None), from_links)
 }
 
+/// Lists one node, at this address.
+fn list_node(core_thread: &mut CoreThread, address: &str) {
+    let entry = ListEntry {
+        id: address.to_owned(),
+        address: address.to_owned(),
+        state: NodeState::Ready,
+        zone: ZoneId(0),
+        shard: ShardId(0),
+        start: None,
+    };
+    core_thread.core.handle_endpoint_list(core_thread.now, ListKind::Complete, 0, 1, &[entry]);
+}
+
+/// A client reads one block, which no other command reads.
+fn read_block(core_thread: &mut CoreThread, command: u32) {
+    core_thread.core.handle_command(
+        core_thread.now,
+        ClientCommand {
+            from: CommandRef { session: 1, command },
+            lun: 0,
+            block: u64::from(command),
+            work: Work::Read { blocks: 1 },
+            received_at: core_thread.now,
+            timeout: None,
+            idempotency_key: None,
+        },
+    );
+    core_thread.execute_outputs();
+}
+
 /// A host is suspended while its core's thread goes through the queue, for longer than its lease; meanwhile an operator asks for the
 /// status. When the process continues, the thread finds that call in the queue within the same iteration. Handled by the time at which the
 /// iteration began, the lease would still be reported as valid, and with it plans that other hosts have long replaced.
@@ -88,9 +136,53 @@
     let (to_events, events) = crossbeam_channel::unbounded();
     to_events.send(Event::SessionClosed { session: 1 }).unwrap();
     for repetition in 0..64 {
-        let (at, kind, entries) = (core_thread.now, ListKind::Changes, Vec::new());
-        to_urgent.send(Event::List { at, kind, from: 1, to: 2, entries }).unwrap();
+        let (kind, entries) = (ListKind::Changes, Vec::new());
+        to_urgent.send(Event::List { kind, from: 1, to: 2, entries }).unwrap();
         let first = core_thread.wait_for_event(&urgent, &events);
         assert!(matches!(first, Some(Event::List { .. })), "repetition {repetition}");
     }
 }
+
+/// Changes are missing, and the queue towards the list is full when the complete list is to be fetched. The fetch is lost, so the list must be
+/// asked again once there is room; until then the host does not know of a drain among the missing changes.
+#[test]
+fn list_is_asked_again_after_a_fetch_that_found_its_queue_full() {
+    let clock = Clock::start();
+    let (to_list, commands) = crossbeam_channel::bounded(1);
+    let (mut core_thread, _events) = core_thread_with_list(clock, to_list);
+    core_thread.execute_outputs();
+    assert!(commands.is_full(), "the watch waits in the queue");
+    core_thread.core.handle_endpoint_list(clock.now(), ListKind::Changes, 7, 9, &[]);
+    core_thread.execute_outputs();
+    assert!(matches!(commands.try_recv(), Ok(ToList::Follow { since: 0 })));
+    let since = Wall::now();
+    while commands.is_empty() {
+        assert!(since.elapsed() < Duration::from_secs(5), "the list is not asked again");
+        std::thread::sleep(Duration::from_millis(5));
+        core_thread.read_clock();
+        core_thread.core.handle_timeout(core_thread.now);
+        core_thread.execute_outputs();
+    }
+    assert!(matches!(commands.try_recv(), Ok(ToList::Follow { since: 0 })), "not the complete list");
+}
+
+/// The link to a node waits for the node's hello, and its queue is full. The attempts that the queue can't take never reach the node, and
+/// say nothing of it: counted as failures, they would eject a node that may be well.
+#[test]
+fn a_full_link_queue_does_not_eject_the_node() {
+    let (mut core_thread, _events) = core_thread(Clock::start());
+    let node = TcpListener::bind("127.0.0.1:0").unwrap();
+    list_node(&mut core_thread, &node.local_addr().unwrap().to_string());
+    (0..COMMAND_COUNT).for_each(|command| read_block(&mut core_thread, command));
+    let attempts = core_thread.core.counters.attempts;
+    assert!(attempts >= u64::from(COMMAND_COUNT), "{attempts} attempts: the node is ejected");
+}
+
+/// A node's address is not one to connect to. No attempt can reach the node, so it is ejected as any other that takes no connection.
+#[test]
+fn a_node_without_a_usable_address_is_ejected() {
+    let (mut core_thread, _events) = core_thread(Clock::start());
+    list_node(&mut core_thread, "node-of-no-address");
+    (0..COMMAND_COUNT).for_each(|command| read_block(&mut core_thread, command));
+    assert_eq!(core_thread.core.counters.attempts, FAILURES_TO_EJECT);
+}
