--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,12 +1,14 @@
-//! The scheduler of one host: gathers what each rule of `policy` reads, applies what it decides, and keeps the tables.
+//! The scheduler of one host. It keeps the host's tables, collects the values that the rules in `policy` read, and
+//! applies their results.
 //!
-//! A host makes one `Scheduler`, tells it the settings, and reports what happens through the inputs (`request_arrived`,
-//! `attempt_ended`, `nodes_changed`, ...), which only update what is known. After each it calls `poll_decision` until there is none,
-//! and again at `poll_timeout`.
+//! A host creates one `Scheduler`, passes it the settings, and reports events through its inputs (`request_arrived`,
+//! `attempt_ended`, `nodes_changed`, ...). An input updates the tables and returns no decision. After each input the
+//! host calls `poll_decision` until it returns `None`, and again at the time that `poll_timeout` returns.
 //!
-//! The way of a request: it arrives and waits in a queue of its shard (`arrival`); `dispatch` picks which request is sent next, and
-//! `guards` hold it while a rule does not allow it to be sent; `attempt_end` learns from the outcome and decides on a retry;
-//! `final_answer` ends a request that was not done. `endpoint_list` and `volumes` take the other inputs.
+//! A request arrives and waits in a queue of its shard (`arrival`). `dispatch` picks the request that is sent next;
+//! `guards` hold a request while a rule does not allow it to be sent. `attempt_end` records the outcome of an attempt
+//! and decides whether the request is retried. `final_answer` ends a request that was not done. `endpoint_list` and
+//! `volumes` handle the other inputs.
 
 mod arrival;
 mod attempt_end;
@@ -41,19 +43,22 @@
 use volume::Volume;
 
 /// Decides which requests of one host are sent to which node, and when.
+///
+/// Decisions depend only on the seed, the settings and the inputs. The scheduler reads no clock: inputs and polls are given
+/// the current time.
 pub struct Scheduler {
     now: Instant,
     random: Random,
     settings: Settings,
-    /// Hosts of the pool that are alive as far as is known; only concurrency limits follow it.
+    /// Number of hosts of the pool believed alive; only concurrency limits depend on it.
     alive_hosts: f64,
     retry_budget: RetryBudget,
     loss_detector: LossDetector,
-    /// Latencies of answers of all nodes, for each traffic class.
+    /// Latencies of the answers of all nodes, by traffic class.
     pool_latency: Vec<Histogram>,
-    /// A call for the endpoint list has been asked for.
+    /// Whether the host has been asked to watch the endpoint list and the call has not failed since.
     list_requested: bool,
-    /// Calls for the endpoint list that failed in a row.
+    /// Consecutive failed calls for the endpoint list.
     list_failures: u32,
     nodes: BTreeMap<NodeId, Node>,
     shards: BTreeMap<ShardId, Shard>,
@@ -61,17 +66,17 @@
     requests: HashMap<RequestId, Request>,
     key_queues: HashMap<KeyId, KeyQueue>,
     rejected_requests: RejectedRequests,
-    /// New objects for which there was no node.
+    /// Requests for new objects that no node can take; they are placed at the next change of the endpoint list.
     unplaced_requests: Vec<RequestId>,
-    /// Shards where a request may be ready to be sent.
+    /// Shards at which a request may be ready to be sent.
     pending_shards: BTreeSet<ShardId>,
     timers: Timers,
-    /// Decisions that were not polled yet.
+    /// Decisions that the host has not polled yet.
     decisions: VecDeque<Decision>,
 }
 
 impl Scheduler {
-    /// What the host is to do next, if anything now.
+    /// Returns the next decision for the host to carry out, or `None` if there is nothing to do now.
     pub fn poll_decision(&mut self, now: Instant) -> Option<Decision> {
         self.now = now;
         while let Some(timer) = self.timers.pop_expired(now) {
@@ -89,7 +94,7 @@
         }
     }
 
-    /// When `poll_decision` should be called again, if nothing happens before.
+    /// Returns the time at which to call `poll_decision` again if there is no input before; `None` if no timer is set.
     pub fn poll_timeout(&self) -> Option<Instant> {
         self.timers.next_at()
     }
@@ -109,17 +114,18 @@
         }
     }
 
-    /// Keys that are remembered: those with a request that is not over, or at rest.
+    /// Returns the number of keys in the table: those with a request that is not over, and those whose last attempt may
+    /// still be running.
     pub fn key_queue_count(&self) -> usize {
         self.key_queues.len()
     }
 
-    /// Nodes that are remembered.
+    /// Returns the number of nodes in the table, including nodes that have left the endpoint list and are not forgotten yet.
     pub fn node_count(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Volumes that are remembered.
+    /// Returns the number of volumes in the table, including idle ones that are not forgotten yet.
     pub fn volume_count(&self) -> usize {
         self.volumes.len()
     }
--- a/src/scheduler/arrival.rs
+++ b/src/scheduler/arrival.rs
@@ -1,4 +1,4 @@
-//! How requests come in and wait.
+//! Arrival of requests, and the queues in which they wait.
 
 use super::request::Request;
 use super::shard::QueueEnd;
@@ -7,7 +7,7 @@
 use crate::state::Timer;
 
 impl Scheduler {
-    /// A client has sent a request.
+    /// Records a request that a client has sent, and queues it. Applies the request's plan to its volume if that differs.
     pub fn request_arrived(&mut self, now: Instant, new: NewRequest) {
         self.now = now;
         self.volume_plan_changed(now, new.volume, new.plan);
@@ -34,15 +34,19 @@
         };
         let mut request = Request::new(now, new, in_order);
         request.deadline = now + new.time_left - self.settings.deadline_margin;
-        // A client's next try began its latency objective with its first: it asks for the same as one that was rejected, with less
-        // time left. Little time left alone proves nothing, since some clients give little from the start.
-        let first = self.rejected_requests.original_objective(now, request.fingerprint(), new.time_left);
-        request.objective_at = first.unwrap_or(now + latency_objective);
+        // A request that a client sends again after a rejection keeps the latency objective of the first one. It is
+        // recognized by asking for the same as the rejected request with less time left. Little time left alone proves
+        // nothing, since some clients allow little from the start.
+        let original = self.rejected_requests.original_objective(now, request.fingerprint(), new.time_left);
+        request.objective_at = original.unwrap_or(now + latency_objective);
         request
     }
 
-    /// The place of the request that arrived last among those of its volume, traffic class and shard: before
-    /// all of later tags. So a host's sessions share a volume; without tags the order of arrival holds.
+    /// Moves the request that arrived last to its place by `tag` in its queue (volume, traffic class and shard): before
+    /// all requests with a greater tag.
+    ///
+    /// The caller sets tags so that its sessions share a volume fairly. Requests without a tag have tag 0, and equal
+    /// tags keep the order of arrival.
     pub fn request_tagged(&mut self, id: RequestId, tag: f64) {
         let Some(request) = self.requests.get(&id).filter(|request| request.is_waiting) else { return };
         let tag = tag.max(self.tag_of_key_predecessor(id, request));
@@ -57,19 +61,21 @@
         self.requests.entry(id).and_modify(|request| request.tag = tag);
     }
 
-    /// The tag of the request that goes before this one on its key. A request that took a place before it would wait for one that is
-    /// far behind, and hold up the others.
+    /// Returns the tag of the previous request on the same key, or negative infinity if there is none.
+    ///
+    /// A request placed before its predecessor on the key would wait for one further back in the queue, and delay the
+    /// requests in between.
     fn tag_of_key_predecessor(&self, id: RequestId, request: &Request) -> f64 {
         let key_queue = request.ordered_key.and_then(|key| self.key_queues.get(&key));
-        let earlier = key_queue.and_then(|queue| queue.waiting.iter().rev().find(|other| **other != id));
-        earlier.and_then(|other| self.requests.get(other)).map_or(f64::NEG_INFINITY, |other| other.tag)
+        let predecessor = key_queue.and_then(|queue| queue.waiting.iter().rev().find(|other| **other != id));
+        predecessor.and_then(|other| self.requests.get(other)).map_or(f64::NEG_INFINITY, |other| other.tag)
     }
 
-    /// Puts a waiting request into a queue of its shard; a new object first gets a shard.
+    /// Adds a waiting request to a queue of its shard. Chooses the shard first if the request is for a new object.
     pub(super) fn enqueue(&mut self, id: RequestId, end: QueueEnd) {
         let Some(request) = self.requests.get(&id).filter(|request| request.is_waiting) else { return };
-        let bound = if request.can_move() { None } else { request.shard };
-        let Some(shard) = bound.or_else(|| self.place_new_object()) else {
+        let fixed_shard = if request.can_move() { None } else { request.shard };
+        let Some(shard) = fixed_shard.or_else(|| self.place_new_object()) else {
             return self.unplaced_requests.push(id);
         };
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -79,7 +85,8 @@
         self.pending_shards.insert(shard);
     }
 
-    /// Adds a request to its queue at a shard. A request that goes before all others takes a tag that is no later than theirs.
+    /// Adds a request to its queue at a shard. At the front it takes a tag no greater than that of the request behind it,
+    /// so that the queue stays in order of tags.
     fn add_to_queue(&mut self, id: RequestId, shard: ShardId, end: QueueEnd) {
         let Some(request) = self.requests.get(&id) else { return };
         let queues = &mut self.shards.entry(shard).or_default().queues;
@@ -95,7 +102,7 @@
         }
     }
 
-    /// How long until then.
+    /// Returns the time from now until `at`.
     pub(super) fn time_until(&self, at: Instant) -> TimeDelta {
         at - self.now
     }
--- a/src/scheduler/attempt_end.rs
+++ b/src/scheduler/attempt_end.rs
@@ -1,4 +1,4 @@
-//! What is learned when an attempt ends, and whether its request is retried.
+//! The end of an attempt: updates what is known of its node and decides whether its request is retried.
 
 use super::request::{forget_if_over, AttemptResult};
 use super::shard::QueueEnd;
@@ -11,7 +11,8 @@
 use crate::state::Timer;
 
 impl Scheduler {
-    /// An attempt has ended.
+    /// Records the end of an attempt, and queues its request again or gives it its final answer. An attempt that is not in
+    /// flight is ignored.
     pub fn attempt_ended(&mut self, now: Instant, end: AttemptEnd) {
         self.now = now;
         let Some(request) = self.requests.get_mut(&end.request) else { return };
@@ -32,7 +33,7 @@
         forget_if_over(&mut self.requests, &mut self.key_queues, end.request, now);
     }
 
-    /// Records the attempt at its node; whether it shows that an attempt was lost.
+    /// Records the attempt's result at its node. Returns whether it shows that an attempt was lost.
     fn record_at_node(&mut self, result: &AttemptResult) -> bool {
         let class = &self.settings.classes[result.class.0 as usize];
         let judges_node = judges_nodes(class.latency_objective, self.settings.tightest_objective);
@@ -66,21 +67,22 @@
         is_lost
     }
 
-    /// Records what an answer shows that a node can do, and how fast it is.
+    /// Records the latency of an answer and the work it shows the node can do.
     fn record_service(&mut self, result: &AttemptResult) {
         let Some(node) = self.nodes.get_mut(&result.attempt.node) else { return };
-        // An answer from a node's cache is no sign of what the node can do: in slow start it would get several times what it bears,
-        // which shows as a collapse right after a fast start. Where most requests are for few keys, such a node warms up by the safe
-        // units alone.
-        let fraction = if result.is_repeat { self.settings.uncached_fraction } else { 1.0 };
-        let work = fraction * result.units;
+        // An answer from a node's cache does not show what the node can do. If it counted in full, a node in slow start
+        // would be sent several times what it can take, and would collapse right after a fast start. Where most requests
+        // are for few keys, such a node warms up on its safe units alone.
+        let counted_fraction = if result.is_repeat { self.settings.uncached_fraction } else { 1.0 };
+        let work = counted_fraction * result.units;
         let latency_secs = result.latency.secs();
         self.shards.entry(node.shard).or_default().service_rate.add(self.now, work);
         node.attempt_answered(result.class, latency_secs, work);
         self.pool_latency[result.class.0 as usize].add(latency_secs);
     }
 
-    /// An attempt ended without success: another where rules and time allow it, else the final answer at once.
+    /// Handles an attempt that ended without success: queues the request for a retry where the rules and the time left
+    /// allow one, otherwise gives the final answer at once.
     fn retry_or_answer(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.is_over || !request.in_flight.is_empty() {
@@ -102,12 +104,14 @@
         self.enqueue(id, QueueEnd::Front);
     }
 
-    /// An attempt on this key has ended; it may still be running until `settled_at`, where one is given.
+    /// Records that an attempt on this key has ended. The node may still be running it until `settled_at`; `None` if it
+    /// is known to have stopped.
     fn release_key(&mut self, key: Option<KeyId>, settled_at: Option<Instant>) {
         let Some(key) = key else { return };
         let Some(queue) = self.key_queues.get_mut(&key) else { return };
         queue.attempt_finished(settled_at);
-        // Without this look, the queue of a key that is never asked for again would stay in the table after each unknown outcome.
+        // Without this timer, the queue of a key that is never requested again would stay in the table after an attempt
+        // that may still be running.
         if let Some(settled_at) = settled_at {
             self.timers.set(settled_at, Timer::KeySettled(key));
         }
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which request is sent next, and where.
+//! Selection of the request that is sent next, and of its node.
 
 use super::request::{is_waiting_at, SentAttempt};
 use super::shard::{Candidate, Dispatch, QueueEnd, QueueId};
@@ -15,8 +15,8 @@
 use crate::state::Timer;
 
 impl Scheduler {
-    /// The request that is sent next for this shard, if any may be sent now: of the queues' heads, the one with the lowest score;
-    /// a late one only if none in time can be sent.
+    /// Returns the request to send next at this shard, or `None` if none may be sent now. Of the candidates of all queues
+    /// it picks the one with the lowest score; a late request only if none that is in time can be sent.
     pub(super) fn pick_request(&mut self, id: ShardId) -> Option<Dispatch> {
         let shard = self.shards.get(&id)?;
         let node = shard.nodes.iter().rev().find(|node| self.nodes[node].state == NodeState::Ready).copied();
@@ -45,14 +45,14 @@
         best
     }
 
-    /// Remembers what holds a request, for the reason of its final answer.
+    /// Records which guard holds a request. Its final answer may name that guard.
     fn record_hold(&mut self, id: RequestId, reason: HoldReason) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.held_by = Some(reason);
         }
     }
 
-    /// Ranks a request if its guards let it be sent now.
+    /// Returns the request with its score if its guards let it be sent now, otherwise the guard that holds it.
     fn check_request(&mut self, shard: ShardId, id: RequestId, node: NodeId) -> Result<Candidate, Hold> {
         let is_reserved = self.is_reserved(id);
         let request = &self.requests[&id];
@@ -68,7 +68,7 @@
         Ok(Candidate { score, dispatch: Dispatch { request: id, node, is_reserved } })
     }
 
-    /// Whether the request fits into its volume's reservation.
+    /// Returns whether the request fits into its volume's reservation.
     fn is_reserved(&mut self, id: RequestId) -> bool {
         let request = &self.requests[&id];
         let plan = &self.settings.plans[request.plan.0 as usize];
@@ -76,8 +76,8 @@
         volume.limit.is_reserved(self.now, plan, request.units)
     }
 
-    /// Decides the fate of a queue's heads until one is to be sent, and gives the first request that no guard of its own holds. Only the head is
-    /// known to be in time.
+    /// Decides the fate of one queue head after another until one is to be sent. Returns the first request of the queue
+    /// that no guard of its own holds, or that head if all are held. Only the head is known to be in time.
     fn settle_heads_and_pick(
         &mut self,
         shard: ShardId,
@@ -85,8 +85,8 @@
         node: Option<NodeId>,
     ) -> Option<RequestId> {
         loop {
-            let waiting = self.shards.get_mut(&shard)?;
-            let head = waiting.first_waiting(queue, |id| is_waiting_at(&self.requests, id, shard))?;
+            let queues = self.shards.get_mut(&shard)?;
+            let head = queues.first_waiting(queue, |id| is_waiting_at(&self.requests, id, shard))?;
             let fate = self.queue_head(shard, head, node)?.fate(self.now);
             if fate == QueueHeadFate::Send {
                 return Some(self.first_ready(shard, queue).unwrap_or(head));
@@ -103,7 +103,7 @@
         }
     }
 
-    /// What the fate of a queue's head depends on.
+    /// Collects the values that the fate of a queue's head depends on.
     fn queue_head(&self, shard: ShardId, id: RequestId, node: Option<NodeId>) -> Option<QueueHead> {
         let request = self.requests.get(&id)?;
         let node = node.and_then(|node| self.nodes.get(&node));
@@ -126,8 +126,8 @@
         })
     }
 
-    /// The first request of a queue that no guard of its own (a backoff, its key) holds. One that such a guard holds must not hold
-    /// those behind it.
+    /// Returns the first request of a queue that no guard of its own (a backoff, the order of its key) holds. A request
+    /// that such a guard holds must not hold those behind it. Only the first `MAX_SCANNED_REQUESTS` are looked at.
     fn first_ready(&self, shard: ShardId, queue: QueueId) -> Option<RequestId> {
         let is_ready = |id: &&RequestId| {
             let request = self.requests.get(id).filter(|request| request.is_waiting);
@@ -139,7 +139,8 @@
         queue.iter().take(MAX_SCANNED_REQUESTS).find(is_ready).copied()
     }
 
-    /// A late request earns little: it is sent only when nothing waits that is in time.
+    /// Returns the shard's first late request, if its guards let it be sent. A late answer is worth little, so this
+    /// returns `None` while any request that is in time waits.
     fn pick_late_request(&mut self, id: ShardId, node: NodeId) -> Option<Dispatch> {
         let shard = self.shards.get_mut(&id)?;
         let request = shard.first_late(|late| is_waiting_at(&self.requests, late, id))?;
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Sends an attempt and counts it everywhere.
+    /// Returns the decision to send an attempt, and records that attempt.
     pub(super) fn start_attempt(&mut self, shard: ShardId, dispatch: Dispatch) -> Option<Decision> {
         let request = self.requests.get(&dispatch.request)?;
         let node = self.nodes.get(&dispatch.node)?;
@@ -180,7 +181,8 @@
         Some(decision)
     }
 
-    /// Counts an attempt that is sent: against its volume, its shard, the retry budget, its node and its key.
+    /// Charges an attempt that is sent to its volume, its shard and the retry budget, and records it at its node and its
+    /// key.
     fn record_attempt(&mut self, shard: ShardId, sent: Dispatch) {
         let (Some(request), Some(node)) =
             (self.requests.get_mut(&sent.request), self.nodes.get_mut(&sent.node))
--- a/src/scheduler/final_answer.rs
+++ b/src/scheduler/final_answer.rs
@@ -1,4 +1,4 @@
-//! How a request gets its final answer without being done, and how it leaves the tables (rule 1).
+//! Final answers of requests that were not done, and removal of requests from the tables (rule 1).
 
 use super::rejected_requests::RejectedRequest;
 use super::request::{finish_request, Request};
@@ -8,7 +8,8 @@
 use crate::policy::retry_safety::RetrySafety;
 
 impl Scheduler {
-    /// The request's deadline has come. A client that has the beginning of its answer is owed nothing by then.
+    /// Gives a request its final answer at its deadline. If its client already has the beginning of a streamed answer, no
+    /// final answer is due.
     pub(super) fn on_deadline(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.response_started) else {
             return;
@@ -17,7 +18,7 @@
         self.reject_or_fail(id, reason, None);
     }
 
-    /// The final answer of a request that was not done: rejected where a retry is safe, failed otherwise.
+    /// Gives the final answer of a request that was not done: rejected where a retry is safe, failed otherwise.
     pub(super) fn reject_or_fail(
         &mut self,
         id: RequestId,
@@ -38,25 +39,25 @@
         self.finish(id);
     }
 
-    /// A streamed answer has begun: its client has it, and nothing is owed by a set time any more.
+    /// Records that the client has received the beginning of a streamed answer. The request's deadline no longer applies.
     pub fn response_started(&mut self, now: Instant, id: RequestId) {
         self.now = now;
         self.requests.entry(id).and_modify(|request| request.response_started = true);
     }
 
-    /// The client has left, or the request was ended for us.
+    /// Ends a request without a final answer, because its client has left or the host has ended it.
     pub fn request_cancelled(&mut self, now: Instant, id: RequestId) {
         self.now = now;
         self.finish(id);
     }
 
-    /// The request is over; whoever has its key next may be ready.
+    /// Marks a request as over. The next request on its key may now be ready to be sent.
     pub(super) fn finish(&mut self, id: RequestId) {
         let next = finish_request(&mut self.requests, &mut self.key_queues, id, self.now);
         self.pending_shards.extend(next);
     }
 
-    /// What decides whether the request may be retried.
+    /// Collects the values that decide whether the request may be retried.
     pub(super) fn retry_safety(&self, request: &Request) -> RetrySafety {
         let first = request.first_effect;
         let first_node = first.and_then(|first| self.nodes.get(&first.node));
--- a/src/scheduler/guards.rs
+++ b/src/scheduler/guards.rs
@@ -1,4 +1,4 @@
-//! The guards of a request that waits to be sent: each rule that can hold it, in the order in which they are asked.
+//! The guards of a waiting request: each rule that can hold it, in the order in which they are checked.
 
 use super::node::Node;
 use super::request::Request;
@@ -12,7 +12,7 @@
 use crate::policy::Hold;
 
 impl Scheduler {
-    /// Whether every guard lets the request be sent to this node now; else the first that holds it.
+    /// Checks whether the request may be sent to this node now. Returns the first guard that holds it as the error.
     pub(super) fn check_guards(
         &mut self,
         id: RequestId,
@@ -32,18 +32,21 @@
         self.check_slow_start(id, node_id)
     }
 
-    /// The node has as many attempts in flight as its limit allows, or pauses between them.
+    /// Holds the request while its node has as many attempts in flight as the concurrency limit allows, or while this
+    /// host pauses between two attempts at it.
     fn check_concurrency_limit(&self, node: &Node, priority: Priority) -> Result<(), Hold> {
         node.limiter.check(self.now, &node.capacity_request(priority, self.settings.mean_units))
     }
 
-    /// A failed attempt's request waits a moment before its retry.
+    /// Holds the request until the backoff after its failed attempt is over.
     fn check_backoff(&self, request: &Request) -> Result<(), Hold> {
         Hold::check(HoldReason::Backoff, request.not_before, self.now)
     }
 
-    /// A request that may have run is not run again where that could take effect twice (rule 2). Reached by requests behind a queue's head and by
-    /// late ones: a head that can never be sent is rejected before (`policy::request_fate`).
+    /// Holds a request that may have run until its deadline if another run could take effect twice (rule 2).
+    ///
+    /// Only requests behind a queue's head and late ones are held here, since a head that can never be sent is rejected
+    /// before (`policy::request_fate`).
     fn check_retry_safety(&self, request: &Request, node: &Node) -> Result<(), Hold> {
         if !self.retry_safety(request).allows_attempt_at(self.now, Some(node.location())) {
             return Err(Hold::until(HoldReason::RetryUnsafe, request.deadline));
@@ -51,7 +54,7 @@
         Ok(())
     }
 
-    /// An ejected node gets probes only.
+    /// Holds the request while its node is ejected and no probe is due.
     fn check_ejection(&self, node: &Node) -> Result<(), Hold> {
         if !node.is_ejected() {
             return Ok(());
@@ -59,7 +62,7 @@
         Hold::check(HoldReason::Ejected, next_probe_at(node.last_sent_at), self.now)
     }
 
-    /// Retries must be earned by the node's answers.
+    /// Holds a retry while the node's answers have earned none.
     fn check_retry_credit(&self, request: &Request, node: &Node) -> Result<(), Hold> {
         if request.attempts > 0 && !node.retry_credit.allows_retry() {
             return Err(self.hold_for_recheck(HoldReason::RetryCredit));
@@ -67,7 +70,7 @@
         Ok(())
     }
 
-    /// The host's retries stay within their budget (rule 6).
+    /// Holds a retry while the host's retry budget is used up (rule 6).
     fn check_retry_budget(&self, request: &Request) -> Result<(), Hold> {
         if request.attempts > 0 && !self.retry_budget.allows_retry(self.now) {
             return Err(self.hold_for_recheck(HoldReason::RetryBudget));
@@ -75,7 +78,8 @@
         Ok(())
     }
 
-    /// Requests on one key go one at a time, in the order of arrival (rule 5).
+    /// Holds the request while another goes first on its key: those of an ordered key are sent one at a time, in order of
+    /// arrival (rule 5).
     pub(super) fn check_key_order(&self, id: RequestId, request: &Request) -> Result<(), Hold> {
         let queue = request.ordered_key.and_then(|key| self.key_queues.get(&key));
         let Some(free_at) = queue.and_then(|queue| queue.blocked_until(id, self.now)) else { return Ok(()) };
@@ -83,7 +87,8 @@
         Err(Hold::until(HoldReason::KeyOrder, free_at.max(recheck_at)))
     }
 
-    /// A request that costs more than this host's share of the burst can never be sent. Reached as `check_retry_safety` is.
+    /// Holds a request that costs more than this host's share of its volume's burst until its deadline, since no wait
+    /// would let it pass. Only the requests that `check_retry_safety` can hold are held here.
     fn check_burst(&self, request: &Request) -> Result<(), Hold> {
         if self.exceeds_burst(request) {
             return Err(Hold::until(HoldReason::ExceedsBurst, request.deadline));
@@ -91,7 +96,8 @@
         Ok(())
     }
 
-    /// The volume keeps to this host's share of its limit (rule 7).
+    /// Holds the request until it fits into this host's share of its volume's limit (rule 7). A request whose units were
+    /// charged at an earlier attempt passes.
     fn check_volume_limit(&mut self, id: RequestId) -> Result<(), Hold> {
         let request = &self.requests[&id];
         let plan = &self.settings.plans[request.plan.0 as usize];
@@ -105,7 +111,7 @@
         }
     }
 
-    /// A node that warms up gets no more than this host's part of what it bears (rule 4).
+    /// Holds the request while its node warms up and has been sent this host's share of what it can take (rule 4).
     fn check_slow_start(&mut self, id: RequestId, node_id: NodeId) -> Result<(), Hold> {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&node_id) else { return Ok(()) };
@@ -119,7 +125,8 @@
         node.slow_start.check(now, &self.settings.slow_start, &request)
     }
 
-    /// Whether the request costs more than its volume's burst at this host. One that has had an attempt has been charged already.
+    /// Returns whether the request costs more than this host's share of its volume's burst. False for a request whose
+    /// units were charged at an earlier attempt.
     pub(super) fn exceeds_burst(&self, request: &Request) -> bool {
         let plan = self.plan(request.plan);
         let Some(volume) = self.volumes.get(&request.volume) else { return false };
@@ -128,7 +135,7 @@
             && exceeds_burst(request.units, plan.burst, volume.limit.host_count())
     }
 
-    /// For a guard that can't tell when it will let the request pass.
+    /// Returns a hold of `GUARD_RECHECK_INTERVAL`, for a guard that can't tell when the request will pass.
     fn hold_for_recheck(&self, reason: HoldReason) -> Hold {
         Hold::until(reason, self.now + GUARD_RECHECK_INTERVAL)
     }
