--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Follows the endpoint list, and what else is said of nodes.
+//! Inputs about nodes: the endpoint list, reported queue lengths, and operators' overrides.
 
 use super::node::{mark_unlisted_gone, NewNode, Node};
 use super::shard::QueueEnd;
@@ -13,7 +13,7 @@
 use crate::state::Timer;
 
 impl Scheduler {
-    /// An endpoint list was received, or a call for it failed.
+    /// Applies an endpoint list that was received, or schedules another call if `kind` is `ListKind::Failed`.
     pub fn nodes_changed(&mut self, now: Instant, kind: ListKind, entries: &[NodeEntry]) {
         self.now = now;
         if kind == ListKind::Failed {
@@ -36,7 +36,7 @@
         self.pending_shards.extend(self.shards.keys());
     }
 
-    /// Asks for the endpoint list, once until the call fails.
+    /// Asks the host to watch the endpoint list, unless it was asked before and the call has not failed since.
     pub(super) fn request_list(&mut self) {
         if !self.list_requested {
             self.list_requested = true;
@@ -74,7 +74,8 @@
     }
 
     fn new_node(&mut self) -> NewNode {
-        // By chance: else all hosts would begin the rotation at one node, and all send to a node in slow start at once.
+        // Random, since otherwise all hosts would begin the rotation at the same node, and would all send to a node in
+        // slow start at the same time.
         let rotation = self.random.fraction();
         let settings = &self.settings;
         let (mean_units, host_count) = (settings.mean_units, settings.host_count);
@@ -87,15 +88,15 @@
         }
     }
 
-    /// Drops nodes that are gone and were sent nothing lately. A list that names new nodes without end would else grow the table without
-    /// bound.
+    /// Drops nodes that are gone and were sent nothing lately. Otherwise a list that keeps naming new nodes would grow the
+    /// table without bound.
     fn forget_gone_nodes(&mut self) {
         let since = self.now - IDLE_RETENTION;
         let before = self.nodes.len();
         self.nodes.retain(|_, node| {
             node.state != NodeState::Gone || node.in_flight.attempts > 0 || node.last_sent_at >= since
         });
-        // No shard may name a node that is not known, also none that the node was once listed for.
+        // No shard may name a node that is not in the table. A node that moved is named by each shard it was listed for.
         if self.nodes.len() < before {
             for shard in self.shards.values_mut() {
                 shard.nodes.retain(|id| self.nodes.contains_key(id));
@@ -103,14 +104,16 @@
         }
     }
 
-    /// How many requests a node reports to wait there; reports lag.
+    /// Records the number of requests that a node reported to be waiting there. Reports lag behind the node's real queue.
     pub fn load_reported(&mut self, now: Instant, node: NodeId, waiting: f64) {
         self.now = now;
         self.nodes.entry(node).and_modify(|node| node.limiter.set_reported_queue(waiting));
     }
 
-    /// An operator's override: the fraction of what the node would be given otherwise, and whether it stays in
-    /// service whatever its answers. Off at 1 and false. The list, the guards and the rules come first.
+    /// Applies an operator's override of a node. `weight` scales what the node would be given otherwise; `is_pinned`
+    /// keeps it in service whatever its answers. A weight of 1 and `false` clear the override.
+    ///
+    /// The endpoint list and the other guards take precedence. An unknown node is ignored.
     pub fn node_overridden(&mut self, now: Instant, id: NodeId, weight: f64, is_pinned: bool) {
         self.now = now;
         if let Some(node) = self.nodes.get_mut(&id) {
--- a/src/scheduler/node.rs
+++ b/src/scheduler/node.rs
@@ -1,4 +1,4 @@
-//! A node of the endpoint list, as this host sees it.
+//! A node of the endpoint list, with the state that this host keeps for it.
 
 use crate::histogram::{mean, Histogram};
 use crate::interface::{Instant, NodeEntry, NodeId, NodeState, ShardId, TrafficClassId, ZoneId};
@@ -13,56 +13,56 @@
 use crate::policy::slow_start::SlowStart;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A node of the list, and what was learned of it.
+/// A node of the endpoint list, with what this host has observed of it since the node's start.
 pub struct Node {
-    /// As listed.
+    /// Whether the node takes requests, by the endpoint list.
     pub state: NodeState,
-    /// As listed.
+    /// Zone in which the node runs, by the endpoint list.
     pub zone: ZoneId,
-    /// As listed.
+    /// Shard that the node holds, by the endpoint list.
     pub shard: ShardId,
-    /// When the node last started, where that is known and recent.
+    /// When the node last started; `None` if unknown or long ago.
     pub up_since: Option<Instant>,
-    /// Attempts that have not ended.
+    /// Attempts of this host that have not ended.
     pub in_flight: InFlight,
-    /// Attempts that were answered well.
+    /// Number of attempts that the node answered without an error, over all its starts.
     pub answered: u64,
-    /// When an attempt was last sent.
+    /// When an attempt was last sent to the node; its first listing if none was.
     pub last_sent_at: Instant,
-    /// How many attempts may be in flight.
+    /// Bounds the attempts in flight.
     pub limiter: ConcurrencyLimiter,
-    /// Whether nearly all of its answers are bad.
+    /// Ejects the node while nearly all of its attempts fail.
     pub outlier_detector: OutlierDetector,
-    /// Retries that its answers have earned.
+    /// Retries that the node's answers have earned.
     pub retry_credit: RetryCredit,
-    /// Whether an attempt timed out and may have been lost.
+    /// Whether the last time-out at the node may have been a lost attempt.
     pub unexplained_timeout: UnexplainedTimeout,
-    /// What it was sent while it warms up.
+    /// Units sent to the node while it warms up.
     pub slow_start: SlowStart,
-    /// Latencies of its answers, for each traffic class.
+    /// Latencies of the node's answers, by traffic class.
     pub latency: Vec<Histogram>,
-    /// How far it is behind in the rotation of new objects, in turns.
+    /// How far the node is behind in the rotation of new objects, in turns.
     pub rotation: f64,
-    /// By an operator.
+    /// Override set by an operator; it survives a restart of the node.
     pub operator_override: NodeOverride,
 }
 
-/// What a node starts with that was not seen before.
+/// The initial state of a node that is new in the list or has restarted, as far as it depends on settings or chance.
 pub struct NewNode {
-    /// Latencies of its answers, for each traffic class.
+    /// Empty latency histograms, by traffic class.
     pub latency: Vec<Histogram>,
-    /// Ranks of traffic classes.
+    /// Number of priority ranks of the traffic classes.
     pub rank_count: usize,
-    /// How many attempts may be in flight.
+    /// Bounds the attempts in flight.
     pub limiter: ConcurrencyLimiter,
-    /// What it was sent while it warms up.
+    /// Units sent to the node while it warms up.
     pub slow_start: SlowStart,
-    /// How far it is behind in the rotation of new objects, in turns.
+    /// How far the node is behind in the rotation of new objects, in turns.
     pub rotation: f64,
 }
 
 impl Node {
-    /// A node of which nothing is known but its entry in the list.
+    /// Creates a node of which nothing is known but its entry in the endpoint list.
     pub fn new(now: Instant, entry: &NodeEntry, new: NewNode) -> Self {
         Node {
             state: entry.state,
@@ -83,8 +83,8 @@
         }
     }
 
-    /// The node has started anew: what was learned of its earlier generation no longer holds. What is in flight still is, and so
-    /// is what an operator said.
+    /// Replaces what was observed of the node's earlier generation by `new` after a restart. The attempts in flight, the
+    /// count of answers and the operator's override stay.
     pub fn restart(&mut self, new: Node) {
         *self = Node {
             in_flight: std::mem::take(&mut self.in_flight),
@@ -94,17 +94,17 @@
         };
     }
 
-    /// Where the node stands.
+    /// Returns the node's zone and shard.
     pub fn location(&self) -> NodeLocation {
         NodeLocation { zone: self.zone, shard: self.shard }
     }
 
-    /// Whether the node gets probes only.
+    /// Returns whether the node is ejected, so that it is sent probes only.
     pub fn is_ejected(&self) -> bool {
         self.outlier_detector.is_ejected(self.operator_override.is_pinned)
     }
 
-    /// What a request of this priority asks of the node's concurrency limiter.
+    /// Returns what the node's concurrency limiter needs to check a request of this priority.
     pub fn capacity_request(&self, priority: Priority, mean_units: f64) -> CapacityRequest<'_> {
         CapacityRequest {
             priority,
@@ -116,33 +116,34 @@
         }
     }
 
-    /// Counts an attempt that is sent.
+    /// Records an attempt that is sent to the node; `rank` is that of its traffic class.
     pub fn attempt_started(&mut self, now: Instant, rank: usize, units: f64) {
         self.in_flight.add(rank, units);
         self.slow_start.attempt_started(units);
         self.last_sent_at = now;
     }
 
-    /// Counts an attempt that was answered well. `work` are the units that it shows the node can do.
+    /// Records an attempt that was answered without an error. `work` is the number of units that the answer shows the node
+    /// can do.
     pub fn attempt_answered(&mut self, class: TrafficClassId, latency_secs: f64, work: f64) {
         self.answered += 1;
         self.latency[class.0 as usize].add(latency_secs);
         self.slow_start.attempt_answered(work);
     }
 
-    /// The median latency of a traffic class, in seconds; none without an answer.
+    /// Returns the median latency of a traffic class at this node, in seconds; `None` before the first answer.
     pub fn median_latency_secs(&self, class: TrafficClassId) -> Option<f64> {
         median_secs(&self.latency[class.0 as usize])
     }
 
-    /// The mean over traffic classes of the median latency, in seconds; none without an answer.
+    /// Returns the mean of the median latencies of the traffic classes, in seconds; `None` before the first answer.
     pub fn usual_latency_secs(&self) -> Option<f64> {
         let medians = self.latency.iter().filter_map(median_secs);
         medians.clone().next().map(|_| mean(medians))
     }
 }
 
-/// Nodes that a complete list does not name are gone.
+/// Marks the nodes that a complete list does not name as gone.
 pub fn mark_unlisted_gone(nodes: &mut BTreeMap<NodeId, Node>, entries: &[NodeEntry]) {
     let listed: BTreeSet<NodeId> = entries.iter().map(|entry| entry.node).collect();
     for (_, node) in nodes.iter_mut().filter(|(id, _)| !listed.contains(id)) {
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,4 +1,4 @@
-//! Gives a new object its shard.
+//! Choice of the shard of a new object.
 
 use super::node::Node;
 use super::Scheduler;
@@ -8,21 +8,22 @@
 use crate::policy::priority::Priority;
 
 impl Scheduler {
-    /// The shard of a new object: of the nodes that have capacity, or if none has, of those in service.
+    /// Returns the shard of the next new object, among the nodes that have capacity, or if none has, among all that are
+    /// ready and not ejected. Returns `None` if there is no such node either.
     pub(super) fn place_new_object(&mut self) -> Option<ShardId> {
         let (now, mean_units) = (self.now, self.settings.mean_units);
-        let is_able = |node: &Node| node.state == NodeState::Ready && !node.is_ejected();
+        let is_in_service = |node: &Node| node.state == NodeState::Ready && !node.is_ejected();
         let has_capacity = |node: &Node| {
             let request = node.capacity_request(Priority::HIGHEST, mean_units);
-            is_able(node) && node.limiter.check(now, &request).is_ok()
+            is_in_service(node) && node.limiter.check(now, &request).is_ok()
         };
         let any_capacity = self.nodes.values().any(has_capacity);
-        let able_nodes = self.nodes.values().filter(|node| is_able(node));
-        let mean_latency_secs = mean(able_nodes.filter_map(Node::usual_latency_secs));
+        let nodes_in_service = self.nodes.values().filter(|node| is_in_service(node));
+        let mean_latency_secs = mean(nodes_in_service.filter_map(Node::usual_latency_secs));
         let slow_start = &self.settings.slow_start;
         let mut candidates = Vec::new();
         for node in self.nodes.values_mut() {
-            if !(if any_capacity { has_capacity(node) } else { is_able(node) }) {
+            if !(if any_capacity { has_capacity(node) } else { is_in_service(node) }) {
                 continue;
             }
             let is_warming_up = slow_start.is_warming_up(now, node.up_since);
--- a/src/scheduler/rejected_requests.rs
+++ b/src/scheduler/rejected_requests.rs
@@ -1,43 +1,43 @@
-//! Requests that were rejected, by which a client's later try is recognised.
+//! Recent requests that were rejected or failed, by which a request that a client sends again is recognized.
 
 use super::request::Request;
 use crate::interface::{Instant, KeyId, ShardId, TimeDelta, TrafficClassId, VolumeId};
 use std::collections::{HashMap, VecDeque};
 
-/// What a request asks for: its client's later try asks for the same.
+/// What a request asks for. A client that sends a rejected request again asks for the same.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RequestFingerprint {
-    /// As requested.
+    /// Volume whose data is requested.
     pub volume: VolumeId,
-    /// As requested.
+    /// Traffic class of the request.
     pub class: TrafficClassId,
-    /// As requested.
+    /// Key of the request; `None` if it has none.
     pub key: Option<KeyId>,
-    /// As requested; none where any node can serve it.
+    /// Shard of the request; `None` for a new object, which any node can take.
     pub shard: Option<ShardId>,
-    /// The bits of the number of units.
+    /// The bits of the request's cost in units, which as a float has no hash.
     pub unit_bits: u64,
 }
 
 /// A request that got its final answer without being done, rejected or failed.
 pub struct RejectedRequest {
-    /// When its latency objective ends.
+    /// When the request's latency objective ends.
     pub objective_at: Instant,
-    /// Time that its client gave it.
+    /// How long the client would have waited, counted from the arrival.
     pub time_left: TimeDelta,
-    /// Until when it is remembered.
+    /// When the request is forgotten.
     pub expires_at: Instant,
 }
 
 impl RejectedRequest {
-    /// Of a request whose deadline was `margin` before its client's.
+    /// Creates the record of a request whose deadline at this host was `margin` before its client's.
     pub fn new(request: &Request, margin: TimeDelta, expires_at: Instant) -> Self {
         let time_left = request.deadline + margin - request.arrived_at;
         RejectedRequest { objective_at: request.objective_at, time_left, expires_at }
     }
 }
 
-/// The requests that were rejected or failed in the last few seconds.
+/// The requests that were rejected or failed lately (`REJECTED_REQUEST_RETENTION`).
 #[derive(Default)]
 pub struct RejectedRequests {
     by_fingerprint: HashMap<RequestFingerprint, VecDeque<RejectedRequest>>,
@@ -45,13 +45,14 @@
 }
 
 impl RejectedRequests {
-    /// Remembers a request.
+    /// Adds a request that got its final answer without being done.
     pub fn insert(&mut self, fingerprint: RequestFingerprint, rejected: RejectedRequest) {
         self.expiries.push_back((rejected.expires_at, fingerprint));
         self.by_fingerprint.entry(fingerprint).or_default().push_back(rejected);
     }
 
-    /// When the latency objective ends that began with an earlier try, if this is a later one.
+    /// Returns the end of the latency objective of the earlier request that this one repeats, and removes that request.
+    /// Returns `None` if no request that asked for the same is known, or none had more than `time_left`.
     pub fn original_objective(
         &mut self,
         now: Instant,
@@ -66,9 +67,9 @@
 
     fn expire(&mut self, now: Instant) {
         while let Some((_, expired)) = self.expiries.pop_front_if(|(expires_at, _)| *expires_at <= now) {
-            let Some(list) = self.by_fingerprint.get_mut(&expired) else { continue };
-            list.retain(|rejected| rejected.expires_at > now);
-            if list.is_empty() {
+            let Some(same_requests) = self.by_fingerprint.get_mut(&expired) else { continue };
+            same_requests.retain(|rejected| rejected.expires_at > now);
+            if same_requests.is_empty() {
                 self.by_fingerprint.remove(&expired);
             }
         }
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -10,45 +10,46 @@
 
 /// A request that is not over, or has attempts in flight.
 pub struct Request {
-    /// As requested.
+    /// Volume whose data is requested.
     pub volume: VolumeId,
-    /// Of its volume at the moment.
+    /// Plan that the volume is under now.
     pub plan: PlanId,
-    /// As requested.
+    /// Traffic class.
     pub class: TrafficClassId,
-    /// As requested.
+    /// Piece of data that is requested; `None` if the client named none.
     pub key: Option<KeyId>,
-    /// Its key, where its traffic class keeps order.
+    /// The key, if the traffic class keeps the order of requests on a key.
     pub ordered_key: Option<KeyId>,
-    /// Where it waits; of a new object, until another is chosen.
+    /// Shard at which the request waits. For a new object it is chosen at arrival and may change; `None` while no node can
+    /// take the object.
     pub shard: Option<ShardId>,
-    /// A new object, which any node can take.
-    pub any_node: bool,
-    /// Its cost.
+    /// Whether the request is for a new object, which any node can take.
+    pub is_new_object: bool,
+    /// Cost in units.
     pub units: f64,
-    /// When it was received.
+    /// When the request arrived at this host.
     pub arrived_at: Instant,
-    /// When its latency objective ends.
+    /// When the latency objective ends.
     pub objective_at: Instant,
-    /// When it must have its final answer.
+    /// When the final answer is due.
     pub deadline: Instant,
-    /// No attempt before this.
+    /// Earliest time of the next attempt: the end of the backoff.
     pub not_before: Instant,
-    /// Its place among its volume's others of its traffic class.
+    /// Position in its queue, which is in order of tags; see `Scheduler::request_tagged`.
     pub tag: f64,
-    /// Its units were charged to its volume's limit.
+    /// Whether the units were charged to the volume's limit; they are charged once, at the first attempt.
     pub is_charged: bool,
-    /// Asks for a piece of data that this host lately asked for at its shard.
+    /// Whether this host lately sent another attempt for the same piece of data to the shard.
     pub is_repeat: bool,
-    /// The guard that held it when it was last looked at.
+    /// The guard that held the request when it was last checked.
     pub held_by: Option<HoldReason>,
-    /// Waits to be sent.
+    /// Whether the request waits to be sent.
     pub is_waiting: bool,
-    /// Has its final answer, or its client has left.
+    /// Whether the request is done, has its final answer, or was ended without one.
     pub is_over: bool,
-    /// Its client has the beginning of the answer.
+    /// Whether the client has received the beginning of the answer.
     pub response_started: bool,
-    /// Attempts sent so far.
+    /// Number of attempts sent so far.
     pub attempts: u32,
     /// Attempts that have not ended.
     pub in_flight: Vec<Attempt>,
@@ -59,76 +60,79 @@
 /// The first attempt of a request that may have had an effect.
 #[derive(Clone, Copy)]
 pub struct FirstEffect {
-    /// The attempt's number.
+    /// Number of the attempt within its request, from 0.
     pub attempt: u32,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Instant,
-    /// Where to.
+    /// Node to which the attempt was sent.
     pub node: NodeId,
 }
 
 /// An attempt in flight.
 pub struct Attempt {
-    /// Within its request, from 0.
+    /// Number of the attempt within its request, from 0.
     pub number: u32,
-    /// Where it was sent.
+    /// Node to which the attempt was sent.
     pub node: NodeId,
-    /// What the node had answered when it was sent.
+    /// The node's count of answers without an error when the attempt was sent.
     pub answered_before: u64,
-    /// Once the node has answered more than this, later attempts have overtaken it.
+    /// Once the node's count of answers without an error exceeds this number, a later attempt has overtaken this one.
     pub overtaken_after: u64,
-    /// Was sent while the concurrency limit was what held requests back.
+    /// Whether the concurrency limit was what held requests back when the attempt was sent.
     pub at_limit: bool,
 }
 
-/// An attempt that is sent, and the node's state just before.
+/// An attempt that is sent, with the state of its node just before.
 pub struct SentAttempt {
-    /// Where to.
+    /// Node to which the attempt is sent.
     pub node: NodeId,
-    /// What the node had answered well.
+    /// The node's count of answers without an error.
     pub node_answered: u64,
-    /// Attempts in flight at the node.
+    /// Number of attempts in flight at the node.
     pub node_in_flight: usize,
-    /// The concurrency limit was what held requests back.
+    /// Whether the concurrency limit is what holds requests back.
     pub at_limit: bool,
 }
 
-/// An attempt that has ended, with what counts of its request.
+/// An attempt that has ended, with the properties of its request that its evaluation needs.
 pub struct AttemptResult {
-    /// As it was sent.
+    /// The attempt, as recorded when it was sent.
     pub attempt: Attempt,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// How long it took.
+    /// How long the attempt took.
     pub latency: TimeDelta,
-    /// Of its request.
+    /// Traffic class of the request.
     pub class: TrafficClassId,
-    /// Of its traffic class.
+    /// Latency objective of the traffic class.
     pub objective: TimeDelta,
-    /// Of its request.
+    /// Cost of the request, in units.
     pub units: f64,
-    /// Of its request.
+    /// See `Request::ordered_key`.
     pub ordered_key: Option<KeyId>,
     /// See `Request::is_repeat`.
     pub is_repeat: bool,
-    /// The request was over before the attempt ended.
+    /// Whether the request was over before the attempt ended.
     pub request_was_over: bool,
 }
 
 impl AttemptResult {
-    /// Whether the node answered nothing while the attempt was in flight. `answered` counts what it has answered by now.
+    /// Returns whether the node answered no attempt without an error while this one was in flight. `answered` is the
+    /// node's count of such answers now.
     pub fn node_was_silent(&self, answered: u64) -> bool {
         answered == self.attempt.answered_before
     }
 
-    /// Whether a later attempt was answered meanwhile. `answered` counts what the node has answered by now.
+    /// Returns whether the node has answered a later attempt while this one was in flight. `answered` is the node's count
+    /// of answers without an error now.
     pub fn was_overtaken(&self, answered: u64) -> bool {
         answered > self.attempt.overtaken_after
     }
 }
 
 impl Request {
-    /// A request that has just arrived; `in_order`: its traffic class keeps the order of a key.
+    /// Creates a request that has just arrived. `in_order` says whether its traffic class keeps the order of requests on a
+    /// key. The caller sets the deadline and the end of the latency objective.
     pub fn new(now: Instant, new: &NewRequest, in_order: bool) -> Self {
         Request {
             volume: new.volume,
@@ -137,7 +141,7 @@
             key: new.key,
             ordered_key: new.key.filter(|_| in_order),
             shard: new.shard,
-            any_node: new.shard.is_none(),
+            is_new_object: new.shard.is_none(),
             units: new.units,
             arrived_at: now,
             objective_at: now,
@@ -156,23 +160,23 @@
         }
     }
 
-    /// What a later try of its client has in common with it.
+    /// Returns what this request has in common with one that its client sends again.
     pub fn fingerprint(&self) -> RequestFingerprint {
         RequestFingerprint {
             volume: self.volume,
             class: self.class,
             key: self.key,
-            shard: self.shard.filter(|_| !self.any_node),
+            shard: self.shard.filter(|_| !self.is_new_object),
             unit_bits: self.units.to_bits(),
         }
     }
 
-    /// Whether it is a new object that any node can still take.
+    /// Returns whether the request is for a new object that may still go to any node: none has run it.
     pub fn can_move(&self) -> bool {
-        self.any_node && self.first_effect.is_none()
+        self.is_new_object && self.first_effect.is_none()
     }
 
-    /// Records an attempt that is sent.
+    /// Records an attempt that is sent. The request no longer waits.
     pub fn attempt_started(&mut self, now: Instant, sent: SentAttempt) {
         let first = FirstEffect { attempt: self.attempts, sent_at: now, node: sent.node };
         self.first_effect = self.first_effect.or(Some(first));
@@ -189,7 +193,8 @@
         self.attempts += 1;
     }
 
-    /// Removes an attempt that has ended, and its possible effect where there can't be any.
+    /// Removes an attempt that has ended, and returns its result; `None` if it was not in flight. If the outcome proves that
+    /// the attempt did not run, it no longer counts as the first that may have had an effect.
     pub fn attempt_finished(&mut self, end: &AttemptEnd, objective: TimeDelta) -> Option<AttemptResult> {
         let index = self.in_flight.iter().position(|attempt| attempt.number == end.number.0)?;
         if !end.outcome.may_have_run() {
@@ -209,7 +214,7 @@
     }
 }
 
-/// Marks a request as over; gives the shard of the one that has its key next.
+/// Marks a request as over. Returns the shard of the next request on its key, if there is one.
 pub fn finish_request(
     requests: &mut HashMap<RequestId, Request>,
     key_queues: &mut HashMap<KeyId, KeyQueue>,
@@ -224,7 +229,7 @@
     next.and_then(|id| requests.get(&id)).and_then(|request| request.shard)
 }
 
-/// Drops a request that is over and has no attempt in flight, and its key where nothing is left to order.
+/// Removes a request that is over and has no attempt in flight, and then its key's queue if that is idle.
 pub fn forget_if_over(
     requests: &mut HashMap<RequestId, Request>,
     key_queues: &mut HashMap<KeyId, KeyQueue>,
@@ -239,7 +244,7 @@
     }
 }
 
-/// Whether a request waits at this shard.
+/// Returns whether a request waits at this shard.
 pub fn is_waiting_at(requests: &HashMap<RequestId, Request>, id: RequestId, shard: ShardId) -> bool {
     requests.get(&id).is_some_and(|request| request.is_waiting && request.shard == Some(shard))
 }
