--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -1,4 +1,5 @@
-//! The settings of a host, which it is given before the first request.
+//! The settings of a host. They are set before the first request; only plans and the number of alive hosts change
+//! later.
 
 use super::Scheduler;
 use crate::interface::{Effect, Instant, Plan, PlanId, SlowStartSettings, TimeDelta, TrafficClassId};
@@ -12,45 +13,47 @@
 use crate::state::{Random, Timer, Timers};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// The mean cost of a request is taken to be at least this many units.
+/// Lower bound of the mean cost of a request, in units.
 const MIN_MEAN_UNITS: f64 = 1e-6;
-/// A plan's weight is taken to be at least this.
+/// Lower bound of a plan's weight.
 const MIN_PLAN_WEIGHT: f64 = 1e-6;
 
 /// The settings of a host.
 pub struct Settings {
-    /// Hosts that share the pool.
+    /// Number of hosts that share the pool.
     pub host_count: f64,
-    /// Final answers are given this long before the deadline.
+    /// How long before the client's deadline the final answer is due.
     pub deadline_margin: TimeDelta,
-    /// The mean cost of a request, in units.
+    /// Mean cost of a request, in units.
     pub mean_units: f64,
-    /// By number.
+    /// The plans, by their number.
     pub plans: Vec<Plan>,
-    /// By number.
+    /// The traffic classes, by their number.
     pub classes: Vec<TrafficClass>,
-    /// Of all classes.
+    /// Shortest latency objective of all traffic classes.
     pub tightest_objective: TimeDelta,
-    /// Attempts that a request may have.
+    /// Number of attempts that a request may have.
     pub max_attempts: u32,
-    /// The longest that a client can be asked to stay away; zero: it can't be asked.
+    /// Longest time after which a rejection may ask the client to retry; zero if it may give no time.
     pub max_retry_after: TimeDelta,
-    /// How long a key rests after an attempt that may still be running.
+    /// How long a key stays blocked after an attempt that may still be running.
     pub key_settle_time: TimeDelta,
-    /// What a node is given that has just started.
+    /// Limits on what is sent to a node that has just started.
     pub slow_start: SlowStartLimits,
-    /// The fraction that counts of the work of a request whose data a node may have cached.
+    /// Fraction of a request's units that counts as work if the node may have its data cached.
     pub uncached_fraction: f64,
 }
 
 impl Scheduler {
-    /// `hosts` is how many hosts share the pool; `clock_step` how coarse its clock is; `mean_units` the mean cost of a request,
-    /// in units.
-    pub fn new(now: Instant, seed: u64, hosts: u32, clock_step: TimeDelta, mean_units: f64) -> Self {
+    /// Creates the scheduler of a host, without traffic classes, plans or nodes. Attempts and retries are not limited.
+    ///
+    /// `hosts` is the number of hosts that share the pool, `clock_resolution` that of the host's clock, and `mean_units`
+    /// the mean cost of a request in units.
+    pub fn new(now: Instant, seed: u64, hosts: u32, clock_resolution: TimeDelta, mean_units: f64) -> Self {
         let host_count = f64::from(hosts.max(1));
         let settings = Settings {
             host_count,
-            deadline_margin: clock_step + clock_step + DEADLINE_MARGIN,
+            deadline_margin: clock_resolution + clock_resolution + DEADLINE_MARGIN,
             mean_units: mean_units.max(MIN_MEAN_UNITS),
             plans: Vec::new(),
             classes: Vec::new(),
@@ -84,7 +87,8 @@
         }
     }
 
-    /// Traffic classes are numbered in the order given.
+    /// Adds a traffic class. Classes are numbered from 0 in the order in which they are added. `in_order` says whether
+    /// requests on the same key are sent one at a time, in order of arrival.
     pub fn add_traffic_class(&mut self, latency_objective: TimeDelta, effect: Effect, in_order: bool) {
         let priority = Priority::HIGHEST;
         self.settings.classes.push(TrafficClass { latency_objective, priority, effect, in_order });
@@ -92,52 +96,61 @@
         self.pool_latency.push(no_latencies());
     }
 
-    /// Plans are numbered in the order given.
+    /// Adds a plan. Plans are numbered from 0 in the order in which they are added.
     pub fn add_plan(&mut self, plan: Plan) {
         self.settings.plans.push(Plan { weight: plan.weight.max(MIN_PLAN_WEIGHT), ..plan });
     }
 
-    /// `max_retry_after` is the longest that a client can be asked to stay away; zero: it can't be asked.
-    /// `settle` is how long a key rests after an attempt that may still be running.
-    pub fn set_attempt_limits(&mut self, max_attempts: u32, max_retry_after: TimeDelta, settle: TimeDelta) {
+    /// Sets how many attempts a request may have, and how long a client or a key is held off after one.
+    ///
+    /// `max_retry_after` is the longest time after which a rejection may ask the client to retry; zero if it may give no
+    /// time. `key_settle_time` is how long a key stays blocked after an attempt that may still be running.
+    pub fn set_attempt_limits(
+        &mut self,
+        max_attempts: u32,
+        max_retry_after: TimeDelta,
+        key_settle_time: TimeDelta,
+    ) {
         self.settings.max_attempts = max_attempts;
         self.settings.max_retry_after = max_retry_after;
-        self.settings.key_settle_time = settle;
+        self.settings.key_settle_time = key_settle_time;
     }
 
-    /// No request has more attempts than this, whatever `set_attempt_limits` allows; to be called after it.
+    /// Lowers the number of attempts that a request may have to `max_attempts`, if `set_attempt_limits` allowed more. Must
+    /// be called after it.
     pub fn bound_attempts(&mut self, max_attempts: u32) {
         self.settings.max_attempts = self.settings.max_attempts.min(max_attempts);
     }
 
-    /// Retries over any `window`: `free` ones, and `share` of the requests received.
-    pub fn set_retry_budget(&mut self, free: f64, share: f64, window: TimeDelta) {
-        let settings = RetryBudgetSettings { free_retries: free, retries_per_request: share, window };
+    /// Limits the host's retries over any `window` to `free_retries`, plus `retries_per_request` for each request that
+    /// arrived in it.
+    pub fn set_retry_budget(&mut self, free_retries: f64, retries_per_request: f64, window: TimeDelta) {
+        let settings = RetryBudgetSettings { free_retries, retries_per_request, window };
         self.retry_budget = RetryBudget::new(settings);
     }
 
-    /// What a node bears that has just started.
+    /// Sets what a node can take while it warms up.
     pub fn set_slow_start(&mut self, settings: SlowStartSettings) {
         self.settings.slow_start = SlowStartLimits::new(settings, self.settings.mean_units);
     }
 
-    /// Nodes may save up to this fraction of the work for data that they have cached; 0 by default.
+    /// Sets the fraction of the work that a node may save for data that it has cached, from 0 to 1; 0 by default.
     pub fn set_cache_savings(&mut self, fraction: f64) {
         self.settings.uncached_fraction = 1.0 - fraction.clamp(0.0, 1.0);
     }
 
-    /// The host has to call for the endpoint list.
+    /// Makes the next poll ask the host to watch the endpoint list.
     pub fn watch_endpoint_list(&mut self) {
         self.timers.set(self.now, Timer::EndpointList);
     }
 
-    /// Whether the settings named this traffic class and plan.
+    /// Returns whether this traffic class and this plan have been added.
     pub fn is_configured(&self, class: TrafficClassId, plan: PlanId) -> bool {
         (class.0 as usize) < self.settings.classes.len() && (plan.0 as usize) < self.settings.plans.len()
     }
 
-    /// How many hosts are thought to be alive. Concurrency limits follow it, since no rule bounds their sum; the guards keep to the
-    /// configured number, whatever is thought.
+    /// Sets the number of hosts believed alive. Only concurrency limits depend on it, since no rule bounds their sum; the
+    /// other guards use the configured number of hosts. It is kept between 1 and that number.
     pub fn alive_hosts_changed(&mut self, alive: u32) {
         self.alive_hosts = f64::from(alive.max(1)).min(self.settings.host_count);
         for node in self.nodes.values_mut() {
--- a/src/scheduler/volumes.rs
+++ b/src/scheduler/volumes.rs
@@ -1,4 +1,4 @@
-//! Reports on volumes: service at nodes, quota leases, changes of plans.
+//! Inputs about volumes: service at nodes, quota leases, and changes of plans.
 
 use super::shard::Shard;
 use super::volume::Volume;
@@ -9,20 +9,20 @@
 use crate::policy::volume_limit::VolumeLimit;
 
 impl Scheduler {
-    /// An answer reported the volume's service at this node: the request's units if it is `done`, and units
-    /// through `others`, the other hosts, since the node's last answer to this one.
-    pub fn service_reported(&mut self, now: Instant, id: RequestId, done: bool, others: f64) {
+    /// Records the volume's service that an answer reported: the request's units if it is done, and the units that the
+    /// node has served for other hosts since its last answer to this host. An unknown request is ignored.
+    pub fn service_reported(&mut self, now: Instant, id: RequestId, is_done: bool, other_units: f64) {
         self.now = now;
         let Some(request) = self.requests.get(&id) else { return };
         let Some(shard) = request.shard else { return };
         let Some(volume) = self.volumes.get_mut(&request.volume) else { return };
-        let own_units = if done { request.units } else { 0.0 };
-        let service = ShardService { shard, own_units, other_units: others };
+        let own_units = if is_done { request.units } else { 0.0 };
+        let service = ShardService { shard, own_units, other_units };
         volume.limit.record_service(now, service, self.settings.mean_units);
     }
 
-    /// Hosts lend each other shares of a volume's limit. Whoever reports this sees to it that all shares sum
-    /// to no more than the whole.
+    /// Applies the quota leases by which hosts lend each other shares of a volume's limit. The caller ensures that the
+    /// shares of all hosts sum to no more than the whole limit.
     pub fn quota_leases_changed(&mut self, now: Instant, change: LeaseChange) {
         self.now = now;
         let plan = *self.plan(change.plan);
@@ -34,7 +34,8 @@
         }
     }
 
-    /// A plan's figures from now on, while its volumes are busy; the next number is a new plan.
+    /// Replaces a plan from now on, also for requests that wait. The number after the last one adds a plan; higher numbers
+    /// are ignored.
     pub fn plan_changed(&mut self, now: Instant, id: PlanId, new: Plan) {
         self.now = now;
         if let Some(plan) = self.settings.plans.get_mut(id.0 as usize) {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// A volume is under this plan from now on, with all that waits of it.
+    /// Puts a volume and its waiting requests under another plan from now on. An unknown volume is ignored.
     pub fn volume_plan_changed(&mut self, now: Instant, id: VolumeId, plan: PlanId) {
         self.now = now;
         let Some(volume) = self.volumes.get_mut(&id).filter(|volume| volume.plan != plan) else { return };
@@ -61,7 +62,7 @@
         self.pending_shards.extend(self.shards.keys());
     }
 
-    /// The record of a volume, a new one where it is not known.
+    /// Returns the record of a volume, and creates it if the volume is not known.
     pub(super) fn volume_or_new(&mut self, id: VolumeId, plan: PlanId, host_count: f64) -> &mut Volume {
         let now = self.now;
         let settings = &self.settings.plans[plan.0 as usize];
@@ -72,8 +73,10 @@
         })
     }
 
-    /// Makes room for a volume that is not known yet. What a forgotten volume had used of its limit has drained long ago, and a
-    /// volume that returns starts with a used bucket, so forgetting hands out no burst.
+    /// Removes idle volumes if the table is full and `new` is not in it.
+    ///
+    /// This gives away no burst: what an idle volume had used of its limit has drained long ago, and a volume that returns
+    /// starts with its burst used.
     pub(super) fn forget_idle_volumes(&mut self, new: VolumeId) {
         if self.volumes.len() < MAX_IDLE_VOLUMES || self.volumes.contains_key(&new) {
             return;
