--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -1,25 +1,28 @@
-//! How requests are dispatched: concurrency limits, priorities, weights, health, retries, placement, tags.
+//! Dispatch of requests: concurrency limits, priorities, weights, node health, retries, attempt timeouts, placement, and
+//! tags.
 
 mod common;
 use common::{as_send, secs, TestHost};
 use tackmast::histogram::Histogram;
 use tackmast::interface::*;
 
+/// Returns a host with `nodes` ready nodes, one for each shard, whose requests are idempotent.
 fn host_with_nodes(nodes: u32) -> TestHost {
     let mut host = TestHost::new(1, Effect::Idempotent, false);
     host.list_ready_nodes(nodes);
     host
 }
 
-/// Fills the node's concurrency limit, so that later requests have to wait for an answer.
-fn fill(host: &mut TestHost, traffic_class: u32) -> Vec<RequestId> {
+/// Uses up the node's concurrency limit, so that later requests have to wait for an answer. Returns the requests in flight.
+fn fill_concurrency_limit(host: &mut TestHost, traffic_class: u32) -> Vec<RequestId> {
     for i in 0..40 {
         host.submit(traffic_class, 2, 90, 1.0, 0, 1000 + i);
     }
     host.poll_sends().into_iter().map(|s| s.0).collect()
 }
 
-/// A host has more work than a node can take at once, in small and in large requests.
+/// A host with more work than a node can take at once must bound its attempts in flight, and keep fewer if requests are
+/// large.
 #[test]
 fn concurrency_limits_bound_attempts_and_units_in_flight() {
     for (units, min, max) in [(1.0, 4, 8), (4.0, 2, 5), (16.0, 1, 1)] {
@@ -30,12 +33,13 @@
     }
 }
 
-/// Many hosts flood one node, which is fast, slow, or reports a queue. Hosts that each keep one attempt in flight must not fill it.
+/// Hosts that share a node must not fill it by keeping one attempt each in flight. The node is fast, slow, or reports a
+/// queue.
 #[test]
 fn concurrency_limits_shrink_when_many_hosts_share_a_node() {
-    // Hosts, traffic class, seconds an answer takes, requests the node reports to wait; the range of attempts
-    // of one host with plenty waiting in 10 s. Many hosts must not fill a node where each keeps only one in
-    // flight, and looser classes must leave it to the tight ones of hosts they don't see.
+    // Hosts, traffic class, latency of answers in seconds, queue length that the node reports; minimum and maximum of
+    // attempts in 10 s of one host under constant load. At a node that reports a queue, a class with a longer latency
+    // objective must also leave capacity for classes with a shorter one at other hosts.
     for (hosts, traffic_class, latency, waiting, min, max) in [
         (1, 0, 0.05, 0.0, 400, 4000),
         (4, 0, 0.4, 0.0, 10, 120),
@@ -63,49 +67,52 @@
     }
 }
 
-/// A node is full, and two requests wait for the next free place.
+/// A node's concurrency limit is used up, and two requests wait for capacity.
 #[test]
 fn requests_are_sent_by_priority_then_reservation_then_arrival() {
-    // Traffic class and plan of what waits, in order of arrival; which one is sent first.
+    // Traffic class and plan of each waiting request, in order of arrival; index of the one sent first.
     let table = [
-        (vec![(1, 2), (0, 2)], 1, "the tighter latency objective"),
+        (vec![(1, 2), (0, 2)], 1, "the shorter latency objective first"),
         (vec![(0, 2), (0, 1)], 1, "inside the reservation first"),
         (vec![(1, 1), (0, 2)], 1, "priority comes before the reservation"),
-        (vec![(0, 1), (0, 1)], 0, "order of arrival else"),
+        (vec![(0, 1), (0, 1)], 0, "order of arrival otherwise"),
     ];
     for (waiting, expected, why) in table {
         let mut host = host_with_nodes(1);
-        let in_flight = fill(&mut host, 0);
-        let ids: Vec<_> =
-            waiting.iter().zip(1..).map(|(&(s, p), v)| host.submit(s, p, v, 1.0, 0, 0)).collect();
-        // Two answers, since units past the reservation may use only a part of the concurrency limit.
+        let in_flight = fill_concurrency_limit(&mut host, 0);
+        let ids: Vec<_> = waiting
+            .iter()
+            .zip(1..)
+            .map(|(&(class, plan), volume)| host.submit(class, plan, volume, 1.0, 0, 0))
+            .collect();
+        // All attempts end, since units beyond the reservation may use only a part of the concurrency limit.
         host.now += 0.05;
         in_flight.iter().for_each(|id| host.end_attempt(*id, 0, Outcome::Done, 0.05));
         let next: Vec<_> = host.poll_sends().into_iter().map(|s| s.0).collect();
-        let place = |id: &RequestId| next.iter().position(|n| n == id).unwrap_or(usize::MAX);
-        assert!(ids.iter().all(|i| place(i) >= place(&ids[expected])), "{why}: {next:?}");
+        let position = |id: &RequestId| next.iter().position(|sent| sent == id).unwrap_or(usize::MAX);
+        assert!(ids.iter().all(|id| position(id) >= position(&ids[expected])), "{why}: {next:?}");
     }
 }
 
-/// Two volumes without a reservation always have work waiting at one node.
+/// Two volumes without a reservation that always have requests waiting at one node share it by weight.
 #[test]
 fn best_effort_units_are_shared_by_weight() {
-    // Plans and units of two volumes that always have work waiting; what the first gets for one of the other.
+    // Plans of the two volumes, units of their requests; expected units of the first volume for one of the second.
     for (plans, units, expected) in
         [([2, 3], [1.0, 1.0], 3.0), ([3, 3], [1.0, 4.0], 1.0), ([2, 3], [4.0, 1.0], 3.0)]
     {
         let mut host = host_with_nodes(1);
         let (mut served, mut owner, mut in_flight) = ([0.0; 2], std::collections::HashMap::new(), Vec::new());
         for step in 0..4000 {
-            // The second volume's requests come as often in units as the first one's.
+            // Both volumes request the same number of units in each step.
             for v in 0..2usize {
-                let each = (4.0 / units[v]) as u32;
-                (0..each)
+                let count = (4.0 / units[v]) as u32;
+                (0..count)
                     .for_each(|_| _ = owner.insert(host.submit(0, plans[v], v as u32, units[v], 0, step), v));
             }
             in_flight.extend(host.poll_sends().into_iter().map(|s| s.0));
             host.now += 0.01;
-            // Only some answers a step, so the concurrency limit stays what holds requests back.
+            // At most two answers in each step, so that the concurrency limit remains what holds requests back.
             for id in in_flight.drain(..in_flight.len().min(2)) {
                 host.end_attempt(id, 0, Outcome::Done, 0.1);
                 served[owner[&id]] += units[owner[&id]];
@@ -116,7 +123,7 @@
     }
 }
 
-/// A node fails all attempts for a while and then answers again. It must get probes only while it fails, and be back in service soon after.
+/// A node that fails all attempts for a while must be sent only probes meanwhile, and be back in service soon after.
 #[test]
 fn a_failing_node_is_probed_and_recovers() {
     for bad in [Outcome::Error, Outcome::Refused, Outcome::Reset] {
@@ -141,10 +148,10 @@
     }
 }
 
-/// A list names new nodes without end, and clients new volumes. The tables must not grow with them.
+/// The tables must not grow without bound when the endpoint list keeps naming new nodes, and clients new volumes.
 #[test]
 fn gone_nodes_and_idle_volumes_are_forgotten() {
-    // Ever new nodes; each is listed for one shard, then for another, then gone.
+    // Each round lists a new node for one shard, then for another, then as gone.
     let mut host = host_with_nodes(1);
     for round in 1..200u32 {
         let entry = |node: u32, shard: u32, state| NodeEntry {
@@ -168,8 +175,8 @@
         host.run_until(end);
     }
     let (nodes, volumes) = (host.scheduler.node_count(), host.scheduler.volume_count());
-    assert!(nodes <= 8, "{nodes} nodes remembered");
-    // Volumes: the table fills before idle ones are forgotten.
+    assert!(nodes <= 8, "{nodes} nodes in the table");
+    // Idle volumes are forgotten only once the table is full.
     for volume in 0..3000u32 {
         host.submit(0, 0, 1000 + volume, 1.0, 0, 0);
         let end = host.now + 0.1;
@@ -180,31 +187,32 @@
         }
     }
     let known = host.scheduler.volume_count();
-    assert!(known <= 512 + volumes.min(1), "{known} volumes remembered");
+    assert!(known <= 512 + volumes.min(1), "{known} volumes in the table");
 }
 
-/// A node fails by chance, quickly or slowly. Quick errors must not use up the retries that would still be in time.
+/// A node answers a part of its attempts with an error, quickly or slowly. Enough retries must be allowed that most
+/// requests are done in time in spite of quick errors.
 #[test]
 fn requests_to_a_node_with_random_errors_are_retried_in_time() {
-    // How many of ten attempts fail, and seconds until they do; the range of requests of 100 that are done
-    // within the latency objective.
+    // How many of ten attempts fail, latency of all attempts in seconds; minimum and maximum of the 100 requests that are
+    // done.
     for (failing, latency, min, max) in [(5, 0.005, 85, 100), (7, 0.005, 60, 100), (5, 0.3, 30, 70)] {
         let mut host = host_with_nodes(1);
         let (mut attempts, mut done, mut in_flight) = (0u32, 0, Vec::<(f64, RequestId, u32)>::new());
-        let mut tries = std::collections::HashMap::<RequestId, u32>::new();
+        let mut next_numbers = std::collections::HashMap::<RequestId, u32>::new();
         for step in 0..2000 {
             if step % 20 == 0 {
                 host.submit(0, 2, step % 7, 1.0, 0, step);
             }
             let end = host.now + 0.01;
             for (sent_at, id) in host.run_timed_sends(end) {
-                let number = tries.entry(id).or_default();
+                let number = next_numbers.entry(id).or_default();
                 in_flight.push((sent_at + latency, id, *number));
                 *number += 1;
             }
             while let Some(i) = in_flight.iter().position(|attempt| attempt.0 <= end) {
                 let (_, id, number) = in_flight.remove(i);
-                // Spread evenly, and in no step with the attempts of a request.
+                // Spreads failures evenly, and out of step with the attempts of one request.
                 let fails = attempts * 7 % 10 < failing;
                 attempts += 1;
                 done += u32::from(!fails);
@@ -218,11 +226,12 @@
     }
 }
 
-/// Some attempts get no answer while others at the same node do, or all answers are slow. Only the former are lost, and only then may
-/// attempts have timeouts of their own.
+/// An attempt without an answer is lost if other attempts at the same node are answered, and not if all answers are slow.
+/// Attempts may have timeouts shorter than the client's only while some get lost.
 #[test]
 fn attempts_time_out_where_some_get_lost_and_not_where_all_are_slow() {
-    // Whether every seventh attempt is lost, or all come back slowly; whether time-outs are set in the end.
+    // Whether the attempts of every seventh request are lost, latency of answers in seconds; whether timeouts are set in
+    // the end.
     for (lossy, latency, expected) in [(true, 0.02, true), (false, 0.02, false), (false, 0.3, false)] {
         let mut host = host_with_nodes(3);
         let (mut silent, mut with_timeout, mut attempts) = (Vec::new(), 0, vec![0; 1200]);
@@ -244,17 +253,17 @@
             }
             host.now += 0.005;
         }
-        assert_eq!(with_timeout > 0, expected, "lossy {lossy} took {latency}: {with_timeout}");
+        assert_eq!(with_timeout > 0, expected, "lossy {lossy}, latency {latency}: {with_timeout}");
     }
 }
 
-/// A node answers nothing, or the link to it loses one attempt in ten. A hundred hosts must not keep a drowned node's queue full, and must not
-/// starve a node behind a lossy link.
+/// A hundred hosts must not keep the queue of an overloaded node that answers nothing full, and must not starve a node
+/// behind a link that loses one attempt in ten.
 #[test]
 fn a_silent_node_gets_few_attempts_and_a_lossy_link_does_not() {
-    // Seconds that clients wait, how many of ten attempts in a row are not answered in that time; the range
-    // of attempts in 120 s at 100 hosts. An overloaded node, or one too slow for its clients, never answers
-    // slowly.
+    // Seconds that clients wait, how many of ten attempts in a row are not answered in that time; minimum and maximum of
+    // attempts in 120 s by one of 100 hosts. A node that is overloaded, or too slow for its clients, appears as one that
+    // never answers rather than as a slow one.
     for (left, lost, min, max) in
         [(3.0, 0, 300, 4000), (3.0, 1, 80, 4000), (3.0, 10, 5, 30), (0.08, 10, 5, 80)]
     {
@@ -290,15 +299,16 @@
         assert_eq!(
             with_timeout > 5,
             lost == 10 && left > 0.5,
-            "time-outs that let a queue drop: {with_timeout}"
+            "timeouts that let the node's queue drain: {with_timeout}"
         );
     }
 }
 
-/// A client sends a rejected request again. Taken for a new one, it would displace requests that can still be in time.
+/// A client sends a rejected request again. If it counted as a new one, it would displace requests that can still be in
+/// time.
 #[test]
 fn a_retry_by_the_client_keeps_its_first_latency_objective() {
-    // Key and time left of a request after one on key 1 with 3 s left was rejected; whether it is sent.
+    // A request on key 1 with 3 s left was rejected. Key and time left of the next request; whether it is sent.
     for (key, left, in_time) in [(1, 2.4, false), (2, 2.4, true), (1, 3.0, true), (2, 0.3, true)] {
         let mut host = TestHost::new(1, Effect::Idempotent, false);
         host.submit(0, 0, 0, 1.0, 0, 1);
@@ -314,10 +324,11 @@
     }
 }
 
-/// New objects may go to any node; nodes differ in speed, hosts start at once, and a node drains.
+/// New objects may go to any node. They are spread by the nodes' speed, hosts that start at the same time begin at
+/// different nodes, and a draining node gets none.
 #[test]
 fn new_objects_are_placed_in_rotation_weighted_by_node_speed() {
-    // Seconds that each of two nodes takes for an answer; the range that the first gets of 200.
+    // Latency of each of two nodes in seconds; minimum and maximum of the 200 objects that the first gets.
     for (a, b, min, max) in [(0.05, 0.05, 90, 110), (0.02, 0.1, 110, 190), (0.1, 0.02, 10, 90)] {
         let mut host = host_with_nodes(2);
         let mut first = 0;
@@ -331,17 +342,17 @@
         }
         assert!((min..=max).contains(&first), "{a} {b}: {first}");
     }
-    // Hosts don't all begin at the same node.
+    // Hosts must not all begin at the same node.
     let mut firsts = [0; 5];
     for seed in 0..200 {
-        let mut host = TestHost::of(seed, 200, Effect::Idempotent, false);
+        let mut host = TestHost::with_seed(seed, 200, Effect::Idempotent, false);
         host.list_ready_nodes(5);
         host.submit(0, 2, 0, 1.0, -1, 0);
         let to = host.poll_sends().into_iter().next().expect("a node takes it").1;
         firsts[to.0 as usize] += 1;
     }
     assert!(firsts.iter().all(|n| *n < 80), "{firsts:?}");
-    // A draining node is skipped, and what waited for it goes elsewhere.
+    // A draining node is skipped.
     let mut host = host_with_nodes(2);
     host.send_list(ListKind::Changes, &[(0, NodeState::Draining, None)]);
     for i in 0..6 {
@@ -350,25 +361,25 @@
     assert!(host.poll_sends().into_iter().all(|s| s.1 .0 == 1));
 }
 
-/// Calls for the endpoint list fail one after the other. Each failure must lead to exactly one more call.
+/// Each failed call for the endpoint list must lead to exactly one more call.
 #[test]
 fn a_failed_node_list_call_is_retried() {
     let mut host = TestHost::new(1, Effect::Idempotent, false);
     host.scheduler.watch_endpoint_list();
     assert_eq!(host.poll(), [Decision::WatchEndpointList]);
-    let mut asked = 0;
+    let mut calls = 0;
     for _ in 0..5 {
         host.send_list(ListKind::Failed, &[]);
-        asked += host
+        calls += host
             .run_until(host.now + 7.0)
             .iter()
             .filter(|(_, decision)| *decision == Decision::WatchEndpointList)
             .count();
     }
-    assert_eq!(asked, 5, "once for each failure");
+    assert_eq!(calls, 5, "once for each failure");
 }
 
-/// The same inputs are fed twice. A difference would make every found seed worthless.
+/// The same inputs must give the same decisions, so that a failure found with a seed can be reproduced.
 #[test]
 fn same_inputs_give_same_decisions() {
     let run = || {
@@ -385,7 +396,7 @@
     assert_eq!(run(), run());
 }
 
-/// Values in one bin, in two, and beyond the last.
+/// Quantiles of values in one bin, in two bins, and beyond the last bin.
 #[test]
 fn histogram_gives_quantiles() {
     for (values, quantile, low, high) in [
@@ -400,10 +411,11 @@
     }
 }
 
-/// Sessions share a volume by tags. A request with an early tag must not pass one of the same key that came before it.
+/// Sessions share a volume by tags. A request must not overtake an earlier one on the same key by a lower tag.
 #[test]
-fn tags_order_a_queue_and_never_pass_an_earlier_request_of_the_key() {
-    // Whether keys keep order; tag and key of each in order of arrival; the order in which they are sent.
+fn tags_order_a_queue_and_never_overtake_an_earlier_request_on_the_key() {
+    // Whether keys keep order; tag and key of each request in order of arrival; indices in the order in which they are
+    // sent.
     type Case = (bool, &'static [(f64, u32)], &'static [usize], &'static str);
     let cases: &[Case] = &[
         (false, &[(0.0, 1), (0.0, 2), (0.0, 3)], &[0, 1, 2], "no tags: order of arrival"),
@@ -417,18 +429,18 @@
             true,
             &[(0.0, 1), (5.0, 7), (6.0, 2), (0.0, 7), (0.0, 3)],
             &[0, 4, 1, 3, 2],
-            "not before an earlier one of the key",
+            "not before an earlier one on the key",
         ),
     ];
-    for (in_order, asks, expected, why) in cases {
+    for (in_order, requests, expected, why) in cases {
         let mut host = TestHost::new(1, Effect::Idempotent, *in_order);
         host.list_ready_nodes(1);
-        // One is in flight and uses up the concurrency limit.
+        // One request is in flight and uses up the concurrency limit.
         host.scheduler.node_overridden(host.instant(), NodeId(0), 0.1, false);
         host.submit(0, 2, 1, 2.0, 0, 99);
         let mut in_flight: Vec<RequestId> = host.poll_sends().into_iter().map(|s| s.0).collect();
         assert_eq!(in_flight.len(), 1, "{why}");
-        let ids: Vec<RequestId> = asks
+        let ids: Vec<RequestId> = requests
             .iter()
             .map(|(tag, key)| {
                 let id = host.submit(0, 2, 1, 2.0, 0, *key);
--- a/tests/node_overrides.rs
+++ b/tests/node_overrides.rs
@@ -1,13 +1,13 @@
-//! Operators' overrides of nodes: a weight scales what a node is given, a pin keeps an unhealthy node in
-//! service, and neither sends anything that the endpoint list or slow start forbids.
+//! Operators' overrides of nodes: a weight scales what a node is sent, a pin keeps an unhealthy node in service, and
+//! neither sends anything that the endpoint list or slow start forbids.
 
 mod common;
 use common::{secs, TestHost};
 use std::collections::{HashMap, VecDeque};
 use tackmast::interface::{Effect, ListKind, NodeId, NodeState, Outcome, SlowStartSettings};
 
-/// Attempts in 10 s at one node with plenty waiting, each ending after 50 ms with `outcome`.
-fn attempts(weight: f64, is_pinned: bool, outcome: Outcome, node: (NodeState, Option<f64>)) -> usize {
+/// Returns the number of attempts sent in 10 s to one node under constant load, each ending after 50 ms with `outcome`.
+fn count_attempts(weight: f64, is_pinned: bool, outcome: Outcome, node: (NodeState, Option<f64>)) -> usize {
     let mut host = TestHost::new(1, Effect::Idempotent, false);
     host.scheduler.set_slow_start(SlowStartSettings {
         safe_units: 4.0,
@@ -18,12 +18,12 @@
     });
     host.send_list(ListKind::Complete, &[(0, node.0, node.1)]);
     host.scheduler.node_overridden(host.instant(), NodeId(0), weight, is_pinned);
-    let (mut in_flight, mut attempts, mut tries) = (VecDeque::new(), 0, HashMap::new());
+    let (mut in_flight, mut attempts, mut next_numbers) = (VecDeque::new(), 0, HashMap::new());
     for step in 0..1000 {
         host.submit(0, 2, step % 5, 1.0, 0, step);
         let end = host.now + 0.01;
         for (sent_at, id) in host.run_timed_sends(end) {
-            let number = tries.entry(id).or_insert(0);
+            let number = next_numbers.entry(id).or_insert(0);
             in_flight.push_back((sent_at, id, *number));
             *number += 1;
             attempts += 1;
@@ -35,15 +35,15 @@
     attempts
 }
 
-/// An operator lowers a node's weight or pins a failing one. Neither may send anything that the endpoint list or slow start forbids.
+/// An override must not send anything that the endpoint list or slow start forbids.
 #[test]
-fn weights_and_pins_change_what_a_node_gets_and_bypass_no_guard() {
+fn weights_and_pins_change_the_attempts_at_a_node_and_bypass_no_guard() {
     let ready = (NodeState::Ready, None);
     let restarted = (NodeState::Ready, Some(99.0));
-    let all = attempts(1.0, false, Outcome::Done, ready);
-    let unhealthy = attempts(1.0, false, Outcome::Error, ready);
-    let in_slow_start = attempts(1.0, false, Outcome::Done, restarted);
-    // Weight, is_pinned, outcomes, node; the range of attempts.
+    let all = count_attempts(1.0, false, Outcome::Done, ready);
+    let unhealthy = count_attempts(1.0, false, Outcome::Error, ready);
+    let in_slow_start = count_attempts(1.0, false, Outcome::Done, restarted);
+    // Case, weight, whether pinned, outcome of each attempt, node; minimum and maximum of attempts.
     for (name, weight, is_pinned, outcome, node, min, max) in [
         ("half", 0.5, false, Outcome::Done, ready, all / 4, all * 3 / 4),
         ("a tenth", 0.1, false, Outcome::Done, ready, 1, all / 3),
@@ -53,7 +53,7 @@
         ("pinned and unhealthy", 1.0, true, Outcome::Error, ready, unhealthy * 2, usize::MAX),
         ("pinned and in slow start", 1.0, true, Outcome::Done, restarted, 1, in_slow_start),
     ] {
-        let found = attempts(weight, is_pinned, outcome, node);
+        let found = count_attempts(weight, is_pinned, outcome, node);
         assert!(
             (min..=max).contains(&found),
             "{name}: {found} of {all}, unhealthy {unhealthy}, slow start {in_slow_start}"
@@ -61,7 +61,7 @@
     }
 }
 
-/// A node restarts while an operator's weight holds. What was learned of the node goes, the override stays.
+/// A restart of a node discards what was observed of it. The operator's override must stay.
 #[test]
 fn an_override_survives_a_restart_of_its_node() {
     let mut host = TestHost::new(1, Effect::Idempotent, false);
@@ -70,5 +70,5 @@
     host.now += 1.0;
     host.send_list(ListKind::Changes, &[(0, NodeState::Ready, Some(100.5))]);
     (0..20).for_each(|i| _ = host.submit(0, 2, i, 1.0, 0, i));
-    assert_eq!(host.poll_sends().len(), 1, "not all that a new concurrency limit allows");
+    assert_eq!(host.poll_sends().len(), 1, "the weight still bounds attempts after the restart");
 }
--- a/tests/reasons.rs
+++ b/tests/reasons.rs
@@ -1,15 +1,17 @@
-//! Why a request is not done: each final answer names its reason, and the guard that held the request last.
+//! Reasons of final answers: each answer of a request that was not done names its reason, and the guard that last held
+//! the request.
 
 mod common;
 use common::{plan, secs, TestHost};
 use tackmast::interface::*;
 
 /// Longer than any request of these tests waits, in seconds.
-const LONG: f64 = 5.0;
+const MAX_WAIT: f64 = 5.0;
 
-/// The final answer of a request that is not done, until `LONG` is over.
+/// Returns the final answer of a request that is not done, if it comes within `MAX_WAIT`: whether it is a rejection, and
+/// its reason.
 fn final_answer(host: &mut TestHost, id: RequestId) -> Option<(bool, FailureReason)> {
-    let end = host.now + LONG;
+    let end = host.now + MAX_WAIT;
     host.run_until(end).into_iter().find_map(|(_, decision)| match decision {
         Decision::Reject { request, reason, .. } if request == id => Some((true, reason)),
         Decision::Fail { request, reason } if request == id => Some((false, reason)),
@@ -17,21 +19,25 @@
     })
 }
 
+/// Returns the reason of a request's final answer, if it comes within `MAX_WAIT`.
 fn reason(host: &mut TestHost, id: RequestId) -> Option<FailureReason> {
     final_answer(host, id).map(|(_, reason)| reason)
 }
 
+/// Returns the reason of a request that a guard held until its deadline.
 fn held_by(guard: HoldReason) -> Option<FailureReason> {
     Some(FailureReason::DeadlineReached { held_by: Some(guard) })
 }
 
+/// Returns a host with one ready node, whose requests are idempotent.
 fn host_with_node() -> TestHost {
     let mut host = TestHost::new(1, Effect::Idempotent, false);
     host.list_ready_nodes(1);
     host
 }
 
-/// A request's shard has no node in the list. It is rejected when its latency objective is over, since nothing could answer it in time.
+/// A request whose shard has no node in the list is rejected at the end of its latency objective, since no node can answer
+/// it in time any more.
 #[test]
 fn a_request_without_a_node_is_too_late() {
     let mut host = TestHost::new(1, Effect::Idempotent, false);
@@ -42,15 +48,16 @@
     );
 }
 
-/// A client asks for more than its volume's burst at this host. No wait would help, so the answer comes at once.
+/// A request that costs more than this host's share of its volume's burst is rejected at once, since no wait would let it
+/// pass.
 #[test]
-fn a_request_over_the_burst_is_rejected_for_it() {
+fn a_request_that_exceeds_the_burst_is_rejected() {
     let mut host = host_with_node();
     let id = host.submit(0, 0, 0, 21.0, 0, 0);
     assert_eq!(final_answer(&mut host, id), Some((true, FailureReason::ExceedsBurst)));
 }
 
-/// A node answers a request that must not run twice with an error. It may have run, so it fails and is not retried.
+/// A node answers a non-idempotent request with an error. It may have run, so it fails and is not retried.
 #[test]
 fn a_non_idempotent_request_fails_as_unsafe_to_retry() {
     let mut host = TestHost::new(1, Effect::NonIdempotent, false);
@@ -61,7 +68,7 @@
     assert_eq!(final_answer(&mut host, id), Some((false, FailureReason::RetryUnsafe)));
 }
 
-/// A node answers each attempt with a quick error, until the request has had all that the settings allow.
+/// A node answers each attempt with a quick error, until the request has had as many attempts as the settings allow.
 #[test]
 fn a_request_with_errors_only_exhausts_its_attempts() {
     let mut host = host_with_node();
@@ -74,7 +81,7 @@
     assert_eq!(reason(&mut host, id), Some(FailureReason::AttemptsExhausted));
 }
 
-/// A node answers with an error after the latency objective. A retry would earn nothing.
+/// A node answers with an error after the latency objective. A retry would be late in any case, so there is none.
 #[test]
 fn an_error_after_the_latency_objective_is_not_retried() {
     let mut host = host_with_node();
@@ -85,18 +92,18 @@
     assert_eq!(reason(&mut host, id), Some(FailureReason::RetryTooLate));
 }
 
-/// A node never answers, so its concurrency limit stays used up and requests behind it reach their deadline.
+/// A node never answers, so its concurrency limit stays used up and the waiting requests reach their deadline.
 #[test]
-fn a_silent_node_holds_by_its_concurrency_limit() {
+fn a_silent_node_holds_requests_by_its_concurrency_limit() {
     let mut host = host_with_node();
     (0..40).for_each(|index| _ = host.submit(0, 2, 0, 1.0, 0, index));
     let in_flight = host.poll_sends().len() as u32;
     assert_eq!(reason(&mut host, RequestId(in_flight)), held_by(HoldReason::ConcurrencyLimit));
 }
 
-/// Many hosts share a node that was full. This host's limit falls below one, and it pauses between two attempts.
+/// A node that many hosts share was full. This host's limit falls below one attempt, so it pauses between two attempts.
 #[test]
-fn a_full_node_among_many_hosts_holds_by_a_pause() {
+fn a_full_node_shared_by_many_hosts_holds_requests_by_a_send_pause() {
     let mut host = TestHost::new(250, Effect::Idempotent, false);
     host.list_ready_nodes(1);
     let first = host.submit(0, 2, 0, 1.0, 0, 0);
@@ -108,9 +115,9 @@
     assert_eq!(reason(&mut host, id), held_by(HoldReason::SendPause));
 }
 
-/// An attempt fails so shortly before the deadline that the backoff before the retry outlasts it.
+/// An attempt fails so shortly before the deadline that the backoff before the retry ends after it.
 #[test]
-fn a_failed_attempt_holds_by_its_backoff() {
+fn a_failed_attempt_holds_its_request_by_a_backoff() {
     let mut host = host_with_node();
     host.time_left = 0.03;
     let id = host.submit(0, 2, 0, 1.0, 0, 0);
@@ -120,9 +127,9 @@
     assert_eq!(reason(&mut host, id), held_by(HoldReason::Backoff));
 }
 
-/// A node answers nothing but errors and is ejected. A client in a hurry comes between two probes.
+/// A node that refuses every attempt is ejected. A request with little time left arrives between two probes.
 #[test]
-fn an_ejected_node_holds_between_probes() {
+fn an_ejected_node_holds_requests_between_probes() {
     let mut host = host_with_node();
     for index in 0..8 {
         host.submit(0, 2, 0, 1.0, 0, index);
@@ -141,9 +148,9 @@
     assert_eq!(reason(&mut host, id), held_by(HoldReason::Ejected));
 }
 
-/// A node answers with slow errors only, which earn no retries. Two retries are free, the third is not.
+/// A node answers with slow errors only, which earn no retry credit. Two retries are free, the third is not.
 #[test]
-fn a_node_that_earns_no_credit_holds_retries() {
+fn a_node_without_retry_credit_holds_retries() {
     let mut host = host_with_node();
     let id = host.submit(0, 2, 0, 1.0, 0, 0);
     for attempt in 0..3 {
@@ -154,7 +161,7 @@
     assert_eq!(reason(&mut host, id), held_by(HoldReason::RetryCredit));
 }
 
-/// The operators allow no retries at all; the first failed attempt is not retried though its node has earned it.
+/// The settings allow no retries at all, so the first failed attempt is not retried although its node has retry credit.
 #[test]
 fn a_spent_retry_budget_holds_retries() {
     let mut host = host_with_node();
@@ -165,7 +172,7 @@
     assert_eq!(reason(&mut host, id), held_by(HoldReason::RetryBudget));
 }
 
-/// Two requests on one key: the first is not answered, so the second never has its turn.
+/// The first of two requests on one key is not answered, so the second is never sent.
 #[test]
 fn a_request_on_a_busy_key_is_held_by_key_order() {
     let mut host = TestHost::new(1, Effect::Idempotent, true);
@@ -176,7 +183,7 @@
     assert_eq!(reason(&mut host, id), held_by(HoldReason::KeyOrder));
 }
 
-/// A client asks for more than its volume's limit lets pass before the client gives up.
+/// A request costs more than its volume's limit allows before the deadline.
 #[test]
 fn a_volume_over_its_limit_holds_its_requests() {
     let mut host = host_with_node();
@@ -185,9 +192,9 @@
     assert_eq!(reason(&mut host, id), held_by(HoldReason::VolumeLimit));
 }
 
-/// A node has just started. A host that has used its part of what the node bears holds the next request.
+/// A node has just started. A host that has used its share of what the node can take holds the next request.
 #[test]
-fn a_node_that_warms_up_holds_by_slow_start() {
+fn a_node_that_warms_up_holds_requests_by_slow_start() {
     let mut host = TestHost::new(10, Effect::Idempotent, false);
     host.scheduler.add_plan(plan(0.0, 0.0, 0.0, 0.0, 1.0));
     host.scheduler.set_slow_start(SlowStartSettings {
@@ -204,7 +211,7 @@
     assert_eq!(reason(&mut host, RequestId(sent)), held_by(HoldReason::SlowStart));
 }
 
-/// A client reads the beginning of a streamed answer when its deadline comes. It is owed nothing more by then.
+/// A client has received the beginning of a streamed answer at its deadline, so no final answer may follow.
 #[test]
 fn a_streamed_answer_has_no_deadline() {
     let mut host = host_with_node();
