--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -1,10 +1,11 @@
-//! Holds docs/on-call.md and the code together: each log line that the page quotes is one that some package writes.
+//! Checks docs/on-call.md against the code: the page has a row for each event, and the code writes each log line that
+//! the page quotes.
 
 use std::path::{Path, PathBuf};
 
-/// What stands for the braces of a format's placeholder.
+/// Replaces the braces of a format string's placeholder.
 const PLACEHOLDER: char = '\u{1}';
-/// Runs of words shorter than this say nothing.
+/// Shorter fragments are too common to identify a log line.
 const MIN_FRAGMENT_CHARS: usize = 4;
 
 fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
@@ -19,7 +20,7 @@
     }
 }
 
-/// The messages of events: the texts in the function `message` of the files that declare events.
+/// Returns the messages of events: the texts in the function `message` of the files that declare events.
 fn event_messages(files: &[PathBuf]) -> Vec<String> {
     let mut messages = Vec::new();
     for file in files {
@@ -31,13 +32,13 @@
     messages
 }
 
-/// A source file on one line, with a mark in place of each brace of a placeholder.
+/// Returns a source file on one line, with `PLACEHOLDER` in place of each brace.
 fn normalized(source: &str) -> String {
     let joined = source.replace("\\\n", " ").replace(['{', '}'], &PLACEHOLDER.to_string());
     joined.split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
-/// The first column of the table of log lines: the quoted lines, without fields of structured logging.
+/// Returns the lines quoted in the first column of the page's table of log lines, without fields of structured logging.
 fn quoted_lines(page: &str) -> Vec<String> {
     let table = page.split("| log line |").nth(1).expect("the table of log lines");
     let table = table.split("\n\n").next().unwrap_or_default();
@@ -45,7 +46,8 @@
     rows.flat_map(|cell| cell.split('`').skip(1).step_by(2).map(str::to_owned).collect::<Vec<_>>()).collect()
 }
 
-/// What of a quoted line must stand in the code: runs of words without the capitals that stand for values.
+/// Returns the parts of a quoted line that the code must contain: the runs of words between the names in capitals that
+/// stand for values.
 fn fragments(line: &str) -> Vec<String> {
     let is_value = |token: &str| {
         let name = token.trim_matches(|c: char| !c.is_alphanumeric());
@@ -63,19 +65,20 @@
     runs.filter(|run| run.len() >= MIN_FRAGMENT_CHARS).collect()
 }
 
-/// Whether a text of the code holds the fragment, or one text holds its beginning, before a placeholder or as a prefix of its
-/// own, and another text begins with the rest.
+/// Returns whether the code contains the fragment as one text, or as two: its beginning before a placeholder or as a
+/// text of its own, and its rest at the beginning of another text.
 fn is_written(code: &[String], fragment: &str) -> bool {
-    let holds = |part: &str| code.iter().any(|text| text.contains(part));
+    let contains = |part: &str| code.iter().any(|text| text.contains(part));
     let split_at = |(at, _): (usize, &str)| {
         let (beginning, rest) = (&fragment[..at], &fragment[at + 1..]);
-        let is_followed = holds(&format!("{beginning} {PLACEHOLDER}")) || holds(&format!("\"{beginning} \""));
-        is_followed && holds(&format!("\"{rest}"))
+        let has_beginning =
+            contains(&format!("{beginning} {PLACEHOLDER}")) || contains(&format!("\"{beginning} \""));
+        has_beginning && contains(&format!("\"{rest}"))
     };
-    holds(fragment) || fragment.match_indices(' ').any(split_at)
+    contains(fragment) || fragment.match_indices(' ').any(split_at)
 }
 
-/// An engineer on call searches the page for the message of an event. An event without a row leaves the search empty.
+/// An engineer on call searches the page for the message of an event, so each event needs a row.
 #[test]
 fn each_event_has_a_row_on_the_on_call_page() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
@@ -91,7 +94,7 @@
     assert!(missing.is_empty(), "events without a row in docs/on-call.md: {missing:?}");
 }
 
-/// A row whose line the code no longer writes sends an engineer searching for what never comes.
+/// A row must not quote a line that the code no longer writes.
 #[test]
 fn each_log_line_that_the_on_call_page_quotes_is_written_by_the_code() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
@@ -118,9 +121,9 @@
     );
 }
 
-/// Quoted lines hold names in capitals where the code has a value.
+/// Quoted lines have names in capitals where the code inserts a value.
 #[test]
-fn placeholders_of_a_quoted_line_are_passed_over() {
+fn placeholders_of_a_quoted_line_are_skipped() {
     let found = fragments("node list unavailable: failure N, retry in T s");
     assert_eq!(found, ["node list unavailable: failure", "retry in"]);
     assert_eq!(
--- a/tests/withdrawn_words.rs
+++ b/tests/withdrawn_words.rs
@@ -1,10 +1,11 @@
-//! Keeps words of an earlier house style out of the packages that are whole: no identifier may hold one of them, and each
-//! of these packages warns of missing documentation and of unreachable public items, which the linter in CI makes errors.
-//! docs/glossary.md has the terms that stand in their place; docs/ROADMAP.md lists the packages that are left.
+//! Checks the names and the lints of the packages in `WHOLE`: no identifier contains a withdrawn word of an earlier
+//! naming style, and each package warns of missing documentation and of unreachable public items, which the linter in CI
+//! turns into errors. docs/glossary.md lists the terms to use instead; docs/ROADMAP.md lists the packages that are not
+//! converted yet.
 
 use std::path::{Path, PathBuf};
 
-/// Folders whose code is whole.
+/// Folders of the packages that are checked: those whose conversion to the terms of docs/glossary.md is complete.
 const WHOLE: [&str; 27] = [
     "src",
     "crates/admin",
@@ -35,10 +36,10 @@
     "crates/workload",
 ];
 
-/// Whole folders that do not warn of unreachable public items yet.
+/// Checked folders that do not warn of unreachable public items yet.
 const REACHABILITY_NOT_CHECKED: [&str; 1] = ["src"];
 
-/// Parts of identifiers that are withdrawn.
+/// Words that no identifier may contain.
 const WITHDRAWN: [&str; 56] = [
     "xfer",
     "xfers",
@@ -98,7 +99,7 @@
     "trouble",
 ];
 
-/// Identifiers that hold a withdrawn word in another sense, and why they stay.
+/// Identifiers that use a withdrawn word in another sense, with the reason why they are allowed.
 const ALLOWED: [(&str, &str); 3] = [
     ("fold", "Iterator::fold of the standard library"),
     ("HALF_LIFE", "the half-life of route flap damping, RFC 2439"),
@@ -116,7 +117,8 @@
     }
 }
 
-/// The code of a source text, without comments and without the inside of texts; lines stay lines.
+/// Returns the code of a source text without comments and string literals. Line breaks are kept, so that line numbers
+/// stay valid.
 fn code_of(source: &str) -> String {
     let mut code = String::new();
     let mut rest = source;
@@ -126,8 +128,8 @@
             '\'' if rest.starts_with("'\"'") || rest.starts_with("'\\\"'") => {
                 rest[1..].find('\'').unwrap() + 2
             }
-            '"' => length_of_text(rest),
-            'r' if !code.ends_with(char::is_alphanumeric) => length_of_raw_text(rest).unwrap_or(0),
+            '"' => string_literal_len(rest),
+            'r' if !code.ends_with(char::is_alphanumeric) => raw_string_literal_len(rest).unwrap_or(0),
             _ => 0,
         };
         if skipped == 0 {
@@ -141,8 +143,8 @@
     code
 }
 
-/// Bytes of the text literal that the source begins with.
-fn length_of_text(source: &str) -> usize {
+/// Returns the length in bytes of the string literal that the source begins with.
+fn string_literal_len(source: &str) -> usize {
     let mut escaped = false;
     for (at, c) in source.char_indices().skip(1) {
         match c {
@@ -155,40 +157,41 @@
     source.len()
 }
 
-/// Bytes of the raw text literal that the source begins with, if it does.
-fn length_of_raw_text(source: &str) -> Option<usize> {
+/// Returns the length in bytes of the raw string literal that the source begins with, if it does.
+fn raw_string_literal_len(source: &str) -> Option<usize> {
     let hashes = source[1..].chars().take_while(|c| *c == '#').count();
     let inside = source[1 + hashes..].strip_prefix('"')?;
     let end = format!("\"{}", "#".repeat(hashes));
     Some(2 + hashes + inside.find(&end)? + end.len())
 }
 
-/// The words of an identifier in whatever case it is written.
-fn terms_of(identifier: &str) -> Vec<String> {
-    let mut terms = vec![String::new()];
+/// Returns the words of an identifier in lower case, whether it is written in snake case or camel case.
+fn words_of(identifier: &str) -> Vec<String> {
+    let mut words = vec![String::new()];
     let mut after_lower = false;
     for c in identifier.chars() {
         if c == '_' || (c.is_uppercase() && after_lower) {
-            terms.push(String::new());
+            words.push(String::new());
         }
         after_lower = c.is_lowercase();
         if c != '_' {
-            terms.last_mut().unwrap().extend(c.to_lowercase());
+            words.last_mut().unwrap().extend(c.to_lowercase());
         }
     }
-    terms
+    words
 }
 
+/// Returns the identifiers of the code that contain a withdrawn word and are not allowed.
 fn withdrawn_in(code: &str) -> Vec<String> {
     let identifiers = code.split(|c: char| !c.is_alphanumeric() && c != '_');
     let is_withdrawn = |identifier: &&str| {
         let is_allowed = ALLOWED.iter().any(|(allowed, _)| allowed == identifier);
-        !is_allowed && terms_of(identifier).iter().any(|term| WITHDRAWN.contains(&term.as_str()))
+        !is_allowed && words_of(identifier).iter().any(|word| WITHDRAWN.contains(&word.as_str()))
     };
     identifiers.filter(is_withdrawn).map(str::to_owned).collect()
 }
 
-/// A word of the earlier house style comes back into a package that was cleared of them.
+/// No identifier of a checked package may contain a withdrawn word.
 #[test]
 fn whole_packages_hold_no_withdrawn_term() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
@@ -210,7 +213,7 @@
     assert!(places.is_empty(), "withdrawn words (docs/glossary.md has the terms):\n{}", places.join("\n"));
 }
 
-/// Whether the root module of a package warns by this lint.
+/// Returns whether the root module of a package warns of this lint.
 fn warns(root_module: &str, lint: &str) -> bool {
     let is_warning = |line: &str| {
         let lints = line.strip_prefix("#![warn(").and_then(|rest| rest.strip_suffix(")]"));
@@ -219,8 +222,8 @@
     root_module.lines().any(is_warning)
 }
 
-/// A package that was documented gets a public item without a doc comment. A program has no items that are public in the sense of
-/// `missing_docs`: there Clippy's lint warns of those that the whole program sees.
+/// Each checked package must warn of public items without a doc comment. A program has no items that are public in the
+/// sense of `missing_docs`, so there Clippy's lint warns of those that the whole program can use.
 #[test]
 fn whole_packages_warn_of_missing_documentation() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
@@ -242,7 +245,8 @@
     }
 }
 
-/// A package that was narrowed gets a public item that nothing outside it can reach, which hides that the item is unused.
+/// A public item that nothing outside its package can reach hides that the item is unused, so each checked package must
+/// warn of such items.
 #[test]
 fn whole_packages_warn_of_unreachable_public_items() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
@@ -254,9 +258,9 @@
     }
 }
 
-/// The check itself must see identifiers and nothing else.
+/// The check must find withdrawn words in identifiers, and skip those in strings and comments.
 #[test]
-fn the_check_finds_a_withdrawn_term_and_passes_over_texts_and_comments() {
+fn the_check_finds_a_withdrawn_word_and_skips_strings_and_comments() {
     for (line, found) in [
         ("let next_leg = 1;", vec!["next_leg"]),
         ("struct SendLeg { legs: u32 }", vec!["SendLeg", "legs"]),
