--- a/src/scheduler/guards.rs
+++ b/src/scheduler/guards.rs
@@ -43,7 +43,7 @@
         Hold::check(HoldReason::Backoff, request.not_before, self.now)
     }
 
-    /// Holds a request that may have run until its deadline if another run could take effect twice (rule 2).
+    /// Holds a request until its deadline if an earlier attempt may have run and another could take effect again (rule 2).
     ///
     /// Only requests behind a queue's head and late ones are held here, since a head that can never be sent is rejected
     /// before (`policy::request_fate`).
@@ -87,8 +87,8 @@
         Err(Hold::until(HoldReason::KeyOrder, free_at.max(recheck_at)))
     }
 
-    /// Holds a request that costs more than this host's share of its volume's burst until its deadline, since no wait
-    /// would let it pass. Only the requests that `check_retry_safety` can hold are held here.
+    /// Holds a request until its deadline if it costs more than this host's share of its volume's burst, since no wait
+    /// would let it pass. As with `check_retry_safety`, only requests behind a queue's head and late ones are held here.
     fn check_burst(&self, request: &Request) -> Result<(), Hold> {
         if self.exceeds_burst(request) {
             return Err(Hold::until(HoldReason::ExceedsBurst, request.deadline));
--- a/src/scheduler/node.rs
+++ b/src/scheduler/node.rs
@@ -27,7 +27,7 @@
     pub in_flight: InFlight,
     /// Number of attempts that the node answered without an error, over all its starts.
     pub answered: u64,
-    /// When an attempt was last sent to the node; its first listing if none was.
+    /// When an attempt was last sent to the node; when its start was listed if none was sent since.
     pub last_sent_at: Instant,
     /// Bounds the attempts in flight.
     pub limiter: ConcurrencyLimiter,
@@ -35,7 +35,7 @@
     pub outlier_detector: OutlierDetector,
     /// Retries that the node's answers have earned.
     pub retry_credit: RetryCredit,
-    /// Whether the last time-out at the node may have been a lost attempt.
+    /// Whether the last timeout at the node may have been a lost attempt.
     pub unexplained_timeout: UnexplainedTimeout,
     /// Units sent to the node while it warms up.
     pub slow_start: SlowStart,
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -257,7 +257,7 @@
     }
 }
 
-/// A hundred hosts must not keep the queue of an overloaded node that answers nothing full, and must not starve a node
+/// A hundred hosts must not keep filling the queue of an overloaded node that answers nothing, and must not starve a node
 /// behind a link that loses one attempt in ten.
 #[test]
 fn a_silent_node_gets_few_attempts_and_a_lossy_link_does_not() {
--- a/tests/node_overrides.rs
+++ b/tests/node_overrides.rs
@@ -35,7 +35,8 @@
     attempts
 }
 
-/// An override must not send anything that the endpoint list or slow start forbids.
+/// A weight must scale the attempts at a node, and a pin must keep an unhealthy node in service. Neither may send anything
+/// that the endpoint list or slow start forbids.
 #[test]
 fn weights_and_pins_change_the_attempts_at_a_node_and_bypass_no_guard() {
     let ready = (NodeState::Ready, None);
