--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,8 +1,8 @@
-//! One host as a member of its fleet: all machines of this package together, fed with datagrams and the time.
+//! One host as a member of its fleet: combines all state machines of this package.
 //!
-//! - `receive`: datagrams of peers.
-//! - `outputs`: what the machines have to send and to report.
-//! - `persistence`: what the next generation is to know.
+//! - `receive`: handles datagrams of peers.
+//! - `outputs`: collects messages and events of the state machines.
+//! - `persistence`: persists the known peers for the next generation.
 //! - `settings`: settings, outputs and counters.
 
 mod outputs;
@@ -28,53 +28,53 @@
 use tackmast_overrides::Origin;
 use tackmast_wire::peer::{Body, Health, MemberUpdate, NodeRemoval, OverrideRecord};
 
-/// Greatest number of outputs that wait to be polled; beyond it new datagrams are dropped and counted.
+/// Maximum number of outputs that wait to be polled. Beyond it new datagrams are dropped and counted.
 const MAX_OUTPUTS: usize = 4096;
 
-/// One host among others: a state machine without I/O. Datagrams and the time go in by the `handle_` methods; datagrams
-/// and what else follows come out by [`poll_output`](Self::poll_output).
+/// One host as a member of its fleet: a state machine without I/O. The `handle_` methods take datagrams and the time, and
+/// [`poll_output`](Self::poll_output) returns the datagrams to send and the other actions that follow.
 pub struct Member {
     fleet: String,
     allowed_networks: Vec<IpNet>,
-    /// Which hosts run.
+    /// Membership view: which hosts run.
     pub view: View,
-    /// Quota leases.
+    /// Quota leases on the shared limits.
     pub leases: QuotaLeases,
-    /// Operators' overrides.
+    /// Gossip of operators' overrides.
     pub overrides: OverrideGossip,
-    /// Catalog updates.
+    /// Replication of catalog updates.
     pub catalog: CatalogReplication,
     endpoint_lists: EndpointListExchange,
     lease_settings: LeaseSettings,
     shared_limits: Vec<SharedLimit>,
-    /// Another generation of this slot may use the shared quota, so this one never does.
+    /// Whether this generation never uses the shared quota, because another generation of the slot may use it.
     yields_quota: bool,
     persistence: Persistence,
-    /// Whether datagrams carry their sender's own state.
+    /// Whether the state that a datagram carries of its own sender is merged.
     sender_state: bool,
     outputs: VecDeque<Output>,
-    /// Index of the override with which the next answer to a digest begins.
+    /// Index of the first override in the next answer to a digest.
     next_override: usize,
-    /// Index of the part of the view with which the next answer to a digest begins.
-    next_piece: usize,
-    /// What has happened since the start.
+    /// Index of the first batch of member updates in the next answer to a digest.
+    next_update_batch: usize,
+    /// Counters since the start of the process.
     pub counters: Counters,
 }
 
 impl Member {
-    /// A host that starts.
+    /// Creates the member of a host that starts.
     pub fn new(now: Instant, settings: MemberSettings) -> Self {
         Member::start(now, settings, None)
     }
 
-    /// The same with a deliberate fault of its view, for tests.
+    /// Creates a member whose view has a deliberate fault, for tests.
     pub fn with_fault(now: Instant, settings: MemberSettings, fault: ViewFault) -> Self {
         Member::start(now, settings, Some(fault))
     }
 
     fn start(now: Instant, mut settings: MemberSettings, fault: Option<ViewFault>) -> Self {
-        // A store may come from a larger fleet. Its slots beyond this fleet's would be contacted, and persisted again, for
-        // ever, as no update on them is accepted that could remove them.
+        // A store may come from a larger fleet. Peers with slots beyond this fleet's would be contacted and persisted again
+        // forever, because the updates that could remove them are not accepted.
         let max_hosts = settings.view.max_hosts;
         settings.persisted.retain(|peer| (peer.slot as usize) < max_hosts);
         let me = MemberUpdate {
@@ -108,28 +108,28 @@
             sender_state: settings.view.extensions.sender_state,
             outputs: VecDeque::new(),
             next_override: 0,
-            next_piece: 0,
+            next_update_batch: 0,
             counters: Counters::default(),
         }
     }
 
-    /// All other members.
+    /// Returns the states of all other members, by slot.
     pub fn snapshot(&self) -> OrdMap<u32, MemberState> {
         self.view.snapshot()
     }
 
-    /// Number of members that are alive or suspected, this one included.
+    /// Returns the number of members that are alive or suspected, this one included.
     pub fn live_count(&self) -> u32 {
         self.view.live_count() + 1
     }
 
-    /// Whether an address lies in a network that peers may have.
+    /// Returns whether an address lies in an allowed network.
     fn is_allowed(&self, address: &SocketAddr) -> bool {
         let mut networks = self.allowed_networks.iter();
         self.allowed_networks.is_empty() || networks.any(|network| network.contains(&address.ip()))
     }
 
-    /// Runs whatever is due.
+    /// Runs all timers that are due.
     pub fn handle_timeout(&mut self, now: Instant) {
         self.view.handle_timeout(now);
         self.flush_view_with_digests(now);
@@ -142,51 +142,52 @@
         self.flush(now);
     }
 
-    /// When [`handle_timeout`](Self::handle_timeout) is due.
+    /// Returns when [`handle_timeout`](Self::handle_timeout) is due next.
     pub fn poll_timeout(&self) -> Instant {
         let timeout = self.view.poll_timeout().min(self.leases.poll_timeout());
         self.catalog.poll_timeout().map_or(timeout, |catalog_timeout| catalog_timeout.min(timeout))
     }
 
-    /// The next output.
+    /// Returns the next output, or `None` when all have been polled.
     pub fn poll_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// Clients have demanded so many units of a volume.
+    /// Records that clients demanded this many units of a volume, given by its LUN.
     pub fn record_demand(&mut self, now: Instant, volume: u32, units: f64) {
         self.leases.record_demand(now, volume, units);
     }
 
-    /// What is lent and borrowed of a volume's limit; none: it is not shared.
+    /// Returns what is lent and borrowed of a volume's limit, or `None` if the limit is not shared.
     pub fn quota_balance(&self, now: Instant, volume: u32) -> Option<QuotaBalance> {
         self.leases.balance(now, volume)
     }
 
-    /// The host begins to leave: it uses nothing of the shared quota any more, and lends what it owns.
+    /// Begins a graceful leave: the host stops using shared quota and lends all that it owns.
     pub fn begin_leave(&mut self, now: Instant) {
         self.leases.leave(now);
         self.leases.handle_timeout(now, &self.view.live().iter().copied().collect());
         self.flush(now);
     }
 
-    /// The host leaves, and gossips that.
+    /// Marks this host as left and gossips that.
     pub fn announce_leave(&mut self, now: Instant) {
         self.view.leave();
         self.flush(now);
     }
 
-    /// Adds an override that this host took itself, or had persisted.
+    /// Adds an override that this host accepted from an operator, or that it had persisted.
     pub fn add_override(&mut self, now: Instant, record: OverrideRecord) {
         self.overrides.add_local(now, record);
     }
 
-    /// An override was cleared on this host.
+    /// Records that an override was cleared on this host.
     pub fn clear_override(&mut self, origin: Origin) {
         self.overrides.clear_local(origin);
     }
 
-    /// A catalog update was applied here. Its version is sent to a few peers at once.
+    /// Records that a catalog update was applied here, and sends its version to a few peers at once. All hosts are to apply
+    /// it by `deadline`.
     pub fn handle_catalog_applied(
         &mut self,
         now: Instant,
@@ -196,11 +197,12 @@
     ) {
         self.catalog.handle_applied(now, version, text, deadline);
         let message = self.catalog.version_message(now);
-        self.send_to_some(now, &Body::Catalog(message));
+        self.send_to_random_members(now, &Body::Catalog(message));
         self.flush(now);
     }
 
-    /// This host's endpoint list has that version and removes these nodes. A newer version is sent to a few peers at once.
+    /// Records the version of this host's endpoint list and the nodes that it removes. A newer version is sent to a few
+    /// peers at once.
     pub fn handle_endpoint_list(
         &mut self,
         now: Instant,
@@ -209,7 +211,7 @@
     ) {
         if self.endpoint_lists.handle_list(version, removals) {
             let message = self.endpoint_lists.version_message();
-            self.send_to_some(now, &Body::EndpointList(message));
+            self.send_to_random_members(now, &Body::EndpointList(message));
         }
         self.flush(now);
     }
--- a/crates/membership/src/member/outputs.rs
+++ b/crates/membership/src/member/outputs.rs
@@ -1,4 +1,4 @@
-//! Collects what the machines of a member have to send and to report.
+//! Collects the messages and events of a member's state machines as outputs.
 
 use super::{Member, Output, MAX_OUTPUTS};
 use crate::catalog_replication::CatalogEvent;
@@ -10,12 +10,12 @@
 use tackmast::interface::Instant;
 use tackmast_wire::peer::{Body, Datagram, MemberUpdate};
 
-/// Peers that the version of a new catalog update, or of a new endpoint list, is sent to at once.
+/// Number of peers that are sent the version of a new catalog update or endpoint list at once.
 const VERSION_FANOUT: usize = 3;
 
 impl Member {
-    /// Sends the view's messages. The view does not know of overrides, so their digest is filled in here. Beside each
-    /// digest go the versions of the catalog and of the endpoint list.
+    /// Sends the view's messages. The view knows nothing of overrides, so their digest is filled in here. The versions of
+    /// the catalog and of the endpoint list are sent along with each digest.
     pub(super) fn flush_view_with_digests(&mut self, now: Instant) {
         let digest = self.overrides.digest(now);
         let transmits: Vec<Transmit> = std::iter::from_fn(|| self.view.poll_transmit()).collect();
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Collects what the machines have to send and to report.
+    /// Moves the messages and events of all state machines to the outputs.
     pub(super) fn flush(&mut self, now: Instant) {
         self.handle_displacement(now);
         while let Some(Transmit { to, body, recipient }) = self.view.poll_transmit() {
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Another generation of this slot may run: the quota belongs to that one.
+    /// Stops the use of shared quota while another generation of this slot may use it.
     fn handle_displacement(&mut self, now: Instant) {
         if let Some(take_over) = self.view.poll_take_over() {
-            // At this host's own address no other process can listen: the later generation has ended, and its leases end
-            // as after a crash. At another address silence proves nothing: the other process may be paused and use the
-            // quota when it resumes, so this one must not.
+            // No other process can listen at this host's own address, so the later generation has ended there, and its
+            // leases end as after a crash. At another address silence proves nothing: the other process may be paused, and
+            // would use the quota when it resumes, so this one must not use it.
             self.yields_quota |= take_over == TakeOver::OtherAddress;
             let me = self.view.me();
             let id = MemberId { slot: me.slot, generation: me.generation };
@@ -93,8 +93,8 @@
     pub(super) fn send_datagram(&mut self, to: SocketAddr, body: Body, updates: Vec<MemberUpdate>) {
         let fleet = self.fleet.clone();
         let bytes = Datagram { fleet, sender: self.view.me(), body, updates }.to_bytes();
-        // The new datagram is dropped, not the oldest output: that may be an override, which is reported only once. A lost
-        // datagram is repeated by its protocol.
+        // The new datagram is dropped rather than the oldest output, which may be an override that is reported only once.
+        // The protocols recover from the loss of a datagram.
         if self.outputs.len() >= MAX_OUTPUTS {
             self.counters.dropped += 1;
             return;
@@ -104,21 +104,21 @@
         self.outputs.push_back(Output::Send { to, bytes });
     }
 
-    /// Sends a message, without member updates.
+    /// Sends a message to a peer, without piggybacked member updates.
     pub fn send(&mut self, to: SocketAddr, body: Body) {
         self.send_datagram(to, body, Vec::new());
     }
 
     /// Sends a message to a few random members.
-    pub(super) fn send_to_some(&mut self, now: Instant, body: &Body) {
-        for slot in self.view.pick(now, VERSION_FANOUT, None) {
+    pub(super) fn send_to_random_members(&mut self, now: Instant, body: &Body) {
+        for slot in self.view.random_members(now, VERSION_FANOUT, None) {
             if let Some(to) = self.view.address(slot) {
                 self.send(to, body.clone());
             }
         }
     }
 
-    /// A change of the view as operators read it, with what only the member knows of it.
+    /// Converts an event of the view to one for operators, and adds the fields that only the member knows.
     fn to_membership_event(&self, event: ViewEvent) -> MembershipEvent {
         let alive_hosts = self.live_count();
         match event {
--- a/crates/membership/src/member/persistence.rs
+++ b/crates/membership/src/member/persistence.rs
@@ -1,4 +1,4 @@
-//! What is persisted for the next generation: the peers that are known, whenever they have changed.
+//! Persists the known peers for the next generation, whenever they have changed.
 
 use super::{Member, Output, PersistedMembers};
 use crate::view::KnownPeer;
@@ -6,12 +6,12 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::peer::Health;
 
-/// Protocol periods between two checks whether the known peers have changed.
+/// Protocol periods between two checks of whether the known peers have changed.
 const CHECK_PERIODS: f64 = 10.0;
-/// Protocol periods between two such checks while more peers are live than are persisted.
+/// Protocol periods between two such checks while more peers are live than were persisted.
 const JOINING_CHECK_PERIODS: f64 = 1.0;
 
-/// What was persisted last, and when it was last compared with the known peers.
+/// The peers that were persisted last, and when they were last compared with the known ones.
 pub(super) struct Persistence {
     persisted: PersistedMembers,
     checked_at: Instant,
@@ -19,16 +19,16 @@
 }
 
 impl Persistence {
-    /// What an earlier generation persisted.
+    /// Creates the state of a start, from what an earlier generation persisted.
     pub(super) fn new(now: Instant, persisted: PersistedMembers, protocol_period: TimeDelta) -> Self {
         Persistence { persisted, checked_at: now, protocol_period }
     }
 
-    /// Whether the known peers are to be compared with the persisted ones.
+    /// Returns whether the known peers are to be compared with the persisted ones.
     ///
-    /// Hosts that all change their addresses shortly after a start would find no peer at an address that they persisted
-    /// before, so new peers are persisted within a protocol period. Other changes can wait: with hundreds of hosts the
-    /// comparison is too much work for every timeout.
+    /// If all hosts change their addresses shortly after a start, none would find a peer at the addresses that it persisted
+    /// before. New peers are therefore persisted within a protocol period. Other changes can wait: with hundreds of hosts
+    /// the comparison is too expensive to run at every timeout.
     fn is_due(&self, now: Instant, live_count: usize) -> bool {
         let periods =
             if live_count > self.persisted.peers.len() { JOINING_CHECK_PERIODS } else { CHECK_PERIODS };
@@ -37,7 +37,7 @@
 }
 
 impl Member {
-    /// Asks the host to persist the known peers, if a check is due and they have changed.
+    /// Outputs the known peers to be persisted, if a check is due and they have changed.
     pub(super) fn persist_if_due(&mut self, now: Instant) {
         if !self.persistence.is_due(now, self.view.live_count() as usize) {
             return;
@@ -51,8 +51,8 @@
         }
     }
 
-    /// All known peers but those that left. Peers that only an earlier generation knew stay: they may be down, and without
-    /// them a host that restarts during an outage would forget the fleet.
+    /// Returns all known peers except those that left. Peers that only an earlier generation knew are kept, as they may be
+    /// down: without them a host that restarts during an outage would forget the fleet.
     fn peers_to_persist(&self) -> Vec<KnownPeer> {
         let members = self.view.snapshot();
         let has_left =
--- a/crates/membership/src/member/receive.rs
+++ b/crates/membership/src/member/receive.rs
@@ -1,4 +1,4 @@
-//! Datagrams of peers: which are accepted, and what their messages go to.
+//! Handles datagrams of peers: validates them and dispatches their messages.
 
 use super::{Member, Output, MAX_OUTPUTS};
 use crate::MemberId;
@@ -7,18 +7,18 @@
 use tackmast::interface::Instant;
 use tackmast_wire::peer::{Body, Datagram, Health, MemberUpdate, OverrideRecord, MAX_OVERRIDES};
 
-/// Greatest number of datagrams with member updates that answer one digest.
-const MAX_DIGEST_PIECES: usize = 32;
-/// Greatest number of overrides that answer one digest.
+/// Maximum number of datagrams with member updates that are sent in answer to one digest.
+const MAX_DIGEST_BATCHES: usize = 32;
+/// Maximum number of overrides that are sent in answer to one digest.
 const MAX_DIGEST_OVERRIDES: usize = 64;
 
 impl Member {
-    /// A datagram was received. One that is not of this fleet is dropped and counted.
+    /// Handles a received datagram. Invalid datagrams and those of other fleets are dropped and counted.
     pub fn handle_datagram(&mut self, now: Instant, from: SocketAddr, bytes: Bytes) {
         let Some(datagram) = self.decode(from, bytes) else { return };
         let Datagram { sender, body, updates, .. } = datagram;
         if sender.slot == self.view.me().slot {
-            // Another process has this slot. What it sends is not a peer's, whichever of the two is the later one.
+            // Another process uses this slot. It is not a peer, whichever of the two processes is the later one.
             self.counters.rejected += 1;
             self.view.handle_duplicate_id(now, sender, from);
             return self.flush(now);
@@ -29,13 +29,13 @@
         self.merge_sender(now, from, sender, known_generation);
         self.merge_updates(now, updates);
         if known_generation.is_some_and(|known| known > id.generation) {
-            // An earlier generation of the peer still runs. Its message is ignored: its leases and probes are not those of
-            // the later one. The answer lets it learn that it is displaced.
+            // An earlier generation of the peer still runs. Its message is ignored, as its leases and probes are not those
+            // of the later one. The answer informs it that it is displaced.
             self.send_state_of(id.slot, from);
             return self.flush(now);
         }
-        // A lease binds its lender. From another address it could be forged, and this host would use quota that its owner
-        // uses as well.
+        // A lease message from an address other than the peer's may be forged. If a forged lease were accepted, this host
+        // would use quota that its owner uses as well.
         if matches!(body, Body::Lease(_)) && !self.is_known_address(id.slot, from) {
             return;
         }
@@ -63,7 +63,7 @@
         Some(datagram)
     }
 
-    /// Merges the sender's own state or, without that extension, that it runs.
+    /// Merges the sender's own state. Without that extension it merges only that a new generation of the sender is alive.
     fn merge_sender(
         &mut self,
         now: Instant,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Sends what is known of a slot.
+    /// Sends the known state of a slot.
     fn send_state_of(&mut self, slot: u32, to: SocketAddr) {
         let updates = self.view.all_updates().into_iter().flatten();
         let updates = updates.filter(|update| update.slot == slot).collect();
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Answers a digest that differs with what is known here (anti-entropy).
+    /// Answers a digest that differs from this host's with the members or overrides that are known here (anti-entropy).
     fn handle_digest(&mut self, now: Instant, from: SocketAddr, members: u32, overrides: u32) {
         if members != self.view.digest() {
             self.view.handle_digest_mismatch(now);
@@ -147,18 +147,17 @@
         }
     }
 
-    /// Sends member updates, beginning where the last answer ended: a fleet of many hundreds has more than one answer
-    /// holds.
+    /// Sends member updates, starting where the last answer ended, as one answer does not hold a fleet of many hundreds.
     fn send_members(&mut self, to: SocketAddr) {
-        let mut pieces = self.view.all_updates();
-        let first = self.next_piece % pieces.len().max(1);
-        pieces.rotate_left(first);
-        pieces.truncate(MAX_DIGEST_PIECES);
-        self.next_piece = first + pieces.len();
-        pieces.into_iter().for_each(|updates| self.send_datagram(to, Body::Gossip, updates));
+        let mut batches = self.view.all_updates();
+        let first = self.next_update_batch % batches.len().max(1);
+        batches.rotate_left(first);
+        batches.truncate(MAX_DIGEST_BATCHES);
+        self.next_update_batch = first + batches.len();
+        batches.into_iter().for_each(|updates| self.send_datagram(to, Body::Gossip, updates));
     }
 
-    /// Sends overrides, beginning where the last answer ended.
+    /// Sends overrides, starting where the last answer ended.
     fn send_overrides(&mut self, now: Instant, to: SocketAddr) {
         let records = self.overrides.records(now);
         if records.is_empty() {
@@ -166,9 +165,9 @@
         }
         let first = self.next_override % records.len();
         let count = MAX_DIGEST_OVERRIDES.min(records.len());
-        let some: Vec<OverrideRecord> = records.iter().cycle().skip(first).take(count).cloned().collect();
-        self.next_override = first + some.len();
-        for records in some.chunks(MAX_OVERRIDES) {
+        let batch: Vec<OverrideRecord> = records.iter().cycle().skip(first).take(count).cloned().collect();
+        self.next_override = first + batch.len();
+        for records in batch.chunks(MAX_OVERRIDES) {
             self.send(to, Body::Overrides(records.to_vec()));
         }
     }
--- a/crates/membership/src/view/broadcast_queue.rs
+++ b/crates/membership/src/view/broadcast_queue.rs
@@ -1,37 +1,37 @@
-//! The queue of member updates that are still to be piggybacked (SWIM, section 4.1; memberlist's
-//! `TransmitLimitedQueue`).
+//! The queue of member updates to piggyback (SWIM, section 4.1; memberlist's `TransmitLimitedQueue`).
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A member's place in the queue.
+/// A member's position in the queue.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Entry {
-    /// Transmissions that are left: entries with most come first.
+    /// Number of remaining transmissions. Entries with more come first.
     remaining: Reverse<u32>,
-    /// Number of the broadcast: of entries with equal transmissions left the oldest comes first.
+    /// Number of the broadcast. Among entries with equally many remaining transmissions the oldest comes first.
     number: u64,
     slot: u32,
 }
 
-/// Members whose updates are still to be sent, at most one for each. An update itself is looked up when it is sent.
+/// Members on which updates are still to be sent, with at most one entry for each. The content of an update is looked up
+/// when it is sent.
 #[derive(Default)]
 pub(super) struct BroadcastQueue {
     by_slot: BTreeMap<u32, Entry>,
     order: BTreeSet<Entry>,
-    /// Number of the last broadcast.
+    /// Number of broadcasts so far.
     count: u64,
 }
 
 impl BroadcastQueue {
-    /// Queues a member's update to be sent so many times, in place of what is queued of it.
+    /// Queues an update on a member for this many transmissions. It replaces an earlier entry of the member.
     pub(super) fn push(&mut self, slot: u32, transmissions: u32) {
         self.remove(slot);
         self.count += 1;
         self.insert(Entry { remaining: Reverse(transmissions), number: self.count, slot });
     }
 
-    /// Removes a member.
+    /// Removes the entry of a member, if there is one.
     pub(super) fn remove(&mut self, slot: u32) {
         if let Some(entry) = self.by_slot.remove(&slot) {
             self.order.remove(&entry);
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The first members of the queue, each of which then has one transmission less left.
+    /// Returns the first members of the queue, up to `max_len`, and counts one transmission of each.
     pub(super) fn next_batch(&mut self, max_len: usize) -> Vec<u32> {
         let batch: Vec<Entry> = self.order.iter().take(max_len).copied().collect();
         for entry in &batch {
--- a/crates/membership/src/view/duplicate_id.rs
+++ b/crates/membership/src/view/duplicate_id.rs
@@ -1,15 +1,16 @@
-//! Another process under this host's own slot.
+//! Handles another process with this host's own slot.
 //!
-//! Two processes that both use the slot's quota would exceed a volume's limit together. The earlier generation gives way:
-//! it is displaced and uses no shared quota. A later generation that does not run is taken over from.
+//! If two processes both used the slot's quota, they would exceed a volume's limit together. The earlier generation
+//! therefore yields: it is displaced and uses no shared quota. If the later generation does not run, this host takes the
+//! slot back.
 
 use super::{TakeOver, View, ViewEvent, ViewFault};
 use std::net::SocketAddr;
 use tackmast::interface::Instant;
 use tackmast_wire::peer::{Body, MemberUpdate};
 
-/// Protocol periods without a datagram after which a later generation at this host's own address counts as ended: no other
-/// process can listen there.
+/// Protocol periods without a datagram after which a later generation at this host's own address counts as ended, as no
+/// other process can listen there.
 const SAME_ADDRESS_SILENCE_PERIODS: f64 = 3.0;
 /// Protocol periods without a datagram after which a later generation at another address counts as not running.
 const OTHER_ADDRESS_SILENCE_PERIODS: f64 = 8.0;
@@ -19,17 +20,18 @@
 pub(super) struct DuplicateId {
     generation: u64,
     address: SocketAddr,
-    /// When a datagram of it was received last, or else when its generation was learned.
+    /// When a datagram of it was last received, or, if there was none, when this host learned of the generation.
     last_received: Instant,
 }
 
 impl View {
-    /// A later generation of this slot is known.
+    /// Returns whether a later generation of this slot is known, so that this host uses no shared quota.
     pub fn is_displaced(&self) -> bool {
         self.displaced
     }
 
-    /// This host has taken its slot back under a new generation.
+    /// Returns where the later generation was known from which this host has taken its slot back. Each take-over is
+    /// returned once.
     pub fn poll_take_over(&mut self) -> Option<TakeOver> {
         self.take_over.take()
     }
@@ -45,7 +47,7 @@
         }
     }
 
-    /// A datagram under this host's own slot was received from another process.
+    /// Handles a datagram of another process with this host's own slot.
     pub fn handle_duplicate_id(&mut self, now: Instant, sender: MemberUpdate, from: SocketAddr) {
         if sender.generation > self.me.generation {
             self.set_displaced(now, sender.generation, sender.address);
@@ -53,18 +55,18 @@
                 duplicate.last_received = now;
             }
         } else if sender.generation < self.me.generation && self.settings.extensions.duplicate_id_check {
-            // An earlier generation still runs. It learns of this one from the answer, and stops using the shared quota.
+            // An earlier generation still runs. The answer informs it of this one, so that it stops using shared quota.
             self.send(from, Body::Gossip, None);
         }
     }
 
     /// Takes the slot back from a later generation that does not run.
     ///
-    /// After a clock has gone back, a process starts with a lower generation than the one before it. Peers then prefer the
-    /// earlier process's state, and this host would be displaced for as long as it runs. So it contacts the later
-    /// generation, and where that stays silent this host takes a generation that is later still.
+    /// After a host's clock was set back, its next process starts with a lower generation than the previous one. Peers then
+    /// prefer the state of the previous process, and this host would be displaced for as long as it runs. It therefore
+    /// contacts the later generation, and if there is no answer, takes a generation that is later still.
     pub(super) fn check_duplicate_id(&mut self, now: Instant) {
-        if !self.settings.extensions.duplicate_id_check || self.has(ViewFault::BelievesDuplicateId) {
+        if !self.settings.extensions.duplicate_id_check || self.has_fault(ViewFault::BelievesDuplicateId) {
             return;
         }
         let Some(duplicate) = self.duplicate_id else { return };
--- a/crates/membership/src/view/failure_detector.rs
+++ b/crates/membership/src/view/failure_detector.rs
@@ -1,5 +1,5 @@
-//! SWIM's failure detector (section 3.1): a ping of one member each protocol period, indirect pings through others when
-//! it is not answered, and a suspicion when those bring no answer either.
+//! SWIM's failure detector (section 3.1): pings one member in each protocol period, pings it indirectly through other
+//! members if it does not answer, and suspects it if no indirect ping is answered either.
 
 use super::{View, ViewFault};
 use std::net::SocketAddr;
@@ -8,13 +8,13 @@
 
 /// Protocol periods after which an unanswered ping is followed by indirect pings.
 const DIRECT_TIMEOUT_PERIODS: f64 = 0.3;
-/// Protocol periods after which the probe has failed.
+/// Protocol periods after which an unanswered probe has failed.
 const INDIRECT_TIMEOUT_PERIODS: f64 = 0.9;
-/// Members that are asked for an indirect ping.
+/// Number of members that are asked for an indirect ping (SWIM's parameter k).
 const INDIRECT_CHECKS: usize = 3;
-/// Greatest number of pings on behalf of others that are remembered.
+/// Maximum number of pending pings on behalf of other members.
 const MAX_RELAYS: usize = 64;
-/// Greatest number of this host's own probes that wait for an answer.
+/// Maximum number of this host's own probes that wait for an answer.
 const MAX_PROBES: usize = 32;
 
 /// A probe of a member that waits for its answer.
@@ -22,14 +22,14 @@
 pub(super) struct Probe {
     pub seq: u32,
     pub slot: u32,
-    /// The generation that was probed: a later one is not suspected for what an earlier one did not answer.
+    /// Generation that was probed. A later generation is not suspected because an earlier one did not answer.
     pub generation: u64,
     pub sent: Instant,
-    /// Whether helpers were asked for an indirect ping.
+    /// Whether indirect pings were requested.
     pub indirect_sent: bool,
     pub direct_until: Instant,
     pub until: Instant,
-    /// Helpers that the member did not answer either (Lifeguard's nack).
+    /// Number of helpers that reported no answer of the member either (Lifeguard's nack).
     pub nacks: usize,
 }
 
@@ -44,15 +44,15 @@
 }
 
 impl View {
-    /// A member has sent a probe message.
+    /// Handles a probe message of a member.
     pub fn handle_message(&mut self, now: Instant, from: SocketAddr, slot: u32, message: &ProbeMessage) {
         match *message {
             ProbeMessage::Ping { seq } => self.send_probe(from, ProbeMessage::Ack { seq }, Some(slot)),
             ProbeMessage::Ack { seq } => {
-                self.probe_answered(now, seq, slot);
+                self.handle_probe_answer(now, seq, slot);
                 self.relay_ack(seq, slot);
             }
-            ProbeMessage::IndirectAck { seq, slot: target } => self.probe_answered(now, seq, target),
+            ProbeMessage::IndirectAck { seq, slot: target } => self.handle_probe_answer(now, seq, target),
             ProbeMessage::Nack { seq, slot: target } => {
                 let is_probe = |probe: &&mut Probe| probe.seq == seq && probe.slot == target;
                 if let Some(probe) = self.probes.iter_mut().find(is_probe) {
@@ -68,7 +68,7 @@
         self.send(to, Body::Probe(message), recipient);
     }
 
-    fn probe_answered(&mut self, now: Instant, seq: u32, slot: u32) {
+    fn handle_probe_answer(&mut self, now: Instant, seq: u32, slot: u32) {
         let before = self.probes.len();
         self.probes.retain(|probe| probe.seq != seq || probe.slot != slot);
         if self.probes.len() < before {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Ends relays and probes that were not answered in time.
+    /// Ends relays and probes that have timed out, and requests indirect pings for unanswered direct ones.
     pub(super) fn expire_probes(&mut self, now: Instant) {
         self.expire_relays(now);
         let mut index = 0;
@@ -105,7 +105,7 @@
             let probe = self.probes[index].clone();
             if now >= probe.until {
                 self.probes.remove(index);
-                self.probe_failed(now, &probe);
+                self.handle_probe_failure(now, &probe);
                 continue;
             }
             if now >= probe.direct_until && !probe.indirect_sent {
@@ -127,7 +127,7 @@
     }
 
     fn request_indirect_pings(&mut self, now: Instant, probe: &Probe) {
-        for helper in self.pick(now, INDIRECT_CHECKS, Some(probe.slot)) {
+        for helper in self.random_members(now, INDIRECT_CHECKS, Some(probe.slot)) {
             if let Some(address) = self.address(helper) {
                 let message = ProbeMessage::PingRequest { seq: probe.seq, slot: probe.slot };
                 self.send_probe(address, message, Some(helper));
@@ -135,17 +135,18 @@
         }
     }
 
-    /// A probe failed: neither the member answered nor a helper for it.
+    /// Handles a failed probe, to which no answer came from the member or through a helper.
     ///
-    /// Without nacks this host could not tell a dead member from its own broken link, and would suspect all that it probes.
-    /// A nack shows that the host's own datagrams arrive. Without any the host counts the failure against itself too.
-    fn probe_failed(&mut self, now: Instant, probe: &Probe) {
+    /// Without nacks this host could not tell a dead member from a failure of its own link, and would suspect all members
+    /// that it probes. A nack shows that this host's datagrams arrive. If there is none, the failure also degrades the
+    /// local health.
+    fn handle_probe_failure(&mut self, now: Instant, probe: &Probe) {
         let state = self.members.get(probe.slot).filter(|state| state.generation == probe.generation);
         let Some(state) = state else { return };
         let received_since = state.last_received.is_some_and(|received| received >= probe.sent);
         if self.settings.extensions.local_health && probe.nacks == 0 {
             self.degrade_local_health(1);
-            // Datagrams of the member arrive, and no helper reports it silent: the answers get lost near this host.
+            // Datagrams of the member arrive, and no helper sent a nack, so the answers are probably lost near this host.
             if received_since {
                 return;
             }
@@ -155,8 +156,8 @@
         }
     }
 
-    /// Starts one probe a period; two while a member is suspected, unless this host's own health is bad. Members often fail
-    /// together, and a second probe finds the others sooner.
+    /// Starts the probes of a period: one, or two while a member is suspected and this host's own health is not bad.
+    /// Members often fail together, and a second probe finds the other failures sooner.
     pub(super) fn start_probes(&mut self, now: Instant) {
         self.start_probe(now);
         let has_suspects = !self.members.suspects().is_empty();
@@ -189,9 +190,11 @@
         self.send_probe(address, ProbeMessage::Ping { seq }, Some(slot));
     }
 
-    /// All members are probed in turn, in an order that is shuffled for each round (SWIM, section 4.3).
+    /// Returns the member to probe next. Members are probed in rounds, in an order that is shuffled for each round (SWIM,
+    /// section 4.3).
     fn next_probe_target(&mut self, now: Instant) -> Option<u32> {
-        let is_excluded = |slot: &u32| self.has(ViewFault::ExcludesFlapping) && self.is_flapping(now, *slot);
+        let is_excluded =
+            |slot: &u32| self.has_fault(ViewFault::ExcludesFlapping) && self.is_flapping(now, *slot);
         let live: Vec<u32> = self.live().iter().copied().filter(|slot| !is_excluded(slot)).collect();
         loop {
             match self.probe_order.pop() {
@@ -203,7 +206,7 @@
         }
     }
 
-    /// Begins a round of all live members in a random order (the shuffle of Fisher and Yates).
+    /// Begins a round of all live members in a random order (Fisher-Yates shuffle).
     fn shuffle_probe_order(&mut self, live: &[u32]) {
         self.probe_order = live.to_vec();
         for last in (1..self.probe_order.len()).rev() {
@@ -212,12 +215,12 @@
         }
     }
 
-    /// Gives a member that joins during a round a random place in it. Without that it would not be probed before the next
-    /// round, and in a large fleet its early death would stay unnoticed for that long.
+    /// Inserts a member that joins during a round at a random position of that round. Otherwise it would not be probed
+    /// before the next round, and in a large fleet an early death would go unnoticed for that long.
     pub(super) fn add_to_probe_order(&mut self, slot: u32) {
         if !self.probe_order.contains(&slot) {
-            let place = self.random.rand_range(0..self.probe_order.len() as u64 + 1) as usize;
-            self.probe_order.insert(place, slot);
+            let position = self.random.rand_range(0..self.probe_order.len() as u64 + 1) as usize;
+            self.probe_order.insert(position, slot);
         }
     }
 }
--- a/crates/membership/src/view/member_state.rs
+++ b/crates/membership/src/view/member_state.rs
@@ -1,4 +1,4 @@
-//! The state of one member in the view, and what the view reports.
+//! The state of one member in the view, and the events and counters of the view.
 
 use super::flapping::FlapScore;
 use super::SiteHealth;
@@ -9,49 +9,51 @@
 /// State of one member in a view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberState {
-    /// The latest generation that is known.
+    /// Latest generation that is known.
     pub generation: u64,
-    /// Its latest incarnation.
+    /// Latest known incarnation of that generation.
     pub incarnation: u32,
-    /// Its health at that incarnation.
+    /// Health at that incarnation.
     pub health: Health,
-    /// Where it is reached.
+    /// Address at which the member is reached.
     pub address: SocketAddr,
-    /// The site that it announced.
+    /// Site that the member announced, or `None` if it announced none.
     pub site: Option<u32>,
-    /// Since when it has had this health.
+    /// When this host accepted this state. For a suspected member it is the beginning of the suspicion, which moves to
+    /// a later time when this host was isolated or paused.
     pub since: Instant,
-    /// Members that suspect it, as far as their number matters.
+    /// Members that suspect this one, up to the number that shortens the suspicion.
     pub(super) suspected_by: Vec<u32>,
-    /// When a datagram of this generation was received last.
+    /// When a datagram of this generation was last received.
     pub(super) last_received: Option<Instant>,
-    /// When it stopped being alive, while it is not.
+    /// When the member stopped being alive, or `None` while it is alive.
     pub(super) failed_at: Option<Instant>,
-    /// How often it restarted or returned lately.
+    /// Decaying count of recent restarts and returns.
     pub(super) flap_score: FlapScore,
-    /// When it was last notified that it is suspected or held dead.
+    /// When the member was last notified that it is suspected or considered dead.
     pub(super) last_notified: Option<Instant>,
-    /// It was declared dead while this host received no datagram from any peer.
+    /// Whether the member was declared dead while this host received no datagram from any peer.
     pub(super) declared_in_isolation: bool,
 }
 
 impl MemberState {
-    /// Which of two states supersedes the other: a later generation, then a later incarnation, then worse health.
+    /// Returns the key by which states are compared: a later generation takes precedence, then a later incarnation, then
+    /// worse health.
     pub(super) fn precedence(&self) -> (u64, u32, Health) {
         (self.generation, self.incarnation, self.health)
     }
 
-    /// Whether it counts as a running member.
+    /// Returns whether the member is alive or suspected.
     pub(super) fn is_live(&self) -> bool {
         matches!(self.health, Health::Alive | Health::Suspect)
     }
 
-    /// Whether a datagram of it was received within that time.
+    /// Returns whether a datagram of the member was received within the last `time`.
     pub(super) fn was_received_within(&self, now: Instant, time: TimeDelta) -> bool {
         self.last_received.is_some_and(|received| now - received <= time)
     }
 
-    /// The state as it is gossiped.
+    /// Returns the state as an update to gossip.
     pub(super) fn to_update(&self, slot: u32) -> MemberUpdate {
         let is_suspect = self.health == Health::Suspect;
         MemberUpdate {
@@ -66,104 +68,104 @@
     }
 }
 
-/// A peer that is known, by its address.
+/// A known peer and its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownPeer {
-    /// Its slot.
+    /// Slot of the peer.
     pub slot: u32,
-    /// Its latest generation.
+    /// Latest known generation of the peer.
     pub generation: u64,
-    /// Where it was reached.
+    /// Last known address of the peer.
     pub address: SocketAddr,
 }
 
-/// A death of a member, as this host recorded it.
+/// Record of a member's death.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Death {
-    /// The member's slot.
+    /// Slot of the member.
     pub slot: u32,
-    /// Its generation.
+    /// Generation that died.
     pub generation: u64,
-    /// Its incarnation.
+    /// Incarnation of the member at its death.
     pub incarnation: u32,
-    /// When it was recorded.
+    /// When this host recorded the death.
     pub at: Instant,
-    /// This host declared it; else it was learned.
+    /// Whether this host declared the death itself, rather than learned of it from a peer.
     pub declared_here: bool,
 }
 
-/// Counters of a view.
+/// Counters of a view since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ViewCounters {
     /// Suspicions that this host began.
     pub suspected: u64,
     /// Suspicions that their members refuted.
     pub refuted: u64,
-    /// Deaths, declared here or learned.
+    /// Deaths that this host declared or learned of.
     pub dead: u64,
     /// Deaths that this host declared.
     pub declared_dead: u64,
-    /// Times that this host was suspected itself, and refuted it.
+    /// Updates about this host itself that it refuted, such as a suspicion.
     pub accused: u64,
-    /// Updates on slots, generations and incarnations that no member has.
+    /// Updates that were dropped because no member can have their slot, generation or incarnation.
     pub out_of_range: u64,
-    /// Times that this host was paused for more than a protocol period.
+    /// Pauses of this host for a protocol period or longer.
     pub pauses: u64,
-    /// Changes of flapping members that were not reported one by one.
+    /// Changes of flapping members that were not reported.
     pub damped: u64,
-    /// Times that a later generation of this host's slot turned out not to run.
+    /// Times that this host took its slot back from a later generation that does not run.
     pub taken_over: u64,
 }
 
-/// A change of the view, for the log.
+/// A change of the view that is reported.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ViewEvent {
-    /// A member has another health.
+    /// The health of a member changed, or the member restarted.
     Health {
-        /// The member.
+        /// Slot of the member.
         slot: u32,
-        /// Its health.
+        /// Health that the member has now.
         health: Health,
     },
-    /// A member flaps; its further changes are not reported.
+    /// A member flaps. Its further changes are not reported.
     Flapping {
-        /// The member.
+        /// Slot of the member.
         slot: u32,
     },
-    /// A site has another health.
+    /// The health of a site changed.
     Site {
-        /// The site.
+        /// Number of the site.
         site: u32,
-        /// Its health.
+        /// Health that the site has now.
         health: SiteHealth,
     },
-    /// This host was paused.
+    /// This host was paused for a protocol period or longer.
     Paused {
-        /// For how long.
+        /// Length of the pause.
         duration: TimeDelta,
     },
-    /// This host's local health is bad, or good again.
+    /// This host's local health became bad, or good again.
     LocalHealth {
-        /// The score; 0 is good.
+        /// Local health score; 0 is good.
         score: u32,
     },
-    /// A later generation of this host's slot is known.
+    /// This host learned of a later generation of its slot.
     Displaced {
-        /// The later generation.
+        /// Later generation that is known.
         generation: u64,
     },
-    /// The later generation does not run; this host took its slot back.
+    /// The later generation does not run, so this host took its slot back.
     TookOver {
-        /// The generation that this host has now.
+        /// Generation that this host has now.
         generation: u64,
     },
 }
 
-/// This host took its slot back from a later generation that does not run.
+/// Where the later generation was known from which this host took its slot back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakeOver {
-    /// The other process was known at this host's own address, where no other process can listen: it has ended.
+    /// At this host's own address. The other process has ended, as no two processes can listen there.
     SameAddress,
-    /// The other process was known at another address: it may only be paused.
+    /// At another address. The other process may only be paused.
     OtherAddress,
 }
--- a/crates/membership/src/view/member_table.rs
+++ b/crates/membership/src/view/member_table.rs
@@ -1,5 +1,5 @@
-//! The table of all members but this host, with indexes: the live members, the suspects, those declared dead in isolation,
-//! and the digest of all. With the indexes no timeout has to read the states of a fleet of hundreds.
+//! The table of all members except this host, with indexes of the live members, the suspects, those declared dead in
+//! isolation, and the digest of all. With the indexes no timeout has to read the states of a fleet of hundreds.
 
 use super::MemberState;
 use imbl::OrdMap;
@@ -10,15 +10,15 @@
 #[cfg(test)]
 mod tests;
 
-/// Members by slot.
+/// States of the members by slot, with indexes that follow each change.
 #[derive(Default)]
 pub(super) struct MemberTable {
     states: OrdMap<u32, MemberState>,
-    /// Slots of the members that are alive or suspected, in order.
+    /// Slots of the members that are alive or suspected, in ascending order.
     live: Vec<u32>,
     suspects: BTreeSet<u32>,
     declared_in_isolation: BTreeSet<u32>,
-    /// Sum of all checksums, which does not depend on their order.
+    /// Wrapping sum of all checksums, which does not depend on their order.
     digest: u32,
 }
 
@@ -41,7 +41,7 @@
         self.states.insert(slot, state);
     }
 
-    /// Removes a member.
+    /// Removes a member, if the table has it.
     pub(super) fn remove(&mut self, slot: u32) {
         let Some(state) = self.states.remove(&slot) else { return };
         self.digest = self.digest.wrapping_sub(checksum(&state.to_update(slot)));
@@ -52,56 +52,56 @@
         self.declared_in_isolation.remove(&slot);
     }
 
-    /// State of a member.
+    /// Returns the state of a member.
     pub(super) fn get(&self, slot: u32) -> Option<&MemberState> {
         self.states.get(&slot)
     }
 
-    /// All members in order of their slots.
+    /// Returns all members in ascending order of their slots.
     pub(super) fn iter(&self) -> impl Iterator<Item = (u32, &MemberState)> {
         self.states.iter().map(|(slot, state)| (*slot, state))
     }
 
-    /// Number of members.
+    /// Returns the number of members.
     pub(super) fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether the table has no members.
     pub(super) fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
 
-    /// A copy that shares its structure with the table.
+    /// Returns a copy of all states that shares its structure with the table.
     pub(super) fn snapshot(&self) -> OrdMap<u32, MemberState> {
         self.states.clone()
     }
 
-    /// Slots of the members that are alive or suspected, in order.
+    /// Returns the slots of the members that are alive or suspected, in ascending order.
     pub(super) fn live(&self) -> &[u32] {
         &self.live
     }
 
-    /// Slots of the members that are suspected.
+    /// Returns the slots of the members that are suspected.
     pub(super) fn suspects(&self) -> &BTreeSet<u32> {
         &self.suspects
     }
 
-    /// Slots of the members that were declared dead in isolation.
+    /// Returns the slots of the members that were declared dead in isolation.
     pub(super) fn declared_in_isolation(&self) -> &BTreeSet<u32> {
         &self.declared_in_isolation
     }
 
-    /// Digest of all members.
+    /// Returns the digest of all members.
     pub(super) fn digest(&self) -> u32 {
         self.digest
     }
 }
 
-/// Bytes that a member's checksum is computed of.
+/// Length in bytes of the input of a member's checksum.
 const MEMBER_CHECKSUM_INPUT_LEN: usize = 39;
 
-/// Checksum of one member's state; a digest is the sum of all.
+/// Returns the checksum of one member's state. A digest is the wrapping sum of all checksums.
 pub(super) fn checksum(update: &MemberUpdate) -> u32 {
     let mut bytes = [0u8; MEMBER_CHECKSUM_INPUT_LEN];
     bytes[..4].copy_from_slice(&update.slot.to_be_bytes());
--- a/crates/membership/src/view/member_table/tests.rs
+++ b/crates/membership/src/view/member_table/tests.rs
@@ -1,4 +1,4 @@
-//! The indexes of the member table.
+//! Tests of the indexes of the member table.
 
 use super::*;
 use crate::view::flapping::FlapScore;
@@ -24,8 +24,8 @@
     }
 }
 
-/// Members are inserted, replaced and removed at random. An index that missed one change would let a timeout skip a member,
-/// or make two equal views have different digests.
+/// Members are inserted, replaced and removed at random. If an index missed a change, a timeout would skip a member, or two
+/// equal views would have different digests.
 #[test]
 fn indexes_match_the_states_after_each_change() {
     let mut random = oorandom::Rand32::new(7);
@@ -39,17 +39,17 @@
         }
         let state = random_state(&mut random, now, slot);
         table.insert(slot, state);
-        let of = |is: fn(&MemberState) -> bool| -> Vec<u32> {
-            table.iter().filter(|(_, state)| is(state)).map(|(slot, _)| slot).collect()
+        let slots_where = |predicate: fn(&MemberState) -> bool| -> Vec<u32> {
+            table.iter().filter(|(_, state)| predicate(state)).map(|(slot, _)| slot).collect()
         };
-        assert_eq!(table.live(), of(MemberState::is_live));
+        assert_eq!(table.live(), slots_where(MemberState::is_live));
         assert_eq!(
             table.suspects().iter().copied().collect::<Vec<_>>(),
-            of(|state| state.health == Health::Suspect)
+            slots_where(|state| state.health == Health::Suspect)
         );
         assert_eq!(
             table.declared_in_isolation().iter().copied().collect::<Vec<_>>(),
-            of(|state| state.declared_in_isolation)
+            slots_where(|state| state.declared_in_isolation)
         );
         let checksums = table.iter().map(|(slot, state)| checksum(&state.to_update(slot)));
         assert_eq!(table.digest(), checksums.reduce(u32::wrapping_add).unwrap_or(0));
--- a/crates/membership/src/view/merge.rs
+++ b/crates/membership/src/view/merge.rs
@@ -1,21 +1,21 @@
-//! Merging of updates that peers send: which of two states of a member holds, and refutation of updates on this host
-//! (SWIM, section 4.2).
+//! Merges updates that peers send: decides which of two states of a member takes precedence, and refutes false updates on
+//! this host (SWIM, section 4.2).
 
 use super::flapping::FlapScore;
 use super::{Death, MemberState, View, ViewEvent, ViewFault, RECENT_PERIODS};
 use tackmast::interface::Instant;
 use tackmast_wire::peer::{Health, MemberUpdate};
 
-/// Greatest incarnation that is accepted: a member could not refute a greater one by a later one for ever.
+/// Greatest incarnation that is accepted. It leaves room for the later incarnations by which a member refutes updates.
 const MAX_INCARNATION: u32 = 1 << 30;
-/// Greatest generation that is accepted: it leaves room for the generations of later starts.
+/// Greatest generation that is accepted. It leaves room for the generations of later starts.
 const MAX_GENERATION: u64 = u64::MAX - (1 << 20);
-/// Deaths that are kept for status output.
+/// Maximum number of deaths that are kept for status output.
 const MAX_DEATHS: usize = 64;
 
 impl View {
-    /// Merges an update on a member: a later generation wins, then a later incarnation, then worse health. An update with
-    /// the same precedence as the known state only adds to who confirms a suspicion.
+    /// Merges an update on a member. A later generation takes precedence, then a later incarnation, then worse health. An
+    /// update with the same precedence as the known state can only confirm a suspicion or resolve a conflict of addresses.
     pub fn merge(&mut self, now: Instant, update: MemberUpdate) {
         if !self.is_in_range(&update) {
             self.counters.out_of_range += 1;
@@ -26,7 +26,7 @@
         }
         let Some(state) = self.members.get(update.slot) else {
             let first_alive = update.health == Health::Alive && self.members.len() < 2;
-            if !self.has(ViewFault::DropsUnknownMembers) || first_alive {
+            if !self.has_fault(ViewFault::DropsUnknownMembers) || first_alive {
                 self.accept(now, update, None);
             }
             return;
@@ -38,16 +38,16 @@
             return;
         }
         let state = state.clone();
-        if let Some(update) = self.checked_death(now, update, &state) {
+        if let Some(update) = self.downgrade_doubtful_death(now, update, &state) {
             self.accept(now, update, Some(&state));
         }
     }
 
-    /// Whether some member can have sent the update.
+    /// Returns whether a member of this fleet can have this slot, generation and incarnation.
     ///
-    /// A false update with the greatest generation or incarnation would hold a running member dead for good, as the member
-    /// could not refute it by a greater one. Slots without bound would fill the table, which shows as rising memory and
-    /// longer digests.
+    /// A running member could not refute a false death with the greatest generation or incarnation, as it has no
+    /// greater one to take, and would be considered dead forever. Unbounded slots would fill the table, which would
+    /// show as growing memory and more updates in each answer to a digest.
     fn is_in_range(&self, update: &MemberUpdate) -> bool {
         update.incarnation <= MAX_INCARNATION
             && update.generation <= MAX_GENERATION
@@ -56,26 +56,26 @@
 
     fn supersedes(&self, update: &MemberUpdate, state: &MemberState) -> bool {
         precedence(update) > state.precedence()
-            || replaces_guess(update, state)
+            || replaces_isolated_death(update, state)
             || self.supersedes_by_fault(update, state)
     }
 
-    /// The deliberate faults of precedence.
+    /// Returns whether a deliberate fault of precedence lets the update supersede the state.
     fn supersedes_by_fault(&self, update: &MemberUpdate, state: &MemberState) -> bool {
-        let ignores_incarnation = self.has(ViewFault::IgnoresIncarnation)
+        let ignores_incarnation = self.has_fault(ViewFault::IgnoresIncarnation)
             && precedence(update) != state.precedence()
             && update.generation == state.generation;
-        let old_generation_wins = self.has(ViewFault::OldGenerationWins)
+        let old_generation_wins = self.has_fault(ViewFault::OldGenerationWins)
             && update.generation < state.generation
             && update.health == Health::Alive;
         ignores_incarnation || old_generation_wins
     }
 
-    /// Merges an update of the same generation, incarnation and health as what is known.
+    /// Merges an update with the same generation, incarnation and health as the known state.
     fn merge_equal(&mut self, now: Instant, update: MemberUpdate) {
         let Some(state) = self.members.get(update.slot) else { return };
-        // Two processes may claim one generation from two addresses. All hosts choose the greater address, or their views
-        // would never converge.
+        // Two processes may claim one generation from two addresses. All hosts choose the greater address, as their views
+        // would otherwise never converge.
         if (update.address, update.site) > (state.address, state.site) {
             let state = MemberState { address: update.address, site: update.site, ..state.clone() };
             self.members.insert(update.slot, state);
@@ -86,12 +86,18 @@
         }
     }
 
-    /// A peer's death of a member whose datagrams arrive here becomes a suspicion; none: a suspicion runs already.
+    /// Turns the death of a member whose datagrams arrive here into a suspicion, and returns other updates unchanged.
+    /// Returns `None` if the member is suspected already.
     ///
-    /// A host that is cut off declares others dead. If its update were accepted as it is, running members would be dead in
-    /// every view until they refute it. As a suspicion they get time to refute it, and a member that is really dead stops
-    /// sending, so that its death is accepted soon after.
-    fn checked_death(&self, now: Instant, update: MemberUpdate, state: &MemberState) -> Option<MemberUpdate> {
+    /// A host that is cut off declares others dead. If that were accepted, running members would be dead in every view
+    /// until they refute it. A suspicion gives them time to refute it, and a member that is really dead stops sending,
+    /// so that its death is accepted soon after.
+    fn downgrade_doubtful_death(
+        &self,
+        now: Instant,
+        update: MemberUpdate,
+        state: &MemberState,
+    ) -> Option<MemberUpdate> {
         let is_received = state.was_received_within(now, self.periods(RECENT_PERIODS))
             && update.generation == state.generation;
         if update.health != Health::Dead || !is_received || !self.settings.extensions.buddy_system {
@@ -103,7 +109,7 @@
         Some(MemberUpdate { health: Health::Suspect, ..update })
     }
 
-    /// Replaces what is known of a member.
+    /// Replaces the known state of a member.
     fn accept(&mut self, now: Instant, update: MemberUpdate, before: Option<&MemberState>) {
         let slot = update.slot;
         let health_before = before.map(|state| state.health);
@@ -112,7 +118,7 @@
         }
         if update.health == Health::Dead && health_before != Some(Health::Dead) {
             self.record_death(now, &update, false);
-            if self.has(ViewFault::ForgetsDead) {
+            if self.has_fault(ViewFault::ForgetsDead) {
                 return self.forget(slot);
             }
         }
@@ -131,7 +137,7 @@
         self.broadcast(slot);
     }
 
-    /// The state after an update; `before` is the one that it replaces.
+    /// Returns the state of a member after an update. `before` is the state that it replaces, if there is one.
     fn next_state(&self, now: Instant, update: &MemberUpdate, before: Option<&MemberState>) -> MemberState {
         let same_generation = before.filter(|before| before.generation == update.generation);
         let failed_at = match update.health {
@@ -139,8 +145,8 @@
             _ => before.and_then(|before| before.failed_at).or(Some(now)),
         };
         let flap_score = self.next_flap_score(now, update, before);
-        let old_address = before.filter(|_| self.has(ViewFault::OldAddressWins));
-        let old_site = before.filter(|_| self.has(ViewFault::OldSiteWins));
+        let old_address = before.filter(|_| self.has_fault(ViewFault::OldAddressWins));
+        let old_site = before.filter(|_| self.has_fault(ViewFault::OldSiteWins));
         let suspected_by = update.suspected_by.filter(|_| update.health == Health::Suspect);
         MemberState {
             generation: update.generation,
@@ -158,7 +164,8 @@
         }
     }
 
-    /// A return from death or leave, and a restart without a graceful leave, add to the score.
+    /// Returns the flap score after an update. A return from death or leave, and a restart without a graceful leave,
+    /// increment it.
     fn next_flap_score(
         &self,
         now: Instant,
@@ -175,7 +182,7 @@
         }
     }
 
-    /// Reports a change of health. Changes of a member that flaps are one event in all.
+    /// Reports a change of health. While a member flaps, only the first change is reported, as an event that it flaps.
     pub(super) fn report_health(&mut self, slot: u32, health: Health, flapped: bool, flaps: bool) {
         match (flapped, flaps) {
             (_, false) => self.events.push_back(ViewEvent::Health { slot, health }),
@@ -202,25 +209,25 @@
         if update.generation > self.me.generation {
             return self.set_displaced(now, update.generation, update.address);
         }
-        if update.generation < self.me.generation || self.has(ViewFault::NoRefutation) {
+        if update.generation < self.me.generation || self.has_fault(ViewFault::NoRefutation) {
             return;
         }
         let is_worse = update.health > self.me.health && update.incarnation >= self.me.incarnation;
-        // An incarnation that this host never had is refuted too: its own updates would else be ignored as older.
+        // An incarnation that this host never had is refuted too, as its own updates would otherwise be ignored as older.
         if is_worse || update.incarnation > self.me.incarnation {
             self.refute(now, update.incarnation);
             if self.settings.extensions.local_health && is_worse {
                 self.degrade_local_health(1);
             }
             self.broadcast(self.me.slot);
-            // The suspicion expires at all peers that confirm it, so the refutation does not wait for the next probe.
+            // The suspicion times out at all peers that confirm it, so the refutation does not wait for the next probe.
             if self.settings.extensions.buddy_system {
                 self.gossip_now();
             }
         }
     }
 
-    /// Takes a later incarnation than the one that was claimed.
+    /// Takes a later incarnation than the one in a false update.
     fn refute(&mut self, now: Instant, incarnation: u32) {
         self.me.incarnation = incarnation + 1;
         self.counters.accused += 1;
@@ -228,17 +235,18 @@
     }
 }
 
-/// Whether the update replaces a death that this host declared in isolation. The host received nothing then, and gossiped
-/// none of it, so its peers still have the member alive at the same incarnation. Without this rule their updates would
-/// lose against the guess, as worse health takes precedence.
-fn replaces_guess(update: &MemberUpdate, state: &MemberState) -> bool {
+/// Returns whether the update replaces a death that this host declared in isolation. The host received no datagrams then
+/// and did not gossip the death, so its peers may still have the member alive at the same incarnation. Without this rule
+/// the death would take precedence over their updates, as worse health does.
+fn replaces_isolated_death(update: &MemberUpdate, state: &MemberState) -> bool {
     state.declared_in_isolation
         && update.generation == state.generation
         && update.incarnation >= state.incarnation
         && update.health != Health::Dead
 }
 
-/// Which of two updates supersedes the other: a later generation, then a later incarnation, then worse health.
+/// Returns the key by which updates are compared: a later generation takes precedence, then a later incarnation, then worse
+/// health.
 fn precedence(update: &MemberUpdate) -> (u64, u32, Health) {
     (update.generation, update.incarnation, update.health)
 }
--- a/crates/membership/src/view/settings.rs
+++ b/crates/membership/src/view/settings.rs
@@ -1,101 +1,102 @@
-//! Settings of the view, its extensions of plain SWIM, and its deliberate faults.
+//! Settings of the view, its extensions to plain SWIM, and its deliberate faults.
 
 use tackmast::interface::TimeDelta;
 
 /// Settings of the view.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ViewSettings {
-    /// SWIM's protocol period: one member is probed in each.
+    /// SWIM's protocol period, in which one member is probed.
     pub protocol_period: TimeDelta,
-    /// Slots are below this; updates on others are refused.
+    /// Maximum number of hosts in the fleet. Updates on slots from this number on are rejected.
     pub max_hosts: usize,
-    /// Extensions that are on.
+    /// Extensions that are enabled.
     pub extensions: Extensions,
 }
 
-/// What the view does beyond plain SWIM. Each extension can be switched off, so that simulations can compare.
+/// Extensions of the view to plain SWIM. Each can be disabled, so that simulations can compare runs with and without it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Extensions {
     /// Lifeguard's local health multiplier: a host whose probes go unanswered, or that receives nothing, waits longer
     /// before it suspects others.
     pub local_health: bool,
-    /// Lifeguard's dynamic suspicion timeout: suspicions that several members confirm end sooner, those of one alone
+    /// Lifeguard's dynamic suspicion timeout: suspicions that several members confirm end sooner, and those of one member
     /// later.
     pub suspicion_confirmation: bool,
-    /// A host that was paused suspects no member for what it missed meanwhile.
+    /// A host that was paused suspects no member because of answers that it missed.
     pub pause_detection: bool,
-    /// Lifeguard's buddy system: a member that is suspected or held dead is notified as soon as it sends anything.
+    /// Lifeguard's buddy system: a member that is suspected or considered dead is notified as soon as it sends a datagram.
     pub buddy_system: bool,
-    /// Each datagram carries its sender's own state, with its incarnation.
+    /// The state and incarnation that each datagram carries of its sender are merged.
     pub sender_state: bool,
-    /// Peers that an earlier generation knew are contacted, and more of those held dead once one of them sends anything.
+    /// Peers that an earlier generation knew are contacted. Members that are considered dead are contacted more often once
+    /// one of them sends a datagram.
     pub rejoin: bool,
-    /// A member that flaps is not asked for indirect probes until it stays.
+    /// A member that flaps is not asked for indirect pings until its flap score has decayed.
     pub flap_damping: bool,
-    /// A host whose slot seems to have a later generation checks whether that one runs.
+    /// A host that learns of a later generation of its slot checks whether that one runs.
     pub duplicate_id_check: bool,
 }
 
 impl Extensions {
-    /// All of them, as hosts run.
+    /// Returns all extensions enabled, as hosts run.
     pub fn all() -> Extensions {
-        Extensions::set(true)
+        Extensions::uniform(true)
     }
 
-    /// None of them: plain SWIM.
+    /// Returns all extensions disabled, which is plain SWIM.
     pub fn none() -> Extensions {
-        Extensions::set(false)
+        Extensions::uniform(false)
     }
 
-    fn set(on: bool) -> Extensions {
+    fn uniform(enabled: bool) -> Extensions {
         Extensions {
-            local_health: on,
-            suspicion_confirmation: on,
-            pause_detection: on,
-            buddy_system: on,
-            sender_state: on,
-            rejoin: on,
-            flap_damping: on,
-            duplicate_id_check: on,
+            local_health: enabled,
+            suspicion_confirmation: enabled,
+            pause_detection: enabled,
+            buddy_system: enabled,
+            sender_state: enabled,
+            rejoin: enabled,
+            flap_damping: enabled,
+            duplicate_id_check: enabled,
         }
     }
 }
 
-/// Deliberate faults of the view, for simulations to find.
+/// Deliberate faults of the view. Simulations must detect each of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViewFault {
-    /// A member of an earlier generation overrides the later one when it is alive.
+    /// An update of an earlier generation supersedes the state of a later one if it says that the member is alive.
     OldGenerationWins,
     /// A host does not refute suspicions of itself.
     NoRefutation,
     /// Suspicions never end.
     SuspicionWithoutEnd,
-    /// When two partitions merge, only updates on members that are known already are taken.
+    /// Beyond the first two members, only updates on known members are accepted, so that two partitions do not merge.
     DropsUnknownMembers,
-    /// Peers that an earlier generation knew count as alive before they answered.
+    /// Peers that an earlier generation knew count as alive before they answer.
     TrustsPersistedPeers,
-    /// The address that was learned first stays through all generations.
+    /// The first known address of a member is kept through all generations.
     OldAddressWins,
-    /// Members held dead are never contacted.
+    /// Members that are considered dead, and seeds, are not contacted again.
     NoReconnection,
     /// A host that was paused suspects all others when it resumes.
     SuspectsAfterPause,
-    /// One missed answer is a death.
+    /// Suspicions end at once, so that one missed answer causes a death.
     NoSuspicion,
-    /// The update that arrived last holds, whatever its incarnation.
+    /// The last update of a generation is accepted, whatever its incarnation.
     IgnoresIncarnation,
-    /// Members held dead are forgotten.
+    /// Members that die are removed from the table.
     ForgetsDead,
     /// A host never takes its slot back from a later generation that does not run.
     BelievesDuplicateId,
-    /// The site of an earlier generation stays.
+    /// The first known site of a member is kept through all generations.
     OldSiteWins,
-    /// A member that flapped is never probed or asked for help again.
+    /// A member that flapped is never probed or asked for indirect pings again.
     ExcludesFlapping,
 }
 
 impl ViewFault {
-    /// All of them.
+    /// All deliberate faults.
     pub const ALL: [ViewFault; 14] = [
         ViewFault::OldGenerationWins,
         ViewFault::NoRefutation,
--- a/crates/membership/src/view/sites.rs
+++ b/crates/membership/src/view/sites.rs
@@ -1,54 +1,54 @@
-//! Members by site: whether all hosts of a site failed together or one by one. Operators read it; no decision depends on
-//! it.
+//! Aggregates members by site, and tells whether all hosts of a site failed together or one by one. This is reported to
+//! operators; no decision depends on it.
 
 use super::{MemberState, View, ViewEvent};
 use std::collections::BTreeMap;
 use tackmast::interface::Instant;
 use tackmast_wire::peer::Health;
 
-/// Protocol periods between the first and the last failure of a site's hosts, at most, if they failed together.
+/// Maximum protocol periods between the first and the last failure of a site's hosts that count as a failure together.
 const TOGETHER_PERIODS: f64 = 12.0;
-/// Protocol periods without any datagram after which a host reports no site.
+/// Protocol periods without any datagram after which a host reports no change of a site.
 const SITE_SILENCE_PERIODS: f64 = 4.0;
 
-/// Health of a site.
+/// Health of a site, by the health of its hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SiteHealth {
-    /// Some of its hosts are alive.
+    /// At least one of its hosts is alive.
     Reachable,
-    /// All of its hosts failed together.
+    /// All of its hosts failed within a short time. Hosts that left gracefully do not count.
     FailedTogether {
-        /// How many.
+        /// Number of hosts that failed.
         hosts: u32,
     },
-    /// All of its hosts failed, one by one.
+    /// All of its hosts failed over a longer time. Hosts that left gracefully do not count.
     FailedOneByOne {
-        /// How many.
+        /// Number of hosts that failed.
         hosts: u32,
     },
     /// All of its hosts left gracefully.
     Left,
 }
 
-/// Members of a site by their health.
+/// Number of members of a site in each health.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteState {
-    /// The site; none: hosts that announced none.
+    /// Number of the site, or `None` for hosts that announced none.
     pub site: Option<u32>,
-    /// Hosts that are alive, this one included.
+    /// Number of hosts that are alive, this one included.
     pub alive: u32,
-    /// Hosts that are suspected.
+    /// Number of hosts that are suspected.
     pub suspect: u32,
-    /// Hosts that are held dead.
+    /// Number of hosts that are considered dead.
     pub dead: u32,
-    /// Hosts that left.
+    /// Number of hosts that left gracefully.
     pub left: u32,
     /// Health of the site by these counts.
     pub health: SiteHealth,
 }
 
 impl View {
-    /// All sites, this host's own included.
+    /// Returns the state of each site, this host's own included.
     pub fn sites(&self) -> Vec<SiteState> {
         let mut by_site: BTreeMap<Option<u32>, Vec<&MemberState>> = BTreeMap::new();
         by_site.entry(self.me.site).or_default();
@@ -78,7 +78,7 @@
         ends.is_some_and(|(first, last)| *last - *first <= self.periods(TOGETHER_PERIODS))
     }
 
-    /// Reports sites whose health has changed. A host that receives nothing reports none: it is as likely cut off itself,
+    /// Reports sites whose health has changed. A host that receives nothing reports none, because it may be cut off itself,
     /// and would report every site as down.
     pub(super) fn report_sites(&mut self, now: Instant) {
         if now - self.last_received > self.periods(SITE_SILENCE_PERIODS) {
--- a/crates/membership/src/view/suspicion.rs
+++ b/crates/membership/src/view/suspicion.rs
@@ -1,42 +1,42 @@
 //! Suspicions (SWIM, section 4.2) and how long they last: the more members confirm one, the sooner it ends (Lifeguard,
 //! section 4.2).
 //!
-//! Without a suspicion first, one lost answer would be a death. With a fixed time-out, a host that is itself slow would
-//! declare members dead whose refutation it has not read yet; so a suspicion that nobody confirms lasts longer.
+//! Without suspicions, one lost answer would cause a death. With a fixed timeout, a host that is itself slow would declare
+//! members dead whose refutations it has not read yet, so a suspicion that no other member confirms lasts longer.
 
 use super::local_health::BAD_SCORE;
 use super::{MemberState, View, ViewFault, RECENT_PERIODS};
 use tackmast::interface::Instant;
 use tackmast_wire::peer::Health;
 
-/// Protocol periods of a suspicion in plain SWIM, for each unit of the logarithm of the number of members.
-const PLAIN_PERIODS: f64 = 2.0;
-/// Protocol periods of a fully confirmed suspicion, for each unit of the same logarithm.
+/// Duration of a suspicion in plain SWIM, in protocol periods per unit of the logarithm of the number of members.
+const PLAIN_SWIM_PERIODS: f64 = 2.0;
+/// Duration of a fully confirmed suspicion, in protocol periods per unit of the same logarithm.
 const CONFIRMED_PERIODS: f64 = 0.9;
-/// Least protocol periods of a fully confirmed suspicion.
+/// Minimum duration of a suspicion with the dynamic timeout, in protocol periods.
 const MIN_PERIODS: f64 = 4.0;
-/// How many times longer a suspicion lasts that nobody confirms.
+/// Factor by which a suspicion that no other member confirms lasts longer than a fully confirmed one.
 const UNCONFIRMED_MULTIPLIER: f64 = 3.0;
-/// Confirmations by which a suspicion is fully confirmed.
+/// Number of confirmations that make a suspicion fully confirmed.
 const FULL_CONFIRMATIONS: usize = 3;
-/// How many times longer a suspicion lasts while datagrams of the member are received.
+/// Factor by which a suspicion lasts longer while datagrams of the member are received.
 const RECEIVED_MULTIPLIER: f64 = 2.0;
 
-/// What the length of a suspicion depends on.
+/// Inputs that determine the duration of a suspicion.
 struct SuspicionInputs {
-    /// Logarithm of the number of members: refutations take so many rounds of gossip.
+    /// Binary logarithm of the number of members, which is the number of rounds of gossip that a refutation takes.
     log_size: f64,
-    /// Members that suspect it.
+    /// Number of members that suspect it.
     suspecting: usize,
-    /// Members that are alive or suspected, without this host.
+    /// Number of members that are alive or suspected, without this host.
     live_count: usize,
 }
 
-/// Protocol periods that a suspicion lasts with Lifeguard's dynamic timeout: the longest time while one member suspects,
-/// down to the shortest once it is fully confirmed.
+/// Returns the duration of a suspicion with Lifeguard's dynamic timeout, in protocol periods. It falls from the maximum,
+/// while one member suspects, to the minimum once the suspicion is fully confirmed.
 fn dynamic_suspicion_periods(inputs: &SuspicionInputs) -> f64 {
     let min = (CONFIRMED_PERIODS * inputs.log_size).max(MIN_PERIODS);
-    // Where fewer members are left than could confirm it, fewer suffice.
+    // If fewer members are left than a full confirmation takes, fewer confirmations suffice.
     let full = FULL_CONFIRMATIONS.min(inputs.live_count.saturating_sub(1));
     let confirmed = match full {
         0 => 1.0,
@@ -45,14 +45,14 @@
     min * (UNCONFIRMED_MULTIPLIER - (UNCONFIRMED_MULTIPLIER - 1.0) * confirmed)
 }
 
-/// How many times longer suspicions last while this host's own health is bad: where its probes go unanswered, refutations
-/// get lost as well.
+/// Returns the factor by which suspicions last longer at this local health score. If this host's probes go unanswered,
+/// refutations are lost as well.
 fn local_health_multiplier(local_health_score: u32) -> f64 {
     1.0 + f64::from(local_health_score) / BAD_SCORE
 }
 
 impl View {
-    /// This host's own probe of a member failed.
+    /// Suspects a member after this host's own probe of it failed.
     pub(super) fn suspect(&mut self, now: Instant, slot: u32) {
         let Some(state) = self.members.get(slot).cloned() else { return };
         match state.health {
@@ -73,8 +73,8 @@
         self.broadcast(slot);
     }
 
-    /// Records that one more member suspects it. This is gossiped only until the suspicion is fully confirmed, as further
-    /// confirmations change nothing.
+    /// Records that one more member suspects this one. Once the suspicion is fully confirmed, further confirmations change
+    /// nothing and are not gossiped.
     pub(super) fn confirm_suspicion(&mut self, slot: u32, by: Option<u32>) {
         let Some(by) = by.filter(|_| self.settings.extensions.suspicion_confirmation) else { return };
         let Some(state) = self.members.get(slot) else { return };
@@ -87,19 +87,19 @@
         self.broadcast(slot);
     }
 
-    /// Protocol periods that a suspicion by so many members lasts.
+    /// Returns the duration of a suspicion by this many members, in protocol periods.
     fn suspicion_periods(&self, suspecting: usize) -> f64 {
         let log_size = self.log_size();
         if !self.settings.extensions.suspicion_confirmation {
-            return PLAIN_PERIODS * log_size;
+            return PLAIN_SWIM_PERIODS * log_size;
         }
         let live_count = self.live_count() as usize;
         dynamic_suspicion_periods(&SuspicionInputs { log_size, suspecting, live_count })
     }
 
-    /// Whether the time of a member to refute its suspicion is over.
-    fn is_suspicion_over(&self, now: Instant, state: &MemberState) -> bool {
-        if self.has(ViewFault::NoSuspicion) {
+    /// Returns whether the time in which a member can refute its suspicion has elapsed.
+    fn has_suspicion_timed_out(&self, now: Instant, state: &MemberState) -> bool {
+        if self.has_fault(ViewFault::NoSuspicion) {
             return true;
         }
         let extensions = self.settings.extensions;
@@ -115,36 +115,37 @@
         now - state.since >= self.periods(periods)
     }
 
-    /// Declares members dead that did not refute their suspicion in time.
+    /// Declares members dead that have not refuted their suspicion in time.
     pub(super) fn expire_suspicions(&mut self, now: Instant) {
-        if self.has(ViewFault::SuspicionWithoutEnd) {
+        if self.has_fault(ViewFault::SuspicionWithoutEnd) {
             return;
         }
-        // No refutation can arrive while this host is cut off. If suspicions expired then, a host with a broken link would
-        // declare the whole fleet dead. They wait until it receives again, or has received nothing for long.
+        // No refutation can arrive while this host is cut off. If suspicions timed out then, a host whose link has failed
+        // would declare the whole fleet dead. They wait until it receives datagrams again, or has received none for long.
         if self.is_cut_off(now) {
             return;
         }
-        let is_over =
-            |slot: &u32| self.members.get(*slot).is_some_and(|state| self.is_suspicion_over(now, state));
-        let over: Vec<u32> = self.members.suspects().iter().copied().filter(is_over).collect();
+        let has_timed_out = |slot: &u32| {
+            self.members.get(*slot).is_some_and(|state| self.has_suspicion_timed_out(now, state))
+        };
+        let timed_out: Vec<u32> = self.members.suspects().iter().copied().filter(has_timed_out).collect();
         let mut has_announcements = false;
-        for slot in over {
+        for slot in timed_out {
             has_announcements |= self.declare_dead(now, slot);
         }
-        // Peers still ask the dead member for help, so its death does not wait for the next probe.
+        // Peers may still ask the dead member for indirect pings, so its death is gossiped without waiting for a probe.
         if has_announcements && self.settings.extensions.suspicion_confirmation {
             self.gossip_now();
         }
     }
 
-    /// Declares a member dead; returns whether the death is gossiped. One that was declared in isolation is not: it is as
-    /// likely this host's own failure, and gossip would spread it once the host is connected again.
+    /// Declares a member dead, and returns whether the death is gossiped. A death that is declared in isolation is not:
+    /// it is as likely a failure of this host, and gossip would spread it once the host is connected again.
     fn declare_dead(&mut self, now: Instant, slot: u32) -> bool {
         let Some(state) = self.members.get(slot).cloned() else { return false };
         self.counters.declared_dead += 1;
         self.record_death(now, &state.to_update(slot), true);
-        if self.has(ViewFault::ForgetsDead) {
+        if self.has_fault(ViewFault::ForgetsDead) {
             self.forget(slot);
             return false;
         }
--- a/crates/membership/src/view/suspicion/tests.rs
+++ b/crates/membership/src/view/suspicion/tests.rs
@@ -1,12 +1,12 @@
-//! How long a suspicion lasts.
+//! Tests of the duration of a suspicion.
 
 use super::*;
 
-/// More and more members confirm a suspicion. Its time must shrink from three times the minimum to the minimum, and where
-/// fewer members are left than could confirm it, fewer must suffice.
+/// As more members confirm a suspicion, its timeout must shrink from three times the minimum to the minimum. If fewer
+/// members are left than a full confirmation takes, fewer confirmations must suffice.
 #[test]
-fn a_suspicion_lasts_shorter_the_more_members_confirm_it() {
-    // The logarithm of the number of members, members that suspect, live members, and the expected protocol periods.
+fn confirmations_shorten_a_suspicion() {
+    // Logarithm of the number of members, members that suspect, live members, and expected protocol periods.
     let cases = [
         (10.0, 1, 20, 27.0),
         (10.0, 2, 20, 18.0),
@@ -21,8 +21,9 @@
     }
 }
 
-/// A host whose own probes go unanswered may miss refutations as well, so it waits up to three times as long.
+/// A host whose own probes go unanswered may miss refutations as well, so its suspicions must last up to three times as
+/// long.
 #[test]
-fn a_suspicion_lasts_longer_while_this_host_is_in_bad_health() {
+fn bad_local_health_prolongs_a_suspicion() {
     assert_eq!([0, 4, 8].map(local_health_multiplier), [1.0, 2.0, 3.0]);
 }
