--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,87 +1,87 @@
-//! What a member reports to operators: a fixed message and named fields. docs/on-call.md has a row for each message.
+//! Events that a member reports to operators: a fixed message and named fields. docs/on-call.md has a row for each message.
 
 use std::fmt::{Display, Formatter, Result};
 use tackmast::interface::TimeDelta;
 use tackmast_wire::peer::Health;
 
-/// A change among the hosts of the fleet that an operator may want to know.
+/// A change among the hosts of the fleet that is reported to operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MembershipEvent {
-    /// A peer has another health.
+    /// The health of a peer changed.
     HealthChanged {
         /// Slot of the peer.
         peer: u32,
-        /// Its health.
+        /// Health that the peer has now.
         health: Health,
-        /// Hosts that are alive or suspected, this one included.
+        /// Number of hosts that are alive or suspected, this one included.
         alive_hosts: u32,
     },
-    /// A peer flaps: its further changes are not reported one by one.
+    /// A peer flaps. Its further changes of health are not reported individually.
     Flapping {
         /// Slot of the peer.
         peer: u32,
-        /// Hosts that are alive or suspected, this one included.
+        /// Number of hosts that are alive or suspected, this one included.
         alive_hosts: u32,
     },
     /// All hosts of a site failed within a short time.
     SiteFailedTogether {
-        /// The site.
+        /// Number of the site.
         site: u32,
-        /// How many hosts failed.
+        /// Number of hosts that failed.
         hosts: u32,
     },
-    /// All hosts of a site failed, one after the other.
+    /// All hosts of a site failed, but not within a short time.
     SiteFailedOneByOne {
-        /// The site.
+        /// Number of the site.
         site: u32,
-        /// How many hosts failed.
+        /// Number of hosts that failed.
         hosts: u32,
     },
     /// All hosts of a site left gracefully.
     SiteLeft {
-        /// The site.
+        /// Number of the site.
         site: u32,
     },
-    /// Some host of a site is alive again.
+    /// At least one host of a site is alive again.
     SiteReachable {
-        /// The site.
+        /// Number of the site.
         site: u32,
     },
-    /// This host's process was stopped, or its machine did not run it.
+    /// This host's process did not run for a while: it was stopped, or its machine was busy.
     Paused {
-        /// For how long.
+        /// Length of the pause.
         duration: TimeDelta,
     },
-    /// This host's probes go unanswered for no fault of the hosts that it probes.
+    /// This host's probes go unanswered, and the cause is this host rather than those that it probes.
     LocalHealthBad {
-        /// The local health score.
+        /// Local health score; 0 is good.
         score: u32,
     },
     /// This host's probes are answered in time again.
     LocalHealthGood,
-    /// A later generation of this host's slot is known.
+    /// This host learned of a later generation of its slot.
     Displaced {
-        /// The later generation.
+        /// Later generation that is known.
         generation: u64,
     },
-    /// The later generation of this host's slot does not run; this host has taken its slot back.
+    /// The later generation of this host's slot does not run, so this host took its slot back.
     TookOver {
-        /// The generation that this host has now.
+        /// Generation that this host has now.
         generation: u64,
-        /// Whether it uses the shared quota again; else not before it is restarted.
+        /// Whether this host uses the shared quota again. If not, it does so only after a restart.
         uses_shared_quota: bool,
     },
-    /// A peer has applied another catalog update under the same number.
+    /// A peer has applied a different catalog update under the same number.
     CatalogFork {
         /// Slot of the peer.
         peer: u32,
-        /// Number of the update.
+        /// Number of the catalog update.
         number: u64,
     },
 }
 
 impl MembershipEvent {
-    /// The message, the same for every event of its kind.
+    /// Returns the message, which is fixed for each kind of event and contains no values.
     pub fn message(&self) -> &'static str {
         match self {
             MembershipEvent::HealthChanged { health: Health::Alive, .. } => "host alive",
@@ -112,7 +112,8 @@
     }
 }
 
-/// One line: the message, then `name=value` for each field; times in seconds, generations in hexadecimal.
+/// Formats the event as one line: the message, then `name=value` for each field. Times are in seconds, and generations in
+/// hexadecimal.
 impl Display for MembershipEvent {
     fn fmt(&self, out: &mut Formatter<'_>) -> Result {
         out.write_str(self.message())?;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,5 +1,5 @@
-//! Membership of the hosts of a fleet, and what they exchange as members: state machines without I/O or a clock of their
-//! own, fed with datagrams and the time.
+//! Membership of the hosts of a fleet, and the data that members replicate among themselves. The package consists of state
+//! machines that perform no I/O and read no clock: the caller passes in datagrams and the time.
 //!
 //! Failure detection is SWIM ("SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol", Das,
 //! Gupta and Motivala, DSN 2002): randomised probing in rounds with indirect probes (sections 3.1 and 4.3), dissemination
@@ -9,19 +9,19 @@
 //! long partitions, damping of flapping members, and detection of pauses and of duplicate numbers.
 //!
 //! Four more protocols use the same datagrams. None of them depends on the view for correctness: a host that receives
-//! nothing keeps to what it knows.
+//! nothing continues with the state that it has.
 //!
-//! - `view`: which members run. SWIM and Lifeguard; its module comment names the file of each part.
-//! - `quota_leases`: leases on shares of a volume's limit, from an owner to another that has more demand.
-//! - `override_gossip`: operators' overrides, as a set that all hosts converge on.
+//! - `view`: the membership view by SWIM and Lifeguard; its module comment names the file of each part.
+//! - `quota_leases`: leases on shares of a volume's limit, from one owner to another that has more demand.
+//! - `override_gossip`: operators' overrides, as a set that converges on all hosts.
 //! - `catalog_replication`: numbered catalog updates, fetched from any peer that has them.
 //! - `endpoint_list_exchange`: versions of the endpoint list, and the nodes that newer ones remove.
-//! - `event`: what a member reports to operators.
-//! - `member`: all of these as one host, which encodes and decodes datagrams.
+//! - `event`: events that a member reports to operators.
+//! - `member`: combines these for one host, and encodes and decodes datagrams.
 //!
-//! All machines have one calling shape: `handle_datagram`, `handle_message` and `handle_timeout` take input together with
-//! the time; `poll_output`, `poll_transmit` and `poll_event` are called until they return none; `poll_timeout` returns when
-//! `handle_timeout` is due.
+//! All state machines share one interface: `handle_datagram`, `handle_message` and `handle_timeout` take input together
+//! with the time; `poll_output`, `poll_transmit` and `poll_event` are called until they return `None`; `poll_timeout`
+//! returns when `handle_timeout` is due.
 #![warn(missing_docs)]
 #![warn(unreachable_pub)]
 
@@ -55,28 +55,28 @@
     ViewEvent, ViewFault, ViewSettings,
 };
 
-/// One generation of a member: a process of the host with that number.
+/// Identifies one generation of a member, which is one process of the host with that number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberId {
     /// Number of the host in its fleet.
     pub slot: u32,
-    /// Number of the process's start.
+    /// Generation of the process; a later start of the host normally has a greater one.
     pub generation: u64,
 }
 
-/// A message to be sent to a peer.
+/// A message to send to a peer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Transmit {
-    /// Where it goes.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// The message.
+    /// Message to send.
     pub body: Body,
-    /// Slot of the receiver, where it is known.
+    /// Slot of the receiver, or `None` if only its address is known.
     pub recipient: Option<u32>,
 }
 
 impl Transmit {
-    /// To an address alone.
+    /// Creates a message to an address whose slot is not known.
     fn to_address(to: SocketAddr, body: Body) -> Self {
         Transmit { to, body, recipient: None }
     }
