--- a/crates/membership/src/catalog_replication.rs
+++ b/crates/membership/src/catalog_replication.rs
@@ -1,9 +1,9 @@
 //! Replication of catalog updates from the host that publishes them to all others.
 //!
 //! Updates are texts with consecutive numbers. A host that learns of a newer number fetches the next text in chunks
-//! (pull-based, as in rumour mongering with pull by Demers et al., 1987, section 1.4). The text is opaque here: its reader
-//! decides whether it follows the one before. A host that applies an update sends its version to a few peers at once, and
-//! to one more in each protocol period, which makes up for lost messages.
+//! (pull-based, as in rumour mongering with pull by Demers et al., 1987, section 1.4). The text is opaque here: the
+//! code that applies it decides whether it follows from the previous one. A host that applies an update sends its
+//! version to a few peers at once, and to one more peer in each protocol period, which compensates for lost messages.
 
 mod fetch;
 
@@ -15,87 +15,87 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::peer::{Body, CatalogMessage, MAX_PIECE};
 
-/// Greatest number of updates that a host keeps. The publisher refuses further ones.
+/// Maximum number of updates that a host keeps. The publisher rejects further ones.
 pub const MAX_CATALOG_UPDATES: usize = 20_000;
-/// Greatest length of one update in bytes.
+/// Maximum length of one update in bytes.
 pub const MAX_UPDATE_LEN: usize = 1 << 20;
-/// Greatest number of peers whose versions are remembered.
+/// Maximum number of peers whose versions are recorded.
 const MAX_PEERS: usize = 100_000;
 
-/// An update of the catalog.
+/// A numbered update of the catalog.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CatalogUpdate {
-    /// Its number.
+    /// Number of the update; the first is 1.
     pub number: u64,
-    /// Its text.
+    /// Text of the update, which is opaque to the replication.
     pub text: Bytes,
 }
 
-/// A state of the catalog.
+/// A version of the catalog.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CatalogVersion {
-    /// Number of the last update.
+    /// Number of the last update; 0 if there is none.
     pub number: u64,
-    /// The first eight bytes of the digest of all updates up to it.
+    /// First eight bytes of the digest of all updates up to the last one.
     pub digest_prefix: u64,
 }
 
-/// What a host learns of the catalog.
+/// An event of the catalog replication.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum CatalogEvent {
-    /// An update has arrived, and is to be applied or rejected.
+    /// An update was received, and is to be applied or rejected.
     Update(CatalogUpdate),
-    /// A peer has applied another update under the same number.
+    /// A peer has applied a different update under the same number.
     Fork {
-        /// The peer.
+        /// Slot of the peer.
         slot: u32,
         /// Number of the update.
         number: u64,
     },
 }
 
-/// The newest update that peers announced, and the deadline by which all hosts must have applied it.
+/// The newest update that peers have announced, and the deadline by which all hosts must have applied it.
 #[derive(Default)]
 struct Announced {
     number: u64,
     deadline: Instant,
 }
 
-/// The catalog updates that one host has, and those that it learns of.
+/// Replication of the catalog on one host: the updates that it has, and those that it learns of.
 #[derive(Default)]
 pub struct CatalogReplication {
     enabled: bool,
     texts: BTreeMap<u64, Bytes>,
     newest: CatalogVersion,
-    /// By when all hosts must have applied the newest.
+    /// When all hosts must have applied the newest update.
     deadline: Instant,
     announced: Announced,
-    /// By slot, the newest update that the peer has applied.
+    /// Number of the newest update that each peer announced, by slot.
     peer_versions: BTreeMap<u32, u64>,
     fetch: Option<Fetch>,
     updates: VecDeque<CatalogUpdate>,
     fork: Option<CatalogEvent>,
-    /// Number of the last fork that was reported. Each is reported once.
+    /// Number of the update of the last reported fork. Each fork is reported once.
     reported_fork: u64,
     transmits: VecDeque<Transmit>,
-    /// Updates that this host rejected.
+    /// Number of received updates that this host rejected.
     pub rejected: u64,
 }
 
 impl CatalogReplication {
-    /// This host takes part, and has these updates.
+    /// Enables replication on this host, which has these updates up to the version `newest`.
     pub fn enable(&mut self, newest: CatalogVersion, updates: impl IntoIterator<Item = CatalogUpdate>) {
         self.enabled = true;
         self.newest = newest;
         self.texts = updates.into_iter().map(|update| (update.number, update.text)).collect();
     }
 
-    /// Whether this host takes part.
+    /// Returns whether replication is enabled on this host.
     pub(crate) fn is_enabled(&self) -> bool {
         self.enabled
     }
 
-    /// An update was applied here; by the deadline all hosts must have.
+    /// Records that an update was applied here, and its deadline, by which all hosts must have applied it.
     pub(crate) fn handle_applied(
         &mut self,
         now: Instant,
@@ -112,40 +112,40 @@
         }
     }
 
-    /// This host rejects the update that arrived.
+    /// Records that this host rejects the received update.
     pub fn handle_rejected(&mut self) {
         self.rejected += 1;
         self.fetch = None;
     }
 
-    /// The message with the newest update that this host has applied.
+    /// Returns the message that announces the version that this host has applied.
     pub(crate) fn version_message(&self, now: Instant) -> CatalogMessage {
         let remaining_ms = ((self.deadline - now).secs().max(0.0) * 1e3).ceil() as u32;
         let CatalogVersion { number, digest_prefix } = self.newest;
         CatalogMessage::Version { number, digest_prefix, remaining_ms }
     }
 
-    /// Number of the newest update that is applied here.
+    /// Returns the number of the newest update that is applied here, or 0 if there is none.
     pub fn newest(&self) -> u64 {
         self.newest.number
     }
 
-    /// By slot, the newest update that each peer has announced.
+    /// Returns the number of the newest update that each peer announced, by slot.
     pub fn peer_versions(&self) -> &BTreeMap<u32, u64> {
         &self.peer_versions
     }
 
-    /// Whether some peer has announced its version, and none a newer one.
+    /// Returns whether at least one peer has announced its version, and none a version newer than this host's.
     pub fn is_up_to_date(&self) -> bool {
         !self.peer_versions.is_empty() && self.announced.number <= self.newest.number
     }
 
-    /// The newest update that peers announced, where this host has not applied it.
+    /// Returns the number of the newest update that peers announced, or `None` if this host has applied it.
     pub fn missing(&self) -> Option<u64> {
         Some(self.announced.number).filter(|number| *number > self.newest.number)
     }
 
-    /// The deadline of that update if it is the newest that was announced, else now.
+    /// Returns the announced deadline of an update, or `now` if the update is not the newest that was announced.
     pub fn deadline(&self, number: u64, now: Instant) -> Instant {
         if self.announced.number == number {
             self.announced.deadline
@@ -154,7 +154,7 @@
         }
     }
 
-    /// A peer has sent a message.
+    /// Handles a message of a peer.
     pub(crate) fn handle_message(
         &mut self,
         now: Instant,
@@ -185,7 +185,7 @@
         if number > known.number {
             *known = Announced { number, deadline };
         } else if number == known.number {
-            // A message's time on its way makes the deadline look later than it is, never earlier.
+            // The delay of a message can only make the deadline appear later than it is.
             known.deadline = known.deadline.min(deadline);
         }
     }
@@ -215,9 +215,9 @@
         self.send(to, CatalogMessage::Chunk { number, piece, pieces, bytes });
     }
 
-    /// Fetches the next update. A fetch that was begun is resumed, also from another peer, as an update is the same at all
-    /// peers that have it. If each peer's announcement began it anew, an update of many chunks would never be complete
-    /// where datagrams get lost.
+    /// Fetches the next update. A fetch that has begun is resumed, even from another peer, as an update is the same at all
+    /// peers that have it. If each peer's announcement restarted it, the fetch of an update of many chunks would never
+    /// complete while datagrams are lost.
     fn start_fetch(&mut self, now: Instant, from: SocketAddr) {
         let number = self.newest.number + 1;
         let begun = self.fetch.take().filter(|fetch| fetch.number == number);
@@ -245,11 +245,11 @@
         }
     }
 
-    /// Requests a chunk again that did not arrive in time.
+    /// Repeats the request of a chunk that did not arrive in time, and ends a fetch whose retries are exhausted.
     pub(crate) fn handle_timeout(&mut self, now: Instant) {
         let is_due = self.poll_timeout().is_some_and(|retry_at| retry_at <= now);
         // A peer may announce an update that no peer can send. While an update is missing, clients are rejected and no
-        // later update is fetched, so the host gives the fetch up and forgets the announcement.
+        // later update is fetched, so the host gives up the fetch and discards the announcement.
         if self.fetch.as_ref().is_some_and(Fetch::is_exhausted) {
             self.fetch = None;
             self.announced = Announced { number: self.newest.number, deadline: now };
@@ -261,17 +261,17 @@
         }
     }
 
-    /// When [`handle_timeout`](Self::handle_timeout) is due.
+    /// Returns when [`handle_timeout`](Self::handle_timeout) is due next, or `None` if no request is pending.
     pub(crate) fn poll_timeout(&self) -> Option<Instant> {
         self.fetch.as_ref().and_then(Fetch::retry_at)
     }
 
-    /// The next event.
+    /// Returns the next event, or `None` when all have been polled.
     pub(crate) fn poll_event(&mut self) -> Option<CatalogEvent> {
         self.updates.pop_front().map(CatalogEvent::Update).or_else(|| self.fork.take())
     }
 
-    /// The next message to be sent.
+    /// Returns the next message to send, or `None` when all have been polled.
     pub(crate) fn poll_transmit(&mut self) -> Option<Transmit> {
         self.transmits.pop_front()
     }
--- a/crates/membership/src/catalog_replication/fetch.rs
+++ b/crates/membership/src/catalog_replication/fetch.rs
@@ -6,32 +6,32 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::peer::CatalogMessage;
 
-/// How long a requested chunk may take. It is then requested again: from the next peer that announces the update, else from
-/// the same one.
+/// Timeout of a requested chunk, after which it is requested again: from the next peer that announces the update, or else
+/// from the same peer.
 const CHUNK_TIMEOUT: TimeDelta = TimeDelta::from_millis(100);
-/// Retries of one chunk after which a fetch is given up.
+/// Maximum number of retries of one chunk, after which the fetch is given up.
 const MAX_CHUNK_RETRIES: u32 = 20;
 
-/// What a chunk did for a fetch.
+/// Progress of a fetch after a chunk was received.
 pub(super) enum FetchProgress {
-    /// It is not the requested chunk, or not from the peer that was asked.
+    /// The chunk is not the requested one, or not from the peer that was asked.
     Ignored,
-    /// The update is longer than any may be.
+    /// The update exceeds the maximum length.
     TooLong,
-    /// More chunks are to come.
+    /// More chunks are needed.
     Incomplete,
-    /// The whole text.
+    /// The update is complete; this is its text.
     Complete(Bytes),
 }
 
-/// An update that is being fetched.
+/// The fetch of one update.
 pub(super) struct Fetch {
-    /// The peer that was asked last.
+    /// Peer that was asked last.
     pub from: SocketAddr,
     pub number: u64,
-    /// Number of chunks of the update, by the last one that arrived.
+    /// Number of chunks of the update, by the last chunk that was received.
     pieces: u16,
-    /// Position of the chunk that is asked for.
+    /// Index of the chunk that is requested.
     next_piece: u16,
     received: BytesMut,
     requested_at: Instant,
@@ -39,7 +39,7 @@
 }
 
 impl Fetch {
-    /// A fetch of an update from its first chunk.
+    /// Creates the fetch of an update, which begins with its first chunk.
     pub(super) fn new(now: Instant, from: SocketAddr, number: u64) -> Self {
         Fetch {
             from,
@@ -52,30 +52,30 @@
         }
     }
 
-    /// The same fetch, of another peer.
+    /// Continues the fetch from another peer.
     pub(super) fn resume(self, now: Instant, from: SocketAddr) -> Self {
         Fetch { from, requested_at: now, retries: 0, ..self }
     }
 
-    /// The message that asks for the next chunk.
+    /// Returns the message that requests the next chunk.
     pub(super) fn request(&self) -> CatalogMessage {
         CatalogMessage::ChunkRequest { number: self.number, piece: self.next_piece }
     }
 
-    /// Whether the chunk that was requested may still arrive in time.
+    /// Returns whether the requested chunk can still arrive in time.
     pub(super) fn is_waiting(&self, now: Instant) -> bool {
         now - self.requested_at < CHUNK_TIMEOUT
     }
 
-    /// Whether a chunk was requested too often.
+    /// Returns whether the maximum number of retries of a chunk is reached.
     pub(super) fn is_exhausted(&self) -> bool {
         self.retries >= MAX_CHUNK_RETRIES
     }
 
-    /// When the chunk is to be requested again; none: the fetch is given up.
+    /// Returns when the chunk is to be requested again, or `None` if the fetch is given up.
     pub(super) fn retry_at(&self) -> Option<Instant> {
-        let at = self.requested_at + CHUNK_TIMEOUT;
-        (!self.is_exhausted()).then_some(at)
+        let retry_at = self.requested_at + CHUNK_TIMEOUT;
+        (!self.is_exhausted()).then_some(retry_at)
     }
 
     /// Records that the chunk is requested again.
@@ -84,7 +84,8 @@
         self.retries += 1;
     }
 
-    /// Accepts a chunk if it is the requested one, from the peer that was asked. Others could else fill this host's memory.
+    /// Accepts a chunk if it is the requested one, from the peer that was asked. Other chunks could fill this host's
+    /// memory.
     pub(super) fn handle_chunk(
         &mut self,
         now: Instant,
--- a/crates/membership/src/endpoint_list_exchange.rs
+++ b/crates/membership/src/endpoint_list_exchange.rs
@@ -1,9 +1,10 @@
-//! Notices of newer endpoint lists. Hosts exchange which version of the list they hold, and a host with a newer version sends
-//! which nodes it removes.
+//! Exchanges notices of newer endpoint lists. Hosts exchange the version of the list that they hold, and a host with a
+//! newer version sends the nodes that this version removes.
 //!
-//! A host whose own watch of the list is silent would keep using nodes that have drained or are gone. By these notices it
-//! learns that it is behind, asks its service again, and meanwhile chooses no node that a peer's newer list removes. Nodes
-//! that a list adds are never taken from a peer: only the service reports how long ago a node started.
+//! A host whose own watch of the list receives nothing would keep using nodes that have drained or are gone. By these
+//! notices it learns that it is behind, asks its service again, and meanwhile chooses no node that a peer's newer list
+//! removes. Nodes that a list adds are never accepted from a peer, because only the service reports how long ago a node
+//! started.
 
 use crate::Transmit;
 use std::collections::VecDeque;
@@ -11,39 +12,39 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::peer::{Body, EndpointListMessage, NodeRemoval, MAX_REMOVALS};
 
-/// Greatest number of removals that a host announces, the first ones by address.
+/// Maximum number of removals that a host announces, which are the first ones by address.
 const MAX_KNOWN_REMOVALS: usize = 2_000;
-/// Shortest time between two requests of a host that is behind, to a peer and to its service. It doubles with each request
-/// that brings nothing newer.
+/// Minimum time between two requests of a host that is behind, to a peer and to its service. The time doubles with each
+/// request that brings no newer list.
 const MIN_REQUEST_INTERVAL: TimeDelta = TimeDelta::from_millis(200);
-/// Longest time between two such requests. Two services may number their versions differently for good, and hosts would
-/// else ask endlessly.
+/// Maximum time between two such requests. Two services may number their versions differently forever, and without growing
+/// intervals hosts would keep asking at the minimum interval.
 const MAX_REQUEST_INTERVAL: TimeDelta = TimeDelta::from_millis(30_000);
-/// Greatest number of doublings that are computed; the interval has reached its maximum long before.
+/// Maximum number of doublings that are computed. The interval reaches its maximum long before.
 const MAX_DOUBLINGS: u32 = 16;
-/// Greatest number of events that wait to be polled.
+/// Maximum number of notices that wait to be polled.
 const MAX_QUEUED_NOTICES: usize = 4_096;
 
-/// What a host learns of the endpoint lists that others hold.
+/// A notice about the endpoint lists that other hosts hold, or about a rollback of this host's own list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointListNotice {
-    /// Others hold a newer list: the service is to be asked.
+    /// A peer holds a newer list, so this host is to ask its service.
     Behind {
-        /// The newer version.
+        /// Version of the newer list.
         version: u64,
     },
-    /// A newer list removes this node: it must not be chosen.
+    /// A newer list removes this node, which must no longer be chosen.
     Removed {
-        /// Version of that list.
+        /// Version of the newer list that removes the node.
         version: u64,
-        /// The node.
+        /// Node that is removed.
         removal: NodeRemoval,
     },
-    /// The service went back from a version that this host held to an older one.
+    /// The service went back to an older version than this host held.
     RolledBack {
-        /// The version that was held.
+        /// Version that this host held.
         from: u64,
-        /// The older one.
+        /// Older version that the service has now.
         to: u64,
     },
 }
@@ -52,31 +53,31 @@
 #[derive(Clone, Debug, Default)]
 pub struct EndpointListExchange {
     enabled: bool,
-    /// The newest version that this host ever held in this generation.
+    /// Newest version that this generation of the host has held.
     version: u64,
-    /// The nodes that it removes.
+    /// Nodes that this version removes.
     removals: Vec<NodeRemoval>,
     last_request: Option<Instant>,
-    /// Requests since this host's list last changed.
-    requests: u32,
-    events: VecDeque<EndpointListNotice>,
+    /// Number of requests since this host last received a newer version.
+    request_count: u32,
+    notices: VecDeque<EndpointListNotice>,
     transmits: VecDeque<Transmit>,
-    /// Requests of this host while it was behind.
+    /// Number of requests that this host sent because it was behind.
     pub behind: u64,
-    /// Events that were dropped as too many waited.
+    /// Number of notices that were dropped because too many waited.
     pub dropped: u64,
 }
 
-/// How long a host waits before it asks again, after so many requests without a newer list.
-fn request_interval(requests: u32) -> TimeDelta {
+/// Returns the minimum time from a host's last request to its next, after this many requests that brought no newer list.
+fn request_interval(request_count: u32) -> TimeDelta {
     let (min, max) = (MIN_REQUEST_INTERVAL.secs(), MAX_REQUEST_INTERVAL.secs());
-    let factor = f64::from(requests.min(MAX_DOUBLINGS)).exp2() / 2.0;
+    let factor = f64::from(request_count.min(MAX_DOUBLINGS)).exp2() / 2.0;
     TimeDelta::from_secs((min * factor).clamp(min, max))
 }
 
 impl EndpointListExchange {
-    /// This host's list has that version and removes these nodes. Returns whether it is newer than before, so that peers
-    /// are to learn of it.
+    /// Records the version of this host's list and the nodes that it removes. Returns whether the version is newer than
+    /// before and is to be announced to peers.
     pub fn handle_list(&mut self, version: u64, removals: impl IntoIterator<Item = NodeRemoval>) -> bool {
         self.enabled = true;
         if version < self.version {
@@ -85,34 +86,34 @@
         }
         let is_newer = version > self.version;
         if is_newer {
-            self.requests = 0;
+            self.request_count = 0;
         }
         self.version = version;
         self.removals = removals.into_iter().take(MAX_KNOWN_REMOVALS).collect();
         is_newer
     }
 
-    /// The service went back to an older version, as after a restart from an old copy. Nodes that the newer version removed
-    /// stay removed: they may be shut down already, and requests to them would fail.
+    /// Reports that the service went back to an older version, as after a restart from an old copy. Nodes that the newer
+    /// version removed stay removed: they may be shut down already, and requests to them would fail.
     fn roll_back(&mut self, to: u64) {
         let from = self.version;
-        self.push_event(EndpointListNotice::RolledBack { from, to });
+        self.push_notice(EndpointListNotice::RolledBack { from, to });
         for removal in self.removals.clone() {
-            self.push_event(EndpointListNotice::Removed { version: from, removal });
+            self.push_notice(EndpointListNotice::Removed { version: from, removal });
         }
     }
 
-    /// Whether this host has an endpoint list at all.
+    /// Returns whether this host has an endpoint list.
     pub(crate) fn is_enabled(&self) -> bool {
         self.enabled
     }
 
-    /// The message with the version that this host holds.
+    /// Returns the message that announces the newest version that this host has held.
     pub fn version_message(&self) -> EndpointListMessage {
         EndpointListMessage::Version { version: self.version }
     }
 
-    /// A peer has sent a message.
+    /// Handles a message of a peer.
     pub fn handle_message(&mut self, now: Instant, from: SocketAddr, message: EndpointListMessage) {
         if !self.enabled {
             return;
@@ -127,7 +128,7 @@
             EndpointListMessage::Request { version } if version < self.version => self.send_removals(from),
             EndpointListMessage::Removals { version, removals } if version > self.version => {
                 for removal in removals {
-                    self.push_event(EndpointListNotice::Removed { version, removal });
+                    self.push_notice(EndpointListNotice::Removed { version, removal });
                 }
             }
             EndpointListMessage::Version { .. }
@@ -137,14 +138,14 @@
     }
 
     fn handle_newer_version(&mut self, now: Instant, from: SocketAddr, version: u64) {
-        let interval = request_interval(self.requests);
+        let interval = request_interval(self.request_count);
         if self.last_request.is_some_and(|requested_at| now - requested_at < interval) {
             return;
         }
         self.last_request = Some(now);
-        self.requests += 1;
+        self.request_count += 1;
         self.behind += 1;
-        self.push_event(EndpointListNotice::Behind { version });
+        self.push_notice(EndpointListNotice::Behind { version });
         self.send(from, EndpointListMessage::Request { version: self.version });
     }
 
@@ -160,20 +161,20 @@
         self.transmits.push_back(Transmit::to_address(to, Body::EndpointList(message)));
     }
 
-    fn push_event(&mut self, event: EndpointListNotice) {
-        if self.events.len() < MAX_QUEUED_NOTICES {
-            self.events.push_back(event);
+    fn push_notice(&mut self, notice: EndpointListNotice) {
+        if self.notices.len() < MAX_QUEUED_NOTICES {
+            self.notices.push_back(notice);
         } else {
             self.dropped += 1;
         }
     }
 
-    /// The next event.
+    /// Returns the next notice, or `None` when all have been polled.
     pub fn poll_event(&mut self) -> Option<EndpointListNotice> {
-        self.events.pop_front()
+        self.notices.pop_front()
     }
 
-    /// The next message to be sent.
+    /// Returns the next message to send, or `None` when all have been polled.
     pub fn poll_transmit(&mut self) -> Option<Transmit> {
         self.transmits.pop_front()
     }
--- a/crates/membership/src/override_gossip.rs
+++ b/crates/membership/src/override_gossip.rs
@@ -1,43 +1,43 @@
-//! Gossip of operators' overrides to all hosts. The known overrides form a set to which hosts only add overrides and marks
-//! that one is cleared, so that the sets of all hosts converge in whichever order messages arrive (a state-based CRDT;
-//! Shapiro et al., 2011).
+//! Gossips operators' overrides to all hosts. The known overrides form a set to which hosts only add overrides and marks
+//! that one is cleared, so that the sets of all hosts converge in any order of messages (a state-based CRDT; Shapiro et
+//! al., 2011).
 //!
-//! An override is identified by the host and generation that took it. Messages carry its remaining time, which needs no
-//! common clock; of several ends that a host learns, the earliest holds. A cleared override is remembered as cleared until
-//! it would have ended on the slowest clock. A host that was cut off, and does not know that it is cleared, would else set
-//! it again everywhere.
+//! An override is identified by the host and generation that accepted it from an operator, and a number. Messages carry its
+//! remaining time, which needs no synchronized clocks. If a host learns several ends of an override, the earliest
+//! applies. A cleared override is kept until it would have ended on the slowest clock. Otherwise a host that was cut
+//! off, and has not learned that it is cleared, would set it again on all hosts.
 
 use std::collections::{BTreeMap, VecDeque};
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_overrides::Origin;
 use tackmast_wire::peer::OverrideRecord;
 
-/// Greatest number of known overrides, ended ones included.
+/// Maximum number of known overrides, ended ones included.
 const MAX_KNOWN: usize = 20_000;
-/// How long an override is remembered after its end, beside a fraction of its duration: peers' clocks may be slower.
+/// How long an override is kept after its end, in addition to a fraction of its duration, as peers' clocks may be slower.
 const RETENTION_AFTER_END: TimeDelta = TimeDelta::from_millis(60_000);
-/// Fraction of an override's duration for which it is remembered longer after its end.
+/// Fraction of an override's duration for which it is kept longer after its end.
 const RETENTION_FRACTION: f64 = 0.02;
-/// Overrides with no more time left than this are not in the digest: hosts may differ on whether they have ended.
+/// Overrides with no more remaining time than this are not in the digest, as hosts may differ on whether they have ended.
 const DIGEST_MARGIN: TimeDelta = TimeDelta::from_millis(5_000);
-/// Overrides with less time left than this count as ended.
+/// Overrides with less remaining time than this count as ended.
 const MIN_REMAINING: TimeDelta = TimeDelta::from_millis(50);
-/// Bytes that an override's checksum is computed of.
+/// Length in bytes of the input of an override's checksum.
 const OVERRIDE_CHECKSUM_INPUT_LEN: usize = 21;
 
-/// What this host is to do about an override that another host took.
+/// An action that this host is to perform on an override that another host accepted from an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OverrideEvent {
-    /// It is to be applied.
+    /// Apply the override.
     Set {
         /// Identity of the override.
         origin: Origin,
-        /// The override.
+        /// Override to apply.
         record: OverrideRecord,
-        /// Seconds that are left.
+        /// Remaining time in seconds.
         seconds: f64,
     },
-    /// It is to be cleared.
+    /// Clear the override.
     Clear {
         /// Identity of the override.
         origin: Origin,
@@ -47,24 +47,24 @@
 #[derive(Clone, Debug)]
 struct KnownOverride {
     record: OverrideRecord,
-    ends: Instant,
-    /// Whether this host applied it, and so has to undo it when it is cleared.
+    ends_at: Instant,
+    /// Whether this host applied the override, and has to undo it when it is cleared.
     applied: bool,
 }
 
 impl KnownOverride {
-    /// Seconds until its end.
-    fn remaining(&self, now: Instant) -> f64 {
-        (self.ends - now).secs()
+    /// Returns the seconds until the override ends.
+    fn remaining_secs(&self, now: Instant) -> f64 {
+        (self.ends_at - now).secs()
     }
 }
 
-/// The overrides that one host knows.
+/// Gossip of overrides on one host: the overrides that it knows.
 #[derive(Default)]
 pub struct OverrideGossip {
     known: BTreeMap<Origin, KnownOverride>,
     events: VecDeque<OverrideEvent>,
-    /// Overrides that were not accepted because too many are known.
+    /// Number of overrides that were not accepted because too many are known.
     pub over_limit: u64,
 }
 
@@ -73,35 +73,35 @@
 }
 
 impl OverrideGossip {
-    /// Adds an override that this host took itself, or had persisted.
+    /// Adds an override that this host accepted from an operator, or that it had persisted.
     pub(crate) fn add_local(&mut self, now: Instant, record: OverrideRecord) {
-        let ends = now + TimeDelta::from_secs(record.remaining_ms as f64 / 1e3);
-        let known = KnownOverride { record, ends, applied: true };
+        let ends_at = now + TimeDelta::from_secs(record.remaining_ms as f64 / 1e3);
+        let known = KnownOverride { record, ends_at, applied: true };
         self.known.entry(origin_of(&known.record)).or_insert(known);
     }
 
-    /// An override was cleared on this host.
+    /// Records that an override was cleared on this host.
     pub(crate) fn clear_local(&mut self, origin: Origin) {
         if let Some(known) = self.known.get_mut(&origin) {
             known.record.cleared = true;
         }
     }
 
-    /// Merges what a peer knows of an override.
+    /// Merges a peer's record of an override.
     pub fn merge(&mut self, now: Instant, record: OverrideRecord) {
         let seconds = record.remaining_ms as f64 / 1e3;
-        // A known override ends here by its own time. An unknown one that has ended at a peer has no effect any more.
+        // A known override ends here at its own time. An unknown one that has ended at a peer has no effect any more.
         if seconds < MIN_REMAINING.secs() {
             return;
         }
         let origin = origin_of(&record);
-        let ends = now + TimeDelta::from_secs(seconds);
+        let ends_at = now + TimeDelta::from_secs(seconds);
         if let Some(known) = self.known.get_mut(&origin) {
-            // A message's time on its way makes the end look later than it is, never earlier.
-            known.ends = known.ends.min(ends);
+            // The delay of a message can only make the end appear later than it is.
+            known.ends_at = known.ends_at.min(ends_at);
             if record.cleared && !known.record.cleared {
                 known.record.cleared = true;
-                if known.applied && known.ends > now {
+                if known.applied && known.ends_at > now {
                     self.events.push_back(OverrideEvent::Clear { origin });
                 }
             }
@@ -112,43 +112,43 @@
             if applied {
                 self.events.push_back(OverrideEvent::Set { origin, record: record.clone(), seconds });
             }
-            self.known.insert(origin, KnownOverride { record, ends, applied });
+            self.known.insert(origin, KnownOverride { record, ends_at, applied });
         }
     }
 
-    /// The next event.
+    /// Returns the next event, or `None` when all have been polled.
     pub fn poll_event(&mut self) -> Option<OverrideEvent> {
         self.events.pop_front()
     }
 
-    /// Forgets overrides that have ended long enough ago.
+    /// Removes overrides whose retention after their end has elapsed.
     pub fn handle_timeout(&mut self, now: Instant) {
         self.known.retain(|_, known| {
             let total = known.record.total_ms as f64 / 1e3;
-            now - known.ends < retention_time(total)
+            now - known.ends_at < retention_time(total)
         });
     }
 
-    /// Digest of the known overrides, cleared ones included, without those that end soon.
+    /// Returns the digest of the known overrides, cleared ones included, except those that end soon.
     pub fn digest(&self, now: Instant) -> u32 {
-        let lasting = self.known.iter().filter(|(_, known)| known.remaining(now) > DIGEST_MARGIN.secs());
+        let lasting = self.known.iter().filter(|(_, known)| known.remaining_secs(now) > DIGEST_MARGIN.secs());
         // A sum does not depend on the order of the overrides.
         let checksums = lasting.map(|(origin, known)| checksum(origin, known.record.cleared));
         checksums.reduce(u32::wrapping_add).unwrap_or(0)
     }
 
-    /// All overrides that have not ended, cleared ones included, with the time that is left now.
+    /// Returns all overrides that have not ended, cleared ones included, with their time that remains now.
     pub fn records(&self, now: Instant) -> Vec<OverrideRecord> {
-        let lasting = self.known.values().filter(|known| known.remaining(now) > MIN_REMAINING.secs());
+        let lasting = self.known.values().filter(|known| known.remaining_secs(now) > MIN_REMAINING.secs());
         let record = |known: &KnownOverride| {
-            let remaining_ms = (known.remaining(now) * 1e3) as u64;
+            let remaining_ms = (known.remaining_secs(now) * 1e3) as u64;
             OverrideRecord { remaining_ms, ..known.record.clone() }
         };
         lasting.map(record).collect()
     }
 }
 
-/// How long an override of so many seconds is remembered after its end.
+/// Returns how long an override is kept after its end, by its duration in seconds.
 fn retention_time(duration_secs: f64) -> TimeDelta {
     TimeDelta::from_secs(RETENTION_AFTER_END.secs() + RETENTION_FRACTION * duration_secs)
 }
