--- a/crates/membership/src/quota_leases/lender.rs
+++ b/crates/membership/src/quota_leases/lender.rs
@@ -1,4 +1,4 @@
-//! The lender's side: grants of what this host does not need, and recall of what an earlier generation lent.
+//! The lender's side: grants what this host does not need, and recalls what an earlier generation lent.
 
 use super::pool::{GrantedLease, PeerRequest, SharedPool};
 use super::{LeaseFault, QuotaLeases, MIN_SHARE, TERM_MARGIN};
@@ -6,58 +6,58 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_wire::peer::LeaseMessage;
 
-/// Fraction of its own share that a host never lends while it stays: a client's first request must find some quota.
+/// Fraction of its own share that a host never lends unless it leaves, so that a client's first request finds some quota.
 const RETAINED_FRACTION: f64 = 0.15;
-/// By how many times the clock drift a lender extends a term.
+/// Multiple of the clock drift by which a lender extends a term.
 const DRIFTS_PER_TERM: f64 = 3.0;
 /// Fraction by which a granted share is rounded down, so that the 32-bit float on the wire does not exceed it.
 const ROUNDING_FRACTION: f64 = 1e-6;
-/// The least sum of requested shares that a request is compared with, so that nothing is divided by 0.
+/// Minimum sum of requested shares that a request is compared with, which prevents a division by 0.
 const MIN_REQUESTED: f64 = 1e-9;
 
-/// A request of a peer.
+/// A peer's request for a lease.
 pub(super) struct Request {
     pub from: MemberId,
     pub seq: u32,
-    /// The lease that the peer acts on; it does not use earlier ones any more.
+    /// Number of the lease that the peer uses. It no longer uses earlier ones.
     pub active_seq: u32,
     pub volume: u32,
     pub share: f64,
 }
 
-/// What decides how much a lender grants; all of it as shares of the volume's limit.
+/// Inputs that determine how much a lender grants, as fractions of the volume's limit.
 struct GrantInputs {
-    /// What the lender does not keep for its own clients.
+    /// Share that the lender does not retain for its own clients.
     spare: f64,
-    /// What it has not lent to other borrowers.
+    /// Share that the lender has not lent to other borrowers.
     available: f64,
-    /// What the borrower requests.
+    /// Share that the borrower requests.
     requested: f64,
-    /// What all borrowers request.
+    /// Sum of the shares that all borrowers request.
     requested_by_all: f64,
 }
 
-/// How long a lender leaves a share unused that it lends for a term.
+/// Returns how long a lender leaves a share unused that it lends for a term.
 ///
-/// A lender that used its share again before the borrower stopped would exceed the volume's limit together with it. The
-/// borrower stops one drift early by its own clock, and its term counts from before the lender's, so this is later on any
-/// clocks that drift apart by no more than `drift`.
+/// If the lender used the share again before the borrower stopped, both would exceed the volume's limit together. The
+/// borrower shortens the term by `drift` on its own clock, and starts it before the lender does. The lender's term
+/// therefore ends later with any two clocks whose rates differ by no more than `drift`.
 pub(super) fn lender_term(term: TimeDelta, drift: f64) -> TimeDelta {
     TimeDelta::from_secs(term.secs() * (1.0 + DRIFTS_PER_TERM * drift) + TERM_MARGIN.secs())
 }
 
-/// The share to grant: the borrower's part of what is spare, in proportion to all requests, and never more than is left
-/// beside the leases of other borrowers. Two borrowers would else use the same share at once.
+/// Returns the share to grant: the borrower's part of the spare share in proportion to all requests, and no more than is
+/// not lent to other borrowers, as two borrowers would otherwise use the same share at once.
 fn share_to_grant(inputs: &GrantInputs) -> f64 {
     let proportion = (inputs.requested / inputs.requested_by_all.max(MIN_REQUESTED)).min(1.0);
     let fair = inputs.spare * proportion;
     let share = fair.min(inputs.requested).min(inputs.available).max(0.0);
-    // The lender must count exactly what the borrower decodes.
+    // The lender must count exactly the share that the borrower decodes.
     f64::from((share * (1.0 - ROUNDING_FRACTION)) as f32)
 }
 
 impl QuotaLeases {
-    /// Grants a peer what is spare of what it requests.
+    /// Grants a peer as much of its request as this host can spare.
     pub(super) fn handle_request(&mut self, now: Instant, request: Request) {
         let Request { from, volume, .. } = request;
         let term = if self.leaving { self.settings.leave_term } else { self.settings.term };
@@ -88,34 +88,35 @@
         self.send(from.slot, message);
     }
 
-    /// Asks the peers that have not answered yet to return what an earlier generation lent them. Once all have, this host
-    /// need not wait for the end of a term before it uses its share.
+    /// Asks the peers that have not answered yet to return what an earlier generation lent them. Once all have
+    /// answered, this host can use its share without waiting for the end of a term.
     pub(super) fn recall_earlier_leases(&mut self, now: Instant, volume: u32, peers: &[u32]) {
         let Some(pool) = self.pools.get(&volume) else { return };
-        if now >= pool.available_from || pool.has_everything_returned() {
+        if now >= pool.available_from || pool.have_all_returned() {
             return;
         }
         let missing: Vec<u32> = peers.iter().copied().filter(|slot| !pool.returned.contains(slot)).collect();
         missing.into_iter().for_each(|to| self.send(to, LeaseMessage::Recall { volume }));
     }
 
-    /// A peer holds no lease of an earlier generation. Once none of them does, this host's own share is available.
+    /// Records that a peer holds no lease of an earlier generation. Once no peer does, this host's own share is available.
     pub(super) fn handle_returned(&mut self, now: Instant, from: u32, volume: u32) {
         let Some(pool) = self.pools.get_mut(&volume).filter(|pool| pool.is_owner(from)) else { return };
         pool.returned.insert(from);
-        if pool.has_everything_returned() {
+        if pool.have_all_returned() {
             pool.available_from = pool.available_from.min(now);
         }
     }
 }
 
 impl SharedPool {
-    fn has_everything_returned(&self) -> bool {
+    /// Returns whether all peers have confirmed that they hold no lease of an earlier generation.
+    fn have_all_returned(&self) -> bool {
         self.returned.len() + 1 >= self.limit.owners.len()
     }
 
-    /// Removes a borrower's leases that have ended, or that the borrower has replaced by the one that it acts on. A lease
-    /// that the borrower has not confirmed to have replaced may still be in use, and stays.
+    /// Removes a borrower's leases that have ended, and those that the borrower has replaced by the one that it uses. A
+    /// lease is kept until the borrower confirms that it is replaced, as it may still be in use.
     fn remove_replaced(&mut self, now: Instant, request: &Request, fault: Option<LeaseFault>) {
         let Some(leases) = self.granted.get_mut(&request.from.slot) else { return };
         leases.retain(|lease| lease.until > now && lease.seq >= request.active_seq);
@@ -124,8 +125,9 @@
         }
     }
 
-    /// What decides the answer to a request; `retained` is the share that this host keeps for its own clients. What this
-    /// host has borrowed is no part of it: its lender may have it back before a second borrower knows.
+    /// Returns the inputs for the answer to a request. `retained` is the share that this host keeps for its own
+    /// clients. What this host has borrowed is never lent again, because its lender may use it again before a second
+    /// borrower learns of that.
     fn grant_inputs(
         &self,
         now: Instant,
