--- a/crates/membership/tests/decision_hash.rs
+++ b/crates/membership/tests/decision_hash.rs
@@ -1,8 +1,8 @@
-//! Guards the decisions of the membership state machine: a seeded simulation of a few members whose datagrams are lost,
-//! duplicated and reordered, and which are isolated, paused, leave, and restart from what they persisted. Failure
-//! detection, quota leases, operators' overrides, catalog updates and endpoint list removals all run. Every output is folded
-//! into a SHA-256 hash, which is a constant here. The hash covers encoded bytes and numbers only, so that renaming
-//! a type or rewording a log line leaves it as it is, while any other decision moves it.
+//! Detects changes of the decisions of the membership state machines, by a seeded simulation of a few members. Their
+//! datagrams are lost, duplicated and reordered, and members are isolated, paused, leave, and restart from what they
+//! persisted. Failure detection, quota leases, operators' overrides, catalog updates and endpoint list removals all
+//! run. All outputs are added to a SHA-256 hash, which is compared with a constant. The hash covers only encoded bytes
+//! and numbers, so that renaming a type or rewording a log line does not change it, while any other decision does.
 
 use bytes::Bytes;
 use sha2::{Digest, Sha256};
@@ -13,18 +13,18 @@
 use tackmast_overrides::Origin;
 use tackmast_wire::peer::Body;
 
-/// Length of a step, in virtual seconds.
+/// Length of a step, in simulated seconds.
 const STEP: f64 = 0.02;
-/// Steps of a run.
+/// Number of steps of a run.
 const STEPS: u64 = 4_000;
 /// LUN of the shared volume.
 const VOLUME: u32 = 1;
-/// Its limit, in units a second.
+/// Limit of the shared volume, in units per second.
 const LIMIT: f64 = 100.0;
-/// Bytes of one catalog update: more than one datagram holds.
+/// Length of one catalog update in bytes, which is more than one datagram holds.
 const UPDATE_BYTES: usize = 3_000;
 
-/// Folds outputs into a hash, by their values alone.
+/// Hash of all outputs, which depends only on their values.
 #[derive(Default)]
 struct OutputHash(Sha256);
 
@@ -54,13 +54,13 @@
         self.bytes(address.to_string().as_bytes());
     }
 
-    /// The digits of a log line, as its text may change.
+    /// Adds only the digits of a log line, as its text may change.
     fn log_line(&mut self, line: &str) {
         let digits: Vec<u8> = line.bytes().filter(u8::is_ascii_digit).collect();
         self.bytes(&digits);
     }
 
-    /// The bytes that a message has on the wire.
+    /// Adds the encoded bytes of a message.
     fn body(&mut self, body: Body) {
         let me = MemberUpdate {
             slot: 0,
@@ -88,19 +88,19 @@
 struct Host {
     member: Option<Member>,
     generation: u64,
-    /// Hosts that it knew, as it persisted them.
+    /// Peers that the host last persisted.
     persisted_members: PersistedMembers,
-    /// Catalog updates that it persisted.
+    /// Catalog updates that the host persisted.
     updates: BTreeMap<u64, Bytes>,
     has_left: bool,
     leaves_at: Option<f64>,
     starts_at: f64,
     isolated_until: f64,
     paused_until: f64,
-    /// Units a second that its clients demand.
+    /// Units per second that its clients demand.
     demand: f64,
     overrides: Vec<Origin>,
-    /// Members that it held dead at the end of the last step.
+    /// Members that the host considered dead at the end of the last step.
     dead: BTreeSet<u32>,
 }
 
@@ -112,7 +112,7 @@
     bytes: Bytes,
 }
 
-/// What happened in a run, so that a trivial run fails.
+/// Counts of what happened in a run, so that a trivial run fails the test.
 #[derive(Debug, Default)]
 struct Totals {
     inputs: u64,
@@ -165,7 +165,7 @@
     Bytes::from((0..UPDATE_BYTES as u64).map(|offset| (offset * number) as u8).collect::<Vec<u8>>())
 }
 
-/// Takes the place of the hash chain over all updates up to that one.
+/// Returns a number that stands for the digest of all updates up to this one.
 fn update_digest_prefix(number: u64) -> u64 {
     number * 1_000_003
 }
@@ -196,7 +196,8 @@
         self.random.rand_range(0..self.hosts.len() as u64) as u32
     }
 
-    /// The host's own clock. Each host's clock starts at another time and runs at a slightly different rate.
+    /// Returns the time of a host's own clock. Each host's clock starts at another time and runs at a slightly
+    /// different rate.
     fn clock(&self, host: u32) -> Instant {
         Instant::from_secs(100.0 * f64::from(host + 1) + self.now * (1.0 + 0.0005 * f64::from(host)))
     }
@@ -205,28 +206,28 @@
         &mut self.hosts[host as usize]
     }
 
-    /// One input to a host's state machine, and what follows from it.
+    /// Applies one input to a host's member, and handles the outputs that follow.
     fn input(&mut self, host: u32, apply: impl FnOnce(&mut Member, Instant)) {
         let now = self.clock(host);
         let Some(member) = self.host(host).member.as_mut() else { return };
         apply(member, now);
         self.totals.inputs += 1;
-        self.drain(host);
+        self.handle_outputs(host);
     }
 
-    fn drain(&mut self, host: u32) {
+    fn handle_outputs(&mut self, host: u32) {
         let mut received = Vec::new();
         while let Some(output) = self.host(host).member.as_mut().and_then(|member| member.poll_output()) {
             self.hash.number(u64::from(host));
             if let Output::CatalogUpdate(update) = &output {
                 received.push(update.number);
             }
-            self.on_output(host, output);
+            self.handle_output(host, output);
         }
         received.into_iter().for_each(|number| self.apply_update(host, number));
     }
 
-    fn on_output(&mut self, host: u32, output: Output) {
+    fn handle_output(&mut self, host: u32, output: Output) {
         match output {
             Output::Send { to, bytes } => {
                 self.hash.number(1);
@@ -266,7 +267,7 @@
                 self.totals.persisted_members += 1;
                 self.host(host).persisted_members = persisted_members;
             }
-            Output::EndpointList(event) => self.on_list_event(event),
+            Output::EndpointList(notice) => self.hash_list_notice(notice),
             Output::Consensus { from, slot, body } => {
                 self.hash.number(8);
                 self.hash.address(from);
@@ -277,9 +278,9 @@
         }
     }
 
-    fn on_list_event(&mut self, event: EndpointListNotice) {
+    fn hash_list_notice(&mut self, notice: EndpointListNotice) {
         self.hash.number(7);
-        match event {
+        match notice {
             EndpointListNotice::Behind { version } => self.hash.numbers([1, version]),
             EndpointListNotice::Removed { version, removal } => {
                 self.hash.numbers([2, version, u64::from(removal.gone)]);
@@ -290,21 +291,21 @@
         }
     }
 
-    /// A catalog update is applied, and its version is sent to peers.
+    /// Applies a catalog update on a host, which sends its version to peers.
     fn apply_update(&mut self, host: u32, number: u64) {
         let text = update_text(number);
         self.host(host).updates.insert(number, text.clone());
         self.input(host, |member, now| {
-            let ends = member.catalog.deadline(number, now);
+            let deadline = member.catalog.deadline(number, now);
             let version = CatalogVersion { number, digest_prefix: update_digest_prefix(number) };
-            member.handle_catalog_applied(now, version, text, ends);
+            member.handle_catalog_applied(now, version, text, deadline);
         });
     }
 
     fn transmit(&mut self, from: u32, to: SocketAddr, bytes: Bytes) {
         let Some(to_host) = (0..self.group.members).find(|host| address(*host) == to) else { return };
-        let isolated = |host: u32| self.hosts[host as usize].isolated_until > self.now;
-        if isolated(from) || isolated(to_host) || self.chance(self.group.loss) {
+        let is_isolated = |host: u32| self.hosts[host as usize].isolated_until > self.now;
+        if is_isolated(from) || is_isolated(to_host) || self.chance(self.group.loss) {
             return;
         }
         let copies = 1 + u64::from(self.chance(self.group.duplication));
@@ -332,13 +333,14 @@
     fn start(&mut self, number: u32) {
         let now = self.clock(number);
         self.incarnations += 1;
-        // Sometimes a clock has gone back, and the new generation has a lower number than the one before.
-        let goes_back = self.chance(0.2);
+        // Sometimes the clock was set back, and the new generation has a lower number than the previous one.
+        let is_clock_set_back = self.chance(0.2);
         let seconds = TimeDelta::from_secs;
         let group = self.group;
         let incarnation = self.incarnations;
         let host = self.host(number);
-        host.generation = if goes_back { host.generation.saturating_sub(1).max(1) } else { 10 * incarnation };
+        host.generation =
+            if is_clock_set_back { host.generation.saturating_sub(1).max(1) } else { 10 * incarnation };
         let settings = MemberSettings {
             fleet: "fleet-a".into(),
             slot: number,
@@ -375,13 +377,13 @@
         host.member = Some(member);
         host.dead.clear();
         host.overrides.clear();
-        self.drain(number);
+        self.handle_outputs(number);
     }
 
-    /// The process ends: its next generation has only what this one persisted.
+    /// Ends a host's process. Its next generation has only what this one persisted.
     fn stop(&mut self, number: u32) {
         let Some(member) = self.host(number).member.take() else { return };
-        self.count(&member);
+        self.add_counters(&member);
         self.totals.restarts += 1;
         let starts_at = self.now + 0.2 + self.random.rand_float() * 6.0;
         let host = self.host(number);
@@ -389,7 +391,7 @@
         host.leaves_at = None;
     }
 
-    fn count(&mut self, member: &Member) {
+    fn add_counters(&mut self, member: &Member) {
         let view = member.view.counters;
         self.totals.suspected += view.suspected;
         self.totals.refuted += view.refuted;
@@ -402,8 +404,8 @@
         hash.numbers([counters.malformed, counters.dropped, counters.wrong_address, counters.other_fleets]);
     }
 
-    /// Restarts, isolations, pauses of a process, and hosts that leave gracefully.
-    fn disturb(&mut self) {
+    /// Injects faults at random: restarts, isolations and pauses of a process. Also lets hosts leave gracefully.
+    fn inject_faults(&mut self) {
         let host = self.random_host();
         let until = self.now + 0.5 + self.random.rand_float() * 4.0;
         if self.chance(0.004) {
@@ -446,7 +448,7 @@
         }
     }
 
-    /// Clients' demand, operators' overrides, catalog updates, endpoint lists and consensus traffic.
+    /// Generates clients' demand, operators' overrides, catalog updates, endpoint lists and consensus messages at random.
     fn run_inputs(&mut self) {
         for host in 0..self.group.members {
             if self.chance(0.01) {
@@ -507,7 +509,7 @@
         self.input(host, |member, _| member.clear_override(origin));
     }
 
-    /// The host with the newest catalog publishes the next update.
+    /// Publishes the next catalog update on a host, if it has the newest one.
     fn publish_update(&mut self, host: u32) {
         let newest = self.hosts[host as usize].updates.keys().last().copied().unwrap_or(0);
         let is_up = self.hosts[host as usize].member.is_some();
@@ -518,7 +520,7 @@
         self.apply_update(host, self.update_number);
     }
 
-    /// A host receives a newer version of its endpoint list, and rarely an older one.
+    /// Passes a newer version of the endpoint list to a host, and rarely an older one.
     fn receive_list(&mut self, host: u32) {
         self.list_version += 1;
         let version = if self.chance(0.1) { self.list_version / 2 } else { self.list_version };
@@ -535,16 +537,16 @@
             let Some(member) = &host.member else { continue };
             let hash = &mut self.hash;
             let mut dead = BTreeSet::new();
-            for (slot, seen) in &member.snapshot() {
+            for (slot, state) in &member.snapshot() {
                 hash.numbers([
                     u64::from(*slot),
-                    seen.generation,
-                    u64::from(seen.incarnation),
-                    seen.health as u64,
+                    state.generation,
+                    u64::from(state.incarnation),
+                    state.health as u64,
                 ]);
-                hash.address(seen.address);
-                hash.time(seen.since);
-                if seen.health == Health::Dead {
+                hash.address(state.address);
+                hash.time(state.since);
+                if state.health == Health::Dead {
                     dead.insert(*slot);
                 }
             }
@@ -569,7 +571,7 @@
     fn run(mut self) -> (String, Totals) {
         for _ in 0..STEPS {
             self.now += STEP;
-            self.disturb();
+            self.inject_faults();
             self.deliver_due();
             self.run_timers();
             self.run_inputs();
@@ -612,8 +614,8 @@
     assert!(totals.persisted_members >= 20 && totals.consensus_messages >= 50, "{totals:?}");
 }
 
-/// Compares the hashes of all seeds, and names all that differ.
-fn compare(group: Group, expected: &[(u64, &str)]) {
+/// Asserts that the hashes of all seeds are as expected, and lists those that differ.
+fn assert_hashes(group: Group, expected: &[(u64, &str)]) {
     let mut differences = Vec::new();
     for (seed, expected) in expected {
         let (hash, totals) = Simulation::new(group, *seed).run();
@@ -626,11 +628,11 @@
     assert!(differences.is_empty(), "decisions changed:\n{}", differences.join("\n"));
 }
 
-/// Four members run plain SWIM over a network with losses, duplicates and delays, and restart, pause and leave. All that
-/// they send and report must stay as it is while the code is rewritten.
+/// Four members run plain SWIM over a network with losses, duplicates and delays, and restart, pause and leave. A change of
+/// the code that is not meant to alter decisions must leave all that they send and report unchanged.
 #[test]
 fn four_members_with_plain_swim_decide_as_before() {
-    compare(
+    assert_hashes(
         four_members(),
         &[
             (1, "c5079d82c4b477720fe488d699d2e2645386c08b6773332a792372fb23a237e2"),
@@ -640,11 +642,11 @@
     );
 }
 
-/// Six members run with all extensions over a worse network. All that they send and report must stay as it is while the
-/// code is rewritten.
+/// Six members run with all extensions over a network with more losses, duplicates and delays. A change of the code that is
+/// not meant to alter decisions must leave all that they send and report unchanged.
 #[test]
 fn six_members_with_all_extensions_decide_as_before() {
-    compare(
+    assert_hashes(
         six_members(),
         &[
             (4, "8247698408b7d40993d178d800f8ae2d421c7c353f11cacf3338bb4733404422"),
@@ -654,7 +656,7 @@
     );
 }
 
-/// A hash that differed between two runs of one seed would say nothing about a change of the code.
+/// If the hash differed between two runs with the same seed, it would not show whether the code changed.
 #[test]
 fn the_same_seed_gives_the_same_hash() {
     let hash = || Simulation::new(six_members(), 7).run().0;
--- a/crates/membership/tests/events.rs
+++ b/crates/membership/tests/events.rs
@@ -1,10 +1,10 @@
-//! The log lines of a member's events.
+//! Tests of the log lines of a member's events.
 
 use tackmast::interface::TimeDelta;
 use tackmast_membership::{Health, MembershipEvent};
 
-/// On-call staff search the log for a fixed message and count by its fields. A value inside the message would break the
-/// search.
+/// Operators search the log for a fixed message and aggregate by its fields. A value inside the message would break such
+/// searches.
 #[test]
 fn a_log_line_is_the_fixed_message_and_then_the_fields() {
     let cases = [
@@ -28,6 +28,6 @@
     for (event, line) in cases {
         assert_eq!(event.to_string(), line);
         assert!(line.starts_with(event.message()));
-        assert!(!event.message().contains(|letter: char| letter.is_ascii_digit()), "{event:?}");
+        assert!(!event.message().contains(|character: char| character.is_ascii_digit()), "{event:?}");
     }
 }
--- a/crates/membership/tests/member.rs
+++ b/crates/membership/tests/member.rs
@@ -1,5 +1,5 @@
-//! A single member that the test drives: hostile and malformed datagrams, precedence of updates, another generation of its
-//! own slot, overrides that have ended, and catalog updates that no peer has.
+//! Tests of a single member, which they drive: hostile and malformed datagrams, precedence of updates, another generation
+//! of its own slot, overrides that have ended, and catalog updates that no peer has.
 
 use bytes::Bytes;
 use std::net::SocketAddr;
@@ -59,8 +59,8 @@
     }
 }
 
-/// A fleet of five hosts starts from a store of a larger fleet. The slots beyond five must be neither contacted nor
-/// persisted again, or they would be for ever.
+/// A host of a fleet of five starts from the store of a larger fleet. Peers with greater slots must be neither
+/// contacted nor persisted again, as this would repeat forever.
 #[test]
 fn drops_persisted_peers_beyond_the_fleet_size() {
     let mut member = member_with_persisted(vec![peer(1, 9), peer(4, 9), peer(7, 9)]);
@@ -80,12 +80,12 @@
     assert!(persisted.iter().all(|peer| peer.slot < 5), "{persisted:?}");
 }
 
-/// Two updates on a member arrive one after the other. Views converge only if each host lets the same one of them hold: the
+/// Two updates on a member arrive one after the other. Views converge only if all hosts keep the same one: that with the
 /// later generation, then the later incarnation, then the worse health.
 #[test]
 fn later_generation_then_incarnation_then_worse_health_takes_precedence() {
     use Health::*;
-    // Updates on host 1 one after the other, as generation, incarnation and health; and the state after them.
+    // Updates on host 1 in order, as generation, incarnation and health, and the state after them.
     type State = (u64, u32, Health);
     let cases: &[(&[State], State)] = &[
         (&[(1, 0, Alive), (1, 0, Suspect)], (1, 0, Suspect)),
@@ -106,8 +106,8 @@
     }
 }
 
-/// A peer reports this host dead, which it refutes; then a later generation of its slot becomes known. Both processes must
-/// not use the slot's quota at once, so the earlier one uses none.
+/// A peer reports this host dead, which it refutes. Then the host learns of a later generation of its slot. The two
+/// processes must not both use the slot's quota, so the earlier one must use none.
 #[test]
 fn refutes_false_updates_on_itself_and_yields_its_quota_to_a_later_generation() {
     let mut member = new_member(5);
@@ -129,8 +129,8 @@
     assert!((quota_balance.lent - 0.3).abs() < 1e-9 && quota_balance.borrowed == 0.0, "{quota_balance:?}");
 }
 
-/// A peer sends random, damaged and forged datagrams of all kinds. The table, the quota lent and the quota borrowed must
-/// stay within their bounds throughout.
+/// Peers send random, damaged and forged datagrams of all kinds. The size of the table, the quota lent and the quota
+/// borrowed must stay within their bounds at every step.
 #[test]
 fn hostile_datagrams_exceed_no_bound() {
     let mut member = new_member(5);
@@ -169,10 +169,10 @@
         let updates = vec![update(random.rand_range(0..40) as u32, generation, number, Health::Alive)];
         let mut bytes = datagram(slot, generation, body, updates).to_vec();
         if step % 5 == 0 {
-            let damaged = random.rand_range(0..bytes.len() as u64) as usize;
-            bytes[damaged] ^= 1 << random.rand_range(0..8);
+            let damaged_index = random.rand_range(0..bytes.len() as u64) as usize;
+            bytes[damaged_index] ^= 1 << random.rand_range(0..8);
         }
-        // From the hosts' own addresses, from other ones, and from outside the allowed networks.
+        // Datagrams come from the hosts' own addresses, from other ones, and from outside the allowed networks.
         let from = if step % 7 == 0 {
             "192.168.0.1:9".parse().unwrap()
         } else {
@@ -198,8 +198,8 @@
     );
 }
 
-/// An operator clears an override, or it ends, and a peer that was cut off still has it as set. Its gossip must not set the
-/// override again.
+/// An override is cleared or ends, and a peer that was cut off still has it as set. The peer's gossip must not set it
+/// again.
 #[test]
 fn an_override_that_was_cleared_or_has_ended_is_not_set_again() {
     let record = |remaining_ms, cleared| OverrideRecord {
@@ -214,8 +214,8 @@
         total_ms: 60_000,
         cleared,
     };
-    // When each record is merged, its remaining milliseconds and whether it is cleared; expected events to set and to
-    // clear.
+    // Case; when each record is merged, its remaining milliseconds, and whether it is cleared; expected number of events to
+    // set and to clear the override.
     type Step = (f64, u64, bool);
     let cases: &[(&str, &[Step], (usize, usize))] = &[
         ("once", &[(10.0, 60_000, false), (11.0, 59_000, false)], (1, 0)),
@@ -242,10 +242,10 @@
     }
 }
 
-/// A peer's override waits to be polled while thousands of pings arrive. The answers to the pings may be dropped; the
+/// A peer's override waits to be polled while thousands of pings arrive. The answers to the pings may be dropped, but the
 /// override may not, as it is reported only once.
 #[test]
-fn a_flood_of_datagrams_drops_answers_but_no_override() {
+fn flood_of_datagrams_drops_answers_but_no_override() {
     let mut member = new_member(5);
     let now = Instant::from_secs(11.0);
     let (target, reason, who) = ("zone:1".into(), "r".into(), "w".into());
@@ -283,10 +283,10 @@
     );
 }
 
-/// A peer announces a catalog update that it can't send, and another sends chunks that were not requested, or chunks
-/// without end. None of these may block later updates, become part of an update, or fill the memory.
+/// A peer announces a catalog update that it can't send, and peers send chunks that were not requested, or an unlimited
+/// number of chunks. These must not block later updates, become part of an update, or fill the memory.
 #[test]
-fn an_announced_update_without_chunks_is_given_up_and_only_requested_chunks_are_accepted() {
+fn fetch_without_chunks_is_given_up_and_only_requested_chunks_are_accepted() {
     let mut member = new_member(5);
     member.catalog.enable(CatalogVersion::default(), []);
     let at = |seconds: f64| Instant::from_secs(10.0 + seconds);
@@ -301,7 +301,8 @@
         "the fetch is given up"
     );
 
-    // An update of three chunks. Between them arrive chunks that were not requested, of other peers, and duplicates.
+    // An update has three chunks. Between them arrive chunks that were not requested, chunks of other peers, and
+    // duplicates.
     let text: Vec<u8> = (0..3000u32).map(|byte| byte as u8).collect();
     let chunk = |piece: u16| {
         Body::Catalog(CatalogMessage::Chunk {
@@ -334,7 +335,7 @@
         (None, true, 1)
     );
 
-    // A fetch of chunks without end stops at the greatest length of an update.
+    // A fetch with an unlimited number of chunks stops at the maximum length of an update.
     member.handle_datagram(at(6.0), address(1), datagram(1, 1, version(2), vec![]));
     for piece in 0..1000u16 {
         let bytes = Bytes::from(vec![0; 1200]);
--- a/crates/membership/tests/quota_leases.rs
+++ b/crates/membership/tests/quota_leases.rs
@@ -1,5 +1,5 @@
-//! Quota leases between a few simulated hosts: messages are late, lost, duplicated and reordered, hosts restart and leave,
-//! and clocks drift apart. At every moment the shares in use must sum to no more than the volume's limit.
+//! Tests of quota leases between a few simulated hosts: messages are delayed, lost, duplicated and reordered, hosts restart
+//! and leave, and clocks drift apart. At every time the shares in use must sum to no more than the volume's limit.
 
 use std::collections::BTreeSet;
 use tackmast::interface::{Instant, TimeDelta};
@@ -10,13 +10,13 @@
 
 /// Term of a lease, in seconds.
 const TERM: f64 = 1.0;
-/// Term of a lease of a host that leaves, in seconds.
+/// Term of a lease that a leaving host grants, in seconds.
 const LEAVE_TERM: f64 = 3.0;
-/// Greatest relative difference between the rates of two clocks.
+/// Maximum relative difference between the rates of two clocks.
 const DRIFT: f64 = 0.02;
-/// Demands of clients in units a second: none, little, much, and more than the limit of 100.
+/// Demand of clients in units per second: none, low, high, and more than the limit of 100.
 const DEMANDS: [f64; 4] = [0.0, 5.0, 40.0, 120.0];
-/// Messages in flight beyond which the network drops the oldest.
+/// Number of messages in flight beyond which the network drops the oldest.
 const MAX_IN_FLIGHT: usize = 24;
 
 fn settings() -> LeaseSettings {
@@ -31,7 +31,7 @@
     has_left: bool,
     clock_offset: f64,
     clock_rate: f64,
-    /// Units a second that its clients demand.
+    /// Units per second that its clients demand.
     demand: f64,
 }
 
@@ -43,7 +43,7 @@
     message: LeaseMessage,
 }
 
-/// Some hosts and the network between them.
+/// Simulated hosts and the network between them.
 #[derive(Clone)]
 struct Cluster {
     now: f64,
@@ -83,7 +83,7 @@
         Instant::from_secs(self.now * self.hosts[host].clock_rate + self.hosts[host].clock_offset)
     }
 
-    /// Starts a host's next generation, without any state of the one before.
+    /// Starts a host's next generation, which has no state of the previous one except whether it left gracefully.
     fn start(&mut self, host: usize) {
         self.generations += 1;
         let owners = (0..self.hosts.len() as u32).collect();
@@ -109,8 +109,8 @@
                 leases.record_demand(now, 1, demand * seconds);
                 leases.handle_timeout(now, &live);
             }
-            self.drain(host);
-            // The marker of a leave stays until no lease of it can be in use, over any number of generations.
+            self.send_queued(host);
+            // The marker of a leave is kept until no lease of that leave can be in use, over any number of generations.
             let leases = self.hosts[host].leases.as_ref();
             if leases.is_some_and(|leases| leases.have_earlier_leases_ended(now) && !leases.is_leaving()) {
                 self.hosts[host].has_left = false;
@@ -118,7 +118,7 @@
         }
     }
 
-    fn drain(&mut self, host: usize) {
+    fn send_queued(&mut self, host: usize) {
         let generation = self.hosts[host].generation;
         while let Some(LeaseTransmit { to, message }) =
             self.hosts[host].leases.as_mut().and_then(QuotaLeases::poll_transmit)
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Delivers a message; a duplicate of it stays in flight if `is_duplicated`.
+    /// Delivers a message. If `is_duplicated`, a copy of it stays in flight.
     fn deliver(&mut self, index: usize, is_duplicated: bool) {
         let delivered =
             if is_duplicated { self.in_flight[index].clone() } else { self.in_flight.remove(index) };
@@ -141,7 +141,7 @@
             leases.handle_new_generation(now, from);
             leases.handle_message(now, from, delivered.message);
         }
-        self.drain(to);
+        self.send_queued(to);
     }
 
     fn deliver_all(&mut self) {
@@ -162,7 +162,7 @@
         self.hosts[host].leases.as_ref().and_then(|leases| leases.balance(self.clock(host), 1))
     }
 
-    /// What all hosts may use at this moment, as a share of the volume's limit.
+    /// Returns the sum of what all hosts may use now, as a fraction of the volume's limit.
     fn share_in_use(&self) -> f64 {
         let owned = 1.0 / self.hosts.len() as f64;
         let share = |host: usize| {
@@ -176,12 +176,12 @@
     }
 }
 
-/// Random steps of a cluster; the step at which the limit was exceeded.
+/// Runs random steps of a cluster. Returns the first step at which the limit was exceeded.
 fn run_randomly(seed: u64, fault: Option<LeaseFault>) -> Option<usize> {
     let mut random = oorandom::Rand64::new(u128::from(seed));
     let host_count = 2 + (seed % 3) as u32;
     let demand: Vec<f64> = (0..host_count).map(|_| DEMANDS[random.rand_range(0..4) as usize]).collect();
-    // Each clock is fast or slow by half of the drift, so that two differ by no more than the drift.
+    // Each clock is fast or slow by half the drift, so that two clocks differ by no more than the drift.
     let clock_rates: Vec<f64> =
         (0..host_count).map(|_| 1.0 + DRIFT / 2.0 * (2.0 * random.rand_float() - 1.0).signum()).collect();
     let mut cluster = Cluster::new(host_count, &demand, |slot| clock_rates[slot as usize], fault);
@@ -210,7 +210,7 @@
     None
 }
 
-/// Tries all orders of deliveries, duplicates, restarts and steps of time to that depth, and counts the states.
+/// Explores all orders of deliveries, duplicates, restarts and time steps up to a depth, and counts the states.
 fn explore(cluster: &Cluster, depth: u32, state_count: &mut u64) -> Result<(), String> {
     *state_count += 1;
     if cluster.exceeds_limit() {
@@ -225,7 +225,7 @@
         explore(&next, depth - 1, state_count)
     };
     explore_after(&|next| next.advance(TERM * 0.45))?;
-    // Of many messages only the last few are tried: the others are equal to one of them.
+    // Only the last few messages are tried, as the others are equal to one of them.
     for index in cluster.in_flight.len().saturating_sub(4)..cluster.in_flight.len() {
         explore_after(&|next| next.deliver(index, false))?;
         explore_after(&|next| next.deliver(index, true))?;
@@ -236,8 +236,8 @@
     Ok(())
 }
 
-/// Two hosts, one with a fast clock and one with a slow one, go through every order of a few steps, from their start and
-/// from where a lease runs. In no state may they use more than the volume's limit together.
+/// Two hosts, one with a fast clock and one with a slow clock, go through every order of a few steps, from their start and
+/// from a state with a lease in use. In no state may they together use more than the volume's limit.
 #[test]
 fn no_order_of_few_steps_exceeds_the_limit() {
     let mut state_count = 0;
@@ -254,9 +254,9 @@
     assert!(state_count > 1000, "{state_count}");
 }
 
-/// Clusters of two to four hosts go through thousands of random runs with losses, duplicates, restarts and leaves. Two
-/// faults were found by such runs: a second restart lost the marker of a leave (seed 264), and a lender's generation was
-/// forgotten with the end of its lease (seed 1686).
+/// Clusters of two to four hosts go through thousands of random runs with losses, duplicates, restarts and leaves. Such
+/// runs have found two faults: a second restart lost the marker of a leave (seed 264), and a lender's generation was
+/// discarded at the end of its lease (seed 1686).
 #[test]
 fn no_random_run_exceeds_the_limit() {
     let run_count = if cfg!(debug_assertions) { 2_000 } else { 40_000 };
@@ -265,7 +265,8 @@
     }
 }
 
-/// One of two hosts has all the demand. It must get most of the other's share, or the leases would be safe and useless.
+/// One of two hosts has all the demand. It must borrow most of the other's share, as leases that keep the limit but move no
+/// quota would be useless.
 #[test]
 fn a_host_with_all_the_demand_borrows_most_of_the_limit() {
     let mut cluster = Cluster::new(2, &[150.0, 0.0], |_| 1.0, None);
@@ -278,11 +279,11 @@
     assert!(cluster.share_in_use() > 0.95, "{}", cluster.share_in_use());
 }
 
-/// A deliberate fault is built into the leases. If the random runs did not find it, their success without a fault would
-/// prove nothing.
+/// The leases run with a deliberate fault. If the random runs did not detect it, their success without a fault would prove
+/// nothing.
 #[test]
-fn random_runs_find_each_deliberate_fault() {
-    // The fault, and the number of seeds within which it must be found.
+fn random_runs_detect_each_deliberate_fault() {
+    // The fault, and the number of seeds within which it must be detected.
     for (fault, seed_count) in [
         (LeaseFault::TermFromReceipt, 300),
         (LeaseFault::IgnoresDrift, 20_000),
@@ -291,18 +292,18 @@
         (LeaseFault::LendsBorrowed, 20_000),
         (LeaseFault::IgnoresGenerations, 20_000),
     ] {
-        let found = (0..seed_count).find(|seed| run_randomly(*seed, Some(fault)).is_some());
-        assert!(found.is_some(), "{fault:?}: not within {seed_count} runs");
-        println!("{fault:?}: seed {}", found.unwrap_or(0));
+        let detecting_seed = (0..seed_count).find(|seed| run_randomly(*seed, Some(fault)).is_some());
+        assert!(detecting_seed.is_some(), "{fault:?}: not detected within {seed_count} runs");
+        println!("{fault:?}: seed {}", detecting_seed.unwrap_or(0));
     }
 }
 
-/// A host leaves gracefully and lends its share to the others. Its next generation must wait until they have returned it,
-/// or, where no peer answers, until the longer term of a leave has ended.
+/// A host leaves gracefully and lends its share to the others. Its next generation must wait until they have returned
+/// it or, if no peer answers, until the longer term of a leave has ended.
 #[test]
 fn a_host_that_leaves_lends_its_share_and_gets_it_back() {
     let mut cluster = Cluster::new(3, &[150.0, 60.0, 10.0], |_| 1.0, None);
-    let settle = |cluster: &mut Cluster, seconds: f64| {
+    let run = |cluster: &mut Cluster, seconds: f64| {
         let until = cluster.now + seconds;
         while cluster.now < until {
             cluster.advance(TERM / 5.0);
@@ -310,21 +311,21 @@
             assert!(!cluster.exceeds_limit());
         }
     };
-    settle(&mut cluster, 3.0);
+    run(&mut cluster, 3.0);
     cluster.leave(2);
-    settle(&mut cluster, 0.5);
+    run(&mut cluster, 0.5);
     cluster.hosts[2].leases = None;
-    settle(&mut cluster, 1.5);
-    assert!(cluster.share_in_use() > 0.97, "its share is used by others: {}", cluster.share_in_use());
-    // Its next generation has nothing at first, and all of its share once the others have returned their leases.
+    run(&mut cluster, 1.5);
+    assert!(cluster.share_in_use() > 0.97, "share in use after the leave: {}", cluster.share_in_use());
+    // The next generation has no quota at first, and all of its share once the others have returned their leases.
     cluster.hosts[2].demand = 150.0;
     cluster.start(2);
     let balance = cluster.balance(2).unwrap();
     assert!((balance.lent - 1.0 / 3.0).abs() < 1e-9 && balance.borrowed == 0.0, "{balance:?}");
-    settle(&mut cluster, 1.0);
+    run(&mut cluster, 1.0);
     let balance = cluster.balance(2).unwrap();
     assert!(balance.lent < 0.01, "{balance:?}");
-    // A generation that no peer answers has its share after the longer term.
+    // If no peer answers, the next generation has its share after the longer term.
     cluster.hosts[2].has_left = true;
     cluster.start(2);
     let until = cluster.now + LEAVE_TERM * 1.1;
@@ -337,10 +338,10 @@
     assert!(balance.lent < 0.01, "{balance:?}");
 }
 
-/// Peers send forged requests, grants, recalls and confirmations. They can give away their own shares, but must not make
-/// this host use, or leave unused, more than those.
+/// Peers send forged requests, grants, recalls and confirmations. They must not make this host borrow more than the shares
+/// that the other owners have, or leave unused more than its own share.
 #[test]
-fn forged_messages_move_at_most_the_senders_shares() {
+fn forged_messages_move_no_more_than_the_owned_shares() {
     let owners = vec![0, 1, 2];
     let start = Instant::from_secs(50.0);
     let shared_limits = vec![SharedLimit { volume: 1, limit: 100.0, owners }];
@@ -385,7 +386,7 @@
         };
         leases.handle_message(now, MemberId { slot: from, generation }, message);
         let balance = leases.balance(now, 1).unwrap();
-        // At most the share of each other owner, and none of volumes that this host does not own.
+        // The host borrows at most the shares of the other owners, and nothing of volumes that it does not share.
         assert!(balance.borrowed <= 2.0 / 3.0 + 1e-9 && balance.lent <= 1.0 / 3.0 + 1e-9, "{balance:?}");
         assert!(leases.balance(now, 0).is_none() && leases.balance(now, 2).is_none());
     }
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -1,5 +1,5 @@
-//! A single view that the test drives: which updates it merges, which members it suspects, when it holds back, and what it
-//! reports of sites.
+//! Tests of a single view, which they drive: which updates it merges, which members it suspects, when it suspects none
+//! because it is cut off or was paused itself, and what it reports on sites.
 
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, TimeDelta};
@@ -26,7 +26,7 @@
     Instant::from_secs(100.0 + periods)
 }
 
-/// The view of host 0, with protocol periods of a second, after a datagram of each of `peer_count` peers.
+/// Creates the view of host 0, with protocol periods of one second, after a datagram of each of `peer_count` peers.
 fn view_with_peers(peer_count: u32, extensions: Extensions) -> View {
     let settings = ViewSettings { protocol_period: TimeDelta::from_secs(1.0), max_hosts: 20, extensions };
     let mut view = View::new(at(0.0), update(0, 50, 0, Health::Alive), vec![], &[], settings, 7);
@@ -37,8 +37,8 @@
     view
 }
 
-/// Runs from one period to another. Peers in `answering` answer pings at once; a datagram of each peer in `received`
-/// arrives in each step.
+/// Runs the view from one time to another, both in periods. Peers in `answering` answer pings at once, and a datagram
+/// of each peer in `received` arrives in each step of a tenth of a period.
 fn run(view: &mut View, from: f64, to: f64, answering: &[u32], received: &[u32]) {
     let mut period = from;
     while period < to {
@@ -71,8 +71,9 @@
     view.snapshot().get(&slot).map(|state| state.health)
 }
 
-/// Host 1 stops answering, or this host loses its connection. A host that can't tell the two apart would declare a running
-/// fleet dead, so it declares only members dead whose silence others confirm, or after a long time without any datagram.
+/// Host 1 stops answering, or this host loses its connection. If the host did not distinguish the two, it would declare a
+/// running fleet dead. It must declare members dead only if others confirm that they do not answer, or after a long time
+/// without any datagram.
 #[test]
 fn declares_silent_members_dead_unless_this_host_is_cut_off() {
     use Health::*;
@@ -95,8 +96,9 @@
     }
 }
 
-/// A host receives nothing for long, declares all others dead, and is then connected again. Its guesses must not spread,
-/// and a peer's update replaces them; only the death that no peer contradicts is gossiped in the end.
+/// A host receives no datagrams for a long time, declares all others dead, and is then connected again. If it gossiped
+/// these deaths at once, they would spread to the whole fleet. Any peer's update must supersede them, and only a death that
+/// no peer contradicts is gossiped later.
 #[test]
 fn deaths_declared_in_isolation_are_superseded_by_any_update_and_gossiped_later() {
     let mut view = view_with_peers(3, Extensions::all());
@@ -118,8 +120,9 @@
     );
 }
 
-/// A host is paused for 30 periods right after it sent a ping, and misses the answer. Without pause detection it would
-/// suspect the members that it had probed. The same holds for a member that restarts while a ping to it is pending.
+/// A host is paused for 30 periods just after it sent a ping, and misses the answer. Without pause detection it
+/// suspects the members that it probed. Nor may a member be suspected that restarts while a ping of its earlier
+/// generation is pending.
 #[test]
 fn neither_a_pause_nor_a_probe_of_an_earlier_generation_raises_suspicion() {
     for (extensions, suspects) in [
@@ -144,8 +147,8 @@
     assert_eq!((health(&view, 1), view.counters.suspected), (Some(Health::Alive), 0));
 }
 
-/// A member dies and returns nine times. It must not be chosen as a helper, since it may be gone when it is needed, and
-/// its changes must not fill the log; but it is still probed, so that its return is seen.
+/// A member dies and returns nine times. It must not be chosen as a helper, since it may fail again before it answers, and
+/// its changes must not fill the log. It must still be probed, so that its recovery is noticed.
 #[test]
 fn flapping_member_is_probed_and_listed_but_not_asked_for_help() {
     let mut view = view_with_peers(5, Extensions::all());
@@ -162,17 +165,17 @@
     let mut pinged = false;
     for tenth in 200..400 {
         view.handle_timeout(at(f64::from(tenth) / 10.0));
-        let is_ping_to_member = |transmit: Transmit| {
+        let is_ping_to_flapping_member = |transmit: Transmit| {
             transmit.to == address(1) && matches!(transmit.body, Body::Probe(ProbeMessage::Ping { .. }))
         };
-        pinged |= std::iter::from_fn(|| view.poll_transmit()).any(is_ping_to_member);
+        pinged |= std::iter::from_fn(|| view.poll_transmit()).any(is_ping_to_flapping_member);
     }
     assert!(pinged, "a flapping member is still probed");
-    assert!(!view.is_flapping(at(200.0), 1), "a member that stays alive does not flap any more");
+    assert!(!view.is_flapping(at(200.0), 1), "a member that stays alive no longer flaps");
 }
 
-/// A member that is suspected sends a datagram. It can refute the suspicion only if it learns of it, so it is notified at
-/// once; and this host, when it is suspected itself, gossips its refutation without waiting for a probe.
+/// A suspected member sends a datagram. It can refute the suspicion only if it learns of it, so it must be notified at
+/// once. When this host is suspected itself, it must gossip its refutation without waiting for a probe.
 #[test]
 fn suspected_member_is_notified_and_this_host_refutes_at_once() {
     let mut view = view_with_peers(3, Extensions::all());
@@ -191,8 +194,8 @@
     assert_eq!(std::iter::from_fn(|| view.poll_transmit()).count(), 3);
 }
 
-/// Updates with the greatest incarnation or generation, or of a slot beyond the fleet, can't come from a member. If they
-/// were accepted, no member could refute them, or they would fill the table.
+/// No member can have the greatest incarnation or generation, or a slot beyond the fleet. If updates with them were
+/// accepted, no member could refute them, or they would fill the table.
 #[test]
 fn rejects_updates_that_no_member_could_refute() {
     let mut view = view_with_peers(3, Extensions::all());
@@ -210,16 +213,16 @@
             "{update:?}"
         );
     }
-    // An incarnation that this host never had is refuted by a later one.
+    // The host refutes an incarnation that it never had by a later one.
     view.merge(at(1.0), update(0, 50, 8, Health::Alive));
     assert_eq!(view.me().incarnation, 9);
 }
 
-/// The three hosts of a site fail. Operators look at the site when they fail together, and at the hosts when they fail over
-/// a longer time, so the report must tell the two apart.
+/// The three hosts of a site fail. Operators examine the site if they failed together, and the hosts if they failed over a
+/// longer time, so the report must distinguish the two.
 #[test]
 fn reports_whether_a_sites_hosts_failed_together_or_one_by_one() {
-    // Hosts 1 to 9 are of sites 1, 2, 0, 1, 2, 0, ...; this host is of site 0. The cases have the failures in site 1.
+    // Hosts 1 to 9 are in sites 1, 2, 0, 1, 2, 0, ..., and this host is in site 0. The cases list the failures in site 1.
     type Case<'a> = (&'a str, &'a [(u32, f64, Health)], SiteHealth);
     let cases: &[Case] = &[
         (
@@ -251,11 +254,11 @@
     }
 }
 
-/// A clock that went back gives this host a lower generation than its last one. Without a check it would be displaced for
-/// as long as it runs; but where the later generation answers, two processes run and this one must yield.
+/// After its clock was set back, this host has a lower generation than its previous process. Without a check it would be
+/// displaced for as long as it runs. If the later generation answers, two processes run, and this one must stay displaced.
 #[test]
 fn takes_its_slot_back_only_from_a_later_generation_that_is_silent() {
-    // The address of the later generation, whether it answers, and whether this host takes its slot back.
+    // Case, address of the later generation, whether it answers, and how this host takes its slot back.
     let other_address: SocketAddr = "10.0.0.99:7000".parse().unwrap();
     let cases = [
         ("at this host's own address", address(0), false, Some(TakeOver::SameAddress)),
@@ -283,8 +286,8 @@
     }
 }
 
-/// Sixteen members are known when a round of probes begins, and two more join while it runs. Without a place in the round
-/// they would not be probed before the next one.
+/// Sixteen members are known when a round of probes begins, and two more join during it. If they were not inserted into the
+/// round, they would not be probed before the next one.
 #[test]
 fn members_that_join_during_a_round_are_probed_within_it() {
     let settings = ViewSettings {
@@ -317,6 +320,6 @@
         pinged += [17, 18].iter().filter(|peer| pinged_peers.contains(*peer)).count();
         seeds += 1;
     }
-    // After half of a round about one of the two is expected, and none if they wait for the next round.
-    assert!(pinged > seeds / 2, "{pinged} of {} in half a round", 2 * seeds);
+    // In half a round about one of the two is expected to be probed, and none if they wait for the next round.
+    assert!(pinged > seeds / 2, "{pinged} of {} probed in half a round", 2 * seeds);
 }
