--- a/src/policy/request_fate.rs
+++ b/src/policy/request_fate.rs
@@ -41,7 +41,7 @@
 
 /// What becomes of a queue's head.
 #[derive(Debug, PartialEq)]
-pub enum QueueHeadFate {
+pub enum QueueHeadAction {
     /// It is next to be sent, when its guards let it.
     Send,
     /// It finds another shard.
@@ -59,24 +59,24 @@
 
 impl QueueHead {
     /// What becomes of it at this time.
-    pub fn fate(&self, now: Instant) -> QueueHeadFate {
+    pub fn action(&self, now: Instant) -> QueueHeadAction {
         if !self.has_node && self.can_move && now < self.objective_at {
-            return QueueHeadFate::Move;
+            return QueueHeadAction::Move;
         }
         let can_never_be_sent = self.reason_never_to_send();
         let is_in_time = now + self.expected_latency < self.objective_at.min(self.deadline);
         match can_never_be_sent {
             // Held, it would block all that wait behind it until it is late.
-            Some(reason) => QueueHeadFate::Reject { reason, retry_after: self.max_retry_after },
-            None if is_in_time => QueueHeadFate::Send,
+            Some(reason) => QueueHeadAction::Reject { reason, retry_after: self.max_retry_after },
+            None if is_in_time => QueueHeadAction::Send,
             // A late request of a limited volume would use up units that requests in time need.
             None if self.is_limited || self.late_requests as f64 >= self.concurrency_limit => {
-                QueueHeadFate::Reject {
+                QueueHeadAction::Reject {
                     reason: FailureReason::TooLate { held_by: self.held_by },
                     retry_after: self.too_late_retry_after(),
                 }
             }
-            None => QueueHeadFate::SetAside,
+            None => QueueHeadAction::SetAside,
         }
     }
 
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -8,7 +8,7 @@
 use crate::policy::concurrency_limit::late_priority;
 use crate::policy::hold::MIN_RECHECK_INTERVAL;
 use crate::policy::priority::{current_priority, weighted_cost, Score};
-use crate::policy::request_fate::{QueueHead, QueueHeadFate};
+use crate::policy::request_fate::{QueueHead, QueueHeadAction};
 use crate::policy::retention::{MAX_RECENT_KEYS, MAX_SCANNED_REQUESTS};
 use crate::policy::volume_limit::is_limited;
 use crate::policy::Hold;
@@ -87,16 +87,16 @@
         loop {
             let waiting = self.shards.get_mut(&shard)?;
             let head = waiting.first_waiting(queue, |id| is_waiting_at(&self.requests, id, shard))?;
-            let fate = self.queue_head(shard, head, node)?.fate(self.now);
-            if fate == QueueHeadFate::Send {
+            let action = self.queue_head(shard, head, node)?.action(self.now);
+            if action == QueueHeadAction::Send {
                 return Some(self.first_ready(shard, queue).unwrap_or(head));
             }
             self.shards.get_mut(&shard)?.pop_head(queue);
-            match fate {
-                QueueHeadFate::Send => {}
-                QueueHeadFate::Move => self.enqueue(head, QueueEnd::Front),
-                QueueHeadFate::SetAside => self.shards.get_mut(&shard)?.late_requests.push_back(head),
-                QueueHeadFate::Reject { reason, retry_after } => {
+            match action {
+                QueueHeadAction::Send => {}
+                QueueHeadAction::Move => self.enqueue(head, QueueEnd::Front),
+                QueueHeadAction::SetAside => self.shards.get_mut(&shard)?.late_requests.push_back(head),
+                QueueHeadAction::Reject { reason, retry_after } => {
                     self.reject_or_fail(head, reason, Some(retry_after));
                 }
             }
