--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -37,7 +37,7 @@
 /// Requests that a node may report to wait before they divide the limit for units beyond the reservation.
 const BEST_EFFORT_NODE_QUEUE: f64 = 2.0;
 /// Answers judge a node when their latency objective is within this multiple of the tightest.
-const JUDGING_MULTIPLE: f64 = 2.0;
+const ADJUSTING_OBJECTIVE_MULTIPLE: f64 = 2.0;
 
 /// Whether an answer came well within its latency objective.
 pub fn is_fast(latency: TimeDelta, objective: TimeDelta) -> bool {
@@ -45,8 +45,8 @@
 }
 
 /// Whether answers of this class move limits: those of loose classes may be slow at a node that is well.
-pub fn judges_nodes(latency_objective: TimeDelta, tightest_objective: TimeDelta) -> bool {
-    latency_objective.secs() <= JUDGING_MULTIPLE * tightest_objective.secs()
+pub fn adjusts_limits(latency_objective: TimeDelta, tightest_objective: TimeDelta) -> bool {
+    latency_objective.secs() <= ADJUSTING_OBJECTIVE_MULTIPLE * tightest_objective.secs()
 }
 
 /// The priority with which a late request asks for capacity: of the rank of its class, and with a tightness of its own in place of the class's.
@@ -104,8 +104,8 @@
     pub latency: TimeDelta,
     /// The latency objective of its class.
     pub objective: TimeDelta,
-    /// See `judges_nodes`.
-    pub judges_node: bool,
+    /// See `adjusts_limits`.
+    pub adjusts_limit: bool,
     /// It was sent while the limit was what held requests back.
     pub was_at_limit: bool,
     /// Its request was over before it ended.
@@ -206,7 +206,7 @@
     pub fn record(&mut self, now: Instant, sample: &LimitSample) {
         self.record_latency(sample);
         match sample.outcome {
-            Outcome::Done if !sample.judges_node => {}
+            Outcome::Done if !sample.adjusts_limit => {}
             Outcome::Done if !is_fast(sample.latency, sample.objective) => {
                 let target_secs = FAST_FRACTION * sample.objective.secs();
                 self.cut(now, sample.latency, target_secs / sample.latency.secs());
--- a/src/policy/concurrency_limit/tests.rs
+++ b/src/policy/concurrency_limit/tests.rs
@@ -19,7 +19,7 @@
         outcome,
         latency,
         objective: OBJECTIVE,
-        judges_node: true,
+        adjusts_limit: true,
         was_at_limit: false,
         request_was_over: false,
         node_was_silent: false,
--- a/src/scheduler/attempt_end.rs
+++ b/src/scheduler/attempt_end.rs
@@ -4,7 +4,7 @@
 use super::shard::QueueEnd;
 use super::Scheduler;
 use crate::interface::{AttemptEnd, Instant, KeyId, NodeId, Outcome, RequestId, SchedulerEvent};
-use crate::policy::concurrency_limit::{is_fast, judges_nodes, LimitSample};
+use crate::policy::concurrency_limit::{adjusts_limits, is_fast, LimitSample};
 use crate::policy::loss_detection::LossSample;
 use crate::policy::outlier_detection::HealthChange;
 use crate::policy::retry_safety::{FailedAttempt, RETRY_BACKOFF};
@@ -35,7 +35,7 @@
     /// Records the attempt at its node; whether it shows that an attempt was lost.
     fn record_at_node(&mut self, result: &AttemptResult) -> bool {
         let class = &self.settings.classes[result.class.0 as usize];
-        let judges_node = judges_nodes(class.latency_objective, self.settings.tightest_objective);
+        let adjusts_limit = adjusts_limits(class.latency_objective, self.settings.tightest_objective);
         let Some(node) = self.nodes.get_mut(&result.attempt.node) else { return false };
         node.in_flight.remove(class.priority.rank, result.units);
         self.pending_shards.insert(node.shard);
@@ -49,7 +49,7 @@
             outcome: result.outcome,
             latency: result.latency,
             objective: result.objective,
-            judges_node,
+            adjusts_limit,
             was_at_limit: result.attempt.at_limit,
             request_was_over: result.request_was_over,
             node_was_silent: result.node_was_silent(node.answered),
