--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -30,7 +30,7 @@
     /// The settings allow another attempt after this one.
     pub may_retry: bool,
     /// The node's concurrency limit has been cut below one.
-    pub node_is_crowded: bool,
+    pub limit_is_below_one: bool,
     /// Until the request's deadline.
     pub time_left: TimeDelta,
 }
@@ -43,7 +43,7 @@
         }
         let timeout = match self.loss_timeout() {
             Some(timeout) => Some(timeout),
-            None => self.node_is_crowded.then_some(self.class.latency_objective),
+            None => self.limit_is_below_one.then_some(self.class.latency_objective),
         };
         timeout.filter(|timeout| *timeout < self.time_left)
     }
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -167,7 +167,7 @@
             pool_latency: &self.pool_latency[request.class.0 as usize],
             is_lossy: self.loss_detector.is_lossy(),
             may_retry: request.attempts + 1 < self.settings.max_attempts,
-            node_is_crowded: node.limiter.is_below_one(),
+            limit_is_below_one: node.limiter.is_below_one(),
             time_left: self.time_until(request.deadline),
         };
         let decision = Decision::Send {
