--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -11,7 +11,7 @@
 const MEDIAN: f64 = 0.5;
 
 /// Latencies of which none is known.
-pub fn no_latencies() -> Histogram {
+pub fn new_latency_histogram() -> Histogram {
     Histogram::new(LOWEST_LATENCY.secs(), LATENCY_WINDOW)
 }
 
--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -5,7 +5,7 @@
 use super::Scheduler;
 use crate::interface::{Decision, Instant, ListKind, NodeEntry, NodeId, NodeState, SchedulerEvent};
 use crate::policy::concurrency_limit::ConcurrencyLimiter;
-use crate::policy::latency::no_latencies;
+use crate::policy::latency::new_latency_histogram;
 use crate::policy::list_backoff::list_backoff;
 use crate::policy::node_override::NodeOverride;
 use crate::policy::retention::IDLE_RETENTION;
@@ -79,7 +79,7 @@
         let settings = &self.settings;
         let (mean_units, host_count) = (settings.mean_units, settings.host_count);
         NewNode {
-            latency: vec![no_latencies(); settings.classes.len()],
+            latency: vec![new_latency_histogram(); settings.classes.len()],
             rank_count: settings.classes.iter().map(|class| class.priority.rank + 1).max().unwrap_or(1),
             limiter: ConcurrencyLimiter::new(self.now, self.alive_hosts),
             slow_start: SlowStart::new(self.now, &settings.slow_start, rotation, mean_units, host_count),
--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -2,7 +2,7 @@
 
 use super::Scheduler;
 use crate::interface::{Effect, Instant, Plan, PlanId, SlowStartSettings, TimeDelta, TrafficClassId};
-use crate::policy::latency::no_latencies;
+use crate::policy::latency::new_latency_histogram;
 use crate::policy::loss_detection::LossDetector;
 use crate::policy::priority::Priority;
 use crate::policy::request_fate::DEADLINE_MARGIN;
@@ -89,7 +89,7 @@
         let priority = Priority::HIGHEST;
         self.settings.classes.push(TrafficClass { latency_objective, priority, effect, in_order });
         self.settings.tightest_objective = rank_by_latency_objective(&mut self.settings.classes);
-        self.pool_latency.push(no_latencies());
+        self.pool_latency.push(new_latency_histogram());
     }
 
     /// Plans are numbered in the order given.
