--- a/src/histogram.rs
+++ b/src/histogram.rs
@@ -38,7 +38,7 @@
     }
 
     /// The upper edge of the bin that holds this quantile, from 0 to 1; nothing while empty.
-    pub fn at(&self, quantile: f64) -> Option<f64> {
+    pub fn quantile(&self, quantile: f64) -> Option<f64> {
         if self.total <= 0.0 {
             return None;
         }
--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -54,7 +54,7 @@
         if !self.is_lossy || !self.may_retry || latency.count() < MIN_ANSWERS {
             return None;
         }
-        let usual_secs = latency.at(USUAL_QUANTILE).unwrap_or(0.0);
+        let usual_secs = latency.quantile(USUAL_QUANTILE).unwrap_or(0.0);
         let shortest = TimeDelta::from_secs(self.class.latency_objective.secs() * MIN_OBJECTIVE_FRACTION);
         Some(TimeDelta::from_secs(usual_secs * TIMEOUT_MULTIPLE).max(shortest))
     }
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -17,5 +17,5 @@
 
 /// The median latency, in seconds; none without an answer.
 pub fn median_secs(latencies: &Histogram) -> Option<f64> {
-    latencies.at(MEDIAN)
+    latencies.quantile(MEDIAN)
 }
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -395,7 +395,7 @@
     ] {
         let mut h = Histogram::new(0.002, 64.0);
         values.iter().for_each(|v| h.add(*v));
-        let got = h.at(quantile).unwrap_or(0.0);
+        let got = h.quantile(quantile).unwrap_or(0.0);
         assert!((low..=high).contains(&got), "{quantile} of {values:?}: {got}");
     }
 }
