--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -36,7 +36,7 @@
     /// What the node holds.
     pub shard: ShardId,
     /// How far the node is behind in the rotation, in turns.
-    pub rotation: &'a mut f64,
+    pub turns_due: &'a mut f64,
     /// The node's weight.
     pub weight: f64,
 }
@@ -46,9 +46,9 @@
 pub fn next_in_rotation(mut candidates: Vec<PlacementCandidate>) -> Option<ShardId> {
     let total: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
     for candidate in &mut candidates {
-        *candidate.rotation += candidate.weight / total;
+        *candidate.turns_due += candidate.weight / total;
     }
-    let chosen = candidates.into_iter().max_by(|a, b| a.rotation.total_cmp(b.rotation))?;
-    *chosen.rotation -= 1.0;
+    let chosen = candidates.into_iter().max_by(|a, b| a.turns_due.total_cmp(b.turns_due))?;
+    *chosen.turns_due -= 1.0;
     Some(chosen.shard)
 }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -34,7 +34,7 @@
                 operator_weight: node.operator_override.weight,
             };
             let (shard, weight) = (node.shard, weight.weight());
-            candidates.push(PlacementCandidate { shard, rotation: &mut node.rotation, weight });
+            candidates.push(PlacementCandidate { shard, turns_due: &mut node.rotation, weight });
         }
         next_in_rotation(candidates)
     }
