--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -13,7 +13,7 @@
     /// In attempts.
     pub concurrency_limit: f64,
     /// The fraction of its capacity that the node has now: below 1 while it warms up.
-    pub warmth: f64,
+    pub capacity_fraction: f64,
     /// The node's usual latency, in seconds; none: it has not answered yet.
     pub latency_secs: Option<f64>,
     /// The mean of the usual latencies of the nodes that have answered, in seconds; a node that has not counts like these.
@@ -25,7 +25,7 @@
 impl PlacementWeight {
     /// The node's weight in the rotation.
     pub fn weight(&self) -> f64 {
-        let capacity = self.warmth * self.concurrency_limit;
+        let capacity = self.capacity_fraction * self.concurrency_limit;
         let latency_secs = self.latency_secs.unwrap_or(self.mean_latency_secs).max(MIN_LATENCY_SECS);
         self.operator_weight * capacity / latency_secs
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -55,7 +55,7 @@
     }
 
     /// The fraction of its capacity that a node has after so long.
-    fn warmth(&self, uptime: TimeDelta) -> f64 {
+    fn capacity_fraction(&self, uptime: TimeDelta) -> f64 {
         let initial = self.0.initial_capacity;
         initial + (1.0 - initial) * (uptime.secs() / self.0.duration.secs()).max(0.0)
     }
@@ -119,11 +119,11 @@
         let Some(up_since) = request.up_since.filter(|_| limits.is_warming_up(now, request.up_since)) else {
             return Ok(());
         };
-        let warmth = limits.warmth(now - up_since);
-        let safe_units = limits.0.safe_units / request.host_count * warmth / limits.0.initial_capacity;
+        let capacity = limits.capacity_fraction(now - up_since);
+        let safe_units = limits.0.safe_units / request.host_count * capacity / limits.0.initial_capacity;
         let freed_by_time = DRAIN_FRACTION * safe_units / limits.0.window.max(MIN_WINDOW).secs();
         let freed_by_service =
-            SERVICE_RATE_FRACTION * limits.0.overload_multiple * warmth * request.service_rate;
+            SERVICE_RATE_FRACTION * limits.0.overload_multiple * capacity * request.service_rate;
         let drain_rate = freed_by_time + freed_by_service;
         let max_unanswered = IN_FLIGHT_FRACTION * safe_units;
         match self.unanswered.time_until_fits(now, drain_rate, max_unanswered, request.units) {
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -28,7 +28,7 @@
             let is_warming_up = slow_start.is_warming_up(now, node.up_since);
             let weight = PlacementWeight {
                 concurrency_limit: node.limiter.limit(),
-                warmth: if is_warming_up { slow_start.initial_capacity() } else { 1.0 },
+                capacity_fraction: if is_warming_up { slow_start.initial_capacity() } else { 1.0 },
                 latency_secs: node.usual_latency_secs(),
                 mean_latency_secs,
                 operator_weight: node.operator_override.weight,
