--- a/src/histogram.rs
+++ b/src/histogram.rs
@@ -1,12 +1,13 @@
-//! A small histogram of positive numbers: a few coarse bins, halved once enough has been seen; and the mean of some.
+//! A small histogram of positive numbers with a few coarse bins, in which old values lose weight; and the
+//! arithmetic mean.
 
-/// Bins of a histogram; with `GROWTH` they span a factor of some ten thousand.
+/// The number of bins. Together with `GROWTH` they span a factor of about ten thousand.
 const BINS: usize = 24;
-/// The upper edge of a bin over that of the one below.
+/// The ratio of the upper edges of two neighbouring bins.
 const GROWTH: f64 = 1.5;
 
-/// Counts of values, by bin. Bin `i` holds values up to `first * 1.5^i`; the last also holds whatever is
-/// larger.
+/// Counts of values by bin. Bin `i` holds values up to `first * 1.5^i`; the last bin also holds all larger
+/// values.
 #[derive(Clone, Debug)]
 pub struct Histogram {
     first: f64,
@@ -16,7 +17,8 @@
 }
 
 impl Histogram {
-    /// `first` is the upper edge of the lowest bin; counts are halved each time they sum to `halve_at`.
+    /// Creates an empty histogram. `first` is the upper edge of the lowest bin; all counts are halved each time
+    /// their sum reaches `halve_at`.
     pub fn new(first: f64, halve_at: f64) -> Self {
         Histogram { first, halve_at, total: 0.0, bins: [0.0; BINS] }
     }
@@ -32,20 +34,21 @@
         }
     }
 
-    /// Values counted, less what was halved away.
+    /// Returns the sum of the counts, which halving reduces.
     pub fn count(&self) -> f64 {
         self.total
     }
 
-    /// The upper edge of the bin that holds this quantile, from 0 to 1; nothing while empty.
+    /// Returns the upper edge of the bin that holds `quantile`, which is from 0 to 1, or `None` if the histogram
+    /// is empty.
     pub fn quantile(&self, quantile: f64) -> Option<f64> {
         if self.total <= 0.0 {
             return None;
         }
-        let mut left = quantile * self.total;
+        let mut remaining = quantile * self.total;
         for (i, n) in self.bins.iter().enumerate() {
-            left -= n;
-            if left <= 0.0 {
+            remaining -= n;
+            if remaining <= 0.0 {
                 return Some(self.first * GROWTH.powi(i as i32));
             }
         }
@@ -53,7 +56,7 @@
     }
 }
 
-/// The mean of the values; zero of none.
+/// Returns the mean of the values, or zero if there are none.
 pub(crate) fn mean(values: impl Iterator<Item = f64>) -> f64 {
     let (sum, count) = values.fold((0.0, 0.0), |(sum, count), value| (sum + value, count + 1.0));
     if count > 0.0 {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,4 @@
-//! The types with which the scheduler is called and in which it answers. No decision is made here.
+//! The types that the scheduler takes as input and returns. They hold no scheduling rule.
 
 mod decision;
 mod event;
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -1,66 +1,67 @@
-//! What the scheduler has to say to operators: a fixed message and named fields. docs/on-call.md has a row for each.
+//! The events that the scheduler reports to operators, each with a fixed message and named fields. docs/on-call.md
+//! has a row for each.
 
 use super::{NodeId, TimeDelta};
 use std::fmt::{Display, Formatter, Result};
 
-/// A change of mode that an operator may want to know.
+/// A change of state that an operator may need to know about.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SchedulerEvent {
-    /// Nearly all of a node's last answers are bad: it is ejected and gets probes only.
+    /// Nearly all recent attempts at a node failed: it is ejected and gets only probes.
     NodeUnhealthy {
-        /// Which node.
+        /// The node.
         node: NodeId,
-        /// Good answers among the last ones, the older counting less.
+        /// The count of successful attempts, in which older ones weigh less.
         successes: f64,
-        /// Bad answers among the last ones, the older counting less.
+        /// The count of failed attempts, in which older ones weigh less.
         failures: f64,
     },
-    /// An ejected node answers again and is back in service.
+    /// An ejected node answers with success again and is back in service.
     NodeHealthy {
-        /// Which node.
+        /// The node.
         node: NodeId,
-        /// Good answers among the last ones, the older counting less.
+        /// The count of successful attempts, in which older ones weigh less.
         successes: f64,
-        /// Bad answers among the last ones, the older counting less.
+        /// The count of failed attempts, in which older ones weigh less.
         failures: f64,
     },
-    /// The endpoint list shows a new start of a node: slow start begins.
+    /// The endpoint list shows that a node has restarted: slow start begins.
     NodeRestarted {
-        /// Which node.
+        /// The node.
         node: NodeId,
-        /// For how long it has been up.
+        /// How long the node has been up.
         uptime: TimeDelta,
     },
-    /// Attempts or their answers get lost on the way; attempts have timeouts meanwhile.
+    /// Attempts or their answers are being lost between host and nodes; until that ends, attempts get a timeout.
     AttemptLossBegan {
-        /// Attempts that were lost, the older counting less.
+        /// The count of lost attempts, in which older ones weigh less.
         lost: f64,
-        /// Attempts that were answered, the older counting less.
+        /// The count of answered attempts, in which older ones weigh less.
         answered: f64,
     },
-    /// Attempts do not get lost any more.
+    /// Attempts are no longer being lost.
     AttemptLossEnded {
-        /// Attempts that were lost, the older counting less.
+        /// The count of lost attempts, in which older ones weigh less.
         lost: f64,
-        /// Attempts that were answered, the older counting less.
+        /// The count of answered attempts, in which older ones weigh less.
         answered: f64,
     },
-    /// A call for the endpoint list failed, or following it broke off.
+    /// A call for the endpoint list failed, or the subscription to its changes broke.
     EndpointListUnavailable {
-        /// Failures in a row, with this one.
+        /// The number of failures in a row, including this one.
         failures: u32,
-        /// When the next call is made.
+        /// The time until the next call.
         retry_in: TimeDelta,
     },
-    /// The endpoint list is followed again.
+    /// The endpoint list is available again.
     EndpointListRecovered {
-        /// Failures in a row before.
+        /// The number of failures in a row before.
         failures: u32,
     },
 }
 
 impl SchedulerEvent {
-    /// The message, the same for every event of its kind.
+    /// Returns the message, which is the same for all events of a variant.
     pub fn message(&self) -> &'static str {
         match self {
             SchedulerEvent::NodeUnhealthy { .. } => "node unhealthy",
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The node that it is about, if it is about one.
+    /// Returns the node that the event is about, or `None` for events that concern no single node.
     pub fn node(&self) -> Option<NodeId> {
         match self {
             SchedulerEvent::NodeUnhealthy { node, .. }
@@ -87,7 +88,7 @@
     }
 }
 
-/// One line: the message, then `name=value` for each field; times in seconds.
+/// Writes one line: the message, then `name=value` for each field, with times in seconds.
 impl Display for SchedulerEvent {
     fn fmt(&self, out: &mut Formatter<'_>) -> Result {
         out.write_str(self.message())?;
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -1,23 +1,24 @@
-//! Numbers by which the host and the scheduler name things.
+//! The numbers by which host and scheduler identify requests, nodes and other objects.
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {$(
         $(#[$doc])*
-        /// A small number that the host gives.
+        ///
+        /// The host assigns the number.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(
-            /// The number itself.
+            /// The number.
             pub u32,
         );
     )*};
 }
 
 ids! {
-    /// One client request; a client's next try is a new one.
+    /// A client request. When a client retries, that is a new request.
     RequestId,
     /// A storage node.
     NodeId,
-    /// Data of one owner, whose requests share a plan's limit.
+    /// A volume: data of one owner, whose requests share the limit of a plan.
     VolumeId,
     /// The number of a plan, in the order in which plans were added.
     PlanId,
@@ -25,9 +26,9 @@
     TrafficClassId,
     /// A piece of data that is read or written.
     KeyId,
-    /// The part of the data that one node holds.
+    /// A shard: a part of the data that one node holds.
     ShardId,
-    /// Nodes that may fail together.
+    /// A zone: nodes that may fail together.
     ZoneId,
     /// The number of an attempt within its request, from 0.
     AttemptNumber,
--- a/src/interface/inputs.rs
+++ b/src/interface/inputs.rs
@@ -1,4 +1,4 @@
-//! What a host reports: requests, ends of attempts, quota leases, the endpoint list.
+//! The inputs that a host reports: requests, ends of attempts, quota leases and the endpoint list.
 
 use super::{
     AttemptNumber, Instant, KeyId, NodeId, PlanId, RequestId, ShardId, TimeDelta, TrafficClassId, VolumeId,
@@ -8,30 +8,30 @@
 /// A request as it arrives.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NewRequest {
-    /// Not used by any request that is not over.
+    /// The id, which no other unfinished request of this host has.
     pub id: RequestId,
-    /// Its traffic class.
+    /// The traffic class, which sets latency objective and effect.
     pub class: TrafficClassId,
-    /// The plan that its volume is under.
+    /// The plan that applies to the volume.
     pub plan: PlanId,
-    /// The piece of data that it asks for.
+    /// The piece of data that is read or written; `None`: the request has no key.
     pub key: Option<KeyId>,
-    /// How long its client will wait.
+    /// The time until the client's deadline.
     pub time_left: TimeDelta,
-    /// Whose data it asks for.
+    /// The volume whose data is read or written.
     pub volume: VolumeId,
-    /// Its cost, in units.
+    /// The cost, in units.
     pub units: f64,
-    /// Where its data is; none: a new object, which any node can take.
+    /// The shard that holds the data; `None`: a new object, which any shard can take.
     pub shard: Option<ShardId>,
-    /// Hosts through which the volume's requests come.
+    /// The number of hosts that receive requests for the volume.
     pub hosts: u32,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered well.
+    /// Answered with success.
     Done,
     /// Answered with an error.
     Error,
@@ -39,24 +39,25 @@
     Full,
     /// Not answered within its timeout, or by its client's deadline.
     TimedOut,
-    /// No connection was made, or no byte of the attempt was written in time. It counts as a failure of the node.
+    /// Not sent: no connection could be made, or no byte of the attempt was written in time. It counts as a failure
+    /// of the node.
     Refused,
-    /// The connection broke off.
+    /// The connection broke while the attempt was in flight.
     Reset,
-    /// Given up by this host or its client, or answered as a request that the node can't use.
+    /// Cancelled by this host or its client, or answered by the node as an invalid request.
     Cancelled,
-    /// Never sent: the request was over, the host withdrew the attempt or could not send it for a reason of its own, or the node does not
-    /// hold its shard. It says nothing of the node's health.
+    /// Never run: the request already had its final answer, the host withdrew the attempt or could not send it for
+    /// a reason of its own, or the node does not hold the shard. It says nothing about the node's health.
     Skipped,
 }
 
 impl Outcome {
-    /// Whether this outcome leaves it possible that the attempt had an effect.
+    /// Returns whether an attempt with this outcome may have had an effect.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Outcome::Full | Outcome::Refused | Outcome::Skipped)
     }
 
-    /// Whether the node may still be working on the attempt after this outcome.
+    /// Returns whether the node may still be processing an attempt with this outcome.
     pub fn may_be_running(self) -> bool {
         matches!(self, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
     }
@@ -65,77 +66,78 @@
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptEnd {
-    /// The request that it was of.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Which attempt of the request.
+    /// The number of the attempt within the request.
     pub number: AttemptNumber,
     /// How it ended.
     pub outcome: Outcome,
-    /// How long it took.
+    /// The time from sending the attempt to its end.
     pub latency: TimeDelta,
-    /// The request is over as well, whatever the outcome.
+    /// The request has ended as well, whatever the outcome of the attempt.
     pub request_is_over: bool,
 }
 
-/// Shares of a volume's limit that hosts lend each other, as fractions of the whole limit.
+/// The shares of a volume's limit that this host lends to other hosts and borrows from them, as fractions of the
+/// whole limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaLeases {
-    /// Left to other hosts until the next change.
+    /// The share lent to other hosts, until the next change.
     pub lent: f64,
-    /// Left to this host, until then.
+    /// The share borrowed from other hosts, until `until`.
     pub borrowed: f64,
-    /// When `borrowed` ends.
+    /// The time at which `borrowed` ends.
     pub until: Instant,
 }
 
-/// What changed of the quota leases of a volume.
+/// A change of the quota leases of a volume.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseChange {
-    /// Whose limit is shared.
+    /// The volume whose limit is shared.
     pub volume: VolumeId,
-    /// The plan that it is under.
+    /// The plan that applies to the volume.
     pub plan: PlanId,
-    /// Hosts through which its requests come.
+    /// The number of hosts that receive requests for the volume.
     pub hosts: u32,
-    /// All of this host's leases from now on.
+    /// This host's leases from now on, which replace the earlier ones.
     pub leases: QuotaLeases,
 }
 
 /// The state of a node in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Finishes what is in flight and takes nothing new.
+    /// Finishes the attempts in flight and accepts no new ones.
     Draining,
-    /// Is no more.
+    /// Has been removed.
     Gone,
 }
 
-/// How an endpoint list came.
+/// The kind of an endpoint list update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the entries that changed.
     Changes,
-    /// The complete list; what it does not name is gone.
+    /// The complete list; nodes that it does not name are gone.
     Complete,
-    /// The complete list as last cached, perhaps out of date.
+    /// The complete list as last saved by the host, which may be out of date.
     Saved,
-    /// A call for the list failed, or following it broke off; nothing came.
+    /// No list: a call for it failed, or the subscription to its changes broke.
     Failed,
 }
 
 /// One entry of an endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeEntry {
-    /// Which node.
+    /// The node.
     pub node: NodeId,
-    /// Whether it takes requests.
+    /// Whether the node accepts requests.
     pub state: NodeState,
-    /// Where it runs.
+    /// The zone in which the node runs.
     pub zone: ZoneId,
-    /// What it holds.
+    /// The shard that the node holds.
     pub shard: ShardId,
-    /// When the node last started, where that is known and recent.
+    /// When the node last started; `None`: not known, or long ago.
     pub up_since: Option<Instant>,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,60 +1,61 @@
-//! The settings that a host gets before the first request: traffic classes, plans, and what nodes bear.
+//! The settings that a host passes in before the first request: traffic classes, plans, and slow start.
 
 use super::TimeDelta;
 
-/// Which nodes discard repeats of an idempotent-by-key request.
+/// The nodes that share idempotency keys, and so discard each other's repeats of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All nodes know each other's requests.
+    /// All nodes.
     All,
-    /// Those of one zone.
+    /// The nodes of one zone.
     Zone,
-    /// Those of one shard.
+    /// The nodes of one shard.
     Shard,
 }
 
-/// What running a request again may do.
+/// The effect of running a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing beyond what running it once does.
+    /// The same as running it once.
     Idempotent,
-    /// Nothing where nodes know its idempotency key: those in `scope`, for `window` after the first run.
+    /// The same as running it once, at nodes that know its idempotency key: those in `scope`, for `window` after the
+    /// first run.
     IdempotentByKey {
-        /// Nodes that know the key.
+        /// The nodes that know the key.
         scope: DedupScope,
-        /// For how long.
+        /// How long they know it.
         window: TimeDelta,
     },
-    /// A second effect: it is never run again once it may have run.
+    /// A second effect: the request must not run again once it may have run.
     NonIdempotent,
 }
 
-/// What a volume may use.
+/// The service that a volume is entitled to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Plan {
-    /// Units a second that must not be exceeded; 0: there is no limit.
+    /// The rate that must not be exceeded, in units per second; 0: no limit.
     pub limit: f64,
-    /// Units that the limit's bucket holds.
+    /// The capacity of the limit's bucket, in units.
     pub burst: f64,
-    /// Units by which all hosts together may exceed the limit.
+    /// The amount by which all hosts together may exceed the limit, in units.
     pub slack: f64,
-    /// Units a second that are served before those of others.
+    /// The reserved rate, in units per second, which is served before best effort.
     pub reserve: f64,
-    /// Share of what is left beyond the reservations.
+    /// The weight in sharing what the reservations leave, relative to the weights of other volumes.
     pub weight: f64,
 }
 
-/// What a node bears that has just started.
+/// The load that a node can take after a start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlowStartSettings {
-    /// Units within `window` from all hosts that never hurt a node.
+    /// The number of units within `window`, from all hosts together, that never overload a node.
     pub safe_units: f64,
-    /// Fraction of its capacity that a node starts with.
+    /// The fraction of its capacity that a node has at its start.
     pub initial_capacity: f64,
-    /// How long a node takes to warm up.
+    /// How long a node takes to reach its full capacity.
     pub duration: TimeDelta,
     /// The time over which `safe_units` are counted.
     pub window: TimeDelta,
-    /// A node always bears this many times what it can do at the moment.
+    /// The multiple of its current capacity that a node can always take.
     pub overload_multiple: f64,
 }
--- a/src/interface/time.rs
+++ b/src/interface/time.rs
@@ -1,4 +1,4 @@
-//! Points in time and lengths of time, in whole microseconds.
+//! Points in time and durations, in whole microseconds.
 
 use std::ops::{Add, Sub};
 
@@ -7,46 +7,47 @@
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: i64 = 1000;
 
-/// A point in time, in microseconds from a start that the host chooses.
+/// A point in time, in microseconds since an origin that the host chooses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Instant(i64);
 
-/// A length of time, in microseconds; it may be negative. It is a type apart from `Instant`, so that the two can't be mixed up.
+/// A duration in microseconds, which may be negative. It is a type of its own, so that durations and points in time
+/// can't be mixed up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct TimeDelta(i64);
 
 impl Instant {
-    /// From seconds since the start, rounded to microseconds.
+    /// Creates a point in time from seconds since the origin, rounded to microseconds.
     pub fn from_secs(secs: f64) -> Self {
         Instant((secs * MICROS_PER_SEC).round() as i64)
     }
 
-    /// Seconds since the start.
+    /// Returns the seconds since the origin.
     pub fn secs(self) -> f64 {
         self.0 as f64 / MICROS_PER_SEC
     }
 }
 
 impl TimeDelta {
-    /// No time.
+    /// A duration of zero.
     pub const ZERO: TimeDelta = TimeDelta(0);
 
-    /// From whole microseconds.
+    /// Creates a duration from whole microseconds.
     pub const fn from_micros(micros: i64) -> Self {
         TimeDelta(micros)
     }
 
-    /// From whole milliseconds.
+    /// Creates a duration from whole milliseconds.
     pub const fn from_millis(millis: i64) -> Self {
         TimeDelta(millis * MICROS_PER_MILLI)
     }
 
-    /// From seconds, rounded to microseconds.
+    /// Creates a duration from seconds, rounded to microseconds.
     pub fn from_secs(secs: f64) -> Self {
         TimeDelta((secs * MICROS_PER_SEC).round() as i64)
     }
 
-    /// In seconds.
+    /// Returns the duration in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / MICROS_PER_SEC
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,18 +1,20 @@
-//! The scheduler of a storage gateway: each host decides alone which of its requests goes to which storage node, and when.
+//! The scheduler of a storage gateway. Each host decides on its own which of its requests goes to which storage
+//! node, and when.
 //!
 //! - `interface`: the types of inputs, decisions and events.
-//! - `policy`: every rule and every tuned value, a module for each mechanism.
-//! - `scheduler`: gathers what a rule reads, applies what it decides, and keeps the tables.
-//! - `state`: bookkeeping without a rule: buckets, queues, timers.
-//! - `histogram`: the measurements behind latencies.
+//! - `policy`: every rule and every tuned value, with one module per mechanism.
+//! - `scheduler`: collects the inputs of each rule, applies its decision, and keeps the tables.
+//! - `state`: data structures that hold no rule: buckets, queues, timers.
+//! - `histogram`: the histogram that records latencies.
 //!
-//! Nothing here knows of a wire, a clock or a thread: a host reports what happens and polls for decisions.
+//! The package performs no I/O, reads no clock and starts no thread: a host reports what happens and polls for
+//! decisions.
 
 #![warn(missing_docs)]
 
-/// Histograms of latencies.
+/// A coarse histogram, used for latencies.
 pub mod histogram;
-/// Types of inputs, decisions and events.
+/// The types of inputs, decisions and events.
 pub mod interface;
 /// The rules and the tuned values of the scheduler.
 pub mod policy;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! Bookkeeping without a rule and without a tuned value.
+//! Data structures that hold neither a scheduling rule nor a tuned value.
 
 mod bucket;
 mod key_queue;
--- a/src/state/key_queue.rs
+++ b/src/state/key_queue.rs
@@ -1,46 +1,47 @@
-//! Requests on one key, which are served one at a time in order of arrival (rule 5).
+//! The queue of the requests on one key, which are served one at a time in order of arrival (rule 5).
 
 use crate::interface::{Instant, RequestId};
 use std::collections::VecDeque;
 
-/// The requests on one key that are not over.
+/// The unfinished requests on one key.
 #[derive(Default)]
 pub struct KeyQueue {
-    /// In order of arrival; the first one has the key.
+    /// The requests in order of arrival. Only the first one may be sent.
     pub waiting: VecDeque<RequestId>,
-    /// The request that has sent an attempt.
+    /// The unfinished request that last had an attempt sent.
     pub holder: Option<RequestId>,
-    /// Attempts that have not ended.
+    /// The number of attempts in flight.
     pub in_flight: usize,
-    /// Until then an attempt of unknown outcome may still be running.
+    /// The time until which an attempt of unknown outcome may still be running.
     pub free_at: Instant,
 }
 
 impl KeyQueue {
-    /// An attempt of this request leaves for its node.
+    /// Records that an attempt of a request is sent.
     pub fn attempt_started(&mut self, id: RequestId) {
         self.holder = Some(id);
         self.in_flight += 1;
     }
 
-    /// An attempt has ended; the key is free at `settled_at` at the earliest, where one is given.
+    /// Records the end of an attempt. `settled_at` is the time until which the attempt may still be running; `None`:
+    /// it is not running any more.
     pub fn attempt_finished(&mut self, settled_at: Option<Instant>) {
         self.in_flight -= 1;
         self.free_at = self.free_at.max(settled_at.unwrap_or_default());
     }
 
-    /// When the key is free at the earliest, if this request may not be sent now.
+    /// Returns the earliest time at which the key is free if the request may not be sent now, or `None` if it may.
     pub fn blocked_until(&self, id: RequestId, now: Instant) -> Option<Instant> {
         let is_free = self.holder == Some(id) || (self.in_flight == 0 && self.free_at <= now);
         (self.waiting.front() != Some(&id) || !is_free).then_some(self.free_at)
     }
 
-    /// Whether nothing is left to order.
+    /// Returns whether the queue holds nothing that a later request would have to wait for.
     pub fn is_idle(&self, now: Instant) -> bool {
         self.waiting.is_empty() && self.in_flight == 0 && self.free_at <= now
     }
 
-    /// Removes a request that is over; gives the first of those that remain.
+    /// Removes a finished request and returns the first of the remaining ones.
     pub fn remove(&mut self, id: RequestId) -> Option<RequestId> {
         self.waiting.retain(|waiting| *waiting != id);
         self.holder = self.holder.filter(|holder| *holder != id);
--- a/src/state/random.rs
+++ b/src/state/random.rs
@@ -1,15 +1,15 @@
-//! Random numbers, reproducible from the host's seed.
+//! Random numbers that are reproducible from the host's seed.
 
-/// A generator of random numbers.
+/// A pseudorandom number generator.
 pub struct Random(oorandom::Rand32);
 
 impl Random {
-    /// The same seed gives the same numbers.
+    /// Creates a generator. The same seed gives the same sequence of numbers.
     pub fn new(seed: u64) -> Self {
         Random(oorandom::Rand32::new(seed))
     }
 
-    /// From 0 up to 1.
+    /// Returns a number from 0 (inclusive) to 1 (exclusive).
     pub fn fraction(&mut self) -> f64 {
         f64::from(self.0.rand_float())
     }
--- a/src/state/timers.rs
+++ b/src/state/timers.rs
@@ -1,38 +1,38 @@
-//! When something has to be looked at without an input.
+//! Timers: the times at which the scheduler must act without an input.
 
 use crate::interface::{Instant, KeyId, RequestId, ShardId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What is due at a time. Of timers set for one time, the variants expire in this order.
+/// The action that is due when a timer expires. Timers set for the same time expire in the order of the variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// The request must have its final answer.
+    /// The request must get its final answer.
     Deadline(RequestId),
-    /// A request may have become ready at this shard.
+    /// A request of this shard may have become ready to be sent.
     Shard(ShardId),
-    /// An attempt on this key can't be running any more.
+    /// An attempt on this key can no longer be running.
     KeySettled(KeyId),
-    /// Ask for the endpoint list.
+    /// The next call for the endpoint list is due.
     EndpointList,
 }
 
-/// Timers by time.
+/// A queue of timers, ordered by time.
 #[derive(Default)]
 pub struct Timers(BinaryHeap<Reverse<(Instant, Timer)>>);
 
 impl Timers {
-    /// Sets a timer.
+    /// Sets a timer, which can't be cancelled.
     pub fn set(&mut self, at: Instant, timer: Timer) {
         self.0.push(Reverse((at, timer)));
     }
 
-    /// The time of the next one.
+    /// Returns the time of the next timer, or `None` if none is set.
     pub fn next_at(&self) -> Option<Instant> {
         self.0.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Takes the next one if it is due.
+    /// Removes and returns the next timer if it is due.
     pub fn pop_expired(&mut self, now: Instant) -> Option<Timer> {
         self.next_at().filter(|at| *at <= now)?;
         self.0.pop().map(|Reverse((_, timer))| timer)
