--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -30,7 +30,7 @@
     /// The settings allow another attempt after this one.
     pub may_retry: bool,
     /// The node's concurrency limit has been cut below one.
-    pub node_is_crowded: bool,
+    pub limit_is_below_one: bool,
     /// Until the request's deadline.
     pub time_left: TimeDelta,
 }
@@ -43,7 +43,7 @@
         }
         let timeout = match self.loss_timeout() {
             Some(timeout) => Some(timeout),
-            None => self.node_is_crowded.then_some(self.class.latency_objective),
+            None => self.limit_is_below_one.then_some(self.class.latency_objective),
         };
         timeout.filter(|timeout| *timeout < self.time_left)
     }
@@ -54,7 +54,7 @@
         if !self.is_lossy || !self.may_retry || latency.count() < MIN_ANSWERS {
             return None;
         }
-        let usual_secs = latency.at(USUAL_QUANTILE).unwrap_or(0.0);
+        let usual_secs = latency.quantile(USUAL_QUANTILE).unwrap_or(0.0);
         let shortest = TimeDelta::from_secs(self.class.latency_objective.secs() * MIN_OBJECTIVE_FRACTION);
         Some(TimeDelta::from_secs(usual_secs * TIMEOUT_MULTIPLE).max(shortest))
     }
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -11,11 +11,11 @@
 const MEDIAN: f64 = 0.5;
 
 /// Latencies of which none is known.
-pub fn no_latencies() -> Histogram {
+pub fn new_latency_histogram() -> Histogram {
     Histogram::new(LOWEST_LATENCY.secs(), LATENCY_WINDOW)
 }
 
 /// The median latency, in seconds; none without an answer.
 pub fn median_secs(latencies: &Histogram) -> Option<f64> {
-    latencies.at(MEDIAN)
+    latencies.quantile(MEDIAN)
 }
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -13,7 +13,7 @@
     /// In attempts.
     pub concurrency_limit: f64,
     /// The fraction of its capacity that the node has now: below 1 while it warms up.
-    pub warmth: f64,
+    pub capacity_fraction: f64,
     /// The node's usual latency, in seconds; none: it has not answered yet.
     pub latency_secs: Option<f64>,
     /// The mean of the usual latencies of the nodes that have answered, in seconds; a node that has not counts like these.
@@ -25,7 +25,7 @@
 impl PlacementWeight {
     /// The node's weight in the rotation.
     pub fn weight(&self) -> f64 {
-        let capacity = self.warmth * self.concurrency_limit;
+        let capacity = self.capacity_fraction * self.concurrency_limit;
         let latency_secs = self.latency_secs.unwrap_or(self.mean_latency_secs).max(MIN_LATENCY_SECS);
         self.operator_weight * capacity / latency_secs
     }
@@ -36,7 +36,7 @@
     /// What the node holds.
     pub shard: ShardId,
     /// How far the node is behind in the rotation, in turns.
-    pub rotation: &'a mut f64,
+    pub turns_due: &'a mut f64,
     /// The node's weight.
     pub weight: f64,
 }
@@ -46,9 +46,9 @@
 pub fn next_in_rotation(mut candidates: Vec<PlacementCandidate>) -> Option<ShardId> {
     let total: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
     for candidate in &mut candidates {
-        *candidate.rotation += candidate.weight / total;
+        *candidate.turns_due += candidate.weight / total;
     }
-    let chosen = candidates.into_iter().max_by(|a, b| a.rotation.total_cmp(b.rotation))?;
-    *chosen.rotation -= 1.0;
+    let chosen = candidates.into_iter().max_by(|a, b| a.turns_due.total_cmp(b.turns_due))?;
+    *chosen.turns_due -= 1.0;
     Some(chosen.shard)
 }
