--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -108,7 +108,7 @@
 
     /// How long after a replica learns of a commit, by its own clock, other replicas may still hold a lease that does not
     /// cover the entry.
-    pub fn max_holdover(duration: TimeDelta, max_clock_drift: f64) -> TimeDelta {
+    pub fn commit_wait(duration: TimeDelta, max_clock_drift: f64) -> TimeDelta {
         TimeDelta::from_secs(duration.secs() * (1.0 + 2.0 * max_clock_drift))
     }
 
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -66,7 +66,7 @@
     /// A replica as its disk has it.
     pub fn new(now: Instant, settings: ReplicaSettings) -> Replica {
         let (me, raft) = (settings.me, settings.raft);
-        let holdover = Lease::max_holdover(raft.lease, raft.max_clock_drift);
+        let commit_wait = Lease::commit_wait(raft.lease, raft.max_clock_drift);
         let mut replica = Replica {
             me,
             settings: raft,
@@ -78,7 +78,7 @@
             sessions: Sessions::default(),
             last_proposal: 0,
             proposals: VecDeque::new(),
-            commit_times: CommitTimes::new(holdover, raft.heartbeats(COMMIT_BATCH_HEARTBEATS)),
+            commit_times: CommitTimes::new(commit_wait, raft.heartbeats(COMMIT_BATCH_HEARTBEATS)),
             lease_was_valid: false,
             other_log_reported: false,
             pending_snapshot: None,
--- a/crates/consensus/src/replica/effective.rs
+++ b/crates/consensus/src/replica/effective.rs
@@ -12,20 +12,20 @@
     last_learned: Instant,
 }
 
-/// When this replica learned of commits. The number of batches is bounded by the holdover divided by the batch time.
+/// When this replica learned of commits. The number of batches is bounded by the commit wait divided by the batch time.
 #[derive(Clone, Debug)]
 pub(super) struct CommitTimes {
     batches: VecDeque<Batch>,
     /// Time from learning of a commit until it is effective.
-    holdover: TimeDelta,
+    commit_wait: TimeDelta,
     /// Time for which commits are added to the same batch.
     batch_time: TimeDelta,
 }
 
 impl CommitTimes {
     /// Without commits.
-    pub(super) fn new(holdover: TimeDelta, batch_time: TimeDelta) -> CommitTimes {
-        CommitTimes { batches: VecDeque::new(), holdover, batch_time }
+    pub(super) fn new(commit_wait: TimeDelta, batch_time: TimeDelta) -> CommitTimes {
+        CommitTimes { batches: VecDeque::new(), commit_wait, batch_time }
     }
 
     /// Forgets all, as the log is discarded.
@@ -35,8 +35,8 @@
 
     /// This replica learns now that the entry at `index` is committed.
     pub(super) fn record(&mut self, now: Instant, index: u64) {
-        let holdover = self.holdover;
-        while self.batches.pop_front_if(|batch| now - batch.last_learned >= holdover).is_some() {}
+        let commit_wait = self.commit_wait;
+        while self.batches.pop_front_if(|batch| now - batch.last_learned >= commit_wait).is_some() {}
         match self.batches.back_mut() {
             Some(batch) if now - batch.first_learned < self.batch_time => batch.last_learned = now,
             _ => self.push(now, index),
@@ -55,12 +55,12 @@
 
     /// Index of the last entry that is effective, if not all committed ones are.
     pub(super) fn effective_index(&self, now: Instant) -> Option<u64> {
-        let pending = self.batches.iter().find(|batch| now - batch.last_learned < self.holdover);
+        let pending = self.batches.iter().find(|batch| now - batch.last_learned < self.commit_wait);
         pending.map(|batch| batch.first_index - 1)
     }
 
     /// When the newest committed entry will be effective.
     pub(super) fn effective_at(&self, now: Instant) -> Instant {
-        self.batches.back().map_or(now, |batch| batch.last_learned + self.holdover).max(now)
+        self.batches.back().map_or(now, |batch| batch.last_learned + self.commit_wait).max(now)
     }
 }
--- a/crates/host-core/src/consensus.rs
+++ b/crates/host-core/src/consensus.rs
@@ -150,7 +150,7 @@
 
     /// How long after its commit a change applies at all hosts.
     pub fn settle(&self) -> TimeDelta {
-        Lease::max_holdover(self.settings.lease, self.settings.max_clock_drift)
+        Lease::commit_wait(self.settings.lease, self.settings.max_clock_drift)
     }
 
     /// Whether this host's lease is valid.
