--- a/crates/consensus/src/chunks.rs
+++ b/crates/consensus/src/chunks.rs
@@ -112,7 +112,7 @@
     incoming: Vec<IncomingMessage>,
     transmits: VecDeque<Transmit>,
     /// Messages that were given up, or were too long to be sent.
-    pub lost: u64,
+    pub lost_messages: u64,
 }
 
 impl ChunkedTransfer {
@@ -124,7 +124,7 @@
             outgoing: VecDeque::new(),
             incoming: Vec::new(),
             transmits: VecDeque::new(),
-            lost: 0,
+            lost_messages: 0,
         }
     }
 
@@ -135,7 +135,7 @@
             return self.transmits.push_back(Transmit { to, body });
         }
         if message.len() > MAX_MESSAGE {
-            self.lost += 1;
+            self.lost_messages += 1;
             return;
         }
         let message_id = self.keep_outgoing(message);
@@ -222,7 +222,7 @@
             if let Some(position) = idle_longest {
                 self.incoming.remove(position);
             }
-            self.lost += 1;
+            self.lost_messages += 1;
         }
         self.incoming.push(IncomingMessage {
             from,
@@ -258,7 +258,7 @@
     pub fn handle_timeout(&mut self, now: Instant) {
         let before = self.incoming.len();
         self.incoming.retain(|message| message.retries < MAX_MESSAGE_RETRIES);
-        self.lost += (before - self.incoming.len()) as u64;
+        self.lost_messages += (before - self.incoming.len()) as u64;
         let retry_interval = self.settings.retry_interval;
         let is_due = |message: &&mut IncomingMessage| now - message.last_progress >= retry_interval;
         for message in self.incoming.iter_mut().filter(is_due) {
--- a/crates/consensus/src/chunks/tests.rs
+++ b/crates/consensus/src/chunks/tests.rs
@@ -92,5 +92,5 @@
     }
     assert!(chunks.outgoing.len() <= MAX_OUTGOING && chunks.incoming.len() <= MAX_INCOMING);
     (0..100).for_each(|second| chunks.handle_timeout(Instant::from_secs(1_000.0 + f64::from(second))));
-    assert!(chunks.incoming.is_empty() && chunks.lost > 0);
+    assert!(chunks.incoming.is_empty() && chunks.lost_messages > 0);
 }
--- a/crates/host-core/src/consensus.rs
+++ b/crates/host-core/src/consensus.rs
@@ -194,7 +194,7 @@
             commits: counters.commits,
             granted: counters.granted,
             rejected_disks: counters.rejected_disks,
-            lost: counters.dropped_messages + self.chunks.lost,
+            lost: counters.dropped_messages + self.chunks.lost_messages,
         }
     }
 }
