--- a/crates/consensus/src/raft/leases.rs
+++ b/crates/consensus/src/raft/leases.rs
@@ -62,7 +62,7 @@
         }
         let Some(confirmed_round) = nth_largest(rounds, quorum) else { return };
         for (host, request) in leader.take_confirmed_requests(confirmed_round) {
-            self.counters.granted += 1;
+            self.counters.leases_granted += 1;
             self.send_lease(host, request);
         }
     }
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -74,7 +74,7 @@
     /// Entries that it saw committed.
     pub commits: u64,
     /// Leases that it granted.
-    pub granted: u64,
+    pub leases_granted: u64,
     /// Messages from disks that are not a voter's, or are an old copy of a voter's.
     pub rejected_disks: u64,
     /// Messages dropped because too many waited for the disk.
--- a/crates/consensus/tests/decision_hash.rs
+++ b/crates/consensus/tests/decision_hash.rs
@@ -159,7 +159,7 @@
     elections: u64,
     terms_led: u64,
     commits: u64,
-    granted: u64,
+    leases_granted: u64,
     restores: u64,
     snapshots_taken: u64,
 }
@@ -427,7 +427,7 @@
         totals.elections += counters.elections;
         totals.terms_led += counters.terms_led;
         totals.commits += counters.commits;
-        totals.granted += counters.granted;
+        totals.leases_granted += counters.leases_granted;
         totals.restores += counters.restores;
         totals.snapshots_taken += counters.snapshots_taken;
         self.hash.number(counters.rejected_disks);
@@ -576,9 +576,9 @@
         for host in 0..self.hosts.len() as u32 {
             self.stop(host);
         }
-        let VoterTotals { elections, terms_led, commits, granted, restores, snapshots_taken } =
+        let VoterTotals { elections, terms_led, commits, leases_granted, restores, snapshots_taken } =
             self.totals.counters;
-        [elections, terms_led, commits, granted, restores, snapshots_taken]
+        [elections, terms_led, commits, leases_granted, restores, snapshots_taken]
             .into_iter()
             .for_each(|total| self.hash.number(total));
         (self.hash.to_hex(), self.totals)
@@ -620,7 +620,10 @@
     assert!(counters.commits >= 500 && totals.own_changes >= 100, "{totals:?}");
     assert!(counters.restores >= 5 && counters.snapshots_taken >= 20 && totals.chunks >= 50, "{totals:?}");
     assert!(totals.restarts >= 10 && totals.voter_changes >= 2, "{totals:?}");
-    assert!(counters.granted >= 100 && totals.leases_held >= 1_000 && totals.reads >= 20, "{totals:?}");
+    assert!(
+        counters.leases_granted >= 100 && totals.leases_held >= 1_000 && totals.reads >= 20,
+        "{totals:?}"
+    );
 }
 
 /// Compares the hashes of all seeds, and names all that differ.
--- a/crates/host-core/src/consensus.rs
+++ b/crates/host-core/src/consensus.rs
@@ -192,7 +192,7 @@
             has: status.followers.into_iter().map(reported).collect(),
             elections: counters.elections,
             commits: counters.commits,
-            granted: counters.granted,
+            granted: counters.leases_granted,
             rejected_disks: counters.rejected_disks,
             lost: counters.dropped_messages + self.chunks.lost_messages,
         }
