--- a/crates/host-core/src/consensus.rs
+++ b/crates/host-core/src/consensus.rs
@@ -150,7 +150,7 @@
 
     /// How long after its commit a change applies at all hosts.
     pub fn settle(&self) -> TimeDelta {
-        Lease::max_holdover(self.settings.lease, self.settings.max_clock_drift)
+        Lease::commit_wait(self.settings.lease, self.settings.max_clock_drift)
     }
 
     /// Whether this host's lease is valid.
@@ -192,9 +192,9 @@
             has: status.followers.into_iter().map(reported).collect(),
             elections: counters.elections,
             commits: counters.commits,
-            granted: counters.granted,
+            granted: counters.leases_granted,
             rejected_disks: counters.rejected_disks,
-            lost: counters.dropped_messages + self.chunks.lost,
+            lost: counters.dropped_messages + self.chunks.lost_messages,
         }
     }
 }
