--- a/crates/cli/src/consensus.rs
+++ b/crates/cli/src/consensus.rs
@@ -91,7 +91,7 @@
         status.host,
         status.role,
         status.term,
-        status.log,
+        status.log_id,
         leader_text(status),
         vote_text(status)
     );
@@ -100,8 +100,8 @@
         status.version,
         status.acknowledged,
         lease_text(status),
-        status.last,
-        status.commit,
+        status.last_index,
+        status.commit_index,
         status.snapshot_index,
         status.in_force_s.max(0.0)
     );
@@ -114,7 +114,7 @@
 
 /// Whether the host votes, and why not.
 fn vote_text(status: &ConsensusStatus) -> &'static str {
-    match (status.bootstrapped, status.votes, status.failed) {
+    match (status.bootstrapped, status.is_voter, status.disk_failed) {
         (_, _, true) => "its disk rejects writes: neither votes nor leads",
         (false, _, _) => "nothing is agreed on yet: it waits for all who begin",
         (_, true, _) => "votes",
@@ -132,7 +132,7 @@
 
 /// A line with the hosts that do not have all committed entries; empty where there are none.
 fn lagging_text(status: &ConsensusStatus) -> String {
-    let lagging = status.has.iter().filter(|(_, (index, _))| *index < status.commit);
+    let lagging = status.followers.iter().filter(|(_, (index, _))| *index < status.commit_index);
     let lagging: Vec<String> =
         lagging.map(|(host, (index, age_s))| format!("host {host} at {index}, {age_s:.1} s ago")).collect();
     if lagging.is_empty() {
--- a/crates/cli/src/consensus/tests.rs
+++ b/crates/cli/src/consensus/tests.rs
@@ -15,11 +15,11 @@
         role: "leads".into(),
         leader: Some(3),
         voters: vec![0, 1, 3],
-        votes: true,
+        is_voter: true,
         bootstrapped: true,
-        commit: 9,
+        commit_index: 9,
         lease: "holds".into(),
-        has: [(1, (9, 0.1)), (2, (4, 2.5))].into(),
+        followers: [(1, (9, 0.1)), (2, (4, 2.5))].into(),
         ..ConsensusStatus::default()
     };
     let text = status_text(&status);
@@ -27,7 +27,7 @@
         text.contains("voters 0, 1, 3; votes") && text.contains("behind: host 2 at 4, 2.5 s ago"),
         "{text}"
     );
-    let past = ConsensusStatus { lease: "past".into(), degraded: true, votes: false, ..status };
+    let past = ConsensusStatus { lease: "past".into(), degraded: true, is_voter: false, ..status };
     assert!(
         status_text(&past).contains("lease expired 0.00 s ago; degraded mode: fallback limits"),
         "{}",
--- a/crates/host-core/src/consensus/messages.rs
+++ b/crates/host-core/src/consensus/messages.rs
@@ -70,20 +70,25 @@
     /// The leader, where one is known.
     pub leader: Option<u32>,
     /// The id of the log: hosts with different ones do not share one.
-    pub log: u64,
+    #[serde(rename = "log")]
+    pub log_id: u64,
     /// Hosts that vote.
     pub voters: Vec<u32>,
     /// Whether this host votes.
-    pub votes: bool,
+    #[serde(rename = "votes")]
+    pub is_voter: bool,
     /// Whether the log has its initial voters.
     #[serde(rename = "founded")]
     pub bootstrapped: bool,
     /// Whether its disk takes no writes.
-    pub failed: bool,
+    #[serde(rename = "failed")]
+    pub disk_failed: bool,
     /// The index of the last entry.
-    pub last: u64,
+    #[serde(rename = "last")]
+    pub last_index: u64,
     /// The index up to which entries are committed.
-    pub commit: u64,
+    #[serde(rename = "commit")]
+    pub commit_index: u64,
     /// The index up to which entries are in the snapshot.
     #[serde(rename = "folded")]
     pub snapshot_index: u64,
@@ -102,16 +107,19 @@
     /// Seconds until the newest version that this host has applies at all hosts.
     pub in_force_s: f64,
     /// Where it leads: by host, the last entry that the host reported to have stored, and seconds since its last response.
-    pub has: BTreeMap<u32, (u64, f64)>,
+    #[serde(rename = "has")]
+    pub followers: BTreeMap<u32, (u64, f64)>,
     /// Elections begun here.
     pub elections: u64,
     /// Entries committed here.
     pub commits: u64,
     /// Leases granted here.
-    pub granted: u64,
+    #[serde(rename = "granted")]
+    pub granted_leases: u64,
     /// Messages rejected because they came from another disk of a voter.
     #[serde(rename = "wrong_disks")]
     pub rejected_disks: u64,
     /// Messages dropped.
-    pub lost: u64,
+    #[serde(rename = "lost")]
+    pub dropped_messages: u64,
 }
--- a/crates/host-core/tests/consensus.rs
+++ b/crates/host-core/tests/consensus.rs
@@ -444,26 +444,26 @@
     fleet.run_for(0.5);
     assert!(refused(fleet.request(2, force("ann"))), "the leader may still be alive");
     fleet.run_for(5.0);
-    let former = fleet.status(2).log;
+    let former = fleet.status(2).log_id;
     let AdminResponse::Consensus(ConsensusResponse::Done { log }) = fleet.request(2, force("ann")) else {
         panic!()
     };
     fleet.run_for(3.0);
     let (two, three) = (fleet.status(2), fleet.status(3));
-    assert_eq!((two.log, two.lease.as_str(), two.version), (log, "holds", 1));
-    assert!(log != former && three.log == former && three.degraded, "host 3 keeps to the former log");
+    assert_eq!((two.log_id, two.lease.as_str(), two.version), (log, "holds", 1));
+    assert!(log != former && three.log_id == former && three.degraded, "host 3 keeps to the former log");
     assert!(matches!(
         fleet.request(3, forget("ann")),
         AdminResponse::Consensus(ConsensusResponse::Done { log: 0 })
     ));
     fleet.run_for(3.0);
     let three = fleet.status(3);
-    assert_eq!((three.log, three.lease.as_str(), three.version, three.votes), (log, "holds", 1, false));
+    assert_eq!((three.log_id, three.lease.as_str(), three.version, three.is_voter), (log, "holds", 1, false));
     assert_eq!(fleet.plan(3, 150.0, None), Ok(2));
     // The other two were only cut off: their majority keeps its own log, and each host shows which log it follows.
     fleet.away.clear();
     fleet.run_for(3.0);
-    let logs: Vec<u64> = (0..HOSTS).map(|h| fleet.status(h).log).collect();
+    let logs: Vec<u64> = (0..HOSTS).map(|h| fleet.status(h).log_id).collect();
     assert_eq!(logs, [former, former, log, log]);
     assert_eq!((fleet.status(0).version, fleet.status(3).version), (1, 2));
     // One of them discards its log to follow the new one, and is made a voter.
@@ -478,5 +478,5 @@
     assert!(matches!(fleet.request(2, add), AdminResponse::Consensus(ConsensusResponse::Taken { .. })));
     fleet.run_for(2.0);
     let zero = fleet.status(0);
-    assert_eq!((zero.log, zero.votes, zero.version, zero.voters), (log, true, 2, vec![0, 2]));
+    assert_eq!((zero.log_id, zero.is_voter, zero.version, zero.voters), (log, true, 2, vec![0, 2]));
 }
