--- a/crates/admin/tests/json_forms.rs
+++ b/crates/admin/tests/json_forms.rs
@@ -332,7 +332,7 @@
         catalogue: Catalogue::default().apply(&change(), &fleet()).unwrap().catalogue,
         fleet: fleet(),
         clients_wait: true,
-        at: [(0, 3), (1, 2)].into(),
+        reported_changes: [(0, 3), (1, 2)].into(),
         stale: true,
     };
     assert_reply(
--- a/crates/cli/src/plans/print.rs
+++ b/crates/cli/src/plans/print.rs
@@ -17,7 +17,7 @@
     if status.in_force_s > 0.0 {
         println!("# hosts may apply the change before for {:.1} s more", status.in_force_s);
     }
-    let outdated = status.at.iter().filter(|(_, number)| **number < status.number);
+    let outdated = status.reported_changes.iter().filter(|(_, number)| **number < status.number);
     let outdated: Vec<String> = outdated.map(|(host, number)| format!("{host} by {number}")).collect();
     if !outdated.is_empty() {
         println!("# hosts that last said they go by an older one: {}", outdated.join(", "));
--- a/crates/host-core/src/core/plans.rs
+++ b/crates/host-core/src/core/plans.rs
@@ -119,7 +119,7 @@
             }
             Some(PlanOutcome::Respond { request, mut response }) => {
                 if let (PlanResponse::Shown(status), Some(peers)) = (&mut response, &self.peers) {
-                    status.at = peers.member.catalog.peer_versions().clone();
+                    status.reported_changes = peers.member.catalog.peer_versions().clone();
                 }
                 self.respond(request, AdminResponse::Plan(response));
             }
--- a/crates/host-core/src/core/replicated_plans.rs
+++ b/crates/host-core/src/core/replicated_plans.rs
@@ -101,7 +101,8 @@
                     status.in_force_s = (consensus.replica.effective_at(now) - now).secs();
                     status.settle_s = consensus.settle().secs();
                     let followers = consensus.replica.status(now).followers.into_iter();
-                    status.at = followers.map(|(host, follower)| (host, follower.stored_index)).collect();
+                    status.reported_changes =
+                        followers.map(|(host, follower)| (host, follower.stored_index)).collect();
                     PlanResponse::Shown(status)
                 }
                 Some(PlanOutcome::Respond { response: PlanResponse::Log { .. }, .. }) if !is_ready => {
--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -378,7 +378,7 @@
             catalogue: self.change_log().catalogue.clone(),
             fleet: self.fleet.clone(),
             clients_wait: self.clients_wait_until.is_some(),
-            at: BTreeMap::new(),
+            reported_changes: BTreeMap::new(),
             stale: false,
         }
     }
--- a/crates/host-core/src/plans/messages.rs
+++ b/crates/host-core/src/plans/messages.rs
@@ -88,7 +88,8 @@
     #[serde(rename = "waits")]
     pub clients_wait: bool,
     /// By host, the change that it last reported to apply.
-    pub at: BTreeMap<u32, u64>,
+    #[serde(rename = "at")]
+    pub reported_changes: BTreeMap<u32, u64>,
     /// With consensus: this host could not find out whether there is a newer one.
     #[serde(default)]
     pub stale: bool,
--- a/crates/host/tests/plans.rs
+++ b/crates/host/tests/plans.rs
@@ -145,7 +145,9 @@
     let mut others: Vec<Host> =
         (1..3).map(|host| Host::start(settings(dir, host, seed, 100)).unwrap()).collect();
     wait_until("no host waits for the newest change", || {
-        (0..3).all(|host| !plan_status(dir, host).clients_wait || plan_status(dir, host).at.len() >= 2)
+        (0..3).all(|host| {
+            !plan_status(dir, host).clients_wait || plan_status(dir, host).reported_changes.len() >= 2
+        })
     });
 
     // A wrong change, or one at a host that takes none, is refused with its reason and changes nothing.
