--- a/crates/admin/tests/json_forms.rs
+++ b/crates/admin/tests/json_forms.rs
@@ -249,7 +249,8 @@
         left: 5,
         state: "emptied one by one".into(),
     };
-    let death = DeathStatus { host: 4, generation: 1_000_004, incarnation: 2, ago_s: 8.5, own: true };
+    let death =
+        DeathStatus { host: 4, generation: 1_000_004, incarnation: 2, ago_s: 8.5, declared_here: true };
     MembersStatus {
         host: Some(1),
         alive_hosts: 2,
@@ -265,7 +266,7 @@
         site: Some(0),
         address: "10.9.0.1:7000".into(),
         digest: 0xabcd,
-        still_s: 2.5,
+        unchanged_s: 2.5,
         local_health: 8,
         sites: vec![site, SiteStatus::default()],
         deaths: vec![death],
@@ -274,7 +275,7 @@
         found_dead: 11,
         accused: 12,
         pauses: 13,
-        beyond: 14,
+        out_of_range: 14,
         damped: 15,
         taken_over: 16,
     }
--- a/crates/cli/src/members/comparison.rs
+++ b/crates/cli/src/members/comparison.rs
@@ -56,7 +56,7 @@
     fn write_digests(&self, text: &mut String) {
         let mut digests: BTreeMap<u32, Vec<u32>> = BTreeMap::new();
         self.views.iter().for_each(|view| digests.entry(view.digest).or_default().extend(view.host));
-        let unchanged_s = self.views.iter().map(|view| view.still_s).fold(f64::INFINITY, f64::min);
+        let unchanged_s = self.views.iter().map(|view| view.unchanged_s).fold(f64::INFINITY, f64::min);
         match digests.first_key_value() {
             None => _ = writeln!(text, "no host answered"),
             Some((digest, hosts)) if digests.len() == 1 && self.is_converged() => {
--- a/crates/cli/src/members/one_host.rs
+++ b/crates/cli/src/members/one_host.rs
@@ -41,7 +41,7 @@
         view.address,
         view.alive_hosts,
         view.digest,
-        duration(view.still_s)
+        duration(view.unchanged_s)
     );
     _ = writeln!(
         text,
@@ -51,7 +51,7 @@
     _ = writeln!(
         text,
         "{} suspicions started, {} refuted, {} hosts found dead, {} updates about hosts beyond the configured number, {} changes damped for flapping",
-        view.suspected, view.refuted, view.found_dead, view.beyond, view.damped
+        view.suspected, view.refuted, view.found_dead, view.out_of_range, view.damped
     );
 }
 
--- a/crates/cli/src/members/tests.rs
+++ b/crates/cli/src/members/tests.rs
@@ -13,7 +13,14 @@
         ..PeerStatus::default()
     };
     let peers = peers.iter().map(peer).collect();
-    Ok(MembersStatus { host: Some(host), digest, generation: 7, peers, still_s: 3.0, ..Default::default() })
+    Ok(MembersStatus {
+        host: Some(host),
+        digest,
+        generation: 7,
+        peers,
+        unchanged_s: 3.0,
+        ..Default::default()
+    })
 }
 
 /// An operator compares hosts with the same view, three with different views, and three hundred of which some hold one host dead. The
--- a/crates/host-core/src/members_status.rs
+++ b/crates/host-core/src/members_status.rs
@@ -58,7 +58,8 @@
     /// Seconds since.
     pub ago_s: f64,
     /// Whether this host declared it; else a peer did.
-    pub own: bool,
+    #[serde(rename = "own")]
+    pub declared_here: bool,
 }
 
 /// What a host knows of others.
@@ -103,7 +104,8 @@
     pub digest: u32,
     /// Seconds for which this view has not changed, and no peer sent a different one.
     #[serde(default)]
-    pub still_s: f64,
+    #[serde(rename = "still_s")]
+    pub unchanged_s: f64,
     /// The local health score: steps by which this host waits longer for answers to its probes, since they come late here.
     #[serde(default)]
     #[serde(rename = "strain")]
@@ -131,7 +133,8 @@
     pub pauses: u64,
     /// Updates about hosts beyond the configured number.
     #[serde(default)]
-    pub beyond: u64,
+    #[serde(rename = "beyond")]
+    pub out_of_range: u64,
     /// Changes of hosts that flap.
     #[serde(default)]
     pub damped: u64,
--- a/crates/host-core/src/peers/status.rs
+++ b/crates/host-core/src/peers/status.rs
@@ -30,7 +30,7 @@
             site: me.site,
             address: me.address.to_string(),
             digest: view.digest(),
-            still_s: view.unchanged_for(now).secs(),
+            unchanged_s: view.unchanged_for(now).secs(),
             local_health: view.local_health_score(),
             sites: self.site_statuses(),
             deaths: self.death_statuses(now),
@@ -39,7 +39,7 @@
             found_dead: counters.declared_dead,
             accused: counters.accused,
             pauses: counters.pauses,
-            beyond: counters.out_of_range,
+            out_of_range: counters.out_of_range,
             damped: counters.damped,
             taken_over: counters.taken_over,
         }
@@ -84,7 +84,7 @@
             generation: death.generation,
             incarnation: death.incarnation,
             ago_s: (now - death.at).secs(),
-            own: death.declared_here,
+            declared_here: death.declared_here,
         });
         deaths.collect()
     }
--- a/crates/scenario/src/view_watcher/observations.rs
+++ b/crates/scenario/src/view_watcher/observations.rs
@@ -89,7 +89,7 @@
             let at = now.checked_sub(Duration::from_secs_f64(death.ago_s.max(0.0))).unwrap_or(now);
             let (host, generation, incarnation) = (death.host, death.generation, death.incarnation);
             let key = Death { observer, host, generation, incarnation };
-            self.deaths.entry(key).or_insert(DeathDetails { at, is_own: death.own });
+            self.deaths.entry(key).or_insert(DeathDetails { at, is_own: death.declared_here });
         }
     }
 
