--- a/crates/admin/tests/json_forms.rs
+++ b/crates/admin/tests/json_forms.rs
@@ -161,7 +161,7 @@
     assert_reply(AdminResponse::Cleared { id: OverrideId(3) }, r#"{"reply":{"cleared":{"id":3}}}"#);
     let list = AdminResponse::List {
         version: 3,
-        standing: vec![(record(), 12.5)],
+        overrides: vec![(record(), 12.5)],
         returning: 2,
         returning_within_s: 30.5,
     };
--- a/crates/cli/src/admin_calls/tests.rs
+++ b/crates/cli/src/admin_calls/tests.rs
@@ -9,7 +9,7 @@
 fn only_results_count_as_done() {
     let why = || "why".to_owned();
     let list =
-        AdminResponse::List { version: 1, standing: Vec::new(), returning: 0, returning_within_s: 0.0 };
+        AdminResponse::List { version: 1, overrides: Vec::new(), returning: 0, returning_within_s: 0.0 };
     for (response, expected) in [
         (list, true),
         (AdminResponse::Cleared { id: OverrideId(1) }, true),
--- a/crates/cli/src/overrides/print.rs
+++ b/crates/cli/src/overrides/print.rs
@@ -19,8 +19,8 @@
         Answer::AdminResponse(response) => match &**response {
             AdminResponse::Cleared { id } => println!("override {} is cleared", id.0),
             AdminResponse::Set { record, preview, dry_run } => set(record, preview, *dry_run),
-            AdminResponse::List { version, standing, returning, returning_within_s } => {
-                list(*version, standing);
+            AdminResponse::List { version, overrides, returning, returning_within_s } => {
+                list(*version, overrides);
                 if *returning > 0 {
                     println!(
                         "{returning} nodes recovering, all within {returning_within_s:.0} s of the end of their overrides"
@@ -34,12 +34,12 @@
 }
 
 /// The overrides in force, with the seconds that each has left.
-fn list(version: u64, standing: &[(Override, f64)]) {
-    println!("version {version}, {} in force", standing.len());
-    if !standing.is_empty() {
+fn list(version: u64, overrides: &[(Override, f64)]) {
+    println!("version {version}, {} in force", overrides.len());
+    if !overrides.is_empty() {
         println!("{:>6}  {:<24} {:<18} {:>12}  {:<10} reason", "id", "target", "override", "left", "who");
     }
-    for (record, left_s) in standing {
+    for (record, left_s) in overrides {
         let (target, kind) = (record.target.to_string(), record.kind.to_string());
         println!(
             "{:>6}  {target:<24} {kind:<18} {:>12}  {:<10} {}",
--- a/crates/host-core/src/admin_request.rs
+++ b/crates/host-core/src/admin_request.rs
@@ -68,7 +68,8 @@
         /// Their version.
         version: u64,
         /// Each with the seconds that it has left.
-        standing: Vec<(Override, f64)>,
+        #[serde(rename = "standing")]
+        overrides: Vec<(Override, f64)>,
         /// Nodes on their way back to full load.
         returning: usize,
         /// Seconds until the last of them is back.
--- a/crates/host-core/src/override_requests.rs
+++ b/crates/host-core/src/override_requests.rs
@@ -150,8 +150,8 @@
 
     fn list(&self, now: Instant) -> AdminResponse {
         let (returning, returning_within_s) = self.overrides.returning();
-        let (version, standing) = (self.overrides.version(), self.overrides.list(now));
-        AdminResponse::List { version, standing, returning, returning_within_s }
+        let (version, overrides) = (self.overrides.version(), self.overrides.list(now));
+        AdminResponse::List { version, overrides, returning, returning_within_s }
     }
 
     /// The store has written a change, which applies from now on, or could not write it, and it never applies.
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -363,10 +363,10 @@
                 self.kind(2);
                 self.number(id.0);
             }
-            AdminResponse::List { version, standing, returning, returning_within_s } => {
+            AdminResponse::List { version, overrides, returning, returning_within_s } => {
                 self.kind(3);
                 self.number(*version);
-                for (record, left) in standing {
+                for (record, left) in overrides {
                     self.number(record.id.0);
                     self.seconds(*left);
                 }
--- a/crates/host/tests/members.rs
+++ b/crates/host/tests/members.rs
@@ -82,7 +82,7 @@
 
 fn overrides(dir: &Path, host: u32) -> Vec<Override> {
     match call(dir, host, AdminRequest::List) {
-        AdminResponse::List { standing, .. } => standing.into_iter().map(|(standing, _)| standing).collect(),
+        AdminResponse::List { overrides, .. } => overrides.into_iter().map(|(record, _)| record).collect(),
         other => panic!("{other:?}"),
     }
 }
--- a/crates/scenario/src/runner/overrides.rs
+++ b/crates/scenario/src/runner/overrides.rs
@@ -131,8 +131,8 @@
         let call = Call::AdminRequest(AdminRequest::List);
         match tackmast_admin::call(&admin_socket(&self.directory, entry.host), &call, CALL_TIMEOUT) {
             Ok(Answer::AdminResponse(response)) => {
-                let AdminResponse::List { standing, .. } = *response else { return };
-                if standing.iter().any(|(record, _)| record.id.0 == entry.id) {
+                let AdminResponse::List { overrides, .. } = *response else { return };
+                if overrides.iter().any(|(record, _)| record.id.0 == entry.id) {
                     let (id, host) = (entry.id, entry.host);
                     self.fail(format!("override {id} of host {host} is visible past its end"));
                 }
