--- a/crates/host-core/src/core/endpoint_list.rs
+++ b/crates/host-core/src/core/endpoint_list.rs
@@ -129,7 +129,7 @@
     /// What waits for the connection was sent for a node that was warmed up, and would arrive as a burst at a node in slow start. So it
     /// is withdrawn, and the scheduler decides anew. The connection must not write before the core has taken this report in.
     pub fn handle_node_uptime(&mut self, now: Instant, node: NodeId, uptime: TimeDelta) {
-        if let Some(mut entry) = self.nodes.started(now, node, uptime) {
+        if let Some(mut entry) = self.nodes.record_uptime(now, node, uptime) {
             self.apply_overrides(now, &mut entry);
             self.scheduler.nodes_changed(now, ListKind::Changes, &[entry]);
             self.withdraw_unsent_at(now, node);
--- a/crates/host-core/src/nodes.rs
+++ b/crates/host-core/src/nodes.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeStart {
     /// The list's own figure for the start; another one means another start.
-    pub name: u64,
+    pub id: u64,
     /// How long ago it was.
     pub age: Age,
 }
@@ -87,7 +87,7 @@
         let known = self.known.get(&node);
         let known_start = known.map_or(0, |known| known.start);
         let known_since = known.and_then(|known| known.entry.up_since);
-        let new_start = listed.start.filter(|start| start.name != known_start);
+        let new_start = listed.start.filter(|start| start.id != known_start);
         let listed_since = new_start.map(|start| latest_start(now, start));
         // The node itself may have reported this start already. A list that reports it late must not move it back, nor make the node
         // appear to have restarted once more.
@@ -98,7 +98,7 @@
         };
         let ListEntry { state, zone, shard, .. } = *listed;
         let entry = NodeEntry { node, state, zone, shard, up_since };
-        let start = listed.start.map_or(known_start, |start| start.name);
+        let start = listed.start.map_or(known_start, |start| start.id);
         let known = KnownNode { id: listed.id.clone(), address: listed.address.clone(), entry, start };
         self.known.insert(node, known);
         Some(entry)
@@ -119,7 +119,7 @@
     }
 
     /// How long a node reports to have been up; returns the changed entry if that is a new start.
-    pub fn started(&mut self, now: Instant, node: NodeId, uptime: TimeDelta) -> Option<NodeEntry> {
+    pub fn record_uptime(&mut self, now: Instant, node: NodeId, uptime: TimeDelta) -> Option<NodeEntry> {
         let up_since = now - uptime.max(TimeDelta::ZERO);
         let known = self.known.get_mut(&node)?;
         // A node without a known start counts as long running. If the first report of each such node counted as a new start, the
--- a/crates/host-core/src/nodes/tests.rs
+++ b/crates/host-core/src/nodes/tests.rs
@@ -5,8 +5,8 @@
 #[test]
 fn the_start_of_a_node_is_never_taken_to_be_earlier_than_it_was() {
     let (at, seconds) = (Instant::from_secs, TimeDelta::from_secs);
-    let by_list = |name, age| Some(NodeStart { name, age: Age::ByListClock(seconds(age)) });
-    let by_wall = |name, age| Some(NodeStart { name, age: Age::ByHostClock(seconds(age)) });
+    let by_list = |id, age| Some(NodeStart { id, age: Age::ByListClock(seconds(age)) });
+    let by_wall = |id, age| Some(NodeStart { id, age: Age::ByHostClock(seconds(age)) });
     // What is reported, one after the other at times 100, 101, ...: by the list, or by the node itself; then the start
     // that follows.
     type Report = Result<Option<NodeStart>, f64>;
@@ -36,7 +36,7 @@
                     let entry = ListEntry { id: "a".into(), address: "a".into(), state, zone, shard, start };
                     found = nodes.upsert(now, &entry).and_then(|entry| entry.up_since);
                 }
-                Err(up) => _ = nodes.started(now, NodeId(0), seconds(up)),
+                Err(up) => _ = nodes.record_uptime(now, NodeId(0), seconds(up)),
             }
             found = nodes.entry(NodeId(0)).and_then(|entry| entry.up_since).or(found);
         }
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -532,7 +532,7 @@
         fixture.core.handle_persisted(fixture.now, 1, Ok(()));
         fixture.now = Instant::from_secs(20.0);
         let up = TimeDelta::from_secs(20.0 - start);
-        let start = Some(NodeStart { name: 7, age: Age::ByListClock(up) });
+        let start = Some(NodeStart { id: 7, age: Age::ByListClock(up) });
         fixture.change_list(5, 6, &[ListEntry { start, ..entry(address, 0, NodeState::Ready) }]);
         fixture.other.clear();
         fixture.core.handle_admin_request(
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -831,8 +831,7 @@
             state: self.states[node as usize],
             zone: ZoneId(node % 2),
             shard: ShardId(node % SHARDS),
-            start: start
-                .map(|at| NodeStart { name: micros(at) as u64, age: Age::ByListClock(self.now - at) }),
+            start: start.map(|at| NodeStart { id: micros(at) as u64, age: Age::ByListClock(self.now - at) }),
         }
     }
 
--- a/crates/host/src/list.rs
+++ b/crates/host/src/list.rs
@@ -257,7 +257,7 @@
 
 /// A node's start as the list names it; none where the list does not know it.
 pub(crate) fn node_start(started_us: u64, age: Age) -> Option<NodeStart> {
-    (started_us > 0).then_some(NodeStart { name: started_us, age })
+    (started_us > 0).then_some(NodeStart { id: started_us, age })
 }
 
 /// How long ago a node started, by this host's wall clock.
--- a/crates/host/src/list/saved.rs
+++ b/crates/host/src/list/saved.rs
@@ -36,7 +36,7 @@
             draining: entry.state != NodeState::Ready,
             zone: entry.zone.0,
             shard: entry.shard.0,
-            started_us: entry.start.map_or(0, |start| start.name),
+            started_us: entry.start.map_or(0, |start| start.id),
         }
     }
 }
--- a/crates/platform-host/src/host/endpoint_list.rs
+++ b/crates/platform-host/src/host/endpoint_list.rs
@@ -83,7 +83,7 @@
             // All machines of the platform read the same clock.
             start: member.up_since_ms.map(|ms| {
                 let age = Age::ByListClock(TimeDelta::from_secs(wall - ms as f64 / 1e3));
-                NodeStart { name: ms, age }
+                NodeStart { id: ms, age }
             }),
         });
         let entries: Vec<ListEntry> = entries.collect();
--- a/crates/simulator/src/sim/endpoint_list.rs
+++ b/crates/simulator/src/sim/endpoint_list.rs
@@ -97,7 +97,7 @@
         let shown = if by_list_clock { self.now - self.world.delay_us } else { self.wall_clock(host_index) };
         let age = TimeDelta::from_secs((shown as f64 - started_us as f64) / 1e6);
         let age = if by_list_clock { Age::ByListClock(age) } else { Age::ByHostClock(age) };
-        Some(NodeStart { name: started_us, age })
+        Some(NodeStart { id: started_us, age })
     }
 
     /// Records that the nodes which a list no longer names are gone.
