--- a/crates/host-core/src/consensus.rs
+++ b/crates/host-core/src/consensus.rs
@@ -149,7 +149,7 @@
     }
 
     /// How long after its commit a change applies at all hosts.
-    pub fn settle(&self) -> TimeDelta {
+    pub fn settle_time(&self) -> TimeDelta {
         Lease::max_holdover(self.settings.lease, self.settings.max_clock_drift)
     }
 
--- a/crates/host-core/src/core/consensus.rs
+++ b/crates/host-core/src/core/consensus.rs
@@ -167,7 +167,7 @@
         let command = serde_json::from_slice::<PlanCommand>(data).map_err(PlanError::Malformed);
         let is_change = matches!(command, Ok(PlanCommand::Change { .. }));
         let applied = command.and_then(|command| plans.apply_committed(command));
-        let settle = self.consensus.as_ref().map_or(TimeDelta::ZERO, ConsensusDriver::settle);
+        let settle = self.consensus.as_ref().map_or(TimeDelta::ZERO, ConsensusDriver::settle_time);
         match applied {
             Ok(CommittedChange { updates, entry, lines }) => {
                 self.apply_plan_updates(now, &updates);
--- a/crates/host-core/src/core/plans.rs
+++ b/crates/host-core/src/core/plans.rs
@@ -62,7 +62,7 @@
         }
         let Some((peers, plans)) = self.peers.as_mut().zip(self.plans.as_ref()) else { return };
         for volume in self.layout.volumes() {
-            if let Some(limit) = plans.limit_of(&volume.name) {
+            if let Some(limit) = plans.volume_limit(&volume.name) {
                 peers.member.leases.set_limit(volume.lun, limit.limit);
             }
         }
@@ -99,7 +99,7 @@
         let writes = matches!(plan_request, PlanRequest::Apply { .. } | PlanRequest::Undo { .. });
         let missing = self.peers.as_ref().and_then(|peers| peers.member.catalog.missing());
         if let Some(missing) = missing.filter(|_| writes) {
-            let newest = self.plans.as_ref().map_or(0, Plans::newest);
+            let newest = self.plans.as_ref().map_or(0, Plans::newest_change);
             let why = format!(
                 "others go by change {missing}, this host by {newest}; ask again when it has caught up"
             );
--- a/crates/host-core/src/core/replicated_plans.rs
+++ b/crates/host-core/src/core/replicated_plans.rs
@@ -62,7 +62,7 @@
         let (consensus, plans) = (self.consensus.as_ref()?, self.plans.as_ref()?);
         Some(match plans.preview_change(wall_us, change) {
             Ok(ChangePreview { number, version, lines }) => {
-                let in_force_s = consensus.settle().secs();
+                let in_force_s = consensus.settle_time().secs();
                 PlanResponse::Applied { number, version, lines, in_force_s, dry_run: true }
             }
             Err(error) => PlanResponse::Refused { why: error.to_string() },
@@ -99,7 +99,7 @@
                 Some(PlanOutcome::Respond { response: PlanResponse::Shown(mut status), .. }) => {
                     status.stale = !is_ready;
                     status.in_force_s = (consensus.replica.effective_at(now) - now).secs();
-                    status.settle_s = consensus.settle().secs();
+                    status.settle_s = consensus.settle_time().secs();
                     let followers = consensus.replica.status(now).followers.into_iter();
                     status.reported_changes =
                         followers.map(|(host, follower)| (host, follower.stored_index)).collect();
--- a/crates/host-core/src/plans.rs
+++ b/crates/host-core/src/plans.rs
@@ -351,7 +351,7 @@
     }
 
     /// Limit, burst and slack of a volume as they apply here.
-    pub fn limit_of(&self, volume: &str) -> Option<VolumeLimit> {
+    pub fn volume_limit(&self, volume: &str) -> Option<VolumeLimit> {
         let volume = self.change_log().catalogue.volumes.get(volume)?;
         self.change_log().catalogue.plans.get(&volume.plan).map(|plan| VolumeLimit {
             limit: plan.limit,
@@ -361,7 +361,7 @@
     }
 
     /// The number of the newest change.
-    pub fn newest(&self) -> u64 {
+    pub fn newest_change(&self) -> u64 {
         self.change_log().head().number
     }
 
--- a/crates/simulator/src/sim/operators.rs
+++ b/crates/simulator/src/sim/operators.rs
@@ -87,7 +87,7 @@
 
     fn record_plan_change(&mut self, host: u32, number: u64) {
         let core = self.hosts[host as usize].core.core();
-        let limit = core.and_then(|core| core.plans()).and_then(|plans| plans.limit_of(LIMITED_VOLUME));
+        let limit = core.and_then(|core| core.plans()).and_then(|plans| plans.volume_limit(LIMITED_VOLUME));
         let Some(VolumeLimit { limit, burst, slack }) = limit else { return };
         let is_ignored = self.mutant == Some(Mutant::PlanIgnored);
         let limit = if is_ignored { limit * MUTANT_LIMIT_FRACTION } else { limit };
