--- a/crates/admin/tests/json_forms.rs
+++ b/crates/admin/tests/json_forms.rs
@@ -161,7 +161,7 @@
     assert_reply(AdminResponse::Cleared { id: OverrideId(3) }, r#"{"reply":{"cleared":{"id":3}}}"#);
     let list = AdminResponse::List {
         version: 3,
-        standing: vec![(record(), 12.5)],
+        overrides: vec![(record(), 12.5)],
         returning: 2,
         returning_within_s: 30.5,
     };
@@ -249,7 +249,8 @@
         left: 5,
         state: "emptied one by one".into(),
     };
-    let death = DeathStatus { host: 4, generation: 1_000_004, incarnation: 2, ago_s: 8.5, own: true };
+    let death =
+        DeathStatus { host: 4, generation: 1_000_004, incarnation: 2, ago_s: 8.5, declared_here: true };
     MembersStatus {
         host: Some(1),
         alive_hosts: 2,
@@ -265,7 +266,7 @@
         site: Some(0),
         address: "10.9.0.1:7000".into(),
         digest: 0xabcd,
-        still_s: 2.5,
+        unchanged_s: 2.5,
         local_health: 8,
         sites: vec![site, SiteStatus::default()],
         deaths: vec![death],
@@ -274,7 +275,7 @@
         found_dead: 11,
         accused: 12,
         pauses: 13,
-        beyond: 14,
+        out_of_range: 14,
         damped: 15,
         taken_over: 16,
     }
@@ -332,7 +333,7 @@
         catalogue: Catalogue::default().apply(&change(), &fleet()).unwrap().catalogue,
         fleet: fleet(),
         clients_wait: true,
-        at: [(0, 3), (1, 2)].into(),
+        reported_changes: [(0, 3), (1, 2)].into(),
         stale: true,
     };
     assert_reply(
@@ -374,13 +375,13 @@
         role: "leads".into(),
         term: 2,
         leader: Some(1),
-        log: 3,
+        log_id: 3,
         voters: vec![0, 1, 4],
-        votes: true,
+        is_voter: true,
         bootstrapped: true,
-        failed: true,
-        last: 4,
-        commit: 5,
+        disk_failed: true,
+        last_index: 4,
+        commit_index: 5,
         snapshot_index: 6,
         version: 7,
         acknowledged: 8,
@@ -388,12 +389,12 @@
         lease_s: 9.5,
         degraded: true,
         in_force_s: 10.5,
-        has: [(0, (11, 0.25))].into(),
+        followers: [(0, (11, 0.25))].into(),
         elections: 12,
         commits: 13,
-        granted: 14,
+        granted_leases: 14,
         rejected_disks: 15,
-        lost: 16,
+        dropped_messages: 16,
     };
     assert_reply(
         reply(ConsensusResponse::Status(Box::new(status))),
--- a/crates/host-core/src/consensus.rs
+++ b/crates/host-core/src/consensus.rs
@@ -149,7 +149,7 @@
     }
 
     /// How long after its commit a change applies at all hosts.
-    pub fn settle(&self) -> TimeDelta {
+    pub fn settle_time(&self) -> TimeDelta {
         Lease::commit_wait(self.settings.lease, self.settings.max_clock_drift)
     }
 
@@ -175,13 +175,13 @@
             role: status.role.to_string(),
             term: status.term,
             leader: status.leader,
-            log: self.replica.raft.log().snapshot().log_id,
+            log_id: self.replica.raft.log().snapshot().log_id,
             voters: status.voters.keys().copied().collect(),
-            votes: status.is_voter,
+            is_voter: status.is_voter,
             bootstrapped: status.bootstrapped,
-            failed: status.disk_failed,
-            last: status.last_index,
-            commit: status.commit_index,
+            disk_failed: status.disk_failed,
+            last_index: status.last_index,
+            commit_index: status.commit_index,
             snapshot_index: status.snapshot_index,
             version: 0,
             acknowledged: 0,
@@ -189,12 +189,12 @@
             lease_s,
             degraded: false,
             in_force_s: (self.replica.effective_at(now) - now).secs(),
-            has: status.followers.into_iter().map(reported).collect(),
+            followers: status.followers.into_iter().map(reported).collect(),
             elections: counters.elections,
             commits: counters.commits,
-            granted: counters.leases_granted,
+            granted_leases: counters.leases_granted,
             rejected_disks: counters.rejected_disks,
-            lost: counters.dropped_messages + self.chunks.lost_messages,
+            dropped_messages: counters.dropped_messages + self.chunks.lost_messages,
         }
     }
 }
