--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -52,11 +52,11 @@
     volume_names: VolumeNames,
     traffic_classes: Vec<TrafficClass>,
     /// Whether nodes report what they served through other hosts.
-    reports_service: bool,
+    reports_peer_service: bool,
     /// How long before a command's deadline its answer must be ready, to reach the client in time.
     answer_lead: TimeDelta,
     /// The longest wait that a rejected client is advised.
-    longest_wait: TimeDelta,
+    max_retry_after: TimeDelta,
     generation: u64,
     nodes: Nodes,
     admission: Admission,
@@ -125,13 +125,13 @@
     pub fn new(now: Instant, settings: &HostSettings, seed: u64, generation: u64) -> Self {
         let core_settings = CoreSettings {
             traffic_classes: settings.traffic_classes.clone(),
-            reports_service: settings.load.reports_peer_service,
-            longest_wait: TimeDelta::from_secs(settings.load.longest_wait_s),
-            grace: TimeDelta::from_secs(settings.load.drain_grace_ms / 1e3),
-            requests: settings.bounds.requests,
-            bytes: settings.bounds.bytes,
-            nodes: settings.bounds.nodes,
-            volumes: 0,
+            reports_peer_service: settings.load.reports_peer_service,
+            max_retry_after: TimeDelta::from_secs(settings.load.longest_wait_s),
+            drain_grace: TimeDelta::from_secs(settings.load.drain_grace_ms / 1e3),
+            max_requests: settings.bounds.requests,
+            max_bytes: settings.bounds.bytes,
+            max_nodes: settings.bounds.nodes,
+            max_volumes: 0,
         };
         Core {
             layout: Layout::new(settings),
@@ -149,18 +149,18 @@
         generation: u64,
     ) -> Self {
         scheduler.bound_attempts(MAX_ATTEMPTS);
-        let CoreSettings { requests, bytes, longest_wait, .. } = settings;
+        let CoreSettings { max_requests, max_bytes, max_retry_after, .. } = settings;
         Core {
             scheduler,
             layout: Layout::default(),
-            volume_names: VolumeNames::new(settings.volumes),
+            volume_names: VolumeNames::new(settings.max_volumes),
             traffic_classes: settings.traffic_classes,
-            reports_service: settings.reports_service,
+            reports_peer_service: settings.reports_peer_service,
             answer_lead: TimeDelta::ZERO,
-            longest_wait,
+            max_retry_after,
             generation,
-            nodes: Nodes::new(settings.nodes),
-            admission: Admission::new(now, requests, bytes, longest_wait),
+            nodes: Nodes::new(settings.max_nodes),
+            admission: Admission::new(now, max_requests, max_bytes, max_retry_after),
             fair_queueing: FairQueueing::default(),
             commands: HashMap::new(),
             sessions: HashMap::new(),
@@ -168,7 +168,7 @@
             serial: 0,
             attempts_at_node: BTreeMap::new(),
             attempt_deadlines: BTreeSet::new(),
-            cut_delay: TimeDelta::from_secs(settings.grace.secs() * CUT_FRACTION),
+            cut_delay: TimeDelta::from_secs(settings.drain_grace.secs() * CUT_FRACTION),
             cut_deadlines: BTreeSet::new(),
             list_version: 0,
             is_list_incomplete: false,
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -125,7 +125,7 @@
         };
         request.ran |= outcome.may_have_run();
         let (is_done, was_answered) = (outcome == Outcome::Done, request.answered);
-        if let Some(other_units) = elsewhere.filter(|_| self.reports_service) {
+        if let Some(other_units) = elsewhere.filter(|_| self.reports_peer_service) {
             self.scheduler.service_reported(now, key.request, is_done, other_units);
         }
         let end = AttemptEnd {
--- a/crates/host-core/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -35,7 +35,7 @@
         };
         let mapped = self.map_command(volume, &command);
         if self.draining || self.must_wait_for_catalog(now) {
-            return self.reject(from, Some(self.longest_wait));
+            return self.reject(from, Some(self.max_retry_after));
         }
         let known = self.commands.contains_key(&from);
         if mapped.deadline <= now || mapped.parts.is_empty() || known {
@@ -150,7 +150,7 @@
     pub fn handle_object_request(&mut self, now: Instant, from: CommandRef, request: ObjectRequest) {
         self.counters.commands_received += 1;
         if self.draining {
-            return self.reject(from, Some(self.longest_wait));
+            return self.reject(from, Some(self.max_retry_after));
         }
         let configured = self.scheduler.is_configured(request.traffic_class, request.plan);
         if !configured || request.time_left <= TimeDelta::ZERO || self.commands.contains_key(&from) {
@@ -162,7 +162,7 @@
         let is_in_use = |volume: usize| volumes_in_use.contains(&volume);
         let Some(volume) = self.volume_names.number(now, request.volume, is_in_use) else {
             self.counters.commands_over_bound += 1;
-            return self.reject(from, Some(self.longest_wait));
+            return self.reject(from, Some(self.max_retry_after));
         };
         let usage = Usage { requests: 1, bytes: request.payload.bytes() };
         if let Err(wait) = self.admission.admit(now, from.session, volume, usage) {
@@ -240,7 +240,7 @@
         for from in open {
             let Some(command) = self.commands.get(&from) else { continue };
             let Some(open_part) = command.parts.iter().find(|part| part.state.is_none()) else { continue };
-            let (id, retry_after) = (open_part.request, Some(self.longest_wait));
+            let (id, retry_after) = (open_part.request, Some(self.max_retry_after));
             // As if the scheduler had rejected it: the parts together decide whether a retry is safe.
             self.finish_part(now, id, PartState::Rejected { ran: true, retry_after }, Bytes::new());
         }
--- a/crates/host-core/src/core/settings.rs
+++ b/crates/host-core/src/core/settings.rs
@@ -9,17 +9,17 @@
     /// The traffic classes.
     pub traffic_classes: Vec<TrafficClass>,
     /// Whether nodes report what they served through other hosts.
-    pub reports_service: bool,
+    pub reports_peer_service: bool,
     /// The longest wait that a rejected client is advised.
-    pub longest_wait: TimeDelta,
+    pub max_retry_after: TimeDelta,
     /// How long a node that drains is waited for.
-    pub grace: TimeDelta,
+    pub drain_grace: TimeDelta,
     /// Requests that may be open.
-    pub requests: usize,
+    pub max_requests: usize,
     /// Bytes that they may hold.
-    pub bytes: usize,
+    pub max_bytes: usize,
     /// Nodes that may be known.
-    pub nodes: usize,
+    pub max_nodes: usize,
     /// Names of volumes in requests for objects that may be known.
-    pub volumes: usize,
+    pub max_volumes: usize,
 }
--- a/crates/host-core/tests/object_requests.rs
+++ b/crates/host-core/tests/object_requests.rs
@@ -61,16 +61,15 @@
             })
             .collect();
         scheduler.set_attempt_limits(max_attempts, seconds(0.5), TimeDelta::ZERO);
-        let (reports_peer_service, longest_wait, grace) = (true, seconds(0.5), seconds(1.0));
         let settings = CoreSettings {
             traffic_classes,
-            reports_service: reports_peer_service,
-            longest_wait,
-            grace,
-            requests,
-            bytes: 1 << 20,
-            nodes,
-            volumes,
+            reports_peer_service: true,
+            max_retry_after: seconds(0.5),
+            drain_grace: seconds(1.0),
+            max_requests: requests,
+            max_bytes: 1 << 20,
+            max_nodes: nodes,
+            max_volumes: volumes,
         };
         let mut fixture = Fixture {
             core: Core::with_scheduler(now, scheduler, settings, 1),
--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -296,13 +296,13 @@
     });
     CoreSettings {
         traffic_classes: traffic_classes.collect(),
-        reports_service: settings.reports_peer_service,
-        longest_wait: settings.longest_wait,
-        grace: settings.drain_grace,
-        requests: budget.requests,
-        bytes: budget.buffer_bytes,
-        nodes: MAX_NODES,
-        volumes: MAX_VOLUMES,
+        reports_peer_service: settings.reports_peer_service,
+        max_retry_after: settings.longest_wait,
+        drain_grace: settings.drain_grace,
+        max_requests: budget.requests,
+        max_bytes: budget.buffer_bytes,
+        max_nodes: MAX_NODES,
+        max_volumes: MAX_VOLUMES,
     }
 }
 
