--- a/crates/benchmarks/src/core_cost/host_core.rs
+++ b/crates/benchmarks/src/core_cost/host_core.rs
@@ -85,7 +85,7 @@
         match output {
             Output::Send(attempt) => {
                 attempt.ticket.claim();
-                attempt.ticket.written();
+                attempt.ticket.mark_written();
                 self.attempts.push(attempt.attempt);
             }
             Output::Answer { .. } => self.done += 1,
--- a/crates/host-core/src/attempt.rs
+++ b/crates/host-core/src/attempt.rs
@@ -67,7 +67,7 @@
     /// Which part of the command.
     pub part: u16,
     /// When nobody waits for its answer any more.
-    pub until: Instant,
+    pub deadline: Instant,
     /// From then on its first byte must not be written: the node may have forgotten the idempotency key of the first attempt, and would
     /// run the request a second time.
     pub begin_by: Option<Instant>,
@@ -89,9 +89,9 @@
 
 /// Whether an attempt's first byte may leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Begin {
+pub enum ClaimResult {
     /// It is claimed, and is to be written now.
-    Now,
+    Claimed,
     /// It was withdrawn, and has ended.
     Withdrawn,
     /// Its time is over. It is never written, and its connection reports that it did not run.
@@ -101,15 +101,15 @@
 impl SendAttempt {
     /// Whether the attempt's first byte may be written now. Its connection calls this once it can write, which may be long after the attempt
     /// was decided on: by then its client may have given up, or nodes may not recognise a retry any more.
-    pub fn begin(&self, now: Instant) -> Begin {
-        let is_too_late = self.until <= now || self.begin_by.is_some_and(|begin_by| begin_by <= now);
+    pub fn try_claim(&self, now: Instant) -> ClaimResult {
+        let is_too_late = self.deadline <= now || self.begin_by.is_some_and(|begin_by| begin_by <= now);
         if is_too_late && self.ticket.withdraw() {
-            return Begin::TooLate;
+            return ClaimResult::TooLate;
         }
         if !is_too_late && self.ticket.claim() {
-            return Begin::Now;
+            return ClaimResult::Claimed;
         }
-        Begin::Withdrawn
+        ClaimResult::Withdrawn
     }
 }
 
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -85,7 +85,7 @@
             attempt_number: key.number.min(u32::from(u8::MAX)) as u8,
             from: identity.from,
             part: identity.part,
-            until: deadline,
+            deadline,
             begin_by,
             idempotency_key: idempotency_key(effect, self.generation, identity.serial),
             key: request.payload.key,
--- a/crates/host-core/src/lib.rs
+++ b/crates/host-core/src/lib.rs
@@ -56,7 +56,7 @@
 
 pub use crate::core::{Core, CoreSettings};
 pub use admin_request::{AdminRequest, AdminResponse, HostStatus};
-pub use attempt::{AttemptId, AttemptResult, AttemptWork, Begin, SendAttempt};
+pub use attempt::{AttemptId, AttemptResult, AttemptWork, ClaimResult, SendAttempt};
 pub use command::{ClientCommand, CommandRef, Verdict, Work};
 pub use consensus::{ConsensusDriver, ConsensusRequest, ConsensusResponse, ConsensusStart, ConsensusStatus};
 pub use error::PersistError;
--- a/crates/host-core/src/ticket.rs
+++ b/crates/host-core/src/ticket.rs
@@ -38,7 +38,7 @@
     }
 
     /// The connection has written all bytes of the attempt.
-    pub fn written(&self) {
+    pub fn mark_written(&self) {
         self.swap(CLAIMED, WRITTEN);
     }
 
--- a/crates/host-core/src/ticket/tests.rs
+++ b/crates/host-core/src/ticket/tests.rs
@@ -9,7 +9,7 @@
         assert!(if claim_first { ticket.claim() } else { ticket.withdraw() });
         assert!(!ticket.claim() && !ticket.withdraw());
         assert_eq!((ticket.is_claimed(), ticket.is_stuck()), (claim_first, claim_first));
-        ticket.written();
+        ticket.mark_written();
         assert_eq!((ticket.is_claimed(), ticket.is_stuck()), (claim_first, false));
     }
 }
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -144,7 +144,7 @@
     fn write(&mut self) -> Vec<AttemptId> {
         let attempts = std::mem::take(&mut self.sent);
         let claimed = attempts.into_iter().filter(|attempt| attempt.ticket.claim());
-        claimed.inspect(|attempt| attempt.ticket.written()).map(|attempt| attempt.attempt).collect()
+        claimed.inspect(|attempt| attempt.ticket.mark_written()).map(|attempt| attempt.attempt).collect()
     }
 
     /// A call of the list fails; gives the version from which the next watch asks for changes.
@@ -271,7 +271,7 @@
     // The first is written, the second half-way, the third waits.
     let tickets: Vec<Ticket> = fixture.sent.iter().map(|attempt| attempt.ticket.clone()).collect();
     assert!(tickets[0].claim() && tickets[1].claim());
-    tickets[0].written();
+    tickets[0].mark_written();
     let stuck = fixture.sent[1].attempt;
     fixture.sent.clear();
     fixture.change_list(5, 6, &[entry("a", 0, NodeState::Draining)]);
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -301,7 +301,7 @@
         self.kind(attempt.attempt_number);
         self.command(attempt.from);
         self.number(u64::from(attempt.part));
-        self.seconds(attempt.until.secs());
+        self.seconds(attempt.deadline.secs());
         self.optional_seconds(attempt.begin_by.map(Instant::secs));
         self.0.update(attempt.idempotency_key.to_le_bytes());
         self.number(attempt.key);
@@ -639,7 +639,7 @@
         self.inputs += 1;
         let ticket = &pending.attempt.ticket;
         if ticket.is_claimed() {
-            ticket.written();
+            ticket.mark_written();
         }
         let waiting = (self.below(3) > 0).then_some(self.below(8));
         let elsewhere = (self.below(3) > 0).then_some(4.0 * self.fraction());
@@ -725,7 +725,7 @@
         // A link that takes no bytes leaves the attempt unsent, or half written.
         let is_stalled = self.below(1000) < STALLS_PERMILLE;
         let is_claimed = !is_stalled || self.below(2) == 0;
-        if is_claimed && attempt.begin(self.now) != Begin::Now {
+        if is_claimed && attempt.try_claim(self.now) != ClaimResult::Claimed {
             return;
         }
         if is_stalled {
@@ -738,7 +738,7 @@
             _ => 0.002 + 0.02 * self.fraction(),
         };
         if self.below(4) > 0 {
-            attempt.ticket.written();
+            attempt.ticket.mark_written();
         }
         let wanted_bytes = match &attempt.work {
             AttemptWork::Read { length } => *length as usize,
--- a/crates/host-core/tests/object_requests.rs
+++ b/crates/host-core/tests/object_requests.rs
@@ -137,7 +137,7 @@
     fn write(&mut self) -> AttemptId {
         let attempt = self.sent.pop().expect("an attempt is in flight");
         assert!(attempt.ticket.claim());
-        attempt.ticket.written();
+        attempt.ticket.mark_written();
         attempt.attempt
     }
 
@@ -158,7 +158,7 @@
     fixture.submit(at(10.0), 1, 1, 77);
     let AttemptWork::Opaque(request) = &fixture.sent[0].work else { panic!("{:?}", fixture.sent[0].work) };
     assert_eq!((&request.head[..], &request.body[..]), (&b"head"[..], &b"body"[..]));
-    assert_eq!(fixture.sent[0].until, at(11.0));
+    assert_eq!(fixture.sent[0].deadline, at(11.0));
     let attempt = fixture.write();
     fixture.finish_attempt(at(10.1), attempt, Outcome::Done, b"any length");
     assert_eq!(fixture.answers, [(1, Verdict::Done { data: Bytes::from_static(b"any length") })]);
--- a/crates/host/src/links/link.rs
+++ b/crates/host/src/links/link.rs
@@ -12,7 +12,7 @@
 use std::net::TcpStream;
 use std::sync::{Arc, Mutex};
 use tackmast::interface::Outcome;
-use tackmast_host_core::{AttemptId, AttemptWork, Begin, OpaqueRequest, SendAttempt, Ticket};
+use tackmast_host_core::{AttemptId, AttemptWork, ClaimResult, OpaqueRequest, SendAttempt, Ticket};
 use tackmast_wire::node::{self, Frame, Origin};
 
 /// Bytes gathered for one write. What is gathered has been claimed and can't be withdrawn any more, so it is little.
@@ -103,7 +103,7 @@
         }
         if !bytes.is_empty() {
             match connection.stream.write_all(bytes) {
-                Ok(()) => self.writing.iter().for_each(Ticket::written),
+                Ok(()) => self.writing.iter().for_each(Ticket::mark_written),
                 Err(error) => {
                     tracing::debug!(node = %self.context.address, %error, "write to the node failed");
                     connection.outstanding.break_off(&connection.stream, &self.context.events);
@@ -140,10 +140,10 @@
             return;
         }
         let Some(connection) = &self.connection else { return };
-        match attempt.begin(self.context.clock.now()) {
-            Begin::Now => {}
-            Begin::Withdrawn => return,
-            Begin::TooLate => return report(&self.context.events, attempt.attempt, Outcome::Refused),
+        match attempt.try_claim(self.context.clock.now()) {
+            ClaimResult::Claimed => {}
+            ClaimResult::Withdrawn => return,
+            ClaimResult::TooLate => return report(&self.context.events, attempt.attempt, Outcome::Refused),
         }
         if !connection.outstanding.insert(attempt.attempt) {
             // The connection broke since it was looked at: the attempt is claimed, but no byte of it was sent.
@@ -155,7 +155,7 @@
 
     fn frame(&self, attempt: SendAttempt) -> Frame {
         let now = self.context.clock.now();
-        let time_left = (attempt.until - now).secs().max(0.0);
+        let time_left = (attempt.deadline - now).secs().max(0.0);
         Frame::Send(node::SendAttempt {
             attempt: attempt.attempt.0,
             request: attempt.request,
--- a/crates/host/src/links/link/tests.rs
+++ b/crates/host/src/links/link/tests.rs
@@ -172,7 +172,7 @@
         attempt_number: 0,
         from: CommandRef { session: 1, command: 1 },
         part: 0,
-        until: Instant::from_secs(1e6),
+        deadline: Instant::from_secs(1e6),
         begin_by: None,
         idempotency_key: 0,
         key: 0,
--- a/crates/platform-host/src/node_connection.rs
+++ b/crates/platform-host/src/node_connection.rs
@@ -62,7 +62,7 @@
 
 /// The bytes of an attempt's request to the node at this address.
 pub(crate) fn request_bytes(now: Instant, address: SocketAddr, attempt: &SendAttempt) -> BytesMut {
-    let attempt_head = attempt_head(address, attempt.until - now);
+    let attempt_head = attempt_head(address, attempt.deadline - now);
     let (head, body): (&[u8], &[u8]) = match &attempt.work {
         AttemptWork::Opaque(request) => (&request.head, &request.body),
         AttemptWork::Write { .. } | AttemptWork::Read { .. } => (&[], &[]),
--- a/crates/platform-host/src/node_connections.rs
+++ b/crates/platform-host/src/node_connections.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, NodeId, Outcome, TimeDelta};
-use tackmast_host_core::{AttemptId, AttemptResult, Begin, SendAttempt};
+use tackmast_host_core::{AttemptId, AttemptResult, ClaimResult, SendAttempt};
 use tackmast_http::{Limits, Response, ResponseReader};
 use tackmast_platform::Reports;
 
@@ -149,10 +149,10 @@
         results: &mut Vec<AttemptResult>,
     ) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        let begin = attempt.begin(now);
-        if begin != Begin::Now {
+        let claim = attempt.try_claim(now);
+        if claim != ClaimResult::Claimed {
             self.by_attempt.remove(&attempt.attempt);
-            if begin == Begin::TooLate {
+            if claim == ClaimResult::TooLate {
                 self.counters.deadline_passed += 1;
                 results.push(ended(attempt.attempt, Outcome::Refused));
             }
@@ -174,7 +174,7 @@
             // The node has not received the whole attempt, so it never ran.
             Err(_) => self.end(id, Outcome::Refused, results),
             Ok(()) if outgoing.is_empty() => {
-                attempt.ticket.written();
+                attempt.ticket.mark_written();
                 poller.change(&connection.stream, Token::NodeConnection(id), READ);
             }
             Ok(()) => poller.change(&connection.stream, Token::NodeConnection(id), BOTH),
--- a/crates/platform-host/src/node_connections/tests.rs
+++ b/crates/platform-host/src/node_connections/tests.rs
@@ -39,7 +39,7 @@
         attempt_number: 0,
         from: CommandRef { session: 1, command: 1 },
         part: 0,
-        until: at(100.0),
+        deadline: at(100.0),
         begin_by: None,
         idempotency_key: 0,
         key: 0,
--- a/crates/simulator/src/reference_model.rs
+++ b/crates/simulator/src/reference_model.rs
@@ -305,7 +305,7 @@
             attempt_number: 0,
             from: request.from,
             part: request.part,
-            until: request.deadline,
+            deadline: request.deadline,
             begin_by: None,
             idempotency_key: 0,
             key: if in_order { request.spec.key } else { 0 },
--- a/crates/simulator/src/sim/attempts.rs
+++ b/crates/simulator/src/sim/attempts.rs
@@ -4,7 +4,7 @@
 use super::{microseconds, Mutant, Sim, Us};
 use bytes::Bytes;
 use tackmast::interface::{Instant, Outcome};
-use tackmast_host_core::{AttemptId, AttemptResult, AttemptWork, Begin, OpaqueRequest, SendAttempt};
+use tackmast_host_core::{AttemptId, AttemptResult, AttemptWork, ClaimResult, OpaqueRequest, SendAttempt};
 use tackmast_trace::AttemptName;
 use tackmast_wire::node::{self, Answer, Frame, NodeOutcome, Origin};
 
@@ -114,15 +114,15 @@
     pub(super) fn transmit(&mut self, host_index: u32, node_index: u32, attempt: &SendAttempt) {
         let process = self.process_of(host_index);
         let now = self.steady_clock(host_index);
-        let left_us = ((attempt.until - now).secs() * 1e6).max(0.0) as Us;
-        match attempt.begin(now) {
-            Begin::Now => {}
-            Begin::Withdrawn => return,
-            Begin::TooLate => {
+        let left_us = ((attempt.deadline - now).secs() * 1e6).max(0.0) as Us;
+        match attempt.try_claim(now) {
+            ClaimResult::Claimed => {}
+            ClaimResult::Withdrawn => return,
+            ClaimResult::TooLate => {
                 return self.schedule(self.now, refused_event(process, attempt));
             }
         }
-        attempt.ticket.written();
+        attempt.ticket.mark_written();
         let HostProcess { generation, .. } = process;
         let number = attempt.attempt_number;
         let name = AttemptName { host: host_index, generation, request: attempt.request, attempt: number };
