--- a/crates/benchmarks/src/core_cost/host_core.rs
+++ b/crates/benchmarks/src/core_cost/host_core.rs
@@ -35,7 +35,7 @@
 ) -> f64 {
     let mut core = Core::new(time_of(0), settings, 1, 1);
     if let Some(overrides) = overrides {
-        core.with_overrides(time_of(0), overrides, PersistBatch::default());
+        core.enable_overrides(time_of(0), overrides, PersistBatch::default());
     }
     let list: Vec<ListEntry> = (0..NODE_COUNT).map(list_entry).collect();
     core.handle_endpoint_list(time_of(0), ListKind::Complete, 0, 1, &list);
--- a/crates/cli/src/planner/demand.rs
+++ b/crates/cli/src/planner/demand.rs
@@ -30,7 +30,7 @@
     let mut arrivals: BTreeMap<DemandKey, Vec<Arrival>> = BTreeMap::new();
     for arrival in workload.arrivals(settings.host.hosts) {
         let flow = &workload.flows[arrival.flow];
-        let Some(volume) = layout.volume_named(&flow.volume) else { continue };
+        let Some(volume) = layout.volume_by_name(&flow.volume) else { continue };
         let traffic_class = layout.traffic_class(volume, access(arrival.write), arrival.blocks);
         let at_s = arrival.at_us as f64 / 1e6;
         for part in layout.parts(volume, traffic_class, arrival.block, arrival.blocks) {
@@ -78,7 +78,7 @@
     let mut arrivals: BTreeMap<(usize, u32), Vec<Arrival>> = BTreeMap::new();
     for arrival in workload.arrivals(settings.host.hosts) {
         let flow = &workload.flows[arrival.flow];
-        let Some(volume) = layout.volume_named(&flow.volume) else { continue };
+        let Some(volume) = layout.volume_by_name(&flow.volume) else { continue };
         let traffic_class = layout.traffic_class(volume, access(arrival.write), arrival.blocks);
         let parts = layout.parts(volume, traffic_class, arrival.block, arrival.blocks);
         let units: f64 = parts.iter().map(|part| part.units).sum();
--- a/crates/host-core/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -30,7 +30,7 @@
     pub fn handle_command(&mut self, now: Instant, command: ClientCommand) {
         self.counters.commands_received += 1;
         let from = command.from;
-        let Some(volume) = self.layout.volume_of(command.lun) else {
+        let Some(volume) = self.layout.volume_by_lun(command.lun) else {
             return self.reject(from, None);
         };
         let mapped = self.map_command(volume, &command);
--- a/crates/host-core/src/core/consensus.rs
+++ b/crates/host-core/src/core/consensus.rs
@@ -34,8 +34,8 @@
 }
 
 impl Core {
-    /// Changes of plans need consensus from now on. To be called before `with_plans`, by which the disk's state is applied.
-    pub fn with_consensus(&mut self, consensus: ConsensusDriver) {
+    /// Changes of plans need consensus from now on. To be called before `enable_plans`, by which the disk's state is applied.
+    pub fn enable_consensus(&mut self, consensus: ConsensusDriver) {
         self.consensus = Some(consensus);
     }
 
--- a/crates/host-core/src/core/overrides.rs
+++ b/crates/host-core/src/core/overrides.rs
@@ -9,7 +9,7 @@
 
 impl Core {
     /// Operators may set overrides from now on. `batch` is what is to be persisted of the overrides of an earlier generation.
-    pub fn with_overrides(&mut self, now: Instant, overrides: Overrides, batch: PersistBatch) {
+    pub fn enable_overrides(&mut self, now: Instant, overrides: Overrides, batch: PersistBatch) {
         self.override_requests = Some(OverrideRequests::new(now, overrides));
         if batch != PersistBatch::default() {
             self.persist(batch);
--- a/crates/host-core/src/core/peers.rs
+++ b/crates/host-core/src/core/peers.rs
@@ -11,7 +11,7 @@
 
 impl Core {
     /// This host takes part in membership from now on.
-    pub fn with_peers(&mut self, now: Instant, peers: Peers) {
+    pub fn enable_peers(&mut self, now: Instant, peers: Peers) {
         if let Some(override_requests) = &mut self.override_requests {
             override_requests.me = Some(peers.me());
         }
--- a/crates/host-core/src/core/plans.rs
+++ b/crates/host-core/src/core/plans.rs
@@ -23,7 +23,7 @@
     }
 
     /// Lets plans change while the host runs.
-    pub fn with_plans(&mut self, now: Instant, mut plans: Plans, stored: StoredPlans) {
+    pub fn enable_plans(&mut self, now: Instant, mut plans: Plans, stored: StoredPlans) {
         let updates = plans.resume();
         if stored == StoredPlans::Nothing {
             let batch =
@@ -54,7 +54,7 @@
             match update {
                 PlanUpdate::Plan { plan, figures } => self.scheduler.plan_changed(now, *plan, *figures),
                 PlanUpdate::Volume { name, plan } => {
-                    let Some(volume) = self.layout.volume_named(name) else { continue };
+                    let Some(volume) = self.layout.volume_by_name(name) else { continue };
                     self.layout.set_plan(volume, plan.0);
                     self.scheduler.volume_plan_changed(now, VolumeId(volume as u32), *plan);
                 }
--- a/crates/host-core/src/layout.rs
+++ b/crates/host-core/src/layout.rs
@@ -66,12 +66,12 @@
     }
 
     /// The volume of a LUN.
-    pub fn volume_of(&self, lun: u32) -> Option<usize> {
+    pub fn volume_by_lun(&self, lun: u32) -> Option<usize> {
         self.volumes.iter().position(|volume| volume.lun == lun)
     }
 
     /// The volume of a name.
-    pub fn volume_named(&self, name: &str) -> Option<usize> {
+    pub fn volume_by_name(&self, name: &str) -> Option<usize> {
         self.volumes.iter().position(|volume| volume.name == name)
     }
 
--- a/crates/host-core/src/peers.rs
+++ b/crates/host-core/src/peers.rs
@@ -205,7 +205,7 @@
         }
         while let Some(lun) = self.volumes_to_check.pop() {
             let Some(balance) = self.member.quota_balance(now, lun) else { continue };
-            let Some(volume) = layout.volume_of(lun) else { continue };
+            let Some(volume) = layout.volume_by_lun(lun) else { continue };
             if self.quota_balances.insert(lun, balance) != Some(balance) {
                 return Some(PeerEvent::QuotaChanged { volume, balance });
             }
--- a/crates/host-core/tests/consensus.rs
+++ b/crates/host-core/tests/consensus.rs
@@ -131,18 +131,18 @@
         plans.enable_consensus();
         let identity = DiskIdentity { disk: generation, boot: 1, generation };
         let start = ConsensusStart { identity, ..ConsensusStart::default() };
-        core.with_consensus(ConsensusDriver::new(
+        core.enable_consensus(ConsensusDriver::new(
             self.now,
             &s,
             s.consensus.as_ref().unwrap(),
             start,
             generation,
         ));
-        core.with_plans(self.now, plans, StoredPlans::ChangeLog);
+        core.enable_plans(self.now, plans, StoredPlans::ChangeLog);
         let m = s.membership.as_ref().unwrap();
         let members =
             member_settings(&s, m, address(host), generation, PreviousExit::Unclean, generation, vec![]);
-        core.with_peers(self.now, Peers::new(self.now, members));
+        core.enable_peers(self.now, Peers::new(self.now, members));
         self.cores[host as usize] = Some(core);
         self.change_list(host, ListKind::Complete, 5, NodeState::Ready);
     }
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -515,7 +515,7 @@
             Vec::new(),
             1,
         );
-        fixture.core.with_overrides(fixture.now, overrides, PersistBatch::default());
+        fixture.core.enable_overrides(fixture.now, overrides, PersistBatch::default());
         let override_request = OverrideRequest {
             target: Target::Node(address.parse().unwrap()),
             kind: Kind::Weight(0.5),
@@ -572,7 +572,7 @@
     fixture.core.handle_admin_request(fixture.now, 1, AdminRequest::List);
     let bounds = Settings { max_overrides: 10, max_zone_fraction: 1.0 };
     let (overrides, _) = Overrides::new(fixture.now, 10_000_000, bounds, Vec::new(), 1);
-    fixture.core.with_overrides(fixture.now, overrides, PersistBatch::default());
+    fixture.core.enable_overrides(fixture.now, overrides, PersistBatch::default());
     fixture.core.handle_admin_request(fixture.now, 2, AdminRequest::Plan(PlanRequest::Show));
     fixture.poll_outputs();
     let reason = |number| unavailable_reason(&fixture, number);
@@ -589,7 +589,7 @@
     let mut fixture = Fixture::new();
     let bounds = Settings { max_overrides: 1000, max_zone_fraction: 1.0 };
     let (overrides, _) = Overrides::new(fixture.now, 10_000_000, bounds, Vec::new(), 1);
-    fixture.core.with_overrides(fixture.now, overrides, PersistBatch::default());
+    fixture.core.enable_overrides(fixture.now, overrides, PersistBatch::default());
     let override_request = OverrideRequest {
         target: Target::Node("10.0.0.1:9003".parse().unwrap()),
         kind: Kind::Weight(0.5),
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -492,16 +492,16 @@
     let override_settings = Settings { max_overrides: 20, max_zone_fraction: 1.0 };
     let wall_us = micros(now) as u64 + WALL_OFFSET_US;
     let (overrides, _) = Overrides::new(now, wall_us, override_settings, Vec::new(), 1);
-    core.with_overrides(now, overrides, PersistBatch::default());
+    core.enable_overrides(now, overrides, PersistBatch::default());
     core.handle_wall_clock(now, wall_us);
     let plans_block = settings.plans_live.as_ref().expect("a plans block");
     let plans = Plans::new(now, &settings, plans_block, &[]).expect("plans of the settings");
-    core.with_plans(now, plans, StoredPlans::Nothing);
+    core.enable_plans(now, plans, StoredPlans::Nothing);
     let membership = settings.membership.as_ref().expect("a membership block");
     let address = host_address(host);
     let members =
         member_settings(&settings, membership, address, incarnation, PreviousExit::Unclean, seed, vec![]);
-    core.with_peers(now, Peers::new(now, members));
+    core.enable_peers(now, Peers::new(now, members));
     core
 }
 
--- a/crates/host/src/peers.rs
+++ b/crates/host/src/peers.rs
@@ -70,7 +70,7 @@
         let PeerIdentity { generation, seed, known_peers } = identity;
         let members =
             member_settings(settings, block, self.address, generation, previous_exit, seed, known_peers);
-        core.with_peers(now, tackmast_host_core::Peers::new(now, members));
+        core.enable_peers(now, tackmast_host_core::Peers::new(now, members));
     }
 
     /// Starts the thread that reads datagrams.
--- a/crates/host/src/startup.rs
+++ b/crates/host/src/startup.rs
@@ -169,7 +169,7 @@
             batch.remove.push(id);
             batch.audits.push(ended.audit);
         }
-        core.with_overrides(now, overrides, batch);
+        core.enable_overrides(now, overrides, batch);
     }
 
     /// Gives the core the plans that its store held, and its part in the consensus on them.
@@ -187,13 +187,13 @@
         if let Some(consensus) = &self.settings.consensus {
             let driver = self.start_consensus(consensus, store, state)?;
             plans.enable_consensus();
-            core.with_consensus(driver);
+            core.enable_consensus(driver);
         }
         let stored = match state.change_log.is_empty() && !uses_consensus {
             true => StoredPlans::Nothing,
             false => StoredPlans::ChangeLog,
         };
-        core.with_plans(now, plans, stored);
+        core.enable_plans(now, plans, stored);
         Ok(())
     }
 
--- a/crates/simulator/src/reference_model.rs
+++ b/crates/simulator/src/reference_model.rs
@@ -103,7 +103,7 @@
 
     fn handle_command(&mut self, now: Instant, command: &ClientCommand) {
         let ClientCommand { from, lun, block, ref work, timeout, .. } = *command;
-        let Some(volume) = self.layout.volume_of(lun) else { return };
+        let Some(volume) = self.layout.volume_by_lun(lun) else { return };
         let block_bytes = self.layout.volume(volume).block_bytes as usize;
         let (access, blocks) = match work {
             Work::Read { blocks } => (Access::Read, *blocks),
--- a/crates/simulator/src/sim/hosts.rs
+++ b/crates/simulator/src/sim/hosts.rs
@@ -85,7 +85,7 @@
             persisted.overrides.remove(&ended.record.id);
         }
         core.handle_wall_clock(now, wall);
-        core.with_overrides(now, overrides, PersistBatch::default());
+        core.enable_overrides(now, overrides, PersistBatch::default());
     }
 
     fn restore_plans(&self, core: &mut Core, host_index: u32, now: Instant) {
@@ -96,7 +96,7 @@
         let plans = Plans::new(now, settings, block, &change_log)
             .unwrap_or_else(|error| panic!("the change log of a simulated host: {error}"));
         let stored = if change_log.is_empty() { StoredPlans::Nothing } else { StoredPlans::ChangeLog };
-        core.with_plans(now, plans, stored);
+        core.enable_plans(now, plans, stored);
     }
 
     fn join_peers(&self, core: &mut Core, host_index: u32, now: Instant, seed: u64) {
@@ -113,7 +113,7 @@
             seed,
             persisted.peers.clone(),
         );
-        core.with_peers(now, Peers::new(now, member));
+        core.enable_peers(now, Peers::new(now, member));
     }
 
     /// Fires the timers of a host that are due, and executes what its core asks for.
