--- a/crates/benchmarks/src/core_cost/host_core.rs
+++ b/crates/benchmarks/src/core_cost/host_core.rs
@@ -6,7 +6,7 @@
 use tackmast::interface::{Instant, ListKind, NodeState, Outcome, ShardId, ZoneId};
 use tackmast_config::HostSettings;
 use tackmast_host_core::{
-    AttemptId, AttemptResult, ClientCommand, CommandRef, Core, ListEntry, Output, PersistBatch, Work,
+    AttemptId, AttemptResult, ClientCommand, CommandId, Core, ListEntry, Output, PersistBatch, Work,
 };
 use tackmast_overrides::Overrides;
 
@@ -96,7 +96,7 @@
 
 fn read_command(number: u64, now: Instant) -> ClientCommand {
     ClientCommand {
-        from: CommandRef { session: 1, command: number as u32 },
+        from: CommandId { session: 1, command: number as u32 },
         lun: 0,
         block: number * u64::from(READ_BLOCKS) % BLOCK_COUNT,
         work: Work::Read { blocks: READ_BLOCKS },
--- a/crates/host-core/src/attempt.rs
+++ b/crates/host-core/src/attempt.rs
@@ -1,6 +1,6 @@
 //! Attempts of requests, as the connections to nodes receive them, and their results.
 
-use crate::command::CommandRef;
+use crate::command::CommandId;
 use crate::object_request::OpaqueRequest;
 use crate::ticket::Ticket;
 use bytes::Bytes;
@@ -63,7 +63,7 @@
     /// The attempt's number within the request, from 0.
     pub attempt_number: u8,
     /// The command that it serves.
-    pub from: CommandRef,
+    pub from: CommandId,
     /// Which part of the command.
     pub part: u16,
     /// When nobody waits for its answer any more.
--- a/crates/host-core/src/command.rs
+++ b/crates/host-core/src/command.rs
@@ -5,7 +5,7 @@
 
 /// A client's command: its session at this host, and its number within that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct CommandRef {
+pub struct CommandId {
     /// The session.
     pub session: u32,
     /// The command within it.
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientCommand {
     /// Its session, and its number there.
-    pub from: CommandRef,
+    pub from: CommandId,
     /// The volume.
     pub lun: u32,
     /// The first block.
--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -23,7 +23,7 @@
 use crate::admin_request::AdminResponse;
 use crate::admission::Admission;
 use crate::attempt::MAX_ATTEMPTS;
-use crate::command::CommandRef;
+use crate::command::CommandId;
 use crate::consensus::ConsensusDriver;
 use crate::event::HostEvent;
 use crate::fair_queueing::{FairQueueCounts, FairQueueing};
@@ -62,7 +62,7 @@
     admission: Admission,
     fair_queueing: FairQueueing,
     /// Commands that have no answer yet.
-    commands: HashMap<CommandRef, OpenCommand>,
+    commands: HashMap<CommandId, OpenCommand>,
     /// The numbers of these commands, by session.
     sessions: HashMap<u32, BTreeSet<u32>>,
     requests: HashMap<RequestId, PendingRequest>,
--- a/crates/host-core/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -5,7 +5,7 @@
 use crate::admission::Usage;
 use crate::attempt::AttemptWork;
 use crate::combine::{combine, Combined, KeySource, PartState};
-use crate::command::{ClientCommand, CommandRef, Verdict, Work};
+use crate::command::{ClientCommand, CommandId, Verdict, Work};
 use crate::fair_queueing::QueueKey;
 use crate::layout::{key_id, Access, Part};
 use crate::object_request::ObjectRequest;
@@ -147,7 +147,7 @@
     }
 
     /// A request for an object. It gets one answer. Volumes, keys and shards are as the client names them.
-    pub fn handle_object_request(&mut self, now: Instant, from: CommandRef, request: ObjectRequest) {
+    pub fn handle_object_request(&mut self, now: Instant, from: CommandId, request: ObjectRequest) {
         self.counters.commands_received += 1;
         if self.draining {
             return self.reject(from, Some(self.max_retry_after));
@@ -173,7 +173,7 @@
     }
 
     /// Enters an admitted request for an object in the tables, and reports it to the scheduler.
-    fn open_object_request(&mut self, now: Instant, from: CommandRef, volume: usize, object: ObjectRequest) {
+    fn open_object_request(&mut self, now: Instant, from: CommandId, volume: usize, object: ObjectRequest) {
         let (id, traffic_class) = (self.new_id(), object.traffic_class.0 as usize);
         let command = OpenCommand {
             parts: vec![OpenPart::new(id)],
@@ -221,7 +221,7 @@
         }
     }
 
-    pub(super) fn reject(&mut self, to: CommandRef, retry_after: Option<TimeDelta>) {
+    pub(super) fn reject(&mut self, to: CommandId, retry_after: Option<TimeDelta>) {
         self.counters.commands_rejected += 1;
         self.outputs.push_back(Output::Answer { to, verdict: Verdict::Rejected { retry_after } });
     }
@@ -235,7 +235,7 @@
     /// failed otherwise.
     pub fn close_open_commands(&mut self, now: Instant) {
         self.draining = true;
-        let mut open: Vec<CommandRef> = self.commands.keys().copied().collect();
+        let mut open: Vec<CommandId> = self.commands.keys().copied().collect();
         open.sort();
         for from in open {
             let Some(command) = self.commands.get(&from) else { continue };
@@ -247,7 +247,7 @@
     }
 
     /// The client has aborted the command; no answer is wanted.
-    pub fn handle_abort(&mut self, now: Instant, from: CommandRef) {
+    pub fn handle_abort(&mut self, now: Instant, from: CommandId) {
         if let Some(command) = self.commands.remove(&from) {
             self.counters.commands_aborted += 1;
             self.forget_command(now, from, &command);
@@ -260,7 +260,7 @@
     /// The session ended: its commands are aborted.
     pub fn handle_session_closed(&mut self, now: Instant, session: u32) {
         for command in self.sessions.remove(&session).unwrap_or_default() {
-            self.handle_abort(now, CommandRef { session, command });
+            self.handle_abort(now, CommandId { session, command });
         }
         self.fair_queueing.session_closed(session);
     }
@@ -297,7 +297,7 @@
     }
 
     /// Answers a command as soon as its parts make the answer certain.
-    fn answer_if_certain(&mut self, now: Instant, from: CommandRef) {
+    fn answer_if_certain(&mut self, now: Instant, from: CommandId) {
         let Some(command) = self.commands.get(&from) else { return };
         let ran = |id: &RequestId| self.requests.get(id).is_some_and(PendingRequest::may_have_run);
         let states: Vec<PartState> = command
@@ -330,7 +330,7 @@
     }
 
     /// A command has left the table: what it held there is free again.
-    fn forget_command(&mut self, now: Instant, from: CommandRef, command: &OpenCommand) {
+    fn forget_command(&mut self, now: Instant, from: CommandId, command: &OpenCommand) {
         let held = Usage { requests: command.parts.len(), bytes: command.bytes };
         self.admission.release(now, from.session, command.volume, held);
         if let Some(open) = self.sessions.get_mut(&from.session) {
--- a/crates/host-core/src/core/tables.rs
+++ b/crates/host-core/src/core/tables.rs
@@ -2,7 +2,7 @@
 
 use crate::attempt::{AttemptId, AttemptWork};
 use crate::combine::{KeySource, PartState};
-use crate::command::CommandRef;
+use crate::command::CommandId;
 use crate::fair_queueing::QueueTicket;
 use crate::layout::Access;
 use crate::ticket::Ticket;
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct RequestIdentity {
     pub serial: u64,
-    pub from: CommandRef,
+    pub from: CommandId,
     pub part: u16,
 }
 
--- a/crates/host-core/src/lib.rs
+++ b/crates/host-core/src/lib.rs
@@ -57,7 +57,7 @@
 pub use crate::core::{Core, CoreSettings};
 pub use admin_request::{AdminRequest, AdminResponse, HostStatus};
 pub use attempt::{AttemptId, AttemptResult, AttemptWork, ClaimResult, SendAttempt};
-pub use command::{ClientCommand, CommandRef, Verdict, Work};
+pub use command::{ClientCommand, CommandId, Verdict, Work};
 pub use consensus::{ConsensusDriver, ConsensusRequest, ConsensusResponse, ConsensusStart, ConsensusStatus};
 pub use error::PersistError;
 pub use event::log::log_event;
--- a/crates/host-core/src/output.rs
+++ b/crates/host-core/src/output.rs
@@ -2,7 +2,7 @@
 
 use crate::admin_request::AdminResponse;
 use crate::attempt::{AttemptId, SendAttempt};
-use crate::command::{CommandRef, Verdict};
+use crate::command::{CommandId, Verdict};
 use crate::event::HostEvent;
 use crate::persist_batch::PersistBatch;
 use bytes::Bytes;
@@ -31,7 +31,7 @@
     /// Answer a client's command.
     Answer {
         /// The command.
-        to: CommandRef,
+        to: CommandId,
         /// The answer.
         verdict: Verdict,
     },
--- a/crates/host-core/tests/consensus.rs
+++ b/crates/host-core/tests/consensus.rs
@@ -213,7 +213,7 @@
     fn read(&mut self, host: u32, lun: u32) -> Result<(), Verdict> {
         self.attempts.clear();
         self.answers.clear();
-        let (now, from) = (self.now, CommandRef { session: 1, command: self.now.secs().to_bits() as u32 });
+        let (now, from) = (self.now, CommandId { session: 1, command: self.now.secs().to_bits() as u32 });
         self.core(host).handle_command(
             now,
             ClientCommand {
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -115,7 +115,7 @@
     fn submit(&mut self, command: u32, block: u64, blocks: u32, write: bool) {
         let data = Bytes::from(vec![command as u8; blocks as usize * 512]);
         let work = if write { Work::Write { data } } else { Work::Read { blocks } };
-        let from = CommandRef { session: 1, command };
+        let from = CommandId { session: 1, command };
         self.core.handle_command(
             self.now,
             ClientCommand {
@@ -319,7 +319,7 @@
     fixture.submit(1, 0, 1, false);
     fixture.submit(2, 0, 1, false);
     let attempts = fixture.write();
-    fixture.core.handle_abort(fixture.now, CommandRef { session: 1, command: 1 });
+    fixture.core.handle_abort(fixture.now, CommandId { session: 1, command: 1 });
     fixture.poll_outputs();
     assert!(matches!(fixture.other.as_slice(), [Output::Cancel { attempt, .. }] if *attempt == attempts[0]));
     fixture.core.handle_session_closed(fixture.now, 1);
@@ -458,7 +458,7 @@
     let mut core = Core::new(now, &settings, 1, 99);
     core.handle_endpoint_list(now, ListKind::Complete, 0, 5, &[entry("a", 0, NodeState::Ready)]);
     let mut submit = |session: u32, command: u32| {
-        let from = CommandRef { session, command };
+        let from = CommandId { session, command };
         core.handle_command(
             now,
             ClientCommand {
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -239,7 +239,7 @@
         self.seconds(seconds.unwrap_or(0.0));
     }
 
-    fn command(&mut self, command: CommandRef) {
+    fn command(&mut self, command: CommandId) {
         self.number(u64::from(command.session));
         self.number(u64::from(command.command));
     }
@@ -451,7 +451,7 @@
     pending: BTreeMap<(i64, u64), PendingAttempt>,
     /// Writes to the store that are not acknowledged yet.
     unacknowledged: Vec<u64>,
-    open: BTreeSet<CommandRef>,
+    open: BTreeSet<CommandId>,
     list_version: u64,
     override_ids: Vec<OverrideId>,
 }
@@ -785,7 +785,7 @@
     }
 
     fn submit(&mut self, host: usize) {
-        let from = CommandRef { session: self.below(SESSIONS), command: self.next_command };
+        let from = CommandId { session: self.below(SESSIONS), command: self.next_command };
         self.next_command += 1;
         let lun = 1 + self.below(3);
         let block = u64::from(self.below(980));
--- a/crates/host-core/tests/log.rs
+++ b/crates/host-core/tests/log.rs
@@ -129,7 +129,7 @@
         core.handle_command(
             now,
             ClientCommand {
-                from: CommandRef { session: 1, command: 1 },
+                from: CommandId { session: 1, command: 1 },
                 lun: 1,
                 block: 0,
                 work: Work::Read { blocks: 1 },
--- a/crates/host-core/tests/object_requests.rs
+++ b/crates/host-core/tests/object_requests.rs
@@ -109,7 +109,7 @@
             time_left: self.time_left,
             payload: OpaqueRequest { head: Bytes::from_static(b"head"), body: Bytes::from_static(b"body") },
         };
-        self.core.handle_object_request(now, CommandRef { session: command, command }, request);
+        self.core.handle_object_request(now, CommandId { session: command, command }, request);
         self.poll_outputs(now);
     }
 
--- a/crates/host/src/core_thread.rs
+++ b/crates/host/src/core_thread.rs
@@ -23,7 +23,7 @@
 use tackmast_admin::Answer;
 use tackmast_config::HostSettings;
 use tackmast_host_core::{
-    log_event, AttemptResult, CommandRef, Core, Output, PersistBatch, PersistError, SendAttempt, Verdict,
+    log_event, AttemptResult, CommandId, Core, Output, PersistBatch, PersistError, SendAttempt, Verdict,
 };
 
 /// Events that are handled before the outputs that they caused are executed.
@@ -242,7 +242,7 @@
 
     /// Hands an answer to its session. The queue holds every answer that the session's window allows, so a client with a full queue
     /// has broken its window.
-    fn answer(&self, to: CommandRef, verdict: Verdict) {
+    fn answer(&self, to: CommandId, verdict: Verdict) {
         let Some(session) = self.sessions.get(&to.session) else { return };
         let sent = session.writer.try_send(ToSession::Answer { command: to.command, verdict });
         if let Err(TrySendError::Full(_)) = sent {
--- a/crates/host/src/core_thread/tests.rs
+++ b/crates/host/src/core_thread/tests.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant as Wall};
 use tackmast::interface::{ListKind, NodeState, ShardId, ZoneId};
 use tackmast_config::HostSettings;
-use tackmast_host_core::{ClientCommand, CommandRef, Core, ListEntry, Work};
+use tackmast_host_core::{ClientCommand, CommandId, Core, ListEntry, Work};
 
 /// Failures for which a node is ejected that has answered nothing well.
 const FAILURES_TO_EJECT: u64 = 6;
@@ -86,7 +86,7 @@
     core_thread.core.handle_command(
         core_thread.now,
         ClientCommand {
-            from: CommandRef { session: 1, command },
+            from: CommandId { session: 1, command },
             lun: 0,
             block: u64::from(command),
             work: Work::Read { blocks: 1 },
--- a/crates/host/src/links/link/tests.rs
+++ b/crates/host/src/links/link/tests.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tackmast::interface::{Instant, NodeId};
 use tackmast_config::HostSettings;
-use tackmast_host_core::CommandRef;
+use tackmast_host_core::CommandId;
 
 /// How long a test waits for what must happen soon.
 const TEST_TIMEOUT: Duration = Duration::from_secs(5);
@@ -170,7 +170,7 @@
         attempt: AttemptId(number),
         request: number,
         attempt_number: 0,
-        from: CommandRef { session: 1, command: 1 },
+        from: CommandId { session: 1, command: 1 },
         part: 0,
         deadline: Instant::from_secs(1e6),
         begin_by: None,
--- a/crates/host/src/messages.rs
+++ b/crates/host/src/messages.rs
@@ -7,7 +7,7 @@
 use tackmast::interface::{Instant, ListKind, NodeId, NodeState, TimeDelta};
 use tackmast_admin::Answer;
 use tackmast_host_core::{
-    AdminRequest, AttemptResult, CommandRef, Counters, ListEntry, PersistError, Verdict, Work,
+    AdminRequest, AttemptResult, CommandId, Counters, ListEntry, PersistError, Verdict, Work,
 };
 
 /// An input of the core's thread.
@@ -21,7 +21,7 @@
     },
     /// A client's command is complete.
     Submit {
-        from: CommandRef,
+        from: CommandId,
         lun: u32,
         block: u64,
         work: Work,
@@ -31,7 +31,7 @@
         timeout: Option<TimeDelta>,
     },
     /// A client withdraws a command.
-    Abort { from: CommandRef },
+    Abort { from: CommandId },
     /// A session has ended.
     SessionClosed { session: u32 },
     /// An attempt has ended.
--- a/crates/host/src/sessions/reader.rs
+++ b/crates/host/src/sessions/reader.rs
@@ -9,7 +9,7 @@
 use std::net::TcpStream;
 use std::ops::ControlFlow;
 use tackmast::interface::{Instant, TimeDelta};
-use tackmast_host_core::{CommandRef, Work};
+use tackmast_host_core::{CommandId, Work};
 use tackmast_target as target;
 
 /// Bytes that one read takes at most.
@@ -121,7 +121,7 @@
                 return ControlFlow::Continue(());
             }
             target::Event::Submit { command, lun, block, work, deadline_ms } => Event::Submit {
-                from: CommandRef { session, command },
+                from: CommandId { session, command },
                 lun,
                 block,
                 work: host_work(work),
@@ -130,7 +130,7 @@
             },
             target::Event::Abort { command } => {
                 self.began_at.remove(&command);
-                Event::Abort { from: CommandRef { session, command } }
+                Event::Abort { from: CommandId { session, command } }
             }
             target::Event::Close(ending) => {
                 tracing::debug!(client, session, ?ending, "session ends");
--- a/crates/platform-host/src/host/requests.rs
+++ b/crates/platform-host/src/host/requests.rs
@@ -6,7 +6,7 @@
 use crate::shutdown_schedule::ShutdownPhase;
 use std::io::ErrorKind;
 use tackmast::interface::{Instant, NodeState};
-use tackmast_host_core::{CommandRef, ObjectRequest, OpaqueRequest};
+use tackmast_host_core::{CommandId, ObjectRequest, OpaqueRequest};
 use tackmast_http::Request;
 use tackmast_platform::Call;
 
@@ -42,7 +42,7 @@
     pub(super) fn client_gone(&mut self, now: Instant, id: u32, open: Option<u32>) {
         if let Some(command) = open {
             self.request_ids.finish(now, id);
-            self.core.handle_abort(now, CommandRef { session: id, command });
+            self.core.handle_abort(now, CommandId { session: id, command });
         }
     }
 
@@ -95,7 +95,7 @@
             time_left: call.time_left,
             payload: OpaqueRequest { head: call.head, body: call.body },
         };
-        self.core.handle_object_request(now, CommandRef { session: id, command: self.requests }, request);
+        self.core.handle_object_request(now, CommandId { session: id, command: self.requests }, request);
     }
 
     pub(super) fn queue_pipelined(&mut self, id: u32) {
--- a/crates/platform-host/src/node_connections/tests.rs
+++ b/crates/platform-host/src/node_connections/tests.rs
@@ -6,7 +6,7 @@
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::{Duration, Instant as Wall};
-use tackmast_host_core::{AttemptWork, CommandRef, OpaqueRequest, Ticket};
+use tackmast_host_core::{AttemptWork, CommandId, OpaqueRequest, Ticket};
 use tackmast_platform::{Configuration, Settings};
 
 /// How long a test waits for what must happen soon.
@@ -37,7 +37,7 @@
         attempt: AttemptId(number),
         request: number,
         attempt_number: 0,
-        from: CommandRef { session: 1, command: 1 },
+        from: CommandId { session: 1, command: 1 },
         part: 0,
         deadline: at(100.0),
         begin_by: None,
--- a/crates/simulator/src/reference_model.rs
+++ b/crates/simulator/src/reference_model.rs
@@ -11,7 +11,7 @@
 use tackmast::interface::{Effect, Instant, ListKind, NodeId, NodeState, Outcome, ShardId, TimeDelta};
 use tackmast_config::HostSettings;
 use tackmast_host_core::{
-    Access, AttemptId, AttemptResult, AttemptWork, ClientCommand, CommandRef, Layout, ListEntry, Nodes,
+    Access, AttemptId, AttemptResult, AttemptWork, ClientCommand, CommandId, Layout, ListEntry, Nodes,
     OpenCounts, Output, Part, SendAttempt, Ticket, Verdict, Work,
 };
 use token_bucket::TokenBucket;
@@ -45,7 +45,7 @@
     in_flight: BTreeMap<ShardId, usize>,
     buckets: HashMap<usize, TokenBucket>,
     /// The requests of each open command, in the order in which the commands of a closed session end.
-    commands: BTreeMap<CommandRef, Vec<u64>>,
+    commands: BTreeMap<CommandId, Vec<u64>>,
     requests: HashMap<u64, PendingRequest>,
     deadlines: BTreeSet<(Instant, u64)>,
     /// The number of the newest request.
@@ -57,7 +57,7 @@
 
 /// A part of a command that is not answered yet.
 struct PendingRequest {
-    from: CommandRef,
+    from: CommandId,
     part: u16,
     spec: Part,
     volume: usize,
@@ -149,12 +149,12 @@
         id
     }
 
-    fn answer(&mut self, to: CommandRef, verdict: Verdict) {
+    fn answer(&mut self, to: CommandId, verdict: Verdict) {
         self.outputs.push_back(Output::Answer { to, verdict });
     }
 
     /// Removes the requests of a command, and cancels their attempts.
-    fn close_command(&mut self, command: CommandRef) -> Vec<PendingRequest> {
+    fn close_command(&mut self, command: CommandId) -> Vec<PendingRequest> {
         let mut closed = Vec::new();
         for id in self.commands.remove(&command).unwrap_or_default() {
             let Some(request) = self.requests.remove(&id) else { continue };
@@ -170,7 +170,7 @@
 
     fn handle_session_closed(&mut self, session: u32) {
         let open = self.commands.keys().filter(|command| command.session == session);
-        let open: Vec<CommandRef> = open.copied().collect();
+        let open: Vec<CommandId> = open.copied().collect();
         for command in open {
             self.close_command(command);
         }
@@ -199,7 +199,7 @@
     }
 
     /// A reference host does not retry: the client gets the answer that the outcome of the attempt allows.
-    fn end_failed_command(&mut self, command: CommandRef, traffic_class: usize, outcome: Outcome) {
+    fn end_failed_command(&mut self, command: CommandId, traffic_class: usize, outcome: Outcome) {
         let is_single = self.commands.get(&command).is_some_and(|ids| ids.len() == 1);
         let has_not_run = !outcome.may_have_run() && is_single;
         let is_idempotent = self.settings.traffic_classes[traffic_class].effect == Effect::Idempotent;
--- a/crates/simulator/src/reference_model/host_logic.rs
+++ b/crates/simulator/src/reference_model/host_logic.rs
@@ -3,7 +3,7 @@
 use super::ReferenceHost;
 use tackmast::interface::{Instant, ListKind};
 use tackmast_host_core::{
-    AttemptResult, ClientCommand, CommandRef, Core, Layout, ListEntry, Nodes, OpenCounts, Output,
+    AttemptResult, ClientCommand, CommandId, Core, Layout, ListEntry, Nodes, OpenCounts, Output,
 };
 
 /// What a simulated host runs.
@@ -64,7 +64,7 @@
     }
 
     /// A client has aborted a command.
-    pub(crate) fn handle_abort(&mut self, now: Instant, from: CommandRef) {
+    pub(crate) fn handle_abort(&mut self, now: Instant, from: CommandId) {
         match self {
             HostLogic::Core(core) => core.handle_abort(now, from),
             HostLogic::Reference(host) => _ = host.close_command(from),
--- a/crates/simulator/src/sim/clients.rs
+++ b/crates/simulator/src/sim/clients.rs
@@ -6,7 +6,7 @@
 use super::{LIMITED_LUN, LIMITED_VOLUME, UNLIMITED_LUN, UNLIMITED_VOLUME};
 use crate::clients::{data, Call, Client, Protocol};
 use tackmast_client_core::{Op, Outcome, Output, VolumeAddress};
-use tackmast_host_core::{CommandRef, Work};
+use tackmast_host_core::{CommandId, Work};
 use tackmast_target as target;
 
 /// Deadline of a client's call, in microseconds.
@@ -232,7 +232,7 @@
                     target::Work::Read { blocks } => Work::Read { blocks },
                     target::Work::Write { data } => Work::Write { data },
                 };
-                let from = CommandRef { session, command };
+                let from = CommandId { session, command };
                 let timeout_us = deadline_ms.map(|ms| u64::from(ms) * 1000);
                 self.submit(host_index, Submission { from, lun, block, work, began, timeout_us });
             }
@@ -242,7 +242,7 @@
                     self.record(tackmast_trace::Event::Left { host: host_index, session, command });
                 }
                 let now = self.steady_clock(host_index);
-                let from = CommandRef { session, command };
+                let from = CommandId { session, command };
                 self.hosts[host_index as usize].core.handle_abort(now, from);
             }
             target::Event::Close(_) | target::Event::Note(_) => {}
--- a/crates/simulator/src/sim/commands.rs
+++ b/crates/simulator/src/sim/commands.rs
@@ -6,7 +6,7 @@
 use crate::clients::data;
 use crate::scenario_script::ScriptRequest;
 use tackmast::interface::TimeDelta;
-use tackmast_host_core::{ClientCommand, CommandRef, Verdict, Work};
+use tackmast_host_core::{ClientCommand, CommandId, Verdict, Work};
 use tackmast_target as target;
 use tackmast_trace::AnswerKind;
 
@@ -34,7 +34,7 @@
 
 /// A command as it reaches its host.
 pub(super) struct Submission {
-    pub(super) from: CommandRef,
+    pub(super) from: CommandId,
     pub(super) lun: u32,
     /// The first block.
     pub(super) block: u64,
@@ -77,7 +77,7 @@
             true => Work::Write { data: data(access.blocks * BLOCK_BYTES) },
             false => Work::Read { blocks: access.blocks },
         };
-        let from = CommandRef { session: DIRECT_SESSION, command };
+        let from = CommandId { session: DIRECT_SESSION, command };
         let (block, began) = (access.block, self.now);
         self.submit(host_index, Submission { from, lun, block, work, began, timeout_us: None });
         if self.generator.rand_float() < self.abort_fraction {
@@ -101,7 +101,7 @@
         let latency_objective_us = (class.latency_objective.secs() * 1e6) as Us;
         let deadline_us = timeout_us.unwrap_or((class.deadline.secs() * 1e6) as Us);
         self.run.asked += 1;
-        let CommandRef { session, command } = from;
+        let CommandId { session, command } = from;
         let submitted = SubmittedCommand { began, latency_objective_us };
         self.hosts[host_index as usize].submitted.insert((session, command), submitted);
         self.record(tackmast_trace::Event::Submit {
@@ -123,7 +123,7 @@
     }
 
     /// The host core answers a command.
-    pub(super) fn answer(&mut self, host_index: u32, to: CommandRef, verdict: Verdict) {
+    pub(super) fn answer(&mut self, host_index: u32, to: CommandId, verdict: Verdict) {
         self.answer_count += 1;
         let (kind, retry_after_us) = match &verdict {
             Verdict::Done { .. } => (AnswerKind::Done, 0),
@@ -134,7 +134,7 @@
             Verdict::Failed => (AnswerKind::Failed, 0),
         };
         let process = self.process_of(host_index);
-        let CommandRef { session, command } = to;
+        let CommandId { session, command } = to;
         let is_mutated = self.answer_count.is_multiple_of(MUTANT_ANSWER_INTERVAL);
         match self.mutant {
             Some(Mutant::AnswerLost) if is_mutated => return,
--- a/crates/simulator/src/sim/dispatch.rs
+++ b/crates/simulator/src/sim/dispatch.rs
@@ -5,7 +5,7 @@
 use super::{instant_at, peer_address, Sim, Us, DIRECT_SESSION};
 use bytes::Bytes;
 use tackmast::interface::ListKind;
-use tackmast_host_core::CommandRef;
+use tackmast_host_core::CommandId;
 
 impl Sim<'_> {
     /// Handles one event. Traffic is generated until `last`.
@@ -190,7 +190,7 @@
         }
         self.record(tackmast_trace::Event::Left { host: host_index, session: DIRECT_SESSION, command });
         let now = self.steady_clock(host_index);
-        let from = CommandRef { session: DIRECT_SESSION, command };
+        let from = CommandId { session: DIRECT_SESSION, command };
         self.hosts[host_index as usize].core.handle_abort(now, from);
         self.poll_host(host_index);
     }
