--- a/crates/benchmarks/src/core_cost/host_core.rs
+++ b/crates/benchmarks/src/core_cost/host_core.rs
@@ -6,7 +6,7 @@
 use tackmast::interface::{Instant, ListKind, NodeState, Outcome, ShardId, ZoneId};
 use tackmast_config::HostSettings;
 use tackmast_host_core::{
-    AttemptId, AttemptResult, ClientCommand, CommandRef, Core, ListEntry, Output, PersistBatch, Work,
+    AttemptId, AttemptResult, ClientCommand, CommandId, Core, ListEntry, Output, PersistBatch, Work,
 };
 use tackmast_overrides::Overrides;
 
@@ -35,7 +35,7 @@
 ) -> f64 {
     let mut core = Core::new(time_of(0), settings, 1, 1);
     if let Some(overrides) = overrides {
-        core.with_overrides(time_of(0), overrides, PersistBatch::default());
+        core.enable_overrides(time_of(0), overrides, PersistBatch::default());
     }
     let list: Vec<ListEntry> = (0..NODE_COUNT).map(list_entry).collect();
     core.handle_endpoint_list(time_of(0), ListKind::Complete, 0, 1, &list);
@@ -85,7 +85,7 @@
         match output {
             Output::Send(attempt) => {
                 attempt.ticket.claim();
-                attempt.ticket.written();
+                attempt.ticket.mark_written();
                 self.attempts.push(attempt.attempt);
             }
             Output::Answer { .. } => self.done += 1,
@@ -96,7 +96,7 @@
 
 fn read_command(number: u64, now: Instant) -> ClientCommand {
     ClientCommand {
-        from: CommandRef { session: 1, command: number as u32 },
+        from: CommandId { session: 1, command: number as u32 },
         lun: 0,
         block: number * u64::from(READ_BLOCKS) % BLOCK_COUNT,
         work: Work::Read { blocks: READ_BLOCKS },
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -115,7 +115,7 @@
     fn submit(&mut self, command: u32, block: u64, blocks: u32, write: bool) {
         let data = Bytes::from(vec![command as u8; blocks as usize * 512]);
         let work = if write { Work::Write { data } } else { Work::Read { blocks } };
-        let from = CommandRef { session: 1, command };
+        let from = CommandId { session: 1, command };
         self.core.handle_command(
             self.now,
             ClientCommand {
@@ -144,7 +144,7 @@
     fn write(&mut self) -> Vec<AttemptId> {
         let attempts = std::mem::take(&mut self.sent);
         let claimed = attempts.into_iter().filter(|attempt| attempt.ticket.claim());
-        claimed.inspect(|attempt| attempt.ticket.written()).map(|attempt| attempt.attempt).collect()
+        claimed.inspect(|attempt| attempt.ticket.mark_written()).map(|attempt| attempt.attempt).collect()
     }
 
     /// A call of the list fails; gives the version from which the next watch asks for changes.
@@ -271,7 +271,7 @@
     // The first is written, the second half-way, the third waits.
     let tickets: Vec<Ticket> = fixture.sent.iter().map(|attempt| attempt.ticket.clone()).collect();
     assert!(tickets[0].claim() && tickets[1].claim());
-    tickets[0].written();
+    tickets[0].mark_written();
     let stuck = fixture.sent[1].attempt;
     fixture.sent.clear();
     fixture.change_list(5, 6, &[entry("a", 0, NodeState::Draining)]);
@@ -319,7 +319,7 @@
     fixture.submit(1, 0, 1, false);
     fixture.submit(2, 0, 1, false);
     let attempts = fixture.write();
-    fixture.core.handle_abort(fixture.now, CommandRef { session: 1, command: 1 });
+    fixture.core.handle_abort(fixture.now, CommandId { session: 1, command: 1 });
     fixture.poll_outputs();
     assert!(matches!(fixture.other.as_slice(), [Output::Cancel { attempt, .. }] if *attempt == attempts[0]));
     fixture.core.handle_session_closed(fixture.now, 1);
@@ -458,7 +458,7 @@
     let mut core = Core::new(now, &settings, 1, 99);
     core.handle_endpoint_list(now, ListKind::Complete, 0, 5, &[entry("a", 0, NodeState::Ready)]);
     let mut submit = |session: u32, command: u32| {
-        let from = CommandRef { session, command };
+        let from = CommandId { session, command };
         core.handle_command(
             now,
             ClientCommand {
@@ -515,7 +515,7 @@
             Vec::new(),
             1,
         );
-        fixture.core.with_overrides(fixture.now, overrides, PersistBatch::default());
+        fixture.core.enable_overrides(fixture.now, overrides, PersistBatch::default());
         let override_request = OverrideRequest {
             target: Target::Node(address.parse().unwrap()),
             kind: Kind::Weight(0.5),
@@ -572,7 +572,7 @@
     fixture.core.handle_admin_request(fixture.now, 1, AdminRequest::List);
     let bounds = Settings { max_overrides: 10, max_zone_fraction: 1.0 };
     let (overrides, _) = Overrides::new(fixture.now, 10_000_000, bounds, Vec::new(), 1);
-    fixture.core.with_overrides(fixture.now, overrides, PersistBatch::default());
+    fixture.core.enable_overrides(fixture.now, overrides, PersistBatch::default());
     fixture.core.handle_admin_request(fixture.now, 2, AdminRequest::Plan(PlanRequest::Show));
     fixture.poll_outputs();
     let reason = |number| unavailable_reason(&fixture, number);
@@ -589,7 +589,7 @@
     let mut fixture = Fixture::new();
     let bounds = Settings { max_overrides: 1000, max_zone_fraction: 1.0 };
     let (overrides, _) = Overrides::new(fixture.now, 10_000_000, bounds, Vec::new(), 1);
-    fixture.core.with_overrides(fixture.now, overrides, PersistBatch::default());
+    fixture.core.enable_overrides(fixture.now, overrides, PersistBatch::default());
     let override_request = OverrideRequest {
         target: Target::Node("10.0.0.1:9003".parse().unwrap()),
         kind: Kind::Weight(0.5),
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -239,7 +239,7 @@
         self.seconds(seconds.unwrap_or(0.0));
     }
 
-    fn command(&mut self, command: CommandRef) {
+    fn command(&mut self, command: CommandId) {
         self.number(u64::from(command.session));
         self.number(u64::from(command.command));
     }
@@ -301,7 +301,7 @@
         self.kind(attempt.attempt_number);
         self.command(attempt.from);
         self.number(u64::from(attempt.part));
-        self.seconds(attempt.until.secs());
+        self.seconds(attempt.deadline.secs());
         self.optional_seconds(attempt.begin_by.map(Instant::secs));
         self.0.update(attempt.idempotency_key.to_le_bytes());
         self.number(attempt.key);
@@ -451,7 +451,7 @@
     pending: BTreeMap<(i64, u64), PendingAttempt>,
     /// Writes to the store that are not acknowledged yet.
     unacknowledged: Vec<u64>,
-    open: BTreeSet<CommandRef>,
+    open: BTreeSet<CommandId>,
     list_version: u64,
     override_ids: Vec<OverrideId>,
 }
@@ -492,16 +492,16 @@
     let override_settings = Settings { max_overrides: 20, max_zone_fraction: 1.0 };
     let wall_us = micros(now) as u64 + WALL_OFFSET_US;
     let (overrides, _) = Overrides::new(now, wall_us, override_settings, Vec::new(), 1);
-    core.with_overrides(now, overrides, PersistBatch::default());
+    core.enable_overrides(now, overrides, PersistBatch::default());
     core.handle_wall_clock(now, wall_us);
     let plans_block = settings.plans_live.as_ref().expect("a plans block");
     let plans = Plans::new(now, &settings, plans_block, &[]).expect("plans of the settings");
-    core.with_plans(now, plans, StoredPlans::Nothing);
+    core.enable_plans(now, plans, StoredPlans::Nothing);
     let membership = settings.membership.as_ref().expect("a membership block");
     let address = host_address(host);
     let members =
         member_settings(&settings, membership, address, incarnation, PreviousExit::Unclean, seed, vec![]);
-    core.with_peers(now, Peers::new(now, members));
+    core.enable_peers(now, Peers::new(now, members));
     core
 }
 
@@ -639,7 +639,7 @@
         self.inputs += 1;
         let ticket = &pending.attempt.ticket;
         if ticket.is_claimed() {
-            ticket.written();
+            ticket.mark_written();
         }
         let waiting = (self.below(3) > 0).then_some(self.below(8));
         let elsewhere = (self.below(3) > 0).then_some(4.0 * self.fraction());
@@ -725,7 +725,7 @@
         // A link that takes no bytes leaves the attempt unsent, or half written.
         let is_stalled = self.below(1000) < STALLS_PERMILLE;
         let is_claimed = !is_stalled || self.below(2) == 0;
-        if is_claimed && attempt.begin(self.now) != Begin::Now {
+        if is_claimed && attempt.try_claim(self.now) != ClaimResult::Claimed {
             return;
         }
         if is_stalled {
@@ -738,7 +738,7 @@
             _ => 0.002 + 0.02 * self.fraction(),
         };
         if self.below(4) > 0 {
-            attempt.ticket.written();
+            attempt.ticket.mark_written();
         }
         let wanted_bytes = match &attempt.work {
             AttemptWork::Read { length } => *length as usize,
@@ -785,7 +785,7 @@
     }
 
     fn submit(&mut self, host: usize) {
-        let from = CommandRef { session: self.below(SESSIONS), command: self.next_command };
+        let from = CommandId { session: self.below(SESSIONS), command: self.next_command };
         self.next_command += 1;
         let lun = 1 + self.below(3);
         let block = u64::from(self.below(980));
--- a/crates/host-core/tests/object_requests.rs
+++ b/crates/host-core/tests/object_requests.rs
@@ -61,16 +61,15 @@
             })
             .collect();
         scheduler.set_attempt_limits(max_attempts, seconds(0.5), TimeDelta::ZERO);
-        let (reports_peer_service, longest_wait, grace) = (true, seconds(0.5), seconds(1.0));
         let settings = CoreSettings {
             traffic_classes,
-            reports_service: reports_peer_service,
-            longest_wait,
-            grace,
-            requests,
-            bytes: 1 << 20,
-            nodes,
-            volumes,
+            reports_peer_service: true,
+            max_retry_after: seconds(0.5),
+            drain_grace: seconds(1.0),
+            max_requests: requests,
+            max_bytes: 1 << 20,
+            max_nodes: nodes,
+            max_volumes: volumes,
         };
         let mut fixture = Fixture {
             core: Core::with_scheduler(now, scheduler, settings, 1),
@@ -110,7 +109,7 @@
             time_left: self.time_left,
             payload: OpaqueRequest { head: Bytes::from_static(b"head"), body: Bytes::from_static(b"body") },
         };
-        self.core.handle_object_request(now, CommandRef { session: command, command }, request);
+        self.core.handle_object_request(now, CommandId { session: command, command }, request);
         self.poll_outputs(now);
     }
 
@@ -138,7 +137,7 @@
     fn write(&mut self) -> AttemptId {
         let attempt = self.sent.pop().expect("an attempt is in flight");
         assert!(attempt.ticket.claim());
-        attempt.ticket.written();
+        attempt.ticket.mark_written();
         attempt.attempt
     }
 
@@ -159,7 +158,7 @@
     fixture.submit(at(10.0), 1, 1, 77);
     let AttemptWork::Opaque(request) = &fixture.sent[0].work else { panic!("{:?}", fixture.sent[0].work) };
     assert_eq!((&request.head[..], &request.body[..]), (&b"head"[..], &b"body"[..]));
-    assert_eq!(fixture.sent[0].until, at(11.0));
+    assert_eq!(fixture.sent[0].deadline, at(11.0));
     let attempt = fixture.write();
     fixture.finish_attempt(at(10.1), attempt, Outcome::Done, b"any length");
     assert_eq!(fixture.answers, [(1, Verdict::Done { data: Bytes::from_static(b"any length") })]);
