--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,23 +1,24 @@
-//! Every rule and every tuned value of the scheduler, a module for each mechanism.
+//! Every rule and every tuned value of the scheduler, with one module per mechanism.
 //!
-//! A rule is a function, or a method of the record that it changes, and its arguments are all that it reads. `scheduler` gathers them
-//! and applies the result. In the way of a request:
+//! A rule is a function, or a method of the type whose state it changes, and reads nothing but its arguments.
+//! `scheduler` collects the arguments and applies the result. In the order in which a request meets them:
 //!
 //! | question | module |
 //! | --- | --- |
-//! | Which shard does a new object get? | `placement` |
+//! | Which shard stores a new object? | `placement` |
 //! | Which request is sent next? | `priority`, `traffic_class` |
 //! | Is it still worth sending? | `request_fate` |
-//! | Has its node capacity? | `concurrency_limit`, `slow_start` |
-//! | Is its node well? | `outlier_detection` |
-//! | Has its volume units left? | `volume_limit`, `measured_share` |
+//! | Does its node have capacity? | `concurrency_limit`, `slow_start` |
+//! | Is its node healthy? | `outlier_detection` |
+//! | Is its volume within its limit? | `volume_limit`, `measured_share` |
 //! | May it be retried? | `retry_safety`, `retry_budget`, `retry_credit` |
-//! | When is an attempt given up? | `attempt_timeout`, `loss_detection` |
-//! | When is the endpoint list called for again? | `list_backoff` |
-//! | What is remembered? | `retention`, `service_rate`, `latency` |
-//! | What may an operator change? | `node_override` |
+//! | When does an attempt time out? | `attempt_timeout`, `loss_detection` |
+//! | When is a failed call for the endpoint list repeated? | `list_backoff` |
+//! | What is kept in memory, and for how long? | `retention`, `service_rate`, `latency` |
+//! | What can an operator override? | `node_override` |
 //!
-//! `hold` says why a request waits. Rule numbers are those of docs/design.md, "The seven rules". docs/design.md tells where the mechanisms come from, docs/capacity.md where the figures do.
+//! `hold` has the type that says why a request waits. Rule numbers are those of docs/design.md, "The seven rules".
+//! docs/design.md has the sources of the mechanisms, docs/capacity.md those of the figures.
 
 pub(crate) mod attempt_timeout;
 pub(crate) mod concurrency_limit;
--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -1,42 +1,43 @@
-//! When an attempt is given up before its client gives up.
+//! Attempt timeouts: when an attempt is given up before the client's deadline.
 //!
-//! Ordinarily an attempt has until its client's deadline. Two situations call for less: while attempts get lost on the way, one that
-//! takes far longer than usual must not keep its place under the concurrency limit; and at a crowded node an attempt has until its latency
-//! objective, so that the node can drop what is late.
+//! Usually an attempt may take until the client's deadline. Two situations call for a shorter timeout. While attempts
+//! are being lost, an attempt that takes far longer than usual must not occupy a slot of the concurrency limit. And
+//! at an overloaded node, an attempt has until its latency objective, so that the node can drop late requests.
 
 use super::traffic_class::TrafficClass;
 use crate::histogram::Histogram;
 use crate::interface::{Effect, TimeDelta};
 
-/// The quantile of the latencies seen that counts as usual.
+/// The quantile of the observed latencies that counts as the usual latency.
 const USUAL_QUANTILE: f64 = 0.9;
-/// An attempt counts as lost after this many times the usual latency.
+/// The multiple of the usual latency after which an attempt counts as lost.
 const TIMEOUT_MULTIPLE: f64 = 3.0;
 /// The shortest timeout, as a fraction of the latency objective.
 const MIN_OBJECTIVE_FRACTION: f64 = 0.4;
-/// Answers that must have been seen before their latencies are gone by.
+/// The number of observed answers that is needed before their latencies are used.
 const MIN_ANSWERS: f64 = 8.0;
 
-/// What the timeout of an attempt depends on.
+/// The inputs of the timeout of an attempt.
 pub struct AttemptTimeout<'a> {
-    /// Of the request.
+    /// The traffic class of the request.
     pub class: &'a TrafficClass,
-    /// Latencies of this class at the node.
+    /// The latencies of this class at the node.
     pub node_latency: &'a Histogram,
-    /// Latencies of this class at all nodes, for a node that has answered too little.
+    /// The latencies of this class at all nodes, used while the node has given too few answers.
     pub pool_latency: &'a Histogram,
-    /// Attempts get lost at the moment.
+    /// Attempts are currently being lost.
     pub is_lossy: bool,
     /// The settings allow another attempt after this one.
     pub may_retry: bool,
-    /// The node's concurrency limit has been cut below one.
+    /// The node's concurrency limit is below one, which shows that the node is overloaded.
     pub limit_is_below_one: bool,
-    /// Until the request's deadline.
+    /// The time until the request's deadline.
     pub time_left: TimeDelta,
 }
 
 impl AttemptTimeout<'_> {
-    /// The timeout; none: until the client's deadline. A non-idempotent request never gets one, since it could not be retried.
+    /// Returns the timeout, or `None` if the attempt may take until the client's deadline. A non-idempotent request
+    /// never gets a timeout, since it could not be retried.
     pub fn timeout(&self) -> Option<TimeDelta> {
         if self.class.effect == Effect::NonIdempotent {
             return None;
@@ -48,14 +49,15 @@
         timeout.filter(|timeout| *timeout < self.time_left)
     }
 
+    /// Returns the timeout after which the attempt counts as lost, while attempts are being lost.
     fn loss_timeout(&self) -> Option<TimeDelta> {
-        let has_seen_enough = self.node_latency.count() >= MIN_ANSWERS;
-        let latency = if has_seen_enough { self.node_latency } else { self.pool_latency };
+        let has_enough_answers = self.node_latency.count() >= MIN_ANSWERS;
+        let latency = if has_enough_answers { self.node_latency } else { self.pool_latency };
         if !self.is_lossy || !self.may_retry || latency.count() < MIN_ANSWERS {
             return None;
         }
         let usual_secs = latency.quantile(USUAL_QUANTILE).unwrap_or(0.0);
-        let shortest = TimeDelta::from_secs(self.class.latency_objective.secs() * MIN_OBJECTIVE_FRACTION);
-        Some(TimeDelta::from_secs(usual_secs * TIMEOUT_MULTIPLE).max(shortest))
+        let min_timeout = TimeDelta::from_secs(self.class.latency_objective.secs() * MIN_OBJECTIVE_FRACTION);
+        Some(TimeDelta::from_secs(usual_secs * TIMEOUT_MULTIPLE).max(min_timeout))
     }
 }
--- a/src/policy/hold.rs
+++ b/src/policy/hold.rs
@@ -1,33 +1,35 @@
-//! Why a waiting request can't be sent now, and when to look again.
+//! Why a waiting request can't be sent now, and when to check it again.
 
 use crate::interface::{HoldReason, Instant, TimeDelta};
 
-/// How long a held request waits before its guards are asked again, where no guard can tell when it will let the request pass.
+/// How long a held request waits until its guards are checked again, if its guard can't tell when it will let the
+/// request pass.
 pub const GUARD_RECHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(50);
-/// A held request is not looked at again before this, so that a guard which names a time in the past can't make the host spin.
+/// The shortest time until a held request is checked again. It keeps the host from spinning if a guard names a time
+/// in the past.
 pub const MIN_RECHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(1);
 
-/// A guard that holds a request.
+/// The result of a guard that holds a request back.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Hold {
-    /// Which guard.
+    /// The guard that holds the request.
     pub reason: HoldReason,
-    /// When to look again; none: only an answer can change it.
+    /// When to check the guard again; `None`: only an answer of the node can change the result.
     pub until: Option<Instant>,
 }
 
 impl Hold {
-    /// Holds until then.
+    /// Creates a hold until `at`.
     pub fn until(reason: HoldReason, at: Instant) -> Self {
         Hold { reason, until: Some(at) }
     }
 
-    /// Holds until the node's next answer.
+    /// Creates a hold until the node's next answer.
     pub fn until_answer(reason: HoldReason) -> Self {
         Hold { reason, until: None }
     }
 
-    /// Holds while `at` is still to come.
+    /// Returns a hold until `at` if that is after `now`, and `Ok` otherwise.
     pub fn check(reason: HoldReason, at: Instant, now: Instant) -> Result<(), Hold> {
         if at > now {
             return Err(Hold::until(reason, at));
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -1,21 +1,21 @@
-//! How the latencies of answers are remembered: as coarse histograms in which old answers fade.
+//! The latencies of answers, which are kept as coarse histograms in which old answers lose weight.
 
 use crate::histogram::Histogram;
 use crate::interface::TimeDelta;
 
 /// The upper edge of the lowest bin.
 const LOWEST_LATENCY: TimeDelta = TimeDelta::from_millis(2);
-/// Answers after which the counts are halved.
+/// The number of counted answers at which the counts are halved.
 const LATENCY_WINDOW: f64 = 64.0;
-/// The quantile that stands for the usual latency.
+/// The quantile that is used as the usual latency.
 const MEDIAN: f64 = 0.5;
 
-/// Latencies of which none is known.
+/// Creates an empty histogram for latencies in seconds.
 pub fn new_latency_histogram() -> Histogram {
     Histogram::new(LOWEST_LATENCY.secs(), LATENCY_WINDOW)
 }
 
-/// The median latency, in seconds; none without an answer.
+/// Returns the median latency in seconds, or `None` before the first answer.
 pub fn median_secs(latencies: &Histogram) -> Option<f64> {
     latencies.quantile(MEDIAN)
 }
--- a/src/policy/loss_detection.rs
+++ b/src/policy/loss_detection.rs
@@ -1,19 +1,20 @@
-//! Finds out whether attempts or their answers get lost between this host and the nodes.
+//! Detects whether attempts or their answers are lost between this host and the nodes.
 //!
-//! A lost attempt looks like one that a node is slow with, and holds its place under the concurrency limit until its client gives
-//! up. Two signs tell them apart: a later attempt at the same node was answered meanwhile, or the next answer after the time-out
-//! is fast. While attempts get lost, they are given timeouts of their own (`attempt_timeout`).
+//! A lost attempt looks like one that the node is slow to answer, and occupies a slot of the concurrency limit until
+//! the client's deadline. Two observations distinguish them: a later attempt at the same node was answered in the
+//! meantime, or the next answer after the timeout is fast. While attempts are being lost, they get a shorter timeout
+//! (`attempt_timeout`).
 
 use crate::interface::SchedulerEvent;
 
-/// Attempts, lost and answered, after which the counts are halved.
+/// The number of lost and answered attempts at which the counts are halved.
 const LOSS_WINDOW: f64 = 128.0;
-/// Lost attempts that are needed before attempts count as getting lost.
+/// The number of lost attempts that is needed before the path counts as lossy.
 const MIN_LOST: f64 = 2.0;
-/// Attempts count as getting lost while more than this fraction of them is.
+/// The path counts as lossy while more than this fraction of the attempts is lost.
 const MAX_LOST_FRACTION: f64 = 0.02;
 
-/// Lost attempts against answered ones, at all nodes.
+/// Counts of lost and of answered attempts at all nodes, in which older attempts weigh less.
 #[derive(Default)]
 pub struct LossDetector {
     lost: f64,
@@ -22,7 +23,7 @@
 }
 
 impl LossDetector {
-    /// Counts the end of an attempt; gives an event when attempts begin or cease to get lost.
+    /// Counts the end of an attempt, and returns an event if attempts begin or cease to be lost.
     pub fn record(&mut self, is_lost: bool, is_answered: bool) -> Option<SchedulerEvent> {
         self.lost += f64::from(u8::from(is_lost));
         self.answered += f64::from(u8::from(is_answered));
@@ -41,15 +42,15 @@
         }
     }
 
-    /// Whether attempts get lost at the moment.
+    /// Returns whether attempts are currently being lost.
     pub fn is_lossy(&self) -> bool {
         self.is_lossy
     }
 }
 
-/// How an attempt at a node ended, as far as it tells of lost attempts.
+/// The end of an attempt, as far as loss detection uses it.
 pub struct LossSample {
-    /// It was answered well.
+    /// It was answered with success.
     pub is_done: bool,
     /// It timed out.
     pub is_timeout: bool,
@@ -59,12 +60,12 @@
     pub is_fast: bool,
 }
 
-/// Whether a node's last time-out still waits for an explanation: lost, or slow.
+/// Whether it is still open if the last attempt that timed out at a node was lost or slow.
 #[derive(Default)]
 pub struct UnexplainedTimeout(bool);
 
 impl UnexplainedTimeout {
-    /// Takes the end of an attempt into account; whether it shows that an attempt was lost.
+    /// Records the end of an attempt, and returns whether it shows that an attempt was lost.
     pub fn record(&mut self, sample: &LossSample) -> bool {
         let was_unexplained = self.0;
         self.0 = match sample.is_timeout {
--- a/src/policy/measured_share.rs
+++ b/src/policy/measured_share.rs
@@ -1,20 +1,22 @@
-//! Which share of a volume's service comes through this host, from what nodes report.
+//! This host's share of a volume's service, measured from the reports of the nodes.
 //!
-//! Hosts that share a volume can't agree at run time. Each counts what nodes served of the volume for it and for others, and claims
-//! no more than the lowest share that it saw lately. A share falls at once and rises late, so that the shares of all hosts never sum
-//! to more than the whole: what one gains, the others have given up before.
+//! Hosts that share a volume do not coordinate at run time. Each host counts what the nodes served of the volume for
+//! itself and for others, and claims no more than the lowest share that it has measured recently. A share falls at
+//! once and rises with a delay, so that the shares of all hosts never sum to more than the whole: the others have
+//! given up a share before one host takes it.
 
 use crate::interface::{Instant, ShardId, TimeDelta};
 use std::collections::BTreeMap;
 
-/// For how long the lowest share seen holds at least. It is longer than other hosts need to have seen their share fall.
+/// The minimum time for which the lowest measured share stays in force. It is longer than the other hosts need to
+/// measure that their share has fallen.
 const RISE_PERIOD: TimeDelta = TimeDelta::from_millis(4000);
-/// Without an answer for this long, the share falls to nothing.
+/// The time without an answer after which the share falls to zero.
 const IDLE_TIMEOUT: TimeDelta = TimeDelta::from_millis(1500);
-/// Requests of mean cost that a shard must have served before its share is looked at alone.
+/// The number of requests of mean cost that a shard must have served for its share to be measured on its own.
 const MIN_SHARD_REQUESTS: f64 = 4.0;
 
-/// Units that a shard served, halved at each new period.
+/// The units that a shard served, which are halved at the start of each period.
 #[derive(Clone, Copy, Default)]
 struct ServedUnits {
     for_this_host: f64,
@@ -36,7 +38,7 @@
     }
 }
 
-/// A volume's service here and through other hosts, and the lowest share of it that was this host's lately.
+/// The service of a volume through this host and through others, and this host's lowest recent share of it.
 pub struct MeasuredShare {
     /// Whether a node has reported service through other hosts.
     is_reported: bool,
@@ -49,7 +51,7 @@
 }
 
 impl MeasuredShare {
-    /// Starts with an even share among `host_count` hosts.
+    /// Creates the state with an even share among `host_count` hosts.
     pub fn new(now: Instant, host_count: f64) -> Self {
         let even = 1.0 / host_count;
         MeasuredShare {
@@ -63,13 +65,14 @@
         }
     }
 
-    /// A fraction of the volume's service; none until a node has reported service through other hosts.
+    /// Returns this host's share as a fraction of the volume's service, or `None` until a node has reported service
+    /// through other hosts.
     pub fn share(&mut self, now: Instant) -> Option<f64> {
         self.advance(now);
         self.is_reported.then(|| self.lowest_this_period.min(self.lowest_last_period))
     }
 
-    /// Begins a new period where one is due, and lets the share fall where no answer came for long.
+    /// Starts a new period if one is due, and lets the share fall to zero after `IDLE_TIMEOUT` without an answer.
     fn advance(&mut self, now: Instant) {
         if now - self.last_answer_at > IDLE_TIMEOUT {
             self.record_share(0.0);
@@ -102,8 +105,8 @@
         }
     }
 
-    /// The lowest share over the shards, so that hosts that see different shards can't claim the same service twice. Shards that
-    /// served less than `min_units` are taken together.
+    /// Returns the lowest share over all shards, so that hosts that use different shards can't claim the same service
+    /// twice. Shards that served less than `min_units` are combined.
     fn lowest_over_shards(&self, min_units: f64) -> f64 {
         let mut lowest = 1.0f64;
         let mut small_shards = ServedUnits::default();
@@ -121,12 +124,12 @@
     }
 }
 
-/// What a shard served of a volume since its last answer to this host.
+/// The units of a volume that a shard served since its last answer to this host.
 pub struct ShardService {
-    /// Which shard.
+    /// The shard.
     pub shard: ShardId,
-    /// Units for this host.
+    /// The units served for this host.
     pub own_units: f64,
-    /// Units for other hosts.
+    /// The units served for other hosts.
     pub other_units: f64,
 }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,21 +1,21 @@
-//! Ejects nodes that answer nearly nothing well, and finds their recovery by probes.
+//! Ejects nodes at which nearly all attempts fail, and detects their recovery with probes.
 //!
-//! Errors, silence and refused connections count alike. An ejected node still gets probes: one attempt at a time, and no sooner
-//! than a probe interval after the last. A single good answer brings it back on its ordinary concurrency limit, since the counts that fade
-//! stay below `OUTCOME_WINDOW`.
+//! Errors, timeouts and failed connections count alike. An ejected node still gets probes: one attempt at a time, and
+//! not before a probe interval has passed since the last one. A single success returns the node to its usual
+//! concurrency limit, since the halved counts stay below `OUTCOME_WINDOW`.
 
 use crate::interface::{Instant, Outcome, TimeDelta};
 
-/// Answers after which the counts are halved, so that old ones fade.
+/// The number of counted attempts at which the counts are halved, so that older ones weigh less.
 const OUTCOME_WINDOW: f64 = 16.0;
-/// Bad answers that are needed before a node is ejected.
+/// The number of failures that is needed before a node is ejected.
 const MIN_FAILURES: f64 = 6.0;
-/// A node is ejected while less than this fraction of its answers is good.
+/// A node is ejected while less than this fraction of its attempts succeeds.
 const MIN_SUCCESS_RATE: f64 = 0.05;
-/// How long an ejected node rests between two attempts.
+/// The shortest time between two attempts at an ejected node.
 const PROBE_INTERVAL: TimeDelta = TimeDelta::from_millis(100);
 
-/// A node's answers of late, good and bad.
+/// Counts of the recent successes and failures of a node.
 #[derive(Default)]
 pub struct OutlierDetector {
     successes: f64,
@@ -23,23 +23,23 @@
     is_outlier: bool,
 }
 
-/// That a node has become an outlier, or is one no more.
+/// A change of whether a node is an outlier.
 pub struct HealthChange {
-    /// Whether it is an outlier now.
+    /// Whether the node is now an outlier.
     pub is_outlier: bool,
-    /// Good answers, the older counting less.
+    /// The count of successes, in which older ones weigh less.
     pub successes: f64,
-    /// Bad answers, the older counting less.
+    /// The count of failures, in which older ones weigh less.
     pub failures: f64,
 }
 
 impl OutlierDetector {
-    /// Counts the end of an attempt; gives a change of the node's health, if it is one.
+    /// Counts the end of an attempt, and returns the change of the node's health if it causes one.
     pub fn record(&mut self, outcome: Outcome) -> Option<HealthChange> {
         match outcome {
             Outcome::Done => self.successes += 1.0,
             Outcome::TimedOut | Outcome::Error | Outcome::Refused | Outcome::Reset => self.failures += 1.0,
-            // None of these says whether the node is well.
+            // None of these shows whether the node is healthy.
             Outcome::Full | Outcome::Cancelled | Outcome::Skipped => {}
         }
         if self.successes + self.failures >= OUTCOME_WINDOW {
@@ -53,13 +53,14 @@
         (is_outlier != was_outlier).then_some(HealthChange { is_outlier, successes, failures })
     }
 
-    /// Whether the node gets probes only. An operator may have pinned it, to keep it in service whatever its answers.
+    /// Returns whether the node gets only probes. A node that an operator has pinned stays in service whatever its
+    /// answers.
     pub fn is_ejected(&self, is_pinned: bool) -> bool {
         self.is_outlier && !is_pinned
     }
 }
 
-/// When an ejected node may be sent its next attempt.
+/// Returns the time from which an ejected node may be sent its next attempt.
 pub fn next_probe_at(last_sent_at: Instant) -> Instant {
     last_sent_at + PROBE_INTERVAL
 }
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,29 +1,30 @@
-//! Chooses the shard of a new object: nodes take turns in a smooth weighted rotation.
+//! Chooses the shard of a new object by smooth weighted round-robin over the nodes.
 //!
-//! A node's weight is what it was seen to manage, its concurrency limit over its usual latency. Over time each node gets its part of
-//! the objects, without runs of objects at one node.
+//! A node's weight is its observed throughput: its concurrency limit divided by its usual latency. Over time each node
+//! gets objects in proportion to its weight, without runs of objects at one node.
 
 use crate::interface::ShardId;
 
-/// The usual latency of a node is taken to be at least this, in seconds.
+/// The lower bound on the usual latency of a node in the weight, in seconds.
 const MIN_LATENCY_SECS: f64 = 1e-3;
 
-/// What a node's weight in the rotation depends on.
+/// The inputs of a node's weight.
 pub struct PlacementWeight {
-    /// In attempts.
+    /// The node's concurrency limit, in attempts.
     pub concurrency_limit: f64,
-    /// The fraction of its capacity that the node has now: below 1 while it warms up.
+    /// The fraction of its full capacity that the node has now; below 1 while it warms up.
     pub capacity_fraction: f64,
-    /// The node's usual latency, in seconds; none: it has not answered yet.
+    /// The node's usual latency, in seconds; `None`: it has not answered yet.
     pub latency_secs: Option<f64>,
-    /// The mean of the usual latencies of the nodes that have answered, in seconds; a node that has not counts like these.
+    /// The mean of the usual latencies of the nodes that have answered, in seconds, which is used for nodes that have
+    /// not.
     pub mean_latency_secs: f64,
     /// An operator's weight; 1 changes nothing.
     pub operator_weight: f64,
 }
 
 impl PlacementWeight {
-    /// The node's weight in the rotation.
+    /// Returns the node's weight.
     pub fn weight(&self) -> f64 {
         let capacity = self.capacity_fraction * self.concurrency_limit;
         let latency_secs = self.latency_secs.unwrap_or(self.mean_latency_secs).max(MIN_LATENCY_SECS);
@@ -33,16 +34,16 @@
 
 /// A node that can take a new object.
 pub struct PlacementCandidate<'a> {
-    /// What the node holds.
+    /// The shard that the node holds.
     pub shard: ShardId,
-    /// How far the node is behind in the rotation, in turns.
+    /// The number of objects by which the node is behind its proportional part.
     pub turns_due: &'a mut f64,
     /// The node's weight.
     pub weight: f64,
 }
 
-/// The shard of the next new object, by smooth weighted round-robin: each candidate gains its part of the weights, and the one that is
-/// furthest behind is chosen.
+/// Returns the shard of the next new object, or `None` without candidates. In smooth weighted round-robin, each
+/// candidate gains its fraction of the total weight, and the one that is furthest behind is chosen.
 pub fn next_in_rotation(mut candidates: Vec<PlacementCandidate>) -> Option<ShardId> {
     let total: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
     for candidate in &mut candidates {
--- a/src/policy/priority.rs
+++ b/src/policy/priority.rs
@@ -1,36 +1,37 @@
-//! How waiting requests rank: by latency objective, then by reservation, then by weighted fair queueing.
+//! The order of waiting requests: by latency objective, then by reservation, then by weighted fair queueing.
 
 use crate::interface::TimeDelta;
 
-/// How a request ranks among others.
+/// The priority of a request, or of a traffic class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Priority {
-    /// 0 is the tightest latency objective.
+    /// The rank of the latency objective; 0 is the tightest.
     pub rank: usize,
-    /// The tightest latency objective over this one's, from 0 to 1.
+    /// The ratio of the tightest latency objective to this one, from 0 to 1.
     pub tightness: f64,
-    /// Within its volume's reservation.
+    /// The request is within its volume's reservation.
     pub is_reserved: bool,
 }
 
 impl Priority {
-    /// Of the tightest latency objective, beyond any reservation.
+    /// The priority of best effort with the tightest latency objective.
     pub const HIGHEST: Priority = Priority { rank: 0, tightness: 1.0, is_reserved: false };
 }
 
-/// The order in which requests are sent, the lowest first. The fields are compared one after the other, in this order.
+/// The sort key by which requests are sent, lowest first. The fields are compared in this order.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Score {
-    /// Of the traffic class, the tighter first.
+    /// The rank of the latency objective; 0 is the tightest.
     pub rank: usize,
-    /// Beyond the volume's reservation.
+    /// The request exceeds its volume's reservation.
     pub is_best_effort: bool,
-    /// Of the volume at the shard, by start-time fair queueing.
+    /// The start tag of the volume at the shard, from start-time fair queueing.
     pub start_tag: f64,
 }
 
-/// The priority of a request now. Once a reserved request has no more time left than the tightest latency objective, it is as tight
-/// as the tightest: else the best effort of tighter classes could starve what a loose class has reserved.
+/// Returns the current priority of a request. Once a reserved request has no more time left than the tightest latency
+/// objective, it gets the priority of that objective: otherwise best effort in tighter classes could starve the
+/// reservation of a loose class.
 pub fn current_priority(
     class: Priority,
     is_reserved: bool,
@@ -42,7 +43,8 @@
     Priority { is_reserved, ..priority }
 }
 
-/// What its volume is charged in fair queueing for a request: its units over the plan's weight; nothing for reserved units.
+/// Returns the cost of a request in fair queueing: its units divided by the plan's weight, or `None` for reserved
+/// units, which are not charged.
 pub fn weighted_cost(units: f64, plan_weight: f64, is_reserved: bool) -> Option<f64> {
     (!is_reserved).then_some(units / plan_weight)
 }
