--- a/src/policy/concurrency_limit/tests.rs
+++ b/src/policy/concurrency_limit/tests.rs
@@ -1,12 +1,12 @@
-//! What the end of an attempt does to the limit of its node, and to the pause between two attempts.
+//! Tests of how the end of an attempt changes the limit of its node and the pause between two attempts.
 
 use super::*;
 
 const HOST_COUNT: f64 = 1000.0;
 const OBJECTIVE: TimeDelta = TimeDelta::from_millis(500);
-/// How long the node takes for an attempt in its slow spell.
+/// The latency of the node while it is slow.
 const SLOW: TimeDelta = TimeDelta::from_millis(400);
-/// How long an attempt lasted that ended early.
+/// The duration of an attempt that ended early.
 const BRIEF: TimeDelta = TimeDelta::from_millis(1);
 const START: f64 = 100.0;
 
@@ -26,14 +26,14 @@
     }
 }
 
-/// The limiter of a host among so many that its limit begins below one.
+/// Returns the limiter of a host among so many that its initial limit is below one.
 fn limiter_below_one() -> ConcurrencyLimiter {
     let limiter = ConcurrencyLimiter::new(at(0.0), HOST_COUNT);
     assert!(limiter.is_below_one());
     limiter
 }
 
-/// Whether an attempt may be sent at `now`, when the last was sent at `last_sent_at` and none is in flight.
+/// Returns whether an attempt may be sent at `now` if the last one was sent at `last_sent_at` and none is in flight.
 fn may_send(limiter: &ConcurrencyLimiter, last_sent_at: Instant, now: Instant) -> bool {
     let request = CapacityRequest {
         priority: Priority { rank: 0, tightness: 1.0, is_reserved: true },
@@ -46,9 +46,9 @@
     limiter.check(now, &request).is_ok()
 }
 
-/// A node is slow, and the host pauses between attempts. Then an attempt ends early for a reason that is not the node's speed: it is
-/// withdrawn, cancelled, rejected or answered with an error, or its connection breaks. The node has not become faster by it, so the
-/// pause must not shrink to almost nothing: all hosts together would send a node that is slow already far more than it bears.
+/// Guards against overloading a slow node. The host pauses between attempts, and one attempt ends early for a reason
+/// other than the node's speed: it is withdrawn, cancelled, rejected or answered with an error, or its connection
+/// breaks. If the pause shrank to almost nothing, all hosts together would send far more than the node can take.
 #[test]
 fn an_attempt_that_ends_early_does_not_shorten_the_pause() {
     for outcome in [
@@ -66,8 +66,8 @@
     }
 }
 
-/// A node has answered nothing well yet and rejects every attempt as full, or answers it with an error. Without a pause, each host would
-/// send the next attempt at once.
+/// A node that has not answered with success yet rejects every attempt as full, or answers it with an error. Without a
+/// pause, each host would send its next attempt at once.
 #[test]
 fn a_node_that_only_rejects_is_paused_by_how_long_that_takes() {
     for outcome in [Outcome::Full, Outcome::Error] {
@@ -77,8 +77,8 @@
     }
 }
 
-/// A node that was slow answers quickly again. The pause must shrink with the answer, or the host would never use the node as much as it
-/// bears.
+/// A node that was slow answers quickly again. If the pause did not shrink, the host would never use the node's full
+/// capacity.
 #[test]
 fn a_good_answer_shortens_the_pause() {
     let mut limiter = limiter_below_one();
@@ -88,18 +88,18 @@
     assert!(may_send(&limiter, at(2.0), at(2.1)));
 }
 
-/// Attempts that were in flight together in a slow spell end one after another, and one of them is withdrawn in between. Only the first
-/// may cut the limit; an attempt that was sent after the cut may cut it again.
+/// Attempts that were in flight together while the node was slow end one after another, and one of them is withdrawn in
+/// between. Only the first may decrease the limit; an attempt sent after that may decrease it again.
 #[test]
-fn the_attempts_of_one_slow_spell_cut_the_limit_once() {
+fn attempts_in_flight_together_decrease_the_limit_once() {
     let mut limiter = ConcurrencyLimiter::new(at(0.0), 1.0);
     let initial = limiter.limit();
     limiter.record(at(1.0), &sample(Outcome::Full, SLOW));
-    let after_cut = limiter.limit();
-    assert!(after_cut < initial);
+    let after_decrease = limiter.limit();
+    assert!(after_decrease < initial);
     limiter.record(at(1.1), &sample(Outcome::Skipped, BRIEF));
     limiter.record(at(1.2), &sample(Outcome::Full, SLOW));
-    assert_eq!(limiter.limit(), after_cut, "an attempt that was in flight at the cut");
+    assert_eq!(limiter.limit(), after_decrease, "an attempt that was in flight at the decrease");
     limiter.record(at(1.5), &sample(Outcome::Full, SLOW));
-    assert!(limiter.limit() < after_cut, "an attempt that was sent after the cut");
+    assert!(limiter.limit() < after_decrease, "an attempt that was sent after the decrease");
 }
