--- a/src/policy/retention.rs
+++ b/src/policy/retention.rs
@@ -1,15 +1,17 @@
-//! For how long, and how much, is remembered of what is not in use, and how much of it is searched.
+//! Bounds on how long and how much unused state is kept, and on how much of a queue is searched.
 
 use crate::interface::TimeDelta;
 
-/// For how long a client's next try of a rejected request is recognised.
+/// How long a rejected request is kept, so that the client's retry of it is recognised.
 pub const REJECTED_REQUEST_RETENTION: TimeDelta = TimeDelta::from_millis(10_000);
-/// Longer than any request waits: nodes that are gone and volumes that are idle for this long can be forgotten.
+/// How long removed nodes and idle volumes are kept. It is longer than any request waits, so they can be dropped
+/// afterwards.
 pub const IDLE_RETENTION: TimeDelta = TimeDelta::from_millis(30_000);
-/// Idle volumes are forgotten once so many volumes are known. A client that names a new volume in each request would else grow the
-/// table without bound.
+/// The number of known volumes from which idle ones are dropped. Otherwise a client that names a new volume in each
+/// request would grow the table without bound.
 pub const MAX_IDLE_VOLUMES: usize = 512;
-/// Pieces of a shard's data that are recognised when they are asked for again: a node may have them cached.
+/// The number of recently used keys that are kept for each shard. A repeated access to one of them is recognised,
+/// since the node may have the data cached.
 pub const MAX_RECENT_KEYS: usize = 16;
-/// Requests of a queue that are searched for one which no guard of its own holds.
+/// The number of requests of a queue that are searched for one that is not held by a guard of its own.
 pub const MAX_SCANNED_REQUESTS: usize = 16;
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,27 +1,28 @@
-//! Bounds the retries of a host over any window: a few free ones, and a share of the requests that it received (rule 6).
+//! Bounds the retries of a host over any window to a fixed number plus a fraction of the requests that it received
+//! (rule 6).
 //!
-//! Retries multiply load just when nodes fail. The budget keeps what all clients together add by retries to a fixed share
-//! of the load, however many attempts fail.
+//! Retries multiply the load just when nodes fail. The budget keeps the load that retries add to a fixed fraction of
+//! the requests, however many attempts fail.
 
 use crate::interface::{Instant, TimeDelta};
 use std::collections::VecDeque;
 
-/// By how much the window is read wider for retries and narrower for requests: a host's clock and that of whoever checks the rule may differ
-/// by some milliseconds, and neither reading may then exceed the budget.
+/// By how much the window is extended for retries and shortened for requests. The host's clock and that of a monitor
+/// that checks the rule may differ by some milliseconds; the budget must hold by either clock.
 const WINDOW_MARGIN: TimeDelta = TimeDelta::from_millis(20);
 
-/// What the budget allows over any `window`.
+/// The retries that the budget allows over any `window`.
 #[derive(Clone, Copy)]
 pub struct RetryBudgetSettings {
-    /// Retries that need no requests.
+    /// The number of retries that are allowed without any request.
     pub free_retries: f64,
-    /// Retries for each request received.
+    /// The number of retries that each received request adds.
     pub retries_per_request: f64,
-    /// The time over which both are counted.
+    /// The time over which retries and requests are counted.
     pub window: TimeDelta,
 }
 
-/// The requests and retries of a host that count now; without settings there is no bound.
+/// The recent requests and retries of a host. Without settings, retries are not bounded.
 #[derive(Default)]
 pub struct RetryBudget {
     settings: Option<RetryBudgetSettings>,
@@ -30,26 +31,26 @@
 }
 
 impl RetryBudget {
-    /// A budget of which nothing is spent.
+    /// Creates a budget with no requests or retries recorded.
     pub fn new(settings: RetryBudgetSettings) -> Self {
         RetryBudget { settings: Some(settings), ..RetryBudget::default() }
     }
 
-    /// Counts a request that was received.
+    /// Records a received request.
     pub fn record_request(&mut self, now: Instant) {
         let Some(settings) = self.settings else { return };
         self.forget_before(now - (settings.window + settings.window));
         self.requests.push_back(now);
     }
 
-    /// Counts a retry that is sent.
+    /// Records that a retry is sent.
     pub fn record_retry(&mut self, now: Instant) {
         if self.settings.is_some() {
             self.retries.push_back(now);
         }
     }
 
-    /// Whether one more retry is within the budget.
+    /// Returns whether one more retry is within the budget.
     pub fn allows_retry(&self, now: Instant) -> bool {
         let Some(settings) = self.settings else { return true };
         let retries_since = now - (settings.window + WINDOW_MARGIN);
@@ -65,7 +66,7 @@
     }
 }
 
-/// How many of the times, which are in order, are not before `since`.
+/// Returns how many of the times are not before `since`. The times are in ascending order.
 fn count_since(times: &VecDeque<Instant>, since: Instant) -> f64 {
     times.iter().rev().take_while(|at| **at >= since).count() as f64
 }
--- a/src/policy/retry_credit.rs
+++ b/src/policy/retry_credit.rs
@@ -1,34 +1,35 @@
-//! Retries that a node's own answers have earned.
+//! Bounds the retries at each node by a credit that the node's answers earn.
 //!
-//! The retry budget bounds a host's retries as a whole. The credit bounds them at each node: a node that answers nothing earns
-//! nothing, so a failing node draws a few retries and no more, while one that fails by chance still gets them.
+//! The retry budget bounds the retries of a host as a whole. The credit bounds them per node: a node that answers
+//! nothing earns no credit, so a failing node gets only a few retries, while retries stay possible at a node with
+//! occasional failures.
 
 use super::concurrency_limit::is_fast;
 use crate::interface::{Outcome, TimeDelta};
 
-/// Retries that a node starts with.
+/// The initial credit, in retries.
 const INITIAL_CREDIT: f64 = 2.0;
-/// Retries that a node can have earned at most.
+/// The largest credit, in retries.
 const MAX_CREDIT: f64 = 8.0;
-/// Retries that a good answer earns.
+/// The credit that a success earns.
 const ANSWER_CREDIT: f64 = 1.0;
-/// Retries that an error earns which came well within the latency objective.
+/// The credit that an error earns if it comes well within the latency objective.
 const FAST_ERROR_CREDIT: f64 = 1.0;
-/// What one retry costs.
+/// The credit that a retry uses.
 const RETRY_COST: f64 = 1.0;
 
-/// Retries that may still be sent to a node.
+/// The number of retries that may still be sent to a node.
 pub struct RetryCredit(f64);
 
 impl RetryCredit {
-    /// The credit of a node of which no answer is known.
+    /// Creates the credit of a node that has not answered yet.
     pub fn new() -> Self {
         RetryCredit(INITIAL_CREDIT)
     }
 
-    /// Adds what the end of an attempt earns. A fast error counts like an answer: it shows that the node has capacity for
-    /// another attempt. A node that is overrun and rejects quickly by an error earns credit as well; its concurrency limit and
-    /// the outlier detection bound what that costs.
+    /// Adds the credit that the end of an attempt earns. A fast error earns as much as a success: it shows that the
+    /// node has capacity for another attempt. An overloaded node that rejects quickly with an error earns credit as
+    /// well; its concurrency limit and outlier detection bound the cost of that.
     pub fn record(&mut self, outcome: Outcome, latency: TimeDelta, objective: TimeDelta) {
         let earned = match outcome {
             Outcome::Done => ANSWER_CREDIT,
@@ -38,12 +39,12 @@
         self.0 = (self.0 + earned).min(MAX_CREDIT);
     }
 
-    /// Whether a retry is paid for.
+    /// Returns whether the credit covers a retry.
     pub fn allows_retry(&self) -> bool {
         self.0 >= RETRY_COST
     }
 
-    /// Pays for a retry that is sent.
+    /// Takes the credit for a retry that is sent.
     pub fn spend(&mut self) {
         self.0 -= RETRY_COST;
     }
--- a/src/policy/retry_safety.rs
+++ b/src/policy/retry_safety.rs
@@ -1,41 +1,43 @@
-//! When a retry can do no harm (rule 2), whether a failed attempt's request gets one, and what a request that was not done is answered with.
+//! Decides whether a retry is safe (rule 2), whether a request gets a retry after a failed attempt, and whether a
+//! request that was not done is rejected or failed.
 //!
-//! An attempt that may have run must not take effect twice. The first attempt of a request that may have had an effect is remembered
-//! with its node and time until an outcome proves that it did not run.
+//! A request must not take effect twice. The node and the time of its first attempt that may have had an effect are
+//! kept until an outcome proves that the attempt did not run.
 
 use crate::interface::{DedupScope, Effect, FailureReason, Instant, ShardId, TimeDelta, ZoneId};
 
-/// How long before the end of the nodes' dedup window an attempt must have begun: clocks and delays on the way may differ by this.
+/// How long before the end of the nodes' dedup window an attempt must have begun. It covers clock differences and
+/// transmission delays.
 const DEDUP_WINDOW_MARGIN: TimeDelta = TimeDelta::from_millis(20);
-/// How long a failed attempt's request waits before its retry.
+/// The backoff before the retry of a failed attempt.
 pub const RETRY_BACKOFF: TimeDelta = TimeDelta::from_millis(20);
 
-/// Where a node stands, as far as the nodes that discard each other's repeats go.
+/// The location of a node, which determines the nodes that share its idempotency keys.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct NodeLocation {
-    /// Where it runs.
+    /// The zone in which the node runs.
     pub zone: ZoneId,
-    /// What it holds.
+    /// The shard that the node holds.
     pub shard: ShardId,
 }
 
-/// What a retry's safety depends on.
+/// The facts about a request from which it follows whether a retry is safe.
 pub struct RetrySafety {
-    /// Of the request's traffic class.
+    /// The effect of the request's traffic class.
     pub effect: Effect,
-    /// When the first attempt was sent that may have had an effect; none: there is no such attempt.
+    /// When the first attempt that may have had an effect was sent; `None`: there is no such attempt.
     pub first_effect_at: Option<Instant>,
-    /// Where that attempt was sent; none: its node is not known any more.
+    /// The location of the node of that attempt; `None`: the node is no longer known.
     pub first_location: Option<NodeLocation>,
 }
 
 impl RetrySafety {
-    /// Whether a retry can do no harm at some node.
+    /// Returns whether a retry is safe at some node.
     pub fn allows_retry(&self, now: Instant) -> bool {
         self.first_effect_at.is_none() || self.effect_allows_retry(now)
     }
 
-    /// Whether an attempt at a node that stands at `location` can do no harm.
+    /// Returns whether an attempt at the node with this location is safe.
     pub fn allows_attempt_at(&self, now: Instant, location: Option<NodeLocation>) -> bool {
         let is_in_scope = match self.effect {
             Effect::IdempotentByKey { scope, .. } => {
@@ -46,6 +48,7 @@
         self.first_effect_at.is_none() || is_in_scope && self.effect_allows_retry(now)
     }
 
+    /// Returns whether the effect allows a retry after an attempt that may have had one.
     fn effect_allows_retry(&self, now: Instant) -> bool {
         match self.effect {
             Effect::Idempotent => true,
@@ -54,7 +57,8 @@
         }
     }
 
-    /// Until when an attempt must have begun: nodes know a repeat by its idempotency key for the dedup window only.
+    /// Returns the time by which an attempt must have begun, if there is such a bound: nodes recognise a repeat by its
+    /// idempotency key only within the dedup window.
     pub fn begin_by(&self) -> Option<Instant> {
         match self.effect {
             Effect::IdempotentByKey { window, .. } => {
@@ -64,8 +68,8 @@
         }
     }
 
-    /// Whether a request that was not done may be answered as rejected, which tells its client that a retry is safe. Otherwise it has
-    /// failed, with no promise about its effect.
+    /// Returns whether a request that was not done may be rejected, which tells the client that a retry is safe.
+    /// Otherwise its final answer is failed, and it may have had an effect.
     pub fn may_reject(&self) -> bool {
         match self.effect {
             Effect::Idempotent | Effect::IdempotentByKey { scope: DedupScope::All, .. } => true,
@@ -74,7 +78,7 @@
     }
 }
 
-/// Whether a node discards repeats of what the first node ran.
+/// Returns whether `node` discards repeats of requests that `first` ran.
 fn in_same_dedup_scope(scope: DedupScope, node: Option<NodeLocation>, first: Option<NodeLocation>) -> bool {
     match scope {
         DedupScope::All => true,
@@ -83,20 +87,20 @@
     }
 }
 
-/// A failed attempt's request, as far as the decision on a retry goes.
+/// The facts about a request with a failed attempt from which it follows whether there is a retry.
 pub struct FailedAttempt {
-    /// Attempts that the request has had.
+    /// The number of attempts so far.
     pub attempts: u32,
-    /// Attempts that the settings allow.
+    /// The number of attempts that the settings allow.
     pub max_attempts: u32,
-    /// When the request's latency objective ends.
+    /// The time by which the request has to be answered to meet its latency objective.
     pub objective_at: Instant,
-    /// A retry would do no harm at some node.
+    /// A retry is safe at some node.
     pub is_retry_safe: bool,
 }
 
 impl FailedAttempt {
-    /// Why there is no retry; none: there is one, as soon as the guards allow it.
+    /// Returns why there is no retry, or `None` if there is one as soon as the guards allow it.
     pub fn reason_not_to_retry(&self, now: Instant) -> Option<FailureReason> {
         if self.attempts >= self.max_attempts {
             Some(FailureReason::AttemptsExhausted)
--- a/src/policy/service_rate.rs
+++ b/src/policy/service_rate.rs
@@ -1,15 +1,17 @@
-//! How many units a second a shard was seen to serve for this host, the older ones counting less.
+//! The rate at which a shard has served units for this host, as an exponentially weighted mean.
 //!
-//! Slow start is bounded by it: what all hosts saw a shard serve sums to no more than its node can do.
+//! Slow start is bounded by it: the rates that all hosts observe at a shard sum to no more than the capacity of its
+//! node.
 
 use crate::interface::{Instant, TimeDelta};
 
-/// After this time, 1/e of what was counted still counts.
+/// The time constant of the decay: after it, counts have 1/e of their weight.
 const MEMORY: TimeDelta = TimeDelta::from_millis(30_000);
-/// A rate is computed as if at least this long had been observed, so that a few answers at the start don't count as much.
+/// The shortest observation time from which a rate is computed, so that a few answers at the start don't result in a
+/// high rate.
 const MIN_OBSERVED_TIME: TimeDelta = TimeDelta::from_millis(5000);
 
-/// Units served over the time observed, both fading.
+/// The units served and the time observed, which both decay exponentially.
 #[derive(Default)]
 pub struct ServiceRate {
     units: f64,
@@ -17,20 +19,21 @@
     updated_at: Option<Instant>,
 }
 
-/// What has passed since the last update.
+/// The decay since the last update.
 struct Decay {
     elapsed_secs: f64,
-    /// The part of what was counted by then that still counts.
+    /// The fraction of its weight that the earlier count still has.
     kept: f64,
 }
 
 impl ServiceRate {
+    /// Returns the decay from the last update to `now`.
     fn decay(&self, now: Instant) -> Decay {
         let elapsed_secs = self.updated_at.map_or(0.0, |at| (now - at).secs());
         Decay { elapsed_secs, kept: (-elapsed_secs / MEMORY.secs()).exp() }
     }
 
-    /// Counts units that were served.
+    /// Counts served units.
     pub fn add(&mut self, now: Instant, units: f64) {
         let decay = self.decay(now);
         self.units = self.units * decay.kept + units;
@@ -38,14 +41,14 @@
         self.updated_at = Some(now);
     }
 
-    /// Takes over a rate, in units a second, as if it had been observed for `MIN_OBSERVED_TIME`.
+    /// Adds a rate in units per second, as if it had been observed for `MIN_OBSERVED_TIME`.
     pub fn restore(&mut self, now: Instant, rate: f64) {
         let observed_secs = MIN_OBSERVED_TIME.secs();
         self.add(now, rate * observed_secs);
         self.secs += observed_secs;
     }
 
-    /// In units a second.
+    /// Returns the rate in units per second.
     pub fn rate(&self, now: Instant) -> f64 {
         let decay = self.decay(now);
         let observed_secs = self.secs * decay.kept + decay.elapsed_secs;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,37 +1,41 @@
-//! What a node that has just started is given (rule 4).
+//! Slow start: bounds the load on a node that has just started (rule 4).
 //!
-//! A node that warms up serves a fraction of what it will, and collapses when all hosts together send it more than it bears. Hosts
-//! can't agree at run time on who sends how much, and hear of the start at different times. So each keeps to its own part: its share
-//! of the units that never hurt a node, and a fraction of what its shard was seen to serve for it. What all hosts saw a shard serve sums
-//! to no more than its node can do, so the same fraction of it at each host bounds the sum.
+//! A node that warms up has a fraction of its full capacity, and collapses if all hosts together send it more than it
+//! can take. Hosts do not coordinate at run time how much each sends, and learn of the start at different times.
+//! Therefore each host keeps to its own part: its share of the units that never overload a node, and a fraction of the
+//! rate at which the shard has served it. The rates that all hosts observe at a shard sum to no more than the capacity
+//! of its node, so that using the same fraction at each host bounds the sum.
 
 use super::hold::GUARD_RECHECK_INTERVAL;
 use crate::interface::{HoldReason, Instant, SlowStartSettings, TimeDelta};
 use crate::policy::Hold;
 use crate::state::Bucket;
 
-/// How much of the difference that chance may make is used: the operators allow all hosts together N + 2 sqrt(N) + 2 calls in a window.
+/// The fraction of the allowance for random variation that is used: the operators allow all hosts together
+/// N + 2 sqrt(N) + 2 calls in a window.
 const CHANCE_ALLOWANCE: f64 = 0.8;
-/// The part of the safe units that may be unanswered at once.
+/// The fraction of the safe units that may be unanswered at once.
 const IN_FLIGHT_FRACTION: f64 = 0.3;
-/// The part of the safe units that time alone frees in each window.
+/// The fraction of the safe units that drains in each window without any answer.
 const DRAIN_FRACTION: f64 = 0.1;
-/// The part of what the node bears that is given out by what hosts saw the shard serve.
+/// The fraction of the node's load limit that is shared out by the service rates that the hosts observed.
 const SERVICE_RATE_FRACTION: f64 = 0.6;
-/// The capacity that a node starts with is taken to be at least this fraction.
+/// The lower bound on the fraction of its capacity that a node has at its start.
 const MIN_INITIAL_CAPACITY: f64 = 0.01;
-/// The settings' window is taken to be at least this long.
+/// The lower bound on the window of the settings.
 const MIN_WINDOW: TimeDelta = TimeDelta::from_millis(1);
 
-/// What the settings say a node bears while it warms up, scaled to what all hosts may send.
+/// The slow start settings, scaled to the load that all hosts together may send.
 #[derive(Clone, Copy, Default)]
 pub struct SlowStartLimits(SlowStartSettings);
 
 impl SlowStartLimits {
-    /// Scales what a node bears by what chance adds where all hosts send together. `mean_units` is the mean cost of a request.
+    /// Creates limits from settings, scaled to the load that all hosts together may send. `mean_units` is the mean cost
+    /// of a request.
     ///
-    /// With N safe requests and a node that bears `m` times what it does at the moment, what is answered within a window comes on
-    /// top of what is sent unasked; so all hosts may send `1 - 1/m` of N, and what chance allows: `2 sqrt(N) + 2` requests.
+    /// Let N be the number of safe requests, and `m` the multiple of its current capacity that a node can take. Each
+    /// answer within a window allows another request, in addition to those that are allowed without an answer. So all
+    /// hosts together may send `1 - 1/m` of N, plus the allowance for random variation: `2 sqrt(N) + 2` requests.
     pub fn new(settings: SlowStartSettings, mean_units: f64) -> Self {
         let safe_requests = (settings.safe_units / mean_units).max(1.0);
         let chance = CHANCE_ALLOWANCE * (2.0 * safe_requests.sqrt() + 2.0) / safe_requests;
@@ -44,72 +48,74 @@
         })
     }
 
-    /// The fraction of its capacity that a node starts with.
+    /// Returns the fraction of its capacity that a node has at its start.
     pub fn initial_capacity(&self) -> f64 {
         self.0.initial_capacity
     }
 
-    /// Whether a node that started then still warms up; none: its start is not known, or long ago.
+    /// Returns whether a node that started at `up_since` is still warming up. `None` means that the start is not known
+    /// or long ago.
     pub fn is_warming_up(&self, now: Instant, up_since: Option<Instant>) -> bool {
         up_since.is_some_and(|up_since| now - up_since < self.0.duration)
     }
 
-    /// The fraction of its capacity that a node has after so long.
+    /// Returns the fraction of its capacity that a node has after this uptime.
     fn capacity_fraction(&self, uptime: TimeDelta) -> f64 {
         let initial = self.0.initial_capacity;
         initial + (1.0 - initial) * (uptime.secs() / self.0.duration.secs()).max(0.0)
     }
 
-    /// Units that one of `host_count` hosts may have unanswered at a node that has just started.
+    /// Returns the units that each of `host_count` hosts may have unanswered at a node that has just started.
     fn initial_units(&self, host_count: f64) -> f64 {
         IN_FLIGHT_FRACTION * self.0.safe_units / host_count
     }
 }
 
-/// What a request needs to be sent to a node that warms up.
+/// The inputs of the check whether a request may be sent to a node that warms up.
 pub struct SlowStartRequest {
-    /// Its cost.
+    /// The cost of the request, in units.
     pub units: f64,
-    /// When the node started.
+    /// When the node started; `None`: not known, or long ago.
     pub up_since: Option<Instant>,
-    /// What the node's shard was seen to serve for this host, in units a second.
+    /// The rate at which the node's shard has served this host, in units per second.
     pub service_rate: f64,
-    /// Hosts that share the node.
+    /// The number of hosts that share the node.
     pub host_count: f64,
 }
 
-/// Units sent to a node while it warms up, and neither answered nor freed by time.
+/// The units sent to a node while it warms up that have been neither answered nor drained.
 pub struct SlowStart {
     unanswered: Bucket,
 }
 
 impl SlowStart {
-    /// The bucket of a node that has just been listed. It starts at a level of its own, by `chance` (from 0 to 1) within one mean
-    /// request, less this host's part: a part below one request lets single requests pass, and hosts that all began at the same level
-    /// would all send their first one at once.
+    /// Creates the state of a node that has just been listed. The bucket starts at a random level within one mean
+    /// request, less this host's part; `random` is a random number from 0 to 1. A part below one request still lets
+    /// single requests pass, and hosts that all started at the same level would send their first one at the same time.
     pub fn new(
         now: Instant,
         limits: &SlowStartLimits,
-        chance: f64,
+        random: f64,
         mean_units: f64,
         host_count: f64,
     ) -> Self {
-        let level = (chance * mean_units - limits.initial_units(host_count)).max(0.0);
+        let level = (random * mean_units - limits.initial_units(host_count)).max(0.0);
         SlowStart { unanswered: Bucket { level, updated_at: now } }
     }
 
-    /// Counts an attempt that is sent.
+    /// Records that an attempt is sent.
     pub fn attempt_started(&mut self, units: f64) {
         self.unanswered.level += units;
     }
 
-    /// Counts an answer. `work` are the units that it shows the node can do.
+    /// Records an answer. `work` is the number of units that the answer shows the node to have capacity for.
     pub fn attempt_answered(&mut self, work: f64) {
         self.unanswered.level = (self.unanswered.level - work).max(0.0);
     }
 
-    /// Whether a request stays within this host's part of what the node bears. The unanswered units stay under the host's share of the
-    /// safe units, or under one request where that is less; time frees them at a rate that rises with the node's warmth.
+    /// Checks that a request stays within this host's part of the load that the node can take. The unanswered units
+    /// stay within the host's share of the safe units; a request that costs more than that passes once the bucket is
+    /// empty. The units drain at a rate that rises with the node's capacity.
     pub fn check(
         &mut self,
         now: Instant,
@@ -121,10 +127,10 @@
         };
         let capacity = limits.capacity_fraction(now - up_since);
         let safe_units = limits.0.safe_units / request.host_count * capacity / limits.0.initial_capacity;
-        let freed_by_time = DRAIN_FRACTION * safe_units / limits.0.window.max(MIN_WINDOW).secs();
-        let freed_by_service =
+        let unconditional_rate = DRAIN_FRACTION * safe_units / limits.0.window.max(MIN_WINDOW).secs();
+        let service_based_rate =
             SERVICE_RATE_FRACTION * limits.0.overload_multiple * capacity * request.service_rate;
-        let drain_rate = freed_by_time + freed_by_service;
+        let drain_rate = unconditional_rate + service_based_rate;
         let max_unanswered = IN_FLIGHT_FRACTION * safe_units;
         match self.unanswered.time_until_fits(now, drain_rate, max_unanswered, request.units) {
             TimeDelta::ZERO => Ok(()),
--- a/src/policy/traffic_class.rs
+++ b/src/policy/traffic_class.rs
@@ -1,24 +1,25 @@
-//! Traffic classes, and how they rank by latency objective.
+//! Traffic classes, and their ranks by latency objective.
 
 use super::priority::Priority;
 use crate::interface::{Effect, TimeDelta};
 
-/// Keeps the tightness of a class with a latency objective of zero finite, in seconds.
+/// The lower bound on a latency objective in the tightness, in seconds. It keeps the tightness finite for an objective
+/// of zero.
 const MIN_OBJECTIVE_SECS: f64 = 1e-6;
 
-/// Requests with one latency objective and one effect.
+/// A class of requests with the same latency objective and the same effect.
 pub struct TrafficClass {
-    /// Time within which an answer has its full worth.
+    /// The time within which a request should be answered. A later answer has little value.
     pub latency_objective: TimeDelta,
-    /// Among the other classes.
+    /// The priority among the other classes.
     pub priority: Priority,
-    /// What a retry may do.
+    /// The effect of running a request more than once.
     pub effect: Effect,
     /// Whether requests on one key are served in order of arrival.
     pub in_order: bool,
 }
 
-/// Ranks traffic classes by latency objective, the tighter first; gives the tightest.
+/// Sets the priorities of traffic classes by latency objective, tightest first, and returns the tightest objective.
 pub fn rank_by_latency_objective(classes: &mut [TrafficClass]) -> TimeDelta {
     let mut objectives: Vec<TimeDelta> = classes.iter().map(|class| class.latency_objective).collect();
     objectives.sort();
