--- a/crates/consensus/src/raft/leases.rs
+++ b/crates/consensus/src/raft/leases.rs
@@ -78,7 +78,7 @@
     fn send_lease(&mut self, to: u32, request: WaitingRequest) {
         let WaitingRequest { generation: to_generation, sequence, .. } = request;
         let (log_id, term, index) = (self.log.snapshot().log_id, self.hard_state.term, self.commit_index);
-        let duration_ms = (self.settings.lease.secs() * 1e3) as u32;
+        let duration_ms = (self.settings.lease_duration.secs() * 1e3) as u32;
         self.send(to, Message::LeaseGranted { log_id, to_generation, sequence, term, index, duration_ms });
     }
 }
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -66,13 +66,13 @@
     /// A replica as its disk has it.
     pub fn new(now: Instant, settings: ReplicaSettings) -> Replica {
         let (me, raft) = (settings.me, settings.raft);
-        let commit_wait = Lease::commit_wait(raft.lease, raft.max_clock_drift);
+        let commit_wait = Lease::commit_wait(raft.lease_duration, raft.max_clock_drift);
         let mut replica = Replica {
             me,
             settings: raft,
             initial_voters: settings.initial_voters.clone(),
             raft: RaftNode::new(now, settings),
-            lease: Lease::new(now, raft.lease, raft.max_clock_drift),
+            lease: Lease::new(now, raft.lease_duration, raft.max_clock_drift),
             next_voter: me as usize,
             leader_hint: None,
             sessions: Sessions::default(),
@@ -146,7 +146,7 @@
     }
 
     fn reset_for_new_log(&mut self, now: Instant) {
-        self.lease = Lease::new(now, self.settings.lease, self.settings.max_clock_drift);
+        self.lease = Lease::new(now, self.settings.lease_duration, self.settings.max_clock_drift);
         self.leader_hint = None;
         self.other_log_reported = false;
         self.pending_snapshot = None;
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -14,7 +14,7 @@
     /// Without a message from a leader for this long, and up to twice as long at random, a voter starts an election.
     pub election_timeout: TimeDelta,
     /// How long a lease lasts, from when it was requested.
-    pub lease: TimeDelta,
+    pub lease_duration: TimeDelta,
     /// Fraction by which the replicas' monotonic clocks may drift apart.
     pub max_clock_drift: f64,
     /// Host numbers are below this.
--- a/crates/consensus/tests/decision_hash.rs
+++ b/crates/consensus/tests/decision_hash.rs
@@ -596,7 +596,7 @@
     let consensus = RaftSettings {
         heartbeat_interval: seconds(0.05),
         election_timeout: seconds(0.3),
-        lease: seconds(1.0),
+        lease_duration: seconds(1.0),
         max_clock_drift: 0.01,
         host_count: 5,
         snapshot_after_entries: 15,
@@ -610,7 +610,7 @@
     let consensus = RaftSettings {
         heartbeat_interval: seconds(0.08),
         election_timeout: seconds(0.5),
-        lease: seconds(2.0),
+        lease_duration: seconds(2.0),
         max_clock_drift: 0.02,
         host_count: 7,
         snapshot_after_entries: 1_000,
--- a/crates/consensus/tests/replica/main.rs
+++ b/crates/consensus/tests/replica/main.rs
@@ -11,7 +11,7 @@
     RaftSettings {
         heartbeat_interval: TimeDelta::from_secs(0.05),
         election_timeout: TimeDelta::from_secs(0.3),
-        lease: TimeDelta::from_secs(1.0),
+        lease_duration: TimeDelta::from_secs(1.0),
         max_clock_drift: 0.01,
         host_count: 5,
         snapshot_after_entries: 1_000,
--- a/crates/host-core/src/consensus.rs
+++ b/crates/host-core/src/consensus.rs
@@ -76,7 +76,7 @@
     RaftSettings {
         heartbeat_interval: TimeDelta::from_secs(block.heartbeat_interval_ms / 1e3),
         election_timeout: TimeDelta::from_secs(block.election_timeout_ms / 1e3),
-        lease: TimeDelta::from_secs(block.lease_s),
+        lease_duration: TimeDelta::from_secs(block.lease_s),
         max_clock_drift: block.drift,
         host_count: settings.host.hosts,
         snapshot_after_entries: SNAPSHOT_AFTER_ENTRIES,
@@ -150,7 +150,7 @@
 
     /// How long after its commit a change applies at all hosts.
     pub fn settle(&self) -> TimeDelta {
-        Lease::commit_wait(self.settings.lease, self.settings.max_clock_drift)
+        Lease::commit_wait(self.settings.lease_duration, self.settings.max_clock_drift)
     }
 
     /// Whether this host's lease is valid.
--- a/crates/simulator/src/consensus/fleet.rs
+++ b/crates/simulator/src/consensus/fleet.rs
@@ -94,7 +94,7 @@
         let settings = RaftSettings {
             heartbeat_interval: TimeDelta::from_secs(0.1),
             election_timeout: TimeDelta::from_secs(1.0),
-            lease: TimeDelta::from_secs(5.0),
+            lease_duration: TimeDelta::from_secs(5.0),
             max_clock_drift: 0.001,
             host_count: trial.hosts,
             snapshot_after_entries: 2_000,
--- a/crates/simulator/src/consensus/fleet/measurement.rs
+++ b/crates/simulator/src/consensus/fleet/measurement.rs
@@ -107,7 +107,7 @@
     if first.is_none() {
         figures.broken.push("nothing is committed without a third of the hosts".into());
     }
-    let lease = fleet.settings.lease.secs();
+    let lease = fleet.settings.lease_duration.secs();
     if figures.longest > lease {
         figures.broken.push(format!("an older state for {:.3} s; the lease is {lease} s", figures.longest));
     }
--- a/crates/simulator/src/consensus/world.rs
+++ b/crates/simulator/src/consensus/world.rs
@@ -87,7 +87,7 @@
         let settings = RaftSettings {
             heartbeat_interval: TimeDelta::from_secs(0.05),
             election_timeout: TimeDelta::from_secs(0.3),
-            lease: TimeDelta::from_secs(LEASE),
+            lease_duration: TimeDelta::from_secs(LEASE),
             max_clock_drift: DRIFT,
             host_count: voters + followers,
             snapshot_after_entries: 6,
