--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -80,7 +80,7 @@
 /// A Raft server.
 #[derive(Clone)]
 pub struct RaftNode {
-    me: u32,
+    host: u32,
     identity: DiskIdentity,
     settings: RaftSettings,
     hard_state: HardState,
@@ -112,13 +112,13 @@
 impl RaftNode {
     /// A server as its disk has it.
     pub fn new(now: Instant, settings: ReplicaSettings) -> RaftNode {
-        let ReplicaSettings { me, identity, raft, initial_voters, persisted, seed } = settings;
+        let ReplicaSettings { host, identity, raft, initial_voters, persisted, seed } = settings;
         let commit_index = persisted.snapshot.last.index;
         let log = Log::new(persisted.snapshot, persisted.entries);
         let has_log = !log.configuration().voters.is_empty();
         let bootstrap = (!has_log).then(|| BootstrapState::new(initial_voters, persisted.confirmed_voters));
         let mut node = RaftNode {
-            me,
+            host,
             identity,
             settings: raft,
             hard_state: persisted.hard_state,
@@ -139,7 +139,7 @@
             fetch: FetchState::default(),
             snapshot_requested: None,
             outputs: VecDeque::new(),
-            random: oorandom::Rand64::new(u128::from(seed) << 32 | u128::from(me)),
+            random: oorandom::Rand64::new(u128::from(seed) << 32 | u128::from(host)),
             fault: None,
             counters: Counters::default(),
         };
@@ -189,13 +189,13 @@
     }
 
     fn other_voters(&self) -> Vec<u32> {
-        self.voters().keys().copied().filter(|host| *host != self.me).collect()
+        self.voters().keys().copied().filter(|host| *host != self.host).collect()
     }
 
     /// The leader as far as this server knows.
     pub fn leader(&self) -> Option<u32> {
         match &self.role {
-            Role::Leader(_) => Some(self.me),
+            Role::Leader(_) => Some(self.host),
             Role::Follower { leader } => *leader,
             Role::Candidate { .. } => None,
         }
@@ -211,7 +211,7 @@
         if self.disk_failed || self.bootstrap.is_some() {
             return false;
         }
-        let voting_disk = self.voters().get(&self.me);
+        let voting_disk = self.voters().get(&self.host);
         voting_disk == Some(&self.identity.disk)
             || (voting_disk.is_some() && self.has_fault(ConsensusFault::LostDiskVotes))
     }
--- a/crates/consensus/src/raft/bootstrap.rs
+++ b/crates/consensus/src/raft/bootstrap.rs
@@ -108,15 +108,16 @@
 
 impl RaftNode {
     pub(super) fn handle_bootstrap_timeout(&mut self, now: Instant) {
-        let me = self.me;
+        let own_host = self.host;
         let Some(bootstrap) = &mut self.bootstrap else { return };
         if now < bootstrap.next_announcement {
             return;
         }
-        let takes_part = bootstrap.takes_part(me);
+        let takes_part = bootstrap.takes_part(own_host);
         let heartbeats = if takes_part { 1.0 } else { LEARNER_HEARTBEATS };
         bootstrap.next_announcement = now + self.settings.heartbeats(heartbeats);
-        let others: Vec<u32> = bootstrap.initial_voters.iter().copied().filter(|host| *host != me).collect();
+        let others: Vec<u32> =
+            bootstrap.initial_voters.iter().copied().filter(|host| *host != own_host).collect();
         if takes_part {
             self.announce_disks(others);
             self.advance_bootstrap(now);
@@ -128,7 +129,7 @@
     fn announce_disks(&mut self, others: Vec<u32>) {
         let identity = self.identity;
         let Some(bootstrap) = &mut self.bootstrap else { return };
-        bootstrap.disks.insert(self.me, identity.disk);
+        bootstrap.disks.insert(self.host, identity.disk);
         let persisted = bootstrap.confirmation.persisted();
         let confirmed = persisted.is_some();
         let disks = persisted.unwrap_or(&bootstrap.disks).clone();
@@ -152,7 +153,7 @@
         if announcement.bootstrapped {
             return self.handle_existing_log(now, from, announcement.disks);
         }
-        if !bootstrap.initial_voters.contains(&from) || !bootstrap.takes_part(self.me) {
+        if !bootstrap.initial_voters.contains(&from) || !bootstrap.takes_part(self.host) {
             return;
         }
         self.handle_announcement(now, from, announcement);
@@ -175,7 +176,7 @@
         }
         // The log began without this disk, or its voters have changed since: this server only follows.
         if !std::mem::replace(&mut bootstrap.is_reported, true) {
-            self.emit(ConsensusEvent::NotBootstrappedWithDisk { host: self.me });
+            self.emit(ConsensusEvent::NotBootstrappedWithDisk { host: self.host });
         }
         self.send(from, Message::FetchCommitted { stored_index: 0 });
     }
@@ -196,14 +197,16 @@
 
     /// Confirms the disks once all are known, and begins the log once all have confirmed them.
     fn advance_bootstrap(&mut self, now: Instant) {
-        let me = self.me;
+        let own_host = self.host;
         let Some(bootstrap) = &self.bootstrap else { return };
         match &bootstrap.confirmation {
-            Confirmation::None if bootstrap.knows_all_disks() && bootstrap.initial_voters.contains(&me) => {
+            Confirmation::None
+                if bootstrap.knows_all_disks() && bootstrap.initial_voters.contains(&own_host) =>
+            {
                 self.confirm_disks(bootstrap.disks.clone());
             }
             Confirmation::Persisted { voters } => {
-                let mut others = bootstrap.initial_voters.iter().filter(|host| **host != me);
+                let mut others = bootstrap.initial_voters.iter().filter(|host| **host != own_host);
                 if others.all(|host| bootstrap.confirmed_by.contains(host)) {
                     self.finish_bootstrap(now, voters.clone());
                 }
--- a/crates/consensus/src/raft/disk_identity.rs
+++ b/crates/consensus/src/raft/disk_identity.rs
@@ -14,7 +14,7 @@
 impl RaftNode {
     /// Whether a voter's message comes from the disk that votes for it, and not from an old copy of that disk.
     pub(super) fn is_current_disk(&mut self, from: u32, identity: DiskIdentity) -> bool {
-        if from == self.me {
+        if from == self.host {
             return false;
         }
         let is_voters =
@@ -45,7 +45,7 @@
         }
         self.choose_new_disk_id();
         self.role = Role::Follower { leader: None };
-        self.emit(ConsensusEvent::StaleDisk { host: self.me });
+        self.emit(ConsensusEvent::StaleDisk { host: self.host });
         self.write(Write { disk: Some(self.identity.disk), ..Write::default() });
     }
 
--- a/crates/consensus/src/raft/election.rs
+++ b/crates/consensus/src/raft/election.rs
@@ -65,14 +65,14 @@
     }
 
     fn become_pre_candidate(&mut self) {
-        self.role = Role::Candidate { pre_vote: true, votes: BTreeSet::from([self.me]) };
+        self.role = Role::Candidate { pre_vote: true, votes: BTreeSet::from([self.host]) };
         self.request_votes(true, self.hard_state.term + 1);
     }
 
     fn become_candidate(&mut self) {
-        self.hard_state = HardState { term: self.hard_state.term + 1, voted_for: Some(self.me) };
+        self.hard_state = HardState { term: self.hard_state.term + 1, voted_for: Some(self.host) };
         self.write_hard_state();
-        self.role = Role::Candidate { pre_vote: false, votes: BTreeSet::from([self.me]) };
+        self.role = Role::Candidate { pre_vote: false, votes: BTreeSet::from([self.host]) };
         self.request_votes(false, self.hard_state.term);
     }
 
--- a/crates/consensus/src/raft/learner.rs
+++ b/crates/consensus/src/raft/learner.rs
@@ -88,7 +88,7 @@
             return;
         }
         let choice = self.random.rand_range(0..voters.len() as u64) as usize;
-        let other = voters.get(choice).copied().filter(|host| *host != self.me);
+        let other = voters.get(choice).copied().filter(|host| *host != self.host);
         self.fetch.source = other.or(self.fetch.source);
     }
 
--- a/crates/consensus/src/raft/leases.rs
+++ b/crates/consensus/src/raft/leases.rs
@@ -49,7 +49,7 @@
     /// Grants the requests whose round a majority has responded to.
     pub(super) fn grant_leases(&mut self) {
         let quorum = self.quorum();
-        let is_voter = self.voters().contains_key(&self.me);
+        let is_voter = self.voters().contains_key(&self.host);
         let Role::Leader(leader) = &mut self.role else { return };
         // A new leader's commit index may lag behind what an earlier leader committed, until an entry of its own term is
         // committed. A lease by that index would let a replica serve old state as the newest.
--- a/crates/consensus/src/raft/recovery.rs
+++ b/crates/consensus/src/raft/recovery.rs
@@ -33,7 +33,7 @@
         let log_id = self.random.rand_u64() | 1;
         // With a new disk id, replicas of the old log do not count this server's votes any more.
         self.choose_new_disk_id();
-        let voters = Voters::from([(self.me, self.identity.disk)]);
+        let voters = Voters::from([(self.host, self.identity.disk)]);
         let last = LogPosition { term: self.hard_state.term + 1, index: self.commit_index };
         self.hard_state = HardState { term: last.term, voted_for: None };
         self.log.restore(Snapshot { log_id, last, voters, state });
@@ -42,7 +42,7 @@
         self.write_snapshot();
         self.role = Role::Follower { leader: None };
         self.reset_election_timer(now);
-        self.emit(ConsensusEvent::LogForced { host: self.me, commit_index: self.commit_index, log_id });
+        self.emit(ConsensusEvent::LogForced { host: self.host, commit_index: self.commit_index, log_id });
         Ok(log_id)
     }
 
@@ -56,7 +56,7 @@
         if self.disk_failed || self.is_leader() || is_needed {
             return Err(RecoveryError::StillNeeded);
         }
-        self.emit(ConsensusEvent::LogDiscarded { host: self.me, commit_index: self.commit_index });
+        self.emit(ConsensusEvent::LogDiscarded { host: self.host, commit_index: self.commit_index });
         self.forget_persisted_after(0);
         self.choose_new_disk_id();
         // With its new id this disk has never voted, and the other log has terms of its own.
--- a/crates/consensus/src/raft/replication.rs
+++ b/crates/consensus/src/raft/replication.rs
@@ -132,7 +132,7 @@
         let Role::Leader(leader) = &mut self.role else { return };
         leader.heartbeat_due = leader.heartbeat_due.min(leader.next_round_at);
         // A leader that was removed from the voters steps down once that is committed (Raft, section 6).
-        let is_voter = self.voters().contains_key(&self.me);
+        let is_voter = self.voters().contains_key(&self.host);
         if !is_voter && self.commit_index >= self.log.configuration().index {
             self.step_down(now, None);
         }
@@ -142,7 +142,7 @@
     fn majority_index(&self) -> Option<u64> {
         let Role::Leader(leader) = &self.role else { return None };
         let mut indexes: Vec<u64> = leader.peers.values().map(|progress| progress.match_index).collect();
-        if self.voters().contains_key(&self.me) {
+        if self.voters().contains_key(&self.host) {
             let acks_early = self.has_fault(ConsensusFault::AckBeforePersist);
             indexes.push(if acks_early { self.log.last().index } else { self.persisted_index });
         }
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -42,7 +42,7 @@
 /// A replica of the group.
 #[derive(Clone)]
 pub struct Replica {
-    me: u32,
+    host: u32,
     settings: RaftSettings,
     /// The Raft server.
     pub raft: RaftNode,
@@ -65,15 +65,15 @@
 impl Replica {
     /// A replica as its disk has it.
     pub fn new(now: Instant, settings: ReplicaSettings) -> Replica {
-        let (me, raft) = (settings.me, settings.raft);
+        let (host, raft) = (settings.host, settings.raft);
         let commit_wait = Lease::commit_wait(raft.lease_duration, raft.max_clock_drift);
         let mut replica = Replica {
-            me,
+            host,
             settings: raft,
             initial_voters: settings.initial_voters.clone(),
             raft: RaftNode::new(now, settings),
             lease: Lease::new(now, raft.lease_duration, raft.max_clock_drift),
-            next_voter: me as usize,
+            next_voter: host as usize,
             leader_hint: None,
             sessions: Sessions::default(),
             last_proposal: 0,
@@ -229,7 +229,7 @@
     }
 
     fn send(&mut self, now: Instant, to: u32, message: Message) {
-        if to != self.me {
+        if to != self.host {
             return self.outputs.push_back(ReplicaOutput::Send { to, message });
         }
         self.raft.handle_message(now, to, message);
@@ -247,7 +247,7 @@
 
     fn convert_output(&mut self, now: Instant, output: RaftOutput) -> Option<ReplicaOutput> {
         match output {
-            RaftOutput::Send { to, message } if to == self.me => {
+            RaftOutput::Send { to, message } if to == self.host => {
                 self.on_message_to_itself(now, message);
                 None
             }
@@ -286,7 +286,7 @@
             return None;
         }
         let Proposal { host, id, data } = proposal;
-        let is_own = host == self.me && id.generation == self.generation();
+        let is_own = host == self.host && id.generation == self.generation();
         let own_proposal = is_own.then_some(id.number);
         if let Some(number) = own_proposal {
             self.on_own_proposal_committed(now, number);
--- a/crates/consensus/src/replica/proposals.rs
+++ b/crates/consensus/src/replica/proposals.rs
@@ -48,7 +48,7 @@
         let id = ProposalId { generation: self.generation(), number };
         self.proposals.push_back(PendingProposal {
             number,
-            bytes: Proposal { host: self.me, id, data }.to_bytes(),
+            bytes: Proposal { host: self.host, id, data }.to_bytes(),
             retry_at: now,
             deadline: now + self.settings.election_timeouts(PROPOSAL_TIMEOUTS),
             appended_in_term: None,
@@ -90,8 +90,8 @@
     }
 
     fn send_to_leader(&mut self, now: Instant, data: Bytes) {
-        let me = self.me;
-        if let Some(to) = self.leader_or_next_voter().filter(|to| *to != me) {
+        let own_host = self.host;
+        if let Some(to) = self.leader_or_next_voter().filter(|to| *to != own_host) {
             let log_id = self.raft.log().snapshot().log_id;
             self.send(now, to, Message::Propose { log_id, data });
         }
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
     /// This replica's host number.
-    pub me: u32,
+    pub host: u32,
     /// The disk that it runs from.
     pub identity: DiskIdentity,
     /// What all replicas share.
--- a/crates/consensus/tests/decision_hash.rs
+++ b/crates/consensus/tests/decision_hash.rs
@@ -317,7 +317,7 @@
 
     fn send_chunks(&mut self, host: u32) {
         while let Some(Transmit { to, body }) = self.host(host).chunks.poll_transmit() {
-            let me = MemberUpdate {
+            let sender = MemberUpdate {
                 slot: host,
                 generation: 1,
                 incarnation: 0,
@@ -326,7 +326,7 @@
                 site: None,
                 suspected_by: None,
             };
-            let bytes = Datagram { fleet: "f".into(), sender: me, body, updates: Vec::new() }.to_bytes();
+            let bytes = Datagram { fleet: "f".into(), sender, body, updates: Vec::new() }.to_bytes();
             self.hash.bytes(&bytes);
             self.transmit(host, to, bytes);
         }
@@ -394,7 +394,7 @@
         let persisted = host.disk.persisted.clone();
         let initial_voters = (0..group.voters).collect();
         let settings = ReplicaSettings {
-            me: number,
+            host: number,
             identity,
             raft: group.consensus,
             initial_voters,
--- a/crates/consensus/tests/replica/group.rs
+++ b/crates/consensus/tests/replica/group.rs
@@ -23,7 +23,7 @@
         let initial_voters = (0..3).collect();
         let (raft, persisted) = (settings(), PersistentState::default());
         let replica =
-            ReplicaSettings { me: host, identity, raft, initial_voters, persisted, seed: self.generations };
+            ReplicaSettings { host, identity, raft, initial_voters, persisted, seed: self.generations };
         self.replicas.insert(host, Replica::new(at(self.now), replica));
     }
 
@@ -135,7 +135,7 @@
         };
         let (initial_voters, identity) = ((0..3).collect(), identity(4, 3));
         let replica =
-            ReplicaSettings { me: 4, identity, raft: settings(), initial_voters, persisted, seed: 1 };
+            ReplicaSettings { host: 4, identity, raft: settings(), initial_voters, persisted, seed: 1 };
         let mut replica = Replica::new(at(0.0), replica);
         if let Some(fault) = fault {
             replica = replica.with_fault(fault);
--- a/crates/consensus/tests/replica/raft_node.rs
+++ b/crates/consensus/tests/replica/raft_node.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 
 /// A voter of three whose log holds entries of these terms.
-fn raft_node(me: u32, term: u64, terms: &[u64]) -> RaftNode {
+fn raft_node(host: u32, term: u64, terms: &[u64]) -> RaftNode {
     let entry = |(number, term): (usize, &u64)| Entry {
         term: *term,
         payload: EntryPayload::Command(Bytes::from(vec![number as u8])),
@@ -14,10 +14,10 @@
     let entries = terms.iter().enumerate().map(entry).collect();
     let persisted = PersistentState { hard_state, snapshot, entries, ..PersistentState::default() };
     let initial_voters = (0..3).collect();
-    let identity = identity(me, 1);
+    let identity = identity(host, 1);
     RaftNode::new(
         at(0.0),
-        ReplicaSettings { me, identity, raft: settings(), initial_voters, persisted, seed: 7 },
+        ReplicaSettings { host, identity, raft: settings(), initial_voters, persisted, seed: 7 },
     )
 }
 
--- a/crates/host-core/src/consensus.rs
+++ b/crates/host-core/src/consensus.rs
@@ -96,7 +96,7 @@
         let (me, raft) = (settings.host.number, raft_settings(settings, block));
         let first_message_id = (start.identity.generation as u32).wrapping_mul(MESSAGE_ID_MULTIPLIER);
         let replica = ReplicaSettings {
-            me,
+            host: me,
             identity: start.identity,
             raft,
             initial_voters: block.voters.iter().copied().collect(),
--- a/crates/simulator/src/consensus/fleet.rs
+++ b/crates/simulator/src/consensus/fleet.rs
@@ -141,7 +141,7 @@
         let initial_voters = (0..self.trial.voters).collect();
         let persisted = host.disk.persisted.clone();
         let settings = ReplicaSettings {
-            me: host_index,
+            host: host_index,
             identity,
             raft: self.settings,
             initial_voters,
--- a/crates/simulator/src/consensus/world/process.rs
+++ b/crates/simulator/src/consensus/world/process.rs
@@ -71,7 +71,7 @@
         disk.boot += 1;
         let identity = DiskIdentity { disk: disk.mark, boot: disk.boot, generation: start.generation };
         let settings = ReplicaSettings {
-            me: host,
+            host,
             identity,
             raft: start.raft,
             initial_voters: (0..start.voters).collect(),
