--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -94,5 +94,5 @@
     #[error(
         "this host is a voter, and has contact with a leader; expected one that is not needed where it is"
     )]
-    StillNeeded,
+    ActiveVoter,
 }
--- a/crates/consensus/src/raft/recovery.rs
+++ b/crates/consensus/src/raft/recovery.rs
@@ -54,7 +54,7 @@
     ) -> Result<(), RecoveryError> {
         let is_needed = self.is_voter() && !self.is_leader_gone(now);
         if self.disk_failed || self.is_leader() || is_needed {
-            return Err(RecoveryError::StillNeeded);
+            return Err(RecoveryError::ActiveVoter);
         }
         self.emit(ConsensusEvent::LogDiscarded { host: self.host, commit_index: self.commit_index });
         self.forget_persisted_after(0);
