--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -1,98 +1,96 @@
-//! Why a proposal, a change of voters or a recovery step was refused.
+//! Errors of proposals, voter changes and recovery steps.
 
 use tackmast_wire::consensus::{MAX_ENTRY, MAX_VOTERS};
 
-/// Why a replica did not take a proposal.
+/// Why a replica did not accept a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// Another replica leads, perhaps `leader`.
+    /// The replica is not the leader.
     #[error("this host is not the leader; {}", describe_leader(*.leader))]
     NotLeader {
-        /// The leader as far as this replica knows.
+        /// Host number of the leader that this replica knows of, if any.
         leader: Option<u32>,
     },
-    /// As many proposals wait as may wait at a time.
-    #[error("{waiting} proposals wait to be committed; retry later")]
+    /// Too many proposals or entries are waiting to be committed.
+    #[error("{waiting} proposals are waiting to be committed; retry later")]
     QueueFull {
-        /// Proposals or entries that are not committed yet.
+        /// Number of proposals or entries that are not committed yet.
         waiting: u64,
     },
-    /// The proposal does not fit an entry.
-    #[error("a proposal of {bytes} bytes; expected at most {MAX_ENTRY}")]
+    /// The proposal is longer than an entry may be.
+    #[error("proposal has {bytes} bytes; the maximum is {MAX_ENTRY}")]
     TooLong {
-        /// Its length.
+        /// Length of the proposal in bytes.
         bytes: usize,
     },
-    /// The previous change of voters is not committed yet.
-    #[error("another change of voters is pending; retry once it is committed")]
+    /// The previous voter change is not committed yet, or the leader has not yet committed an entry of its term.
+    #[error("another voter change is pending; retry after it is committed")]
     VoterChangePending,
-    /// The change of voters itself is not possible.
+    /// The voter change itself is invalid.
     #[error(transparent)]
     VoterChange(#[from] VoterChangeError),
 }
 
 fn describe_leader(leader: Option<u32>) -> String {
     match leader {
-        Some(host) => format!("host {host} is, as far as it knows"),
-        None => "no leader is known, retry once one is elected".to_owned(),
+        Some(host) => format!("the last known leader is host {host}"),
+        None => "no leader is known; retry after an election".to_owned(),
     }
 }
 
-/// Why a host can't become a voter, or can't cease to be one.
+/// Why a host cannot be added to the voters, or removed from them.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VoterChangeError {
-    /// The leader has not received anything from the host, and so does not know its disk.
-    #[error("host {host}: no message received from it; expected one that runs")]
+    /// The leader has received no lease request from the host, and so does not know its disk.
+    #[error("host {host} has not contacted this leader yet; retry when it is running")]
     Unknown {
-        /// The host that was to become a voter.
+        /// The host to be added.
         host: u32,
     },
-    /// The host would have to catch up for long before it could acknowledge new entries.
-    #[error("host {host} stores {stored_index} entries; expected {min_index} or more")]
+    /// The host's log is so far behind that the host could not acknowledge new entries soon.
+    #[error("host {host} has stored the log up to index {stored_index}; a voter needs index {min_index}")]
     TooFarBehind {
-        /// The host that was to become a voter.
+        /// The host to be added.
         host: u32,
-        /// Index of the last entry on its disk.
+        /// Index of the last entry on the host's disk.
         stored_index: u64,
-        /// Index that it has to reach first.
+        /// Index that the host has to reach first.
         min_index: u64,
     },
-    /// The host is a voter already.
-    #[error("host {host} is a voter already")]
+    /// The host is already a voter.
+    #[error("host {host} is already a voter")]
     AlreadyVoter {
-        /// The host that was to become a voter.
+        /// The host to be added.
         host: u32,
     },
-    /// There are as many voters as there may be.
-    #[error("{MAX_VOTERS} voters already, the most that there may be")]
+    /// The group has the maximum number of voters.
+    #[error("the group already has {MAX_VOTERS} voters, which is the maximum")]
     TooManyVoters,
-    /// The host is not a voter, or the only one.
-    #[error("host {host}: expected one of several voters")]
+    /// The host is not a voter, or it is the only one.
+    #[error("host {host} cannot be removed: it is not a voter, or it is the only one")]
     NotRemovable {
-        /// The host that was to be removed.
+        /// The host to be removed.
         host: u32,
     },
 }
 
-/// Why an operator's recovery step, after the loss of a majority, was refused.
+/// Why an operator's recovery step after the loss of a majority was rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RecoveryError {
-    /// There is no log here to begin from, or the disk takes no writes.
-    #[error("nothing was committed here; expected a host that has a log, and a disk that takes writes")]
+    /// The replica has no log to continue from, or its disk has failed a write.
+    #[error("this host has no log to recover from, or a write to its disk has failed")]
     NoLog,
-    /// A majority may still be alive.
+    /// The replica leads, or had contact with a leader too recently: a majority may still be running.
     #[error(
-        "the last contact with a leader was {silent_s:.1} s ago; expected none within {min_silent_s:.1} s, as a majority may be alive"
+        "last contact with a leader was {silent_s:.1} s ago; {min_silent_s:.1} s are required, as a majority may be running"
     )]
     RecentLeaderContact {
-        /// Seconds since the last message from a leader.
+        /// Time since the last message from a leader, in seconds.
         silent_s: f64,
-        /// Seconds without one that are required.
+        /// Time without contact that recovery requires, in seconds.
         min_silent_s: f64,
     },
-    /// The host is part of a working majority.
-    #[error(
-        "this host is a voter, and has contact with a leader; expected one that is not needed where it is"
-    )]
+    /// The replica leads or is a voter in contact with a leader, or its disk has failed a write.
+    #[error("this host is a voter in contact with a leader; its log may be needed for a majority")]
     ActiveVoter,
 }
--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -1,68 +1,69 @@
-//! What a replica reports to operators: a fixed message and named fields. docs/on-call.md has a row for each message.
+//! Events that a replica reports to operators, each with a fixed message and named fields. docs/on-call.md has a row
+//! for each message.
 
 use std::fmt::{Display, Formatter, Result};
 use tackmast::interface::TimeDelta;
 
-/// A change of a replica that an operator may want to know.
+/// A change of a replica's state that is reported to operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConsensusEvent {
-    /// A write failed.
+    /// A write failed. The replica takes no part until it restarts.
     DiskFailed,
     /// This replica won an election.
     BecameLeader {
-        /// The term that it leads.
+        /// The term that the replica leads.
         term: u64,
-        /// Index of its last entry.
+        /// Index of the last entry in the replica's log.
         last_index: u64,
-        /// Index of the last entry that it knows to be committed.
+        /// Index of the last entry that the replica knows to be committed.
         commit_index: u64,
     },
-    /// This replica leads no longer.
+    /// This replica is no longer leader.
     SteppedDown {
-        /// The newest term that it has seen.
+        /// The latest term that the replica has seen.
         term: u64,
     },
-    /// This leader steps down, as it may be cut off.
+    /// This leader has no responses of a majority and steps down, as it may be partitioned from the others.
     QuorumLost {
-        /// For how long there was no response.
+        /// The time without responses of a majority.
         silent_for: TimeDelta,
-        /// Voters that have responded since, this one included.
+        /// Number of voters that responded within that time, including this one.
         reachable: usize,
-        /// Voters of a majority.
+        /// Number of voters that make a majority.
         quorum: usize,
     },
-    /// Another replica leads.
+    /// This replica has received a message of a new leader.
     FollowsLeader {
-        /// The leader.
+        /// Host number of the leader.
         leader: u32,
-        /// Its term.
+        /// The leader's term.
         term: u64,
     },
-    /// This replica installed a snapshot of a group that it was not part of.
+    /// This replica, which had no log, has installed a snapshot of a group's log.
     Joined,
-    /// The group has begun its log.
+    /// This replica has started the group's log together with the other initial voters.
     Bootstrapped {
-        /// Its number of voters.
+        /// Number of voters.
         voters: usize,
     },
-    /// The group has begun its log without this replica's disk.
+    /// The group's log was started without this replica's disk, or its voters have changed since.
     NotBootstrappedWithDisk {
-        /// This replica.
+        /// Host number of this replica.
         host: u32,
     },
-    /// An initial voter's disk was replaced during bootstrap.
+    /// An initial voter's disk was replaced after this replica had confirmed the old one, so bootstrap cannot complete.
     BootstrapDiskChanged {
-        /// The voter.
+        /// Host number of the voter.
         peer: u32,
     },
-    /// This replica's disk is an old copy, or was opened twice.
+    /// This replica's disk is an old copy, or was opened by another process since.
     StaleDisk {
-        /// This replica.
+        /// Host number of this replica.
         host: u32,
     },
-    /// An operator made this replica begin a new log without a majority.
+    /// An operator made this replica start a new log without a majority.
     LogForced {
-        /// This replica.
+        /// Host number of this replica.
         host: u32,
         /// Index of the last entry that the new log keeps.
         commit_index: u64,
@@ -71,17 +72,17 @@
     },
     /// An operator made this replica discard its log.
     LogDiscarded {
-        /// This replica.
+        /// Host number of this replica.
         host: u32,
-        /// Entries that it had.
+        /// Index of the last committed entry in the discarded log.
         commit_index: u64,
     },
     /// Another replica has a different log.
     OtherLog {
-        /// That replica.
+        /// Host number of that replica.
         peer: u32,
     },
-    /// This replica has a valid lease again.
+    /// This replica has a valid lease, which it did not have before.
     LeaseValid {
         /// Index of the last committed entry.
         commit_index: u64,
@@ -94,7 +95,7 @@
 }
 
 impl ConsensusEvent {
-    /// The message, the same for every event of its kind.
+    /// Returns the message, which is the same for all events of one kind.
     pub fn message(&self) -> &'static str {
         match self {
             ConsensusEvent::DiskFailed => {
@@ -130,7 +131,7 @@
     }
 }
 
-/// One line: the message, then `name=value` for each field; times in seconds, ids of logs in hexadecimal.
+/// Writes one line: the message, then `name=value` for each field. Times are in seconds, log ids in hexadecimal.
 impl Display for ConsensusEvent {
     fn fmt(&self, out: &mut Formatter<'_>) -> Result {
         out.write_str(self.message())?;
--- a/crates/consensus/src/fault.rs
+++ b/crates/consensus/src/fault.rs
@@ -1,46 +1,46 @@
-//! Deliberate faults. A test builds one in and must then find a violation; else the test would prove nothing.
+//! Deliberate faults for tests. A check of an invariant must fail under each fault, which shows that the check works.
 
-/// A mistake in the protocol or its implementation.
+/// A fault of the protocol or of its implementation, which a test injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConsensusFault {
     /// A vote is sent before it is on disk.
     VoteNotPersisted,
     /// Entries are acknowledged before they are on disk.
     AckBeforePersist,
-    /// A lease counts from when its grant arrived, not from its request.
+    /// A lease is counted from the arrival of its grant instead of from its request.
     LeaseFromResponse,
-    /// Clocks are taken to run alike.
+    /// Leases allow for no clock drift.
     IgnoreClockDrift,
-    /// An entry of an earlier term counts as committed once a majority has it (Raft, figure 8).
+    /// An entry of an earlier term counts as committed once a majority stores it (Raft, figure 8).
     CommitOldTerm,
     /// A leader grants leases without a heartbeat round.
     StaleRead,
-    /// A vote is granted whatever the candidate's log lacks.
+    /// A vote is granted even if the candidate's log lacks entries.
     NoLogCheck,
-    /// Less than a majority commits, and elects.
+    /// Half of an even number of voters suffices to commit an entry and to elect a leader.
     MinorityCommits,
-    /// A follower keeps entries that differ from the leader's.
+    /// A follower keeps entries that conflict with the leader's.
     KeepsConflicts,
-    /// A voter that lost its disk votes under its host number.
+    /// A voter that lost its disk votes with its new disk.
     LostDiskVotes,
-    /// Voters change while the previous change is not committed.
+    /// A voter change starts before the previous one is committed.
     TwoChangesAtOnce,
-    /// A lease is valid although the entries that it names are not here.
+    /// A lease is valid before the replica has all entries that it covers.
     LeaseWithoutEntries,
-    /// A leader of an earlier term is followed.
+    /// Messages of a leader of an earlier term are accepted.
     OldLeaderFollowed,
-    /// An old copy of a disk votes.
+    /// An old copy of a voter's disk votes.
     OldDiskVotes,
     /// A snapshot lacks the client sessions.
     SnapshotDropsSessions,
-    /// A snapshot from the leader removes entries after it that match.
+    /// Installing a leader's snapshot removes matching entries after it.
     SnapshotDropsSuffix,
-    /// A grant to an earlier process generation counts for a later one.
+    /// A replica accepts leases granted to an earlier process generation of its host.
     GenerationsMixed,
 }
 
 impl ConsensusFault {
-    /// All of them.
+    /// All faults.
     pub const ALL: [ConsensusFault; 17] = [
         ConsensusFault::VoteNotPersisted,
         ConsensusFault::AckBeforePersist,
--- a/crates/consensus/src/output.rs
+++ b/crates/consensus/src/output.rs
@@ -1,48 +1,48 @@
-//! What a host is to do for its replica.
+//! Outputs of a replica, which its host carries out.
 
 use crate::event::ConsensusEvent;
 use crate::state::Write;
 use bytes::Bytes;
 use tackmast_wire::consensus::Message;
 
-/// What a host is to do for its replica.
+/// An output of a replica, which its host carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicaOutput {
-    /// A message for another replica.
+    /// Send a message to another replica.
     Send {
         /// The receiver's host number.
         to: u32,
         /// The message.
         message: Message,
     },
-    /// A change of the persistent state, to be reported by `on_persisted`.
+    /// Persist a change of the state, then call `on_persisted`.
     Write(Write),
-    /// A command is committed: the state machine applies it.
+    /// Apply a committed command to the state machine.
     Committed {
-        /// Index of its entry.
+        /// Index of the command's entry.
         index: u64,
         /// The command.
         data: Bytes,
-        /// Its number, if this process proposed it.
+        /// Number that `propose` returned for the command; `None` if another process proposed it.
         own_proposal: Option<u32>,
     },
-    /// The state machine takes this state in place of all before.
+    /// Replace the state machine's state by that of a snapshot.
     RestoreSnapshot {
         /// Index of the last entry that the state covers.
         index: u64,
-        /// The state.
+        /// The state machine's encoded state.
         state: Bytes,
     },
-    /// The state machine's state as of that entry is wanted, by `on_snapshot_taken`.
+    /// Encode the state machine's state as of an entry, then call `on_snapshot_taken`.
     TakeSnapshot {
-        /// Index of the entry.
+        /// Index of the last entry that the state is to cover.
         index: u64,
     },
-    /// A proposal is given up, as its result was unknown for too long. It may still be committed.
+    /// A proposal's result stayed unknown for too long. The proposal is no longer sent, but may still be committed.
     ProposalTimedOut {
-        /// Number of the proposal.
+        /// Number that `propose` returned for the proposal.
         number: u32,
     },
-    /// A change for the log.
+    /// Report an event to operators.
     Event(ConsensusEvent),
 }
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a replica.
+//! Settings of a replica and of its group.
 
 use crate::log::LogLength;
 use crate::state::PersistentState;
@@ -11,22 +11,23 @@
 pub struct RaftSettings {
     /// Time between two heartbeats of a leader.
     pub heartbeat_interval: TimeDelta,
-    /// Without a message from a leader for this long, and up to twice as long at random, a voter starts an election.
+    /// Time without a message from a leader after which a voter starts an election. Each timeout is chosen at random
+    /// between one and two times this value.
     pub election_timeout: TimeDelta,
-    /// How long a lease lasts, from when it was requested.
+    /// Duration of a lease, counted from when it was requested.
     pub lease_duration: TimeDelta,
-    /// Fraction by which the replicas' monotonic clocks may drift apart.
+    /// Greatest fraction by which the replicas' monotonic clocks may drift apart.
     pub max_clock_drift: f64,
-    /// Host numbers are below this.
+    /// Number of hosts. Host numbers are below it.
     pub host_count: u32,
-    /// Entries after which a snapshot is taken.
+    /// Number of entries in the log after which a snapshot is taken.
     pub snapshot_after_entries: u64,
-    /// Bytes of entries after which a snapshot is taken.
+    /// Size of the entries in memory, in bytes, after which a snapshot is taken.
     pub snapshot_after_bytes: usize,
 }
 
 impl RaftSettings {
-    /// Whether the log has grown so long since its last snapshot that a new one is due.
+    /// Returns whether the log has grown enough since its last snapshot for a new one to be taken.
     pub(crate) fn is_snapshot_due(&self, since_snapshot: LogLength) -> bool {
         since_snapshot.entries >= self.snapshot_after_entries
             || since_snapshot.bytes >= self.snapshot_after_bytes
@@ -46,14 +47,14 @@
 pub struct ReplicaSettings {
     /// This replica's host number.
     pub host: u32,
-    /// The disk that it runs from.
+    /// The disk that this replica runs from.
     pub identity: DiskIdentity,
-    /// What all replicas share.
+    /// Settings that all replicas of the group share.
     pub raft: RaftSettings,
-    /// Hosts that vote while the group has no log yet.
+    /// Host numbers of the voters that bootstrap the group. Not used once the group has a log.
     pub initial_voters: BTreeSet<u32>,
-    /// The state on its disk.
+    /// The state on this replica's disk.
     pub persisted: PersistentState,
-    /// Seed of its random numbers: election timeouts, and ids of logs and disks.
+    /// Seed of the random numbers for election timeouts and for ids of logs and disks.
     pub seed: u64,
 }
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -1,24 +1,24 @@
-//! The state of a replica as operators and tests read it.
+//! Status and counters of a replica, for operators and tests.
 
 use std::collections::BTreeMap;
 use std::fmt;
 use tackmast::interface::TimeDelta;
 use tackmast_wire::consensus::Voters;
 
-/// The state that a Raft server is in (Raft, section 5.1).
+/// The role of a Raft server (Raft, section 5.1).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReplicaRole {
-    /// Appends what a leader sends, or fetches what is committed.
+    /// Appends a leader's entries, or fetches committed entries as a learner.
     #[default]
     Follower,
-    /// Asks for votes or pre-votes.
+    /// Requests votes or pre-votes.
     Candidate,
-    /// Takes proposals and replicates them.
+    /// Accepts proposals and replicates them.
     Leader,
 }
 
 impl fmt::Display for ReplicaRole {
-    /// As the admin protocol spells it.
+    /// Writes the role as the admin protocol spells it.
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         out.write_str(match self {
             ReplicaRole::Follower => "follows",
@@ -28,59 +28,59 @@
     }
 }
 
-/// What a leader knows of another replica.
+/// The last report of another replica to the leader.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FollowerStatus {
-    /// Index of the last entry that it reported to have on disk.
+    /// Index of the last entry that the replica reported to have on disk.
     pub stored_index: u64,
     /// Time since that report.
     pub silent_for: TimeDelta,
 }
 
-/// A replica's state at a moment.
+/// The state of a replica at one moment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Status {
-    /// Follower, candidate or leader.
+    /// Whether the replica is a follower, a candidate or the leader.
     pub role: ReplicaRole,
-    /// The newest term that it has seen.
+    /// The latest term that the replica has seen.
     pub term: u64,
-    /// The leader as far as it knows.
+    /// Host number of the leader that the replica knows of, if any.
     pub leader: Option<u32>,
-    /// Index of its last entry.
+    /// Index of the last entry in the replica's log.
     pub last_index: u64,
-    /// Index of the last entry that it knows to be committed.
+    /// Index of the last entry that the replica knows to be committed.
     pub commit_index: u64,
-    /// Index of the last entry that its snapshot covers.
+    /// Index of the last entry that the replica's snapshot covers.
     pub snapshot_index: u64,
-    /// The configuration.
+    /// The latest configuration in the log, committed or not.
     pub voters: Voters,
-    /// Whether it votes, by its host number and its disk.
+    /// Whether the replica may vote: its host number is a voter's, and its disk is the one registered for it.
     pub is_voter: bool,
-    /// Whether the group has a log.
+    /// Whether the replica has a log, its group's bootstrap being complete.
     pub bootstrapped: bool,
-    /// Whether its disk has failed a write.
+    /// Whether a write failed. The replica then takes no part until it restarts.
     pub disk_failed: bool,
-    /// On a leader: what it knows of the other replicas, by host number.
+    /// On a leader, the last report of each other replica by host number; else empty.
     pub followers: BTreeMap<u32, FollowerStatus>,
 }
 
-/// Events since the replica started.
+/// Numbers of events since the replica started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Elections that it started, with a pre-vote.
+    /// Elections that the replica started, each with a pre-vote.
     pub elections: u64,
-    /// Terms that it led.
+    /// Elections that the replica won.
     pub terms_led: u64,
-    /// Entries that it saw committed.
+    /// Entries that the replica learned to be committed.
     pub commits: u64,
-    /// Leases that it granted.
+    /// Leases that the replica granted as leader.
     pub leases_granted: u64,
-    /// Messages from disks that are not a voter's, or are an old copy of a voter's.
+    /// Messages rejected because they came from a disk that is not a voter's, or from an old copy of a voter's disk.
     pub rejected_disks: u64,
-    /// Messages dropped because too many waited for the disk.
+    /// Messages dropped because too many were waiting for a write.
     pub dropped_messages: u64,
-    /// Snapshots that it installed.
+    /// Snapshots received from other replicas and installed.
     pub snapshots_installed: u64,
-    /// Snapshots that it took.
+    /// Snapshots of the replica's own state machine.
     pub snapshots_taken: u64,
 }
