--- a/crates/consensus/src/chunks.rs
+++ b/crates/consensus/src/chunks.rs
@@ -1,6 +1,6 @@
-//! Chunked transfer of messages that do not fit a datagram, as Raft's InstallSnapshot (section 7) sends a snapshot in
-//! chunks. The sender transmits only the first chunk. The receiver requests the others, a few ahead of what it has, and
-//! requests lost ones again, so that no sender floods a slow receiver.
+//! Chunked transfer of messages that do not fit in a datagram, similar to the chunks of Raft's InstallSnapshot (section
+//! 7). The sender transmits only the first chunk. The receiver requests the others, a few ahead of those received, and
+//! requests lost ones again, so that a sender cannot flood a slow receiver.
 
 use bytes::{Bytes, BytesMut};
 use std::collections::VecDeque;
@@ -9,62 +9,63 @@
 use tackmast_wire::consensus::MAX_MESSAGE;
 use tackmast_wire::peer::{Body, MAX_PIECE as MAX_CHUNK_LEN};
 
-/// Greatest number of messages that are kept for receivers that request chunks. The oldest is dropped first.
+/// Greatest number of outgoing messages that are stored for chunk requests. The oldest is dropped first.
 const MAX_OUTGOING: usize = 64;
-/// Greatest length in bytes of these messages together, unless there is only one.
+/// Greatest total length of the outgoing messages in bytes. A single longer message is stored as well.
 const MAX_OUTGOING_BYTES: usize = 64 << 20;
-/// Greatest number of messages that are received at a time, one of each sender. The one idle for longest is dropped first.
+/// Greatest number of incoming messages, of which each sender has one. The one without progress for longest is dropped
+/// first.
 const MAX_INCOMING: usize = 64;
-/// Chunks that are requested beyond those received.
+/// Greatest number of chunks that are requested but not received.
 const CHUNKS_AHEAD: u16 = 8;
-/// Retries without a chunk after which a message is given up.
+/// Number of consecutive retries without a new chunk after which an incoming message is dropped.
 const MAX_MESSAGE_RETRIES: u32 = 30;
-/// Retries after which a sender's newer message replaces one that is more than half received.
+/// Number of consecutive retries after which a sender's newer message replaces one that is more than half received.
 const RETRIES_BEFORE_REPLACED: u32 = 2;
 
-/// How chunks are requested.
+/// Settings of a chunked transfer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChunkSettings {
-    /// A chunk that has not arrived within this time is requested again.
+    /// Time without a new chunk after which missing chunks are requested again.
     pub retry_interval: TimeDelta,
 }
 
-/// A part of a message, as it arrived.
+/// A received chunk of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
-    /// The sender's number for the message.
+    /// Id of the message, unique among the recent messages of its sender.
     pub message_id: u32,
-    /// Chunks of the whole message.
+    /// Number of chunks in the whole message.
     pub count: u16,
-    /// Which of them this is, from 0.
+    /// Position of this chunk in the message, from 0.
     pub index: u16,
-    /// Its part of the message.
+    /// The bytes of the message that this chunk carries.
     pub bytes: Bytes,
 }
 
-/// A datagram's body and its receiver.
+/// A datagram to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Transmit {
-    /// The receiver.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// A whole message, a chunk or a request for one.
+    /// A whole message, a chunk or a request for a chunk.
     pub body: Body,
 }
 
-/// A message that receivers may still request chunks of.
+/// A message whose chunks receivers may still request.
 struct OutgoingMessage {
     message_id: u32,
     bytes: Bytes,
 }
 
-/// A message of which some chunks are missing.
+/// A message that is not completely received.
 struct IncomingMessage {
     from: SocketAddr,
     message_id: u32,
     chunks: Vec<Option<Bytes>>,
-    received: u16,
-    /// Chunks before this index have been requested.
-    requested: u16,
+    received_count: u16,
+    /// Index before which all chunks have been requested.
+    requested_end: u16,
     last_progress: Instant,
     retries: u32,
 }
@@ -74,24 +75,24 @@
         self.chunks.len() as u16
     }
 
-    /// Whether the rest of this message is still requested although its sender has begun a newer one. A sender that repeats
-    /// itself faster than a large message arrives would else prevent that any is complete.
-    fn outlasts_newer(&self) -> bool {
-        self.retries < RETRIES_BEFORE_REPLACED && self.received * 2 > self.chunk_count()
+    /// Returns whether this message is kept although its sender has started a newer one. Otherwise a sender that starts
+    /// new messages faster than a large one arrives would prevent any from being completed.
+    fn is_kept_over_newer(&self) -> bool {
+        self.retries < RETRIES_BEFORE_REPLACED && self.received_count * 2 > self.chunk_count()
     }
 
     fn store(&mut self, now: Instant, chunk: Chunk) {
-        let Some(place) = self.chunks.get_mut(usize::from(chunk.index)) else { return };
-        if place.is_none() {
-            *place = Some(chunk.bytes);
-            self.received += 1;
+        let Some(stored) = self.chunks.get_mut(usize::from(chunk.index)) else { return };
+        if stored.is_none() {
+            *stored = Some(chunk.bytes);
+            self.received_count += 1;
             self.last_progress = now;
             self.retries = 0;
         }
     }
 
     fn is_complete(&self) -> bool {
-        self.received >= self.chunk_count()
+        self.received_count >= self.chunk_count()
     }
 
     fn into_bytes(self) -> Bytes {
@@ -104,19 +105,20 @@
     }
 }
 
-/// Sends and receives messages of any length, in datagrams.
+/// Transfers messages of up to `MAX_MESSAGE` bytes in datagrams, without I/O.
 pub struct ChunkedTransfer {
     settings: ChunkSettings,
     last_message_id: u32,
     outgoing: VecDeque<OutgoingMessage>,
     incoming: Vec<IncomingMessage>,
     transmits: VecDeque<Transmit>,
-    /// Messages that were given up, or were too long to be sent.
+    /// Number of incoming messages dropped for lack of progress or space, and of outgoing messages that were too long.
     pub lost_messages: u64,
 }
 
 impl ChunkedTransfer {
-    /// `first_message_id`: messages are numbered from there, so that a restarted process does not reuse numbers.
+    /// Creates a transfer without messages. Message ids follow `first_message_id`, which must differ between restarts,
+    /// so that a restarted process does not reuse ids of which receivers still have chunks.
     pub fn new(settings: ChunkSettings, first_message_id: u32) -> ChunkedTransfer {
         ChunkedTransfer {
             settings,
@@ -128,7 +130,8 @@
         }
     }
 
-    /// Sends a message: in one datagram where it fits, else its first chunk.
+    /// Sends a message in one datagram if it fits, or else its first chunk. A message longer than `MAX_MESSAGE` is
+    /// counted as lost.
     pub fn send(&mut self, to: SocketAddr, message: Bytes) {
         if message.len() <= MAX_CHUNK_LEN {
             let body = Body::Consensus { bytes: message };
@@ -138,14 +141,16 @@
             self.lost_messages += 1;
             return;
         }
-        let message_id = self.keep_outgoing(message);
+        let message_id = self.store_outgoing(message);
         self.transmit_chunk(to, message_id, 0);
     }
 
-    /// The number of that message. One that is sent to several, or sent again, keeps its number.
-    fn keep_outgoing(&mut self, message: Bytes) -> u32 {
-        let known = self.outgoing.iter().find(|kept| kept.bytes == message).map(|kept| kept.message_id);
-        let message_id = match known {
+    /// Stores a message for requests and returns its id. A message that is sent again, or to several receivers, keeps
+    /// its id.
+    fn store_outgoing(&mut self, message: Bytes) -> u32 {
+        let existing =
+            self.outgoing.iter().find(|stored| stored.bytes == message).map(|stored| stored.message_id);
+        let message_id = match existing {
             Some(message_id) => message_id,
             None => {
                 self.last_message_id = self.last_message_id.wrapping_add(1);
@@ -162,11 +167,13 @@
     }
 
     fn outgoing_bytes(&self) -> usize {
-        self.outgoing.iter().map(|kept| kept.bytes.len()).sum()
+        self.outgoing.iter().map(|stored| stored.bytes.len()).sum()
     }
 
     fn transmit_chunk(&mut self, to: SocketAddr, message_id: u32, index: u16) {
-        let Some(message) = self.outgoing.iter().find(|kept| kept.message_id == message_id) else { return };
+        let Some(message) = self.outgoing.iter().find(|stored| stored.message_id == message_id) else {
+            return;
+        };
         let start = usize::from(index) * MAX_CHUNK_LEN;
         if start >= message.bytes.len() {
             return;
@@ -178,12 +185,12 @@
         self.transmits.push_back(Transmit { to, body });
     }
 
-    /// A receiver requests a chunk.
+    /// Handles a receiver's request for a chunk. A request for an unknown message or chunk is ignored.
     pub fn on_chunk_request(&mut self, from: SocketAddr, message_id: u32, index: u16) {
         self.transmit_chunk(from, message_id, index);
     }
 
-    /// A chunk has arrived; the message, once it is complete.
+    /// Handles a received chunk, and returns the message if the chunk completes it.
     pub fn on_chunk(&mut self, now: Instant, from: SocketAddr, chunk: Chunk) -> Option<Bytes> {
         let max_count = MAX_MESSAGE.div_ceil(MAX_CHUNK_LEN);
         if usize::from(chunk.count) > max_count || chunk.index >= chunk.count {
@@ -199,7 +206,8 @@
         Some(self.incoming.remove(position).into_bytes())
     }
 
-    /// Position of the chunk's message among the incoming ones. Each sender has one at a time, which its first chunk begins.
+    /// Returns the position of the chunk's message among the incoming ones, or `None` if the chunk is to be ignored.
+    /// Each sender has one message at a time, which its first chunk starts.
     fn incoming_position(&mut self, now: Instant, from: SocketAddr, chunk: &Chunk) -> Option<usize> {
         let Some(position) = self.incoming.iter().position(|message| message.from == from) else {
             return (chunk.index == 0).then(|| self.start_incoming(now, from, chunk));
@@ -208,7 +216,7 @@
         if message.message_id == chunk.message_id {
             return (message.chunk_count() == chunk.count).then_some(position);
         }
-        if chunk.index != 0 || message.outlasts_newer() {
+        if chunk.index != 0 || message.is_kept_over_newer() {
             return None;
         }
         self.incoming.remove(position);
@@ -217,9 +225,9 @@
 
     fn start_incoming(&mut self, now: Instant, from: SocketAddr, chunk: &Chunk) -> usize {
         if self.incoming.len() >= MAX_INCOMING {
-            let idle_longest =
+            let longest_idle =
                 (0..self.incoming.len()).min_by_key(|index| self.incoming[*index].last_progress);
-            if let Some(position) = idle_longest {
+            if let Some(position) = longest_idle {
                 self.incoming.remove(position);
             }
             self.lost_messages += 1;
@@ -228,20 +236,20 @@
             from,
             message_id: chunk.message_id,
             chunks: vec![None; usize::from(chunk.count)],
-            received: 0,
-            requested: 0,
+            received_count: 0,
+            requested_end: 0,
             last_progress: now,
             retries: 0,
         });
         self.incoming.len() - 1
     }
 
-    /// Requests chunks that were not requested yet, up to a few beyond those received.
+    /// Requests further chunks, so that up to `CHUNKS_AHEAD` more than the received ones have been requested.
     fn request_ahead(&mut self, position: usize) {
         let message = &mut self.incoming[position];
-        let first = message.requested.max(1);
-        let end = (message.received + CHUNKS_AHEAD).min(message.chunk_count());
-        message.requested = end;
+        let first = message.requested_end.max(1);
+        let end = (message.received_count + CHUNKS_AHEAD).min(message.chunk_count());
+        message.requested_end = end;
         let (to, number) = (message.from, message.message_id);
         for piece in first..end {
             let body = Body::ConsensusChunkRequest { number, piece };
@@ -249,12 +257,12 @@
         }
     }
 
-    /// When `handle_timeout` is due; none while nothing is received.
+    /// Returns when `handle_timeout` is due, or `None` if no message is being received.
     pub fn poll_timeout(&self) -> Option<Instant> {
         self.incoming.iter().map(|message| message.last_progress + self.settings.retry_interval).min()
     }
 
-    /// Requests missing chunks again, and gives up messages that make no progress.
+    /// Requests missing chunks again, and drops messages that make no progress.
     pub fn handle_timeout(&mut self, now: Instant) {
         let before = self.incoming.len();
         self.incoming.retain(|message| message.retries < MAX_MESSAGE_RETRIES);
@@ -272,7 +280,7 @@
         }
     }
 
-    /// The next datagram to send.
+    /// Returns the next datagram to send, if any.
     pub fn poll_transmit(&mut self) -> Option<Transmit> {
         self.transmits.pop_front()
     }
--- a/crates/consensus/src/chunks/tests.rs
+++ b/crates/consensus/src/chunks/tests.rs
@@ -1,4 +1,4 @@
-//! A sender and a receiver over a lossy link, and the bounds on what either keeps.
+//! Tests of a transfer over a lossy link, and of the bounds on stored messages.
 
 use super::*;
 
@@ -10,7 +10,7 @@
     SocketAddr::from(([10, 0, 0, 1], port))
 }
 
-/// Sends messages over a link that loses this fraction of datagrams; the messages that arrive.
+/// Sends messages over a link that loses the given fraction of datagrams, and returns those that arrive.
 fn send_all(messages: &[Bytes], loss: f64, seed: u64) -> Vec<Bytes> {
     let (mut sender, mut receiver) =
         (ChunkedTransfer::new(settings(), 7), ChunkedTransfer::new(settings(), 900));
@@ -44,7 +44,7 @@
             if received.last() == Some(message) {
                 break;
             }
-            // Consensus repeats its messages, so the sender sends this one again from time to time.
+            // Raft retries its messages, so the sender sends this one again at random intervals.
             if random.rand_float() < 0.02 {
                 sender.send(address(2), message.clone());
             }
@@ -53,8 +53,8 @@
     received
 }
 
-/// A fifth of all datagrams get lost. Messages of one chunk and of hundreds must still arrive whole, as a snapshot that is
-/// damaged or missing would stop a follower for good.
+/// 20% of all datagrams are lost. Messages of one chunk and of hundreds must still arrive complete, as a follower could
+/// never continue after a damaged or missing snapshot.
 #[test]
 fn messages_of_any_length_arrive_whole_and_in_order() {
     let message = |length: usize| {
@@ -70,10 +70,10 @@
     }
 }
 
-/// Hundreds of senders begin messages that they never complete. Neither side may keep more than its bound, and messages
-/// without progress are given up.
+/// Hundreds of senders start messages that they never complete. Sender and receiver must store no more messages than
+/// their bounds allow, and messages without progress must be dropped.
 #[test]
-fn incomplete_messages_are_bounded_and_given_up() {
+fn incomplete_messages_are_bounded_and_dropped() {
     let chunk = |message_id: u32, count: u16, index: u16, bytes: &'static [u8]| Chunk {
         message_id,
         count,
@@ -86,7 +86,7 @@
         let from = address(1_000 + sender as u16);
         let now = Instant::from_secs(f64::from(sender));
         assert_eq!(chunks.on_chunk(now, from, chunk(1, 3, 0, b"x")), None);
-        // A message that is longer than allowed, and a chunk of a message without its first chunk.
+        // A message that is too long, and a chunk of a message whose first chunk was not received.
         assert_eq!(chunks.on_chunk(now, from, chunk(2, u16::MAX, 0, b"")), None);
         assert_eq!(chunks.on_chunk(now, address(9), chunk(1, 3, 2, b"")), None);
     }
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -1,55 +1,55 @@
-//! Leases: how long a replica may treat what it has as the newest.
+//! Leases, which limit how long a replica may treat its committed state as the latest.
 //!
-//! A replica requests a lease from the leader. The grant confirms that nothing after an index was committed at some moment
-//! after the request was sent. For the lease's duration from that moment no other replica takes anything newer for
-//! effective, so reads here are not stale.
+//! A replica requests a lease from the leader. The grant confirms that at some moment after the request was sent no
+//! entry after a certain index was committed. For the lease's duration from that moment no other replica considers a
+//! later entry effective, so reads from this replica are not stale.
 //!
-//! Unlike the leader leases of Raft (thesis, section 6.4.1) each replica holds one. It is counted by the replica's own
-//! monotonic clock, and shortened by what clocks may drift apart.
+//! Unlike the leader lease of Raft (thesis, section 6.4.1), each replica holds its own. The lease is measured by the
+//! replica's monotonic clock, and shortened by the possible clock drift.
 
 use crate::fault::ConsensusFault;
 use std::collections::VecDeque;
 use tackmast::interface::{Instant, TimeDelta};
 
-/// Fraction of a lease's duration after which it is renewed.
+/// Fraction of a lease's duration after which its renewal is requested.
 const RENEWAL_FRACTION: f64 = 0.34;
-/// Fraction of a lease's duration after which a request without a response is repeated.
+/// Fraction of a lease's duration after which a request without a response is retried.
 const RETRY_FRACTION: f64 = 0.1;
-/// Greatest number of requests whose responses may still arrive. Responses to older ones are ignored.
+/// Greatest number of outstanding requests. Responses to older requests are ignored.
 const MAX_OUTSTANDING: usize = 32;
 
-/// Whether a replica may treat what it has as the newest.
+/// Whether a replica may treat its committed state as the latest.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LeaseState {
-    /// It has had no lease since it started.
+    /// The replica has had no lease since it started.
     Never,
-    /// It may.
+    /// The replica has a lease.
     Valid {
-        /// The end of the lease.
+        /// When the lease ends, by the replica's monotonic clock.
         until: Instant,
     },
-    /// It may not: other replicas may have something newer.
+    /// The lease has ended. Later entries may be effective on other replicas.
     Expired {
-        /// The end of the last lease.
+        /// When the last lease ended, by the replica's monotonic clock.
         since: Instant,
     },
 }
 
 impl LeaseState {
-    /// Whether the replica may treat what it has as the newest.
+    /// Returns whether the replica may treat its committed state as the latest.
     pub fn is_valid(&self) -> bool {
         matches!(self, LeaseState::Valid { .. })
     }
 }
 
-/// A leader's response to a request.
+/// A leader's grant of a lease.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseGrant {
-    /// Number of the request.
+    /// Sequence number of the request that is granted.
     pub sequence: u32,
-    /// Index of the last entry that was committed.
+    /// Index of the last entry that was committed when the lease was granted.
     pub index: u64,
-    /// How long the lease lasts, from when it was requested.
+    /// Duration of the lease, counted from when it was requested.
     pub duration: TimeDelta,
 }
 
@@ -59,14 +59,14 @@
     sent: Instant,
 }
 
-/// A granted lease: until its end, entries up to `index` are the newest.
+/// A granted lease. Until its end no entry after `index` is effective on another replica.
 #[derive(Clone, Copy, Debug)]
-struct Validity {
+struct GrantedLease {
     index: u64,
     until: Instant,
 }
 
-/// A replica's lease, and its requests for the next one.
+/// A replica's lease and its requests for renewal.
 #[derive(Clone, Debug)]
 pub struct Lease {
     duration: TimeDelta,
@@ -74,17 +74,17 @@
     last_sequence: u32,
     outstanding: VecDeque<Request>,
     next_request_at: Instant,
-    current: Option<Validity>,
-    /// A grant whose entries this replica does not have yet.
-    awaiting_entries: Option<Validity>,
-    newest_grant: Option<LeaseGrant>,
+    current: Option<GrantedLease>,
+    /// A lease whose entries this replica does not have yet.
+    awaiting_entries: Option<GrantedLease>,
+    latest_grant: Option<LeaseGrant>,
     fault: Option<ConsensusFault>,
     unanswered: u32,
 }
 
 impl Lease {
-    /// Without a lease. `duration` is the same at all replicas; `max_clock_drift` is the fraction by which monotonic clocks
-    /// may drift apart.
+    /// Creates the state of a replica that has no lease yet. `duration` must be the same on all replicas;
+    /// `max_clock_drift` is the greatest fraction by which monotonic clocks may drift apart.
     pub fn new(now: Instant, duration: TimeDelta, max_clock_drift: f64) -> Lease {
         Lease {
             duration,
@@ -94,20 +94,20 @@
             next_request_at: now,
             current: None,
             awaiting_entries: None,
-            newest_grant: None,
+            latest_grant: None,
             fault: None,
             unanswered: 0,
         }
     }
 
-    /// The same lease with a deliberate fault.
+    /// Returns the same lease with a deliberate fault, for tests.
     pub fn with_fault(mut self, fault: ConsensusFault) -> Lease {
         self.fault = Some(fault);
         self
     }
 
-    /// How long after a replica learns of a commit, by its own clock, other replicas may still hold a lease that does not
-    /// cover the entry.
+    /// Returns how long a replica has to wait, by its own clock, after it learned of a commit until the entry is
+    /// effective. Until then other replicas may hold a lease that does not cover the entry.
     pub fn commit_wait(duration: TimeDelta, max_clock_drift: f64) -> TimeDelta {
         TimeDelta::from_secs(duration.secs() * (1.0 + 2.0 * max_clock_drift))
     }
@@ -116,7 +116,7 @@
         TimeDelta::from_secs(self.duration.secs() * fraction)
     }
 
-    /// The number of a new request, if one is due; a lease counts from now.
+    /// Returns the sequence number of a new request if one is due. A lease that it is granted counts from `now`.
     pub fn poll_request(&mut self, now: Instant) -> Option<u32> {
         if now < self.next_request_at {
             return None;
@@ -131,28 +131,29 @@
         Some(self.last_sequence)
     }
 
-    /// Makes a request due now, as a read waits for it.
+    /// Makes the next request due now, as a read is waiting for it.
     pub(crate) fn request_now(&mut self, now: Instant) {
         self.next_request_at = self.next_request_at.min(now);
     }
 
-    /// A grant has arrived. The lease counts from its request: if it counted from the grant, the time of both messages, and
-    /// any pause of this process, would come on top, and the lease would last longer than others wait for it.
+    /// Handles a grant from the leader. The lease counts from its request. If it counted from the grant, it would be
+    /// longer by the delay of both messages and any pause of this process, and other replicas would not wait for its
+    /// end.
     pub fn on_granted(&mut self, now: Instant, grant: LeaseGrant) {
         let request = self.outstanding.iter().find(|request| request.sequence == grant.sequence);
         let Some(sent) = request.map(|request| request.sent) else { return };
         self.unanswered = 0;
-        if self.newest_grant.is_none_or(|newest| newest.sequence < grant.sequence) {
-            self.newest_grant = Some(grant);
+        if self.latest_grant.is_none_or(|latest| latest.sequence < grant.sequence) {
+            self.latest_grant = Some(grant);
         }
         let start = if self.has_fault(ConsensusFault::LeaseFromResponse) { now } else { sent };
         let drift = if self.has_fault(ConsensusFault::IgnoreClockDrift) { 0.0 } else { self.max_clock_drift };
         let until = start + usable_duration(grant.duration, self.duration, drift);
         if self.awaiting_entries.is_none_or(|awaiting| until > awaiting.until) {
-            self.awaiting_entries = Some(Validity { index: grant.index, until });
+            self.awaiting_entries = Some(GrantedLease { index: grant.index, until });
         }
-        // A grant that took long leaves little of the lease, or none. The next request still waits for the retry time, or
-        // this replica would flood the leader with requests.
+        // After a slow grant the renewal may be due already. The next request still waits for the retry interval, so
+        // that this replica does not flood the leader.
         let renewal = sent + self.fraction(RENEWAL_FRACTION);
         self.next_request_at = renewal.max(now + self.fraction(RETRY_FRACTION));
     }
@@ -161,43 +162,44 @@
         self.fault == Some(fault)
     }
 
-    /// Another replica has responded, perhaps only with a hint at the leader.
+    /// Records that another replica has responded, if only with a hint about the leader.
     pub(crate) fn on_response(&mut self) {
         self.unanswered = 0;
     }
 
-    /// Requests since the last response.
+    /// Returns the number of requests since the last response.
     pub(crate) fn unanswered(&self) -> u32 {
         self.unanswered
     }
 
-    /// Entries up to `index` are here and committed. A lease begins once the entries that its grant covers are: before
-    /// that, this replica would treat an older state as the newest.
+    /// Records that this replica knows the entries up to `index` to be committed. A granted lease takes effect only
+    /// once this replica has all entries that it covers. Before that, the replica would treat an older state as the
+    /// latest.
     pub fn on_committed(&mut self, index: u64) {
-        let without_entries = self.has_fault(ConsensusFault::LeaseWithoutEntries);
-        let is_usable = |awaiting: &mut Validity| awaiting.index <= index || without_entries;
+        let ignores_entries = self.has_fault(ConsensusFault::LeaseWithoutEntries);
+        let is_usable = |awaiting: &mut GrantedLease| awaiting.index <= index || ignores_entries;
         let Some(usable) = self.awaiting_entries.take_if(is_usable) else { return };
         if self.current.is_none_or(|current| usable.until > current.until) {
             self.current = Some(usable);
         }
     }
 
-    /// Whether this replica may treat what it has as the newest now.
+    /// Returns whether this replica may treat its committed state as the latest at `now`.
     pub fn state(&self, now: Instant) -> LeaseState {
         match self.current {
             None => LeaseState::Never,
-            Some(Validity { until, .. }) if now < until => LeaseState::Valid { until },
-            Some(Validity { until, .. }) => LeaseState::Expired { since: until },
+            Some(GrantedLease { until, .. }) if now < until => LeaseState::Valid { until },
+            Some(GrantedLease { until, .. }) => LeaseState::Expired { since: until },
         }
     }
 
-    /// Index of the last entry that was committed at some moment after that request, once the request or a later one is
-    /// granted.
+    /// Returns the index of the last entry that was committed at some moment after the request with this sequence
+    /// number. `None` until that request or a later one has been granted.
     pub fn read_index(&self, sequence: u32) -> Option<u64> {
-        self.newest_grant.filter(|newest| newest.sequence >= sequence).map(|newest| newest.index)
+        self.latest_grant.filter(|latest| latest.sequence >= sequence).map(|latest| latest.index)
     }
 
-    /// When the next request is due, or the state changes.
+    /// Returns when the next request is due or the lease ends, whichever is first.
     pub fn poll_timeout(&self, now: Instant) -> Instant {
         match self.state(now) {
             LeaseState::Valid { until } => self.next_request_at.min(until),
@@ -206,8 +208,8 @@
     }
 }
 
-/// How long a lease is used: no longer than this replica's own setting, whatever the leader's is, and shorter by what the
-/// clocks of two replicas may drift apart, as other replicas wait for its end by their own clocks.
+/// Returns how long a granted lease may be used. It is at most the duration in this replica's own settings, whatever
+/// the leader's are, and shortened by the possible clock drift, as other replicas wait for its end by their own clocks.
 fn usable_duration(granted: TimeDelta, configured: TimeDelta, max_clock_drift: f64) -> TimeDelta {
     let duration = granted.secs().min(configured.secs());
     TimeDelta::from_secs(duration * (1.0 - 2.0 * max_clock_drift))
