--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -1,6 +1,6 @@
-//! One Raft server without I/O: a voter where its host number and disk are in the configuration, else a learner that only
-//! takes what is committed. This file has the server's state and its inputs; `dispatch` passes each message to the module
-//! that handles it.
+//! A Raft server without I/O. It is a voter if the configuration contains its host number with its disk, or else a
+//! learner that receives only committed entries. This file has the server's state and its inputs; `dispatch` passes
+//! each message to the module that handles it.
 
 mod bootstrap;
 mod commit;
@@ -32,44 +32,44 @@
 use tackmast::interface::Instant;
 use tackmast_wire::consensus::{DiskIdentity, EntryPayload, Message, Voters};
 
-/// Greatest number of entries that are not committed yet. A leader refuses proposals beyond.
+/// Number of uncommitted entries from which on a leader rejects proposals.
 const MAX_UNCOMMITTED: u64 = 1024;
-/// Greatest number of entries of one AppendEntries message.
+/// Greatest number of entries in one AppendEntries message.
 const MAX_APPEND_ENTRIES: usize = 128;
-/// Greatest length in bytes of the entries of one AppendEntries message, unless a single entry is longer.
+/// Greatest size in bytes of the entries in one AppendEntries message. A single larger entry is sent alone.
 const MAX_APPEND_BYTES: usize = 64 << 10;
 
-/// What a Raft server wants done.
+/// An output of a Raft server, which its replica carries out or passes to the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RaftOutput {
-    /// A message for another replica, or this one.
+    /// Send a message to a replica, which may be this one.
     Send {
         /// The receiver's host number.
         to: u32,
         /// The message.
         message: Message,
     },
-    /// A change of the persistent state.
+    /// Persist a change of the state, then call `on_persisted`.
     Write(Write),
-    /// An entry is committed.
+    /// Apply a committed entry.
     Commit {
-        /// Its index.
+        /// Index of the entry.
         index: u64,
-        /// What it holds.
+        /// Content of the entry.
         payload: EntryPayload,
     },
-    /// The state machine takes this state in place of all before.
+    /// Replace the state machine's state by that of a snapshot.
     RestoreSnapshot(Snapshot),
-    /// The state machine's state as of that commit is wanted.
+    /// Encode the state machine's state as of an entry, then call `on_snapshot_taken`.
     TakeSnapshot {
-        /// Index of the last committed entry.
+        /// Index of the last entry that the state is to cover.
         index: u64,
     },
-    /// A change for the log.
+    /// Report an event to operators.
     Event(ConsensusEvent),
 }
 
-/// The state of a server (Raft, figure 4).
+/// The role of a server and the state that belongs to it (Raft, figure 4).
 #[derive(Clone, Debug)]
 enum Role {
     Follower { leader: Option<u32> },
@@ -91,7 +91,7 @@
     role: Role,
     last_leader_contact: Instant,
     election_deadline: Instant,
-    /// State of the bootstrap, until the group has a log.
+    /// State of the bootstrap; `None` once the server has a log.
     bootstrap: Option<BootstrapState>,
     known_disks: BTreeMap<u32, DiskIdentity>,
     known_disks_changed: bool,
@@ -105,12 +105,12 @@
     outputs: VecDeque<RaftOutput>,
     random: oorandom::Rand64,
     fault: Option<ConsensusFault>,
-    /// Events since the start.
+    /// Numbers of events since the server started.
     pub counters: Counters,
 }
 
 impl RaftNode {
-    /// A server as its disk has it.
+    /// Creates a server with the state that its disk holds.
     pub fn new(now: Instant, settings: ReplicaSettings) -> RaftNode {
         let ReplicaSettings { host, identity, raft, initial_voters, persisted, seed } = settings;
         let commit_index = persisted.snapshot.last.index;
@@ -150,7 +150,7 @@
         node
     }
 
-    /// The same server with a deliberate fault, which tests have to find.
+    /// Returns the same server with a deliberate fault, for tests.
     pub fn with_fault(mut self, fault: ConsensusFault) -> RaftNode {
         self.fault = Some(fault);
         self
@@ -160,28 +160,29 @@
         self.fault == Some(fault)
     }
 
-    /// Index of the last entry that this server knows to be committed.
+    /// Returns the index of the last entry that this server knows to be committed.
     pub fn commit_index(&self) -> u64 {
         self.commit_index
     }
 
-    /// Index of the last entry that is committed and on this server's disk.
+    /// Returns the index of the last entry that is committed and on this server's disk.
     pub(crate) fn persisted_commit_index(&self) -> u64 {
         self.commit_index.min(self.persisted_index)
     }
 
-    /// The disk that this server runs from.
+    /// Returns the identity of the disk that this server runs from.
     pub fn identity(&self) -> DiskIdentity {
         self.identity
     }
 
-    /// The newest configuration in the log, committed or not.
+    /// Returns the voters of the latest configuration in the log, committed or not.
     pub fn voters(&self) -> &Voters {
         self.log.configuration().voters
     }
 
-    /// Hosts to ask for the leader.
-    pub(crate) fn voters_to_ask(&self) -> Vec<u32> {
+    /// Returns the hosts that are asked for a log, for committed entries or for the leader: the voters, or the initial
+    /// voters during bootstrap.
+    pub(crate) fn voters_to_query(&self) -> Vec<u32> {
         match &self.bootstrap {
             Some(bootstrap) => bootstrap.initial_voters.iter().copied().collect(),
             None => self.voters().keys().copied().collect(),
@@ -192,7 +193,7 @@
         self.voters().keys().copied().filter(|host| *host != self.host).collect()
     }
 
-    /// The leader as far as this server knows.
+    /// Returns the host number of the leader that this server knows of, if any.
     pub fn leader(&self) -> Option<u32> {
         match &self.role {
             Role::Leader(_) => Some(self.host),
@@ -201,12 +202,12 @@
         }
     }
 
-    /// Whether this server is the leader of its term.
+    /// Returns whether this server is the leader of its term.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Whether this server votes, by its host number and its disk.
+    /// Returns whether this server may vote: its host number is a voter's, and its disk is the one registered for it.
     pub fn is_voter(&self) -> bool {
         if self.disk_failed || self.bootstrap.is_some() {
             return false;
@@ -216,7 +217,7 @@
             || (voting_disk.is_some() && self.has_fault(ConsensusFault::LostDiskVotes))
     }
 
-    /// Number of voters that make a majority.
+    /// Returns the number of voters that make a majority.
     fn quorum(&self) -> usize {
         let voter_count = self.voters().len();
         match self.has_fault(ConsensusFault::MinorityCommits) {
@@ -225,12 +226,12 @@
         }
     }
 
-    /// The log.
+    /// Returns the log with its snapshot.
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// The newest term that this server has seen.
+    /// Returns the latest term that this server has seen.
     pub fn term(&self) -> u64 {
         self.hard_state.term
     }
@@ -239,7 +240,7 @@
         self.outputs.push_back(RaftOutput::Event(event));
     }
 
-    /// A newer term makes any server a follower (Raft, section 5.1).
+    /// Becomes a follower if `term` is later than this server's term (Raft, section 5.1).
     fn observe_term(&mut self, now: Instant, term: u64) {
         if term > self.hard_state.term {
             self.hard_state = HardState { term, voted_for: None };
@@ -256,7 +257,7 @@
         self.role = Role::Follower { leader };
     }
 
-    /// Does what is due.
+    /// Performs all actions that are due, such as heartbeats, elections and retries.
     pub fn handle_timeout(&mut self, now: Instant) {
         if self.disk_failed {
             return;
@@ -271,7 +272,7 @@
         }
     }
 
-    /// When `handle_timeout` is due; none if only a message can bring anything new.
+    /// Returns when `handle_timeout` is due, or `None` if the server only waits for messages.
     pub fn poll_timeout(&self) -> Option<Instant> {
         if self.disk_failed {
             return None;
@@ -285,12 +286,12 @@
         [role_timeout, announcement].into_iter().flatten().min()
     }
 
-    /// The next thing to be done.
+    /// Returns the next output, if any. Outputs are to be carried out in order.
     pub fn poll_output(&mut self) -> Option<RaftOutput> {
         self.outputs.pop_front()
     }
 
-    /// The state at this moment, for operators.
+    /// Returns the state at `now`, for operators.
     pub fn status(&self, now: Instant) -> Status {
         let (role, followers) = match &self.role {
             Role::Follower { .. } => (ReplicaRole::Follower, BTreeMap::new()),
@@ -313,7 +314,7 @@
     }
 }
 
-/// The least number of voters such that any two sets of so many have one in common.
+/// Returns the smallest number of voters such that any two sets of that size overlap.
 fn majority(voter_count: usize) -> usize {
     voter_count / 2 + 1
 }
--- a/crates/consensus/src/raft/bootstrap.rs
+++ b/crates/consensus/src/raft/bootstrap.rs
@@ -1,10 +1,10 @@
-//! The beginning of a group's log, which Raft as published leaves to the operator.
+//! Bootstrap of a group's log, which Raft as published does not specify.
 //!
-//! The initial voters, which the settings name, first agree on their disks: each announces the disks that it knows of,
-//! records them on its own disk once it knows all, and begins the log once all others announce that they recorded the same.
-//! Without this, an initial voter whose disk was lost would take part in a second log beside the first, and entries that
-//! were committed in the first would be missing in it. So all initial voters have to run once, and a server without a log
-//! that meets a group with one only follows.
+//! The initial voters, which the settings name, first agree on their disks. Each announces the disks that it knows,
+//! persists them once it knows all, and starts the log once all others have announced that they persisted the same
+//! disks. Without this agreement an initial voter that lost its disk could help to start a second log, which would lack
+//! entries that were committed in the first. Bootstrap therefore requires that every initial voter runs at least once,
+//! and a server without a log that finds a group with one joins as a learner.
 
 use super::RaftNode;
 use crate::event::ConsensusEvent;
@@ -14,17 +14,17 @@
 use tackmast::interface::Instant;
 use tackmast_wire::consensus::{DiskIdentity, Message, Voters};
 
-/// Heartbeat intervals between two requests of a replica that does not vote and waits for a log.
-const LEARNER_HEARTBEATS: f64 = 10.0;
+/// Number of heartbeat intervals between two requests for a log by a learner that has none.
+const LEARNER_REQUEST_HEARTBEATS: f64 = 10.0;
 
-/// What this replica has done to confirm the initial voters' disks.
+/// This server's confirmation of the initial voters' disks.
 #[derive(Clone, Debug)]
 enum Confirmation {
     /// Some disks are not known yet.
     None,
-    /// That write has to be persisted first.
+    /// The confirmation is being written.
     Writing { write_id: u64, voters: Voters },
-    /// It is on disk.
+    /// The confirmation is on disk.
     Persisted { voters: Voters },
 }
 
@@ -49,14 +49,14 @@
 pub(super) struct BootstrapState {
     pub initial_voters: BTreeSet<u32>,
     pub next_announcement: Instant,
-    /// The initial voters' disks, as far as they are known.
+    /// The known disks of the initial voters.
     disks: Voters,
     confirmation: Confirmation,
-    /// Other initial voters that confirmed the same disks.
+    /// Other initial voters that have confirmed the same disks.
     confirmed_by: BTreeSet<u32>,
-    /// Whether an event reported that bootstrap can't succeed.
-    is_reported: bool,
-    /// Whether this server only waits for a log of others.
+    /// Whether an event has reported that bootstrap failed.
+    failure_reported: bool,
+    /// Whether this server only joins an existing log and takes no part in bootstrap.
     is_learner: bool,
 }
 
@@ -69,7 +69,7 @@
 }
 
 impl BootstrapState {
-    /// The state of a server that may begin the log.
+    /// Returns the state of a server that may start the log as an initial voter.
     pub(super) fn new(initial_voters: BTreeSet<u32>, confirmed_voters: Option<Voters>) -> BootstrapState {
         let confirmation = match confirmed_voters {
             Some(voters) => Confirmation::Persisted { voters },
@@ -81,12 +81,12 @@
             disks: Voters::new(),
             confirmation,
             confirmed_by: BTreeSet::new(),
-            is_reported: false,
+            failure_reported: false,
             is_learner: false,
         }
     }
 
-    /// The state of a server that only waits for a log of others.
+    /// Returns the state of a server that only joins an existing log.
     pub(super) fn learner(initial_voters: BTreeSet<u32>) -> BootstrapState {
         BootstrapState { is_learner: true, ..BootstrapState::new(initial_voters, None) }
     }
@@ -99,7 +99,7 @@
         self.initial_voters.iter().all(|host| self.disks.contains_key(host))
     }
 
-    /// Whether the voter has another disk than the one that was confirmed.
+    /// Returns whether `disk` differs from the host's disk that this server confirmed.
     fn has_changed_disk(&self, host: u32, disk: u64) -> bool {
         let known = self.disks.get(&host);
         self.confirmation.voters().is_some() && known.is_some_and(|known| *known != disk)
@@ -114,7 +114,7 @@
             return;
         }
         let takes_part = bootstrap.takes_part(own_host);
-        let heartbeats = if takes_part { 1.0 } else { LEARNER_HEARTBEATS };
+        let heartbeats = if takes_part { 1.0 } else { LEARNER_REQUEST_HEARTBEATS };
         bootstrap.next_announcement = now + self.settings.heartbeats(heartbeats);
         let others: Vec<u32> =
             bootstrap.initial_voters.iter().copied().filter(|host| *host != own_host).collect();
@@ -122,7 +122,7 @@
             self.announce_disks(others);
             self.advance_bootstrap(now);
         } else {
-            self.ask_for_log(&others);
+            self.request_log(&others);
         }
     }
 
@@ -139,7 +139,7 @@
         }
     }
 
-    fn ask_for_log(&mut self, others: &[u32]) {
+    fn request_log(&mut self, others: &[u32]) {
         let choice = self.random.rand_range(0..others.len().max(1) as u64) as usize;
         if let Some(to) = others.get(choice) {
             self.send(*to, Message::FetchCommitted { stored_index: 0 });
@@ -159,9 +159,9 @@
         self.handle_announcement(now, from, announcement);
     }
 
-    /// This group has a log. A server that has none is sent the disks of its voters.
-    fn announce_existing_log(&mut self, to: u32, is_known_there: bool) {
-        if is_known_there {
+    /// Sends the voters' disks to a server that has no log, as this group has one.
+    fn announce_existing_log(&mut self, to: u32, has_log: bool) {
+        if has_log {
             return;
         }
         let (identity, disks) = (self.identity, self.voters().clone());
@@ -174,8 +174,8 @@
         if bootstrap.confirmation.persisted() == Some(&voters) {
             return self.finish_bootstrap(now, voters);
         }
-        // The log began without this disk, or its voters have changed since: this server only follows.
-        if !std::mem::replace(&mut bootstrap.is_reported, true) {
+        // The log was started without this disk, or its voters have changed since, so this server joins as a learner.
+        if !std::mem::replace(&mut bootstrap.failure_reported, true) {
             self.emit(ConsensusEvent::NotBootstrappedWithDisk { host: self.host });
         }
         self.send(from, Message::FetchCommitted { stored_index: 0 });
@@ -184,8 +184,8 @@
     fn handle_announcement(&mut self, now: Instant, from: u32, announcement: Announcement) {
         let Announcement { identity, confirmed, disks, .. } = announcement;
         let Some(bootstrap) = &mut self.bootstrap else { return };
-        if bootstrap.has_changed_disk(from, identity.disk) && !bootstrap.is_reported {
-            bootstrap.is_reported = true;
+        if bootstrap.has_changed_disk(from, identity.disk) && !bootstrap.failure_reported {
+            bootstrap.failure_reported = true;
             return self.emit(ConsensusEvent::BootstrapDiskChanged { peer: from });
         }
         bootstrap.disks.insert(from, identity.disk);
@@ -195,7 +195,7 @@
         self.advance_bootstrap(now);
     }
 
-    /// Confirms the disks once all are known, and begins the log once all have confirmed them.
+    /// Confirms the disks once all are known, and starts the log once all initial voters have confirmed them.
     fn advance_bootstrap(&mut self, now: Instant) {
         let own_host = self.host;
         let Some(bootstrap) = &self.bootstrap else { return };
@@ -244,7 +244,7 @@
     }
 }
 
-/// The id of the log. All initial voters derive the same one, from the ids of their disks, which are random.
+/// Returns the id of the log. All initial voters derive the same id from the ids of their disks, which are random.
 fn derive_log_id(voters: &Voters) -> u64 {
     let mix = |id: u64, disk: &u64| (id ^ disk).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29);
     voters.values().fold(1, mix)
--- a/crates/consensus/src/raft/commit.rs
+++ b/crates/consensus/src/raft/commit.rs
@@ -1,11 +1,11 @@
-//! Committed entries in order (Raft, section 5.3), and snapshots of what they led to (section 7).
+//! Output of committed entries in order (Raft, section 5.3), and snapshots of the resulting state (section 7).
 
 use super::{RaftNode, RaftOutput};
 use bytes::Bytes;
 use tackmast_wire::consensus::MAX_STATE;
 
 impl RaftNode {
-    /// Entries up to `index` are committed, as far as they are in the log.
+    /// Commits entries up to `index`, as far as they are in the log.
     pub(super) fn advance_commit_index(&mut self, index: u64) {
         let index = index.min(self.log.last().index);
         while self.commit_index < index {
@@ -18,7 +18,7 @@
         self.request_snapshot_if_due();
     }
 
-    /// Requests a snapshot of the state machine once the log has grown long.
+    /// Requests a snapshot of the state machine if the log has exceeded its bounds and no request is pending.
     pub(super) fn request_snapshot_if_due(&mut self) {
         let is_long = self.settings.is_snapshot_due(self.log.since_snapshot());
         let snapshot_index = self.log.snapshot().last.index;
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The state that all entries up to `index` led to, as requested.
+    /// Compacts the log with the requested state after entry `index`. A state longer than `MAX_STATE` is ignored.
     pub fn on_snapshot_taken(&mut self, index: u64, state: Bytes) {
         if index > self.commit_index || state.len() > MAX_STATE {
             return;
--- a/crates/consensus/src/raft/disk_identity.rs
+++ b/crates/consensus/src/raft/disk_identity.rs
@@ -1,9 +1,9 @@
-//! Which disks vote. Raft as published takes stable storage for granted.
+//! Recognition of lost and copied disks. Raft as published assumes that stable storage is never lost.
 //!
-//! A server that lost its disk has forgotten its vote and its entries. If it voted again in the same term, two leaders
-//! could be elected, or an entry that is committed could be lost. So a voter is a host number together with the id of its
-//! disk. An old copy of a disk has the same id; each opening of a disk is counted and reported, so that voters recognise
-//! the copy.
+//! A server that lost its disk has lost its vote and its entries. If it voted again in the same term, two leaders could
+//! be elected, or a committed entry could be lost. A voter is therefore identified by its host number and the id of its
+//! disk. An old copy of a disk has the same id, so each opening of a disk is counted, and the count is sent with
+//! messages, by which voters recognise the copy.
 
 use super::{RaftNode, Role};
 use crate::event::ConsensusEvent;
@@ -12,7 +12,8 @@
 use tackmast_wire::consensus::{DiskIdentity, Message};
 
 impl RaftNode {
-    /// Whether a voter's message comes from the disk that votes for it, and not from an old copy of that disk.
+    /// Returns whether a message comes from the disk that is registered for a voter, and not from an old copy of that
+    /// disk.
     pub(super) fn is_current_disk(&mut self, from: u32, identity: DiskIdentity) -> bool {
         if from == self.host {
             return false;
@@ -31,14 +32,15 @@
         if known != Some(identity) && is_current {
             self.known_disks.insert(from, identity);
             self.known_disks_changed = true;
-            // Persisted before the response: after a restart an older copy of that disk would else count again.
+            // The disk is persisted before the response is sent. Otherwise an older copy of that disk would be accepted
+            // again after a restart of this server.
             self.write(Write::default());
         }
         true
     }
 
-    /// Another process has opened this server's disk since, and may have voted. This server takes a new disk id, which does
-    /// not vote, also after a restart.
+    /// Handles a report that another process has opened this server's disk since, and may have voted. This server takes
+    /// a new disk id, so that it does not vote any more, even after a restart.
     pub(super) fn handle_stale_disk(&mut self, identity: DiskIdentity) {
         if identity != self.identity || self.has_fault(ConsensusFault::OldDiskVotes) {
             return;
@@ -54,7 +56,7 @@
     }
 }
 
-/// Whether the disk is another one, was opened again since, or is still open by the same process.
+/// Returns whether the disk is a different one, was opened again since, or is still open in the same process.
 fn is_not_older(identity: DiskIdentity, known: DiskIdentity) -> bool {
     let is_reopened = identity.boot > known.boot;
     let is_same_process = identity.boot == known.boot && identity.generation == known.generation;
--- a/crates/consensus/src/raft/dispatch.rs
+++ b/crates/consensus/src/raft/dispatch.rs
@@ -1,4 +1,4 @@
-//! Passes each message to the module that handles it, unless it belongs to another log.
+//! Dispatch of messages to the modules that handle them. Messages that belong to another log are ignored.
 
 use super::{bootstrap, election, follower, leases, replication, RaftNode};
 use crate::log::Snapshot;
@@ -6,7 +6,7 @@
 use tackmast_wire::consensus::Message;
 
 impl RaftNode {
-    /// A message of another replica has arrived.
+    /// Handles a message from the replica of host `from`, which may be this one.
     pub fn handle_message(&mut self, now: Instant, from: u32, message: Message) {
         if self.disk_failed || self.is_of_other_log(&message) {
             return;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Whether the message belongs to another log, as an old one beside a log that an operator forced.
+    /// Returns whether the message belongs to another log, for example to the one that a forced log replaced.
     fn is_of_other_log(&self, message: &Message) -> bool {
         match message {
             Message::AppendEntries { log_id, .. }
--- a/crates/consensus/src/raft/election.rs
+++ b/crates/consensus/src/raft/election.rs
@@ -1,8 +1,8 @@
-//! Leader election (Raft, section 5.2) with the restriction on logs (5.4.1).
+//! Leader election (Raft, section 5.2) with the election restriction (section 5.4.1).
 //!
-//! A server that was cut off has missed heartbeats, and with a higher term it would depose a working leader when it is
-//! connected again. Two rules prevent that: pre-votes (thesis, section 9.6), which raise no term, and voters that
-//! disregard requests for votes while they have contact with a leader (thesis, section 4.2.3).
+//! A server that was partitioned has received no heartbeats. With a higher term it would depose an active leader once
+//! it is connected again. Two rules prevent this: pre-votes (thesis, section 9.6), which increment no term, and voters
+//! that ignore vote requests while they are in contact with a leader (thesis, section 4.2.3).
 
 use super::{RaftNode, Role};
 use crate::fault::ConsensusFault;
@@ -27,31 +27,33 @@
     pub identity: DiskIdentity,
 }
 
-/// What decides whether a voter grants a pre-vote or a vote.
+/// The facts by which a voter grants a pre-vote or a vote.
 struct VoteInputs {
-    /// Term that the candidate asks for.
+    /// Term of the election.
     candidate_term: u64,
-    /// Newest term that the voter has seen.
+    /// Latest term that the voter has seen.
     voter_term: u64,
-    /// Whether the candidate's log has all that the voter's log has, by its last entry (Raft, section 5.4.1).
+    /// Whether the candidate's log is at least as up to date as the voter's (Raft, section 5.4.1).
     is_log_up_to_date: bool,
 }
 
 impl VoteInputs {
-    /// A pre-vote answers whether a vote would be granted in that later term. It binds the voter to nothing.
+    /// Returns whether a pre-vote is granted, that is, whether a vote would be granted in that later term. A pre-vote
+    /// does not commit the voter to the candidate.
     fn allow_pre_vote(&self, has_leader_contact: bool) -> bool {
         !has_leader_contact && self.is_log_up_to_date && self.candidate_term > self.voter_term
     }
 
-    /// One vote in each term: `has_other_vote` is whether the voter has voted for another candidate in it, or leads it.
+    /// Returns whether a vote is granted. `has_other_vote` is whether the voter has voted for another candidate in this
+    /// term, or leads it.
     fn allow_vote(&self, has_other_vote: bool) -> bool {
         self.candidate_term == self.voter_term && !has_other_vote && self.is_log_up_to_date
     }
 }
 
 impl RaftNode {
-    /// Begins a new election timeout: between one and two times the configured one, at random, so that rarely two servers
-    /// start an election together and split the votes (Raft, section 9.3).
+    /// Starts a new election timeout. It is chosen at random between one and two times the configured one, so that two
+    /// servers rarely start elections together and split the votes (Raft, section 9.3).
     pub(super) fn reset_election_timer(&mut self, now: Instant) {
         let timeouts = 1.0 + self.random.rand_float();
         self.election_deadline = now + self.settings.election_timeouts(timeouts);
@@ -116,14 +118,14 @@
         VoteInputs { candidate_term, voter_term: self.hard_state.term, is_log_up_to_date }
     }
 
-    /// Whether this server leads, or has had contact with one within the election timeout.
+    /// Returns whether this server leads, or has received a message from a leader within the election timeout.
     fn has_leader_contact(&self, now: Instant) -> bool {
         let has_recent_contact = now - self.last_leader_contact < self.settings.election_timeout;
         self.is_leader() || (self.leader().is_some() && has_recent_contact)
     }
 
-    /// Records the vote on disk before the response is sent: after a restart the server would else vote for another
-    /// candidate in the same term, and two leaders could be elected.
+    /// Persists the vote, which precedes the response. Otherwise the server could vote for another candidate in the
+    /// same term after a restart, and two leaders could be elected.
     fn record_vote(&mut self, candidate: u32) {
         if self.hard_state.voted_for.is_some() {
             return;
@@ -159,7 +161,7 @@
         self.count_votes(now);
     }
 
-    /// A majority of pre-votes starts the election, a majority of votes wins it.
+    /// Starts the election if a majority has granted pre-votes, or becomes leader if a majority has granted votes.
     pub(super) fn count_votes(&mut self, now: Instant) {
         let Role::Candidate { pre_vote, votes } = &self.role else { return };
         let pre_vote = *pre_vote;
@@ -171,8 +173,8 @@
             self.become_candidate();
             return self.count_votes(now);
         }
-        // This server's own vote has to be on disk as well. Votes of others arrive after that, but a single voter needs
-        // none.
+        // This server's own vote must be on disk as well. Votes of others arrive only after that, but a single voter
+        // needs no others.
         if count == 1 && self.persisted_write < self.last_write {
             return;
         }
--- a/crates/consensus/src/raft/follower.rs
+++ b/crates/consensus/src/raft/follower.rs
@@ -1,4 +1,4 @@
-//! What a follower does with a leader's messages: AppendEntries (Raft, section 5.3) and InstallSnapshot (section 7).
+//! Handling of a leader's messages by a follower: AppendEntries (Raft, section 5.3) and InstallSnapshot (section 7).
 
 use super::{RaftNode, RaftOutput, Role};
 use crate::event::ConsensusEvent;
@@ -16,7 +16,7 @@
     pub entries: Vec<Entry>,
 }
 
-/// Entries that the log lacks, or has of another term.
+/// Entries that the log lacks, or that conflict with its own.
 struct NewEntries {
     first_index: u64,
     entries: Vec<Entry>,
@@ -28,7 +28,7 @@
         if self.bootstrap.is_some() || !self.accept_leader(now, from, term, round) {
             return;
         }
-        // What the snapshot covers is committed, so the leader has the same entries.
+        // Entries that the snapshot covers are committed, so the leader has the same ones.
         let snapshot_index = self.log.snapshot().last.index;
         let matches =
             previous.index < snapshot_index || self.log.position_at(previous.index) == Some(previous);
@@ -56,8 +56,9 @@
         Message::AppendEntriesResponse { term, round, success, index, identity }
     }
 
-    /// Entries after `previous_index`, from the first one that the log lacks or has of another term. Entries that match
-    /// stay: a late message would else remove entries after it that this server has acknowledged.
+    /// Returns the received entries after `previous_index`, from the first one that the log lacks or that conflicts
+    /// with its own. Matching entries are not replaced. Otherwise a delayed message would remove later entries that
+    /// this server has acknowledged.
     fn select_new_entries(&self, previous_index: u64, entries: Vec<Entry>) -> NewEntries {
         let snapshot_index = self.log.snapshot().last.index;
         let mut new = NewEntries { first_index: 0, entries: Vec::new() };
@@ -66,10 +67,11 @@
                 continue;
             }
             if new.entries.is_empty() {
-                let is_here = self.log.position_at(index).is_some_and(|position| position.term == entry.term);
+                let is_match =
+                    self.log.position_at(index).is_some_and(|position| position.term == entry.term);
                 let keeps_conflict =
                     self.has_fault(ConsensusFault::KeepsConflicts) && self.log.get(index).is_some();
-                if is_here || keeps_conflict {
+                if is_match || keeps_conflict {
                     continue;
                 }
                 new.first_index = index;
@@ -79,7 +81,7 @@
         new
     }
 
-    /// Replaces the log from the first new entry on.
+    /// Replaces the entries from the first new one on.
     fn replace_suffix(&mut self, new: NewEntries) {
         self.truncate_log_from(new.first_index);
         for entry in &new.entries {
@@ -88,7 +90,7 @@
         self.write_entries(new.first_index, new.entries);
     }
 
-    /// Whether the message is from the leader of this term or of a later one.
+    /// Returns whether a message is from the leader of this term or of a later one, and if so follows that leader.
     fn accept_leader(&mut self, now: Instant, from: u32, term: u64, round: u64) -> bool {
         if term < self.hard_state.term && !self.has_fault(ConsensusFault::OldLeaderFollowed) {
             let response = self.append_response(round, false, self.commit_index);
@@ -97,7 +99,7 @@
         }
         self.observe_term(now, term);
         if self.is_leader() {
-            // One term has at most one leader, so the message is forged or damaged.
+            // A term has at most one leader, so the message is forged or corrupt.
             return false;
         }
         if self.leader() != Some(from) {
@@ -117,7 +119,7 @@
         }
         let index = snapshot.last.index;
         self.install_snapshot(snapshot);
-        // Entries after the snapshot are known to match the leader's only as far as they are committed.
+        // Entries after the snapshot are known to match the leader's only up to the commit index.
         let response = self.append_response(round, true, index.max(self.commit_index));
         self.send_after_persist(from, response);
     }
@@ -129,14 +131,14 @@
             return;
         }
         self.counters.snapshots_installed += 1;
-        // Entries after the snapshot may be committed, and acknowledged by this server: where its log contains the
-        // snapshot's last entry, they stay (Raft, figure 13, step 6).
+        // If the log contains the snapshot's last entry, later entries are kept (Raft, figure 13, step 6), as they may
+        // be committed, and this server may have acknowledged them.
         let contains_last = self.log.position_at(snapshot.last.index) == Some(snapshot.last);
         if contains_last && !self.has_fault(ConsensusFault::SnapshotDropsSuffix) {
             self.commit_index = snapshot.last.index;
             self.log.compact(snapshot.last.index, snapshot.state.clone());
         } else {
-            self.forget_persisted_after(self.commit_index);
+            self.limit_persisted_index(self.commit_index);
             self.commit_index = snapshot.last.index;
             self.log.restore(snapshot.clone());
         }
--- a/crates/consensus/src/raft/leader.rs
+++ b/crates/consensus/src/raft/leader.rs
@@ -1,5 +1,6 @@
-//! A leader's proposals and heartbeat rounds. A leader without responses of a majority for long steps down (thesis, section
-//! 6.2): clients would else wait for commits that can't come, while another leader may have been elected.
+//! Proposals and heartbeat rounds of a leader. A leader that has had no responses of a majority for some time steps
+//! down (thesis, section 6.2). Otherwise clients would wait for commits that cannot happen, while another leader may
+//! have been elected.
 
 use super::leader_state::LeaderState;
 use super::progress::Progress;
@@ -10,9 +11,9 @@
 use tackmast::interface::Instant;
 use tackmast_wire::consensus::{Entry, EntryPayload, Message, MAX_ENTRY};
 
-/// Least number of heartbeat intervals between two rounds, however many requests wait for one.
+/// Minimum time between two rounds in heartbeat intervals, regardless of the number of lease requests that wait.
 const MIN_ROUND_HEARTBEATS: f64 = 0.2;
-/// Election timeouts without responses of a majority after which a leader steps down.
+/// Number of election timeouts without responses of a majority after which a leader steps down.
 const QUORUM_LOSS_TIMEOUTS: f64 = 2.0;
 
 impl RaftNode {
@@ -26,7 +27,7 @@
         self.append_entry(now, EntryPayload::Noop);
     }
 
-    /// Appends an entry of this term and sends it; its index.
+    /// Appends an entry of this term, sends it to the peers and returns its index.
     pub(super) fn append_entry(&mut self, now: Instant, payload: EntryPayload) -> u64 {
         let entry = Entry { term: self.hard_state.term, payload };
         let index = self.log.push(entry.clone());
@@ -36,7 +37,7 @@
         index
     }
 
-    /// Takes the voters of the newest configuration as peers.
+    /// Updates the peers to the other voters of the latest configuration.
     fn update_peers(&mut self, now: Instant) {
         let last_index = self.log.last().index;
         let voters = self.other_voters();
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Appends a command; the index of its entry.
+    /// Appends a command and returns the index of its entry. Only a leader accepts commands.
     pub fn propose(&mut self, now: Instant, data: Bytes) -> Result<u64, ProposeError> {
         if data.len() > MAX_ENTRY {
             return Err(ProposeError::TooLong { bytes: data.len() });
@@ -67,14 +68,14 @@
         }
     }
 
-    /// Takes another replica's proposal. That replica is sent the entry as soon as it is committed.
+    /// Appends another replica's proposal. That replica is sent the entry as soon as it is committed.
     pub(super) fn handle_proposal(&mut self, now: Instant, from: u32, data: Bytes) {
         match self.propose(now, data) {
             Ok(index) => {
                 if let Role::Leader(leader) = &mut self.role {
                     leader.proposers.insert(index, from);
                 }
-                // Where this server alone is a majority, the entry may be committed already.
+                // If this server alone is a majority, the entry may be committed already.
                 self.notify_proposers(now);
             }
             Err(ProposeError::NotLeader { leader }) => {
@@ -93,19 +94,19 @@
                 self.send_append(now, host);
             } else {
                 let stored_index =
-                    leader.stored.get(&host).map_or(commit_index, |report| report.stored_index);
+                    leader.stored_reports.get(&host).map_or(commit_index, |report| report.stored_index);
                 let oldest_sent = commit_index.saturating_sub(MAX_APPEND_ENTRIES as u64);
                 self.send_committed(host, stored_index.max(oldest_sent));
             }
         }
     }
 
-    /// Sends learners what was committed since the last round, once. A learner that misses it learns of the commit with its
-    /// next lease.
+    /// Sends learners the entries that were committed since the last round, without retries. A learner that does not
+    /// receive them learns of the commit with its next lease.
     fn notify_learners(&mut self) {
         let commit_index = self.commit_index;
         let Role::Leader(leader) = &mut self.role else { return };
-        if std::mem::replace(&mut leader.announced_commit, commit_index) >= commit_index {
+        if std::mem::replace(&mut leader.announced_commit_index, commit_index) >= commit_index {
             return;
         }
         for (host, stored_index) in leader.learners_behind(commit_index) {
@@ -115,11 +116,11 @@
 
     pub(super) fn handle_leader_timeout(&mut self, now: Instant) {
         let quorum = self.quorum();
-        let silent_for = self.settings.election_timeouts(QUORUM_LOSS_TIMEOUTS);
+        let timeout = self.settings.election_timeouts(QUORUM_LOSS_TIMEOUTS);
         let Role::Leader(leader) = &self.role else { return };
-        let reachable = leader.reachable(now, silent_for);
+        let reachable = leader.reachable_voters(now, timeout);
         if reachable < quorum {
-            self.emit(ConsensusEvent::QuorumLost { silent_for, reachable, quorum });
+            self.emit(ConsensusEvent::QuorumLost { silent_for: timeout, reachable, quorum });
             return self.step_down(now, None);
         }
         if now >= leader.heartbeat_due || (leader.awaits_round() && now >= leader.next_round_at) {
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Begins a heartbeat round (thesis, section 6.4). A server that responds to it accepted this server as leader after
-    /// now.
+    /// Starts a heartbeat round (thesis, section 6.4). A server that responds to it accepted this server as leader at
+    /// some moment after `now`.
     pub(super) fn start_round(&mut self, now: Instant) {
         let settings = self.settings;
         let Role::Leader(leader) = &mut self.role else { return };
@@ -147,11 +148,12 @@
         self.grant_leases();
     }
 
-    /// Whether each of these hosts has reported to this leader that the entry at `index` is on its disk.
+    /// Returns whether each of these hosts has reported to this leader that the entry at `index` is on its disk. On a
+    /// server that is not the leader the result is always `false`.
     pub fn is_stored_on_all(&self, hosts: impl IntoIterator<Item = u32>, index: u64) -> bool {
         let Role::Leader(leader) = &self.role else { return false };
         let is_stored = |host: u32| {
-            let report = leader.stored.get(&host);
+            let report = leader.stored_reports.get(&host);
             report.is_some_and(|report| report.stored_index >= index)
         };
         hosts.into_iter().all(is_stored)
--- a/crates/consensus/src/raft/learner.rs
+++ b/crates/consensus/src/raft/learner.rs
@@ -1,15 +1,16 @@
-//! Learners: replicas that do not vote (thesis, section 4.2.1) and take only what is committed. Unlike in Raft as published
-//! no leader tracks their progress, as there are hundreds of them: each fetches what it lacks from any voter.
+//! Learners: replicas that do not vote (thesis, section 4.2.1) and receive only committed entries. Unlike in Raft as
+//! published the leader does not track their progress, as there are hundreds of them. Each learner fetches the entries
+//! that it lacks from any voter.
 
 use super::{RaftNode, RaftOutput, MAX_APPEND_BYTES, MAX_APPEND_ENTRIES};
 use crate::log::Snapshot;
 use tackmast::interface::Instant;
 use tackmast_wire::consensus::{Entry, Message};
 
-/// Heartbeat intervals without a response after which a learner sends its request again.
+/// Number of heartbeat intervals without a response after which a learner retries its request.
 const FETCH_RETRY_HEARTBEATS: f64 = 3.0;
 
-/// What a learner still lacks, and where it asks for it.
+/// Which entries a learner fetches, and from where.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FetchState {
     /// Index of the last entry that is known to be committed.
@@ -19,18 +20,18 @@
 }
 
 impl RaftNode {
-    /// A learner asks for committed entries after `stored_index`.
+    /// Sends committed entries after `stored_index` to a learner, or the snapshot if some of them were compacted.
     pub(super) fn send_committed(&mut self, to: u32, stored_index: u64) {
         if self.bootstrap.is_some() {
             return;
         }
         let after = stored_index.min(self.commit_index);
-        if !self.reaches_back_to(after) {
+        if !self.has_all_entries_after(after) {
             return self.send_committed_snapshot(to);
         }
         let count = ((self.commit_index - after) as usize).min(MAX_APPEND_ENTRIES);
         let entries = self.log.entries_from(after + 1, count, MAX_APPEND_BYTES);
-        // A learner without any entry needs the configuration, which is in the snapshot.
+        // A learner without entries needs the configuration, which only the snapshot contains.
         if stored_index == 0 {
             self.send_committed_snapshot(to);
         }
@@ -40,8 +41,8 @@
         }
     }
 
-    /// Whether all entries after `index` are still in the log.
-    fn reaches_back_to(&self, index: u64) -> bool {
+    /// Returns whether all entries after `index` are still in the log.
+    fn has_all_entries_after(&self, index: u64) -> bool {
         let is_known = self.log.position_at(index).is_some();
         is_known && (index > 0 || self.log.snapshot().last.index == 0)
     }
@@ -51,7 +52,8 @@
         self.send(to, Message::CommittedSnapshot { log_id, last, voters, state });
     }
 
-    /// Another replica knows entries up to `index` to be committed.
+    /// Starts to fetch entries up to `index`, which another replica knows to be committed, if this server is a learner
+    /// and lacks them.
     pub(crate) fn on_commit_advertised(&mut self, now: Instant, from: u32, index: u64) {
         if self.is_voter() || index <= self.commit_index.max(self.fetch.target_index) {
             return;
@@ -81,9 +83,9 @@
         self.fetch_committed(now);
     }
 
-    /// Chooses a voter at random, as another may be reachable where the last one is not.
+    /// Chooses a voter at random, as the previous one may be unreachable.
     fn choose_source(&mut self) {
-        let voters = self.voters_to_ask();
+        let voters = self.voters_to_query();
         if voters.is_empty() {
             return;
         }
@@ -101,7 +103,8 @@
         if new.is_empty() {
             return;
         }
-        // Entries after the commit index are from a time as a voter. A later leader may have overwritten them.
+        // Entries after the commit index were appended when this server was a voter. A later leader may have
+        // overwritten them.
         let first_index = self.commit_index + 1;
         self.truncate_log_from(first_index);
         for entry in &new {
@@ -117,8 +120,8 @@
         if self.is_voter() {
             return;
         }
-        let is_beginning = snapshot.last.index == 0 && !snapshot.voters.is_empty();
-        if is_beginning && self.bootstrap.is_some() {
+        let is_initial = snapshot.last.index == 0 && !snapshot.voters.is_empty();
+        if is_initial && self.bootstrap.is_some() {
             self.log.restore(snapshot.clone());
             self.write_snapshot();
             self.bootstrap = None;
--- a/crates/consensus/src/raft/membership.rs
+++ b/crates/consensus/src/raft/membership.rs
@@ -1,5 +1,5 @@
-//! Changes of voters, one at a time (Ongaro's thesis, section 4.1): the majorities of two configurations that differ by one
-//! voter always overlap. A configuration counts from when it is appended, committed or not.
+//! Single-server membership changes (thesis, section 4.1): majorities of two configurations that differ by one voter
+//! always overlap. A configuration takes effect when it is appended, before it is committed.
 
 use super::leader_state::LeaderState;
 use super::{RaftNode, Role, MAX_UNCOMMITTED};
@@ -9,11 +9,12 @@
 use tackmast_wire::consensus::{EntryPayload, MAX_VOTERS};
 
 impl RaftNode {
-    /// Makes `host` a voter, with the disk that it reported; the index of the entry with the new configuration.
+    /// Adds `host` to the voters with the disk that it last reported. Returns the index of the entry with the new
+    /// configuration, which takes effect immediately.
     pub fn add_voter(&mut self, now: Instant, host: u32) -> Result<u64, ProposeError> {
         let leader = self.check_can_change_voters()?;
-        let disk = leader.disks.get(&host).copied();
-        let stored_index = leader.stored.get(&host).map(|report| report.stored_index);
+        let disk = leader.reported_disks.get(&host).copied();
+        let stored_index = leader.stored_reports.get(&host).map(|report| report.stored_index);
         let (Some(disk), Some(stored_index)) = (disk, stored_index) else {
             return Err(VoterChangeError::Unknown { host }.into());
         };
@@ -32,7 +33,8 @@
         Ok(self.append_entry(now, EntryPayload::Voters(voters)))
     }
 
-    /// Removes `host` from the voters; the index of the entry with the new configuration.
+    /// Removes `host` from the voters. Returns the index of the entry with the new configuration, which takes effect
+    /// immediately.
     pub fn remove_voter(&mut self, now: Instant, host: u32) -> Result<u64, ProposeError> {
         self.check_can_change_voters()?;
         let mut voters = self.voters().clone();
@@ -42,9 +44,9 @@
         Ok(self.append_entry(now, EntryPayload::Voters(voters)))
     }
 
-    /// The previous configuration has to be committed, and an entry of this term (the erratum of 2015 to section 4.1). With
-    /// two changes at once, majorities of the first and the last configuration need not overlap, and both could elect a
-    /// leader.
+    /// Checks that the previous configuration is committed, and an entry of this term as well (erratum of 2015 to
+    /// section 4.1). With two changes at once, majorities of the first and the last configuration need not overlap, and
+    /// each could elect a leader.
     fn check_can_change_voters(&self) -> Result<&LeaderState, ProposeError> {
         self.check_can_append()?;
         let Role::Leader(leader) = &self.role else {
--- a/crates/consensus/src/raft/persistence.rs
+++ b/crates/consensus/src/raft/persistence.rs
@@ -1,9 +1,9 @@
-//! Persistence before responses (Raft, figure 2): what a message acknowledges or promises is on disk before the message is
-//! sent.
+//! Persistence before responses (Raft, figure 2): what a message acknowledges or promises is on disk before the message
+//! is sent.
 //!
-//! A server that acknowledged an entry or sent a vote and lost it in a crash would break the majority that others counted
-//! on. Writes are numbered and done in order; a message waits for the last write that was made before it, and so for all
-//! that it depends on.
+//! If a server acknowledged an entry or sent a vote and lost it in a crash, the majority that others had counted would
+//! no longer exist. Writes are numbered and performed in order. A message waits for the last write that was issued
+//! before it, and therefore for all writes that it depends on.
 
 use super::{RaftNode, RaftOutput, Role};
 use crate::event::ConsensusEvent;
@@ -11,15 +11,15 @@
 use tackmast::interface::Instant;
 use tackmast_wire::consensus::{Entry, Message};
 
-/// Greatest number of messages that wait for the disk. Further ones are dropped, which Raft treats like a loss on the
-/// network.
+/// Greatest number of messages that wait for a write. Further messages are dropped, which Raft tolerates like a loss in
+/// the network.
 const MAX_DELAYED_MESSAGES: usize = 4096;
 
-/// A write that is not done yet.
+/// A write that is not completed yet.
 #[derive(Clone, Copy)]
 pub(super) struct PendingWrite {
     write_id: u64,
-    /// Index of the last entry on disk once the write is done.
+    /// Index of the last entry on disk once the write is completed.
     last_index: u64,
 }
 
@@ -59,7 +59,7 @@
         });
     }
 
-    /// Sends once all that was written so far is on disk.
+    /// Sends a message once all writes issued so far are on disk.
     pub(super) fn send_after_persist(&mut self, to: u32, message: Message) {
         if self.delayed_messages.len() >= MAX_DELAYED_MESSAGES {
             self.counters.dropped_messages += 1;
@@ -69,7 +69,7 @@
         self.release_messages();
     }
 
-    /// Sends at once a message that promises nothing which has to be on this server's disk.
+    /// Sends a message immediately. The message must not depend on writes that are not completed.
     pub(super) fn send(&mut self, to: u32, message: Message) {
         self.outputs.push_back(RaftOutput::Send { to, message });
     }
@@ -83,7 +83,8 @@
         }
     }
 
-    /// A write failed. The server can't tell what is on its disk, so it acknowledges nothing more until it restarts.
+    /// Handles a failed write. The server does not know what is on its disk, so it acknowledges nothing until it
+    /// restarts.
     pub fn on_persist_failed(&mut self) {
         if !std::mem::replace(&mut self.disk_failed, true) {
             self.emit(ConsensusEvent::DiskFailed);
@@ -92,7 +93,7 @@
         self.role = Role::Follower { leader: None };
     }
 
-    /// The write of that number and all before it are on disk.
+    /// Handles the completion of the write with this number and of all before it.
     pub fn on_persisted(&mut self, now: Instant, write_id: u64) {
         if self.disk_failed || write_id <= self.persisted_write {
             return;
@@ -111,14 +112,15 @@
         self.request_snapshot_if_due();
     }
 
-    /// Removes the entry at `index` and all after it. Their writes that are not done yet no longer count as persisted
-    /// entries.
+    /// Removes the entry at `index` and all later ones. They do not count as persisted any more, even when their
+    /// pending writes complete.
     pub(super) fn truncate_log_from(&mut self, index: u64) {
         self.log.truncate_from(index);
-        self.forget_persisted_after(index - 1);
+        self.limit_persisted_index(index - 1);
     }
 
-    pub(super) fn forget_persisted_after(&mut self, index: u64) {
+    /// Lowers the persisted index to `index` at most, now and after each pending write.
+    pub(super) fn limit_persisted_index(&mut self, index: u64) {
         self.persisted_index = self.persisted_index.min(index);
         for write in &mut self.pending_writes {
             write.last_index = write.last_index.min(index);
--- a/crates/consensus/src/raft/replication.rs
+++ b/crates/consensus/src/raft/replication.rs
@@ -1,5 +1,5 @@
-//! Log replication by a leader (Raft, section 5.3): AppendEntries to each peer from where its log matches, and the commit
-//! index by what a majority has on disk (section 5.4.2).
+//! Log replication by a leader (Raft, section 5.3): AppendEntries to each peer from the first entry that it lacks, and
+//! the commit index from the entries that a majority has on disk (section 5.4.2).
 
 use super::progress::Progress;
 use super::{RaftNode, Role, MAX_APPEND_BYTES, MAX_APPEND_ENTRIES};
@@ -8,8 +8,8 @@
 use tackmast::interface::Instant;
 use tackmast_wire::consensus::{DiskIdentity, Entry, EntryPayload, Message};
 
-/// Bytes of commands above which a message counts as large, as it takes many datagrams.
-const LARGE_APPEND_BYTES: usize = 8 << 10;
+/// Size in bytes of the commands of a message above which it counts as large, as it takes many datagrams.
+const LARGE_MESSAGE_BYTES: usize = 8 << 10;
 
 /// The fields of an AppendEntriesResponse message.
 pub(super) struct AppendResponse {
@@ -29,7 +29,7 @@
 }
 
 impl RaftNode {
-    /// Sends new entries at once to all peers that lack them.
+    /// Sends new entries immediately to all peers that were not sent them yet.
     pub(super) fn send_new_entries(&mut self, now: Instant) {
         let last_index = self.log.last().index;
         let Role::Leader(leader) = &self.role else { return };
@@ -46,38 +46,38 @@
         let Role::Leader(leader) = &mut self.role else { return };
         let round = leader.round;
         let Some(progress) = leader.peers.get_mut(&to) else { return };
-        progress.expire_large(now, &settings);
-        let is_large_pending = progress.is_large_pending();
-        let previous = match is_large_pending {
+        progress.expire_large_message(now, &settings);
+        let has_large_message = progress.has_large_message_in_flight();
+        let previous = match has_large_message {
             true => self.log.position_at(progress.match_index),
             false => self.log.position_at(progress.next_index - 1),
         };
         let Some(previous) = previous else {
             return self.send_snapshot(now, to);
         };
-        let entries = match is_large_pending {
+        let entries = match has_large_message {
             true => Vec::new(),
             false => self.log.entries_from(progress.next_index, MAX_APPEND_ENTRIES, MAX_APPEND_BYTES),
         };
         progress.next_index += entries.len() as u64;
-        if command_bytes(&entries) > LARGE_APPEND_BYTES {
-            progress.on_large_sent(now);
+        if command_bytes(&entries) > LARGE_MESSAGE_BYTES {
+            progress.on_large_message_sent(now);
         }
         let (log_id, term, commit_index) =
             (self.log.snapshot().log_id, self.hard_state.term, self.commit_index);
         self.send(to, Message::AppendEntries { log_id, term, round, previous, commit_index, entries });
     }
 
-    /// Sends the snapshot to a peer that lacks entries which were compacted. While the snapshot is on its way the peer gets
-    /// heartbeats: without them it would start an election before the snapshot is complete.
+    /// Sends the snapshot to a peer that lacks compacted entries. While the snapshot is in flight the peer is sent
+    /// heartbeats; without them it would start an election before the snapshot is complete.
     fn send_snapshot(&mut self, now: Instant, to: u32) {
         let term = self.hard_state.term;
         let Snapshot { log_id, last, voters, state } = self.log.snapshot().clone();
         let Role::Leader(leader) = &mut self.role else { return };
         let round = leader.round;
         let Some(progress) = leader.peers.get_mut(&to) else { return };
-        if !progress.is_large_pending() {
-            progress.on_large_sent(now);
+        if !progress.has_large_message_in_flight() {
+            progress.on_large_message_sent(now);
             progress.next_index = last.index + 1;
             self.send(to, Message::InstallSnapshot { term, log_id, last, voters, state });
         }
@@ -106,17 +106,18 @@
             true => progress.on_match(response.index),
             false => progress.on_mismatch(response.index, last_index),
         }
-        if progress.wants_more(response.success, last_index) {
+        if progress.should_send_more(response.success, last_index) {
             self.send_append(now, from);
         }
         self.update_commit_index(now);
         self.grant_leases();
     }
 
-    /// Commits what a majority has on disk, once an entry of this term is among it (Raft, section 5.4.2).
+    /// Commits the entries that a majority has on disk, once they include one of this term (Raft, section 5.4.2).
     ///
-    /// An entry of an earlier term may be on a majority's disks and still be overwritten by a later leader, which such a
-    /// majority could elect (Raft, figure 8). Once an entry of this term is there as well, no server without both can win.
+    /// An entry of an earlier term may be on a majority's disks and still be overwritten by a later leader that this
+    /// majority elects (Raft, figure 8). Once an entry of this term is stored as well, no server without both can be
+    /// elected.
     pub(super) fn update_commit_index(&mut self, now: Instant) {
         let Some(majority_index) = self.majority_index() else { return };
         let position = self.log.position_at(majority_index);
@@ -128,17 +129,17 @@
         self.advance_commit_index(majority_index);
         self.notify_proposers(now);
         self.grant_leases();
-        // Followers learn of the commit with a heartbeat. The next one is brought forward, so that clients need not wait.
+        // Followers learn of the commit from a heartbeat. The next one is sent early to reduce the latency for clients.
         let Role::Leader(leader) = &mut self.role else { return };
         leader.heartbeat_due = leader.heartbeat_due.min(leader.next_round_at);
-        // A leader that was removed from the voters steps down once that is committed (Raft, section 6).
+        // A leader that was removed from the voters steps down once its removal is committed (Raft, section 6).
         let is_voter = self.voters().contains_key(&self.host);
         if !is_voter && self.commit_index >= self.log.configuration().index {
             self.step_down(now, None);
         }
     }
 
-    /// Index of the last entry that a majority has on disk.
+    /// Returns the index of the last entry that a majority has on disk.
     fn majority_index(&self) -> Option<u64> {
         let Role::Leader(leader) = &self.role else { return None };
         let mut indexes: Vec<u64> = leader.peers.values().map(|progress| progress.match_index).collect();
@@ -150,7 +151,8 @@
     }
 }
 
-/// The greatest value that at least `count` of the values reach.
+/// Returns the greatest number that at least `count` of the values reach, or `None` if there are fewer values or
+/// `count` is 0.
 pub(super) fn nth_largest(mut values: Vec<u64>, count: usize) -> Option<u64> {
     values.sort_unstable_by_key(|value| std::cmp::Reverse(*value));
     count.checked_sub(1).and_then(|position| values.get(position).copied())
--- a/crates/consensus/src/replica/lease_requests.rs
+++ b/crates/consensus/src/replica/lease_requests.rs
@@ -61,7 +61,7 @@
         if let Some(leader) = self.leader() {
             return Some(leader);
         }
-        let voters = self.raft.voters_to_ask();
+        let voters = self.raft.voters_to_query();
         self.next_voter = self.next_voter.wrapping_add(1);
         voters.get(self.next_voter % voters.len().max(1)).copied()
     }
