--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,8 +1,9 @@
-//! One replica of the group: a Raft server, its lease, and its own proposals on their way to the leader. This is the state
-//! machine that a host drives: `handle_…` and `on_…` take inputs, `poll_…` gives outputs and the next timeout.
+//! A replica of the group: a Raft server, its lease, and its own proposals until they are committed. This is the state
+//! machine that a host drives: the functions `handle_…` and `on_…` take inputs, the functions `poll_…` return outputs
+//! and the next timeout.
 //!
-//! `lease_requests` has its lease and reads, `proposals` its proposals, `sessions` keeps each proposal from being applied
-//! twice, `effective` knows when a commit is effective.
+//! `lease_requests` handles the lease and linearizable reads, `proposals` this replica's own proposals. `sessions`
+//! prevents a proposal from being applied twice, and `effective` determines when a committed entry is effective.
 
 mod effective;
 mod lease_requests;
@@ -27,28 +28,28 @@
 use tackmast::interface::Instant;
 use tackmast_wire::consensus::{EntryPayload, Message};
 
-/// Lease requests in a row without a response after which the replica asks another voter for the leader.
-const MAX_UNANSWERED: u32 = 2;
-/// Heartbeat intervals within which commits count as learned together.
+/// Number of consecutive lease requests without a response after which the replica asks another voter for the leader.
+const MAX_UNANSWERED_REQUESTS: u32 = 2;
+/// Time within which commits are recorded as one batch, in heartbeat intervals.
 const COMMIT_BATCH_HEARTBEATS: f64 = 0.25;
 
-/// A snapshot that was requested, and the sessions as of its last entry.
+/// A requested snapshot, with the client sessions as of its last entry.
 #[derive(Clone)]
 struct PendingSnapshot {
     index: u64,
     sessions: Sessions,
 }
 
-/// A replica of the group.
+/// A replica of the group, which its host drives.
 #[derive(Clone)]
 pub struct Replica {
     host: u32,
     settings: RaftSettings,
-    /// The Raft server.
+    /// The replica's Raft server.
     pub raft: RaftNode,
     lease: Lease,
-    /// Position of the voter to ask next for the leader.
-    next_voter: usize,
+    /// Position of the last voter that was asked for the leader.
+    last_queried_voter: usize,
     leader_hint: Option<u32>,
     sessions: Sessions,
     initial_voters: BTreeSet<u32>,
@@ -63,7 +64,7 @@
 }
 
 impl Replica {
-    /// A replica as its disk has it.
+    /// Creates a replica with the state that its disk holds.
     pub fn new(now: Instant, settings: ReplicaSettings) -> Replica {
         let (host, raft) = (settings.host, settings.raft);
         let commit_wait = Lease::commit_wait(raft.lease_duration, raft.max_clock_drift);
@@ -73,7 +74,7 @@
             initial_voters: settings.initial_voters.clone(),
             raft: RaftNode::new(now, settings),
             lease: Lease::new(now, raft.lease_duration, raft.max_clock_drift),
-            next_voter: host as usize,
+            last_queried_voter: host as usize,
             leader_hint: None,
             sessions: Sessions::default(),
             last_proposal: 0,
@@ -89,7 +90,7 @@
         replica
     }
 
-    /// The same replica with a deliberate fault.
+    /// Returns the same replica with a deliberate fault, for tests.
     pub fn with_fault(mut self, fault: ConsensusFault) -> Replica {
         self.raft = self.raft.with_fault(fault);
         self.lease = self.lease.with_fault(fault);
@@ -97,27 +98,29 @@
         self
     }
 
-    /// Index of the last entry that is committed as far as this replica knows.
+    /// Returns the index of the last entry that this replica knows to be committed.
     pub fn commit_index(&self) -> u64 {
         self.raft.commit_index()
     }
 
-    /// Index of the last entry that is effective: no replica, connected or not, acts on the state before it any more.
+    /// Returns the index of the last effective entry. No replica, connected or not, serves a state without this entry
+    /// as the latest any more.
     pub fn effective_index(&self, now: Instant) -> u64 {
         self.commit_times.effective_index(now).unwrap_or(self.raft.commit_index())
     }
 
-    /// When the newest entry that is committed here will be effective.
+    /// Returns when the last entry that this replica knows to be committed will be effective, or `now` if it already
+    /// is.
     pub fn effective_at(&self, now: Instant) -> Instant {
         self.commit_times.effective_at(now)
     }
 
-    /// The leader as far as this replica knows.
+    /// Returns the host number of the leader that this replica knows of, if any.
     pub fn leader(&self) -> Option<u32> {
         self.raft.leader().or(self.leader_hint)
     }
 
-    /// The state at this moment, for operators.
+    /// Returns the state at `now`, for operators.
     pub fn status(&self, now: Instant) -> Status {
         Status { leader: self.leader(), ..self.raft.status(now) }
     }
@@ -126,8 +129,8 @@
         self.raft.identity().generation
     }
 
-    /// Begins a new log alone after most voters are lost for good; its id. `state` is the state machine's, as of the last
-    /// committed entry.
+    /// Starts a new log with this replica as the only voter, after a majority of the voters is permanently lost, and
+    /// returns the log's id. `state` is the state machine's encoded state as of the last committed entry.
     pub fn force_new_log(&mut self, now: Instant, state: &[u8]) -> Result<u64, RecoveryError> {
         let log_id = self.raft.force_new_log(now, self.sessions.encode_with(state))?;
         self.reset_for_new_log(now);
@@ -135,7 +138,7 @@
         Ok(log_id)
     }
 
-    /// Discards the log, to follow another one; no lease is valid from here on.
+    /// Discards the log, so that this replica can follow another one. Its lease is no longer valid.
     pub fn discard_log(&mut self, now: Instant) -> Result<(), RecoveryError> {
         self.raft.discard_log(now, &self.initial_voters)?;
         self.reset_for_new_log(now);
@@ -152,12 +155,12 @@
         self.pending_snapshot = None;
     }
 
-    /// A message of another replica has arrived.
+    /// Handles a message from the replica of host `from`.
     pub fn handle_message(&mut self, now: Instant, from: u32, message: Message) {
         match message {
             Message::LeaseGranted { log_id, to_generation, sequence, index, duration_ms, .. } => {
-                let is_mixed = self.fault == Some(ConsensusFault::GenerationsMixed);
-                if to_generation == self.generation() || is_mixed {
+                let accepts_any_generation = self.fault == Some(ConsensusFault::GenerationsMixed);
+                if to_generation == self.generation() || accepts_any_generation {
                     if self.is_of_other_log(log_id) {
                         return self.report_other_log(from);
                     }
@@ -170,7 +173,7 @@
         self.handle_timeout(now);
     }
 
-    /// Whether that is the id of another log than this replica's, if it has any committed entries.
+    /// Returns whether `log_id` differs from the id of this replica's log, which has committed entries.
     fn is_of_other_log(&self, log_id: u64) -> bool {
         log_id != self.raft.log().snapshot().log_id && self.raft.commit_index() > 0
     }
@@ -181,33 +184,34 @@
         }
     }
 
-    /// The write of that number and all before it are on disk.
+    /// Handles the completion of the write with this number and of all before it.
     pub fn on_persisted(&mut self, now: Instant, write_id: u64) {
         self.raft.on_persisted(now, write_id);
         self.drain_raft(now);
     }
 
-    /// A write failed: this replica takes no further part until its process restarts.
+    /// Handles a failed write. This replica takes no part until its process restarts.
     pub fn on_persist_failed(&mut self, now: Instant) {
         self.raft.on_persist_failed();
         self.drain_raft(now);
     }
 
-    /// The state machine's state as of that entry, as asked for by `TakeSnapshot`.
+    /// Handles the state machine's encoded state as of entry `index`, which the output `TakeSnapshot` requested. Any
+    /// other state is ignored.
     pub fn on_snapshot_taken(&mut self, now: Instant, index: u64, state: &[u8]) {
-        // The sessions are those as of the snapshot's last entry, like the state. With newer sessions, proposals that were
-        // committed since would count as applied although the state lacks them.
+        // The sessions are stored as of the snapshot's last entry, like the state. With later sessions, proposals that
+        // were committed since would count as applied although the state lacks them.
         let pending = self.pending_snapshot.take_if(|pending| pending.index == index);
         let Some(PendingSnapshot { sessions, .. }) = pending else { return };
         self.raft.on_snapshot_taken(index, sessions.encode_with(state));
         self.drain_raft(now);
     }
 
-    /// Does what is due.
+    /// Performs all actions that are due, such as heartbeats, elections, lease requests and retries.
     pub fn handle_timeout(&mut self, now: Instant) {
         self.raft.handle_timeout(now);
-        // Without responses another replica may be leader by now.
-        if self.lease.unanswered() >= MAX_UNANSWERED {
+        // Without responses, another replica may be the leader by now.
+        if self.lease.unanswered() >= MAX_UNANSWERED_REQUESTS {
             self.leader_hint = None;
         }
         self.request_lease_if_due(now);
@@ -216,14 +220,14 @@
         self.report_lease_change(now);
     }
 
-    /// When `handle_timeout` is due.
+    /// Returns when `handle_timeout` is due.
     pub fn poll_timeout(&self, now: Instant) -> Instant {
         let lease = self.lease.poll_timeout(now);
         let proposal = self.proposals.front().map(PendingProposal::poll_timeout);
         [self.raft.poll_timeout(), proposal].into_iter().flatten().fold(lease, Instant::min)
     }
 
-    /// The next thing to be done.
+    /// Returns the next output, if any. Outputs are to be carried out in order.
     pub fn poll_output(&mut self) -> Option<ReplicaOutput> {
         self.outputs.pop_front()
     }
@@ -235,7 +239,7 @@
         self.raft.handle_message(now, to, message);
     }
 
-    /// Passes on the outputs of the Raft server.
+    /// Converts all outputs of the Raft server to outputs of this replica.
     fn drain_raft(&mut self, now: Instant) {
         while let Some(output) = self.raft.poll_output() {
             if let Some(output) = self.convert_output(now, output) {
@@ -248,7 +252,7 @@
     fn convert_output(&mut self, now: Instant, output: RaftOutput) -> Option<ReplicaOutput> {
         match output {
             RaftOutput::Send { to, message } if to == self.host => {
-                self.on_message_to_itself(now, message);
+                self.handle_own_message(now, message);
                 None
             }
             RaftOutput::Send { to, message } => Some(ReplicaOutput::Send { to, message }),
@@ -275,11 +279,11 @@
 
     fn restore_snapshot(&mut self, now: Instant, snapshot: Snapshot) -> ReplicaOutput {
         let index = snapshot.last.index;
-        self.commit_times.restart(now, index);
+        self.commit_times.record_snapshot(now, index);
         ReplicaOutput::RestoreSnapshot { index, state: self.sessions.restore_from(snapshot.state) }
     }
 
-    /// The output for a committed command, unless it was applied before.
+    /// Returns the output for a committed command, or `None` if it was applied before or is malformed.
     fn apply(&mut self, now: Instant, index: u64, command: Bytes) -> Option<ReplicaOutput> {
         let proposal = Proposal::decode(command)?;
         if proposal.host >= self.settings.host_count || !self.sessions.admit(&proposal) {
--- a/crates/consensus/src/replica/proposals.rs
+++ b/crates/consensus/src/replica/proposals.rs
@@ -1,5 +1,5 @@
-//! This replica's own proposals on their way to the leader. They are sent one at a time: if a later one were committed
-//! first, the earlier one would count as a duplicate and be lost.
+//! This replica's own proposals until they are committed. They are sent one at a time. If a later one were committed
+//! first, the earlier one would be taken for a duplicate and dropped.
 
 use super::sessions::{Proposal, ProposalId, PROPOSAL_HEADER_LEN};
 use super::Replica;
@@ -9,11 +9,11 @@
 use tackmast::interface::Instant;
 use tackmast_wire::consensus::{Message, MAX_ENTRY};
 
-/// Greatest number of proposals that wait.
+/// Greatest number of pending proposals.
 const MAX_PENDING_PROPOSALS: usize = 256;
-/// Election timeouts after which a proposal is given up. It may still be committed later.
+/// Timeout of a proposal in election timeouts. The proposal may still be committed afterwards.
 const PROPOSAL_TIMEOUTS: f64 = 12.0;
-/// Heartbeat intervals after which a proposal without a result is sent again.
+/// Number of heartbeat intervals after which a proposal without a result is sent again.
 const PROPOSAL_RETRY_HEARTBEATS: f64 = 4.0;
 
 /// A proposal that is not known to be committed.
@@ -23,19 +23,19 @@
     bytes: Bytes,
     retry_at: Instant,
     deadline: Instant,
-    /// The term in which this replica, as leader, appended it itself.
+    /// The term in which this replica, as leader, appended the proposal to its own log.
     appended_in_term: Option<u64>,
 }
 
 impl PendingProposal {
-    /// When it is sent again or given up.
+    /// Returns when the proposal is to be sent again or times out.
     pub(super) fn poll_timeout(&self) -> Instant {
         self.retry_at.min(self.deadline)
     }
 }
 
 impl Replica {
-    /// Proposes a command; its number, by which the outcome is reported.
+    /// Proposes a command, and returns the number by which the output `Committed` or `ProposalTimedOut` refers to it.
     pub fn propose(&mut self, now: Instant, data: Bytes) -> Result<u32, ProposeError> {
         if data.len() + PROPOSAL_HEADER_LEN > MAX_ENTRY {
             return Err(ProposeError::TooLong { bytes: data.len() });
@@ -58,7 +58,7 @@
     }
 
     pub(super) fn send_first_proposal(&mut self, now: Instant) {
-        self.give_up_old_proposals(now);
+        self.expire_proposals(now);
         let Some(proposal) = self.proposals.front() else { return };
         let term = self.raft.term();
         let is_appended = proposal.appended_in_term == Some(term);
@@ -68,7 +68,7 @@
         }
         let bytes = proposal.bytes.clone();
         let appended_in_term = match self.raft.is_leader() {
-            // The proposal is in this leader's log already, and only has to be committed.
+            // The proposal is already in this leader's log, and only has to be committed.
             true if is_appended => Some(term),
             true => self.raft.propose(now, bytes).ok().map(|_| term),
             false => {
@@ -83,7 +83,7 @@
         }
     }
 
-    fn give_up_old_proposals(&mut self, now: Instant) {
+    fn expire_proposals(&mut self, now: Instant) {
         while let Some(proposal) = self.proposals.pop_front_if(|proposal| now >= proposal.deadline) {
             self.outputs.push_back(ReplicaOutput::ProposalTimedOut { number: proposal.number });
         }
@@ -97,7 +97,7 @@
         }
     }
 
-    /// That proposal of this replica is committed, and so are all that it made before.
+    /// Removes the proposal with this number, which is committed, and all earlier ones.
     pub(super) fn on_own_proposal_committed(&mut self, now: Instant, number: u32) {
         self.proposals.retain(|proposal| proposal.number > number);
         self.retry_first_proposal(now);
--- a/crates/consensus/src/replica/sessions.rs
+++ b/crates/consensus/src/replica/sessions.rs
@@ -1,19 +1,21 @@
-//! Client sessions (thesis, section 6.3): each proposal is applied once, however often it was sent and appended.
+//! Client sessions (thesis, section 6.3), by which each proposal is applied at most once, no matter how often it was
+//! sent and appended.
 //!
-//! A proposal whose response gets lost is sent again, and would otherwise be applied twice. Each carries its host, its
-//! process generation and its number; the last one of each host is part of the snapshot, so that replicas agree on it.
+//! A proposal whose response is lost is sent again, and would otherwise be applied twice. Each proposal carries its
+//! host, its process generation and its number. The last applied one of each host is part of the snapshot, so that all
+//! replicas agree on it.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::collections::BTreeMap;
 
-/// Length in bytes of a proposal's header: host, generation, number and length.
+/// Length of a proposal's header in bytes: host, generation, number and data length.
 pub(super) const PROPOSAL_HEADER_LEN: usize = 20;
-/// Length in bytes of a session in a snapshot: host, generation and number.
+/// Length of an encoded session in bytes: host, generation and number.
 const SESSION_LEN: usize = 16;
-/// Length in bytes of the number of sessions before them.
+/// Length of the number of sessions in bytes, which precedes the sessions.
 const SESSION_COUNT_LEN: usize = 4;
 
-/// Identifies a proposal among those of its host, in the order in which they were made.
+/// Id of a proposal among those of its host. Ids are ordered as the proposals were made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ProposalId {
     pub generation: u64,
@@ -29,7 +31,7 @@
 }
 
 impl Proposal {
-    /// Encodes it as the command of an entry.
+    /// Encodes the proposal as the command of an entry.
     pub(super) fn to_bytes(&self) -> Bytes {
         let mut out = BytesMut::with_capacity(self.data.len() + PROPOSAL_HEADER_LEN);
         out.put_u32(self.host);
@@ -40,7 +42,7 @@
         out.freeze()
     }
 
-    /// Decodes an entry's command.
+    /// Decodes an entry's command, or returns `None` if it is malformed.
     pub(super) fn decode(mut bytes: Bytes) -> Option<Proposal> {
         if bytes.len() < PROPOSAL_HEADER_LEN {
             return None;
@@ -52,12 +54,13 @@
     }
 }
 
-/// The last proposal of each host that was applied. There are no more of them than hosts.
+/// The last applied proposal of each host. The number of sessions is at most the number of hosts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Sessions(BTreeMap<u32, ProposalId>);
 
 impl Sessions {
-    /// Whether the proposal is to be applied: not if it, or a later one of its host, was applied before.
+    /// Returns whether the proposal is to be applied, and records it if so. It is not if the same or a later proposal
+    /// of its host was applied before.
     pub(super) fn admit(&mut self, proposal: &Proposal) -> bool {
         if self.0.get(&proposal.host).is_some_and(|last| *last >= proposal.id) {
             return false;
@@ -66,12 +69,12 @@
         true
     }
 
-    /// Forgets all, as the log is discarded.
+    /// Removes all sessions, when the log is discarded.
     pub(super) fn clear(&mut self) {
         self.0.clear();
     }
 
-    /// A snapshot's state: the sessions, and the state machine's own bytes.
+    /// Encodes a snapshot's state, which consists of the sessions and the state machine's encoded state.
     pub(super) fn encode_with(&self, state: &[u8]) -> Bytes {
         let length = SESSION_COUNT_LEN + self.0.len() * SESSION_LEN + state.len();
         let mut out = BytesMut::with_capacity(length);
@@ -85,7 +88,7 @@
         out.freeze()
     }
 
-    /// Replaces the sessions by those of a snapshot's state; returns the state machine's own bytes.
+    /// Replaces the sessions by those of a snapshot's state, and returns the state machine's encoded state.
     pub(super) fn restore_from(&mut self, mut state: Bytes) -> Bytes {
         self.clear();
         if state.len() < SESSION_COUNT_LEN {
