--- a/crates/host-core/src/volume_names.rs
+++ b/crates/host-core/src/volume_names.rs
@@ -1,16 +1,15 @@
-//! Clients' names of volumes, of which the scheduler knows only small numbers. The table is bounded.
+//! A bounded table of the volumes that clients name, and the numbers by which the scheduler knows them.
 
 use std::collections::HashMap;
 use tackmast::interface::Instant;
 
-/// The number of a volume, and when it was last asked for.
 #[derive(Clone, Copy, Debug)]
 struct NumberedVolume {
     number: usize,
     last_used: Instant,
 }
 
-/// Clients' names of volumes, as the small numbers by which the scheduler knows them.
+/// The scheduler's numbers of the volumes that clients name.
 #[derive(Debug, Default)]
 pub(crate) struct VolumeNames {
     volumes: HashMap<u64, NumberedVolume>,
@@ -19,16 +18,16 @@
 }
 
 impl VolumeNames {
-    /// A table of at most so many volumes.
+    /// Creates a table of at most `max_volumes` volumes.
     pub(crate) fn new(max_volumes: usize) -> Self {
         VolumeNames { max_volumes, ..VolumeNames::default() }
     }
 
-    /// The volume's number; none: the table is full of volumes that are in use.
+    /// Returns the number of a volume and assigns one to a new volume, or `None` if the table is full of volumes in use.
     ///
-    /// A client that names a new volume in each request would grow this table without bound, which shows as rising memory. So in a
-    /// full table the volume that was used longest ago is evicted, of those that are not in use. A number never passes to another
-    /// volume: else what the scheduler has learned of one volume would be applied to another.
+    /// A client that names a new volume in each request would let this table, and with it the memory of the process, grow without
+    /// bound. So a full table evicts the least recently used volume that is not in use. A number is never assigned to a second
+    /// volume, since the scheduler would apply to it what it has learned of the first.
     pub(crate) fn number(
         &mut self,
         now: Instant,
--- a/crates/host-core/src/volume_names/tests.rs
+++ b/crates/host-core/src/volume_names/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// Clients name more volumes than the table holds. A volume with requests in flight must keep its number, and no number may be given
-/// to a second volume.
+/// Clients name more volumes than the table holds. If a volume with requests in flight lost its number, or two volumes got the same one,
+/// the scheduler would mix their state.
 #[test]
-fn a_full_table_evicts_the_volume_that_was_unused_longest() {
+fn a_full_table_evicts_the_least_recently_used_volume() {
     let at = |secs: u32| Instant::from_secs(f64::from(secs));
     let mut names = VolumeNames::new(2);
-    // Name, the number that is in use, and the number that is given.
+    // The volume's name, the number in use, and the expected number.
     let lookups = [
         (7, 99, Some(0)),
         (8, 99, Some(1)),
@@ -22,13 +22,13 @@
     }
 }
 
-/// One request of the volume that was used longest ago stays open for long, while clients name new volumes. Only its own volume must be
-/// kept for it: a volume that is unused can make room, and the new ones must not be rejected.
+/// A request of the least recently used volume stays open while clients name new volumes. If the eviction gave up at that volume, the
+/// requests of new volumes would be rejected although an unused volume can be evicted.
 #[test]
-fn a_full_table_keeps_the_oldest_volume_in_use_and_evicts_the_next() {
+fn a_full_table_skips_a_volume_in_use_and_evicts_the_next() {
     let at = |secs: u32| Instant::from_secs(f64::from(secs));
     let mut names = VolumeNames::new(3);
-    // Name, and the number that is given; number 0 is in use throughout.
+    // The volume's name and the expected number; number 0 is in use throughout.
     let lookups = [(7, 0), (8, 1), (9, 2), (10, 3), (11, 4), (7, 0), (11, 4)];
     for (i, (name, expected)) in lookups.into_iter().enumerate() {
         let number = names.number(at(i as u32), name, |number| number == 0);
