--- a/crates/host-core/src/admin_request.rs
+++ b/crates/host-core/src/admin_request.rs
@@ -1,136 +1,137 @@
-//! Requests of operators, and the answers.
+//! Requests of operators to one host, and its responses. Both are JSON on the admin socket; a `rename` attribute keeps the name that
+//! scripts of operators know.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use tackmast_overrides::{Explanation, Override, OverrideId, OverrideRequest, Preview, Refusal};
 
-/// What an operator asks of one host.
+/// A request of an operator to one host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AdminRequest {
-    /// Set an override.
+    /// Sets an override.
     Set {
-        /// What is overridden, how, and for how long.
+        /// The nodes, what is done to them, and for how long.
         #[serde(rename = "order")]
         override_request: OverrideRequest,
-        /// Whether it is set even where a shard would lose its last node.
+        /// Whether the override is set even if a shard loses its last node by it.
         force: bool,
-        /// Whether to tell only what would change.
+        /// Whether the host only reports what would change.
         dry_run: bool,
-        /// Set it only if the overrides are still at this version.
+        /// The version that the overrides must have; a missing value sets the override at any version.
         if_version: Option<u64>,
     },
-    /// Clear an override.
+    /// Clears an override before its end.
     Clear {
-        /// Which.
+        /// The override to clear.
         id: OverrideId,
-        /// Who asks.
+        /// The operator, for the audit log.
         who: String,
     },
-    /// List the overrides that are set.
+    /// Lists the active overrides.
     List,
-    /// Tell why a node is treated as it is.
+    /// Explains the effective state and weight of a node.
     Explain {
-        /// The node.
+        /// The node's address.
         address: SocketAddr,
     },
-    /// The status of this host.
+    /// Requests the status of the host.
     Status,
-    /// What this host knows of the others.
+    /// Requests the host's view of its peers.
     Members,
-    /// About plans.
+    /// A request about plans.
     Plan(crate::PlanRequest),
-    /// About consensus.
+    /// A request about consensus.
     #[serde(rename = "agreement")]
     Consensus(crate::ConsensusRequest),
 }
 
-/// The answer to an `AdminRequest`.
+/// The response to an `AdminRequest`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AdminResponse {
-    /// An override was set, or would be.
+    /// The override was set, or would be in a dry run.
     Set {
-        /// The override.
+        /// The override, with its id and its end.
         record: Override,
-        /// What it changes.
+        /// What the override changes.
         preview: Preview,
-        /// Whether it was only tried.
+        /// Whether this was a dry run, which sets nothing.
         dry_run: bool,
     },
-    /// An override was cleared.
+    /// The override was cleared.
     Cleared {
-        /// Which.
+        /// The override that was cleared.
         id: OverrideId,
     },
-    /// The overrides that are set.
+    /// The active overrides.
     List {
-        /// Their version.
+        /// The version of the overrides, for `if_version`.
         version: u64,
-        /// Each with the seconds that it has left.
+        /// The active overrides, each with the seconds until it ends.
         #[serde(rename = "standing")]
         overrides: Vec<(Override, f64)>,
-        /// Nodes on their way back to full load.
+        /// The number of nodes on a recovery ramp, whose load is still reduced after their overrides have ended.
         returning: usize,
-        /// Seconds until the last of them is back.
+        /// Seconds until the last of these nodes is back at full load.
         returning_within_s: f64,
     },
-    /// Why a node is treated as it is.
+    /// Why a node has its effective state and weight.
     Explain(Box<Explanation>),
-    /// The status of this host.
+    /// The status of the host.
     Status(Box<HostStatus>),
-    /// What this host knows of the others.
+    /// The host's view of its peers.
     Members(Box<crate::MembersStatus>),
-    /// About plans.
+    /// The response to a request about plans.
     Plan(crate::PlanResponse),
-    /// About consensus.
+    /// The response to a request about consensus.
     #[serde(rename = "agreement")]
     Consensus(crate::ConsensusResponse),
-    /// It was refused.
+    /// The request fails a check of the overrides. Nothing has changed.
     Refused(Refusal),
-    /// It could not be written, so it does not apply.
+    /// The store could not write the change, so the change does not apply.
     NotKept {
-        /// Why not.
+        /// The error of the store.
         why: String,
     },
     /// The host can't process the request, or not now. Nothing has changed.
     Unavailable {
-        /// Why not.
+        /// The missing settings, or the limit that was reached.
         why: String,
     },
 }
 
-/// A host as operators see it.
+/// The status of a host, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HostStatus {
-    /// The host.
+    /// The host's number.
     pub host: u32,
-    /// Overrides that are set.
+    /// The number of active overrides.
     pub overrides: usize,
-    /// Their version.
+    /// The version of the overrides.
     pub version: u64,
-    /// Nodes on their way back to full load.
+    /// The number of nodes on a recovery ramp, whose load is still reduced after their overrides have ended.
     pub returning: usize,
-    /// Hosts that are believed to be alive, this one included; 0: this host has no membership.
+    /// The number of hosts that are believed to be alive, this one included; 0 if the settings have no membership.
     #[serde(default)]
     #[serde(rename = "there")]
     pub alive_hosts: u32,
-    /// Commands without an answer.
+    /// The number of commands that have no answer yet.
     pub commands: usize,
-    /// Attempts in flight.
+    /// The number of attempts in flight.
     #[serde(rename = "legs")]
     pub attempts: usize,
-    /// Commands received.
+    /// Commands received since the start.
     #[serde(rename = "taken")]
     pub commands_received: u64,
-    /// Commands done.
+    /// Commands done since the start.
     pub done: u64,
-    /// Commands rejected.
+    /// Commands rejected since the start.
     #[serde(rename = "deferred")]
     pub rejected: u64,
-    /// Commands failed.
+    /// Commands failed since the start.
     #[serde(rename = "abandoned")]
     pub failed: u64,
-    /// Address, state by the list, and effective state.
+    /// Each node's address, its state in the endpoint list, and its effective state.
     pub nodes: Vec<(SocketAddr, String, String)>,
 }
--- a/crates/host-core/src/core/peers.rs
+++ b/crates/host-core/src/core/peers.rs
@@ -70,7 +70,7 @@
     pub(super) fn process_peer_events(&mut self, now: Instant) {
         loop {
             let Some(peers) = &mut self.peers else { return };
-            let Some(next) = peers.next(now, &self.layout) else { return };
+            let Some(next) = peers.poll_event(now, &self.layout) else { return };
             match next {
                 PeerEvent::AliveHosts(hosts) => self.scheduler.alive_hosts_changed(hosts),
                 PeerEvent::QuotaChanged { volume, balance } => {
--- a/crates/host-core/src/override_requests.rs
+++ b/crates/host-core/src/override_requests.rs
@@ -1,5 +1,5 @@
-//! Operators' overrides within the host core: requests are checked one at a time, persisted before they apply, and reach the scheduler
-//! as states, weights and pins of nodes.
+//! Requests of operators that set, clear or list overrides. Changes are checked one at a time and persisted before they apply. The core
+//! passes them to the scheduler as states, weights and pins of nodes.
 
 use crate::admin_request::{AdminRequest, AdminResponse};
 use crate::error::PersistError;
@@ -10,11 +10,11 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_overrides::{Audit, Origin, Override, OverrideId, Overrides, Preview, Refusal};
 
-/// Requests that may wait for the one before them to be persisted.
+/// Greatest number of requests that wait until the change before them is persisted.
 const MAX_QUEUED_REQUESTS: usize = 256;
-/// The time between two reports of active overrides in the log.
+/// Time between two reports of the active overrides in the log.
 const REPORT_INTERVAL: TimeDelta = TimeDelta::from_millis(3_600_000);
-/// Active overrides that such a report names one by one.
+/// Greatest number of active overrides that a report lists one by one.
 const MAX_REPORTED_OVERRIDES: usize = 20;
 
 /// A change of the overrides that is being persisted.
@@ -23,53 +23,53 @@
     Clear { id: OverrideId, who: String },
 }
 
-/// Overrides, and the one request at a time that changes them.
+/// The overrides of this host, and the requests that change them.
 pub(crate) struct OverrideRequests {
-    /// The overrides that are set.
+    /// The active overrides.
     pub overrides: Overrides,
-    /// The change that is being persisted, with the number that its request came under.
+    /// The change that is being persisted, with the caller's number of its request.
     pending: Option<(u64, Pending)>,
-    /// Requests that wait for it, each with the number that it came under.
+    /// Requests that wait for the pending change, each with the caller's number.
     queued: VecDeque<(u64, AdminRequest)>,
     next_report_at: Instant,
-    /// Host and generation that name overrides set here, where hosts replicate theirs.
+    /// This host's identity, which becomes part of the origin of overrides set here; `None` if hosts do not replicate overrides.
     pub me: Option<HostIdentity>,
 }
 
-/// What a request leads to.
+/// The immediate result of a request.
 pub(crate) enum OverrideOutcome {
-    /// An answer at once.
+    /// The request is answered at once.
     Respond {
-        /// The number that the request came under.
+        /// The caller's number of the request.
         request: u64,
-        /// The answer.
+        /// The response.
         response: AdminResponse,
     },
-    /// A write, and an answer once it is done.
+    /// The change has to be persisted; the request is answered afterwards.
     Persist {
-        /// The number that the request came under.
+        /// The caller's number of the request.
         request: u64,
-        /// What is written.
+        /// The batch to persist.
         batch: PersistBatch,
     },
 }
 
-/// What became of a change that was given to the store.
+/// The result of a change that was given to the store.
 pub(crate) struct PersistedOverride {
-    /// The answer to whoever asked for it.
+    /// The response to the request.
     pub response: AdminResponse,
-    /// For the log.
+    /// The event to log.
     pub event: OverrideEvent,
 }
 
 impl OverrideRequests {
-    /// Takes over overrides that are set.
+    /// Starts with the overrides that an earlier generation of this host had persisted.
     pub(crate) fn new(now: Instant, overrides: Overrides) -> Self {
         OverrideRequests { overrides, pending: None, queued: VecDeque::new(), next_report_at: now, me: None }
     }
 
-    /// Answers a request, or begins to persist what it asks for. Two overrides at once could each take the node out of service that the
-    /// other leaves as the last of its shard, so a change waits until the one before it is persisted.
+    /// Answers a request or begins to persist its change; returns `None` if the request is queued. A change waits until the one before it
+    /// is persisted: two overrides that are checked at the same time could together take the last two nodes of a shard out of service.
     pub(crate) fn handle_request(
         &mut self,
         now: Instant,
@@ -112,9 +112,10 @@
             AdminRequest::Explain { address } => {
                 AdminResponse::Explain(Box::new(self.overrides.explain(now, address)))
             }
+            // The core fills in the next two.
             AdminRequest::Status => AdminResponse::Status(Box::default()),
             AdminRequest::Members => AdminResponse::Members(Box::default()),
-            // The core answers these where it can.
+            // The core answers these itself if its settings have the block.
             AdminRequest::Consensus(_) => no_block("agreement"),
             AdminRequest::Plan(_) => no_block("plans"),
         };
@@ -154,7 +155,7 @@
         AdminResponse::List { version, overrides, returning, returning_within_s }
     }
 
-    /// The store has written a change, which applies from now on, or could not write it, and it never applies.
+    /// Handles the result of the store. A change that was written applies from now on; one that could not be written never applies.
     pub(crate) fn handle_persisted(
         &mut self,
         now: Instant,
@@ -184,7 +185,7 @@
                 let response = AdminResponse::NotKept { why: error.to_string() };
                 (response, OverrideEvent::ClearingNotWritten { id, error })
             }
-            // The override may have ended while its clearing was persisted; either way it is not active any more.
+            // If the override has ended while its clearing was being persisted, there is nothing left to clear.
             (Pending::Clear { id, who }, Ok(())) => {
                 _ = self.overrides.clear(now, id, &who);
                 (AdminResponse::Cleared { id }, OverrideEvent::Cleared { id, who })
@@ -193,7 +194,7 @@
         Some(PersistedOverride { response, event })
     }
 
-    /// The next queued request, once none is pending.
+    /// Returns the next queued request, unless a change is still being persisted.
     pub(crate) fn next_queued(&mut self) -> Option<(u64, AdminRequest)> {
         if self.pending.is_some() {
             return None;
@@ -201,7 +202,7 @@
         self.queued.pop_front()
     }
 
-    /// Reports active overrides, at the start and each hour.
+    /// Returns the events that report the active overrides if a report is due: at the start and once an hour.
     pub(crate) fn poll_active_report(&mut self, now: Instant) -> Vec<OverrideEvent> {
         if now < self.next_report_at {
             return Vec::new();
@@ -223,7 +224,7 @@
         events
     }
 
-    /// When an override ends, or the next report is due.
+    /// Returns when the next override ends, a recovery ramp takes its next step, or the next report is due.
     pub(crate) fn poll_timeout(&self, now: Instant) -> Option<Instant> {
         [self.overrides.poll_timeout(now), Some(self.next_report_at)].into_iter().flatten().min()
     }
--- a/crates/host-core/src/peers.rs
+++ b/crates/host-core/src/peers.rs
@@ -1,5 +1,5 @@
-//! The other hosts, as the host core follows them: quota leases, how many are alive, and overrides that were set elsewhere. A host that
-//! receives nothing keeps what it has.
+//! Tracks the other hosts for the core: how many are alive, quota leases, and overrides that were set at other hosts. A host that receives
+//! nothing keeps its present state.
 
 mod status;
 
@@ -18,54 +18,58 @@
 use tackmast_overrides::{Kind, Origin, Override, OverrideId, OverrideRequest};
 use tackmast_wire::peer::Body;
 
-/// Requests that follow from peers' overrides have numbers from this one on.
+/// The first of the numbers of requests that peers' overrides cause.
 const FIRST_PEER_REQUEST: u64 = 1 << 63;
 
-/// Membership, quota leases and replicated overrides of one host, and what the core knows of them already.
+/// Membership, quota leases and replicated overrides of one host, with the values that the core was last notified of.
 pub struct Peers {
-    /// The member that this host is.
+    /// This host's member of the fleet.
     pub member: Member,
     max_hosts: u32,
     alive_hosts: u32,
     quota_balances: BTreeMap<u32, QuotaBalance>,
-    /// Volumes whose quota leases are still to be checked in this round.
+    /// LUNs of the volumes whose quota is still to be compared with the value that the core has.
     volumes_to_check: Vec<u32>,
     checked_at: Option<Instant>,
     origins: BTreeMap<OverrideId, Origin>,
     last_request: u64,
 }
 
-/// What follows from messages of peers, and from the time.
+/// A consequence of messages of peers or of the passage of time, for the core to act on.
 pub enum PeerEvent {
+    /// The number of hosts that count as alive has changed to this.
     AliveHosts(u32),
-    /// The quota of a volume, by its index in the layout, has changed.
+    /// This host's quota of a volume has changed.
     QuotaChanged {
+        /// The volume's index in the layout.
         volume: usize,
+        /// What is lent and borrowed from now on.
         balance: QuotaBalance,
     },
-    Send {
-        to: SocketAddr,
-        bytes: Bytes,
-    },
-    /// For the log.
+    /// A datagram is to be sent.
+    Send { to: SocketAddr, bytes: Bytes },
+    /// An event to log.
     Event(MembershipEvent),
+    /// An override was set or cleared at another host, and the same request is to be handled here.
     AdminRequest {
+        /// A number for which `Peers::is_from_peer` is true.
         request: u64,
         admin_request: AdminRequest,
     },
-    /// A change of plans.
+    /// A peer sent a change of plans.
     CatalogUpdate(CatalogUpdate),
-    /// To be written down for the next generation.
+    /// Members to be persisted for the next generation of this host.
     Persist(PersistedMembers),
+    /// A peer reported the state of its endpoint list.
     EndpointList(EndpointListNotice),
-    ConsensusMessage {
-        from: SocketAddr,
-        slot: u32,
-        body: Body,
-    },
+    /// A peer sent a message, or a chunk of one, to this host's replica.
+    ConsensusMessage { from: SocketAddr, slot: u32, body: Body },
 }
 
-/// The settings of the member that a host is. `address` is where it listens; `persisted` are hosts that an earlier generation knew.
+/// Derives the settings of a host's member from the host's settings.
+///
+/// `address` is the address that the host listens on; `advertise` of the settings replaces it for peers. `persisted` are the hosts that an
+/// earlier generation knew.
 pub fn member_settings(
     settings: &HostSettings,
     block: &MembershipBlock,
@@ -108,17 +112,17 @@
     }
 }
 
-/// A generation of a host.
+/// A host and one generation of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostIdentity {
     /// The host's number.
     pub slot: u32,
-    /// Its generation.
+    /// The generation of the host's process.
     pub generation: u64,
 }
 
 impl Peers {
-    /// The member that this host is from now on.
+    /// Creates the member of this host, which takes part in membership from now on.
     pub fn new(now: Instant, settings: MemberSettings) -> Self {
         Peers {
             max_hosts: settings.view.max_hosts as u32,
@@ -132,32 +136,32 @@
         }
     }
 
-    /// This host, as others name it.
+    /// Returns the identity by which peers know this host.
     pub fn me(&self) -> HostIdentity {
         let me = self.member.view.me();
         HostIdentity { slot: me.slot, generation: me.generation }
     }
 
-    /// Enables the replication of changes of plans, of which this host has these.
+    /// Enables the replication of changes of plans through peers. `plans` has the changes that this host can send.
     pub fn enable_catalog(&mut self, plans: &crate::Plans) {
         let encoded_changes =
             plans.encoded_changes().map(|(number, text)| CatalogUpdate { number, text: Bytes::from(text) });
         self.member.catalog.enable(plans.newest_version(), encoded_changes);
     }
 
-    /// Whether a request follows from an override that was set at another host.
+    /// Returns whether a request was caused by an override that was set or cleared at another host.
     pub fn is_from_peer(request: u64) -> bool {
         request >= FIRST_PEER_REQUEST
     }
 
-    /// An override that is active here, to be replicated to peers.
+    /// Replicates an active override to peers. It ends in `left_s` seconds.
     pub fn add_override(&mut self, now: Instant, record: &Override, left_s: f64) {
         let Some(origin) = record.origin else { return };
         self.origins.insert(record.id, origin);
         self.member.add_override(now, override_record(record, origin, left_s));
     }
 
-    /// Replicates an override that was set or cleared here.
+    /// Replicates the override that a response reports as set or cleared; does nothing for other responses.
     pub fn handle_override_response(&mut self, now: Instant, response: &AdminResponse) {
         match response {
             AdminResponse::Set { record, dry_run: false, .. } => {
@@ -173,8 +177,8 @@
         }
     }
 
-    /// What follows next from messages and the time; none: nothing more at this moment.
-    pub fn next(&mut self, now: Instant, layout: &Layout) -> Option<PeerEvent> {
+    /// Returns the next event for the core; `None` if there is none at this moment.
+    pub fn poll_event(&mut self, now: Instant, layout: &Layout) -> Option<PeerEvent> {
         if let Some(output) = self.member.poll_output() {
             return Some(match output {
                 Output::Send { to, bytes } => PeerEvent::Send { to, bytes },
@@ -183,17 +187,17 @@
                 Output::Persist(members) => PeerEvent::Persist(members),
                 Output::EndpointList(event) => PeerEvent::EndpointList(event),
                 Output::Consensus { from, slot, body } => PeerEvent::ConsensusMessage { from, slot, body },
-                Output::Override(event) => match self.request_of_event(event) {
+                Output::Override(event) => match self.request_for_override_event(event) {
                     Some(admin_request) => {
                         self.last_request += 1;
                         PeerEvent::AdminRequest { request: self.last_request, admin_request }
                     }
-                    None => return self.next(now, layout),
+                    None => return self.poll_event(now, layout),
                 },
             });
         }
-        // A host that has not been heard of counts as alive. Else hosts that start at the same time would each believe to be alone, and
-        // together send many times what the nodes bear.
+        // A host of which nothing was received yet counts as alive. Otherwise hosts that start at the same time would each believe to be
+        // the only one, and together send many times the load that the nodes can serve.
         let alive_hosts = self.max_hosts.saturating_sub(self.member.view.gone_count()).max(1);
         if alive_hosts != self.alive_hosts {
             self.alive_hosts = alive_hosts;
@@ -215,7 +219,9 @@
         None
     }
 
-    fn request_of_event(&self, event: OverrideEvent) -> Option<AdminRequest> {
+    /// Returns the request that applies an override event of a peer at this host. `None` means that there is nothing to apply: the target
+    /// can't be parsed, or the override to clear is not active here.
+    fn request_for_override_event(&self, event: OverrideEvent) -> Option<AdminRequest> {
         match event {
             OverrideEvent::Set { origin, record, seconds } => {
                 let kind = match record.kind {
@@ -226,8 +232,8 @@
                 let target = record.target.parse().ok()?;
                 let (reason, who, origin) = (record.reason, record.who, Some(origin));
                 let override_request = OverrideRequest { target, kind, reason, who, seconds, origin };
-                // The host where the override was set has checked what it would take out of service. It must apply here as there, even if
-                // this host would refuse it.
+                // The host where the override was set has checked which nodes it takes out of service. All hosts must apply it, even
+                // those whose own check would refuse it.
                 Some(AdminRequest::Set { override_request, force: true, dry_run: false, if_version: None })
             }
             OverrideEvent::Clear { origin } => {
@@ -240,7 +246,7 @@
     }
 }
 
-/// An override as it is sent to peers.
+/// Converts an override to the record that is sent to peers.
 fn override_record(record: &Override, origin: Origin, left_s: f64) -> OverrideRecord {
     OverrideRecord {
         slot: origin.slot,
--- a/crates/host-core/src/peers/status.rs
+++ b/crates/host-core/src/peers/status.rs
@@ -1,4 +1,4 @@
-//! Gathers what a host knows of the others, for operators.
+//! Collects a host's view of its peers for operators.
 
 use super::Peers;
 use crate::members_status::{DeathStatus, MembersStatus, PeerStatus, SiteStatus};
@@ -6,7 +6,7 @@
 use tackmast_membership::{LeaseStatus, MemberState, SiteHealth};
 
 impl Peers {
-    /// What this host knows of the others.
+    /// Returns this host's view of its peers, its quota leases and its counters.
     pub fn status(&self, now: Instant) -> MembersStatus {
         let (datagrams, view) = (&self.member.counters, &self.member.view);
         let (me, counters) = (view.me(), view.counters);
@@ -90,6 +90,7 @@
     }
 }
 
+/// Converts a lease to its row in `MembersStatus::quota_leases`.
 fn lease_row(lease: LeaseStatus) -> (u32, f64, f64, f64, f64) {
     (lease.volume, lease.owned, lease.lent, lease.borrowed, lease.needed)
 }
