--- a/crates/host-core/src/consensus.rs
+++ b/crates/host-core/src/consensus.rs
@@ -1,5 +1,5 @@
-//! The replica of this host within the host core, with the transfer of its messages and the requests that wait for it. The decisions are
-//! those of `tackmast-consensus` and `tackmast-plans`.
+//! The driver of this host's replica: it ties the replica to the chunked transfer of its messages and to the requests that wait for it. The
+//! decisions are made in `tackmast-consensus` and `tackmast-plans`.
 
 mod messages;
 
@@ -14,64 +14,64 @@
 };
 use tackmast_wire::peer::Body;
 
-/// Entries of the log after which a snapshot is taken.
+/// Number of log entries after which a snapshot is taken.
 const SNAPSHOT_AFTER_ENTRIES: u64 = 2_000;
-/// Bytes of entries after which a snapshot is taken.
+/// Bytes of log entries after which a snapshot is taken.
 const SNAPSHOT_AFTER_BYTES: usize = 4 << 20;
-/// Reads that may wait at a time.
+/// Greatest number of reads that wait at the same time; further ones are refused.
 pub(crate) const MAX_WAITING_READS: usize = 256;
-/// How long a read waits at most until this host is up to date.
+/// How long a read waits at most until this host is up to date. It is then answered with the state that the host has.
 pub(crate) const READ_TIMEOUT: TimeDelta = TimeDelta::from_millis(3000);
-/// The time between two checks of a leader whether all hosts have stored the version that a lower fallback limit waits for.
+/// Time between two checks whether all hosts have stored the version that a lower fallback limit waits for.
 pub(crate) const ACKNOWLEDGEMENT_CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(500);
-/// Spreads the generations of a host over the ids of its messages (a multiplicative hash), so that a restarted host does not use ids again
-/// of which peers still have chunks.
+/// Multiplier of the multiplicative hash that derives the first message id from a host's generation. It spreads the ids, so that a
+/// restarted host does not reuse ids of which peers still hold chunks.
 const MESSAGE_ID_MULTIPLIER: u32 = 0x9e37_79b1;
-/// Bits of a request's number that tell whose write it is.
+/// Bits of a request number that tell which part of the core made the write.
 const WRITER_BITS: u64 = 3 << 62;
-/// Writes of the replicated log have request numbers from this one on.
+/// The first of the request numbers of writes of the replicated log.
 pub(crate) const FIRST_WRITE_REQUEST: u64 = 1 << 62;
 
-/// What a host's disk has of consensus.
+/// The state of consensus on a host's disk, with which its replica starts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConsensusStart {
-    /// What tells this disk from others.
+    /// The identity of the disk, by which peers notice a replaced disk or an old copy.
     pub identity: DiskIdentity,
-    /// The log and the state of Raft.
+    /// The log, and the term and vote of Raft.
     pub persisted: PersistentState,
 }
 
-/// Whether the number of a request is that of a write of the replicated log.
+/// Returns whether a request number is that of a write of the replicated log.
 pub(crate) fn is_log_write(request: u64) -> bool {
     request & WRITER_BITS == FIRST_WRITE_REQUEST
 }
 
 /// A request about plans that waits until this host is up to date.
 pub(crate) struct WaitingRead {
-    /// The replica's number of the read.
+    /// The number that the replica gave the read.
     pub read: u32,
-    /// It is answered by then, with what this host has.
+    /// When the read is answered even if the host is not known to be up to date.
     pub deadline: Instant,
-    /// The number that the request came under.
+    /// The caller's number of the request.
     pub request: u64,
     pub plan_request: crate::PlanRequest,
 }
 
-/// The replica of this host, with the transfer of its messages and the requests that wait for it.
+/// The replica of this host, the transfer of its messages, and the requests that wait for it.
 pub struct ConsensusDriver {
     pub(crate) replica: Replica,
     pub(crate) chunks: ChunkedTransfer,
     pub(crate) settings: RaftSettings,
-    /// Changes that were proposed here, by number, with the request that waits for each.
+    /// The request that waits for each change proposed at this host, by the number of the proposal.
     pub(crate) changes: BTreeMap<u32, u64>,
     pub(crate) reads: Vec<WaitingRead>,
-    /// The index of the newest change of plans.
+    /// Index of the newest entry that changes plans.
     pub(crate) changed_at: u64,
     pub(crate) next_acknowledgement_check: Instant,
     me: u32,
 }
 
-/// The settings of Raft that follow from the settings of a host.
+/// Derives the settings of Raft from the settings of a host.
 fn raft_settings(settings: &HostSettings, block: &ConsensusBlock) -> RaftSettings {
     RaftSettings {
         heartbeat_interval: TimeDelta::from_secs(block.heartbeat_interval_ms / 1e3),
@@ -85,7 +85,7 @@
 }
 
 impl ConsensusDriver {
-    /// A replica that starts from what the disk has; `seed` is for chance in elections.
+    /// Creates a driver whose replica starts from the state on disk. `seed` seeds the randomized election timeouts.
     pub fn new(
         now: Instant,
         settings: &HostSettings,
@@ -118,14 +118,14 @@
         }
     }
 
-    /// When the replica wants to be called again.
+    /// Returns when the replica, the transfer of messages or a waiting read is next due.
     pub fn poll_timeout(&self, now: Instant) -> Instant {
         let reads = self.reads.iter().map(|read| read.deadline);
         let all = [Some(self.replica.poll_timeout(now)), self.chunks.poll_timeout()];
         all.into_iter().flatten().chain(reads).fold(self.replica.poll_timeout(now), Instant::min)
     }
 
-    /// A message, once all its chunks have arrived.
+    /// Processes a datagram body and returns the message that it completes, if any. Malformed messages are dropped.
     pub(crate) fn handle_body(
         &mut self,
         now: Instant,
@@ -148,19 +148,19 @@
         Message::decode(bytes).ok()
     }
 
-    /// How long after its commit a change applies at all hosts.
+    /// Returns how long after its commit a change applies at all hosts.
     pub fn settle_time(&self) -> TimeDelta {
         Lease::max_holdover(self.settings.lease, self.settings.max_clock_drift)
     }
 
-    /// Whether this host's lease is valid.
+    /// Returns the state of this host's lease.
     pub fn lease_state(&self, now: Instant) -> LeaseState {
         self.replica.lease_state(now)
     }
 
-    /// The replica as operators see it. The figures of the plans are filled in by the core.
+    /// Returns the status for operators. The core fills in the versions of the plans and `degraded`.
     pub fn status(&self, now: Instant) -> ConsensusStatus {
-        let reported = |(host, follower): (u32, FollowerStatus)| {
+        let follower_row = |(host, follower): (u32, FollowerStatus)| {
             (host, (follower.stored_index, follower.silent_for.secs()))
         };
         let (status, counters) = (self.replica.status(now), self.replica.raft.counters);
@@ -189,7 +189,7 @@
             lease_s,
             degraded: false,
             in_force_s: (self.replica.effective_at(now) - now).secs(),
-            followers: status.followers.into_iter().map(reported).collect(),
+            followers: status.followers.into_iter().map(follower_row).collect(),
             elections: counters.elections,
             commits: counters.commits,
             granted_leases: counters.granted,
--- a/crates/host-core/src/consensus/messages.rs
+++ b/crates/host-core/src/consensus/messages.rs
@@ -1,125 +1,127 @@
-//! Requests of operators about consensus, and the answers.
+//! Requests of operators about consensus, and the responses. Both are JSON on the admin socket; a `rename` attribute keeps the name that
+//! scripts of operators know.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What an operator asks of this host's consensus.
+/// A request of an operator to the replica of one host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConsensusRequest {
-    /// The status of this host's replica.
+    /// Requests the status of the replica.
     Status,
-    /// Adds or removes a voter; for the leader.
+    /// Adds or removes a voter. Only the leader accepts this.
     Voter {
-        /// The voter's host.
+        /// The number of the voter's host.
         host: u32,
-        /// Whether it votes from now on.
+        /// Whether the host is added; otherwise it is removed.
         votes: bool,
     },
-    /// The majority is gone for good: this host begins a new log alone, with what it has.
+    /// Begins a new log with this host as the only voter and the state that it has, after a majority of the voters is lost for good.
     Force {
-        /// Who asks.
+        /// The operator, for the audit log.
         who: String,
-        /// For what reason.
+        /// The reason, for the audit log.
         why: String,
     },
-    /// This host discards its log, to follow one that was forced at another host.
+    /// Discards the log of this host, so that it follows a log that was forced at another host.
     Forget {
-        /// Who asks.
+        /// The operator, for the audit log.
         who: String,
-        /// For what reason.
+        /// The reason, for the audit log.
         why: String,
     },
 }
 
-/// The answer to a `ConsensusRequest`.
+/// The response to a `ConsensusRequest`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConsensusResponse {
-    /// The status of this host's replica.
+    /// The status of the replica.
     Status(Box<ConsensusStatus>),
-    /// Done here, and written into the audit log.
+    /// The host has begun a new log or discarded its log, and an audit record of it is given to the store.
     Done {
-        /// The id of the new log of `Force`; 0: none.
+        /// The id of the new log, or 0 after `Forget`.
         log: u64,
     },
-    /// It is in the log, and applies once a majority has stored it.
+    /// The change of the voters was appended to the log. It applies once a majority has stored it.
     Taken {
-        /// Its index in the log.
+        /// The index of the entry.
         index: u64,
     },
-    /// Nothing was done.
+    /// The request was refused. Nothing has changed.
     Refused {
-        /// Why not.
+        /// The reason.
         why: String,
     },
 }
 
-/// The replica of a host as operators see it.
+/// The status of a host's replica, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConsensusStatus {
-    /// This host.
+    /// The host's number.
     pub host: u32,
-    /// Its generation.
+    /// The host's generation.
     #[serde(rename = "life")]
     pub generation: u64,
-    /// Leader, follower or candidate.
+    /// `leads`, `follows` or `asks for votes`.
     pub role: String,
-    /// The current term.
+    /// The newest term that the replica has seen.
     pub term: u64,
-    /// The leader, where one is known.
+    /// The leader's host number; `None` if no leader is known.
     pub leader: Option<u32>,
-    /// The id of the log: hosts with different ones do not share one.
+    /// The id of the log. Hosts with different ids follow different logs.
     #[serde(rename = "log")]
     pub log_id: u64,
-    /// Hosts that vote.
+    /// The numbers of the hosts that vote.
     pub voters: Vec<u32>,
     /// Whether this host votes.
     #[serde(rename = "votes")]
     pub is_voter: bool,
-    /// Whether the log has its initial voters.
+    /// Whether the initial voters have begun the log.
     #[serde(rename = "founded")]
     pub bootstrapped: bool,
-    /// Whether its disk takes no writes.
+    /// Whether a write to the host's disk has failed, so that the replica neither votes nor leads until it restarts.
     #[serde(rename = "failed")]
     pub disk_failed: bool,
-    /// The index of the last entry.
+    /// The index of the last entry of the log.
     #[serde(rename = "last")]
     pub last_index: u64,
-    /// The index up to which entries are committed.
+    /// The index of the last committed entry.
     #[serde(rename = "commit")]
     pub commit_index: u64,
-    /// The index up to which entries are in the snapshot.
+    /// The index of the last entry that the snapshot covers.
     #[serde(rename = "folded")]
     pub snapshot_index: u64,
-    /// The version of the plans that apply here.
+    /// The version of the plans that apply at this host.
     pub version: u64,
-    /// The newest version of the plans that is known to be stored on all hosts.
+    /// The newest version of the plans that all hosts are known to have stored.
     #[serde(rename = "told")]
     pub acknowledged: u64,
-    /// `holds`, `past` or `never`.
+    /// The state of the host's lease: `holds` if it is valid, `past` if it has expired, `never` if there was none since the start.
     pub lease: String,
-    /// Seconds until the lease ends, or since it did.
+    /// Seconds until a valid lease ends, or since an expired one ended.
     pub lease_s: f64,
-    /// Whether it is in degraded mode, with the fallback limits.
+    /// Whether the host is in degraded mode, in which it keeps to the fallback limits.
     #[serde(rename = "posture")]
     pub degraded: bool,
-    /// Seconds until the newest version that this host has applies at all hosts.
+    /// Seconds until the newest entry that this host knows to be committed applies at all hosts.
     pub in_force_s: f64,
-    /// Where it leads: by host, the last entry that the host reported to have stored, and seconds since its last response.
+    /// By host number, the index of the last entry that the host reported to have stored, and the seconds since that report. Empty
+    /// unless this host is the leader.
     #[serde(rename = "has")]
     pub followers: BTreeMap<u32, (u64, f64)>,
-    /// Elections begun here.
+    /// Elections that this host has started.
     pub elections: u64,
-    /// Entries committed here.
+    /// Entries that this host has seen committed.
     pub commits: u64,
-    /// Leases granted here.
+    /// Leases that this host has granted as leader.
     #[serde(rename = "granted")]
     pub granted_leases: u64,
-    /// Messages rejected because they came from another disk of a voter.
+    /// Messages rejected because they came from a disk that is not the voter's, or is an old copy of it.
     #[serde(rename = "wrong_disks")]
     pub rejected_disks: u64,
-    /// Messages dropped.
+    /// Messages dropped because too many waited for the disk, were too long, or did not arrive in full.
     #[serde(rename = "lost")]
     pub dropped_messages: u64,
 }
