--- a/crates/host-core/src/core/plans.rs
+++ b/crates/host-core/src/core/plans.rs
@@ -52,7 +52,7 @@
     pub(super) fn apply_plan_updates(&mut self, now: Instant, updates: &[PlanUpdate]) {
         for update in updates {
             match update {
-                PlanUpdate::Plan { plan, figures } => self.scheduler.plan_changed(now, *plan, *figures),
+                PlanUpdate::Plan { plan, parameters } => self.scheduler.plan_changed(now, *plan, *parameters),
                 PlanUpdate::Volume { name, plan } => {
                     let Some(volume) = self.layout.volume_named(name) else { continue };
                     self.layout.set_plan(volume, plan.0);
--- a/crates/host-core/src/error.rs
+++ b/crates/host-core/src/error.rs
@@ -1,75 +1,75 @@
-//! Errors of the host core. Operators see their texts as they are.
+//! Errors of the host core. Operators see their texts unchanged.
 
 use tackmast_membership::{MAX_CATALOG_UPDATES, MAX_UPDATE_LEN};
 use tackmast_plans::{ChangeLogError, Refusal};
 
-/// The store could not write a batch; its own text.
+/// The store could not write a batch. The text is the store's own.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct PersistError(pub String);
 
-/// Why a change of plans is not accepted.
+/// The reason why a change of plans, or a request about plans, is refused.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
-    /// It does not fit the plans that apply, or the fleet.
+    /// The change conflicts with the plans that apply, or asks more than the fleet can serve.
     #[error("{0}")]
     Refused(Refusal),
-    /// It does not follow the change log.
+    /// The change is not the next entry of the change log.
     #[error(transparent)]
     ChangeLog(#[from] ChangeLogError),
-    /// Its bytes are not a command.
+    /// The committed bytes are not a command.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// The change to undo is not known.
-    #[error("change {number}: not in the trail; expected one that `log` shows")]
+    /// The change to undo is not in the change log.
+    #[error("change {number}: not in the change log; expected a number that `log` shows")]
     UnknownChange {
-        /// Its number.
+        /// The number of the change to undo.
         number: u64,
     },
-    /// It needs consensus, which this host does not have.
-    #[error("hosts do not agree on plans here")]
+    /// The request needs consensus, which this host does not use.
+    #[error("changes of plans do not use consensus at this host")]
     NoConsensus,
-    /// The change log is empty after a change.
-    #[error("no entry")]
+    /// The change log has no entry although a change was just appended.
+    #[error("the change log has no entry after the change")]
     NoEntry,
-    /// It does not fit a datagram.
-    #[error("a change of {bytes} bytes; expected at most {MAX_UPDATE_LEN}, in several changes")]
+    /// The change does not fit into a datagram.
+    #[error("the change has {bytes} bytes; expected at most {MAX_UPDATE_LEN}, in several changes")]
     ChangeTooLong {
-        /// Its length.
+        /// The length of the change's stored form, in bytes.
         bytes: usize,
     },
-    /// No further change can be replicated.
-    #[error("the trail is full: {MAX_CATALOG_UPDATES} changes; expected it to be begun anew")]
+    /// The change log holds as many changes as hosts can replicate.
+    #[error("the change log is full: {MAX_CATALOG_UPDATES} changes; expected a new change log")]
     ChangeLogFull,
-    /// The scheduler remembers plans by number, and has no more numbers.
-    #[error("plans have had {max} names since this host's start; expected one of these")]
+    /// The scheduler knows plans by number, and the host has assigned all numbers.
+    #[error("plans have had {max} names since this host started; expected one of these names")]
     TooManyNames {
-        /// How many names it may remember.
+        /// The number of names that a host remembers.
         max: usize,
     },
     /// Another host accepts changes.
     #[error("host {home} takes changes of plans, and this is host {host}; ask it")]
     NotHome {
-        /// The host that accepts changes.
+        /// The number of the host that accepts changes.
         home: u32,
-        /// This host.
+        /// The number of this host.
         host: u32,
     },
-    /// The change log does not fit one answer.
-    #[error("the trail has {bytes} bytes; an answer holds {max}")]
+    /// The change log does not fit into one response.
+    #[error("the change log has {bytes} bytes; expected at most {max} in a response")]
     LogTooLong {
-        /// Its length.
+        /// The length of the change log, in bytes.
         bytes: usize,
-        /// The longest that fits.
+        /// The length of the longest change log that fits, in bytes.
         max: usize,
     },
-    /// Too many changes wait for the one before them to be written.
-    #[error("{max} changes wait already")]
+    /// Too many changes wait until the one before them is written.
+    #[error("{max} changes of plans wait already; try again later")]
     QueueFull {
-        /// How many may wait.
+        /// The number of changes that may wait.
         max: usize,
     },
-    /// The change was not written, so it does not apply.
-    #[error("not kept, so it does not hold: {0}")]
+    /// The store could not write the change, so the change does not apply.
+    #[error("the change was not written, so it does not apply: {0}")]
     NotPersisted(PersistError),
 }
--- a/crates/host-core/src/plans/changes.rs
+++ b/crates/host-core/src/plans/changes.rs
@@ -1,87 +1,87 @@
-//! What changes of plans lead to: updates for this host, texts for peers, writes and answers.
+//! The results of changes of plans: updates for this host, texts for peers, writes and responses.
 
 use super::messages::PlanResponse;
 use crate::event::PlanEvent;
-use tackmast::interface::{Instant, Plan as Figures, PlanId};
+use tackmast::interface::{Instant, Plan as PlanParameters, PlanId};
 use tackmast_plans::Entry;
 
-/// A change for the scheduler and the layout.
+/// An update of the scheduler and the layout.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanUpdate {
-    /// A plan has these figures.
+    /// A plan is new or has new parameters.
     Plan {
-        /// The scheduler's number of it.
+        /// The scheduler's number of the plan.
         plan: PlanId,
-        /// Its figures.
-        figures: Figures,
+        /// The parameters of the plan from now on.
+        parameters: PlanParameters,
     },
-    /// A volume is under this plan.
+    /// A volume has moved to another plan.
     Volume {
-        /// The volume.
+        /// The volume's name.
         name: String,
         /// The scheduler's number of the plan.
         plan: PlanId,
     },
 }
 
-/// What a request leads to.
+/// The immediate result of a request.
 pub enum PlanOutcome {
-    /// An answer at once.
+    /// The request is answered at once.
     Respond {
-        /// The number that the request came under.
+        /// The caller's number of the request.
         request: u64,
-        /// The answer.
+        /// The response.
         response: PlanResponse,
     },
-    /// A write, and an answer once it is done.
+    /// The change has to be persisted; the request is answered afterwards.
     Persist {
-        /// The number that the request came under.
+        /// The caller's number of the request.
         request: u64,
-        /// The change.
+        /// The entry of the change log to persist.
         entry: Box<Entry>,
     },
 }
 
-/// What a volume may use, in units: a rate a second, and what may exceed it.
+/// The limit of a volume over all hosts: a rate, and the units that may exceed it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct VolumeLimit {
-    /// Units a second.
+    /// The rate in units a second; 0 means no limit.
     pub limit: f64,
-    /// Units at once.
+    /// The depth of the token bucket, in units.
     pub burst: f64,
-    /// Units that measurement may be off by.
+    /// Units by which all hosts together may exceed limit and burst.
     pub slack: f64,
 }
 
-/// Whether the store has the change log already.
+/// What the store has of the change log when the host starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoredPlans {
-    /// Nothing of it: the checkpoint is written first.
+    /// Nothing, so the checkpoint has to be written first.
     Nothing,
-    /// Its checkpoint, and the changes so far.
+    /// The checkpoint and the changes so far.
     ChangeLog,
 }
 
-/// What became of a change that was given to the store.
+/// The result of a change that was given to the store.
 pub struct PersistedChange {
-    /// The answer to whoever asked for the change.
+    /// The response to the request.
     pub response: PlanResponse,
-    /// What applies from now on, if the change was written.
+    /// The change that applies from now on; `None` if it could not be written.
     pub applied: Option<AppliedChange>,
 }
 
-/// A change that applies from now on: updates for this host, and its text for peers.
+/// A change that applies at this host from now on, with its updates and its text for peers.
 pub struct AppliedChange {
-    /// What changes for the scheduler and the layout.
+    /// The updates of the scheduler and the layout.
     pub updates: Vec<PlanUpdate>,
-    /// Its number.
+    /// The number of the change.
     pub number: u64,
-    /// The prefix of the digest of all changes up to it.
+    /// The prefix of the digest of the change and all before it.
     pub digest_prefix: u64,
-    /// As it is stored and replicated.
+    /// The form in which the change is stored and replicated.
     pub text: Vec<u8>,
-    /// When all hosts go by it.
+    /// When the change applies at all hosts.
     pub effective_at: Instant,
-    /// For the log.
+    /// The event to log.
     pub event: PlanEvent,
 }
--- a/crates/host-core/src/plans/from_settings.rs
+++ b/crates/host-core/src/plans/from_settings.rs
@@ -1,9 +1,9 @@
-//! The catalogue and the fleet that the settings of a host describe.
+//! Derives the initial catalogue and the fleet from the settings of a host.
 
 use tackmast_config::{HostSettings, PlansBlock};
 use tackmast_plans::{Catalogue, Fleet, Plan, TrafficClass, Volume};
 
-/// What the settings say, as a catalogue.
+/// Returns the plans, traffic classes and volumes of the settings as a catalogue.
 pub(super) fn catalog_of_settings(settings: &HostSettings) -> Catalogue {
     let mut catalogue = Catalogue::default();
     for plan in &settings.plans {
@@ -41,8 +41,9 @@
     catalogue
 }
 
-/// What changes of plans are checked against: the hosts, the largest request, and by shard the units a second that its node bears.
-pub(super) fn fleet(settings: &HostSettings, block: &PlansBlock) -> Fleet {
+/// Returns the fleet that changes of plans are validated against: the number of hosts, the units of the largest request, and for each shard
+/// the units a second that its node can serve.
+pub(super) fn fleet_of_settings(settings: &HostSettings, block: &PlansBlock) -> Fleet {
     let shards = settings.volumes.iter().flat_map(|volume| &volume.shards);
     let node_units = |shard: &u32| block.bears.get(&shard.to_string()).copied().unwrap_or(block.node_units);
     Fleet {
--- a/crates/host-core/src/plans/messages.rs
+++ b/crates/host-core/src/plans/messages.rs
@@ -1,96 +1,98 @@
-//! Requests of operators about plans, and the answers.
+//! Requests of operators about plans, and the responses. Both are JSON on the admin socket; a `rename` attribute keeps the name that scripts
+//! of operators know.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use tackmast_plans::{Catalogue, Change, Fleet};
 
-/// What an operator asks about plans.
+/// A request of an operator about plans.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlanRequest {
-    /// The plans that apply.
+    /// Requests the plans that apply.
     Show,
-    /// Apply a change.
+    /// Applies a change.
     Apply {
-        /// The change.
+        /// The change, with the version it was made on.
         change: Change,
-        /// Whether to report only what would change.
+        /// Whether the host only reports what would change.
         dry_run: bool,
     },
-    /// Take a change back.
+    /// Undoes a change.
     Undo {
-        /// Its number.
+        /// The number of the change to undo.
         number: u64,
-        /// Who asks.
+        /// The operator, for the change log.
         who: String,
-        /// For what reason.
+        /// The reason, for the change log.
         why: String,
-        /// Whether to report only what would change.
+        /// Whether the host only reports what would change.
         dry_run: bool,
     },
-    /// The change log, as it is stored.
+    /// Requests the change log in its stored form.
     Log,
 }
 
-/// The answer to a `PlanRequest`.
+/// The response to a `PlanRequest`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlanResponse {
     /// The plans that apply.
     Shown(Box<PlanStatus>),
-    /// The change applies, or would.
+    /// The change applies, or would in a dry run.
     Applied {
-        /// Its number.
+        /// The number of the change.
         number: u64,
-        /// The version that it makes.
+        /// The version of the plans after the change.
         version: u64,
-        /// What changes, line by line.
+        /// The differences between the plans before and after the change, one a line.
         lines: Vec<String>,
-        /// Seconds until it applies at all hosts.
+        /// Seconds until the change applies at all hosts.
         in_force_s: f64,
-        /// Whether it was only tried.
+        /// Whether this was a dry run, which changes nothing.
         dry_run: bool,
     },
-    /// Nothing was changed.
+    /// The request was refused. Usually nothing has changed; a proposal without a result in time may still be committed later.
     Refused {
-        /// Why not.
+        /// The reason.
         why: String,
     },
     /// The change log.
     Log {
-        /// Its lines.
+        /// The lines of the log: the checkpoint, then one for each change.
         text: String,
-        /// What changes are checked against.
+        /// The fleet that the changes were validated against, with which the log can be verified.
         fleet: Fleet,
     },
 }
 
-/// The plans of a host as operators see them.
+/// The plans of a host, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlanStatus {
-    /// The host.
+    /// The host's number.
     pub host: u32,
-    /// The host that accepts changes, where there is no consensus.
+    /// The number of the host that accepts changes if the fleet does not use consensus.
     pub home: u32,
     /// The number of the newest change.
     pub number: u64,
-    /// Its digest.
+    /// The digest of the newest change and all before it, in hexadecimal.
     pub digest: String,
-    /// Seconds until it applies at all hosts.
+    /// Seconds until the newest change applies at all hosts.
     pub in_force_s: f64,
-    /// Seconds until a new change applies at all hosts.
+    /// Seconds from the acceptance of a change until it applies at all hosts.
     pub settle_s: f64,
     /// The plans, volumes and traffic classes.
     pub catalogue: Catalogue,
-    /// What changes are checked against.
+    /// The fleet that changes are validated against.
     pub fleet: Fleet,
-    /// Whether clients wait until the newest change is known.
+    /// Whether clients are rejected, with a retry-after, until this host knows the newest change.
     #[serde(rename = "waits")]
     pub clients_wait: bool,
-    /// By host, the change that it last reported to apply.
+    /// By host number, the number of the newest change that the host reported to apply. With consensus: the index of the last log entry
+    /// that the host reported to have stored.
     #[serde(rename = "at")]
     pub reported_changes: BTreeMap<u32, u64>,
-    /// With consensus: this host could not find out whether there is a newer one.
+    /// With consensus: whether this host could not find out if there is a newer change.
     #[serde(default)]
     pub stale: bool,
 }
--- a/crates/host-core/src/plans/replicated.rs
+++ b/crates/host-core/src/plans/replicated.rs
@@ -1,47 +1,47 @@
-//! Plans that hosts change by consensus: committed commands, snapshots, and degraded mode without a lease.
+//! Plans whose changes need consensus: committed commands, snapshots, and degraded mode without a lease.
 
 use super::changes::PlanUpdate;
 use super::Plans;
 use crate::error::PlanError;
 use tackmast_plans::{Change, ChangeLogError, Command, Entry, Proposal, ReplicatedPlans};
 
-/// What a committed command did.
+/// The result of a committed command.
 pub struct CommittedChange {
-    /// What changes for the scheduler.
+    /// The updates of the scheduler and the layout.
     pub updates: Vec<PlanUpdate>,
-    /// The entry of the change log, if one was made.
+    /// The entry that was appended to the change log; `None` if the command acknowledges a version.
     pub entry: Option<Entry>,
-    /// What the proposer is shown.
+    /// The differences between the plans before and after the command, one a line, for the response to the proposer.
     pub lines: Vec<String>,
 }
 
-/// The newest version that is known to be stored on all hosts.
+/// The newest version that all hosts are known to have stored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AcknowledgedVersion {
-    /// The version.
+    /// The version; 0 if none is known.
     pub version: u64,
-    /// Whether a lower fallback limit waits for a newer one.
+    /// Whether a lower fallback limit waits until all hosts have stored a newer version.
     pub is_awaited: bool,
 }
 
-/// What a change would do.
+/// The result that a change would have.
 pub struct ChangePreview {
-    /// The number that it would have.
+    /// The number that the change would get.
     pub number: u64,
-    /// The version that it would make.
+    /// The version that the plans would get.
     pub version: u64,
-    /// What would change, line by line.
+    /// The differences between the present plans and the changed ones, one a line.
     pub lines: Vec<String>,
 }
 
 impl Plans {
-    /// Changes need consensus from now on. Until it has a lease, this host is in degraded mode.
+    /// Makes changes need consensus from now on, starting from the plans of the settings. The host is in degraded mode until it has a lease.
     pub fn enable_consensus(&mut self) {
         self.replicated = Some(ReplicatedPlans::starting_with(self.change_log.checkpoint.catalogue.clone()));
         (self.degraded, self.clients_wait_until) = (true, None);
     }
 
-    /// The newest version that is known to be stored on all hosts, and whether a lower fallback limit waits for that.
+    /// Returns the newest version that all hosts are known to have stored, and whether a lower fallback limit waits for a newer one.
     pub fn acknowledged(&self) -> AcknowledgedVersion {
         let state = |replicated: &ReplicatedPlans| AcknowledgedVersion {
             version: replicated.notified_version(),
@@ -50,12 +50,12 @@
         self.replicated.as_ref().map(state).unwrap_or_default()
     }
 
-    /// The state that the entries of the replicated log led to.
+    /// Returns the state after the committed entries of the replicated log, for a snapshot. It is empty without consensus.
     pub fn snapshot(&self) -> Vec<u8> {
         self.replicated.as_ref().map(ReplicatedPlans::to_bytes).unwrap_or_default()
     }
 
-    /// Back to the plans of the settings, with which a log begins.
+    /// Resets the plans to those of the settings, with which a log begins, and returns the updates.
     pub fn reset_to_settings(&mut self) -> Vec<PlanUpdate> {
         let from = self.change_log().catalogue.clone();
         let degraded = self.degraded;
@@ -65,7 +65,7 @@
         self.updates(&from, &to)
     }
 
-    /// Installs a snapshot; returns what changes by that.
+    /// Installs a snapshot and returns the updates.
     pub fn restore_snapshot(&mut self, state: &[u8]) -> Result<Vec<PlanUpdate>, ChangeLogError> {
         let from = self.change_log().catalogue.clone();
         self.replicated = Some(ReplicatedPlans::from_bytes(state, &self.fleet)?);
@@ -73,7 +73,7 @@
         Ok(self.updates(&from, &to))
     }
 
-    /// Enters or leaves degraded mode; returns what changes by that.
+    /// Enters or leaves degraded mode and returns the updates.
     pub fn set_degraded(&mut self, degraded: bool) -> Vec<PlanUpdate> {
         if std::mem::replace(&mut self.degraded, degraded) == degraded {
             return Vec::new();
@@ -81,12 +81,12 @@
         self.all_updates()
     }
 
-    /// Whether this host is in degraded mode, with the fallback limits.
+    /// Returns whether this host is in degraded mode, in which it keeps to the fallback limits.
     pub fn is_degraded(&self) -> bool {
         self.degraded
     }
 
-    /// What a change would do, as far as this host knows.
+    /// Returns the result that a change would have on the plans that this host knows, which may not be the newest.
     pub fn preview_change(&self, at_us: u64, change: Change) -> Result<ChangePreview, PlanError> {
         let Some(replicated) = &self.replicated else { return Err(PlanError::NoConsensus) };
         let Proposal { entry, catalogue: next } =
@@ -95,7 +95,7 @@
         Ok(ChangePreview { number: entry.number, version: entry.version, lines })
     }
 
-    /// Applies a committed command.
+    /// Applies a committed command. Every host applies the same commands in the same order.
     pub fn apply_committed(&mut self, command: Command) -> Result<CommittedChange, PlanError> {
         let before = self.change_log().catalogue.clone();
         let Some(replicated) = &mut self.replicated else { return Err(PlanError::NoConsensus) };
