--- a/crates/host-core/src/event.rs
+++ b/crates/host-core/src/event.rs
@@ -1,6 +1,6 @@
-//! What a host has to say to operators: a fixed message and named fields. docs/on-call.md has a row for each message.
+//! Events of a host for operators. Each has a fixed message and named fields; docs/on-call.md has a row for each message.
 //!
-//! The core only makes events; `log` is the one place that turns them into events of `tracing`.
+//! The core only creates events. `log` is the one place that turns them into events of `tracing`.
 
 mod endpoint_list;
 pub(crate) mod log;
@@ -17,30 +17,30 @@
 use tackmast_consensus::ConsensusEvent;
 use tackmast_membership::MembershipEvent;
 
-/// Something that an operator may want to know.
+/// An event for operators, by the part of the host that reports it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostEvent {
-    /// Of the scheduler.
+    /// An event of the scheduler.
     Scheduler(SchedulerEvent),
-    /// Of the replica of this host.
+    /// An event of this host's replica.
     Consensus(ConsensusEvent),
-    /// The store could not write what consensus needs.
+    /// The store could not write a batch of the replicated log.
     ConsensusWriteFailed {
-        /// Why not.
+        /// The error of the store.
         error: PersistError,
     },
-    /// Of the group of hosts.
+    /// An event of the membership of hosts.
     Membership(MembershipEvent),
-    /// Of the endpoint list.
+    /// An event of the endpoint list.
     EndpointList(EndpointListEvent),
-    /// Of the overrides that operators set.
+    /// An event of the overrides that operators set.
     Override(OverrideEvent),
-    /// Of plans that change.
+    /// An event of plans that change while the host runs.
     Plan(PlanEvent),
 }
 
 impl HostEvent {
-    /// The message, the same for every event of its kind.
+    /// Returns the message, which is the same for every event of its kind.
     pub fn message(&self) -> &'static str {
         match self {
             HostEvent::Scheduler(event) => event.message(),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The node that it is about, if it is about one that the scheduler knows.
+    /// Returns the node that the event is about; `None` if it is about no node that the scheduler knows.
     pub fn node(&self) -> Option<NodeId> {
         match self {
             HostEvent::Scheduler(event) => event.node(),
@@ -67,7 +67,7 @@
     }
 }
 
-/// One line: the message, then `name=value` for each field; times in seconds.
+/// Formats the event as one line: the message, then `name=value` for each field. Times are in seconds.
 impl Display for HostEvent {
     fn fmt(&self, out: &mut Formatter<'_>) -> Result {
         match self {
--- a/crates/host-core/src/event/endpoint_list.rs
+++ b/crates/host-core/src/event/endpoint_list.rs
@@ -1,9 +1,9 @@
-//! Events of the endpoint list: nodes that do not fit, and nodes that peers' newer lists remove.
+//! Events of the endpoint list: nodes that do not fit into the table, and nodes that peers' newer lists remove.
 
 use std::fmt::{Display, Formatter, Result};
 use tackmast::interface::TimeDelta;
 
-/// A node that this host does not use though its own list names it, or a list of a peer that went back.
+/// A node that this host does not use although its own list names it, or a peer's list that went back to an older version.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointListEvent {
     /// The table of nodes is full, so a node of the list is not used.
@@ -13,31 +13,31 @@
     },
     /// The list service of a peer went back to an older version.
     PeerListRolledBack {
-        /// The version that the peer held.
+        /// The version that the peer had before.
         from: u64,
-        /// The older version.
+        /// The older version that the peer has now.
         to: u64,
-        /// For how long nodes that `from` shows as draining or gone stay so, unless the list gets past `from` before.
+        /// How long nodes that version `from` shows as draining or gone stay removed, unless the list passes version `from` earlier.
         kept_for: TimeDelta,
     },
-    /// A newer list of a peer shows a node as draining or gone, so this host sends it nothing new.
+    /// A peer's newer list shows a node as draining or gone, so this host sends no new attempts to the node.
     NodeRemovedByPeer {
         /// The node's address.
         address: String,
-        /// Whether it is gone; else it drains.
+        /// Whether the node is gone; otherwise it drains.
         is_gone: bool,
         /// The version of the peer's list.
         version: u64,
     },
-    /// As many nodes are removed by peers' lists as may be; no more removals are accepted.
+    /// Peers' lists have removed the greatest number of nodes that they may. Further removals are ignored.
     PeerRemovalsFull {
-        /// How many.
+        /// The greatest number of nodes that peers' lists may remove.
         max: usize,
     },
 }
 
 impl EndpointListEvent {
-    /// The message, the same for every event of its kind.
+    /// Returns the message, which is the same for every event of its kind.
     pub fn message(&self) -> &'static str {
         match self {
             EndpointListEvent::NodeTableFull { .. } => "node not accepted: the table of nodes is full",
@@ -50,7 +50,7 @@
     }
 }
 
-/// One line: the message, then `name=value` for each field; times in seconds.
+/// Formats the event as one line: the message, then `name=value` for each field. Times are in seconds.
 impl Display for EndpointListEvent {
     fn fmt(&self, out: &mut Formatter<'_>) -> Result {
         out.write_str(self.message())?;
--- a/crates/host-core/src/event/log.rs
+++ b/crates/host-core/src/event/log.rs
@@ -1,7 +1,7 @@
-//! The edge between events and the log of the process: each event becomes an event of `tracing` with the same fields.
+//! Writes events to the log of the process: each becomes an event of `tracing` with the same fields.
 //!
-//! The shells of the core call `log_event` for each event that they poll. Times are in seconds. `host` is the number of this host in
-//! every event.
+//! The processes that drive the core call `log_event` for each event that they poll. Times are in seconds. In every event the field `host`
+//! is the number of this host.
 
 mod consensus;
 mod endpoint_list;
@@ -15,14 +15,14 @@
 use consensus::log_consensus_event;
 use endpoint_list::log_endpoint_list_event;
 use membership::log_membership_event;
-use overrides::log_overrides_event;
-use plans::log_plans_event;
+use overrides::log_override_event;
+use plans::log_plan_event;
 use scheduler::log_scheduler_event;
 use tackmast::interface::Decision;
 use tracing::{debug, field, info};
 
-/// Writes an event to the log of the process. `host` is the number of this host, where hosts have one; `nodes` gives the address of the
-/// node that the event is about.
+/// Writes an event to the log of the process. `host` is the number of this host, or `None` if hosts have no numbers. `nodes` provides the
+/// address of the node that the event is about.
 pub fn log_event(host: Option<u32>, nodes: &Nodes, event: &HostEvent) {
     match event {
         HostEvent::Scheduler(event) => {
@@ -33,12 +33,12 @@
         HostEvent::ConsensusWriteFailed { error } => info!(host, %error, "{}", event.message()),
         HostEvent::Membership(event) => log_membership_event(host, event),
         HostEvent::EndpointList(event) => log_endpoint_list_event(host, event),
-        HostEvent::Override(event) => log_overrides_event(host, event),
-        HostEvent::Plan(event) => log_plans_event(host, event),
+        HostEvent::Override(event) => log_override_event(host, event),
+        HostEvent::Plan(event) => log_plan_event(host, event),
     }
 }
 
-/// Writes at the level `debug` why a request was rejected or failed. Other decisions are not written.
+/// Logs at the level `debug` why a request was rejected or failed. Other decisions are not logged.
 pub(crate) fn log_final_answer(decision: &Decision) {
     match decision {
         Decision::Reject { request, retry_after, reason } => {
--- a/crates/host-core/src/event/log/consensus.rs
+++ b/crates/host-core/src/event/log/consensus.rs
@@ -1,9 +1,9 @@
-//! Events of consensus as events of `tracing`.
+//! Logs events of consensus.
 
 use tackmast_consensus::ConsensusEvent;
 use tracing::info;
 
-/// Writes an event to the log of the process. `host` is this host; a field `peer` names another one that the event is about.
+/// Writes an event to the log of the process. `host` is this host; the field `peer` is another host that the event is about.
 pub(super) fn log_consensus_event(host: Option<u32>, event: &ConsensusEvent) {
     let message = event.message();
     match event {
--- a/crates/host-core/src/event/log/endpoint_list.rs
+++ b/crates/host-core/src/event/log/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Events of the endpoint list as events of `tracing`.
+//! Logs events of the endpoint list.
 
 use crate::event::EndpointListEvent;
 use tracing::info;
--- a/crates/host-core/src/event/log/membership.rs
+++ b/crates/host-core/src/event/log/membership.rs
@@ -1,4 +1,4 @@
-//! Events of membership as events of `tracing`.
+//! Logs events of membership.
 
 use tackmast_membership::MembershipEvent;
 use tracing::info;
--- a/crates/host-core/src/event/log/overrides.rs
+++ b/crates/host-core/src/event/log/overrides.rs
@@ -1,10 +1,10 @@
-//! Events of overrides as events of `tracing`.
+//! Logs events of overrides.
 
 use crate::event::OverrideEvent;
 use tracing::info;
 
 /// Writes an event to the log of the process.
-pub(super) fn log_overrides_event(host: Option<u32>, event: &OverrideEvent) {
+pub(super) fn log_override_event(host: Option<u32>, event: &OverrideEvent) {
     let message = event.message();
     match event {
         OverrideEvent::Set { id, target, kind, who, reason, changed_nodes } => {
--- a/crates/host-core/src/event/log/plans.rs
+++ b/crates/host-core/src/event/log/plans.rs
@@ -1,10 +1,10 @@
-//! Events of plans as events of `tracing`.
+//! Logs events of plans.
 
 use crate::event::PlanEvent;
 use tracing::info;
 
 /// Writes an event to the log of the process.
-pub(super) fn log_plans_event(host: Option<u32>, event: &PlanEvent) {
+pub(super) fn log_plan_event(host: Option<u32>, event: &PlanEvent) {
     let message = event.message();
     match event {
         PlanEvent::ChangeApplied { change, who, reason, updates } => {
--- a/crates/host-core/src/event/log/scheduler.rs
+++ b/crates/host-core/src/event/log/scheduler.rs
@@ -1,9 +1,9 @@
-//! Events of the scheduler as events of `tracing`.
+//! Logs events of the scheduler.
 
 use tackmast::interface::SchedulerEvent;
 use tracing::info;
 
-/// Writes an event to the log of the process.
+/// Writes an event to the log of the process. `node` is the address of the node that the event is about.
 pub(super) fn log_scheduler_event(host: Option<u32>, node: Option<&str>, event: &SchedulerEvent) {
     let message = event.message();
     match event {
--- a/crates/host-core/src/event/overrides.rs
+++ b/crates/host-core/src/event/overrides.rs
@@ -5,90 +5,90 @@
 use tackmast::interface::TimeDelta;
 use tackmast_overrides::{Kind, OverrideId, Refusal, Target};
 
-/// What became of an override, or which are active.
+/// A change of an override or the result of a request for one, or a regular report of the active ones.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OverrideEvent {
     /// An override was persisted and applies from now on.
     Set {
-        /// Its number.
+        /// The override's id.
         id: OverrideId,
-        /// The nodes that it names.
+        /// The nodes that the override names.
         target: Target,
-        /// What it does to them.
+        /// The effect on these nodes.
         kind: Kind,
-        /// Who set it.
+        /// The operator who set it.
         who: String,
-        /// For what reason.
+        /// The operator's reason.
         reason: String,
-        /// Nodes that are treated otherwise by it.
+        /// The number of nodes whose effective state or weight it changes.
         changed_nodes: usize,
     },
     /// An override could not be persisted, so it does not apply.
     NotWritten {
-        /// The nodes that it names.
+        /// The nodes that the override names.
         target: Target,
-        /// Why not.
+        /// The error of the store.
         error: PersistError,
     },
-    /// An override was cleared, which is persisted.
+    /// The clearing of an override was persisted, so it no longer applies.
     Cleared {
-        /// Its number.
+        /// The override's id.
         id: OverrideId,
-        /// Who cleared it.
+        /// The operator who cleared it.
         who: String,
     },
     /// The clearing of an override could not be persisted, so it still applies.
     ClearingNotWritten {
-        /// Its number.
+        /// The override's id.
         id: OverrideId,
-        /// Why not.
+        /// The error of the store.
         error: PersistError,
     },
-    /// The time of an override is over.
+    /// An override has reached its end.
     Ended {
-        /// Its number.
+        /// The override's id.
         id: OverrideId,
-        /// The nodes that it named.
+        /// The nodes that the override named.
         target: Target,
-        /// What it did to them.
+        /// The effect that it had on these nodes.
         kind: Kind,
-        /// Who set it.
+        /// The operator who set it.
         who: String,
     },
-    /// An override applies; reported at the start and each hour.
+    /// An override applies. This is reported at the start and once an hour.
     Active {
-        /// Its number.
+        /// The override's id.
         id: OverrideId,
-        /// The nodes that it names.
+        /// The nodes that the override names.
         target: Target,
-        /// What it does to them.
+        /// The effect on these nodes.
         kind: Kind,
-        /// Until its end.
+        /// The time until its end.
         time_left: TimeDelta,
-        /// Who set it.
+        /// The operator who set it.
         who: String,
-        /// For what reason.
+        /// The operator's reason.
         reason: String,
     },
-    /// More overrides apply than are reported one by one.
+    /// More overrides apply than `Active` events report.
     MoreActive {
-        /// How many more.
+        /// The number of overrides that are not reported one by one.
         count: usize,
     },
-    /// An override that was set at another host is refused here.
+    /// This host refuses an override that was set at another host.
     PeerOverrideRefused {
-        /// Why.
+        /// The reason.
         refusal: Refusal,
     },
-    /// The wall clock was stepped; overrides end when they would have without that.
+    /// The wall clock was stepped. The remaining time of overrides does not change.
     WallClockStepped {
-        /// How far it moved, forwards if positive.
+        /// The size of the step; positive if the clock moved forwards.
         moved_by: TimeDelta,
     },
 }
 
 impl OverrideEvent {
-    /// The message, the same for every event of its kind.
+    /// Returns the message, which is the same for every event of its kind.
     pub fn message(&self) -> &'static str {
         match self {
             OverrideEvent::Set { .. } => "override set",
@@ -106,7 +106,7 @@
     }
 }
 
-/// One line: the message, then `name=value` for each field; times in seconds.
+/// Formats the event as one line: the message, then `name=value` for each field. Times are in seconds.
 impl Display for OverrideEvent {
     fn fmt(&self, out: &mut Formatter<'_>) -> Result {
         out.write_str(self.message())?;
--- a/crates/host-core/src/event/plans.rs
+++ b/crates/host-core/src/event/plans.rs
@@ -3,41 +3,41 @@
 use std::fmt::{Display, Formatter, Result};
 use tackmast_plans::Entry;
 
-/// What became of a change of plans, or of what a peer sent of them.
+/// The result of a change of plans, or of replicating plans from peers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanEvent {
     /// A change applies at this host from now on.
     ChangeApplied {
         /// The number of the change.
         change: u64,
-        /// Who made it.
+        /// The operator who made the change.
         who: String,
-        /// For what reason.
+        /// The operator's reason.
         reason: String,
-        /// Plans and volumes that it moves here.
+        /// The number of plans and volumes that the change affects at this host.
         updates: usize,
     },
-    /// A change that a peer sent, or that was committed, does not follow what this host has.
+    /// A change that a peer sent, or that was committed, can't be applied to the plans of this host.
     ChangeRejected {
-        /// The number of the change, where its sender gave one.
+        /// The number of the change; `None` for a committed change, which gets its number when it applies.
         change: Option<u64>,
-        /// Why.
+        /// The reason.
         error: String,
     },
-    /// All hosts have stored a version, so none uses higher fallback limits of before it any more.
+    /// All hosts have stored a version, so no host uses the higher fallback limits of earlier versions any more.
     StoredOnAllHosts {
         /// The version.
         version: u64,
     },
-    /// The leader's snapshot can't be read; the plans stay as they are.
+    /// A snapshot of the replicated log can't be read, so the plans stay unchanged.
     SnapshotUnreadable {
-        /// Why.
+        /// The reason.
         error: String,
     },
 }
 
 impl PlanEvent {
-    /// This entry of the change log applies from now on, and moves so many plans and volumes.
+    /// Creates the event for an entry of the change log that affects `updates` plans and volumes.
     pub(crate) fn change_applied(entry: &Entry, updates: usize) -> Self {
         PlanEvent::ChangeApplied {
             change: entry.number,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The message, the same for every event of its kind.
+    /// Returns the message, which is the same for every event of its kind.
     pub fn message(&self) -> &'static str {
         match self {
             PlanEvent::ChangeApplied { .. } => "plans: change applied",
@@ -58,7 +58,7 @@
     }
 }
 
-/// One line: the message, then `name=value` for each field.
+/// Formats the event as one line: the message, then `name=value` for each field.
 impl Display for PlanEvent {
     fn fmt(&self, out: &mut Formatter<'_>) -> Result {
         out.write_str(self.message())?;
--- a/crates/host-core/src/event/tests.rs
+++ b/crates/host-core/src/event/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use tackmast::interface::TimeDelta;
 
-/// On-call staff search for a message and count by its fields, so values stand in fields only.
+/// On-call staff search the log for a message and count events by their fields. A value inside the message would defeat the search.
 #[test]
-fn a_line_is_the_message_and_then_its_fields() {
+fn an_event_is_formatted_as_its_message_and_then_its_fields() {
     let event = HostEvent::from(PlanEvent::ChangeApplied {
         change: 7,
         who: "ann".into(),
@@ -17,14 +17,14 @@
     );
 }
 
-/// A change that was committed and does not fit has no number of its own yet.
+/// A committed change that is rejected has no number. The line must not show a placeholder in its place.
 #[test]
-fn a_field_without_a_value_is_left_out() {
+fn a_field_without_a_value_is_omitted() {
     let event = HostEvent::from(PlanEvent::ChangeRejected { change: None, error: "too late".into() });
     assert_eq!(event.to_string(), "plans: change rejected error=\"too late\"");
 }
 
-/// The shells look up the address of the node that an event of the scheduler is about.
+/// The logger looks up the address of the node that an event of the scheduler is about. Without the node the line would name none.
 #[test]
 fn an_event_of_the_scheduler_names_its_node() {
     let node = NodeId(3);
