--- a/crates/host-core/tests/log.rs
+++ b/crates/host-core/tests/log.rs
@@ -1,4 +1,4 @@
-//! Events on their way into the log: a fixed message and fields that staff on call can search for and count.
+//! The form of events in the log: a fixed message and fields, which staff on call can search for and count.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex};
@@ -40,7 +40,7 @@
 }
 "#;
 
-/// Collects what is logged.
+/// Collects the bytes that are logged.
 #[derive(Clone, Default)]
 struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// Runs something and gives the JSON of each event that it logged.
+/// Calls `run` and returns the JSON of each event that it logged.
 fn logged(run: impl FnOnce()) -> Vec<serde_json::Value> {
     let buffer = LogBuffer::default();
     let subscriber = tracing_subscriber::fmt()
@@ -91,7 +91,7 @@
     (nodes, entry.node)
 }
 
-/// With hundreds of hosts, staff on call count an event by its fields. A value inside the message would make each line another one.
+/// With hundreds of hosts, staff on call count events by message and fields. A value inside the message would make each line differ.
 #[test]
 fn an_event_is_logged_as_its_message_and_its_fields() {
     let (nodes, node) = nodes();
@@ -118,7 +118,7 @@
     assert!(lines.iter().all(|line| line["level"] == "INFO"), "{lines:?}");
 }
 
-/// A client complains about rejected requests. At the level debug the log names the reason of each.
+/// A client's requests are rejected, and its operator asks why. Without the reason in the log of the level debug nobody could tell.
 #[test]
 fn the_reason_of_a_rejected_request_is_logged_at_the_level_debug() {
     let settings = HostSettings::parse("test", SETTINGS).unwrap();
@@ -148,7 +148,7 @@
         lines.iter().filter(|line| line["fields"]["message"] == "request rejected").collect();
     assert_eq!(rejected.len(), 1, "{lines:?}");
     assert_eq!(rejected[0]["level"], "DEBUG");
-    // There is no node, so the request waits until it is too late for its latency objective.
+    // There is no node, so the request is held until it is too late for its latency objective.
     assert_eq!(rejected[0]["fields"]["reason"], "TooLate");
     assert_eq!(rejected[0]["fields"]["held_by"], "NoReadyNode");
     assert_eq!(core.counters.commands_rejected, 1);
