--- a/crates/benchmarks/src/core_cost/host_core.rs
+++ b/crates/benchmarks/src/core_cost/host_core.rs
@@ -111,7 +111,7 @@
         attempt,
         outcome: Outcome::Done,
         waiting: Some(0),
-        elsewhere: Some(0.0),
+        peer_units: Some(0.0),
         data: Bytes::from_static(&ANSWER),
     }
 }
--- a/crates/host-core/src/attempt.rs
+++ b/crates/host-core/src/attempt.rs
@@ -123,7 +123,7 @@
     /// Requests waiting at the node, where it reported that.
     pub waiting: Option<u32>,
     /// Units that the node served for the volume through other hosts, where it reported that.
-    pub elsewhere: Option<f64>,
+    pub peer_units: Option<f64>,
     /// What was read.
     pub data: Bytes,
 }
@@ -131,6 +131,6 @@
 impl AttemptResult {
     /// The end of an attempt that its node has not answered.
     pub fn unanswered(attempt: AttemptId, outcome: Outcome) -> AttemptResult {
-        AttemptResult { attempt, outcome, waiting: None, elsewhere: None, data: Bytes::new() }
+        AttemptResult { attempt, outcome, waiting: None, peer_units: None, data: Bytes::new() }
     }
 }
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -33,7 +33,7 @@
         if let Some(waiting) = result.waiting {
             self.scheduler.load_reported(now, node, f64::from(waiting));
         }
-        self.finish_attempt(now, key, result.outcome, result.elsewhere, result.data);
+        self.finish_attempt(now, key, result.outcome, result.peer_units, result.data);
     }
 
     pub(super) fn execute(&mut self, now: Instant, decision: Decision) {
@@ -108,7 +108,7 @@
         now: Instant,
         key: AttemptKey,
         outcome: Outcome,
-        elsewhere: Option<f64>,
+        peer_units: Option<f64>,
         data: Bytes,
     ) {
         let Some(attempt) = self.remove_in_flight(key) else { return };
@@ -125,7 +125,7 @@
         };
         request.ran |= outcome.may_have_run();
         let (is_done, was_answered) = (outcome == Outcome::Done, request.answered);
-        if let Some(other_units) = elsewhere.filter(|_| self.reports_peer_service) {
+        if let Some(other_units) = peer_units.filter(|_| self.reports_peer_service) {
             self.scheduler.service_reported(now, key.request, is_done, other_units);
         }
         let end = AttemptEnd {
--- a/crates/host-core/tests/consensus.rs
+++ b/crates/host-core/tests/consensus.rs
@@ -231,7 +231,7 @@
         if let Some(attempt) = attempt {
             let data = Bytes::from(vec![0; 4096]);
             let result =
-                AttemptResult { attempt, outcome: Outcome::Done, waiting: None, elsewhere: None, data };
+                AttemptResult { attempt, outcome: Outcome::Done, waiting: None, peer_units: None, data };
             self.core(host).handle_attempt_result(now, result);
             self.poll_outputs();
             return Ok(());
--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -135,7 +135,7 @@
         let data = Bytes::from(vec![1; bytes]);
         self.core.handle_attempt_result(
             self.now,
-            AttemptResult { attempt, outcome, waiting: Some(0), elsewhere: Some(0.0), data },
+            AttemptResult { attempt, outcome, waiting: Some(0), peer_units: Some(0.0), data },
         );
         self.poll_outputs();
     }
@@ -207,7 +207,7 @@
             attempt: attempt.attempt,
             outcome: Outcome::Done,
             waiting: None,
-            elsewhere: None,
+            peer_units: None,
             data,
         };
         fixture.core.handle_attempt_result(fixture.now, result);
@@ -489,7 +489,7 @@
             let (outcome, data) = (Outcome::Done, Bytes::from(vec![0; 512]));
             core.handle_attempt_result(
                 t,
-                AttemptResult { attempt, outcome, waiting: Some(0), elsewhere: Some(0.0), data },
+                AttemptResult { attempt, outcome, waiting: Some(0), peer_units: Some(0.0), data },
             );
         }
     }
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -642,12 +642,12 @@
             ticket.mark_written();
         }
         let waiting = (self.below(3) > 0).then_some(self.below(8));
-        let elsewhere = (self.below(3) > 0).then_some(4.0 * self.fraction());
+        let peer_units = (self.below(3) > 0).then_some(4.0 * self.fraction());
         let data = Bytes::from(vec![pending.attempt.attempt.0 as u8; pending.answer_bytes]);
         let (attempt, outcome) = (pending.attempt.attempt, pending.outcome);
         self.hosts[host]
             .core
-            .handle_attempt_result(self.now, AttemptResult { attempt, outcome, waiting, elsewhere, data });
+            .handle_attempt_result(self.now, AttemptResult { attempt, outcome, waiting, peer_units, data });
     }
 
     /// Pulls all outputs of all hosts, until their datagrams lead to no more.
--- a/crates/host-core/tests/object_requests.rs
+++ b/crates/host-core/tests/object_requests.rs
@@ -145,7 +145,7 @@
         let data = Bytes::from_static(data);
         self.core.handle_attempt_result(
             now,
-            AttemptResult { attempt, outcome, waiting: Some(1), elsewhere: Some(0.0), data },
+            AttemptResult { attempt, outcome, waiting: Some(1), peer_units: Some(0.0), data },
         );
         self.poll_outputs(now);
     }
--- a/crates/host/src/links/reader.rs
+++ b/crates/host/src/links/reader.rs
@@ -109,7 +109,7 @@
                 NodeOutcome::NotHere => Outcome::Skipped,
             },
             waiting: Some(answer.waiting),
-            elsewhere: Some(f64::from(answer.elsewhere)),
+            peer_units: Some(f64::from(answer.elsewhere)),
             data: answer.data,
         };
         match self.context.events.send(Event::AttemptResult(result)) {
--- a/crates/platform-host/src/node_connections.rs
+++ b/crates/platform-host/src/node_connections.rs
@@ -270,7 +270,7 @@
             outcome: report.outcome,
             waiting: report.waiting,
             // A node that reports no service of other hosts had none.
-            elsewhere: Some(report.elsewhere.unwrap_or(0.0)),
+            peer_units: Some(report.elsewhere.unwrap_or(0.0)),
             data: report.body,
         });
         self.by_attempt.remove(&number);
@@ -389,7 +389,7 @@
 
 /// The end of an attempt that its node has not answered. As in an answer without a report, no service through other hosts is known of.
 fn ended(attempt: AttemptId, outcome: Outcome) -> AttemptResult {
-    AttemptResult { elsewhere: Some(0.0), ..AttemptResult::unanswered(attempt, outcome) }
+    AttemptResult { peer_units: Some(0.0), ..AttemptResult::unanswered(attempt, outcome) }
 }
 
 #[cfg(test)]
--- a/crates/simulator/src/sim/attempts.rs
+++ b/crates/simulator/src/sim/attempts.rs
@@ -85,7 +85,7 @@
         attempt: AttemptId(answer.attempt),
         outcome,
         waiting: Some(answer.waiting),
-        elsewhere: Some(f64::from(answer.elsewhere)),
+        peer_units: Some(f64::from(answer.elsewhere)),
         data: answer.data,
     }
 }
