--- a/crates/host-core/src/core/consensus.rs
+++ b/crates/host-core/src/core/consensus.rs
@@ -1,4 +1,4 @@
-//! Consensus: messages, writes, committed changes, and the lease without which this host is in degraded mode.
+//! Consensus: messages, writes, committed changes, and degraded mode while this host has no valid lease.
 
 use super::Core;
 use crate::admin_request::AdminResponse;
@@ -18,15 +18,15 @@
 use tackmast_plans::Command as PlanCommand;
 use tackmast_wire::peer::Body;
 
-/// The longest name, and the longest reason, of an audit record, in bytes.
+/// The maximum length of the operator's name and of the reason in an audit record, in bytes.
 const MAX_AUDIT_TEXT_BYTES: usize = 200;
 
-/// Whether a text may stand in an audit record: not empty, not too long and printable.
+/// Returns whether a text is allowed in an audit record: not blank, not too long, and without control characters.
 fn is_audit_text(text: &str) -> bool {
     !text.trim().is_empty() && text.len() <= MAX_AUDIT_TEXT_BYTES && !text.contains(char::is_control)
 }
 
-/// What an operator may do where a majority is gone for good.
+/// An action by which an operator recovers consensus after a majority of the voters was lost for good.
 #[derive(Clone, Copy)]
 enum RecoveryAction {
     ForceNewLog,
@@ -34,7 +34,9 @@
 }
 
 impl Core {
-    /// Changes of plans need consensus from now on. To be called before `enable_plans`, by which the disk's state is applied.
+    /// Makes changes of plans need consensus from now on.
+    ///
+    /// It must be called before `enable_plans`, which applies the state that was read from the disk.
     pub fn enable_consensus(&mut self, consensus: ConsensusDriver) {
         self.consensus = Some(consensus);
     }
@@ -58,7 +60,7 @@
         self.advance_consensus(now);
     }
 
-    /// Where a lower fallback limit waits for it, proposes to record in the log that all hosts have stored the newest version.
+    /// Proposes a log entry which records that all hosts have stored the newest version, if a lower fallback limit waits for it.
     fn propose_stored_on_all(&mut self, now: Instant) {
         let (Some(consensus), Some(plans)) = (&mut self.consensus, &self.plans) else { return };
         if now < consensus.next_acknowledgement_check {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// The store has written entries of the log, or could not. False: the request is not of the log.
+    /// Handles a completed or failed write of the consensus log. Returns `false` if the request is not such a write.
     pub(super) fn handle_consensus_persisted(
         &mut self,
         now: Instant,
@@ -99,8 +101,10 @@
         true
     }
 
-    /// Enters or leaves degraded mode by this host's lease. A host whose lease has expired may have outdated plans, with higher limits than
-    /// apply by now; so this is called before each decision.
+    /// Enters or leaves degraded mode, depending on this host's lease.
+    ///
+    /// A host whose lease has expired may have outdated plans with higher limits than those in force. This is therefore called
+    /// before each decision.
     pub(super) fn update_degraded_mode(&mut self, now: Instant) {
         let (Some(consensus), Some(plans)) = (&self.consensus, &mut self.plans) else { return };
         let degraded = !consensus.replica.lease_state(now).is_valid();
@@ -135,7 +139,8 @@
                     consensus.replica.on_snapshot_taken(now, index, &state);
                 }
                 ReplicaOutput::ProposalTimedOut { number } => {
-                    let why = "no word from those who agree on it: it may hold all the same, later; look at the log";
+                    let why = "the change was not committed in time; it may still be committed later: \
+                               check the change log";
                     self.respond_to_proposal(number, PlanResponse::Refused { why: why.into() });
                 }
                 ReplicaOutput::Event(event) => self.emit(HostEvent::Consensus(event)),
@@ -148,8 +153,9 @@
         }
     }
 
-    /// Processes the outputs of consensus, and sends its messages. Not to be called while events of peers are processed, since it processes
-    /// these itself.
+    /// Processes the outputs of consensus, and sends its messages.
+    ///
+    /// It must not be called while peer events are being processed, because it processes them itself.
     pub(super) fn advance_consensus(&mut self, now: Instant) {
         self.process_consensus_outputs(now);
         self.process_peer_events(now);
@@ -203,7 +209,7 @@
             consensus.changed_at = index;
         }
         let restored = match state {
-            // An empty snapshot is the beginning of a log: the plans are those of the settings.
+            // An empty snapshot is the start of a log, where the plans are those of the settings.
             [] => Ok(plans.reset_to_settings()),
             state => plans.restore_snapshot(state),
         };
@@ -253,7 +259,9 @@
         self.advance_consensus(now);
     }
 
-    /// What an operator does without a majority. Who did it and why is in the audit log before it is acknowledged.
+    /// Performs a recovery action of an operator, which needs no majority.
+    ///
+    /// The audit record with the operator's name and reason is output before the response.
     fn recover_by_operator(
         &mut self,
         now: Instant,
--- a/crates/host-core/src/core/plans.rs
+++ b/crates/host-core/src/core/plans.rs
@@ -1,4 +1,4 @@
-//! Plans that change while the host runs.
+//! Changes of plans at run time.
 
 use super::Core;
 use crate::admin_request::AdminResponse;
@@ -10,11 +10,12 @@
 use tackmast_membership::CatalogVersion;
 
 impl Core {
-    /// Whether clients are to wait until this host knows the newest change of plans. A host that restarts may have outdated plans: a lower
-    /// limit may apply by now, which its volumes would exceed.
+    /// Returns whether commands are rejected until this host knows the newest change of plans.
+    ///
+    /// A host that has restarted may have outdated plans, and its volumes would exceed limits that were lowered meanwhile.
     pub(super) fn must_wait_for_catalog(&mut self, now: Instant) -> bool {
         if self.consensus.is_some() {
-            // A host without a lease is in degraded mode, which covers this.
+            // Degraded mode, which applies while the host has no lease, protects against outdated plans.
             return false;
         }
         let Some(plans) = &mut self.plans else { return false };
@@ -22,7 +23,7 @@
         plans.must_wait_for_catalog(now, up_to_date)
     }
 
-    /// Lets plans change while the host runs.
+    /// Allows plans to change at run time. `stored` says what the store has of earlier changes.
     pub fn enable_plans(&mut self, now: Instant, mut plans: Plans, stored: StoredPlans) {
         let updates = plans.resume();
         if stored == StoredPlans::Nothing {
@@ -36,14 +37,14 @@
         self.plans = Some(plans);
         self.apply_plan_updates(now, &updates);
         if self.consensus.is_some() {
-            // Until it has a lease this host is in degraded mode.
+            // This host is in degraded mode until it has a lease.
             let updates = self.plans.as_mut().map(Plans::all_updates).unwrap_or_default();
             self.apply_plan_updates(now, &updates);
             self.process_consensus_outputs(now);
         }
     }
 
-    /// The plans that change while the host runs, where there are any.
+    /// Returns the plans that can change at run time, or `None` if `enable_plans` was not called.
     pub fn plans(&self) -> Option<&Plans> {
         self.plans.as_ref()
     }
@@ -68,7 +69,7 @@
         }
     }
 
-    /// A change applies here: it is replicated to peers.
+    /// Applies a change at this host, and replicates it to peers.
     pub(super) fn apply_change(&mut self, now: Instant, change: AppliedChange) {
         self.emit(change.event);
         self.apply_plan_updates(now, &change.updates);
@@ -80,7 +81,7 @@
         }
     }
 
-    /// The same for a change of a peer, which this host's store does not have yet.
+    /// Applies a change that a peer sent, and persists it, since this host's store does not have it yet.
     pub(super) fn apply_and_persist_change(&mut self, now: Instant, change: AppliedChange) {
         let batch =
             PersistBatch { changes: vec![(change.number, change.text.clone())], ..PersistBatch::default() };
@@ -88,20 +89,20 @@
         self.persist(batch);
     }
 
-    /// A request about plans: answered, or begun to be persisted or proposed.
+    /// Handles a plan request: answers it, or begins to persist or propose its change.
     pub(super) fn handle_plan_request(&mut self, now: Instant, request: u64, plan_request: PlanRequest) {
         let wall_us = self.wall_us(now);
         if self.consensus.is_some() {
             return self.handle_replicated_plan_request(now, wall_us, request, plan_request);
         }
-        // A home that has lost its store would give a new change the number of one that other hosts have applied, and the hosts would
-        // have different plans for good. So it takes back what the others have before it accepts a change.
+        // A home host that has lost its store would give a new change a number under which other hosts have applied another change,
+        // and the plans of the hosts would differ for good. It therefore fetches the changes that others have before it accepts one.
         let writes = matches!(plan_request, PlanRequest::Apply { .. } | PlanRequest::Undo { .. });
         let missing = self.peers.as_ref().and_then(|peers| peers.member.catalog.missing());
         if let Some(missing) = missing.filter(|_| writes) {
             let newest = self.plans.as_ref().map_or(0, Plans::newest);
             let why = format!(
-                "others go by change {missing}, this host by {newest}; ask again when it has caught up"
+                "other hosts have change {missing}, this host only {newest}; try again when it has caught up"
             );
             let response = AdminResponse::Plan(PlanResponse::Refused { why });
             return self.respond(request, response);
--- a/crates/host-core/src/core/replicated_plans.rs
+++ b/crates/host-core/src/core/replicated_plans.rs
@@ -1,4 +1,4 @@
-//! Requests about plans where changes need consensus: reads, previews and proposals.
+//! Plan requests while changes need consensus: reads, previews and proposals.
 
 use super::Core;
 use crate::admin_request::AdminResponse;
@@ -45,11 +45,13 @@
         self.advance_consensus(now);
     }
 
-    /// Begins a read that is never stale: it is answered once this host has all that was committed before the request.
+    /// Begins a linearizable read, which is answered once this host has applied all entries committed before the request.
+    ///
+    /// Returns a refusal if too many reads are waiting.
     fn begin_read(&mut self, now: Instant, request: u64, plan_request: PlanRequest) -> Option<PlanResponse> {
         let consensus = self.consensus.as_mut()?;
         if consensus.reads.len() >= MAX_WAITING_READS {
-            return Some(PlanResponse::Refused { why: format!("{MAX_WAITING_READS} asks wait already") });
+            return Some(PlanResponse::Refused { why: format!("{MAX_WAITING_READS} reads wait already") });
         }
         let read = consensus.replica.request_read(now);
         let deadline = now + READ_TIMEOUT;
@@ -57,7 +59,7 @@
         None
     }
 
-    /// What a change would do, as far as this host knows.
+    /// Returns what a change would do, based on the plans that this host has.
     fn preview(&self, wall_us: u64, change: Change) -> Option<PlanResponse> {
         let (consensus, plans) = (self.consensus.as_ref()?, self.plans.as_ref()?);
         Some(match plans.preview_change(wall_us, change) {
@@ -69,7 +71,9 @@
         })
     }
 
-    /// Proposes a change; it is answered once it is committed, or not in time.
+    /// Proposes a change. The request is answered when the change is committed or the proposal times out.
+    ///
+    /// Returns a refusal if the change can't be proposed.
     fn propose(&mut self, now: Instant, wall_us: u64, request: u64, change: Change) -> Option<PlanResponse> {
         let consensus = self.consensus.as_mut()?;
         let command = PlanCommand::Change { at_us: wall_us, change };
@@ -83,7 +87,7 @@
         }
     }
 
-    /// Answers reads that are up to date by now, or have waited long enough.
+    /// Answers the reads that are ready, and those that have reached their deadline.
     pub(super) fn complete_reads(&mut self, now: Instant) {
         let (Some(consensus), Some(plans)) = (&mut self.consensus, &mut self.plans) else { return };
         let mut index = 0;
@@ -105,7 +109,7 @@
                     PlanResponse::Shown(status)
                 }
                 Some(PlanOutcome::Respond { response: PlanResponse::Log { .. }, .. }) if !is_ready => {
-                    let why = "no word from those who agree on it: what this host has may be old".to_owned();
+                    let why = "no majority confirmed this host's log in time: it may be outdated".to_owned();
                     PlanResponse::Refused { why }
                 }
                 Some(PlanOutcome::Respond { response, .. }) => response,
--- a/crates/host-core/tests/consensus.rs
+++ b/crates/host-core/tests/consensus.rs
@@ -386,7 +386,7 @@
         panic!()
     };
     assert!(s.stale);
-    assert!(fleet.plan(3, 50.0, None).unwrap_err().contains("may hold all the same"));
+    assert!(fleet.plan(3, 50.0, None).unwrap_err().contains("may still be committed later"));
     fleet.away.clear();
     fleet.run_for(3.0);
     // The proposal timed out before it was sent: it does not apply.
