--- a/crates/host-core/src/core.rs
+++ b/crates/host-core/src/core.rs
@@ -1,4 +1,4 @@
-//! The state machine of a host: its tables, its settings and its outputs. The inputs are in the submodules, by topic.
+//! The state machine of a host: its tables, settings and outputs. The submodules handle the inputs, one topic each.
 
 mod admin;
 mod attempts;
@@ -40,62 +40,64 @@
 use tackmast::scheduler::Scheduler;
 use tackmast_config::{HostSettings, TrafficClass};
 
-/// The number of a write of which the store is to make no report.
+/// The request number of a write whose completion the store does not report.
 const UNREPORTED: u64 = 0;
-/// The fraction of the grace of a drain after which connections that still write to the node are cut.
+/// The fraction of the drain grace period after which connections that are still writing to the node are closed.
 const CUT_FRACTION: f64 = 0.5;
 
-/// One host without sockets, threads or clocks: inputs are `handle_...`, outputs are taken by `poll_output`.
+/// The state machine of one host, without I/O, threads or clocks.
+///
+/// Inputs arrive through the `handle_...` methods, and `poll_output` returns the outputs.
 pub struct Core {
     scheduler: Scheduler,
     layout: Layout,
     volume_names: VolumeNames,
     traffic_classes: Vec<TrafficClass>,
-    /// Whether nodes report what they served through other hosts.
+    /// Whether nodes report the units that they served through other hosts.
     reports_peer_service: bool,
-    /// How long before a command's deadline its answer must be ready, to reach the client in time.
+    /// How long before a command's deadline its answer must be ready in order to reach the client in time.
     answer_lead: TimeDelta,
-    /// The longest wait that a rejected client is advised.
+    /// The longest retry-after of a rejection.
     max_retry_after: TimeDelta,
     generation: u64,
     nodes: Nodes,
     admission: Admission,
     fair_queueing: FairQueueing,
-    /// Commands that have no answer yet.
+    /// Commands without a final answer.
     commands: HashMap<CommandId, OpenCommand>,
-    /// The numbers of these commands, by session.
+    /// The numbers of the open commands, by session.
     sessions: HashMap<u32, BTreeSet<u32>>,
     requests: HashMap<RequestId, PendingRequest>,
-    /// Requests so far.
+    /// The number of requests opened since the start.
     serial: u64,
     /// Attempts in flight, by node.
     attempts_at_node: BTreeMap<NodeId, BTreeSet<AttemptKey>>,
-    /// Attempts in flight, by when they time out.
+    /// Attempts in flight, ordered by when they time out.
     attempt_deadlines: BTreeSet<(Instant, AttemptKey)>,
-    /// How long after a node begins to drain the connections that still write to it are cut.
+    /// How long after a node begins to drain the connections that are still writing to it are closed.
     cut_delay: TimeDelta,
-    /// When the connections that still write to a node are cut.
+    /// When the connections that are still writing to a node are closed.
     cut_deadlines: BTreeSet<(Instant, NodeId)>,
     list_version: u64,
-    /// Changes of the endpoint list are missing since the last complete one.
+    /// Whether changes of the endpoint list have been missed since the last complete list.
     is_list_incomplete: bool,
     removed_nodes: removed_nodes::RemovedNodes,
     override_requests: Option<OverrideRequests>,
     peers: Option<Peers>,
     plans: Option<Plans>,
     consensus: Option<ConsensusDriver>,
-    /// The host shuts down: nothing new is admitted.
+    /// Whether the host is shutting down and rejects new commands.
     draining: bool,
-    /// This host's number.
+    /// The number of this host.
     number: u32,
-    /// Wall time less steady time, in microseconds.
+    /// The wall-clock time minus the monotonic time, in microseconds.
     wall_offset_us: i64,
     outputs: VecDeque<Output>,
-    /// What happened since the start.
+    /// Counts of what has happened since the start.
     pub counters: Counters,
 }
 
-/// The scheduler with the settings of a host.
+/// Creates a scheduler with the settings of a host.
 fn configured_scheduler(now: Instant, settings: &HostSettings, seed: u64) -> Scheduler {
     let clock_resolution = TimeDelta::from_secs(settings.host.clock_resolution_ms / 1e3);
     let mean_units = settings.units.mean_per_request;
@@ -107,8 +109,8 @@
         scheduler.add_plan(plan.into());
     }
     let load = &settings.load;
-    let longest_wait = TimeDelta::from_secs(load.longest_wait_s);
-    scheduler.set_attempt_limits(load.max_attempts, longest_wait, TimeDelta::from_secs(load.settle_s));
+    let max_retry_after = TimeDelta::from_secs(load.longest_wait_s);
+    scheduler.set_attempt_limits(load.max_attempts, max_retry_after, TimeDelta::from_secs(load.settle_s));
     if let Some(budget) = &settings.retry_budget {
         scheduler.set_retry_budget(budget.free, budget.share, TimeDelta::from_secs(budget.window_s));
     }
@@ -121,7 +123,9 @@
 }
 
 impl Core {
-    /// `generation` differs between all generations of all hosts; `seed` is for chance in decisions.
+    /// Creates a host with the volumes and the scheduler of these settings.
+    ///
+    /// `seed` seeds the random choices of the scheduler. `generation` must differ between all generations of all hosts.
     pub fn new(now: Instant, settings: &HostSettings, seed: u64, generation: u64) -> Self {
         let core_settings = CoreSettings {
             traffic_classes: settings.traffic_classes.clone(),
@@ -141,7 +145,9 @@
         }
     }
 
-    /// A host without volumes of its own, around a scheduler that has its settings: its work arrives as requests for objects.
+    /// Creates a host without configured volumes around a scheduler that has its settings already.
+    ///
+    /// Such a host accepts object requests only. `generation` must differ between all generations of all hosts.
     pub fn with_scheduler(
         now: Instant,
         mut scheduler: Scheduler,
@@ -185,37 +191,37 @@
         }
     }
 
-    /// Where the blocks of volumes lie.
+    /// Returns the mapping of volumes onto extents and shards.
     pub fn layout(&self) -> &Layout {
         &self.layout
     }
 
-    /// The nodes that are known.
+    /// Returns the known nodes.
     pub fn nodes(&self) -> &Nodes {
         &self.nodes
     }
 
-    /// The version of the endpoint list that is known.
+    /// Returns the version of the endpoint list that this host knows.
     pub fn list_version(&self) -> u64 {
         self.list_version
     }
 
-    /// Whether this host has an attempt in flight at the node.
+    /// Returns whether this host has an attempt in flight at the node.
     pub fn has_attempts_at(&self, node: NodeId) -> bool {
         self.attempts_at_node.contains_key(&node)
     }
 
-    /// Queues that are not empty, and sessions remembered in them.
+    /// Returns the number of fair queues that are not empty, and of sessions in them.
     pub fn fair_queue_counts(&self) -> FairQueueCounts {
         self.fair_queueing.counts()
     }
 
-    /// Order keys that the scheduler remembers.
+    /// Returns the number of order keys for which the scheduler has state.
     pub fn key_queue_count(&self) -> usize {
         self.scheduler.key_queue_count()
     }
 
-    /// How much work is in flight.
+    /// Returns the numbers of commands, requests and attempts in flight.
     pub fn open_counts(&self) -> OpenCounts {
         OpenCounts {
             commands: self.commands.len(),
@@ -227,12 +233,13 @@
 
 /// Inputs.
 impl Core {
-    /// The rate at which each shard serves this host, in units a second, as this or an earlier generation of it measured.
+    /// Returns the rate at which each shard serves this host, in units per second, as measured by this generation of the
+    /// host or an earlier one.
     pub fn service_rates(&self, now: Instant) -> Vec<(ShardId, f64)> {
         self.scheduler.service_rates(now)
     }
 
-    /// Tells the scheduler at which rate a shard served an earlier generation of this host.
+    /// Passes to the scheduler the rate at which a shard served an earlier generation of this host, in units per second.
     pub fn restore_service_rate(&mut self, now: Instant, shard: ShardId, rate: f64) {
         self.scheduler.service_rate_restored(now, shard, rate);
     }
@@ -240,36 +247,36 @@
 
 /// Outputs.
 impl Core {
-    /// Something for the log.
+    /// Outputs an event.
     fn emit(&mut self, event: impl Into<HostEvent>) {
         self.outputs.push_back(Output::Event(event.into()));
     }
 
-    /// Answers a request of an operator.
+    /// Answers an operator request.
     fn respond(&mut self, request: u64, response: AdminResponse) {
         self.outputs.push_back(Output::AdminResponse { request, response });
     }
 
-    /// Has the store write something that nothing waits for.
+    /// Has the store write a batch whose completion nothing waits for.
     fn persist(&mut self, batch: PersistBatch) {
         self.outputs.push_back(Output::Persist { request: UNREPORTED, batch });
     }
 
-    /// What is to be done next; none: nothing more at this moment.
+    /// Returns the next output, or `None` if there is nothing to do at this time.
     pub fn poll_output(&mut self, now: Instant) -> Option<Output> {
         loop {
             if let Some(output) = self.outputs.pop_front() {
                 return Some(output);
             }
-            // The process may have been paused for any time before this call. A lease that expired meanwhile must not be used, so the mode
-            // is updated before each decision.
+            // The process may have been paused before this call, and its lease may have expired meanwhile. The mode is therefore
+            // updated before each decision.
             self.update_degraded_mode(now);
             let decision = self.scheduler.poll_decision(now)?;
             self.execute(now, decision);
         }
     }
 
-    /// When to come back if nothing else happens before.
+    /// Returns when to call `handle_timeout` next, or `None` if nothing is due.
     pub fn poll_timeout(&self, now: Instant) -> Option<Instant> {
         let attempt = self.attempt_deadlines.first().map(|(due, _)| *due);
         let cut = self.cut_deadlines.first().map(|(due, _)| *due);
--- a/crates/host-core/src/core/admin.rs
+++ b/crates/host-core/src/core/admin.rs
@@ -1,4 +1,4 @@
-//! Requests of operators.
+//! Operator requests.
 
 use super::Core;
 use crate::admin_request::{AdminRequest, AdminResponse};
@@ -9,7 +9,7 @@
 use tackmast::interface::Instant;
 
 impl Core {
-    /// A request of an operator, under a number of the caller's that is not 0.
+    /// Handles an operator request. `request` is chosen by the caller, must not be 0, and is repeated in the response.
     pub fn handle_admin_request(&mut self, now: Instant, request: u64, admin_request: AdminRequest) {
         let admin_request = match admin_request {
             AdminRequest::Plan(plan_request) if self.plans.is_some() => {
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: sent, ended by results, withdrawn, cancelled.
+//! Attempts: sending, results, withdrawal and cancellation.
 
 use super::tables::{AttemptKey, InFlightAttempt, PendingRequest};
 use super::Core;
@@ -14,7 +14,7 @@
 };
 
 impl Core {
-    /// Whether an attempt has not ended yet.
+    /// Returns whether an attempt is in flight.
     pub fn is_in_flight(&self, attempt: AttemptId) -> bool {
         self.in_flight(AttemptKey::of(attempt)).is_some()
     }
@@ -23,7 +23,9 @@
         self.requests.get(&key.request)?.in_flight.iter().find(|attempt| attempt.number == key.number)
     }
 
-    /// The connection to a node reports how an attempt ended. An attempt that is not known has ended before.
+    /// Handles the result of an attempt, which the connection to its node reports.
+    ///
+    /// The result of an attempt that has ended already is ignored, apart from being counted.
     pub fn handle_attempt_result(&mut self, now: Instant, result: AttemptResult) {
         let key = AttemptKey::of(result.attempt);
         let Some(node) = self.in_flight(key).map(|attempt| attempt.node) else {
@@ -102,7 +104,9 @@
         self.outputs.push_back(Output::Send(Box::new(attempt)));
     }
 
-    /// Ends an attempt. Each has one end, whichever comes first: its answer, the end of its connection, its deadline or its withdrawal.
+    /// Ends an attempt by its answer, the end of its connection, its deadline or its withdrawal, whichever comes first.
+    ///
+    /// It does nothing if the attempt has ended already.
     pub(super) fn finish_attempt(
         &mut self,
         now: Instant,
@@ -116,7 +120,7 @@
         let expected_bytes = request.payload.answer_bytes();
         let is_short = expected_bytes.is_some_and(|expected| data.len() != expected);
         let outcome = match outcome {
-            // Bytes of another length are not those that were asked for, and must not reach the client as if they were.
+            // An answer of another length does not contain the requested data, and must not reach the client as if it did.
             Outcome::Done if is_short => {
                 self.counters.short_answers += 1;
                 Outcome::Error
@@ -125,8 +129,8 @@
         };
         request.ran |= outcome.may_have_run();
         let (is_done, was_answered) = (outcome == Outcome::Done, request.answered);
-        if let Some(other_units) = peer_units.filter(|_| self.reports_peer_service) {
-            self.scheduler.service_reported(now, key.request, is_done, other_units);
+        if let Some(peer_units) = peer_units.filter(|_| self.reports_peer_service) {
+            self.scheduler.service_reported(now, key.request, is_done, peer_units);
         }
         let end = AttemptEnd {
             request: key.request,
@@ -142,7 +146,7 @@
         self.remove_if_finished(key.request);
     }
 
-    /// Takes an attempt out of all tables.
+    /// Removes an attempt from all tables.
     fn remove_in_flight(&mut self, key: AttemptKey) -> Option<InFlightAttempt> {
         let in_flight = &mut self.requests.get_mut(&key.request)?.in_flight;
         let index = in_flight.iter().position(|attempt| attempt.number == key.number)?;
@@ -157,7 +161,7 @@
         Some(attempt)
     }
 
-    /// A request that was answered and has no attempt in flight leaves the table.
+    /// Removes a request that was answered and has no attempt in flight.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished = |request: &PendingRequest| request.answered && request.in_flight.is_empty();
         if self.requests.get(&id).is_some_and(is_finished) {
@@ -165,7 +169,7 @@
         }
     }
 
-    /// The command is over before this part of it: nothing new is sent for it, and its attempts are cancelled.
+    /// Ends a request whose command ended before it: no attempt is sent any more, and those in flight are cancelled.
     pub(super) fn release_request(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.answered) else { return };
         request.answered = true;
@@ -178,8 +182,9 @@
         self.remove_if_finished(id);
     }
 
-    /// Withdraws the attempts of which no byte was written. They provably did not run, and the scheduler learns nothing of their
-    /// nodes, which never saw them.
+    /// Withdraws the attempts of a request of which no byte was written.
+    ///
+    /// They provably did not run. Their outcome is `Skipped`, because it says nothing about nodes that never received them.
     pub(super) fn withdraw_unsent(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let unsent = request.in_flight.iter().filter(|attempt| attempt.ticket.withdraw());
@@ -191,7 +196,7 @@
         }
     }
 
-    /// Nobody waits for the attempts in flight any more: their nodes need not work on them.
+    /// Cancels the attempts of a request that are in flight, so that their nodes need not process them.
     pub(super) fn cancel_in_flight(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let cancel = |attempt: &InFlightAttempt| {
@@ -204,7 +209,7 @@
         }
     }
 
-    /// Cancels an attempt; one that its connection is still writing can only be stopped by cutting the connection.
+    /// Outputs the cancellation of an attempt. An attempt that is still being written can only be stopped by closing its connection.
     pub(super) fn push_cancel(&mut self, node: NodeId, attempt: AttemptId, is_stuck: bool) {
         self.counters.cut += u64::from(is_stuck);
         self.outputs.push_back(match is_stuck {
@@ -213,8 +218,10 @@
         });
     }
 
-    /// Withdraws the attempts at a node of which no byte was written. They say nothing of the node: as failures, those that waited for a
-    /// connection would eject a node that has just restarted.
+    /// Withdraws the attempts at a node of which no byte was written.
+    ///
+    /// Their outcome is `Skipped`, because it says nothing about the node. If attempts that waited for a connection counted as failures,
+    /// a node that has just restarted would be ejected.
     pub(super) fn withdraw_unsent_at(&mut self, now: Instant, node: NodeId) {
         for key in self.attempts_at_node.get(&node).cloned().unwrap_or_default() {
             if self.in_flight(key).is_some_and(|attempt| attempt.ticket.withdraw()) {
@@ -225,7 +232,9 @@
     }
 }
 
-/// The key by which nodes recognise a retry: the host's generation and the request's number in it; 0 where the traffic class has none.
+/// Returns the key by which nodes recognise a retry, made of the host's generation and the request's number in it.
+///
+/// It is 0 if the traffic class has no idempotency keys.
 fn idempotency_key(effect: Effect, generation: u64, serial: u64) -> u128 {
     match effect {
         Effect::IdempotentByKey { .. } => u128::from(generation) << u64::BITS | u128::from(serial),
--- a/crates/host-core/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of clients: admitted, rejected, aborted, and answered as soon as their parts allow.
+//! Client commands: admission, rejection, abort, and the answer as soon as the parts determine it.
 
 use super::tables::{AttemptPayload, OpenCommand, OpenPart, PendingRequest, RequestIdentity};
 use super::Core;
@@ -15,7 +15,7 @@
 use std::collections::HashSet;
 use tackmast::interface::{Instant, NewRequest, PlanId, RequestId, TimeDelta, TrafficClassId, VolumeId};
 
-/// A block command, mapped onto the extents that it touches.
+/// A block command with its parts, one for each extent or order granule that it touches.
 struct MappedCommand {
     volume: usize,
     access: Access,
@@ -26,7 +26,9 @@
 }
 
 impl Core {
-    /// A client's command. It gets one answer. The caller has checked that the volume exists and holds the blocks.
+    /// Handles a client's block command, which gets exactly one answer unless it is aborted.
+    ///
+    /// The caller has checked that the volume exists and has the blocks.
     pub fn handle_command(&mut self, now: Instant, command: ClientCommand) {
         self.counters.commands_received += 1;
         let from = command.from;
@@ -41,7 +43,8 @@
         if mapped.deadline <= now || mapped.parts.is_empty() || known {
             return self.reject(from, None);
         }
-        // A client that meets a full table gets an answer at once, with a retry-after: without an answer it would wait for its deadline.
+        // A command that does not fit the tables is rejected at once with a retry-after. Without an answer its client would wait
+        // until the deadline.
         let usage = Usage { requests: mapped.parts.len(), bytes: mapped.bytes };
         if let Err(wait) = self.admission.admit(now, from.session, volume, usage) {
             self.counters.commands_over_bound += 1;
@@ -50,7 +53,7 @@
         self.open_command(now, command, &mapped);
     }
 
-    /// Maps a command onto extents: its traffic class, its deadline, and a part for each extent.
+    /// Determines the traffic class and the deadline of a command, and splits it into parts.
     fn map_command(&self, volume: usize, command: &ClientCommand) -> MappedCommand {
         let block_bytes = self.layout.volume(volume).block_bytes;
         let (access, blocks) = match &command.work {
@@ -69,7 +72,7 @@
         }
     }
 
-    /// Enters an admitted command in the tables, and reports a request for each of its parts to the scheduler.
+    /// Adds an admitted command to the tables, and passes a request for each of its parts to the scheduler.
     fn open_command(&mut self, now: Instant, command: ClientCommand, mapped: &MappedCommand) {
         let from = command.from;
         let ids: Vec<RequestId> = mapped.parts.iter().map(|_| self.new_id()).collect();
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Queues the request of one part among its session's, and reports it to the scheduler.
+    /// Adds the request of one part to the tables and to its fair queue, and passes it to the scheduler.
     fn open_request(
         &mut self,
         now: Instant,
@@ -146,7 +149,9 @@
         self.scheduler.request_tagged(id, tag);
     }
 
-    /// A request for an object. It gets one answer. Volumes, keys and shards are as the client names them.
+    /// Handles an object request, which gets exactly one answer unless it is aborted.
+    ///
+    /// The volume, the order key and the shard are those that the client names.
     pub fn handle_object_request(&mut self, now: Instant, from: CommandId, request: ObjectRequest) {
         self.counters.commands_received += 1;
         if self.draining {
@@ -156,7 +161,7 @@
         if !configured || request.time_left <= TimeDelta::ZERO || self.commands.contains_key(&from) {
             return self.reject(from, None);
         }
-        // Gathered only where the table of names is full, and then once for all its volumes.
+        // Computed only if the table of volume names is full, and then only once.
         let volumes_in_use: LazyCell<HashSet<usize>, _> =
             LazyCell::new(|| self.commands.values().map(|command| command.volume).collect());
         let is_in_use = |volume: usize| volumes_in_use.contains(&volume);
@@ -172,14 +177,14 @@
         self.open_object_request(now, from, volume, request);
     }
 
-    /// Enters an admitted request for an object in the tables, and reports it to the scheduler.
+    /// Adds an admitted object request to the tables, and passes it to the scheduler.
     fn open_object_request(&mut self, now: Instant, from: CommandId, volume: usize, object: ObjectRequest) {
         let (id, traffic_class) = (self.new_id(), object.traffic_class.0 as usize);
         let command = OpenCommand {
             parts: vec![OpenPart::new(id)],
             traffic_class,
             volume,
-            // The client's own key is part of the request: it is the same at each of its retries.
+            // The client's idempotency key is part of the opaque request and the same in each of its retries.
             key_source: KeySource::Client,
             bytes: object.payload.bytes(),
             access: Access::Read,
@@ -210,7 +215,7 @@
         self.scheduler.request_arrived(now, request);
     }
 
-    /// The next number that no request in the table has. An answered request stays there until its last attempt has ended.
+    /// Returns the next request id that is not in use. An answered request keeps its id until its last attempt has ended.
     pub(super) fn new_id(&mut self) -> RequestId {
         loop {
             self.serial += 1;
@@ -226,13 +231,14 @@
         self.outputs.push_back(Output::Answer { to, verdict: Verdict::Rejected { retry_after } });
     }
 
-    /// The host shuts down: new commands are rejected, open ones are still worked on.
+    /// Rejects new commands from now on, because the host is shutting down. Work on open commands continues.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// The host ends now: each command that is still open is answered at once. It is rejected where no part of it can have run, and
-    /// failed otherwise.
+    /// Answers all open commands at once, because the host is about to exit.
+    ///
+    /// A command is rejected if a retry of it is safe, and has failed otherwise.
     pub fn close_open_commands(&mut self, now: Instant) {
         self.draining = true;
         let mut open: Vec<CommandId> = self.commands.keys().copied().collect();
@@ -241,23 +247,23 @@
             let Some(command) = self.commands.get(&from) else { continue };
             let Some(open_part) = command.parts.iter().find(|part| part.state.is_none()) else { continue };
             let (id, retry_after) = (open_part.request, Some(self.max_retry_after));
-            // As if the scheduler had rejected it: the parts together decide whether a retry is safe.
+            // This is handled like a rejection by the scheduler: all parts together decide whether a retry is safe.
             self.finish_part(now, id, PartState::Rejected { ran: true, retry_after }, Bytes::new());
         }
     }
 
-    /// The client has aborted the command; no answer is wanted.
+    /// Aborts a command whose client wants no answer any more.
     pub fn handle_abort(&mut self, now: Instant, from: CommandId) {
         if let Some(command) = self.commands.remove(&from) {
             self.counters.commands_aborted += 1;
-            self.forget_command(now, from, &command);
+            self.release_command(now, from, &command);
             for id in command.request_ids() {
                 self.release_request(now, id);
             }
         }
     }
 
-    /// The session ended: its commands are aborted.
+    /// Aborts all commands of a session that has ended.
     pub fn handle_session_closed(&mut self, now: Instant, session: u32) {
         for command in self.sessions.remove(&session).unwrap_or_default() {
             self.handle_abort(now, CommandId { session, command });
@@ -265,12 +271,13 @@
         self.fair_queueing.session_closed(session);
     }
 
-    /// The request of one part has ended.
+    /// Ends the request of one part, and answers its command if the answer is certain now.
     pub(super) fn finish_part(&mut self, now: Instant, id: RequestId, mut end: PartState, data: Bytes) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.answered) else { return };
         let RequestIdentity { from, part, .. } = request.identity;
-        // A part that is not done settles the whole command. Its unsent attempts are withdrawn before it is decided whether any of it
-        // may have run: an attempt that a connection began to write in between would make a rejection unsafe to retry.
+        // A rejected or failed part decides the answer of the whole command. All unsent attempts of the command are withdrawn before
+        // it is determined whether any part may have run; an attempt that a connection began to write in between would make a retry
+        // after the rejection unsafe.
         let ids: Vec<RequestId> = match (end, self.commands.get(&from)) {
             (PartState::Done, _) | (_, None) => vec![id],
             (_, Some(command)) => command.request_ids(),
@@ -296,7 +303,7 @@
         self.answer_if_certain(now, from);
     }
 
-    /// Answers a command as soon as its parts make the answer certain.
+    /// Answers a command if its parts make the answer certain.
     fn answer_if_certain(&mut self, now: Instant, from: CommandId) {
         let Some(command) = self.commands.get(&from) else { return };
         let ran = |id: &RequestId| self.requests.get(id).is_some_and(PendingRequest::may_have_run);
@@ -308,7 +315,7 @@
         let effect = self.traffic_classes[command.traffic_class].effect;
         let Some(combined) = combine(effect, command.key_source, &states) else { return };
         let Some(command) = self.commands.remove(&from) else { return };
-        self.forget_command(now, from, &command);
+        self.release_command(now, from, &command);
         let verdict = match combined {
             Combined::Done => {
                 self.counters.commands_done += 1;
@@ -329,10 +336,10 @@
         }
     }
 
-    /// A command has left the table: what it held there is free again.
-    fn forget_command(&mut self, now: Instant, from: CommandId, command: &OpenCommand) {
-        let held = Usage { requests: command.parts.len(), bytes: command.bytes };
-        self.admission.release(now, from.session, command.volume, held);
+    /// Releases the admitted usage of a command that was removed from the table, and removes it from its session.
+    fn release_command(&mut self, now: Instant, from: CommandId, command: &OpenCommand) {
+        let usage = Usage { requests: command.parts.len(), bytes: command.bytes };
+        self.admission.release(now, from.session, command.volume, usage);
         if let Some(open) = self.sessions.get_mut(&from.session) {
             open.remove(&from.command);
             if open.is_empty() {
--- a/crates/host-core/src/core/endpoint_list.rs
+++ b/crates/host-core/src/core/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, and the state of nodes that follows from it, from overrides and from peers' lists.
+//! The endpoint list, and the states of nodes as determined by it, by overrides and by peers' lists.
 
 use super::Core;
 use crate::event::EndpointListEvent;
@@ -8,7 +8,9 @@
 use tackmast_overrides::{Effective, NodeFacts};
 
 impl Core {
-    /// A complete list, or changes that begin at version `from`. What is known is brought to version `to`.
+    /// Handles an endpoint list, changes of it, or the failure to receive one.
+    ///
+    /// Changes lead from version `from` to version `to`; a complete or saved list has version `to`.
     pub fn handle_endpoint_list(
         &mut self,
         now: Instant,
@@ -19,8 +21,8 @@
     ) {
         match kind {
             ListKind::Failed => return self.scheduler.nodes_changed(now, kind, &[]),
-            // Changes are missing before these. These are applied all the same, since a drain among them must not wait; the complete
-            // list is fetched for what is missing.
+            // Earlier changes are missing. These changes are applied anyway, since a drain among them must take effect at once, and the
+            // complete list is fetched to get the missing ones.
             ListKind::Changes if from != self.list_version => {
                 self.is_list_incomplete = true;
                 self.outputs.push_back(Output::FetchEndpointList);
@@ -59,8 +61,10 @@
         }
     }
 
-    /// The version from which changes are to be watched; 0 asks for the complete list. A fetch of the complete list may fail or be lost.
-    /// A watch from the version of the last change would then never bring the changes that are missing before it, which may be drains.
+    /// Returns the version from which changes are to be watched, where 0 asks for the complete list.
+    ///
+    /// It is 0 while changes are missing, because the fetch of the complete list may fail. A watch from the version of the last change
+    /// would then never return the missing changes, which may include drains.
     pub(super) fn version_to_watch_from(&self) -> u64 {
         if self.is_list_incomplete {
             0
@@ -69,7 +73,7 @@
         }
     }
 
-    /// Applies overrides, and removals by peers, to an entry of the list.
+    /// Applies overrides and removals by peers' lists to an entry of the list.
     pub(super) fn apply_overrides(&self, now: Instant, entry: &mut NodeEntry) {
         let address = self.nodes.address(entry.node).and_then(|address| address.parse().ok());
         let requests = self.override_requests.as_ref();
@@ -78,14 +82,14 @@
         if let Some(Effective { state, .. }) = effective {
             entry.state = state;
         }
-        // A newer list of a peer only removes nodes: what it adds is not known to be warmed up.
+        // A peer's newer list can only remove nodes. Nodes that it adds are not used, as they may not have warmed up.
         let is_removed = |address: &str| self.removed_nodes.contains(now, address, self.list_version);
         if entry.state == NodeState::Ready && self.nodes.address(entry.node).is_some_and(is_removed) {
             entry.state = NodeState::Draining;
         }
     }
 
-    /// Passes nodes whose overrides have changed to the scheduler.
+    /// Passes the nodes whose overrides have changed to the scheduler.
     pub(super) fn apply_changed_overrides(&mut self, now: Instant) {
         let Some(override_requests) = &mut self.override_requests else { return };
         let mut any_unavailable = false;
@@ -103,8 +107,10 @@
         }
     }
 
-    /// What is still queued for a node that drains, or is out of service, must not reach it after the grace: attempts of which no byte
-    /// was written are withdrawn now, and attempts that are still being written are cut before the grace is over.
+    /// Withdraws the unsent attempts at nodes that drain or are out of service, and schedules the closing of connections that are still
+    /// writing to such a node.
+    ///
+    /// Neither may reach the node after the drain grace period.
     pub(super) fn withdraw_from_unavailable_nodes(&mut self, now: Instant) {
         let in_use = self.attempts_at_node.keys().copied();
         let unavailable: Vec<NodeId> = in_use.filter(|node| self.is_unavailable(now, *node)).collect();
@@ -124,10 +130,11 @@
         })
     }
 
-    /// A node reported at the start of a connection how long it has been up. If that is less than the list says, the node has restarted.
+    /// Handles the uptime that a node reports at the start of a connection. A node has restarted if its uptime is shorter than the list
+    /// says.
     ///
-    /// What waits for the connection was sent for a node that was warmed up, and would arrive as a burst at a node in slow start. So it
-    /// is withdrawn, and the scheduler decides anew. The connection must not write before the core has taken this report in.
+    /// Attempts that wait for the connection were meant for a warmed-up node, and would arrive as a burst at a node in slow start. They
+    /// are withdrawn, and the scheduler decides again. The connection must not write before the core has handled this report.
     pub fn handle_node_uptime(&mut self, now: Instant, node: NodeId, uptime: TimeDelta) {
         if let Some(mut entry) = self.nodes.started(now, node, uptime) {
             self.apply_overrides(now, &mut entry);
@@ -137,7 +144,7 @@
     }
 }
 
-/// What overrides need to know of a node; none: its address is not one of the network.
+/// Returns what overrides need to know of a node, or `None` if its address is not a socket address.
 fn node_facts((address, entry): (&str, &NodeEntry)) -> Option<NodeFacts> {
     let address = address.parse().ok()?;
     Some(NodeFacts { address, zone: entry.zone.0, shard: entry.shard.0, listed: entry.state })
--- a/crates/host-core/src/core/overrides.rs
+++ b/crates/host-core/src/core/overrides.rs
@@ -1,4 +1,4 @@
-//! Overrides as time passes: their ends, recovery ramps, and steps of the wall clock.
+//! Expiry of overrides, recovery ramps after them, and steps of the wall clock.
 
 use super::Core;
 use crate::event::OverrideEvent;
@@ -8,7 +8,7 @@
 use tackmast_overrides::{ClockStep, Ended, Override, Overrides};
 
 impl Core {
-    /// Operators may set overrides from now on. `batch` is what is to be persisted of the overrides of an earlier generation.
+    /// Allows operators to set overrides. `batch` has what must be persisted after the overrides of an earlier generation were loaded.
     pub fn enable_overrides(&mut self, now: Instant, overrides: Overrides, batch: PersistBatch) {
         self.override_requests = Some(OverrideRequests::new(now, overrides));
         if batch != PersistBatch::default() {
@@ -16,7 +16,9 @@
         }
     }
 
-    /// What the wall clock shows, now and then. Audit records have its time; a step of it changes the end of no override.
+    /// Handles a reading of the wall clock, in Unix time in microseconds, which the caller takes from time to time.
+    ///
+    /// Audit records contain wall-clock times. A step of the wall clock does not change when overrides end.
     pub fn handle_wall_clock(&mut self, now: Instant, wall_us: u64) {
         self.wall_offset_us = wall_us as i64 - (now.secs() * 1e6).round() as i64;
         let Some(requests) = &mut self.override_requests else { return };
@@ -28,12 +30,12 @@
         }
     }
 
-    /// Unix time in microseconds, by the last look at the wall clock.
+    /// Returns the Unix time in microseconds, based on the last reading of the wall clock.
     pub(super) fn wall_us(&self, now: Instant) -> u64 {
         ((now.secs() * 1e6).round() as i64 + self.wall_offset_us).max(0) as u64
     }
 
-    /// Ends the overrides whose time is over, and moves nodes on along their recovery ramps.
+    /// Ends the overrides that have expired, and advances the recovery ramps of nodes.
     pub(super) fn handle_override_timeout(&mut self, now: Instant) {
         let wall_us = self.wall_us(now);
         let Some(requests) = &mut self.override_requests else { return };
--- a/crates/host-core/src/core/peers.rs
+++ b/crates/host-core/src/core/peers.rs
@@ -1,4 +1,4 @@
-//! Peers: datagrams, and what follows from them.
+//! Datagrams from peers, and the events that follow from them.
 
 use super::Core;
 use crate::event::{HostEvent, PlanEvent};
@@ -10,7 +10,7 @@
 use tackmast_membership::{CatalogUpdate, QuotaBalance};
 
 impl Core {
-    /// This host takes part in membership from now on.
+    /// Makes this host take part in membership.
     pub fn enable_peers(&mut self, now: Instant, peers: Peers) {
         if let Some(override_requests) = &mut self.override_requests {
             override_requests.me = Some(peers.me());
@@ -31,7 +31,7 @@
         self.process_peer_events(now);
     }
 
-    /// Bytes from another host.
+    /// Handles a datagram from another host.
     pub fn handle_datagram(&mut self, now: Instant, from: std::net::SocketAddr, bytes: Bytes) {
         if let Some(peers) = &mut self.peers {
             peers.member.handle_datagram(now, from, bytes);
@@ -39,8 +39,10 @@
         }
     }
 
-    /// The host leaves gracefully and lends its quota to others. That it leaves has been persisted: else its next generation would use
-    /// what is still lent.
+    /// Begins to leave gracefully, which lends this host's quota to others.
+    ///
+    /// The caller must have persisted before that the host leaves. Otherwise the host's next generation would use quota that is still
+    /// lent.
     pub fn begin_leave(&mut self, now: Instant) {
         if let Some(peers) = &mut self.peers {
             peers.member.begin_leave(now);
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Its last message to the peers.
+    /// Sends the last message of a leave to the peers.
     pub fn announce_leave(&mut self, now: Instant) {
         if let Some(peers) = &mut self.peers {
             peers.member.announce_leave(now);
@@ -56,17 +58,17 @@
         }
     }
 
-    /// Whether this host has begun to leave.
+    /// Returns whether this host has begun to leave.
     pub fn is_leaving(&self) -> bool {
         self.peers.as_ref().is_some_and(|peers| peers.member.leases.is_leaving())
     }
 
-    /// Whether the persisted mark of an earlier leave may be removed: all quota leases of then have ended.
+    /// Returns whether all quota leases of an earlier generation's leave have ended, so that its persisted mark may be removed.
     pub fn have_earlier_leases_ended(&self, now: Instant) -> bool {
         self.peers.as_ref().is_none_or(|peers| peers.member.leases.have_earlier_leases_ended(now))
     }
 
-    /// Processes what follows from messages of peers, and from the time.
+    /// Processes the events that follow from peer messages and timeouts.
     pub(super) fn process_peer_events(&mut self, now: Instant) {
         loop {
             let Some(peers) = &mut self.peers else { return };
@@ -106,7 +108,7 @@
         self.scheduler.quota_leases_changed(now, change);
     }
 
-    /// A change of plans that a peer sent: it applies here from now on, if it is the next one.
+    /// Handles a change of plans that a peer sent. The change is applied if it is the next one.
     fn handle_catalog_update(&mut self, now: Instant, update: &CatalogUpdate) {
         let (Some(peers), Some(plans)) = (&mut self.peers, &mut self.plans) else { return };
         let effective_at = peers.member.catalog.deadline(update.number, now);
--- a/crates/host-core/src/core/persisted.rs
+++ b/crates/host-core/src/core/persisted.rs
@@ -1,4 +1,4 @@
-//! Completed writes of the store.
+//! Completed writes of the store, and the requests that wait for them.
 
 use super::Core;
 use crate::admin_request::AdminResponse;
@@ -8,7 +8,7 @@
 use tackmast::interface::Instant;
 
 impl Core {
-    /// The store has written a `PersistBatch`, or could not.
+    /// Handles the completion of a `PersistBatch` by the store, under the request number of its `Output::Persist`.
     pub fn handle_persisted(&mut self, now: Instant, request: u64, result: Result<(), PersistError>) {
         if self.handle_consensus_persisted(now, request, &result) {
             return;
@@ -17,7 +17,7 @@
         self.handle_override_persisted(now, request, result);
     }
 
-    /// Applies a change of plans that was persisted, and begins with the next one that waits.
+    /// Applies a change of plans that was persisted, and starts the next queued plan request.
     fn handle_plan_persisted(&mut self, now: Instant, request: u64, result: Result<(), PersistError>) {
         let Some(plans) = &mut self.plans else { return };
         if let Some(PersistedChange { response, applied }) = plans.handle_persisted(now, request, result) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Applies a change of overrides that was persisted, and begins with the next one that waits.
+    /// Applies a change of overrides that was persisted, and starts the next queued override request.
     fn handle_override_persisted(&mut self, now: Instant, request: u64, result: Result<(), PersistError>) {
         let Some(requests) = &mut self.override_requests else { return };
         if let Some(PersistedOverride { response, event }) = requests.handle_persisted(now, request, result) {
--- a/crates/host-core/src/core/removed_nodes.rs
+++ b/crates/host-core/src/core/removed_nodes.rs
@@ -1,8 +1,8 @@
-//! Nodes that peers' newer endpoint lists remove, while this host's own list is older.
+//! Nodes that a peer's newer endpoint list removes while this host's own list is older.
 //!
-//! The watch of this host's list may be silent while a node drains, or its list service may have gone back to an older version. The host
-//! would go on sending to a node that is about to stop. So it sends nothing new to a node that a newer list of a peer shows as draining
-//! or gone.
+//! The watch of this host's list may report nothing while a node drains, or its list service may have returned to an older version. The
+//! host would then continue to send requests to a node that is about to stop. It therefore sends no new requests to a node that a
+//! peer's newer list shows as draining or gone.
 
 #[cfg(test)]
 mod tests;
@@ -14,50 +14,52 @@
 use tackmast::interface::{Instant, ListKind, NodeEntry, NodeState, TimeDelta};
 use tackmast_membership::{EndpointListNotice, NodeRemoval};
 
-/// Nodes that may be removed by peers' lists at a time.
+/// The maximum number of nodes removed by peers' lists at a time.
 const MAX_REMOVED_NODES: usize = 4_096;
-/// How long a removal lasts at most. A list service that was reset counts from a low version again, so this host's own list may never
-/// get past the version of the removal.
+/// The maximum duration of a removal. A list service that was reset counts versions from a low number again, so this host's own list
+/// may never reach the version of the removal.
 const MAX_REMOVAL: TimeDelta = TimeDelta::from_millis(600_000);
 
-/// A node that a newer list of a peer removes.
+/// The removal of a node by a peer's newer list.
 struct Removal {
-    /// The version of that list.
+    /// The version of the peer's list.
     version: u64,
-    /// When the removal ends, if this host's own list does not get past `version` before.
+    /// When the removal ends if this host's own list has not reached `version` by then.
     ends: Instant,
 }
 
 impl Removal {
-    /// Whether this host's own list, at that version, decides on the node again.
+    /// Returns whether this host's own list, at version `own_version`, determines the node's state again.
     fn is_over(&self, now: Instant, own_version: u64) -> bool {
         self.version <= own_version || self.ends <= now
     }
 }
 
-/// The nodes that peers' lists remove.
+/// The nodes that peers' lists remove, by address.
 #[derive(Default)]
 pub(super) struct RemovedNodes {
     by_address: BTreeMap<String, Removal>,
-    /// No removal ends by its time before this; none: there are no removals.
+    /// The earliest time at which a removal ends by its duration, or `None` if there are no removals.
     next_end: Option<Instant>,
-    /// It has been reported that no more removals are accepted, and none has ended since.
+    /// Whether the full table has been reported and no removal has ended since.
     reported_full: bool,
 }
 
 impl RemovedNodes {
-    /// Whether a node is removed for a host whose own list is at that version.
+    /// Returns whether a node is removed for a host whose own list is at version `own_version`.
     pub(super) fn contains(&self, now: Instant, address: &str, own_version: u64) -> bool {
         self.by_address.get(address).is_some_and(|removal| !removal.is_over(now, own_version))
     }
 
-    /// When removals may end by their time.
+    /// Returns the earliest time at which a removal may end by its duration.
     pub(super) fn poll_timeout(&self) -> Option<Instant> {
         self.next_end
     }
 
-    /// Adds a removal by a list of that version. One by a newer list that is known stays by that list's version: else the host's own list
-    /// could end it while it is still older than the drain.
+    /// Adds a removal by a list of that version, or extends a known removal of the same node.
+    ///
+    /// A known removal keeps its version if that is newer. Otherwise this host's own list could end the removal while it is still
+    /// older than the drain.
     fn insert(&mut self, now: Instant, address: String, version: u64) {
         let known_version = self.by_address.get(&address).map_or(0, |known| known.version);
         let removal = Removal { version: version.max(known_version), ends: now + MAX_REMOVAL };
@@ -65,7 +67,8 @@
         self.by_address.insert(address, removal);
     }
 
-    /// Drops the removals that are over for a host whose own list is at that version, and gives the addresses of their nodes.
+    /// Deletes the removals that are over for a host whose own list is at version `own_version`, and returns the addresses of their
+    /// nodes.
     fn take_ended(&mut self, now: Instant, own_version: u64) -> Vec<String> {
         let over = self.by_address.iter().filter(|(_, removal)| removal.is_over(now, own_version));
         let ended: Vec<String> = over.map(|(address, _)| address.clone()).collect();
@@ -77,7 +80,7 @@
 }
 
 impl Core {
-    /// What peers report of their endpoint lists. It only ever removes nodes.
+    /// Handles what peers report of their endpoint lists. Such a report can remove nodes, but never add them.
     pub(super) fn handle_peer_list_notice(&mut self, now: Instant, event: EndpointListNotice) {
         match event {
             EndpointListNotice::Behind { .. } => self.outputs.push_back(Output::FetchEndpointList),
@@ -108,7 +111,7 @@
         self.refresh_nodes(now, &[removed.address]);
     }
 
-    /// Passes these nodes to the scheduler as they are now.
+    /// Passes the present states of these nodes to the scheduler.
     fn refresh_nodes(&mut self, now: Instant, addresses: &[String]) {
         for address in addresses {
             let node = self.nodes.number(address);
@@ -119,7 +122,8 @@
         self.withdraw_from_unavailable_nodes(now);
     }
 
-    /// Ends removals whose time is over. This host's own list may fail for longer than that, so no list would end them.
+    /// Ends the removals that have reached their maximum duration. They end at a timeout because this host may receive no list for
+    /// longer than that.
     pub(super) fn handle_removal_timeout(&mut self, now: Instant) {
         if self.removed_nodes.poll_timeout().is_some_and(|next_end| next_end <= now) {
             self.end_removals(now);
@@ -131,7 +135,7 @@
         self.refresh_nodes(now, &ended);
     }
 
-    /// This host's own list has changed: removals by older versions end, and peers learn the version of the list.
+    /// Handles a change of this host's own list: ends removals by lists that are not newer, and reports the list to peers.
     pub(super) fn handle_own_endpoint_list(&mut self, now: Instant) {
         self.end_removals(now);
         let version = self.list_version;
--- a/crates/host-core/src/core/removed_nodes/tests.rs
+++ b/crates/host-core/src/core/removed_nodes/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the bounds on nodes that peers' lists remove, and of when a removal ends.
+//! Tests of the limit on nodes removed by peers' lists, and of when a removal ends.
 
 use super::{MAX_REMOVAL, MAX_REMOVED_NODES};
 use crate::core::Core;
@@ -39,12 +39,12 @@
 }
 "#;
 
-/// When each test begins.
+/// The time at which each test begins.
 fn now() -> Instant {
     Instant::from_secs(10.0)
 }
 
-/// A peer whose list has that version reports that it removes so many nodes.
+/// Handles reports of a peer whose list, at that version, removes `count` nodes.
 fn remove_nodes(core: &mut Core, version: u64, count: usize) {
     for node in 0..count {
         let removal = NodeRemoval { address: format!("v{version} node {node}"), gone: true };
@@ -52,7 +52,7 @@
     }
 }
 
-/// How often the core has reported since the last call that it accepts no more removals.
+/// Returns how often the core has reported since the last call that it accepts no more removals.
 fn take_full_reports(core: &mut Core) -> usize {
     let is_full = |output: &Output| {
         matches!(output, Output::Event(HostEvent::EndpointList(EndpointListEvent::PeerRemovalsFull { .. })))
@@ -60,8 +60,9 @@
     std::mem::take(&mut core.outputs).iter().filter(|output| is_full(output)).count()
 }
 
-/// Peers remove more nodes than the table holds, while this host's own list changes again and again without catching up with theirs. The
-/// operator is told once. When the host's own list has caught up, the removals end; if the table fills up again, that is reported again.
+/// Peers remove more nodes than the table holds, and this host's own list changes repeatedly without reaching the version of theirs. This
+/// must be reported once. After the own list has reached that version and the removals have ended, a table that is full again must be
+/// reported again.
 #[test]
 fn a_full_table_of_removals_is_reported_once_until_some_of_them_end() {
     let settings = HostSettings::parse("test", SETTINGS).unwrap();
@@ -79,10 +80,10 @@
     assert_eq!(take_full_reports(&mut core), 1, "full again");
 }
 
-/// The address of the node that is removed in the tests below.
+/// The address of the node that the tests below remove.
 const NODE: &str = "a";
 
-/// A core whose own list, at version 3, has one node, which is ready.
+/// Creates a core whose own list, at version 3, has one node, which is ready.
 fn core_with_node() -> (Core, NodeId) {
     let settings = HostSettings::parse("test", SETTINGS).unwrap();
     let mut core = Core::new(now(), &settings, 1, 1);
@@ -99,14 +100,14 @@
     (core, node)
 }
 
-/// A peer whose list has that version reports that it removes the node.
+/// Handles a report of a peer whose list, at that version, removes the node.
 fn remove_node(core: &mut Core, version: u64) {
     let removal = NodeRemoval { address: NODE.into(), gone: false };
     core.handle_peer_list_notice(now(), EndpointListNotice::Removed { version, removal });
 }
 
-/// A peer's newer list removes a node while this host's list service is unreachable. No list is applied any more, and the removal must end
-/// all the same: a service that began anew counts from a low version, and the node would never be used again.
+/// A peer's newer list removes a node, and this host receives no list any more. The removal must still end: a list service that was reset
+/// counts versions from a low number again, and the node would otherwise never be used again.
 #[test]
 fn removal_ends_in_time_while_the_own_list_fails() {
     let (mut core, node) = core_with_node();
@@ -121,8 +122,8 @@
     assert!(core.removed_nodes.by_address.is_empty(), "kept in the table");
 }
 
-/// A peer whose list has version 9 reports that a node drains, then one whose list is still at version 7. This host's own list at version 7
-/// or 8 is older than the drain, so the node must stay removed until it is at 9.
+/// A peer with list version 9 reports that a node drains, and then a peer with list version 7 reports it. At versions 7 and 8 this host's
+/// own list is older than the drain, so the node must stay removed until version 9.
 #[test]
 fn removal_by_an_older_list_does_not_replace_one_by_a_newer_list() {
     let (mut core, node) = core_with_node();
--- a/crates/host-core/src/core/settings.rs
+++ b/crates/host-core/src/core/settings.rs
@@ -1,25 +1,25 @@
-//! The settings that a host core needs beside those of its scheduler.
+//! The settings of a host core beyond those of its scheduler.
 
 use tackmast::interface::TimeDelta;
 use tackmast_config::TrafficClass;
 
-/// Settings of a host core that the scheduler does not have, whichever kind of work the host accepts.
+/// Settings of a host core that its scheduler does not have. They apply to block commands and object requests alike.
 #[derive(Clone, Debug)]
 pub struct CoreSettings {
     /// The traffic classes.
     pub traffic_classes: Vec<TrafficClass>,
-    /// Whether nodes report what they served through other hosts.
+    /// Whether nodes report the units that they served through other hosts.
     pub reports_peer_service: bool,
-    /// The longest wait that a rejected client is advised.
+    /// The longest retry-after of a rejection.
     pub max_retry_after: TimeDelta,
-    /// How long a node that drains is waited for.
+    /// How long after the notification of a drain attempts in flight may still reach the node.
     pub drain_grace: TimeDelta,
-    /// Requests that may be open.
+    /// The maximum number of open requests.
     pub max_requests: usize,
-    /// Bytes that they may hold.
+    /// The maximum total size of the data that open requests read or write, in bytes.
     pub max_bytes: usize,
-    /// Nodes that may be known.
+    /// The maximum number of known nodes.
     pub max_nodes: usize,
-    /// Names of volumes in requests for objects that may be known.
+    /// The maximum number of volume names of object requests that are known at a time.
     pub max_volumes: usize,
 }
--- a/crates/host-core/src/core/status.rs
+++ b/crates/host-core/src/core/status.rs
@@ -1,4 +1,4 @@
-//! The status of a host, as operators see it.
+//! The status of a host, as shown to operators.
 
 use super::Core;
 use crate::admin_request::HostStatus;
@@ -30,7 +30,7 @@
     }
 }
 
-/// The state's name, as operators read it.
+/// Returns the name of a node state, as shown to operators.
 fn state_name(state: NodeState) -> String {
     let name = match state {
         NodeState::Ready => "ready",
--- a/crates/host-core/src/core/tables.rs
+++ b/crates/host-core/src/core/tables.rs
@@ -1,4 +1,4 @@
-//! The tables of the core: open commands, their requests and the attempts in flight.
+//! Entries of the core's tables: open commands, their requests and the attempts in flight.
 
 use crate::attempt::{AttemptId, AttemptWork};
 use crate::combine::{KeySource, PartState};
@@ -9,7 +9,7 @@
 use bytes::{Bytes, BytesMut};
 use tackmast::interface::{Instant, NodeId, RequestId};
 
-/// What every attempt of a request carries.
+/// The part of a request that is the same in each of its attempts; see `SendAttempt` for the fields.
 pub(super) struct AttemptPayload {
     pub key: u64,
     pub volume: u32,
@@ -19,7 +19,7 @@
 }
 
 impl AttemptPayload {
-    /// How many bytes an answer must have; none: only the node knows.
+    /// Returns the length that an answer must have, in bytes, or `None` if only the node knows it.
     pub(super) fn answer_bytes(&self) -> Option<usize> {
         match &self.work {
             AttemptWork::Read { length } => Some(*length as usize),
@@ -29,7 +29,7 @@
     }
 }
 
-/// The name of an attempt within the core: its request, and its number within that, from 0.
+/// Identifies an attempt within the core by its request and its number within the request, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptKey {
     pub request: RequestId,
@@ -51,12 +51,12 @@
     pub number: u32,
     pub node: NodeId,
     pub sent_at: Instant,
-    /// When it times out.
+    /// When the attempt times out.
     pub deadline: Instant,
     pub ticket: Ticket,
 }
 
-/// Which part of which command a request serves, and its number in this generation of the host.
+/// The command and part that a request belongs to, and the request's number in this generation of the host.
 #[derive(Clone, Copy)]
 pub(super) struct RequestIdentity {
     pub serial: u64,
@@ -64,16 +64,16 @@
     pub part: u16,
 }
 
-/// A request that has no answer yet, or attempts in flight.
+/// A request that is unanswered or has attempts in flight.
 pub(super) struct PendingRequest {
     pub identity: RequestIdentity,
     pub payload: AttemptPayload,
     pub traffic_class: usize,
     pub deadline: Instant,
-    /// Attempts that were sent.
+    /// The number of attempts sent.
     pub attempts: u32,
     pub in_flight: Vec<InFlightAttempt>,
-    /// Its place among its session's requests, until its first attempt is sent.
+    /// The request's place in its fair queue, until its first attempt is sent; object requests have none.
     pub queue_ticket: Option<QueueTicket>,
     /// Whether an attempt that has ended may have had an effect.
     pub ran: bool,
@@ -101,13 +101,13 @@
         }
     }
 
-    /// Whether an attempt, ended or in flight, may have had an effect.
+    /// Returns whether an attempt, ended or in flight, may have had an effect.
     pub(super) fn may_have_run(&self) -> bool {
         self.ran || self.in_flight.iter().any(|attempt| attempt.ticket.is_claimed())
     }
 }
 
-/// One part of a command: its request, and what has become of it.
+/// One part of a command: its request, and the result once there is one.
 pub(super) struct OpenPart {
     pub request: RequestId,
     pub state: Option<PartState>,
@@ -120,7 +120,7 @@
     }
 }
 
-/// A command that has no answer yet.
+/// A command without a final answer.
 pub(super) struct OpenCommand {
     pub parts: Vec<OpenPart>,
     pub traffic_class: usize,
@@ -135,7 +135,7 @@
         self.parts.iter().map(|part| part.request).collect()
     }
 
-    /// What was read, in the order of the blocks; nothing for a write.
+    /// Returns the data of a read in the order of the blocks. It is empty for a write.
     pub(super) fn answer_data(&self) -> Bytes {
         if self.access == Access::Write {
             return Bytes::new();
--- a/crates/host-core/src/core/timeouts.rs
+++ b/crates/host-core/src/core/timeouts.rs
@@ -1,4 +1,4 @@
-//! Time: attempts that time out, and connections that are cut.
+//! Timeouts, among them those of attempts, and the closing of connections that are stuck in a write.
 
 use super::tables::AttemptKey;
 use super::Core;
@@ -7,7 +7,7 @@
 use tackmast::interface::{Instant, NodeId, Outcome};
 
 impl Core {
-    /// Time has passed: what is due by now happens.
+    /// Handles everything that is due at `now`.
     pub fn handle_timeout(&mut self, now: Instant) {
         self.handle_override_timeout(now);
         self.handle_consensus_timeout(now);
@@ -30,8 +30,10 @@
         self.process_peer_events(now);
     }
 
-    /// Part of the grace of a drain is over. A node that takes no bytes would read an attempt that is still being written after the
-    /// grace, when it may have been replaced; so the connections of such attempts are cut.
+    /// Closes the connections that are still writing attempts to a node that has been unavailable for part of the drain grace period.
+    ///
+    /// A node that reads nothing for a while could otherwise read such an attempt after the grace period, when it may already have
+    /// been replaced.
     fn cut_stuck_attempts(&mut self, now: Instant, node: NodeId) {
         if !self.is_unavailable(now, node) {
             return;
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Ends an attempt whose time is over. An attempt of which no byte was written is withdrawn: it provably did not run.
+    /// Ends an attempt whose deadline has passed. If no byte of it was written, it is withdrawn and provably did not run.
     fn time_out(&mut self, now: Instant, key: AttemptKey) {
         let Some(attempt) = self.in_flight(key) else {
             self.attempt_deadlines.pop_first();
--- a/crates/host-core/src/lib.rs
+++ b/crates/host-core/src/lib.rs
@@ -1,33 +1,36 @@
-//! One host without sockets, threads or clocks. Inputs (`handle_...`) are commands of clients, results of attempts, the
-//! endpoint list, messages of peers, completed writes and the time; outputs are taken one by one by `Core::poll_output`, and
-//! `Core::poll_timeout` says when to call again. Which request is sent when, to which node, and how its client is answered
-//! is decided by the scheduler alone (`tackmast::scheduler`, its rules in `tackmast::policy`); this package keeps what ties clients, requests and attempts together, and
-//! combines the answers of commands of several parts. docs/host.md describes it.
+//! The logic of one host as a state machine without I/O, threads or clocks.
 //!
-//! | module | job |
+//! Inputs (`handle_...`) are client commands, attempt results, the endpoint list, peer messages, completed writes and the
+//! time. `Core::poll_output` returns the outputs one by one, and `Core::poll_timeout` returns when to call again.
+//!
+//! The scheduler alone (`tackmast::scheduler`, with its rules in `tackmast::policy`) decides when each request is sent, to
+//! which node, and how its client is answered. This package tracks which command, request and attempt belong together, and
+//! combines the results of a command's parts into one answer. docs/host.md describes the design.
+//!
+//! | module | responsibility |
 //! | --- | --- |
 //! | `core`, `core::settings` | the state machine, its tables and settings |
-//! | `core::commands`, `core::attempts`, `core::timeouts` | commands of clients, attempts at nodes, time-outs |
-//! | `core::endpoint_list`, `core::removed_nodes` | the endpoint list, nodes that peers' newer lists remove |
-//! | `core::slow_start` | settings of slow start for the scheduler |
-//! | `core::admin`, `core::status` | requests of operators, the status of the host |
-//! | `core::overrides`, `core::plans` | overrides as time passes, plans that change |
+//! | `core::commands`, `core::attempts`, `core::timeouts` | client commands, attempts at nodes, timeouts |
+//! | `core::endpoint_list`, `core::removed_nodes` | the endpoint list; nodes that peers' newer lists remove |
+//! | `core::slow_start` | slow-start settings for the scheduler |
+//! | `core::admin`, `core::status` | operator requests; the status of the host |
+//! | `core::overrides`, `core::plans` | expiry of overrides; plans that change at run time |
 //! | `core::persisted` | completed writes of the store |
-//! | `core::peers` | datagrams of peers, and what follows from them |
-//! | `core::consensus`, `core::replicated_plans` | the replicated log, and requests about plans that it carries |
-//! | `command`, `admin_request`, `attempt`, `output`, `persist_batch`, `error` | messages to and from the shell that drives the core |
-//! | `event` | events for operators, and their way into the log |
-//! | `admission` | bounds of the tables, by session and volume |
+//! | `core::peers` | datagrams from peers and the events that they cause |
+//! | `core::consensus`, `core::replicated_plans` | the replicated log; plan requests that go through it |
+//! | `command`, `admin_request`, `attempt`, `output`, `persist_batch`, `error` | types exchanged with the caller that drives the core |
+//! | `event` | events for operators, and how they are logged |
+//! | `admission` | limits on the tables, per session and volume |
 //! | `combine` | one answer for a command of several parts |
 //! | `fair_queueing` | start-time fair queueing among the sessions of a volume |
-//! | `layout` | onto which extents and shards a block command is mapped |
-//! | `object_request`, `volume_names` | requests for objects; clients' names of volumes |
-//! | `nodes` | addresses, numbers and starts of nodes |
+//! | `layout` | mapping of block commands onto extents and shards |
+//! | `object_request`, `volume_names` | object requests; clients' volume names |
+//! | `nodes` | addresses, numbers and start times of nodes |
 //! | `peers` | the other hosts: membership, quota leases, replicated overrides |
-//! | `members_status` | what a host knows of the others, as operators see it |
-//! | `plans` | plans that change: the change log, and degraded mode |
-//! | `consensus` | the replica of this host, its messages and its status |
-//! | `override_requests` | requests of operators that set or clear overrides, one at a time |
+//! | `members_status` | the state of the other hosts, as shown to operators |
+//! | `plans` | plans that change at run time: the change log and degraded mode |
+//! | `consensus` | this host's replica, its messages and its status |
+//! | `override_requests` | operator requests that set or clear overrides, processed one at a time |
 //! | `ticket` | the claim or withdrawal of an attempt, shared with its connection |
 
 #![warn(missing_docs, unreachable_pub)]
