--- a/crates/host-core/src/combine.rs
+++ b/crates/host-core/src/combine.rs
@@ -1,47 +1,48 @@
-//! One answer for a command of several parts. Each part is a request of its own to the scheduler; the client gets one final answer, as
-//! soon as that is certain.
+//! Combines the results of a command's parts into one answer. The scheduler handles each part as a separate request, and the client gets
+//! one final answer as soon as it is certain.
 
 use tackmast::interface::{DedupScope, Effect, TimeDelta};
 
-/// How far one part has come. `ran` tells whether an attempt of it may have had an effect.
+/// The state of one part of a command.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum PartState {
-    /// It has no end yet.
+    /// The part has not ended.
     Open {
         /// Whether an attempt may have had an effect.
         ran: bool,
     },
-    /// It is done.
+    /// The part is done.
     Done,
-    /// The scheduler rejected it.
+    /// The scheduler rejected the part.
     Rejected {
         /// Whether an attempt may have had an effect.
         ran: bool,
-        /// After how long a retry may succeed.
+        /// How long the client should wait before a retry, if the scheduler advised it.
         retry_after: Option<TimeDelta>,
     },
-    /// The scheduler failed it, since an attempt in flight may have run. If no byte of any attempt was written, it counts as rejected.
+    /// The scheduler failed the part, because an attempt in flight may have run. If no byte of any attempt
+    /// was written, the part counts as rejected.
     Failed {
         /// Whether an attempt may have had an effect.
         ran: bool,
     },
 }
 
-/// The one answer of all parts.
+/// The answer that all parts together give.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Combined {
     /// All parts are done.
     Done,
-    /// A retry is safe, after this wait where one is advised.
+    /// The command was not done, and a retry is safe.
     Rejected {
-        /// The longest wait that any part advised.
+        /// The longest retry-after of the rejected parts, or `None` if none has one.
         retry_after: Option<TimeDelta>,
     },
-    /// Some part may have run, and the command does not bear a retry.
+    /// Some part may have run, and a retry is not safe.
     Failed,
 }
 
-/// Who chose the idempotency key by which nodes recognise a command.
+/// Who chose the idempotency key by which nodes recognise a retry of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum KeySource {
     /// The client: the key is the same at each of its retries.
@@ -50,8 +51,10 @@
     Host,
 }
 
-/// Whether running a command again after a part of it ran does no harm. A command that is idempotent by key at all nodes is safe only with
-/// a key of its client: this host gives the client's retry another key, so it would run a second time.
+/// Returns whether a retry is safe after a part of the command has run.
+///
+/// A command that is idempotent by key at all nodes is safe only with a key of its client. This host would give the client's retry another
+/// key, and it would run a second time.
 fn is_retry_safe(effect: Effect, key_source: KeySource) -> bool {
     match effect {
         Effect::Idempotent => true,
@@ -60,8 +63,10 @@
     }
 }
 
-/// The command's answer, if it is certain by now. A rejected part decides it at once: a client that is answered early can retry early.
-/// A rejection promises that a retry is safe, so if any part may have run and a second run could do harm, the command has failed.
+/// Returns the answer of a command, or `None` while it is not certain.
+///
+/// A rejected part decides the answer at once, so that the client can retry early. A rejection promises that a retry is safe; if any part
+/// may have run and a retry is not safe, the command has failed.
 pub(crate) fn combine(effect: Effect, key_source: KeySource, parts: &[PartState]) -> Option<Combined> {
     let mut rejected = false;
     let mut retry_after: Option<TimeDelta> = None;
--- a/crates/host-core/src/combine/tests.rs
+++ b/crates/host-core/src/combine/tests.rs
@@ -1,7 +1,6 @@
 use super::*;
 
-/// A command has several parts, which end in different ways. The client gets one answer, and a rejection promises
-/// that a retry of all parts is safe.
+/// The parts of a command end in different ways. The client gets one answer, and a rejection promises that a retry of all parts is safe.
 #[test]
 fn the_answer_of_a_command_follows_from_its_parts() {
     let seconds = TimeDelta::from_secs;
@@ -23,7 +22,7 @@
             rejected(Some(0.2)),
         ),
         (
-            "the longest wait counts",
+            "the longest retry-after counts",
             idempotent,
             false,
             &[rejected_part(true, Some(0.2)), rejected_part(true, Some(0.5))],
@@ -31,7 +30,7 @@
         ),
         ("no retry-after", idempotent, false, &[rejected_part(true, None)], rejected(None)),
         (
-            "failed beats rejected",
+            "failed takes precedence over rejected",
             idempotent,
             false,
             &[rejected_part(false, None), PartState::Failed { ran: true }],
--- a/crates/host-core/src/fair_queueing.rs
+++ b/crates/host-core/src/fair_queueing.rs
@@ -1,58 +1,55 @@
-//! How the sessions of one volume share it: a tag for each request, by which the scheduler orders requests that wait for the same volume,
-//! traffic class and shard.
+//! Fair queueing among the sessions of a volume: each request gets a tag, by which the scheduler orders requests that wait for the same
+//! volume, traffic class and shard.
 //!
-//! This is start-time fair queueing. The tag of a request is the virtual time at which its session's earlier work would end, and no earlier
-//! than the tag of the request that was sent last. So if one session has thousands of requests waiting, the first request of each other
-//! session is sent before them; and a session may use all that no other wants. An idle session saves nothing up.
+//! The algorithm is start-time fair queueing. The tag of a request is the virtual time at which its session's earlier work would end, but
+//! not less than the tag of the request that was sent last. If one session has thousands of requests waiting, the first request of each
+//! other session is sent before them. A session may use all capacity that the others leave, and an idle session accumulates no credit.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// A queue remembers at least this many sessions before it evicts those that are idle.
+/// The number of sessions below which a queue is not scanned for idle ones to evict.
 const MIN_EVICTION_LEN: usize = 64;
 
-/// Names a queue: requests that wait for the same shard, volume and traffic class.
+/// Identifies a queue of requests that wait for the same shard, volume and traffic class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueKey {
-    /// The shard.
     pub shard: u32,
-    /// The volume.
     pub volume: u32,
-    /// The traffic class.
     pub traffic_class: u32,
 }
 
-/// A request's place in its queue. It is given back once: to `sent` or to `cancelled`.
+/// A request's place in its queue. It must be passed to either `sent` or `cancelled`, once.
 #[derive(Debug, PartialEq)]
 #[must_use]
 pub(crate) struct QueueTicket {
     queue: QueueKey,
     session: u32,
     units: f64,
-    /// Requests of one queue are sent in the order of their tags, the lowest first.
+    /// The start tag. Requests of one queue are sent in ascending order of their tags.
     pub tag: f64,
 }
 
 #[derive(Debug)]
 struct FairQueue {
-    /// Virtual time, in units.
+    /// The virtual time, in units.
     virtual_time: f64,
     waiting: usize,
     sessions: HashMap<u32, SessionShare>,
-    /// Idle sessions are evicted at this many sessions.
+    /// The number of sessions at which idle ones are evicted.
     evict_at: usize,
 }
 
-/// What a queue remembers of a session.
+/// The state of a session in a queue.
 #[derive(Debug)]
 struct SessionShare {
     /// The virtual time at which the session's work so far ends.
     end: f64,
-    /// How many of its requests wait.
+    /// The number of waiting requests of the session.
     waiting: usize,
 }
 
 impl SessionShare {
-    /// A session without requests whose work has ended would begin at the virtual time anyway, so it need not be remembered.
+    /// Returns whether the session may be evicted: it has no waiting requests, and a new entry would start at the same virtual time.
     fn is_idle(&self, virtual_time: f64) -> bool {
         self.waiting == 0 && self.end <= virtual_time
     }
@@ -63,7 +60,7 @@
         FairQueue { virtual_time: 0.0, waiting: 0, sessions: HashMap::new(), evict_at: MIN_EVICTION_LEN }
     }
 
-    /// Sessions that come and go would let this table grow without bound; so those that are idle are evicted now and then.
+    /// Evicts idle sessions if there are many sessions. Otherwise the table would grow without bound as sessions open and close.
     fn evict_idle(&mut self) {
         if self.sessions.len() < self.evict_at {
             return;
@@ -74,23 +71,23 @@
     }
 }
 
-/// The queues that are not empty; bounded by what waits, since an empty queue is dropped.
+/// The queues that are not empty. Their number is bounded by that of waiting requests, since an empty queue is deleted.
 #[derive(Debug, Default)]
 pub(crate) struct FairQueueing {
     queues: BTreeMap<QueueKey, FairQueue>,
 }
 
-/// What fair queueing remembers.
+/// The size of the fair-queueing state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FairQueueCounts {
-    /// Queues that are not empty.
+    /// The number of queues that are not empty.
     pub queues: usize,
-    /// Sessions remembered in them.
+    /// The number of sessions in these queues; a session counts once for each queue.
     pub sessions: usize,
 }
 
 impl FairQueueing {
-    /// Enters a request of a session that costs so many units.
+    /// Adds a request of a session, with its cost in units.
     pub(crate) fn enqueue(&mut self, key: QueueKey, session: u32, units: f64) -> QueueTicket {
         let queue = self.queues.entry(key).or_insert_with(FairQueue::new);
         queue.evict_idle();
@@ -104,7 +101,7 @@
         QueueTicket { queue: key, session, units, tag }
     }
 
-    /// The first attempt of the request was sent: virtual time advances to its tag.
+    /// Removes a request whose first attempt was sent, and advances the virtual time to its tag.
     pub(crate) fn sent(&mut self, queue_ticket: QueueTicket) {
         if let Some(queue) = self.queues.get_mut(&queue_ticket.queue) {
             queue.virtual_time = queue.virtual_time.max(queue_ticket.tag);
@@ -112,14 +109,17 @@
         self.remove(&queue_ticket, 0.0);
     }
 
-    /// The request ended without an attempt, so its session is not charged for it. Else a session whose requests were all given up would
-    /// stand behind the others for as long as it would have taken to serve them.
+    /// Removes a request that ended without an attempt, and does not charge its session for it.
+    ///
+    /// Otherwise a session whose requests were all cancelled would wait behind the others for as long as serving them would have taken.
     pub(crate) fn cancelled(&mut self, queue_ticket: QueueTicket) {
         self.remove(&queue_ticket, queue_ticket.units);
     }
 
-    /// The session has ended, and all its tickets were given back. While nothing is sent, virtual time does not advance and no session
-    /// becomes idle; sessions that come and go would then let the queues grow, so an ended session is removed at once.
+    /// Removes a session that has ended and has no waiting requests.
+    ///
+    /// While nothing is sent, the virtual time does not advance and no session becomes idle. Without this removal the queues would grow
+    /// meanwhile as sessions open and close.
     pub(crate) fn session_closed(&mut self, session: u32) {
         for queue in self.queues.values_mut() {
             if queue.sessions.get(&session).is_some_and(|share| share.waiting == 0) {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Takes a request out of its queue; `refund` are units that its session is not charged.
+    /// Removes a request from its queue, and refunds that many units to its session.
     fn remove(&mut self, queue_ticket: &QueueTicket, refund: f64) {
         let Some(queue) = self.queues.get_mut(&queue_ticket.queue) else { return };
         queue.waiting -= 1;
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Queues, and sessions remembered in them.
+    /// Returns the size of the state.
     pub(crate) fn counts(&self) -> FairQueueCounts {
         let sessions = self.queues.values().map(|queue| queue.sessions.len()).sum();
         FairQueueCounts { queues: self.queues.len(), sessions }
--- a/crates/host-core/src/fair_queueing/tests.rs
+++ b/crates/host-core/src/fair_queueing/tests.rs
@@ -3,7 +3,7 @@
 
 const QUEUE: QueueKey = QueueKey { shard: 1, volume: 2, traffic_class: 3 };
 
-/// Serves waiting requests by tag, and ties by arrival, until so many units were served; gives the units served of each session.
+/// Serves waiting requests by tag, and ties by arrival, until that many units were served. Returns the units served of each session.
 fn serve(queueing: &mut FairQueueing, waiting: &mut Vec<QueueTicket>, units: f64) -> BTreeMap<u32, f64> {
     let (mut served, mut sum) = (BTreeMap::new(), 0.0);
     while sum < units && !waiting.is_empty() {
@@ -16,23 +16,23 @@
     served
 }
 
-/// Sessions queue different numbers of requests of different costs. Each must get the same number of units while it
-/// has requests waiting.
+/// Sessions queue different numbers of requests of different costs. Each must get the same number of units while it has requests waiting.
 #[test]
 fn sessions_share_by_units_whatever_they_queue() {
-    // Requests and units each of sessions 0, 1, ...; units served; the least and the most that each may get of them.
+    // For each of the sessions 0, 1, ...: its number of requests and the units of each; the units served in total; the minimum and the
+    // maximum that each session may get of them.
     type Case = (&'static str, Vec<(usize, f64)>, f64, Vec<(f64, f64)>);
     let cases: Vec<Case> = vec![
         ("alone", vec![(1000, 1.0)], 100.0, vec![(100.0, 100.0)]),
-        ("greedy and polite", vec![(2000, 1.0), (3, 1.0)], 20.0, vec![(17.0, 17.0), (3.0, 3.0)]),
+        ("many against few", vec![(2000, 1.0), (3, 1.0)], 20.0, vec![(17.0, 17.0), (3.0, 3.0)]),
         ("many small, few large", vec![(800, 1.0), (100, 8.0)], 160.0, vec![(72.0, 88.0), (72.0, 88.0)]),
         ("three alike", vec![(50, 2.0); 3], 60.0, vec![(18.0, 22.0); 3]),
     ];
     for (name, queued, units, expected) in cases {
         let mut queueing = FairQueueing::default();
         let mut waiting = Vec::new();
-        for (session, (n, units)) in queued.iter().enumerate() {
-            waiting.extend((0..*n).map(|_| queueing.enqueue(QUEUE, session as u32, *units)));
+        for (session, (count, units)) in queued.iter().enumerate() {
+            waiting.extend((0..*count).map(|_| queueing.enqueue(QUEUE, session as u32, *units)));
         }
         let served = serve(&mut queueing, &mut waiting, units);
         for (session, (min, max)) in expected.iter().enumerate() {
@@ -42,32 +42,32 @@
     }
 }
 
-/// A session begins after another has been served for long. If its idle time counted, it would block the other for
-/// as long.
+/// A session begins after another has been served for a long time. If its idle time counted as credit, it would block the other for as
+/// long.
 #[test]
-fn a_late_session_is_next_and_catches_nothing_up() {
+fn a_late_session_is_next_and_gets_no_credit_for_its_idle_time() {
     let mut queueing = FairQueueing::default();
     let mut waiting: Vec<QueueTicket> = (0..1000).map(|_| queueing.enqueue(QUEUE, 1, 1.0)).collect();
     serve(&mut queueing, &mut waiting, 500.0);
-    // It was idle for 500 units: it has the next place, but not the next 500.
+    // The late session missed 500 units. It gets the next request, but not the next 500 units.
     waiting.extend((0..100).map(|_| queueing.enqueue(QUEUE, 2, 1.0)));
     let served = serve(&mut queueing, &mut waiting, 20.0);
     assert!((9.0..=11.0).contains(&served[&2]), "{served:?}");
 }
 
-/// A session cancels a thousand requests. If it were charged for them, it would wait behind the others for as long
-/// as they would have taken.
+/// A session cancels a thousand requests. If it were charged for them, it would wait behind the others for as long as serving them would
+/// have taken.
 #[test]
 fn a_cancelled_request_is_not_charged() {
     let mut queueing = FairQueueing::default();
-    let keeps = queueing.enqueue(QUEUE, 2, 1.0);
-    let given_up: Vec<QueueTicket> = (0..1000).map(|_| queueing.enqueue(QUEUE, 1, 1.0)).collect();
-    given_up.into_iter().for_each(|p| queueing.cancelled(p));
+    let other = queueing.enqueue(QUEUE, 2, 1.0);
+    let cancelled: Vec<QueueTicket> = (0..1000).map(|_| queueing.enqueue(QUEUE, 1, 1.0)).collect();
+    cancelled.into_iter().for_each(|ticket| queueing.cancelled(ticket));
     assert_eq!(queueing.enqueue(QUEUE, 1, 1.0).tag, 0.0);
-    queueing.sent(keeps);
+    queueing.sent(other);
 }
 
-/// Sessions come and go at a queue that is never empty. If it kept them all, it would grow without bound.
+/// Sessions open and close at a queue that is never empty. If it kept them all, it would grow without bound.
 #[test]
 fn closed_and_idle_sessions_are_evicted_from_a_queue_that_is_never_empty() {
     let mut queueing = FairQueueing::default();
@@ -91,23 +91,22 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..Default::default() })]
 
-    /// Two sessions that always have something waiting: what they were served never differs by more than a
-    /// request of each.
+    /// Two sessions always have requests waiting. The units served of them must never differ by more than one request of each.
     #[test]
     fn no_session_falls_behind(steps in prop::collection::vec((0u32..2, 1u32..9, any::<bool>()), 1..300)) {
         let mut queueing = FairQueueing::default();
         let mut waiting = vec![queueing.enqueue(QUEUE, 0, 1.0), queueing.enqueue(QUEUE, 1, 1.0)];
         let mut served = [0.0, 0.0];
-        for (session, units, gives_up) in steps {
+        for (session, units, is_cancelled) in steps {
             waiting.push(queueing.enqueue(QUEUE, session, f64::from(units)));
-            if gives_up {
+            if is_cancelled {
                 let queue_ticket = waiting.pop().unwrap();
                 queueing.cancelled(queue_ticket);
             }
             let (session, units_served) = serve(&mut queueing, &mut waiting, 0.5).into_iter().next().unwrap();
             served[session as usize] += units_served;
             for session in 0..2 {
-                if !waiting.iter().any(|p| p.session == session) {
+                if !waiting.iter().any(|ticket| ticket.session == session) {
                     waiting.push(queueing.enqueue(QUEUE, session, 1.0));
                 }
             }
--- a/crates/host-core/src/layout.rs
+++ b/crates/host-core/src/layout.rs
@@ -1,35 +1,34 @@
-//! Where a command's blocks lie: which extents it touches, the shard and the order key of each, its traffic class
-//! and its units.
+//! Mapping of block commands: the extents that a command touches, the shard, order key and cost of each part, and its traffic class.
 
 use tackmast::interface::{KeyId, ShardId};
 use tackmast_config::{HostSettings, TrafficClass, Volume};
 
-/// Low bits of an order key that hold a block; the LUN is above them.
+/// The number of low bits of an order key that hold a block address. The bits above them hold the LUN plus one.
 const KEY_BLOCK_BITS: u32 = 48;
-/// The multiplier of the hash of an order key: 2^64 over the golden ratio.
+/// The multiplier of the order-key hash, which is 2^64 divided by the golden ratio.
 const KEY_HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The blocks of a command that lie in one extent.
+/// The part of a command that lies in one extent, and in one order granule if its traffic class is ordered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Part {
     /// The first block.
     pub block: u64,
-    /// How many.
+    /// The number of blocks.
     pub blocks: u32,
-    /// The shard that has the extent.
+    /// The shard that stores the extent.
     pub shard: ShardId,
-    /// What is read or written, for the order of requests; never 0.
+    /// The order key; never 0.
     pub key: u64,
-    /// What it costs, in units.
+    /// The cost, in units.
     pub units: f64,
 }
 
-/// Which way a command goes.
+/// Whether a command reads or writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Access {
-    /// From the volume.
+    /// The command reads from the volume.
     Read,
-    /// To the volume.
+    /// The command writes to the volume.
     Write,
 }
 
@@ -37,7 +36,7 @@
 #[derive(Debug, Default)]
 pub struct Layout {
     volumes: Vec<Volume>,
-    /// By volume and traffic class: how many blocks share an order key; none: the class needs no order.
+    /// The number of blocks that share an order key, by volume and traffic class; `None` if the class is unordered.
     granules: Vec<Vec<Option<u64>>>,
     unit_bytes: f64,
     max_units: f64,
@@ -46,7 +45,7 @@
 }
 
 impl Layout {
-    /// The volumes of these settings.
+    /// Creates the mapping for the volumes of these settings.
     pub fn new(settings: &HostSettings) -> Self {
         let granules = settings.volumes.iter().map(|volume| {
             let extent_blocks = volume.extent_blocks;
@@ -65,32 +64,32 @@
         }
     }
 
-    /// The volume of a LUN.
+    /// Returns the index of the volume with this LUN.
     pub fn volume_by_lun(&self, lun: u32) -> Option<usize> {
         self.volumes.iter().position(|volume| volume.lun == lun)
     }
 
-    /// The volume of a name.
+    /// Returns the index of the volume with this name.
     pub fn volume_by_name(&self, name: &str) -> Option<usize> {
         self.volumes.iter().position(|volume| volume.name == name)
     }
 
-    /// Puts a volume under a plan, by the scheduler's number of it.
+    /// Assigns a volume to a plan, given by its number in the scheduler.
     pub fn set_plan(&mut self, volume: usize, plan: u32) {
         self.volumes[volume].plan = plan;
     }
 
-    /// All volumes, by their number.
+    /// Returns all volumes, ordered by index.
     pub fn volumes(&self) -> &[Volume] {
         &self.volumes
     }
 
-    /// One volume.
+    /// Returns the volume with this index.
     pub fn volume(&self, volume: usize) -> &Volume {
         &self.volumes[volume]
     }
 
-    /// The traffic class of a command on so many blocks.
+    /// Returns the index of the traffic class of a command on that many blocks.
     pub fn traffic_class(&self, volume: usize, access: Access, blocks: u32) -> usize {
         let volume = &self.volumes[volume];
         let large = volume.large.filter(|large| blocks >= large.min_blocks);
@@ -101,7 +100,9 @@
         traffic_class as usize
     }
 
-    /// The most blocks of one command: wherever it begins, it has no more parts than the bound.
+    /// Returns the maximum number of blocks of one command, which is at least 1.
+    ///
+    /// A command of that many blocks has no more parts than allowed, wherever it begins.
     pub fn max_blocks(&self, volume: usize) -> u32 {
         let Volume { extent_blocks, block_bytes, .. } = self.volumes[volume];
         let granules = self.granules[volume].iter().flatten().copied();
@@ -111,7 +112,7 @@
         u32::try_from(by_parts.min(by_bytes)).unwrap_or(u32::MAX)
     }
 
-    /// The parts of a command, in the order of its blocks.
+    /// Splits a command into parts, which are returned in the order of their blocks.
     pub fn parts(&self, volume: usize, traffic_class: usize, block: u64, blocks: u32) -> Vec<Part> {
         let granule = self.granules[volume][traffic_class];
         let volume = &self.volumes[volume];
@@ -126,12 +127,12 @@
         parts
     }
 
-    /// The part that begins at this block. It ends with the command, the extent or the granule, whichever is first.
+    /// Returns the part that begins at this block. It ends with the command, the extent or the granule, whichever ends first.
     fn part(&self, volume: &Volume, granule: Option<u64>, block: u64, command_end: u64) -> Part {
         let extent = block / volume.extent_blocks;
         let extent_start = extent * volume.extent_blocks;
         let extent_end = extent_start + volume.extent_blocks;
-        // Requests that need an order share a key within a granule; the others have the key of their first block.
+        // Ordered requests share a key within a granule. The others have the key of their first block.
         let (key_block, end) = match granule {
             Some(granule) => {
                 let granule_start = extent_start + (block - extent_start) / granule * granule;
@@ -151,8 +152,9 @@
     }
 }
 
-/// The scheduler's number of an order key, by a multiplicative hash, so that nothing has to be remembered of keys. Two keys with the same
-/// number wait for each other: that costs a little time, and never order.
+/// Returns the scheduler's number for an order key, which is a multiplicative hash, so that no table of keys is needed.
+///
+/// Two keys with the same number wait for each other. This costs some time, but does not change the order of requests.
 pub(crate) fn key_id(key: u64) -> KeyId {
     let mixed = (key ^ key >> 32).wrapping_mul(KEY_HASH_MULTIPLIER);
     KeyId((mixed >> 32) as u32)
--- a/crates/host-core/src/layout/tests.rs
+++ b/crates/host-core/src/layout/tests.rs
@@ -39,12 +39,12 @@
           large_from_blocks = 64 
         }"#;
 
-/// A part that crosses an extent would be sent to the wrong shard, and one that crosses a granule would have the
-/// order of another key.
+/// A part that crossed an extent boundary would be sent to the wrong shard, and one that crossed a granule boundary would be ordered by the
+/// wrong key.
 #[test]
 fn a_command_is_split_at_extents_and_order_granules() {
     let layout = Layout::new(&HostSettings::parse("test", SETTINGS).unwrap());
-    // Traffic class, first block, blocks; expected: first block, blocks, shard, units of each part.
+    // Traffic class, first block and blocks of a command; first block, blocks, shard and units of each expected part.
     type Case<'a> = (usize, u64, u32, &'a [(u64, u32, u32, f64)]);
     let cases: &[Case] = &[
         (0, 10, 8, &[(10, 8, 5, 1.0)]),
@@ -61,7 +61,7 @@
     }
     assert_eq!(layout.parts(0, 1, 41, 1)[0].key, layout.parts(0, 1, 79, 1)[0].key, "one granule, one key");
     assert_ne!(layout.parts(0, 1, 39, 1)[0].key, layout.parts(0, 1, 40, 1)[0].key);
-    assert_eq!(layout.max_blocks(0), 120, "three whole granules of 40 and two cut ones are four parts");
+    assert_eq!(layout.max_blocks(0), 120, "120 blocks touch at most four granules of 40");
     assert_eq!(
         (
             layout.traffic_class(0, Access::Write, 64),
--- a/crates/host-core/src/ticket/tests.rs
+++ b/crates/host-core/src/ticket/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// A connection begins to write an attempt at the moment when the core withdraws it. If both succeeded, a request
-/// that was answered as rejected could run.
+/// A connection begins to write an attempt while the core withdraws it. If both succeeded, a request that was answered as rejected could
+/// run.
 #[test]
 fn only_the_first_of_claim_and_withdraw_succeeds() {
     for claim_first in [true, false] {
