--- a/crates/host-core/src/command.rs
+++ b/crates/host-core/src/command.rs
@@ -1,28 +1,28 @@
-//! Commands of clients, as the core takes them and answers them.
+//! Client commands, as passed to the core, and their final answers.
 
 use bytes::Bytes;
 use tackmast::interface::{Instant, TimeDelta};
 
-/// A client's command: its session at this host, and its number within that.
+/// Identifies a client's command by its session at this host and its number within the session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CommandId {
-    /// The session.
+    /// The number of the session.
     pub session: u32,
-    /// The command within it.
+    /// The number of the command within the session.
     pub command: u32,
 }
 
-/// What a command asks for.
+/// The operation of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Work {
-    /// Read blocks.
+    /// The command reads blocks.
     Read {
-        /// How many.
+        /// The number of blocks.
         blocks: u32,
     },
-    /// Write whole blocks.
+    /// The command writes whole blocks.
     Write {
-        /// Their bytes.
+        /// The data of the blocks.
         data: Bytes,
     },
 }
@@ -30,35 +30,35 @@
 /// A command as its client sent it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientCommand {
-    /// Its session, and its number there.
+    /// The id of the command.
     pub from: CommandId,
-    /// The volume.
+    /// The LUN of the volume.
     pub lun: u32,
     /// The first block.
     pub block: u64,
-    /// What is read or written.
+    /// The operation.
     pub work: Work,
-    /// When its first byte came.
+    /// When the first byte of the command was received.
     pub received_at: Instant,
-    /// How long its client waits, where that was negotiated.
+    /// How long the client waits from `received_at`, if that was negotiated. Otherwise the traffic class determines the deadline.
     pub timeout: Option<TimeDelta>,
-    /// The client's own idempotency key, where it sent one.
+    /// The client's idempotency key, if it sent one.
     pub idempotency_key: Option<u128>,
 }
 
-/// The one final answer to a command.
+/// The final answer to a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It is done.
+    /// The command is done.
     Done {
-        /// What was read.
+        /// The data of a read, or the answer to an object request.
         data: Bytes,
     },
-    /// It was not done; a retry is safe.
+    /// The command was not done, and a retry is safe.
     Rejected {
-        /// After how long a retry may succeed.
+        /// How long the client should wait before a retry, if the host advises it.
         retry_after: Option<TimeDelta>,
     },
-    /// It may have been done in part; a retry is not safe.
+    /// The command may have been done completely or in part, and a retry is not safe.
     Failed,
 }
--- a/crates/host-core/src/object_request.rs
+++ b/crates/host-core/src/object_request.rs
@@ -1,45 +1,44 @@
-//! Requests for objects: beside block commands, the second kind of work that a host accepts. The client itself names volume, plan,
-//! traffic class, shard and key, and the host only decides whether and when the request is sent. What it makes the node do is opaque
-//! here.
+//! Object requests, which a host accepts beside block commands. The client names the volume, plan, traffic class, shard and key, and the
+//! host decides only whether, when and to which node the request is sent. Its content is opaque to the host.
 
 use bytes::Bytes;
 use tackmast::interface::{PlanId, ShardId, TimeDelta, TrafficClassId};
 
-/// What is written to a node, in the protocol's own bytes. Each attempt adds the time that is left.
+/// The bytes that are written to a node, as encoded by the protocol. The connection adds the remaining time to each attempt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OpaqueRequest {
-    /// What precedes the body.
+    /// The bytes before the body.
     pub head: Bytes,
     /// The body.
     pub body: Bytes,
 }
 
 impl OpaqueRequest {
-    /// The length of both, in bytes.
+    /// Returns the total length of head and body, in bytes.
     pub fn bytes(&self) -> usize {
         self.head.len() + self.body.len()
     }
 }
 
-/// A request for one object, with all that the scheduler has to know of it.
+/// A request for one object, with the attributes that the scheduler needs.
 #[derive(Clone, Debug)]
 pub struct ObjectRequest {
-    /// The client's name of the volume.
+    /// The client's name for the volume.
     pub volume: u64,
-    /// The plan that the volume is under.
+    /// The plan of the volume.
     pub plan: PlanId,
-    /// Its traffic class.
+    /// The traffic class.
     pub traffic_class: TrafficClassId,
-    /// The shard that holds the object; none: a new object, for any shard.
+    /// The shard that stores the object, or `None` for a new object, which any shard may store.
     pub shard: Option<ShardId>,
-    /// Orders requests that share it.
+    /// The order key. Requests of ordered traffic classes that share it are sent in order.
     pub key: u64,
-    /// What it costs, in units.
+    /// The cost, in units.
     pub units: f64,
-    /// Through how many hosts the volume's requests come.
+    /// The number of hosts that receive requests of the volume.
     pub hosts: u32,
     /// The time until its deadline.
     pub time_left: TimeDelta,
-    /// What is written to the node.
+    /// The bytes for the node.
     pub payload: OpaqueRequest,
 }
--- a/crates/host-core/src/output.rs
+++ b/crates/host-core/src/output.rs
@@ -1,4 +1,4 @@
-//! What the core makes its shell do, and its counters.
+//! The outputs of the core, which its caller executes, and its counters.
 
 use crate::admin_request::AdminResponse;
 use crate::attempt::{AttemptId, SendAttempt};
@@ -8,20 +8,21 @@
 use bytes::Bytes;
 use tackmast::interface::NodeId;
 
-/// What the shell is to do next.
+/// An action for the caller that drives the core.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Give an attempt to the connection to its node.
+    /// Pass an attempt to the connection to its node.
     Send(Box<SendAttempt>),
-    /// Nobody waits for this attempt any more.
+    /// Cancel an attempt that nobody waits for any more.
     Cancel {
         /// The node.
         node: NodeId,
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Nobody waits for this attempt any more, and its connection is still writing it to a node that may read nothing. What was not written
-    /// by now must not be written later, so the connection is closed.
+    /// Close the connection of an attempt that nobody waits for any more and that is still being written.
+    ///
+    /// The node may read nothing at present. The bytes that are not written yet must not be written later.
     Cut {
         /// The node.
         node: NodeId,
@@ -35,52 +36,52 @@
         /// The answer.
         verdict: Verdict,
     },
-    /// Watch the endpoint list: ask for its changes since the version that is known.
+    /// Watch the endpoint list for changes.
     WatchEndpointList {
-        /// The version that is known; 0 asks for the complete list.
+        /// The version from which changes are requested; 0 requests the complete list.
         since: u64,
     },
-    /// Ask for the complete endpoint list: a change is missing.
+    /// Fetch the complete endpoint list, since this host has missed changes or a peer has a newer list.
     FetchEndpointList,
-    /// Write this durably, all of it or nothing, and then report that by `handle_persisted` under this number; 0: no report is wanted.
+    /// Write a batch durably and atomically, and then report the result to `Core::handle_persisted`.
     Persist {
-        /// The number of the report.
+        /// The number under which the result is reported; with 0 it is not reported.
         request: u64,
-        /// What is to be written.
+        /// The batch.
         batch: PersistBatch,
     },
-    /// Answer a request of an operator.
+    /// Answer an operator request.
     AdminResponse {
-        /// The number that the request came under.
+        /// The number that was passed to `Core::handle_admin_request`.
         request: u64,
-        /// The answer.
+        /// The response.
         response: AdminResponse,
     },
     /// Send a datagram to another host.
     Datagram {
-        /// Its address.
+        /// The address of the other host.
         to: std::net::SocketAddr,
         /// The datagram.
         bytes: Bytes,
     },
-    /// Something for the log; nothing is to be done.
+    /// Log an event.
     Event(HostEvent),
 }
 
-/// What happened since the start, for metrics.
+/// Counts of what has happened since the start, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Commands, and requests for objects, that clients have sent to this host.
+    /// Block commands and object requests received from clients. All counters of commands include both.
     pub commands_received: u64,
-    /// Those of them that were rejected because a table was full; also counted as rejected.
+    /// Commands rejected because a table was full; `commands_rejected` includes them.
     pub commands_over_bound: u64,
-    /// Commands that were answered as done.
+    /// Commands answered as done.
     pub commands_done: u64,
-    /// Commands that were answered as rejected, for whatever reason.
+    /// Commands answered as rejected, for any reason.
     pub commands_rejected: u64,
-    /// Commands that were answered as failed.
+    /// Commands answered as failed.
     pub commands_failed: u64,
-    /// Commands that their clients aborted, or whose connections closed, before the answer.
+    /// Commands aborted by their clients, or by the end of their sessions, before the answer.
     pub commands_aborted: u64,
     /// Attempts sent.
     pub attempts: u64,
@@ -90,23 +91,23 @@
     pub timed_out: u64,
     /// Attempts withdrawn before their first byte was written.
     pub withdrawn: u64,
-    /// Attempts whose connections were cut.
+    /// Attempts whose connections were closed while they were being written.
     pub cut: u64,
-    /// Results that a node's connection reported for attempts that had ended before, as an answer after the time-out.
+    /// Results of attempts that had ended before, for example answers after the timeout.
     pub late_results: u64,
-    /// Answers of another length than was asked for.
+    /// Answers whose length differs from the requested one.
     pub short_answers: u64,
-    /// Nodes that did not fit the table.
+    /// Times that a node of the endpoint list did not fit the table.
     pub nodes_over_bound: u64,
 }
 
-/// Work in flight in a core.
+/// The amount of work in flight in a core.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OpenCounts {
-    /// Commands of clients without a final answer.
+    /// The number of client commands without a final answer.
     pub commands: usize,
-    /// Requests of these commands.
+    /// The number of requests that are unanswered or have attempts in flight.
     pub requests: usize,
-    /// Attempts at nodes.
+    /// The number of attempts in flight at nodes.
     pub attempts: usize,
 }
