--- a/crates/host-core/tests/core.rs
+++ b/crates/host-core/tests/core.rs
@@ -1,4 +1,4 @@
-//! The host core alone, in virtual time: without sockets; the test decides when connections write and nodes answer.
+//! Tests of the host core in virtual time. The tests decide when connections write and what nodes answer.
 
 use bytes::Bytes;
 use tackmast::interface::*;
@@ -92,8 +92,8 @@
 
     fn poll_outputs(&mut self) {
         self.core.handle_timeout(self.now);
-        while let Some(o) = self.core.poll_output(self.now) {
-            match o {
+        while let Some(output) = self.core.poll_output(self.now) {
+            match output {
                 Output::Send(attempt) => self.sent.push(*attempt),
                 Output::Answer { to, verdict } => self.answers.push((to.command, verdict)),
                 other => self.other.push(other),
@@ -103,12 +103,12 @@
 
     /// Advances the time, and calls the core at each of its timeouts.
     fn run_for(&mut self, secs: f64) {
-        let until = self.now + seconds(secs);
-        while let Some(t) = self.core.poll_timeout(self.now).filter(|t| *t <= until) {
-            self.now = t.max(self.now + TimeDelta::from_secs(1e-6));
+        let end = self.now + seconds(secs);
+        while let Some(timeout) = self.core.poll_timeout(self.now).filter(|timeout| *timeout <= end) {
+            self.now = timeout.max(self.now + TimeDelta::from_secs(1e-6));
             self.poll_outputs();
         }
-        self.now = until;
+        self.now = end;
         self.poll_outputs();
     }
 
@@ -140,14 +140,14 @@
         self.poll_outputs();
     }
 
-    /// The connections write all attempts that they were given.
+    /// Writes all attempts sent so far, unless they were withdrawn, and returns their ids.
     fn write(&mut self) -> Vec<AttemptId> {
         let attempts = std::mem::take(&mut self.sent);
         let claimed = attempts.into_iter().filter(|attempt| attempt.ticket.claim());
         claimed.inspect(|attempt| attempt.ticket.mark_written()).map(|attempt| attempt.attempt).collect()
     }
 
-    /// A call of the list fails; gives the version from which the next watch asks for changes.
+    /// Makes a call of the endpoint list fail, and returns the version from which the next watch requests changes.
     fn watched_version_after_a_failure(&mut self) -> u64 {
         self.other.clear();
         self.core.handle_endpoint_list(self.now, ListKind::Failed, 0, 0, &[]);
@@ -164,7 +164,7 @@
         self.poll_outputs();
     }
 
-    /// The events so far, a line each.
+    /// Returns the messages of the events so far, one per line.
     fn events(&self) -> String {
         let event = |output: &Output| match output {
             Output::Event(event) => Some(format!("{event}\n")),
@@ -178,12 +178,12 @@
     }
 }
 
-fn rejected(verdict: &Verdict) -> bool {
+fn is_rejected(verdict: &Verdict) -> bool {
     matches!(verdict, Verdict::Rejected { .. })
 }
 
-/// A read spans three extents, and its parts are answered in reverse order. The client must get one answer, with
-/// the bytes in the order of the blocks.
+/// A read spans three extents, and its parts are answered in reverse order. The client must get one answer with the bytes in the order of
+/// the blocks.
 #[test]
 fn a_command_over_three_extents_gets_one_answer_with_its_bytes_in_order() {
     let mut fixture = Fixture::new();
@@ -200,8 +200,8 @@
     let mut in_flight = fixture.sent.clone();
     in_flight.sort_by_key(|attempt| std::cmp::Reverse(attempt.part));
     fixture.write();
-    for (i, attempt) in in_flight.iter().enumerate() {
-        assert!(fixture.answers.is_empty(), "not before the last part");
+    for (index, attempt) in in_flight.iter().enumerate() {
+        assert!(fixture.answers.is_empty(), "answered before the last part");
         let data = Bytes::from(vec![attempt.part as u8; if attempt.part == 1 { 5120 } else { 2560 }]);
         let result = AttemptResult {
             attempt: attempt.attempt,
@@ -212,20 +212,20 @@
         };
         fixture.core.handle_attempt_result(fixture.now, result);
         fixture.poll_outputs();
-        assert_eq!(fixture.answers.len(), usize::from(i == 2));
+        assert_eq!(fixture.answers.len(), usize::from(index == 2));
     }
     let Verdict::Done { data } = &fixture.answers[0].1 else { panic!("{:?}", fixture.answers) };
     assert_eq!(data[..], [vec![0; 2560], vec![1; 5120], vec![2; 2560]].concat());
     assert!(fixture.is_empty());
 }
 
-/// A client sends more commands than the tables hold. A command that is dropped without an answer would cost its
-/// client the whole deadline.
+/// A client sends more commands than the tables hold. If a command were dropped without an answer, its client would wait until the
+/// deadline.
 #[test]
 fn commands_over_the_bound_are_rejected_with_a_retry_after_and_none_goes_unanswered() {
     let mut fixture = Fixture::new();
     (0..15).for_each(|i| fixture.submit(i, u64::from(i) * 10, 1, false));
-    // One session and one volume may hold four and eight times what they leave free of the twelve.
+    // Of the capacity of 12, a session may use four times and a volume eight times what is left free.
     let over: Vec<u32> = fixture.answers.iter().map(|(command, _)| *command).collect();
     assert_eq!(over, [9, 10, 11, 12, 13, 14]);
     for (_, verdict) in &fixture.answers {
@@ -236,16 +236,15 @@
     assert_eq!(
         (fixture.answers.len(), fixture.core.counters.commands_over_bound),
         (15, 6),
-        "each gets one answer"
+        "not one answer for each command"
     );
     assert!(fixture.is_empty());
 }
 
-/// A non-idempotent write times out while it waits behind a node that reads nothing, or after it was written. Only
-/// the one that was never written is safe to retry.
+/// A non-idempotent write times out either while its connection can't write, since the node reads nothing, or after it was written. Only a
+/// write of which no byte was written is safe to retry.
 #[test]
 fn a_write_fails_only_if_a_byte_of_it_was_written() {
-    // A non-idempotent write whose attempt waits behind a node that takes no bytes, against one that was written.
     for written in [false, true] {
         let mut fixture = Fixture::new();
         fixture.submit(1, 0, 1, true);
@@ -255,66 +254,66 @@
         }
         fixture.run_for(1.5);
         let [(1, verdict)] = fixture.answers.as_slice() else { panic!("{:?}", fixture.answers) };
-        assert_eq!(rejected(verdict), !written, "written {written}: {verdict:?}");
-        assert!(written || !ticket.claim(), "and it can't be written any more");
+        assert_eq!(is_rejected(verdict), !written, "written {written}: {verdict:?}");
+        assert!(written || !ticket.claim(), "can still be written");
         assert!(fixture.is_empty(), "written {written}");
     }
 }
 
-/// A node drains while one attempt is written, one is half written and one waits. What the node reads after the
-/// grace would run at a node that is about to stop.
+/// A node drains while one attempt is written, one is partly written and one waits. An attempt that the node reads after the drain grace
+/// period would run at a node that is about to stop.
 #[test]
 fn a_drain_withdraws_unwritten_attempts_and_cuts_stuck_ones() {
     let mut fixture = Fixture::new();
     (0..3).for_each(|i| fixture.submit(i, u64::from(i) * 20, 1, false));
-    assert_eq!(fixture.sent.len(), 3, "all at node a");
-    // The first is written, the second half-way, the third waits.
+    assert_eq!(fixture.sent.len(), 3, "all go to node a");
+    // The first attempt is written, the second partly, and the third waits.
     let tickets: Vec<Ticket> = fixture.sent.iter().map(|attempt| attempt.ticket.clone()).collect();
     assert!(tickets[0].claim() && tickets[1].claim());
     tickets[0].mark_written();
     let stuck = fixture.sent[1].attempt;
     fixture.sent.clear();
     fixture.change_list(5, 6, &[entry("a", 0, NodeState::Draining)]);
-    assert!(!tickets[2].claim(), "withdrawn at once");
-    assert!(fixture.other.is_empty(), "the others have the grace");
+    assert!(!tickets[2].claim(), "not withdrawn at once");
+    assert!(fixture.other.is_empty(), "the others may continue for the grace period");
     fixture.run_for(0.2);
     let cuts: Vec<AttemptId> = fixture
         .other
         .iter()
-        .filter_map(|o| match o {
+        .filter_map(|output| match output {
             Output::Cut { attempt, .. } => Some(*attempt),
             _ => None,
         })
         .collect();
     assert_eq!(cuts, [stuck]);
     fixture.run_for(1.5);
-    assert!(fixture.sent.is_empty(), "nothing new to a node that drains");
+    assert!(fixture.sent.is_empty(), "sent to a draining node");
     assert_eq!(fixture.answers.len(), 3);
     assert!(fixture.is_empty());
 }
 
-/// A node restarts while requests wait for a connection to it; at the connect it reports how long it has been up. The host withdraws what
-/// waited, since it was meant for a node that was warmed up. If the withdrawn attempts counted as failures of the node, it would be ejected
-/// and given one attempt at a time before it was asked for anything.
+/// A node restarts while attempts wait for a connection to it, and reports its uptime when the connection is established. The host
+/// withdraws the attempts, because they were meant for a warmed-up node. If they counted as failures, the node would be ejected and limited
+/// to one attempt at a time before it had received any.
 #[test]
 fn a_restarted_node_is_not_ejected_for_attempts_that_the_host_withdrew() {
-    // With a reservation, eight attempts are sent to a node of which no answer is known.
+    // The reservation makes the host send eight attempts to a node that has not answered yet.
     let reserved = SETTINGS.replace("plan \"basic\" {}", "plan \"basic\" {\n  reserve = 1000\n}");
     let mut fixture = Fixture::with_settings(&reserved);
     (0..8).for_each(|i| fixture.submit(i, u64::from(i) * 20, 1, false));
     let withdrawn = std::mem::take(&mut fixture.sent);
-    assert!(withdrawn.len() >= 6, "as many as would eject a node: {}", withdrawn.len());
+    assert!(withdrawn.len() >= 6, "fewer attempts than failures that eject a node: {}", withdrawn.len());
     let node = withdrawn[0].node;
     fixture.core.handle_node_uptime(fixture.now, node, seconds(1.0));
-    assert!(withdrawn.iter().all(|attempt| !attempt.ticket.claim()), "all are withdrawn");
+    assert!(withdrawn.iter().all(|attempt| !attempt.ticket.claim()), "not all are withdrawn");
     fixture.run_for(0.5);
     assert!(!fixture.events().contains("node unhealthy"), "{}", fixture.events());
 }
 
-/// A client aborts a command, and then its session closes while attempts are in flight. The nodes must learn that
-/// nobody waits.
+/// A client aborts a command, and then its session closes while attempts are in flight. The nodes must be told that nobody waits for the
+/// answers.
 #[test]
-fn a_client_that_left_gets_no_answer_and_its_attempts_are_cancelled() {
+fn attempts_of_aborted_commands_are_cancelled_and_the_client_gets_no_answer() {
     let mut fixture = Fixture::new();
     fixture.submit(1, 0, 1, false);
     fixture.submit(2, 0, 1, false);
@@ -325,37 +324,36 @@
     fixture.core.handle_session_closed(fixture.now, 1);
     fixture.poll_outputs();
     assert_eq!((fixture.other.len(), fixture.core.counters.commands_aborted), (2, 2));
-    // The attempts count until they have ended.
+    // The attempts stay in the tables until they have ended.
     assert_eq!(fixture.core.open_counts(), OpenCounts { commands: 0, requests: 2, attempts: 2 });
     fixture.finish_attempt(attempts[0], Outcome::Done, 512);
     fixture.finish_attempt(attempts[1], Outcome::Full, 0);
     assert!(fixture.is_empty() && fixture.answers.is_empty());
 }
 
-/// A node answers a read with too few bytes, and then once more. Neither answer may reach the client as its data.
+/// A node answers a read with too few bytes, and then answers the same attempt again. Neither answer may reach the client.
 #[test]
 fn a_short_or_repeated_answer_is_not_accepted() {
     let mut fixture = Fixture::new();
     fixture.submit(1, 0, 2, false);
     let attempts = fixture.write();
     fixture.finish_attempt(attempts[0], Outcome::Done, 512);
-    assert!(fixture.answers.is_empty(), "1024 bytes were asked for");
+    assert!(fixture.answers.is_empty(), "answered with fewer than the requested 1024 bytes");
     assert_eq!(fixture.core.counters.short_answers, 1);
     fixture.finish_attempt(attempts[0], Outcome::Done, 1024);
     assert_eq!((fixture.answers.len(), fixture.core.counters.late_results), (0, 1));
     fixture.run_for(0.1);
-    let again = fixture.write();
-    assert_eq!(again.len(), 1, "an idempotent read gets a retry");
-    fixture.finish_attempt(again[0], Outcome::Done, 1024);
+    let retries = fixture.write();
+    assert_eq!(retries.len(), 1, "an idempotent read is retried");
+    fixture.finish_attempt(retries[0], Outcome::Done, 1024);
     assert!(matches!(fixture.answers.as_slice(), [(1, Verdict::Done { .. })]));
     assert!(fixture.is_empty());
 }
 
-/// One part of a non-idempotent write is rejected after the other part was done, or before it was sent. The command
-/// is safe to retry only if no part ran.
+/// One part of a non-idempotent write is rejected, and the other part is either done before or never sent. The command is safe to retry
+/// only if no part ran.
 #[test]
 fn a_rejected_part_decides_the_answer_of_the_whole_command() {
-    // A non-idempotent write of two parts: the second is rejected after the first was done, or was never sent.
     for first_done in [true, false] {
         let mut fixture = Fixture::new();
         fixture.change_list(5, 6, &[entry("b", 1, NodeState::Draining)]);
@@ -367,13 +365,13 @@
         }
         fixture.run_for(1.5);
         let [(1, verdict)] = fixture.answers.as_slice() else { panic!("{:?}", fixture.answers) };
-        assert_eq!(rejected(verdict), !first_done, "{verdict:?}");
+        assert_eq!(is_rejected(verdict), !first_done, "{verdict:?}");
         assert!(fixture.is_empty());
     }
 }
 
-/// The watch of the endpoint list loses changes. A drain among the later ones must apply at once, and the lost ones
-/// must be fetched.
+/// The watch of the endpoint list misses changes. A drain among the later changes must take effect at once, and the complete list must be
+/// fetched to get the missing ones.
 #[test]
 fn changes_after_a_gap_apply_and_the_complete_list_is_fetched() {
     let mut fixture = Fixture::new();
@@ -382,10 +380,10 @@
     fixture.change_list(8, 9, &[entry("a", 0, NodeState::Draining)]);
     assert!(matches!(fixture.other.as_slice(), [Output::FetchEndpointList]));
     fixture.submit(1, 0, 1, false);
-    assert!(fixture.sent.is_empty(), "the drain is known");
-    // A complete list that no longer names b: it is gone; c takes its shard.
-    let now = [entry("a", 0, NodeState::Ready), entry("c", 1, NodeState::Ready)];
-    fixture.core.handle_endpoint_list(fixture.now, ListKind::Complete, 0, 12, &now);
+    assert!(fixture.sent.is_empty(), "sent to a draining node");
+    // The complete list no longer contains b, and c serves its shard.
+    let entries = [entry("a", 0, NodeState::Ready), entry("c", 1, NodeState::Ready)];
+    fixture.core.handle_endpoint_list(fixture.now, ListKind::Complete, 0, 12, &entries);
     fixture.poll_outputs();
     fixture.submit(2, 10, 1, false);
     let nodes: Vec<&str> =
@@ -393,13 +391,13 @@
     assert_eq!(nodes, ["a", "c"]);
 }
 
-/// Changes are missing, and the fetch of the complete list fails. The watch that follows must ask for the complete list: one from the
-/// version of the last change would never bring the missing ones, and a node that drains by them would get requests for good.
+/// Changes are missing, and the fetch of the complete list fails. The next watch must request the complete list. A watch from the version
+/// of the last change would never return the missing changes, and a node that drains by them would continue to receive requests.
 #[test]
 fn watch_asks_for_the_complete_list_until_one_is_received_after_a_gap() {
     let mut fixture = Fixture::new();
     fixture.change_list(8, 9, &[]);
-    // Later changes without a gap do not bring the missing ones either.
+    // Later changes without a gap do not contain the missing ones.
     fixture.change_list(9, 10, &[]);
     assert_eq!(fixture.watched_version_after_a_failure(), 0);
     let both = [entry("a", 0, NodeState::Ready), entry("b", 1, NodeState::Ready)];
@@ -407,29 +405,29 @@
     assert_eq!(fixture.watched_version_after_a_failure(), 12);
 }
 
-/// The list names more nodes than the table holds. An operator must be able to see that some are not used.
+/// The list contains more nodes than the table holds. Operators must be able to see that some nodes are not used.
 #[test]
 fn nodes_over_the_bound_are_reported() {
     let mut fixture = Fixture::new();
-    let many: Vec<ListEntry> = (0..4).map(|i| entry(&format!("n{i}"), i, NodeState::Ready)).collect();
-    fixture.change_list(5, 6, &many);
+    let entries: Vec<ListEntry> = (0..4).map(|i| entry(&format!("n{i}"), i, NodeState::Ready)).collect();
+    fixture.change_list(5, 6, &entries);
     assert_eq!(fixture.core.counters.nodes_over_bound, 2);
     let reported = fixture
         .other
         .iter()
-        .filter(|o| {
-            matches!(o, Output::Event(HostEvent::EndpointList(EndpointListEvent::NodeTableFull { .. })))
+        .filter(|output| {
+            matches!(output, Output::Event(HostEvent::EndpointList(EndpointListEvent::NodeTableFull { .. })))
         })
         .count();
     assert_eq!(reported, 2);
 }
 
-/// A host shuts down with commands open. Each open command must be answered by what may have run, and new ones must
-/// go to another host.
+/// A host shuts down with open commands. Each must be answered according to what may have run, and new commands must be rejected, so that
+/// their clients go to another host.
 #[test]
 fn a_host_that_shuts_down_rejects_new_commands_and_answers_open_ones() {
     let mut fixture = Fixture::new();
-    // A read and two non-idempotent writes are open: one written, one that waits in its connection.
+    // A read and two non-idempotent writes are open. One write was written, the other waits in its connection.
     fixture.submit(1, 0, 1, false);
     fixture.submit(2, 20, 1, true);
     let attempts = fixture.write();
@@ -438,18 +436,17 @@
     fixture.submit(4, 60, 1, false);
     assert!(matches!(fixture.answers.as_slice(), [(4, Verdict::Rejected { retry_after: Some(_) })]));
     fixture.finish_attempt(attempts[0], Outcome::Done, 512);
-    assert!(matches!(fixture.answers[1], (1, Verdict::Done { .. })), "an open command is still worked on");
+    assert!(matches!(fixture.answers[1], (1, Verdict::Done { .. })), "an open command was not continued");
     fixture.core.close_open_commands(fixture.now);
     fixture.poll_outputs();
     assert_eq!(fixture.answers[2], (2, Verdict::Failed));
-    assert!(matches!(fixture.answers[3], (3, Verdict::Rejected { .. })), "no byte of it was written");
+    assert!(matches!(fixture.answers[3], (3, Verdict::Rejected { .. })), "failed without a byte written");
     assert_eq!(fixture.core.open_counts().commands, 0);
     fixture.run_for(1.5);
     assert!(fixture.is_empty() && fixture.answers.len() == 4);
 }
 
-/// One session queues a thousand commands before two others send a few. First come, first served would make the
-/// others wait for all of them.
+/// One session queues a thousand commands before two others send a few. Served in order of arrival, the others would wait for all of them.
 #[test]
 fn a_session_with_many_commands_waits_behind_the_first_commands_of_others() {
     let settings =
@@ -472,41 +469,41 @@
             },
         );
     };
-    (0..1000).for_each(|c| submit(1, c));
-    (0..3).for_each(|c| submit(2, c));
+    (0..1000).for_each(|command| submit(1, command));
+    (0..3).for_each(|command| submit(2, command));
     submit(3, 0);
-    let (mut order, mut t) = (Vec::new(), now);
+    let (mut order, mut time) = (Vec::new(), now);
     for _ in 0..30 {
         let mut in_flight = Vec::new();
-        while let Some(o) = core.poll_output(t) {
-            if let Output::Send(attempt) = o {
+        while let Some(output) = core.poll_output(time) {
+            if let Output::Send(attempt) = output {
                 order.push(attempt.from.session);
                 in_flight.push(attempt.attempt);
             }
         }
-        t = t + seconds(0.001);
+        time = time + seconds(0.001);
         for attempt in in_flight {
             let (outcome, data) = (Outcome::Done, Bytes::from(vec![0; 512]));
             core.handle_attempt_result(
-                t,
+                time,
                 AttemptResult { attempt, outcome, waiting: Some(0), peer_units: Some(0.0), data },
             );
         }
     }
-    let last_other = order.iter().rposition(|s| *s != 1).unwrap();
+    let last_other = order.iter().rposition(|session| *session != 1).unwrap();
     assert!(last_other <= 8 && order.len() > 50, "{order:?}");
-    core.handle_session_closed(t, 1);
+    core.handle_session_closed(time, 1);
     assert_eq!(core.fair_queue_counts(), FairQueueCounts::default());
 }
 
-/// A node restarts under an override, or another node gets its address. The override may not be meant for what runs
-/// there now, so the explanation names it.
+/// A node restarts while an override is active, or another node gets its address. The override may not be meant for the node that runs
+/// there now, so the explanation must report it.
 #[test]
 fn an_explanation_names_an_override_under_which_its_node_restarted() {
     use tackmast_overrides::{Kind, OverrideRequest, Overrides, Settings, Target};
     let address = "10.0.0.1:9003";
-    // When the node starts, against the override that is set at 10 s; whether it is reported.
-    for (start, reported) in [(5.0, false), (12.0, true)] {
+    // The start of the node in seconds, where the override is set at 10 s, and whether the override is reported.
+    for (start, is_reported) in [(5.0, false), (12.0, true)] {
         let mut fixture = Fixture::new();
         let (overrides, _) = Overrides::new(
             fixture.now,
@@ -531,8 +528,8 @@
         );
         fixture.core.handle_persisted(fixture.now, 1, Ok(()));
         fixture.now = Instant::from_secs(20.0);
-        let up = TimeDelta::from_secs(20.0 - start);
-        let start = Some(NodeStart { name: 7, age: Age::ByListClock(up) });
+        let uptime = TimeDelta::from_secs(20.0 - start);
+        let start = Some(NodeStart { name: 7, age: Age::ByListClock(uptime) });
         fixture.change_list(5, 6, &[ListEntry { start, ..entry(address, 0, NodeState::Ready) }]);
         fixture.other.clear();
         fixture.core.handle_admin_request(
@@ -541,17 +538,19 @@
             AdminRequest::Explain { address: address.parse().unwrap() },
         );
         fixture.poll_outputs();
-        let explained = fixture.other.iter().find_map(|o| match o {
-            Output::AdminResponse { response: AdminResponse::Explain(e), .. } => Some(e.clone()),
+        let response = fixture.other.iter().find_map(|output| match output {
+            Output::AdminResponse { response: AdminResponse::Explain(explanation), .. } => {
+                Some(explanation.clone())
+            }
             _ => None,
         });
-        let e = explained.expect("an explanation");
-        assert_eq!(e.up_s.map(f64::round), Some(up.secs().round()));
-        assert_eq!(!e.restarted_under().is_empty(), reported, "{e:?}");
+        let explanation = response.expect("an explanation");
+        assert_eq!(explanation.up_s.map(f64::round), Some(uptime.secs().round()));
+        assert_eq!(!explanation.restarted_under().is_empty(), is_reported, "{explanation:?}");
     }
 }
 
-/// Why the host can't process the request with this number, if it has answered so.
+/// Returns the reason if the host has answered the request with this number as unavailable.
 fn unavailable_reason(fixture: &Fixture, number: u64) -> Option<&str> {
     fixture.other.iter().find_map(|output| match output {
         Output::AdminResponse { request, response: AdminResponse::Unavailable { why } }
@@ -563,8 +562,8 @@
     })
 }
 
-/// An operator asks a host for something that its settings lack the block of. Nothing was to be changed, so the answer must not read as a
-/// change that the store could not write.
+/// An operator sends a request that needs a settings block which the host does not have. The response must not look as if the store had
+/// failed to write a change.
 #[test]
 fn request_without_its_block_is_unavailable() {
     use tackmast_overrides::{Overrides, Settings};
@@ -580,12 +579,12 @@
     assert_eq!(reason(2), Some("this host has no plans block in its settings"));
 }
 
-/// The store is slow, and scripts set overrides faster than it writes them. The one that finds the queue full was never given to the
-/// store; its answer says so, and that a retry makes sense.
+/// Scripts set overrides faster than the store writes them. The response to a request that finds the queue full must say that it was not
+/// processed and can be retried.
 #[test]
 fn override_that_finds_the_queue_full_is_unavailable() {
     use tackmast_overrides::{Kind, OverrideRequest, Overrides, Settings, Target};
-    const QUEUED: u64 = 256;
+    const MAX_QUEUED: u64 = 256;
     let mut fixture = Fixture::new();
     let bounds = Settings { max_overrides: 1000, max_zone_fraction: 1.0 };
     let (overrides, _) = Overrides::new(fixture.now, 10_000_000, bounds, Vec::new(), 1);
@@ -599,8 +598,8 @@
         origin: None,
     };
     let set = AdminRequest::Set { override_request, force: false, dry_run: false, if_version: None };
-    // One is being written, and as many wait for it as may.
-    let first_too_many = 1 + QUEUED + 1;
+    // One request is being written, and the queue is full behind it.
+    let first_too_many = 1 + MAX_QUEUED + 1;
     for number in 1..=first_too_many {
         fixture.core.handle_admin_request(fixture.now, number, set.clone());
     }
--- a/crates/host-core/tests/decision_hash.rs
+++ b/crates/host-core/tests/decision_hash.rs
@@ -1,11 +1,11 @@
-//! Guards the host core's behaviour as a whole against refactorings that must not change it, above all large
-//! renamings. Seeded runs feed some 10,000 inputs into a `Core`: commands of several sessions, ends of attempts,
-//! endpoint lists, requests of operators, plan changes, datagrams, time, and the host's shutdown. Every output and
-//! every wake-up time is folded into a SHA-256 hash which is compared with a constant. Only numbers and stable
-//! bytes are folded, never `Debug` output, so new names of types and fields move nothing. Lines for the log
-//! count, their wording does not.
+//! Tests that refactorings, such as large renames, do not change the behaviour of the host core.
 //!
-//! A change that is meant to alter outputs updates the constants and says why in its commit.
+//! Seeded runs feed some 10,000 inputs into `Core`s: commands of several sessions, attempt results, endpoint lists, operator
+//! requests, plan changes, datagrams, time, and the shutdown of the hosts. Every output and every timeout is added to a SHA-256
+//! hash, which is compared with a constant. Only numbers and stable bytes are hashed, never `Debug` output, so the names of types
+//! and fields do not matter. Events are hashed without their messages.
+//!
+//! A change that is meant to alter outputs updates the constants and gives the reason in its commit.
 
 use bytes::Bytes;
 use oorandom::Rand32;
@@ -26,13 +26,13 @@
 const MAX_STEP_US: u32 = 8000;
 const STALLS_PERMILLE: u32 = 30;
 const DATAGRAMS_LOST_PERCENT: u32 = 3;
-/// Hosts that run; the settings may tell of more.
+/// The number of hosts that run. The settings may specify more.
 const HOSTS_RUN: usize = 2;
 const UNKNOWN_OVERRIDE: OverrideId = OverrideId(u64::MAX);
 const WALL_OFFSET_US: u64 = 1_000_000_000;
 
-/// What differs between the runs.
-struct Setting {
+/// The settings in which the runs differ.
+struct Variant {
     hosts: u32,
     max_requests: u32,
     longest_wait_s: f64,
@@ -41,7 +41,7 @@
     retries_share: f64,
 }
 
-const FEW_HOSTS: Setting = Setting {
+const FEW_HOSTS: Variant = Variant {
     hosts: 2,
     max_requests: 200,
     longest_wait_s: 1.0,
@@ -49,7 +49,7 @@
     retries_free: 20,
     retries_share: 0.2,
 };
-const MANY_HOSTS: Setting = Setting {
+const MANY_HOSTS: Variant = Variant {
     hosts: 16,
     max_requests: 200,
     longest_wait_s: 1.0,
@@ -57,7 +57,7 @@
     retries_free: 20,
     retries_share: 0.2,
 };
-const TIGHT_BOUNDS: Setting = Setting {
+const SMALL_TABLES: Variant = Variant {
     hosts: 2,
     max_requests: 16,
     longest_wait_s: 0.0,
@@ -198,21 +198,21 @@
 }
 "#;
 
-fn settings(setting: &Setting, host: usize) -> HostSettings {
+fn settings(variant: &Variant, host: usize) -> HostSettings {
     let text = SETTINGS
         .replace("<number>", &host.to_string())
-        .replace("<hosts>", &setting.hosts.to_string())
-        .replace("<max_requests>", &setting.max_requests.to_string())
-        .replace("<longest_wait_s>", &setting.longest_wait_s.to_string())
-        .replace("<max_attempts>", &setting.max_attempts.to_string())
-        .replace("<retries_free>", &setting.retries_free.to_string())
-        .replace("<retries_share>", &setting.retries_share.to_string())
+        .replace("<hosts>", &variant.hosts.to_string())
+        .replace("<max_requests>", &variant.max_requests.to_string())
+        .replace("<longest_wait_s>", &variant.longest_wait_s.to_string())
+        .replace("<max_attempts>", &variant.max_attempts.to_string())
+        .replace("<retries_free>", &variant.retries_free.to_string())
+        .replace("<retries_share>", &variant.retries_share.to_string())
         .replace("<address>", &host_address(host).to_string())
         .replace("<seed_address>", &host_address(0).to_string());
     HostSettings::parse("test", &text).expect("valid settings")
 }
 
-/// The fold of all outputs.
+/// The hash of all outputs.
 #[derive(Default)]
 struct OutputHasher(Sha256);
 
@@ -276,12 +276,12 @@
             Output::Persist { request, batch } => {
                 self.kind(7);
                 self.number(*request);
-                self.keep(batch);
+                self.persist_batch(batch);
             }
-            Output::AdminResponse { request, response: reply } => {
+            Output::AdminResponse { request, response } => {
                 self.kind(8);
                 self.number(*request);
-                self.reply(reply);
+                self.admin_response(response);
             }
             Output::Datagram { to, bytes } => {
                 self.kind(9);
@@ -335,25 +335,25 @@
         }
     }
 
-    fn keep(&mut self, keep: &PersistBatch) {
-        let counts = [keep.put.len(), keep.remove.len(), keep.audits.len(), keep.changes.len()];
+    fn persist_batch(&mut self, batch: &PersistBatch) {
+        let counts = [batch.put.len(), batch.remove.len(), batch.audits.len(), batch.changes.len()];
         counts.iter().for_each(|count| self.number(*count as u64));
-        for record in &keep.put {
+        for record in &batch.put {
             self.number(record.id.0);
         }
-        for id in &keep.remove {
+        for id in &batch.remove {
             self.number(id.0);
         }
-        for (number, line) in &keep.changes {
+        for (number, line) in &batch.changes {
             self.number(*number);
             self.bytes(line);
         }
-        self.kind(u8::from(keep.members.is_some()));
-        self.kind(u8::from(keep.consensus.is_some()));
+        self.kind(u8::from(batch.members.is_some()));
+        self.kind(u8::from(batch.consensus.is_some()));
     }
 
-    fn reply(&mut self, reply: &AdminResponse) {
-        match reply {
+    fn admin_response(&mut self, response: &AdminResponse) {
+        match response {
             AdminResponse::Set { record, dry_run, .. } => {
                 self.kind(1);
                 self.number(record.id.0);
@@ -381,7 +381,7 @@
                 self.number(status.version);
             }
             AdminResponse::Members(_) => self.kind(6),
-            AdminResponse::Plan(reply) => self.plan_reply(reply),
+            AdminResponse::Plan(response) => self.plan_response(response),
             AdminResponse::Consensus(_) => self.kind(8),
             AdminResponse::Refused(_) => self.kind(9),
             AdminResponse::NotKept { .. } => self.kind(10),
@@ -389,8 +389,8 @@
         }
     }
 
-    fn plan_reply(&mut self, reply: &PlanResponse) {
-        match reply {
+    fn plan_response(&mut self, response: &PlanResponse) {
+        match response {
             PlanResponse::Shown(status) => {
                 self.kind(20);
                 self.number(status.number);
@@ -416,7 +416,7 @@
     }
 }
 
-/// How often each thing happened, so that a run that has become trivial is noticed.
+/// Counts of what happened, by which a run that has become trivial is detected.
 #[derive(Debug, Default)]
 struct Counts {
     sends: u32,
@@ -428,30 +428,30 @@
     cancels: u32,
     cuts: u32,
     list_calls: u32,
-    writes_to_store: u32,
+    store_writes: u32,
     overrides_set: u32,
     overrides_cleared: u32,
     plans_applied: u32,
     refused: u32,
     datagrams: u32,
-    log_lines: u32,
+    events: u32,
 }
 
-/// An attempt that its link has not ended yet, with what will come of it.
+/// An attempt in flight, with the result that it will have.
 struct PendingAttempt {
     attempt: SendAttempt,
     outcome: Outcome,
     answer_bytes: usize,
 }
 
-/// One host of the run, and what its surroundings hold for it.
+/// One host of the run, with the state of its environment.
 struct Host {
     core: Core,
-    /// By time in microseconds, then by number of the attempt.
+    /// Attempts in flight, by the time of their results in microseconds and by attempt id.
     pending: BTreeMap<(i64, u64), PendingAttempt>,
-    /// Writes to the store that are not acknowledged yet.
-    unacknowledged: Vec<u64>,
-    open: BTreeSet<CommandId>,
+    /// Writes to the store that are not completed yet.
+    pending_writes: Vec<u64>,
+    open_commands: BTreeSet<CommandId>,
     list_version: u64,
     override_ids: Vec<OverrideId>,
 }
@@ -464,8 +464,8 @@
     counts: Counts,
     inputs: u32,
     next_command: u32,
-    states: Vec<NodeState>,
-    starts: Vec<Option<Instant>>,
+    node_states: Vec<NodeState>,
+    node_starts: Vec<Option<Instant>>,
     admin_requests: u64,
 }
 
@@ -485,10 +485,10 @@
     SocketAddr::from(([10, 0, 0, host as u8 + 1], 7000))
 }
 
-fn configured_core(setting: &Setting, host: usize, now: Instant, seed: u64) -> Core {
-    let settings = settings(setting, host);
-    let incarnation = 100 + host as u64;
-    let mut core = Core::new(now, &settings, seed, incarnation);
+fn configured_core(variant: &Variant, host: usize, now: Instant, seed: u64) -> Core {
+    let settings = settings(variant, host);
+    let generation = 100 + host as u64;
+    let mut core = Core::new(now, &settings, seed, generation);
     let override_settings = Settings { max_overrides: 20, max_zone_fraction: 1.0 };
     let wall_us = micros(now) as u64 + WALL_OFFSET_US;
     let (overrides, _) = Overrides::new(now, wall_us, override_settings, Vec::new(), 1);
@@ -500,19 +500,19 @@
     let membership = settings.membership.as_ref().expect("a membership block");
     let address = host_address(host);
     let members =
-        member_settings(&settings, membership, address, incarnation, PreviousExit::Unclean, seed, vec![]);
+        member_settings(&settings, membership, address, generation, PreviousExit::Unclean, seed, vec![]);
     core.enable_peers(now, Peers::new(now, members));
     core
 }
 
 impl Run {
-    fn new(setting: &Setting, seed: u64) -> Run {
+    fn new(variant: &Variant, seed: u64) -> Run {
         let now = Instant::from_secs(10.0);
         let host = |host| Host {
-            core: configured_core(setting, host, now, seed),
+            core: configured_core(variant, host, now, seed),
             pending: BTreeMap::new(),
-            unacknowledged: Vec::new(),
-            open: BTreeSet::new(),
+            pending_writes: Vec::new(),
+            open_commands: BTreeSet::new(),
             list_version: 5,
             override_ids: Vec::new(),
         };
@@ -524,15 +524,15 @@
             counts: Counts::default(),
             inputs: 0,
             next_command: 0,
-            states: vec![NodeState::Ready; NODES as usize],
-            starts: vec![None; NODES as usize],
+            node_states: vec![NodeState::Ready; NODES as usize],
+            node_starts: vec![None; NODES as usize],
             admin_requests: 0,
         };
         for host in 0..HOSTS_RUN {
             run.hosts[host].core.restore_service_rate(now, ShardId(0), 50.0);
             run.send_list(host, ListKind::Complete, 0..NODES);
         }
-        run.pull();
+        run.poll_outputs();
         run
     }
 
@@ -544,24 +544,24 @@
         f64::from(self.random.rand_float())
     }
 
-    fn any_host(&mut self) -> usize {
+    fn random_host(&mut self) -> usize {
         self.below(HOSTS_RUN as u32) as usize
     }
 
-    /// Runs until enough inputs were given, then shuts the hosts down.
-    fn finish(mut self) -> (String, Counts) {
+    /// Runs until enough inputs were handled, then shuts the hosts down. Returns the hash and the counts.
+    fn run(mut self) -> (String, Counts) {
         while self.inputs < INPUTS {
             let step = f64::from(self.below(MAX_STEP_US)) * 1e-6;
-            self.pass(seconds(step));
-            self.input();
-            self.pull();
+            self.advance_time(seconds(step));
+            self.handle_random_input();
+            self.poll_outputs();
         }
         for host in 0..HOSTS_RUN {
             self.shut_down(host);
         }
-        self.pass(seconds(3.0));
+        self.advance_time(seconds(3.0));
         for host in 0..HOSTS_RUN {
-            self.fold_end(host);
+            self.hash_final_state(host);
         }
         (self.hasher.hex(), self.counts)
     }
@@ -570,15 +570,15 @@
         self.hosts[host].core.drain();
         self.hosts[host].core.begin_leave(self.now);
         (0..20).for_each(|_| self.submit(host));
-        self.pass(seconds(0.05));
+        self.advance_time(seconds(0.05));
         self.hosts[host].core.close_open_commands(self.now);
-        self.pull();
+        self.poll_outputs();
         self.hosts[host].core.announce_leave(self.now);
-        self.pull();
+        self.poll_outputs();
     }
 
-    /// What the core counted and still holds.
-    fn fold_end(&mut self, host: usize) {
+    /// Hashes the counters and the remaining state of a core.
+    fn hash_final_state(&mut self, host: usize) {
         let core = &self.hosts[host].core;
         let counters = core.counters;
         let numbers = [
@@ -601,7 +601,7 @@
         self.counts.retries += counters.retries;
         self.counts.timeouts += counters.timed_out;
         let OpenCounts { commands, requests, attempts } = core.open_counts();
-        assert_eq!((commands, requests, attempts), (0, 0, 0), "nothing stays open after the shutdown");
+        assert_eq!((commands, requests, attempts), (0, 0, 0), "work is left open after the shutdown");
         self.hasher.number(core.key_queue_count() as u64);
         for (shard, rate) in core.service_rates(self.now) {
             self.hasher.number(u64::from(shard.0));
@@ -609,22 +609,23 @@
         }
     }
 
-    /// Lets time pass, with the ends of attempts and the wake-ups that fall into it.
-    fn pass(&mut self, time: TimeDelta) {
+    /// Advances the time, and handles the attempt results and timeouts that are due meanwhile.
+    fn advance_time(&mut self, time: TimeDelta) {
         let until = self.now + time;
         loop {
-            let ends = self.hosts.iter().filter_map(|host| host.pending.keys().next());
-            let end = ends.map(|(at, _)| Instant::from_secs(*at as f64 / 1e6)).min();
-            let wake = self.hosts.iter().filter_map(|host| host.core.poll_timeout(self.now)).min();
-            let Some(next) = end.into_iter().chain(wake).min().filter(|next| *next <= until) else { break };
+            let results = self.hosts.iter().filter_map(|host| host.pending.keys().next());
+            let result = results.map(|(at, _)| Instant::from_secs(*at as f64 / 1e6)).min();
+            let timeout = self.hosts.iter().filter_map(|host| host.core.poll_timeout(self.now)).min();
+            let next = result.into_iter().chain(timeout).min();
+            let Some(next) = next.filter(|next| *next <= until) else { break };
             self.now = next.max(self.now + TimeDelta::from_secs(1e-6));
             for host in 0..HOSTS_RUN {
                 self.end_attempts(host);
             }
-            self.pull();
+            self.poll_outputs();
         }
         self.now = until.max(self.now);
-        self.pull();
+        self.poll_outputs();
     }
 
     fn end_attempts(&mut self, host: usize) {
@@ -650,8 +651,8 @@
             .handle_attempt_result(self.now, AttemptResult { attempt, outcome, waiting, peer_units, data });
     }
 
-    /// Pulls all outputs of all hosts, until their datagrams lead to no more.
-    fn pull(&mut self) {
+    /// Processes the outputs of all hosts and delivers their datagrams, until there are no more.
+    fn poll_outputs(&mut self) {
         let mut datagrams = Vec::new();
         loop {
             for host in 0..HOSTS_RUN {
@@ -660,8 +661,8 @@
                     self.hasher.output(&output);
                     self.on_output(host, output, &mut datagrams);
                 }
-                let wake = self.hosts[host].core.poll_timeout(self.now);
-                self.hasher.optional_seconds(wake.map(Instant::secs));
+                let timeout = self.hosts[host].core.poll_timeout(self.now);
+                self.hasher.optional_seconds(timeout.map(Instant::secs));
             }
             if datagrams.is_empty() {
                 return;
@@ -682,7 +683,7 @@
             Output::Cancel { .. } => self.counts.cancels += 1,
             Output::Cut { .. } => self.counts.cuts += 1,
             Output::Answer { to, verdict } => {
-                self.hosts[host].open.remove(&to);
+                self.hosts[host].open_commands.remove(&to);
                 match verdict {
                     Verdict::Done { .. } => self.counts.done += 1,
                     Verdict::Rejected { .. } => self.counts.rejected += 1,
@@ -691,20 +692,20 @@
             }
             Output::WatchEndpointList { .. } | Output::FetchEndpointList => self.counts.list_calls += 1,
             Output::Persist { request, .. } => {
-                self.counts.writes_to_store += 1;
-                self.hosts[host].unacknowledged.push(request);
+                self.counts.store_writes += 1;
+                self.hosts[host].pending_writes.push(request);
             }
-            Output::AdminResponse { response: reply, .. } => self.on_reply(host, &reply),
+            Output::AdminResponse { response, .. } => self.on_admin_response(host, &response),
             Output::Datagram { to, bytes } => {
                 self.counts.datagrams += 1;
                 datagrams.push((host, to, bytes));
             }
-            Output::Event(_) => self.counts.log_lines += 1,
+            Output::Event(_) => self.counts.events += 1,
         }
     }
 
-    fn on_reply(&mut self, host: usize, reply: &AdminResponse) {
-        match reply {
+    fn on_admin_response(&mut self, host: usize, response: &AdminResponse) {
+        match response {
             AdminResponse::Set { record, dry_run: false, .. } => {
                 self.counts.overrides_set += 1;
                 self.hosts[host].override_ids.push(record.id);
@@ -722,7 +723,7 @@
 
     fn start_attempt(&mut self, host: usize, attempt: SendAttempt) {
         self.counts.sends += 1;
-        // A link that takes no bytes leaves the attempt unsent, or half written.
+        // A stalled connection leaves the attempt unsent or partly written.
         let is_stalled = self.below(1000) < STALLS_PERMILLE;
         let is_claimed = !is_stalled || self.below(2) == 0;
         if is_claimed && attempt.try_claim(self.now) != ClaimResult::Claimed {
@@ -731,8 +732,8 @@
         if is_stalled {
             return;
         }
-        let outcome = self.outcome();
-        let took = match self.below(40) {
+        let outcome = self.random_outcome();
+        let latency = match self.below(40) {
             0 => 0.3 + 1.5 * self.fraction(),
             1..=2 => 0.05 + 0.2 * self.fraction(),
             _ => 0.002 + 0.02 * self.fraction(),
@@ -740,21 +741,21 @@
         if self.below(4) > 0 {
             attempt.ticket.mark_written();
         }
-        let wanted_bytes = match &attempt.work {
+        let expected_bytes = match &attempt.work {
             AttemptWork::Read { length } => *length as usize,
             _ => 0,
         };
         let is_short = self.below(100) == 0;
         let answer_bytes = match outcome {
-            Outcome::Done if is_short => wanted_bytes / 2,
-            Outcome::Done => wanted_bytes,
+            Outcome::Done if is_short => expected_bytes / 2,
+            Outcome::Done => expected_bytes,
             _ => 0,
         };
-        let key = (micros(self.now + seconds(took)), attempt.attempt.0);
+        let key = (micros(self.now + seconds(latency)), attempt.attempt.0);
         self.hosts[host].pending.insert(key, PendingAttempt { attempt, outcome, answer_bytes });
     }
 
-    fn outcome(&mut self) -> Outcome {
+    fn random_outcome(&mut self) -> Outcome {
         match self.below(100) {
             0..=3 => Outcome::Error,
             4 => Outcome::Full,
@@ -765,22 +766,22 @@
         }
     }
 
-    fn input(&mut self) {
+    fn handle_random_input(&mut self) {
         self.inputs += 1;
-        let host = self.any_host();
+        let host = self.random_host();
         match self.below(100) {
             0..=79 => self.submit(host),
             80..=83 => self.abort(host),
-            84 => self.end_session(host),
+            84 => self.close_session(host),
             85..=87 => self.change_node(),
             88 => self.send_other_list(host),
-            89 => self.report_node_start(host),
-            90..=91 => self.ask_for_override(host),
+            89 => self.report_node_uptime(host),
+            90..=91 => self.set_override(host),
             92..=93 => self.clear_override(host),
             94..=95 => self.apply_plan(host),
-            96 => self.ask_for_status(host),
+            96 => self.request_status(host),
             97 => self.step_wall_clock(host),
-            _ => self.acknowledge(host),
+            _ => self.complete_writes(host),
         }
     }
 
@@ -795,40 +796,40 @@
         } else {
             Work::Read { blocks }
         };
-        let began = self.now - seconds(0.01 * self.fraction());
-        let asked = (self.below(4) == 0).then_some(seconds(0.05 + self.fraction()));
+        let received_at = self.now - seconds(0.01 * self.fraction());
+        let timeout = (self.below(4) == 0).then_some(seconds(0.05 + self.fraction()));
         let idempotency_key = (self.below(3) == 0).then_some(u128::from(from.command) << 64 | 7);
-        self.hosts[host].open.insert(from);
+        self.hosts[host].open_commands.insert(from);
         self.hosts[host].core.handle_command(
             self.now,
-            ClientCommand { from, lun, block, work, received_at: began, timeout: asked, idempotency_key },
+            ClientCommand { from, lun, block, work, received_at, timeout, idempotency_key },
         );
     }
 
     fn abort(&mut self, host: usize) {
-        let count = self.hosts[host].open.len() as u32;
+        let count = self.hosts[host].open_commands.len() as u32;
         if count == 0 {
             return;
         }
         let chosen = self.below(count) as usize;
-        if let Some(command) = self.hosts[host].open.iter().nth(chosen).copied() {
-            self.hosts[host].open.remove(&command);
+        if let Some(command) = self.hosts[host].open_commands.iter().nth(chosen).copied() {
+            self.hosts[host].open_commands.remove(&command);
             self.hosts[host].core.handle_abort(self.now, command);
         }
     }
 
-    fn end_session(&mut self, host: usize) {
+    fn close_session(&mut self, host: usize) {
         let session = self.below(SESSIONS);
-        self.hosts[host].open.retain(|command| command.session != session);
+        self.hosts[host].open_commands.retain(|command| command.session != session);
         self.hosts[host].core.handle_session_closed(self.now, session);
     }
 
     fn entry(&self, node: u32) -> ListEntry {
-        let start = self.starts[node as usize];
+        let start = self.node_starts[node as usize];
         ListEntry {
             id: format!("node-{node}"),
             address: node_address(node).to_string(),
-            state: self.states[node as usize],
+            state: self.node_states[node as usize],
             zone: ZoneId(node % 2),
             shard: ShardId(node % SHARDS),
             start: start
@@ -844,16 +845,16 @@
         self.hosts[host].core.handle_endpoint_list(self.now, kind, from, to, &entries);
     }
 
-    /// A node comes, drains, goes or has restarted; sometimes a host misses the change.
+    /// Makes a node ready, draining, gone or restarted. Some hosts miss the change.
     fn change_node(&mut self) {
         let node = self.below(NODES);
-        self.states[node as usize] = match self.below(8) {
+        self.node_states[node as usize] = match self.below(8) {
             0 => NodeState::Draining,
             1 => NodeState::Gone,
             _ => NodeState::Ready,
         };
         if self.below(8) == 0 {
-            self.starts[node as usize] = Some(self.now - seconds(2.0 * self.fraction()));
+            self.node_starts[node as usize] = Some(self.now - seconds(2.0 * self.fraction()));
         }
         for host in 0..HOSTS_RUN {
             if self.below(10) == 0 {
@@ -873,20 +874,20 @@
         }
     }
 
-    fn report_node_start(&mut self, host: usize) {
+    fn report_node_uptime(&mut self, host: usize) {
         let name = format!("node-{}", self.below(NODES));
-        let up = seconds(20.0 * self.fraction());
+        let uptime = seconds(20.0 * self.fraction());
         if let Some(node) = self.hosts[host].core.nodes().number(&name) {
-            self.hosts[host].core.handle_node_uptime(self.now, node, up);
+            self.hosts[host].core.handle_node_uptime(self.now, node, uptime);
         }
     }
 
-    fn ask(&mut self, host: usize, ask: AdminRequest) {
+    fn send_admin_request(&mut self, host: usize, request: AdminRequest) {
         self.admin_requests += 1;
-        self.hosts[host].core.handle_admin_request(self.now, self.admin_requests, ask);
+        self.hosts[host].core.handle_admin_request(self.now, self.admin_requests, request);
     }
 
-    fn ask_for_override(&mut self, host: usize) {
+    fn set_override(&mut self, host: usize) {
         let target = match self.below(4) {
             0 => Target::Zone(self.below(2)),
             1 => Target::Shard(self.below(SHARDS)),
@@ -906,14 +907,15 @@
             origin: None,
         };
         let (force, dry_run) = (self.below(3) == 0, self.below(8) == 0);
-        self.ask(host, AdminRequest::Set { override_request, force, dry_run, if_version: None });
+        let set = AdminRequest::Set { override_request, force, dry_run, if_version: None };
+        self.send_admin_request(host, set);
     }
 
     fn clear_override(&mut self, host: usize) {
         let known = self.hosts[host].override_ids.len();
         let newest = known.saturating_sub(1 + self.below(3) as usize);
         let id = self.hosts[host].override_ids.get(newest).copied().unwrap_or(UNKNOWN_OVERRIDE);
-        self.ask(host, AdminRequest::Clear { id, who: "operator".into() });
+        self.send_admin_request(host, AdminRequest::Clear { id, who: "operator".into() });
     }
 
     fn apply_plan(&mut self, host: usize) {
@@ -924,17 +926,17 @@
         let steps = vec![Step::Plan { name: "limited".into(), to: Some(plan) }];
         let change = Change { base, steps, who: "operator".into(), why: "demand".into() };
         let dry_run = self.below(8) == 0;
-        self.ask(host, AdminRequest::Plan(PlanRequest::Apply { change, dry_run }));
+        self.send_admin_request(host, AdminRequest::Plan(PlanRequest::Apply { change, dry_run }));
     }
 
-    fn ask_for_status(&mut self, host: usize) {
+    fn request_status(&mut self, host: usize) {
         let address = node_address(self.below(NODES));
         match self.below(5) {
-            0 => self.ask(host, AdminRequest::List),
-            1 => self.ask(host, AdminRequest::Status),
-            2 => self.ask(host, AdminRequest::Explain { address }),
-            3 => self.ask(host, AdminRequest::Members),
-            _ => self.ask(host, AdminRequest::Plan(PlanRequest::Show)),
+            0 => self.send_admin_request(host, AdminRequest::List),
+            1 => self.send_admin_request(host, AdminRequest::Status),
+            2 => self.send_admin_request(host, AdminRequest::Explain { address }),
+            3 => self.send_admin_request(host, AdminRequest::Members),
+            _ => self.send_admin_request(host, AdminRequest::Plan(PlanRequest::Show)),
         }
     }
 
@@ -944,18 +946,18 @@
         self.hosts[host].core.handle_wall_clock(self.now, wall_us);
     }
 
-    /// The store is done with what it was given, or has failed.
-    fn acknowledge(&mut self, host: usize) {
-        for request in std::mem::take(&mut self.hosts[host].unacknowledged) {
+    /// Completes all pending writes of a host's store; some of them fail.
+    fn complete_writes(&mut self, host: usize) {
+        for request in std::mem::take(&mut self.hosts[host].pending_writes) {
             let result = if self.below(12) == 0 { Err("no space left".to_owned()) } else { Ok(()) };
             self.hosts[host].core.handle_persisted(self.now, request, result.map_err(PersistError));
         }
     }
 }
 
-/// What a run must at least have held.
+/// Asserts that everything happened at least a minimum number of times.
 fn assert_not_trivial(counts: &Counts) {
-    let held = [
+    let minimums = [
         ("sends", u64::from(counts.sends), 3000),
         ("retries", counts.retries, 120),
         ("timeouts", counts.timeouts, 120),
@@ -964,33 +966,33 @@
         ("failed", u64::from(counts.failed), 120),
         ("cancels", u64::from(counts.cancels), 120),
         ("cuts", u64::from(counts.cuts), 96),
-        ("calls for the node list", u64::from(counts.list_calls), 120),
-        ("writes to the store", u64::from(counts.writes_to_store), 220),
+        ("calls for the endpoint list", u64::from(counts.list_calls), 120),
+        ("writes to the store", u64::from(counts.store_writes), 220),
         ("overrides set", u64::from(counts.overrides_set), 60),
         ("overrides cleared", u64::from(counts.overrides_cleared), 11),
         ("plans applied", u64::from(counts.plans_applied), 18),
         ("refused", u64::from(counts.refused), 60),
         ("datagrams", u64::from(counts.datagrams), 3000),
-        ("log lines", u64::from(counts.log_lines), 300),
+        ("events", u64::from(counts.events), 300),
     ];
-    for (what, count, min) in held {
+    for (what, count, min) in minimums {
         assert!(count >= min, "{what}: {count}, fewer than {min}: {counts:?}");
     }
 }
 
-fn check(setting: &Setting, expected: [&str; SEEDS.len()]) {
+fn check(variant: &Variant, expected: [&str; SEEDS.len()]) {
     let mut hashes = Vec::new();
     for seed in SEEDS {
-        let (hash, counts) = Run::new(setting, seed).finish();
+        let (hash, counts) = Run::new(variant, seed).run();
         assert_not_trivial(&counts);
         hashes.push(hash);
     }
     assert_eq!(hashes, expected);
 }
 
-/// A refactoring changes an output that no other test looks at. The hash over all outputs shows it, for few hosts.
+/// A refactoring may change an output that no other test checks. The hash of all outputs detects it, here with few hosts.
 #[test]
-fn few_hosts_give_the_recorded_outputs() {
+fn outputs_with_few_hosts_match_the_recorded_hashes() {
     check(
         &FEW_HOSTS,
         [
@@ -1002,9 +1004,9 @@
     );
 }
 
-/// The same with many hosts, where concurrency limits fall below one and requests pause.
+/// The settings specify many hosts, so that concurrency limits fall below one and requests pause.
 #[test]
-fn many_hosts_give_the_recorded_outputs() {
+fn outputs_with_many_hosts_match_the_recorded_hashes() {
     check(
         &MANY_HOSTS,
         [
@@ -1016,11 +1018,11 @@
     );
 }
 
-/// The same with small tables, where most commands meet a bound.
+/// The tables are small, so that most commands reach a limit.
 #[test]
-fn tight_bounds_give_the_recorded_outputs() {
+fn outputs_with_small_tables_match_the_recorded_hashes() {
     check(
-        &TIGHT_BOUNDS,
+        &SMALL_TABLES,
         [
             "3da914208bf9b2d03dd7babc78e041b31e76d719116d1d225e207f16ab00b078",
             "6b75432dd52817a9de371839479be0bc96c7aaeb5fb8163c636fce93aeec4265",
@@ -1030,10 +1032,10 @@
     );
 }
 
-/// An output that depends on the order of a hash map would make the recorded hashes useless.
+/// An output that depended on the iteration order of a hash map would make the recorded hashes useless.
 #[test]
 fn the_same_seed_gives_the_same_hash_twice() {
-    let hash = |seed| Run::new(&FEW_HOSTS, seed).finish().0;
+    let hash = |seed| Run::new(&FEW_HOSTS, seed).run().0;
     assert_eq!(hash(SEEDS[0]), hash(SEEDS[0]));
     assert_ne!(hash(SEEDS[0]), hash(SEEDS[1]));
 }
--- a/crates/host-core/tests/object_requests.rs
+++ b/crates/host-core/tests/object_requests.rs
@@ -1,4 +1,4 @@
-//! Requests for objects, in virtual time: on the same path as block commands.
+//! Tests of object requests in virtual time.
 
 use bytes::Bytes;
 use std::collections::BTreeSet;
@@ -20,7 +20,7 @@
     sent: Vec<SendAttempt>,
     answers: Vec<(u32, Verdict)>,
     cancelled: Vec<AttemptId>,
-    /// How long clients wait.
+    /// The time until the deadline of each submitted request.
     time_left: TimeDelta,
 }
 
@@ -78,12 +78,18 @@
             cancelled: vec![],
             time_left: seconds(1.0),
         };
-        fixture.list(now, ListKind::Saved, 0, &[("a", "1.1.1.1:1", 0, NodeState::Ready)]);
+        fixture.handle_list(now, ListKind::Saved, 0, &[("a", "1.1.1.1:1", 0, NodeState::Ready)]);
         fixture
     }
 
-    fn list(&mut self, now: Instant, kind: ListKind, version: u64, lines: &[(&str, &str, u32, NodeState)]) {
-        let line = |(id, address, shard, state): &(&str, &str, u32, NodeState)| ListEntry {
+    fn handle_list(
+        &mut self,
+        now: Instant,
+        kind: ListKind,
+        version: u64,
+        entries: &[(&str, &str, u32, NodeState)],
+    ) {
+        let entry = |(id, address, shard, state): &(&str, &str, u32, NodeState)| ListEntry {
             id: id.to_string(),
             address: address.to_string(),
             state: *state,
@@ -91,9 +97,9 @@
             shard: ShardId(*shard),
             start: None,
         };
-        let lines: Vec<ListEntry> = lines.iter().map(line).collect();
+        let entries: Vec<ListEntry> = entries.iter().map(entry).collect();
         let from = self.core.list_version();
-        self.core.handle_endpoint_list(now, kind, from, version, &lines);
+        self.core.handle_endpoint_list(now, kind, from, version, &entries);
         self.poll_outputs(now);
     }
 
@@ -115,8 +121,8 @@
 
     fn poll_outputs(&mut self, now: Instant) {
         self.core.handle_timeout(now);
-        while let Some(o) = self.core.poll_output(now) {
-            match o {
+        while let Some(output) = self.core.poll_output(now) {
+            match output {
                 Output::Send(attempt) => self.sent.push(*attempt),
                 Output::Answer { to, verdict } => self.answers.push((to.command, verdict)),
                 Output::Cancel { attempt, .. } | Output::Cut { attempt, .. } => self.cancelled.push(attempt),
@@ -127,8 +133,8 @@
 
     fn run_for(&mut self, from: Instant, secs: f64) -> Instant {
         let end = from + seconds(secs);
-        while let Some(t) = self.core.poll_timeout(from).filter(|t| *t <= end) {
-            self.poll_outputs(t);
+        while let Some(timeout) = self.core.poll_timeout(from).filter(|timeout| *timeout <= end) {
+            self.poll_outputs(timeout);
         }
         self.poll_outputs(end);
         end
@@ -151,7 +157,7 @@
     }
 }
 
-/// The host does not know what a request for an object means, so it must change neither its bytes nor those of its answer.
+/// Object requests are opaque to the host, so it must change neither their bytes nor those of their answers.
 #[test]
 fn an_object_request_and_its_answer_pass_unchanged() {
     let mut fixture = Fixture::new(8, 8, 8);
@@ -165,11 +171,10 @@
     assert_eq!(fixture.core.open_counts(), OpenCounts::default());
 }
 
-/// An attempt fails with or without a chance that it ran. A second run of a request that is not idempotent could
-/// take effect twice.
+/// An attempt fails, and may or may not have run. A non-idempotent request that runs a second time could take effect twice.
 #[test]
 fn an_attempt_that_may_have_run_is_retried_only_if_that_is_safe() {
-    // The outcome of the first attempt, and for each effect: whether it is retried, or how it is answered.
+    // The outcome of the first attempt, and for each effect whether the request is retried or how it is answered.
     let cases = [
         (Outcome::Error, ["retried", "failed", "failed"]),
         (Outcome::Reset, ["retried", "failed", "failed"]),
@@ -194,56 +199,52 @@
     }
 }
 
-/// More requests arrive than the tables hold, and the node never answers. Each client must get one answer by its
-/// deadline.
+/// More requests arrive than the tables hold, and the node never answers. Each client must get one answer by its deadline.
 #[test]
-fn each_request_gets_one_answer_by_its_deadline_and_full_tables_name_a_retry_after() {
+fn each_request_gets_one_answer_by_its_deadline_and_full_tables_give_a_retry_after() {
     let mut fixture = Fixture::new(4, 8, 2);
     let mut now = at(10.0);
     for command in 0..20 {
         fixture.submit(now, command, 0, u64::from(command % 5));
     }
     let early = fixture.answers.len();
-    assert!(early >= 12, "the tables hold four: {early}");
-    let has_retry_after = fixture
-        .answers
-        .iter()
-        .all(|(_, v)| matches!(v, Verdict::Rejected { retry_after: Some(w) } if *w > TimeDelta::ZERO));
-    assert!(has_retry_after, "{:?}", fixture.answers);
-    // A node that never answers: open requests end at their deadlines, and their attempts are cancelled.
+    assert!(early >= 12, "the tables hold four requests, and {early} were answered at once");
+    let has_retry_after = |verdict: &Verdict| matches!(verdict, Verdict::Rejected { retry_after: Some(wait) } if *wait > TimeDelta::ZERO);
+    assert!(fixture.answers.iter().all(|(_, verdict)| has_retry_after(verdict)), "{:?}", fixture.answers);
+    // The open requests end at their deadlines, and their attempts are cancelled.
     let claimed = fixture.sent.drain(..).filter(|attempt| attempt.ticket.claim()).count();
     now = fixture.run_for(now, 1.2);
-    let mut ids: Vec<u32> = fixture.answers.iter().map(|(c, _)| *c).collect();
+    let mut ids: Vec<u32> = fixture.answers.iter().map(|(command, _)| *command).collect();
     ids.sort();
-    assert_eq!(ids, (0..20).collect::<Vec<_>>(), "one answer each");
+    assert_eq!(ids, (0..20).collect::<Vec<_>>(), "not one answer for each request");
     assert!(fixture.cancelled.len() >= claimed);
     assert_eq!(fixture.core.open_counts(), OpenCounts::default());
-    // The volume that was unused longest is evicted.
+    // The least recently used volume is evicted.
     fixture.submit(now, 30, 0, 99);
     assert_eq!(fixture.sent.len(), 1);
 }
 
-/// A node moves to another address, and others are replaced again and again under new ids. What is known of the one
-/// must stay, and the table must not grow.
+/// A node moves to another address, and other nodes are replaced repeatedly under new ids. The state of the moved node must be kept, and
+/// the table must not grow.
 #[test]
 fn a_node_keeps_its_number_when_it_moves_and_replaced_nodes_are_evicted() {
     let mut fixture = Fixture::new(8, 100, 8);
     let number = fixture.core.nodes().number("a").unwrap();
-    fixture.list(at(11.0), ListKind::Changes, 1, &[("a", "2.2.2.2:2", 0, NodeState::Ready)]);
+    fixture.handle_list(at(11.0), ListKind::Changes, 1, &[("a", "2.2.2.2:2", 0, NodeState::Ready)]);
     assert_eq!(fixture.core.nodes().address(number), Some("2.2.2.2:2"));
     for i in 0..500u32 {
         let (new, old) = (format!("n{}", i + 1), format!("n{i}"));
-        let lines = [(&*new, "3.3.3.3:3", 1, NodeState::Ready), (&*old, "3.3.3.3:3", 1, NodeState::Gone)];
-        fixture.list(at(12.0 + f64::from(i)), ListKind::Changes, u64::from(i) + 2, &lines);
+        let entries = [(&*new, "3.3.3.3:3", 1, NodeState::Ready), (&*old, "3.3.3.3:3", 1, NodeState::Gone)];
+        fixture.handle_list(at(12.0 + f64::from(i)), ListKind::Changes, u64::from(i) + 2, &entries);
         assert!(fixture.core.nodes().entries().count() <= 2 + 64 + 1);
     }
     assert!(fixture.core.nodes().number("n500").is_some() && fixture.core.nodes().number("n3").is_none());
     assert_eq!(fixture.core.nodes().number("a"), Some(number));
 }
 
-/// A node fails each attempt at once, the client waits for ten minutes, and the settings name no bound on attempts. The id of an attempt has
-/// eight bits for its number: the 257th would have the id of the first, and the answer to it would be taken for a late one. So a request
-/// has no more attempts than their ids distinguish, and is answered after them.
+/// A node fails each attempt at once, the client waits for ten minutes, and the settings do not limit the attempts. An attempt id has 8
+/// bits for the attempt's number, so the 257th attempt would have the id of the first, and its answer would be dropped as a late one. The
+/// request must be answered after 256 attempts.
 #[test]
 fn a_request_has_no_more_attempts_than_their_ids_distinguish() {
     let mut fixture = Fixture::with_attempts(u32::MAX, seconds(600.0), 8, 8, 8);
