--- a/crates/benchlink/src/host.rs
+++ b/crates/benchlink/src/host.rs
@@ -38,7 +38,7 @@
             keys: Names::default(),
             timer_at: None,
             timer_number: 0,
-            waiting_at: settings.waiting_at(),
+            waiting_at: settings.queue_length_position(),
             reports_others: settings.reports_peer_service,
         })
     }
--- a/crates/platform-host/src/host/peer_link.rs
+++ b/crates/platform-host/src/host/peer_link.rs
@@ -26,7 +26,7 @@
         let Some(peers) = &configuration.peers else { return Ok(None) };
         let socket = bind_peer_socket(peers.listen, poller)
             .map_err(|problem| StartError::PeerListen { address: peers.listen, problem })?;
-        let me = configuration.settings.me as usize;
+        let me = configuration.settings.host_number as usize;
         let service_rates = ServiceRateReplication::new(now, me, peers.hosts.clone());
         Ok(Some(PeerLink { socket, service_rates }))
     }
--- a/crates/platform/src/configuration.rs
+++ b/crates/platform/src/configuration.rs
@@ -76,7 +76,7 @@
             None | Some(Value::Null) => None,
             Some(list) => Some(List::from_value(list, &settings).map_err(|error| error.within("known"))?),
         };
-        let peers = match (settings.peers, all.get("peers")) {
+        let peers = match (settings.allows_datagrams, all.get("peers")) {
             (false, _) | (true, None | Some(Value::Null)) => None,
             (true, Some(addresses)) => {
                 let hosts = peer_addresses(addresses)?;
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -35,7 +35,7 @@
 impl Reports {
     /// By the settings.
     pub fn of(settings: &Settings) -> Self {
-        Reports { waiting: settings.waiting_at().is_some() }
+        Reports { waiting: settings.queue_length_position().is_some() }
     }
 
     /// Reads an answer.
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -45,9 +45,9 @@
     /// Hosts that share the nodes.
     pub hosts: u32,
     /// This host's number.
-    pub me: u32,
+    pub host_number: u32,
     /// Whether hosts may send each other datagrams.
-    pub peers: bool,
+    pub allows_datagrams: bool,
     /// Resolution of the host's timers.
     pub granularity: TimeDelta,
     /// Mean size of a request in units.
@@ -102,8 +102,8 @@
         let sends_retry_after = limits.get("retry_after").and_then(Value::as_bool).unwrap_or(false);
         Ok(Settings {
             hosts: number_or(env, "balancers", 1.0)? as u32,
-            me: number_or(env, "me", 0.0)? as u32,
-            peers: limits.get("peers").and_then(Value::as_bool).unwrap_or(false),
+            host_number: number_or(env, "me", 0.0)? as u32,
+            allows_datagrams: limits.get("peers").and_then(Value::as_bool).unwrap_or(false),
             granularity: time_delta(env, "granularity")?,
             mean_units: number_or(&domain, "unit_mean", 1.0)?,
             max_units: number_or(&domain, "largest", 0.0)?,
@@ -160,7 +160,7 @@
     }
 
     /// The position of the number of waiting requests in a load report.
-    pub fn waiting_at(&self) -> Option<usize> {
+    pub fn queue_length_position(&self) -> Option<usize> {
         self.report.iter().position(|field| field == "q")
     }
 
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -56,7 +56,7 @@
     assert_eq!(known.members[0].up_since_ms, None, "0 stands for unknown");
     let settings = configuration.settings;
     assert_eq!(
-        (settings.hosts, settings.longest_wait, settings.waiting_at()),
+        (settings.hosts, settings.longest_wait, settings.queue_length_position()),
         (4, TimeDelta::from_secs(0.5), Some(0))
     );
     // The path, a wrong value, and parts of the error.
