--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,41 +1,42 @@
-//! Bodies by length, in chunks, or to the end of the connection, read from a buffer as their bytes arrive.
+//! Reads message bodies incrementally from a buffer: by Content-Length, in chunks, or until the connection closes.
 
 use crate::MessageError;
 use bytes::{Buf, BytesMut};
 
-/// Bytes of a chunk's size line, at most.
+/// Maximum length of the line with a chunk's size and extensions, in bytes.
 const MAX_SIZE_LINE_LEN: usize = 256;
-/// Bytes of all trailers together, at most.
+/// Maximum length of the trailer section, in bytes without line ends.
 const MAX_TRAILERS_LEN: usize = 4096;
-/// Hex digits of a chunk's size, at most.
+/// Maximum number of hex digits in a chunk's size; 15 digits can't overflow 64 bits.
 const MAX_SIZE_DIGITS: usize = 15;
 const LINE_END: &[u8] = b"\r\n";
 
-/// How the end of a body is found (section 6.3).
+/// How the length of a body is determined (section 6.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Framing {
-    /// By the number of its bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// By a chunk of size 0.
+    /// The body is in chunks; a chunk of size 0 ends it.
     Chunked,
-    /// By the end of the connection (rule 8 of that section): a response only, and complete only where that ends in order.
+    /// The body ends when the connection closes (rule 8 of that section). Only a response may be framed in this way, and it is complete
+    /// only after an orderly close.
     UntilClose,
 }
 
-/// What is read next.
+/// What a reader expects next.
 #[derive(Clone, Copy, Debug)]
 enum State {
-    /// So many bytes of the body, or of a chunk.
+    /// This many more bytes of the body or of the current chunk.
     Bytes(usize),
     UntilClose,
     ChunkSize,
     ChunkEnd,
-    /// Trailers, of which so many bytes were read.
+    /// The rest of the trailer section, of which this many bytes were read.
     Trailers(usize),
     Done,
 }
 
-/// What was received of a body.
+/// Reads one body and keeps what was received of it.
 #[derive(Debug)]
 pub(crate) struct BodyReader {
     received: BytesMut,
@@ -57,17 +58,17 @@
         Ok(BodyReader { received: BytesMut::new(), state, is_chunked, max_len })
     }
 
-    /// Whether only the end of the connection ends it.
+    /// Returns whether the body ends only when the connection closes.
     pub(crate) fn ends_with_connection(&self) -> bool {
         matches!(self.state, State::UntilClose)
     }
 
-    /// What was received, as the connection has ended.
+    /// Returns what was received of the body.
     pub(crate) fn into_received(self) -> BytesMut {
         self.received
     }
 
-    /// Reads what belongs to the body; returns all of it, once it is there in full.
+    /// Removes the body's bytes from `buffer`. Returns the whole body once it is complete, and `None` until then.
     pub(crate) fn read(&mut self, buffer: &mut BytesMut) -> Result<Option<BytesMut>, MessageError> {
         loop {
             let next = match self.state {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// The state after all of the bytes; none where some are missing.
+    /// Returns the next state, or `None` while some of the `remaining` bytes are missing.
     fn read_bytes(&mut self, buffer: &mut BytesMut, remaining: usize) -> Option<State> {
         let count = remaining.min(buffer.len());
         self.received.extend_from_slice(&buffer[..count]);
@@ -97,7 +98,7 @@
         Some(if self.is_chunked { State::ChunkEnd } else { State::Done })
     }
 
-    /// Never done before the connection ends.
+    /// Reads all that is in the buffer. Returns no next state, as only the end of the connection completes the body.
     fn read_all(&mut self, buffer: &mut BytesMut) -> Result<Option<State>, MessageError> {
         if buffer.len() > self.available_len() {
             return Err(MessageError::BodyTooLong);
@@ -143,7 +144,7 @@
     Ok(Some(State::Trailers(seen)))
 }
 
-/// One line without its end; none if it is not complete.
+/// Removes one line from `buffer` and returns it without its CRLF, or `None` while it is incomplete.
 fn read_line(buffer: &mut BytesMut, max_len: usize) -> Result<Option<BytesMut>, MessageError> {
     let end = buffer.iter().take(max_len + LINE_END.len()).position(|byte| *byte == b'\n');
     let Some(end) = end else {
@@ -157,7 +158,7 @@
     Ok(Some(line))
 }
 
-/// The size before any chunk extension.
+/// Parses the size of a chunk and ignores its extensions.
 fn parse_chunk_size(line: &[u8]) -> Result<usize, MessageError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let digits = std::str::from_utf8(digits).map_err(|_| MessageError::Chunk)?.trim_end_matches([' ', '\t']);
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,18 +1,18 @@
-//! The length of a head, and parsing within the limits: what the heads of requests and responses have in common.
+//! What parsing the heads of requests and of responses has in common: the limits, and the length of a complete head.
 
 use crate::body::Framing;
 use crate::MessageError;
 use httparse::Status;
 
-/// Header fields of one head, at most.
+/// Maximum number of header fields in one head.
 pub(crate) const MAX_FIELDS: usize = 64;
 
-/// Bytes of one head, and of one body, at most. A head cut off here has had several times what this protocol needs.
+/// Maximum lengths of the parts of a message. The default limit on heads is several times what the protocol of the platform needs.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of a head, with all its fields.
+    /// Maximum length of a head with all its fields, in bytes.
     pub max_head_len: usize,
-    /// Bytes of a body, without the framing of its chunks.
+    /// Maximum length of a body in bytes, without the framing of its chunks.
     pub max_body_len: usize,
 }
 
@@ -22,17 +22,17 @@
     }
 }
 
-/// A head that is there in full.
+/// A complete head.
 pub(crate) struct ParsedHead<T> {
-    /// The message, without its body.
+    /// The message, with an empty body.
     pub message: T,
-    /// How the body is framed, if a header field determines it.
+    /// How the length of the body is determined; `None` where no header field says it.
     pub framing: Option<Framing>,
-    /// Bytes of the head.
+    /// Length of the head in bytes.
     pub len: usize,
 }
 
-/// The length of a head of which `received` bytes are there, once it is there in full.
+/// Returns the length of a head in bytes, or `None` while it is incomplete. `received` is the number of bytes that were parsed.
 pub(crate) fn complete_len(
     parsed: Result<Status<usize>, httparse::Error>,
     received: usize,
--- a/crates/http/src/headers.rs
+++ b/crates/http/src/headers.rs
@@ -1,12 +1,12 @@
-//! Header fields, and what they determine of the connection and the body.
+//! Header fields, and what they say about the persistence of the connection and the framing of the body.
 
 use crate::body::Framing;
 use crate::MessageError;
 
-/// The minor version of HTTP/1.0, whose connections end after each message unless a field asks to keep them.
+/// The minor version of HTTP/1.0, whose connections close after each message unless `Connection: keep-alive` is sent.
 pub(crate) const HTTP_1_0: u8 = 0;
 
-/// Header fields by name, of a head that was understood in full.
+/// The header fields of a message in the order received, with names in lower case and values without surrounding whitespace.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers(Vec<(String, String)>);
 
@@ -19,29 +19,30 @@
         fields.iter().map(field).collect::<Result<_, _>>().map(Headers)
     }
 
-    /// All values under a name, which is given in lower case.
+    /// Returns all values of the field `name`, which is given in lower case.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.0.iter().filter(move |(n, _)| n == name).map(|(_, value)| value.as_str())
     }
 
-    /// The first value under a name, which is given in lower case.
+    /// Returns the first value of the field `name`, which is given in lower case.
     pub fn first(&self, name: &str) -> Option<&str> {
         self.0.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
     }
 
+    /// Returns whether a list-based field contains `token`, compared without regard to case.
     fn has_token(&self, name: &str, token: &str) -> bool {
         let mut tokens = self.all(name).flat_map(|value| value.split(','));
         tokens.any(|t| t.trim().eq_ignore_ascii_case(token))
     }
 
-    /// Whether the connection ends with this message of HTTP 1.`minor_version`.
+    /// Returns whether the connection closes after this message of HTTP/1.`minor_version` (section 9.3).
     pub(crate) fn closes_connection(&self, minor_version: u8) -> bool {
         let keeps_alive = minor_version != HTTP_1_0 || self.has_token("connection", "keep-alive");
         self.has_token("connection", "close") || !keeps_alive
     }
 
-    /// How the body is framed (section 6). Both lengths at once may hide a second message in the body, and so may two lengths,
-    /// even where they agree: refused.
+    /// Returns how the body is framed (section 6), or `None` where no field determines it. Transfer-Encoding together with
+    /// Content-Length, or two Content-Length fields, even equal ones, may hide a second message in the body, so both are errors.
     pub(crate) fn framing(&self) -> Result<Option<Framing>, MessageError> {
         let mut lengths = self.all("content-length");
         let (length, has_second_length) = (lengths.next(), lengths.next().is_some());
@@ -58,7 +59,7 @@
         if has_second_length || !is_number {
             return Err(MessageError::ContentLength);
         }
-        // More digits than a number holds: far over any limit.
+        // A number that overflows 64 bits exceeds any limit on bodies.
         text.parse().map_or(Err(MessageError::BodyTooLong), |length| Ok(Some(Framing::Length(length))))
     }
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,14 +1,14 @@
-//! HTTP/1.1 without I/O: bytes in, messages out. Requests are read from clients and responses from nodes, both incrementally and
-//! with limits; a message that two parsers could read differently is refused, as it may hide a second message. Section numbers
-//! without a document are those of RFC 9112.
+//! An HTTP/1.1 parser without I/O. It reads requests from clients and responses from nodes, both incrementally and within limits.
+//! A message that two parsers could read differently is an error, as it may hide a second message (request smuggling). Section
+//! numbers without a document are those of RFC 9112.
 //!
-//! | file | job |
+//! | module | contents |
 //! | --- | --- |
-//! | `request`, `response` | readers of one connection's requests, and of the response to one request |
-//! | `head` | the length of a head, and parsing within the limits |
-//! | `headers` | header fields, and what they determine of the connection and the body |
-//! | `body` | bodies by length, in chunks, or to the end of the connection |
-//! | `error` | what can be wrong with a message |
+//! | `request`, `response` | readers of the requests of one connection, and of the response to one request |
+//! | `head` | limits, and the length of a complete head |
+//! | `headers` | header fields, persistence of the connection, framing of the body |
+//! | `body` | bodies by Content-Length, in chunks, or until the connection closes |
+//! | `error` | errors in received messages |
 //! | `status` | reason phrases of status codes |
 
 #![warn(missing_docs, unreachable_pub)]
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -1,4 +1,4 @@
-//! Reads one connection's requests, as clients send them.
+//! Reads the requests that a client sends on one connection.
 
 use crate::body::{BodyReader, Framing};
 use crate::head::{complete_len, Limits, ParsedHead, MAX_FIELDS};
@@ -6,64 +6,64 @@
 use crate::MessageError;
 use bytes::{Buf, Bytes, BytesMut};
 
-/// A request.
+/// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// GET, PUT and so on.
+    /// The method, such as `GET`. It is case-sensitive.
     pub method: String,
-    /// The request target: path and query.
+    /// The request target as it was received: usually a path and a query.
     pub target: String,
-    /// Its header fields.
+    /// The header fields.
     pub headers: Headers,
-    /// Its body; empty where it has none.
+    /// The body without the framing of its chunks; empty where the request has none.
     pub body: Bytes,
-    /// The client wants the connection to end after its response.
+    /// Whether the connection closes after the response, as the client's version or Connection field says.
     pub closes: bool,
 }
 
-/// One connection's requests, one after the other.
+/// Reads the requests of one connection in the order in which they arrive.
 #[derive(Debug)]
 pub struct RequestReader {
     limits: Limits,
     buffer: BytesMut,
-    /// The request whose body is awaited.
+    /// The request whose body is incomplete.
     incomplete: Option<(Request, BodyReader)>,
-    /// That request waits for `100 Continue` before it sends its body (RFC 9110, section 10.1.1).
+    /// Whether the client of that request may wait for `100 Continue` before it sends the body (RFC 9110, section 10.1.1).
     expects_continue: bool,
 }
 
 impl RequestReader {
-    /// A reader of a new connection.
+    /// Creates a reader for a new connection.
     pub fn new(limits: Limits) -> Self {
         RequestReader { limits, buffer: BytesMut::new(), incomplete: None, expects_continue: false }
     }
 
-    /// Takes bytes that were received.
+    /// Appends bytes that were received on the connection.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether part of a request was received.
+    /// Returns whether bytes were received that [`next_request`](Self::next_request) has not returned as part of a request.
     pub fn has_partial_request(&self) -> bool {
         self.incomplete.is_some() || !self.buffer.is_empty()
     }
 
-    /// Bytes that were received and not parsed yet.
+    /// Returns the number of bytes that were received and not parsed yet.
     pub fn buffered_len(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Bytes of memory that this reader may use now.
+    /// Returns the bytes of memory to count for this reader: its buffer, and the limit on bodies while a body is incomplete.
     pub fn reserved_len(&self) -> usize {
         self.buffer.capacity() + self.incomplete.as_ref().map_or(0, |_| self.limits.max_body_len)
     }
 
-    /// Whether `100 Continue` is to be sent now; true once a request.
+    /// Returns whether `100 Continue` is to be sent now. Returns `true` at most once for each request.
     pub fn take_expects_continue(&mut self) -> bool {
         std::mem::take(&mut self.expects_continue)
     }
 
-    /// The next request that was received in full.
+    /// Returns the next request, or `None` until it was received completely.
     pub fn next_request(&mut self) -> Result<Option<Request>, MessageError> {
         if self.incomplete.is_none() && !self.read_head()? {
             return Ok(None);
@@ -77,9 +77,9 @@
         Ok(self.incomplete.take().map(|(request, _)| Request { body: body.freeze(), ..request }))
     }
 
-    /// Reads the head of the next request; false where it is not there in full.
+    /// Reads the head of the next request. Returns `false` while it is incomplete.
     fn read_head(&mut self) -> Result<bool, MessageError> {
-        // Empty lines before a request are skipped (section 2.2).
+        // Empty lines before a request line are ignored (section 2.2).
         while self.buffer.starts_with(b"\r\n") {
             self.buffer.advance(2);
         }
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -1,4 +1,4 @@
-//! Reads the response to one request, as nodes and the node list send it.
+//! Reads the response to one request, from a node or from the service that has the endpoint list.
 
 use crate::body::{BodyReader, Framing};
 use crate::head::{complete_len, Limits, ParsedHead, MAX_FIELDS};
@@ -13,53 +13,53 @@
 /// The status of a response that never has a body (RFC 9110, 15.4.5).
 const NOT_MODIFIED: u16 = 304;
 
-/// A response.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// Its status code.
+    /// The status code.
     pub status: u16,
-    /// Its header fields.
+    /// The header fields.
     pub headers: Headers,
-    /// Its body; empty where it has none.
+    /// The body without the framing of its chunks; empty where the response has none.
     pub body: Bytes,
-    /// The connection ends with this response.
+    /// Whether the connection closes after this response: its version or Connection field says so, or only the close ends its body.
     pub closes: bool,
 }
 
-/// The response to one request.
+/// Reads the response to one request and skips interim responses (1xx) before it.
 #[derive(Debug)]
 pub struct ResponseReader {
     limits: Limits,
     buffer: BytesMut,
-    /// The response whose body is awaited.
+    /// The response whose body is incomplete.
     incomplete: Option<(Response, BodyReader)>,
-    /// Bytes of interim responses so far.
+    /// Total length of the interim responses so far, in bytes.
     interim_len: usize,
 }
 
 impl ResponseReader {
-    /// A reader for a request that is sent now.
+    /// Creates a reader for the response to a new request.
     pub fn new(limits: Limits) -> Self {
         ResponseReader { limits, buffer: BytesMut::new(), incomplete: None, interim_len: 0 }
     }
 
-    /// Takes bytes that were received.
+    /// Appends bytes that were received on the connection.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether there are bytes beyond the response. There is no request that they could belong to.
+    /// Returns whether bytes follow the response. They answer no request, as the reader is for one request only.
     pub fn has_trailing_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Whether the response's head is complete and its body ends with the connection.
+    /// Returns whether the head is complete and the body ends only when the connection closes.
     pub fn ends_with_connection(&self) -> bool {
         self.incomplete.as_ref().is_some_and(|(_, reader)| reader.ends_with_connection())
     }
 
-    /// The connection was closed in order: the response that ends with it is complete. A connection that broke cuts it off; this
-    /// must not be called then.
+    /// Handles an orderly close of the connection. Returns the response if the close completes it, and `None` otherwise. It must not
+    /// be called after a connection reset, as the response may be truncated then.
     pub fn handle_close(&mut self) -> Result<Option<Response>, MessageError> {
         if !self.ends_with_connection() {
             return Ok(None);
@@ -69,7 +69,7 @@
             .map(|(response, reader)| Response { body: reader.into_received().freeze(), ..response }))
     }
 
-    /// The response, once it was received in full.
+    /// Returns the response, or `None` until it was received completely.
     pub fn next_response(&mut self) -> Result<Option<Response>, MessageError> {
         while self.incomplete.is_none() {
             let Some(head) = parse_head(&self.buffer, self.limits)? else { return Ok(None) };
@@ -84,7 +84,8 @@
         Ok(self.incomplete.take().map(|(response, _)| Response { body: body.freeze(), ..response }))
     }
 
-    /// Counts an interim response. 101 would change the protocol, which no request asks for.
+    /// Skips an interim response. All of them together may be as long as one head. Status 101 is an error, as no request here asks for
+    /// another protocol.
     fn skip_interim(&mut self, head: &ParsedHead<Response>) -> Result<(), MessageError> {
         self.interim_len += head.len;
         if head.message.status == SWITCHING_PROTOCOLS || self.interim_len > self.limits.max_head_len {
--- a/crates/http/src/status.rs
+++ b/crates/http/src/status.rs
@@ -1,6 +1,6 @@
 //! Reason phrases of status codes.
 
-/// The usual reason phrase of a status code (RFC 9110, section 15).
+/// Returns the reason phrase of a status code as RFC 9110, section 15, recommends it, or `Other` for a code without an entry here.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -1,18 +1,18 @@
-//! Messages, valid and not, whole and in pieces. Each case is read at once and split at every byte: the result must not depend on how
-//! the bytes arrive.
+//! Valid and malformed messages, whole and in segments. Each case is read at once and split at every byte: the result must not depend
+//! on how the bytes arrive.
 
 use proptest::prelude::*;
 use tackmast_http::{Limits, MessageError, Request, RequestReader, Response, ResponseReader};
 
-/// Bounds that short messages reach.
+/// Limits low enough for short messages to reach them.
 const SMALL_LIMITS: Limits = Limits { max_head_len: 512, max_body_len: 64 };
 
-/// All requests in these pieces, up to the first error; and whether a part of one is left.
-fn requests(pieces: &[&[u8]]) -> (Vec<Request>, Option<MessageError>, bool) {
+/// Returns all requests in these segments up to the first error, that error, and whether part of a request is left.
+fn requests(segments: &[&[u8]]) -> (Vec<Request>, Option<MessageError>, bool) {
     let mut reader = RequestReader::new(SMALL_LIMITS);
     let mut received = Vec::new();
-    for piece in pieces {
-        reader.push(piece);
+    for segment in segments {
+        reader.push(segment);
         loop {
             match reader.next_request() {
                 Ok(Some(request)) => received.push(request),
@@ -24,12 +24,12 @@
     (received, None, reader.has_partial_request())
 }
 
-/// The first response in these pieces, or the error; and whether bytes follow it.
-fn response(pieces: &[&[u8]]) -> (Option<Response>, Option<MessageError>, bool) {
+/// Returns the first response in these segments, or the error, and whether bytes follow the response.
+fn response(segments: &[&[u8]]) -> (Option<Response>, Option<MessageError>, bool) {
     let mut reader = ResponseReader::new(SMALL_LIMITS);
     let mut received = None;
-    for piece in pieces {
-        reader.push(piece);
+    for segment in segments {
+        reader.push(segment);
         if received.is_none() {
             match reader.next_response() {
                 Ok(response) => received = response,
@@ -40,12 +40,12 @@
     (received, None, reader.has_trailing_bytes())
 }
 
-/// A request with these further header lines.
+/// Returns the text of a PUT request with a Host field and these further header lines.
 fn put(header_lines: &str, body: &str) -> String {
     format!("PUT /a HTTP/1.1\r\nHost: h\r\n{header_lines}\r\n{body}")
 }
 
-/// Requests arrive in one segment or byte by byte. Each must be read whole and in order, wherever they are split.
+/// TCP may split requests anywhere, or deliver two at once. Each must be read whole and in order.
 #[test]
 fn requests_are_read_in_order_however_they_are_split() {
     let chunked = "Transfer-Encoding: chunked\r\n";
@@ -77,8 +77,8 @@
     }
 }
 
-/// A client sends a message that two parsers could read differently, which is how a request is smuggled past the first of them. Each
-/// such message, and each one beyond the bounds, must be refused.
+/// Request smuggling: a message that two parsers read differently hides a second request from the first of them. Each such message,
+/// and each one over a limit, must be an error.
 #[test]
 fn ambiguous_or_oversized_requests_are_refused() {
     let long = format!("GET /{} HTTP/1.1\r\nHost: h\r\n\r\n", "x".repeat(600));
@@ -112,7 +112,7 @@
         ("lengths in one field", put("Content-Length: 3, 3\r\n", "abc"), MessageError::ContentLength),
         ("a huge length", put("Content-Length: 60000000\r\n", ""), MessageError::BodyTooLong),
         (
-            "a length past numbers",
+            "a length over 64 bits",
             put("Content-Length: 99999999999999999999999\r\n", ""),
             MessageError::BodyTooLong,
         ),
@@ -131,8 +131,8 @@
         ("an odd size", put(chunked, "zz\r\n"), MessageError::Chunk),
         ("a negative size", put(chunked, "-1\r\n"), MessageError::Chunk),
         ("a huge size", put(chunked, "fffffffffffffff\r\n"), MessageError::BodyTooLong),
-        ("a size past numbers", put(chunked, "ffffffffffffffffff\r\n"), MessageError::Chunk),
-        ("chunks over the bound", put(chunked, &chunk.repeat(3)), MessageError::BodyTooLong),
+        ("a size over 64 bits", put(chunked, "ffffffffffffffffff\r\n"), MessageError::Chunk),
+        ("chunks over the limit", put(chunked, &chunk.repeat(3)), MessageError::BodyTooLong),
         ("an endless size line", put(chunked, &"1".repeat(400)), MessageError::Chunk),
         ("no end of a chunk", put(chunked, "1\r\nabc"), MessageError::Chunk),
         ("a bare line end", put(chunked, "1\na\r\n"), MessageError::Chunk),
@@ -146,12 +146,12 @@
     }
 }
 
-/// A node's response ends at its length, or is not valid. A wrong end would give a client too little, or bytes of the next response.
+/// A response that ends at the wrong byte would give a client a truncated body, or bytes that belong to another response.
 #[test]
 fn response_ends_at_its_length() {
     let ok = |header_lines: &str, body: &str| format!("HTTP/1.1 200 OK\r\n{header_lines}\r\n{body}");
     let length = "Content-Length: 3\r\n";
-    // The bytes, the body or error, whether bytes follow, whether the connection ends.
+    // Name, received bytes, body or error, whether bytes follow the response, whether the connection closes after it.
     type Case = (&'static str, String, Result<&'static str, MessageError>, bool, bool);
     let cases: Vec<Case> = vec![
         ("good", ok(length, "abc"), Ok("abc"), false, false),
@@ -216,20 +216,20 @@
             assert_eq!(response(&[first, second]), whole, "{name}, split at {at}");
         }
     }
-    // A response that is cut off anywhere is not complete.
+    // A response that is truncated anywhere is not complete.
     let text = ok(length, "abc");
     for at in 0..text.len() {
-        assert_eq!(response(&[&text.as_bytes()[..at]]).0, None, "cut at {at}");
+        assert_eq!(response(&[&text.as_bytes()[..at]]).0, None, "truncated at {at}");
     }
 }
 
-/// A response without a length ends with its connection. Before that it must not be taken for complete, and one with a length must not
-/// be completed by the end.
+/// A response without a length ends when the connection closes. It must not be returned before that, and the close must not complete a
+/// truncated response that has a length or chunks.
 #[test]
-fn response_without_length_is_complete_once_its_connection_ends() {
-    let bounds = Limits { max_head_len: 500, max_body_len: 20 };
+fn response_without_length_is_complete_once_its_connection_closes() {
+    let limits = Limits { max_head_len: 500, max_body_len: 20 };
     let head = "HTTP/1.1 200 OK\r\nX-A: b\r\n\r\n";
-    // The bytes before the end of the connection, and the body.
+    // The bytes before the close of the connection, and the body or error.
     for (text, expected) in [
         (head.to_owned() + "abc", Ok(Some("abc"))),
         (head.to_owned(), Ok(Some(""))),
@@ -240,12 +240,12 @@
         (head.to_owned() + &"x".repeat(21), Err(MessageError::BodyTooLong)),
     ] {
         for at in 0..=text.len() {
-            let mut reader = ResponseReader::new(bounds);
+            let mut reader = ResponseReader::new(limits);
             let mut response = Ok(None);
-            for part in [&text[..at], &text[at..]] {
-                reader.push(part.as_bytes());
+            for segment in [&text[..at], &text[at..]] {
+                reader.push(segment.as_bytes());
                 response = reader.next_response();
-                assert!(!matches!(response, Ok(Some(_))), "{text:?}: complete before its end");
+                assert!(!matches!(response, Ok(Some(_))), "{text:?}: complete before the close");
                 if response.is_err() {
                     break;
                 }
@@ -254,41 +254,41 @@
             let end = closed.map(|response| response.map(|response| (response.body, response.closes)));
             let expected = expected.map(|body| body.map(|body| (body.as_bytes().to_vec().into(), true)));
             assert_eq!(end, expected, "{text:?} split at {at}");
-            assert!(end.is_err() || reader.handle_close() == Ok(None), "{text:?}: it is returned once");
+            assert!(end.is_err() || reader.handle_close() == Ok(None), "{text:?}: returned a second time");
         }
     }
 }
 
 proptest! {
-    /// A peer sends any bytes. A reader must neither panic nor keep more than its bounds allow.
+    /// A peer sends arbitrary bytes. A reader must neither panic nor return a body over the limit.
     #[test]
-    fn no_bytes_make_a_reader_panic_or_exceed_its_bounds(
-        pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 0..20),
+    fn arbitrary_bytes_cause_no_panic_and_no_body_over_the_limit(
+        segments in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 0..20),
         head in prop::sample::select(vec!["", "GET /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"]),
     ) {
         let mut all: Vec<&[u8]> = vec![head.as_bytes()];
-        all.extend(pieces.iter().map(|piece| &piece[..]));
+        all.extend(segments.iter().map(|segment| &segment[..]));
         let (received, _, _) = requests(&all);
         prop_assert!(received.iter().all(|request| request.body.len() <= SMALL_LIMITS.max_body_len));
         let (received, _, _) = response(&all);
         prop_assert!(received.is_none_or(|response| response.body.len() <= SMALL_LIMITS.max_body_len));
     }
 
-    /// A request with any body arrives in any pieces. Its body must be read unchanged.
+    /// A request with an arbitrary body arrives in segments of arbitrary lengths. Its body must be read unchanged.
     #[test]
-    fn body_is_read_as_it_was_sent(body in prop::collection::vec(any::<u8>(), 0..64), cuts in prop::collection::vec(1usize..9, 1..40)) {
+    fn body_is_read_as_it_was_sent(body in prop::collection::vec(any::<u8>(), 0..64), lengths in prop::collection::vec(1usize..9, 1..40)) {
         let mut text = format!("PUT /a HTTP/1.1\r\nHost: h\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes();
         text.extend_from_slice(&body);
-        let mut pieces: Vec<&[u8]> = Vec::new();
+        let mut segments: Vec<&[u8]> = Vec::new();
         let mut rest = &text[..];
-        for len in cuts {
-            let (piece, remaining) = rest.split_at(len.min(rest.len()));
-            pieces.push(piece);
+        for len in lengths {
+            let (segment, remaining) = rest.split_at(len.min(rest.len()));
+            segments.push(segment);
             rest = remaining;
         }
-        pieces.push(rest);
-        let (received, error, is_partial) = requests(&pieces);
+        segments.push(rest);
+        let (received, error, is_partial) = requests(&segments);
         prop_assert_eq!((received.len(), error, is_partial), (1, None, false));
         prop_assert_eq!(&received[0].body[..], &body[..]);
     }
