--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -1,43 +1,43 @@
-//! A client's request as checked values, and the head that attempts at nodes are sent with.
+//! Validates a client's request and builds the head that its attempts have in common.
 
 use crate::settings::Settings;
 use bytes::Bytes;
 use tackmast::interface::{Effect, PlanId, ShardId, TimeDelta, TrafficClassId};
 use tackmast_http::Request;
 
-/// A client's request, checked against the settings.
+/// A client's request that was checked against the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    /// The client's name for it; no two open ones have the same.
+    /// The id that the client chose (`X-Call-Id`). [`Call::parse`] does not check that no other request in flight has it.
     pub id: String,
-    /// The volume of its path.
+    /// The volume, from the path.
     pub volume: u64,
-    /// The key of its path.
+    /// The key, from the path.
     pub key: u64,
-    /// Its traffic class.
+    /// The traffic class (`X-Call-Class`), by its number in the settings.
     pub traffic_class: TrafficClassId,
-    /// Its plan.
+    /// The plan (`X-Storage-Class`), by its number in the settings.
     pub plan: PlanId,
-    /// The time until its deadline.
+    /// The time until the deadline (`X-Budget-Ms`), at most one hour.
     pub time_left: TimeDelta,
-    /// Its size.
+    /// The size of the request in units.
     pub units: f64,
-    /// The shard that holds its data; none: any node may take it.
+    /// The shard that holds the data; `None` where any node may serve the request.
     pub shard: Option<ShardId>,
-    /// Hosts through which clients send requests of its volume.
+    /// The number of hosts through which clients send requests of this volume.
     pub hosts: u32,
-    /// The head that all attempts have in common.
+    /// The part of the head that all attempts have in common; [`attempt_head`](crate::attempt_head) completes it.
     pub head: Bytes,
-    /// The body of each attempt.
+    /// The body, which all attempts have in common.
     pub body: Bytes,
 }
 
-/// Why a request is refused before it is admitted.
+/// The answer to a request that is not valid. No node gets such a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The status of the answer.
+    /// The HTTP status of the answer.
     pub status: u16,
-    /// The body of the answer: what was found and what was expected.
+    /// The body of the answer, which says what was found and what was expected.
     pub why: String,
 }
 
@@ -47,41 +47,48 @@
     }
 }
 
-/// The longest request target.
+/// Maximum length of a request target, in bytes.
 const MAX_TARGET_BYTES: usize = 1024;
-/// The longest `X-Call-Id`.
+/// Maximum length of an `X-Call-Id`, in bytes.
 const MAX_ID_BYTES: usize = 64;
-/// The longest `Idempotency-Key`.
+/// Maximum length of an `Idempotency-Key`, in bytes.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
-/// The largest `X-Budget-Ms`: one hour.
+/// Maximum `X-Budget-Ms`, which is one hour.
 const MAX_BUDGET_MS: u64 = 3_600_000;
-/// The most hosts that `X-Extent` may name.
+/// Maximum number of hosts in `X-Extent`.
 const MAX_HOSTS: u32 = 10_000;
-/// Digits of a number in a header field; more cannot overflow 64 bits.
+/// Maximum number of digits of an integer in a header field; 12 digits can't overflow 64 bits.
 const MAX_DIGITS: usize = 12;
-/// Hex digits of a volume and of a key.
+/// Number of hex digits of a volume and of a key in a path.
 const PATH_ID_DIGITS: usize = 16;
-/// The shard number that stands for any shard.
+/// The shard number with which a client says that any node may serve its request.
 const ANY_SHARD: i64 = -1;
-/// Characters of a client's values that an error shows.
+/// Maximum number of characters of a client's value that an error shows.
 const MAX_SHOWN_CHARS: usize = 40;
 
 impl Call {
-    /// Checks a request. Only values that are understood reach a node, written anew: a field that the node parses in another way than
-    /// this host can't pass.
+    /// Checks a request. The head of its attempts is built anew from the checked values only. So no field can reach a node that the
+    /// node might parse differently from this host.
+    ///
+    /// # Errors
+    ///
+    /// Returns a [`Refusal`] if the method, the path or a header field is not valid, or if the settings have no such class or plan.
     pub fn parse(request: Request, settings: &Settings) -> Result<Call, Refusal> {
         check_method(&request)?;
         let (volume, key) = path_ids(&request.target).ok_or_else(|| Refusal {
             status: 404,
-            why: format!("path {}: expected a volume and a key, each 16 hex digits", cut(&request.target)),
+            why: format!(
+                "path {}: expected a volume and a key, each 16 hex digits",
+                shorten(&request.target)
+            ),
         })?;
         let id = call_id(&request)?;
         let traffic_class = traffic_class(&request, settings)?;
         let plan = plan(&request, settings)?;
         let time_left = time_left(&request)?;
-        let extent = single(&request, "x-extent")?;
+        let extent = single_value(&request, "x-extent")?;
         let (units, shard, hosts) = parse_extent(extent, settings.max_units).ok_or_else(|| {
-            Refusal::bad_request(format!("x-extent {}: expected units, shard and hosts", cut(extent)))
+            Refusal::bad_request(format!("x-extent {}: expected units, shard and hosts", shorten(extent)))
         })?;
         let idempotency_key = idempotency_key(&request, settings.traffic_classes[traffic_class].effect)?;
         Ok(Call {
@@ -102,7 +109,7 @@
 
 fn check_method(request: &Request) -> Result<(), Refusal> {
     if request.method != "GET" && request.method != "PUT" {
-        let why = format!("method {}: expected GET or PUT", cut(&request.method));
+        let why = format!("method {}: expected GET or PUT", shorten(&request.method));
         return Err(Refusal { status: 405, why });
     }
     if request.method == "GET" && !request.body.is_empty() {
@@ -111,8 +118,8 @@
     Ok(())
 }
 
-/// The value of a header field that must be present once.
-fn single<'a>(request: &'a Request, name: &'a str) -> Result<&'a str, Refusal> {
+/// Returns the value of a header field that must be present exactly once.
+fn single_value<'a>(request: &'a Request, name: &'a str) -> Result<&'a str, Refusal> {
     let mut all = request.headers.all(name);
     match (all.next(), all.next()) {
         (Some(value), None) => Ok(value),
@@ -122,20 +129,20 @@
 }
 
 fn call_id(request: &Request) -> Result<&str, Refusal> {
-    let id = single(request, "x-call-id")?;
+    let id = single_value(request, "x-call-id")?;
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
     if id.is_empty() || id.len() > MAX_ID_BYTES || !id.bytes().all(is_allowed) {
-        let why = format!("x-call-id {}: expected up to {MAX_ID_BYTES} letters and digits", cut(id));
+        let why = format!("x-call-id {}: expected up to {MAX_ID_BYTES} letters and digits", shorten(id));
         return Err(Refusal::bad_request(why));
     }
     Ok(id)
 }
 
-/// The position of its traffic class in the settings.
+/// Returns the number of the request's traffic class. Its method must fit whether the class writes.
 fn traffic_class(request: &Request, settings: &Settings) -> Result<usize, Refusal> {
-    let name = single(request, "x-call-class")?;
+    let name = single_value(request, "x-call-class")?;
     let position = settings.traffic_classes.iter().position(|class| class.name == name).ok_or_else(|| {
-        Refusal::bad_request(format!("x-call-class {}: expected one of the settings", cut(name)))
+        Refusal::bad_request(format!("x-call-class {}: expected one of the settings", shorten(name)))
     })?;
     if settings.traffic_classes[position].writes.is_some_and(|writes| writes != (request.method == "PUT")) {
         let why = format!("method {}: expected PUT where the class writes, else GET", request.method);
@@ -144,22 +151,23 @@
     Ok(position)
 }
 
-/// The position of its plan in the settings.
+/// Returns the number of the request's plan.
 fn plan(request: &Request, settings: &Settings) -> Result<usize, Refusal> {
-    let name = single(request, "x-storage-class")?;
+    let name = single_value(request, "x-storage-class")?;
     settings.plans.iter().position(|plan| plan.name == name).ok_or_else(|| {
-        Refusal::bad_request(format!("x-storage-class {}: expected one of the settings", cut(name)))
+        Refusal::bad_request(format!("x-storage-class {}: expected one of the settings", shorten(name)))
     })
 }
 
 fn time_left(request: &Request) -> Result<TimeDelta, Refusal> {
-    let budget = single(request, "x-budget-ms")?;
-    let ms = whole(budget).filter(|ms| *ms <= MAX_BUDGET_MS).ok_or_else(|| {
-        Refusal::bad_request(format!("x-budget-ms {}: expected whole milliseconds", cut(budget)))
+    let budget = single_value(request, "x-budget-ms")?;
+    let ms = parse_integer(budget).filter(|ms| *ms <= MAX_BUDGET_MS).ok_or_else(|| {
+        Refusal::bad_request(format!("x-budget-ms {}: expected whole milliseconds", shorten(budget)))
     })?;
     Ok(TimeDelta::from_secs(ms as f64 / 1e3))
 }
 
+/// Returns the idempotency key, which is required where requests of the class are idempotent by key.
 fn idempotency_key(request: &Request, effect: Effect) -> Result<Option<&str>, Refusal> {
     let mut keys = request.headers.all("idempotency-key");
     let (key, has_more) = (keys.next(), keys.next().is_some());
@@ -173,7 +181,7 @@
     Ok(key)
 }
 
-/// The head that all attempts of a request have in common.
+/// Returns the part of the head that all attempts of a request have in common.
 fn head(request: &Request, id: &str, idempotency_key: Option<&str>) -> Bytes {
     let mut text = format!("{} {} HTTP/1.1\r\nX-Call-Id: {id}\r\n", request.method, request.target);
     if let Some(key) = idempotency_key {
@@ -185,7 +193,7 @@
     Bytes::from(text)
 }
 
-/// Volume and key: the last two parts of the path.
+/// Returns volume and key, which are the last two segments of the path.
 fn path_ids(target: &str) -> Option<(u64, u64)> {
     if !target.starts_with('/')
         || target.len() > MAX_TARGET_BYTES
@@ -195,37 +203,39 @@
         return None;
     }
     let path = target.split('?').next()?;
-    let mut parts = path.rsplit('/');
-    let (key, volume) = (hex16(parts.next()?)?, hex16(parts.next()?)?);
-    // A node could resolve dots or escapes before them to another path than this host has checked.
-    let is_literal = |part: &str| part != "." && part != ".." && !part.contains('%');
-    parts.all(is_literal).then_some((volume, key))
+    let mut segments = path.rsplit('/');
+    let (key, volume) = (parse_hex_id(segments.next()?)?, parse_hex_id(segments.next()?)?);
+    // A node could resolve dot segments or percent-encoding before them to another path than the one checked here.
+    let is_literal = |segment: &str| segment != "." && segment != ".." && !segment.contains('%');
+    segments.all(is_literal).then_some((volume, key))
 }
 
-fn hex16(text: &str) -> Option<u64> {
+fn parse_hex_id(text: &str) -> Option<u64> {
     let is_hex = text.len() == PATH_ID_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     is_hex.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
+/// Returns whether all characters are visible ASCII characters; a space is not.
 fn is_visible(text: &str) -> bool {
     text.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
-/// A whole number, without a sign.
-fn whole(text: &str) -> Option<u64> {
+/// Parses an integer of up to 12 digits without a sign.
+fn parse_integer(text: &str) -> Option<u64> {
     let is_number =
         !text.is_empty() && text.len() <= MAX_DIGITS && text.bytes().all(|byte| byte.is_ascii_digit());
     is_number.then(|| text.parse().ok()).flatten()
 }
 
-/// `units=2,shard=5,hosts=3`, in any order; unknown names are ignored.
+/// Parses `X-Extent`, such as `units=2,shard=5,hosts=3`. The order is free, and unknown names are ignored. The shard is `None` where
+/// any node may serve the request. A `max_units` of 0 means that no maximum is known.
 fn parse_extent(text: &str, max_units: f64) -> Option<(f64, Option<ShardId>, u32)> {
     let (mut units, mut shard, mut hosts) = (None, None, None);
     for (name, value) in text.split(',').map(|pair| pair.split_once('=')).collect::<Option<Vec<_>>>()? {
         let is_repeated = match name.trim() {
             "units" => units.replace(value.trim().parse::<f64>().ok()?).is_some(),
             "shard" => shard.replace(value.trim().parse::<i64>().ok()?).is_some(),
-            "hosts" => hosts.replace(u32::try_from(whole(value.trim())?).ok()?).is_some(),
+            "hosts" => hosts.replace(u32::try_from(parse_integer(value.trim())?).ok()?).is_some(),
             _ => false,
         };
         if is_repeated {
@@ -243,7 +253,7 @@
     (is_valid && (shard == ANY_SHARD || shard_id.is_some())).then_some((units, shard_id, hosts))
 }
 
-/// As much of a client's value as an error shows.
-fn cut(text: &str) -> &str {
+/// Shortens a client's value to what an error shows.
+fn shorten(text: &str) -> &str {
     text.char_indices().nth(MAX_SHOWN_CHARS).map_or(text, |(at, _)| &text[..at])
 }
--- a/crates/platform/src/configuration.rs
+++ b/crates/platform/src/configuration.rs
@@ -6,89 +6,94 @@
 use serde_json::{Map, Value};
 use std::net::SocketAddr;
 
-/// What the platform lets a host use.
+/// The resources that the platform lets a host use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Share of processor cores.
+    /// Processor time, in cores; it may be a fraction.
     pub cores: f64,
-    /// Resident memory.
+    /// Resident memory in bytes.
     pub memory_bytes: usize,
-    /// Open descriptors.
+    /// The number of open file descriptors.
     pub sockets: usize,
 }
 
 /// The configuration of a host.
 #[derive(Clone, Debug)]
 pub struct Configuration {
-    /// Its name in logs.
+    /// The host's name in logs; `host` where the file has none.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub listen: SocketAddr,
-    /// Where the endpoint list is polled.
+    /// The address from which the endpoint list is polled.
     pub discovery: SocketAddr,
-    /// Seed of its random numbers.
+    /// The seed of the host's random number generator.
     pub seed: u64,
-    /// What it may use.
+    /// The resources that the host may use.
     pub limits: Limits,
-    /// The endpoint list as this host last had it; it may be outdated.
+    /// The endpoint list that this host had last, which may be outdated; `None` where the file has none.
     pub known: Option<List>,
-    /// The settings that all hosts have.
+    /// The settings, which are the same for all hosts but for the host's own number.
     pub settings: Settings,
-    /// Where hosts receive each other's datagrams; none where the settings allow no datagrams.
+    /// The addresses for datagrams between hosts; `None` where the settings allow none or the file names no peers.
     pub peers: Option<PeerAddresses>,
 }
 
-/// Where hosts receive each other's datagrams.
+/// The addresses on which hosts receive each other's datagrams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerAddresses {
-    /// This host.
+    /// The address on which this host receives.
     pub listen: SocketAddr,
-    /// All hosts by their numbers.
+    /// The addresses of all hosts, by their numbers.
     pub hosts: Vec<SocketAddr>,
 }
 
-/// The fewest descriptors with which a host runs.
+/// Minimum number of open file descriptors with which a host runs.
 const MIN_SOCKETS: f64 = 64.0;
-/// The least memory with which a host runs, in megabytes.
+/// Minimum memory with which a host runs, in units of [`MEGABYTE`].
 const MIN_MEMORY_MB: f64 = 16.0;
-/// The smallest share of a processor core with which a host runs.
+/// Minimum processor time with which a host runs, in cores.
 const MIN_CORES: f64 = 0.01;
-/// Limits stay below this: a larger one is a mistake.
+/// All limits must be below this value; a larger one is a mistake in the file.
 const MAX_LIMIT: f64 = 1e9;
-/// Bytes of a megabyte, as the platform counts memory.
+/// Number of bytes in a megabyte, as the platform counts memory.
 const MEGABYTE: f64 = 1024.0 * 1024.0;
 
 impl Configuration {
-    /// Parses the file. An error names the path in the file, the value and what was expected.
+    /// Parses a configuration file.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error that names the path of the first wrong value, what was expected and, where that helps, the value.
     pub fn parse(bytes: &[u8]) -> Result<Self, FieldError> {
-        let all: Value = serde_json::from_slice(bytes)
+        let document: Value = serde_json::from_slice(bytes)
             .map_err(|error| FieldError::with_found("", error.to_string(), "JSON"))?;
-        let all =
-            all.as_object().ok_or_else(|| FieldError::with_found("", shown(Some(&all)), "an object"))?;
-        let limits = object(all.get("limits"), "limits")?;
-        let settings = Settings::read(object(all.get("settings"), "settings")?);
+        let document = document
+            .as_object()
+            .ok_or_else(|| FieldError::with_found("", shown(Some(&document)), "an object"))?;
+        let limits = object(document.get("limits"), "limits")?;
+        let settings = Settings::read(object(document.get("settings"), "settings")?);
         let settings = settings.map_err(|error| error.within("settings"))?;
         if settings.traffic_classes.is_empty() || settings.plans.is_empty() {
             let found = "no request_classes or no grades";
             return Err(FieldError::with_found("settings", found, "at least one of each"));
         }
-        let known = match all.get("known") {
+        let known = match document.get("known") {
             None | Some(Value::Null) => None,
             Some(list) => Some(List::from_value(list, &settings).map_err(|error| error.within("known"))?),
         };
-        let peers = match (settings.allows_datagrams, all.get("peers")) {
+        let peers = match (settings.allows_datagrams, document.get("peers")) {
             (false, _) | (true, None | Some(Value::Null)) => None,
             (true, Some(addresses)) => {
                 let hosts = peer_addresses(addresses)?;
-                Some(PeerAddresses { listen: address(all, "peer_listen")?, hosts })
+                Some(PeerAddresses { listen: address(document, "peer_listen")?, hosts })
             }
         };
         Ok(Configuration {
             peers,
-            name: text(all.get("name"), "name").unwrap_or("host").to_owned(),
-            listen: address(all, "listen")?,
-            discovery: address(all, "discovery")?,
-            seed: seed(all.get("seed"))?,
+            name: text(document.get("name"), "name").unwrap_or("host").to_owned(),
+            listen: address(document, "listen")?,
+            discovery: address(document, "discovery")?,
+            seed: seed(document.get("seed"))?,
             limits: Limits::read(limits)?,
             known,
             settings,
@@ -101,7 +106,7 @@
         let at_least = |name: &str, min: f64| -> Result<f64, FieldError> {
             let is_valid = |limit: &f64| *limit >= min && *limit < MAX_LIMIT;
             number(limits.get(name), name).ok().filter(is_valid).ok_or_else(|| {
-                let expected = format!("a number from {min}");
+                let expected = format!("a number from {min} to below {MAX_LIMIT:e}");
                 FieldError::with_found(&format!("limits.{name}"), shown(limits.get(name)), expected)
             })
         };
@@ -113,10 +118,11 @@
     }
 }
 
-fn address(all: &Map<String, Value>, name: &str) -> Result<SocketAddr, FieldError> {
-    let expected = || FieldError::with_found(name, shown(all.get(name)), "an address such as 10.0.0.4:8443");
-    let text = all.get(name).and_then(Value::as_str);
-    text.and_then(|text| text.parse().ok()).ok_or_else(expected)
+fn address(document: &Map<String, Value>, name: &str) -> Result<SocketAddr, FieldError> {
+    let not_an_address =
+        || FieldError::with_found(name, shown(document.get(name)), "an address such as 10.0.0.4:8443");
+    let text = document.get(name).and_then(Value::as_str);
+    text.and_then(|text| text.parse().ok()).ok_or_else(not_an_address)
 }
 
 fn peer_addresses(value: &Value) -> Result<Vec<SocketAddr>, FieldError> {
@@ -125,6 +131,6 @@
         let path = format!("peers[{index}]");
         address.ok_or_else(|| FieldError::with_found(&path, shown(Some(value)), "an address"))
     };
-    let not_an_array = || FieldError::with_found("peers", shown(Some(value)), "addresses");
+    let not_an_array = || FieldError::with_found("peers", shown(Some(value)), "an array of addresses");
     value.as_array().ok_or_else(not_an_array)?.iter().enumerate().map(parse).collect()
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,5 +1,6 @@
-//! The operators' platform, without I/O: the configuration of a host, the endpoint list, and the headers of requests and
-//! answers, to values and back. docs/protocols/platform.md has the protocol. Nothing is decided here.
+//! The platform's protocol, without I/O: parses the configuration of a host, the endpoint list, requests of clients and answers of
+//! nodes, and formats the heads of attempts and answers. docs/protocols/platform.md describes the protocol. Scheduling decisions are
+//! made elsewhere.
 
 #![warn(missing_docs, unreachable_pub)]
 
@@ -8,7 +9,7 @@
 mod list;
 mod outcome;
 mod settings;
-/// Values of JSON documents, for this package and the bench's adapter.
+/// Typed access to JSON values, for this package and `tackmast-benchlink`.
 pub mod values;
 
 pub use call::{Call, Refusal};
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, as the operators' discovery sends it.
+//! The endpoint list, as the discovery service of the platform sends it.
 
 use crate::settings::Settings;
 use crate::values::{array, index, integer, shown, text, FieldError};
@@ -6,45 +6,49 @@
 use std::net::SocketAddr;
 use tackmast::interface::{NodeState, ShardId, ZoneId};
 
-/// A node of the list.
+/// A node in an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its name, which stays when its address changes.
+    /// The node's id, which stays the same when its address changes.
     pub id: String,
-    /// Where it is reached.
+    /// The address on which the node serves attempts.
     pub address: SocketAddr,
-    /// Ready, draining or gone.
+    /// Whether the node is ready, draining or gone.
     pub state: NodeState,
-    /// Its zone.
+    /// The node's zone; `u32::MAX` where the settings do not name it.
     pub zone: ZoneId,
-    /// The shard that it holds.
+    /// The shard that the node holds.
     pub shard: ShardId,
-    /// When the node last started, in milliseconds of Unix time, where that is known.
+    /// When the node last started, in milliseconds of Unix time; `None` where discovery does not know it.
     pub up_since_ms: Option<u64>,
 }
 
-/// An endpoint list, or the changes of one.
+/// A complete endpoint list, or the changes since an earlier version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct List {
-    /// Its version.
+    /// The version; a later list has a higher one.
     pub version: u64,
-    /// It has all nodes; else only those that changed.
+    /// Whether the list has all nodes; otherwise it has only those that changed.
     pub complete: bool,
-    /// The nodes.
+    /// The nodes of the list.
     pub members: Vec<Member>,
 }
 
-/// Maximum length of a node's id in bytes.
+/// Maximum length of a node's id, in bytes.
 const MAX_ID_BYTES: usize = 128;
 
 impl List {
-    /// Parses an answer of discovery. An answer that is not valid as a whole changes nothing.
+    /// Parses an answer of discovery.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if any value is not valid, also if it is in one member only, so that no list is applied in part.
     pub fn parse(bytes: &[u8], settings: &Settings) -> Result<Self, FieldError> {
         let not_json = |error: serde_json::Error| FieldError::with_found("", error.to_string(), "JSON");
         List::from_value(&serde_json::from_slice(bytes).map_err(not_json)?, settings)
     }
 
-    /// Reads a list out of a JSON value.
+    /// Reads a list from a JSON value.
     pub(crate) fn from_value(value: &Value, settings: &Settings) -> Result<Self, FieldError> {
         let version = integer(value.get("revision"), "revision")?;
         let complete = value.get("complete").and_then(Value::as_bool);
@@ -61,7 +65,8 @@
         })
     }
 
-    /// The request target: the complete list or, after a version, the changes, awaited for so many milliseconds.
+    /// Returns the request target of a poll. Without `after` it is that of the complete list. With a version and a time in milliseconds,
+    /// it is that of the changes since the version, for which discovery waits that long.
     pub fn target(after: Option<(u64, u64)>) -> String {
         match after {
             None => "/registry/instances".to_owned(),
@@ -89,7 +94,7 @@
             "Gone" => NodeState::Gone,
             other => return Err(FieldError::with_found("phase", other, "Ready, Terminating or Gone")),
         },
-        // A zone that the settings do not name differs from all of theirs.
+        // A zone that the settings do not name differs from all that they name.
         zone: ZoneId(settings.zone(zone).unwrap_or(u32::MAX)),
         shard: ShardId(index(value.get("cell"), "cell")?),
         up_since_ms: match value.get("up_since_ms") {
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -1,4 +1,4 @@
-//! The header fields of an attempt itself, and what a node's answer means.
+//! The header fields that differ between attempts, what a node's answer means, and the heads of answers to clients.
 
 use crate::settings::Settings;
 use bytes::Bytes;
@@ -7,61 +7,63 @@
 use tackmast::interface::{Outcome, TimeDelta};
 use tackmast_http::Response;
 
-/// The end of an attempt's head, after the head of its request: the node, and how long the host will wait.
+/// Returns the end of an attempt's head, which follows [`Call::head`](crate::Call): the node's address, and the time that is left,
+/// rounded down to whole milliseconds.
 pub fn attempt_head(node: SocketAddr, left: TimeDelta) -> String {
     let ms = (left.secs() * 1e3).floor().max(0.0) as u64;
     format!("Host: {node}\r\nX-Budget-Ms: {ms}\r\n\r\n")
 }
 
-/// A node's answer.
+/// What a node's answer says about an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptReport {
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// Requests that wait at the node, if it reported that.
+    /// The number of requests that wait at the node; `None` where the node did not report a valid one.
     pub waiting: Option<u32>,
-    /// Units served for the volume through other hosts.
+    /// Units that the node served for the volume through other hosts; `None` where it did not report a valid number.
     pub elsewhere: Option<f64>,
-    /// The answer's body; empty unless the attempt is done.
+    /// The body of the answer; empty unless the attempt is done.
     pub body: Bytes,
 }
 
-/// Which of the headers count, by the settings.
+/// Reads the answers of nodes, with those reports that the settings provide for.
 #[derive(Clone, Copy, Debug)]
 pub struct Reports {
-    waiting: bool,
+    has_queue_length: bool,
 }
 
 impl Reports {
-    /// By the settings.
+    /// Creates a reader for the reports that `settings` provides for.
     pub fn of(settings: &Settings) -> Self {
-        Reports { waiting: settings.queue_length_position().is_some() }
+        Reports { has_queue_length: settings.queue_length_position().is_some() }
     }
 
-    /// Reads an answer.
+    /// Reads a node's answer to an attempt.
     pub fn read(&self, answer: Response) -> AttemptReport {
         let never_ran = matches!(answer.status, 503 | 504) && answer.headers.first("x-rejected") == Some("1");
         let outcome = match answer.status {
             200 => Outcome::Done,
             _ if never_ran => Outcome::Full,
-            // The node could not use the request. That is no sign of its health: malformed requests could otherwise make it an outlier. The
-            // protocol does not promise that the request never ran, so it may have.
+            // The node rejected the request as invalid. This must not count against its health, or malformed requests could make a healthy
+            // node an outlier. The protocol does not promise that the request never ran, so it may have.
             400..=499 => Outcome::Cancelled,
             _ => Outcome::Error,
         };
-        let report = answer.headers.first("x-load-report").filter(|_| self.waiting);
+        let report = answer.headers.first("x-load-report").filter(|_| self.has_queue_length);
         let elsewhere = answer.headers.first("x-delta").and_then(|text| text.trim().parse::<f64>().ok());
         AttemptReport {
             outcome,
-            waiting: report.and_then(waiting),
+            waiting: report.and_then(queue_length),
             elsewhere: elsewhere.filter(|units| units.is_finite() && *units >= 0.0),
             body: if outcome == Outcome::Done { answer.body } else { Bytes::new() },
         }
     }
 }
 
-/// `inflight=7,queue=2,util=0.61`: a report that is not valid as a whole is ignored.
-fn waiting(report: &str) -> Option<u32> {
+/// Returns the queue length of a load report such as `inflight=7,queue=2,util=0.61`. If any value is not valid, the whole report is
+/// ignored.
+fn queue_length(report: &str) -> Option<u32> {
     let mut found = None;
     for pair in report.split(',') {
         let (name, value) = pair.split_once('=')?;
@@ -74,7 +76,7 @@
     found
 }
 
-/// The head of an answer to a client.
+/// Returns the head of an answer to a client. `length` is that of the body in bytes; `closes` says that the connection closes after it.
 pub fn answer_head(status: u16, length: usize, retry_after: Option<TimeDelta>, closes: bool) -> String {
     let mut text =
         format!("HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n", tackmast_http::reason_phrase(status));
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings object, and the one way in which a scheduler is set up from it: on the bench and on sockets alike.
+//! The settings object, and how a scheduler is set up from it. The bench's adapter and the host on sockets share this code.
 
 use crate::values::{index, number_or, object, text, time_delta, FieldError};
 use serde_json::{Map, Value};
@@ -8,97 +8,102 @@
 /// A traffic class of the settings (`request_classes`).
 #[derive(Clone, Debug)]
 pub struct TrafficClass {
-    /// Its name in requests.
+    /// The name by which requests select the class (`X-Call-Class`).
     pub name: String,
-    /// The time within which an answer earns its full worth.
+    /// The response time within which an answer has its full value.
     pub latency_objective: TimeDelta,
-    /// The time after which an answer is worth nothing.
+    /// The response time after which an answer has no value.
     pub deadline: TimeDelta,
-    /// Whether its requests may run twice.
+    /// Whether requests of the class may run twice.
     pub effect: Effect,
-    /// Whether requests of one key have to run one at a time, in order.
+    /// Whether requests of the same key must run one at a time, in order.
     pub in_order: bool,
-    /// Whether it writes, if the settings name it.
+    /// Whether requests of the class write; `None` where the settings do not say.
     pub writes: Option<bool>,
 }
 
 /// A plan of the settings (`grades`).
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its name in requests.
+    /// The name by which requests select the plan (`X-Storage-Class`).
     pub name: String,
-    /// Units a second; 0: no limit.
+    /// The limit in units a second; 0 means no limit.
     pub limit: f64,
-    /// Units that may be sent at once.
+    /// The number of units that may be sent at once.
     pub burst: f64,
-    /// Units by which all hosts together may exceed the limit.
+    /// The number of units by which all hosts together may exceed the limit.
     pub slack: f64,
-    /// Units a second that are served first.
+    /// The reservation in units a second, which is served before the units of others.
     pub reserve: f64,
-    /// The share of best-effort units.
+    /// The weight by which capacity beyond the reservations is shared.
     pub weight: f64,
 }
 
-/// The settings of a host, from the bench's first message or the configuration file. A field that is absent there is zero, none or off.
+/// The settings of a host, from the bench's first message or from the configuration file. An absent field is zero, `None` or
+/// off, unless its description says otherwise.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Hosts that share the nodes.
+    /// The number of hosts that share the nodes; 1 where it is absent.
     pub hosts: u32,
-    /// This host's number.
+    /// This host's number among the hosts, from 0.
     pub host_number: u32,
-    /// Whether hosts may send each other datagrams.
+    /// Whether hosts may send datagrams to each other.
     pub allows_datagrams: bool,
-    /// Resolution of the host's timers.
+    /// The resolution of the host's timers.
     pub granularity: TimeDelta,
-    /// Mean size of a request in units.
+    /// The mean size of a request in units; 1 where it is absent.
     pub mean_units: f64,
-    /// Maximum size of a request in units; 0: unknown.
+    /// The maximum size of a request in units; 0 means that it is unknown.
     pub max_units: f64,
-    /// By their numbers in the scheduler.
+    /// The traffic classes; a position is the class's number in the scheduler.
     pub traffic_classes: Vec<TrafficClass>,
-    /// By their numbers in the scheduler.
+    /// The plans; a position is the plan's number in the scheduler.
     pub plans: Vec<Plan>,
-    /// Attempts of one request.
+    /// The maximum number of attempts of one request; unlimited where it is absent.
     pub max_attempts: u32,
-    /// The longest retry-after that clients accept; zero: none.
+    /// The longest Retry-After that clients accept; zero means that they accept none.
     pub longest_wait: TimeDelta,
-    /// For how long the next request of a key waits after an attempt that may still run.
+    /// How long the next request of a key waits after an attempt that may still run.
     pub settle: TimeDelta,
     retry_budget: Option<RetryBudget>,
     slow_start: SlowStartSettings,
     polls_list: bool,
-    /// The fields of load reports, in their order.
+    /// The fields of a node's load report, in order.
     pub report: Vec<String>,
-    /// Whether answers report the service of volumes through other hosts.
+    /// Whether answers of nodes report the units that a volume was served through other hosts.
     pub reports_peer_service: bool,
-    /// Names of zones, by their numbers.
+    /// The names of the zones, by their numbers.
     pub zones: Vec<String>,
-    /// For how long a draining node still accepts attempts.
+    /// How long a draining node still accepts attempts.
     pub drain_grace: TimeDelta,
     /// The time within which a connection to a node must be established.
     pub connect_timeout: TimeDelta,
-    /// The time after which a node closes an idle connection; zero: unknown.
+    /// The time after which a node closes an idle connection; zero means that it is unknown.
     pub conn_idle: TimeDelta,
 }
 
-/// Retries that are allowed within a window: a number, and a share of the requests.
+/// The retries that are allowed within a window: a constant number, and a share of the requests in it.
 #[derive(Clone, Copy, Debug)]
 struct RetryBudget {
-    /// Retries that are allowed without requests.
+    /// The number of retries that are allowed even without requests.
     free: f64,
-    /// Further retries for each request.
+    /// The number of further retries that each request allows.
     share: f64,
     window: TimeDelta,
 }
 
 impl Settings {
-    /// Reads the settings object. An error names the field.
+    /// Reads the settings object.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error that names the first field whose value is not valid.
     pub fn read(env: &Map<String, Value>) -> Result<Self, FieldError> {
-        let part = |name: &str| env.get(name).and_then(Value::as_object).cloned().unwrap_or_default();
-        let (domain, rules, limits) = (part("domain"), part("guarantees"), part("limits"));
+        let section = |name: &str| env.get(name).and_then(Value::as_object).cloned().unwrap_or_default();
+        let (domain, guarantees, limits) = (section("domain"), section("guarantees"), section("limits"));
         let traffic_classes = traffic_classes(env, &domain)?;
         let plans = plans(env)?;
-        let retry_budget = retry_budget(&rules)?;
+        let retry_budget = retry_budget(&guarantees)?;
         let sends_retry_after = limits.get("retry_after").and_then(Value::as_bool).unwrap_or(false);
         Ok(Settings {
             hosts: number_or(env, "balancers", 1.0)? as u32,
@@ -115,20 +120,20 @@
             } else {
                 TimeDelta::ZERO
             },
-            settle: time_delta(&rules, "order_settle")?,
+            settle: time_delta(&guarantees, "order_settle")?,
             retry_budget,
-            slow_start: slow_start(&domain, &rules)?,
+            slow_start: slow_start(&domain, &guarantees)?,
             polls_list: env.get("registry_mode").and_then(Value::as_str) == Some("ask"),
-            report: texts(part("report").get("fields")),
+            report: strings(section("report").get("fields")),
             reports_peer_service: domain.get("says_others").and_then(Value::as_bool).unwrap_or(false),
-            zones: texts(env.get("areas")),
-            drain_grace: time_delta(&rules, "drain_grace")?,
+            zones: strings(env.get("areas")),
+            drain_grace: time_delta(&guarantees, "drain_grace")?,
             connect_timeout: time_delta(&limits, "connect_timeout")?,
             conn_idle: time_delta(&limits, "conn_idle")?,
         })
     }
 
-    /// A scheduler that is set up by these settings.
+    /// Creates a scheduler with these settings.
     pub fn scheduler(&self, now: Instant, seed: u64) -> Scheduler {
         let mut scheduler = Scheduler::new(now, seed, self.hosts, self.granularity, self.mean_units);
         for class in &self.traffic_classes {
@@ -154,23 +159,23 @@
         scheduler
     }
 
-    /// Whether the platform pushes endpoint lists to an agent on the host's machine.
+    /// Returns whether the platform pushes endpoint lists to an agent on the host's machine, instead of the host polling discovery.
     pub fn lists_are_pushed(&self) -> bool {
         !self.polls_list
     }
 
-    /// The position of the number of waiting requests in a load report.
+    /// Returns the position of the number of waiting requests in a load report, or `None` where reports do not have it.
     pub fn queue_length_position(&self) -> Option<usize> {
         self.report.iter().position(|field| field == "q")
     }
 
-    /// The number of a zone.
+    /// Returns the number of a zone, or `None` where the settings do not name it.
     pub fn zone(&self, name: &str) -> Option<u32> {
         self.zones.iter().position(|zone| zone == name).map(|index| index as u32)
     }
 }
 
-/// The values of an array with their positions; none where there is no array.
+/// Iterates over the values of an array with their positions; there are none where the field is not an array.
 fn entries<'a>(env: &'a Map<String, Value>, name: &str) -> impl Iterator<Item = (usize, &'a Value)> {
     env.get(name).and_then(Value::as_array).into_iter().flatten().enumerate()
 }
@@ -195,32 +200,32 @@
         .collect()
 }
 
-fn retry_budget(rules: &Map<String, Value>) -> Result<Option<RetryBudget>, FieldError> {
-    if !rules.contains_key("look_back") {
+fn retry_budget(guarantees: &Map<String, Value>) -> Result<Option<RetryBudget>, FieldError> {
+    if !guarantees.contains_key("look_back") {
         return Ok(None);
     }
     Ok(Some(RetryBudget {
-        free: number_or(rules, "extra_floor", 0.0)?,
-        share: number_or(rules, "further_ratio", 0.0)?,
-        window: time_delta(rules, "look_back")?,
+        free: number_or(guarantees, "extra_floor", 0.0)?,
+        share: number_or(guarantees, "further_ratio", 0.0)?,
+        window: time_delta(guarantees, "look_back")?,
     }))
 }
 
 fn slow_start(
     domain: &Map<String, Value>,
-    rules: &Map<String, Value>,
+    guarantees: &Map<String, Value>,
 ) -> Result<SlowStartSettings, FieldError> {
     Ok(SlowStartSettings {
         safe_units: number_or(domain, "cold_bears", 0.0)?,
-        initial_capacity: number_or(rules, "cold_from", 1.0)?,
-        duration: time_delta(rules, "cold")?,
-        window: time_delta(rules, "fall")?,
-        overload_multiple: number_or(rules, "fall_multiple", 1.0)?,
+        initial_capacity: number_or(guarantees, "cold_from", 1.0)?,
+        duration: time_delta(guarantees, "cold")?,
+        window: time_delta(guarantees, "fall")?,
+        overload_multiple: number_or(guarantees, "fall_multiple", 1.0)?,
     })
 }
 
-/// The texts of an array; anything else is an empty text.
-fn texts(value: Option<&Value>) -> Vec<String> {
+/// Returns the strings of an array. A value of another type becomes an empty string, so that positions stay.
+fn strings(value: Option<&Value>) -> Vec<String> {
     let all = value.and_then(Value::as_array).into_iter().flatten();
     all.map(|text| text.as_str().unwrap_or_default().to_owned()).collect()
 }
@@ -267,7 +272,7 @@
     map.get("name").and_then(Value::as_str).unwrap_or_default().to_owned()
 }
 
-/// A whole number that is given either as a number or as text in hex.
+/// Reads a seed, which is either an integer of 32 bits or a string of up to 16 hex digits.
 pub(crate) fn seed(value: Option<&Value>) -> Result<u64, FieldError> {
     match value.and_then(Value::as_str) {
         Some(hex) => u64::from_str_radix(hex, 16)
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! The operators' protocol, as tables: configuration, endpoint list, requests, answers.
+//! Tables of inputs and expected results for the platform's protocol: configuration, endpoint list, requests, answers.
 
 use proptest::prelude::*;
 use serde_json::{json, Value};
@@ -35,12 +35,12 @@
     })
 }
 
-fn read() -> Settings {
+fn parsed_settings() -> Settings {
     Settings::read(settings().as_object().unwrap()).unwrap()
 }
 
-/// An operator's configuration file has a mistake. The one line of the error must name the path, the value and what was expected, or the
-/// operator has to search the file.
+/// A mistake in a configuration file. The error must be one line that names the path, the value and what was expected; otherwise the
+/// operator would have to search the file for it.
 #[test]
 fn configuration_error_names_path_value_and_expectation() {
     let configuration = Configuration::parse(config().to_string().as_bytes()).unwrap();
@@ -59,13 +59,13 @@
         (settings.hosts, settings.longest_wait, settings.queue_length_position()),
         (4, TimeDelta::from_secs(0.5), Some(0))
     );
-    // The path, a wrong value, and parts of the error.
+    // The path, a wrong value, and texts that the error must contain.
     let cases: [(&str, Value, [&str; 2]); 14] = [
         ("/listen", json!("nowhere"), ["listen: \"nowhere\"", "expected an address"]),
         ("/discovery", json!(7), ["discovery: 7", "expected an address"]),
         ("/seed", json!("xyz"), ["seed: xyz", "expected up to 16 hex digits"]),
         ("/limits", json!([]), ["limits", "expected an object"]),
-        ("/limits/sockets", json!(3), ["limits.sockets: 3", "expected a number from 64"]),
+        ("/limits/sockets", json!(3), ["limits.sockets: 3", "expected a number from 64 to below 1e9"]),
         ("/limits/memory_mb", json!("much"), ["limits.memory_mb: \"much\"", "expected a number"]),
         ("/limits/cores", json!(-1), ["limits.cores: -1", "expected"]),
         ("/settings", json!(null), ["settings", "expected an object"]),
@@ -109,7 +109,7 @@
     assert_eq!(with(true, json!(null), here.clone()), Ok(None));
     for (peers, listen, part) in [
         (json!(["127.0.0.1:1", "x"]), here.clone(), "peers[1]: \"x\"; expected an address"),
-        (json!("all"), here, "peers: \"all\"; expected addresses"),
+        (json!("all"), here, "peers: \"all\"; expected an array of addresses"),
         (two, json!("x"), "peer_listen: \"x\"; expected an address"),
     ] {
         let error = with(true, peers, listen).unwrap_err().to_string();
@@ -120,12 +120,12 @@
     }
 }
 
-/// Discovery sends a list with one member that is not valid. Applied in part, it would leave out nodes, so nothing of it may be applied.
+/// Discovery sends a list with an invalid member. Applied in part, the list would lack nodes, so the whole list must be an error.
 #[test]
 fn list_is_applied_whole_or_not_at_all() {
     let member = |phase: &str, up: i64| json!({"id": "s-1", "host_port": "127.1.0.1:1", "locality": "b", "cell": 0, "phase": phase, "up_since_ms": up});
     let list = |members: Value| json!({"revision": 43, "complete": false, "members": members}).to_string();
-    let settings = read();
+    let settings = parsed_settings();
     for (phase, state) in
         [("Ready", NodeState::Ready), ("Terminating", NodeState::Draining), ("Gone", NodeState::Gone)]
     {
@@ -157,7 +157,7 @@
     assert_eq!(List::target(Some((41, 20))), "/registry/instances?after=41&wait_ms=20");
 }
 
-/// The header fields of a valid request.
+/// Header fields of a valid request; `X-Odd` is one that this host does not know.
 const VALID_FIELDS: [(&str, &str); 6] = [
     ("X-Call-Id", "9b1f03aa5c7e2d41"),
     ("X-Call-Class", "read"),
@@ -175,7 +175,7 @@
     reader.next_request().unwrap().unwrap()
 }
 
-/// The valid fields with some changed; one without a value is removed.
+/// Returns the valid fields with these changes. A field without a value is removed.
 fn changed(changes: &[(&'static str, Option<&'static str>)]) -> Vec<(&'static str, &'static str)> {
     let mut fields: Vec<(&str, &str)> = VALID_FIELDS.to_vec();
     for (name, value) in changes {
@@ -188,11 +188,11 @@
 /// A valid request target.
 const PATH: &str = "/api/00000003b4d60021/7f3A9c21e0b4d655?a=b";
 
-/// A valid request is written anew for its node. The node must get the same method, target, body and ids, and no field that this host
-/// does not know.
+/// The head of an attempt is built anew from the client's request. The node must receive the same method, target, body and ids, and no
+/// field that this host does not know.
 #[test]
 fn valid_request_reaches_its_node_unchanged() {
-    let call = Call::parse(request("PUT", PATH, &VALID_FIELDS, "bytes"), &read()).unwrap();
+    let call = Call::parse(request("PUT", PATH, &VALID_FIELDS, "bytes"), &parsed_settings()).unwrap();
     assert_eq!((call.volume, call.key), (0x3b4d60021, 0x7f3a9c21e0b4d655));
     assert_eq!(
         (call.traffic_class, call.plan, call.time_left),
@@ -215,14 +215,14 @@
     assert_eq!(attempt.headers.first("x-call-id"), Some("9b1f03aa5c7e2d41"));
     assert_eq!((attempt.headers.first("x-budget-ms"), attempt.headers.first("x-odd")), (Some("480"), None));
     let idempotent_by_key = changed(&[("X-Call-Class", Some("save")), ("Idempotency-Key", Some("k-1"))]);
-    let call = Call::parse(request("PUT", PATH, &idempotent_by_key, ""), &read()).unwrap();
+    let call = Call::parse(request("PUT", PATH, &idempotent_by_key, ""), &parsed_settings()).unwrap();
     assert!(String::from_utf8(call.head.to_vec()).unwrap().contains("Idempotency-Key: k-1\r\n"));
     let any_shard = changed(&[("X-Extent", Some("hosts=1, shard=-1, units=0.5, more=x"))]);
-    assert_eq!(Call::parse(request("GET", PATH, &any_shard, ""), &read()).unwrap().shard, None);
+    assert_eq!(Call::parse(request("GET", PATH, &any_shard, ""), &parsed_settings()).unwrap().shard, None);
 }
 
-/// A client sends a request that is not valid. It must get the status of its mistake and a body that says what was expected, and the
-/// request must not reach a node.
+/// A client sends an invalid request. The answer must have the status that fits the mistake and a body that says what was expected, and
+/// the request must not reach a node.
 #[test]
 fn bad_request_is_refused_with_its_status_and_the_expectation() {
     let field = |name, value| changed(&[(name, Some(value))]);
@@ -262,25 +262,25 @@
         ("GET", PATH, field("X-Extent", "units=2,shard=1,hosts=0"), "", 400),
         ("GET", PATH, field("X-Extent", "units=2,units=1,shard=1,hosts=1"), "", 400),
         ("GET", PATH, field("X-Extent", "units=2,shard=1"), "", 400),
-        // Idempotent by key, without a key.
+        // A request of a class that is idempotent by key, without a key.
         ("PUT", PATH, field("X-Call-Class", "save"), "", 400),
         ("GET", PATH, changed(&[("X-Call-Class", Some("save")), ("Idempotency-Key", Some("k"))]), "", 400),
         ("PUT", PATH, field("Idempotency-Key", "a b"), "", 400),
         ("PUT", PATH, twice("Idempotency-Key", ""), "", 400),
     ];
     for (method, target, fields, body, status) in cases {
-        let parsed = Call::parse(request(method, target, &fields, body), &read());
+        let parsed = Call::parse(request(method, target, &fields, body), &parsed_settings());
         let Refusal { status: refused, why } = parsed.expect_err(&format!("{method} {target} {fields:?}"));
         assert_eq!(refused, status, "{method} {target} {fields:?}: {why}");
         assert!(why.contains("expected"), "{why}");
     }
 }
 
-/// A node answers with each kind of status and report. An answer that was mistaken for "never ran" would be retried and could take effect
-/// twice; a report that is not valid must not count.
+/// A node answers with each kind of status and report. If an answer were taken wrongly for "never ran", the request would be retried and
+/// could take effect twice. An invalid report must be ignored.
 #[test]
-fn answer_of_a_node_has_the_outcome_of_the_protocol() {
-    let reports = Reports::of(&read());
+fn node_answer_has_the_outcome_that_the_protocol_defines() {
+    let reports = Reports::of(&parsed_settings());
     type Case<'a> = (&'a str, &'a str, Outcome, Option<u32>, Option<f64>);
     let cases: Vec<Case> = vec![
         ("200 OK", "", Outcome::Done, None, None),
@@ -314,7 +314,7 @@
     }
 }
 
-/// A client parses the answers of this host. Each must have its status, retry-after and body, and say whether the connection ends.
+/// A client parses the answers of this host. Each must have its status, Retry-After and body, and say whether the connection closes.
 #[test]
 fn answer_to_a_client_is_valid_http() {
     for (status, wait, closes) in [(200, None, false), (503, Some(0.25), true), (502, None, true)] {
@@ -331,21 +331,21 @@
 }
 
 proptest! {
-    /// A client sends a header field that this host does not know. A node could act on it, so it must not be passed on.
+    /// A client sends a header field that this host does not know. A node could act on it, so it must not be forwarded.
     #[test]
     fn unknown_header_fields_do_not_reach_a_node(name in "[A-Za-z-]{1,12}", value in "[ -~]{0,40}") {
         let fields = [&VALID_FIELDS[..], &[(name.as_str(), value.as_str())]].concat();
-        if let Ok(call) = Call::parse(request("GET", PATH, &fields, ""), &read()) {
+        if let Ok(call) = Call::parse(request("GET", PATH, &fields, ""), &parsed_settings()) {
             let text = String::from_utf8(call.head.to_vec()).unwrap();
             let names: Vec<&str> = text.lines().skip(1).filter_map(|line| line.split(':').next()).collect();
             prop_assert!(names.iter().all(|name| ["X-Call-Id", "Idempotency-Key", "Content-Length"].contains(name)), "{text}");
         }
     }
 
-    /// Discovery or an operator sends any text. The host must refuse it, not end.
+    /// Discovery or a configuration file contains arbitrary text. Parsing must return an error instead of a panic.
     #[test]
-    fn no_text_makes_the_parser_panic(text in "[\\[\\]{}:,\"a-z0-9]{0,80}") {
-        _ = List::parse(text.as_bytes(), &read());
+    fn arbitrary_text_causes_no_panic(text in "[\\[\\]{}:,\"a-z0-9]{0,80}") {
+        _ = List::parse(text.as_bytes(), &parsed_settings());
         _ = Configuration::parse(text.as_bytes());
     }
 }
