--- a/crates/platform/src/configuration.rs
+++ b/crates/platform/src/configuration.rs
@@ -106,7 +106,7 @@
         let at_least = |name: &str, min: f64| -> Result<f64, FieldError> {
             let is_valid = |limit: &f64| *limit >= min && *limit < MAX_LIMIT;
             number(limits.get(name), name).ok().filter(is_valid).ok_or_else(|| {
-                let expected = format!("a number from {min} to below {MAX_LIMIT:e}");
+                let expected = format!("a number from {min}");
                 FieldError::with_found(&format!("limits.{name}"), shown(limits.get(name)), expected)
             })
         };
