--- a/crates/platform-host/src/client_connections/tests.rs
+++ b/crates/platform-host/src/client_connections/tests.rs
@@ -76,7 +76,7 @@
 /// A new client connects while the oldest idle connection has a request in its socket that the host has not read. Its client
 /// would lose the request, so the next oldest is evicted.
 #[test]
-fn a_connection_with_a_request_in_its_socket_is_not_evicted() {
+fn connection_with_unread_input_is_not_evicted() {
     let mut fixture = Fixture::new(3);
     let (oldest, mut requesting_client) = fixture.idle_client(1.0);
     let (second, _rests) = fixture.idle_client(2.0);
@@ -137,7 +137,7 @@
 /// The host shuts down while connections are idle, new, busy, in the middle of a request, or have a request in their socket. Only
 /// the idle one may be half-closed at once: the clients of the others would lose requests.
 #[test]
-fn shutdown_reads_a_request_in_the_socket_before_it_half_closes() {
+fn shutdown_half_closes_only_idle_connections_without_input() {
     let mut fixture = Fixture::new(9);
     let (idle, idle_client) = fixture.idle_client(1.0);
     let (requesting, mut requesting_client) = fixture.idle_client(1.0);
@@ -272,7 +272,7 @@
 /// A client sends request after request and reads no answer. Its bytes must stay in the sockets, or the host's memory would fill with
 /// requests and their answers. Once the client has read its answer, the next request is accepted.
 #[test]
-fn next_request_stays_unread_until_the_answer_before_it_is_written() {
+fn pipelined_request_waits_for_the_previous_answer() {
     let mut fixture = Fixture::new(3);
     let (id, mut client) = fixture.client_with_unread_answer(1.0);
     client.write_all(REQUEST).unwrap();
@@ -298,7 +298,7 @@
 /// A client never reads its answer, or its last one. The host must not hold the answer and a descriptor for it without end, so it closes
 /// the connection after a time, and not before.
 #[test]
-fn connection_is_closed_when_its_answer_is_not_read_in_time() {
+fn unread_answer_closes_connection_after_timeout() {
     for (is_last, state) in [(false, ConnectionState::Reading), (true, ConnectionState::Closing)] {
         let mut fixture = Fixture::new(3);
         fixture.clients.is_shutting_down = is_last;
--- a/crates/platform-host/src/eviction/tests.rs
+++ b/crates/platform-host/src/eviction/tests.rs
@@ -5,7 +5,7 @@
 /// All descriptors are in use and a new client connects. If the wrong connection were closed for it, a client would lose an answer
 /// or a request that is on its way, while silent connections stayed open.
 #[test]
-fn the_connection_whose_client_loses_least_is_evicted_first() {
+fn eviction_follows_class_then_age() {
     use EvictionClass::*;
     type Case = (&'static str, Vec<(u32, EvictionClass, f64)>, Option<u32>);
     let cases: Vec<Case> = vec![
--- a/crates/platform-host/src/host/tests.rs
+++ b/crates/platform-host/src/host/tests.rs
@@ -65,7 +65,7 @@
 /// A client closes after an iteration has begun, and the connection for its request is established in that iteration. The close
 /// is not reported yet, so the host must look at the client's socket before it writes the request.
 #[test]
-fn connection_established_before_its_clients_close_is_reported_carries_nothing() {
+fn new_node_connection_is_unused_after_unreported_client_close() {
     let (mut host, node) = fixture("");
     let client = send_request(&mut host, 1);
     let link = (0..8)
@@ -88,7 +88,7 @@
 /// A token bucket releases a request whose client has closed after the iteration began. The close is not reported yet, so the
 /// host must look at the client's socket before it sends the request.
 #[test]
-fn request_released_by_its_bucket_is_not_sent_after_an_unreported_close() {
+fn token_bucket_release_checks_for_unreported_client_close() {
     let (mut host, _node) = fixture(r#","ceiling_rate":4.0,"most_at_once":1.2,"slack":0.1"#);
     let _first = send_request(&mut host, 1);
     let second = send_request(&mut host, 2);
@@ -116,7 +116,7 @@
 /// Changes are missing from what the host knows, and the core asks for the complete list, while no poll is open. A poll for changes would
 /// begin after the missing ones, which may be a drain.
 #[test]
-fn complete_list_is_polled_when_the_core_fetches_it() {
+fn fetch_polls_complete_list() {
     let list = TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut host, _node) = fixture_with_list("", &list.local_addr().unwrap().to_string());
     let now = host.clock.now();
@@ -129,7 +129,7 @@
 
 /// The same while a poll for changes is open. Its answer has changes only, so the complete list must still be polled.
 #[test]
-fn complete_list_is_polled_after_a_poll_that_is_open_at_the_fetch() {
+fn fetch_during_open_poll_polls_complete_list_next() {
     let list = TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut host, _node) = fixture_with_list("", &list.local_addr().unwrap().to_string());
     run_until(&mut host, |host| host.watch.is_polling());
--- a/crates/platform-host/src/idle_connections/tests.rs
+++ b/crates/platform-host/src/idle_connections/tests.rs
@@ -23,7 +23,7 @@
 /// A node sends a second copy of an answer a moment late. A connection that has only just had its answer must not be reused yet, or
 /// the copy would be taken for the answer to the next request.
 #[test]
-fn a_connection_is_reused_only_after_the_reuse_delay_and_the_one_used_last_first() {
+fn most_recent_connection_is_reused_after_reuse_delay() {
     let (mut idle, reuse_delay) = (fixture(), TimeDelta::from_millis(1500));
     assert_eq!(idle.take(FIRST_NODE, at(4.4), reuse_delay), Some(11));
     assert_eq!(idle.take(SECOND_NODE, at(4.4), reuse_delay), None);
@@ -36,7 +36,7 @@
 /// Several attempts wait for connections of one node to become reusable. Each must count on one of its own; the second would
 /// otherwise find the first one's connection taken.
 #[test]
-fn each_waiting_attempt_counts_on_a_connection_of_its_own() {
+fn waiting_attempts_expect_distinct_connections() {
     let reuse_delay = TimeDelta::from_millis(1500);
     let reusable_at = |secs, ahead| fixture().reusable_at(FIRST_NODE, at(secs), reuse_delay, ahead);
     assert_eq!(reusable_at(3.2, 0), Some(at(3.5)));
@@ -49,7 +49,7 @@
 /// Idle connections are closed by age, before their node closes them. A connection that stayed in one of the two tables after it was
 /// removed would be closed, or reused, twice.
 #[test]
-fn the_oldest_connection_is_closed_first_and_removed_from_both_tables() {
+fn oldest_connection_is_closed_first_and_removed_from_both_tables() {
     let mut idle = fixture();
     idle.take(FIRST_NODE, at(5.5), TimeDelta::ZERO);
     idle.take(SECOND_NODE, at(5.5), TimeDelta::ZERO);
--- a/crates/platform-host/src/list_watch/tests.rs
+++ b/crates/platform-host/src/list_watch/tests.rs
@@ -119,7 +119,7 @@
 /// The list's address takes no connection. The poll must fail after a time: until then nothing else is asked, and the host does not learn
 /// of changes.
 #[test]
-fn poll_that_is_not_connected_in_time_fails() {
+fn poll_fails_after_connect_timeout() {
     let mut fixture = Fixture::new(0);
     let mut filling = Vec::new();
     while let Ok(stream) = TcpStream::connect_timeout(&fixture.watch.address(), FULL_BACKLOG_TIMEOUT) {
@@ -138,7 +138,7 @@
 
 /// A connection to the list is used by one poll after the other as long as nothing happens between them.
 #[test]
-fn next_poll_uses_the_idle_connection() {
+fn next_poll_reuses_idle_connection() {
     let mut fixture = Fixture::new(8);
     let mut connection = fixture.poll_and_answer(1.0);
     fixture.poll(1.1);
@@ -148,7 +148,7 @@
 /// Between two polls the list sends bytes, or closes the connection, and the poller reports it. The connection must be dropped: the bytes
 /// would be taken for the answer to the next poll, and after a close that poll would fail.
 #[test]
-fn idle_connection_is_dropped_when_bytes_or_its_close_are_reported() {
+fn reported_input_drops_idle_connection() {
     for fault in IdleFault::ALL {
         let mut fixture = Fixture::new(8);
         let connection = fixture.poll_and_answer(1.0);
@@ -161,7 +161,7 @@
 
 /// The same happens after the iteration began in which the next poll is sent, so it is not reported. The next poll must look for it.
 #[test]
-fn idle_connection_with_unreported_input_is_not_polled_on() {
+fn unreported_input_drops_idle_connection() {
     for fault in IdleFault::ALL {
         let mut fixture = Fixture::new(8);
         let connection = fixture.poll_and_answer(1.0);
--- a/crates/platform-host/src/node_connections/tests.rs
+++ b/crates/platform-host/src/node_connections/tests.rs
@@ -139,7 +139,7 @@
 /// A node ends a connection, in order or with a reset, while a request is being written to it. The node has not received the whole
 /// request, so the request never ran and may be retried, whatever its effect.
 #[test]
-fn request_that_is_cut_while_it_is_written_never_ran() {
+fn partly_written_request_never_ran() {
     for in_order in [true, false] {
         let mut fixture = Fixture::new();
         let (ticket, node) = fixture.write_partly(1);
@@ -158,7 +158,7 @@
 /// A node answers while a request is still being written to it. A good answer can't be for this request, and must not reach the client as
 /// its answer; a rejection proves that the request never ran. The rest of the request must not be written in either case.
 #[test]
-fn answer_to_a_request_that_is_being_written_is_no_success() {
+fn early_answer_is_no_success() {
     for (status, outcome) in [
         ("200 OK\r\nContent-Length: 0", Outcome::Error),
         ("503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0", Outcome::Full),
@@ -178,7 +178,7 @@
 /// A node closes an idle connection at the moment at which a request is written to it, in order or with a reset, and reads nothing. The
 /// host can't tell this from a node that ran the request and failed, so the request may have run.
 #[test]
-fn request_written_to_an_idle_connection_as_its_node_closes_it_may_have_run() {
+fn request_on_reused_connection_closed_by_node_may_have_run() {
     for in_order in [true, false] {
         let mut fixture = Fixture::new();
         let ticket = fixture.send(1.0, attempt(1, 1));
--- a/crates/platform-host/src/shutdown_schedule/tests.rs
+++ b/crates/platform-host/src/shutdown_schedule/tests.rs
@@ -5,7 +5,7 @@
 /// The platform kills the host some time after SIGTERM, which depends on the longest deadline of its settings. If a phase came out of
 /// its order or too late, clients would lose answers to the kill.
 #[test]
-fn each_phase_begins_in_its_order_whatever_the_deadlines_are() {
+fn phases_begin_in_order_for_all_deadlines() {
     let after = TimeDelta::from_secs;
     // The longest deadline, when Closing and Settled begin, and the kill, in seconds. The kill comes no earlier than the last.
     for (deadline, closing, settled, kill) in [
--- a/crates/platform-host/tests/crossings.rs
+++ b/crates/platform-host/tests/crossings.rs
@@ -29,7 +29,7 @@
 /// A client sends a request and closes its connection, or its sending, before the host reads either. The host must notice the
 /// close before it dispatches, or a node would do work that nobody waits for.
 #[test]
-fn request_is_not_dispatched_when_its_client_closes_in_the_same_iteration() {
+fn request_of_closed_client_is_not_dispatched() {
     let (mut host, _endpoint_list, mut node) = default_fixture();
     for half in [true, false] {
         let mut client = host.client();
@@ -50,7 +50,7 @@
 /// A client pipelines five requests and closes; the first one's answer arrives in the same iteration as the close. Handled in the
 /// other order, the answer would release the next request, and a node would run it for nobody.
 #[test]
-fn pipelined_requests_are_dropped_when_their_client_closes() {
+fn client_close_drops_pipelined_requests() {
     let (mut host, _endpoint_list, mut node) = default_fixture();
     let mut client = host.client();
     let all: Vec<u8> = (0..5).flat_map(|_| host.request("read", 0, "x")).collect();
@@ -68,7 +68,7 @@
 /// A client sends more than the system buffers for an unread socket, and closes. The close stands behind these bytes, so a host
 /// that did not read ahead would hold the node's work until its deadline.
 #[test]
-fn close_behind_pipelined_requests_is_seen_while_the_first_is_in_flight() {
+fn close_behind_pipelined_requests_is_detected() {
     let (mut host, _endpoint_list, mut node) = default_fixture();
     let mut client = host.client();
     // More than the system buffers for an unread socket.
@@ -89,7 +89,7 @@
 /// A client pipelines requests without end, which would fill the host's memory. Beyond a bound the host answers the open request
 /// with `Connection: close` and accepts no other, without a reset that would lose the answer.
 #[test]
-fn client_that_pipelines_without_end_gets_its_open_request_answered_and_no_other() {
+fn endless_pipelining_ends_after_open_request() {
     let (mut host, _endpoint_list, mut node) = default_fixture();
     let mut client = host.client();
     let flood: Vec<u8> = (0..400).flat_map(|_| host.request("read", 0, &"x".repeat(1000))).collect();
@@ -112,7 +112,7 @@
 /// More connections to nodes are established, and more clients close, than one iteration reports. Each request must be checked
 /// against its client before it is written, as the close may be reported in a later iteration only.
 #[test]
-fn connection_established_as_its_client_closes_carries_nothing() {
+fn no_request_is_written_for_closed_clients() {
     let (endpoint_list, mut node) = (FakeServer::new(), FakeServer::new());
     let members: Vec<String> =
         (0..60).map(|shard| member_json(&format!("s-{shard}"), node.address(), shard, "Ready")).collect();
@@ -146,7 +146,7 @@
 /// An attempt has failed and its request waits for its retry. The client closes, and the host sees the close and the end of the
 /// backoff in the same iteration. The retry must not be sent.
 #[test]
-fn no_retry_begins_for_a_client_that_closed_during_the_backoff() {
+fn client_close_during_backoff_prevents_retry() {
     let (mut host, _endpoint_list, mut node) = default_fixture();
     let mut client = host.client();
     let text = host.request("read", 0, "x");
@@ -168,7 +168,7 @@
 /// A request waits for its volume's token bucket, and its client closes. The host sees the close only when the bucket has
 /// refilled. The request must not be sent.
 #[test]
-fn request_that_waits_for_its_token_bucket_is_not_sent_once_its_client_closed() {
+fn client_close_cancels_request_waiting_for_token_bucket() {
     let plan = r#","ceiling_rate":4.0,"most_at_once":1.2,"slack":0.1"#;
     let (mut host, _endpoint_list, mut node) = fixture(Settings { plan, ..Settings::default() });
     let (mut first, mut second) = (host.client(), host.client());
@@ -188,7 +188,7 @@
 /// All connections to nodes are in use and requests wait for one. They become free in the same iteration in which all clients
 /// close. The waiting requests must not be sent.
 #[test]
-fn request_that_waits_for_a_connection_is_not_sent_once_its_client_closed() {
+fn client_close_cancels_request_waiting_for_connection() {
     let (endpoint_list, mut node) = (FakeServer::new(), FakeServer::new());
     let members: Vec<String> =
         (0..20).map(|shard| member_json(&format!("s-{shard}"), node.address(), shard, "Ready")).collect();
@@ -328,7 +328,7 @@
 /// A node moves while a connection to its old address is being established. Whatever listens there by now must not get the
 /// request; the new address must.
 #[test]
-fn connection_established_after_its_node_moved_carries_nothing() {
+fn connection_to_former_node_address_is_unused() {
     let (mut host, mut endpoint_list, mut old, filling) = slow_connect_fixture(2.5);
     let mut client = host.client();
     let text = host.request("read", 0, "x");
@@ -350,7 +350,7 @@
 /// A node begins to drain, or leaves, while a connection to it is being established. A request written to it would go to a
 /// draining node, and an idle connection would hold the node up.
 #[test]
-fn connection_established_after_the_drain_carries_nothing_and_is_closed() {
+fn connection_to_draining_node_is_closed_unused() {
     for phase in ["Terminating", "Gone"] {
         let (mut host, mut endpoint_list, mut node, filling) = slow_connect_fixture(2.5);
         let mut client = host.client();
@@ -372,7 +372,7 @@
 /// A connection is established in the same iteration in which its request's deadline has passed. The client is told that the
 /// request did not run, so it must not be written.
 #[test]
-fn connection_established_after_the_deadline_carries_nothing() {
+fn connection_after_deadline_is_unused() {
     let (mut host, _endpoint_list, mut node, filling) = slow_connect_fixture(2.5);
     let mut client = host.client();
     let text = String::from_utf8(host.request("once", 0, "x")).unwrap().replace("Ms: 1500", "Ms: 700");
@@ -417,7 +417,7 @@
 /// Clients connect just before the host closes its listener, more than it accepts in one iteration. The system has accepted them
 /// already, and closing the listener would reset them.
 #[test]
-fn connections_in_the_backlog_are_served_when_the_listener_closes() {
+fn backlog_is_served_at_listener_close() {
     let (mut host, _endpoint_list, _node) = fixture(Settings { deadline_secs: 0.1, ..Settings::default() });
     host.run_iteration();
     host.begin_shutdown();
@@ -441,7 +441,7 @@
 /// The host half-closes an idle connection while its client sends the next request. The request must be discarded, as its client
 /// sends it again elsewhere, and a reset must not hide the half-close.
 #[test]
-fn shutdown_half_closes_idle_connections_and_discards_a_request_that_crosses() {
+fn request_crossing_half_close_is_discarded() {
     let (mut host, _endpoint_list, mut node) = default_fixture();
     let mut client = host.client();
     let text = host.request("read", 0, "x");
@@ -468,7 +468,7 @@
 /// A client gets its last answer while it sends more requests. If the process exited over these unread bytes, the system would
 /// reset the connection and the client would lose the answer.
 #[test]
-fn host_does_not_exit_before_its_client_has_read_the_last_answer() {
+fn host_exits_after_client_has_read_last_answer() {
     let (mut host, _endpoint_list, mut node) =
         fixture(Settings { deadline_secs: 0.4, ..Settings::default() });
     let mut client = host.client();
@@ -495,7 +495,7 @@
 /// Two clients have each sent a part of a request when the host shuts down. The one that completes its request is served; the
 /// other one must be answered, not reset, before the process exits.
 #[test]
-fn partial_request_at_shutdown_is_served_once_complete_and_rejected_otherwise() {
+fn partial_request_at_shutdown_is_served_or_rejected() {
     let (mut host, _endpoint_list, mut node) = default_fixture();
     let (mut complete, mut partial) = (host.client(), host.client());
     let texts = [host.request("read", 0, "x"), host.request("read", 0, "x")];
@@ -520,7 +520,7 @@
 /// SIGTERM comes before the first iteration, and again during the shutdown. If the second one restarted the schedule, the
 /// platform would kill the host before it has answered all requests. SIGHUP is still obeyed.
 #[test]
-fn signals_during_the_shutdown_do_not_change_its_schedule() {
+fn repeated_signals_keep_shutdown_schedule() {
     let (mut host, endpoint_list, _node) = fixture(Settings { deadline_secs: 0.3, ..Settings::default() });
     let mut moved = FakeServer::new();
     host.begin_shutdown();
@@ -566,7 +566,7 @@
 /// The old address has written a long answer when the list moves. The host counts as notified of it, so it must be applied; an
 /// answer that the old address writes later may be outdated and must not.
 #[test]
-fn old_address_is_read_to_the_end_at_a_reload_and_never_afterwards() {
+fn old_list_address_is_drained_at_reload() {
     let (mut host, mut endpoint_list, node) = default_fixture();
     host.run_until("the old address is polled", |_| endpoint_list.request_count() == 1);
     let mut new = FakeServer::new();
@@ -587,7 +587,7 @@
 /// An answer arrives as its poll times out, while the host is busy elsewhere. The host counts as notified once the answer is in
 /// its socket, so it must not be discarded with the poll.
 #[test]
-fn answer_in_the_socket_at_its_timeout_is_applied() {
+fn answer_in_socket_at_timeout_is_applied() {
     let (mut host, mut endpoint_list, node) = default_fixture();
     host.run_until("the list is polled", |_| endpoint_list.request_count() == 1);
     let members: Vec<String> =
@@ -602,7 +602,7 @@
 /// A poll falls silent and the next one fails. The timeouts and backoffs together must leave the host time to learn of a change
 /// within the 6 s after which it counts as notified.
 #[test]
-fn change_is_applied_in_time_after_a_silent_poll_and_a_failed_one() {
+fn change_is_applied_in_time_after_two_failed_polls() {
     let (mut host, mut endpoint_list, node) = default_fixture();
     host.run_until("the list is polled", |_| endpoint_list.request_count() == 1);
     let silent = Instant::now();
@@ -630,7 +630,7 @@
 /// The list resets each poll for a while. If the backoff grew without a bound, its return would be noticed too late: however
 /// often a poll failed, the next one must follow in less than 2 s.
 #[test]
-fn polls_of_an_unreachable_list_follow_each_other_within_the_backoff_bound() {
+fn list_poll_backoff_is_bounded() {
     let (mut host, mut endpoint_list, _node) = default_fixture();
     host.run_until("the list is polled", |_| endpoint_list.request_count() == 1);
     let mut last = Instant::now();
@@ -645,7 +645,7 @@
 /// The list answers with an older version, in which a draining node is still ready. It may be a delayed answer, so the node must
 /// get no request; only the complete list may restore it.
 #[test]
-fn older_list_version_does_not_restore_a_drained_node_until_the_complete_list_does() {
+fn older_list_version_does_not_restore_draining_node() {
     let (mut host, mut endpoint_list, mut node) = default_fixture();
     host.run_until("the list is polled", |_| endpoint_list.request_count() == 1);
     endpoint_list.connections[0].send(
@@ -671,7 +671,7 @@
 /// The list service has restarted with an older copy, in which a draining node is still ready, and its long answer is in the socket when
 /// the list moves. The old address is read to its end, but an older answer must not restore the node.
 #[test]
-fn older_list_version_of_the_old_address_is_not_applied_at_a_reload() {
+fn older_list_version_is_not_applied_at_reload() {
     let (mut host, mut endpoint_list, mut node) = default_fixture();
     host.run_until("the list is polled", |_| endpoint_list.request_count() == 1);
     let ready = [member_json("s-0", node.address(), 0, "Ready")];
@@ -779,7 +779,7 @@
 /// A client sends a part of a request and closes, in order or with a reset. The host must close the connection at once and send
 /// nothing to a node, wherever the request was cut.
 #[test]
-fn partial_request_whose_client_closes_reaches_no_node() {
+fn partial_request_of_closed_client_reaches_no_node() {
     let (mut host, _endpoint_list, mut node) = default_fixture();
     let text = host.request("read", 0, "body");
     for cut in [1, 40, text.len() - 4, text.len() - 1] {
--- a/crates/platform-host/tests/mutants.rs
+++ b/crates/platform-host/tests/mutants.rs
@@ -5,7 +5,7 @@
 /// A guard is changed or a test is renamed, and its mutant no longer applies. `mutants/run` is no part of CI, so nobody would notice
 /// until the mutant is needed.
 #[test]
-fn each_mutant_takes_out_lines_of_the_code_and_names_a_test() {
+fn mutants_quote_existing_lines_and_tests() {
     let package = Path::new(env!("CARGO_MANIFEST_DIR"));
     let root = package.join("../..");
     let mut count = 0;
