--- a/crates/platform-host/src/client_connection.rs
+++ b/crates/platform-host/src/client_connection.rs
@@ -81,7 +81,7 @@
     pub(crate) fn eviction_class(&self, now: Instant) -> EvictionClass {
         let age = now - self.since;
         match self.state {
-            ConnectionState::HalfClosed => EvictionClass::Over,
+            ConnectionState::HalfClosed => EvictionClass::HalfClosed,
             ConnectionState::AwaitingResponse(_) | ConnectionState::Closing => EvictionClass::Busy,
             ConnectionState::Reading if !self.outgoing.is_empty() => EvictionClass::Busy,
             ConnectionState::Reading if !self.has_sent_request && age < NEW_CONNECTION_GRACE => {
@@ -101,7 +101,7 @@
         let is_writing =
             !self.outgoing.is_empty() && !matches!(self.state, ConnectionState::AwaitingResponse(_));
         match self.eviction_class(now) {
-            EvictionClass::Over if age >= LINGER_TIMEOUT => Some(ExceededTimeout::Linger),
+            EvictionClass::HalfClosed if age >= LINGER_TIMEOUT => Some(ExceededTimeout::Linger),
             EvictionClass::Silent if age >= FIRST_REQUEST_TIMEOUT => Some(ExceededTimeout::Request),
             EvictionClass::MidRequest if age >= REQUEST_TIMEOUT => Some(ExceededTimeout::Request),
             EvictionClass::Busy if is_writing && age >= WRITE_TIMEOUT => Some(ExceededTimeout::Write),
@@ -151,7 +151,7 @@
     }
 
     /// Its last answer was given.
-    pub(crate) fn is_over(&self) -> bool {
+    pub(crate) fn has_last_answer(&self) -> bool {
         matches!(self.state, ConnectionState::Closing | ConnectionState::HalfClosed)
     }
 
--- a/crates/platform-host/src/client_connections.rs
+++ b/crates/platform-host/src/client_connections.rs
@@ -25,7 +25,7 @@
     /// A request was received.
     Request(Request),
     /// Its client has gone, with this request open.
-    Gone(Option<u32>),
+    Disconnected(Option<u32>),
 }
 
 /// What happened to client connections since the start.
@@ -151,8 +151,8 @@
     }
 
     /// The client of a connection has gone.
-    pub(crate) fn disconnected(&mut self, id: u32) -> ClientEvent {
-        ClientEvent::Gone(self.remove(id))
+    pub(crate) fn handle_disconnect(&mut self, id: u32) -> ClientEvent {
+        ClientEvent::Disconnected(self.remove(id))
     }
 
     /// The socket of a connection is ready.
@@ -163,11 +163,11 @@
         id: u32,
         ready: Ready,
     ) -> Option<ClientEvent> {
-        let is_over = self.clients.get(&id)?.is_over();
+        let has_last_answer = self.clients.get(&id)?.has_last_answer();
         // A client that ends the connection, or its sending, has gone with all its requests. This comes before any read: a request that
         // arrived in the same moment would otherwise be sent to a node although nobody waits for its answer.
-        if ready.ended && !is_over {
-            return Some(self.disconnected(id));
+        if ready.ended && !has_last_answer {
+            return Some(self.handle_disconnect(id));
         }
         if ready.write {
             if let Some(client_event) = self.flush(now, poller, id) {
@@ -189,9 +189,9 @@
         let mut chunk = [0; sockets::READ_CHUNK_BYTES];
         match sockets::read(&client.stream, &mut chunk) {
             ReadOutcome::Nothing => return None,
-            ReadOutcome::End | ReadOutcome::Failed => return Some(self.disconnected(id)),
-            ReadOutcome::Bytes(len) if client.is_over() => {
-                return client.discard_bytes(len).then(|| self.disconnected(id));
+            ReadOutcome::End | ReadOutcome::Failed => return Some(self.handle_disconnect(id)),
+            ReadOutcome::Bytes(len) if client.has_last_answer() => {
+                return client.discard_bytes(len).then(|| self.handle_disconnect(id));
             }
             ReadOutcome::Bytes(len) => client.push_bytes(now, &chunk[..len]),
         }
@@ -289,7 +289,7 @@
         body: &[u8],
         retry_after: Option<TimeDelta>,
     ) -> Option<ClientEvent> {
-        let client = self.clients.get_mut(&id).filter(|client| !client.is_over())?;
+        let client = self.clients.get_mut(&id).filter(|client| !client.has_last_answer())?;
         let is_last = client.closes || self.is_shutting_down;
         let head = answer_head(status, body.len(), retry_after, is_last);
         client.outgoing.extend_from_slice(head.as_bytes());
@@ -303,7 +303,7 @@
     fn flush(&mut self, now: Instant, poller: &Poller, id: u32) -> Option<ClientEvent> {
         let client = self.clients.get_mut(&id)?;
         if sockets::write(&client.stream, &mut client.outgoing).is_err() {
-            return Some(self.disconnected(id));
+            return Some(self.handle_disconnect(id));
         }
         if client.outgoing.is_empty() && client.state == ConnectionState::Closing {
             client.half_close(now);
--- a/crates/platform-host/src/client_connections/tests.rs
+++ b/crates/platform-host/src/client_connections/tests.rs
@@ -130,7 +130,7 @@
     while !fixture.clients.has_disconnected(id) {
         assert!(since.elapsed() < Duration::from_secs(5));
     }
-    assert!(matches!(fixture.clients.disconnected(id), ClientEvent::Gone(Some(7))));
+    assert!(matches!(fixture.clients.handle_disconnect(id), ClientEvent::Disconnected(Some(7))));
     assert!(fixture.clients.has_disconnected(id), "an unknown client has disconnected");
 }
 
@@ -261,7 +261,7 @@
             let Token::ClientConnection(id) = socket.token else { panic!("{socket:?}") };
             match self.clients.handle_ready(at(now), &self.poller, id, socket) {
                 Some(ClientEvent::Request(request)) => requests.push(request),
-                Some(ClientEvent::Gone(_)) => panic!("client {id} has gone"),
+                Some(ClientEvent::Disconnected(_)) => panic!("client {id} has gone"),
                 None => {}
             }
         }
--- a/crates/platform-host/src/eviction.rs
+++ b/crates/platform-host/src/eviction.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum EvictionClass {
     /// Has its last answer; only its end is awaited.
-    Over,
+    HalfClosed,
     /// Has not sent one valid request in a while: nothing, or a part of one.
     Silent,
     /// Between requests for long enough that its client expects the connection to be closed.
--- a/crates/platform-host/src/eviction/tests.rs
+++ b/crates/platform-host/src/eviction/tests.rs
@@ -11,7 +11,7 @@
     let cases: Vec<Case> = vec![
         ("no connections", vec![], None),
         ("all are busy", vec![(1, Busy, 0.0), (2, Busy, 1.0)], None),
-        ("over before silent", vec![(1, Silent, 0.0), (2, Over, 9.0)], Some(2)),
+        ("half-closed before silent", vec![(1, Silent, 0.0), (2, HalfClosed, 9.0)], Some(2)),
         ("the longest silent", vec![(1, Silent, 5.0), (2, Silent, 4.0), (3, Idle, 0.0)], Some(2)),
         ("idle before new", vec![(1, New, 5.0), (2, Idle, 3.0)], Some(2)),
         ("new before recently used", vec![(1, RecentlyUsed, 1.0), (2, New, 5.0)], Some(2)),
--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -72,11 +72,11 @@
     /// A complete list was applied, and no change is missing since. Else the complete list is polled.
     has_complete_list: bool,
     /// A poll of the list has ended, with whatever result.
-    list_polled: bool,
+    has_polled_list: bool,
     signals: HashMap<u32, (ProcessSignal, UnixStream)>,
     request_ids: RequestIds,
     /// Requests that were accepted; the last one's number.
-    requests: u32,
+    last_request_number: u32,
     /// Requests that were malformed or not allowed.
     refused: u64,
     /// Connections whose next request may have been received already.
@@ -120,10 +120,10 @@
             last_poll_at: now - MIN_POLL_INTERVAL,
             next_poll_at: None,
             has_complete_list: false,
-            list_polled: false,
+            has_polled_list: false,
             signals: HashMap::new(),
             request_ids: RequestIds::default(),
-            requests: 0,
+            last_request_number: 0,
             refused: 0,
             pipelined_clients: Vec::new(),
             attempt_results: Vec::new(),
@@ -202,7 +202,7 @@
         }
         self.core.handle_timeout(now);
         self.execute_outputs();
-        self.shutdown_since.is_some() && self.has_ended()
+        self.shutdown_since.is_some() && self.has_shut_down()
     }
 
     fn handle_ready_socket<E: Display>(
@@ -263,7 +263,7 @@
         self.node_connections.handle_timeout(now, &mut self.attempt_results);
         self.report_attempt_results(now);
         for (id, open) in self.clients.handle_timeout(now, &self.poller) {
-            self.client_gone(now, id, Some(open));
+            self.abort_request(now, id, Some(open));
         }
         self.advance_shutdown(now);
     }
--- a/crates/platform-host/src/host/attempts.rs
+++ b/crates/platform-host/src/host/attempts.rs
@@ -18,11 +18,11 @@
         loop {
             let now = self.clock.now();
             while let Some(output) = self.core.poll_output(now) {
-                self.output(now, output);
+                self.handle_output(now, output);
             }
-            let delayed = self.node_connections.delayed_attempt(now);
-            if let Some(pending) = delayed.or_else(|| self.node_connections.next_queued()) {
-                self.begin(now, pending);
+            let delayed = self.node_connections.next_delayed_attempt(now);
+            if let Some(pending) = delayed.or_else(|| self.node_connections.next_waiting_attempt()) {
+                self.send_attempt(now, pending);
                 continue;
             }
             if self.attempt_results.is_empty() {
@@ -33,7 +33,7 @@
     }
 
     /// Sends an attempt to its node, unless it was cancelled meanwhile.
-    fn begin(&mut self, now: Instant, pending: PendingAttempt) {
+    fn send_attempt(&mut self, now: Instant, pending: PendingAttempt) {
         self.check_client(now, pending.attempt.from.session);
         if !pending.attempt.ticket.is_withdrawn() {
             let to = self.node_address(pending.attempt.node);
@@ -46,7 +46,7 @@
     /// before. So each client is checked whenever an attempt of its request could begin.
     pub(super) fn check_client(&mut self, now: Instant, client: u32) {
         if self.clients.has_disconnected(client) {
-            let event = self.clients.disconnected(client);
+            let event = self.clients.handle_disconnect(client);
             self.handle_client_event(now, client, Some(event));
         }
     }
@@ -55,10 +55,10 @@
         self.core.nodes().address(node).and_then(|address| address.parse().ok())
     }
 
-    fn output(&mut self, now: Instant, output: Output) {
+    fn handle_output(&mut self, now: Instant, output: Output) {
         match output {
             Output::Send(attempt) => {
-                self.begin(now, PendingAttempt { attempt: *attempt, has_waited: false });
+                self.send_attempt(now, PendingAttempt { attempt: *attempt, has_waited: false });
             }
             Output::Cancel { attempt, .. } | Output::Cut { attempt, .. } => {
                 self.node_connections.cancel(attempt);
--- a/crates/platform-host/src/host/endpoint_list.rs
+++ b/crates/platform-host/src/host/endpoint_list.rs
@@ -44,11 +44,11 @@
             None => {}
             Some(WatchEvent::Failed(why)) => {
                 tracing::debug!(why, "poll of the endpoint list failed");
-                (self.watches_list, self.list_polled) = (false, true);
+                (self.watches_list, self.has_polled_list) = (false, true);
                 self.core.handle_endpoint_list(now, ListKind::Failed, 0, 0, &[]);
             }
             Some(WatchEvent::List { after, list }) => {
-                self.list_polled = true;
+                self.has_polled_list = true;
                 self.handle_list_answer(now, after, &list);
                 if self.watches_list {
                     self.poll_list(now);
@@ -101,7 +101,7 @@
 
     /// The list is served at this address from now on. It is polled at once, also where the host waits out a backoff: a change that the
     /// new address has counts as notified some seconds from now, and must not wait for a backoff from the old address.
-    pub(super) fn discovery_moved(&mut self, now: Instant, to: SocketAddr) {
+    pub(super) fn change_list_address(&mut self, now: Instant, to: SocketAddr) {
         if to == self.watch.address() {
             tracing::info!(list = %to, "configuration reloaded: discovery unchanged");
         } else {
--- a/crates/platform-host/src/host/peer_link.rs
+++ b/crates/platform-host/src/host/peer_link.rs
@@ -43,8 +43,8 @@
     }
 
     /// Stores the rates, in units a second, at peers, as this host shuts down.
-    pub(super) fn hand_off(&mut self, rates: Vec<(ShardId, f64)>) {
-        let datagrams = self.service_rates.hand_off(rates);
+    pub(super) fn replicate(&mut self, rates: Vec<(ShardId, f64)>) {
+        let datagrams = self.service_rates.replicate(rates);
         self.send(datagrams);
     }
 
--- a/crates/platform-host/src/host/requests.rs
+++ b/crates/platform-host/src/host/requests.rs
@@ -34,12 +34,12 @@
     pub(super) fn handle_client_event(&mut self, now: Instant, id: u32, event: Option<ClientEvent>) {
         match event {
             None => {}
-            Some(ClientEvent::Gone(open)) => self.client_gone(now, id, open),
+            Some(ClientEvent::Disconnected(open)) => self.abort_request(now, id, open),
             Some(ClientEvent::Request(request)) => self.handle_request(now, id, request),
         }
     }
 
-    pub(super) fn client_gone(&mut self, now: Instant, id: u32, open: Option<u32>) {
+    pub(super) fn abort_request(&mut self, now: Instant, id: u32, open: Option<u32>) {
         if let Some(command) = open {
             self.request_ids.finish(now, id);
             self.core.handle_abort(now, CommandRef { session: id, command });
@@ -81,8 +81,8 @@
     }
 
     fn submit_call(&mut self, now: Instant, id: u32, call: Call) {
-        self.requests = self.requests.wrapping_add(1);
-        self.clients.request_accepted(now, id, self.requests);
+        self.last_request_number = self.last_request_number.wrapping_add(1);
+        self.clients.request_accepted(now, id, self.last_request_number);
         self.request_ids.insert(id, call.id);
         let request = ObjectRequest {
             volume: call.volume,
@@ -95,7 +95,11 @@
             time_left: call.time_left,
             payload: OpaqueRequest { head: call.head, body: call.body },
         };
-        self.core.handle_object_request(now, CommandRef { session: id, command: self.requests }, request);
+        self.core.handle_object_request(
+            now,
+            CommandRef { session: id, command: self.last_request_number },
+            request,
+        );
     }
 
     pub(super) fn queue_pipelined(&mut self, id: u32) {
@@ -108,7 +112,7 @@
     fn is_ready(&self) -> bool {
         // Where lists are pushed, a new process counts as notified of what the agent has. A host that was ready before it has polled
         // the agent could send requests to nodes that are draining.
-        let has_polled = self.list_polled || !self.settings.lists_are_pushed();
+        let has_polled = self.has_polled_list || !self.settings.lists_are_pushed();
         has_polled && self.core.nodes().entries().any(|(_, entry)| entry.state == NodeState::Ready)
     }
 }
--- a/crates/platform-host/src/host/shutdown.rs
+++ b/crates/platform-host/src/host/shutdown.rs
@@ -30,7 +30,7 @@
             ProcessSignal::Shutdown if self.shutdown_since.is_none() => {
                 self.shutdown_since = Some(now);
                 if let Some(peers) = &mut self.peers {
-                    peers.hand_off(self.core.service_rates(now));
+                    peers.replicate(self.core.service_rates(now));
                 }
                 tracing::info!(
                     open = self.core.open_counts().commands,
@@ -42,7 +42,7 @@
                 Err(error) => {
                     tracing::error!(%error, "configuration not taken, the old one stays")
                 }
-                Ok(configuration) => self.discovery_moved(now, configuration.discovery),
+                Ok(configuration) => self.change_list_address(now, configuration.discovery),
             },
         }
     }
@@ -98,7 +98,7 @@
 
     /// Each accepted request has its answer and each client has read it to its end; or there is no more time. Without waiting for the
     /// clients, the exit would reset their connections and they would lose answers that were written.
-    pub(super) fn has_ended(&self) -> bool {
+    pub(super) fn has_shut_down(&self) -> bool {
         let is_idle = self.core.open_counts().commands == 0 && self.clients.len() == 0;
         self.shutdown_phase == ShutdownPhase::Finished
             || (self.shutdown_phase >= ShutdownPhase::Closing && is_idle)
--- a/crates/platform-host/src/list_watch.rs
+++ b/crates/platform-host/src/list_watch.rs
@@ -44,7 +44,7 @@
 }
 
 /// A poll that has no answer yet.
-struct Call {
+struct Poll {
     /// Of its connection.
     number: u32,
     stream: TcpStream,
@@ -62,7 +62,7 @@
 /// The watch of the endpoint list: at most one poll is open.
 pub(crate) struct Watch {
     address: SocketAddr,
-    call: Option<Call>,
+    open_poll: Option<Poll>,
     /// A connection whose poll was answered, for the next one.
     idle_connection: Option<(u32, TcpStream)>,
     last_number: u32,
@@ -73,12 +73,12 @@
 impl Watch {
     /// A watch of the list at `address`; nothing is polled yet.
     pub(crate) fn new(address: SocketAddr) -> Self {
-        Watch { address, call: None, idle_connection: None, last_number: 0, has_failed: false }
+        Watch { address, open_poll: None, idle_connection: None, last_number: 0, has_failed: false }
     }
 
     /// Whether a poll has no answer yet.
     pub(crate) fn is_polling(&self) -> bool {
-        self.call.is_some()
+        self.open_poll.is_some()
     }
 
     /// Where the list is polled.
@@ -102,7 +102,7 @@
         let (number, stream) = match self.idle_connection.take().filter(is_usable) {
             Some(idle_connection) => idle_connection,
             None => {
-                let connect_failed = |error| WatchEvent::Failed(format!("call: {error}"));
+                let connect_failed = |error| WatchEvent::Failed(format!("connect: {error}"));
                 self.connect(poller).map_err(connect_failed)?
             }
         };
@@ -110,7 +110,7 @@
         let text = format!("GET {target} HTTP/1.1\r\nHost: {}\r\n\r\n", self.address);
         // The list answers a poll for the complete list without waiting.
         let wait = if after.is_some() { TimeDelta::from_millis(wait_ms as i64) } else { TimeDelta::ZERO };
-        let call = Call {
+        let poll = Poll {
             number,
             stream,
             outgoing: BytesMut::from(text.as_bytes()),
@@ -120,7 +120,7 @@
             deadline: now + CONNECT_TIMEOUT,
         };
         // A connection that is not established yet takes no bytes: the write fails or writes nothing, and is repeated once it is ready.
-        _ = self.call.insert(call).write(now, poller);
+        _ = self.open_poll.insert(poll).write(now, poller);
         Ok(())
     }
 
@@ -143,20 +143,20 @@
         ready: Ready,
         settings: &Settings,
     ) -> Option<WatchEvent> {
-        let Some(call) = self.call.as_mut().filter(|call| call.number == number) else {
+        let Some(poll) = self.open_poll.as_mut().filter(|poll| poll.number == number) else {
             // Bytes on a connection without a poll: a second copy of an answer, or its end. The next poll could take them for its own
             // answer, so the connection is closed.
             self.idle_connection = self.idle_connection.take().filter(|(idle, _)| *idle != number);
             return None;
         };
-        if !call.outgoing.is_empty() {
+        if !poll.outgoing.is_empty() {
             if !ready.write && !ready.ended {
                 return None;
             }
-            if call.write(now, poller).is_err() {
+            if poll.write(now, poller).is_err() {
                 return self.failed("no connection");
             }
-            if !call.outgoing.is_empty() {
+            if !poll.outgoing.is_empty() {
                 return None;
             }
         }
@@ -170,14 +170,14 @@
     fn read(&mut self, max_chunks: usize, settings: &Settings) -> Option<WatchEvent> {
         let mut chunk = [0; sockets::READ_CHUNK_BYTES];
         for _ in 0..max_chunks {
-            let call = self.call.as_mut()?;
-            let received = match sockets::read(&call.stream, &mut chunk) {
+            let poll = self.open_poll.as_mut()?;
+            let received = match sockets::read(&poll.stream, &mut chunk) {
                 ReadOutcome::Nothing => return None,
-                ReadOutcome::End if call.answer.ends_with_connection() => call.answer.handle_close(),
+                ReadOutcome::End if poll.answer.ends_with_connection() => poll.answer.handle_close(),
                 ReadOutcome::End | ReadOutcome::Failed => return self.failed("the connection ended"),
                 ReadOutcome::Bytes(len) => {
-                    call.answer.push(&chunk[..len]);
-                    call.answer.next_response()
+                    poll.answer.push(&chunk[..len]);
+                    poll.answer.next_response()
                 }
             };
             if !matches!(received, Ok(None)) {
@@ -203,18 +203,18 @@
         match List::parse(&answer.body, settings) {
             Err(error) => self.failed(&error.to_string()),
             Ok(list) => {
-                let call = self.call.take()?;
-                if !answer.closes && !call.answer.has_trailing_bytes() {
-                    self.idle_connection = Some((call.number, call.stream));
+                let poll = self.open_poll.take()?;
+                if !answer.closes && !poll.answer.has_trailing_bytes() {
+                    self.idle_connection = Some((poll.number, poll.stream));
                 }
                 self.has_failed = false;
-                Some(WatchEvent::List { after: call.after.unwrap_or(0), list })
+                Some(WatchEvent::List { after: poll.after.unwrap_or(0), list })
             }
         }
     }
 
     fn failed(&mut self, why: &str) -> Option<WatchEvent> {
-        self.call = None;
+        self.open_poll = None;
         self.idle_connection = None;
         self.has_failed = true;
         Some(WatchEvent::Failed(why.to_owned()))
@@ -222,7 +222,7 @@
 
     /// Gives up a poll that takes too long.
     pub(crate) fn handle_timeout(&mut self, now: Instant, settings: &Settings) -> Option<WatchEvent> {
-        if self.call.as_ref().is_none_or(|call| call.deadline > now) {
+        if self.open_poll.as_ref().is_none_or(|poll| poll.deadline > now) {
             return None;
         }
         // The host counts as notified of a change once its answer is written to it. An answer that is in the socket when its time ends
@@ -234,12 +234,12 @@
     /// counts as notified of it. Nothing from there is read afterwards: it could be older than answers of the new address.
     pub(crate) fn address_changed(&mut self, to: SocketAddr, settings: &Settings) -> Option<WatchEvent> {
         let last = self.read(MAX_LIST_CHUNKS, settings);
-        (self.address, self.call, self.idle_connection, self.has_failed) = (to, None, None, false);
+        (self.address, self.open_poll, self.idle_connection, self.has_failed) = (to, None, None, false);
         last.filter(|event| matches!(event, WatchEvent::List { .. }))
     }
 }
 
-impl Call {
+impl Poll {
     fn write(&mut self, now: Instant, poller: &Poller) -> std::io::Result<()> {
         sockets::write(&self.stream, &mut self.outgoing)?;
         if self.outgoing.is_empty() {
--- a/crates/platform-host/src/list_watch/tests.rs
+++ b/crates/platform-host/src/list_watch/tests.rs
@@ -78,7 +78,7 @@
     /// Reads the poll on a connection and answers it.
     fn answer(&mut self, now: f64, connection: &mut TcpStream) {
         let since = Wall::now();
-        while self.watch.call.as_ref().is_some_and(|call| !call.outgoing.is_empty()) {
+        while self.watch.open_poll.as_ref().is_some_and(|poll| !poll.outgoing.is_empty()) {
             assert!(since.elapsed() < TEST_TIMEOUT, "the poll is not written");
             assert!(self.handle_ready_socket(now).is_none());
         }
@@ -127,8 +127,8 @@
         assert!(filling.len() < MAX_FILLING);
     }
     fixture.poll(1.0);
-    let is_connected = |call: &Call| call.stream.peer_addr().is_ok();
-    assert!(!fixture.watch.call.as_ref().is_some_and(is_connected), "the backlog is not full");
+    let is_connected = |poll: &Poll| poll.stream.peer_addr().is_ok();
+    assert!(!fixture.watch.open_poll.as_ref().is_some_and(is_connected), "the backlog is not full");
     assert!(fixture.watch.handle_timeout(at(1.69), &fixture.settings).is_none());
     assert!(fixture.watch.is_polling(), "given up too early");
     let event = fixture.watch.handle_timeout(at(1.7), &fixture.settings);
--- a/crates/platform-host/src/node_connections.rs
+++ b/crates/platform-host/src/node_connections.rs
@@ -79,7 +79,7 @@
         results: &mut Vec<AttemptResult>,
     ) {
         let PendingAttempt { attempt, has_waited } = pending;
-        let Some(to) = to else { return results.push(ended(attempt.attempt, Outcome::Refused)) };
+        let Some(to) = to else { return results.push(unanswered(attempt.attempt, Outcome::Refused)) };
         while let Some(id) = self.idle.take(attempt.node, now, REUSE_DELAY) {
             let is_usable = |connection: &NodeConnection| {
                 connection.address == to && sockets::has_no_input(&connection.stream)
@@ -128,7 +128,7 @@
             Ok(stream) if poller.add(&stream, Token::NodeConnection(id), WRITE).is_ok() => stream,
             _ => {
                 self.counters.connect_failures += 1;
-                return results.push(ended(attempt.attempt, Outcome::Refused));
+                return results.push(unanswered(attempt.attempt, Outcome::Refused));
             }
         };
         self.next_id = self.next_id.wrapping_add(1);
@@ -154,7 +154,7 @@
             self.by_attempt.remove(&attempt.attempt);
             if begin == Begin::TooLate {
                 self.counters.deadline_passed += 1;
-                results.push(ended(attempt.attempt, Outcome::Refused));
+                results.push(unanswered(attempt.attempt, Outcome::Refused));
             }
             connection.state = State::Idle;
             poller.change(&connection.stream, Token::NodeConnection(id), READ);
@@ -172,7 +172,7 @@
         let State::Busy { attempt, outgoing, .. } = &mut connection.state else { return };
         match sockets::write(&connection.stream, outgoing) {
             // The node has not received the whole attempt, so it never ran.
-            Err(_) => self.end(id, Outcome::Refused, results),
+            Err(_) => self.end_attempt(id, Outcome::Refused, results),
             Ok(()) if outgoing.is_empty() => {
                 attempt.ticket.written();
                 poller.change(&connection.stream, Token::NodeConnection(id), READ);
@@ -206,7 +206,7 @@
                     || connection.stream.peer_addr().is_err();
                 if has_failed {
                     self.counters.connect_failures += 1;
-                    return self.end(id, Outcome::Refused, results);
+                    return self.end_attempt(id, Outcome::Refused, results);
                 }
                 if let State::Connecting { attempt, .. } =
                     std::mem::replace(&mut connection.state, State::Idle)
@@ -236,7 +236,7 @@
             ReadOutcome::End if !unsent && answer.ends_with_connection() => answer.handle_close(),
             ReadOutcome::End | ReadOutcome::Failed => {
                 self.counters.reset += u64::from(!unsent);
-                return self.end(id, if unsent { Outcome::Refused } else { Outcome::Reset }, results);
+                return self.end_attempt(id, if unsent { Outcome::Refused } else { Outcome::Reset }, results);
             }
             ReadOutcome::Bytes(len) => {
                 answer.push(&chunk[..len]);
@@ -249,7 +249,7 @@
             Err(error) => {
                 self.counters.malformed_answers += 1;
                 tracing::debug!(node = connection.node.0, %error, "malformed answer of a node");
-                self.end(id, Outcome::Error, results);
+                self.end_attempt(id, Outcome::Error, results);
             }
         }
     }
@@ -258,7 +258,8 @@
     fn finish(&mut self, now: Instant, id: u32, received: Response, results: &mut Vec<AttemptResult>) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let State::Busy { attempt, outgoing, answer } = &mut connection.state else { return };
-        let (closes, has_more, unsent) = (received.closes, answer.has_trailing_bytes(), !outgoing.is_empty());
+        let (closes, has_trailing_bytes, unsent) =
+            (received.closes, answer.has_trailing_bytes(), !outgoing.is_empty());
         let mut report = self.reports.read(received);
         if unsent && report.outcome == Outcome::Done {
             // The node answered before it had the whole request, so the answer can't be for this request.
@@ -274,7 +275,7 @@
             data: report.body,
         });
         self.by_attempt.remove(&number);
-        if closes || has_more || unsent {
+        if closes || has_trailing_bytes || unsent {
             self.connections.remove(&id);
         } else {
             connection.state = State::Idle;
@@ -283,12 +284,12 @@
     }
 
     /// Ends an attempt together with its connection.
-    fn end(&mut self, id: u32, outcome: Outcome, results: &mut Vec<AttemptResult>) {
+    fn end_attempt(&mut self, id: u32, outcome: Outcome, results: &mut Vec<AttemptResult>) {
         let Some(connection) = self.connections.remove(&id) else { return };
         if let State::Busy { attempt, .. } | State::Connecting { attempt, .. } = connection.state {
             self.by_attempt.remove(&attempt.attempt);
             if !attempt.ticket.is_withdrawn() {
-                results.push(ended(attempt.attempt, outcome));
+                results.push(unanswered(attempt.attempt, outcome));
             }
         }
     }
@@ -329,7 +330,7 @@
             if let Some(connection) = self.connections.get(&id) {
                 self.idle.remove(connection.node, id);
             }
-            self.end(id, Outcome::Refused, results);
+            self.end_attempt(id, Outcome::Refused, results);
         }
     }
 
@@ -348,7 +349,7 @@
         let late: Vec<u32> = late.map(|(id, _)| *id).collect();
         for id in late {
             self.counters.connect_failures += 1;
-            self.end(id, Outcome::Refused, results);
+            self.end_attempt(id, Outcome::Refused, results);
         }
         while let Some((node, id)) = self.idle.oldest(self.max_idle, now) {
             self.close(node, id);
@@ -361,14 +362,14 @@
     }
 
     /// A delayed attempt that may be sent now.
-    pub(crate) fn delayed_attempt(&mut self, now: Instant) -> Option<PendingAttempt> {
+    pub(crate) fn next_delayed_attempt(&mut self, now: Instant) -> Option<PendingAttempt> {
         let index = self.delayed.iter().position(|(until, _)| *until <= now)?;
         let (_, attempt) = self.delayed.remove(index);
         Some(PendingAttempt { attempt, has_waited: true })
     }
 
     /// The attempt that has waited longest for capacity, if there is some now.
-    pub(crate) fn next_queued(&mut self) -> Option<PendingAttempt> {
+    pub(crate) fn next_waiting_attempt(&mut self) -> Option<PendingAttempt> {
         let has_capacity = self.connections.len() < self.max_connections || !self.idle.is_empty();
         if !has_capacity {
             return None;
@@ -388,7 +389,7 @@
 }
 
 /// The end of an attempt that its node has not answered. As in an answer without a report, no service through other hosts is known of.
-fn ended(attempt: AttemptId, outcome: Outcome) -> AttemptResult {
+fn unanswered(attempt: AttemptId, outcome: Outcome) -> AttemptResult {
     AttemptResult { elsewhere: Some(0.0), ..AttemptResult::unanswered(attempt, outcome) }
 }
 
--- a/crates/platform-host/src/poller.rs
+++ b/crates/platform-host/src/poller.rs
@@ -18,7 +18,7 @@
 }
 
 impl Token {
-    fn data(self) -> EventData {
+    fn to_event_data(self) -> EventData {
         let (kind, number) = match self {
             Token::List(number) => (0, number),
             Token::Signal(number) => (1, number),
@@ -31,7 +31,7 @@
     }
 
     /// Its place in an iteration, the lowest first.
-    fn order(self) -> u8 {
+    fn priority(self) -> u8 {
         match self {
             Token::List(_) => 0,
             Token::Signal(_) => 1,
@@ -44,14 +44,14 @@
 
     /// The place of a socket that has ended. Ends of clients come before connections to nodes: nothing may begin in this iteration for a
     /// client that has gone, or a node would do work that nobody waits for.
-    fn order_of_end(self) -> u8 {
+    fn priority_when_ended(self) -> u8 {
         match self {
             Token::ClientConnection(_) => 2,
-            other => other.order(),
+            other => other.priority(),
         }
     }
 
-    fn of(data: u64) -> Self {
+    fn from_event_data(data: u64) -> Self {
         let number = data as u32;
         match data >> 32 {
             0 => Token::List(number),
@@ -120,12 +120,12 @@
 
     /// Registers a socket.
     pub(crate) fn add(&self, fd: impl AsFd, token: Token, interest: Interest) -> std::io::Result<()> {
-        Ok(epoll::add(&self.epoll, fd, token.data(), interest.flags())?)
+        Ok(epoll::add(&self.epoll, fd, token.to_event_data(), interest.flags())?)
     }
 
     /// Changes which events are waited for. A socket is deregistered by being closed.
     pub(crate) fn change(&self, fd: impl AsFd, token: Token, interest: Interest) {
-        _ = epoll::modify(&self.epoll, fd, token.data(), interest.flags());
+        _ = epoll::modify(&self.epoll, fd, token.to_event_data(), interest.flags());
     }
 
     /// Waits for at most `timeout`. Gives the sockets that are ready, in the order in which they are handled.
@@ -142,15 +142,16 @@
             let flags = event.flags;
             let has = |wanted| flags.intersects(wanted);
             Ready {
-                token: Token::of({ event.data }.u64()),
+                token: Token::from_event_data({ event.data }.u64()),
                 read: has(EventFlags::IN),
                 write: has(EventFlags::OUT),
                 ended: has(EventFlags::RDHUP | EventFlags::HUP | EventFlags::ERR),
             }
         }));
         ready.sort_by_key(|socket| {
-            let order = if socket.ended { socket.token.order_of_end() } else { socket.token.order() };
-            (order, socket.token)
+            let priority =
+                if socket.ended { socket.token.priority_when_ended() } else { socket.token.priority() };
+            (priority, socket.token)
         });
     }
 }
--- a/crates/platform-host/src/service_rate_replication.rs
+++ b/crates/platform-host/src/service_rate_replication.rs
@@ -7,7 +7,7 @@
 
 pub(crate) use datagram::MAX_DATAGRAM_BYTES;
 
-use datagram::{fetch_datagram, parse_rates, restore_datagram, store_datagrams, Header, Kind};
+use datagram::{encode_fetch, encode_restore, encode_stores, parse_rates, Header, Kind};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, ShardId, TimeDelta};
@@ -41,14 +41,14 @@
 /// The service rates that this host stores at its peers, and those that it stores for them.
 pub(crate) struct ServiceRateReplication {
     /// This host's number.
-    me: usize,
+    host_number: usize,
     /// All hosts by their numbers.
     peers: Vec<SocketAddr>,
     started_at: Instant,
     next_replication: Instant,
     fetches_sent: usize,
     /// This generation has stored rates at its peers. Rates that are restored from then on may be its own, and would count twice.
-    handed_off: bool,
+    has_replicated: bool,
     /// By peer and number of the datagram.
     stored: BTreeMap<(usize, u8), Stored>,
     /// By number of the datagram.
@@ -60,18 +60,18 @@
 }
 
 impl ServiceRateReplication {
-    /// `peers` are all hosts by their numbers, `me` one of them.
-    pub(crate) fn new(now: Instant, me: usize, peers: Vec<SocketAddr>) -> Self {
+    /// `peers` are all hosts by their numbers, `host_number` is that of this host.
+    pub(crate) fn new(now: Instant, host_number: usize, peers: Vec<SocketAddr>) -> Self {
         // Peers start together, and would otherwise all replicate at the same moment.
-        let intervals = 1.0 + me as f64 / peers.len().max(1) as f64;
+        let intervals = 1.0 + host_number as f64 / peers.len().max(1) as f64;
         let first = TimeDelta::from_secs(REPLICATION_INTERVAL.secs() * intervals);
         ServiceRateReplication {
-            me,
+            host_number,
             peers,
             started_at: now,
             next_replication: now + first,
             fetches_sent: 0,
-            handed_off: false,
+            has_replicated: false,
             stored: BTreeMap::new(),
             restored: BTreeMap::new(),
             restored_shards: BTreeSet::new(),
@@ -81,9 +81,10 @@
 
     fn replica_addresses(&self) -> Vec<SocketAddr> {
         let peer_count = self.peers.len();
-        let replica = |index: usize| (self.me + index * peer_count / (REPLICAS + 1)) % peer_count.max(1);
+        let replica =
+            |index: usize| (self.host_number + index * peer_count / (REPLICAS + 1)) % peer_count.max(1);
         let mut replicas: Vec<usize> = (1..=REPLICAS).map(replica).collect();
-        replicas.retain(|peer| *peer != self.me);
+        replicas.retain(|peer| *peer != self.host_number);
         replicas.dedup();
         replicas.into_iter().filter_map(|peer| self.peers.get(peer).copied()).collect()
     }
@@ -97,22 +98,22 @@
         let mut due = Vec::new();
         let fetch_at = FETCH_TIMES.get(self.fetches_sent);
         let fetch_is_due = fetch_at.is_some_and(|after| now - self.started_at >= *after);
-        if fetch_is_due && self.restored.is_empty() && !self.handed_off {
+        if fetch_is_due && self.restored.is_empty() && !self.has_replicated {
             self.fetches_sent += 1;
-            let fetch = |to| Datagram { to, bytes: fetch_datagram() };
+            let fetch = |to| Datagram { to, bytes: encode_fetch() };
             due.extend(self.replica_addresses().into_iter().map(fetch));
         }
         if now >= self.next_replication {
             self.next_replication = now + REPLICATION_INTERVAL;
-            due.extend(self.hand_off(rates()));
+            due.extend(self.replicate(rates()));
         }
         due
     }
 
     /// Stores the rates, in units a second, at each replica.
-    pub(crate) fn hand_off(&mut self, rates: Vec<(ShardId, f64)>) -> Vec<Datagram> {
-        self.handed_off = true;
-        let datagrams = store_datagrams(rates);
+    pub(crate) fn replicate(&mut self, rates: Vec<(ShardId, f64)>) -> Vec<Datagram> {
+        self.has_replicated = true;
+        let datagrams = encode_stores(rates);
         let to_replica = |to| datagrams.iter().map(move |bytes| Datagram { to, bytes: bytes.clone() });
         self.replica_addresses().into_iter().flat_map(to_replica).collect()
     }
@@ -140,11 +141,11 @@
     fn stored_for(&mut self, now: Instant, peer: usize, to: SocketAddr) -> Vec<Datagram> {
         self.stored.retain(|_, stored| now - stored.at < STORED_RATE_RETENTION);
         let of_peer = self.stored.range((peer, 0)..=(peer, u8::MAX));
-        of_peer.map(|(_, stored)| Datagram { to, bytes: restore_datagram(&stored.bytes) }).collect()
+        of_peer.map(|(_, stored)| Datagram { to, bytes: encode_restore(&stored.bytes) }).collect()
     }
 
     fn awaits_restore(&self, from: SocketAddr, number: u8) -> bool {
-        !self.handed_off
+        !self.has_replicated
             && self.fetches_sent > 0
             && self.replica_addresses().contains(&from)
             && !self.restored.contains_key(&number)
--- a/crates/platform-host/src/service_rate_replication/datagram.rs
+++ b/crates/platform-host/src/service_rate_replication/datagram.rs
@@ -57,27 +57,27 @@
     rate.is_finite() && rate > 0.0
 }
 
-fn header_bytes(kind: Kind, number: u8, count: u8) -> Vec<u8> {
+fn encode_header(kind: Kind, number: u8, count: u8) -> Vec<u8> {
     vec![MAGIC[0], MAGIC[1], kind as u8, number, count]
 }
 
 /// The datagram that asks for the stored rates.
-pub(super) fn fetch_datagram() -> Vec<u8> {
-    header_bytes(Kind::Fetch, 0, 1)
+pub(super) fn encode_fetch() -> Vec<u8> {
+    encode_header(Kind::Fetch, 0, 1)
 }
 
 /// The datagrams that store rates, in units a second: the highest first, as far as they fit.
-pub(super) fn store_datagrams(mut rates: Vec<(ShardId, f64)>) -> Vec<Vec<u8>> {
+pub(super) fn encode_stores(mut rates: Vec<(ShardId, f64)>) -> Vec<Vec<u8>> {
     rates.retain(|(shard, rate)| shard.0 <= u32::from(u16::MAX) && is_valid_rate(*rate));
     rates.sort_by(|(_, left), (_, right)| right.total_cmp(left));
     rates.truncate(ENTRIES_PER_DATAGRAM * MAX_DATAGRAMS);
     let count = rates.len().div_ceil(ENTRIES_PER_DATAGRAM) as u8;
     let chunks = rates.chunks(ENTRIES_PER_DATAGRAM).enumerate();
-    chunks.map(|(number, rates)| store_datagram(number as u8, count, rates)).collect()
+    chunks.map(|(number, rates)| encode_store(number as u8, count, rates)).collect()
 }
 
-fn store_datagram(number: u8, count: u8, rates: &[(ShardId, f64)]) -> Vec<u8> {
-    let mut bytes = header_bytes(Kind::Store, number, count);
+fn encode_store(number: u8, count: u8, rates: &[(ShardId, f64)]) -> Vec<u8> {
+    let mut bytes = encode_header(Kind::Store, number, count);
     for (shard, rate) in rates {
         bytes.extend((shard.0 as u16).to_be_bytes());
         // The upper half of a float is rounded down to three digits, never up: the sum over all hosts must not grow.
@@ -87,7 +87,7 @@
 }
 
 /// The datagram that gives the rates of a stored one back.
-pub(super) fn restore_datagram(stored: &[u8]) -> Vec<u8> {
+pub(super) fn encode_restore(stored: &[u8]) -> Vec<u8> {
     let mut bytes = stored.to_vec();
     bytes[MAGIC.len()] = Kind::Restore as u8;
     bytes
--- a/crates/platform-host/src/service_rate_replication/tests.rs
+++ b/crates/platform-host/src/service_rate_replication/tests.rs
@@ -33,7 +33,7 @@
             .collect();
         let rates: Vec<_> = (0..shards).map(|shard| (ShardId(shard), 1.0 + f64::from(shard) / 7.0)).collect();
         let index = |address: &SocketAddr| usize::from(address.port() - 1000);
-        for Datagram { to, bytes } in hosts[0].hand_off(rates.clone()) {
+        for Datagram { to, bytes } in hosts[0].replicate(rates.clone()) {
             assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             hosts[index(&to)].handle_datagram(at(1.0), all[0], &bytes);
         }
@@ -53,8 +53,11 @@
         restored.sort_by_key(|(shard, _)| *shard);
         assert_eq!(restored.len(), restored_shards, "{host_count} hosts, {shards} shards, {downtime} s");
         for (shard, rate) in &restored {
-            let handed_off = rates[shard.0 as usize].1;
-            assert!(*rate <= handed_off && *rate > handed_off * 0.99, "{shard:?}: {rate} of {handed_off}");
+            let replicated_rate = rates[shard.0 as usize].1;
+            assert!(
+                *rate <= replicated_rate && *rate > replicated_rate * 0.99,
+                "{shard:?}: {rate} of {replicated_rate}"
+            );
         }
         assert!(hosts[0].poll_restored().is_empty());
     }
