--- a/crates/platform-host/src/client_connection.rs
+++ b/crates/platform-host/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client: its state, the bounds on it, and the events it waits for.
+//! One client connection: its state, its limits, and the socket events that it waits for.
 
 use crate::close_reason::ExceededTimeout;
 use crate::eviction::{EvictionClass, IDLE_AFTER, NEW_CONNECTION_GRACE};
@@ -10,58 +10,60 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_http::{Limits, RequestReader};
 
-/// How long a new client may take for its first request, well within what the platform allows for bad clients.
+/// Time that a new client has for its first request; well within the time that the platform allows for closing bad clients.
 const FIRST_REQUEST_TIMEOUT: TimeDelta = TimeDelta::from_millis(2500);
-/// How long a client that has sent a valid request may take for the bytes of a later one: some clients write slowly.
+/// Time that a client that has sent a valid request has for the bytes of a later one; some clients write slowly.
 const REQUEST_TIMEOUT: TimeDelta = TimeDelta::from_millis(5000);
-/// How long a client may take to read its answer before it counts as gone.
+/// Time that a client has to read its answer before it counts as disconnected.
 const WRITE_TIMEOUT: TimeDelta = TimeDelta::from_millis(5000);
-/// How long the host reads on after the last answer: a close over unread bytes would reset the connection and lose the answer.
+/// Time for which the host continues to read after the last answer. Closing a socket with unread bytes would reset the connection, and
+/// the client would lose the answer.
 pub(crate) const LINGER_TIMEOUT: TimeDelta = TimeDelta::from_millis(500);
-/// Bytes that are read and discarded after the last answer; beyond, the connection is closed.
+/// Maximum number of bytes that are read and discarded after the last answer; beyond it the connection is closed.
 pub(crate) const MAX_LINGER_BYTES: usize = 256 * 1024;
-/// Bytes that are read ahead while a request of the connection is in flight.
+/// Maximum number of bytes that are read ahead while a request of the connection is in flight.
 pub(crate) const MAX_PIPELINED_BYTES: usize = 128 * 1024;
 
-/// A connection's state. It alternates between `Reading` and `AwaitingResponse`; from either it becomes `Closing`, then `HalfClosed`.
+/// The state of a connection. It alternates between `Reading` and `AwaitingResponse`; from either it changes to `Closing`, then to
+/// `HalfClosed`. A connection between requests is also half-closed directly from `Reading`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionState {
-    /// No request is open: one is awaited or partly received, or the answer to the one before is being written.
+    /// No request is open: the next one is awaited or partly received, or the previous answer is being written.
     Reading,
-    /// The request of this number is in flight.
+    /// The request with this number is in flight.
     AwaitingResponse(u32),
     /// The last answer is being written. Bytes that arrive are read and discarded.
     Closing,
-    /// The host has ended its sending. Bytes that arrive are read and discarded until the client ends the connection too.
+    /// The host has shut down its sending side. Bytes that arrive are read and discarded until the client closes the connection too.
     HalfClosed,
 }
 
-/// One connection of a client.
+/// A client connection.
 pub(crate) struct ClientConnection {
-    /// Its socket.
+    /// The socket.
     pub stream: TcpStream,
-    /// Parses requests; holds the bytes that were read ahead.
+    /// The parser of requests, which holds the bytes that were read ahead.
     pub reader: RequestReader,
-    /// Bytes that are still to be written.
+    /// The bytes that are still to be written.
     pub outgoing: BytesMut,
-    /// What the poller waits for now.
+    /// The events that the poller waits for now.
     pub interest: Interest,
-    /// Where it is in its protocol.
+    /// The protocol state.
     pub state: ConnectionState,
-    /// No request is accepted after the one that was read last.
+    /// Whether the next answer is the last on the connection; no further request is accepted.
     pub closes: bool,
-    /// Bytes read and discarded after its last answer.
+    /// Number of bytes that were read and discarded after the last answer.
     pub lingered_bytes: usize,
-    /// It has sent a valid request.
+    /// Whether the client has sent a valid request.
     pub has_sent_request: bool,
-    /// Since when it is in its eviction class.
+    /// The start of the connection's current phase, from which timeouts and eviction count.
     pub since: Instant,
-    /// Bytes that its reader holds, as last counted.
+    /// Number of bytes that the reader holds, as last counted.
     pub buffered_bytes: usize,
 }
 
 impl ClientConnection {
-    /// A connection that was just accepted.
+    /// Creates the state of a connection that was just accepted.
     pub(crate) fn new(now: Instant, stream: TcpStream) -> Self {
         ClientConnection {
             stream,
@@ -77,7 +79,7 @@
         }
     }
 
-    /// How much its client would lose if it were closed.
+    /// Returns the eviction class, which ranks how much the client would lose if the connection were closed.
     pub(crate) fn eviction_class(&self, now: Instant) -> EvictionClass {
         let age = now - self.since;
         match self.state {
@@ -94,10 +96,10 @@
         }
     }
 
-    /// The time limit that the connection has exceeded, if any.
+    /// Returns the timeout that the connection has exceeded, if any.
     pub(crate) fn exceeded_timeout(&self, now: Instant) -> Option<ExceededTimeout> {
         let age = now - self.since;
-        // While a request is in flight, its own deadline ends it.
+        // A request in flight is ended by its own deadline.
         let is_writing =
             !self.outgoing.is_empty() && !matches!(self.state, ConnectionState::AwaitingResponse(_));
         match self.eviction_class(now) {
@@ -109,62 +111,62 @@
         }
     }
 
-    /// Whether a shutdown in this phase half-closes the connection. A new connection stays until the shutdown has settled, as its first
-    /// request is on its way. One with bytes in its socket stays until they are read: they may be a request, which its client would
-    /// lose.
+    /// Returns whether a shutdown in this phase half-closes the connection. A new connection stays open until `Settled`, as its first
+    /// request is on its way. A connection with bytes in its socket stays open until they are read: they may be a request, which the
+    /// client would lose.
     pub(crate) fn is_half_closed_by(&self, phase: ShutdownPhase, now: Instant) -> bool {
         let is_settled = phase >= ShutdownPhase::Settled;
         let is_new = self.eviction_class(now) == EvictionClass::New;
         self.is_between_requests() && (is_settled || !is_new && sockets::has_no_input(&self.stream))
     }
 
-    /// Whether a shutdown in this phase rejects the part of a request that the connection has received: there is no time left for it.
+    /// Returns whether a shutdown in this phase rejects the partial request that the connection has received, as no time is left for it.
     pub(crate) fn is_rejected_by(&self, phase: ShutdownPhase) -> bool {
         phase >= ShutdownPhase::Settled && self.awaits_request() && !self.is_between_requests()
     }
 
-    /// Takes in bytes of a request.
+    /// Adds received bytes to the parser of requests.
     pub(crate) fn push_bytes(&mut self, now: Instant, bytes: &[u8]) {
         let begins_request = self.state == ConnectionState::Reading && !self.reader.has_partial_request();
-        // The time for a first request counts from the accept: a client that sends a byte now and then would otherwise hold a descriptor
-        // without end.
+        // The timeout of the first request counts from accept: a client that sends a byte now and then would otherwise hold a
+        // descriptor indefinitely.
         if begins_request && self.has_sent_request {
             self.since = now;
         }
         self.reader.push(bytes);
     }
 
-    /// Counts bytes that were read and discarded after the last answer; whether they exceed the bound.
+    /// Counts bytes that were discarded after the last answer, and returns whether they exceed [`MAX_LINGER_BYTES`].
     pub(crate) fn discard_bytes(&mut self, len: usize) -> bool {
         self.lingered_bytes += len;
         self.lingered_bytes > MAX_LINGER_BYTES
     }
 
-    /// Whether the client has sent more ahead of its turn than the host reads.
+    /// Returns whether the client has pipelined more than [`MAX_PIPELINED_BYTES`].
     pub(crate) fn has_pipelined_too_much(&self) -> bool {
         self.reader.buffered_len() > MAX_PIPELINED_BYTES
     }
 
-    /// No request is open, and no answer is being written.
+    /// Returns whether no request is open and no answer is being written.
     pub(crate) fn awaits_request(&self) -> bool {
         self.state == ConnectionState::Reading && self.outgoing.is_empty()
     }
 
-    /// Its last answer was given.
+    /// Returns whether the last answer was given.
     pub(crate) fn has_last_answer(&self) -> bool {
         matches!(self.state, ConnectionState::Closing | ConnectionState::HalfClosed)
     }
 
-    /// No request is open or partly received, and no answer is being written.
+    /// Returns whether no request is open or partly received, and no answer is being written.
     pub(crate) fn is_between_requests(&self) -> bool {
         self.awaits_request() && !self.reader.has_partial_request()
     }
 
-    /// The socket events that its state waits for.
+    /// Returns the socket events that the state waits for.
     pub(crate) fn wanted_interest(&self) -> Interest {
         match self.state {
-            // A client that does not read its answers could fill the host's memory with them: its next request is read only once the
-            // last answer is written.
+            // A client that does not read its answers could fill the host's memory with them, so its next request is read only once
+            // the previous answer is written.
             ConnectionState::Reading if !self.outgoing.is_empty() => WRITE,
             ConnectionState::Reading | ConnectionState::HalfClosed => READ,
             ConnectionState::AwaitingResponse(_) => {
@@ -174,8 +176,8 @@
         }
     }
 
-    /// The host ends its sending and reads on. A close over unread bytes would reset the connection, and the client would lose its last
-    /// answer.
+    /// Shuts down the sending side; the host continues to read. Closing a socket with unread bytes would reset the connection, and the
+    /// client would lose its last answer.
     pub(crate) fn half_close(&mut self, now: Instant) {
         _ = self.stream.shutdown(Shutdown::Write);
         (self.state, self.since) = (ConnectionState::HalfClosed, now);
--- a/crates/platform-host/src/client_connections.rs
+++ b/crates/platform-host/src/client_connections.rs
@@ -1,5 +1,5 @@
-//! Connections of clients: their requests one after the other, one open at a time on each. docs/crossings.md has each state of a
-//! connection against each event that it may meet.
+//! The client connections. Each has at most one request open at a time. docs/crossings.md has a table of each connection state
+//! against each event.
 
 use crate::client_connection::{ClientConnection, ConnectionState};
 use crate::close_reason::{CloseReason, ExceededTimeout};
@@ -13,59 +13,59 @@
 use tackmast_http::Request;
 use tackmast_platform::answer_head;
 
-/// The share of all buffer memory above which no connection is read ahead any more.
+/// Share of the buffer memory that may be in use before connections are no longer read ahead.
 const PIPELINED_BYTES_SHARE: f64 = 0.5;
-/// One connection in this many is reserved for rejecting clients for whose connection there is no capacity.
+/// One in this many connections is reserved as a rejection slot, which answers a client without capacity with 503.
 const CONNECTIONS_PER_REJECTION_SLOT: usize = 8;
-/// The most connections that are reserved for that.
+/// Maximum number of rejection slots.
 const MAX_REJECTION_SLOTS: usize = 16;
 
-/// What became of a connection.
+/// An event on a client connection.
 pub(crate) enum ClientEvent {
     /// A request was received.
     Request(Request),
-    /// Its client has gone, with this request open.
+    /// The client has disconnected; the number of its open request, if it had one.
     Disconnected(Option<u32>),
 }
 
-/// What happened to client connections since the start.
+/// Counters of the client connections since the host started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClientCounters {
     /// Connections that were accepted.
     pub accepted: u64,
-    /// Connections that were closed for a new one.
+    /// Connections that were closed to make room for a new one.
     pub evicted: u64,
-    /// Connections and requests for which there was no capacity.
+    /// Connections and requests that were rejected for lack of capacity.
     pub rejected: u64,
     /// Requests that could not be parsed.
     pub bad: u64,
     /// Requests that were not complete in time.
     pub too_slow: u64,
-    /// Connections on which too much was pipelined.
+    /// Connections on which a client pipelined more than the host reads ahead.
     pub pipelined_too_much: u64,
 }
 
-/// All connections of clients, and the bounds on them.
+/// All client connections, and the limits on them.
 pub(crate) struct ClientConnections {
     clients: BTreeMap<u32, ClientConnection>,
     last_id: u32,
     max_connections: usize,
-    /// Connections beyond `max_connections` that only get a rejection.
+    /// Number of connections beyond `max_connections`, which only get a rejection.
     rejection_slots: usize,
     max_buffered_bytes: usize,
-    /// Bytes that the readers of all connections hold.
+    /// Number of bytes that the readers of all connections hold.
     buffered_bytes: usize,
-    /// The retry-after of a rejected client; zero: none.
+    /// The retry-after that rejected clients get; zero for none.
     retry_after: TimeDelta,
-    /// The host is shutting down: each answer is the last on its connection.
+    /// Whether the host is shutting down, so that each answer is the last on its connection.
     is_shutting_down: bool,
-    /// What happened since the start.
+    /// Counters since the host started.
     pub counters: ClientCounters,
 }
 
 impl ClientConnections {
-    /// At most `max_connections` connections, whose buffers together hold at most `max_buffered_bytes`. A rejected client gets
-    /// this `retry_after`.
+    /// Creates a set of at most `max_connections` connections, including the rejection slots, whose buffers together hold at most
+    /// `max_buffered_bytes`. Rejected clients get this `retry_after`; zero for none.
     pub(crate) fn new(max_connections: usize, max_buffered_bytes: usize, retry_after: TimeDelta) -> Self {
         let rejection_slots = (max_connections / CONNECTIONS_PER_REJECTION_SLOT).min(MAX_REJECTION_SLOTS);
         ClientConnections {
@@ -81,12 +81,13 @@
         }
     }
 
-    /// Connections that are open.
+    /// Returns the number of open connections.
     pub(crate) fn len(&self) -> usize {
         self.clients.len()
     }
 
-    /// Takes in a connection that the listener accepted. If no other may be evicted for it, it is answered with 503.
+    /// Adds a connection that the listener accepted. If the limit is reached and no other connection can be evicted, the new one is answered
+    /// with 503, or closed at once if no rejection slot is free.
     pub(crate) fn accepted(&mut self, now: Instant, poller: &Poller, stream: TcpStream) {
         let has_capacity = self.clients.len() < self.max_connections || self.evict_one(now);
         if !has_capacity && self.clients.len() >= self.max_connections + self.rejection_slots {
@@ -104,14 +105,14 @@
         self.counters.accepted += 1;
         self.clients.insert(id, ClientConnection::new(now, stream));
         if !has_capacity {
-            // The new client is answered and its connection half-closed: a reset would look like a failure of the host.
+            // The new client gets an answer and a half-close, as a reset would look like a failure of the host.
             self.counters.rejected += 1;
             self.close_with(now, poller, id, &CloseReason::NoConnectionCapacity);
         }
     }
 
-    /// Closes one connection, if any may be evicted; whether it did. A connection with bytes in its socket stays: they may be a request
-    /// that was sent before the close, which its client would lose.
+    /// Closes one connection if any may be evicted, and returns whether it did. A connection with bytes in its socket is not evicted:
+    /// they may be a request, which the client would lose.
     pub(crate) fn evict_one(&mut self, now: Instant) -> bool {
         let candidates = self.clients.iter().map(|(id, client)| EvictionCandidate {
             id: *id,
@@ -127,7 +128,7 @@
         true
     }
 
-    /// Forgets a connection, which closes it; the number of its open request, if it has one.
+    /// Removes and thereby closes a connection. Returns the number of its open request, if it has one.
     fn remove(&mut self, id: u32) -> Option<u32> {
         let client = self.clients.remove(&id)?;
         self.buffered_bytes -= client.buffered_bytes;
@@ -145,17 +146,17 @@
         }
     }
 
-    /// Whether the client of a connection has gone, also where the poller has not reported it in this iteration.
+    /// Returns whether the client of a connection has disconnected, even if the poller has not reported it in this iteration.
     pub(crate) fn has_disconnected(&self, id: u32) -> bool {
         self.clients.get(&id).is_none_or(|client| sockets::has_ended(&client.stream))
     }
 
-    /// The client of a connection has gone.
+    /// Removes the connection of a client that has disconnected.
     pub(crate) fn handle_disconnect(&mut self, id: u32) -> ClientEvent {
         ClientEvent::Disconnected(self.remove(id))
     }
 
-    /// The socket of a connection is ready.
+    /// Handles a ready socket of a connection.
     pub(crate) fn handle_ready(
         &mut self,
         now: Instant,
@@ -164,8 +165,8 @@
         ready: Ready,
     ) -> Option<ClientEvent> {
         let has_last_answer = self.clients.get(&id)?.has_last_answer();
-        // A client that ends the connection, or its sending, has gone with all its requests. This comes before any read: a request that
-        // arrived in the same moment would otherwise be sent to a node although nobody waits for its answer.
+        // A client that closes the connection, or its sending side, cancels all its requests. This is checked before any read: a
+        // request that arrived at the same moment would otherwise be sent to a node although nobody waits for its answer.
         if ready.ended && !has_last_answer {
             return Some(self.handle_disconnect(id));
         }
@@ -204,8 +205,9 @@
         self.next_request(now, poller, id)
     }
 
-    /// Stops reading ahead on a connection whose request is in flight once it holds too much. Within the bound it is read ahead, because
-    /// the end of a connection is seen only behind the bytes before it. Beyond, its open request is answered and no more accepted.
+    /// Stops reading ahead on a connection whose request is in flight once its buffer, or all buffers together, exceed a limit. Within the
+    /// limit the host reads ahead, because it detects a close only after the bytes before it. Beyond the limit the open request is
+    /// answered, and no further one is accepted.
     fn bound_pipelining(&mut self, poller: &Poller, id: u32) {
         let pipelined_bytes_bound = self.max_buffered_bytes as f64 * PIPELINED_BYTES_SHARE;
         let all_hold_too_much = self.buffered_bytes as f64 > pipelined_bytes_bound;
@@ -217,14 +219,14 @@
         }
     }
 
-    /// Whether a connection without an open request has received a part of the next one, or more.
+    /// Returns whether a connection without an open request has received at least a part of the next one.
     pub(crate) fn has_more(&self, id: u32) -> bool {
         let has_more =
             |client: &ClientConnection| client.awaits_request() && client.reader.has_partial_request();
         self.clients.get(&id).is_some_and(has_more)
     }
 
-    /// The next request of a connection that has none open.
+    /// Parses the next request of a connection that has none open.
     pub(crate) fn next_request(&mut self, now: Instant, poller: &Poller, id: u32) -> Option<ClientEvent> {
         let client = self.clients.get_mut(&id).filter(|client| client.awaits_request())?;
         let next = client.reader.next_request();
@@ -253,7 +255,7 @@
         }
     }
 
-    /// A request was understood and accepted: its connection awaits the answer.
+    /// Records that a request was accepted; its connection now awaits the answer.
     pub(crate) fn request_accepted(&mut self, now: Instant, id: u32, request: u32) {
         let is_reading = |client: &&mut ClientConnection| client.state == ConnectionState::Reading;
         if let Some(client) = self.clients.get_mut(&id).filter(is_reading) {
@@ -263,7 +265,7 @@
         }
     }
 
-    /// Gives the last answer on a connection: why the host ends it.
+    /// Writes the last answer on a connection, with the reason why the host closes it.
     pub(crate) fn close_with(
         &mut self,
         now: Instant,
@@ -279,7 +281,7 @@
         self.answer(now, poller, id, status, reason.body().as_bytes(), retry_after)
     }
 
-    /// The answer to the request that is open on a connection, or was just read on it.
+    /// Writes the answer to the request that is open on a connection, or was just read from it.
     pub(crate) fn answer(
         &mut self,
         now: Instant,
@@ -312,7 +314,7 @@
         None
     }
 
-    /// Makes the poller wait for what the connection's state wants.
+    /// Updates the poller to the events that the connection's state waits for.
     fn update_interest(&mut self, poller: &Poller, id: u32) {
         if let Some(client) = self.clients.get_mut(&id) {
             let wanted_interest = client.wanted_interest();
@@ -323,7 +325,7 @@
         }
     }
 
-    /// Ends the connections that have exceeded a time limit. Gives those that were closed with a request open: connection and request.
+    /// Ends the connections that have exceeded a timeout. Returns connection and request of each that was closed with a request open.
     pub(crate) fn handle_timeout(&mut self, now: Instant, poller: &Poller) -> Vec<(u32, u32)> {
         let exceeded = |(id, client): (&u32, &ClientConnection)| Some((*id, client.exceeded_timeout(now)?));
         let expired: Vec<(u32, ExceededTimeout)> = self.clients.iter().filter_map(exceeded).collect();
@@ -341,7 +343,7 @@
         closed
     }
 
-    /// The host shuts down and has reached this phase, `Closing` or later: from now on each answer is the last on its connection.
+    /// Enters a shutdown phase, `Closing` or later: from now on each answer is the last on its connection.
     pub(crate) fn begin_shutdown(&mut self, now: Instant, poller: &Poller, phase: ShutdownPhase) {
         self.is_shutting_down = true;
         let ids: Vec<u32> = self.clients.keys().copied().collect();
--- a/crates/platform-host/src/close_reason.rs
+++ b/crates/platform-host/src/close_reason.rs
@@ -1,31 +1,31 @@
-//! Why the host ends a client's connection: with a last answer, or without one.
+//! Reasons for which the host closes a client connection, with or without a last answer.
 
 use tackmast_http::MessageError;
 
-/// Why a client's last answer on its connection is one of the host itself.
+/// The reason for which the host itself gives the last answer on a client connection.
 #[derive(Debug)]
 pub(crate) enum CloseReason {
-    /// All connections that the host may hold are busy.
+    /// All client connections that the host may hold are busy.
     NoConnectionCapacity,
-    /// The buffers of all client connections are full, and this one's request is not complete.
+    /// The buffers of all client connections together are full, and the request on this one is incomplete.
     NoBufferCapacity,
-    /// Its bytes are no HTTP request.
+    /// The client's bytes are not a valid HTTP request.
     Malformed(MessageError),
-    /// Its request is valid HTTP, but none that this host serves.
+    /// The request is valid HTTP, but this host does not serve it.
     Refused {
-        /// The status of the answer.
+        /// The HTTP status of the answer.
         status: u16,
         /// The body of the answer.
         why: String,
     },
-    /// Its request was not complete in time.
+    /// The request was not complete in time.
     RequestTimeout,
-    /// The host is shutting down and accepts no request any more.
+    /// The host is shutting down and no longer accepts requests.
     ShuttingDown,
 }
 
 impl CloseReason {
-    /// The HTTP status of the last answer.
+    /// Returns the HTTP status of the last answer.
     pub(crate) fn status(&self) -> u16 {
         match self {
             CloseReason::NoConnectionCapacity | CloseReason::NoBufferCapacity | CloseReason::ShuttingDown => {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The body of the last answer.
+    /// Returns the body of the last answer.
     pub(crate) fn body(&self) -> String {
         match self {
             CloseReason::NoConnectionCapacity => "no room for the connection now".to_owned(),
@@ -50,10 +50,10 @@
     }
 }
 
-/// Which time limit a client's connection has exceeded.
+/// The timeout that a client connection has exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExceededTimeout {
-    /// The client did not end its side after the last answer.
+    /// The client did not close its side after the last answer.
     Linger,
     /// The client did not send a complete request.
     Request,
--- a/crates/platform-host/src/eviction.rs
+++ b/crates/platform-host/src/eviction.rs
@@ -1,45 +1,45 @@
-//! Which client connection is closed for a new one when all descriptors are in use. No I/O.
+//! The choice of the client connection to close for a new one when all descriptors are in use. This module performs no I/O.
 
 use tackmast::interface::{Instant, TimeDelta};
 
-/// How far a client's connection is, in the order in which connections are evicted.
+/// The progress of a client connection, in the order of eviction: the first class is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum EvictionClass {
-    /// Has its last answer; only its end is awaited.
+    /// The last answer is written; the host only waits for the client to close.
     HalfClosed,
-    /// Has not sent one valid request in a while: nothing, or a part of one.
+    /// The client has not sent a complete valid request since it connected, for longer than [`NEW_CONNECTION_GRACE`].
     Silent,
-    /// Between requests for long enough that its client expects the connection to be closed.
+    /// Between requests for at least [`IDLE_AFTER`], after which clients expect the connection to be closed.
     Idle,
-    /// Was just accepted. Its first request is on its way, and its client would take a close for a failure.
+    /// Just accepted. The first request is on its way, and the client would treat a close as a failure.
     New,
-    /// Between requests, for a moment.
+    /// Between requests for less than [`IDLE_AFTER`].
     RecentlyUsed,
-    /// In the middle of a request's bytes.
+    /// A part of a request is received.
     MidRequest,
-    /// Has a request in flight, or an answer that is being written.
+    /// A request is in flight, or an answer is being written.
     Busy,
 }
 
-/// How long a connection is between requests before it counts as idle.
+/// Time between requests after which a connection counts as idle.
 pub(crate) const IDLE_AFTER: TimeDelta = TimeDelta::from_millis(2000);
 
-/// How long the first request of a new connection is expected before the connection counts as silent.
+/// Time after accept within which the first request is expected; afterwards the connection counts as silent.
 pub(crate) const NEW_CONNECTION_GRACE: TimeDelta = TimeDelta::from_millis(300);
 
-/// A connection that may be evicted, as far as the order depends on it.
+/// The properties of a client connection that determine the order of eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct EvictionCandidate {
-    /// The connection.
+    /// The id of the connection.
     pub id: u32,
-    /// How far it is.
+    /// The class of the connection.
     pub class: EvictionClass,
-    /// Since when it is in that class.
+    /// When the connection entered its current phase.
     pub since: Instant,
 }
 
-/// The connections that may be evicted, in order: by class, and within a class the longest there first, because its client is the least
-/// likely to use it next. A busy connection is never evicted: its client would lose an answer.
+/// Returns the ids of the connections that may be evicted, in order: by class, and within a class the oldest first, because its client
+/// is the least likely to use it next. A busy connection is never evicted: its client would lose an answer.
 pub(crate) fn eviction_order(connections: impl Iterator<Item = EvictionCandidate>) -> Vec<u32> {
     let mut candidates: Vec<_> =
         connections.filter(|candidate| candidate.class < EvictionClass::Busy).collect();
--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -1,5 +1,5 @@
-//! The host and its readiness loop. Its parts: `requests` (from clients), `attempts` (at nodes), `endpoint_list` (the watch of the
-//! endpoint list), `peer_link` (datagrams of peers) and `shutdown`.
+//! The host and its event loop. The submodules handle requests of clients (`requests`), attempts at nodes (`attempts`), the endpoint
+//! list (`endpoint_list`), datagrams of peers (`peer_link`), signals and shutdown (`shutdown`), and status reports (`status`).
 
 mod attempts;
 mod endpoint_list;
@@ -29,14 +29,14 @@
 use tackmast_host_core::{AttemptResult, Core, CoreSettings};
 use tackmast_platform::{Configuration, Reports, Settings};
 
-/// Interval between checks of the connections' timeouts.
+/// Time between checks of the timeouts of connections, polls and phases.
 const TIMEOUT_CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(20);
-/// Nodes that the host core remembers.
+/// Maximum number of nodes that the host core remembers.
 const MAX_NODES: usize = 1024;
-/// Volumes whose names the host core remembers.
+/// Maximum number of volumes whose names the host core remembers.
 const MAX_VOLUMES: usize = 1024;
 
-/// What a signal to the process asks of a running host.
+/// A signal to the process, by what it asks a running host to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessSignal {
     /// Read the configuration again.
@@ -45,7 +45,7 @@
     Shutdown,
 }
 
-/// The steady clock, from the start of the host.
+/// The monotonic clock, with the start of the host as its origin.
 struct Clock(std::time::Instant);
 
 impl Clock {
@@ -54,7 +54,7 @@
     }
 }
 
-/// One host of the operators' platform, with all its sockets.
+/// A host of the operators' platform, with all its sockets.
 pub struct Host {
     settings: Settings,
     core: Core,
@@ -64,26 +64,26 @@
     clients: ClientConnections,
     node_connections: NodeConnections,
     watch: Watch,
-    /// The endpoint list is polled, one call after the other.
+    /// Whether the endpoint list is polled continuously; each answer starts the next poll.
     watches_list: bool,
     last_poll_at: Instant,
-    /// When the next poll is due, where it has to wait.
+    /// When the next poll is due, if it has to wait for the minimum interval.
     next_poll_at: Option<Instant>,
-    /// A complete list was applied, and no change is missing since. Else the complete list is polled.
+    /// Whether a complete list was applied and no change is missing since. Otherwise the complete list is polled.
     has_complete_list: bool,
-    /// A poll of the list has ended, with whatever result.
+    /// Whether a poll of the list has ended, successfully or not.
     has_polled_list: bool,
     signals: HashMap<u32, (ProcessSignal, UnixStream)>,
     request_ids: RequestIds,
-    /// Requests that were accepted; the last one's number.
+    /// Number of accepted requests, which is also the number of the last one.
     last_request_number: u32,
-    /// Requests that were malformed or not allowed.
+    /// Number of requests that were malformed or not allowed.
     refused: u64,
-    /// Connections whose next request may have been received already.
+    /// Ids of the connections whose next request may already be in the reader's buffer.
     pipelined_clients: Vec<u32>,
     attempt_results: Vec<AttemptResult>,
     timeouts_checked_at: Instant,
-    /// When the shutdown was asked for.
+    /// When the shutdown was requested.
     shutdown_since: Option<Instant>,
     shutdown_schedule: ShutdownSchedule,
     shutdown_phase: ShutdownPhase,
@@ -92,7 +92,7 @@
 }
 
 impl Host {
-    /// Opens the sockets that the configuration names.
+    /// Creates a host and opens the sockets that the configuration names. Fails if the poller or a socket can't be opened.
     pub fn start(configuration: &Configuration) -> Result<Self, StartError> {
         let clock = Clock(std::time::Instant::now());
         let now = clock.now();
@@ -102,8 +102,8 @@
         let listener = bind_listener(configuration.listen, &poller)
             .map_err(|problem| StartError::Listen { address: configuration.listen, problem })?;
         let mut scheduler = settings.scheduler(now, configuration.seed);
-        // Also where lists are pushed: the platform's agent is polled from the start. Without it the host would serve by the list in
-        // its configuration file for as long as it lives.
+        // Where lists are pushed too, the platform's agent is polled from the start. Otherwise the host would use the list in its
+        // configuration file until it exits.
         scheduler.watch_endpoint_list();
         let core =
             Core::with_scheduler(now, scheduler, core_settings(&settings, &budget), configuration.seed);
@@ -141,7 +141,7 @@
         Ok(host)
     }
 
-    /// Handles each byte on this stream as one signal to the process.
+    /// Registers a stream that carries one byte for each signal of this kind. Bytes that are read together count as one signal.
     pub fn register_signal(&mut self, signal: ProcessSignal, from: UnixStream) -> std::io::Result<()> {
         let number = self.signals.len() as u32;
         from.set_nonblocking(true)?;
@@ -150,12 +150,12 @@
         Ok(())
     }
 
-    /// Where the host accepts connections; none once its listener is closed.
+    /// Returns the address at which the host accepts connections, or `None` once its listener is closed.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.as_ref().and_then(|listener| listener.local_addr().ok())
     }
 
-    /// A snapshot for logs and tests.
+    /// Returns a snapshot of counters and state, for logs and tests.
     pub fn status(&self) -> Status {
         Status {
             core: self.core.counters,
@@ -174,13 +174,13 @@
         }
     }
 
-    /// Runs until the host has shut down. `reload` reads the configuration again.
+    /// Runs the event loop until the host has shut down. `reload` reads the configuration again after [`ProcessSignal::Reload`].
     pub fn run<E: Display>(&mut self, mut reload: impl FnMut() -> Result<Configuration, E>) {
         let mut ready = Vec::new();
         while !self.run_iteration(&mut ready, &mut reload) {}
     }
 
-    /// One iteration of the loop; true once the host has shut down.
+    /// Runs one iteration of the event loop, and returns whether the host has shut down. `ready` is a buffer that is reused between calls.
     pub fn run_iteration<E: Display>(
         &mut self,
         ready: &mut Vec<Ready>,
@@ -191,7 +191,7 @@
             self.handle_ready_socket(*socket, reload);
         }
         let now = self.clock.now();
-        // One request of each connection in an iteration: a client that pipelines many would otherwise hold up the others.
+        // At most one buffered request per connection in each iteration: a client that pipelines many would otherwise delay the others.
         for id in std::mem::take(&mut self.pipelined_clients) {
             let client_event = self.clients.next_request(now, &self.poller, id);
             self.handle_client_event(now, id, client_event);
@@ -222,8 +222,8 @@
                 }
             }
             Token::NodeConnection(id) => {
-                // The connection may just have been established. A client that has left meanwhile is looked for first, or its request
-                // would be written to the node.
+                // The connection may just have been established. Whether the client has disconnected meanwhile is checked first;
+                // otherwise its request would be written to the node.
                 if let Some(client) = self.node_connections.connecting_client(id) {
                     self.check_client(now, client);
                 }
--- a/crates/platform-host/src/host/attempts.rs
+++ b/crates/platform-host/src/host/attempts.rs
@@ -1,4 +1,4 @@
-//! Outputs of the host core towards nodes and clients, and the results of attempts back to it.
+//! Execution of the host core's outputs, and the results of attempts that are reported back to it.
 
 use super::Host;
 use crate::node_connection::PendingAttempt;
@@ -13,7 +13,7 @@
         }
     }
 
-    /// Executes the core's outputs until there are none.
+    /// Executes the core's outputs, and sends waiting attempts, until none are left.
     pub(super) fn execute_outputs(&mut self) {
         loop {
             let now = self.clock.now();
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Sends an attempt to its node, unless it was cancelled meanwhile.
+    /// Sends an attempt to its node, unless it was cancelled or its client has disconnected.
     fn send_attempt(&mut self, now: Instant, pending: PendingAttempt) {
         self.check_client(now, pending.attempt.from.session);
         if !pending.attempt.ticket.is_withdrawn() {
@@ -41,9 +41,9 @@
         }
     }
 
-    /// A client may have gone since this iteration began, or while its request waited for a token bucket, a concurrency limit, a
-    /// connection or its backoff. The poller reports that in the next iteration only, and a long iteration would send the request
-    /// before. So each client is checked whenever an attempt of its request could begin.
+    /// Checks whether a client has disconnected, and aborts its request if so. A client may disconnect after the iteration began, or while
+    /// its request waits for a token bucket, a concurrency limit, a connection or its backoff. The poller reports that only in the
+    /// next iteration, before which the request could be sent. So this check runs whenever an attempt could begin.
     pub(super) fn check_client(&mut self, now: Instant, client: u32) {
         if self.clients.has_disconnected(client) {
             let event = self.clients.handle_disconnect(client);
@@ -62,8 +62,8 @@
             }
             Output::Cancel { attempt, .. } | Output::Cut { attempt, .. } => {
                 self.node_connections.cancel(attempt);
-                // The connection is closed, so no result will come from it: without this one, the attempt would count as in flight until
-                // its deadline.
+                // The connection is closed and gives no result. Without this result the attempt would count as in flight until its
+                // deadline.
                 if self.core.is_in_flight(attempt) {
                     let result = AttemptResult::unanswered(attempt, Outcome::Cancelled);
                     self.core.handle_attempt_result(now, result);
@@ -84,7 +84,7 @@
             Output::WatchEndpointList { .. } => self.watch_list(now),
             Output::FetchEndpointList => self.fetch_complete_list(now),
             Output::Event(event) => tackmast_host_core::log_event(None, self.core.nodes(), &event),
-            // This host takes no operators' overrides and has no membership.
+            // Hosts of the platform have no operators' overrides and no membership protocol.
             Output::Persist { .. } | Output::AdminResponse { .. } | Output::Datagram { .. } => {}
         }
     }
--- a/crates/platform-host/src/host/endpoint_list.rs
+++ b/crates/platform-host/src/host/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: polling it, applying it, and its move to another address.
+//! The endpoint list: polls, applying the answers, and changes of the list's address.
 
 use super::Host;
 use crate::list_watch::WatchEvent;
@@ -8,13 +8,12 @@
 use tackmast_host_core::{Age, ListEntry, NodeStart};
 use tackmast_platform::List;
 
-/// Minimum interval between polls of the endpoint list: well within the time after which a poll counts as a new watch.
+/// Minimum time between polls of the endpoint list; well below the time after which a poll counts as a new watch.
 pub(super) const MIN_POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(50);
 
 impl Host {
     pub(super) fn poll_list(&mut self, now: Instant) {
-        // A list that answers at once without changes would be polled without pause, which shows as its load. With the interval, polls
-        // are few and still count as one watch.
+        // Without the minimum interval, a list that answers at once without changes would be polled in a tight loop and overloaded.
         let due = self.last_poll_at + MIN_POLL_INTERVAL;
         if due > now {
             return self.next_poll_at = Some(due);
@@ -25,13 +24,13 @@
         self.handle_watch_event(now, failed);
     }
 
-    /// Changes are missing from what is known: the complete list is polled, at once or after the poll that is open.
+    /// Polls the complete list, at once or after the open poll, because changes are missing from the known list.
     pub(super) fn fetch_complete_list(&mut self, now: Instant) {
         self.has_complete_list = false;
         self.watch_list(now);
     }
 
-    /// Polls the list from now on, one call after the other.
+    /// Starts to poll the list continuously.
     pub(super) fn watch_list(&mut self, now: Instant) {
         self.watches_list = true;
         if !self.watch.is_polling() {
@@ -57,8 +56,9 @@
         }
     }
 
-    /// Applies the answer to a poll after a version, unless it is an older version: then it was delayed, or the list has lost its memory.
-    /// Applied, it could make a draining node ready again. So the complete list is to be polled next, which decides.
+    /// Applies the answer to a poll for changes after a version, unless the answer has an older version. Such an answer was delayed, or the
+    /// list service has lost its state; applying it could make a draining node ready again. The complete list is polled next and is
+    /// applied whatever its version.
     fn handle_list_answer(&mut self, now: Instant, after: u64, list: &List) {
         if list.version < after {
             tracing::info!(
@@ -80,7 +80,7 @@
             state: member.state,
             zone: member.zone,
             shard: member.shard,
-            // All machines of the platform read the same clock.
+            // All machines of the platform read the same wall clock.
             start: member.up_since_ms.map(|ms| {
                 let age = Age::ByListClock(TimeDelta::from_secs(wall - ms as f64 / 1e3));
                 NodeStart { name: ms, age }
@@ -88,7 +88,7 @@
         });
         let entries: Vec<ListEntry> = entries.collect();
         self.core.handle_endpoint_list(now, kind, from, list.version, &entries);
-        // Changes do not bring what is missing before them.
+        // Changes do not include earlier changes that are missing.
         self.has_complete_list |= kind != ListKind::Changes;
         let nodes = self.core.nodes();
         let is_current = |node, address: SocketAddr| {
@@ -99,8 +99,8 @@
         self.report_attempt_results(now);
     }
 
-    /// The list is served at this address from now on. It is polled at once, also where the host waits out a backoff: a change that the
-    /// new address has counts as notified some seconds from now, and must not wait for a backoff from the old address.
+    /// Moves the watch to another address and polls it at once, even during a backoff. The host counts as notified of changes at the new
+    /// address within seconds, so they must not wait for a backoff that was caused by the old address.
     pub(super) fn change_list_address(&mut self, now: Instant, to: SocketAddr) {
         if to == self.watch.address() {
             tracing::info!(list = %to, "configuration reloaded: discovery unchanged");
--- a/crates/platform-host/src/host/peer_link.rs
+++ b/crates/platform-host/src/host/peer_link.rs
@@ -1,4 +1,4 @@
-//! Datagrams of peers: the service rates of shards, which hosts store for each other.
+//! The datagram socket towards peers, over which hosts replicate the service rates of shards.
 
 use super::{Host, StartError};
 use crate::poller::{Poller, Token, READ};
@@ -7,17 +7,17 @@
 use tackmast::interface::{Instant, ShardId};
 use tackmast_platform::Configuration;
 
-/// Datagrams received in one iteration of the loop.
+/// Maximum number of datagrams received in one iteration.
 const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
 
-/// The datagram socket towards peers, and what is replicated over it.
+/// The datagram socket towards peers, and the service rates that are replicated over it.
 pub(super) struct PeerLink {
     socket: UdpSocket,
     service_rates: ServiceRateReplication,
 }
 
 impl PeerLink {
-    /// Opens the socket, if the configuration names peers.
+    /// Opens the socket. Returns `None` if the configuration names no peers.
     pub(super) fn open(
         now: Instant,
         configuration: &Configuration,
@@ -31,24 +31,24 @@
         Ok(Some(PeerLink { socket, service_rates }))
     }
 
-    /// Datagrams that were malformed, from no peer, or not asked for.
+    /// Returns the number of datagrams that were malformed, unsolicited, or not from a peer.
     pub(super) fn rejected_datagrams(&self) -> u64 {
         self.service_rates.rejected_datagrams
     }
 
-    /// Sends the datagrams that are due now. `rates`: units a second of each shard.
+    /// Sends the datagrams that are due now. `rates` gives the service rate of each shard, in units a second.
     pub(super) fn handle_timeout(&mut self, now: Instant, rates: impl FnOnce() -> Vec<(ShardId, f64)>) {
         let datagrams = self.service_rates.handle_timeout(now, rates);
         self.send(datagrams);
     }
 
-    /// Stores the rates, in units a second, at peers, as this host shuts down.
+    /// Replicates the rates, in units a second, to the peers; called when this host shuts down.
     pub(super) fn replicate(&mut self, rates: Vec<(ShardId, f64)>) {
         let datagrams = self.service_rates.replicate(rates);
         self.send(datagrams);
     }
 
-    /// Receives datagrams, a bounded number in each iteration, and answers them. Gives the rates that were restored by them.
+    /// Receives and answers a bounded number of datagrams. Returns the service rates that they restored, in units a second.
     fn receive(&mut self, now: Instant) -> Vec<(ShardId, f64)> {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
@@ -61,14 +61,14 @@
 
     fn send(&self, datagrams: Vec<Datagram>) {
         for datagram in datagrams {
-            // A datagram that is lost here is lost like any other.
+            // The protocol tolerates lost datagrams, so an error is treated as a loss.
             _ = self.socket.send_to(&datagram.bytes, datagram.to);
         }
     }
 }
 
 impl Host {
-    /// Receives datagrams of peers, and gives the core the service rates that they restore.
+    /// Receives datagrams of peers, and passes the restored service rates to the core.
     pub(super) fn receive_peer_datagrams(&mut self, now: Instant) {
         let Some(peers) = &mut self.peers else { return };
         let restored = peers.receive(now);
--- a/crates/platform-host/src/host/requests.rs
+++ b/crates/platform-host/src/host/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients, from their connections to the host core.
+//! Requests of clients: accepting connections, parsing calls, and submitting them to the host core.
 
 use super::Host;
 use crate::client_connections::ClientEvent;
@@ -10,7 +10,7 @@
 use tackmast_http::Request;
 use tackmast_platform::Call;
 
-/// Connections accepted in one iteration of the loop.
+/// Maximum number of connections accepted in one call of `Host::accept`.
 const MAX_ACCEPTS_PER_ITERATION: usize = 32;
 
 impl Host {
@@ -22,8 +22,8 @@
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(_) => {
-                    // No descriptor is left, although the resource budget leaves some. The listener stays ready, so without an
-                    // eviction the loop would spin on it.
+                    // No descriptor is left, although the resource budget reserves some. The listener stays ready, so the event loop
+                    // would spin on it without an eviction.
                     self.clients.evict_one(now);
                     return;
                 }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The call that a request makes, if this host serves it now.
+    /// Parses the call in a request, and returns the reason to close the connection if this host does not serve the call now.
     fn accept_call(&mut self, request: Request) -> Result<Call, CloseReason> {
         if self.shutdown_phase >= ShutdownPhase::Settled {
             return Err(CloseReason::ShuttingDown);
@@ -108,10 +108,10 @@
         }
     }
 
-    /// Whether the endpoint list is known well enough to serve.
+    /// Returns whether the host has a node that is ready and, where lists are pushed, has polled the agent.
     fn is_ready(&self) -> bool {
-        // Where lists are pushed, a new process counts as notified of what the agent has. A host that was ready before it has polled
-        // the agent could send requests to nodes that are draining.
+        // Where lists are pushed, a new process counts as notified of the agent's list. A host that became ready before it has polled
+        // the agent could send requests to draining nodes.
         let has_polled = self.has_polled_list || !self.settings.lists_are_pushed();
         has_polled && self.core.nodes().entries().any(|(_, entry)| entry.state == NodeState::Ready)
     }
--- a/crates/platform-host/src/host/shutdown.rs
+++ b/crates/platform-host/src/host/shutdown.rs
@@ -1,4 +1,4 @@
-//! Signals to the process, and the graceful shutdown. docs/crossings.md has each phase against each event.
+//! Signals to the process, and the graceful shutdown. docs/crossings.md has a table of each phase against each event.
 
 use super::{Host, ProcessSignal};
 use crate::shutdown_schedule::ShutdownPhase;
@@ -7,7 +7,7 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_platform::Configuration;
 
-/// Rounds of accepting the connections in the listener's backlog before it closes.
+/// Maximum number of calls of `Host::accept` that empty the listener's backlog before it closes.
 const MAX_BACKLOG_ROUNDS: usize = 128;
 
 impl Host {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Does what the phase of the shutdown that is due asks for; nothing while no shutdown was asked for.
+    /// Enters the shutdown phase that is due and performs its work. Does nothing if no shutdown was requested.
     pub(super) fn advance_shutdown(&mut self, now: Instant) {
         let Some(since) = self.shutdown_since else { return };
         self.enter_due_phase(now - since);
@@ -62,9 +62,9 @@
         self.clients.begin_shutdown(now, &self.poller, phase);
     }
 
-    /// Enters the phase that is due a time `since` the shutdown was asked for. A host without clients closes early; a client that is
-    /// accepted from the backlog then must not take the host back to serving, with its listener closed. So no phase is left for an
-    /// earlier one.
+    /// Enters the phase that is due at the time `since` after the shutdown was requested; never an earlier phase than the current one. A
+    /// host without clients closes early, and a client that is then accepted from the backlog must not return the host to
+    /// `ShutdownPhase::Serving`, as its listener is closed.
     fn enter_due_phase(&mut self, since: TimeDelta) {
         let clients = self.clients.len();
         let phase = self.shutdown_schedule.phase(since, clients).max(self.shutdown_phase);
@@ -76,8 +76,8 @@
         self.shutdown_phase = phase;
     }
 
-    /// Accepts the connections in the listener's backlog, then closes it. The system has accepted these connections already: closing
-    /// the listener would reset them, and their clients would lose requests that they have sent.
+    /// Accepts the connections in the listener's backlog, then closes the listener. The system has already established these
+    /// connections: closing the listener would reset them, and their clients would lose requests that they have sent.
     fn close_listener(&mut self, now: Instant) {
         for _ in 0..MAX_BACKLOG_ROUNDS {
             let accepted = self.clients.counters.accepted;
@@ -89,15 +89,15 @@
         self.listener = None;
     }
 
-    /// Answers each request that is still open: the platform kills the process before their deadlines, and clients without an answer
-    /// would wait until then.
+    /// Answers each request that is still open. The platform kills the process before the deadlines of these requests, and clients
+    /// without an answer would wait until then.
     fn answer_open_requests(&mut self, now: Instant) {
         self.core.close_open_commands(now);
         self.execute_outputs();
     }
 
-    /// Each accepted request has its answer and each client has read it to its end; or there is no more time. Without waiting for the
-    /// clients, the exit would reset their connections and they would lose answers that were written.
+    /// Returns whether the process may exit: each accepted request is answered and each client has closed its connection, or no time is
+    /// left. An exit before the clients have read their answers would reset the connections, and the answers would be lost.
     pub(super) fn has_shut_down(&self) -> bool {
         let is_idle = self.core.open_counts().commands == 0 && self.clients.len() == 0;
         self.shutdown_phase == ShutdownPhase::Finished
--- a/crates/platform-host/src/host/status.rs
+++ b/crates/platform-host/src/host/status.rs
@@ -1,4 +1,4 @@
-//! The status of a host, and why one did not start.
+//! The status of a host, and the errors that prevent its start.
 
 use crate::client_connections::ClientCounters;
 use crate::node_connection::NodeConnectionCounters;
@@ -6,41 +6,41 @@
 use tackmast_host_core::Counters;
 pub use tackmast_host_core::OpenCounts;
 
-/// What the host holds, for logs and tests.
+/// A snapshot of a host's counters and state, for logs and tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Status {
-    /// Counters of the host core.
+    /// The counters of the host core.
     pub core: Counters,
-    /// Counters of the client connections.
+    /// The counters of the client connections.
     pub client_counters: ClientCounters,
-    /// Counters of the connections to nodes.
+    /// The counters of the connections to nodes.
     pub node_counters: NodeConnectionCounters,
-    /// Requests that were malformed or not allowed.
+    /// Number of requests that were malformed or not allowed.
     pub refused: u64,
-    /// Client connections that are open.
+    /// Number of open client connections.
     pub client_connections: usize,
-    /// Connections to nodes that are open.
+    /// Number of connections to nodes that are open or being established.
     pub node_connections: usize,
-    /// Work in flight in the host core.
+    /// The work in flight in the host core.
     pub open: OpenCounts,
-    /// No shutdown has been asked for.
+    /// Whether no shutdown has been requested.
     pub serves: bool,
-    /// Where connections are accepted; none once the listener is closed.
+    /// The address at which connections are accepted; `None` once the listener is closed.
     pub listens: Option<SocketAddr>,
-    /// Nodes in the endpoint list.
+    /// Number of nodes that the host core knows from the endpoint list.
     pub nodes: usize,
-    /// Version of the endpoint list.
+    /// The version of the endpoint list that was applied last.
     pub version: u64,
-    /// Shards whose service rate was restored from peers after a restart.
+    /// Number of shards whose service rates were restored from peers after a restart.
     pub restored_shards: usize,
-    /// Datagrams of peers that were malformed, from no peer, or not asked for.
+    /// Number of datagrams that were malformed, unsolicited, or not from a peer.
     pub rejected_datagrams: u64,
 }
 
-/// Why a host did not start.
+/// The error that prevented the start of a host.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The readiness poller could not be made.
+    /// The epoll instance could not be created.
     #[error("epoll: {0}")]
     Poller(std::io::Error),
     /// The listener for clients could not be opened.
--- a/crates/platform-host/src/lib.rs
+++ b/crates/platform-host/src/lib.rs
@@ -1,6 +1,6 @@
-//! The host on the operators' platform: one readiness loop that owns the host core, the connections of clients and to nodes,
-//! the watch of the endpoint list, and the process's signals. It moves bytes and reads the clock. The scheduler behind the core
-//! decides which request is sent to which node, and when. docs/host.md explains why there are no threads.
+//! The host on the operators' platform: a single-threaded event loop that owns the host core, the connections of clients and to
+//! nodes, the watch of the endpoint list, and the signals of the process. This package performs I/O and reads the clock. The
+//! scheduler in the core decides which request is sent to which node, and when. docs/host.md explains why there are no threads.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/platform-host/src/list_watch.rs
+++ b/crates/platform-host/src/list_watch.rs
@@ -1,9 +1,10 @@
-//! The watch of the endpoint list: long polls, one after the other. When to retry after a failure is the scheduler's decision.
-//! docs/crossings.md has each state of a poll against each event.
+//! The watch of the endpoint list: a sequence of long polls. The scheduler decides when to retry after a failure.
+//! docs/crossings.md has a table of each poll state against each event.
 //!
-//! A change counts as notified 6 s after the list had it and could be reached, whatever failed before. So the timeouts here and the
-//! scheduler's backoff together must stay below that: a silent poll is detected after its wait and `ANSWER_TIMEOUT`; then follow a
-//! backoff, a poll that does not connect, another backoff, and a poll that is answered (docs/design.md has the sum).
+//! The host counts as notified of a change 6 s after the list had the change and was reachable, whatever failed before. The timeouts
+//! here and the scheduler's backoff together must stay below that. The worst case is a silent poll, which is detected after its wait
+//! and `ANSWER_TIMEOUT`, a backoff, a poll that does not connect, another backoff, and a poll that is answered (docs/design.md has
+//! the sum).
 
 use crate::poller::{Poller, Ready, Token, BOTH, READ};
 use crate::sockets::{self, ReadOutcome};
@@ -13,20 +14,21 @@
 use tackmast_http::{Limits, MessageError, Response, ResponseReader};
 use tackmast_platform::{List, Settings};
 
-/// How long a poll lets the list wait for a change, in milliseconds. An answer that is lost counts as notified 2 s after that, and a
-/// silent watch is detected only then, so the wait is short; each poll costs the list work, so it is not shorter.
+/// Time for which the list may hold a poll until there is a change, in milliseconds. The host counts as notified of a lost answer 2 s
+/// after that time, and a silent watch is detected only then, so the time is short. It is no shorter because each poll costs the list
+/// work.
 const LONG_POLL_MS: u64 = 2_500;
-/// The same for a poll after one that failed: the list has the missed changes already, and more silence must be detected soon.
+/// `LONG_POLL_MS` for the poll after a failed one: the list already has the missed changes, and another silent poll must be detected soon.
 const LONG_POLL_AFTER_FAILURE_MS: u64 = 300;
-/// How long an answer may take beyond the wait.
+/// Time that an answer may take beyond the long poll's wait.
 const ANSWER_TIMEOUT: TimeDelta = TimeDelta::from_millis(1200);
-/// The same after a failure: with too many callers the list answers late, and a poll that is given up is queued anew behind the others.
+/// `ANSWER_TIMEOUT` after a failure: an overloaded list answers late, and a poll that is given up is queued again behind the others.
 const ANSWER_TIMEOUT_AFTER_FAILURE: TimeDelta = TimeDelta::from_millis(2000);
-/// How long a connection to the list may take to be established.
+/// Time that a connection to the list has to be established.
 const CONNECT_TIMEOUT: TimeDelta = TimeDelta::from_millis(700);
-/// The largest list, in bytes: with all its nodes, written with indents.
+/// Maximum size of an answer of the list in bytes: the complete list with all nodes as indented JSON.
 const MAX_LIST_BYTES: usize = 256 * 1024;
-/// Reads within which the largest list is read whole, with its head.
+/// Number of reads that suffice for the largest answer and its head.
 const MAX_LIST_CHUNKS: usize = MAX_LIST_BYTES / sockets::READ_CHUNK_BYTES + 2;
 
 /// The result of a poll.
@@ -34,59 +36,59 @@
 pub(crate) enum WatchEvent {
     /// The poll was answered.
     List {
-        /// The version that was polled from; 0 for the complete list.
+        /// The version after which changes were requested; 0 if the complete list was requested.
         after: u64,
         /// The answer.
         list: List,
     },
-    /// The poll failed, and why.
+    /// The poll failed, for this reason.
     Failed(String),
 }
 
-/// A poll that has no answer yet.
+/// A poll without an answer yet.
 struct Poll {
-    /// Of its connection.
+    /// The number of its connection.
     number: u32,
     stream: TcpStream,
-    /// The part of the request that is still to be written; empty: the list has been asked.
+    /// The part of the request that is still to be written; empty once the request is written.
     outgoing: BytesMut,
     answer: ResponseReader,
-    /// The version that was polled from.
+    /// The version after which changes are requested; `None` for the complete list.
     after: Option<u64>,
-    /// How long the answer may take from when the request was written.
+    /// Time that the answer may take once the request is written.
     answer_timeout: TimeDelta,
-    /// When the poll has failed: the request not written by then, or not answered.
+    /// When the poll fails if the request is not written, or once it is written not answered.
     deadline: Instant,
 }
 
-/// The watch of the endpoint list: at most one poll is open.
+/// The watch of the endpoint list, with at most one open poll.
 pub(crate) struct Watch {
     address: SocketAddr,
     open_poll: Option<Poll>,
-    /// A connection whose poll was answered, for the next one.
+    /// A connection whose poll was answered, kept for the next poll.
     idle_connection: Option<(u32, TcpStream)>,
     last_number: u32,
-    /// The last poll failed.
+    /// Whether the last poll failed.
     has_failed: bool,
 }
 
 impl Watch {
-    /// A watch of the list at `address`; nothing is polled yet.
+    /// Creates a watch of the list at `address` without polling it.
     pub(crate) fn new(address: SocketAddr) -> Self {
         Watch { address, open_poll: None, idle_connection: None, last_number: 0, has_failed: false }
     }
 
-    /// Whether a poll has no answer yet.
+    /// Returns whether a poll is open.
     pub(crate) fn is_polling(&self) -> bool {
         self.open_poll.is_some()
     }
 
-    /// Where the list is polled.
+    /// Returns the address at which the list is polled.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Asks for the changes after a version, or for the complete list.
+    /// Starts a poll for the changes after a version, or for the complete list if `after` is `None`.
     pub(crate) fn poll(
         &mut self,
         now: Instant,
@@ -108,7 +110,7 @@
         };
         let target = List::target(after.map(|version| (version, wait_ms)));
         let text = format!("GET {target} HTTP/1.1\r\nHost: {}\r\n\r\n", self.address);
-        // The list answers a poll for the complete list without waiting.
+        // The list answers a poll for the complete list at once.
         let wait = if after.is_some() { TimeDelta::from_millis(wait_ms as i64) } else { TimeDelta::ZERO };
         let poll = Poll {
             number,
@@ -119,22 +121,23 @@
             answer_timeout: wait + answer_timeout,
             deadline: now + CONNECT_TIMEOUT,
         };
-        // A connection that is not established yet takes no bytes: the write fails or writes nothing, and is repeated once it is ready.
+        // A connection that is not established yet accepts no bytes: the write fails or writes nothing, and is repeated once the socket
+        // is ready.
         _ = self.open_poll.insert(poll).write(now, poller);
         Ok(())
     }
 
-    /// Begins a new connection to the list, with its number.
+    /// Starts a new connection to the list, and returns it with its number.
     fn connect(&mut self, poller: &Poller) -> std::io::Result<(u32, TcpStream)> {
         self.last_number = self.last_number.wrapping_add(1);
-        // Until it is answered: a poll that can't even connect has failed too.
+        // Stays set until the poll is answered: a poll that can't connect has failed too.
         self.has_failed = true;
         let stream = sockets::connect(self.address)?;
         poller.add(&stream, Token::List(self.last_number), BOTH)?;
         Ok((self.last_number, stream))
     }
 
-    /// The socket of a poll is ready. Gives the result of the poll, if it is known now.
+    /// Handles a ready socket of the watch. Returns the result of the poll once it is known.
     pub(crate) fn handle_ready(
         &mut self,
         now: Instant,
@@ -144,8 +147,8 @@
         settings: &Settings,
     ) -> Option<WatchEvent> {
         let Some(poll) = self.open_poll.as_mut().filter(|poll| poll.number == number) else {
-            // Bytes on a connection without a poll: a second copy of an answer, or its end. The next poll could take them for its own
-            // answer, so the connection is closed.
+            // An idle connection received bytes, such as a duplicate answer, or was closed. The next poll would parse the bytes as its
+            // own answer, so the connection is closed.
             self.idle_connection = self.idle_connection.take().filter(|(idle, _)| *idle != number);
             return None;
         };
@@ -166,7 +169,7 @@
         None
     }
 
-    /// Reads at most `max_chunks` of the answer. Gives the result of the poll, if it is known then.
+    /// Reads at most `max_chunks` chunks of the answer. Returns the result of the poll if it is known then.
     fn read(&mut self, max_chunks: usize, settings: &Settings) -> Option<WatchEvent> {
         let mut chunk = [0; sockets::READ_CHUNK_BYTES];
         for _ in 0..max_chunks {
@@ -220,18 +223,18 @@
         Some(WatchEvent::Failed(why.to_owned()))
     }
 
-    /// Gives up a poll that takes too long.
+    /// Fails an open poll that has reached its deadline.
     pub(crate) fn handle_timeout(&mut self, now: Instant, settings: &Settings) -> Option<WatchEvent> {
         if self.open_poll.as_ref().is_none_or(|poll| poll.deadline > now) {
             return None;
         }
-        // The host counts as notified of a change once its answer is written to it. An answer that is in the socket when its time ends
-        // is therefore read first; else the host would follow an outdated list.
+        // The host counts as notified of a change once the list has written the answer. An answer that is in the socket at the deadline
+        // is therefore read first; otherwise the host would follow an outdated list.
         self.read(MAX_LIST_CHUNKS, settings).or_else(|| self.failed("no answer in time"))
     }
 
-    /// The list is served at another address from now on. An answer that the old address has written by now is read first, as the host
-    /// counts as notified of it. Nothing from there is read afterwards: it could be older than answers of the new address.
+    /// Moves the watch to another address. An answer that the old address has already written is read first and returned, as the host
+    /// counts as notified of it. Nothing is read from the old address afterwards: it could be older than answers of the new one.
     pub(crate) fn address_changed(&mut self, to: SocketAddr, settings: &Settings) -> Option<WatchEvent> {
         let last = self.read(MAX_LIST_CHUNKS, settings);
         (self.address, self.open_poll, self.idle_connection, self.has_failed) = (to, None, None, false);
--- a/crates/platform-host/src/node_connection.rs
+++ b/crates/platform-host/src/node_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a node, and what is counted of all of them.
+//! The state of one connection to a node, and counters over all of them.
 
 use bytes::BytesMut;
 use std::net::{SocketAddr, TcpStream};
@@ -7,21 +7,21 @@
 use tackmast_http::ResponseReader;
 use tackmast_platform::attempt_head;
 
-/// Where a connection is in its protocol.
+/// The protocol state of a connection.
 pub(crate) enum State {
-    /// It must be established by `until`, for this attempt.
+    /// The connection is being established for this attempt, until `until` at the latest.
     Connecting { until: Instant, attempt: Box<SendAttempt> },
-    /// The attempt is being written, or its answer is awaited.
+    /// The attempt is being written, or the host waits for its answer.
     Busy { attempt: Box<SendAttempt>, outgoing: BytesMut, answer: Box<ResponseReader> },
-    /// No attempt is on it.
+    /// The connection carries no attempt.
     Idle,
 }
 
-/// An attempt that is to be sent.
+/// An attempt to send.
 pub(crate) struct PendingAttempt {
     /// The attempt.
     pub attempt: SendAttempt,
-    /// It has waited for a connection to become reusable.
+    /// Whether the attempt has already waited for a connection to become reusable.
     pub has_waited: bool,
 }
 
@@ -29,38 +29,38 @@
 pub(crate) struct NodeConnection {
     /// The node.
     pub node: NodeId,
-    /// Its address when the connection was opened.
+    /// The address of the node when the connection was opened.
     pub address: SocketAddr,
     /// The socket.
     pub stream: TcpStream,
-    /// Where it is in its protocol.
+    /// The protocol state.
     pub state: State,
 }
 
-/// What happened to connections to nodes since the start, for logs and tests.
+/// Counters of the connections to nodes since the host started, for logs and tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeConnectionCounters {
-    /// Connections that were opened.
+    /// Connections that the host began to open.
     pub opened: u64,
     /// Attempts that reused an idle connection.
     pub reused: u64,
     /// Answers that could not be parsed.
     pub malformed_answers: u64,
-    /// Connections that ended under an attempt.
+    /// Connections that ended while they carried a completely written attempt without a complete answer.
     pub reset: u64,
     /// Connections that could not be established, or not in time.
     pub connect_failures: u64,
-    /// Attempts that were cancelled on a connection.
+    /// Attempts that were cancelled after they had been assigned to a connection.
     pub cancelled: u64,
-    /// Attempts that had to wait for a connection.
+    /// Attempts that had to wait because all connections were in use.
     pub waited: u64,
-    /// Idle connections on which data arrived that nothing had asked for.
+    /// Idle connections that were closed because unsolicited data arrived on them.
     pub unsolicited_data: u64,
-    /// Connections that were established too late for their attempt to begin.
+    /// Attempts that were not written because their time to begin had passed once a connection was available.
     pub deadline_passed: u64,
 }
 
-/// The bytes of an attempt's request to the node at this address.
+/// Serializes the request of an attempt for the node at this address.
 pub(crate) fn request_bytes(now: Instant, address: SocketAddr, attempt: &SendAttempt) -> BytesMut {
     let attempt_head = attempt_head(address, attempt.until - now);
     let (head, body): (&[u8], &[u8]) = match &attempt.work {
--- a/crates/platform-host/src/node_connections.rs
+++ b/crates/platform-host/src/node_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to nodes: one attempt at a time on each, idle ones are reused.
+//! The connections to nodes. Each carries one attempt at a time, and idle ones are reused.
 
 use crate::idle_connections::IdleConnections;
 use crate::node_connection::{request_bytes, NodeConnection, NodeConnectionCounters, PendingAttempt, State};
@@ -11,37 +11,37 @@
 use tackmast_http::{Limits, Response, ResponseReader};
 use tackmast_platform::Reports;
 
-/// The host closes an idle connection after this share of the time after which nodes do. Nodes would otherwise close it while a request
-/// is on its way, which would then have no answer.
+/// Share of the nodes' idle timeout after which the host closes an idle connection. A node could otherwise close it while a request is
+/// on its way, which would then get no answer.
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
-/// When the host closes an idle connection if the settings name no idle timeout of nodes.
+/// Idle time after which the host closes a connection if the settings name no idle timeout of nodes.
 const DEFAULT_MAX_IDLE: TimeDelta = TimeDelta::from_millis(10_000);
-/// How long a connection is not reused after an answer. Nothing in an answer tells which request it is for, and a node may send a second
-/// copy some milliseconds late: within the delay the copy arrives on an idle connection, which is closed for it. After the delay it
-/// would be taken for the answer to the next request.
+/// Time after an answer during which a connection is not reused. An answer does not name its request, and a node may send a duplicate
+/// some milliseconds late. Within the delay the duplicate arrives on an idle connection, which is closed. After the delay it would be
+/// taken for the answer to the next request.
 const REUSE_DELAY: TimeDelta = TimeDelta::from_millis(10);
 
-/// All connections to nodes, and the attempts that wait for one.
+/// All connections to nodes, and the attempts that wait for a connection.
 pub(crate) struct NodeConnections {
     connections: BTreeMap<u32, NodeConnection>,
     idle: IdleConnections,
     by_attempt: HashMap<AttemptId, u32>,
-    /// Attempts that wait for capacity, as all connections are in use.
+    /// Attempts that wait because all connections are in use, in order of arrival.
     waiting: VecDeque<SendAttempt>,
-    /// Attempts that wait until a connection to their node is reusable, and until when.
+    /// Attempts that wait until a connection to their node becomes reusable, with that time.
     delayed: Vec<(Instant, SendAttempt)>,
     next_id: u32,
     max_connections: usize,
     connect_timeout: TimeDelta,
     max_idle: TimeDelta,
     reports: Reports,
-    /// What happened since the start.
+    /// Counters since the host started.
     pub counters: NodeConnectionCounters,
 }
 
 impl NodeConnections {
-    /// At most `max_connections` connections, each established within `connect_timeout`. `node_idle_timeout` is when nodes close an idle
-    /// connection; zero if the settings name none.
+    /// Creates a set of at most `max_connections` connections, each established within `connect_timeout`. `node_idle_timeout` is the time
+    /// after which nodes close an idle connection; zero if the settings name none.
     pub(crate) fn new(
         max_connections: usize,
         connect_timeout: TimeDelta,
@@ -63,13 +63,13 @@
         }
     }
 
-    /// Connections that are established or being established.
+    /// Returns the number of connections that are established or being established.
     pub(crate) fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Sends an attempt to a node at its present address. An attempt waits only once for a connection to become reusable: others could
-    /// take that connection before it again and again, and it would wait until its deadline.
+    /// Sends an attempt to a node at its current address; without an address the attempt ends as refused. An attempt waits only once for
+    /// a connection to become reusable: others could take that connection repeatedly, and it would wait until its deadline.
     pub(crate) fn send(
         &mut self,
         now: Instant,
@@ -88,10 +88,10 @@
                 self.counters.reused += 1;
                 return self.begin(now, poller, id, attempt, results);
             }
-            // Its node has closed it while it was idle, or has moved.
+            // The node has closed the idle connection, or has moved to another address.
             self.connections.remove(&id);
         }
-        // Waiting a few milliseconds costs the client and the node less than a new connection.
+        // A wait of a few milliseconds costs the client and the node less than a new connection.
         let attempts_ahead = self.delayed.iter().filter(|(_, delayed)| delayed.node == attempt.node).count();
         let reusable_at = self.idle.reusable_at(attempt.node, now, REUSE_DELAY, attempts_ahead);
         if let Some(until) = reusable_at.filter(|_| !has_waited) {
@@ -104,7 +104,7 @@
         self.connect(now, poller, to, attempt, results);
     }
 
-    /// Whether one more connection may be opened; closes the oldest idle one for it if it must.
+    /// Returns whether one more connection may be opened. At the limit, closes the oldest idle connection first.
     fn has_capacity_for_one(&mut self, now: Instant) -> bool {
         if self.connections.len() >= self.max_connections {
             if let Some((node, id)) = self.idle.oldest(TimeDelta::ZERO, now) {
@@ -139,7 +139,7 @@
         self.connections.insert(id, NodeConnection { node, address: to, stream, state });
     }
 
-    /// The connection is established: writes the attempt, unless it was cancelled or is too late.
+    /// Writes an attempt to an established connection, unless the attempt was cancelled or is too late.
     fn begin(
         &mut self,
         now: Instant,
@@ -171,7 +171,7 @@
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let State::Busy { attempt, outgoing, .. } = &mut connection.state else { return };
         match sockets::write(&connection.stream, outgoing) {
-            // The node has not received the whole attempt, so it never ran.
+            // The node has not received the complete request, so it never ran.
             Err(_) => self.end_attempt(id, Outcome::Refused, results),
             Ok(()) if outgoing.is_empty() => {
                 attempt.ticket.written();
@@ -181,7 +181,7 @@
         }
     }
 
-    /// The socket of a connection is ready.
+    /// Handles a ready socket of a connection.
     pub(crate) fn handle_ready(
         &mut self,
         now: Instant,
@@ -232,7 +232,7 @@
         let unsent = !outgoing.is_empty();
         let answered = match sockets::read(&connection.stream, &mut chunk) {
             ReadOutcome::Nothing => return,
-            // An answer without a length ends with its connection, if that ends in order. After a reset the rest may be missing.
+            // An answer without a length is complete at an orderly close. After a reset a part may be missing.
             ReadOutcome::End if !unsent && answer.ends_with_connection() => answer.handle_close(),
             ReadOutcome::End | ReadOutcome::Failed => {
                 self.counters.reset += u64::from(!unsent);
@@ -254,7 +254,7 @@
         }
     }
 
-    /// The answer to the attempt on a connection is complete: reports it, and keeps the connection if it may be reused.
+    /// Reports the complete answer to the attempt on a connection, and keeps the connection if it may be reused.
     fn finish(&mut self, now: Instant, id: u32, received: Response, results: &mut Vec<AttemptResult>) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let State::Busy { attempt, outgoing, answer } = &mut connection.state else { return };
@@ -262,7 +262,7 @@
             (received.closes, answer.has_trailing_bytes(), !outgoing.is_empty());
         let mut report = self.reports.read(received);
         if unsent && report.outcome == Outcome::Done {
-            // The node answered before it had the whole request, so the answer can't be for this request.
+            // The node answered before it had the complete request, so the answer can't be for this request.
             report.outcome = Outcome::Error;
         }
         let (number, node) = (attempt.attempt, connection.node);
@@ -270,7 +270,7 @@
             attempt: number,
             outcome: report.outcome,
             waiting: report.waiting,
-            // A node that reports no service of other hosts had none.
+            // A node that reports no service through other hosts had none.
             elsewhere: Some(report.elsewhere.unwrap_or(0.0)),
             data: report.body,
         });
@@ -283,7 +283,7 @@
         }
     }
 
-    /// Ends an attempt together with its connection.
+    /// Closes a connection and reports the outcome of the attempt on it, unless the attempt was cancelled.
     fn end_attempt(&mut self, id: u32, outcome: Outcome, results: &mut Vec<AttemptResult>) {
         let Some(connection) = self.connections.remove(&id) else { return };
         if let State::Busy { attempt, .. } | State::Connecting { attempt, .. } = connection.state {
@@ -299,7 +299,7 @@
         self.connections.remove(&id);
     }
 
-    /// Cancels an attempt. Its connection is closed: HTTP/1.1 has no other way to withdraw a request.
+    /// Cancels an attempt. Its connection is closed, as HTTP/1.1 has no other way to cancel a request.
     pub(crate) fn cancel(&mut self, attempt: AttemptId) {
         match self.by_attempt.remove(&attempt) {
             Some(id) => {
@@ -313,8 +313,9 @@
         }
     }
 
-    /// Closes the connections on which no request has begun, except those to an address where their node is ready (`is_current`). An
-    /// attempt that waits for such a connection would otherwise be written to a draining node, or to whatever has the old address now.
+    /// Closes the connections on which no request has begun, except those to an address at which their node is ready (`is_current`). An
+    /// attempt that waits for such a connection would otherwise be written to a draining node, or to a process that now listens at the
+    /// node's former address.
     pub(crate) fn close_unused_unless(
         &mut self,
         is_current: impl Fn(NodeId, SocketAddr) -> bool,
@@ -334,7 +335,7 @@
         }
     }
 
-    /// The client whose request waits for this connection to be established.
+    /// Returns the client whose request waits for this connection to be established.
     pub(crate) fn connecting_client(&self, id: u32) -> Option<u32> {
         match &self.connections.get(&id)?.state {
             State::Connecting { attempt, .. } => Some(attempt.from.session),
@@ -342,7 +343,7 @@
         }
     }
 
-    /// Closes connections that were not established in time, and old idle ones.
+    /// Closes connections that were not established in time, and those that have been idle for too long.
     pub(crate) fn handle_timeout(&mut self, now: Instant, results: &mut Vec<AttemptResult>) {
         let is_late = |connection: &NodeConnection| matches!(&connection.state, State::Connecting { until, .. } if *until <= now);
         let late = self.connections.iter().filter(|(_, connection)| is_late(connection));
@@ -356,19 +357,19 @@
         }
     }
 
-    /// When the next delayed attempt may be sent.
+    /// Returns when the next delayed attempt may be sent.
     pub(crate) fn poll_timeout(&self) -> Option<Instant> {
         self.delayed.iter().map(|(until, _)| *until).min()
     }
 
-    /// A delayed attempt that may be sent now.
+    /// Removes and returns a delayed attempt that may be sent now.
     pub(crate) fn next_delayed_attempt(&mut self, now: Instant) -> Option<PendingAttempt> {
         let index = self.delayed.iter().position(|(until, _)| *until <= now)?;
         let (_, attempt) = self.delayed.remove(index);
         Some(PendingAttempt { attempt, has_waited: true })
     }
 
-    /// The attempt that has waited longest for capacity, if there is some now.
+    /// Removes and returns the attempt that has waited longest for capacity, if there is capacity now.
     pub(crate) fn next_waiting_attempt(&mut self) -> Option<PendingAttempt> {
         let has_capacity = self.connections.len() < self.max_connections || !self.idle.is_empty();
         if !has_capacity {
@@ -379,7 +380,7 @@
     }
 }
 
-/// When the host closes an idle connection, from the idle timeout of nodes (zero: the settings name none).
+/// Returns the idle time after which the host closes a connection, from the idle timeout of nodes (zero if the settings name none).
 fn max_idle(node_idle_timeout: TimeDelta) -> TimeDelta {
     if node_idle_timeout > TimeDelta::ZERO {
         TimeDelta::from_secs(node_idle_timeout.secs() * IDLE_TIMEOUT_SHARE)
@@ -388,7 +389,8 @@
     }
 }
 
-/// The end of an attempt that its node has not answered. As in an answer without a report, no service through other hosts is known of.
+/// Returns the result of an attempt that its node has not answered. As for an answer without a report, the service through other
+/// hosts is 0.
 fn unanswered(attempt: AttemptId, outcome: Outcome) -> AttemptResult {
     AttemptResult { elsewhere: Some(0.0), ..AttemptResult::unanswered(attempt, outcome) }
 }
--- a/crates/platform-host/src/poller.rs
+++ b/crates/platform-host/src/poller.rs
@@ -1,14 +1,15 @@
-//! Readiness of sockets, level-triggered: unread bytes are reported again in the next iteration, so the work of an iteration can be
+//! Level-triggered readiness of sockets. Unread bytes are reported again in the next iteration, so the work of one iteration can be
 //! bounded.
 
 use rustix::event::epoll::{self, CreateFlags, Event, EventData, EventFlags};
 use std::os::fd::{AsFd, OwnedFd};
 use std::time::Duration;
 
-/// Who a socket belongs to.
+/// The owner of a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Token {
-    /// The endpoint list comes first in an iteration: a change in it counts as notified from when it was written to this host.
+    /// A connection to the endpoint list. It is handled first in an iteration: the host counts as notified of a change once the change
+    /// is written to its socket.
     List(u32),
     Signal(u32),
     NodeConnection(u32),
@@ -30,7 +31,7 @@
         EventData::new_u64(kind << 32 | u64::from(number))
     }
 
-    /// Its place in an iteration, the lowest first.
+    /// Returns the priority of a ready socket within an iteration; the lowest is handled first.
     fn priority(self) -> u8 {
         match self {
             Token::List(_) => 0,
@@ -42,8 +43,8 @@
         }
     }
 
-    /// The place of a socket that has ended. Ends of clients come before connections to nodes: nothing may begin in this iteration for a
-    /// client that has gone, or a node would do work that nobody waits for.
+    /// Returns the priority of a socket whose connection has ended. Closed clients come before connections to nodes: an attempt that
+    /// began in this iteration for a disconnected client would make a node do work that nobody waits for.
     fn priority_when_ended(self) -> u8 {
         match self {
             Token::ClientConnection(_) => 2,
@@ -64,31 +65,31 @@
     }
 }
 
-/// Readiness of one socket.
+/// The readiness of one socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ready {
-    /// Whose socket it is.
+    /// The owner of the socket.
     pub token: Token,
-    /// Bytes can be read, or the end of the stream.
+    /// Whether bytes, or the end of the stream, can be read.
     pub read: bool,
-    /// Bytes can be written.
+    /// Whether bytes can be written.
     pub write: bool,
-    /// The other side has ended its sending, or the connection is broken.
+    /// Whether the peer has shut down its sending side, or the connection is broken.
     pub ended: bool,
 }
 
-/// Which events of a socket the poller waits for. The end of a connection is always reported.
+/// The events of a socket that the poller waits for. The end of a connection is always reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Interest {
     pub read: bool,
     pub write: bool,
 }
 
-/// Wait for bytes to read.
+/// Waits for bytes to read.
 pub(crate) const READ: Interest = Interest { read: true, write: false };
-/// Wait for capacity to write.
+/// Waits for space in the send buffer.
 pub(crate) const WRITE: Interest = Interest { read: false, write: true };
-/// Wait for either.
+/// Waits for either.
 pub(crate) const BOTH: Interest = Interest { read: true, write: true };
 
 impl Interest {
@@ -100,7 +101,7 @@
     }
 }
 
-/// The most events of one iteration.
+/// Maximum number of events in one iteration.
 const MAX_EVENTS_PER_ITERATION: usize = 256;
 
 /// An epoll instance.
@@ -110,7 +111,7 @@
 }
 
 impl Poller {
-    /// Makes an epoll instance.
+    /// Creates an epoll instance.
     pub(crate) fn new() -> std::io::Result<Self> {
         Ok(Poller {
             epoll: epoll::create(CreateFlags::CLOEXEC)?,
@@ -123,19 +124,19 @@
         Ok(epoll::add(&self.epoll, fd, token.to_event_data(), interest.flags())?)
     }
 
-    /// Changes which events are waited for. A socket is deregistered by being closed.
+    /// Changes the events that are waited for. Closing a socket deregisters it.
     pub(crate) fn change(&self, fd: impl AsFd, token: Token, interest: Interest) {
         _ = epoll::modify(&self.epoll, fd, token.to_event_data(), interest.flags());
     }
 
-    /// Waits for at most `timeout`. Gives the sockets that are ready, in the order in which they are handled.
+    /// Waits for at most `timeout` and fills `ready` with the sockets that are ready, in the order in which they are handled.
     pub(crate) fn wait(&mut self, timeout: Duration, ready: &mut Vec<Ready>) {
         self.events.clear();
         let timeout = rustix::event::Timespec {
             tv_sec: timeout.as_secs() as i64,
             tv_nsec: timeout.subsec_nanos().into(),
         };
-        // A signal may cut the wait short: its pipe is ready in the next iteration.
+        // A signal may interrupt the wait; its pipe is then ready in the next iteration.
         _ = epoll::wait(&self.epoll, rustix::buffer::spare_capacity(&mut self.events), Some(&timeout));
         ready.clear();
         ready.extend(self.events.iter().map(|event| {
--- a/crates/platform-host/src/request_ids.rs
+++ b/crates/platform-host/src/request_ids.rs
@@ -1,18 +1,18 @@
-//! The request ids that clients may not use again yet. No I/O.
+//! The request ids that clients may not reuse yet. This module performs no I/O.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use tackmast::interface::{Instant, TimeDelta};
 
 /// How long the id of a finished request is remembered.
 const FINISHED_ID_RETENTION: TimeDelta = TimeDelta::from_millis(5000);
-/// Ids of finished requests that are remembered; the oldest is forgotten beyond.
+/// Maximum number of ids of finished requests; beyond it the oldest is dropped.
 const MAX_FINISHED: usize = 4096;
 
-/// Ids of open requests, and for a while of finished ones. A request with one of these ids is refused: nodes would take it for a
-/// repeat of the one that they have received.
+/// The ids of open requests and, for [`FINISHED_ID_RETENTION`], of finished ones. A request with one of these ids is refused: nodes
+/// would treat it as a repetition of the request that they have received.
 #[derive(Default)]
 pub(crate) struct RequestIds {
-    /// The id of each open request, by its connection.
+    /// The id of each open request, by the id of its connection.
     pub open: HashMap<u32, String>,
     /// Ids of finished requests, the oldest first.
     finished: VecDeque<(Instant, String)>,
@@ -21,18 +21,18 @@
 }
 
 impl RequestIds {
-    /// Whether the id is that of an open or recent request.
+    /// Returns whether the id belongs to an open or a recently finished request.
     pub(crate) fn is_in_use(&self, id: &str) -> bool {
         self.in_use.contains(id)
     }
 
-    /// A request with this id was accepted on a connection.
+    /// Records that a request with this id was accepted on a connection.
     pub(crate) fn insert(&mut self, connection: u32, id: String) {
         self.in_use.insert(id.clone());
         self.open.insert(connection, id);
     }
 
-    /// The open request of a connection has its final answer.
+    /// Records that the open request of a connection is finished, and drops ids that are no longer remembered.
     pub(crate) fn finish(&mut self, now: Instant, connection: u32) {
         if let Some(id) = self.open.remove(&connection) {
             self.finished.push_back((now, id));
--- a/crates/platform-host/src/resource_budget.rs
+++ b/crates/platform-host/src/resource_budget.rs
@@ -1,36 +1,37 @@
-//! How the platform's limits on descriptors and memory are split between connections of clients and to nodes. No I/O.
+//! The split of the platform's limits on descriptors and memory between client connections and node connections. This module
+//! performs no I/O.
 
 use tackmast_platform::Limits;
 
-/// Descriptors that are not connections of clients or nodes: the standard three, epoll, signals, listener, datagrams, the connection
-/// to the endpoint list and its successor, the configuration file, and a few to accept with.
+/// Descriptors that are neither client nor node connections: the three standard streams, epoll, signals, the listener, the datagram
+/// socket, the connection to the endpoint list and the one that replaces it, the configuration file, and a few spare ones for accept.
 const RESERVED_DESCRIPTORS: usize = 25;
-/// The share of the other descriptors that clients get. Silent clients come by the hundred, while the scheduler limits attempts in
-/// flight, so clients get the larger part.
+/// Share of the remaining descriptors for client connections. Silent clients can open hundreds of connections, while the scheduler
+/// limits the attempts in flight, so clients get the larger part.
 const CLIENT_DESCRIPTOR_SHARE: f64 = 0.6;
-/// The share of the memory limit that buffers may take. The rest is for the program, its tables, and what the allocator keeps.
+/// Share of the memory limit for buffers. The rest is for the program, its tables, and memory that the allocator retains.
 const BUFFER_MEMORY_SHARE: f64 = 0.25;
-/// Bytes that the tables take for one request, roughly; all requests together may take as much as the buffers.
+/// Approximate bytes of table entries for one request. All requests together may take as much memory as the buffers.
 const REQUEST_TABLE_BYTES: usize = 4096;
-/// Requests that fit into the tables for each client connection. A client has one request open; the other lets its next one in
-/// while the last one is removed.
+/// Table entries for requests per client connection. A client has one request open; the second entry admits the next one while the
+/// previous one is being removed.
 const REQUESTS_PER_CLIENT: usize = 2;
 
-/// What the host may hold, from the platform's limits.
+/// The resources that the host may use, derived from the platform's limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ResourceBudget {
-    /// Client connections.
+    /// Maximum number of client connections.
     pub client_connections: usize,
-    /// Connections to nodes.
+    /// Maximum number of connections to nodes.
     pub node_connections: usize,
-    /// Bytes in the buffers of client connections.
+    /// Maximum number of bytes in the buffers of all client connections.
     pub buffer_bytes: usize,
-    /// Requests in flight.
+    /// Maximum number of requests in flight.
     pub requests: usize,
 }
 
 impl ResourceBudget {
-    /// Splits the platform's limits.
+    /// Computes the budget from the platform's limits.
     pub(crate) fn of(limits: &Limits) -> Self {
         let free_descriptors = limits.sockets.saturating_sub(RESERVED_DESCRIPTORS);
         let client_connections = (free_descriptors as f64 * CLIENT_DESCRIPTOR_SHARE) as usize;
--- a/crates/platform-host/src/service_rate_replication.rs
+++ b/crates/platform-host/src/service_rate_replication.rs
@@ -1,7 +1,7 @@
 //! Replication of the service rates of shards. Hosts of the platform have no disk, so a host stores the service rate of each shard
-//! at three peers at an interval and when it shuts down, and its next generation fetches them back. The sum of the rates that all
-//! hosts remember does not grow by that, so the bound on warming-up nodes holds (docs/design.md). Datagrams may be late, duplicated or
-//! lost; a host that fetches nothing starts without rates. No I/O.
+//! at three peers, periodically and when it shuts down, and its next generation fetches the rates back. This does not increase the
+//! sum of the rates that all hosts remember, so the bound on warming-up nodes holds (docs/design.md). Datagrams may be late,
+//! duplicated or lost; a host that gets no rates back starts without them. This module performs no I/O.
 
 mod datagram;
 
@@ -12,57 +12,57 @@
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, ShardId, TimeDelta};
 
-/// Peers that store the rates of one host. They are evenly apart in the order of hosts, as neighbours are restarted together.
+/// Number of peers that store the rates of one host. They are evenly spaced in the order of hosts, as neighbours restart together.
 const REPLICAS: usize = 3;
-/// Interval between replications.
+/// Time between replications.
 const REPLICATION_INTERVAL: TimeDelta = TimeDelta::from_millis(5000);
-/// How long the rates of a peer are stored for it: older ones no longer describe the shards.
+/// Time for which the rates of a peer are stored; older rates no longer describe the shards.
 const STORED_RATE_RETENTION: TimeDelta = TimeDelta::from_millis(30_000);
-/// When a new generation fetches, after its start, until it has an answer.
+/// Times after the start at which a new generation fetches its rates, until it has an answer.
 const FETCH_TIMES: [TimeDelta; 3] =
     [TimeDelta::from_millis(0), TimeDelta::from_millis(300), TimeDelta::from_millis(1000)];
 
 /// A datagram to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Datagram {
-    /// The peer that it is for.
+    /// The peer to which the datagram is sent.
     pub to: SocketAddr,
-    /// At most [`MAX_DATAGRAM_BYTES`].
+    /// The payload, at most [`MAX_DATAGRAM_BYTES`] long.
     pub bytes: Vec<u8>,
 }
 
 /// A datagram that this host stores for a peer.
 struct Stored {
-    /// When it was received.
+    /// When the datagram was received.
     at: Instant,
     bytes: Vec<u8>,
 }
 
-/// The service rates that this host stores at its peers, and those that it stores for them.
+/// The service rates that this host replicates to its peers, and the datagrams that it stores for them.
 pub(crate) struct ServiceRateReplication {
-    /// This host's number.
+    /// The number of this host, an index into `peers`.
     host_number: usize,
-    /// All hosts by their numbers.
+    /// The addresses of all hosts, by their numbers.
     peers: Vec<SocketAddr>,
     started_at: Instant,
     next_replication: Instant,
     fetches_sent: usize,
-    /// This generation has stored rates at its peers. Rates that are restored from then on may be its own, and would count twice.
+    /// Whether this generation has sent rates to its peers. Rates that are restored from then on may be its own, and would count twice.
     has_replicated: bool,
-    /// By peer and number of the datagram.
+    /// Stored datagrams, by peer and number of the datagram.
     stored: BTreeMap<(usize, u8), Stored>,
-    /// By number of the datagram.
+    /// Restored rates that were not polled yet, by number of the datagram.
     restored: BTreeMap<u8, Vec<(ShardId, f64)>>,
-    /// Shards that were restored: a shard may be in an older datagram of one peer and a newer one of another.
+    /// Shards that were restored. A shard may be in an older datagram of one peer and in a newer one of another.
     restored_shards: BTreeSet<ShardId>,
-    /// Datagrams that were malformed, from no peer, or not asked for.
+    /// Number of datagrams that were malformed, unsolicited, or not from a peer.
     pub rejected_datagrams: u64,
 }
 
 impl ServiceRateReplication {
-    /// `peers` are all hosts by their numbers, `host_number` is that of this host.
+    /// Creates the replication of a host. `peers` are the addresses of all hosts by their numbers; `host_number` is that of this host.
     pub(crate) fn new(now: Instant, host_number: usize, peers: Vec<SocketAddr>) -> Self {
-        // Peers start together, and would otherwise all replicate at the same moment.
+        // Hosts start together; the offset by host number keeps them from replicating at the same moment.
         let intervals = 1.0 + host_number as f64 / peers.len().max(1) as f64;
         let first = TimeDelta::from_secs(REPLICATION_INTERVAL.secs() * intervals);
         ServiceRateReplication {
@@ -89,7 +89,7 @@
         replicas.into_iter().filter_map(|peer| self.peers.get(peer).copied()).collect()
     }
 
-    /// Datagrams that are due now. `rates`: units a second of each shard.
+    /// Returns the datagrams that are due now. `rates` gives the service rate of each shard, in units a second.
     pub(crate) fn handle_timeout(
         &mut self,
         now: Instant,
@@ -110,7 +110,7 @@
         due
     }
 
-    /// Stores the rates, in units a second, at each replica.
+    /// Returns the datagrams that store the rates, in units a second, at each replica.
     pub(crate) fn replicate(&mut self, rates: Vec<(ShardId, f64)>) -> Vec<Datagram> {
         self.has_replicated = true;
         let datagrams = encode_stores(rates);
@@ -118,7 +118,7 @@
         self.replica_addresses().into_iter().flat_map(to_replica).collect()
     }
 
-    /// Takes in a datagram; gives the answers to it.
+    /// Handles a received datagram and returns the answers to it.
     pub(crate) fn handle_datagram(&mut self, now: Instant, from: SocketAddr, bytes: &[u8]) -> Vec<Datagram> {
         let peer = self.peers.iter().position(|address| *address == from);
         let (Some(peer), Some(Header { kind, number })) = (peer, Header::parse(bytes)) else {
@@ -126,12 +126,12 @@
             return Vec::new();
         };
         match kind {
-            // Bounded by the number of peers and the datagrams of each.
+            // Bounded by the number of peers and the number of datagrams of each.
             Kind::Store => {
                 self.stored.insert((peer, number), Stored { at: now, bytes: bytes.to_vec() });
             }
             Kind::Fetch => return self.stored_for(now, peer, from),
-            // Only from peers that were asked, and each datagram once: a duplicate would count twice.
+            // Accepted only from peers that were asked, and once for each datagram: a duplicate would count twice.
             Kind::Restore if self.awaits_restore(from, number) => self.restore(number, bytes),
             Kind::Restore => self.rejected_datagrams += 1,
         }
@@ -157,7 +157,7 @@
         self.restored.insert(number, unseen.collect());
     }
 
-    /// Rates of an earlier generation that were restored since the last poll, in units a second; each shard once.
+    /// Returns the rates of an earlier generation that were restored since the last call, in units a second; each shard once.
     pub(crate) fn poll_restored(&mut self) -> Vec<(ShardId, f64)> {
         self.restored.values_mut().flat_map(std::mem::take).collect()
     }
--- a/crates/platform-host/src/service_rate_replication/datagram.rs
+++ b/crates/platform-host/src/service_rate_replication/datagram.rs
@@ -1,28 +1,28 @@
-//! The datagrams of service rate replication, to bytes and back. docs/protocols/platform.md has the format.
+//! Encoding and decoding of the datagrams of service rate replication. docs/protocols/platform.md has the format.
 
 use tackmast::interface::ShardId;
 
-/// Maximum size of a datagram in bytes, by the platform.
+/// Maximum size of a datagram in bytes, set by the platform.
 pub(crate) const MAX_DATAGRAM_BYTES: usize = 256;
-/// Size of the header: two bytes of magic, the kind, the number of the datagram, and how many there are.
+/// Size of the header in bytes: two bytes of magic, the kind, the number of the datagram, and the count of datagrams.
 const HEADER_BYTES: usize = 5;
-/// Size of an entry: the shard, and the upper half of its rate as a 32-bit float.
+/// Size of an entry in bytes: the shard, and the upper half of its rate as a 32-bit float.
 const ENTRY_BYTES: usize = 4;
-/// Entries that fit into a datagram.
+/// Number of entries that fit into a datagram.
 const ENTRIES_PER_DATAGRAM: usize = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / ENTRY_BYTES;
-/// Datagrams that hold the rates of one host. Shards that do not fit are left out, those with the lowest rates first.
+/// Maximum number of datagrams for the rates of one host. The shards with the lowest rates are left out if not all fit.
 const MAX_DATAGRAMS: usize = 8;
 /// The first bytes of each datagram.
 const MAGIC: [u8; 2] = *b"tk";
 
-/// What a datagram is for.
+/// The kind of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Kind {
-    /// Rates to store for their host.
+    /// Stores the rates that it carries for its sender.
     Store = 1,
-    /// Asks for the stored rates back.
+    /// Requests the stored rates of its sender.
     Fetch = 2,
-    /// Rates that were fetched.
+    /// Returns stored rates to their host.
     Restore = 3,
 }
 
@@ -32,16 +32,17 @@
     }
 }
 
-/// What the header of a datagram says.
+/// The header of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Header {
+    /// The kind.
     pub kind: Kind,
-    /// Number of the datagram among those of one host.
+    /// The number of the datagram among those of one host.
     pub number: u8,
 }
 
 impl Header {
-    /// The header of a valid datagram.
+    /// Parses the header of a datagram. Returns `None` if the datagram is not valid.
     pub(super) fn parse(bytes: &[u8]) -> Option<Self> {
         let [first, second, kind, number, _] = bytes.first_chunk::<HEADER_BYTES>()?;
         let is_valid = [*first, *second] == MAGIC
@@ -52,7 +53,7 @@
     }
 }
 
-/// A rate that may be sent or restored, in units a second. Any other would spoil the scheduler's figures.
+/// Returns whether a rate, in units a second, may be sent or restored. Other values would corrupt the scheduler's sums.
 fn is_valid_rate(rate: f64) -> bool {
     rate.is_finite() && rate > 0.0
 }
@@ -61,12 +62,12 @@
     vec![MAGIC[0], MAGIC[1], kind as u8, number, count]
 }
 
-/// The datagram that asks for the stored rates.
+/// Encodes the datagram that requests the stored rates.
 pub(super) fn encode_fetch() -> Vec<u8> {
     encode_header(Kind::Fetch, 0, 1)
 }
 
-/// The datagrams that store rates, in units a second: the highest first, as far as they fit.
+/// Encodes the datagrams that store rates, in units a second, the highest first, as far as they fit.
 pub(super) fn encode_stores(mut rates: Vec<(ShardId, f64)>) -> Vec<Vec<u8>> {
     rates.retain(|(shard, rate)| shard.0 <= u32::from(u16::MAX) && is_valid_rate(*rate));
     rates.sort_by(|(_, left), (_, right)| right.total_cmp(left));
@@ -80,20 +81,21 @@
     let mut bytes = encode_header(Kind::Store, number, count);
     for (shard, rate) in rates {
         bytes.extend((shard.0 as u16).to_be_bytes());
-        // The upper half of a float is rounded down to three digits, never up: the sum over all hosts must not grow.
+        // Keeping only the upper half of a float rounds the rate down, to about three digits, and never up: the sum over all hosts
+        // must not grow.
         bytes.extend(&(*rate as f32).to_be_bytes()[..2]);
     }
     bytes
 }
 
-/// The datagram that gives the rates of a stored one back.
+/// Encodes the datagram that returns the rates of a stored one.
 pub(super) fn encode_restore(stored: &[u8]) -> Vec<u8> {
     let mut bytes = stored.to_vec();
     bytes[MAGIC.len()] = Kind::Restore as u8;
     bytes
 }
 
-/// The valid rates in a datagram, in units a second.
+/// Parses the valid rates in a datagram, in units a second.
 pub(super) fn parse_rates(bytes: &[u8]) -> impl Iterator<Item = (ShardId, f64)> + '_ {
     bytes[HEADER_BYTES..].chunks_exact(ENTRY_BYTES).filter_map(|entry| {
         let rate = f64::from(f32::from_be_bytes([entry[2], entry[3], 0, 0]));
--- a/crates/platform-host/src/sockets.rs
+++ b/crates/platform-host/src/sockets.rs
@@ -1,14 +1,14 @@
-//! Nonblocking sockets: connecting, reading a bounded piece, writing what fits.
+//! Operations on nonblocking sockets: connect, read a bounded chunk, write as much as the socket accepts.
 
 use bytes::{Buf, BytesMut};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// Bytes read from one socket in one iteration, at most.
+/// Maximum number of bytes read from one socket in one iteration.
 pub(crate) const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// Begins to connect. The socket is writable once it is connected or has failed.
+/// Starts a nonblocking connect. The socket becomes writable once it is connected or the connect has failed.
 pub(crate) fn connect(to: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = socket2::Socket::new(socket2::Domain::for_address(to), socket2::Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
@@ -24,17 +24,17 @@
 /// The result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadOutcome {
-    /// This many bytes.
+    /// This many bytes were read.
     Bytes(usize),
-    /// No bytes for now.
+    /// No bytes are available now.
     Nothing,
-    /// The other side has ended its sending in order.
+    /// The peer has shut down its sending side in order.
     End,
-    /// The connection broke: bytes that were sent before may be missing.
+    /// The connection broke. Bytes that the peer sent before may be missing.
     Failed,
 }
 
-/// Reads once.
+/// Reads once, and again only if a signal interrupts the read.
 pub(crate) fn read(mut from: &TcpStream, into: &mut [u8]) -> ReadOutcome {
     loop {
         return match from.read(into) {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Writes as many bytes as the socket takes, and removes them. An error means that the connection is broken.
+/// Writes as many bytes as the socket accepts, and removes them from `out`. An error means that the connection is broken.
 pub(crate) fn write(mut to: &TcpStream, out: &mut BytesMut) -> std::io::Result<()> {
     while !out.is_empty() {
         match to.write(out) {
@@ -58,18 +58,18 @@
             Err(e) => return Err(e),
         }
     }
-    // An idle connection must not keep the memory of a long answer.
+    // An idle connection must not retain the allocation of a long answer.
     *out = BytesMut::new();
     Ok(())
 }
 
-/// Whether a connection has neither bytes to read nor ended.
+/// Returns whether a connection is open and has no bytes to read.
 pub(crate) fn has_no_input(stream: &TcpStream) -> bool {
     let mut byte = [0u8; 1];
     matches!(stream.peek(&mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock)
 }
 
-/// Whether the other side has ended its sending or the connection is broken, also while bytes before the end are unread.
+/// Returns whether the peer has shut down its sending side or the connection is broken, even while earlier bytes are unread.
 pub(crate) fn has_ended(stream: &TcpStream) -> bool {
     let ended = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     let mut one = [PollFd::new(stream, ended)];
