--- a/crates/platform-host/src/client_connections/tests.rs
+++ b/crates/platform-host/src/client_connections/tests.rs
@@ -1,4 +1,4 @@
-//! Events that a test of the whole host can't force: bytes that arrive after an iteration began and before it reads them.
+//! Tests of events that a test of the whole host can't force, such as bytes that arrive after an iteration began and before it reads them.
 
 use super::*;
 use crate::client_connection::{LINGER_TIMEOUT, MAX_LINGER_BYTES, MAX_PIPELINED_BYTES};
@@ -9,7 +9,7 @@
 /// A complete request.
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n";
 
-/// Client connections without a host around them.
+/// Client connections without a host.
 struct Fixture {
     listener: TcpListener,
     poller: Poller,
@@ -21,7 +21,7 @@
 }
 
 impl Fixture {
-    /// Capacity for so many connections, and for one more that is rejected.
+    /// Creates client connections with this capacity and one rejection slot.
     fn new(max_connections: usize) -> Fixture {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let clients = ClientConnections {
@@ -40,7 +40,7 @@
         (self.clients.last_id, stream)
     }
 
-    /// A client that has had an answer and is idle.
+    /// Connects a client that has received an answer and is idle.
     fn idle_client(&mut self, now: f64) -> (u32, TcpStream) {
         let (id, stream) = self.client(now);
         self.clients.request_accepted(at(now), id, id);
@@ -66,21 +66,21 @@
     }
 }
 
-/// All bytes up to the end of a connection, which must not be a reset.
+/// Reads all bytes up to the end of a connection, which must not be a reset.
 fn read_to_end(mut stream: &TcpStream) -> String {
     let mut all = Vec::new();
     stream.read_to_end(&mut all).expect("an end in order");
     String::from_utf8_lossy(&all).into_owned()
 }
 
-/// A new client connects while the oldest idle connection has a request in its socket that the host has not read. Its client
+/// A new client connects at capacity while the oldest idle connection has an unread request in its socket. Evicting that connection
 /// would lose the request, so the next oldest is evicted.
 #[test]
 fn connection_with_unread_input_is_not_evicted() {
     let mut fixture = Fixture::new(3);
     let (oldest, mut requesting_client) = fixture.idle_client(1.0);
-    let (second, _rests) = fixture.idle_client(2.0);
-    let (third, _too) = fixture.idle_client(3.0);
+    let (second, _second_client) = fixture.idle_client(2.0);
+    let (third, _third_client) = fixture.idle_client(3.0);
     requesting_client.write_all(REQUEST).unwrap();
     fixture.wait_for_input(oldest);
     let (new, _) = fixture.client(9.0);
@@ -93,16 +93,16 @@
     assert_eq!((fixture.clients.counters.evicted, fixture.clients.counters.rejected), (1, 0));
 }
 
-/// All connections are busy and another client connects. It must get a 503 without a reset, also while it sends its request, and
-/// busy connections must stay; each further client takes the rejected one's place.
+/// A client connects while all connections are busy. It must get a 503 without a reset, even while it sends its request, and the busy
+/// connections must stay open. Further clients reuse the rejection slot.
 #[test]
 fn connection_beyond_capacity_is_answered_503_and_drained() {
     let mut fixture = Fixture::new(1);
-    let (busy, _waits) = fixture.client(1.0);
+    let (busy, _busy_client) = fixture.client(1.0);
     fixture.clients.request_accepted(at(1.0), busy, 7);
     let (rejected, mut client) = fixture.client(2.0);
     assert_eq!(fixture.state(rejected), ConnectionState::HalfClosed);
-    // Its request crosses the answer.
+    // The request crosses the answer.
     client.write_all(REQUEST).unwrap();
     fixture.wait_for_input(rejected);
     let ready = Ready { token: Token::ClientConnection(rejected), read: true, write: false, ended: false };
@@ -115,8 +115,8 @@
     }
 }
 
-/// A client sends more and closes while its request is open. The close stands behind unread bytes, where a read would not see it,
-/// and a node would do work for nobody.
+/// A client sends more bytes and closes while its request is open. A read would not detect the close behind the unread bytes, and a
+/// node would work for a disconnected client.
 #[test]
 fn disconnect_is_seen_behind_unread_bytes() {
     let mut fixture = Fixture::new(3);
@@ -134,8 +134,8 @@
     assert!(fixture.clients.has_disconnected(id), "an unknown client has disconnected");
 }
 
-/// The host shuts down while connections are idle, new, busy, in the middle of a request, or have a request in their socket. Only
-/// the idle one may be half-closed at once: the clients of the others would lose requests.
+/// The host shuts down while connections are idle, new, busy, partly received, or have a request in their socket. Only the idle one may
+/// be half-closed at once: the clients of the others would lose requests.
 #[test]
 fn shutdown_half_closes_only_idle_connections_without_input() {
     let mut fixture = Fixture::new(9);
@@ -161,7 +161,7 @@
         (ConnectionState::AwaitingResponse(7), ConnectionState::Reading, ConnectionState::Reading)
     );
     assert_eq!(read_to_end(&idle_client), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    // Once read, it is served, and its answer is the last.
+    // The request in the socket is read and served, and its answer is the last.
     assert!(matches!(
         fixture.clients.handle_ready(at(5.0), &fixture.poller, requesting, read(requesting)),
         Some(ClientEvent::Request(_))
@@ -169,18 +169,18 @@
     fixture.clients.request_accepted(at(5.0), requesting, 8);
     fixture.clients.answer(at(5.0), &fixture.poller, requesting, 200, b"x", None);
     assert!(read_to_end(&requesting_client).ends_with("Content-Length: 1\r\nConnection: close\r\n\r\nx"));
-    // Once settled, all others but the busy one are ended too.
+    // In the phase Settled all other connections except the busy one are ended too.
     fixture.clients.begin_shutdown(at(5.2), &fixture.poller, ShutdownPhase::Settled);
     assert_eq!(
         (fixture.state(new), fixture.state(partial)),
         (ConnectionState::HalfClosed, ConnectionState::HalfClosed)
     );
     assert!(read_to_end(&partial_client).contains("HTTP/1.1 503"));
-    assert_eq!(fixture.state(busy), ConnectionState::AwaitingResponse(7), "the core answers it");
+    assert_eq!(fixture.state(busy), ConnectionState::AwaitingResponse(7), "the core answers the busy one");
 }
 
-/// A client sends without end after its last answer, or never closes. The host must discard these bytes, so that no reset loses
-/// the answer, but only up to a bound and for a time.
+/// A client keeps sending after its last answer, or never closes. The host must discard these bytes, as a reset would lose the answer,
+/// but only up to a maximum size and time.
 #[test]
 fn bytes_after_the_last_answer_are_discarded_within_a_bound() {
     let mut fixture = Fixture::new(3);
@@ -195,7 +195,7 @@
             fixture.clients.handle_ready(at(2.1), &fixture.poller, id, ready),
             Some(ClientEvent::Request(_))
         ));
-        assert!(sent < 2 * MAX_LINGER_BYTES, "there is a bound");
+        assert!(sent < 2 * MAX_LINGER_BYTES, "more is discarded than the bound allows");
     }
     assert!(sent > MAX_LINGER_BYTES);
     // The answer of this client is the last on its connection.
@@ -207,8 +207,8 @@
     assert!(!fixture.contains(id));
 }
 
-/// A client pipelines while its request is open. The host must read ahead, as a close stands behind these bytes, but only up to a
-/// bound, or its memory would grow.
+/// A client pipelines while its request is open. The host must read ahead to detect a close behind these bytes, but only up to a bound,
+/// or its memory would grow.
 #[test]
 fn pipelined_bytes_are_read_ahead_within_a_bound() {
     let mut fixture = Fixture::new(3);
@@ -231,13 +231,13 @@
     assert!(client.closes && !client.interest.read && client.state == ConnectionState::AwaitingResponse(7));
 }
 
-/// An answer that does not fit in the sockets of a client that does not read.
+/// An answer that exceeds the socket buffers of a client that does not read.
 const LONG_ANSWER: &[u8] = &[b'x'; 1 << 20];
-/// Size of the socket buffers of such a client, in bytes.
+/// Size in bytes of the socket buffers of such a client.
 const SMALL_BUFFER: usize = 8 * 1024;
 
 impl Fixture {
-    /// A client that has a long answer, of which it has read nothing; the sockets are full.
+    /// Connects a client that has read nothing of a long answer, so that the socket buffers are full.
     fn client_with_unread_answer(&mut self, now: f64) -> (u32, TcpStream) {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(SMALL_BUFFER).unwrap();
@@ -253,7 +253,7 @@
         (id, socket.into())
     }
 
-    /// Handles the sockets that the poller reports as ready within `timeout`; gives the requests that were received.
+    /// Handles the sockets that are ready within `timeout`, and returns the requests that were received.
     fn handle_ready_sockets(&mut self, now: f64, timeout: Duration) -> Vec<Request> {
         let (mut ready, mut requests) = (Vec::new(), Vec::new());
         self.poller.wait(timeout, &mut ready);
@@ -261,7 +261,7 @@
             let Token::ClientConnection(id) = socket.token else { panic!("{socket:?}") };
             match self.clients.handle_ready(at(now), &self.poller, id, socket) {
                 Some(ClientEvent::Request(request)) => requests.push(request),
-                Some(ClientEvent::Disconnected(_)) => panic!("client {id} has gone"),
+                Some(ClientEvent::Disconnected(_)) => panic!("client {id} has disconnected"),
                 None => {}
             }
         }
@@ -269,8 +269,8 @@
     }
 }
 
-/// A client sends request after request and reads no answer. Its bytes must stay in the sockets, or the host's memory would fill with
-/// requests and their answers. Once the client has read its answer, the next request is accepted.
+/// A client sends requests and reads no answer. Its bytes must stay in the socket buffers, or the host's memory would fill with requests
+/// and answers. Once the client has read its answer, the next request is accepted.
 #[test]
 fn pipelined_request_waits_for_the_previous_answer() {
     let mut fixture = Fixture::new(3);
@@ -295,8 +295,8 @@
     assert!(received_bytes > LONG_ANSWER.len() / 2, "accepted after {received_bytes} bytes of the answer");
 }
 
-/// A client never reads its answer, or its last one. The host must not hold the answer and a descriptor for it without end, so it closes
-/// the connection after a time, and not before.
+/// A client never reads its answer. The host must not hold the answer and a descriptor indefinitely, so it closes the connection at the
+/// write timeout, and not before.
 #[test]
 fn unread_answer_closes_connection_after_timeout() {
     for (is_last, state) in [(false, ConnectionState::Reading), (true, ConnectionState::Closing)] {
--- a/crates/platform-host/src/eviction/tests.rs
+++ b/crates/platform-host/src/eviction/tests.rs
@@ -1,9 +1,9 @@
-//! The order in which client connections are evicted.
+//! Tests of the order in which client connections are evicted.
 
 use super::*;
 
-/// All descriptors are in use and a new client connects. If the wrong connection were closed for it, a client would lose an answer
-/// or a request that is on its way, while silent connections stayed open.
+/// A new client connects while all descriptors are in use. Evicting the wrong connection would lose an answer or a request of its
+/// client while silent connections stay open.
 #[test]
 fn eviction_follows_class_then_age() {
     use EvictionClass::*;
--- a/crates/platform-host/src/host/tests.rs
+++ b/crates/platform-host/src/host/tests.rs
@@ -1,20 +1,20 @@
-//! Events that a test outside of the host can't bring about: clients that disconnect after an iteration began, so that the iteration does
-//! not report it, and outputs of the core.
+//! Tests of events that a test outside of the host can't cause: clients that disconnect after an iteration began, so that the iteration
+//! does not report it, and outputs of the core.
 
 use super::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::time::Instant as Wall;
 
-/// An address at which nothing listens.
+/// An address without a listener.
 const UNREACHABLE: &str = "127.0.0.1:1";
 
-/// A host with one node that does not read; its list is unreachable.
+/// Returns a host with one node that does not read, and with an unreachable list.
 fn fixture(plan: &str) -> (Host, TcpListener) {
     fixture_with_list(plan, UNREACHABLE)
 }
 
-/// A host with one node that does not read; its list is at that address.
+/// Returns a host with one node that does not read, and with the list at this address.
 fn fixture_with_list(plan: &str, list_address: &str) -> (Host, TcpListener) {
     let node = TcpListener::bind("127.0.0.1:0").unwrap();
     node.set_nonblocking(true).unwrap();
@@ -39,7 +39,7 @@
     }
 }
 
-/// Sends a request of this number, which the host accepts.
+/// Sends a request with this number and waits until the host has accepted it.
 fn send_request(host: &mut Host, number: u32) -> TcpStream {
     let mut client = TcpStream::connect(host.address().unwrap()).unwrap();
     let text = format!(
@@ -52,7 +52,7 @@
     client
 }
 
-/// Closes the client's connection. The host's socket has the close, and no iteration has reported it.
+/// Closes the client's connection, and waits until the close has reached the host's socket without an iteration that reports it.
 fn disconnect(host: &Host, client: TcpStream) {
     let id = *host.request_ids.open.keys().max().unwrap();
     drop(client);
@@ -62,21 +62,21 @@
     }
 }
 
-/// A client closes after an iteration has begun, and the connection for its request is established in that iteration. The close
-/// is not reported yet, so the host must look at the client's socket before it writes the request.
+/// A client closes after an iteration began in which the connection to the node for its request is established. The poller has not
+/// reported the close, so the host must check the client's socket before it writes the request.
 #[test]
 fn new_node_connection_is_unused_after_unreported_client_close() {
     let (mut host, node) = fixture("");
     let client = send_request(&mut host, 1);
-    let link = (0..8)
-        .find(|link| host.node_connections.connecting_client(*link).is_some())
-        .expect("its connection comes up");
+    let id = (0..8)
+        .find(|id| host.node_connections.connecting_client(*id).is_some())
+        .expect("a connection is being established");
     disconnect(&host, client);
-    let up = Ready { token: Token::NodeConnection(link), read: false, write: true, ended: false };
-    host.handle_ready_socket(up, &mut || Err(""));
+    let ready = Ready { token: Token::NodeConnection(id), read: false, write: true, ended: false };
+    host.handle_ready_socket(ready, &mut || Err(""));
     let mut connection = node.accept().unwrap().0;
     connection.set_nonblocking(true).unwrap();
-    assert_eq!(connection.read(&mut [0; 9]).unwrap_err().kind(), ErrorKind::WouldBlock, "not a byte");
+    assert_eq!(connection.read(&mut [0; 9]).unwrap_err().kind(), ErrorKind::WouldBlock, "bytes were written");
     let status = host.status();
     assert_eq!(
         (status.core.commands_aborted, status.core.withdrawn, status.open),
@@ -85,8 +85,8 @@
     );
 }
 
-/// A token bucket releases a request whose client has closed after the iteration began. The close is not reported yet, so the
-/// host must look at the client's socket before it sends the request.
+/// A token bucket releases a request whose client closed after the iteration began. The poller has not reported the close, so the host
+/// must check the client's socket before it sends the request.
 #[test]
 fn token_bucket_release_checks_for_unreported_client_close() {
     let (mut host, _node) = fixture(r#","ceiling_rate":4.0,"most_at_once":1.2,"slack":0.1"#);
@@ -100,21 +100,21 @@
     assert_eq!((status.node_counters.opened, status.core.commands_aborted), (1, 1), "{status:?}");
 }
 
-/// Runs the host until a poll of the list has arrived on the connection, and gives its request line.
+/// Runs the host until a poll of the list has arrived on the connection, and returns its request line.
 fn receive_poll(host: &mut Host, connection: &mut TcpStream) -> String {
     connection.set_nonblocking(true).unwrap();
     let (since, mut poll) = (Wall::now(), Vec::new());
     while !poll.ends_with(b"\r\n\r\n") {
         assert!(since.elapsed() < Duration::from_secs(5), "the list is not polled");
         host.run_iteration(&mut Vec::new(), &mut || Err("nothing to read again"));
-        // Fails for what has not arrived yet, and keeps what has.
+        // Fails once no bytes are left, and keeps those that were read.
         _ = connection.read_to_end(&mut poll);
     }
     String::from_utf8(poll).unwrap().lines().next().unwrap().to_owned()
 }
 
-/// Changes are missing from what the host knows, and the core asks for the complete list, while no poll is open. A poll for changes would
-/// begin after the missing ones, which may be a drain.
+/// The core requests the complete list because changes are missing, while no poll is open. A poll for changes would skip the missing
+/// ones, which may include a drain.
 #[test]
 fn fetch_polls_complete_list() {
     let list = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -127,7 +127,8 @@
     assert_eq!(receive_poll(&mut host, &mut connection), "GET /registry/instances HTTP/1.1");
 }
 
-/// The same while a poll for changes is open. Its answer has changes only, so the complete list must still be polled.
+/// The core requests the complete list while a poll for changes is open. The answer has changes only, so the complete list must still be
+/// polled.
 #[test]
 fn fetch_during_open_poll_polls_complete_list_next() {
     let list = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/platform-host/src/idle_connections/tests.rs
+++ b/crates/platform-host/src/idle_connections/tests.rs
@@ -1,4 +1,4 @@
-//! Reuse and closing of idle connections.
+//! Tests of the reuse and closing of idle connections.
 
 use super::*;
 
@@ -9,7 +9,7 @@
     Instant::from_secs(secs)
 }
 
-/// Three idle connections to the first node (since 1, 2 and 4 s) and one to the second (since 3 s).
+/// Returns three idle connections to the first node (since 1, 2 and 4 s) and one to the second (since 3 s).
 fn fixture() -> IdleConnections {
     let mut idle = IdleConnections::default();
     for (secs, node, id) in
@@ -20,8 +20,8 @@
     idle
 }
 
-/// A node sends a second copy of an answer a moment late. A connection that has only just had its answer must not be reused yet, or
-/// the copy would be taken for the answer to the next request.
+/// A node sends a duplicate of an answer some milliseconds late. A connection must not be reused right after its answer, or the duplicate
+/// would be taken for the answer to the next request.
 #[test]
 fn most_recent_connection_is_reused_after_reuse_delay() {
     let (mut idle, reuse_delay) = (fixture(), TimeDelta::from_millis(1500));
@@ -33,8 +33,8 @@
     assert_eq!(idle.take(SECOND_NODE, at(5.5), reuse_delay), None);
 }
 
-/// Several attempts wait for connections of one node to become reusable. Each must count on one of its own; the second would
-/// otherwise find the first one's connection taken.
+/// Several attempts wait for connections to one node to become reusable. Each must wait for a different connection; otherwise the
+/// second attempt would find its connection in use.
 #[test]
 fn waiting_attempts_expect_distinct_connections() {
     let reuse_delay = TimeDelta::from_millis(1500);
@@ -46,8 +46,8 @@
     assert_eq!(fixture().reusable_at(NodeId(9), at(0.0), reuse_delay, 0), None, "a node without connections");
 }
 
-/// Idle connections are closed by age, before their node closes them. A connection that stayed in one of the two tables after it was
-/// removed would be closed, or reused, twice.
+/// Idle connections are closed by age, before their node closes them. A connection that remains in one of the two tables after its
+/// removal would be closed or reused twice.
 #[test]
 fn oldest_connection_is_closed_first_and_removed_from_both_tables() {
     let mut idle = fixture();
--- a/crates/platform-host/src/list_watch/tests.rs
+++ b/crates/platform-host/src/list_watch/tests.rs
@@ -1,4 +1,4 @@
-//! Events of a poll that a test of the whole host can't force, or only by waiting.
+//! Tests of poll events that a test of the whole host can't force, or only with long waits.
 
 use super::*;
 use std::io::{Read, Write};
@@ -6,11 +6,11 @@
 use std::time::{Duration, Instant as Wall};
 use tackmast_platform::Configuration;
 
-/// How long a test waits for what must happen soon.
+/// Time that a test waits for an expected event.
 const TEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// A connect that takes longer than this on loopback is not established.
+/// A connect on loopback that takes longer than this is not established.
 const FULL_BACKLOG_TIMEOUT: Duration = Duration::from_millis(100);
-/// The most connections that fill a backlog of zero.
+/// Maximum number of connections that fill a backlog of zero.
 const MAX_FILLING: usize = 16;
 
 fn at(secs: f64) -> Instant {
@@ -26,7 +26,7 @@
     Configuration::parse(text.as_bytes()).unwrap().settings
 }
 
-/// A watch, and the list that it polls.
+/// A watch, and the listener of the list that it polls.
 struct Fixture {
     list: TcpListener,
     poller: Poller,
@@ -38,7 +38,7 @@
     fn new(backlog: i32) -> Fixture {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
-        // An accept fails after this time too.
+        // The timeout also applies to accept.
         socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         socket.listen(backlog).unwrap();
         let list: TcpListener = socket.into();
@@ -67,7 +67,7 @@
         self.watch.handle_ready(at(now), &self.poller, number, ready[0], &self.settings)
     }
 
-    /// Polls the list on a new connection, and has the poll answered; gives the list's side of the connection, which is idle now.
+    /// Polls the list on a new connection and answers the poll. Returns the list's side of the connection, which is then idle.
     fn poll_and_answer(&mut self, now: f64) -> TcpStream {
         self.poll(now);
         let mut connection = self.accept();
@@ -94,20 +94,20 @@
     }
 }
 
-/// What a list does to a connection without a poll.
+/// What the list does on an idle connection.
 #[derive(Clone, Copy, Debug)]
 enum IdleFault {
-    StrayBytes,
+    UnsolicitedBytes,
     Close,
 }
 
 impl IdleFault {
-    const ALL: [IdleFault; 2] = [IdleFault::StrayBytes, IdleFault::Close];
+    const ALL: [IdleFault; 2] = [IdleFault::UnsolicitedBytes, IdleFault::Close];
 
-    /// Does it; gives the connection where it is still open.
+    /// Applies the fault. Returns the connection if it is still open.
     fn apply(self, mut connection: TcpStream) -> Option<TcpStream> {
         match self {
-            IdleFault::StrayBytes => {
+            IdleFault::UnsolicitedBytes => {
                 connection.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
                 Some(connection)
             }
@@ -116,8 +116,8 @@
     }
 }
 
-/// The list's address takes no connection. The poll must fail after a time: until then nothing else is asked, and the host does not learn
-/// of changes.
+/// A connection to the list is not established. The poll must fail at the connect timeout: until then no other poll starts, and the host
+/// does not learn of changes.
 #[test]
 fn poll_fails_after_connect_timeout() {
     let mut fixture = Fixture::new(0);
@@ -136,7 +136,7 @@
     assert!(!fixture.watch.is_polling());
 }
 
-/// A connection to the list is used by one poll after the other as long as nothing happens between them.
+/// Consecutive polls reuse one connection to the list as long as nothing arrives on it between them.
 #[test]
 fn next_poll_reuses_idle_connection() {
     let mut fixture = Fixture::new(8);
@@ -145,8 +145,8 @@
     fixture.answer(1.1, &mut connection);
 }
 
-/// Between two polls the list sends bytes, or closes the connection, and the poller reports it. The connection must be dropped: the bytes
-/// would be taken for the answer to the next poll, and after a close that poll would fail.
+/// Between two polls the list sends bytes or closes the connection, and the poller reports it. The connection must be dropped: the bytes
+/// would be taken for the answer to the next poll, and after a close the next poll would fail.
 #[test]
 fn reported_input_drops_idle_connection() {
     for fault in IdleFault::ALL {
@@ -159,7 +159,8 @@
     }
 }
 
-/// The same happens after the iteration began in which the next poll is sent, so it is not reported. The next poll must look for it.
+/// The list sends bytes or closes the connection after the iteration began in which the next poll is sent, so the poller does not report
+/// it. The next poll must check the connection before it uses it.
 #[test]
 fn unreported_input_drops_idle_connection() {
     for fault in IdleFault::ALL {
--- a/crates/platform-host/src/node_connections/tests.rs
+++ b/crates/platform-host/src/node_connections/tests.rs
@@ -1,5 +1,5 @@
-//! Events that a test of the whole host can't force: a node that ends a connection while a request is being written to it, or as an idle
-//! connection is reused.
+//! Tests of events that a test of the whole host can't force: a node ends a connection while a request is being written to it, or while
+//! an idle connection is being reused.
 
 use super::*;
 use crate::node_connection::PendingAttempt;
@@ -9,11 +9,11 @@
 use tackmast_host_core::{AttemptWork, CommandRef, OpaqueRequest, Ticket};
 use tackmast_platform::{Configuration, Settings};
 
-/// How long a test waits for what must happen soon.
+/// Time that a test waits for an expected event.
 const TEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Size of the socket buffers, in bytes.
+/// Size in bytes of the socket buffers.
 const SMALL_BUFFER: usize = 8 * 1024;
-/// A body that does not fit in the sockets of a node that does not read.
+/// Length in bytes of a body that exceeds the socket buffers of a node that does not read.
 const LONG_BODY_LEN: usize = 1 << 20;
 const NODE: NodeId = NodeId(1);
 
@@ -51,12 +51,12 @@
     }
 }
 
-/// Whether all bytes of an attempt were written.
+/// Returns whether all bytes of an attempt were written.
 fn is_written(ticket: &Ticket) -> bool {
     ticket.is_claimed() && !ticket.is_stuck()
 }
 
-/// Connections to a node that reads only what the test reads, and the results of their attempts.
+/// Connections to a node whose side the test reads and writes, and the results of the attempts.
 struct Fixture {
     listener: TcpListener,
     poller: Poller,
@@ -80,7 +80,7 @@
         Fixture { listener: socket.into(), poller, connections, results: Vec::new() }
     }
 
-    /// Sends an attempt; gives its ticket.
+    /// Sends an attempt and returns its ticket.
     fn send(&mut self, now: f64, attempt: SendAttempt) -> Ticket {
         let (ticket, to) = (attempt.ticket.clone(), self.listener.local_addr().unwrap());
         let pending = PendingAttempt { attempt, has_waited: false };
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Bytes that are still to be written on a connection.
+    /// Returns the number of bytes that are still to be written on a connection.
     fn unsent_len(&self, id: u32) -> usize {
         match &self.connections.connections[&id].state {
             State::Busy { outgoing, .. } => outgoing.len(),
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Writes a part of an attempt to its node, and fills the sockets; gives its ticket, and the node's side of the connection.
+    /// Writes a part of an attempt to its node, so that the socket buffers are full. Returns its ticket and the node's side of the connection.
     fn write_partly(&mut self, number: u64) -> (Ticket, TcpStream) {
         let ticket = self.send(1.0, attempt(number, LONG_BODY_LEN));
         let id = self.connections.by_attempt[&AttemptId(number)];
@@ -128,7 +128,7 @@
         (ticket, node)
     }
 
-    /// How the only attempt ended.
+    /// Waits for the only attempt to end, and returns its outcome.
     fn outcome(&mut self) -> Outcome {
         self.run_until(1.0, "the attempt ends", |fixture| !fixture.results.is_empty());
         assert_eq!(self.results.len(), 1);
@@ -136,7 +136,7 @@
     }
 }
 
-/// A node ends a connection, in order or with a reset, while a request is being written to it. The node has not received the whole
+/// A node closes a connection, in order or with a reset, while a request is being written to it. The node has not received the complete
 /// request, so the request never ran and may be retried, whatever its effect.
 #[test]
 fn partly_written_request_never_ran() {
@@ -155,8 +155,8 @@
     }
 }
 
-/// A node answers while a request is still being written to it. A good answer can't be for this request, and must not reach the client as
-/// its answer; a rejection proves that the request never ran. The rest of the request must not be written in either case.
+/// A node answers while a request is still being written to it. A success can't belong to this request and must not reach the client; a
+/// rejection proves that the request never ran. In both cases the rest of the request must not be written.
 #[test]
 fn early_answer_is_no_success() {
     for (status, outcome) in [
@@ -175,8 +175,8 @@
     }
 }
 
-/// A node closes an idle connection at the moment at which a request is written to it, in order or with a reset, and reads nothing. The
-/// host can't tell this from a node that ran the request and failed, so the request may have run.
+/// A node closes an idle connection, in order or with a reset, just as a request is written to it, and reads nothing. The host can't
+/// distinguish this from a node that ran the request and then failed, so the request may have run.
 #[test]
 fn request_on_reused_connection_closed_by_node_may_have_run() {
     for in_order in [true, false] {
@@ -190,7 +190,7 @@
         let ticket = fixture.send(2.0, attempt(2, 1));
         assert_eq!(fixture.connections.counters.reused, 1);
         assert!(is_written(&ticket), "the second request is not written");
-        // The request is in the node's socket, and the close crosses it.
+        // The request is in the node's socket when the node closes.
         assert!(node.peek(&mut [0; 1]).unwrap() > 0);
         match in_order {
             true => node.shutdown(Shutdown::Write).unwrap(),
--- a/crates/platform-host/src/resource_budget/tests.rs
+++ b/crates/platform-host/src/resource_budget/tests.rs
@@ -1,9 +1,9 @@
-//! The split of descriptors and memory.
+//! Tests of the split of descriptors and memory.
 
 use super::*;
 
-/// A host that opened more sockets or took more memory than the platform allows would be killed; one that gave clients or nodes too
-/// few connections would reject requests although it has capacity.
+/// The platform kills a host that opens more sockets or uses more memory than it allows. A host with too few connections for clients or
+/// nodes rejects requests although it has capacity.
 #[test]
 fn descriptors_and_bytes_are_split_within_the_limits() {
     const MEGABYTE: usize = 1024 * 1024;
--- a/crates/platform-host/src/service_rate_replication/tests.rs
+++ b/crates/platform-host/src/service_rate_replication/tests.rs
@@ -1,8 +1,8 @@
-//! Restoring service rates after a restart, and datagrams that are rejected.
+//! Tests of the restoring of service rates after a restart, and of rejected datagrams.
 
 use super::*;
 
-/// The kinds of datagrams, as they are on the wire.
+/// Kinds of datagrams on the wire.
 const STORE: u8 = 1;
 const RESTORE: u8 = 3;
 
@@ -14,8 +14,8 @@
     (0..count).map(|peer| SocketAddr::from(([127, 0, 0, 1], 1000 + peer))).collect()
 }
 
-/// A host restarts and fetches its rates from three peers, each datagram twice. A rate that counted twice would break the bound
-/// on warming-up nodes; old rates and those beyond the bound are not restored.
+/// A host restarts, fetches its rates from three peers, and receives each datagram twice. A rate that counted twice would break the bound
+/// on warming-up nodes. Old rates and those beyond the maximum number of datagrams are not restored.
 #[test]
 fn new_generation_restores_each_rate_once() {
     // Hosts, shards with a rate, seconds between the generations; shards that are restored.
@@ -43,7 +43,7 @@
             for Datagram { bytes: answer, .. } in
                 hosts[index(&to)].handle_datagram(at(1.0 + downtime), all[0], &bytes)
             {
-                // Each datagram twice.
+                // Each datagram arrives twice.
                 for _ in 0..2 {
                     hosts[0].handle_datagram(at(1.1 + downtime), to, &answer);
                 }
@@ -63,21 +63,21 @@
     }
 }
 
-/// Datagrams come from strangers, are malformed, were not asked for, or carry this generation's own rates. None of them may
-/// change a rate, and the host must not send more than its few fetches and replications.
+/// Datagrams come from unknown senders, are malformed or unsolicited, or carry this generation's own rates. None of them may change a
+/// rate, and the host must send no more than its fetches and replications.
 #[test]
 fn malformed_or_unrequested_datagrams_change_nothing() {
     let all = peers(4);
     let mut replication = ServiceRateReplication::new(at(0.0), 0, all.clone());
-    let stranger: SocketAddr = "127.0.0.1:9".parse().unwrap();
+    let unknown_sender: SocketAddr = "127.0.0.1:9".parse().unwrap();
     let valid = vec![b't', b'k', STORE, 0, 1, 0, 7, 0x40, 0];
     for (from, bytes) in [
-        (stranger, valid),
+        (unknown_sender, valid),
         (all[1], vec![]),
         (all[1], vec![b'x'; 300]),
         (all[1], vec![b't', b'k', 9, 0, 1]),
         (all[1], vec![b't', b'k', STORE, 200, 1]),
-        // An answer that was not asked for.
+        // An unsolicited answer.
         (all[1], vec![b't', b'k', RESTORE, 0, 1, 0, 7, 0x40, 0]),
     ] {
         assert!(replication.handle_datagram(at(0.1), from, &bytes).is_empty(), "{bytes:?}");
@@ -86,20 +86,20 @@
         (replication.rejected_datagrams, replication.stored.len(), replication.poll_restored().len()),
         (6, 0, 0)
     );
-    // Without an answer a host fetches three times, and stores its rates once in five seconds.
+    // Without an answer a host fetches three times, and it replicates its rates every five seconds.
     let sent: usize = (0..60)
         .map(|tenths| {
             replication.handle_timeout(at(f64::from(tenths) * 0.1), || vec![(ShardId(1), 2.0)]).len()
         })
         .sum();
     assert_eq!(sent, 3 * 3 + 3, "three fetches and one replication to three peers");
-    // A host that is not among its peers, or has none.
+    // A host that is not among its peers, or has no peers.
     for (me, peer_count) in [(3, 0), (9, 4), (0, 1)] {
         let mut odd = ServiceRateReplication::new(at(0.0), me, peers(peer_count));
         let sent = odd.handle_timeout(at(9.0 * 9.0), || vec![(ShardId(1), 2.0)]).len();
         assert!(sent == 0 || peer_count > 1, "{me} of {peer_count}: {sent}");
     }
-    // Rates that are restored after this host has stored some may be its own.
+    // Rates that are restored after this host has replicated may be its own.
     let restore = [b't', b'k', RESTORE, 0, 1, 0, 7, 0x7f, 0x80, 0, 8, 0xc0, 0, 0, 9, 0x40, 0];
     replication.handle_datagram(at(6.2), all[1], &restore);
     assert!(replication.poll_restored().is_empty());
@@ -108,7 +108,7 @@
     replication.handle_timeout(at(0.1), Vec::new);
     replication.handle_datagram(at(0.2), all[1], &restore);
     assert_eq!(replication.poll_restored(), [(ShardId(9), 2.0)]);
-    // An older datagram of another peer with the same shard: it must not count twice.
+    // An older datagram of another peer contains the same shard, which must not count twice.
     replication.handle_datagram(at(0.3), all[2], &[b't', b'k', RESTORE, 1, 2, 0, 9, 0x40, 0, 0, 5, 0x40, 0]);
     assert_eq!(replication.poll_restored(), [(ShardId(5), 2.0)]);
 }
--- a/crates/platform-host/src/shutdown_schedule/tests.rs
+++ b/crates/platform-host/src/shutdown_schedule/tests.rs
@@ -1,13 +1,13 @@
-//! When the phases of a shutdown begin.
+//! Tests of when the phases of a shutdown begin.
 
 use super::*;
 
-/// The platform kills the host some time after SIGTERM, which depends on the longest deadline of its settings. If a phase came out of
-/// its order or too late, clients would lose answers to the kill.
+/// The platform kills the host after a time that depends on the longest deadline in its settings. If a phase began out of order or too
+/// late, the kill would cut off answers.
 #[test]
 fn phases_begin_in_order_for_all_deadlines() {
     let after = TimeDelta::from_secs;
-    // The longest deadline, when Closing and Settled begin, and the kill, in seconds. The kill comes no earlier than the last.
+    // In seconds: the longest deadline, the start of Closing and of Settled, and the earliest time of the kill.
     for (deadline, closing, settled, kill) in [
         (3.0, 3.2, 3.45, 3.7),
         (5.0, 3.2, 3.45, 3.7),
@@ -35,6 +35,6 @@
             last = phase;
         }
     }
-    // Without clients the host need not wait for any that might have stayed.
+    // Without client connections the host closes early.
     assert_eq!(ShutdownSchedule::new(after(3.0)).phase(after(0.7), 0), ShutdownPhase::Closing);
 }
