--- a/crates/platform-host/tests/clients.rs
+++ b/crates/platform-host/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Requests of clients, valid and not, on loopback.
+//! Tests on loopback of valid and invalid requests of clients.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use tackmast_emulators::http::{HttpClient, NodeFault, Received};
 use tackmast_platform_host::OpenCounts;
 
-/// A client pipelines requests to several nodes, the slowest first, and then writes one byte by byte. Answers out of order would
-/// be taken for those of other requests.
+/// A client pipelines requests to several nodes, the slowest first, and then sends a request byte by byte. Answers out of order would be
+/// taken for answers to other requests.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     let mut cluster = TestCluster::new();
@@ -45,8 +45,8 @@
     );
 }
 
-/// Clients send what is no valid request: garbage, wrong lengths, hidden requests, or nothing at all. Each must get its status or
-/// a close within 2.9 s, and none of it may reach a node.
+/// Clients send invalid requests: garbage, wrong lengths, smuggled requests, or nothing at all. Each must get its status or a close within
+/// 2.9 s, and nothing may reach a node.
 #[test]
 fn bad_requests_are_answered_or_closed_in_time_and_reach_no_node() {
     let mut cluster = TestCluster::new();
@@ -103,8 +103,8 @@
     assert_eq!(cluster.received_request_count(), 1);
 }
 
-/// Two clients send the same request id, while the first request is open and after it was answered. Nodes would take the second
-/// for a repeat of the first, so it must be refused.
+/// Several clients send the same request id, while the first request is open and after it was answered. Nodes would take a later request
+/// for a repetition of the first, so it must be refused.
 #[test]
 fn request_id_in_use_is_refused_and_the_open_request_served() {
     let mut cluster = TestCluster::new();
@@ -123,8 +123,8 @@
     assert_eq!(cluster.received_request_count(), 1);
 }
 
-/// Clients open more connections than the host has descriptors for, and send nothing. Other clients must be served meanwhile, on
-/// new connections and on one that they keep.
+/// Clients open more connections than the host has descriptors, and send nothing. Other clients must still be served, on new connections
+/// and on persistent ones.
 #[test]
 fn hundreds_of_silent_connections_keep_no_client_out() {
     let mut cluster = TestCluster::with_sockets(128);
@@ -157,8 +157,8 @@
     assert!(status.client_connections <= 64, "{status:?}");
 }
 
-/// Four clients send a bad request again and again, on a new connection each time. Another client's requests must still be
-/// answered quickly.
+/// Four clients repeatedly send an invalid request, each time on a new connection. Another client's requests must still be answered
+/// quickly.
 #[test]
 fn repeated_bad_requests_do_not_slow_other_clients() {
     let mut cluster = TestCluster::new();
@@ -192,8 +192,8 @@
     assert!(took[took.len() / 2] < Duration::from_millis(300), "{:?}", took[took.len() / 2]);
 }
 
-/// A client closes while a silent node has its request. The attempt must be cancelled: it would otherwise hold its place under
-/// the concurrency limit until its deadline.
+/// A client closes while a silent node has its request. The attempt must be cancelled: it would otherwise count against the concurrency
+/// limit until its deadline.
 #[test]
 fn request_of_a_client_that_closes_is_cancelled() {
     let mut cluster = TestCluster::new();
--- a/crates/platform-host/tests/common/mod.rs
+++ b/crates/platform-host/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A host on the platform's protocol between emulators of its nodes, endpoint list and clients, all on loopback.
+//! A test cluster on loopback: a host between emulators of its nodes, its endpoint list and its clients.
 
-// Each test file uses its own part.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 pub mod stepped_host;
@@ -16,21 +16,21 @@
 use tackmast_platform::Configuration;
 use tackmast_platform_host::{Host, ProcessSignal, Status};
 
-/// How long a test waits for something that must happen.
+/// Time that a test waits for an expected event.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A host that runs in a thread of its own, with its nodes and its endpoint list.
+/// A host that runs in its own thread, with its nodes and its endpoint list.
 pub struct TestCluster {
     pub nodes: Vec<HttpNode>,
     pub endpoint_list: HttpEndpointList,
-    /// Where the host accepts clients.
+    /// The address at which the host accepts clients.
     pub address: SocketAddr,
     /// The configuration file that the next reload reads.
     config: Arc<Mutex<String>>,
     shutdown_signal: UnixStream,
     reload_signal: UnixStream,
     host: Option<JoinHandle<Status>>,
-    /// Requests that were made; the last one's number.
+    /// Number of requests that were made, which is also the number of the last one.
     request_count: u32,
 }
 
@@ -38,7 +38,7 @@
     ListMember { id: id.into(), address: node.address(), shard, phase, up_since_ms: 0 }
 }
 
-/// Any free port on loopback.
+/// Returns the loopback address with port 0, with which the system picks a free port.
 fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
@@ -64,7 +64,7 @@
         TestCluster::with_sockets(256)
     }
 
-    /// A host that may open so many sockets, with two nodes, for shards 0 and 1.
+    /// Starts a host that may open this number of sockets, with two nodes, for shards 0 and 1.
     pub fn with_sockets(sockets: usize) -> TestCluster {
         let nodes = vec![HttpNode::start().unwrap(), HttpNode::start().unwrap()];
         let endpoint_list = HttpEndpointList::start().unwrap();
@@ -101,12 +101,12 @@
         HttpClient::connect(self.address).unwrap()
     }
 
-    /// A valid read with a new id.
+    /// Returns a valid read request with a new id.
     pub fn read_request(&mut self, shard: u32) -> Vec<u8> {
         self.request("GET", "read", shard, "")
     }
 
-    /// A valid request with a new id.
+    /// Returns a valid request with a new id.
     pub fn request(&mut self, method: &str, class: &str, shard: u32, body: &str) -> Vec<u8> {
         self.request_count += 1;
         let id = format!("{:016x}", self.request_count);
@@ -131,7 +131,7 @@
         .into_bytes()
     }
 
-    /// Sends one request on a connection of its own, and gives the response.
+    /// Sends one request on a new connection, and returns the response.
     pub fn call(&mut self, class: &str, shard: u32) -> Response {
         let mut client = self.client();
         client.send(&self.request("GET", class, shard, ""));
@@ -151,18 +151,18 @@
         self.shutdown_signal.write_all(b"x").unwrap();
     }
 
-    /// Shuts the host down, and gives its last status.
+    /// Shuts the host down, and returns its last status.
     pub fn shut_down(mut self) -> Status {
         self.begin_shutdown();
         self.host.take().unwrap().join().unwrap()
     }
 
-    /// Whether the host's thread has ended.
+    /// Returns whether the host's thread has ended.
     pub fn has_ended(&self) -> bool {
         self.host.as_ref().is_none_or(|host| host.is_finished())
     }
 
-    /// Requests that all nodes have received.
+    /// Returns the number of requests that all nodes have received.
     pub fn received_request_count(&self) -> usize {
         self.nodes.iter().map(|node| node.received_requests().len()).sum()
     }
--- a/crates/platform-host/tests/common/stepped_host.rs
+++ b/crates/platform-host/tests/common/stepped_host.rs
@@ -1,5 +1,5 @@
-//! A host whose iterations the test runs itself, between raw sockets. So the test decides which events come in one iteration, and in
-//! which order.
+//! A host whose iterations the test runs itself, between raw sockets. The test thus decides which events are handled in one iteration
+//! and in which order.
 
 use super::TEST_TIMEOUT;
 use std::io::{ErrorKind, Read, Write};
@@ -10,11 +10,11 @@
 use tackmast_platform::Configuration;
 use tackmast_platform_host::{Host, ProcessSignal, Status};
 
-/// One side of a connection, as bytes.
+/// One side of a connection, which the test reads and writes as bytes.
 pub struct RawConnection {
     pub stream: TcpStream,
     pub received_bytes: Vec<u8>,
-    /// How the other side ended it: in order, or by a reset.
+    /// How the other side closed the connection: in order, or with an error such as a reset. `None` while it is open.
     pub ended: Option<Result<(), ErrorKind>>,
 }
 
@@ -25,7 +25,7 @@
         RawConnection { stream, received_bytes: Vec::new(), ended: None }
     }
 
-    /// Reads all bytes that have arrived, and gives all that were received so far.
+    /// Reads all bytes that have arrived, and returns all bytes received so far.
     pub fn receive(&mut self) -> &str {
         let mut chunk = [0; 64 * 1024];
         while self.ended.is_none() {
@@ -39,7 +39,7 @@
         std::str::from_utf8(&self.received_bytes).unwrap()
     }
 
-    /// Sends as many bytes as the socket takes, and gives how many that were.
+    /// Sends as many bytes as the socket accepts, and returns their number.
     pub fn send(&mut self, bytes: &[u8]) -> usize {
         let mut sent = 0;
         while sent < bytes.len() {
@@ -61,22 +61,22 @@
         socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).unwrap();
     }
 
-    /// Requests, or responses, that were received.
+    /// Returns the number of requests, or responses, that were received.
     pub fn message_count(&mut self) -> usize {
         self.receive().matches("\r\n\r\n").count()
     }
 
-    /// The statuses of the responses that were received.
+    /// Returns the statuses of the responses that were received.
     pub fn statuses(&mut self) -> Vec<u16> {
         let text = self.receive().to_owned();
         text.split("HTTP/1.1 ").skip(1).filter_map(|part| part.get(..3)?.parse().ok()).collect()
     }
 }
 
-/// A raw server: a node, or an endpoint list.
+/// A server on raw sockets that stands in for a node or an endpoint list.
 pub struct FakeServer {
     port: ReservedPort,
-    /// None after `stop_listening`.
+    /// `None` after `stop_listening`.
     listener: Option<TcpListener>,
     pub connections: Vec<RawConnection>,
 }
@@ -99,8 +99,8 @@
         self.connections.clear();
     }
 
-    /// A server to which connections are not established until `empty_backlog`: its backlog is full. The system tries again after a
-    /// second.
+    /// Creates a server with a full backlog, so that connections to it are not established until `empty_backlog`. The system retries a
+    /// connect after a second.
     pub fn with_full_backlog() -> (FakeServer, Vec<TcpStream>) {
         let server = FakeServer::with_backlog(0);
         let (to, mut filling) = (server.address(), Vec::new());
@@ -135,44 +135,44 @@
         self.connections.iter_mut().for_each(|connection| _ = connection.receive());
     }
 
-    /// Complete requests that were received on all connections.
+    /// Returns the number of complete requests that were received on all connections.
     pub fn request_count(&mut self) -> usize {
         self.receive();
         self.connections.iter_mut().map(RawConnection::message_count).sum()
     }
 
-    /// Bytes that were received on all connections.
+    /// Returns the number of bytes that were received on all connections.
     pub fn received_byte_count(&mut self) -> usize {
         self.receive();
         self.connections.iter().map(|connection| connection.received_bytes.len()).sum()
     }
 }
 
-/// A response with status 200.
+/// Returns a response with status 200.
 pub fn ok_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// A member of an endpoint list, as JSON.
+/// Returns a member of an endpoint list as JSON.
 pub fn member_json(id: &str, at: SocketAddr, shard: u32, phase: &str) -> String {
     format!(
         r#"{{"id":"{id}","host_port":"{at}","locality":"a","flavor":"m","cell":{shard},"phase":"{phase}","size":1.0,"up_since_ms":0}}"#
     )
 }
 
-/// An endpoint list, as JSON.
+/// Returns an endpoint list as JSON.
 pub fn list_json(version: u64, complete: bool, members: &[String]) -> String {
     format!(r#"{{"revision":{version},"complete":{complete},"members":[{}]}}"#, members.join(","))
 }
 
-/// What tests vary in the host's configuration.
+/// The parts of the host's configuration that tests vary.
 pub struct Settings {
     pub sockets: usize,
     pub registry_mode: &'static str,
     pub connect_timeout_secs: f64,
-    /// Of all traffic classes.
+    /// The deadline of all traffic classes.
     pub deadline_secs: f64,
-    /// Further fields of the plan, as JSON.
+    /// Additional fields of the plan as JSON, with a leading comma.
     pub plan: &'static str,
 }
 
@@ -195,14 +195,14 @@
     reload_signal: UnixStream,
     /// The configuration file that the next reload reads.
     config: String,
-    /// The host has shut down; no iteration runs any more.
+    /// Whether the host has shut down; no further iteration runs.
     pub has_ended: bool,
-    /// Requests that were made; the last one's number.
+    /// Number of requests that were made, which is also the number of the last one.
     request_count: u32,
 }
 
 impl SteppedHost {
-    /// A host that knows these members from its configuration file.
+    /// Creates a host that knows these members from its configuration file.
     pub fn new(settings: Settings, endpoint_list: &FakeServer, known: &[String]) -> SteppedHost {
         let config = format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{}","seed":"7",
@@ -254,7 +254,7 @@
         }
     }
 
-    /// Runs iterations for so long.
+    /// Runs iterations for this time.
     pub fn run_for(&mut self, secs: f64) {
         let since = Instant::now();
         while since.elapsed().as_secs_f64() < secs {
@@ -281,7 +281,7 @@
         self.reload_signal.write_all(b"x").unwrap();
     }
 
-    /// A valid request with a new id.
+    /// Returns a valid request with a new id.
     pub fn request(&mut self, class: &str, shard: u32, body: &str) -> Vec<u8> {
         self.request_count += 1;
         let key_header = if class == "save" { "Idempotency-Key: k\r\n" } else { "" };
--- a/crates/platform-host/tests/crossings.rs
+++ b/crates/platform-host/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Events that meet, each pair in an order that the test decides: docs/crossings.md has the table. The test runs the host's
-//! iterations itself, so events between two of them are handled in one iteration.
+//! Tests of pairs of events that coincide, in an order that the test determines; docs/crossings.md has the table. The test runs the
+//! host's iterations itself, so all events that occur between two iterations are handled in one.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use tackmast_platform_host::OpenCounts;
 use tackmast_platform_host::Status;
 
-/// A host with one node, and its endpoint list.
+/// Returns a host with one node, its endpoint list, and the node.
 fn fixture(settings: Settings) -> (SteppedHost, FakeServer, FakeServer) {
     let (endpoint_list, node) = (FakeServer::new(), FakeServer::new());
     let host = SteppedHost::new(settings, &endpoint_list, &[member_json("s-0", node.address(), 0, "Ready")]);
@@ -26,8 +26,8 @@
 
 // Clients that disconnect.
 
-/// A client sends a request and closes its connection, or its sending, before the host reads either. The host must notice the
-/// close before it dispatches, or a node would do work that nobody waits for.
+/// A client sends a request and closes its connection, or only its sending side, before the host reads the request. The host must detect
+/// the close before it dispatches the request, or a node would do work that nobody waits for.
 #[test]
 fn request_of_closed_client_is_not_dispatched() {
     let (mut host, _endpoint_list, mut node) = default_fixture();
@@ -47,8 +47,8 @@
     assert_eq!((node.received_byte_count(), host.status().core.commands_received), (0, 0));
 }
 
-/// A client pipelines five requests and closes; the first one's answer arrives in the same iteration as the close. Handled in the
-/// other order, the answer would release the next request, and a node would run it for nobody.
+/// A client pipelines five requests and closes; the answer to the first arrives in the same iteration as the close. If the answer were
+/// handled first, the next request would be dispatched, and a node would run it for nobody.
 #[test]
 fn client_close_drops_pipelined_requests() {
     let (mut host, _endpoint_list, mut node) = default_fixture();
@@ -65,8 +65,8 @@
     assert_eq!(host.status().open, OpenCounts::default());
 }
 
-/// A client sends more than the system buffers for an unread socket, and closes. The close stands behind these bytes, so a host
-/// that did not read ahead would hold the node's work until its deadline.
+/// A client sends more bytes than the system buffers for an unread socket, and closes. A host that did not read ahead would not detect the
+/// close behind these bytes, and the node would work until the request's deadline.
 #[test]
 fn close_behind_pipelined_requests_is_detected() {
     let (mut host, _endpoint_list, mut node) = default_fixture();
@@ -86,8 +86,8 @@
     assert_eq!((node.request_count(), host.status().core.attempts), (1, 1));
 }
 
-/// A client pipelines requests without end, which would fill the host's memory. Beyond a bound the host answers the open request
-/// with `Connection: close` and accepts no other, without a reset that would lose the answer.
+/// A client pipelines an unlimited number of requests, which would fill the host's memory. Beyond a bound the host must answer the open
+/// request with `Connection: close` and accept no other, without a reset that would lose the answer.
 #[test]
 fn endless_pipelining_ends_after_open_request() {
     let (mut host, _endpoint_list, mut node) = default_fixture();
@@ -109,8 +109,8 @@
     assert_eq!(node.request_count(), 1);
 }
 
-/// More connections to nodes are established, and more clients close, than one iteration reports. Each request must be checked
-/// against its client before it is written, as the close may be reported in a later iteration only.
+/// More connections to nodes are established, and more clients close, than one iteration reports. The host must check the client before
+/// it writes each request, as the close may be reported only in a later iteration.
 #[test]
 fn no_request_is_written_for_closed_clients() {
     let (endpoint_list, mut node) = (FakeServer::new(), FakeServer::new());
@@ -143,8 +143,8 @@
     assert_eq!(host.status().open, OpenCounts::default());
 }
 
-/// An attempt has failed and its request waits for its retry. The client closes, and the host sees the close and the end of the
-/// backoff in the same iteration. The retry must not be sent.
+/// An attempt has failed and its request waits for the retry. The client closes, and the close and the end of the backoff are handled in
+/// the same iteration. The retry must not be sent.
 #[test]
 fn client_close_during_backoff_prevents_retry() {
     let (mut host, _endpoint_list, mut node) = default_fixture();
@@ -165,8 +165,8 @@
     );
 }
 
-/// A request waits for its volume's token bucket, and its client closes. The host sees the close only when the bucket has
-/// refilled. The request must not be sent.
+/// A request waits for its volume's token bucket, and its client closes. The host detects the close only when the bucket has refilled. The
+/// request must not be sent.
 #[test]
 fn client_close_cancels_request_waiting_for_token_bucket() {
     let plan = r#","ceiling_rate":4.0,"most_at_once":1.2,"slack":0.1"#;
@@ -185,7 +185,7 @@
     assert_eq!((node.request_count(), host.status().core.commands_aborted), (1, 1));
 }
 
-/// All connections to nodes are in use and requests wait for one. They become free in the same iteration in which all clients
+/// All connections to nodes are in use, and requests wait for one. The connections become free in the same iteration in which all clients
 /// close. The waiting requests must not be sent.
 #[test]
 fn client_close_cancels_request_waiting_for_connection() {
@@ -214,8 +214,8 @@
 
 // Connections to nodes.
 
-/// Lets the client have an answer and send its next request, so that this waits for the reuse delay. On a busy machine the delay may
-/// be over by then, and it is tried again. Gives the number of answers that the client has.
+/// Answers a request of the client and lets it send the next one, so that this one waits for the reuse delay. On a busy machine the delay
+/// may have passed by then, and the step is repeated. Returns the number of answers that the client has received.
 fn wait_within_reuse_delay(
     host: &mut SteppedHost,
     client: &mut RawConnection,
@@ -236,17 +236,17 @@
             return answered;
         }
     }
-    panic!("the connection is reused without a delay");
+    panic!("the connection is reused without the reuse delay");
 }
 
-/// A node sends a second copy of an answer a moment late. If the next request had been written to that connection already, its
+/// A node sends a duplicate of an answer some milliseconds late. If the next request had already been written to that connection, its
 /// client would get the answer to another request.
 #[test]
 fn late_duplicate_answer_is_not_taken_for_the_next_request() {
     let (mut host, _endpoint_list, mut node) = default_fixture();
     let mut client = host.client();
     let answered = wait_within_reuse_delay(&mut host, &mut client, &mut node);
-    // The copy arrives: its connection is closed, and the request is sent on another one.
+    // The duplicate arrives: its connection is closed, and the request is sent on another one.
     node.connections[0].send(ok_response("first").as_bytes());
     host.run_until("at its node", |_| node.request_count() == answered + 1);
     assert_eq!((node.connections.len(), host.status().node_counters.unsolicited_data), (2, 1));
@@ -255,8 +255,8 @@
     assert!(client.receive().ends_with("second"), "{}", client.receive());
 }
 
-/// A request arrives while the only connection to its node is within the reuse delay. If it opened a connection, a busy host
-/// would open one for nearly each request; while it waits, its client may still close.
+/// A request arrives while the only connection to its node is within the reuse delay. The host must not open another connection, as a busy
+/// host would then open one for nearly every request. If the client closes during the wait, the request must not be sent.
 #[test]
 fn next_request_waits_for_the_reuse_delay_and_opens_no_connection() {
     let (mut host, _endpoint_list, mut node) = default_fixture();
@@ -285,14 +285,14 @@
     assert_eq!((node.request_count(), host.status().open), (before, OpenCounts::default()));
 }
 
-/// A node sends an answer without a length, which ends with its connection. After a reset the rest may be missing: taken for
-/// complete, half an answer would reach the client.
+/// A node sends an answer without a length, whose end is the close of the connection. After a reset a part may be missing: if the answer
+/// counted as complete, the client would get half of it.
 #[test]
 fn answer_without_length_is_complete_only_after_an_orderly_close() {
     for (in_order, class, expected) in [
         (true, "once", 200),
         (true, "read", 200),
-        // It may have run, so the client is not told that a retry is safe, and none is made.
+        // The request may have run, so the client is not told that a retry is safe, and the host does not retry.
         (false, "once", 502),
     ] {
         let (mut host, _endpoint_list, mut node) = default_fixture();
@@ -315,7 +315,7 @@
     }
 }
 
-/// A host whose node does not establish connections until its backlog is emptied, and whose list is polled.
+/// Returns a host with a node to which connections are not established until its backlog is emptied, and with a polled list.
 fn slow_connect_fixture(connect_timeout_secs: f64) -> (SteppedHost, FakeServer, FakeServer, Vec<TcpStream>) {
     let (mut endpoint_list, (node, filling)) = (FakeServer::new(), FakeServer::with_full_backlog());
     let settings = Settings { connect_timeout_secs, deadline_secs: 3.0, ..Settings::default() };
@@ -325,8 +325,8 @@
     (host, endpoint_list, node, filling)
 }
 
-/// A node moves while a connection to its old address is being established. Whatever listens there by now must not get the
-/// request; the new address must.
+/// A node moves while a connection to its old address is being established. The process that now listens at the old address must not get
+/// the request; the new address must.
 #[test]
 fn connection_to_former_node_address_is_unused() {
     let (mut host, mut endpoint_list, mut old, filling) = slow_connect_fixture(2.5);
@@ -342,13 +342,13 @@
     host.run_until("at the new address", |_| new.request_count() == 1);
     new.connections[0].send(ok_response("new").as_bytes());
     host.run_until("answered", |_| client.receive().ends_with("new"));
-    // The system tries to connect to the old address once more.
+    // The system retries the connect to the old address.
     host.run_for(1.2);
     assert_eq!(old.received_byte_count(), 0);
 }
 
-/// A node begins to drain, or leaves, while a connection to it is being established. A request written to it would go to a
-/// draining node, and an idle connection would hold the node up.
+/// A node starts draining, or leaves, while a connection to it is being established. A request must not be written to the draining node,
+/// and an idle connection to it would delay its exit.
 #[test]
 fn connection_to_draining_node_is_closed_unused() {
     for phase in ["Terminating", "Gone"] {
@@ -369,8 +369,8 @@
     }
 }
 
-/// A connection is established in the same iteration in which its request's deadline has passed. The client is told that the
-/// request did not run, so it must not be written.
+/// A connection is established in the same iteration in which its request's deadline passes. The client is told that the request did not
+/// run, so the request must not be written.
 #[test]
 fn connection_after_deadline_is_unused() {
     let (mut host, _endpoint_list, mut node, filling) = slow_connect_fixture(2.5);
@@ -379,7 +379,7 @@
     client.send(text.as_bytes());
     host.run_until("the request waits for the connection", |host| host.status().node_counters.opened == 1);
     node.empty_backlog(filling);
-    // The system connects after a second. No iteration runs until the deadline has passed, so both are handled in one.
+    // The system retries the connect after a second. No iteration runs until the deadline has passed, so both are handled in one.
     std::thread::sleep(Duration::from_millis(1300));
     host.run_until("answered", |_| client.message_count() == 1);
     assert_eq!(client.statuses(), [503], "the request never ran");
@@ -387,8 +387,8 @@
     assert_eq!(node.received_byte_count(), 0);
 }
 
-/// A request that may have run is retried at a node that is slow to connect to. Its nodes forget its key when their window ends,
-/// and would run the request a second time. The client is told that the effect is unknown.
+/// A request that may have run is retried at a node to which a connection is established slowly. After the idempotency window nodes no
+/// longer know the request's key and would run the request a second time, so the client is told that the effect is unknown.
 #[test]
 fn retry_is_not_written_after_its_idempotency_window() {
     let (mut host, mut endpoint_list, mut first) =
@@ -414,8 +414,8 @@
 
 // Shutdown.
 
-/// Clients connect just before the host closes its listener, more than it accepts in one iteration. The system has accepted them
-/// already, and closing the listener would reset them.
+/// Just before the host closes its listener, more clients connect than it accepts in one iteration. The system has already established
+/// these connections, and closing the listener would reset them.
 #[test]
 fn backlog_is_served_at_listener_close() {
     let (mut host, _endpoint_list, _node) = fixture(Settings { deadline_secs: 0.1, ..Settings::default() });
@@ -429,7 +429,7 @@
     std::thread::sleep(Duration::from_millis(60));
     host.run_until("the host exits", |host| host.has_ended);
     for client in &mut clients {
-        // A connection whose request was not read in time may be half-closed, and its client sends it again. None is reset.
+        // A connection whose request was not read in time may be half-closed, and the client repeats the request. None is reset.
         client.receive();
         assert_eq!(client.ended, Some(Ok(())));
     }
@@ -438,8 +438,8 @@
     assert!(answered >= 90, "{answered} of 100");
 }
 
-/// The host half-closes an idle connection while its client sends the next request. The request must be discarded, as its client
-/// sends it again elsewhere, and a reset must not hide the half-close.
+/// The host half-closes an idle connection while its client sends the next request. The request must be discarded, as the client sends it
+/// again elsewhere, and a reset must not hide the half-close from the client.
 #[test]
 fn request_crossing_half_close_is_discarded() {
     let (mut host, _endpoint_list, mut node) = default_fixture();
@@ -458,15 +458,15 @@
     let text = host.request("read", 0, "x");
     assert_eq!(client.send(&text), text.len());
     host.run_for(0.1);
-    assert_eq!(client.send(&text), text.len(), "the connection still takes bytes");
+    assert_eq!(client.send(&text), text.len(), "the connection still accepts bytes");
     assert_eq!((node.request_count(), client.message_count()), (1, 1));
     assert!(!host.has_ended, "the host waits for the client");
     drop(client);
     host.run_until("the host exits", |host| host.has_ended);
 }
 
-/// A client gets its last answer while it sends more requests. If the process exited over these unread bytes, the system would
-/// reset the connection and the client would lose the answer.
+/// A client gets its last answer while it sends more requests. If the process exited with these bytes unread, the system would reset the
+/// connection and the client would lose the answer.
 #[test]
 fn host_exits_after_client_has_read_last_answer() {
     let (mut host, _endpoint_list, mut node) =
@@ -492,8 +492,8 @@
     assert_eq!(node.request_count(), 1);
 }
 
-/// Two clients have each sent a part of a request when the host shuts down. The one that completes its request is served; the
-/// other one must be answered, not reset, before the process exits.
+/// Two clients have each sent a part of a request when the host shuts down. The client that completes its request must be served; the other
+/// one must be answered, not reset, before the process exits.
 #[test]
 fn partial_request_at_shutdown_is_served_or_rejected() {
     let (mut host, _endpoint_list, mut node) = default_fixture();
@@ -517,8 +517,8 @@
     assert_eq!(node.request_count(), 1);
 }
 
-/// SIGTERM comes before the first iteration, and again during the shutdown. If the second one restarted the schedule, the
-/// platform would kill the host before it has answered all requests. SIGHUP is still obeyed.
+/// SIGTERM arrives before the first iteration, and again during the shutdown. If the second one restarted the schedule, the platform would
+/// kill the host before it has answered all requests. SIGHUP must still be handled.
 #[test]
 fn repeated_signals_keep_shutdown_schedule() {
     let (mut host, endpoint_list, _node) = fixture(Settings { deadline_secs: 0.3, ..Settings::default() });
@@ -540,8 +540,8 @@
 
 // The endpoint list.
 
-/// The endpoint list moves while a poll is open, or while the watch backs off from an unreachable list. A host that waited for
-/// the backoff would send requests to nodes that are draining by the new list.
+/// The endpoint list moves while a poll is open, or during the backoff after failed polls. A host that waited for the end of the backoff
+/// would send requests to nodes that are draining according to the new list.
 #[test]
 fn reload_polls_the_new_address_at_once() {
     for failing in [true, false] {
@@ -557,14 +557,14 @@
         let since = Instant::now();
         host.run_until("the new address is polled", |_| new.request_count() == 1);
         assert!(since.elapsed() < Duration::from_millis(150), "{failing}: {:?}", since.elapsed());
-        // The backoff that began before causes no second poll.
+        // The end of the earlier backoff causes no second poll.
         host.run_for(1.0);
         assert_eq!(new.request_count(), 1);
     }
 }
 
-/// The old address has written a long answer when the list moves. The host counts as notified of it, so it must be applied; an
-/// answer that the old address writes later may be outdated and must not.
+/// The old address has written a long answer when the list moves. The host counts as notified of this answer and must apply it. An answer
+/// that the old address writes later may be outdated and must not be applied.
 #[test]
 fn old_list_address_is_drained_at_reload() {
     let (mut host, mut endpoint_list, node) = default_fixture();
@@ -584,23 +584,23 @@
     assert_eq!(host.status().version, 5, "a late answer of the old address");
 }
 
-/// An answer arrives as its poll times out, while the host is busy elsewhere. The host counts as notified once the answer is in
-/// its socket, so it must not be discarded with the poll.
+/// An answer arrives as its poll times out, while the host is busy with other work. The host counts as notified once the answer is in its
+/// socket, so the answer must not be discarded with the poll.
 #[test]
 fn answer_in_socket_at_timeout_is_applied() {
     let (mut host, mut endpoint_list, node) = default_fixture();
     host.run_until("the list is polled", |_| endpoint_list.request_count() == 1);
     let members: Vec<String> =
         (0..400).map(|shard| member_json(&format!("s-{shard}"), node.address(), shard, "Ready")).collect();
-    // Past the poll's wait and time-out, without an iteration.
+    // No iteration runs until the poll's wait and timeout have passed.
     std::thread::sleep(Duration::from_millis(3900));
     endpoint_list.connections[0].send(ok_response(&list_json(5, true, &members)).as_bytes());
     host.run_iteration();
     assert_eq!(host.status().version, 5);
 }
 
-/// A poll falls silent and the next one fails. The timeouts and backoffs together must leave the host time to learn of a change
-/// within the 6 s after which it counts as notified.
+/// A poll gets no answer and the next one fails. Timeouts and backoffs together must leave the host time to learn of a change within the
+/// 6 s after which it counts as notified.
 #[test]
 fn change_is_applied_in_time_after_two_failed_polls() {
     let (mut host, mut endpoint_list, node) = default_fixture();
@@ -627,8 +627,8 @@
     assert!(silent.elapsed() < Duration::from_millis(6000), "{:?}", silent.elapsed());
 }
 
-/// The list resets each poll for a while. If the backoff grew without a bound, its return would be noticed too late: however
-/// often a poll failed, the next one must follow in less than 2 s.
+/// The list service resets each poll for a while. If the backoff grew without bound, the host would detect the service's return too late:
+/// after any number of failures the next poll must follow in less than 2 s.
 #[test]
 fn list_poll_backoff_is_bounded() {
     let (mut host, mut endpoint_list, _node) = default_fixture();
@@ -642,8 +642,8 @@
     }
 }
 
-/// The list answers with an older version, in which a draining node is still ready. It may be a delayed answer, so the node must
-/// get no request; only the complete list may restore it.
+/// The list answers with an older version, in which a draining node is still ready. The answer may be a delayed one, so the node must get
+/// no request; only the complete list may restore the node.
 #[test]
 fn older_list_version_does_not_restore_draining_node() {
     let (mut host, mut endpoint_list, mut node) = default_fixture();
@@ -662,14 +662,14 @@
     client.send(&text);
     host.run_for(0.1);
     assert_eq!((node.received_byte_count(), host.status().version), (0, 8));
-    // The complete list confirms the older version: the list has lost its memory, and there is no other source.
+    // The complete list confirms the older version: the list service has lost its state, and there is no other source.
     endpoint_list.connections[0]
         .send(ok_response(&list_json(5, true, &[member_json("s-0", node.address(), 0, "Ready")])).as_bytes());
     host.run_until("served again", |_| node.request_count() == 1);
 }
 
 /// The list service has restarted with an older copy, in which a draining node is still ready, and its long answer is in the socket when
-/// the list moves. The old address is read to its end, but an older answer must not restore the node.
+/// the list moves. The host reads the old address to the end, but must not restore the node from an older answer.
 #[test]
 fn older_list_version_is_not_applied_at_reload() {
     let (mut host, mut endpoint_list, mut node) = default_fixture();
@@ -680,7 +680,7 @@
     host.run_until("the update is applied", |host| host.status().version == 9);
     host.run_until("the list is polled on", |_| endpoint_list.request_count() == 2);
     let mut new = FakeServer::new();
-    // An answer of many chunks, of which the iteration reads one before it comes to the signal.
+    // An answer of many chunks, of which the iteration reads one before it handles the signal.
     let mut members: Vec<String> =
         (1..400).map(|shard| member_json(&format!("s-{shard}"), node.address(), shard, "Ready")).collect();
     members.extend(ready.clone());
@@ -700,8 +700,8 @@
     host.run_until("served again", |_| node.request_count() == 1);
 }
 
-/// The host asks for the complete list after an older version, and is sent changes only. What it has may lack changes, such as a drain, so
-/// it must go on asking for the complete list.
+/// The host polls the complete list after an older version, and gets changes only. Its list may lack changes, such as a drain, so it must
+/// continue to poll the complete list.
 #[test]
 fn complete_list_is_polled_until_it_is_received() {
     let (mut host, mut endpoint_list, node) = default_fixture();
@@ -719,8 +719,8 @@
     assert!(endpoint_list.connections[0].receive().contains("after=6"));
 }
 
-/// Where the platform pushes lists to an agent, a new process counts as notified of what the agent has. A host that was ready
-/// before it has polled the agent would send requests to draining nodes; one whose agent is unreachable must still serve.
+/// Where the platform pushes lists to an agent, a new process counts as notified of the agent's list. A host that became ready before it
+/// has polled the agent would send requests to draining nodes. A host whose agent is unreachable must still serve.
 #[test]
 fn pushed_list_is_polled_before_the_host_is_ready() {
     let (mut host, mut endpoint_list, node) =
@@ -732,13 +732,13 @@
         host.run_until("answered", |_| probe.message_count() == 1);
         probe.statuses()[0]
     };
-    assert_eq!(ready(&mut host), 503, "the host counts as notified of what the agent has");
+    assert_eq!(ready(&mut host), 503, "the host is ready before it has polled the agent");
     endpoint_list.connections[0]
         .send(ok_response(&list_json(3, true, &[member_json("s-0", node.address(), 0, "Ready")])).as_bytes());
     host.run_until("the update is applied", |host| host.status().version == 3);
     assert_eq!(ready(&mut host), 200);
     host.run_until("the list is polled again", |_| endpoint_list.request_count() == 2);
-    // An agent that is unreachable does not keep a host from serving.
+    // An unreachable agent does not prevent a host from serving.
     let (mut host, mut endpoint_list, _node) =
         fixture(Settings { registry_mode: "push", ..Settings::default() });
     endpoint_list.stop_listening();
@@ -748,8 +748,8 @@
 
 // Descriptors.
 
-/// Idle clients take all descriptors that they may have while the list is unreachable. The host must keep descriptors for its
-/// nodes and for the list, or it would never learn of a change.
+/// Idle clients take all descriptors for clients while the list is unreachable. The host must reserve descriptors for its nodes and for the
+/// list, or it would never learn of a change.
 #[test]
 fn idle_clients_leave_descriptors_for_nodes_and_the_list() {
     let (mut host, mut endpoint_list, mut node) = fixture(Settings { sockets: 128, ..Settings::default() });
@@ -762,7 +762,7 @@
     }
     let status = host.status();
     assert!(status.client_connections <= 61 && status.client_counters.evicted > 100, "{status:?}");
-    // The host answers, and reaches its node and the list once that is back.
+    // The host answers, and reaches its node, and the list once that is available again.
     let mut client = host.client();
     client.send(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n");
     host.run_until("ready", |_| client.statuses() == [200]);
@@ -774,10 +774,10 @@
     host.run_until("the list is polled", |_| back.request_count() == 1);
 }
 
-// Bad input.
+// Invalid input.
 
-/// A client sends a part of a request and closes, in order or with a reset. The host must close the connection at once and send
-/// nothing to a node, wherever the request was cut.
+/// A client sends a part of a request and closes, in order or with a reset. The host must close the connection at once and send nothing to
+/// a node, wherever the request is cut off.
 #[test]
 fn partial_request_of_closed_client_reaches_no_node() {
     let (mut host, _endpoint_list, mut node) = default_fixture();
@@ -799,8 +799,8 @@
     assert_eq!((node.received_byte_count(), host.status().core.commands_received), (0, 0));
 }
 
-/// A node sends an answer without an end, fast or a byte at a time. The host must end it by its size or by the request's
-/// deadline, or its memory would grow and the client would wait for ever.
+/// A node sends an endless answer, fast or byte by byte. The host must stop it at the maximum size or at the request's deadline, or memory
+/// would grow and the client would wait forever.
 #[test]
 fn endless_answer_is_ended_by_its_size_or_its_deadline() {
     for is_fast in [true, false] {
@@ -819,13 +819,13 @@
             }
             client.message_count() == 1
         });
-        assert_eq!(client.statuses(), [502], "it may have run");
+        assert_eq!(client.statuses(), [502], "the request may have run");
         assert!(since.elapsed() < Duration::from_millis(2500), "{:?}", since.elapsed());
         host.run_until("its connection is closed", |host| host.status().node_connections == 0);
     }
 }
 
-/// The list sends an answer without an end. The host must end the poll at the bound, keep the list that it has, and poll again.
+/// The list sends an endless answer. The host must fail the poll at the maximum size, keep its current list, and poll again.
 #[test]
 fn endless_list_is_a_failed_poll_and_changes_nothing() {
     let (mut host, mut endpoint_list, _node) = default_fixture();
@@ -844,8 +844,7 @@
     assert_eq!((host.status().version, host.status().nodes), (1, 1));
 }
 
-/// All nodes drain or leave, and come back. A host without a ready node can serve nothing, so its health check must fail for as
-/// long.
+/// All nodes drain or leave, and return. A host without a ready node can't serve, so its health check must fail until a node is ready.
 #[test]
 fn health_check_fails_while_no_node_is_ready() {
     let (mut host, mut endpoint_list, node) = default_fixture();
--- a/crates/platform-host/tests/mutants.rs
+++ b/crates/platform-host/tests/mutants.rs
@@ -1,8 +1,8 @@
-//! Holds the files in `mutants/` and the code together: each takes out lines that are there, and names a test that exists.
+//! Checks that each file in `mutants/` matches the code: the lines that it replaces exist, and so does the test that it names.
 
 use std::path::Path;
 
-/// A guard is changed or a test is renamed, and its mutant no longer applies. `mutants/run` is no part of CI, so nobody would notice
+/// A guard is changed or a test is renamed, so that its mutant no longer applies. CI does not run `mutants/run`, so this would go unnoticed
 /// until the mutant is needed.
 #[test]
 fn mutants_quote_existing_lines_and_tests() {
--- a/crates/platform-host/tests/nodes.rs
+++ b/crates/platform-host/tests/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes that answer badly or not at all, on loopback.
+//! Tests on loopback with nodes that give faulty answers or none.
 
 mod common;
 
@@ -7,12 +7,12 @@
 use tackmast_emulators::http::NodeFault;
 use tackmast_platform_host::OpenCounts;
 
-/// A node answers well, badly or not at all. A request that may run twice is retried after a failure, and one that must not is
-/// answered with 502; the requests after it get their own answers on a sound connection.
+/// A node gives a valid answer, a faulty one or none. An idempotent request must be retried after a failure, and a non-idempotent one
+/// answered with 502. The requests after it must get their own answers, on a usable connection.
 #[test]
 fn answer_of_a_node_decides_whether_its_request_is_retried() {
     use NodeFault::*;
-    // The fault, and the status of a request that may run twice and of one that must not.
+    // The fault, and the statuses of an idempotent request and of a non-idempotent one.
     let cases: [(NodeFault, u16, u16); 17] = [
         (Healthy, 200, 200),
         (TrailingGarbage, 200, 200),
@@ -29,7 +29,7 @@
         (Overloaded, 200, 200),
         (ResetAfterRequest, 200, 502),
         (ResetWithinAnswer, 200, 502),
-        // The failure shows only at the request's deadline.
+        // The failure is detected only at the request's deadline.
         (ShortBody, 503, 502),
         (Silent, 503, 502),
     ];
@@ -48,7 +48,7 @@
                     let is_retried =
                         class == "read" && !matches!(read, 503) && fault_fails(fault) || fault == Overloaded;
                     assert_eq!(attempts, 1 + usize::from(is_retried), "{fault:?} {class}");
-                    // The next requests get their own answers, on a sound connection.
+                    // The next requests get their own answers, on a usable connection.
                     for _ in 0..3 {
                         let text = cluster.request("PUT", class, 0, "its own");
                         let mut client = cluster.client();
@@ -74,8 +74,8 @@
     )
 }
 
-/// A node sends bytes behind an answer, or closes an idle connection. A request on such a connection would get a wrong answer or
-/// none, so a new connection is opened; in all other cases one is reused.
+/// A node sends bytes after an answer, or closes an idle connection. A request on such a connection would get a wrong answer or none, so a
+/// new connection must be opened. In all other cases the connection must be reused.
 #[test]
 fn connection_is_reused_unless_it_has_trailing_bytes_or_is_closed() {
     let mut cluster = TestCluster::new();
@@ -92,7 +92,7 @@
         wait_for_reuse();
     }
     assert_eq!(cluster.nodes[0].accepted_connections(), 2, "a new one after the trailing bytes");
-    // The node closes the idle connection. It is not written to, so a request that must not run twice is done.
+    // The node closes the idle connection. The host does not write to it, so a non-idempotent request succeeds.
     cluster.nodes[0].set_idle_timeout(Duration::from_millis(30));
     std::thread::sleep(Duration::from_millis(120));
     cluster.nodes[0].set_idle_timeout(Duration::from_secs(30));
@@ -101,8 +101,8 @@
     assert_eq!((status.node_counters.reset, status.core.retries), (0, 0), "{status:?}");
 }
 
-/// A node's process is gone and its port refuses connections. The request can't have run there, so the client must be told that a
-/// retry is safe, and at once. The emulator keeps the port: another test's node could otherwise bind it and answer.
+/// A node's process has exited and its port refuses connections. The request can't have run there, so the client must be told at once
+/// that a retry is safe. The emulator keeps the port reserved: another test's node could otherwise bind it and answer.
 #[test]
 fn request_to_an_unreachable_node_is_rejected_at_once() {
     let mut cluster = TestCluster::new();
@@ -119,8 +119,8 @@
     assert_eq!(cluster.call("once", 1).status, 200);
 }
 
-/// A node does not answer, and its attempt is cancelled. Its answer could still arrive, so the connection must be closed before
-/// the next attempt is sent, which needs one of its own.
+/// A node does not answer, and its attempt is cancelled. The answer could still arrive, so the connection must be closed, and the next
+/// attempt must be sent on a new one.
 #[test]
 fn cancelled_attempt_closes_its_connection_before_the_next_is_sent() {
     let mut cluster = TestCluster::new();
--- a/crates/platform-host/tests/service.rs
+++ b/crates/platform-host/tests/service.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, signals, and tables over a long run, on loopback.
+//! Tests on loopback of the endpoint list, of signals, and of the size of tables over a long run.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use tackmast_emulators::http::{EndpointListFault, HttpEndpointList, HttpNode, NodeFault, Received};
 use tackmast_platform_host::OpenCounts;
 
-/// The list announces that a node drains and that another one takes over. No request may reach the draining node from then on,
-/// its idle connections are closed once it is gone, and no request fails.
+/// The list announces that a node is draining and that another one takes over. From then on no request may reach the draining node, its
+/// idle connections must be closed once it is gone, and no request may fail.
 #[test]
 fn draining_node_gets_no_request_and_the_new_node_takes_over() {
     let mut cluster = TestCluster::new();
@@ -36,8 +36,8 @@
     assert!(polls.iter().all(|poll| poll.target.contains("wait_ms=")), "{polls:?}");
 }
 
-/// Nothing in the list changes, or the list answers each poll at once. A host that polled without a pause would overload the
-/// list: version 0 was once taken for no version, and the complete list was polled without end.
+/// The list does not change, or answers each poll at once. A host that polled in a tight loop would overload the list service. This once
+/// happened when version 0 was treated as no version, so that the complete list was polled repeatedly.
 #[test]
 fn unchanged_list_is_polled_rarely() {
     let cluster = TestCluster::new();
@@ -52,8 +52,8 @@
     assert!(intervals[intervals.len() / 2] < Duration::from_millis(200), "still one watch: {polls:?}");
 }
 
-/// A node moves to another address under its id. Connections to the old address are closed, requests go to the new one, and the
-/// host does not count it as another node.
+/// A node moves to another address and keeps its id. Connections to the old address must be closed, requests must go to the new one, and
+/// the host must not count it as another node.
 #[test]
 fn node_that_moves_is_the_same_node() {
     let mut cluster = TestCluster::new();
@@ -69,8 +69,8 @@
     assert_eq!(cluster.shut_down().nodes, 2);
 }
 
-/// The list fails in several ways. The host must serve by the list that it has, poll again, and learn of a change that was made
-/// meanwhile.
+/// The list service fails in several ways. The host must continue to serve with the list that it has, poll again, and learn of a change
+/// that was made meanwhile.
 #[test]
 fn host_serves_while_the_list_fails_and_polls_it_again() {
     for fault in [EndpointListFault::Unavailable, EndpointListFault::Garbage, EndpointListFault::Reset] {
@@ -92,8 +92,8 @@
     }
 }
 
-/// An operator signals a reload with a file that is not valid, and then with one that names another list. The first must change
-/// nothing, the second must move the watch.
+/// An operator signals a reload with an invalid file, and then with one that names another address of the list. The first must change
+/// nothing; the second must move the watch.
 #[test]
 fn reload_moves_the_watch_and_a_bad_file_changes_nothing() {
     let mut cluster = TestCluster::new();
@@ -119,8 +119,8 @@
     );
 }
 
-/// SIGTERM comes while clients have requests open and others still connect. Clients have no other host, so they are served until
-/// shortly before the platform kills this one; the process must have exited by then.
+/// SIGTERM arrives while clients have open requests and others still connect. Clients have no other host, so they must be served until
+/// shortly before the platform kills this one, and the process must have exited by then.
 #[test]
 fn shutdown_serves_clients_until_shortly_before_the_kill() {
     let mut cluster = TestCluster::new();
@@ -137,7 +137,7 @@
     assert_eq!(receive_response(&mut probe).status, 503, "the health check after SIGTERM");
     assert_eq!(cluster.call("read", 1).status, 200, "a new connection is served");
     assert_eq!(receive_response(&mut slow).status, 200, "a request from before SIGTERM");
-    // A client that keeps its connection is served on it until shortly before the host is killed.
+    // A client with a persistent connection is served on it until shortly before the host is killed.
     let mut closed = None;
     while closed.is_none() {
         let text = cluster.read_request(1);
@@ -158,8 +158,7 @@
     assert!(since.elapsed() < Duration::from_millis(3650), "{:?}", since.elapsed());
 }
 
-/// SIGTERM comes while no client is connected. The host must wait for the clients that may still connect, and then exit without
-/// using up its time.
+/// SIGTERM arrives while no client is connected. The host must wait for clients that may still connect, and then exit early.
 #[test]
 fn shutdown_without_clients_ends_early() {
     let mut cluster = TestCluster::new();
@@ -170,8 +169,7 @@
     assert!((400..1500).contains(&since.elapsed().as_millis()), "{:?}", since.elapsed());
 }
 
-/// SIGTERM comes while a silent node has a request. Its client must get an answer before the host exits, although the node never
-/// answers.
+/// SIGTERM arrives while a silent node has a request. The client must get an answer before the host exits, although the node never answers.
 #[test]
 fn shutdown_answers_a_request_whose_node_is_silent() {
     let mut cluster = TestCluster::new();
@@ -190,8 +188,8 @@
     assert!(since.elapsed() < Duration::from_millis(3600));
 }
 
-/// Nodes with new ids come and go for a long time. A table that kept each of them would grow without bound, which shows as rising
-/// memory.
+/// Nodes with new ids join and leave for a long time. A table that kept every node would grow without bound,
+/// and with it the memory of the process.
 #[test]
 fn tables_stay_bounded_as_nodes_and_ids_come_and_go() {
     let mut cluster = TestCluster::new();
--- a/crates/platform-host/tests/service_rate_replication.rs
+++ b/crates/platform-host/tests/service_rate_replication.rs
@@ -1,4 +1,4 @@
-//! Hosts on loopback that replicate the service rates of their shards to each other.
+//! Tests of hosts on loopback that replicate the service rates of their shards to each other.
 
 use std::io::Write;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -12,12 +12,12 @@
 
 /// The first bytes of each datagram of the membership protocol.
 const MEMBERSHIP_MAGIC: [u8; 2] = [0x74, 0x6d];
-/// Ports of the hosts of one test. Below the range from which the system picks ports by itself.
+/// Ports of the hosts of one test, below the system's range of ephemeral ports.
 const PEER_PORTS: [u16; 3] = [20_001, 20_002, 20_003];
 
-/// Addresses for the datagrams of three hosts that nothing else on this machine binds: hosts know each other's address before any of
-/// them binds its own, and a port that was free a moment ago may be bound by another test by then. Each call has an address of its
-/// own in 127.0.0.0/8, made of the process id (at most 22 bits) and a counter.
+/// Returns addresses for the datagrams of three hosts that nothing else on this machine binds. Hosts know each other's addresses before
+/// any of them binds its own, and another test may bind a port that was free until then. Each call therefore uses a distinct address
+/// in 127.0.0.0/8, made of the process id (at most 22 bits) and a counter.
 fn peer_addresses() -> Vec<SocketAddr> {
     static CALLS: AtomicU32 = AtomicU32::new(0);
     let call = CALLS.fetch_add(1, Ordering::SeqCst);
@@ -27,7 +27,7 @@
     PEER_PORTS.iter().map(|port| SocketAddr::from((address, *port))).collect()
 }
 
-/// A host that runs in a thread of its own.
+/// A host that runs in its own thread.
 struct RunningHost {
     address: SocketAddr,
     shutdown_signal: UnixStream,
@@ -38,7 +38,7 @@
     start_with(me, peers, list, true)
 }
 
-/// `peers_allowed`: the platform lets hosts send each other datagrams.
+/// Starts a host. `peers_allowed` is whether the platform allows datagrams between hosts.
 fn start_with(me: usize, peers: &[SocketAddr], list: &HttpEndpointList, peers_allowed: bool) -> RunningHost {
     let all: Vec<String> = peers.iter().map(|peer| format!("\"{peer}\"")).collect();
     let text = format!(
@@ -73,7 +73,7 @@
         self.thread.join().unwrap()
     }
 
-    /// Makes a request of this number, which must be done.
+    /// Sends a request with this number, which must succeed.
     fn call(&self, number: u32) {
         let mut client = HttpClient::connect(self.address).unwrap();
         client.send(
@@ -91,8 +91,8 @@
     }
 }
 
-/// A host restarts. Without the service rates of its shards it would send nodes in slow start far too little, so it must restore
-/// them from its peers; its peers, which served nothing, restore none, and a stranger's datagram changes nothing.
+/// A host restarts. Without the service rates of its shards it would send far too little to nodes in slow start, so it must restore them
+/// from its peers. Its peers, which served nothing, must restore none, and a datagram of an unknown sender must change nothing.
 #[test]
 fn restarted_host_restores_its_service_rates_from_peers() {
     let node = HttpNode::start().unwrap();
@@ -105,31 +105,31 @@
     assert_eq!(first.shut_down().restored_shards, 0, "there was no generation before");
     let restarted = start(0, &peers, &list);
     let since = Instant::now();
-    let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    stranger.send_to(b"tk\x03\x00\x01\x00\x05\x40\x00", peers[0]).unwrap();
+    let unknown_sender = UdpSocket::bind("127.0.0.1:0").unwrap();
+    unknown_sender.send_to(b"tk\x03\x00\x01\x00\x05\x40\x00", peers[0]).unwrap();
     while since.elapsed() < Duration::from_millis(1500) {
         restarted.call(1000 + since.elapsed().as_millis() as u32);
         std::thread::sleep(Duration::from_millis(100));
     }
     let status = restarted.shut_down();
-    assert_eq!(status.restored_shards, 1, "the shard that it had called");
-    assert!(status.rejected_datagrams >= 1, "the stranger's");
+    assert_eq!(status.restored_shards, 1, "the shard that the first generation had called");
+    assert!(status.rejected_datagrams >= 1, "the datagram of the unknown sender");
     assert_eq!(
         (second.shut_down().restored_shards, third.shut_down().restored_shards),
         (0, 0),
-        "they had called none"
+        "the peers had called no shard"
     );
 }
 
-/// The platform allows hosts a few small datagrams, or none. A host that sent more, or those of the membership protocol, would
-/// break its rules.
+/// The platform allows hosts to send a few small datagrams, or none. A host that sent more, or datagrams of the membership protocol, would
+/// violate its rules.
 #[test]
 fn hosts_send_only_replication_datagrams_and_none_where_the_platform_forbids_them() {
     let list = HttpEndpointList::start().unwrap();
     let node = HttpNode::start().unwrap();
     let address = node.address();
     list.add_initial(ListMember { id: "s-0".into(), address, shard: 0, phase: "Ready", up_since_ms: 0 });
-    // After its start a host fetches three times from two peers, and has no rates to store yet.
+    // After its start a host fetches three times from two peers, and has no rates to replicate yet.
     for (peers_allowed, max_datagrams) in [(true, 6), (false, 0)] {
         let peers = peer_addresses();
         let others: Vec<UdpSocket> = peers[1..].iter().map(|peer| UdpSocket::bind(peer).unwrap()).collect();
@@ -147,7 +147,7 @@
         }
         host.shut_down();
         assert!(datagrams.len() <= max_datagrams, "allowed {peers_allowed}: {}", datagrams.len());
-        assert!(!peers_allowed || datagrams.len() >= 2, "the host fetches where it may");
+        assert!(!peers_allowed || datagrams.len() >= 2, "the host fetches its rates where that is allowed");
         let is_membership = |datagram: &&Vec<u8>| datagram.starts_with(&MEMBERSHIP_MAGIC);
         assert_eq!(datagrams.iter().filter(is_membership).count(), 0, "allowed {peers_allowed}");
     }
