--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -166,7 +166,7 @@
             node_connections: self.node_connections.len(),
             open: self.core.open_counts(),
             serves: self.shutdown_since.is_none(),
-            listens: self.address(),
+            listen_address: self.address(),
             nodes: self.core.nodes().entries().count(),
             version: self.core.list_version(),
             restored_shards: self.restored_shards,
--- a/crates/platform-host/src/host/status.rs
+++ b/crates/platform-host/src/host/status.rs
@@ -26,7 +26,7 @@
     /// Whether no shutdown has been requested.
     pub serves: bool,
     /// The address at which connections are accepted; `None` once the listener is closed.
-    pub listens: Option<SocketAddr>,
+    pub listen_address: Option<SocketAddr>,
     /// Number of nodes that the host core knows from the endpoint list.
     pub nodes: usize,
     /// The version of the endpoint list that was applied last.
--- a/crates/platform-host/tests/crossings.rs
+++ b/crates/platform-host/tests/crossings.rs
@@ -476,7 +476,7 @@
     client.send(&text);
     host.run_until("at its node", |_| node.request_count() == 1);
     host.begin_shutdown();
-    host.run_until("its listener is closed", |host| host.status().listens.is_none());
+    host.run_until("its listener is closed", |host| host.status().listen_address.is_none());
     node.connections[0].send(ok_response("late").as_bytes());
     host.run_until("answered", |_| client.receive().ends_with("late"));
     // More requests cross the half-close, more than one iteration reads.
@@ -504,7 +504,7 @@
     host.run_until("both are accepted", |host| accepted(&host.status()) == 2);
     host.run_for(0.05);
     host.begin_shutdown();
-    host.run_until("its listener is closed", |host| host.status().listens.is_none());
+    host.run_until("its listener is closed", |host| host.status().listen_address.is_none());
     complete.send(b"x");
     host.run_until("at its node", |_| node.request_count() == 1);
     node.connections[0].send(ok_response("whole").as_bytes());
