--- a/crates/platform-host/src/host.rs
+++ b/crates/platform-host/src/host.rs
@@ -75,7 +75,7 @@
     has_polled_list: bool,
     signals: HashMap<u32, (ProcessSignal, UnixStream)>,
     request_ids: RequestIds,
-    /// Number of accepted requests, which is also the number of the last one.
+    /// The number of the request that was accepted last; 0 before the first.
     last_request_number: u32,
     /// Number of requests that were malformed or not allowed.
     refused: u64,
--- a/crates/platform-host/src/host/attempts.rs
+++ b/crates/platform-host/src/host/attempts.rs
@@ -7,6 +7,7 @@
 use tackmast_host_core::{AttemptResult, Output, Verdict};
 
 impl Host {
+    /// Passes the collected results of attempts to the core.
     pub(super) fn report_attempt_results(&mut self, now: Instant) {
         for result in std::mem::take(&mut self.attempt_results) {
             self.core.handle_attempt_result(now, result);
--- a/crates/platform-host/src/host/endpoint_list.rs
+++ b/crates/platform-host/src/host/endpoint_list.rs
@@ -12,6 +12,7 @@
 pub(super) const MIN_POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(50);
 
 impl Host {
+    /// Starts a poll of the list, or schedules it if [`MIN_POLL_INTERVAL`] has not passed since the last one.
     pub(super) fn poll_list(&mut self, now: Instant) {
         // Without the minimum interval, a list that answers at once without changes would be polled in a tight loop and overloaded.
         let due = self.last_poll_at + MIN_POLL_INTERVAL;
@@ -38,6 +39,7 @@
         }
     }
 
+    /// Handles the result of a poll, if there is one.
     pub(super) fn handle_watch_event(&mut self, now: Instant, event: Option<WatchEvent>) {
         match event {
             None => {}
@@ -72,6 +74,7 @@
         self.apply_list(now, kind(list), after, list);
     }
 
+    /// Passes a list to the core, and closes the unused connections to nodes that are no longer ready at their address.
     pub(super) fn apply_list(&mut self, now: Instant, kind: ListKind, from: u64, list: &List) {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
         let entries = list.members.iter().map(|member| ListEntry {
--- a/crates/platform-host/src/host/requests.rs
+++ b/crates/platform-host/src/host/requests.rs
@@ -14,6 +14,7 @@
 const MAX_ACCEPTS_PER_ITERATION: usize = 32;
 
 impl Host {
+    /// Accepts connections from the listener, at most [`MAX_ACCEPTS_PER_ITERATION`].
     pub(super) fn accept(&mut self, now: Instant) {
         for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             let Some(listener) = &self.listener else { return };
@@ -31,6 +32,7 @@
         }
     }
 
+    /// Handles an event of the client connection `id`, if there is one.
     pub(super) fn handle_client_event(&mut self, now: Instant, id: u32, event: Option<ClientEvent>) {
         match event {
             None => {}
@@ -39,6 +41,7 @@
         }
     }
 
+    /// Aborts the open request of a client connection that was closed, if it had one.
     pub(super) fn abort_request(&mut self, now: Instant, id: u32, open: Option<u32>) {
         if let Some(command) = open {
             self.request_ids.finish(now, id);
@@ -102,6 +105,7 @@
         );
     }
 
+    /// Queues a connection that has received at least a part of its next request, so that the event loop parses it.
     pub(super) fn queue_pipelined(&mut self, id: u32) {
         if self.clients.has_more(id) {
             self.pipelined_clients.push(id);
--- a/crates/platform-host/src/host/shutdown.rs
+++ b/crates/platform-host/src/host/shutdown.rs
@@ -11,6 +11,7 @@
 const MAX_BACKLOG_ROUNDS: usize = 128;
 
 impl Host {
+    /// Reads the stream with this number. Returns its signal if at least one byte has arrived.
     pub(super) fn read_signal(&mut self, number: u32) -> Option<ProcessSignal> {
         let (signal, from) = self.signals.get_mut(&number)?;
         let mut bytes = [0; 64];
@@ -20,6 +21,7 @@
         }
     }
 
+    /// Starts the shutdown, or reloads the configuration. Further shutdown signals are ignored.
     pub(super) fn handle_signal<E: Display>(
         &mut self,
         now: Instant,
