--- a/crates/platform-host/src/eviction/tests.rs
+++ b/crates/platform-host/src/eviction/tests.rs
@@ -1,17 +1,17 @@
-//! The order in which client connections are evicted.
+//! Tests of the order in which client connections are evicted.
 
 use super::*;
 
-/// All descriptors are in use and a new client connects. If the wrong connection were closed for it, a client would lose an answer
-/// or a request that is on its way, while silent connections stayed open.
+/// A new client connects while all descriptors are in use. Evicting the wrong connection would lose an answer or a request of its
+/// client while silent connections stay open.
 #[test]
-fn the_connection_whose_client_loses_least_is_evicted_first() {
+fn eviction_follows_class_then_age() {
     use EvictionClass::*;
     type Case = (&'static str, Vec<(u32, EvictionClass, f64)>, Option<u32>);
     let cases: Vec<Case> = vec![
         ("no connections", vec![], None),
         ("all are busy", vec![(1, Busy, 0.0), (2, Busy, 1.0)], None),
-        ("over before silent", vec![(1, Silent, 0.0), (2, Over, 9.0)], Some(2)),
+        ("half-closed before silent", vec![(1, Silent, 0.0), (2, HalfClosed, 9.0)], Some(2)),
         ("the longest silent", vec![(1, Silent, 5.0), (2, Silent, 4.0), (3, Idle, 0.0)], Some(2)),
         ("idle before new", vec![(1, New, 5.0), (2, Idle, 3.0)], Some(2)),
         ("new before recently used", vec![(1, RecentlyUsed, 1.0), (2, New, 5.0)], Some(2)),
--- a/crates/platform-host/src/host/requests.rs
+++ b/crates/platform-host/src/host/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients, from their connections to the host core.
+//! Requests of clients: accepting connections, parsing calls, and submitting them to the host core.
 
 use super::Host;
 use crate::client_connections::ClientEvent;
@@ -10,10 +10,11 @@
 use tackmast_http::Request;
 use tackmast_platform::Call;
 
-/// Connections accepted in one iteration of the loop.
+/// Maximum number of connections accepted in one call of `Host::accept`.
 const MAX_ACCEPTS_PER_ITERATION: usize = 32;
 
 impl Host {
+    /// Accepts connections from the listener, at most [`MAX_ACCEPTS_PER_ITERATION`].
     pub(super) fn accept(&mut self, now: Instant) {
         for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             let Some(listener) = &self.listener else { return };
@@ -22,8 +23,8 @@
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(_) => {
-                    // No descriptor is left, although the resource budget leaves some. The listener stays ready, so without an
-                    // eviction the loop would spin on it.
+                    // No descriptor is left, although the resource budget reserves some. The listener stays ready, so the event loop
+                    // would spin on it without an eviction.
                     self.clients.evict_one(now);
                     return;
                 }
@@ -31,15 +32,17 @@
         }
     }
 
+    /// Handles an event of the client connection `id`, if there is one.
     pub(super) fn handle_client_event(&mut self, now: Instant, id: u32, event: Option<ClientEvent>) {
         match event {
             None => {}
-            Some(ClientEvent::Gone(open)) => self.client_gone(now, id, open),
+            Some(ClientEvent::Disconnected(open)) => self.abort_request(now, id, open),
             Some(ClientEvent::Request(request)) => self.handle_request(now, id, request),
         }
     }
 
-    pub(super) fn client_gone(&mut self, now: Instant, id: u32, open: Option<u32>) {
+    /// Aborts the open request of a client connection that was closed, if it had one.
+    pub(super) fn abort_request(&mut self, now: Instant, id: u32, open: Option<u32>) {
         if let Some(command) = open {
             self.request_ids.finish(now, id);
             self.core.handle_abort(now, CommandId { session: id, command });
@@ -63,7 +66,7 @@
         }
     }
 
-    /// The call that a request makes, if this host serves it now.
+    /// Parses the call in a request, and returns the reason to close the connection if this host does not serve the call now.
     fn accept_call(&mut self, request: Request) -> Result<Call, CloseReason> {
         if self.shutdown_phase >= ShutdownPhase::Settled {
             return Err(CloseReason::ShuttingDown);
@@ -81,8 +84,8 @@
     }
 
     fn submit_call(&mut self, now: Instant, id: u32, call: Call) {
-        self.requests = self.requests.wrapping_add(1);
-        self.clients.request_accepted(now, id, self.requests);
+        self.last_request_number = self.last_request_number.wrapping_add(1);
+        self.clients.request_accepted(now, id, self.last_request_number);
         self.request_ids.insert(id, call.id);
         let request = ObjectRequest {
             volume: call.volume,
@@ -95,20 +98,25 @@
             time_left: call.time_left,
             payload: OpaqueRequest { head: call.head, body: call.body },
         };
-        self.core.handle_object_request(now, CommandId { session: id, command: self.requests }, request);
+        self.core.handle_object_request(
+            now,
+            CommandId { session: id, command: self.last_request_number },
+            request,
+        );
     }
 
+    /// Queues a connection that has received at least a part of its next request, so that the event loop parses it.
     pub(super) fn queue_pipelined(&mut self, id: u32) {
         if self.clients.has_more(id) {
             self.pipelined_clients.push(id);
         }
     }
 
-    /// Whether the endpoint list is known well enough to serve.
+    /// Returns whether the host has a node that is ready and, where lists are pushed, has polled the agent.
     fn is_ready(&self) -> bool {
-        // Where lists are pushed, a new process counts as notified of what the agent has. A host that was ready before it has polled
-        // the agent could send requests to nodes that are draining.
-        let has_polled = self.list_polled || !self.settings.lists_are_pushed();
+        // Where lists are pushed, a new process counts as notified of the agent's list. A host that became ready before it has polled
+        // the agent could send requests to draining nodes.
+        let has_polled = self.has_polled_list || !self.settings.lists_are_pushed();
         has_polled && self.core.nodes().entries().any(|(_, entry)| entry.state == NodeState::Ready)
     }
 }
--- a/crates/platform-host/src/node_connections.rs
+++ b/crates/platform-host/src/node_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to nodes: one attempt at a time on each, idle ones are reused.
+//! The connections to nodes. Each carries one attempt at a time, and idle ones are reused.
 
 use crate::idle_connections::IdleConnections;
 use crate::node_connection::{request_bytes, NodeConnection, NodeConnectionCounters, PendingAttempt, State};
@@ -11,37 +11,37 @@
 use tackmast_http::{Limits, Response, ResponseReader};
 use tackmast_platform::Reports;
 
-/// The host closes an idle connection after this share of the time after which nodes do. Nodes would otherwise close it while a request
-/// is on its way, which would then have no answer.
+/// Share of the nodes' idle timeout after which the host closes an idle connection. A node could otherwise close it while a request is
+/// on its way, which would then get no answer.
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
-/// When the host closes an idle connection if the settings name no idle timeout of nodes.
+/// Idle time after which the host closes a connection if the settings name no idle timeout of nodes.
 const DEFAULT_MAX_IDLE: TimeDelta = TimeDelta::from_millis(10_000);
-/// How long a connection is not reused after an answer. Nothing in an answer tells which request it is for, and a node may send a second
-/// copy some milliseconds late: within the delay the copy arrives on an idle connection, which is closed for it. After the delay it
-/// would be taken for the answer to the next request.
+/// Time after an answer during which a connection is not reused. An answer does not name its request, and a node may send a duplicate
+/// some milliseconds late. Within the delay the duplicate arrives on an idle connection, which is closed. After the delay it would be
+/// taken for the answer to the next request.
 const REUSE_DELAY: TimeDelta = TimeDelta::from_millis(10);
 
-/// All connections to nodes, and the attempts that wait for one.
+/// All connections to nodes, and the attempts that wait for a connection.
 pub(crate) struct NodeConnections {
     connections: BTreeMap<u32, NodeConnection>,
     idle: IdleConnections,
     by_attempt: HashMap<AttemptId, u32>,
-    /// Attempts that wait for capacity, as all connections are in use.
+    /// Attempts that wait because all connections are in use, in order of arrival.
     waiting: VecDeque<SendAttempt>,
-    /// Attempts that wait until a connection to their node is reusable, and until when.
+    /// Attempts that wait until a connection to their node becomes reusable, with that time.
     delayed: Vec<(Instant, SendAttempt)>,
     next_id: u32,
     max_connections: usize,
     connect_timeout: TimeDelta,
     max_idle: TimeDelta,
     reports: Reports,
-    /// What happened since the start.
+    /// Counters since the host started.
     pub counters: NodeConnectionCounters,
 }
 
 impl NodeConnections {
-    /// At most `max_connections` connections, each established within `connect_timeout`. `node_idle_timeout` is when nodes close an idle
-    /// connection; zero if the settings name none.
+    /// Creates a set of at most `max_connections` connections, each established within `connect_timeout`. `node_idle_timeout` is the time
+    /// after which nodes close an idle connection; zero if the settings name none.
     pub(crate) fn new(
         max_connections: usize,
         connect_timeout: TimeDelta,
@@ -63,13 +63,13 @@
         }
     }
 
-    /// Connections that are established or being established.
+    /// Returns the number of connections that are established or being established.
     pub(crate) fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Sends an attempt to a node at its present address. An attempt waits only once for a connection to become reusable: others could
-    /// take that connection before it again and again, and it would wait until its deadline.
+    /// Sends an attempt to a node at its current address; without an address the attempt ends as refused. An attempt waits only once for
+    /// a connection to become reusable: others could take that connection repeatedly, and it would wait until its deadline.
     pub(crate) fn send(
         &mut self,
         now: Instant,
@@ -79,7 +79,7 @@
         results: &mut Vec<AttemptResult>,
     ) {
         let PendingAttempt { attempt, has_waited } = pending;
-        let Some(to) = to else { return results.push(ended(attempt.attempt, Outcome::Refused)) };
+        let Some(to) = to else { return results.push(unanswered(attempt.attempt, Outcome::Refused)) };
         while let Some(id) = self.idle.take(attempt.node, now, REUSE_DELAY) {
             let is_usable = |connection: &NodeConnection| {
                 connection.address == to && sockets::has_no_input(&connection.stream)
@@ -88,10 +88,10 @@
                 self.counters.reused += 1;
                 return self.begin(now, poller, id, attempt, results);
             }
-            // Its node has closed it while it was idle, or has moved.
+            // The node has closed the idle connection, or has moved to another address.
             self.connections.remove(&id);
         }
-        // Waiting a few milliseconds costs the client and the node less than a new connection.
+        // A wait of a few milliseconds costs the client and the node less than a new connection.
         let attempts_ahead = self.delayed.iter().filter(|(_, delayed)| delayed.node == attempt.node).count();
         let reusable_at = self.idle.reusable_at(attempt.node, now, REUSE_DELAY, attempts_ahead);
         if let Some(until) = reusable_at.filter(|_| !has_waited) {
@@ -104,7 +104,7 @@
         self.connect(now, poller, to, attempt, results);
     }
 
-    /// Whether one more connection may be opened; closes the oldest idle one for it if it must.
+    /// Returns whether one more connection may be opened. At the limit, closes the oldest idle connection first.
     fn has_capacity_for_one(&mut self, now: Instant) -> bool {
         if self.connections.len() >= self.max_connections {
             if let Some((node, id)) = self.idle.oldest(TimeDelta::ZERO, now) {
@@ -128,7 +128,7 @@
             Ok(stream) if poller.add(&stream, Token::NodeConnection(id), WRITE).is_ok() => stream,
             _ => {
                 self.counters.connect_failures += 1;
-                return results.push(ended(attempt.attempt, Outcome::Refused));
+                return results.push(unanswered(attempt.attempt, Outcome::Refused));
             }
         };
         self.next_id = self.next_id.wrapping_add(1);
@@ -139,7 +139,7 @@
         self.connections.insert(id, NodeConnection { node, address: to, stream, state });
     }
 
-    /// The connection is established: writes the attempt, unless it was cancelled or is too late.
+    /// Writes an attempt to an established connection, unless the attempt was cancelled or is too late.
     fn begin(
         &mut self,
         now: Instant,
@@ -154,7 +154,7 @@
             self.by_attempt.remove(&attempt.attempt);
             if claim == ClaimResult::TooLate {
                 self.counters.deadline_passed += 1;
-                results.push(ended(attempt.attempt, Outcome::Refused));
+                results.push(unanswered(attempt.attempt, Outcome::Refused));
             }
             connection.state = State::Idle;
             poller.change(&connection.stream, Token::NodeConnection(id), READ);
@@ -171,8 +171,8 @@
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let State::Busy { attempt, outgoing, .. } = &mut connection.state else { return };
         match sockets::write(&connection.stream, outgoing) {
-            // The node has not received the whole attempt, so it never ran.
-            Err(_) => self.end(id, Outcome::Refused, results),
+            // The node has not received the complete request, so it never ran.
+            Err(_) => self.end_attempt(id, Outcome::Refused, results),
             Ok(()) if outgoing.is_empty() => {
                 attempt.ticket.mark_written();
                 poller.change(&connection.stream, Token::NodeConnection(id), READ);
@@ -181,7 +181,7 @@
         }
     }
 
-    /// The socket of a connection is ready.
+    /// Handles a ready socket of a connection.
     pub(crate) fn handle_ready(
         &mut self,
         now: Instant,
@@ -206,7 +206,7 @@
                     || connection.stream.peer_addr().is_err();
                 if has_failed {
                     self.counters.connect_failures += 1;
-                    return self.end(id, Outcome::Refused, results);
+                    return self.end_attempt(id, Outcome::Refused, results);
                 }
                 if let State::Connecting { attempt, .. } =
                     std::mem::replace(&mut connection.state, State::Idle)
@@ -232,11 +232,11 @@
         let unsent = !outgoing.is_empty();
         let answered = match sockets::read(&connection.stream, &mut chunk) {
             ReadOutcome::Nothing => return,
-            // An answer without a length ends with its connection, if that ends in order. After a reset the rest may be missing.
+            // An answer without a length is complete at an orderly close. After a reset a part may be missing.
             ReadOutcome::End if !unsent && answer.ends_with_connection() => answer.handle_close(),
             ReadOutcome::End | ReadOutcome::Failed => {
                 self.counters.reset += u64::from(!unsent);
-                return self.end(id, if unsent { Outcome::Refused } else { Outcome::Reset }, results);
+                return self.end_attempt(id, if unsent { Outcome::Refused } else { Outcome::Reset }, results);
             }
             ReadOutcome::Bytes(len) => {
                 answer.push(&chunk[..len]);
@@ -249,19 +249,20 @@
             Err(error) => {
                 self.counters.malformed_answers += 1;
                 tracing::debug!(node = connection.node.0, %error, "malformed answer of a node");
-                self.end(id, Outcome::Error, results);
+                self.end_attempt(id, Outcome::Error, results);
             }
         }
     }
 
-    /// The answer to the attempt on a connection is complete: reports it, and keeps the connection if it may be reused.
+    /// Reports the complete answer to the attempt on a connection, and keeps the connection if it may be reused.
     fn finish(&mut self, now: Instant, id: u32, received: Response, results: &mut Vec<AttemptResult>) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let State::Busy { attempt, outgoing, answer } = &mut connection.state else { return };
-        let (closes, has_more, unsent) = (received.closes, answer.has_trailing_bytes(), !outgoing.is_empty());
+        let (closes, has_trailing_bytes, unsent) =
+            (received.closes, answer.has_trailing_bytes(), !outgoing.is_empty());
         let mut report = self.reports.read(received);
         if unsent && report.outcome == Outcome::Done {
-            // The node answered before it had the whole request, so the answer can't be for this request.
+            // The node answered before it had the complete request, so the answer can't be for this request.
             report.outcome = Outcome::Error;
         }
         let (number, node) = (attempt.attempt, connection.node);
@@ -269,12 +270,12 @@
             attempt: number,
             outcome: report.outcome,
             waiting: report.waiting,
-            // A node that reports no service of other hosts had none.
+            // A node that reports no service through other hosts had none.
             peer_units: Some(report.elsewhere.unwrap_or(0.0)),
             data: report.body,
         });
         self.by_attempt.remove(&number);
-        if closes || has_more || unsent {
+        if closes || has_trailing_bytes || unsent {
             self.connections.remove(&id);
         } else {
             connection.state = State::Idle;
@@ -282,13 +283,13 @@
         }
     }
 
-    /// Ends an attempt together with its connection.
-    fn end(&mut self, id: u32, outcome: Outcome, results: &mut Vec<AttemptResult>) {
+    /// Closes a connection and reports the outcome of the attempt on it, unless the attempt was cancelled.
+    fn end_attempt(&mut self, id: u32, outcome: Outcome, results: &mut Vec<AttemptResult>) {
         let Some(connection) = self.connections.remove(&id) else { return };
         if let State::Busy { attempt, .. } | State::Connecting { attempt, .. } = connection.state {
             self.by_attempt.remove(&attempt.attempt);
             if !attempt.ticket.is_withdrawn() {
-                results.push(ended(attempt.attempt, outcome));
+                results.push(unanswered(attempt.attempt, outcome));
             }
         }
     }
@@ -298,7 +299,7 @@
         self.connections.remove(&id);
     }
 
-    /// Cancels an attempt. Its connection is closed: HTTP/1.1 has no other way to withdraw a request.
+    /// Cancels an attempt. Its connection is closed, as HTTP/1.1 has no other way to cancel a request.
     pub(crate) fn cancel(&mut self, attempt: AttemptId) {
         match self.by_attempt.remove(&attempt) {
             Some(id) => {
@@ -312,8 +313,9 @@
         }
     }
 
-    /// Closes the connections on which no request has begun, except those to an address where their node is ready (`is_current`). An
-    /// attempt that waits for such a connection would otherwise be written to a draining node, or to whatever has the old address now.
+    /// Closes the connections on which no request has begun, except those to an address at which their node is ready (`is_current`). An
+    /// attempt that waits for such a connection would otherwise be written to a draining node, or to a process that now listens at the
+    /// node's former address.
     pub(crate) fn close_unused_unless(
         &mut self,
         is_current: impl Fn(NodeId, SocketAddr) -> bool,
@@ -329,11 +331,11 @@
             if let Some(connection) = self.connections.get(&id) {
                 self.idle.remove(connection.node, id);
             }
-            self.end(id, Outcome::Refused, results);
+            self.end_attempt(id, Outcome::Refused, results);
         }
     }
 
-    /// The client whose request waits for this connection to be established.
+    /// Returns the client whose request waits for this connection to be established.
     pub(crate) fn connecting_client(&self, id: u32) -> Option<u32> {
         match &self.connections.get(&id)?.state {
             State::Connecting { attempt, .. } => Some(attempt.from.session),
@@ -341,34 +343,34 @@
         }
     }
 
-    /// Closes connections that were not established in time, and old idle ones.
+    /// Closes connections that were not established in time, and those that have been idle for too long.
     pub(crate) fn handle_timeout(&mut self, now: Instant, results: &mut Vec<AttemptResult>) {
         let is_late = |connection: &NodeConnection| matches!(&connection.state, State::Connecting { until, .. } if *until <= now);
         let late = self.connections.iter().filter(|(_, connection)| is_late(connection));
         let late: Vec<u32> = late.map(|(id, _)| *id).collect();
         for id in late {
             self.counters.connect_failures += 1;
-            self.end(id, Outcome::Refused, results);
+            self.end_attempt(id, Outcome::Refused, results);
         }
         while let Some((node, id)) = self.idle.oldest(self.max_idle, now) {
             self.close(node, id);
         }
     }
 
-    /// When the next delayed attempt may be sent.
+    /// Returns when the next delayed attempt may be sent.
     pub(crate) fn poll_timeout(&self) -> Option<Instant> {
         self.delayed.iter().map(|(until, _)| *until).min()
     }
 
-    /// A delayed attempt that may be sent now.
-    pub(crate) fn delayed_attempt(&mut self, now: Instant) -> Option<PendingAttempt> {
+    /// Removes and returns a delayed attempt that may be sent now.
+    pub(crate) fn next_delayed_attempt(&mut self, now: Instant) -> Option<PendingAttempt> {
         let index = self.delayed.iter().position(|(until, _)| *until <= now)?;
         let (_, attempt) = self.delayed.remove(index);
         Some(PendingAttempt { attempt, has_waited: true })
     }
 
-    /// The attempt that has waited longest for capacity, if there is some now.
-    pub(crate) fn next_queued(&mut self) -> Option<PendingAttempt> {
+    /// Removes and returns the attempt that has waited longest for capacity, if there is capacity now.
+    pub(crate) fn next_waiting_attempt(&mut self) -> Option<PendingAttempt> {
         let has_capacity = self.connections.len() < self.max_connections || !self.idle.is_empty();
         if !has_capacity {
             return None;
@@ -378,7 +380,7 @@
     }
 }
 
-/// When the host closes an idle connection, from the idle timeout of nodes (zero: the settings name none).
+/// Returns the idle time after which the host closes a connection, from the idle timeout of nodes (zero if the settings name none).
 fn max_idle(node_idle_timeout: TimeDelta) -> TimeDelta {
     if node_idle_timeout > TimeDelta::ZERO {
         TimeDelta::from_secs(node_idle_timeout.secs() * IDLE_TIMEOUT_SHARE)
@@ -387,8 +389,9 @@
     }
 }
 
-/// The end of an attempt that its node has not answered. As in an answer without a report, no service through other hosts is known of.
-fn ended(attempt: AttemptId, outcome: Outcome) -> AttemptResult {
+/// Returns the result of an attempt that its node has not answered. As for an answer without a report, the service through other
+/// hosts is 0.
+fn unanswered(attempt: AttemptId, outcome: Outcome) -> AttemptResult {
     AttemptResult { peer_units: Some(0.0), ..AttemptResult::unanswered(attempt, outcome) }
 }
 
