--- a/crates/store/src/consensus_log.rs
+++ b/crates/store/src/consensus_log.rs
@@ -1,4 +1,4 @@
-//! Reads and writes the rows of the consensus log; docs/consensus.md describes the log.
+//! Reads and writes the rows of the consensus log, which docs/consensus.md describes.
 
 use crate::error::StoreProblem;
 use crate::log_rows::*;
@@ -12,7 +12,7 @@
 use tackmast_wire::consensus::{decode_entry, encode_entry};
 use tackmast_wire::reader::Fields;
 
-/// None where the store has no consensus log. Any row that is not as it was written is an error that names it.
+/// Reads the consensus log. Returns `None` if the store has none. A row that can't be decoded is an error that names it.
 pub(crate) fn read(transaction: &ReadTransaction) -> Result<Option<ConsensusStart>, StoreProblem> {
     let Ok(table) = transaction.open_table(LOG_STATE) else { return Ok(None) };
     let StoredIdentity { disk, boot } = read_row(&table, IDENTITY_KEY, decode_identity)?.unwrap_or_default();
@@ -37,7 +37,7 @@
     decode(row.value()).map(Some).ok_or(StoreProblem::LogState { key })
 }
 
-/// All entries, which have to follow on each other from `first_index` on.
+/// Returns all entries. Their indices must be consecutive and begin with `first_index`.
 fn read_entries(transaction: &ReadTransaction, first_index: u64) -> Result<Vec<Entry>, StoreProblem> {
     let mut entries = Vec::new();
     let Ok(table) = transaction.open_table(LOG_ENTRIES) else { return Ok(entries) };
@@ -53,7 +53,7 @@
     Ok(entries)
 }
 
-/// Reads the log and counts one start more; the disk's id is `random_id` if it has none yet.
+/// Reads the log and increments the number of starts. If the disk has no id yet, its id is made from `random_id`.
 pub(crate) fn open(
     database: &Database,
     random_id: u64,
@@ -62,7 +62,7 @@
     let mut start = read(&database.begin_read()?)?.unwrap_or_default();
     let identity = &mut start.identity;
     if identity.disk == 0 {
-        // Not 0, which stands for no id.
+        // An id of 0 would mean that the disk has none.
         identity.disk = random_id | 1;
     }
     identity.boot = identity.boot.saturating_add(1);
@@ -75,16 +75,16 @@
     Ok(start)
 }
 
-/// Writes what the consensus group's replica asked for; the caller commits.
+/// Writes what the replica of the consensus group requested to the transaction, which the caller commits.
 pub(crate) fn write(transaction: &WriteTransaction, log: &Write) -> Result<(), StoreProblem> {
     write_state(transaction, log)?;
     let mut entries = transaction.open_table(LOG_ENTRIES)?;
     if log.snapshot.is_some() {
         entries.retain(|_, _| false)?;
     }
-    let Some(LogSuffix { first_index, entries: suffix }) = &log.entries else { return Ok(()) };
+    let Some(LogSuffix { first_index, entries: new_entries }) = &log.entries else { return Ok(()) };
     entries.retain_in(*first_index.., |_, _| false)?;
-    for (index, entry) in (*first_index..).zip(suffix) {
+    for (index, entry) in (*first_index..).zip(new_entries) {
         let mut bytes = BytesMut::new();
         encode_entry(&mut bytes, entry);
         entries.insert(index, bytes.as_ref())?;
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,106 +1,106 @@
-//! Errors of the store.
+//! Errors of opening, reading and writing a store.
 
 use crate::tables::FORMAT;
 use std::path::PathBuf;
 use tackmast_wire::WireError;
 
-/// Why a store could not be opened, read or written.
+/// An error of opening, reading or writing a store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The file can't be used as a store; it was left as it was.
+    /// The file can't be used as a store; its contents were not changed.
     #[error("store {path}: {problem}; expected a tackmast store of format {FORMAT}. {advice}")]
     Unusable {
-        /// The store's file.
+        /// The file of the store.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The reason.
         problem: Box<StoreProblem>,
-        /// What an operator can do about it.
+        /// What an operator can do to start the host.
         advice: &'static str,
     },
-    /// The open store could not be read or written.
+    /// An open store could not be read or written.
     #[error("store {path}: {problem}")]
     Access {
-        /// The store's file.
+        /// The file of the store.
         path: PathBuf,
-        /// What went wrong.
+        /// The reason.
         problem: Box<StoreProblem>,
     },
 }
 
-/// What is wrong with a store, without its path.
+/// The reason of a [`StoreError`], without the path of the store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreProblem {
-    /// The database library can't read the file.
+    /// The database library panicked while it read the file.
     #[error("damaged")]
     Damaged,
-    /// A database without this program's tables.
+    /// The file is a database without the tables of a store.
     #[error("another program's file")]
     ForeignFile,
-    /// A store of another format.
+    /// The store has another version of the format.
     #[error("format {0}")]
     OtherFormat(u64),
-    /// A store that does not say its format.
+    /// The store has no version of the format.
     #[error("no format")]
     NoFormat,
-    /// An override that can't be read.
+    /// An override could not be parsed.
     #[error("override {number}: {source}")]
     Override {
-        /// Key of its row.
+        /// The key of its row.
         number: u64,
-        /// Why it can't be read.
+        /// The error of the parser.
         source: serde_json::Error,
     },
     /// A line of the change log of plans is missing.
-    #[error("change of plans {found}: expected {expected}")]
+    #[error("change log of plans, line {found}: expected {expected}")]
     ChangeNumber {
-        /// Key of the row.
+        /// The key of the row.
         found: u64,
-        /// Key of the row that is missing.
+        /// The key of the missing row.
         expected: u64,
     },
-    /// The row of a peer that can't be read.
+    /// The row of a peer could not be decoded.
     #[error("member {slot}: damaged")]
     Member {
-        /// Key of the row.
+        /// The key of the row.
         slot: u64,
     },
-    /// A named row of the consensus log that can't be read.
-    #[error("agreed {key}: damaged")]
+    /// A named row of the consensus log could not be decoded.
+    #[error("consensus log, row {key}: damaged")]
     LogState {
-        /// Key of the row.
+        /// The key of the row.
         key: &'static str,
     },
     /// An entry of the consensus log is missing.
-    #[error("agreed entry {found}: expected {expected}")]
+    #[error("consensus log, entry {found}: expected {expected}")]
     LogEntryIndex {
-        /// Key of the row.
+        /// The key of the row.
         found: u64,
-        /// Key of the row that is missing.
+        /// The key of the missing row.
         expected: u64,
     },
-    /// An entry of the consensus log that can't be read.
-    #[error("agreed entry {index}: {source}")]
+    /// An entry of the consensus log could not be decoded.
+    #[error("consensus log, entry {index}: {source}")]
     LogEntry {
-        /// Key of the row.
+        /// The key of the row.
         index: u64,
-        /// Why it can't be read.
+        /// The error of the parser.
         source: WireError,
     },
-    /// A line of the audit log that can't be read.
-    #[error("line {number}: {source}")]
+    /// A line of the audit log could not be parsed.
+    #[error("audit log, line {number}: {source}")]
     AuditLine {
-        /// Key of the row.
+        /// The key of the row.
         number: u64,
-        /// Why it can't be read.
+        /// The error of the parser.
         source: serde_json::Error,
     },
-    /// The file could not be looked up.
+    /// The metadata of the file could not be read.
     #[error(transparent)]
     File(#[from] std::io::Error),
     /// The database could not be opened.
     #[error(transparent)]
     Database(#[from] redb::DatabaseError),
-    /// A transaction could not be begun.
+    /// A transaction could not be started.
     #[error(transparent)]
     Transaction(#[from] Box<redb::TransactionError>),
     /// A table could not be opened.
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,16 +1,16 @@
-//! What a host must not lose, in an embedded database (redb): overrides with their audit log, the change log of plans, known
-//! peers, and the consensus log. A write is one transaction, synced before it is acknowledged: after any crash all that was
-//! acknowledged is there, and no write is there in part.
+//! The durable state of a host in an embedded database (redb): overrides and their audit log, the change log of plans, the
+//! known peers, and the consensus log. Each write is one transaction that is synced before it is acknowledged. After a
+//! crash, the store contains every acknowledged write and no partial one.
 //!
-//! | file | job |
+//! | file | contents |
 //! | --- | --- |
-//! | `store` | opens a store; reads and writes it |
-//! | `persisted_state` | reads all that a store holds when it is opened |
-//! | `update` | writes one update within a transaction |
+//! | `store` | opens, reads and writes a store |
+//! | `persisted_state` | reads the contents of a store when it is opened |
+//! | `update` | writes one update in a transaction |
 //! | `consensus_log` | reads and writes the rows of the consensus log |
-//! | `log_rows` | the bytes of these rows |
-//! | `tables` | names of tables and rows, and the format's version |
-//! | `error` | what can go wrong |
+//! | `log_rows` | encodes and decodes these rows |
+//! | `tables` | names of tables and rows, and the version of the format |
+//! | `error` | errors of the store |
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/store/src/log_rows.rs
+++ b/crates/store/src/log_rows.rs
@@ -1,21 +1,22 @@
-//! The bytes of the consensus log's named rows. Integers are big-endian; these forms are on hosts' disks.
+//! Encodes and decodes the named rows of the consensus log. Integers are big-endian. Existing store files contain these
+//! encodings.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use std::collections::BTreeMap;
 use tackmast_consensus::{DiskIdentity, HardState, LogPosition, Snapshot, Voters};
 use tackmast_wire::reader::Fields;
 
-/// Bytes of one voter: its slot and its disk.
-const VOTER_BYTES: usize = 12;
-/// Stands for no vote.
+/// Length in bytes of an encoded voter: its slot and the id of its disk.
+const VOTER_LEN: usize = 12;
+/// Encodes that there is no vote.
 const NO_VOTE: u32 = u32::MAX;
 
-/// What a store's own row says of its disk.
+/// The identity of a store's own disk, as it is stored.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct StoredIdentity {
-    /// The disk's id; 0 before one was drawn.
+    /// The id of the disk; 0 before one was chosen.
     pub disk: u64,
-    /// How often the log was opened.
+    /// The number of times that the log was opened.
     pub boot: u32,
 }
 
@@ -44,7 +45,7 @@
         let (slot, disk) = bytes.split_first_chunk::<4>()?;
         Some((u32::from_be_bytes(*slot), u64::from_be_bytes(disk.try_into().ok()?)))
     };
-    bytes.chunks(VOTER_BYTES).map(voter).collect()
+    bytes.chunks(VOTER_LEN).map(voter).collect()
 }
 
 pub(crate) fn encode_known_disks(known_disks: &BTreeMap<u32, DiskIdentity>) -> Vec<u8> {
--- a/crates/store/src/persisted_state.rs
+++ b/crates/store/src/persisted_state.rs
@@ -1,4 +1,4 @@
-//! Reads all that a store holds when it is opened.
+//! Reads the contents of a store when it is opened.
 
 use crate::consensus_log;
 use crate::error::StoreProblem;
@@ -10,22 +10,22 @@
 use tackmast_host_core::{ConsensusStart, KnownPeer, PersistedMembers};
 use tackmast_overrides::Override;
 
-/// What a store held when it was opened.
+/// The contents of a store when it was opened.
 #[derive(Debug, Default, PartialEq)]
 pub struct PersistedState {
-    /// Overrides by number.
+    /// The overrides, ordered by number.
     pub overrides: Vec<Override>,
-    /// Lowest number that no override ever had.
+    /// The lowest number that was never given to an override.
     pub next_override_id: u64,
-    /// The change log of plans, as it was written.
+    /// All lines of the change log of plans, with the bytes that were written.
     pub change_log: Vec<u8>,
-    /// The consensus log; none before it was first opened.
+    /// The consensus log; `None` before it was first opened.
     pub consensus_log: Option<ConsensusStart>,
-    /// What an earlier generation knew of peers, and the number of that generation.
+    /// The newest generation that was stored, and the peers that it knew.
     pub members: PersistedMembers,
 }
 
-/// Reads the store of an open database, once its format is known to be this one.
+/// Reads the contents of an open database, after a check of its format.
 pub(crate) fn read(database: &Database) -> Result<PersistedState, StoreProblem> {
     let transaction = database.begin_read()?;
     check_format(&transaction)?;
@@ -65,7 +65,7 @@
     Ok(overrides)
 }
 
-/// All lines of the change log. A store from before there was one has no table for it.
+/// Returns all lines of the change log. Stores of builds that had no change log lack its table.
 fn read_change_log(transaction: &ReadTransaction) -> Result<Vec<u8>, StoreProblem> {
     let mut change_log = Vec::new();
     let Ok(table) = transaction.open_table(CHANGES) else { return Ok(change_log) };
@@ -79,7 +79,7 @@
     Ok(change_log)
 }
 
-/// The newest generation and its peers. A store from before these were kept has no table for them.
+/// Returns the newest generation and its peers. Stores of builds that did not store peers lack their table.
 fn read_members(transaction: &ReadTransaction) -> Result<PersistedMembers, StoreProblem> {
     let generation = meta_number(transaction, GENERATION_KEY)?.unwrap_or(0);
     let mut peers = Vec::new();
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -11,41 +11,42 @@
 use tackmast_host_core::{ConsensusStart, PersistBatch};
 use tackmast_overrides::Audit;
 
-const MOVE_AWAY: &str =
+/// What an operator can do about a store that can't be opened.
+const RECOVERY_ADVICE: &str =
     "Nothing was changed. To start without what it holds, move the file away; overrides then have to be set anew";
-/// The name of a store that is not in a file, in its errors.
+/// Stands for the path in errors of a store that is not in a file.
 const BACKEND_NAME: &str = "memory";
 
-/// The open store of one host.
+/// An open store. Only one process at a time can have a store file open.
 pub struct Store {
     database: Database,
     path: PathBuf,
 }
 
-/// A store that was just opened, with what it held.
+/// The result of opening a store.
 pub struct OpenedStore {
-    /// The store, to write to.
+    /// The open store.
     pub store: Store,
-    /// What it held when it was opened.
+    /// The contents of the store when it was opened.
     pub state: PersistedState,
 }
 
 impl Store {
-    /// Opens the store, or makes a new one where there is no file.
+    /// Opens the store at `path`. Creates a new one if the file is missing or empty.
     pub fn open(path: &Path) -> Result<OpenedStore, StoreError> {
         let open = || {
             let is_new = is_missing_or_empty(path)?;
-            let database = catch_damage(|| open_database(path, is_new))?;
+            let database = catch_panic(|| open_database(path, is_new))?;
             if is_new {
                 create_tables(&database)?;
             }
-            let state = catch_damage(AssertUnwindSafe(|| persisted_state::read(&database)))?;
+            let state = catch_panic(AssertUnwindSafe(|| persisted_state::read(&database)))?;
             Ok(OpenedStore { store: Store { database, path: path.into() }, state })
         };
         open().map_err(|problem| unusable(path, problem))
     }
 
-    /// Opens the store on any storage backend of the database library; an empty one gets a new store.
+    /// Opens the store in a storage backend of the database library. Creates a new one if the backend is empty.
     pub fn open_backend(backend: impl redb::StorageBackend) -> Result<OpenedStore, StoreError> {
         let path = Path::new(BACKEND_NAME);
         let open = || {
@@ -60,35 +61,36 @@
         open().map_err(|problem| unusable(path, problem))
     }
 
-    /// Opens the consensus log for this start of the host: `random_id` becomes the id of a disk that has none yet, and the count of starts
-    /// is raised by one. Both are on the disk when this returns. No message about the log may be sent before: after a crash, the same count
-    /// would be used again, and peers could not tell an old copy of the disk from the disk itself.
+    /// Opens the consensus log for this start of the host. `random_id` becomes the id of a disk that has none yet, and the
+    /// number of starts is incremented; both are durable when this returns. No message about the log may be sent earlier:
+    /// after a crash, the host would use the same number again, and peers could not tell the disk from an old copy of it.
     pub fn open_consensus_log(&self, random_id: u64, generation: u64) -> Result<ConsensusStart, StoreError> {
-        consensus_log::open(&self.database, random_id, generation).map_err(|problem| self.access(problem))
+        consensus_log::open(&self.database, random_id, generation)
+            .map_err(|problem| self.access_error(problem))
     }
 
-    /// Writes all of the update or nothing; it is on the disk when this returns.
+    /// Writes the update in one transaction, which is durable when this returns.
     pub fn write(&self, update: &PersistBatch) -> Result<(), StoreError> {
         let write = || {
             let transaction = self.database.begin_write()?;
             update::write(&transaction, update)?;
             Ok(transaction.commit()?)
         };
-        write().map_err(|problem| self.access(problem))
+        write().map_err(|problem| self.access_error(problem))
     }
 
-    /// The last lines of the audit log, oldest first.
+    /// Returns the last lines of the audit log, at most `max_lines`, the oldest first.
     pub fn audit(&self, max_lines: usize) -> Result<Vec<Audit>, StoreError> {
-        read_audit(&self.database, max_lines).map_err(|problem| self.access(problem))
+        read_audit(&self.database, max_lines).map_err(|problem| self.access_error(problem))
     }
 
-    fn access(&self, problem: StoreProblem) -> StoreError {
+    fn access_error(&self, problem: StoreProblem) -> StoreError {
         StoreError::Access { path: self.path.clone(), problem: Box::new(problem) }
     }
 }
 
 fn unusable(path: &Path, problem: StoreProblem) -> StoreError {
-    StoreError::Unusable { path: path.into(), problem: Box::new(problem), advice: MOVE_AWAY }
+    StoreError::Unusable { path: path.into(), problem: Box::new(problem), advice: RECOVERY_ADVICE }
 }
 
 fn is_missing_or_empty(path: &Path) -> Result<bool, StoreProblem> {
@@ -104,9 +106,9 @@
     Ok(opened?)
 }
 
-/// Runs `read`, and reports a panic of it as damage. The database library trusts the lengths in a file, so it may panic on a damaged one,
-/// and the host would end without telling its operator which file to move away.
-fn catch_damage<T>(
+/// Runs `read` and returns a panic of it as [`StoreProblem::Damaged`]. The database library trusts the lengths in a file, so
+/// it may panic on a damaged one, and the host would exit without a message that names the file.
+fn catch_panic<T>(
     read: impl FnOnce() -> Result<T, StoreProblem> + std::panic::UnwindSafe,
 ) -> Result<T, StoreProblem> {
     catch_unwind(read).unwrap_or(Err(StoreProblem::Damaged))
--- a/crates/store/src/update.rs
+++ b/crates/store/src/update.rs
@@ -1,4 +1,4 @@
-//! Writes one update of a host within a transaction.
+//! Writes one update of a host in a transaction.
 
 use crate::consensus_log;
 use crate::error::StoreProblem;
@@ -7,10 +7,10 @@
 use tackmast_host_core::{KnownPeer, PersistBatch, PersistedMembers};
 use tackmast_overrides::Audit;
 
-/// The most lines of the audit log; the oldest are removed first.
+/// Maximum number of lines in the audit log. The oldest lines are removed first.
 const MAX_AUDIT_LINES: u64 = 100_000;
 
-/// Writes all parts of the update; the caller commits.
+/// Writes all parts of the update to the transaction, which the caller commits.
 pub(crate) fn write(transaction: &WriteTransaction, update: &PersistBatch) -> Result<(), StoreProblem> {
     write_overrides(transaction, update)?;
     write_changes(transaction, &update.changes)?;
@@ -52,10 +52,10 @@
 
 fn write_members(transaction: &WriteTransaction, members: &PersistedMembers) -> Result<(), StoreProblem> {
     let mut meta = transaction.open_table(META)?;
-    // Generations are drawn from the wall clock, which may have been set back. A lower number would make the host's peers take it for
-    // an earlier process, so the highest number is kept.
-    let stored = meta.get(GENERATION_KEY)?.map_or(0, |row| row.value());
-    meta.insert(GENERATION_KEY, stored.max(members.generation))?;
+    // A generation is taken from the wall clock, which may have been set back. Peers would treat a host with a lower
+    // generation as an earlier process, so the highest generation is kept.
+    let stored_generation = meta.get(GENERATION_KEY)?.map_or(0, |row| row.value());
+    meta.insert(GENERATION_KEY, stored_generation.max(members.generation))?;
     let mut table = transaction.open_table(MEMBERS)?;
     table.retain(|_, _| false)?;
     for KnownPeer { slot, generation, address } in &members.peers {
@@ -68,8 +68,8 @@
 
 fn append_audit(transaction: &WriteTransaction, lines: &[Audit]) -> Result<(), StoreProblem> {
     let mut audit = transaction.open_table(AUDIT)?;
-    let first = audit.last()?.map_or(0, |(number, _)| number.value() + 1);
-    for (number, line) in (first..).zip(lines) {
+    let first_number = audit.last()?.map_or(0, |(number, _)| number.value() + 1);
+    for (number, line) in (first_number..).zip(lines) {
         let bytes = serde_json::to_vec(line).unwrap_or_default();
         audit.insert(number, bytes.as_slice())?;
     }
--- a/crates/store/tests/stored_format.rs
+++ b/crates/store/tests/stored_format.rs
@@ -1,9 +1,9 @@
-//! Guards the stored form of a host's store: a file that an earlier build wrote must open and hold exactly what was
-//! written, down to the bytes of each row.
+//! Guards the format of a host's store: a file that an earlier build wrote must open and have exactly what was written,
+//! down to the bytes of each row.
 //!
-//! `fixtures/store.runs` is such a file, in hex with runs of equal rows counted. It was written by the test
-//! `write_fixture`, which does nothing unless the environment variable of `WRITE_FIXTURE` is set. Write it anew only where a
-//! new `FORMAT` is meant, and then beside the old one: stores of this form are on hosts' disks.
+//! `fixtures/store.runs` is such a file, as run-length encoded hex. The test `write_fixture` writes it, if the environment
+//! variable that `WRITE_FIXTURE` names is set. Only a new `FORMAT` needs a new fixture, which is then added beside the old
+//! one: hosts have stores of the old format.
 
 use redb::{ReadableTable, TableDefinition};
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 use tackmast_store::{OpenedStore, PersistedState, Store};
 
 const WRITE_FIXTURE: &str = "TACKMAST_WRITE_FIXTURE";
-/// Bytes of a row of the encoded file.
+/// Bytes in a row of the encoded file.
 const ROW_BYTES: usize = 32;
 const CHANGE_LOG: [&str; 3] = ["{\"number\":0}\n", "{\"number\":1}\n", "{\"number\":2}\n"];
 const SET_US: u64 = 1_700_000_000_000_000;
@@ -28,12 +28,13 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/store.runs")
 }
 
-/// The rows of the fixture as text, so that a change of them can be read in a review.
+/// Returns the path of the fixture's rows as text, in which a reviewer can read a change.
 fn rows_path() -> PathBuf {
     fixture_path().with_file_name("store_rows.txt")
 }
 
-/// Run-length encoding, since most of the file is rows of 00 or ff: lines of `COUNT HEX` for so many of one row of bytes.
+/// Encodes bytes as lines of `COUNT HEX`: the number of equal rows that follow each other, and the bytes of one. Most rows
+/// of the file are all 00 or all ff.
 fn encode_runs(bytes: &[u8]) -> String {
     let rows: Vec<&[u8]> = bytes.chunks(ROW_BYTES).collect();
     let line = |run: &[&[u8]]| {
@@ -113,7 +114,7 @@
     peers.map(|(slot, generation, address)| KnownPeer { slot, generation, address }).to_vec()
 }
 
-/// Writes a store step by step, as a host does: rows of each table, some of them removed or overwritten later.
+/// Writes a store in several updates, as a host does: rows of each table, some of them removed or overwritten later.
 fn write_store(path: &Path) {
     let OpenedStore { store, .. } = Store::open(path).unwrap();
     let overrides = all_overrides();
@@ -179,7 +180,7 @@
     Entry { term: 4, payload: EntryPayload::Voters(voters(&[(0, 11), (4, 33)])) }
 }
 
-/// Writes the fixture, if the environment asks for it; else does nothing.
+/// Writes the fixture if the environment variable is set; otherwise does nothing.
 #[test]
 fn write_fixture() {
     if std::env::var_os(WRITE_FIXTURE).is_none() {
@@ -195,7 +196,7 @@
     std::fs::write(rows_path(), dump(&path).join("\n") + "\n").unwrap();
 }
 
-/// A copy of the fixture, to be opened; the folder is removed with its handle.
+/// Returns a copy of the fixture in a temporary directory, which is removed when its handle is dropped.
 fn copy_of_fixture() -> (tempfile::TempDir, PathBuf) {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("store.redb");
@@ -223,9 +224,10 @@
     }
 }
 
-/// A renaming changes a stored key. After an upgrade a host would start without its overrides, plans or log.
+/// Guards against a stored key that changes with a Rust name: after an upgrade a host would start without its overrides, plans
+/// or consensus log.
 #[test]
-fn a_store_of_an_earlier_build_has_what_was_written() {
+fn a_store_of_an_earlier_build_is_read() {
     let (_folder, path) = copy_of_fixture();
     let OpenedStore { store: _store, state } = Store::open(&path).unwrap();
     let expected = PersistedState {
@@ -238,9 +240,9 @@
     assert_eq!(state, expected);
 }
 
-/// The same for the audit log, which operators read long after.
+/// Guards the audit log in the same way; operators read its lines long after they were written.
 #[test]
-fn an_audit_log_of_an_earlier_build_reads_as_it_was_written() {
+fn an_audit_log_of_an_earlier_build_is_read() {
     let (_folder, path) = copy_of_fixture();
     let OpenedStore { store, .. } = Store::open(&path).unwrap();
     let line = |at_us, kind, id: Option<u64>, who: &str, what: &str| Audit {
@@ -269,7 +271,7 @@
     assert_eq!(store.audit(100).unwrap(), expected);
 }
 
-/// A host of this build takes over the store of an earlier one. What both wrote must be there.
+/// Covers a host of this build that writes to the store of an earlier one. The store must have the rows of both.
 #[test]
 fn a_store_of_an_earlier_build_can_be_written() {
     let (_folder, path) = copy_of_fixture();
@@ -285,7 +287,7 @@
     assert_eq!(state.consensus_log, Some(expected_log(2, 0)));
 }
 
-/// All rows of all tables as text: `TABLE KEY: VALUE`, with values that are not text in hex.
+/// Returns all rows of all tables as `TABLE KEY: VALUE`. Binary values are in hex, others are the number or the JSON text.
 fn dump(path: &Path) -> Vec<String> {
     let numbers = TableDefinition::<&str, u64>::new("tackmast");
     let named = TableDefinition::<&str, &[u8]>::new("agreed");
@@ -318,13 +320,13 @@
     rows
 }
 
-/// An operator goes back to the earlier build. It must find the rows that it knows, byte for byte.
+/// Guards a downgrade to the earlier build, which must find the rows that it knows, byte for byte.
 #[test]
 fn a_store_that_this_build_writes_has_the_rows_of_an_earlier_build() {
     let (folder, earlier) = copy_of_fixture();
-    let today = folder.path().join("today.redb");
-    write_store(&today);
-    assert_eq!(dump(&today), dump(&earlier));
+    let written_now = folder.path().join("written-now.redb");
+    write_store(&written_now);
+    assert_eq!(dump(&written_now), dump(&earlier));
     let expected = std::fs::read_to_string(rows_path()).unwrap();
     assert_eq!(dump(&earlier), expected.lines().collect::<Vec<_>>());
 }
