--- a/crates/admin/src/client.rs
+++ b/crates/admin/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls a host over its admin socket.
+//! The client side of the admin protocol.
 
 use crate::line::{read_line, write_line, Line};
 use crate::{Answer, Call, VERSION};
@@ -7,34 +7,35 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Why a call got no answer.
+/// The reason why a call got no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The socket failed, or its timeout passed.
+    /// An operation on the socket failed or timed out.
     #[error("host {}: {source}", socket.display())]
     Socket {
-        /// The host's admin socket.
+        /// The path of the host's admin socket.
         socket: PathBuf,
-        /// What the system reports.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The host closed the connection.
+    /// The host closed the connection without an answer.
     #[error("host {}: closed without an answer", socket.display())]
     Closed {
-        /// The host's admin socket.
+        /// The path of the host's admin socket.
         socket: PathBuf,
     },
-    /// The line is no answer of this version.
+    /// The line is not an answer of this protocol version.
     #[error("host {}: {source}; expected an answer of version {VERSION}", socket.display())]
     Answer {
-        /// The host's admin socket.
+        /// The path of the host's admin socket.
         socket: PathBuf,
-        /// Where the line differs.
+        /// The error of the parser.
         source: serde_json::Error,
     },
 }
 
-/// Calls the host whose admin socket this is; each read and write may take as long as `timeout`.
+/// Sends a call to the host whose admin socket is at `socket`, and returns the host's answer. Each read and each write may
+/// take as long as `timeout`.
 pub fn call(socket: &Path, call: &Call, timeout: Duration) -> Result<Answer, CallError> {
     let text = exchange(socket, call, timeout)
         .map_err(|source| CallError::Socket { socket: socket.to_owned(), source })?
@@ -44,7 +45,7 @@
     Ok(line.body)
 }
 
-/// Sends the call and reads one line; none: the host has closed.
+/// Sends the call and reads one line. Returns `None` if the host closed the connection first.
 fn exchange(socket: &Path, call: &Call, timeout: Duration) -> std::io::Result<Option<String>> {
     let mut stream = UnixStream::connect(socket)?;
     stream.set_read_timeout(Some(timeout))?;
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,9 +1,9 @@
-//! The admin protocol: over a local socket, one line of JSON for each call and one for its answer. Version 1.
+//! The admin protocol, version 1: one line of JSON for each call and one for its answer, over a local socket.
 //!
-//! | file | job |
+//! | file | contents |
 //! | --- | --- |
-//! | `message` | calls and answers |
-//! | `line` | lines of JSON: read, parsed, written |
+//! | `message` | the types of calls and answers |
+//! | `line` | reads, parses and writes lines of JSON |
 //! | `client` | calls a host over its socket |
 
 #![warn(missing_docs, unreachable_pub)]
--- a/crates/admin/src/line.rs
+++ b/crates/admin/src/line.rs
@@ -1,37 +1,39 @@
-//! Lines of JSON: how one is read, parsed and written.
+//! Reads, parses and writes the lines of JSON of the admin protocol.
 
 use crate::{Call, VERSION};
 use serde::{Deserialize, Serialize};
 use std::io::{BufRead, Read, Write};
 
-/// Bytes of one line, at most.
+/// Maximum length of a line in bytes, with its line break.
 pub(crate) const MAX_LINE_LEN: u64 = 4 << 20;
 
-/// A line of the protocol.
+/// A line of the protocol, which is a call or an answer with the version of the protocol.
 #[derive(Serialize, Deserialize)]
 pub struct Line<T> {
-    /// Version of the protocol.
+    /// The version of the protocol; `v` in JSON.
     #[serde(rename = "v")]
     pub version: u32,
     /// The call or the answer.
     pub body: T,
 }
 
-/// Why a line is not a call.
+/// The reason why a line is not a call.
 #[derive(Debug, thiserror::Error)]
 pub enum ParseError {
-    /// It is of another version.
+    /// The line has another protocol version.
     #[error("version {0}; expected {VERSION}")]
     Version(u32),
-    /// It has no version and body.
+    /// The line is not a JSON object with a version.
     #[error("{0}; expected a line of JSON with v and body")]
     Line(#[source] serde_json::Error),
-    /// Its body is no call of this version.
+    /// The body is missing or is not a call of this protocol version.
     #[error("{0}; expected a call of version {VERSION}")]
     Call(#[source] serde_json::Error),
 }
 
-/// Reads one line of at most `MAX_LINE_LEN` bytes; none: the peer has closed.
+/// Reads one line with its line break. Returns `None` if the peer closed the connection before it.
+///
+/// A line without a line break, or with more than 4 MiB, is an error.
 pub fn read_line(from: &mut impl BufRead) -> std::io::Result<Option<String>> {
     let mut text = String::new();
     let length = from.take(MAX_LINE_LEN).read_line(&mut text)?;
@@ -39,7 +41,7 @@
         (0, _) => Ok(None),
         (_, true) => Ok(Some(text)),
         _ => Err(std::io::Error::other(format!(
-            "a line without an end in {length} bytes; expected at most {MAX_LINE_LEN}"
+            "no line break in {length} bytes; expected a line of at most {MAX_LINE_LEN} bytes"
         ))),
     }
 }
@@ -51,7 +53,7 @@
     Ok(line.body)
 }
 
-/// The version is checked first: a later one may have calls that this one can't read.
+/// Checks the version before the body is parsed, since a later version may have calls that this one can't parse.
 fn check_version(text: &str) -> Result<(), ParseError> {
     #[derive(Deserialize)]
     struct Versioned {
--- a/crates/admin/src/message.rs
+++ b/crates/admin/src/message.rs
@@ -1,36 +1,36 @@
-//! Calls of operators and answers of the host.
+//! The calls of operators and the answers of the host.
 
 use serde::{Deserialize, Serialize};
 use tackmast_host_core::{AdminRequest, AdminResponse};
 use tackmast_overrides::Audit;
 
-/// Version of the protocol.
+/// The version of the admin protocol.
 pub const VERSION: u32 = 1;
 
-/// What an operator calls the host for.
+/// A call of an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Call {
-    /// A question or an order for the host's core.
+    /// A request to the host's core.
     #[serde(rename = "ask")]
     AdminRequest(AdminRequest),
-    /// The last lines of the audit log.
+    /// A request for the last lines of the audit log.
     Audit {
-        /// How many of them, at most.
+        /// The maximum number of lines.
         #[serde(rename = "most")]
         max_lines: usize,
     },
 }
 
-/// The host's answer.
+/// The host's answer to a call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answer {
-    /// What the host's core replied.
+    /// The response of the host's core.
     #[serde(rename = "reply")]
     AdminResponse(Box<AdminResponse>),
-    /// Lines of the audit log.
+    /// The lines of the audit log, the oldest first.
     Audit(Vec<Audit>),
-    /// Why the call could not be answered.
+    /// The reason why the call could not be answered.
     Error(String),
 }
--- a/crates/admin/tests/json_forms.rs
+++ b/crates/admin/tests/json_forms.rs
@@ -1,5 +1,5 @@
-//! Guards the JSON lines of the admin protocol, version 1: every kind of call and answer. Operators' scripts and commands of
-//! other builds read and write these texts; `tackmast ... --json` prints parts of them.
+//! Guards the JSON of every kind of call and answer of the admin protocol, version 1. Operators' scripts and commands of
+//! other builds read and write this JSON, and `tackmast ... --json` prints parts of it.
 
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
@@ -14,16 +14,16 @@
 };
 use tackmast_plans::{Catalogue, Change, Fleet, Plan, Step, TrafficClass, Volume};
 
-/// The value is written as the literal text, and the literal is read back as the value.
+/// Checks that the value serializes to the text, and that the text deserializes to the value.
 #[track_caller]
-fn assert_form<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
+fn assert_json<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
     assert_eq!(serde_json::to_string(value).unwrap(), text);
     assert_eq!(&serde_json::from_str::<T>(text).unwrap(), value);
 }
 
 #[track_caller]
 fn assert_reply(reply: AdminResponse, text: &str) {
-    assert_form(&Answer::AdminResponse(Box::new(reply)), text);
+    assert_json(&Answer::AdminResponse(Box::new(reply)), text);
 }
 
 fn node() -> std::net::SocketAddr {
@@ -68,7 +68,7 @@
     Fleet { hosts: 4, max_units: 8.0, bears: [(0, 100.5)].into() }
 }
 
-/// A command of another build sets, clears or lists overrides. The host has to read its lines as they were.
+/// Guards the calls by which commands of other builds set, clear and list overrides.
 #[test]
 fn calls_about_overrides() {
     let override_request = OverrideRequest {
@@ -85,66 +85,67 @@
         dry_run: false,
         if_version: Some(4),
     };
-    assert_form(
+    assert_json(
         &Call::AdminRequest(set),
         r#"{"ask":{"set":{"order":{"target":"zone:1","kind":{"weight":0.25},"reason":"power","who":"ann","seconds":90.5},"force":true,"dry_run":false,"if_version":4}}}"#,
     );
     let dry = AdminRequest::Set { override_request, force: false, dry_run: true, if_version: None };
-    assert_form(
+    assert_json(
         &Call::AdminRequest(dry),
         r#"{"ask":{"set":{"order":{"target":"zone:1","kind":{"weight":0.25},"reason":"power","who":"ann","seconds":90.5},"force":false,"dry_run":true,"if_version":null}}}"#,
     );
-    assert_form(
+    assert_json(
         &Call::AdminRequest(AdminRequest::Clear { id: OverrideId(3), who: "bob".into() }),
         r#"{"ask":{"clear":{"id":3,"who":"bob"}}}"#,
     );
-    assert_form(&Call::AdminRequest(AdminRequest::List), r#"{"ask":"list"}"#);
-    assert_form(
+    assert_json(&Call::AdminRequest(AdminRequest::List), r#"{"ask":"list"}"#);
+    assert_json(
         &Call::AdminRequest(AdminRequest::Explain { address: node() }),
         r#"{"ask":{"explain":{"address":"10.0.0.1:9000"}}}"#,
     );
-    assert_form(&Call::AdminRequest(AdminRequest::Status), r#"{"ask":"status"}"#);
-    assert_form(&Call::AdminRequest(AdminRequest::Members), r#"{"ask":"members"}"#);
-    assert_form(&Call::Audit { max_lines: 20 }, r#"{"audit":{"most":20}}"#);
+    assert_json(&Call::AdminRequest(AdminRequest::Status), r#"{"ask":"status"}"#);
+    assert_json(&Call::AdminRequest(AdminRequest::Members), r#"{"ask":"members"}"#);
+    assert_json(&Call::Audit { max_lines: 20 }, r#"{"audit":{"most":20}}"#);
 }
 
-/// A script of an operator changes plans by lines that it wrote for an earlier build.
+/// Guards the calls by which scripts for earlier builds change plans.
 #[test]
 fn calls_about_plans() {
-    assert_form(&Call::AdminRequest(AdminRequest::Plan(PlanRequest::Show)), r#"{"ask":{"plan":"show"}}"#);
-    assert_form(
+    assert_json(&Call::AdminRequest(AdminRequest::Plan(PlanRequest::Show)), r#"{"ask":{"plan":"show"}}"#);
+    assert_json(
         &Call::AdminRequest(AdminRequest::Plan(PlanRequest::Apply { change: change(), dry_run: true })),
         r#"{"ask":{"plan":{"apply":{"change":{"base":0,"steps":[{"plan":{"name":"basic","to":{"limit":20.0,"burst":60.0,"slack":8.5,"reserve":5.0,"weight":1.0,"floor":2.5}}},{"stream":{"name":"read","to":{"slo_ms":100.0,"expiry_ms":1000.0}}},{"volume":{"name":"school","to":{"lun":1,"plan":"basic","blocks":100,"extent_blocks":10,"shards":[0],"through":[0,1],"reads":"read","writes":"read"}}}],"who":"ann","why":"begin"},"dry_run":true}}}}"#,
     );
     let undo = PlanRequest::Undo { number: 4, who: "ann".into(), why: "wrong".into(), dry_run: false };
-    assert_form(
+    assert_json(
         &Call::AdminRequest(AdminRequest::Plan(undo)),
         r#"{"ask":{"plan":{"undo":{"number":4,"who":"ann","why":"wrong","dry_run":false}}}}"#,
     );
-    assert_form(&Call::AdminRequest(AdminRequest::Plan(PlanRequest::Log)), r#"{"ask":{"plan":"log"}}"#);
+    assert_json(&Call::AdminRequest(AdminRequest::Plan(PlanRequest::Log)), r#"{"ask":{"plan":"log"}}"#);
 }
 
-/// An operator forces a group whose voters are lost, with a command of another build.
+/// Guards the calls by which commands of other builds control the consensus group, for example force a new log after the loss
+/// of its voters.
 #[test]
 fn calls_about_consensus() {
     let call = |ask| Call::AdminRequest(AdminRequest::Consensus(ask));
     let (who, why) = ("ann".to_owned(), "disks lost".to_owned());
-    assert_form(&call(ConsensusRequest::Status), r#"{"ask":{"agreement":"status"}}"#);
-    assert_form(
+    assert_json(&call(ConsensusRequest::Status), r#"{"ask":{"agreement":"status"}}"#);
+    assert_json(
         &call(ConsensusRequest::Voter { host: 3, votes: true }),
         r#"{"ask":{"agreement":{"voter":{"host":3,"votes":true}}}}"#,
     );
-    assert_form(
+    assert_json(
         &call(ConsensusRequest::Force { who: who.clone(), why: why.clone() }),
         r#"{"ask":{"agreement":{"force":{"who":"ann","why":"disks lost"}}}}"#,
     );
-    assert_form(
+    assert_json(
         &call(ConsensusRequest::Forget { who, why }),
         r#"{"ask":{"agreement":{"forget":{"who":"ann","why":"disks lost"}}}}"#,
     );
 }
 
-/// A script reads what a host answers about overrides. A renamed field would look like a missing one.
+/// Guards the answers about overrides that scripts read. To a script, a renamed field would be a missing one.
 #[test]
 fn answers_about_overrides() {
     let out = OverrideEffect { service: Service::Out, weight: 1.0 };
@@ -203,7 +204,7 @@
     );
 }
 
-/// A script reads the status of a host and its counters.
+/// Guards the status and the counters of a host that scripts read.
 #[test]
 fn answers_about_a_host() {
     let status = HostStatus {
@@ -281,7 +282,7 @@
     }
 }
 
-/// A script reads how a host sees its peers.
+/// Guards the answer by which scripts read a host's view of its peers.
 #[test]
 fn answers_about_members() {
     assert_reply(
@@ -294,9 +295,9 @@
     );
 }
 
-/// A newer command asks a host of an earlier build, whose answer lacks newer fields.
+/// Covers a command that calls a host of an earlier build, whose answer lacks newer fields.
 #[test]
-fn members_of_an_earlier_build_are_read() {
+fn the_members_answer_of_an_earlier_build_is_read() {
     let text = "{\"host\":0,\"there\":2,\"peers\":[{\"host\":1,\"health\":\"alive\",\"address\":\"10.9.0.1:7000\",                \"life\":7,\"since_s\":1.0}],\"loans\":[],\"displaced\":false,\"sent\":1,\"sent_bytes\":2,                \"taken\":3,\"dropped\":4}";
     let peer = PeerStatus {
         host: 1,
@@ -319,7 +320,7 @@
     assert_eq!(serde_json::from_str::<MembersStatus>(text).unwrap(), expected);
 }
 
-/// A script reads plans and the log of their changes.
+/// Guards the plans and the log of their changes that scripts read.
 #[test]
 fn answers_about_plans() {
     let reply = |r| AdminResponse::Plan(r);
@@ -365,7 +366,7 @@
     );
 }
 
-/// A script reads the state of consensus, with and without a lease.
+/// Guards the state of consensus that scripts read.
 #[test]
 fn answers_about_consensus() {
     let reply = |r| AdminResponse::Consensus(r);
@@ -415,7 +416,7 @@
     );
 }
 
-/// A script reads the audit log, and the error of a call that the host can't serve.
+/// Guards the lines of the audit log that scripts read, and the error of a call that the host can't serve.
 #[test]
 fn audit_lines_and_errors() {
     let ended = Audit {
@@ -425,16 +426,16 @@
         who: "host 1".into(),
         what: "gone".into(),
     };
-    assert_form(
+    assert_json(
         &Answer::Audit(vec![Audit::set(&record(), true), ended]),
         r#"{"audit":[{"at_us":1700000000000000,"kind":"set","id":3,"who":"ann","what":"10.0.0.1:9000 out of service: disk \"smokes\" (set by ann), forced"},{"at_us":1700000000000002,"kind":"ended_away","id":null,"who":"host 1","what":"gone"}]}"#,
     );
-    assert_form(&Answer::Error("no such call".into()), r#"{"error":"no such call"}"#);
+    assert_json(&Answer::Error("no such call".into()), r#"{"error":"no such call"}"#);
 }
 
-/// A host reads the version of a line before it knows whether it can read the rest.
+/// Guards the position of the version: a host reads it before it parses the rest of the line.
 #[test]
-fn a_line_carries_the_version_before_the_body() {
+fn a_line_has_the_version_before_the_body() {
     let text = "{\"v\":1,\"body\":{\"audit\":{\"most\":20}}}\n";
     let mut written = Vec::new();
     write_line(&mut written, Call::Audit { max_lines: 20 }).unwrap();
