--- a/crates/config/src/blocks.rs
+++ b/crates/config/src/blocks.rs
@@ -1,4 +1,5 @@
-//! The settings blocks, one a file: fields, defaults and checks. Times are in the unit that a field's name ends in.
+//! The settings blocks, one in each file, with their fields, defaults and checks. The suffix of a field's name is the unit of
+//! its time.
 
 mod bounds;
 mod consensus;
@@ -30,7 +31,7 @@
 
 pub(crate) use volume::VolumeContext;
 
-/// Part by which steady clocks of two hosts may run apart, where a block names none.
+/// The default of the fraction by which the rates of two hosts' monotonic clocks may differ.
 fn default_clock_drift() -> f64 {
     0.001
 }
--- a/crates/config/src/blocks/bounds.rs
+++ b/crates/config/src/blocks/bounds.rs
@@ -1,49 +1,50 @@
-//! Block `bounds`: what each table and queue may hold, and how long peers may be silent.
+//! Block `bounds`: the bounds of tables, queues and timeouts.
 
 use crate::checks::BlockChecks;
 use crate::{ConfigError, Document};
 use serde::Deserialize;
 
-/// `bounds { ... }`: what each table and queue may hold. What is over a bound is rejected.
+/// `bounds { ... }`: the bounds of tables, queues and timeouts. What exceeds a bound is rejected.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// Sessions of clients.
+    /// Maximum number of client sessions.
     pub sessions: usize,
-    /// Commands open in one session.
+    /// Maximum number of open commands in one session.
     pub window: u32,
-    /// Requests open at the host.
+    /// Maximum number of requests open at the host.
     #[serde(rename = "transfers")]
     pub requests: usize,
-    /// Bytes of the requests open at the host.
+    /// Maximum total size of the requests open at the host, in bytes.
     pub bytes: usize,
-    /// Bytes of one command.
+    /// Maximum size of one command, in bytes.
     pub command_bytes: u32,
-    /// Bytes of immediate data.
+    /// Maximum size of immediate data, in bytes.
     pub first_burst: u32,
-    /// Bytes of one data unit.
+    /// Maximum size of one data segment, in bytes.
     pub segment: u32,
-    /// Bytes of one solicited sequence.
+    /// Maximum size of one solicited data sequence, in bytes.
     pub burst: u32,
-    /// Parts of one command, where it touches several extents.
+    /// Maximum number of parts of a command that covers several extents.
     pub parts: usize,
-    /// Nodes of the node list.
+    /// Maximum number of nodes in the node list.
     pub nodes: usize,
-    /// Connections to one node.
+    /// Number of connections to each node.
     pub links: usize,
-    /// Attempts waiting to be written on each connection to a node.
+    /// Maximum number of attempts that wait to be written to one connection to a node.
     pub link_queue: usize,
-    /// Bytes in flight on one connection to a node: what was sent can't be taken back.
+    /// Maximum number of bytes in flight on one connection to a node. They are bounded because bytes that were sent can't be
+    /// withdrawn.
     pub link_bytes: u32,
-    /// Time in which a connection to a node must be open.
+    /// Time within which a connection to a node must be established.
     pub connect_ms: u64,
-    /// Time after which a client that takes no byte is disconnected.
+    /// Time after which a client that accepts no byte is disconnected.
     pub client_stall_ms: u64,
     /// Time after which a silent connection to a node is closed.
     pub link_silence_ms: u64,
-    /// Time a client may take to log in.
+    /// Time within which a client must log in.
     pub login_ms: u64,
-    /// Time that open requests have when the host is asked to end.
+    /// Time that open requests have to finish when the host shuts down.
     pub drain_ms: u64,
 }
 
--- a/crates/config/src/blocks/consensus.rs
+++ b/crates/config/src/blocks/consensus.rs
@@ -7,27 +7,27 @@
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
 
-/// How many hosts may vote.
-const VOTERS: RangeInclusive<usize> = 1..=7;
+/// The number of voters that a group may have.
+const VOTER_COUNT: RangeInclusive<usize> = 1..=7;
 
-/// `agreement { ... }`: changes of plans go through a replicated log that a few hosts vote on. Without the block the home
-/// of the block `plans` takes them alone.
+/// `agreement { ... }`: changes of plans go through a replicated log on which a few hosts vote. Without the block, the home
+/// in the block `plans` accepts them alone.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ConsensusBlock {
-    /// Numbers of the initial voters; later the log itself has the configuration.
+    /// Numbers of the initial voters. Later changes of the voters are in the log.
     pub voters: Vec<u32>,
-    /// For how long a host's catalog is valid after it last asked: the longest for which two hosts go by changes that
-    /// contradict each other.
+    /// How long a host's catalog is valid after the host last requested the newest. This bounds how long two hosts can use
+    /// contradictory changes.
     #[serde(default = "default_lease_s")]
     pub lease_s: f64,
-    /// Time between two messages of a leader.
+    /// Time between two heartbeats of a leader.
     #[serde(rename = "beat_ms", default = "default_heartbeat_interval_ms")]
     pub heartbeat_interval_ms: f64,
-    /// Shortest time without a message of a leader after which there is an election.
+    /// Shortest time without a message of a leader after which a voter starts an election.
     #[serde(rename = "patience_ms", default = "default_election_timeout_ms")]
     pub election_timeout_ms: f64,
-    /// Part by which steady clocks may run apart.
+    /// Fraction by which the rates of two hosts' monotonic clocks may differ.
     #[serde(default = "default_clock_drift")]
     pub drift: f64,
 }
@@ -45,7 +45,7 @@
 }
 
 impl ConsensusBlock {
-    /// Reads and checks the block, if it is there.
+    /// Reads and checks the block. Returns `None` if it is missing.
     pub(crate) fn read(
         document: &Document,
         host: &Identity,
@@ -56,9 +56,9 @@
         let checks = BlockChecks::new(document, "agreement");
         block.check_times(&checks)?;
         block.check_voters(&checks, host)?;
-        for (name, is_there) in [("plans", plans.is_some()), ("membership", membership.is_some())] {
-            if !is_there {
-                let expected = "one: hosts agree on plans, over its way";
+        for (name, is_present) in [("plans", plans.is_some()), ("membership", membership.is_some())] {
+            if !is_present {
+                let expected = "one: consensus on changes of plans needs plans and membership";
                 return Err(checks.block_error(format!("no {name} block"), expected));
             }
         }
@@ -77,7 +77,7 @@
         let distinct: BTreeSet<u32> = self.voters.iter().copied().collect();
         let is_distinct = distinct.len() == self.voters.len();
         let are_hosts = distinct.iter().all(|voter| *voter < host.hosts);
-        if VOTERS.contains(&distinct.len()) && is_distinct && are_hosts {
+        if VOTER_COUNT.contains(&distinct.len()) && is_distinct && are_hosts {
             return Ok(());
         }
         let expected = format!("1 to 7 different numbers below {}", host.hosts);
--- a/crates/config/src/blocks/identity.rs
+++ b/crates/config/src/blocks/identity.rs
@@ -1,4 +1,4 @@
-//! Block `host`: which host this is and where it listens.
+//! Block `host`: the number of this host and the addresses it listens on.
 
 use crate::checks::BlockChecks;
 use crate::{ConfigError, Document};
@@ -6,34 +6,35 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// `host { ... }`
+/// `host { ... }`: the number of this host, the addresses it listens on, and its clock.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Identity {
-    /// This host's number, from 0.
+    /// The number of this host, from 0 to `hosts` - 1.
     pub number: u32,
-    /// How many hosts share the pool.
+    /// The number of hosts that share the pool.
     pub hosts: u32,
-    /// Where clients connect with iSCSI.
+    /// Address to which clients connect with iSCSI.
     pub listen: SocketAddr,
-    /// Where clients connect with NBD, where that is wanted.
+    /// Address to which clients connect with NBD; `None`: the host does not serve NBD.
     pub listen_nbd: Option<SocketAddr>,
-    /// Where the node list answers.
+    /// Address of the service that provides the node list.
     pub node_list: SocketAddr,
     /// Name of the iSCSI target.
     #[serde(default = "default_target")]
     pub target: String,
-    /// How coarse the host's clock is taken to be.
+    /// Assumed resolution of the host's clock.
     #[serde(rename = "tick_ms", default = "default_clock_resolution_ms")]
     pub clock_resolution_ms: f64,
-    /// Time kept for an answer's way back to its client: it leaves the host that much before the deadline.
+    /// Time reserved for the transmission of an answer to its client: the answer leaves the host this long before the
+    /// deadline.
     #[serde(default = "default_answer_lead_ms")]
     pub answer_lead_ms: f64,
-    /// Seed of random numbers; without one it is drawn at the start.
+    /// Seed of random numbers; `None`: it is chosen at random when the host starts.
     pub seed: Option<u64>,
-    /// File that keeps the node list as last received, for the next start.
+    /// File in which the last received node list is saved for the next start.
     pub saved_list: Option<PathBuf>,
-    /// Number of the site that this host is in; the other hosts are notified of it.
+    /// Number of the site that this host is in. The host sends it to its peers.
     pub site: Option<u32>,
 }
 
--- a/crates/config/src/blocks/load.rs
+++ b/crates/config/src/blocks/load.rs
@@ -1,23 +1,23 @@
-//! Block `load`: what is true of the nodes and clients of the pool.
+//! Block `load`: properties of the nodes and clients of the pool.
 
 use crate::checks::{BlockChecks, DAY_MS, DAY_S};
 use crate::{ConfigError, Document};
 use serde::Deserialize;
 
-/// `load { ... }`: what is true of the nodes and clients of this pool.
+/// `load { ... }`: properties of the nodes and clients of the pool.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Attempts of one request.
+    /// Maximum number of attempts of one request.
     #[serde(rename = "most_legs")]
     pub max_attempts: u32,
-    /// Longest time a client can be asked to stay away; 0: it can't be asked.
+    /// Longest time after which a rejection may ask the client to retry; 0: rejections give no time.
     pub longest_wait_s: f64,
-    /// Pause of an order key after an attempt that may still be running.
+    /// Pause of an order key after an attempt that may still be running (settle time).
     pub settle_s: f64,
-    /// Time after the notification of a drain within which what was in flight may still reach the node.
+    /// Time after the notification of a drain within which attempts in flight may still arrive at the node.
     pub drain_grace_ms: f64,
-    /// Whether nodes report service through other hosts.
+    /// Whether a node's load reports include the service that it gave to other hosts.
     #[serde(rename = "tells_others")]
     pub reports_peer_service: bool,
 }
--- a/crates/config/src/blocks/membership.rs
+++ b/crates/config/src/blocks/membership.rs
@@ -1,4 +1,4 @@
-//! Block `membership`: how hosts know of each other.
+//! Block `membership`: how hosts detect each other and their failures.
 
 use super::default_clock_drift;
 use crate::checks::{BlockChecks, DAY_S};
@@ -7,37 +7,37 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Bytes of the longest name of a fleet.
+/// Maximum length of the name of a fleet, in bytes.
 const MAX_FLEET_LEN: usize = 32;
 
-/// `membership { ... }`: hosts that know of each other. Without the block the host knows of none.
+/// `membership { ... }`: how hosts detect each other and their failures. Without the block, the host knows no other.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct MembershipBlock {
-    /// Where peers' datagrams are received.
+    /// Address on which the host receives datagrams of its peers.
     pub listen: SocketAddr,
-    /// Where peers reach this host, if that is not `listen`: behind a translation of addresses.
+    /// Address to which peers send, if it differs from `listen`, as behind network address translation.
     pub advertise: Option<SocketAddr>,
-    /// Name of the fleet; datagrams of any other are dropped.
+    /// Name of the fleet. Datagrams of other fleets are dropped.
     pub fleet: String,
-    /// Hosts that are asked first.
+    /// Addresses of hosts that are contacted first when the host starts.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Prefixes of peers, one or more.
+    /// Address prefixes from which peers are accepted, at least one.
     pub admit: Vec<ipnet::IpNet>,
-    /// Protocol period: time between two probes of peers.
+    /// Protocol period: the time between two probes of peers.
     #[serde(default = "default_period_ms")]
     pub period_ms: f64,
-    /// For how long a part of a limit is lent. Hosts of a fleet have the same.
+    /// Term of a quota lease. All hosts of a fleet must have the same value.
     #[serde(default = "default_term_s")]
     pub term_s: f64,
-    /// For how long a part of a limit is lent when a host leaves in order. Hosts of a fleet have the same.
+    /// Term of the quota leases that a host grants when it leaves gracefully. All hosts of a fleet must have the same value.
     #[serde(default = "default_leave_s")]
     pub leave_s: f64,
-    /// Part by which steady clocks may run apart.
+    /// Fraction by which the rates of two hosts' monotonic clocks may differ.
     #[serde(default = "default_clock_drift")]
     pub drift: f64,
-    /// File that marks a leave for the next generation; without it nothing is lent when the host leaves.
+    /// File that records a leave for the next generation. Without it, a leaving host grants no quota leases.
     pub left_file: Option<PathBuf>,
 }
 
--- a/crates/config/src/blocks/overrides.rs
+++ b/crates/config/src/blocks/overrides.rs
@@ -1,22 +1,22 @@
-//! Block `overrides`: where operators' overrides are kept and how many there may be.
+//! Block `overrides`: the store and the bounds of operators' overrides.
 
 use crate::checks::BlockChecks;
 use crate::{ConfigError, Document};
 use serde::Deserialize;
 use std::path::PathBuf;
 
-/// `overrides { ... }`: operators' overrides. Without the block the host takes none.
+/// `overrides { ... }`: the store and the bounds of operators' overrides. Without the block, the host accepts none.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct OverridesBlock {
-    /// File that keeps them.
+    /// File of the host's store.
     pub store: PathBuf,
-    /// Socket by which operators reach the host.
+    /// Path of the host's admin socket.
     pub admin: PathBuf,
-    /// Overrides that may be set at a time.
+    /// Maximum number of overrides that are set at a time.
     #[serde(rename = "most", default = "default_max_overrides")]
     pub max_overrides: usize,
-    /// Fraction of a zone's nodes that may be out of service without force.
+    /// Maximum fraction of a zone's nodes that overrides may take out of service unless they are forced.
     #[serde(rename = "zone_part", default = "default_max_zone_fraction")]
     pub max_zone_fraction: f64,
 }
--- a/crates/config/src/blocks/plan.rs
+++ b/crates/config/src/blocks/plan.rs
@@ -1,27 +1,27 @@
-//! Blocks `plan`: limit, burst, reservation and weight of volumes.
+//! Blocks `plan`: limit, burst, reservation and weight of a volume.
 
 use super::Units;
 use crate::checks::BlockChecks;
 use crate::{ConfigError, Document};
 use serde::Deserialize;
 
-/// `plan "name" { ... }`: units a second, and units.
+/// `plan "name" { ... }`: the service that a volume is entitled to. Rates are in units per second, amounts in units.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// The block's label.
+    /// The label of the block.
     pub name: String,
-    /// Units a second that are admitted in the long run; 0: no limit.
+    /// Maximum rate in the long run; 0: no limit.
     pub limit: f64,
-    /// Units that may be admitted at once.
+    /// Amount that may be admitted at once.
     pub burst: f64,
-    /// Units by which all hosts together may go beyond limit and burst.
+    /// Amount by which all hosts together may exceed limit and burst.
     pub slack: f64,
-    /// Units a second that are served first.
+    /// Reserved rate, which is served before best effort.
     pub reserve: f64,
-    /// Share of what is left beyond reservations.
+    /// Weight in sharing what the reservations leave, relative to the weights of other volumes.
     pub weight: f64,
-    /// Limit of a host past its lease, where there is consensus on plans; none: nothing of a limit, and all where there is
-    /// none.
+    /// Fallback limit of a host whose lease has expired, if there is consensus on plans. `None` admits nothing in a plan that
+    /// has a limit, and everything in a plan that has none.
     pub floor: Option<f64>,
 }
 
@@ -66,7 +66,7 @@
             .collect()
     }
 
-    /// Whether the plan has a limit.
+    /// Returns whether the plan has a limit.
     pub(crate) fn is_limited(&self) -> bool {
         self.limit > 0.0
     }
@@ -82,7 +82,7 @@
         checks.number("weight", self.weight, 1e-6..=1e6)?;
         if self.limit > 0.0 && self.burst < units.max_per_request {
             let expected =
-                format!("at least the largest transfer, {} units, under a limit", units.max_per_request);
+                format!("at least the largest request, {} units, as there is a limit", units.max_per_request);
             return Err(checks.error("burst", self.burst, &expected));
         }
         Ok(())
--- a/crates/config/src/blocks/plans.rs
+++ b/crates/config/src/blocks/plans.rs
@@ -6,19 +6,19 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// `plans { ... }`: plans change while hosts run. Without the block they are as these settings have them.
+/// `plans { ... }`: changes of plans while hosts run. Without the block, the plans are always those of these settings.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct PlansBlock {
-    /// Number of the host that takes changes, where there is no consensus on them.
+    /// Number of the host that accepts changes if there is no consensus on them.
     #[serde(default)]
     pub home: u32,
-    /// From a change's acknowledgement until all hosts go by it.
+    /// Time from the acknowledgement of a change until all hosts use it.
     #[serde(default = "default_settle_s")]
     pub settle_s: f64,
-    /// Units a second that a shard's node is declared to bear.
+    /// Declared capacity of a shard's node, in units per second.
     pub node_units: f64,
-    /// The same for shards whose nodes bear otherwise, by the shard's number.
+    /// Declared capacity of nodes that differs from `node_units`, by the number of their shard.
     #[serde(default)]
     pub bears: BTreeMap<String, f64>,
 }
@@ -28,7 +28,7 @@
 }
 
 impl PlansBlock {
-    /// Reads and checks the block, if it is there.
+    /// Reads and checks the block. Returns `None` if it is missing.
     pub(crate) fn read(
         document: &Document,
         host: &Identity,
@@ -38,7 +38,7 @@
         let checks = BlockChecks::new(document, "plans");
         block.check(&checks, host)?;
         if overrides.is_none() {
-            let expected = "one: its store keeps the trail of changes";
+            let expected = "one: its store keeps the change log of plans";
             return Err(checks.block_error("no overrides block", expected));
         }
         Ok(Some(block))
--- a/crates/config/src/blocks/retry_budget.rs
+++ b/crates/config/src/blocks/retry_budget.rs
@@ -1,16 +1,16 @@
-//! Block `further_legs`: how many retries and hedged requests there may be (rule 6).
+//! Block `further_legs`: the bound of retries and hedged requests (rule 6).
 
 use crate::checks::{BlockChecks, DAY_S};
 use crate::{ConfigError, Document};
 use serde::Deserialize;
 
-/// `further_legs { ... }`: the retry budget (rule 6).
+/// `further_legs { ... }`: the retry budget, which bounds retries and hedged requests (rule 6).
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RetryBudget {
-    /// Retries that any window may have.
+    /// Number of retries that are always allowed within a window.
     pub free: f64,
-    /// Retries beyond that, as a share of the requests received in the window.
+    /// Number of further retries, as a fraction of the requests received within the window.
     pub share: f64,
     /// Length of the window.
     pub window_s: f64,
--- a/crates/config/src/blocks/slow_start.rs
+++ b/crates/config/src/blocks/slow_start.rs
@@ -4,22 +4,22 @@
 use crate::{ConfigError, Document};
 use serde::Deserialize;
 
-/// `cold_nodes { ... }`: what a node in slow start bears (rule 4), as `Scheduler::set_slow_start` takes it.
+/// `cold_nodes { ... }`: the load that a node can take after a start (rule 4), for `Scheduler::set_slow_start`.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct SlowStartBlock {
-    /// Units within the window, from all hosts, that never hurt a node.
+    /// Number of units within the window, from all hosts together, that never overload a node.
     pub safe_units: f64,
-    /// Fraction of its capacity that a node starts with.
+    /// Fraction of its capacity that a node has at its start.
     pub from: f64,
-    /// How long a node takes to reach its full capacity.
+    /// Time that a node takes to reach its full capacity.
     #[serde(rename = "warm_s")]
     pub ramp_s: f64,
-    /// Time over which units are counted.
+    /// Time over which `safe_units` are counted.
     pub window_s: f64,
-    /// A node always bears this many times what it can do at the moment.
+    /// Multiple of its current capacity that a node can always take.
     pub multiple: f64,
-    /// Part of its work that a node may save, at most, for a piece of data that it took lately.
+    /// Maximum fraction of its work that a node can save on data that it has recently served.
     #[serde(default = "default_saved")]
     pub saved: f64,
 }
--- a/crates/config/src/blocks/traffic_class.rs
+++ b/crates/config/src/blocks/traffic_class.rs
@@ -6,23 +6,23 @@
 use serde::Deserialize;
 use tackmast::interface::{DedupScope, Effect, TimeDelta};
 
-/// Shortest time in milliseconds between a request's arrival and the latest moment at which its answer can leave.
+/// Shortest time in milliseconds between the arrival of a request and the latest time at which its answer can leave.
 const MIN_TIME_TO_ANSWER_MS: f64 = 10.0;
 
-/// `stream "name" { ... }`
+/// `stream "name" { ... }`: the requests with one latency objective, deadline and effect.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TrafficClass {
-    /// The block's label.
+    /// The label of the block.
     pub name: String,
     /// Time within which an answer earns its full worth.
     pub latency_objective: TimeDelta,
-    /// Time to answer in, where the client negotiates none.
+    /// Time after which an answer is worth nothing, unless the client negotiates its own.
     pub deadline: TimeDelta,
-    /// Whether a request may run twice.
+    /// The effect of running a request more than once.
     pub effect: Effect,
     /// Whether requests of one order key run in the order in which they were received.
     pub in_order: bool,
-    /// Blocks that share one order key; none: an extent.
+    /// Number of blocks that share one order key; `None`: those of an extent.
     pub order_blocks: Option<u64>,
 }
 
@@ -53,7 +53,7 @@
     NonIdempotent,
 }
 
-/// The nodes that discard repeats of one idempotency key.
+/// The nodes that discard repeated requests with the same idempotency key.
 #[derive(Debug, Clone, Copy, Deserialize, PartialEq, Default)]
 #[serde(rename_all = "lowercase")]
 enum DedupGroup {
@@ -106,9 +106,11 @@
                 scope: self.group.scope(),
                 window: TimeDelta::from_secs(window_s),
             }),
-            (EffectName::IdempotentByKey, None) => {
-                Err(checks.error("window_s", "missing", "the seconds for which nodes know a mark"))
-            }
+            (EffectName::IdempotentByKey, None) => Err(checks.error(
+                "window_s",
+                "missing",
+                "the seconds for which nodes keep an idempotency key",
+            )),
         }
     }
 
--- a/crates/config/src/blocks/units.rs
+++ b/crates/config/src/blocks/units.rs
@@ -1,19 +1,19 @@
-//! Block `units`: how a request's size counts.
+//! Block `units`: how the size of a request is counted.
 
 use crate::checks::BlockChecks;
 use crate::{ConfigError, Document};
 use serde::Deserialize;
 
-/// `units { ... }`: how a request's size counts.
+/// `units { ... }`: how the size of a request is counted.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Units {
-    /// Bytes in a unit; a request counts at least one.
+    /// Bytes in a unit. A request counts as at least one unit.
     pub bytes: u32,
-    /// Units of the largest request; a longer command counts that many.
+    /// Units of the largest request. A longer command counts as this many.
     #[serde(rename = "most")]
     pub max_per_request: f64,
-    /// Units of a request in the mean.
+    /// Mean number of units of a request.
     #[serde(rename = "mean")]
     pub mean_per_request: f64,
 }
--- a/crates/config/src/blocks/volume.rs
+++ b/crates/config/src/blocks/volume.rs
@@ -1,4 +1,4 @@
-//! Blocks `volume`: size, place and traffic classes of volumes.
+//! Blocks `volume`: size, placement and traffic classes of a volume.
 
 use super::{Identity, Plan, PlansBlock, TrafficClass, Units};
 use crate::checks::BlockChecks;
@@ -7,46 +7,46 @@
 use serde::Deserialize;
 use std::collections::BTreeSet;
 
-/// Greatest logical unit number in the flat addressing of SAM-5.
+/// The greatest logical unit number in the flat space addressing of SAM-5.
 const MAX_LUN: u32 = 0x3fff;
-/// Greatest size of a volume in bytes.
+/// The maximum size of a volume in bytes.
 const MAX_VOLUME_BYTES: u64 = 1 << 56;
 
-/// `volume "name" { ... }`; traffic classes and plans by their index.
+/// `volume "name" { ... }`: its traffic classes and its plan are indices into those of the settings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Volume {
-    /// The block's label.
+    /// The label of the block.
     pub name: String,
-    /// Logical unit number.
+    /// Logical unit number, by which clients address the volume.
     pub lun: u32,
-    /// Index of its plan.
+    /// Index of the volume's plan.
     pub plan: u32,
-    /// Size in blocks.
+    /// Number of blocks.
     pub blocks: u64,
-    /// Bytes of a block.
+    /// Number of bytes in a block.
     pub block_bytes: u32,
-    /// Blocks of an extent.
+    /// Number of blocks in an extent.
     pub extent_blocks: u64,
-    /// The shard of extent `n` is entry `n` modulo their number.
+    /// Numbers of the volume's shards. Extent `n` is on the shard at index `n` modulo the length.
     pub shards: Vec<u32>,
-    /// Hosts through which its requests are received.
+    /// Number of hosts that receive requests for the volume.
     pub hosts: u32,
-    /// Their numbers, where they are named; only then do they lend each other parts of its limit.
+    /// Numbers of these hosts; may be empty. Only hosts that are named grant each other quota leases of the volume's limit.
     pub through: Vec<u32>,
     /// Index of the traffic class of reads.
     pub reads: u32,
     /// Index of the traffic class of writes.
     pub writes: u32,
-    /// Traffic class of large reads, where they have their own.
+    /// Traffic class of large reads; `None`: they have the class in `reads`.
     pub large: Option<LargeReads>,
 }
 
-/// Which reads have a traffic class of their own.
+/// The reads that have a traffic class of their own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LargeReads {
-    /// Blocks of the smallest such read.
+    /// Number of blocks of the smallest such read.
     pub min_blocks: u32,
-    /// Index of their traffic class.
+    /// Index of the traffic class of such reads.
     pub traffic_class: u32,
 }
 
@@ -73,7 +73,7 @@
     512
 }
 
-/// The other blocks that volumes are checked against.
+/// The settings that volumes are checked against.
 pub(crate) struct VolumeContext<'a> {
     pub(crate) host: &'a Identity,
     pub(crate) units: &'a Units,
@@ -176,15 +176,16 @@
             };
         }
         let distinct: BTreeSet<u32> = self.through.iter().copied().collect();
-        let all_are_named = distinct.len() == self.hosts as usize && distinct.len() == self.through.len();
-        if !all_are_named || distinct.iter().any(|number| *number >= context.host.hosts) {
+        let are_distinct_and_complete =
+            distinct.len() == self.hosts as usize && distinct.len() == self.through.len();
+        if !are_distinct_and_complete || distinct.iter().any(|number| *number >= context.host.hosts) {
             let expected = format!("{} different numbers below {}", self.hosts, context.host.hosts);
             return Err(checks.error("through", format!("{:?}", self.through), &expected));
         }
         Ok(())
     }
 
-    /// More than a host's share of the burst is never admitted, so the largest request must fit into it.
+    /// Checks that the largest request fits into a host's share of the burst. A larger one would never be admitted.
     fn check_burst_share(&self, checks: &BlockChecks, plan: &Plan, units: &Units) -> Result<(), ConfigError> {
         if plan.is_limited() && plan.burst / f64::from(self.hosts) < units.max_per_request {
             let found = format!("{} hosts share a burst of {}", self.hosts, plan.burst);
@@ -213,7 +214,7 @@
     }
 }
 
-/// Index of the traffic class that an attribute names.
+/// Returns the index of the traffic class that an attribute names.
 fn index_of(
     checks: &BlockChecks,
     attribute: &str,
--- a/crates/config/src/checks.rs
+++ b/crates/config/src/checks.rs
@@ -1,13 +1,13 @@
-//! Checks of the values of one block against bounds.
+//! Checks of a block's values against their bounds.
 
 use crate::document::{Document, Place};
 use crate::ConfigError;
 use std::fmt::Display;
 use std::ops::RangeInclusive;
 
-/// Longest time that a setting may name: a day.
+/// The longest time that a setting may have, in seconds: a day.
 pub(crate) const DAY_S: f64 = 86_400.0;
-/// The same in milliseconds.
+/// The longest time that a setting may have, in milliseconds: a day.
 pub(crate) const DAY_MS: f64 = DAY_S * 1e3;
 
 /// Checks the values of one block; its errors name the line of the attribute.
@@ -18,17 +18,17 @@
 }
 
 impl<'a> BlockChecks<'a> {
-    /// Checks of the one block of a kind.
+    /// Returns the checks of a block without a label.
     pub(crate) fn new(document: &'a Document, kind: &'a str) -> Self {
         BlockChecks { document, kind, label: "" }
     }
 
-    /// Checks of a block that has a label.
+    /// Returns the checks of a block with a label.
     pub(crate) fn labelled(document: &'a Document, kind: &'a str, label: &'a str) -> Self {
         BlockChecks { document, kind, label }
     }
 
-    /// A finite number in the range.
+    /// Checks that the value is a finite number in the range.
     pub(crate) fn number(
         &self,
         name: &str,
@@ -42,7 +42,7 @@
         Err(self.error(name, value, &expected))
     }
 
-    /// A whole number in the range.
+    /// Checks that the value is in the range.
     pub(crate) fn whole_number(
         &self,
         name: &str,
@@ -56,13 +56,13 @@
         Err(self.error(name, value, &expected))
     }
 
-    /// An error about an attribute of the block.
+    /// Returns an error about an attribute of the block.
     pub(crate) fn error(&self, name: &str, found: impl Display, expected: &str) -> ConfigError {
         let place = Place { kind: self.kind, label: self.label, name };
         self.document.error_for(&place, found, expected)
     }
 
-    /// An error about the block as a whole.
+    /// Returns an error about the block as a whole.
     pub(crate) fn block_error(&self, found: impl Display, expected: &str) -> ConfigError {
         self.error("", found, expected)
     }
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,4 +1,4 @@
-//! An HCL document of blocks, whose errors name file, line, place, value and what was expected.
+//! An HCL document of blocks. Its errors name the file, the line, the place, the value and what was expected.
 
 use crate::ConfigError;
 use hcl::edit::structure::{Block, Body, Structure};
@@ -15,7 +15,7 @@
     body: Body,
 }
 
-/// The text of a file; `expected` is what an error says the file should be.
+/// Reads the text of a file. `expected` describes the file in the error if it can't be read.
 pub fn read_text(path: &Path, expected: &str) -> Result<String, ConfigError> {
     std::fs::read_to_string(path).map_err(|error| ConfigError {
         file: path.display().to_string(),
@@ -25,26 +25,26 @@
     })
 }
 
-/// Where a value stands.
+/// The place of a value in a document.
 #[derive(Clone, Debug)]
 pub struct Place<'a> {
-    /// The block's kind, its first word.
+    /// The kind of the block, which is its first word.
     pub kind: &'a str,
-    /// The block's label; empty: it has none.
+    /// The label of the block; empty if it has none.
     pub label: &'a str,
-    /// The attribute's name; empty: the block as a whole.
+    /// The name of the attribute; empty for the block as a whole.
     pub name: &'a str,
 }
 
-/// A block's label and the values in it.
+/// A block that has a label.
 pub struct LabelledBlock<T> {
-    /// The label.
+    /// The label of the block.
     pub label: String,
-    /// The block's attributes.
+    /// The attributes of the block, deserialized.
     pub value: T,
 }
 
-/// How many labels blocks of a kind have.
+/// The number of labels that each block of a kind has.
 #[derive(Clone, Copy)]
 enum Labels {
     None,
@@ -61,7 +61,7 @@
 }
 
 impl Document {
-    /// Parses a text; `file` is what errors call it.
+    /// Parses a text. `file` is its name in errors.
     pub fn parse(file: &str, text: &str) -> Result<Document, ConfigError> {
         let body = hcl::edit::parser::parse_body(text).map_err(|error| ConfigError {
             file: file.to_owned(),
@@ -72,7 +72,7 @@
         Ok(Document { file: file.to_owned(), text: text.to_owned(), body })
     }
 
-    /// An error about a value: it names the nearest line that can be found for the place.
+    /// Returns an error about a value. Its line is that of the attribute, else that of the block, else the first.
     pub fn error_for(&self, place: &Place, found: impl Display, expected: &str) -> ConfigError {
         let block = self.body.blocks().find(|block| {
             let label = block.labels.first().map_or("", |label| label.as_str());
@@ -86,13 +86,13 @@
         self.error_at(span, at.trim_end().to_owned(), format!("{found}; expected {expected}"))
     }
 
-    /// Every block's kind must be among `known`, and attributes must be in blocks.
+    /// Checks that the kind of each block is in `known`, and that each attribute is in a block.
     pub fn require_known_blocks(&self, known: &[&str]) -> Result<(), ConfigError> {
         let expected = known.join(", ");
         for structure in self.body.iter() {
             match structure {
                 Structure::Attribute(attribute) => {
-                    let problem = format!("stands outside a block; expected it in one of {expected}");
+                    let problem = format!("is outside a block; expected it in one of {expected}");
                     return Err(self.error_at(attribute.span(), attribute.key.to_string(), problem));
                 }
                 Structure::Block(block) if !known.contains(&block.ident.as_str()) => {
@@ -105,7 +105,7 @@
         Ok(())
     }
 
-    /// The text with only the blocks of these kinds left in it, each on the lines where it stands.
+    /// Returns the text with spaces in place of all blocks of other kinds, so that the rest keeps its line numbers.
     pub fn text_of_blocks(&self, kinds: &[&str]) -> String {
         let mut bytes = self.text.clone().into_bytes();
         for block in self.body.blocks().filter(|block| !kinds.contains(&block.ident.as_str())) {
@@ -118,12 +118,13 @@
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
-    /// Whether there is a block of this kind.
+    /// Returns whether there is a block of this kind.
     pub fn has_block(&self, kind: &str) -> bool {
         self.body.blocks().any(|block| block.ident.as_str() == kind)
     }
 
-    /// All blocks of a kind whose blocks have a label each, in the order written. No label may be there twice.
+    /// Returns all blocks of a kind whose blocks have one label, in the order of the text. Two blocks with the same label are
+    /// an error.
     pub fn labelled_blocks<T: DeserializeOwned>(
         &self,
         kind: &str,
@@ -131,17 +132,17 @@
         self.blocks(kind, Labels::One)
     }
 
-    /// The one block of a kind without a label, if it is there.
+    /// Returns the only block of a kind without labels, or `None` if it is missing.
     pub(crate) fn optional_block<T: DeserializeOwned>(&self, kind: &str) -> Result<Option<T>, ConfigError> {
         Ok(self.blocks(kind, Labels::None)?.pop().map(|block| block.value))
     }
 
-    /// The one block of a kind; where there is none, the default.
+    /// Returns the only block of a kind without labels, or its default if it is missing.
     pub fn block_or_default<T: DeserializeOwned + Default>(&self, kind: &str) -> Result<T, ConfigError> {
         Ok(self.optional_block(kind)?.unwrap_or_default())
     }
 
-    /// The one block of a kind, which must be there.
+    /// Returns the only block of a kind without labels. A missing block is an error.
     pub fn block<T: DeserializeOwned>(&self, kind: &str) -> Result<T, ConfigError> {
         let missing = || self.error_at(None, kind.to_owned(), "missing; expected one such block".to_owned());
         self.optional_block(kind)?.ok_or_else(missing)
@@ -156,7 +157,7 @@
         for block in self.body.blocks().filter(|block| block.ident.as_str() == kind) {
             let label = self.label(block, labels)?;
             if found.iter().any(|earlier| earlier.label == label) {
-                let problem = "stands twice; expected it once".to_owned();
+                let problem = "appears twice; expected it once".to_owned();
                 return Err(self.error_at(block.ident.span(), block_place(block), problem));
             }
             found.push(LabelledBlock { label, value: self.deserialize(block)? });
@@ -164,7 +165,7 @@
         Ok(found)
     }
 
-    /// The block's label, empty where it has none.
+    /// Returns the label of a block; empty if blocks of its kind have none. Another number of labels is an error.
     fn label(&self, block: &Block, labels: Labels) -> Result<String, ConfigError> {
         let (count, expected) = (block.labels.len(), labels.count());
         if count != expected {
@@ -186,10 +187,10 @@
         })
     }
 
-    /// An error of the deserializer at the attribute that it is about.
+    /// Returns an error of the deserializer, with the place of the attribute that it is about.
     fn deserialize_error(&self, block: &Block, path: &str, message: String) -> ConfigError {
         let key = path.split(['.', '[']).next().unwrap_or("");
-        // Where the path stops at the block, the message may still name the key.
+        // If the path ends at the block, the message may still name the attribute.
         let is_named = |name: &str| name == key || message.contains(&format!("`{name}`"));
         let attribute = block.body.attributes().find(|a| is_named(a.key.as_str()));
         let span = attribute.and_then(|a| a.span()).or_else(|| block.ident.span());
@@ -210,7 +211,7 @@
     }
 }
 
-/// The block's kind and labels.
+/// Returns the kind and the labels of a block.
 fn block_place(block: &Block) -> String {
     let labels: Vec<&str> = block.labels.iter().map(|label| label.as_str()).collect();
     format!("{} {}", block.ident.as_str(), labels.join(" ")).trim_end().to_owned()
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,14 +1,14 @@
-//! One thing wrong with a file of settings.
+//! An error in a settings file.
 
-/// Where an error is in a file of settings, the value found there, and what was expected.
+/// An error in a settings file: its place, the value found there, and what was expected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}: {place}: {problem}")]
 pub struct ConfigError {
-    /// Name of the file.
+    /// The name of the file.
     pub file: String,
-    /// Line in it, from 1; 0: the file could not be read.
+    /// The line, counted from 1; 0 if the file could not be read.
     pub line: usize,
-    /// Block, its label and the attribute's name.
+    /// The kind of the block, its label and the name of the attribute, as far as there are any.
     pub place: String,
     /// The value found and what was expected.
     pub problem: String,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,13 +1,13 @@
-//! The settings of one host in HCL: how they are written, their defaults and their checks. Nothing is decided here; the
-//! values are handed to the decision core part by part.
+//! The settings of one host in HCL, with their defaults and checks. This package only reads the values; the host passes them
+//! to the parts that use them.
 //!
-//! | file | job |
+//! | file | contents |
 //! | --- | --- |
-//! | `document` | an HCL document: its blocks, and the lines that errors name |
-//! | `error` | one thing wrong with a file of settings |
-//! | `checks` | checks of a block's values against bounds |
-//! | `blocks` | one file a settings block: its fields, defaults and checks |
-//! | `settings` | all settings of a host: which blocks there are, and in which order they are read and checked |
+//! | `document` | an HCL document: reads its blocks, and finds the lines that errors name |
+//! | `error` | an error in a settings file |
+//! | `checks` | checks of a block's values against their bounds |
+//! | `blocks` | one file for each settings block: its fields, defaults and checks |
+//! | `settings` | all settings of a host: the blocks, and the order in which they are read and checked |
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! All settings of one host: which blocks there are, and in which order they are read and checked.
+//! All settings of one host: the blocks, and the order in which they are read and checked.
 
 use crate::blocks::{
     Bounds, ConsensusBlock, Identity, Load, MembershipBlock, OverridesBlock, Plan, PlansBlock, RetryBudget,
@@ -8,8 +8,8 @@
 use crate::{read_text, ConfigError, Document};
 use std::path::Path;
 
-/// The kinds of blocks that a file of settings may have.
-const BLOCKS: [&str; 13] = [
+/// The kinds of blocks that a settings file may have.
+const BLOCK_KINDS: [&str; 13] = [
     "host",
     "bounds",
     "units",
@@ -28,46 +28,46 @@
 /// All settings of one host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HostSettings {
-    /// Which host this is and where it listens.
+    /// The number of this host and the addresses it listens on.
     pub host: Identity,
-    /// What each table and queue may hold.
+    /// The bounds of tables, queues and timeouts.
     pub bounds: Bounds,
-    /// How a request's size counts.
+    /// How the size of a request is counted.
     pub units: Units,
-    /// What is true of the nodes and clients of the pool.
+    /// Properties of the nodes and clients of the pool.
     pub load: Load,
-    /// How many retries and hedged requests there may be; none: any number.
+    /// The bound of retries and hedged requests; `None`: their number is not bounded.
     pub retry_budget: Option<RetryBudget>,
-    /// Slow start of nodes; none: nodes have their full capacity when they start.
+    /// The slow start of nodes; `None`: nodes have their full capacity when they start.
     pub slow_start: Option<SlowStartBlock>,
-    /// Operators' overrides; none: they are not taken.
+    /// Operators' overrides; `None`: the host accepts none.
     pub overrides: Option<OverridesBlock>,
-    /// How hosts know of each other; none: they do not.
+    /// Membership of hosts; `None`: the host knows no other.
     pub membership: Option<MembershipBlock>,
-    /// Changes of plans while hosts run; none: plans stay as they are here.
+    /// Changes of plans while hosts run; `None`: the plans are always those of these settings.
     pub plans_live: Option<PlansBlock>,
-    /// Consensus on changes of plans; none: the home of `plans_live` takes them alone.
+    /// Consensus on changes of plans; `None`: the home of `plans_live` accepts them alone.
     pub consensus: Option<ConsensusBlock>,
-    /// Traffic classes, one or more.
+    /// The traffic classes, at least one.
     pub traffic_classes: Vec<TrafficClass>,
-    /// Plans, one or more.
+    /// The plans, at least one.
     pub plans: Vec<Plan>,
-    /// Volumes, one or more.
+    /// The volumes, at least one.
     pub volumes: Vec<Volume>,
 }
 
 impl HostSettings {
-    /// Reads a file of settings.
+    /// Reads, parses and checks a settings file.
     pub fn read(path: &Path) -> Result<HostSettings, ConfigError> {
-        let text = read_text(path, "a file of settings")?;
+        let text = read_text(path, "a settings file")?;
         HostSettings::parse(&path.display().to_string(), &text)
     }
 
-    /// Parses and checks a text; `file` is what errors call it. Where several values are wrong, the error is about the
-    /// first that is checked.
+    /// Parses and checks a text. `file` is its name in errors. If several values are wrong, the error is about the first
+    /// that is checked.
     pub fn parse(file: &str, text: &str) -> Result<HostSettings, ConfigError> {
         let document = Document::parse(file, text)?;
-        document.require_known_blocks(&BLOCKS)?;
+        document.require_known_blocks(&BLOCK_KINDS)?;
         let mut settings = HostSettings::read_independent_blocks(&document)?;
         settings.check_independent_blocks(&document)?;
         settings.read_dependent_blocks(&document)?;
@@ -77,7 +77,7 @@
         Ok(settings)
     }
 
-    /// The single blocks that are read without another; all else is still missing.
+    /// Reads the blocks without labels that are read without another block. All other settings are left empty.
     fn read_independent_blocks(document: &Document) -> Result<HostSettings, ConfigError> {
         Ok(HostSettings {
             host: document.block("host")?,
@@ -105,7 +105,7 @@
         self.membership.as_ref().map_or(Ok(()), |block| block.check(document))
     }
 
-    /// Reads and checks the blocks that need others beside them.
+    /// Reads and checks the blocks that require other blocks.
     fn read_dependent_blocks(&mut self, document: &Document) -> Result<(), ConfigError> {
         self.plans_live = PlansBlock::read(document, &self.host, self.overrides.as_ref())?;
         self.consensus =
@@ -113,13 +113,13 @@
         Ok(())
     }
 
-    /// Checks the blocks that bound attempts at nodes.
+    /// Checks the blocks that limit attempts at nodes.
     fn check_attempt_blocks(&self, document: &Document) -> Result<(), ConfigError> {
         self.retry_budget.as_ref().map_or(Ok(()), |block| block.check(document))?;
         self.slow_start.as_ref().map_or(Ok(()), |block| block.check(document))
     }
 
-    /// Reads and checks the blocks of which there may be several; each kind refers to those read before it.
+    /// Reads and checks the kinds of blocks that can appear several times. Each kind may refer to those read before it.
     fn read_lists(&mut self, document: &Document) -> Result<(), ConfigError> {
         self.traffic_classes = TrafficClass::read_all(document, &self.host)?;
         self.plans = Plan::read_all(document, &self.units)?;
--- a/crates/config/tests/values.rs
+++ b/crates/config/tests/values.rs
@@ -1,5 +1,5 @@
-//! The values that a host's settings yield: the defaults of what `minimal.hcl` leaves out, and the names by which
-//! `complete.hcl` sets every field of the blocks whose Rust names differ from their names in HCL.
+//! Tests the values that are read from a host's settings: the defaults of what `minimal.hcl` omits, and the fields in
+//! `complete.hcl` whose names in HCL differ from their names in Rust.
 
 use tackmast::interface::{DedupScope, Effect, TimeDelta};
 use tackmast_config::{Bounds, HostSettings, LargeReads, Load};
@@ -12,9 +12,9 @@
     HostSettings::parse("complete.hcl", include_str!("complete.hcl")).expect("valid settings")
 }
 
-/// A file leaves out what it may. A changed default would change what running hosts do after an update.
+/// Guards the defaults of omitted values: a changed default would change the behaviour of existing hosts after an update.
 #[test]
-fn defaults_of_the_host_and_of_what_it_may_hold() {
+fn defaults_of_host_and_bounds() {
     let settings = minimal();
     let host = &settings.host;
     assert_eq!(host.target, "iqn.2026-12.org.tackmast:pool");
@@ -44,7 +44,7 @@
     assert_eq!(settings.bounds, bounds);
 }
 
-/// The same for load, overrides and slow start.
+/// Guards the defaults of load, overrides and slow start in the same way.
 #[test]
 fn defaults_of_load_overrides_and_slow_start() {
     let settings = minimal();
@@ -62,9 +62,9 @@
     assert_eq!(settings.slow_start.expect("the block exists").saved, 1.0);
 }
 
-/// The same for membership, consensus and plans.
+/// Guards the defaults of the blocks that hosts share in the same way.
 #[test]
-fn defaults_of_what_hosts_share() {
+fn defaults_of_membership_consensus_and_plan_changes() {
     let settings = minimal();
     let membership = settings.membership.expect("the block exists");
     assert_eq!((membership.period_ms, membership.term_s, membership.leave_s), (500.0, 2.0, 60.0));
@@ -78,7 +78,7 @@
     assert!(plans.bears.is_empty());
 }
 
-/// The same for traffic classes, plans and volumes.
+/// Guards the defaults of traffic classes, plans and volumes in the same way.
 #[test]
 fn defaults_of_traffic_classes_plans_and_volumes() {
     let settings = minimal();
@@ -91,7 +91,7 @@
     assert_eq!((volume.block_bytes, volume.large), (512, None));
 }
 
-/// The names in a file differ from the names in the code. Each must set its own field.
+/// Guards fields whose names in HCL differ from their names in Rust. Each name must set its own field.
 #[test]
 fn fields_are_set_by_their_names_in_hcl() {
     let settings = complete();
@@ -107,7 +107,8 @@
     assert_eq!((consensus.heartbeat_interval_ms, consensus.election_timeout_ms), (50.0, 300.0));
 }
 
-/// Blocks refer to others by name, the host by index. A wrong index would hold a volume to another's limit.
+/// Guards the indices into which the names in blocks are converted. With a wrong index, a volume would have the limit of
+/// another plan.
 #[test]
 fn volumes_refer_to_plans_and_traffic_classes_by_index() {
     let settings = complete();
