--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -13,7 +13,7 @@
 
 /// What an operator can do about a store that can't be opened.
 const RECOVERY_ADVICE: &str =
-    "Nothing was changed. To start without what it holds, move the file away; overrides then have to be set anew";
+    "Nothing was changed. To start with an empty store, move the file away; overrides then have to be set again";
 /// Stands for the path in errors of a store that is not in a file.
 const BACKEND_NAME: &str = "memory";
 
