--- a/crates/host/src/admin.rs
+++ b/crates/host/src/admin.rs
@@ -33,7 +33,7 @@
 pub enum AdminSocketError {
     /// Something else stands at its path.
     #[error("{}: a file that is no socket; expected none, or the socket of an earlier host", path.display())]
-    NoSocket {
+    NotASocket {
         /// The socket's path.
         path: PathBuf,
     },
@@ -70,7 +70,7 @@
 fn remove_stale(path: &Path) -> Result<(), AdminSocketError> {
     let Ok(found) = std::fs::symlink_metadata(path) else { return Ok(()) };
     if !found.file_type().is_socket() {
-        return Err(AdminSocketError::NoSocket { path: path.into() });
+        return Err(AdminSocketError::NotASocket { path: path.into() });
     }
     if UnixStream::connect(path).is_ok() {
         return Err(AdminSocketError::InUse { path: path.into() });
--- a/crates/host/tests/start_errors.rs
+++ b/crates/host/tests/start_errors.rs
@@ -18,7 +18,7 @@
             "host listen 127.0.0.1:3260: denied; expected a free address of this machine",
         ),
         (
-            AdminSocketError::NoSocket { path: socket_path() }.into(),
+            AdminSocketError::NotASocket { path: socket_path() }.into(),
             "admin socket /run/host.admin: a file that is no socket; expected none, or the socket of an earlier host",
         ),
         (
