--- a/crates/host/src/admin.rs
+++ b/crates/host/src/admin.rs
@@ -4,7 +4,7 @@
 mod tests;
 
 use crate::messages::Event;
-use crate::store_writer::ToStore;
+use crate::store_writer::StoreRequest;
 use crate::thread::spawn;
 use crate::StartError;
 use crossbeam_channel::{RecvTimeoutError, Sender};
@@ -128,7 +128,7 @@
 #[derive(Clone)]
 struct CallHandlers {
     core: Sender<Event>,
-    store: Sender<ToStore>,
+    store: Sender<StoreRequest>,
     /// How long a call may wait for its answer.
     timeout: Duration,
 }
@@ -137,7 +137,7 @@
 pub(crate) fn start(
     path: &Path,
     core: Sender<Event>,
-    store: Sender<ToStore>,
+    store: Sender<StoreRequest>,
     stopping: Arc<AtomicBool>,
 ) -> Result<(), StartError> {
     let listener = bind(path)?;
@@ -203,7 +203,9 @@
         let (answer_to, answer) = crossbeam_channel::bounded(1);
         let is_sent = match call {
             Call::AdminRequest(request) => self.core.send(Event::AdminRequest { request, answer_to }).is_ok(),
-            Call::Audit { max_lines } => self.store.send(ToStore::Audit { max_lines, answer_to }).is_ok(),
+            Call::Audit { max_lines } => {
+                self.store.send(StoreRequest::Audit { max_lines, answer_to }).is_ok()
+            }
         };
         if !is_sent {
             return Err(NoAnswer { reason: NoAnswerReason::Stopping, change_shown_by: None });
--- a/crates/host/src/admin/tests.rs
+++ b/crates/host/src/admin/tests.rs
@@ -11,7 +11,7 @@
 const AUDIT: &str = r#"{"v":1,"body":{"audit":{"most":20}}}"#;
 
 /// The handlers of calls, and the queues of the threads that answer them.
-fn handlers(timeout: Duration) -> (CallHandlers, Receiver<Event>, Receiver<ToStore>) {
+fn handlers(timeout: Duration) -> (CallHandlers, Receiver<Event>, Receiver<StoreRequest>) {
     let (core, core_events) = crossbeam_channel::unbounded();
     let (store, store_messages) = crossbeam_channel::unbounded();
     (CallHandlers { core, store, timeout }, core_events, store_messages)
--- a/crates/host/src/core_thread/events.rs
+++ b/crates/host/src/core_thread/events.rs
@@ -1,7 +1,7 @@
-//! How the core's thread handles each event.
+//! Handling of events in the core thread.
 
 use super::{CoreThread, SessionHandle};
-use crate::list::{node_start, ToList};
+use crate::list::{node_start, ListCommand};
 use crate::messages::{Event, Status};
 use crate::peers::Peers;
 use std::net::Shutdown;
@@ -10,7 +10,7 @@
 use tackmast_host_core::{Age, ClientCommand, Core, ListEntry, OpenCounts};
 
 impl CoreThread {
-    /// Handles an event; breaks at `Event::Stop`.
+    /// Handles an event. Returns `Break` for [`Event::Stop`].
     pub(super) fn handle_event(&mut self, event: Event) -> ControlFlow<()> {
         let now = self.now;
         match event {
@@ -34,7 +34,7 @@
             }
             Event::List { kind, from, to, entries } => {
                 self.core.handle_endpoint_list(now, kind, from, to, &entries);
-                self.after_list(kind);
+                self.on_list_updated(kind);
             }
             Event::Status { answer_to } => _ = answer_to.try_send(self.status()),
             Event::AdminRequest { request, answer_to } => {
@@ -56,8 +56,8 @@
         ControlFlow::Continue(())
     }
 
-    /// The mark is written first: quota that was lent without it could be used twice, by its borrower and by the next process of this
-    /// host.
+    /// Marks the leave on disk, then lends the host's quota. If the mark can't be written, nothing is lent: quota lent without the mark
+    /// could be used twice, by its borrower and by the next process of this host.
     fn begin_leave(&mut self, now: Instant) {
         self.is_leaving = true;
         if self.peers.as_mut().is_some_and(Peers::mark_leave) {
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Closes the links to nodes that are gone, and saves the list.
-    fn after_list(&mut self, kind: ListKind) {
+    /// Closes links to nodes that are gone, and saves the list to disk unless the call for it failed.
+    fn on_list_updated(&mut self, kind: ListKind) {
         let core = &self.core;
         self.links.close_where(|node| is_gone(core, node));
         if kind != ListKind::Failed && self.settings.host.saved_list.is_some() {
-            _ = self.list.try_send(ToList::Save(self.list_to_save()));
+            _ = self.list.try_send(ListCommand::Save(self.list_to_save()));
         }
     }
 
@@ -109,7 +109,7 @@
     }
 }
 
-/// Whether the list says that a node is gone, and nothing is in flight there.
+/// Returns whether a node is gone according to the list and has no attempts in flight.
 fn is_gone(core: &Core, node: NodeId) -> bool {
     let entry = core.nodes().entries().find(|(_, entry)| entry.node == node);
     entry.is_some_and(|(_, entry)| entry.state == NodeState::Gone) && !core.has_attempts_at(node)
--- a/crates/host/src/core_thread/tests.rs
+++ b/crates/host/src/core_thread/tests.rs
@@ -2,7 +2,7 @@
 
 use super::CoreThread;
 use crate::links::Links;
-use crate::list::ToList;
+use crate::list::ListCommand;
 use crate::messages::Event;
 use crate::Clock;
 use crossbeam_channel::{Receiver, Sender};
@@ -60,7 +60,7 @@
 }
 
 /// The same, with this queue towards the endpoint list.
-fn core_thread_with_list(clock: Clock, to_list: Sender<ToList>) -> (CoreThread, Receiver<Event>) {
+fn core_thread_with_list(clock: Clock, to_list: Sender<ListCommand>) -> (CoreThread, Receiver<Event>) {
     let settings = Arc::new(HostSettings::parse("test", SETTINGS).unwrap());
     let core = Core::new(clock.now(), &settings, 1, 1);
     let (link_events, from_links) = crossbeam_channel::unbounded();
@@ -154,7 +154,7 @@
     assert!(commands.is_full(), "the watch waits in the queue");
     core_thread.core.handle_endpoint_list(clock.now(), ListKind::Changes, 7, 9, &[]);
     core_thread.execute_outputs();
-    assert!(matches!(commands.try_recv(), Ok(ToList::Follow { since: 0 })));
+    assert!(matches!(commands.try_recv(), Ok(ListCommand::Follow { since: 0 })));
     let since = Wall::now();
     while commands.is_empty() {
         assert!(since.elapsed() < Duration::from_secs(5), "the list is not asked again");
@@ -163,7 +163,7 @@
         core_thread.core.handle_timeout(core_thread.now);
         core_thread.execute_outputs();
     }
-    assert!(matches!(commands.try_recv(), Ok(ToList::Follow { since: 0 })), "not the complete list");
+    assert!(matches!(commands.try_recv(), Ok(ListCommand::Follow { since: 0 })), "not the complete list");
 }
 
 /// The link to a node waits for the node's hello, and its queue is full. The attempts that the queue can't take never reach the node, and
--- a/crates/host/src/host.rs
+++ b/crates/host/src/host.rs
@@ -1,4 +1,4 @@
-//! A running host, as its owner sees it: start, status, drain, stop.
+//! The public handle of a running host: start, status, drain and stop.
 
 use crate::messages::{Event, Status};
 use crate::startup::{self, StartedHost};
@@ -13,15 +13,15 @@
 use std::time::{Duration, Instant};
 use tackmast_config::HostSettings;
 
-/// Time for sessions to write their last answers.
+/// How long a drain waits for sessions to write their last answers.
 const FLUSH_TIME: Duration = Duration::from_millis(100);
-/// Time in which a host that leaves lends its quota to others.
+/// How long a leaving host lends its quota to its peers before it announces the leave.
 const LEAVE_TIME: Duration = Duration::from_millis(400);
-/// How often a drain looks whether a command is open.
+/// How often a drain checks for open commands.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// How long a caller waits for the host's status.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a connection that only wakes a listener may take.
+/// Timeout of a connection that is only made to wake a listener.
 const WAKE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How a drain ended.
@@ -29,17 +29,17 @@
 pub struct DrainOutcome {
     /// Whether each open command had its answer before the drain timed out.
     pub all_answered: bool,
-    /// Figures once the last command was answered; none where the host had stopped.
+    /// The status after all open commands were answered; `None` if the host gave none in time or had stopped already.
     pub status: Option<Status>,
 }
 
 /// A running host.
 pub struct Host {
-    /// Where iSCSI clients connect.
+    /// Address that iSCSI clients connect to, with the port that was bound.
     pub address: SocketAddr,
-    /// Where NBD clients connect.
+    /// Address that NBD clients connect to; `None` if NBD is disabled.
     pub nbd: Option<SocketAddr>,
-    /// Where other hosts reach it.
+    /// UDP address at which other hosts reach this one; `None` if membership is disabled.
     pub peers: Option<SocketAddr>,
     admin: Option<PathBuf>,
     stopping: Arc<AtomicBool>,
@@ -48,32 +48,33 @@
 }
 
 impl Host {
-    /// Starts listening; clients are served as soon as this returns.
+    /// Starts a host and its listeners. Clients are served as soon as this returns.
     pub fn start(settings: HostSettings) -> Result<Host, StartError> {
         let StartedHost { address, nbd, peers, admin, stopping, urgent, threads } = startup::start(settings)?;
         Ok(Host { address, nbd, peers, admin, stopping, urgent, threads })
     }
 
-    /// Figures of this moment; none where the host has stopped.
+    /// Returns the current status; `None` if the host gives none within 5 s or has stopped.
     pub fn status(&self) -> Option<Status> {
         let (answer_to, answer) = crossbeam_channel::bounded(1);
         self.urgent.send(Event::Status { answer_to }).ok()?;
         answer.recv_timeout(STATUS_TIMEOUT).ok()
     }
 
-    /// Ends in order: no new sessions, no new commands, and each open command gets its one answer, by `timeout` at the latest.
+    /// Shuts the host down gracefully: it accepts no new sessions and no new commands, and answers each open command exactly once, after
+    /// `timeout` at the latest.
     pub fn drain(self, timeout: Duration) -> DrainOutcome {
         self.stopping.store(true, Ordering::Release);
         self.wake_listeners();
         _ = self.urgent.send(Event::Drain);
-        let give_up_at = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         let open_commands = || self.status().map_or(0, |status| status.commands);
-        while open_commands() > 0 && Instant::now() < give_up_at {
+        while open_commands() > 0 && Instant::now() < deadline {
             std::thread::sleep(DRAIN_POLL_INTERVAL);
         }
         let all_answered = open_commands() == 0;
         _ = self.urgent.send(Event::CloseOpenCommands);
-        // Once the status is answered, the answers are with the sessions' threads, which need some time to write them.
+        // Events are handled in order: after this status, the answers are queued for the sessions' writers, which need time to write them.
         let status = self.status();
         std::thread::sleep(FLUSH_TIME);
         if self.peers.is_some() {
@@ -83,7 +84,7 @@
         DrainOutcome { all_answered, status }
     }
 
-    /// Lends this host's quota to peers that ask for it, and announces the leave.
+    /// Lends this host's quota to the peers, then announces the leave.
     fn leave(&self) {
         _ = self.urgent.send(Event::BeginLeave);
         std::thread::sleep(LEAVE_TIME);
@@ -91,8 +92,8 @@
         _ = self.status();
     }
 
-    /// Makes each listener look whether the host stops: it waits for a connection, and this is one. A thread that waited on would keep
-    /// the store open.
+    /// Connects to each listener, so that its blocked `accept` returns and it notices that the host is stopping. A listener that stayed
+    /// blocked would keep the store open.
     fn wake_listeners(&self) {
         for address in [Some(self.address), self.nbd].into_iter().flatten() {
             _ = TcpStream::connect_timeout(&address, WAKE_TIMEOUT);
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Ends at once: connections are closed, nothing more is answered.
+    /// Stops the host at once: connections are closed, and open commands get no answer.
     pub fn stop(mut self) {
         self.stopping.store(true, Ordering::Release);
         _ = self.urgent.send(Event::Stop);
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,5 +1,5 @@
-//! The host's I/O: it moves bytes between client sessions, the host core, node links, peers and the node list, and reads the clock. It
-//! holds no rule. Threads have small stacks, channels have bounds, and the core's thread never waits for a peer.
+//! The host's I/O: it moves bytes between client sessions, the host core, node links, peers and the endpoint list, and reads the clock.
+//! All decisions are made in the host core. Threads have small stacks, channels are bounded, and the core thread never blocks on a peer.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/host/src/list.rs
+++ b/crates/host/src/list.rs
@@ -30,7 +30,7 @@
 const READ_BUFFER_BYTES: usize = 64 << 10;
 
 /// What the core asks of the list's connection.
-pub(crate) enum ToList {
+pub(crate) enum ListCommand {
     /// Follow changes after a version.
     Follow {
         /// The version.
@@ -98,7 +98,7 @@
     settings: Arc<HostSettings>,
     events: Sender<Event>,
     stopping: Arc<AtomicBool>,
-) -> Result<Sender<ToList>, StartError> {
+) -> Result<Sender<ListCommand>, StartError> {
     let (to_list, commands) = crossbeam_channel::bounded(MAX_QUEUED_COMMANDS);
     let mut client = ListClient { settings, events, connection: None, since: 0 };
     spawn("list".into(), move || client.run(&commands, &stopping))?;
@@ -106,7 +106,7 @@
 }
 
 impl ListClient {
-    fn run(&mut self, commands: &Receiver<ToList>, stopping: &AtomicBool) {
+    fn run(&mut self, commands: &Receiver<ListCommand>, stopping: &AtomicBool) {
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         while !stopping.load(Ordering::Acquire) {
             let command = match self.connection {
@@ -124,17 +124,17 @@
         }
     }
 
-    fn execute(&mut self, command: Option<ToList>) -> Result<(), ListError> {
+    fn execute(&mut self, command: Option<ListCommand>) -> Result<(), ListError> {
         match command {
-            Some(ToList::Follow { since }) => {
+            Some(ListCommand::Follow { since }) => {
                 self.since = since;
                 self.follow()
             }
-            Some(ToList::Fetch) => {
+            Some(ListCommand::Fetch) => {
                 let host = self.settings.host.number;
                 self.call(&Frame::Fetch { version: VERSION, host })
             }
-            Some(ToList::Save(entries)) => {
+            Some(ListCommand::Save(entries)) => {
                 self.save(&entries);
                 Ok(())
             }
--- a/crates/host/src/lock.rs
+++ b/crates/host/src/lock.rs
@@ -1,8 +1,8 @@
-//! Locks whose holder may have panicked: the data is used as it is.
+//! Mutexes that ignore poisoning.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks; a panic of an earlier holder is ignored.
+/// Locks a mutex. If an earlier holder panicked, the data is used as that holder left it.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/host/src/messages.rs
+++ b/crates/host/src/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between the core's thread and the others.
+//! Messages between the core thread and the other threads.
 
 use bytes::Bytes;
 use crossbeam_channel::Sender;
@@ -10,66 +10,66 @@
     AdminRequest, AttemptResult, CommandId, Counters, ListEntry, PersistError, Verdict, Work,
 };
 
-/// An input of the core's thread.
+/// An input of the core thread.
 pub(crate) enum Event {
     /// A client has connected.
     SessionOpened {
         session: u32,
-        writer: Sender<ToSession>,
-        /// By which the core's thread closes it.
+        writer: Sender<SessionMessage>,
+        /// The session's socket, with which the core thread closes it.
         connection: Arc<TcpStream>,
     },
-    /// A client's command is complete.
+    /// A client's command has been received completely.
     Submit {
         from: CommandId,
         lun: u32,
         block: u64,
         work: Work,
-        /// When its first bytes were received.
+        /// When the command's first bytes were received.
         received_at: Instant,
-        /// The client's own, from then.
+        /// The timeout that the client set, counted from `received_at`.
         timeout: Option<TimeDelta>,
     },
-    /// A client withdraws a command.
+    /// A client aborts a command.
     Abort { from: CommandId },
     /// A session has ended.
     SessionClosed { session: u32 },
     /// An attempt has ended.
     AttemptResult(AttemptResult),
-    /// A node said at a connect for how long it has been up.
+    /// A node has reported its uptime in the handshake of a connection.
     NodeUp {
         node: NodeId,
         uptime: TimeDelta,
-        /// Is sent to once the core knows.
+        /// Receives a message once the core has applied the uptime.
         applied: Sender<()>,
     },
-    /// A part of the node list, or a failed call of it.
+    /// An update of the endpoint list, or a failed call to it.
     List { kind: ListKind, from: u64, to: u64, entries: Vec<ListEntry> },
-    /// A caller wants the host's figures.
+    /// A caller requests the host's status.
     Status { answer_to: Sender<Status> },
     /// An operator's call.
     AdminRequest { request: AdminRequest, answer_to: Sender<Answer> },
-    /// Bytes of another host.
+    /// A datagram that claims to be from another host.
     Datagram { from: SocketAddr, bytes: Bytes },
-    /// Lend the host's quota to its peers.
+    /// Mark the leave on disk, then lend the host's quota to its peers.
     BeginLeave,
     /// Announce to the peers that the host has left.
     AnnounceLeave,
-    /// Take no new command.
+    /// Accept no new commands.
     Drain,
-    /// Answer the commands that are still open.
+    /// Answer all commands that are still open.
     CloseOpenCommands,
     /// A write to the store has ended.
     Persisted { request: u64, result: Result<(), PersistError> },
-    /// End at once.
+    /// Close all sessions and end the core thread at once.
     Stop,
 }
 
-/// What the core's thread hands to a session's writer.
-pub(crate) enum ToSession {
+/// A message of the core thread or of a session's reader to the session's writer.
+pub(crate) enum SessionMessage {
     /// The answer to a command.
     Answer {
-        /// The command's number in its session.
+        /// The number of the command within its session.
         command: u32,
         /// How it ended.
         verdict: Verdict,
@@ -78,21 +78,21 @@
     OutputReady,
 }
 
-/// Figures of a host.
+/// The status of a host at one moment.
 #[derive(Clone, Debug, Default)]
 pub struct Status {
-    /// Commands and attempts by how they ended, since the start.
+    /// Numbers of commands and attempts since the host started, by how they ended.
     pub counters: Counters,
-    /// Open sessions.
+    /// Number of open sessions.
     pub sessions: usize,
-    /// Commands without an answer.
+    /// Number of commands that have no answer yet.
     pub commands: usize,
-    /// Requests without an answer.
+    /// Number of requests that have no answer yet.
     pub requests: usize,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub attempts: usize,
-    /// Addresses of the nodes and their states in the list.
+    /// Address of each node, and its state in the endpoint list.
     pub nodes: Vec<(String, NodeState)>,
-    /// Seconds that the core's thread has spent on events and outputs, the scheduler's decisions among them.
+    /// Wall-clock seconds that the core thread has spent on handling events and executing outputs, scheduler decisions included.
     pub core_seconds: f64,
 }
--- a/crates/host/src/peers.rs
+++ b/crates/host/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams of other hosts in and out, and the file that marks a leave.
+//! The UDP socket for datagrams between hosts, and the file that marks a graceful leave.
 
 use crate::messages::Event;
 use crate::thread::spawn;
@@ -16,47 +16,47 @@
 use tackmast_host_core::{member_settings, Core, KnownPeer, PreviousExit};
 use tackmast_wire::peer;
 
-/// How often the reader looks whether the host stops.
+/// How often the reader checks whether the host is stopping.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a datagram may wait for the socket; then it is lost, as on any network.
+/// How long sending a datagram may block before the datagram is dropped; peers tolerate lost datagrams.
 const SEND_TIMEOUT: Duration = Duration::from_millis(1);
-/// What the file that marks a leave holds.
+/// Content of the file that marks a leave.
 const LEFT_FILE_TEXT: &[u8] =
     b"This host has left in order; its next life starts with nothing that may be lent.\n";
 
-/// The sender's side, held by the core's thread.
+/// The socket for sending, and the leave mark; owned by the core thread.
 pub(crate) struct Peers {
     socket: UdpSocket,
-    /// Where the other hosts reach this one.
+    /// Address at which the other hosts reach this one.
     pub(crate) address: SocketAddr,
     left_file: Option<PathBuf>,
-    /// Whether the file marks a leave.
-    is_marked: bool,
+    /// Whether the file that marks a leave exists.
+    is_leave_marked: bool,
 }
 
-/// Who this host is among its peers.
+/// This host's identity and state as a member.
 pub(crate) struct PeerIdentity {
-    /// Number of this start of the host; larger is later.
+    /// Generation of this start of the host; a later start has a higher one.
     pub(crate) generation: u64,
-    /// Seed of its random choices.
+    /// Seed of the random choices of membership.
     pub(crate) seed: u64,
     /// Peers that an earlier process knew.
     pub(crate) known_peers: Vec<KnownPeer>,
 }
 
 impl Peers {
-    /// Binds the socket and marks whether an earlier process has left in order.
+    /// Binds the socket, and records whether an earlier process has marked a graceful leave.
     pub(crate) fn bind(block: &MembershipBlock) -> Result<Peers, StartError> {
         let failed = |error| StartError::Listen { address: block.listen, error };
         let socket = UdpSocket::bind(block.listen).map_err(failed)?;
         let address = socket.local_addr().map_err(failed)?;
         socket.set_read_timeout(Some(STOP_POLL_INTERVAL)).map_err(failed)?;
         socket.set_write_timeout(Some(SEND_TIMEOUT)).map_err(failed)?;
-        let is_marked = block.left_file.as_ref().is_some_and(|file| file.exists());
-        Ok(Peers { socket, address, left_file: block.left_file.clone(), is_marked })
+        let is_leave_marked = block.left_file.as_ref().is_some_and(|file| file.exists());
+        Ok(Peers { socket, address, left_file: block.left_file.clone(), is_leave_marked })
     }
 
-    /// Gives the core its part in the membership.
+    /// Enables membership in the core.
     pub(crate) fn join(
         &self,
         core: &mut Core,
@@ -66,7 +66,7 @@
         identity: PeerIdentity,
     ) {
         let now = clock.now();
-        let previous_exit = if self.is_marked { PreviousExit::Graceful } else { PreviousExit::Unclean };
+        let previous_exit = if self.is_leave_marked { PreviousExit::Graceful } else { PreviousExit::Unclean };
         let PeerIdentity { generation, seed, known_peers } = identity;
         let members =
             member_settings(settings, block, self.address, generation, previous_exit, seed, known_peers);
@@ -85,17 +85,18 @@
         Ok(())
     }
 
-    /// Sends a datagram, which may be lost like any other.
+    /// Sends a datagram. A failure is ignored, like a datagram that is lost on the network.
     pub(crate) fn send(&self, to: SocketAddr, bytes: &Bytes) {
         _ = self.socket.send_to(bytes, to);
     }
 
-    /// Marks on disk that all this host has may be lent for the longer term; false: it must not be.
+    /// Marks on disk that all of this host's quota may be lent for the longer term. Returns `false` if the mark is not on disk, in which
+    /// case no quota may be lent.
     pub(crate) fn mark_leave(&mut self) -> bool {
         let Some(file) = &self.left_file else { return false };
         match write_mark(file) {
             Ok(()) => {
-                self.is_marked = true;
+                self.is_leave_marked = true;
                 true
             }
             Err(error) => {
@@ -105,11 +106,11 @@
         }
     }
 
-    /// Removes the mark, once nothing that was lent at an earlier leave can be in use any more.
-    pub(crate) fn unmark(&mut self) {
-        if let Some(file) = self.left_file.as_ref().filter(|_| self.is_marked) {
+    /// Removes the mark. To be called once the quota that was lent at the marked leave can't be in use any more.
+    pub(crate) fn remove_leave_mark(&mut self) {
+        if let Some(file) = self.left_file.as_ref().filter(|_| self.is_leave_marked) {
             match std::fs::remove_file(file) {
-                Ok(()) => self.is_marked = false,
+                Ok(()) => self.is_leave_marked = false,
                 Err(error) => {
                     tracing::warn!(path = %file.display(), %error, "mark of an earlier leave not removed");
                 }
@@ -117,9 +118,9 @@
         }
     }
 
-    /// Whether the file marks a leave.
-    pub(crate) fn is_marked(&self) -> bool {
-        self.is_marked
+    /// Returns whether a leave is marked on disk.
+    pub(crate) fn is_leave_marked(&self) -> bool {
+        self.is_leave_marked
     }
 }
 
@@ -134,7 +135,7 @@
     }
 }
 
-/// Writes the mark and its directory entry through to the disk.
+/// Writes the mark, and syncs the file and its directory to disk.
 fn write_mark(path: &Path) -> io::Result<()> {
     let mut file = File::create(path)?;
     file.write_all(LEFT_FILE_TEXT)?;
--- a/crates/host/src/sessions/connection.rs
+++ b/crates/host/src/sessions/connection.rs
@@ -4,7 +4,7 @@
 use super::shared::SharedSession;
 use super::writer::write_until_end;
 use super::{Protocol, SessionHub, REFUSED_SESSION};
-use crate::messages::{Event, ToSession};
+use crate::messages::{Event, SessionMessage};
 use crate::thread::spawn;
 use crossbeam_channel::Sender;
 use std::io;
@@ -85,7 +85,7 @@
     }
 
     /// Reports a session that is not refused to the core's thread; false: the host has stopped.
-    fn report_open(&self, number: u16, writer: &Sender<ToSession>, closing: TcpStream) -> bool {
+    fn report_open(&self, number: u16, writer: &Sender<SessionMessage>, closing: TcpStream) -> bool {
         if number == REFUSED_SESSION {
             return true;
         }
--- a/crates/host/src/sessions/reader.rs
+++ b/crates/host/src/sessions/reader.rs
@@ -2,7 +2,7 @@
 
 use super::shared::SharedSession;
 use super::SessionHub;
-use crate::messages::{Event, ToSession};
+use crate::messages::{Event, SessionMessage};
 use crossbeam_channel::Sender;
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read};
@@ -26,7 +26,7 @@
 pub(super) struct SessionReader<'a> {
     hub: &'a SessionHub,
     shared: &'a SharedSession,
-    writer: &'a Sender<ToSession>,
+    writer: &'a Sender<SessionMessage>,
     info: SessionInfo,
     /// When the first bytes of a write were received whose data is not complete.
     began_at: HashMap<u32, Instant>,
@@ -37,7 +37,7 @@
     pub(super) fn new(
         hub: &'a SessionHub,
         shared: &'a SharedSession,
-        writer: &'a Sender<ToSession>,
+        writer: &'a Sender<SessionMessage>,
         info: SessionInfo,
     ) -> Self {
         SessionReader { hub, shared, writer, info, began_at: HashMap::new(), is_logged_in: false }
--- a/crates/host/src/sessions/shared.rs
+++ b/crates/host/src/sessions/shared.rs
@@ -1,7 +1,7 @@
 //! A session's state machine between its reader and its writer.
 
 use crate::lock::lock;
-use crate::messages::ToSession;
+use crate::messages::SessionMessage;
 use crossbeam_channel::{Sender, TrySendError};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
@@ -35,9 +35,9 @@
     }
 
     /// Wakes the writer, unless it was woken and has not looked yet.
-    pub(super) fn wake_writer(&self, writer: &Sender<ToSession>) {
+    pub(super) fn wake_writer(&self, writer: &Sender<SessionMessage>) {
         if !self.is_writer_woken.swap(true, Ordering::AcqRel) {
-            if let Err(TrySendError::Full(message)) = writer.try_send(ToSession::OutputReady) {
+            if let Err(TrySendError::Full(message)) = writer.try_send(SessionMessage::OutputReady) {
                 _ = writer.send(message);
             }
         }
--- a/crates/host/src/sessions/writer.rs
+++ b/crates/host/src/sessions/writer.rs
@@ -1,7 +1,7 @@
 //! The writer of a session: answers of the core become bytes for the client.
 
 use super::shared::SharedSession;
-use crate::messages::ToSession;
+use crate::messages::SessionMessage;
 use crossbeam_channel::Receiver;
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
@@ -12,14 +12,18 @@
 const MAX_BATCH: usize = 64;
 
 /// Writes until the core's thread and the reader have both ended, or the client takes nothing more.
-pub(super) fn write_until_end(shared: &SharedSession, mut stream: TcpStream, queued: &Receiver<ToSession>) {
+pub(super) fn write_until_end(
+    shared: &SharedSession,
+    mut stream: TcpStream,
+    queued: &Receiver<SessionMessage>,
+) {
     while let Ok(first) = queued.recv() {
         let mut session = shared.lock();
         let rest = queued.try_iter().take(MAX_BATCH - 1);
         for message in std::iter::once(first).chain(rest) {
             match message {
-                ToSession::OutputReady => shared.on_writer_woken(),
-                ToSession::Answer { command, verdict } => {
+                SessionMessage::OutputReady => shared.on_writer_woken(),
+                SessionMessage::Answer { command, verdict } => {
                     _ = session.answer(command, target_verdict(verdict))
                 }
             }
--- a/crates/host/src/startup.rs
+++ b/crates/host/src/startup.rs
@@ -1,11 +1,11 @@
-//! Starting a host: sockets, the store and what it held, the core, and the threads around them.
+//! Start of a host: binds the sockets, opens the store, restores the core's state from it and starts the threads.
 
 use crate::core_thread::{self, CoreThread};
 use crate::links::Links;
 use crate::messages::Event;
 use crate::peers::{PeerIdentity, Peers};
 use crate::sessions::{Protocol, SessionHub};
-use crate::store_writer::{self, ToStore};
+use crate::store_writer::{self, StoreRequest};
 use crate::{admin, list, Clock, StartError};
 use crossbeam_channel::Sender;
 use std::net::{SocketAddr, TcpListener};
@@ -18,12 +18,12 @@
 use tackmast_overrides::Overrides;
 use tackmast_store::{OpenedStore, PersistedState, Store};
 
-/// Events that may wait for the core's thread before those who report more must wait.
+/// Capacity of each queue to the core thread; senders block while it is full.
 const MAX_QUEUED_EVENTS: usize = 16 << 10;
-/// Bits of a generation that hold the host's number; those above hold the microseconds of its start.
+/// Low bits of a generation that hold the host's number; the bits above hold the start time in microseconds.
 const HOST_NUMBER_BITS: u32 = 12;
 
-/// A listener and the address that the system gave it.
+/// A listener and the address that it is bound to.
 struct BoundListener {
     address: SocketAddr,
     listener: TcpListener,
@@ -39,45 +39,45 @@
     }
 }
 
-/// What the parts of a starting host share.
+/// Shared state of the startup steps.
 struct Startup {
     settings: Arc<HostSettings>,
     clock: Clock,
-    /// Number of this start of the host; larger is later.
+    /// Generation of this start of the host; a later start has a higher one.
     generation: u64,
     seed: u64,
-    /// Events that are handled before others.
+    /// Queue of events that are handled before the ordinary ones.
     urgent: Sender<Event>,
     events: Sender<Event>,
     stopping: Arc<AtomicBool>,
 }
 
-/// What a started host is held by.
+/// The handles of a started host.
 pub(crate) struct StartedHost {
-    /// Where iSCSI clients connect.
+    /// Address that iSCSI clients connect to.
     pub(crate) address: SocketAddr,
-    /// Where NBD clients connect.
+    /// Address that NBD clients connect to.
     pub(crate) nbd: Option<SocketAddr>,
-    /// Where other hosts reach it.
+    /// Address at which other hosts reach this one.
     pub(crate) peers: Option<SocketAddr>,
     /// Path of the admin socket.
     pub(crate) admin: Option<PathBuf>,
-    /// Set when the host ends.
+    /// Set when the host stops.
     pub(crate) stopping: Arc<AtomicBool>,
-    /// Events that are handled before others.
+    /// Queue of events that are handled before the ordinary ones.
     pub(crate) urgent: Sender<Event>,
-    /// Threads that end with the host.
+    /// Threads to join when the host stops.
     pub(crate) threads: Vec<JoinHandle<()>>,
 }
 
-/// Starts a host; clients are served as soon as this returns.
+/// Starts a host. Clients are served as soon as this returns.
 pub(crate) fn start(settings: HostSettings) -> Result<StartedHost, StartError> {
     let clock = Clock::start();
     let iscsi = BoundListener::bind(settings.host.listen)?;
     let nbd = settings.host.listen_nbd.map(BoundListener::bind).transpose()?;
     let store = settings.overrides.as_ref().map(|block| Store::open(&block.store)).transpose()?;
     let members = store.as_ref().map(|opened| opened.state.members.clone()).unwrap_or_default();
-    let generation = begin_generation(&settings, clock, store.as_ref(), &members)?;
+    let generation = allocate_generation(&settings, clock, store.as_ref(), &members)?;
     let seed = settings.host.seed.unwrap_or(generation ^ u64::from(std::process::id()) << 32);
     let mut core = Core::new(clock.now(), &settings, seed, generation);
     let (urgent, urgent_events) = crossbeam_channel::bounded(MAX_QUEUED_EVENTS);
@@ -113,9 +113,10 @@
     })
 }
 
-/// The number of this start, written to the store before anything is sent under it. Peers ignore a generation below one that they know,
-/// so a host whose clock went back would be ignored by all: it takes at least the number after the last one that it wrote.
-fn begin_generation(
+/// Returns the generation of this start and writes it to the store before any message carries it. Peers ignore a generation lower than
+/// one that they know, so all would ignore a host whose clock was set back. The generation is therefore at least the last stored one
+/// plus 1.
+fn allocate_generation(
     settings: &HostSettings,
     clock: Clock,
     store: Option<&OpenedStore>,
@@ -132,12 +133,12 @@
 }
 
 impl Startup {
-    /// Gives the core what the store held, and accepts operators' calls.
+    /// Restores the core's state from the store, and starts the store writer and the admin socket.
     fn start_store(
         &self,
         core: &mut Core,
         opened: Option<OpenedStore>,
-    ) -> Result<Option<Sender<ToStore>>, StartError> {
+    ) -> Result<Option<Sender<StoreRequest>>, StartError> {
         let Some((block, OpenedStore { store, mut state })) = self.settings.overrides.as_ref().zip(opened)
         else {
             return Ok(None);
@@ -152,7 +153,7 @@
         Ok(Some(to_store))
     }
 
-    /// Gives the core the overrides that were in force, but for those that ended while the host was down.
+    /// Restores the stored overrides, except those that ended while the host was down; these are removed from the store and audited.
     fn restore_overrides(&self, core: &mut Core, block: &OverridesBlock, state: &mut PersistedState) {
         let (now, wall_us) = (self.clock.now(), Clock::wall_us());
         let bounds = tackmast_overrides::Settings {
@@ -172,7 +173,7 @@
         core.enable_overrides(now, overrides, batch);
     }
 
-    /// Gives the core the plans that its store held, and its part in the consensus on them.
+    /// Restores the stored plans, and starts this host's replica if the settings enable consensus.
     fn restore_plans(
         &self,
         core: &mut Core,
@@ -197,8 +198,8 @@
         Ok(())
     }
 
-    /// The host's replica. Changes that one home made without consensus are not in its log: they have to be in the settings of all hosts
-    /// first, or hosts would begin with different plans.
+    /// Returns the host's replica of the consensus log. Changes that a single home made without consensus are not in that log: they must
+    /// be copied into the settings of all hosts first, otherwise hosts would start with different plans.
     fn start_consensus(
         &self,
         block: &ConsensusBlock,
@@ -215,7 +216,7 @@
         Ok(ConsensusDriver::new(self.clock.now(), &self.settings, block, start, self.generation))
     }
 
-    /// Gives the core its part in the membership, and reads datagrams.
+    /// Enables membership in the core and starts the thread that reads datagrams; `None` if the settings have no membership.
     fn start_peers(&self, core: &mut Core, members: PersistedMembers) -> Result<Option<Peers>, StartError> {
         let Some(block) = &self.settings.membership else { return Ok(None) };
         let peers = Peers::bind(block)?;
--- a/crates/host/src/store_writer.rs
+++ b/crates/host/src/store_writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes to the store: the core never waits for a disk.
+//! The thread that accesses the store, so that the core thread never blocks on a disk.
 
 use crate::messages::Event;
 use crate::thread::spawn;
@@ -9,27 +9,27 @@
 use tackmast_host_core::{PersistBatch, PersistError};
 use tackmast_store::Store;
 
-/// Writes that nobody waits for, kept while the disk does not take them; later ones are dropped.
+/// Maximum number of unacknowledged writes to keep while writing to the disk fails; later ones are dropped.
 const MAX_UNWRITTEN: usize = 10_000;
-/// How long to wait before a failed write is tried again.
+/// How long to wait before a failed write is retried.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// The request number of writes that nobody waits for.
+/// Request number of writes whose result is not reported.
 const NO_REQUEST: u64 = 0;
 
-/// What is asked of the store's thread.
-pub(crate) enum ToStore {
+/// A request to the store's thread.
+pub(crate) enum StoreRequest {
     /// Write a batch.
     Persist {
-        /// By which the core knows the result; `NO_REQUEST`: nobody waits for it.
+        /// Number under which the result is reported to the core; with `NO_REQUEST` it is not reported, and a failed write is retried.
         request: u64,
-        /// What to write.
+        /// The batch.
         batch: PersistBatch,
     },
     /// Read the last lines of the audit log.
     Audit {
-        /// How many at most.
+        /// Maximum number of lines.
         max_lines: usize,
-        /// Who waits for them.
+        /// Receiver of the lines, or of the error.
         answer_to: Sender<Answer>,
     },
 }
@@ -37,19 +37,23 @@
 struct StoreWriter {
     store: Store,
     core: Sender<Event>,
-    /// Writes that nobody waits for and that the disk has not taken, the oldest first.
+    /// Unreported batches that are not on disk yet, the oldest first.
     unwritten: Vec<PersistBatch>,
 }
 
-/// Starts the thread, which ends when nobody can ask it any more.
-pub(crate) fn start(store: Store, queued: Receiver<ToStore>, core: Sender<Event>) -> Result<(), StartError> {
+/// Starts the store's thread, which ends when all senders of `queued` are dropped.
+pub(crate) fn start(
+    store: Store,
+    queued: Receiver<StoreRequest>,
+    core: Sender<Event>,
+) -> Result<(), StartError> {
     let mut writer = StoreWriter { store, core, unwritten: Vec::new() };
     spawn("store".into(), move || writer.run(&queued))?;
     Ok(())
 }
 
 impl StoreWriter {
-    fn run(&mut self, queued: &Receiver<ToStore>) {
+    fn run(&mut self, queued: &Receiver<StoreRequest>) {
         loop {
             match self.wait(queued) {
                 Ok(message) => self.handle(message),
@@ -60,30 +64,30 @@
         }
     }
 
-    fn wait(&self, queued: &Receiver<ToStore>) -> Result<ToStore, RecvTimeoutError> {
+    fn wait(&self, queued: &Receiver<StoreRequest>) -> Result<StoreRequest, RecvTimeoutError> {
         match self.unwritten.is_empty() {
             true => queued.recv().map_err(RecvTimeoutError::from),
             false => queued.recv_timeout(RETRY_INTERVAL),
         }
     }
 
-    fn handle(&mut self, message: ToStore) {
+    fn handle(&mut self, message: StoreRequest) {
         match message {
-            ToStore::Audit { max_lines, answer_to } => {
+            StoreRequest::Audit { max_lines, answer_to } => {
                 _ = answer_to.send(match self.store.audit(max_lines) {
                     Ok(lines) => Answer::Audit(lines),
                     Err(error) => Answer::Error(error.to_string()),
                 });
             }
-            ToStore::Persist { request: NO_REQUEST, batch } => self.unwritten.push(batch),
-            ToStore::Persist { request, batch } => {
+            StoreRequest::Persist { request: NO_REQUEST, batch } => self.unwritten.push(batch),
+            StoreRequest::Persist { request, batch } => {
                 let result = self.store.write(&batch).map_err(|error| PersistError(error.to_string()));
                 _ = self.core.send(Event::Persisted { request, result });
             }
         }
     }
 
-    /// Writes what nobody waits for. It must not be lost to a disk that is full for a while, so it is kept and tried again.
+    /// Writes the unreported batches. Batches that fail are kept and retried, so that a disk that is full for a while loses none of them.
     fn write_unwritten(&mut self) {
         while let Some(first) = self.unwritten.first() {
             if let Err(error) = self.store.write(first) {
