--- a/crates/host/src/admin.rs
+++ b/crates/host/src/admin.rs
@@ -1,4 +1,4 @@
-//! The host's admin socket, which only its own user may open.
+//! The host's admin socket, which only the user of the host's process may open.
 
 #[cfg(test)]
 mod tests;
@@ -19,41 +19,41 @@
 use tackmast_admin::{Answer, Call};
 use tackmast_host_core::{AdminRequest, ConsensusRequest, PlanRequest};
 
-/// Calls that may be open at a time.
+/// Maximum number of calls that are open at the same time.
 const MAX_CALLS: usize = 64;
-/// How long a call may wait for its bytes or its answer.
+/// Timeout of reading a call, of answering it, and of writing its answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: i32 = 64;
-/// Access for the host's own user only.
+/// File mode of the socket: access for the host's own user only.
 const SOCKET_MODE: u32 = 0o600;
 
 /// Why the admin socket can't be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum AdminSocketError {
-    /// Something else stands at its path.
+    /// The path exists and is not a socket.
     #[error("{}: a file that is no socket; expected none, or the socket of an earlier host", path.display())]
     NotASocket {
         /// The socket's path.
         path: PathBuf,
     },
-    /// Another host uses it.
+    /// Another host accepts connections on the socket.
     #[error("{}: another host answers there; expected a socket of this host's own", path.display())]
     InUse {
         /// The socket's path.
         path: PathBuf,
     },
-    /// The system refused an operation on it.
+    /// The operating system refused an operation on the socket.
     #[error("{}: {error}", path.display())]
     Io {
         /// The socket's path.
         path: PathBuf,
-        /// What the system says.
+        /// The operating system's error.
         error: io::Error,
     },
 }
 
-/// Binds the socket. Its access is set before it has a path: set afterwards, another user could open it in between.
+/// Binds the socket. Its mode is set before it has a path; otherwise another user could open it before the mode is set.
 fn bind(path: &Path) -> Result<UnixListener, AdminSocketError> {
     remove_stale(path)?;
     let failed = |error| AdminSocketError::Io { path: path.into(), error };
@@ -66,7 +66,7 @@
     Ok(UnixListener::from(OwnedFd::from(socket)))
 }
 
-/// Removes the socket that an earlier host has left, unless a host answers there.
+/// Removes a socket that an earlier host left behind. Fails if a host still accepts connections on it.
 fn remove_stale(path: &Path) -> Result<(), AdminSocketError> {
     let Ok(found) = std::fs::symlink_metadata(path) else { return Ok(()) };
     if !found.file_type().is_socket() {
@@ -78,22 +78,22 @@
     std::fs::remove_file(path).map_err(|error| AdminSocketError::Io { path: path.into(), error })
 }
 
-/// Why a call has no answer.
+/// Why a call got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum NoAnswerReason {
-    /// It has not come within the timeout.
+    /// No answer arrived within this timeout.
     #[error("no answer in {} s", .0.as_secs_f64())]
     Late(Duration),
-    /// The thread that answers has ended.
+    /// The thread that would answer has ended.
     #[error("the host is stopping")]
     Stopping,
 }
 
-/// A call that has no answer.
+/// A call that got no answer.
 #[derive(Debug, PartialEq, Eq)]
 struct NoAnswer {
     reason: NoAnswerReason,
-    /// The command that shows whether the change has applied; none: the call can't have changed anything.
+    /// The command that shows whether the change was applied; `None` if the call can't have changed anything.
     change_shown_by: Option<&'static str>,
 }
 
@@ -107,7 +107,7 @@
     }
 }
 
-/// The command that shows whether the change of a call has applied; none: the call asks for no change.
+/// Returns the command that shows whether the change of a call was applied; `None` if the call asks for no change.
 fn command_that_shows_change(call: &Call) -> Option<&'static str> {
     let Call::AdminRequest(request) = call else { return None };
     match request {
@@ -124,16 +124,16 @@
     }
 }
 
-/// Where calls are answered.
+/// The queues of the threads that answer calls.
 #[derive(Clone)]
 struct CallHandlers {
     core: Sender<Event>,
     store: Sender<StoreRequest>,
-    /// How long a call may wait for its answer.
+    /// How long to wait for the answer to a call.
     timeout: Duration,
 }
 
-/// Starts the thread that accepts operators' calls.
+/// Binds the socket and starts the thread that accepts operators' connections.
 pub(crate) fn start(
     path: &Path,
     core: Sender<Event>,
@@ -156,7 +156,7 @@
     Ok(())
 }
 
-/// Serves a connection on a thread of its own, unless too many are open.
+/// Serves a connection on a thread of its own, or refuses it if too many are open.
 fn admit(mut stream: UnixStream, handlers: &CallHandlers, open_calls: &Arc<AtomicUsize>) {
     if open_calls.fetch_add(1, Ordering::AcqRel) >= MAX_CALLS {
         let busy = Answer::Error(format!("{MAX_CALLS} calls are open already"));
@@ -189,7 +189,7 @@
 }
 
 impl CallHandlers {
-    /// The answer to a line.
+    /// Parses a line and returns the answer to its call.
     fn call(&self, line: &str) -> Answer {
         match tackmast_admin::parse_call(line) {
             Ok(call) => self.answer(call).unwrap_or_else(|no_answer| Answer::Error(no_answer.to_string())),
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Hands a call to the thread that answers it, and waits for the answer.
+    /// Queues a call for the thread that answers it, and waits for the answer.
     fn answer(&self, call: Call) -> Result<Answer, NoAnswer> {
         let change_shown_by = command_that_shows_change(&call);
         let (answer_to, answer) = crossbeam_channel::bounded(1);
--- a/crates/host/src/admin/tests.rs
+++ b/crates/host/src/admin/tests.rs
@@ -1,16 +1,16 @@
-//! What an operator reads where a call has no answer.
+//! Tests of the error texts that an operator gets for a call without an answer.
 
 use super::*;
 use crossbeam_channel::Receiver;
 
-/// A call of an operator that clears an override.
+/// A call that clears an override.
 const CLEAR: &str = r#"{"v":1,"body":{"ask":{"clear":{"id":3,"who":"ann"}}}}"#;
 /// A call that changes nothing.
 const LIST: &str = r#"{"v":1,"body":{"ask":"list"}}"#;
 /// A call that the store answers.
 const AUDIT: &str = r#"{"v":1,"body":{"audit":{"most":20}}}"#;
 
-/// The handlers of calls, and the queues of the threads that answer them.
+/// Returns the handlers, and the receiving ends of the core's and the store's queues.
 fn handlers(timeout: Duration) -> (CallHandlers, Receiver<Event>, Receiver<StoreRequest>) {
     let (core, core_events) = crossbeam_channel::unbounded();
     let (store, store_messages) = crossbeam_channel::unbounded();
@@ -21,8 +21,8 @@
     Answer::Error(text.into())
 }
 
-/// The core's thread is busy for longer than a call may wait. The operator who wanted a change has to learn that it may apply all the
-/// same, and by which command that is seen; one who only asked has nothing to look after.
+/// The core thread is busy for longer than the timeout of a call. The error of a change must say that the change may still be applied,
+/// and which command shows that; the error of a call that only reads needs no such note.
 #[test]
 fn late_answer_to_a_change_names_the_command_that_shows_it() {
     let (handlers, _core, _store) = handlers(Duration::from_millis(10));
@@ -34,7 +34,7 @@
     assert_eq!(late.to_string(), "no answer in 10 s");
 }
 
-/// The core and the store have ended when a call comes. Nothing was late, and the change can't have applied.
+/// A call arrives after the core and the store have ended. The error comes at once, and does not suggest that a change was applied.
 #[test]
 fn call_after_the_end_of_the_core_is_answered_at_once() {
     let (handlers, core, store) = handlers(CALL_TIMEOUT);
@@ -46,9 +46,9 @@
     assert!(start.elapsed() < CALL_TIMEOUT / 2, "waited for an answer that can't come");
 }
 
-/// The core's thread takes a change and ends before it answers. The change may have been written.
+/// The core thread receives a change and ends before it answers. The error must say that the change may have been applied.
 #[test]
-fn change_that_the_core_took_before_its_end_may_have_applied() {
+fn error_of_a_change_that_the_core_received_before_its_end_names_the_command_that_shows_it() {
     let (handlers, core, _store) = handlers(CALL_TIMEOUT);
     let core_thread = std::thread::spawn(move || drop(core.recv().unwrap()));
     let expected = "the host is stopping; `tackmast override list` shows whether it applied";
--- a/crates/host/src/list.rs
+++ b/crates/host/src/list.rs
@@ -1,4 +1,4 @@
-//! The connection to the endpoint list: it follows changes, asks for the complete list, and reports failed calls.
+//! The client of the endpoint list service: it follows changes, fetches the complete list, and reports failed calls.
 
 pub(crate) mod saved;
 #[cfg(test)]
@@ -20,29 +20,29 @@
 use tackmast_wire::reader::Frames;
 use tackmast_wire::WireError;
 
-/// How often commands of the core are looked for while the connection is read.
+/// How often commands of the core are polled while a connection is open; also its read timeout.
 const COMMAND_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How often the end of the host is looked for while there is no connection.
+/// How often the thread checks whether the host is stopping while no connection is open.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Commands of the core that may wait.
+/// Maximum number of queued commands of the core.
 const MAX_QUEUED_COMMANDS: usize = 64;
-/// Bytes that one read takes at most.
+/// Maximum number of bytes in one read.
 const READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// What the core asks of the list's connection.
+/// A command of the core thread to the list client.
 pub(crate) enum ListCommand {
-    /// Follow changes after a version.
+    /// Follow changes of the list.
     Follow {
-        /// The version.
+        /// Version after which changes are wanted; 0 asks for the complete list first.
         since: u64,
     },
-    /// Ask for the complete list.
+    /// Fetch the complete list.
     Fetch,
-    /// Save the list for the host's next start.
+    /// Save the list to disk for the host's next start.
     Save(Vec<ListEntry>),
 }
 
-/// Why a call of the list failed.
+/// Why a call to the list service failed.
 #[derive(Debug, thiserror::Error)]
 enum ListError {
     #[error("connect: {0}")]
@@ -59,41 +59,41 @@
     NoAnswer { silence_ms: u128 },
     #[error("the list could not answer")]
     CouldNotAnswer,
-    #[error("the list sent a host's frame")]
-    HostsFrame,
+    #[error("the list sent a frame that only hosts send")]
+    UnexpectedFrame,
     #[error(transparent)]
     Wire(#[from] WireError),
 }
 
-/// A connection to the list.
+/// A connection to the list service.
 struct Connection {
     stream: TcpStream,
     frames: Frames,
-    /// Calls that are not answered.
-    owed_answers: u32,
+    /// Number of calls that have no answer yet.
+    unanswered_calls: u32,
     /// When the last bytes were sent or received.
-    active_at: Wall,
+    last_active_at: Wall,
 }
 
 struct ListClient {
     settings: Arc<HostSettings>,
     events: Sender<Event>,
     connection: Option<Connection>,
-    /// The version that the host has; 0 where changes are missing, so that the complete list is asked for.
+    /// Version of the list that the host has; 0 if changes are missing, so that the next call asks for the complete list.
     since: u64,
 }
 
-/// What a frame of the list says.
+/// The content of a frame from the list service.
 struct ListUpdate {
     kind: ListKind,
     from: u64,
     to: u64,
-    /// The list's clock, in microseconds of Unix time; 0: not known.
+    /// When the list service sent the frame, by its clock, in microseconds of Unix time; 0 if not known.
     sent_us: u64,
     entries: Vec<list::Entry>,
 }
 
-/// Starts the thread that speaks with the list.
+/// Starts the thread of the list client. Returns the queue for its commands.
 pub(crate) fn start(
     settings: Arc<HostSettings>,
     events: Sender<Event>,
@@ -147,14 +147,14 @@
         self.call(&Frame::Follow { version: VERSION, host, since })
     }
 
-    /// Sends a call, over a new connection where there is none.
+    /// Sends a call; connects first if no connection is open.
     fn call(&mut self, frame: &Frame) -> Result<(), ListError> {
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
             None => self.connect()?,
         };
-        connection.active_at = Wall::now();
-        connection.owed_answers += 1;
+        connection.last_active_at = Wall::now();
+        connection.unanswered_calls += 1;
         let written = connection.stream.write_all(&frame.to_bytes()).map_err(ListError::Write);
         self.connection = Some(connection);
         written
@@ -167,7 +167,7 @@
         stream.set_read_timeout(Some(COMMAND_POLL_INTERVAL)).map_err(ListError::Socket)?;
         stream.set_write_timeout(Some(timeout)).map_err(ListError::Socket)?;
         stream.set_nodelay(true).map_err(ListError::Socket)?;
-        Ok(Connection { stream, frames: list::frames(), owed_answers: 0, active_at: Wall::now() })
+        Ok(Connection { stream, frames: list::frames(), unanswered_calls: 0, last_active_at: Wall::now() })
     }
 
     fn read(&mut self, buffer: &mut [u8]) -> Result<(), ListError> {
@@ -181,14 +181,14 @@
                 _ => return Err(ListError::Read(error)),
             },
         };
-        connection.active_at = Wall::now();
+        connection.last_active_at = Wall::now();
         connection.frames.push(&buffer[..length]);
         let mut frames = Vec::new();
         while let Some(frame) = list::next(&mut connection.frames)? {
             frames.push(frame);
         }
         for frame in frames {
-            connection.owed_answers = connection.owed_answers.saturating_sub(1);
+            connection.unanswered_calls = connection.unanswered_calls.saturating_sub(1);
             let update = ListUpdate::from_frame(frame)?;
             self.since = update.version_to_follow_from(self.since);
             _ = self.events.send(update.into_event());
@@ -196,15 +196,16 @@
         Ok(())
     }
 
-    /// A dead connection looks like a list without changes, and the host would keep an old list without noticing. After a silence the
-    /// list is called; one that answers nothing within the same time again has failed.
+    /// Handles a read timeout. A dead connection looks like a list without changes, so the host could keep an outdated list unnoticed.
+    /// After `link_silence_ms` without traffic the list is followed anew; if no answer arrives within the same time again, the call has
+    /// failed.
     fn handle_silence(&mut self) -> Result<(), ListError> {
         let max_silence = Duration::from_millis(self.settings.bounds.link_silence_ms);
         let Some(connection) = &self.connection else { return Ok(()) };
-        if connection.active_at.elapsed() < max_silence {
+        if connection.last_active_at.elapsed() < max_silence {
             return Ok(());
         }
-        if connection.owed_answers > 0 {
+        if connection.unanswered_calls > 0 {
             return Err(ListError::NoAnswer { silence_ms: max_silence.as_millis() });
         }
         self.follow()
@@ -235,12 +236,12 @@
                 Ok(ListUpdate { kind: ListKind::Complete, from: 0, to, sent_us, entries })
             }
             Frame::Failed => Err(ListError::CouldNotAnswer),
-            Frame::Follow { .. } | Frame::Fetch { .. } => Err(ListError::HostsFrame),
+            Frame::Follow { .. } | Frame::Fetch { .. } => Err(ListError::UnexpectedFrame),
         }
     }
 
-    /// The version from which changes are to be followed after this update, where they were followed from `since` before it. Where changes
-    /// are missing, it is 0 until a complete list arrives: changes after this update's version would not bring them.
+    /// Returns the version from which to follow changes after this update, if they were followed from `since` before it. If changes are
+    /// missing, that is 0 until a complete list arrives: changes after this update's version would not include the missing ones.
     fn version_to_follow_from(&self, since: u64) -> u64 {
         match self.kind {
             ListKind::Changes if self.from != since => 0,
@@ -255,12 +256,12 @@
     }
 }
 
-/// A node's start as the list names it; none where the list does not know it.
+/// Returns the start of a node that started at `started_us` of Unix time; `None` if that is 0, so not known.
 pub(crate) fn node_start(started_us: u64, age: Age) -> Option<NodeStart> {
     (started_us > 0).then_some(NodeStart { id: started_us, age })
 }
 
-/// How long ago a node started, by this host's wall clock.
+/// Returns how long ago a node started, by this host's wall clock.
 fn age_by_host_clock(started_us: u64) -> Age {
     Age::ByHostClock(time_since(Clock::wall_us(), started_us))
 }
--- a/crates/host/src/list/saved.rs
+++ b/crates/host/src/list/saved.rs
@@ -1,4 +1,4 @@
-//! The list on the host's disk, with which its next start begins. The JSON keys are a stored format.
+//! The endpoint list on the host's disk, which the host loads at its next start. The JSON keys are a stored format.
 
 use super::{age_by_host_clock, node_start};
 use serde::{Deserialize, Serialize};
@@ -8,7 +8,7 @@
 use tackmast::interface::{NodeState, ShardId, ZoneId};
 use tackmast_host_core::ListEntry;
 
-/// Why a saved list can't be used. The host starts without it.
+/// Why a saved list can't be loaded. The host then starts without it.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum LoadError {
     #[error("{}: {error}", path.display())]
@@ -17,7 +17,7 @@
     Parse { path: PathBuf, error: serde_json::Error },
 }
 
-/// A node as it is saved.
+/// A node in the saved list.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct SavedNode {
@@ -25,7 +25,7 @@
     draining: bool,
     zone: u32,
     shard: u32,
-    /// When the node started, in microseconds of Unix time; 0: not known.
+    /// When the node started, in microseconds of Unix time; 0 if not known.
     started_us: u64,
 }
 
@@ -54,8 +54,8 @@
     }
 }
 
-/// Saves the list. It is written beside the old one and then renamed: a host that ends between the two has the old list whole, where
-/// one that wrote over it could find half a list at its next start.
+/// Saves the list atomically: it is written to a new file, which then replaces the old one by a rename. If the process ends in between,
+/// the old list remains intact; overwriting it in place could leave half a list for the next start.
 pub(super) fn save(path: &Path, entries: &[ListEntry]) -> io::Result<()> {
     let nodes: Vec<SavedNode> = entries.iter().map(SavedNode::from).collect();
     let new_path = path.with_extension("new");
@@ -65,7 +65,7 @@
     std::fs::rename(&new_path, path)
 }
 
-/// The list that an earlier process saved. A file that does not exist is an empty list.
+/// Loads the list that an earlier process saved. A missing file counts as an empty list.
 pub(crate) fn load(path: &Path) -> Result<Vec<ListEntry>, LoadError> {
     let bytes = match std::fs::read(path) {
         Ok(bytes) => bytes,
--- a/crates/host/src/list/tests.rs
+++ b/crates/host/src/list/tests.rs
@@ -1,4 +1,4 @@
-//! From which version the connection to the list follows changes.
+//! Tests of the version from which the list client follows changes.
 
 use super::*;
 
@@ -6,10 +6,10 @@
     ListUpdate { kind, from, to, sent_us: 0, entries: Vec::new() }
 }
 
-/// Changes are missing, and the answer to the fetch of the complete list is lost. After a silence the list is followed anew, and that must
-/// bring the complete list: until then the host does not know of a drain among the missing changes.
+/// Changes are missing, and the answer to the fetch of the complete list is lost. After a silence the client follows the list anew, and
+/// must ask for the complete list then: otherwise the host would miss a drain among the missing changes.
 #[test]
-fn complete_list_is_followed_after_a_gap_until_one_arrives() {
+fn list_is_followed_from_version_0_after_a_gap_until_a_complete_list_arrives() {
     let updates = [
         (update(ListKind::Complete, 0, 5), 5),
         (update(ListKind::Changes, 5, 6), 6),
--- a/crates/host/src/sessions.rs
+++ b/crates/host/src/sessions.rs
@@ -1,5 +1,5 @@
-//! Client sessions: who is admitted, and two threads for each session, one that reads and one that writes, around a session's state
-//! machine between them.
+//! Client sessions: the listeners, the limit on open sessions, and two threads for each session, a reader and a writer, that share the
+//! session's state machine.
 
 mod connection;
 mod numbers;
@@ -22,12 +22,12 @@
 use tackmast_target::Offer;
 use tackmast_wire::scsi::Unit;
 
-/// Sessions over the bound that are refused by an answer at the same time; more are closed without one, so that a flood of clients
-/// can't use up the host's threads.
+/// Maximum number of sessions over the bound that get a refusal as an answer at the same time. Further ones are closed without an
+/// answer, so that a flood of clients can't use up the host's threads.
 const MAX_REFUSALS: usize = 64;
-/// How long the listener waits after it could not accept, for instance because the process has no descriptor left.
+/// How long a listener waits after a failed `accept`, for instance because the process is out of file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
-/// The number of a session that is only refused.
+/// Session number of sessions that are refused.
 const REFUSED_SESSION: u16 = 0;
 
 /// The protocol of a listener.
@@ -37,8 +37,8 @@
     Nbd,
 }
 
-/// What all sessions of a host share.
-pub(crate) struct SessionHub {
+/// Accepts the sessions of a host, and holds what they share.
+pub(crate) struct SessionServer {
     settings: Arc<HostSettings>,
     units: Arc<Vec<Unit>>,
     offer: Arc<Offer>,
@@ -46,41 +46,41 @@
     events: Sender<Event>,
     /// Numbers of open sessions.
     numbers: Mutex<SessionNumbers>,
-    /// Sessions that are being refused.
+    /// Number of sessions that are being refused.
     refusals: Mutex<usize>,
-    /// How the thread of a session is started.
+    /// Starts the thread of a session; tests replace it.
     spawn: Spawn,
 }
 
-impl SessionHub {
-    /// No session is open.
+impl SessionServer {
+    /// Returns a server without open sessions.
     pub(crate) fn new(
         settings: Arc<HostSettings>,
         units: Arc<Vec<Unit>>,
         clock: Clock,
         events: Sender<Event>,
-    ) -> Arc<SessionHub> {
+    ) -> Arc<SessionServer> {
         let offer = Arc::new(Offer::of(&settings));
         let (numbers, refusals) = (Mutex::default(), Mutex::default());
         let spawn: Spawn = |name, run| spawn(name, run);
-        Arc::new(SessionHub { settings, units, offer, clock, events, numbers, refusals, spawn })
+        Arc::new(SessionServer { settings, units, offer, clock, events, numbers, refusals, spawn })
     }
 
-    /// Starts the thread of a listener.
+    /// Starts the thread that accepts connections of a listener.
     pub(crate) fn listen(
         self: &Arc<Self>,
         listener: TcpListener,
         protocol: Protocol,
         stopping: Arc<AtomicBool>,
     ) -> Result<JoinHandle<()>, StartError> {
-        let hub = self.clone();
+        let server = self.clone();
         spawn("listen".into(), move || {
             for stream in listener.incoming() {
                 if stopping.load(Ordering::Acquire) {
                     return;
                 }
                 match stream {
-                    Ok(stream) => hub.clone().admit(stream, protocol),
+                    Ok(stream) => server.clone().admit(stream, protocol),
                     Err(error) => {
                         tracing::warn!(%error, "client connection not accepted");
                         std::thread::sleep(ACCEPT_BACKOFF);
@@ -92,10 +92,10 @@
 
     fn admit(self: Arc<Self>, stream: TcpStream, protocol: Protocol) {
         let Some(number) = self.reserve_number() else { return };
-        let hub = self.clone();
+        let server = self.clone();
         let run = move || {
-            hub.serve(stream, number, protocol);
-            hub.release_number(number);
+            server.serve(stream, number, protocol);
+            server.release_number(number);
         };
         if let Err(error) = (self.spawn)(format!("session {number}"), Box::new(run)) {
             tracing::warn!(%error, "session not started");
@@ -103,7 +103,8 @@
         }
     }
 
-    /// A number for a new session, or that of a session that is refused; none: too many are being refused.
+    /// Reserves a number for a new session. Returns `REFUSED_SESSION` if the session is over the bound and is to be refused, and `None` if
+    /// too many sessions are being refused already.
     fn reserve_number(&self) -> Option<u16> {
         let session = lock(&self.numbers).try_reserve(self.settings.bounds.sessions);
         if session.is_some() {
--- a/crates/host/src/sessions/connection.rs
+++ b/crates/host/src/sessions/connection.rs
@@ -1,9 +1,9 @@
-//! A session from its first byte to its last.
+//! Setup, run and end of one session.
 
 use super::reader::{SessionInfo, SessionReader};
 use super::shared::SharedSession;
 use super::writer::write_until_end;
-use super::{Protocol, SessionHub, REFUSED_SESSION};
+use super::{Protocol, SessionServer, REFUSED_SESSION};
 use crate::messages::{Event, SessionMessage};
 use crate::thread::spawn;
 use crossbeam_channel::Sender;
@@ -13,23 +13,23 @@
 use std::time::Duration;
 use tackmast_target::{AnySession, IscsiSession, NbdSession};
 
-/// Answers that may wait for each command that a client can have open, and others beside.
+/// Capacity of a writer's queue for each command that a client can have open.
 const QUEUED_ANSWERS_PER_COMMAND: usize = 3;
-/// Messages to a writer that are no answers to the window's commands.
+/// Capacity of a writer's queue for messages that don't answer commands of the window.
 const EXTRA_QUEUED_MESSAGES: usize = 16;
 
-/// The handles of a connection: its reader's, its writer's, and one for the core's thread to close it by.
-struct Handles {
+/// Handles to a session's socket: for its reader, for its writer, and for the core thread to close it.
+struct SocketHandles {
     reading: TcpStream,
     writing: TcpStream,
     closing: TcpStream,
 }
 
-impl SessionHub {
+impl SessionServer {
     /// Serves a connection until it ends.
     pub(super) fn serve(&self, stream: TcpStream, number: u16, protocol: Protocol) {
         let client = stream.peer_addr().map_or("unknown".to_owned(), |address| address.to_string());
-        let Handles { mut reading, writing, closing } = match self.prepare(stream) {
+        let SocketHandles { mut reading, writing, closing } = match self.prepare(stream) {
             Ok(handles) => handles,
             Err(error) => return tracing::warn!(client, %error, "socket of a session not set up"),
         };
@@ -46,7 +46,7 @@
         if !self.report_open(number, &to_writer, closing) {
             return;
         }
-        // The server of some protocols speaks first.
+        // In NBD the server sends the first bytes.
         shared.wake_writer(&to_writer);
         let info = SessionInfo { session: u32::from(number), client };
         SessionReader::new(self, &shared, &to_writer, info).run(&mut reading);
@@ -55,19 +55,19 @@
         if number != REFUSED_SESSION {
             _ = self.events.send(Event::SessionClosed { session: u32::from(number) });
         }
-        // Dropping the last sender ends the writer once all that was queued is written.
+        // The writer ends once the last sender is dropped and all queued messages are written.
         drop(to_writer);
         _ = writer.join();
         _ = reading.shutdown(Shutdown::Both);
     }
 
-    fn prepare(&self, stream: TcpStream) -> io::Result<Handles> {
+    fn prepare(&self, stream: TcpStream) -> io::Result<SocketHandles> {
         let bounds = &self.settings.bounds;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(Duration::from_millis(bounds.login_ms)))?;
         stream.set_write_timeout(Some(Duration::from_millis(bounds.client_stall_ms)))?;
         let (writing, closing) = (stream.try_clone()?, stream.try_clone()?);
-        Ok(Handles { reading: stream, writing, closing })
+        Ok(SocketHandles { reading: stream, writing, closing })
     }
 
     fn new_session(&self, number: u16, protocol: Protocol, client: &str) -> AnySession {
@@ -84,7 +84,7 @@
         session
     }
 
-    /// Reports a session that is not refused to the core's thread; false: the host has stopped.
+    /// Reports the session to the core thread, unless it is refused. Returns `false` if the host has stopped.
     fn report_open(&self, number: u16, writer: &Sender<SessionMessage>, closing: TcpStream) -> bool {
         if number == REFUSED_SESSION {
             return true;
--- a/crates/host/src/sessions/numbers.rs
+++ b/crates/host/src/sessions/numbers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashSet;
 
-/// The numbers in use. Numbers are given in rotation, so that one is used again as late as possible.
+/// The session numbers in use. Numbers are assigned in rotation, so that each is reused as late as possible.
 #[derive(Default)]
 pub(super) struct SessionNumbers {
     open: HashSet<u16>,
@@ -10,13 +10,13 @@
 }
 
 impl SessionNumbers {
-    /// How many are in use.
+    /// Returns how many numbers are in use.
     #[cfg(test)]
     pub(super) fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// A number, from 1, that no open session has; none: `max_sessions` are open. That must be below the number of numbers.
+    /// Reserves a number that no open session has, from 1 to 65535. Returns `None` if `max_sessions` are open; that must be below 65535.
     pub(super) fn try_reserve(&mut self, max_sessions: usize) -> Option<u16> {
         if self.open.len() >= max_sessions {
             return None;
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The session has ended.
+    /// Releases the number of a session that has ended.
     pub(super) fn release(&mut self, number: u16) {
         self.open.remove(&number);
     }
--- a/crates/host/src/sessions/reader.rs
+++ b/crates/host/src/sessions/reader.rs
@@ -1,7 +1,7 @@
-//! The reader of a session: bytes of the client become commands for the core.
+//! The reader of a session: parses bytes of the client into commands for the core.
 
 use super::shared::SharedSession;
-use super::SessionHub;
+use super::SessionServer;
 use crate::messages::{Event, SessionMessage};
 use crossbeam_channel::Sender;
 use std::collections::HashMap;
@@ -12,35 +12,35 @@
 use tackmast_host_core::{CommandId, Work};
 use tackmast_target as target;
 
-/// Bytes that one read takes at most.
+/// Maximum number of bytes in one read.
 const READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// Which session, for events and logs.
+/// Identifies a session in events and logs.
 pub(super) struct SessionInfo {
     pub(super) session: u32,
     /// The client's address.
     pub(super) client: String,
 }
 
-/// The reader's side of a session.
+/// The reading half of a session.
 pub(super) struct SessionReader<'a> {
-    hub: &'a SessionHub,
+    server: &'a SessionServer,
     shared: &'a SharedSession,
     writer: &'a Sender<SessionMessage>,
     info: SessionInfo,
-    /// When the first bytes of a write were received whose data is not complete.
-    began_at: HashMap<u32, Instant>,
+    /// When the first bytes of each write were received whose data is still incomplete, by command number.
+    first_bytes_at: HashMap<u32, Instant>,
     is_logged_in: bool,
 }
 
 impl<'a> SessionReader<'a> {
     pub(super) fn new(
-        hub: &'a SessionHub,
+        server: &'a SessionServer,
         shared: &'a SharedSession,
         writer: &'a Sender<SessionMessage>,
         info: SessionInfo,
     ) -> Self {
-        SessionReader { hub, shared, writer, info, began_at: HashMap::new(), is_logged_in: false }
+        SessionReader { server, shared, writer, info, first_bytes_at: HashMap::new(), is_logged_in: false }
     }
 
     /// Reads until the session ends.
@@ -52,7 +52,7 @@
                 Ok(length) => length,
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                    let login_ms = self.hub.settings.bounds.login_ms;
+                    let login_ms = self.server.settings.bounds.login_ms;
                     return tracing::warn!(
                         client = self.info.client,
                         login_ms,
@@ -67,12 +67,13 @@
         }
     }
 
-    /// Handles bytes, and after each pause those that were received before it: they are commands that the client has sent already.
+    /// Handles received bytes. After each pause, handles the rest of the bytes that were received before it; they hold commands that the
+    /// client has sent already.
     fn handle_bytes(&mut self, stream: &TcpStream, bytes: &[u8]) -> ControlFlow<()> {
         let mut received = bytes;
         loop {
             self.handle_input(stream, received)?;
-            if !self.shared.wait_until_drained() {
+            if !self.shared.wait_for_capacity() {
                 return ControlFlow::Continue(());
             }
             received = &[];
@@ -80,7 +81,7 @@
     }
 
     fn handle_input(&mut self, stream: &TcpStream, bytes: &[u8]) -> ControlFlow<()> {
-        let now = self.hub.clock.now();
+        let now = self.server.clock.now();
         let mut session = self.shared.lock();
         let handled = session.handle_bytes(bytes);
         let mut events = Vec::new();
@@ -111,13 +112,13 @@
         }
     }
 
-    /// Hands an event of the session to the core's thread; breaks where the host has stopped.
+    /// Sends an event of the session to the core thread. Returns `Break` if the host has stopped.
     fn handle_event(&mut self, now: Instant, event: target::Event) -> ControlFlow<()> {
         let SessionInfo { session, client } = &self.info;
         let session = *session;
         let event = match event {
             target::Event::Begun { command } => {
-                self.began_at.insert(command, now);
+                self.first_bytes_at.insert(command, now);
                 return ControlFlow::Continue(());
             }
             target::Event::Submit { command, lun, block, work, deadline_ms } => Event::Submit {
@@ -125,11 +126,11 @@
                 lun,
                 block,
                 work: host_work(work),
-                received_at: self.began_at.remove(&command).unwrap_or(now),
+                received_at: self.first_bytes_at.remove(&command).unwrap_or(now),
                 timeout: deadline_ms.map(|millis| TimeDelta::from_secs(f64::from(millis) / 1e3)),
             },
             target::Event::Abort { command } => {
-                self.began_at.remove(&command);
+                self.first_bytes_at.remove(&command);
                 Event::Abort { from: CommandId { session, command } }
             }
             target::Event::Close(ending) => {
@@ -141,7 +142,7 @@
                 return ControlFlow::Continue(());
             }
         };
-        match self.hub.events.send(event) {
+        match self.server.events.send(event) {
             Ok(()) => ControlFlow::Continue(()),
             Err(_) => ControlFlow::Break(()),
         }
--- a/crates/host/src/sessions/shared.rs
+++ b/crates/host/src/sessions/shared.rs
@@ -1,4 +1,4 @@
-//! A session's state machine between its reader and its writer.
+//! A session's state machine, shared by its reader and its writer.
 
 use crate::lock::lock;
 use crate::messages::SessionMessage;
@@ -7,15 +7,15 @@
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use tackmast_target::AnySession;
 
-/// Output of one session that may wait for its client before no more of its input is read, in bytes.
+/// Bytes of output that may be pending for a client before its session stops reading input.
 const MAX_PENDING_OUTPUT: usize = 1 << 20;
 
-/// What the threads of a session share.
+/// State that the threads of a session share.
 pub(super) struct SharedSession {
     session: Mutex<AnySession>,
-    /// Notified when output was taken, an answer has made capacity, or the session has ended.
-    drained: Condvar,
-    /// Whether the writer was woken and has not looked yet.
+    /// Notified when output was taken, an answer has freed capacity, or the session has ended.
+    capacity_freed: Condvar,
+    /// Whether a wake message for the writer is queued.
     is_writer_woken: AtomicBool,
     has_ended: AtomicBool,
 }
@@ -24,7 +24,7 @@
     pub(super) fn new(session: AnySession) -> Self {
         SharedSession {
             session: Mutex::new(session),
-            drained: Condvar::new(),
+            capacity_freed: Condvar::new(),
             is_writer_woken: AtomicBool::new(false),
             has_ended: AtomicBool::new(false),
         }
@@ -34,7 +34,7 @@
         lock(&self.session)
     }
 
-    /// Wakes the writer, unless it was woken and has not looked yet.
+    /// Wakes the writer, unless a wake message is queued already.
     pub(super) fn wake_writer(&self, writer: &Sender<SessionMessage>) {
         if !self.is_writer_woken.swap(true, Ordering::AcqRel) {
             if let Err(TrySendError::Full(message)) = writer.try_send(SessionMessage::OutputReady) {
@@ -43,39 +43,40 @@
         }
     }
 
-    /// The writer looks at the output now: output that is added from here on needs a new call of `wake_writer`.
+    /// Records that the writer takes the pending output now. Output that is added later needs another call of `wake_writer`.
     pub(super) fn on_writer_woken(&self) {
         self.is_writer_woken.store(false, Ordering::Release);
     }
 
-    /// The writer has taken output.
-    pub(super) fn notify_drained(&self) {
-        self.drained.notify_all();
+    /// Notifies the reader that the writer has taken output.
+    pub(super) fn notify_capacity(&self) {
+        self.capacity_freed.notify_all();
     }
 
-    /// Waits until the session takes input again; false: it takes it already. A client that sends but does not read would otherwise
-    /// fill the memory with answers, and one that sends without end with commands.
-    pub(super) fn wait_until_drained(&self) -> bool {
+    /// Waits until the session can handle more input. Returns whether it had to wait. Without this limit, a client that sends but does
+    /// not read would fill the memory with answers, and one that sends without end would fill it with commands.
+    pub(super) fn wait_for_capacity(&self) -> bool {
         let mut has_waited = false;
         let mut session = self.lock();
         while is_backed_up(&session) && !self.has_ended.load(Ordering::Acquire) {
-            session = self.drained.wait(session).unwrap_or_else(PoisonError::into_inner);
+            session = self.capacity_freed.wait(session).unwrap_or_else(PoisonError::into_inner);
             has_waited = true;
         }
         has_waited
     }
 
-    /// The reader has ended.
+    /// Records that the reader has ended.
     pub(super) fn on_reader_ended(&self) {
         self.has_ended.store(true, Ordering::Release);
     }
 
-    /// The writer has ended. The reader may wait in `wait_until_drained`: the lock is taken once, so that the reader either sees the
-    /// end before it waits, or waits already and is notified. Without it a reader between the two would wait forever.
+    /// Records that the writer has ended, and wakes the reader if it waits in `wait_for_capacity`. The lock is taken once, so that the
+    /// reader either sees the end before it waits, or already waits and is notified. Without it, a reader between its check and its wait
+    /// would wait forever.
     pub(super) fn on_writer_ended(&self) {
         self.has_ended.store(true, Ordering::Release);
         drop(self.lock());
-        self.drained.notify_all();
+        self.capacity_freed.notify_all();
     }
 }
 
--- a/crates/host/src/sessions/tests.rs
+++ b/crates/host/src/sessions/tests.rs
@@ -1,4 +1,4 @@
-//! Sessions whose threads can't be started, and the bound of sessions.
+//! Tests of sessions whose threads can't be started, and of the bound on sessions.
 
 use super::*;
 use std::io::ErrorKind;
@@ -37,70 +37,70 @@
 }
 "#;
 
-/// A system that has no thread left.
+/// Fails to start a thread, as on a system that has none left.
 fn spawn_nothing(name: String, _run: Box<dyn FnOnce() + Send>) -> Result<JoinHandle<()>, StartError> {
     Err(StartError::Thread { name, error: ErrorKind::WouldBlock.into() })
 }
 
-/// The sessions of a host that may have one, on a system that has no thread left.
-fn hub_without_threads() -> Arc<SessionHub> {
+/// Returns a server that may have one session, on a system that has no thread left.
+fn server_without_threads() -> Arc<SessionServer> {
     let settings = Arc::new(HostSettings::parse("test", SETTINGS).unwrap());
     let (events, _) = crossbeam_channel::unbounded();
-    let mut hub = SessionHub::new(settings, Arc::default(), Clock::start(), events);
-    Arc::get_mut(&mut hub).unwrap().spawn = spawn_nothing;
-    hub
+    let mut server = SessionServer::new(settings, Arc::default(), Clock::start(), events);
+    Arc::get_mut(&mut server).unwrap().spawn = spawn_nothing;
+    server
 }
 
-/// A client connects, and the hub admits it.
-fn admit_client(hub: &Arc<SessionHub>) {
+/// Connects a client and has the server admit it.
+fn admit_client(server: &Arc<SessionServer>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let _client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (stream, _) = listener.accept().unwrap();
-    hub.clone().admit(stream, Protocol::Iscsi);
+    server.clone().admit(stream, Protocol::Iscsi);
 }
 
-/// A host has as many sessions as it may, and more clients connect while no thread can be started that refuses them. Each of them must
-/// release its place among the refusals: once all were lost, no later client would be told why it is closed.
+/// A host is at its bound of sessions, and more clients connect while no thread can be started to refuse them. Each must release its
+/// count among the refusals: if all were leaked, later clients would be closed without a reason.
 #[test]
-fn refusal_whose_thread_does_not_start_releases_its_place() {
-    let hub = hub_without_threads();
-    assert_eq!(hub.reserve_number(), Some(1), "the only session");
+fn refusal_whose_thread_does_not_start_is_not_counted() {
+    let server = server_without_threads();
+    assert_eq!(server.reserve_number(), Some(1), "the only session");
     for refused in 0..=MAX_REFUSALS {
-        admit_client(&hub);
-        assert_eq!(*lock(&hub.refusals), 0, "after {} clients", refused + 1);
+        admit_client(&server);
+        assert_eq!(*lock(&server.refusals), 0, "after {} clients", refused + 1);
     }
-    assert_eq!(hub.reserve_number(), Some(REFUSED_SESSION));
+    assert_eq!(server.reserve_number(), Some(REFUSED_SESSION));
 }
 
-/// A host has no session, and no thread can be started for clients that connect. Each must release its number: once all were lost, no
-/// later client would get in.
+/// A host has no session, and no thread can be started for clients that connect. Each must release its number: if all were leaked, no
+/// later client would be admitted.
 #[test]
 fn session_whose_thread_does_not_start_releases_its_number() {
-    let hub = hub_without_threads();
+    let server = server_without_threads();
     for _ in 0..3 {
-        admit_client(&hub);
-        assert_eq!(lock(&hub.numbers).len(), 0);
+        admit_client(&server);
+        assert_eq!(lock(&server.numbers).len(), 0);
     }
-    assert!(hub.reserve_number().is_some_and(|number| number != REFUSED_SESSION));
+    assert!(server.reserve_number().is_some_and(|number| number != REFUSED_SESSION));
 }
 
-/// The two listeners, of iSCSI and of NBD, admit clients at the same time while one more session may be open. Only one of two clients
-/// gets it. Repeated, because the listeners rarely meet within the same microsecond.
+/// The listeners of iSCSI and NBD admit clients at the same time while only one more session may be open. Only one of two clients may
+/// get it. The test repeats this, because the race needs both listeners within the same microsecond.
 #[test]
 fn listeners_together_admit_no_more_sessions_than_the_bound() {
-    const SPINS_OF_A_SESSION: u32 = 100;
-    let hub = hub_without_threads();
+    const SPINS_PER_SESSION: u32 = 100;
+    let server = server_without_threads();
     let open_sessions = AtomicUsize::new(0);
     let listen = || {
         for _ in 0..300_000 {
-            let Some(number) = hub.reserve_number() else { continue };
+            let Some(number) = server.reserve_number() else { continue };
             if number != REFUSED_SESSION {
                 assert_eq!(open_sessions.fetch_add(1, Ordering::SeqCst), 0, "a second session is open");
-                // Long enough for the other listener to admit a client too, if it has seen the capacity before.
-                (0..SPINS_OF_A_SESSION).for_each(|_| std::hint::spin_loop());
+                // Keeps the session open long enough for the other listener to admit a client too, if it has checked the bound before.
+                (0..SPINS_PER_SESSION).for_each(|_| std::hint::spin_loop());
                 open_sessions.fetch_sub(1, Ordering::SeqCst);
             }
-            hub.release_number(number);
+            server.release_number(number);
         }
     };
     std::thread::scope(|scope| {
--- a/crates/host/src/sessions/writer.rs
+++ b/crates/host/src/sessions/writer.rs
@@ -1,4 +1,4 @@
-//! The writer of a session: answers of the core become bytes for the client.
+//! The writer of a session: encodes answers of the core into bytes for the client.
 
 use super::shared::SharedSession;
 use crate::messages::SessionMessage;
@@ -8,10 +8,10 @@
 use tackmast_host_core::Verdict;
 use tackmast_target as target;
 
-/// Messages that are handled before their output is written.
+/// Maximum number of messages to handle before their output is written.
 const MAX_BATCH: usize = 64;
 
-/// Writes until the core's thread and the reader have both ended, or the client takes nothing more.
+/// Writes answers until all senders of `queued` are dropped, or a write to the client fails or times out.
 pub(super) fn write_until_end(
     shared: &SharedSession,
     mut stream: TcpStream,
@@ -29,10 +29,10 @@
             }
         }
         let bytes = session.poll_transmit();
-        shared.notify_drained();
+        shared.notify_capacity();
         drop(session);
         if let Err(error) = stream.write_all(&bytes) {
-            tracing::debug!(%error, "client takes no answers: session closed");
+            tracing::debug!(%error, "write to the client failed: session closed");
             break;
         }
     }
--- a/crates/host/src/startup.rs
+++ b/crates/host/src/startup.rs
@@ -4,7 +4,7 @@
 use crate::links::Links;
 use crate::messages::Event;
 use crate::peers::{PeerIdentity, Peers};
-use crate::sessions::{Protocol, SessionHub};
+use crate::sessions::{Protocol, SessionServer};
 use crate::store_writer::{self, StoreRequest};
 use crate::{admin, list, Clock, StartError};
 use crossbeam_channel::Sender;
@@ -93,12 +93,12 @@
     let links = Links::new(settings.clone(), clock, startup.events.clone(), generation);
     let core_thread = CoreThread::new(core, settings.clone(), clock, links, list, to_store, peers);
     let mut threads = vec![core_thread::start(core_thread, urgent_events, ordinary_events)?];
-    let hub = SessionHub::new(settings.clone(), units, clock, startup.events.clone());
+    let server = SessionServer::new(settings.clone(), units, clock, startup.events.clone());
     let stopping = &startup.stopping;
-    threads.push(hub.listen(iscsi.listener, Protocol::Iscsi, stopping.clone())?);
+    threads.push(server.listen(iscsi.listener, Protocol::Iscsi, stopping.clone())?);
     let nbd_address = nbd.as_ref().map(|bound| bound.address);
     if let Some(bound) = nbd {
-        threads.push(hub.listen(bound.listener, Protocol::Nbd, stopping.clone())?);
+        threads.push(server.listen(bound.listener, Protocol::Nbd, stopping.clone())?);
     }
     let address = iscsi.address;
     tracing::info!(%address, nbd = ?nbd_address, peers = ?peers_address, generation, "host listens");
