--- a/crates/host/src/links.rs
+++ b/crates/host/src/links.rs
@@ -1,4 +1,5 @@
-//! Links to nodes: a bounded number of connections to each, opened when an attempt needs one, several attempts on each.
+//! Links to nodes: a fixed number for each node, opened for the first attempt. Each link has at most one connection, shared by several
+//! attempts.
 
 mod context;
 mod handshake;
@@ -12,7 +13,7 @@
 use crate::{Clock, StartError};
 use context::LinkContext;
 use crossbeam_channel::Sender;
-use link::{CurrentConnection, Link, ToLink};
+use link::{CurrentConnection, Link, LinkCommand};
 use outstanding::reset;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,22 +22,22 @@
 use tackmast_config::HostSettings;
 use tackmast_host_core::{AttemptId, SendAttempt};
 
-/// Why an attempt was not handed to a link of its node.
+/// Why an attempt was not queued on a link to its node.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum LinkError {
-    #[error("its address is not known")]
+    #[error("the address of the node is not known")]
     UnknownAddress,
-    #[error("its address {address} is not an IP address and a port")]
+    #[error("{address} is not an address of a node; expected an IP address and a port")]
     InvalidAddress { address: String },
     #[error("link not started: {0}")]
     Thread(#[from] StartError),
-    #[error("the queue of the link is full")]
+    #[error("the queue of the link is full; expected room for the attempt")]
     QueueFull,
 }
 
 impl LinkError {
-    /// How the attempt has ended. Only what keeps every host from reaching the node counts against the node: what this host lacks would
-    /// eject nodes that are well.
+    /// Returns how the attempt ended. Only an error that keeps every host from reaching the node counts against the node. If a shortage
+    /// of this host's own resources counted too, healthy nodes would be ejected.
     pub(crate) fn outcome(&self) -> Outcome {
         match self {
             LinkError::UnknownAddress | LinkError::InvalidAddress { .. } => Outcome::Refused,
@@ -45,13 +46,13 @@
     }
 }
 
-/// The queue of one link, and the connection that it has at the moment.
+/// The queue of a link, and its current connection.
 struct LinkHandle {
-    queue: Sender<ToLink>,
+    queue: Sender<LinkCommand>,
     current: CurrentConnection,
 }
 
-/// All links of a host, owned by the core's thread, which never waits for one of them.
+/// All links of a host. They are owned by the core thread, which never blocks on one of them.
 pub(crate) struct Links {
     settings: Arc<HostSettings>,
     clock: Clock,
@@ -61,7 +62,7 @@
 }
 
 impl Links {
-    /// No link is open; `generation` is what the host calls itself towards nodes.
+    /// Returns the links of a host, none of them open. `generation` is the host's generation, which it sends to nodes.
     pub(crate) fn new(
         settings: Arc<HostSettings>,
         clock: Clock,
@@ -71,12 +72,12 @@
         Links { settings, clock, events, generation, nodes: HashMap::new() }
     }
 
-    /// Which of a node's links carries an attempt.
+    /// Returns the index of the link that carries an attempt, which is the same for all attempts of a request.
     fn link_index(&self, attempt: AttemptId) -> usize {
         attempt.request() as usize % self.settings.bounds.links
     }
 
-    /// Hands the attempt to a link of its node, and opens the node's links if it must.
+    /// Queues the attempt on a link to its node; opens the node's links first if there are none.
     pub(crate) fn send(
         &mut self,
         node: NodeId,
@@ -88,7 +89,7 @@
             let links = self.open(node, address)?;
             self.nodes.insert(node, links);
         }
-        let message = ToLink::Send(attempt);
+        let message = LinkCommand::Send(attempt);
         let is_queued =
             self.nodes.get(&node).is_some_and(|links| links[index].queue.try_send(message).is_ok());
         is_queued.then_some(()).ok_or(LinkError::QueueFull)
@@ -98,12 +99,12 @@
     pub(crate) fn cancel(&mut self, node: NodeId, attempt: AttemptId) {
         let index = self.link_index(attempt);
         if let Some(links) = self.nodes.get(&node) {
-            // If the queue is full the node works in vain, which costs its capacity but changes no answer.
-            _ = links[index].queue.try_send(ToLink::Cancel(attempt));
+            // If the queue is full, the cancellation is dropped: the node's work is wasted, but no answer changes.
+            _ = links[index].queue.try_send(LinkCommand::Cancel(attempt));
         }
     }
 
-    /// Ends the connection that carries this attempt; bytes that were not sent never will be.
+    /// Resets the connection that carries this attempt. Bytes that the socket has not sent are discarded.
     pub(crate) fn cut(&mut self, node: NodeId, attempt: AttemptId) {
         let index = self.link_index(attempt);
         let links = self.nodes.get(&node);
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Closes the links of all nodes that are gone.
+    /// Closes the links of all nodes for which `is_gone` returns `true`.
     pub(crate) fn close_where(&mut self, is_gone: impl Fn(NodeId) -> bool) {
         self.nodes.retain(|node, _| !is_gone(*node));
     }
--- a/crates/host/src/links/context.rs
+++ b/crates/host/src/links/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of a link share.
+//! Identity and resources of a link.
 
 use crate::messages::Event;
 use crate::Clock;
@@ -9,19 +9,19 @@
 use tackmast::interface::NodeId;
 use tackmast_config::HostSettings;
 
-/// What a link works with.
+/// The node of a link, and the resources that the parts of the link share.
 pub(super) struct LinkContext {
     pub(super) node: NodeId,
     pub(super) address: SocketAddr,
     pub(super) settings: Arc<HostSettings>,
     pub(super) clock: Clock,
     pub(super) events: Sender<Event>,
-    /// The host's, as nodes know it.
+    /// The host's generation, which is sent to the node.
     pub(super) generation: u64,
 }
 
 impl LinkContext {
-    /// How long a connection may be silent before it is looked at.
+    /// Returns how long a connection may be silent before it is checked.
     pub(super) fn silence_timeout(&self) -> Duration {
         Duration::from_millis(self.settings.bounds.link_silence_ms)
     }
--- a/crates/host/src/links/handshake.rs
+++ b/crates/host/src/links/handshake.rs
@@ -1,4 +1,4 @@
-//! Connecting to a node: both sides say who they are, and the core hears for how long the node has been up.
+//! Connecting to a node: both sides exchange a hello, and the node's uptime is reported to the core.
 
 use super::context::LinkContext;
 use crate::messages::Event;
@@ -11,7 +11,7 @@
 use tackmast_wire::reader::Frames;
 use tackmast_wire::WireError;
 
-/// Bytes that one read takes at most during the handshake.
+/// Maximum number of bytes in one read during the handshake.
 const READ_BUFFER_BYTES: usize = 4096;
 
 /// Why a connection to a node could not be made.
@@ -27,19 +27,19 @@
     NoHello { timeout_ms: u64 },
     #[error("closed before the hello")]
     ClosedBeforeHello,
-    #[error("{frame} came first; expected a hello")]
+    #[error("first frame is {frame}; expected a hello")]
     UnexpectedFrame { frame: String },
     #[error(transparent)]
     Wire(#[from] WireError),
-    #[error("hello: the core has not heard it in {timeout_ms} ms; expected it at once")]
+    #[error("hello: the core has not applied the node's uptime in {timeout_ms} ms; expected it at once")]
     CoreBusy { timeout_ms: u64 },
     #[error(transparent)]
     Thread(#[from] StartError),
 }
 
 impl ConnectError {
-    /// How an attempt has ended that waited for this connection. What the host itself lacks says nothing of the node: while its core is
-    /// busy, the attempts that wait would eject a node that is well.
+    /// Returns how an attempt ended that waited for this connection. A shortage in the host itself must not count against the node: while
+    /// the core is busy, the waiting attempts would eject a healthy node.
     pub(super) fn outcome(&self) -> Outcome {
         match self {
             ConnectError::CoreBusy { .. } | ConnectError::Thread(_) => Outcome::Skipped,
@@ -54,27 +54,27 @@
     }
 }
 
-/// A connection past its handshake, and the reader of its frames.
-pub(super) struct Handshaken {
+/// A connection after its handshake, and the frames received on it.
+pub(super) struct EstablishedConnection {
     pub(super) stream: TcpStream,
     pub(super) frames: Frames,
 }
 
-/// Connects to the node and waits until the core knows how long it has been up.
-pub(super) fn connect(context: &LinkContext) -> Result<Handshaken, ConnectError> {
+/// Connects to the node, and waits until the core has applied its uptime.
+pub(super) fn connect(context: &LinkContext) -> Result<EstablishedConnection, ConnectError> {
     let bounds = &context.settings.bounds;
     let timeout = Duration::from_millis(bounds.connect_ms);
-    let give_up_at = Wall::now() + timeout;
+    let deadline = Wall::now() + timeout;
     let mut stream = TcpStream::connect_timeout(&context.address, timeout).map_err(ConnectError::Connect)?;
-    // What a socket has taken can't be withdrawn any more, so its buffer is small.
+    // An attempt can't be withdrawn once it is in the socket's buffer, so the buffer is small.
     _ = socket2::SockRef::from(&stream).set_send_buffer_size(bounds.link_bytes as usize / 2);
     stream.set_nodelay(true).map_err(ConnectError::Socket)?;
     stream.set_write_timeout(Some(context.silence_timeout())).map_err(ConnectError::Socket)?;
     send_hello(context, &mut stream)?;
     let mut frames = node::frames(bounds.command_bytes as usize);
-    let uptime = await_hello(context, &mut stream, &mut frames, give_up_at)?;
-    await_core(context, uptime)?;
-    Ok(Handshaken { stream, frames })
+    let uptime = read_node_hello(context, &mut stream, &mut frames, deadline)?;
+    report_uptime(context, uptime)?;
+    Ok(EstablishedConnection { stream, frames })
 }
 
 fn send_hello(context: &LinkContext, stream: &mut TcpStream) -> Result<(), ConnectError> {
@@ -87,16 +87,16 @@
     stream.write_all(&hello.to_bytes()).map_err(ConnectError::Hello)
 }
 
-/// Waits for the node's hello; gives for how long it has been up.
-fn await_hello(
+/// Waits for the node's hello, and returns the node's uptime.
+fn read_node_hello(
     context: &LinkContext,
     stream: &mut TcpStream,
     frames: &mut Frames,
-    give_up_at: Wall,
+    deadline: Wall,
 ) -> Result<TimeDelta, ConnectError> {
     let mut buffer = [0; READ_BUFFER_BYTES];
     loop {
-        let time_left = give_up_at.saturating_duration_since(Wall::now());
+        let time_left = deadline.saturating_duration_since(Wall::now());
         if time_left.is_zero() {
             return Err(ConnectError::NoHello { timeout_ms: context.settings.bounds.connect_ms });
         }
@@ -118,10 +118,10 @@
     }
 }
 
-/// Reports the uptime to the core and waits until it is applied. Attempts that wait here may have been decided for a node that was up
-/// for longer: if they were written at once, a node that has just restarted would get more than its slow start allows. The core
-/// withdraws those that it now decides otherwise before this returns.
-fn await_core(context: &LinkContext, uptime: TimeDelta) -> Result<(), ConnectError> {
+/// Reports the uptime to the core and waits until the core has applied it. Waiting attempts may have been sent on the assumption of a
+/// longer uptime: if they were written at once, a node that has just restarted would get more than its slow start allows. The core
+/// withdraws attempts that slow start does not allow before this returns.
+fn report_uptime(context: &LinkContext, uptime: TimeDelta) -> Result<(), ConnectError> {
     let timeout_ms = context.settings.bounds.connect_ms;
     let (applied, is_applied) = crossbeam_channel::bounded(1);
     _ = context.events.send(Event::NodeUp { node: context.node, uptime, applied });
--- a/crates/host/src/links/link.rs
+++ b/crates/host/src/links/link.rs
@@ -1,9 +1,9 @@
-//! One link: the thread that writes attempts to its node, and connects when it has to.
+//! One link: the thread that writes attempts to a node, and connects to it when needed.
 
 use super::context::LinkContext;
 use super::handshake::{connect, ConnectError};
 use super::outstanding::{report, Outstanding};
-use super::reader::{Answers, ReaderContext};
+use super::reader::{AnswerReader, ReaderContext};
 use crate::lock::lock;
 use crate::thread::spawn;
 use bytes::BytesMut;
@@ -15,18 +15,19 @@
 use tackmast_host_core::{AttemptId, AttemptWork, ClaimResult, OpaqueRequest, SendAttempt, Ticket};
 use tackmast_wire::node::{self, Frame, Origin};
 
-/// Bytes gathered for one write. What is gathered has been claimed and can't be withdrawn any more, so it is little.
+/// Number of bytes after which no more attempts are gathered for one write. It is small, because gathered attempts are claimed and can't
+/// be withdrawn any more.
 const MAX_GATHERED_BYTES: usize = 16 << 10;
 
-/// What the core's thread asks of a link.
-pub(super) enum ToLink {
-    /// Send an attempt, unless it is withdrawn until then.
+/// A command of the core thread to a link.
+pub(super) enum LinkCommand {
+    /// Send an attempt, unless it has been withdrawn by then.
     Send(Box<SendAttempt>),
     /// Ask the node to cancel an attempt.
     Cancel(AttemptId),
 }
 
-/// The connection that a link has at the moment, for the core's thread, which may have to end it while the link writes.
+/// The current connection of a link, if any. It is shared with the core thread, which may have to reset it while the link writes.
 pub(super) type CurrentConnection = Arc<Mutex<Option<TcpStream>>>;
 
 /// An open connection.
@@ -35,34 +36,34 @@
     outstanding: Outstanding,
 }
 
-/// The writer's side of a link.
+/// The writing half of a link.
 pub(super) struct Link {
     context: LinkContext,
-    /// By this the reader asks for a ping, or reports that the connection is broken.
+    /// Given to the reader, which uses it to request a ping or to report that the connection is broken.
     wake: Sender<()>,
     woken: Receiver<()>,
     pub(super) current: CurrentConnection,
-    /// Attempts whose bytes are gathered or being written.
+    /// Tickets of the attempts whose bytes are gathered or being written.
     writing: Vec<Ticket>,
     connection: Option<Connection>,
 }
 
 impl Link {
-    /// A link without a connection.
+    /// Returns a link without a connection.
     pub(super) fn new(context: LinkContext) -> Self {
         let (wake, woken) = crossbeam_channel::bounded(1);
         let current = CurrentConnection::default();
         Link { context, wake, woken, current, writing: Vec::new(), connection: None }
     }
 
-    /// Writes until the node is gone.
-    pub(super) fn run(mut self, queue: &Receiver<ToLink>) {
+    /// Writes attempts until the queue's sender is dropped, because the node is gone or the host stops.
+    pub(super) fn run(mut self, queue: &Receiver<LinkCommand>) {
         let woken = self.woken.clone();
         loop {
             let first = crossbeam_channel::select! {
                 recv(queue) -> message => match message {
                     Ok(message) => Some(message),
-                    // The node is gone and nothing is in flight: the reader sees that no writer is left.
+                    // The reader notices at its next read timeout that the writer has ended.
                     Err(_) => return,
                 },
                 recv(woken) -> _ => None,
@@ -86,16 +87,16 @@
         self.connection.as_ref().is_some_and(|connection| connection.outstanding.is_broken())
     }
 
-    /// Releases a broken connection, and forgets the attempts that were gathered for it: they have been reported. Only when nobody holds
-    /// its socket any more does the peer see the reset, and is what the socket had not sent dropped.
+    /// Drops a broken connection, and the tickets of the attempts that were gathered for it; their ends have been reported. The reset is
+    /// sent, and unsent bytes of the socket are discarded, only once all handles to the socket are dropped.
     fn drop_connection(&mut self) {
         self.connection = None;
         self.writing.clear();
         lock(&self.current).take();
     }
 
-    /// Writes what was gathered. The tickets are marked only after the whole write: until then the core counts their attempts as not
-    /// written.
+    /// Writes the gathered bytes. The tickets are marked as written only after the whole write; until then the core counts their attempts
+    /// as not written.
     fn write(&mut self, bytes: &BytesMut) {
         let Some(connection) = &mut self.connection else { return };
         if !connection.outstanding.begin_write() {
@@ -106,7 +107,7 @@
                 Ok(()) => self.writing.iter().for_each(Ticket::mark_written),
                 Err(error) => {
                     tracing::debug!(node = %self.context.address, %error, "write to the node failed");
-                    connection.outstanding.break_off(&connection.stream, &self.context.events);
+                    connection.outstanding.abort(&connection.stream, &self.context.events);
                     self.drop_connection();
                 }
             }
@@ -114,10 +115,10 @@
         self.writing.clear();
     }
 
-    fn gather(&mut self, message: ToLink, bytes: &mut BytesMut) {
+    fn gather(&mut self, message: LinkCommand, bytes: &mut BytesMut) {
         match message {
-            ToLink::Send(attempt) => self.gather_attempt(*attempt, bytes),
-            ToLink::Cancel(attempt) => {
+            LinkCommand::Send(attempt) => self.gather_attempt(*attempt, bytes),
+            LinkCommand::Cancel(attempt) => {
                 let connection = self.connection.as_ref();
                 if connection.is_some_and(|connection| connection.outstanding.contains(attempt)) {
                     Frame::Cancel { attempt: attempt.0 }.encode(bytes);
@@ -133,7 +134,7 @@
         }
         if let Err(error) = self.ensure_connected() {
             tracing::debug!(node = %self.context.address, %error, "no connection to the node");
-            // The attempt provably never ran, unless the core has failed it before.
+            // The attempt never ran. If the core has withdrawn it, its end is known already.
             if attempt.ticket.withdraw() {
                 report(&self.context.events, attempt.attempt, error.outcome());
             }
@@ -146,7 +147,7 @@
             ClaimResult::TooLate => return report(&self.context.events, attempt.attempt, Outcome::Refused),
         }
         if !connection.outstanding.insert(attempt.attempt) {
-            // The connection broke since it was looked at: the attempt is claimed, but no byte of it was sent.
+            // The connection broke after the check above: the attempt is claimed, but no byte of it was sent.
             return report(&self.context.events, attempt.attempt, Outcome::Refused);
         }
         self.writing.push(attempt.ticket.clone());
@@ -188,16 +189,16 @@
         Ok(())
     }
 
-    /// Connects, and starts the reader of the connection.
+    /// Connects to the node, and starts the reader of the connection.
     fn connect(&self) -> Result<Connection, ConnectError> {
-        let handshaken = connect(&self.context)?;
-        let stream = handshaken.stream;
+        let established = connect(&self.context)?;
+        let stream = established.stream;
         let outstanding = Outstanding::new();
         let reading = stream.try_clone().map_err(ConnectError::Socket)?;
         reading.set_read_timeout(Some(self.context.silence_timeout())).map_err(ConnectError::Socket)?;
-        let reader = Answers::new(ReaderContext {
+        let reader = AnswerReader::new(ReaderContext {
             stream: reading,
-            frames: handshaken.frames,
+            frames: established.frames,
             outstanding: outstanding.clone(),
             events: self.context.events.clone(),
             wake_writer: self.wake.clone(),
--- a/crates/host/src/links/link/tests.rs
+++ b/crates/host/src/links/link/tests.rs
@@ -1,4 +1,4 @@
-//! Connections that break between the steps of one write, which a test of the whole host can't force.
+//! Tests of connections that break between the steps of one write, which tests of a whole host can't force.
 
 use super::*;
 use crate::messages::Event;
@@ -13,7 +13,7 @@
 use tackmast_config::HostSettings;
 use tackmast_host_core::CommandId;
 
-/// How long a test waits for what must happen soon.
+/// How long a test waits for an event that must happen.
 const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 const SETTINGS: &str = r#"
@@ -49,14 +49,14 @@
 }
 "#;
 
-/// The node's side of a connection, past the handshake.
+/// The node's side of a connection, after the handshake.
 struct NodeConnection {
     stream: TcpStream,
     frames: tackmast_wire::reader::Frames,
 }
 
 impl NodeConnection {
-    /// Accepts a connection, and answers its hello.
+    /// Accepts a connection and answers the host's hello.
     fn accept(listener: &TcpListener) -> NodeConnection {
         let (stream, _) = listener.accept().unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -68,7 +68,7 @@
         connection
     }
 
-    /// The next frame; none: the host has ended the connection.
+    /// Returns the next frame; `None` if the host has closed or reset the connection.
     fn next_frame(&mut self) -> Option<Frame> {
         loop {
             if let Some(frame) = node::next(&mut self.frames).unwrap() {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Asserts that the next frame is this attempt.
+    /// Asserts that the next frame is the attempt of this number.
     fn expect_attempt(&mut self, number: u64) {
         match self.next_frame() {
             Some(Frame::Send(attempt)) => assert_eq!(attempt.attempt, number),
@@ -93,7 +93,7 @@
     }
 }
 
-/// A link whose steps the test takes itself, the events that it reports, and its node.
+/// A link whose steps the test calls, the events that the link reports, and the listener of its node.
 struct Fixture {
     link: Link,
     events: Receiver<Event>,
@@ -116,20 +116,20 @@
         Fixture { link, events, node, bytes: BytesMut::new() }
     }
 
-    /// Gathers an attempt for the next write; gives its ticket.
+    /// Gathers an attempt for the next write, and returns its ticket.
     fn gather(&mut self, number: u64) -> Ticket {
         let attempt = attempt(number);
         let ticket = attempt.ticket.clone();
-        self.link.gather(ToLink::Send(Box::new(attempt)), &mut self.bytes);
+        self.link.gather(LinkCommand::Send(Box::new(attempt)), &mut self.bytes);
         ticket
     }
 
-    /// Gathers an attempt for which the link has to connect; gives its ticket, and the node's side of the connection.
+    /// Gathers an attempt for which the link has to connect. Returns the attempt's ticket and the node's side of the connection.
     fn gather_and_connect(&mut self, number: u64) -> (Ticket, NodeConnection) {
         let (listener, events) = (self.node.try_clone().unwrap(), self.events.clone());
         let node: JoinHandle<NodeConnection> = std::thread::spawn(move || {
             let connection = NodeConnection::accept(&listener);
-            // The core applies the uptime of the node.
+            // Stands in for the core, which applies the node's uptime.
             match events.recv_timeout(TEST_TIMEOUT) {
                 Ok(Event::NodeUp { applied, .. }) => applied.send(()).unwrap(),
                 _ => panic!("the uptime is not reported"),
@@ -145,14 +145,14 @@
         self.bytes.clear();
     }
 
-    /// The node ends a connection, and the link's reader has found it broken.
+    /// Closes a connection at the node, and waits until the link's reader has found it broken.
     fn break_connection(&self, connection: NodeConnection) {
         drop(connection);
         self.link.woken.recv_timeout(TEST_TIMEOUT).expect("the reader ends");
         assert!(self.link.is_broken());
     }
 
-    /// The ends of so many attempts, as they are reported, by the attempts' numbers.
+    /// Receives the reported ends of `count` attempts, and returns them sorted by attempt number.
     fn outcomes(&self, count: usize) -> Vec<(u64, Outcome)> {
         let next = || match self.events.recv_timeout(TEST_TIMEOUT) {
             Ok(Event::AttemptResult(result)) => (result.attempt.0, result.outcome),
@@ -184,9 +184,8 @@
     }
 }
 
-/// A connection breaks after an attempt was gathered for a write and before the next one is, which goes to a new connection. No byte of
-/// the first attempt was sent, so it never ran, and its request may be retried whatever its effect; reported as reset, a non-idempotent
-/// request would fail.
+/// A connection breaks after one attempt was gathered and before the next, which goes to a new connection. No byte of the first was sent,
+/// so it never ran and its request may be retried whatever its effect. If it were reported as reset, a non-idempotent request would fail.
 #[test]
 fn attempt_gathered_for_a_connection_that_breaks_is_reported_as_refused() {
     let mut fixture = Fixture::new();
@@ -200,8 +199,8 @@
     assert!(first.is_stuck(), "the first attempt is marked as written");
 }
 
-/// A connection breaks after attempts were gathered for a write, and nothing else is gathered. The write must not begin: the attempts are
-/// reported as never run already, and are retried elsewhere.
+/// A connection breaks after attempts were gathered, and nothing else is gathered. The write must not begin: the attempts have been
+/// reported as never run, and are retried elsewhere.
 #[test]
 fn write_does_not_begin_on_a_connection_that_broke_while_it_was_gathered() {
     let mut fixture = Fixture::new();
@@ -217,8 +216,8 @@
     node.expect_attempt(3);
 }
 
-/// The node answers the hello, but the core is busy for longer than a connection may take, so the attempt is not sent. The node is well:
-/// reported as refused, the attempts that wait for a busy core would eject it.
+/// The node answers the hello, but the core is busy for longer than the connection timeout, so the attempt is not sent. The node is
+/// healthy: if the attempts that wait for a busy core were reported as refused, they would eject it.
 #[test]
 fn attempt_that_waits_for_a_busy_core_is_reported_as_skipped() {
     let mut fixture = Fixture::new();
@@ -231,7 +230,7 @@
     drop(node.join().unwrap());
 }
 
-/// The node closes the connection before its hello. That is its own failure, and must count against it.
+/// The node closes the connection before its hello. That is a failure of the node, and must count against it.
 #[test]
 fn attempt_whose_node_ends_the_handshake_is_reported_as_refused() {
     let mut fixture = Fixture::new();
@@ -242,7 +241,7 @@
     node.join().unwrap();
 }
 
-/// A connection breaks while a written attempt waits for its answer and another is gathered. Only the first may have run.
+/// A connection breaks while one attempt is written and unanswered, and another is gathered. Only the first may have run.
 #[test]
 fn only_attempts_whose_write_began_are_reported_as_reset() {
     let mut fixture = Fixture::new();
--- a/crates/host/src/links/outstanding.rs
+++ b/crates/host/src/links/outstanding.rs
@@ -1,4 +1,4 @@
-//! The attempts of one connection that are not answered, and what becomes of them when it ends.
+//! The unanswered attempts of one connection, and how they are reported when the connection ends.
 
 use crate::lock::lock;
 use crate::messages::Event;
@@ -10,16 +10,16 @@
 use tackmast::interface::Outcome;
 use tackmast_host_core::{AttemptId, AttemptResult};
 
-/// Attempts that were claimed for a connection and are not answered. Its writer and its reader share them; whichever finds the
-/// connection broken takes them all, so that each is reported once.
+/// The attempts that were claimed for a connection and have no answer; `None` once the connection is broken. The connection's writer and
+/// reader share them. Whichever finds the connection broken takes them all, so that each is reported once.
 #[derive(Clone)]
 pub(super) struct Outstanding(Arc<Mutex<Option<Attempts>>>);
 
 #[derive(Default)]
 struct Attempts {
-    /// Gathered for the next write. No byte of them was written.
+    /// Attempts gathered for the next write. No byte of them has been written.
     gathered: HashSet<AttemptId>,
-    /// Their write has begun: they may have run.
+    /// Attempts whose write has begun, so that they may have run.
     begun: HashSet<AttemptId>,
 }
 
@@ -28,12 +28,12 @@
         Outstanding(Arc::new(Mutex::new(Some(Attempts::default()))))
     }
 
-    /// Whether the connection is broken.
+    /// Returns whether the connection is broken.
     pub(super) fn is_broken(&self) -> bool {
         lock(&self.0).is_none()
     }
 
-    /// Adds an attempt to the next write; false: the connection is broken.
+    /// Adds an attempt to those gathered for the next write. Returns `false` if the connection is broken.
     pub(super) fn insert(&self, attempt: AttemptId) -> bool {
         let mut attempts = lock(&self.0);
         let Some(attempts) = attempts.as_mut() else { return false };
@@ -41,8 +41,8 @@
         true
     }
 
-    /// The gathered attempts are written from now on, and may have run. False: the connection is broken, and they were reported as never
-    /// run, so no byte of them may be written.
+    /// Records that the write of the gathered attempts begins, so that they may run from here on. Returns `false` if the connection is
+    /// broken: the attempts have been reported as never run, so no byte of them may be written.
     pub(super) fn begin_write(&self) -> bool {
         let mut attempts = lock(&self.0);
         let Some(Attempts { gathered, begun }) = attempts.as_mut() else { return false };
@@ -57,7 +57,7 @@
         })
     }
 
-    /// Removes an attempt that is answered; false: there was none.
+    /// Removes an answered attempt. Returns `false` if it was not outstanding.
     pub(super) fn remove(&self, attempt: AttemptId) -> bool {
         let mut attempts = lock(&self.0);
         attempts
@@ -65,7 +65,7 @@
             .is_some_and(|Attempts { gathered, begun }| gathered.remove(&attempt) || begun.remove(&attempt))
     }
 
-    /// Whether an attempt waits for its answer.
+    /// Returns whether any attempt has no answer yet.
     pub(super) fn has_any(&self) -> bool {
         let attempts = lock(&self.0);
         attempts
@@ -73,14 +73,14 @@
             .is_some_and(|Attempts { gathered, begun }| !gathered.is_empty() || !begun.is_empty())
     }
 
-    /// Whether the reader or the writer has ended, and the other is the last to hold them.
+    /// Returns whether this is the last handle, because the connection's other thread has dropped its own.
     pub(super) fn is_last_holder(&self) -> bool {
         Arc::strong_count(&self.0) == 1
     }
 
-    /// Resets the connection. Attempts whose write has begun may have run, so each is reported as reset; those that were only gathered
-    /// never ran.
-    pub(super) fn break_off(&self, stream: &TcpStream, events: &Sender<Event>) {
+    /// Resets the connection and reports the end of its attempts. Those whose write has begun may have run and are reported as reset;
+    /// those that were only gathered never ran and are reported as refused.
+    pub(super) fn abort(&self, stream: &TcpStream, events: &Sender<Event>) {
         reset(stream);
         let Attempts { gathered, begun } = lock(&self.0).take().unwrap_or_default();
         for attempt in begun {
@@ -92,13 +92,13 @@
     }
 }
 
-/// Reports how an attempt ended without an answer of its node.
+/// Reports the end of an attempt that got no answer from its node.
 pub(super) fn report(events: &Sender<Event>, attempt: AttemptId, outcome: Outcome) {
     _ = events.send(Event::AttemptResult(AttemptResult::unanswered(attempt, outcome)));
 }
 
-/// Ends a connection, and drops what the socket has not sent: a plain shutdown would still deliver it, and the node would run what the
-/// host has given up.
+/// Resets a connection and discards the bytes that the socket has not sent. A plain shutdown would still deliver them, and the node would
+/// run attempts that the host has ended.
 pub(super) fn reset(stream: &TcpStream) {
     _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
     _ = stream.shutdown(Shutdown::Both);
--- a/crates/host/src/links/reader.rs
+++ b/crates/host/src/links/reader.rs
@@ -1,4 +1,4 @@
-//! The reader of one connection: answers of the node, and the watch over a connection that falls silent.
+//! The reader of one connection: it receives the node's answers and detects a connection that has become silent.
 
 use super::outstanding::Outstanding;
 use crate::messages::Event;
@@ -11,37 +11,37 @@
 use tackmast_wire::node::{self, Answer, Frame, NodeOutcome};
 use tackmast_wire::reader::Frames;
 
-/// Bytes that one read takes at most.
+/// Maximum number of bytes in one read.
 const READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// What a reader works with.
+/// The connection of a reader, and the channels to other threads.
 pub(super) struct ReaderContext {
     pub(super) stream: TcpStream,
     pub(super) frames: Frames,
     pub(super) outstanding: Outstanding,
     pub(super) events: Sender<Event>,
-    /// By this the reader asks the writer for a ping, or reports that the connection is broken.
+    /// Requests a ping from the writer, or reports to it that the connection is broken.
     pub(super) wake_writer: Sender<()>,
 }
 
 /// The reader of a connection.
-pub(super) struct Answers {
+pub(super) struct AnswerReader {
     context: ReaderContext,
-    /// Whether a ping was asked for since the last bytes.
-    has_asked_for_ping: bool,
+    /// Whether a ping was requested after the last bytes were received.
+    has_requested_ping: bool,
 }
 
-impl Answers {
+impl AnswerReader {
     pub(super) fn new(context: ReaderContext) -> Self {
-        Answers { context, has_asked_for_ping: false }
+        AnswerReader { context, has_requested_ping: false }
     }
 
     /// Reads answers until the connection ends.
     pub(super) fn run(mut self) {
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         while self.read(&mut buffer).is_continue() {}
-        self.context.outstanding.break_off(&self.context.stream, &self.context.events);
-        // The writer holds the connection too, and may have nothing to write for long.
+        self.context.outstanding.abort(&self.context.stream, &self.context.events);
+        // Makes the writer drop its handle to the connection, which it would otherwise keep until its next write.
         _ = self.context.wake_writer.try_send(());
     }
 
@@ -50,7 +50,7 @@
             Ok(0) => ControlFlow::Break(()),
             Ok(length) => {
                 self.context.frames.push(&buffer[..length]);
-                self.has_asked_for_ping = false;
+                self.has_requested_ping = false;
                 self.handle_frames()
             }
             Err(error) => match error.kind() {
@@ -61,16 +61,16 @@
         }
     }
 
-    /// A half-open connection looks like a slow node, and its attempts would wait until their deadlines. A node that owes answers and
-    /// does not even answer a ping within the same time again is cut off.
+    /// Handles a read timeout. A half-open connection looks like a slow node, and its attempts would wait until their deadlines. If
+    /// attempts are outstanding, a ping is requested; if the node sends nothing within the same time again, the connection is reset.
     fn handle_silence(&mut self) -> ControlFlow<()> {
-        let owes_answers = self.context.outstanding.has_any();
-        if owes_answers && self.has_asked_for_ping {
-            tracing::debug!("node silent with attempts in flight: connection broken off");
+        let has_outstanding = self.context.outstanding.has_any();
+        if has_outstanding && self.has_requested_ping {
+            tracing::debug!("node silent with attempts in flight: connection reset");
             return ControlFlow::Break(());
         }
-        self.has_asked_for_ping = owes_answers && self.context.wake_writer.try_send(()).is_ok();
-        if !owes_answers && self.context.outstanding.is_last_holder() {
+        self.has_requested_ping = has_outstanding && self.context.wake_writer.try_send(()).is_ok();
+        if !has_outstanding && self.context.outstanding.is_last_holder() {
             return ControlFlow::Break(()); // The writer has ended.
         }
         ControlFlow::Continue(())
@@ -97,7 +97,7 @@
     fn handle_answer(&self, answer: Answer) -> ControlFlow<()> {
         let attempt = AttemptId(answer.attempt);
         if !self.context.outstanding.remove(attempt) {
-            tracing::debug!(attempt = attempt.0, "answer to no attempt in flight");
+            tracing::debug!(attempt = attempt.0, "answer for an attempt that is not in flight");
             return ControlFlow::Continue(());
         }
         let result = AttemptResult {
