--- a/crates/host/examples/changes.rs
+++ b/crates/host/examples/changes.rs
@@ -1,5 +1,7 @@
-//! Measures changes of plans, taken by one home and committed by three voters, in one run on loopback: the latency of one change after
-//! the other, and changes a second with eight callers at once, each with a plan of its own. `cargo run --release -p tackmast-host --example changes`
+//! Measures plan changes on loopback, accepted by a single home or committed by three voters: the latency of sequential changes, and the
+//! changes per second of eight concurrent callers that change different plans.
+//!
+//! Run it with `cargo run --release -p tackmast-host --example changes`.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,12 +15,12 @@
 use tackmast_plans::{Change, Plan, Step};
 
 const HOSTS: u32 = 3;
-/// Callers at once.
+/// Number of concurrent callers.
 const CALLERS: u32 = 8;
-/// Changes of the measurement of latency.
+/// Number of changes in the measurement of latency.
 const SEQUENTIAL_CHANGES: u32 = 200;
-/// Duration of the measurement with all callers.
-const CONCURRENT_TIME: Duration = Duration::from_secs(5);
+/// Duration of the measurement with concurrent callers.
+const CONCURRENT_DURATION: Duration = Duration::from_secs(5);
 
 fn admin_socket(dir: &Path, host: u32) -> PathBuf {
     dir.join(format!("{host}.admin"))
@@ -99,7 +101,7 @@
     }
 }
 
-/// One change of a plan's weight at a host, on the version that it shows.
+/// Changes the weight of a plan at a host, based on version `base`, and sets `base` to the new version.
 fn change(dir: &Path, host: u32, plan: u32, base: &mut u64, index: u32) -> Result<(), String> {
     let weight = 1.0 + f64::from(index % 1_000) / 1_000.0;
     let to = Plan { limit: 0.0, burst: 0.0, slack: 0.0, reserve: 0.0, weight, floor: None };
@@ -131,7 +133,7 @@
         let seed = hosts.first().and_then(|first| first.peers);
         hosts.push(Host::start(settings(dir, host, seed, uses_consensus)?).map_err(|e| e.to_string())?);
     }
-    let began = Instant::now();
+    let started_at = Instant::now();
     let leader = loop {
         let leads = (0..HOSTS).find(|host| {
             match call(dir, *host, AdminRequest::Consensus(ConsensusRequest::Status)) {
@@ -144,7 +146,7 @@
         match leads {
             Some(leader) => break leader,
             None if !uses_consensus && plan_version(dir, 0).is_ok() => break 0,
-            None if began.elapsed() > Duration::from_secs(20) => return Err("no leader in 20 s".into()),
+            None if started_at.elapsed() > Duration::from_secs(20) => return Err("no leader in 20 s".into()),
             None => std::thread::sleep(Duration::from_millis(50)),
         }
     };
@@ -162,21 +164,21 @@
         latencies_ms.sort_by(f64::total_cmp);
         let quantile = |quantile: f64| latencies_ms[((latencies_ms.len() - 1) as f64 * quantile) as usize];
         println!(
-            "{:<9} at {name:<8} one by one: median {:.2} ms, p99 {:.2} ms, {:.0} a second",
-            if uses_consensus { "agreed" } else { "one home" },
+            "{:<9} at {name:<8} sequential: median {:.2} ms, p99 {:.2} ms, {:.0} a second",
+            if uses_consensus { "consensus" } else { "one home" },
             quantile(0.5),
             quantile(0.99),
             1e3 * latencies_ms.len() as f64 / latencies_ms.iter().sum::<f64>()
         );
     }
     let version = plan_version(dir, leader)?;
-    let began = Instant::now();
+    let started_at = Instant::now();
     let done: u32 = std::thread::scope(|scope| {
         let all: Vec<_> = (0..CALLERS)
             .map(|plan| {
                 scope.spawn(move || {
                     let (mut base, mut changes) = (version, 0);
-                    while began.elapsed() < CONCURRENT_TIME
+                    while started_at.elapsed() < CONCURRENT_DURATION
                         && change(dir, leader, plan, &mut base, changes).is_ok()
                     {
                         changes += 1;
@@ -188,9 +190,9 @@
         all.into_iter().map(|caller| caller.join().unwrap_or(0)).sum()
     });
     println!(
-        "{:<9} {CALLERS} callers at once: {:.0} a second",
-        if uses_consensus { "agreed" } else { "one home" },
-        f64::from(done) / began.elapsed().as_secs_f64()
+        "{:<9} {CALLERS} concurrent callers: {:.0} a second",
+        if uses_consensus { "consensus" } else { "one home" },
+        f64::from(done) / started_at.elapsed().as_secs_f64()
     );
     hosts.into_iter().for_each(Host::stop);
     Ok(())
--- a/crates/host/src/core_thread/tests.rs
+++ b/crates/host/src/core_thread/tests.rs
@@ -1,4 +1,4 @@
-//! What time the core's thread gives to the core, which event it takes first, and what it does with outputs that can't be handed on.
+//! Tests of the time that the core thread passes to the core, of the order in which it takes events, and of outputs that can't be queued.
 
 use super::CoreThread;
 use crate::links::Links;
@@ -13,10 +13,10 @@
 use tackmast_config::HostSettings;
 use tackmast_host_core::{ClientCommand, CommandId, Core, ListEntry, Work};
 
-/// Failures for which a node is ejected that has answered nothing well.
+/// Number of failures after which a node is ejected that has never answered successfully.
 const FAILURES_TO_EJECT: u64 = 6;
-/// Of so many commands, the last is not sent to a node that was ejected for the attempts of those before it: at most two of these are
-/// taken by the link and its queue. Many more would wait for the retries of the first, whatever the node's health.
+/// Number of commands, such that the last would not be sent if failures of the earlier ones ejected the node: the link and its queue take
+/// at most two attempts, and the others fail. With many more commands, the last would wait for retries of the first in any case.
 const COMMAND_COUNT: u32 = 9;
 
 const SETTINGS: &str = r#"
@@ -54,12 +54,12 @@
 }
 "#;
 
-/// A core's thread that has not begun to run, and the queue of its links' events.
+/// Returns a core thread that has not been started, and the queue of events from its links.
 fn core_thread(clock: Clock) -> (CoreThread, Receiver<Event>) {
     core_thread_with_list(clock, crossbeam_channel::unbounded().0)
 }
 
-/// The same, with this queue towards the endpoint list.
+/// Returns the same as `core_thread`, with `to_list` as its queue to the list client.
 fn core_thread_with_list(clock: Clock, to_list: Sender<ListCommand>) -> (CoreThread, Receiver<Event>) {
     let settings = Arc::new(HostSettings::parse("test", SETTINGS).unwrap());
     let core = Core::new(clock.now(), &settings, 1, 1);
@@ -68,7 +68,7 @@
     (CoreThread::new(core, settings, clock, links, to_list, None, None), from_links)
 }
 
-/// Lists one node, at this address.
+/// Gives the core a complete endpoint list with one node, at `address`.
 fn list_node(core_thread: &mut CoreThread, address: &str) {
     let entry = ListEntry {
         id: address.to_owned(),
@@ -81,7 +81,7 @@
     core_thread.core.handle_endpoint_list(core_thread.now, ListKind::Complete, 0, 1, &[entry]);
 }
 
-/// A client reads one block, which no other command reads.
+/// Submits a command that reads one block, which no other command reads.
 fn read_block(core_thread: &mut CoreThread, command: u32) {
     core_thread.core.handle_command(
         core_thread.now,
@@ -98,9 +98,9 @@
     core_thread.execute_outputs();
 }
 
-/// A host is suspended while its core's thread goes through the queue, for longer than its lease; meanwhile an operator asks for the
-/// status. When the process continues, the thread finds that call in the queue within the same iteration. Handled by the time at which the
-/// iteration began, the lease would still be reported as valid, and with it plans that other hosts have long replaced.
+/// A host is suspended for longer than its lease while its core thread handles the queue; meanwhile an operator requests the status. After
+/// the process resumes, the thread finds the call in the queue within the same iteration. If it used the time at which the iteration
+/// began, it would report the lease as valid, and with it plans that other hosts have replaced.
 #[test]
 fn events_are_handled_no_earlier_than_they_were_queued() {
     let clock = Clock::start();
@@ -116,8 +116,8 @@
     assert!(core_thread.now >= queued_at, "handled by a time before it was queued");
 }
 
-/// A host is suspended after it has handled its events and before it executes what they caused. The core makes its decisions while its
-/// outputs are taken, so a lease that ended during the pause must not be used for them.
+/// A host is suspended after it has handled its events and before it executes their outputs. The core makes decisions while its outputs
+/// are polled, so a lease that expired during the pause must not be used for them.
 #[test]
 fn decisions_are_made_by_the_time_after_a_pause() {
     let clock = Clock::start();
@@ -127,8 +127,8 @@
     assert!(core_thread.now >= continued_at, "decided by a time before the pause");
 }
 
-/// Commands of clients wait when a part of the endpoint list does, by which a node drains. If a command were taken first, the host would
-/// send it to that node, while the drain counts from when the list was read. Repeated, as a random choice is right half of the time.
+/// Commands of clients and an update of the endpoint list, by which a node drains, are queued. If a command were taken first, the host
+/// would send it to a node whose drain has already begun. The test repeats this, because a random choice is right half of the time.
 #[test]
 fn urgent_event_is_taken_before_those_that_wait() {
     let (mut core_thread, _) = core_thread(Clock::start());
@@ -143,21 +143,21 @@
     }
 }
 
-/// Changes are missing, and the queue towards the list is full when the complete list is to be fetched. The fetch is lost, so the list must be
-/// asked again once there is room; until then the host does not know of a drain among the missing changes.
+/// Changes are missing, and the queue to the list client is full when the complete list is to be fetched. The fetch is lost, so the list
+/// must be requested again once the queue has room; otherwise the host would miss a drain among the missing changes.
 #[test]
-fn list_is_asked_again_after_a_fetch_that_found_its_queue_full() {
+fn list_is_requested_again_after_a_fetch_found_the_queue_full() {
     let clock = Clock::start();
     let (to_list, commands) = crossbeam_channel::bounded(1);
     let (mut core_thread, _events) = core_thread_with_list(clock, to_list);
     core_thread.execute_outputs();
-    assert!(commands.is_full(), "the watch waits in the queue");
+    assert!(commands.is_full(), "the command to follow the list is in the queue");
     core_thread.core.handle_endpoint_list(clock.now(), ListKind::Changes, 7, 9, &[]);
     core_thread.execute_outputs();
     assert!(matches!(commands.try_recv(), Ok(ListCommand::Follow { since: 0 })));
     let since = Wall::now();
     while commands.is_empty() {
-        assert!(since.elapsed() < Duration::from_secs(5), "the list is not asked again");
+        assert!(since.elapsed() < Duration::from_secs(5), "the list is not requested again");
         std::thread::sleep(Duration::from_millis(5));
         core_thread.read_clock();
         core_thread.core.handle_timeout(core_thread.now);
@@ -166,8 +166,8 @@
     assert!(matches!(commands.try_recv(), Ok(ListCommand::Follow { since: 0 })), "not the complete list");
 }
 
-/// The link to a node waits for the node's hello, and its queue is full. The attempts that the queue can't take never reach the node, and
-/// say nothing of it: counted as failures, they would eject a node that may be well.
+/// The link to a node waits for the node's hello, and its queue is full. Attempts that the queue can't take never reach the node. If they
+/// counted as its failures, a node that may be healthy would be ejected.
 #[test]
 fn a_full_link_queue_does_not_eject_the_node() {
     let (mut core_thread, _events) = core_thread(Clock::start());
@@ -178,7 +178,8 @@
     assert!(attempts >= u64::from(COMMAND_COUNT), "{attempts} attempts: the node is ejected");
 }
 
-/// A node's address is not one to connect to. No attempt can reach the node, so it is ejected as any other that takes no connection.
+/// A node's address is not an IP address and a port. No attempt can reach the node, so it is ejected like any node that refuses
+/// connections.
 #[test]
 fn a_node_without_a_usable_address_is_ejected() {
     let (mut core_thread, _events) = core_thread(Clock::start());
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A host between emulated nodes, their list and its clients, all on loopback.
+//! A host with emulated nodes, their endpoint list and emulated clients, all on loopback.
 #![allow(dead_code)] // each test file uses its own part
 
 use bytes::Bytes;
@@ -16,10 +16,10 @@
 use tackmast_wire::iscsi::Digests;
 use tackmast_wire::list::{Entry, State};
 
-/// How long a test waits for what must happen soon.
+/// How long a test waits for an event that must happen.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A host with two nodes and their list.
+/// A host with two nodes and their endpoint list.
 pub struct TestCluster {
     pub recorder: Recorder,
     pub nodes: Vec<Node>,
@@ -31,7 +31,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Settings of one host over shards 0 and 1.
+/// Returns the settings of a single host with volumes on shards 0 and 1.
 pub fn settings(list: SocketAddr) -> HostSettings {
     let text = format!(
         r#"
@@ -90,7 +90,7 @@
     HostSettings::parse("test", &text).unwrap()
 }
 
-/// A node as the list shows it.
+/// Returns a node's entry in the endpoint list.
 fn entry(node: &Node) -> Entry {
     Entry {
         address: node.address().to_string(),
@@ -102,7 +102,7 @@
 }
 
 impl TestCluster {
-    /// Starts it with nodes of this behavior; the host knows both when this returns.
+    /// Starts the cluster with nodes of this behavior. Returns once the host knows both nodes.
     pub fn start(behavior: NodeBehavior) -> TestCluster {
         let recorder = Recorder::default();
         let idempotency_keys = Arc::new(IdempotencyKeys::default());
@@ -129,16 +129,16 @@
         let list = NodeList::start(loopback(), recorder.clone()).unwrap();
         list.put(nodes.iter().map(entry));
         let host = Host::start(settings(list.address)).unwrap();
-        // Commands that came before the list's answer would wait, and tests with short deadlines would fail.
-        let give_up_at = std::time::Instant::now() + TEST_TIMEOUT;
+        // Commands that arrive before the list's answer would wait, and tests with short deadlines would fail.
+        let deadline = std::time::Instant::now() + TEST_TIMEOUT;
         while host.status().is_none_or(|status| status.nodes.len() < nodes.len()) {
-            assert!(std::time::Instant::now() < give_up_at, "no node list in {TEST_TIMEOUT:?}");
+            assert!(std::time::Instant::now() < deadline, "no node list in {TEST_TIMEOUT:?}");
             std::thread::sleep(Duration::from_millis(2));
         }
         TestCluster { recorder, nodes, list, host }
     }
 
-    /// A client that has logged in.
+    /// Returns a client that has logged in.
     pub fn client(&self, digests: Digests, deadline_ms: Option<u32>) -> Client {
         let login = Login {
             address: self.host.address,
@@ -173,7 +173,7 @@
         self.initiator.submit(0, &request, TEST_TIMEOUT);
     }
 
-    /// The next reply.
+    /// Waits for the next reply and returns it.
     pub fn receive(&self) -> Reply {
         self.replies.recv_timeout(TEST_TIMEOUT).expect("an answer in time").reply
     }
@@ -189,7 +189,7 @@
     }
 }
 
-/// Random bytes, which differ between seeds.
+/// Returns pseudorandom bytes that depend on `seed`.
 pub fn pattern(seed: u64, bytes: usize) -> Vec<u8> {
     let mut random = oorandom::Rand64::new(u128::from(seed));
     (0..bytes).map(|_| random.rand_u64() as u8).collect()
--- a/crates/host/tests/members.rs
+++ b/crates/host/tests/members.rs
@@ -1,4 +1,4 @@
-//! A dozen hosts on loopback that are peers: they find each other, notice one that ends, and share operators' overrides.
+//! Tests of membership: twelve hosts on loopback find each other, detect one that stops, and share operators' overrides.
 
 use bytes::Bytes;
 use std::net::{SocketAddr, UdpSocket};
@@ -87,16 +87,17 @@
     }
 }
 
-fn wait_until(what: &str, holds: impl Fn() -> bool) {
-    let give_up_at = Instant::now() + Duration::from_secs(20);
-    while !holds() {
-        assert!(Instant::now() < give_up_at, "not within 20 s: {what}");
+fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(20);
+    while !condition() {
+        assert!(Instant::now() < deadline, "not within 20 s: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Twelve hosts find each other and ignore datagrams of strangers. An override set at one is in force at all, also after one of them
-/// ended and came back, and cleared at another it is gone at all and does not return.
+/// Twelve hosts find each other and drop datagrams that are malformed or of another fleet. An override set at one host must be in force
+/// at all. Once cleared at another, it must be gone from all and must not return, even with a host that was down meanwhile and has it in
+/// its store.
 #[test]
 fn hosts_find_each_other_and_share_overrides() {
     let folder = tempfile::tempdir().unwrap();
@@ -107,8 +108,8 @@
     hosts.extend((1..HOSTS).map(|host| Some(Host::start(settings(dir, host, seed)).unwrap())));
     wait_until("all hosts know all", || (0..HOSTS).all(|host| members(dir, host).alive_hosts == HOSTS));
 
-    // Bytes that are no datagram, and a datagram of another fleet, are dropped and counted.
-    let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
+    // A malformed datagram and one of another fleet are dropped and counted.
+    let outsider = UdpSocket::bind("127.0.0.1:0").unwrap();
     let body = tackmast_wire::peer::Body::Probe(tackmast_wire::peer::ProbeMessage::Ping { seq: 1 });
     let sender = tackmast_wire::peer::MemberUpdate {
         slot: 3,
@@ -121,11 +122,11 @@
     };
     let other_fleet = tackmast_wire::peer::Datagram { fleet: "other".into(), sender, body, updates: vec![] };
     for bytes in [Bytes::from_static(b"hello"), other_fleet.to_bytes()] {
-        stranger.send_to(&bytes, seed.unwrap()).unwrap();
+        outsider.send_to(&bytes, seed.unwrap()).unwrap();
     }
-    wait_until("strangers are counted", || members(dir, 0).dropped >= 2);
+    wait_until("the datagrams are counted as dropped", || members(dir, 0).dropped >= 2);
 
-    // An override that is set at one host is in force at all.
+    // An override that is set at one host must be in force at all.
     let override_request = OverrideRequest {
         target: "zone:7".parse().unwrap(),
         kind: Kind::Weight(0.5),
@@ -142,9 +143,9 @@
     let received = overrides(dir, 9).remove(0);
     assert_eq!((received.who.as_str(), received.origin.map(|origin| origin.slot)), ("ann", Some(4)));
 
-    // One host ends without a leave and is found dead. The override is cleared at another host meanwhile.
+    // One host stops without a leave and is found dead. The override is cleared at another host meanwhile.
     hosts[7].take().unwrap().stop();
-    wait_until("the ended host is found dead", || members(dir, 0).alive_hosts == HOSTS - 1);
+    wait_until("the stopped host is found dead", || members(dir, 0).alive_hosts == HOSTS - 1);
     let id: OverrideId = overrides(dir, 2)[0].id;
     assert!(matches!(
         call(dir, 2, AdminRequest::Clear { id, who: "bob".into() }),
@@ -153,8 +154,8 @@
     wait_until("the override is cleared at all hosts", || {
         (0..HOSTS).filter(|host| *host != 7).all(|host| overrides(dir, host).is_empty())
     });
-    // The threads of the ended host may still hold its store, so its next start uses a copy. It comes back with the override that it
-    // had stored, and must learn that it was cleared.
+    // Threads of the stopped host may still hold its store open, so its next start uses a copy. It starts with the stored override, and
+    // must learn that it was cleared.
     let restored = dir.join("restored");
     std::fs::create_dir(&restored).unwrap();
     std::fs::copy(dir.join("7.redb"), restored.join("7.redb")).unwrap();
--- a/crates/host/tests/path.rs
+++ b/crates/host/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole way of a command: client, session, core, node link, node, and back.
+//! End-to-end tests of commands: from the client through session, core and link to the node, and back.
 
 mod common;
 
@@ -8,13 +8,13 @@
 use tackmast_wire::iscsi::Digests;
 use tackmast_wire::scsi::{Command, Sense};
 
-/// Nodes that add little to a command's time.
+/// Returns a behavior of nodes that adds little to the duration of a command.
 fn fast_nodes() -> NodeBehavior {
     NodeBehavior { unit_s: 0.0002, ..NodeBehavior::default() }
 }
 
-/// A client writes and reads back ranges within an extent, across two and across many, with and without checksums. Each read returns
-/// what was written, and afterwards nothing is open.
+/// A client writes and reads back ranges within one extent, across two and across many, with and without digests. Each read must return
+/// what was written, and no command, request or attempt may stay open.
 #[test]
 fn reads_return_what_was_written_at_any_size_and_offset() {
     let cluster = TestCluster::start(fast_nodes());
@@ -35,8 +35,8 @@
     cluster.stop();
 }
 
-/// A client asks what the target and its volumes are, and sends reads that no volume allows. Each wrong command gets the sense that
-/// names its fault, and the session stays usable.
+/// A client sends inquiries, and reads that are invalid for the volume. Each invalid command must get the sense data of its error, and
+/// the session must stay usable.
 #[test]
 fn inquiries_are_answered_and_invalid_commands_get_their_sense() {
     let cluster = TestCluster::start(fast_nodes());
--- a/crates/host/tests/plans.rs
+++ b/crates/host/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Plans that change while hosts run, on loopback: one host takes changes, all hosts apply them, and the change log survives restarts.
+//! Tests of plan changes at run time, on loopback: one host accepts changes, all hosts apply them, and the change log survives restarts.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -96,7 +96,7 @@
     }
 }
 
-/// A change of the limit of the plan `basic`.
+/// Returns a step that sets the limit of the plan `basic`.
 fn basic_limit(limit: f64) -> Step {
     let to = Some(Plan { limit, burst: 64.0, slack: 8.0, reserve: 0.0, weight: 1.0, floor: None });
     Step::Plan { name: "basic".into(), to }
@@ -114,30 +114,30 @@
     }
 }
 
-fn wait_until(what: &str, holds: impl Fn() -> bool) {
-    let give_up_at = Instant::now() + Duration::from_secs(20);
-    while !holds() {
-        assert!(Instant::now() < give_up_at, "not within 20 s: {what}");
+fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(20);
+    while !condition() {
+        assert!(Instant::now() < deadline, "not within 20 s: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Starts a host on the store of an earlier process, whose threads may still hold it for some time.
+/// Starts a host on the store of an earlier one. Retries while threads of the earlier host hold the store open.
 fn restart(settings: impl Fn() -> HostSettings) -> Host {
-    let give_up_at = Instant::now() + Duration::from_secs(10);
+    let deadline = Instant::now() + Duration::from_secs(10);
     loop {
         match Host::start(settings()) {
             Ok(host) => return host,
-            Err(error) if Instant::now() > give_up_at => panic!("{error}"),
+            Err(error) if Instant::now() > deadline => panic!("{error}"),
             Err(_) => std::thread::sleep(Duration::from_millis(20)),
         }
     }
 }
 
-/// Four hosts, one of which takes changes of plans. It refuses those that can't be; all hosts apply the others, also one that starts
-/// late, one that starts again and a home that lost its store, and all have the same change log.
+/// Of four hosts, the home accepts plan changes and refuses invalid ones. All hosts must apply the accepted changes and have the same
+/// change log, including a host that starts late, one that restarts, and a home that has lost its store.
 #[test]
-fn changes_taken_by_one_host_are_applied_by_all_and_survive_restarts() {
+fn changes_accepted_by_one_host_are_applied_by_all_and_survive_restarts() {
     let folder = tempfile::tempdir().unwrap();
     let dir = folder.path();
     let home = Host::start(settings(dir, 0, None, 100)).unwrap();
@@ -150,7 +150,7 @@
         })
     });
 
-    // A wrong change, or one at a host that takes none, is refused with its reason and changes nothing.
+    // An invalid change, or one at a host that is not the home, is refused with a reason and changes nothing.
     assert!(refusal_reason(apply(dir, 1, 0, basic_limit(50.0))).contains("host 0 takes changes"));
     let burst = Some(Plan { limit: 50.0, burst: 8.0, slack: 8.0, reserve: 0.0, weight: 1.0, floor: None });
     let small = Step::Plan { name: "basic".into(), to: burst };
@@ -166,13 +166,13 @@
     assert!(refusal_reason(apply(dir, 0, 0, moved)).contains("moved in more than its plan"));
     assert_eq!(plan_status(dir, 0).number, 0);
 
-    // One change reaches all hosts; of two that are based on the same version the second is refused as a conflict.
+    // A change reaches all hosts. Of two changes with the same base version, the second is refused as a conflict.
     assert!(matches!(apply(dir, 0, 0, basic_limit(50.0)), PlanResponse::Applied { number: 1, .. }));
     assert!(refusal_reason(apply(dir, 0, 0, basic_limit(70.0))).contains("plan basic"), "a conflict");
     let limit = |host| plan_status(dir, host).catalogue.plans["basic"].limit;
     wait_until("all hosts apply the change", || (0..3).all(|host| limit(host) == 50.0));
 
-    // A change far larger than a datagram, and one that undoes the first.
+    // A change far larger than a datagram, and one that undoes the first change.
     let many = (0..300).map(|i| Step::Plan {
         name: format!("extra {i}"),
         to: Some(Plan {
@@ -193,14 +193,14 @@
         (0..3).all(|host| plan_status(dir, host).number == 3 && limit(host) == 100.0)
     });
 
-    // A host that starts late learns them, and one that starts again still has them.
+    // A host that starts late learns the changes, and one that restarts still has them.
     others.push(Host::start(settings(dir, 3, seed, 100)).unwrap());
     wait_until("the late host has applied them", || plan_status(dir, 3).number == 3);
     others.remove(0).stop();
     others.push(restart(|| settings(dir, 1, seed, 100)));
     assert_eq!(plan_status(dir, 1).number, 3, "lost at a restart");
 
-    // The change log is the same at all hosts, byte for byte, and its hashes are right.
+    // The change logs of all hosts are the same, byte for byte, and their hashes are valid.
     let logs: Vec<String> = (0..HOSTS)
         .map(|host| match call(dir, host, PlanRequest::Log) {
             PlanResponse::Log { text, fleet } => {
@@ -213,7 +213,7 @@
         .collect();
     assert!(logs.iter().all(|log| *log == logs[0]), "change logs differ");
 
-    // A home that has lost its store learns the changes from its peers, before it gives a number again.
+    // A home that has lost its store learns the changes from its peers before it assigns a new number.
     home.stop();
     std::fs::remove_file(dir.join("0.redb")).unwrap();
     let peers = others[0].peers;
@@ -224,7 +224,7 @@
     home.stop();
     others.into_iter().for_each(Host::stop);
 
-    // A host whose settings differ from those that its change log begins with does not start.
+    // A host does not start if its settings differ from the plans that its change log begins with.
     wait_until("the start fails with its reason", || match Host::start(settings(dir, 0, None, 200)) {
         Err(StartError::Plans(error)) => error.to_string().contains("other plans"),
         Err(_) => false,
--- a/crates/host/tests/rough.rs
+++ b/crates/host/tests/rough.rs
@@ -1,5 +1,4 @@
-//! Clients that close their connections within an upload, and clients that never read: no part of an upload is seen, and other clients
-//! are served.
+//! Tests of misbehaving clients. An upload that ends early must write nothing, and a client that never reads must not delay others.
 
 mod common;
 
@@ -14,12 +13,12 @@
 use tackmast_wire::nbd;
 use tackmast_wire::scsi::Command;
 
-/// Nodes that add little to a command's time.
+/// Returns a behavior of nodes that adds little to the duration of a command.
 fn fast_nodes() -> NodeBehavior {
     NodeBehavior { unit_s: 0.0002, ..NodeBehavior::default() }
 }
 
-/// An NBD connection past its handshake, over the public protocol.
+/// Opens an NBD connection to a volume and completes its handshake.
 fn nbd_connect(cluster: &TestCluster, volume: &str) -> TcpStream {
     let mut stream = TcpStream::connect(cluster.host.nbd.unwrap()).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -38,15 +37,15 @@
     out
 }
 
-/// Clients of both protocols close their connections after the header of a write, after half of its data, and a byte before its end.
-/// The volume still holds what it held, and nothing stays open.
+/// Clients of both protocols close their connections within a write: after its header, or after a part of its data. The volume must
+/// keep its old data, and no command, request or attempt may stay open.
 #[test]
 fn upload_that_ends_early_writes_nothing() {
     let cluster = TestCluster::start(fast_nodes());
     let client = cluster.client(Digests::default(), None);
     let old = pattern(1, 64 * 512);
     assert_eq!(client.write(1, 0, old.clone()), done(vec![]));
-    // NBD: after the header, half of the data, all but a byte of it.
+    // NBD: after the header, after half of the data, and one byte before its end.
     for sent_bytes in [0, 16 * 1024, 32 * 1024 - 1] {
         let mut stream = nbd_connect(&cluster, "museum");
         let mut bytes = request(nbd::command::WRITE, 7, 0, 32 * 1024);
@@ -54,7 +53,7 @@
         stream.write_all(&bytes).unwrap();
         std::thread::sleep(Duration::from_millis(20));
     }
-    // iSCSI: after the immediate data, and after a part of the solicited data.
+    // iSCSI: after the immediate data, and after parts of the solicited data.
     for solicited in [0, 4096, 65_536] {
         let other = cluster.client(Digests::default(), None);
         let number = other.initiator.next_number();
@@ -81,25 +80,25 @@
     cluster.stop();
 }
 
-/// A client asks for far more than its socket and its share of the host's memory hold, and reads nothing. The host stops reading
-/// from it, and answers the other client in time.
+/// A client requests far more data than its socket and its part of the host's memory can hold, and reads nothing. The host must stop
+/// reading from it, and must answer the other client in time.
 #[test]
 fn client_that_never_reads_is_paused_and_others_are_served() {
     let cluster = TestCluster::start(fast_nodes());
     let client = cluster.client(Digests::default(), None);
-    let mut unread = nbd_connect(&cluster, "museum");
-    unread.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
+    let mut stalled = nbd_connect(&cluster, "museum");
+    stalled.set_write_timeout(Some(Duration::from_millis(300))).unwrap();
     let started = Instant::now();
     let (mut sent, mut reads, mut rejected) = (0u64, 0, 0);
     while started.elapsed() < Duration::from_secs(2) {
-        if unread.write_all(&request(nbd::command::READ, sent, 0, 256 * 512)).is_err() {
+        if stalled.write_all(&request(nbd::command::READ, sent, 0, 256 * 512)).is_err() {
             break;
         }
         sent += 1;
         if sent.is_multiple_of(100) {
             let read_at = Instant::now();
             reads += 1;
-            // On a machine busy with other tests a read may miss its latency objective; it is then rejected at once.
+            // On a machine that is busy with other tests, a read may miss its latency objective; it is then rejected at once.
             match client.read(1, 5000, 1) {
                 Reply::Rejected { retry_after_us } => {
                     assert!(retry_after_us > 0);
@@ -113,7 +112,7 @@
     assert!(reads > 0 && rejected * 4 <= reads, "{rejected} of {reads} rejected");
     let status = cluster.host.status().unwrap();
     assert!(status.commands <= 200, "{} commands are open", status.commands);
-    drop(unread);
+    drop(stalled);
     assert_eq!(client.read(1, 5000, 1), done(vec![0; 512]));
     cluster.stop();
 }
--- a/crates/host/tests/saved_list.rs
+++ b/crates/host/tests/saved_list.rs
@@ -1,5 +1,5 @@
-//! Guards the stored form of the node list: a host starts with a list that an earlier build saved, and saves today's list
-//! as the same bytes.
+//! Guards the stored format of the endpoint list: a host must load a list that an earlier build saved, and must save the same list as
+//! the same bytes.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use tackmast_trace::Recorder;
 use tackmast_wire::list::{Entry, State};
 
-/// The list as hosts have it on their disks.
+/// A list as earlier builds saved it.
 const SAVED: &str = include_str!("fixtures/saved_list.json");
 const FIRST: &str = "127.0.0.1:1";
 const SECOND: &str = "127.0.0.1:2";
@@ -25,12 +25,12 @@
 }
 
 fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
-    let give_up_at = Instant::now() + TEST_TIMEOUT;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
         if let Some(found) = poll() {
             return found;
         }
-        assert!(Instant::now() < give_up_at, "no {what} in {TEST_TIMEOUT:?}");
+        assert!(Instant::now() < deadline, "no {what} in {TEST_TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -39,13 +39,13 @@
     folder.path().join("saved_list.json")
 }
 
-/// A host starts with a list that an earlier build saved, and the list service does not answer. The host knows the saved nodes, and
-/// leaves the file as it was.
+/// A host starts with a list that an earlier build saved, and the list service does not answer. The host must know the saved nodes, and
+/// must leave the file unchanged.
 #[test]
 fn host_starts_with_the_list_that_an_earlier_build_saved() {
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(file_in(&folder), SAVED).unwrap();
-    // Nothing answers there, so all that the host knows is from the file.
+    // Nothing listens on this address, so the host knows only the nodes of the file.
     let host = Host::start(settings_with("127.0.0.1:1".parse().unwrap(), &file_in(&folder))).unwrap();
     let mut nodes =
         wait_for("nodes", || host.status().map(|status| status.nodes).filter(|nodes| nodes.len() == 2));
@@ -59,7 +59,7 @@
     );
 }
 
-/// A host hears a list and saves it. The file has the same bytes as one that an earlier build saved.
+/// A host receives a list and saves it. The file must have the same bytes as one that an earlier build saved.
 #[test]
 fn list_is_saved_in_the_form_of_an_earlier_build() {
     let folder = tempfile::tempdir().unwrap();
--- a/crates/host/tests/start_errors.rs
+++ b/crates/host/tests/start_errors.rs
@@ -1,4 +1,4 @@
-//! What a host that does not start says, as earlier builds said it.
+//! Guards the texts of start errors against unintended changes.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -8,7 +8,7 @@
     Path::new("/run/host.admin").into()
 }
 
-/// A host does not start for each reason that is its own. The text is the one that earlier builds printed.
+/// Each start error that the host itself defines has the same text as in earlier builds.
 #[test]
 fn start_errors_have_the_texts_of_earlier_builds() {
     let denied = || io::Error::other("denied");
