--- a/crates/host/src/links/link.rs
+++ b/crates/host/src/links/link.rs
@@ -63,7 +63,7 @@
             let first = crossbeam_channel::select! {
                 recv(queue) -> message => match message {
                     Ok(message) => Some(message),
-                    // The reader notices at its next read timeout that the writer has ended.
+                    // Nothing is in flight if the node is gone; the reader notices at its next read timeout that the writer has ended.
                     Err(_) => return,
                 },
                 recv(woken) -> _ => None,
