--- a/crates/host/src/sessions/writer.rs
+++ b/crates/host/src/sessions/writer.rs
@@ -1,34 +1,38 @@
-//! The writer of a session: answers of the core become bytes for the client.
+//! The writer of a session: encodes answers of the core into bytes for the client.
 
 use super::shared::SharedSession;
-use crate::messages::ToSession;
+use crate::messages::SessionMessage;
 use crossbeam_channel::Receiver;
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
 use tackmast_host_core::Verdict;
 use tackmast_target as target;
 
-/// Messages that are handled before their output is written.
+/// Maximum number of messages to handle before their output is written.
 const MAX_BATCH: usize = 64;
 
-/// Writes until the core's thread and the reader have both ended, or the client takes nothing more.
-pub(super) fn write_until_end(shared: &SharedSession, mut stream: TcpStream, queued: &Receiver<ToSession>) {
+/// Writes answers until all senders of `queued` are dropped, or a write to the client fails or times out.
+pub(super) fn write_until_end(
+    shared: &SharedSession,
+    mut stream: TcpStream,
+    queued: &Receiver<SessionMessage>,
+) {
     while let Ok(first) = queued.recv() {
         let mut session = shared.lock();
         let rest = queued.try_iter().take(MAX_BATCH - 1);
         for message in std::iter::once(first).chain(rest) {
             match message {
-                ToSession::OutputReady => shared.on_writer_woken(),
-                ToSession::Answer { command, verdict } => {
+                SessionMessage::OutputReady => shared.on_writer_woken(),
+                SessionMessage::Answer { command, verdict } => {
                     _ = session.answer(command, target_verdict(verdict))
                 }
             }
         }
         let bytes = session.poll_transmit();
-        shared.notify_drained();
+        shared.notify_capacity();
         drop(session);
         if let Err(error) = stream.write_all(&bytes) {
-            tracing::debug!(%error, "client takes no answers: session closed");
+            tracing::debug!(%error, "write to the client failed: session closed");
             break;
         }
     }
