--- a/crates/host/src/links/reader.rs
+++ b/crates/host/src/links/reader.rs
@@ -66,7 +66,7 @@
     fn handle_silence(&mut self) -> ControlFlow<()> {
         let has_outstanding = self.context.outstanding.has_any();
         if has_outstanding && self.has_requested_ping {
-            tracing::debug!("node silent with attempts in flight: connection reset");
+            tracing::debug!("node silent with attempts in flight: connection broken off");
             return ControlFlow::Break(());
         }
         self.has_requested_ping = has_outstanding && self.context.wake_writer.try_send(()).is_ok();
