--- a/crates/target/src/any_session.rs
+++ b/crates/target/src/any_session.rs
@@ -1,4 +1,4 @@
-//! A session of either protocol, with one set of methods for the host's threads.
+//! A session of either protocol, with the same methods for both.
 
 use crate::error::SessionError;
 use crate::event::{Event, Verdict};
@@ -6,15 +6,15 @@
 use crate::nbd::NbdSession;
 use bytes::Bytes;
 
-/// A session of either protocol.
+/// A target session of either protocol.
 pub enum AnySession {
-    /// iSCSI-style.
+    /// A session of the iSCSI-style protocol.
     Iscsi(IscsiSession),
-    /// The Network Block Device protocol.
+    /// A session of the Network Block Device protocol.
     Nbd(NbdSession),
 }
 
-macro_rules! either {
+macro_rules! delegate {
     ($self:ident, $session:ident => $call:expr) => {
         match $self {
             AnySession::Iscsi($session) => $call,
@@ -24,47 +24,50 @@
 }
 
 impl AnySession {
-    /// Takes bytes of the client. After an error the connection must be closed; what was answered so far is in the output.
+    /// Handles bytes that the client sent. After an error the connection must be closed; the output still holds the
+    /// answers that were produced before the error.
     pub fn handle_bytes(&mut self, bytes: &[u8]) -> Result<(), SessionError> {
-        either!(self, session => session.handle_bytes(bytes))
+        delegate!(self, session => session.handle_bytes(bytes))
     }
 
-    /// What the session wants from the host.
+    /// Returns the next event for the host, or `None` if there is none.
     pub fn poll_event(&mut self) -> Option<Event> {
-        either!(self, session => session.poll_event())
+        delegate!(self, session => session.poll_event())
     }
 
-    /// Bytes to be written to the client; empty: none.
+    /// Takes the bytes that are to be written to the client. Empty bytes mean that there is no output.
     pub fn poll_transmit(&mut self) -> Bytes {
-        either!(self, session => session.poll_transmit())
+        delegate!(self, session => session.poll_transmit())
     }
 
-    /// Bytes of output that `poll_transmit` has not given yet.
+    /// Returns the number of output bytes that `poll_transmit` has not returned yet.
     pub fn pending_output(&self) -> usize {
-        either!(self, session => session.pending_output())
+        delegate!(self, session => session.pending_output())
     }
 
-    /// Whether the connection is to be closed once the output is written.
+    /// Returns whether the session has ended, so that the connection must be closed once the output is written.
     pub fn is_over(&self) -> bool {
-        either!(self, session => session.is_over())
+        delegate!(self, session => session.is_over())
     }
 
-    /// Whether the login, or the handshake, is over.
+    /// Returns whether the client has completed the iSCSI login or the NBD handshake. An iSCSI session that has ended
+    /// returns `false`.
     pub fn is_logged_in(&self) -> bool {
-        either!(self, session => session.is_logged_in())
+        delegate!(self, session => session.is_logged_in())
     }
 
-    /// Makes the session answer its login with a refusal: the host has as many sessions as it may.
+    /// Makes the session refuse its client's login, because the host has reached its limit of sessions.
     pub fn refuse(&mut self) {
-        either!(self, session => session.refuse())
+        delegate!(self, session => session.refuse())
     }
 
-    /// Answers a command; false: it has its answer, or was aborted.
+    /// Answers a command. Returns `false` if the command is not open, because it was answered or aborted.
     pub fn answer(&mut self, command: u32, verdict: Verdict) -> bool {
-        either!(self, session => session.answer(command, verdict))
+        delegate!(self, session => session.answer(command, verdict))
     }
 
-    /// Whether no more may be read from the client until a command is answered.
+    /// Returns whether nothing more may be read from the client until a command is answered. An iSCSI session never
+    /// pauses, since the command window limits its client.
     pub fn is_paused(&self) -> bool {
         match self {
             AnySession::Iscsi(_) => false,
--- a/crates/target/src/error.rs
+++ b/crates/target/src/error.rs
@@ -1,21 +1,21 @@
-//! Why a session can't be continued.
+//! The errors that end a session.
 
 use tackmast_wire::WireError;
 
-/// Why a session can't be continued: its connection must be closed.
+/// An error after which a session can't continue and its connection must be closed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SessionError {
-    /// Bytes that the protocol does not allow.
+    /// The client sent bytes that can't be decoded.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// A value that the protocol does not allow at this point.
+    /// The client sent a value that the protocol does not allow at this point.
     #[error("{what}: {found}; expected {expected}")]
     Protocol {
-        /// Which value.
+        /// The name of the value.
         what: &'static str,
         /// The value found.
         found: u64,
-        /// What would have been right.
+        /// A description of the values that are allowed.
         expected: String,
     },
 }
--- a/crates/target/src/event.rs
+++ b/crates/target/src/event.rs
@@ -1,67 +1,69 @@
-//! What a session wants from the host, and what the host answers.
+//! The events that a session reports to the host, and the host's final answers to commands.
 
 use bytes::Bytes;
 
-/// What a session wants from the host.
+/// An event that a session reports to the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A command that is owed one answer.
+    /// A complete command, which the host must answer exactly once unless it is aborted.
     Submit {
-        /// Its number in the session.
+        /// The command's number in the session.
         command: u32,
         /// The volume's logical unit number.
         lun: u32,
-        /// The first block.
+        /// The first block of the command's range on the volume.
         block: u64,
-        /// What to do from there.
+        /// The read or write, which starts at that block.
         work: Work,
-        /// The client's deadline in milliseconds from the command's first bytes, where it names one.
+        /// The client's deadline in milliseconds, counted from the command's first bytes. `None` means that the client
+        /// set no deadline.
         deadline_ms: Option<u32>,
     },
-    /// The first bytes of a write were received and the rest was asked for. Its deadline runs from now.
+    /// A write was received without all of its data, and the rest was solicited. The write's deadline runs from this
+    /// event.
     Begun {
-        /// Its number in the session.
+        /// The command's number in the session.
         command: u32,
     },
-    /// The client withdraws a command.
+    /// The client has aborted a command, which gets no answer.
     Abort {
-        /// Its number in the session.
+        /// The command's number in the session.
         command: u32,
     },
-    /// The session is over: close the connection once the output is written.
+    /// The session has ended, and the connection must be closed once the output is written.
     Close(Ending),
-    /// Something that an operator may want to know.
+    /// The client did something wrong that does not end its session.
     Note(Note),
 }
 
-/// A read or a write.
+/// The operation of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Work {
     /// Reads blocks.
     Read {
-        /// How many.
+        /// The number of blocks.
         blocks: u32,
     },
     /// Writes blocks.
     Write {
-        /// Their bytes.
+        /// The bytes to write, a whole number of blocks.
         data: Bytes,
     },
 }
 
-/// Why a session is over.
+/// The reason why a session has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// The client has logged out.
+    /// The client logged out or disconnected.
     Logout,
-    /// The login was refused.
+    /// The session refused the client's login or handshake.
     LoginRefused,
 }
 
-/// Something that a client should not do, and that does not end its session.
+/// A mistake of the client that does not end its session. The host writes it to its log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Note {
-    /// A command outside the window, which is ignored.
+    /// The client sent a command outside the window, and the session ignored it.
     #[error("command {command} is outside the window; expected {first} to {last}")]
     OutsideWindow {
         /// The command's number.
@@ -71,27 +73,27 @@
         /// The last number in the window.
         last: u32,
     },
-    /// An operation that the target does not have, which is rejected.
+    /// The client sent an operation that the target does not support, and the session rejected it.
     #[error("operation {opcode:#04x} is not served; rejected")]
     UnknownOperation {
-        /// Its code.
+        /// The operation code.
         opcode: u8,
     },
 }
 
-/// The one final answer of a command.
+/// The final answer to a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Done.
+    /// The command ran.
     Done {
-        /// The bytes of a read.
+        /// The bytes that were read; empty for a write.
         data: Bytes,
     },
-    /// It did not run, and a retry is safe.
+    /// The command did not run, so a retry is safe.
     Rejected {
-        /// How long the client is asked to wait, in microseconds; 0: not known.
+        /// How long the client should wait before it retries, in microseconds. 0 means that the time is not known.
         retry_after_us: u64,
     },
-    /// No promise about its effect.
+    /// The command failed, and may have taken effect or not.
     Failed,
 }
--- a/crates/target/src/iscsi.rs
+++ b/crates/target/src/iscsi.rs
@@ -1,5 +1,5 @@
-//! An iSCSI-style session: the command window, and which unit goes where. Login, text, commands, uploads and responses have modules of
-//! their own.
+//! An iSCSI-style session: the command window and the dispatch of PDUs. Login, text, commands, uploads and responses have
+//! modules of their own.
 
 mod commands;
 mod login;
@@ -18,22 +18,23 @@
 use tackmast_wire::scsi::Unit;
 use uploads::Upload;
 
-/// Bytes of data in one unit that every target takes (RFC 7143, section 13.12).
+/// The data segment that a PDU of any client may have until the target declares its own limit, in bytes (RFC 7143,
+/// section 13.12).
 const MIN_SEGMENT_BYTES: u32 = 8192;
-/// The function of a task management request (RFC 7143, section 11.5.1).
+/// The ABORT TASK function of a task management request (RFC 7143, section 11.5.1).
 const ABORT_TASK: u8 = 1;
-/// The bits of a task management request's flags that hold its function.
+/// The bits of a task management request's flags that hold the function.
 const TASK_FUNCTION_MASK: u8 = 0x7f;
-/// Offset of the response code in a unit's header, in bytes.
+/// The offset of the response code in a PDU's header, in bytes.
 const RESPONSE_CODE: usize = 2;
-/// The reason of a reject: command not supported (RFC 7143, section 11.17.1).
+/// The reason code "command not supported" of a Reject PDU (RFC 7143, section 11.17.1).
 const COMMAND_NOT_SUPPORTED: u8 = 0x05;
 
-/// Responses to a task management request (RFC 7143, section 11.6.1).
+/// Response codes of task management (RFC 7143, section 11.6.1).
 mod task_response {
     /// The function is complete.
     pub(super) const COMPLETE: u8 = 0;
-    /// There is no such task.
+    /// The task does not exist.
     pub(super) const NO_SUCH_TASK: u8 = 1;
     /// The function is not supported.
     pub(super) const NOT_SUPPORTED: u8 = 5;
@@ -41,13 +42,13 @@
 
 /// A command that has no answer yet.
 struct Task {
-    /// The client's tag.
+    /// The initiator task tag.
     tag: u32,
     lun: u32,
-    /// Bytes that the client expects to move.
+    /// The expected data transfer length, in bytes.
     expected_bytes: u32,
     deadline_ms: Option<u32>,
-    /// The data of a write while it is not complete.
+    /// The data of a write until it is complete; `None` for other commands and for complete writes.
     upload: Option<Upload>,
 }
 
@@ -64,26 +65,26 @@
     units: Arc<Vec<Unit>>,
     parameters: NegotiatedParameters,
     phase: Phase,
-    /// The session's identifier at the target.
+    /// The target session identifying handle (TSIH).
     session_id: u16,
     input: Units,
     output: BytesMut,
     events: VecDeque<Event>,
-    /// Text keys of units whose text continues.
+    /// The text of the PDUs received so far in an exchange whose text continues.
     text: BytesMut,
-    /// Sequence number of the next command.
+    /// The sequence number expected in the next command (ExpCmdSN).
     expected_command: u32,
-    /// Sequence number of the next status.
+    /// The sequence number of the next status (StatSN).
     next_status: u32,
     /// Open tasks by command number.
     tasks: BTreeMap<u32, Task>,
-    /// Whether the first login unit, which names the first command number, was received.
+    /// Whether the first login request, which sets the first command number, was received.
     has_login_begun: bool,
     is_refused: bool,
 }
 
 impl IscsiSession {
-    /// A session before its login; `session_id` is its identifier at the target.
+    /// Creates a session that waits for its client's login. `session_id` is the target session identifying handle.
     pub fn new(offer: Arc<Offer>, units: Arc<Vec<Unit>>, session_id: u16) -> Self {
         let max_segment = offer.max_segment.max(MIN_SEGMENT_BYTES) as usize;
         IscsiSession {
@@ -104,7 +105,8 @@
         }
     }
 
-    /// Takes bytes of the client. After an error the connection must be closed; what was answered so far is in the output.
+    /// Handles bytes that the client sent. After an error the connection must be closed; the output still holds the
+    /// answers that were produced before the error.
     pub fn handle_bytes(&mut self, bytes: &[u8]) -> Result<(), SessionError> {
         self.input.push(bytes);
         while self.phase != Phase::Over {
@@ -114,42 +116,42 @@
         Ok(())
     }
 
-    /// What the session wants from the host.
+    /// Returns the next event for the host, or `None` if there is none.
     pub fn poll_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// Bytes to be written to the client; empty: none.
+    /// Takes the bytes that are to be written to the client. Empty bytes mean that there is no output.
     pub fn poll_transmit(&mut self) -> Bytes {
         self.output.split().freeze()
     }
 
-    /// Whether the connection is to be closed once the output is written.
+    /// Returns whether the session has ended, so that the connection must be closed once the output is written.
     pub fn is_over(&self) -> bool {
         self.phase == Phase::Over
     }
 
-    /// Whether the login is over.
+    /// Returns whether the session is in the full feature phase. It is not before the login, nor after the end.
     pub fn is_logged_in(&self) -> bool {
         self.phase == Phase::FullFeature
     }
 
-    /// Bytes of output that `poll_transmit` has not given yet.
+    /// Returns the number of output bytes that `poll_transmit` has not returned yet.
     pub fn pending_output(&self) -> usize {
         self.output.len()
     }
 
-    /// Makes the session answer its login with a refusal: the host has as many sessions as it may.
+    /// Makes the session refuse its client's login, because the host has reached its limit of sessions.
     pub fn refuse(&mut self) {
         self.is_refused = true;
     }
 
-    /// Commands that have no answer yet.
+    /// Returns the number of commands that have no answer yet.
     pub fn open_commands(&self) -> usize {
         self.tasks.len()
     }
 
-    /// Answers a command; false: it has its answer, or was aborted.
+    /// Answers a command. Returns `false` if the command is not open, because it was answered or aborted.
     pub fn answer(&mut self, command: u32, verdict: Verdict) -> bool {
         if self.phase != Phase::FullFeature {
             return false;
@@ -159,7 +161,7 @@
         true
     }
 
-    /// The last command number that the client may send.
+    /// Returns the last command number that the client may send (MaxCmdSN).
     fn max_command(&self) -> u32 {
         let free = (self.offer.window as usize).saturating_sub(self.tasks.len()) as u32;
         self.expected_command.wrapping_add(free).wrapping_sub(1)
@@ -169,15 +171,19 @@
         match (self.phase, pdu.opcode()) {
             (Phase::Login, op::LOGIN) => return self.on_login(pdu),
             (Phase::Login, other) => {
-                return Err(SessionError::protocol("operation before login", other, "a login unit, 3"))
+                return Err(SessionError::protocol("operation before login", other, "a login request (3)"))
             }
             (_, op::LOGIN) => {
-                return Err(SessionError::protocol("operation after login", op::LOGIN, "a full-feature unit"))
+                return Err(SessionError::protocol(
+                    "operation after login",
+                    op::LOGIN,
+                    "a PDU of the full feature phase",
+                ))
             }
             (_, op::DATA_OUT) => return self.on_data_out(&pdu),
             _ => {}
         }
-        // The answer to a ping of this side has no command number.
+        // A NOP-Out that answers a NOP-In of the target has no command number.
         if pdu.opcode() == op::NOP_OUT && pdu.tag() == NO_TAG {
             return Ok(());
         }
@@ -187,8 +193,8 @@
         self.handle_numbered_pdu(pdu)
     }
 
-    /// Takes the command number of a unit; false: it is outside the window. Such a unit is ignored, and the client learns the window from
-    /// the next unit that it receives (RFC 7143, section 4.2.2.1).
+    /// Advances the window past the command number of a PDU. Returns `false` if the number is outside the window: such a
+    /// PDU is ignored, and the client learns the window from the next PDU that it receives (RFC 7143, section 4.2.2.1).
     fn advance_window(&mut self, pdu: &Pdu) -> Result<bool, SessionError> {
         let command = pdu.u32(field::SEQUENCE);
         let ahead = command.wrapping_sub(self.expected_command);
@@ -260,7 +266,7 @@
         self.send_with_status(reply);
     }
 
-    /// Removes a task, which has no answer then (RFC 7143, section 11.5.1).
+    /// Removes a task, which then gets no response (RFC 7143, section 11.5.1). Returns the response code.
     fn abort_task(&mut self, tag: u32) -> u8 {
         let Some(command) = self.tasks.iter().find(|(_, task)| task.tag == tag).map(|(command, _)| *command)
         else {
--- a/crates/target/src/iscsi/commands.rs
+++ b/crates/target/src/iscsi/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of the client: those that the session answers by itself, and reads and writes for the host.
+//! SCSI commands. The session answers most of them itself, and submits reads and writes to the host.
 
 use super::uploads::Upload;
 use super::{IscsiSession, Task};
@@ -8,13 +8,14 @@
 use tackmast_wire::iscsi::{field, op, Pdu};
 use tackmast_wire::scsi::{self, status, Command, Sense, Unit};
 
-/// Windows of commands that may be open with the immediate ones, which are outside the window (RFC 7143, section 4.2.2.1).
+/// The number of open commands at which an immediate command ends the session, in windows. The window itself does not
+/// limit immediate commands (RFC 7143, section 4.2.2.1).
 const MAX_OPEN_WINDOWS: usize = 2;
 
-/// The answer to a command that the session answers by itself.
+/// The answer to a command that the session answers itself.
 struct SimpleAnswer {
     data: Bytes,
-    /// Bytes that the client has space for.
+    /// The allocation length of the command, in bytes.
     max_bytes: u32,
 }
 
@@ -62,16 +63,16 @@
             return Err(SessionError::protocol(what, op::COMMAND, "text or logout"));
         }
         if self.tasks.values().any(|task| task.tag == tag) || self.tasks.contains_key(&command) {
-            let expected = "a tag or number that no open command holds";
+            let expected = "a tag and a number that no open command uses";
             return Err(SessionError::protocol("task tag", tag, expected));
         }
         if pdu.immediate() && open >= MAX_OPEN_WINDOWS * self.offer.window as usize {
-            return Err(SessionError::protocol("immediate commands", open as u64, "fewer open ones"));
+            return Err(SessionError::protocol("immediate commands", open as u64, "fewer open commands"));
         }
         Ok(())
     }
 
-    /// A command's own deadline, within what the target takes; else the session's.
+    /// Returns the command's own deadline, limited to the offered range, or else the session's deadline.
     fn command_deadline_ms(&self, pdu: &Pdu) -> Option<u32> {
         let own = pdu.deadline().filter(|_| self.parameters.command_deadlines);
         own.map(|us| self.offer.clamp_deadline_us(us)).or(self.parameters.deadline_ms)
@@ -101,7 +102,8 @@
                 let data = if long { scsi::mode_sense10() } else { scsi::mode_sense6() };
                 Ok(SimpleAnswer { data, max_bytes })
             }
-            // A write is answered when its nodes have it, so there is nothing to synchronize. Reads and writes don't come here.
+            // A write is answered when its nodes have stored it, so there is nothing to synchronize. Reads and writes are
+            // handled by the caller.
             (
                 Command::TestUnitReady | Command::Synchronize | Command::Read { .. } | Command::Write { .. },
                 Some(_),
--- a/crates/target/src/iscsi/login.rs
+++ b/crates/target/src/iscsi/login.rs
@@ -6,35 +6,35 @@
 use tackmast_wire::iscsi::{self, field, op, Pdu, TextKey, CONTINUES, FINAL, NO_TAG};
 use tackmast_wire::WireError;
 
-/// Bytes of text that one login or text exchange may gather.
+/// The most text that one login or text exchange may hold, in bytes.
 const MAX_TEXT_BYTES: usize = 64 << 10;
-/// The bits of a login's flags that hold its present stage.
+/// The bits of a login request's flags that hold the current stage.
 const CURRENT_STAGE_MASK: u8 = 0x0c;
-/// The stage number that the RFC does not use; 0 is security negotiation and 1 operational negotiation.
+/// The stage number that the RFC reserves. 0 is security negotiation and 1 is operational negotiation.
 const RESERVED_STAGE: u8 = 2;
-/// The full feature stage.
+/// The stage number of the full feature phase.
 const FULL_FEATURE_STAGE: u8 = 3;
-/// Offset of the lowest version that the client speaks, in bytes.
+/// The offset of the lowest version that the client supports (Version-min), in bytes.
 const MIN_VERSION: usize = 3;
-/// Offset of the class of a login's status, in bytes; its detail is behind it.
+/// The offset of a login response's status class, in bytes. The status detail follows it.
 const STATUS_CLASS: usize = 36;
-/// The transfer tag of a text response that expects the rest of the client's text.
+/// The target transfer tag of a text response that expects more text from the client.
 const TEXT_CONTINUES_TAG: u32 = 1;
 
-/// Why a login is refused (RFC 7143, section 11.13.5).
+/// A reason for refusing a login (RFC 7143, section 11.13.5).
 #[derive(Clone, Copy, Debug)]
 enum LoginRefusal {
     TargetNotFound,
     UnsupportedVersion,
     MissingParameter,
-    /// A session has one connection, so none can be joined.
+    /// The client asked to join a session. A session has only one connection, so none can be joined.
     SessionDoesNotExist,
-    /// The client may try again.
+    /// The host has reached its limit of sessions, and the client may try again later.
     OutOfResources,
 }
 
 impl LoginRefusal {
-    /// Class and detail of the status.
+    /// Returns the status class and the status detail.
     fn status(self) -> [u8; 2] {
         match self {
             LoginRefusal::TargetNotFound => [2, 3],
@@ -46,19 +46,19 @@
     }
 }
 
-/// The stages that a login unit names.
+/// The stage transition that a login request asks for.
 struct Stages {
-    /// Whether the client wants to go to the next stage.
+    /// Whether the client asks to move to the next stage (the T bit).
     is_transit: bool,
     next: u8,
 }
 
 impl Stages {
-    fn of(pdu: &Pdu) -> Result<Stages, SessionError> {
+    fn from_pdu(pdu: &Pdu) -> Result<Stages, SessionError> {
         let (is_transit, current, next) = (pdu.has(FINAL), pdu.flags() >> 2 & 3, pdu.flags() & 3);
-        let is_wrong_step = is_transit && (next == RESERVED_STAGE || next <= current);
-        if current == RESERVED_STAGE || is_wrong_step {
-            let expected = "a step to a later stage of 0, 1 and 3";
+        let is_invalid_transition = is_transit && (next == RESERVED_STAGE || next <= current);
+        if current == RESERVED_STAGE || is_invalid_transition {
+            let expected = "a transition to a later stage of 0, 1 and 3";
             return Err(SessionError::protocol("login stages", pdu.flags(), expected));
         }
         Ok(Stages { is_transit, next })
@@ -68,7 +68,7 @@
         self.is_transit && self.next == FULL_FEATURE_STAGE
     }
 
-    /// The flags that confirm the step.
+    /// Returns the flags of a response that confirm the transition.
     fn transit_flags(&self) -> u8 {
         if self.is_transit {
             FINAL | self.next
@@ -96,7 +96,7 @@
             return Ok(());
         };
         let mut answers = self.negotiate(&keys, true);
-        let stages = Stages::of(&pdu)?;
+        let stages = Stages::from_pdu(&pdu)?;
         if let Some(refusal) = self.refusal_after_keys(&stages) {
             self.refuse_login(reply, refusal);
             return Ok(());
@@ -158,7 +158,7 @@
         Ok(())
     }
 
-    /// The answers to the client's keys.
+    /// Negotiates the client's keys and returns the target's answers.
     fn negotiate(&mut self, keys: &[TextKey], is_login: bool) -> Vec<TextKey> {
         let mut answers = Vec::new();
         for TextKey { name, value } in keys {
@@ -171,7 +171,7 @@
         answers
     }
 
-    /// Gathers the text of a unit; none: it continues in the next unit.
+    /// Collects the text of a PDU. Returns the keys of the whole text, or `None` if it continues in the next PDU.
     fn gather_text(&mut self, pdu: &Pdu) -> Result<Option<Vec<TextKey>>, SessionError> {
         let length = self.text.len() + pdu.data.len();
         if length > MAX_TEXT_BYTES {
--- a/crates/target/src/iscsi/negotiation.rs
+++ b/crates/target/src/iscsi/negotiation.rs
@@ -1,61 +1,62 @@
-//! Text negotiation (RFC 7143, sections 6 and 13): the parameters of a session, and the answer to each key of its client.
+//! Text negotiation (RFC 7143, sections 6 and 13): the parameters of a session, and the answers to its client's keys.
 
 use crate::offer::Offer;
 use std::ops::RangeInclusive;
 use tackmast_wire::iscsi::Digests;
 
-/// Vendor key (section 6.2): milliseconds until the client gives a command up.
+/// The vendor key (section 6.2) for the deadline of the session's commands, in milliseconds.
 const DEADLINE_KEY: &str = "X-org.tackmast.ExpiryMs";
-/// Vendor key: whether a rejection carries its retry-after in microseconds, in the response data.
+/// The vendor key for whether a rejection carries its retry-after in microseconds, in the response data.
 const DELAY_KEY: &str = "X-org.tackmast.ExactDelay";
-/// Vendor key: whether commands may carry a deadline of their own, in an additional header.
+/// The vendor key for whether commands may carry a deadline of their own, in an additional header segment.
 const COMMAND_KEY: &str = "X-org.tackmast.CommandExpiry";
 
-/// Bytes of data in one unit to a client that declares nothing (section 13.12).
+/// The largest data segment of a PDU to a client that declares no limit, in bytes (section 13.12).
 const DEFAULT_SEGMENT_BYTES: u32 = 8192;
-/// Segment lengths that the RFC allows, in bytes (section 13.12).
+/// The data segment lengths that the RFC allows, in bytes (section 13.12).
 const SEGMENT_BYTES: RangeInclusive<u32> = 512..=0xff_ffff;
-/// Burst of a client that negotiates none, in bytes (section 13.14).
+/// The first burst length if the client negotiates none, in bytes (section 13.14).
 const DEFAULT_FIRST_BURST_BYTES: u32 = 65_536;
-/// Solicited sequence of a client that negotiates none, in bytes (section 13.13).
+/// The maximum burst length if the client negotiates none, in bytes (section 13.13).
 const DEFAULT_MAX_BURST_BYTES: u32 = 262_144;
-/// The shortest burst that the RFC allows, in bytes.
+/// The smallest burst length that the RFC allows, in bytes.
 const MIN_BURST_BYTES: u32 = 512;
-/// Seconds before a client may connect again: the default, and those that the RFC allows from there (section 13.15).
+/// The seconds that a client waits before it connects again (DefaultTime2Wait, section 13.15): the RFC's default, up to
+/// the longest wait that it allows.
 const TIME_TO_WAIT_SECS: RangeInclusive<u32> = 2..=3600;
-/// The newest protocol level (RFC 7144, section 7).
+/// The highest protocol level that the target supports (RFC 7144, section 7).
 const MAX_PROTOCOL_LEVEL: u32 = 2;
 
-/// What a session has negotiated.
+/// The parameters that a session has negotiated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct NegotiatedParameters {
     pub(super) digests: Digests,
-    /// Bytes of data in one unit to the client.
+    /// The largest data segment of a PDU to the client, in bytes.
     pub(super) max_segment_to_client: u32,
-    /// Whether data may go with its command.
+    /// Whether a command may carry immediate data.
     pub(super) immediate_data: bool,
-    /// Bytes of that data.
+    /// The most immediate data of a command, in bytes.
     pub(super) first_burst: u32,
-    /// Bytes of data that the target asks for at a time.
+    /// The most data that the target solicits with one R2T, in bytes.
     pub(super) max_burst: u32,
-    /// Of commands that carry none.
+    /// The deadline of commands that carry none, in milliseconds; `None` if the client negotiated none.
     pub(super) deadline_ms: Option<u32>,
     /// Whether a rejection carries its retry-after in microseconds.
     pub(super) exact_delay: bool,
-    /// Whether commands may carry a deadline.
+    /// Whether commands may carry a deadline of their own.
     pub(super) command_deadlines: bool,
-    /// Protocol level of RFC 7144; from 2 on responses carry status qualifiers.
+    /// The protocol level of RFC 7144. From level 2 on, responses carry status qualifiers.
     pub(super) protocol_level: u32,
-    /// The client's name.
+    /// The client's iSCSI name.
     pub(super) initiator: Option<String>,
-    /// The target that the client names.
+    /// The name of the target that the client wants to use.
     pub(super) target: Option<String>,
-    /// Whether the session only discovers targets.
+    /// Whether this is a discovery session.
     pub(super) is_discovery: bool,
 }
 
 impl NegotiatedParameters {
-    /// Values before any negotiation: the defaults of section 13.
+    /// Returns the parameters before any negotiation: the defaults of section 13, limited to the offer.
     pub(super) fn new(offer: &Offer) -> Self {
         NegotiatedParameters {
             digests: Digests::default(),
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Takes one key of the client; gives the answer to it, where it wants one.
+    /// Negotiates one key of the client. Returns the answer, or `None` if the key needs no answer.
     pub(super) fn negotiate(
         &mut self,
         offer: &Offer,
@@ -114,7 +115,7 @@
             "FirstBurstLength" => negotiate_burst(value, offer.first_burst, &mut self.first_burst),
             "MaxBurstLength" => negotiate_burst(value, offer.max_burst, &mut self.max_burst),
             "ImmediateData" => negotiate_flag(value, &mut self.immediate_data),
-            // Data beyond the immediate is solicited and in order, over one connection, without recovery within it.
+            // Data that is not immediate must be solicited and in order, over one connection, without error recovery.
             "InitialR2T" | "DataPDUInOrder" | "DataSequenceInOrder" => Some("Yes".to_owned()),
             "MaxConnections" | "MaxOutstandingR2T" => Some("1".to_owned()),
             "ErrorRecoveryLevel" | "DefaultTime2Retain" => Some("0".to_owned()),
@@ -137,7 +138,8 @@
         }
     }
 
-    /// Each side declares for itself what it takes (section 13.12).
+    /// Stores the client's declared segment length and returns the target's own. The key is declarative: each side
+    /// declares its own limit (section 13.12).
     fn declare_segment(&mut self, offer: &Offer, value: &str) -> Option<String> {
         let Some(length) = number(value).filter(|length| SEGMENT_BYTES.contains(length)) else {
             return reject();
@@ -182,14 +184,14 @@
     }
 }
 
-/// The smaller of both sides' lengths counts.
+/// Negotiates a burst length. The result is the smaller of both sides' lengths.
 fn negotiate_burst(value: &str, offered: u32, negotiated: &mut u32) -> Option<String> {
     let Some(length) = number(value).filter(|length| *length >= MIN_BURST_BYTES) else { return reject() };
     *negotiated = length.min(offered);
     Some(negotiated.to_string())
 }
 
-/// The first of the client's choices that this side knows counts.
+/// Chooses the first digest in the client's list that the target supports.
 fn choose_digest(value: &str, is_on: &mut bool) -> Option<String> {
     let chosen = value.split(',').find(|digest| ["CRC32C", "None"].contains(digest));
     *is_on = chosen == Some("CRC32C");
--- a/crates/target/src/iscsi/responses.rs
+++ b/crates/target/src/iscsi/responses.rs
@@ -1,4 +1,4 @@
-//! What the target sends: units with their numbers, responses, and data of reads.
+//! The PDUs that the target sends: sequence numbers, responses and the data of reads.
 
 use super::{IscsiSession, Phase, Task};
 use crate::event::Verdict;
@@ -6,19 +6,19 @@
 use tackmast_wire::iscsi::{self, field, op, Digests, Pdu, FINAL, NO_TAG};
 use tackmast_wire::scsi::{self, status, Sense};
 
-/// Offset of the SCSI status in a unit's header, in bytes.
+/// The offset of the SCSI status in a PDU's header, in bytes.
 const SCSI_STATUS: usize = 3;
 /// The first protocol level whose responses carry status qualifiers (RFC 7144, section 4.1).
 const QUALIFIER_LEVEL: u32 = 2;
 
 impl IscsiSession {
-    /// Sends a unit that carries a status, and so takes the next status number.
+    /// Sends a PDU that carries a status, which uses up a status number.
     pub(super) fn send_with_status(&mut self, pdu: Pdu) {
         self.send_without_status(pdu);
         self.next_status = self.next_status.wrapping_add(1);
     }
 
-    /// Sends a unit without a status. Every unit tells the client the window.
+    /// Sends a PDU without a status. Every PDU informs the client of the command window.
     pub(super) fn send_without_status(&mut self, mut pdu: Pdu) {
         pdu.set32(field::SEQUENCE, self.next_status)
             .set32(field::EXPECTED_SEQUENCE, self.expected_command)
@@ -41,8 +41,9 @@
         }
     }
 
-    /// The data of a rejection. With the vendor key it holds the retry-after to the microsecond behind an empty sense length (RFC 7143,
-    /// section 11.4.7); the status qualifier counts in steps of 100 ms.
+    /// Returns the response data of a rejection. If the client negotiated the vendor key, the data holds a sense length of
+    /// 0 (RFC 7143, section 11.4.7) and then the retry-after in microseconds, since the status qualifier can only count in
+    /// steps of 100 ms.
     fn exact_delay(&self, retry_after_us: u64) -> Bytes {
         let mut data = BytesMut::new();
         if self.parameters.exact_delay {
@@ -67,7 +68,7 @@
         self.send_with_status(pdu);
     }
 
-    /// Sends data to the client, with the status in its last unit.
+    /// Sends data to the client, with the status in the last PDU.
     pub(super) fn send_data(&mut self, task: &Task, data: Bytes) {
         let max_segment = self.parameters.max_segment_to_client as usize;
         let expected = task.expected_bytes as usize;
@@ -100,7 +101,7 @@
     }
 }
 
-/// By how much the data differs from what the client expects.
+/// The difference in length between the data and the client's expected data transfer length.
 struct Residual {
     flag: u8,
     count: u32,
--- a/crates/target/src/iscsi/uploads.rs
+++ b/crates/target/src/iscsi/uploads.rs
@@ -1,4 +1,4 @@
-//! The data of writes: what goes beyond a command's immediate data is asked for, a burst at a time.
+//! The data of writes. Data that did not come with the command is solicited one burst at a time.
 
 use super::IscsiSession;
 use crate::error::SessionError;
@@ -9,20 +9,20 @@
 /// A write whose data is not complete.
 pub(super) struct Upload {
     block: u64,
-    /// Bytes of the whole write.
+    /// The length of the whole write, in bytes.
     length: usize,
-    /// What was received.
+    /// The data received so far.
     data: BytesMut,
-    /// End of the burst that was asked for last, as an offset in the write.
+    /// The end of the burst that was solicited last, as a byte offset in the write.
     solicited_until: usize,
-    /// Number of the next data unit in its burst.
+    /// The number of the next Data-Out PDU in its burst (DataSN).
     next_data_number: u32,
-    /// Number of the next request for data.
+    /// The number of the next R2T (R2TSN).
     next_solicitation: u32,
 }
 
 impl Upload {
-    /// A write of `length` bytes, of which the first came with its command.
+    /// Creates the upload of a write of `length` bytes, the first of which came as the command's immediate data.
     pub(super) fn new(block: u64, length: usize, immediate: &Bytes) -> Upload {
         let mut data = BytesMut::with_capacity(length);
         data.extend_from_slice(immediate);
@@ -30,7 +30,7 @@
         Upload { block, length, data, solicited_until, next_data_number: 0, next_solicitation: 0 }
     }
 
-    /// Adds the data of a unit, which must be the next of the burst that was asked for.
+    /// Adds the data of a Data-Out PDU, which must be the next one of the solicited burst.
     fn on_data_out(&mut self, pdu: &Pdu) -> Result<(), SessionError> {
         let data_number = pdu.u32(field::DATA_NUMBER);
         if data_number != self.next_data_number {
@@ -62,7 +62,7 @@
 }
 
 impl IscsiSession {
-    /// Asks for the next burst of a write's data.
+    /// Sends an R2T for the next burst of a write's data.
     pub(super) fn solicit(&mut self, command: u32) {
         let max_burst = self.parameters.max_burst as usize;
         let Some(task) = self.tasks.get_mut(&command) else { return };
@@ -84,11 +84,11 @@
     pub(super) fn on_data_out(&mut self, pdu: &Pdu) -> Result<(), SessionError> {
         let (tag, command) = (pdu.tag(), pdu.u32(field::LENGTH_OR_TAG));
         let Some(task) = self.tasks.get_mut(&command).filter(|task| task.tag == tag) else {
-            // The rest of a write that was aborted or answered meanwhile.
+            // The write was aborted or answered before the rest of its data was received.
             return Ok(());
         };
         let Some(upload) = task.upload.as_mut() else {
-            let expected = "a write that was asked for its data";
+            let expected = "a write with an outstanding R2T";
             return Err(SessionError::protocol("data for task", tag, expected));
         };
         upload.on_data_out(pdu)?;
--- a/crates/target/src/lib.rs
+++ b/crates/target/src/lib.rs
@@ -1,5 +1,6 @@
-//! iSCSI-style and NBD target sessions without sockets, threads or clocks: bytes of the client in, events for the host core out, answers
-//! of the host core in, bytes for the client out. The iSCSI side is a named subset of RFC 7143: docs/protocols/iscsi.md lists it.
+//! iSCSI-style and NBD target sessions as state machines without sockets, threads or clocks. A session takes the bytes
+//! that its client sent and the host core's final answers, and returns events for the host core and bytes to write to the
+//! client. The iSCSI side implements a subset of RFC 7143, which docs/protocols/iscsi.md lists.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/target/src/nbd.rs
+++ b/crates/target/src/nbd.rs
@@ -1,5 +1,5 @@
-//! An NBD session of the target: the fixed newstyle handshake and the transmission phase, with the same events and verdicts as the
-//! iSCSI-style session has.
+//! An NBD session: the fixed newstyle handshake and the transmission phase, with the same events and verdicts as an
+//! iSCSI-style session.
 
 mod options;
 mod replies;
@@ -17,7 +17,7 @@
 /// A command that has no answer yet.
 struct OpenCommand {
     cookie: u64,
-    /// Where it begins in the export, in bytes.
+    /// The offset of the command's range in the export, in bytes.
     offset: u64,
     is_write: bool,
 }
@@ -28,18 +28,18 @@
     /// The session's number at the host.
     number: u16,
     units: Arc<Vec<Unit>>,
-    /// The volume that the client has opened.
+    /// The logical unit that the client has opened; `None` during the handshake.
     unit: Option<Unit>,
     input: ClientUnits,
     output: BytesMut,
     events: VecDeque<Event>,
-    /// Whether the client leaves out the zeroes of the oldest handshake.
+    /// Whether the client negotiated `NO_ZEROES`, which omits the padding after the reply to an export name.
     no_zeroes: bool,
     structured_replies: bool,
-    /// Version of the additions that both sides speak; 0: none.
-    additions: u16,
+    /// The negotiated version of the project's additions to the protocol; 0 if the client did not ask for them.
+    additions_version: u16,
     last_command: u32,
-    /// By command number.
+    /// The open commands by command number.
     open: BTreeMap<u32, OpenCommand>,
     commands_by_cookie: HashMap<u64, u32>,
     is_over: bool,
@@ -47,7 +47,7 @@
 }
 
 impl NbdSession {
-    /// A session whose greeting is ready to be sent; `number` is its number at the host.
+    /// Creates a session whose greeting is ready to be sent. `number` is the session's number at the host.
     pub fn new(offer: Arc<Offer>, units: Arc<Vec<Unit>>, number: u16) -> Self {
         let mut output = BytesMut::new();
         output.put_slice(&nbd::greeting());
@@ -61,7 +61,7 @@
             events: VecDeque::new(),
             no_zeroes: false,
             structured_replies: false,
-            additions: 0,
+            additions_version: 0,
             last_command: 0,
             open: BTreeMap::new(),
             commands_by_cookie: HashMap::new(),
@@ -70,44 +70,44 @@
         }
     }
 
-    /// Makes the session answer its options with a refusal: the host has as many sessions as it may.
+    /// Makes the session refuse its client's options, because the host has reached its limit of sessions.
     pub fn refuse(&mut self) {
         self.is_refused = true;
     }
 
-    /// What the session wants from the host.
+    /// Returns the next event for the host, or `None` if there is none.
     pub fn poll_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// Bytes to be written to the client; empty: none.
+    /// Takes the bytes that are to be written to the client. Empty bytes mean that there is no output.
     pub fn poll_transmit(&mut self) -> Bytes {
         self.output.split().freeze()
     }
 
-    /// Bytes of output that `poll_transmit` has not given yet.
+    /// Returns the number of output bytes that `poll_transmit` has not returned yet.
     pub fn pending_output(&self) -> usize {
         self.output.len()
     }
 
-    /// Whether the connection is to be closed once the output is written.
+    /// Returns whether the session has ended, so that the connection must be closed once the output is written.
     pub fn is_over(&self) -> bool {
         self.is_over
     }
 
-    /// Whether the handshake is over.
+    /// Returns whether the client has completed the handshake.
     pub fn is_logged_in(&self) -> bool {
         self.input.stage == Stage::Transmission
     }
 
-    /// Whether no more may be read from the client until a command is answered. The protocol has no window, so a client with a whole
-    /// window of commands open is not read from.
+    /// Returns whether nothing more may be read from the client until a command is answered. The protocol has no command
+    /// window, so the session stops reading from a client that has a whole window of commands open.
     pub fn is_paused(&self) -> bool {
         self.open.len() >= self.offer.window as usize
     }
 
-    /// Takes bytes of the client, and those that were received while the session was paused. After an error the connection must be
-    /// closed; what was answered so far is in the output.
+    /// Handles bytes that the client sent, after those that were received while the session was paused. After an error
+    /// the connection must be closed; the output still holds the answers that were produced before the error.
     pub fn handle_bytes(&mut self, bytes: &[u8]) -> Result<(), SessionError> {
         self.input.push(bytes);
         while !self.is_over && !self.is_paused() {
@@ -121,7 +121,7 @@
         Ok(())
     }
 
-    /// Answers a command; false: it has its answer, or was aborted.
+    /// Answers a command. Returns `false` if the command is not open, because it was answered or aborted.
     pub fn answer(&mut self, command: u32, verdict: Verdict) -> bool {
         let Some(open) = self.open.remove(&command) else { return false };
         self.commands_by_cookie.remove(&open.cookie);
--- a/crates/target/src/nbd/options.rs
+++ b/crates/target/src/nbd/options.rs
@@ -6,13 +6,13 @@
 use tackmast_wire::nbd::{self, export, info, option, reply, Stage};
 use tackmast_wire::scsi::Unit;
 
-/// Version of the project's additions to the protocol.
-const ADDITIONS: u16 = 1;
-/// Zeroes behind the export's data in the oldest handshake.
+/// The newest version of the project's additions to the protocol that the target supports.
+const MAX_ADDITIONS_VERSION: u16 = 1;
+/// The number of zero bytes after the reply to `EXPORT_NAME`.
 const ZERO_BYTES: usize = 124;
-/// The block size that is named to clients as the best, at least, in bytes.
+/// The smallest preferred block size that is announced to clients, in bytes.
 const MIN_PREFERRED_BLOCK_BYTES: u32 = 4096;
-/// What every export can do.
+/// The transmission flags of every export.
 const EXPORT_FLAGS: u16 = export::HAS_FLAGS | export::SEND_FLUSH | export::SEND_FUA;
 
 impl NbdSession {
@@ -42,12 +42,12 @@
         nbd::option_reply(option, kind, data, &mut self.output);
     }
 
-    /// The volume of that name. An empty name is the default export: the first volume.
+    /// Returns the volume with this name. An empty name selects the default export, which is the first volume.
     fn find_unit(&self, name: &str) -> Option<Unit> {
         self.units.iter().find(|unit| name.is_empty() || unit.name == name).cloned()
     }
 
-    /// The oldest way to open an export, whose only refusal is the connection's end.
+    /// Opens an export with `EXPORT_NAME`. The option has no error reply, so an unknown name ends the connection.
     fn on_export_name(&mut self, data: &Bytes) {
         let name = String::from_utf8_lossy(data);
         let Some(unit) = self.find_unit(&name) else {
@@ -93,13 +93,13 @@
         }
     }
 
-    /// Both sides keep to the lower of their newest versions, which both know.
+    /// Negotiates the project's additions. Both sides use the lower of their newest versions.
     fn on_additions(&mut self, data: &Bytes) {
         match nbd::read_version(data) {
             Ok(client_version) if client_version > 0 && self.structured_replies => {
-                self.additions = client_version.min(ADDITIONS);
+                self.additions_version = client_version.min(MAX_ADDITIONS_VERSION);
                 let number = u32::from(self.number);
-                let session = nbd::write_session(self.additions, number, self.offer.window);
+                let session = nbd::write_session(self.additions_version, number, self.offer.window);
                 self.send_option_reply(option::TACKMAST, reply::ACK, &session);
             }
             _ => {
@@ -127,7 +127,7 @@
     data
 }
 
-/// The smallest, the preferred and the largest block size.
+/// Returns the reply data with the minimum, the preferred and the maximum block size.
 fn block_size_info(unit: &Unit) -> BytesMut {
     let mut data = BytesMut::new();
     data.put_u16(info::BLOCK_SIZE);
--- a/crates/target/src/nbd/replies.rs
+++ b/crates/target/src/nbd/replies.rs
@@ -1,23 +1,23 @@
-//! Replies of the transmission phase: simple or structured, as the handshake agreed.
+//! Replies of the transmission phase: simple or structured, as the handshake negotiated.
 
 use super::{NbdSession, OpenCommand};
 use crate::event::Verdict;
 use bytes::{BufMut, Bytes, BytesMut};
 use tackmast_wire::nbd::{self, chunk, error, Reply};
 
-/// Bytes of the offset in front of a chunk's data.
+/// The size of the offset that precedes the data in a chunk, in bytes.
 const CHUNK_OFFSET_BYTES: usize = 8;
 
 impl NbdSession {
-    /// Sends the answer to a command. With the additions a client can tell a rejection from a failed request. To any other both are an
-    /// I/O error, which promises nothing about the effect: a client may take a rejection for a failed request, never a failed request
-    /// for a rejection.
+    /// Sends the answer to a command. A client that negotiated the additions can tell a rejection from a failed command.
+    /// Any other client receives an I/O error for both, which leaves the effect open: a client may take a rejection for a
+    /// failed command, but never a failed command for a rejection.
     pub(super) fn send_verdict(&mut self, command: &OpenCommand, verdict: Verdict) {
         let cookie = command.cookie;
         match verdict {
             Verdict::Done { .. } if command.is_write => self.send_done(cookie),
             Verdict::Done { data } => self.send_data(cookie, command.offset, data),
-            Verdict::Rejected { retry_after_us } if self.additions > 0 => {
+            Verdict::Rejected { retry_after_us } if self.additions_version > 0 => {
                 let data = nbd::write_error(error::IO, &retry_after_us.to_be_bytes());
                 self.send_chunk(cookie, chunk::REJECTED, data);
             }
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Sends that a command without data is done.
+    /// Sends the reply to a command that is done and returns no data.
     pub(super) fn send_done(&mut self, cookie: u64) {
         match self.structured_replies {
             false => self.send_simple(cookie, 0, Bytes::new()),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Sends the data of a read at that offset.
+    /// Sends the data of a read at an offset in the export.
     pub(super) fn send_data(&mut self, cookie: u64, offset: u64, data: Bytes) {
         if data.is_empty() {
             return self.send_done(cookie);
--- a/crates/target/src/nbd/requests.rs
+++ b/crates/target/src/nbd/requests.rs
@@ -6,7 +6,7 @@
 use tackmast_wire::nbd::{command, error, flag, Request};
 use tackmast_wire::scsi::Unit;
 
-/// Why a request is not served.
+/// The error reply to an invalid request.
 struct RequestError {
     code: u32,
     text: &'static str,
@@ -23,15 +23,15 @@
         let Some(unit) = self.unit.clone() else { return };
         match request.kind {
             command::DISCONNECT => self.close(Ending::Logout),
-            // A write is answered when its nodes have it, so there is nothing to flush.
+            // A write is answered when its nodes have stored it, so there is nothing to flush.
             command::FLUSH => self.send_done(request.cookie),
-            command::CANCEL if self.additions > 0 => self.on_cancel(&request),
+            command::CANCEL if self.additions_version > 0 => self.on_cancel(&request),
             command::READ | command::WRITE => self.on_read_or_write(&unit, &request, data),
             _ => self.send_error(request.cookie, error::INVAL, "this command is not served"),
         }
     }
 
-    /// Withdraws the command whose cookie stands in the request's offset.
+    /// Aborts the command whose cookie is in the request's offset field.
     fn on_cancel(&mut self, request: &Request) {
         if let Some(command) = self.commands_by_cookie.remove(&request.offset) {
             self.open.remove(&command);
@@ -55,7 +55,7 @@
         let open = OpenCommand { cookie: request.cookie, offset: request.offset, is_write };
         self.open.insert(number, open);
         self.commands_by_cookie.insert(request.cookie, number);
-        let deadline_us = request.deadline_us.filter(|_| self.additions > 0);
+        let deadline_us = request.deadline_us.filter(|_| self.additions_version > 0);
         self.events.push_back(Event::Submit {
             command: number,
             lun: unit.lun,
@@ -88,7 +88,7 @@
         Ok(())
     }
 
-    /// Numbers wrap around; one that an open command has is passed over.
+    /// Returns the next command number. Numbers wrap around, and those of open commands are skipped.
     fn next_command_number(&mut self) -> u32 {
         loop {
             self.last_command = self.last_command.wrapping_add(1);
--- a/crates/target/src/offer.rs
+++ b/crates/target/src/offer.rs
@@ -1,39 +1,39 @@
-//! What the target offers to all its clients, by the host's settings.
+//! The limits and volumes that the target offers to its clients, as the host's settings define them.
 
 use tackmast_config::HostSettings;
 use tackmast_wire::scsi::Unit;
 
-/// How much later than the host's own lead for answers the shortest deadline of a client is, in milliseconds.
+/// The difference between the shortest deadline of a client and the host's answer lead, in milliseconds.
 const MIN_DEADLINE_MARGIN_MS: u32 = 10;
-/// The longest deadline that a client may ask for, in milliseconds for each second of the longest deadline of the settings: ten times
-/// that.
+/// The longest deadline that a client may ask for, in milliseconds per second of the longest deadline in the settings. A
+/// client may ask for ten times that deadline.
 const MAX_DEADLINE_MS_PER_SEC: f64 = 1e4;
-/// The longest deadline of the settings counts as this at least, in seconds.
+/// The lower bound of the longest deadline in the settings, in seconds. Shorter deadlines count as this one.
 const MIN_LONGEST_DEADLINE_SECS: f64 = 1.0;
 
-/// What the target takes.
+/// The limits that the target announces to its clients or holds them to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Offer {
-    /// Name of the iSCSI target.
+    /// The name of the iSCSI target.
     pub target_name: String,
-    /// Bytes of data in one unit to the target.
+    /// The largest data segment of a PDU that an iSCSI target declares to accept, in bytes.
     pub max_segment: u32,
-    /// Bytes of data that may go with a command.
+    /// The most immediate data that an iSCSI command may carry, in bytes.
     pub first_burst: u32,
-    /// Bytes of data that the target asks for at a time.
+    /// The most data that the target solicits with one R2T, in bytes.
     pub max_burst: u32,
-    /// Commands that may be open in a session.
+    /// The number of commands that may be open in a session.
     pub window: u32,
-    /// Bytes of one command.
+    /// The most data that one command may read or write, in bytes.
     pub max_command: u32,
-    /// Shortest deadline that a client may ask for, in milliseconds.
+    /// The shortest deadline that a client may ask for, in milliseconds.
     pub min_deadline_ms: u32,
-    /// Longest deadline that a client may ask for, in milliseconds.
+    /// The longest deadline that a client may ask for, in milliseconds.
     pub max_deadline_ms: u32,
 }
 
 impl Offer {
-    /// What a host of these settings offers.
+    /// Returns the offer of a host with these settings.
     pub fn of(settings: &HostSettings) -> Offer {
         let bounds = &settings.bounds;
         let deadlines = settings.traffic_classes.iter().map(|class| class.deadline.secs());
@@ -50,18 +50,19 @@
         }
     }
 
-    /// The deadline that the target takes for one that a client asks for, in milliseconds.
+    /// Returns the deadline that a client asks for, limited to the offered range, in milliseconds.
     pub(crate) fn clamp_deadline_ms(&self, deadline_ms: u32) -> u32 {
         deadline_ms.clamp(self.min_deadline_ms, self.max_deadline_ms.max(self.min_deadline_ms))
     }
 
-    /// The same for a deadline in microseconds.
+    /// Returns the deadline that a client asks for in microseconds, limited to the offered range, in milliseconds.
     pub(crate) fn clamp_deadline_us(&self, deadline_us: u64) -> u32 {
         self.clamp_deadline_ms(u32::try_from(deadline_us / 1000).unwrap_or(u32::MAX))
     }
 }
 
-/// What the target says of the volumes; `max_blocks` is the longest command of each, by its index in the settings.
+/// Returns the logical units that the target offers, one for each volume of the settings. `max_blocks` returns the most
+/// blocks that one command may move on the volume with the given index in the settings.
 pub fn units(settings: &HostSettings, max_blocks: impl Fn(usize) -> u32) -> Vec<Unit> {
     let unit = |(index, volume): (usize, &tackmast_config::Volume)| Unit {
         lun: volume.lun,
