--- a/crates/target/tests/damaged.rs
+++ b/crates/target/tests/damaged.rs
@@ -1,5 +1,5 @@
-//! Valid streams of both protocols, damaged: no bytes make a session panic, take two answers to a command, or keep more than it may.
-//! The streams of the first client library are kept here as it sent them, byte by byte.
+//! Damaged streams of both protocols. No input may make a session panic, accept two answers to one command, or submit a
+//! write that exceeds the limit. The valid streams are those that the first client library sent, byte for byte.
 
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
@@ -29,7 +29,7 @@
     }
 }
 
-/// A login, a read, a write with immediate data, a NOP and a logout.
+/// Returns a login, a read, a write with immediate data, a NOP-Out and a logout.
 fn iscsi_stream() -> Vec<u8> {
     let mut bytes = BytesMut::new();
     let mut send = |pdu: &Pdu| iscsi::encode(pdu, Digests::default(), &mut bytes);
@@ -59,8 +59,8 @@
     bytes.to_vec()
 }
 
-/// What a library of the public NBD protocol sends: flags, GO, a read, a write, a flush, and its end.
-const NBD_PUBLIC: &[&str] = &[
+/// The bytes that a client of the public NBD protocol sends: flags, GO, a read, a write, a flush and a disconnect.
+const PUBLIC_NBD_STREAM: &[&str] = &[
     "00000003",
     "49484156454f5054 00000007 0000000e 00000006 6d757365756d 0001 0003",
     "25609513 0000 0000 00000000000000a1 0000000000000600 00000400",
@@ -71,7 +71,7 @@
 
 fn nbd_stream() -> Vec<u8> {
     let mut bytes = Vec::new();
-    for line in NBD_PUBLIC {
+    for line in PUBLIC_NBD_STREAM {
         let hex: String =
             line.replace("DATA", &"5a".repeat(512)).chars().filter(|c| !c.is_whitespace()).collect();
         bytes.extend((0..hex.len() / 2).map(|i| u8::from_str_radix(&hex[2 * i..2 * i + 2], 16).unwrap()));
@@ -79,14 +79,14 @@
     bytes
 }
 
-/// What a session gave for the bytes that it was fed.
-struct Fed {
+/// The events and the amount of output of a session that was fed a stream.
+struct FeedResult {
     events: Vec<Event>,
     output_bytes: usize,
 }
 
-/// Feeds the bytes in pieces; each submitted command is answered, and a second answer must not be taken.
-fn feed(session: &mut AnySession, bytes: &[u8], piece_bytes: usize) -> Fed {
+/// Feeds the bytes to a session in pieces and answers each submitted command. A second answer must not be accepted.
+fn feed(session: &mut AnySession, bytes: &[u8], piece_bytes: usize) -> FeedResult {
     let mut events = Vec::new();
     let mut output_bytes = 0;
     for piece in bytes.chunks(piece_bytes) {
@@ -110,16 +110,17 @@
             break;
         }
     }
-    Fed { events, output_bytes }
+    FeedResult { events, output_bytes }
 }
 
-/// The first client library's streams are fed to sessions of today. Its read and its write are served, and its logout ends the session.
+/// Sessions must stay compatible with the first client library: its read and its write are submitted, and its logout or
+/// disconnect ends the session.
 #[test]
-fn streams_of_the_first_library_are_served() {
+fn streams_of_the_first_client_library_are_served() {
     for is_nbd in [false, true] {
         let bytes = if is_nbd { nbd_stream() } else { iscsi_stream() };
         let mut session = session(is_nbd);
-        let Fed { events, output_bytes } = feed(&mut session, &bytes, 100);
+        let FeedResult { events, output_bytes } = feed(&mut session, &bytes, 100);
         let submitted: Vec<(u64, bool)> = events
             .iter()
             .filter_map(|event| match event {
@@ -132,12 +133,13 @@
     }
 }
 
-/// Inputs that a fuzzer kept, since each reached code that none before it had: `fuzz/targets/sessions.rs` made them.
+/// The corpus of `fuzz/targets/sessions.rs` must not make a session panic. The fuzzer kept each input because it reached
+/// code that no earlier input had reached.
 #[test]
-fn inputs_of_the_fuzzer_break_no_session() {
-    let kept = include_str!("../../../fuzz/kept/sessions.txt");
-    assert!(kept.lines().count() > 100);
-    for line in kept.lines() {
+fn inputs_of_the_fuzzing_corpus_break_no_session() {
+    let corpus = include_str!("../../../fuzz/kept/sessions.txt");
+    assert!(corpus.lines().count() > 100);
+    for line in corpus.lines() {
         let byte = |index: usize| u8::from_str_radix(&line[2 * index..2 * index + 2], 16).unwrap();
         let bytes: Vec<u8> = (0..line.len() / 2).map(byte).collect();
         let piece_bytes = 1 + usize::from(bytes[0] >> 1);
@@ -148,7 +150,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, rng_seed: RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// Valid streams with bytes changed and inserted break no session.
+    /// Valid streams in which bytes were changed and inserted must not make a session panic.
     #[test]
     fn damaged_streams_break_no_session(
         is_nbd in any::<bool>(),
@@ -166,7 +168,7 @@
         feed(&mut session(is_nbd), &bytes, 100);
     }
 
-    /// Any bytes at three points of the handshake, and at the start of a login, break no session.
+    /// Arbitrary bytes at three points of the NBD handshake, or in place of an iSCSI login, must not make a session panic.
     #[test]
     fn any_bytes_in_the_handshake_break_no_session(bytes in proptest::collection::vec(any::<u8>(), 0..600), stage in 0u8..3) {
         let mut nbd = session(true);
--- a/crates/target/tests/session.rs
+++ b/crates/target/tests/session.rs
@@ -1,4 +1,4 @@
-//! The iSCSI session's state machine, driven unit by unit.
+//! The state machine of an iSCSI session, driven PDU by PDU.
 
 use bytes::{Bytes, BytesMut};
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use tackmast_wire::iscsi::{self, op, Digests, Pdu, Units, FINAL, NO_TAG, READS, WRITES};
 use tackmast_wire::scsi::{status, Command, Sense, Unit};
 
-/// A client that encodes and decodes units by itself.
+/// A client that encodes and decodes PDUs and keeps the command numbers.
 struct Client {
     session: IscsiSession,
     units: Units,
@@ -14,7 +14,7 @@
     next_command: u32,
 }
 
-/// Commands that may be open.
+/// The number of commands that may be open.
 const WINDOW: u32 = 4;
 
 fn offer() -> Offer {
@@ -87,13 +87,13 @@
     fn data_out(
         &mut self,
         number: u32,
-        sn: u32,
+        data_number: u32,
         offset: u32,
         data: &[u8],
-        last: bool,
+        is_last: bool,
     ) -> Result<(), SessionError> {
-        let mut pdu = Pdu::new(op::DATA_OUT, if last { FINAL } else { 0 });
-        pdu.set_lun(3).set32(16, 1000 + number).set32(20, number).set32(36, sn).set32(40, offset);
+        let mut pdu = Pdu::new(op::DATA_OUT, if is_last { FINAL } else { 0 });
+        pdu.set_lun(3).set32(16, 1000 + number).set32(20, number).set32(36, data_number).set32(40, offset);
         pdu.data = Bytes::copy_from_slice(data);
         self.send(&pdu)
     }
@@ -103,9 +103,10 @@
     iscsi::read_keys(&pdu.data).unwrap().into_iter().map(|key| (key.name, key.value)).collect()
 }
 
-/// A client offers each key with a value that is right, too large, too small or unknown. The answer is the one that RFC 7143 asks for.
+/// A client offers keys with values that are valid, too large, too small or unknown. Each answer must be the one that RFC
+/// 7143 requires.
 #[test]
-fn each_key_gets_the_answer_that_the_rfc_asks_for() {
+fn each_key_gets_the_answer_that_the_rfc_requires() {
     for (key, value, answer) in [
         ("HeaderDigest", "CRC32C,None", Some("CRC32C")),
         ("DataDigest", "None", Some("None")),
@@ -132,8 +133,8 @@
     }
 }
 
-/// Logins without a name, without a target, with another target, and to a host that has as many sessions as it may. Each is refused
-/// with the status that names its reason, and ends the session.
+/// A login without an initiator name, without a target or with an unknown target, or to a host that has reached its limit
+/// of sessions, must be refused with the status of its reason and end the session.
 #[test]
 fn login_is_refused_with_its_reason() {
     let initiator = ("InitiatorName", "iqn.test:me");
@@ -154,7 +155,8 @@
     assert_eq!((reply[0].head[36], reply[0].head[37]), (3, 2), "out of resources");
 }
 
-/// A discovery session asks for the targets and then sends a command. It learns the name, and the command ends it.
+/// A discovery session that asks for the targets must get the target's name. A SCSI command in it must end the session
+/// with an error.
 #[test]
 fn discovery_session_names_the_target_and_serves_no_command() {
     let mut client = Client::new();
@@ -168,8 +170,8 @@
     assert!(client.command(Command::TestUnitReady, 0, &[]).is_err());
 }
 
-/// A write comes with a part of its data. The rest is asked for a burst at a time, the command is submitted once with all of it, and a
-/// second answer is not taken.
+/// A write carries only a part of its data as immediate data. The rest must be solicited one burst at a time, the command
+/// must be submitted once with all of its data, and a second answer must not be accepted.
 #[test]
 fn write_is_submitted_once_when_all_its_data_is_received() {
     let data: Vec<u8> = (0..8192u32).map(|i| i as u8).collect();
@@ -195,24 +197,24 @@
         [Event::Submit { command: number, lun: 3, block: 5, work, deadline_ms: None }]
     );
     assert!(client.session.answer(number, Verdict::Done { data: Bytes::new() }));
-    assert!(!client.session.answer(number, Verdict::Failed), "a second answer was taken");
+    assert!(!client.session.answer(number, Verdict::Failed), "a second answer was accepted");
     let reply = client.receive();
     assert_eq!((reply.len(), reply[0].opcode(), reply[0].head[3]), (1, op::RESPONSE, status::GOOD));
 }
 
-/// Data of a write has a wrong number, a wrong offset, is too much or ends early: the session ends with an error that names it. A
-/// command with an old number is outside the window, and is noted.
+/// Data of a write that has a wrong number or offset, exceeds the burst or ends early must end the session with an error
+/// that names the value. A command with an old number is outside the window, and must be ignored and noted.
 #[test]
 fn data_out_of_order_ends_the_session_with_one_error() {
     type Violation = fn(&mut Client, u32) -> Result<(), SessionError>;
     let cases: &[(&str, Violation, &str)] = &[
         (
-            "number",
+            "wrong number",
             |client, number| client.data_out(number, 1, 0, &[0; 512], false),
             "data number: 1; expected 0",
         ),
         (
-            "offset",
+            "wrong offset",
             |client, number| client.data_out(number, 0, 512, &[0; 512], false),
             "data offset: 512; expected 0 to 2048",
         ),
@@ -227,7 +229,7 @@
             "data sequence end: 512; expected 2048",
         ),
         (
-            "again",
+            "old command number",
             |client, number| {
                 client.command(Command::TestUnitReady, 0, &[]).and_then(|_| {
                     client.next_command = number;
@@ -242,16 +244,16 @@
         let number = client.command(Command::Write { block: 0, blocks: 16 }, 8192, &[]).unwrap();
         match violate(&mut client, number) {
             Err(error) => assert_eq!(error.to_string(), *expected, "{name}"),
-            // An old number is outside the window: the command is ignored and noted.
+            // A command with an old number is ignored and noted.
             Ok(()) => assert!(client.events().iter().any(|event| matches!(event, Event::Note(_))), "{name}"),
         }
     }
 }
 
-/// Three reads are answered as done, rejected and failed. Each answer has its own form and status number, and only a client that has
-/// negotiated the retry-after receives it.
+/// Reads that are done, rejected and failed must get distinct responses with consecutive status numbers. Only a client
+/// that negotiated it may receive the retry-after.
 #[test]
-fn each_verdict_has_its_own_form() {
+fn each_verdict_has_its_own_response() {
     let mut client = Client::logged_in(&[("iSCSIProtocolLevel", "2"), ("X-org.tackmast.ExactDelay", "Yes")]);
     let read = Command::Read { block: 0, blocks: 2 };
     let number = client.command(read, 1024, &[]).unwrap();
@@ -266,7 +268,7 @@
         (op::DATA_IN, status::GOOD, 1024)
     );
     assert!(received[0].has(iscsi::STATUS_HERE));
-    // Busy, three steps of 100 ms, and the retry-after to the microsecond behind an empty sense length.
+    // Busy, a qualifier of three steps of 100 ms, and data with a sense length of 0 and the retry-after in microseconds.
     assert_eq!(
         (received[1].opcode(), received[1].head[3], received[1].u16(8)),
         (op::RESPONSE, status::BUSY, 3)
@@ -278,7 +280,7 @@
     );
     let numbers: Vec<u32> = received.iter().map(|pdu| pdu.u32(24)).collect();
     assert_eq!(numbers, [numbers[0], numbers[0] + 1, numbers[0] + 2], "status numbers are not consecutive");
-    // A client that negotiated neither receives a plain busy.
+    // A client that negotiated neither the protocol level nor the vendor key receives only the busy status.
     let mut client = Client::logged_in(&[]);
     let number = client.command(read, 1024, &[]).unwrap();
     client.session.answer(number, Verdict::Rejected { retry_after_us: 250_001 });
@@ -286,7 +288,8 @@
     assert_eq!((received[0].head[3], received[0].u16(8), received[0].data.len()), (status::BUSY, 0, 0));
 }
 
-/// A client fills its window and sends one command more, which is ignored and noted. After an answer the same command is taken.
+/// A command that a client sends beyond its full window must be ignored and noted. Once another command is answered, the
+/// same command must be accepted.
 #[test]
 fn window_closes_when_full_and_opens_with_an_answer() {
     let mut client = Client::logged_in(&[]);
@@ -306,10 +309,10 @@
     assert!(matches!(client.events().as_slice(), [Event::Submit { .. }]));
 }
 
-/// A client aborts a read, aborts it again, and aborts a task that never was. Only the first abort reaches the host, and the read has
-/// no answer.
+/// A client aborts a read twice, and a task that never existed. Only the first abort may reach the host, and the read must
+/// not be answered.
 #[test]
-fn aborted_task_has_no_answer() {
+fn aborted_task_is_not_answered() {
     let mut client = Client::logged_in(&[]);
     let number = client.command(Command::Read { block: 0, blocks: 1 }, 512, &[]).unwrap();
     client.events();
@@ -324,7 +327,7 @@
     assert!(client.receive().is_empty());
 }
 
-/// A read of four segments is answered. Its units are in order, and the status is in the last.
+/// The data of a read that fills four segments must be sent in order, with the status in the last PDU.
 #[test]
 fn read_larger_than_a_segment_is_sent_in_order() {
     let mut client = Client::logged_in(&[]);
@@ -344,9 +347,10 @@
     );
 }
 
-/// A ping is answered with its data, an unknown operation is rejected and noted, and a logout ends the session.
+/// A NOP-Out must be answered with its data, an unknown operation must be rejected and noted, and a logout must end the
+/// session.
 #[test]
-fn ping_unknown_operation_and_logout_are_answered() {
+fn nop_out_unknown_operation_and_logout_are_answered() {
     let mut client = Client::logged_in(&[]);
     let mut nop = Pdu::new(op::NOP_OUT, FINAL);
     nop.set32(16, 8).set32(20, NO_TAG).set32(24, client.next_command);
--- a/crates/target/tests/texts.rs
+++ b/crates/target/tests/texts.rs
@@ -1,9 +1,9 @@
-//! The texts of errors and notes, as earlier builds wrote them.
+//! The texts of errors and notes, which the host writes to its log.
 
 use tackmast_target::{Note, SessionError};
 use tackmast_wire::WireError;
 
-/// A session ends with an error, or notes what its client did. The texts are those that earlier builds wrote to the log.
+/// Errors and notes must keep the texts that earlier builds wrote to the log, which operators may search for.
 #[test]
 fn errors_and_notes_have_the_texts_of_earlier_builds() {
     let wire = SessionError::from(WireError::Short { field: "key", missing: 3 });
