--- a/crates/client-core/src/core.rs
+++ b/crates/client-core/src/core.rs
@@ -1,5 +1,5 @@
-//! Calls over a pool of sessions: which session takes a call, when it is retried, and its one final answer by its deadline
-//! at the latest.
+//! The state machine of a client: it assigns calls to a pool of sessions, retries them, and gives each call exactly one final
+//! answer, by its deadline at the latest.
 
 mod calls;
 mod connections;
@@ -16,69 +16,70 @@
 use tackmast::interface::Instant;
 use validation::{check_operation, InvalidCall};
 
-/// What a client keeps at most.
+/// Upper bounds on the sessions and open calls of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Sessions that it keeps connected.
+    /// Number of sessions that the client keeps connected.
     pub sessions: usize,
-    /// Calls that may be open; more are rejected at once.
+    /// Number of calls that may be open at a time. Further calls are rejected at once.
     pub calls: usize,
-    /// Bytes of open calls.
+    /// Bytes of all open calls together. Calls beyond this sum are rejected at once.
     pub bytes: usize,
 }
 
-/// What the owner of the state machine has to do.
+/// An action that the owner of the state machine has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Connect a slot; `handle_connected` or `handle_closed` tells the result.
+    /// Open a connection for a slot, and report the result with `handle_connected` or `handle_closed`.
     Connect {
-        /// Which.
+        /// Index of the slot.
         slot: usize,
     },
     /// Write bytes to the connection of a slot.
     Write {
-        /// Which.
+        /// Index of the slot.
         slot: usize,
-        /// What to write.
+        /// The bytes to write.
         bytes: Bytes,
     },
     /// Close the connection of a slot.
     Close {
-        /// Which.
+        /// Index of the slot.
         slot: usize,
     },
-    /// Give a caller its final answer.
+    /// Pass the final answer of a call to its caller.
     Answer {
-        /// The caller's number of the call.
+        /// Number under which the caller submitted the call.
         call: u64,
-        /// The answer.
+        /// The final answer.
         outcome: Outcome,
     },
-    /// The first session is open.
+    /// The first session is ready, and the volume is open.
     Ready(Volume),
-    /// The gateway refuses a session for good.
+    /// The gateway refused the session of a slot permanently.
     Refused {
-        /// What the gateway says.
+        /// The reason, for display to the caller.
         reason: String,
     },
 }
 
 type NewSession = Box<dyn Fn() -> Box<dyn Transport> + Send>;
 
-/// The client as a state machine.
+/// The state machine of a client.
 pub struct Core {
     bounds: Bounds,
     new_session: NewSession,
     slots: SlotTable,
     calls: CallTable,
     retries: RetryDecider,
-    /// What the gateway said of the volume; none: no session has been ready yet.
+    /// Properties of the volume as the gateway last reported them, or `None` while no session has been ready yet.
     volume: Option<Volume>,
     outputs: VecDeque<Output>,
 }
 
 impl Core {
-    /// A client without connections. `new_session` makes the protocol's side of each connection; `seed` makes pauses reproducible.
+    /// Creates a client without connections. `new_session` creates the protocol state of each connection. The same `seed` yields
+    /// the same jitter of backoffs.
     pub fn new(
         now: Instant,
         bounds: Bounds,
@@ -97,12 +98,13 @@
         }
     }
 
-    /// How many calls are open.
+    /// Returns the number of open calls.
     pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Takes a call, under a number of the caller's. It has one answer, at `deadline` at the latest.
+    /// Submits a call under a number that the caller chooses. The call gets exactly one answer, at `deadline` at the latest, unless
+    /// it is cancelled.
     pub fn submit(&mut self, now: Instant, number: u64, op: Op, deadline: Instant) {
         let checked = self.volume.map_or(Ok(()), |volume| check_operation(&op, &volume));
         let outcome = match checked {
@@ -116,7 +118,8 @@
         self.calls.insert(now, number, op, deadline);
     }
 
-    /// The answer to a call that the client does not take: it has too many, or no session can be had.
+    /// Returns the answer to a call that the client does not accept, since a bound is reached or all sessions are refused, and `None`
+    /// for a call that it accepts.
     fn outcome_before_sending(&self, op: &Op) -> Option<Outcome> {
         let exceeds_bytes = self.calls.bytes() + op.bytes() > self.bounds.bytes;
         if self.calls.len() >= self.bounds.calls || exceeds_bytes {
@@ -126,7 +129,7 @@
         self.slots.are_all_refused().then(|| Outcome::InvalidRequest(reason.to_string()))
     }
 
-    /// The caller no longer waits for a call: it is withdrawn and gets no answer.
+    /// Cancels a call. The call gets no answer.
     pub fn cancel(&mut self, number: u64) {
         if let Some(slot) = self.calls.remove(number).and_then(|call| call.slot) {
             self.withdraw_attempt(number, slot);
@@ -146,7 +149,7 @@
         }
     }
 
-    /// An attempt of a call ended without being done.
+    /// Retries or answers a call whose attempt ended without being done.
     fn on_attempt_ended(&mut self, now: Instant, number: u64, end: AttemptEnd) {
         let Some(call) = self.calls.get_mut(number) else { return };
         call.slot = None;
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Does what is due: answers calls at their deadlines, connects, sends.
+    /// Carries out what is due at `now`: answers calls whose deadline has passed, connects slots and sends waiting calls.
     pub fn handle_timeout(&mut self, now: Instant) {
         self.answer_expired(now);
         for slot in self.slots.begin_connects(now) {
@@ -173,7 +176,7 @@
         }
         for timer in self.calls.due(now) {
             if !self.try_send(now, timer.call) {
-                break; // No session has capacity, for the calls behind this one neither.
+                break; // No session has capacity, so the remaining calls can't be sent either.
             }
             self.calls.stop_waiting(&timer);
         }
@@ -189,7 +192,7 @@
         }
     }
 
-    /// Sends a call to the next session with capacity; false: there is none.
+    /// Sends a call to the next session with capacity. Returns false if no session has capacity.
     fn try_send(&mut self, now: Instant, number: u64) -> bool {
         let Some(call) = self.calls.get_mut(number) else { return true };
         let Some(slot) = self.slots.submit(number, &call.op, call.deadline - now) else { return false };
@@ -199,7 +202,7 @@
         true
     }
 
-    /// What the owner has to do next.
+    /// Returns the next action for the owner, or `None` if there is nothing to do.
     pub fn poll_output(&mut self) -> Option<Output> {
         self.outputs.pop_front().or_else(|| self.poll_write())
     }
@@ -211,12 +214,12 @@
         })
     }
 
-    /// When `handle_timeout` is to be called next.
+    /// Returns the time at which `handle_timeout` has to be called next, or `None` if nothing waits for a time.
     pub fn poll_timeout(&self, now: Instant) -> Option<Instant> {
         self.slots.next_connect().into_iter().chain(self.calls.next_timeout(now)).min()
     }
 
-    /// Ends all sessions and answers all open calls.
+    /// Closes all sessions and answers all open calls.
     pub fn close(&mut self) {
         for (_, session) in self.slots.sessions_mut() {
             session.transport.close();
--- a/crates/client-core/src/core/calls.rs
+++ b/crates/client-core/src/core/calls.rs
@@ -1,28 +1,28 @@
-//! The calls that are open at a client, and when each is looked at next.
+//! The open calls of a client, with their deadlines and the times of their next attempts.
 
 use crate::operation::{Op, Outcome};
 use std::collections::{BTreeSet, HashMap};
 use tackmast::interface::Instant;
 
-/// A call that is not answered yet.
+/// A call without a final answer.
 pub(super) struct Call {
     pub(super) op: Op,
     pub(super) deadline: Instant,
-    /// Attempts that were sent.
+    /// Number of attempts sent so far.
     pub(super) attempts: u32,
-    /// The slot of the session where it is in flight; none: it waits to be sent.
+    /// Slot of the session where the call is in flight, or `None` while it waits to be sent.
     pub(super) slot: Option<usize>,
-    /// When it may be sent, or was.
+    /// Earliest time of the next attempt, or of the attempt in flight.
     pub(super) send_at: Instant,
-    /// When its last attempt was sent.
+    /// Time at which the last attempt was sent, or of the submission while no attempt was sent.
     pub(super) sent_at: Instant,
-    /// Whether an attempt that ended may have had an effect.
+    /// Whether an ended attempt may have taken effect.
     pub(super) may_have_run: bool,
 }
 
 impl Call {
-    /// The answer of a call that ends without being done. One in flight, or of which an attempt ended without a proof that it did not
-    /// run, gets no promise; any other did not run.
+    /// Returns the answer to a call that ends without being done: failed, where an attempt is in flight or one ended without proof
+    /// that it did not run, and rejected otherwise, since the call did not run.
     pub(super) fn outcome_without_answer(&self) -> Outcome {
         match self.slot.is_some() || self.may_have_run {
             true => Outcome::Failed,
@@ -31,36 +31,36 @@
     }
 }
 
-/// A time at which a call is looked at, and the call.
+/// A time at which a call is due, ordered by time and then by call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Timer {
     at: Instant,
     pub(super) call: u64,
 }
 
-/// All open calls, by their numbers.
+/// All open calls by number.
 #[derive(Default)]
 pub(super) struct CallTable {
     calls: HashMap<u64, Call>,
-    /// Bytes of all operations.
+    /// Bytes of the operations of all open calls.
     bytes: usize,
-    /// Calls that wait to be sent.
+    /// Calls that wait to be sent, by their earliest time of sending.
     waiting: BTreeSet<Timer>,
     deadlines: BTreeSet<Timer>,
 }
 
 impl CallTable {
-    /// How many are open.
+    /// Returns the number of open calls.
     pub(super) fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Bytes of their operations.
+    /// Returns the bytes of the operations of all open calls.
     pub(super) fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Their numbers, in no order.
+    /// Returns the numbers of all open calls, in no particular order.
     pub(super) fn numbers(&self) -> Vec<u64> {
         self.calls.keys().copied().collect()
     }
@@ -83,7 +83,7 @@
         self.deadlines.insert(Timer { at: deadline, call: number });
     }
 
-    /// Removes a call with its timers.
+    /// Removes a call and its timers.
     pub(super) fn remove(&mut self, number: u64) -> Option<Call> {
         let call = self.calls.remove(&number)?;
         self.bytes -= call.op.bytes();
@@ -92,7 +92,7 @@
         Some(call)
     }
 
-    /// Lets a call wait until `at` before it is sent.
+    /// Schedules the next attempt of a call for `at`.
     pub(super) fn wait_until(&mut self, number: u64, at: Instant) {
         if let Some(call) = self.calls.get_mut(&number) {
             call.send_at = at;
@@ -100,18 +100,18 @@
         }
     }
 
-    /// Notes that a waiting call was sent.
+    /// Removes a call that was sent from the waiting calls.
     pub(super) fn stop_waiting(&mut self, timer: &Timer) {
         self.waiting.remove(timer);
     }
 
-    /// The waiting calls that may be sent now, the earliest first.
+    /// Returns the waiting calls that may be sent at `now`, the earliest first.
     pub(super) fn due(&self, now: Instant) -> Vec<Timer> {
         let last = Timer { at: now, call: u64::MAX };
         self.waiting.range(..=last).copied().collect()
     }
 
-    /// Removes a call whose deadline is over; gives it with its number.
+    /// Removes a call whose deadline has passed, and returns it with its number.
     pub(super) fn remove_expired(&mut self, now: Instant) -> Option<(u64, Call)> {
         while let Some(timer) = self.deadlines.first().copied().filter(|timer| timer.at <= now) {
             self.deadlines.remove(&timer);
@@ -122,8 +122,8 @@
         None
     }
 
-    /// When the next deadline is, or the next call may be sent. A call that may be sent already waits for a session with capacity: it is
-    /// looked at when an answer of the gateway makes some, not at a time.
+    /// Returns the time of the next deadline or of the next call that may be sent, whichever is earlier. Calls that may be sent
+    /// already are left out: they wait for capacity, which an answer of the gateway makes, and not for a time.
     pub(super) fn next_timeout(&self, now: Instant) -> Option<Instant> {
         let deadline = self.deadlines.first().map(|timer| timer.at);
         let send = self.waiting.iter().map(|timer| timer.at).find(|at| *at > now);
--- a/crates/client-core/src/core/connections.rs
+++ b/crates/client-core/src/core/connections.rs
@@ -1,4 +1,4 @@
-//! Inputs of the pool from its connections: made, ended, bytes received.
+//! Handles the events of the pool's connections: established, closed, bytes received.
 
 use super::slots::{Session, SlotState};
 use super::validation::InvalidCall;
@@ -9,27 +9,28 @@
 use std::collections::BTreeSet;
 use tackmast::interface::Instant;
 
-/// The answer to an operation of a session.
+/// The answer of a session to a call.
 struct Answer {
     call: u64,
     outcome: Outcome,
 }
 
-/// Why the gateway does not serve a session.
+/// A refusal of a session by the gateway.
 struct Refusal {
     reason: String,
     may_reconnect: bool,
 }
 
 impl Core {
-    /// The connection of a slot was made.
+    /// Records that the connection of a slot is established, and starts a session on it.
     pub fn handle_connected(&mut self, slot: usize) {
         let transport = (self.new_session)();
         let session = Session { transport, is_ready: false, in_flight: BTreeSet::new() };
         self.slots.slot_mut(slot).state = SlotState::Connected(session);
     }
 
-    /// The connection of a slot ended, or none could be made.
+    /// Records that the connection of a slot was closed or could not be established, and schedules the next connect. The calls in
+    /// flight there are retried or answered.
     pub fn handle_closed(&mut self, now: Instant, slot: usize) {
         let slot_entry = self.slots.slot_mut(slot);
         let mut lost = BTreeSet::new();
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Bytes of the gateway were received.
+    /// Handles bytes received from the gateway on the connection of a slot. Bytes that the protocol does not allow close it.
     pub fn handle_bytes(&mut self, now: Instant, slot: usize, bytes: &[u8]) {
         let Some(session) = self.slots.session_mut(slot) else { return };
         let is_readable = session.transport.handle_bytes(bytes).is_ok();
@@ -71,7 +72,7 @@
         if let Some(refusal) = refusal {
             self.on_session_refused(now, slot, refusal);
         } else if !is_readable {
-            // What follows the unreadable bytes can't be read either; the calls in flight there are lost.
+            // Nothing after the unreadable bytes can be decoded, so the calls in flight on this session are lost.
             self.outputs.push_back(Output::Close { slot });
             self.handle_closed(now, slot);
         }
--- a/crates/client-core/src/core/slots.rs
+++ b/crates/client-core/src/core/slots.rs
@@ -1,4 +1,4 @@
-//! The places of a client's sessions: each is connected, or waits for its next connect.
+//! The slots of a client. Each slot holds one session at a time and reconnects after a backoff.
 
 use crate::operation::Op;
 use crate::transport::Transport;
@@ -8,44 +8,44 @@
 /// A connected session.
 pub(super) struct Session {
     pub(super) transport: Box<dyn Transport>,
-    /// Whether its handshake is over.
+    /// Whether the handshake is complete.
     pub(super) is_ready: bool,
-    /// Numbers of the calls in flight there.
+    /// Numbers of the calls in flight on this session.
     pub(super) in_flight: BTreeSet<u64>,
 }
 
-/// What becomes of a slot.
+/// The connection state of a slot.
 pub(super) enum SlotState {
-    /// Is to be connected at that time.
+    /// The slot is not connected; the next connect is due at this time.
     Disconnected(Instant),
     Connecting,
     Connected(Session),
-    /// The gateway serves no session here, now or later.
+    /// The gateway refused the session permanently; the slot is not connected again.
     Refused,
 }
 
-/// A place for one session after another.
+/// A slot of the pool, which holds one session after another.
 pub(super) struct Slot {
     pub(super) state: SlotState,
-    /// Connects and handshakes that failed in a row.
+    /// Number of consecutive connects and handshakes that failed.
     pub(super) failures: u32,
 }
 
 /// All slots of a client.
 pub(super) struct SlotTable {
     slots: Vec<Slot>,
-    /// Where the search for a session begins: sessions are used in rotation.
+    /// Index at which the search for a session begins. Sessions are used in round-robin order.
     next: usize,
 }
 
 impl SlotTable {
-    /// So many slots, each to be connected at once.
+    /// Creates `count` slots, each due for a connect at `now`.
     pub(super) fn new(now: Instant, count: usize) -> Self {
         let slot = |_| Slot { state: SlotState::Disconnected(now), failures: 0 };
         SlotTable { slots: (0..count).map(slot).collect(), next: 0 }
     }
 
-    /// Whether the gateway refuses all sessions for good.
+    /// Returns whether the gateway has refused the sessions of all slots permanently.
     pub(super) fn are_all_refused(&self) -> bool {
         self.slots.iter().all(|slot| matches!(slot.state, SlotState::Refused))
     }
@@ -54,17 +54,17 @@
         &mut self.slots[slot]
     }
 
-    /// The session of a slot, where it is connected.
+    /// Returns the session of a slot, or `None` if the slot is not connected.
     pub(super) fn session_mut(&mut self, slot: usize) -> Option<&mut Session> {
         self.slots.get_mut(slot).and_then(Slot::session_mut)
     }
 
-    /// All connected sessions with their slots.
+    /// Returns all connected sessions with the indexes of their slots.
     pub(super) fn sessions_mut(&mut self) -> impl Iterator<Item = (usize, &mut Session)> {
         self.slots.iter_mut().enumerate().filter_map(|(index, slot)| Some((index, slot.session_mut()?)))
     }
 
-    /// Marks the slots that are to be connected now as connecting.
+    /// Marks the slots whose connect is due at `now` as connecting, and returns their indexes.
     pub(super) fn begin_connects(&mut self, now: Instant) -> Vec<usize> {
         let mut begun = Vec::new();
         for (index, slot) in self.slots.iter_mut().enumerate() {
@@ -76,7 +76,8 @@
         begun
     }
 
-    /// Submits an operation to the next session that is ready and has capacity; gives its slot.
+    /// Submits an operation to the next session that is ready and has capacity. Returns the slot, or `None` if there is no such
+    /// session.
     pub(super) fn submit(&mut self, number: u64, op: &Op, time_left: TimeDelta) -> Option<usize> {
         for offset in 0..self.slots.len() {
             let slot = (self.next + offset) % self.slots.len();
@@ -90,7 +91,7 @@
         None
     }
 
-    /// When the next connect is to be made.
+    /// Returns the time of the next connect, or `None` if no slot waits for one.
     pub(super) fn next_connect(&self) -> Option<Instant> {
         let connects = self.slots.iter().filter_map(|slot| match slot.state {
             SlotState::Disconnected(at) => Some(at),
--- a/crates/client-core/src/core/validation.rs
+++ b/crates/client-core/src/core/validation.rs
@@ -1,8 +1,8 @@
-//! Whether a call fits its volume.
+//! Validates calls against the size, block size and limits of the volume.
 
 use crate::operation::{Op, Volume};
 
-/// Why a call can't be sent at all.
+/// The reason why a call can't be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum InvalidCall {
     #[error("{length} bytes at {offset}; expected whole blocks of {block_bytes}")]
@@ -15,7 +15,7 @@
     AllSessionsRefused,
 }
 
-/// Checks an operation against what the gateway says of the volume.
+/// Checks an operation against the properties of the volume that the gateway reported.
 pub(super) fn check_operation(op: &Op, volume: &Volume) -> Result<(), InvalidCall> {
     let (offset, length) = (op.offset(), op.bytes() as u64);
     let block_bytes = u64::from(volume.block_bytes);
--- a/crates/client-core/src/iscsi.rs
+++ b/crates/client-core/src/iscsi.rs
@@ -1,4 +1,5 @@
-//! The iSCSI-style transport: login, the volume's size and limits, commands within the window, data both ways.
+//! The iSCSI-style transport: login, discovery of the volume's size and limits, commands within the command window, and data
+//! transfer in both directions.
 
 mod login;
 mod responses;
@@ -11,9 +12,9 @@
 use tackmast_wire::iscsi::{self, field, op, Digests, Pdu, Units, FINAL, READS, WRITES};
 use tackmast_wire::scsi::Command;
 
-/// Bytes of data in one message of the target, and in one call, at most.
+/// Largest number of data bytes in one message of the target and in one call.
 const MAX_DATA: usize = 16 << 20;
-/// The flag that a message is outside the command window.
+/// The flag of immediate delivery, which exempts a message from the command window.
 const IMMEDIATE: u8 = 0x40;
 /// The function of a task management message that aborts one task (RFC 7143, section 11.5.1).
 const ABORT_TASK: u8 = 1;
@@ -22,13 +23,13 @@
 /// Distinguishes the task tag of an abort from those of commands.
 const ABORT_TAG_BIT: u32 = 0x8000_0000;
 
-/// A step of the session.
+/// The phase of the session.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Phase {
     Login,
-    /// Waits for the volume's size.
+    /// The session waits for the size of the volume.
     Capacity,
-    /// Waits for the volume's largest transfer.
+    /// The session waits for the largest transfer of the volume.
     Limits,
     Ready,
     Closed,
@@ -36,23 +37,23 @@
 
 /// A command in flight.
 struct PendingCommand {
-    /// The caller's tag; none: a command of the session itself.
+    /// The caller's tag, or `None` for a command of the session itself.
     caller_tag: Option<u64>,
     upload: Bytes,
     download: BytesMut,
-    /// Bytes that a read is to yield.
+    /// Number of bytes that the command reads.
     read_bytes: usize,
 }
 
-/// What the login agreed on.
+/// Parameters negotiated in the login.
 struct Parameters {
-    /// Bytes of a write that go with its command at most.
+    /// Largest number of data bytes of a write that may be sent unsolicited.
     first_burst: usize,
-    /// Bytes of data in one message to the target at most.
+    /// Largest number of data bytes in one message to the target.
     max_segment: usize,
-    /// Whether data may go with its command.
+    /// Whether a command may carry immediate data.
     immediate_data: bool,
-    /// Whether a command may carry its own deadline.
+    /// Whether a command may carry a deadline of its own.
     command_deadlines: bool,
 }
 
@@ -66,20 +67,20 @@
     digests: Digests,
     volume: Volume,
     parameters: Parameters,
-    /// Sequence number, and task tag, of the next command.
+    /// Sequence number of the next command, which is also its task tag.
     next_command: u32,
-    /// The last sequence number that the target takes.
+    /// The last sequence number that the target accepts (MaxCmdSN).
     max_command: u32,
-    /// The status sequence number that is expected next.
+    /// The next expected status sequence number (ExpStatSN).
     expected_status: u32,
     pending: HashMap<u32, PendingCommand>,
-    /// Sequence numbers of commands by the caller's tags.
+    /// Task tags of the caller's commands by the caller's tags.
     commands_by_tag: HashMap<u64, u32>,
 }
 
 impl IscsiClient {
-    /// A session whose login is ready to be sent. `deadline` is of each command that carries none. `public_only` leaves out every key of
-    /// the gateway's own, as a library that knows none of them does.
+    /// Creates a session with its login request queued for sending. `deadline` applies to each command that carries none. With
+    /// `public_only` the login offers none of the gateway's private keys, as a library that does not know them would.
     pub fn new(address: VolumeAddress, digests: Digests, deadline: TimeDelta, public_only: bool) -> Self {
         let mut output = BytesMut::new();
         let login = login::request(&address, digests, deadline, public_only);
@@ -110,7 +111,7 @@
         iscsi::encode(pdu, self.digests, &mut self.output);
     }
 
-    /// Sends a command of the session itself, which reads so many bytes.
+    /// Sends a command of the session itself that reads `read_bytes` bytes.
     fn send_own_command(&mut self, command: Command, read_bytes: u32) {
         let pdu = self.command_pdu(command, READS, read_bytes);
         self.send_command(None, &pdu, Bytes::new(), read_bytes as usize);
@@ -143,7 +144,7 @@
             return self.on_login_response(&pdu);
         }
         let max_command = pdu.u32(field::MAX_COMMAND);
-        // Sequence numbers wrap around, so that the later of two is known by the sign of their difference.
+        // Sequence numbers wrap around, so the sign of the difference tells which of two is later.
         if max_command.wrapping_sub(self.max_command) as i32 > 0 {
             self.max_command = max_command;
         }
@@ -163,7 +164,7 @@
         self.max_command.wrapping_sub(self.next_command) as i32 >= 0
     }
 
-    /// Converts an operation, which is of whole blocks, to a command.
+    /// Converts an operation on whole blocks to a SCSI command.
     fn command_for(&self, operation: &Op) -> Command {
         let block_bytes = u64::from(self.volume.block_bytes);
         match operation {
@@ -178,7 +179,7 @@
         }
     }
 
-    /// The data of a write that goes with its command.
+    /// Returns the part of a write's data that is sent as immediate data with its command.
     fn immediate_data(&self, upload: &Bytes) -> Bytes {
         let Parameters { first_burst, max_segment, immediate_data, .. } = self.parameters;
         if !immediate_data {
--- a/crates/client-core/src/iscsi/login.rs
+++ b/crates/client-core/src/iscsi/login.rs
@@ -1,4 +1,4 @@
-//! The login: what the session asks for, and what the target agrees to.
+//! The iSCSI login: the keys that the session offers and the parameters that result from the target's answer.
 
 use super::{IscsiClient, Phase, IMMEDIATE};
 use crate::operation::VolumeAddress;
@@ -8,22 +8,22 @@
 use tackmast_wire::iscsi::{self, field, op, Digests, Pdu, FINAL};
 use tackmast_wire::scsi::Command;
 
-/// Bytes of data in one message that a side takes which names none (RFC 7143, section 13.12).
+/// Default of MaxRecvDataSegmentLength, in bytes (RFC 7143, section 13.12).
 pub(super) const DEFAULT_SEGMENT_BYTES: usize = 8192;
-/// Bytes of unsolicited data that a side takes which names none (RFC 7143, section 13.14).
+/// Default of FirstBurstLength, in bytes (RFC 7143, section 13.14).
 const DEFAULT_FIRST_BURST_BYTES: usize = 65536;
-/// Bytes of data in one message that this side takes, as the value of its key.
+/// Value of MaxRecvDataSegmentLength that the initiator declares, in bytes.
 const MAX_SEGMENT: &str = "262144";
-/// The flags of a login from the operational stage to the full feature stage (RFC 7143, section 11.12).
+/// Flags of a login request that moves from the operational stage to the full feature phase (RFC 7143, section 11.12).
 const TO_FULL_FEATURE: u8 = FINAL | 1 << 2 | 3;
-/// The identifier of the session that this side chooses: type random, value 1 (RFC 7143, section 11.12.5).
+/// Initiator part of the session identifier (ISID): type random, value 1 (RFC 7143, section 11.12.5).
 const INITIATOR_SESSION_ID: [u8; 6] = [0x80, 0, 0, 0, 0, 1];
-/// The class of a refusal that a later login may not meet (RFC 7143, section 11.13.5).
+/// Status class of a login response that refuses this login while a later one may succeed (RFC 7143, section 11.13.5).
 const TARGET_ERROR: u8 = 3;
-/// Bytes of the answer to READ CAPACITY (16).
+/// Length in bytes of the parameter data of READ CAPACITY (16).
 const CAPACITY_BYTES: u32 = 32;
 
-/// The first message of a session.
+/// Returns the login request, the first message of a session.
 pub(super) fn request(
     address: &VolumeAddress,
     digests: Digests,
@@ -57,7 +57,7 @@
     pdu
 }
 
-/// The keys of the target's answer.
+/// The keys of the target's login response.
 struct NegotiatedKeys(HashMap<String, String>);
 
 impl NegotiatedKeys {
--- a/crates/client-core/src/iscsi/responses.rs
+++ b/crates/client-core/src/iscsi/responses.rs
@@ -1,4 +1,4 @@
-//! What the target sends once the session is logged in: data, requests for data, answers.
+//! Handles the messages of the target in the full feature phase: data, requests for data (R2T), pings and responses.
 
 use super::{IscsiClient, PendingCommand, Phase, IMMEDIATE, MAX_DATA};
 use crate::operation::Outcome;
@@ -8,19 +8,19 @@
 use tackmast_wire::iscsi::{self, field, op, Pdu, FINAL, NO_TAG};
 use tackmast_wire::scsi::{status, Command, Sense};
 
-/// The page of limits of a logical unit (SBC-4, section 6.6.4).
+/// Code of the Block Limits VPD page (SBC-4, section 6.6.4).
 const BLOCK_LIMITS_PAGE: u8 = 0xb0;
-/// Bytes of that page that are asked for.
+/// Allocation length for the Block Limits page, in bytes.
 const BLOCK_LIMITS_BYTES: u32 = 64;
-/// Bytes of an answer of the session's own commands that are needed.
+/// Smallest usable length of the answers to the session's own commands, in bytes.
 const MIN_ANSWER_BYTES: usize = 12;
-/// The sense key of a command that is wrong in itself (SPC-4, section 4.5.6).
+/// Sense key ILLEGAL REQUEST, of a command that is invalid in itself (SPC-4, section 4.5.6).
 const ILLEGAL_REQUEST: u8 = 0x05;
-/// The bits of a status qualifier that hold a delay (RFC 7144, section 4.1).
+/// Bits of the status qualifier that hold a delay (RFC 7144, section 4.1).
 const DELAY_MASK: u16 = 0x3fff;
-/// The unit of that delay, in microseconds.
+/// Unit of the delay in the status qualifier, in microseconds.
 const DELAY_STEP_US: u64 = 100_000;
-/// The largest transfer that is assumed where the target names none, in bytes: well below what one 32-bit length can say.
+/// Largest size of one call, in bytes, where the target reports no limit. It is well below the largest 32-bit length.
 const DEFAULT_MAX_CALL_BYTES: u64 = 65_536;
 
 impl IscsiClient {
@@ -38,7 +38,7 @@
         Ok(())
     }
 
-    /// Answers a ping of the target that asks for an answer.
+    /// Answers a NOP-In of the target that requests a reply.
     pub(super) fn on_nop_in(&mut self, pdu: &Pdu) {
         let target_tag = pdu.u32(field::LENGTH_OR_TAG);
         if target_tag == NO_TAG {
@@ -53,7 +53,7 @@
         self.transmit(&reply);
     }
 
-    /// Sends the part of a write's data that the target asks for.
+    /// Sends the part of a write's data that an R2T requests.
     pub(super) fn on_r2t(&mut self, pdu: &Pdu) -> Result<(), TransportError> {
         let Some(command) = self.pending.get(&pdu.tag()) else { return Ok(()) };
         let upload = command.upload.clone();
@@ -83,7 +83,7 @@
         Ok(())
     }
 
-    /// A command is answered with a SCSI status.
+    /// Handles the SCSI status of a command.
     pub(super) fn on_response(&mut self, pdu: &Pdu, status: u8) {
         self.expected_status = pdu.u32(field::SEQUENCE).wrapping_add(1);
         let Some(command) = self.pending.remove(&pdu.tag()) else { return };
@@ -95,7 +95,7 @@
         self.events.push_back(SessionEvent::Answer { tag, outcome });
     }
 
-    /// A command of the session itself is answered.
+    /// Handles the response to a command of the session itself.
     fn on_own_response(&mut self, status: u8, data: &Bytes) {
         let is_good = status == status::GOOD && data.len() >= MIN_ANSWER_BYTES;
         match self.phase {
@@ -129,13 +129,13 @@
     }
 }
 
-/// What a caller is answered.
+/// Returns the outcome of a command with a SCSI status.
 fn outcome(command: PendingCommand, status: u8, pdu: &Pdu) -> Outcome {
     match status {
         status::GOOD if command.download.len() == command.read_bytes => {
             Outcome::Done(command.download.freeze())
         }
-        // Fewer bytes than were asked for are not the answer.
+        // A read with less data than requested has failed.
         status::GOOD => Outcome::Failed,
         status::BUSY => Outcome::Rejected { retry_after: retry_after(pdu) },
         _ => match Sense::from_segment(&pdu.data) {
@@ -147,8 +147,8 @@
     }
 }
 
-/// How long the target asks the client to wait: to the microsecond behind an empty sense length where both sides agreed on that, else
-/// in the status qualifier.
+/// Returns how long the target asks the client to wait before a retry. Where the private key for exact delays was negotiated, the
+/// delay follows an empty sense length, in microseconds; otherwise it is in the status qualifier.
 fn retry_after(pdu: &Pdu) -> Option<TimeDelta> {
     let exact_us = pdu.data.get(2..6).map(big_endian);
     let coarse_us = u64::from(pdu.u16(8) & DELAY_MASK) * DELAY_STEP_US;
--- a/crates/client-core/src/lib.rs
+++ b/crates/client-core/src/lib.rs
@@ -1,6 +1,6 @@
-//! The client library without sockets, threads or clocks. Inputs: calls, bytes, ends of connections, the time; outputs, polled one by
-//! one: connect, write, close, answer. Both protocols implement one trait, so that what a caller sees does not depend on the
-//! protocol. docs/client.md describes it.
+//! The client library without sockets, threads or clocks. Its inputs are calls, received bytes, closed connections and the time; its
+//! outputs, polled one by one, are connect, write, close and answer. Both protocols implement one trait, so that a caller sees the
+//! same behavior over either. docs/client.md describes it.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/client-core/src/nbd.rs
+++ b/crates/client-core/src/nbd.rs
@@ -1,4 +1,4 @@
-//! The NBD transport: handshake, the gateway's additions where it knows them, and the transmission phase.
+//! The NBD transport: handshake, negotiation of the gateway's protocol additions, and the transmission phase.
 
 mod handshake;
 mod replies;
@@ -10,24 +10,24 @@
 use tackmast::interface::TimeDelta;
 use tackmast_wire::nbd::{command, Request, ServerUnit, ServerUnits};
 
-/// Newest version of the additions that this library speaks.
+/// Newest version of the gateway's additions to NBD that this library supports.
 pub const ADDITIONS: u16 = 1;
-/// Bytes of one read at most.
+/// Largest size of one read, in bytes.
 const MAX_READ: u32 = 16 << 20;
-/// Bytes of one call at most where the server names no bound.
+/// Largest size of one call, in bytes, where the server reports no limit.
 const DEFAULT_MAX_CALL: u32 = 32 << 20;
-/// Commands that may be open: the protocol names no window.
+/// Largest number of open commands. The public protocol defines no command window.
 const MAX_WINDOW: usize = 128;
 
-/// A step of the session.
+/// The phase of the session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Greeting,
-    /// Waits for the answer on structured replies.
+    /// The session waits for the answer to the request for structured replies.
     StructuredReplies,
-    /// Waits for the answer on the gateway's additions.
+    /// The session waits for the answer to the request for the gateway's additions.
     Additions,
-    /// Waits for the volume.
+    /// The session waits for the answer to NBD_OPT_GO, which opens the volume.
     Go,
     Ready,
     Closed,
@@ -35,16 +35,16 @@
 
 /// A command in flight.
 struct PendingCommand {
-    /// The caller's tag; none: nobody waits for the answer.
+    /// The caller's tag, or `None` if the answer is ignored.
     caller_tag: Option<u64>,
-    /// Where its read begins in the volume, in bytes.
+    /// Offset of the request in the volume, in bytes.
     offset: u64,
-    /// Bytes that a read is to yield.
+    /// Number of bytes that the command reads.
     read_bytes: usize,
     download: BytesMut,
-    /// Bytes of the read that were received.
+    /// Number of bytes of the read received so far.
     received_bytes: usize,
-    /// How it ends where it is not done.
+    /// The outcome, if the server reported an error.
     failure: Option<Outcome>,
 }
 
@@ -55,23 +55,23 @@
     output: BytesMut,
     events: VecDeque<SessionEvent>,
     phase: Phase,
-    /// Version of the additions that is asked for; 0: none.
+    /// Version of the additions that the session requests; 0 requests none.
     offered_additions: u16,
-    /// Version of the additions that both sides speak; 0: none.
+    /// Negotiated version of the additions; 0 means none.
     additions: u16,
-    /// Leaves out even structured replies.
+    /// Whether the session does not request structured replies either.
     simple_replies_only: bool,
     volume: Volume,
-    /// Commands that may be open.
+    /// Number of commands that may be open at a time.
     window: usize,
     last_cookie: u64,
-    /// By cookie.
+    /// Open commands by cookie.
     pending: HashMap<u64, PendingCommand>,
     cookies_by_tag: HashMap<u64, u64>,
 }
 
 impl NbdClient {
-    /// `offered_additions` is the version of the additions that is asked for. With 0 the library speaks only the public protocol, and
+    /// Creates a session that requests the version `offered_additions` of the additions. With 0 it uses only the public protocol, and
     /// with `simple_replies_only` not even structured replies.
     pub fn new(address: VolumeAddress, offered_additions: u16, simple_replies_only: bool) -> Self {
         NbdClient {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Sends a request; gives its cookie.
+    /// Sends a request and returns its cookie.
     fn send_request(&mut self, caller_tag: Option<u64>, request: Request) -> u64 {
         self.last_cookie += 1;
         let (kind, offset, length) = (request.kind, request.offset, request.length);
@@ -108,13 +108,13 @@
         self.last_cookie
     }
 
-    /// The deadline that a request carries, in microseconds from now, where both sides speak the additions.
+    /// Returns the deadline that a request carries, in microseconds from now, or `None` if no additions were negotiated.
     fn deadline_us(&self, time_left: TimeDelta) -> Option<u64> {
         (self.additions > 0).then(|| (time_left.secs() * 1e6).max(1.0) as u64)
     }
 }
 
-/// A request without a cookie, flags or a deadline.
+/// Returns a request without a cookie, flags or a deadline.
 fn request(kind: u16, offset: u64, length: u32) -> Request {
     Request { flags: 0, kind, cookie: 0, offset, length, deadline_us: None }
 }
@@ -167,7 +167,7 @@
             self.pending.remove(&cookie);
             self.send_request(None, request(command::CANCEL, cookie, 0));
         } else if let Some(command) = self.pending.get_mut(&cookie) {
-            // The public protocol can't withdraw a command: its answer is ignored when it comes.
+            // The public protocol can't cancel a command, so its reply is ignored when it arrives.
             command.caller_tag = None;
         }
     }
--- a/crates/client-core/src/nbd/handshake.rs
+++ b/crates/client-core/src/nbd/handshake.rs
@@ -1,4 +1,4 @@
-//! The fixed newstyle handshake: greeting, structured replies, the gateway's additions, the volume.
+//! The fixed newstyle handshake: greeting, structured replies, the gateway's additions, and the opening of the volume.
 
 use super::{NbdClient, Phase, MAX_READ, MAX_WINDOW};
 use crate::transport::{SessionEvent, TransportError};
@@ -57,11 +57,12 @@
         }
     }
 
-    /// A server that knows none of the additions answers with an error, and the session stays within the public protocol.
+    /// Handles the answer to the request for the additions. A server that does not know them answers with an error, and the session
+    /// uses the public protocol only.
     fn on_additions(&mut self, kind: u32, data: &Bytes) -> Result<(), TransportError> {
         if kind == reply::ACK {
             self.additions = nbd::read_version(data)?.min(self.offered_additions);
-            // What is sent beyond the server's window would wait in the sockets, where nothing sees it grow late.
+            // Requests beyond the server's window would wait in socket buffers, where their deadlines are not checked.
             let server_window = nbd::read_window(data).map(|window| window as usize);
             self.window = server_window.unwrap_or(MAX_WINDOW).clamp(1, MAX_WINDOW);
         }
--- a/crates/client-core/src/nbd/replies.rs
+++ b/crates/client-core/src/nbd/replies.rs
@@ -1,4 +1,4 @@
-//! Replies of the transmission phase: simple ones, and structured ones in chunks.
+//! Handles the replies of the transmission phase: simple replies and the chunks of structured replies.
 
 use super::{NbdClient, PendingCommand};
 use crate::operation::Outcome;
@@ -7,7 +7,7 @@
 use tackmast::interface::TimeDelta;
 use tackmast_wire::nbd::{self, chunk, error, Reply};
 
-/// Chunk types with this bit are errors, also those that this side does not know.
+/// Bit that marks a chunk type as an error, including types that the client does not know.
 const ERROR_CHUNK_BIT: u16 = 0x8000;
 
 impl NbdClient {
@@ -71,7 +71,7 @@
         Ok(())
     }
 
-    /// Data behind its offset in the volume.
+    /// Handles the data of a read, which follows its 64-bit offset in the volume.
     fn on_data(&mut self, mut data: Bytes) -> Result<(), TransportError> {
         let offset = data.get_u64().wrapping_sub(self.offset) as usize;
         let read = self.read_bytes;
@@ -90,13 +90,13 @@
         match self.failure {
             Some(failure) => failure,
             None if self.received_bytes == self.read_bytes => Outcome::Done(self.download.freeze()),
-            // Fewer bytes than were asked for are not the answer.
+            // A read with less data than requested has failed.
             None => Outcome::Failed,
         }
     }
 }
 
-/// What a caller is answered for an error of the server.
+/// Returns the outcome of a command that the server answered with an error.
 fn failure(code: u32, text: &Bytes) -> Outcome {
     match code {
         error::INVAL | error::NOSPC | error::OVERFLOW | error::NOTSUP | error::PERM => {
--- a/crates/client-core/src/operation.rs
+++ b/crates/client-core/src/operation.rs
@@ -1,4 +1,4 @@
-//! What a caller asks of a volume and what it is answered, whatever the protocol.
+//! Operations on a volume and their outcomes, independent of the protocol.
 
 use bytes::Bytes;
 use tackmast::interface::TimeDelta;
@@ -8,29 +8,29 @@
 pub enum Op {
     /// Reads a range.
     Read {
-        /// Where the range begins, in bytes.
+        /// Start of the range in the volume, in bytes.
         offset: u64,
-        /// Its length in bytes.
+        /// Length of the range in bytes.
         length: u32,
     },
     /// Writes a range.
     Write {
-        /// Where the range begins, in bytes.
+        /// Start of the range in the volume, in bytes.
         offset: u64,
-        /// What is written.
+        /// The bytes to write; their number is the length of the range.
         data: Bytes,
     },
-    /// Is done when every write that was answered before is on the nodes.
+    /// Completes when every write that was answered before is on the nodes.
     Flush,
 }
 
 impl Op {
-    /// Whether the operation changes the volume.
+    /// Returns whether the operation changes the volume.
     pub fn is_write(&self) -> bool {
         matches!(self, Op::Write { .. })
     }
 
-    /// Bytes that the operation moves, in either direction.
+    /// Returns the number of bytes that the operation transfers, in either direction; 0 for a flush.
     pub fn bytes(&self) -> usize {
         match self {
             Op::Read { length, .. } => *length as usize,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Where the operation begins in the volume, in bytes.
+    /// Returns the start of the operation's range in the volume, in bytes; 0 for a flush.
     pub(crate) fn offset(&self) -> u64 {
         match self {
             Op::Read { offset, .. } | Op::Write { offset, .. } => *offset,
@@ -48,39 +48,39 @@
     }
 }
 
-/// The one final answer of a call.
+/// The final answer to a call. Each call gets exactly one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Done, with the bytes of a read.
+    /// The call is done. A read carries its data; for other operations the bytes are empty.
     Done(Bytes),
-    /// It did not run, and a retry is safe.
+    /// The call did not run, and a retry is safe.
     Rejected {
-        /// How long to wait before a retry, where the gateway said so.
+        /// How long the gateway asks the caller to wait before a retry, or `None` if it named no delay.
         retry_after: Option<TimeDelta>,
     },
-    /// Not done as far as is known, and no promise about its effect.
+    /// The call is not known to be done, and whether it took effect is unknown.
     Failed,
-    /// The call itself was wrong, as the text says, and never ran.
+    /// The call was invalid and never ran. The text gives the reason.
     InvalidRequest(String),
 }
 
-/// What the gateway says of an open volume.
+/// Properties of an open volume, as reported by the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Volume {
-    /// Size of the volume.
+    /// Size of the volume in bytes.
     pub bytes: u64,
-    /// Size of a block.
+    /// Size of a block in bytes.
     pub block_bytes: u32,
-    /// Largest size of one call.
+    /// Largest size of one call in bytes.
     pub max_bytes: u32,
 }
 
-/// Which volume of the gateway to open.
+/// The names by which either protocol addresses a volume of the gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VolumeAddress {
     /// Name of the iSCSI target.
     pub target: String,
-    /// Number of the logical unit in the iSCSI target.
+    /// Logical unit number of the volume in the iSCSI target.
     pub lun: u32,
     /// Name of the NBD export.
     pub name: String,
--- a/crates/client-core/src/retry.rs
+++ b/crates/client-core/src/retry.rs
@@ -1,7 +1,7 @@
-//! When a call is retried, and what its caller is answered otherwise.
+//! Decides whether a call is retried, and how it is answered otherwise.
 //!
-//! A retry is made only where the answer says that it is safe, or for a read; only within a budget, so that retries never become a
-//! load of their own; and never past the call's deadline.
+//! A call is retried only if the gateway reported that it did not run or if it is a read, only within a budget, so that retries
+//! don't multiply the load, and never past its deadline.
 
 mod backoff;
 mod budget;
@@ -18,45 +18,45 @@
 /// How one attempt ended without being done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptEnd {
-    /// The gateway says that it did not run.
+    /// The gateway reported that it did not run.
     Rejected {
-        /// How long to wait before a retry, where the gateway said so.
+        /// How long the gateway asks the client to wait before a retry, or `None` if it named no delay.
         retry_after: Option<TimeDelta>,
     },
-    /// The gateway makes no promise about its effect.
+    /// The gateway reported a failure; whether the attempt took effect is unknown.
     Failed,
     /// Its session ended while it was in flight.
     SessionLost,
 }
 
-/// An attempt that ended, with what the decision on a retry depends on.
+/// An attempt that ended, with the facts that decide on a retry.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedAttempt {
-    /// How it ended.
+    /// How the attempt ended.
     pub(crate) end: AttemptEnd,
-    /// The operation changes the volume.
+    /// Whether the operation changes the volume.
     pub(crate) is_write: bool,
-    /// Attempts of the call so far, this one among them.
+    /// Number of attempts of the call so far, including this one.
     pub(crate) attempts: u32,
-    /// From its sending to its end.
+    /// Time from the sending of the attempt to its end.
     pub(crate) duration: TimeDelta,
-    /// Of the call.
+    /// Deadline of the call.
     pub(crate) deadline: Instant,
 }
 
-/// What follows an attempt.
+/// The decision on a call whose attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetryVerdict {
-    /// Retry at this time.
+    /// Retry the call at this time.
     RetryAt(Instant),
-    /// Answer the caller: it did not run, with how long to wait where the gateway said so.
+    /// Answer that the call did not run, with the delay that the gateway asked for, if any.
     Reject(Option<TimeDelta>),
-    /// Answer the caller: no promise about its effect.
+    /// Answer that the call failed, and that its effect is unknown.
     Fail,
 }
 
 impl EndedAttempt {
-    /// Whether a retry can do no harm. A write that may have run could overwrite what another client wrote meanwhile.
+    /// Returns whether a retry is safe. Repeating a write that may have run could overwrite what another client has written since.
     fn is_retry_safe(&self) -> bool {
         match self.end {
             AttemptEnd::Rejected { .. } => true,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// How long the gateway asks the caller to wait.
+    /// Returns the delay that the gateway asked for, if any.
     fn retry_after(&self) -> Option<TimeDelta> {
         match self.end {
             AttemptEnd::Rejected { retry_after } => retry_after,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The answer where no retry is made. An attempt that may have run is never answered as rejected.
+    /// Returns the answer to a call that is not retried. A call whose attempt may have run is never answered as rejected.
     fn verdict_without_retry(&self) -> RetryVerdict {
         match self.end {
             AttemptEnd::Rejected { retry_after } => RetryVerdict::Reject(retry_after),
@@ -80,14 +80,14 @@
         }
     }
 
-    /// Whether a retry at `retry_at` can be expected to end by the deadline, if it takes as long as this attempt. One that cannot would
-    /// be in flight at the deadline, and an answer that promises no effect would become one that promises nothing.
+    /// Returns whether a retry at `retry_at` that takes as long as this attempt would end before the deadline. A longer one would
+    /// be in flight at the deadline, and a call that could be answered as rejected would be answered as failed.
     fn leaves_time(&self, retry_at: Instant) -> bool {
         retry_at + self.duration < self.deadline
     }
 }
 
-/// Decides on the retries of a client, and on its pauses between connects.
+/// Decides on the retries of a client and on the backoff between its connects.
 #[derive(Debug)]
 pub(crate) struct RetryDecider {
     policy: RetryPolicy,
@@ -96,17 +96,17 @@
 }
 
 impl RetryDecider {
-    /// A decider of which no budget is spent; `seed` makes its jitter reproducible.
+    /// Creates a decider with a full budget. The same `seed` yields the same jitter.
     pub(crate) fn new(policy: RetryPolicy, seed: u64) -> Self {
         RetryDecider { policy, budget: RetryBudget::new(&policy), jitter: Jitter::new(seed) }
     }
 
-    /// Counts a call, which earns a part of a retry.
+    /// Records a call, which adds a fraction of a retry to the budget.
     pub(crate) fn record_call(&mut self) {
         self.budget.record_call();
     }
 
-    /// Decides what follows an attempt that ended at `now`, and spends the budget for a retry.
+    /// Decides whether to retry a call whose attempt ended at `now`, and charges a retry to the budget.
     pub(crate) fn decide(&mut self, now: Instant, attempt: &EndedAttempt) -> RetryVerdict {
         if !attempt.is_retry_safe() {
             return attempt.verdict_without_retry();
@@ -121,7 +121,7 @@
         attempt.verdict_without_retry()
     }
 
-    /// How long to wait before the next connect, after so many failures in a row.
+    /// Returns how long to wait before the next connect after `failures` consecutive failures.
     pub(crate) fn connect_backoff(&mut self, failures: u32) -> TimeDelta {
         self.jitter.lengthen(connect_backoff(failures, self.policy.max_connect_backoff))
     }
--- a/crates/client-core/src/retry/policy.rs
+++ b/crates/client-core/src/retry/policy.rs
@@ -1,19 +1,19 @@
-//! The settings of a client's retries.
+//! The retry settings of a client.
 
 use tackmast::interface::TimeDelta;
 
-/// How often a client retries, and how long it waits before that.
+/// Settings for how often a client retries calls, and how long it waits before a retry or a connect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryPolicy {
-    /// Retries that are allowed at once.
+    /// Largest number of retries that a client saves up, and so the largest burst of retries.
     pub max_saved_retries: f64,
-    /// Retries that each call earns.
+    /// Number of retries that each call earns, usually a fraction of one.
     pub retries_per_call: f64,
-    /// Shortest pause before a retry.
+    /// Shortest delay before a retry.
     pub min_backoff: TimeDelta,
-    /// Longest pause before a connect.
+    /// Longest delay before a connect, including jitter.
     pub max_connect_backoff: TimeDelta,
-    /// Attempts of one call, the first among them.
+    /// Largest number of attempts of one call, including the first.
     pub max_attempts: u32,
 }
 
--- a/crates/client-core/src/retry/tests.rs
+++ b/crates/client-core/src/retry/tests.rs
@@ -1,8 +1,8 @@
-//! The decision on a retry, its budget, and the pauses before connects.
+//! Tests of the retry decision, the retry budget and the backoff between connects.
 
 use super::*;
 
-/// An attempt of a call, the state of its client, and the verdict; none: a retry.
+/// An ended attempt, the state of its client, and the expected verdict. `None` expects a retry.
 struct Case {
     name: &'static str,
     end: AttemptEnd,
@@ -25,8 +25,8 @@
     Some(RetryVerdict::Reject(retry_after_secs.map(secs)))
 }
 
-/// A client meets each end of an attempt, as a read and as a write, with and without time, attempts and budget left. A
-/// retry follows only where it can do no harm and can be expected to end in time.
+/// Covers each end of an attempt for reads and writes, with and without time, attempts and budget left. A call must be retried only
+/// where that is safe and the retry is expected to end before the deadline.
 #[test]
 fn retries_only_what_is_safe_in_time_and_within_the_budget() {
     const FAIL: Option<RetryVerdict> = Some(RetryVerdict::Fail);
@@ -66,7 +66,7 @@
     }
 }
 
-/// Every one of a thousand calls is rejected. The client retries a fifth of them and the ten that it had saved.
+/// Each of 1000 calls is rejected. The client may retry a fifth of them, plus the ten retries that it had saved.
 #[test]
 fn retries_stay_a_share_of_calls() {
     let mut decider = RetryDecider::new(RetryPolicy::default(), 1);
@@ -87,7 +87,7 @@
     assert!((200..=211).contains(&retries), "{retries}");
 }
 
-/// A gateway is down. Each connect waits longer than the one before, up to a bound, and two clients do not wait alike.
+/// Connects fail repeatedly. The backoff must grow up to its bound, and must differ between clients with different seeds.
 #[test]
 fn connect_backoff_grows_to_its_bound_and_differs_between_clients() {
     let mut decider = RetryDecider::new(RetryPolicy::default(), 1);
--- a/crates/client-core/src/transport.rs
+++ b/crates/client-core/src/transport.rs
@@ -1,114 +1,115 @@
-//! A session of one protocol as a state machine: bytes in, events out, and bytes out.
+//! The interface of a protocol session as a state machine: it takes received bytes and returns events and bytes to send.
 
 use crate::operation::{Op, Outcome, Volume};
 use bytes::Bytes;
 use tackmast::interface::TimeDelta;
 use tackmast_wire::WireError;
 
-/// What a session reports to the pool.
+/// An event that a session reports to the pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SessionEvent {
-    /// The handshake is over and the volume is open.
+    /// The handshake is complete and the volume is open.
     Ready(Volume),
     /// The answer to an operation.
     Answer {
-        /// The tag under which it was submitted.
+        /// The tag under which the operation was submitted.
         tag: u64,
-        /// How it ended.
+        /// How the operation ended.
         outcome: Outcome,
     },
     /// The gateway does not serve this session.
     Refused {
-        /// Why, for the caller.
+        /// The reason, for display to the caller.
         reason: String,
-        /// Whether a later session may be served.
+        /// Whether the gateway may accept a later session.
         may_reconnect: bool,
     },
 }
 
-/// Bytes of the gateway that the session cannot follow. The session ends with it.
+/// A violation of the protocol by the gateway. The session ends with this error.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum TransportError {
     /// Bytes that the protocol does not allow.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// Something else than the answer to the login.
+    /// A message other than the login response arrived during the login.
     #[error("operation {opcode:#04x} during login; expected its answer")]
     UnexpectedDuringLogin {
-        /// The operation code found.
+        /// Operation code of the message.
         opcode: u8,
     },
-    /// Data of a read at another offset than the next, or more than was asked for.
+    /// Data of a read arrived at an offset other than the expected one, or exceeds the requested length.
     #[error("data at {found}; expected {expected} of {length}")]
     DataOutOfOrder {
         /// Offset of the data in the read, in bytes.
         found: u32,
-        /// Bytes received so far.
+        /// Number of bytes received so far, which is the offset of the next data.
         expected: usize,
         /// Length of the read in bytes.
         length: usize,
     },
-    /// The target asks for data that the write does not have.
+    /// The target requested data beyond the end of the write.
     #[error("asked for {length} bytes at {start}; the write has {available}")]
     RequestBeyondWrite {
-        /// Bytes that are asked for.
+        /// Number of bytes requested.
         length: usize,
-        /// Offset in the write, in bytes.
+        /// Offset of the request in the write, in bytes.
         start: usize,
         /// Length of the write in bytes.
         available: usize,
     },
-    /// The target could not follow what the session sent.
+    /// The target rejected a message of the session.
     #[error("rejected: reason {reason}")]
     RejectedByTarget {
-        /// RFC 7143, section 11.17.1.
+        /// Reason code of RFC 7143, section 11.17.1.
         reason: u8,
     },
-    /// The server knows the oldest NBD handshake only.
+    /// The server does not support the fixed newstyle handshake of NBD.
     #[error("the server knows no fixed newstyle handshake; expected one that does")]
     NoFixedNewstyle,
-    /// A message that does not belong to this step of the handshake.
+    /// A message arrived that does not belong to this step of the handshake.
     #[error("{message} during the handshake")]
     UnexpectedDuringHandshake {
-        /// The message found.
+        /// The message, for display.
         message: String,
     },
-    /// A reply to no open command.
+    /// A reply arrived for a cookie that belongs to no open command.
     #[error("a reply to cookie {cookie}, which is not open")]
     UnknownCookie {
-        /// The cookie found.
+        /// Cookie of the reply.
         cookie: u64,
     },
-    /// Data of a chunk that is outside its read.
+    /// The data of a chunk lies outside the range of its read.
     #[error("{length} bytes at {offset}; the read has {read}")]
     ChunkBeyondRead {
         /// Length of the data in bytes.
         length: usize,
-        /// Offset in the read, in bytes.
+        /// Offset of the data in the read, in bytes.
         offset: usize,
         /// Length of the read in bytes.
         read: usize,
     },
-    /// A type of chunk that the handshake did not agree on.
+    /// A chunk has a type that was not negotiated in the handshake.
     #[error("chunk of type {kind}; expected one that was agreed on")]
     UnknownChunk {
-        /// The type found.
+        /// Type of the chunk.
         kind: u16,
     },
 }
 
-/// A session of one protocol. Tags are the caller's.
+/// A session of one protocol. The caller chooses the tags of its operations.
 pub trait Transport: Send {
-    /// Takes bytes of the gateway; an error ends the session.
+    /// Handles bytes received from the gateway. An error ends the session.
     fn handle_bytes(&mut self, bytes: &[u8]) -> Result<(), TransportError>;
-    /// Bytes to be written to the gateway; empty: none.
+    /// Returns the bytes to write to the gateway, which are empty if there are none.
     fn poll_transmit(&mut self) -> Bytes;
-    /// What there is to report.
+    /// Returns the next event, or `None` if there is none.
     fn poll_event(&mut self) -> Option<SessionEvent>;
-    /// Sends an operation that has `time_left` until its deadline; false: the command window is full now.
+    /// Sends an operation that has `time_left` until its deadline. Returns false if the session can't take it now: it is not ready,
+    /// or its command window is full.
     fn submit(&mut self, tag: u64, op: &Op, time_left: TimeDelta) -> bool;
-    /// Withdraws an operation whose answer nobody waits for; there is no event for it.
+    /// Cancels an operation. The session reports no event for it.
     fn cancel(&mut self, tag: u64);
-    /// Ends the session in the protocol's manner.
+    /// Ends the session as the protocol prescribes.
     fn close(&mut self);
 }
--- a/crates/client-core/tests/error_texts.rs
+++ b/crates/client-core/tests/error_texts.rs
@@ -1,9 +1,9 @@
-//! The texts of transport errors, as earlier builds wrote them.
+//! Checks that the texts of transport errors stay the same from build to build.
 
 use tackmast_client_core::TransportError;
 use tackmast_wire::WireError;
 
-/// A session ends for each reason that there is. Its text is the one that earlier builds gave.
+/// Covers each variant of `TransportError`. Each text must stay as earlier builds wrote it.
 #[test]
 fn transport_errors_have_the_texts_of_earlier_builds() {
     let wire = WireError::Short { field: "key", missing: 3 };
