--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -13,10 +13,10 @@
 use tackmast::interface::TimeDelta;
 use tackmast_client_core::{Op, Outcome, Volume};
 
-/// How much longer than a call's deadline a caller waits: the library's own answer at the deadline needs some time on its way.
+/// How long beyond a call's deadline a caller waits, since the answer that the event loop gives at the deadline takes time to arrive.
 const ANSWER_MARGIN: Duration = Duration::from_millis(500);
 
-/// An open volume. Calls may come from many threads.
+/// An open volume. Clones share its sessions, and calls may be made from many threads.
 #[derive(Clone)]
 pub struct Client {
     events: Sender<Event>,
@@ -26,7 +26,7 @@
     volume: Volume,
 }
 
-/// A call that has no answer yet.
+/// A submitted call whose answer can be awaited.
 pub struct Pending {
     number: u64,
     answer: Receiver<Outcome>,
@@ -35,24 +35,24 @@
 }
 
 impl Pending {
-    /// Waits for the answer, which comes by the call's deadline.
+    /// Waits for the answer, which arrives by the call's deadline. Returns `Outcome::Failed` if none arrives.
     pub fn wait(self) -> Outcome {
         self.answer.recv_timeout(self.max_wait).unwrap_or(Outcome::Failed)
     }
 
-    /// The answer, if it is there.
+    /// Returns the answer, or `None` if it has not arrived yet. Never blocks.
     pub fn poll(&self) -> Option<Outcome> {
         self.answer.try_recv().ok()
     }
 
-    /// Withdraws the call. What it may have done is unknown.
+    /// Cancels the call. Whether it took effect is unknown.
     pub fn cancel(self) {
         _ = self.events.send(Event::Cancel { number: self.number });
     }
 }
 
 impl Client {
-    /// Opens the volume; waits for a first session for as long as `timeout`.
+    /// Opens a volume. Waits up to `timeout` for the first session to become ready.
     pub fn open(options: Options, timeout: Duration) -> Result<Client, OpenError> {
         let clock = Clock::start();
         let (address, call_timeout) = (options.address, options.timeout);
@@ -69,38 +69,38 @@
         Err(error)
     }
 
-    /// What the gateway says of the volume.
+    /// Returns the properties of the volume, as the gateway reported them when it was opened.
     pub fn volume(&self) -> Volume {
         self.volume
     }
 
-    /// Begins a call; its deadline is `timeout` from now, and the client's own where none is given.
+    /// Submits a call without waiting for its answer. Its deadline is `timeout` from now, or the timeout of the options if `None`.
     pub fn submit(&self, op: Op, timeout: Option<Duration>) -> Pending {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let timeout = timeout.unwrap_or(self.timeout);
         let deadline = self.clock.now() + TimeDelta::from_secs(timeout.as_secs_f64());
         let (answer_to, answer) = crossbeam_channel::bounded(1);
-        // A client that has ended drops the sender, and the wait ends at once.
+        // If the event loop has ended, the event and its sender are dropped, and `Pending::wait` returns at once.
         _ = self.events.send(Event::Call { number, op, deadline, answer_to });
         Pending { number, answer, events: self.events.clone(), max_wait: timeout + ANSWER_MARGIN }
     }
 
-    /// Reads `length` bytes from `offset`, both in whole blocks; waits for the answer.
+    /// Reads `length` bytes from `offset`, both multiples of the block size, and waits for the answer.
     pub fn read(&self, offset: u64, length: u32) -> Outcome {
         self.submit(Op::Read { offset, length }, None).wait()
     }
 
-    /// Writes `data`, of whole blocks, at `offset` in bytes; waits for the answer.
+    /// Writes `data` at `offset` in bytes, both whole blocks, and waits for the answer.
     pub fn write(&self, offset: u64, data: impl Into<Bytes>) -> Outcome {
         self.submit(Op::Write { offset, data: data.into() }, None).wait()
     }
 
-    /// Waits until every write that was answered before is on the nodes.
+    /// Flushes the volume: waits until every write that was answered before is on the nodes.
     pub fn flush(&self) -> Outcome {
         self.submit(Op::Flush, None).wait()
     }
 
-    /// Ends all sessions; open calls are answered.
+    /// Answers all open calls and closes all sessions, also for the clones of this client.
     pub fn close(self) {
         _ = self.events.send(Event::Close);
     }
--- a/crates/client/src/clock.rs
+++ b/crates/client/src/clock.rs
@@ -1,4 +1,4 @@
-//! The library's clock: the time since the client was opened.
+//! The clock of the library, which measures the time since the client was opened.
 
 use tackmast::interface::Instant;
 
@@ -7,12 +7,12 @@
 pub(crate) struct Clock(std::time::Instant);
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub(crate) fn start() -> Clock {
         Clock(std::time::Instant::now())
     }
 
-    /// The time since the start.
+    /// Returns the time since the start.
     pub(crate) fn now(&self) -> Instant {
         Instant::from_secs(self.0.elapsed().as_secs_f64())
     }
--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to the gateway: one thread reads it, one writes it.
+//! A connection to the gateway, with one thread that reads and one that writes.
 
 use crate::event::{ConnectionId, Event};
 use crate::thread::{spawn, Spawn};
@@ -8,25 +8,25 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long a connect may take.
+/// Timeout of a connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a gateway may take no byte before its connection is closed.
+/// How long the gateway may accept no data before the connection is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Writes that may wait for one connection.
+/// Capacity of the write queue of a connection.
 const MAX_QUEUED_WRITES: usize = 4096;
-/// Name of the threads that write.
+/// Name of the writer threads.
 pub(crate) const WRITER_THREAD: &str = "client calls";
-/// Bytes that one read takes at most.
+/// Size of the read buffer in bytes.
 const READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// A connection that is open.
+/// An open connection.
 pub(crate) struct Connection {
     writes: Sender<Bytes>,
     stream: TcpStream,
 }
 
 impl Connection {
-    /// Starts the threads of a connection that was made.
+    /// Starts the reader and the writer thread of an established connection.
     pub(crate) fn start(
         id: ConnectionId,
         stream: TcpStream,
@@ -40,30 +40,30 @@
         spawn("client answers", Box::new(move || read_until_end(id, reader, &events)))?;
         let connection = Connection { writes, stream };
         if let Err(error) = spawn(WRITER_THREAD, Box::new(move || write_until_end(writer, &queued_writes))) {
-            // The reader holds the socket too, and would keep it open until the gateway closes it.
+            // The reader thread holds the socket too, and would keep it open until the gateway closes it.
             connection.close();
             return Err(error);
         }
         Ok(connection)
     }
 
-    /// Queues bytes to be written; false: the queue is full, or the writer has ended.
+    /// Queues bytes for writing. Returns false if the queue is full or the writer has ended.
     pub(crate) fn try_write(&self, bytes: Bytes) -> bool {
         self.writes.try_send(bytes).is_ok()
     }
 
-    /// Closes both directions.
+    /// Closes both directions of the connection.
     pub(crate) fn close(&self) {
         _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    /// Ends the reader; what is queued is still written.
+    /// Ends the reader. Queued writes are still sent.
     pub(crate) fn stop_reading(&self) {
         _ = self.stream.shutdown(Shutdown::Read);
     }
 }
 
-/// Connects on a thread of its own, which reports the result as an event.
+/// Connects on a new thread, which reports the result as an event.
 pub(crate) fn connect(id: ConnectionId, address: SocketAddr, events: Sender<Event>) -> io::Result<()> {
     let run = move || {
         _ = events.send(match TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) {
--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -1,29 +1,28 @@
-//! Why a volume could not be opened.
-
+//! Errors of opening a volume.
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Why a volume could not be opened.
+/// The reason why a volume could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// No session was ready in time.
+    /// No session became ready within the timeout.
     #[error("{address}: no session within {timeout:?}; expected a gateway that answers")]
     NoAnswer {
-        /// Where the gateway was sought.
+        /// Address to which the client connected.
         address: SocketAddr,
-        /// How long.
+        /// How long the client waited.
         timeout: Duration,
     },
-    /// The gateway does not serve the volume.
+    /// The gateway refused to serve the volume.
     #[error("{address}: {reason}")]
     Refused {
-        /// Where the gateway listens.
+        /// Address of the gateway.
         address: SocketAddr,
-        /// What it says.
+        /// The reason, as the session reports it.
         reason: String,
     },
-    /// The system has no thread left for the client.
-    #[error("thread: {0}")]
+    /// The thread of the event loop could not be started.
+    #[error("can't start the event loop thread: {0}")]
     Thread(#[from] io::Error),
 }
--- a/crates/client/src/event_loop.rs
+++ b/crates/client/src/event_loop.rs
@@ -1,4 +1,5 @@
-//! The thread that owns the client's state machine: it gathers events of callers and connections, and does what is put out.
+//! The thread that owns the client's state machine. It passes the events of callers and connections to the state machine and carries
+//! out its outputs.
 
 use crate::clock::Clock;
 use crate::connection::{connect, Connection};
@@ -15,26 +16,26 @@
 use tackmast::interface::{Instant, TimeDelta};
 use tackmast_client_core::{Core, Outcome, Output};
 
-/// Events that may wait.
+/// Capacity of the event queue.
 const MAX_QUEUED_EVENTS: usize = 4096;
-/// Results of sessions that may wait for the caller that opens the volume.
+/// Capacity of the queue of results for the caller that opens the volume.
 const MAX_QUEUED_OPENINGS: usize = 4;
-/// Events between two runs of the timers.
+/// Largest number of events that are handled before the timers run again.
 const MAX_EVENTS_PER_ITERATION: usize = 256;
-/// The longest wait for an event.
+/// Longest wait for an event.
 const MAX_WAIT: Duration = Duration::from_secs(1);
-/// The shortest wait for an event, so that timers which are due at once can't make the thread spin.
+/// Shortest wait for an event, so that timers that are due at once don't make the thread spin.
 const MIN_WAIT: Duration = Duration::from_micros(100);
-/// How much later a slot is connected again when the system has no thread left for its connect or its connection.
+/// Additional delay before a slot reconnects if a thread for its connect or its connection could not be started.
 const NO_THREAD_BACKOFF: TimeDelta = TimeDelta::from_millis(100);
 
-/// The ends of the event loop's channels that a client holds.
+/// The client's ends of the event loop's channels.
 pub(crate) struct EventLoopHandle {
     pub(crate) events: Sender<Event>,
     pub(crate) openings: Receiver<Opening>,
 }
 
-/// Starts the event loop of a client.
+/// Starts the event loop of a client on a new thread.
 pub(crate) fn start(clock: Clock, options: Options) -> io::Result<EventLoopHandle> {
     let (events, incoming) = crossbeam_channel::bounded(MAX_QUEUED_EVENTS);
     let (openings_to, openings) = crossbeam_channel::bounded(MAX_QUEUED_OPENINGS);
@@ -49,15 +50,15 @@
     address: SocketAddr,
     events: Sender<Event>,
     openings_to: Sender<Opening>,
-    /// Who waits for the answer of a call, by its number.
+    /// Senders for the answers to open calls, by the number of the call.
     callers: HashMap<u64, Sender<Outcome>>,
     /// Open connections by slot.
     connections: HashMap<usize, Connection>,
     last_generation: u64,
-    /// The generation of each slot's present connection. An event of an earlier connection would be taken for one of its successor
-    /// and end it; it is known by its generation and ignored.
+    /// Generation of each slot's current connection. A late event of an earlier connection could otherwise close its successor; it is
+    /// recognized by its generation and ignored.
     generations: HashMap<usize, u64>,
-    /// How the threads of connections are started.
+    /// Function that starts the threads of connections. Tests replace it.
     spawn: Spawn,
 }
 
@@ -97,14 +98,14 @@
         }
     }
 
-    /// How long to wait for an event before the timers are run again.
+    /// Returns how long to wait for an event before the timers run again.
     fn wait(&self, now: Instant) -> Duration {
         self.core.poll_timeout(now).map_or(MAX_WAIT, |at| {
             Duration::from_secs_f64((at - now).secs().max(0.0)).clamp(MIN_WAIT, MAX_WAIT)
         })
     }
 
-    /// Handles an event and those that wait behind it.
+    /// Handles an event and those queued behind it, up to `MAX_EVENTS_PER_ITERATION`. Breaks if the client is closed.
     fn handle_events(&mut self, first: Event, incoming: &Receiver<Event>) -> ControlFlow<()> {
         let events = std::iter::once(first).chain(incoming.try_iter());
         for event in events.take(MAX_EVENTS_PER_ITERATION) {
@@ -117,7 +118,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Answers all open calls and ends the sessions once what is queued there is written.
+    /// Answers all open calls and closes the sessions. Queued writes are still sent.
     fn close(&mut self) {
         self.core.close();
         self.execute_outputs();
@@ -159,7 +160,7 @@
                 self.core.handle_connected(id.slot);
             }
             Err(_) => {
-                // Its reader may run and report the end too, which would count the failure twice.
+                // The reader thread may run already and report the end as well, which would count the failure twice.
                 self.generations.remove(&id.slot);
                 self.core.handle_closed(now + NO_THREAD_BACKOFF, id.slot);
             }
@@ -188,7 +189,7 @@
     fn write(&mut self, slot: usize, bytes: Bytes) {
         let is_queued = self.connections.get(&slot).is_some_and(|connection| connection.try_write(bytes));
         if !is_queued {
-            // The gateway takes nothing: the calls in flight there are lost with the connection.
+            // The gateway has stopped reading, or the writer has ended. The calls in flight are lost with the connection.
             self.close_connection(slot);
             self.core.handle_closed(self.clock.now(), slot);
         }
--- a/crates/client/src/event_loop/tests.rs
+++ b/crates/client/src/event_loop/tests.rs
@@ -1,4 +1,5 @@
-//! Events that a test of the whole library can't force: how many wait when an iteration begins, and threads that can't be started.
+//! Tests of conditions that a test of the whole library can't force: the number of queued events when an iteration begins,
+//! and threads that can't be started.
 
 use super::*;
 use crate::connection::WRITER_THREAD;
@@ -6,10 +7,10 @@
 use std::io::Read;
 use std::net::TcpListener;
 
-/// How long a test waits for what must happen soon.
+/// Longest wait for an expected event.
 const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An event loop that has not begun to run, the queue of its events, and the gateway that it connects to.
+/// An event loop whose thread is not started, its event queue, and the gateway to which it connects.
 struct Fixture {
     event_loop: EventLoop,
     incoming: Receiver<Event>,
@@ -27,7 +28,7 @@
         Fixture { event_loop, incoming, gateway }
     }
 
-    /// Connects the only slot; gives the gateway's side, and the event that reports the connection.
+    /// Connects the only slot. Returns the gateway's side of the connection and the event that reports it.
     fn connect(&mut self) -> (TcpStream, Event) {
         self.event_loop.core.handle_timeout(self.event_loop.clock.now());
         self.event_loop.execute_outputs();
@@ -40,12 +41,12 @@
         self.incoming.recv_timeout(TEST_TIMEOUT).expect("an event in time")
     }
 
-    /// When the slot is connected next.
+    /// Returns the time of the slot's next connect.
     fn next_connect(&self) -> Option<Instant> {
         self.event_loop.core.poll_timeout(self.event_loop.clock.now())
     }
 
-    /// Handles events until none is queued or the event loop ends; whether it has ended.
+    /// Handles events until none is queued or the event loop ends. Returns whether it has ended.
     fn handle_queued_events(&mut self) -> bool {
         while let Ok(first) = self.incoming.try_recv() {
             if self.event_loop.handle_events(first, &self.incoming).is_break() {
@@ -56,8 +57,8 @@
     }
 }
 
-/// A caller closes its volume while other events wait in front of the close, as many as an iteration handles, or fewer or more. The
-/// event loop must end in each case: one that passes over the close would keep its sessions and its thread for good.
+/// A caller closes its volume while other events are queued before the close event: fewer, as many, or more than one iteration
+/// handles. The event loop must end in each case. If it missed the close event, its sessions and its thread would never end.
 #[test]
 fn close_ends_the_event_loop_behind_any_number_of_events() {
     for events_before in 0..=2 * MAX_EVENTS_PER_ITERATION {
@@ -70,7 +71,7 @@
     }
 }
 
-/// A system that has a thread left for the reader of a connection and none for its writer.
+/// Starts every thread except the writer of a connection, as a system that runs out of threads in between.
 fn spawn_all_but_writers(name: &str, run: Box<dyn FnOnce() + Send>) -> io::Result<()> {
     match name {
         WRITER_THREAD => Err(io::ErrorKind::WouldBlock.into()),
@@ -78,8 +79,8 @@
     }
 }
 
-/// A connection is made and its writer can't be started, while its reader runs. The reader reports the end of the connection as any
-/// reader does. The failure is counted already: counted twice, it would double the backoff of the slot.
+/// The writer of an established connection can't be started, while its reader runs and later reports the end of the connection. The
+/// failure must be counted only once: counted twice, it would double the backoff of the slot.
 #[test]
 fn connection_without_a_writer_counts_as_one_failure() {
     let mut fixture = Fixture::new();
@@ -94,8 +95,8 @@
     assert_eq!(fixture.next_connect(), next_connect, "the end of the reader postponed the next connect");
 }
 
-/// A connection is made and its writer can't be started. Its reader holds the socket: unless that is closed, the gateway keeps a
-/// session that nobody uses until its login times out.
+/// The writer of an established connection can't be started, while its reader holds the socket. The socket must be closed, since the
+/// gateway would otherwise keep an unused session until its login times out.
 #[test]
 fn connection_without_a_writer_is_closed_at_once() {
     let mut fixture = Fixture::new();
@@ -105,10 +106,10 @@
     assert_eq!(gateway.read(&mut [0; 1]).expect("an end in time"), 0);
 }
 
-/// Connections are made and the system has no thread left for them. The next connect must wait as long as one that no thread was left
-/// for: sooner, it would ask the gateway for one more session that can't be used.
+/// The writer of an established connection can't be started. The next connect must be delayed by `NO_THREAD_BACKOFF`, as after a
+/// connect without a thread. An earlier one would open another session at the gateway that can't be used.
 #[test]
-fn connection_without_a_writer_is_made_again_after_the_pause_for_threads() {
+fn connection_without_a_writer_reconnects_after_the_no_thread_backoff() {
     let mut fixture = Fixture::new();
     fixture.event_loop.spawn = spawn_all_but_writers;
     let (_gateway, connected) = fixture.connect();
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,6 +1,6 @@
-//! Client library of the gateway: open a volume, read, write, flush and cancel, over an iSCSI-style or an NBD transport
-//! with the same results. A call has one answer, by its deadline at the latest; it is retried only where that is safe
-//! and within a budget. docs/client.md has examples.
+//! Client library of the gateway. It opens a volume and reads, writes, flushes and cancels, with the same results over an
+//! iSCSI-style or an NBD transport. Each call gets exactly one answer, by its deadline at the latest, and is retried only
+//! where that is safe and within a budget. docs/client.md has examples.
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/client/src/options.rs
+++ b/crates/client/src/options.rs
@@ -1,4 +1,4 @@
-//! What a caller sets when it opens a volume.
+//! The options of an open volume.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,66 +8,66 @@
 };
 use tackmast_wire::iscsi::Digests;
 
-/// The iSCSI target that a gateway has unless its settings name another.
+/// Name of the iSCSI target of a gateway whose settings name no other.
 const DEFAULT_TARGET: &str = "iqn.2026-12.org.tackmast:pool";
-/// Time for a call that names none.
+/// Default timeout of a call.
 const DEFAULT_CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Sessions that a client keeps connected.
+/// Default number of sessions that a client keeps connected.
 const DEFAULT_SESSIONS: usize = 2;
-/// Calls that may be open.
+/// Default number of calls that may be open at a time.
 const DEFAULT_MAX_CALLS: usize = 1024;
-/// Bytes of open calls.
+/// Default bound on the bytes of all open calls together.
 const DEFAULT_MAX_BYTES: usize = 256 << 20;
 
 /// The protocol between the library and the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
-    /// iSCSI-style, a subset of RFC 7143.
+    /// The iSCSI-style protocol, a subset of RFC 7143.
     Iscsi,
     /// The Network Block Device protocol.
     Nbd,
 }
 
-/// How much of the gateway's own additions to the protocols the library uses.
+/// Which of the gateway's additions to the public protocols the library uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolLevel {
-    /// All that the library knows.
+    /// All additions that the library supports.
     Newest,
-    /// Version of the NBD additions; iSCSI keys have none, each is agreed on by itself.
+    /// A version of the NBD additions. The iSCSI keys have no version, since each is negotiated separately, and all are offered.
     Version(u16),
-    /// Nothing but the public protocol, in its oldest form: a rejection can't be told from a failed request there.
+    /// No additions, and the public protocol in its oldest form. It does not distinguish a rejected request from a failed one.
     Public,
 }
 
-/// How a volume is opened.
+/// Options for opening a volume.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The protocol between the library and the gateway.
     pub protocol: Protocol,
-    /// Where the gateway listens for that protocol.
+    /// Address at which the gateway listens for that protocol.
     pub address: SocketAddr,
-    /// Which volume.
+    /// The volume to open.
     pub volume: VolumeAddress,
-    /// Time for a call that names none.
+    /// Timeout of a call that is submitted without one of its own.
     pub timeout: Duration,
-    /// Sessions that the client keeps connected.
+    /// Number of sessions that the client keeps connected.
     pub sessions: usize,
-    /// Calls that may be open; more are rejected at once.
+    /// Number of calls that may be open at a time. Further calls are rejected at once.
     pub max_calls: usize,
-    /// Bytes of open calls; calls beyond are rejected at once.
+    /// Bytes of all open calls together. Calls beyond this sum are rejected at once.
     pub max_bytes: usize,
-    /// When calls are retried.
+    /// Settings for retries and for the backoff between connects.
     pub retry_policy: RetryPolicy,
-    /// Checksums of iSCSI messages.
+    /// Checksums that are offered for iSCSI messages. NBD has none.
     pub digests: Digests,
-    /// How much of the gateway's additions the library uses.
+    /// Which of the gateway's additions the library uses.
     pub protocol_level: ProtocolLevel,
-    /// Seed of the jitter of pauses.
+    /// Seed of the jitter of backoffs; by default the process id.
     pub seed: u64,
 }
 
 impl Options {
-    /// The defaults for a volume, which NBD knows by its name and iSCSI by its logical unit number.
+    /// Returns the default options for a volume, which NBD addresses by its name and iSCSI by its logical unit number.
     pub fn new(protocol: Protocol, address: SocketAddr, volume: &str, lun: u32) -> Options {
         Options {
             protocol,
@@ -84,12 +84,12 @@
         }
     }
 
-    /// What the client keeps at most.
+    /// Returns the bounds on sessions and open calls.
     pub(crate) fn bounds(&self) -> Bounds {
         Bounds { sessions: self.sessions, calls: self.max_calls, bytes: self.max_bytes }
     }
 
-    /// The library's side of a new session.
+    /// Creates the protocol state of a new session.
     pub(crate) fn new_session(&self) -> Box<dyn Transport> {
         let volume = self.volume.clone();
         let public_only = self.protocol_level == ProtocolLevel::Public;
--- a/crates/client/tests/common/mod.rs
+++ b/crates/client/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A host between emulated nodes and recording proxies, for tests of the libraries.
-#![allow(dead_code)] // each test file uses its own part
+//! A host between emulated nodes and recording proxies, for the tests of the client library.
+#![allow(dead_code)] // Each test file uses a part of this module.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 use tackmast_host::Host;
 use tackmast_trace::{EffectKind, Event, Facts, Recorder, TrafficClassFacts};
 
-/// How long a test waits for what must happen soon.
+/// Longest wait for an expected event.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Settings of one host over shards 0 and 1.
+/// Returns the settings of one host that serves shards 0 and 1.
 fn host_settings(list: SocketAddr) -> HostSettings {
     let text = format!(
         r#"
@@ -77,7 +77,7 @@
     HostSettings::parse("test", &text).unwrap()
 }
 
-/// A host with two nodes and their list, whose traffic is recorded.
+/// A host with two emulated nodes and their endpoint list, whose traffic is recorded.
 pub struct TestGateway {
     pub recorder: Recorder,
     pub nodes: Vec<Node>,
@@ -88,7 +88,7 @@
 }
 
 impl TestGateway {
-    /// Starts it; the host knows both nodes when this returns.
+    /// Starts the gateway, and returns once the host knows both nodes.
     pub fn start() -> TestGateway {
         let recorder = Recorder::default();
         recorder.note(Event::Facts(facts()));
@@ -106,15 +106,15 @@
         let list = NodeList::start(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), recorder.clone()).unwrap();
         list.put(nodes.iter().map(Node::list_entry));
         let host = Host::start(host_settings(list.address)).unwrap();
-        let give_up_at = Instant::now() + TEST_TIMEOUT;
+        let timeout_at = Instant::now() + TEST_TIMEOUT;
         while host.status().is_none_or(|s| s.nodes.len() < 2) {
-            assert!(Instant::now() < give_up_at, "no node list");
+            assert!(Instant::now() < timeout_at, "no node list");
             std::thread::sleep(Duration::from_millis(2));
         }
         TestGateway { recorder, nodes, list, host, cutter: recording_proxy::Cutter::default() }
     }
 
-    /// Options for a client whose traffic goes through a recording proxy of its own.
+    /// Returns options for a client, and starts a recording proxy for its traffic.
     pub fn options(&self, protocol: Protocol, volume: &str) -> Options {
         let (proxy_protocol, host) = match protocol {
             Protocol::Iscsi => (recording_proxy::Protocol::Iscsi, self.host.address),
@@ -147,12 +147,12 @@
         }
     }
 
-    /// The seven invariants, judged on all that was recorded.
+    /// Checks the recorded events against the seven invariants.
     pub fn rules(&self) -> tackmast_invariants::Report {
         tackmast_invariants::judge(&self.recorded())
     }
 
-    /// All that was recorded, after every answer that is due has come.
+    /// Waits until every outstanding answer has arrived, and returns all recorded events.
     pub fn recorded(&self) -> Vec<tackmast_trace::Line> {
         // Longer than any deadline of the settings above.
         std::thread::sleep(Duration::from_millis(1200));
@@ -160,15 +160,15 @@
         self.recorder.take()
     }
 
-    /// Judges the recorded traffic by the invariants, and stops all processes.
+    /// Asserts that the recorded events keep the invariants, and stops the host, the list and the nodes.
     pub fn check_and_stop(self) {
         let rules = self.rules();
         assert!(rules.is_clean() && rules.rule(1).checked > 0, "{rules}");
         self.stop();
     }
 
-    /// Stops all processes without a judgement: for sessions that the proxy can't number, those of the public NBD protocol, and for
-    /// tests that judge by themselves.
+    /// Stops the host, the list and the nodes without a check of the invariants. Used where the proxy can't number the sessions, as
+    /// with the public NBD protocol, and by tests that check the invariants themselves.
     pub fn stop(self) {
         self.host.stop();
         self.list.stop();
@@ -176,7 +176,7 @@
     }
 }
 
-/// The settings above, as the invariants need them.
+/// Returns the settings of `host_settings` in the form that the invariants take.
 fn facts() -> Facts {
     let traffic_class = |name: &str, effect| TrafficClassFacts {
         name: name.into(),
--- a/crates/client/tests/histories.rs
+++ b/crates/client/tests/histories.rs
@@ -1,5 +1,5 @@
-//! Random histories of overlapping reads and writes over both protocols at once, checked against a model of registers, while nodes
-//! and connections fail; a host that ends with calls in flight; a host that drains under load.
+//! Random histories of overlapping reads and writes over both protocols at once, checked against a register model while nodes and
+//! connections fail; hosts that stop or drain with calls in flight.
 
 mod common;
 
@@ -11,18 +11,18 @@
 use tackmast_scenario::Registers;
 use tackmast_trace::now_us;
 
-/// Blocks that the histories use.
+/// Number of blocks that the histories use.
 const BLOCKS: u64 = 192;
 
-/// Held by the test that runs: two at a time on a busy machine would meet time-outs that no fault caused.
+/// Held by the running test. Two tests at a time on a busy machine would cause timeouts without any injected fault.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-/// How the calls of a history ended.
+/// Counts the outcomes of the calls of a history.
 #[derive(Debug, Default)]
 struct OutcomeCounts {
     done: u64,
     not_done: u64,
-    /// Of those not done, the writes that may have run.
+    /// Writes among `not_done` that may have run.
     unknown: u64,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Calls of one thread until `until`; every byte read must be one that some order of the writes allows.
+/// Makes random calls until `until`, and checks that some order of the overlapping writes allows every byte read.
 fn random_history(
     client: &Client,
     registers: &Mutex<Registers>,
@@ -81,8 +81,8 @@
     counts
 }
 
-/// Six clients, three over each protocol, read and write the same blocks while a node fails in six ways. Every read returns what
-/// some order of the overlapping writes allows.
+/// Six clients, three over each protocol, read and write the same blocks while a node fails in six ways. Every read must return
+/// data that some order of the overlapping writes allows.
 #[test]
 fn reads_return_what_some_order_of_the_writes_allows_over_both_protocols() {
     let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
@@ -120,15 +120,15 @@
     gateway.check_and_stop();
 }
 
-/// Every node stands still while twelve writes are in flight, and the host is asked to drain. It answers all of them before it
-/// ends, and nearly all are done.
+/// All nodes are paused with twelve writes in flight when the host begins to drain. The host must answer all of the writes before it
+/// ends, and at least eight must be done.
 #[test]
 fn host_that_drains_answers_every_write_in_flight() {
     let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     for protocol in [Protocol::Iscsi, Protocol::Nbd] {
         let gateway = TestGateway::start();
         let client = Client::open(gateway.options(protocol, "listening"), TEST_TIMEOUT).unwrap();
-        // Every node stands still, so that all writes are in flight when the host is asked to drain.
+        // All nodes are paused, so that all writes are in flight when the drain begins.
         gateway.nodes.iter().for_each(|node| node.set(&Fault::Pause(0.4)));
         let write = |index: u64| {
             let data = vec![index as u8 + 1; 4096].into();
@@ -150,10 +150,10 @@
     }
 }
 
-/// The host ends while a read and a write are in flight at silent nodes. Both calls are answered by their deadline, the write as
-/// failed.
+/// The host stops while a read and a write are in flight at nodes that do not answer. Both calls must be answered by their deadline,
+/// the write as failed.
 #[test]
-fn call_is_answered_by_its_deadline_when_its_host_ends() {
+fn calls_are_answered_by_their_deadline_when_their_host_stops() {
     let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     for protocol in [Protocol::Iscsi, Protocol::Nbd] {
         let gateway = TestGateway::start();
@@ -165,7 +165,7 @@
         let write = client.submit(Op::Write { offset: 4096, data: vec![1; 512].into() }, Some(deadline));
         std::thread::sleep(Duration::from_millis(100));
         gateway.host.stop();
-        assert_eq!(write.wait(), Outcome::Failed, "{protocol:?}: it was in flight when its host ended");
+        assert_eq!(write.wait(), Outcome::Failed, "{protocol:?}: it was in flight when its host stopped");
         assert!(!matches!(read.wait(), Outcome::Done(_)));
         assert!(started.elapsed() < deadline + Duration::from_millis(200), "{:?}", started.elapsed());
         gateway.list.stop();
--- a/crates/client/tests/resumed.rs
+++ b/crates/client/tests/resumed.rs
@@ -1,5 +1,5 @@
-//! Sessions that end with commands in flight, and answers that are lost after the effect: the library connects again, reports
-//! what it can't know as failed, and nothing is done twice.
+//! Sessions that end with commands in flight, and answers that are lost after the command took effect. The library must reconnect,
+//! report a write with an unknown effect as failed, and repeat no write.
 
 mod common;
 
@@ -8,11 +8,11 @@
 use tackmast_emulators::recording_proxy::CutPoint;
 use tackmast_trace::Event;
 
-/// What was recorded of the writes at one offset.
+/// Recorded events of the writes at one offset.
 struct WriteCounts {
-    /// Commands that the host received.
+    /// Number of commands that the host received.
     commands: usize,
-    /// Attempts that a node ran.
+    /// Number of attempts that a node ran.
     ran: usize,
 }
 
@@ -34,8 +34,9 @@
     counts
 }
 
-/// The connection is cut before a write reaches the host, and after the host has answered it, over both protocols. The write is
-/// reported as failed and is never sent again, the client connects again, and a read whose session ends is retried.
+/// Over both protocols the connection is cut while the host has a write unanswered, and when it has answered but the client has not
+/// received the answer. The write must be reported as failed and never be sent again. The client must reconnect, and must retry a
+/// read whose session ends.
 #[test]
 fn client_reconnects_and_repeats_no_write_when_its_session_is_cut() {
     let gateway = TestGateway::start();
@@ -52,12 +53,14 @@
                 Outcome::Failed,
                 "{name}: whether it ran is unknown"
             );
-            // The same client is served again. A write that was answered is there; the other one is there whole or not at all.
-            let Outcome::Done(found) = client.read(offset, 512) else { panic!("{name}: not resumed") };
+            // The same client is served again. A write that the host answered took effect; any other did wholly or not at all.
+            let Outcome::Done(found) = client.read(offset, 512) else {
+                panic!("{name}: not served after the reconnect")
+            };
             match cut {
                 CutPoint::BeforeAnswer => assert_eq!(found, vec![9; 512], "{name}"),
                 CutPoint::AfterRequest => {
-                    assert!(found == vec![9; 512] || found == vec![0; 512], "{name}: a mix")
+                    assert!(found == vec![9; 512] || found == vec![0; 512], "{name}: partly written")
                 }
             }
             assert_eq!(client.write(offset + 512, vec![8; 512]), Outcome::Done(vec![].into()), "{name}");
@@ -78,26 +81,26 @@
     gateway.stop();
 }
 
-/// One client keeps 400 reads open in 12 sessions, more than the nodes can answer in time; another reads one at a time on the same
-/// volume. The second is served nearly always.
+/// One client keeps 400 reads open over 12 sessions, more than the nodes can answer in time; another makes one read at a time on
+/// the same volume. At least 18 of the 20 reads of the second client must be done.
 #[test]
 fn client_with_few_calls_is_served_beside_one_with_hundreds() {
     let gateway = TestGateway::start();
     for protocol in [Protocol::Iscsi, Protocol::Nbd] {
-        // The nodes answer about 4,000 units a second.
+        // The nodes answer about 4,000 units per second.
         let busy = Client::open(
             tackmast_client::Options { sessions: 12, max_calls: 400, ..gateway.options(protocol, "museum") },
             TEST_TIMEOUT,
         )
         .unwrap();
-        let modest = Client::open(gateway.options(protocol, "museum"), TEST_TIMEOUT).unwrap();
+        let light = Client::open(gateway.options(protocol, "museum"), TEST_TIMEOUT).unwrap();
         let read = |index: u64| {
             busy.submit(tackmast_client::Op::Read { offset: index % 100 * 4096, length: 4096 }, None)
         };
         let mut open: std::collections::VecDeque<_> = (0..400).map(read).collect();
         let mut done = 0;
         for round in 0..20 {
-            done += usize::from(matches!(modest.read(round * 8192, 4096), Outcome::Done(_)));
+            done += usize::from(matches!(light.read(round * 8192, 4096), Outcome::Done(_)));
             for index in 0..100 {
                 if let Some(oldest) = open.pop_front() {
                     oldest.wait();
@@ -108,7 +111,7 @@
         open.into_iter().for_each(|call| _ = call.wait());
         assert!(done >= 18, "{protocol:?}: {done} of 20 done");
         busy.close();
-        modest.close();
+        light.close();
     }
     gateway.check_and_stop();
 }
--- a/crates/client/tests/suite.rs
+++ b/crates/client/tests/suite.rs
@@ -1,5 +1,5 @@
-//! One suite of cases, run through both transports against a host and emulated nodes with faults: the outcomes must be the same,
-//! line by line.
+//! Runs one suite of cases over both transports, against a host and emulated nodes with faults. The outcomes must be the same, line
+//! by line.
 
 mod common;
 
@@ -12,25 +12,25 @@
 
 /// A step of a case.
 enum Step {
-    /// First block, blocks, and the byte that each block is filled with, counted up.
+    /// Writes at a first block, for a number of blocks. The byte fills the first block, and each further block has the next value.
     Write(u64, u32, u8),
-    /// First block, blocks.
+    /// Reads from a first block, for a number of blocks.
     Read(u64, u32),
     Flush,
-    /// A read with this deadline, which must be answered by it.
+    /// Reads with a timeout, by which the read must be answered.
     Within(Duration, u64, u32),
-    /// A read that is cancelled at once.
+    /// Reads and cancels the read at once.
     Cancelled(u64, u32),
-    /// So many reads at a time.
+    /// Submits this number of reads at once.
     Many(u32),
-    /// A fault of a node.
+    /// Injects a fault into the node with this index.
     Fault(usize, Fault),
-    /// Nothing for so long.
+    /// Waits for this time.
     Wait(Duration),
 }
 use Step::*;
 
-/// The outcome as a line; what may differ between runs is left out.
+/// Formats an outcome as a line, without the parts that may differ between runs.
 fn outcome_line(outcome: &Outcome) -> String {
     match outcome {
         Outcome::Done(data) => {
@@ -40,13 +40,13 @@
         }
         Outcome::Rejected { .. } => "rejected".into(),
         Outcome::Failed => "failed".into(),
-        // The texts differ between the protocols; that the call was wrong and never ran does not.
+        // The reason is worded differently by each protocol, so only the kind of the outcome is compared.
         Outcome::InvalidRequest(_) => "invalid".into(),
     }
 }
 
-/// Runs the steps; a line for each that has an outcome.
-fn play(client: &Client, nodes: &[Node], steps: &[Step]) -> Vec<String> {
+/// Runs the steps, and returns a line for each step that has an outcome.
+fn run_steps(client: &Client, nodes: &[Node], steps: &[Step]) -> Vec<String> {
     let mut lines = Vec::new();
     for step in steps {
         match step {
@@ -81,7 +81,7 @@
                     client.submit(Op::Read { offset, length: 4096 }, None)
                 };
                 let all: Vec<_> = (0..*count).map(read).collect();
-                // How many are done in time depends on the machine; that each has its answer does not.
+                // The number of done reads depends on the machine, while the number of definite answers does not.
                 let answered = all.into_iter().map(|p| p.wait()).filter(|o| *o != Outcome::Failed).count();
                 lines.push(format!("many: {answered} of {count} answered"));
             }
@@ -92,19 +92,19 @@
     lines
 }
 
-/// Held by the test that runs: two at a time on a busy machine would meet time-outs that no fault caused.
+/// Held by the running test. Two tests at a time on a busy machine would cause timeouts without any injected fault.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// Steps on a volume.
+/// Steps on a volume, with their expected outcomes.
 struct Case {
     name: &'static str,
     volume: &'static str,
     steps: Vec<Step>,
-    /// Beginnings of lines that must be among the outcomes.
+    /// Texts that must each be part of some outcome line.
     expected: Vec<&'static str>,
 }
 
@@ -112,7 +112,7 @@
     Case { name, volume, steps, expected }
 }
 
-/// Every kind of call, with and without faults.
+/// Returns the cases, which cover every kind of call with and without faults.
 fn cases() -> Vec<Case> {
     use tackmast_emulators::node::Fault as F;
     vec![
@@ -201,17 +201,17 @@
     ]
 }
 
-/// Every kind of call is made over both protocols, at nodes that fail, restart, stand still and reset answers. The outcomes
-/// are the same line by line, and a transport that changed one would be seen.
+/// Every kind of call is made over both protocols, at nodes that fail, restart, pause and reset answers. The outcomes must be the
+/// same line by line, and the comparison must detect a transport that changes an outcome.
 #[test]
 fn both_transports_give_the_same_answers() {
     let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     let gateway = TestGateway::start();
-    let play_all = |protocol: Protocol| -> Vec<String> {
+    let run_cases = |protocol: Protocol| -> Vec<String> {
         let mut lines = Vec::new();
         for Case { name, volume, steps, expected } in cases() {
             let client = Client::open(gateway.options(protocol, volume), TEST_TIMEOUT).unwrap();
-            let found = play(&client, &gateway.nodes, &steps);
+            let found = run_steps(&client, &gateway.nodes, &steps);
             for text in expected {
                 assert!(
                     found.iter().any(|l| l.contains(text)),
@@ -223,21 +223,21 @@
         }
         lines
     };
-    let (iscsi, nbd) = (play_all(Protocol::Iscsi), play_all(Protocol::Nbd));
+    let (iscsi, nbd) = (run_cases(Protocol::Iscsi), run_cases(Protocol::Nbd));
     for (iscsi_line, nbd_line) in iscsi.iter().zip(&nbd) {
         assert_eq!(iscsi_line, nbd_line);
     }
     assert_eq!(iscsi.len(), nbd.len());
-    // A transport that changes one answer must not pass.
-    let skewed: Vec<String> = nbd.iter().map(|l| l.replace("failed", "rejected")).collect();
-    assert_ne!(iscsi, skewed, "the suite does not see the difference");
+    // The comparison must detect a transport that changes an answer.
+    let altered: Vec<String> = nbd.iter().map(|l| l.replace("failed", "rejected")).collect();
+    assert_ne!(iscsi, altered, "the comparison does not detect the difference");
     gateway.check_and_stop();
 }
 
-/// Libraries of four ages write and read, and then write to a shard that no node serves. Each reports a rejection only where its
-/// protocol can tell it from a failed request.
+/// Clients with four protocol levels write and read, and then write to a shard that no node serves. Each must report a rejection only
+/// where its protocol distinguishes it from a failed request.
 #[test]
-fn libraries_of_all_ages_report_a_rejection_only_where_their_protocol_shows_it() {
+fn each_protocol_level_reports_a_rejection_only_where_the_protocol_shows_it() {
     let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     let gateway = TestGateway::start();
     for protocol in [Protocol::Iscsi, Protocol::Nbd] {
@@ -257,7 +257,7 @@
             gateway.nodes[0].set(&Fault::Restart(1.3));
             std::thread::sleep(ms(50));
             let found = client.write(0, vec![1; 512]);
-            // Without deadlines of commands an attempt may be in flight at the call's deadline.
+            // Without a deadline in each command, an attempt may be in flight at the deadline of the call.
             let shows_rejection = match protocol {
                 Protocol::Iscsi => protocol_level != ProtocolLevel::Public,
                 Protocol::Nbd => matches!(protocol_level, ProtocolLevel::Newest | ProtocolLevel::Version(2)),
@@ -273,7 +273,7 @@
     gateway.stop();
 }
 
-/// A client opens a volume that does not exist, and one at an address where no gateway listens. Both errors name the reason.
+/// A client opens a volume that does not exist, and one at an address where no gateway listens. Both errors must name the reason.
 #[test]
 fn opening_fails_with_the_reason() {
     let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
