--- a/crates/overrides/src/lib.rs
+++ b/crates/overrides/src/lib.rs
@@ -27,7 +27,7 @@
 pub use audit::{Audit, AuditKind, Ended};
 pub use explanation::Explanation;
 pub use overrides::{ClockStep, Effective, Overrides, Settings};
-pub use precedence::{Applies, NodeFacts, OverrideEffect, Rank, Service, Superseded};
+pub use precedence::{ApplyingOverrides, NodeFacts, OverrideEffect, Rank, Service, Superseded};
 pub use record::{Kind, Origin, Override, OverrideId, OverrideRequest};
 pub use refusal::{Preview, Refusal};
 pub use target::{Target, TargetError};
--- a/crates/overrides/src/overrides/explain.rs
+++ b/crates/overrides/src/overrides/explain.rs
@@ -2,7 +2,7 @@
 
 use super::{Effective, Overrides};
 use crate::explanation::Explanation;
-use crate::precedence::{effect_on, superseded, Applies, NodeFacts, Superseded};
+use crate::precedence::{effect_on, superseded, ApplyingOverrides, NodeFacts, Superseded};
 use crate::record::{Override, OverrideId};
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, NodeState};
@@ -14,7 +14,7 @@
         let unlisted = NodeFacts { address, zone: u32::MAX, shard: u32::MAX, listed: NodeState::Gone };
         let listed_node = self.nodes.get(&address);
         let node = listed_node.copied().unwrap_or(unlisted);
-        let (effect, Applies { service, weight }) = effect_on(&self.index, &self.all, &node);
+        let (effect, ApplyingOverrides { service, weight }) = effect_on(&self.index, &self.all, &node);
         let with_record = |loser: Superseded| Some((self.all.get(&loser.id)?.clone(), loser));
         let returning = self.recovery_ramps.get(&address).map(|ramp| {
             let wait_secs = (ramp.starts - now).secs().max(0.0);
--- a/crates/overrides/src/precedence.rs
+++ b/crates/overrides/src/precedence.rs
@@ -88,7 +88,7 @@
 
 /// The overrides that make an effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Applies {
+pub struct ApplyingOverrides {
     /// The one that decides on service.
     pub service: Option<OverrideId>,
     /// The one that decides on the weight.
@@ -175,8 +175,8 @@
     index: &TargetIndex,
     all: &BTreeMap<OverrideId, Override>,
     node: &NodeFacts,
-) -> (OverrideEffect, Applies) {
-    let (mut effect, mut applies) = (OverrideEffect::NONE, Applies::default());
+) -> (OverrideEffect, ApplyingOverrides) {
+    let (mut effect, mut applies) = (OverrideEffect::NONE, ApplyingOverrides::default());
     for id in index.naming(node) {
         match all.get(&id).map(|record| record.kind) {
             Some(Kind::Weight(weight)) if applies.weight.is_none() => {
