--- a/crates/overrides/src/audit.rs
+++ b/crates/overrides/src/audit.rs
@@ -1,43 +1,43 @@
-//! The audit log of overrides.
+//! The records of the audit log, which tells who changed overrides, when and why.
 
 use crate::record::{Override, OverrideId};
 use serde::{Deserialize, Serialize};
 
-/// What an audit record is about.
+/// The event that an audit record describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AuditKind {
     /// An override was set.
     Set,
-    /// An override was cleared by somebody.
+    /// An override was cleared before its end.
     Cleared,
-    /// An override came to its end.
+    /// An override reached its end.
     Ended,
-    /// Its end came while the host was not running.
+    /// An override reached its end while the host was not running.
     EndedAway,
-    /// The wall clock was stepped.
+    /// The wall clock of the host was stepped.
     ClockStepped,
-    /// An operator forced something past consensus.
+    /// An operator forced a change without consensus.
     Forced,
 }
 
 /// A record of the audit log, which survives restarts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Audit {
-    /// When, in Unix time in microseconds.
+    /// The Unix time of the event in microseconds.
     pub at_us: u64,
-    /// What it is about.
+    /// The kind of event.
     pub kind: AuditKind,
-    /// The override, where it is about one.
+    /// The override that the event is about; none if it is about no single override.
     pub id: Option<OverrideId>,
-    /// Who did it; empty: nobody.
+    /// The person who caused the event; empty if nobody did.
     pub who: String,
-    /// What happened, for people.
+    /// A description for people.
     pub what: String,
 }
 
 impl Audit {
-    /// An override was set, perhaps by force.
+    /// Returns the record of an override that was set; `forced` tells whether a refusal was overridden.
     pub fn set(record: &Override, forced: bool) -> Audit {
         let mut audit = Audit::of(record.set_us, AuditKind::Set, record, &record.who);
         if forced {
@@ -46,11 +46,12 @@
         audit
     }
 
-    /// An override was cleared by `who`.
+    /// Returns the record of an override that was cleared by `who`.
     pub fn cleared(at_us: u64, record: &Override, who: &str) -> Audit {
         Audit::of(at_us, AuditKind::Cleared, record, who)
     }
 
+    /// Returns a record that describes an override. `at_us` is the Unix time in microseconds.
     pub(crate) fn of(at_us: u64, kind: AuditKind, record: &Override, who: &str) -> Audit {
         let Override { id, target, kind: override_kind, reason, who: set_by, .. } = record;
         let what = format!("{target} {override_kind}: {reason} (set by {set_by})");
@@ -58,11 +59,11 @@
     }
 }
 
-/// An override that has come to its end.
+/// An override that has reached its end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ended {
-    /// The override.
+    /// The override, which is no longer active.
     pub record: Override,
-    /// What the audit log gets.
+    /// The record for the audit log.
     pub audit: Audit,
 }
--- a/crates/overrides/src/explanation.rs
+++ b/crates/overrides/src/explanation.rs
@@ -1,41 +1,41 @@
-//! Why a node is given what it is given.
+//! The explanation of a node's state and weight.
 
 use crate::precedence::{OverrideEffect, Superseded};
 use crate::record::{Override, OverrideId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Why a node is given what it is given.
+/// Why a node has its state and weight: the overrides that name it, and what the scheduler gives it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// The node.
+    /// The address of the node.
     pub address: SocketAddr,
-    /// Its state in the endpoint list, or `no`.
+    /// The node's state in the endpoint list; `no` if it is not listed.
     pub listed: String,
-    /// The effect of the overrides on it.
+    /// The effect of the overrides on the node.
     pub standing: OverrideEffect,
-    /// The override that decides on its service.
+    /// The override that determines whether the node is in service; none if no override does.
     pub service_by: Option<Override>,
-    /// The override that decides on its weight.
+    /// The override that determines the node's weight; none if no override does.
     pub weight_by: Option<Override>,
-    /// Seconds until the one that decides on its service ends.
+    /// The seconds until the override in `service_by` ends.
     pub service_left_s: Option<f64>,
-    /// Seconds until the one that decides on its weight ends.
+    /// The seconds until the override in `weight_by` ends.
     pub weight_left_s: Option<f64>,
-    /// Overrides that name it and do not apply.
+    /// The overrides that name the node and do not apply, each with the reason.
     pub beaten: Vec<(Override, Superseded)>,
-    /// On its recovery ramp: seconds until it begins, and its share now.
+    /// The seconds until the node's recovery ramp begins and its share of the load now, from 0 to 1; none if it is on no ramp.
     pub returning: Option<(f64, f64)>,
-    /// What the scheduler gives it, in words.
+    /// What the scheduler gives the node, as a text for people.
     pub given: String,
-    /// Seconds since the node's latest start, where its host knows of one.
+    /// The seconds since the node's latest start; none if the host knows of no start.
     #[serde(default)]
     pub up_s: Option<f64>,
 }
 
 impl Explanation {
-    /// The applying overrides that were set before the node's latest start: it restarted under them, or another node has
-    /// its address now.
+    /// Returns the applying overrides that were set before the node's latest start: the node has restarted since, or another node
+    /// has its address now.
     pub fn restarted_under(&self) -> Vec<OverrideId> {
         let Some(up_s) = self.up_s else { return Vec::new() };
         let both = [(&self.service_by, self.service_left_s), (&self.weight_by, self.weight_left_s)];
--- a/crates/overrides/src/lib.rs
+++ b/crates/overrides/src/lib.rs
@@ -1,15 +1,15 @@
-//! Operators' overrides of nodes: a weight, out of service, or pinned in service, each with an end. This package decides which
-//! override applies to a node, which is refused, when each ends, and how nodes come back. It does no I/O and reads no clock.
-//! docs/overrides.md has the table of precedence and the reasons.
+//! Operators' overrides of nodes: an override sets a node's weight, takes it out of service or pins it in service, for a limited
+//! time. This package decides which override applies to a node, which one is refused, when each ends, and how a node gets its
+//! load again. It does no I/O and reads no clock. docs/overrides.md has the table of precedence and the reasons.
 //!
 //! | file | job |
 //! | --- | --- |
-//! | `record`, `target` | overrides as operators ask for them and as they are stored; the nodes that they name |
+//! | `record`, `target` | overrides as requested and as stored; the nodes that they name |
 //! | `precedence` | which of several overrides of a node applies |
-//! | `overrides` | the overrides of one host: proposed, set, cleared, ended, explained |
-//! | `refusal`, `audit`, `explanation` | why an override is refused; the audit log; why a node is given what it is given |
-//! | `recovery_ramp` | how nodes are given load again |
-//! | `timing_wheel` | timers of many overrides |
+//! | `overrides` | all overrides of one host: checks, sets, clears, ends and explains them |
+//! | `refusal`, `audit`, `explanation` | why an override is refused; the audit log; why a node has its state and weight |
+//! | `recovery_ramp` | the stepwise return of load to nodes whose override has ended |
+//! | `timing_wheel` | the timers that end overrides |
 
 #![warn(missing_docs, unreachable_pub)]
 
@@ -21,7 +21,7 @@
 mod recovery_ramp;
 mod refusal;
 mod target;
-/// Timers of many overrides.
+/// The timers that end overrides.
 pub mod timing_wheel;
 
 pub use audit::{Audit, AuditKind, Ended};
--- a/crates/overrides/src/overrides.rs
+++ b/crates/overrides/src/overrides.rs
@@ -1,4 +1,4 @@
-//! The overrides of one host: setting, clearing and ending them, and what follows for each node.
+//! The overrides of one host: sets, clears and ends them, and computes each node's state and weight.
 
 mod explain;
 mod proposal;
@@ -14,79 +14,81 @@
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, NodeState, TimeDelta};
 
-/// In microseconds: a smaller difference between the wall clock and the steady clock is no step of the wall clock.
+/// The smallest change of the offset between the wall clock and the steady clock that counts as a step of the wall clock, in
+/// microseconds.
 const MIN_CLOCK_STEP_US: i64 = 1_000_000;
-/// The latest changes that are remembered, for the refusal of a request that was made on an older version.
+/// The number of recent changes that are kept, to be named when a request based on an older version is refused.
 const MAX_RECENT_CHANGES: usize = 64;
 
 /// Bounds on the overrides of a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Overrides that may be active at a time.
+    /// The number of overrides that may be active at a time.
     pub max_overrides: usize,
-    /// Fraction of a zone's nodes that may be out of service without force.
+    /// The fraction of a zone's nodes that may be out of service without force, from 0 to 1.
     pub max_zone_fraction: f64,
 }
 
-/// What the scheduler is to know of a node.
+/// A node's state for the scheduler, after all overrides and its recovery ramp.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Effective {
-    /// Ready, or draining where the list or an override says so.
+    /// The state in the endpoint list; draining if the node is listed as ready and an override keeps it out of service, or it
+    /// waits for its recovery ramp.
     pub state: NodeState,
-    /// Fraction of what the node would be given otherwise.
+    /// The fraction of its usual load that the node is given, from 0 to 1.
     pub weight: f64,
-    /// In service whatever its health.
+    /// Whether the node stays in service even if it is unhealthy.
     pub pinned: bool,
 }
 
-/// A step of the wall clock, by which the ends of all overrides move in wall time.
+/// A step of the wall clock. It moves the ends of all overrides in wall time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClockStep {
-    /// The overrides with their new times, to be persisted again.
+    /// All active overrides with their new times; they have to be persisted again.
     pub records: Vec<Override>,
-    /// What the audit log gets.
+    /// The record for the audit log.
     pub audit: Audit,
-    /// How far the clock moved, forwards if positive.
+    /// The distance that the clock moved; positive if forwards.
     pub moved_by: TimeDelta,
 }
 
-/// The overrides of one host, and what follows from them for each node.
+/// All overrides of one host, and the state and weight that each node has under them.
 pub struct Overrides {
     settings: Settings,
     all: BTreeMap<OverrideId, Override>,
     index: TargetIndex,
     ends: TimingWheel<OverrideId>,
     ends_at: HashMap<OverrideId, (Instant, Handle)>,
-    /// The next number of an override.
+    /// The number of the next override.
     next: u64,
     version: u64,
-    /// The latest changes, by version.
+    /// The latest changes and the version that each made, oldest first.
     recent_changes: VecDeque<(u64, String)>,
     nodes: BTreeMap<SocketAddr, NodeFacts>,
-    /// Nodes that are out of service.
+    /// Nodes that an override takes out of service.
     out: BTreeSet<SocketAddr>,
     recovery_ramps: RecoveryRamps,
-    /// What was polled last for each node.
+    /// The state of each node that `poll_changed` returned last.
     last_polled: BTreeMap<SocketAddr, Effective>,
-    /// Nodes for which something may have changed since the last poll.
+    /// Nodes whose state may have changed since the last poll.
     dirty: BTreeSet<SocketAddr>,
-    /// Wall time less steady time, as last seen, in microseconds.
+    /// Wall time minus steady time when it was last measured, in microseconds.
     offset_us: i64,
 }
 
-/// Microseconds since the start of the steady clock.
+/// Converts a time to microseconds since the start of the steady clock.
 fn micros(at: Instant) -> i64 {
     (at.secs() * 1e6).round() as i64
 }
 
-/// Microseconds that a stored override has left. If the wall clock was set back while the host was down, the override would last
-/// longer than its operator asked for; so it never has more left than its whole duration.
+/// Returns the remaining time of a stored override, in microseconds. It is at most the override's whole duration: if the wall
+/// clock was set back while the host was down, the override would otherwise last longer than its operator asked for.
 fn remaining_us(record: &Override, wall_us: u64) -> u64 {
     let duration_us = record.ends_us.saturating_sub(record.set_us);
     record.ends_us.saturating_sub(wall_us).min(duration_us)
 }
 
-/// Whether a target names a listed node.
+/// Returns whether a target names a listed node.
 fn names(target: &Target, node: &NodeFacts) -> bool {
     match target {
         Target::Node(address) => *address == node.address,
@@ -97,7 +99,8 @@
 }
 
 impl Overrides {
-    /// `records` are the overrides that an earlier generation acknowledged. Those that ended meanwhile are returned and not active.
+    /// Starts with the overrides that an earlier generation of the host acknowledged, in `records`. `next` is the lowest number of a
+    /// new override. Overrides whose end has passed meanwhile are returned and do not become active.
     pub fn new(
         now: Instant,
         wall_us: u64,
@@ -112,8 +115,8 @@
             ends: TimingWheel::new(now),
             ends_at: HashMap::new(),
             next: next.max(1),
-            // If a version of an earlier generation came up again, a request that was made on that old version would pass for one
-            // made on the present version. The wall clock in milliseconds is ahead of all earlier versions.
+            // If a version of an earlier generation were used again, a request based on that old version would be taken for one
+            // based on the current version. The wall clock in milliseconds is ahead of all earlier versions.
             version: wall_us / 1000,
             recent_changes: VecDeque::new(),
             nodes: BTreeMap::new(),
@@ -137,34 +140,34 @@
         (overrides, ended)
     }
 
-    /// Grows with each change.
+    /// Returns the version of the overrides; each change increments it.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Active overrides.
+    /// Returns the number of active overrides.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// Whether no override is active.
+    /// Returns whether no override is active.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// All active overrides, each with the seconds that it has left.
+    /// Returns all active overrides by number, each with its remaining time in seconds.
     pub fn list(&self, now: Instant) -> Vec<(Override, f64)> {
         let secs_left =
             |id: &OverrideId| self.ends_at.get(id).map_or(0.0, |(ends, _)| (*ends - now).secs().max(0.0));
         self.all.iter().map(|(id, record)| (record.clone(), secs_left(id))).collect()
     }
 
-    /// The override with this number, if it is active.
+    /// Returns the override with this number, if it is active.
     pub fn get(&self, id: OverrideId) -> Option<&Override> {
         self.all.get(&id)
     }
 
-    /// Nodes on their recovery ramp, and the bound in seconds on how long that may take.
+    /// Returns the number of nodes on a recovery ramp, and the upper bound on the time until all ramps are complete, in seconds.
     pub fn returning(&self) -> (usize, f64) {
         (self.recovery_ramps.len(), MAX_STAGGER.secs() + RAMP_DURATION.secs())
     }
@@ -193,12 +196,12 @@
         }
     }
 
-    /// The listed nodes that a target names.
+    /// Returns the listed nodes that a target names.
     fn named(&self, target: &Target) -> Vec<SocketAddr> {
         self.nodes.values().filter(|node| names(target, node)).map(|node| node.address).collect()
     }
 
-    /// Entries of the endpoint list.
+    /// Takes over changed entries of the endpoint list.
     pub fn handle_endpoint_list(&mut self, now: Instant, nodes: impl IntoIterator<Item = NodeFacts>) {
         let mut changed = Vec::new();
         for node in nodes {
@@ -208,7 +211,7 @@
         self.reevaluate(now, &changed);
     }
 
-    /// Evaluates again which overrides apply to these nodes, and begins the ramps of those that are back in service.
+    /// Determines again which overrides apply to these nodes, and starts recovery ramps for those that are back in service.
     fn reevaluate(&mut self, now: Instant, addresses: &[SocketAddr]) {
         let mut recovering = Vec::new();
         for address in addresses {
@@ -227,14 +230,14 @@
         }
     }
 
-    /// What the scheduler is to know of a node now; none: the node is not listed.
+    /// Returns a node's state for the scheduler at `now`, or `None` if the node is not listed.
     pub fn effective(&self, now: Instant, address: &SocketAddr) -> Option<Effective> {
         let node = self.nodes.get(address)?;
         let (effect, _) = effect_on(&self.index, &self.all, node);
         let ramp_share = self.recovery_ramps.get(address).map(|ramp| ramp.share(now));
         let waits_for_ramp = ramp_share == Some(None);
         let is_out = effect.service == Service::Out || waits_for_ramp;
-        // The endpoint list goes before every override: an override only keeps a ready node out.
+        // The endpoint list takes precedence over every override: an override can only take a ready node out of service.
         let is_kept_out = node.listed == NodeState::Ready && is_out;
         Some(Effective {
             state: if is_kept_out { NodeState::Draining } else { node.listed },
@@ -243,7 +246,7 @@
         })
     }
 
-    /// Nodes whose effective state, weight or pin differs from the last poll.
+    /// Returns the nodes whose effective state, weight or pin has changed since the last poll.
     pub fn poll_changed(&mut self, now: Instant) -> Vec<(SocketAddr, Effective)> {
         let dirty = std::mem::take(&mut self.dirty);
         let mut changed = Vec::new();
@@ -256,13 +259,13 @@
         changed
     }
 
-    /// Reserves a number that no other override gets, though this one may never become active.
+    /// Reserves a number for an override that may never become active. No other override gets the same number.
     pub fn reserve(&mut self) -> OverrideId {
         self.next += 1;
         OverrideId(self.next - 1)
     }
 
-    /// An override was persisted: it is active from now on.
+    /// Activates an override that has been persisted.
     pub fn put(&mut self, now: Instant, record: Override) {
         let left_us = (record.ends_us as i64 - self.offset_us - micros(now)).max(0);
         self.next = self.next.max(record.id.0 + 1);
@@ -272,7 +275,7 @@
         self.reevaluate(now, &self.named(&target));
     }
 
-    /// The clearing of an override was persisted: it is not active from now on.
+    /// Deactivates an override whose removal has been persisted. `who` is the person who cleared it.
     pub fn clear(&mut self, now: Instant, id: OverrideId, who: &str) -> Result<(), Refusal> {
         let record = self.remove(id).ok_or(Refusal::Unknown { id })?;
         self.bump_version(format!("{who} cleared {} {}", record.target, record.kind));
@@ -280,7 +283,8 @@
         Ok(())
     }
 
-    /// Ends the overrides whose time has come, and moves nodes on along their recovery ramps.
+    /// Ends the overrides that are due and advances the recovery ramps. `wall_us` is the Unix time in microseconds, for the audit
+    /// log. Returns the overrides that ended.
     pub fn handle_timeout(&mut self, now: Instant, wall_us: u64) -> Vec<Ended> {
         let mut ended = Vec::new();
         let mut nodes = BTreeSet::new();
@@ -291,20 +295,21 @@
             let audit = Audit::of(wall_us, AuditKind::Ended, &record, "");
             ended.push(Ended { record, audit });
         }
-        // Overrides that end at one moment are evaluated together: one by one, each ramp would begin at once, and all their nodes
-        // would be given load at the same time.
+        // Overrides that end at the same time are evaluated together. One by one, each ramp would begin at once, and all their
+        // nodes would get load at the same time.
         self.reevaluate(now, &nodes.into_iter().collect::<Vec<_>>());
         self.dirty.extend(self.recovery_ramps.handle_timeout(now));
         ended
     }
 
-    /// When `handle_timeout` is due next.
+    /// Returns when `handle_timeout` has to be called next, or `None` if nothing is scheduled.
     pub fn poll_timeout(&self, now: Instant) -> Option<Instant> {
         [self.ends.next(), self.recovery_ramps.poll_timeout(now)].into_iter().flatten().min()
     }
 
-    /// Compares the wall clock with the steady one. After a step of the wall clock overrides keep their running time; the records
-    /// with their new ends in wall time have to be persisted again, for a later generation.
+    /// Compares the wall clock, in microseconds of Unix time, with the steady clock. Returns a step of the wall clock if there was
+    /// one. Overrides keep their running time across a step; so the records with their new ends in wall time have to be persisted
+    /// again, for a later generation of the host.
     pub fn handle_wall_clock(&mut self, now: Instant, wall_us: u64) -> Option<ClockStep> {
         let offset = wall_us as i64 - micros(now);
         let step = offset - self.offset_us;
@@ -313,7 +318,7 @@
         }
         self.offset_us = offset;
         for record in self.all.values_mut() {
-            // Both times move, so that the duration stays as it was set.
+            // Both times move, so that the duration stays the same.
             record.ends_us = (record.ends_us as i64 + step).max(0) as u64;
             record.set_us = (record.set_us as i64 + step).max(0) as u64;
         }
--- a/crates/overrides/src/overrides/explain.rs
+++ b/crates/overrides/src/overrides/explain.rs
@@ -1,4 +1,4 @@
-//! Explains to an operator why a node is given what it is given.
+//! Explains to an operator why a node has its state and weight.
 
 use super::{Effective, Overrides};
 use crate::explanation::Explanation;
@@ -8,9 +8,9 @@
 use tackmast::interface::{Instant, NodeState};
 
 impl Overrides {
-    /// Why a node is given what it is given.
+    /// Explains why a node has its state and weight at `now`. The node does not have to be listed.
     pub fn explain(&self, now: Instant, address: SocketAddr) -> Explanation {
-        // A node that is not listed is named by overrides of its address only.
+        // Only overrides of its address or a prefix can name a node that is not listed: its zone and shard are unknown.
         let unlisted = NodeFacts { address, zone: u32::MAX, shard: u32::MAX, listed: NodeState::Gone };
         let listed_node = self.nodes.get(&address);
         let node = listed_node.copied().unwrap_or(unlisted);
@@ -44,7 +44,7 @@
     }
 }
 
-/// The state of a node in the endpoint list, in words.
+/// Returns the name of a node's state in the endpoint list.
 fn listed_text(state: NodeState) -> &'static str {
     match state {
         NodeState::Ready => "ready",
@@ -53,7 +53,7 @@
     }
 }
 
-/// What the scheduler gives a node, in words. `effective` is none for a node that is not listed.
+/// Describes what the scheduler gives a node. `effective` is `None` for a node that is not listed.
 fn given_text(listed: NodeState, effective: Option<Effective>) -> String {
     let Some(Effective { state, weight, pinned }) = effective else {
         return "nothing: the node is not listed".to_owned();
--- a/crates/overrides/src/overrides/proposal.rs
+++ b/crates/overrides/src/overrides/proposal.rs
@@ -1,4 +1,5 @@
-//! Checks a requested override before it is persisted: its values, conflicts with other changes, and what must stay in service.
+//! Checks a requested override before it is persisted: its values, conflicts with other changes, and the nodes that must stay in
+//! service.
 
 use super::Overrides;
 use crate::precedence::{effect_on, NodeFacts, OverrideEffect, Service};
@@ -8,19 +9,20 @@
 use std::net::SocketAddr;
 use tackmast::interface::NodeState;
 
-/// The longest duration of an override, in seconds: nobody would remember why an older one was set.
+/// The maximum duration of an override, in seconds: nobody would remember why an older one was set.
 const MAX_DURATION_S: f64 = 366.0 * 86_400.0;
-/// The shortest duration of an override, in seconds.
+/// The minimum duration of an override, in seconds.
 const MIN_DURATION_S: f64 = 0.1;
-/// The longest reason, and the longest name of who sets an override, in characters.
+/// The maximum length of the reason and of the operator's name, in characters.
 const MAX_TEXT_CHARS: usize = 200;
 
 /// The effect of the overrides on each node.
 type Effects = BTreeMap<SocketAddr, OverrideEffect>;
 
 impl Overrides {
-    /// Checks a requested override: the record that it would be, and what it would do. Nothing is changed. With `force` it may take
-    /// the last node of a shard, or too much of a zone, out of service.
+    /// Checks a requested override and returns the record that would be stored and a preview of its effects. It does not become
+    /// active. With `force` it may take the last node of a shard, or too much of a zone, out of service. With `if_version` it is
+    /// refused if the overrides have another version now. `wall_us` is the Unix time in microseconds.
     pub fn propose(
         &mut self,
         wall_us: u64,
@@ -62,12 +64,12 @@
         Ok((new, Preview { version: self.version, changes, named, forced_past }))
     }
 
-    /// The effect of the overrides on each node.
+    /// Returns the effect of the overrides on each node.
     fn effects(&self) -> Effects {
         self.nodes.values().map(|node| (node.address, effect_on(&self.index, &self.all, node).0)).collect()
     }
 
-    /// The effect on each node with one more override.
+    /// Returns the effect on each node if `new` were active too.
     fn effects_with(&mut self, new: &Override) -> Effects {
         self.index.add(new);
         self.all.insert(new.id, new.clone());
@@ -83,22 +85,22 @@
     }
 }
 
-/// What protects nodes from being taken out of service by accident.
+/// The limits that keep an operator from taking too many nodes out of service by accident.
 struct Protection<'a> {
-    /// The nodes that the endpoint list shows as ready.
+    /// The nodes that are ready in the endpoint list.
     ready: Vec<&'a NodeFacts>,
-    /// The fraction of a zone's ready nodes that may be out of service.
+    /// The fraction of a zone's ready nodes that may be out of service, from 0 to 1.
     max_zone_fraction: f64,
 }
 
 impl Protection<'_> {
-    /// Why a change of the effects on nodes is refused without force, if it is.
+    /// Returns why a change of the effects on nodes is refused without force, or `None` if it is not.
     fn check(&self, before: &Effects, after: &Effects) -> Option<Refusal> {
         self.check_shards(before, after).or_else(|| self.check_zones(before, after))
     }
 
-    /// A shard whose last node is taken out of service can't be read or written any more. A shard that had no node in service before
-    /// is not in the way of other changes.
+    /// Refuses a change that takes the last node of a shard out of service: the shard could not be read or written any more. A shard
+    /// that had no node in service before does not block other changes.
     fn check_shards(&self, before: &Effects, after: &Effects) -> Option<Refusal> {
         let shards: BTreeSet<u32> = self.ready.iter().map(|node| node.shard).collect();
         for shard in shards {
@@ -114,7 +116,8 @@
         None
     }
 
-    /// The rest of a zone must bear the load of what is out of service. A change that takes nothing more of the zone out is allowed.
+    /// Refuses a change that takes more than the allowed fraction of a zone out of service: the rest of the zone has to bear the load
+    /// of these nodes. A change that takes no further nodes of the zone out is allowed.
     fn check_zones(&self, before: &Effects, after: &Effects) -> Option<Refusal> {
         let zones: BTreeSet<u32> = self.ready.iter().map(|node| node.zone).collect();
         for zone in zones {
@@ -134,7 +137,7 @@
     effects[&node.address].service != Service::Out
 }
 
-/// Checks the values of a requested override by themselves.
+/// Checks the values of a requested override, independently of other overrides.
 fn check_values(request: &OverrideRequest) -> Result<(), Refusal> {
     let refuse = |what: &str, found: String, expected: &str| {
         Err(Refusal::Value { what: what.into(), found, expected: expected.into() })
--- a/crates/overrides/src/record.rs
+++ b/crates/overrides/src/record.rs
@@ -1,22 +1,22 @@
-//! An override as operators ask for it, and as it is stored.
+//! An override as operators request it, and as it is stored.
 
 use crate::target::Target;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The number of an override. Later ones have higher numbers; a number is never given twice.
+/// The number of an override at one host. Later overrides have higher numbers; a number is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OverrideId(pub u64);
 
-/// What an override does to a node.
+/// What an override does to the nodes that it names.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Fraction of what the node would be given otherwise, above 0 and up to 1.
+    /// The node is given this fraction of its usual load, above 0 and up to 1.
     Weight(f64),
-    /// It is given nothing new.
+    /// The node is given no new requests.
     OutOfService,
-    /// Kept in service whatever its health; the endpoint list, slow start and the rules still hold.
+    /// The node stays in service even if it is unhealthy; the endpoint list, slow start and the rules still apply.
     Pinned,
 }
 
@@ -30,57 +30,57 @@
     }
 }
 
-/// An override that an operator asks for. It becomes an [`Override`] once it is checked and persisted.
+/// An override that an operator requests. It becomes an [`Override`] once it is checked and persisted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OverrideRequest {
-    /// The nodes.
+    /// The nodes that it names.
     pub target: Target,
-    /// What to do.
+    /// What it does to them.
     pub kind: Kind,
-    /// Why, for people.
+    /// The operator's reason, for people.
     pub reason: String,
-    /// Who asks for it.
+    /// The name of the operator.
     pub who: String,
-    /// For how long.
+    /// The duration in seconds.
     pub seconds: f64,
-    /// Where it was set, if at another host.
+    /// Where the override was set, if at another host.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub origin: Option<Origin>,
 }
 
-/// An active override. Times are Unix time in microseconds, for people and for restarts; while the host runs, the end
-/// follows its own steady clock.
+/// An active override. Its times are Unix times in microseconds, for people and for restarts; while the host runs, the override
+/// ends by the host's steady clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Override {
-    /// Its number.
+    /// Its number at this host.
     pub id: OverrideId,
-    /// The nodes.
+    /// The nodes that it names.
     pub target: Target,
-    /// What it does.
+    /// What it does to them.
     pub kind: Kind,
-    /// Why, for people.
+    /// The operator's reason, for people.
     pub reason: String,
-    /// Who set it.
+    /// The name of the operator who set it.
     pub who: String,
-    /// When it was set.
+    /// The time at which it was set.
     pub set_us: u64,
-    /// When it ends.
+    /// The time at which it ends.
     pub ends_us: u64,
-    /// Where it was set, where hosts replicate their overrides.
+    /// Where the override was set; none if hosts do not replicate their overrides.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub origin: Option<Origin>,
 }
 
-/// The name of an override among all hosts: the host and generation where it was set, and its number there.
+/// The identity of an override among all hosts: the host and its generation where it was set, and its number there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Origin {
-    /// The host.
+    /// The slot of the host.
     pub slot: u32,
-    /// Its generation.
+    /// The generation of the host.
     #[serde(rename = "life")]
     pub generation: u64,
-    /// The number of the override there.
+    /// The number of the override at that host.
     pub number: u64,
 }
--- a/crates/overrides/src/refusal.rs
+++ b/crates/overrides/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a requested override is refused, and what it would do.
+//! Why a requested override is refused, and the preview of its effects.
 
 use crate::precedence::OverrideEffect;
 use crate::record::OverrideId;
@@ -6,55 +6,55 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Why a requested override is refused.
+/// The reason why a requested override is refused.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// A value of the request is not allowed.
+    /// A value of the request is out of range.
     Value {
-        /// Which.
+        /// The name of the field.
         what: String,
-        /// The value.
+        /// The value that was found, as text.
         found: String,
-        /// What would be allowed.
+        /// The values that are allowed, for people.
         expected: String,
     },
-    /// As many overrides are active as may be.
+    /// The maximum number of overrides is active already.
     TooMany {
-        /// That many.
+        /// The maximum number.
         most: usize,
     },
-    /// It would leave a shard without a node in service.
+    /// The override would leave a shard without a node in service.
     LastOfShard {
         /// The shard.
         shard: u32,
-        /// Its nodes in service.
+        /// The addresses of the shard's nodes that are in service now.
         nodes: Vec<String>,
     },
-    /// It would take too much of a zone out.
+    /// The override would take too many nodes of a zone out of service.
     TooMuchOfZone {
         /// The zone.
         zone: u32,
-        /// Nodes that would be out of service.
+        /// The number of nodes that would be out of service.
         out: usize,
-        /// Of so many.
+        /// The number of ready nodes in the zone.
         of: usize,
-        /// The fraction that is allowed.
+        /// The fraction that may be out of service without force, from 0 to 1.
         #[serde(rename = "most_part")]
         max_part: f64,
     },
-    /// Others have changed something since that version.
+    /// The overrides have changed since the version that the request was based on.
     Moved {
-        /// The version that the request was made on.
+        /// The version that the request was based on.
         asked: u64,
-        /// The version now.
+        /// The current version.
         now: u64,
-        /// What changed in between, as far as it is remembered.
+        /// The changes since then, as far as they are still kept; oldest first.
         changes: Vec<String>,
     },
-    /// No such override is active.
+    /// No override with this number is active.
     Unknown {
-        /// The number asked for.
+        /// The number in the request.
         id: OverrideId,
     },
 }
@@ -63,31 +63,31 @@
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Refusal::Value { what, found, expected } => write!(formatter, "{what}: {found}; expected {expected}"),
-            Refusal::TooMany { most } => write!(formatter, "{most} overrides stand, which is the most; clear some first"),
+            Refusal::TooMany { most } => write!(formatter, "{most} overrides are active, which is the maximum; clear some first"),
             Refusal::LastOfShard { shard, nodes } => {
-                write!(formatter, "shard {shard} would have no node in service ({}); force it if that is meant", nodes.join(", "))
+                write!(formatter, "shard {shard} would have no node in service ({}); use force if this is intended", nodes.join(", "))
             }
             Refusal::TooMuchOfZone { zone, out, of, max_part } => write!(
                 formatter,
                 "{out} of {of} nodes of zone {zone} would be out of service; at most {max_part} of them without force"
             ),
             Refusal::Moved { asked, now, changes } => {
-                write!(formatter, "version {asked} was asked for, and {now} holds; since then: {}", changes.join("; "))
+                write!(formatter, "the request is based on version {asked}, but the current version is {now}; changes since then: {}", changes.join("; "))
             }
-            Refusal::Unknown { id } => write!(formatter, "override {}: none such stands", id.0),
+            Refusal::Unknown { id } => write!(formatter, "override {}: not found; expected the number of an active override", id.0),
         }
     }
 }
 
-/// What a requested override would do.
+/// The effects that a requested override would have.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Preview {
-    /// The version of the overrides that it was checked against.
+    /// The version of the overrides that the request was checked against.
     pub version: u64,
-    /// Listed nodes for which the effect changes: address, before, after.
+    /// The listed nodes whose effect changes: the address, the effect before and the effect after.
     pub changes: Vec<(SocketAddr, OverrideEffect, OverrideEffect)>,
-    /// Listed nodes that it names, changed or not.
+    /// The number of listed nodes that it names, including those whose effect does not change.
     pub named: usize,
-    /// What it would be refused for without force.
+    /// The refusal that force overrides; none if force is not needed.
     pub forced_past: Option<Refusal>,
 }
--- a/crates/overrides/src/target.rs
+++ b/crates/overrides/src/target.rs
@@ -1,4 +1,4 @@
-//! Which nodes an override names, and the text form of that.
+//! The target of an override, that is, the nodes that it names, and the target's text form.
 
 use ipnet::IpNet;
 use serde::{Deserialize, Serialize};
@@ -6,13 +6,13 @@
 use std::net::{IpAddr, SocketAddr};
 use std::str::FromStr;
 
-/// The nodes that an override names, whether such nodes are listed or not.
+/// The nodes that an override names. None of them has to be in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub enum Target {
-    /// One address.
+    /// The node with this address and port.
     Node(SocketAddr),
-    /// All addresses of a prefix.
+    /// All nodes whose address has this prefix, at any port.
     Net(IpNet),
     /// All nodes of a shard.
     Shard(u32),
@@ -31,11 +31,11 @@
     }
 }
 
-/// What the error of a text that names no target says was expected.
+/// The text forms of a target, for error messages.
 const EXPECTED_TARGET: &str =
     "an address and port, an address, a prefix such as 10.1.0.0/16, shard:N or zone:N";
 
-/// A text that names no target.
+/// The error of a text that is no target; it holds the text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("target {0:?}; expected {EXPECTED_TARGET}")]
 pub struct TargetError(String);
