--- a/crates/overrides/src/precedence.rs
+++ b/crates/overrides/src/precedence.rs
@@ -1,17 +1,17 @@
-//! Which of the overrides that name a node applies. The table, from strongest to weakest:
+//! Determines which of the overrides that name a node apply. The order of precedence, from strongest to weakest:
 //!
-//! | rank | beats what is below it |
+//! | rank | rule |
 //! | --- | --- |
-//! | the list | a node that drains or is gone gets nothing new, whatever an override says |
-//! | a node's own address | narrower beats wider |
-//! | a prefix | the longer one first |
+//! | the endpoint list | a node that drains or is gone gets no new requests, whatever an override says |
+//! | a node's own address | a narrower target takes precedence over a wider one |
+//! | a prefix | a longer prefix takes precedence |
 //! | a shard | |
 //! | a zone | |
-//! | the later of two of one rank | |
-//! | health | a pinned node is not ejected for its bad answers; slow start and all rules still hold |
+//! | the later of two of the same rank | |
+//! | health | a pinned node is not ejected for its bad answers; slow start and all rules still apply |
 //!
-//! Service (out of service, pinned) and weight are judged apart: a weight that is set on a zone still applies to a node that is
-//! pinned by its address.
+//! Service (out of service, pinned) and weight are determined separately: a weight that is set on a zone still applies to a node
+//! that is pinned by its address.
 
 use crate::record::{Kind, Override, OverrideId};
 use crate::target::Target;
@@ -21,7 +21,7 @@
 use std::net::SocketAddr;
 use tackmast::interface::NodeState;
 
-/// How narrow a target is; the greater is the stronger.
+/// The rank of a target by its narrowness. An override of a greater rank takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rank {
@@ -29,14 +29,14 @@
     Zone,
     /// A shard.
     Shard,
-    /// A prefix, by its length.
+    /// A prefix of this length in bits.
     Net(u8),
     /// One address.
     Node,
 }
 
 impl Rank {
-    /// The rank of a target.
+    /// Returns the rank of a target.
     pub fn of(target: &Target) -> Rank {
         match target {
             Target::Node(_) => Rank::Node,
@@ -47,76 +47,77 @@
     }
 }
 
-/// What the endpoint list says of a node.
+/// A node's entry in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeFacts {
-    /// Its address.
+    /// The address of the node.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone of the node.
     pub zone: u32,
-    /// Its shard.
+    /// The shard of the node.
     pub shard: u32,
-    /// As the list has it, before any override.
+    /// The state in the list, before any override.
     pub listed: NodeState,
 }
 
-/// Whether a node is in service, by overrides alone.
+/// Whether a node is in service, as far as overrides determine it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Service {
-    /// As the list and its health say.
+    /// No override determines it: the endpoint list and the node's health do.
     Listed,
-    /// Out of service.
+    /// The node is out of service.
     Out,
-    /// In service whatever its health.
+    /// The node stays in service even if it is unhealthy.
     Pinned,
 }
 
 /// The effect of the overrides on a node.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OverrideEffect {
-    /// Whether it is in service.
+    /// Whether the node is in service.
     pub service: Service,
-    /// Fraction of what it would be given otherwise.
+    /// The fraction of its usual load that the node is given, above 0 and up to 1.
     pub weight: f64,
 }
 
 impl OverrideEffect {
-    /// No override applies.
+    /// The effect if no override applies.
     pub const NONE: OverrideEffect = OverrideEffect { service: Service::Listed, weight: 1.0 };
 }
 
-/// The overrides that make an effect.
+/// The overrides that apply to a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ApplyingOverrides {
-    /// The one that decides on service.
+    /// The override that determines whether the node is in service; none if no override does.
     pub service: Option<OverrideId>,
-    /// The one that decides on the weight.
+    /// The override that determines the weight; none if no override does.
     pub weight: Option<OverrideId>,
 }
 
 /// An override that names a node and does not apply, and why.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Superseded {
-    /// The override.
+    /// The number of the override.
     pub id: OverrideId,
-    /// The one that applies instead.
+    /// The number of the override that applies instead.
     pub by: OverrideId,
-    /// Why, for people.
+    /// The reason, for people.
     pub why: String,
 }
 
-/// Overrides by what they name, so that a node's are found without a walk over all.
+/// An index of overrides by target, to find the overrides of a node without a search through all of them.
 #[derive(Debug, Default)]
 pub(crate) struct TargetIndex {
     nodes: HashMap<SocketAddr, BTreeSet<OverrideId>>,
-    /// By prefix length, the longest last.
+    /// By prefix length, shortest first.
     nets: BTreeMap<u8, HashMap<IpNet, BTreeSet<OverrideId>>>,
     shards: HashMap<u32, BTreeSet<OverrideId>>,
     zones: HashMap<u32, BTreeSet<OverrideId>>,
 }
 
 impl TargetIndex {
+    /// Returns the set of overrides with this target.
     fn ids_of(&mut self, target: &Target) -> &mut BTreeSet<OverrideId> {
         match target {
             Target::Node(address) => self.nodes.entry(*address).or_default(),
@@ -153,11 +154,11 @@
         }
     }
 
-    /// The overrides that name the node, the strongest first: by rank, and within a rank the later before the earlier.
+    /// Returns the overrides that name the node, strongest first: by rank, and within a rank the later before the earlier.
     pub(crate) fn naming<'a>(&'a self, node: &NodeFacts) -> impl Iterator<Item = OverrideId> + 'a {
         let ip = node.address.ip();
         let by_net = self.nets.iter().rev().filter_map(move |(length, nets_of_length)| {
-            // A prefix that is longer than an address of this family has no such address in it.
+            // A prefix that is longer than an address of this family can't contain the node.
             let net = IpNet::new(ip, *length).ok()?.trunc();
             nets_of_length.get(&net)
         });
@@ -169,8 +170,8 @@
     }
 }
 
-/// What the overrides do to a node, and which of them apply: of those on service the strongest, of those on weight the strongest.
-/// `all` has every override of the index.
+/// Returns the effect of the overrides on a node, and the overrides that apply: the strongest one on service and the strongest one on
+/// weight. `all` holds every override of the index.
 pub(crate) fn effect_on(
     index: &TargetIndex,
     all: &BTreeMap<OverrideId, Override>,
@@ -197,7 +198,7 @@
     (effect, applies)
 }
 
-/// The overrides that name the node and do not apply.
+/// Returns the overrides that name the node and do not apply. `all` holds every override of the index.
 pub(crate) fn superseded(
     index: &TargetIndex,
     all: &BTreeMap<OverrideId, Override>,
--- a/crates/overrides/src/precedence/tests.rs
+++ b/crates/overrides/src/precedence/tests.rs
@@ -1,13 +1,13 @@
-//! Which override applies.
+//! Tests which override of a node applies.
 
 use super::*;
 
-/// Several overrides name the same node. An operator who sets one must be able to tell which applies.
+/// Several overrides name the same node. An operator must be able to tell from the table of precedence which one applies.
 #[test]
-fn a_narrower_target_beats_a_wider_one_and_a_later_override_an_earlier_one() {
+fn the_narrower_target_applies_and_of_equal_targets_the_later_override() {
     use Kind::{OutOfService as Out, Pinned as Pin, Weight};
     let listed = Service::Listed;
-    // Overrides in the order in which they are set; the effect on 10.1.2.3:9000 in zone 1 with shard 5.
+    // The overrides in the order in which they are set, and the expected effect on 10.1.2.3:9000 in zone 1 with shard 5.
     type Case<'a> = (&'a str, &'a [(&'a str, Kind)], Service, f64);
     let cases: &[Case] = &[
         ("none", &[], listed, 1.0),
--- a/crates/overrides/src/recovery_ramp/tests.rs
+++ b/crates/overrides/src/recovery_ramp/tests.rs
@@ -1,9 +1,9 @@
-//! Staggered ramps.
+//! Tests the stagger and the steps of recovery ramps.
 
 use super::*;
 
-/// Many nodes are back in service at the same moment. Their ramps must be spread over the stated time, and no share
-/// may fall.
+/// Many nodes are back in service at the same time. Their ramps must start spread over the bounded time, or all waiting requests
+/// would reach them at once; and no node's share may fall.
 #[test]
 fn ramps_are_staggered_and_each_rises_in_steps() {
     let now = Instant::from_secs(100.0);
@@ -18,7 +18,7 @@
             (0..count).map(|i| (ramps.get(&address(i)).unwrap().starts - now).secs()).collect();
         let latest = starts.iter().copied().fold(0.0, f64::max);
         assert!((latest - last).abs() < 1e-3, "{name}: {starts:?}");
-        // Shares only rise, up to 1, and the last ramp is removed within the stated time.
+        // Shares only rise, up to 1, and the last ramp is removed within the bounded time.
         let mut at = now;
         let mut shares = vec![0.0; count as usize];
         while let Some(next) = ramps.poll_timeout(at) {
--- a/crates/overrides/src/target/tests.rs
+++ b/crates/overrides/src/target/tests.rs
@@ -1,10 +1,10 @@
-//! The written form of targets.
+//! Tests the text form of targets.
 
 use super::*;
 
 /// An operator copies a target from a listing into a command. It must name the same nodes.
 #[test]
-fn a_target_is_written_as_it_is_read() {
+fn a_target_is_parsed_and_written_in_its_canonical_form() {
     for (text, again) in [
         ("10.1.2.3:9003", Some("10.1.2.3:9003")),
         ("[::1]:9003", Some("[::1]:9003")),
--- a/crates/overrides/src/timing_wheel.rs
+++ b/crates/overrides/src/timing_wheel.rs
@@ -3,16 +3,16 @@
 
 use tackmast::interface::Instant;
 
-/// The width of the narrowest slot, in microseconds: an entry expires at most that late.
+/// The width of the narrowest slot, in microseconds: an entry expires at most this much too late.
 const RESOLUTION_US: i64 = 10_000;
-/// Bits of a time in ticks that one level covers.
+/// The number of bits of a time in ticks that one level covers.
 const BITS: u32 = 6;
-/// Slots of a level.
+/// The number of slots of a level.
 const SLOTS: usize = 1 << BITS;
-/// Levels of the wheel: these reach 20 years.
+/// The number of levels. Six levels cover 20 years.
 const LEVELS: usize = 6;
 
-/// Names an entry, to remove it; it never names a later entry in the same place.
+/// Identifies an entry, to remove it. A handle never identifies a later entry that reuses the same place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Handle {
     index: u32,
@@ -20,30 +20,31 @@
 }
 
 struct Entry<K> {
-    /// None: the place is free.
+    /// `None` if the place is free.
     key: Option<K>,
-    /// Entries that had this place before.
+    /// The number of entries that had this place before.
     generation: u32,
-    /// In ticks, rounded up.
+    /// The expiry time in ticks, rounded up.
     due: u64,
-    /// The list that it is in.
+    /// The index of the list that the entry is in.
     list: u16,
-    /// Its place in that list.
-    place: u32,
+    /// The entry's position in that list.
+    position: u32,
 }
 
-/// The list of entries that were due already when they were added, behind the lists of the slots.
+/// The index of the list of entries that are due. It follows the lists of the slots.
 const DUE: usize = LEVELS * SLOTS;
 
 /// Entries of type `K`, each with the time at which it expires.
 pub struct TimingWheel<K> {
-    /// In ticks: what was due by then has been taken out.
+    /// The time up to which the wheel has advanced, in ticks.
     now: u64,
-    /// A list of entries for each slot, level by level, and then the list of what is due.
+    /// The indices of the entries in each slot, level by level, and then those of the entries that are due.
     lists: Vec<Vec<u32>>,
-    /// By level: a bit for each slot that has entries.
+    /// For each level, a bit for each slot that has entries.
     used: [u64; LEVELS],
     entries: Vec<Entry<K>>,
+    /// The indices of free places in `entries`.
     free: Vec<u32>,
 }
 
@@ -59,8 +60,8 @@
     Instant::from_secs(ticks as f64 * RESOLUTION_US as f64 / 1e6)
 }
 
-/// The list of an entry that is due at `due`; both times are in ticks. The level is that of the highest digit, to the base `SLOTS`, in
-/// which the two times differ.
+/// Returns the index of the list for an entry that is due at `due`; both times are in ticks. Its level is that of the highest digit,
+/// to the base `SLOTS`, in which the two times differ.
 fn list_for(due: u64, now: u64) -> usize {
     if due <= now {
         return DUE;
@@ -68,14 +69,14 @@
     let highest_bit = u64::BITS - 1 - (due ^ now).leading_zeros();
     let level = (highest_bit / BITS) as usize;
     if level >= LEVELS {
-        // The wheel does not reach that far: the entry is placed again when the last level begins its next round.
+        // The time is beyond the wheel's range: the entry is placed again when the last level begins its next round.
         return (LEVELS - 1) * SLOTS;
     }
     level * SLOTS + ((due >> (BITS * level as u32)) as usize & (SLOTS - 1))
 }
 
 impl<K: Copy + Ord> TimingWheel<K> {
-    /// An empty wheel at this time.
+    /// Creates an empty wheel that starts at `now`.
     pub fn new(now: Instant) -> Self {
         TimingWheel {
             now: ticks_down(now),
@@ -86,53 +87,54 @@
         }
     }
 
-    /// Entries that have not expired.
+    /// Returns the number of entries that have not been taken out or removed.
     pub fn len(&self) -> usize {
         self.entries.len() - self.free.len()
     }
 
-    /// There is no entry.
+    /// Returns whether the wheel has no entries.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Adds an entry.
+    /// Adds an entry that expires at `at`. If that is in the past, the next call of `advance` returns it.
     pub fn put(&mut self, key: K, at: Instant) -> Handle {
         let due = ticks_up(at);
         let index = match self.free.pop() {
             Some(index) => index,
             None => {
-                self.entries.push(Entry { key: None, generation: 0, due: 0, list: 0, place: 0 });
+                self.entries.push(Entry { key: None, generation: 0, due: 0, list: 0, position: 0 });
                 self.entries.len() as u32 - 1
             }
         };
         let entry = &mut self.entries[index as usize];
         (entry.key, entry.due) = (Some(key), due);
         let generation = entry.generation;
-        self.place(index);
+        self.insert_into_list(index);
         Handle { index, generation }
     }
 
-    fn place(&mut self, index: u32) {
+    /// Puts an entry into the list for its expiry time.
+    fn insert_into_list(&mut self, index: u32) {
         let due = self.entries[index as usize].due;
         let list = list_for(due, self.now);
-        let place = self.lists[list].len() as u32;
+        let position = self.lists[list].len() as u32;
         self.lists[list].push(index);
         if list < DUE {
             self.used[list / SLOTS] |= 1 << (list % SLOTS);
         }
         let entry = &mut self.entries[index as usize];
-        (entry.list, entry.place) = (list as u16, place);
+        (entry.list, entry.position) = (list as u16, position);
     }
 
-    /// Removes an entry; whether it was still there.
+    /// Removes an entry. Returns whether it was still in the wheel.
     pub fn remove(&mut self, handle: Handle) -> bool {
-        let is_named = |entry: &&Entry<K>| entry.generation == handle.generation && entry.key.is_some();
-        let Some(entry) = self.entries.get(handle.index as usize).filter(is_named) else { return false };
-        let (list, place) = (usize::from(entry.list), entry.place as usize);
-        self.lists[list].swap_remove(place);
-        if let Some(moved) = self.lists[list].get(place) {
-            self.entries[*moved as usize].place = place as u32;
+        let is_identified = |entry: &&Entry<K>| entry.generation == handle.generation && entry.key.is_some();
+        let Some(entry) = self.entries.get(handle.index as usize).filter(is_identified) else { return false };
+        let (list, position) = (usize::from(entry.list), entry.position as usize);
+        self.lists[list].swap_remove(position);
+        if let Some(moved) = self.lists[list].get(position) {
+            self.entries[*moved as usize].position = position as u32;
         } else if self.lists[list].is_empty() && list < DUE {
             self.used[list / SLOTS] &= !(1 << (list % SLOTS));
         }
@@ -140,6 +142,7 @@
         true
     }
 
+    /// Frees an entry's place and returns its key.
     fn free_place(&mut self, index: u32) -> Option<K> {
         let entry = &mut self.entries[index as usize];
         entry.generation = entry.generation.wrapping_add(1);
@@ -147,7 +150,7 @@
         entry.key.take()
     }
 
-    /// When an entry may be due next; never later than when it is.
+    /// Returns a time no later than that at which the next entry is due, or `None` if there are no entries.
     pub fn next(&self) -> Option<Instant> {
         if !self.lists[DUE].is_empty() {
             return Some(instant(self.now));
@@ -155,18 +158,19 @@
         self.next_slot()
     }
 
+    /// Returns when the next slot that has entries begins.
     fn next_slot(&self) -> Option<Instant> {
         for level in 0..LEVELS {
             let shift = BITS * level as u32;
-            let here = (self.now >> shift) as usize & (SLOTS - 1);
-            let ahead = self.used[level] & (u64::MAX.checked_shl(here as u32 + 1).unwrap_or(0));
+            let current_slot = (self.now >> shift) as usize & (SLOTS - 1);
+            let ahead = self.used[level] & (u64::MAX.checked_shl(current_slot as u32 + 1).unwrap_or(0));
             if ahead > 0 {
                 let slot = u64::from(ahead.trailing_zeros());
                 let base = self.now >> shift >> BITS << BITS;
                 return Some(instant((base | slot) << shift));
             }
             if self.used[level] > 0 {
-                // Only at the last level may a slot before this one be in use: its turn comes in the next round.
+                // A slot up to the current one can only be in use at the last level: it begins in the next round.
                 let base = (self.now >> shift >> BITS) + 1;
                 return Some(instant(base << BITS << shift));
             }
@@ -174,7 +178,7 @@
         None
     }
 
-    /// Removes what is due by now, in the order of the keys.
+    /// Removes the entries that are due at `now` and returns their keys in ascending order.
     pub fn advance(&mut self, now: Instant) -> Vec<K> {
         let until = ticks_down(now);
         while let Some(next) =
@@ -183,22 +187,22 @@
             self.now = next;
             for level in 0..LEVELS {
                 let shift = BITS * level as u32;
-                // A slot of this level begins now only where all lower digits are zero.
+                // A slot of this level begins now only if all lower digits are zero.
                 if level > 0 && next & ((1 << shift) - 1) != 0 {
                     break;
                 }
                 let slot = (next >> shift) as usize & (SLOTS - 1);
                 self.used[level] &= !(1 << slot);
                 for index in std::mem::take(&mut self.lists[level * SLOTS + slot]) {
-                    self.place(index);
+                    self.insert_into_list(index);
                 }
             }
         }
         self.now = self.now.max(until);
         let due = std::mem::take(&mut self.lists[DUE]);
-        let mut out: Vec<K> = due.into_iter().filter_map(|index| self.free_place(index)).collect();
-        out.sort_unstable();
-        out
+        let mut keys: Vec<K> = due.into_iter().filter_map(|index| self.free_place(index)).collect();
+        keys.sort_unstable();
+        keys
     }
 }
 
--- a/crates/overrides/tests/json_forms.rs
+++ b/crates/overrides/tests/json_forms.rs
@@ -1,5 +1,5 @@
-//! Guards the JSON form of overrides, refusals, explanations and audit lines: stores hold these texts, other hosts and
-//! operators' scripts read them.
+//! Tests the JSON forms of overrides, refusals, explanations and audit records: they are stored, and other hosts and operators'
+//! scripts read them.
 
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
@@ -8,7 +8,7 @@
     Preview, Rank, Refusal, Service, Superseded, Target,
 };
 
-/// The value is written as the literal text, and the literal is read back as the value.
+/// Asserts that the value is written as the text and that the text is read back as the value.
 #[track_caller]
 fn assert_form<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
     assert_eq!(serde_json::to_string(value).unwrap(), text);
@@ -32,8 +32,7 @@
     Origin { slot: 2, generation: 77, number: 9 }
 }
 
-/// Stores and peers have these texts. Another form would make a host refuse the overrides on its disk after an
-/// upgrade.
+/// Stores and peers hold these texts. With another form, a host would refuse the overrides on its disk after an upgrade.
 #[test]
 fn targets_kinds_and_ranks_have_these_json_forms() {
     for (text, form) in [
@@ -55,7 +54,7 @@
     assert_form(&OverrideId(7), "7");
 }
 
-/// The same for what operators send and what is stored.
+/// Operators send requests in these forms, and stores hold overrides in them. With another form, a host would refuse both.
 #[test]
 fn requested_and_stored_overrides_have_these_json_forms() {
     let override_request = OverrideRequest {
@@ -84,7 +83,7 @@
     );
 }
 
-/// Operators' scripts tell refusals apart by these keys.
+/// Operators' scripts tell refusals apart by these keys; a renamed key would break them.
 #[test]
 fn refusals_have_these_json_forms() {
     let value = Refusal::Value { what: "weight".into(), found: "2".into(), expected: "at most 1".into() };
@@ -105,7 +104,7 @@
     assert_form(&Refusal::Unknown { id: OverrideId(8) }, r#"{"unknown":{"id":8}}"#);
 }
 
-/// Operators' scripts read previews and explanations, also those of hosts of an earlier build.
+/// Operators' scripts read previews and explanations, also from hosts of an earlier build that lack the newest field.
 #[test]
 fn previews_and_explanations_have_these_json_forms() {
     let out = OverrideEffect { service: Service::Out, weight: 0.5 };
@@ -141,7 +140,7 @@
         &explanation,
         r#"{"address":"10.0.0.1:9000","listed":"ready","standing":{"service":"out","weight":0.5},"service_by":{"id":1,"target":"10.0.0.1:9000","kind":"out_of_service","reason":"disk \"smokes\"","who":"ann","set_us":1700000000000000,"ends_us":1700003600000000},"weight_by":null,"service_left_s":12.5,"weight_left_s":null,"beaten":[[{"id":3,"target":"zone:1","kind":"pinned","reason":"disk \"smokes\"","who":"ann","set_us":1700000000000000,"ends_us":1700003600000000},{"id":3,"by":1,"why":"set later"}]],"returning":[4.5,0.25],"given":"out of service","up_s":60.0}"#,
     );
-    // An answer of before this field was there.
+    // An answer of a build that does not have this field yet.
     let text = serde_json::to_string(&explanation).unwrap().replace(",\"up_s\":60.0", "");
     assert_eq!(
         serde_json::from_str::<Explanation>(&text).unwrap(),
@@ -149,7 +148,7 @@
     );
 }
 
-/// Operators search the audit log years later, in lines of many builds.
+/// The audit log keeps records for years, so that operators search records of many builds; the form must stay the same.
 #[test]
 fn audit_lines_have_these_json_forms() {
     let record = record(2, "10.1.0.0/16", Kind::Weight(0.25), None);
--- a/crates/overrides/tests/overrides.rs
+++ b/crates/overrides/tests/overrides.rs
@@ -1,4 +1,4 @@
-//! The overrides as a whole, in virtual time.
+//! Tests all overrides of a host together, in virtual time.
 
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, NodeState};
@@ -19,7 +19,7 @@
     SocketAddr::from(([10, 0, (i / 8) as u8, (i % 8) as u8], 9000))
 }
 
-/// Nodes 0 to `n`: zones of eight, two to a shard.
+/// Returns nodes 0 to `n - 1`, with eight nodes in each zone and two in each shard.
 fn facts(n: u32) -> Vec<NodeFacts> {
     let one = |i| NodeFacts { address: address(i), zone: i / 8, shard: i / 2, listed: NodeState::Ready };
     (0..n).map(one).collect()
@@ -52,7 +52,7 @@
 
 const READY: (NodeState, f64, bool) = (NodeState::Ready, 1.0, false);
 
-/// An operator sets an override for ten seconds. It must apply to the named nodes only, and end by itself.
+/// An operator sets an override for ten seconds. It must apply to the nodes of its target only and end on its own.
 #[test]
 fn each_kind_applies_to_its_nodes_and_ends_on_time() {
     for (kind, during) in [
@@ -74,10 +74,10 @@
     }
 }
 
-/// An operator has pinned a node that the list shows as draining or gone. A host that kept it in service would lose
+/// An operator has pinned a node that the endpoint list shows as draining or gone. A host that kept it in service would lose
 /// requests.
 #[test]
-fn the_endpoint_list_beats_every_override() {
+fn the_endpoint_list_takes_precedence_over_every_override() {
     for (listed, pinned) in
         [(NodeState::Draining, true), (NodeState::Gone, true), (NodeState::Draining, false)]
     {
@@ -92,8 +92,8 @@
     }
 }
 
-/// The node leaves the list and returns, and the host restarts meanwhile. The override must apply again, for the
-/// time that is left.
+/// A node leaves the endpoint list and returns, and the host restarts meanwhile. The override must apply again, for its remaining
+/// time.
 #[test]
 fn an_override_survives_the_absence_of_its_node_and_a_restart_of_its_host() {
     let mut overrides = new(8);
@@ -101,22 +101,22 @@
     overrides.handle_endpoint_list(at(1.0), [NodeFacts { listed: NodeState::Gone, ..facts(8)[3] }]);
     assert_eq!(overrides.effective(at(1.0), &address(3)).unwrap().state, NodeState::Gone);
     let record = overrides.get(id).unwrap().clone();
-    // The host is down for 20 s; the node returns meanwhile. Its steady clock starts anew.
+    // The host is down for 20 s, and the node returns meanwhile. The host's steady clock starts anew.
     let (mut overrides, ended) = Overrides::new(at(500.0), wall(20.0), SETTINGS, vec![record.clone()], 1);
     assert!(ended.is_empty());
     overrides.handle_endpoint_list(at(500.0), facts(8));
     assert_eq!(overrides.effective(at(500.0), &address(3)).unwrap().state, NodeState::Draining);
     assert!(overrides.handle_timeout(at(579.9), wall(99.9)).is_empty());
     assert_eq!(overrides.handle_timeout(at(580.1), wall(100.1)).len(), 1);
-    // Down past its end: it is reported as ended, and never applies.
+    // The host is down past the override's end: the override is reported as ended and never applies.
     let (overrides, ended) = Overrides::new(at(0.0), wall(101.0), SETTINGS, vec![record.clone()], 1);
     assert_eq!((overrides.len(), ended[0].audit.kind), (0, AuditKind::EndedAway));
-    // A wall clock that was set back meanwhile does not make it last longer than its whole duration.
+    // If the wall clock is set back meanwhile, the override still lasts no longer than its whole duration.
     let (mut overrides, _) = Overrides::new(at(0.0), wall(-3600.0), SETTINGS, vec![record], 1);
     assert_eq!(overrides.handle_timeout(at(100.1), wall(-3500.0)).len(), 1);
 }
 
-/// Somebody sets the wall clock by hours or days. Overrides would end at once, or last for days more.
+/// The wall clock is stepped by hours or days. If the ends of overrides followed it, they would end at once or last days longer.
 #[test]
 fn a_step_of_the_wall_clock_changes_no_end_while_the_host_runs() {
     for step in [-3600.0, 3600.0, 86_400.0 * 400.0, 0.5] {
@@ -135,7 +135,8 @@
     }
 }
 
-/// An operator names a shard or a zone by mistake. Its data could not be reached, or the rest would be overloaded.
+/// An operator takes a shard or a zone out of service by mistake. The shard's data could not be reached, or the rest of the zone
+/// would be overloaded.
 #[test]
 fn an_override_that_takes_too_much_out_of_service_is_refused_unless_forced() {
     type Before<'a> = &'a [(&'a str, Kind)];
@@ -160,7 +161,7 @@
         ),
         ("a zone", &[], "zone:0", out, Some("shard 0 would have no node")),
         ("a weight takes nothing out", &[], "zone:0", Kind::Weight(0.01), None),
-        ("nobody is there yet", &[], "192.168.0.0/16", out, None),
+        ("no node is listed yet", &[], "192.168.0.0/16", out, None),
     ];
     for (name, before, target, kind, refused) in cases {
         let mut overrides = new(16);
@@ -174,12 +175,16 @@
                 assert!(e.to_string().contains(text), "{name}: {e}");
                 let (_, preview) =
                     overrides.propose(WALL, &override_request(target, *kind, 100.0), true, None).unwrap();
-                assert_eq!(preview.forced_past, Some(e), "{name}: force says what it passes");
+                assert_eq!(
+                    preview.forced_past,
+                    Some(e),
+                    "{name}: the preview holds the refusal that force overrides"
+                );
             }
-            (Some(_), Ok(_)) => panic!("{name}: taken"),
+            (Some(_), Ok(_)) => panic!("{name}: accepted"),
         }
     }
-    // Nodes of their own shards: the zone alone is the bound.
+    // Four nodes to a shard, so that only the limit of the zone is reached.
     let mut overrides = new(0);
     overrides.handle_endpoint_list(
         at(0.0),
@@ -192,9 +197,9 @@
     assert_eq!(e, Refusal::TooMuchOfZone { zone: 0, out: 5, of: 8, max_part: 0.5 });
 }
 
-/// An operator mistypes a value. The refusal must name the value and what would be allowed.
+/// An operator mistypes a value. The refusal must name the field, the value and the allowed values.
 #[test]
-fn a_value_that_is_not_allowed_is_named() {
+fn a_refusal_names_the_value_that_is_not_allowed() {
     let mut overrides = new(8);
     for (kind, seconds, who, expected) in [
         (Kind::Weight(0.0), 1.0, "ann", "weight: 0; expected above 0"),
@@ -213,17 +218,17 @@
     }
 }
 
-/// Two operators set overrides of the same nodes. One who asked for the version that was seen must learn of the
-/// other change.
+/// Two operators set overrides of the same nodes at the same time. An operator whose request states the version that it is based on
+/// must learn of the other change.
 #[test]
-fn of_two_concurrent_overrides_both_apply_or_the_later_is_refused_with_what_changed() {
+fn the_later_of_two_concurrent_overrides_applies_or_is_refused_with_the_changes_since_its_version() {
     let mut overrides = new(8);
     let version = overrides.version();
     let (first, _) = overrides
         .propose(WALL, &override_request("zone:0", Kind::Weight(0.5), 10.0), false, Some(version))
         .unwrap();
     overrides.put(at(0.0), first);
-    // One who asked for the version that was seen learns what changed; one who did not is later, and applies.
+    // A request that states its version is refused with the changes since; one that states none is accepted.
     let second = override_request("zone:0", Kind::Weight(0.8), 5.0);
     let Err(Refusal::Moved { changes, .. }) = overrides.propose(WALL, &second, false, Some(version)) else {
         panic!()
@@ -231,14 +236,14 @@
     assert_eq!(changes, ["ann set zone:0 weight 0.5"]);
     set(&mut overrides, 0.0, &second);
     assert_eq!(given(&overrides, 0.0, 1).1, 0.8);
-    // The later ends first: the earlier is still active and applies again.
+    // The later override ends first; the earlier one is still active and applies again.
     overrides.handle_timeout(at(5.1), wall(5.1));
     assert_eq!(given(&overrides, 5.1, 1).1, 0.5);
     assert_eq!(overrides.explain(at(5.1), address(1)).weight_left_s.map(|s| s.round()), Some(5.0));
 }
 
-/// The overrides of thirty nodes end at the same moment. If all got their full load at once, what waits for them
-/// would overload them.
+/// The overrides of thirty nodes end at the same time. If all nodes got their full load at once, the waiting requests would overload
+/// them.
 #[test]
 fn nodes_whose_overrides_end_at_once_get_their_load_back_in_steps() {
     let mut overrides = new(60);
@@ -276,33 +281,32 @@
         now += 1e-6;
     }
     assert_eq!((full(&overrides, now), last, overrides.returning().0), (30, 30.0, 0));
-    assert!(now - 10.01 <= overrides.returning().1 + 0.1, "within the stated bound: {now}");
-    // Out of service again in the middle of its ramp: it gets nothing at once.
+    assert!(now - 10.01 <= overrides.returning().1 + 0.1, "within the bound: {now}");
+    // A node that is taken out of service in the middle of its ramp gets no load from then on.
     let mut overrides = new(8);
     let id = set(&mut overrides, 0.0, &override_request("10.0.0.3:9000", Kind::OutOfService, 10.0));
     overrides.clear(at(5.0), id, "bob").unwrap();
     assert_eq!(given(&overrides, 5.0, 3), (NodeState::Ready, 0.1, false));
     set(&mut overrides, 6.0, &override_request("10.0.0.3:9000", Kind::OutOfService, 10.0));
     assert_eq!(given(&overrides, 6.0, 3).0, NodeState::Draining);
-    assert!(overrides.clear(at(6.0), id, "bob").is_err(), "cleared once");
+    assert!(overrides.clear(at(6.0), id, "bob").is_err(), "an override can be cleared once only");
 }
 
-/// Automation sets thousands of overrides on the same nodes. Each must be found by the explanation, and each must
-/// end.
+/// Automation sets thousands of overrides on the same nodes. Explanations must list them, and each must end.
 #[test]
 fn ten_thousand_overrides_apply_to_sixty_nodes_and_are_explained() {
     let mut overrides = new(60);
-    let mut chance = oorandom::Rand64::new(3);
+    let mut random = oorandom::Rand64::new(3);
     for i in 0..10_000u32 {
-        let node = chance.rand_range(0..60) as u32;
+        let node = random.rand_range(0..60) as u32;
         let target = match i % 4 {
             0 => address(node).to_string(),
-            1 => format!("{}/{}", address(node).ip(), chance.rand_range(8..33)),
+            1 => format!("{}/{}", address(node).ip(), random.rand_range(8..33)),
             2 => format!("shard:{}", node / 2),
             _ => format!("zone:{}", node / 8),
         };
-        let kind = if i % 3 == 0 { Kind::Pinned } else { Kind::Weight(0.1 + 0.8 * chance.rand_float()) };
-        let seconds = 1.0 + chance.rand_float() * 1000.0;
+        let kind = if i % 3 == 0 { Kind::Pinned } else { Kind::Weight(0.1 + 0.8 * random.rand_float()) };
+        let seconds = 1.0 + random.rand_float() * 1000.0;
         let (record, _) =
             overrides.propose(WALL, &override_request(&target, kind, seconds), false, None).unwrap();
         overrides.put(at(0.0), record);
