--- a/crates/host/tests/plans.rs
+++ b/crates/host/tests/plans.rs
@@ -161,7 +161,7 @@
     let mut volume = plan_status(dir, 0).catalogue.volumes["v"].clone();
     volume.shards = vec![0, 0];
     let moved = Step::Volume { name: "v".into(), to: Some(volume) };
-    assert!(refusal_reason(apply(dir, 0, 0, moved)).contains("moved in more than its plan"));
+    assert!(refusal_reason(apply(dir, 0, 0, moved)).contains("differs in more than its plan"));
     assert_eq!(plan_status(dir, 0).number, 0);
 
     // One change reaches all hosts; of two that are based on the same version the second is refused as a conflict.
--- a/crates/plans/src/catalogue.rs
+++ b/crates/plans/src/catalogue.rs
@@ -1,5 +1,5 @@
-//! One version of all plans, volumes and traffic classes, and the next one after a change: a change states the version that it
-//! was made on, is checked whole, and applies in full or not at all. Undoing is a change like any other.
+//! One version of all plans, volumes and traffic classes, and the next version after a change. A change states the version that it is
+//! based on, is validated as a whole, and applies in full or not at all. An undo is a change like any other.
 
 use crate::change::{Change, Refusal, Step};
 use crate::model::{Fleet, Plan, TrafficClass, Volume};
@@ -10,30 +10,30 @@
 /// One version of all plans, volumes and traffic classes, by name.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Catalogue {
-    /// Goes up by one with each change.
+    /// The number of this version. Each change increments it.
     pub version: u64,
-    /// Plans.
+    /// The plans by name.
     pub plans: BTreeMap<String, Plan>,
-    /// Volumes.
+    /// The volumes by name.
     pub volumes: BTreeMap<String, Volume>,
-    /// Traffic classes.
+    /// The traffic classes by name.
     #[serde(rename = "streams")]
     pub traffic_classes: BTreeMap<String, TrafficClass>,
-    /// By title: the version at which each thing was last set or removed.
+    /// The version at which each plan, volume or traffic class was last set or removed, by title.
     moved: BTreeMap<String, u64>,
 }
 
 /// A change that was accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Applied {
-    /// The catalogue after it.
+    /// The catalogue after the change.
     pub catalogue: Catalogue,
-    /// The steps that would put everything back as it was.
+    /// The steps that undo the change.
     pub undo: Vec<Step>,
 }
 
 impl Catalogue {
-    /// The catalogue after the change, or why it is refused. This one stays as it is.
+    /// Returns the catalogue after the change, or why the change is refused. This catalogue is not modified.
     pub fn apply(&self, change: &Change, fleet: &Fleet) -> Result<Applied, Refusal> {
         change.check_form(self.version)?;
         self.check_conflicts(change)?;
@@ -50,7 +50,7 @@
         Ok(Applied { catalogue: next, undo })
     }
 
-    /// Whether anything that the change touches or names was changed after its base.
+    /// Checks that nothing that the change sets, removes or refers to was changed after its base.
     fn check_conflicts(&self, change: &Change) -> Result<(), Refusal> {
         let titles: BTreeSet<String> = change.steps.iter().flat_map(Step::affected_titles).collect();
         let is_newer = |title: &String| self.moved.get(title).is_some_and(|version| *version > change.base);
@@ -61,7 +61,7 @@
         Err(Refusal::Conflict { base: change.base, now: self.version, moved })
     }
 
-    /// Executes a step; returns the one that undoes it.
+    /// Executes a step and returns the step that undoes it.
     fn execute(&mut self, step: &Step) -> Step {
         match step {
             Step::Plan { name, to } => {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Reverts `entry`, which must be the last one that led to this version.
+    /// Reverts `entry`, which must be the entry that resulted in this version. `moved_before` becomes the versions by title.
     pub(crate) fn revert(&mut self, entry: &Entry, moved_before: &BTreeMap<String, u64>) {
         for step in &entry.undo {
             _ = self.execute(step);
@@ -85,13 +85,13 @@
         self.moved = moved_before.clone();
     }
 
-    /// By title: the version at which each thing was last set or removed.
+    /// Returns the version at which each plan, volume or traffic class was last set or removed, by title.
     pub(crate) fn moved(&self) -> &BTreeMap<String, u64> {
         &self.moved
     }
 }
 
-/// Sets or removes the value of that name; returns the one before.
+/// Sets or removes the value of this name and returns the previous one.
 fn replace<T: Clone>(values: &mut BTreeMap<String, T>, name: &str, to: &Option<T>) -> Option<T> {
     match to {
         Some(value) => values.insert(name.to_owned(), value.clone()),
--- a/crates/plans/src/change.rs
+++ b/crates/plans/src/change.rs
@@ -1,76 +1,76 @@
-//! What an operator changes, and why a change is refused.
+//! A change that an operator makes, and why a change is refused.
 
 use crate::model::{Plan, TrafficClass, Volume};
 use serde::{Deserialize, Serialize};
 use std::fmt::Display;
 
-/// The most steps of one change.
+/// The maximum number of steps of one change.
 const MAX_STEPS: usize = 10_000;
-/// The longest name or reason, in bytes.
+/// The maximum length of a name or reason, in bytes.
 const MAX_TEXT_LEN: usize = 200;
 
-/// One thing set or removed: `to` is its new value, none where it is removed.
+/// Sets or removes a plan, volume or traffic class. `to` is the new value; none removes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Step {
-    /// Of a plan.
+    /// Sets or removes a plan.
     Plan {
-        /// The plan's name.
+        /// The name of the plan.
         name: String,
-        /// Its new value.
+        /// The new value; none to remove it.
         to: Option<Plan>,
     },
-    /// Of a volume.
+    /// Sets or removes a volume.
     Volume {
-        /// The volume's name.
+        /// The name of the volume.
         name: String,
-        /// Its new value.
+        /// The new value; none to remove it.
         to: Option<Volume>,
     },
-    /// Of a traffic class.
+    /// Sets or removes a traffic class.
     #[serde(rename = "stream")]
     TrafficClass {
-        /// The traffic class's name.
+        /// The name of the traffic class.
         name: String,
-        /// Its new value.
+        /// The new value; none to remove it.
         to: Option<TrafficClass>,
     },
 }
 
-/// Steps that are taken together or not at all.
+/// Steps that apply together or not at all.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The version that it was made on.
+    /// The version of the catalogue that the change is based on.
     pub base: u64,
-    /// What it sets and removes, in this order.
+    /// The steps, in the order of their execution.
     pub steps: Vec<Step>,
-    /// Who makes it.
+    /// The name of the operator.
     pub who: String,
-    /// The reason given.
+    /// The operator's reason.
     pub why: String,
 }
 
-/// Why a change is refused.
+/// The reason why a change is refused.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Refusal {
-    /// Others have changed what this one touches or names since its base.
-    #[error("made on version {base}, and {now} holds; moved since then: {}", moved.join(", "))]
+    /// Something that the change sets, removes or refers to was changed after the version that it is based on.
+    #[error("based on version {base}, but the current version is {now}; moved since then: {}", moved.join(", "))]
     Conflict {
-        /// The version that the change was made on.
+        /// The version that the change is based on.
         base: u64,
-        /// The version now.
+        /// The current version.
         now: u64,
-        /// Titles of what was changed in between.
+        /// The titles of what was changed in between, such as `plan basic`.
         moved: Vec<String>,
     },
-    /// A value that is not allowed.
+    /// A value is not allowed.
     #[error("{place}: {found}; expected {expected}")]
     Invalid {
-        /// Where it is.
+        /// The place of the value, such as `plan basic weight`.
         place: String,
-        /// What it is.
+        /// The value that was found, as text.
         found: String,
-        /// What it could be.
+        /// The values that are allowed, for people.
         expected: String,
     },
 }
@@ -82,7 +82,7 @@
 }
 
 impl Change {
-    /// Whether its texts are printable, it has steps, and its base is no later than `version`.
+    /// Checks that the texts are printable, that there are steps, and that the base is not later than `version`.
     pub(crate) fn check_form(&self, version: u64) -> Result<(), Refusal> {
         for (field, text) in [("who", &self.who), ("why", &self.why)] {
             if text.trim().is_empty() || !is_short_and_printable(text) {
@@ -100,7 +100,7 @@
 }
 
 impl Step {
-    /// Kind and name, as the catalogue and refusals call it.
+    /// Returns the kind and name of what the step changes, as the catalogue and refusals write it. Titles are stored.
     pub(crate) fn title(&self) -> String {
         match self {
             Step::Plan { name, .. } => format!("plan {name}"),
@@ -115,6 +115,7 @@
         }
     }
 
+    /// Checks that the name is printable and not too long.
     pub(crate) fn check_name(&self) -> Result<(), Refusal> {
         let name = self.name();
         if name.is_empty() || !is_short_and_printable(name) {
@@ -124,7 +125,7 @@
         Ok(())
     }
 
-    /// Titles of what it touches and what it names.
+    /// Returns the titles of what the step changes and of what its new value refers to.
     pub(crate) fn affected_titles(&self) -> Vec<String> {
         let mut titles = vec![self.title()];
         if let Step::Volume { to: Some(volume), .. } = self {
--- a/crates/plans/src/change_log.rs
+++ b/crates/plans/src/change_log.rs
@@ -1,6 +1,6 @@
-//! Who changed what, when and why: a hash chain of entries, one a line, so that none can be altered, removed or inserted without
-//! all that follow showing it. The oldest can be compacted into a checkpoint, which names the digest that the rest continues
-//! from.
+//! The change log: who changed what, when and why. It is a hash chain of entries, one per line; so an entry that is altered, removed
+//! or inserted breaks the chain of all later ones. The oldest entries can be compacted into a checkpoint, which holds the digest
+//! that the rest of the chain continues.
 
 use crate::catalogue::Catalogue;
 use crate::change::{Change, Refusal};
@@ -9,86 +9,87 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// The longest line, in bytes.
+/// The maximum length of a line, in bytes.
 const MAX_LINE_LEN: usize = 16 << 20;
 
-/// What entries were compacted into.
+/// The state that the oldest entries were compacted into.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Checkpoint {
-    /// Number of the last of these entries.
+    /// The number of the last compacted entry.
     pub number: u64,
-    /// Digest of the last of these entries.
+    /// The digest of the last compacted entry, in hexadecimal.
     pub digest: String,
-    /// The catalogue after them.
+    /// The catalogue after the last compacted entry.
     pub catalogue: Catalogue,
 }
 
-/// Why a change log can't be read.
+/// The reason why a change log can't be read.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ChangeLogError {
-    /// A line that is not as it was written.
+    /// A line that differs from what was written.
     #[error("line {line}: {problem}; expected an entry as it was written")]
     Line {
-        /// Number of the line.
+        /// The number of the line, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// The problem with the line.
         problem: String,
     },
-    /// An entry that does not follow from the ones before.
+    /// An entry that does not follow from the entries before it.
     #[error("entry {number}: {found}; expected {expected}")]
     Broken {
-        /// Number of the entry.
+        /// The number of the entry.
         number: u64,
-        /// What it says.
+        /// What the entry contains.
         found: String,
-        /// What it would say if it followed.
+        /// What it would contain if it followed.
         expected: String,
     },
 }
 
-/// Entries behind a checkpoint, and the catalogue that they lead to.
+/// A checkpoint, the entries after it, and the catalogue that they result in.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ChangeLog {
-    /// What the log begins with.
+    /// The state that the log begins with.
     pub checkpoint: Checkpoint,
-    /// Oldest first.
+    /// The entries after the checkpoint, oldest first.
     pub entries: Vec<Entry>,
     /// The catalogue after the newest entry.
     pub catalogue: Catalogue,
 }
 
-/// The newest entry; where there is none, the last one of the checkpoint.
+/// The number and digest of the newest entry, or of the checkpoint if there is no entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogHead<'a> {
-    /// Its number.
+    /// The number of the entry.
     pub number: u64,
-    /// Its digest, in hex.
+    /// The digest of the entry, in hexadecimal.
     pub digest: &'a str,
 }
 
 /// The entry that a change would append.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Proposal {
-    /// The entry.
+    /// The entry to append.
     pub entry: Entry,
-    /// The catalogue after it.
+    /// The catalogue after the entry.
     pub catalogue: Catalogue,
 }
 
 impl ChangeLog {
-    /// A log that begins with the catalogue of a host's settings. Its checkpoint's digest is of that, so that hosts whose
-    /// settings differ do not accept each other's entries.
+    /// Creates a log that begins with the catalogue of a host's settings. The digest of its checkpoint is that of the catalogue, so
+    /// that hosts whose settings differ do not accept each other's entries.
     pub fn starting_with(catalogue: Catalogue) -> Self {
         let digest = hex_digest(&serde_json::to_vec(&catalogue).unwrap_or_default());
         ChangeLog::at_checkpoint(Checkpoint { number: 0, digest, catalogue })
     }
 
+    /// Creates a log without entries after this checkpoint.
     fn at_checkpoint(checkpoint: Checkpoint) -> Self {
         ChangeLog { catalogue: checkpoint.catalogue.clone(), checkpoint, entries: Vec::new() }
     }
 
-    /// Number and digest of the newest entry.
+    /// Returns the number and digest of the newest entry.
     pub fn head(&self) -> LogHead<'_> {
         match self.entries.last() {
             Some(entry) => LogHead { number: entry.number, digest: &entry.digest },
@@ -96,7 +97,8 @@
         }
     }
 
-    /// The entry that the change would append. The log stays as it is until `append`, once the entry is on disk.
+    /// Returns the entry that the change would append. The log does not change until `append`, which the caller calls once the entry
+    /// is on disk. `at_us` is the Unix time in microseconds.
     pub fn propose(&self, at_us: u64, change: Change, fleet: &Fleet) -> Result<Proposal, Refusal> {
         let applied = self.catalogue.apply(&change, fleet)?;
         let head = self.head();
@@ -113,28 +115,28 @@
         Ok(Proposal { entry, catalogue: applied.catalogue })
     }
 
-    /// Appends an entry that was proposed.
+    /// Appends an entry that `propose` returned, with the catalogue after it.
     pub fn append(&mut self, entry: Entry, catalogue: Catalogue) {
         self.entries.push(entry);
         self.catalogue = catalogue;
     }
 
-    /// Appends the line of an entry that another host has stored, if it is the next one here.
+    /// Appends the line of an entry that another host has stored, if it continues this log.
     pub fn append_line(&mut self, line: &[u8], fleet: &Fleet) -> Result<(), ChangeLogError> {
         let next_number = self.head().number + 1;
         let entry = parse_entry(next_number as usize, line)?;
         self.verify_and_append(entry, fleet)
     }
 
-    /// A change that undoes an entry, or none if there is no such entry. It is made on the version that the entry made: what has
-    /// changed since then is a conflict that names it.
+    /// Returns a change that undoes an entry, or `None` if the log has no such entry. The change is based on the entry's version; so
+    /// later changes of the same things are a conflict.
     pub fn undo_change(&self, number: u64, who: &str, why: &str) -> Option<Change> {
         let entry = self.entries.iter().find(|entry| entry.number == number)?;
         let steps = entry.undo.clone();
         Some(Change { base: entry.version, steps, who: who.to_owned(), why: why.to_owned() })
     }
 
-    /// One line an entry, after one for the checkpoint.
+    /// Returns the stored form: a line for the checkpoint and one for each entry.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = serde_json::to_vec(&self.checkpoint).unwrap_or_default();
         bytes.push(b'\n');
@@ -142,8 +144,8 @@
         bytes
     }
 
-    /// Reads what was stored. A last line that was cut off was never acknowledged, and is left out; any other line that is not as it was
-    /// written is an error that names the line.
+    /// Reads the stored form. An incomplete last line was never acknowledged and is ignored; any other line that differs from what was
+    /// written is an error that names the line or the entry.
     pub fn from_bytes(bytes: &[u8], fleet: &Fleet) -> Result<ChangeLog, ChangeLogError> {
         let complete = bytes.iter().rposition(|byte| *byte == b'\n').map_or(0, |end| end + 1);
         let mut lines = (1..).zip(bytes[..complete].split_inclusive(|byte| *byte == b'\n'));
@@ -155,7 +157,7 @@
         Ok(log)
     }
 
-    /// Appends an entry that was stored, if it is the next one and leads where it says.
+    /// Appends a stored entry, if it continues the chain and its change results in the version that it states.
     fn verify_and_append(&mut self, entry: Entry, fleet: &Fleet) -> Result<(), ChangeLogError> {
         self.verify_chain(&entry)?;
         let catalogue = self.verify_change(&entry, fleet)?;
@@ -163,7 +165,7 @@
         Ok(())
     }
 
-    /// Whether number and digests continue the chain.
+    /// Checks that the number and the digests of the entry continue the chain.
     fn verify_chain(&self, entry: &Entry) -> Result<(), ChangeLogError> {
         let head = self.head();
         if entry.number != head.number + 1 {
@@ -182,8 +184,8 @@
         Ok(())
     }
 
-    /// The catalogue that the entry leads to. Its own base may be older than the version that it was accepted on; what it led to
-    /// then it leads to now.
+    /// Applies the change of the entry again and returns the catalogue after it. The base of the change may be older than the version
+    /// on which it was accepted; the result is the same as then.
     fn verify_change(&self, entry: &Entry, fleet: &Fleet) -> Result<Catalogue, ChangeLogError> {
         match self.catalogue.apply(&entry.change, fleet) {
             Ok(applied) if applied.catalogue.version == entry.version && applied.undo == entry.undo => {
@@ -203,7 +205,7 @@
         }
     }
 
-    /// Compacts all but the last `kept` entries into the checkpoint, whose digest the rest of the chain continues.
+    /// Compacts all but the last `kept` entries into the checkpoint. The rest of the chain continues from the checkpoint's digest.
     pub fn compact(&mut self, kept: usize) {
         let count = self.entries.len().saturating_sub(kept);
         let Some(last) = count.checked_sub(1).and_then(|index| self.entries.get(index)) else { return };
@@ -212,7 +214,7 @@
         for entry in &self.entries[..count] {
             moved.extend(entry.change.steps.iter().map(|step| (step.title(), entry.version)));
         }
-        // Reverting the entries that are kept, the newest first, gives the catalogue at the checkpoint.
+        // Reverting the kept entries, newest first, results in the catalogue at the checkpoint.
         let mut catalogue = self.catalogue.clone();
         for entry in self.entries[count..].iter().rev() {
             catalogue.revert(entry, &moved);
@@ -233,11 +235,15 @@
     serde_json::from_slice(text).map_err(|error| ChangeLogError::Line { line, problem: error.to_string() })
 }
 
-/// The entry of a line. Bytes that parse to the same entry but were written otherwise are refused: the digest is over the bytes.
+/// Parses the entry of a line. A line that parses but differs in its bytes from what `to_line` writes is refused: the digest is over
+/// the bytes.
 fn parse_entry(line: usize, text: &[u8]) -> Result<Entry, ChangeLogError> {
     let entry: Entry = parse_json(line, text)?;
     if entry.to_line() != text {
-        return Err(ChangeLogError::Line { line, problem: "bytes that were not written so".into() });
+        return Err(ChangeLogError::Line {
+            line,
+            problem: "bytes that differ from the written form of the entry".into(),
+        });
     }
     Ok(entry)
 }
--- a/crates/plans/src/difference.rs
+++ b/crates/plans/src/difference.rs
@@ -1,4 +1,4 @@
-//! What two versions of the catalogue differ in, and whether hosts that run can go from one to the other.
+//! The differences of two versions of the catalogue, and whether running hosts can change from one to the other.
 
 use crate::catalogue::Catalogue;
 use crate::change::Refusal;
@@ -7,19 +7,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Catalogue {
-    /// Whether hosts can go to `to` while they run: plans may change, and which plan a volume is under. Where data lies, which
-    /// hosts serve a volume and what its traffic classes are is fixed at a host's start: limit shares and the places of bytes
-    /// depend on it.
+    /// Checks that hosts can change to `to` while they run. Plans may change, and the plan of a volume. The shards of the data, the hosts
+    /// that serve a volume and the traffic classes are fixed when a host starts: each host's share of limits and the location of
+    /// data depend on them.
     pub fn check_live_update(&self, to: &Catalogue) -> Result<(), Refusal> {
-        let expected = "what stands: hosts that run take up plans, and which plan a volume is under";
+        let expected = "no change: running hosts accept only changes of plans and of the plan of a volume";
         for (name, now) in &self.volumes {
             let Some(next) = to.volumes.get(name) else {
-                return Err(Refusal::invalid(format!("volume {name}"), "taken away", expected));
+                return Err(Refusal::invalid(format!("volume {name}"), "removed", expected));
             };
             if *now != (Volume { plan: now.plan.clone(), ..next.clone() }) {
                 return Err(Refusal::invalid(
                     format!("volume {name}"),
-                    "moved in more than its plan",
+                    "differs in more than its plan",
                     expected,
                 ));
             }
@@ -28,12 +28,12 @@
             return Err(Refusal::invalid(format!("volume {name}"), "added", expected));
         }
         if self.traffic_classes != to.traffic_classes {
-            return Err(Refusal::invalid("streams", "moved", expected));
+            return Err(Refusal::invalid("streams", "changed", expected));
         }
         Ok(())
     }
 
-    /// What is different in `to`, one line a thing.
+    /// Returns the differences of `to` from this version, one line for each plan, volume or traffic class.
     pub fn diff(&self, to: &Catalogue) -> Vec<String> {
         let mut lines = diff_of_kind("plan", &self.plans, &to.plans);
         lines.extend(diff_of_kind("stream", &self.traffic_classes, &to.traffic_classes));
--- a/crates/plans/src/replicated_plans.rs
+++ b/crates/plans/src/replicated_plans.rs
@@ -1,5 +1,5 @@
 //! The state machine that hosts replicate: the change log, and for each volume the fallback limits that some host may still use.
-//! Each command of the consensus log leads every host to the same state, to the byte.
+//! After each command of the consensus log, the stored state of all hosts is identical byte for byte.
 
 use crate::catalogue::Catalogue;
 use crate::change::{Change, Refusal};
@@ -9,9 +9,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Entries of the change log that are kept; older ones are compacted.
+/// The number of entries of the change log that compaction keeps.
 const RETAINED_ENTRIES: usize = 1_000;
-/// Entries beyond these at which the log is compacted.
+/// The number of entries beyond `RETAINED_ENTRIES` at which the change log is compacted.
 const COMPACTION_SURPLUS: usize = 250;
 
 /// One command of the consensus log.
@@ -20,12 +20,12 @@
 pub enum Command {
     /// Changes the catalogue.
     Change {
-        /// Unix time in microseconds, by the host that was asked.
+        /// The Unix time in microseconds, by the clock of the host that received the change.
         at_us: u64,
-        /// What is changed.
+        /// The change.
         change: Change,
     },
-    /// All hosts of the fleet have that version on their disks: none uses fallback limits of before it any more.
+    /// States that all hosts of the fleet have a version on disk, so that no host uses fallback limits from before it any more.
     #[serde(rename = "told")]
     Notified {
         /// The version.
@@ -33,21 +33,22 @@
     },
 }
 
-/// A fallback limit and the version that it came with.
+/// A fallback limit and the version that set it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct VersionedLimit {
     version: u64,
-    /// Units a second; infinite where there is no limit.
+    /// In units per second; infinite if there is no limit.
     limit: f64,
 }
 
-/// What hosts that replicate changes hold.
+/// The state of hosts that replicate changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicatedPlans {
-    /// The changes, and the catalogue that they lead to.
+    /// The changes, and the catalogue that they result in.
     pub change_log: ChangeLog,
-    /// By volume: fallback limits from the newest one on that all hosts have.
+    /// For each volume, the newest fallback limit that all hosts have, and all later ones.
     fallback_limits: BTreeMap<String, Vec<VersionedLimit>>,
+    /// The newest version that all hosts have on disk.
     notified_version: u64,
 }
 
@@ -57,13 +58,13 @@
 struct Header {
     #[serde(rename = "told")]
     notified_version: u64,
-    /// By volume: versions and limits. JSON has no infinite number: none.
+    /// For each volume, versions and limits; an infinite limit is `None`, since JSON has no infinite numbers.
     #[serde(rename = "floors")]
     fallback_limits: BTreeMap<String, Vec<(u64, Option<f64>)>>,
 }
 
 impl ReplicatedPlans {
-    /// The state before the first command.
+    /// Creates the state before the first command, with the catalogue of the host's settings.
     pub fn starting_with(catalogue: Catalogue) -> ReplicatedPlans {
         let change_log = ChangeLog::starting_with(catalogue);
         let mut plans = ReplicatedPlans { change_log, fallback_limits: BTreeMap::new(), notified_version: 0 };
@@ -71,7 +72,7 @@
         plans
     }
 
-    /// Records the fallback limits that the newest version gives the volumes.
+    /// Records the fallback limit of each volume in the newest version, if it has changed.
     fn record_fallback_limits(&mut self) {
         let catalogue = &self.change_log.catalogue;
         for (name, volume) in &catalogue.volumes {
@@ -84,23 +85,23 @@
         }
     }
 
-    /// The newest version that all hosts have on their disks, as was committed.
+    /// Returns the newest version that all hosts have on disk, by the last committed notification.
     pub fn notified_version(&self) -> u64 {
         self.notified_version
     }
 
-    /// The most that any host without a valid lease may use of a volume, in units a second.
+    /// Returns the highest rate that any host without a valid lease may use for a volume, in units per second; 0 for an unknown volume.
     pub fn fallback_limit(&self, volume: &str) -> f64 {
         let limits = self.fallback_limits.get(volume);
         limits.map_or(0.0, |limits| limits.iter().map(|entry| entry.limit).fold(0.0, f64::max))
     }
 
-    /// Whether all hosts have to confirm the newest version before limits can go below some fallback limit.
+    /// Returns whether the hosts have to confirm a version before limits can go below an older fallback limit.
     pub fn awaits_notification(&self) -> bool {
         self.fallback_limits.values().any(|limits| limits.len() > 1)
     }
 
-    /// The entry that a change would append, and where that leads.
+    /// Returns the entry that a change would append, and the catalogue after it. The state does not change.
     pub fn propose(&self, at_us: u64, change: Change, fleet: &Fleet) -> Result<Proposal, Refusal> {
         let proposal = self.change_log.propose(at_us, change, fleet)?;
         self.change_log.catalogue.check_live_update(&proposal.catalogue)?;
@@ -108,7 +109,8 @@
         Ok(proposal)
     }
 
-    /// No limit may go below a fallback limit that some host may still use: that host, without a valid lease, would exceed the new limit.
+    /// Checks that no limit goes below a fallback limit that some host may still use: without a valid lease, that host would exceed the
+    /// new limit.
     fn check_limits(&self, next: &Catalogue) -> Result<(), Refusal> {
         for (name, volume) in &next.volumes {
             let (fallback, Some(plan)) = (self.fallback_limit(name), next.plans.get(&volume.plan)) else {
@@ -126,7 +128,7 @@
         Ok(())
     }
 
-    /// Executes a command of the consensus log, with the same result at every host. A change gives its entry.
+    /// Executes a command of the consensus log, with the same result on every host. Returns the entry if the command is a change.
     pub fn apply(&mut self, command: Command, fleet: &Fleet) -> Result<Option<Entry>, Refusal> {
         match command {
             Command::Change { at_us, change } => self.apply_change(at_us, change, fleet).map(Some),
@@ -153,13 +155,13 @@
         }
         self.notified_version = version;
         for limits in self.fallback_limits.values_mut() {
-            // No host uses a fallback limit from before the newest one up to that version any more.
+            // All hosts have the newest limit up to that version; no host uses an older one any more.
             let newest = limits.iter().rposition(|entry| entry.version <= version).unwrap_or(0);
             limits.drain(..newest);
         }
     }
 
-    /// The stored form: a header line, then the change log.
+    /// Returns the stored form: a header line, then the change log.
     pub fn to_bytes(&self) -> Vec<u8> {
         let pair =
             |entry: &VersionedLimit| (entry.version, Some(entry.limit).filter(|limit| limit.is_finite()));
--- a/crates/plans/src/validation.rs
+++ b/crates/plans/src/validation.rs
@@ -1,15 +1,15 @@
-//! Whether a version of the catalogue is consistent and the fleet bears it: a function for each rule.
+//! Checks that a version of the catalogue is consistent and within the fleet's capacity, with one function for each rule.
 
 use crate::catalogue::Catalogue;
 use crate::change::Refusal;
 use crate::model::{Fleet, Plan, TrafficClass, Volume};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The fraction of what a shard's node can serve that volumes may reserve.
+/// The fraction of a node's capacity that volumes may reserve at its shard.
 const MAX_RESERVED_FRACTION: f64 = 0.9;
 
 impl Catalogue {
-    /// The first thing that is wrong, in the order of plans, traffic classes, volumes and shards.
+    /// Checks plans, traffic classes, volumes and shards, in this order. Returns the first error.
     pub(crate) fn validate(&self, fleet: &Fleet) -> Result<(), Refusal> {
         for (name, plan) in &self.plans {
             check_plan(name, plan)?;
@@ -21,7 +21,7 @@
         let mut reserved_by_shard: BTreeMap<u32, f64> = BTreeMap::new();
         for (name, volume) in &self.volumes {
             if let Some(other) = names_by_lun.insert(volume.lun, name) {
-                let expected = format!("a number that {other} has not");
+                let expected = format!("a number that {other} does not have");
                 return Err(Refusal::invalid(format!("volume {name} lun"), volume.lun, &expected));
             }
             let plan = self.check_names_in_volume(name, volume)?;
@@ -37,7 +37,7 @@
         check_reservations(&reserved_by_shard, &fleet.bears)
     }
 
-    /// The volume's plan, if the plan and the volume's traffic classes exist.
+    /// Returns the volume's plan, if the plan and the volume's traffic classes exist.
     fn check_names_in_volume(&self, name: &str, volume: &Volume) -> Result<&Plan, Refusal> {
         let Some(plan) = self.plans.get(&volume.plan) else {
             let (place, found) = (format!("volume {name} plan"), format!("{:?}", volume.plan));
@@ -46,25 +46,25 @@
         for (field, traffic_class) in [("reads", &volume.reads), ("writes", &volume.writes)] {
             if !self.traffic_classes.contains_key(traffic_class) {
                 let (place, found) = (format!("volume {name} {field}"), format!("{traffic_class:?}"));
-                return Err(Refusal::invalid(place, found, "the name of a stream type"));
+                return Err(Refusal::invalid(place, found, "the name of a traffic class"));
             }
         }
         Ok(plan)
     }
 }
 
-/// Whether a number can be a rate or an amount.
+/// Returns whether a number can be a rate or an amount.
 fn is_valid(number: f64) -> bool {
     number.is_finite() && number >= 0.0
 }
 
-/// The figures of a plan, by themselves and among each other. A fallback limit or a reservation above the limit would promise what the
-/// limit refuses.
+/// Checks the values of a plan, each one and against each other. A fallback limit or a reservation above the limit would promise a
+/// rate that the limit does not allow.
 fn check_plan(name: &str, plan: &Plan) -> Result<(), Refusal> {
     let place = |field: &str| format!("plan {name} {field}");
-    let figures =
+    let values =
         [("limit", plan.limit), ("burst", plan.burst), ("slack", plan.slack), ("reserve", plan.reserve)];
-    for (field, number) in figures {
+    for (field, number) in values {
         if !is_valid(number) {
             return Err(Refusal::invalid(place(field), number, "a number of 0 or more"));
         }
@@ -84,7 +84,7 @@
     Ok(())
 }
 
-/// A latency objective after the deadline could never be missed by a request that is still wanted.
+/// Checks that the latency objective is not after the deadline. Otherwise no request could miss it before its answer is useless anyway.
 fn check_traffic_class(name: &str, traffic_class: &TrafficClass) -> Result<(), Refusal> {
     let (objective, deadline) = (traffic_class.latency_objective_ms, traffic_class.deadline_ms);
     if objective > 0.0 && objective <= deadline && deadline.is_finite() {
@@ -103,7 +103,8 @@
     Ok(())
 }
 
-/// Whether a volume comes through hosts of the fleet, each named once: a host that is named twice would have two shares of the limit.
+/// Checks that a volume is served by hosts of the fleet, each named once: a host that is named twice would get two shares of the
+/// limit.
 fn check_hosts(name: &str, volume: &Volume, host_count: u32) -> Result<(), Refusal> {
     let hosts: BTreeSet<u32> = volume.through.iter().copied().collect();
     let has_unknown_host = hosts.iter().any(|host| *host >= host_count);
@@ -115,8 +116,8 @@
     Ok(())
 }
 
-/// Hosts share a volume's burst evenly, and a request that costs more than its host's share can never be sent. So the largest request,
-/// of `max_units`, must fit into a share.
+/// Checks that the largest request, of `max_units`, fits into each host's share of the burst. Hosts share a volume's burst evenly, and
+/// a request that costs more than its host's share could never be sent.
 fn check_burst_share(name: &str, host_count: usize, plan: &Plan, max_units: f64) -> Result<(), Refusal> {
     let burst_share = plan.burst / host_count as f64;
     if plan.limit > 0.0 && burst_share < max_units {
@@ -137,7 +138,7 @@
     }
 }
 
-/// A reservation is a promise: all that volumes reserve at a shard, in units a second, must fit into what its node bears.
+/// Checks that the sum of all reservations at a shard, in units per second, is within the capacity that its node may promise.
 fn check_reservations(
     reserved_by_shard: &BTreeMap<u32, f64>,
     bears: &BTreeMap<u32, f64>,
@@ -145,8 +146,8 @@
     for (shard, reserved) in reserved_by_shard {
         let max = bears.get(shard).copied().unwrap_or(0.0) * MAX_RESERVED_FRACTION;
         if *reserved > max {
-            let found = format!("{reserved:.1} units a second reserved");
-            let expected = format!("at most {max:.1}, {MAX_RESERVED_FRACTION} of what its node bears");
+            let found = format!("{reserved:.1} units per second reserved");
+            let expected = format!("at most {max:.1}, {MAX_RESERVED_FRACTION} of what its node can serve");
             return Err(Refusal::invalid(format!("shard {shard}"), found, &expected));
         }
     }
--- a/crates/plans/tests/plans.rs
+++ b/crates/plans/tests/plans.rs
@@ -74,7 +74,7 @@
         (vec![set_plan("basic", None)], "volume school plan: \"basic\"; expected the name of a plan"),
         (
             vec![set_volume("x", Some(volume(2, "basic")))],
-            "volume x lun: 2; expected a number that museum has not",
+            "volume x lun: 2; expected a number that museum does not have",
         ),
         (vec![set_volume("x", Some(far))], "volume x through: [0, 9]; expected different numbers below 4"),
         (vec![set_volume("x", Some(lost))], "volume x shards: 7; expected a shard that some node holds"),
@@ -88,7 +88,7 @@
         ),
         (
             vec![set_plan("premium", Some(Plan { reserve: 500.0, ..plan(0.0) }))],
-            "shard 0: 252.5 units a second reserved; expected at most 90.0, 0.9 of what its node bears",
+            "shard 0: 252.5 units per second reserved; expected at most 90.0, 0.9 of what its node can serve",
         ),
         (
             vec![set_plan("basic", Some(Plan { reserve: 30.0, ..plan(20.0) }))],
