--- a/crates/planner/examples/fleet.rs
+++ b/crates/planner/examples/fleet.rs
@@ -1,4 +1,5 @@
-//! Places 2,000 drawn loads on 60 nodes, by the linear program and by the mean rate, and tells times and what holds.
+//! Places 2,000 random loads on 60 nodes, by the linear program and by the mean rate, and prints the time taken and the number of nodes
+//! where the latency objectives hold.
 
 use std::time::Instant;
 use tackmast_planner::*;
--- a/crates/planner/src/curve.rs
+++ b/crates/planner/src/curve.rs
@@ -1,50 +1,51 @@
-//! Rate-burst curves (paper, 2.2, algorithm 1): for each rate of a token bucket the smallest burst with which no request of a
-//! load would wait.
+//! Rate-burst curves (paper, 2.2, algorithm 1): for each rate of a token bucket, the smallest burst with which no request of a load
+//! waits.
 
-/// Points of one curve, at most.
+/// The maximum number of points of a curve.
 const MAX_POINTS: usize = 12;
-/// The lowest rate of a curve, as a multiple of the mean: below the mean, a burst grows with the length of the record.
+/// The lowest rate of a curve, as a multiple of the mean rate. Below the mean rate, the burst would grow with the length of the
+/// record.
 const MIN_RATE_FACTOR: f64 = 1.02;
-/// The smallest ratio of one rate to the one before.
+/// The minimum ratio of a point's rate to that of the point before.
 const MIN_RATE_RATIO: f64 = 1.0 + 1e-6;
 
 /// A recorded request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// Seconds from the start of the record.
+    /// The time since the start of the record, in seconds.
     pub at_s: f64,
-    /// What the request costs.
+    /// The cost of the request, in units.
     pub units: f64,
 }
 
-/// Rate and burst of a token bucket.
+/// The rate and burst of a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
-    /// Units a second.
+    /// In units per second.
     pub rate: f64,
-    /// Units.
+    /// In units.
     pub burst: f64,
 }
 
-/// A line that a curve lies on.
+/// A line through two neighbouring points of a curve.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
-    /// Change of the burst with the rate.
+    /// The change of the burst per change of the rate, in seconds.
     pub slope: f64,
-    /// The burst at rate 0.
+    /// The burst at rate 0, in units.
     pub intercept: f64,
 }
 
-/// Points by rising rate. Between them the burst falls along a line; beyond the last it stays.
+/// A rate-burst curve. Between two points the burst falls along a line; beyond the last point it is constant.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Curve {
-    /// The points; none where there were no arrivals.
+    /// The points in ascending order of rate; empty if there were no arrivals.
     pub points: Vec<Point>,
 }
 
 impl Curve {
-    /// The curve of arrivals in order of time, recorded for `seconds`. Rates go from just above the mean to where the burst is
-    /// one request, or to `max_rate`.
+    /// Computes the curve of arrivals that were recorded for `seconds` and are in order of time. The rates go from just above the mean to
+    /// the rate at which the burst is one request, but not above `max_rate`, in units per second.
     pub fn from_arrivals(arrivals: &[Arrival], seconds: f64, max_rate: f64) -> Curve {
         let total: f64 = arrivals.iter().map(|arrival| arrival.units).sum();
         let largest = arrivals.iter().map(|arrival| arrival.units).fold(0.0, f64::max);
@@ -65,7 +66,7 @@
         Curve { points }
     }
 
-    /// The burst that goes with a rate; none below the first point.
+    /// Returns the burst at a rate, or `None` below the rate of the first point.
     pub fn burst(&self, rate: f64) -> Option<f64> {
         let next = self.points.partition_point(|point| point.rate <= rate);
         let from = self.points[..next].last()?;
@@ -74,7 +75,7 @@
         Some(from.burst + fraction * (to.burst - from.burst))
     }
 
-    /// The lines that the curve lies on. It is convex, so it is above each of them.
+    /// Returns the lines through each two neighbouring points. The curve is convex; so none of its points is below any of them.
     pub fn lines(&self) -> impl Iterator<Item = Line> + '_ {
         self.points.windows(2).map(|pair| {
             let slope = (pair[1].burst - pair[0].burst) / (pair[1].rate - pair[0].rate);
@@ -82,23 +83,24 @@
         })
     }
 
-    /// The point of the lowest rate.
+    /// Returns the point of the lowest rate.
     pub fn first(&self) -> Option<Point> {
         self.points.first().copied()
     }
 
-    /// The point of the highest rate.
+    /// Returns the point of the highest rate.
     pub fn last(&self) -> Option<Point> {
         self.points.last().copied()
     }
 
-    /// The lowest rate; 0 where there were no arrivals.
+    /// Returns the lowest rate, or 0 if there were no arrivals.
     pub(crate) fn min_rate(&self) -> f64 {
         self.first().map_or(0.0, |point| point.rate)
     }
 }
 
-/// The paper's virtual bucket, which drains at `rate`: the highest level that arrivals fill it to, from `initial_level` on.
+/// Returns the highest level to which arrivals fill the paper's virtual bucket. The bucket starts at `initial_level`, in units, and
+/// drains at `rate`, in units per second.
 pub fn max_bucket_level(arrivals: &[Arrival], rate: f64, initial_level: f64) -> f64 {
     let (mut level, mut highest, mut last_s) = (initial_level, 0.0f64, 0.0);
     for Arrival { at_s, units } in arrivals {
--- a/crates/planner/src/fit.rs
+++ b/crates/planner/src/fit.rs
@@ -1,22 +1,22 @@
-//! Rates and bursts under which all latency objectives hold at one node (paper, 2.3, equations 3 and 4), by a linear program.
+//! Finds rates and bursts with which all latency objectives hold at one node, by a linear program (paper, 2.3, equations 3 and 4).
 
 use crate::curve::{Line, Point};
 use crate::load::{rank_by_objective, Load, Node};
 use microlp::{ComparisonOp, OptimizationDirection, Problem, SolveOutcome, Variable};
 
-/// Rate and burst of a load, in the linear program.
+/// The variables of a load in the linear program.
 struct PointVariables {
     rate: Variable,
     burst: Variable,
 }
 
-/// Rates and bursts on or above each load's curve with which every latency objective holds, the sum of rates being the lowest;
-/// none where there are none.
+/// Returns a rate and burst for each load, on or above its curve, with which every latency objective holds; of all solutions, the one
+/// with the lowest sum of rates. Returns `None` if the loads do not fit on the node.
 pub fn fit(node: &Node, loads: &[&Load]) -> Option<Vec<Point>> {
     if loads.is_empty() {
         return Some(Vec::new());
     }
-    // In fractions of the capacity, so that figures of all fleets are of one magnitude.
+    // Values are fractions of the capacity, so that they have the same magnitude for all fleets.
     let scale = node.capacity;
     let mut program = Problem::new(OptimizationDirection::Minimize);
     let variables = add_points(&mut program, loads, scale)?;
@@ -28,7 +28,7 @@
     Some(variables.iter().map(|p| Point { rate: value(p.rate), burst: value(p.burst) }).collect())
 }
 
-/// Variables for each load, held above its curve; none where a load has no curve.
+/// Adds variables for each load and constraints that keep them on or above its curve. Returns `None` if a load has no curve.
 fn add_points(program: &mut Problem, loads: &[&Load], scale: f64) -> Option<Vec<PointVariables>> {
     let mut variables = Vec::with_capacity(loads.len());
     for load in loads {
@@ -43,7 +43,8 @@
     Some(variables)
 }
 
-/// A constraint for each rank: its bursts and the tighter ones are served within its slack. None where a load has no slack.
+/// Adds a constraint for each rank: its bursts and those of tighter ranks are served within its slack. Returns `None` if a load has no
+/// slack.
 fn add_latency_objectives(
     program: &mut Problem,
     node: &Node,
--- a/crates/planner/src/latency_bound.rs
+++ b/crates/planner/src/latency_bound.rs
@@ -3,7 +3,8 @@
 use crate::curve::Point;
 use crate::load::{rank_by_objective, Load, Node};
 
-/// A bound on the latency of each load in seconds, by equation 1 with what this node adds; infinite where the node is overloaded.
+/// Returns an upper bound on the latency of each load, in seconds: the wait by equation 1, plus the round trip, the request's own service
+/// and looser loads in flight. The bounds are infinite if the node is overloaded.
 pub fn latency_bounds(node: &Node, loads: &[&Load], points: &[Point]) -> Vec<f64> {
     let mut bounds = vec![f64::INFINITY; loads.len()];
     let total_rate: f64 = points.iter().map(|point| point.rate).sum();
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -1,5 +1,6 @@
-//! Whether recorded loads fit on nodes: the paper's method at placement time (sections 2.2 to 2.4), which the running host leaves
-//! out. No I/O, no clock. docs/plans.md tells what was changed and what the bound does not cover.
+//! Determines whether recorded loads fit on nodes, by the paper's method at placement time (sections 2.2 to 2.4), which the running
+//! host does not use. This package does no I/O and reads no clock. docs/plans.md lists the differences from the paper and what the
+//! bound does not cover.
 //!
 //! | file | job |
 //! | --- | --- |
@@ -7,7 +8,7 @@
 //! | `load` | loads, nodes, and the order in which latency objectives rank loads |
 //! | `latency_bound` | a bound on each load's latency at a node |
 //! | `fit` | rates and bursts under which all latency objectives hold, by a linear program |
-//! | `placement` | loads onto nodes |
+//! | `placement` | the placement of loads onto nodes |
 
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/planner/src/load.rs
+++ b/crates/planner/src/load.rs
@@ -2,35 +2,37 @@
 
 use crate::curve::Curve;
 
-/// What a volume asks of one traffic class at one shard.
+/// The load of one volume in one traffic class at one shard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
-    /// For people.
+    /// A name, for people.
     pub name: String,
-    /// The time within which its requests are to be answered, seconds.
+    /// The time within which its requests have to be answered, in seconds.
     pub latency_objective_s: f64,
-    /// Units of its largest request.
+    /// The cost of its largest request, in units.
     pub max_request_units: f64,
-    /// Rates and bursts with which none of its requests would wait.
+    /// The rates and bursts with which none of its requests waits.
     pub curve: Curve,
 }
 
-/// What a node can serve.
+/// The capacity and the delays of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Node {
-    /// Units a second.
+    /// The capacity of all cores together, in units per second.
     pub capacity: f64,
-    /// Seconds that a unit takes at one core: a request's own work is not spread over cores.
+    /// The service time of a unit at one core, in seconds: a request is not spread over cores.
     pub unit_service_s: f64,
-    /// Units of looser loads that may be in flight at the node when a tighter one arrives: concurrency limits of all hosts
-    /// together. The paper's priorities are kept at the queue itself; here a node serves in order of arrival, so these go first.
+    /// The units of looser loads that may be in flight at the node when a request of a tighter load arrives: the sum of the concurrency
+    /// limits of all hosts. In the paper the queue itself serves by priority; here a node serves in order of arrival, so these units
+    /// are served first.
     pub in_flight_units: f64,
-    /// Seconds of the way there and back.
+    /// The network round trip, in seconds.
     pub round_trip_s: f64,
 }
 
 impl Node {
-    /// Seconds that a load may wait behind others, for its latency objective to hold; `rank` is one of `ranks`.
+    /// Returns how long a request of the load may wait for others so that its latency objective holds, in seconds. `rank` is the load's
+    /// index in `ranks`.
     pub(crate) fn slack_s(&self, load: &Load, rank: usize, ranks: &[Vec<usize>]) -> f64 {
         let is_loosest = rank + 1 == ranks.len();
         let looser_s = if is_loosest { 0.0 } else { self.in_flight_units / self.capacity };
@@ -39,7 +41,7 @@
     }
 }
 
-/// Indices of loads by latency objective: those of equal ones together, tightest first.
+/// Groups the indices of loads by latency objective, tightest first. Loads with equal objectives are in the same group.
 pub(crate) fn rank_by_objective(loads: &[&Load]) -> Vec<Vec<usize>> {
     let objective = |index: usize| loads[index].latency_objective_s;
     let mut order: Vec<usize> = (0..loads.len()).collect();
--- a/crates/planner/src/placement.rs
+++ b/crates/planner/src/placement.rs
@@ -1,33 +1,34 @@
-//! Loads onto nodes (paper, 2.4): the first node on which all still hold; nodes that are nearly full are passed over.
+//! Places loads onto nodes by first-fit (paper, 2.4): a load goes onto the first node on which all latency objectives still hold.
+//! Nodes that are nearly full are skipped.
 
 use crate::curve::Point;
 use crate::fit::fit;
 use crate::latency_bound::latency_bounds;
 use crate::load::{Load, Node};
 
-/// A node for which so many programs in a row had no solution is passed over from then on, as the paper's fast first-fit
-/// passes over nodes that are nearly full: most of the time would go into finding that out again.
+/// The number of linear programs in a row without a solution after which a node is skipped, as the paper's fast first-fit skips nodes that
+/// are nearly full. Otherwise most of the time would be spent on programs that have no solution.
 const MAX_FAILURES_IN_A_ROW: usize = 8;
 
 /// A load on a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacedLoad {
-    /// Index of the load.
+    /// The index of the load.
     pub load: usize,
-    /// The rate and burst that it is given.
+    /// The rate and burst assigned to the load.
     pub point: Point,
 }
 
-/// Which loads go onto which nodes.
+/// The assignment of loads to nodes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Placement {
-    /// By node: the loads there.
+    /// The loads on each node, by index of the node.
     pub nodes: Vec<Vec<PlacedLoad>>,
-    /// Indices of loads that found no node.
+    /// The indices of loads that fit on no node.
     pub unplaced: Vec<usize>,
-    /// Linear programs solved.
+    /// The number of linear programs that were run, with or without a solution.
     pub programs_solved: usize,
-    /// Loads placed without a linear program.
+    /// The number of loads placed without a linear program.
     pub placed_directly: usize,
 }
 
@@ -36,14 +37,14 @@
         Placement { nodes: vec![Vec::new(); node_count], ..Placement::default() }
     }
 
-    /// Number of nodes with at least one load.
+    /// Returns the number of nodes with at least one load.
     pub fn used_nodes(&self) -> usize {
         self.nodes.iter().filter(|placed| !placed.is_empty()).count()
     }
 }
 
-/// Places loads by the linear program. Where the loads of a node can stay as they are, and some point of the new one's curve holds
-/// beside them, nothing is solved: the most bursty such point with the lowest rate is taken.
+/// Places loads by the linear program. No program is run for a node whose loads can keep their points while all latency objectives hold
+/// with some point of the new load's curve: then the first such point, which has the lowest rate and the largest burst, is used.
 pub fn place(node: &Node, node_count: usize, loads: &[Load]) -> Placement {
     let mut placement = Placement::empty(node_count);
     let mut failures = vec![0; node_count];
@@ -55,7 +56,7 @@
     placement
 }
 
-/// Indices of loads, largest first: what is left fits in beside them.
+/// Returns the indices of loads, largest first: small loads still fit on nodes that are partly full.
 fn largest_first(loads: &[Load], factor: f64) -> Vec<usize> {
     let size = |index: &usize| loads[*index].curve.min_rate() * factor;
     let mut order: Vec<usize> = (0..loads.len()).collect();
@@ -63,7 +64,8 @@
     order
 }
 
-/// Whether a node was found; `failures` counts, by node, programs in a row that had no solution.
+/// Places a load on the first node on which it fits, and returns whether there is one. `failures` counts, for each node, the programs in
+/// a row without a solution.
 fn place_on_first(
     node: &Node,
     placement: &mut Placement,
@@ -86,7 +88,7 @@
     false
 }
 
-/// The loads of the node with the new one, if all hold.
+/// Returns the loads of a node with the new one, if all latency objectives hold.
 fn place_on(
     node: &Node,
     placement: &mut Placement,
@@ -115,7 +117,7 @@
     Some(indices.into_iter().zip(points).map(|(load, point)| PlacedLoad { load, point }).collect())
 }
 
-/// The present points with the first one of the last load's curve under which all latency objectives hold.
+/// Returns the present points and the first point of the last load's curve with which all latency objectives hold.
 fn find_point_beside(node: &Node, loads: &[&Load], present: &[Point]) -> Option<Vec<Point>> {
     let candidates = loads.last()?.curve.points.iter().map(|point| [present, &[*point]].concat());
     candidates.into_iter().find(|points| {
@@ -124,7 +126,8 @@
     })
 }
 
-/// The plain method to compare with: first-fit by `factor` times the mean rate, with regard to nothing else.
+/// Places loads by first-fit of `factor` times their mean rate, without regard to bursts and latency objectives. This is the baseline to
+/// compare `place` with.
 pub fn place_by_mean_rate(node: &Node, node_count: usize, loads: &[Load], factor: f64) -> Placement {
     let mut placement = Placement::empty(node_count);
     let rate_of = |index: usize| loads[index].curve.min_rate() * factor;
--- a/crates/planner/tests/planner.rs
+++ b/crates/planner/tests/planner.rs
@@ -1,10 +1,10 @@
-//! Curves against a search of all windows, bounds against a queue that is played, and placements.
+//! Tests curves against a search of all windows, latency bounds against a simulated queue, and placements.
 
 use tackmast_planner::*;
 
 const NODE: Node = Node { capacity: 200.0, unit_service_s: 0.005, in_flight_units: 0.0, round_trip_s: 0.0 };
 
-/// Arrivals that come in surges.
+/// Returns arrivals with periodic surges.
 fn arrivals(seed: u64, rate: f64, surge: f64, seconds: f64) -> Vec<Arrival> {
     let mut c = oorandom::Rand64::new(u128::from(seed));
     let (mut t, mut all) = (0.0, Vec::new());
@@ -24,7 +24,7 @@
     (Load { name: format!("load {seed}"), latency_objective_s, max_request_units: 4.0, curve }, a)
 }
 
-/// A burst that the curve understates would let a plan pass that its load exceeds.
+/// If a curve understated a burst, the planner would accept a plan that the load exceeds.
 #[test]
 fn a_curve_is_the_smallest_burst_of_all_windows_and_convex() {
     let (l, a) = load(3, 10.0, 6.0, 1.0);
@@ -48,10 +48,11 @@
     assert_eq!(l.curve.burst(last.rate * 9.0), Some(last.burst));
 }
 
-/// The planner says that loads fit a node. Played on a model of the node, no request may exceed its bound.
+/// The planner finds that loads fit on a node. In a simulation of the node, no request may take longer than its latency objective.
 #[test]
-fn what_fits_holds_when_it_is_played() {
-    // A queue with priorities by latency objective that serves one at a time: the paper's server. How many loads, their rate and their surge.
+fn loads_that_fit_meet_their_latency_objectives_in_a_simulated_queue() {
+    // The paper's server: a queue with priorities by latency objective that serves one request at a time. Each set gives the number of
+    // loads, their rate and their surge factor.
     let mut held = 0;
     let sets = [
         (3, 4.0, 2.0),
@@ -93,7 +94,7 @@
                 (0..waiting.len()).min_by(|a, b| key(&waiting[*a]).partial_cmp(&key(&waiting[*b])).unwrap());
             let (t, units, i) = waiting.swap_remove(best.unwrap());
             now += units / NODE.capacity;
-            // One that was begun before a tighter one came ends first: the largest request of another.
+            // A request that is in service is completed first when a tighter one arrives; so the largest request is added.
             let most = loads[i].latency_objective_s + 4.0 / NODE.capacity;
             assert!(now - t <= most, "{n} loads of {rate}: {} took {} of {most}", loads[i].name, now - t);
         }
@@ -101,9 +102,9 @@
     assert!(held >= 4 && held < sets.len(), "{held} sets of loads fit");
 }
 
-/// More loads than the nodes can bear: each node must hold what it was given, and the rest must be named.
+/// There are more loads than the nodes can serve. All latency objectives must hold at each node, and the other loads must be reported.
 #[test]
-fn placements_hold_at_each_node_and_name_what_found_none() {
+fn placements_meet_objectives_at_each_node_and_report_loads_without_a_node() {
     let loads: Vec<Load> = (0..40).map(|i| load(i, 3.0, 6.0, [0.5, 1.0, 2.0][i as usize % 3]).0).collect();
     for nodes in [1, 4, 20] {
         let p = place(&NODE, nodes, &loads);
@@ -120,7 +121,7 @@
             assert!(held, "{placed:?}");
         }
     }
-    // By the mean alone more goes onto a node than its latency objectives bear.
+    // Placement by the mean rate alone puts more loads onto a node than their latency objectives allow.
     let plain = place_by_mean_rate(&NODE, 20, &loads, 1.5);
     let fits = |placed: &Vec<PlacedLoad>| {
         let all: Vec<&Load> = placed.iter().map(|placed| &loads[placed.load]).collect();
@@ -128,6 +129,6 @@
     };
     assert!(
         plain.unplaced.is_empty() && plain.nodes.iter().any(|n| !fits(n)),
-        "some node of the plain method does not hold"
+        "expected a node of the baseline whose loads do not fit"
     );
 }
--- a/crates/plans/tests/plans.rs
+++ b/crates/plans/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Changes that apply in full or not at all, concurrent changes, undoing, and a change log that is cut or altered at every byte.
+//! Tests that changes are atomic, concurrent changes, undo, and a change log that is truncated or altered at each byte.
 
 use tackmast_plans::*;
 
@@ -64,8 +64,7 @@
     log
 }
 
-/// One step of a change is not allowed. If the other steps applied all the same, volumes would have plans that
-/// nobody asked for.
+/// One step of a change is not allowed. If the other steps still applied, volumes would have plans that nobody requested.
 #[test]
 fn a_change_applies_in_full_or_not_at_all() {
     let far = Volume { through: vec![0, 9], ..volume(3, "basic") };
@@ -113,11 +112,11 @@
     assert_eq!(put(&mut log, change(1, moved)), Ok(2));
 }
 
-/// Two operators change plans on the same version. Without a check the second would overwrite the first without
+/// Two operators base changes on the same version. Without a check, the second operator would overwrite the first one's change without
 /// having seen it.
 #[test]
 fn of_two_concurrent_changes_the_later_is_refused_with_what_changed() {
-    // The second one's steps, made on version 1 after another has changed plan basic; and what it is refused with.
+    // The steps of the second change, based on version 1 after another has changed plan basic; and the conflict, if any.
     let cases = [
         (vec![set_plan("basic", Some(plan(30.0)))], Some("plan basic")),
         (vec![set_volume("school", Some(volume(1, "basic")))], Some("plan basic")),
@@ -134,8 +133,8 @@
     }
 }
 
-/// An operator undoes a change on which another has built since. The undo must not revert the later change in
-/// silence.
+/// An operator undoes a change after another operator has changed the same plan again. The undo must not silently revert the later
+/// change.
 #[test]
 fn an_undo_is_a_new_change_and_conflicts_with_later_ones() {
     let mut log = short_log();
@@ -163,10 +162,9 @@
     log
 }
 
-/// The host loses power while it writes the change log. Entries that were acknowledged must be there, and no
-/// partial one.
+/// The host loses power while it writes the change log. Every acknowledged entry must be read, and no partial one.
 #[test]
-fn a_log_cut_at_any_byte_has_all_whole_entries_and_no_others() {
+fn a_log_truncated_at_any_byte_has_all_complete_entries_and_no_others() {
     let log = long_log();
     let bytes = log.to_bytes();
     assert!(ChangeLog::from_bytes(&bytes, &fleet()) == Ok(log.clone()));
@@ -178,13 +176,13 @@
     }
 }
 
-/// Somebody edits, removes or reorders entries of a stored log. Hosts that read it would have different plans.
+/// Someone edits, removes or reorders entries of a stored log. Hosts that accepted it would have different plans.
 #[test]
 fn each_alteration_of_the_log_is_detected() {
     let log = long_log();
     let bytes = log.to_bytes();
     let first = bytes.iter().position(|b| *b == b'\n').unwrap() + 1;
-    // Every byte of every entry, changed; the last line's end aside, whose loss is a cut.
+    // Each byte of each entry is changed, except the last newline: without it the last line is truncated, which is no error.
     for at in first..bytes.len() - 1 {
         let mut altered = bytes.clone();
         altered[at] = if altered[at] == b'1' { b'2' } else { b'1' };
@@ -198,7 +196,7 @@
     }
 }
 
-/// Old entries are compacted into the checkpoint. The rest must still verify, and lead to the same catalogue.
+/// Old entries are compacted into the checkpoint. The rest must still verify and result in the same catalogue.
 #[test]
 fn compaction_keeps_the_chain_and_the_catalogue() {
     for keep in 0..8 {
@@ -214,7 +212,7 @@
     }
 }
 
-/// A host replays the log after a restart. If the replay led elsewhere, hosts would have different plans.
+/// A host replays the log after a restart. If the replay resulted in another catalogue, hosts would have different plans.
 #[test]
 fn random_changes_replay_to_the_same_catalogue() {
     let mut random = oorandom::Rand64::new(8);
@@ -240,5 +238,5 @@
     }
     assert!(passed > 50 && refused > 50, "{passed} passed, {refused} refused");
     let again = ChangeLog::from_bytes(&log.to_bytes(), &fleet()).unwrap_or_else(|e| panic!("{e}"));
-    assert!(again == log, "a replay leads elsewhere");
+    assert!(again == log, "the replay results in another log");
 }
--- a/crates/plans/tests/stored_format.rs
+++ b/crates/plans/tests/stored_format.rs
@@ -1,8 +1,8 @@
-//! Guards the stored form of plans: a change log, a replicated state and commands as an earlier build wrote them must read as
-//! the same values, and today's build must write the same bytes; the hash chain is over these bytes.
+//! Tests the stored form of plans: a change log, a replicated state and commands that an earlier build wrote must be read as the same
+//! values, and the current build must write the same bytes, since the hash chain is over these bytes.
 //!
 //! The files in `fixtures/` were written by the test `write_fixtures`, which does nothing unless the environment variable of
-//! `WRITE_FIXTURES` is set. Logs of this form are on hosts' disks: write them anew only where a new form is meant.
+//! `WRITE_FIXTURES` is set. Hosts' disks hold logs of this form: write the files again only for an intended change of the form.
 
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
@@ -16,7 +16,7 @@
 const CHANGE_LOG: &str = "change_log.jsonl";
 const COMPACTED_LOG: &str = "compacted_log.jsonl";
 const REPLICATED_STATE: &str = "replicated_state.jsonl";
-/// The digest of the newest entry, which stands for every byte of the log.
+/// The digest of the newest entry; it depends on every byte of the entries.
 const NEWEST_DIGEST: &str = "45b516ba1cecf27879735e9067b8b41f34e4b7dfb79e24a2cdcc0f212596a753";
 
 fn fixture_path(name: &str) -> PathBuf {
@@ -67,7 +67,7 @@
     Step::Volume { name: name.into(), to }
 }
 
-/// Changes of every kind of step: set, set anew, taken away.
+/// Returns changes with all kinds of steps: values are set, replaced and removed.
 fn changes() -> Vec<Change> {
     let first = vec![
         traffic_class("read"),
@@ -104,7 +104,7 @@
     log
 }
 
-/// What the settings of a host begin with: the catalogue after the first change.
+/// Returns the catalogue after the first change, as the one that a host's settings begin with.
 fn starting_catalogue() -> Catalogue {
     Catalogue::default().apply(&changes()[0], &fleet()).unwrap().catalogue
 }
@@ -131,7 +131,7 @@
     state
 }
 
-/// Writes the fixtures, if the environment asks for it; else does nothing.
+/// Writes the fixtures if the environment variable is set; does nothing otherwise.
 #[test]
 fn write_fixtures() {
     if std::env::var_os(WRITE_FIXTURES).is_none() {
@@ -143,8 +143,7 @@
     std::fs::write(fixture_path(REPLICATED_STATE), replicated_state().to_bytes()).unwrap();
 }
 
-/// A field is renamed in Rust and its JSON key with it. Hosts would refuse the change log on their disks after an
-/// upgrade.
+/// A field is renamed in Rust, and its JSON key changes with it. Hosts would refuse the change log on their disks after an upgrade.
 #[test]
 fn a_change_log_of_an_earlier_build_reads_as_it_was_written() {
     let text = fixture(CHANGE_LOG);
@@ -160,7 +159,7 @@
     assert_eq!(String::from_utf8(change_log().to_bytes()).unwrap(), text);
 }
 
-/// The same for a log that begins with a checkpoint of earlier entries.
+/// A JSON key of the checkpoint changes. Hosts would refuse a compacted log on their disks after an upgrade.
 #[test]
 fn a_compacted_log_of_an_earlier_build_reads_as_it_was_written() {
     let text = fixture(COMPACTED_LOG);
@@ -184,7 +183,7 @@
     assert_eq!(log.head(), LogHead { number: 4, digest: NEWEST_DIGEST });
 }
 
-/// An entry of an earlier build is altered on disk. The digest of that build must still show it.
+/// An entry of an earlier build is altered on disk. Its digest must still reveal that.
 #[test]
 fn an_altered_entry_of_an_earlier_build_breaks_the_chain() {
     let text = fixture(CHANGE_LOG).replacen("\"why\":\"move\"", "\"why\":\"mode\"", 1);
@@ -192,7 +191,7 @@
     assert!(problem.starts_with("entry 3: digest "), "{problem}");
 }
 
-/// A host installs a snapshot that a leader of an earlier build took. It must lead to the same state, to the byte.
+/// A host installs a snapshot that a leader of an earlier build took. The resulting state must be identical byte for byte.
 #[test]
 fn a_replicated_state_of_an_earlier_build_reads_as_it_was_written() {
     let text = fixture(REPLICATED_STATE);
@@ -207,15 +206,14 @@
     assert_eq!(String::from_utf8(state.to_bytes()).unwrap(), text);
 }
 
-/// The value is written as the literal text, and the literal is read back as the value.
+/// Asserts that the value is written as the text and that the text is read back as the value.
 #[track_caller]
 fn assert_form<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
     assert_eq!(serde_json::to_string(value).unwrap(), text);
     assert_eq!(&serde_json::from_str::<T>(text).unwrap(), value);
 }
 
-/// Commands are stored in the consensus log by every build. Another form could not be read by hosts that are not
-/// upgraded yet.
+/// Every build stores commands in the consensus log. Hosts that are not upgraded yet could not read another form.
 #[test]
 fn commands_of_the_replicated_log_have_these_json_forms() {
     let all = commands();
