--- a/crates/host/tests/plans.rs
+++ b/crates/host/tests/plans.rs
@@ -163,7 +163,7 @@
     let mut volume = plan_status(dir, 0).catalogue.volumes["v"].clone();
     volume.shards = vec![0, 0];
     let moved = Step::Volume { name: "v".into(), to: Some(volume) };
-    assert!(refusal_reason(apply(dir, 0, 0, moved)).contains("moved in more than its plan"));
+    assert!(refusal_reason(apply(dir, 0, 0, moved)).contains("differs in more than its plan"));
     assert_eq!(plan_status(dir, 0).number, 0);
 
     // A change reaches all hosts. Of two changes with the same base version, the second is refused as a conflict.
--- a/crates/overrides/src/overrides/explain.rs
+++ b/crates/overrides/src/overrides/explain.rs
@@ -1,20 +1,20 @@
-//! Explains to an operator why a node is given what it is given.
+//! Explains to an operator why a node has its state and weight.
 
 use super::{Effective, Overrides};
 use crate::explanation::Explanation;
-use crate::precedence::{effect_on, superseded, Applies, NodeFacts, Superseded};
+use crate::precedence::{effect_on, superseded, ApplyingOverrides, NodeFacts, Superseded};
 use crate::record::{Override, OverrideId};
 use std::net::SocketAddr;
 use tackmast::interface::{Instant, NodeState};
 
 impl Overrides {
-    /// Why a node is given what it is given.
+    /// Explains why a node has its state and weight at `now`. The node does not have to be listed.
     pub fn explain(&self, now: Instant, address: SocketAddr) -> Explanation {
-        // A node that is not listed is named by overrides of its address only.
+        // Only overrides of its address or a prefix can name a node that is not listed: its zone and shard are unknown.
         let unlisted = NodeFacts { address, zone: u32::MAX, shard: u32::MAX, listed: NodeState::Gone };
         let listed_node = self.nodes.get(&address);
         let node = listed_node.copied().unwrap_or(unlisted);
-        let (effect, Applies { service, weight }) = effect_on(&self.index, &self.all, &node);
+        let (effect, ApplyingOverrides { service, weight }) = effect_on(&self.index, &self.all, &node);
         let with_record = |loser: Superseded| Some((self.all.get(&loser.id)?.clone(), loser));
         let returning = self.recovery_ramps.get(&address).map(|ramp| {
             let wait_secs = (ramp.starts - now).secs().max(0.0);
@@ -44,7 +44,7 @@
     }
 }
 
-/// The state of a node in the endpoint list, in words.
+/// Returns the name of a node's state in the endpoint list.
 fn listed_text(state: NodeState) -> &'static str {
     match state {
         NodeState::Ready => "ready",
@@ -53,7 +53,7 @@
     }
 }
 
-/// What the scheduler gives a node, in words. `effective` is none for a node that is not listed.
+/// Describes what the scheduler gives a node. `effective` is `None` for a node that is not listed.
 fn given_text(listed: NodeState, effective: Option<Effective>) -> String {
     let Some(Effective { state, weight, pinned }) = effective else {
         return "nothing: the node is not listed".to_owned();
