--- a/crates/host-core/src/combine.rs
+++ b/crates/host-core/src/combine.rs
@@ -9,14 +9,14 @@
     /// The part has not ended.
     Open {
         /// Whether an attempt may have had an effect.
-        ran: bool,
+        may_have_run: bool,
     },
     /// The part is done.
     Done,
     /// The scheduler rejected the part.
     Rejected {
         /// Whether an attempt may have had an effect.
-        ran: bool,
+        may_have_run: bool,
         /// How long the client should wait before a retry, if the scheduler advised it.
         retry_after: Option<TimeDelta>,
     },
@@ -24,7 +24,7 @@
     /// was written, the part counts as rejected.
     Failed {
         /// Whether an attempt may have had an effect.
-        ran: bool,
+        may_have_run: bool,
     },
 }
 
@@ -72,8 +72,8 @@
     let mut retry_after: Option<TimeDelta> = None;
     for part in parts {
         match part {
-            PartState::Failed { ran: true } => return Some(Combined::Failed),
-            PartState::Failed { ran: false } => rejected = true,
+            PartState::Failed { may_have_run: true } => return Some(Combined::Failed),
+            PartState::Failed { may_have_run: false } => rejected = true,
             PartState::Rejected { retry_after: wait, .. } => {
                 rejected = true;
                 retry_after = retry_after.max(*wait);
@@ -84,11 +84,13 @@
     if !rejected {
         return parts.iter().all(|part| *part == PartState::Done).then_some(Combined::Done);
     }
-    let ran = parts.iter().any(|part| match part {
-        PartState::Open { ran } | PartState::Rejected { ran, .. } | PartState::Failed { ran } => *ran,
+    let may_have_run = parts.iter().any(|part| match part {
+        PartState::Open { may_have_run }
+        | PartState::Rejected { may_have_run, .. }
+        | PartState::Failed { may_have_run } => *may_have_run,
         PartState::Done => true,
     });
-    Some(match is_retry_safe(effect, key_source) || !ran {
+    Some(match is_retry_safe(effect, key_source) || !may_have_run {
         true => Combined::Rejected { retry_after },
         false => Combined::Failed,
     })
--- a/crates/host-core/src/combine/tests.rs
+++ b/crates/host-core/src/combine/tests.rs
@@ -6,8 +6,11 @@
     let seconds = TimeDelta::from_secs;
     let idempotent_by_key = |scope| Effect::IdempotentByKey { scope, window: seconds(3.0) };
     let (idempotent, non_idempotent) = (Effect::Idempotent, Effect::NonIdempotent);
-    let (open, in_flight) = (PartState::Open { ran: false }, PartState::Open { ran: true });
-    let rejected_part = |ran, wait: Option<f64>| PartState::Rejected { ran, retry_after: wait.map(seconds) };
+    let (open, in_flight) = (PartState::Open { may_have_run: false }, PartState::Open { may_have_run: true });
+    let rejected_part = |may_have_run, wait: Option<f64>| PartState::Rejected {
+        may_have_run,
+        retry_after: wait.map(seconds),
+    };
     let rejected = |wait: Option<f64>| Some(Combined::Rejected { retry_after: wait.map(seconds) });
     let (done, failed) = (Some(Combined::Done), Some(Combined::Failed));
     type Case<'a> = (&'a str, Effect, bool, &'a [PartState], Option<Combined>);
@@ -33,7 +36,7 @@
             "failed takes precedence over rejected",
             idempotent,
             false,
-            &[rejected_part(false, None), PartState::Failed { ran: true }],
+            &[rejected_part(false, None), PartState::Failed { may_have_run: true }],
             failed,
         ),
         (
@@ -68,14 +71,14 @@
             "failed, but no byte was written",
             non_idempotent,
             false,
-            &[PartState::Failed { ran: false }],
+            &[PartState::Failed { may_have_run: false }],
             rejected(None),
         ),
         (
             "failed, and another part ran",
             non_idempotent,
             false,
-            &[PartState::Failed { ran: false }, PartState::Done],
+            &[PartState::Failed { may_have_run: false }, PartState::Done],
             failed,
         ),
         (
--- a/crates/host-core/src/core/attempts.rs
+++ b/crates/host-core/src/core/attempts.rs
@@ -16,10 +16,10 @@
 impl Core {
     /// Returns whether an attempt is in flight.
     pub fn is_in_flight(&self, attempt: AttemptId) -> bool {
-        self.in_flight(AttemptKey::of(attempt)).is_some()
+        self.find_in_flight(AttemptKey::of(attempt)).is_some()
     }
 
-    pub(super) fn in_flight(&self, key: AttemptKey) -> Option<&InFlightAttempt> {
+    pub(super) fn find_in_flight(&self, key: AttemptKey) -> Option<&InFlightAttempt> {
         self.requests.get(&key.request)?.in_flight.iter().find(|attempt| attempt.number == key.number)
     }
 
@@ -28,7 +28,7 @@
     /// The result of an attempt that has ended already is ignored, apart from being counted.
     pub fn handle_attempt_result(&mut self, now: Instant, result: AttemptResult) {
         let key = AttemptKey::of(result.attempt);
-        let Some(node) = self.in_flight(key).map(|attempt| attempt.node) else {
+        let Some(node) = self.find_in_flight(key).map(|attempt| attempt.node) else {
             self.counters.late_results += 1;
             return;
         };
@@ -45,11 +45,11 @@
                 self.send(now, request, node, timeout, begin_by)
             }
             Decision::Reject { request, retry_after, reason: _ } => {
-                let end = PartState::Rejected { ran: true, retry_after };
+                let end = PartState::Rejected { may_have_run: true, retry_after };
                 self.finish_part(now, request, end, Bytes::new());
             }
             Decision::Fail { request, reason: _ } => {
-                self.finish_part(now, request, PartState::Failed { ran: true }, Bytes::new());
+                self.finish_part(now, request, PartState::Failed { may_have_run: true }, Bytes::new());
             }
             Decision::WatchEndpointList => {
                 let since = self.version_to_watch_from();
@@ -72,7 +72,7 @@
         let key = AttemptKey { request: id, number: request.attempts };
         request.attempts += 1;
         if let Some(queue_ticket) = request.queue_ticket.take() {
-            self.fair_queueing.sent(queue_ticket);
+            self.fair_queueing.remove_sent(queue_ticket);
         }
         let ticket = Ticket::default();
         let in_flight =
@@ -106,7 +106,7 @@
 
     /// Ends an attempt by its answer, the end of its connection, its deadline or its withdrawal, whichever comes first.
     ///
-    /// It does nothing if the attempt has ended already.
+    /// Nothing happens if the attempt has ended already.
     pub(super) fn finish_attempt(
         &mut self,
         now: Instant,
@@ -127,7 +127,7 @@
             }
             outcome => outcome,
         };
-        request.ran |= outcome.may_have_run();
+        request.ended_attempt_may_have_run |= outcome.may_have_run();
         let (is_done, was_answered) = (outcome == Outcome::Done, request.answered);
         if let Some(peer_units) = peer_units.filter(|_| self.reports_peer_service) {
             self.scheduler.service_reported(now, key.request, is_done, peer_units);
@@ -174,7 +174,7 @@
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.answered) else { return };
         request.answered = true;
         if let Some(queue_ticket) = request.queue_ticket.take() {
-            self.fair_queueing.cancelled(queue_ticket);
+            self.fair_queueing.remove_cancelled(queue_ticket);
         }
         self.scheduler.request_cancelled(now, id);
         self.withdraw_unsent(now, id);
@@ -182,9 +182,9 @@
         self.remove_if_finished(id);
     }
 
-    /// Withdraws the attempts of a request of which no byte was written.
+    /// Withdraws those attempts of a request that no connection has begun to write.
     ///
-    /// They provably did not run. Their outcome is `Skipped`, because it says nothing about nodes that never received them.
+    /// They provably did not run. Their outcome is `Skipped`, which counts neither for nor against a node, as no node received them.
     pub(super) fn withdraw_unsent(&mut self, now: Instant, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let unsent = request.in_flight.iter().filter(|attempt| attempt.ticket.withdraw());
@@ -218,13 +218,13 @@
         });
     }
 
-    /// Withdraws the attempts at a node of which no byte was written.
+    /// Withdraws those attempts at a node that no connection has begun to write.
     ///
-    /// Their outcome is `Skipped`, because it says nothing about the node. If attempts that waited for a connection counted as failures,
-    /// a node that has just restarted would be ejected.
+    /// Their outcome is `Skipped`, which counts neither for nor against the node. If attempts that waited for a connection counted as
+    /// failures, a node that has just restarted would be ejected.
     pub(super) fn withdraw_unsent_at(&mut self, now: Instant, node: NodeId) {
         for key in self.attempts_at_node.get(&node).cloned().unwrap_or_default() {
-            if self.in_flight(key).is_some_and(|attempt| attempt.ticket.withdraw()) {
+            if self.find_in_flight(key).is_some_and(|attempt| attempt.ticket.withdraw()) {
                 self.counters.withdrawn += 1;
                 self.finish_attempt(now, key, Outcome::Skipped, None, Bytes::new());
             }
--- a/crates/host-core/src/core/commands.rs
+++ b/crates/host-core/src/core/commands.rs
@@ -248,7 +248,7 @@
             let Some(open_part) = command.parts.iter().find(|part| part.state.is_none()) else { continue };
             let (id, retry_after) = (open_part.request, Some(self.max_retry_after));
             // This is handled like a rejection by the scheduler: all parts together decide whether a retry is safe.
-            self.finish_part(now, id, PartState::Rejected { ran: true, retry_after }, Bytes::new());
+            self.finish_part(now, id, PartState::Rejected { may_have_run: true, retry_after }, Bytes::new());
         }
     }
 
@@ -286,12 +286,12 @@
             self.withdraw_unsent(now, id);
         }
         if let Some(request) = self.requests.get_mut(&id) {
-            if let PartState::Rejected { ran, .. } | PartState::Failed { ran } = &mut end {
-                *ran = request.may_have_run();
+            if let PartState::Rejected { may_have_run, .. } | PartState::Failed { may_have_run } = &mut end {
+                *may_have_run = request.may_have_run();
             }
             request.answered = true;
             if let Some(queue_ticket) = request.queue_ticket.take() {
-                self.fair_queueing.cancelled(queue_ticket);
+                self.fair_queueing.remove_cancelled(queue_ticket);
             }
         }
         self.cancel_in_flight(id);
@@ -306,11 +306,13 @@
     /// Answers a command if its parts make the answer certain.
     fn answer_if_certain(&mut self, now: Instant, from: CommandId) {
         let Some(command) = self.commands.get(&from) else { return };
-        let ran = |id: &RequestId| self.requests.get(id).is_some_and(PendingRequest::may_have_run);
+        let may_have_run = |id: &RequestId| self.requests.get(id).is_some_and(PendingRequest::may_have_run);
         let states: Vec<PartState> = command
             .parts
             .iter()
-            .map(|part| part.state.unwrap_or_else(|| PartState::Open { ran: ran(&part.request) }))
+            .map(|part| {
+                part.state.unwrap_or_else(|| PartState::Open { may_have_run: may_have_run(&part.request) })
+            })
             .collect();
         let effect = self.traffic_classes[command.traffic_class].effect;
         let Some(combined) = combine(effect, command.key_source, &states) else { return };
--- a/crates/host-core/src/core/endpoint_list.rs
+++ b/crates/host-core/src/core/endpoint_list.rs
@@ -83,7 +83,7 @@
             entry.state = state;
         }
         // A peer's newer list can only remove nodes. Nodes that it adds are not used, as they may not have warmed up.
-        let is_removed = |address: &str| self.removed_nodes.contains(now, address, self.list_version);
+        let is_removed = |address: &str| self.removed_nodes.is_removed(now, address, self.list_version);
         if entry.state == NodeState::Ready && self.nodes.address(entry.node).is_some_and(is_removed) {
             entry.state = NodeState::Draining;
         }
--- a/crates/host-core/src/core/removed_nodes.rs
+++ b/crates/host-core/src/core/removed_nodes.rs
@@ -25,13 +25,13 @@
     /// The version of the peer's list.
     version: u64,
     /// When the removal ends if this host's own list has not reached `version` by then.
-    ends: Instant,
+    ends_at: Instant,
 }
 
 impl Removal {
     /// Returns whether this host's own list, at version `own_version`, determines the node's state again.
     fn is_over(&self, now: Instant, own_version: u64) -> bool {
-        self.version <= own_version || self.ends <= now
+        self.version <= own_version || self.ends_at <= now
     }
 }
 
@@ -47,7 +47,7 @@
 
 impl RemovedNodes {
     /// Returns whether a node is removed for a host whose own list is at version `own_version`.
-    pub(super) fn contains(&self, now: Instant, address: &str, own_version: u64) -> bool {
+    pub(super) fn is_removed(&self, now: Instant, address: &str, own_version: u64) -> bool {
         self.by_address.get(address).is_some_and(|removal| !removal.is_over(now, own_version))
     }
 
@@ -58,12 +58,12 @@
 
     /// Adds a removal by a list of that version, or extends a known removal of the same node.
     ///
-    /// A known removal keeps its version if that is newer. Otherwise this host's own list could end the removal while it is still
-    /// older than the drain.
+    /// A known removal keeps its version if that is newer. With the older version, this host's own list could end the removal before it
+    /// shows the drain itself.
     fn insert(&mut self, now: Instant, address: String, version: u64) {
         let known_version = self.by_address.get(&address).map_or(0, |known| known.version);
-        let removal = Removal { version: version.max(known_version), ends: now + MAX_REMOVAL };
-        self.next_end = Some(self.next_end.map_or(removal.ends, |next_end| next_end.min(removal.ends)));
+        let removal = Removal { version: version.max(known_version), ends_at: now + MAX_REMOVAL };
+        self.next_end = Some(self.next_end.map_or(removal.ends_at, |next_end| next_end.min(removal.ends_at)));
         self.by_address.insert(address, removal);
     }
 
@@ -73,7 +73,7 @@
         let over = self.by_address.iter().filter(|(_, removal)| removal.is_over(now, own_version));
         let ended: Vec<String> = over.map(|(address, _)| address.clone()).collect();
         self.by_address.retain(|_, removal| !removal.is_over(now, own_version));
-        self.next_end = self.by_address.values().map(|removal| removal.ends).min();
+        self.next_end = self.by_address.values().map(|removal| removal.ends_at).min();
         self.reported_full &= ended.is_empty();
         ended
     }
@@ -87,11 +87,13 @@
             EndpointListNotice::RolledBack { from, to } => {
                 self.emit(EndpointListEvent::PeerListRolledBack { from, to, kept_for: MAX_REMOVAL });
             }
-            EndpointListNotice::Removed { version, removal } => self.remove_by_peer(now, version, removal),
+            EndpointListNotice::Removed { version, removal } => {
+                self.handle_removal_by_peer(now, version, removal)
+            }
         }
     }
 
-    fn remove_by_peer(&mut self, now: Instant, version: u64, removed: NodeRemoval) {
+    fn handle_removal_by_peer(&mut self, now: Instant, version: u64, removed: NodeRemoval) {
         if version <= self.list_version {
             return;
         }
@@ -108,11 +110,11 @@
             let (address, is_gone) = (removed.address.clone(), removed.gone);
             self.emit(EndpointListEvent::NodeRemovedByPeer { address, is_gone, version });
         }
-        self.refresh_nodes(now, &[removed.address]);
+        self.apply_node_states(now, &[removed.address]);
     }
 
-    /// Passes the present states of these nodes to the scheduler.
-    fn refresh_nodes(&mut self, now: Instant, addresses: &[String]) {
+    /// Passes the present states of these nodes to the scheduler, and withdraws unsent attempts at unavailable nodes.
+    fn apply_node_states(&mut self, now: Instant, addresses: &[String]) {
         for address in addresses {
             let node = self.nodes.number(address);
             let Some(mut entry) = node.and_then(|node| self.nodes.entry(node)) else { continue };
@@ -132,10 +134,11 @@
 
     fn end_removals(&mut self, now: Instant) {
         let ended = self.removed_nodes.take_ended(now, self.list_version);
-        self.refresh_nodes(now, &ended);
+        self.apply_node_states(now, &ended);
     }
 
-    /// Handles a change of this host's own list: ends removals by lists that are not newer, and reports the list to peers.
+    /// Handles a change of this host's own list: ends each removal whose version this list has reached or whose time is up,
+    /// and reports the list to peers.
     pub(super) fn handle_own_endpoint_list(&mut self, now: Instant) {
         self.end_removals(now);
         let version = self.list_version;
--- a/crates/host-core/src/core/removed_nodes/tests.rs
+++ b/crates/host-core/src/core/removed_nodes/tests.rs
@@ -40,7 +40,7 @@
 "#;
 
 /// The time at which each test begins.
-fn now() -> Instant {
+fn test_start() -> Instant {
     Instant::from_secs(10.0)
 }
 
@@ -48,36 +48,36 @@
 fn remove_nodes(core: &mut Core, version: u64, count: usize) {
     for node in 0..count {
         let removal = NodeRemoval { address: format!("v{version} node {node}"), gone: true };
-        core.handle_peer_list_notice(now(), EndpointListNotice::Removed { version, removal });
+        core.handle_peer_list_notice(test_start(), EndpointListNotice::Removed { version, removal });
     }
 }
 
 /// Returns how often the core has reported since the last call that it accepts no more removals.
-fn take_full_reports(core: &mut Core) -> usize {
+fn count_new_full_reports(core: &mut Core) -> usize {
     let is_full = |output: &Output| {
         matches!(output, Output::Event(HostEvent::EndpointList(EndpointListEvent::PeerRemovalsFull { .. })))
     };
     std::mem::take(&mut core.outputs).iter().filter(|output| is_full(output)).count()
 }
 
-/// Peers remove more nodes than the table holds, and this host's own list changes repeatedly without reaching the version of theirs. This
-/// must be reported once. After the own list has reached that version and the removals have ended, a table that is full again must be
-/// reported again.
+/// Peers remove more nodes than the table holds, and this host's own list changes repeatedly without reaching the version of theirs. The
+/// full table must be reported once. After the own list has reached that version and the removals have ended, a table that is full again
+/// must be reported again.
 #[test]
 fn a_full_table_of_removals_is_reported_once_until_some_of_them_end() {
     let settings = HostSettings::parse("test", SETTINGS).unwrap();
-    let mut core = Core::new(now(), &settings, 1, 1);
+    let mut core = Core::new(test_start(), &settings, 1, 1);
     remove_nodes(&mut core, 2, MAX_REMOVED_NODES + 1);
-    assert_eq!(take_full_reports(&mut core), 1);
+    assert_eq!(count_new_full_reports(&mut core), 1);
     for _ in 0..3 {
-        core.handle_own_endpoint_list(now());
+        core.handle_own_endpoint_list(test_start());
         remove_nodes(&mut core, 3, 1);
     }
-    assert_eq!(take_full_reports(&mut core), 0, "none has ended");
+    assert_eq!(count_new_full_reports(&mut core), 0, "none has ended");
     core.list_version = 2;
-    core.handle_own_endpoint_list(now());
+    core.handle_own_endpoint_list(test_start());
     remove_nodes(&mut core, 3, MAX_REMOVED_NODES + 1);
-    assert_eq!(take_full_reports(&mut core), 1, "full again");
+    assert_eq!(count_new_full_reports(&mut core), 1, "full again");
 }
 
 /// The address of the node that the tests below remove.
@@ -86,7 +86,7 @@
 /// Creates a core whose own list, at version 3, has one node, which is ready.
 fn core_with_node() -> (Core, NodeId) {
     let settings = HostSettings::parse("test", SETTINGS).unwrap();
-    let mut core = Core::new(now(), &settings, 1, 1);
+    let mut core = Core::new(test_start(), &settings, 1, 1);
     let entry = ListEntry {
         id: NODE.into(),
         address: NODE.into(),
@@ -95,7 +95,7 @@
         shard: ShardId(0),
         start: None,
     };
-    core.handle_endpoint_list(now(), ListKind::Complete, 0, 3, &[entry]);
+    core.handle_endpoint_list(test_start(), ListKind::Complete, 0, 3, &[entry]);
     let node = core.nodes().number(NODE).unwrap();
     (core, node)
 }
@@ -103,16 +103,16 @@
 /// Handles a report of a peer whose list, at that version, removes the node.
 fn remove_node(core: &mut Core, version: u64) {
     let removal = NodeRemoval { address: NODE.into(), gone: false };
-    core.handle_peer_list_notice(now(), EndpointListNotice::Removed { version, removal });
+    core.handle_peer_list_notice(test_start(), EndpointListNotice::Removed { version, removal });
 }
 
 /// A peer's newer list removes a node, and this host receives no list any more. The removal must still end: a list service that was reset
 /// counts versions from a low number again, and the node would otherwise never be used again.
 #[test]
-fn removal_ends_in_time_while_the_own_list_fails() {
+fn removal_ends_after_its_maximum_duration_without_a_list() {
     let (mut core, node) = core_with_node();
     remove_node(&mut core, 9);
-    let end = now() + MAX_REMOVAL;
+    let end = test_start() + MAX_REMOVAL;
     let before = end - TimeDelta::from_millis(1);
     core.handle_timeout(before);
     assert!(core.is_unavailable(before, node), "ended too early");
@@ -131,7 +131,7 @@
     remove_node(&mut core, 7);
     for (version, is_removed) in [(7, true), (8, true), (9, false)] {
         core.list_version = version;
-        core.handle_own_endpoint_list(now());
-        assert_eq!(core.is_unavailable(now(), node), is_removed, "own version {version}");
+        core.handle_own_endpoint_list(test_start());
+        assert_eq!(core.is_unavailable(test_start(), node), is_removed, "own version {version}");
     }
 }
--- a/crates/host-core/src/core/tables.rs
+++ b/crates/host-core/src/core/tables.rs
@@ -76,7 +76,7 @@
     /// The request's place in its fair queue, until its first attempt is sent; object requests have none.
     pub queue_ticket: Option<QueueTicket>,
     /// Whether an attempt that has ended may have had an effect.
-    pub ran: bool,
+    pub ended_attempt_may_have_run: bool,
     pub answered: bool,
 }
 
@@ -96,14 +96,14 @@
             attempts: 0,
             in_flight: Vec::new(),
             queue_ticket,
-            ran: false,
+            ended_attempt_may_have_run: false,
             answered: false,
         }
     }
 
     /// Returns whether an attempt, ended or in flight, may have had an effect.
     pub(super) fn may_have_run(&self) -> bool {
-        self.ran || self.in_flight.iter().any(|attempt| attempt.ticket.is_claimed())
+        self.ended_attempt_may_have_run || self.in_flight.iter().any(|attempt| attempt.ticket.is_claimed())
     }
 }
 
--- a/crates/host-core/src/core/timeouts.rs
+++ b/crates/host-core/src/core/timeouts.rs
@@ -39,7 +39,7 @@
             return;
         }
         for key in self.attempts_at_node.get(&node).cloned().unwrap_or_default() {
-            if self.in_flight(key).is_some_and(|attempt| attempt.ticket.is_stuck()) {
+            if self.find_in_flight(key).is_some_and(|attempt| attempt.ticket.is_stuck()) {
                 self.counters.cut += 1;
                 self.outputs.push_back(Output::Cut { node, attempt: key.id() });
             }
@@ -48,7 +48,7 @@
 
     /// Ends an attempt whose deadline has passed. If no byte of it was written, it is withdrawn and provably did not run.
     fn time_out(&mut self, now: Instant, key: AttemptKey) {
-        let Some(attempt) = self.in_flight(key) else {
+        let Some(attempt) = self.find_in_flight(key) else {
             self.attempt_deadlines.pop_first();
             return;
         };
--- a/crates/host-core/src/fair_queueing.rs
+++ b/crates/host-core/src/fair_queueing.rs
@@ -2,7 +2,7 @@
 //! volume, traffic class and shard.
 //!
 //! The algorithm is start-time fair queueing. The tag of a request is the virtual time at which its session's earlier work would end, but
-//! not less than the tag of the request that was sent last. If one session has thousands of requests waiting, the first request of each
+//! not less than the highest tag sent so far from its queue. If one session has thousands of requests waiting, the first request of each
 //! other session is sent before them. A session may use all capacity that the others leave, and an idle session accumulates no credit.
 
 use std::collections::{BTreeMap, HashMap};
@@ -18,7 +18,7 @@
     pub traffic_class: u32,
 }
 
-/// A request's place in its queue. It must be passed to either `sent` or `cancelled`, once.
+/// A request's place in its queue. It must be passed to either `remove_sent` or `remove_cancelled`, once.
 #[derive(Debug, PartialEq)]
 #[must_use]
 pub(crate) struct QueueTicket {
@@ -34,24 +34,24 @@
     /// The virtual time, in units.
     virtual_time: f64,
     waiting: usize,
-    sessions: HashMap<u32, SessionShare>,
+    sessions: HashMap<u32, SessionState>,
     /// The number of sessions at which idle ones are evicted.
     evict_at: usize,
 }
 
 /// The state of a session in a queue.
 #[derive(Debug)]
-struct SessionShare {
+struct SessionState {
     /// The virtual time at which the session's work so far ends.
-    end: f64,
+    finish_tag: f64,
     /// The number of waiting requests of the session.
     waiting: usize,
 }
 
-impl SessionShare {
+impl SessionState {
     /// Returns whether the session may be evicted: it has no waiting requests, and a new entry would start at the same virtual time.
     fn is_idle(&self, virtual_time: f64) -> bool {
-        self.waiting == 0 && self.end <= virtual_time
+        self.waiting == 0 && self.finish_tag <= virtual_time
     }
 }
 
@@ -71,7 +71,7 @@
     }
 }
 
-/// The queues that are not empty. Their number is bounded by that of waiting requests, since an empty queue is deleted.
+/// The queues that are not empty. Their number is bounded by the number of waiting requests, since an empty queue is deleted.
 #[derive(Debug, Default)]
 pub(crate) struct FairQueueing {
     queues: BTreeMap<QueueKey, FairQueue>,
@@ -93,16 +93,16 @@
         queue.evict_idle();
         queue.waiting += 1;
         let virtual_time = queue.virtual_time;
-        let new_session = SessionShare { end: virtual_time, waiting: 0 };
-        let share = queue.sessions.entry(session).or_insert(new_session);
-        let tag = share.end.max(virtual_time);
-        share.end = tag + units;
-        share.waiting += 1;
+        let new_session = SessionState { finish_tag: virtual_time, waiting: 0 };
+        let state = queue.sessions.entry(session).or_insert(new_session);
+        let tag = state.finish_tag.max(virtual_time);
+        state.finish_tag = tag + units;
+        state.waiting += 1;
         QueueTicket { queue: key, session, units, tag }
     }
 
     /// Removes a request whose first attempt was sent, and advances the virtual time to its tag.
-    pub(crate) fn sent(&mut self, queue_ticket: QueueTicket) {
+    pub(crate) fn remove_sent(&mut self, queue_ticket: QueueTicket) {
         if let Some(queue) = self.queues.get_mut(&queue_ticket.queue) {
             queue.virtual_time = queue.virtual_time.max(queue_ticket.tag);
         }
@@ -111,8 +111,9 @@
 
     /// Removes a request that ended without an attempt, and does not charge its session for it.
     ///
-    /// Otherwise a session whose requests were all cancelled would wait behind the others for as long as serving them would have taken.
-    pub(crate) fn cancelled(&mut self, queue_ticket: QueueTicket) {
+    /// If it were charged, a session whose requests were all cancelled would wait behind the others for as long as serving them would have
+    /// taken.
+    pub(crate) fn remove_cancelled(&mut self, queue_ticket: QueueTicket) {
         self.remove(&queue_ticket, queue_ticket.units);
     }
 
@@ -122,21 +123,21 @@
     /// meanwhile as sessions open and close.
     pub(crate) fn session_closed(&mut self, session: u32) {
         for queue in self.queues.values_mut() {
-            if queue.sessions.get(&session).is_some_and(|share| share.waiting == 0) {
+            if queue.sessions.get(&session).is_some_and(|state| state.waiting == 0) {
                 queue.sessions.remove(&session);
             }
         }
     }
 
-    /// Removes a request from its queue, and refunds that many units to its session.
+    /// Removes a request from its queue, and refunds `refund` units to its session.
     fn remove(&mut self, queue_ticket: &QueueTicket, refund: f64) {
         let Some(queue) = self.queues.get_mut(&queue_ticket.queue) else { return };
         queue.waiting -= 1;
         let virtual_time = queue.virtual_time;
-        if let Some(share) = queue.sessions.get_mut(&queue_ticket.session) {
-            share.waiting -= 1;
-            share.end -= refund;
-            if share.is_idle(virtual_time) {
+        if let Some(state) = queue.sessions.get_mut(&queue_ticket.session) {
+            state.waiting -= 1;
+            state.finish_tag -= refund;
+            if state.is_idle(virtual_time) {
                 queue.sessions.remove(&queue_ticket.session);
             }
         }
@@ -145,7 +146,6 @@
         }
     }
 
-    /// Returns the size of the state.
     pub(crate) fn counts(&self) -> FairQueueCounts {
         let sessions = self.queues.values().map(|queue| queue.sessions.len()).sum();
         FairQueueCounts { queues: self.queues.len(), sessions }
--- a/crates/host-core/src/fair_queueing/tests.rs
+++ b/crates/host-core/src/fair_queueing/tests.rs
@@ -11,7 +11,7 @@
         let ticket = waiting.remove(first);
         sum += ticket.units;
         *served.entry(ticket.session).or_insert(0.0) += ticket.units;
-        queueing.sent(ticket);
+        queueing.remove_sent(ticket);
     }
     served
 }
@@ -62,9 +62,9 @@
     let mut queueing = FairQueueing::default();
     let other = queueing.enqueue(QUEUE, 2, 1.0);
     let cancelled: Vec<QueueTicket> = (0..1000).map(|_| queueing.enqueue(QUEUE, 1, 1.0)).collect();
-    cancelled.into_iter().for_each(|ticket| queueing.cancelled(ticket));
+    cancelled.into_iter().for_each(|ticket| queueing.remove_cancelled(ticket));
     assert_eq!(queueing.enqueue(QUEUE, 1, 1.0).tag, 0.0);
-    queueing.sent(other);
+    queueing.remove_sent(other);
 }
 
 /// Sessions open and close at a queue that is never empty. If it kept them all, it would grow without bound.
@@ -74,11 +74,11 @@
     let mut last = queueing.enqueue(QUEUE, 0, 1.0);
     for session in 1..100_000 {
         let next = queueing.enqueue(QUEUE, session, 1.0);
-        queueing.sent(std::mem::replace(&mut last, next));
+        queueing.remove_sent(std::mem::replace(&mut last, next));
         queueing.session_closed(session - 1);
         assert!(queueing.counts().sessions <= 2 * MIN_EVICTION_LEN, "{:?}", queueing.counts());
     }
-    queueing.sent(last);
+    queueing.remove_sent(last);
     assert_eq!(queueing.counts(), FairQueueCounts::default());
     // Idle sessions are evicted once virtual time has passed the end of their work.
     let mut waiting: Vec<QueueTicket> = (0..1000).map(|i| queueing.enqueue(QUEUE, i, 1.0)).collect();
@@ -101,7 +101,7 @@
             waiting.push(queueing.enqueue(QUEUE, session, f64::from(units)));
             if is_cancelled {
                 let queue_ticket = waiting.pop().unwrap();
-                queueing.cancelled(queue_ticket);
+                queueing.remove_cancelled(queue_ticket);
             }
             let (session, units_served) = serve(&mut queueing, &mut waiting, 0.5).into_iter().next().unwrap();
             served[session as usize] += units_served;
