--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -1,8 +1,8 @@
 //! Leases, which limit how long a replica may treat its committed state as the latest.
 //!
-//! A replica requests a lease from the leader. The grant confirms that at some moment after the request was sent no
-//! entry after a certain index was committed. For the lease's duration from that moment no other replica considers a
-//! later entry effective, so reads from this replica are not stale.
+//! A replica requests a lease from the leader. The grant names the last entry that was committed at some moment
+//! after the request was sent. The lease counts from the sending of the request. Until the lease ends, no other replica
+//! treats a later entry as effective, so reads from this replica are not stale.
 //!
 //! Unlike the leader lease of Raft (thesis, section 6.4.1), each replica holds its own. The lease is measured by the
 //! replica's monotonic clock, and shortened by the possible clock drift.
@@ -54,7 +54,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Request {
+struct SentRequest {
     sequence: u32,
     sent: Instant,
 }
@@ -72,14 +72,14 @@
     duration: TimeDelta,
     max_clock_drift: f64,
     last_sequence: u32,
-    outstanding: VecDeque<Request>,
+    outstanding: VecDeque<SentRequest>,
     next_request_at: Instant,
     current: Option<GrantedLease>,
-    /// A lease whose entries this replica does not have yet.
+    /// A granted lease that is not used yet: this replica must first know the entries up to its index to be committed.
     awaiting_entries: Option<GrantedLease>,
     latest_grant: Option<LeaseGrant>,
     fault: Option<ConsensusFault>,
-    unanswered: u32,
+    unanswered_requests: u32,
 }
 
 impl Lease {
@@ -96,7 +96,7 @@
             awaiting_entries: None,
             latest_grant: None,
             fault: None,
-            unanswered: 0,
+            unanswered_requests: 0,
         }
     }
 
@@ -112,22 +112,23 @@
         TimeDelta::from_secs(duration.secs() * (1.0 + 2.0 * max_clock_drift))
     }
 
-    fn fraction(&self, fraction: f64) -> TimeDelta {
+    fn fraction_of_duration(&self, fraction: f64) -> TimeDelta {
         TimeDelta::from_secs(self.duration.secs() * fraction)
     }
 
-    /// Returns the sequence number of a new request if one is due. A lease that it is granted counts from `now`.
+    /// Returns the sequence number of a new request if one is due. If the leader grants this request, the lease
+    /// counts from `now`.
     pub fn poll_request(&mut self, now: Instant) -> Option<u32> {
         if now < self.next_request_at {
             return None;
         }
         self.last_sequence = self.last_sequence.wrapping_add(1);
-        self.unanswered = self.unanswered.saturating_add(1);
+        self.unanswered_requests = self.unanswered_requests.saturating_add(1);
         if self.outstanding.len() >= MAX_OUTSTANDING {
             self.outstanding.pop_front();
         }
-        self.outstanding.push_back(Request { sequence: self.last_sequence, sent: now });
-        self.next_request_at = now + self.fraction(RETRY_FRACTION);
+        self.outstanding.push_back(SentRequest { sequence: self.last_sequence, sent: now });
+        self.next_request_at = now + self.fraction_of_duration(RETRY_FRACTION);
         Some(self.last_sequence)
     }
 
@@ -142,7 +143,7 @@
     pub fn on_granted(&mut self, now: Instant, grant: LeaseGrant) {
         let request = self.outstanding.iter().find(|request| request.sequence == grant.sequence);
         let Some(sent) = request.map(|request| request.sent) else { return };
-        self.unanswered = 0;
+        self.unanswered_requests = 0;
         if self.latest_grant.is_none_or(|latest| latest.sequence < grant.sequence) {
             self.latest_grant = Some(grant);
         }
@@ -154,8 +155,8 @@
         }
         // After a slow grant the renewal may be due already. The next request still waits for the retry interval, so
         // that this replica does not flood the leader.
-        let renewal = sent + self.fraction(RENEWAL_FRACTION);
-        self.next_request_at = renewal.max(now + self.fraction(RETRY_FRACTION));
+        let renewal = sent + self.fraction_of_duration(RENEWAL_FRACTION);
+        self.next_request_at = renewal.max(now + self.fraction_of_duration(RETRY_FRACTION));
     }
 
     fn has_fault(&self, fault: ConsensusFault) -> bool {
@@ -164,12 +165,12 @@
 
     /// Records that another replica has responded, if only with a hint about the leader.
     pub(crate) fn on_response(&mut self) {
-        self.unanswered = 0;
+        self.unanswered_requests = 0;
     }
 
     /// Returns the number of requests since the last response.
-    pub(crate) fn unanswered(&self) -> u32 {
-        self.unanswered
+    pub(crate) fn unanswered_requests(&self) -> u32 {
+        self.unanswered_requests
     }
 
     /// Records that this replica knows the entries up to `index` to be committed. A granted lease takes effect only
--- a/crates/consensus/src/raft/election.rs
+++ b/crates/consensus/src/raft/election.rs
@@ -1,8 +1,9 @@
 //! Leader election (Raft, section 5.2) with the election restriction (section 5.4.1).
 //!
-//! A server that was partitioned has received no heartbeats. With a higher term it would depose an active leader once
-//! it is connected again. Two rules prevent this: pre-votes (thesis, section 9.6), which increment no term, and voters
-//! that ignore vote requests while they are in contact with a leader (thesis, section 4.2.3).
+//! A server that was partitioned has received no heartbeats. Its repeated elections would raise its term, and once
+//! connected again it would depose an active leader. Two rules prevent this: pre-votes (thesis, section 9.6), which
+//! increment no term, and voters that ignore vote requests while they are in contact with a leader (thesis, section
+//! 4.2.3).
 
 use super::{RaftNode, Role};
 use crate::fault::ConsensusFault;
@@ -38,8 +39,8 @@
 }
 
 impl VoteInputs {
-    /// Returns whether a pre-vote is granted, that is, whether a vote would be granted in that later term. A pre-vote
-    /// does not commit the voter to the candidate.
+    /// Returns whether a pre-vote is granted, that is, whether a vote would be granted in the term that the
+    /// candidate proposes. A pre-vote does not commit the voter to the candidate.
     fn allow_pre_vote(&self, has_leader_contact: bool) -> bool {
         !has_leader_contact && self.is_log_up_to_date && self.candidate_term > self.voter_term
     }
@@ -63,7 +64,7 @@
         self.reset_election_timer(now);
         self.counters.elections += 1;
         self.become_pre_candidate();
-        self.count_votes(now);
+        self.advance_on_majority(now);
     }
 
     fn become_pre_candidate(&mut self) {
@@ -124,8 +125,8 @@
         self.is_leader() || (self.leader().is_some() && has_recent_contact)
     }
 
-    /// Persists the vote, which precedes the response. Otherwise the server could vote for another candidate in the
-    /// same term after a restart, and two leaders could be elected.
+    /// Persists the vote, unless one is recorded, before the response is sent. Otherwise the server could vote for
+    /// another candidate in the same term after a restart, and two leaders could be elected.
     fn record_vote(&mut self, candidate: u32) {
         if self.hard_state.voted_for.is_some() {
             return;
@@ -158,11 +159,11 @@
             }
             _ => return,
         }
-        self.count_votes(now);
+        self.advance_on_majority(now);
     }
 
     /// Starts the election if a majority has granted pre-votes, or becomes leader if a majority has granted votes.
-    pub(super) fn count_votes(&mut self, now: Instant) {
+    pub(super) fn advance_on_majority(&mut self, now: Instant) {
         let Role::Candidate { pre_vote, votes } = &self.role else { return };
         let pre_vote = *pre_vote;
         let count = votes.iter().filter(|voter| self.voters().contains_key(voter)).count();
@@ -171,10 +172,10 @@
         }
         if pre_vote {
             self.become_candidate();
-            return self.count_votes(now);
+            return self.advance_on_majority(now);
         }
-        // This server's own vote must be on disk as well. Votes of others arrive only after that, but a single voter
-        // needs no others.
+        // This server's own vote must be on disk as well. The vote requests are sent only once it is, so this
+        // matters only for a single voter.
         if count == 1 && self.persisted_write < self.last_write {
             return;
         }
--- a/crates/consensus/src/raft/leader.rs
+++ b/crates/consensus/src/raft/leader.rs
@@ -1,6 +1,6 @@
-//! Proposals and heartbeat rounds of a leader. A leader that has had no responses of a majority for some time steps
-//! down (thesis, section 6.2). Otherwise clients would wait for commits that cannot happen, while another leader may
-//! have been elected.
+//! Proposals and heartbeat rounds of a leader. A leader steps down if it has had no responses
+//! from a majority for some time (thesis, section 6.2). Otherwise clients would wait for commits that cannot happen,
+//! while another leader may have been elected.
 
 use super::leader_state::LeaderState;
 use super::progress::Progress;
@@ -11,9 +11,9 @@
 use tackmast::interface::Instant;
 use tackmast_wire::consensus::{Entry, EntryPayload, Message, MAX_ENTRY};
 
-/// Minimum time between two rounds in heartbeat intervals, regardless of the number of lease requests that wait.
+/// Minimum time between two rounds, as a fraction of the heartbeat interval, however many lease requests wait.
 const MIN_ROUND_HEARTBEATS: f64 = 0.2;
-/// Number of election timeouts without responses of a majority after which a leader steps down.
+/// Number of election timeouts without responses from a majority after which a leader steps down.
 const QUORUM_LOSS_TIMEOUTS: f64 = 2.0;
 
 impl RaftNode {
@@ -61,9 +61,9 @@
         if !self.is_leader() {
             return Err(ProposeError::NotLeader { leader: self.leader() });
         }
-        let waiting = self.log.last().index - self.commit_index;
-        match waiting >= MAX_UNCOMMITTED {
-            true => Err(ProposeError::QueueFull { waiting }),
+        let uncommitted = self.log.last().index - self.commit_index;
+        match uncommitted >= MAX_UNCOMMITTED {
+            true => Err(ProposeError::QueueFull { waiting: uncommitted }),
             false => Ok(()),
         }
     }
@@ -76,7 +76,7 @@
                     leader.proposers.insert(index, from);
                 }
                 // If this server alone is a majority, the entry may be committed already.
-                self.notify_proposers(now);
+                self.send_committed_to_proposers(now);
             }
             Err(ProposeError::NotLeader { leader }) => {
                 self.send(from, Message::LeaderHint { term: self.hard_state.term, leader });
@@ -85,7 +85,7 @@
         }
     }
 
-    pub(super) fn notify_proposers(&mut self, now: Instant) {
+    pub(super) fn send_committed_to_proposers(&mut self, now: Instant) {
         let commit_index = self.commit_index;
         let Role::Leader(leader) = &mut self.role else { return };
         for host in leader.take_committed_proposers(commit_index) {
@@ -95,8 +95,8 @@
             } else {
                 let stored_index =
                     leader.stored_reports.get(&host).map_or(commit_index, |report| report.stored_index);
-                let oldest_sent = commit_index.saturating_sub(MAX_APPEND_ENTRIES as u64);
-                self.send_committed(host, stored_index.max(oldest_sent));
+                let min_start_index = commit_index.saturating_sub(MAX_APPEND_ENTRIES as u64);
+                self.send_committed(host, stored_index.max(min_start_index));
             }
         }
     }
--- a/crates/consensus/src/raft/persistence.rs
+++ b/crates/consensus/src/raft/persistence.rs
@@ -106,7 +106,7 @@
         self.on_bootstrap_persisted(now);
         match self.role {
             Role::Leader(_) => self.update_commit_index(now),
-            Role::Candidate { .. } => self.count_votes(now),
+            Role::Candidate { .. } => self.advance_on_majority(now),
             Role::Follower { .. } => {}
         }
         self.request_snapshot_if_due();
--- a/crates/consensus/src/raft/replication.rs
+++ b/crates/consensus/src/raft/replication.rs
@@ -127,7 +127,7 @@
             return;
         }
         self.advance_commit_index(majority_index);
-        self.notify_proposers(now);
+        self.send_committed_to_proposers(now);
         self.grant_leases();
         // Followers learn of the commit from a heartbeat. The next one is sent early to reduce the latency for clients.
         let Role::Leader(leader) = &mut self.role else { return };
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -211,7 +211,7 @@
     pub fn handle_timeout(&mut self, now: Instant) {
         self.raft.handle_timeout(now);
         // Without responses, another replica may be the leader by now.
-        if self.lease.unanswered() >= MAX_UNANSWERED_REQUESTS {
+        if self.lease.unanswered_requests() >= MAX_UNANSWERED_REQUESTS {
             self.leader_hint = None;
         }
         self.request_lease_if_due(now);
