--- a/crates/membership/src/quota_leases.rs
+++ b/crates/membership/src/quota_leases.rs
@@ -155,7 +155,7 @@
         for limit in limits {
             if limit.owners.contains(&me.slot) && limit.owners.len() > 1 && limit.limit > 0.0 {
                 let pool = SharedPool::new(now, limit, settings.owned, available_from);
-                leases.pools.insert(pool.volume(), pool);
+                leases.pools.insert(pool.lun(), pool);
             }
         }
         leases
@@ -224,7 +224,7 @@
     pub fn balance(&self, now: Instant, volume: u32) -> Option<QuotaBalance> {
         let pool = self.pools.get(&volume)?;
         let until =
-            pool.next_expiration(now).map_or(self.next_round_at, |end| end.min(self.next_round_at)).max(now);
+            pool.next_change(now).map_or(self.next_round_at, |end| end.min(self.next_round_at)).max(now);
         if self.displaced || self.leaving {
             return Some(QuotaBalance { lent: pool.owned, borrowed: 0.0, until });
         }
@@ -235,9 +235,9 @@
     /// Returns the quota of each volume whose limit is shared.
     pub fn status(&self, now: Instant) -> Vec<LeaseStatus> {
         let status = |pool: &SharedPool| {
-            let balance = self.balance(now, pool.volume());
+            let balance = self.balance(now, pool.lun());
             LeaseStatus {
-                volume: pool.volume(),
+                volume: pool.lun(),
                 owned: pool.owned,
                 lent: balance.map_or(0.0, |balance| balance.lent),
                 borrowed: balance.map_or(0.0, |balance| balance.borrowed),
--- a/crates/membership/src/quota_leases/lender.rs
+++ b/crates/membership/src/quota_leases/lender.rs
@@ -95,14 +95,15 @@
         if now >= pool.available_from || pool.have_all_returned() {
             return;
         }
-        let missing: Vec<u32> = peers.iter().copied().filter(|slot| !pool.returned.contains(slot)).collect();
+        let missing: Vec<u32> =
+            peers.iter().copied().filter(|slot| !pool.peers_without_old_leases.contains(slot)).collect();
         missing.into_iter().for_each(|to| self.send(to, LeaseMessage::Recall { volume }));
     }
 
     /// Records that a peer holds no lease of an earlier generation. Once no peer does, this host's own share is available.
     pub(super) fn handle_returned(&mut self, now: Instant, from: u32, volume: u32) {
         let Some(pool) = self.pools.get_mut(&volume).filter(|pool| pool.is_owner(from)) else { return };
-        pool.returned.insert(from);
+        pool.peers_without_old_leases.insert(from);
         if pool.have_all_returned() {
             pool.available_from = pool.available_from.min(now);
         }
@@ -112,7 +113,7 @@
 impl SharedPool {
     /// Returns whether all peers have confirmed that they hold no lease of an earlier generation.
     fn have_all_returned(&self) -> bool {
-        self.returned.len() + 1 >= self.limit.owners.len()
+        self.peers_without_old_leases.len() + 1 >= self.limit.owners.len()
     }
 
     /// Removes a borrower's leases that have ended, and those that the borrower has replaced by the one that it uses. A
--- a/crates/membership/src/quota_leases/pool.rs
+++ b/crates/membership/src/quota_leases/pool.rs
@@ -4,14 +4,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tackmast::interface::{Instant, TimeDelta};
 
-/// Factor by which a host's need exceeds its recent demand, as demand may rise before the next round.
+/// A host needs this multiple of its recent demand, as demand may rise before it can request again.
 const DEMAND_HEADROOM: f64 = 1.25;
 /// Time constant of the exponential average of demand.
 const DEMAND_TIME_CONSTANT: TimeDelta = TimeDelta::from_millis(2_000);
 /// Minimum limit that demand is compared with, in units per second, which prevents a division by 0.
 const MIN_COMPARED_LIMIT: f64 = 1e-9;
 /// Maximum number of recorded requests to one lender, and of recorded leases granted to one borrower.
-const MAX_OPEN: usize = 16;
+const MAX_RECORDED_PER_PEER: usize = 16;
 
 /// The demand of this host's clients for a volume, as an exponential average.
 #[derive(Clone, Debug)]
@@ -47,7 +47,7 @@
     pub until: Instant,
 }
 
-/// A lease that this host holds, with the generation of its lender and the lender's number of it.
+/// A lease that this host holds, with the lender's generation and the sequence number that the lender gave the lease.
 #[derive(Clone, Debug)]
 pub(super) struct HeldLease {
     pub generation: u64,
@@ -92,9 +92,10 @@
     pub sent_requests: BTreeMap<u32, VecDeque<SentRequest>>,
     /// Latest request of each peer.
     pub peer_requests: BTreeMap<u32, PeerRequest>,
-    /// Peers that confirmed that they hold no lease of an earlier generation of this slot.
-    pub returned: BTreeSet<u32>,
-    /// When this host may begin to use its own share, as no peer can use a lease of an earlier generation any more.
+    /// Peers that confirmed that they hold no lease granted by an earlier generation of this host.
+    pub peers_without_old_leases: BTreeSet<u32>,
+    /// The time from which this host may use its own share: by then, no peer can still use a lease granted by an earlier
+    /// generation of this host.
     pub available_from: Instant,
 }
 
@@ -115,13 +116,12 @@
             held: BTreeMap::new(),
             sent_requests: BTreeMap::new(),
             peer_requests: BTreeMap::new(),
-            returned: BTreeSet::new(),
+            peers_without_old_leases: BTreeSet::new(),
             available_from,
         }
     }
 
-    /// Returns the LUN of the volume.
-    pub(super) fn volume(&self) -> u32 {
+    pub(super) fn lun(&self) -> u32 {
         self.limit.volume
     }
 
@@ -171,12 +171,12 @@
     }
 
     /// Returns the next time at which a held lease ends or the own share becomes available.
-    pub(super) fn next_expiration(&self, now: Instant) -> Option<Instant> {
+    pub(super) fn next_change(&self, now: Instant) -> Option<Instant> {
         let ends = self.held.values().map(|lease| lease.until).chain([self.available_from]);
         ends.filter(|end| *end > now).reduce(Instant::min)
     }
 
-    /// Removes granted leases that have ended, and requests of peers that are older than a term.
+    /// Removes granted leases that have ended, and peers' requests received at least one lease term ago.
     ///
     /// The latest lease of each lender is kept after its end. Without it, a delayed grant of an earlier generation would be
     /// accepted as new, although the lender has recalled it and uses the share itself. There are no more such records than
@@ -193,7 +193,7 @@
     pub(super) fn add_sent_request(&mut self, to: u32, request: SentRequest) {
         let requests = self.sent_requests.entry(to).or_default();
         requests.push_back(request);
-        if requests.len() > MAX_OPEN {
+        if requests.len() > MAX_RECORDED_PER_PEER {
             requests.pop_front();
         }
     }
@@ -207,14 +207,14 @@
     /// Adds a lease to those of a borrower.
     ///
     /// The list of a borrower that never confirms a lease would grow without bound. Beyond the maximum, the leases are
-    /// merged into one with the greatest share and the latest end, which covers whichever of them the borrower uses. It
-    /// has the number of the last one, because the confirmation of an earlier one must not free a lease that may still
-    /// arrive.
+    /// merged into one with the greatest share and the latest end, which covers whichever of them the borrower uses. The
+    /// merged lease has the sequence number of the last one, because the confirmation of an earlier one must not free a
+    /// lease that may still arrive.
     pub(super) fn add_granted(&mut self, to: u32, lease: GrantedLease) {
         let GrantedLease { seq, until, .. } = lease;
         let leases = self.granted.entry(to).or_default();
         leases.push(lease);
-        if leases.len() > MAX_OPEN {
+        if leases.len() > MAX_RECORDED_PER_PEER {
             let share = leases.iter().map(|lease| lease.share).reduce(f64::max).unwrap_or(0.0).max(0.0);
             let until = leases.iter().map(|lease| lease.until).max().unwrap_or(until);
             *leases = vec![GrantedLease { seq, share, until }];
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -38,7 +38,7 @@
 use crate::Transmit;
 use broadcast_queue::BroadcastQueue;
 use duplicate_id::DuplicateId;
-use failure_detector::{Probe, Relay};
+use failure_detector::{Probe, RelayedPing};
 use imbl::OrdMap;
 use join::PersistedPeer;
 use local_health::LocalHealth;
@@ -63,7 +63,7 @@
     /// Members that are still to be probed in this round, in reverse order.
     probe_order: Vec<u32>,
     probes: Vec<Probe>,
-    relays: VecDeque<Relay>,
+    relays: VecDeque<RelayedPing>,
     broadcasts: BroadcastQueue,
     /// Sequence number of the last ping.
     seq: u32,
@@ -314,7 +314,8 @@
 
     /// Returns when [`handle_timeout`](Self::handle_timeout) is due next.
     pub fn poll_timeout(&self) -> Instant {
-        let next_step = |probe: &Probe| if probe.indirect_sent { probe.until } else { probe.direct_until };
+        let next_step =
+            |probe: &Probe| if probe.indirect_sent { probe.fails_at } else { probe.indirect_pings_at };
         let probes = self.probes.iter().map(next_step);
         let relays = self.relays.iter().map(|relay| relay.until);
         probes.chain(relays).min().map_or(self.next_period_at, |step| step.min(self.next_period_at))
--- a/crates/membership/src/view/failure_detector.rs
+++ b/crates/membership/src/view/failure_detector.rs
@@ -11,31 +11,32 @@
 /// Protocol periods after which an unanswered probe has failed.
 const INDIRECT_TIMEOUT_PERIODS: f64 = 0.9;
 /// Number of members that are asked for an indirect ping (SWIM's parameter k).
-const INDIRECT_CHECKS: usize = 3;
+const INDIRECT_PING_HELPERS: usize = 3;
 /// Maximum number of pending pings on behalf of other members.
 const MAX_RELAYS: usize = 64;
-/// Maximum number of this host's own probes that wait for an answer.
+/// Maximum number of this host's own unanswered probes.
 const MAX_PROBES: usize = 32;
 
-/// A probe of a member that waits for its answer.
+/// A probe that the member has not answered yet.
 #[derive(Clone, Debug)]
 pub(super) struct Probe {
     pub seq: u32,
     pub slot: u32,
-    /// Generation that was probed. A later generation is not suspected because an earlier one did not answer.
+    /// Generation that was probed. If an earlier generation did not answer, that is no reason to suspect a later one.
     pub generation: u64,
     pub sent: Instant,
     /// Whether indirect pings were requested.
     pub indirect_sent: bool,
-    pub direct_until: Instant,
-    pub until: Instant,
-    /// Number of helpers that reported no answer of the member either (Lifeguard's nack).
+    /// When indirect pings are requested.
+    pub indirect_pings_at: Instant,
+    pub fails_at: Instant,
+    /// Number of nacks: messages by which helpers report that the member did not answer them either (Lifeguard).
     pub nacks: usize,
 }
 
 /// A ping on behalf of another member.
 #[derive(Clone, Debug)]
-pub(super) struct Relay {
+pub(super) struct RelayedPing {
     pub seq: u32,
     pub requester: SocketAddr,
     pub requester_seq: u32,
@@ -84,12 +85,12 @@
             self.relays.pop_front();
         }
         let until = now + self.periods(DIRECT_TIMEOUT_PERIODS);
-        self.relays.push_back(Relay { seq, requester, requester_seq, target, until });
+        self.relays.push_back(RelayedPing { seq, requester, requester_seq, target, until });
         self.send_probe(address, ProbeMessage::Ping { seq }, Some(target));
     }
 
     fn relay_ack(&mut self, seq: u32, target: u32) {
-        let is_relay = |relay: &Relay| relay.seq == seq && relay.target == target;
+        let is_relay = |relay: &RelayedPing| relay.seq == seq && relay.target == target;
         let position = self.relays.iter().position(is_relay);
         if let Some(relay) = position.and_then(|index| self.relays.remove(index)) {
             let message = ProbeMessage::IndirectAck { seq: relay.requester_seq, slot: target };
@@ -103,12 +104,12 @@
         let mut index = 0;
         while index < self.probes.len() {
             let probe = self.probes[index].clone();
-            if now >= probe.until {
+            if now >= probe.fails_at {
                 self.probes.remove(index);
                 self.handle_probe_failure(now, &probe);
                 continue;
             }
-            if now >= probe.direct_until && !probe.indirect_sent {
+            if now >= probe.indirect_pings_at && !probe.indirect_sent {
                 self.probes[index].indirect_sent = true;
                 self.request_indirect_pings(now, &probe);
             }
@@ -127,7 +128,7 @@
     }
 
     fn request_indirect_pings(&mut self, now: Instant, probe: &Probe) {
-        for helper in self.random_members(now, INDIRECT_CHECKS, Some(probe.slot)) {
+        for helper in self.random_members(now, INDIRECT_PING_HELPERS, Some(probe.slot)) {
             if let Some(address) = self.address(helper) {
                 let message = ProbeMessage::PingRequest { seq: probe.seq, slot: probe.slot };
                 self.send_probe(address, message, Some(helper));
@@ -137,9 +138,10 @@
 
     /// Handles a failed probe, to which no answer came from the member or through a helper.
     ///
-    /// Without nacks this host could not tell a dead member from a failure of its own link, and would suspect all members
-    /// that it probes. A nack shows that this host's datagrams arrive. If there is none, the failure also degrades the
-    /// local health.
+    /// If helpers sent no nacks at all, this host could not tell a dead member from a failure of its own link, and would
+    /// suspect all members that it probes when its link fails. A nack shows that this host's datagrams arrive. If no helper
+    /// sent one, the failed probe degrades the local health (extension `local_health`), and the member is not suspected if
+    /// a datagram of it has arrived since the probe was sent.
     fn handle_probe_failure(&mut self, now: Instant, probe: &Probe) {
         let state = self.members.get(probe.slot).filter(|state| state.generation == probe.generation);
         let Some(state) = state else { return };
@@ -156,8 +158,9 @@
         }
     }
 
-    /// Starts the probes of a period: one, or two while a member is suspected and this host's own health is not bad.
-    /// Members often fail together, and a second probe finds the other failures sooner.
+    /// Starts the probes of a period: one, or two while a member is suspected and this host's own health is not bad
+    /// (extension `suspicion_confirmation`). Members often fail together, and a second probe finds the other failures
+    /// sooner.
     pub(super) fn start_probes(&mut self, now: Instant) {
         self.start_probe(now);
         let has_suspects = !self.members.suspects().is_empty();
@@ -183,8 +186,8 @@
             generation,
             sent: now,
             indirect_sent: false,
-            direct_until: after(DIRECT_TIMEOUT_PERIODS),
-            until: after(INDIRECT_TIMEOUT_PERIODS),
+            indirect_pings_at: after(DIRECT_TIMEOUT_PERIODS),
+            fails_at: after(INDIRECT_TIMEOUT_PERIODS),
             nacks: 0,
         });
         self.send_probe(address, ProbeMessage::Ping { seq }, Some(slot));
--- a/crates/membership/src/view/merge.rs
+++ b/crates/membership/src/view/merge.rs
@@ -16,6 +16,7 @@
 impl View {
     /// Merges an update on a member. A later generation takes precedence, then a later incarnation, then worse health. An
     /// update with the same precedence as the known state can only confirm a suspicion or resolve a conflict of addresses.
+    /// An exception is a death that this host declared in isolation (see `replaces_isolated_death`).
     pub fn merge(&mut self, now: Instant, update: MemberUpdate) {
         if !self.is_in_range(&update) {
             self.counters.out_of_range += 1;
@@ -33,7 +34,7 @@
         };
         if !self.supersedes(&update, state) {
             if state.precedence() == precedence(&update) {
-                self.merge_equal(now, update);
+                self.merge_same_precedence(now, update);
             }
             return;
         }
@@ -46,8 +47,8 @@
     /// Returns whether a member of this fleet can have this slot, generation and incarnation.
     ///
     /// A running member could not refute a false death with the greatest generation or incarnation, as it has no
-    /// greater one to take, and would be considered dead forever. Unbounded slots would fill the table, which would
-    /// show as growing memory and more updates in each answer to a digest.
+    /// greater one to take, and would be considered dead forever. Without the check of the slot,
+    /// invalid updates could grow the table, and with it memory use and the answers to digests.
     fn is_in_range(&self, update: &MemberUpdate) -> bool {
         update.incarnation <= MAX_INCARNATION
             && update.generation <= MAX_GENERATION
@@ -60,7 +61,7 @@
             || self.supersedes_by_fault(update, state)
     }
 
-    /// Returns whether a deliberate fault of precedence lets the update supersede the state.
+    /// Returns whether a fault that a test injected lets the update supersede the state without a higher precedence.
     fn supersedes_by_fault(&self, update: &MemberUpdate, state: &MemberState) -> bool {
         let ignores_incarnation = self.has_fault(ViewFault::IgnoresIncarnation)
             && precedence(update) != state.precedence()
@@ -72,7 +73,7 @@
     }
 
     /// Merges an update with the same generation, incarnation and health as the known state.
-    fn merge_equal(&mut self, now: Instant, update: MemberUpdate) {
+    fn merge_same_precedence(&mut self, now: Instant, update: MemberUpdate) {
         let Some(state) = self.members.get(update.slot) else { return };
         // Two processes may claim one generation from two addresses. All hosts choose the greater address, as their views
         // would otherwise never converge.
@@ -86,12 +87,12 @@
         }
     }
 
-    /// Turns the death of a member whose datagrams arrive here into a suspicion, and returns other updates unchanged.
-    /// Returns `None` if the member is suspected already.
+    /// Turns a death into a suspicion if this generation of the member was received recently (extension `buddy_system`),
+    /// and returns other updates unchanged. Returns `None` if the member is already suspected at this incarnation.
     ///
-    /// A host that is cut off declares others dead. If that were accepted, running members would be dead in every view
-    /// until they refute it. A suspicion gives them time to refute it, and a member that is really dead stops sending,
-    /// so that its death is accepted soon after.
+    /// A host that is cut off declares others dead. If these deaths were accepted, running members would be dead in
+    /// every view until they refute them. A suspicion gives a member time to refute it, and a member that is really dead
+    /// stops sending, so that its death is accepted soon after.
     fn downgrade_doubtful_death(
         &self,
         now: Instant,
@@ -119,12 +120,12 @@
         if update.health == Health::Dead && health_before != Some(Health::Dead) {
             self.record_death(now, &update, false);
             if self.has_fault(ViewFault::ForgetsDead) {
-                return self.forget(slot);
+                return self.remove_member(slot);
             }
         }
         let state = self.next_state(now, &update, before);
-        let flapped = before.is_some_and(|before| self.flaps(now, before));
-        let flaps = self.flaps(now, &state);
+        let was_flapping = before.is_some_and(|before| self.flaps(now, before));
+        let is_flapping = self.flaps(now, &state);
         if state.is_live() && before.is_none_or(|before| !before.is_live()) {
             self.add_to_probe_order(slot);
         }
@@ -132,7 +133,7 @@
         self.changed_at = now;
         let has_restarted = before.is_some_and(|before| before.generation != update.generation);
         if health_before != Some(update.health) || has_restarted {
-            self.report_health(slot, update.health, flapped, flaps);
+            self.report_health(slot, update.health, was_flapping, is_flapping);
         }
         self.broadcast(slot);
     }
@@ -183,8 +184,8 @@
     }
 
     /// Reports a change of health. While a member flaps, only the first change is reported, as an event that it flaps.
-    pub(super) fn report_health(&mut self, slot: u32, health: Health, flapped: bool, flaps: bool) {
-        match (flapped, flaps) {
+    pub(super) fn report_health(&mut self, slot: u32, health: Health, was_flapping: bool, is_flapping: bool) {
+        match (was_flapping, is_flapping) {
             (_, false) => self.events.push_back(ViewEvent::Health { slot, health }),
             (false, true) => self.events.push_back(ViewEvent::Flapping { slot }),
             (true, true) => self.counters.damped += 1,
@@ -200,7 +201,7 @@
         self.deaths.push_back(Death { slot, generation, incarnation, at: now, declared_here });
     }
 
-    pub(super) fn forget(&mut self, slot: u32) {
+    pub(super) fn remove_member(&mut self, slot: u32) {
         self.members.remove(slot);
         self.broadcasts.remove(slot);
     }
@@ -220,7 +221,8 @@
                 self.degrade_local_health(1);
             }
             self.broadcast(self.me.slot);
-            // The suspicion times out at all peers that confirm it, so the refutation does not wait for the next probe.
+            // Peers may already be counting down to this host's death, so the refutation is sent now and not with the next
+            // probe.
             if self.settings.extensions.buddy_system {
                 self.gossip_now();
             }
--- a/crates/membership/src/view/suspicion.rs
+++ b/crates/membership/src/view/suspicion.rs
@@ -146,7 +146,7 @@
         self.counters.declared_dead += 1;
         self.record_death(now, &state.to_update(slot), true);
         if self.has_fault(ViewFault::ForgetsDead) {
-            self.forget(slot);
+            self.remove_member(slot);
             return false;
         }
         let flaps = self.flaps(now, &state);
