--- a/crates/platform-host/src/client_connection.rs
+++ b/crates/platform-host/src/client_connection.rs
@@ -12,7 +12,8 @@
 
 /// Time that a new client has for its first request; well within the time that the platform allows for closing bad clients.
 const FIRST_REQUEST_TIMEOUT: TimeDelta = TimeDelta::from_millis(2500);
-/// Time that a client that has sent a valid request has for the bytes of a later one; some clients write slowly.
+/// After its first valid request, a client has this long to send each further request, counted from the first byte. Some clients write
+/// slowly.
 const REQUEST_TIMEOUT: TimeDelta = TimeDelta::from_millis(5000);
 /// Time that a client has to read its answer before it counts as disconnected.
 const WRITE_TIMEOUT: TimeDelta = TimeDelta::from_millis(5000);
@@ -38,9 +39,7 @@
     HalfClosed,
 }
 
-/// A client connection.
 pub(crate) struct ClientConnection {
-    /// The socket.
     pub stream: TcpStream,
     /// The parser of requests, which holds the bytes that were read ahead.
     pub reader: RequestReader,
@@ -48,7 +47,6 @@
     pub outgoing: BytesMut,
     /// The events that the poller waits for now.
     pub interest: Interest,
-    /// The protocol state.
     pub state: ConnectionState,
     /// Whether the next answer is the last on the connection; no further request is accepted.
     pub closes: bool,
@@ -56,7 +54,8 @@
     pub lingered_bytes: usize,
     /// Whether the client has sent a valid request.
     pub has_sent_request: bool,
-    /// The start of the connection's current phase, from which timeouts and eviction count.
+    /// The time from which timeouts and eviction count: the last of accept, the first byte of a later request, the acceptance of a request,
+    /// its answer, and the half-close.
     pub since: Instant,
     /// Number of bytes that the reader holds, as last counted.
     pub buffered_bytes: usize,
@@ -137,7 +136,7 @@
     }
 
     /// Counts bytes that were discarded after the last answer, and returns whether they exceed [`MAX_LINGER_BYTES`].
-    pub(crate) fn discard_bytes(&mut self, len: usize) -> bool {
+    pub(crate) fn discard_exceeds_limit(&mut self, len: usize) -> bool {
         self.lingered_bytes += len;
         self.lingered_bytes > MAX_LINGER_BYTES
     }
@@ -152,7 +151,7 @@
         self.state == ConnectionState::Reading && self.outgoing.is_empty()
     }
 
-    /// Returns whether the last answer was given.
+    /// Returns whether no further answer can be given: the last one is being or has been written, or the connection is half-closed.
     pub(crate) fn has_last_answer(&self) -> bool {
         matches!(self.state, ConnectionState::Closing | ConnectionState::HalfClosed)
     }
--- a/crates/platform-host/src/client_connections.rs
+++ b/crates/platform-host/src/client_connections.rs
@@ -192,7 +192,7 @@
             ReadOutcome::Nothing => return None,
             ReadOutcome::End | ReadOutcome::Failed => return Some(self.handle_disconnect(id)),
             ReadOutcome::Bytes(len) if client.has_last_answer() => {
-                return client.discard_bytes(len).then(|| self.handle_disconnect(id));
+                return client.discard_exceeds_limit(len).then(|| self.handle_disconnect(id));
             }
             ReadOutcome::Bytes(len) => client.push_bytes(now, &chunk[..len]),
         }
--- a/crates/platform-host/src/list_watch.rs
+++ b/crates/platform-host/src/list_watch.rs
@@ -1,10 +1,11 @@
 //! The watch of the endpoint list: a sequence of long polls. The scheduler decides when to retry after a failure.
 //! docs/crossings.md has a table of each poll state against each event.
 //!
-//! The host counts as notified of a change 6 s after the list had the change and was reachable, whatever failed before. The timeouts
-//! here and the scheduler's backoff together must stay below that. The worst case is a silent poll, which is detected after its wait
-//! and `ANSWER_TIMEOUT`, a backoff, a poll that does not connect, another backoff, and a poll that is answered (docs/design.md has
-//! the sum).
+//! The platform assumes that the host knows a change as soon as the list has written the change in an answer, and at the latest 6 s
+//! after the list had the change and was reachable, even if polls failed before. The timeouts here and the scheduler's backoff
+//! together must stay below these 6 s. The worst case is this sequence: a poll that is never answered (found out after its wait plus
+//! `ANSWER_TIMEOUT`); a backoff; a poll that does not connect; another backoff; and a poll that is answered (docs/design.md has the
+//! sum).
 
 use crate::poller::{Poller, Ready, Token, BOTH, READ};
 use crate::sockets::{self, ReadOutcome};
@@ -14,11 +15,12 @@
 use tackmast_http::{Limits, MessageError, Response, ResponseReader};
 use tackmast_platform::{List, Settings};
 
-/// Time for which the list may hold a poll until there is a change, in milliseconds. The host counts as notified of a lost answer 2 s
-/// after that time, and a silent watch is detected only then, so the time is short. It is no shorter because each poll costs the list
-/// work.
+/// Time for which the list may hold a poll until there is a change, in milliseconds. A poll that will never be answered is noticed only
+/// after this time (and `ANSWER_TIMEOUT`), so the time is short: 2 s after it the platform assumes that the host knows the change in a
+/// lost answer. The time is no shorter because each poll costs the list work.
 const LONG_POLL_MS: u64 = 2_500;
-/// `LONG_POLL_MS` for the poll after a failed one: the list already has the missed changes, and another silent poll must be detected soon.
+/// Like `LONG_POLL_MS`, for the poll after a failed one. It may be shorter, as the list already has the missed changes, and must be, so
+/// that a second failure is noticed soon.
 const LONG_POLL_AFTER_FAILURE_MS: u64 = 300;
 /// Time that an answer may take beyond the long poll's wait.
 const ANSWER_TIMEOUT: TimeDelta = TimeDelta::from_millis(1200);
@@ -29,7 +31,7 @@
 /// Maximum size of an answer of the list in bytes: the complete list with all nodes as indented JSON.
 const MAX_LIST_BYTES: usize = 256 * 1024;
 /// Number of reads that suffice for the largest answer and its head.
-const MAX_LIST_CHUNKS: usize = MAX_LIST_BYTES / sockets::READ_CHUNK_BYTES + 2;
+const MAX_LIST_READS: usize = MAX_LIST_BYTES / sockets::READ_CHUNK_BYTES + 2;
 
 /// The result of a poll.
 #[derive(Debug)]
@@ -47,8 +49,7 @@
 
 /// A poll without an answer yet.
 struct Poll {
-    /// The number of its connection.
-    number: u32,
+    connection_number: u32,
     stream: TcpStream,
     /// The part of the request that is still to be written; empty once the request is written.
     outgoing: BytesMut,
@@ -57,7 +58,8 @@
     after: Option<u64>,
     /// Time that the answer may take once the request is written.
     answer_timeout: TimeDelta,
-    /// When the poll fails if the request is not written, or once it is written not answered.
+    /// When the poll fails: until the request is written, the end of the time for writing it; afterwards, the end of the time for the
+    /// answer.
     deadline: Instant,
 }
 
@@ -67,15 +69,21 @@
     open_poll: Option<Poll>,
     /// A connection whose poll was answered, kept for the next poll.
     idle_connection: Option<(u32, TcpStream)>,
-    last_number: u32,
-    /// Whether the last poll failed.
+    last_connection_number: u32,
+    /// Whether a poll has failed or opened a new connection since the last answer or the last change of the address.
     has_failed: bool,
 }
 
 impl Watch {
     /// Creates a watch of the list at `address` without polling it.
     pub(crate) fn new(address: SocketAddr) -> Self {
-        Watch { address, open_poll: None, idle_connection: None, last_number: 0, has_failed: false }
+        Watch {
+            address,
+            open_poll: None,
+            idle_connection: None,
+            last_connection_number: 0,
+            has_failed: false,
+        }
     }
 
     /// Returns whether a poll is open.
@@ -83,7 +91,6 @@
         self.open_poll.is_some()
     }
 
-    /// Returns the address at which the list is polled.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
@@ -101,7 +108,7 @@
             (LONG_POLL_MS, ANSWER_TIMEOUT)
         };
         let is_usable = |(_, stream): &(u32, TcpStream)| sockets::has_no_input(stream);
-        let (number, stream) = match self.idle_connection.take().filter(is_usable) {
+        let (connection_number, stream) = match self.idle_connection.take().filter(is_usable) {
             Some(idle_connection) => idle_connection,
             None => {
                 let connect_failed = |error| WatchEvent::Failed(format!("connect: {error}"));
@@ -113,7 +120,7 @@
         // The list answers a poll for the complete list at once.
         let wait = if after.is_some() { TimeDelta::from_millis(wait_ms as i64) } else { TimeDelta::ZERO };
         let poll = Poll {
-            number,
+            connection_number,
             stream,
             outgoing: BytesMut::from(text.as_bytes()),
             answer: ResponseReader::new(Limits { max_body_len: MAX_LIST_BYTES, ..Limits::default() }),
@@ -129,12 +136,12 @@
 
     /// Starts a new connection to the list, and returns it with its number.
     fn connect(&mut self, poller: &Poller) -> std::io::Result<(u32, TcpStream)> {
-        self.last_number = self.last_number.wrapping_add(1);
-        // Stays set until the poll is answered: a poll that can't connect has failed too.
+        self.last_connection_number = self.last_connection_number.wrapping_add(1);
+        // `has_failed` stays set until a poll is answered, so a connection that can't be established counts as a failed poll.
         self.has_failed = true;
         let stream = sockets::connect(self.address)?;
-        poller.add(&stream, Token::List(self.last_number), BOTH)?;
-        Ok((self.last_number, stream))
+        poller.add(&stream, Token::List(self.last_connection_number), BOTH)?;
+        Ok((self.last_connection_number, stream))
     }
 
     /// Handles a ready socket of the watch. Returns the result of the poll once it is known.
@@ -142,14 +149,15 @@
         &mut self,
         now: Instant,
         poller: &Poller,
-        number: u32,
+        connection_number: u32,
         ready: Ready,
         settings: &Settings,
     ) -> Option<WatchEvent> {
-        let Some(poll) = self.open_poll.as_mut().filter(|poll| poll.number == number) else {
+        let Some(poll) = self.open_poll.as_mut().filter(|poll| poll.connection_number == connection_number)
+        else {
             // An idle connection received bytes, such as a duplicate answer, or was closed. The next poll would parse the bytes as its
             // own answer, so the connection is closed.
-            self.idle_connection = self.idle_connection.take().filter(|(idle, _)| *idle != number);
+            self.idle_connection = self.idle_connection.take().filter(|(idle, _)| *idle != connection_number);
             return None;
         };
         if !poll.outgoing.is_empty() {
@@ -157,7 +165,7 @@
                 return None;
             }
             if poll.write(now, poller).is_err() {
-                return self.failed("no connection");
+                return self.fail_poll("no connection");
             }
             if !poll.outgoing.is_empty() {
                 return None;
@@ -177,20 +185,20 @@
             let received = match sockets::read(&poll.stream, &mut chunk) {
                 ReadOutcome::Nothing => return None,
                 ReadOutcome::End if poll.answer.ends_with_connection() => poll.answer.handle_close(),
-                ReadOutcome::End | ReadOutcome::Failed => return self.failed("the connection ended"),
+                ReadOutcome::End | ReadOutcome::Failed => return self.fail_poll("the connection ended"),
                 ReadOutcome::Bytes(len) => {
                     poll.answer.push(&chunk[..len]);
                     poll.answer.next_response()
                 }
             };
             if !matches!(received, Ok(None)) {
-                return self.received(received, settings);
+                return self.handle_response(received, settings);
             }
         }
         None
     }
 
-    fn received(
+    fn handle_response(
         &mut self,
         received: Result<Option<Response>, MessageError>,
         settings: &Settings,
@@ -198,17 +206,17 @@
         let answer = match received {
             Ok(None) => return None,
             Ok(Some(answer)) => answer,
-            Err(error) => return self.failed(&error.to_string()),
+            Err(error) => return self.fail_poll(&error.to_string()),
         };
         if answer.status != 200 {
-            return self.failed(&format!("status {}", answer.status));
+            return self.fail_poll(&format!("status {}", answer.status));
         }
         match List::parse(&answer.body, settings) {
-            Err(error) => self.failed(&error.to_string()),
+            Err(error) => self.fail_poll(&error.to_string()),
             Ok(list) => {
                 let poll = self.open_poll.take()?;
                 if !answer.closes && !poll.answer.has_trailing_bytes() {
-                    self.idle_connection = Some((poll.number, poll.stream));
+                    self.idle_connection = Some((poll.connection_number, poll.stream));
                 }
                 self.has_failed = false;
                 Some(WatchEvent::List { after: poll.after.unwrap_or(0), list })
@@ -216,7 +224,7 @@
         }
     }
 
-    fn failed(&mut self, why: &str) -> Option<WatchEvent> {
+    fn fail_poll(&mut self, why: &str) -> Option<WatchEvent> {
         self.open_poll = None;
         self.idle_connection = None;
         self.has_failed = true;
@@ -228,15 +236,15 @@
         if self.open_poll.as_ref().is_none_or(|poll| poll.deadline > now) {
             return None;
         }
-        // The host counts as notified of a change once the list has written the answer. An answer that is in the socket at the deadline
-        // is therefore read first; otherwise the host would follow an outdated list.
-        self.read(MAX_LIST_CHUNKS, settings).or_else(|| self.failed("no answer in time"))
+        // The platform assumes that the host knows a change once the list has written the answer (see the module's doc). An answer that is
+        // in the socket at the deadline is therefore read first; otherwise the host would follow an outdated list.
+        self.read(MAX_LIST_READS, settings).or_else(|| self.fail_poll("no answer in time"))
     }
 
-    /// Moves the watch to another address. An answer that the old address has already written is read first and returned, as the host
-    /// counts as notified of it. Nothing is read from the old address afterwards: it could be older than answers of the new one.
+    /// Moves the watch to another address. An answer that the old address has already written is read first and returned, as the platform
+    /// assumes that the host knows it. Nothing is read from the old address afterwards: it could be older than answers of the new one.
     pub(crate) fn address_changed(&mut self, to: SocketAddr, settings: &Settings) -> Option<WatchEvent> {
-        let last = self.read(MAX_LIST_CHUNKS, settings);
+        let last = self.read(MAX_LIST_READS, settings);
         (self.address, self.open_poll, self.idle_connection, self.has_failed) = (to, None, None, false);
         last.filter(|event| matches!(event, WatchEvent::List { .. }))
     }
@@ -249,7 +257,7 @@
             self.deadline = now + self.answer_timeout;
         }
         let interest = if self.outgoing.is_empty() { READ } else { BOTH };
-        poller.change(&self.stream, Token::List(self.number), interest);
+        poller.change(&self.stream, Token::List(self.connection_number), interest);
         Ok(())
     }
 }
--- a/crates/platform-host/src/service_rate_replication/tests.rs
+++ b/crates/platform-host/src/service_rate_replication/tests.rs
@@ -15,7 +15,7 @@
 }
 
 /// A host restarts, fetches its rates from three peers, and receives each datagram twice. A rate that counted twice would break the bound
-/// on warming-up nodes. Old rates and those beyond the maximum number of datagrams are not restored.
+/// on the load of a node that warms up. Old rates and those beyond the maximum number of datagrams are not restored.
 #[test]
 fn new_generation_restores_each_rate_once() {
     // Hosts, shards with a rate, seconds between the generations; shards that are restored.
@@ -27,21 +27,21 @@
         (1, 3, 4.0, 0),
         (2, 3, 4.0, 3),
     ] {
-        let all = peers(host_count);
+        let all_peers = peers(host_count);
         let mut hosts: Vec<ServiceRateReplication> = (0..host_count)
-            .map(|me| ServiceRateReplication::new(at(0.0), usize::from(me), all.clone()))
+            .map(|me| ServiceRateReplication::new(at(0.0), usize::from(me), all_peers.clone()))
             .collect();
         let rates: Vec<_> = (0..shards).map(|shard| (ShardId(shard), 1.0 + f64::from(shard) / 7.0)).collect();
         let index = |address: &SocketAddr| usize::from(address.port() - 1000);
         for Datagram { to, bytes } in hosts[0].replicate(rates.clone()) {
             assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-            hosts[index(&to)].handle_datagram(at(1.0), all[0], &bytes);
+            hosts[index(&to)].handle_datagram(at(1.0), all_peers[0], &bytes);
         }
-        hosts[0] = ServiceRateReplication::new(at(1.0 + downtime), 0, all.clone());
+        hosts[0] = ServiceRateReplication::new(at(1.0 + downtime), 0, all_peers.clone());
         let fetches = hosts[0].handle_timeout(at(1.0 + downtime), Vec::new);
         for Datagram { to, bytes } in fetches {
             for Datagram { bytes: answer, .. } in
-                hosts[index(&to)].handle_datagram(at(1.0 + downtime), all[0], &bytes)
+                hosts[index(&to)].handle_datagram(at(1.0 + downtime), all_peers[0], &bytes)
             {
                 // Each datagram arrives twice.
                 for _ in 0..2 {
@@ -67,18 +67,18 @@
 /// rate, and the host must send no more than its fetches and replications.
 #[test]
 fn malformed_or_unrequested_datagrams_change_nothing() {
-    let all = peers(4);
-    let mut replication = ServiceRateReplication::new(at(0.0), 0, all.clone());
+    let all_peers = peers(4);
+    let mut replication = ServiceRateReplication::new(at(0.0), 0, all_peers.clone());
     let unknown_sender: SocketAddr = "127.0.0.1:9".parse().unwrap();
     let valid = vec![b't', b'k', STORE, 0, 1, 0, 7, 0x40, 0];
     for (from, bytes) in [
         (unknown_sender, valid),
-        (all[1], vec![]),
-        (all[1], vec![b'x'; 300]),
-        (all[1], vec![b't', b'k', 9, 0, 1]),
-        (all[1], vec![b't', b'k', STORE, 200, 1]),
+        (all_peers[1], vec![]),
+        (all_peers[1], vec![b'x'; 300]),
+        (all_peers[1], vec![b't', b'k', 9, 0, 1]),
+        (all_peers[1], vec![b't', b'k', STORE, 200, 1]),
         // An unsolicited answer.
-        (all[1], vec![b't', b'k', RESTORE, 0, 1, 0, 7, 0x40, 0]),
+        (all_peers[1], vec![b't', b'k', RESTORE, 0, 1, 0, 7, 0x40, 0]),
     ] {
         assert!(replication.handle_datagram(at(0.1), from, &bytes).is_empty(), "{bytes:?}");
     }
@@ -93,22 +93,26 @@
         })
         .sum();
     assert_eq!(sent, 3 * 3 + 3, "three fetches and one replication to three peers");
-    // A host that is not among its peers, or has no peers.
+    // A host without other peers sends nothing; one whose number is outside its peer list must not panic.
     for (me, peer_count) in [(3, 0), (9, 4), (0, 1)] {
-        let mut odd = ServiceRateReplication::new(at(0.0), me, peers(peer_count));
-        let sent = odd.handle_timeout(at(9.0 * 9.0), || vec![(ShardId(1), 2.0)]).len();
+        let mut host = ServiceRateReplication::new(at(0.0), me, peers(peer_count));
+        let sent = host.handle_timeout(at(9.0 * 9.0), || vec![(ShardId(1), 2.0)]).len();
         assert!(sent == 0 || peer_count > 1, "{me} of {peer_count}: {sent}");
     }
-    // Rates that are restored after this host has replicated may be its own.
+    // Rates that are restored after this host has replicated may be those that it has just replicated, so they are ignored.
     let restore = [b't', b'k', RESTORE, 0, 1, 0, 7, 0x7f, 0x80, 0, 8, 0xc0, 0, 0, 9, 0x40, 0];
-    replication.handle_datagram(at(6.2), all[1], &restore);
+    replication.handle_datagram(at(6.2), all_peers[1], &restore);
     assert!(replication.poll_restored().is_empty());
     // Rates that are not finite or not positive are left out.
-    let mut replication = ServiceRateReplication::new(at(0.0), 0, all.clone());
+    let mut replication = ServiceRateReplication::new(at(0.0), 0, all_peers.clone());
     replication.handle_timeout(at(0.1), Vec::new);
-    replication.handle_datagram(at(0.2), all[1], &restore);
+    replication.handle_datagram(at(0.2), all_peers[1], &restore);
     assert_eq!(replication.poll_restored(), [(ShardId(9), 2.0)]);
     // An older datagram of another peer contains the same shard, which must not count twice.
-    replication.handle_datagram(at(0.3), all[2], &[b't', b'k', RESTORE, 1, 2, 0, 9, 0x40, 0, 0, 5, 0x40, 0]);
+    replication.handle_datagram(
+        at(0.3),
+        all_peers[2],
+        &[b't', b'k', RESTORE, 1, 2, 0, 9, 0x40, 0, 0, 5, 0x40, 0],
+    );
     assert_eq!(replication.poll_restored(), [(ShardId(5), 2.0)]);
 }
