--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -12,12 +12,12 @@
 
 /// The limit of a node that has not answered yet, in attempts, for up to `FEW_HOSTS` hosts.
 const INITIAL_LIMIT: f64 = 8.0;
-/// The number of hosts up to which each host keeps a limit of at least one attempt. The minimum limits of a larger
-/// number of hosts sum to this many attempts.
+/// The number of hosts up to which each host keeps a limit of at least one attempt. With more hosts,
+/// the minimum limits of all of them add up to this many attempts.
 const FEW_HOSTS: f64 = 4.0;
 /// The largest limit, in attempts.
 const MAX_LIMIT: f64 = 24.0;
-/// The increase of the limit, in attempts, after as many fast answers as the limit has attempts.
+/// How much a limit of at least one grows, in attempts, over a window: as many fast answers as it allows attempts.
 const INCREASE_PER_WINDOW: f64 = 0.5;
 /// The factor of the largest decrease, which follows a timeout or a rejection by a full node.
 const MIN_DECREASE_FACTOR: f64 = 0.5;
@@ -25,20 +25,22 @@
 const MAX_DECREASE_FACTOR: f64 = 0.9;
 /// The fraction of the latency objective from which on an answer is slow and decreases the limit.
 const FAST_FRACTION: f64 = 0.5;
-/// The longest pause between two attempts while the effective limit is below one. With more than `FEW_HOSTS` hosts it
-/// is multiplied by the square root of their number over `FEW_HOSTS`.
+/// The longest pause between two attempts while the effective limit is below one. With more than `FEW_HOSTS` hosts
+/// it is multiplied by `sqrt(hosts / FEW_HOSTS)`.
 const MAX_SEND_PAUSE: TimeDelta = TimeDelta::from_millis(2000);
 /// The fraction of the limit that best effort, which exceeds the reservation, may use.
 const BEST_EFFORT_FRACTION: f64 = 0.7;
 /// The fraction of the limit that lower priorities may use while an attempt of a higher one is in flight.
 const LOWER_PRIORITY_FRACTION: f64 = 0.5;
-/// The tightness of late requests, which multiplies a limit below one.
+/// Late requests get this value as `Priority::tightness`; a limit below one is multiplied by it.
 const LATE_TIGHTNESS: f64 = 0.5;
-/// The reported queue length of a node above which the limit for reserved requests falls in proportion to it.
-const RESERVED_NODE_QUEUE: f64 = 8.0;
-/// The reported queue length of a node above which the limit for best effort falls in proportion to it.
-const BEST_EFFORT_NODE_QUEUE: f64 = 2.0;
-/// The multiple of the tightest latency objective up to which the answers of a class adjust the limit.
+/// Above this reported queue length of a node, the limit for reserved requests is divided by the ratio of that length
+/// to this value.
+const RESERVED_QUEUE_THRESHOLD: f64 = 8.0;
+/// Above this reported queue length of a node, the limit for best effort is divided by the ratio of that length to this
+/// value.
+const BEST_EFFORT_QUEUE_THRESHOLD: f64 = 2.0;
+/// The answers of a class adjust the limit only if its latency objective is at most this multiple of the tightest one.
 const ADJUSTING_OBJECTIVE_MULTIPLE: f64 = 2.0;
 
 /// Returns whether an answer came well within its latency objective.
@@ -57,7 +59,6 @@
     Priority { rank: class.priority.rank, tightness: LATE_TIGHTNESS, is_reserved: false }
 }
 
-/// Returns the lower bound on the limit, in attempts, with `alive_hosts` hosts.
 fn min_limit(alive_hosts: f64) -> f64 {
     (FEW_HOSTS / alive_hosts).min(1.0)
 }
@@ -94,7 +95,7 @@
     }
 
     /// Returns the number of attempts with a tighter latency objective than that of `rank`.
-    fn attempts_above(&self, rank: usize) -> usize {
+    fn attempts_of_higher_ranks(&self, rank: usize) -> usize {
         self.attempts_by_rank[..rank].iter().sum()
     }
 }
@@ -119,9 +120,10 @@
 
 impl LimitSample {
     /// Returns whether a timeout shows an overloaded node rather than a lost attempt. A timeout before the latency
-    /// objective does if the client's deadline caused it: the node is too slow for clients with short deadlines. A
-    /// later one does if the node answered nothing at all in the meantime: hosts that each send one attempt per timeout
-    /// keep a full queue full, and no answer ever shows that.
+    /// objective shows overload if the request had already ended: the client's deadline then caused the timeout, and
+    /// the node is too slow for clients with short deadlines. A later timeout shows overload if the node answered
+    /// nothing while the attempt was in flight. If the node's queue is full and each host sends one attempt per
+    /// timeout, the queue stays full, and no answer ever shows the overload.
     fn timeout_shows_overload(&self) -> bool {
         match self.latency < self.objective {
             true => self.request_was_over,
@@ -150,18 +152,17 @@
 pub struct ConcurrencyLimiter {
     /// The number of attempts that may be in flight at once; below one, the host pauses between attempts.
     limit: f64,
-    /// The lower bound on the limit.
     min_limit: f64,
     last_decrease_at: Instant,
     /// The number of requests that wait at the node, as it last reported.
     reported_queue: f64,
-    /// The latency of the last attempt that shows the node's speed (`record_latency`).
+    /// The latency of the last answer or timeout; a slower rejection or error since then raises it (`record_latency`).
     last_latency: TimeDelta,
 }
 
 impl ConcurrencyLimiter {
     /// Creates the limiter of a node that has not answered yet. With more than `FEW_HOSTS` hosts, the initial limit is
-    /// divided by the square root of their number over `FEW_HOSTS`, since all hosts start sending at the same time.
+    /// divided by `sqrt(hosts / FEW_HOSTS)`, since all hosts start sending at the same time.
     pub fn new(now: Instant, alive_hosts: f64) -> Self {
         let min_limit = min_limit(alive_hosts);
         ConcurrencyLimiter {
@@ -189,9 +190,9 @@
         self.reported_queue = requests;
     }
 
-    /// Returns whether the limit, rather than a lack of requests, bounds the attempts in flight once one more is sent.
-    /// Best effort is held back first, so its fraction of the limit decides. Only attempts sent in this state may
-    /// increase the limit: a node with few requests does not show its capacity.
+    /// Returns whether one more attempt would bring the attempts in flight to the limit of best effort. Best effort is
+    /// held back first, so from there on the limit, rather than a lack of requests, bounds the attempts in flight. Only
+    /// attempts sent in this state may increase the limit: a node with few requests does not show its capacity.
     pub fn is_at_limit(&self, in_flight: &InFlight) -> bool {
         (in_flight.attempts + 1) as f64 >= self.limit * BEST_EFFORT_FRACTION
     }
@@ -201,7 +202,8 @@
         self.limit < 1.0
     }
 
-    /// Returns the expected latency of an answer: the smaller of the median and the last latency.
+    /// Returns the expected latency of an answer: the smaller of the median and the last latency, or zero without a
+    /// median.
     pub fn expected_latency(&self, median_secs: Option<f64>) -> TimeDelta {
         TimeDelta::from_secs(median_secs.unwrap_or(0.0).min(self.last_latency.secs()))
     }
@@ -220,7 +222,7 @@
                 self.decrease(now, sample.latency, MIN_DECREASE_FACTOR);
             }
             Outcome::Full => self.decrease(now, sample.latency, MIN_DECREASE_FACTOR),
-            // These say nothing about the node's load.
+            // Other successes and timeouts don't change the limit.
             Outcome::Done | Outcome::TimedOut => {}
             Outcome::Error | Outcome::Refused | Outcome::Reset | Outcome::Cancelled | Outcome::Skipped => {}
         }
@@ -232,8 +234,9 @@
     fn record_latency(&mut self, sample: &LimitSample) {
         match sample.outcome {
             Outcome::Done | Outcome::TimedOut => self.last_latency = sample.latency,
-            // The node answered without doing the work, which would have taken longer. But these may raise the latency:
-            // otherwise a node that has given no other answer yet would get no pause at all.
+            // The node answered without doing the work, which would have taken longer. A rejection or error may raise
+            // the recorded latency, though: otherwise a node that has given no other answer yet would get no pause at
+            // all.
             Outcome::Full | Outcome::Error => self.last_latency = self.last_latency.max(sample.latency),
             // The time until the connection broke, or until host or client gave up, does not show the node's speed.
             // After a reset the node may have restarted, and may be faster than before.
@@ -241,7 +244,8 @@
         }
     }
 
-    /// Increases the limit. Below one it increases by a fraction of itself, since answers are rare then.
+    /// Increases the limit after a fast answer. Below one, where answers are rare, each of them adds the fraction
+    /// `INCREASE_PER_WINDOW` of the limit; a step divided by the limit would be larger the lower the limit is.
     fn increase(&mut self) {
         let step = INCREASE_PER_WINDOW * self.limit.min(1.0 / self.limit);
         self.limit = (self.limit + step).min(MAX_LIMIT);
@@ -279,15 +283,16 @@
     /// Returns the limit that applies to a request, in attempts.
     fn effective_limit(&self, request: &CapacityRequest) -> f64 {
         let (fraction, node_queue) = match request.priority.is_reserved {
-            true => (1.0, RESERVED_NODE_QUEUE),
-            false => (BEST_EFFORT_FRACTION, BEST_EFFORT_NODE_QUEUE),
+            true => (1.0, RESERVED_QUEUE_THRESHOLD),
+            false => (BEST_EFFORT_FRACTION, BEST_EFFORT_QUEUE_THRESHOLD),
         };
         // All hosts see the same reported queue. With many hosts, the attempts that one host has in flight show
-        // little of the node's load.
+        // little of the node's load, so the reported queue also lowers each host's limit.
         let queue_divisor = (self.reported_queue / node_queue).max(1.0);
         let limit = self.limit * request.weight * fraction / queue_divisor;
         let limit = if request.is_ejected { limit.min(1.0) } else { limit };
-        // Ranks order requests only within a host. With many hosts at a node, looser classes pause longer.
+        // Ranks order requests only within a host. To give way to the tighter classes of other hosts, a looser
+        // class gets a smaller limit and so pauses longer.
         if limit < 1.0 {
             limit * request.priority.tightness
         } else {
@@ -296,15 +301,15 @@
     }
 }
 
-/// Returns whether the limit allows one more attempt beside those in flight: in attempts, in units, and in the part
-/// that lower priorities may use while a higher one is in flight. One attempt is always allowed, so that the host
-/// keeps getting answers from the node.
+/// Returns whether one more attempt may be in flight. There must be room in the limit in attempts, in the limit in
+/// units and, while a higher priority is in flight, in the part that is left to lower ones. One attempt is always
+/// allowed, so that the host keeps getting answers from the node.
 fn has_capacity(limit: f64, request: &CapacityRequest) -> bool {
     let in_flight = request.in_flight;
     if in_flight.attempts == 0 {
         return true;
     }
-    let above = in_flight.attempts_above(request.priority.rank);
+    let above = in_flight.attempts_of_higher_ranks(request.priority.rank);
     let at_or_below = (in_flight.attempts - above) as f64;
     (in_flight.attempts as f64) < limit.floor()
         && in_flight.units < limit * request.mean_units
--- a/src/policy/measured_share.rs
+++ b/src/policy/measured_share.rs
@@ -41,13 +41,13 @@
 /// The service of a volume through this host and through others, and this host's lowest recent share of it.
 pub struct MeasuredShare {
     /// Whether a node has reported service through other hosts.
-    is_reported: bool,
+    others_were_reported: bool,
     shards: BTreeMap<ShardId, ServedUnits>,
     last_answer_at: Instant,
     period_start: Instant,
     lowest_this_period: f64,
     lowest_last_period: f64,
-    latest: f64,
+    latest_share: f64,
 }
 
 impl MeasuredShare {
@@ -55,13 +55,13 @@
     pub fn new(now: Instant, host_count: f64) -> Self {
         let even = 1.0 / host_count;
         MeasuredShare {
-            is_reported: false,
+            others_were_reported: false,
             shards: BTreeMap::new(),
             last_answer_at: now,
             period_start: now,
             lowest_this_period: even,
             lowest_last_period: even,
-            latest: even,
+            latest_share: even,
         }
     }
 
@@ -69,7 +69,7 @@
     /// through other hosts.
     pub fn share(&mut self, now: Instant) -> Option<f64> {
         self.advance(now);
-        self.is_reported.then(|| self.lowest_this_period.min(self.lowest_last_period))
+        self.others_were_reported.then(|| self.lowest_this_period.min(self.lowest_last_period))
     }
 
     /// Starts a new period if one is due, and lets the share fall to zero after `IDLE_TIMEOUT` without an answer.
@@ -80,7 +80,7 @@
         if now - self.period_start >= RISE_PERIOD {
             self.period_start = now;
             self.lowest_last_period = self.lowest_this_period;
-            self.lowest_this_period = self.latest;
+            self.lowest_this_period = self.latest_share;
             for served in self.shards.values_mut() {
                 served.for_this_host /= 2.0;
                 served.for_others /= 2.0;
@@ -89,7 +89,7 @@
     }
 
     fn record_share(&mut self, share: f64) {
-        self.latest = share;
+        self.latest_share = share;
         self.lowest_this_period = self.lowest_this_period.min(share);
     }
 
@@ -99,14 +99,14 @@
         self.last_answer_at = now;
         let served = ServedUnits { for_this_host: service.own_units, for_others: service.other_units };
         self.shards.entry(service.shard).or_default().add(served);
-        if self.is_reported || service.other_units > 0.0 {
-            self.is_reported = true;
+        if self.others_were_reported || service.other_units > 0.0 {
+            self.others_were_reported = true;
             self.record_share(self.lowest_over_shards(MIN_SHARD_REQUESTS * mean_units));
         }
     }
 
-    /// Returns the lowest share over all shards, so that hosts that use different shards can't claim the same service
-    /// twice. Shards that served less than `min_units` are combined.
+    /// Returns the lowest share over all shards. If each host claimed its highest, hosts with different main shards
+    /// would together claim more than the whole. Shards that served less than `min_units` are combined.
     fn lowest_over_shards(&self, min_units: f64) -> f64 {
         let mut lowest = 1.0f64;
         let mut small_shards = ServedUnits::default();
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -3,22 +3,24 @@
 //! A node that warms up has a fraction of its full capacity, and collapses if all hosts together send it more than it
 //! can take. Hosts do not coordinate at run time how much each sends, and learn of the start at different times.
 //! Therefore each host keeps to its own part: its share of the units that never overload a node, and a fraction of the
-//! rate at which the shard has served it. The rates that all hosts observe at a shard sum to no more than the capacity
-//! of its node, so that using the same fraction at each host bounds the sum.
+//! rate at which the shard has served it. Together the hosts observe no more than the capacity of the shard's node.
+//! If each sends the same fraction of its observed rate, the total load is bounded too.
 
 use super::hold::GUARD_RECHECK_INTERVAL;
 use crate::interface::{HoldReason, Instant, SlowStartSettings, TimeDelta};
 use crate::policy::Hold;
 use crate::state::Bucket;
 
-/// The fraction of the allowance for random variation that is used: the operators allow all hosts together
-/// N + 2 sqrt(N) + 2 calls in a window.
+/// Where a node can take N requests in a window, the operators allow all hosts together to send N + 2 sqrt(N) + 2. This
+/// is the fraction of the excess over N that is used.
 const CHANCE_ALLOWANCE: f64 = 0.8;
-/// The fraction of the safe units that may be unanswered at once.
+/// The fraction of the safe units (`SlowStartSettings::safe_units`), scaled to the node's present capacity, that may be
+/// unanswered at once.
 const IN_FLIGHT_FRACTION: f64 = 0.3;
-/// The fraction of the safe units that drains in each window without any answer.
+/// The fraction of the safe units, scaled in the same way, by which the count of unanswered units falls in each window
+/// even if nothing is answered.
 const DRAIN_FRACTION: f64 = 0.1;
-/// The fraction of the node's load limit that is shared out by the service rates that the hosts observed.
+/// The fraction of the node's load limit that hosts may send in proportion to their observed service rates.
 const SERVICE_RATE_FRACTION: f64 = 0.6;
 /// The lower bound on the fraction of its capacity that a node has at its start.
 const MIN_INITIAL_CAPACITY: f64 = 0.01;
@@ -34,8 +36,9 @@
     /// of a request.
     ///
     /// Let N be the number of safe requests, and `m` the multiple of its current capacity that a node can take. Each
-    /// answer within a window allows another request, in addition to those that are allowed without an answer. So all
-    /// hosts together may send `1 - 1/m` of N, plus the allowance for random variation: `2 sqrt(N) + 2` requests.
+    /// answer within a window allows another request, in addition to those that are allowed without an answer. To leave
+    /// room for the requests that answers allow, the load allowed without an answer is scaled to `1 - 1/m` of N, plus
+    /// `CHANCE_ALLOWANCE` of the allowance for random variation, which is `2 sqrt(N) + 2` requests.
     pub fn new(settings: SlowStartSettings, mean_units: f64) -> Self {
         let safe_requests = (settings.safe_units / mean_units).max(1.0);
         let chance = CHANCE_ALLOWANCE * (2.0 * safe_requests.sqrt() + 2.0) / safe_requests;
@@ -83,15 +86,16 @@
     pub host_count: f64,
 }
 
-/// The units sent to a node while it warms up that have been neither answered nor drained.
+/// The units sent to a node and not yet answered. While the node warms up, their count also falls with time (`check`).
 pub struct SlowStart {
     unanswered: Bucket,
 }
 
 impl SlowStart {
-    /// Creates the state of a node that has just been listed. The bucket starts at a random level within one mean
-    /// request, less this host's part; `random` is a random number from 0 to 1. A part below one request still lets
-    /// single requests pass, and hosts that all started at the same level would send their first one at the same time.
+    /// Creates the state of a node that has just been listed. The count of unanswered units starts at a
+    /// random fraction of one mean request, minus `initial_units`, but at least at 0; `random` is a random number from
+    /// 0 to 1. Even a host whose part is below one request may send single requests; the random start keeps hosts from
+    /// sending their first ones at the same time.
     pub fn new(
         now: Instant,
         limits: &SlowStartLimits,
@@ -114,8 +118,8 @@
     }
 
     /// Checks that a request stays within this host's part of the load that the node can take. The unanswered units
-    /// stay within the host's share of the safe units; a request that costs more than that passes once the bucket is
-    /// empty. The units drain at a rate that rises with the node's capacity.
+    /// stay within `IN_FLIGHT_FRACTION` of the host's share of the safe units; a request that costs more than that
+    /// passes once their count is zero. The count falls at a rate that rises with the node's capacity.
     pub fn check(
         &mut self,
         now: Instant,
@@ -126,12 +130,12 @@
             return Ok(());
         };
         let capacity = limits.capacity_fraction(now - up_since);
-        let safe_units = limits.0.safe_units / request.host_count * capacity / limits.0.initial_capacity;
-        let unconditional_rate = DRAIN_FRACTION * safe_units / limits.0.window.max(MIN_WINDOW).secs();
+        let own_safe_units = limits.0.safe_units / request.host_count * capacity / limits.0.initial_capacity;
+        let unconditional_rate = DRAIN_FRACTION * own_safe_units / limits.0.window.max(MIN_WINDOW).secs();
         let service_based_rate =
             SERVICE_RATE_FRACTION * limits.0.overload_multiple * capacity * request.service_rate;
         let drain_rate = unconditional_rate + service_based_rate;
-        let max_unanswered = IN_FLIGHT_FRACTION * safe_units;
+        let max_unanswered = IN_FLIGHT_FRACTION * own_safe_units;
         match self.unanswered.time_until_fits(now, drain_rate, max_unanswered, request.units) {
             TimeDelta::ZERO => Ok(()),
             wait => Err(Hold::until(HoldReason::SlowStart, now + wait.min(GUARD_RECHECK_INTERVAL))),
