--- a/src/scheduler/attempt_end.rs
+++ b/src/scheduler/attempt_end.rs
@@ -19,7 +19,7 @@
         let objective = self.settings.classes[request.class.0 as usize].latency_objective;
         let Some(result) = request.attempt_finished(&end, objective) else { return };
         let settled_at = end.outcome.may_be_running().then_some(now + self.settings.key_settle_time);
-        self.release_key(result.ordered_key, settled_at);
+        self.record_end_at_key(result.ordered_key, settled_at);
         let is_done = end.outcome == Outcome::Done;
         let is_lost = self.record_at_node(&result);
         if let Some(event) = self.loss_detector.record(is_lost, is_done) {
@@ -33,7 +33,8 @@
         forget_if_over(&mut self.requests, &mut self.key_queues, end.request, now);
     }
 
-    /// Records the attempt's result at its node. Returns whether it shows that an attempt was lost.
+    /// Records the attempt's result at its node. Returns whether the result shows that this attempt or an earlier
+    /// one was lost.
     fn record_at_node(&mut self, result: &AttemptResult) -> bool {
         let class = &self.settings.classes[result.class.0 as usize];
         let adjusts_limit = adjusts_limits(class.latency_objective, self.settings.tightest_objective);
@@ -59,7 +60,7 @@
         node.retry_credit.record(result.outcome, result.latency, result.objective);
         let health_change = node.outlier_detector.record(result.outcome);
         if result.outcome == Outcome::Done {
-            self.record_service(result);
+            self.record_answer(result);
         }
         if let Some(change) = health_change {
             self.emit(health_event(result.attempt.node, &change));
@@ -68,11 +69,12 @@
     }
 
     /// Records the latency of an answer and the work it shows the node can do.
-    fn record_service(&mut self, result: &AttemptResult) {
+    fn record_answer(&mut self, result: &AttemptResult) {
         let Some(node) = self.nodes.get_mut(&result.attempt.node) else { return };
         // An answer from a node's cache does not show what the node can do. If it counted in full, a node in slow start
-        // would be sent several times what it can take, and would collapse right after a fast start. Where most requests
-        // are for few keys, such a node warms up on its safe units alone.
+        // would be sent several times what it can take, and would collapse right after a fast start. Since it counts
+        // only in part, a node in slow start gets little more than its safe units (`SlowStartSettings`) if most requests
+        // are for few keys.
         let counted_fraction = if result.is_repeat { self.settings.uncached_fraction } else { 1.0 };
         let work = counted_fraction * result.units;
         let latency_secs = result.latency.secs();
@@ -106,12 +108,12 @@
 
     /// Records that an attempt on this key has ended. The node may still be running it until `settled_at`; `None` if it
     /// is known to have stopped.
-    fn release_key(&mut self, key: Option<KeyId>, settled_at: Option<Instant>) {
+    fn record_end_at_key(&mut self, key: Option<KeyId>, settled_at: Option<Instant>) {
         let Some(key) = key else { return };
         let Some(queue) = self.key_queues.get_mut(&key) else { return };
         queue.attempt_finished(settled_at);
-        // Without this timer, the queue of a key that is never requested again would stay in the table after an attempt
-        // that may still be running.
+        // The timer removes the key's queue if the queue is idle by then. Otherwise, if nothing is requested on the key
+        // again, its queue would never be removed.
         if let Some(settled_at) = settled_at {
             self.timers.set(settled_at, Timer::KeySettled(key));
         }
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -15,21 +15,22 @@
 use crate::state::Timer;
 
 impl Scheduler {
-    /// Returns the request to send next at this shard, or `None` if none may be sent now. Of the candidates of all queues
-    /// it picks the one with the lowest score; a late request only if none that is in time can be sent.
-    pub(super) fn pick_request(&mut self, id: ShardId) -> Option<Dispatch> {
-        let shard = self.shards.get(&id)?;
-        let node = shard.nodes.iter().rev().find(|node| self.nodes[node].state == NodeState::Ready).copied();
-        let queues: Vec<QueueId> = shard.queues.keys().copied().collect();
+    /// Returns the request to send next at this shard, or `None` if none may be sent now. Picks the candidate with the
+    /// lowest score from all queues. A late request is picked only if no queue has a waiting request.
+    pub(super) fn pick_request(&mut self, shard: ShardId) -> Option<Dispatch> {
+        let shard_state = self.shards.get(&shard)?;
+        let node =
+            shard_state.nodes.iter().rev().find(|node| self.nodes[node].state == NodeState::Ready).copied();
+        let queues: Vec<QueueId> = shard_state.queues.keys().copied().collect();
         let mut best: Option<Candidate> = None;
         let mut recheck_at: Option<Instant> = None;
         for queue in queues {
-            let Some(request) = self.settle_heads_and_pick(id, queue, node) else { continue };
+            let Some(request) = self.settle_heads_and_pick(shard, queue, node) else { continue };
             let Some(node) = node else {
                 self.record_hold(request, HoldReason::NoReadyNode);
                 continue;
             };
-            match self.check_request(id, request, node) {
+            match self.candidate_if_allowed(shard, request, node) {
                 Ok(found) if best.is_none_or(|best| found.score < best.score) => best = Some(found),
                 Ok(_) => {}
                 Err(hold) => {
@@ -38,9 +39,9 @@
                 }
             }
         }
-        let best = best.map(|best| best.dispatch).or_else(|| self.pick_late_request(id, node?));
+        let best = best.map(|best| best.dispatch).or_else(|| self.pick_late_request(shard, node?));
         if let Some(at) = recheck_at.filter(|_| best.is_none()) {
-            self.timers.set(at.max(self.now + MIN_RECHECK_INTERVAL), Timer::Shard(id));
+            self.timers.set(at.max(self.now + MIN_RECHECK_INTERVAL), Timer::Shard(shard));
         }
         best
     }
@@ -53,7 +54,12 @@
     }
 
     /// Returns the request with its score if its guards let it be sent now, otherwise the guard that holds it.
-    fn check_request(&mut self, shard: ShardId, id: RequestId, node: NodeId) -> Result<Candidate, Hold> {
+    fn candidate_if_allowed(
+        &mut self,
+        shard: ShardId,
+        id: RequestId,
+        node: NodeId,
+    ) -> Result<Candidate, Hold> {
         let is_reserved = self.is_reserved(id);
         let request = &self.requests[&id];
         let priority = current_priority(
@@ -76,8 +82,9 @@
         volume.limit.is_reserved(self.now, plan, request.units)
     }
 
-    /// Decides the fate of one queue head after another until one is to be sent. Returns the first request of the queue
-    /// that no guard of its own holds, or that head if all are held. Only the head is known to be in time.
+    /// Chooses the action for one queue head after another, and carries it out, until one is to be sent. Returns the first
+    /// request held neither by a backoff nor by the order of its key, or the head if all are. A request behind the head
+    /// may already be late; only the head was checked.
     fn settle_heads_and_pick(
         &mut self,
         shard: ShardId,
@@ -85,11 +92,11 @@
         node: Option<NodeId>,
     ) -> Option<RequestId> {
         loop {
-            let queues = self.shards.get_mut(&shard)?;
-            let head = queues.first_waiting(queue, |id| is_waiting_at(&self.requests, id, shard))?;
+            let shard_state = self.shards.get_mut(&shard)?;
+            let head = shard_state.first_waiting(queue, |id| is_waiting_at(&self.requests, id, shard))?;
             let action = self.queue_head(shard, head, node)?.action(self.now);
             if action == QueueHeadAction::Send {
-                return Some(self.first_ready(shard, queue).unwrap_or(head));
+                return Some(self.first_without_own_hold(shard, queue).unwrap_or(head));
             }
             self.shards.get_mut(&shard)?.pop_head(queue);
             match action {
@@ -103,7 +110,7 @@
         }
     }
 
-    /// Collects the values that the fate of a queue's head depends on.
+    /// Collects the values on which the action for a queue's head depends.
     fn queue_head(&self, shard: ShardId, id: RequestId, node: Option<NodeId>) -> Option<QueueHead> {
         let request = self.requests.get(&id)?;
         let node = node.and_then(|node| self.nodes.get(&node));
@@ -126,9 +133,10 @@
         })
     }
 
-    /// Returns the first request of a queue that no guard of its own (a backoff, the order of its key) holds. A request
-    /// that such a guard holds must not hold those behind it. Only the first `MAX_SCANNED_REQUESTS` are looked at.
-    fn first_ready(&self, shard: ShardId, queue: QueueId) -> Option<RequestId> {
+    /// Returns the first request of a queue that is held neither by a backoff nor by the order of its key. These guards
+    /// concern a single request, which must not hold up the requests behind it. Only the first `MAX_SCANNED_REQUESTS`
+    /// requests are looked at.
+    fn first_without_own_hold(&self, shard: ShardId, queue: QueueId) -> Option<RequestId> {
         let is_ready = |id: &&RequestId| {
             let request = self.requests.get(id).filter(|request| request.is_waiting);
             request.is_some_and(|request| {
@@ -140,11 +148,11 @@
     }
 
     /// Returns the shard's first late request, if its guards let it be sent. A late answer is worth little, so this
-    /// returns `None` while any request that is in time waits.
-    fn pick_late_request(&mut self, id: ShardId, node: NodeId) -> Option<Dispatch> {
-        let shard = self.shards.get_mut(&id)?;
-        let request = shard.first_late(|late| is_waiting_at(&self.requests, late, id))?;
-        if !shard.queues.is_empty() {
+    /// returns `None` while a request waits in any queue of the shard.
+    fn pick_late_request(&mut self, shard: ShardId, node: NodeId) -> Option<Dispatch> {
+        let shard_state = self.shards.get_mut(&shard)?;
+        let request = shard_state.first_late(|late| is_waiting_at(&self.requests, late, shard))?;
+        if !shard_state.queues.is_empty() {
             return None;
         }
         let priority = late_priority(self.class(self.requests[&request].class));
@@ -181,8 +189,8 @@
         Some(decision)
     }
 
-    /// Charges an attempt that is sent to its volume, its shard and the retry budget, and records it at its node and its
-    /// key.
+    /// Charges the volume and the shard for an attempt that is being sent, and for a retry also the node's retry credit and
+    /// the retry budget. Records the attempt at its node and its key.
     fn record_attempt(&mut self, shard: ShardId, sent: Dispatch) {
         let (Some(request), Some(node)) =
             (self.requests.get_mut(&sent.request), self.nodes.get_mut(&sent.node))
@@ -190,7 +198,7 @@
             return;
         };
         let plan = &self.settings.plans[request.plan.0 as usize];
-        let shard = self.shards.entry(shard).or_default();
+        let shard_state = self.shards.entry(shard).or_default();
         if let Some(volume) = self.volumes.get_mut(&request.volume) {
             if !request.is_charged {
                 volume.limit.charge_limit(request.units);
@@ -200,14 +208,14 @@
             }
         }
         if let Some(cost) = weighted_cost(request.units, plan.weight, sent.is_reserved) {
-            shard.charge(request.volume, cost);
+            shard_state.charge(request.volume, cost);
         }
         if request.attempts > 0 {
             node.retry_credit.spend();
             self.retry_budget.record_retry(self.now);
         }
         if let Some(key) = request.key {
-            request.is_repeat = shard.record_key(key, MAX_RECENT_KEYS);
+            request.is_repeat = shard_state.record_key(key, MAX_RECENT_KEYS);
         }
         let attempt = SentAttempt {
             node: sent.node,
--- a/src/scheduler/guards.rs
+++ b/src/scheduler/guards.rs
@@ -1,4 +1,5 @@
-//! The guards of a waiting request: each rule that can hold it, in the order in which they are checked.
+//! The guards of a waiting request: each rule that can hold it, in the order in which they are checked. Rule numbers are
+//! those of docs/design.md, "The seven rules".
 
 use super::node::Node;
 use super::request::Request;
@@ -43,7 +44,8 @@
         Hold::check(HoldReason::Backoff, request.not_before, self.now)
     }
 
-    /// Holds a request until its deadline if an earlier attempt may have run and another could take effect again (rule 2).
+    /// Holds a request until its deadline if an earlier attempt may have run and another could take effect a second time
+    /// (rule 2).
     ///
     /// Only requests behind a queue's head and late ones are held here, since a head that can never be sent is rejected
     /// before (`policy::request_fate`).
@@ -62,7 +64,7 @@
         Hold::check(HoldReason::Ejected, next_probe_at(node.last_sent_at), self.now)
     }
 
-    /// Holds a retry while the node's answers have earned none.
+    /// Holds a retry while the node's retry credit is too low.
     fn check_retry_credit(&self, request: &Request, node: &Node) -> Result<(), Hold> {
         if request.attempts > 0 && !node.retry_credit.allows_retry() {
             return Err(self.hold_for_recheck(HoldReason::RetryCredit));
@@ -78,8 +80,8 @@
         Ok(())
     }
 
-    /// Holds the request while another goes first on its key: those of an ordered key are sent one at a time, in order of
-    /// arrival (rule 5).
+    /// Holds the request while an earlier one on the same ordered key is not finished, or may still be running at a node:
+    /// such requests are sent one at a time, in order of arrival (rule 5).
     pub(super) fn check_key_order(&self, id: RequestId, request: &Request) -> Result<(), Hold> {
         let queue = request.ordered_key.and_then(|key| self.key_queues.get(&key));
         let Some(free_at) = queue.and_then(|queue| queue.blocked_until(id, self.now)) else { return Ok(()) };
@@ -111,7 +113,8 @@
         }
     }
 
-    /// Holds the request while its node warms up and has been sent this host's share of what it can take (rule 4).
+    /// Holds the request if its node is warming up and this host has already sent its share of the load that the node can
+    /// take (rule 4).
     fn check_slow_start(&mut self, id: RequestId, node_id: NodeId) -> Result<(), Hold> {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&node_id) else { return Ok(()) };
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -17,8 +17,16 @@
 const WINDOW: f64 = 3.0;
 /// Step of virtual time, in seconds.
 const STEP: f64 = 0.005;
-/// The node can take this multiple of its current capacity.
+/// The highest load that the node can take, as a multiple of its current capacity.
 const OVERLOAD_MULTIPLE: f64 = 2.0;
+/// Latency reported with an attempt that timed out, in seconds.
+const TIMEOUT_LATENCY: f64 = 3.0;
+/// Latency reported with a successful answer, in seconds.
+const ANSWER_LATENCY: f64 = 0.1;
+/// Latency reported with an error, in seconds.
+const ERROR_LATENCY: f64 = 0.002;
+/// Latency reported with an attempt that the node's restart ended, in seconds.
+const RESET_LATENCY: f64 = 0.1;
 
 /// How the node behaves after its restart.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -48,7 +56,8 @@
     load: f64,
     /// Units within the window that the node can always take.
     safe_units: f64,
-    /// The node's capacity, as a multiple of the lowest at which it can take `safe_units`.
+    /// The node's warm capacity. At 1, the restarted node can just take `safe_units` in a window; other values are
+    /// multiples of that capacity.
     capacity_multiple: f64,
 }
 
@@ -90,7 +99,7 @@
     restarted_at: Option<f64>,
     queue: VecDeque<InFlight>,
     /// Units of work that the node has done on the first attempt in its queue.
-    worked_off: f64,
+    work_on_first_attempt: f64,
     submitted: HashMap<(usize, RequestId), Submitted>,
     /// Times at which attempts were sent since the restart.
     sent_at: Vec<f64>,
@@ -114,7 +123,7 @@
                 / (OVERLOAD_MULTIPLE * INITIAL_CAPACITY * WINDOW),
             restarted_at: None,
             queue: VecDeque::new(),
-            worked_off: 0.0,
+            work_on_first_attempt: 0.0,
             submitted: HashMap::new(),
             sent_at: Vec::new(),
             now: 100.0,
@@ -122,11 +131,11 @@
     }
 
     /// Returns the fraction of its warm capacity that the node has now.
-    fn warmth(&self) -> f64 {
-        let warmth = |restarted: f64| {
+    fn capacity_fraction(&self) -> f64 {
+        let fraction_after = |restarted: f64| {
             INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * (self.now - restarted) / WARM_UP_TIME
         };
-        self.restarted_at.map_or(1.0, |restarted| warmth(restarted).min(1.0))
+        self.restarted_at.map_or(1.0, |restarted| fraction_after(restarted).min(1.0))
     }
 
     /// Advances virtual time by one step.
@@ -139,7 +148,7 @@
             NodeBehavior::Hangs => {}
             NodeBehavior::Errors => {
                 while let Some(attempt) = self.queue.pop_front() {
-                    self.end_attempt(attempt, Outcome::Error, 0.002);
+                    self.end_attempt(attempt, Outcome::Error, ERROR_LATENCY);
                 }
             }
             NodeBehavior::Serves => self.serve(),
@@ -185,18 +194,20 @@
         let is_timed_out = |attempt: &&InFlight| attempt.gives_up_at <= now;
         let timed_out: Vec<InFlight> = self.queue.iter().filter(is_timed_out).copied().collect();
         self.queue.retain(|attempt| !is_timed_out(&attempt));
-        timed_out.into_iter().for_each(|attempt| self.end_attempt(attempt, Outcome::TimedOut, 3.0));
+        timed_out
+            .into_iter()
+            .for_each(|attempt| self.end_attempt(attempt, Outcome::TimedOut, TIMEOUT_LATENCY));
     }
 
     /// Lets the node work for one step.
     fn serve(&mut self) {
-        self.worked_off += self.capacity * self.warmth() * STEP;
-        while let Some(attempt) = self.queue.pop_front_if(|first| first.units <= self.worked_off) {
-            self.worked_off -= attempt.units;
-            self.end_attempt(attempt, Outcome::Done, 0.1);
+        self.work_on_first_attempt += self.capacity * self.capacity_fraction() * STEP;
+        while let Some(attempt) = self.queue.pop_front_if(|first| first.units <= self.work_on_first_attempt) {
+            self.work_on_first_attempt -= attempt.units;
+            self.end_attempt(attempt, Outcome::Done, ANSWER_LATENCY);
         }
         if self.queue.is_empty() {
-            self.worked_off = 0.0;
+            self.work_on_first_attempt = 0.0;
         }
     }
 
@@ -209,7 +220,7 @@
     fn restart(&mut self) {
         self.restarted_at = Some(self.now);
         for attempt in std::mem::take(&mut self.queue) {
-            self.end_attempt(attempt, Outcome::Reset, 0.1);
+            self.end_attempt(attempt, Outcome::Reset, RESET_LATENCY);
         }
         self.sent_at.clear();
         for i in 0..self.hosts.len() {
@@ -239,16 +250,17 @@
     }
 
     /// Returns the largest number of attempts by which any window exceeds the allowed number N + 2 sqrt(N) + 2, where the
-    /// node can take N. A negative value means that no window exceeds it.
+    /// node can take N. If it is zero or negative, no window exceeds the allowed number.
     fn max_overshoot(&self) -> f64 {
         let restarted = self.restarted_at.unwrap_or(0.0);
         let mut max = f64::MIN;
         for (i, from) in self.sent_at.iter().enumerate() {
             let attempts = self.sent_at[i..].iter().take_while(|at| **at - from <= WINDOW).count() as f64;
-            // The node's mean capacity over the window.
+            // While the node warms up, its capacity at the middle of the window is also its mean over the window.
             let age = from + WINDOW / 2.0 - restarted;
-            let warmth = (INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age / WARM_UP_TIME).min(1.0);
-            let max_units = OVERLOAD_MULTIPLE * self.capacity * warmth * WINDOW;
+            let capacity_fraction =
+                (INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age / WARM_UP_TIME).min(1.0);
+            let max_units = OVERLOAD_MULTIPLE * self.capacity * capacity_fraction * WINDOW;
             let max_requests = max_units.max(self.case.safe_units) / MEAN_UNITS;
             max = max.max(attempts - (max_requests + 2.0 * max_requests.sqrt() + 2.0));
         }
@@ -311,7 +323,7 @@
 }
 
 /// Twenty or thirty hosts, some of them restarted, send to a node that has just started and then serves, hangs, or fails.
-/// In no window may they send more than the node can take and an allowance for chance.
+/// In no window may they send more than the node can take plus an allowance for chance.
 #[test]
 fn all_hosts_together_send_no_more_than_a_node_in_slow_start_bears() {
     let mut min_sent = usize::MAX;
